--- a/internal/fleet/e2e/main_test.go
+++ b/internal/fleet/e2e/main_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -12,6 +13,7 @@
 	"os/exec"
 	"os/signal"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -23,6 +25,7 @@
 	"martendrum/internal/fleet/agent"
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/client"
+	"martendrum/internal/fleet/distribution"
 	"martendrum/internal/fleet/inventory"
 	"martendrum/internal/fleet/proc"
 	"martendrum/internal/fleet/rollout"
@@ -40,8 +43,9 @@
 // TestMain also plays an agent that kills itself at a write of its record.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("E2E_AGENT"); path != "" {
-		at, _ := strconv.Atoi(os.Getenv("E2E_CRASH_AT"))
-		if err := crashingAgent(path, at, os.Getenv("E2E_CRASH_AFTER") != ""); err != nil {
+		at, _ := strconv.ParseInt(os.Getenv("E2E_CRASH_AT"), 10, 64)
+		death := crashPoint{write: at, after: os.Getenv("E2E_CRASH_AFTER") != "", change: os.Getenv("E2E_CRASH_AFTER_CHANGE")}
+		if err := crashingAgent(path, death); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -61,36 +65,53 @@
 	os.Exit(code)
 }
 
-// mortal is a store that kills its process at a write, before or after it.
+// crashPoint says at which write of its record an agent kills itself.
+type crashPoint struct {
+	write  int64  // the number of the write, counted from 1; 0: none
+	after  bool   // once the write is done, instead of before it
+	change string // once the first change of the settings of this name is written; "": none
+}
+
+// mortal is a store that kills its process at a write.
 type mortal struct {
 	store.Store
-	at    int64
-	after bool
+	death crashPoint
 	n     atomic.Int64
 }
 
 func (s *mortal) Commit(ctx context.Context, c *store.Change) error {
-	last := s.n.Add(1) == s.at
-	if last && !s.after {
-		syscall.Kill(os.Getpid(), syscall.SIGKILL)
-		select {}
+	last := s.n.Add(1) == s.death.write
+	if last && !s.death.after {
+		killSelf()
 	}
 	err := s.Store.Commit(ctx, c)
-	if last {
-		syscall.Kill(os.Getpid(), syscall.SIGKILL)
-		select {}
+	if last || err == nil && s.death.change != "" && changes(c, s.death.change) {
+		killSelf()
 	}
 	return err
 }
 
-func crashingAgent(path string, at int, after bool) error {
+func killSelf() {
+	syscall.Kill(os.Getpid(), syscall.SIGKILL)
+	select {}
+}
+
+// changes says whether a write holds the settings of a name.
+func changes(c *store.Change, name string) bool {
+	return slices.ContainsFunc(c.Settings, func(row distribution.Row) bool {
+		var resource distribution.Resource
+		return json.Unmarshal(row.Value, &resource) == nil && resource.Name == name
+	})
+}
+
+func crashingAgent(path string, death crashPoint) error {
 	cfg, err := agent.LoadConfig(path)
 	if err != nil {
 		return err
 	}
 	a, err := agent.New(cfg, agent.Processes{}, func(p string) (store.Store, error) {
 		s, err := open.Record(cfg)(p)
-		return &mortal{Store: s, at: int64(at), after: after}, err
+		return &mortal{Store: s, death: death}, err
 	})
 	if err != nil {
 		return err
