--- /dev/null
+++ b/cmd/sidecar/compat_test.go
@@ -0,0 +1,37 @@
+package main
+
+import (
+	"io"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+
+	"martendrum/internal/goldentest"
+)
+
+// The metrics have the names and labels of an earlier build.
+func TestMetricNamesOfEarlierBuild(t *testing.T) {
+	p := newShop(t, 128).running()
+	response, err := http.Get("http://" + p.mgmt + "/api/telemetry")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string
+	for line := range strings.Lines(string(text)) {
+		if at := strings.LastIndexByte(line, ' '); at > 0 && !strings.HasPrefix(line, "#") {
+			names = append(names, line[:at])
+		}
+	}
+	slices.Sort(names)
+	names = slices.Compact(names)
+	if len(names) < 20 {
+		t.Fatalf("%d metrics: %q", len(names), text)
+	}
+	goldentest.Compare(t, "metric-names.txt", []byte(strings.Join(names, "\n")+"\n"))
+}
--- /dev/null
+++ b/internal/checkpoint/compat_test.go
@@ -0,0 +1,40 @@
+package checkpoint
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"martendrum/internal/goldentest"
+)
+
+// filled is a checkpoint with a value in every field, within what Load accepts.
+func filled() Checkpoint {
+	var c Checkpoint
+	goldentest.Fill(&c)
+	c.Name, c.Saved, c.Demand = "10.0.0.4:8081", now.Add(-time.Minute).UnixMilli(), 4.5
+	c.Learned.Odds, c.Learned.Lost, c.Learned.Level, c.Learned.Taken = 0.2, 0.01, 0.3, 0.9
+	c.Learned.Servers[0].Weight = 1.5
+	return c
+}
+
+// A checkpoint that an earlier build wrote is read as it was meant, and written again byte
+// by byte.
+func TestCheckpointOfEarlierBuild(t *testing.T) {
+	const golden = "checkpoint.json"
+	path := filepath.Join(t.TempDir(), "checkpoint")
+	if err := Save(path, filled()); err != nil {
+		t.Fatal(err)
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Compare(t, golden, data)
+	got, age, err := Load(goldentest.Path(golden), filled().Name, now)
+	if err != nil || age != time.Minute || !reflect.DeepEqual(*got, filled()) {
+		t.Errorf("loaded %+v, %v, %v; want %+v", got, age, err, filled())
+	}
+}
--- /dev/null
+++ b/internal/fleet/distribution/compat_test.go
@@ -0,0 +1,120 @@
+package distribution
+
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"martendrum/internal/goldentest"
+)
+
+// storedRow is a row in a golden file.
+type storedRow struct {
+	Key   string          `json:"key"`
+	Value json.RawMessage `json:"value"`
+}
+
+// rowLines returns rows in the form of a golden file.
+func rowLines(t *testing.T, rows []Row) []byte {
+	t.Helper()
+	var lines bytes.Buffer
+	for _, r := range rows {
+		line, err := json.Marshal(storedRow{Key: r.Key, Value: r.Value})
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines.Write(append(line, '\n'))
+	}
+	return lines.Bytes()
+}
+
+// goldenRows returns the rows of a golden file.
+func goldenRows(t *testing.T, name string) []Row {
+	t.Helper()
+	var rows []Row
+	for line := range bytes.Lines(goldentest.Read(t, name)) {
+		var r storedRow
+		if err := json.Unmarshal(line, &r); err != nil {
+			t.Fatal(err)
+		}
+		rows = append(rows, Row{Key: r.Key, Value: r.Value})
+	}
+	return rows
+}
+
+// A log of settings that an earlier build stored is read as it was meant, and stored again
+// byte by byte.
+func TestLogOfEarlierBuild(t *testing.T) {
+	const golden = "log.jsonl"
+	disk, state := newDisk(), NewState(testLimits())
+	make := func(next *Step, err error) {
+		t.Helper()
+		if err != nil || next == nil {
+			t.Fatal(next, err)
+		}
+		disk.write(next.Batch())
+		state.Make(next)
+	}
+	propose := func(put Put) {
+		t.Helper()
+		_, next, err := state.Propose(testTime, state.Revision().Epoch, put)
+		make(next, err)
+	}
+	make(state.Promote(3), nil)
+	propose(put("limits/all", "sim", content(1)))
+	propose(put("limits/all", "sim", content(2)))
+	propose(Put{Name: "limits/share", Scope: Scope{Labels: map[string]string{"zone": "a"}, Share: 0.25}, Content: []byte(content(3)), Author: "sari"})
+	propose(put("limits/gone", "sim", content(4)))
+	propose(remove("limits/gone"))
+	goldentest.Compare(t, golden, rowLines(t, disk.all()))
+
+	restored, err := Restore(testLimits(), goldenRows(t, golden))
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireSameState(t, state, restored)
+	if !reflect.DeepEqual(restored.history, state.history) || restored.compacted != state.compacted {
+		t.Errorf("history %+v behind %v; want %+v behind %v", restored.history, restored.compacted, state.history, state.compacted)
+	}
+}
+
+// What a subscriber of an earlier build stored is read as it was meant, and stored again byte
+// by byte.
+func TestSubscriberOfEarlierBuild(t *testing.T) {
+	const golden = "subscriber.jsonl"
+	source, interest := newLog(testLimits()), interestIn("h1", "sim")
+	publish(t, source, put("limits/all", "sim", content(1)))
+	replica := NewReplica(interest)
+	subscribe(t, source, replica, interest, 0)
+	applier := NewApplier("n1", 0)
+	try := func(accepted bool, reason string) {
+		t.Helper()
+		applier.Want(testTime, source.Resources())
+		applier.Begin()
+		applier.Done(accepted, reason)
+	}
+	try(true, "")
+	publish(t, source, put("limits/more", "sim", content(2)))
+	try(false, "no such key")
+	disk := newDisk()
+	disk.write(replica.Batch(nil))
+	disk.write(Batch{Put: []Row{applier.Row()}})
+	goldentest.Compare(t, golden, rowLines(t, disk.all()))
+
+	rows := goldenRows(t, golden)
+	restored, err := RestoreReplica(interest, rows)
+	if err != nil || !reflect.DeepEqual(restored, replica) {
+		t.Errorf("%+v, %v; want %+v", restored, err, replica)
+	}
+	again := NewApplier("n1", 0)
+	if err := again.Restore(rows); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(again.accepted, applier.accepted) || !reflect.DeepEqual(again.refused, applier.refused) {
+		t.Errorf("accepted %+v, refused %+v; want %+v, %+v", again.accepted, again.refused, applier.accepted, applier.refused)
+	}
+	if len(applier.refused) != 1 || len(applier.accepted) != 1 {
+		t.Errorf("%d refused, %d accepted: the row shows little", len(applier.refused), len(applier.accepted))
+	}
+}
--- /dev/null
+++ b/internal/handover/compat_test.go
@@ -0,0 +1,82 @@
+package handover
+
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"martendrum"
+	"martendrum/internal/goldentest"
+)
+
+// filled is a state with a value in every field, within what Check accepts.
+func filled() martendrum.Learned {
+	var l martendrum.Learned
+	goldentest.Fill(&l)
+	l.Odds, l.Lost, l.Level, l.Taken = 0.2, 0.01, 0.3, 0.9
+	l.Servers[0].Weight = 1.5
+	return l
+}
+
+// A snapshot that an earlier build wrote is read as it was meant, and written again byte by
+// byte.
+func TestSnapshotOfEarlierBuild(t *testing.T) {
+	const golden = "snapshot.bin"
+	goldentest.Compare(t, golden, encoded(t, filled()))
+	got, age, err := Decode(goldentest.Read(t, golden), "a:1", saved.Add(time.Second))
+	if err != nil || age != time.Second || !reflect.DeepEqual(got, filled()) {
+		t.Errorf("%+v, %v, %v; want %+v", got, age, err, filled())
+	}
+}
+
+// The messages of a hand-over have the form that an earlier build wrote: each step of one,
+// and one message with every field.
+func TestMessagesOfEarlierBuild(t *testing.T) {
+	const golden = "messages.jsonl"
+	full := Share{Sockets: 100, MemoryMB: 64, Held: 50}
+	old := NewOld("a:1", full, func() []byte { return []byte("snapshot") })
+	old.OwnsRecord()
+	next := NewNew(full)
+	next.HasRecord()
+	var messages []Message
+	collect := func(actions []Action) {
+		for _, action := range actions {
+			if action.Do == Send || action.Do == SendListener {
+				messages = append(messages, action.Message)
+			}
+		}
+	}
+	collect(next.Begin("a:1"))
+	collect(old.Came(1, messages[0]))
+	collect(old.Came(2, messages[0])) // refused: one new process at a time
+	if _, err := next.Came(messages[1]); err != nil {
+		t.Fatal(err)
+	}
+	collect(next.Ready())
+	collect(old.Came(1, messages[len(messages)-1]))
+	collect(old.Leave())
+	collect(old.Needs(Share{Sockets: 10, MemoryMB: 16, Held: 1}))
+	var every Message
+	goldentest.Fill(&every)
+	messages = append(messages, every)
+	if len(messages) != 6 {
+		t.Fatalf("%d messages: %+v", len(messages), messages)
+	}
+
+	var lines bytes.Buffer
+	for _, message := range messages {
+		if err := json.NewEncoder(&lines).Encode(message); err != nil {
+			t.Fatal(err)
+		}
+	}
+	goldentest.Compare(t, golden, lines.Bytes())
+	decoder := json.NewDecoder(bytes.NewReader(goldentest.Read(t, golden)))
+	for _, want := range messages {
+		var got Message
+		if err := decoder.Decode(&got); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%+v, %v; want %+v", got, err, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/peers/compat_test.go
@@ -0,0 +1,58 @@
+package peers
+
+import (
+	"encoding/hex"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"martendrum/internal/goldentest"
+)
+
+// One datagram of each kind has the form that an earlier build wrote, and is read as it was
+// meant.
+func TestDatagramsOfEarlierBuild(t *testing.T) {
+	const golden = "datagrams.hex"
+	const now = time.Hour
+	self := Row{Life: 1_800_000_000_123, Beat: 9, State: Alive, Phase: 3, Traffic: 40, Born: now - time.Minute}
+	row := Row{Rank: 4, Life: 1_800_000_000_456, Beat: 2, State: Suspect, Phase: 2, Traffic: 7, Born: now - 2*time.Minute}
+	fact := Fact{Owner: 5, Kind: hot, Subject: 1 << 60, Life: 1_800_000_000_789, Count: 11, Value: 12, Born: now - 3*time.Second}
+	node := &Node{cfg: config(3, 16)}
+	messages := []message{
+		{kind: kindPing, seq: 1, self: self},
+		{kind: kindAck, seq: 2, self: self},
+		{kind: kindReach, seq: 3, self: self, target: 6},
+		{kind: kindFound, seq: 4, self: self, target: 7},
+		{kind: kindAsk, seq: 5, self: self, about: factKey{owner: 3, kind: hot, subject: 1 << 59}},
+		{kind: kindNews, seq: 6, self: self},
+	}
+	if len(messages) != int(kinds) {
+		t.Fatalf("%d messages of %d kinds", len(messages), kinds)
+	}
+	var written []string
+	for _, m := range messages {
+		w := newWriter(now)
+		w.head(m)
+		if !w.addRow(row) || !w.addFact(fact) {
+			t.Fatal("the items do not fit")
+		}
+		written = append(written, hex.EncodeToString(w.done(node)))
+	}
+	goldentest.Compare(t, golden, []byte(strings.Join(written, "\n")+"\n"))
+
+	for n, line := range strings.Fields(string(goldentest.Read(t, golden))) {
+		data, err := hex.DecodeString(line)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := node.decode(now, data)
+		if err != nil {
+			t.Fatal(err)
+		}
+		want := &decoded{message: messages[n], rows: []Row{row}, facts: []Fact{fact}}
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("%+v; want %+v", got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/record/sqlite/compat_test.go
@@ -0,0 +1,106 @@
+package sqlite
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"martendrum/internal/goldentest"
+	"martendrum/internal/record"
+	bt "martendrum/internal/record/backendtest"
+)
+
+// writeStored makes a record at path with a key in each state.
+func writeStored(t *testing.T, path string) {
+	t.Helper()
+	s, err := Open(ctx, cfg(path))
+	if err != nil {
+		t.Fatal(err)
+	}
+	cut := bt.End("cut", "e", record.Answered)
+	cut.Answer, cut.Cut = nil, true
+	settled := &record.Op{Kind: record.Settle, Class: "activate", Key: "settled", To: record.NeverRan, By: "sari", Note: "asked the network"}
+	bt.Apply(t, s, bt.Claim("claimed", "a", time.Hour), bt.Claim("sent", "b", time.Hour), bt.Send("sent", "b", 0), bt.Send("sent", "b", 1),
+		bt.Claim("answered", "c", time.Hour), bt.Send("answered", "c", 0), bt.End("answered", "c", record.Answered),
+		bt.Claim("never", "d", time.Hour), bt.End("never", "d", record.NeverRan),
+		bt.Claim("cut", "e", time.Hour), bt.Send("cut", "e", 0), cut,
+		bt.Claim("may", "f", time.Hour), bt.Send("may", "f", 0), bt.End("may", "f", record.MayHaveRun),
+		bt.Claim("settled", "g", time.Hour), bt.Send("settled", "g", 0), bt.End("settled", "g", record.MayHaveRun), settled)
+	if err := s.Gap(ctx, record.Gap{Owner: "o", Class: "activate", From: 1, Until: 2, Requests: 3, Cause: "the store is away"}); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// rowText is what a row says but for times.
+func rowText(row record.Row) string {
+	return fmt.Sprintf("%s %s %s %x %s %s %s %d %q %d %q %q %v %q %q", row.Class, row.Key, row.State, row.Body, row.Owner, row.Token, row.Request,
+		row.Attempts, row.Servers, row.Status, row.Header, row.Answer, row.Cut, row.Settled, row.Note)
+}
+
+// A record that an earlier build wrote is read as it was meant, key by key, and the same
+// operations write the same rows.
+func TestRecordOfEarlierBuild(t *testing.T) {
+	const golden = "record.db"
+	written := filepath.Join(t.TempDir(), "written.db")
+	writeStored(t, written)
+	if goldentest.Updating() {
+		data, err := os.ReadFile(written)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldentest.Write(t, golden, data)
+	}
+	earlier := filepath.Join(t.TempDir(), "earlier.db")
+	if err := os.WriteFile(earlier, goldentest.Read(t, golden), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	reader := func(path string) *Store {
+		c := cfg(path)
+		c.Owner = false
+		return mustOpen(t, c)
+	}
+	old, again := reader(earlier), reader(written)
+	for key, want := range map[string]struct {
+		state    record.State
+		attempts int64
+		servers  string
+	}{
+		"claimed":  {record.InFlight, 0, ""},
+		"sent":     {record.InFlight, 2, "s0,s1"},
+		"answered": {record.Answered, 1, "s0"},
+		"never":    {record.NeverRan, 0, ""},
+		"cut":      {record.Answered, 1, "s0"},
+		"may":      {record.MayHaveRun, 1, "s0"},
+		"settled":  {record.NeverRan, 1, "s0"},
+	} {
+		t.Run(key, func(t *testing.T) {
+			row, err := old.Get(ctx, "activate", key)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if row.State != want.state || row.Attempts != want.attempts || row.Servers != want.servers || row.Began == 0 || row.Changed == 0 {
+				t.Errorf("%+v; want %+v", row, want)
+			}
+			if same, err := again.Get(ctx, "activate", key); err != nil || rowText(same) != rowText(row) {
+				t.Errorf("%s, %v; want %s", rowText(same), err, rowText(row))
+			}
+		})
+	}
+	if row, err := old.Get(ctx, "activate", "answered"); err != nil || string(row.Answer) != "yes\x00\xff" || row.Status != 200 || row.Request != "r1" {
+		t.Errorf("the answer came back as %+v, %v", row, err)
+	}
+	if row, err := old.Get(ctx, "activate", "cut"); err != nil || !row.Cut {
+		t.Errorf("the cut answer came back as %+v, %v", row, err)
+	}
+	if row, err := old.Get(ctx, "activate", "settled"); err != nil || row.Settled != "sari" || row.Note != "asked the network" {
+		t.Errorf("the settled key came back as %+v, %v", row, err)
+	}
+	if gaps, err := old.Gaps(ctx, 10); err != nil || len(gaps) != 1 || gaps[0] != (record.Gap{Owner: "o", Class: "activate", From: 1, Until: 2, Requests: 3, Cause: "the store is away"}) {
+		t.Errorf("gaps %+v, %v", gaps, err)
+	}
+}
