--- a/cmd/martendrum/staged.go
+++ b/cmd/martendrum/staged.go
@@ -258,10 +258,10 @@
 	var conf struct {
 		Settings struct {
 			Classes []struct {
-				Name  string
-				Worth float64
-			}
-		}
+				Name  string  `json:"name"`
+				Worth float64 `json:"worth"`
+			} `json:"classes"`
+		} `json:"settings"`
 	}
 	if err := json.Unmarshal([]byte(inspect.Config), &conf); err != nil {
 		return fmt.Errorf("configuration of %s on %s: %w", one.Instance, one.Host, err)
--- a/cmd/sidecar/config.go
+++ b/cmd/sidecar/config.go
@@ -40,18 +40,19 @@
 
 // configFile is the form of the configuration file.
 type configFile struct {
-	Listen, Discovery string
-	PeerListen        string `json:"peer_listen"`
-	Peers             []string
-	Mgmt              string
-	Seed              string
-	Limits            struct {
-		Cores    float64
+	Listen     string   `json:"listen"`
+	Discovery  string   `json:"discovery"`
+	PeerListen string   `json:"peer_listen"`
+	Peers      []string `json:"peers"`
+	Mgmt       string   `json:"mgmt"`
+	Seed       string   `json:"seed"`
+	Limits     struct {
+		Cores    float64 `json:"cores"`
 		MemoryMB float64 `json:"memory_mb"`
-		Sockets  float64
-	}
-	Known    json.RawMessage
-	Settings json.RawMessage
+		Sockets  float64 `json:"sockets"`
+	} `json:"limits"`
+	Known    json.RawMessage `json:"known"`
+	Settings json.RawMessage `json:"settings"`
 }
 
 // load reads the configuration from the environment and the file it names.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -39,9 +39,9 @@
 // Parse reads a list in discovery's form. An entry that is of no use is left out.
 func Parse(data []byte) (*List, error) {
 	var raw struct {
-		Index     *int64
-		Snapshot  bool
-		Endpoints []json.RawMessage
+		Index     *int64            `json:"index"`
+		Snapshot  bool              `json:"snapshot"`
+		Endpoints []json.RawMessage `json:"endpoints"`
 	}
 	if err := json.Unmarshal(data, &raw); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
@@ -65,10 +65,13 @@
 
 func parseEntry(data []byte) (Entry, error) {
 	var raw struct {
-		Name, Address, Zone, Status string
-		Group                       int
-		Weight                      float64
-		SinceMs                     float64 `json:"since_ms"`
+		Name    string  `json:"name"`
+		Address string  `json:"address"`
+		Zone    string  `json:"zone"`
+		Status  string  `json:"status"`
+		Group   int     `json:"group"`
+		Weight  float64 `json:"weight"`
+		SinceMs float64 `json:"since_ms"`
 	}
 	if err := json.Unmarshal(data, &raw); err != nil {
 		return Entry{}, err
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/agent/config.go
@@ -287,7 +287,9 @@
 				return fmt.Errorf("instance %s: record: %w", i.Name, err)
 			}
 		}
-		var base struct{ Listen string }
+		var base struct {
+			Listen string `json:"listen"`
+		}
 		if err := json.Unmarshal(data, &base); err != nil {
 			return fmt.Errorf("instance %s: config %s: %w", i.Name, i.Config, err)
 		}
--- a/internal/fleet/agent/figures.go
+++ b/internal/fleet/agent/figures.go
@@ -358,10 +358,10 @@
 // in MiB.
 func doorOf(config []byte) (door string, memory int) {
 	var c struct {
-		Mgmt   string
+		Mgmt   string `json:"mgmt"`
 		Limits struct {
 			MemoryMB int `json:"memory_mb"`
-		}
+		} `json:"limits"`
 	}
 	if json.Unmarshal(config, &c) != nil {
 		return "", 0
--- a/internal/fleet/judge/judge.go
+++ b/internal/fleet/judge/judge.go
@@ -22,7 +22,9 @@
 
 // Counts are what a class of requests came to in a window, in requests.
 type Counts struct {
-	Served, Refused, Failed uint32
+	Served  uint32 `msgpack:"Served" json:"Served"`
+	Refused uint32 `msgpack:"Refused" json:"Refused"`
+	Failed  uint32 `msgpack:"Failed" json:"Failed"`
 }
 
 // All is how many there were.
@@ -76,9 +78,9 @@
 // Margin is how much worse a measure may be, in the measure's unit.
 type Margin struct {
 	// Tolerate is what is stood: an estimate below it stops nothing.
-	Tolerate float64
+	Tolerate float64 `msgpack:"Tolerate" json:"Tolerate"`
 	// Exclude is the harm that must be ruled out before "not worse" is said.
-	Exclude float64
+	Exclude float64 `msgpack:"Exclude" json:"Exclude"`
 }
 
 // Margins are the defaults: docs/design/staged-change.md argues each.
@@ -98,26 +100,27 @@
 
 // Config is what a judge needs to know before the first window.
 type Config struct {
-	Classes []string
-	Worth   []float64 // of a request of each class
+	Classes []string  `msgpack:"Classes" json:"Classes"`
+	Worth   []float64 `msgpack:"Worth" json:"Worth"` // of a request of each class
 	// Zones has each instance's zone, "" where it has none.
-	Zones   []string
-	Margins map[Measure]Margin
+	Zones   []string           `msgpack:"Zones" json:"Zones"`
+	Margins map[Measure]Margin `msgpack:"Margins" json:"Margins"`
 	// Base and Change are the releases compared. Windows of others are left out.
-	Base, Change string
+	Base   string `msgpack:"Base" json:"Base"`
+	Change string `msgpack:"Change" json:"Change"`
 	// Start is the slot from which on the change is made to anyone.
-	Start int
+	Start int `msgpack:"Start" json:"Start"`
 	// Slot is a slot's length.
-	Slot time.Duration
+	Slot time.Duration `msgpack:"Slot" json:"Slot"`
 	// Warm is how old a process must be at a window's begin for it to count.
-	Warm time.Duration
+	Warm time.Duration `msgpack:"Warm" json:"Warm"`
 	// Settle is likewise for memory and descriptors, which grow at first.
-	Settle time.Duration
+	Settle time.Duration `msgpack:"Settle" json:"Settle"`
 	// FalseStops is the probability with which a change that is no worse is ever
 	// called worse, over all measures, classes, zones and looks together.
-	FalseStops float64
+	FalseStops float64 `msgpack:"FalseStops" json:"FalseStops"`
 	// SlotsMost bounds what is kept: windows of later slots are left out.
-	SlotsMost int
+	SlotsMost int `msgpack:"SlotsMost" json:"SlotsMost"`
 }
 
 // Check says what is wrong with a configuration.
--- a/internal/fleet/stage/stage.go
+++ b/internal/fleet/stage/stage.go
@@ -17,12 +17,12 @@
 // Plan is what stages there are. Times are of evidence: time in which nobody
 // looked, or in which a hold was on, does not count.
 type Plan struct {
-	Upto       []int // how many targets, in order, run the change by the end of each stage
-	Least      time.Duration
-	Longest    time.Duration
-	Slot       time.Duration
-	Past       int    // slots of the past that are wanted before anything is changed
-	OnCantTell string // at Longest: Hold or GoOn
+	Upto       []int         `msgpack:"Upto" json:"Upto"` // how many targets, in order, run the change by the end of each stage
+	Least      time.Duration `msgpack:"Least" json:"Least"`
+	Longest    time.Duration `msgpack:"Longest" json:"Longest"`
+	Slot       time.Duration `msgpack:"Slot" json:"Slot"`
+	Past       int           `msgpack:"Past" json:"Past"`             // slots of the past that are wanted before anything is changed
+	OnCantTell string        `msgpack:"OnCantTell" json:"OnCantTell"` // at Longest: Hold or GoOn
 }
 
 // Check says what is wrong with a plan for n targets.
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -38,9 +38,9 @@
 
 // Snapshot is what one process has learned for the next.
 type Snapshot struct {
-	Listen  string // the sidecar's, by its address
-	Saved   int64  // Unix time in ns
-	Learned martendrum.Learned
+	Listen  string             `json:"Listen"` // the sidecar's, by its address
+	Saved   int64              `json:"Saved"`  // Unix time in ns
+	Learned martendrum.Learned `json:"Learned"`
 }
 
 // Encode is s as bytes: a mark, the version, a checksum (CRC-32C), JSON.
--- a/internal/record/backend.go
+++ b/internal/record/backend.go
@@ -49,10 +49,12 @@
 // Gap is a time in which requests of a class went on without a record. From and
 // Until are Unix times in microseconds, by the sidecar's clock.
 type Gap struct {
-	Owner, Class string
-	From, Until  int64
-	Requests     int64
-	Cause        string
+	Owner    string `json:"Owner"`
+	Class    string `json:"Class"`
+	From     int64  `json:"From"`
+	Until    int64  `json:"Until"`
+	Requests int64  `json:"Requests"`
+	Cause    string `json:"Cause"`
 }
 
 // Stats is what a store holds.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -122,49 +122,56 @@
 // env is the settings object; keys that have no use here are skipped.
 type env struct {
 	Caps struct {
-		AttemptsCap     int
-		MayCancel       bool
-		SecondCopies    bool
-		Probes          bool
-		MaxRetryAfterUs int64
-		RetryAfter      bool
-		ConnIdleUs      int64
-		DialTimeoutUs   int64
-		MostHeld        int
-		Peers           bool
-	}
+		AttemptsCap     int   `json:"attemptsCap"`
+		MayCancel       bool  `json:"mayCancel"`
+		SecondCopies    bool  `json:"secondCopies"`
+		Probes          bool  `json:"probes"`
+		MaxRetryAfterUs int64 `json:"maxRetryAfterUs"`
+		RetryAfter      bool  `json:"retryAfter"`
+		ConnIdleUs      int64 `json:"connIdleUs"`
+		DialTimeoutUs   int64 `json:"dialTimeoutUs"`
+		MostHeld        int   `json:"mostHeld"`
+		Peers           bool  `json:"peers"`
+	} `json:"caps"`
 	Classes []struct {
-		Name           string
-		PromiseUs      int64
-		HardLimitUs    int64
-		Effect         string
-		DedupScope     string
-		LateValue      float64
-		RepeatWindowUs int64
-		Worth          float64
-	}
-	Costs      struct{ Connection, CrossZone, Probe, Waste float64 }
-	Feedback   struct{ How string }
+		Name           string  `json:"name"`
+		PromiseUs      int64   `json:"promiseUs"`
+		HardLimitUs    int64   `json:"hardLimitUs"`
+		Effect         string  `json:"effect"`
+		DedupScope     string  `json:"dedupScope"`
+		LateValue      float64 `json:"lateValue"`
+		RepeatWindowUs int64   `json:"repeatWindowUs"`
+		Worth          float64 `json:"worth"`
+	} `json:"classes"`
+	Costs struct {
+		Connection float64 `json:"connection"`
+		CrossZone  float64 `json:"crossZone"`
+		Probe      float64 `json:"probe"`
+		Waste      float64 `json:"waste"`
+	} `json:"costs"`
+	Feedback struct {
+		How string `json:"how"`
+	} `json:"feedback"`
 	Guarantees struct {
-		AskWithinUs    int64
-		ColdFrom       float64
-		ColdUs         int64
-		DrainGraceUs   int64
-		OverloadFactor float64
-		OverloadForUs  int64
-	}
-	OverShareWorth float64
+		AskWithinUs    int64   `json:"askWithinUs"`
+		ColdFrom       float64 `json:"coldFrom"`
+		ColdUs         int64   `json:"coldUs"`
+		DrainGraceUs   int64   `json:"drainGraceUs"`
+		OverloadFactor float64 `json:"overloadFactor"`
+		OverloadForUs  int64   `json:"overloadForUs"`
+	} `json:"guarantees"`
+	OverShareWorth float64 `json:"overShareWorth"`
 	Tenants        []struct {
-		Name          string
-		AllowancePerS float64
-	}
-	RegistryMode string
-	ReplicasOfMe int
-	Rank         int
-	Family       string
-	Tier         int
-	Tiers        []string
-	Zone         string
+		Name          string  `json:"name"`
+		AllowancePerS float64 `json:"allowancePerS"`
+	} `json:"tenants"`
+	RegistryMode string   `json:"registryMode"`
+	ReplicasOfMe int      `json:"replicasOfMe"`
+	Rank         int      `json:"rank"`
+	Family       string   `json:"family"`
+	Tier         int      `json:"tier"`
+	Tiers        []string `json:"tiers"`
+	Zone         string   `json:"zone"`
 }
 
 // Parse reads the settings object.
--- a/internal/soak/script.go
+++ b/internal/soak/script.go
@@ -34,10 +34,10 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name     string
-	Effect   Effect
-	Deadline Span // how long a client waits at most
-	Window   Span // within which a keyed request may be repeated
+	Name     string `json:"Name"`
+	Effect   Effect `json:"Effect"`
+	Deadline Span   `json:"Deadline"` // how long a client waits at most
+	Window   Span   `json:"Window"`   // within which a keyed request may be repeated
 }
 
 // Server modes. What a server does with its requests while it is in a mode.
@@ -89,8 +89,8 @@
 
 // Event is something that happens during a script.
 type Event struct {
-	At      Span
-	Kind    string
+	At      Span     `json:"At"`
+	Kind    string   `json:"Kind"`
 	Targets []int    `json:",omitempty"` // of sidecars or servers, from 0
 	Mode    string   `json:",omitempty"`
 	For     Span     `json:",omitempty"`
@@ -102,39 +102,39 @@
 
 // Script is a deployment and its day.
 type Script struct {
-	Seed     uint64
-	Length   Span
-	Sidecars int
-	Servers  int
-
-	Asked      bool // discovery is asked; else lists are pushed
-	WholeLists bool // every change is told by a whole list, without the servers that drain
-	DrainGrace Span
-	Classes    []Class
-	Attempts   int
-	Copies     bool // hedged requests are allowed
-	Sockets    int
-
-	Workers   int  // of a server
-	Work      Span // of a request at a warm server
-	Queue     int
-	ColdFrom  float64 // share of its capacity that a server which has just started has
-	ColdFor   Span
-	FallsAt   float64 // multiple of its capacity that fells a cold server
-	FallsOver Span
-
-	Clients      int     // of each sidecar, that send one request after another
-	Pause        Span    // mean time between a client's requests
-	Leaving      float64 // share of requests whose client leaves early
-	Impatient    float64 // share of requests with little time
-	Stalling     int     // clients of each sidecar that stop in the middle of a request and stay
-	Slow         int     // clients of each sidecar that write slowly
-	Crowd        int     // idle connections to each sidecar
-	ImpatientFor Span
-	QuietUntil   Span // when the clients begin
-	BodyMost     int  // bytes of a request's body, at most
-	AnswerMost   int  // bytes added to an answer, at most
-	Events       []Event
+	Seed     uint64 `json:"Seed"`
+	Length   Span   `json:"Length"`
+	Sidecars int    `json:"Sidecars"`
+	Servers  int    `json:"Servers"`
+
+	Asked      bool    `json:"Asked"`      // discovery is asked; else lists are pushed
+	WholeLists bool    `json:"WholeLists"` // every change is told by a whole list, without the servers that drain
+	DrainGrace Span    `json:"DrainGrace"`
+	Classes    []Class `json:"Classes"`
+	Attempts   int     `json:"Attempts"`
+	Copies     bool    `json:"Copies"` // hedged requests are allowed
+	Sockets    int     `json:"Sockets"`
+
+	Workers   int     `json:"Workers"` // of a server
+	Work      Span    `json:"Work"`    // of a request at a warm server
+	Queue     int     `json:"Queue"`
+	ColdFrom  float64 `json:"ColdFrom"` // share of its capacity that a server which has just started has
+	ColdFor   Span    `json:"ColdFor"`
+	FallsAt   float64 `json:"FallsAt"` // multiple of its capacity that fells a cold server
+	FallsOver Span    `json:"FallsOver"`
+
+	Clients      int     `json:"Clients"`   // of each sidecar, that send one request after another
+	Pause        Span    `json:"Pause"`     // mean time between a client's requests
+	Leaving      float64 `json:"Leaving"`   // share of requests whose client leaves early
+	Impatient    float64 `json:"Impatient"` // share of requests with little time
+	Stalling     int     `json:"Stalling"`  // clients of each sidecar that stop in the middle of a request and stay
+	Slow         int     `json:"Slow"`      // clients of each sidecar that write slowly
+	Crowd        int     `json:"Crowd"`     // idle connections to each sidecar
+	ImpatientFor Span    `json:"ImpatientFor"`
+	QuietUntil   Span    `json:"QuietUntil"` // when the clients begin
+	BodyMost     int     `json:"BodyMost"`   // bytes of a request's body, at most
+	AnswerMost   int     `json:"AnswerMost"` // bytes added to an answer, at most
+	Events       []Event `json:"Events"`
 }
 
 // Longest is the longest deadline of any class.
--- a/learned.go
+++ b/learned.go
@@ -9,31 +9,36 @@
 // are ages, so that clocks need not agree. Rates are left out: each process counts
 // cold servers' budgets from its own, and two that count the same sends would spend twice.
 type Learned struct {
-	Delay, Odds, Lost float64 // SingleR's d and q; the running share of lost sends
-	Primary, Copies   []LearnedTime
-	Pairs             [][2]float64
-	Level             float64       // of shedding
-	LevelAge          time.Duration // since it changed
-	Taken, MeanTime   float64
-	Servers           []LearnedServer
+	Delay    float64         `json:"Delay"` // SingleR's d and q; the running share of lost sends
+	Odds     float64         `json:"Odds"`
+	Lost     float64         `json:"Lost"`
+	Primary  []LearnedTime   `json:"Primary"`
+	Copies   []LearnedTime   `json:"Copies"`
+	Pairs    [][2]float64    `json:"Pairs"`
+	Level    float64         `json:"Level"`    // of shedding
+	LevelAge time.Duration   `json:"LevelAge"` // since it changed
+	Taken    float64         `json:"Taken"`
+	MeanTime float64         `json:"MeanTime"`
+	Servers  []LearnedServer `json:"Servers"`
 }
 
 // LearnedTime is a logged response time in fractions of the aim.
 type LearnedTime struct {
-	At       float64
-	Censored bool
+	At       float64 `json:"At"`
+	Censored bool    `json:"Censored"`
 }
 
 // LearnedServer is what was learned of one server since it started last.
 type LearnedServer struct {
-	Name         string
-	Started      time.Duration
-	Weight       float64 // corrects the hint
-	Sum, N       float64 // of relative latencies
-	Age          time.Duration
-	Failures     int
-	Ejections    int
-	EjectedAbout time.Duration // how much longer it is left out
+	Name         string        `json:"Name"`
+	Started      time.Duration `json:"Started"`
+	Weight       float64       `json:"Weight"` // corrects the hint
+	Sum          float64       `json:"Sum"`    // of relative latencies
+	N            float64       `json:"N"`
+	Age          time.Duration `json:"Age"`
+	Failures     int           `json:"Failures"`
+	Ejections    int           `json:"Ejections"`
+	EjectedAbout time.Duration `json:"EjectedAbout"` // how much longer it is left out
 }
 
 // Learned is what b has learned so far.
