--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -111,7 +111,7 @@
 // lost, and so is what is on its way to it.
 func (w *World) Start(i int, n Node) { w.places[i].node = n }
 
-// Stop: see Start.
+// Stop ends the node of a place; what is on its way to it is lost.
 func (w *World) Stop(i int) {
 	p := &w.places[i]
 	p.node, p.inbox = nil, nil
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -83,7 +83,7 @@
 	s.recent = s.recent[:0]
 }
 
-// Down: see Up.
+// Down stops the server; requests that run or wait there are lost.
 func (s *Server) Down() { s.up, s.running, s.waiting = false, nil, nil }
 
 // Due implements Node.
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -324,11 +324,11 @@
 	s.at(s.now+max(after, time.Microsecond), func() { s.b.Timer(Epoch+s.now, cookie) })
 }
 
-// CloseIdle, Probe and Subscribe implement martendrum.Host; nothing here needs them.
+// CloseIdle implements martendrum.Host; the model has no connections.
 func (*Sidecar) CloseIdle(string) {}
 
-// Probe: see CloseIdle.
+// Probe implements martendrum.Host; the model has no probes.
 func (*Sidecar) Probe(string) {}
 
-// Subscribe: see CloseIdle.
+// Subscribe implements martendrum.Host; the model pushes lists.
 func (*Sidecar) Subscribe() {}
--- a/internal/standin/faultnet/faultnet.go
+++ b/internal/standin/faultnet/faultnet.go
@@ -266,14 +266,14 @@
 	return l.made
 }
 
-// Open: see Made.
+// Open returns the number of connections that are open now.
 func (l *Link) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// Carried: see Made.
+// Carried returns the bytes relayed so far in each direction.
 func (l *Link) Carried() (there, back int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/test.sh
+++ b/test.sh
@@ -4,7 +4,7 @@
 set -euo pipefail
 cd "$(dirname "$0")"
 
-unformatted=$(gofmt -l .)
+unformatted=$(gofmt -s -l .)
 if [ -n "$unformatted" ]; then
 	echo "not gofmt'd: $unformatted" >&2
 	exit 1
