--- a/admit.go
+++ b/admit.go
@@ -9,126 +9,126 @@
 const (
 	// The shed level rests where a fifth of answers are late or half of the
 	// sends turned away, which costs only an attempt.
-	lateStep = 0.08
-	fullStep = 0.02
-	calmStep = 0.02
-	// A balancer of fewer than calmRate sends a second takes larger steps, by
-	// gainMax at most. Guards against a level that outlives its cause.
-	calmRate = 8.0
-	gainMax  = 4.0
-	// shedSlack is the level that chance alone gives a calm fleet.
-	shedSlack = 0.06
-	shedMax   = 0.99 // not less: clients try again, and what is let in at each try adds up
-	// arrivalMemory is how many arrivals the classes' shares look back on.
-	arrivalMemory = 100
-	// Where nearly all is shed, the level fades by itself after shedHold without an
+	lateIncrease     = 0.08
+	rejectedIncrease = 0.02
+	onTimeDecrease   = 0.02
+	// A balancer of fewer than unitGainRate sends a second takes larger steps, by
+	// maxGain at most. Guards against a level that outlives its cause.
+	unitGainRate = 8.0
+	maxGain      = 4.0
+	// shedTolerance is the level that chance alone gives a calm fleet.
+	shedTolerance      = 0.06
+	maxShedProbability = 0.99 // not less: clients try again, and what is let in at each try adds up
+	// arrivalWindow is how many arrivals the classes' shares look back on.
+	arrivalWindow = 100
+	// Where nearly all is shed, the level fades by itself after shedDecayDelay without an
 	// outcome. Fading all the time, quiet balancers rested at three quarters late.
-	shedMemory = 8 * time.Second
-	shedHold   = time.Second
-	// shareBurst is the time for which a tenant may save up its share.
-	shareBurst = 4 * time.Second
+	shedMemory     = 8 * time.Second
+	shedDecayDelay = time.Second
+	// quotaBurst is the time for which a tenant may save up its share.
+	quotaBurst = 4 * time.Second
 )
 
-// admitter refuses on arrival the share `level` of the traffic that is worth least.
+// admissionController refuses on arrival the share `level` of the traffic that is worth least.
 // Guards against all classes losing alike, and a tenant that crowds out others.
-type admitter struct {
-	cfg     *Config
-	level   float64
-	least   float64       // shed in any case: see Bounds
-	at      time.Duration // of the last change of level
-	share   []float64     // of arrivals, by rank: twice the class, and 1 more above the tenant's share
-	ranked  []int         // ranks, cheapest first
-	tenants []bucket
+type admissionController struct {
+	config           *Config
+	shedLevel        float64
+	minShedFraction  float64       // shed in any case: see Bounds
+	shedLevelAt      time.Duration // of the last change of level
+	arrivalFractions []float64     // of arrivals, by rank: twice the class, and 1 more above the tenant's share
+	ranksByWeight    []int         // ranks, cheapest first
+	tenantQuotas     []tokenBucket
 }
 
-// bucket is a token bucket.
-type bucket struct {
+// tokenBucket is a token bucket.
+type tokenBucket struct {
 	tokens float64
 	at     time.Duration
 }
 
 // refill adds rate tokens a second up to burst, which is 1 at least.
-func (b *bucket) refill(rate, burst float64, now time.Duration) {
+func (b *tokenBucket) refill(rate, burst float64, now time.Duration) {
 	b.tokens, b.at = min(b.tokens+rate*(now-b.at).Seconds(), max(1, burst)), now
 }
 
 // configure makes room for the configuration's classes and tenants.
-func (a *admitter) configure() {
-	for len(a.share) < 2*len(a.cfg.Classes) { // all within the shares, until seen otherwise
-		a.ranked = append(a.ranked, len(a.share), len(a.share)+1)
-		a.share = append(a.share, 1/float64(len(a.cfg.Classes)), 0)
+func (a *admissionController) configure() {
+	for len(a.arrivalFractions) < 2*len(a.config.Classes) { // all within the shares, until seen otherwise
+		a.ranksByWeight = append(a.ranksByWeight, len(a.arrivalFractions), len(a.arrivalFractions)+1)
+		a.arrivalFractions = append(a.arrivalFractions, 1/float64(len(a.config.Classes)), 0)
 	}
-	for i := len(a.tenants); i < len(a.cfg.Tenants); i++ {
-		a.tenants = append(a.tenants, bucket{tokens: a.cfg.Tenants[i] / float64(a.cfg.Instances) * shareBurst.Seconds()})
+	for i := len(a.tenantQuotas); i < len(a.config.TenantQuotas); i++ {
+		a.tenantQuotas = append(a.tenantQuotas, tokenBucket{tokens: a.config.TenantQuotas[i] / float64(a.config.Instances) * quotaBurst.Seconds()})
 	}
-	slices.SortStableFunc(a.ranked, func(i, j int) int { return cmp.Compare(a.worth(i), a.worth(j)) })
+	slices.SortStableFunc(a.ranksByWeight, func(i, j int) int { return cmp.Compare(a.weight(i), a.weight(j)) })
 }
 
-// worth is by work, of which the aim is the only sign.
-func (a *admitter) worth(rank int) float64 {
-	c := &a.cfg.Classes[rank/2]
+// weight is by work, of which the aim is the only sign.
+func (a *admissionController) weight(rank int) float64 {
+	c := &a.config.Classes[rank/2]
 	if rank%2 > 0 {
-		return c.Worth / c.Aim.Seconds() * a.cfg.OverShareWorth
+		return c.Weight / c.LatencyObjective.Seconds() * a.config.OverQuotaWeight
 	}
-	return c.Worth / c.Aim.Seconds()
+	return c.Weight / c.LatencyObjective.Seconds()
 }
 
-// meanWorth is the mean over arrivals, were all within the shares.
-func (a *admitter) meanWorth() (m float64) {
-	for r, share := range a.share {
-		m += share * a.worth(r/2*2)
+// meanWeight is the mean over arrivals, were all within the shares.
+func (a *admissionController) meanWeight() (m float64) {
+	for r, share := range a.arrivalFractions {
+		m += share * a.weight(r/2*2)
 	}
 	return m
 }
 
-// arrived counts an arrival and returns its rank.
-func (a *admitter) arrived(class, tenant int, now time.Duration) (rank int) {
+// recordArrival counts an arrival and returns its rank.
+func (a *admissionController) recordArrival(class, tenant int, now time.Duration) (rank int) {
 	rank = 2 * class
-	if tenant >= 0 && tenant < len(a.tenants) {
-		rate := a.cfg.Tenants[tenant] / float64(a.cfg.Instances)
-		t := &a.tenants[tenant]
-		t.refill(rate, rate*shareBurst.Seconds(), now)
+	if tenant >= 0 && tenant < len(a.tenantQuotas) {
+		rate := a.config.TenantQuotas[tenant] / float64(a.config.Instances)
+		t := &a.tenantQuotas[tenant]
+		t.refill(rate, rate*quotaBurst.Seconds(), now)
 		if t.tokens >= 1 {
 			t.tokens--
 		} else {
 			rank++
 		}
 	}
-	for i := range a.share {
-		a.share[i] *= 1 - 1.0/arrivalMemory
+	for i := range a.arrivalFractions {
+		a.arrivalFractions[i] *= 1 - 1.0/arrivalWindow
 	}
-	a.share[rank] += 1.0 / arrivalMemory
+	a.arrivalFractions[rank] += 1.0 / arrivalWindow
 	return rank
 }
 
-// odds is the probability with which a request of the rank is shed now.
-func (a *admitter) odds(rank int, now time.Duration) float64 {
-	left := max(a.faded(now)-shedSlack, a.least)
-	for _, r := range a.ranked {
+// shedProbability is the probability with which a request of the rank is shed now.
+func (a *admissionController) shedProbability(rank int, now time.Duration) float64 {
+	left := max(a.decayedShedLevel(now)-shedTolerance, a.minShedFraction)
+	for _, r := range a.ranksByWeight {
 		if left <= 0 {
 			return 0
 		}
 		if r == rank {
-			return min(left/max(a.share[r], 0.01), shedMax)
+			return min(left/max(a.arrivalFractions[r], 0.01), maxShedProbability)
 		}
-		left -= a.share[r] * shedMax
+		left -= a.arrivalFractions[r] * maxShedProbability
 	}
 	return 0
 }
 
-// faded is the level less what it has lost since the last outcome.
-func (a *admitter) faded(now time.Duration) float64 {
-	return a.level * fade(max(0, now-a.at-shedHold), shedMemory)
+// decayedShedLevel is the level less what it has lost since the last outcome.
+func (a *admissionController) decayedShedLevel(now time.Duration) float64 {
+	return a.shedLevel * decay(max(0, now-a.shedLevelAt-shedDecayDelay), shedMemory)
 }
 
-// outcome feeds the level with one attempt's end; rate is of sends a second.
-func (a *admitter) outcome(full, late bool, rate float64, now time.Duration) {
-	gain := max(1, min(calmRate/max(rate, 0.1), gainMax))
-	step := -calmStep
+// recordOutcome feeds the level with one attempt's end; rate is of sends a second.
+func (a *admissionController) recordOutcome(full, late bool, rate float64, now time.Duration) {
+	gain := max(1, min(unitGainRate/max(rate, 0.1), maxGain))
+	step := -onTimeDecrease
 	if late {
-		step = lateStep
+		step = lateIncrease
 	} else if full {
-		step = fullStep
+		step = rejectedIncrease
 	}
-	a.level, a.at = max(0, min(a.faded(now)+gain*step, 1)), now
+	a.shedLevel, a.shedLevelAt = max(0, min(a.decayedShedLevel(now)+gain*step, 1)), now
 }
--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -45,7 +45,7 @@
 }
 
 func (r *runFlags) options(g *global) client.Options {
-	return client.Options{Holder: fmt.Sprintf("%s pid %d %s", who(), os.Getpid(), nonce(4)), TTL: r.ttl, GiveUp: r.giveUp, Progress: progress(g)}
+	return client.Options{LeaseHolder: fmt.Sprintf("%s pid %d %s", who(), os.Getpid(), nonce(4)), TTL: r.ttl, GiveUp: r.giveUp, Progress: progress(g)}
 }
 
 func nonce(n int) string {
@@ -322,8 +322,8 @@
 		if rep.Why != "" && rep.Result != rollout.Succeeded {
 			fmt.Println("because:", rep.Why)
 		}
-		if rep.Holder != "" {
-			fmt.Println("held by:", rep.Holder)
+		if rep.LeaseHolder != "" {
+			fmt.Println("held by:", rep.LeaseHolder)
 		}
 		if rep.Operation.Staged != nil {
 			fmt.Print(noteText(rep.Stages, rep.Operation.Staged))
@@ -390,7 +390,7 @@
 		}
 		defer f.Close()
 		outs := make([]api.OpsOut, len(f.Agents))
-		errs := client.Each(f.Agents, func(n int, a *client.Agent) error {
+		errs := client.ForEach(f.Agents, func(n int, a *client.Agent) error {
 			return a.Call(c.Context(), api.OpList, api.Empty{}, &outs[n])
 		})
 		type row struct {
@@ -411,8 +411,8 @@
 				if o.State != api.OpClosed {
 					r.State, r.Result = o.State, ""
 				}
-				if o.Holder != "" {
-					r.Holder = o.Holder
+				if o.LeaseHolder != "" {
+					r.Holder = o.LeaseHolder
 				}
 				r.Hosts = append(r.Hosts, f.Agents[n].Host.Name)
 			}
--- a/cmd/martendrum/record.go
+++ b/cmd/martendrum/record.go
@@ -39,7 +39,7 @@
 	Note     string    `json:"note,omitempty"`
 }
 
-func printed(r *record.Row) recordRow {
+func printed(r *record.Entry) recordRow {
 	return recordRow{Class: r.Class, Key: r.Key, State: string(r.State), Request: r.Request, Attempts: r.Attempts, Servers: r.Servers, Owner: r.Owner,
 		Began: time.UnixMicro(r.Began).UTC(), Changed: time.UnixMicro(r.Changed).UTC(), Status: r.Status, Header: string(r.Header), Answer: r.Answer,
 		Cut: r.Cut, Settled: r.Settled, Note: r.Note}
@@ -127,14 +127,14 @@
 		c.Flags().DurationVar(&since, "since", 0, "only what changed in the last, as 24h")
 		c.RegisterFlagCompletionFunc("state", cobra.FixedCompletions([]cobra.Completion{"in-flight", "answered", "never-ran", "may-have-run"}, cobra.ShellCompDirectiveNoFileComp))
 	}
-	each := func(ctx context.Context, b record.Backend, most int, do func(*record.Row) error) (more bool, err error) {
+	each := func(ctx context.Context, b record.Backend, most int, do func(*record.Entry) error) (more bool, err error) {
 		if f.State != record.Unknown && !strings.Contains(" in-flight answered never-ran may-have-run ", " "+string(f.State)+" ") {
 			return false, &exitError{exitUse, fmt.Errorf("--state %s: want in-flight, answered, never-ran or may-have-run", f.State)}
 		}
 		if since > 0 {
 			f.ChangedSince = time.Now().Add(-since).UnixMicro()
 		}
-		f.Most = pageMost
+		f.Limit = pageMost
 		for n := 0; ; {
 			rows, err := b.List(ctx, f)
 			if err != nil {
@@ -148,7 +148,7 @@
 					return false, err
 				}
 			}
-			if len(rows) < f.Most {
+			if len(rows) < f.Limit {
 				return false, nil
 			}
 			f.AfterClass, f.AfterKey = rows[len(rows)-1].Class, rows[len(rows)-1].Key
@@ -161,7 +161,7 @@
 	list.RunE = func(c *cobra.Command, _ []string) error {
 		return r.with(c, false, func(ctx context.Context, b record.Backend) error {
 			out := []recordRow{}
-			more, err := each(ctx, b, *most, func(row *record.Row) error {
+			more, err := each(ctx, b, *most, func(row *record.Entry) error {
 				out = append(out, printed(row))
 				return nil
 			})
@@ -190,7 +190,7 @@
 			out := bufio.NewWriter(os.Stdout)
 			e := json.NewEncoder(out)
 			n := 0
-			_, err := each(ctx, b, 1<<62, func(row *record.Row) error {
+			_, err := each(ctx, b, 1<<62, func(row *record.Entry) error {
 				whole, err := b.Get(ctx, row.Class, row.Key) // with its answer
 				if err != nil || whole.State == record.Unknown {
 					return err
@@ -236,7 +236,7 @@
 				record.Apply(&row, time.Now().UnixMicro(), op)
 			}
 			if op.Result != record.Granted {
-				state := string(op.Row.State)
+				state := string(op.Entry.State)
 				if state == "" {
 					state = "unknown"
 				}
@@ -245,7 +245,7 @@
 			if *dry {
 				fmt.Fprintln(os.Stderr, "nothing was changed; it would become:")
 			}
-			p := printed(&op.Row)
+			p := printed(&op.Entry)
 			if r.json {
 				return printJSON(p)
 			}
@@ -273,7 +273,7 @@
 				return err
 			}
 			if r.json {
-				if err := printJSON(state{st.Rows, st.Bytes, st.Most, gaps}); err != nil {
+				if err := printJSON(state{st.Rows, st.Bytes, st.MaxBytes, gaps}); err != nil {
 					return err
 				}
 			} else {
@@ -281,8 +281,8 @@
 					fmt.Printf("%-14s %d\n", s, st.Rows[s])
 				}
 				fmt.Printf("%-14s %d", "bytes", st.Bytes)
-				if st.Most > 0 {
-					fmt.Printf(" of %d", st.Most)
+				if st.MaxBytes > 0 {
+					fmt.Printf(" of %d", st.MaxBytes)
 				}
 				fmt.Println()
 				for _, g := range gaps {
--- a/cmd/martendrum/settings.go
+++ b/cmd/martendrum/settings.go
@@ -76,7 +76,7 @@
 func (p *publication) put(name string) (distribution.Put, error) {
 	put := distribution.Put{Name: name, Remove: p.remove}
 	if p.share != 1 {
-		put.Scope.Share = p.share
+		put.Scope.Fraction = p.share
 	}
 	for _, label := range p.scope {
 		key, value, ok := strings.Cut(label, "=")
@@ -199,7 +199,7 @@
 	fmt.Fprintln(w, "HOST\tRELAY\tIN FORCE\tRECEIVED\tPRESENT\tNOTE")
 	for _, host := range s.Missing {
 		note := host.State.Waiting
-		for _, refusal := range host.State.Refused {
+		for _, refusal := range host.State.Rejections {
 			note = fmt.Sprintf("%s refused %s of revision %v: %s", refusal.Instance, refusal.Resource, refusal.Revision, refusal.Reason)
 		}
 		present := "yes, for " + ago(host.Since)
@@ -223,7 +223,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tREVISION\tSCOPE\tSHARE\tBYTES\tAT\tBY")
 	for _, r := range resources {
-		share := r.Scope.Share
+		share := r.Scope.Fraction
 		if share == 0 {
 			share = 1
 		}
--- a/cmd/martendrum/staged.go
+++ b/cmd/martendrum/staged.go
@@ -78,10 +78,10 @@
 	f.BoolVar(&r.dry, "dry-run", false, "print who is in which stage and what harm could be noticed, and change nothing")
 	f.BoolVar(&r.skip, "skip-unreachable", false, "leave out hosts that don't answer, instead of changing nothing")
 	f.StringVar(&r.stages, "stages", "1,2%,10%,50%,100%", "how many run it by the end of each stage")
-	f.DurationVar(&r.plan.Least, "least", 5*time.Minute, "each stage lasts so long at least")
-	f.DurationVar(&r.plan.Longest, "longest", 30*time.Minute, "and so long at most before it must be said whether it does worse")
-	f.IntVar(&r.plan.Past, "past", 12, "so many slots of figures are wanted before anything is changed")
-	f.StringVar(&r.plan.OnCantTell, "on-cant-tell", stage.Hold, "when it can't be told at --longest: hold or go-on")
+	f.DurationVar(&r.plan.MinDuration, "least", 5*time.Minute, "each stage lasts so long at least")
+	f.DurationVar(&r.plan.MaxDuration, "longest", 30*time.Minute, "and so long at most before it must be said whether it does worse")
+	f.IntVar(&r.plan.HistorySlots, "past", 12, "so many slots of figures are wanted before anything is changed")
+	f.StringVar(&r.plan.OnInconclusive, "on-cant-tell", stage.Hold, "when it can't be told at --longest: hold or go-on")
 	f.StringVar(&r.policy.OnFailure, "on-worse", rollout.Back, "when it does worse, or too many fail: stop, rollback-stage, rollback (all of it)")
 	f.IntVar(&r.policy.MaxFailures, "max-failures", 0, "so many instances may fail to change")
 	f.StringVar(&r.batch, "batch", "5%", "so many instances at a time within a stage, or a percentage")
@@ -195,9 +195,9 @@
 	r.plan.Slot = r.judge.Slot
 	op.Staged = &api.Staged{Plan: r.plan, Judge: r.judge, Seed: r.seed, Alone: r.alone}
 	s := op.Staged
-	back := int64(max(60, 2*r.plan.Past))
+	back := int64(max(60, 2*r.plan.HistorySlots))
 	s.First = time.Now().UnixNano()/int64(s.Judge.Slot) - back
-	s.Judge.SlotsMost = int(back) + len(s.Plan.Upto)*int(2*s.Plan.Longest/s.Judge.Slot+10)
+	s.Judge.MaxSlots = int(back) + len(s.Plan.Upto)*int(2*s.Plan.MaxDuration/s.Judge.Slot+10)
 	if err := errors.Join(s.Plan.Check(len(op.Targets)), s.Judge.Check(), rollout.Check(op.Policy, len(op.Targets))); err != nil {
 		return err
 	}
@@ -222,8 +222,8 @@
 
 // fit draws the stages and completes plan, policy and judge from what the fleet is.
 func (r *inStages) fit(ctx context.Context, f *client.Fleet, first *client.Agent, op *api.Operation, now map[api.Target]*api.Instance) error {
-	var figures api.FiguresOut
-	if err := first.Call(ctx, api.Figures, &api.FiguresIn{Most: 1}, &figures); err != nil {
+	var figures api.MetricsOut
+	if err := first.Call(ctx, api.Metrics, &api.MetricsIn{Limit: 1}, &figures); err != nil {
 		return err
 	}
 	if figures.Slot == 0 {
@@ -234,7 +234,7 @@
 	running := make(map[string]int)
 	for _, t := range op.Targets {
 		i := now[t]
-		if i.Door == "" {
+		if i.AdminAddress == "" {
 			return fmt.Errorf("instance %s on %s has no door, so nobody could judge it: set mgmt in its configuration, or leave it out", t.Instance, t.Host)
 		}
 		running[i.Running]++
@@ -267,7 +267,7 @@
 		return fmt.Errorf("configuration of %s on %s: %w", one.Instance, one.Host, err)
 	}
 	for _, c := range conf.Settings.Classes {
-		r.judge.Classes, r.judge.Worth = append(r.judge.Classes, c.Name), append(r.judge.Worth, max(c.Worth, 0))
+		r.judge.Classes, r.judge.Weights = append(r.judge.Classes, c.Name), append(r.judge.Weights, max(c.Worth, 0))
 	}
 	if r.seed == 0 {
 		for _, b := range []byte(op.ID) {
@@ -359,12 +359,12 @@
 	from := 0
 	for n, upto := range s.Plan.Upto {
 		e := entry{Stage: n + 1, Upto: upto, Instances: op.Targets[from:upto], Rate: sum(rates[:upto])}
-		for _, m := range []judge.Measure{judge.Worth, judge.Unserved, judge.Attempts} {
+		for _, m := range []judge.Measure{judge.WeightedLoss, judge.Unserved, judge.Attempts} {
 			share := 1.0
 			if m == judge.Unserved {
 				share /= float64(len(s.Judge.Classes)) // of one class, were all alike
 			}
-			seconds := s.Plan.Longest.Seconds()
+			seconds := s.Plan.MaxDuration.Seconds()
 			e.Notice = append(e.Notice, sight{m, judge.Smallest(m, map[judge.Measure]float64{judge.Attempts: 1.1}[m], share*seconds*e.Rate, share*seconds*(sum(rates)-e.Rate),
 				s.Judge.FalseStops, len(j.Tests()), s.Judge.Margins[m])})
 		}
@@ -382,7 +382,7 @@
 		return printJSON(map[string]any{"operation": op, "plan": plan})
 	}
 	fmt.Printf("%s of %d instances in %d stages, seed %d; each lasts %v to %v; on worse: %s; when it can't be told: %s\n",
-		op.Action, len(op.Targets), len(plan), s.Seed, s.Plan.Least, s.Plan.Longest, op.Policy.OnFailure, s.Plan.OnCantTell)
+		op.Action, len(op.Targets), len(plan), s.Seed, s.Plan.MinDuration, s.Plan.MaxDuration, op.Policy.OnFailure, s.Plan.OnInconclusive)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "STAGE\tRUN IT\tREQ/S\tNOTICED BY ITS END, WITH EVEN ODDS\tNEW IN IT")
 	for _, e := range plan {
@@ -525,7 +525,7 @@
 		count[r.Outcome]++
 	}
 	fmt.Fprintf(&b, "operation %s (%s by %s): %s", rep.Operation.ID, rep.Operation.Action, rep.Operation.Operator, rep.Result)
-	if rep.Holder == "" && rep.Result == api.OpOpened {
+	if rep.LeaseHolder == "" && rep.Result == api.OpOpened {
 		b.WriteString(", held by nobody: `martendrum change resume` goes on")
 	}
 	b.WriteString("\n")
@@ -546,7 +546,7 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "stage %d of %d, %v of evidence in it, as of %s\n", n.State.Stage, len(s.Plan.Upto), time.Duration(n.State.Slots)*s.Plan.Slot, n.At.Format(time.RFC3339))
-	for _, x := range []struct{ what, text string }{{"holds", n.State.Held}, {"waits", n.State.Pause}, {"judged worse", n.State.Worse}} {
+	for _, x := range []struct{ what, text string }{{"holds", n.State.HoldReason}, {"waits", n.State.PauseReason}, {"judged worse", n.State.Worse}} {
 		if x.text != "" {
 			fmt.Fprintf(&b, "%s: %s\n", x.what, x.text)
 		}
--- a/cmd/martendrum/view.go
+++ b/cmd/martendrum/view.go
@@ -74,7 +74,7 @@
 				{"instance", i.Name}, {"host", i.Host}, {"labels", fmt.Sprint(i.Labels)}, {"listen", i.Listen}, {"desired", i.Desired},
 				{"state", i.State + " for " + ago(i.Since)}, {"reason", i.Reason}, {"release", i.Release}, {"running", i.Running}, {"previous", i.Previous},
 				{"generation", fmt.Sprintf("%d, of the process %d", i.Generation, i.Process)}, {"pid", fmt.Sprint(i.PID)}, {"launched", ago(i.Launched) + " ago"},
-				{"restarts", fmt.Sprint(i.Restarts)}, {"last exit", i.LastExit}, {"record", i.Record}, {"operation", i.Operation}, {"held by", i.Holder},
+				{"restarts", fmt.Sprint(i.Restarts)}, {"last exit", i.LastExit}, {"record", i.Record}, {"operation", i.Operation}, {"held by", i.LeaseHolder},
 			} {
 				fmt.Fprintf(w, "%s\t%s\n", l[0], l[1])
 			}
@@ -134,7 +134,7 @@
 			return fmt.Errorf("host %s is not in %s", args[0], g.fleet)
 		}
 		var out api.AuditOut
-		if err := a.Call(c.Context(), api.Audit, &api.AuditIn{Most: *most}, &out); err != nil {
+		if err := a.Call(c.Context(), api.Audit, &api.AuditIn{Limit: *most}, &out); err != nil {
 			return err
 		}
 		if g.json {
--- a/cmd/sidecar/config.go
+++ b/cmd/sidecar/config.go
@@ -180,7 +180,7 @@
 		return errors.New("settings.caps.dialTimeoutUs must be above 0")
 	case s.ConnIdle <= 0:
 		return errors.New("settings.caps.connIdleUs must be above 0")
-	case s.MostHeld < 0:
+	case s.MaxInFlight < 0:
 		return errors.New("settings.caps.mostHeld must be 0 or more")
 	case s.DrainGrace < 0:
 		return errors.New("settings.guarantees.drainGraceUs must be 0 or more")
@@ -191,15 +191,15 @@
 // setDiscoveryPace sets how discovery is followed or asked.
 func (c *config) setDiscoveryPace() {
 	s := c.settings
-	c.asks = s.Config.AskWithin > 0
+	c.asks = s.Config.MaxListAge > 0
 	if !c.asks {
 		c.pace = discovery.Pushed(s.DrainGrace)
 		return
 	}
-	c.pace = discovery.Asked()
+	c.pace = discovery.Polled()
 	// The first call comes within four fifths of AskWithin.
-	s.Config.AskWithin = min(s.Config.AskWithin, c.pace.First*5/4)
-	s.Config.AskAgain = c.pace.Back
+	s.Config.MaxListAge = min(s.Config.MaxListAge, c.pace.First*5/4)
+	s.Config.RetryWithin = c.pace.Back
 }
 
 // loadExtras loads what only the environment turns on: the store of record, the fleet
@@ -226,7 +226,7 @@
 	attributes := []any{"config", c.sum[:8], "discovery", c.discovery, "longest_deadline", c.longestDeadline(), "drain_grace", c.settings.DrainGrace}
 	for _, name := range c.settings.Names() {
 		class := c.settings.ByName(name)
-		attributes = append(attributes, "class_"+name, fmt.Sprintf("%v/%v", class.Rules.Effect, class.Wait))
+		attributes = append(attributes, "class_"+name, fmt.Sprintf("%v/%v", class.Rules.Idempotency, class.Wait))
 	}
 	slog.Info(event, attributes...)
 }
--- a/cmd/sidecar/fleet.go
+++ b/cmd/sidecar/fleet.go
@@ -45,7 +45,7 @@
 		size = len(peersConfig.Peers)
 		peersConfig.Seed = c.seed
 		if previous := f.checkpoint.previous; previous != nil { // whatever the clock says
-			peersConfig.Node.Life = max(previous.Life+1, uint64(max(1, f.started.UnixMilli())))
+			peersConfig.Node.Incarnation = max(previous.Incarnation+1, uint64(max(1, f.started.UnixMilli())))
 		}
 		if err := f.openLink(*peersConfig, besidePredecessor); err != nil {
 			return nil, err
@@ -95,11 +95,11 @@
 func (f *fleet) startRecovery(size int, metricSet *metrics.Set) {
 	f.machine = recovery.New(recovery.Config{Size: size}, 0)
 	if previous := f.checkpoint.previous; previous != nil {
-		_, weight := recovery.Kept(previous.Learned, f.checkpoint.age, recovery.Open)
+		_, weight := recovery.Retained(previous.Learned, f.checkpoint.age, recovery.Open)
 		f.machine.Usual(previous.Demand, weight)
 	}
 	metricSet.Gauge("phase", "", func() float64 { return float64(f.lastOrders().Phase) })
-	metricSet.Gauge("bound_shed", "", func() float64 { return f.lastOrders().Bounds.Shed })
+	metricSet.Gauge("bound_shed", "", func() float64 { return f.lastOrders().Bounds.MinShedFraction })
 	f.running.Go(f.run)
 }
 
@@ -110,7 +110,7 @@
 	if previous == nil {
 		return
 	}
-	learned, weight := recovery.Kept(previous.Learned, age, f.lastOrders().Verdict)
+	learned, weight := recovery.Retained(previous.Learned, age, f.lastOrders().Verdict)
 	f.host.Learn(learned, age)
 	slog.Info("checkpoint taken as a hint", "age", age, "times", len(learned.Primary), "servers", len(learned.Servers), "demand", previous.Demand, "weight", weight)
 }
@@ -163,9 +163,9 @@
 	var orders recovery.Orders
 	f.host.Steer(func(now time.Duration, arrivals uint64, b *martendrum.Balancer) {
 		f.machine.Arrived(arrivals)
-		f.machine.Room(b.Room(now))
+		f.machine.SetCapacity(b.Capacity(now))
 		orders = f.machine.Tick(time.Since(f.started))
-		b.Bound(orders.Bounds)
+		b.SetBounds(orders.Bounds)
 	})
 	f.mu.Lock()
 	f.orders = orders
@@ -178,7 +178,7 @@
 func (f *fleet) hearPeers() {
 	f.withNode(func(now time.Duration, node *peers.Node) {
 		for member := range node.Speaking(now) {
-			f.machine.Hear(int(member.Rank), recovery.Word{Phase: recovery.Phase(member.Phase), Age: member.Age})
+			f.machine.Hear(int(member.Rank), recovery.Report{Phase: recovery.Phase(member.Phase), Age: member.Age})
 		}
 	})
 }
@@ -186,11 +186,11 @@
 // logChange logs how new orders differ from those before.
 func (f *fleet) logChange(before, orders recovery.Orders) {
 	if orders.Phase != before.Phase {
-		slog.Info("phase "+orders.Phase.String(), "verdict", orders.Verdict, "after", time.Since(f.started).Round(time.Millisecond), "shed", orders.Bounds.Shed)
+		slog.Info("phase "+orders.Phase.String(), "verdict", orders.Verdict, "after", time.Since(f.started).Round(time.Millisecond), "shed", orders.Bounds.MinShedFraction)
 		return
 	}
-	if sheds := orders.Bounds.Shed > 0; sheds != (before.Bounds.Shed > 0) {
-		slog.Info("cold servers", "bounded", sheds, "shed", orders.Bounds.Shed, "demand", orders.Bounds.Nominal)
+	if sheds := orders.Bounds.MinShedFraction > 0; sheds != (before.Bounds.MinShedFraction > 0) {
+		slog.Info("cold servers", "bounded", sheds, "shed", orders.Bounds.MinShedFraction, "demand", orders.Bounds.NominalRate)
 	}
 }
 
@@ -200,7 +200,7 @@
 		return
 	}
 	c := checkpoint.Checkpoint{Saved: clock.Wall().UnixMilli(), Demand: f.machine.Demand(), Learned: f.host.Learned()}
-	f.withNode(func(_ time.Duration, node *peers.Node) { c.Life = node.Life() })
+	f.withNode(func(_ time.Duration, node *peers.Node) { c.Incarnation = node.Incarnation() })
 	f.checkpoint.save(now, c)
 }
 
--- a/cmd/sidecar/fleet_config.go
+++ b/cmd/sidecar/fleet_config.go
@@ -61,5 +61,5 @@
 	if s.Rank < 0 || s.Rank >= len(addresses) {
 		return nil, &FleetError{fmt.Sprintf("peers: settings.rank is %d of %d peers", s.Rank, len(addresses)), "number the sidecars of the tier from 0 in settings.rank, in the order of peers"}
 	}
-	return &link.Config{Listen: listen, Peers: addresses, Node: peers.Config{Fleet: s.Fleet, Self: peers.Rank(s.Rank)}}, nil
+	return &link.Config{Listen: listen, Peers: addresses, Node: peers.Config{Cluster: s.Cluster, Self: peers.Rank(s.Rank)}}, nil
 }
--- a/cmd/sidecar/gauges.go
+++ b/cmd/sidecar/gauges.go
@@ -46,12 +46,12 @@
 	metricSet.Gauge("peers", `state="living"`, ask(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Living) }))
 	metricSet.Gauge("peers", `state="known"`, ask(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Known) }))
 	metricSet.Gauge("peers", `state="all"`, ask(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Size) }))
-	metricSet.Gauge("peer_life", "", ask(func(_ time.Duration, node *peers.Node) float64 { return float64(node.Life()) }))
+	metricSet.Gauge("peer_life", "", ask(func(_ time.Duration, node *peers.Node) float64 { return float64(node.Incarnation()) }))
 	metricSet.Gauge("peer_health", "", ask(func(_ time.Duration, node *peers.Node) float64 { return float64(node.Health()) }))
 	count("peer_bytes", `way="out"`, func(s peers.Stats) uint64 { return s.SentBytes })
 	count("peer_bytes", `way="in"`, func(s peers.Stats) uint64 { return s.ReceivedBytes })
 	count("peer_dropped", `why="damaged"`, func(s peers.Stats) uint64 { return s.Damaged })
-	count("peer_dropped", `why="refused"`, func(s peers.Stats) uint64 { return s.Refused })
+	count("peer_dropped", `why="refused"`, func(s peers.Stats) uint64 { return s.Rejected })
 	count("peer_dropped", `why="ceiling"`, func(s peers.Stats) uint64 { return s.Withheld })
 	metricSet.Gauge("peer_dropped", `why="stranger"`, func() float64 {
 		if l := f.currentLink(); l != nil {
--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -250,9 +250,9 @@
 		r.Limit(r.currentShare())
 	}
 	r.server.SetHealth(healthSum, next.sum)
-	p.watcher.Move(next.discovery, next.pace)
+	p.watcher.MoveTo(next.discovery, next.pace)
 	if next.asks {
-		r.host.AskNow() // what has changed there must be known soon, whether or not a watch is open
+		r.host.PollNow() // what has changed there must be known soon, whether or not a watch is open
 	}
 	next.logSettings("configuration taken over")
 }
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -32,7 +32,7 @@
 type resources struct {
 	mu     sync.Mutex
 	config *config
-	share  handover.Share
+	share  handover.Quota
 
 	// Set once, by createParts; nil before.
 	pool   *upstream.Pool
@@ -45,12 +45,12 @@
 }
 
 // fullShare is all that one sidecar may use by its configuration.
-func (c *config) fullShare() handover.Share {
-	inFlight := c.settings.MostHeld
+func (c *config) fullShare() handover.Quota {
+	inFlight := c.settings.MaxInFlight
 	if inFlight == 0 {
 		inFlight = math.MaxInt32
 	}
-	return handover.Share{Sockets: c.sockets, MemoryMB: c.memoryMB, Held: inFlight}
+	return handover.Quota{Sockets: c.sockets, MemoryMB: c.memoryMB, InFlight: inFlight}
 }
 
 // reservedSockets is how many descriptors of a share clients and servers can't use.
@@ -63,7 +63,7 @@
 }
 
 // applyShare sets the limits of the runtime and returns those of the process's parts.
-func (c *config) applyShare(share handover.Share) (upstream.Config, front.Config) {
+func (c *config) applyShare(share handover.Quota) (upstream.Config, front.Config) {
 	memory := int64(share.MemoryMB) << 20
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.cores))))
 	debug.SetMemoryLimit(memory * 6 / 10)
@@ -72,7 +72,7 @@
 		ConnIdle:    c.settings.ConnIdle,
 		DialTimeout: c.settings.DialTimeout,
 		DrainGrace:  c.settings.DrainGrace,
-		MostConns:   conns - conns/2,
+		MaxConns:    conns - conns/2,
 	}
 	frontConfig := front.Config{
 		MostConns: conns / 2,
@@ -92,13 +92,13 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	host.Limit(r.share.Held, c.fullShare().Held)
+	host.Limit(r.share.InFlight, c.fullShare().InFlight)
 	r.pool, r.server, r.host = pool, front.New(frontConfig, seamHandler(host)), host
 	return nil
 }
 
 // Limit implements link.Host.
-func (r *resources) Limit(share handover.Share) {
+func (r *resources) Limit(share handover.Quota) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fewerSockets := share.Sockets < r.share.Sockets
@@ -107,18 +107,18 @@
 	if r.pool != nil {
 		r.pool.Limit(upstreamConfig)
 		r.server.Limit(frontConfig)
-		r.host.Limit(share.Held, r.config.fullShare().Held)
+		r.host.Limit(share.InFlight, r.config.fullShare().InFlight)
 	}
 	if fewerSockets && r.pool != nil && !r.stopping { // a stopping one gives up only what it does not use
 		r.server.Trim()
 		r.pool.Trim()
 		debug.FreeOSMemory()
 	}
-	slog.Info("share of the limits", "sockets", share.Sockets, "memory_mb", share.MemoryMB, "held", share.Held)
+	slog.Info("share of the limits", "sockets", share.Sockets, "memory_mb", share.MemoryMB, "held", share.InFlight)
 }
 
 // currentShare is the share in force.
-func (r *resources) currentShare() handover.Share {
+func (r *resources) currentShare() handover.Quota {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.share
@@ -179,13 +179,13 @@
 }
 
 // used is what the process still uses of its share.
-func (r *resources) used() handover.Share {
-	return handover.Share{
+func (r *resources) used() handover.Quota {
+	return handover.Quota{
 		// Each request that may come on a client's connection needs one to a server.
 		Sockets:  r.config.reservedSockets() + 2*max(r.server.Conns(), r.pool.Conns()),
 		MemoryMB: residentMB(),
 		// The same for requests in flight, where no tally is shared.
-		Held: max(r.host.InFlight(), r.server.Conns()),
+		InFlight: max(r.host.InFlight(), r.server.Conns()),
 	}
 }
 
--- a/cmd/sidecar/seams_on.go
+++ b/cmd/sidecar/seams_on.go
@@ -36,7 +36,7 @@
 	}
 	return func(list *discovery.List) {
 		list.Entries = slices.DeleteFunc(list.Entries, func(e discovery.Entry) bool { return e.State != martendrum.Serving })
-		list.Whole = false
+		list.Complete = false
 		listed(list)
 	}
 }
--- a/cmd/sidecar/start.go
+++ b/cmd/sidecar/start.go
@@ -101,7 +101,7 @@
 	c := p.config
 	p.watcher = &discovery.Watcher{Addr: c.discovery, Pace: c.pace}
 	if c.known != nil {
-		c.known.Whole = true
+		c.known.Complete = true
 		p.watcher.Index = c.known.Index
 	}
 	if err := p.resources.createParts(p.watcher); err != nil {
--- a/cmd/simulator/instance.go
+++ b/cmd/simulator/instance.go
@@ -41,19 +41,19 @@
 			Deadline: micros(e.Deadline),
 		})
 	case wire.HeadReceived:
-		i.b.Started(now, id, e.Copy)
+		i.b.StreamStarted(now, id, e.Copy)
 	case wire.Finished:
 		o, ok := outcomes[e.Ending]
 		if !ok {
 			return fmt.Errorf("unknown ending %d", e.Ending)
 		}
-		i.b.Done(now, id, e.Copy, o, e.Over, report(e.Load))
+		i.b.AttemptFinished(now, id, e.Copy, o, e.Over, report(e.Load))
 	case wire.Checked:
-		i.b.Probed(now, string(e.Server), report(e.Load))
+		i.b.ProbeAnswered(now, string(e.Server), report(e.Load))
 	case wire.TimedOutClient:
-		i.b.ClientGone(now, id)
+		i.b.ClientDisconnected(now, id)
 	case wire.Wakeup:
-		i.b.Timer(now, e.Cookie)
+		i.b.TimerFired(now, e.Cookie)
 	}
 	return nil
 }
@@ -61,7 +61,7 @@
 var outcomes = map[int]martendrum.Outcome{
 	200: martendrum.OK,
 	502: martendrum.ServerError,
-	429: martendrum.Full,
+	429: martendrum.Rejected,
 	408: martendrum.TimedOut,
 	521: martendrum.ConnectFailed,
 	520: martendrum.Reset,
@@ -69,8 +69,8 @@
 	409: martendrum.NotSent,
 }
 
-func report(l wire.Load) martendrum.Report {
-	return martendrum.Report{HasInFlight: l.HasBusyReqs, InFlight: l.BusyReqs, HasUtil: l.HasCPUShare, Util: l.CPUShare}
+func report(l wire.Load) martendrum.LoadReport {
+	return martendrum.LoadReport{HasInFlight: l.HasBusyReqs, InFlight: l.BusyReqs, HasUtilization: l.HasCPUShare, Utilization: l.CPUShare}
 }
 
 // Send implements martendrum.Host.
@@ -83,8 +83,8 @@
 	i.reply.AbortAttempt(i.id, uint64(id), attempt)
 }
 
-// Refuse implements martendrum.Host.
-func (i *instance) Refuse(id martendrum.RequestID, retryAfter time.Duration) {
+// Reject implements martendrum.Host.
+func (i *instance) Reject(id martendrum.RequestID, retryAfter time.Duration) {
 	i.reply.NotNow(i.id, uint64(id), retryAfter.Microseconds())
 }
 
@@ -113,15 +113,15 @@
 		case "DRAINING":
 			state = martendrum.Draining
 		case "DELETED":
-			state = martendrum.Gone
+			state = martendrum.Removed
 		}
 		list[n] = martendrum.Endpoint{
-			Name:    h.Server,
-			Zone:    h.Zone,
-			Group:   h.Group,
-			Hint:    h.Hint,
-			Started: micros(h.StartUs),
-			State:   state,
+			Name:         h.Server,
+			Zone:         h.Zone,
+			Group:        h.Group,
+			CapacityHint: h.Hint,
+			Started:      micros(h.StartUs),
+			State:        state,
 		}
 	}
 	return list
--- a/cold_test.go
+++ b/cold_test.go
@@ -72,7 +72,7 @@
 	}
 	o, took := OK, time.Duration(c.rng.ExpFloat64()*float64(25*ms))
 	if c.busy[server] >= c.held {
-		o, took = Full, ms
+		o, took = Rejected, ms
 	} else {
 		c.busy[server]++
 	}
@@ -80,21 +80,21 @@
 		if o == OK {
 			c.busy[server]--
 		}
-		n.b.Done(c.now, id, attempt, o, o == OK, Report{})
+		n.b.AttemptFinished(c.now, id, attempt, o, o == OK, LoadReport{})
 	})
 }
 func (n *crowdNode) Cancel(id RequestID, k int) {
-	n.c.at(n.c.now, func() { n.b.Done(n.c.now, id, k, Cancelled, true, Report{}) })
+	n.c.at(n.c.now, func() { n.b.AttemptFinished(n.c.now, id, k, Cancelled, true, LoadReport{}) })
 }
-func (n *crowdNode) Refuse(RequestID, time.Duration) { n.c.missed++ }
+func (n *crowdNode) Reject(RequestID, time.Duration) { n.c.missed++ }
 func (n *crowdNode) Fail(RequestID)                  { n.c.missed++ }
 func (n *crowdNode) CloseIdle(string)                {}
 func (n *crowdNode) Probe(server string) {
-	n.c.at(n.c.now+ms, func() { n.b.Probed(n.c.now, server, Report{HasInFlight: true, InFlight: 1}) })
+	n.c.at(n.c.now+ms, func() { n.b.ProbeAnswered(n.c.now, server, LoadReport{HasInFlight: true, InFlight: 1}) })
 }
 func (n *crowdNode) Subscribe() {}
 func (n *crowdNode) SetTimer(cookie uint64, after time.Duration) {
-	n.c.at(n.c.now+after, func() { n.b.Timer(n.c.now, cookie) })
+	n.c.at(n.c.now+after, func() { n.b.TimerFired(n.c.now, cookie) })
 }
 
 // arrive makes n's clients send at rate, and half as much again within the burst.
@@ -133,7 +133,7 @@
 					c := &crowd{rng: rand.New(rand.NewPCG(seed, 7)), held: 3, sends: make(map[string][]time.Duration), busy: make(map[string]int)}
 					cfg := testConfig()
 					cfg.Instances = count
-					cfg.ColdFrom, cfg.ColdFor, cfg.OverloadFactor, cfg.OverloadFor = 0.14, 23*time.Second, 4, 2*time.Second
+					cfg.SlowStartInitialFraction, cfg.SlowStartDuration, cfg.OverloadFactor, cfg.OverloadDuration = 0.14, 23*time.Second, 4, 2*time.Second
 					list := fleetOf(servers)
 					anew := fleetOf(cold)
 					for i := range anew {
@@ -161,7 +161,7 @@
 					}
 					c.run(end)
 					warmth := func(at time.Duration) float64 {
-						return min(1, cfg.ColdFrom+(1-cfg.ColdFrom)*(at-start).Seconds()/cfg.ColdFor.Seconds())
+						return min(1, cfg.SlowStartInitialFraction+(1-cfg.SlowStartInitialFraction)*(at-start).Seconds()/cfg.SlowStartDuration.Seconds())
 					}
 					could := 0.0
 					for at := start; at < end; at += time.Second {
@@ -174,9 +174,9 @@
 								continue
 							}
 							got++
-							n := cfg.OverloadFactor * warmth(from) * capacity * cfg.OverloadFor.Seconds()
+							n := cfg.OverloadFactor * warmth(from) * capacity * cfg.OverloadDuration.Seconds()
 							k := i
-							for k < len(sends) && sends[k] < from+cfg.OverloadFor {
+							for k < len(sends) && sends[k] < from+cfg.OverloadDuration {
 								k++
 							}
 							worst = max(worst, float64(k-i)/(n+2*math.Sqrt(n)+2))
--- a/coldstart.go
+++ b/coldstart.go
@@ -6,7 +6,7 @@
 // machine; this balancer's clock was set by its own machine's wall clock when the process
 // began, which may have been seconds or an hour ahead or behind just then. To take a cold
 // server for a warm one fells it, to take a warm one for cold costs some of its service for
-// ColdFor. So the reading is the colder one wherever the clocks are not known to agree:
+// SlowStartDuration. So the reading is the colder one wherever the clocks are not known to agree:
 //
 //   - A start that is told while the list is followed is new, and counts from when it is
 //     told. It is colder than true by the time that the news took.
@@ -22,15 +22,15 @@
 }
 
 // readStarts returns the reading of a list that is told now.
-func (f *fleet) readStarts(list []Endpoint, now time.Duration) startReading {
-	reading := startReading{now: now, first: !f.told}
+func (f *endpointSet) readStarts(list []Endpoint, now time.Duration) startReading {
+	reading := startReading{now: now, first: !f.listReceived}
 	for _, e := range list {
 		reading.newest = max(reading.newest, e.Started)
 	}
 	return reading
 }
 
-// countsFrom returns from when on, on the balancer's clock, a start counts.
+// slowStartBegan returns from when on, on the balancer's clock, a start counts.
 func (r startReading) countsFrom(started time.Duration) time.Duration {
 	if !r.first {
 		return r.now
--- a/coldstart_test.go
+++ b/coldstart_test.go
@@ -29,12 +29,12 @@
 			own += 10 * time.Second
 			list[0].Started = truth + 9*time.Second // a second ago
 			b.ServersChanged(own, list[:1])
-			s := b.fleet.byName[list[0].Name]
-			fresh := cfg.ColdFrom + (1-cfg.ColdFrom)*1.0/cfg.ColdFor.Seconds() // what it truly is
-			if got := b.fleet.warmth(s, own); got > fresh {
+			s := b.endpoints.byName[list[0].Name]
+			fresh := cfg.SlowStartInitialFraction + (1-cfg.SlowStartInitialFraction)*1.0/cfg.SlowStartDuration.Seconds() // what it truly is
+			if got := b.endpoints.slowStartFactor(s, own); got > fresh {
 				t.Errorf("it counts as %.2f warm, it is %.2f", got, fresh)
 			}
-			if got := b.fleet.warmth(s, own+cfg.ColdFor); got < 1 {
+			if got := b.endpoints.slowStartFactor(s, own+cfg.SlowStartDuration); got < 1 {
 				t.Errorf("it counts as %.2f warm after its time", got)
 			}
 		})
@@ -49,7 +49,7 @@
 			cfg := testConfig()
 			list := fleetOf(4)
 			const truth = 100 * time.Hour
-			ages := []time.Duration{0, cfg.ColdFor / 2, 2 * cfg.ColdFor}
+			ages := []time.Duration{0, cfg.SlowStartDuration / 2, 2 * cfg.SlowStartDuration}
 			for n, age := range ages {
 				list[n].Started = truth - age
 			}
@@ -59,23 +59,23 @@
 				t.Fatal(err)
 			}
 			own := truth + skew
-			b.ServersKnown(own, fleetOf(4)) // from before the starts
+			b.ServersRestored(own, fleetOf(4)) // from before the starts
 			b.ServersListed(own, list)
 			for n, age := range ages {
-				s := b.fleet.byName[list[n].Name]
-				true := min(1, cfg.ColdFrom+(1-cfg.ColdFrom)*age.Seconds()/cfg.ColdFor.Seconds())
-				got := b.fleet.warmth(s, own)
+				s := b.endpoints.byName[list[n].Name]
+				true := min(1, cfg.SlowStartInitialFraction+(1-cfg.SlowStartInitialFraction)*age.Seconds()/cfg.SlowStartDuration.Seconds())
+				got := b.endpoints.slowStartFactor(s, own)
 				if got > true+1e-9 {
 					t.Errorf("a server of age %v counts as %.2f warm, it is %.2f", age, got, true)
 				}
 				if skew >= 0 && got < true-1e-9 {
 					t.Errorf("a server of age %v counts as %.2f warm, it is %.2f", age, got, true)
 				}
-				if got := b.fleet.warmth(s, own+cfg.ColdFor); got < 1 {
+				if got := b.endpoints.slowStartFactor(s, own+cfg.SlowStartDuration); got < 1 {
 					t.Errorf("a server of age %v counts as %.2f warm after its time", age, got)
 				}
 			}
-			if s := b.fleet.byName[list[3].Name]; b.fleet.warmth(s, own) < 1 {
+			if s := b.endpoints.byName[list[3].Name]; b.endpoints.slowStartFactor(s, own) < 1 {
 				t.Error("a server of long ago counts as cold")
 			}
 		})
@@ -89,9 +89,9 @@
 	b, _ := newTest(t, cfg, list...)
 	list[0].Started = time.Hour
 	b.ServersChanged(time.Hour, list[:1])
-	b.ServersListed(time.Hour+cfg.ColdFor/2, list)
-	b.ServersChanged(time.Hour+cfg.ColdFor/2, list)
-	if s := b.fleet.byName[list[0].Name]; b.fleet.warmth(s, time.Hour+cfg.ColdFor) < 1 {
+	b.ServersListed(time.Hour+cfg.SlowStartDuration/2, list)
+	b.ServersChanged(time.Hour+cfg.SlowStartDuration/2, list)
+	if s := b.endpoints.byName[list[0].Name]; b.endpoints.slowStartFactor(s, time.Hour+cfg.SlowStartDuration) < 1 {
 		t.Error("a server that was told again counts as started anew")
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -17,7 +17,7 @@
 func (p *printer) Cancel(id martendrum.RequestID, attempt int) {
 	fmt.Printf("cancel attempt %d of request %d\n", attempt, id)
 }
-func (p *printer) Refuse(id martendrum.RequestID, _ time.Duration) {
+func (p *printer) Reject(id martendrum.RequestID, _ time.Duration) {
 	fmt.Printf("refuse request %d\n", id)
 }
 func (p *printer) Fail(id martendrum.RequestID)            { fmt.Printf("fail request %d\n", id) }
@@ -31,11 +31,11 @@
 func Example() {
 	host := new(printer)
 	b, err := martendrum.New(martendrum.Config{
-		Instances:    1,
-		MaxAttempts:  3,
-		MayCancel:    true,
-		SecondCopies: true,
-		Classes:      []martendrum.Class{{Aim: 200 * time.Millisecond, Worth: 1}},
+		Instances:         1,
+		MaxAttempts:       3,
+		AllowCancellation: true,
+		AllowHedging:      true,
+		Classes:           []martendrum.Class{{LatencyObjective: 200 * time.Millisecond, Weight: 1}},
 	}, 9, host)
 	if err != nil {
 		fmt.Println(err)
@@ -46,11 +46,11 @@
 
 	b.Arrive(now, martendrum.Request{ID: 7, Tenant: -1, Deadline: now + time.Second})
 	now += time.Millisecond
-	b.Timer(now, host.timers[0]) // the copy's delay is over
+	b.TimerFired(now, host.timers[0]) // the copy's delay is over
 
 	now += 30 * time.Millisecond
-	b.Done(now, 7, 1, martendrum.OK, true, martendrum.Report{}) // the copy answers first
-	b.Done(now, 7, 0, martendrum.Cancelled, true, martendrum.Report{})
+	b.AttemptFinished(now, 7, 1, martendrum.OK, true, martendrum.LoadReport{}) // the copy answers first
+	b.AttemptFinished(now, 7, 0, martendrum.Cancelled, true, martendrum.LoadReport{})
 
 	_, err = martendrum.New(martendrum.Config{Instances: 1, MaxAttempts: 3}, 1, host)
 	fmt.Println(err)
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -24,19 +24,19 @@
 const (
 	// Version changes with the meaning of any field.
 	Version = 1
-	// Most is the longest file, in bytes.
-	Most = handover.SnapshotMost + 4<<10
-	// Oldest is how old a file may be: past it a start from nothing knows as much.
-	Oldest = 24 * time.Hour
+	// MaxSize is the longest file, in bytes.
+	MaxSize = handover.MaxSnapshotSize + 4<<10
+	// MaxAge is how old a file may be: past it a start from nothing knows as much.
+	MaxAge = 24 * time.Hour
 )
 
 // Checkpoint is what is kept.
 type Checkpoint struct {
-	Name    string             `json:"name"`   // of the sidecar, by its address
-	Saved   int64              `json:"saved"`  // Unix time in ms
-	Life    uint64             `json:"life"`   // its number among peers
-	Demand  float64            `json:"demand"` // requests a second that usually come
-	Learned martendrum.Learned `json:"learned"`
+	Name        string                  `json:"name"`   // of the sidecar, by its address
+	Saved       int64                   `json:"saved"`  // Unix time in ms
+	Incarnation uint64                  `json:"life"`   // its number among peers
+	Demand      float64                 `json:"demand"` // requests a second that usually come
+	Learned     martendrum.LearnedState `json:"learned"`
 }
 
 // Why a file is not trusted.
@@ -100,8 +100,8 @@
 	if err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
-	if len(data) > Most {
-		return fmt.Errorf("checkpoint: %d bytes, %d at most", len(data), Most)
+	if len(data) > MaxSize {
+		return fmt.Errorf("checkpoint: %d bytes, %d at most", len(data), MaxSize)
 	}
 	if err := renameio.WriteFile(path, data, 0o600); err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
@@ -123,7 +123,7 @@
 		return not(Unread, err)
 	}
 	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, Most+1))
+	data, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
 	if err != nil {
 		return not(Unread, err)
 	}
@@ -132,8 +132,8 @@
 	switch err := json.Unmarshal(data, &in); {
 	case len(data) == 0:
 		return not(Empty, nil)
-	case len(data) > Most:
-		return not(Torn, fmt.Errorf("over %d bytes", Most))
+	case len(data) > MaxSize:
+		return not(Torn, fmt.Errorf("over %d bytes", MaxSize))
 	case err != nil:
 		return not(Torn, err)
 	case in.Version != Version:
@@ -150,7 +150,7 @@
 	// The file outlives the machine, so the age is by the wall clock. A step makes it wrong:
 	// too old or from the future is not taken; too young is taken, as the hint it is.
 	age := now.Sub(time.UnixMilli(c.Saved))
-	if age < -time.Second || age > Oldest {
+	if age < -time.Second || age > MaxAge {
 		return not(Old, fmt.Errorf("saved %v ago", age.Round(time.Second)))
 	}
 	if !(c.Demand >= 0) {
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -15,9 +15,9 @@
 var now = time.UnixMilli(1_800_000_000_000)
 
 func good() Checkpoint {
-	return Checkpoint{Name: "10.0.0.4:8081", Saved: now.Add(-time.Minute).UnixMilli(), Life: 7, Demand: 4.5, Learned: martendrum.Learned{
-		Delay: 0.4, Odds: 0.2, Taken: 1, Primary: []martendrum.LearnedTime{{At: 0.3}},
-		Servers: []martendrum.LearnedServer{{Name: "s1", Weight: 1, Started: time.Hour}},
+	return Checkpoint{Name: "10.0.0.4:8081", Saved: now.Add(-time.Minute).UnixMilli(), Incarnation: 7, Demand: 4.5, Learned: martendrum.LearnedState{
+		HedgeDelay: 0.4, HedgeProbability: 0.2, AcceptedFraction: 1, Primary: []martendrum.LearnedLatency{{Latency: 0.3}},
+		Servers: []martendrum.LearnedServer{{Name: "s1", WeightCorrection: 1, Started: time.Hour}},
 	}}
 }
 
@@ -59,12 +59,12 @@
 	}{
 		"empty":         {good(), func([]byte) []byte { return nil }, Empty},
 		"no JSON":       {good(), func([]byte) []byte { return []byte("what is this") }, Torn},
-		"too long":      {good(), func(b []byte) []byte { return append(b, bytes.Repeat([]byte(" "), Most)...) }, Torn},
+		"too long":      {good(), func(b []byte) []byte { return append(b, bytes.Repeat([]byte(" "), MaxSize)...) }, Torn},
 		"version":       {good(), func(b []byte) []byte { return bytes.Replace(b, []byte(`"version":1`), []byte(`"version":2`), 1) }, Other},
 		"another's":     {edit(func(c *Checkpoint) { c.Name = "10.0.0.5:8081" }), nil, Foreign},
 		"days old":      {edit(func(c *Checkpoint) { c.Saved -= 48 * time.Hour.Milliseconds() }), nil, Old},
 		"of tomorrow":   {edit(func(c *Checkpoint) { c.Saved += 24 * time.Hour.Milliseconds() }), nil, Old},
-		"can't be true": {edit(func(c *Checkpoint) { c.Learned.Odds = 3 }), nil, Torn},
+		"can't be true": {edit(func(c *Checkpoint) { c.Learned.HedgeProbability = 3 }), nil, Torn},
 		"no demand":     {edit(func(c *Checkpoint) { c.Demand = -1 }), nil, Torn},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/checkpoint/compat_test.go
+++ b/internal/checkpoint/compat_test.go
@@ -15,8 +15,8 @@
 	var c Checkpoint
 	goldentest.Fill(&c)
 	c.Name, c.Saved, c.Demand = "10.0.0.4:8081", now.Add(-time.Minute).UnixMilli(), 4.5
-	c.Learned.Odds, c.Learned.Lost, c.Learned.Level, c.Learned.Taken = 0.2, 0.01, 0.3, 0.9
-	c.Learned.Servers[0].Weight = 1.5
+	c.Learned.HedgeProbability, c.Learned.LostFraction, c.Learned.ShedLevel, c.Learned.AcceptedFraction = 0.2, 0.01, 0.3, 0.9
+	c.Learned.Servers[0].WeightCorrection = 1.5
 	return c
 }
 
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -31,9 +31,9 @@
 
 // List is a list of servers, or of those that changed.
 type List struct {
-	Index   int64
-	Whole   bool
-	Entries []Entry
+	Index    int64
+	Complete bool
+	Entries  []Entry
 }
 
 // Parse reads a list in discovery's form. An entry that is of no use is left out.
@@ -49,7 +49,7 @@
 	if raw.Index == nil {
 		return nil, errors.New("discovery: a list without index")
 	}
-	l := &List{Index: *raw.Index, Whole: raw.Snapshot, Entries: make([]Entry, 0, len(raw.Endpoints))}
+	l := &List{Index: *raw.Index, Complete: raw.Snapshot, Entries: make([]Entry, 0, len(raw.Endpoints))}
 	for _, r := range raw.Endpoints {
 		e, err := parseEntry(r)
 		if err != nil {
@@ -61,7 +61,7 @@
 	return l, nil
 }
 
-var states = map[string]martendrum.State{"up": martendrum.Serving, "draining": martendrum.Draining, "removed": martendrum.Gone}
+var states = map[string]martendrum.EndpointState{"up": martendrum.Serving, "draining": martendrum.Draining, "removed": martendrum.Removed}
 
 func parseEntry(data []byte) (Entry, error) {
 	var raw struct {
@@ -85,19 +85,19 @@
 	case raw.SinceMs < 0 || raw.SinceMs > math.MaxInt64/1e6:
 		return Entry{}, errors.New("since_ms out of range")
 	}
-	if state != martendrum.Gone {
+	if state != martendrum.Removed {
 		if _, _, err := net.SplitHostPort(raw.Address); err != nil {
 			return Entry{}, err
 		}
 	}
 	return Entry{
 		Endpoint: martendrum.Endpoint{
-			Name:    raw.Name,
-			Zone:    raw.Zone,
-			Group:   raw.Group,
-			Hint:    raw.Weight,
-			Started: time.Duration(raw.SinceMs * float64(time.Millisecond)),
-			State:   state,
+			Name:         raw.Name,
+			Zone:         raw.Zone,
+			Group:        raw.Group,
+			CapacityHint: raw.Weight,
+			Started:      time.Duration(raw.SinceMs * float64(time.Millisecond)),
+			State:        state,
 		},
 		Address: raw.Address,
 	}, nil
@@ -136,10 +136,10 @@
 	w.heard.Store(&now)
 }
 
-// Move follows the list at another address and pace from now on. The watch that is open
+// MoveTo follows the list at another address and pace from now on. The watch that is open
 // ends, and the next one asks for the whole list: versions at the new address
 // need not be those of the old.
-func (w *Watcher) Move(addr string, pace Pace) {
+func (w *Watcher) MoveTo(addr string, pace Pace) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Addr, w.Index, w.Pace = addr, 0, pace
@@ -313,7 +313,7 @@
 		w.mu.Unlock()
 		return net.ErrClosed
 	}
-	if err == nil && !l.Whole && l.Index < w.Index {
+	if err == nil && !l.Complete && l.Index < w.Index {
 		err = fmt.Errorf("discovery: changes of version %d after version %d", l.Index, w.Index)
 	}
 	if err == nil {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -102,11 +102,11 @@
 				{martendrum.Endpoint{Name: "a", State: martendrum.Serving}, "127.0.0.1:1"},
 				{martendrum.Endpoint{Name: "b", State: martendrum.Draining}, "127.0.0.1:2"},
 			}
-			if l.Index != 7 || !l.Whole || !reflect.DeepEqual(l.Entries, want) {
+			if l.Index != 7 || !l.Complete || !reflect.DeepEqual(l.Entries, want) {
 				t.Errorf("the first list was read as %+v", l)
 			}
 			for index := int64(8); index <= 9; index++ {
-				if l := w.next(t, patience); l.Index != index || l.Whole {
+				if l := w.next(t, patience); l.Index != index || l.Complete {
 					t.Errorf("list %d was read as %+v", index, l)
 				}
 			}
@@ -156,7 +156,7 @@
 // A watch that is silent from its first byte, or after its head, is asked anew in time.
 func TestSilentFromTheFirstByte(t *testing.T) {
 	for head, text := range map[string]string{"nothing": "", "a head": answer} {
-		for pace, p := range map[string]Pace{"asked": Asked(), "pushed": Pushed(2 * time.Second)} {
+		for pace, p := range map[string]Pace{"asked": Polled(), "pushed": Pushed(2 * time.Second)} {
 			t.Run(head+", "+pace, func(t *testing.T) {
 				t.Parallel()
 				addr := tcp.Requests(t, func(conn, _ int, c net.Conn, _ *http.Request) bool {
@@ -208,7 +208,7 @@
 				return false
 			})
 			w := &watched{lists: make(chan *List, 100), failed: make(chan error, 100)}
-			w.Watcher = &Watcher{Addr: addr, Pace: Asked(), Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
+			w.Watcher = &Watcher{Addr: addr, Pace: Polled(), Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
 			t.Cleanup(w.Close)
 			go func() { w.failed <- w.Watch() }()
 			w.next(t, patience)
@@ -236,7 +236,7 @@
 		return false
 	})
 	w := &watched{lists: make(chan *List, 100), failed: make(chan error, 100)}
-	w.Watcher = &Watcher{Addr: addr, Pace: Asked(), Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
+	w.Watcher = &Watcher{Addr: addr, Pace: Polled(), Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
 	t.Cleanup(w.Close)
 	go func() { w.failed <- w.Watch() }()
 	w.next(t, patience)
@@ -251,11 +251,11 @@
 		return false
 	})
 	moved := time.Now()
-	w.Move(there, w.Pace)
+	w.MoveTo(there, w.Pace)
 	if l := w.next(t, patience); l.Index != 3 {
 		t.Errorf("after the move: %+v", l)
 	}
-	if took := time.Since(moved); took > Asked().Again {
+	if took := time.Since(moved); took > Polled().Again {
 		t.Errorf("the move was followed after %v", took)
 	}
 }
@@ -323,7 +323,7 @@
 		held(3)(conn, c, r)
 		return false
 	})
-	w.Move(there, w.Pace)
+	w.MoveTo(there, w.Pace)
 	if l := w.next(t, soon); l.Index != 3 {
 		t.Errorf("after the move: %+v", l)
 	}
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -22,10 +22,10 @@
 	Again time.Duration
 }
 
-// Asked is the pace where discovery is one service that works through the calls of all
+// Polled is the pace where discovery is one service that works through the calls of all
 // sidecars in turn: a call may wait as long as the rest leaves it, since one that is given
 // up has cost discovery all the same.
-func Asked() Pace {
+func Polled() Pace {
 	p := Pace{Spread: 400 * time.Millisecond, Back: 500 * time.Millisecond}
 	p.Call = toldMost - toldMargin - silenceMost - p.Spread - p.Back
 	p.First = toldMost - toldMargin - p.Call - p.Back
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -13,7 +13,7 @@
 // Whatever the settings say, the waits of both paces add up to less than the time after
 // which what discovery has counts as told.
 func TestWaitsAddUp(t *testing.T) {
-	asked := Asked()
+	asked := Polled()
 	if w := asked.Worst(); w > toldMost-toldMargin {
 		t.Errorf("asked: %v in all", w)
 	}
@@ -75,12 +75,12 @@
 
 func (a *asker) Send(martendrum.RequestID, string, time.Duration, time.Duration) {}
 func (a *asker) Cancel(martendrum.RequestID, int)                                {}
-func (a *asker) Refuse(martendrum.RequestID, time.Duration)                      {}
+func (a *asker) Reject(martendrum.RequestID, time.Duration)                      {}
 func (a *asker) Fail(martendrum.RequestID)                                       {}
 func (a *asker) CloseIdle(string)                                                {}
 func (a *asker) Probe(string)                                                    {}
 func (a *asker) SetTimer(cookie uint64, after time.Duration) {
-	a.w.at(a.w.now+after, func() { a.b.Timer(a.w.now, cookie) })
+	a.w.at(a.w.now+after, func() { a.b.TimerFired(a.w.now, cookie) })
 }
 
 // Subscribe is one call as a Watcher makes it.
@@ -91,7 +91,7 @@
 		if w.refuses {
 			w.at(w.now, failed)
 		} else {
-			w.at(w.now+Asked().Call, failed)
+			w.at(w.now+Polled().Call, failed)
 		}
 		return
 	}
@@ -99,10 +99,10 @@
 	begins := max(w.now, w.free)
 	switch {
 	case begins-w.now > 2*time.Second:
-		w.at(w.now+min(2*time.Second, Asked().Call), failed)
-	case begins+w.cost-w.now > Asked().Call:
+		w.at(w.now+min(2*time.Second, Polled().Call), failed)
+	case begins+w.cost-w.now > Polled().Call:
 		w.free = begins + w.cost
-		w.at(w.now+Asked().Call, failed)
+		w.at(w.now+Polled().Call, failed)
 	default:
 		w.free = begins + w.cost
 		w.at(w.free, func() {
@@ -123,9 +123,9 @@
 				for seed := range uint64(5) {
 					rng := rand.New(rand.NewPCG(seed, 1))
 					w := &askWorld{back: 20 * time.Second, refuses: refuses, cost: cost}
-					p := Asked()
-					cfg := martendrum.Config{Instances: count, MaxAttempts: 1, Classes: []martendrum.Class{{Aim: time.Second}},
-						AskWithin: p.First * 5 / 4, AskAgain: p.Back}
+					p := Polled()
+					cfg := martendrum.Config{Instances: count, MaxAttempts: 1, Classes: []martendrum.Class{{LatencyObjective: time.Second}},
+						MaxListAge: p.First * 5 / 4, RetryWithin: p.Back}
 					var all []*asker
 					for range count {
 						a := &asker{w: w}
@@ -167,7 +167,7 @@
 // at most, also where the first call of every tenth is lost.
 func TestSecondCallsAreNoStorm(t *testing.T) {
 	const count = 300
-	pace := Asked()
+	pace := Polled()
 	for _, cost := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
 		w := &askWorld{cost: cost}
 		rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/filelock/filelock.go
+++ b/internal/filelock/filelock.go
@@ -22,11 +22,11 @@
 	retryEach = 5 * time.Millisecond
 )
 
-// ErrHeld says that another process, or another open file of this one, holds the lock.
-var ErrHeld = errors.New("filelock: held by another")
+// ErrLocked says that another process, or another open file of this one, holds the lock.
+var ErrLocked = errors.New("filelock: held by another")
 
 // Acquire opens the file, makes it with the given permissions if there is none, and locks
-// it. Where the error is ErrHeld, the file is returned all the same, open and not locked, so
+// it. Where the error is ErrLocked, the file is returned all the same, open and not locked, so
 // that what its holder wrote into it can be read; the caller closes it.
 func Acquire(path string, permissions os.FileMode) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, permissions)
@@ -43,7 +43,7 @@
 			file.Close()
 			return nil, os.NewSyscallError("flock", err)
 		case time.Now().After(until):
-			return file, ErrHeld
+			return file, ErrLocked
 		}
 	}
 }
--- a/internal/filelock/filelock_test.go
+++ b/internal/filelock/filelock_test.go
@@ -89,7 +89,7 @@
 	path := filepath.Join(t.TempDir(), "lock")
 	holder := acquire(t, path)
 	refused, err := Acquire(path, 0o600)
-	if !errors.Is(err, ErrHeld) {
+	if !errors.Is(err, ErrLocked) {
 		t.Fatalf("a lock that is held: %v", err)
 	}
 	refused.Close()
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -75,7 +75,7 @@
 }
 
 func (Processes) Figures(ctx context.Context, door string, pid int, most time.Duration) (*api.Sample, error) {
-	s, err := scrape.Door(ctx, door, most)
+	s, err := scrape.Metrics(ctx, door, most)
 	if err != nil {
 		return nil, err
 	}
@@ -93,8 +93,8 @@
 	releases *release.Dir
 	started  time.Time
 	flock    *os.File
-	rows     []distribution.Row // of the record's settings, until the distribution has begun
-	id       string             // of the state folder, in the name of each launch
+	rows     []distribution.Entry // of the record's settings, until the distribution has begun
+	id       string               // of the state folder, in the name of each launch
 
 	ctx    context.Context
 	cancel context.CancelFunc
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/agent/config.go
@@ -153,7 +153,7 @@
 	for n := range c.Instances {
 		paths = append(paths, &c.Instances[n].Config, &c.Instances[n].Record)
 	}
-	if err := units.Beside(path, paths...); err != nil {
+	if err := units.ResolvePaths(path, paths...); err != nil {
 		return nil, err
 	}
 	if c.Relay != nil {
@@ -231,8 +231,8 @@
 		return fmt.Errorf("tls: ca, cert and key are needed for listen.tls; `martendrum ca` makes them")
 	case c.Listen.PlainRole != api.View && c.Listen.PlainRole != api.Operate:
 		return fmt.Errorf("listen.plain_role: %q; want %q or %q", c.Listen.PlainRole, api.View, api.Operate)
-	case time.Duration(l.KillAfter) < life.KillLeast:
-		return fmt.Errorf("limits.kill_after: %v; a sidecar may need %v from SIGTERM to its last answer", time.Duration(l.KillAfter), life.KillLeast)
+	case time.Duration(l.KillAfter) < life.MinKillDelay:
+		return fmt.Errorf("limits.kill_after: %v; a sidecar may need %v from SIGTERM to its last answer", time.Duration(l.KillAfter), life.MinKillDelay)
 	case l.HealthEach < units.Duration(50*time.Millisecond):
 		return fmt.Errorf("limits.health_each: %v; 50ms at least", time.Duration(l.HealthEach))
 	case l.BackoffMin <= 0 || l.BackoffMax < l.BackoffMin:
--- a/internal/fleet/agent/figures.go
+++ b/internal/fleet/agent/figures.go
@@ -78,7 +78,7 @@
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		if w, ok := d.Next(s.Judged(0, names), 0); ok {
+		if w, ok := d.Next(s.CanarySample(0, names), 0); ok {
 			out = append(out, w)
 		}
 	}
@@ -237,10 +237,10 @@
 }
 
 // figures answers with samples, the earliest first.
-func (a *Agent) figures(_ context.Context, _ *caller, in *api.FiguresIn) (any, error) {
+func (a *Agent) figures(_ context.Context, _ *caller, in *api.MetricsIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := &api.FiguresOut{Slot: time.Duration(a.cfg.Figures.Slot), Now: time.Now(), Last: a.boundary}
+	out := &api.MetricsOut{Slot: time.Duration(a.cfg.Figures.Slot), Now: time.Now(), Last: a.boundary}
 	for _, name := range a.names {
 		ss := a.inst[name].ring.samples
 		at, _ := slices.BinarySearchFunc(ss, in.After+1, func(s api.Sample, b int64) int { return cmp.Compare(s.Boundary, b) })
@@ -248,8 +248,8 @@
 	}
 	slices.SortStableFunc(out.Samples, func(x, y api.Sample) int { return cmp.Compare(x.Boundary, y.Boundary) })
 	most := figuresMost
-	if in.Most > 0 {
-		most = min(most, in.Most)
+	if in.Limit > 0 {
+		most = min(most, in.Limit)
 	}
 	if len(out.Samples) > most {
 		// Whole boundaries only, so that the next call goes on behind them.
@@ -283,8 +283,8 @@
 	switch {
 	case o.State != api.OpOpened:
 		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.cfg.Name)
-	case len(in.Note.Log) > api.VerdictsMost:
-		return nil, api.Errorf(api.BadParams, "%d verdicts in a note; %d at most", len(in.Note.Log), api.VerdictsMost)
+	case len(in.Note.Log) > api.MaxVerdicts:
+		return nil, api.Errorf(api.InvalidParams, "%d verdicts in a note; %d at most", len(in.Note.Log), api.MaxVerdicts)
 	case o.Note != nil && o.Note.Number >= in.Note.Number:
 		return a.opOut(o), nil // told before, or by a holder that went further
 	}
@@ -328,7 +328,7 @@
 		return
 	}
 	phase := i.life.Phase()
-	own := judge.Own{
+	own := judge.LocalHealth{
 		Crashing: phase == life.Crashloop || phase == life.Backoff,
 		Unready:  phase == life.Unready && now.Sub(i.life.Since()) > coarseUnready,
 		Limit:    uint64(i.cfg.memory) << 20,
--- a/internal/fleet/agent/figures_test.go
+++ b/internal/fleet/agent/figures_test.go
@@ -13,7 +13,7 @@
 
 func sample(instance string, boundary int64) api.Sample {
 	return api.Sample{Instance: instance, Boundary: boundary, At: time.Unix(10*boundary, 0), Process: "p", Release: "r",
-		Classes: map[string]judge.Counts{"activate": {Served: uint32(boundary)}}, Tries: uint32(boundary)}
+		Classes: map[string]judge.Counts{"activate": {Served: uint32(boundary)}}, Attempts: uint32(boundary)}
 }
 
 // Samples come back after a restart, in order, up to a torn tail; the files stay
--- a/internal/fleet/agent/instance.go
+++ b/internal/fleet/agent/instance.go
@@ -43,7 +43,7 @@
 	wake chan struct{}
 
 	row    store.Instance
-	life   *life.Life
+	life   *life.Supervisor
 	proc   *Process
 	step   *api.Step // under way, nil for none
 	dirty  bool      // the record may lack its row or steps
@@ -94,7 +94,7 @@
 			i.life.Adopt(now, i.gone)
 			i.life.Exited(now, i.row.LastExit)
 		}
-		i.life.Beside(a.beside(i))
+		i.life.SetSideBySide(a.beside(i))
 		kinds := i.life.Want(now, i.row.Desired == api.Running, i.row.Generation)
 		if i.late != "" {
 			kinds = append(kinds, i.life.GiveUp(now, i.late)...)
@@ -448,7 +448,7 @@
 		}
 	case l.Process() != 0 && l.Old() == 0 && failed == s.Generation && failed != l.Process():
 		// What serves is what is wanted now: a restart of the agent must not try again.
-		l.Keep()
+		l.KeepPrevious()
 		i.row.Process, i.row.Release, i.row.Previous = i.row.Generation, s.From, s.Before
 		a.end(i, s, false, "the new process failed and the one before it serves on: "+how)
 	case l.Process() == s.Generation && l.Phase() == life.Ready:
@@ -476,7 +476,7 @@
 // end ends a step.
 func (a *Agent) end(i *instance, s *api.Step, ok bool, reason string) {
 	next := *s
-	next.Status, next.Reason, next.Ended = api.StepFailed, reason, time.Now()
+	next.Status, next.Reason, next.Finished = api.StepFailed, reason, time.Now()
 	if ok {
 		next.Status = api.StepOK
 	}
@@ -576,10 +576,10 @@
 		Release: i.row.Release, Running: i.row.Running, Previous: i.row.Previous,
 		Generation: i.row.Generation, Process: i.row.Process, PID: i.row.PID,
 		Launched: i.row.Launched, Since: i.life.Since(), Restarts: i.row.Restarts, LastExit: i.row.LastExit,
-		Record: i.record, Door: i.cfg.door, Rate: i.ring.rate(),
+		Record: i.record, AdminAddress: i.cfg.door, Rate: i.ring.rate(),
 	}
 	if l := a.leases.ByInstance[i.cfg.Name]; l.Live(time.Now()) {
-		out.Holder = l.Holder
+		out.LeaseHolder = l.Holder
 	}
 	for _, o := range a.ops {
 		if o.State != api.OpClosed && a.targets(&o.Operation, i.cfg.Name) {
--- a/internal/fleet/agent/load.go
+++ b/internal/fleet/agent/load.go
@@ -60,7 +60,7 @@
 	}
 	lock := filepath.Join(a.cfg.StateDir, "agent.lock")
 	a.flock, err = filelock.Acquire(lock, 0o640)
-	if errors.Is(err, filelock.ErrHeld) {
+	if errors.Is(err, filelock.ErrLocked) {
 		return fmt.Errorf("%s: another agent uses this state_dir: %w", lock, err)
 	}
 	if err != nil {
@@ -104,7 +104,7 @@
 	limits := life.Config{
 		KillAfter:  time.Duration(a.cfg.Limits.KillAfter),
 		BackoffMin: time.Duration(a.cfg.Limits.BackoffMin), BackoffMax: time.Duration(a.cfg.Limits.BackoffMax),
-		CrashMost: a.cfg.Limits.CrashMost, CrashWithin: time.Duration(a.cfg.Limits.CrashWithin),
+		MaxCrashes: a.cfg.Limits.CrashMost, CrashWithin: time.Duration(a.cfg.Limits.CrashWithin),
 	}
 	for _, c := range a.cfg.Instances {
 		row, known := rows[c.Name]
@@ -149,7 +149,7 @@
 			i.step = s
 			continue
 		}
-		s.Status, s.Reason, s.Ended = api.StepFailed, "the instance was taken out of the agent's configuration", now
+		s.Status, s.Reason, s.Finished = api.StepFailed, "the instance was taken out of the agent's configuration", now
 		begin.Steps = append(begin.Steps, *s)
 	}
 }
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -177,11 +177,11 @@
 		var in [1]In
 		var count []msgpack.RawMessage
 		if err := msgpack.Unmarshal(params, &count); err != nil || len(count) > 1 {
-			return nil, api.Errorf(api.BadParams, "%d parameters; want one, a map", len(count))
+			return nil, api.Errorf(api.InvalidParams, "%d parameters; want one, a map", len(count))
 		}
 		if len(count) == 1 {
 			if err := msgpack.Unmarshal(count[0], &in[0]); err != nil {
-				return nil, api.Errorf(api.BadParams, "parameter of %s: %v", reflect.TypeFor[In]().Name(), err)
+				return nil, api.Errorf(api.InvalidParams, "parameter of %s: %v", reflect.TypeFor[In]().Name(), err)
 			}
 		}
 		return f(a, ctx, c, &in[0])
@@ -208,7 +208,7 @@
 		api.OpAbort:      typed(api.Operate, (*Agent).opAbort),
 		api.StepStart:    typed(api.Operate, (*Agent).stepStart),
 		api.OpNote:       typed(api.Operate, (*Agent).opNote),
-		api.Figures:      typed(api.View, (*Agent).figures),
+		api.Metrics:      typed(api.View, (*Agent).figures),
 
 		api.SettingsPut:     typed(api.Operate, (*Agent).settingsPut),
 		api.SettingsPromote: typed(api.Operate, (*Agent).settingsPromote),
@@ -251,7 +251,7 @@
 
 func (a *Agent) hello(_ context.Context, c *caller, in *api.HelloIn) (any, error) {
 	if in.Oldest > api.Version || in.Version < api.Oldest {
-		return nil, api.Errorf(api.BadVersion, "agent %s speaks versions %d to %d and you %d to %d: use a martendrum of its age, or upgrade the agent",
+		return nil, api.Errorf(api.UnsupportedVersion, "agent %s speaks versions %d to %d and you %d to %d: use a martendrum of its age, or upgrade the agent",
 			a.cfg.Name, api.Oldest, api.Version, in.Oldest, in.Version)
 	}
 	a.mu.Lock()
@@ -310,14 +310,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if in.Most <= 0 || in.Most > logsMost {
-		in.Most = logsMost
+	if in.Limit <= 0 || in.Limit > logsMost {
+		in.Limit = logsMost
 	}
-	b, next, err := readTail(a.logPath(in.Instance), max(in.Offset, -logsMost), in.Most)
+	b, next, err := readTail(a.logPath(in.Instance), max(in.Offset, -logsMost), in.Limit)
 	return &api.LogsOut{Data: b, Next: next}, err
 }
 
 func (a *Agent) audit(ctx context.Context, _ *caller, in *api.AuditIn) (any, error) {
-	es, err := a.store.Audit(ctx, max(1, min(in.Most, 1000)))
+	es, err := a.store.Audit(ctx, max(1, min(in.Limit, 1000)))
 	return &api.AuditOut{Entries: es}, err
 }
--- a/internal/fleet/agent/serve_operations.go
+++ b/internal/fleet/agent/serve_operations.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if len(out) == 0 {
-		return nil, api.Errorf(api.BadParams, "operation %s has no instance at agent %s", o.ID, a.cfg.Name)
+		return nil, api.Errorf(api.InvalidParams, "operation %s has no instance at agent %s", o.ID, a.cfg.Name)
 	}
 	return out, nil
 }
@@ -41,28 +41,28 @@
 func (a *Agent) opOpen(_ context.Context, c *caller, in *api.OpenIn) (any, error) {
 	o := &in.Operation
 	switch {
-	case o.ID == "" || len(o.ID) > 64 || in.Holder == "" || len(in.Holder) > 200:
-		return nil, api.Errorf(api.BadParams, "operation and holder need names")
+	case o.ID == "" || len(o.ID) > 64 || in.LeaseHolder == "" || len(in.LeaseHolder) > 200:
+		return nil, api.Errorf(api.InvalidParams, "operation and holder need names")
 	case !slices.Contains([]string{api.ActStart, api.ActStop, api.ActDrain, api.ActUndrain, api.ActRestart, api.ActReload, api.ActUpgrade, api.ActRollback, api.ActSettings}, o.Action):
-		return nil, api.Errorf(api.BadParams, "unknown action %q", o.Action)
+		return nil, api.Errorf(api.InvalidParams, "unknown action %q", o.Action)
 	case len(o.Targets) > targetsMost:
-		return nil, api.Errorf(api.BadParams, "%d targets; %d at most", len(o.Targets), targetsMost)
+		return nil, api.Errorf(api.InvalidParams, "%d targets; %d at most", len(o.Targets), targetsMost)
 	case o.Ready <= 0 || o.Soak < 0 || o.Ready > time.Hour || o.Soak > time.Hour:
-		return nil, api.Errorf(api.BadParams, "ready %v, soak %v; want above 0, 0 or more, and an hour at most", o.Ready, o.Soak)
+		return nil, api.Errorf(api.InvalidParams, "ready %v, soak %v; want above 0, 0 or more, and an hour at most", o.Ready, o.Soak)
 	}
 	if err := rollout.Check(o.Policy, len(o.Targets)); err != nil {
-		return nil, api.Errorf(api.BadParams, "%v", err)
+		return nil, api.Errorf(api.InvalidParams, "%v", err)
 	}
 	if s := o.Staged; s != nil {
 		if err := errors.Join(s.Plan.Check(len(o.Targets)), s.Judge.Check()); err != nil {
-			return nil, api.Errorf(api.BadParams, "%v", err)
+			return nil, api.Errorf(api.InvalidParams, "%v", err)
 		}
 		if slot := time.Duration(a.cfg.Figures.Slot); s.Judge.Slot != slot {
-			return nil, api.Errorf(api.BadParams, "agent %s takes figures each %v and operation %s is judged each %v: set figures.slot alike at all hosts", a.cfg.Name, slot, o.ID, s.Judge.Slot)
+			return nil, api.Errorf(api.InvalidParams, "agent %s takes figures each %v and operation %s is judged each %v: set figures.slot alike at all hosts", a.cfg.Name, slot, o.ID, s.Judge.Slot)
 		}
 	}
 	if len(o.Places) != 0 && len(o.Places) != len(o.Targets) {
-		return nil, api.Errorf(api.BadParams, "%d places of %d targets", len(o.Places), len(o.Targets))
+		return nil, api.Errorf(api.InvalidParams, "%d places of %d targets", len(o.Places), len(o.Targets))
 	}
 	if o.Action == api.ActUpgrade || o.Action == api.ActSettings {
 		if err := a.releases.Verify(o.Release); err != nil {
@@ -78,7 +78,7 @@
 	defer a.mu.Unlock()
 	if how, _ := a.returning(); how != "" {
 		e := &api.ReturningError{Host: a.cfg.Name, How: how}
-		return nil, api.Errorf(api.Held, "%v: %s", e, e.Advice())
+		return nil, api.Errorf(api.LeaseHeld, "%v: %s", e, e.Advice())
 	}
 	have := a.ops[o.ID]
 	if have != nil {
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	now := time.Now()
-	ls, err := a.leases.Acquire(now, o.ID, in.Holder, names, in.TTL, func(name string) string {
+	ls, err := a.leases.Acquire(now, o.ID, in.LeaseHolder, names, in.TTL, func(name string) string {
 		for _, x := range a.ops {
 			if x.ID != o.ID && x.State != api.OpClosed && a.targets(&x.Operation, name) {
 				return fmt.Sprintf("operation %s (%s by %s) is %s on it; `martendrum resume %s` or `martendrum abort %s` first", x.ID, x.Action, x.Operator, x.State, x.ID, x.ID)
@@ -101,18 +101,18 @@
 		return ""
 	})
 	if lost, ok := errors.AsType[*lease.LostError](err); ok {
-		return nil, api.Errorf(api.Held, "agent %s: %v: %s", a.cfg.Name, lost, lost.Advice())
+		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v: %s", a.cfg.Name, lost, lost.Advice())
 	}
 	if held, ok := errors.AsType[*lease.HeldError](err); ok {
-		return nil, api.Errorf(api.Held, "agent %s: %v", a.cfg.Name, held)
+		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v", a.cfg.Name, held)
 	}
 	if err != nil {
-		return nil, api.Errorf(api.BadParams, "%v", err)
+		return nil, api.Errorf(api.InvalidParams, "%v", err)
 	}
 	next := store.Operation{Operation: *o, State: api.OpOpened}
 	if err := a.commit(&store.Change{
 		Operations: []store.Operation{next}, Leases: ls,
-		Audit: []api.AuditEntry{{At: now, Who: c.who, What: "op.open " + o.Action, Target: o.ID, Result: fmt.Sprintf("token %d for %s", ls[0].Token, in.Holder)}},
+		Audit: []api.AuditEntry{{At: now, Who: c.who, What: "op.open " + o.Action, Target: o.ID, Result: fmt.Sprintf("token %d for %s", ls[0].Token, in.LeaseHolder)}},
 	}); err != nil {
 		return nil, err
 	}
@@ -141,10 +141,10 @@
 		return nil // it was asked when it began
 	}
 	for before, use := range uses {
-		old := neighbour.Ask(a.ctx, a.releases.Path(before, release.Sidecar))
-		now := neighbour.Ask(a.ctx, a.releases.Path(o.Release, release.Sidecar))
+		old := neighbour.Query(a.ctx, a.releases.Path(before, release.Sidecar))
+		now := neighbour.Query(a.ctx, a.releases.Path(o.Release, release.Sidecar))
 		if err := neighbour.Check(old, now, use); err != nil {
-			return api.Errorf(api.BadRelease, "agent %s: release %.12s may not run beside %.12s: %v", a.cfg.Name, o.Release, before, err)
+			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run beside %.12s: %v", a.cfg.Name, o.Release, before, err)
 		}
 	}
 	return nil
@@ -186,7 +186,7 @@
 		}
 	}
 	if a.busy(o.ID) {
-		return nil, api.Errorf(api.Held, "a step of operation %s is under way at agent %s", o.ID, a.cfg.Name)
+		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is under way at agent %s", o.ID, a.cfg.Name)
 	}
 	if err := a.closeOp(o, in.Result, c.who); err != nil {
 		return nil, err
@@ -220,7 +220,7 @@
 	out := &api.OpOut{Operation: o.Operation, State: o.State, Result: o.Result, Change: a.change, Now: now}
 	for _, l := range a.leases.ByInstance {
 		if l.Op == o.ID && l.Live(now) {
-			out.Holder, out.Expires = l.Holder, l.Expires
+			out.LeaseHolder, out.Expires = l.Holder, l.Expires
 		}
 	}
 	for _, name := range a.names {
@@ -298,7 +298,7 @@
 		return a.fenced(err)
 	}
 	if err != nil {
-		return api.Errorf(api.BadParams, "%v", err)
+		return api.Errorf(api.InvalidParams, "%v", err)
 	}
 	if a.leases.ByInstance[names[0]].Expires.Sub(now) > in.TTL*2/3 {
 		return nil
--- a/internal/fleet/agent/serve_releases.go
+++ b/internal/fleet/agent/serve_releases.go
@@ -10,7 +10,7 @@
 
 func (a *Agent) releaseStat(_ context.Context, _ *caller, in *api.ReleaseIn) (any, error) {
 	if !release.Valid(in.Release) {
-		return nil, api.Errorf(api.BadParams, "%q is no release's hash", in.Release)
+		return nil, api.Errorf(api.InvalidParams, "%q is no release's hash", in.Release)
 	}
 	out := &api.ReleaseOut{}
 	out.Have, out.Sidecar, out.Overlay = a.releases.Have(in.Release)
@@ -19,14 +19,14 @@
 
 func (a *Agent) releaseWrite(ctx context.Context, c *caller, in *api.ChunkIn) (any, error) {
 	if err := a.releases.Write(in.Release, in.File, in.Offset, in.Data); err != nil {
-		return nil, api.Errorf(api.BadRelease, "agent %s: %v", a.cfg.Name, err)
+		return nil, api.Errorf(api.InvalidRelease, "agent %s: %v", a.cfg.Name, err)
 	}
 	return a.releaseStat(ctx, c, &api.ReleaseIn{Release: in.Release})
 }
 
 func (a *Agent) releaseDone(ctx context.Context, c *caller, in *api.ReleaseIn) (any, error) {
 	if err := a.releases.Done(in.Release); err != nil {
-		return nil, api.Errorf(api.BadRelease, "agent %s: %v", a.cfg.Name, err)
+		return nil, api.Errorf(api.InvalidRelease, "agent %s: %v", a.cfg.Name, err)
 	}
 	return a.releaseStat(ctx, c, in)
 }
@@ -36,7 +36,7 @@
 
 func (a *Agent) releaseRead(_ context.Context, _ *caller, in *api.ReadIn) (any, error) {
 	if !release.Valid(in.Release) || in.File != release.Sidecar && in.File != release.Overlay || in.Offset < 0 {
-		return nil, api.Errorf(api.BadParams, "%q of release %q from %d: no such piece", in.File, in.Release, in.Offset)
+		return nil, api.Errorf(api.InvalidParams, "%q of release %q from %d: no such piece", in.File, in.Release, in.Offset)
 	}
 	f, err := os.Open(a.releases.Path(in.Release, in.File))
 	if err != nil {
--- a/internal/fleet/agent/serve_settings.go
+++ b/internal/fleet/agent/serve_settings.go
@@ -46,7 +46,7 @@
 	in.Author = fmt.Sprintf("%.200s", c.who)
 	out, err := relay.Put(*in)
 	if err != nil {
-		return nil, node.Refusal(err)
+		return nil, node.RejectionReason(err)
 	}
 	if out.Changed {
 		a.auditSettings(c, "settings.put", in.Name, out.Resource.Revision.String())
@@ -61,7 +61,7 @@
 	}
 	out, err := relay.Promote()
 	if err != nil {
-		return nil, node.Refusal(err)
+		return nil, node.RejectionReason(err)
 	}
 	a.auditSettings(c, "settings.promote", a.cfg.Name, fmt.Sprint("epoch ", out.Epoch))
 	return out, nil
@@ -101,14 +101,14 @@
 	}
 	if in.Interest != nil {
 		if in.Interest.Host != in.Host {
-			return nil, api.Errorf(api.BadParams, "an interest of host %q for %q", in.Interest.Host, in.Host)
+			return nil, api.Errorf(api.InvalidParams, "an interest of host %q for %q", in.Interest.Host, in.Host)
 		}
 		if err := in.Interest.Check(); err != nil {
-			return nil, node.Refusal(err)
+			return nil, node.RejectionReason(err)
 		}
 	}
 	out, err := relay.Watch(ctx, in)
-	return out, node.Refusal(err)
+	return out, node.RejectionReason(err)
 }
 
 func (a *Agent) settingsAck(_ context.Context, c *caller, in *api.SettingsAckIn) (any, error) {
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	out, err := relay.Follow(ctx, in)
-	return out, node.Refusal(err)
+	return out, node.RejectionReason(err)
 }
 
 func (a *Agent) settingsReport(_ context.Context, c *caller, in *api.SettingsReportIn) (any, error) {
@@ -144,7 +144,7 @@
 		return nil, err
 	}
 	out, err := relay.Report(in)
-	return out, node.Refusal(err)
+	return out, node.RejectionReason(err)
 }
 
 func (a *Agent) settingsWriting(_ context.Context, c *caller, in *api.SettingsWriter) (any, error) {
@@ -158,5 +158,5 @@
 		}
 	}
 	out, err := relay.Learn(*in)
-	return out, node.Refusal(err)
+	return out, node.RejectionReason(err)
 }
--- a/internal/fleet/agent/settings.go
+++ b/internal/fleet/agent/settings.go
@@ -45,7 +45,7 @@
 
 // startDistribution begins to serve and to follow settings as the configuration says. rows
 // are those of the record.
-func (a *Agent) startDistribution(rows []distribution.Row) error {
+func (a *Agent) startDistribution(rows []distribution.Entry) error {
 	if a.cfg.Relay != nil {
 		if err := a.startRelay(rows); err != nil {
 			return err
@@ -57,7 +57,7 @@
 	return a.startSubscriber(rows)
 }
 
-func (a *Agent) startRelay(rows []distribution.Row) error {
+func (a *Agent) startRelay(rows []distribution.Entry) error {
 	dial, err := a.relayDialer()
 	if err != nil {
 		return err
@@ -71,7 +71,7 @@
 	return err
 }
 
-func (a *Agent) startSubscriber(rows []distribution.Row) error {
+func (a *Agent) startSubscriber(rows []distribution.Entry) error {
 	interest := a.interest()
 	replica, err := distribution.RestoreReplica(interest, rows)
 	if err != nil {
@@ -191,7 +191,7 @@
 	state := distribution.HostState{Received: received, Applied: received, Settled: true}
 	for _, name := range a.names {
 		i := a.inst[name]
-		state.Refused = append(state.Refused, i.applier.Refused()...)
+		state.Rejections = append(state.Rejections, i.applier.Rejections()...)
 		if !i.applier.Pending() {
 			i.settledAt = received
 		}
@@ -325,7 +325,7 @@
 func (a *Agent) endAttempt(i *instance, accepted bool, reason string) {
 	i.attempt, i.attemptCrashes = nil, 0
 	i.applier.Done(accepted, reason)
-	if a.commit(&store.Change{Settings: []distribution.Row{i.applier.Row()}}) != nil {
+	if a.commit(&store.Change{Settings: []distribution.Entry{i.applier.Entry()}}) != nil {
 		i.dirty = true // written again with its row
 	}
 	a.settings.subscriber.Changed()
@@ -349,7 +349,7 @@
 func (i *instance) programStarted(release string, now time.Time) {
 	before := i.program
 	i.program = release
-	if i.applier == nil || before == "" || before == release || len(i.applier.Refused()) == 0 {
+	if i.applier == nil || before == "" || before == release || len(i.applier.Rejections()) == 0 {
 		return
 	}
 	i.applier.Forgive(now)
@@ -357,11 +357,11 @@
 }
 
 // settingsRows are an instance's rows of the distribution; the lock is held.
-func (i *instance) settingsRows() []distribution.Row {
+func (i *instance) settingsRows() []distribution.Entry {
 	if i.applier == nil {
 		return nil
 	}
-	return []distribution.Row{i.applier.Row()}
+	return []distribution.Entry{i.applier.Entry()}
 }
 
 // instanceSettings is what inspect tells of an instance's distributed settings; the lock is
@@ -370,7 +370,7 @@
 	if i.applier == nil {
 		return nil
 	}
-	out := &api.InstanceSettings{Received: a.settings.replica.Revision(), Relay: a.settings.subscriber.Relay(), Refused: i.applier.Refused()}
+	out := &api.InstanceSettings{Received: a.settings.replica.Revision(), Relay: a.settings.subscriber.Relay(), Refused: i.applier.Rejections()}
 	for _, resource := range i.applier.Accepted() {
 		out.Accepted = append(out.Accepted, api.AcceptedSettings{Name: resource.Name, Revision: resource.Revision})
 	}
--- a/internal/fleet/agent/step.go
+++ b/internal/fleet/agent/step.go
@@ -27,9 +27,9 @@
 	}
 	switch {
 	case !a.targets(&o.Operation, in.Instance):
-		return nil, api.Errorf(api.BadParams, "%s is no instance of operation %s", in.Instance, o.ID)
+		return nil, api.Errorf(api.InvalidParams, "%s is no instance of operation %s", in.Instance, o.ID)
 	case in.Kind != api.Change && in.Kind != api.Rollback:
-		return nil, api.Errorf(api.BadParams, "kind %q; want %q or %q", in.Kind, api.Change, api.Rollback)
+		return nil, api.Errorf(api.InvalidParams, "kind %q; want %q or %q", in.Kind, api.Change, api.Rollback)
 	}
 	if err := a.fenced(a.leases.Check(time.Now(), o.ID, in.Token, in.Instance)); err != nil {
 		return nil, err
@@ -48,14 +48,14 @@
 	case o.State != api.OpOpened:
 		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.cfg.Name)
 	case i.step != nil:
-		return nil, api.Errorf(api.Held, "a step of operation %s is under way on %s", i.step.Op, name)
+		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is under way on %s", i.step.Op, name)
 	}
 	s := &api.Step{Op: o.ID, Instance: name, Kind: kind, Action: o.Action, Status: api.StepRunning, Cause: reason,
 		From: i.row.Release, To: i.row.Release, Before: i.row.Previous, Ready: o.Ready, Soak: o.Soak, Started: now, Token: token}
 	row, verdict, ok := a.plan(i, o, s)
 	s.Generation = row.Generation
 	if verdict != "" || ok {
-		s.Status, s.Reason, s.Ended = api.StepOK, verdict, now
+		s.Status, s.Reason, s.Finished = api.StepOK, verdict, now
 		if !ok {
 			s.Status = api.StepFailed
 		}
--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -37,7 +37,7 @@
 	OpList       = "op.list"       // Empty, OpsOut
 	OpNote       = "op.note"       // NoteIn, OpOut
 	StepStart    = "step.start"    // StepIn, Step
-	Figures      = "figures"       // FiguresIn, FiguresOut
+	Metrics      = "figures"       // MetricsIn, MetricsOut
 )
 
 // Roles of a caller. Operate includes View.
@@ -48,20 +48,20 @@
 
 // Codes of errors.
 const (
-	BadParams   = "bad_params"
-	BadVersion  = "bad_version"
-	NoMethod    = "no_such_method"
-	NoInstance  = "no_such_instance"
-	NoOperation = "no_such_operation"
-	NoRelease   = "no_such_release"
-	BadRelease  = "bad_release"
-	Forbidden   = "forbidden"
-	Held        = "held"       // another holds the lease, or an operation is open
-	Fenced      = "fenced"     // the caller's token is not, or no longer, the lease's
-	Closed      = "closed"     // the operation has ended or is to end
-	Unwritable  = "unwritable" // the record can't be written; nothing was touched
-	Internal    = "internal"
-	NotWelcomed = "hello_first"
+	InvalidParams      = "bad_params"
+	UnsupportedVersion = "bad_version"
+	NoMethod           = "no_such_method"
+	NoInstance         = "no_such_instance"
+	NoOperation        = "no_such_operation"
+	NoRelease          = "no_such_release"
+	InvalidRelease     = "bad_release"
+	Forbidden          = "forbidden"
+	LeaseHeld          = "held"       // another holds the lease, or an operation is open
+	Fenced             = "fenced"     // the caller's token is not, or no longer, the lease's
+	Closed             = "closed"     // the operation has ended or is to end
+	Unwritable         = "unwritable" // the record can't be written; nothing was touched
+	Internal           = "internal"
+	NotWelcomed        = "hello_first"
 )
 
 // Error is an error on the wire.
@@ -160,19 +160,19 @@
 	Release string            `msgpack:"release" json:"release"`           // desired
 	Running string            `msgpack:"running" json:"running,omitempty"` // of the process
 	// Generation is the launch that is wanted, Process that of the running process.
-	Generation int64     `msgpack:"generation" json:"generation"`
-	Process    int64     `msgpack:"process" json:"process,omitempty"`
-	Previous   string    `msgpack:"previous" json:"previous,omitempty"`
-	PID        int       `msgpack:"pid" json:"pid,omitempty"`
-	Launched   time.Time `msgpack:"launched" json:"launched,omitzero"`
-	Since      time.Time `msgpack:"since" json:"since"` // of State
-	Restarts   int64     `msgpack:"restarts" json:"restarts"`
-	LastExit   string    `msgpack:"last_exit" json:"last_exit,omitempty"`
-	Record     string    `msgpack:"record,omitempty" json:"record,omitempty"` // how its store of record does, by its own word
-	Door       string    `msgpack:"door,omitempty" json:"door,omitempty"`     // where its operators' door is, "" for none
-	Rate       float64   `msgpack:"rate,omitempty" json:"rate,omitempty"`     // requests a second, of late
-	Operation  string    `msgpack:"operation" json:"operation,omitempty"`     // open on it
-	Holder     string    `msgpack:"holder" json:"holder,omitempty"`           // of a live lease
+	Generation   int64     `msgpack:"generation" json:"generation"`
+	Process      int64     `msgpack:"process" json:"process,omitempty"`
+	Previous     string    `msgpack:"previous" json:"previous,omitempty"`
+	PID          int       `msgpack:"pid" json:"pid,omitempty"`
+	Launched     time.Time `msgpack:"launched" json:"launched,omitzero"`
+	Since        time.Time `msgpack:"since" json:"since"` // of State
+	Restarts     int64     `msgpack:"restarts" json:"restarts"`
+	LastExit     string    `msgpack:"last_exit" json:"last_exit,omitempty"`
+	Record       string    `msgpack:"record,omitempty" json:"record,omitempty"` // how its store of record does, by its own word
+	AdminAddress string    `msgpack:"door,omitempty" json:"door,omitempty"`     // where its operators' door is, "" for none
+	Rate         float64   `msgpack:"rate,omitempty" json:"rate,omitempty"`     // requests a second, of late
+	Operation    string    `msgpack:"operation" json:"operation,omitempty"`     // open on it
+	LeaseHolder  string    `msgpack:"holder" json:"holder,omitempty"`           // of a live lease
 }
 
 type ListOut struct {
@@ -202,7 +202,7 @@
 type LogsIn struct {
 	Instance string `msgpack:"instance"`
 	Offset   int64  `msgpack:"offset"` // negative: so many bytes from the end
-	Most     int    `msgpack:"most"`
+	Limit    int    `msgpack:"most"`
 }
 
 type LogsOut struct {
@@ -211,7 +211,7 @@
 }
 
 type AuditIn struct {
-	Most int `msgpack:"most"`
+	Limit int `msgpack:"most"`
 }
 
 type AuditEntry struct {
@@ -302,11 +302,11 @@
 	By     string      `msgpack:"by" json:"by"`
 	State  stage.State `msgpack:"state" json:"state"`
 	Start  int         `msgpack:"start" json:"start"` // slot at which the first stage began
-	Log    []Verdict   `msgpack:"log" json:"log"`     // the latest last, VerdictsMost of them
+	Log    []Verdict   `msgpack:"log" json:"log"`     // the latest last, MaxVerdicts of them
 }
 
-// VerdictsMost is how many verdicts a note keeps.
-const VerdictsMost = 64
+// MaxVerdicts is how many verdicts a note keeps.
+const MaxVerdicts = 64
 
 // Verdict is one change of what was known, for the report.
 type Verdict struct {
@@ -338,9 +338,9 @@
 
 // OpenIn asks for an operation's instances at this agent, at its begin or to go on.
 type OpenIn struct {
-	Operation Operation     `msgpack:"operation"`
-	Holder    string        `msgpack:"holder"` // one run of a command; new for each
-	TTL       time.Duration `msgpack:"ttl"`
+	Operation   Operation     `msgpack:"operation"`
+	LeaseHolder string        `msgpack:"holder"` // one run of a command; new for each
+	TTL         time.Duration `msgpack:"ttl"`
 }
 
 type OpenOut struct {
@@ -371,7 +371,7 @@
 	Ready      time.Duration `msgpack:"ready" json:"ready"`
 	Soak       time.Duration `msgpack:"soak" json:"soak"`
 	Started    time.Time     `msgpack:"started" json:"started"`
-	Ended      time.Time     `msgpack:"ended" json:"ended,omitzero"`
+	Finished   time.Time     `msgpack:"ended" json:"ended,omitzero"`
 	Token      int64         `msgpack:"token" json:"token"`
 }
 
@@ -388,15 +388,15 @@
 	Note  Note   `msgpack:"note"`
 }
 
-// FiguresIn asks for what an agent's instances counted at the boundaries of slots
+// MetricsIn asks for what an agent's instances counted at the boundaries of slots
 // of its own length, from After on (a boundary's number, Unix time over the
 // length), the earliest first.
-type FiguresIn struct {
+type MetricsIn struct {
 	After int64 `msgpack:"after"`
-	Most  int   `msgpack:"most"` // samples; 0: as many as a message holds
+	Limit int   `msgpack:"most"` // samples; 0: as many as a message holds
 }
 
-type FiguresOut struct {
+type MetricsOut struct {
 	Slot    time.Duration `msgpack:"slot"` // 0: this agent takes no figures
 	Now     time.Time     `msgpack:"now"`
 	Last    int64         `msgpack:"last"` // the latest boundary that is whole
@@ -412,9 +412,9 @@
 	Release  string                  `msgpack:"r"`
 	Started  time.Time               `msgpack:"s"`
 	Classes  map[string]judge.Counts `msgpack:"c"`
-	Tries    uint32                  `msgpack:"n"`
-	Ended    uint32                  `msgpack:"e"`
-	Declined uint32                  `msgpack:"d"`
+	Attempts uint32                  `msgpack:"n"`
+	Finished uint32                  `msgpack:"e"`
+	Rejected uint32                  `msgpack:"d"`
 	Timed    uint32                  `msgpack:"o"`
 	Slow     uint32                  `msgpack:"w"`
 	Crashes  uint32                  `msgpack:"x"`
@@ -422,10 +422,10 @@
 	Files    uint32                  `msgpack:"f"`
 }
 
-// Judged is the sample as the judge takes it: of the instance at that place, with the
+// CanarySample is the sample as the judge takes it: of the instance at that place, with the
 // classes in that order.
-func (s *Sample) Judged(instance int, classes []string) judge.Sample {
-	w := judge.Window{Instance: instance, Release: s.Release, Tries: s.Tries, Ended: s.Ended, Declined: s.Declined,
+func (s *Sample) CanarySample(instance int, classes []string) judge.Sample {
+	w := judge.Window{Instance: instance, Release: s.Release, Attempts: s.Attempts, Finished: s.Finished, Rejected: s.Rejected,
 		Timed: s.Timed, Slow: s.Slow, Crashes: s.Crashes, Memory: s.Memory, Files: s.Files, Classes: make([]judge.Counts, len(classes))}
 	for n, name := range classes {
 		w.Classes[n] = s.Classes[name]
@@ -448,15 +448,15 @@
 }
 
 type OpOut struct {
-	Operation Operation  `msgpack:"operation"`
-	State     string     `msgpack:"state"`
-	Result    string     `msgpack:"result"`
-	Holder    string     `msgpack:"holder"`
-	Expires   time.Time  `msgpack:"expires"`
-	Steps     []Step     `msgpack:"steps"`
-	Instances []Instance `msgpack:"instances"` // the operation's, of this agent
-	Change    int64      `msgpack:"change"`    // for StatusIn.After
-	Now       time.Time  `msgpack:"now"`
+	Operation   Operation  `msgpack:"operation"`
+	State       string     `msgpack:"state"`
+	Result      string     `msgpack:"result"`
+	LeaseHolder string     `msgpack:"holder"`
+	Expires     time.Time  `msgpack:"expires"`
+	Steps       []Step     `msgpack:"steps"`
+	Instances   []Instance `msgpack:"instances"` // the operation's, of this agent
+	Change      int64      `msgpack:"change"`    // for StatusIn.After
+	Now         time.Time  `msgpack:"now"`
 }
 
 type OpsOut struct {
--- a/internal/fleet/api/compat_test.go
+++ b/internal/fleet/api/compat_test.go
@@ -33,7 +33,7 @@
 	for _, message := range []any{
 		&Error{}, &HelloIn{}, &HelloOut{}, &ListOut{}, &InstanceIn{}, &InspectOut{}, &LogsIn{}, &LogsOut{}, &AuditIn{}, &AuditOut{},
 		&ReleaseIn{}, &ReleaseOut{}, &ChunkIn{}, &ReadIn{}, &ReadOut{}, &OpenIn{}, &OpenOut{}, &CloseIn{}, &AbortIn{}, &StatusIn{}, &OpOut{},
-		&OpsOut{}, &NoteIn{}, &StepIn{}, &Step{}, &FiguresIn{}, &FiguresOut{},
+		&OpsOut{}, &NoteIn{}, &StepIn{}, &Step{}, &MetricsIn{}, &MetricsOut{},
 		&distribution.Put{}, &SettingsPutOut{}, &SettingsGetIn{}, &SettingsWatchIn{}, &SettingsWatchOut{}, &SettingsAckIn{}, &SettingsFollowIn{}, &SettingsReportIn{},
 		&SettingsReportOut{}, &SettingsGetOut{}, &SettingsStatusIn{}, &SettingsStatusOut{}, &SettingsWriter{}, &InstanceSettings{},
 	} {
--- a/internal/fleet/client/client.go
+++ b/internal/fleet/client/client.go
@@ -180,8 +180,8 @@
 // parallel is how many agents are asked at once.
 const parallel = 64
 
-// Each calls do for each agent, many at once, and returns the errors in order.
-func Each(agents []*Agent, do func(n int, a *Agent) error) []error {
+// ForEach calls do for each agent, many at once, and returns the errors in order.
+func ForEach(agents []*Agent, do func(n int, a *Agent) error) []error {
 	errs := make([]error, len(agents))
 	slots := make(chan struct{}, parallel)
 	var wg sync.WaitGroup
@@ -216,7 +216,7 @@
 		}
 	}
 	out := make([]HostState, len(agents))
-	Each(agents, func(n int, a *Agent) error {
+	ForEach(agents, func(n int, a *Agent) error {
 		out[n].Host = a.Host
 		var l api.ListOut
 		if err := a.Call(ctx, api.List, api.Empty{}, &l); err != nil {
--- a/internal/fleet/client/operation.go
+++ b/internal/fleet/client/operation.go
@@ -33,7 +33,7 @@
 	for n, host := range r.order {
 		p := r.parts[host]
 		var out api.OpenOut
-		if err := p.agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, Holder: opt.Holder, TTL: opt.TTL}, &out); err != nil {
+		if err := p.agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: opt.LeaseHolder, TTL: opt.TTL}, &out); err != nil {
 			for _, back := range r.order[:n+1] {
 				if q := r.parts[back]; back != host || errors.As(err, new(*UnreachableError)) {
 					// Where no answer came it may have been taken: said again, it is given back.
@@ -75,7 +75,7 @@
 func (f *Fleet) Find(ctx context.Context, id string) (op api.Operation, outs map[string]*api.OpOut, errs map[string]error) {
 	outs, errs = make(map[string]*api.OpOut), make(map[string]error)
 	var mu sync.Mutex
-	Each(f.Agents, func(_ int, a *Agent) error {
+	ForEach(f.Agents, func(_ int, a *Agent) error {
 		out := &api.OpOut{}
 		err := a.Call(ctx, api.OpStatus, &api.StatusIn{Op: id}, out)
 		mu.Lock()
@@ -128,7 +128,7 @@
 		}
 		open++
 		var got api.OpenOut
-		err := p.agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, Holder: opt.Holder, TTL: opt.TTL}, &got)
+		err := p.agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: opt.LeaseHolder, TTL: opt.TTL}, &got)
 		if errors.As(err, new(*UnreachableError)) {
 			continue // its follower tries again
 		}
@@ -210,8 +210,8 @@
 			r.take(p, out)
 			if out.State != api.OpClosed {
 				result = out.State
-				if out.Holder != "" {
-					holder = out.Holder
+				if out.LeaseHolder != "" {
+					holder = out.LeaseHolder
 				}
 			} else if result == "" {
 				result = out.Result
@@ -225,7 +225,7 @@
 		}
 	}
 	rep := r.report()
-	rep.Result, rep.Holder, rep.Why = result, holder, ""
+	rep.Result, rep.LeaseHolder, rep.Why = result, holder, ""
 	rep.Stages = latest(outs)
 	return rep, nil
 }
--- a/internal/fleet/client/report.go
+++ b/internal/fleet/client/report.go
@@ -11,8 +11,8 @@
 	"martendrum/internal/fleet/rollout"
 )
 
-// Row is one instance in a report.
-type Row struct {
+// InstanceResult is one instance in a report.
+type InstanceResult struct {
 	Host     string        `json:"host"`
 	Instance string        `json:"instance"`
 	Outcome  rollout.State `json:"outcome"`
@@ -26,12 +26,12 @@
 
 // Report is what became of an operation: each of its instances exactly once.
 type Report struct {
-	Operation api.Operation `json:"operation"`
-	Result    string        `json:"result"` // as package rollout has them; "open" while it is
-	Why       string        `json:"why,omitempty"`
-	Holder    string        `json:"holder,omitempty"`
-	Rows      []Row         `json:"rows"`
-	Notes     []string      `json:"notes,omitempty"`
+	Operation   api.Operation    `json:"operation"`
+	Result      string           `json:"result"` // as package rollout has them; "open" while it is
+	Why         string           `json:"why,omitempty"`
+	LeaseHolder string           `json:"holder,omitempty"`
+	Rows        []InstanceResult `json:"rows"`
+	Notes       []string         `json:"notes,omitempty"`
 	// Of a staged change: where it stands, and what was last known of it.
 	Stages    *api.Note        `json:"stages,omitempty"`
 	Judgement *judge.Judgement `json:"judgement,omitempty"`
@@ -66,7 +66,7 @@
 		agents = append(agents, r.parts[host].agent)
 	}
 	var mu sync.Mutex
-	Each(agents, func(_ int, a *Agent) error {
+	ForEach(agents, func(_ int, a *Agent) error {
 		p := r.parts[a.Host.Name]
 		out := &api.OpOut{}
 		var err error
@@ -101,7 +101,7 @@
 	rep := &Report{Operation: r.op, Result: r.m.Result(), Why: r.m.Why(), Notes: r.notes}
 	for _, t := range r.m.Targets() {
 		p := r.parts[t.Host]
-		row := Row{Host: t.Host, Instance: t.Instance, Outcome: t.State, Reason: t.Reason, LastSeen: p.agent.Seen()}
+		row := InstanceResult{Host: t.Host, Instance: t.Instance, Outcome: t.State, Reason: t.Reason, LastSeen: p.agent.Seen()}
 		if !p.silent.IsZero() {
 			row.Unknown = r.unknown(p)
 		}
--- a/internal/fleet/client/run.go
+++ b/internal/fleet/client/run.go
@@ -13,8 +13,8 @@
 
 // Options of a run.
 type Options struct {
-	Holder string        // names this run; new for each
-	TTL    time.Duration // of the leases
+	LeaseHolder string        // names this run; new for each
+	TTL         time.Duration // of the leases
 	// GiveUp is how long a silent agent is waited for before its steps count as
 	// failed, and how long a rollout that can't go on waits for a change.
 	GiveUp   time.Duration
@@ -190,7 +190,7 @@
 		var err error
 		if token == 0 { // it was not reached yet, or its lease ran out meanwhile
 			var got api.OpenOut
-			if err = p.agent.Call(r.ctx, api.OpOpen, &api.OpenIn{Operation: r.op, Holder: r.opt.Holder, TTL: r.opt.TTL}, &got); err == nil {
+			if err = p.agent.Call(r.ctx, api.OpOpen, &api.OpenIn{Operation: r.op, LeaseHolder: r.opt.LeaseHolder, TTL: r.opt.TTL}, &got); err == nil {
 				token = got.Token
 				p.mu.Lock()
 				p.token = token
@@ -208,7 +208,7 @@
 			p.token = 0
 			p.mu.Unlock()
 			var got api.OpenOut
-			err = p.agent.Call(r.ctx, api.OpOpen, &api.OpenIn{Operation: r.op, Holder: r.opt.Holder, TTL: r.opt.TTL}, &got)
+			err = p.agent.Call(r.ctx, api.OpOpen, &api.OpenIn{Operation: r.op, LeaseHolder: r.opt.LeaseHolder, TTL: r.opt.TTL}, &got)
 			if err == nil {
 				p.mu.Lock()
 				p.token = got.Token
--- a/internal/fleet/client/staged.go
+++ b/internal/fleet/client/staged.go
@@ -65,7 +65,7 @@
 		if !ok {
 			continue
 		}
-		if w, ok := e.diffs[i].Next(x.Judged(i, e.spec.Judge.Classes), e.spec.First); ok {
+		if w, ok := e.diffs[i].Next(x.CanarySample(i, e.spec.Judge.Classes), e.spec.First); ok {
 			e.j.Add(w)
 		}
 	}
@@ -74,7 +74,7 @@
 // gathered is a host's answer to a call for figures.
 type gathered struct {
 	host string
-	out  *api.FiguresOut
+	out  *api.MetricsOut
 	err  error
 	sent time.Time
 }
@@ -89,7 +89,7 @@
 // stages sets a staged change up at the latest note that any host has.
 func (r *runner) stages(note *api.Note) error {
 	spec := r.op.Staged
-	start := spec.Judge.SlotsMost // all is past so far
+	start := spec.Judge.MaxSlots // all is past so far
 	s := &staged{r: r, hosts: make(map[string]*source)}
 	if note != nil {
 		s.note = *note
@@ -119,7 +119,7 @@
 		return err
 	}
 	s.note.State, s.dirty = s.m.State(), true
-	s.log(api.Verdict{Stage: before.Stage, Text: "let go on by " + s.r.opt.Holder + ", which held: " + before.Held})
+	s.log(api.Verdict{Stage: before.Stage, Text: "let go on by " + s.r.opt.LeaseHolder + ", which held: " + before.HoldReason})
 	return nil
 }
 
@@ -127,7 +127,7 @@
 func (s *staged) log(v api.Verdict) {
 	v.At = time.Now().UTC()
 	s.note.Log = append(s.note.Log, v)
-	s.note.Log = s.note.Log[max(0, len(s.note.Log)-api.VerdictsMost):]
+	s.note.Log = s.note.Log[max(0, len(s.note.Log)-api.MaxVerdicts):]
 }
 
 // open lets the rollout begin what the stages allow.
@@ -144,9 +144,9 @@
 	r, slot := s.r, s.spec.Judge.Slot
 	after := s.spec.First - 1
 	for r.ctx.Err() == nil {
-		out := &api.FiguresOut{}
+		out := &api.MetricsOut{}
 		sent := time.Now()
-		err := p.agent.Call(r.ctx, api.Figures, &api.FiguresIn{After: after}, out)
+		err := p.agent.Call(r.ctx, api.Metrics, &api.MetricsIn{After: after}, out)
 		select {
 		case r.figures <- gathered{p.agent.Host.Name, out, err, sent}:
 		case <-r.ctx.Done():
@@ -246,14 +246,14 @@
 		}
 		return
 	}
-	s.last = s.j.Look(slot + 1)
+	s.last = s.j.Evaluate(slot + 1)
 	for i := range s.diffs {
 		for reason, n := range s.diffs[i].Left {
 			s.last.Left[reason] += n
 		}
 	}
 	before := s.m.State()
-	changed := s.m.Look(stage.Look{Slot: slot, Past: s.j.Whole(slot + 1), Judgement: s.last, Settled: s.r.m.Settled(), Blind: s.blind()})
+	changed := s.m.Look(stage.Look{Slot: slot, HistorySlots: s.j.CompleteSlots(slot + 1), Judgement: s.last, Settled: s.r.m.Settled(), Blind: s.blind()})
 	state := s.m.State()
 	if before.Stage == 0 && state.Stage > 0 {
 		s.note.Start = slot + 1
@@ -277,10 +277,10 @@
 		kind, text = "stage", fmt.Sprintf("stage %d of %d begins: %d of %d instances", now.Stage, len(s.spec.Plan.Upto), s.m.Open(), len(s.r.op.Targets))
 	case now.Done && !before.Done:
 		kind, text = "stage", "the last stage has passed"
-	case now.Held != before.Held && now.Held != "":
-		kind, text = "hold", now.Held
-	case now.Pause != before.Pause && now.Pause != "":
-		kind, text = "wait", now.Pause
+	case now.HoldReason != before.HoldReason && now.HoldReason != "":
+		kind, text = "hold", now.HoldReason
+	case now.PauseReason != before.PauseReason && now.PauseReason != "":
+		kind, text = "wait", now.PauseReason
 	}
 	if kind == "" {
 		if line := string(s.last.Verdict); now.Stage > 0 && line != s.told {
@@ -304,7 +304,7 @@
 func (s *staged) write() {
 	s.busy = true
 	s.note.Number++
-	s.note.At, s.note.By = time.Now().UTC(), s.r.opt.Holder
+	s.note.At, s.note.By = time.Now().UTC(), s.r.opt.LeaseHolder
 	note := s.note
 	note.Log = append([]api.Verdict(nil), note.Log...)
 	r := s.r
@@ -313,7 +313,7 @@
 		for _, host := range r.order {
 			agents = append(agents, r.parts[host].agent)
 		}
-		errs := Each(agents, func(_ int, a *Agent) error {
+		errs := ForEach(agents, func(_ int, a *Agent) error {
 			ctx, cancel := context.WithTimeout(r.ctx, r.fleet.Timeout)
 			defer cancel()
 			token := r.parts[a.Host.Name].held()
@@ -374,8 +374,8 @@
 			continue
 		}
 		for after := spec.First - 1; ; {
-			var out api.FiguresOut
-			if err := a.Call(ctx, api.Figures, &api.FiguresIn{After: after}, &out); err != nil {
+			var out api.MetricsOut
+			if err := a.Call(ctx, api.Metrics, &api.MetricsIn{After: after}, &out); err != nil {
 				missing = append(missing, host)
 				break
 			}
@@ -387,7 +387,7 @@
 		}
 	}
 	for slot := note.Start; slot <= note.State.Looked; slot++ {
-		series = append(series, e.j.Look(slot+1))
+		series = append(series, e.j.Evaluate(slot+1))
 	}
 	return series, missing, nil
 }
--- a/internal/fleet/distribution/applier.go
+++ b/internal/fleet/distribution/applier.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Refusal is a revision that an instance turned down.
-type Refusal struct {
+// Rejection is a revision that an instance turned down.
+type Rejection struct {
 	Instance string   `msgpack:"instance" json:"instance"`
 	Resource string   `msgpack:"resource" json:"resource"`
 	Revision Revision `msgpack:"revision" json:"revision"`
@@ -28,18 +28,18 @@
 	coalesce time.Duration
 
 	wanted   map[string]Resource
-	accepted map[string]Resource // in force, the last that the instance took
-	refused  map[string]Refusal  // by resource; of the revision that is wanted
-	since    time.Time           // when the first of the pending changes came
-	alone    bool                // pending changes are tried one at a time
-	trying   map[string]Resource // wanted ones of the attempt, Removed where they are to go
+	accepted map[string]Resource  // in force, the last that the instance took
+	refused  map[string]Rejection // by resource; of the revision that is wanted
+	since    time.Time            // when the first of the pending changes came
+	alone    bool                 // pending changes are tried one at a time
+	trying   map[string]Resource  // wanted ones of the attempt, Removed where they are to go
 }
 
 // NewApplier returns an Applier without settings. coalesce is how long a change waits for
 // others.
 func NewApplier(instance string, coalesce time.Duration) *Applier {
 	return &Applier{instance: instance, coalesce: coalesce, wanted: make(map[string]Resource),
-		accepted: make(map[string]Resource), refused: make(map[string]Refusal)}
+		accepted: make(map[string]Resource), refused: make(map[string]Rejection)}
 }
 
 // Want tells which resources concern the instance now.
@@ -48,7 +48,7 @@
 	for _, r := range resources {
 		a.wanted[r.Name] = r
 	}
-	maps.DeleteFunc(a.refused, func(name string, refusal Refusal) bool {
+	maps.DeleteFunc(a.refused, func(name string, refusal Rejection) bool {
 		return a.wantedNow(name).Revision != refusal.Revision
 	})
 	switch {
@@ -154,7 +154,7 @@
 	reason = strings.ToValidUTF8(reason[:min(len(reason), reasonMost)], "")
 	for name, r := range tried {
 		if a.wantedNow(name).Revision == r.Revision {
-			a.refused[name] = Refusal{Instance: a.instance, Resource: name, Revision: r.Revision, Reason: reason}
+			a.refused[name] = Rejection{Instance: a.instance, Resource: name, Revision: r.Revision, Reason: reason}
 		}
 	}
 }
@@ -177,34 +177,34 @@
 	return ordered
 }
 
-// Refused returns the refusals that stand, by resource.
-func (a *Applier) Refused() []Refusal {
-	var refusals []Refusal
+// Rejections returns the refusals that stand, by resource.
+func (a *Applier) Rejections() []Rejection {
+	var refusals []Rejection
 	for _, name := range slices.Sorted(maps.Keys(a.refused)) {
 		refusals = append(refusals, a.refused[name])
 	}
 	return refusals
 }
 
-// applierRow keeps what an instance accepted and refused.
-type applierRow struct {
-	Accepted []Resource `json:"accepted"`
-	Refused  []Refusal  `json:"refused,omitempty"`
+// appliedEntry keeps what an instance accepted and refused.
+type appliedEntry struct {
+	Accepted []Resource  `json:"accepted"`
+	Refused  []Rejection `json:"refused,omitempty"`
 }
 
-// Row is the row that keeps what the instance accepted and refused.
-func (a *Applier) Row() Row {
-	return row(acceptedPrefix+a.instance, applierRow{Accepted: a.Accepted(), Refused: a.Refused()})
+// Entry is the row that keeps what the instance accepted and refused.
+func (a *Applier) Entry() Entry {
+	return row(acceptedPrefix+a.instance, appliedEntry{Accepted: a.Accepted(), Refused: a.Rejections()})
 }
 
 // Restore takes over what the rows hold of the instance. Until Want says otherwise the accepted
 // settings are the wanted ones, so that a restart takes nothing out of force.
-func (a *Applier) Restore(rows []Row) error {
+func (a *Applier) Restore(rows []Entry) error {
 	for _, line := range rows {
 		if line.Key != acceptedPrefix+a.instance {
 			continue
 		}
-		var kept applierRow
+		var kept appliedEntry
 		if err := json.Unmarshal(line.Value, &kept); err != nil {
 			return fmt.Errorf("settings: row %q: %w", line.Key, err)
 		}
--- a/internal/fleet/distribution/applier_test.go
+++ b/internal/fleet/distribution/applier_test.go
@@ -49,7 +49,7 @@
 		t.Errorf("accepted %v; want %v", have, accepted)
 	}
 	var names []string
-	for _, refusal := range applier.Refused() {
+	for _, refusal := range applier.Rejections() {
 		names = append(names, fmt.Sprintf("%s@%d", refusal.Resource, refusal.Revision.Number))
 	}
 	if !slices.Equal(names, refused) {
@@ -94,7 +94,7 @@
 		t.Errorf("%d attempts", attempts)
 	}
 	requireApplied(t, applier, []string{"a@2", "b@1", "c@4"}, []string{"b@3"})
-	if refusal := applier.Refused()[0]; refusal.Reason != "no such limit" || refusal.Instance != "i" {
+	if refusal := applier.Rejections()[0]; refusal.Reason != "no such limit" || refusal.Instance != "i" {
 		t.Errorf("%+v", refusal)
 	}
 
@@ -189,7 +189,7 @@
 	applier.Want(testTime, []Resource{version("a", 1)})
 	applier.Begin()
 	applier.Done(false, "x"+strings.Repeat("ä", reasonMost))
-	if reason := applier.Refused()[0].Reason; len(reason) > reasonMost || strings.ToValidUTF8(reason, "") != reason {
+	if reason := applier.Rejections()[0].Reason; len(reason) > reasonMost || strings.ToValidUTF8(reason, "") != reason {
 		t.Errorf("a reason of %d bytes, or one cut within a letter: %q", len(reason), reason)
 	}
 }
@@ -198,8 +198,8 @@
 func restoreApplier(t failer, applier *Applier) *Applier {
 	t.Helper()
 	restored := NewApplier(applier.instance, applier.coalesce)
-	other := Row{Key: acceptedPrefix + applier.instance + "2", Value: []byte("[]")}
-	if err := restored.Restore([]Row{other, applier.Row()}); err != nil {
+	other := Entry{Key: acceptedPrefix + applier.instance + "2", Value: []byte("[]")}
+	if err := restored.Restore([]Entry{other, applier.Entry()}); err != nil {
 		t.Fatal(err)
 	}
 	return restored
@@ -228,10 +228,10 @@
 	settle(t, restored)
 	requireApplied(t, restored, []string{"a@4"}, nil)
 
-	spoilt := applier.Row()
+	spoilt := applier.Entry()
 	for _, value := range []string{"", "[]", `{"accepted":[{"name":"a"}]}`} {
 		spoilt.Value = []byte(value)
-		if err := NewApplier("i", 0).Restore([]Row{spoilt}); err == nil {
+		if err := NewApplier("i", 0).Restore([]Entry{spoilt}); err == nil {
 			t.Errorf("%q is taken", value)
 		}
 	}
--- a/internal/fleet/distribution/compat_test.go
+++ b/internal/fleet/distribution/compat_test.go
@@ -16,7 +16,7 @@
 }
 
 // rowLines returns rows in the form of a golden file.
-func rowLines(t *testing.T, rows []Row) []byte {
+func rowLines(t *testing.T, rows []Entry) []byte {
 	t.Helper()
 	var lines bytes.Buffer
 	for _, r := range rows {
@@ -30,15 +30,15 @@
 }
 
 // goldenRows returns the rows of a golden file.
-func goldenRows(t *testing.T, name string) []Row {
+func goldenRows(t *testing.T, name string) []Entry {
 	t.Helper()
-	var rows []Row
+	var rows []Entry
 	for line := range bytes.Lines(goldentest.Read(t, name)) {
 		var r storedRow
 		if err := json.Unmarshal(line, &r); err != nil {
 			t.Fatal(err)
 		}
-		rows = append(rows, Row{Key: r.Key, Value: r.Value})
+		rows = append(rows, Entry{Key: r.Key, Value: r.Value})
 	}
 	return rows
 }
@@ -64,7 +64,7 @@
 	make(state.Promote(3), nil)
 	propose(put("limits/all", "sim", content(1)))
 	propose(put("limits/all", "sim", content(2)))
-	propose(Put{Name: "limits/share", Scope: Scope{Labels: map[string]string{"zone": "a"}, Share: 0.25}, Content: []byte(content(3)), Author: "sari"})
+	propose(Put{Name: "limits/share", Scope: Scope{Labels: map[string]string{"zone": "a"}, Fraction: 0.25}, Content: []byte(content(3)), Author: "sari"})
 	propose(put("limits/gone", "sim", content(4)))
 	propose(remove("limits/gone"))
 	goldentest.Compare(t, golden, rowLines(t, disk.all()))
@@ -99,7 +99,7 @@
 	try(false, "no such key")
 	disk := newDisk()
 	disk.write(replica.Batch(nil))
-	disk.write(Batch{Put: []Row{applier.Row()}})
+	disk.write(Batch{Put: []Entry{applier.Entry()}})
 	goldentest.Compare(t, golden, rowLines(t, disk.all()))
 
 	rows := goldenRows(t, golden)
--- a/internal/fleet/distribution/errors.go
+++ b/internal/fleet/distribution/errors.go
@@ -45,12 +45,12 @@
 
 // LimitError says that a bound would be passed.
 type LimitError struct {
-	What string
-	Most int
+	What  string
+	Limit int
 }
 
 // Error implements error.
-func (e *LimitError) Error() string { return fmt.Sprintf("settings: %s: %d at most", e.What, e.Most) }
+func (e *LimitError) Error() string { return fmt.Sprintf("settings: %s: %d at most", e.What, e.Limit) }
 
 // Advice says what an operator can do.
 func (e *LimitError) Advice() string {
@@ -91,11 +91,11 @@
 
 // AheadError says that a reader holds more than the one it asks: a relay that has not caught
 // up, or a log that was put back to an older state.
-type AheadError struct{ Have, Asked Revision }
+type AheadError struct{ Have, Requested Revision }
 
 // Error implements error.
 func (e *AheadError) Error() string {
-	return fmt.Sprintf("settings: asked for what comes after %v; here is nothing after %v", e.Asked, e.Have)
+	return fmt.Sprintf("settings: asked for what comes after %v; here is nothing after %v", e.Requested, e.Have)
 }
 
 // Advice says what an operator can do.
@@ -123,11 +123,11 @@
 }
 
 // FullError says that a relay serves as many subscribers as it may.
-type FullError struct{ Most int }
+type FullError struct{ Limit int }
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("settings: this relay serves %d subscribers, its limit", e.Most)
+	return fmt.Sprintf("settings: this relay serves %d subscribers, its limit", e.Limit)
 }
 
 // Advice says what an operator can do.
--- a/internal/fleet/distribution/fuzz_test.go
+++ b/internal/fleet/distribution/fuzz_test.go
@@ -138,7 +138,7 @@
 	f.Add("a", "k", "\xff", 1.0, []byte(`{"Seed":1}`), "\xff")
 	f.Add("", "k", "v", -1.0, []byte(`[`), "")
 	f.Fuzz(func(t *testing.T, name, key, value string, share float64, content []byte, author string) {
-		scope := Scope{Labels: map[string]string{key: value}, Share: share}
+		scope := Scope{Labels: map[string]string{key: value}, Fraction: share}
 		log, store := newLog(testLimits()), newDisk()
 		resource, next, err := log.Propose(testTime, 1, Put{Name: name, Scope: scope, Content: content, Author: author})
 		if err != nil {
--- a/internal/fleet/distribution/helpers_test.go
+++ b/internal/fleet/distribution/helpers_test.go
@@ -35,10 +35,10 @@
 }
 
 // all returns the rows by key.
-func (d *disk) all() []Row {
-	var rows []Row
+func (d *disk) all() []Entry {
+	var rows []Entry
 	for _, key := range slices.Sorted(maps.Keys(d.rows)) {
-		rows = append(rows, Row{Key: key, Value: d.rows[key]})
+		rows = append(rows, Entry{Key: key, Value: d.rows[key]})
 	}
 	return rows
 }
--- a/internal/fleet/distribution/list.go
+++ b/internal/fleet/distribution/list.go
@@ -16,7 +16,7 @@
 		return err
 	}
 	if length > ListMost {
-		return &LimitError{What: "elements of a list", Most: ListMost}
+		return &LimitError{What: "elements of a list", Limit: ListMost}
 	}
 	*l = nil
 	for range length {
--- a/internal/fleet/distribution/log.go
+++ b/internal/fleet/distribution/log.go
@@ -56,7 +56,7 @@
 		return Resource{}, nil, &ConflictError{Name: put.Name, Want: *put.If, Current: current.Revision}
 	}
 	if !there && len(s.resources) >= s.limits.Resources {
-		return Resource{}, nil, &LimitError{What: "resources", Most: s.limits.Resources}
+		return Resource{}, nil, &LimitError{What: "resources", Limit: s.limits.Resources}
 	}
 	change := Change{Revision: next.Revision, Name: next.Name, Scope: next.Scope, Removed: next.Removed}
 	if there {
--- a/internal/fleet/distribution/log_test.go
+++ b/internal/fleet/distribution/log_test.go
@@ -94,7 +94,7 @@
 	log := newLog(Limits{Resources: 1, History: 10})
 	publish(t, log, put("a", "x", content(1)))
 	_, _, err := log.Propose(testTime, 1, put("b", "x", content(1)))
-	if limit, ok := errors.AsType[*LimitError](err); !ok || limit.Most != 1 {
+	if limit, ok := errors.AsType[*LimitError](err); !ok || limit.Limit != 1 {
 		t.Fatal(err)
 	}
 	publish(t, log, put("a", "x", content(2)))
@@ -120,8 +120,8 @@
 		"of an instance":   {put("a", "x", `{"listen":"x"}`), "content"},
 		"other case":       {put("a", "x", `{"Seed":"1"}`), "content"},
 		"long":             {put("a", "x", `{"x":"`+strings.Repeat("x", ContentMost)+`"}`), "content"},
-		"share":            {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Share: 1.5}}, "scope"},
-		"negative share":   {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Share: -0.5}}, "scope"},
+		"share":            {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Fraction: 1.5}}, "scope"},
+		"negative share":   {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Fraction: -0.5}}, "scope"},
 		"labels":           {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Labels: tooMany}}, "scope"},
 		"label not UTF-8":  {put("a", "\xff", "{}"), "scope"},
 		"key not UTF-8":    {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Labels: map[string]string{"\xff": "x"}}}, "scope"},
@@ -260,8 +260,8 @@
 		"earlier change":         {delta, func(u *Update) { u.Changes[0].Revision.Number = 1 }},
 		"changes out of order":   {delta, func(u *Update) { slices.Reverse(u.Changes) }},
 		"change of no name":      {delta, func(u *Update) { u.Changes[0].Name = "" }},
-		"change of a bad scope":  {delta, func(u *Update) { u.Changes[0].Scope.Share = 7 }},
-		"change of a bad before": {delta, func(u *Update) { u.Changes[0].Before = &Scope{Share: 7} }},
+		"change of a bad scope":  {delta, func(u *Update) { u.Changes[0].Scope.Fraction = 7 }},
+		"change of a bad before": {delta, func(u *Update) { u.Changes[0].Before = &Scope{Fraction: 7} }},
 		"far time":               {delta, func(u *Update) { u.Resources[0].At = testTime.AddDate(9000, 0, 0) }},
 		"removed in snapshot":    {snapshot, func(u *Update) { u.Resources = append(u.Resources, tombstone) }},
 	}
--- a/internal/fleet/distribution/model_check_test.go
+++ b/internal/fleet/distribution/model_check_test.go
@@ -114,7 +114,7 @@
 // has the last that it accepted, and whether it refuses any.
 func (m *model) checkSettled(instance *modelInstance, wanted []Resource) (refused bool) {
 	refusals := make(map[string]Revision)
-	for _, refusal := range instance.applier.Refused() {
+	for _, refusal := range instance.applier.Rejections() {
 		refusals[refusal.Resource] = refusal.Revision
 	}
 	accepted := make(map[string]Resource)
--- a/internal/fleet/distribution/model_test.go
+++ b/internal/fleet/distribution/model_test.go
@@ -197,7 +197,7 @@
 	if change.Remove = m.one(5, "remove"); !change.Remove {
 		change.Content = []byte(content(rapid.IntRange(0, 9).Draw(m.t, "content")))
 		if m.one(3, "of a share") {
-			change.Scope.Share = rapid.SampledFrom(modelShares).Draw(m.t, "share")
+			change.Scope.Fraction = rapid.SampledFrom(modelShares).Draw(m.t, "share")
 		}
 		if !m.one(4, "of all") {
 			change.Scope.Labels = map[string]string{"service": rapid.SampledFrom(modelServices).Draw(m.t, "service")}
@@ -346,7 +346,7 @@
 	status := HostState{Received: s.replica.Revision(), Settled: true}
 	for _, instance := range s.instances {
 		status.Settled = status.Settled && !instance.applier.Pending()
-		status.Refused = append(status.Refused, instance.applier.Refused()...)
+		status.Rejections = append(status.Rejections, instance.applier.Rejections()...)
 	}
 	if status.Settled {
 		s.applied = status.Received
@@ -367,7 +367,7 @@
 	if !ok {
 		return
 	}
-	s.server.registry.Told(s.interest.Host, s.session, &page)
+	s.server.registry.Acknowledged(s.interest.Host, s.session, &page)
 	whole := m.deliver(&s.link, page, faults)
 	if whole == nil {
 		return
--- a/internal/fleet/distribution/node/node.go
+++ b/internal/fleet/distribution/node/node.go
@@ -91,8 +91,8 @@
 	return ""
 }
 
-// Refusal is an error as it goes over the wire, with its advice.
-func Refusal(err error) error {
+// RejectionReason is an error as it goes over the wire, with its advice.
+func RejectionReason(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/fleet/distribution/node/relay.go
+++ b/internal/fleet/distribution/node/relay.go
@@ -59,7 +59,7 @@
 }
 
 // NewRelay restores a relay from its store's rows and starts it.
-func NewRelay(cfg RelayConfig, process string, rows []distribution.Row) (*Relay, error) {
+func NewRelay(cfg RelayConfig, process string, rows []distribution.Entry) (*Relay, error) {
 	state, err := distribution.Restore(cfg.Limits, rows)
 	if err != nil {
 		return nil, err
@@ -238,12 +238,12 @@
 	return &next, nil
 }
 
-func writerRow(writer api.SettingsWriter) distribution.Row {
+func writerRow(writer api.SettingsWriter) distribution.Entry {
 	value, err := json.Marshal(writer)
 	if err != nil {
 		panic(err) // a string and a number
 	}
-	return distribution.Row{Key: writerKey, Value: value}
+	return distribution.Entry{Key: writerKey, Value: value}
 }
 
 // Learn takes what another relay knows of the writer, and returns what is known here then.
@@ -258,7 +258,7 @@
 	r.writing.Lock()
 	defer r.writing.Unlock()
 	if heard.Epoch > r.Writer().Epoch {
-		if err := r.commit(distribution.Batch{Put: []distribution.Row{writerRow(heard)}}); err != nil {
+		if err := r.commit(distribution.Batch{Put: []distribution.Entry{writerRow(heard)}}); err != nil {
 			return nil, err
 		}
 		r.mu.Lock()
@@ -324,13 +324,13 @@
 	}
 	query := distribution.Query{After: in.After, Began: in.Began, Bytes: pageBytes, Interest: &interest}
 	if update, err := r.state.Read(query); err == nil {
-		r.registry.Told(in.Host, in.Session, &update) // also that nothing is new, before the wait
+		r.registry.Acknowledged(in.Host, in.Session, &update) // also that nothing is new, before the wait
 	}
 	update, err := r.read(ctx, in.Wait, query)
 	if err != nil {
 		return nil, err
 	}
-	r.registry.Told(in.Host, in.Session, &update)
+	r.registry.Acknowledged(in.Host, in.Session, &update)
 	return &api.SettingsWatchOut{Update: update, Writer: r.writer}, nil
 }
 
--- a/internal/fleet/distribution/node/relay_loops.go
+++ b/internal/fleet/distribution/node/relay_loops.go
@@ -201,7 +201,7 @@
 	for all := false; !all; {
 		in := &api.SettingsReportIn{Relay: r.cfg.Name, Epoch: writer.Epoch, Process: r.process}
 		r.mu.Lock()
-		moved := r.registry.Moved()
+		moved := r.registry.Changed()
 		in.Hosts, all = r.registry.Reports(reportMost)
 		if all {
 			in.Position = r.registry.Position()
--- a/internal/fleet/distribution/node/subscriber.go
+++ b/internal/fleet/distribution/node/subscriber.go
@@ -11,9 +11,9 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// Copy is a subscriber's copy and those who act on it. Its methods may be called from several
+// Replica is a subscriber's copy and those who act on it. Its methods may be called from several
 // goroutines.
-type Copy interface {
+type Replica interface {
 	// Take takes a whole update and keeps it; an error leaves the copy as it is.
 	Take(update distribution.Update) error
 	// State says how far the host is.
@@ -28,7 +28,7 @@
 	Relays   []distribution.Relay
 	Limits   distribution.Limits
 	Dial     Dialer
-	Copy     Copy
+	Copy     Replica
 }
 
 // Subscriber keeps a copy up to date: it asks one relay at a time, and goes on with the next
--- a/internal/fleet/distribution/node/subscriber_test.go
+++ b/internal/fleet/distribution/node/subscriber_test.go
@@ -81,7 +81,7 @@
 }
 
 // runSubscriber runs a subscriber of one relay over the given connections, one after the other.
-func runSubscriber(t *testing.T, copied Copy, conns ...*heldConn) *Subscriber {
+func runSubscriber(t *testing.T, copied Replica, conns ...*heldConn) *Subscriber {
 	t.Helper()
 	dialed := make(chan *heldConn, len(conns))
 	for _, conn := range conns {
--- a/internal/fleet/distribution/reader.go
+++ b/internal/fleet/distribution/reader.go
@@ -60,10 +60,10 @@
 // much again for what changes meanwhile.
 func (r *Reader) check(j *joined) error {
 	if most := 2 * (r.limits.Resources + r.limits.History); len(j.resources) > most {
-		return &LimitError{What: "resources of one update", Most: most}
+		return &LimitError{What: "resources of one update", Limit: most}
 	}
 	if most := 2 * r.limits.History; len(j.update.Changes) > most {
-		return &LimitError{What: "changes of one update", Most: most}
+		return &LimitError{What: "changes of one update", Limit: most}
 	}
 	return nil
 }
--- a/internal/fleet/distribution/registry.go
+++ b/internal/fleet/distribution/registry.go
@@ -15,9 +15,9 @@
 	Settled bool `msgpack:"settled" json:"settled"`
 	// Applied is the last revision at which it was settled. It is zero again when its instances
 	// change or refusals are forgiven, until it is settled once more.
-	Applied Revision      `msgpack:"applied" json:"applied"`
-	Refused List[Refusal] `msgpack:"refused,omitempty" json:"refused,omitempty"`
-	Waiting string        `msgpack:"waiting,omitempty" json:"waiting,omitempty"` // for what, where it is not settled
+	Applied    Revision        `msgpack:"applied" json:"applied"`
+	Rejections List[Rejection] `msgpack:"refused,omitempty" json:"refused,omitempty"`
+	Waiting    string          `msgpack:"waiting,omitempty" json:"waiting,omitempty"` // for what, where it is not settled
 }
 
 // refusalsMost is how many refusals of one host are passed on.
@@ -26,11 +26,11 @@
 // bounded is the state with no more of its texts and refusals than a Registry keeps.
 func (s HostState) bounded() HostState {
 	cut := func(text string) string { return text[:min(len(text), reasonMost)] }
-	refused := s.Refused[:min(len(s.Refused), refusalsMost)]
-	s.Refused = nil
+	refused := s.Rejections[:min(len(s.Rejections), refusalsMost)]
+	s.Rejections = nil
 	for _, refusal := range refused {
 		refusal.Instance, refusal.Resource, refusal.Reason = cut(refusal.Instance), cut(refusal.Resource), cut(refusal.Reason)
-		s.Refused = append(s.Refused, refusal)
+		s.Rejections = append(s.Rejections, refusal)
 	}
 	s.Waiting = cut(s.Waiting)
 	return s
@@ -91,7 +91,7 @@
 	}
 	fresh := e == nil || !e.report.Present || e.report.Relay != g.relay
 	if fresh && (g.present >= g.most || e == nil && len(g.hosts) >= HostsMost) {
-		return &FullError{Most: g.most}
+		return &FullError{Limit: g.most}
 	}
 	if fresh {
 		g.present++
@@ -133,9 +133,9 @@
 	}
 }
 
-// Told notes what was read for a subscriber: an update that it is sent, or an empty one, also
+// Acknowledged notes what was read for a subscriber: an update that it is sent, or an empty one, also
 // where its call goes on to wait instead of being answered with that.
-func (g *Registry) Told(host string, session int64, update *Update) {
+func (g *Registry) Acknowledged(host string, session int64, update *Update) {
 	e := g.own(host, session)
 	if e == nil {
 		return
@@ -259,8 +259,8 @@
 	}
 }
 
-// Moved says whether the position has changed since Moved was last asked.
-func (g *Registry) Moved() bool {
+// Changed says whether the position has changed since Moved was last asked.
+func (g *Registry) Changed() bool {
 	moved := g.position != g.reported
 	g.reported = g.position
 	return moved
@@ -370,7 +370,7 @@
 		case away:
 			status.Away++
 		}
-		missing = append(missing, missingHost{entry: e, refused: len(state.Refused)})
+		missing = append(missing, missingHost{entry: e, refused: len(state.Rejections)})
 	}
 	status.Missing = g.name(missing, most)
 	return status
@@ -410,7 +410,7 @@
 )
 
 func standing(revision Revision, present bool, state HostState) level {
-	if slices.ContainsFunc(state.Refused, func(r Refusal) bool { return !r.Revision.After(revision) }) {
+	if slices.ContainsFunc(state.Rejections, func(r Rejection) bool { return !r.Revision.After(revision) }) {
 		return refused
 	}
 	if !revision.After(state.Applied) {
--- a/internal/fleet/distribution/registry_test.go
+++ b/internal/fleet/distribution/registry_test.go
@@ -16,7 +16,7 @@
 // refusedAt is what a host says of which an instance refused a revision.
 func refusedAt(revision Revision) HostState {
 	state := settledAt(revision)
-	state.Refused = []Refusal{{Instance: "i", Resource: "a", Revision: revision, Reason: "no"}}
+	state.Rejections = []Rejection{{Instance: "i", Resource: "a", Revision: revision, Reason: "no"}}
 	return state
 }
 
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	registry.Told(interest.Host, session, &update)
+	registry.Acknowledged(interest.Host, session, &update)
 	return update
 }
 
@@ -147,7 +147,7 @@
 	}
 	publish(t, log, put("a", "x", content(2)))
 	registry.Advance(log)
-	registry.Told("hx", 1, &update)
+	registry.Acknowledged("hx", 1, &update)
 	registry.Acknowledge("hx", 1, settledAt(first.Revision))
 	requireCounts(t, registry, Revision{}, counts{hosts: 1, behind: 1})
 	requireCounts(t, registry, first.Revision, counts{hosts: 1, inForce: 1})
@@ -176,7 +176,7 @@
 	mustJoin(t, registry, interestIn("h2", "x"), 2, HostState{})
 	mustJoin(t, registry, interestIn("h2", "x"), 3, HostState{})
 	err := registry.Join(testTime, interestIn("h3", "x"), 4, HostState{})
-	if full, ok := errors.AsType[*FullError](err); !ok || full.Most != 2 {
+	if full, ok := errors.AsType[*FullError](err); !ok || full.Limit != 2 {
 		t.Errorf("%v", err)
 	}
 	if err := registry.Join(testTime, interestIn("h2", "x"), 2, HostState{}); !isInvalid(err) {
@@ -196,11 +196,11 @@
 
 func TestRegistryBoundsRefusals(t *testing.T) {
 	registry := NewRegistry("r1", 2)
-	state := HostState{Settled: true, Refused: make([]Refusal, refusalsMost+5)}
+	state := HostState{Settled: true, Rejections: make([]Rejection, refusalsMost+5)}
 	mustJoin(t, registry, interestIn("h1", "x"), 1, state)
 	reports, _ := registry.Reports(1)
-	if len(reports[0].State.Refused) != refusalsMost {
-		t.Errorf("%d refusals", len(reports[0].State.Refused))
+	if len(reports[0].State.Rejections) != refusalsMost {
+		t.Errorf("%d refusals", len(reports[0].State.Rejections))
 	}
 }
 
@@ -384,7 +384,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		registry.Told("host", 1, &update)
+		registry.Acknowledged("host", 1, &update)
 		return update
 	}
 	first := put("limits", "one")
--- a/internal/fleet/distribution/replica.go
+++ b/internal/fleet/distribution/replica.go
@@ -96,7 +96,7 @@
 // Batch is the rows that keep the copy; before is what it was when it was kept last, nil for
 // not yet.
 func (r *Replica) Batch(before *Replica) Batch {
-	batch := Batch{Put: []Row{row(replicaKey, replicaRow{Revision: r.revision, Epoch: r.epoch, Interest: r.interest})}}
+	batch := Batch{Put: []Entry{row(replicaKey, replicaRow{Revision: r.revision, Epoch: r.epoch, Interest: r.interest})}}
 	for name, resource := range r.resources {
 		if before == nil || !sameRevision(before.resources[name], resource) {
 			batch.Put = append(batch.Put, row(replicaPrefix+name, resource))
@@ -120,7 +120,7 @@
 
 // RestoreReplica returns the copy that the rows hold. What was kept for another interest
 // counts as of no revision, so that the next update is a snapshot; its epoch is remembered.
-func RestoreReplica(interest Interest, rows []Row) (*Replica, error) {
+func RestoreReplica(interest Interest, rows []Entry) (*Replica, error) {
 	r := NewReplica(interest)
 	for _, line := range rows {
 		var err error
--- a/internal/fleet/distribution/replica_test.go
+++ b/internal/fleet/distribution/replica_test.go
@@ -81,11 +81,11 @@
 		held := 0
 		for n := range hosts {
 			host := hostName(n)
-			if !(Scope{Share: share}).Matches("a", host, nil) {
+			if !(Scope{Fraction: share}).Matches("a", host, nil) {
 				continue
 			}
 			held++
-			if !(Scope{Share: min(share*1.5, 1)}).Matches("a", host, nil) {
+			if !(Scope{Fraction: min(share*1.5, 1)}).Matches("a", host, nil) {
 				t.Fatalf("%s is in a share of %v, and not in a larger one", host, share)
 			}
 		}
@@ -130,7 +130,7 @@
 		}
 	}
 	for key, value := range map[string]string{replicaKey: "[]", replicaPrefix + "c": `{"name":"c"}`, replicaPrefix + "d": ""} {
-		rows := append(store.all(), Row{Key: key, Value: []byte(value)})
+		rows := append(store.all(), Entry{Key: key, Value: []byte(value)})
 		if _, err := RestoreReplica(interest, rows); err == nil {
 			t.Errorf("%s = %q is taken", key, value)
 		}
--- a/internal/fleet/distribution/resource.go
+++ b/internal/fleet/distribution/resource.go
@@ -51,9 +51,9 @@
 // hosts of its share.
 type Scope struct {
 	Labels map[string]string `msgpack:"labels,omitempty" json:"labels,omitempty"`
-	// Share is the part of all hosts, above 0 and up to 1, that is drawn by a hash of the
+	// Fraction is the part of all hosts, above 0 and up to 1, that is drawn by a hash of the
 	// resource's and the host's name. A larger share holds all hosts of a smaller one.
-	Share float64 `msgpack:"share,omitempty" json:"share,omitempty"` // 0 means 1
+	Fraction float64 `msgpack:"share,omitempty" json:"share,omitempty"` // 0 means 1
 }
 
 // Interest is what a subscriber wants to hear of.
@@ -104,11 +104,11 @@
 }
 
 func (s Scope) holdsHost(resource, host string) bool {
-	if s.Share == 0 || s.Share == 1 {
+	if s.Fraction == 0 || s.Fraction == 1 {
 		return true
 	}
 	drawn := float64(xxhash.Sum64String(resource+"\x00"+host)) / math.MaxUint64
-	return drawn < s.Share
+	return drawn < s.Fraction
 }
 
 // Concerned says whether the scope of the named resource holds any instance of the interest.
@@ -165,8 +165,8 @@
 }
 
 func (s Scope) check(name string) error {
-	if s.Share < 0 || s.Share > 1 || math.IsNaN(s.Share) {
-		return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("a share of %v; want above 0, and 1 at most", s.Share)}
+	if s.Fraction < 0 || s.Fraction > 1 || math.IsNaN(s.Fraction) {
+		return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("a share of %v; want above 0, and 1 at most", s.Fraction)}
 	}
 	if len(s.Labels) > labelsMost {
 		return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("%d labels; %d at most", len(s.Labels), labelsMost)}
--- a/internal/fleet/distribution/state.go
+++ b/internal/fleet/distribution/state.go
@@ -102,7 +102,7 @@
 func (s *State) Read(query Query) (Update, error) {
 	for _, asked := range []Revision{query.After, query.Began} {
 		if asked.After(s.revision) {
-			return Update{}, &AheadError{Have: s.revision, Asked: asked}
+			return Update{}, &AheadError{Have: s.revision, Requested: asked}
 		}
 	}
 	if !query.Began.IsZero() && s.reaches(query.Began) {
@@ -262,16 +262,16 @@
 	return revision
 }
 
-// Row is a line of what a store keeps; Batch is rows to write and to delete in one
+// Entry is a line of what a store keeps; Batch is rows to write and to delete in one
 // transaction.
-type Row struct {
+type Entry struct {
 	Key   string
 	Value []byte
 }
 
 // Batch is what must be on disk before the change that it comes with is acted on.
 type Batch struct {
-	Put  []Row
+	Put  []Entry
 	Drop []string // keys
 }
 
@@ -292,18 +292,18 @@
 	return fmt.Sprintf("%s%020d.%020d", changePrefix, r.Epoch, r.Number)
 }
 
-func row(key string, value any) Row {
+func row(key string, value any) Entry {
 	data, err := json.Marshal(value)
 	if err != nil {
 		panic(err) // types of this package's own
 	}
-	return Row{Key: key, Value: data}
+	return Entry{Key: key, Value: data}
 }
 
-func resourceRow(r *Resource) Row { return row(resourcePrefix+r.Name, r) }
+func resourceRow(r *Resource) Entry { return row(resourcePrefix+r.Name, r) }
 
 // Restore returns the State that the rows hold. Rows with other keys are left alone.
-func Restore(limits Limits, rows []Row) (*State, error) {
+func Restore(limits Limits, rows []Entry) (*State, error) {
 	s := NewState(limits)
 	for _, r := range rows {
 		var err error
--- a/internal/fleet/distribution/state_test.go
+++ b/internal/fleet/distribution/state_test.go
@@ -340,7 +340,7 @@
 			}
 		}
 	}
-	if _, err := Restore(testLimits(), append(store.all(), Row{Key: "other", Value: nil})); err != nil {
+	if _, err := Restore(testLimits(), append(store.all(), Entry{Key: "other", Value: nil})); err != nil {
 		t.Errorf("a row of something else: %v", err)
 	}
 }
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -58,20 +58,20 @@
 		"unknown method":    {"explode", api.Empty{}, api.NoMethod, "explode"},
 		"unknown instance":  {api.Inspect, &api.InstanceIn{Instance: "x"}, api.NoInstance, inst},
 		"unknown operation": {api.OpStatus, &api.StatusIn{Op: "x"}, api.NoOperation, "x"},
-		"wrong type":        {api.Inspect, map[string]any{"instance": 7}, api.BadParams, "InstanceIn"},
-		"no map":            {api.Inspect, "x", api.BadParams, "InstanceIn"},
-		"unknown action":    {api.OpOpen, &api.OpenIn{Operation: bad, Holder: "me", TTL: time.Second}, api.BadParams, "explode"},
-		"no time":           {api.OpOpen, &api.OpenIn{Operation: unready, Holder: "me", TTL: time.Second}, api.BadParams, "ready"},
-		"no holder":         {api.OpOpen, &api.OpenIn{Operation: op, TTL: time.Second}, api.BadParams, "holder"},
-		"long lease":        {api.OpOpen, &api.OpenIn{Operation: op, Holder: "me", TTL: time.Hour}, api.BadParams, "lease"},
-		"another's":         {api.OpOpen, &api.OpenIn{Operation: elsewhere, Holder: "me", TTL: time.Second}, api.BadParams, "no instance"},
-		"no such instance":  {api.OpOpen, &api.OpenIn{Operation: none, Holder: "me", TTL: time.Second}, api.NoInstance, "x"},
-		"no such release":   {api.OpOpen, &api.OpenIn{Operation: upgrade, Holder: "me", TTL: time.Second}, api.NoRelease, "abab"},
-		"no hash":           {api.ReleaseStat, &api.ReleaseIn{Release: "../../etc"}, api.BadParams, "hash"},
-		"a path as hash":    {api.ReleaseWrite, &api.ChunkIn{Release: "../../etc", File: "sidecar"}, api.BadRelease, "hash"},
-		"another file":      {api.ReleaseWrite, &api.ChunkIn{Release: strings.Repeat("ab", 32), File: "../x"}, api.BadRelease, "../x"},
-		"a gap":             {api.ReleaseWrite, &api.ChunkIn{Release: strings.Repeat("ab", 32), File: "sidecar", Offset: 9}, api.BadRelease, "at 9"},
-		"not whole":         {api.ReleaseDone, &api.ReleaseIn{Release: strings.Repeat("cd", 32)}, api.BadRelease, "not there"},
+		"wrong type":        {api.Inspect, map[string]any{"instance": 7}, api.InvalidParams, "InstanceIn"},
+		"no map":            {api.Inspect, "x", api.InvalidParams, "InstanceIn"},
+		"unknown action":    {api.OpOpen, &api.OpenIn{Operation: bad, LeaseHolder: "me", TTL: time.Second}, api.InvalidParams, "explode"},
+		"no time":           {api.OpOpen, &api.OpenIn{Operation: unready, LeaseHolder: "me", TTL: time.Second}, api.InvalidParams, "ready"},
+		"no holder":         {api.OpOpen, &api.OpenIn{Operation: op, TTL: time.Second}, api.InvalidParams, "holder"},
+		"long lease":        {api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: "me", TTL: time.Hour}, api.InvalidParams, "lease"},
+		"another's":         {api.OpOpen, &api.OpenIn{Operation: elsewhere, LeaseHolder: "me", TTL: time.Second}, api.InvalidParams, "no instance"},
+		"no such instance":  {api.OpOpen, &api.OpenIn{Operation: none, LeaseHolder: "me", TTL: time.Second}, api.NoInstance, "x"},
+		"no such release":   {api.OpOpen, &api.OpenIn{Operation: upgrade, LeaseHolder: "me", TTL: time.Second}, api.NoRelease, "abab"},
+		"no hash":           {api.ReleaseStat, &api.ReleaseIn{Release: "../../etc"}, api.InvalidParams, "hash"},
+		"a path as hash":    {api.ReleaseWrite, &api.ChunkIn{Release: "../../etc", File: "sidecar"}, api.InvalidRelease, "hash"},
+		"another file":      {api.ReleaseWrite, &api.ChunkIn{Release: strings.Repeat("ab", 32), File: "../x"}, api.InvalidRelease, "../x"},
+		"a gap":             {api.ReleaseWrite, &api.ChunkIn{Release: strings.Repeat("ab", 32), File: "sidecar", Offset: 9}, api.InvalidRelease, "at 9"},
+		"not whole":         {api.ReleaseDone, &api.ReleaseIn{Release: strings.Repeat("cd", 32)}, api.InvalidRelease, "not there"},
 	} {
 		err := a.Call(ctx, c.method, c.in, nil)
 		if code(err) != c.code || !strings.Contains(err.Error(), c.says) {
@@ -86,7 +86,7 @@
 	if err := a.Call(ctx, api.ReleaseWrite, &api.ChunkIn{Release: hash, File: "sidecar", Data: []byte("spoilt")}, nil); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, nil); code(err) != api.BadRelease || !strings.Contains(err.Error(), "damaged") {
+	if err := a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, nil); code(err) != api.InvalidRelease || !strings.Contains(err.Error(), "damaged") {
 		t.Error(err)
 	}
 }
@@ -116,7 +116,7 @@
 		t.Errorf("list before hello: %+v", e)
 	}
 	for _, v := range []api.HelloIn{{Oldest: api.Version + 1, Version: api.Version + 3}, {Oldest: 0, Version: api.Oldest - 1}} {
-		if e := said(c.Call(ctx, api.Hello, []any{v}, nil)); e.Code != api.BadVersion || !strings.Contains(e.Message, "versions") {
+		if e := said(c.Call(ctx, api.Hello, []any{v}, nil)); e.Code != api.UnsupportedVersion || !strings.Contains(e.Message, "versions") {
 			t.Errorf("%+v: %+v", v, e)
 		}
 	}
@@ -128,7 +128,7 @@
 	if err := c.Call(ctx, api.List, []any{map[string]any{"later": 1}}, nil); err != nil {
 		t.Error(err)
 	}
-	if e := said(c.Call(ctx, api.List, []any{1, 2}, nil)); e.Code != api.BadParams {
+	if e := said(c.Call(ctx, api.List, []any{1, 2}, nil)); e.Code != api.InvalidParams {
 		t.Errorf("two parameters: %+v", e)
 	}
 }
--- a/internal/fleet/e2e/fleet_test.go
+++ b/internal/fleet/e2e/fleet_test.go
@@ -665,7 +665,7 @@
 		for n := range ops {
 			wg.Go(func() {
 				o := options()
-				o.Holder = fmt.Sprintf("operator-%d", n)
+				o.LeaseHolder = fmt.Sprintf("operator-%d", n)
 				reps[n], errs[n] = s.fleet.Start(ctx, ops[n], o)
 			})
 		}
@@ -680,7 +680,7 @@
 				continue
 			}
 			e, ok := errors.AsType[*api.Error](errs[n])
-			if !ok || e.Code != api.Held || !strings.Contains(e.Message, ops[1-n].ID) || !strings.Contains(e.Message, "operator-") && !strings.Contains(e.Message, "tester") {
+			if !ok || e.Code != api.LeaseHeld || !strings.Contains(e.Message, ops[1-n].ID) || !strings.Contains(e.Message, "operator-") && !strings.Contains(e.Message, "tester") {
 				t.Fatalf("round %d: operator %d was told: %v", round, n, errs[n])
 			}
 		}
@@ -712,7 +712,7 @@
 	for stalls := range 4 { // before its first step, after it, after its second, before its end
 		op := s.op(api.ActRestart)
 		open := func(o api.Operation, who string, ttl time.Duration) (out api.OpenOut) {
-			if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: o, Holder: who, TTL: ttl}, &out); err != nil {
+			if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: o, LeaseHolder: who, TTL: ttl}, &out); err != nil {
 				t.Fatal(err)
 			}
 			return out
@@ -726,7 +726,7 @@
 				return out.Steps[len(out.Steps)-1].Status == api.StepOK && len(out.Steps) == n+1
 			})
 		}
-		wait(op.ID, func(out *api.OpOut) bool { return out.Holder == "" }) // its lease has ended
+		wait(op.ID, func(out *api.OpOut) bool { return out.LeaseHolder == "" }) // its lease has ended
 		var fresh api.OpenOut
 		if stalls%2 == 0 { // another resumes it, or ends it and begins one of its own
 			fresh = open(op, "other", time.Minute)
@@ -780,7 +780,7 @@
 	ctx, a := context.Background(), s.fleet.Agents[0]
 	op := s.op(api.ActRestart)
 	var open api.OpenOut
-	if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, Holder: "me", TTL: time.Minute}, &open); err != nil {
+	if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: "me", TTL: time.Minute}, &open); err != nil {
 		t.Fatal(err)
 	}
 	fill := strings.Repeat("x", 1<<20)
--- a/internal/fleet/e2e/main_test.go
+++ b/internal/fleet/e2e/main_test.go
@@ -98,7 +98,7 @@
 
 // changes says whether a write holds the settings of a name.
 func changes(c *store.Change, name string) bool {
-	return slices.ContainsFunc(c.Settings, func(row distribution.Row) bool {
+	return slices.ContainsFunc(c.Settings, func(row distribution.Entry) bool {
 		var resource distribution.Resource
 		return json.Unmarshal(row.Value, &resource) == nil && resource.Name == name
 	})
@@ -367,7 +367,7 @@
 }
 
 func options() client.Options {
-	return client.Options{Holder: fmt.Sprintf("run %08x", rand.Uint32()), TTL: 5 * time.Second, GiveUp: 30 * time.Second}
+	return client.Options{LeaseHolder: fmt.Sprintf("run %08x", rand.Uint32()), TTL: 5 * time.Second, GiveUp: 30 * time.Second}
 }
 
 // observed compares what the agents report of each instance with what is seen on
@@ -416,9 +416,9 @@
 }
 
 // once says whether a report has each target exactly once.
-func (w *world) once(rep *client.Report, op api.Operation) map[string]client.Row {
+func (w *world) once(rep *client.Report, op api.Operation) map[string]client.InstanceResult {
 	w.t.Helper()
-	rows := make(map[string]client.Row)
+	rows := make(map[string]client.InstanceResult)
 	for _, r := range rep.Rows {
 		if _, twice := rows[r.Instance]; twice {
 			w.t.Errorf("%s is in the report twice", r.Instance)
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -641,7 +641,7 @@
 	own := p.op(api.ActRestart, func(o *api.Operation) {
 		o.Targets = []api.Target{{Host: p.hosts[0].name, Instance: p.hosts[0].insts[0]}}
 	})
-	if err := p.fleet.Agents[0].Call(context.Background(), api.OpOpen, &api.OpenIn{Operation: own, Holder: "me", TTL: time.Second}, nil); code(err) != api.Held || !strings.Contains(err.Error(), "power loss") {
+	if err := p.fleet.Agents[0].Call(context.Background(), api.OpOpen, &api.OpenIn{Operation: own, LeaseHolder: "me", TTL: time.Second}, nil); code(err) != api.LeaseHeld || !strings.Contains(err.Error(), "power loss") {
 		t.Errorf("an operation there: %v", err)
 	}
 	states := p.ready()
@@ -673,7 +673,7 @@
 		for _, after := range []string{"", "1"} {
 			t.Logf("write %d, after it %q", at, after)
 			if token == 0 {
-				token = p.opened(op, opt.Holder)
+				token = p.opened(op, opt.LeaseHolder)
 			}
 			p.off(nil, h)
 			h.start("E2E_AGENT="+h.config, fmt.Sprint("E2E_CRASH_AT=", at), "E2E_CRASH_AFTER="+after)
@@ -683,8 +683,8 @@
 			states := p.ready()
 			p.observed(states)
 			for _, i := range states[0].Instances {
-				if i.Generation != 1 || i.Holder != "" || i.Operation != op.ID {
-					t.Errorf("%s: generation %d, held by %q, operation %q", i.Name, i.Generation, i.Holder, i.Operation)
+				if i.Generation != 1 || i.LeaseHolder != "" || i.Operation != op.ID {
+					t.Errorf("%s: generation %d, held by %q, operation %q", i.Name, i.Generation, i.LeaseHolder, i.Operation)
 				}
 			}
 			p.settled(h)
@@ -692,7 +692,7 @@
 			if err := agent.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: token, Instance: h.insts[0], Kind: api.Change}, nil); code(err) != api.Fenced {
 				t.Errorf("a step by a token of before the loss: %v", err)
 			}
-			if err := agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, Holder: opt.Holder, TTL: time.Minute}, nil); code(err) != api.Held || !strings.Contains(err.Error(), "lost its power") {
+			if err := agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: opt.LeaseHolder, TTL: time.Minute}, nil); code(err) != api.LeaseHeld || !strings.Contains(err.Error(), "lost its power") {
 				t.Errorf("the run of before the loss asks again: %v", err)
 			}
 			if !died {
@@ -722,7 +722,7 @@
 func (p *plant) opened(op api.Operation, holder string) int64 {
 	p.t.Helper()
 	var out api.OpenOut
-	if err := p.fleet.Agents[0].Call(context.Background(), api.OpOpen, &api.OpenIn{Operation: op, Holder: holder, TTL: time.Minute}, &out); err != nil {
+	if err := p.fleet.Agents[0].Call(context.Background(), api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: holder, TTL: time.Minute}, &out); err != nil {
 		p.t.Fatal(err)
 	}
 	return out.Token
--- a/internal/fleet/e2e/scale_test.go
+++ b/internal/fleet/e2e/scale_test.go
@@ -92,8 +92,8 @@
 				if s.Kind == api.Change && (first.IsZero() || s.Started.Before(first)) {
 					first = s.Started
 				}
-				if s.Kind == api.Rollback && s.Ended.After(last) {
-					last = s.Ended
+				if s.Kind == api.Rollback && s.Finished.After(last) {
+					last = s.Finished
 				}
 			}
 		}
--- a/internal/fleet/e2e/settings_operation_test.go
+++ b/internal/fleet/e2e/settings_operation_test.go
@@ -20,7 +20,7 @@
 		}
 	})
 	var out api.OpenOut
-	in := &api.OpenIn{Operation: operation, Holder: "tester", TTL: time.Minute}
+	in := &api.OpenIn{Operation: operation, LeaseHolder: "tester", TTL: time.Minute}
 	if err := w.operator.Agent(h.name).Call(context.Background(), api.OpOpen, in, &out); err != nil {
 		w.t.Fatal(err)
 	}
--- a/internal/fleet/e2e/settings_refused_test.go
+++ b/internal/fleet/e2e/settings_refused_test.go
@@ -20,7 +20,7 @@
 	w.t.Helper()
 	eventually(w.t, fmt.Sprintf("a refusal of revision %v by all of %s", revision, h.name), func() bool {
 		for _, instance := range h.insts {
-			if !slices.ContainsFunc(w.inspect(h, instance).Settings.Refused, func(r distribution.Refusal) bool { return r.Revision == revision }) {
+			if !slices.ContainsFunc(w.inspect(h, instance).Settings.Refused, func(r distribution.Rejection) bool { return r.Revision == revision }) {
 				return false
 			}
 		}
--- a/internal/fleet/e2e/settings_tls_test.go
+++ b/internal/fleet/e2e/settings_tls_test.go
@@ -159,7 +159,7 @@
 		}
 	}
 	misled := &api.SettingsWatchIn{Host: "other", Session: watch.Session, Interest: interest, State: watch.State}
-	if err := other.Call(ctx, api.SettingsWatch, misled, nil); code(err) != api.BadParams {
+	if err := other.Call(ctx, api.SettingsWatch, misled, nil); code(err) != api.InvalidParams {
 		t.Errorf("a host with the interest of another: %v", err)
 	}
 	var out api.SettingsStatusOut
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -277,7 +277,7 @@
 	first.cmd.Process.Kill()
 	<-first.done
 	begun := rep.Stages.Number
-	w.until("a lease that has run out", func(r *client.Report) bool { return r.Holder == "" })
+	w.until("a lease that has run out", func(r *client.Report) bool { return r.LeaseHolder == "" })
 	rep = w.change("resume", rep.Operation.ID, "--lease", "3s").report()
 	requests.stop()
 	if rep.Result != rollout.Succeeded || rep.Stages.Number <= begun || !rep.Stages.State.Done {
@@ -324,7 +324,7 @@
 	})
 	bad.Store(true)
 	rep := w.until("a change that waits", func(r *client.Report) bool {
-		return r.Result == api.OpOpened && r.Stages != nil && strings.Contains(r.Stages.State.Pause, "a bad day")
+		return r.Result == api.OpOpened && r.Stages != nil && strings.Contains(r.Stages.State.PauseReason, "a bad day")
 	})
 	if n := touched(rep); n != 3 {
 		t.Errorf("%d instances were touched while it waits; the stage has 3", n)
@@ -374,7 +374,7 @@
 	defer requests.stop()
 	c := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(fmt.Sprintf(`{"discovery": %q}`, servers(t, shared(20))))}, quick...)...)
 	rep := w.until("a change that waits", func(r *client.Report) bool {
-		return r.Stages != nil && strings.Contains(r.Stages.State.Pause, "the change's doing or a bad day")
+		return r.Stages != nil && strings.Contains(r.Stages.State.PauseReason, "the change's doing or a bad day")
 	})
 	time.Sleep(3 * time.Second) // longer than a stage lasts at least
 	rep, err := w.fleet.Report(context.Background(), rep.Operation.ID)
@@ -463,13 +463,13 @@
 	}} {
 		set(true)
 		rep := w.until("a change that waits for evidence", func(r *client.Report) bool {
-			return strings.Contains(r.Stages.State.Pause, "no evidence of host "+w.hosts[1].name)
+			return strings.Contains(r.Stages.State.PauseReason, "no evidence of host "+w.hosts[1].name)
 		})
 		if got := touched(rep); got > 4 { // those of a stopped agent can't be seen
 			t.Errorf("fault %d: %d instances were touched; the stage has 4", n, got)
 		}
 		set(false)
-		w.until("a change that waits no more", func(r *client.Report) bool { return r.Stages.State.Pause == "" })
+		w.until("a change that waits no more", func(r *client.Report) bool { return r.Stages.State.PauseReason == "" })
 	}
 	rep := c.report()
 	requests.stop()
--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -39,7 +39,7 @@
 	if err := units.Load(file, v); err != nil {
 		return nil, err
 	}
-	if err := units.Beside(file, &v.TLS.CA, &v.TLS.Cert, &v.TLS.Key); err != nil {
+	if err := units.ResolvePaths(file, &v.TLS.CA, &v.TLS.Cert, &v.TLS.Key); err != nil {
 		return nil, err
 	}
 	if v.Timeout <= 0 {
@@ -61,7 +61,7 @@
 			if rest == "" {
 				return nil, fmt.Errorf("%s: host %s: address %q names no path", file, h.Name, h.Address)
 			}
-			if err := units.Beside(file, &rest); err != nil {
+			if err := units.ResolvePaths(file, &rest); err != nil {
 				return nil, err
 			}
 			h.Address = "unix:" + rest
--- a/internal/fleet/judge/coarse.go
+++ b/internal/fleet/judge/coarse.go
@@ -1,7 +1,7 @@
 package judge
 
-// Own is what an agent knows of one of its instances without looking at others.
-type Own struct {
+// LocalHealth is what an agent knows of one of its instances without looking at others.
+type LocalHealth struct {
 	Crashing bool // in a crash loop, or ended and not back
 	Unready  bool // it runs and its health call fails
 	// Windows of the process that runs now, the latest last.
@@ -19,7 +19,7 @@
 // Coarse is the rule by which an agent that nobody directs judges an instance that
 // was changed: "" if it may stay, else why not. It finds only what needs no
 // comparison: a crash loop, no service at all, no memory left.
-func Coarse(o Own) string {
+func Coarse(o LocalHealth) string {
 	switch {
 	case o.Crashing:
 		return "it crashes"
@@ -32,7 +32,7 @@
 	}
 	asked, served := 0.0, uint32(0)
 	for _, w := range ws {
-		asked += w.asked()
+		asked += w.requests()
 		for _, c := range w.Classes {
 			served += c.Served
 		}
--- a/internal/fleet/judge/differ.go
+++ b/internal/fleet/judge/differ.go
@@ -43,7 +43,7 @@
 func (d *Differ) Next(s Sample, first int64) (w Window, ok bool) {
 	n, off := Boundary(s.At, d.Slot)
 	if off > d.Off {
-		d.leave(Late, 1)
+		d.leave(OffBoundary, 1)
 		return Window{}, false // the next one is too long, and is left out for that
 	}
 	last, slot, have := d.last, d.slot, d.have
@@ -82,9 +82,9 @@
 	}
 	for c := range w.Classes {
 		a, b := s.Classes[c], last.Classes[c]
-		w.Classes[c] = Counts{less(a.Served, b.Served), less(a.Refused, b.Refused), less(a.Failed, b.Failed)}
+		w.Classes[c] = Counts{less(a.Served, b.Served), less(a.Rejected, b.Rejected), less(a.Failed, b.Failed)}
 	}
-	w.Tries, w.Ended, w.Declined = less(s.Tries, last.Tries), less(s.Ended, last.Ended), less(s.Declined, last.Declined)
+	w.Attempts, w.Finished, w.Rejected = less(s.Attempts, last.Attempts), less(s.Finished, last.Finished), less(s.Rejected, last.Rejected)
 	w.Timed, w.Slow, w.Crashes = less(s.Timed, last.Timed), less(s.Slow, last.Slow), less(s.Crashes, last.Crashes)
 	if fell {
 		d.leave(Fell, 1)
--- a/internal/fleet/judge/judge.go
+++ b/internal/fleet/judge/judge.go
@@ -22,13 +22,13 @@
 
 // Counts are what a class of requests came to in a window, in requests.
 type Counts struct {
-	Served  uint32 `msgpack:"Served" json:"Served"`
-	Refused uint32 `msgpack:"Refused" json:"Refused"`
-	Failed  uint32 `msgpack:"Failed" json:"Failed"`
+	Served   uint32 `msgpack:"Served" json:"Served"`
+	Rejected uint32 `msgpack:"Refused" json:"Refused"`
+	Failed   uint32 `msgpack:"Failed" json:"Failed"`
 }
 
 // All is how many there were.
-func (c Counts) All() float64 { return float64(c.Served) + float64(c.Refused) + float64(c.Failed) }
+func (c Counts) All() float64 { return float64(c.Served) + float64(c.Rejected) + float64(c.Failed) }
 
 // Window is what one process counted in one slot of time.
 type Window struct {
@@ -40,9 +40,9 @@
 	Release string
 	Age     time.Duration // of the process at the window's end
 	Classes []Counts      // by class, as Config.Classes names them
-	// Tries are attempts written to servers; Ended all that ended, Declined those
+	// Attempts are attempts written to servers; Ended all that ended, Declined those
 	// of them that a server turned away.
-	Tries, Ended, Declined uint32
+	Attempts, Finished, Rejected uint32
 	// Timed are requests whose time in the sidecar was taken, Slow those of them
 	// held for too long, which whoever reads the figures decides (package scrape).
 	Timed, Slow uint32
@@ -51,8 +51,8 @@
 	Files       uint32 // open descriptors, likewise
 }
 
-// asked is how many requests there were.
-func (w *Window) asked() (n float64) {
+// requests is how many requests there were.
+func (w *Window) requests() (n float64) {
 	for _, c := range w.Classes {
 		n += c.All()
 	}
@@ -64,15 +64,15 @@
 
 // The measures.
 const (
-	Unserved Measure = "unserved" // share of a class's requests refused or failed
-	Failed   Measure = "failed"   // share of a class's requests failed: they may have run
-	Worth    Measure = "worth"    // share of the worth asked for that was not served
-	Attempts Measure = "attempts" // attempts a request
-	Declined Measure = "declined" // share of attempts that servers turned away
-	Slow     Measure = "slow"     // share of requests held in the sidecar for too long
-	Crashes  Measure = "crashes"  // a minute
-	Memory   Measure = "memory"   // growth, MiB a minute
-	Files    Measure = "files"    // growth of open descriptors, a minute
+	Unserved     Measure = "unserved" // share of a class's requests refused or failed
+	Failed       Measure = "failed"   // share of a class's requests failed: they may have run
+	WeightedLoss Measure = "worth"    // share of the worth asked for that was not served
+	Attempts     Measure = "attempts" // attempts a request
+	Rejections   Measure = "declined" // share of attempts that servers turned away
+	Slow         Measure = "slow"     // share of requests held in the sidecar for too long
+	Crashes      Measure = "crashes"  // a minute
+	Memory       Measure = "memory"   // growth, MiB a minute
+	Files        Measure = "files"    // growth of open descriptors, a minute
 )
 
 // Margin is how much worse a measure may be, in the measure's unit.
@@ -86,22 +86,22 @@
 // Margins are the defaults: docs/design/staged-change.md argues each.
 func Margins() map[Measure]Margin {
 	return map[Measure]Margin{
-		Unserved: {0.01, 0.05},
-		Failed:   {0.01, 0.03},
-		Worth:    {0.01, 0.04},
-		Attempts: {0.05, 0.25},
-		Declined: {0.03, 0.15},
-		Slow:     {0.02, 0.10},
-		Crashes:  {0.05, 0.50},
-		Memory:   {0.25, 2},
-		Files:    {2, 20},
+		Unserved:     {0.01, 0.05},
+		Failed:       {0.01, 0.03},
+		WeightedLoss: {0.01, 0.04},
+		Attempts:     {0.05, 0.25},
+		Rejections:   {0.03, 0.15},
+		Slow:         {0.02, 0.10},
+		Crashes:      {0.05, 0.50},
+		Memory:       {0.25, 2},
+		Files:        {2, 20},
 	}
 }
 
 // Config is what a judge needs to know before the first window.
 type Config struct {
 	Classes []string  `msgpack:"Classes" json:"Classes"`
-	Worth   []float64 `msgpack:"Worth" json:"Worth"` // of a request of each class
+	Weights []float64 `msgpack:"Worth" json:"Worth"` // of a request of each class
 	// Zones has each instance's zone, "" where it has none.
 	Zones   []string           `msgpack:"Zones" json:"Zones"`
 	Margins map[Measure]Margin `msgpack:"Margins" json:"Margins"`
@@ -119,8 +119,8 @@
 	// FalseStops is the probability with which a change that is no worse is ever
 	// called worse, over all measures, classes, zones and looks together.
 	FalseStops float64 `msgpack:"FalseStops" json:"FalseStops"`
-	// SlotsMost bounds what is kept: windows of later slots are left out.
-	SlotsMost int `msgpack:"SlotsMost" json:"SlotsMost"`
+	// MaxSlots bounds what is kept: windows of later slots are left out.
+	MaxSlots int `msgpack:"SlotsMost" json:"SlotsMost"`
 }
 
 // Check says what is wrong with a configuration.
@@ -128,12 +128,12 @@
 	switch {
 	case len(c.Zones) == 0:
 		return fmt.Errorf("judge: no instance to judge")
-	case len(c.Classes) == 0 || len(c.Classes) != len(c.Worth):
-		return fmt.Errorf("judge: %d classes and the worth of %d; want one worth a class, and a class at least", len(c.Classes), len(c.Worth))
+	case len(c.Classes) == 0 || len(c.Classes) != len(c.Weights):
+		return fmt.Errorf("judge: %d classes and the worth of %d; want one worth a class, and a class at least", len(c.Classes), len(c.Weights))
 	case c.Base == c.Change:
 		return fmt.Errorf("judge: old and new are both release %.12s: there is nothing to compare", c.Base)
-	case c.Slot <= 0 || c.Warm < 0 || c.Settle < 0 || c.SlotsMost < 1 || c.Start < 0:
-		return fmt.Errorf("judge: slot %v, warm %v, settle %v, %d slots, start %d; want a slot above 0, 1 slot or more, the others 0 or more", c.Slot, c.Warm, c.Settle, c.SlotsMost, c.Start)
+	case c.Slot <= 0 || c.Warm < 0 || c.Settle < 0 || c.MaxSlots < 1 || c.Start < 0:
+		return fmt.Errorf("judge: slot %v, warm %v, settle %v, %d slots, start %d; want a slot above 0, 1 slot or more, the others 0 or more", c.Slot, c.Warm, c.Settle, c.MaxSlots, c.Start)
 	case !(c.FalseStops > 0 && c.FalseStops < 0.5):
 		return fmt.Errorf("judge: rate of false stops is %v; want above 0 and under 0.5", c.FalseStops)
 	}
@@ -150,19 +150,19 @@
 
 // The reasons. Differ gives the first ones, a Judge the others.
 const (
-	Restarted Reason = "process started anew"
-	Missing   Reason = "no figures at a boundary"
-	Late      Reason = "figures not of the boundary"
-	Fell      Reason = "a count fell"
-	Clock     Reason = "clocks differ"
-	Other     Reason = "another release"
-	Young     Reason = "process still warming up"
-	Beyond    Reason = "past the slots that are kept"
-	Strange   Reason = "not of this fleet's classes or instances"
-	Alone     Reason = "no unchanged instance beside it"
+	Restarted   Reason = "process started anew"
+	Missing     Reason = "no figures at a boundary"
+	OffBoundary Reason = "figures not of the boundary"
+	Fell        Reason = "a count fell"
+	Clock       Reason = "clocks differ"
+	Other       Reason = "another release"
+	Young       Reason = "process still warming up"
+	Beyond      Reason = "past the slots that are kept"
+	Strange     Reason = "not of this fleet's classes or instances"
+	Alone       Reason = "no unchanged instance beside it"
 )
 
-// Judge holds the windows of one change. Its bound is SlotsMost windows an instance.
+// Judge holds the windows of one change. Its bound is MaxSlots windows an instance.
 type Judge struct {
 	cfg   Config
 	cells []cell
@@ -174,15 +174,15 @@
 	left  map[Reason]int // by Add
 	alone int            // windows without an unchanged one beside them, as advance found
 	// What advance has added up, slots before done.
-	done  int
-	sums  [][]sums     // by cell, by instance
-	noise []noise      // by cell
-	own   [][]float64  // by cell, by instance: how many times as bad as the others it was before Start
-	base  [][]float64  // by cell, by zone: the rate of all before Start
-	was   [][]sums     // of changed ones, as they stood before: their evidence as unchanged ones stays
-	gauge [2][2][]line // by gauge, by side (1: changed), by instance
-	now   []level      // by cell: the unchanged ones' rate by slot
-	asked float64      // requests of the unchanged ones
+	done             int
+	sums             [][]sums     // by cell, by instance
+	noise            []noise      // by cell
+	usualFactor      [][]float64  // by cell, by instance: how many times as bad as the others it was before Start
+	base             [][]float64  // by cell, by zone: the rate of all before Start
+	was              [][]sums     // of changed ones, as they stood before: their evidence as unchanged ones stays
+	gauge            [2][2][]line // by gauge, by side (1: changed), by instance
+	now              []level      // by cell: the unchanged ones' rate by slot
+	baselineRequests float64      // requests of the unchanged ones
 }
 
 type got struct {
@@ -224,13 +224,13 @@
 
 // clear forgets what was added up, not the windows.
 func (j *Judge) clear() {
-	j.done, j.alone, j.asked = 0, 0, 0
+	j.done, j.alone, j.baselineRequests = 0, 0, 0
 	j.sums, j.was = make([][]sums, len(j.cells)), make([][]sums, len(j.cells))
 	for k := range j.sums {
 		j.sums[k], j.was[k] = make([]sums, len(j.zone)), make([]sums, len(j.zone))
 	}
 	j.arm = make([]arm, len(j.zone))
-	j.own = nil
+	j.usualFactor = nil
 	j.noise, j.now = make([]noise, len(j.cells)), make([]level, len(j.cells))
 	for g := range j.gauge {
 		j.gauge[g] = [2][]line{make([]line, len(j.zone)), make([]line, len(j.zone))}
@@ -243,7 +243,7 @@
 	case w.Instance < 0 || w.Instance >= len(j.zone) || len(w.Classes) != len(j.cfg.Classes) || w.Slot < 0:
 		j.left[Strange]++
 		return
-	case w.Slot >= j.cfg.SlotsMost:
+	case w.Slot >= j.cfg.MaxSlots:
 		j.left[Beyond]++
 		return
 	}
@@ -273,9 +273,9 @@
 	j.clear()
 }
 
-// Whole is how many slots before the given one have windows of half of the
+// CompleteSlots is how many slots before the given one have windows of half of the
 // instances at least.
-func (j *Judge) Whole(before int) (n int) {
+func (j *Judge) CompleteSlots(before int) (n int) {
 	for _, slot := range j.slots[:min(max(before, 0), len(j.slots))] {
 		have := 0
 		for _, g := range slot {
@@ -347,27 +347,27 @@
 	for c, name := range j.cfg.Classes {
 		add(cell{Unserved, c, false, func(w *Window) (float64, float64, float64) {
 			k := w.Classes[c]
-			return float64(k.Refused) + float64(k.Failed), k.All(), k.All()
+			return float64(k.Rejected) + float64(k.Failed), k.All(), k.All()
 		}}, name, true)
 		add(cell{Failed, c, false, func(w *Window) (float64, float64, float64) {
 			k := w.Classes[c]
 			return float64(k.Failed), k.All(), k.All()
 		}}, name, false)
 	}
-	add(cell{Worth, -1, false, func(w *Window) (x, n, n2 float64) {
+	add(cell{WeightedLoss, -1, false, func(w *Window) (x, n, n2 float64) {
 		for c, k := range w.Classes {
-			v := j.cfg.Worth[c]
-			x += v * (float64(k.Refused) + float64(k.Failed))
+			v := j.cfg.Weights[c]
+			x += v * (float64(k.Rejected) + float64(k.Failed))
 			n += v * k.All()
 			n2 += v * v * k.All()
 		}
 		return x, n, n2
 	}}, "", true)
 	add(cell{Attempts, -1, true, func(w *Window) (float64, float64, float64) {
-		return float64(w.Tries), w.asked(), w.asked()
+		return float64(w.Attempts), w.requests(), w.requests()
 	}}, "", false)
-	add(cell{Declined, -1, false, func(w *Window) (float64, float64, float64) {
-		return float64(w.Declined), float64(w.Ended), float64(w.Ended)
+	add(cell{Rejections, -1, false, func(w *Window) (float64, float64, float64) {
+		return float64(w.Rejected), float64(w.Finished), float64(w.Finished)
 	}}, "", false)
 	add(cell{Slow, -1, false, func(w *Window) (float64, float64, float64) {
 		return float64(w.Slow), float64(w.Timed), float64(w.Timed)
@@ -475,7 +475,7 @@
 		side := 1
 		if !g.new {
 			side = 0
-			j.asked += g.w.asked()
+			j.baselineRequests += g.w.requests()
 		} else if beside[j.zone[i]] == 0 {
 			j.alone++
 		}
@@ -542,12 +542,12 @@
 // instances of the usual kind, whoever of them is still unchanged: else a zone would
 // look better as its bad ones are changed first.
 func (j *Judge) freeze() {
-	if j.own != nil {
+	if j.usualFactor != nil {
 		return
 	}
-	j.own, j.base = make([][]float64, len(j.cells)), make([][]float64, len(j.cells))
-	for k := range j.own {
-		j.own[k], j.base[k] = make([]float64, len(j.zone)), make([]float64, len(j.zones))
+	j.usualFactor, j.base = make([][]float64, len(j.cells)), make([][]float64, len(j.cells))
+	for k := range j.usualFactor {
+		j.usualFactor[k], j.base[k] = make([]float64, len(j.zone)), make([]float64, len(j.zones))
 		exposure := make([]float64, len(j.zones))
 		for i, z := range j.zone {
 			j.base[k][z] += j.sums[k][i].x[0]
@@ -558,11 +558,11 @@
 				j.base[k][z] /= exposure[z]
 			}
 		}
-		for i := range j.own[k] {
+		for i := range j.usualFactor[k] {
 			// Not shrunk: over a zone, these add up to what it had.
-			j.own[k][i] = 1
+			j.usualFactor[k][i] = 1
 			if s := &j.sums[k][i]; s.e[0] > 0 {
-				j.own[k][i] = s.x[0] / s.e[0]
+				j.usualFactor[k][i] = s.x[0] / s.e[0]
 			}
 		}
 	}
@@ -574,7 +574,7 @@
 // nothing tells by how many times they became more: then old and new are compared as
 // they are.
 func (j *Judge) expected(cell, zone int, p *pool) float64 {
-	if j.own == nil {
+	if j.usualFactor == nil {
 		return p.x / p.n
 	}
 	base, little := j.base[cell][zone], littleSlot*p.n2/p.n
@@ -585,10 +585,10 @@
 const littleSlot = 0.5
 
 func (j *Judge) times(cell, instance int) float64 {
-	if j.own == nil {
+	if j.usualFactor == nil {
 		return 1
 	}
-	return j.own[cell][instance]
+	return j.usualFactor[cell][instance]
 }
 
 // littlePast is how many events like those of the instances beside it are added to an
--- a/internal/fleet/judge/judge_test.go
+++ b/internal/fleet/judge/judge_test.go
@@ -18,8 +18,8 @@
 // fleet plays a small fleet: instances of two zones, of which some change at slot
 // 20, and do with each window what harm says.
 func fleet(n, changed, slots int, seed uint64, harm func(w *judge.Window, zone int, isNew bool, slot int)) (judge.Config, []judge.Window) {
-	c := judge.Config{Classes: []string{"activate", "status"}, Worth: []float64{10, 1}, Base: "old", Change: "new", Start: 20,
-		Slot: 10 * time.Second, FalseStops: 0.01, SlotsMost: 200, Zones: make([]string, n)}
+	c := judge.Config{Classes: []string{"activate", "status"}, Weights: []float64{10, 1}, Base: "old", Change: "new", Start: 20,
+		Slot: 10 * time.Second, FalseStops: 0.01, MaxSlots: 200, Zones: make([]string, n)}
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var ws []judge.Window
 	for i := range n {
@@ -37,10 +37,10 @@
 			}
 			for k := range w.Classes {
 				lost := uint32(rng.IntN(4))
-				w.Classes[k] = judge.Counts{Served: each - lost, Refused: lost}
+				w.Classes[k] = judge.Counts{Served: each - lost, Rejected: lost}
 			}
-			w.Tries = 2*each + uint32(rng.IntN(20))
-			w.Ended, w.Timed = w.Tries, 2*each
+			w.Attempts = 2*each + uint32(rng.IntN(20))
+			w.Finished, w.Timed = w.Attempts, 2*each
 			if harm != nil {
 				harm(&w, i%2, isNew, s)
 			}
@@ -59,7 +59,7 @@
 	for _, w := range ws {
 		j.Add(w)
 	}
-	return j.Look(len(ws))
+	return j.Evaluate(len(ws))
 }
 
 // lose makes a share of a class's requests failed.
@@ -82,18 +82,18 @@
 		"serves less": {n: 30, changed: 6, want: judge.Worse, by: "unserved of activate", harm: func(w *judge.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 0, 0.1); loseIf(isNew, w, 1, 0.1) }},
 		"one class":   {n: 30, changed: 6, want: judge.Worse, by: "unserved of status", harm: func(w *judge.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 1, 0.1) }},
 		"one zone":    {n: 30, changed: 6, want: judge.Worse, by: "unserved of status", harm: func(w *judge.Window, z int, isNew bool, _ int) { loseIf(isNew && z == 1, w, 1, 0.1) }},
-		"attempts":    {n: 30, changed: 6, want: judge.Worse, by: "attempts", harm: func(w *judge.Window, _ int, isNew bool, _ int) { w.Tries *= 1 + one(isNew) }},
+		"attempts":    {n: 30, changed: 6, want: judge.Worse, by: "attempts", harm: func(w *judge.Window, _ int, isNew bool, _ int) { w.Attempts *= 1 + one(isNew) }},
 		"slow":        {n: 30, changed: 6, want: judge.Worse, by: "slow", harm: func(w *judge.Window, _ int, isNew bool, _ int) { w.Slow = one(isNew) * w.Timed / 10 }},
 		"leaks": {n: 30, changed: 6, want: judge.Worse, by: "memory", harm: func(w *judge.Window, _ int, isNew bool, _ int) {
 			w.Memory += uint64(one(isNew)) * uint64(w.Age.Seconds()) << 18
 		}},
 		"crashes":        {n: 30, changed: 6, want: judge.Worse, by: "crashes", harm: func(w *judge.Window, _ int, isNew bool, s int) { w.Crashes = one(isNew && s%3 == 0) }},
-		"always worse":   {n: 30, changed: 6, want: judge.CantTell, harm: func(w *judge.Window, _ int, _ bool, _ int) { loseIf(w.Instance < 6, w, 0, 0.1) }},
-		"bad for all":    {n: 30, changed: 6, want: judge.CantTell, suffers: true, harm: func(w *judge.Window, _ int, _ bool, s int) { loseIf(s > 30, w, 0, 0.3) }},
+		"always worse":   {n: 30, changed: 6, want: judge.Inconclusive, harm: func(w *judge.Window, _ int, _ bool, _ int) { loseIf(w.Instance < 6, w, 0, 0.1) }},
+		"bad for all":    {n: 30, changed: 6, want: judge.Inconclusive, suffers: true, harm: func(w *judge.Window, _ int, _ bool, s int) { loseIf(s > 30, w, 0, 0.3) }},
 		"less traffic":   {n: 30, changed: 6, want: judge.NotWorse, harm: func(w *judge.Window, _ int, isNew bool, _ int) { thin(w, isNew) }},
-		"nobody beside":  {n: 6, changed: 6, want: judge.CantTell, why: "no changed instance has both"},
-		"too few beside": {n: 6, changed: 4, want: judge.CantTell, why: "3 at least"},
-		"too few asked":  {n: 30, changed: 1, want: judge.CantTell, why: "too few requests", harm: func(w *judge.Window, _ int, _ bool, s int) { quiet(w, s) }},
+		"nobody beside":  {n: 6, changed: 6, want: judge.Inconclusive, why: "no changed instance has both"},
+		"too few beside": {n: 6, changed: 4, want: judge.Inconclusive, why: "3 at least"},
+		"too few asked":  {n: 30, changed: 1, want: judge.Inconclusive, why: "too few requests", harm: func(w *judge.Window, _ int, _ bool, s int) { quiet(w, s) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, ws := fleet(c.n, c.changed, 50, 1, c.harm)
@@ -101,7 +101,7 @@
 			if got.Verdict != c.want || !strings.HasPrefix(got.Evidence[0].String(), c.by) || !strings.Contains(got.Evidence[0].String(), c.why) {
 				t.Errorf("%s by %s; want %s by %q %q", got.Verdict, got.Evidence[0], c.want, c.by, c.why)
 			}
-			if got.Verdict == judge.CantTell && (got.Evidence[0].Zone != "" || !got.Evidence[len(got.Evidence)-1].Aside) {
+			if got.Verdict == judge.Inconclusive && (got.Evidence[0].Zone != "" || !got.Evidence[len(got.Evidence)-1].Aside) {
 				t.Errorf("it can't be told, and an aside is named for it: %s", got.Evidence[0])
 			}
 			if (len(got.Suffering) > 0) != c.suffers {
@@ -127,15 +127,15 @@
 func thin(w *judge.Window, isNew bool) {
 	if isNew {
 		for k := range w.Classes {
-			w.Classes[k] = judge.Counts{Served: w.Classes[k].Served / 3, Refused: w.Classes[k].Refused / 3}
+			w.Classes[k] = judge.Counts{Served: w.Classes[k].Served / 3, Rejected: w.Classes[k].Rejected / 3}
 		}
-		w.Tries, w.Ended, w.Timed = w.Tries/3, w.Ended/3, w.Timed/3
+		w.Attempts, w.Finished, w.Timed = w.Attempts/3, w.Finished/3, w.Timed/3
 	}
 }
 
 func quiet(w *judge.Window, slot int) {
 	w.Classes = []judge.Counts{{Served: one(slot%10 == 0)}, {}}
-	w.Tries, w.Ended, w.Timed = 1, 1, 1
+	w.Attempts, w.Finished, w.Timed = 1, 1, 1
 }
 
 // Through stages, an instance that is changed later counts as an unchanged one until
@@ -175,13 +175,13 @@
 		for n, w := range mixed {
 			j.Add(w)
 			if n%97 == 0 {
-				j.Look(rapid.IntRange(0, 30).Draw(t, "look"))
+				j.Evaluate(rapid.IntRange(0, 30).Draw(t, "look"))
 			}
 		}
 		for _, n := range again {
 			j.Add(ws[n])
 		}
-		if got := j.Look(len(ws)); !reflect.DeepEqual(got, want) {
+		if got := j.Evaluate(len(ws)); !reflect.DeepEqual(got, want) {
 			t.Fatalf("%+v\nwant %+v", got.Evidence[0], want.Evidence[0])
 		}
 	})
@@ -261,7 +261,7 @@
 		"a new process":     {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "b", 60, 0, -1, 0}, {102, 0, "b", 61, 0, 1, 1}}, map[judge.Reason]int{judge.Restarted: 1}},
 		"a crash counts":    {[]told{{100, 0, "a", 50, 0, -1, 0}, {103, 0, "b", 0, 1, 2, 0}}, map[judge.Reason]int{judge.Restarted: 3}},
 		"a count that fell": {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "a", 49, 0, -1, 0}}, map[judge.Reason]int{judge.Fell: 1}},
-		"off the boundary":  {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 4 * time.Second, "a", 6, 0, -1, 0}, {102, 0, "a", 9, 0, -1, 0}}, map[judge.Reason]int{judge.Late: 1, judge.Missing: 2}},
+		"off the boundary":  {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 4 * time.Second, "a", 6, 0, -1, 0}, {102, 0, "a", 9, 0, -1, 0}}, map[judge.Reason]int{judge.OffBoundary: 1, judge.Missing: 2}},
 		"before slot 0":     {[]told{{98, 0, "a", 5, 0, -1, 0}, {99, 0, "a", 6, 0, -1, 0}, {100, 0, "a", 9, 0, -1, 0}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -286,7 +286,7 @@
 		}
 		return out
 	}
-	for want, o := range map[string]judge.Own{
+	for want, o := range map[string]judge.LocalHealth{
 		"":                      {Windows: ws(1, 100, 90), Limit: 100},
 		"it crashes":            {Crashing: true},
 		"its health call fails": {Unready: true},
@@ -297,7 +297,7 @@
 			t.Errorf("%+v: %q, want %q", o, got, want)
 		}
 	}
-	if got := judge.Coarse(judge.Own{Windows: ws(0, 3, 0)[:2]}); got != "" {
+	if got := judge.Coarse(judge.LocalHealth{Windows: ws(0, 3, 0)[:2]}); got != "" {
 		t.Errorf("two slots: %q", got)
 	}
 }
--- a/internal/fleet/judge/trial/trial.go
+++ b/internal/fleet/judge/trial/trial.go
@@ -64,7 +64,7 @@
 			}
 			shares[arm] = append(shares[arm], row)
 		}
-		if out[Sequential] < 0 && j.Look(slot+1).Verdict == judge.Worse {
+		if out[Sequential] < 0 && j.Evaluate(slot+1).Verdict == judge.Worse {
 			out[Sequential] = since
 		}
 		for c := range classes {
@@ -87,8 +87,8 @@
 			arm = 1
 		}
 		for c, k := range w.Classes {
-			n[arm][c][0] += float64(k.Refused + k.Failed)
-			n[arm][c][1] += float64(k.Served + k.Refused + k.Failed)
+			n[arm][c][0] += float64(k.Rejected + k.Failed)
+			n[arm][c][1] += float64(k.Served + k.Rejected + k.Failed)
 		}
 	}
 	return n
--- a/internal/fleet/judge/trial/world.go
+++ b/internal/fleet/judge/trial/world.go
@@ -163,12 +163,12 @@
 			}
 			bad := w.binomial(n, p)
 			failed := w.binomial(bad, failedOf)
-			win.Classes[c] = judge.Counts{Served: n - bad, Refused: bad - failed, Failed: failed}
+			win.Classes[c] = judge.Counts{Served: n - bad, Rejected: bad - failed, Failed: failed}
 			all += n
 		}
-		win.Tries = all + w.poisson(float64(all)*((x.tries-1)*w.spread(burst)+harm.Tries))
-		win.Ended = win.Tries
-		win.Declined = w.binomial(win.Ended, min(0.9, 2*lost))
+		win.Attempts = all + w.poisson(float64(all)*((x.tries-1)*w.spread(burst)+harm.Tries))
+		win.Finished = win.Attempts
+		win.Rejected = w.binomial(win.Finished, min(0.9, 2*lost))
 		win.Timed, win.Slow = all, w.binomial(all, 0.002*w.spread(burst))
 		age := float64(slot+1) * slotLength.Minutes()
 		if slot > x.from {
@@ -187,8 +187,8 @@
 }
 
 func config(size int) judge.Config {
-	c := judge.Config{Classes: classes, Worth: worth, Base: "old", Change: "new", Start: pastSlots, Slot: slotLength,
-		Warm: slotLength, Settle: 4 * time.Minute, FalseStops: 0.01, SlotsMost: slotsPlayed, Zones: make([]string, size)}
+	c := judge.Config{Classes: classes, Weights: worth, Base: "old", Change: "new", Start: pastSlots, Slot: slotLength,
+		Warm: slotLength, Settle: 4 * time.Minute, FalseStops: 0.01, MaxSlots: slotsPlayed, Zones: make([]string, size)}
 	for i := range c.Zones {
 		c.Zones[i] = "zone-" + string(rune('a'+i%zones))
 	}
--- a/internal/fleet/judge/verdict.go
+++ b/internal/fleet/judge/verdict.go
@@ -11,9 +11,9 @@
 
 // The verdicts.
 const (
-	Worse    Verdict = "worse"
-	NotWorse Verdict = "not worse"
-	CantTell Verdict = "can't tell yet"
+	Worse        Verdict = "worse"
+	NotWorse     Verdict = "not worse"
+	Inconclusive Verdict = "can't tell yet"
 )
 
 // Evidence is a test's verdict with the figures it rests on.
@@ -58,12 +58,12 @@
 	return s
 }
 
-// Suffering is a measure that the unchanged ones have become worse in against their
+// Degradation is a measure that the unchanged ones have become worse in against their
 // own past. It is either the change's doing, by way of the servers, or a bad day.
-type Suffering struct {
+type Degradation struct {
 	Measure Measure `json:"measure"`
 	Class   string  `json:"class,omitempty"`
-	Past    float64 `json:"past"`
+	Usual   float64 `json:"past"`
 	Now     float64 `json:"now"`
 	Limit   float64 `json:"limit"` // what Now may be
 }
@@ -72,14 +72,14 @@
 type Judgement struct {
 	Verdict   Verdict        `json:"verdict"`
 	Evidence  []Evidence     `json:"evidence"` // worse first, then what can't be told, the asides last
-	Suffering []Suffering    `json:"suffering,omitempty"`
+	Suffering []Degradation  `json:"suffering,omitempty"`
 	Left      map[Reason]int `json:"left_out,omitempty"` // windows, by reason
 	Slots     int            `json:"slots"`              // of evidence since the start
 }
 
-// Look judges all that has come of slots before the given one. It may be called
+// Evaluate judges all that has come of slots before the given one. It may be called
 // as often as one likes.
-func (j *Judge) Look(before int) Judgement {
+func (j *Judge) Evaluate(before int) Judgement {
 	j.advance(before)
 	out := Judgement{Verdict: NotWorse, Left: j.Left(), Slots: max(0, j.done-j.cfg.Start)}
 	views := make([][]view, len(j.cells)+len(gauges))
@@ -104,8 +104,8 @@
 			}
 		}
 		j.rule(&e, known[t.cell])
-		e.Aside = e.Verdict == CantTell && !j.holds(&e)
-		if e.Verdict == Worse || e.Verdict == CantTell && out.Verdict == NotWorse && !e.Aside {
+		e.Aside = e.Verdict == Inconclusive && !j.holds(&e)
+		if e.Verdict == Worse || e.Verdict == Inconclusive && out.Verdict == NotWorse && !e.Aside {
 			out.Verdict = e.Verdict
 		}
 		out.Evidence = append(out.Evidence, e)
@@ -114,7 +114,7 @@
 		if e.Aside {
 			return 3
 		}
-		return map[Verdict]int{Worse: 0, CantTell: 1, NotWorse: 2}[e.Verdict]
+		return map[Verdict]int{Worse: 0, Inconclusive: 1, NotWorse: 2}[e.Verdict]
 	}
 	sort.SliceStable(out.Evidence, func(a, b int) bool { return rank(&out.Evidence[a]) < rank(&out.Evidence[b]) })
 	out.Suffering = j.suffering()
@@ -134,7 +134,7 @@
 	if e.cell >= len(j.cells) || j.cells[e.cell].class < 0 {
 		return true
 	}
-	return j.now[e.cell].exposure >= minorShare*j.asked
+	return j.now[e.cell].exposure >= minorShare*j.baselineRequests
 }
 
 // views are what the instances say in a cell, or of a gauge. One that was changed speaks
@@ -198,7 +198,7 @@
 
 // rule says what a test's evidence amounts to.
 func (j *Judge) rule(e *Evidence, known bool) {
-	e.Verdict = CantTell
+	e.Verdict = Inconclusive
 	switch {
 	case e.Changed == 0:
 		e.Why = "no changed instance has both a past and a present beside unchanged ones"
@@ -247,10 +247,10 @@
 // suffering compares the unchanged ones' last slots with their own past. Its
 // answer is a reason to wait, not to stop: it is no bound that may be looked at
 // again and again.
-func (j *Judge) suffering() (out []Suffering) {
+func (j *Judge) suffering() (out []Degradation) {
 	for k, c := range j.cells {
 		l := &j.now[k]
-		if c.measure != Unserved && c.measure != Declined || l.n[0] < sufferLeast || len(l.recent) < recentSlots/2 {
+		if c.measure != Unserved && c.measure != Rejections || l.n[0] < sufferLeast || len(l.recent) < recentSlots/2 {
 			continue
 		}
 		past := l.sum[0] / l.n[0]
@@ -262,7 +262,7 @@
 		now /= float64(len(l.recent))
 		limit := past + max(j.cfg.Margins[c.measure].Exclude, sufferSigma*math.Sqrt(variance*(1/float64(len(l.recent))+1/l.n[0])))
 		if now > limit {
-			s := Suffering{Measure: c.measure, Past: past, Now: now, Limit: limit}
+			s := Degradation{Measure: c.measure, Usual: past, Now: now, Limit: limit}
 			if c.class >= 0 {
 				s.Class = j.cfg.Classes[c.class]
 			}
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// MostTTL is the longest time that a lease is granted for.
-const MostTTL = 5 * time.Minute
+// MaxTTL is the longest time that a lease is granted for.
+const MaxTTL = 5 * time.Minute
 
 // Lease is who holds an instance.
 type Lease struct {
@@ -90,8 +90,8 @@
 // replaced; a holder that asks again gets a new token. The table is not changed:
 // Put the leases once they are recorded.
 func (t *Table) Acquire(now time.Time, op, holder string, instances []string, ttl time.Duration, busy func(instance string) string) ([]Lease, error) {
-	if ttl <= 0 || ttl > MostTTL {
-		return nil, fmt.Errorf("lease: a time of %v; above 0 and up to %v is granted", ttl, MostTTL)
+	if ttl <= 0 || ttl > MaxTTL {
+		return nil, fmt.Errorf("lease: a time of %v; above 0 and up to %v is granted", ttl, MaxTTL)
 	}
 	out := make([]Lease, 0, len(instances))
 	for _, name := range instances {
@@ -121,8 +121,8 @@
 // Renew returns the token's leases with a later end. One that has ended is not
 // renewed: another may have looked, and been told that it is free.
 func (t *Table) Renew(now time.Time, op string, token int64, instances []string, ttl time.Duration) ([]Lease, error) {
-	if ttl <= 0 || ttl > MostTTL {
-		return nil, fmt.Errorf("lease: a time of %v; above 0 and up to %v is granted", ttl, MostTTL)
+	if ttl <= 0 || ttl > MaxTTL {
+		return nil, fmt.Errorf("lease: a time of %v; above 0 and up to %v is granted", ttl, MaxTTL)
 	}
 	out := make([]Lease, 0, len(instances))
 	for _, name := range instances {
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -31,7 +31,7 @@
 	if _, ok := errors.AsType[*HeldError](err); !ok {
 		t.Error("busy, but granted:", err)
 	}
-	for _, ttl := range []time.Duration{0, -1, MostTTL + 1} {
+	for _, ttl := range []time.Duration{0, -1, MaxTTL + 1} {
 		if _, err := tab.Acquire(t0, "op2", "budi", []string{"c"}, ttl, free); err == nil {
 			t.Error("granted for", ttl)
 		}
