--- a/internal/fleet/life/life.go
+++ b/internal/fleet/life/life.go
@@ -38,13 +38,13 @@
 	KillAfter   time.Duration // from SIGTERM to SIGKILL
 	BackoffMin  time.Duration // after a first crash; twice as long after each further one
 	BackoffMax  time.Duration
-	CrashMost   int           // so many crashes
+	MaxCrashes  int           // so many crashes
 	CrashWithin time.Duration // in this time are a crash loop
 }
 
-// KillLeast is the least KillAfter: the protocol lets SIGKILL come no sooner than
+// MinKillDelay is the least KillAfter: the protocol lets SIGKILL come no sooner than
 // the longest deadline, 3 s at most, and 0.7 s more after SIGTERM.
-const KillLeast = stopplan.DeadlineCountsMost + stopplan.KillGrace
+const MinKillDelay = stopplan.MaxDeadline + stopplan.KillGrace
 
 // Kind is what should be done.
 type Kind string
@@ -58,13 +58,13 @@
 	KillOld Kind = "kill-old"
 )
 
-// Life is the state of an instance.
-type Life struct {
+// Supervisor is the state of an instance.
+type Supervisor struct {
 	cfg Config
 
 	run        bool  // wanted
 	generation int64 // wanted
-	beside     bool  // a new generation starts beside the process
+	sideBySide bool  // a new generation starts beside the process
 
 	phase   Phase
 	since   time.Time
@@ -89,34 +89,34 @@
 const unreadyAfter = 3
 
 // New returns an instance without a process, of which nothing is wanted.
-func New(cfg Config, now time.Time) *Life {
-	return &Life{cfg: cfg, phase: Stopped, since: now}
+func New(cfg Config, now time.Time) *Supervisor {
+	return &Supervisor{cfg: cfg, phase: Stopped, since: now}
 }
 
-func (l *Life) Phase() Phase      { return l.phase }
-func (l *Life) Since() time.Time  { return l.since }
-func (l *Life) Reason() string    { return l.reason }
-func (l *Life) Process() int64    { return l.process }
-func (l *Life) Generation() int64 { return l.generation }
-func (l *Life) Wanted() bool      { return l.run }
-func (l *Life) Settled() bool {
+func (l *Supervisor) Phase() Phase      { return l.phase }
+func (l *Supervisor) Since() time.Time  { return l.since }
+func (l *Supervisor) Reason() string    { return l.reason }
+func (l *Supervisor) Process() int64    { return l.process }
+func (l *Supervisor) Generation() int64 { return l.generation }
+func (l *Supervisor) Wanted() bool      { return l.run }
+func (l *Supervisor) Settled() bool {
 	return l.old == 0 && (l.process == 0 || l.process == l.generation && l.run)
 }
 
 // Old is the generation of the process being replaced, 0 for none.
-func (l *Life) Old() int64 { return l.old }
+func (l *Supervisor) Old() int64 { return l.old }
 
 // Failed is the latest generation that failed beside a process that serves on, and how.
-func (l *Life) Failed() (generation int64, how string) { return l.failed, l.failure }
+func (l *Supervisor) Failed() (generation int64, how string) { return l.failed, l.failure }
 
-// Beside says whether a generation wanted from now on starts beside the process that
+// SetSideBySide says whether a generation wanted from now on starts beside the process that
 // serves: both must be able to hand over.
-func (l *Life) Beside(can bool) { l.beside = can }
+func (l *Supervisor) SetSideBySide(can bool) { l.sideBySide = can }
 
 // Next is when Tick is due at the latest; zero for no such time.
-func (l *Life) Next() (t time.Time) {
+func (l *Supervisor) Next() (t time.Time) {
 	switch {
-	case l.oldAsked() && !l.oldKilled:
+	case l.terminatingPrevious() && !l.oldKilled:
 		return l.oldKillAt
 	case l.phase == Draining && !l.killed:
 		return l.killAt
@@ -126,7 +126,7 @@
 	return time.Time{}
 }
 
-func (l *Life) enter(now time.Time, p Phase, reason string) {
+func (l *Supervisor) enter(now time.Time, p Phase, reason string) {
 	if l.phase != p {
 		l.since = now
 	}
@@ -134,36 +134,36 @@
 }
 
 // Adopt tells of a process that was found running, at the start of things.
-func (l *Life) Adopt(now time.Time, generation int64) {
+func (l *Supervisor) Adopt(now time.Time, generation int64) {
 	l.process = generation
 	l.enter(now, Starting, "found running")
 }
 
 // AdoptOld tells of a process of an earlier generation that was found running beside
 // the adopted one.
-func (l *Life) AdoptOld(generation int64) { l.replacing(generation) }
+func (l *Supervisor) AdoptOld(generation int64) { l.replacing(generation) }
 
 // replacing makes the process of a generation the one being replaced, 0 for none.
-func (l *Life) replacing(generation int64) {
+func (l *Supervisor) replacing(generation int64) {
 	l.old, l.oldKillAt, l.oldKilled = generation, time.Time{}, false
 }
 
-// oldAsked says that the process being replaced was asked to end.
-func (l *Life) oldAsked() bool { return !l.oldKillAt.IsZero() }
+// terminatingPrevious says that the process being replaced was asked to end.
+func (l *Supervisor) terminatingPrevious() bool { return !l.oldKillAt.IsZero() }
 
 // AdoptFailed tells of a generation that ended beside the adopted process.
-func (l *Life) AdoptFailed(generation int64, how string) { l.failed, l.failure = generation, how }
+func (l *Supervisor) AdoptFailed(generation int64, how string) { l.failed, l.failure = generation, how }
 
-// Keep makes the process that serves on after a failure the wanted one: it counts as of
+// KeepPrevious makes the process that serves on after a failure the wanted one: it counts as of
 // the wanted generation from now on.
-func (l *Life) Keep() {
+func (l *Supervisor) KeepPrevious() {
 	if l.process != 0 && l.old == 0 && l.failed == l.generation {
 		l.process = l.generation
 	}
 }
 
 // Want sets what is wanted. A new generation forgets earlier crashes.
-func (l *Life) Want(now time.Time, run bool, generation int64) []Kind {
+func (l *Supervisor) Want(now time.Time, run bool, generation int64) []Kind {
 	if generation != l.generation {
 		l.crashes, l.streak = nil, 0
 	}
@@ -172,7 +172,7 @@
 }
 
 // step brings what is nearer to what is wanted.
-func (l *Life) step(now time.Time) []Kind {
+func (l *Supervisor) step(now time.Time) []Kind {
 	if l.old != 0 {
 		return l.replace(now)
 	}
@@ -188,7 +188,7 @@
 		switch {
 		case l.run && l.process == l.generation, l.run && l.failed == l.generation:
 			return nil
-		case l.run && l.beside && l.phase == Ready:
+		case l.run && l.sideBySide && l.phase == Ready:
 			return []Kind{Launch}
 		}
 		return []Kind{l.term(now)}
@@ -206,7 +206,7 @@
 }
 
 // term asks the process to end.
-func (l *Life) term(now time.Time) Kind {
+func (l *Supervisor) term(now time.Time) Kind {
 	l.killAt, l.killed = now.Add(l.cfg.KillAfter), false
 	l.enter(now, Draining, "")
 	return Term
@@ -215,8 +215,8 @@
 // replace is step while an old process is there beside the new one. One that is not
 // wanted any more has not served before it is ready, and is killed; a ready one ends
 // like any other, after the old one.
-func (l *Life) replace(now time.Time) []Kind {
-	if l.oldAsked() && !l.oldKilled && !now.Before(l.oldKillAt) {
+func (l *Supervisor) replace(now time.Time) []Kind {
+	if l.terminatingPrevious() && !l.oldKilled && !now.Before(l.oldKillAt) {
 		l.oldKilled = true
 		return []Kind{KillOld}
 	}
@@ -225,7 +225,7 @@
 	case l.phase == Starting && (!l.run || l.process != l.generation):
 		l.giveUp(now, "not wanted any more")
 		return []Kind{Kill}
-	case l.phase != Starting && !l.oldAsked():
+	case l.phase != Starting && !l.terminatingPrevious():
 		l.oldKillAt = now.Add(l.cfg.KillAfter)
 		return []Kind{TermOld}
 	}
@@ -233,15 +233,15 @@
 }
 
 // giveUp marks the new process as one that is to be killed.
-func (l *Life) giveUp(now time.Time, why string) {
+func (l *Supervisor) giveUp(now time.Time, why string) {
 	l.enter(now, Draining, why)
 	l.killed = true
 }
 
 // GiveUp ends a new process that has not become ready beside the old one, which serves
 // on; nothing where there is no old one.
-func (l *Life) GiveUp(now time.Time, why string) []Kind {
-	if l.old == 0 || l.oldAsked() || l.phase != Starting {
+func (l *Supervisor) GiveUp(now time.Time, why string) []Kind {
+	if l.old == 0 || l.terminatingPrevious() || l.phase != Starting {
 		return nil
 	}
 	l.giveUp(now, why)
@@ -249,7 +249,7 @@
 }
 
 // Launched tells that a process of the wanted generation runs.
-func (l *Life) Launched(now time.Time) []Kind {
+func (l *Supervisor) Launched(now time.Time) []Kind {
 	if l.process != 0 {
 		l.replacing(l.process)
 	} else {
@@ -263,7 +263,7 @@
 
 // LaunchFailed tells that none could be started: it counts as a crash, or as a failure
 // of its generation where a process serves.
-func (l *Life) LaunchFailed(now time.Time, why string) []Kind {
+func (l *Supervisor) LaunchFailed(now time.Time, why string) []Kind {
 	if l.process != 0 {
 		l.failed, l.failure = l.generation, "can't be started: "+why
 		l.reason = l.serves()
@@ -273,7 +273,7 @@
 }
 
 // Exited tells that the process has ended, and how.
-func (l *Life) Exited(now time.Time, how string) []Kind {
+func (l *Supervisor) Exited(now time.Time, how string) []Kind {
 	ended := l.process
 	if l.old != 0 {
 		return l.back(now, ended, how)
@@ -288,7 +288,7 @@
 
 // back takes the end of the new process while the old one is there: that one is the
 // instance's again.
-func (l *Life) back(now time.Time, ended int64, how string) []Kind {
+func (l *Supervisor) back(now time.Time, ended int64, how string) []Kind {
 	wanted := l.run && ended == l.generation
 	if wanted {
 		l.failed, l.failure = ended, how
@@ -297,7 +297,7 @@
 		}
 	}
 	l.process, l.fails = l.old, 0
-	if l.oldAsked() {
+	if l.terminatingPrevious() {
 		l.killAt, l.killed = l.oldKillAt, l.oldKilled
 		l.failed = 0 // no process serves on: it is launched again
 		l.enter(now, Draining, how)
@@ -309,7 +309,7 @@
 }
 
 // serves is the reason of an instance whose new process failed.
-func (l *Life) serves() string {
+func (l *Supervisor) serves() string {
 	if l.failed != l.generation || l.failed == 0 {
 		return ""
 	}
@@ -317,12 +317,12 @@
 }
 
 // OldExited tells that the process being replaced has ended.
-func (l *Life) OldExited(now time.Time) []Kind {
+func (l *Supervisor) OldExited(now time.Time) []Kind {
 	l.replacing(0)
 	return l.step(now)
 }
 
-func (l *Life) crash(now time.Time, how string) []Kind {
+func (l *Supervisor) crash(now time.Time, how string) []Kind {
 	kept := l.crashes[:0]
 	for _, t := range l.crashes {
 		if now.Sub(t) < l.cfg.CrashWithin {
@@ -331,7 +331,7 @@
 	}
 	l.crashes = append(kept, now)
 	l.streak++
-	if len(l.crashes) >= l.cfg.CrashMost {
+	if len(l.crashes) >= l.cfg.MaxCrashes {
 		l.enter(now, Crashloop, fmt.Sprintf("%d crashes in %v, the last: %s", len(l.crashes), l.cfg.CrashWithin, how))
 		return nil
 	}
@@ -346,7 +346,7 @@
 }
 
 // Health tells how a health call ended.
-func (l *Life) Health(now time.Time, ok bool, why string) {
+func (l *Supervisor) Health(now time.Time, ok bool, why string) {
 	switch {
 	case l.process == 0 || l.phase == Draining:
 	case ok:
@@ -366,4 +366,4 @@
 }
 
 // Tick tells that time has passed.
-func (l *Life) Tick(now time.Time) []Kind { return l.step(now) }
+func (l *Supervisor) Tick(now time.Time) []Kind { return l.step(now) }
--- a/internal/fleet/life/life_test.go
+++ b/internal/fleet/life/life_test.go
@@ -10,12 +10,12 @@
 
 var (
 	t0  = time.Date(2026, 3, 18, 20, 0, 0, 0, time.UTC)
-	cfg = Config{KillAfter: 4 * time.Second, BackoffMin: time.Second, BackoffMax: 8 * time.Second, CrashMost: 4, CrashWithin: time.Minute}
+	cfg = Config{KillAfter: 4 * time.Second, BackoffMin: time.Second, BackoffMax: 8 * time.Second, MaxCrashes: 4, CrashWithin: time.Minute}
 )
 
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-func expect(t *testing.T, l *Life, got []Kind, phase Phase, want ...Kind) {
+func expect(t *testing.T, l *Supervisor, got []Kind, phase Phase, want ...Kind) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) || l.Phase() != phase {
 		t.Fatalf("%s %v; want %s %v (%s)", l.Phase(), got, phase, want, l.Reason())
@@ -83,7 +83,7 @@
 // A new generation starts beside the one that serves, which ends once it is ready.
 func TestBeside(t *testing.T) {
 	l := New(cfg, t0)
-	l.Beside(true)
+	l.SetSideBySide(true)
 	expect(t, l, l.Want(at(0), true, 1), Stopped, Launch)
 	expect(t, l, l.Launched(at(0)), Starting)
 	expect(t, l, l.Want(at(0.5), true, 2), Draining, Term) // it serves nobody: nothing to keep
@@ -109,9 +109,9 @@
 }
 
 // serving is an instance whose process of generation 1 serves, and hands over.
-func serving() *Life {
+func serving() *Supervisor {
 	l := New(cfg, t0)
-	l.Beside(true)
+	l.SetSideBySide(true)
 	l.Want(at(0), true, 1)
 	l.Launched(at(0))
 	l.Health(at(1), true, "")
@@ -121,15 +121,15 @@
 // A new process that ends before it is ready, can't be started or is given up leaves the
 // old one serving, and is not tried again.
 func TestBesideFails(t *testing.T) {
-	for name, fail := range map[string]func(l *Life){
-		"ends": func(l *Life) {
+	for name, fail := range map[string]func(l *Supervisor){
+		"ends": func(l *Supervisor) {
 			expect(t, l, l.Launched(at(2)), Starting)
 			expect(t, l, l.Exited(at(3), "exit status 1"), Ready)
 		},
-		"can't be started": func(l *Life) {
+		"can't be started": func(l *Supervisor) {
 			expect(t, l, l.LaunchFailed(at(2), "no such file"), Ready)
 		},
-		"is given up": func(l *Life) {
+		"is given up": func(l *Supervisor) {
 			expect(t, l, l.Launched(at(2)), Starting)
 			expect(t, l, l.GiveUp(at(9), "not ready within 7s"), Draining, Kill)
 			expect(t, l, l.GiveUp(at(9), "again"), Draining)
@@ -153,7 +153,7 @@
 // The new process crashes while the old one ends: what is wanted is launched anew after
 // that. The old one crashes while the new one starts: the new one goes on.
 func TestBesideCrashes(t *testing.T) {
-	begin := func() *Life {
+	begin := func() *Supervisor {
 		l := serving()
 		l.Want(at(2), true, 2)
 		l.Launched(at(2))
@@ -257,7 +257,7 @@
 				gen += int64(rapid.IntRange(0, 1).Draw(t, "new"))
 				want = rapid.Bool().Draw(t, "run")
 				beside = rapid.Bool().Draw(t, "beside")
-				l.Beside(beside)
+				l.SetSideBySide(beside)
 				do(l.Want(now, want, gen))
 			case 1:
 				exit()
--- a/internal/fleet/neighbour/neighbour.go
+++ b/internal/fleet/neighbour/neighbour.go
@@ -84,9 +84,9 @@
 // leaveMost is how long after its end what it started may keep its output open.
 const leaveMost = 100 * time.Millisecond
 
-// Ask asks a program. One that does not tell, for whatever reason, is First. All that
+// Query asks a program. One that does not tell, for whatever reason, is First. All that
 // it started is ended.
-func Ask(ctx context.Context, path string) Versions {
+func Query(ctx context.Context, path string) Versions {
 	ctx, cancel := context.WithTimeout(ctx, askMost)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, path, "versions")
--- a/internal/fleet/neighbour/neighbour_test.go
+++ b/internal/fleet/neighbour/neighbour_test.go
@@ -48,7 +48,7 @@
 		if err := os.WriteFile(path, []byte("#!/bin/sh\nPATH=/bin:/usr/bin\n"+text+"\n"), 0o700); err != nil {
 			t.Fatal(err)
 		}
-		if got := Ask(context.Background(), path); got != want {
+		if got := Query(context.Background(), path); got != want {
 			t.Errorf("%s: %+v, want %+v", text, got, want)
 		}
 	}
--- a/internal/fleet/scrape/scrape.go
+++ b/internal/fleet/scrape/scrape.go
@@ -30,8 +30,8 @@
 // slow in the sidecar.
 const slowOver = "0.005"
 
-// Door reads the metrics of the admin endpoint at addr, within timeout.
-func Door(ctx context.Context, addr string, timeout time.Duration) (*api.Sample, error) {
+// Metrics reads the metrics of the admin endpoint at addr, within timeout.
+func Metrics(ctx context.Context, addr string, timeout time.Duration) (*api.Sample, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/api/telemetry", nil)
@@ -79,7 +79,7 @@
 					}
 				}
 				return ""
-			}, whole(m))
+			}, completeCount(m))
 		}
 	}
 	each("responses", func(label func(string) string, v uint32) {
@@ -88,17 +88,17 @@
 		case "ok":
 			c.Served = v
 		case "shed":
-			c.Refused = v
+			c.Rejected = v
 		default:
 			c.Failed += v
 		}
 		s.Classes[label("kind")] = c
 	})
-	each("tries", func(_ func(string) string, v uint32) { s.Tries = v })
+	each("tries", func(_ func(string) string, v uint32) { s.Attempts = v })
 	each("attempts", func(label func(string) string, v uint32) {
-		s.Ended += v
+		s.Finished += v
 		if label("outcome") == "declined" {
-			s.Declined = v
+			s.Rejected = v
 		}
 	})
 	each("own_seconds_count", func(_ func(string) string, v uint32) { s.Timed = v })
@@ -112,8 +112,8 @@
 	return s, nil
 }
 
-// whole is a metric's value as a count; what is no count is 0.
-func whole(m *dto.Metric) uint32 {
+// completeCount is a metric's value as a count; what is no count is 0.
+func completeCount(m *dto.Metric) uint32 {
 	var v float64
 	switch {
 	case m.Untyped != nil:
--- a/internal/fleet/stage/stage.go
+++ b/internal/fleet/stage/stage.go
@@ -17,12 +17,12 @@
 // Plan is what stages there are. Times are of evidence: time in which nobody
 // looked, or in which a hold was on, does not count.
 type Plan struct {
-	Upto       []int         `msgpack:"Upto" json:"Upto"` // how many targets, in order, run the change by the end of each stage
-	Least      time.Duration `msgpack:"Least" json:"Least"`
-	Longest    time.Duration `msgpack:"Longest" json:"Longest"`
-	Slot       time.Duration `msgpack:"Slot" json:"Slot"`
-	Past       int           `msgpack:"Past" json:"Past"`             // slots of the past that are wanted before anything is changed
-	OnCantTell string        `msgpack:"OnCantTell" json:"OnCantTell"` // at Longest: Hold or GoOn
+	Upto           []int         `msgpack:"Upto" json:"Upto"` // how many targets, in order, run the change by the end of each stage
+	MinDuration    time.Duration `msgpack:"Least" json:"Least"`
+	MaxDuration    time.Duration `msgpack:"Longest" json:"Longest"`
+	Slot           time.Duration `msgpack:"Slot" json:"Slot"`
+	HistorySlots   int           `msgpack:"Past" json:"Past"`             // slots of the past that are wanted before anything is changed
+	OnInconclusive string        `msgpack:"OnCantTell" json:"OnCantTell"` // at Longest: Hold or GoOn
 }
 
 // Check says what is wrong with a plan for n targets.
@@ -30,10 +30,10 @@
 	switch {
 	case len(p.Upto) == 0 || p.Upto[len(p.Upto)-1] != n || p.Upto[0] < 1 || !slices.IsSorted(p.Upto):
 		return fmt.Errorf("stages %v of %d instances; want rising sizes that end with all of them", p.Upto, n)
-	case p.Slot <= 0 || p.Least < 0 || p.Longest < p.Least || p.Past < 1:
-		return fmt.Errorf("slot %v, least %v, longest %v, past %d; want slot above 0, 0 <= least <= longest, a past of 1 at least", p.Slot, p.Least, p.Longest, p.Past)
-	case p.OnCantTell != Hold && p.OnCantTell != GoOn:
-		return fmt.Errorf("on-cant-tell is %q; want %s or %s", p.OnCantTell, Hold, GoOn)
+	case p.Slot <= 0 || p.MinDuration < 0 || p.MaxDuration < p.MinDuration || p.HistorySlots < 1:
+		return fmt.Errorf("slot %v, least %v, longest %v, past %d; want slot above 0, 0 <= least <= longest, a past of 1 at least", p.Slot, p.MinDuration, p.MaxDuration, p.HistorySlots)
+	case p.OnInconclusive != Hold && p.OnInconclusive != GoOn:
+		return fmt.Errorf("on-cant-tell is %q; want %s or %s", p.OnInconclusive, Hold, GoOn)
 	}
 	return nil
 }
@@ -41,24 +41,24 @@
 // State is where a change stands. It is written down by those who carry it out, so
 // that whoever goes on with it starts from there.
 type State struct {
-	Stage  int    `msgpack:"stage" json:"stage"` // 0: none has begun
-	Slots  int    `msgpack:"slots" json:"slots"` // of evidence in it, holds aside
-	Looked int    `msgpack:"looked" json:"looked"`
-	Held   string `msgpack:"held" json:"held,omitempty"` // why it waits for an operator
-	Pause  string `msgpack:"pause" json:"pause,omitempty"`
-	Worse  string `msgpack:"worse" json:"worse,omitempty"` // why it was stopped
-	Done   bool   `msgpack:"done" json:"done"`
+	Stage       int    `msgpack:"stage" json:"stage"` // 0: none has begun
+	Slots       int    `msgpack:"slots" json:"slots"` // of evidence in it, holds aside
+	Looked      int    `msgpack:"looked" json:"looked"`
+	HoldReason  string `msgpack:"held" json:"held,omitempty"` // why it waits for an operator
+	PauseReason string `msgpack:"pause" json:"pause,omitempty"`
+	Worse       string `msgpack:"worse" json:"worse,omitempty"` // why it was stopped
+	Done        bool   `msgpack:"done" json:"done"`
 	// From is the place in the order at which the present stage begins.
 	From int `msgpack:"from" json:"from"`
 }
 
 // Look is what is known at the end of a slot.
 type Look struct {
-	Slot      int // its number; a slot is looked at once
-	Past      int // slots of the past that there are
-	Judgement judge.Judgement
-	Settled   bool   // every target of the stages so far has come to its end
-	Blind     string // why the evidence is not whole, "" if it is
+	Slot         int // its number; a slot is looked at once
+	HistorySlots int // slots of the past that there are
+	Judgement    judge.Judgement
+	Settled      bool   // every target of the stages so far has come to its end
+	Blind        string // why the evidence is not whole, "" if it is
 }
 
 // Machine walks a plan.
@@ -95,7 +95,7 @@
 	switch {
 	case m.state.Worse != "":
 		return fmt.Errorf("it was judged worse (%s): mend it and begin anew; evidence of this release is not counted for another", m.state.Worse)
-	case m.state.Held == "":
+	case m.state.HoldReason == "":
 		return fmt.Errorf("it does not hold")
 	}
 	m.next()
@@ -104,7 +104,7 @@
 
 func (m *Machine) next() {
 	m.state.From = m.Open()
-	m.state.Slots, m.state.Held, m.state.Pause = 0, "", ""
+	m.state.Slots, m.state.HoldReason, m.state.PauseReason = 0, "", ""
 	if m.state.Stage == len(m.plan.Upto) {
 		m.state.Done = true
 		return
@@ -128,45 +128,45 @@
 	if s.Stage == 0 {
 		switch {
 		case l.Blind != "":
-			s.Pause = l.Blind
-		case l.Past < m.plan.Past:
-			s.Pause = fmt.Sprintf("%d of %d slots of the past are there", l.Past, m.plan.Past)
+			s.PauseReason = l.Blind
+		case l.HistorySlots < m.plan.HistorySlots:
+			s.PauseReason = fmt.Sprintf("%d of %d slots of the past are there", l.HistorySlots, m.plan.HistorySlots)
 		default:
 			m.next()
 		}
 		return
 	}
 	if l.Judgement.Verdict == judge.Worse {
-		s.Worse, s.Held, s.Pause = l.Judgement.Evidence[0].String(), "", ""
+		s.Worse, s.HoldReason, s.PauseReason = l.Judgement.Evidence[0].String(), "", ""
 		return
 	}
-	s.Pause = ""
+	s.PauseReason = ""
 	switch {
 	case !l.Settled:
 		return // its time begins once all of it runs
 	case l.Blind != "":
-		s.Pause = l.Blind
+		s.PauseReason = l.Blind
 		return
 	case len(l.Judgement.Suffering) > 0:
 		x := l.Judgement.Suffering[0]
-		s.Pause = fmt.Sprintf("the unchanged ones do worse than before (%s %.4g, was %.4g): the change's doing or a bad day, which can't be told apart", x.Measure, x.Now, x.Past)
+		s.PauseReason = fmt.Sprintf("the unchanged ones do worse than before (%s %.4g, was %.4g): the change's doing or a bad day, which can't be told apart", x.Measure, x.Now, x.Usual)
 		return
 	}
 	s.Slots++
 	spent := time.Duration(s.Slots) * m.plan.Slot
 	switch {
-	case s.Held != "":
+	case s.HoldReason != "":
 		if l.Judgement.Verdict == judge.NotWorse {
 			m.next() // what was missing has come
 		}
-	case spent < m.plan.Least:
+	case spent < m.plan.MinDuration:
 	case l.Judgement.Verdict == judge.NotWorse:
 		m.next()
-	case spent < m.plan.Longest:
-	case m.plan.OnCantTell == GoOn:
+	case spent < m.plan.MaxDuration:
+	case m.plan.OnInconclusive == GoOn:
 		m.next()
 	default:
-		s.Held = fmt.Sprintf("after %v it can't be told whether stage %d does worse: %s", spent, s.Stage, missing(l.Judgement))
+		s.HoldReason = fmt.Sprintf("after %v it can't be told whether stage %d does worse: %s", spent, s.Stage, missing(l.Judgement))
 	}
 	return
 }
@@ -174,7 +174,7 @@
 // missing names the first test that can't be told.
 func missing(j judge.Judgement) string {
 	for _, e := range j.Evidence {
-		if e.Verdict == judge.CantTell && !e.Aside {
+		if e.Verdict == judge.Inconclusive && !e.Aside {
 			return e.String()
 		}
 	}
--- a/internal/fleet/stage/stage_test.go
+++ b/internal/fleet/stage/stage_test.go
@@ -98,18 +98,18 @@
 
 // A script of looks, and what came of each: stage, open targets, and why it waits.
 func TestStages(t *testing.T) {
-	bad := judge.Judgement{Verdict: judge.Worse, Evidence: []judge.Evidence{{Test: judge.Test{Measure: judge.Worth}, Verdict: judge.Worse}}}
-	unclear := judge.Judgement{Verdict: judge.CantTell, Evidence: []judge.Evidence{{Verdict: judge.CantTell, Why: "too little traffic"}}}
+	bad := judge.Judgement{Verdict: judge.Worse, Evidence: []judge.Evidence{{Test: judge.Test{Measure: judge.WeightedLoss}, Verdict: judge.Worse}}}
+	unclear := judge.Judgement{Verdict: judge.Inconclusive, Evidence: []judge.Evidence{{Verdict: judge.Inconclusive, Why: "too little traffic"}}}
 	looks := map[string]Look{
-		"young":   {Past: 2, Settled: true},
-		"good":    {Past: 9, Settled: true, Judgement: judge.Judgement{Verdict: judge.NotWorse}},
-		"moving":  {Past: 9, Judgement: judge.Judgement{Verdict: judge.NotWorse}},
-		"unclear": {Past: 9, Settled: true, Judgement: unclear},
-		"worse":   {Past: 9, Judgement: bad},
-		"blind":   {Past: 9, Settled: true, Judgement: judge.Judgement{Verdict: judge.NotWorse}, Blind: "no evidence of h1"},
-		"bad day": {Past: 9, Settled: true, Judgement: judge.Judgement{Verdict: judge.NotWorse, Suffering: []judge.Suffering{{Measure: judge.Declined}}}},
+		"young":   {HistorySlots: 2, Settled: true},
+		"good":    {HistorySlots: 9, Settled: true, Judgement: judge.Judgement{Verdict: judge.NotWorse}},
+		"moving":  {HistorySlots: 9, Judgement: judge.Judgement{Verdict: judge.NotWorse}},
+		"unclear": {HistorySlots: 9, Settled: true, Judgement: unclear},
+		"worse":   {HistorySlots: 9, Judgement: bad},
+		"blind":   {HistorySlots: 9, Settled: true, Judgement: judge.Judgement{Verdict: judge.NotWorse}, Blind: "no evidence of h1"},
+		"bad day": {HistorySlots: 9, Settled: true, Judgement: judge.Judgement{Verdict: judge.NotWorse, Suffering: []judge.Degradation{{Measure: judge.Rejections}}}},
 	}
-	plan := Plan{Upto: []int{1, 5, 10}, Least: 2 * time.Second, Longest: 4 * time.Second, Slot: time.Second, Past: 3, OnCantTell: Hold}
+	plan := Plan{Upto: []int{1, 5, 10}, MinDuration: 2 * time.Second, MaxDuration: 4 * time.Second, Slot: time.Second, HistorySlots: 3, OnInconclusive: Hold}
 	for name, c := range map[string]struct{ script, want string }{
 		"passes":               {"young good good good good good good good", "0:0 1:1 1:1 2:5 2:5 3:10 3:10 done"},
 		"worse stops":          {"good good worse good", "1:1 1:1 worse worse"},
@@ -146,9 +146,9 @@
 				text = "worse"
 			case s.Done:
 				text = "done"
-			case s.Held != "":
+			case s.HoldReason != "":
 				text += "!"
-			case s.Pause != "" && what != "young":
+			case s.PauseReason != "" && what != "young":
 				text += "?"
 			}
 			out = append(out, text)
--- a/internal/fleet/store/postgres/postgres.go
+++ b/internal/fleet/store/postgres/postgres.go
@@ -123,7 +123,7 @@
 		if err == nil {
 			return nil
 		}
-		if n >= againMost || ctx.Err() != nil || !pg.Undone(err) && !(committing && pg.InDoubt(err)) {
+		if n >= againMost || ctx.Err() != nil || !pg.Undone(err) && !(committing && pg.OutcomeUnknown(err)) {
 			return fmt.Errorf("record: %w", s.db.Explain(err))
 		}
 	}
--- a/internal/fleet/store/rows.go
+++ b/internal/fleet/store/rows.go
@@ -111,13 +111,13 @@
 }
 
 // SettingsValues returns what is written of r.
-func SettingsValues(r *distribution.Row) []any { return []any{r.Key, string(r.Value)} }
+func SettingsValues(r *distribution.Entry) []any { return []any{r.Key, string(r.Value)} }
 
 // ReadSettings adds a row to the snapshot.
 func (s *Snapshot) ReadSettings(r Row) error {
 	var key, body string
 	err := r.Scan(&key, &body)
-	s.Settings = append(s.Settings, distribution.Row{Key: key, Value: []byte(body)})
+	s.Settings = append(s.Settings, distribution.Entry{Key: key, Value: []byte(body)})
 	return err
 }
 
--- a/internal/fleet/store/sqlite/sqlite.go
+++ b/internal/fleet/store/sqlite/sqlite.go
@@ -158,7 +158,7 @@
 		{"SELECT " + store.LeaseColumns + " FROM leases ORDER BY instance", out.ReadLease},
 		{"SELECT " + store.SettingsColumns + " FROM settings ORDER BY key", out.ReadSettings},
 	} {
-		if err := sqlitefile.Each(ctx, s.db, q.text, func(r *sql.Rows) error { return q.scan(r) }); err != nil {
+		if err := sqlitefile.ForEach(ctx, s.db, q.text, func(r *sql.Rows) error { return q.scan(r) }); err != nil {
 			return nil, fmt.Errorf("record %s: %w", s.path, err)
 		}
 	}
@@ -167,7 +167,7 @@
 
 // Audit implements store.Store.
 func (s *Store) Audit(ctx context.Context, most int) (out []api.AuditEntry, err error) {
-	err = sqlitefile.Each(ctx, s.db, "SELECT "+store.AuditColumns+" FROM audit ORDER BY n DESC LIMIT ?", func(r *sql.Rows) error {
+	err = sqlitefile.ForEach(ctx, s.db, "SELECT "+store.AuditColumns+" FROM audit ORDER BY n DESC LIMIT ?", func(r *sql.Rows) error {
 		a, err := store.ReadAudit(r)
 		out = append(out, a)
 		return err
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -54,7 +54,7 @@
 	Audit      []api.AuditEntry
 
 	// Settings are rows of the settings' distribution; see distribution.Batch.
-	Settings     []distribution.Row
+	Settings     []distribution.Entry
 	DropSettings []string // keys
 
 	DropOperations []string // with their steps
@@ -68,7 +68,7 @@
 	Operations []Operation
 	Steps      []api.Step
 	Leases     []lease.Lease
-	Settings   []distribution.Row
+	Settings   []distribution.Entry
 }
 
 // Store keeps a record.
--- a/internal/fleet/store/storetest/storetest.go
+++ b/internal/fleet/store/storetest/storetest.go
@@ -24,7 +24,7 @@
 			Created: at.UTC(), Soak: time.Second}, State: api.OpOpened}},
 		Steps:  []api.Step{{Op: "op1", Instance: "n1", Kind: api.Change, Status: api.StepRunning, Generation: 3, Started: at.UTC()}},
 		Leases: []lease.Lease{{Instance: "n1", Op: "op1", Holder: "sari", Token: 9, Granted: at, Expires: at.Add(time.Minute)}},
-		Settings: []distribution.Row{
+		Settings: []distribution.Entry{
 			{Key: "change/00000000000000000001.00000000000000000001", Value: []byte(`{"name":"limits"}`)},
 			{Key: "resource/limits", Value: []byte(`{"name":"limits","content":"eyJhIjoi4oKsIn0="}`)},
 		},
--- a/internal/fleet/units/units.go
+++ b/internal/fleet/units/units.go
@@ -43,8 +43,8 @@
 	return fmt.Errorf("%q is no size; write it with its unit, as in \"64KiB\" or \"4MiB\"", b)
 }
 
-// Beside makes relative paths that stand in a file relative to its folder.
-func Beside(file string, paths ...*string) error {
+// ResolvePaths makes relative paths that stand in a file relative to its folder.
+func ResolvePaths(file string, paths ...*string) error {
 	dir, err := filepath.Abs(filepath.Dir(file))
 	if err != nil {
 		return err
--- a/internal/fleetsim/gossip.go
+++ b/internal/fleetsim/gossip.go
@@ -44,7 +44,7 @@
 	cfg := g.cfg
 	cfg.Self = peers.Rank(i)
 	g.lives++
-	cfg.Life = g.lives
+	cfg.Incarnation = g.lives
 	n, err := peers.New(cfg, g.Now, g.Rand(i))
 	if err != nil {
 		panic(err) // of this package's own making
@@ -60,8 +60,8 @@
 	return p, ok
 }
 
-// Share is the share of running sidecars for which ok holds.
-func (g *Gossip) Share(ok func(p Peer) bool) float64 {
+// InformedFraction is the share of running sidecars for which ok holds.
+func (g *Gossip) InformedFraction(ok func(p Peer) bool) float64 {
 	n, yes := 0, 0
 	for i := range g.places {
 		if p, up := g.Peer(i); up {
--- a/internal/fleetsim/gossip_test.go
+++ b/internal/fleetsim/gossip_test.go
@@ -14,7 +14,7 @@
 	settled   = 60 * time.Second
 )
 
-var kinds = []peers.Kind{{ID: hot, Life: time.Minute, Weight: 2, Hot: true}, {ID: cold, Life: time.Minute, Weight: 1}}
+var kinds = []peers.Kind{{ID: hot, TTL: time.Minute, Weight: 2, Hot: true}, {ID: cold, TTL: time.Minute, Weight: 1}}
 
 var platform = Network{Shortest: 1400 * time.Microsecond, Longest: 34 * time.Millisecond}
 
@@ -26,7 +26,7 @@
 }
 
 func gossip(size int, seed uint64, net Network, workers int) *Gossip {
-	g := NewGossip(size, seed, net, workers, peers.Config{Fleet: "test", Kinds: kinds})
+	g := NewGossip(size, seed, net, workers, peers.Config{Cluster: "test", Kinds: kinds})
 	for i := range size {
 		g.Up(i)
 	}
@@ -41,7 +41,7 @@
 		g.Run(3*time.Second, nil)
 		g.Stop(7)
 		p, _ := g.Peer(3)
-		p.Tell(g.Now, hot, 99, 1)
+		p.Publish(g.Now, hot, 99, 1)
 		g.Run(8*time.Second, nil)
 		sum := fnv.New64a()
 		for i := range 40 {
@@ -69,10 +69,10 @@
 	g.Run(settled, nil)
 	began := g.Now
 	p, _ := g.Peer(0)
-	p.Tell(g.Now, hot, 7, 1)
-	knows := func(p Peer) bool { _, ok := p.Fact(g.Now, 0, hot, 7); return ok }
-	g.Run(began+30*time.Second, func() bool { return g.Share(knows) >= 0.9 })
-	if s := g.Share(knows); s < 0.9 {
+	p.Publish(g.Now, hot, 7, 1)
+	knows := func(p Peer) bool { _, ok := p.Entry(g.Now, 0, hot, 7); return ok }
+	g.Run(began+30*time.Second, func() bool { return g.InformedFraction(knows) >= 0.9 })
+	if s := g.InformedFraction(knows); s < 0.9 {
 		t.Errorf("after %v %.2f of %d know", g.Now-began, s, size)
 	}
 	took = g.Now - began
@@ -136,11 +136,11 @@
 		}
 		return true
 	}
-	g.Run(g.Now+90*time.Second, func() bool { return g.Share(knowsDead) >= 0.9 })
+	g.Run(g.Now+90*time.Second, func() bool { return g.InformedFraction(knowsDead) >= 0.9 })
 	t.Logf("nine in ten know of %d deaths after %v", down, g.Now-10*time.Second)
-	g.Run(g.Now+90*time.Second, func() bool { return g.Share(knowsDead) == 1 })
+	g.Run(g.Now+90*time.Second, func() bool { return g.InformedFraction(knowsDead) == 1 })
 	t.Logf("all know of them after %v", g.Now-10*time.Second)
-	if s := g.Share(knowsDead); s < 1 {
+	if s := g.InformedFraction(knowsDead); s < 1 {
 		t.Errorf("only %.2f know who is dead", s)
 	}
 	wrong := func(p Peer) bool {
@@ -151,25 +151,25 @@
 		}
 		return false
 	}
-	if s := g.Share(wrong); s > 0 {
+	if s := g.InformedFraction(wrong); s > 0 {
 		t.Errorf("%.2f take a living one for dead", s)
 	}
 	before := make([]uint64, down)
 	p, _ := g.Peer(down)
 	for i := range down {
-		before[i] = p.Member(peers.Rank(i), g.Now).Life
+		before[i] = p.Member(peers.Rank(i), g.Now).Incarnation
 		g.Up(i)
 	}
 	back := func(p Peer) bool {
 		for i := range down {
-			if m := p.Member(peers.Rank(i), g.Now); m.State != peers.Alive || m.Life <= before[i] {
+			if m := p.Member(peers.Rank(i), g.Now); m.State != peers.Alive || m.Incarnation <= before[i] {
 				return false
 			}
 		}
 		return true
 	}
-	g.Run(g.Now+60*time.Second, func() bool { return g.Share(back) == 1 })
-	if s := g.Share(back); s < 1 {
+	g.Run(g.Now+60*time.Second, func() bool { return g.InformedFraction(back) == 1 })
+	if s := g.InformedFraction(back); s < 1 {
 		t.Errorf("only %.2f know who is back", s)
 	}
 }
--- a/internal/fleetsim/membership_capacity_test.go
+++ b/internal/fleetsim/membership_capacity_test.go
@@ -81,7 +81,7 @@
 func runUntilNineInTen(b *testing.B, fleet *Gossip, step time.Duration, condition func(Peer) bool) time.Duration {
 	b.Helper()
 	began := fleet.Now
-	for fleet.Share(condition) < 0.9 {
+	for fleet.InformedFraction(condition) < 0.9 {
 		if fleet.Now-began > *capacityLimit {
 			b.Fatalf("not converged after %v of simulated time", fleet.Now-began)
 		}
@@ -110,7 +110,7 @@
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
 			for b.Loop() {
 				before := measure.HeapInUse()
-				fleet := NewGossip(size, 1, platform, 1, peers.Config{Fleet: "test", Kinds: kinds})
+				fleet := NewGossip(size, 1, platform, 1, peers.Config{Cluster: "test", Kinds: kinds})
 				places := measure.HeapInUse()
 				fleet.Up(0)
 				b.ReportMetric(float64(measure.HeapInUse()-places), "heap-B/node")
@@ -169,7 +169,7 @@
 	numbers := make([]uint64, len(ranks))
 	for i, rank := range ranks {
 		peer, _ := fleet.Peer(rank)
-		numbers[i] = peer.Life()
+		numbers[i] = peer.Incarnation()
 	}
 	return numbers
 }
@@ -179,7 +179,7 @@
 	return func(peer Peer) bool {
 		for i, rank := range ranks {
 			member := peer.Member(peers.Rank(rank), fleet.Now)
-			if member.State != peers.Alive || member.Life < lives[i] {
+			if member.State != peers.Alive || member.Incarnation < lives[i] {
 				return false
 			}
 		}
--- a/internal/fleetsim/powerloss.go
+++ b/internal/fleetsim/powerloss.go
@@ -14,7 +14,7 @@
 	Queue             int           // of a server
 	Load              float64       // demand by what all warm servers can carry
 	Spread            time.Duration // over which sidecars come back, and servers
-	Ramp              Ramp
+	Ramp              SlowStart
 	Even              bool    // each request is the same work
 	Clients           Clients // Rate: of each sidecar
 	Share             bool    // sidecars tell each other
@@ -27,16 +27,16 @@
 
 // Site is what the model's fleet serves: a class that is safe, a keyed and an unsafe one,
 // by worth.
-func Site(instances int, ramp Ramp) (martendrum.Config, []time.Duration) {
+func Site(instances int, ramp SlowStart) (martendrum.Config, []time.Duration) {
 	return martendrum.Config{
 		Instances: instances,
 		Classes: []martendrum.Class{
-			{Aim: 800 * time.Millisecond, Worth: 1, Effect: martendrum.Safe},
-			{Aim: time.Second, Worth: 3, Effect: martendrum.Keyed, Window: 1500 * time.Millisecond},
-			{Aim: 750 * time.Millisecond, Worth: 10, Effect: martendrum.Unsafe},
+			{LatencyObjective: 800 * time.Millisecond, Weight: 1, Idempotency: martendrum.Idempotent},
+			{LatencyObjective: time.Second, Weight: 3, Idempotency: martendrum.IdempotencyKeyed, DedupWindow: 1500 * time.Millisecond},
+			{LatencyObjective: 750 * time.Millisecond, Weight: 10, Idempotency: martendrum.NonIdempotent},
 		},
-		MaxAttempts: 5, MayCancel: true, SecondCopies: true, MaxRetryAfter: 2 * time.Second, WasteCost: 0.2, CrossZoneCost: 0.03,
-		ColdFrom: ramp.From, ColdFor: ramp.For, OverloadFactor: ramp.Factor, OverloadFor: ramp.Window,
+		MaxAttempts: 5, AllowCancellation: true, AllowHedging: true, MaxRetryAfter: 2 * time.Second, WastedWorkCost: 0.2, CrossZoneCost: 0.03,
+		SlowStartInitialFraction: ramp.From, SlowStartDuration: ramp.For, OverloadFactor: ramp.Factor, OverloadDuration: ramp.Window,
 	}, []time.Duration{3 * time.Second, 2500 * time.Millisecond, 2500 * time.Millisecond}
 }
 
@@ -69,7 +69,7 @@
 		s.Up(time.Duration(rng.Float64()*float64(l.Spread)), rng)
 		servers[i] = s
 		w.Start(at, s)
-		list = append(list, martendrum.Endpoint{Name: serverName(at), Zone: zones[i%len(zones)], Hint: 1, Started: Epoch + s.started})
+		list = append(list, martendrum.Endpoint{Name: serverName(at), Zone: zones[i%len(zones)], CapacityHint: 1, Started: Epoch + s.started})
 		places = append(places, at)
 	}
 	for i := range up {
@@ -87,7 +87,7 @@
 	w.Run(l.Until, nil)
 	r := Return{Loss: l}
 	for _, c := range cfg.Classes {
-		r.Worth = append(r.Worth, c.Worth)
+		r.Worth = append(r.Worth, c.Weight)
 	}
 	bytes := uint64(0)
 	for i := range l.Sidecars {
@@ -110,7 +110,7 @@
 	var peer *peers.Node
 	if l.Share {
 		var err error
-		peer, err = peers.New(peers.Config{Fleet: "model", Self: peers.Rank(i), Size: l.Sidecars, Life: 1}, w.Now, rng)
+		peer, err = peers.New(peers.Config{Cluster: "model", Self: peers.Rank(i), Size: l.Sidecars, Incarnation: 1}, w.Now, rng)
 		if err != nil {
 			panic(err) // of this package's own making
 		}
@@ -146,9 +146,9 @@
 	return list[class][second]
 }
 
-// Share is the share of the worth offered from second on, for so many seconds, that was
+// ServedFraction is the share of the worth offered from second on, for so many seconds, that was
 // served in time; of one class, or of all for -1.
-func (r Return) Share(class, second, seconds int) float64 {
+func (r Return) ServedFraction(class, second, seconds int) float64 {
 	offered, served := 0.0, 0.0
 	for s := second; s < second+seconds; s++ {
 		for c, worth := range r.Worth {
@@ -168,7 +168,7 @@
 // at least least; -1 if there is none.
 func (r Return) Back(class int, least float64) int {
 	for s := 0; time.Duration(s+5)*time.Second < r.Until; s++ {
-		if r.Share(class, s, 3) >= least {
+		if r.ServedFraction(class, s, 3) >= least {
 			return s
 		}
 	}
--- a/internal/fleetsim/powerloss_test.go
+++ b/internal/fleetsim/powerloss_test.go
@@ -11,7 +11,7 @@
 func platformLoss(sidecars, servers int, seed uint64) Loss {
 	return Loss{
 		Sidecars: sidecars, Servers: servers, Zones: 3, Queue: 40, Load: 0.6, Spread: 2 * time.Second, Seed: seed, Workers: 6,
-		Ramp:    Ramp{From: 0.14, For: 23 * time.Second, Factor: 4, Window: 2 * time.Second},
+		Ramp:    SlowStart{From: 0.14, For: 23 * time.Second, Factor: 4, Window: 2 * time.Second},
 		Clients: Clients{Rate: 5, Mix: []float64{0.5, 0.3, 0.2}, Burst: 2, Returns: 0.9},
 		Network: platform, Until: 45 * time.Second,
 	}
@@ -37,7 +37,7 @@
 		t.Errorf("nine tenths of the worth from second %d at once, %d in stages", a, b)
 	}
 	for c := 1; c < 3; c++ {
-		if cheap, dear := staged.Share(c-1, 0, 15), staged.Share(c, 0, 15); dear < cheap {
+		if cheap, dear := staged.ServedFraction(c-1, 0, 15), staged.ServedFraction(c, 0, 15); dear < cheap {
 			t.Errorf("in the first 15 s %.2f of class %d and %.2f of the dearer class %d", cheap, c-1, dear, c)
 		}
 	}
@@ -91,8 +91,8 @@
 						r := l.Play()
 						b.ReportMetric(float64(r.Back(-1, 0.9)), "s-to-9/10")
 						b.ReportMetric(float64(r.Back(2, 0.9)), "s-to-9/10-dearest")
-						b.ReportMetric(r.Share(-1, 0, 10), "share-0-10s")
-						b.ReportMetric(r.Share(-1, 10, 10), "share-10-20s")
+						b.ReportMetric(r.ServedFraction(-1, 0, 10), "share-0-10s")
+						b.ReportMetric(r.ServedFraction(-1, 10, 10), "share-10-20s")
 						b.ReportMetric(float64(r.Fallen), "fallen")
 						b.ReportMetric(r.Bytes, "peer-bytes/s")
 					}
@@ -110,7 +110,7 @@
 			for b.Loop() {
 				l := platformLoss(60, 12, 1)
 				l.Load, l.Spread, l.Until = 0.5, 200*time.Millisecond, 20*time.Second
-				l.Ramp = Ramp{From: 0.14, For: 6 * time.Second, Factor: 4, Window: time.Second}
+				l.Ramp = SlowStart{From: 0.14, For: 6 * time.Second, Factor: 4, Window: time.Second}
 				l.Clients.Rate, l.Clients.Burst, l.Clients.Patient, l.Even, l.Queue, l.Zones = 10, 0.5, true, true, 20, 1
 				l.Network.Shortest, l.Network.Longest = 50*time.Microsecond, 500*time.Microsecond
 				if staged {
@@ -120,9 +120,9 @@
 				r := l.Play()
 				b.ReportMetric(float64(r.Back(-1, 0.9)), "s-to-9/10")
 				for c, name := range []string{"status", "register", "activate"} {
-					b.ReportMetric(r.Share(c, 0, 3), name+"-0-3s")
+					b.ReportMetric(r.ServedFraction(c, 0, 3), name+"-0-3s")
 				}
-				b.ReportMetric(r.Share(-1, 0, 3), "all-0-3s")
+				b.ReportMetric(r.ServedFraction(-1, 0, 3), "all-0-3s")
 			}
 		})
 	}
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -10,16 +10,16 @@
 // Epoch is the Unix time at which a world begins: balancers and lists speak of Unix time.
 const Epoch = 1_000_000 * time.Hour
 
-// Ramp is how servers warm up, and what fells one that is cold.
-type Ramp struct {
+// SlowStart is how servers warm up, and what fells one that is cold.
+type SlowStart struct {
 	From   float64 // share of its capacity that a fresh one has
 	For    time.Duration
 	Factor float64 // it falls when sent more than this multiple of its capacity of the time
 	Window time.Duration
 }
 
-// warmth is the share of its capacity that a server of that age has.
-func (r Ramp) warmth(age time.Duration) float64 {
+// capacityFraction is the share of its capacity that a server of that age has.
+func (r SlowStart) capacityFraction(age time.Duration) float64 {
 	if age >= r.For || r.For <= 0 {
 		return 1
 	}
@@ -29,7 +29,7 @@
 // Server is a server with a queue: workers that each take a request for a time drawn
 // about the mean, longer while it is cold.
 type Server struct {
-	Ramp    Ramp
+	Ramp    SlowStart
 	Workers int
 	Work    time.Duration // mean, of a warm one
 	Queue   int           // requests that may wait
@@ -112,7 +112,7 @@
 }
 
 func (s *Server) begin(now time.Duration, j job) {
-	took := float64(s.Work) / s.Ramp.warmth(now-s.started)
+	took := float64(s.Work) / s.Ramp.capacityFraction(now-s.started)
 	if !s.Even {
 		took *= s.rng.ExpFloat64()
 	}
@@ -159,7 +159,7 @@
 	for len(s.recent) > 0 && now-s.recent[0] > s.Ramp.Window {
 		s.recent = s.recent[1:]
 	}
-	n := s.Ramp.Factor * s.Capacity() * s.Ramp.warmth(age) * s.Ramp.Window.Seconds()
+	n := s.Ramp.Factor * s.Capacity() * s.Ramp.capacityFraction(age) * s.Ramp.Window.Seconds()
 	return float64(len(s.recent)) > n+3*math.Sqrt(n)+3
 }
 
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -125,7 +125,7 @@
 func (s *Sidecar) Peer() *peers.Node { return s.peer }
 
 // Bound passes on what a Guide found to its Balancer.
-func (s *Sidecar) Bound(x martendrum.Bounds) { s.b.Bound(x) }
+func (s *Sidecar) Bound(x martendrum.Bounds) { s.b.SetBounds(x) }
 
 // serverName is the name of the server at a place.
 func serverName(place int) string { return "s" + strconv.Itoa(place) }
@@ -180,7 +180,7 @@
 		s.done(q, n, martendrum.TimedOut)
 	}
 	if !q.over {
-		s.b.ClientGone(Epoch+s.now, q.id)
+		s.b.ClientDisconnected(Epoch+s.now, q.id)
 		q.over = true
 		s.Tally.Lost++
 		s.forget(q)
@@ -195,13 +195,13 @@
 	q.out--
 	if o == martendrum.OK && !q.over {
 		q.over = true
-		if s.now-q.began <= s.cfg.Classes[q.class].Aim || s.clients.Patient {
+		if s.now-q.began <= s.cfg.Classes[q.class].LatencyObjective || s.clients.Patient {
 			s.Tally.add(&s.Tally.Served, q.class, q.began)
 		} else {
 			s.Tally.Late++
 		}
 	}
-	s.b.Done(Epoch+s.now, q.id, n, o, q.over, martendrum.Report{})
+	s.b.AttemptFinished(Epoch+s.now, q.id, n, o, q.over, martendrum.LoadReport{})
 	s.forget(q)
 }
 
@@ -263,7 +263,7 @@
 		if q == nil {
 			return
 		}
-		s.done(q, m.attempt, [...]martendrum.Outcome{served: martendrum.OK, full: martendrum.Full, refused: martendrum.ConnectFailed}[m.what])
+		s.done(q, m.attempt, [...]martendrum.Outcome{served: martendrum.OK, full: martendrum.Rejected, refused: martendrum.ConnectFailed}[m.what])
 		s.settle()
 	default:
 		panic(fmt.Sprintf("fleetsim: a sidecar got a %T", msg))
@@ -297,8 +297,8 @@
 	}
 }
 
-// Refuse implements martendrum.Host: the client may come back.
-func (s *Sidecar) Refuse(id martendrum.RequestID, after time.Duration) {
+// Reject implements martendrum.Host: the client may come back.
+func (s *Sidecar) Reject(id martendrum.RequestID, after time.Duration) {
 	q := s.held[id]
 	if q == nil || q.over {
 		return
@@ -321,7 +321,7 @@
 
 // SetTimer implements martendrum.Host.
 func (s *Sidecar) SetTimer(cookie uint64, after time.Duration) {
-	s.at(s.now+max(after, time.Microsecond), func() { s.b.Timer(Epoch+s.now, cookie) })
+	s.at(s.now+max(after, time.Microsecond), func() { s.b.TimerFired(Epoch+s.now, cookie) })
 }
 
 // CloseIdle implements martendrum.Host; the model has no connections.
--- a/internal/front/close_test.go
+++ b/internal/front/close_test.go
@@ -113,7 +113,7 @@
 			field := prepare(s)
 			c, br := dial(t, ln.Addr().String(), strings.Replace(look("1"), "Host", field+"Host", 1))
 			x := receive(t, h.arrived)
-			go x.Refuse(0)
+			go x.Reject(0)
 			receive(t, more)
 			io.WriteString(c, strings.Repeat("x", 100<<10)) // more than the reader takes at once
 			eventually(t, "the connection's end", func() bool { return s.Conns() == 0 || tcp.Unread(t, c.(*net.TCPConn)) > 0 })
@@ -136,7 +136,7 @@
 		t.Run(how, func(t *testing.T) {
 			s, h, addr := start(t, 10)
 			c, br := dial(t, addr, look("1"))
-			receive(t, h.arrived).Refuse(0)
+			receive(t, h.arrived).Reject(0)
 			status(t, br)
 			eventually(t, "an idle connection", func() bool { return s.Busy() == 0 })
 			var server *conn
@@ -157,7 +157,7 @@
 			if how == "evict" && s.evict() {
 				t.Error("a connection with a request was evicted")
 			}
-			receive(t, h.arrived).Refuse(0)
+			receive(t, h.arrived).Reject(0)
 			if got := status(t, br); got != http.StatusServiceUnavailable {
 				t.Errorf("the second answer was %d", got)
 			}
@@ -170,7 +170,7 @@
 func TestRequestBehindTheCloseIsNotPassedOn(t *testing.T) {
 	s, h, addr := start(t, 10)
 	c, br := dial(t, addr, look("1"))
-	receive(t, h.arrived).Refuse(0)
+	receive(t, h.arrived).Reject(0)
 	status(t, br)
 	eventually(t, "an idle connection", func() bool { return s.Busy() == 0 })
 	s.mu.Lock()
@@ -207,7 +207,7 @@
 				n++
 			}
 		}
-		return n >= most-refusalReserve(most)
+		return n >= most-rejectionReserve(most)
 	})
 	s.mu.Lock()
 	for c := range s.conns {
@@ -216,7 +216,7 @@
 	s.mu.Unlock()
 	for n := range 3 {
 		_, br := dial(t, addr, look(fmt.Sprint(n)))
-		receive(t, h.arrived).Refuse(0)
+		receive(t, h.arrived).Reject(0)
 		if got := status(t, br); got != http.StatusServiceUnavailable {
 			t.Errorf("newcomer %d was answered %d", n, got)
 		}
@@ -237,7 +237,7 @@
 	evicted := s.evict()
 	go func() {
 		for x := range h.arrived {
-			x.Refuse(0)
+			x.Reject(0)
 		}
 	}()
 	defer close(h.arrived)
@@ -292,7 +292,7 @@
 	s, h, addr := start(t, 20)
 	go func() {
 		for x := range h.arrived {
-			x.Refuse(0)
+			x.Reject(0)
 			x.Release()
 		}
 	}()
@@ -347,7 +347,7 @@
 	began := time.Now()
 	const more = 32 << 20 // than both sockets hold
 	slow.Serve(&upstream.Answer{Body: make([]byte, more), Length: more})
-	other.Refuse(0)
+	other.Reject(0)
 	if got := status(t, reader); got != http.StatusServiceUnavailable {
 		t.Errorf("the other client was answered %d", got)
 	}
@@ -372,7 +372,7 @@
 	}
 	time.Sleep(writeTimeout + 100*time.Millisecond) // any deadline that was left has passed
 	io.WriteString(c, look("2"))
-	receive(t, h.arrived).Refuse(0)
+	receive(t, h.arrived).Reject(0)
 	if got := status(t, reader); got != http.StatusServiceUnavailable {
 		t.Errorf("the next request was answered %d", got)
 	}
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -68,7 +68,7 @@
 	case stateReading, stateWaiting, stateClosed:
 		return true
 	case stateNew:
-		return time.Since(c.stateSince) < stopplan.SilentMost
+		return time.Since(c.stateSince) < stopplan.MaxIdleConnection
 	}
 	return false
 }
@@ -92,7 +92,7 @@
 	c.server.mu.Lock()
 	x := c.exchange
 	c.server.mu.Unlock()
-	if x != nil && c.server.handler.Gone(x) {
+	if x != nil && c.server.handler.ClientDisconnected(x) {
 		x.Fail()
 	}
 }
@@ -115,8 +115,8 @@
 		c.reject(status)
 		return false
 	}
-	if !x.takenInStop.IsZero() {
-		c.logTakenInStop(x)
+	if !x.acceptedDuringShutdown.IsZero() {
+		c.logAcceptedDuringShutdown(x)
 	}
 	c.server.handler.Arrive(x)
 	if x.upload == nil {
@@ -145,17 +145,17 @@
 		return http.StatusConflict
 	}
 	c.requests++
-	x.takenInStop = s.drainingSince
+	x.acceptedDuringShutdown = s.drainingSince
 	c.exchange = x
 	c.enter(stateWaiting)
 	c.netConn.SetReadDeadline(time.Time{}) // the reader notices a disconnect
 	return statusNone
 }
 
-// logTakenInStop logs a request that is taken while the process stops: when, and on which
+// logAcceptedDuringShutdown logs a request that is taken while the process stops: when, and on which
 // kind of connection.
-func (c *conn) logTakenInStop(x *Exchange) {
-	slog.Info("request taken while stopping", "class", x.Class, "after", time.Since(x.takenInStop),
+func (c *conn) logAcceptedDuringShutdown(x *Exchange) {
+	slog.Info("request taken while stopping", "class", x.Class, "after", time.Since(x.acceptedDuringShutdown),
 		"conn_age", time.Since(c.accepted), "first_on_conn", c.requests == 1)
 }
 
@@ -169,7 +169,7 @@
 		case <-x.upload.done:
 			return
 		case <-check.C:
-			if x.upload.unclaimed() && c.input.Left() && c.server.handler.Gone(x) {
+			if x.upload.unclaimed() && c.input.Left() && c.server.handler.ClientDisconnected(x) {
 				x.upload.stop()
 			}
 		}
@@ -213,7 +213,7 @@
 	x := c.exchange
 	c.server.mu.Unlock()
 	defer c.server.mu.Lock()
-	return c.server.handler.Gone(x)
+	return c.server.handler.ClientDisconnected(x)
 }
 
 // beginRequest notes that a request's first byte has arrived. The server's lock is held.
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// maxEvictTries is how many connections one eviction examines: those on which
+	// maxEvictionAttempts is how many connections one eviction examines: those on which
 	// bytes have just arrived are not closed.
-	maxEvictTries = 8
+	maxEvictionAttempts = 8
 	// silentTimeout and stalledTimeout make a connection the first to be evicted: the
 	// former after its accept without a byte, the latter in the middle of a request.
 	silentTimeout  = 150 * time.Millisecond
@@ -55,8 +55,8 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var passed [maxEvictTries]*conn
-	for try := range maxEvictTries {
+	var passed [maxEvictionAttempts]*conn
+	for try := range maxEvictionAttempts {
 		c := s.evictionCandidate(now, passed[:try])
 		if c == nil {
 			return false
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -22,14 +22,14 @@
 	Received time.Time     // when the request was read
 	State    any           // the handler's
 
-	conn        *conn
-	id          string
-	reserved    int64 // bytes of the budget
-	keepAlive   bool  // the connection may go on
-	http10      bool
-	takenInStop time.Time // when the stop began in which it was taken; zero: none
-	answering   bool      // the response is being written; guarded by the server's lock
-	upload      *upload   // the part of the body that is not buffered; nil: none
+	conn                   *conn
+	id                     string
+	reserved               int64 // bytes of the budget
+	keepAlive              bool  // the connection may go on
+	http10                 bool
+	acceptedDuringShutdown time.Time // when the stop began in which it was taken; zero: none
+	answering              bool      // the response is being written; guarded by the server's lock
+	upload                 *upload   // the part of the body that is not buffered; nil: none
 }
 
 // ClientLeft reports whether the client has closed its connection, or reset it, whether or
@@ -56,14 +56,14 @@
 	if status := x.parseClass(r, handler); status != statusNone {
 		return status
 	}
-	if status := checkMethod(r, x.Rules.Rules.Effect); status != statusNone {
+	if status := checkMethod(r, x.Rules.Rules.Idempotency); status != statusNone {
 		return status
 	}
 	if x.id = strings.Clone(r.Header.Get("Req-Id")); x.id == "" || len(x.id) > maxIDLength {
 		return http.StatusBadRequest
 	}
 	hasKey := r.Header.Get("Idempotency-Key") != ""
-	if hasKey != (x.Rules.Rules.Effect == martendrum.Keyed) {
+	if hasKey != (x.Rules.Rules.Idempotency == martendrum.IdempotencyKeyed) {
 		return http.StatusBadRequest
 	}
 	if status := x.parseDeadline(r.Header); status != statusNone {
@@ -92,15 +92,15 @@
 }
 
 // checkMethod checks that a request's method, and whether it has a body, suit its effect.
-func checkMethod(r *http.Request, effect martendrum.Effect) (status int) {
+func checkMethod(r *http.Request, effect martendrum.Idempotency) (status int) {
 	method := http.MethodPost
-	if effect == martendrum.Safe {
+	if effect == martendrum.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
 		return http.StatusMethodNotAllowed
 	}
-	if effect == martendrum.Safe && r.ContentLength != 0 {
+	if effect == martendrum.Idempotent && r.ContentLength != 0 {
 		return http.StatusBadRequest
 	}
 	return statusNone
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -16,9 +16,9 @@
 type Handler interface {
 	// Arrive takes a request that has been read.
 	Arrive(x *Exchange)
-	// Gone reports that the client has disconnected; it returns false if the response
+	// ClientDisconnected reports that the client has disconnected; it returns false if the response
 	// is being written.
-	Gone(x *Exchange) bool
+	ClientDisconnected(x *Exchange) bool
 	// Ready reports whether the sidecar takes clients.
 	Ready() bool
 	// Class returns the request class of a name, nil if there is none.
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -26,17 +26,17 @@
 }
 
 func (h *handler) Arrive(x *Exchange) { h.arrived <- x }
-func (h *handler) Gone(x *Exchange) bool {
+func (h *handler) ClientDisconnected(x *Exchange) bool {
 	h.gone <- x
 	return true
 }
 func (h *handler) Ready() bool { return true }
 func (h *handler) Class(name string) *settings.Class {
-	e, ok := map[string]martendrum.Effect{"look": martendrum.Safe, "book": martendrum.Keyed, "pay": martendrum.Unsafe}[name]
+	e, ok := map[string]martendrum.Idempotency{"look": martendrum.Idempotent, "book": martendrum.IdempotencyKeyed, "pay": martendrum.NonIdempotent}[name]
 	if !ok {
 		return nil
 	}
-	return &settings.Class{Name: name, Rules: &martendrum.Class{Effect: e}}
+	return &settings.Class{Name: name, Rules: &martendrum.Class{Idempotency: e}}
 }
 
 func start(t *testing.T, most int) (*Server, *handler, string) {
@@ -239,7 +239,7 @@
 		if string(x.Request.Body) != body || !bytes.Contains(x.Request.Head, fmt.Appendf(nil, "Content-Length: %d\r\n", len(body))) {
 			t.Errorf("request %d came changed: %q", n, x.Request.Head)
 		}
-		x.Refuse(1500 * time.Millisecond)
+		x.Reject(1500 * time.Millisecond)
 		x.Release()
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
@@ -265,7 +265,7 @@
 	s, h, addr := start(t, most)
 	go func() {
 		for x := range h.arrived {
-			x.Refuse(0)
+			x.Reject(0)
 			x.Release()
 		}
 	}()
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -53,7 +53,7 @@
 		return nil, status
 	}
 	if crowded || !fits {
-		return nil, x.refuseAtLimit(r, crowded, fits)
+		return nil, x.rejectAtLimit(r, crowded, fits)
 	}
 	x.Received = time.Now()
 	return x, statusNone
@@ -102,21 +102,21 @@
 	x.answer(status, server.healthHeader(), nil, nil)
 }
 
-// refuseAtLimit refuses a request for which there is no connection (crowded) or no
+// rejectAtLimit refuses a request for which there is no connection (crowded) or no
 // buffer (it does not fit). It returns the status to end the connection with if the
 // client is still sending; otherwise the request is answered.
-func (x *Exchange) refuseAtLimit(r *http.Request, crowded, fits bool) (status int) {
+func (x *Exchange) rejectAtLimit(r *http.Request, crowded, fits bool) (status int) {
 	server := x.conn.server
 	slog.Warn("request refused at a limit", "crowded", crowded, "conns", server.Conns())
-	reason := metrics.Bytes
+	reason := metrics.BodyBytesLimit
 	if crowded {
-		reason = metrics.Crowded
+		reason = metrics.ConnectionLimit
 	}
 	server.meter.Limited(reason)
 	x.Release()
 	if x.upload != nil || !fits && r.ContentLength > maxBufferedBody {
 		return http.StatusServiceUnavailable
 	}
-	x.Refuse(limitRetryAfter)
+	x.Reject(limitRetryAfter)
 	return statusNone
 }
--- a/internal/front/response.go
+++ b/internal/front/response.go
@@ -26,8 +26,8 @@
 // buffers are the write buffers of buffered responses.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-// Refuse tells the client that the request was not carried out and a retry is harmless.
-func (x *Exchange) Refuse(retryAfter time.Duration) {
+// Reject tells the client that the request was not carried out and a retry is harmless.
+func (x *Exchange) Reject(retryAfter time.Duration) {
 	x.answer(http.StatusServiceUnavailable, retryAfterField(retryAfter), nil, nil)
 }
 
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -92,10 +92,10 @@
 	}
 }
 
-// refusalReserve is how many of the connections up to the limit are only used to tell
+// rejectionReserve is how many of the connections up to the limit are only used to tell
 // clients that they can't be served. Past the limit new connections are closed without
 // a response: descriptors are finite.
-func refusalReserve(limit int) int { return limit / 8 }
+func rejectionReserve(limit int) int { return limit / 8 }
 
 // add starts the goroutine of an accepted connection, or closes it if there is no room.
 func (s *Server) add(netConn net.Conn) {
@@ -105,7 +105,7 @@
 	s.mu.Lock()
 	n, limit := len(s.conns), s.config.MostConns
 	s.mu.Unlock()
-	crowded := n >= limit-refusalReserve(limit) && !s.evict()
+	crowded := n >= limit-rejectionReserve(limit) && !s.evict()
 	if crowded && n >= limit {
 		slog.Warn("connection closed: no descriptor left for it", "conns", n)
 		netConn.Close()
@@ -147,7 +147,7 @@
 // stopplan.SilentMost after their accept: on one that is left open, a first request may still
 // come in the process's last moment.
 func (s *Server) CloseSilent() {
-	s.closeQuiet(stateNew, stopplan.SilentMost)
+	s.closeQuiet(stateNew, stopplan.MaxIdleConnection)
 }
 
 // CloseUnfinished ends the connections on which a part of a request has come: nobody would
--- a/internal/handover/compat_test.go
+++ b/internal/handover/compat_test.go
@@ -12,11 +12,11 @@
 )
 
 // filled is a state with a value in every field, within what Check accepts.
-func filled() martendrum.Learned {
-	var l martendrum.Learned
+func filled() martendrum.LearnedState {
+	var l martendrum.LearnedState
 	goldentest.Fill(&l)
-	l.Odds, l.Lost, l.Level, l.Taken = 0.2, 0.01, 0.3, 0.9
-	l.Servers[0].Weight = 1.5
+	l.HedgeProbability, l.LostFraction, l.ShedLevel, l.AcceptedFraction = 0.2, 0.01, 0.3, 0.9
+	l.Servers[0].WeightCorrection = 1.5
 	return l
 }
 
@@ -35,7 +35,7 @@
 // and one message with every field.
 func TestMessagesOfEarlierBuild(t *testing.T) {
 	const golden = "messages.jsonl"
-	full := Share{Sockets: 100, MemoryMB: 64, Held: 50}
+	full := Quota{Sockets: 100, MemoryMB: 64, InFlight: 50}
 	old := NewOld("a:1", full, func() []byte { return []byte("snapshot") })
 	old.OwnsRecord()
 	next := NewNew(full)
@@ -57,7 +57,7 @@
 	collect(next.Ready())
 	collect(old.Came(1, messages[len(messages)-1]))
 	collect(old.Leave())
-	collect(old.Needs(Share{Sockets: 10, MemoryMB: 16, Held: 1}))
+	collect(old.Needs(Quota{Sockets: 10, MemoryMB: 16, InFlight: 1}))
 	var every Message
 	goldentest.Fill(&every)
 	messages = append(messages, every)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -34,7 +34,7 @@
 // The messages, in the order of a hand-over.
 const (
 	Hello   Kind = "hello"   // new: I am to take your place, at this address
-	Refuse  Kind = "refuse"  // old: not now, or not you
+	Reject  Kind = "refuse"  // old: not now, or not you
 	Offer   Kind = "offer"   // old: the listener (beside the message), a share, what I learned
 	Serving Kind = "serving" // new: I take clients
 	Grant   Kind = "grant"   // old: your share is larger now
@@ -47,7 +47,7 @@
 	Listen   string `json:"listen,omitempty"`
 	Why      string `json:"why,omitempty"`
 	Again    bool   `json:"again,omitempty"` // of a refusal: it may pass
-	Share    Share  `json:"share,omitzero"`
+	Quota    Quota  `json:"share,omitzero"`
 	Snapshot []byte `json:"snapshot,omitempty"`
 	// IDs says of a hello that this process can share a table of ids, and of an offer
 	// that one comes with it.
@@ -65,31 +65,31 @@
 	Listeners int `json:"listeners,omitempty"`
 }
 
-// ListenersMost is how many sockets an offer may bring: one, and one more for each
+// MaxListeners is how many sockets an offer may bring: one, and one more for each
 // process that woke after another had opened its own.
-const ListenersMost = 4
+const MaxListeners = 4
 
-// Share is a part of what one sidecar may hold.
-type Share struct {
+// Quota is a part of what one sidecar may hold.
+type Quota struct {
 	Sockets  int `json:"sockets"`   // descriptors
 	MemoryMB int `json:"memory_mb"` // resident
-	Held     int `json:"held"`      // requests at once
+	InFlight int `json:"held"`      // requests at once
 }
 
-func (s Share) minus(o Share) Share {
-	return Share{s.Sockets - o.Sockets, s.MemoryMB - o.MemoryMB, max(0, s.Held-o.Held)}
+func (s Quota) minus(o Quota) Quota {
+	return Quota{s.Sockets - o.Sockets, s.MemoryMB - o.MemoryMB, max(0, s.InFlight-o.InFlight)}
 }
 
-func (s Share) half() Share { return Share{s.Sockets / 2, s.MemoryMB / 2, (s.Held + 1) / 2} }
+func (s Quota) half() Quota { return Quota{s.Sockets / 2, s.MemoryMB / 2, (s.InFlight + 1) / 2} }
 
 // within says that s asks for no more than o in any respect.
-func (s Share) within(o Share) bool {
-	return s.Sockets <= o.Sockets && s.MemoryMB <= o.MemoryMB && s.Held <= o.Held
+func (s Quota) within(o Quota) bool {
+	return s.Sockets <= o.Sockets && s.MemoryMB <= o.MemoryMB && s.InFlight <= o.InFlight
 }
 
-// most is the larger in each respect.
-func (s Share) most(o Share) Share {
-	return Share{max(s.Sockets, o.Sockets), max(s.MemoryMB, o.MemoryMB), max(s.Held, o.Held)}
+// max is the larger in each respect.
+func (s Quota) max(o Quota) Quota {
+	return Quota{max(s.Sockets, o.Sockets), max(s.MemoryMB, o.MemoryMB), max(s.InFlight, o.InFlight)}
 }
 
 // Action is what a machine asks its host to do, in the order given.
@@ -97,7 +97,7 @@
 	Do      Do
 	To      int     // a peer, for Send, SendListener and Drop
 	Message Message // for Send and SendListener
-	Share   Share   // for Limit
+	Quota   Quota   // for Limit
 }
 
 // Do says what an Action is.
@@ -106,7 +106,7 @@
 // What the host can be asked for.
 const (
 	Send          Do = iota
-	ShareTable       // with a peer: ids, and the count of requests held where Message says so
+	SendIDTable      // with a peer: ids, and the count of requests held where Message says so
 	SendListener     // Send, with the listening socket beside it, and the table where there is one
 	Drop             // end the connection to a peer
 	Limit            // keep to Share from now on
@@ -114,24 +114,24 @@
 	Publish          // one can
 	StopAccepting    // the other process accepts on the same socket
 	TakeListener     // serve on the socket that came with the offer
-	OwnListener      // open a socket, sharing the address with an old process that may be there
+	OpenListener     // open a socket, sharing the address with an old process that may be there
 )
 
 // Old is the machine of the process that serves already.
 type Old struct {
-	full     Share
-	granted  Share // to the new one
-	peer     int   // the new one; 0: none
-	serving  bool  // it has said so
-	leaving  bool  // this process has been told to end
-	record   bool  // it owns a store of record, and can pass that on
-	snapshot func() []byte
-	listen   string
+	full        Quota
+	granted     Quota // to the new one
+	peer        int   // the new one; 0: none
+	serving     bool  // it has said so
+	terminating bool  // this process has been told to end
+	record      bool  // it owns a store of record, and can pass that on
+	snapshot    func() []byte
+	listen      string
 }
 
 // NewOld returns the machine of a process that serves at listen and owns full.
 // snapshot is asked for what to tell a new process.
-func NewOld(listen string, full Share, snapshot func() []byte) *Old {
+func NewOld(listen string, full Quota, snapshot func() []byte) *Old {
 	return &Old{full: full, listen: listen, snapshot: snapshot}
 }
 
@@ -141,13 +141,13 @@
 // Succeeded says that a new process serves at this one's side.
 func (o *Old) Succeeded() bool { return o.peer != 0 && o.serving }
 
-// Own is what this process may hold itself.
-func (o *Old) Own() Share { return o.full.minus(o.granted) }
+// LocalQuota is what this process may hold itself.
+func (o *Old) LocalQuota() Quota { return o.full.minus(o.granted) }
 
-// Retuned takes new limits of the configuration. What is granted stays granted.
-func (o *Old) Retuned(full Share) []Action {
-	o.full = full.most(o.granted)
-	return []Action{{Do: Limit, Share: o.Own()}}
+// Reconfigured takes new limits of the configuration. What is granted stays granted.
+func (o *Old) Reconfigured(full Quota) []Action {
+	o.full = full.max(o.granted)
+	return []Action{{Do: Limit, Quota: o.LocalQuota()}}
 }
 
 // Came takes a message of a peer. Peers are numbered from 1 by the host.
@@ -163,18 +163,18 @@
 		o.peer, o.serving, o.granted = peer, false, o.full.half()
 		// The share is given up here before it is granted there. The table comes first:
 		// with a count in it, less than all is not the limit of what is held.
-		offer := Message{Kind: Offer, Version: Version, Listen: o.listen, Share: o.granted, Snapshot: o.snapshot(), IDs: m.IDs, Counts: m.IDs && m.Counts, Many: m.Many,
+		offer := Message{Kind: Offer, Version: Version, Listen: o.listen, Quota: o.granted, Snapshot: o.snapshot(), IDs: m.IDs, Counts: m.IDs && m.Counts, Many: m.Many,
 			Record: o.record && m.Record}
 		var acts []Action
 		if offer.IDs {
-			acts = append(acts, Action{Do: ShareTable, To: peer, Message: offer})
+			acts = append(acts, Action{Do: SendIDTable, To: peer, Message: offer})
 		}
-		return append(acts, Action{Do: Limit, Share: o.Own()}, Action{Do: SendListener, To: peer, Message: offer})
+		return append(acts, Action{Do: Limit, Quota: o.LocalQuota()}, Action{Do: SendListener, To: peer, Message: offer})
 	case peer != o.peer:
 		return o.refuse(peer, "no hand-over is under way with this process", false)
 	case m.Kind == Serving:
 		o.serving = true
-		if o.leaving {
+		if o.terminating {
 			return []Action{{Do: Unpublish}, {Do: StopAccepting}}
 		}
 		return nil
@@ -183,7 +183,7 @@
 }
 
 func (o *Old) refuse(peer int, why string, again bool) []Action {
-	acts := []Action{{Do: Send, To: peer, Message: Message{Kind: Refuse, Version: Version, Why: why, Again: again}}, {Do: Drop, To: peer}}
+	acts := []Action{{Do: Send, To: peer, Message: Message{Kind: Reject, Version: Version, Why: why, Again: again}}, {Do: Drop, To: peer}}
 	if peer == o.peer {
 		acts = append(acts, o.Lost(peer)...)
 	}
@@ -195,13 +195,13 @@
 	if peer != o.peer || peer == 0 {
 		return nil
 	}
-	o.peer, o.serving, o.granted = 0, false, Share{}
-	return []Action{{Do: Limit, Share: o.Own()}}
+	o.peer, o.serving, o.granted = 0, false, Quota{}
+	return []Action{{Do: Limit, Quota: o.LocalQuota()}}
 }
 
 // Leave says that this process ends when all that it has taken is answered.
 func (o *Old) Leave() []Action {
-	o.leaving = true
+	o.terminating = true
 	if o.Succeeded() {
 		return []Action{{Do: Unpublish}, {Do: StopAccepting}}
 	}
@@ -210,27 +210,27 @@
 
 // Needs says what this process still holds on its way out. What it needs no more
 // goes to the new one, and is not taken back.
-func (o *Old) Needs(use Share) []Action {
-	if !o.leaving || !o.Succeeded() {
+func (o *Old) Needs(use Quota) []Action {
+	if !o.terminating || !o.Succeeded() {
 		return nil
 	}
-	next := o.full.minus(use).most(o.granted)
+	next := o.full.minus(use).max(o.granted)
 	if next == o.granted || !next.within(o.full) {
 		return nil
 	}
 	o.granted = next
 	return []Action{
-		{Do: Limit, Share: o.Own()},
-		{Do: Send, To: o.peer, Message: Message{Kind: Grant, Version: Version, Share: next}},
+		{Do: Limit, Quota: o.LocalQuota()},
+		{Do: Send, To: o.peer, Message: Message{Kind: Grant, Version: Version, Quota: next}},
 	}
 }
 
 // New is the machine of a process that starts.
 type New struct {
-	full  Share
-	share Share
-	state state
-	said  bool // Serving has been sent
+	full        Quota
+	quota       Quota
+	state       state
+	servingSent bool // Serving has been sent
 
 	record bool // it has a store of record
 }
@@ -246,7 +246,7 @@
 )
 
 // NewNew returns the machine of a process that may own full once it is alone.
-func NewNew(full Share) *New { return &New{full: full} }
+func NewNew(full Quota) *New { return &New{full: full} }
 
 // HasRecord says that this process has a store of record, which the old one may own.
 func (n *New) HasRecord() { n.record = true }
@@ -258,8 +258,8 @@
 
 // Nobody says that there is no old process.
 func (n *New) Nobody() []Action {
-	n.state, n.share = alone, n.full
-	return []Action{{Do: Limit, Share: n.full}, {Do: OwnListener}, {Do: Publish}}
+	n.state, n.quota = alone, n.full
+	return []Action{{Do: Limit, Quota: n.full}, {Do: OpenListener}, {Do: Publish}}
 }
 
 // Silent says that there is an old process that does not take part: it does not
@@ -269,55 +269,55 @@
 	if n.state != asking {
 		return nil
 	}
-	n.state, n.share = aside, n.full.half()
-	return []Action{{Do: Limit, Share: n.share}, {Do: OwnListener}}
+	n.state, n.quota = aside, n.full.half()
+	return []Action{{Do: Limit, Quota: n.quota}, {Do: OpenListener}}
 }
 
 // Apart says that no hand-over is possible here: this process is on its own, and none
 // can take over from it.
 func (n *New) Apart() []Action {
-	n.state, n.share = apart, n.full
-	return []Action{{Do: Limit, Share: n.full}, {Do: OwnListener}}
+	n.state, n.quota = apart, n.full
+	return []Action{{Do: Limit, Quota: n.full}, {Do: OpenListener}}
 }
 
 // Errors of a new process that must not start.
 var (
-	ErrBusy    = errors.New("handover: another new process is taking over")
-	ErrShape   = errors.New("handover: the old process offers what can't be used")
-	ErrRefused = errors.New("handover: refused")
+	ErrBusy     = errors.New("handover: another new process is taking over")
+	ErrShape    = errors.New("handover: the old process offers what can't be used")
+	ErrRejected = errors.New("handover: refused")
 )
 
 // Came takes a message of the old one.
 func (n *New) Came(m Message) ([]Action, error) {
 	switch {
-	case m.Kind == Refuse && m.Again:
+	case m.Kind == Reject && m.Again:
 		return nil, fmt.Errorf("%w: %s", ErrBusy, m.Why)
-	case m.Kind == Refuse:
-		return nil, fmt.Errorf("%w: %s", ErrRefused, m.Why)
+	case m.Kind == Reject:
+		return nil, fmt.Errorf("%w: %s", ErrRejected, m.Why)
 	case m.Version != Version:
-		return nil, fmt.Errorf("%w: version %d", ErrRefused, m.Version)
+		return nil, fmt.Errorf("%w: version %d", ErrRejected, m.Version)
 	case m.Kind == Offer && (n.state == asking || n.state == aside): // aside: it hung, and has woken
-		if m.Share.Sockets <= 0 || m.Share.MemoryMB <= 0 || m.Listeners < 0 || m.Listeners > ListenersMost {
+		if m.Quota.Sockets <= 0 || m.Quota.MemoryMB <= 0 || m.Listeners < 0 || m.Listeners > MaxListeners {
 			return nil, ErrShape
 		}
-		n.state, n.share = sharing, m.Share
-		return []Action{{Do: Limit, Share: m.Share}, {Do: TakeListener}}, nil
+		n.state, n.quota = sharing, m.Quota
+		return []Action{{Do: Limit, Quota: m.Quota}, {Do: TakeListener}}, nil
 	case m.Kind == Grant && n.state == sharing:
-		if !n.share.within(m.Share) {
+		if !n.quota.within(m.Quota) {
 			return nil, nil // a grant is never less than the one before
 		}
-		n.share = m.Share
-		return []Action{{Do: Limit, Share: m.Share}}, nil
+		n.quota = m.Quota
+		return []Action{{Do: Limit, Quota: m.Quota}}, nil
 	}
 	return nil, fmt.Errorf("%w: a message %q was not expected", ErrShape, m.Kind)
 }
 
 // Ready says that this process takes clients.
 func (n *New) Ready() []Action {
-	if n.state != sharing || n.said {
+	if n.state != sharing || n.servingSent {
 		return nil
 	}
-	n.said = true
+	n.servingSent = true
 	return []Action{{Do: Send, Message: Message{Kind: Serving, Version: Version}}}
 }
 
@@ -325,8 +325,8 @@
 func (n *New) Lost() []Action {
 	switch n.state {
 	case sharing, aside:
-		n.state, n.share = alone, n.full
-		return []Action{{Do: Limit, Share: n.full}, {Do: Publish}}
+		n.state, n.quota = alone, n.full
+		return []Action{{Do: Limit, Quota: n.full}, {Do: Publish}}
 	}
 	return nil
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-var full = Share{Sockets: 200, MemoryMB: 64, Held: 101}
+var full = Quota{Sockets: 200, MemoryMB: 64, InFlight: 101}
 
 func hello() Message { return Message{Kind: Hello, Version: Version, Listen: "a:1"} }
 
@@ -20,11 +20,11 @@
 		s += names[a.Do]
 		switch a.Do {
 		case Send, SendListener:
-			s += fmt.Sprintf("(%d %s %d)", a.To, a.Message.Kind, a.Message.Share.Sockets)
+			s += fmt.Sprintf("(%d %s %d)", a.To, a.Message.Kind, a.Message.Quota.Sockets)
 		case Drop:
 			s += fmt.Sprintf("(%d)", a.To)
 		case Limit:
-			s += fmt.Sprintf("(%d)", a.Share.Sockets)
+			s += fmt.Sprintf("(%d)", a.Quota.Sockets)
 		}
 		s += " "
 	}
@@ -46,12 +46,12 @@
 		{func() []Action { return o.Lost(3) }, ""},
 		{func() []Action { return o.Lost(2) }, "limit(200) "}, // it died before it served
 		{func() []Action { return o.Came(4, hello()) }, "limit(100) sendListener(4 offer 100) "},
-		{func() []Action { return o.Needs(Share{Sockets: 10}) }, ""}, // not on its way out
+		{func() []Action { return o.Needs(Quota{Sockets: 10}) }, ""}, // not on its way out
 		{func() []Action { return o.Leave() }, ""},                   // the new one does not serve yet
 		{func() []Action { return o.Came(4, Message{Kind: Serving, Version: Version}) }, "unpublish stopAccepting "},
-		{func() []Action { return o.Needs(Share{Sockets: 120, MemoryMB: 60}) }, "limit(100) send(4 grant 100) "}, // memory stays as it was, held grows
-		{func() []Action { return o.Needs(Share{Sockets: 30, MemoryMB: 60}) }, "limit(30) send(4 grant 170) "},
-		{func() []Action { return o.Needs(Share{Sockets: 50, MemoryMB: 60}) }, ""}, // nothing is taken back
+		{func() []Action { return o.Needs(Quota{Sockets: 120, MemoryMB: 60}) }, "limit(100) send(4 grant 100) "}, // memory stays as it was, held grows
+		{func() []Action { return o.Needs(Quota{Sockets: 30, MemoryMB: 60}) }, "limit(30) send(4 grant 170) "},
+		{func() []Action { return o.Needs(Quota{Sockets: 50, MemoryMB: 60}) }, ""}, // nothing is taken back
 		{func() []Action { return o.Lost(4) }, "limit(200) "},
 		{func() []Action { return o.Came(5, NewNew(full).Begin("a:1")[0].Message) }, "shareTable limit(100) sendListener(5 offer 100) "}, // the count is there before the limit
 	} {
@@ -63,7 +63,7 @@
 
 // The new process's side: alone, shared, beside one that hangs and wakes, refused.
 func TestNewScript(t *testing.T) {
-	offer := Message{Kind: Offer, Version: Version, Listen: "a:1", Share: full.half()}
+	offer := Message{Kind: Offer, Version: Version, Listen: "a:1", Quota: full.half()}
 	n := NewNew(full)
 	if got := trace(n.Nobody()); got != "limit(200) ownListener publish " || !n.Alone() {
 		t.Error("alone:", got)
@@ -77,8 +77,8 @@
 	if got := trace(n.Ready()) + trace(n.Ready()); got != "send(0 serving 0) " {
 		t.Error("ready:", got)
 	}
-	acts, _ = n.Came(Message{Kind: Grant, Version: Version, Share: Share{150, 40, 60}})
-	less, _ := n.Came(Message{Kind: Grant, Version: Version, Share: Share{20, 4, 6}})
+	acts, _ = n.Came(Message{Kind: Grant, Version: Version, Quota: Quota{150, 40, 60}})
+	less, _ := n.Came(Message{Kind: Grant, Version: Version, Quota: Quota{20, 4, 6}})
 	if got := trace(acts) + trace(less); got != "limit(150) " {
 		t.Error("granted:", got)
 	}
@@ -96,8 +96,8 @@
 		t.Error("woken:", got, err)
 	}
 	many := offer
-	many.Listeners = ListenersMost + 1
-	for _, m := range []Message{many, {Kind: Refuse, Why: "no"}, {Kind: Refuse, Again: true}, {Kind: Offer, Version: 7}, {Kind: Offer, Version: Version}, {Kind: "what", Version: Version}, {Kind: Grant, Version: Version, Share: full}} {
+	many.Listeners = MaxListeners + 1
+	for _, m := range []Message{many, {Kind: Reject, Why: "no"}, {Kind: Reject, Again: true}, {Kind: Offer, Version: 7}, {Kind: Offer, Version: Version}, {Kind: "what", Version: Version}, {Kind: Grant, Version: Version, Quota: full}} {
 		if acts, err := NewNew(full).Came(m); err == nil || acts != nil {
 			t.Errorf("%+v was taken: %s", m, trace(acts))
 		}
@@ -109,7 +109,7 @@
 func TestLimitsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOld()
-		old, taken := full, Share{} // what each was told
+		old, taken := full, Quota{} // what each was told
 		news := map[int]*New{}
 		serving := 0
 		var run func(acts []Action)
@@ -117,7 +117,7 @@
 			for _, a := range acts {
 				switch a.Do {
 				case Limit:
-					old = a.Share
+					old = a.Quota
 				case StopAccepting:
 					if serving == 0 {
 						t.Fatal("nobody accepts")
@@ -137,11 +137,11 @@
 					}
 					for _, b := range got {
 						if b.Do == Limit {
-							taken = b.Share
+							taken = b.Quota
 						}
 					}
 				}
-				if !old.within(full) || old.Sockets+taken.Sockets > full.Sockets || old.MemoryMB+taken.MemoryMB > full.MemoryMB || old.Held+taken.Held > full.Held+1 {
+				if !old.within(full) || old.Sockets+taken.Sockets > full.Sockets || old.MemoryMB+taken.MemoryMB > full.MemoryMB || old.InFlight+taken.InFlight > full.InFlight+1 {
 					t.Fatalf("old %+v, new %+v of %+v", old, taken, full)
 				}
 			}
@@ -166,7 +166,7 @@
 			"die": func(t *rapid.T) {
 				for id := range news {
 					if delete(news, id); id == o.peer {
-						taken = Share{}
+						taken = Quota{}
 					}
 					if id == serving {
 						serving = 0
@@ -177,7 +177,7 @@
 			},
 			"leave": func(t *rapid.T) { run(o.Leave()) },
 			"need": func(t *rapid.T) {
-				run(o.Needs(Share{rapid.IntRange(0, 200).Draw(t, "s"), rapid.IntRange(0, 64).Draw(t, "m"), rapid.IntRange(0, 101).Draw(t, "h")}))
+				run(o.Needs(Quota{rapid.IntRange(0, 200).Draw(t, "s"), rapid.IntRange(0, 64).Draw(t, "m"), rapid.IntRange(0, 101).Draw(t, "h")}))
 			},
 		})
 	})
--- a/internal/handover/link/ids.go
+++ b/internal/handover/link/ids.go
@@ -41,12 +41,12 @@
 // Counted says that the table has a count of the requests held.
 func (t *IDs) Counted() bool { return t.held != nil }
 
-// Hold says that this process holds n requests and returns how many the other one does.
+// SetInFlight says that this process holds n requests and returns how many the other one does.
 // Of two that write at the same time at least one sees what the other wrote, so two
 // that each keep the sum within a limit don't exceed it together. A process's own
 // calls are in turn. (A swap, for a plain atomic store is weaker under the race detector:
 // there it let both take the last place.)
-func (t *IDs) Hold(n int) (others int) {
+func (t *IDs) SetInFlight(n int) (others int) {
 	atomic.SwapUint64(&t.held[t.side], uint64(n))
 	return int(atomic.LoadUint64(&t.held[sides-1-t.side]))
 }
--- a/internal/handover/link/ids_test.go
+++ b/internal/handover/link/ids_test.go
@@ -32,10 +32,10 @@
 					case mine > 0 && (mine == s.asks || n%3 == 0):
 						mine--
 						held.Add(-1)
-						s.ids.Hold(mine)
+						s.ids.SetInFlight(mine)
 					case mine == s.asks: // none at all
-					case mine+1+s.ids.Hold(mine+1) > c.most:
-						s.ids.Hold(mine)
+					case mine+1+s.ids.SetInFlight(mine+1) > c.most:
+						s.ids.SetInFlight(mine)
 						refused.Add(1)
 					default:
 						if mine++; held.Add(1) > int64(c.most) {
@@ -44,7 +44,7 @@
 					}
 				}
 				held.Add(-int64(mine))
-				s.ids.Hold(0)
+				s.ids.SetInFlight(0)
 			})
 		}
 		wait.Wait()
--- a/internal/handover/link/link.go
+++ b/internal/handover/link/link.go
@@ -178,7 +178,7 @@
 	if err := own(path, f); err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(f, handover.SnapshotMost+1))
+	return io.ReadAll(io.LimitReader(f, handover.MaxSnapshotSize+1))
 }
 
 // conn is one end of a hand-over. Reads are one goroutine's.
@@ -212,7 +212,7 @@
 
 // receive waits for a message. The caller closes the files that came with it.
 func (c *conn) receive(buf []byte) (m handover.Message, files []*os.File, err error) {
-	oob := make([]byte, syscall.CmsgSpace(4*(handover.ListenersMost+3))) // and the lock, the table, and the record's lock
+	oob := make([]byte, syscall.CmsgSpace(4*(handover.MaxListeners+3))) // and the lock, the table, and the record's lock
 	n, oobn, flags, _, err := c.uc.ReadMsgUnix(buf, oob)
 	if err != nil {
 		return m, nil, err
--- a/internal/handover/link/new.go
+++ b/internal/handover/link/new.go
@@ -47,7 +47,7 @@
 // it returns, this process may hold what the host was told, and Listeners has where
 // to accept. No process may accept there and have no way to answer yet: the caller
 // begins when it can. record says that this process has a store of record.
-func Start(p *Place, listen string, full handover.Share, record bool, h Host) (*New, error) {
+func Start(p *Place, listen string, full handover.Quota, record bool, h Host) (*New, error) {
 	n := &New{place: p, host: h, listen: listen, machine: handover.NewNew(full), late: make(chan []*net.TCPListener, 1), alone: make(chan struct{}), failed: make(chan error, 1)}
 	if record {
 		n.machine.HasRecord()
@@ -60,7 +60,7 @@
 			return n, nil
 		case errors.Is(err, handover.ErrBusy) && took < busyMost:
 		case errors.Is(err, errAbsent) && took < absentMost:
-		case errors.Is(err, errAbsent), errors.Is(err, errHangs), errors.Is(err, handover.ErrRefused):
+		case errors.Is(err, errAbsent), errors.Is(err, errHangs), errors.Is(err, handover.ErrRejected):
 			slog.Warn("no hand-over: this process opens a socket of its own beside the old one's", "err", err)
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -265,8 +265,8 @@
 				return fmt.Errorf("link: %w", err)
 			}
 		case handover.Limit:
-			n.host.Limit(a.Share)
-		case handover.OwnListener:
+			n.host.Limit(a.Quota)
+		case handover.OpenListener:
 			ln, err := Listen(n.listen)
 			if err != nil {
 				return fmt.Errorf("listen: %w", err)
@@ -295,7 +295,7 @@
 				if err = n.took(m, files); err != nil && !n.closed {
 					slog.Error("hand-over", "err", err)
 				}
-				refused, locked := errors.Is(err, handover.ErrRefused), n.place.Locked()
+				refused, locked := errors.Is(err, handover.ErrRejected), n.place.Locked()
 				switch {
 				case refused && locked:
 					// It lives, and has taken its share back: going on would be too much.
--- a/internal/handover/link/old.go
+++ b/internal/handover/link/old.go
@@ -17,7 +17,7 @@
 type Host interface {
 	// Limit keeps this process to a share from now on, and returns when it does, as
 	// far as it can without ending what has begun.
-	Limit(s handover.Share)
+	Limit(s handover.Quota)
 	// StopAccepting closes this process's end of the listening socket.
 	StopAccepting()
 	// ShareIDs makes the ids that this process has open known to another one by t, and
@@ -149,7 +149,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if p := o.peers[id]; p != nil {
-		p.send(handover.Message{Kind: handover.Refuse, Version: handover.Version, Why: "it took too long to serve"})
+		p.send(handover.Message{Kind: handover.Reject, Version: handover.Version, Why: "it took too long to serve"})
 		o.drop(id)
 	}
 }
@@ -179,7 +179,7 @@
 			if p := o.peers[a.To]; p != nil && p.send(a.Message) != nil {
 				o.drop(a.To)
 			}
-		case handover.ShareTable:
+		case handover.SendIDTable:
 			o.shareIDs(a.To, a.Message.Counts)
 		case handover.SendListener:
 			if o.sendListener(a) != nil {
@@ -188,7 +188,7 @@
 		case handover.Drop:
 			o.drop(a.To)
 		case handover.Limit:
-			o.host.Limit(a.Share)
+			o.host.Limit(a.Quota)
 		case handover.Unpublish:
 			if o.door != nil {
 				o.door.Close()
@@ -275,10 +275,10 @@
 }
 
 // Retuned takes new limits of the configuration.
-func (o *Old) Retuned(full handover.Share) {
+func (o *Old) Retuned(full handover.Quota) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.do(o.machine.Retuned(full))
+	o.do(o.machine.Reconfigured(full))
 }
 
 // Leave says that this process ends when all is answered; true if a new one serves.
@@ -290,7 +290,7 @@
 }
 
 // Needs says what this process still holds; true if a new one serves.
-func (o *Old) Needs(use handover.Share) bool {
+func (o *Old) Needs(use handover.Quota) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.do(o.machine.Needs(use))
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -17,11 +17,11 @@
 	// SnapshotVersion changes with the meaning of any field: what another version
 	// wrote is not understood halfway.
 	SnapshotVersion = 1
-	// SnapshotMost is the longest snapshot read.
-	SnapshotMost = 128 << 10
-	// FreshMost is how old a snapshot may be. Servers' state changes within seconds;
+	// MaxSnapshotSize is the longest snapshot read.
+	MaxSnapshotSize = 128 << 10
+	// MaxSnapshotAge is how old a snapshot may be. Servers' state changes within seconds;
 	// past it a start from nothing knows more.
-	FreshMost = 30 * time.Second
+	MaxSnapshotAge = 30 * time.Second
 
 	samplesMost = 1024
 	serversMost = 4096
@@ -38,9 +38,9 @@
 
 // Snapshot is what one process has learned for the next.
 type Snapshot struct {
-	Listen  string             `json:"Listen"` // the sidecar's, by its address
-	Saved   int64              `json:"Saved"`  // Unix time in ns
-	Learned martendrum.Learned `json:"Learned"`
+	Listen  string                  `json:"Listen"` // the sidecar's, by its address
+	Saved   int64                   `json:"Saved"`  // Unix time in ns
+	Learned martendrum.LearnedState `json:"Learned"`
 }
 
 // Encode is s as bytes: a mark, the version, a checksum (CRC-32C), JSON.
@@ -52,7 +52,7 @@
 	b := append([]byte(nil), snapshotMagic...)
 	b = append(b, SnapshotVersion)
 	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(body, castagnoli))
-	if b = append(b, body...); len(b) > SnapshotMost {
+	if b = append(b, body...); len(b) > MaxSnapshotSize {
 		return nil, fmt.Errorf("handover: snapshot of %d bytes", len(b))
 	}
 	return b, nil
@@ -62,10 +62,10 @@
 
 // Decode reads a snapshot for the sidecar at listen, and how old it is. Anything in it
 // that no Balancer could have learned makes it damaged.
-func Decode(data []byte, listen string, now time.Time) (l martendrum.Learned, age time.Duration, err error) {
+func Decode(data []byte, listen string, now time.Time) (l martendrum.LearnedState, age time.Duration, err error) {
 	body, ok := bytes.CutPrefix(data, snapshotMagic)
 	switch {
-	case !ok || len(body) < 5 || len(data) > SnapshotMost:
+	case !ok || len(body) < 5 || len(data) > MaxSnapshotSize:
 		return l, 0, ErrDamaged
 	case body[0] != SnapshotVersion:
 		return l, 0, fmt.Errorf("%w: version %d", ErrForeign, body[0])
@@ -80,9 +80,9 @@
 		return l, 0, fmt.Errorf("%w: of %q", ErrForeign, s.Listen)
 	}
 	// A step of the wall clock makes the age wrong: too old or from the future is not taken,
-	// which costs the hints; too young lets hints of FreshMost and the step's length through,
+	// which costs the hints; too young lets hints of MaxSnapshotAge and the step's length through,
 	// which are hints still.
-	if age = now.Sub(time.Unix(0, s.Saved)); age < -time.Second || age > FreshMost {
+	if age = now.Sub(time.Unix(0, s.Saved)); age < -time.Second || age > MaxSnapshotAge {
 		return l, 0, fmt.Errorf("%w: %v", ErrStale, age)
 	}
 	if err := Check(&s.Learned); err != nil {
@@ -92,27 +92,27 @@
 }
 
 // Check names the first value that no Balancer could have learned.
-func Check(l *martendrum.Learned) error {
+func Check(l *martendrum.LearnedState) error {
 	var err error
 	within := func(name string, v, least, most float64) {
 		if err == nil && !(v >= least && v <= most) { // a NaN is not
 			err = fmt.Errorf("%s is %v", name, v)
 		}
 	}
-	within("Delay", l.Delay, 0, math.MaxFloat32)
-	within("Odds", l.Odds, 0, 1)
-	within("Lost", l.Lost, 0, 1)
-	within("Level", l.Level, 0, 1)
-	within("LevelAge", float64(l.LevelAge), 0, math.MaxInt64)
-	within("Taken", l.Taken, 0, 1)
-	within("MeanTime", l.MeanTime, 0, math.MaxFloat32)
+	within("Delay", l.HedgeDelay, 0, math.MaxFloat32)
+	within("Odds", l.HedgeProbability, 0, 1)
+	within("Lost", l.LostFraction, 0, 1)
+	within("Level", l.ShedLevel, 0, 1)
+	within("LevelAge", float64(l.ShedLevelAge), 0, math.MaxInt64)
+	within("Taken", l.AcceptedFraction, 0, 1)
+	within("MeanTime", l.MeanLatency, 0, math.MaxFloat32)
 	within("Primary", float64(len(l.Primary)), 0, samplesMost)
-	within("Copies", float64(len(l.Copies)), 0, samplesMost)
+	within("Copies", float64(len(l.Hedges)), 0, samplesMost)
 	within("Pairs", float64(len(l.Pairs)), 0, samplesMost)
 	within("Servers", float64(len(l.Servers)), 0, serversMost)
-	for _, list := range [][]martendrum.LearnedTime{l.Primary, l.Copies} {
+	for _, list := range [][]martendrum.LearnedLatency{l.Primary, l.Hedges} {
 		for _, s := range list {
-			within("a time", s.At, 0, math.MaxFloat32)
+			within("a time", s.Latency, 0, math.MaxFloat32)
 		}
 	}
 	for _, p := range l.Pairs {
@@ -121,14 +121,14 @@
 	}
 	for i := range l.Servers {
 		s := &l.Servers[i]
-		within(s.Name+": Weight", s.Weight, 1.0/16, 16)
-		within(s.Name+": Sum", s.Sum, 0, math.MaxFloat32)
-		within(s.Name+": N", s.N, 0, math.MaxFloat32)
-		within(s.Name+": Age", float64(s.Age), 0, math.MaxInt64)
+		within(s.Name+": Weight", s.WeightCorrection, 1.0/16, 16)
+		within(s.Name+": Sum", s.LatencySum, 0, math.MaxFloat32)
+		within(s.Name+": N", s.LatencyWeight, 0, math.MaxFloat32)
+		within(s.Name+": Age", float64(s.LatencyAge), 0, math.MaxInt64)
 		within(s.Name+": Started", float64(s.Started), 0, math.MaxInt64)
 		within(s.Name+": Failures", float64(s.Failures), 0, math.MaxInt32)
 		within(s.Name+": Ejections", float64(s.Ejections), 0, math.MaxInt32)
-		within(s.Name+": EjectedAbout", float64(s.EjectedAbout), 0, float64(time.Minute))
+		within(s.Name+": EjectedAbout", float64(s.EjectionRemaining), 0, float64(time.Minute))
 	}
 	return err
 }
--- a/internal/handover/snapshot_test.go
+++ b/internal/handover/snapshot_test.go
@@ -10,19 +10,19 @@
 	"martendrum"
 )
 
-func learned() martendrum.Learned {
-	return martendrum.Learned{
-		Delay: 0.4, Odds: 0.2, Lost: 0.01, Level: 0.3, LevelAge: time.Second, Taken: 0.9, MeanTime: 0.25,
-		Primary: []martendrum.LearnedTime{{At: 0.1}, {At: 0.7, Censored: true}},
-		Copies:  []martendrum.LearnedTime{{At: 0.2}},
+func learned() martendrum.LearnedState {
+	return martendrum.LearnedState{
+		HedgeDelay: 0.4, HedgeProbability: 0.2, LostFraction: 0.01, ShedLevel: 0.3, ShedLevelAge: time.Second, AcceptedFraction: 0.9, MeanLatency: 0.25,
+		Primary: []martendrum.LearnedLatency{{Latency: 0.1}, {Latency: 0.7, Censored: true}},
+		Hedges:  []martendrum.LearnedLatency{{Latency: 0.2}},
 		Pairs:   [][2]float64{{0.9, 0.1}},
-		Servers: []martendrum.LearnedServer{{Name: "a", Weight: 1.5, Sum: 3, N: 2, Age: time.Second, EjectedAbout: time.Second}},
+		Servers: []martendrum.LearnedServer{{Name: "a", WeightCorrection: 1.5, LatencySum: 3, LatencyWeight: 2, LatencyAge: time.Second, EjectionRemaining: time.Second}},
 	}
 }
 
 var saved = time.Unix(1e9, 0)
 
-func encoded(t testing.TB, l martendrum.Learned) []byte {
+func encoded(t testing.TB, l martendrum.LearnedState) []byte {
 	t.Helper()
 	data, err := Encode(Snapshot{Listen: "a:1", Saved: saved.UnixNano(), Learned: l})
 	if err != nil {
@@ -57,18 +57,18 @@
 	if _, _, err := Decode(next, "a:1", saved); !errors.Is(err, ErrForeign) {
 		t.Error("another version's:", err)
 	}
-	for _, at := range []time.Time{saved.Add(FreshMost + 1), saved.Add(-2 * time.Second)} {
+	for _, at := range []time.Time{saved.Add(MaxSnapshotAge + 1), saved.Add(-2 * time.Second)} {
 		if _, _, err := Decode(data, "a:1", at); !errors.Is(err, ErrStale) {
 			t.Error("stale:", err)
 		}
 	}
-	for name, spoil := range map[string]func(*martendrum.Learned){
-		"odds":     func(l *martendrum.Learned) { l.Odds = 1.5 },
-		"level":    func(l *martendrum.Learned) { l.Level = -1 },
-		"weight 0": func(l *martendrum.Learned) { l.Servers[0].Weight = 0 },
-		"age":      func(l *martendrum.Learned) { l.Servers[0].Age = -1 },
-		"for ever": func(l *martendrum.Learned) { l.Servers[0].EjectedAbout = math.MaxInt64 },
-		"too many": func(l *martendrum.Learned) { l.Pairs = make([][2]float64, 2000) },
+	for name, spoil := range map[string]func(*martendrum.LearnedState){
+		"odds":     func(l *martendrum.LearnedState) { l.HedgeProbability = 1.5 },
+		"level":    func(l *martendrum.LearnedState) { l.ShedLevel = -1 },
+		"weight 0": func(l *martendrum.LearnedState) { l.Servers[0].WeightCorrection = 0 },
+		"age":      func(l *martendrum.LearnedState) { l.Servers[0].LatencyAge = -1 },
+		"for ever": func(l *martendrum.LearnedState) { l.Servers[0].EjectionRemaining = math.MaxInt64 },
+		"too many": func(l *martendrum.LearnedState) { l.Pairs = make([][2]float64, 2000) },
 	} {
 		l := learned()
 		spoil(&l)
@@ -76,7 +76,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Encode(Snapshot{Learned: martendrum.Learned{Delay: math.NaN()}}); err == nil {
+	if _, err := Encode(Snapshot{Learned: martendrum.LearnedState{HedgeDelay: math.NaN()}}); err == nil {
 		t.Error("what can't be read was written")
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -24,7 +24,7 @@
 var outcomes = [...]string{
 	martendrum.OK:            "ok",
 	martendrum.ServerError:   "error",
-	martendrum.Full:          "declined",
+	martendrum.Rejected:      "declined",
 	martendrum.TimedOut:      "timeout",
 	martendrum.ConnectFailed: "connect",
 	martendrum.Reset:         "reset",
@@ -32,22 +32,22 @@
 	martendrum.NotSent:       "not_sent",
 }
 
-// ownBounds are the buckets of the time spent in the sidecar itself, in seconds.
-var ownBounds = []float64{.0001, .0002, .0005, .001, .002, .005, .01, .02, .05, .1, .5}
+// processingTimeBuckets are the buckets of the time spent in the sidecar itself, in seconds.
+var processingTimeBuckets = []float64{.0001, .0002, .0005, .001, .002, .005, .01, .02, .05, .1, .5}
 
 // Set is a sidecar's metrics. Its methods may be called from any goroutine.
 type Set struct {
-	set      *metrics.Set
-	mu       sync.Mutex                        // of changes to classes
-	classes  atomic.Pointer[map[string]*class] // read without a lock
-	tries    *metrics.Counter
-	ends     [len(outcomes)]*metrics.Counter
-	copies   *metrics.Counter
-	won      *metrics.Counter
-	own      *metrics.PrometheusHistogram
-	applied  *metrics.Counter
-	rejected *metrics.Counter
-	reasons  map[Reason]*metrics.Counter
+	set             *metrics.Set
+	mu              sync.Mutex                        // of changes to classes
+	classes         atomic.Pointer[map[string]*class] // read without a lock
+	attemptsWritten *metrics.Counter
+	attemptOutcomes [len(outcomes)]*metrics.Counter
+	hedges          *metrics.Counter
+	hedgesWon       *metrics.Counter
+	processingTime  *metrics.PrometheusHistogram
+	applied         *metrics.Counter
+	rejected        *metrics.Counter
+	reasons         map[Reason]*metrics.Counter
 }
 
 // class is what is counted for one class of requests.
@@ -58,25 +58,25 @@
 
 // The reasons.
 const (
-	Crowded  Reason = "connections" // no room for the connection
-	Bytes    Reason = "bytes"       // no room for the body
-	InFlight Reason = "held"        // as many requests in flight as the settings allow
+	ConnectionLimit Reason = "connections" // no room for the connection
+	BodyBytesLimit  Reason = "bytes"       // no room for the body
+	InFlightLimit   Reason = "held"        // as many requests in flight as the settings allow
 )
 
 // New returns metrics that are all 0.
 func New() *Set {
 	s := &Set{set: metrics.NewSet(), reasons: make(map[Reason]*metrics.Counter)}
 	s.classes.Store(&map[string]*class{})
-	s.tries = s.set.NewCounter(prefix + "tries")
+	s.attemptsWritten = s.set.NewCounter(prefix + "tries")
 	for n, name := range outcomes {
-		s.ends[n] = s.set.NewCounter(prefix + label("attempts", "outcome", name))
+		s.attemptOutcomes[n] = s.set.NewCounter(prefix + label("attempts", "outcome", name))
 	}
-	for _, r := range []Reason{Crowded, Bytes, InFlight} {
+	for _, r := range []Reason{ConnectionLimit, BodyBytesLimit, InFlightLimit} {
 		s.reasons[r] = s.set.NewCounter(prefix + label("limited", "reason", string(r)))
 	}
-	s.copies = s.set.NewCounter(prefix + "copies")
-	s.won = s.set.NewCounter(prefix + "copies_won")
-	s.own = s.set.NewPrometheusHistogramExt(prefix+"own_seconds", ownBounds)
+	s.hedges = s.set.NewCounter(prefix + "copies")
+	s.hedgesWon = s.set.NewCounter(prefix + "copies_won")
+	s.processingTime = s.set.NewPrometheusHistogramExt(prefix+"own_seconds", processingTimeBuckets)
 	s.applied = s.set.NewCounter(prefix + "config_applied")
 	s.rejected = s.set.NewCounter(prefix + "config_rejected")
 	return s
@@ -140,29 +140,29 @@
 	}
 }
 
-// Wrote counts an attempt written whole to a server.
-func (s *Set) Wrote() { s.tries.Inc() }
+// AttemptWritten counts an attempt written whole to a server.
+func (s *Set) AttemptWritten() { s.attemptsWritten.Inc() }
 
-// Began counts a copy sent.
-func (s *Set) Began(isCopy bool) {
+// AttemptStarted counts a copy sent.
+func (s *Set) AttemptStarted(isCopy bool) {
 	if isCopy {
-		s.copies.Inc()
+		s.hedges.Inc()
 	}
 }
 
-// Ended counts an attempt's end; served says that the client got this answer.
-func (s *Set) Ended(o martendrum.Outcome, isCopy, served bool) {
-	if int(o) < len(s.ends) {
-		s.ends[o].Inc()
+// AttemptFinished counts an attempt's end; served says that the client got this answer.
+func (s *Set) AttemptFinished(o martendrum.Outcome, isCopy, served bool) {
+	if int(o) < len(s.attemptOutcomes) {
+		s.attemptOutcomes[o].Inc()
 	}
 	if isCopy && served {
-		s.won.Inc()
+		s.hedgesWon.Inc()
 	}
 }
 
-// Own logs the time that a request spent in the sidecar itself before its first
+// ProcessingTime logs the time that a request spent in the sidecar itself before its first
 // send or its answer, whichever came first.
-func (s *Set) Own(took time.Duration) { s.own.Update(took.Seconds()) }
+func (s *Set) ProcessingTime(took time.Duration) { s.processingTime.Update(took.Seconds()) }
 
 // Configured counts a configuration taken over or turned down.
 func (s *Set) Configured(taken bool) {
--- a/internal/peers/compat_test.go
+++ b/internal/peers/compat_test.go
@@ -15,17 +15,17 @@
 func TestDatagramsOfEarlierBuild(t *testing.T) {
 	const golden = "datagrams.hex"
 	const now = time.Hour
-	self := Row{Life: 1_800_000_000_123, Beat: 9, State: Alive, Phase: 3, Traffic: 40, Born: now - time.Minute}
-	row := Row{Rank: 4, Life: 1_800_000_000_456, Beat: 2, State: Suspect, Phase: 2, Traffic: 7, Born: now - 2*time.Minute}
-	fact := Fact{Owner: 5, Kind: hot, Subject: 1 << 60, Life: 1_800_000_000_789, Count: 11, Value: 12, Born: now - 3*time.Second}
+	self := Record{Incarnation: 1_800_000_000_123, Heartbeat: 9, State: Alive, Phase: 3, Traffic: 40, Born: now - time.Minute}
+	row := Record{Rank: 4, Incarnation: 1_800_000_000_456, Heartbeat: 2, State: Suspect, Phase: 2, Traffic: 7, Born: now - 2*time.Minute}
+	fact := Entry{Owner: 5, Kind: hot, Subject: 1 << 60, Incarnation: 1_800_000_000_789, Count: 11, Value: 12, Born: now - 3*time.Second}
 	node := &Node{cfg: config(3, 16)}
 	messages := []message{
 		{kind: kindPing, seq: 1, self: self},
 		{kind: kindAck, seq: 2, self: self},
 		{kind: kindReach, seq: 3, self: self, target: 6},
 		{kind: kindFound, seq: 4, self: self, target: 7},
-		{kind: kindAsk, seq: 5, self: self, about: factKey{owner: 3, kind: hot, subject: 1 << 59}},
-		{kind: kindNews, seq: 6, self: self},
+		{kind: kindPull, seq: 5, self: self, about: entryKey{owner: 3, kind: hot, subject: 1 << 59}},
+		{kind: kindUpdate, seq: 6, self: self},
 	}
 	if len(messages) != int(kinds) {
 		t.Fatalf("%d messages of %d kinds", len(messages), kinds)
@@ -34,7 +34,7 @@
 	for _, m := range messages {
 		w := newWriter(now)
 		w.head(m)
-		if !w.addRow(row) || !w.addFact(fact) {
+		if !w.addRecord(row) || !w.addEntry(fact) {
 			t.Fatal("the items do not fit")
 		}
 		written = append(written, hex.EncodeToString(w.done(node)))
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := &decoded{message: messages[n], rows: []Row{row}, facts: []Fact{fact}}
+		want := &decoded{message: messages[n], rows: []Record{row}, facts: []Entry{fact}}
 		if !reflect.DeepEqual(got, want) {
 			t.Errorf("%+v; want %+v", got, want)
 		}
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -9,17 +9,17 @@
 
 // pending is news to be passed on: a row or a fact that has changed.
 type pending struct {
-	rank   Rank
-	fact   factKey
-	isFact bool
-	hot    bool // waits to be spread at once
-	weight int
-	sent   int
+	rank    Rank
+	entry   entryKey
+	isEntry bool
+	hot     bool // waits to be spread at once
+	weight  int
+	sent    int
 }
 
 // same says that both are news of the same row or fact.
 func (p pending) same(q pending) bool {
-	return q.isFact == p.isFact && q.fact == p.fact && q.rank == p.rank
+	return q.isEntry == p.isEntry && q.entry == p.entry && q.rank == p.rank
 }
 
 // queue makes something news, in place of what was news of it before. What is hot leaves
@@ -87,28 +87,28 @@
 func (n *Node) send(now time.Duration, to Rank, m message, must bool) bool {
 	n.tokens = min(n.cfg.Burst, n.tokens+n.cfg.Rate*(now-n.filled).Seconds())
 	n.filled = now
-	if n.tokens < DatagramMost && !(must && n.tokens > -n.cfg.Burst) {
+	if n.tokens < MaxDatagram && !(must && n.tokens > -n.cfg.Burst) {
 		n.stats.Withheld++
 		return false
 	}
 	m.self = n.self
 	w := newWriter(now)
 	w.head(m)
-	theirs := n.members[to].row
-	if theirs.Life > 0 && (theirs.State != Alive || n.members[to].direct != theirs.Life) {
-		w.addRow(theirs) // it can speak for itself
+	theirs := n.members[to].record
+	if theirs.Incarnation > 0 && (theirs.State != Alive || n.members[to].direct != theirs.Incarnation) {
+		w.addRecord(theirs) // it can speak for itself
 	}
-	if m.tell != nil {
-		w.addFact(*m.tell)
+	if m.publish != nil {
+		w.addEntry(*m.publish)
 	}
 	most, room := n.sentMost(), true
 	order := n.news()
-	if m.kind != kindNews && n.tokens < n.cfg.Burst/2 {
+	if m.kind != kindUpdate && n.tokens < n.cfg.Burst/2 {
 		order, room = nil, false // the rest is kept for what is hot
 	}
 	for _, i := range order {
 		p := &n.pending[i]
-		if !p.isFact && p.rank == to || p.isFact && p.fact.owner == to {
+		if !p.isEntry && p.rank == to || p.isEntry && p.entry.owner == to {
 			continue
 		}
 		if room = n.pack(now, w, p); !room {
@@ -131,25 +131,25 @@
 // pack adds one piece of news, false if it does not fit. What is news no more counts as
 // packed.
 func (n *Node) pack(now time.Duration, w *writer, p *pending) bool {
-	if p.isFact {
-		h := n.facts.byKey[p.fact]
+	if p.isEntry {
+		h := n.facts.byKey[p.entry]
 		if h == nil || !n.valid(h, now) {
 			p.sent = math.MaxInt - 1
 			return true
 		}
-		return w.addFact(h.Fact)
+		return w.addEntry(h.Entry)
 	}
 	if p.rank == n.cfg.Self {
 		return true // it is in the head
 	}
-	return w.addRow(n.members[p.rank].row)
+	return w.addRecord(n.members[p.rank].record)
 }
 
 // filler adds some of what is no news, in turn: for those that missed it. Whoever has just
 // begun gets all that fits.
 func (n *Node) filler(now time.Duration, w *writer, to Rank, answer bool) {
 	left := fillers
-	if m := &n.members[to]; answer && now-m.row.Born < 10*n.cfg.Period {
+	if m := &n.members[to]; answer && now-m.record.Born < 10*n.cfg.Period {
 		left = math.MaxInt
 	}
 	all := len(n.members) + len(n.facts.order)
@@ -161,13 +161,13 @@
 			if h.Owner == to || !n.valid(h, now) {
 				continue
 			}
-			ok = w.addFact(h.Fact)
+			ok = w.addEntry(h.Entry)
 		} else {
 			r := Rank(n.fill)
-			if r == to || r == n.cfg.Self || n.members[r].row.Life == 0 {
+			if r == to || r == n.cfg.Self || n.members[r].record.Incarnation == 0 {
 				continue
 			}
-			ok = w.addRow(n.members[r].row)
+			ok = w.addRecord(n.members[r].record)
 		}
 		if !ok {
 			return
@@ -182,12 +182,12 @@
 // spread passes hot facts on at once.
 func (n *Node) spread(now time.Duration) {
 	waits := func(p pending) bool {
-		return p.hot && p.sent < n.cfg.Fan && (p.isFact || n.tokens > n.cfg.Burst/2)
+		return p.hot && p.sent < n.cfg.Fan && (p.isEntry || n.tokens > n.cfg.Burst/2)
 	}
 	// One datagram may not hold them all. What the ceiling keeps back goes with probes.
 	for round := 0; round < spreadMost && slices.ContainsFunc(n.pending, waits); round++ {
 		for _, r := range n.sample(n.cfg.Fan, now, true) {
-			n.send(now, r, message{kind: kindNews}, false)
+			n.send(now, r, message{kind: kindUpdate}, false)
 		}
 	}
 	for i := range n.pending {
@@ -208,16 +208,16 @@
 		return err
 	}
 	d.self.Rank = from // nobody speaks in another's name
-	n.hear(now, d.self)
+	n.receiveRecord(now, d.self)
 	for _, r := range d.rows {
 		if r.Rank == from {
-			n.stats.Refused++ // its own row is in the head
+			n.stats.Rejected++ // its own row is in the head
 			continue
 		}
 		n.admit(now, from, r)
 	}
 	for _, f := range d.facts {
-		n.hearFact(now, from, f)
+		n.receiveEntry(now, from, f)
 	}
 	switch d.kind {
 	case kindPing:
@@ -228,9 +228,9 @@
 		n.reach(now, from, d.target, d.seq)
 	case kindFound:
 		n.found(now, d.target, d.seq)
-	case kindAsk:
-		if f := n.own[d.about]; f != nil {
-			n.send(now, from, message{kind: kindNews, tell: f}, false)
+	case kindPull:
+		if f := n.localEntries[d.about]; f != nil {
+			n.send(now, from, message{kind: kindUpdate, publish: f}, false)
 		}
 	}
 	return nil
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -91,8 +91,8 @@
 		return nil, &AddrError{"peer_listen", cfg.Listen, err}
 	}
 	cfg.Node.Size = len(cfg.Peers)
-	if cfg.Node.Life == 0 {
-		cfg.Node.Life = uint64(max(1, l.start.UnixMilli()))
+	if cfg.Node.Incarnation == 0 {
+		cfg.Node.Incarnation = uint64(max(1, l.start.UnixMilli()))
 	}
 	if l.node, err = peers.New(cfg.Node, 0, rand.New(rand.NewPCG(cfg.Seed, 3))); err != nil {
 		return nil, err
@@ -153,7 +153,7 @@
 const (
 	pause     = 10 * time.Millisecond // after a read that failed
 	logAgain  = time.Minute           // damaged datagrams are logged so often
-	bufferLen = peers.DatagramMost + 1
+	bufferLen = peers.MaxDatagram + 1
 )
 
 func (l *Link) read() {
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -43,8 +43,8 @@
 func open(t *testing.T, self int, home string, public []string) *Link {
 	t.Helper()
 	l, err := Open(Config{Listen: home, Peers: public, Seed: uint64(self), Node: peers.Config{
-		Fleet: "test", Self: peers.Rank(self), Period: 100 * time.Millisecond,
-		Kinds: []peers.Kind{{ID: hot, Life: time.Minute, Hot: true}},
+		Cluster: "test", Self: peers.Rank(self), Period: 100 * time.Millisecond,
+		Kinds: []peers.Kind{{ID: hot, TTL: time.Minute, Hot: true}},
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -92,12 +92,12 @@
 	for i := range size {
 		eventually(t, "all know that one lives", all(peers.Alive, i))
 	}
-	links[2].Do(func(now time.Duration, n *peers.Node) { n.Tell(now, hot, 77, 5) })
+	links[2].Do(func(now time.Duration, n *peers.Node) { n.Publish(now, hot, 77, 5) })
 	eventually(t, "all know a fact", func() bool {
 		known := 0
 		for _, l := range links {
 			l.Do(func(now time.Duration, n *peers.Node) {
-				if f, ok := n.Fact(now, 2, hot, 77); ok && f.Value == 5 {
+				if f, ok := n.Entry(now, 2, hot, 77); ok && f.Value == 5 {
 					known++
 				}
 			})
@@ -136,7 +136,7 @@
 		{Listen: at[1], Peers: []string{at[0], at[0]}},
 		{Listen: at[1], Peers: []string{at[0], "[::1]:5"}},
 	} {
-		cfg.Node.Fleet = "test"
+		cfg.Node.Cluster = "test"
 		_, err := Open(cfg)
 		if a, ok := errors.AsType[*AddrError](err); !ok || a.Advice() == "" || a.Field == "" {
 			t.Errorf("%+v: %v", cfg, err)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -30,16 +30,16 @@
 // Rank is a sidecar's number in the fleet, from 0, as the settings have it.
 type Rank uint16
 
-// DatagramMost is the longest datagram, in bytes.
-const DatagramMost = 256
+// MaxDatagram is the longest datagram, in bytes.
+const MaxDatagram = 256
 
 // Config is what a Node is told. The zero value of a tuning field means its default.
 type Config struct {
-	Fleet string // names the fleet: datagrams of another one are dropped
-	Self  Rank
-	Size  int    // sidecars in the fleet, this one included
-	Life  uint64 // number of this life; a later one has a higher one, see Node.Life
-	Kinds []Kind // of the facts that are told here; others are dropped
+	Cluster     string // names the fleet: datagrams of another one are dropped
+	Self        Rank
+	Size        int    // sidecars in the fleet, this one included
+	Incarnation uint64 // number of this life; a later one has a higher one, see Node.Life
+	Kinds       []Kind // of the facts that are told here; others are dropped
 
 	Period  time.Duration // between two probes
 	Timeout time.Duration // of a probe, before others are asked to try
@@ -51,7 +51,7 @@
 // Kind is a sort of facts.
 type Kind struct {
 	ID     uint8
-	Life   time.Duration // a fact older than this is forgotten
+	TTL    time.Duration // a fact older than this is forgotten
 	Weight int           // higher goes first where not all fits
 	Hot    bool          // passed on at once, by everyone who learns of it
 }
@@ -75,22 +75,22 @@
 	burstUsual   = 4096.0
 	fanUsual     = 4
 
-	sizeMost     = 1 << 16
-	lifeMost     = 1 << 52 // of a life's number: room to go above any that is told
-	factsMost    = 2048
-	factsOfOne   = 64 // of one owner
-	pendingMost  = 512
-	helloFan     = 8 // asked at once at the start
-	hellos       = 3 // so often, while fewer than half of a fan have answered
-	helloEach    = 90 * time.Millisecond
-	hotDelay     = 20 * time.Millisecond // new facts that come together leave together
-	indirectFan  = 3
-	suspectTimes = 4  // periods that a suspect has to speak up, times log of the fleet
-	healthMost   = 8  // Lifeguard's: how far one's own slowness stretches probes
-	sentFactor   = 3  // how often news is passed on, times log of the fleet
-	fillers      = 3  // old rows in a datagram that has room
-	asideMost    = 64 // members to be probed out of turn
-	ratedEach    = 30 * time.Second
+	sizeMost       = 1 << 16
+	maxIncarnation = 1 << 52 // of a life's number: room to go above any that is told
+	factsMost      = 2048
+	factsOfOne     = 64 // of one owner
+	pendingMost    = 512
+	helloFan       = 8 // asked at once at the start
+	hellos         = 3 // so often, while fewer than half of a fan have answered
+	helloEach      = 90 * time.Millisecond
+	hotDelay       = 20 * time.Millisecond // new facts that come together leave together
+	indirectFan    = 3
+	suspectTimes   = 4  // periods that a suspect has to speak up, times log of the fleet
+	healthMost     = 8  // Lifeguard's: how far one's own slowness stretches probes
+	sentFactor     = 3  // how often news is passed on, times log of the fleet
+	fillers        = 3  // old rows in a datagram that has room
+	asideMost      = 64 // members to be probed out of turn
+	ratedEach      = 30 * time.Second
 )
 
 // Node is one sidecar's part in the fleet. It is not safe for use by several goroutines.
@@ -100,11 +100,11 @@
 	kinds map[uint8]*Kind
 	logN  float64
 
-	self    Row
-	members []member
-	facts   factTable
-	own     map[factKey]*Fact // this life's
-	count   uint32            // of this life's words
+	self         Record
+	members      []member
+	facts        entryTable
+	localEntries map[entryKey]*Entry // this life's
+	count        uint32              // of this life's words
 
 	pending []pending // news to pass on
 	fill    int       // where the next filler is looked for
@@ -112,21 +112,21 @@
 	tokens  float64
 	filled  time.Duration // when tokens were
 
-	order   []Rank // of probes, in this round
-	aside   []Rank // to be probed before
-	probe   *probe
-	relays  []relay
-	seq     uint32
-	health  int
-	rival   lifeClaim
-	due     time.Duration // the next probe
-	hello   int           // rounds left
-	helloAt time.Duration
-	hotAt   time.Duration // when hot facts leave; 0: none wait
-	heardOf int           // members that spoke since the start
-	rated   time.Duration // when traffic was told last
-	ticked  time.Duration // when Tick was due last, to see one's own slowness
-	stats   Stats
+	order       []Rank // of probes, in this round
+	aside       []Rank // to be probed before
+	probe       *probe
+	relays      []relay
+	seq         uint32
+	health      int
+	rival       incarnationClaim
+	due         time.Duration // the next probe
+	hello       int           // rounds left
+	helloAt     time.Duration
+	hotAt       time.Duration // when hot facts leave; 0: none wait
+	membersSeen int           // members that spoke since the start
+	rated       time.Duration // when traffic was told last
+	ticked      time.Duration // when Tick was due last, to see one's own slowness
+	stats       Stats
 }
 
 // Datagram is one to send.
@@ -140,7 +140,7 @@
 	Sent, SentBytes         uint64
 	Received, ReceivedBytes uint64
 	Damaged                 uint64 // did not decode, or came from another fleet
-	Refused                 uint64 // rows and facts that can't be, by what is known
+	Rejected                uint64 // rows and facts that can't be, by what is known
 	Withheld                uint64 // datagrams that the ceiling kept back
 	Refuted                 uint64 // suspicions of this sidecar
 	Suspected               uint64 // by this sidecar itself
@@ -154,34 +154,34 @@
 		return nil, &ConfigError{"peers", fmt.Sprintf("a list of 1 to %d addresses", sizeMost)}
 	case int(cfg.Self) >= cfg.Size:
 		return nil, &ConfigError{"settings.rank", fmt.Sprintf("below the number of peers, which is %d", cfg.Size)}
-	case cfg.Life == 0 || cfg.Life >= lifeMost:
-		return nil, &ConfigError{"the life's number", fmt.Sprintf("from 1 to %d", uint64(lifeMost-1))}
+	case cfg.Incarnation == 0 || cfg.Incarnation >= maxIncarnation:
+		return nil, &ConfigError{"the life's number", fmt.Sprintf("from 1 to %d", uint64(maxIncarnation-1))}
 	}
 	cfg.Period = cmp.Or(cfg.Period, periodUsual)
 	cfg.Timeout = cmp.Or(cfg.Timeout, min(timeoutUsual, cfg.Period/3))
 	cfg.Rate, cfg.Burst, cfg.Fan = cmp.Or(cfg.Rate, rateUsual), cmp.Or(cfg.Burst, burstUsual), cmp.Or(cfg.Fan, fanUsual)
 	n := &Node{
-		cfg:     cfg,
-		rng:     rng,
-		kinds:   make(map[uint8]*Kind),
-		logN:    math.Log2(float64(cfg.Size) + 1),
-		self:    Row{Rank: cfg.Self, Life: cfg.Life, Born: now},
-		members: make([]member, cfg.Size),
-		facts:   factTable{byKey: make(map[factKey]*held), byOwner: make(map[Rank]int)},
-		own:     make(map[factKey]*Fact),
-		tokens:  cfg.Burst,
-		filled:  now,
-		hello:   hellos,
-		helloAt: now,
-		due:     now + time.Duration(rng.Float64()*float64(cfg.Period)),
+		cfg:          cfg,
+		rng:          rng,
+		kinds:        make(map[uint8]*Kind),
+		logN:         math.Log2(float64(cfg.Size) + 1),
+		self:         Record{Rank: cfg.Self, Incarnation: cfg.Incarnation, Born: now},
+		members:      make([]member, cfg.Size),
+		facts:        entryTable{byKey: make(map[entryKey]*storedEntry), byOwner: make(map[Rank]int)},
+		localEntries: make(map[entryKey]*Entry),
+		tokens:       cfg.Burst,
+		filled:       now,
+		hello:        hellos,
+		helloAt:      now,
+		due:          now + time.Duration(rng.Float64()*float64(cfg.Period)),
 	}
 	for i := range cfg.Kinds {
 		n.kinds[cfg.Kinds[i].ID] = &cfg.Kinds[i]
 	}
 	for r := range n.members {
-		n.members[r].row.Rank = Rank(r)
+		n.members[r].record.Rank = Rank(r)
 	}
-	n.members[cfg.Self].row = n.self
+	n.members[cfg.Self].record = n.self
 	if cfg.Size == 1 {
 		n.hello = 0
 	}
@@ -239,7 +239,7 @@
 func (n *Node) greet(now time.Duration) {
 	n.hello--
 	n.helloAt = now + helloEach
-	if n.heardOf >= helloFan/2 {
+	if n.membersSeen >= helloFan/2 {
 		n.hello = 0
 		return
 	}
@@ -291,20 +291,20 @@
 	n.self.State = Left
 	n.advance(now)
 	for _, r := range n.sample(n.cfg.Fan, now, true) {
-		n.send(now, r, message{kind: kindNews}, true)
+		n.send(now, r, message{kind: kindUpdate}, true)
 	}
 }
 
 // advance makes this sidecar's row news.
 func (n *Node) advance(now time.Duration) {
-	n.self.Beat++
-	n.members[n.cfg.Self].row = n.self
+	n.self.Heartbeat++
+	n.members[n.cfg.Self].record = n.self
 	n.queue(now, pending{rank: n.cfg.Self, hot: true})
 }
 
-// Life is the number of this life. It may rise: one that began with a lower number than
+// Incarnation is the number of this life. It may rise: one that began with a lower number than
 // the life before it (a clock that went back) takes a higher one once told.
-func (n *Node) Life() uint64 { return n.self.Life }
+func (n *Node) Incarnation() uint64 { return n.self.Incarnation }
 
 // Stats counts what was done so far.
 func (n *Node) Stats() Stats { return n.stats }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -15,8 +15,8 @@
 
 func config(self Rank, size int) Config {
 	return Config{
-		Fleet: "test", Self: self, Size: size, Life: 1000,
-		Kinds: []Kind{{ID: hot, Life: time.Minute, Weight: 2, Hot: true}, {ID: cold, Life: time.Minute, Weight: 1}},
+		Cluster: "test", Self: self, Size: size, Incarnation: 1000,
+		Kinds: []Kind{{ID: hot, TTL: time.Minute, Weight: 2, Hot: true}, {ID: cold, TTL: time.Minute, Weight: 1}},
 	}
 }
 
@@ -30,31 +30,31 @@
 }
 
 // told is a datagram in which from, in a life of its own, tells rows and facts.
-func told(from Rank, size int, life uint64, now time.Duration, rows []Row, facts []Fact) []byte {
+func told(from Rank, size int, life uint64, now time.Duration, rows []Record, facts []Entry) []byte {
 	n := &Node{cfg: config(from, size)}
 	w := newWriter(now)
-	w.head(message{kind: kindNews, self: Row{Life: life, Born: 0}})
+	w.head(message{kind: kindUpdate, self: Record{Incarnation: life, Born: 0}})
 	for _, r := range rows {
-		w.addRow(r)
+		w.addRecord(r)
 	}
 	for _, f := range facts {
-		w.addFact(f)
+		w.addEntry(f)
 	}
 	return w.done(n)
 }
 
-func drawRow(t *rapid.T) Row {
-	return Row{
-		Rank: 3, Life: rapid.Uint64Range(1, 3).Draw(t, "life"), Beat: rapid.Uint32Range(0, 2).Draw(t, "beat"),
+func drawRow(t *rapid.T) Record {
+	return Record{
+		Rank: 3, Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life"), Heartbeat: rapid.Uint32Range(0, 2).Draw(t, "beat"),
 		State: State(rapid.IntRange(0, int(Left)).Draw(t, "state")), Phase: rapid.Uint8Range(0, 2).Draw(t, "phase"),
 		Traffic: rapid.Uint8Range(0, 2).Draw(t, "traffic"), Born: time.Duration(rapid.IntRange(0, 3).Draw(t, "born")),
 	}
 }
 
-func drawFact(t *rapid.T) Fact {
-	return Fact{
+func drawFact(t *rapid.T) Entry {
+	return Entry{
 		Owner: Rank(rapid.IntRange(1, 4).Draw(t, "owner")), Kind: rapid.Uint8Range(hot, cold).Draw(t, "kind"),
-		Subject: rapid.Uint64Range(1, 3).Draw(t, "subject"), Life: rapid.Uint64Range(1, 3).Draw(t, "life"),
+		Subject: rapid.Uint64Range(1, 3).Draw(t, "subject"), Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life"),
 		Count: rapid.Uint32Range(1, 3).Draw(t, "count"), Value: rapid.Uint32Range(0, 2).Draw(t, "value"),
 		Born: time.Duration(rapid.IntRange(0, 20).Draw(t, "born")) * ageUnit,
 	}
@@ -73,28 +73,28 @@
 }
 
 func TestJoinLaws(t *testing.T) {
-	t.Run("rows", rapid.MakeCheck(func(t *rapid.T) { laws(t, Row.Join, drawRow(t), drawRow(t), drawRow(t)) }))
+	t.Run("rows", rapid.MakeCheck(func(t *rapid.T) { laws(t, Record.Join, drawRow(t), drawRow(t), drawRow(t)) }))
 	t.Run("facts", rapid.MakeCheck(func(t *rapid.T) {
 		a, b, c := drawFact(t), drawFact(t), drawFact(t)
 		b.Owner, b.Kind, b.Subject, c.Owner, c.Kind, c.Subject = a.Owner, a.Kind, a.Subject, a.Owner, a.Kind, a.Subject
-		laws(t, Fact.Join, a, b, c)
+		laws(t, Entry.Join, a, b, c)
 	}))
 }
 
 // state is all that a node holds, without how it came by it.
-func state(n *Node, now time.Duration) (rows []Row, facts []Fact) {
+func state(n *Node, now time.Duration) (rows []Record, facts []Entry) {
 	for r := range n.members {
 		if Rank(r) != n.cfg.Self {
-			rows = append(rows, n.members[r].row)
+			rows = append(rows, n.members[r].record)
 		}
 	}
 	for _, kind := range []uint8{hot, cold} {
-		for f := range n.Facts(now, kind) {
+		for f := range n.Entries(now, kind) {
 			f.Direct = false
 			facts = append(facts, f)
 		}
 	}
-	slices.SortFunc(facts, func(a, b Fact) int {
+	slices.SortFunc(facts, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(a.Owner, b.Owner), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
 	})
 	return rows, facts
@@ -109,11 +109,11 @@
 		var from []Rank
 		for range rapid.IntRange(1, 12).Draw(t, "datagrams") {
 			teller := Rank(rapid.IntRange(1, 5).Draw(t, "teller"))
-			var rows []Row
+			var rows []Record
 			if r := drawRow(t); r.Rank != teller {
 				rows = append(rows, r)
 			}
-			grams = append(grams, told(teller, size, uint64(rapid.IntRange(1, 3).Draw(t, "own life")), now, rows, []Fact{drawFact(t), drawFact(t)}))
+			grams = append(grams, told(teller, size, uint64(rapid.IntRange(1, 3).Draw(t, "own life")), now, rows, []Entry{drawFact(t), drawFact(t)}))
 			from = append(from, teller)
 		}
 		hear := func(order []int) *Node {
@@ -139,8 +139,8 @@
 			t.Errorf("facts differ:\n%+v\n%+v", fa, fb)
 		}
 		for _, f := range fa {
-			if f.Life < ra[f.Owner-1].Life {
-				t.Errorf("an old life's news: %+v, its owner lives life %d", f, ra[f.Owner-1].Life)
+			if f.Incarnation < ra[f.Owner-1].Incarnation {
+				t.Errorf("an old life's news: %+v, its owner lives life %d", f, ra[f.Owner-1].Incarnation)
 			}
 		}
 	})
@@ -153,7 +153,7 @@
 	n := newNode(t, config(0, size))
 	honest := newNode(t, config(victim, size))
 	meet := func(to, by *Node, at time.Duration) {
-		by.send(at, to.cfg.Self, message{kind: kindNews}, true)
+		by.send(at, to.cfg.Self, message{kind: kindUpdate}, true)
 		for _, d := range by.Out() {
 			if d.To == to.cfg.Self {
 				if err := to.Receive(at, by.cfg.Self, d.Data); err != nil {
@@ -163,31 +163,31 @@
 		}
 	}
 	meet(n, honest, now)
-	lies := told(liar, size, 1000, now, []Row{
-		{Rank: victim, Life: lifeMost - 1},
-		{Rank: victim, Life: 1000, Beat: 1 << 30, State: Left},
-		{Rank: victim, Life: 1000, Beat: 0, State: Suspect, Born: -1000 * time.Hour},
-		{Rank: 0, Life: lifeMost - 2},
-		{Rank: liar, Life: 7, State: Left},
-	}, []Fact{
-		{Owner: victim, Kind: hot, Subject: 5, Life: 1000, Count: 9, Value: 1, Born: now},
-		{Owner: 1, Kind: hot, Subject: 5, Life: 1, Count: 9, Value: 1, Born: now},
-		{Owner: 0, Kind: hot, Subject: 6, Life: 1000, Count: 1<<32 - 1, Value: 1, Born: now},
-		{Owner: liar, Kind: hot, Subject: 5, Life: 1000, Count: 1, Value: 1, Born: now},
+	lies := told(liar, size, 1000, now, []Record{
+		{Rank: victim, Incarnation: maxIncarnation - 1},
+		{Rank: victim, Incarnation: 1000, Heartbeat: 1 << 30, State: Left},
+		{Rank: victim, Incarnation: 1000, Heartbeat: 0, State: Suspect, Born: -1000 * time.Hour},
+		{Rank: 0, Incarnation: maxIncarnation - 2},
+		{Rank: liar, Incarnation: 7, State: Left},
+	}, []Entry{
+		{Owner: victim, Kind: hot, Subject: 5, Incarnation: 1000, Count: 9, Value: 1, Born: now},
+		{Owner: 1, Kind: hot, Subject: 5, Incarnation: 1, Count: 9, Value: 1, Born: now},
+		{Owner: 0, Kind: hot, Subject: 6, Incarnation: 1000, Count: 1<<32 - 1, Value: 1, Born: now},
+		{Owner: liar, Kind: hot, Subject: 5, Incarnation: 1000, Count: 1, Value: 1, Born: now},
 	})
 	for range 3 {
 		if err := n.Receive(now, liar, lies); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if m := n.Member(victim, now); m.Life != 1000 || m.State == Left || m.State == Dead || m.Age > now {
+	if m := n.Member(victim, now); m.Incarnation != 1000 || m.State == Left || m.State == Dead || m.Age > now {
 		t.Errorf("the victim is held to be %+v", m)
 	}
-	if n.Life() > 1001 {
-		t.Errorf("one voice moved this sidecar's life to %d", n.Life())
+	if n.Incarnation() > 1001 {
+		t.Errorf("one voice moved this sidecar's life to %d", n.Incarnation())
 	}
 	direct := 0
-	for f := range n.Facts(now, hot) {
+	for f := range n.Entries(now, hot) {
 		if f.Direct {
 			direct++
 		}
@@ -217,14 +217,14 @@
 		teller Rank
 		want   uint64
 	}{{2, 1000}, {2, 1000}, {3, far + 1}} {
-		n.Receive(time.Second, c.teller, told(c.teller, size, 5, time.Second, []Row{{Rank: 1, Life: far, Beat: 7, Phase: 3}}, nil))
-		if n.Life() != c.want {
-			t.Errorf("after a word of %d it goes on as life %d, want %d", c.teller, n.Life(), c.want)
+		n.Receive(time.Second, c.teller, told(c.teller, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far, Heartbeat: 7, Phase: 3}}, nil))
+		if n.Incarnation() != c.want {
+			t.Errorf("after a word of %d it goes on as life %d, want %d", c.teller, n.Incarnation(), c.want)
 		}
 	}
-	n.Receive(time.Second, 2, told(2, size, 5, time.Second, []Row{{Rank: 1, Life: far + 10}}, nil))
-	if n.Life() != far+11 {
-		t.Errorf("a life just ahead: it goes on as life %d", n.Life())
+	n.Receive(time.Second, 2, told(2, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far + 10}}, nil))
+	if n.Incarnation() != far+11 {
+		t.Errorf("a life just ahead: it goes on as life %d", n.Incarnation())
 	}
 }
 
@@ -233,7 +233,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const size = 3
 		n, other := newNode(t, config(1, size)), newNode(t, config(0, size))
-		seen := Row{}
+		seen := Record{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now := time.Duration(i) * 100 * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
@@ -241,10 +241,10 @@
 				n.SetPhase(now, rapid.Uint8Range(0, 5).Draw(t, "phase"))
 			case 1:
 				r := drawRow(t)
-				r.Rank, r.Life = 1, 1000+r.Life-1
-				n.Receive(now, 2, told(2, size, 5, now, []Row{r}, nil))
+				r.Rank, r.Incarnation = 1, 1000+r.Incarnation-1
+				n.Receive(now, 2, told(2, size, 5, now, []Record{r}, nil))
 			case 2:
-				n.send(now, 0, message{kind: kindNews}, true)
+				n.send(now, 0, message{kind: kindUpdate}, true)
 			}
 			grams := n.Out()
 			if len(grams) > 0 && rapid.Bool().Draw(t, "late") {
@@ -255,8 +255,8 @@
 					other.Receive(now, 1, d.Data)
 				}
 			}
-			row := other.members[1].row
-			if row.Life == seen.Life && row.Phase < seen.Phase && row.Beat <= seen.Beat {
+			row := other.members[1].record
+			if row.Incarnation == seen.Incarnation && row.Phase < seen.Phase && row.Heartbeat <= seen.Heartbeat {
 				t.Fatalf("from %+v back to %+v", seen, row)
 			}
 			seen = row
@@ -276,15 +276,15 @@
 			if n.rng.IntN(2) == 0 {
 				owner = 1
 			}
-			f := Fact{Owner: owner, Kind: hot, Subject: n.rng.Uint64(), Life: 5, Count: n.rng.Uint32(), Value: n.rng.Uint32(), Born: now}
-			n.Receive(now, owner, told(owner, size, 5, now, []Row{{Rank: Rank(1 + n.rng.IntN(size-1)), Life: n.rng.Uint64N(1000) + 1}}, []Fact{f}))
+			f := Entry{Owner: owner, Kind: hot, Subject: n.rng.Uint64(), Incarnation: 5, Count: n.rng.Uint32(), Value: n.rng.Uint32(), Born: now}
+			n.Receive(now, owner, told(owner, size, 5, now, []Record{{Rank: Rank(1 + n.rng.IntN(size-1)), Incarnation: n.rng.Uint64N(1000) + 1}}, []Entry{f}))
 		}
-		n.Tell(now, cold, n.rng.Uint64(), 1)
+		n.Publish(now, cold, n.rng.Uint64(), 1)
 		if now >= n.Due() {
 			n.Tick(now)
 		}
 		for _, d := range n.Out() {
-			if len(d.Data) > DatagramMost {
+			if len(d.Data) > MaxDatagram {
 				t.Fatalf("a datagram of %d bytes", len(d.Data))
 			}
 			sent += len(d.Data)
@@ -296,8 +296,8 @@
 	switch {
 	case len(n.facts.byKey) > factsMost, n.facts.byOwner[1] > factsOfOne, n.facts.byOwner[0] > factsOfOne:
 		t.Errorf("%d facts, %d of one, %d of its own", len(n.facts.byKey), n.facts.byOwner[1], n.facts.byOwner[0])
-	case len(n.facts.order) != len(n.facts.byKey), len(n.own) > factsOfOne, len(n.pending) > pendingMost, len(n.aside) > asideMost:
-		t.Errorf("%d in order of %d, %d own, %d pending, %d aside", len(n.facts.order), len(n.facts.byKey), len(n.own), len(n.pending), len(n.aside))
+	case len(n.facts.order) != len(n.facts.byKey), len(n.localEntries) > factsOfOne, len(n.pending) > pendingMost, len(n.aside) > asideMost:
+		t.Errorf("%d in order of %d, %d own, %d pending, %d aside", len(n.facts.order), len(n.facts.byKey), len(n.localEntries), len(n.pending), len(n.aside))
 	}
 }
 
@@ -328,7 +328,7 @@
 		n.Receive(0, 1, append(slices.Clone(good), 1)),
 		n.Receive(0, 1, told(1, 3, 0, 0, nil, nil)),
 	}
-	for _, edit := range []func(*Config){func(c *Config) { c.Size = 0 }, func(c *Config) { c.Self = 3 }, func(c *Config) { c.Life = 0 }} {
+	for _, edit := range []func(*Config){func(c *Config) { c.Size = 0 }, func(c *Config) { c.Self = 3 }, func(c *Config) { c.Incarnation = 0 }} {
 		cfg := config(0, 3)
 		edit(&cfg)
 		_, err := New(cfg, 0, rand.New(rand.NewPCG(1, 1)))
@@ -349,9 +349,9 @@
 }
 
 func FuzzReceive(f *testing.F) {
-	rows, facts := []Row{{Rank: 2, Life: 9, State: Suspect}}, []Fact{{Owner: 2, Kind: hot, Subject: 1, Life: 9, Count: 1, Value: 1}}
+	rows, facts := []Record{{Rank: 2, Incarnation: 9, State: Suspect}}, []Entry{{Owner: 2, Kind: hot, Subject: 1, Incarnation: 9, Count: 1, Value: 1}}
 	f.Add(told(1, 3, 5, 0, rows, facts)[4:])
-	f.Add([]byte{Version, byte(kindAsk)})
+	f.Add([]byte{Version, byte(kindPull)})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		n := newNode(t, config(0, 3))
 		sum := n.checksum(body)
@@ -361,7 +361,7 @@
 		}
 		n.Tick(time.Second)
 		for _, d := range n.Out() {
-			if len(d.Data) > DatagramMost {
+			if len(d.Data) > MaxDatagram {
 				t.Fatalf("%d bytes", len(d.Data))
 			}
 			if _, err := n.decode(time.Second, d.Data); err != nil {
--- a/internal/peers/probe.go
+++ b/internal/peers/probe.go
@@ -83,15 +83,15 @@
 	m := &n.members[p.target]
 	m.missed = min(m.missed+1, n.missedMost())
 	switch {
-	case m.row.Life == 0:
+	case m.record.Incarnation == 0:
 	case m.missed < n.missedMost(): // chance, where datagrams are lost
 		n.lookAt(p.target)
-	case m.row.State == Alive:
+	case m.record.State == Alive:
 		n.stats.Suspected++
-		r := m.row
+		r := m.record
 		r.State = Suspect
 		n.take(now, r)
-	case m.row.State == Suspect && m.heard > m.suspected:
+	case m.record.State == Suspect && m.lastReceived > m.suspected:
 		m.suspected = now // it spoke since, and is silent again
 	}
 }
--- a/internal/peers/row.go
+++ b/internal/peers/row.go
@@ -25,31 +25,31 @@
 	return [...]string{"alive", "suspect", "left", "unknown", "dead", "silent"}[s]
 }
 
-// Row is what is told of one sidecar.
-type Row struct {
-	Rank    Rank
-	Life    uint64 // 0: nothing is known
-	Beat    uint32 // counts what it told of itself in this life
-	State   State
-	Phase   uint8
-	Traffic uint8         // by encodeTraffic
-	Born    time.Duration // when this life began, by one's own clock
+// Record is what is told of one sidecar.
+type Record struct {
+	Rank        Rank
+	Incarnation uint64 // 0: nothing is known
+	Heartbeat   uint32 // counts what it told of itself in this life
+	State       State
+	Phase       uint8
+	Traffic     uint8         // by encodeTraffic
+	Born        time.Duration // when this life began, by one's own clock
 }
 
 // compare orders rows of one sidecar by how much is known; Born is apart.
-func (r Row) compare(o Row) int {
-	return cmp.Or(cmp.Compare(r.Life, o.Life), cmp.Compare(r.Beat, o.Beat), cmp.Compare(r.State, o.State),
+func (r Record) compare(o Record) int {
+	return cmp.Or(cmp.Compare(r.Incarnation, o.Incarnation), cmp.Compare(r.Heartbeat, o.Heartbeat), cmp.Compare(r.State, o.State),
 		cmp.Compare(r.Phase, o.Phase), cmp.Compare(r.Traffic, o.Traffic))
 }
 
 // Join is the least row that holds what both say: the later one, born at the earlier time
 // if it is the same life, since a word that took its time makes a life look younger.
-func (r Row) Join(o Row) Row {
+func (r Record) Join(o Record) Record {
 	j := r
 	if r.compare(o) < 0 {
 		j = o
 	}
-	if r.Life == o.Life {
+	if r.Incarnation == o.Incarnation {
 		j.Born = min(r.Born, o.Born)
 	}
 	return j
@@ -72,37 +72,37 @@
 
 // member is one sidecar as this one sees it.
 type member struct {
-	row       Row
-	direct    uint64        // the life that it told of itself last, 0: none
-	born      time.Duration // when that began, by its own word
-	met       bool          // it spoke here
-	heard     time.Duration // when it did last
-	suspected time.Duration // since when row says Suspect
-	missed    uint8         // probes in a row without an answer
+	record       Record
+	direct       uint64        // the life that it told of itself last, 0: none
+	born         time.Duration // when that began, by its own word
+	met          bool          // it spoke here
+	lastReceived time.Duration // when it did last
+	suspected    time.Duration // since when row says Suspect
+	missed       uint8         // probes in a row without an answer
 }
 
 // Member is one other sidecar, as of now.
 type Member struct {
-	Rank    Rank
-	Life    uint64
-	State   State
-	Phase   uint8
-	Traffic float64       // requests a second
-	Age     time.Duration // of its life
-	Direct  bool          // it told so itself
+	Rank        Rank
+	Incarnation uint64
+	State       State
+	Phase       uint8
+	Traffic     float64       // requests a second
+	Age         time.Duration // of its life
+	Direct      bool          // it told so itself
 }
 
 // status is what follows from a member's row.
 func (n *Node) status(r Rank, now time.Duration) State {
 	m := &n.members[r]
 	switch {
-	case m.row.Life == 0 && m.missed >= min(2, n.missedMost()):
+	case m.record.Incarnation == 0 && m.missed >= min(2, n.missedMost()):
 		return Silent
-	case m.row.Life == 0:
+	case m.record.Incarnation == 0:
 		return Unknown
-	case m.row.State != Suspect:
-		return m.row.State
-	case m.direct == m.row.Life && m.heard > m.suspected:
+	case m.record.State != Suspect:
+		return m.record.State
+	case m.direct == m.record.Incarnation && m.lastReceived > m.suspected:
 		return Alive // it speaks here: whoever suspects it has another trouble
 	case now-m.suspected >= n.patience():
 		return Dead
@@ -119,8 +119,8 @@
 func (n *Node) Member(r Rank, now time.Duration) Member {
 	m := &n.members[r]
 	k := Member{
-		Rank: r, Life: m.row.Life, State: n.status(r, now), Phase: m.row.Phase, Traffic: decodeTraffic(m.row.Traffic),
-		Age: max(0, now-m.row.Born), Direct: r == n.cfg.Self || m.direct != 0 && m.direct == m.row.Life,
+		Rank: r, Incarnation: m.record.Incarnation, State: n.status(r, now), Phase: m.record.Phase, Traffic: decodeTraffic(m.record.Traffic),
+		Age: max(0, now-m.record.Born), Direct: r == n.cfg.Self || m.direct != 0 && m.direct == m.record.Incarnation,
 	}
 	if k.Direct && r != n.cfg.Self {
 		k.Age = max(0, now-m.born) // whatever others make of it
@@ -184,18 +184,18 @@
 	return c
 }
 
-// jumpMost is how far ahead of what is known a life or a beat may be that somebody else
+// maxIncarnationJump is how far ahead of what is known a life or a beat may be that somebody else
 // tells of. Guards against a liar who gives another a life that it can't go above; what
 // lies further ahead has to be heard from the sidecar itself. Lives count in ms.
 const (
-	jumpMost = uint64(3600_000)
-	beatMost = 1 << 10
+	maxIncarnationJump = uint64(3600_000)
+	maxHeartbeatJump   = 1 << 10
 )
 
 // admit takes a row that from tells of another sidecar.
-func (n *Node) admit(now time.Duration, from Rank, r Row) {
-	if int(r.Rank) >= len(n.members) || r.Life == 0 || r.Life >= lifeMost || r.State > Left {
-		n.stats.Refused++
+func (n *Node) admit(now time.Duration, from Rank, r Record) {
+	if int(r.Rank) >= len(n.members) || r.Incarnation == 0 || r.Incarnation >= maxIncarnation || r.State > Left {
+		n.stats.Rejected++
 		return
 	}
 	if r.Rank == n.cfg.Self {
@@ -203,92 +203,92 @@
 		return
 	}
 	m := &n.members[r.Rank]
-	if m.row.compare(r) >= 0 {
-		if m.row.Life == r.Life {
-			m.row.Born = min(m.row.Born, r.Born)
+	if m.record.compare(r) >= 0 {
+		if m.record.Incarnation == r.Incarnation {
+			m.record.Born = min(m.record.Born, r.Born)
 		}
-		if m.row.compare(r) == 0 {
+		if m.record.compare(r) == 0 {
 			n.known(pending{rank: r.Rank})
 		}
 		return
 	}
-	if m.row.Life > 0 && (r.Life > m.row.Life+jumpMost || r.Life == m.row.Life && r.Beat > m.row.Beat+beatMost) {
-		n.stats.Refused++
+	if m.record.Incarnation > 0 && (r.Incarnation > m.record.Incarnation+maxIncarnationJump || r.Incarnation == m.record.Incarnation && r.Heartbeat > m.record.Heartbeat+maxHeartbeatJump) {
+		n.stats.Rejected++
 		n.lookAt(r.Rank)
 		return
 	}
-	if r.State != Alive && m.direct == r.Life && now-m.heard < n.cfg.Period {
+	if r.State != Alive && m.direct == r.Incarnation && now-m.lastReceived < n.cfg.Period {
 		n.lookAt(r.Rank) // it spoke here a moment ago: it is told, and can speak for itself
 	}
 	n.take(now, r)
 }
 
 // take merges a row and makes it news.
-func (n *Node) take(now time.Duration, r Row) {
+func (n *Node) take(now time.Duration, r Record) {
 	m := &n.members[r.Rank]
-	before := m.row
-	m.row = m.row.Join(r)
-	if m.row.compare(before) == 0 {
+	before := m.record
+	m.record = m.record.Join(r)
+	if m.record.compare(before) == 0 {
 		return
 	}
-	if m.row.State == Suspect && (before.State != Suspect || before.Life != m.row.Life) {
+	if m.record.State == Suspect && (before.State != Suspect || before.Incarnation != m.record.Incarnation) {
 		m.suspected = now
 	}
-	if m.row.Life > before.Life {
+	if m.record.Incarnation > before.Incarnation {
 		m.missed = 0
-		n.facts.void(n, r.Rank, m.row.Life)
+		n.facts.void(n, r.Rank, m.record.Incarnation)
 	}
 	// Who speaks up against a suspicion, or has begun a new life, is told of at once.
-	n.queue(now, pending{rank: r.Rank, hot: before.Life > 0 && before.State != Alive && m.row.State == Alive})
+	n.queue(now, pending{rank: r.Rank, hot: before.Incarnation > 0 && before.State != Alive && m.record.State == Alive})
 }
 
-// hear takes a sidecar's row from itself.
-func (n *Node) hear(now time.Duration, r Row) {
+// receiveRecord takes a sidecar's row from itself.
+func (n *Node) receiveRecord(now time.Duration, r Record) {
 	m := &n.members[r.Rank]
 	if !m.met {
 		m.met = true
-		n.heardOf++
+		n.membersSeen++
 	}
-	m.heard, m.missed = now, 0
-	if m.direct == 0 && m.row.Life > r.Life+jumpMost {
-		m.row = Row{Rank: r.Rank} // known by hearsay only, and out of reach for itself
+	m.lastReceived, m.missed = now, 0
+	if m.direct == 0 && m.record.Incarnation > r.Incarnation+maxIncarnationJump {
+		m.record = Record{Rank: r.Rank} // known by hearsay only, and out of reach for itself
 	}
-	if r.Life < m.row.Life {
+	if r.Incarnation < m.record.Incarnation {
 		return // it is told so, and goes above
 	}
-	if m.direct != r.Life {
-		m.direct, m.born = r.Life, r.Born
+	if m.direct != r.Incarnation {
+		m.direct, m.born = r.Incarnation, r.Born
 	}
 	m.born = min(m.born, r.Born)
 	n.take(now, r)
 }
 
-// lifeClaim is a higher life of this sidecar that one other told of.
-type lifeClaim struct {
-	life uint64
-	from Rank
+// incarnationClaim is a higher life of this sidecar that one other told of.
+type incarnationClaim struct {
+	incarnation uint64
+	from        Rank
 }
 
 // answer takes what another holds of this sidecar: it goes above a suspicion, and above a
 // life before this one whose number is not lower. Two must tell of one that is far ahead,
 // where there are two, so that no single liar can use the numbers up.
-func (n *Node) answer(now time.Duration, from Rank, r Row) {
+func (n *Node) answer(now time.Duration, from Rank, r Record) {
 	if n.self.compare(r) >= 0 {
 		return
 	}
-	if r.Life > n.self.Life {
-		if far := r.Life > n.self.Life+jumpMost; far && n.cfg.Size > 2 {
-			if n.rival.life == 0 || n.rival.from == from || r.Life >= lifeMost-1 {
-				n.rival = lifeClaim{r.Life, from}
+	if r.Incarnation > n.self.Incarnation {
+		if far := r.Incarnation > n.self.Incarnation+maxIncarnationJump; far && n.cfg.Size > 2 {
+			if n.rival.incarnation == 0 || n.rival.from == from || r.Incarnation >= maxIncarnation-1 {
+				n.rival = incarnationClaim{r.Incarnation, from}
 				return
 			}
-			r.Life = min(r.Life, n.rival.life)
+			r.Incarnation = min(r.Incarnation, n.rival.incarnation)
 		}
-		n.rival = lifeClaim{}
-		n.self.Life, n.self.Beat = r.Life+1, 0
+		n.rival = incarnationClaim{}
+		n.self.Incarnation, n.self.Heartbeat = r.Incarnation+1, 0
 		n.restamp(now)
 	} else {
-		n.self.Beat = max(n.self.Beat, r.Beat)
+		n.self.Heartbeat = max(n.self.Heartbeat, r.Heartbeat)
 		if r.State == Suspect && n.self.State != Left {
 			n.stats.Refuted++
 			n.sicken(1)
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -24,30 +24,30 @@
 type messageKind uint8
 
 const (
-	kindPing  messageKind = iota // answered by kindAck with the same number
-	kindAck                      //
-	kindReach                    // please ping target for me
-	kindFound                    // target has answered, by the number of kindReach
-	kindAsk                      // please tell about, which is yours
-	kindNews                     // only items
+	kindPing   messageKind = iota // answered by kindAck with the same number
+	kindAck                       //
+	kindReach                     // please ping target for me
+	kindFound                     // target has answered, by the number of kindReach
+	kindPull                      // please tell about, which is yours
+	kindUpdate                    // only items
 	kinds
 )
 
 // message is a datagram's head.
 type message struct {
-	kind   messageKind
-	seq    uint32
-	self   Row
-	target Rank    // of kindReach and kindFound
-	about  factKey // of kindAsk
-	tell   *Fact   // goes first
+	kind    messageKind
+	seq     uint32
+	self    Record
+	target  Rank     // of kindReach and kindFound
+	about   entryKey // of kindPull
+	publish *Entry   // goes first
 }
 
 const (
-	itemRow  = 0
-	itemFact = 1
-	ageUnit  = 100 * time.Millisecond
-	ageMost  = 1 << 31 // units: seven years
+	itemRecord = 0
+	itemEntry  = 1
+	ageUnit    = 100 * time.Millisecond
+	ageMost    = 1 << 31 // units: seven years
 )
 
 // DecodeError says why a datagram was dropped.
@@ -75,7 +75,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func (n *Node) checksum(body []byte) uint32 {
-	return crc32.Update(crc32.Checksum([]byte(n.cfg.Fleet), castagnoli), castagnoli, body)
+	return crc32.Update(crc32.Checksum([]byte(n.cfg.Cluster), castagnoli), castagnoli, body)
 }
 
 // writer packs one datagram. A write to a bytes.Buffer does not fail.
@@ -87,7 +87,7 @@
 
 func newWriter(now time.Duration) *writer {
 	w := &writer{now: now}
-	w.buf.Grow(DatagramMost + 64)
+	w.buf.Grow(MaxDatagram + 64)
 	w.buf.Write([]byte{0, 0, 0, 0})
 	w.enc = msgpack.NewEncoder(&w.buf)
 	w.enc.UseCompactInts(true)
@@ -104,32 +104,32 @@
 	return uint64(min(max(0, w.now-born)/ageUnit, ageMost))
 }
 
-func (w *writer) row(r Row) {
-	w.ints(r.Life, uint64(r.Beat), uint64(r.State), uint64(r.Phase), uint64(r.Traffic), w.age(r.Born))
+func (w *writer) record(r Record) {
+	w.ints(r.Incarnation, uint64(r.Heartbeat), uint64(r.State), uint64(r.Phase), uint64(r.Traffic), w.age(r.Born))
 }
 
-// addRow adds another's row, if it fits.
-func (w *writer) addRow(r Row) bool {
-	return w.item(itemRow, func() {
+// addRecord adds another's row, if it fits.
+func (w *writer) addRecord(r Record) bool {
+	return w.item(itemRecord, func() {
 		w.ints(uint64(r.Rank))
-		w.row(r)
+		w.record(r)
 	})
 }
 
-// addFact adds a fact, if it fits.
-func (w *writer) addFact(f Fact) bool { return w.item(itemFact, func() { w.fact(f) }) }
+// addEntry adds a fact, if it fits.
+func (w *writer) addEntry(f Entry) bool { return w.item(itemEntry, func() { w.entry(f) }) }
 
-func (w *writer) fact(f Fact) {
-	w.ints(uint64(f.Owner), uint64(f.Kind), f.Subject, f.Life, uint64(f.Count), uint64(f.Value), w.age(f.Born))
+func (w *writer) entry(f Entry) {
+	w.ints(uint64(f.Owner), uint64(f.Kind), f.Subject, f.Incarnation, uint64(f.Count), uint64(f.Value), w.age(f.Born))
 }
 
 func (w *writer) head(m message) {
 	w.ints(Version, uint64(m.kind), uint64(m.seq))
-	w.row(m.self)
+	w.record(m.self)
 	switch m.kind {
 	case kindReach, kindFound:
 		w.ints(uint64(m.target))
-	case kindAsk:
+	case kindPull:
 		w.ints(uint64(m.about.kind), m.about.subject)
 	}
 }
@@ -139,7 +139,7 @@
 	before := w.buf.Len()
 	w.ints(kind)
 	write()
-	if w.buf.Len() > DatagramMost {
+	if w.buf.Len() > MaxDatagram {
 		w.buf.Truncate(before)
 		return false
 	}
@@ -177,16 +177,16 @@
 
 func (r *reader) born() time.Duration { return r.now - time.Duration(r.int(ageMost))*ageUnit }
 
-func (r *reader) row() Row {
-	return Row{
-		Life: r.int(lifeMost - 1), Beat: uint32(r.int(1<<32 - 1)), State: State(r.int(uint64(Left))),
+func (r *reader) record() Record {
+	return Record{
+		Incarnation: r.int(maxIncarnation - 1), Heartbeat: uint32(r.int(1<<32 - 1)), State: State(r.int(uint64(Left))),
 		Phase: uint8(r.int(255)), Traffic: uint8(r.int(255)), Born: r.born(),
 	}
 }
 
-func (r *reader) fact() Fact {
-	return Fact{
-		Owner: Rank(r.int(1<<16 - 1)), Kind: uint8(r.int(255)), Subject: r.int(1<<64 - 1), Life: r.int(lifeMost - 1),
+func (r *reader) entry() Entry {
+	return Entry{
+		Owner: Rank(r.int(1<<16 - 1)), Kind: uint8(r.int(255)), Subject: r.int(1<<64 - 1), Incarnation: r.int(maxIncarnation - 1),
 		Count: uint32(r.int(1<<32 - 1)), Value: uint32(r.int(1<<32 - 1)), Born: r.born(),
 	}
 }
@@ -194,13 +194,13 @@
 // decoded is a datagram as it was read, whole.
 type decoded struct {
 	message
-	rows  []Row
-	facts []Fact
+	rows  []Record
+	facts []Entry
 }
 
 // decode reads a datagram. Nothing of it is used if any of it can't be read.
 func (n *Node) decode(now time.Duration, data []byte) (*decoded, error) {
-	if len(data) < 5 || len(data) > DatagramMost {
+	if len(data) < 5 || len(data) > MaxDatagram {
 		return nil, &DecodeError{What: fmt.Sprintf("%d bytes long", len(data))}
 	}
 	if binary.BigEndian.Uint32(data) != n.checksum(data[4:]) {
@@ -214,21 +214,21 @@
 	d := &decoded{}
 	d.kind = messageKind(r.int(uint64(kinds) - 1))
 	d.seq = uint32(r.int(1<<32 - 1))
-	d.self = r.row()
+	d.self = r.record()
 	switch d.kind {
 	case kindReach, kindFound:
 		d.target = Rank(r.int(uint64(n.cfg.Size) - 1))
-	case kindAsk:
-		d.about = factKey{n.cfg.Self, uint8(r.int(255)), r.int(1<<64 - 1)}
+	case kindPull:
+		d.about = entryKey{n.cfg.Self, uint8(r.int(255)), r.int(1<<64 - 1)}
 	}
 	for r.err == nil && in.Len() > 0 {
-		if r.int(itemFact) == itemRow {
+		if r.int(itemEntry) == itemRecord {
 			rank := Rank(r.int(1<<16 - 1))
-			row := r.row()
+			row := r.record()
 			row.Rank = rank
 			d.rows = append(d.rows, row)
 		} else {
-			d.facts = append(d.facts, r.fact())
+			d.facts = append(d.facts, r.entry())
 		}
 	}
 	if r.err != nil {
@@ -237,7 +237,7 @@
 		}
 		return nil, &DecodeError{What: "it can't be read", err: r.err}
 	}
-	if d.self.Life == 0 {
+	if d.self.Incarnation == 0 {
 		return nil, &DecodeError{What: "its sender has no life"}
 	}
 	return d, nil
--- a/internal/pg/pg.go
+++ b/internal/pg/pg.go
@@ -224,9 +224,9 @@
 	return false
 }
 
-// InDoubt says that a COMMIT which ended with err may have taken effect: the connection
+// OutcomeUnknown says that a COMMIT which ended with err may have taken effect: the connection
 // was lost, or the server went down.
-func InDoubt(err error) bool {
+func OutcomeUnknown(err error) bool {
 	state := State(err)
 	return err != nil && (state == "" || strings.HasPrefix(state, "57P"))
 }
--- a/internal/record/backend.go
+++ b/internal/record/backend.go
@@ -14,13 +14,13 @@
 	// unknown unless it is ErrFull or ErrReadOnly; asked again, they do no harm.
 	Apply(ctx context.Context, ops []*Op) error
 	// Get returns a key's row as it is stored; its State is Unknown if there is none.
-	Get(ctx context.Context, class, key string) (Row, error)
+	Get(ctx context.Context, class, key string) (Entry, error)
 	// List returns rows in the order of their keys, after a given one, most at once.
 	// Bodies of answers are left out.
-	List(ctx context.Context, f Filter) ([]Row, error)
+	List(ctx context.Context, f Filter) ([]Entry, error)
 	// Sweep makes rows of dead owners what is known of them and drops what has been
 	// kept for long enough, most rows at once; it returns how many it touched.
-	Sweep(ctx context.Context, keep Keep, most int) (int, error)
+	Sweep(ctx context.Context, keep Retention, most int) (int, error)
 	// Gap notes requests of a class that went on without a record.
 	Gap(ctx context.Context, g Gap) error
 	// Gaps returns the latest gaps.
@@ -42,7 +42,7 @@
 	Class        string
 	AfterClass   string
 	AfterKey     string
-	Most         int
+	Limit        int
 	ChangedSince int64 // in the store's microseconds
 }
 
@@ -59,9 +59,9 @@
 
 // Stats is what a store holds.
 type Stats struct {
-	Rows  map[State]int64
-	Bytes int64
-	Most  int64 // 0: no bound of the store's own
+	Rows     map[State]int64
+	Bytes    int64
+	MaxBytes int64 // 0: no bound of the store's own
 }
 
 // Why a store can't do its work, beside being away.
@@ -84,7 +84,7 @@
 }
 
 // NewClock returns a clock that was at saved (0: never) when it was last seen.
-func NewClock(saved int64, wall time.Time, keep Keep) Clock {
+func NewClock(saved int64, wall time.Time, keep Retention) Clock {
 	base := wall.UnixMicro()
 	if saved > 0 {
 		base = saved + min(max(base-saved, 0), keep.Shortest().Microseconds()/4)
--- a/internal/record/backendtest/backendtest.go
+++ b/internal/record/backendtest/backendtest.go
@@ -16,7 +16,7 @@
 )
 
 // Keep is what the tests keep rows for.
-var Keep = record.Keep{Answered: time.Hour, NeverRan: time.Minute, Unsettled: 24 * time.Hour}
+var Keep = record.Retention{Answered: time.Hour, NeverRan: time.Minute, Unsettled: 24 * time.Hour}
 
 func ctx(t *testing.T) context.Context {
 	c, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -59,7 +59,7 @@
 func Expect(t *testing.T, b record.Backend, op *record.Op, want record.Result) {
 	t.Helper()
 	if got := Apply(t, b, op)[0]; got != want {
-		t.Fatalf("%+v: %v, want %v (row %+v)", op, got, want, op.Row)
+		t.Fatalf("%+v: %v, want %v (row %+v)", op, got, want, op.Entry)
 	}
 }
 
@@ -85,8 +85,8 @@
 		Expect(t, b, End("k", "a", record.NeverRan), record.Fenced)
 		op := Claim("k", "c", time.Hour)
 		Expect(t, b, op, record.Known)
-		if string(op.Row.Answer) != "yes\x00\xff" || string(op.Row.Header) != "Content-Type: text/plain\r\n" || op.Row.Status != 200 {
-			t.Errorf("the answer came back as %+v", op.Row)
+		if string(op.Entry.Answer) != "yes\x00\xff" || string(op.Entry.Header) != "Content-Type: text/plain\r\n" || op.Entry.Status != 200 {
+			t.Errorf("the answer came back as %+v", op.Entry)
 		}
 		other := Claim("k", "d", time.Hour)
 		other.Body = bytes.Repeat([]byte{8}, 32)
@@ -134,8 +134,8 @@
 		Expect(t, b, settle("nobody's", record.NeverRan), record.Fenced)
 		op := Claim("ran", "x", time.Hour)
 		Expect(t, b, op, record.Known)
-		if op.Row.Settled != "sari" || op.Row.Note != "asked the network" {
-			t.Errorf("%+v", op.Row)
+		if op.Entry.Settled != "sari" || op.Entry.Note != "asked the network" {
+			t.Errorf("%+v", op.Entry)
 		}
 		Expect(t, b, Claim("not", "y", time.Hour), record.Granted)
 	})
@@ -146,7 +146,7 @@
 			Apply(t, b, Claim(key, key, time.Hour), Send(key, key, 0), End(key, key, []record.State{record.Answered, record.MayHaveRun}[n%2]))
 		}
 		var got []string
-		f := record.Filter{State: record.MayHaveRun, Most: 5}
+		f := record.Filter{State: record.MayHaveRun, Limit: 5}
 		for {
 			rows, err := b.List(ctx(t), f)
 			if err != nil {
@@ -155,7 +155,7 @@
 			for _, r := range rows {
 				got = append(got, r.Key)
 			}
-			if len(rows) < f.Most {
+			if len(rows) < f.Limit {
 				break
 			}
 			f.AfterClass, f.AfterKey = rows[len(rows)-1].Class, rows[len(rows)-1].Key
@@ -163,7 +163,7 @@
 		if len(got) != 12 || got[0] != "k01'\"" || got[11] != "k23'\"" {
 			t.Errorf("%d keys: %v", len(got), got)
 		}
-		if rows, err := b.List(ctx(t), record.Filter{Class: "other", Most: 5}); err != nil || len(rows) > 0 {
+		if rows, err := b.List(ctx(t), record.Filter{Class: "other", Limit: 5}); err != nil || len(rows) > 0 {
 			t.Error(rows, err)
 		}
 		st, err := b.Stats(ctx(t))
@@ -191,7 +191,7 @@
 			}
 		}
 		time.Sleep(2 * time.Millisecond)
-		short := record.Keep{Answered: time.Millisecond, NeverRan: time.Hour, Unsettled: time.Hour}
+		short := record.Retention{Answered: time.Millisecond, NeverRan: time.Hour, Unsettled: time.Hour}
 		total := 0
 		for n := 4; n == 4; total += n {
 			if n, err = b.Sweep(ctx(t), short, 4); err != nil || n > 4 {
--- a/internal/record/breaker.go
+++ b/internal/record/breaker.go
@@ -6,21 +6,21 @@
 // lets one try through when its pause is over, and closes at the first success.
 // Pauses double up to a bound.
 type Breaker struct {
-	after     int
-	least     time.Duration
-	most      time.Duration
-	failures  int
-	open      bool
-	pause     time.Duration
-	until     time.Duration
-	trying    bool
-	lastError string
+	after      int
+	minBackoff time.Duration
+	maxBackoff time.Duration
+	failures   int
+	open       bool
+	backoff    time.Duration
+	until      time.Duration
+	trying     bool
+	lastError  string
 }
 
 // NewBreaker returns a closed breaker that opens after so many failures in a row
 // and pauses from least to most.
 func NewBreaker(after int, least, most time.Duration) Breaker {
-	return Breaker{after: after, least: least, most: most}
+	return Breaker{after: after, minBackoff: least, maxBackoff: most}
 }
 
 // Allow says whether the store may be asked at now. While the breaker is open, one
@@ -38,7 +38,7 @@
 
 // Succeeded notes that the store did its work.
 func (b *Breaker) Succeeded() {
-	b.failures, b.open, b.trying, b.pause = 0, false, false, 0
+	b.failures, b.open, b.trying, b.backoff = 0, false, false, 0
 }
 
 // Failed notes that it did not.
@@ -49,8 +49,8 @@
 		return
 	}
 	b.open, b.trying = true, false
-	b.pause = min(max(2*b.pause, b.least), b.most)
-	b.until = now + b.pause + time.Duration(jitter/2*float64(b.pause))
+	b.backoff = min(max(2*b.backoff, b.minBackoff), b.maxBackoff)
+	b.until = now + b.backoff + time.Duration(jitter/2*float64(b.backoff))
 }
 
 // Open says whether the breaker is open, until when at least, and why.
--- a/internal/record/conf/conf.go
+++ b/internal/record/conf/conf.go
@@ -85,7 +85,7 @@
 	if err := units.Load(path, c); err != nil {
 		return nil, err
 	}
-	if err := units.Beside(path, &c.SQLite.Path, &c.Postgres.PasswordFile, &c.Postgres.CA); err != nil {
+	if err := units.ResolvePaths(path, &c.SQLite.Path, &c.Postgres.PasswordFile, &c.Postgres.CA); err != nil {
 		return nil, err
 	}
 	if err := c.check(); err != nil {
@@ -144,8 +144,8 @@
 }
 
 // Keeping is how long rows are kept.
-func (c *Config) Keeping() record.Keep {
-	return record.Keep{Answered: time.Duration(c.Keep.Answered), NeverRan: time.Duration(c.Keep.NeverRan), Unsettled: time.Duration(c.Keep.Unsettled)}
+func (c *Config) Keeping() record.Retention {
+	return record.Retention{Answered: time.Duration(c.Keep.Answered), NeverRan: time.Duration(c.Keep.NeverRan), Unsettled: time.Duration(c.Keep.Unsettled)}
 }
 
 // Keeper checks the file against a deployment's settings and says how the store is
@@ -153,8 +153,8 @@
 func (c *Config) Keeper(set *settings.Settings, sockets int) (keeper.Config, error) {
 	out := keeper.Config{Name: c.Store, Writers: 1, Batch: c.Queue.Batch, Queue: c.Queue.Ops, QueueBytes: int(c.Queue.Bytes),
 		Statement: time.Duration(c.Wait.Statement), EndFor: time.Duration(c.Wait.EndFor), Lease: time.Duration(c.Wait.Lease),
-		AnswerMost: int(c.Keep.Answer), Keep: c.Keeping(), SweepEach: time.Duration(c.Keep.SweepEach),
-		BreakAfter: c.Breaker.After, PauseLeast: time.Duration(c.Breaker.Least), PauseMost: time.Duration(c.Breaker.Most)}
+		MaxAnswerBytes: int(c.Keep.Answer), Retention: c.Keeping(), SweepInterval: time.Duration(c.Keep.SweepEach),
+		BreakAfter: c.Breaker.After, MinBackoff: time.Duration(c.Breaker.Least), MaxBackoff: time.Duration(c.Breaker.Most)}
 	if c.Store == "postgres" {
 		if out.Writers = c.Postgres.Connections; out.Writers > sockets {
 			return out, fmt.Errorf("%s: postgres.connections: %d; the sidecar's limits.sockets leave %d", c.path, out.Writers, sockets)
@@ -166,11 +166,11 @@
 			return out, fmt.Errorf("%s: class %s: the settings have no class of that name", c.path, k.Name)
 		}
 		class := set.Config.Classes[at]
-		if k.Away == pass && class.Effect == martendrum.Unsafe {
+		if k.Away == pass && class.Idempotency == martendrum.NonIdempotent {
 			return out, fmt.Errorf("%s: class %s: away: its requests must not run twice, so that they can't go on without a record; want %q", c.path, k.Name, refuse)
 		}
-		wait := min(time.Duration(c.Wait.Share*float64(class.Aim)), set.Deadlines[at]/8)
-		out.Classes = append(out.Classes, keeper.Class{Name: k.Name, Rule: c.rules[n], Pass: k.Away == pass, Wait: max(wait, time.Millisecond)})
+		wait := min(time.Duration(c.Wait.Share*float64(class.LatencyObjective)), set.Deadlines[at]/8)
+		out.Classes = append(out.Classes, keeper.Class{Name: k.Name, Rule: c.rules[n], FailOpen: k.Away == pass, Wait: max(wait, time.Millisecond)})
 	}
 	return out, nil
 }
@@ -188,7 +188,7 @@
 // that is away is no error.
 func (c *Config) Open(ctx context.Context, owner bool, lock *os.File) (record.Backend, error) {
 	if c.Store == "sqlite" {
-		return sqlite.Open(ctx, sqlite.Config{Path: c.SQLite.Path, Most: int64(c.SQLite.Most), Keep: c.Keeping(), Owner: owner, Lock: lock})
+		return sqlite.Open(ctx, sqlite.Config{Path: c.SQLite.Path, MaxBytes: int64(c.SQLite.Most), Retention: c.Keeping(), Owner: owner, Lock: lock})
 	}
 	return postgres.Open(postgres.Config{URL: c.Postgres.URL, PasswordFile: c.Postgres.PasswordFile, CA: c.Postgres.CA,
 		Connections: c.Postgres.Connections, Statement: time.Duration(c.Wait.Statement), Connect: time.Duration(c.Postgres.Connect)})
--- a/internal/record/e2e/away_test.go
+++ b/internal/record/e2e/away_test.go
@@ -147,7 +147,7 @@
 }
 
 // row waits until a key's row is as ok says.
-func (s *scene) row(t *testing.T, q request, ok func(record.Row) bool) record.Row {
+func (s *scene) row(t *testing.T, q request, ok func(record.Entry) bool) record.Entry {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -163,8 +163,8 @@
 	}
 }
 
-func is(state record.State) func(record.Row) bool {
-	return func(r record.Row) bool { return r.State == state }
+func is(state record.State) func(record.Entry) bool {
+	return func(r record.Entry) bool { return r.State == state }
 }
 
 // back waits until the store is asked again.
@@ -308,7 +308,7 @@
 					t.Error(a, err)
 				}
 				s.gate.set(nil, nil)
-				s.row(t, q, func(r record.Row) bool { return r.State == record.Answered || r.State == record.NeverRan })
+				s.row(t, q, func(r record.Entry) bool { return r.State == record.Answered || r.State == record.NeverRan })
 			})
 			t.Run("back before the answer", func(t *testing.T) {
 				s := stage(t, store, plan{})
@@ -422,7 +422,7 @@
 				a, _ := ask(s.addr, slow, nil)
 				done <- a
 			}()
-			s.row(t, slow, func(r record.Row) bool { return r.Attempts == 1 })
+			s.row(t, slow, func(r record.Entry) bool { return r.Attempts == 1 })
 			if a := s.expect(t, slow, http.StatusConflict); !strings.HasPrefix(a.state, "in-flight") || a.retry == "" {
 				t.Error(a)
 			}
@@ -514,7 +514,7 @@
 		defer owner.end()
 		q := request{class: "activate", key: "k"}
 		go ask(owner.addr, q, nil)
-		b.row(t, q, func(r record.Row) bool { return r.Attempts == 1 })
+		b.row(t, q, func(r record.Entry) bool { return r.Attempts == 1 })
 		owner.end()
 		for _, skew := range []time.Duration{0, -10 * time.Hour, 0} {
 			b.pg.SetSkew(skew)
@@ -548,7 +548,7 @@
 			x, _ := ask(a.addr, q, nil)
 			got <- x
 		}()
-		a.row(t, q, func(r record.Row) bool { return r.Attempts == 1 })
+		a.row(t, q, func(r record.Entry) bool { return r.Attempts == 1 })
 		b.pg.SetSkew(time.Hour)
 		if x := b.expect(t, q, http.StatusConflict); !strings.HasPrefix(x.state, "may-have-run") {
 			t.Error(x)
--- a/internal/record/e2e/crash_test.go
+++ b/internal/record/e2e/crash_test.go
@@ -279,7 +279,7 @@
 		t.Errorf("%s: refused though the store and the servers are well", where)
 	case a.status == http.StatusConflict && strings.HasPrefix(a.state, "may-have-run"):
 		total.may++
-		rows, err := n.backend.List(ctx, record.Filter{State: record.MayHaveRun, Class: q.class, Most: 10000})
+		rows, err := n.backend.List(ctx, record.Filter{State: record.MayHaveRun, Class: q.class, Limit: 10000})
 		listed := false
 		for _, r := range rows {
 			listed = listed || r.Key == q.key
--- a/internal/record/e2e/main_test.go
+++ b/internal/record/e2e/main_test.go
@@ -91,7 +91,7 @@
 	addr    string
 	host    *sidecar.Host
 	srv     *front.Server
-	keeper  *keeper.Keeper
+	keeper  *keeper.Recorder
 	backend record.Backend
 	ln      net.Listener
 }
@@ -106,14 +106,14 @@
 	if err != nil {
 		return nil, err
 	}
-	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MostConns: 300})
+	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 300})
 	n := &node{}
 	if n.host, err = sidecar.New(set, 1, pool, new(discovery.Watcher)); err != nil {
 		return nil, err
 	}
-	l := &discovery.List{Index: 1, Whole: true}
+	l := &discovery.List{Index: 1, Complete: true}
 	for i, addr := range p.Servers {
-		l.Entries = append(l.Entries, discovery.Entry{Endpoint: martendrum.Endpoint{Name: fmt.Sprint("s", i), Hint: 1}, Address: addr})
+		l.Entries = append(l.Entries, discovery.Entry{Endpoint: martendrum.Endpoint{Name: fmt.Sprint("s", i), CapacityHint: 1}, Address: addr})
 	}
 	n.host.Listed(l)
 	if p.SQLite != "" || p.Postgres != "" {
@@ -139,14 +139,14 @@
 }
 
 func (n *node) record(p *plan, points func(string)) (err error) {
-	keep := record.Keep{Answered: time.Hour, NeverRan: time.Hour, Unsettled: time.Hour}
+	keep := record.Retention{Answered: time.Hour, NeverRan: time.Hour, Unsettled: time.Hour}
 	each := time.Hour
 	if p.Sweep {
 		keep.Answered, each = time.Millisecond, 10*time.Millisecond
 	}
 	writers := 1
 	if p.SQLite != "" {
-		n.backend, err = sqlite.Open(context.Background(), sqlite.Config{Path: p.SQLite, Most: 64 << 20, Keep: keep, Owner: true})
+		n.backend, err = sqlite.Open(context.Background(), sqlite.Config{Path: p.SQLite, MaxBytes: 64 << 20, Retention: keep, Owner: true})
 	} else {
 		writers = 2
 		n.backend, err = postgres.Open(postgres.Config{URL: p.Postgres, Connections: 2, Statement: 10 * time.Second, Connect: 5 * time.Second})
@@ -167,9 +167,9 @@
 	}
 	wait := or(p.Wait, 10*time.Second)
 	n.keeper = keeper.New(keeper.Config{Name: "e2e", Writers: writers, Batch: 64, Queue: 1000, QueueBytes: 4 << 20, Statement: 10 * time.Second,
-		EndFor: time.Minute, Lease: or(p.Lease, 5*time.Second), AnswerMost: or(p.Most, 64<<10), Keep: keep, SweepEach: each,
-		BreakAfter: 3, PauseLeast: 20 * time.Millisecond, PauseMost: 100 * time.Millisecond,
-		Classes: []keeper.Class{{Name: "id-register", Rule: rule("header:Idempotency-Key"), Pass: true, Wait: wait},
+		EndFor: time.Minute, Lease: or(p.Lease, 5*time.Second), MaxAnswerBytes: or(p.Most, 64<<10), Retention: keep, SweepInterval: each,
+		BreakAfter: 3, MinBackoff: 20 * time.Millisecond, MaxBackoff: 100 * time.Millisecond,
+		Classes: []keeper.Class{{Name: "id-register", Rule: rule("header:Idempotency-Key"), FailOpen: true, Wait: wait},
 			{Name: "activate", Rule: rule("json:/sim/iccid"), Wait: wait}, {Name: "report", Rule: rule("request-id"), Wait: wait}}}, n.backend)
 	if points != nil {
 		n.host.SetRecorder(&pointedRecorder{n.keeper, points})
--- a/internal/record/keeper/commit.go
+++ b/internal/record/keeper/commit.go
@@ -13,26 +13,26 @@
 	"martendrum/internal/record"
 )
 
-// ErrAway says that the store was not asked: it does not answer, or too much waits
+// ErrUnavailable says that the store was not asked: it does not answer, or too much waits
 // for it already.
-var ErrAway = errors.New("the store is away")
+var ErrUnavailable = errors.New("the store is away")
 
 // idleMost is how long a worker waits with nothing to do, at most.
 const idleMost = time.Minute
 
 // job is one op that waits to be written.
 type job struct {
-	op    *record.Op
-	until time.Time // no use after it
-	keep  bool      // tried again after an error until then
-	size  int       // bytes of the answer it holds
-	done  func(error)
+	op           *record.Op
+	until        time.Time // no use after it
+	retryOnError bool      // tried again after an error until then
+	size         int       // bytes of the answer it holds
+	done         func(error)
 
 	// One that failed by itself goes alone from then on, after a pause, and between
 	// others: it may be what the store never takes.
-	alone bool
-	after time.Time
-	tries int
+	alone    bool
+	after    time.Time
+	attempts int
 }
 
 // committer brings ops to the backend, those that wait together in one transaction.
@@ -59,20 +59,20 @@
 }
 
 type shard struct {
-	c    *committer
-	wake chan struct{} // something was queued, or all is over
+	committer *committer
+	wake      chan struct{} // something was queued, or all is over
 
-	queue []*job // guarded by the committer's lock
-	solo  int    // so many ops go one by one, after a batch that failed
-	turn  bool   // one that goes alone went last
+	queue       []*job // guarded by the committer's lock
+	solo        int    // so many ops go one by one, after a batch that failed
+	lastWasSolo bool   // one that goes alone went last
 }
 
 func newCommitter(cfg *Config, b record.Backend) *committer {
 	c := &committer{cfg: cfg, backend: b, seed: maphash.MakeSeed(), start: time.Now(), end: make(chan struct{}),
-		breaker: record.NewBreaker(cfg.BreakAfter, cfg.PauseLeast, cfg.PauseMost)}
+		breaker: record.NewBreaker(cfg.BreakAfter, cfg.MinBackoff, cfg.MaxBackoff)}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	for range max(1, cfg.Writers) {
-		s := &shard{c: c, wake: make(chan struct{}, 1)}
+		s := &shard{committer: c, wake: make(chan struct{}, 1)}
 		c.shards = append(c.shards, s)
 		c.wg.Go(s.run)
 	}
@@ -90,12 +90,12 @@
 	var err error
 	switch {
 	case c.closing:
-		err = fmt.Errorf("%w: the sidecar stops", ErrAway)
-	case open && !j.keep:
-		err = fmt.Errorf("%w: %s", ErrAway, cause)
+		err = fmt.Errorf("%w: the sidecar stops", ErrUnavailable)
+	case open && !j.retryOnError:
+		err = fmt.Errorf("%w: %s", ErrUnavailable, cause)
 	case c.queued >= c.cfg.Queue || c.bytes+j.size > c.cfg.QueueBytes:
-		err = fmt.Errorf("%w: %d ops of %d bytes wait for it already", ErrAway, c.queued, c.bytes)
-		if j.keep {
+		err = fmt.Errorf("%w: %d ops of %d bytes wait for it already", ErrUnavailable, c.queued, c.bytes)
+		if j.retryOnError {
 			c.lost++
 		}
 	}
@@ -121,7 +121,7 @@
 
 // run is a worker. It ends when the committer is closed.
 func (s *shard) run() {
-	c := s.c
+	c := s.committer
 	for {
 		// Also with nothing to write: while the breaker is open, nothing is queued that
 		// could close it.
@@ -130,7 +130,7 @@
 		}
 		batch, late, wait := s.take()
 		for _, j := range late {
-			s.finish(j, fmt.Errorf("%w: it took too long", ErrAway))
+			s.finish(j, fmt.Errorf("%w: it took too long", ErrUnavailable))
 		}
 		if len(batch) == 0 {
 			if len(late) > 0 {
@@ -163,7 +163,7 @@
 // batch more than once: ops are carried out in their order. wait, where above 0, is when
 // one that goes alone is due.
 func (s *shard) take() (batch, late []*job, wait time.Duration) {
-	c := s.c
+	c := s.committer
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	most := c.cfg.Batch
@@ -177,10 +177,10 @@
 		switch {
 		case now.After(j.until):
 			late = append(late, j)
-			if j.keep {
+			if j.retryOnError {
 				c.lost++
 			}
-		case j.alone && alone == nil && !s.turn && !now.Before(j.after):
+		case j.alone && alone == nil && !s.lastWasSolo && !now.Before(j.after):
 			alone = j
 		case j.alone:
 			if d := max(j.after.Sub(now), time.Millisecond); wait == 0 || d < wait {
@@ -195,7 +195,7 @@
 	}
 	clear(s.queue[len(left):])
 	s.queue = left
-	s.turn = alone != nil
+	s.lastWasSolo = alone != nil
 	if alone != nil {
 		s.queue = append(batch[:len(batch):len(batch)], s.queue...)
 		batch = []*job{alone}
@@ -205,35 +205,35 @@
 
 // back puts jobs at the head of the queue.
 func (s *shard) back(jobs []*job) {
-	s.c.mu.Lock()
+	s.committer.mu.Lock()
 	s.queue = append(jobs[:len(jobs):len(jobs)], s.queue...)
-	s.c.mu.Unlock()
+	s.committer.mu.Unlock()
 }
 
 // single puts a job that failed by itself back, to go alone. What overtakes it may be of
 // its key, which is still in flight to it.
 func (s *shard) single(j *job) {
-	s.c.mu.Lock()
-	j.after = time.Now().Add(min(s.c.cfg.PauseLeast<<min(j.tries, 10), s.c.cfg.PauseMost))
+	s.committer.mu.Lock()
+	j.after = time.Now().Add(min(s.committer.cfg.MinBackoff<<min(j.attempts, 10), s.committer.cfg.MaxBackoff))
 	j.alone = true
-	j.tries++
+	j.attempts++
 	s.queue = append(s.queue, j)
-	s.c.mu.Unlock()
+	s.committer.mu.Unlock()
 }
 
 // rejoin lets those that go alone go with others again: the store was away.
 func (s *shard) rejoin() {
-	s.c.mu.Lock()
+	s.committer.mu.Lock()
 	for _, j := range s.queue {
 		j.alone = false
 	}
-	s.c.mu.Unlock()
+	s.committer.mu.Unlock()
 }
 
 // ready waits, while the breaker is open, until a try is due and the store gives a
 // sign of life; false when the committer is closed.
 func (s *shard) ready() bool {
-	c := s.c
+	c := s.committer
 	for {
 		c.mu.Lock()
 		open, until, _ := c.breaker.Open()
@@ -293,7 +293,7 @@
 }
 
 func (s *shard) write(batch []*job) {
-	c := s.c
+	c := s.committer
 	ops := make([]*record.Op, len(batch))
 	for n, j := range batch {
 		ops[n] = j.op
@@ -318,7 +318,7 @@
 	slog.Warn("not recorded", "ops", len(batch), "err", err)
 	var again []*job
 	for _, j := range batch {
-		if j.keep {
+		if j.retryOnError {
 			again = append(again, j)
 		}
 	}
@@ -332,14 +332,14 @@
 		s.single(again[0])
 	}
 	for _, j := range batch {
-		if !j.keep {
+		if !j.retryOnError {
 			s.finish(j, err)
 		}
 	}
 }
 
 func (s *shard) finish(j *job, err error) {
-	c := s.c
+	c := s.committer
 	c.mu.Lock()
 	c.queued--
 	c.bytes -= j.size
@@ -377,12 +377,12 @@
 	}
 	c.queued, c.bytes = 0, 0
 	for _, j := range left {
-		if j.keep {
+		if j.retryOnError {
 			c.lost++
 		}
 	}
 	c.mu.Unlock()
 	for _, j := range left {
-		j.done(fmt.Errorf("%w: the sidecar stops", ErrAway))
+		j.done(fmt.Errorf("%w: the sidecar stops", ErrUnavailable))
 	}
 }
--- a/internal/record/keeper/keeper.go
+++ b/internal/record/keeper/keeper.go
@@ -30,29 +30,29 @@
 
 // Class is a class of requests that is recorded.
 type Class struct {
-	Name string
-	Rule record.Rule
-	Pass bool          // goes on while the store is away; else refused
-	Wait time.Duration // for each answer of the store, at most
+	Name     string
+	Rule     record.Rule
+	FailOpen bool          // goes on while the store is away; else refused
+	Wait     time.Duration // for each answer of the store, at most
 }
 
 // Config says how a store is used. All of it must be set.
 type Config struct {
-	Name       string // of the store, for people
-	Classes    []Class
-	Writers    int           // transactions at once
-	Batch      int           // ops in one transaction
-	Queue      int           // ops that wait, at most
-	QueueBytes int           // bytes of answers among them
-	Statement  time.Duration // a transaction may take
-	EndFor     time.Duration // an end that could not be written is tried again for so long
-	Lease      time.Duration // past its deadline, a claim's owner counts as alive
-	AnswerMost int           // bytes of an answer's body that are kept
-	Keep       record.Keep
-	SweepEach  time.Duration
-	BreakAfter int // failures in a row
-	PauseLeast time.Duration
-	PauseMost  time.Duration
+	Name           string // of the store, for people
+	Classes        []Class
+	Writers        int           // transactions at once
+	Batch          int           // ops in one transaction
+	Queue          int           // ops that wait, at most
+	QueueBytes     int           // bytes of answers among them
+	Statement      time.Duration // a transaction may take
+	EndFor         time.Duration // an end that could not be written is tried again for so long
+	Lease          time.Duration // past its deadline, a claim's owner counts as alive
+	MaxAnswerBytes int           // bytes of an answer's body that are kept
+	Retention      record.Retention
+	SweepInterval  time.Duration
+	BreakAfter     int // failures in a row
+	MinBackoff     time.Duration
+	MaxBackoff     time.Duration
 
 	slow time.Duration
 }
@@ -61,50 +61,50 @@
 	// sweepMost rows are touched by one transaction of a sweep, so that requests
 	// get in between.
 	sweepMost = 256
-	// awayRetry is when a client may come back that was refused for want of the
+	// unavailableRetry is when a client may come back that was refused for want of the
 	// store, busyRetry one whose key is under way elsewhere.
-	awayRetry = 500 * time.Millisecond
-	busyRetry = 500 * time.Millisecond
+	unavailableRetry = 500 * time.Millisecond
+	busyRetry        = 500 * time.Millisecond
 )
 
-// Keeper is a sidecar.Recorder.
-type Keeper struct {
-	cfg     Config
-	backend record.Backend
-	c       *committer
-	owner   string
-	tokens  atomic.Uint64
-	classes map[string]*Class
-	end     chan struct{}
-	wg      sync.WaitGroup
+// Recorder is a sidecar.Recorder.
+type Recorder struct {
+	cfg       Config
+	backend   record.Backend
+	committer *committer
+	owner     string
+	tokens    atomic.Uint64
+	classes   map[string]*Class
+	end       chan struct{}
+	wg        sync.WaitGroup
 
 	mu     sync.Mutex
 	gaps   map[string]*record.Gap // that are not written yet, by class
 	counts map[string]int64
 }
 
-var _ sidecar.Recorder = (*Keeper)(nil)
+var _ sidecar.Recorder = (*Recorder)(nil)
 
 // New returns a Keeper over b, which it closes in the end.
-func New(cfg Config, b record.Backend) *Keeper {
+func New(cfg Config, b record.Backend) *Recorder {
 	var id [12]byte
 	rand.Read(id[:])
-	k := &Keeper{cfg: cfg, backend: b, owner: hex.EncodeToString(id[:]), classes: make(map[string]*Class), end: make(chan struct{}),
+	k := &Recorder{cfg: cfg, backend: b, owner: hex.EncodeToString(id[:]), classes: make(map[string]*Class), end: make(chan struct{}),
 		gaps: make(map[string]*record.Gap), counts: make(map[string]int64)}
 	for n := range cfg.Classes {
 		c := &k.cfg.Classes[n]
 		k.classes[c.Name] = c
 		k.cfg.slow = max(k.cfg.slow, c.Wait)
 	}
-	k.c = newCommitter(&k.cfg, b)
+	k.committer = newCommitter(&k.cfg, b)
 	k.wg.Go(k.sweep)
 	return k
 }
 
 // Close writes what waits, as long as ctx allows, and closes the store.
-func (k *Keeper) Close(ctx context.Context) error {
+func (k *Recorder) Close(ctx context.Context) error {
 	close(k.end)
-	k.c.close(ctx)
+	k.committer.close(ctx)
 	k.wg.Wait()
 	k.WriteGaps(ctx)
 	return k.backend.Close()
@@ -112,35 +112,35 @@
 
 // Lock is the ownership of the store, where that is a lock that can be passed on to a
 // process that takes this one's place; nil where it is none.
-func (k *Keeper) Lock() *os.File {
+func (k *Recorder) Lock() *os.File {
 	if l, ok := k.backend.(interface{ Lock() *os.File }); ok {
 		return l.Lock()
 	}
 	return nil
 }
 
-func (k *Keeper) count(what string) {
+func (k *Recorder) count(what string) {
 	k.mu.Lock()
 	k.counts[what]++
 	k.mu.Unlock()
 }
 
-// ask submits op and calls then once: with the store's word or, when wait is over,
-// with ErrAway; the store is to blame only if wait is all of its class's, most. late
+// submit submits op and calls then once: with the store's word or, when wait is over,
+// with ErrUnavailable; the store is to blame only if wait is all of its class's, most. late
 // gets a word that comes after that; it may be nil.
-func (k *Keeper) ask(op *record.Op, most, wait time.Duration, keep bool, then func(error), late func()) {
-	j := &job{op: op, keep: keep, size: len(op.Answer) + len(op.Header), until: time.Now().Add(wait)}
+func (k *Recorder) submit(op *record.Op, most, wait time.Duration, keep bool, then func(error), late func()) {
+	j := &job{op: op, retryOnError: keep, size: len(op.Answer) + len(op.Header), until: time.Now().Add(wait)}
 	if keep {
 		j.until = time.Now().Add(k.cfg.EndFor)
 	}
 	var once sync.Once
 	t := time.AfterFunc(wait, func() {
 		once.Do(func() {
-			err := fmt.Errorf("%w: no word within %v", ErrAway, wait)
+			err := fmt.Errorf("%w: no word within %v", ErrUnavailable, wait)
 			// Also while a call hangs: else each request would wait until that ends.
 			if wait >= most {
 				k.count("waited in vain")
-				k.c.note(err, 0)
+				k.committer.note(err, 0)
 			}
 			then(err)
 		})
@@ -156,11 +156,11 @@
 			late()
 		}
 	}
-	k.c.submit(j)
+	k.committer.submit(j)
 }
 
 // Begin implements sidecar.Recorder.
-func (k *Keeper) Begin(x *front.Exchange, left time.Duration, then func(sidecar.Verdict)) {
+func (k *Recorder) Begin(x *front.Exchange, left time.Duration, then func(sidecar.Verdict)) {
 	class := k.classes[x.Class]
 	if class == nil {
 		then(sidecar.Verdict{})
@@ -178,24 +178,24 @@
 		token: fmt.Sprintf("%s-%d", k.owner, k.tokens.Add(1)), body: record.Fingerprint(x.Request.Head, x.Tenant, x.Request.Body), request: clean(id)}
 	op := e.op(record.Claim)
 	release := func() {
-		if op.Result == record.Granted && !class.Pass {
-			k.ask(e.endOp(record.NeverRan), class.Wait, class.Wait, true, func(error) {}, nil) // its client was turned away meanwhile
+		if op.Result == record.Granted && !class.FailOpen {
+			k.submit(e.endOp(record.NeverRan), class.Wait, class.Wait, true, func(error) {}, nil) // its client was turned away meanwhile
 		}
 	}
-	k.ask(op, class.Wait, min(class.Wait, left/4), false, func(err error) {
+	k.submit(op, class.Wait, min(class.Wait, left/4), false, func(err error) {
 		switch {
 		case err == nil:
 			then(k.verdict(e, op))
-		case class.Pass:
+		case class.FailOpen:
 			e.gap(err)
 			then(sidecar.Verdict{Entry: e})
 		default:
 			k.count("refused")
-			if !errors.Is(err, ErrAway) { // it may have been written all the same
+			if !errors.Is(err, ErrUnavailable) { // it may have been written all the same
 				op.Result = record.Granted
 				release()
 			}
-			then(sidecar.Verdict{Answer: func(x *front.Exchange) { x.Refuse(awayRetry) }})
+			then(sidecar.Verdict{Answer: func(x *front.Exchange) { x.Reject(unavailableRetry) }})
 		}
 	}, release)
 }
@@ -213,12 +213,12 @@
 }
 
 // verdict is what the store's word on a claim means for its request.
-func (k *Keeper) verdict(e *entry, op *record.Op) sidecar.Verdict {
+func (k *Recorder) verdict(e *entry, op *record.Op) sidecar.Verdict {
 	k.count("claims " + op.Result.String())
 	deny := func(status int, why string, after time.Duration) sidecar.Verdict {
 		return sidecar.Verdict{Answer: func(x *front.Exchange) { x.Deny(status, why, after) }}
 	}
-	row := &op.Row
+	row := &op.Entry
 	switch op.Result {
 	case record.Granted:
 		return sidecar.Verdict{Entry: e}
@@ -238,7 +238,7 @@
 
 // entry is a recorded request.
 type entry struct {
-	k       *Keeper
+	k       *Recorder
 	class   *Class
 	key     string
 	token   string
@@ -291,12 +291,12 @@
 	broken, fenced := e.broken, e.fenced
 	e.mu.Unlock()
 	if broken || fenced {
-		then(e.class.Pass && !fenced)
+		then(e.class.FailOpen && !fenced)
 		return
 	}
 	op := e.op(record.Send)
 	op.Attempt, op.Server = n, clean(server)
-	e.k.ask(op, e.class.Wait, e.class.Wait, false, func(err error) {
+	e.k.submit(op, e.class.Wait, e.class.Wait, false, func(err error) {
 		switch {
 		case err == nil && op.Result == record.Granted:
 			then(true)
@@ -306,7 +306,7 @@
 			e.fenced = true
 			e.mu.Unlock()
 			then(false) // others may go on with the key: not this one, whatever its class
-		case e.class.Pass:
+		case e.class.FailOpen:
 			e.gap(err)
 			then(true)
 		default:
@@ -326,24 +326,24 @@
 	op := e.endOp(states[end])
 	if ans != nil {
 		op.Status, op.Header = http.StatusOK, formHeader(ans.Header)
-		if len(ans.Body) <= e.k.cfg.AnswerMost {
+		if len(ans.Body) <= e.k.cfg.MaxAnswerBytes {
 			op.Answer = ans.Body
 		} else {
 			op.Cut = true
 		}
 	}
-	e.k.ask(op, e.class.Wait, max(0, min(e.class.Wait, left)), true, func(error) { then() }, nil)
+	e.k.submit(op, e.class.Wait, max(0, min(e.class.Wait, left)), true, func(error) { then() }, nil)
 }
 
 // Fields of an answer that are kept: those that say what its body is.
-var kept = []string{"Content-Type", "Content-Encoding", "Content-Language", "Etag", "Last-Modified", "Location"}
+var retainedHeaders = []string{"Content-Type", "Content-Encoding", "Content-Language", "Etag", "Last-Modified", "Location"}
 
 // headerMost bounds the kept fields, in bytes; past it they are left out.
 const headerMost = 2 << 10
 
 func formHeader(h http.Header) []byte {
 	var b []byte
-	for _, name := range kept {
+	for _, name := range retainedHeaders {
 		for _, v := range h[name] {
 			if line := name + ": " + v + "\r\n"; len(b)+len(line) <= headerMost {
 				b = append(b, line...)
@@ -365,8 +365,8 @@
 
 // sweep drops what has been kept for long enough and writes gaps. It ends with the
 // Keeper.
-func (k *Keeper) sweep() {
-	t := time.NewTicker(k.cfg.SweepEach)
+func (k *Recorder) sweep() {
+	t := time.NewTicker(k.cfg.SweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -374,13 +374,13 @@
 		case <-k.end:
 			return
 		}
-		if k.away() {
+		if k.unavailable() {
 			continue
 		}
-		k.WriteGaps(k.c.ctx)
+		k.WriteGaps(k.committer.ctx)
 		for {
-			ctx, cancel := context.WithTimeout(k.c.ctx, k.cfg.Statement)
-			n, err := k.backend.Sweep(ctx, k.cfg.Keep, sweepMost)
+			ctx, cancel := context.WithTimeout(k.committer.ctx, k.cfg.Statement)
+			n, err := k.backend.Sweep(ctx, k.cfg.Retention, sweepMost)
 			cancel()
 			if err != nil {
 				slog.Warn("the record was not swept", "err", err)
@@ -397,15 +397,15 @@
 	}
 }
 
-func (k *Keeper) away() bool {
-	k.c.mu.Lock()
-	defer k.c.mu.Unlock()
-	open, _, _ := k.c.breaker.Open()
+func (k *Recorder) unavailable() bool {
+	k.committer.mu.Lock()
+	defer k.committer.mu.Unlock()
+	open, _, _ := k.committer.breaker.Open()
 	return open
 }
 
 // WriteGaps notes in the store which requests went on without it.
-func (k *Keeper) WriteGaps(within context.Context) {
+func (k *Recorder) WriteGaps(within context.Context) {
 	k.mu.Lock()
 	gaps := k.gaps
 	k.gaps = make(map[string]*record.Gap)
@@ -430,11 +430,11 @@
 
 // Status is one line for the health call: the breaker's state, what waits, and the
 // counts since the start.
-func (k *Keeper) Status() string {
-	k.c.mu.Lock()
-	line := fmt.Sprintf("%s; breaker=%s; queued=%d; lost=%d", k.cfg.Name, k.c.breaker.State(), k.c.queued, k.c.lost)
-	open, _, cause := k.c.breaker.Open()
-	k.c.mu.Unlock()
+func (k *Recorder) Status() string {
+	k.committer.mu.Lock()
+	line := fmt.Sprintf("%s; breaker=%s; queued=%d; lost=%d", k.cfg.Name, k.committer.breaker.State(), k.committer.queued, k.committer.lost)
+	open, _, cause := k.committer.breaker.Open()
+	k.committer.mu.Unlock()
 	k.mu.Lock()
 	var names []string
 	for name := range k.counts {
@@ -452,8 +452,8 @@
 }
 
 // Batches is how many transactions were written, and of how many ops.
-func (k *Keeper) Batches() (batches, ops int64) {
-	k.c.mu.Lock()
-	defer k.c.mu.Unlock()
-	return k.c.batches, k.c.ops
+func (k *Recorder) Batches() (batches, ops int64) {
+	k.committer.mu.Lock()
+	defer k.committer.mu.Unlock()
+	return k.committer.batches, k.committer.ops
 }
--- a/internal/record/postgres/postgres.go
+++ b/internal/record/postgres/postgres.go
@@ -122,7 +122,7 @@
 // again says whether a transaction that ended with err is to be made anew: it was
 // overtaken and surely undone, or its outcome is in doubt, which reading resolves.
 func again(err error, committing bool) bool {
-	return errors.Is(err, errRaced) || pg.Undone(err) || committing && pg.InDoubt(err)
+	return errors.Is(err, errRaced) || pg.Undone(err) || committing && pg.OutcomeUnknown(err)
 }
 
 // Apply implements record.Backend.
@@ -155,7 +155,7 @@
 // keys, so that two of these don't wait for one another, and writes what changed.
 func (s *Store) apply(ctx context.Context, ops []*record.Op) (committing bool, err error) {
 	type entry struct {
-		row  record.Row
+		row  record.Entry
 		had  int64 // its version
 		keep bool  // it has changed
 	}
@@ -178,7 +178,7 @@
 			read.Queue("SELECT "+record.Columns+" FROM martendrum_record WHERE class = $1::text AND key = $2::text FOR UPDATE", k.class, k.key).QueryRow(func(r pgx.Row) error {
 				err := r.Scan(e.row.Fields()...)
 				if errors.Is(err, pgx.ErrNoRows) {
-					e.row, err = record.Row{}, nil
+					e.row, err = record.Entry{}, nil
 				}
 				e.had = e.row.Version
 				return err
@@ -219,13 +219,13 @@
 }
 
 // Get implements record.Backend.
-func (s *Store) Get(ctx context.Context, class, key string) (row record.Row, err error) {
+func (s *Store) Get(ctx context.Context, class, key string) (row record.Entry, err error) {
 	if err := s.ready(ctx); err != nil {
 		return row, err
 	}
 	err = s.db.Pool.QueryRow(ctx, "SELECT "+record.Columns+" FROM martendrum_record WHERE class = $1::text AND key = $2::text", class, key).Scan(row.Fields()...)
 	if errors.Is(err, pgx.ErrNoRows) {
-		return record.Row{}, nil
+		return record.Entry{}, nil
 	}
 	return row, s.explain(err)
 }
@@ -247,14 +247,14 @@
 }
 
 // List implements record.Backend.
-func (s *Store) List(ctx context.Context, f record.Filter) ([]record.Row, error) {
-	return rows(ctx, s, (*record.Row).Fields, "SELECT "+strings.Replace(record.Columns, "answer,", "CAST('' AS bytea),", 1)+` FROM martendrum_record
+func (s *Store) List(ctx context.Context, f record.Filter) ([]record.Entry, error) {
+	return rows(ctx, s, (*record.Entry).Fields, "SELECT "+strings.Replace(record.Columns, "answer,", "CAST('' AS bytea),", 1)+` FROM martendrum_record
 		WHERE ($1::text = '' OR state = $1::text) AND ($2::text = '' OR class = $2::text) AND changed >= $3::bigint AND (class, key) > ($4::text, $5::text)
-		ORDER BY class, key LIMIT $6::bigint`, string(f.State), f.Class, f.ChangedSince, f.AfterClass, f.AfterKey, int64(f.Most))
+		ORDER BY class, key LIMIT $6::bigint`, string(f.State), f.Class, f.ChangedSince, f.AfterClass, f.AfterKey, int64(f.Limit))
 }
 
 // Sweep implements record.Backend.
-func (s *Store) Sweep(ctx context.Context, keep record.Keep, most int) (int, error) {
+func (s *Store) Sweep(ctx context.Context, keep record.Retention, most int) (int, error) {
 	if err := s.ready(ctx); err != nil {
 		return 0, err
 	}
@@ -269,7 +269,7 @@
 	}
 	n := int(lapsed.RowsAffected())
 	for _, state := range record.States {
-		kept := keep.Of(state)
+		kept := keep.For(state)
 		if kept <= 0 || n >= most {
 			continue
 		}
@@ -322,7 +322,7 @@
 
 // Check implements record.Backend.
 func (s *Store) Check(ctx context.Context) (found []string, err error) {
-	bad, err := rows(ctx, s, (*record.Row).Fields, "SELECT "+strings.Replace(record.Columns, "answer,", "CAST('' AS bytea),", 1)+` FROM martendrum_record
+	bad, err := rows(ctx, s, (*record.Entry).Fields, "SELECT "+strings.Replace(record.Columns, "answer,", "CAST('' AS bytea),", 1)+` FROM martendrum_record
 		WHERE `+record.Impossible+` ORDER BY class, key LIMIT 20`)
 	for _, r := range bad {
 		found = append(found, fmt.Sprintf("row %s %q: state %q, fingerprint of %d bytes, status %d", r.Class, r.Key, r.State, len(r.Body), r.Status))
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -38,9 +38,9 @@
 // States are all that a stored row can have.
 var States = []State{InFlight, Answered, NeverRan, MayHaveRun}
 
-// Row is what is stored of a key. Times are the store's own, in microseconds since
+// Entry is what is stored of a key. Times are the store's own, in microseconds since
 // 1970; for SQLite see Clock, for PostgreSQL they are the server's.
-type Row struct {
+type Entry struct {
 	Class, Key string
 	State      State
 	Body       []byte // SHA-256 of what was asked, see Fingerprint
@@ -66,13 +66,13 @@
 const Columns = "class, key, state, body, owner, token, request, attempts, servers, began, changed, expires, status, header, answer, cut, settled, note, version"
 
 // Fields returns pointers to r's fields, to scan into.
-func (r *Row) Fields() []any {
+func (r *Entry) Fields() []any {
 	return []any{&r.Class, &r.Key, &r.State, &r.Body, &r.Owner, &r.Token, &r.Request, &r.Attempts, &r.Servers, &r.Began, &r.Changed, &r.Expires,
 		&r.Status, &r.Header, &r.Answer, &r.Cut, &r.Settled, &r.Note, &r.Version}
 }
 
 // Values returns r's fields, to store.
-func (r *Row) Values() []any {
+func (r *Entry) Values() []any {
 	return []any{r.Class, r.Key, string(r.State), nonNil(r.Body), r.Owner, r.Token, r.Request, r.Attempts, r.Servers, r.Began, r.Changed, r.Expires,
 		r.Status, nonNil(r.Header), nonNil(r.Answer), r.Cut, r.Settled, r.Note, r.Version}
 }
@@ -115,7 +115,7 @@
 	By, Note   string        // Settle
 
 	Result Result
-	Row    Row // as it is after the Op
+	Entry  Entry // as it is after the Op
 }
 
 // Result is what a store says to an Op.
@@ -136,11 +136,11 @@
 }
 
 // Expired says whether a row in flight has outlived its owner's time.
-func (r *Row) Expired(now int64) bool { return r.State == InFlight && now >= r.Expires }
+func (r *Entry) Expired(now int64) bool { return r.State == InFlight && now >= r.Expires }
 
 // Lapse makes of a row in flight what is known once its owner is gone: with no
 // attempt written, nothing was sent and, its claim being void, nothing will be.
-func (r *Row) Lapse(now int64) {
+func (r *Entry) Lapse(now int64) {
 	if r.Attempts == 0 {
 		r.State = NeverRan
 	} else {
@@ -161,7 +161,7 @@
 // Apply carries op out on its key's row, which is the zero Row if there is none.
 // It changes row and sets op.Result and op.Row; changed says whether row must be
 // written.
-func Apply(row *Row, now int64, op *Op) (changed bool) {
+func Apply(row *Entry, now int64, op *Op) (changed bool) {
 	before := row.Version
 	switch op.Kind {
 	case Claim:
@@ -173,16 +173,16 @@
 	case Settle:
 		op.Result = settle(row, now, op)
 	}
-	op.Row = *row
+	op.Entry = *row
 	return row.Version != before
 }
 
-func (r *Row) mark(s State, now int64) {
+func (r *Entry) mark(s State, now int64) {
 	r.State, r.Changed = s, now
 	r.Version++
 }
 
-func claim(row *Row, now int64, op *Op) Result {
+func claim(row *Entry, now int64, op *Op) Result {
 	if row.Token == op.Token && row.State == InFlight {
 		return Granted // asked once more
 	}
@@ -206,12 +206,12 @@
 }
 
 // begin makes row a new claim's.
-func begin(row *Row, now int64, op *Op) {
-	*row = Row{Class: op.Class, Key: op.Key, Body: op.Body, Owner: op.Owner, Token: op.Token, Request: op.Request,
+func begin(row *Entry, now int64, op *Op) {
+	*row = Entry{Class: op.Class, Key: op.Key, Body: op.Body, Owner: op.Owner, Token: op.Token, Request: op.Request,
 		Began: now, Expires: now + op.Lease.Microseconds(), Version: row.Version}
 }
 
-func send(row *Row, now int64, op *Op) Result {
+func send(row *Entry, now int64, op *Op) Result {
 	if row.Token != op.Token || row.State != InFlight {
 		return Fenced
 	}
@@ -242,7 +242,7 @@
 	return false
 }
 
-func end(row *Row, now int64, op *Op) Result {
+func end(row *Entry, now int64, op *Op) Result {
 	if row.State == Unknown && op.To != NeverRan && op.Owner != "" {
 		begin(row, now, op) // went out while the store was away: its end is worth keeping
 	}
@@ -269,7 +269,7 @@
 	return Granted
 }
 
-func settle(row *Row, now int64, op *Op) Result {
+func settle(row *Entry, now int64, op *Op) Result {
 	if row.Expired(now) {
 		row.Lapse(now)
 	}
@@ -281,18 +281,18 @@
 	return Granted
 }
 
-// Keep says how long rows are kept after their last change. What is in flight is
+// Retention says how long rows are kept after their last change. What is in flight is
 // kept until its owner's time is over, and then becomes one of the others.
-type Keep struct {
+type Retention struct {
 	Answered  time.Duration
 	NeverRan  time.Duration
 	Unsettled time.Duration
 }
 
-// Of is how long a state is kept; 0 for one that has no end of its own.
-func (k Keep) Of(s State) time.Duration {
+// For is how long a state is kept; 0 for one that has no end of its own.
+func (k Retention) For(s State) time.Duration {
 	return map[State]time.Duration{Answered: k.Answered, NeverRan: k.NeverRan, MayHaveRun: k.Unsettled}[s]
 }
 
 // Shortest is the least time that what ran, or may have, is kept.
-func (k Keep) Shortest() time.Duration { return min(k.Answered, k.Unsettled) }
+func (k Retention) Shortest() time.Duration { return min(k.Answered, k.Unsettled) }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -30,7 +30,7 @@
 		ran    bool // one of them ran
 		over   bool
 	}
-	var rows [2]Row
+	var rows [2]Entry
 	var runs [2]int
 	var claims []*claim
 	now := int64(1_000_000)
@@ -136,7 +136,7 @@
 // outcome is resolved.
 func TestOpsAreIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var row Row
+		var row Entry
 		n := 0
 		for range rapid.IntRange(1, 12).Draw(t, "ops") {
 			if rapid.Bool().Draw(t, "a new claim") {
@@ -227,7 +227,7 @@
 }
 
 func TestClock(t *testing.T) {
-	keep := Keep{Answered: 4 * time.Hour, Unsettled: 40 * time.Hour}
+	keep := Retention{Answered: 4 * time.Hour, Unsettled: 40 * time.Hour}
 	wall := time.Now()
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	saved := wall.UnixMicro()
--- a/internal/record/sqlite/compat_test.go
+++ b/internal/record/sqlite/compat_test.go
@@ -37,7 +37,7 @@
 }
 
 // rowText is what a row says but for times.
-func rowText(row record.Row) string {
+func rowText(row record.Entry) string {
 	return fmt.Sprintf("%s %s %s %x %s %s %s %d %q %d %q %q %v %q %q", row.Class, row.Key, row.State, row.Body, row.Owner, row.Token, row.Request,
 		row.Attempts, row.Servers, row.Status, row.Header, row.Answer, row.Cut, row.Settled, row.Note)
 }
--- a/internal/record/sqlite/keys_capacity_test.go
+++ b/internal/record/sqlite/keys_capacity_test.go
@@ -28,7 +28,7 @@
 	for _, keys := range []int{1000, 3000, 10000, 30000, 100000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
 			config := cfg(filepath.Join(b.TempDir(), "record.db"))
-			config.Most = capacityRecordMost
+			config.MaxBytes = capacityRecordMost
 			fillRecord(b, config, keys)
 			file, err := os.Stat(config.Path)
 			if err != nil {
