--- a/internal/record/sqlite/sqlite.go
+++ b/internal/record/sqlite/sqlite.go
@@ -55,9 +55,9 @@
 
 // Config says which file, and how it is used.
 type Config struct {
-	Path string
-	Most int64 // bytes
-	Keep record.Keep
+	Path      string
+	MaxBytes  int64 // bytes
+	Retention record.Retention
 	// Owner takes the file for one sidecar: what an earlier owner left in flight is
 	// made what is known of it. Without it the file must be there already.
 	Owner bool
@@ -90,7 +90,7 @@
 func open(ctx context.Context, cfg Config, version int) (_ *Store, err error) {
 	ctx, cancel := context.WithTimeout(ctx, startMost)
 	defer cancel()
-	s := &Store{cfg: cfg, most: max(cfg.Most/pageSize, pagesLeast)}
+	s := &Store{cfg: cfg, most: max(cfg.MaxBytes/pageSize, pagesLeast)}
 	defer func() {
 		if err != nil {
 			s.Close()
@@ -130,7 +130,7 @@
 // own takes the lock file, which the kernel frees when the process ends.
 func (s *Store) own() error {
 	f, err := filelock.Acquire(s.cfg.Path+".lock", 0o600)
-	if errors.Is(err, filelock.ErrHeld) {
+	if errors.Is(err, filelock.ErrLocked) {
 		holder := make([]byte, 32)
 		n, _ := f.Read(holder)
 		f.Close()
@@ -203,7 +203,7 @@
 		return err
 	}
 	wall := time.Now()
-	s.clock = record.NewClock(saved, wall, s.cfg.Keep)
+	s.clock = record.NewClock(saved, wall, s.cfg.Retention)
 	var err error
 	prepare := func(q string) (st *sql.Stmt) {
 		if err == nil {
@@ -321,38 +321,38 @@
 	return nil
 }
 
-func scan(r *sql.Row) (row record.Row, err error) {
+func scan(r *sql.Row) (row record.Entry, err error) {
 	if err = r.Scan(row.Fields()...); errors.Is(err, sql.ErrNoRows) {
-		return record.Row{}, nil
+		return record.Entry{}, nil
 	}
 	return row, err
 }
 
 // Get implements record.Backend.
-func (s *Store) Get(ctx context.Context, class, key string) (record.Row, error) {
+func (s *Store) Get(ctx context.Context, class, key string) (record.Entry, error) {
 	row, err := scan(s.get.QueryRowContext(ctx, class, key))
 	return row, explain(err)
 }
 
 // List implements record.Backend.
-func (s *Store) List(ctx context.Context, f record.Filter) (out []record.Row, err error) {
+func (s *Store) List(ctx context.Context, f record.Filter) (out []record.Entry, err error) {
 	err = s.each(ctx, `SELECT `+strings.Replace(record.Columns, "answer,", "x'' AS answer,", 1)+` FROM record
 		WHERE (?1 = '' OR state = ?1) AND (?2 = '' OR class = ?2) AND changed >= ?3 AND (class, key) > (?4, ?5)
 		ORDER BY class, key LIMIT ?6`, func(rows *sql.Rows) error {
-		var r record.Row
+		var r record.Entry
 		err := rows.Scan(r.Fields()...)
 		out = append(out, r)
 		return err
-	}, string(f.State), f.Class, f.ChangedSince, f.AfterClass, f.AfterKey, f.Most)
+	}, string(f.State), f.Class, f.ChangedSince, f.AfterClass, f.AfterKey, f.Limit)
 	return out, err
 }
 
 func (s *Store) each(ctx context.Context, q string, scan func(*sql.Rows) error, args ...any) error {
-	return explain(sqlitefile.Each(ctx, s.db, q, scan, args...))
+	return explain(sqlitefile.ForEach(ctx, s.db, q, scan, args...))
 }
 
 // Sweep implements record.Backend.
-func (s *Store) Sweep(ctx context.Context, keep record.Keep, most int) (n int, err error) {
+func (s *Store) Sweep(ctx context.Context, keep record.Retention, most int) (n int, err error) {
 	err = s.write(ctx, func(tx *sql.Tx) error {
 		n = 0
 		now := s.clock.At(time.Now())
@@ -363,7 +363,7 @@
 		}
 		n += affected(lapsed)
 		for _, state := range record.States {
-			kept := keep.Of(state)
+			kept := keep.For(state)
 			if kept <= 0 || n >= most {
 				continue
 			}
@@ -414,7 +414,7 @@
 
 // Stats implements record.Backend.
 func (s *Store) Stats(ctx context.Context) (st record.Stats, err error) {
-	st = record.Stats{Rows: make(map[record.State]int64), Most: s.most * pageSize}
+	st = record.Stats{Rows: make(map[record.State]int64), MaxBytes: s.most * pageSize}
 	if err := s.pages.QueryRowContext(ctx).Scan(&st.Bytes); err != nil {
 		return st, explain(err)
 	}
--- a/internal/record/sqlite/sqlite_test.go
+++ b/internal/record/sqlite/sqlite_test.go
@@ -18,7 +18,7 @@
 var ctx = context.Background()
 
 func cfg(path string) Config {
-	return Config{Path: path, Most: 16 << 20, Keep: bt.Keep, Owner: true}
+	return Config{Path: path, MaxBytes: 16 << 20, Retention: bt.Keep, Owner: true}
 }
 
 func mustOpen(t *testing.T, c Config) *Store {
@@ -129,7 +129,7 @@
 // keys again when it has room.
 func TestFull(t *testing.T) {
 	c := cfg(filepath.Join(t.TempDir(), "r.db"))
-	c.Most = 1 << 20
+	c.MaxBytes = 1 << 20
 	s := mustOpen(t, c)
 	bt.Apply(t, s, bt.Claim("flying", "f", time.Hour), bt.Send("flying", "f", 0))
 	n, err := fill(t, s)
@@ -143,7 +143,7 @@
 		}
 	}
 	time.Sleep(2 * time.Millisecond)
-	if n, err := s.Sweep(ctx, record.Keep{Answered: time.Millisecond, NeverRan: time.Hour, Unsettled: time.Hour}, 10000); err != nil || n == 0 {
+	if n, err := s.Sweep(ctx, record.Retention{Answered: time.Millisecond, NeverRan: time.Hour, Unsettled: time.Hour}, 10000); err != nil || n == 0 {
 		t.Fatal(n, err)
 	}
 	bt.Expect(t, s, bt.Claim("new", "n", time.Hour), record.Granted)
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -7,7 +7,7 @@
 //
 //   - A request is never held back for it, and none is refused while the servers are warm:
 //     it sheds, the cheapest first, the share that cold servers don't surely bear.
-//   - Whether the others stayed up is decided within AskMost; undecided means careful.
+//   - Whether the others stayed up is decided within MaxQueryTime; undecided means careful.
 //   - Each phase has a longest time, and phases only go up within a life.
 //   - It rests on no clock of another's, and on no single other's word.
 //
@@ -56,23 +56,23 @@
 
 // Config is what a Machine is told. The zero value of a time means its default.
 type Config struct {
-	Size       int           // sidecars in the fleet
-	AskMost    time.Duration // after it the verdict stands, whoever has spoken
-	ReturnMost time.Duration // longest time in Returning
-	Each       time.Duration // between two looks while there is something to decide
-	Rest       time.Duration // between two looks later
+	Size          int           // sidecars in the fleet
+	MaxQueryTime  time.Duration // after it the verdict stands, whoever has spoken
+	MaxReturnTime time.Duration // longest time in Returning
+	Interval      time.Duration // between two looks while there is something to decide
+	Rest          time.Duration // between two looks later
 }
 
 const (
-	askUsual    = 300 * time.Millisecond
-	returnUsual = time.Minute
-	eachUsual   = 100 * time.Millisecond
-	restUsual   = 500 * time.Millisecond
+	defaultQueryTime = 300 * time.Millisecond
+	returnUsual      = time.Minute
+	defaultInterval  = 100 * time.Millisecond
+	restUsual        = 500 * time.Millisecond
 	// wordsEnough others' words decide at once, if they agree; a single one never does
 	// where there are more, so that no liar makes a verdict.
 	wordsEnough = 3
-	// returnLeast is the least time of Returning: by then the list of servers has come.
-	returnLeast = time.Second
+	// minReturnTime is the least time of Returning: by then the list of servers has come.
+	minReturnTime = time.Second
 	// settled is the age from which a sidecar's word that it serves shows that it was not
 	// part of this loss.
 	settled = 5 * time.Second
@@ -92,14 +92,14 @@
 	warmLow    = 0.9
 )
 
-// Word is what another sidecar says of itself.
-type Word struct {
+// Report is what another sidecar says of itself.
+type Report struct {
 	Phase Phase
 	Age   time.Duration // of its life
 }
 
 // up says that it stayed up.
-func (w Word) up() bool { return w.Phase >= Serving && w.Age >= settled }
+func (w Report) up() bool { return w.Phase >= Serving && w.Age >= settled }
 
 // Orders is what a Machine wants done.
 type Orders struct {
@@ -114,7 +114,7 @@
 	began time.Duration
 	due   time.Duration
 
-	words   map[int]Word
+	words   map[int]Report
 	phase   Phase
 	verdict Verdict
 
@@ -137,9 +137,9 @@
 
 // New returns the Machine of a sidecar that starts at now.
 func New(cfg Config, now time.Duration) *Machine {
-	cfg.AskMost, cfg.ReturnMost = cmp.Or(cfg.AskMost, askUsual), cmp.Or(cfg.ReturnMost, returnUsual)
-	cfg.Each, cfg.Rest = cmp.Or(cfg.Each, eachUsual), cmp.Or(cfg.Rest, restUsual)
-	m := &Machine{cfg: cfg, began: now, due: now, words: make(map[int]Word), phase: Asking, warmth: 1, room: 1}
+	cfg.MaxQueryTime, cfg.MaxReturnTime = cmp.Or(cfg.MaxQueryTime, defaultQueryTime), cmp.Or(cfg.MaxReturnTime, returnUsual)
+	cfg.Interval, cfg.Rest = cmp.Or(cfg.Interval, defaultInterval), cmp.Or(cfg.Rest, restUsual)
+	m := &Machine{cfg: cfg, began: now, due: now, words: make(map[int]Report), phase: Asking, warmth: 1, room: 1}
 	if cfg.Size < 2 {
 		m.verdict, m.phase = Unsure, Returning // nobody to ask
 	}
@@ -151,15 +151,15 @@
 
 // Hear takes what another sidecar says of itself. Only its own word counts, not what
 // others tell of it.
-func (m *Machine) Hear(rank int, w Word) {
-	if m.phase == Serving || len(m.words) >= wordsMost && m.words[rank].Phase == 0 {
+func (m *Machine) Hear(rank int, w Report) {
+	if m.phase == Serving || len(m.words) >= maxReports && m.words[rank].Phase == 0 {
 		return
 	}
 	m.words[rank] = w
 }
 
-// wordsMost bounds the words kept: more decide nothing more.
-const wordsMost = 64
+// maxReports bounds the words kept: more decide nothing more.
+const maxReports = 64
 
 // Arrived takes how many requests have come in all.
 func (m *Machine) Arrived(total uint64) { m.total = total }
@@ -171,8 +171,8 @@
 // Demand is how many requests a second usually come: 0 until it is known.
 func (m *Machine) Demand() float64 { return m.slow }
 
-// Room takes the servers' mean warmth and the share of what usually comes that they bear.
-func (m *Machine) Room(warmth, share float64) {
+// SetCapacity takes the servers' mean warmth and the share of what usually comes that they bear.
+func (m *Machine) SetCapacity(warmth, share float64) {
 	m.warmth, m.room = max(0, min(warmth, 1)), max(0, min(share, 1))
 }
 
@@ -190,17 +190,17 @@
 	if m.phase == Asking && m.verdict != Open {
 		m.phase = Returning
 	}
-	if m.phase == Returning && (m.verdict == Alone || m.verdict != Open && !m.cold && now-m.began >= returnLeast || now-m.began >= m.cfg.ReturnMost) {
+	if m.phase == Returning && (m.verdict == Alone || m.verdict != Open && !m.cold && now-m.began >= minReturnTime || now-m.began >= m.cfg.MaxReturnTime) {
 		m.phase, m.words = Serving, nil
 	}
-	if m.due = now + m.cfg.Each; m.phase == Serving && !m.cold {
+	if m.due = now + m.cfg.Interval; m.phase == Serving && !m.cold {
 		m.due = now + m.cfg.Rest
 	}
 	o := Orders{Phase: m.phase, Verdict: m.verdict}
 	if m.cold {
-		o.Bounds = martendrum.Bounds{Shed: m.shed(), Nominal: m.demand(), Spare: true}
+		o.Bounds = martendrum.Bounds{MinShedFraction: m.shed(), NominalRate: m.demand(), SuspendOptionalWork: true}
 	}
-	o.Bounds.Spare = o.Bounds.Spare || m.phase == Returning
+	o.Bounds.SuspendOptionalWork = o.Bounds.SuspendOptionalWork || m.phase == Returning
 	return o
 }
 
@@ -219,7 +219,7 @@
 		}
 	}
 	enough := min(wordsEnough, m.cfg.Size-1)
-	late := now-m.began >= m.cfg.AskMost
+	late := now-m.began >= m.cfg.MaxQueryTime
 	switch {
 	case up+down >= enough && (up == 0 || down == 0 || late):
 		m.verdict = Everybody // half and half: the careful one
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -12,8 +12,8 @@
 const ms = time.Millisecond
 
 var (
-	upWord    = Word{Serving, time.Hour}
-	youngWord = Word{Returning, 200 * ms}
+	upWord    = Report{Serving, time.Hour}
+	youngWord = Report{Returning, 200 * ms}
 )
 
 // run lets a Machine of a fleet look every 100 ms until the end, and returns its orders.
@@ -31,22 +31,22 @@
 func TestVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
 		size    int
-		words   map[int]Word // by rank
+		words   map[int]Report // by rank
 		at      time.Duration
 		verdict Verdict
 		by      time.Duration // when it has come
 	}{
-		"alone":                     {60, map[int]Word{1: upWord, 2: upWord, 3: upWord}, 0, Alone, 0},
-		"everybody":                 {60, map[int]Word{1: youngWord, 2: youngWord, 3: youngWord}, 0, Everybody, 0},
-		"one liar says all is up":   {60, map[int]Word{1: youngWord, 2: youngWord, 3: upWord}, 0, Everybody, 300 * ms},
-		"one liar says all are new": {60, map[int]Word{1: upWord, 2: upWord, 3: youngWord}, 0, Alone, 300 * ms},
-		"one word is none":          {60, map[int]Word{1: upWord}, 0, Unsure, 300 * ms},
+		"alone":                     {60, map[int]Report{1: upWord, 2: upWord, 3: upWord}, 0, Alone, 0},
+		"everybody":                 {60, map[int]Report{1: youngWord, 2: youngWord, 3: youngWord}, 0, Everybody, 0},
+		"one liar says all is up":   {60, map[int]Report{1: youngWord, 2: youngWord, 3: upWord}, 0, Everybody, 300 * ms},
+		"one liar says all are new": {60, map[int]Report{1: upWord, 2: upWord, 3: youngWord}, 0, Alone, 300 * ms},
+		"one word is none":          {60, map[int]Report{1: upWord}, 0, Unsure, 300 * ms},
 		"nobody speaks":             {60, nil, 0, Unsure, 300 * ms},
-		"they speak late":           {60, map[int]Word{1: upWord, 2: upWord, 3: upWord}, 500 * ms, Alone, 500 * ms},
-		"two in all":                {2, map[int]Word{1: upWord}, 0, Alone, 0},
+		"they speak late":           {60, map[int]Report{1: upWord, 2: upWord, 3: upWord}, 500 * ms, Alone, 500 * ms},
+		"two in all":                {2, map[int]Report{1: upWord}, 0, Alone, 0},
 		"nobody else":               {1, nil, 0, Unsure, 0},
-		"up, but young":             {4, map[int]Word{1: {Serving, time.Second}, 2: youngWord, 3: youngWord}, 0, Everybody, 0},
-		"half and half":             {5, map[int]Word{1: upWord, 2: upWord, 3: youngWord, 4: youngWord}, 0, Everybody, 300 * ms},
+		"up, but young":             {4, map[int]Report{1: {Serving, time.Second}, 2: youngWord, 3: youngWord}, 0, Everybody, 0},
+		"half and half":             {5, map[int]Report{1: upWord, 2: upWord, 3: youngWord, 4: youngWord}, 0, Everybody, 300 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			all := run(c.size, 3*time.Second, func(now time.Duration, m *Machine) {
@@ -71,27 +71,27 @@
 func TestBoundsFollowServers(t *testing.T) {
 	warm := run(60, 5*time.Second, func(now time.Duration, m *Machine) { m.Arrived(uint64(now / (200 * ms))) })
 	for i, o := range warm {
-		if o.Bounds.Shed != 0 || o.Bounds.Nominal != 0 {
+		if o.Bounds.MinShedFraction != 0 || o.Bounds.NominalRate != 0 {
 			t.Fatalf("look %d, warm servers: %+v", i, o)
 		}
 	}
 	ramp := func(now time.Duration) float64 { return min(1, 0.14+0.86*now.Seconds()/23) }
 	cold := run(60, 40*time.Second, func(now time.Duration, m *Machine) {
 		m.Arrived(10 + uint64(now/(200*ms))) // five a second, and ten that waited
-		m.Room(ramp(now), ramp(now))
+		m.SetCapacity(ramp(now), ramp(now))
 	})
 	for i, o := range cold {
 		now := time.Duration(i) * 100 * ms
 		room := ramp(now)
 		switch {
-		case room < warmLow && o.Bounds.Shed != 1-room:
-			t.Fatalf("at %v servers bear %.2f, and %.2f is shed", now, room, o.Bounds.Shed)
+		case room < warmLow && o.Bounds.MinShedFraction != 1-room:
+			t.Fatalf("at %v servers bear %.2f, and %.2f is shed", now, room, o.Bounds.MinShedFraction)
 		case room >= warmEnough && (o.Bounds != martendrum.Bounds{} || o.Phase != Serving):
 			t.Fatalf("at %v all is warm: %+v", now, o)
-		case room < warmLow && now > 4*time.Second && (o.Bounds.Nominal < 1.5 || o.Bounds.Nominal > 7):
-			t.Fatalf("at %v five a second come, taken for %.1f", now, o.Bounds.Nominal)
-		case room < warmLow && o.Bounds.Nominal > 9:
-			t.Fatalf("at %v those that waited count for %.1f a second", now, o.Bounds.Nominal)
+		case room < warmLow && now > 4*time.Second && (o.Bounds.NominalRate < 1.5 || o.Bounds.NominalRate > 7):
+			t.Fatalf("at %v five a second come, taken for %.1f", now, o.Bounds.NominalRate)
+		case room < warmLow && o.Bounds.NominalRate > 9:
+			t.Fatalf("at %v those that waited count for %.1f a second", now, o.Bounds.NominalRate)
 		}
 	}
 }
@@ -106,12 +106,12 @@
 		for i := range 300 {
 			come := 2 + due[i] // twenty a second, and those who come again
 			total += come
-			due[i+15] += come * last.Bounds.Shed * back
+			due[i+15] += come * last.Bounds.MinShedFraction * back
 			m.Arrived(uint64(total))
-			m.Room(0.3, 0.3)
+			m.SetCapacity(0.3, 0.3)
 			last = m.Tick(time.Duration(i) * 100 * ms)
-			if i > 60 && (last.Bounds.Nominal < 10 || last.Bounds.Nominal > 40) {
-				t.Fatalf("%.1f of those turned away come again: look %d takes 20 a second for %.1f", back, i, last.Bounds.Nominal)
+			if i > 60 && (last.Bounds.NominalRate < 10 || last.Bounds.NominalRate > 40) {
+				t.Fatalf("%.1f of those turned away come again: look %d takes 20 a second for %.1f", back, i, last.Bounds.NominalRate)
 			}
 		}
 	}
@@ -125,25 +125,25 @@
 		phase, total := Asking, uint64(0)
 		for now := time.Duration(0); now < 70*time.Second; now += time.Duration(rapid.IntRange(50, 2000).Draw(t, "step")) * ms {
 			for range rapid.IntRange(0, 2).Draw(t, "words") {
-				m.Hear(rapid.IntRange(1, 100).Draw(t, "rank"), Word{Phase(rapid.IntRange(0, 9).Draw(t, "phase")), time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second})
+				m.Hear(rapid.IntRange(1, 100).Draw(t, "rank"), Report{Phase(rapid.IntRange(0, 9).Draw(t, "phase")), time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second})
 			}
 			total += rapid.Uint64Range(0, 50).Draw(t, "came")
 			m.Arrived(total)
-			m.Room(rapid.Float64Range(-1, 2).Draw(t, "warmth"), rapid.Float64Range(-1, 2).Draw(t, "room"))
+			m.SetCapacity(rapid.Float64Range(-1, 2).Draw(t, "warmth"), rapid.Float64Range(-1, 2).Draw(t, "room"))
 			o := m.Tick(now)
 			switch {
 			case o.Phase < phase:
 				t.Fatalf("from %v back to %v", phase, o.Phase)
-			case o.Phase == Asking && now >= askUsual, o.Phase < Serving && now >= returnUsual:
+			case o.Phase == Asking && now >= defaultQueryTime, o.Phase < Serving && now >= returnUsual:
 				t.Fatalf("%v at %v", o.Phase, now)
-			case o.Bounds.Shed < 0 || o.Bounds.Shed > 1 || o.Bounds.Nominal < 0:
+			case o.Bounds.MinShedFraction < 0 || o.Bounds.MinShedFraction > 1 || o.Bounds.NominalRate < 0:
 				t.Fatalf("bounds %+v", o.Bounds)
 			case m.Due() <= now:
 				t.Fatalf("due at %v, and it is %v", m.Due(), now)
 			}
 			phase = o.Phase
 		}
-		if len(m.words) > wordsMost {
+		if len(m.words) > maxReports {
 			t.Fatalf("%d words kept", len(m.words))
 		}
 	})
--- a/internal/recovery/trust.go
+++ b/internal/recovery/trust.go
@@ -49,18 +49,18 @@
 	demandMemory = 6 * time.Hour
 )
 
-// Kept is what of a checkpoint is still a hint: what was learned, less what is of the
+// Retained is what of a checkpoint is still a hint: what was learned, less what is of the
 // moment, and the usual demand with its weight from 0 to 1.
-func Kept(l martendrum.Learned, age time.Duration, v Verdict) (_ martendrum.Learned, weight float64) {
-	k := martendrum.Learned{Delay: l.Delay, Odds: l.Odds, Taken: 1}
+func Retained(l martendrum.LearnedState, age time.Duration, v Verdict) (_ martendrum.LearnedState, weight float64) {
+	k := martendrum.LearnedState{HedgeDelay: l.HedgeDelay, HedgeProbability: l.HedgeProbability, AcceptedFraction: 1}
 	fresh := func(n int) int { return int(float64(n) * math.Exp(-float64(age)/float64(timesMemory))) }
 	k.Primary = l.Primary[len(l.Primary)-fresh(len(l.Primary)):]
-	k.Copies = l.Copies[len(l.Copies)-fresh(len(l.Copies)):]
+	k.Hedges = l.Hedges[len(l.Hedges)-fresh(len(l.Hedges)):]
 	k.Pairs = l.Pairs[len(l.Pairs)-fresh(len(l.Pairs)):]
 	if v == Alone {
-		k.MeanTime = l.MeanTime
+		k.MeanLatency = l.MeanLatency
 		for _, s := range l.Servers {
-			s.Failures, s.Ejections, s.EjectedAbout = 0, 0, 0
+			s.Failures, s.Ejections, s.EjectionRemaining = 0, 0, 0
 			k.Servers = append(k.Servers, s)
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -27,10 +27,10 @@
 	ConnIdle    time.Duration // a server closes a connection that has been idle for so long
 	DialTimeout time.Duration
 	DrainGrace  time.Duration // sends to a server that drains must stop within it
-	MostHeld    int           // requests held at once
+	MaxInFlight int           // requests held at once
 	Rank        int           // this sidecar's number among those of its tier
 	Peers       bool          // sidecars may tell each other
-	Fleet       string        // names the tier
+	Cluster     string        // names the tier
 
 	classes, tenants map[string]int
 	names            []string // of classes by place; empty: dropped
@@ -88,7 +88,7 @@
 	for n, at := range places {
 		s.tenants[s.owners[n]] = at
 	}
-	s.Config.Tenants = placed(old.Config.Tenants, s.Config.Tenants, places)
+	s.Config.TenantQuotas = placed(old.Config.TenantQuotas, s.Config.TenantQuotas, places)
 	s.owners = placed(make([]string, len(old.owners)), s.owners, places)
 }
 
@@ -124,13 +124,13 @@
 	Caps struct {
 		AttemptsCap     int   `json:"attemptsCap"`
 		MayCancel       bool  `json:"mayCancel"`
-		SecondCopies    bool  `json:"secondCopies"`
+		AllowHedging    bool  `json:"secondCopies"`
 		Probes          bool  `json:"probes"`
 		MaxRetryAfterUs int64 `json:"maxRetryAfterUs"`
 		RetryAfter      bool  `json:"retryAfter"`
 		ConnIdleUs      int64 `json:"connIdleUs"`
 		DialTimeoutUs   int64 `json:"dialTimeoutUs"`
-		MostHeld        int   `json:"mostHeld"`
+		MaxInFlight     int   `json:"mostHeld"`
 		Peers           bool  `json:"peers"`
 	} `json:"caps"`
 	Classes []struct {
@@ -160,8 +160,8 @@
 		OverloadFactor float64 `json:"overloadFactor"`
 		OverloadForUs  int64   `json:"overloadForUs"`
 	} `json:"guarantees"`
-	OverShareWorth float64 `json:"overShareWorth"`
-	Tenants        []struct {
+	OverQuotaWeight float64 `json:"overShareWorth"`
+	Tenants         []struct {
 		Name          string  `json:"name"`
 		AllowancePerS float64 `json:"allowancePerS"`
 	} `json:"tenants"`
@@ -188,10 +188,10 @@
 		ConnIdle:    micros(e.Caps.ConnIdleUs),
 		DialTimeout: micros(e.Caps.DialTimeoutUs),
 		DrainGrace:  micros(e.Guarantees.DrainGraceUs),
-		MostHeld:    e.Caps.MostHeld,
+		MaxInFlight: e.Caps.MaxInFlight,
 		Rank:        e.Rank,
 		Peers:       e.Caps.Peers,
-		Fleet:       fmt.Sprintf("%s/%d/%s", e.Family, e.Tier, strings.Join(e.Tiers, ",")),
+		Cluster:     fmt.Sprintf("%s/%d/%s", e.Family, e.Tier, strings.Join(e.Tiers, ",")),
 		classes:     make(map[string]int),
 		tenants:     make(map[string]int),
 	}
@@ -210,7 +210,7 @@
 		s.Deadlines = append(s.Deadlines, micros(c.HardLimitUs))
 	}
 	for _, c := range s.Config.Classes {
-		s.DialTimeout = min(s.DialTimeout, max(c.Aim/4, dialLeast))
+		s.DialTimeout = min(s.DialTimeout, max(c.LatencyObjective/4, dialLeast))
 	}
 	for n, t := range e.Tenants {
 		s.tenants[t.Name] = n
@@ -259,15 +259,15 @@
 	need(len(c.Classes) > 0, "classes", "non-empty")
 	need(c.MaxAttempts >= 1, "caps.attemptsCap", "at least 1")
 	need(c.MaxRetryAfter >= 0, "caps.maxRetryAfterUs", "0 or more")
-	need(c.ColdFrom >= 0 && c.ColdFrom <= 1, "guarantees.coldFrom", "within 0 and 1")
-	need(c.ColdFor >= 0, "guarantees.coldUs", "0 or more")
-	need(c.OverloadFor >= 0, "guarantees.overloadForUs", "0 or more")
+	need(c.SlowStartInitialFraction >= 0 && c.SlowStartInitialFraction <= 1, "guarantees.coldFrom", "within 0 and 1")
+	need(c.SlowStartDuration >= 0, "guarantees.coldUs", "0 or more")
+	need(c.OverloadDuration >= 0, "guarantees.overloadForUs", "0 or more")
 	need(c.OverloadFactor >= 0, "guarantees.overloadFactor", "0 or more")
-	need(c.AskWithin >= 0, "guarantees.askWithinUs", "0 or more")
+	need(c.MaxListAge >= 0, "guarantees.askWithinUs", "0 or more")
 	for n, k := range c.Classes {
 		raw := &e.Classes[n]
 		at := fmt.Sprintf("classes[%d] (%s).", n, raw.Name)
-		need(k.Aim > 0, at+"promiseUs", "above 0")
+		need(k.LatencyObjective > 0, at+"promiseUs", "above 0")
 		need(raw.HardLimitUs >= 0, at+"hardLimitUs", "0 or more")
 		need(slices.Contains(effects, raw.Effect), at+"effect", "one of "+strings.Join(effects, ", "))
 		need(raw.DedupScope == "" || slices.Contains(scopes, raw.DedupScope), at+"dedupScope", "one of "+strings.Join(scopes, ", "))
@@ -277,49 +277,49 @@
 
 func config(e *env) martendrum.Config {
 	cfg := martendrum.Config{
-		Instances:      e.ReplicasOfMe,
-		Zone:           e.Zone,
-		OverShareWorth: e.OverShareWorth,
-		MaxAttempts:    e.Caps.AttemptsCap,
-		MayCancel:      e.Caps.MayCancel,
-		SecondCopies:   e.Caps.SecondCopies,
-		WasteCost:      e.Costs.Waste,
-		Probes:         e.Caps.Probes && e.Feedback.How == "probe",
-		ProbeCost:      e.Costs.Probe,
-		ConnectionCost: e.Costs.Connection,
-		CrossZoneCost:  e.Costs.CrossZone,
-		ColdFrom:       e.Guarantees.ColdFrom,
-		ColdFor:        micros(e.Guarantees.ColdUs),
-		OverloadFactor: e.Guarantees.OverloadFactor,
-		OverloadFor:    micros(e.Guarantees.OverloadForUs),
+		Instances:                e.ReplicasOfMe,
+		Zone:                     e.Zone,
+		OverQuotaWeight:          e.OverQuotaWeight,
+		MaxAttempts:              e.Caps.AttemptsCap,
+		AllowCancellation:        e.Caps.MayCancel,
+		AllowHedging:             e.Caps.AllowHedging,
+		WastedWorkCost:           e.Costs.Waste,
+		Probes:                   e.Caps.Probes && e.Feedback.How == "probe",
+		ProbeCost:                e.Costs.Probe,
+		ConnectionCost:           e.Costs.Connection,
+		CrossZoneCost:            e.Costs.CrossZone,
+		SlowStartInitialFraction: e.Guarantees.ColdFrom,
+		SlowStartDuration:        micros(e.Guarantees.ColdUs),
+		OverloadFactor:           e.Guarantees.OverloadFactor,
+		OverloadDuration:         micros(e.Guarantees.OverloadForUs),
 	}
 	if e.RegistryMode == "subscribe" {
-		cfg.AskWithin = micros(e.Guarantees.AskWithinUs)
+		cfg.MaxListAge = micros(e.Guarantees.AskWithinUs)
 	}
 	if e.Caps.RetryAfter {
 		cfg.MaxRetryAfter = micros(e.Caps.MaxRetryAfterUs)
 	}
 	for _, t := range e.Tenants {
-		cfg.Tenants = append(cfg.Tenants, t.AllowancePerS)
+		cfg.TenantQuotas = append(cfg.TenantQuotas, t.AllowancePerS)
 	}
 	for _, c := range e.Classes {
 		class := martendrum.Class{
-			Aim:       micros(c.PromiseUs),
-			LateWorth: c.LateValue,
-			Worth:     c.Worth,
-			Window:    micros(c.RepeatWindowUs),
+			LatencyObjective: micros(c.PromiseUs),
+			LateWeight:       c.LateValue,
+			Weight:           c.Worth,
+			DedupWindow:      micros(c.RepeatWindowUs),
 		}
 		switch c.Effect {
 		case "by_key":
-			class.Effect = martendrum.Keyed
+			class.Idempotency = martendrum.IdempotencyKeyed
 		case "once":
-			class.Effect = martendrum.Unsafe
+			class.Idempotency = martendrum.NonIdempotent
 		}
 		switch c.DedupScope {
 		case "zone":
-			class.Scope = martendrum.ScopeZone
+			class.DedupScope = martendrum.DedupScopeZone
 		case "cell":
-			class.Scope = martendrum.ScopeGroup
+			class.DedupScope = martendrum.DedupScopeGroup
 		}
 		cfg.Classes = append(cfg.Classes, class)
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,14 +18,14 @@
 		t.Fatal(err)
 	}
 	c := s.Config
-	if c.Zone != "z" || c.OverShareWorth != 0.5 || c.Instances != 3 || len(c.Tenants) != 1 || c.Tenants[0] != 7.5 ||
-		c.MaxRetryAfter != 7*time.Microsecond || c.AskWithin != 0 || len(c.Classes) != 2 ||
-		c.Classes[0].Effect != martendrum.Keyed || c.Classes[0].Scope != martendrum.ScopeGroup ||
-		c.Classes[1].Effect != martendrum.Unsafe || c.Classes[0].Aim != 400*time.Millisecond {
+	if c.Zone != "z" || c.OverQuotaWeight != 0.5 || c.Instances != 3 || len(c.TenantQuotas) != 1 || c.TenantQuotas[0] != 7.5 ||
+		c.MaxRetryAfter != 7*time.Microsecond || c.MaxListAge != 0 || len(c.Classes) != 2 ||
+		c.Classes[0].Idempotency != martendrum.IdempotencyKeyed || c.Classes[0].DedupScope != martendrum.DedupScopeGroup ||
+		c.Classes[1].Idempotency != martendrum.NonIdempotent || c.Classes[0].LatencyObjective != 400*time.Millisecond {
 		t.Errorf("config: %+v", c)
 	}
 	if s.ConnIdle != 30*time.Second || s.DialTimeout != 100*time.Millisecond || s.DrainGrace != 2*time.Second ||
-		s.MostHeld != 9 || s.Deadlines[0] != 6*time.Microsecond {
+		s.MaxInFlight != 9 || s.Deadlines[0] != 6*time.Microsecond {
 		t.Errorf("settings: %+v", s)
 	}
 	if s.Class([]byte("b")) != 1 || s.Class([]byte("c")) != -1 || s.Tenant([]byte("p")) != 0 || s.Tenant(nil) != -1 {
@@ -69,7 +69,7 @@
 		next.Follow(now)
 		for n, name := range step.names {
 			c := next.ByName(name)
-			if c == nil || c.Place != step.places[n] || c.Rules.Aim != time.Duration(name[0])*time.Microsecond || c.Wait != c.Rules.Aim {
+			if c == nil || c.Place != step.places[n] || c.Rules.LatencyObjective != time.Duration(name[0])*time.Microsecond || c.Wait != c.Rules.LatencyObjective {
 				t.Errorf("%v: %s is %+v", step.names, name, c)
 			}
 		}
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -31,9 +31,9 @@
 	now := time.Now()
 	a := h.newAttempt(request, server, now.Add(timeout), now.Add(within))
 	if a.index == 0 {
-		h.meter.Own(now.Sub(request.exchange.Received))
+		h.meter.ProcessingTime(now.Sub(request.exchange.Received))
 	}
-	h.meter.Began(a.isCopy)
+	h.meter.AttemptStarted(a.isCopy)
 	request.attempts = append(request.attempts, a)
 	request.open++
 	if entry := request.entry; entry != nil {
@@ -58,7 +58,7 @@
 		Deadline: deadline,
 		Latest:   latest,
 		Sink:     a,
-		Once:     x.Rules.Rules.Effect == martendrum.Unsafe,
+		Once:     x.Rules.Rules.Idempotency == martendrum.NonIdempotent,
 		Left:     x.ClientLeft,
 		Wrote:    h.wrote,
 	}
@@ -70,7 +70,7 @@
 
 // claimed notes that no other attempt can send the request's body any more.
 func (a *attempt) claimed() {
-	a.host.handle(func(now time.Duration) { a.host.balancer.Started(now, a.request.id, a.index) })
+	a.host.handle(func(now time.Duration) { a.host.balancer.StreamStarted(now, a.request.id, a.index) })
 }
 
 // uploaded notes that the request is complete: the client's time begins.
@@ -96,7 +96,7 @@
 	a.unsent = !a.Abandon()
 	h.enqueue(func() {
 		a.Close()
-		a.Done(martendrum.Cancelled, nil, martendrum.Report{})
+		a.Done(martendrum.Cancelled, nil, martendrum.LoadReport{})
 	})
 }
 
@@ -107,21 +107,21 @@
 		outcome = martendrum.ConnectFailed // not a byte of it was written
 	}
 	h.enqueue(a.Close)
-	h.endAttempt(now, a, outcome, nil, martendrum.Report{})
+	h.endAttempt(now, a, outcome, nil, martendrum.LoadReport{})
 }
 
 // Done implements upstream.Sink.
-func (a *attempt) Done(outcome martendrum.Outcome, answer *upstream.Answer, report martendrum.Report) {
+func (a *attempt) Done(outcome martendrum.Outcome, answer *upstream.Answer, report martendrum.LoadReport) {
 	a.host.handle(func(now time.Duration) { a.host.endAttempt(now, a, outcome, answer, report) })
 }
 
 // endAttempt takes an attempt's outcome, of which only the first counts.
-func (h *Host) endAttempt(now time.Duration, a *attempt, outcome martendrum.Outcome, answer *upstream.Answer, report martendrum.Report) {
+func (h *Host) endAttempt(now time.Duration, a *attempt, outcome martendrum.Outcome, answer *upstream.Answer, report martendrum.LoadReport) {
 	if a.ended {
 		return
 	}
 	request := a.request
-	a.ended, a.neverRan = true, a.unsent || outcome.NeverRan()
+	a.ended, a.neverRan = true, a.unsent || outcome.ProvablyNotExecuted()
 	request.open--
 	if answer != nil && answer.Rest != nil && request.entry != nil {
 		// The record would have to hold it whole, and serve it after Done.
@@ -141,11 +141,11 @@
 	case success: // too late for the client, not for the record
 		h.recordEnd(request, Served, answer, nil)
 	}
-	h.meter.Ended(outcome, a.isCopy, served)
+	h.meter.AttemptFinished(outcome, a.isCopy, served)
 	if outcome == martendrum.NotSent && !request.answered && request.exchange.ClientLeft() { // its connection's goroutine has not noticed yet
-		h.balancer.ClientGone(now, request.id)
+		h.balancer.ClientDisconnected(now, request.id)
 		h.Fail(request.id)
 	}
-	h.balancer.Done(now, request.id, a.index, outcome, request.answered, report)
+	h.balancer.AttemptFinished(now, request.id, a.index, outcome, request.answered, report)
 	h.releaseIfDone(request)
 }
--- a/internal/sidecar/clock_test.go
+++ b/internal/sidecar/clock_test.go
@@ -40,7 +40,7 @@
 			}
 			truth := time.Duration(time.Now().UnixNano())
 			h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{
-				Endpoint: martendrum.Endpoint{Name: "fresh", Hint: 1, Started: truth - 500*time.Millisecond}, Address: "127.0.0.1:1",
+				Endpoint: martendrum.Endpoint{Name: "fresh", CapacityHint: 1, Started: truth - 500*time.Millisecond}, Address: "127.0.0.1:1",
 			}}})
 			listed, _ := h.Servers()
 			if listed != 2 {
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -57,12 +57,12 @@
 		settings:    set,
 		requests:    make(map[martendrum.RequestID]*clientRequest),
 		limits: inFlightLimits{
-			own:    cmp.Or(set.MostHeld, math.MaxInt),
-			shared: cmp.Or(set.MostHeld, math.MaxInt),
+			local:  cmp.Or(set.MaxInFlight, math.MaxInt),
+			shared: cmp.Or(set.MaxInFlight, math.MaxInt),
 		},
 	}
 	watcher.Listed, watcher.Failed = h.Listed, h.DiscoveryFailed
-	h.wrote = h.meter.Wrote
+	h.wrote = h.meter.AttemptWritten
 	h.publishClasses()
 	h.timers.runtime = time.AfterFunc(time.Hour, h.fireTimers)
 	var err error
@@ -122,7 +122,7 @@
 func (h *Host) Retune(set *settings.Settings) (err error) {
 	h.handle(func(time.Duration) {
 		set.Follow(h.settings)
-		if err = h.balancer.Retune(set.Config); err == nil {
+		if err = h.balancer.Reconfigure(set.Config); err == nil {
 			h.settings = set
 			h.publishClasses()
 		}
@@ -141,16 +141,16 @@
 }
 
 // Learned returns what the Balancer has learned.
-func (h *Host) Learned() martendrum.Learned {
+func (h *Host) Learned() martendrum.LearnedState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.balancer.Learned(h.now())
+	return h.balancer.LearnedState(h.now())
 }
 
 // Learn takes over what another process's Balancer had learned by age ago. It is called
 // after the list of servers has arrived and before the first request.
-func (h *Host) Learn(learned martendrum.Learned, age time.Duration) {
-	h.handle(func(now time.Duration) { h.balancer.Learn(now, learned, age) })
+func (h *Host) Learn(learned martendrum.LearnedState, age time.Duration) {
+	h.handle(func(now time.Duration) { h.balancer.Restore(now, learned, age) })
 }
 
 // Steer lets steer read the Balancer and set its bounds; arrivals is how many requests
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -42,14 +42,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MostConns: 50})
+	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 50})
 	h, err := New(set, 1, pool, new(discovery.Watcher))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &discovery.List{Index: 1, Whole: true}
+	l := &discovery.List{Index: 1, Complete: true}
 	for n, addr := range addrs {
-		l.Entries = append(l.Entries, discovery.Entry{Endpoint: martendrum.Endpoint{Name: fmt.Sprint(n), Hint: 1}, Address: addr})
+		l.Entries = append(l.Entries, discovery.Entry{Endpoint: martendrum.Endpoint{Name: fmt.Sprint(n), CapacityHint: 1}, Address: addr})
 	}
 	h.Listed(l)
 	srv := front.New(front.Config{MostConns: 100, MostBody: 1 << 20}, h)
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -76,7 +76,7 @@
 	c := dialled(t, at)
 	io.WriteString(c, "POST /book HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
 	<-first
-	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "late", Hint: 1}, Address: late}}})
+	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "late", CapacityHint: 1}, Address: late}}})
 	close(breaks)
 	var latest time.Time
 	wait(t, "the repeat", func() bool {
@@ -112,9 +112,9 @@
 	let chan struct{}
 }
 
-func (u unheard) Gone(x *front.Exchange) bool {
+func (u unheard) ClientDisconnected(x *front.Exchange) bool {
 	<-u.let
-	return u.Handler.Gone(x)
+	return u.Handler.ClientDisconnected(x)
 }
 
 // The story. A process that had been held up sent attempts 102 to 138 ms after their
@@ -142,7 +142,7 @@
 	c := dialled(t, ln.Addr().String())
 	io.WriteString(c, "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n")
 	<-came
-	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "other", Hint: 1}, Address: other}}})
+	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "other", CapacityHint: 1}, Address: other}}})
 	c.Close()
 	close(breaks)
 	wait(t, "the request's end", func() bool { return h.InFlight() == 0 })
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -3,15 +3,15 @@
 // inFlightLimits limits how many requests are in flight at once. It is guarded by the
 // Host's lock.
 type inFlightLimits struct {
-	own    int   // for this process alone
+	local  int   // for this process alone
 	shared int   // for this process and the other one together, while there is a tally
 	tally  Tally // nil: no other process counts
 }
 
 // Tally is a count of the requests in flight that two processes share.
 type Tally interface {
-	// Hold sets the count of this process to n, and returns that of the other one.
-	Hold(n int) (others int)
+	// SetInFlight sets the count of this process to n, and returns that of the other one.
+	SetInFlight(n int) (others int)
 }
 
 // Limit replaces the limits on requests in flight, for those still to come: own for this
@@ -19,7 +19,7 @@
 func (h *Host) Limit(own, shared int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.limits.own, h.limits.shared = own, shared
+	h.limits.local, h.limits.shared = own, shared
 }
 
 // ShareInFlight counts requests in flight in tally from now on, and limits the sum. A
@@ -48,15 +48,15 @@
 	return len(h.requests)
 }
 
-// hasRoom reports whether one more request may be in flight, and if so counts it in the
+// reserveInFlight reports whether one more request may be in flight, and if so counts it in the
 // tally: two processes that ask at the same time don't both take the last place. The
 // lock is held.
-func (h *Host) hasRoom() bool {
+func (h *Host) reserveInFlight() bool {
 	if h.limits.tally == nil {
-		return len(h.requests) < h.limits.own
+		return len(h.requests) < h.limits.local
 	}
 	n := len(h.requests) + 1
-	if n+h.limits.tally.Hold(n) > h.limits.shared {
+	if n+h.limits.tally.SetInFlight(n) > h.limits.shared {
 		h.updateTally()
 		return false
 	}
@@ -66,6 +66,6 @@
 // updateTally sets this process's count in the tally. The lock is held.
 func (h *Host) updateTally() {
 	if h.limits.tally != nil {
-		h.limits.tally.Hold(len(h.requests))
+		h.limits.tally.SetInFlight(len(h.requests))
 	}
 }
--- a/internal/sidecar/probe.go
+++ b/internal/sidecar/probe.go
@@ -33,12 +33,12 @@
 }
 
 // Done implements upstream.Sink.
-func (p *probe) Done(outcome martendrum.Outcome, answer *upstream.Answer, report martendrum.Report) {
+func (p *probe) Done(outcome martendrum.Outcome, answer *upstream.Answer, report martendrum.LoadReport) {
 	if outcome != martendrum.OK || answer == nil {
 		return
 	}
-	if !report.HasInFlight && !report.HasUtil {
+	if !report.HasInFlight && !report.HasUtilization {
 		report = upstream.ParseLoad(string(answer.Body))
 	}
-	p.host.handle(func(now time.Duration) { p.host.balancer.Probed(now, p.Server, report) })
+	p.host.handle(func(now time.Duration) { p.host.balancer.ProbeAnswered(now, p.Server, report) })
 }
--- a/internal/sidecar/recorder.go
+++ b/internal/sidecar/recorder.go
@@ -72,7 +72,7 @@
 func (h *Host) sendRecorded(entry Entry, a *attempt) {
 	entry.Sending(a.index, a.Server, func(ok bool) {
 		if !ok {
-			a.Done(martendrum.NotSent, nil, martendrum.Report{})
+			a.Done(martendrum.NotSent, nil, martendrum.LoadReport{})
 			return
 		}
 		h.mu.Lock()
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -33,8 +33,8 @@
 // Arrive implements front.Handler.
 func (h *Host) Arrive(x *front.Exchange) {
 	h.handle(func(now time.Duration) {
-		if !h.hasRoom() {
-			h.refuseForRoom(x)
+		if !h.reserveInFlight() {
+			h.rejectAtLimit(x)
 			return
 		}
 		request := h.newRequest(now, x)
@@ -50,12 +50,12 @@
 	})
 }
 
-// refuseForRoom refuses a request because too many are in flight.
-func (h *Host) refuseForRoom(x *front.Exchange) {
+// rejectAtLimit refuses a request because too many are in flight.
+func (h *Host) rejectAtLimit(x *front.Exchange) {
 	slog.Warn("request refused: too many held", "held", len(h.requests))
-	h.meter.Limited(metrics.InFlight)
+	h.meter.Limited(metrics.InFlightLimit)
 	retryAfter := h.limitRetryAfter()
-	h.enqueue(func() { x.Refuse(retryAfter) })
+	h.enqueue(func() { x.Reject(retryAfter) })
 	h.enqueue(x.Release)
 }
 
@@ -112,17 +112,17 @@
 func (h *Host) admit(now time.Duration, request *clientRequest) {
 	x := request.exchange
 	h.balancer.Arrive(now, martendrum.Request{
-		ID:       request.id,
-		Class:    x.Rules.Place,
-		Rules:    x.Rules.Rules,
-		Tenant:   h.settings.Tenant([]byte(x.Tenant)),
-		Deadline: request.deadline,
-		Large:    x.Request.Stream != nil,
+		ID:             request.id,
+		Class:          x.Rules.Place,
+		ClassAtArrival: x.Rules.Rules,
+		Tenant:         h.settings.Tenant([]byte(x.Tenant)),
+		Deadline:       request.deadline,
+		StreamedBody:   x.Request.Stream != nil,
 	})
 }
 
-// Gone implements front.Handler.
-func (h *Host) Gone(x *front.Exchange) (taken bool) {
+// ClientDisconnected implements front.Handler.
+func (h *Host) ClientDisconnected(x *front.Exchange) (taken bool) {
 	h.handle(func(now time.Duration) {
 		request, _ := x.State.(*clientRequest)
 		if request == nil || request.answered {
@@ -132,7 +132,7 @@
 		attempts := len(request.attempts)
 		h.enqueue(func() { logLeft(x, attempts) })
 		h.markAnswered(request)
-		h.balancer.ClientGone(now, request.id)
+		h.balancer.ClientDisconnected(now, request.id)
 		h.releaseIfDone(request)
 	})
 	return taken
@@ -144,9 +144,9 @@
 	slog.Info("client left before its answer", "class", x.Class, "after", time.Since(x.Received), "wait", x.Wait, "attempts", attempts)
 }
 
-// Refuse implements martendrum.Host.
-func (h *Host) Refuse(id martendrum.RequestID, retryAfter time.Duration) {
-	h.answer(id, func(x *front.Exchange) { x.Refuse(retryAfter) })
+// Reject implements martendrum.Host.
+func (h *Host) Reject(id martendrum.RequestID, retryAfter time.Duration) {
+	h.answer(id, func(x *front.Exchange) { x.Reject(retryAfter) })
 }
 
 // Fail implements martendrum.Host.
@@ -172,7 +172,7 @@
 	for _, a := range request.attempts {
 		if !a.ended && a.Withdraw() {
 			a.unsent = true
-			h.enqueue(func() { a.Done(martendrum.NotSent, nil, martendrum.Report{}) })
+			h.enqueue(func() { a.Done(martendrum.NotSent, nil, martendrum.LoadReport{}) })
 		}
 	}
 }
@@ -201,12 +201,12 @@
 		}
 	}
 	if request.awaitsRecord { // nothing was sent
-		h.Refuse(request.id, h.limitRetryAfter())
+		h.Reject(request.id, h.limitRetryAfter())
 	}
 	if !request.answered {
 		// Guards the rule of one final response, whatever the Balancer makes of it.
 		slog.Error("request unanswered at its deadline", "class", request.exchange.Class)
-		h.balancer.ClientGone(now, request.id)
+		h.balancer.ClientDisconnected(now, request.id)
 		h.Fail(request.id)
 	}
 }
--- a/internal/sidecar/servers.go
+++ b/internal/sidecar/servers.go
@@ -13,7 +13,7 @@
 func (h *Host) Servers() (listed, avoided int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.balancer.Servers(h.now())
+	return h.balancer.ServerCounts(h.now())
 }
 
 // Listed takes a list of servers, or the changes to it, from discovery.
@@ -33,13 +33,13 @@
 			listed[entry.Name] = true
 			h.updatePool(entry)
 		}
-		if list.Whole {
-			h.pool.Keep(listed)
+		if list.Complete {
+			h.pool.Retain(listed)
 		}
 		switch {
 		case known:
-			h.balancer.ServersKnown(now, endpoints)
-		case list.Whole:
+			h.balancer.ServersRestored(now, endpoints)
+		case list.Complete:
 			h.balancer.ServersListed(now, endpoints)
 		default:
 			h.balancer.ServersChanged(now, endpoints)
@@ -52,7 +52,7 @@
 	if entry.State == martendrum.Serving {
 		h.pool.Serve(entry.Name, entry.Address, entry.Started)
 	} else {
-		h.pool.Leave(entry.Name, entry.State == martendrum.Gone)
+		h.pool.Leave(entry.Name, entry.State == martendrum.Removed)
 	}
 }
 
@@ -63,10 +63,10 @@
 }
 
 // Subscribe implements martendrum.Host.
-func (h *Host) Subscribe() { h.enqueue(h.AskNow) }
+func (h *Host) Subscribe() { h.enqueue(h.PollNow) }
 
-// AskNow opens a watch at once, unless one is open.
-func (h *Host) AskNow() {
+// PollNow opens a watch at once, unless one is open.
+func (h *Host) PollNow() {
 	go func() {
 		if err := h.watcher.Watch(); !errors.Is(err, discovery.ErrOpen) {
 			h.DiscoveryFailed(err)
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -111,7 +111,7 @@
 			if due.request != nil {
 				h.expire(now, due.request)
 			} else {
-				h.balancer.Timer(now, due.cookie)
+				h.balancer.TimerFired(now, due.cookie)
 			}
 		}
 	})
--- a/internal/stopplan/stopplan.go
+++ b/internal/stopplan/stopplan.go
@@ -10,18 +10,18 @@
 import "time"
 
 const (
-	// DeadlineCountsMost is the most that a supervisor counts of the longest deadline.
-	DeadlineCountsMost = 3 * time.Second
+	// MaxDeadline is the most that a supervisor counts of the longest deadline.
+	MaxDeadline = 3 * time.Second
 	// KillGrace is what a supervisor adds to it.
 	KillGrace = 700 * time.Millisecond
-	// HeldUpMost is how long the process may be kept from running at any moment. Whatever
+	// MaxStall is how long the process may be kept from running at any moment. Whatever
 	// the plan does last is that much earlier than the kill.
-	HeldUpMost = 150 * time.Millisecond
-	// NewConnectionsMost is how long clients may go on connecting after the signal.
-	NewConnectionsMost = 400 * time.Millisecond
-	// SilentMost is for how long, after its accept, a connection that says nothing is waited
+	MaxStall = 150 * time.Millisecond
+	// MaxAcceptPeriod is how long clients may go on connecting after the signal.
+	MaxAcceptPeriod = 400 * time.Millisecond
+	// MaxIdleConnection is for how long, after its accept, a connection that says nothing is waited
 	// for. It is closed then.
-	SilentMost = 500 * time.Millisecond
+	MaxIdleConnection = 500 * time.Millisecond
 
 	answerMargin = 400 * time.Millisecond // from the last answer to the kill
 	endMargin    = 200 * time.Millisecond // from the end to the kill
@@ -44,7 +44,7 @@
 
 // For returns the plan of a deployment by the longest deadline of its classes.
 func For(longest time.Duration) Plan {
-	kill := min(max(longest, 0), DeadlineCountsMost) + KillGrace
+	kill := min(max(longest, 0), MaxDeadline) + KillGrace
 	return Plan{
 		Kill:          kill,
 		StopAccepting: min(acceptMost, kill-acceptMargin),
--- a/internal/stopplan/stopplan_test.go
+++ b/internal/stopplan/stopplan_test.go
@@ -15,15 +15,15 @@
 			t.Errorf("%v: the kill is expected at %v, it may come at %v", longest, plan.Kill, earliest)
 		}
 		for name, at := range map[string]time.Duration{"the last accept": plan.StopAccepting, "the last answer": plan.AnswerAll, "the end": plan.End} {
-			if at+HeldUpMost >= earliest {
+			if at+MaxStall >= earliest {
 				t.Errorf("%v: %s at %v, and the kill at %v", longest, name, at, earliest)
 			}
 		}
 		if plan.AnswerAll >= plan.End {
 			t.Errorf("%v: all is answered at %v, and the end is at %v", longest, plan.AnswerAll, plan.End)
 		}
-		if plan.StopAccepting < NewConnectionsMost {
-			t.Errorf("%v: clients connect up to %v, they are accepted up to %v", longest, NewConnectionsMost, plan.StopAccepting)
+		if plan.StopAccepting < MaxAcceptPeriod {
+			t.Errorf("%v: clients connect up to %v, they are accepted up to %v", longest, MaxAcceptPeriod, plan.StopAccepting)
 		}
 		// A request that was taken at the signal has its whole time, but for what the kill takes.
 		if whole := min(longest, 3*time.Second); plan.AnswerAll < whole {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -46,7 +46,7 @@
 	// Done takes the outcome; answer is set for OK. Only the first call counts. The rest
 	// of an answer that is not complete can be read until Done returns; if it is not read
 	// to its end by then, the connection is closed.
-	Done(outcome martendrum.Outcome, answer *Answer, report martendrum.Report)
+	Done(outcome martendrum.Outcome, answer *Answer, report martendrum.LoadReport)
 }
 
 // Attempt is one send of a request to one server.
@@ -78,7 +78,7 @@
 
 	mu         sync.Mutex
 	conn       *conn
-	ended      bool // abandoned, or its connection is of no more use
+	closed     bool // abandoned, or its connection is of no more use
 	began      bool // the first byte may have been written
 	written    bool // the last byte has been written
 	readFailed bool // the connection broke before the writing was over
@@ -108,7 +108,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.began {
-		a.ended = true
+		a.closed = true
 	}
 	return !a.began
 }
@@ -118,7 +118,7 @@
 func (a *Attempt) Abandon() (began bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ended = true
+	a.closed = true
 	return a.began
 }
 
@@ -143,7 +143,7 @@
 
 // done reports an outcome without an answer.
 func (a *Attempt) done(outcome martendrum.Outcome) {
-	a.Sink.Done(outcome, nil, martendrum.Report{})
+	a.Sink.Done(outcome, nil, martendrum.LoadReport{})
 }
 
 // recoverPanic keeps a panic to the attempt that it came from. It is deferred.
@@ -197,12 +197,12 @@
 // not be sent any more. The client's connection is looked at here, not only by the goroutine
 // that reads from it: after the process has been held up, this one may run first.
 func (a *Attempt) begin(c *conn) bool {
-	pastGrace := a.pool.pastDrainGrace(a.server) // the dial may have taken long
+	pastGrace := a.pool.isDrainGraceOver(a.server) // the dial may have taken long
 	left := a.Left != nil && a.Left()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.ended || pastGrace || left || !time.Now().Before(a.latest()) {
-		a.ended = true
+	if a.closed || pastGrace || left || !time.Now().Before(a.latest()) {
+		a.closed = true
 		return false
 	}
 	a.conn, a.began = c, true
@@ -217,8 +217,8 @@
 	return a.Latest
 }
 
-// hasBegunOn reports whether the attempt has begun on c: what arrives there is for it.
-func (a *Attempt) hasBegunOn(c *conn) bool {
+// hasStartedOn reports whether the attempt has begun on c: what arrives there is for it.
+func (a *Attempt) hasStartedOn(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.began && a.conn == c
@@ -228,5 +228,5 @@
 func (a *Attempt) isWritten() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.written && !a.ended
+	return a.written && !a.closed
 }
--- a/internal/upstream/errno_test.go
+++ b/internal/upstream/errno_test.go
@@ -141,7 +141,7 @@
 				if e.o != test.want {
 					t.Errorf("%v: outcome %v, want %v", errno, e.o, test.want)
 				}
-				if e.o.NeverRan() && s.arrived() {
+				if e.o.ProvablyNotExecuted() && s.arrived() {
 					t.Errorf("%v: outcome %v, and the server has the request", errno, e.o)
 				}
 				eventually(t, "no connection", func() bool { return p.Conns() == 0 })
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -12,7 +12,7 @@
 
 // ParseLoad reads a load report: name=value, separated by commas. A value that is no
 // load is ignored: one that is not a number would spoil every comparison.
-func ParseLoad(text string) (report martendrum.Report) {
+func ParseLoad(text string) (report martendrum.LoadReport) {
 	for text != "" {
 		var field string
 		field, text, _ = strings.Cut(text, ",")
@@ -25,7 +25,7 @@
 		case "inflight", "busy_reqs":
 			report.InFlight, report.HasInFlight = load, true
 		case "util", "cpu_share":
-			report.Util, report.HasUtil = load, true
+			report.Utilization, report.HasUtilization = load, true
 		}
 	}
 	return report
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -17,29 +17,29 @@
 	ConnIdle    time.Duration // servers close connections that have been idle for so long
 	DialTimeout time.Duration
 	DrainGrace  time.Duration // no attempt starts later than this after its server began to drain
-	MostConns   int           // connections at once, those being dialled included
+	MaxConns    int           // connections at once, those being dialled included
 }
 
 // Pool keeps the connections to all servers.
 type Pool struct {
 	dial func(addr string, most time.Duration) (net.Conn, error) // opens a connection; a test's may fail
 
-	mu          sync.Mutex
-	config      Config
-	servers     map[string]*server
-	conns       int           // open or being dialled
-	minRest     time.Duration // a connection is not reused sooner
-	strayRest   time.Duration // nor sooner than this, to a server that sent strays
-	brokenShare float64       // running share of reused connections that broke at their next request
+	mu              sync.Mutex
+	config          Config
+	servers         map[string]*server
+	conns           int           // open or being dialled
+	minRest         time.Duration // a connection is not reused sooner
+	unsolicitedRest time.Duration // nor sooner than this, to a server that sent strays
+	brokenFraction  float64       // running share of reused connections that broke at their next request
 }
 
 // server is where a server is, and the idle connections to it, oldest first.
 type server struct {
-	name, addr string
-	started    time.Duration
-	drainedAt  time.Time // when it was reported to drain or to have gone; zero: it serves
-	strayAt    time.Time // when it last sent bytes that belong to no request; zero: never
-	idle       []*conn
+	name, addr    string
+	started       time.Duration
+	drainedAt     time.Time // when it was reported to drain or to have gone; zero: it serves
+	unsolicitedAt time.Time // when it last sent bytes that belong to no request; zero: never
+	idle          []*conn
 }
 
 // conn is one connection to a server. Its goroutine reads for as long as it is
@@ -59,7 +59,7 @@
 
 // New returns an empty Pool.
 func New(config Config) *Pool {
-	return &Pool{dial: dialTCP, config: config, servers: make(map[string]*server), minRest: defaultMinRest, strayRest: defaultStrayRest}
+	return &Pool{dial: dialTCP, config: config, servers: make(map[string]*server), minRest: defaultMinRest, unsolicitedRest: defaultUnsolicitedRest}
 }
 
 // Limit replaces the limits, for attempts still to come.
@@ -74,14 +74,14 @@
 func (p *Pool) idleTimeout() time.Duration { return p.config.ConnIdle * 6 / 10 }
 
 const (
-	// maxBrokenShare is the share of reused connections that may break at their next
+	// maxBrokenFraction is the share of reused connections that may break at their next
 	// request before requests that can't be repeated are sent on new ones;
-	// brokenShareWeight is the weight of one observation in its running mean. Guards
+	// brokenFractionWeight is the weight of one observation in its running mean. Guards
 	// against servers, or middleboxes, that drop connections silently: such a request
 	// fails for good, a new connection costs a handshake. Its cost: handshakes, where
 	// the breaks have another cause.
-	maxBrokenShare    = 0.01
-	brokenShareWeight = 0.03
+	maxBrokenFraction    = 0.01
+	brokenFractionWeight = 0.03
 	// breakWindow is how soon such a break shows. Later ones are the request's own.
 	breakWindow = 20 * time.Millisecond
 )
@@ -96,7 +96,7 @@
 		share = 1
 	}
 	p.mu.Lock()
-	p.brokenShare += brokenShareWeight * (share - p.brokenShare)
+	p.brokenFraction += brokenFractionWeight * (share - p.brokenFraction)
 	p.mu.Unlock()
 }
 
@@ -135,8 +135,8 @@
 	closeAll(old)
 }
 
-// Keep forgets all servers but those listed.
-func (p *Pool) Keep(listed map[string]bool) {
+// Retain forgets all servers but those listed.
+func (p *Pool) Retain(listed map[string]bool) {
 	var gone []string
 	p.mu.Lock()
 	for name := range p.servers {
@@ -179,7 +179,7 @@
 func (p *Pool) Trim() {
 	p.mu.Lock()
 	var old []*conn
-	for p.conns > p.config.MostConns {
+	for p.conns > p.config.MaxConns {
 		c := p.longestIdle()
 		if c == nil {
 			break
@@ -246,7 +246,7 @@
 		return nil, "", false // gone between the decision and now
 	}
 	a.server, a.dialTimeout = s, p.config.DialTimeout
-	needsNew := a.Once && p.brokenShare > maxBrokenShare
+	needsNew := a.Once && p.brokenFraction > maxBrokenFraction
 	if !needsNew {
 		if c, expired = p.acquireIdle(s, now); c != nil {
 			c.owner, a.reused = a, true
@@ -260,7 +260,7 @@
 		expired = append(expired, s.idle[0])
 		p.remove(s.idle[0])
 	}
-	if p.conns >= p.config.MostConns {
+	if p.conns >= p.config.MaxConns {
 		oldest := p.longestIdle()
 		if oldest == nil {
 			slog.Warn("no descriptor left for a connection to a server", "conns", p.conns)
@@ -337,8 +337,8 @@
 	p.mu.Unlock()
 }
 
-// pastDrainGrace reports whether the grace of a server that drains or has gone is over.
-func (p *Pool) pastDrainGrace(s *server) bool {
+// isDrainGraceOver reports whether the grace of a server that drains or has gone is over.
+func (p *Pool) isDrainGraceOver(s *server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !s.drainedAt.IsZero() && time.Since(s.drainedAt) > p.config.DrainGrace
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -45,9 +45,9 @@
 			p.remove(c)
 		}
 		p.mu.Unlock()
-		if a == nil || !a.hasBegunOn(c) {
+		if a == nil || !a.hasStartedOn(c) {
 			if err == nil {
-				p.noteStray(c.server)
+				p.recordUnsolicited(c.server)
 			}
 			return
 		}
@@ -115,7 +115,7 @@
 // to its end.
 func (a *Attempt) canReuse(c *conn, resp *http.Response) bool {
 	if c.input.Buffered() > 0 {
-		a.pool.noteStray(c.server)
+		a.pool.recordUnsolicited(c.server)
 		return false
 	}
 	return !resp.Close && a.isWritten()
@@ -125,7 +125,7 @@
 func outcomeOf(resp *http.Response) martendrum.Outcome {
 	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	if unavailable && resp.Header.Get("Srv-Declined") == "1" {
-		return martendrum.Full
+		return martendrum.Rejected
 	}
 	return martendrum.ServerError
 }
--- a/internal/upstream/rest.go
+++ b/internal/upstream/rest.go
@@ -12,27 +12,27 @@
 const defaultMinRest = 3 * time.Millisecond
 
 const (
-	// defaultStrayRest is how long a connection rests before its next request once its
+	// defaultUnsolicitedRest is how long a connection rests before its next request once its
 	// server has sent a stray: bytes that came while no request was open, such as an answer
 	// that is sent twice. What tells a stray from an answer is only that it comes first. Its
 	// cost: more connections to such a server.
-	defaultStrayRest = 50 * time.Millisecond
-	// strayMemory is for how long after a stray its server is not trusted.
-	strayMemory = 30 * time.Second
+	defaultUnsolicitedRest = 50 * time.Millisecond
+	// unsolicitedMemory is for how long after a stray its server is not trusted.
+	unsolicitedMemory = 30 * time.Second
 )
 
 // restOf returns how long a connection to s rests before its next request. The lock is held.
 func (p *Pool) restOf(s *server, now time.Time) time.Duration {
-	if s.strayAt.IsZero() || now.Sub(s.strayAt) > strayMemory {
+	if s.unsolicitedAt.IsZero() || now.Sub(s.unsolicitedAt) > unsolicitedMemory {
 		return p.minRest
 	}
-	return max(p.minRest, p.strayRest)
+	return max(p.minRest, p.unsolicitedRest)
 }
 
-// noteStray notes that s has sent bytes that belong to no request.
-func (p *Pool) noteStray(s *server) {
+// recordUnsolicited notes that s has sent bytes that belong to no request.
+func (p *Pool) recordUnsolicited(s *server) {
 	p.mu.Lock()
-	s.strayAt = time.Now()
+	s.unsolicitedAt = time.Now()
 	p.mu.Unlock()
-	slog.Warn("a server sent what belongs to no request: its connections rest longer", "server", s.name, "rest", p.strayRest)
+	slog.Warn("a server sent what belongs to no request: its connections rest longer", "server", s.name, "rest", p.unsolicitedRest)
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -21,12 +21,12 @@
 type ending struct {
 	o   martendrum.Outcome
 	ans *Answer
-	rep martendrum.Report
+	rep martendrum.LoadReport
 }
 
 type sink chan ending
 
-func (s sink) Done(o martendrum.Outcome, ans *Answer, rep martendrum.Report) {
+func (s sink) Done(o martendrum.Outcome, ans *Answer, rep martendrum.LoadReport) {
 	select {
 	case s <- ending{o, ans, rep}:
 	default: // only the first counts
@@ -44,7 +44,7 @@
 }
 
 func newPool(addr string) *Pool {
-	p := New(Config{ConnIdle: time.Minute, DialTimeout: patience, DrainGrace: patience, MostConns: 20})
+	p := New(Config{ConnIdle: time.Minute, DialTimeout: patience, DrainGrace: patience, MaxConns: 20})
 	p.Serve("s", addr, 0)
 	return p
 }
@@ -251,7 +251,7 @@
 		p := newPool(addr)
 		p.minRest = 0
 		until := time.Now().Add(patience)
-		for p.share() <= maxBrokenShare && breaks || p.idles("s") == 0 {
+		for p.share() <= maxBrokenFraction && breaks || p.idles("s") == 0 {
 			if time.Now().After(until) {
 				t.Fatal("no break was noticed, or no connection kept")
 			}
@@ -281,7 +281,7 @@
 		io.WriteString(c, good)
 	}))
 	p.minRest = 0
-	p.brokenShare = 1
+	p.brokenFraction = 1
 	const rounds, most = 10, 50
 	kept := 0
 	for n := 0; kept < rounds; n++ {
@@ -310,7 +310,7 @@
 func (p *Pool) share() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.brokenShare
+	return p.brokenFraction
 }
 
 // What has come on a kept connection before a request goes out on it is no answer to
@@ -410,7 +410,7 @@
 					io.WriteString(c, good+good)
 				}
 			}))
-			p.minRest, p.strayRest = 0, patience
+			p.minRest, p.unsolicitedRest = 0, patience
 			ask(t, p)
 			close(stray)
 			eventually(t, "the end of the connection with the stray", func() bool { return p.Conns() == 0 })
@@ -470,8 +470,8 @@
 
 // Load reports that are no numbers change nothing.
 func TestParseLoad(t *testing.T) {
-	for text, want := range map[string]martendrum.Report{
-		"inflight=7,queue=2,util=0.61":    {HasInFlight: true, InFlight: 7, HasUtil: true, Util: 0.61},
+	for text, want := range map[string]martendrum.LoadReport{
+		"inflight=7,queue=2,util=0.61":    {HasInFlight: true, InFlight: 7, HasUtilization: true, Utilization: 0.61},
 		"inflight=NaN,util=Inf":           {},
 		"inflight=-3,util=-0.1":           {},
 		"inflight=1e300":                  {},
--- a/learned_test.go
+++ b/learned_test.go
@@ -21,32 +21,32 @@
 		}
 		switch r.servers[before] {
 		case "dead":
-			old.Done(now+ms, id, 0, ConnectFailed, false, Report{})
+			old.AttemptFinished(now+ms, id, 0, ConnectFailed, false, LoadReport{})
 		case "slow":
-			old.Done(now+80*ms, id, 0, OK, true, Report{})
+			old.AttemptFinished(now+80*ms, id, 0, OK, true, LoadReport{})
 		default:
-			old.Done(now+10*ms, id, 0, OK, true, Report{})
+			old.AttemptFinished(now+10*ms, id, 0, OK, true, LoadReport{})
 		}
 		now += 90 * ms
 	}
-	l := old.Learned(now)
+	l := old.LearnedState(now)
 	list[4].Started = 3 * time.Second // it has started anew since
 	next, _ := newTest(t, testConfig(), list...)
-	next.Learn(now, l, 0)
-	if next.reissue.d != old.reissue.d || next.reissue.q != old.reissue.q || len(next.reissue.primary.buf) != len(old.reissue.primary.buf) {
-		t.Errorf("d %v, q %v of %v, %v", next.reissue.d, next.reissue.q, old.reissue.d, old.reissue.q)
+	next.Restore(now, l, 0)
+	if next.hedger.delay != old.hedger.delay || next.hedger.probability != old.hedger.probability || len(next.hedger.primary.buf) != len(old.hedger.primary.buf) {
+		t.Errorf("d %v, q %v of %v, %v", next.hedger.delay, next.hedger.probability, old.hedger.delay, old.hedger.probability)
 	}
 	for _, name := range []string{"a", "slow", "dead"} {
-		a, b := old.fleet.byName[name], next.fleet.byName[name]
-		if a.learned != b.learned || a.latency(now) != b.latency(now) || now < a.ejectedUntil != (now < b.ejectedUntil) {
+		a, b := old.endpoints.byName[name], next.endpoints.byName[name]
+		if a.weightCorrection != b.weightCorrection || a.latency(now) != b.latency(now) || now < a.ejectedUntil != (now < b.ejectedUntil) {
 			t.Errorf("%s: %+v, want %+v", name, b, a)
 		}
 	}
-	if s := next.fleet.byName["new"]; s.learned != 1 || s.latN != 0 {
+	if s := next.endpoints.byName["new"]; s.weightCorrection != 1 || s.latencyWeight != 0 {
 		t.Errorf("a server that started anew: %+v", s)
 	}
-	again := next.Learned(now)
-	l.Servers, again.Servers, l.Lost, again.Lost = nil, nil, 0, 0 // the one that started anew; one step of the running share
+	again := next.LearnedState(now)
+	l.Servers, again.Servers, l.LostFraction, again.LostFraction = nil, nil, 0, 0 // the one that started anew; one step of the running share
 	if !reflect.DeepEqual(l, again) {
 		t.Errorf("passed on again: %+v, want %+v", again, l)
 	}
--- a/pick_capacity_test.go
+++ b/pick_capacity_test.go
@@ -20,7 +20,7 @@
 
 func (h *discardHost) Send(RequestID, string, time.Duration, time.Duration) {}
 func (h *discardHost) Cancel(RequestID, int)                                {}
-func (h *discardHost) Refuse(RequestID, time.Duration)                      {}
+func (h *discardHost) Reject(RequestID, time.Duration)                      {}
 func (h *discardHost) Fail(RequestID)                                       {}
 func (h *discardHost) SetTimer(cookie uint64, _ time.Duration)              { h.timer = cookie }
 func (h *discardHost) CloseIdle(string)                                     {}
@@ -31,7 +31,7 @@
 func capacityList(size int) []Endpoint {
 	list := make([]Endpoint, size)
 	for i := range list {
-		list[i] = Endpoint{Name: fmt.Sprintf("server-%05d", i), Zone: fmt.Sprintf("zone-%02d", i%27), Hint: 1}
+		list[i] = Endpoint{Name: fmt.Sprintf("server-%05d", i), Zone: fmt.Sprintf("zone-%02d", i%27), CapacityHint: 1}
 	}
 	return list
 }
@@ -48,8 +48,8 @@
 // serveOne plays one request from its arrival to its good answer.
 func serveOne(balancer *Balancer, host *discardHost, now time.Duration, id RequestID) {
 	balancer.Arrive(now, Request{ID: id, Deadline: now + 300*ms})
-	balancer.Done(now+ms, id, 0, OK, true, Report{})
-	balancer.Timer(now+100*ms, host.timer)
+	balancer.AttemptFinished(now+ms, id, 0, OK, true, LoadReport{})
+	balancer.TimerFired(now+100*ms, host.timer)
 }
 
 // BenchmarkDecisionCapacity is all decisions about one request, at 62 requests a second.
--- a/pick_test.go
+++ b/pick_test.go
@@ -17,7 +17,7 @@
 
 // Each request stays out, so that two-choice must keep the in-flight even.
 func TestTwoChoiceEvensInFlight(t *testing.T) {
-	b, r := newTest(t, testConfig(), fleetOf(setMin)...)
+	b, r := newTest(t, testConfig(), fleetOf(minWorkingSet)...)
 	b.noCopies()
 	for id := RequestID(1); id <= 100; id++ {
 		b.Arrive(0, Request{ID: id, Deadline: 300 * ms})
@@ -28,7 +28,7 @@
 	}
 	for name, n := range count {
 		if n < 18 || n > 32 {
-			t.Errorf("%s holds %d of 100 over %d servers", name, n, setMin)
+			t.Errorf("%s holds %d of 100 over %d servers", name, n, minWorkingSet)
 		}
 	}
 }
@@ -37,7 +37,7 @@
 	for name, list := range map[string][]Endpoint{
 		"none":         nil,
 		"all draining": {{Name: "a", State: Draining}, {Name: "b", State: Draining}},
-		"all gone":     {{Name: "a", State: Gone}},
+		"all gone":     {{Name: "a", State: Removed}},
 	} {
 		b, r := newTest(t, testConfig(), list...)
 		for class := range 3 {
@@ -58,22 +58,22 @@
 // All suspect: the capped share keeps some in, and a lone suspect still serves.
 func TestEjectionIsCapped(t *testing.T) {
 	b, _ := newTest(t, testConfig(), fleetOf(10)...)
-	b.fleet.refresh(0)
-	for _, s := range b.fleet.members {
+	b.endpoints.refresh(0)
+	for _, s := range b.endpoints.members {
 		for range 3 {
-			b.fleet.failed(s, 0)
+			b.endpoints.recordFailure(s, 0)
 		}
 	}
-	if len(b.fleet.ejected) != 4 {
-		t.Errorf("%d of 10 ejected, want 4", len(b.fleet.ejected))
+	if len(b.endpoints.ejected) != 4 {
+		t.Errorf("%d of 10 ejected, want 4", len(b.endpoints.ejected))
 	}
-	b.fleet.refresh(time.Minute)
-	if len(b.fleet.ejected) != 0 {
-		t.Errorf("%d still ejected after a minute", len(b.fleet.ejected))
+	b.endpoints.refresh(time.Minute)
+	if len(b.endpoints.ejected) != 0 {
+		t.Errorf("%d still ejected after a minute", len(b.endpoints.ejected))
 	}
 }
 
-// A restarted server must get only its cold share: no more than coldPart of
+// A restarted server must get only its cold share: no more than slowStartSafetyFactor of
 // what would fell it, judged by what its warm peers get.
 func TestColdPacing(t *testing.T) {
 	cfg := testConfig()
@@ -89,7 +89,7 @@
 		if r.servers[id-1] == "s000" {
 			cold++
 		}
-		b.Done(now, id, 0, OK, true, Report{})
+		b.AttemptFinished(now, id, 0, OK, true, LoadReport{})
 	}
 	// 2 s, a quarter of the sends would be 100; it has 0.2 to 0.36 of its capacity.
 	if cold == 0 || cold > 60 {
@@ -101,27 +101,27 @@
 func TestColdSamplingAndRoom(t *testing.T) {
 	list := fleetOf(2)
 	b, _ := newTest(t, testConfig(), list...)
-	f, now := &b.fleet, 100*time.Second
+	f, now := &b.endpoints, 100*time.Second
 	list[0].Started = now
 	b.ServersChanged(now, list[:1])
 	f.refresh(now)
 	cold, warm := f.weights[0], f.weights[1]-f.weights[0]
-	if f.set[0].name != "s000" {
+	if f.workingSet[0].name != "s000" {
 		cold, warm = warm, cold
 	}
 	if cold != 0.2*warm {
 		t.Errorf("a fresh server weighs %v of a warm one's %v, want its cold share", cold, warm)
 	}
 	s := f.byName["s000"]
-	s.cold.tokens = 1
-	if !f.coldRoom(s, now) {
+	s.slowStartTokens.tokens = 1
+	if !f.hasSlowStartBudget(s, now) {
 		t.Error("no room for a first send")
 	}
-	f.noteSend(s, now)
-	if f.coldRoom(s, now) {
+	f.recordSend(s, now)
+	if f.hasSlowStartBudget(s, now) {
 		t.Error("room for a second send at once")
 	}
-	if !f.coldRoom(s, now+10*time.Second) {
+	if !f.hasSlowStartBudget(s, now+10*time.Second) {
 		t.Error("no room once warm")
 	}
 }
@@ -131,19 +131,19 @@
 func TestColdGuestGetsNothing(t *testing.T) {
 	list := fleetOf(12)
 	b, _ := newTest(t, testConfig(), list...)
-	f, now := &b.fleet, 100*time.Second
+	f, now := &b.endpoints, 100*time.Second
 	for i := range list {
 		list[i].Started = now
 	}
 	b.ServersChanged(now, list)
 	f.refresh(now)
-	if len(f.set) == len(f.members) {
+	if len(f.workingSet) == len(f.members) {
 		t.Fatal("no guests to test with")
 	}
 	for _, s := range f.members {
-		s.cold.tokens = 1
-		if f.coldRoom(s, now) != s.inSet {
-			t.Errorf("%s: in the set %v, room %v", s.name, s.inSet, !s.inSet)
+		s.slowStartTokens.tokens = 1
+		if f.hasSlowStartBudget(s, now) != s.inWorkingSet {
+			t.Errorf("%s: in the set %v, room %v", s.name, s.inWorkingSet, !s.inWorkingSet)
 		}
 	}
 }
@@ -161,25 +161,25 @@
 			now += 5 * ms
 			b.Arrive(now, Request{ID: id, Deadline: now + 300*ms})
 			for k := range 4 {
-				b.Done(now, id, k, o, o == OK, Report{})
+				b.AttemptFinished(now, id, k, o, o == OK, LoadReport{})
 			}
 		}
 		list[0].Started = now
 		b.ServersChanged(now, list[:1])
-		f := &b.fleet
+		f := &b.endpoints
 		f.refresh(now)
 		s := f.byName["s000"]
-		f.coldRoom(s, now)
+		f.hasSlowStartBudget(s, now)
 		for end := now + time.Second; now < end; now += ms {
-			f.sent, f.sentAt = 800, now // the same rate all the time
-			if f.coldRoom(s, now) {
-				f.noteSend(s, now)
+			f.sendCount, f.sendCountAt = 800, now // the same rate all the time
+			if f.hasSlowStartBudget(s, now) {
+				f.recordSend(s, now)
 				n++
 			}
 		}
 		return n
 	}
-	if taken, full := room(OK), room(Full); full > taken/4 {
+	if taken, full := room(OK), room(Rejected); full > taken/4 {
 		t.Errorf("%d sends to a cold server where all are taken, %d where none is", taken, full)
 	}
 }
@@ -193,7 +193,7 @@
 	used := map[string]bool{}
 	for id := RequestID(1); id <= 200; id++ {
 		b.Arrive(0, Request{ID: id, Deadline: 300 * ms})
-		b.Done(0, id, 0, OK, true, Report{})
+		b.AttemptFinished(0, id, 0, OK, true, LoadReport{})
 		used[r.servers[id-1]] = true
 	}
 	if len(used) > 4 {
@@ -211,20 +211,20 @@
 			b.Arrive(ms, Request{ID: id, Class: 2, Deadline: 300 * ms})
 		}
 		if answers {
-			for n, s := range b.fleet.members { // each answers one more
+			for n, s := range b.endpoints.members { // each answers one more
 				id := RequestID(100 + n)
 				b.Arrive(50*ms, Request{ID: id, Class: 2, Deadline: 300 * ms})
-				b.requests[id].attempts[0].to.inFlight--
-				b.requests[id].attempts[0].to = s
+				b.requests[id].attempts[0].server.inFlight--
+				b.requests[id].attempts[0].server = s
 				s.inFlight++
-				b.Done(60*ms, id, 0, Full, true, Report{})
+				b.AttemptFinished(60*ms, id, 0, Rejected, true, LoadReport{})
 			}
 		}
 		for _, cookie := range r.timers[:20] {
-			b.admit.level = 0
-			b.Timer(100*ms, cookie)
+			b.admission.shedLevel = 0
+			b.TimerFired(100*ms, cookie)
 		}
-		if out := len(b.fleet.ejected); (out == 0) != answers {
+		if out := len(b.endpoints.ejected); (out == 0) != answers {
 			t.Errorf("answers others: %v, %d left out", answers, out)
 		}
 	}
@@ -236,13 +236,13 @@
 	for _, dead := range []bool{false, true} {
 		b, r := newTest(t, testConfig(), fleetOf(5)...)
 		b.noCopies()
-		b.retries = 0
+		b.retryTokens = 0
 		now, step := time.Second, ms/4 // all is over before any server can seem silent
 		if dead {
 			step = ms
 		}
-		for _, s := range b.fleet.members {
-			s.heardAt = now
+		for _, s := range b.endpoints.members {
+			s.answeredAt = now
 		}
 		for id := RequestID(1); id <= 300; id++ {
 			now += step
@@ -250,18 +250,18 @@
 			b.Arrive(now, Request{ID: id, Deadline: now + 300*ms})
 			for n, s := range r.servers[sends:] {
 				if o := Reset; id%9 < 3 && !dead || dead && s == "s001" {
-					b.Done(now, id, n, o, false, Report{})
+					b.AttemptFinished(now, id, n, o, false, LoadReport{})
 					if got := len(r.servers) - sends; got != 2 {
 						t.Fatalf("%d sends of a request that broke, want 2", got)
 					}
-					b.Done(now, id, n+1, OK, true, Report{})
+					b.AttemptFinished(now, id, n+1, OK, true, LoadReport{})
 				} else {
-					b.Done(now, id, n, OK, true, Report{})
+					b.AttemptFinished(now, id, n, OK, true, LoadReport{})
 				}
 			}
-			b.retries = 0
+			b.retryTokens = 0
 		}
-		if out := len(b.fleet.ejected); (out > 0) != dead {
+		if out := len(b.endpoints.ejected); (out > 0) != dead {
 			t.Errorf("dead %v: %d servers left out", dead, out)
 		}
 	}
@@ -272,7 +272,7 @@
 func TestServerThatFailsOneClass(t *testing.T) {
 	b, r := newTest(t, testConfig(), fleetOf(5)...)
 	b.noCopies()
-	bad, asked := b.fleet.byName["s001"], [2]int{}
+	bad, asked := b.endpoints.byName["s001"], [2]int{}
 	for id := RequestID(1); id <= 1000; id++ {
 		now, class := time.Second+time.Duration(id)*ms, int(id%2)*2
 		b.Arrive(now, Request{ID: id, Class: class, Deadline: now + 300*ms})
@@ -282,13 +282,13 @@
 				o = ServerError
 			}
 		}
-		b.Done(now, id, 0, o, true, Report{})
+		b.AttemptFinished(now, id, 0, o, true, LoadReport{})
 	}
-	if asked[1] > 5 || asked[0] < 20 || bad.learned > 1.5 || bad.ejectedUntil > 0 {
-		t.Errorf("asked %v, weight %v, left out until %v", asked, bad.learned, bad.ejectedUntil)
+	if asked[1] > 5 || asked[0] < 20 || bad.weightCorrection > 1.5 || bad.ejectedUntil > 0 {
+		t.Errorf("asked %v, weight %v, left out until %v", asked, bad.weightCorrection, bad.ejectedUntil)
 	}
-	for _, s := range b.fleet.members {
-		s.sick = map[int]bucket{0: {1, 3 * time.Second}, 1: {1, 3 * time.Second}, 2: {1, 3 * time.Second}}
+	for _, s := range b.endpoints.members {
+		s.errorRates = map[int]tokenBucket{0: {1, 3 * time.Second}, 1: {1, 3 * time.Second}, 2: {1, 3 * time.Second}}
 	}
 	sends := len(r.servers)
 	b.Arrive(3*time.Second, Request{ID: 2000, Class: 2, Deadline: 4 * time.Second})
@@ -301,30 +301,30 @@
 // fades between any two outcomes rests far lower.
 func TestShedLevelHoldsBetweenOutcomes(t *testing.T) {
 	cfg := testConfig()
-	a := admitter{cfg: &cfg}
+	a := admissionController{config: &cfg}
 	a.configure()
 	for i := range 200 { // half are late, twice a second
-		a.outcome(false, i%2 == 0, 2, time.Duration(i)*500*ms)
+		a.recordOutcome(false, i%2 == 0, 2, time.Duration(i)*500*ms)
 	}
-	if a.level < 0.9 {
-		t.Errorf("level %v with half of the answers late", a.level)
+	if a.shedLevel < 0.9 {
+		t.Errorf("level %v with half of the answers late", a.shedLevel)
 	}
 }
 
 // What is shed brings no answers to lower the level: a quiet balancer takes
 // larger steps, and the level fades by itself, or it outlives its cause.
 func TestShedLevelFallsWhenQuiet(t *testing.T) {
-	a := admitter{cfg: &Config{Classes: make([]Class, 1)}}
+	a := admissionController{config: &Config{Classes: make([]Class, 1)}}
 	a.configure()
-	a.level = 0.6
+	a.shedLevel = 0.6
 	for range 15 {
-		a.outcome(false, false, 1, 0)
+		a.recordOutcome(false, false, 1, 0)
 	}
-	if a.level > 0.05 {
-		t.Errorf("level %v after 15 calm answers of a quiet balancer", a.level)
+	if a.shedLevel > 0.05 {
+		t.Errorf("level %v after 15 calm answers of a quiet balancer", a.shedLevel)
 	}
-	a.level, a.share[0] = 0.9, 1
-	if before, after := a.odds(0, 0), a.odds(0, 2*shedMemory); before < 0.5 || after > before/4 {
+	a.shedLevel, a.arrivalFractions[0] = 0.9, 1
+	if before, after := a.shedProbability(0, 0), a.shedProbability(0, 2*shedMemory); before < 0.5 || after > before/4 {
 		t.Errorf("odds went from %v to %v with no outcome for long", before, after)
 	}
 }
@@ -333,10 +333,10 @@
 // balancer's requests may be a jam that its old answers do not show yet.
 func TestInFlightComesFirst(t *testing.T) {
 	b, _ := newTest(t, testConfig(), fleetOf(2)...)
-	busy, slow := b.fleet.byName["s000"], b.fleet.byName["s001"]
+	busy, slow := b.endpoints.byName["s000"], b.endpoints.byName["s001"]
 	busy.inFlight = 1
-	slow.load, slow.latSum, slow.latN = jammedLoad, 40, 10
-	if b.fleet.cost(busy, 0) <= b.fleet.cost(slow, 0) {
+	slow.load, slow.latencySum, slow.latencyWeight = overloadedLoad, 40, 10
+	if b.endpoints.cost(busy, 0) <= b.endpoints.cost(slow, 0) {
 		t.Error("a server with a request in flight costs less than an idle one")
 	}
 }
@@ -344,21 +344,21 @@
 // The least worth is shed first, and all of it before the next class.
 func TestShedsLeastWorthFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[2].Worth = 10
+	cfg.Classes[2].Weight = 10
 	b, _ := newTest(t, cfg)
 	for range 300 {
-		b.admit.arrived(0, -1, 0)
-		b.admit.arrived(2, -1, 0)
+		b.admission.recordArrival(0, -1, 0)
+		b.admission.recordArrival(2, -1, 0)
 	}
-	b.admit.level = 0.3
-	if lo, hi := b.admit.odds(0, 0), b.admit.odds(2, 0); lo < 0.4 || hi != 0 {
+	b.admission.shedLevel = 0.3
+	if lo, hi := b.admission.shedProbability(0, 0), b.admission.shedProbability(2, 0); lo < 0.4 || hi != 0 {
 		t.Errorf("odds %v for the cheap class and %v for the dear one", lo, hi)
 	}
 	for range 1000 {
-		b.admit.outcome(false, false, 10, 0)
+		b.admission.recordOutcome(false, false, 10, 0)
 	}
-	if b.admit.level != 0 {
-		t.Errorf("level %v after calm", b.admit.level)
+	if b.admission.shedLevel != 0 {
+		t.Errorf("level %v after calm", b.admission.shedLevel)
 	}
 }
 
@@ -366,14 +366,14 @@
 // theirs, whatever the class.
 func TestShedsAboveShareFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.Tenants, cfg.OverShareWorth = []float64{9, 9}, 0.1
-	cfg.Classes[2].Worth = 5
-	a := admitter{cfg: &cfg}
+	cfg.TenantQuotas, cfg.OverQuotaWeight = []float64{9, 9}, 0.1
+	cfg.Classes[2].Weight = 5
+	a := admissionController{config: &cfg}
 	a.configure()
 	within, above := 0, 0
 	for i := range 200 { // 20 dear requests a second of the first tenant, whose share here is 3
 		now := time.Duration(i) * 50 * ms
-		if a.arrived(2, 0, now) == 2*2 {
+		if a.recordArrival(2, 0, now) == 2*2 {
 			within++
 		} else {
 			above++
@@ -382,9 +382,9 @@
 	if within < 38 || within > 45 {
 		t.Errorf("%d of 200 within the share, want 3 a second and what was saved up", within)
 	}
-	a.level, a.at = 0.5, 10*time.Second
-	modest := a.arrived(0, 1, 10*time.Second)
-	if lo, hi := a.odds(5, a.at), a.odds(modest, a.at); modest != 0 || lo < 0.4 || hi != 0 {
+	a.shedLevel, a.shedLevelAt = 0.5, 10*time.Second
+	modest := a.recordArrival(0, 1, 10*time.Second)
+	if lo, hi := a.shedProbability(5, a.shedLevelAt), a.shedProbability(modest, a.shedLevelAt); modest != 0 || lo < 0.4 || hi != 0 {
 		t.Errorf("odds %v above the share, %v within it", lo, hi)
 	}
 }
@@ -393,11 +393,11 @@
 // more than its requests did: members stay sorted as changes come.
 func TestMembersStaySorted(t *testing.T) {
 	b, _ := newTest(t, testConfig(), fleetOf(20)...)
-	f, rng := &b.fleet, rand.New(rand.NewPCG(7, 7))
+	f, rng := &b.endpoints, rand.New(rand.NewPCG(7, 7))
 	for step := range 500 {
 		list := fleetOf(30)
 		e := list[rng.IntN(len(list))]
-		e.State = State(rng.IntN(3))
+		e.State = EndpointState(rng.IntN(3))
 		b.ServersChanged(0, []Endpoint{e})
 		if step%50 == 49 {
 			b.ServersListed(0, list[rng.IntN(10):])
--- a/reissue.go
+++ b/reissue.go
@@ -12,45 +12,45 @@
 // fractions of the class's aim, so that quiet balancers can pool the samples of
 // all classes.
 const (
-	reissueBudget = 0.10 // B, copies per first send: well under the spare capacity
-	// reissuePrice bounds what copies may cost where wasted work has a price:
-	// B is at most reissuePrice over that price.
-	reissuePrice   = 0.002
-	tailPercentile = 0.95 // k, the percentile of response times to minimise
+	maxHedgeBudget = 0.10 // B, copies per first send: well under the spare capacity
+	// hedgeCostFactor bounds what copies may cost where wasted work has a price:
+	// B is at most hedgeCostFactor over that price.
+	hedgeCostFactor = 0.002
+	tailPercentile  = 0.95 // k, the percentile of response times to minimise
 	// learningRate is λ at a full batch of new samples; smaller batches step
 	// in proportion, or the delay of a quiet balancer would swing.
 	learningRate = 0.3
 	// The sample windows. They are short because the fleet's state changes
 	// within seconds and because a recompute sorts them.
 	primaryWindow = 256
-	copyWindow    = 96
+	hedgeWindow   = 96
 	pairWindow    = 64
-	// recomputeEvery new samples and recomputeAfter, stretched at random so that
+	// recomputeSamples new samples and recomputeInterval, stretched at random so that
 	// balancers do not shift d together, lie between two recomputes.
-	recomputeEvery = 32
-	recomputeAfter = time.Second
-	// pairShare of the copies run without cancelling the loser, so that some
+	recomputeSamples  = 32
+	recomputeInterval = time.Second
+	// pairSamplingProbability of the copies run without cancelling the loser, so that some
 	// pairs are seen whole and feed Pr(Y <= t-d | X > t).
-	pairShare = 0.1
+	pairSamplingProbability = 0.1
 	// pairPrior is how many whole pairs the unconditional estimate weighs when
 	// mixed with the conditional one, which has few samples.
 	pairPrior = 12.0
-	// lostStep is of the running share of lost sends. One that its copy overtook was
-	// lostHalf lost: less than 1, or the budget would feed itself.
-	lostStep       = 0.01
-	lostHalf       = 0.5
-	hedgeTokensMax = 4.0 // bounds copies saved up in quiet times
+	// lostFractionStep is of the running share of lost sends. One that its copy overtook was
+	// overtakenLoss lost: less than 1, or the budget would feed itself.
+	lostFractionStep = 0.01
+	overtakenLoss    = 0.5
+	maxHedgeTokens   = 4.0 // bounds copies saved up in quiet times
 )
 
 // sample is one logged response time. A send that was cancelled is censored:
 // its answer would have come later than at.
 type sample struct {
-	at       float64
+	latency  float64
 	censored bool
 }
 
 // pair is a first send and its copy, both run to their answers.
-type pair struct{ x, y float64 }
+type pair struct{ primary, hedge float64 }
 
 // window is a ring of the latest values.
 type window[T any] struct {
@@ -67,64 +67,64 @@
 	w.next = (w.next + 1) % limit
 }
 
-// reissuer holds the logs and the parameters of SingleR.
-type reissuer struct {
-	primary window[sample]
-	copies  window[sample]
-	pairs   window[pair]
-	base    float64 // B where no first send is lost
-	budget  float64 // B
-	lost    float64 // running share of first sends that were lost
-	d, q    float64
-	fresh   int // primary samples since the last recompute
-	due     time.Duration
-	tokens  float64
-	scratch []sample
-	x, y    survival // reused between recomputes
+// hedger holds the logs and the parameters of SingleR.
+type hedger struct {
+	primary                        window[sample]
+	hedges                         window[sample]
+	pairs                          window[pair]
+	baseBudget                     float64 // B where no first send is lost
+	budget                         float64 // B
+	lostFraction                   float64 // running share of first sends that were lost
+	delay, probability             float64
+	newSamples                     int // primary samples since the last recompute
+	nextRecompute                  time.Duration
+	tokens                         float64
+	scratch                        []sample
+	primarySurvival, hedgeSurvival survival // reused between recomputes
 }
 
-func newReissuer(wasteCost float64) reissuer {
-	budget := min(reissueBudget, reissuePrice/max(wasteCost, 1e-9))
+func newHedger(wasteCost float64) hedger {
+	budget := min(maxHedgeBudget, hedgeCostFactor/max(wasteCost, 1e-9))
 	// The paper's starting policy: no delay, probability B.
-	return reissuer{base: budget, budget: budget, q: budget, tokens: 1}
+	return hedger{baseBudget: budget, budget: budget, probability: budget, tokens: 1}
 }
 
-func (r *reissuer) addPrimary(s sample) {
+func (r *hedger) addPrimary(s sample) {
 	r.primary.add(s, primaryWindow)
-	r.fresh++
+	r.newSamples++
 }
 
-// lose counts a first send, lost or overtaken by its copy or neither, and sets B. Guards against peers that
+// recordLoss counts a first send, lost or overtaken by its copy or neither, and sets B. Guards against peers that
 // fall silent: a copy of a lost send wastes nothing more. It may do harm where sends
 // are late for want of capacity; the shed level then holds copies back.
-func (r *reissuer) lose(lost, overtaken bool) {
-	if r.lost *= 1 - lostStep; lost {
-		r.lost += lostStep
+func (r *hedger) recordLoss(lost, overtaken bool) {
+	if r.lostFraction *= 1 - lostFractionStep; lost {
+		r.lostFraction += lostFractionStep
 	} else if overtaken {
-		r.lost += lostStep * lostHalf
+		r.lostFraction += lostFractionStep * overtakenLoss
 	}
-	r.budget = min(r.base+r.lost, reissueBudget)
+	r.budget = min(r.baseBudget+r.lostFraction, maxHedgeBudget)
 }
 
 // recompute takes one step towards the delay that the present logs make best.
 // jitter is in [0, 1).
-func (r *reissuer) recompute(now time.Duration, jitter float64) {
-	if r.fresh < recomputeEvery || now < r.due {
+func (r *hedger) recompute(now time.Duration, jitter float64) {
+	if r.newSamples < recomputeSamples || now < r.nextRecompute {
 		return
 	}
-	r.due = now + recomputeAfter + time.Duration(jitter*float64(recomputeAfter))
-	step := learningRate * min(1, float64(r.fresh)/primaryWindow*4)
-	r.fresh = 0
-	r.x.estimate(r.primary.buf, &r.scratch)
+	r.nextRecompute = now + recomputeInterval + time.Duration(jitter*float64(recomputeInterval))
+	step := learningRate * min(1, float64(r.newSamples)/primaryWindow*4)
+	r.newSamples = 0
+	r.primarySurvival.estimate(r.primary.buf, &r.scratch)
 	// Copies log too few answers at first; until then first sends stand in.
-	if len(r.copies.buf) >= pairPrior {
-		r.y.estimate(r.copies.buf, &r.scratch)
+	if len(r.hedges.buf) >= pairPrior {
+		r.hedgeSurvival.estimate(r.hedges.buf, &r.scratch)
 	} else {
-		r.y.estimate(r.primary.buf, &r.scratch)
+		r.hedgeSurvival.estimate(r.primary.buf, &r.scratch)
 	}
-	local := computeOptimalSingleR(&r.x, &r.y, r.pairs.buf, tailPercentile, r.budget)
-	r.d += step * (local - r.d)
-	r.q = r.x.reissueOdds(r.d, r.budget)
+	local := computeOptimalSingleR(&r.primarySurvival, &r.hedgeSurvival, r.pairs.buf, tailPercentile, r.budget)
+	r.delay += step * (local - r.delay)
+	r.probability = r.primarySurvival.hedgeProbability(r.delay, r.budget)
 }
 
 // survival is a Kaplan-Meier estimate: tail[i] is Pr(T > times[i]).
@@ -138,12 +138,12 @@
 func (s *survival) estimate(samples []sample, scratch *[]sample) {
 	sorted := append((*scratch)[:0], samples...)
 	*scratch = sorted
-	slices.SortFunc(sorted, func(a, b sample) int { return cmp.Compare(a.at, b.at) })
+	slices.SortFunc(sorted, func(a, b sample) int { return cmp.Compare(a.latency, b.latency) })
 	s.times, s.tail = s.times[:0], s.tail[:0]
 	alive := 1.0
 	for i := 0; i < len(sorted); {
-		at, answered, j := sorted[i].at, 0, i
-		for ; j < len(sorted) && sorted[j].at == at; j++ {
+		at, answered, j := sorted[i].latency, 0, i
+		for ; j < len(sorted) && sorted[j].latency == at; j++ {
 			if !sorted[j].censored {
 				answered++
 			}
@@ -157,17 +157,17 @@
 	}
 }
 
-// after is Pr(T > t).
-func (s *survival) after(t float64) float64 {
+// tailProbability is Pr(T > t).
+func (s *survival) tailProbability(t float64) float64 {
 	if i := sort.Search(len(s.times), func(i int) bool { return s.times[i] > t }); i > 0 {
 		return s.tail[i-1]
 	}
 	return 1
 }
 
-// reissueOdds is q: the probability of a copy at delay d that spends the budget.
-func (s *survival) reissueOdds(d, budget float64) float64 {
-	return min(1, budget/max(s.after(d), 1e-9))
+// hedgeProbability is q: the probability of a copy at delay d that spends the budget.
+func (s *survival) hedgeProbability(d, budget float64) float64 {
+	return min(1, budget/max(s.tailProbability(d), 1e-9))
 }
 
 // computeOptimalSingleR is the paper's search with correlation (its Figure 1
@@ -192,14 +192,14 @@
 // successRate is the probability that a request is answered within t under
 // SingleR with delay d.
 func successRate(x, y *survival, pairs []pair, budget, t, d float64) float64 {
-	late := x.after(t)
-	q := x.reissueOdds(d, budget)
-	saved := 1 - y.after(t-d)
+	late := x.tailProbability(t)
+	q := x.hedgeProbability(d, budget)
+	saved := 1 - y.tailProbability(t-d)
 	var n, inTime float64
 	for _, p := range pairs {
-		if p.x > t {
+		if p.primary > t {
 			n++
-			if p.y <= t-d {
+			if p.hedge <= t-d {
 				inTime++
 			}
 		}
--- a/reissue_test.go
+++ b/reissue_test.go
@@ -9,7 +9,7 @@
 func answered(times ...float64) []sample {
 	var s []sample
 	for _, t := range times {
-		s = append(s, sample{at: t})
+		s = append(s, sample{latency: t})
 	}
 	return s
 }
@@ -40,7 +40,7 @@
 		{"all censored", []sample{{1, true}, {2, true}}, 5, 1},
 		{"a tie of both kinds", []sample{{1, true}, {1, false}, {2, false}}, 1, 2.0 / 3},
 	} {
-		if got := fit(c.samples).after(c.at); math.Abs(got-c.want) > 1e-12 {
+		if got := fit(c.samples).tailProbability(c.at); math.Abs(got-c.want) > 1e-12 {
 			t.Errorf("%s: Pr(T > %v) = %v, want %v", c.name, c.at, got, c.want)
 		}
 	}
@@ -72,10 +72,10 @@
 	// straggler once d = 1 leaves only them: the tail falls from 100 to 2.
 	var x []sample
 	for range 90 {
-		x = append(x, sample{at: 1})
+		x = append(x, sample{latency: 1})
 	}
 	for i := range 10 {
-		x = append(x, sample{at: 100 + float64(i)})
+		x = append(x, sample{latency: 100 + float64(i)})
 	}
 	if d := computeOptimalSingleR(fit(x), fit(answered(1, 1, 1)), nil, 0.95, 0.1); d != 1 {
 		t.Errorf("d = %v, want 1", d)
@@ -86,30 +86,30 @@
 }
 
 func TestReissuerSteps(t *testing.T) {
-	r := newReissuer(0)
-	if r.d != 0 || r.q != reissueBudget {
-		t.Fatalf("starts at d=%v q=%v, want d=0 and q=B", r.d, r.q)
+	r := newHedger(0)
+	if r.delay != 0 || r.probability != maxHedgeBudget {
+		t.Fatalf("starts at d=%v q=%v, want d=0 and q=B", r.delay, r.probability)
 	}
-	for range recomputeEvery - 3 {
-		r.addPrimary(sample{at: 1})
+	for range recomputeSamples - 3 {
+		r.addPrimary(sample{latency: 1})
 	}
-	r.addPrimary(sample{at: 50})
-	r.addPrimary(sample{at: 60})
+	r.addPrimary(sample{latency: 50})
+	r.addPrimary(sample{latency: 60})
 	r.recompute(time.Second, 0)
-	if r.d != 0 {
+	if r.delay != 0 {
 		t.Error("recomputed on too few samples")
 	}
-	r.addPrimary(sample{at: 70})
+	r.addPrimary(sample{latency: 70})
 	r.recompute(time.Second, 0)
-	local := computeOptimalSingleR(&r.x, &r.x, nil, tailPercentile, r.budget)
-	step := learningRate * float64(recomputeEvery) / primaryWindow * 4
-	if want := step * local; math.Abs(r.d-want) > 1e-12 || want == 0 {
-		t.Errorf("d = %v, want a step of %v towards %v", r.d, step, local)
+	local := computeOptimalSingleR(&r.primarySurvival, &r.primarySurvival, nil, tailPercentile, r.budget)
+	step := learningRate * float64(recomputeSamples) / primaryWindow * 4
+	if want := step * local; math.Abs(r.delay-want) > 1e-12 || want == 0 {
+		t.Errorf("d = %v, want a step of %v towards %v", r.delay, step, local)
 	}
-	if want := r.budget / r.x.after(r.d); math.Abs(r.q-want) > 1e-12 {
-		t.Errorf("q = %v, want B / Pr(X > d) = %v", r.q, want)
+	if want := r.budget / r.primarySurvival.tailProbability(r.delay); math.Abs(r.probability-want) > 1e-12 {
+		t.Errorf("q = %v, want B / Pr(X > d) = %v", r.probability, want)
 	}
-	if dear := newReissuer(0.4); dear.budget >= r.budget {
+	if dear := newHedger(0.4); dear.budget >= r.budget {
 		t.Errorf("budget %v where waste is dear, want under %v", dear.budget, r.budget)
 	}
 }
@@ -118,29 +118,29 @@
 // one request must not buy more.
 func TestHedgeTokens(t *testing.T) {
 	b, r := newTest(t, testConfig(), Endpoint{Name: "a"}, Endpoint{Name: "b"}, Endpoint{Name: "c"})
-	b.reissue.q, b.reissue.d, b.reissue.tokens = 1, 0, 0
+	b.hedger.probability, b.hedger.delay, b.hedger.tokens = 1, 0, 0
 	for id := RequestID(1); id <= 30; id++ {
 		b.Arrive(0, Request{ID: id, Deadline: 300 * ms})
-		b.Timer(0, r.timers[len(r.timers)-1])
+		b.TimerFired(0, r.timers[len(r.timers)-1])
 	}
 	if copies := len(r.servers) - 30; copies < 2 || copies > 3 {
-		t.Errorf("%d copies for 30 first sends at B = %v", copies, reissueBudget)
+		t.Errorf("%d copies for 30 first sends at B = %v", copies, maxHedgeBudget)
 	}
 }
 
 // Lost first sends raise the copies' budget, and it falls again after them.
 func TestBudgetFollowsLosses(t *testing.T) {
 	b, _ := newTest(t, testConfig(), fleetOf(4)...)
-	r := &b.reissue
+	r := &b.hedger
 	calm := r.budget
-	r.base, r.budget = 0.01, 0.01
+	r.baseBudget, r.budget = 0.01, 0.01
 	run := func(o Outcome) {
 		for id := RequestID(1); id <= 400; id++ {
 			b.Arrive(0, Request{ID: id, Class: 2, Deadline: 300 * ms})
-			if q := b.requests[id]; q != nil && q.out > 0 {
-				b.Done(ms, id, 0, o, true, Report{})
+			if q := b.requests[id]; q != nil && q.pending > 0 {
+				b.AttemptFinished(ms, id, 0, o, true, LoadReport{})
 			}
-			b.admit.level = 0
+			b.admission.shedLevel = 0
 		}
 	}
 	run(OK)
@@ -148,11 +148,11 @@
 		t.Errorf("budget %v without a loss", r.budget)
 	}
 	run(TimedOut)
-	if r.budget != reissueBudget {
+	if r.budget != maxHedgeBudget {
 		t.Errorf("budget %v where all is lost, want its limit", r.budget)
 	}
 	run(OK)
-	if r.budget > 0.03 || calm != reissueBudget {
+	if r.budget > 0.03 || calm != maxHedgeBudget {
 		t.Errorf("budget %v after the losses", r.budget)
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -88,16 +88,16 @@
 			continue
 		}
 		switch {
-		case r.class.Effect == Unsafe:
+		case r.class.Idempotency == NonIdempotent:
 			c.broke("unsafe request %d sent again", id)
-		case r.class.Effect == Keyed && c.now-t.sent >= r.class.Window:
+		case r.class.Idempotency == IdempotencyKeyed && c.now-t.sent >= r.class.DedupWindow:
 			c.broke("keyed request %d sent past its window", id)
-		case r.class.Effect == Keyed && (r.class.Scope == ScopeZone && t.server.Zone != s.Zone ||
-			r.class.Scope == ScopeGroup && t.server.Group != s.Group):
+		case r.class.Idempotency == IdempotencyKeyed && (r.class.DedupScope == DedupScopeZone && t.server.Zone != s.Zone ||
+			r.class.DedupScope == DedupScopeGroup && t.server.Group != s.Group):
 			c.broke("keyed request %d sent outside its group", id)
 		}
 	}
-	if out && !c.cfg.SecondCopies {
+	if out && !c.cfg.AllowHedging {
 		c.broke("two attempts of request %d out", id)
 	}
 	if out {
@@ -106,7 +106,7 @@
 	c.sends++
 	n := len(r.tries)
 	r.tries = append(r.tries, try{server: s.Endpoint, sent: c.now})
-	outcomes := []Outcome{OK, OK, OK, OK, OK, Full, Full, ServerError, ConnectFailed, Reset, TimedOut, NotSent}
+	outcomes := []Outcome{OK, OK, OK, OK, OK, Rejected, Rejected, ServerError, ConnectFailed, Reset, TimedOut, NotSent}
 	o := outcomes[c.rng.IntN(len(outcomes))]
 	took := time.Duration(c.rng.ExpFloat64() * float64(60*ms))
 	if o == TimedOut || took > timeout {
@@ -120,12 +120,12 @@
 	if t.done {
 		return
 	}
-	t.done, t.neverRan = true, o.NeverRan()
+	t.done, t.neverRan = true, o.ProvablyNotExecuted()
 	if o == OK {
 		r.ended = true
 	}
-	rep := Report{HasInFlight: c.rng.IntN(2) == 0, InFlight: float64(c.rng.IntN(9)), HasUtil: c.rng.IntN(2) == 0, Util: c.rng.Float64()}
-	b.Done(c.now, r.ID, n, o, r.ended, rep)
+	rep := LoadReport{HasInFlight: c.rng.IntN(2) == 0, InFlight: float64(c.rng.IntN(9)), HasUtilization: c.rng.IntN(2) == 0, Utilization: c.rng.Float64()}
+	b.AttemptFinished(c.now, r.ID, n, o, r.ended, rep)
 	if !r.ended && c.now > r.Deadline+slack {
 		c.broke("request %d unanswered after its deadline", r.ID)
 	}
@@ -134,7 +134,7 @@
 func (c *checker) Cancel(id RequestID, n int) {
 	r := c.reqs[id]
 	switch {
-	case !c.cfg.MayCancel:
+	case !c.cfg.AllowCancellation:
 		c.broke("cancel where none is allowed")
 	case r == nil || n >= len(r.tries):
 		c.broke("cancel of an attempt never made")
@@ -160,10 +160,10 @@
 	return r
 }
 
-func (c *checker) Refuse(id RequestID, _ time.Duration) {
+func (c *checker) Reject(id RequestID, _ time.Duration) {
 	r := c.answer(id)
 	c.refused++
-	if r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll {
+	if r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotencyKeyed && r.class.DedupScope == DedupScopeAll {
 		return
 	}
 	for _, t := range r.tries {
@@ -179,7 +179,7 @@
 	if after < 0 {
 		c.broke("timer in the past")
 	}
-	c.at(c.now+after+5*ms, func(b *Balancer) { b.Timer(c.now, cookie) })
+	c.at(c.now+after+5*ms, func(b *Balancer) { b.TimerFired(c.now, cookie) })
 }
 
 func (c *checker) CloseIdle(string) {}
@@ -198,7 +198,7 @@
 func (c *checker) list() []Endpoint {
 	var all []Endpoint
 	for _, s := range c.servers {
-		if s.State != Gone {
+		if s.State != Removed {
 			all = append(all, s.Endpoint)
 		}
 	}
@@ -211,12 +211,12 @@
 	name := fmt.Sprintf("s%d", c.rng.IntN(n))
 	s := c.servers[name]
 	if s == nil {
-		s = &listed{Endpoint: Endpoint{Name: name, Zone: fmt.Sprintf("z%d", c.rng.IntN(2)), Group: c.rng.IntN(3), Hint: c.rng.Float64() * 2}}
+		s = &listed{Endpoint: Endpoint{Name: name, Zone: fmt.Sprintf("z%d", c.rng.IntN(2)), Group: c.rng.IntN(3), CapacityHint: c.rng.Float64() * 2}}
 		c.servers[name] = s
 	}
 	was := s.State
-	s.State = State(c.rng.IntN(3))
-	if s.State == Serving && was == Gone || c.rng.IntN(4) == 0 {
+	s.State = EndpointState(c.rng.IntN(3))
+	if s.State == Serving && was == Removed || c.rng.IntN(4) == 0 {
 		s.Started = c.now
 	}
 	if s.State != Serving {
@@ -249,7 +249,7 @@
 					if !r.ended {
 						r.ended, r.byClient = true, true
 					}
-					b.ClientGone(c.now, r.ID)
+					b.ClientDisconnected(c.now, r.ID)
 				})
 			}
 		})
@@ -291,21 +291,21 @@
 		gap     time.Duration
 		wait    time.Duration
 	}{
-		{"as usual", func(c *Config) { c.Classes[0].Aim = 300 * ms }, 8, 10 * ms, 400 * ms},
-		{"no cancel", func(c *Config) { c.MayCancel = false }, 8, 10 * ms, 400 * ms},
-		{"no second copies", func(c *Config) { c.SecondCopies = false }, 8, 10 * ms, 400 * ms},
+		{"as usual", func(c *Config) { c.Classes[0].LatencyObjective = 300 * ms }, 8, 10 * ms, 400 * ms},
+		{"no cancel", func(c *Config) { c.AllowCancellation = false }, 8, 10 * ms, 400 * ms},
+		{"no second copies", func(c *Config) { c.AllowHedging = false }, 8, 10 * ms, 400 * ms},
 		{"one server", func(*Config) {}, 1, 10 * ms, 400 * ms},
-		{"tenants, one without a share", func(c *Config) { c.Tenants, c.OverShareWorth = []float64{5, 0, 40}, 0.2 }, 5, 10 * ms, 400 * ms},
+		{"tenants, one without a share", func(c *Config) { c.TenantQuotas, c.OverQuotaWeight = []float64{5, 0, 40}, 0.2 }, 5, 10 * ms, 400 * ms},
 		{"one attempt", func(c *Config) { c.MaxAttempts = 1 }, 5, 10 * ms, 400 * ms},
 		{"one instance", func(c *Config) { c.Instances = 1 }, 5, 10 * ms, 400 * ms},
 		{"thousands of instances, priced connections", func(c *Config) { c.Instances, c.ConnectionCost = 5000, 0.05 }, 40, 200 * ms, 400 * ms},
-		{"keyed everywhere", func(c *Config) { c.Classes[1].Scope = ScopeAll }, 8, 10 * ms, 400 * ms},
-		{"short repeat window", func(c *Config) { c.Classes[1].Window = 30 * ms }, 8, 10 * ms, 400 * ms},
-		{"keyed in a cell", func(c *Config) { c.Classes[1].Scope = ScopeGroup }, 20, 10 * ms, 400 * ms},
-		{"subscribed", func(c *Config) { c.AskWithin = 3 * time.Second }, 8, 20 * ms, 400 * ms},
+		{"keyed everywhere", func(c *Config) { c.Classes[1].DedupScope = DedupScopeAll }, 8, 10 * ms, 400 * ms},
+		{"short repeat window", func(c *Config) { c.Classes[1].DedupWindow = 30 * ms }, 8, 10 * ms, 400 * ms},
+		{"keyed in a cell", func(c *Config) { c.Classes[1].DedupScope = DedupScopeGroup }, 20, 10 * ms, 400 * ms},
+		{"subscribed", func(c *Config) { c.MaxListAge = 3 * time.Second }, 8, 20 * ms, 400 * ms},
 		{"short deadlines", func(*Config) {}, 8, 10 * ms, 8 * ms},
 		{"long deadlines", func(*Config) {}, 8, 10 * ms, time.Minute},
-		{"late answers count", func(c *Config) { c.Classes[0].LateWorth = 0.5; c.Classes[1].LateWorth = 0.5 }, 8, 10 * ms, 400 * ms},
+		{"late answers count", func(c *Config) { c.Classes[0].LateWeight = 0.5; c.Classes[1].LateWeight = 0.5 }, 8, 10 * ms, 400 * ms},
 	} {
 		t.Run(v.name, func(t *testing.T) {
 			copies := 0
