--- a/cmd/martendrum/record.go
+++ b/cmd/martendrum/record.go
@@ -17,8 +17,8 @@
 	"martendrum/internal/record/conf"
 )
 
-// pageMost is how many rows are read from the store at once.
-const pageMost = 500
+// maxPage is how many rows are read from the store at once.
+const maxPage = 500
 
 // recordRow is a row as it is printed.
 type recordRow struct {
@@ -127,21 +127,21 @@
 		c.Flags().DurationVar(&since, "since", 0, "only what changed in the last, as 24h")
 		c.RegisterFlagCompletionFunc("state", cobra.FixedCompletions([]cobra.Completion{"in-flight", "answered", "never-ran", "may-have-run"}, cobra.ShellCompDirectiveNoFileComp))
 	}
-	each := func(ctx context.Context, b record.Backend, most int, do func(*record.Entry) error) (more bool, err error) {
+	each := func(ctx context.Context, b record.Backend, limit int, do func(*record.Entry) error) (more bool, err error) {
 		if f.State != record.Unknown && !strings.Contains(" in-flight answered never-ran may-have-run ", " "+string(f.State)+" ") {
 			return false, &exitError{exitUse, fmt.Errorf("--state %s: want in-flight, answered, never-ran or may-have-run", f.State)}
 		}
 		if since > 0 {
 			f.ChangedSince = time.Now().Add(-since).UnixMicro()
 		}
-		f.Limit = pageMost
+		f.Limit = maxPage
 		for n := 0; ; {
 			rows, err := b.List(ctx, f)
 			if err != nil {
 				return false, err
 			}
 			for i := range rows {
-				if n++; n > most {
+				if n++; n > limit {
 					return true, nil
 				}
 				if err := do(&rows[i]); err != nil {
@@ -157,11 +157,11 @@
 
 	list := &cobra.Command{Use: "list", Short: "List keys", Args: cobra.NoArgs}
 	filter(list)
-	most := list.Flags().Int("most", 1000, "so many at most")
+	limit := list.Flags().Int("most", 1000, "so many at most")
 	list.RunE = func(c *cobra.Command, _ []string) error {
 		return r.with(c, false, func(ctx context.Context, b record.Backend) error {
 			out := []recordRow{}
-			more, err := each(ctx, b, *most, func(row *record.Entry) error {
+			more, err := each(ctx, b, *limit, func(row *record.Entry) error {
 				out = append(out, printed(row))
 				return nil
 			})
@@ -169,7 +169,7 @@
 				return err
 			}
 			if more {
-				fmt.Fprintf(os.Stderr, "martendrum: there are more than %d; see --most, --state and --class, or export\n", *most)
+				fmt.Fprintf(os.Stderr, "martendrum: there are more than %d; see --most, --state and --class, or export\n", *limit)
 			}
 			if r.json {
 				return printJSON(out)
--- a/cmd/martendrum/settings.go
+++ b/cmd/martendrum/settings.go
@@ -144,7 +144,7 @@
 type settingsView struct {
 	show, resources bool
 	revision, relay string
-	most            int
+	limit           int
 }
 
 func (v *settingsView) add(c *cobra.Command) {
@@ -153,7 +153,7 @@
 	f.StringVar(&v.revision, "revision", "", "with --settings: this revision (default: the latest)")
 	f.BoolVar(&v.resources, "resources", false, "with --settings: the wanted resources instead")
 	f.StringVar(&v.relay, "relay", "", "with --settings: ask this relay")
-	f.IntVar(&v.most, "most", 20, "with --settings: name so many hosts where it is not in force")
+	f.IntVar(&v.limit, "most", 20, "with --settings: name so many hosts where it is not in force")
 }
 
 // list prints how far a revision is. Where it is not in force everywhere the exit code is 1.
@@ -168,7 +168,7 @@
 			return err
 		}
 	}
-	out, err := f.InForce(c.Context(), v.relay, revision, v.most)
+	out, err := f.InForce(c.Context(), v.relay, revision, v.limit)
 	if err != nil {
 		return settingsFailed(err)
 	}
--- a/cmd/martendrum/view.go
+++ b/cmd/martendrum/view.go
@@ -122,7 +122,7 @@
 	audit := &cobra.Command{
 		Use: "audit HOST", GroupID: "view", Short: "Print who asked a host's agent for what", Args: cobra.ExactArgs(1),
 	}
-	most := audit.Flags().Int("most", 50, "so many of the latest entries, 1000 at most")
+	limit := audit.Flags().Int("most", 50, "so many of the latest entries, 1000 at most")
 	audit.RunE = func(c *cobra.Command, args []string) error {
 		f, err := g.open()
 		if err != nil {
@@ -134,7 +134,7 @@
 			return fmt.Errorf("host %s is not in %s", args[0], g.fleet)
 		}
 		var out api.AuditOut
-		if err := a.Call(c.Context(), api.Audit, &api.AuditIn{Limit: *most}, &out); err != nil {
+		if err := a.Call(c.Context(), api.Audit, &api.AuditIn{Limit: *limit}, &out); err != nil {
 			return err
 		}
 		if g.json {
--- a/cmd/sidecar/acceptance_test.go
+++ b/cmd/sidecar/acceptance_test.go
@@ -116,7 +116,7 @@
 func TestReadyWhateverIsAway(t *testing.T) {
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
-	const readyMost = 10 * time.Second
+	const maxReady = 10 * time.Second
 	var all sync.WaitGroup
 	for n := range 8 {
 		s := newShop(t, 256)
@@ -132,7 +132,7 @@
 		all.Go(func() {
 			began := time.Now()
 			s.running()
-			if took := time.Since(began); took > readyMost {
+			if took := time.Since(began); took > maxReady {
 				t.Errorf("process %d was ready after %v", n, took)
 			}
 		})
--- a/cmd/sidecar/generated_test.go
+++ b/cmd/sidecar/generated_test.go
@@ -26,8 +26,8 @@
 		}
 		return string(b)
 	}
-	us := func(least, most time.Duration) int64 {
-		return (least + time.Duration(rng.Float64()*float64(most-least))).Microseconds()
+	us := func(least, limit time.Duration) int64 {
+		return (least + time.Duration(rng.Float64()*float64(limit-least))).Microseconds()
 	}
 	maybe := func(m map[string]any, key string, value any) {
 		if whole || rng.IntN(2) == 0 {
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -75,8 +75,8 @@
 		MaxConns:    conns - conns/2,
 	}
 	frontConfig := front.Config{
-		MostConns: conns / 2,
-		MostBody:  memory * 3 / 8,
+		MaxConns: conns / 2,
+		MaxBody:  memory * 3 / 8,
 	}
 	return upstreamConfig, frontConfig
 }
--- a/cmd/sidecar/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -303,10 +303,10 @@
 // together stays within the limit.
 func TestUpgradeLosesNothing(t *testing.T) {
 	for _, c := range []struct {
-		clients, kept, most, upgrades int
-		lossless                      bool
+		clients, kept, limit, upgrades int
+		lossless                       bool
 	}{{8, 4, 100, 3, true}, {8, 8, 8, 20, true}, {24, 24, 8, 3, false}} {
-		t.Run(fmt.Sprintf("%d clients of %d", c.clients, c.most), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d clients of %d", c.clients, c.limit), func(t *testing.T) {
 			var open, peak atomic.Int64
 			s := newShopBefore(t, func(w http.ResponseWriter, r *http.Request) {
 				if r.Method == http.MethodPost { // these are not copied
@@ -319,7 +319,7 @@
 					open.Add(-1)
 				}
 				io.WriteString(w, "one")
-			}, 256, `"mostHeld":100`, fmt.Sprintf(`"mostHeld":%d`, c.most))
+			}, 256, `"mostHeld":100`, fmt.Sprintf(`"mostHeld":%d`, c.limit))
 			p := s.running()
 			clients := flock(t, s.listen, c.clients, c.kept)
 			for range c.upgrades {
@@ -331,8 +331,8 @@
 				clients.bad.Clear()
 			}
 			clients.end(t)
-			if n := peak.Load(); n == 0 || n > int64(c.most) {
-				t.Errorf("%d requests at the server at once, %d may be held", n, c.most)
+			if n := peak.Load(); n == 0 || n > int64(c.limit) {
+				t.Errorf("%d requests at the server at once, %d may be held", n, c.limit)
 			}
 		})
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -166,7 +166,7 @@
 
 // readRequest reads a request's head and parses it.
 func readRequest(conn net.Conn) (*http.Request, error) {
-	reader := bufio.NewReaderSize(conn, framing.HeadMost)
+	reader := bufio.NewReaderSize(conn, framing.MaxHead)
 	head, err := framing.Await(reader)
 	if err != nil {
 		return nil, err
--- a/internal/capacity/measure/measure.go
+++ b/internal/capacity/measure/measure.go
@@ -160,18 +160,18 @@
 func follow(pid int, ended <-chan struct{}) Usage {
 	ticker := time.NewTicker(samplingEvery)
 	defer ticker.Stop()
-	var most Usage
+	var limit Usage
 	for {
 		select {
 		case <-ended:
-			return most
+			return limit
 		case <-ticker.C:
 		}
 		usage, err := Process(pid)
 		if err != nil {
 			continue // it has just ended
 		}
-		most.Descriptors = max(most.Descriptors, usage.Descriptors)
-		most.PeakResident = max(most.PeakResident, usage.PeakResident)
+		limit.Descriptors = max(limit.Descriptors, usage.Descriptors)
+		limit.PeakResident = max(limit.PeakResident, usage.PeakResident)
 	}
 }
--- a/internal/capacity/needs.go
+++ b/internal/capacity/needs.go
@@ -33,13 +33,13 @@
 
 // What is assumed, since the operators don't state it.
 const (
-	// servicesCalled and servicesCalledMost are how many services a sidecar calls, usually
+	// servicesCalled and maxServicesCalled are how many services a sidecar calls, usually
 	// and at most.
-	servicesCalled     = 5
-	servicesCalledMost = 20
-	// sidecarsUsual and sidecarsMost are the sidecars of a host.
+	servicesCalled    = 5
+	maxServicesCalled = 20
+	// sidecarsUsual and maxSidecars are the sidecars of a host.
 	sidecarsUsual = 3
-	sidecarsMost  = 10
+	maxSidecars   = 10
 	// listChanges is how many changes of the list a restart makes: draining, gone, back.
 	listChanges = 3
 	// badMinute is how many times as many changes of settings as usual come in a bad minute.
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -30,7 +30,7 @@
 
 func assumedLists() lists {
 	sizes := ServiceSizes()
-	return lists{usual: listOfServices(sizes, servicesCalled), many: listOfServices(sizes, servicesCalledMost), all: Servers}
+	return lists{usual: listOfServices(sizes, servicesCalled), many: listOfServices(sizes, maxServicesCalled), all: Servers}
 }
 
 // roles works out the figures of all roles.
@@ -132,7 +132,7 @@
 
 // Aims of the settings' distribution that are below the needs.
 const (
-	mostHostsSeconds  = 5   // a change is in force at 999 hosts in 1,000
+	maxHostsSeconds   = 5   // a change is in force at 999 hosts in 1,000
 	restBytesASecond  = 300 // of a subscriber
 	subscribersOfHalf = Servers / (ControlMachines / 2)
 )
@@ -141,7 +141,7 @@
 	at := func(metric string) Interval { return c.at(Distribution, metric, Servers) }
 	rest := at("received by a subscriber at rest").plus(at("sent by a subscriber at rest"))
 	return []Estimate{
-		{"a change that concerns all, at 999 hosts in 1,000", "distribution", at("change for all, 999 in 1,000"), "s", mostHostsSeconds},
+		{"a change that concerns all, at 999 hosts in 1,000", "distribution", at("change for all, 999 in 1,000"), "s", maxHostsSeconds},
 		{"the same, at all", "distribution", at("change for all, all"), "s", ConvergeSeconds},
 		{"the same, and the writer knows", "distribution", at("change for all, known at the writer"), "s", ConvergeSeconds},
 		{"a change that concerns one service, at all of it", "distribution", at("change for one service, all"), "s", ConvergeSeconds},
@@ -173,7 +173,7 @@
 
 func agentEstimates(c *curves) []Estimate {
 	var estimates []Estimate
-	for _, sidecars := range []float64{1, sidecarsUsual, sidecarsMost} {
+	for _, sidecars := range []float64{1, sidecarsUsual, maxSidecars} {
 		estimates = append(estimates, Estimate{
 			fmt.Sprintf("at rest, sidecars on the host: %.0f: processor time", sidecars), "agent",
 			c.at(Agent, "processor time of the agent", sidecars), "% of a core", ControlCorePercent * sidecars,
@@ -188,7 +188,7 @@
 		Estimate{"one sidecar, 90 changes a minute: processor time", "settings-change", c.at(SettingsChange, "processor time of the agent", badMinute*ordinary), "% of a core", ControlCorePercent},
 		Estimate{"one sidecar, 9 changes a minute: resident memory", "settings-change", c.at(SettingsChange, "resident memory of the agent", ordinary), "MiB", controlMebibyte},
 		Estimate{"messages to each sidecar, on the host itself", "intervals in the code: health 1 s, metrics 10 s", exactly(1.1), "calls/s", 0},
-		Estimate{"10 sidecars: descriptors", "agent", c.at(Agent, "descriptors of the agent", sidecarsMost), "descriptors", ProcessDescriptors})
+		Estimate{"10 sidecars: descriptors", "agent", c.at(Agent, "descriptors of the agent", maxSidecars), "descriptors", ProcessDescriptors})
 }
 
 func directorEstimates(c *curves) []Estimate {
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -4,7 +4,7 @@
 //
 //	PACKAGE TEST: cause; issue N
 //
-// Each line names a test of its own, mostRed lines at most; empty lines don't count. A file
+// Each line names a test of its own, maxRed lines at most; empty lines don't count. A file
 // that is not there names none.
 //
 //	go run ./internal/ci/knownred [flags of go test] PACKAGES
@@ -23,8 +23,8 @@
 )
 
 const (
-	file    = "KNOWN-RED.txt"
-	mostRed = 3
+	file   = "KNOWN-RED.txt"
+	maxRed = 3
 )
 
 // red is one test that is known to fail.
@@ -46,7 +46,7 @@
 
 // Advice says what to do.
 func (e *FormError) Advice() string {
-	return fmt.Sprintf("write each line as «PACKAGE TEST: cause; issue N», %d lines at most, or mend the test and drop its line", mostRed)
+	return fmt.Sprintf("write each line as «PACKAGE TEST: cause; issue N», %d lines at most, or mend the test and drop its line", maxRed)
 }
 
 var form = regexp.MustCompile(`^(\S+) (Test[A-Z0-9_]\w*): (\S.*); issue (\d+)$`)
@@ -67,8 +67,8 @@
 		}
 		list = append(list, r)
 	}
-	if len(list) > mostRed {
-		return nil, &FormError{0, fmt.Sprintf("%d tests are known red; %d at most may be", len(list), mostRed)}
+	if len(list) > maxRed {
+		return nil, &FormError{0, fmt.Sprintf("%d tests are known red; %d at most may be", len(list), maxRed)}
 	}
 	return list, nil
 }
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -18,8 +18,8 @@
 
 // open calls discovery and returns once the first byte of what it tells has come, within
 // most. An error of *SilentError says that nothing came.
-func (w *Watcher) open(at place, most time.Duration) (*feed, error) {
-	until := time.Now().Add(most)
+func (w *Watcher) open(at place, limit time.Duration) (*feed, error) {
+	until := time.Now().Add(limit)
 	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
 	conn, err := dialer.Dial("tcp", at.addr)
 	if err != nil {
@@ -72,8 +72,8 @@
 // other one is closed when its own deadline is over, at the latest.
 func (w *Watcher) openEither(at place) (*feed, error) {
 	results := make(chan opened, 2)
-	call := func(most time.Duration) {
-		f, err := w.open(at, most)
+	call := func(limit time.Duration) {
+		f, err := w.open(at, limit)
 		results <- opened{f, err}
 	}
 	go call(at.pace.Call)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -216,7 +216,7 @@
 			if l := w.next(t, patience); l.Index != 9 {
 				t.Errorf("it got %+v", l)
 			}
-			if late := time.Since(since); late > toldMost-toldMargin {
+			if late := time.Since(since); late > maxTold-toldMargin {
 				t.Errorf("told %v after the watch fell silent", late)
 			}
 		})
@@ -277,7 +277,7 @@
 		"no index":    indented + `{"endpoints":[]}`,
 		"gone back":   indented + `{"index":6,"snapshot":false,"endpoints":[]}`,
 		"no object":   indented + "[1, 2]",
-		"without end": indented + `{"index":8,"name":"` + strings.Repeat("x", listMost+1<<16),
+		"without end": indented + `{"index":8,"name":"` + strings.Repeat("x", maxList+1<<16),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// What a list tells counts as told, whether or not it has arrived, toldMost after discovery
+// What a list tells counts as told, whether or not it has arrived, maxTold after discovery
 // had it and could be reached. All waits of a Watcher add up to less by toldMargin, which is
 // for the answer's way and a busy process.
 const (
-	toldMost   = 6 * time.Second
+	maxTold    = 6 * time.Second
 	toldMargin = 500 * time.Millisecond
 )
 
@@ -27,8 +27,8 @@
 // up has cost discovery all the same.
 func Polled() Pace {
 	p := Pace{Spread: 400 * time.Millisecond, Back: 500 * time.Millisecond}
-	p.Call = toldMost - toldMargin - silenceMost - p.Spread - p.Back
-	p.First = toldMost - toldMargin - p.Call - p.Back
+	p.Call = maxTold - toldMargin - maxSilence - p.Spread - p.Back
+	p.First = maxTold - toldMargin - p.Call - p.Back
 	p.Again = p.Call / 2
 	return p
 }
@@ -36,28 +36,28 @@
 // Pushed is the pace where lists are pushed: the agent is on this machine, answers at once
 // or, while discovery is down, not at all, and what it has counts as told from then on. So
 // a call that waits in vain and the wait for the next one stay well within grace, for which
-// a server may still be sent to when it drains; but no call is given up within pushedLeast.
+// a server may still be sent to when it drains; but no call is given up within minPushed.
 func Pushed(grace time.Duration) Pace {
 	return Pace{
-		Call: min(max(grace/2, pushedLeast), time.Second),
-		Back: min(max(grace/4, pushedLeast/2), 500*time.Millisecond),
+		Call: min(max(grace/2, minPushed), time.Second),
+		Back: min(max(grace/4, minPushed/2), 500*time.Millisecond),
 	}
 }
 
-const pushedLeast = 100 * time.Millisecond
+const minPushed = 100 * time.Millisecond
 
 // Worst is the longest time from a change that discovery has and can tell to its arrival,
 // less the way: over a watch that fell silent just before and the call after it that was
 // lost, or over a call that was lost at another time.
 func (p Pace) Worst() time.Duration {
-	silent := silenceMost + p.Spread + p.Call + p.Back + p.Call
+	silent := maxSilence + p.Spread + p.Call + p.Back + p.Call
 	if p.Again > 0 {
-		silent = silenceMost + p.Spread + p.Again + p.secondCall()
+		silent = maxSilence + p.Spread + p.Again + p.secondCall()
 	}
 	return max(silent, p.Call+p.Back+p.Call, p.First+p.Back+p.Call)
 }
 
 // secondCall is how long the call that is made beside another one may take.
 func (p Pace) secondCall() time.Duration {
-	return toldMost - toldMargin - silenceMost - p.Spread - p.Again
+	return maxTold - toldMargin - maxSilence - p.Spread - p.Again
 }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -14,7 +14,7 @@
 // which what discovery has counts as told.
 func TestWaitsAddUp(t *testing.T) {
 	asked := Polled()
-	if w := asked.Worst(); w > toldMost-toldMargin {
+	if w := asked.Worst(); w > maxTold-toldMargin {
 		t.Errorf("asked: %v in all", w)
 	}
 	for _, d := range []time.Duration{asked.Call, asked.Spread, asked.Back, asked.First} {
@@ -24,13 +24,13 @@
 	}
 	for grace := time.Duration(0); grace < time.Minute; grace += 10 * time.Millisecond {
 		p := Pushed(grace)
-		if w := p.Worst(); w > toldMost-toldMargin {
+		if w := p.Worst(); w > maxTold-toldMargin {
 			t.Errorf("pushed, grace %v: %v in all", grace, w)
 		}
-		if p.Call < pushedLeast || p.Back*2/3 < backoffMin {
+		if p.Call < minPushed || p.Back*2/3 < backoffMin {
 			t.Errorf("pushed, grace %v: %+v leaves a part no time", grace, p)
 		}
-		if grace >= 2*pushedLeast && p.Call+p.Back > grace*3/4 {
+		if grace >= 2*minPushed && p.Call+p.Back > grace*3/4 {
 			t.Errorf("pushed, grace %v: the next answer comes after %v", grace, p.Call+p.Back)
 		}
 	}
@@ -150,7 +150,7 @@
 					if testing.Verbose() {
 						t.Logf("seed %d: the last told after %v, %d calls", seed, worst, w.calls)
 					}
-					if worst > toldMost-toldMargin {
+					if worst > maxTold-toldMargin {
 						t.Errorf("seed %d: the last was told after %v", seed, worst)
 					}
 					if w.calls > 2*count {
@@ -173,11 +173,11 @@
 		rng := rand.New(rand.NewPCG(1, 1))
 		told := make([]time.Duration, count)
 		for i := range count {
-			call := func(lost bool, most time.Duration) {
+			call := func(lost bool, limit time.Duration) {
 				w.calls++
 				w.free = max(w.now, w.free) + w.cost
 				answered := w.free
-				if lost || answered-w.now > most {
+				if lost || answered-w.now > limit {
 					return
 				}
 				w.at(answered, func() {
@@ -186,7 +186,7 @@
 					}
 				})
 			}
-			first := silenceMost + time.Duration(rng.Int64N(int64(pace.Spread)))
+			first := maxSilence + time.Duration(rng.Int64N(int64(pace.Spread)))
 			lost := rng.IntN(10) == 0
 			w.at(first, func() { call(lost, pace.Call) })
 			w.at(first+pace.Again, func() {
@@ -208,7 +208,7 @@
 			worst = max(worst, at)
 		}
 		t.Logf("%v a call: the last told after %v, %d calls", cost, worst, w.calls)
-		if worst > toldMost-toldMargin {
+		if worst > maxTold-toldMargin {
 			t.Errorf("%v a call: the last was told after %v", cost, worst)
 		}
 		if w.calls > 2*count {
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	listMost = 8 << 20 // bytes of one list in a watch
+	maxList = 8 << 20 // bytes of one list in a watch
 	// An empty line comes every 2 s: a watch that is silent for longer is broken, and
 	// what it misses counts as told 6 s after it fell silent. A list that has begun is
 	// whole within the same time, whatever comes in small pieces.
-	silenceMost = 2600 * time.Millisecond
+	maxSilence = 2600 * time.Millisecond
 )
 
 // Phase is what a call to discovery was at when it failed.
@@ -48,7 +48,7 @@
 		" is reached from here, and whether it writes a line at least every 2 s"
 }
 
-// errLong says that a list has no end within listMost.
+// errLong says that a list has no end within maxList.
 var errLong = errors.New("discovery: a list of over 8 MiB")
 
 // stream reads the lists of a watch, JSON objects one behind the other over as many
@@ -96,7 +96,7 @@
 
 // Read implements io.Reader for the decoder.
 func (s *stream) Read(p []byte) (int, error) {
-	if s.read > listMost {
+	if s.read > maxList {
 		return 0, errLong
 	}
 	if s.spoke {
@@ -104,7 +104,7 @@
 		if !s.began.IsZero() {
 			until = s.began
 		}
-		s.deadline(until.Add(silenceMost))
+		s.deadline(until.Add(maxSilence))
 	}
 	n, err := s.body.Read(p)
 	if n > 0 {
--- a/internal/filelock/filelock.go
+++ b/internal/filelock/filelock.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// acquireMost is how long Acquire waits for a lock that another holds. A child's way
+	// maxAcquire is how long Acquire waits for a lock that another holds. A child's way
 	// from fork to exec takes microseconds, on a busy machine some milliseconds.
-	acquireMost = 500 * time.Millisecond
-	// retryEach is how often it tries.
-	retryEach = 5 * time.Millisecond
+	maxAcquire = 500 * time.Millisecond
+	// retryInterval is how often it tries.
+	retryInterval = 5 * time.Millisecond
 )
 
 // ErrLocked says that another process, or another open file of this one, holds the lock.
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for until := time.Now().Add(acquireMost); ; time.Sleep(retryEach) {
+	for until := time.Now().Add(maxAcquire); ; time.Sleep(retryInterval) {
 		err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		switch {
 		case err == nil:
--- a/internal/filelock/filelock_test.go
+++ b/internal/filelock/filelock_test.go
@@ -104,7 +104,7 @@
 		waiting <- err
 	}()
 	<-began
-	time.Sleep(2 * retryEach) // it has found the lock held, in most runs
+	time.Sleep(2 * retryInterval) // it has found the lock held, in most runs
 	if err := Release(holder); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -39,9 +39,9 @@
 	Start(s proc.Spec) (*Process, error)
 	Adopt(ctx context.Context, pid int, ticks uint64) (*Process, error)
 	Find(prefix string) map[string]proc.Found
-	Health(ctx context.Context, addr string, most time.Duration) (proc.Healthy, error)
+	Health(ctx context.Context, addr string, limit time.Duration) (proc.Healthy, error)
 	// Figures asks a process's operators' door; of the sample, only the figures count.
-	Figures(ctx context.Context, door string, pid int, most time.Duration) (*api.Sample, error)
+	Figures(ctx context.Context, door string, pid int, limit time.Duration) (*api.Sample, error)
 	Boot() string
 }
 
@@ -70,12 +70,12 @@
 }
 func (Processes) Find(prefix string) map[string]proc.Found { return proc.Find(prefix) }
 func (Processes) Boot() string                             { return proc.Boot() }
-func (Processes) Health(ctx context.Context, addr string, most time.Duration) (proc.Healthy, error) {
-	return proc.Health(ctx, addr, most)
+func (Processes) Health(ctx context.Context, addr string, limit time.Duration) (proc.Healthy, error) {
+	return proc.Health(ctx, addr, limit)
 }
 
-func (Processes) Figures(ctx context.Context, door string, pid int, most time.Duration) (*api.Sample, error) {
-	s, err := scrape.Metrics(ctx, door, most)
+func (Processes) Figures(ctx context.Context, door string, pid int, limit time.Duration) (*api.Sample, error) {
+	s, err := scrape.Metrics(ctx, door, limit)
 	if err != nil {
 		return nil, err
 	}
@@ -191,8 +191,8 @@
 	a.changed = make(chan struct{})
 }
 
-// commitMost is how long a write of the record may take.
-const commitMost = 5 * time.Second
+// maxCommit is how long a write of the record may take.
+const maxCommit = 5 * time.Second
 
 // commit writes a change. On success it is for the caller to take it over into
 // memory, still under the lock.
@@ -203,7 +203,7 @@
 	if len(c.Audit) > 0 {
 		c.AuditKeep = a.cfg.Limits.Audit
 	}
-	ctx, cancel := context.WithTimeout(a.ctx, commitMost)
+	ctx, cancel := context.WithTimeout(a.ctx, maxCommit)
 	defer cancel()
 	if err := a.store.Commit(ctx, c); err != nil {
 		if a.unwritable == "" {
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/agent/config.go
@@ -50,9 +50,9 @@
 	} `toml:"sidecar"`
 	// Recovery is how instances come back after the host lost its power.
 	Recovery struct {
-		WaveLeast   units.Duration `toml:"wave_least"`
+		MinWave     units.Duration `toml:"wave_least"`
 		WaveLongest units.Duration `toml:"wave_longest"`
-		WaveMost    int            `toml:"wave_most"` // instances in a wave; 0: no bound
+		MaxWave     int            `toml:"wave_most"` // instances in a wave; 0: no bound
 		Shop        string         `toml:"shop"`      // names of labels
 		Zone        string         `toml:"zone"`
 		// Checkpoint has each sidecar keep what it learns in a file in state_dir.
@@ -67,17 +67,17 @@
 	// Relay, where set, makes the agent one of the machines that serve settings.
 	Relay  *RelayConfig `toml:"relay"`
 	Limits struct {
-		KillAfter   units.Duration `toml:"kill_after"`
-		HealthEach  units.Duration `toml:"health_each"`
-		BackoffMin  units.Duration `toml:"backoff_min"`
-		BackoffMax  units.Duration `toml:"backoff_max"`
-		CrashMost   int            `toml:"crash_most"`
-		CrashWithin units.Duration `toml:"crash_within"`
-		Log         units.Bytes    `toml:"log"`
-		Record      units.Bytes    `toml:"record"`
-		Operations  int            `toml:"operations"`
-		Audit       int            `toml:"audit"`
-		Releases    int            `toml:"releases"`
+		KillAfter      units.Duration `toml:"kill_after"`
+		HealthInterval units.Duration `toml:"health_each"`
+		BackoffMin     units.Duration `toml:"backoff_min"`
+		BackoffMax     units.Duration `toml:"backoff_max"`
+		MaxCrash       int            `toml:"crash_most"`
+		CrashWithin    units.Duration `toml:"crash_within"`
+		Log            units.Bytes    `toml:"log"`
+		Record         units.Bytes    `toml:"record"`
+		Operations     int            `toml:"operations"`
+		Audit          int            `toml:"audit"`
+		Releases       int            `toml:"releases"`
 	} `toml:"limits"`
 	Instances []InstanceConfig `toml:"instance"`
 }
@@ -101,8 +101,8 @@
 	History     int `toml:"history"` // changes
 }
 
-// subscribersMost is how many subscribers one relay may have: each costs a descriptor.
-const subscribersMost = 16000
+// maxSubscribers is how many subscribers one relay may have: each costs a descriptor.
+const maxSubscribers = 16000
 
 // InstanceConfig is one sidecar of the host.
 type InstanceConfig struct {
@@ -123,11 +123,11 @@
 	Postgres = "postgres"
 )
 
-// keepMost is how many slots' figures are kept at most.
-const keepMost = 2000
+// maxKeep is how many slots' figures are kept at most.
+const maxKeep = 2000
 
-// MostInstances is how many sidecars one agent looks after.
-const MostInstances = 256
+// MaxInstances is how many sidecars one agent looks after.
+const MaxInstances = 256
 
 var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
@@ -135,15 +135,15 @@
 func LoadConfig(path string) (*Config, error) {
 	c := &Config{}
 	l := &c.Limits
-	l.KillAfter, l.HealthEach = units.Duration(5*time.Second), units.Duration(time.Second)
+	l.KillAfter, l.HealthInterval = units.Duration(5*time.Second), units.Duration(time.Second)
 	l.BackoffMin, l.BackoffMax = units.Duration(500*time.Millisecond), units.Duration(30*time.Second)
-	l.CrashMost, l.CrashWithin = 5, units.Duration(time.Minute)
+	l.MaxCrash, l.CrashWithin = 5, units.Duration(time.Minute)
 	l.Log, l.Record = 8<<20, 64<<20
 	l.Operations, l.Audit, l.Releases = 100, 10000, 3
 	c.Figures.Slot, c.Figures.Keep = units.Duration(10*time.Second), units.Duration(time.Hour)
 	c.Listen.PlainRole, c.Sidecar.HandOver = api.View, true
 	c.Record.Store, c.Record.Statement, c.Record.Connect = SQLite, units.Duration(2*time.Second), units.Duration(2*time.Second)
-	c.Recovery.WaveLeast, c.Recovery.WaveLongest = units.Duration(300*time.Millisecond), units.Duration(10*time.Second)
+	c.Recovery.MinWave, c.Recovery.WaveLongest = units.Duration(300*time.Millisecond), units.Duration(10*time.Second)
 	c.Recovery.Shop, c.Recovery.Zone = "shop", "zone"
 	c.Distribution.Coalesce = units.Duration(time.Second)
 	if err := units.Load(path, c); err != nil {
@@ -200,8 +200,8 @@
 		return nil
 	case !names[c.Name]:
 		return fmt.Errorf("relay: this agent, %s, is none of [[distribution.relay]]", c.Name)
-	case c.Relay.Subscribers < 1 || c.Relay.Subscribers > subscribersMost:
-		return fmt.Errorf("relay.subscribers: %d; want 1 to %d", c.Relay.Subscribers, subscribersMost)
+	case c.Relay.Subscribers < 1 || c.Relay.Subscribers > maxSubscribers:
+		return fmt.Errorf("relay.subscribers: %d; want 1 to %d", c.Relay.Subscribers, maxSubscribers)
 	case c.Relay.Resources < 1 || c.Relay.History < 1:
 		return fmt.Errorf("relay.resources and relay.history must be 1 at least")
 	}
@@ -233,11 +233,11 @@
 		return fmt.Errorf("listen.plain_role: %q; want %q or %q", c.Listen.PlainRole, api.View, api.Operate)
 	case time.Duration(l.KillAfter) < life.MinKillDelay:
 		return fmt.Errorf("limits.kill_after: %v; a sidecar may need %v from SIGTERM to its last answer", time.Duration(l.KillAfter), life.MinKillDelay)
-	case l.HealthEach < units.Duration(50*time.Millisecond):
-		return fmt.Errorf("limits.health_each: %v; 50ms at least", time.Duration(l.HealthEach))
+	case l.HealthInterval < units.Duration(50*time.Millisecond):
+		return fmt.Errorf("limits.health_each: %v; 50ms at least", time.Duration(l.HealthInterval))
 	case l.BackoffMin <= 0 || l.BackoffMax < l.BackoffMin:
 		return fmt.Errorf("limits.backoff_min and backoff_max: %v and %v; want 0 < min <= max", time.Duration(l.BackoffMin), time.Duration(l.BackoffMax))
-	case l.CrashMost < 1 || l.CrashWithin <= 0:
+	case l.MaxCrash < 1 || l.CrashWithin <= 0:
 		return fmt.Errorf("limits.crash_most and crash_within must be above 0")
 	case l.Log < 64<<10:
 		return fmt.Errorf("limits.log: 64KiB at least")
@@ -245,16 +245,16 @@
 		return fmt.Errorf("limits.operations and audit must be 1 at least, releases 0")
 	case c.Figures.Slot < 0 || c.Figures.Slot > 0 && c.Figures.Slot < units.Duration(200*time.Millisecond):
 		return fmt.Errorf("figures.slot: %v; 200ms at least, or 0s for none", time.Duration(c.Figures.Slot))
-	case c.Figures.Slot > 0 && (c.Figures.Keep < c.Figures.Slot || c.Figures.Keep/c.Figures.Slot > keepMost):
-		return fmt.Errorf("figures.keep: %v; want 1 to %d slots of %v", time.Duration(c.Figures.Keep), keepMost, time.Duration(c.Figures.Slot))
-	case c.Recovery.WaveLeast < 0 || c.Recovery.WaveLongest < c.Recovery.WaveLeast || c.Recovery.WaveLongest > units.Duration(time.Hour):
-		return fmt.Errorf("recovery.wave_least and wave_longest: %v and %v; want 0 <= least <= longest <= 1h", time.Duration(c.Recovery.WaveLeast), time.Duration(c.Recovery.WaveLongest))
+	case c.Figures.Slot > 0 && (c.Figures.Keep < c.Figures.Slot || c.Figures.Keep/c.Figures.Slot > maxKeep):
+		return fmt.Errorf("figures.keep: %v; want 1 to %d slots of %v", time.Duration(c.Figures.Keep), maxKeep, time.Duration(c.Figures.Slot))
+	case c.Recovery.MinWave < 0 || c.Recovery.WaveLongest < c.Recovery.MinWave || c.Recovery.WaveLongest > units.Duration(time.Hour):
+		return fmt.Errorf("recovery.wave_least and wave_longest: %v and %v; want 0 <= least <= longest <= 1h", time.Duration(c.Recovery.MinWave), time.Duration(c.Recovery.WaveLongest))
 	case c.Recovery.Checkpoint && !strings.Contains(c.Sidecar.Fleet, "return"):
 		return fmt.Errorf("recovery.checkpoint: only a sidecar that comes back by rules reads one: add \"return\" to sidecar.fleet, or leave it out")
-	case c.Recovery.WaveMost < 0:
-		return fmt.Errorf("recovery.wave_most: %d; want 0 (no bound) or more", c.Recovery.WaveMost)
-	case len(c.Instances) > MostInstances:
-		return fmt.Errorf("instance: %d of them; an agent looks after %d at most", len(c.Instances), MostInstances)
+	case c.Recovery.MaxWave < 0:
+		return fmt.Errorf("recovery.wave_most: %d; want 0 (no bound) or more", c.Recovery.MaxWave)
+	case len(c.Instances) > MaxInstances:
+		return fmt.Errorf("instance: %d of them; an agent looks after %d at most", len(c.Instances), MaxInstances)
 	}
 	if err := c.checkDistribution(); err != nil {
 		return err
--- a/internal/fleet/agent/figures.go
+++ b/internal/fleet/agent/figures.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	// doorMost is how long a door may take, of a slot's quarter at most.
-	doorMost = 2 * time.Second
+	// maxDoor is how long a door may take, of a slot's quarter at most.
+	maxDoor = 2 * time.Second
 	// doorsAtOnce bounds the calls under way.
 	doorsAtOnce = 16
-	// figuresMost is how many samples one answer holds.
-	figuresMost = 4000
+	// maxFigures is how many samples one answer holds.
+	maxFigures = 4000
 	// rateSlots is over how many slots an instance's rate is told.
 	rateSlots = 6
 )
@@ -37,15 +37,15 @@
 // ring keeps an instance's latest samples, in order. The agent's lock guards it.
 type ring struct {
 	samples []api.Sample
-	most    int
+	limit   int
 }
 
 func (r *ring) add(s api.Sample) {
 	if n := len(r.samples); n > 0 && r.samples[n-1].Boundary >= s.Boundary {
 		return
 	}
-	if len(r.samples) >= 2*r.most {
-		r.samples = append(r.samples[:0:0], r.samples[len(r.samples)-r.most:]...)
+	if len(r.samples) >= 2*r.limit {
+		r.samples = append(r.samples[:0:0], r.samples[len(r.samples)-r.limit:]...)
 	}
 	r.samples = append(r.samples, s)
 }
@@ -96,12 +96,12 @@
 	path    string
 	f       *os.File
 	samples int // in f
-	most    int
+	limit   int
 }
 
 // openJournal reads what there is and goes on behind it.
-func openJournal(path string, most int, each func(api.Sample)) (*journal, error) {
-	j := &journal{path: path, most: most}
+func openJournal(path string, limit int, each func(api.Sample)) (*journal, error) {
+	j := &journal{path: path, limit: limit}
 	for _, p := range []string{path + ".1", path} {
 		f, err := os.Open(p)
 		if errors.Is(err, os.ErrNotExist) {
@@ -149,7 +149,7 @@
 }
 
 func (j *journal) write(ss []api.Sample) error {
-	if j.f == nil || j.samples+len(ss) > j.most {
+	if j.f == nil || j.samples+len(ss) > j.limit {
 		if err := j.turn(); err != nil {
 			return err
 		}
@@ -182,7 +182,7 @@
 		case <-timer.C:
 		}
 		boundary := next.UnixNano() / int64(slot)
-		got := a.sampleAll(boundary, min(doorMost, slot/4))
+		got := a.sampleAll(boundary, min(maxDoor, slot/4))
 		a.mu.Lock()
 		for _, s := range got {
 			a.inst[s.Instance].ring.add(s)
@@ -197,7 +197,7 @@
 
 // sampleAll asks all doors at once. An instance that is being replaced is left out:
 // which of its processes answers is not known.
-func (a *Agent) sampleAll(boundary int64, most time.Duration) []api.Sample {
+func (a *Agent) sampleAll(boundary int64, limit time.Duration) []api.Sample {
 	type job struct {
 		s    api.Sample
 		door string
@@ -221,7 +221,7 @@
 		turns <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-turns }()
-			got, err := a.machine.Figures(a.ctx, b.door, b.pid, most)
+			got, err := a.machine.Figures(a.ctx, b.door, b.pid, limit)
 			if err != nil {
 				return // a gap, which whoever judges sees and counts
 			}
@@ -247,14 +247,14 @@
 		out.Samples = append(out.Samples, ss[at:]...)
 	}
 	slices.SortStableFunc(out.Samples, func(x, y api.Sample) int { return cmp.Compare(x.Boundary, y.Boundary) })
-	most := figuresMost
+	limit := maxFigures
 	if in.Limit > 0 {
-		most = min(most, in.Limit)
+		limit = min(limit, in.Limit)
 	}
-	if len(out.Samples) > most {
+	if len(out.Samples) > limit {
 		// Whole boundaries only, so that the next call goes on behind them.
-		cut := out.Samples[most].Boundary
-		n := most
+		cut := out.Samples[limit].Boundary
+		n := limit
 		for n > 0 && out.Samples[n-1].Boundary == cut {
 			n--
 		}
--- a/internal/fleet/agent/figures_test.go
+++ b/internal/fleet/agent/figures_test.go
@@ -67,7 +67,7 @@
 
 // A ring keeps the latest, takes none twice, and tells a rate within one process only.
 func TestRing(t *testing.T) {
-	r := ring{most: 8}
+	r := ring{limit: 8}
 	for n := range int64(100) {
 		r.add(sample("i", n))
 		r.add(sample("i", n))
--- a/internal/fleet/agent/instance.go
+++ b/internal/fleet/agent/instance.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	// healthMost is how long a health call may take.
-	healthMost = 800 * time.Millisecond
-	// closeEach is how often an instance is looked at while it starts or changes.
-	closeEach = 50 * time.Millisecond
-	// retryEach is how soon what the record kept from being done is tried again.
-	retryEach = time.Second
+	// maxHealth is how long a health call may take.
+	maxHealth = 800 * time.Millisecond
+	// closeInterval is how often an instance is looked at while it starts or changes.
+	closeInterval = 50 * time.Millisecond
+	// retryInterval is how soon what the record kept from being done is tried again.
+	retryInterval = time.Second
 	// hupAfter is the least age of a process that gets SIGHUP: a sidecar that has
 	// just begun may not listen for it yet, and would end.
 	hupAfter = 1200 * time.Millisecond
@@ -115,10 +115,10 @@
 		a.mu.Unlock()
 		if p != nil && !time.Now().Before(healthAt) {
 			a.health(i, p)
-			each := time.Duration(a.cfg.Limits.HealthEach)
+			each := time.Duration(a.cfg.Limits.HealthInterval)
 			each = each*9/10 + rand.N(each/5) // so that many agents' instances don't fall into step
 			if near {
-				each = min(each, closeEach)
+				each = min(each, closeInterval)
 			}
 			healthAt = time.Now().Add(each)
 			a.observe(i)
@@ -136,7 +136,7 @@
 			until(healthAt)
 		}
 		if near {
-			wait = min(wait, closeEach)
+			wait = min(wait, closeInterval)
 		}
 		if time.Now().Before(i.retryAt) {
 			until(i.retryAt)
@@ -230,7 +230,7 @@
 	row.Process, row.Running, row.PID, row.Ticks, row.Boot = row.Generation, row.Release, 0, 0, ""
 	row.Launched = time.Now()
 	if err := a.commit(&store.Change{Instances: []store.Instance{row}}); err != nil {
-		i.retryAt = time.Now().Add(retryEach)
+		i.retryAt = time.Now().Add(retryInterval)
 		a.mu.Unlock()
 		return nil
 	}
@@ -327,7 +327,7 @@
 
 // health makes a health call and takes what it tells.
 func (a *Agent) health(i *instance, p *Process) {
-	says, err := a.machine.Health(a.ctx, i.cfg.listen, healthMost)
+	says, err := a.machine.Health(a.ctx, i.cfg.listen, maxHealth)
 	why := ""
 	if err != nil {
 		why = err.Error()
@@ -599,7 +599,7 @@
 }
 
 // readTail reads the end of a file, or from an offset on.
-func readTail(path string, offset int64, most int) ([]byte, int64, error) {
+func readTail(path string, offset int64, limit int) ([]byte, int64, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, 0, nil
@@ -618,7 +618,7 @@
 	if offset > st.Size() {
 		offset = 0 // it was rotated
 	}
-	buf := make([]byte, min(int64(most), st.Size()-offset))
+	buf := make([]byte, min(int64(limit), st.Size()-offset))
 	n, err := f.ReadAt(buf, offset)
 	if n < len(buf) && err != nil {
 		return nil, 0, fmt.Errorf("%s: %w", filepath.Base(path), err)
--- a/internal/fleet/agent/keep.go
+++ b/internal/fleet/agent/keep.go
@@ -11,13 +11,13 @@
 	"martendrum/internal/fleet/store"
 )
 
-// keepEach is how often the agent's own housekeeping is done.
-const keepEach = time.Second
+// keepInterval is how often the agent's own housekeeping is done.
+const keepInterval = time.Second
 
 // keep writes what could not be written, ends operations that were aborted, and
 // keeps the record, releases and logs within their bounds.
 func (a *Agent) keep() {
-	t := time.NewTicker(keepEach)
+	t := time.NewTicker(keepInterval)
 	defer t.Stop()
 	for n := 0; ; n++ {
 		select {
--- a/internal/fleet/agent/load.go
+++ b/internal/fleet/agent/load.go
@@ -104,7 +104,7 @@
 	limits := life.Config{
 		KillAfter:  time.Duration(a.cfg.Limits.KillAfter),
 		BackoffMin: time.Duration(a.cfg.Limits.BackoffMin), BackoffMax: time.Duration(a.cfg.Limits.BackoffMax),
-		MaxCrashes: a.cfg.Limits.CrashMost, CrashWithin: time.Duration(a.cfg.Limits.CrashWithin),
+		MaxCrashes: a.cfg.Limits.MaxCrash, CrashWithin: time.Duration(a.cfg.Limits.CrashWithin),
 	}
 	for _, c := range a.cfg.Instances {
 		row, known := rows[c.Name]
@@ -118,7 +118,7 @@
 		}
 		delete(rows, c.Name)
 		ran, booted := row.Launch != "" && row.PID != 0 && row.Desired == api.Running, row.Boot == boot
-		i := &instance{cfg: c, row: row, life: life.New(limits, now), program: row.Running, wake: make(chan struct{}, 1), ring: ring{most: a.keepSlots()}}
+		i := &instance{cfg: c, row: row, life: life.New(limits, now), program: row.Running, wake: make(chan struct{}, 1), ring: ring{limit: a.keepSlots()}}
 		a.inst[c.Name] = i
 		a.names = append(a.names, c.Name)
 		launch := i.row.Launch
--- a/internal/fleet/agent/loss.go
+++ b/internal/fleet/agent/loss.go
@@ -141,9 +141,9 @@
 			places = append(places, recovery.Place{Name: name, Shop: i.cfg.Labels[a.cfg.Recovery.Shop], Zone: i.cfg.Labels[a.cfg.Recovery.Zone]})
 		}
 	}
-	waves := recovery.Waves(places, a.cfg.Recovery.WaveMost)
+	waves := recovery.Waves(places, a.cfg.Recovery.MaxWave)
 	a.back = &comeback{epoch: n.Epoch, pace: recovery.NewPace(recovery.PaceConfig{
-		Least: time.Duration(a.cfg.Recovery.WaveLeast), Longest: time.Duration(a.cfg.Recovery.WaveLongest), Losses: n.Recent,
+		Least: time.Duration(a.cfg.Recovery.MinWave), Longest: time.Duration(a.cfg.Recovery.WaveLongest), Losses: n.Recent,
 	}, waves, 0)}
 }
 
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -34,11 +34,11 @@
 // Serve opens the configured listeners and answers until ctx ends. ready, if not
 // nil, is told the addresses once all listen.
 func (a *Agent) Serve(ctx context.Context, ready func(addrs []net.Addr)) error {
-	most := conns
+	limit := conns
 	if a.cfg.Relay != nil {
-		most += a.cfg.Relay.Subscribers + len(a.cfg.Distribution.Relays)
+		limit += a.cfg.Relay.Subscribers + len(a.cfg.Distribution.Relays)
 	}
-	srv := &msgpackrpc.Server{Handler: a.handle, Limits: limits, Conns: most, Welcome: a.welcome}
+	srv := &msgpackrpc.Server{Handler: a.handle, Limits: limits, Conns: limit, Welcome: a.welcome}
 	var lns []net.Listener
 	closeAll := func() {
 		for _, ln := range lns {
@@ -296,7 +296,7 @@
 	slices.SortFunc(out.Steps, func(x, y api.Step) int { return y.Started.Compare(x.Started) })
 	out.Steps = out.Steps[:min(20, len(out.Steps))]
 	if b, err := os.ReadFile(a.configPath(in.Instance)); err == nil {
-		out.Config = string(b[:min(len(b), logsMost)])
+		out.Config = string(b[:min(len(b), maxLogs)])
 	}
 	b, _, err := readTail(a.logPath(in.Instance), -4096, 4096)
 	out.Log = string(b)
@@ -310,10 +310,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if in.Limit <= 0 || in.Limit > logsMost {
-		in.Limit = logsMost
+	if in.Limit <= 0 || in.Limit > maxLogs {
+		in.Limit = maxLogs
 	}
-	b, next, err := readTail(a.logPath(in.Instance), max(in.Offset, -logsMost), in.Limit)
+	b, next, err := readTail(a.logPath(in.Instance), max(in.Offset, -maxLogs), in.Limit)
 	return &api.LogsOut{Data: b, Next: next}, err
 }
 
--- a/internal/fleet/agent/serve_operations.go
+++ b/internal/fleet/agent/serve_operations.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	waitMost    = 10 * time.Second // of op.status
-	targetsMost = 10000            // of an operation
-	logsMost    = 256 << 10        // bytes of one answer
-	conns       = 128
+	maxWait    = 10 * time.Second // of op.status
+	maxTargets = 10000            // of an operation
+	maxLogs    = 256 << 10        // bytes of one answer
+	conns      = 128
 )
 
 // own is the operation's instances here.
@@ -45,8 +45,8 @@
 		return nil, api.Errorf(api.InvalidParams, "operation and holder need names")
 	case !slices.Contains([]string{api.ActStart, api.ActStop, api.ActDrain, api.ActUndrain, api.ActRestart, api.ActReload, api.ActUpgrade, api.ActRollback, api.ActSettings}, o.Action):
 		return nil, api.Errorf(api.InvalidParams, "unknown action %q", o.Action)
-	case len(o.Targets) > targetsMost:
-		return nil, api.Errorf(api.InvalidParams, "%d targets; %d at most", len(o.Targets), targetsMost)
+	case len(o.Targets) > maxTargets:
+		return nil, api.Errorf(api.InvalidParams, "%d targets; %d at most", len(o.Targets), maxTargets)
 	case o.Ready <= 0 || o.Soak < 0 || o.Ready > time.Hour || o.Soak > time.Hour:
 		return nil, api.Errorf(api.InvalidParams, "ready %v, soak %v; want above 0, 0 or more, and an hour at most", o.Ready, o.Soak)
 	}
@@ -262,7 +262,7 @@
 			return nil, err
 		}
 	}
-	timer := time.NewTimer(min(in.Wait, waitMost))
+	timer := time.NewTimer(min(in.Wait, maxWait))
 	defer timer.Stop()
 	for in.Wait > 0 && a.change <= in.After {
 		changed := a.changed
--- a/internal/fleet/agent/serve_releases.go
+++ b/internal/fleet/agent/serve_releases.go
@@ -31,8 +31,8 @@
 	return a.releaseStat(ctx, c, in)
 }
 
-// readMost is how much of a release's file one answer holds.
-const readMost = 1 << 20
+// maxRead is how much of a release's file one answer holds.
+const maxRead = 1 << 20
 
 func (a *Agent) releaseRead(_ context.Context, _ *caller, in *api.ReadIn) (any, error) {
 	if !release.Valid(in.Release) || in.File != release.Sidecar && in.File != release.Overlay || in.Offset < 0 {
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	buf := make([]byte, max(0, min(readMost, st.Size()-in.Offset)))
+	buf := make([]byte, max(0, min(maxRead, st.Size()-in.Offset)))
 	n, err := f.ReadAt(buf, in.Offset)
 	if n < len(buf) && err != nil {
 		return nil, err
--- a/internal/fleet/agent/settings.go
+++ b/internal/fleet/agent/settings.go
@@ -27,9 +27,9 @@
 	sent    time.Time // the SIGHUP
 }
 
-// crashesMost is how many processes may end while they take the same settings before these
+// maxCrashes is how many processes may end while they take the same settings before these
 // count as refused: the first end may have had another cause.
-const crashesMost = 2
+const maxCrashes = 2
 
 // unconfirmedAfter is when settings count as taken by a program that does not tell which
 // configuration it runs.
@@ -260,7 +260,7 @@
 	}
 	if a.settingsWait(i, now) != "" {
 		a.mu.Unlock()
-		return now.Add(closeEach)
+		return now.Add(closeInterval)
 	}
 	settings, process, hash := i.applier.Begin(), i.proc, i.row.Running
 	a.mu.Unlock()
@@ -275,7 +275,7 @@
 	} else {
 		i.attempt = &settingsAttempt{process: process, sum: sum, sent: now}
 	}
-	return now.Add(closeEach)
+	return now.Add(closeInterval)
 }
 
 // reportPending has the relay told when an instance begins or ceases to wait for settings. That
@@ -313,7 +313,7 @@
 // started with the last accepted ones. The lock is held.
 func (a *Agent) crashedAttempt(i *instance) {
 	i.attemptCrashes++
-	if i.attemptCrashes < crashesMost {
+	if i.attemptCrashes < maxCrashes {
 		i.attempt = nil
 		i.applier.Abandon()
 		return
--- a/internal/fleet/client/client.go
+++ b/internal/fleet/client/client.go
@@ -103,8 +103,8 @@
 }
 
 // CallFor is Call with a time of its own.
-func (a *Agent) CallFor(ctx context.Context, most time.Duration, method string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func (a *Agent) CallFor(ctx context.Context, limit time.Duration, method string, in, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for again := true; ; again = false {
 		conn, fresh, err := a.connect(ctx)
@@ -180,8 +180,8 @@
 // parallel is how many agents are asked at once.
 const parallel = 64
 
-// ForEach calls do for each agent, many at once, and returns the errors in order.
-func ForEach(agents []*Agent, do func(n int, a *Agent) error) []error {
+// ForInterval calls do for each agent, many at once, and returns the errors in order.
+func ForInterval(agents []*Agent, do func(n int, a *Agent) error) []error {
 	errs := make([]error, len(agents))
 	slots := make(chan struct{}, parallel)
 	var wg sync.WaitGroup
@@ -216,7 +216,7 @@
 		}
 	}
 	out := make([]HostState, len(agents))
-	ForEach(agents, func(n int, a *Agent) error {
+	ForInterval(agents, func(n int, a *Agent) error {
 		out[n].Host = a.Host
 		var l api.ListOut
 		if err := a.Call(ctx, api.List, api.Empty{}, &l); err != nil {
--- a/internal/fleet/client/operation.go
+++ b/internal/fleet/client/operation.go
@@ -53,14 +53,14 @@
 	return r.run(ctx)
 }
 
-// lookMost is how long the fleet is asked whether it is whole. Who is silent for longer is
+// maxLook is how long the fleet is asked whether it is whole. Who is silent for longer is
 // down, which is no return.
-const lookMost = time.Second
+const maxLook = time.Second
 
 // whole says whether no host of the fleet comes back from a power loss, those that the
 // operation does not touch among them.
 func (f *Fleet) whole(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, lookMost)
+	ctx, cancel := context.WithTimeout(ctx, maxLook)
 	defer cancel()
 	for _, h := range f.List(ctx, &inventory.Select{}) {
 		if h.Returning != "" {
@@ -75,7 +75,7 @@
 func (f *Fleet) Find(ctx context.Context, id string) (op api.Operation, outs map[string]*api.OpOut, errs map[string]error) {
 	outs, errs = make(map[string]*api.OpOut), make(map[string]error)
 	var mu sync.Mutex
-	ForEach(f.Agents, func(_ int, a *Agent) error {
+	ForInterval(f.Agents, func(_ int, a *Agent) error {
 		out := &api.OpOut{}
 		err := a.Call(ctx, api.OpStatus, &api.StatusIn{Op: id}, out)
 		mu.Lock()
--- a/internal/fleet/client/report.go
+++ b/internal/fleet/client/report.go
@@ -66,7 +66,7 @@
 		agents = append(agents, r.parts[host].agent)
 	}
 	var mu sync.Mutex
-	ForEach(agents, func(_ int, a *Agent) error {
+	ForInterval(agents, func(_ int, a *Agent) error {
 		p := r.parts[a.Host.Name]
 		out := &api.OpOut{}
 		var err error
--- a/internal/fleet/client/settings.go
+++ b/internal/fleet/client/settings.go
@@ -124,8 +124,8 @@
 // InForce says how far a revision is, by the writer's word, or by that of the named relay of
 // its own subscribers; zero is the latest. Where the writer does not answer, the relays that
 // do are added up, and Complete is false: hosts of relays that are silent are not known.
-func (f *Fleet) InForce(ctx context.Context, relay string, revision distribution.Revision, most int) (*api.SettingsStatusOut, error) {
-	in := &api.SettingsStatusIn{Revision: revision, Most: most}
+func (f *Fleet) InForce(ctx context.Context, relay string, revision distribution.Revision, limit int) (*api.SettingsStatusOut, error) {
+	in := &api.SettingsStatusIn{Revision: revision, Most: limit}
 	relays, err := f.relays(relay)
 	if err != nil {
 		return nil, err
@@ -152,7 +152,7 @@
 			sum = &out
 			continue
 		}
-		sum.Status.Add(out.Status, most)
+		sum.Status.Add(out.Status, limit)
 	}
 	if sum == nil {
 		return nil, err
--- a/internal/fleet/client/staged.go
+++ b/internal/fleet/client/staged.go
@@ -79,8 +79,8 @@
 	sent time.Time
 }
 
-// noteEach is how often a note is written where only time has passed, in slots.
-const noteEach = 6
+// noteInterval is how often a note is written where only time has passed, in slots.
+const noteInterval = 6
 
 // blindAfter is for how many slots a host may be silent before its instances'
 // evidence is held to be missing.
@@ -261,7 +261,7 @@
 	}
 	s.tell(slot, before, state)
 	s.note.State = state
-	if changed || state.Slots >= noteEach && state.Slots%noteEach == 0 && before.Slots != state.Slots {
+	if changed || state.Slots >= noteInterval && state.Slots%noteInterval == 0 && before.Slots != state.Slots {
 		s.dirty = true
 		s.write()
 	}
@@ -313,7 +313,7 @@
 		for _, host := range r.order {
 			agents = append(agents, r.parts[host].agent)
 		}
-		errs := ForEach(agents, func(_ int, a *Agent) error {
+		errs := ForInterval(agents, func(_ int, a *Agent) error {
 			ctx, cancel := context.WithTimeout(r.ctx, r.fleet.Timeout)
 			defer cancel()
 			token := r.parts[a.Host.Name].held()
--- a/internal/fleet/client/upload.go
+++ b/internal/fleet/client/upload.go
@@ -17,7 +17,7 @@
 // Upload brings a release to agents, many at once, and goes on where an earlier
 // try left off. sent, if not nil, is told of each agent that has it whole.
 func (f *Fleet) Upload(ctx context.Context, agents []*Agent, hash, sidecar, overlay string, sent func(host string)) error {
-	return errors.Join(ForEach(agents, func(_ int, a *Agent) error {
+	return errors.Join(ForInterval(agents, func(_ int, a *Agent) error {
 		if err := a.upload(ctx, hash, sidecar, overlay); err != nil {
 			return fmt.Errorf("release %.12s: %w", hash, err)
 		}
--- a/internal/fleet/distribution/applier.go
+++ b/internal/fleet/distribution/applier.go
@@ -14,11 +14,11 @@
 	Instance string   `msgpack:"instance" json:"instance"`
 	Resource string   `msgpack:"resource" json:"resource"`
 	Revision Revision `msgpack:"revision" json:"revision"`
-	Reason   string   `msgpack:"reason" json:"reason"` // the instance's own, reasonMost bytes
+	Reason   string   `msgpack:"reason" json:"reason"` // the instance's own, maxReason bytes
 }
 
-// reasonMost bounds a refusal's reason, in bytes.
-const reasonMost = 300
+// maxReason bounds a refusal's reason, in bytes.
+const maxReason = 300
 
 // Applier decides which settings one instance is given when. Changes that come within a short
 // time are tried together. Where the instance refuses them they are tried one at a time, so
@@ -151,7 +151,7 @@
 // refuse notes what the instance turned down, unless another revision of it, or none, is
 // wanted by now: that is tried as if nothing had been refused.
 func (a *Applier) refuse(tried map[string]Resource, reason string) {
-	reason = strings.ToValidUTF8(reason[:min(len(reason), reasonMost)], "")
+	reason = strings.ToValidUTF8(reason[:min(len(reason), maxReason)], "")
 	for name, r := range tried {
 		if a.wantedNow(name).Revision == r.Revision {
 			a.refused[name] = Rejection{Instance: a.instance, Resource: name, Revision: r.Revision, Reason: reason}
--- a/internal/fleet/distribution/applier_test.go
+++ b/internal/fleet/distribution/applier_test.go
@@ -188,8 +188,8 @@
 	applier := NewApplier("i", testCoalesce)
 	applier.Want(testTime, []Resource{version("a", 1)})
 	applier.Begin()
-	applier.Done(false, "x"+strings.Repeat("ä", reasonMost))
-	if reason := applier.Rejections()[0].Reason; len(reason) > reasonMost || strings.ToValidUTF8(reason, "") != reason {
+	applier.Done(false, "x"+strings.Repeat("ä", maxReason))
+	if reason := applier.Rejections()[0].Reason; len(reason) > maxReason || strings.ToValidUTF8(reason, "") != reason {
 		t.Errorf("a reason of %d bytes, or one cut within a letter: %q", len(reason), reason)
 	}
 }
--- a/internal/fleet/distribution/choose.go
+++ b/internal/fleet/distribution/choose.go
@@ -35,9 +35,9 @@
 // many hosts that lost the same relay do not come back together.
 const (
 	avoidFirst = 5 * time.Second
-	avoidMost  = time.Minute
+	maxAvoid   = time.Minute
 	retryFirst = 200 * time.Millisecond
-	retryMost  = 3 * time.Second
+	maxRetry   = 3 * time.Second
 )
 
 // NewChooser returns the order of relays for a host.
@@ -70,7 +70,7 @@
 			return r, spread(wait)
 		}
 	}
-	c.wait = min(max(2*c.wait, retryFirst), retryMost)
+	c.wait = min(max(2*c.wait, retryFirst), maxRetry)
 	earliest := slices.MinFunc(c.order, func(x, y Relay) int {
 		return c.failed[x.Name].until.Compare(c.failed[y.Name].until)
 	})
@@ -80,9 +80,9 @@
 // Failed notes that a relay gave no answer or turned the host away.
 func (c *Chooser) Failed(now time.Time, relay string) {
 	f := c.failed[relay]
-	avoid := min(avoidFirst<<min(f.count, 8), avoidMost)
+	avoid := min(avoidFirst<<min(f.count, 8), maxAvoid)
 	c.failed[relay] = failure{until: now.Add(avoid), count: f.count + 1}
-	c.wait = min(max(2*c.wait, retryFirst), retryMost)
+	c.wait = min(max(2*c.wait, retryFirst), maxRetry)
 }
 
 // Served notes that a relay answered.
--- a/internal/fleet/distribution/choose_test.go
+++ b/internal/fleet/distribution/choose_test.go
@@ -65,11 +65,11 @@
 
 // fullest is how many times the mean the relay with the most hosts has.
 func fullest(load map[string]int, living int) float64 {
-	most := 0
+	limit := 0
 	for _, hosts := range load {
-		most = max(most, hosts)
+		limit = max(limit, hosts)
 	}
-	return float64(most) * float64(living) / fleetHosts
+	return float64(limit) * float64(living) / fleetHosts
 }
 
 func TestChooserSpreadsEvenly(t *testing.T) {
@@ -119,7 +119,7 @@
 	relays := testRelays(true)
 	cases := map[string]struct {
 		living []int
-		most   float64 // times the mean, by the sizes of the regions and a tenth for the draw
+		limit  float64 // times the mean, by the sizes of the regions and a tenth for the draw
 	}{
 		"all live":                      {[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, 1.78 * 1.1},
 		"one in each of eight regions":  {[]int{0, 1, 2, 3, 4, 5, 6, 7}, 1.1},
@@ -136,7 +136,7 @@
 		load := loads(t, relays, true, gone)
 		ratio := fullest(load, len(c.living))
 		t.Logf("%s: the fullest of %d has %.3f times the mean", name, len(c.living), ratio)
-		if ratio > c.most || len(load) != len(c.living) {
+		if ratio > c.limit || len(load) != len(c.living) {
 			t.Errorf("%s: %v", name, load)
 		}
 	}
@@ -166,14 +166,14 @@
 	for n := range 20 {
 		now = now.Add(time.Hour)
 		chooser.Failed(now, preferred.Name)
-		avoid := min(avoidFirst<<(n+1), avoidMost)
+		avoid := min(avoidFirst<<(n+1), maxAvoid)
 		if relay, _ := chooser.Next(now.Add(avoid-1), noSpread); relay == preferred {
 			t.Errorf("failed %d times: asked before %v", n+2, avoid)
 		}
 		if relay, _ := chooser.Next(now.Add(avoid), noSpread); relay != preferred {
 			t.Errorf("failed %d times: not asked after %v", n+2, avoid)
 		}
-		if avoid == avoidMost {
+		if avoid == maxAvoid {
 			break
 		}
 	}
@@ -190,7 +190,7 @@
 	seen := make(map[string]bool)
 	for range 30 {
 		relay, wait := chooser.Next(now, noSpread)
-		if wait > retryMost {
+		if wait > maxRetry {
 			t.Fatalf("a wait of %v", wait)
 		}
 		seen[relay.Name] = true
@@ -200,9 +200,9 @@
 	if len(seen) != len(relays) {
 		t.Errorf("only %v are asked", seen)
 	}
-	for draw, want := range map[float64]time.Duration{0: retryMost / 2, 0.999: retryMost * 3 / 2} {
+	for draw, want := range map[float64]time.Duration{0: maxRetry / 2, 0.999: maxRetry * 3 / 2} {
 		_, wait := chooser.Next(now, func() float64 { return draw })
-		if difference := wait - want; difference.Abs() > retryMost/100 {
+		if difference := wait - want; difference.Abs() > maxRetry/100 {
 			t.Errorf("drawn %v: a wait of %v, not %v", draw, wait, want)
 		}
 	}
--- a/internal/fleet/distribution/list.go
+++ b/internal/fleet/distribution/list.go
@@ -2,8 +2,8 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// ListMost is how many elements a List that comes from outside may have.
-const ListMost = HostsMost
+// MaxList is how many elements a List that comes from outside may have.
+const MaxList = MaxHosts
 
 // List is a list that is decoded with a bound, and for which memory is taken as its elements
 // come: the codec would take all at once that a message claims to hold.
@@ -15,8 +15,8 @@
 	if err != nil {
 		return err
 	}
-	if length > ListMost {
-		return &LimitError{What: "elements of a list", Limit: ListMost}
+	if length > MaxList {
+		return &LimitError{What: "elements of a list", Limit: MaxList}
 	}
 	*l = nil
 	for range length {
--- a/internal/fleet/distribution/list_test.go
+++ b/internal/fleet/distribution/list_test.go
@@ -29,7 +29,7 @@
 
 // A message of 1 MiB, as long as a connection takes, does not cost hundreds of it.
 func TestListsAreDecodedWithABound(t *testing.T) {
-	const most = 8 << 20
+	const limit = 8 << 20
 	cases := map[string]struct {
 		data []byte
 		into any
@@ -42,7 +42,7 @@
 	}
 	for name, c := range cases {
 		var err error
-		if bytes := allocated(func() { err = msgpack.Unmarshal(c.data, c.into) }); bytes > most || err == nil {
+		if bytes := allocated(func() { err = msgpack.Unmarshal(c.data, c.into) }); bytes > limit || err == nil {
 			t.Errorf("%s: %d bytes, error %v", name, bytes, err)
 		}
 	}
--- a/internal/fleet/distribution/log_test.go
+++ b/internal/fleet/distribution/log_test.go
@@ -104,7 +104,7 @@
 
 func TestProposeChecksChange(t *testing.T) {
 	tooMany := make(map[string]string)
-	for n := range labelsMost + 1 {
+	for n := range maxLabels + 1 {
 		tooMany[strings.Repeat("k", n+1)] = ""
 	}
 	cases := map[string]struct {
@@ -119,13 +119,13 @@
 		"empty":            {put("a", "x", ""), "content"},
 		"of an instance":   {put("a", "x", `{"listen":"x"}`), "content"},
 		"other case":       {put("a", "x", `{"Seed":"1"}`), "content"},
-		"long":             {put("a", "x", `{"x":"`+strings.Repeat("x", ContentMost)+`"}`), "content"},
+		"long":             {put("a", "x", `{"x":"`+strings.Repeat("x", MaxContent)+`"}`), "content"},
 		"share":            {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Fraction: 1.5}}, "scope"},
 		"negative share":   {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Fraction: -0.5}}, "scope"},
 		"labels":           {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Labels: tooMany}}, "scope"},
 		"label not UTF-8":  {put("a", "\xff", "{}"), "scope"},
 		"key not UTF-8":    {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Labels: map[string]string{"\xff": "x"}}}, "scope"},
-		"author":           {Put{Name: "a", Content: []byte("{}"), Author: strings.Repeat("x", authorMost+1)}, "author"},
+		"author":           {Put{Name: "a", Content: []byte("{}"), Author: strings.Repeat("x", maxAuthor+1)}, "author"},
 		"author not UTF-8": {Put{Name: "a", Content: []byte("{}"), Author: "\xff"}, "author"},
 	}
 	for name, c := range cases {
--- a/internal/fleet/distribution/model_test.go
+++ b/internal/fleet/distribution/model_test.go
@@ -602,13 +602,13 @@
 // reaches the writer by a relay ends at its state.
 func TestFleetConverges(t *testing.T) {
 	t.Parallel()
-	most := 200
+	limit := 200
 	if testing.Short() {
-		most = 60
+		limit = 60
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
-		for range rapid.IntRange(1, most).Draw(t, "steps") {
+		for range rapid.IntRange(1, limit).Draw(t, "steps") {
 			m.step()
 			m.check()
 		}
--- a/internal/fleet/distribution/node/node.go
+++ b/internal/fleet/distribution/node/node.go
@@ -38,9 +38,9 @@
 	watchWait = 4 * time.Second
 	// watchSlack is how much longer than its wait a call may take.
 	watchSlack = 2 * time.Second
-	dialMost   = 3 * time.Second
-	callMost   = 3 * time.Second
-	commitMost = 5 * time.Second
+	maxDial    = 3 * time.Second
+	maxCall    = 3 * time.Second
+	maxCommit  = 5 * time.Second
 	// pageBytes is the size of one answer, about.
 	pageBytes = 512 << 10
 )
@@ -64,8 +64,8 @@
 func jittered(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
 // call makes one call with a bound of its own.
-func call(ctx context.Context, conn Conn, most time.Duration, method string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func call(ctx context.Context, conn Conn, limit time.Duration, method string, in, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return conn.Call(ctx, method, in, out)
 }
--- a/internal/fleet/distribution/node/relay.go
+++ b/internal/fleet/distribution/node/relay.go
@@ -117,7 +117,7 @@
 
 // commit writes rows to disk. After an error it is not known what the store holds.
 func (r *Relay) commit(batch distribution.Batch) error {
-	ctx, cancel := context.WithTimeout(r.ctx, commitMost)
+	ctx, cancel := context.WithTimeout(r.ctx, maxCommit)
 	defer cancel()
 	err := r.cfg.Store.Commit(ctx, &store.Change{Settings: batch.Put, DropSettings: batch.Drop})
 	if err != nil {
@@ -133,7 +133,7 @@
 	if !r.unsure {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(r.ctx, commitMost)
+	ctx, cancel := context.WithTimeout(r.ctx, maxCommit)
 	defer cancel()
 	snapshot, err := r.cfg.Store.Load(ctx)
 	if err != nil {
@@ -294,15 +294,15 @@
 	return out
 }
 
-// statusMost is how many hosts one answer names.
-const statusMost = 500
+// maxStatus is how many hosts one answer names.
+const maxStatus = 500
 
 // Status says how far a revision is: at the writer of all hosts, elsewhere of those that
 // subscribe here.
 func (r *Relay) Status(in *api.SettingsStatusIn) *api.SettingsStatusOut {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return &api.SettingsStatusOut{Status: r.registry.Status(in.Revision, min(max(in.Most, 0), statusMost)),
+	return &api.SettingsStatusOut{Status: r.registry.Status(in.Revision, min(max(in.Most, 0), maxStatus)),
 		Writer: r.writer, Relay: r.cfg.Name, Complete: r.writer.Writer == r.cfg.Name}
 }
 
--- a/internal/fleet/distribution/node/relay_loops.go
+++ b/internal/fleet/distribution/node/relay_loops.go
@@ -13,18 +13,18 @@
 
 // Times of a relay's loops.
 const (
-	// retryEach is about how often the writer is looked for while it does not answer.
-	retryEach = time.Second
-	// reportEach is how often changed reports go to the writer, reportLeast how often a relay
+	// retryInterval is about how often the writer is looked for while it does not answer.
+	retryInterval = time.Second
+	// reportInterval is how often changed reports go to the writer, minReport how often a relay
 	// reports that it lives.
-	reportEach  = 250 * time.Millisecond
-	reportLeast = 3 * time.Second
-	reportMost  = 1000 // hosts in one message
+	reportInterval = 250 * time.Millisecond
+	minReport      = 3 * time.Second
+	maxReport      = 1000 // hosts in one message
 	// relaySilent is when a relay that does not report counts as lost.
 	relaySilent = 12 * time.Second
 	// subscriberSilent is when a subscriber that does not ask counts as away.
 	subscriberSilent = 2 * (watchWait + watchSlack)
-	keepEach         = time.Second
+	keepInterval     = time.Second
 )
 
 // follow copies the log of whoever is the writer, until the relay is closed.
@@ -40,7 +40,7 @@
 			slog.Warn("the settings' writer can't be followed; what is here is served on", "relay", r.cfg.Name, "writer", r.Writer().Writer, "err", err)
 		}
 		logged = err != nil
-		if !pause(r.ctx, jittered(retryEach)) {
+		if !pause(r.ctx, jittered(retryInterval)) {
 			return
 		}
 		r.askAnother()
@@ -59,7 +59,7 @@
 
 // dial connects to a relay.
 func (r *Relay) dial(relay distribution.Relay) (Conn, error) {
-	ctx, cancel := context.WithTimeout(r.ctx, dialMost)
+	ctx, cancel := context.WithTimeout(r.ctx, maxDial)
 	defer cancel()
 	return r.cfg.Dial(ctx, relay)
 }
@@ -67,7 +67,7 @@
 // exchange tells another relay who writes, and learns what that one knows.
 func (r *Relay) exchange(conn Conn) error {
 	var heard api.SettingsWriter
-	if err := call(r.ctx, conn, callMost, api.SettingsWriting, r.Writer(), &heard); err != nil {
+	if err := call(r.ctx, conn, maxCall, api.SettingsWriting, r.Writer(), &heard); err != nil {
 		return err
 	}
 	_, err := r.Learn(heard)
@@ -163,7 +163,7 @@
 		}
 	}
 	defer drop()
-	for pause(r.ctx, reportEach) {
+	for pause(r.ctx, reportInterval) {
 		writer := r.Writer()
 		if writer.Writer == r.cfg.Name || writer != to {
 			drop()
@@ -177,7 +177,7 @@
 			var err error
 			if conn, err = r.dial(relay); err != nil {
 				conn = nil
-				pause(r.ctx, jittered(retryEach))
+				pause(r.ctx, jittered(retryInterval))
 				continue
 			}
 			r.reportAll()
@@ -185,7 +185,7 @@
 		if err := r.reportOnce(conn, writer, &last); err != nil {
 			slog.Debug("the settings' writer did not take a report", "relay", r.cfg.Name, "err", err)
 			drop()
-			pause(r.ctx, jittered(retryEach))
+			pause(r.ctx, jittered(retryInterval))
 		}
 	}
 }
@@ -202,16 +202,16 @@
 		in := &api.SettingsReportIn{Relay: r.cfg.Name, Epoch: writer.Epoch, Process: r.process}
 		r.mu.Lock()
 		moved := r.registry.Changed()
-		in.Hosts, all = r.registry.Reports(reportMost)
+		in.Hosts, all = r.registry.Reports(maxReport)
 		if all {
 			in.Position = r.registry.Position()
 		}
 		r.mu.Unlock()
-		if len(in.Hosts) == 0 && !moved && time.Since(*last) < reportLeast {
+		if len(in.Hosts) == 0 && !moved && time.Since(*last) < minReport {
 			return nil
 		}
 		var out api.SettingsReportOut
-		if err := call(r.ctx, conn, callMost, api.SettingsReport, in, &out); err != nil {
+		if err := call(r.ctx, conn, maxCall, api.SettingsReport, in, &out); err != nil {
 			r.reportAll()
 			return err
 		}
@@ -226,7 +226,7 @@
 
 // keep does what is due by the clock, until the relay is closed.
 func (r *Relay) keep() {
-	for pause(r.ctx, keepEach) {
+	for pause(r.ctx, keepInterval) {
 		now := time.Now()
 		r.mu.Lock()
 		r.registry.Sweep(now, subscriberSilent)
@@ -244,7 +244,7 @@
 // announceUntilClosed tells other relays who writes, until the relay is closed. It dials, so
 // it is apart from what is due by the clock.
 func (r *Relay) announceUntilClosed() {
-	for pause(r.ctx, keepEach) {
+	for pause(r.ctx, keepInterval) {
 		r.announce()
 	}
 }
--- a/internal/fleet/distribution/node/subscriber.go
+++ b/internal/fleet/distribution/node/subscriber.go
@@ -48,9 +48,9 @@
 	wg      sync.WaitGroup
 }
 
-// moveEach is about how often a subscriber looks whether a relay that it would rather ask is
+// moveInterval is about how often a subscriber looks whether a relay that it would rather ask is
 // back. It is spread wide, so that a relay that returns is not asked by all at once.
-const moveEach = 30 * time.Second
+const moveInterval = 30 * time.Second
 
 // NewSubscriber returns a Subscriber that does not run yet.
 func NewSubscriber(cfg SubscriberConfig) *Subscriber {
@@ -115,7 +115,7 @@
 
 // ask connects to a relay and follows it until it fails, or nil where another is better.
 func (s *Subscriber) ask(ctx context.Context, relay distribution.Relay) error {
-	dialing, cancel := context.WithTimeout(ctx, dialMost)
+	dialing, cancel := context.WithTimeout(ctx, maxDial)
 	conn, err := s.cfg.Dial(dialing, relay)
 	cancel()
 	if err != nil {
@@ -127,7 +127,7 @@
 		conn.Close()
 	}()
 	reader := distribution.NewReader(s.cfg.Limits)
-	move := time.Now().Add(moveEach/3 + rand.N(moveEach))
+	move := time.Now().Add(moveInterval/3 + rand.N(moveInterval))
 	state := s.cfg.Copy.State()
 	// A connection's first call does not wait: acknowledgements go out once it is answered.
 	in := &api.SettingsWatchIn{Host: s.cfg.Interest.Host, Session: session, Interest: &s.cfg.Interest, State: &state}
@@ -146,7 +146,7 @@
 			if s.chooser.Better(now, relay.Name) {
 				return nil
 			}
-			move = now.Add(moveEach/3 + rand.N(moveEach))
+			move = now.Add(moveInterval/3 + rand.N(moveInterval))
 		}
 	}
 }
@@ -218,7 +218,7 @@
 		s.stale = false
 		s.mu.Unlock()
 		in := &api.SettingsAckIn{Host: s.cfg.Interest.Host, Session: session, State: s.cfg.Copy.State()}
-		if err := call(context.Background(), conn, callMost, api.SettingsAck, in, nil); err != nil {
+		if err := call(context.Background(), conn, maxCall, api.SettingsAck, in, nil); err != nil {
 			conn.Close()
 		}
 	}
--- a/internal/fleet/distribution/reader.go
+++ b/internal/fleet/distribution/reader.go
@@ -59,11 +59,11 @@
 // check bounds what is joined: as much as a State may hold and have in its history, and as
 // much again for what changes meanwhile.
 func (r *Reader) check(j *joined) error {
-	if most := 2 * (r.limits.Resources + r.limits.History); len(j.resources) > most {
-		return &LimitError{What: "resources of one update", Limit: most}
+	if limit := 2 * (r.limits.Resources + r.limits.History); len(j.resources) > limit {
+		return &LimitError{What: "resources of one update", Limit: limit}
 	}
-	if most := 2 * r.limits.History; len(j.update.Changes) > most {
-		return &LimitError{What: "changes of one update", Limit: most}
+	if limit := 2 * r.limits.History; len(j.update.Changes) > limit {
+		return &LimitError{What: "changes of one update", Limit: limit}
 	}
 	return nil
 }
--- a/internal/fleet/distribution/registry.go
+++ b/internal/fleet/distribution/registry.go
@@ -20,13 +20,13 @@
 	Waiting    string          `msgpack:"waiting,omitempty" json:"waiting,omitempty"` // for what, where it is not settled
 }
 
-// refusalsMost is how many refusals of one host are passed on.
-const refusalsMost = 8
+// maxRefusals is how many refusals of one host are passed on.
+const maxRefusals = 8
 
 // bounded is the state with no more of its texts and refusals than a Registry keeps.
 func (s HostState) bounded() HostState {
-	cut := func(text string) string { return text[:min(len(text), reasonMost)] }
-	refused := s.Rejections[:min(len(s.Rejections), refusalsMost)]
+	cut := func(text string) string { return text[:min(len(text), maxReason)] }
+	refused := s.Rejections[:min(len(s.Rejections), maxRefusals)]
 	s.Rejections = nil
 	for _, refusal := range refused {
 		refusal.Instance, refusal.Resource, refusal.Reason = cut(refusal.Instance), cut(refusal.Resource), cut(refusal.Reason)
@@ -47,8 +47,8 @@
 	Relay   string    `msgpack:"relay" json:"relay"`
 }
 
-// HostsMost is how many hosts a Registry knows.
-const HostsMost = 1 << 16
+// MaxHosts is how many hosts a Registry knows.
+const MaxHosts = 1 << 16
 
 // forgetAfter is how long a host that is away is known.
 const forgetAfter = 24 * time.Hour
@@ -66,7 +66,7 @@
 // of all relays.
 type Registry struct {
 	relay     string // its own name
-	most      int    // subscribers of its own
+	limit     int    // subscribers of its own
 	present   int
 	position  Revision            // of its own copy
 	reported  Revision            // position as Moved was last asked
@@ -76,8 +76,8 @@
 }
 
 // NewRegistry returns an empty Registry of the named relay with room for so many subscribers.
-func NewRegistry(relay string, most int) *Registry {
-	return &Registry{relay: relay, most: most, positions: make(map[string]Revision),
+func NewRegistry(relay string, limit int) *Registry {
+	return &Registry{relay: relay, limit: limit, positions: make(map[string]Revision),
 		hosts: make(map[string]*entry), dirty: make(map[string]bool)}
 }
 
@@ -90,8 +90,8 @@
 		return &InvalidError{What: "session", Name: interest.Host, Reason: "a later one is open"}
 	}
 	fresh := e == nil || !e.report.Present || e.report.Relay != g.relay
-	if fresh && (g.present >= g.most || e == nil && len(g.hosts) >= HostsMost) {
-		return &FullError{Limit: g.most}
+	if fresh && (g.present >= g.limit || e == nil && len(g.hosts) >= MaxHosts) {
+		return &FullError{Limit: g.limit}
 	}
 	if fresh {
 		g.present++
@@ -231,9 +231,9 @@
 
 // Reports takes out up to most reports of one's own subscribers that have changed, and says
 // whether these were all.
-func (g *Registry) Reports(most int) (reports []HostReport, all bool) {
+func (g *Registry) Reports(limit int) (reports []HostReport, all bool) {
 	for host := range g.dirty {
-		if len(reports) >= most {
+		if len(reports) >= limit {
 			return reports, false
 		}
 		delete(g.dirty, host)
@@ -283,7 +283,7 @@
 			continue
 		}
 		if e == nil {
-			if len(g.hosts) >= HostsMost {
+			if len(g.hosts) >= MaxHosts {
 				continue
 			}
 			e = &entry{}
@@ -350,7 +350,7 @@
 
 // Status counts the hosts by how far a revision is there; zero asks for the latest. It names
 // up to most hosts where that is not in force.
-func (g *Registry) Status(revision Revision, most int) Status {
+func (g *Registry) Status(revision Revision, limit int) Status {
 	if revision.IsZero() {
 		revision = g.position
 	}
@@ -372,7 +372,7 @@
 		}
 		missing = append(missing, missingHost{entry: e, refused: len(state.Rejections)})
 	}
-	status.Missing = g.name(missing, most)
+	status.Missing = g.name(missing, limit)
 	return status
 }
 
@@ -383,15 +383,15 @@
 }
 
 // name returns the reports of up to most of the hosts, the refused first.
-func (g *Registry) name(missing []missingHost, most int) []HostReport {
-	if most <= 0 || len(missing) == 0 {
+func (g *Registry) name(missing []missingHost, limit int) []HostReport {
+	if limit <= 0 || len(missing) == 0 {
 		return nil
 	}
 	slices.SortFunc(missing, func(x, y missingHost) int {
 		return cmp.Or(y.refused-x.refused, strings.Compare(x.entry.report.Host, y.entry.report.Host))
 	})
 	var reports []HostReport
-	for _, host := range missing[:min(len(missing), most)] {
+	for _, host := range missing[:min(len(missing), limit)] {
 		report := host.entry.report
 		report.State = g.stateOf(host.entry)
 		reports = append(reports, report)
@@ -424,7 +424,7 @@
 
 // Add adds the counts of another relay's subscribers, of which most missing hosts are named.
 // A host that both know is counted twice.
-func (s *Status) Add(other Status, most int) {
+func (s *Status) Add(other Status, limit int) {
 	if other.Latest.After(s.Latest) {
 		s.Latest = other.Latest
 	}
@@ -437,5 +437,5 @@
 	s.Behind += other.Behind
 	s.Away += other.Away
 	s.Missing = append(s.Missing, other.Missing...)
-	s.Missing = s.Missing[:min(len(s.Missing), most)]
+	s.Missing = s.Missing[:min(len(s.Missing), limit)]
 }
--- a/internal/fleet/distribution/registry_test.go
+++ b/internal/fleet/distribution/registry_test.go
@@ -44,9 +44,9 @@
 }
 
 // forward passes all reports of a relay on to another registry, some at a time.
-func forward(from, to *Registry, most int) {
+func forward(from, to *Registry, limit int) {
 	for {
-		reports, all := from.Reports(most)
+		reports, all := from.Reports(limit)
 		position := Revision{}
 		if all {
 			position = from.Position()
@@ -196,10 +196,10 @@
 
 func TestRegistryBoundsRefusals(t *testing.T) {
 	registry := NewRegistry("r1", 2)
-	state := HostState{Settled: true, Rejections: make([]Rejection, refusalsMost+5)}
+	state := HostState{Settled: true, Rejections: make([]Rejection, maxRefusals+5)}
 	mustJoin(t, registry, interestIn("h1", "x"), 1, state)
 	reports, _ := registry.Reports(1)
-	if len(reports[0].State.Rejections) != refusalsMost {
+	if len(reports[0].State.Rejections) != maxRefusals {
 		t.Errorf("%d refusals", len(reports[0].State.Rejections))
 	}
 }
@@ -348,12 +348,12 @@
 func TestRegistryBoundsHosts(t *testing.T) {
 	t.Parallel()
 	registry := NewRegistry("writer", 1)
-	reports := make([]HostReport, HostsMost+1)
+	reports := make([]HostReport, MaxHosts+1)
 	for n := range reports {
 		reports[n] = HostReport{Host: hostName(n), Session: 1, Present: true, Since: testTime}
 	}
 	registry.Merge("r1", Revision{1, 1}, reports)
-	if hosts := registry.Status(Revision{1, 1}, 0).Hosts; hosts != HostsMost {
+	if hosts := registry.Status(Revision{1, 1}, 0).Hosts; hosts != MaxHosts {
 		t.Errorf("%d hosts", hosts)
 	}
 	if err := registry.Join(testTime.Add(time.Hour), interestIn("new", "x"), 1, HostState{}); err == nil {
--- a/internal/fleet/distribution/resource.go
+++ b/internal/fleet/distribution/resource.go
@@ -18,11 +18,11 @@
 
 // Bounds of one resource.
 const (
-	ContentMost = 64 << 10 // bytes
-	labelsMost  = 16
-	labelMost   = 128  // bytes of a label's key or value
-	authorMost  = 200  // bytes
-	lastYear    = 9999 // that a row, as JSON, can hold
+	MaxContent = 64 << 10 // bytes
+	maxLabels  = 16
+	maxLabel   = 128  // bytes of a label's key or value
+	maxAuthor  = 200  // bytes
+	lastYear   = 9999 // that a row, as JSON, can hold
 )
 
 // nameWanted says in words what nameForm takes.
@@ -74,8 +74,8 @@
 	invalid := func(reason string) error {
 		return &InvalidError{What: "interest", Name: i.Host, Reason: reason}
 	}
-	if i.Host == "" || len(i.Host) > labelMost {
-		return invalid(fmt.Sprintf("a host's name of 1 to %d bytes is needed", labelMost))
+	if i.Host == "" || len(i.Host) > maxLabel {
+		return invalid(fmt.Sprintf("a host's name of 1 to %d bytes is needed", maxLabel))
 	}
 	if len(i.Instances) > interestInstances {
 		return invalid(fmt.Sprintf("%d instances; %d at most", len(i.Instances), interestInstances))
@@ -146,8 +146,8 @@
 	if err := r.Scope.check(r.Name); err != nil {
 		return err
 	}
-	if len(r.Author) > authorMost || !utf8.ValidString(r.Author) {
-		return invalid("author", "%d bytes; want UTF-8, %d bytes at most", len(r.Author), authorMost)
+	if len(r.Author) > maxAuthor || !utf8.ValidString(r.Author) {
+		return invalid("author", "%d bytes; want UTF-8, %d bytes at most", len(r.Author), maxAuthor)
 	}
 	if year := r.At.Year(); year < 0 || year > lastYear {
 		return invalid("time", "the year %d; want 0 to %d", year, lastYear)
@@ -168,12 +168,12 @@
 	if s.Fraction < 0 || s.Fraction > 1 || math.IsNaN(s.Fraction) {
 		return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("a share of %v; want above 0, and 1 at most", s.Fraction)}
 	}
-	if len(s.Labels) > labelsMost {
-		return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("%d labels; %d at most", len(s.Labels), labelsMost)}
+	if len(s.Labels) > maxLabels {
+		return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("%d labels; %d at most", len(s.Labels), maxLabels)}
 	}
 	for key, value := range s.Labels {
-		if key == "" || len(key) > labelMost || len(value) > labelMost {
-			return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("label %.40q: a key, and %d bytes at most", key, labelMost)}
+		if key == "" || len(key) > maxLabel || len(value) > maxLabel {
+			return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("label %.40q: a key, and %d bytes at most", key, maxLabel)}
 		}
 		// The hash and the rows are made of JSON, which would replace other bytes.
 		if !utf8.ValidString(key) || !utf8.ValidString(value) {
@@ -184,8 +184,8 @@
 }
 
 func checkContent(name string, content []byte) error {
-	if len(content) > ContentMost {
-		return &InvalidError{What: "content", Name: name, Reason: fmt.Sprintf("%d bytes; %d at most", len(content), ContentMost)}
+	if len(content) > MaxContent {
+		return &InvalidError{What: "content", Name: name, Reason: fmt.Sprintf("%d bytes; %d at most", len(content), MaxContent)}
 	}
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(content, &object); err != nil {
--- a/internal/fleet/distribution/state.go
+++ b/internal/fleet/distribution/state.go
@@ -225,8 +225,8 @@
 
 // cut ends an update that is longer than most bytes at an earlier revision. What belongs to
 // its first revision stays.
-func (u *Update) cut(most int) {
-	if most <= 0 {
+func (u *Update) cut(limit int) {
+	if limit <= 0 {
 		return
 	}
 	var last Revision
@@ -240,7 +240,7 @@
 		for ; changes < len(u.Changes) && !u.Changes[changes].Revision.After(revision); changes++ {
 			bytes += u.Changes[changes].size()
 		}
-		if bytes > most && resourcesBefore+changesBefore > 0 {
+		if bytes > limit && resourcesBefore+changesBefore > 0 {
 			u.Resources, u.Changes = u.Resources[:resourcesBefore], u.Changes[:changesBefore]
 			u.Revision, u.More = last, true
 			return
--- a/internal/fleet/e2e/settings_relays_test.go
+++ b/internal/fleet/e2e/settings_relays_test.go
@@ -208,9 +208,9 @@
 		}
 	}
 	took := time.Since(began)
-	atMost(t, "the region's relay", connections(toWriter)-relayMade, retriesFirst+relayRetriesSecond*took.Seconds())
-	atMost(t, "hosts without a relay", connections(toAny)-hostsMade, float64(len(alone))*(retriesFirst+hostRetriesSecond*took.Seconds()))
-	atMost(t, "agents that have a relay of their region", connections(across)-acrossMade, 0)
+	maxAt(t, "the region's relay", connections(toWriter)-relayMade, retriesFirst+relayRetriesSecond*took.Seconds())
+	maxAt(t, "hosts without a relay", connections(toAny)-hostsMade, float64(len(alone))*(retriesFirst+hostRetriesSecond*took.Seconds()))
+	maxAt(t, "agents that have a relay of their region", connections(across)-acrossMade, 0)
 
 	heal()
 	w.inForce(change, 6)
@@ -218,11 +218,11 @@
 	w.copied(change, w.relays...)
 }
 
-// atMost says whether so many connections are within a bound.
-func atMost(t *testing.T, whose string, made int, most float64) {
+// maxAt says whether so many connections are within a bound.
+func maxAt(t *testing.T, whose string, made int, limit float64) {
 	t.Helper()
 	t.Logf("%s made %d connections", whose, made)
-	if float64(made) > most {
-		t.Errorf("%s made %d connections while cut off; %.1f at most", whose, made, most)
+	if float64(made) > limit {
+		t.Errorf("%s made %d connections while cut off; %.1f at most", whose, made, limit)
 	}
 }
--- a/internal/fleet/judge/bound.go
+++ b/internal/fleet/judge/bound.go
@@ -110,8 +110,8 @@
 // driftSure is how sure the allowance for drift is of not being too small.
 const driftSure = 0.99
 
-// driftLeast is how many unchanged instances tell how much instances drift.
-const driftLeast = 3
+// minDrift is how many unchanged instances tell how much instances drift.
+const minDrift = 3
 
 // drift estimates, from the unchanged ones, the variance that instances have beyond
 // chance (DerSimonian and Laird's estimate of a random effect, Controlled Clinical
@@ -127,7 +127,7 @@
 			mean += w * v.a
 		}
 	}
-	if k < driftLeast {
+	if k < minDrift {
 		return 0, false
 	}
 	mean /= w1
--- a/internal/fleet/judge/judge.go
+++ b/internal/fleet/judge/judge.go
@@ -649,13 +649,13 @@
 	l.v2 += v * v
 }
 
-// lineLeast is how many points a line needs to be spoken of.
-const lineLeast = 5
+// minLine is how many points a line needs to be spoken of.
+const minLine = 5
 
 // slope returns the growth a minute and its variance; floor is the least standard
 // deviation that a point is held to have.
 func (l *line) slope(floor float64) (a, s2 float64, ok bool) {
-	if l.n < lineLeast {
+	if l.n < minLine {
 		return 0, 0, false
 	}
 	stt := l.tt - l.t*l.t/l.n
--- a/internal/fleet/judge/verdict.go
+++ b/internal/fleet/judge/verdict.go
@@ -204,7 +204,7 @@
 		e.Why = "no changed instance has both a past and a present beside unchanged ones"
 		return
 	case e.Unchanged == 0 || !known:
-		e.Why = fmt.Sprintf("%d unchanged instances; %d at least tell how much instances drift by themselves", e.Unchanged, driftLeast)
+		e.Why = fmt.Sprintf("%d unchanged instances; %d at least tell how much instances drift by themselves", e.Unchanged, minDrift)
 		return
 	case e.Measure == Crashes && rareLog(e.seen, e.events) > -math.Log(j.alpha()):
 		// Few as they are, they are more than the unchanged ones' rate and what is
@@ -241,8 +241,8 @@
 // sufferSigma is how many standard deviations of its past a rate may rise by.
 const sufferSigma = 4
 
-// sufferLeast is how many slots of the past tell what is usual.
-const sufferLeast = 6
+// minSuffer is how many slots of the past tell what is usual.
+const minSuffer = 6
 
 // suffering compares the unchanged ones' last slots with their own past. Its
 // answer is a reason to wait, not to stop: it is no bound that may be looked at
@@ -250,7 +250,7 @@
 func (j *Judge) suffering() (out []Degradation) {
 	for k, c := range j.cells {
 		l := &j.now[k]
-		if c.measure != Unserved && c.measure != Rejections || l.n[0] < sufferLeast || len(l.recent) < recentSlots/2 {
+		if c.measure != Unserved && c.measure != Rejections || l.n[0] < minSuffer || len(l.recent) < recentSlots/2 {
 			continue
 		}
 		past := l.sum[0] / l.n[0]
--- a/internal/fleet/neighbour/neighbour.go
+++ b/internal/fleet/neighbour/neighbour.go
@@ -78,22 +78,22 @@
 	formerName  = "fawnrock"
 )
 
-// askMost is how long a program may take to tell.
-const askMost = time.Second
+// maxAsk is how long a program may take to tell.
+const maxAsk = time.Second
 
-// leaveMost is how long after its end what it started may keep its output open.
-const leaveMost = 100 * time.Millisecond
+// maxLeave is how long after its end what it started may keep its output open.
+const maxLeave = 100 * time.Millisecond
 
 // Query asks a program. One that does not tell, for whatever reason, is First. All that
 // it started is ended.
 func Query(ctx context.Context, path string) Versions {
-	ctx, cancel := context.WithTimeout(ctx, askMost)
+	ctx, cancel := context.WithTimeout(ctx, maxAsk)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, path, "versions")
 	cmd.Env = []string{} // no configuration: a program without the word ends at once
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.Cancel = func() error { return syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }
-	cmd.WaitDelay = leaveMost
+	cmd.WaitDelay = maxLeave
 	out, err := cmd.Output()
 	if cmd.Process != nil {
 		syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
--- a/internal/fleet/proc/proc.go
+++ b/internal/fleet/proc/proc.go
@@ -90,8 +90,8 @@
 	return p, nil
 }
 
-// pollEach is how often a process that is no child is looked at.
-const pollEach = 200 * time.Millisecond
+// pollInterval is how often a process that is no child is looked at.
+const pollInterval = 200 * time.Millisecond
 
 // Adopt takes over a process that another has started, if it still runs. ctx ends
 // the watch over it, not the process.
@@ -107,7 +107,7 @@
 	done := make(chan struct{})
 	p := &Proc{PID: pid, Ticks: ticks, Done: done, p: op, exit: "ended; how is not known, as an earlier agent had started it"}
 	go func() {
-		t := time.NewTicker(pollEach)
+		t := time.NewTicker(pollInterval)
 		defer t.Stop()
 		for Alive(pid, ticks) {
 			select {
@@ -185,14 +185,14 @@
 }
 
 // Health makes the health call.
-func Health(ctx context.Context, addr string, most time.Duration) (h Healthy, err error) {
-	d := net.Dialer{Timeout: most, KeepAlive: -1}
+func Health(ctx context.Context, addr string, limit time.Duration) (h Healthy, err error) {
+	d := net.Dialer{Timeout: limit, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return h, err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(most))
+	conn.SetDeadline(time.Now().Add(limit))
 	if _, err := io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: agent\r\nConnection: close\r\n\r\n"); err != nil {
 		return h, err
 	}
@@ -209,9 +209,9 @@
 // Rotate keeps a log within most bytes: past half of that its content goes to
 // file.1 and it begins anew. Lines written meanwhile may be lost; the writer goes
 // on with the same open file.
-func Rotate(path string, most int64) error {
+func Rotate(path string, limit int64) error {
 	st, err := os.Stat(path)
-	if err != nil || st.Size() <= most/2 {
+	if err != nil || st.Size() <= limit/2 {
 		return nil
 	}
 	in, err := os.Open(path)
@@ -219,14 +219,14 @@
 		return err
 	}
 	defer in.Close()
-	if _, err := in.Seek(max(0, st.Size()-most/2), io.SeekStart); err != nil {
+	if _, err := in.Seek(max(0, st.Size()-limit/2), io.SeekStart); err != nil {
 		return err
 	}
 	out, err := os.OpenFile(path+".1", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
 	if err != nil {
 		return err
 	}
-	_, err = io.Copy(out, io.LimitReader(in, most/2))
+	_, err = io.Copy(out, io.LimitReader(in, limit/2))
 	if e := out.Close(); err == nil {
 		err = e
 	}
--- a/internal/fleet/release/release.go
+++ b/internal/fleet/release/release.go
@@ -24,14 +24,14 @@
 	Overlay = "overlay.json"
 )
 
-// incomingMost is how many releases may be on their way at once; a further one
+// maxIncoming is how many releases may be on their way at once; a further one
 // drops the oldest, which its sender begins again.
-const incomingMost = 4
+const maxIncoming = 4
 
-// Most is the most bytes of a program, and OverlayMost of an overlay.
+// Most is the most bytes of a program, and MaxOverlay of an overlay.
 const (
-	Most        = 256 << 20
-	OverlayMost = 1 << 20
+	Most       = 256 << 20
+	MaxOverlay = 1 << 20
 )
 
 var form = regexp.MustCompile(`^[0-9a-f]{64}$`)
@@ -78,8 +78,8 @@
 	if len(data) == 0 {
 		return nil
 	}
-	if len(data) > OverlayMost {
-		return fmt.Errorf("overlay: %d bytes; %d at most", len(data), OverlayMost)
+	if len(data) > MaxOverlay {
+		return fmt.Errorf("overlay: %d bytes; %d at most", len(data), MaxOverlay)
 	}
 	var v map[string]any
 	if err := json.Unmarshal(data, &v); err != nil {
@@ -142,20 +142,20 @@
 // Write adds bytes at an offset, which must be where the file ends: a repeat of
 // what is there already is taken and changes nothing.
 func (d *Dir) Write(hash, file string, offset int64, data []byte) error {
-	most := int64(Most)
+	limit := int64(Most)
 	switch {
 	case !Valid(hash):
 		return fmt.Errorf("release: %q is no release's hash", hash)
 	case file == Overlay:
-		most = OverlayMost
+		limit = MaxOverlay
 	case file != Sidecar:
 		return fmt.Errorf("release: a file %q; it has %s and %s", file, Sidecar, Overlay)
 	}
-	if offset < 0 || offset+int64(len(data)) > most {
-		return fmt.Errorf("release: %s over %d bytes", file, most)
+	if offset < 0 || offset+int64(len(data)) > limit {
+		return fmt.Errorf("release: %s over %d bytes", file, limit)
 	}
 	if _, err := os.Stat(d.in(hash)); errors.Is(err, os.ErrNotExist) {
-		if err := prune(filepath.Join(d.path, "incoming"), nil, incomingMost-1); err != nil {
+		if err := prune(filepath.Join(d.path, "incoming"), nil, maxIncoming-1); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/release/release_test.go
+++ b/internal/fleet/release/release_test.go
@@ -96,7 +96,7 @@
 			t.Fatal(err)
 		}
 	}
-	if e, err := os.ReadDir(filepath.Join(root, "releases", "incoming")); err != nil || len(e) > incomingMost {
+	if e, err := os.ReadDir(filepath.Join(root, "releases", "incoming")); err != nil || len(e) > maxIncoming {
 		t.Errorf("%d are on their way, %v", len(e), err)
 	}
 }
--- a/internal/fleet/rollout/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -101,7 +101,7 @@
 // groups are those of which the policy allows only so many unavailable at once.
 func (t *Target) groups(p *api.Policy) (out []group) {
 	for _, g := range []group{{"host", t.Host, p.MaxHost}, {"zone", t.Place.Zone, p.MaxZone}, {"shop", t.Place.Shop, p.MaxShop}} {
-		if g.most > 0 && g.name != "" {
+		if g.limit > 0 && g.name != "" {
 			out = append(out, g)
 		}
 	}
@@ -110,7 +110,7 @@
 
 type group struct {
 	kind, name string
-	most       int
+	limit      int
 }
 
 // Action is a step to begin, Kind api.Change or api.Rollback, or the end: Kind "".
@@ -359,7 +359,7 @@
 			}
 			groups := t.groups(&m.policy)
 			for _, g := range groups {
-				if within[g] >= g.most {
+				if within[g] >= g.limit {
 					return
 				}
 			}
--- a/internal/fleet/store/postgres/postgres.go
+++ b/internal/fleet/store/postgres/postgres.go
@@ -41,9 +41,9 @@
 var Version = len(schema.Migrations)
 
 const (
-	openMost = 30 * time.Second
-	// againMost is how often a transaction is made anew.
-	againMost = 5
+	maxOpen = 30 * time.Second
+	// maxAgain is how often a transaction is made anew.
+	maxAgain = 5
 )
 
 // Store is one agent's record.
@@ -58,7 +58,7 @@
 
 // Open takes an agent's record, and makes it if there is none. It needs the database.
 func Open(ctx context.Context, cfg pg.Config, agent string) (*Store, error) {
-	ctx, cancel := context.WithTimeout(ctx, openMost)
+	ctx, cancel := context.WithTimeout(ctx, maxOpen)
 	defer cancel()
 	db, err := pg.Open(cfg, schema)
 	if err != nil {
@@ -123,7 +123,7 @@
 		if err == nil {
 			return nil
 		}
-		if n >= againMost || ctx.Err() != nil || !pg.Undone(err) && !(committing && pg.OutcomeUnknown(err)) {
+		if n >= maxAgain || ctx.Err() != nil || !pg.Undone(err) && !(committing && pg.OutcomeUnknown(err)) {
 			return fmt.Errorf("record: %w", s.db.Explain(err))
 		}
 	}
@@ -238,12 +238,12 @@
 }
 
 // Audit implements store.Store.
-func (s *Store) Audit(ctx context.Context, most int) (out []api.AuditEntry, err error) {
+func (s *Store) Audit(ctx context.Context, limit int) (out []api.AuditEntry, err error) {
 	err = s.read(ctx, "SELECT "+store.AuditColumns+" FROM martendrum_audit WHERE agent = $1::text ORDER BY n DESC LIMIT $2::bigint", func(r store.Row) error {
 		a, err := store.ReadAudit(r)
 		out = append(out, a)
 		return err
-	}, int64(most))
+	}, int64(limit))
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", s.db.Explain(err))
 	}
--- a/internal/fleet/store/sqlite/sqlite.go
+++ b/internal/fleet/store/sqlite/sqlite.go
@@ -53,13 +53,13 @@
 
 // Open opens the file, makes it if there is none, and brings its schema up to
 // date. most bounds it, in bytes. Errors name the file and say what to do.
-func Open(path string, most int64) (*Store, error) {
-	return open(path, most, Version)
+func Open(path string, limit int64) (*Store, error) {
+	return open(path, limit, Version)
 }
 
-func open(path string, most int64, version int) (*Store, error) {
+func open(path string, limit int64, version int) (*Store, error) {
 	db, err := sqlitefile.Open(path, "busy_timeout(2000)", "journal_mode(WAL)", "synchronous(FULL)", "foreign_keys(ON)", "cache_size(-256)",
-		"wal_autocheckpoint(256)", "journal_size_limit(1048576)", fmt.Sprintf("max_page_count(%d)", max(most/pageSize, 64)))
+		"wal_autocheckpoint(256)", "journal_size_limit(1048576)", fmt.Sprintf("max_page_count(%d)", max(limit/pageSize, 64)))
 	if err != nil {
 		return nil, fmt.Errorf("record %s: %w", path, err)
 	}
@@ -158,7 +158,7 @@
 		{"SELECT " + store.LeaseColumns + " FROM leases ORDER BY instance", out.ReadLease},
 		{"SELECT " + store.SettingsColumns + " FROM settings ORDER BY key", out.ReadSettings},
 	} {
-		if err := sqlitefile.ForEach(ctx, s.db, q.text, func(r *sql.Rows) error { return q.scan(r) }); err != nil {
+		if err := sqlitefile.ForInterval(ctx, s.db, q.text, func(r *sql.Rows) error { return q.scan(r) }); err != nil {
 			return nil, fmt.Errorf("record %s: %w", s.path, err)
 		}
 	}
@@ -166,12 +166,12 @@
 }
 
 // Audit implements store.Store.
-func (s *Store) Audit(ctx context.Context, most int) (out []api.AuditEntry, err error) {
-	err = sqlitefile.ForEach(ctx, s.db, "SELECT "+store.AuditColumns+" FROM audit ORDER BY n DESC LIMIT ?", func(r *sql.Rows) error {
+func (s *Store) Audit(ctx context.Context, limit int) (out []api.AuditEntry, err error) {
+	err = sqlitefile.ForInterval(ctx, s.db, "SELECT "+store.AuditColumns+" FROM audit ORDER BY n DESC LIMIT ?", func(r *sql.Rows) error {
 		a, err := store.ReadAudit(r)
 		out = append(out, a)
 		return err
-	}, most)
+	}, limit)
 	if err != nil {
 		return nil, fmt.Errorf("record %s: %w", s.path, err)
 	}
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -76,6 +76,6 @@
 	Load(ctx context.Context) (*Snapshot, error)
 	Commit(ctx context.Context, c *Change) error
 	// Audit returns the latest entries, the latest first.
-	Audit(ctx context.Context, most int) ([]api.AuditEntry, error)
+	Audit(ctx context.Context, limit int) ([]api.AuditEntry, error)
 	Close() error
 }
--- a/internal/fleetsim/return_capacity_test.go
+++ b/internal/fleetsim/return_capacity_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// serversEach is how many sidecars there are for each server of the model's power loss.
-const serversEach = 5
+// serversInterval is how many sidecars there are for each server of the model's power loss.
+const serversInterval = 5
 
 // BenchmarkReturnCapacity plays a power loss of the whole fleet at several sizes: all
 // sidecars start within two seconds and all servers are cold. It measures the simulated
@@ -18,7 +18,7 @@
 			for seed := 1; seed <= *capacitySeeds; seed++ {
 				b.Run(fmt.Sprintf("size=%d/share=%v/seed=%d", size, share, seed), func(b *testing.B) {
 					for b.Loop() {
-						loss := platformLoss(size, size/serversEach, uint64(seed)).staged()
+						loss := platformLoss(size, size/serversInterval, uint64(seed)).staged()
 						loss.Share, loss.Workers = share, capacityWorkers
 						returned := loss.Play()
 						seconds := returned.Back(-1, 0.9)
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -15,8 +15,8 @@
 	ErrMalformed = errors.New("framing: malformed head")
 )
 
-// HeadMost is the longest head read: the buffer that a connection's reader needs.
-const HeadMost = 8 << 10
+// MaxHead is the longest head read: the buffer that a connection's reader needs.
+const MaxHead = 8 << 10
 
 // Await waits until the whole head of the next message stands in br's buffer,
 // and returns it without taking it. The bytes are good until br is read. A head
--- a/internal/framing/framingtest/dechunk.go
+++ b/internal/framing/framingtest/dechunk.go
@@ -12,9 +12,9 @@
 	"strings"
 )
 
-// sizeMost is how many digits of a chunk's size the strict reading takes: as many as 64
+// maxSize is how many digits of a chunk's size the strict reading takes: as many as 64
 // bits need. Longer ones may be refused (RFC 9112, section 7.1, on numerals too large).
-const sizeMost = 16
+const maxSize = 16
 
 // Dechunk reads a chunked body. strict keeps to the grammar: each line ends with CRLF,
 // a size is hex digits alone or before an extension. Otherwise a line may end with a
@@ -29,7 +29,7 @@
 		size, ext, extended := strings.Cut(line, ";")
 		if !strict {
 			size = strings.TrimRight(size, " \t")
-		} else if len(size) > sizeMost || extended && (ext == "" || !plain(ext)) {
+		} else if len(size) > maxSize || extended && (ext == "" || !plain(ext)) {
 			return nil, nil, false
 		}
 		n, err := strconv.ParseUint(size, 16, 31)
--- a/internal/front/close_test.go
+++ b/internal/front/close_test.go
@@ -99,7 +99,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := &handler{arrived: make(chan *Exchange, 100), gone: make(chan *Exchange, 100)}
-			s := New(Config{MostConns: 10, MostBody: 1 << 20}, h)
+			s := New(Config{MaxConns: 10, MaxBody: 1 << 20}, h)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -193,9 +193,9 @@
 
 // A flood of half heads does not keep newcomers out: the oldest half gives way.
 func TestHalfHeadsGiveWay(t *testing.T) {
-	const most = 16
-	s, h, addr := start(t, most)
-	for range most {
+	const limit = 16
+	s, h, addr := start(t, limit)
+	for range limit {
 		dial(t, addr, "GET /look HTTP/1.1\r\n")
 	}
 	eventually(t, "half heads on all connections", func() bool {
@@ -207,7 +207,7 @@
 				n++
 			}
 		}
-		return n >= most-rejectionReserve(most)
+		return n >= limit-rejectionReserve(limit)
 	})
 	s.mu.Lock()
 	for c := range s.conns {
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -110,7 +110,7 @@
 func (s *Server) Trim() {
 	for {
 		s.mu.Lock()
-		over := len(s.conns) > s.config.MostConns
+		over := len(s.conns) > s.config.MaxConns
 		s.mu.Unlock()
 		if !over || !s.evict() {
 			return
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -41,6 +41,6 @@
 
 // Config holds the limits of a Server.
 type Config struct {
-	MostConns int   // client connections at once
-	MostBody  int64 // bytes of buffered request bodies at once
+	MaxConns int   // client connections at once
+	MaxBody  int64 // bytes of buffered request bodies at once
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -39,10 +39,10 @@
 	return &settings.Class{Name: name, Rules: &martendrum.Class{Idempotency: e}}
 }
 
-func start(t *testing.T, most int) (*Server, *handler, string) {
+func start(t *testing.T, limit int) (*Server, *handler, string) {
 	t.Helper()
 	h := &handler{arrived: make(chan *Exchange, 100), gone: make(chan *Exchange, 100)}
-	s := New(Config{MostConns: most, MostBody: 1 << 20}, h)
+	s := New(Config{MaxConns: limit, MaxBody: 1 << 20}, h)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -204,12 +204,12 @@
 
 // Silent connections give way to clients, and their number stays under the limit.
 func TestSilentCrowd(t *testing.T) {
-	const most = 16
-	s, h, addr := start(t, most)
-	for range 5 * most {
+	const limit = 16
+	s, h, addr := start(t, limit)
+	for range 5 * limit {
 		dial(t, addr, "")
 	}
-	for n := range 3 * most {
+	for n := range 3 * limit {
 		_, br := dial(t, addr, look(fmt.Sprint(n)))
 		select {
 		case x := <-h.arrived:
@@ -221,8 +221,8 @@
 		case <-time.After(patience):
 			t.Fatal("a client was kept out")
 		}
-		if got := s.Conns(); got > most {
-			t.Fatalf("%d connections, want at most %d", got, most)
+		if got := s.Conns(); got > limit {
+			t.Fatalf("%d connections, want at most %d", got, limit)
 		}
 	}
 }
@@ -250,8 +250,8 @@
 			t.Errorf("answered %d, %v", resp.StatusCode, resp.Header)
 		}
 	}
-	if s.budget.left != s.config.MostBody {
-		t.Errorf("%d bytes of the budget left of %d", s.budget.left, s.config.MostBody)
+	if s.budget.left != s.config.MaxBody {
+		t.Errorf("%d bytes of the budget left of %d", s.budget.left, s.config.MaxBody)
 	}
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection: %v, want its end", err)
@@ -261,8 +261,8 @@
 // Thousands that connect and say nothing, some half a head, many more than there is
 // room for, keep nobody out who asks.
 func TestThousandsOfIdle(t *testing.T) {
-	const most = 60
-	s, h, addr := start(t, most)
+	const limit = 60
+	s, h, addr := start(t, limit)
 	go func() {
 		for x := range h.arrived {
 			x.Reject(0)
@@ -286,8 +286,8 @@
 			t.Errorf("after %d idle connections: answered %d", n+1, got)
 		}
 		c.Close()
-		if held := s.Conns(); held > most {
-			t.Errorf("%d connections held of %d", held, most)
+		if held := s.Conns(); held > limit {
+			t.Errorf("%d connections held of %d", held, limit)
 		}
 	}
 }
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -30,7 +30,7 @@
 			t.Skip()
 		}
 		h := &handler{arrived: make(chan *Exchange, 4), gone: make(chan *Exchange, 4)}
-		s := New(Config{MostConns: 100, MostBody: 1 << 20}, h)
+		s := New(Config{MaxConns: 100, MaxBody: 1 << 20}, h)
 		here, there := net.Pipe()
 		s.add(here)
 		head := "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n"
@@ -87,7 +87,7 @@
 			t.Skip()
 		}
 		h := &handler{arrived: make(chan *Exchange, 1), gone: make(chan *Exchange, 4)}
-		s := New(Config{MostConns: 100, MostBody: 1 << 20}, h)
+		s := New(Config{MaxConns: 100, MaxBody: 1 << 20}, h)
 		here, there := net.Pipe()
 		defer there.Close()
 		s.add(here)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -31,7 +31,7 @@
 		config:  config,
 		handler: handler,
 		meter:   unmetered{},
-		budget:  budget{left: config.MostBody},
+		budget:  budget{left: config.MaxBody},
 		conns:   make(map[*conn]struct{}),
 		ids:     requestIDs{known: make(map[string]bool)},
 	}
@@ -44,7 +44,7 @@
 func (s *Server) Limit(config Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.give(config.MostBody - s.config.MostBody)
+	s.budget.give(config.MaxBody - s.config.MaxBody)
 	s.config = config
 }
 
@@ -103,7 +103,7 @@
 	c := &conn{server: s, netConn: netConn, accepted: now, stateSince: now}
 	c.answered.L = &s.mu
 	s.mu.Lock()
-	n, limit := len(s.conns), s.config.MostConns
+	n, limit := len(s.conns), s.config.MaxConns
 	s.mu.Unlock()
 	crowded := n >= limit-rejectionReserve(limit) && !s.evict()
 	if crowded && n >= limit {
@@ -225,5 +225,5 @@
 	defer s.mu.Unlock()
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
-	return s.config.MostBody - s.budget.left, s.config.MostBody
+	return s.config.MaxBody - s.budget.left, s.config.MaxBody
 }
--- a/internal/handover/link/ids_test.go
+++ b/internal/handover/link/ids_test.go
@@ -9,7 +9,7 @@
 // Two sides that each keep the sum within a limit never exceed it together, whoever
 // writes when; and where there are no more who ask than may be held, none is refused.
 func TestHeldByTwo(t *testing.T) {
-	for _, c := range []struct{ older, newer, most int }{{4, 4, 8}, {8, 0, 8}, {6, 6, 8}, {1, 1, 1}} {
+	for _, c := range []struct{ older, newer, limit int }{{4, 4, 8}, {8, 0, 8}, {6, 6, 8}, {1, 1, 1}} {
 		t1, f, err := newIDs(true)
 		if err != nil {
 			t.Fatal(err)
@@ -34,11 +34,11 @@
 						held.Add(-1)
 						s.ids.SetInFlight(mine)
 					case mine == s.asks: // none at all
-					case mine+1+s.ids.SetInFlight(mine+1) > c.most:
+					case mine+1+s.ids.SetInFlight(mine+1) > c.limit:
 						s.ids.SetInFlight(mine)
 						refused.Add(1)
 					default:
-						if mine++; held.Add(1) > int64(c.most) {
+						if mine++; held.Add(1) > int64(c.limit) {
 							over.Add(1)
 						}
 					}
@@ -48,7 +48,7 @@
 			})
 		}
 		wait.Wait()
-		if over.Load() > 0 || c.older+c.newer <= c.most && refused.Load() > 0 {
+		if over.Load() > 0 || c.older+c.newer <= c.limit && refused.Load() > 0 {
 			t.Errorf("%+v: %d times over the limit, %d refused", c, over.Load(), refused.Load())
 		}
 		t1.Close()
--- a/internal/handover/link/link.go
+++ b/internal/handover/link/link.go
@@ -26,14 +26,14 @@
 )
 
 const (
-	// messageMost is the longest message, a snapshot's.
-	messageMost = 192 << 10
-	// sendMost is how long a message may take to be sent.
-	sendMost = 500 * time.Millisecond
-	// servingMost is how long a new process may take from its offer to serving.
-	servingMost = 15 * time.Second
-	// peersMost is how many processes may talk to the old one at once.
-	peersMost = 4
+	// maxMessage is the longest message, a snapshot's.
+	maxMessage = 192 << 10
+	// maxSend is how long a message may take to be sent.
+	maxSend = 500 * time.Millisecond
+	// maxServing is how long a new process may take from its offer to serving.
+	maxServing = 15 * time.Second
+	// maxPeers is how many processes may talk to the old one at once.
+	maxPeers = 4
 )
 
 // Place is where the processes of one sidecar find each other.
@@ -193,7 +193,7 @@
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
-	if len(data) > messageMost {
+	if len(data) > maxMessage {
 		m.Snapshot = nil // a start without it is slower, and no worse
 		if data, err = json.Marshal(m); err != nil {
 			return fmt.Errorf("link: %w", err)
@@ -205,7 +205,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.uc.SetWriteDeadline(time.Now().Add(sendMost))
+	c.uc.SetWriteDeadline(time.Now().Add(maxSend))
 	_, _, err = c.uc.WriteMsgUnix(data, oob, nil)
 	return err
 }
--- a/internal/handover/link/new.go
+++ b/internal/handover/link/new.go
@@ -16,10 +16,10 @@
 // Times that a start may take to find out about an old process. All together stay
 // well under the 6 s within which a new one must serve.
 const (
-	offerMost  = 1200 * time.Millisecond // an old one answers within it, or hangs
-	absentMost = 600 * time.Millisecond  // the place is held, and nobody is to be found
-	busyMost   = 3 * time.Second         // another new one is at it
-	again      = 20 * time.Millisecond
+	maxOffer  = 1200 * time.Millisecond // an old one answers within it, or hangs
+	maxAbsent = 600 * time.Millisecond  // the place is held, and nobody is to be found
+	maxBusy   = 3 * time.Second         // another new one is at it
+	again     = 20 * time.Millisecond
 )
 
 // New is a new process's side of a hand-over.
@@ -58,8 +58,8 @@
 		switch {
 		case err == nil:
 			return n, nil
-		case errors.Is(err, handover.ErrBusy) && took < busyMost:
-		case errors.Is(err, errAbsent) && took < absentMost:
+		case errors.Is(err, handover.ErrBusy) && took < maxBusy:
+		case errors.Is(err, errAbsent) && took < maxAbsent:
 		case errors.Is(err, errAbsent), errors.Is(err, errHangs), errors.Is(err, handover.ErrRejected):
 			slog.Warn("no hand-over: this process opens a socket of its own beside the old one's", "err", err)
 			n.mu.Lock()
@@ -106,7 +106,7 @@
 		return err
 	}
 	defer done()
-	d := net.Dialer{Timeout: offerMost}
+	d := net.Dialer{Timeout: maxOffer}
 	nc, err := d.Dial("unixpacket", addr)
 	switch {
 	case errors.Is(err, syscall.EAGAIN): // its queue is full
@@ -124,8 +124,8 @@
 		n.hangUp()
 		return fmt.Errorf("%w: %w", errHangs, err)
 	}
-	uc.SetReadDeadline(time.Now().Add(offerMost))
-	m, files, err := n.conn.receive(make([]byte, messageMost))
+	uc.SetReadDeadline(time.Now().Add(maxOffer))
+	m, files, err := n.conn.receive(make([]byte, maxMessage))
 	uc.SetReadDeadline(time.Time{})
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -287,7 +287,7 @@
 func (n *New) watch() {
 	c := n.conn
 	n.wait.Go(func() {
-		buf := make([]byte, messageMost)
+		buf := make([]byte, maxMessage)
 		for c != nil {
 			m, files, err := c.receive(buf)
 			n.mu.Lock()
--- a/internal/handover/link/old.go
+++ b/internal/handover/link/old.go
@@ -108,14 +108,14 @@
 			continue
 		}
 		o.mu.Lock()
-		if o.closed || len(o.peers) >= peersMost {
+		if o.closed || len(o.peers) >= maxPeers {
 			o.mu.Unlock()
 			uc.Close()
 			continue
 		}
 		o.last++
 		id, p := o.last, &peer{conn: conn{uc: uc}}
-		p.timer = time.AfterFunc(servingMost, func() { o.overdue(id) })
+		p.timer = time.AfterFunc(maxServing, func() { o.overdue(id) })
 		o.peers[id] = p
 		o.wait.Go(func() { o.read(id, p) })
 		o.mu.Unlock()
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -23,8 +23,8 @@
 	// past it a start from nothing knows more.
 	MaxSnapshotAge = 30 * time.Second
 
-	samplesMost = 1024
-	serversMost = 4096
+	maxSamples = 1024
+	maxServers = 4096
 )
 
 var snapshotMagic = []byte("mtdsnap")
@@ -94,8 +94,8 @@
 // Check names the first value that no Balancer could have learned.
 func Check(l *martendrum.LearnedState) error {
 	var err error
-	within := func(name string, v, least, most float64) {
-		if err == nil && !(v >= least && v <= most) { // a NaN is not
+	within := func(name string, v, least, limit float64) {
+		if err == nil && !(v >= least && v <= limit) { // a NaN is not
 			err = fmt.Errorf("%s is %v", name, v)
 		}
 	}
@@ -106,10 +106,10 @@
 	within("LevelAge", float64(l.ShedLevelAge), 0, math.MaxInt64)
 	within("Taken", l.AcceptedFraction, 0, 1)
 	within("MeanTime", l.MeanLatency, 0, math.MaxFloat32)
-	within("Primary", float64(len(l.Primary)), 0, samplesMost)
-	within("Copies", float64(len(l.Hedges)), 0, samplesMost)
-	within("Pairs", float64(len(l.Pairs)), 0, samplesMost)
-	within("Servers", float64(len(l.Servers)), 0, serversMost)
+	within("Primary", float64(len(l.Primary)), 0, maxSamples)
+	within("Copies", float64(len(l.Hedges)), 0, maxSamples)
+	within("Pairs", float64(len(l.Pairs)), 0, maxSamples)
+	within("Servers", float64(len(l.Servers)), 0, maxServers)
 	for _, list := range [][]martendrum.LearnedLatency{l.Primary, l.Hedges} {
 		for _, s := range list {
 			within("a time", s.Latency, 0, math.MaxFloat32)
--- a/internal/hollow/cluster_test.go
+++ b/internal/hollow/cluster_test.go
@@ -27,14 +27,14 @@
 
 // Bounds of waits in a cluster.
 const (
-	startMost = 30 * time.Second
-	callMost  = 10 * time.Second
-	stopMost  = 15 * time.Second
+	maxStart = 30 * time.Second
+	maxCall  = 10 * time.Second
+	maxStop  = 15 * time.Second
 )
 
-// processorsEach bounds how many processors a relay or a worker uses at once: all run on one
+// processorsInterval bounds how many processors a relay or a worker uses at once: all run on one
 // machine.
-const processorsEach = "GOMAXPROCS=2"
+const processorsInterval = "GOMAXPROCS=2"
 
 // process is a child of the test. end is closed when it has ended.
 type process struct {
@@ -69,7 +69,7 @@
 	select {
 	case <-p.end:
 		return
-	case <-time.After(stopMost):
+	case <-time.After(maxStop):
 	}
 	p.command.Process.Kill()
 	<-p.end
@@ -168,10 +168,10 @@
 func (c *cluster) start(relay *relay) {
 	c.t.Helper()
 	command := exec.Command(c.program, "agent", "--config", relay.config)
-	command.Env = append(os.Environ(), processorsEach)
+	command.Env = append(os.Environ(), processorsInterval)
 	if c.profiles != "" {
 		command = exec.Command(os.Args[0])
-		command.Env = append(os.Environ(), processorsEach, agentVariable+"="+relay.config, profileVariable+"="+c.profiles)
+		command.Env = append(os.Environ(), processorsInterval, agentVariable+"="+relay.config, profileVariable+"="+c.profiles)
 	}
 	var err error
 	relay.process, err = startProcess(command, relay.config+".log")
@@ -208,10 +208,10 @@
 	c.disconnect()
 	first := c.relays[0]
 	target := connect.Target{Agent: first.Name, Address: first.Address, TLS: c.operator}
-	eventually(c.t, startMost, "the writer answers", func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), callMost)
+	eventually(c.t, maxStart, "the writer answers", func() bool {
+		ctx, cancel := context.WithTimeout(context.Background(), maxCall)
 		defer cancel()
-		client, err := connect.Dial(ctx, target, "scale test", msgpackrpc.Limits{Message: messageMost})
+		client, err := connect.Dial(ctx, target, "scale test", msgpackrpc.Limits{Message: maxMessage})
 		if err != nil {
 			return false
 		}
@@ -230,7 +230,7 @@
 // publish makes a change, and returns it and when it was acknowledged.
 func (c *cluster) publish(put distribution.Put) (Change, time.Time) {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), callMost)
+	ctx, cancel := context.WithTimeout(context.Background(), maxCall)
 	defer cancel()
 	var out api.SettingsPutOut
 	c.must(c.writer.Call(ctx, api.SettingsPut, &put, &out))
@@ -240,7 +240,7 @@
 // status asks the writer how far a revision is; zero is the latest.
 func (c *cluster) status(revision distribution.Revision) distribution.Status {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), callMost)
+	ctx, cancel := context.WithTimeout(context.Background(), maxCall)
 	defer cancel()
 	var out api.SettingsStatusOut
 	c.must(c.writer.Call(ctx, api.SettingsStatus, &api.SettingsStatusIn{Revision: revision}, &out))
@@ -261,15 +261,15 @@
 }
 
 // eventually waits until something holds.
-func eventually(t testing.TB, most time.Duration, what string, holds func() bool) {
+func eventually(t testing.TB, limit time.Duration, what string, holds func() bool) {
 	t.Helper()
-	const pollEach = 50 * time.Millisecond
-	for until := time.Now().Add(most); ; time.Sleep(pollEach) {
+	const pollInterval = 50 * time.Millisecond
+	for until := time.Now().Add(limit); ; time.Sleep(pollInterval) {
 		if holds() {
 			return
 		}
 		if time.Now().After(until) {
-			t.Fatalf("not after %v: %s", most, what)
+			t.Fatalf("not after %v: %s", limit, what)
 		}
 	}
 }
--- a/internal/hollow/layout.go
+++ b/internal/hollow/layout.go
@@ -82,7 +82,7 @@
 
 // Divide divides the hosts over processes so that no two regions share one, unless there are
 // fewer processes than regions.
-func Divide(hosts []Host, most int) [][]Host {
+func Divide(hosts []Host, limit int) [][]Host {
 	byRegion := make([][]Host, Regions)
 	for n, host := range hosts {
 		region := n % (Regions * ZonesPerRegion) / ZonesPerRegion
@@ -93,10 +93,10 @@
 		if len(region) == 0 {
 			continue
 		}
-		each := (len(region) + partsOf(len(region), most) - 1) / partsOf(len(region), most)
+		each := (len(region) + partsOf(len(region), limit) - 1) / partsOf(len(region), limit)
 		parts = slices.AppendSeq(parts, slices.Chunk(region, each))
 	}
 	return parts
 }
 
-func partsOf(count, most int) int { return (count + most - 1) / most }
+func partsOf(count, limit int) int { return (count + limit - 1) / limit }
--- a/internal/hollow/results_test.go
+++ b/internal/hollow/results_test.go
@@ -65,12 +65,12 @@
 }
 
 // Part of all subscribers that the aim is stated for, in thousandths.
-const mostOfThousand = 999
+const maxOfThousand = 999
 
 // delays is how long after an event 999 in 1,000 of count and all of them had something in
 // force; times are in order.
-func delays(after time.Time, times []time.Time) (most, all time.Duration) {
-	index := (len(times)*mostOfThousand + 999) / 1000
+func delays(after time.Time, times []time.Time) (limit, all time.Duration) {
+	index := (len(times)*maxOfThousand + 999) / 1000
 	return times[index-1].Sub(after), times[len(times)-1].Sub(after)
 }
 
--- a/internal/hollow/scale_test.go
+++ b/internal/hollow/scale_test.go
@@ -30,8 +30,8 @@
 
 // Rates of changes: 13,000 on an ordinary day, and ten times that.
 const (
-	ordinaryEach = 24 * time.Hour / 13000
-	tenfoldEach  = ordinaryEach / 10
+	ordinaryInterval = 24 * time.Hour / 13000
+	tenfoldInterval  = ordinaryInterval / 10
 )
 
 // cutFor is how long a region is cut off.
@@ -101,8 +101,8 @@
 		{"rest", s.atRest},
 		{"change-all", func() { s.single("change-all", distribution.Scope{}, 3) }},
 		{"change-service", func() { s.single("change-service", largestService, 3) }},
-		{"rate-ordinary", func() { s.rate("rate-ordinary", ordinaryEach, s.span) }},
-		{"rate-tenfold", func() { s.rate("rate-tenfold", tenfoldEach, s.span) }},
+		{"rate-ordinary", func() { s.rate("rate-ordinary", ordinaryInterval, s.span) }},
+		{"rate-tenfold", func() { s.rate("rate-tenfold", tenfoldInterval, s.span) }},
 		{"profiles", s.heapProfiles},
 		{"relays-killed", s.relaysKilled},
 		{"relays-silent", s.relaysSilent},
@@ -171,10 +171,10 @@
 	for n, change := range changes {
 		asked[n] = change.Change
 	}
-	const askEach = 500 * time.Millisecond // an answer of all costs the workers time
+	const askInterval = 500 * time.Millisecond // an answer of all costs the workers time
 	var times [][]time.Time
 	missing := ""
-	for until := time.Now().Add(patience); ; time.Sleep(askEach) {
+	for until := time.Now().Add(patience); ; time.Sleep(askInterval) {
 		times, missing = s.workers.accepted(asked...), ""
 		for n, change := range changes {
 			if len(times[n]) < change.concerned {
@@ -193,9 +193,9 @@
 // known waits until the writer's status counts all subscribers, and returns when it did.
 func (s *scale) known(revision distribution.Revision) time.Time {
 	s.t.Helper()
-	const askEach = 100 * time.Millisecond
+	const askInterval = 100 * time.Millisecond
 	var status distribution.Status
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(askEach) {
+	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(askInterval) {
 		if status = s.cluster.status(revision); status.InForce == len(s.workers.hosts) {
 			return time.Now()
 		}
@@ -240,12 +240,12 @@
 		time.Sleep(250 * time.Millisecond)
 	}
 	known := s.known(distribution.Revision{})
-	most, all := delays(began, settled)
+	limit, all := delays(began, settled)
 	var peaks []int64
 	for _, usage := range s.relayUsage() {
 		peaks = append(peaks, usage.ResidentPeak)
 	}
-	s.results.add(name, value{seconds(most), "s-999"}, value{seconds(all), "s-all"}, value{seconds(known.Sub(began)), "s-known"},
+	s.results.add(name, value{seconds(limit), "s-999"}, value{seconds(all), "s-all"}, value{seconds(known.Sub(began)), "s-known"},
 		value{float64(peak.stop()), "peak-descriptors/relay"}, value{float64(largest(peaks)), "peak-B/relay"},
 		value{float64(s.workers.usage().ResidentPeak) / float64(len(s.workers.hosts)), "peak-B/subscriber"})
 }
@@ -311,8 +311,8 @@
 		made := s.publish("single/"+name, scope)
 		known := s.known(made.Revision)
 		times := s.inForce([]change{made})
-		most, all := delays(made.acknowledged, times[0])
-		s.results.add(name, value{float64(made.concerned), "concerned"}, value{seconds(most), "s-999"}, value{seconds(all), "s-all"},
+		limit, all := delays(made.acknowledged, times[0])
+		s.results.add(name, value{float64(made.concerned), "concerned"}, value{seconds(limit), "s-999"}, value{seconds(all), "s-all"},
 			value{seconds(known.Sub(made.acknowledged)), "s-known"})
 	}
 }
@@ -363,8 +363,8 @@
 		if len(times) == 0 {
 			continue // it concerns nobody at this size
 		}
-		most, all := delays(made[n].acknowledged, times)
-		mosts, alls = append(mosts, most), append(alls, all)
+		limit, all := delays(made[n].acknowledged, times)
+		mosts, alls = append(mosts, limit), append(alls, all)
 	}
 	s.results.add(name, value{float64(len(made)), "changes"},
 		value{seconds(middle(mosts)), "median-s-999"}, value{seconds(largest(mosts)), "worst-s-999"},
@@ -375,7 +375,7 @@
 func (s *scale) relaysKilled() {
 	s.t.Helper()
 	lost := s.cluster.relays[1:3]
-	each := min(tenfoldEach, s.span/10)
+	each := min(tenfoldInterval, s.span/10)
 	made := s.changes(each, s.span/6)
 	s.cluster.stop(syscall.SIGKILL, lost...)
 	killed := time.Now()
@@ -397,9 +397,9 @@
 	stopped := time.Now()
 	made := []change{s.publish("silent/all", distribution.Scope{})}
 	times := s.inForce(made)
-	most, all := delays(made[0].acknowledged, times[0])
+	limit, all := delays(made[0].acknowledged, times[0])
 	known := s.known(made[0].Revision)
-	s.results.add("relays-silent", value{seconds(most), "s-999"}, value{seconds(all), "s-all"}, value{seconds(known.Sub(stopped)), "s-known"})
+	s.results.add("relays-silent", value{seconds(limit), "s-999"}, value{seconds(all), "s-all"}, value{seconds(known.Sub(stopped)), "s-known"})
 	for _, relay := range silent {
 		relay.process.command.Process.Signal(syscall.SIGCONT)
 	}
@@ -458,14 +458,14 @@
 
 // descriptorPeak is the most descriptors that a relay had at once.
 type descriptorPeak struct {
-	done chan struct{}
-	most chan int
+	done  chan struct{}
+	limit chan int
 }
 
 // watchDescriptors looks at the relays' descriptors until stop.
 func (s *scale) watchDescriptors() *descriptorPeak {
-	const lookEach = 200 * time.Millisecond
-	peak := &descriptorPeak{done: make(chan struct{}), most: make(chan int, 1)}
+	const lookInterval = 200 * time.Millisecond
+	peak := &descriptorPeak{done: make(chan struct{}), limit: make(chan int, 1)}
 	var pids []int
 	for _, relay := range s.cluster.relays {
 		if relay.process != nil {
@@ -473,17 +473,17 @@
 		}
 	}
 	go func() {
-		most := 0
+		limit := 0
 		for {
 			for _, pid := range pids {
 				count, _ := Descriptors(pid) // 0 where it has ended
-				most = max(most, count)
+				limit = max(limit, count)
 			}
 			select {
 			case <-peak.done:
-				peak.most <- most
+				peak.limit <- limit
 				return
-			case <-time.After(lookEach):
+			case <-time.After(lookInterval):
 			}
 		}
 	}()
@@ -493,7 +493,7 @@
 // stop ends the watch and returns the most.
 func (p *descriptorPeak) stop() int {
 	close(p.done)
-	return <-p.most
+	return <-p.limit
 }
 
 // heapProfiles asks relays and workers for a profile of their memory, if profiles are wanted.
--- a/internal/hollow/subscriber.go
+++ b/internal/hollow/subscriber.go
@@ -12,8 +12,8 @@
 	"martendrum/internal/msgpackrpc"
 )
 
-// messageMost bounds a message of a connection to a relay, as agents bound it.
-const messageMost = 2 << 20
+// maxMessage bounds a message of a connection to a relay, as agents bound it.
+const maxMessage = 2 << 20
 
 // SubscriberConfig is what a Subscriber is told.
 type SubscriberConfig struct {
@@ -76,7 +76,7 @@
 
 func (s *Subscriber) dial(ctx context.Context, relay distribution.Relay) (node.Conn, error) {
 	target := connect.Target{Agent: relay.Name, Address: relay.Address, TLS: s.cfg.TLS}
-	client, err := connect.Dial(ctx, target, "hollow "+s.cfg.Host.Name, msgpackrpc.Limits{Message: messageMost})
+	client, err := connect.Dial(ctx, target, "hollow "+s.cfg.Host.Name, msgpackrpc.Limits{Message: maxMessage})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/hollow/workers_test.go
+++ b/internal/hollow/workers_test.go
@@ -60,7 +60,7 @@
 	w.t.Helper()
 	for _, handle := range w.handles {
 		command := exec.Command(os.Args[0])
-		command.Env = append(os.Environ(), processorsEach, workerVariable+"="+handle.config, profileVariable+"="+w.profiles)
+		command.Env = append(os.Environ(), processorsInterval, workerVariable+"="+handle.config, profileVariable+"="+w.profiles)
 		input, err := command.StdinPipe()
 		if err != nil {
 			w.t.Fatal(err)
@@ -105,7 +105,7 @@
 			}
 			select {
 			case <-handle.process.end:
-			case <-time.After(stopMost):
+			case <-time.After(maxStop):
 				handle.process.stop(syscall.SIGKILL)
 			}
 		})
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -105,7 +105,7 @@
 		next[name] = c
 	}
 	for _, name := range names {
-		if next[name] != nil || len(next) >= classesMost {
+		if next[name] != nil || len(next) >= maxClasses {
 			continue
 		}
 		count := func(result string) *metrics.Counter {
@@ -116,8 +116,8 @@
 	s.classes.Store(&next)
 }
 
-// classesMost bounds what a process counts apart, over all its configurations.
-const classesMost = 256
+// maxClasses bounds what a process counts apart, over all its configurations.
+const maxClasses = 256
 
 // Answered counts a request's final answer by its status.
 func (s *Set) Answered(name string, status int) {
--- a/internal/msgpackrpc/frame.go
+++ b/internal/msgpackrpc/frame.go
@@ -125,8 +125,8 @@
 	return err
 }
 
-func readBody(br *bufio.Reader, buf []byte, n uint64, most int) ([]byte, error) {
-	if n > uint64(most) || len(buf)+int(n) > most {
+func readBody(br *bufio.Reader, buf []byte, n uint64, limit int) ([]byte, error) {
+	if n > uint64(limit) || len(buf)+int(n) > limit {
 		return nil, ErrTooLong
 	}
 	for left := int(n); left > 0; {
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -87,13 +87,13 @@
 
 // add serves a connection if there is room.
 func (s *Server) add(nc net.Conn) bool {
-	most := s.Conns
-	if most <= 0 {
-		most = 256
+	limit := s.Conns
+	if limit <= 0 {
+		limit = 256
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || len(s.conns) >= most {
+	if s.closed || len(s.conns) >= limit {
 		return false
 	}
 	s.conns[nc] = struct{}{}
--- a/internal/msgpackrpc/writer.go
+++ b/internal/msgpackrpc/writer.go
@@ -26,8 +26,8 @@
 	gone bool // taken back before a byte of it went out
 }
 
-// batchMost is how many bytes are handed to the socket in one write.
-const batchMost = 64 << 10
+// maxBatch is how many bytes are handed to the socket in one write.
+const maxBatch = 64 << 10
 
 // writer writes queued messages in order, from one goroutine that ends with the
 // connection. Its queue is bounded in bytes: who adds to a full one waits.
@@ -119,7 +119,7 @@
 		batch = batch[:0]
 		taken, bytes := 0, 0
 		for _, it := range w.queue {
-			if len(batch) > 0 && bytes+len(it.data) > batchMost {
+			if len(batch) > 0 && bytes+len(it.data) > maxBatch {
 				break
 			}
 			taken++
--- a/internal/peers/fact.go
+++ b/internal/peers/fact.go
@@ -53,7 +53,7 @@
 	kind *Kind
 }
 
-// entryTable holds facts within bounds: factsMost in all, factsOfOne of each owner.
+// entryTable holds facts within bounds: maxFacts in all, factsOfOne of each owner.
 type entryTable struct {
 	byKey   map[entryKey]*storedEntry
 	byOwner map[Rank]int
@@ -73,12 +73,12 @@
 	}
 }
 
-// sweepEach is how often facts that have faded are looked for.
-const sweepEach = time.Second
+// sweepInterval is how often facts that have faded are looked for.
+const sweepInterval = time.Second
 
 // sweep forgets what is too old.
 func (t *entryTable) sweep(n *Node, now time.Duration) {
-	if now-t.swept < sweepEach {
+	if now-t.swept < sweepInterval {
 		return
 	}
 	t.swept = now
@@ -105,7 +105,7 @@
 // many, else the oldest of the least weight.
 func (t *entryTable) makeRoom(n *Node, owner Rank, weight int) bool {
 	full := t.byOwner[owner] >= factsOfOne
-	if !full && len(t.byKey) < factsMost {
+	if !full && len(t.byKey) < maxFacts {
 		return true
 	}
 	var victim *storedEntry
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -26,7 +26,7 @@
 // soon.
 func (n *Node) queue(now time.Duration, p pending) {
 	n.pending = slices.DeleteFunc(n.pending, p.same)
-	if len(n.pending) >= pendingMost { // the one that was passed on most often, the lightest first
+	if len(n.pending) >= maxPending { // the one that was passed on most often, the lightest first
 		least := 0
 		for i, q := range n.pending {
 			if o := n.pending[least]; cmp.Or(cmp.Compare(o.weight, q.weight), cmp.Compare(q.sent, o.sent)) > 0 {
@@ -41,22 +41,22 @@
 	}
 }
 
-// sentMost is how often a piece of news is passed on.
-func (n *Node) sentMost() int { return int(math.Ceil(sentFactor * n.logN)) }
+// maxSent is how often a piece of news is passed on.
+func (n *Node) maxSent() int { return int(math.Ceil(sentFactor * n.logN)) }
 
 // known takes that another told news that is held already: after a few such words it is
 // news to nobody (rumour mongering with a counter, Demers and others 1987).
 func (n *Node) known(p pending) {
 	for i := range n.pending {
 		if q := &n.pending[i]; p.same(*q) {
-			q.sent += 1 + n.sentMost()/knownMost
+			q.sent += 1 + n.maxSent()/maxKnown
 			return
 		}
 	}
 }
 
-// knownMost words of others end one's own interest in a piece of news.
-const knownMost = 6
+// maxKnown words of others end one's own interest in a piece of news.
+const maxKnown = 6
 
 // news orders what is pending for a datagram: hot facts, weight, then what was passed on
 // least, the latest first.
@@ -101,7 +101,7 @@
 	if m.publish != nil {
 		w.addEntry(*m.publish)
 	}
-	most, room := n.sentMost(), true
+	limit, room := n.maxSent(), true
 	order := n.news()
 	if m.kind != kindUpdate && n.tokens < n.cfg.Burst/2 {
 		order, room = nil, false // the rest is kept for what is hot
@@ -116,7 +116,7 @@
 		}
 		p.sent++
 	}
-	n.pending = slices.DeleteFunc(n.pending, func(p pending) bool { return p.sent >= most })
+	n.pending = slices.DeleteFunc(n.pending, func(p pending) bool { return p.sent >= limit })
 	if room {
 		n.filler(now, w, to, m.kind == kindAck)
 	}
@@ -176,8 +176,8 @@
 	}
 }
 
-// spreadMost bounds the datagrams to each of a fan in which hot facts leave.
-const spreadMost = 4
+// maxSpread bounds the datagrams to each of a fan in which hot facts leave.
+const maxSpread = 4
 
 // spread passes hot facts on at once.
 func (n *Node) spread(now time.Duration) {
@@ -185,7 +185,7 @@
 		return p.hot && p.sent < n.cfg.Fan && (p.isEntry || n.tokens > n.cfg.Burst/2)
 	}
 	// One datagram may not hold them all. What the ceiling keeps back goes with probes.
-	for round := 0; round < spreadMost && slices.ContainsFunc(n.pending, waits); round++ {
+	for round := 0; round < maxSpread && slices.ContainsFunc(n.pending, waits); round++ {
 		for _, r := range n.sample(n.cfg.Fan, now, true) {
 			n.send(now, r, message{kind: kindUpdate}, false)
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -75,22 +75,22 @@
 	burstUsual   = 4096.0
 	fanUsual     = 4
 
-	sizeMost       = 1 << 16
+	maxSize        = 1 << 16
 	maxIncarnation = 1 << 52 // of a life's number: room to go above any that is told
-	factsMost      = 2048
+	maxFacts       = 2048
 	factsOfOne     = 64 // of one owner
-	pendingMost    = 512
+	maxPending     = 512
 	helloFan       = 8 // asked at once at the start
 	hellos         = 3 // so often, while fewer than half of a fan have answered
-	helloEach      = 90 * time.Millisecond
+	helloInterval  = 90 * time.Millisecond
 	hotDelay       = 20 * time.Millisecond // new facts that come together leave together
 	indirectFan    = 3
 	suspectTimes   = 4  // periods that a suspect has to speak up, times log of the fleet
-	healthMost     = 8  // Lifeguard's: how far one's own slowness stretches probes
+	maxHealth      = 8  // Lifeguard's: how far one's own slowness stretches probes
 	sentFactor     = 3  // how often news is passed on, times log of the fleet
 	fillers        = 3  // old rows in a datagram that has room
-	asideMost      = 64 // members to be probed out of turn
-	ratedEach      = 30 * time.Second
+	maxAside       = 64 // members to be probed out of turn
+	ratedInterval  = 30 * time.Second
 )
 
 // Node is one sidecar's part in the fleet. It is not safe for use by several goroutines.
@@ -150,8 +150,8 @@
 // New returns a Node that begins its life at now. Random choices are drawn from rng.
 func New(cfg Config, now time.Duration, rng *rand.Rand) (*Node, error) {
 	switch {
-	case cfg.Size < 1 || cfg.Size > sizeMost:
-		return nil, &ConfigError{"peers", fmt.Sprintf("a list of 1 to %d addresses", sizeMost)}
+	case cfg.Size < 1 || cfg.Size > maxSize:
+		return nil, &ConfigError{"peers", fmt.Sprintf("a list of 1 to %d addresses", maxSize)}
 	case int(cfg.Self) >= cfg.Size:
 		return nil, &ConfigError{"settings.rank", fmt.Sprintf("below the number of peers, which is %d", cfg.Size)}
 	case cfg.Incarnation == 0 || cfg.Incarnation >= maxIncarnation:
@@ -238,7 +238,7 @@
 // greet asks some at once at the start, for all that follows from how old others are.
 func (n *Node) greet(now time.Duration) {
 	n.hello--
-	n.helloAt = now + helloEach
+	n.helloAt = now + helloInterval
 	if n.membersSeen >= helloFan/2 {
 		n.hello = 0
 		return
@@ -279,7 +279,7 @@
 // not worth telling, nor is a second one soon after: each is passed on by the whole fleet.
 func (n *Node) SetTraffic(now time.Duration, perSecond float64) {
 	t := int(encodeTraffic(perSecond))
-	if off := t - int(n.self.Traffic); off >= -1 && off <= 1 || n.rated > 0 && now-n.rated < ratedEach {
+	if off := t - int(n.self.Traffic); off >= -1 && off <= 1 || n.rated > 0 && now-n.rated < ratedInterval {
 		return
 	}
 	n.self.Traffic, n.rated = uint8(t), now
@@ -312,7 +312,7 @@
 // Health is how slow this sidecar takes itself to be, from 0 (not at all) to 8.
 func (n *Node) Health() int { return n.health }
 
-func (n *Node) sicken(by int) { n.health = max(0, min(n.health+by, healthMost)) }
+func (n *Node) sicken(by int) { n.health = max(0, min(n.health+by, maxHealth)) }
 
 // errSelf is for datagrams in one's own name.
 var errSelf = errors.New("peers: a datagram from oneself")
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -290,13 +290,13 @@
 			sent += len(d.Data)
 		}
 	}
-	if most := int(60*n.cfg.Rate + 2*n.cfg.Burst); sent > most {
-		t.Errorf("%d bytes sent in a minute, the ceiling allows %d", sent, most)
+	if limit := int(60*n.cfg.Rate + 2*n.cfg.Burst); sent > limit {
+		t.Errorf("%d bytes sent in a minute, the ceiling allows %d", sent, limit)
 	}
 	switch {
-	case len(n.facts.byKey) > factsMost, n.facts.byOwner[1] > factsOfOne, n.facts.byOwner[0] > factsOfOne:
+	case len(n.facts.byKey) > maxFacts, n.facts.byOwner[1] > factsOfOne, n.facts.byOwner[0] > factsOfOne:
 		t.Errorf("%d facts, %d of one, %d of its own", len(n.facts.byKey), n.facts.byOwner[1], n.facts.byOwner[0])
-	case len(n.facts.order) != len(n.facts.byKey), len(n.localEntries) > factsOfOne, len(n.pending) > pendingMost, len(n.aside) > asideMost:
+	case len(n.facts.order) != len(n.facts.byKey), len(n.localEntries) > factsOfOne, len(n.pending) > maxPending, len(n.aside) > maxAside:
 		t.Errorf("%d in order of %d, %d own, %d pending, %d aside", len(n.facts.order), len(n.facts.byKey), len(n.localEntries), len(n.pending), len(n.aside))
 	}
 }
--- a/internal/peers/probe.go
+++ b/internal/peers/probe.go
@@ -24,14 +24,14 @@
 	until    time.Duration
 }
 
-// missedMost probes in a row without an answer make a suspect: more in a large fleet, so
+// maxMissed probes in a row without an answer make a suspect: more in a large fleet, so
 // that where datagrams get lost the suspicions that all hear of stay as rare.
-func (n *Node) missedMost() uint8 {
+func (n *Node) maxMissed() uint8 {
 	return uint8(1 + math.Ceil(math.Log10(float64(n.cfg.Size))))
 }
 
-// relaysMost bounds the probes made for others at once.
-const relaysMost = 32
+// maxRelays bounds the probes made for others at once.
+const maxRelays = 32
 
 // begin starts the period's probe: one that somebody doubts, else the next in this
 // round's order, so that each is asked once in a round.
@@ -62,7 +62,7 @@
 
 // lookAt has a sidecar probed out of turn.
 func (n *Node) lookAt(r Rank) {
-	if len(n.aside) < asideMost && !slices.Contains(n.aside, r) {
+	if len(n.aside) < maxAside && !slices.Contains(n.aside, r) {
 		n.aside = append(n.aside, r)
 	}
 }
@@ -81,10 +81,10 @@
 	n.probe = nil
 	n.sicken(1)
 	m := &n.members[p.target]
-	m.missed = min(m.missed+1, n.missedMost())
+	m.missed = min(m.missed+1, n.maxMissed())
 	switch {
 	case m.record.Incarnation == 0:
-	case m.missed < n.missedMost(): // chance, where datagrams are lost
+	case m.missed < n.maxMissed(): // chance, where datagrams are lost
 		n.lookAt(p.target)
 	case m.record.State == Alive:
 		n.stats.Suspected++
@@ -115,7 +115,7 @@
 // reach pings target for another.
 func (n *Node) reach(now time.Duration, for_, target Rank, seq uint32) {
 	n.relays = slices.DeleteFunc(n.relays, func(r relay) bool { return now >= r.until })
-	if target == n.cfg.Self || target == for_ || len(n.relays) >= relaysMost {
+	if target == n.cfg.Self || target == for_ || len(n.relays) >= maxRelays {
 		return
 	}
 	n.seq++
--- a/internal/peers/row.go
+++ b/internal/peers/row.go
@@ -96,7 +96,7 @@
 func (n *Node) status(r Rank, now time.Duration) State {
 	m := &n.members[r]
 	switch {
-	case m.record.Incarnation == 0 && m.missed >= min(2, n.missedMost()):
+	case m.record.Incarnation == 0 && m.missed >= min(2, n.maxMissed()):
 		return Silent
 	case m.record.Incarnation == 0:
 		return Unknown
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -47,7 +47,7 @@
 	itemRecord = 0
 	itemEntry  = 1
 	ageUnit    = 100 * time.Millisecond
-	ageMost    = 1 << 31 // units: seven years
+	maxAge     = 1 << 31 // units: seven years
 )
 
 // DecodeError says why a datagram was dropped.
@@ -101,7 +101,7 @@
 }
 
 func (w *writer) age(born time.Duration) uint64 {
-	return uint64(min(max(0, w.now-born)/ageUnit, ageMost))
+	return uint64(min(max(0, w.now-born)/ageUnit, maxAge))
 }
 
 func (w *writer) record(r Record) {
@@ -160,13 +160,13 @@
 	err error
 }
 
-func (r *reader) int(most uint64) uint64 {
+func (r *reader) int(limit uint64) uint64 {
 	if r.err != nil {
 		return 0
 	}
 	v, err := r.dec.DecodeUint64()
-	if err == nil && v > most {
-		err = fmt.Errorf("%d where %d is the most", v, most)
+	if err == nil && v > limit {
+		err = fmt.Errorf("%d where %d is the most", v, limit)
 	}
 	if err != nil {
 		r.err = err
@@ -175,7 +175,7 @@
 	return v
 }
 
-func (r *reader) born() time.Duration { return r.now - time.Duration(r.int(ageMost))*ageUnit }
+func (r *reader) born() time.Duration { return r.now - time.Duration(r.int(maxAge))*ageUnit }
 
 func (r *reader) record() Record {
 	return Record{
--- a/internal/pg/pg.go
+++ b/internal/pg/pg.go
@@ -29,8 +29,8 @@
 	ErrUnusable = errors.New("the database can't be used")
 )
 
-// startMost bounds bringing the schema up to date.
-const startMost = 20 * time.Second
+// maxStart bounds bringing the schema up to date.
+const maxStart = 20 * time.Second
 
 // Config says which database, and how it is used.
 type Config struct {
@@ -162,7 +162,7 @@
 // Migrate brings the schema to a version. Programs that start together wait here for
 // the first of them.
 func (db *DB) Migrate(ctx context.Context, to int) error {
-	ctx, cancel := context.WithTimeout(ctx, startMost)
+	ctx, cancel := context.WithTimeout(ctx, maxStart)
 	defer cancel()
 	return pgx.BeginFunc(ctx, db.Pool, func(tx pgx.Tx) error {
 		do := func(q string, args ...any) error {
--- a/internal/record/backend.go
+++ b/internal/record/backend.go
@@ -20,11 +20,11 @@
 	List(ctx context.Context, f Filter) ([]Entry, error)
 	// Sweep makes rows of dead owners what is known of them and drops what has been
 	// kept for long enough, most rows at once; it returns how many it touched.
-	Sweep(ctx context.Context, keep Retention, most int) (int, error)
+	Sweep(ctx context.Context, keep Retention, limit int) (int, error)
 	// Gap notes requests of a class that went on without a record.
 	Gap(ctx context.Context, g Gap) error
 	// Gaps returns the latest gaps.
-	Gaps(ctx context.Context, most int) ([]Gap, error)
+	Gaps(ctx context.Context, limit int) ([]Gap, error)
 	// Stats counts rows by state, and the bytes used.
 	Stats(ctx context.Context) (Stats, error)
 	// Check looks for damage and for rows that can't be; nil if there is none.
--- a/internal/record/breaker.go
+++ b/internal/record/breaker.go
@@ -19,8 +19,8 @@
 
 // NewBreaker returns a closed breaker that opens after so many failures in a row
 // and pauses from least to most.
-func NewBreaker(after int, least, most time.Duration) Breaker {
-	return Breaker{after: after, minBackoff: least, maxBackoff: most}
+func NewBreaker(after int, least, limit time.Duration) Breaker {
+	return Breaker{after: after, minBackoff: least, maxBackoff: limit}
 }
 
 // Allow says whether the store may be asked at now. While the breaker is open, one
--- a/internal/record/conf/conf.go
+++ b/internal/record/conf/conf.go
@@ -38,11 +38,11 @@
 		Lease     units.Duration `toml:"lease"`
 	} `toml:"wait"`
 	Keep struct {
-		Answered  units.Duration `toml:"answered"`
-		NeverRan  units.Duration `toml:"never_ran"`
-		Unsettled units.Duration `toml:"may_have_run"`
-		Answer    units.Bytes    `toml:"answer"`
-		SweepEach units.Duration `toml:"sweep_each"`
+		Answered      units.Duration `toml:"answered"`
+		NeverRan      units.Duration `toml:"never_ran"`
+		Unsettled     units.Duration `toml:"may_have_run"`
+		Answer        units.Bytes    `toml:"answer"`
+		SweepInterval units.Duration `toml:"sweep_each"`
 	} `toml:"keep"`
 	Queue struct {
 		Ops   int         `toml:"ops"`
@@ -79,7 +79,7 @@
 	c.SQLite.Path, c.SQLite.Most = "record.db", 256<<20
 	c.Postgres.Connections, c.Postgres.Connect = 2, d(2*time.Second)
 	c.Wait.Share, c.Wait.Statement, c.Wait.EndFor, c.Wait.Lease = 0.1, d(time.Second), d(time.Minute), d(5*time.Second)
-	c.Keep.Answered, c.Keep.NeverRan, c.Keep.Unsettled, c.Keep.Answer, c.Keep.SweepEach = d(24*time.Hour), d(time.Hour), d(720*time.Hour), 64<<10, d(5*time.Second)
+	c.Keep.Answered, c.Keep.NeverRan, c.Keep.Unsettled, c.Keep.Answer, c.Keep.SweepInterval = d(24*time.Hour), d(time.Hour), d(720*time.Hour), 64<<10, d(5*time.Second)
 	c.Queue.Ops, c.Queue.Bytes, c.Queue.Batch = 1024, 2<<20, 128
 	c.Breaker.After, c.Breaker.Least, c.Breaker.Most = 5, d(100*time.Millisecond), d(5*time.Second)
 	if err := units.Load(path, c); err != nil {
@@ -112,7 +112,7 @@
 		return fmt.Errorf("wait.lease: 1s at least")
 	case c.Keep.Answered < units.Duration(time.Minute) || c.Keep.Unsettled < units.Duration(time.Minute) || c.Keep.NeverRan <= 0:
 		return fmt.Errorf("keep.answered and keep.may_have_run must be 1m at least, keep.never_ran above 0")
-	case c.Keep.Answer < 0 || c.Keep.SweepEach < units.Duration(100*time.Millisecond):
+	case c.Keep.Answer < 0 || c.Keep.SweepInterval < units.Duration(100*time.Millisecond):
 		return fmt.Errorf("keep.answer must be 0B or more, keep.sweep_each 100ms at least")
 	case c.Queue.Ops < 1 || c.Queue.Bytes < 64<<10 || c.Queue.Batch < 1:
 		return fmt.Errorf("queue.ops and queue.batch must be 1 at least, queue.bytes 64KiB")
@@ -153,7 +153,7 @@
 func (c *Config) Keeper(set *settings.Settings, sockets int) (keeper.Config, error) {
 	out := keeper.Config{Name: c.Store, Writers: 1, Batch: c.Queue.Batch, Queue: c.Queue.Ops, QueueBytes: int(c.Queue.Bytes),
 		Statement: time.Duration(c.Wait.Statement), EndFor: time.Duration(c.Wait.EndFor), Lease: time.Duration(c.Wait.Lease),
-		MaxAnswerBytes: int(c.Keep.Answer), Retention: c.Keeping(), SweepInterval: time.Duration(c.Keep.SweepEach),
+		MaxAnswerBytes: int(c.Keep.Answer), Retention: c.Keeping(), SweepInterval: time.Duration(c.Keep.SweepInterval),
 		BreakAfter: c.Breaker.After, MinBackoff: time.Duration(c.Breaker.Least), MaxBackoff: time.Duration(c.Breaker.Most)}
 	if c.Store == "postgres" {
 		if out.Writers = c.Postgres.Connections; out.Writers > sockets {
--- a/internal/record/e2e/crash_test.go
+++ b/internal/record/e2e/crash_test.go
@@ -167,8 +167,8 @@
 	}
 	n := 0
 	counts := c.once(t, s, w, pg, dir, &n, "", 0, nil)
-	for kind, most := range counts {
-		for at := int64(1); at <= most; at++ {
+	for kind, limit := range counts {
+		for at := int64(1); at <= limit; at++ {
 			c.once(t, s, w, pg, dir, &n, kind, at, total)
 			if t.Failed() {
 				return
--- a/internal/record/e2e/main_test.go
+++ b/internal/record/e2e/main_test.go
@@ -121,7 +121,7 @@
 			return nil, err
 		}
 	}
-	n.srv = front.New(front.Config{MostConns: 1000, MostBody: 8 << 20}, n.host)
+	n.srv = front.New(front.Config{MaxConns: 1000, MaxBody: 8 << 20}, n.host)
 	if n.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
--- a/internal/record/keeper/commit.go
+++ b/internal/record/keeper/commit.go
@@ -17,8 +17,8 @@
 // for it already.
 var ErrUnavailable = errors.New("the store is away")
 
-// idleMost is how long a worker waits with nothing to do, at most.
-const idleMost = time.Minute
+// maxIdle is how long a worker waits with nothing to do, at most.
+const maxIdle = time.Minute
 
 // job is one op that waits to be written.
 type job struct {
@@ -137,7 +137,7 @@
 				continue
 			}
 			if wait == 0 {
-				wait = idleMost
+				wait = maxIdle
 			}
 			t := time.NewTimer(wait)
 			select {
@@ -166,9 +166,9 @@
 	c := s.committer
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	most := c.cfg.Batch
+	limit := c.cfg.Batch
 	if s.solo > 0 {
-		most, s.solo = 1, s.solo-1
+		limit, s.solo = 1, s.solo-1
 	}
 	now := time.Now()
 	var alone *job
@@ -187,7 +187,7 @@
 				wait = d
 			}
 			left = append(left, j)
-		case len(batch) < most:
+		case len(batch) < limit:
 			batch = append(batch, j)
 		default:
 			left = append(left, j)
--- a/internal/record/keeper/keeper.go
+++ b/internal/record/keeper/keeper.go
@@ -58,9 +58,9 @@
 }
 
 const (
-	// sweepMost rows are touched by one transaction of a sweep, so that requests
+	// maxSweep rows are touched by one transaction of a sweep, so that requests
 	// get in between.
-	sweepMost = 256
+	maxSweep = 256
 	// unavailableRetry is when a client may come back that was refused for want of the
 	// store, busyRetry one whose key is under way elsewhere.
 	unavailableRetry = 500 * time.Millisecond
@@ -128,7 +128,7 @@
 // submit submits op and calls then once: with the store's word or, when wait is over,
 // with ErrUnavailable; the store is to blame only if wait is all of its class's, most. late
 // gets a word that comes after that; it may be nil.
-func (k *Recorder) submit(op *record.Op, most, wait time.Duration, keep bool, then func(error), late func()) {
+func (k *Recorder) submit(op *record.Op, limit, wait time.Duration, keep bool, then func(error), late func()) {
 	j := &job{op: op, retryOnError: keep, size: len(op.Answer) + len(op.Header), until: time.Now().Add(wait)}
 	if keep {
 		j.until = time.Now().Add(k.cfg.EndFor)
@@ -138,7 +138,7 @@
 		once.Do(func() {
 			err := fmt.Errorf("%w: no word within %v", ErrUnavailable, wait)
 			// Also while a call hangs: else each request would wait until that ends.
-			if wait >= most {
+			if wait >= limit {
 				k.count("waited in vain")
 				k.committer.note(err, 0)
 			}
@@ -338,14 +338,14 @@
 // Fields of an answer that are kept: those that say what its body is.
 var retainedHeaders = []string{"Content-Type", "Content-Encoding", "Content-Language", "Etag", "Last-Modified", "Location"}
 
-// headerMost bounds the kept fields, in bytes; past it they are left out.
-const headerMost = 2 << 10
+// maxHeader bounds the kept fields, in bytes; past it they are left out.
+const maxHeader = 2 << 10
 
 func formHeader(h http.Header) []byte {
 	var b []byte
 	for _, name := range retainedHeaders {
 		for _, v := range h[name] {
-			if line := name + ": " + v + "\r\n"; len(b)+len(line) <= headerMost {
+			if line := name + ": " + v + "\r\n"; len(b)+len(line) <= maxHeader {
 				b = append(b, line...)
 			}
 		}
@@ -380,12 +380,12 @@
 		k.WriteGaps(k.committer.ctx)
 		for {
 			ctx, cancel := context.WithTimeout(k.committer.ctx, k.cfg.Statement)
-			n, err := k.backend.Sweep(ctx, k.cfg.Retention, sweepMost)
+			n, err := k.backend.Sweep(ctx, k.cfg.Retention, maxSweep)
 			cancel()
 			if err != nil {
 				slog.Warn("the record was not swept", "err", err)
 			}
-			if err != nil || n < sweepMost {
+			if err != nil || n < maxSweep {
 				break
 			}
 			select {
--- a/internal/record/key.go
+++ b/internal/record/key.go
@@ -12,8 +12,8 @@
 	"unicode/utf8"
 )
 
-// keyMost is the longest key, in bytes.
-const keyMost = 256
+// maxKey is the longest key, in bytes.
+const maxKey = 256
 
 // Rule says where a class's keys come from: "header:NAME", "json:/POINTER" (RFC
 // 6901, into the body) or "request-id". The last records each request by itself:
@@ -60,8 +60,8 @@
 		return "", fmt.Errorf("no key by %s: %w", r, err)
 	case key == "":
 		return "", fmt.Errorf("no key by %s: it is empty or missing", r)
-	case len(key) > keyMost:
-		return "", fmt.Errorf("no key by %s: %d bytes; %d at most", r, len(key), keyMost)
+	case len(key) > maxKey:
+		return "", fmt.Errorf("no key by %s: %d bytes; %d at most", r, len(key), maxKey)
 	case strings.ContainsRune(key, 0) || !utf8.ValidString(key):
 		return "", fmt.Errorf("no key by %s: it is no UTF-8 text", r)
 	}
--- a/internal/record/postgres/postgres.go
+++ b/internal/record/postgres/postgres.go
@@ -37,9 +37,9 @@
 var Version = len(schema.Migrations)
 
 const (
-	gapsMost = 1000
-	// raceMost is how often a transaction is made anew that another one overtook.
-	raceMost = 8
+	maxGaps = 1000
+	// maxRace is how often a transaction is made anew that another one overtook.
+	maxRace = 8
 	// clock is the database's time in microseconds since 1970.
 	clock = "CAST(date_part('epoch', clock_timestamp()) * 1000000 AS bigint)"
 )
@@ -138,7 +138,7 @@
 		for _, op := range ops {
 			op.Result = record.None
 		}
-		if n >= raceMost || !again(err, committing) {
+		if n >= maxRace || !again(err, committing) {
 			return s.explain(err)
 		}
 		t := time.NewTimer(time.Duration(rand.Int64N(int64(time.Millisecond) << min(n, 5))))
@@ -254,7 +254,7 @@
 }
 
 // Sweep implements record.Backend.
-func (s *Store) Sweep(ctx context.Context, keep record.Retention, most int) (int, error) {
+func (s *Store) Sweep(ctx context.Context, keep record.Retention, limit int) (int, error) {
 	if err := s.ready(ctx); err != nil {
 		return 0, err
 	}
@@ -263,19 +263,19 @@
 		return 0, s.explain(err)
 	}
 	lapsed, err := s.db.Pool.Exec(ctx, `UPDATE martendrum_record SET `+record.Lapsed+`, changed = $1::bigint WHERE state = 'in-flight' AND expires <= $1::bigint AND (class, key) IN
-		(SELECT class, key FROM martendrum_record WHERE state = 'in-flight' AND expires <= $1::bigint ORDER BY class, key LIMIT $2::bigint)`, now, int64(most))
+		(SELECT class, key FROM martendrum_record WHERE state = 'in-flight' AND expires <= $1::bigint ORDER BY class, key LIMIT $2::bigint)`, now, int64(limit))
 	if err != nil {
 		return 0, s.explain(err)
 	}
 	n := int(lapsed.RowsAffected())
 	for _, state := range record.States {
 		kept := keep.For(state)
-		if kept <= 0 || n >= most {
+		if kept <= 0 || n >= limit {
 			continue
 		}
 		gone, err := s.db.Pool.Exec(ctx, `DELETE FROM martendrum_record WHERE state = $1::text AND changed < $2::bigint AND (class, key) IN
 			(SELECT class, key FROM martendrum_record WHERE state = $1::text AND changed < $2::bigint ORDER BY class, key LIMIT $3::bigint)`,
-			string(state), now-kept.Microseconds(), int64(most-n))
+			string(state), now-kept.Microseconds(), int64(limit-n))
 		if err != nil {
 			return n, s.explain(err)
 		}
@@ -294,14 +294,14 @@
 		g.Owner, g.Class, g.From, g.Until, g.Requests, g.Cause); err != nil {
 		return s.explain(err)
 	}
-	_, err := s.db.Pool.Exec(ctx, "DELETE FROM martendrum_gaps WHERE until <= (SELECT until FROM martendrum_gaps ORDER BY until DESC LIMIT 1 OFFSET $1::bigint)", int64(gapsMost))
+	_, err := s.db.Pool.Exec(ctx, "DELETE FROM martendrum_gaps WHERE until <= (SELECT until FROM martendrum_gaps ORDER BY until DESC LIMIT 1 OFFSET $1::bigint)", int64(maxGaps))
 	return s.explain(err)
 }
 
 // Gaps implements record.Backend.
-func (s *Store) Gaps(ctx context.Context, most int) ([]record.Gap, error) {
+func (s *Store) Gaps(ctx context.Context, limit int) ([]record.Gap, error) {
 	return rows(ctx, s, func(g *record.Gap) []any { return []any{&g.Owner, &g.Class, &g.From, &g.Until, &g.Requests, &g.Cause} },
-		"SELECT owner, class, since, until, requests, cause FROM martendrum_gaps ORDER BY until DESC LIMIT $1::bigint", int64(most))
+		"SELECT owner, class, since, until, requests, cause FROM martendrum_gaps ORDER BY until DESC LIMIT $1::bigint", int64(limit))
 }
 
 // Stats implements record.Backend. Bytes are those of the answers that are kept.
--- a/internal/record/postgres/postgres_test.go
+++ b/internal/record/postgres/postgres_test.go
@@ -142,7 +142,7 @@
 // Each bad day ends in an error that says what it is, in time, and the store goes on
 // when it is over.
 func TestBadDays(t *testing.T) {
-	srv := serve(t, pgserver.Config{MostConns: 3})
+	srv := serve(t, pgserver.Config{MaxConns: 3})
 	c := config(srv.URL())
 	c.Statement, c.Connect = 200*time.Millisecond, 200*time.Millisecond
 	s := mustOpen(t, c)
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -205,7 +205,7 @@
 		if err != nil {
 			return
 		}
-		if key, err := r.Key(head, body); err == nil && (key == "" || len(key) > keyMost || strings.ContainsRune(key, 0)) {
+		if key, err := r.Key(head, body); err == nil && (key == "" || len(key) > maxKey || strings.ContainsRune(key, 0)) {
 			t.Errorf("key %q", key)
 		}
 	})
--- a/internal/record/sqlite/keys_capacity_test.go
+++ b/internal/record/sqlite/keys_capacity_test.go
@@ -12,8 +12,8 @@
 	bt "martendrum/internal/record/backendtest"
 )
 
-// capacityRecordMost is the bound of the record's file in the capacity benchmark.
-const capacityRecordMost = 256 << 20
+// maxCapacityRecord is the bound of the record's file in the capacity benchmark.
+const maxCapacityRecord = 256 << 20
 
 // capacityAnswer is the length of the answers that are kept, in bytes.
 const capacityAnswer = 512
@@ -28,7 +28,7 @@
 	for _, keys := range []int{1000, 3000, 10000, 30000, 100000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
 			config := cfg(filepath.Join(b.TempDir(), "record.db"))
-			config.MaxBytes = capacityRecordMost
+			config.MaxBytes = maxCapacityRecord
 			fillRecord(b, config, keys)
 			file, err := os.Stat(config.Path)
 			if err != nil {
--- a/internal/record/sqlite/sqlite.go
+++ b/internal/record/sqlite/sqlite.go
@@ -42,15 +42,15 @@
 
 const (
 	pageSize = 4096
-	// pagesLeast is the least bound: an empty schema and a few rows.
-	pagesLeast = 64
+	// minPages is the least bound: an empty schema and a few rows.
+	minPages = 64
 	// Part of the bound is left for what ends requests under way: new claims are
 	// turned away as full before that.
 	claimRoom = 0.9
-	gapsMost  = 1000
+	maxGaps   = 1000
 	// sweepPages are given back to the file system by one Sweep.
 	sweepPages = 64
-	startMost  = 30 * time.Second
+	maxStart   = 30 * time.Second
 )
 
 // Config says which file, and how it is used.
@@ -75,7 +75,7 @@
 	// shared says that another process owns the file together with this one, or did.
 	shared atomic.Bool
 	clock  record.Clock
-	most   int64 // pages
+	limit  int64 // pages
 
 	mu    sync.Mutex // one writer; guards the prepared statements
 	get   *sql.Stmt
@@ -88,9 +88,9 @@
 func Open(ctx context.Context, cfg Config) (*Store, error) { return open(ctx, cfg, Version) }
 
 func open(ctx context.Context, cfg Config, version int) (_ *Store, err error) {
-	ctx, cancel := context.WithTimeout(ctx, startMost)
+	ctx, cancel := context.WithTimeout(ctx, maxStart)
 	defer cancel()
-	s := &Store{cfg: cfg, most: max(cfg.MaxBytes/pageSize, pagesLeast)}
+	s := &Store{cfg: cfg, limit: max(cfg.MaxBytes/pageSize, minPages)}
 	defer func() {
 		if err != nil {
 			s.Close()
@@ -111,7 +111,7 @@
 		return nil, fmt.Errorf("there is no such file; a sidecar makes it at its first start: %w", err)
 	}
 	if s.db, err = sqlitefile.Open(cfg.Path, "busy_timeout(3000)", "auto_vacuum(2)", "journal_mode(WAL)", "synchronous(FULL)",
-		fmt.Sprintf("max_page_count(%d)", s.most), "journal_size_limit(4194304)", "cache_size(-1024)"); err != nil {
+		fmt.Sprintf("max_page_count(%d)", s.limit), "journal_size_limit(4194304)", "cache_size(-1024)"); err != nil {
 		return nil, err
 	}
 	s.db.SetMaxOpenConns(2) // one writes, one reads
@@ -295,10 +295,10 @@
 		if err := tx.StmtContext(ctx, s.pages).QueryRowContext(ctx).Scan(&used); err != nil {
 			return err
 		}
-		full := float64(used) > claimRoom*float64(s.most)
+		full := float64(used) > claimRoom*float64(s.limit)
 		for _, op := range ops {
 			if full && op.Kind == record.Claim {
-				return fmt.Errorf("%w: %d of %d pages are used; raise its bound, or settle and drop", record.ErrFull, used, s.most)
+				return fmt.Errorf("%w: %d of %d pages are used; raise its bound, or settle and drop", record.ErrFull, used, s.limit)
 			}
 			row, err := scan(get.QueryRowContext(ctx, op.Class, op.Key))
 			if err != nil {
@@ -348,27 +348,27 @@
 }
 
 func (s *Store) each(ctx context.Context, q string, scan func(*sql.Rows) error, args ...any) error {
-	return explain(sqlitefile.ForEach(ctx, s.db, q, scan, args...))
+	return explain(sqlitefile.ForInterval(ctx, s.db, q, scan, args...))
 }
 
 // Sweep implements record.Backend.
-func (s *Store) Sweep(ctx context.Context, keep record.Retention, most int) (n int, err error) {
+func (s *Store) Sweep(ctx context.Context, keep record.Retention, limit int) (n int, err error) {
 	err = s.write(ctx, func(tx *sql.Tx) error {
 		n = 0
 		now := s.clock.At(time.Now())
 		lapsed, err := tx.ExecContext(ctx, `UPDATE record SET `+record.Lapsed+`, changed = ?1 WHERE (class, key) IN
-			(SELECT class, key FROM record WHERE state = 'in-flight' AND expires <= ?1 LIMIT ?2)`, now, most)
+			(SELECT class, key FROM record WHERE state = 'in-flight' AND expires <= ?1 LIMIT ?2)`, now, limit)
 		if err != nil {
 			return err
 		}
 		n += affected(lapsed)
 		for _, state := range record.States {
 			kept := keep.For(state)
-			if kept <= 0 || n >= most {
+			if kept <= 0 || n >= limit {
 				continue
 			}
 			gone, err := tx.ExecContext(ctx, `DELETE FROM record WHERE (class, key) IN
-				(SELECT class, key FROM record WHERE state = ? AND changed < ? LIMIT ?)`, string(state), now-kept.Microseconds(), most-n)
+				(SELECT class, key FROM record WHERE state = ? AND changed < ? LIMIT ?)`, string(state), now-kept.Microseconds(), limit-n)
 			if err != nil {
 				return err
 			}
@@ -396,25 +396,25 @@
 			g.Owner, g.Class, g.From, g.Until, g.Requests, g.Cause); err != nil {
 			return err
 		}
-		_, err := tx.ExecContext(ctx, "DELETE FROM gaps WHERE n <= (SELECT max(n) FROM gaps) - ?", gapsMost)
+		_, err := tx.ExecContext(ctx, "DELETE FROM gaps WHERE n <= (SELECT max(n) FROM gaps) - ?", maxGaps)
 		return err
 	})
 }
 
 // Gaps implements record.Backend.
-func (s *Store) Gaps(ctx context.Context, most int) (out []record.Gap, err error) {
+func (s *Store) Gaps(ctx context.Context, limit int) (out []record.Gap, err error) {
 	err = s.each(ctx, "SELECT owner, class, since, until, requests, cause FROM gaps ORDER BY n DESC LIMIT ?", func(rows *sql.Rows) error {
 		var g record.Gap
 		err := rows.Scan(&g.Owner, &g.Class, &g.From, &g.Until, &g.Requests, &g.Cause)
 		out = append(out, g)
 		return err
-	}, most)
+	}, limit)
 	return out, err
 }
 
 // Stats implements record.Backend.
 func (s *Store) Stats(ctx context.Context) (st record.Stats, err error) {
-	st = record.Stats{Rows: make(map[record.State]int64), MaxBytes: s.most * pageSize}
+	st = record.Stats{Rows: make(map[record.State]int64), MaxBytes: s.limit * pageSize}
 	if err := s.pages.QueryRowContext(ctx).Scan(&st.Bytes); err != nil {
 		return st, explain(err)
 	}
--- a/internal/recovery/waves.go
+++ b/internal/recovery/waves.go
@@ -12,7 +12,7 @@
 // Waves orders a host's instances for their return: every shop has one before any has
 // two, and within a wave zones take turns. No wave holds more than most; most below 1
 // means no bound.
-func Waves(places []Place, most int) [][]string {
+func Waves(places []Place, limit int) [][]string {
 	nth := make(map[string]int) // of a shop's instances
 	type turn struct {
 		Place
@@ -43,7 +43,7 @@
 	var waves [][]string
 	last := -1
 	for _, t := range turns {
-		if t.wave != last || most > 0 && len(waves[len(waves)-1]) >= most {
+		if t.wave != last || limit > 0 && len(waves[len(waves)-1]) >= limit {
 			waves = append(waves, nil)
 			last = t.wave
 		}
@@ -57,12 +57,12 @@
 	Least   time.Duration // from one wave to the next, at least
 	Longest time.Duration // and at most, also where some of a wave are not ready
 	// Losses is how many losses came in a row, this one too. Least grows with them, by
-	// up to flapMost: power that flaps must not start storms.
+	// up to maxFlap: power that flaps must not start storms.
 	Losses int
 }
 
-// flapMost bounds what a power that flaps makes of the time between waves.
-const flapMost = 16
+// maxFlap bounds what a power that flaps makes of the time between waves.
+const maxFlap = 16
 
 // Pace lets the instances of a host start in waves. A wave begins when all of the one
 // before are up or known to be down, or its longest time is over.
@@ -77,7 +77,7 @@
 
 // NewPace returns the Pace of waves that begin at now.
 func NewPace(cfg PaceConfig, waves [][]string, now time.Duration) *Pace {
-	flap := min(1<<min(max(0, cfg.Losses-1), 10), flapMost)
+	flap := min(1<<min(max(0, cfg.Losses-1), 10), maxFlap)
 	cfg.Least *= time.Duration(flap)
 	cfg.Longest = max(cfg.Longest, cfg.Least)
 	p := &Pace{cfg: cfg, wave: make(map[string]int), done: make(map[string]bool), began: now}
--- a/internal/recovery/waves_test.go
+++ b/internal/recovery/waves_test.go
@@ -14,12 +14,12 @@
 	places := []Place{
 		{"a1", "a", "x"}, {"a2", "a", "x"}, {"a3", "a", "y"}, {"b1", "b", "x"}, {"c1", "c", "y"}, {"c2", "c", "y"}, {"d", "", "z"}, {"e", "", "x"},
 	}
-	for most, want := range map[int][][]string{
+	for limit, want := range map[int][][]string{
 		0: {{"a1", "c1", "d", "b1", "e"}, {"a2", "c2"}, {"a3"}},
 		2: {{"a1", "c1"}, {"d", "b1"}, {"e"}, {"a2", "c2"}, {"a3"}},
 	} {
-		if got := Waves(places, most); !reflect.DeepEqual(got, want) {
-			t.Errorf("at most %d: %v, want %v", most, got, want)
+		if got := Waves(places, limit); !reflect.DeepEqual(got, want) {
+			t.Errorf("at most %d: %v, want %v", limit, got, want)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 		waves := Waves(places, rapid.IntRange(0, 4).Draw(t, "most"))
 		cfg := PaceConfig{Least: 200 * ms, Longest: 2 * time.Second, Losses: rapid.IntRange(0, 40).Draw(t, "losses")}
 		p := NewPace(cfg, waves, 0)
-		bound := time.Duration(len(waves)) * max(cfg.Longest, cfg.Least*flapMost)
+		bound := time.Duration(len(waves)) * max(cfg.Longest, cfg.Least*maxFlap)
 		started := make(map[string]time.Duration)
 		for now := time.Duration(0); now <= bound+step; now += step {
 			for _, place := range places {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,10 +13,10 @@
 	"martendrum"
 )
 
-// dialLeast is what a dial is given at least. It may take the settings' time, but a
+// minDial is what a dial is given at least. It may take the settings' time, but a
 // quarter of the shortest aim at most: one that fails proves that nothing ran, and
 // the request should still be in time elsewhere.
-const dialLeast = 30 * time.Millisecond
+const minDial = 30 * time.Millisecond
 
 // Settings is what a deployment's settings say.
 type Settings struct {
@@ -210,7 +210,7 @@
 		s.Deadlines = append(s.Deadlines, micros(c.HardLimitUs))
 	}
 	for _, c := range s.Config.Classes {
-		s.DialTimeout = min(s.DialTimeout, max(c.LatencyObjective/4, dialLeast))
+		s.DialTimeout = min(s.DialTimeout, max(c.LatencyObjective/4, minDial))
 	}
 	for n, t := range e.Tenants {
 		s.tenants[t.Name] = n
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -52,7 +52,7 @@
 		l.Entries = append(l.Entries, discovery.Entry{Endpoint: martendrum.Endpoint{Name: fmt.Sprint(n), CapacityHint: 1}, Address: addr})
 	}
 	h.Listed(l)
-	srv := front.New(front.Config{MostConns: 100, MostBody: 1 << 20}, h)
+	srv := front.New(front.Config{MaxConns: 100, MaxBody: 1 << 20}, h)
 	metricSet := metrics.New()
 	metricSet.Classes(set.Names())
 	h.SetMeter(metricSet)
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -136,7 +136,7 @@
 	})
 	h, _, _ := start(t, breaker)
 	let := make(chan struct{})
-	server := front.New(front.Config{MostConns: 100, MostBody: 1 << 20}, unheard{h, let})
+	server := front.New(front.Config{MaxConns: 100, MaxBody: 1 << 20}, unheard{h, let})
 	ln := listen(t)
 	go server.Serve(ln)
 	c := dialled(t, ln.Addr().String())
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -17,7 +17,7 @@
 const (
 	// clientPatience is how long beyond a request's time a client stays for its answer: past
 	// what the rules call too late.
-	clientPatience = lateMost + 400*time.Millisecond
+	clientPatience = maxLate + 400*time.Millisecond
 	// dialTimeout is how long a client's connection may take.
 	dialTimeout = time.Second
 	// dialPause is between two tries of a client to connect.
@@ -120,8 +120,8 @@
 // text is a request as it is written.
 func (c *client) text(r *Request, class *Class) string {
 	length := 4
-	if c.script.BodyMost > 4 {
-		length += c.IntN(c.script.BodyMost - 4)
+	if c.script.MaxBody > 4 {
+		length += c.IntN(c.script.MaxBody - 4)
 	}
 	method, extra := http.MethodPost, fmt.Sprintf("Content-Length: %d\r\n\r\ncard%s", length, strings.Repeat("x", length-4))
 	switch class.Effect {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -44,22 +44,22 @@
 
 // Allowances of the rules.
 const (
-	lateMost      = 500 * time.Millisecond // an answer up to so late earns nothing, and is not lost
-	leftMost      = 100 * time.Millisecond // from a client's leaving to an attempt's first byte
+	maxLate       = 500 * time.Millisecond // an answer up to so late earns nothing, and is not lost
+	maxLeft       = 100 * time.Millisecond // from a client's leaving to an attempt's first byte
 	deadlineSlack = 150 * time.Millisecond
 	socketSlack   = 50 * time.Millisecond // added to each time limit of the rules
-	toldMost      = 6 * time.Second       // from a change that discovery can tell to its being told
-	readyMost     = 10 * time.Second
+	maxTold       = 6 * time.Second       // from a change that discovery can tell to its being told
+	maxReady      = 10 * time.Second
 	strayShown    = 100 * time.Millisecond // from a server's first second answer to its being known for it
-	stallMost     = 3 * time.Second        // bad clients are owed an error or a close within it
-	// supervisorCountsMost and supervisorGrace: see EarliestKill.
-	supervisorCountsMost = 3 * time.Second
-	supervisorGrace      = 700 * time.Millisecond
+	maxStall      = 3 * time.Second        // bad clients are owed an error or a close within it
+	// maxSupervisorCounts and supervisorGrace: see EarliestKill.
+	maxSupervisorCounts = 3 * time.Second
+	supervisorGrace     = 700 * time.Millisecond
 )
 
 // EarliestKill is how long after a signal to end a process may be killed at the earliest.
 func EarliestKill(longest time.Duration) time.Duration {
-	return min(longest, supervisorCountsMost) + supervisorGrace
+	return min(longest, maxSupervisorCounts) + supervisorGrace
 }
 
 // judging is a verdict in progress.
@@ -149,7 +149,7 @@
 func (j *judging) judgeEnd(r *Request, attempts []*Attempt) {
 	switch r.End {
 	case EndAnswered:
-		if over := r.Ended - r.Sent - r.Wait; over > lateMost+j.record.Lateness {
+		if over := r.Ended - r.Sent - r.Wait; over > maxLate+j.record.Lateness {
 			j.breach(RuleLate, r.Ended, "request %s (%s) was answered %v after its time", r.ID, r.Class, over)
 		}
 		made := func(a *Attempt) bool { return a.Answer == r.Body }
@@ -209,7 +209,7 @@
 
 // judgeAttempt judges one attempt of a request.
 func (j *judging) judgeAttempt(r *Request, a *Attempt) {
-	if r.End == EndLeft && a.First > r.Ended+leftMost+j.record.Lateness {
+	if r.End == EndLeft && a.First > r.Ended+maxLeft+j.record.Lateness {
 		j.breach(RuleLeft, a.First, "request %s (%s): an attempt began %v after its client had left", r.ID, r.Class, a.First-r.Ended)
 	}
 	left := r.Sent + r.Wait - a.First
@@ -242,10 +242,10 @@
 
 // toldAt is when a change counts as told to a sidecar, and whether it was written to it.
 func (j *judging) toldAt(sidecar int, c *Change) (at time.Duration, written bool) {
-	limit := c.At + toldMost
+	limit := c.At + maxTold
 	for _, outage := range j.record.Outages {
 		if outage.From < limit && outage.To > c.At {
-			limit = max(limit, outage.To+toldMost)
+			limit = max(limit, outage.To+maxTold)
 		}
 	}
 	for _, told := range j.record.Told {
@@ -336,7 +336,7 @@
 		if ended == 0 {
 			ended = j.record.Length
 		}
-		if took := ended - stall.Stopped; took > stallMost+socketSlack+j.record.Lateness {
+		if took := ended - stall.Stopped; took > maxStall+socketSlack+j.record.Lateness {
 			j.breach(RuleStall, ended, "a client of sidecar %d that stopped in the middle of a request was left for %v", stall.Sidecar, took)
 		}
 	}
@@ -347,9 +347,9 @@
 	for _, life := range j.record.Lives {
 		until := cmp.Or(life.Told, life.Ended, j.record.Length)
 		switch {
-		case life.Ready > 0 && life.Ready-life.Started > readyMost:
+		case life.Ready > 0 && life.Ready-life.Started > maxReady:
 			j.breach(RuleReady, life.Ready, "sidecar %d was ready after %v", life.Sidecar, life.Ready-life.Started)
-		case life.Ready == 0 && until-life.Started > readyMost:
+		case life.Ready == 0 && until-life.Started > maxReady:
 			j.breach(RuleReady, until, "sidecar %d was not ready %v after its start", life.Sidecar, until-life.Started)
 		}
 		bySignal := strings.HasPrefix(life.Exit, "signal: ") // that came before the process handled it
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -24,8 +24,8 @@
 	healthTimeout = 500 * time.Millisecond
 	// holdRest is how long a process runs, at least, between two times that it is held up.
 	holdRest = 250 * time.Millisecond
-	// logMost is how much is kept of a sidecar's log.
-	logMost = 8 << 20
+	// maxLog is how much is kept of a sidecar's log.
+	maxLog = 8 << 20
 )
 
 // logBuffer keeps the log of all lives of a sidecar.
@@ -38,7 +38,7 @@
 func (b *logBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.text.Len() < logMost {
+	if b.text.Len() < maxLog {
 		b.text.Write(p)
 	}
 	return len(p), nil
@@ -263,7 +263,7 @@
 
 // hold holds the process up for a time, unless it was held up a moment ago: two times one
 // right behind the other are one that is longer than the rules allow for.
-func (s *sidecar) hold(most time.Duration) {
+func (s *sidecar) hold(limit time.Duration) {
 	s.mu.Lock()
 	process := s.process
 	now := time.Now()
@@ -271,10 +271,10 @@
 		s.mu.Unlock()
 		return
 	}
-	s.holdAfter = now.Add(most + holdRest)
+	s.holdAfter = now.Add(limit + holdRest)
 	s.mu.Unlock()
 	process.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(most)
+	time.Sleep(limit)
 	process.Process.Signal(syscall.SIGCONT)
 }
 
--- a/internal/soak/script.go
+++ b/internal/soak/script.go
@@ -132,8 +132,8 @@
 	Crowd        int     `json:"Crowd"`     // idle connections to each sidecar
 	ImpatientFor Span    `json:"ImpatientFor"`
 	QuietUntil   Span    `json:"QuietUntil"` // when the clients begin
-	BodyMost     int     `json:"BodyMost"`   // bytes of a request's body, at most
-	AnswerMost   int     `json:"AnswerMost"` // bytes added to an answer, at most
+	MaxBody      int     `json:"BodyMost"`   // bytes of a request's body, at most
+	MaxAnswer    int     `json:"AnswerMost"` // bytes added to an answer, at most
 	Events       []Event `json:"Events"`
 }
 
@@ -281,7 +281,7 @@
 		s.QuietUntil = d.moment(0.2, 0.5)
 	}
 	if d.chance(0.4) {
-		s.BodyMost, s.AnswerMost = d.IntN(100<<10), d.IntN(100<<10)
+		s.MaxBody, s.MaxAnswer = d.IntN(100<<10), d.IntN(100<<10)
 	}
 }
 
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -255,8 +255,8 @@
 	defer s.mu.Unlock()
 	s.answers++
 	body := fmt.Sprintf("%s by %d, answer %d", id, s.number, s.answers)
-	if s.script.AnswerMost > 0 {
-		body += strings.Repeat(".", s.answers*answerStep%s.script.AnswerMost)
+	if s.script.MaxAnswer > 0 {
+		body += strings.Repeat(".", s.answers*answerStep%s.script.MaxAnswer)
 	}
 	return body
 }
@@ -325,7 +325,7 @@
 }
 
 // during puts a server in a mode for a time, unless the context ends before.
-func (s *server) during(ctx context.Context, mode string, most time.Duration) error {
+func (s *server) during(ctx context.Context, mode string, limit time.Duration) error {
 	if err := s.set(mode); err != nil {
 		return err
 	}
@@ -335,7 +335,7 @@
 		return nil
 	case <-changed: // another event has come
 		return nil
-	case <-time.After(most):
+	case <-time.After(limit):
 	}
 	return s.set(ModeAnswer)
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,7 +17,7 @@
 	seedCount   = flag.Int("soak.seeds", 0, "seeds to play; 0: the few of CI")
 	firstSeed   = flag.Uint64("soak.from", 1, "the first seed")
 	sideBySide  = flag.Int("soak.side", 4, "scripts played side by side")
-	mostNodes   = flag.Int("soak.sidecars", 3, "sidecars of a script, at most")
+	maxNodes    = flag.Int("soak.sidecars", 3, "sidecars of a script, at most")
 	dayLength   = flag.Duration("soak.length", 8*time.Second, "length of a day, at most")
 	scriptFile  = flag.String("soak.script", "", "a script that was printed, to be played again")
 	keepFailing = flag.String("soak.keep", "", "folder for the scripts and logs of failing seeds; empty: a temporary one")
@@ -136,7 +136,7 @@
 	var idle atomic.Int64 // days on which nobody was served
 	for n := range seeds {
 		host := <-slots
-		script := Draw(*firstSeed+uint64(n), Size{Sidecars: *mostNodes, Length: *dayLength})
+		script := Draw(*firstSeed+uint64(n), Size{Sidecars: *maxNodes, Length: *dayLength})
 		group.Go(func() {
 			defer func() { slots <- host }()
 			t.Run(fmt.Sprint("seed", script.Seed), func(t *testing.T) {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -19,8 +19,8 @@
 	Host      int    // 1 to 200: a number that worlds playing side by side don't share
 }
 
-// startMost is how long the first processes may take before the day begins all the same.
-const startMost = 30 * time.Second
+// maxStart is how long the first processes may take before the day begins all the same.
+const maxStart = 30 * time.Second
 
 // world is a script being played.
 type world struct {
@@ -121,9 +121,9 @@
 	}
 }
 
-// awaitReady waits until every sidecar is ready, for startMost at most.
+// awaitReady waits until every sidecar is ready, for maxStart at most.
 func (w *world) awaitReady() {
-	for until := time.Now().Add(startMost); time.Now().Before(until); time.Sleep(healthInterval) {
+	for until := time.Now().Add(maxStart); time.Now().Before(until); time.Sleep(healthInterval) {
 		ready := 0
 		w.recorder.do(func(record *Record) {
 			for _, life := range record.Lives {
--- a/internal/sock/lazy.go
+++ b/internal/sock/lazy.go
@@ -62,7 +62,7 @@
 
 var buffers = sync.Pool{New: func() any {
 	b := new(buffer)
-	b.br = bufio.NewReaderSize(&b.src, framing.HeadMost)
+	b.br = bufio.NewReaderSize(&b.src, framing.MaxHead)
 	return b
 }}
 
--- a/internal/sqlitefile/sqlitefile.go
+++ b/internal/sqlitefile/sqlitefile.go
@@ -66,8 +66,8 @@
 	return tx.Commit()
 }
 
-// ForEach reads the rows of a query, of which scan takes each.
-func ForEach(ctx context.Context, db *sql.DB, q string, scan func(*sql.Rows) error, args ...any) error {
+// ForInterval reads the rows of a query, of which scan takes each.
+func ForInterval(ctx context.Context, db *sql.DB, q string, scan func(*sql.Rows) error, args ...any) error {
 	rows, err := db.QueryContext(ctx, q, args...)
 	if err != nil {
 		return err
--- a/internal/standin/faultnet/faultnet.go
+++ b/internal/standin/faultnet/faultnet.go
@@ -110,8 +110,8 @@
 	})
 }
 
-// dialMost is how long a connection to the address behind a link may take.
-const dialMost = 5 * time.Second
+// maxDial is how long a connection to the address behind a link may take.
+const maxDial = 5 * time.Second
 
 // TCP makes a link to an address: host:port, or unix:path.
 func (n *Net) TCP(name, to string) (*Link, error) {
@@ -150,7 +150,7 @@
 		network, to = "unix", to[5:]
 	}
 	l := &Link{net: n, name: name, change: make(chan struct{}), conns: make(map[*pair]bool)}
-	l.dial = func() (net.Conn, error) { return net.DialTimeout(network, to, dialMost) }
+	l.dial = func() (net.Conn, error) { return net.DialTimeout(network, to, maxDial) }
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed || n.links[name] != nil {
--- a/internal/standin/faultnet/faultnet_test.go
+++ b/internal/standin/faultnet/faultnet_test.go
@@ -50,12 +50,12 @@
 }
 
 // say sends a word and reads so much of its echo as comes within a time.
-func say(t *testing.T, c net.Conn, word string, most time.Duration) (string, error) {
+func say(t *testing.T, c net.Conn, word string, limit time.Duration) (string, error) {
 	t.Helper()
 	if _, err := io.WriteString(c, word); err != nil {
 		return "", err
 	}
-	c.SetReadDeadline(time.Now().Add(most))
+	c.SetReadDeadline(time.Now().Add(limit))
 	buf := make([]byte, len(word))
 	n, err := io.ReadFull(c, buf)
 	return string(buf[:n]), err
--- a/internal/standin/faultnet/udp.go
+++ b/internal/standin/faultnet/udp.go
@@ -10,9 +10,9 @@
 
 func isEOF(err error) bool { return errors.Is(err, io.EOF) }
 
-// peersMost is how many senders a UDP link answers; one more, and who has been
+// maxPeers is how many senders a UDP link answers; one more, and who has been
 // there for longest is forgotten.
-const peersMost = 256
+const maxPeers = 256
 
 // datagrams relays from any sender to the address behind, and its answers back.
 func (l *Link) datagrams() {
@@ -93,7 +93,7 @@
 		c.Close()
 		return nil, net.ErrClosed
 	}
-	if len(l.order) == peersMost {
+	if len(l.order) == maxPeers {
 		l.peers[l.order[0]].Close()
 		delete(l.peers, l.order[0])
 		l.order = l.order[1:]
--- a/internal/standin/pgserver/pgserver_test.go
+++ b/internal/standin/pgserver/pgserver_test.go
@@ -195,7 +195,7 @@
 
 // Each fault does what it says, at its stage.
 func TestFaults(t *testing.T) {
-	s := serve(t, Config{MostConns: 4})
+	s := serve(t, Config{MaxConns: 4})
 	look := connect(t, s.URL())
 	look.Exec(ctx, table)
 	exists := func(k string) bool {
--- a/internal/standin/pgserver/server.go
+++ b/internal/standin/pgserver/server.go
@@ -32,7 +32,7 @@
 type Config struct {
 	User, Password string
 	TLS            *tls.Config // nil: connections are plain
-	MostConns      int         // 0: 100
+	MaxConns       int         // 0: 100
 	Dir            string      // of the database, which outlives the server; "": its own
 }
 
@@ -91,8 +91,8 @@
 	if cfg.User == "" {
 		cfg.User = "app"
 	}
-	if cfg.MostConns == 0 {
-		cfg.MostConns = 100
+	if cfg.MaxConns == 0 {
+		cfg.MaxConns = 100
 	}
 	s := &Server{cfg: cfg, id: ids.Add(1), dir: cfg.Dir, end: make(chan struct{}), open: make(map[*session]struct{})}
 	if cfg.Dir == "" {
@@ -223,13 +223,13 @@
 	}
 }
 
-// startMost bounds a connection's start-up.
-const startMost = 10 * time.Second
+// maxStart bounds a connection's start-up.
+const maxStart = 10 * time.Second
 
 func (s *Server) serve(nc net.Conn) {
 	raw := nc
 	defer func() { nc.Close() }()
-	nc.SetDeadline(time.Now().Add(startMost))
+	nc.SetDeadline(time.Now().Add(maxStart))
 	b := pgproto3.NewBackend(nc, nc)
 	var start *pgproto3.StartupMessage
 	for start == nil {
@@ -268,7 +268,7 @@
 		b.Flush()
 	}
 	s.mu.Lock()
-	refuse, crowded := s.refuse, len(s.open) >= s.cfg.MostConns
+	refuse, crowded := s.refuse, len(s.open) >= s.cfg.MaxConns
 	if !refuse && !crowded {
 		s.open[c] = struct{}{}
 	}
@@ -290,7 +290,7 @@
 		fatal("28P01", fmt.Sprintf("password authentication failed for user %q", start.Parameters["user"]))
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), startMost)
+	ctx, cancel := context.WithTimeout(context.Background(), maxStart)
 	conn, err := s.db.Conn(ctx)
 	cancel()
 	if err != nil {
--- a/internal/standin/pgserver/session.go
+++ b/internal/standin/pgserver/session.go
@@ -93,7 +93,7 @@
 	c.status = 'I'
 	defer func() {
 		if c.status != 'I' { // its connection is gone: what it had begun is undone
-			ctx, cancel := context.WithTimeout(context.Background(), startMost)
+			ctx, cancel := context.WithTimeout(context.Background(), maxStart)
 			c.db.ExecContext(ctx, "ROLLBACK")
 			cancel()
 		}
@@ -405,8 +405,8 @@
 	return nil
 }
 
-// rowsMost is how many rows a statement may return.
-const rowsMost = 20000
+// maxRows is how many rows a statement may return.
+const maxRows = 20000
 
 func (c *session) carryOut(ctx context.Context, p *portal) (rows [][]any, tag string, err error) {
 	switch p.kind {
@@ -467,8 +467,8 @@
 		if err := r.Scan(to...); err != nil {
 			return nil, "", err
 		}
-		if rows = append(rows, row); len(rows) > rowsMost {
-			return nil, "", &failure{"54000", fmt.Sprintf("the stand-in returns %d rows at most", rowsMost)}
+		if rows = append(rows, row); len(rows) > maxRows {
+			return nil, "", &failure{"54000", fmt.Sprintf("the stand-in returns %d rows at most", maxRows)}
 		}
 	}
 	if err := r.Err(); err != nil {
--- a/internal/stopplan/stopplan.go
+++ b/internal/stopplan/stopplan.go
@@ -26,7 +26,7 @@
 	answerMargin = 400 * time.Millisecond // from the last answer to the kill
 	endMargin    = 200 * time.Millisecond // from the end to the kill
 	acceptMargin = 250 * time.Millisecond // from the last accept to the kill
-	acceptMost   = 700 * time.Millisecond // how long connections are accepted where the kill leaves time
+	maxAccept    = 700 * time.Millisecond // how long connections are accepted where the kill leaves time
 )
 
 // Plan is when a stop does what, each as a span from the signal to end.
@@ -47,7 +47,7 @@
 	kill := min(max(longest, 0), MaxDeadline) + KillGrace
 	return Plan{
 		Kill:          kill,
-		StopAccepting: min(acceptMost, kill-acceptMargin),
+		StopAccepting: min(maxAccept, kill-acceptMargin),
 		AnswerAll:     kill - answerMargin,
 		End:           kill - endMargin,
 	}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -166,8 +166,8 @@
 }
 
 // dialTCP opens a connection.
-func dialTCP(addr string, most time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: most, KeepAlive: -1}
+func dialTCP(addr string, limit time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: limit, KeepAlive: -1}
 	return dialer.Dial("tcp", addr)
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -22,7 +22,7 @@
 
 // Pool keeps the connections to all servers.
 type Pool struct {
-	dial func(addr string, most time.Duration) (net.Conn, error) // opens a connection; a test's may fail
+	dial func(addr string, limit time.Duration) (net.Conn, error) // opens a connection; a test's may fail
 
 	mu              sync.Mutex
 	config          Config
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -282,11 +282,11 @@
 	}))
 	p.minRest = 0
 	p.brokenFraction = 1
-	const rounds, most = 10, 50
+	const rounds, limit = 10, 50
 	kept := 0
 	for n := 0; kept < rounds; n++ {
-		if n == most {
-			t.Fatalf("of %d connections only %d were kept", most, kept)
+		if n == limit {
+			t.Fatalf("of %d connections only %d were kept", limit, kept)
 		}
 		if e := send(t, p, true); e.o != martendrum.OK {
 			t.Fatalf("request %d: %v", n, e.o)
