--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -127,11 +127,11 @@
 		f.StringVar(&r.unavail, "max-unavailable", "", "no more than so many of them unavailable, or a percentage (default: the batch)")
 		f.IntVar(&r.policy.Canaries, "canaries", 0, "so many instances first, and one failure among them is too many")
 		f.IntVar(&r.policy.MaxFailures, "max-failures", 0, "so many may fail; one more stops the change")
-		onFailure := rollout.Stop
+		onFailure := api.OnFailureStop
 		if ch.action == api.ActUpgrade {
-			onFailure = rollout.Back
+			onFailure = api.OnFailureRollback
 		}
-		f.StringVar(&r.policy.OnFailure, "on-failure", onFailure, "after too many failures: stop, pause (to be resumed)"+map[bool]string{true: ", or rollback"}[onFailure == rollout.Back])
+		f.StringVar(&r.policy.OnFailure, "on-failure", onFailure, "after too many failures: stop, pause (to be resumed)"+map[bool]string{true: ", or rollback"}[onFailure == api.OnFailureRollback])
 		f.DurationVar(&r.ready, "ready", 30*time.Second, "an instance must be ready within it")
 		f.DurationVar(&r.soak, "soak", 2*time.Second, "and stay so for it")
 		r.run.add(c)
@@ -160,7 +160,7 @@
 		if op.Release, err = prepare(r); err != nil {
 			return err
 		}
-	} else if r.policy.OnFailure == rollout.Back {
+	} else if r.policy.OnFailure == api.OnFailureRollback {
 		return fmt.Errorf("--on-failure rollback goes with upgrade; a %s can't be taken back", action)
 	}
 	states, agents, err := r.targets(ctx, f, &op)
@@ -178,7 +178,7 @@
 		}
 	}
 	op.Policy = r.policy
-	if err := rollout.Check(op.Policy, len(op.Targets)); err != nil {
+	if err := op.Policy.Check(len(op.Targets)); err != nil {
 		return err
 	}
 	if r.dry {
--- a/cmd/martendrum/staged.go
+++ b/cmd/martendrum/staged.go
@@ -82,7 +82,7 @@
 	f.DurationVar(&r.plan.MaxDuration, "longest", 30*time.Minute, "and so long at most before it must be said whether it does worse")
 	f.IntVar(&r.plan.HistorySlots, "past", 12, "so many slots of figures are wanted before anything is changed")
 	f.StringVar(&r.plan.OnInconclusive, "on-cant-tell", stage.Hold, "when it can't be told at --longest: hold or go-on")
-	f.StringVar(&r.policy.OnFailure, "on-worse", rollout.Back, "when it does worse, or too many fail: stop, rollback-stage, rollback (all of it)")
+	f.StringVar(&r.policy.OnFailure, "on-worse", api.OnFailureRollback, "when it does worse, or too many fail: stop, rollback-stage, rollback (all of it)")
 	f.IntVar(&r.policy.MaxFailures, "max-failures", 0, "so many instances may fail to change")
 	f.StringVar(&r.batch, "batch", "5%", "so many instances at a time within a stage, or a percentage")
 	f.StringVar(&r.unavail, "max-unavailable", "", "no more than so many unavailable, or a percentage (default: the batch)")
@@ -198,7 +198,7 @@
 	back := int64(max(60, 2*r.plan.HistorySlots))
 	s.First = time.Now().UnixNano()/int64(s.Judge.Slot) - back
 	s.Judge.MaxSlots = int(back) + len(s.Plan.Upto)*int(2*s.Plan.MaxDuration/s.Judge.Slot+10)
-	if err := errors.Join(s.Plan.Check(len(op.Targets)), s.Judge.Check(), rollout.Check(op.Policy, len(op.Targets))); err != nil {
+	if err := errors.Join(s.Plan.Check(len(op.Targets)), s.Judge.Check(), op.Policy.Check(len(op.Targets))); err != nil {
 		return err
 	}
 	if r.dry {
--- a/internal/fleet/agent/serve_operations.go
+++ b/internal/fleet/agent/serve_operations.go
@@ -11,7 +11,6 @@
 	"martendrum/internal/fleet/lease"
 	"martendrum/internal/fleet/neighbour"
 	"martendrum/internal/fleet/release"
-	"martendrum/internal/fleet/rollout"
 	"martendrum/internal/fleet/store"
 )
 
@@ -50,7 +49,7 @@
 	case o.Ready <= 0 || o.Soak < 0 || o.Ready > time.Hour || o.Soak > time.Hour:
 		return nil, api.Errorf(api.InvalidParams, "ready %v, soak %v; want above 0, 0 or more, and an hour at most", o.Ready, o.Soak)
 	}
-	if err := rollout.Check(o.Policy, len(o.Targets)); err != nil {
+	if err := o.Policy.Check(len(o.Targets)); err != nil {
 		return nil, api.Errorf(api.InvalidParams, "%v", err)
 	}
 	if s := o.Staged; s != nil {
@@ -131,7 +130,7 @@
 	for _, t := range o.Targets {
 		if i := a.inst[t.Instance]; t.Host == a.cfg.Name && i != nil && i.row.Release != o.Release {
 			u := uses[i.row.Release]
-			u.HandOver, u.Back = a.cfg.Sidecar.HandOver && o.Action == api.ActUpgrade, o.Policy.OnFailure == rollout.Back || o.Policy.OnFailure == rollout.BackStage
+			u.HandOver, u.Back = a.cfg.Sidecar.HandOver && o.Action == api.ActUpgrade, o.Policy.OnFailure == api.OnFailureRollback || o.Policy.OnFailure == api.OnFailureRollbackStage
 			u.Record = u.Record || i.cfg.Record != ""
 			uses[i.row.Release] = u
 		}
--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -262,19 +262,6 @@
 	Instance string `msgpack:"instance" json:"instance"`
 }
 
-// Policy is how a rolling change goes about its instances; see package rollout.
-type Policy struct {
-	Batch          int    `msgpack:"batch" json:"batch"`
-	Canaries       int    `msgpack:"canaries" json:"canaries"`
-	MaxUnavailable int    `msgpack:"max_unavailable" json:"max_unavailable"`
-	MaxFailures    int    `msgpack:"max_failures" json:"max_failures"`
-	OnFailure      string `msgpack:"on_failure" json:"on_failure"`
-	// So many of one host, zone or shop unavailable at most; 0: no limit of its own.
-	MaxHost int `msgpack:"max_host,omitempty" json:"max_host,omitempty"`
-	MaxZone int `msgpack:"max_zone,omitempty" json:"max_zone,omitempty"`
-	MaxShop int `msgpack:"max_shop,omitempty" json:"max_shop,omitempty"`
-}
-
 // Place is where a target is.
 type Place struct {
 	Zone string `msgpack:"zone,omitempty" json:"zone,omitempty"`
--- a/internal/fleet/client/operation.go
+++ b/internal/fleet/client/operation.go
@@ -10,7 +10,6 @@
 
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/inventory"
-	"martendrum/internal/fleet/rollout"
 )
 
 // Start begins an operation: it takes the leases at every host, all or none, and
@@ -97,7 +96,7 @@
 	if len(outs) == 0 {
 		return nil, notFound(id, errs)
 	}
-	if op.Policy.OnFailure == rollout.Pause {
+	if op.Policy.OnFailure == api.OnFailurePause {
 		// Going on after a pause means to: what has failed by now is counted no more.
 		op.Policy.Canaries = 0
 		for _, out := range outs {
--- a/internal/fleet/e2e/fleet_test.go
+++ b/internal/fleet/e2e/fleet_test.go
@@ -94,7 +94,7 @@
 	})
 	op := w.op(api.ActUpgrade, func(o *api.Operation) {
 		o.Release, o.Soak = hash, 500*time.Millisecond
-		o.Policy = api.Policy{Batch: 8, Canaries: 2, MaxUnavailable: 16, MaxFailures: 50, OnFailure: rollout.Stop}
+		o.Policy = api.Policy{Batch: 8, Canaries: 2, MaxUnavailable: 16, MaxFailures: 50, OnFailure: api.OnFailureStop}
 	})
 	began := time.Now()
 	var events []string
@@ -496,7 +496,7 @@
 		hash := w.release(path, overlay)
 		op := w.op(api.ActUpgrade, func(o *api.Operation) {
 			o.Release, o.Ready, o.Soak = hash, 1500*time.Millisecond, 2500*time.Millisecond
-			o.Policy = api.Policy{Batch: 2, Canaries: 1, MaxUnavailable: 2, MaxFailures: 1, OnFailure: rollout.Back}
+			o.Policy = api.Policy{Batch: 2, Canaries: 1, MaxUnavailable: 2, MaxFailures: 1, OnFailure: api.OnFailureRollback}
 		})
 		if c.script == "" {
 			op.Ready = 10 * time.Second
--- a/internal/fleet/e2e/main_test.go
+++ b/internal/fleet/e2e/main_test.go
@@ -28,7 +28,6 @@
 	"martendrum/internal/fleet/distribution"
 	"martendrum/internal/fleet/inventory"
 	"martendrum/internal/fleet/proc"
-	"martendrum/internal/fleet/rollout"
 	"martendrum/internal/fleet/store"
 	"martendrum/internal/fleet/store/open"
 	"martendrum/internal/fleet/store/sqlite"
@@ -350,7 +349,7 @@
 func (w *world) op(action string, edit func(*api.Operation)) api.Operation {
 	o := api.Operation{
 		ID: fmt.Sprintf("op-%08x", rand.Uint32()), Action: action, Ready: 20 * time.Second, Soak: 300 * time.Millisecond,
-		Policy:   api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: rollout.Stop},
+		Policy:   api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop},
 		Operator: "tester", Created: time.Now().UTC(),
 	}
 	for i := range 64 {
@@ -501,7 +500,7 @@
 		}
 	}
 	s.ops.Ready, s.ops.Soak, s.ops.Operator = 10*time.Second, 0, "tester"
-	s.ops.Policy = api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: rollout.Stop}
+	s.ops.Policy = api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop}
 	f, err := client.New(inv, "tester")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/rollout/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -15,35 +15,6 @@
 	"martendrum/internal/fleet/api"
 )
 
-// What is done after too many failures.
-const (
-	Stop      = "stop"           // nothing new is changed
-	Back      = "rollback"       // and what was changed goes back to what it was
-	BackStage = "rollback-stage" // only what was changed in the stage under way does
-	Pause     = "pause"          // nothing new, and the operation stays open to be resumed
-)
-
-// Check says what is wrong with a policy for n targets.
-func Check(p api.Policy, n int) error {
-	switch {
-	case n == 0:
-		return fmt.Errorf("no instance is selected")
-	case p.Batch < 1:
-		return fmt.Errorf("batch is %d; it must be 1 at least", p.Batch)
-	case p.MaxUnavailable < 1:
-		return fmt.Errorf("max-unavailable is %d; with less than 1 nothing can be changed", p.MaxUnavailable)
-	case p.MaxFailures < 0:
-		return fmt.Errorf("max-failures is %d; it must be 0 or more", p.MaxFailures)
-	case p.Canaries < 0:
-		return fmt.Errorf("canaries is %d; it must be 0 or more", p.Canaries)
-	case p.OnFailure != Stop && p.OnFailure != Back && p.OnFailure != BackStage && p.OnFailure != Pause:
-		return fmt.Errorf("on-failure is %q; it must be %s, %s, %s or %s", p.OnFailure, Stop, Back, BackStage, Pause)
-	case p.MaxHost < 0 || p.MaxZone < 0 || p.MaxShop < 0:
-		return fmt.Errorf("max-host, max-zone and max-shop must be 0 (no limit) or more")
-	}
-	return nil
-}
-
 // Batches are the targets' numbers by batch: canaries first.
 func Batches(p api.Policy, n int) [][]int {
 	var out [][]int
@@ -127,7 +98,7 @@
 	gaveUp  map[string]bool
 	open    int    // targets before it may be changed
 	more    bool   // more is to come, though all that may be changed is
-	from    int    // BackStage takes back targets from it on
+	from    int    // a rollback of the stage takes back targets from it on
 	tripped string // why nothing new is changed
 	aborted bool
 	stuck   bool
@@ -137,7 +108,7 @@
 // New returns a machine with all targets pending. places, where given, say where each
 // target is.
 func New(p api.Policy, targets []api.Target, places ...api.Place) (*Machine, error) {
-	if err := Check(p, len(targets)); err != nil {
+	if err := p.Check(len(targets)); err != nil {
 		return nil, fmt.Errorf("rollout: %w", err)
 	}
 	if len(places) != 0 && len(places) != len(targets) {
@@ -417,11 +388,11 @@
 
 // back says whether what was changed is taken back, and backFrom from which target on.
 func (m *Machine) back() bool {
-	return m.policy.OnFailure == Back || m.policy.OnFailure == BackStage
+	return m.policy.OnFailure == api.OnFailureRollback || m.policy.OnFailure == api.OnFailureRollbackStage
 }
 
 func (m *Machine) backFrom() int {
-	if m.policy.OnFailure == BackStage {
+	if m.policy.OnFailure == api.OnFailureRollbackStage {
 		return m.from
 	}
 	return 0
@@ -455,7 +426,7 @@
 		return BackFailed
 	case m.tripped != "" && m.back():
 		return WentBack
-	case m.tripped != "" && m.policy.OnFailure == Pause:
+	case m.tripped != "" && m.policy.OnFailure == api.OnFailurePause:
 		return Paused
 	case m.tripped != "":
 		return Stopped
--- a/internal/fleet/rollout/rollout_test.go
+++ b/internal/fleet/rollout/rollout_test.go
@@ -66,7 +66,7 @@
 }
 
 func TestTraces(t *testing.T) {
-	policy := api.Policy{Batch: 2, Canaries: 1, MaxUnavailable: 2, MaxFailures: 1, OnFailure: Back}
+	policy := api.Policy{Batch: 2, Canaries: 1, MaxUnavailable: 2, MaxFailures: 1, OnFailure: api.OnFailureRollback}
 	for name, c := range map[string]struct {
 		edit func(*api.Policy)
 		want string
@@ -93,10 +93,10 @@
 			next: change 0
 			bad 0: rollback 0
 			backbad 0: end rollback incomplete`},
-		"stop": {func(p *api.Policy) { p.OnFailure = Stop }, `
+		"stop": {func(p *api.Policy) { p.OnFailure = api.OnFailureStop }, `
 			next: change 0
 			bad 0: end stopped`},
-		"pause": {func(p *api.Policy) { p.OnFailure = Pause }, `
+		"pause": {func(p *api.Policy) { p.OnFailure = api.OnFailurePause }, `
 			next: change 0
 			bad 0: end paused`},
 		"one failure of two that may": {func(p *api.Policy) { p.MaxFailures = 2 }, `
@@ -127,7 +127,7 @@
 			ok 1: change 2 change 3
 			ok 2:
 			ok 3: end succeeded`},
-		"stuck": {func(p *api.Policy) { p.Canaries = 0; p.MaxUnavailable = 1; p.OnFailure = Stop }, `
+		"stuck": {func(p *api.Policy) { p.Canaries = 0; p.MaxUnavailable = 1; p.OnFailure = api.OnFailureStop }, `
 			down 3:
 			stuck 0: end stopped`},
 		"abort waits for what is under way": {nil, `
@@ -157,7 +157,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	good := api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: Stop}
+	good := api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop}
 	for _, edit := range []func(*api.Policy){
 		func(p *api.Policy) { p.Batch = 0 }, func(p *api.Policy) { p.MaxUnavailable = 0 },
 		func(p *api.Policy) { p.MaxFailures = -1 }, func(p *api.Policy) { p.Canaries = -1 },
@@ -188,7 +188,7 @@
 			Canaries:       rapid.IntRange(0, 3).Draw(t, "canaries"),
 			MaxUnavailable: rapid.IntRange(1, 4).Draw(t, "unavailable"),
 			MaxFailures:    rapid.IntRange(0, 4).Draw(t, "failures"),
-			OnFailure:      rapid.SampledFrom([]string{Stop, Back, Pause}).Draw(t, "on"),
+			OnFailure:      rapid.SampledFrom([]string{api.OnFailureStop, api.OnFailureRollback, api.OnFailurePause}).Draw(t, "on"),
 		}
 		ts := targets(rapid.IntRange(1, 4).Draw(t, "hosts"), rapid.IntRange(1, 4).Draw(t, "each"))
 		m, err := New(p, ts)
@@ -238,7 +238,7 @@
 				if other, busy := running[a.Target]; busy {
 					t.Fatalf("%v while %v runs", s, other)
 				}
-				if a.Kind == api.Rollback && p.OnFailure != Back {
+				if a.Kind == api.Rollback && p.OnFailure != api.OnFailureRollback {
 					t.Fatal("a rollback that was not asked for")
 				}
 				count := 0
