--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -17,10 +17,10 @@
 	"github.com/spf13/cobra"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
-	"martendrum/internal/fleet/inventory"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/inventory"
+	"martendrum/internal/fleet/control/rollout"
 	"martendrum/internal/fleet/release"
-	"martendrum/internal/fleet/rollout"
 )
 
 // rolling is the flags of a rolling change.
--- a/cmd/martendrum/judge.go
+++ b/cmd/martendrum/judge.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"martendrum/internal/fleet/judge/trial"
+	"martendrum/internal/fleet/canary/simulation"
 )
 
 func judgeCommand(g *global) *cobra.Command {
@@ -28,14 +28,14 @@
 	harmRuns := f.Int("harm-runs", 100, "runs of each harm, for each size")
 	sizes := f.IntSlice("sizes", []int{60, 300, 1000, 5000}, "instances of a fleet")
 	plotTo := f.String("plot", "", "also draw the first size's runs to this file (.svg, .png or .pdf)")
-	plotHarm := f.String("plot-harm", trial.Harms()[2].Name, "the harm that is drawn")
+	plotHarm := f.String("plot-harm", simulation.Harms()[2].Name, "the harm that is drawn")
 	t.RunE = func(*cobra.Command, []string) error {
 		if *runs < 1 || *harmRuns < 0 || len(*sizes) == 0 || slices.Min(*sizes) < 10 || slices.Max(*sizes) > 5000 {
 			return fmt.Errorf("--runs %d, --harm-runs %d, --sizes %v; want 1 or more, 0 or more, and sizes of 10 to 5000", *runs, *harmRuns, *sizes)
 		}
 		began := time.Now()
 		shown := time.Time{}
-		rows := trial.Play(*sizes, *runs, *harmRuns, *seed, func(done, of int) {
+		rows := simulation.Play(*sizes, *runs, *harmRuns, *seed, func(done, of int) {
 			if time.Since(shown) > time.Second || done == of {
 				shown = time.Now()
 				fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, of)
@@ -43,7 +43,7 @@
 		})
 		fmt.Fprintf(os.Stderr, " in %v\n", time.Since(began).Round(time.Second))
 		if *plotTo != "" {
-			if err := trial.Plot(rows, (*sizes)[0], *plotHarm, *plotTo); err != nil {
+			if err := simulation.Plot(rows, (*sizes)[0], *plotHarm, *plotTo); err != nil {
 				return err
 			}
 		}
--- a/cmd/martendrum/main.go
+++ b/cmd/martendrum/main.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"martendrum/internal/fleet/client"
-	"martendrum/internal/fleet/inventory"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/inventory"
 )
 
 // Exit codes.
--- a/cmd/martendrum/plot.go
+++ b/cmd/martendrum/plot.go
@@ -11,16 +11,16 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"martendrum/internal/fleet/judge"
+	"martendrum/internal/fleet/canary"
 )
 
 // plotEvidence draws one test over a change's time: how much worse the changed ones
 // were held to be, with the bounds that hold at all looks, and the margins. test is
 // a test's name, or its beginning.
-func plotEvidence(series []judge.Judgement, slot float64, test, path string) error {
+func plotEvidence(series []canary.Judgement, slot float64, test, path string) error {
 	var line, low, high plotter.XYs
 	var known []string
-	var found *judge.Evidence
+	var found *canary.Evidence
 	for n, j := range series {
 		for _, e := range j.Evidence {
 			name := e.Test.String()
--- a/cmd/martendrum/record.go
+++ b/cmd/martendrum/record.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"martendrum/internal/record"
-	"martendrum/internal/record/conf"
+	"martendrum/internal/idempotency"
+	"martendrum/internal/idempotency/storeconfig"
 )
 
 // maxPage is how many rows are read from the store at once.
@@ -39,7 +39,7 @@
 	Note     string    `json:"note,omitempty"`
 }
 
-func printed(r *record.Entry) recordRow {
+func printed(r *idempotency.Entry) recordRow {
 	return recordRow{Class: r.Class, Key: r.Key, State: string(r.State), Request: r.Request, Attempts: r.Attempts, Servers: r.Servers, Owner: r.Owner,
 		Began: time.UnixMicro(r.Began).UTC(), Changed: time.UnixMicro(r.Changed).UTC(), Status: r.Status, Header: string(r.Header), Answer: r.Answer,
 		Cut: r.Cut, Settled: r.Settled, Note: r.Note}
@@ -53,8 +53,8 @@
 }
 
 // with opens the store, bounded in time, and closes it.
-func (r *recording) with(c *cobra.Command, owner bool, do func(ctx context.Context, b record.Backend) error) error {
-	cfg, err := conf.Load(r.config)
+func (r *recording) with(c *cobra.Command, owner bool, do func(ctx context.Context, b idempotency.Backend) error) error {
+	cfg, err := storeconfig.Load(r.config)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) {
 			err = fmt.Errorf("%w: name the sidecar's file with --config", err)
@@ -97,12 +97,12 @@
 	look := &cobra.Command{Use: "look CLASS KEY", Short: "Show what is known of a key", Args: cobra.ExactArgs(2),
 		Long: "Show what is known of a key. Exit code 1 if nothing is."}
 	look.RunE = func(c *cobra.Command, args []string) error {
-		return r.with(c, false, func(ctx context.Context, b record.Backend) error {
+		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
 			row, err := b.Get(ctx, args[0], args[1])
 			if err != nil {
 				return err
 			}
-			if row.State == record.Unknown {
+			if row.State == idempotency.Unknown {
 				return &exitError{exitSome, fmt.Errorf("class %s has no key %q in the record: it was never sent, or what was known is no longer kept", args[0], args[1])}
 			}
 			p := printed(&row)
@@ -119,7 +119,7 @@
 		})
 	}
 
-	var f record.Filter
+	var f idempotency.Filter
 	var since time.Duration
 	filter := func(c *cobra.Command) {
 		c.Flags().StringVar((*string)(&f.State), "state", "", "only in this state: in-flight, answered, never-ran or may-have-run")
@@ -127,8 +127,8 @@
 		c.Flags().DurationVar(&since, "since", 0, "only what changed in the last, as 24h")
 		c.RegisterFlagCompletionFunc("state", cobra.FixedCompletions([]cobra.Completion{"in-flight", "answered", "never-ran", "may-have-run"}, cobra.ShellCompDirectiveNoFileComp))
 	}
-	each := func(ctx context.Context, b record.Backend, limit int, do func(*record.Entry) error) (more bool, err error) {
-		if f.State != record.Unknown && !strings.Contains(" in-flight answered never-ran may-have-run ", " "+string(f.State)+" ") {
+	each := func(ctx context.Context, b idempotency.Backend, limit int, do func(*idempotency.Entry) error) (more bool, err error) {
+		if f.State != idempotency.Unknown && !strings.Contains(" in-flight answered never-ran may-have-run ", " "+string(f.State)+" ") {
 			return false, &exitError{exitUse, fmt.Errorf("--state %s: want in-flight, answered, never-ran or may-have-run", f.State)}
 		}
 		if since > 0 {
@@ -159,9 +159,9 @@
 	filter(list)
 	limit := list.Flags().Int("most", 1000, "so many at most")
 	list.RunE = func(c *cobra.Command, _ []string) error {
-		return r.with(c, false, func(ctx context.Context, b record.Backend) error {
+		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
 			out := []recordRow{}
-			more, err := each(ctx, b, *limit, func(row *record.Entry) error {
+			more, err := each(ctx, b, *limit, func(row *idempotency.Entry) error {
 				out = append(out, printed(row))
 				return nil
 			})
@@ -186,13 +186,13 @@
 	export := &cobra.Command{Use: "export", Short: "Write all rows, answers too, as JSON, one a line", Args: cobra.NoArgs}
 	filter(export)
 	export.RunE = func(c *cobra.Command, _ []string) error {
-		return r.with(c, false, func(ctx context.Context, b record.Backend) error {
+		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
 			out := bufio.NewWriter(os.Stdout)
 			e := json.NewEncoder(out)
 			n := 0
-			_, err := each(ctx, b, 1<<62, func(row *record.Entry) error {
+			_, err := each(ctx, b, 1<<62, func(row *idempotency.Entry) error {
 				whole, err := b.Get(ctx, row.Class, row.Key) // with its answer
-				if err != nil || whole.State == record.Unknown {
+				if err != nil || whole.State == idempotency.Unknown {
 					return err
 				}
 				if n++; n%10000 == 0 {
@@ -218,24 +218,24 @@
 	settle.MarkFlagsMutuallyExclusive("ran", "never-ran")
 	settle.MarkFlagsOneRequired("ran", "never-ran")
 	settle.RunE = func(c *cobra.Command, args []string) error {
-		to := record.Answered
+		to := idempotency.Answered
 		if *never {
-			to = record.NeverRan
+			to = idempotency.NeverRan
 		}
-		return r.with(c, false, func(ctx context.Context, b record.Backend) error {
+		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
 			row, err := b.Get(ctx, args[0], args[1])
 			if err != nil {
 				return err
 			}
-			op := &record.Op{Kind: record.Settle, Class: args[0], Key: args[1], To: to, By: *by, Note: *note}
+			op := &idempotency.Op{Kind: idempotency.Settle, Class: args[0], Key: args[1], To: to, By: *by, Note: *note}
 			if !*dry {
-				if err := b.Apply(ctx, []*record.Op{op}); err != nil {
+				if err := b.Apply(ctx, []*idempotency.Op{op}); err != nil {
 					return err
 				}
 			} else {
-				record.Apply(&row, time.Now().UnixMicro(), op)
+				idempotency.Apply(&row, time.Now().UnixMicro(), op)
 			}
-			if op.Result != record.Granted {
+			if op.Result != idempotency.Granted {
 				state := string(op.Entry.State)
 				if state == "" {
 					state = "unknown"
@@ -255,15 +255,15 @@
 	}
 
 	type state struct {
-		Rows  map[record.State]int64 `json:"rows"`
-		Bytes int64                  `json:"bytes"`
-		Most  int64                  `json:"most,omitempty"`
-		Gaps  []record.Gap           `json:"gaps"`
+		Rows  map[idempotency.State]int64 `json:"rows"`
+		Bytes int64                       `json:"bytes"`
+		Most  int64                       `json:"most,omitempty"`
+		Gaps  []idempotency.Gap           `json:"gaps"`
 	}
 	stats := &cobra.Command{Use: "stats", Short: "Count rows by state, and show the gaps", Args: cobra.NoArgs,
 		Long: "Count rows by state, show the bytes used and the times in which requests went on without\na record. Exit code 1 if any key may have run."}
 	stats.RunE = func(c *cobra.Command, _ []string) error {
-		return r.with(c, false, func(ctx context.Context, b record.Backend) error {
+		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
 			st, err := b.Stats(ctx)
 			if err != nil {
 				return err
@@ -277,7 +277,7 @@
 					return err
 				}
 			} else {
-				for _, s := range record.States {
+				for _, s := range idempotency.States {
 					fmt.Printf("%-14s %d\n", s, st.Rows[s])
 				}
 				fmt.Printf("%-14s %d", "bytes", st.Bytes)
@@ -290,7 +290,7 @@
 						time.UnixMicro(g.From).UTC().Format(time.RFC3339), time.UnixMicro(g.Until).UTC().Format(time.RFC3339), g.Cause)
 				}
 			}
-			if st.Rows[record.MayHaveRun] > 0 {
+			if st.Rows[idempotency.MayHaveRun] > 0 {
 				return &exitError{exitSome, nil}
 			}
 			return nil
@@ -299,7 +299,7 @@
 
 	check := &cobra.Command{Use: "check", Short: "Check the file and the store for damage", Args: cobra.NoArgs}
 	check.RunE = func(c *cobra.Command, _ []string) error {
-		return r.with(c, false, func(ctx context.Context, b record.Backend) error {
+		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
 			found, err := b.Check(ctx)
 			if err != nil {
 				return err
@@ -325,7 +325,7 @@
 
 	compact := &cobra.Command{Use: "compact", Short: "Give unused room back; a SQLite file must not be in use", Args: cobra.NoArgs}
 	compact.RunE = func(c *cobra.Command, _ []string) error {
-		return r.with(c, true, func(ctx context.Context, b record.Backend) error { return b.Compact(ctx) })
+		return r.with(c, true, func(ctx context.Context, b idempotency.Backend) error { return b.Compact(ctx) })
 	}
 	root.AddCommand(look, list, export, settle, stats, check, compact)
 	return root
--- a/cmd/martendrum/run.go
+++ b/cmd/martendrum/run.go
@@ -21,10 +21,10 @@
 
 	"github.com/spf13/cobra"
 
-	"martendrum/internal/fleet/agent"
 	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/host/agent"
+	"martendrum/internal/fleet/host/agentstore"
 	"martendrum/internal/fleet/pki"
-	"martendrum/internal/fleet/store/open"
 	"martendrum/internal/standin/shop"
 )
 
@@ -47,7 +47,7 @@
 		}
 		// Little lives on: memory matters more than the collector's work.
 		debug.SetGCPercent(50)
-		a, err := agent.New(cfg, agent.Processes{}, open.Record(cfg))
+		a, err := agent.New(cfg, agent.Processes{}, agentstore.Record(cfg))
 		if err != nil {
 			return &exitError{exitSome, err}
 		}
@@ -146,7 +146,7 @@
 	if err != nil {
 		return err
 	}
-	a, err := agent.New(cfg, agent.Processes{}, open.Record(cfg))
+	a, err := agent.New(cfg, agent.Processes{}, agentstore.Record(cfg))
 	if err != nil {
 		return err
 	}
--- a/cmd/martendrum/settings.go
+++ b/cmd/martendrum/settings.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
+	"martendrum/internal/fleet/control/client"
 	"martendrum/internal/fleet/distribution"
 )
 
--- a/cmd/martendrum/staged.go
+++ b/cmd/martendrum/staged.go
@@ -19,10 +19,10 @@
 	"github.com/spf13/cobra"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
-	"martendrum/internal/fleet/judge"
+	"martendrum/internal/fleet/canary"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/rollout"
 	"martendrum/internal/fleet/release"
-	"martendrum/internal/fleet/rollout"
 	"martendrum/internal/fleet/stage"
 )
 
@@ -31,7 +31,7 @@
 	rolling
 	stages, maxHost, maxZone, maxShop string
 	plan                              stage.Plan
-	judge                             judge.Config
+	judge                             canary.Config
 	margins                           []string
 	seed                              uint64
 	alone                             time.Duration
@@ -103,24 +103,24 @@
 }
 
 // marginsOf reads --margin.
-func marginsOf(texts []string) (map[judge.Measure]judge.Margin, error) {
-	out := judge.Margins()
+func marginsOf(texts []string) (map[canary.Measure]canary.Margin, error) {
+	out := canary.Margins()
 	for _, t := range texts {
 		name, rest, ok := strings.Cut(t, "=")
 		low, high, ok2 := strings.Cut(rest, ":")
 		tolerate, err1 := strconv.ParseFloat(low, 64)
 		exclude, err2 := strconv.ParseFloat(high, 64)
-		if _, known := out[judge.Measure(name)]; !known {
+		if _, known := out[canary.Measure(name)]; !known {
 			return nil, fmt.Errorf("--margin %q: measures are %s", t, join(slices.Sorted(maps.Keys(out))))
 		}
 		if rest == "off" {
-			delete(out, judge.Measure(name))
+			delete(out, canary.Measure(name))
 			continue
 		}
 		if !ok || !ok2 || err1 != nil || err2 != nil {
 			return nil, fmt.Errorf("--margin %q; want MEASURE=TOLERATE:EXCLUDE, as in unserved=0.01:0.05, or MEASURE=off", t)
 		}
-		out[judge.Measure(name)] = judge.Margin{Tolerate: tolerate, Exclude: exclude}
+		out[canary.Measure(name)] = canary.Margin{Tolerate: tolerate, Exclude: exclude}
 	}
 	return out, nil
 }
@@ -331,8 +331,8 @@
 func (g *global) planStages(op *api.Operation, now map[api.Target]*api.Instance) error {
 	s := op.Staged
 	type sight struct {
-		Measure  judge.Measure `json:"measure"`
-		Smallest float64       `json:"smallest"` // harm that is noticed with even odds by the stage's longest time
+		Measure  canary.Measure `json:"measure"`
+		Smallest float64        `json:"smallest"` // harm that is noticed with even odds by the stage's longest time
 	}
 	type entry struct {
 		Stage     int          `json:"stage"`
@@ -341,7 +341,7 @@
 		Rate      float64      `json:"rate"` // requests a second of all that run it by then
 		Notice    []sight      `json:"notice"`
 	}
-	j, err := judge.New(s.Judge)
+	j, err := canary.New(s.Judge)
 	if err != nil {
 		return err
 	}
@@ -359,13 +359,13 @@
 	from := 0
 	for n, upto := range s.Plan.Upto {
 		e := entry{Stage: n + 1, Upto: upto, Instances: op.Targets[from:upto], Rate: sum(rates[:upto])}
-		for _, m := range []judge.Measure{judge.WeightedLoss, judge.Unserved, judge.Attempts} {
+		for _, m := range []canary.Measure{canary.WeightedLoss, canary.Unserved, canary.Attempts} {
 			share := 1.0
-			if m == judge.Unserved {
+			if m == canary.Unserved {
 				share /= float64(len(s.Judge.Classes)) // of one class, were all alike
 			}
 			seconds := s.Plan.MaxDuration.Seconds()
-			e.Notice = append(e.Notice, sight{m, judge.Smallest(m, map[judge.Measure]float64{judge.Attempts: 1.1}[m], share*seconds*e.Rate, share*seconds*(sum(rates)-e.Rate),
+			e.Notice = append(e.Notice, sight{m, canary.Smallest(m, map[canary.Measure]float64{canary.Attempts: 1.1}[m], share*seconds*e.Rate, share*seconds*(sum(rates)-e.Rate),
 				s.Judge.FalseStops, len(j.Tests()), s.Judge.Margins[m])})
 		}
 		plan = append(plan, e)
--- a/cmd/martendrum/view.go
+++ b/cmd/martendrum/view.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
-	"martendrum/internal/fleet/inventory"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/inventory"
 )
 
 func printJSON(v any) error {
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"martendrum/internal/handover"
-	"martendrum/internal/limitlog"
+	"martendrum/internal/ratelimitlog"
 )
 
 // agentVersion is the version of what this program and its agent exchange: the fields of
@@ -29,7 +29,7 @@
 		printVersions()
 		return
 	}
-	slog.SetDefault(limitlog.New(os.Stderr, slog.LevelInfo))
+	slog.SetDefault(ratelimitlog.New(os.Stderr, slog.LevelInfo))
 	on := notifySignals()
 	c, err := load(os.Getenv)
 	if err == nil {
@@ -58,7 +58,7 @@
 
 // printVersions prints the versions of the protocols that this program speaks, for an
 // agent that is to run it beside another version. The fields are those of
-// internal/fleet/neighbour, which this program does not link.
+// internal/fleet/host/compatibility, which this program does not link.
 func printVersions() {
 	fmt.Printf("{\"program\": \"sidecar\", \"hand_over\": %d, \"snapshot\": %d, \"record\": %d, \"agent\": %d}\n",
 		handover.Version, handover.SnapshotVersion, recordVersion(), agentVersion)
--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -33,7 +33,7 @@
 	config    *config
 	resources *resources
 	watcher   *discovery.Watcher
-	recorder  recorder // nil: there is none
+	recorder  requestRecorder // nil: there is none
 	metrics   *metrics.Set
 	fleet     *fleet
 
--- a/cmd/sidecar/record.go
+++ b/cmd/sidecar/record.go
@@ -10,11 +10,11 @@
 	"os"
 	"time"
 
-	"martendrum/internal/record"
-	"martendrum/internal/record/conf"
-	"martendrum/internal/record/keeper"
-	"martendrum/internal/record/postgres"
-	"martendrum/internal/record/sqlite"
+	"martendrum/internal/idempotency"
+	"martendrum/internal/idempotency/postgres"
+	"martendrum/internal/idempotency/recorder"
+	"martendrum/internal/idempotency/sqlite"
+	"martendrum/internal/idempotency/storeconfig"
 	"martendrum/internal/settings"
 )
 
@@ -24,8 +24,8 @@
 
 // recordConfig is the operator's file, and what it means for this sidecar.
 type recordConfig struct {
-	*conf.Config
-	keeper keeper.Config
+	*storeconfig.Config
+	keeper recorder.Config
 }
 
 // Sockets is how many descriptors the store takes at most.
@@ -37,7 +37,7 @@
 }
 
 func loadRecord(path string, set *settings.Settings, sockets int) (*recordConfig, error) {
-	c, err := conf.Load(path)
+	c, err := storeconfig.Load(path)
 	if err != nil {
 		return nil, err
 	}
@@ -47,7 +47,7 @@
 
 // openRecord opens the store of record; nil if there is none.
 // lock is its ownership, where an old process passed that on.
-func openRecord(c *config, lock *os.File) (recorder, error) {
+func openRecord(c *config, lock *os.File) (requestRecorder, error) {
 	if c.record == nil {
 		return nil, nil
 	}
@@ -60,13 +60,13 @@
 	ask, cancelAsk := context.WithTimeout(ctx, recordAsk)
 	defer cancelAsk()
 	switch err := b.Ping(ask); {
-	case errors.Is(err, record.ErrUnusable), errors.Is(err, record.ErrReadOnly):
+	case errors.Is(err, idempotency.ErrUnusable), errors.Is(err, idempotency.ErrReadOnly):
 		b.Close()
 		return nil, fmt.Errorf("MARTENDRUM_RECORD: %w", err)
 	case err != nil:
 		slog.Warn("the store of record is away at the start", "err", err)
 	}
-	return keeper.New(c.record.keeper, b), nil
+	return recorder.New(c.record.keeper, b), nil
 }
 
 // recordVersion is the schema of the store of record that this build reads and writes;
--- a/cmd/sidecar/record_off.go
+++ b/cmd/sidecar/record_off.go
@@ -20,7 +20,7 @@
 	return nil, errors.New("this build has no store of record: run the one that has, `go build -tags record -o bin/sidecar-record ./cmd/sidecar`")
 }
 
-func openRecord(*config, *os.File) (recorder, error) { return nil, nil }
+func openRecord(*config, *os.File) (requestRecorder, error) { return nil, nil }
 
 // recordVersion is the schema of the store of record; this build has none.
 func recordVersion() int { return 0 }
--- a/cmd/sidecar/recorder.go
+++ b/cmd/sidecar/recorder.go
@@ -13,8 +13,8 @@
 // fits between the last response and SIGKILL.
 const recordFlushTimeout = 200 * time.Millisecond
 
-// recorder is the store of record of a build that has one, see record.go.
-type recorder interface {
+// requestRecorder is the store of record of a build that has one, see record.go.
+type requestRecorder interface {
 	sidecar.Recorder
 	// Status is the state of the store, for health responses.
 	Status() string
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -12,7 +12,7 @@
 
 	"martendrum/internal/admin"
 	"martendrum/internal/discovery"
-	"martendrum/internal/front"
+	"martendrum/internal/downstream"
 	"martendrum/internal/handover"
 	"martendrum/internal/handover/link"
 	"martendrum/internal/sidecar"
@@ -36,7 +36,7 @@
 
 	// Set once, by createParts; nil before.
 	pool   *upstream.Pool
-	server *front.Server
+	server *downstream.Server
 	host   *sidecar.Host
 
 	listeners []*net.TCPListener
@@ -63,7 +63,7 @@
 }
 
 // applyShare sets the limits of the runtime and returns those of the process's parts.
-func (c *config) applyShare(share handover.Quota) (upstream.Config, front.Config) {
+func (c *config) applyShare(share handover.Quota) (upstream.Config, downstream.Config) {
 	memory := int64(share.MemoryMB) << 20
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.cores))))
 	debug.SetMemoryLimit(memory * 6 / 10)
@@ -74,7 +74,7 @@
 		DrainGrace:  c.settings.DrainGrace,
 		MaxConns:    conns - conns/2,
 	}
-	frontConfig := front.Config{
+	frontConfig := downstream.Config{
 		MaxConns: conns / 2,
 		MaxBody:  memory * 3 / 8,
 	}
@@ -93,7 +93,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	host.Limit(r.share.InFlight, c.fullShare().InFlight)
-	r.pool, r.server, r.host = pool, front.New(frontConfig, seamHandler(host)), host
+	r.pool, r.server, r.host = pool, downstream.New(frontConfig, seamHandler(host)), host
 	return nil
 }
 
--- a/cmd/sidecar/seams_on.go
+++ b/cmd/sidecar/seams_on.go
@@ -10,8 +10,8 @@
 
 	"martendrum"
 	"martendrum/internal/discovery"
-	"martendrum/internal/front"
-	"martendrum/internal/stopplan"
+	"martendrum/internal/downstream"
+	"martendrum/internal/shutdown"
 )
 
 // A build with the tag seams breaks the rules that MARTENDRUM_SEAMS names, so that a test
@@ -42,7 +42,7 @@
 }
 
 // seamPlan returns when a stop does what.
-func seamPlan(plan stopplan.Plan) stopplan.Plan {
+func seamPlan(plan shutdown.Plan) shutdown.Plan {
 	if seam(seamLateStop) {
 		plan.AnswerAll, plan.End = plan.AnswerAll+lateStop, plan.End+lateStop
 	}
@@ -50,16 +50,16 @@
 }
 
 // deafHandler does not heed how long clients wait.
-type deafHandler struct{ front.Handler }
+type deafHandler struct{ downstream.Handler }
 
-// Arrive implements front.Handler.
-func (d deafHandler) Arrive(x *front.Exchange) {
+// Arrive implements downstream.Handler.
+func (d deafHandler) Arrive(x *downstream.Exchange) {
 	x.Wait = 0
 	d.Handler.Arrive(x)
 }
 
 // seamHandler returns the handler of the clients' requests.
-func seamHandler(handler front.Handler) front.Handler {
+func seamHandler(handler downstream.Handler) downstream.Handler {
 	if seam(seamDeadlines) {
 		return deafHandler{handler}
 	}
--- a/cmd/sidecar/stop.go
+++ b/cmd/sidecar/stop.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"martendrum/internal/handover/link"
-	"martendrum/internal/stopplan"
+	"martendrum/internal/shutdown"
 )
 
 const (
@@ -32,25 +32,25 @@
 	}
 }
 
-// shutdown is a stop in progress.
-type shutdown struct {
+// gracefulShutdown is a stop in progress.
+type gracefulShutdown struct {
 	resources *resources
 	successor *link.Old // nil: no process can take over
 	told      time.Time // when the signal came: the plan's spans are counted from it
-	plan      stopplan.Plan
+	plan      shutdown.Plan
 	replaced  bool // a successor serves
 	closed    bool // no connection is accepted any more
 }
 
-// newShutdown returns a shutdown of a process that was told to end at told.
-func newShutdown(told time.Time, c *config, r *resources, successor *link.Old) *shutdown {
-	return &shutdown{resources: r, successor: successor, told: told, plan: seamPlan(stopplan.For(c.longestDeadline()))}
+// newShutdown returns the graceful shutdown of a process that was told to end at told.
+func newShutdown(told time.Time, c *config, r *resources, successor *link.Old) *gracefulShutdown {
+	return &gracefulShutdown{resources: r, successor: successor, told: told, plan: seamPlan(shutdown.For(c.longestDeadline()))}
 }
 
 // run serves on as long as connections may come, and until every request is answered. If
 // a successor serves, no connection comes any more, and those that are open are closed
 // as their clients leave them idle. It returns whether a successor serves.
-func (s *shutdown) run() (replaced bool) {
+func (s *gracefulShutdown) run() (replaced bool) {
 	host, server := s.resources.host, s.resources.server
 	slog.Info("stopping", "held", host.InFlight(), "signal_ago", time.Since(s.told), "answer_all", s.plan.AnswerAll, "kill", s.plan.Kill)
 	host.StopWithin(time.Until(s.told.Add(s.plan.AnswerAll)))
@@ -90,7 +90,7 @@
 
 // next decides the next step. Whoever connects before stepClose is among the connections
 // after it, and is waited for.
-func (s *shutdown) next() shutdownStep {
+func (s *gracefulShutdown) next() shutdownStep {
 	elapsed := time.Since(s.told)
 	accepts := !s.replaced && !s.closed
 	switch {
@@ -106,16 +106,16 @@
 
 // mayBeReplaced reports whether a process has come that may take over, which needs the
 // listeners.
-func (s *shutdown) mayBeReplaced() bool { return s.successor != nil && s.successor.Talking() }
+func (s *gracefulShutdown) mayBeReplaced() bool { return s.successor != nil && s.successor.Talking() }
 
 // busy reports whether there are connections to wait for.
-func (s *shutdown) busy() bool {
+func (s *gracefulShutdown) busy() bool {
 	server := s.resources.server
 	return server.Busy() > 0 || s.replaced && server.Conns() > 0
 }
 
 // idleTime returns how long a connection must have been idle to be closed in a round.
-func (s *shutdown) idleTime(round int) time.Duration {
+func (s *gracefulShutdown) idleTime(round int) time.Duration {
 	if s.successor == nil {
 		return 0
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -26,7 +26,7 @@
 	"time"
 
 	"martendrum/internal/framing"
-	"martendrum/internal/sock"
+	"martendrum/internal/netconn"
 )
 
 const (
@@ -76,7 +76,7 @@
 		listener.Close()
 	}
 	for {
-		conn, err := sock.Accept("admin", listener.Accept, nil)
+		conn, err := netconn.Accept("admin", listener.Accept, nil)
 		if err != nil {
 			return
 		}
--- a/internal/capacity/measurement.go
+++ b/internal/capacity/measurement.go
@@ -280,7 +280,7 @@
 		},
 	},
 	{
-		Name: Keys, Title: "The record of keys in SQLite, by keys", Package: "internal/record/sqlite", Bench: "BenchmarkKeysCapacity",
+		Name: Keys, Title: "The record of keys in SQLite, by keys", Package: "internal/idempotency/sqlite", Bench: "BenchmarkKeysCapacity",
 		Flags: []string{"-benchtime", "200x", "-count", "3", "-timeout", "60m"}, Cores: measurementCores,
 		Metrics: []Metric{
 			{Name: "file bytes of a key", Unit: "file-B/key", Size: "keys", Shown: "B"},
--- a/internal/capacity/mechanisms.go
+++ b/internal/capacity/mechanisms.go
@@ -40,7 +40,7 @@
 	badMinuteProcessor, memory := budget["processor time, bad minute"], budget["resident memory of both"]
 	listBytes := c.at(WholeList, "bytes of a server on the wire", length.usual).times(length.usual / ConvergeSeconds)
 	const relays = "`internal/fleet/distribution`"
-	const command, peers, watch = "one command (`internal/fleet/client`)", "`internal/peers`", "`internal/discovery`"
+	const command, peers, watch = "one command (`internal/fleet/control/client`)", "`internal/peers`", "`internal/discovery`"
 	all := []Mechanism{
 		missing("an acknowledged change outlives the loss of the writer's disk", "what no relay had copied is lost; an operator promotes a relay"),
 		mechanism("settings in force at all hosts", ConvergeSeconds, c.at(Distribution, "change for all, all", Servers), "s", relays, "with 1 s in which changes are gathered; a sidecar's own time to apply comes on top"),
@@ -58,7 +58,7 @@
 		mechanism("the loss of a zone is known in a membership of all", ConvergeSeconds, c.at(MembershipChange, "a zone (one in 27) lost", Servers), "s", peers, "16 s is borrowed"),
 		mechanism("bytes of a whole server list at a start, over 16 s", ControlBytesPerSecond, listBytes, "B/s", watch, "5 services"),
 		mechanism("services that one sidecar can call", 1, exactly(servicesCalled), "services", "one list of one service for each sidecar", "needed: 5, assumed; there: 1"),
-		mechanism("2 ms added at 7 deep, for 99 in 100", AddedMilliseconds, c.at(Chain, "difference of the 99th percentiles", length.usual), "ms", "`internal/front`, `internal/upstream`, the root package", "seven together"),
+		mechanism("2 ms added at 7 deep, for 99 in 100", AddedMilliseconds, c.at(Chain, "difference of the 99th percentiles", length.usual), "ms", "`internal/downstream`, `internal/upstream`, the root package", "seven together"),
 		mechanism("2 ms added by one sidecar, for 99 in 100", AddedMilliseconds, c.at(CallRate, "difference of the 99th percentiles", callsPerSidecar), "ms", "the same", ""),
 		mechanism("a change of the server list is known", ConvergeSeconds, exactly(6), "s", watch, "bound in the code, tested there"),
 		mechanism("processor time for control in a bad minute", ControlCorePercent, badMinuteProcessor.Value, "% of a core", "agent and sidecar", "settings by reload"),
--- a/internal/front/conn.go
+++ b/internal/downstream/conn.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"martendrum/internal/sock"
-	"martendrum/internal/stopplan"
+	"martendrum/internal/netconn"
+	"martendrum/internal/shutdown"
 )
 
 const (
@@ -47,7 +47,7 @@
 type conn struct {
 	server   *Server
 	netConn  net.Conn
-	input    *sock.Lazy
+	input    *netconn.Lazy
 	answered sync.Cond // signals that exchange became nil
 	accepted time.Time // when the connection was accepted
 	requests int       // registered so far; its goroutine's
@@ -68,7 +68,7 @@
 	case stateReading, stateWaiting, stateClosed:
 		return true
 	case stateNew:
-		return time.Since(c.stateSince) < stopplan.MaxIdleConnection
+		return time.Since(c.stateSince) < shutdown.MaxIdleConnection
 	}
 	return false
 }
--- a/internal/front/front.go
+++ b/internal/downstream/front.go
@@ -1,10 +1,10 @@
-// Package front is the client-facing side of the sidecar: it accepts connections, reads
+// Package downstream is the client-facing side of the sidecar: it accepts connections, reads
 // requests, writes responses and notices clients that disconnect.
 //
 // A Server owns the connections and their limits, a conn is one connection, an Exchange
 // is one request with its response. What a request is answered with is decided by the
 // Handler.
-package front
+package downstream
 
 import (
 	"martendrum/internal/metrics"
--- a/internal/front/front_test.go
+++ b/internal/downstream/front_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bufio"
--- a/internal/front/server.go
+++ b/internal/downstream/server.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"log/slog"
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"martendrum/internal/sock"
-	"martendrum/internal/stopplan"
+	"martendrum/internal/netconn"
+	"martendrum/internal/shutdown"
 )
 
 // Server serves the clients.
@@ -76,7 +76,7 @@
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve(listener net.Listener) error {
 	for {
-		netConn, err := sock.Accept("clients", listener.Accept, s.acceptFailed)
+		netConn, err := netconn.Accept("clients", listener.Accept, s.acceptFailed)
 		if err != nil {
 			return err
 		}
@@ -87,7 +87,7 @@
 // acceptFailed makes room where an accept failed for a lack of descriptors. Connections wait
 // in the queue.
 func (s *Server) acceptFailed(err error) {
-	if sock.IsTableFull(err) {
+	if netconn.IsTableFull(err) {
 		s.evict()
 	}
 }
@@ -112,7 +112,7 @@
 		return
 	}
 	netConn.SetReadDeadline(now.Add(firstRequestTimeout))
-	c.input = sock.NewLazy(netConn)
+	c.input = netconn.NewLazy(netConn)
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
@@ -144,10 +144,10 @@
 }
 
 // CloseSilent closes the connections on which no byte has come within
-// stopplan.SilentMost after their accept: on one that is left open, a first request may still
+// shutdown.MaxIdleConnection after their accept: on one that is left open, a first request may still
 // come in the process's last moment.
 func (s *Server) CloseSilent() {
-	s.closeQuiet(stateNew, stopplan.MaxIdleConnection)
+	s.closeQuiet(stateNew, shutdown.MaxIdleConnection)
 }
 
 // CloseUnfinished ends the connections on which a part of a request has come: nobody would
--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"martendrum/internal/fleet/judge"
+	"martendrum/internal/fleet/canary"
 	"martendrum/internal/fleet/stage"
 )
 
@@ -155,7 +155,7 @@
 	Labels  map[string]string `msgpack:"labels" json:"labels,omitempty"`
 	Listen  string            `msgpack:"listen" json:"listen"`
 	Desired string            `msgpack:"desired" json:"desired"`
-	State   string            `msgpack:"state" json:"state"` // as life.Phase says it
+	State   string            `msgpack:"state" json:"state"` // as supervisor.Phase says it
 	Reason  string            `msgpack:"reason" json:"reason,omitempty"`
 	Release string            `msgpack:"release" json:"release"`           // desired
 	Running string            `msgpack:"running" json:"running,omitempty"` // of the process
@@ -268,11 +268,11 @@
 	Shop string `msgpack:"shop,omitempty" json:"shop,omitempty"`
 }
 
-// Staged is how a change in stages goes about it; see packages stage and judge.
+// Staged is how a change in stages goes about it; see packages stage and canary.
 type Staged struct {
-	Plan  stage.Plan   `msgpack:"plan" json:"plan"`
-	Judge judge.Config `msgpack:"judge" json:"judge"` // its Start is set when the first stage begins
-	Seed  uint64       `msgpack:"seed" json:"seed"`   // of the draw that ordered the targets
+	Plan  stage.Plan    `msgpack:"plan" json:"plan"`
+	Judge canary.Config `msgpack:"judge" json:"judge"` // its Start is set when the first stage begins
+	Seed  uint64        `msgpack:"seed" json:"seed"`   // of the draw that ordered the targets
 	// First is the boundary (Unix time over slot length) at which slot 0 begins.
 	First int64 `msgpack:"first" json:"first"`
 	// Alone is how long an agent waits, once nobody holds the operation any more,
@@ -390,34 +390,34 @@
 	Samples []Sample      `msgpack:"samples"`
 }
 
-// Sample is what an instance's door told at a boundary; see judge.Sample.
+// Sample is what an instance's door told at a boundary; see canary.Sample.
 type Sample struct {
-	Instance string                  `msgpack:"i"`
-	Boundary int64                   `msgpack:"b"`
-	At       time.Time               `msgpack:"t"`
-	Process  string                  `msgpack:"p"`
-	Release  string                  `msgpack:"r"`
-	Started  time.Time               `msgpack:"s"`
-	Classes  map[string]judge.Counts `msgpack:"c"`
-	Attempts uint32                  `msgpack:"n"`
-	Finished uint32                  `msgpack:"e"`
-	Rejected uint32                  `msgpack:"d"`
-	Timed    uint32                  `msgpack:"o"`
-	Slow     uint32                  `msgpack:"w"`
-	Crashes  uint32                  `msgpack:"x"`
-	Memory   uint64                  `msgpack:"m"`
-	Files    uint32                  `msgpack:"f"`
+	Instance string                   `msgpack:"i"`
+	Boundary int64                    `msgpack:"b"`
+	At       time.Time                `msgpack:"t"`
+	Process  string                   `msgpack:"p"`
+	Release  string                   `msgpack:"r"`
+	Started  time.Time                `msgpack:"s"`
+	Classes  map[string]canary.Counts `msgpack:"c"`
+	Attempts uint32                   `msgpack:"n"`
+	Finished uint32                   `msgpack:"e"`
+	Rejected uint32                   `msgpack:"d"`
+	Timed    uint32                   `msgpack:"o"`
+	Slow     uint32                   `msgpack:"w"`
+	Crashes  uint32                   `msgpack:"x"`
+	Memory   uint64                   `msgpack:"m"`
+	Files    uint32                   `msgpack:"f"`
 }
 
 // CanarySample is the sample as the judge takes it: of the instance at that place, with the
 // classes in that order.
-func (s *Sample) CanarySample(instance int, classes []string) judge.Sample {
-	w := judge.Window{Instance: instance, Release: s.Release, Attempts: s.Attempts, Finished: s.Finished, Rejected: s.Rejected,
-		Timed: s.Timed, Slow: s.Slow, Crashes: s.Crashes, Memory: s.Memory, Files: s.Files, Classes: make([]judge.Counts, len(classes))}
+func (s *Sample) CanarySample(instance int, classes []string) canary.Sample {
+	w := canary.Window{Instance: instance, Release: s.Release, Attempts: s.Attempts, Finished: s.Finished, Rejected: s.Rejected,
+		Timed: s.Timed, Slow: s.Slow, Crashes: s.Crashes, Memory: s.Memory, Files: s.Files, Classes: make([]canary.Counts, len(classes))}
 	for n, name := range classes {
 		w.Classes[n] = s.Classes[name]
 	}
-	return judge.Sample{At: s.At, Process: s.Process, Started: s.Started, Window: w}
+	return canary.Sample{At: s.At, Process: s.Process, Started: s.Started, Window: w}
 }
 
 type AbortIn struct {
--- a/internal/fleet/judge/coarse.go
+++ b/internal/fleet/canary/coarse.go
@@ -1,4 +1,4 @@
-package judge
+package canary
 
 // LocalHealth is what an agent knows of one of its instances without looking at others.
 type LocalHealth struct {
--- a/internal/fleet/judge/export_test.go
+++ b/internal/fleet/canary/export_test.go
@@ -1,4 +1,4 @@
-package judge
+package canary
 
 // For the tests outside.
 var (
--- a/internal/fleet/judge/judge.go
+++ b/internal/fleet/canary/judge.go
@@ -1,4 +1,4 @@
-// Package judge says whether sidecars that run a change serve worse than those
+// Package canary says whether sidecars that run a change serve worse than those
 // that do not, from what they counted over the same time. It is pure: it does no
 // I/O and reads no clock; counts come in, verdicts with their evidence go out.
 //
@@ -12,7 +12,7 @@
 // comes twice counts once; what can't be compared is left out and counted by
 // reason, never filled in. It does not promise to find harm that falls on changed
 // and unchanged instances alike: that is told apart as Suffering, and says to hold.
-package judge
+package canary
 
 import (
 	"fmt"
--- a/internal/fleet/judge/judge_test.go
+++ b/internal/fleet/canary/judge_test.go
@@ -1,4 +1,4 @@
-package judge_test
+package canary_test
 
 import (
 	"fmt"
@@ -11,17 +11,17 @@
 
 	"pgregory.net/rapid"
 
-	"martendrum/internal/fleet/judge"
-	"martendrum/internal/fleet/judge/trial"
+	"martendrum/internal/fleet/canary"
+	"martendrum/internal/fleet/canary/simulation"
 )
 
 // fleet plays a small fleet: instances of two zones, of which some change at slot
 // 20, and do with each window what harm says.
-func fleet(n, changed, slots int, seed uint64, harm func(w *judge.Window, zone int, isNew bool, slot int)) (judge.Config, []judge.Window) {
-	c := judge.Config{Classes: []string{"activate", "status"}, Weights: []float64{10, 1}, Base: "old", Change: "new", Start: 20,
+func fleet(n, changed, slots int, seed uint64, harm func(w *canary.Window, zone int, isNew bool, slot int)) (canary.Config, []canary.Window) {
+	c := canary.Config{Classes: []string{"activate", "status"}, Weights: []float64{10, 1}, Base: "old", Change: "new", Start: 20,
 		Slot: 10 * time.Second, FalseStops: 0.01, MaxSlots: 200, Zones: make([]string, n)}
 	rng := rand.New(rand.NewPCG(seed, 9))
-	var ws []judge.Window
+	var ws []canary.Window
 	for i := range n {
 		c.Zones[i] = fmt.Sprint("zone-", i%2)
 		each := uint32(100 + 300*rng.Float64())
@@ -30,14 +30,14 @@
 			if isNew && s == 20 {
 				continue
 			}
-			w := judge.Window{Instance: i, Slot: s, Release: "old", Age: time.Duration(s+1) * 10 * time.Second, Classes: make([]judge.Counts, 2),
+			w := canary.Window{Instance: i, Slot: s, Release: "old", Age: time.Duration(s+1) * 10 * time.Second, Classes: make([]canary.Counts, 2),
 				Memory: 20 << 20, Files: 30}
 			if isNew {
 				w.Release, w.Age = "new", time.Duration(s-19)*10*time.Second
 			}
 			for k := range w.Classes {
 				lost := uint32(rng.IntN(4))
-				w.Classes[k] = judge.Counts{Served: each - lost, Rejected: lost}
+				w.Classes[k] = canary.Counts{Served: each - lost, Rejected: lost}
 			}
 			w.Attempts = 2*each + uint32(rng.IntN(20))
 			w.Finished, w.Timed = w.Attempts, 2*each
@@ -50,9 +50,9 @@
 	return c, ws
 }
 
-func judged(t *testing.T, c judge.Config, ws []judge.Window) judge.Judgement {
+func judged(t *testing.T, c canary.Config, ws []canary.Window) canary.Judgement {
 	t.Helper()
-	j, err := judge.New(c)
+	j, err := canary.New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 }
 
 // lose makes a share of a class's requests failed.
-func lose(w *judge.Window, class int, share float64) {
+func lose(w *canary.Window, class int, share float64) {
 	k := &w.Classes[class]
 	n := uint32(share * float64(k.Served))
 	k.Served, k.Failed = k.Served-n, k.Failed+n
@@ -72,28 +72,28 @@
 func TestVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
 		n, changed int
-		harm       func(w *judge.Window, zone int, isNew bool, slot int)
-		want       judge.Verdict
+		harm       func(w *canary.Window, zone int, isNew bool, slot int)
+		want       canary.Verdict
 		by         string // begins the first evidence
 		suffers    bool
 		why        string
 	}{
-		"no harm":     {n: 30, changed: 6, want: judge.NotWorse},
-		"serves less": {n: 30, changed: 6, want: judge.Worse, by: "unserved of activate", harm: func(w *judge.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 0, 0.1); loseIf(isNew, w, 1, 0.1) }},
-		"one class":   {n: 30, changed: 6, want: judge.Worse, by: "unserved of status", harm: func(w *judge.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 1, 0.1) }},
-		"one zone":    {n: 30, changed: 6, want: judge.Worse, by: "unserved of status", harm: func(w *judge.Window, z int, isNew bool, _ int) { loseIf(isNew && z == 1, w, 1, 0.1) }},
-		"attempts":    {n: 30, changed: 6, want: judge.Worse, by: "attempts", harm: func(w *judge.Window, _ int, isNew bool, _ int) { w.Attempts *= 1 + one(isNew) }},
-		"slow":        {n: 30, changed: 6, want: judge.Worse, by: "slow", harm: func(w *judge.Window, _ int, isNew bool, _ int) { w.Slow = one(isNew) * w.Timed / 10 }},
-		"leaks": {n: 30, changed: 6, want: judge.Worse, by: "memory", harm: func(w *judge.Window, _ int, isNew bool, _ int) {
+		"no harm":     {n: 30, changed: 6, want: canary.NotWorse},
+		"serves less": {n: 30, changed: 6, want: canary.Worse, by: "unserved of activate", harm: func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 0, 0.1); loseIf(isNew, w, 1, 0.1) }},
+		"one class":   {n: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 1, 0.1) }},
+		"one zone":    {n: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, z int, isNew bool, _ int) { loseIf(isNew && z == 1, w, 1, 0.1) }},
+		"attempts":    {n: 30, changed: 6, want: canary.Worse, by: "attempts", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Attempts *= 1 + one(isNew) }},
+		"slow":        {n: 30, changed: 6, want: canary.Worse, by: "slow", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Slow = one(isNew) * w.Timed / 10 }},
+		"leaks": {n: 30, changed: 6, want: canary.Worse, by: "memory", harm: func(w *canary.Window, _ int, isNew bool, _ int) {
 			w.Memory += uint64(one(isNew)) * uint64(w.Age.Seconds()) << 18
 		}},
-		"crashes":        {n: 30, changed: 6, want: judge.Worse, by: "crashes", harm: func(w *judge.Window, _ int, isNew bool, s int) { w.Crashes = one(isNew && s%3 == 0) }},
-		"always worse":   {n: 30, changed: 6, want: judge.Inconclusive, harm: func(w *judge.Window, _ int, _ bool, _ int) { loseIf(w.Instance < 6, w, 0, 0.1) }},
-		"bad for all":    {n: 30, changed: 6, want: judge.Inconclusive, suffers: true, harm: func(w *judge.Window, _ int, _ bool, s int) { loseIf(s > 30, w, 0, 0.3) }},
-		"less traffic":   {n: 30, changed: 6, want: judge.NotWorse, harm: func(w *judge.Window, _ int, isNew bool, _ int) { thin(w, isNew) }},
-		"nobody beside":  {n: 6, changed: 6, want: judge.Inconclusive, why: "no changed instance has both"},
-		"too few beside": {n: 6, changed: 4, want: judge.Inconclusive, why: "3 at least"},
-		"too few asked":  {n: 30, changed: 1, want: judge.Inconclusive, why: "too few requests", harm: func(w *judge.Window, _ int, _ bool, s int) { quiet(w, s) }},
+		"crashes":        {n: 30, changed: 6, want: canary.Worse, by: "crashes", harm: func(w *canary.Window, _ int, isNew bool, s int) { w.Crashes = one(isNew && s%3 == 0) }},
+		"always worse":   {n: 30, changed: 6, want: canary.Inconclusive, harm: func(w *canary.Window, _ int, _ bool, _ int) { loseIf(w.Instance < 6, w, 0, 0.1) }},
+		"bad for all":    {n: 30, changed: 6, want: canary.Inconclusive, suffers: true, harm: func(w *canary.Window, _ int, _ bool, s int) { loseIf(s > 30, w, 0, 0.3) }},
+		"less traffic":   {n: 30, changed: 6, want: canary.NotWorse, harm: func(w *canary.Window, _ int, isNew bool, _ int) { thin(w, isNew) }},
+		"nobody beside":  {n: 6, changed: 6, want: canary.Inconclusive, why: "no changed instance has both"},
+		"too few beside": {n: 6, changed: 4, want: canary.Inconclusive, why: "3 at least"},
+		"too few asked":  {n: 30, changed: 1, want: canary.Inconclusive, why: "too few requests", harm: func(w *canary.Window, _ int, _ bool, s int) { quiet(w, s) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, ws := fleet(c.n, c.changed, 50, 1, c.harm)
@@ -101,7 +101,7 @@
 			if got.Verdict != c.want || !strings.HasPrefix(got.Evidence[0].String(), c.by) || !strings.Contains(got.Evidence[0].String(), c.why) {
 				t.Errorf("%s by %s; want %s by %q %q", got.Verdict, got.Evidence[0], c.want, c.by, c.why)
 			}
-			if got.Verdict == judge.Inconclusive && (got.Evidence[0].Zone != "" || !got.Evidence[len(got.Evidence)-1].Aside) {
+			if got.Verdict == canary.Inconclusive && (got.Evidence[0].Zone != "" || !got.Evidence[len(got.Evidence)-1].Aside) {
 				t.Errorf("it can't be told, and an aside is named for it: %s", got.Evidence[0])
 			}
 			if (len(got.Suffering) > 0) != c.suffers {
@@ -118,32 +118,32 @@
 	return 0
 }
 
-func loseIf(b bool, w *judge.Window, class int, share float64) {
+func loseIf(b bool, w *canary.Window, class int, share float64) {
 	if b {
 		lose(w, class, share)
 	}
 }
 
-func thin(w *judge.Window, isNew bool) {
+func thin(w *canary.Window, isNew bool) {
 	if isNew {
 		for k := range w.Classes {
-			w.Classes[k] = judge.Counts{Served: w.Classes[k].Served / 3, Rejected: w.Classes[k].Rejected / 3}
+			w.Classes[k] = canary.Counts{Served: w.Classes[k].Served / 3, Rejected: w.Classes[k].Rejected / 3}
 		}
 		w.Attempts, w.Finished, w.Timed = w.Attempts/3, w.Finished/3, w.Timed/3
 	}
 }
 
-func quiet(w *judge.Window, slot int) {
-	w.Classes = []judge.Counts{{Served: one(slot%10 == 0)}, {}}
+func quiet(w *canary.Window, slot int) {
+	w.Classes = []canary.Counts{{Served: one(slot%10 == 0)}, {}}
 	w.Attempts, w.Finished, w.Timed = 1, 1, 1
 }
 
 // Through stages, an instance that is changed later counts as an unchanged one until
 // then, and what was known stands once all are changed.
 func TestLaterStages(t *testing.T) {
-	for lost, want := range map[float64]judge.Verdict{0: judge.NotWorse, 0.08: judge.Worse} {
+	for lost, want := range map[float64]canary.Verdict{0: canary.NotWorse, 0.08: canary.Worse} {
 		// Six change at slot 20, the others at slot 40: from there on nobody is beside them.
-		cfg, ws := fleet(30, 6, 60, 2, func(w *judge.Window, _ int, isNew bool, s int) {
+		cfg, ws := fleet(30, 6, 60, 2, func(w *canary.Window, _ int, isNew bool, s int) {
 			if isNew = isNew || s >= 40; isNew {
 				w.Release = "new"
 			}
@@ -151,10 +151,10 @@
 		})
 		got := judged(t, cfg, ws)
 		e := got.Evidence[0]
-		if got.Verdict != want || e.Unchanged != 24 || e.Changed != 6 || want == judge.Worse && (e.Estimate < 0.06 || e.Estimate > 0.1) {
+		if got.Verdict != want || e.Unchanged != 24 || e.Changed != 6 || want == canary.Worse && (e.Estimate < 0.06 || e.Estimate > 0.1) {
 			t.Errorf("harm of %v: %s by %s", lost, got.Verdict, e)
 		}
-		if got.Left[judge.Alone] != 20*30 {
+		if got.Left[canary.Alone] != 20*30 {
 			t.Errorf("left out %v; want %d windows with nobody beside them", got.Left, 20*30)
 		}
 	}
@@ -163,11 +163,11 @@
 // What is known does not depend on the order in which windows come, on looks in
 // between, or on how often one is told.
 func TestOrderAndRepeatsDoNotMatter(t *testing.T) {
-	cfg, ws := fleet(12, 4, 30, 3, func(w *judge.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 0, 0.03) })
+	cfg, ws := fleet(12, 4, 30, 3, func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 0, 0.03) })
 	want := judged(t, cfg, ws)
 	rapid.Check(t, func(t *rapid.T) {
 		mixed := rapid.Permutation(ws).Draw(t, "order")
-		j, err := judge.New(cfg)
+		j, err := canary.New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -195,7 +195,7 @@
 	other, far, strange := ws[0], ws[1], ws[2]
 	other.Release, other.Slot, far.Slot, strange.Instance = "third", 30, 999, 77
 	got := judged(t, cfg, append(ws, other, far, strange))
-	want := map[judge.Reason]int{judge.Other: 1, judge.Beyond: 1, judge.Strange: 1, judge.Young: 20 + 2}
+	want := map[canary.Reason]int{canary.Other: 1, canary.Beyond: 1, canary.Strange: 1, canary.Young: 20 + 2}
 	if !reflect.DeepEqual(got.Left, want) {
 		t.Errorf("left out %v, want %v", got.Left, want)
 	}
@@ -210,7 +210,7 @@
 		sum := 0.0
 		for n := 1; n <= 1000; n++ {
 			sum += rng.NormFloat64()
-			if sum/float64(n) > judge.Radius(1/float64(n), scale, alpha) {
+			if sum/float64(n) > canary.Radius(1/float64(n), scale, alpha) {
 				above++
 				break
 			}
@@ -220,7 +220,7 @@
 		t.Errorf("%d of %d runs cross a bound of %v", above, runs, alpha)
 	}
 	for _, r := range []float64{0.01, 0.1, 1} {
-		if got := judge.Radius(1/judge.InformationFor(r, scale, alpha), scale, alpha); math.Abs(got-r) > 1e-6*r {
+		if got := canary.Radius(1/canary.InformationFor(r, scale, alpha), scale, alpha); math.Abs(got-r) > 1e-6*r {
 			t.Errorf("radius %v at the information for %v", got, r)
 		}
 	}
@@ -228,12 +228,12 @@
 
 // Small trials: a good change passes, a bad one is stopped while few run it.
 func TestTrial(t *testing.T) {
-	harms := trial.Harms()
+	harms := simulation.Harms()
 	for seed := range uint64(12) {
-		if at := trial.Run(60, harms[0], seed)[trial.Sequential]; at >= 0 {
+		if at := simulation.Run(60, harms[0], seed)[simulation.Sequential]; at >= 0 {
 			t.Errorf("seed %d: no harm, and stopped after %d slots", seed, at)
 		}
-		if at := trial.Run(60, harms[3], seed)[trial.Sequential]; at < 0 {
+		if at := simulation.Run(60, harms[3], seed)[simulation.Sequential]; at < 0 {
 			t.Errorf("seed %d: %s, and not stopped", seed, harms[3].Name)
 		}
 	}
@@ -253,21 +253,21 @@
 	}
 	for name, c := range map[string]struct {
 		told []told
-		left map[judge.Reason]int
+		left map[canary.Reason]int
 	}{
 		"in order":          {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, time.Second, "a", 9, 0, 0, 4}, {102, -time.Second, "a", 9, 0, 1, 0}}, nil},
 		"told twice":        {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 0, "a", 9, 0, 0, 4}, {101, 0, "a", 9, 0, -1, 0}}, nil},
-		"a gap":             {[]told{{100, 0, "a", 5, 0, -1, 0}, {103, 0, "a", 9, 0, -1, 0}, {104, 0, "a", 10, 0, 3, 1}}, map[judge.Reason]int{judge.Missing: 3}},
-		"a new process":     {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "b", 60, 0, -1, 0}, {102, 0, "b", 61, 0, 1, 1}}, map[judge.Reason]int{judge.Restarted: 1}},
-		"a crash counts":    {[]told{{100, 0, "a", 50, 0, -1, 0}, {103, 0, "b", 0, 1, 2, 0}}, map[judge.Reason]int{judge.Restarted: 3}},
-		"a count that fell": {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "a", 49, 0, -1, 0}}, map[judge.Reason]int{judge.Fell: 1}},
-		"off the boundary":  {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 4 * time.Second, "a", 6, 0, -1, 0}, {102, 0, "a", 9, 0, -1, 0}}, map[judge.Reason]int{judge.OffBoundary: 1, judge.Missing: 2}},
+		"a gap":             {[]told{{100, 0, "a", 5, 0, -1, 0}, {103, 0, "a", 9, 0, -1, 0}, {104, 0, "a", 10, 0, 3, 1}}, map[canary.Reason]int{canary.Missing: 3}},
+		"a new process":     {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "b", 60, 0, -1, 0}, {102, 0, "b", 61, 0, 1, 1}}, map[canary.Reason]int{canary.Restarted: 1}},
+		"a crash counts":    {[]told{{100, 0, "a", 50, 0, -1, 0}, {103, 0, "b", 0, 1, 2, 0}}, map[canary.Reason]int{canary.Restarted: 3}},
+		"a count that fell": {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "a", 49, 0, -1, 0}}, map[canary.Reason]int{canary.Fell: 1}},
+		"off the boundary":  {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 4 * time.Second, "a", 6, 0, -1, 0}, {102, 0, "a", 9, 0, -1, 0}}, map[canary.Reason]int{canary.OffBoundary: 1, canary.Missing: 2}},
 		"before slot 0":     {[]told{{98, 0, "a", 5, 0, -1, 0}, {99, 0, "a", 6, 0, -1, 0}, {100, 0, "a", 9, 0, -1, 0}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := judge.Differ{Slot: slot, Off: 2 * time.Second}
+			d := canary.Differ{Slot: slot, Off: 2 * time.Second}
 			for _, x := range c.told {
-				w, ok := d.Next(judge.Sample{At: at(x.n, x.off), Process: x.process, Window: judge.Window{Crashes: x.crashes, Classes: []judge.Counts{{Served: x.served}}}}, 100)
+				w, ok := d.Next(canary.Sample{At: at(x.n, x.off), Process: x.process, Window: canary.Window{Crashes: x.crashes, Classes: []canary.Counts{{Served: x.served}}}}, 100)
 				if ok != (x.wantSlot >= 0) || ok && (w.Slot != x.wantSlot || w.Classes[0].Served != x.wantServe) {
 					t.Errorf("boundary %d: %v %+v; want slot %d, %d served", x.n, ok, w, x.wantSlot, x.wantServe)
 				}
@@ -280,24 +280,24 @@
 }
 
 func TestCoarse(t *testing.T) {
-	ws := func(served, failed uint32, memory uint64) (out []judge.Window) {
+	ws := func(served, failed uint32, memory uint64) (out []canary.Window) {
 		for range 3 {
-			out = append(out, judge.Window{Classes: []judge.Counts{{Served: served, Failed: failed}}, Memory: memory})
+			out = append(out, canary.Window{Classes: []canary.Counts{{Served: served, Failed: failed}}, Memory: memory})
 		}
 		return out
 	}
-	for want, o := range map[string]judge.LocalHealth{
+	for want, o := range map[string]canary.LocalHealth{
 		"":                      {Windows: ws(1, 100, 90), Limit: 100},
 		"it crashes":            {Crashing: true},
 		"its health call fails": {Unready: true},
 		"it serves nothing":     {Windows: ws(0, 3, 0)},
 		"its memory is used up": {Windows: ws(1, 0, 99), Limit: 100},
 	} {
-		if got := judge.Coarse(o); got != want {
+		if got := canary.Coarse(o); got != want {
 			t.Errorf("%+v: %q, want %q", o, got, want)
 		}
 	}
-	if got := judge.Coarse(judge.LocalHealth{Windows: ws(0, 3, 0)[:2]}); got != "" {
+	if got := canary.Coarse(canary.LocalHealth{Windows: ws(0, 3, 0)[:2]}); got != "" {
 		t.Errorf("two slots: %q", got)
 	}
 }
--- a/internal/fleet/judge/trial/compat_test.go
+++ b/internal/fleet/canary/simulation/compat_test.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"encoding/json"
--- a/internal/fleet/judge/trial/trial.go
+++ b/internal/fleet/canary/simulation/trial.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"math"
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"martendrum/internal/fleet/judge"
+	"martendrum/internal/fleet/canary"
 )
 
 // Method is a way to judge. Look is asked after each slot of the present.
@@ -41,7 +41,7 @@
 // Run plays one fleet.
 func Run(size int, harm Harm, seed uint64) map[Method]int {
 	w := newWorld(size, harm, seed)
-	j, err := judge.New(config(size))
+	j, err := canary.New(config(size))
 	if err != nil {
 		panic(err) // the constants above are wrong
 	}
@@ -64,7 +64,7 @@
 			}
 			shares[arm] = append(shares[arm], row)
 		}
-		if out[Sequential] < 0 && j.Evaluate(slot+1).Verdict == judge.Worse {
+		if out[Sequential] < 0 && j.Evaluate(slot+1).Verdict == canary.Worse {
 			out[Sequential] = since
 		}
 		for c := range classes {
@@ -80,7 +80,7 @@
 }
 
 // sum adds a slot's windows up by arm and class: unserved, all.
-func sum(ws []judge.Window) (n [2][3][2]float64) {
+func sum(ws []canary.Window) (n [2][3][2]float64) {
 	for _, w := range ws {
 		arm := 0
 		if w.Release == "new" {
--- a/internal/fleet/judge/trial/world.go
+++ b/internal/fleet/canary/simulation/world.go
@@ -1,4 +1,4 @@
-// Package trial plays the judge on synthetic fleets, beside two plainer ways to
+// Package simulation plays the judge on synthetic fleets, beside two plainer ways to
 // judge, and reports how often each stops a change that does no harm and how soon
 // each stops one that does. It is a checking tool: no part of a sidecar, an agent
 // or a change uses it. Runs are told apart by their seeds and repeat exactly.
@@ -6,7 +6,7 @@
 // A fleet's instances differ by more than an order of magnitude in traffic and are
 // usually worse or better than each other; rates move with the day, with the zone,
 // by bursts, and by themselves at each instance.
-package trial
+package simulation
 
 import (
 	"math"
@@ -15,7 +15,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"martendrum/internal/fleet/judge"
+	"martendrum/internal/fleet/canary"
 )
 
 // Harm is what a changed instance does worse.
@@ -132,12 +132,12 @@
 }
 
 // step plays one slot and returns the windows of it.
-func (w *world) step(slot int) []judge.Window {
+func (w *world) step(slot int) []canary.Window {
 	w.fleet = swingBack*w.fleet + swing*w.rng.NormFloat64()
 	for z := range w.zone {
 		w.zone[z] = swingBack*w.zone[z] + swing*w.rng.NormFloat64()
 	}
-	out := make([]judge.Window, 0, len(w.inst))
+	out := make([]canary.Window, 0, len(w.inst))
 	for i := range w.inst {
 		x := &w.inst[i]
 		x.at *= w.spread(walk)
@@ -153,7 +153,7 @@
 		if slot >= w.bad && slot < w.bad+badMinute && (w.badIn < 0 || w.badIn == x.zone) {
 			lost *= badFactor
 		}
-		win := judge.Window{Instance: i, Slot: slot, Release: release, Classes: make([]judge.Counts, len(classes))}
+		win := canary.Window{Instance: i, Slot: slot, Release: release, Classes: make([]canary.Counts, len(classes))}
 		all := uint32(0)
 		for c := range classes {
 			n := w.poisson(x.rate * classShare[c] * slotLength.Seconds())
@@ -163,7 +163,7 @@
 			}
 			bad := w.binomial(n, p)
 			failed := w.binomial(bad, failedOf)
-			win.Classes[c] = judge.Counts{Served: n - bad, Rejected: bad - failed, Failed: failed}
+			win.Classes[c] = canary.Counts{Served: n - bad, Rejected: bad - failed, Failed: failed}
 			all += n
 		}
 		win.Attempts = all + w.poisson(float64(all)*((x.tries-1)*w.spread(burst)+harm.Tries))
@@ -186,8 +186,8 @@
 	return out
 }
 
-func config(size int) judge.Config {
-	c := judge.Config{Classes: classes, Weights: worth, Base: "old", Change: "new", Start: pastSlots, Slot: slotLength,
+func config(size int) canary.Config {
+	c := canary.Config{Classes: classes, Weights: worth, Base: "old", Change: "new", Start: pastSlots, Slot: slotLength,
 		Warm: slotLength, Settle: 4 * time.Minute, FalseStops: 0.01, MaxSlots: slotsPlayed, Zones: make([]string, size)}
 	for i := range c.Zones {
 		c.Zones[i] = "zone-" + string(rune('a'+i%zones))
--- a/internal/fleet/client/client.go
+++ b/internal/fleet/control/client/client.go
@@ -13,7 +13,7 @@
 
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/connect"
-	"martendrum/internal/fleet/inventory"
+	"martendrum/internal/fleet/control/inventory"
 	"martendrum/internal/fleet/pki"
 	"martendrum/internal/msgpackrpc"
 )
--- a/internal/fleet/client/operation.go
+++ b/internal/fleet/control/client/operation.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/inventory"
+	"martendrum/internal/fleet/control/inventory"
 )
 
 // Start begins an operation: it takes the leases at every host, all or none, and
--- a/internal/fleet/client/report.go
+++ b/internal/fleet/control/client/report.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/judge"
-	"martendrum/internal/fleet/rollout"
+	"martendrum/internal/fleet/canary"
+	"martendrum/internal/fleet/control/rollout"
 )
 
 // InstanceResult is one instance in a report.
@@ -33,8 +33,8 @@
 	Rows        []InstanceResult `json:"rows"`
 	Notes       []string         `json:"notes,omitempty"`
 	// Of a staged change: where it stands, and what was last known of it.
-	Stages    *api.Note        `json:"stages,omitempty"`
-	Judgement *judge.Judgement `json:"judgement,omitempty"`
+	Stages    *api.Note         `json:"stages,omitempty"`
+	Judgement *canary.Judgement `json:"judgement,omitempty"`
 }
 
 // OK says that all went as asked, and is known to have.
--- a/internal/fleet/client/run.go
+++ b/internal/fleet/control/client/run.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/rollout"
+	"martendrum/internal/fleet/control/rollout"
 )
 
 // Options of a run.
--- a/internal/fleet/client/staged.go
+++ b/internal/fleet/control/client/staged.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/judge"
+	"martendrum/internal/fleet/canary"
 	"martendrum/internal/fleet/stage"
 )
 
@@ -19,7 +19,7 @@
 	*evidence
 	r     *runner
 	m     *stage.Machine
-	last  judge.Judgement
+	last  canary.Judgement
 	hosts map[string]*source
 	note  api.Note
 	dirty bool   // the note is to be written before anything is done on it
@@ -37,22 +37,22 @@
 // evidence makes windows of what hosts' agents tell, for a judge.
 type evidence struct {
 	spec  *api.Staged
-	j     *judge.Judge
+	j     *canary.Judge
 	place map[api.Target]int
-	diffs []judge.Differ // by place
+	diffs []canary.Differ // by place
 }
 
 // newEvidence returns none so far, of an operation whose first stage began at slot start.
 func newEvidence(op *api.Operation, start int) (*evidence, error) {
 	cfg := op.Staged.Judge
 	cfg.Start = start
-	j, err := judge.New(cfg)
+	j, err := canary.New(cfg)
 	if err != nil {
 		return nil, err
 	}
-	e := &evidence{spec: op.Staged, j: j, place: make(map[api.Target]int), diffs: make([]judge.Differ, len(op.Targets))}
+	e := &evidence{spec: op.Staged, j: j, place: make(map[api.Target]int), diffs: make([]canary.Differ, len(op.Targets))}
 	for i, t := range op.Targets {
-		e.place[t], e.diffs[i] = i, judge.Differ{Slot: cfg.Slot, Off: cfg.Slot / 4}
+		e.place[t], e.diffs[i] = i, canary.Differ{Slot: cfg.Slot, Off: cfg.Slot / 4}
 	}
 	return e, nil
 }
@@ -189,7 +189,7 @@
 	}
 	for _, x := range g.out.Samples {
 		if _, ok := s.place[api.Target{Host: g.host, Instance: x.Instance}]; ok && late && x.Boundary > h.after {
-			s.j.Leave(judge.Clock, 1)
+			s.j.Leave(canary.Clock, 1)
 		}
 	}
 	h.after = max(h.after, g.out.Last)
@@ -291,7 +291,7 @@
 	}
 	v := api.Verdict{Slot: slot, Stage: now.Stage, Verdict: string(s.last.Verdict), Text: text}
 	for n, e := range s.last.Evidence {
-		if n == 4 || e.Verdict == judge.NotWorse || kind != "worse" && kind != "hold" {
+		if n == 4 || e.Verdict == canary.NotWorse || kind != "worse" && kind != "hold" {
 			break
 		}
 		v.Evidence = append(v.Evidence, e.String())
@@ -358,7 +358,7 @@
 // Replay judges a staged change again from the figures that its agents still keep, a
 // slot after the other, up to where its note stands. Hosts that don't answer are left
 // out, and named.
-func (f *Fleet) Replay(ctx context.Context, rep *Report) (series []judge.Judgement, missing []string, err error) {
+func (f *Fleet) Replay(ctx context.Context, rep *Report) (series []canary.Judgement, missing []string, err error) {
 	spec, note := rep.Operation.Staged, rep.Stages
 	if spec == nil || note == nil || note.State.Stage == 0 {
 		return nil, nil, fmt.Errorf("operation %s has no stage that was judged", rep.Operation.ID)
--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/control/inventory/inventory.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/units"
+	"martendrum/internal/quantity"
 )
 
 // Inventory is the file; see deploy/fleet.toml.
@@ -21,8 +21,8 @@
 		Cert string `toml:"cert"`
 		Key  string `toml:"key"`
 	} `toml:"tls"`
-	Timeout units.Duration `toml:"timeout"` // of one call to an agent
-	Hosts   []Host         `toml:"host"`
+	Timeout quantity.Duration `toml:"timeout"` // of one call to an agent
+	Hosts   []Host            `toml:"host"`
 }
 
 // Host is a host and where its agent listens: unix:PATH, tls:HOST:PORT, or
@@ -35,11 +35,11 @@
 
 // Load reads and checks a file. Relative paths are relative to its folder.
 func Load(file string) (*Inventory, error) {
-	v := &Inventory{Timeout: units.Duration(5 * time.Second)}
-	if err := units.Load(file, v); err != nil {
+	v := &Inventory{Timeout: quantity.Duration(5 * time.Second)}
+	if err := quantity.Load(file, v); err != nil {
 		return nil, err
 	}
-	if err := units.ResolvePaths(file, &v.TLS.CA, &v.TLS.Cert, &v.TLS.Key); err != nil {
+	if err := quantity.ResolvePaths(file, &v.TLS.CA, &v.TLS.Cert, &v.TLS.Key); err != nil {
 		return nil, err
 	}
 	if v.Timeout <= 0 {
@@ -61,7 +61,7 @@
 			if rest == "" {
 				return nil, fmt.Errorf("%s: host %s: address %q names no path", file, h.Name, h.Address)
 			}
-			if err := units.ResolvePaths(file, &rest); err != nil {
+			if err := quantity.ResolvePaths(file, &rest); err != nil {
 				return nil, err
 			}
 			h.Address = "unix:" + rest
--- a/internal/fleet/e2e/agent_capacity_test.go
+++ b/internal/fleet/e2e/agent_capacity_test.go
@@ -11,7 +11,7 @@
 
 	"martendrum/internal/capacity/measure"
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
+	"martendrum/internal/fleet/control/client"
 )
 
 var (
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -14,15 +14,15 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"martendrum/internal/fleet/agent"
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
-	"martendrum/internal/fleet/inventory"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/inventory"
+	"martendrum/internal/fleet/host/agent"
 	"martendrum/internal/fleet/pki"
 	"martendrum/internal/fleet/store"
 	"martendrum/internal/fleet/store/sqlite"
-	"martendrum/internal/fleet/units"
 	"martendrum/internal/msgpackrpc"
+	"martendrum/internal/quantity"
 	"martendrum/internal/standin/simhost"
 )
 
@@ -189,7 +189,7 @@
 	}()
 	at := <-addr
 	open := func(ca, who, name string) *client.Agent {
-		inv := &inventory.Inventory{Timeout: units.Duration(5 * time.Second), Hosts: []inventory.Host{{Name: name, Address: "tls:" + at}}}
+		inv := &inventory.Inventory{Timeout: quantity.Duration(5 * time.Second), Hosts: []inventory.Host{{Name: name, Address: "tls:" + at}}}
 		inv.TLS.CA = filepath.Join(dir, "ca", "ca.crt")
 		inv.TLS.Cert, inv.TLS.Key = filepath.Join(dir, ca, who+".crt"), filepath.Join(dir, ca, who+".key")
 		f, err := client.New(inv, who)
--- a/internal/fleet/e2e/command_capacity_test.go
+++ b/internal/fleet/e2e/command_capacity_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"martendrum/internal/capacity/measure"
-	"martendrum/internal/fleet/inventory"
+	"martendrum/internal/fleet/control/inventory"
 	"martendrum/internal/standin/faultnet"
 )
 
--- a/internal/fleet/e2e/fleet_test.go
+++ b/internal/fleet/e2e/fleet_test.go
@@ -17,11 +17,11 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
-	"martendrum/internal/fleet/inventory"
-	"martendrum/internal/fleet/proc"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/inventory"
+	"martendrum/internal/fleet/control/rollout"
+	"martendrum/internal/fleet/host/proc"
 	"martendrum/internal/fleet/release"
-	"martendrum/internal/fleet/rollout"
 	"martendrum/internal/fleet/store"
 	"martendrum/internal/standin/pgserver"
 )
--- a/internal/fleet/e2e/main_test.go
+++ b/internal/fleet/e2e/main_test.go
@@ -22,16 +22,16 @@
 	"testing"
 	"time"
 
-	"martendrum/internal/fleet/agent"
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/inventory"
 	"martendrum/internal/fleet/distribution"
-	"martendrum/internal/fleet/inventory"
-	"martendrum/internal/fleet/proc"
+	"martendrum/internal/fleet/host/agent"
+	"martendrum/internal/fleet/host/agentstore"
+	"martendrum/internal/fleet/host/proc"
 	"martendrum/internal/fleet/store"
-	"martendrum/internal/fleet/store/open"
 	"martendrum/internal/fleet/store/sqlite"
-	"martendrum/internal/fleet/units"
+	"martendrum/internal/quantity"
 	"martendrum/internal/standin/shop"
 	"martendrum/internal/standin/simhost"
 )
@@ -109,7 +109,7 @@
 		return err
 	}
 	a, err := agent.New(cfg, agent.Processes{}, func(p string) (store.Store, error) {
-		s, err := open.Record(cfg)(p)
+		s, err := agentstore.Record(cfg)(p)
 		return &mortal{Store: s, death: death}, err
 	})
 	if err != nil {
@@ -449,7 +449,7 @@
 	if err := os.WriteFile(binary, []byte("#!/bin/false\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	inv := &inventory.Inventory{Timeout: units.Duration(10 * time.Second)}
+	inv := &inventory.Inventory{Timeout: quantity.Duration(10 * time.Second)}
 	for h := range hosts {
 		name := fmt.Sprintf("sim-%d", h)
 		var text strings.Builder
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -20,10 +20,10 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
-	"martendrum/internal/fleet/inventory"
-	"martendrum/internal/fleet/proc"
-	"martendrum/internal/fleet/rollout"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/inventory"
+	"martendrum/internal/fleet/control/rollout"
+	"martendrum/internal/fleet/host/proc"
 	"martendrum/internal/standin/faultnet"
 	"martendrum/internal/standin/shop"
 )
--- a/internal/fleet/e2e/scale_test.go
+++ b/internal/fleet/e2e/scale_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/inventory"
-	"martendrum/internal/fleet/rollout"
+	"martendrum/internal/fleet/control/inventory"
+	"martendrum/internal/fleet/control/rollout"
 )
 
 // Times of the pretended sidecars and the gates of BenchmarkRollingRestart200.
--- a/internal/fleet/e2e/settings_tls_test.go
+++ b/internal/fleet/e2e/settings_tls_test.go
@@ -9,15 +9,15 @@
 	"testing"
 	"time"
 
-	"martendrum/internal/fleet/agent"
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/inventory"
 	"martendrum/internal/fleet/distribution"
-	"martendrum/internal/fleet/inventory"
+	"martendrum/internal/fleet/host/agent"
 	"martendrum/internal/fleet/pki"
 	"martendrum/internal/fleet/store"
 	"martendrum/internal/fleet/store/sqlite"
-	"martendrum/internal/fleet/units"
+	"martendrum/internal/quantity"
 	"martendrum/internal/standin/simhost"
 )
 
@@ -100,7 +100,7 @@
 // as is the relay as the holder of a certificate sees it.
 func (w *tlsWorld) as(certificate string) *client.Agent {
 	w.t.Helper()
-	inv := &inventory.Inventory{Timeout: units.Duration(5 * time.Second), Hosts: []inventory.Host{{Name: "relay", Address: w.address}}}
+	inv := &inventory.Inventory{Timeout: quantity.Duration(5 * time.Second), Hosts: []inventory.Host{{Name: "relay", Address: w.address}}}
 	inv.TLS.CA = filepath.Join(w.dir, "ca", "ca.crt")
 	inv.TLS.Cert = filepath.Join(w.dir, "ca", certificate+".crt")
 	inv.TLS.Key = filepath.Join(w.dir, "ca", certificate+".key")
--- a/internal/fleet/e2e/settings_world_test.go
+++ b/internal/fleet/e2e/settings_world_test.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
+	"martendrum/internal/fleet/control/client"
 	"martendrum/internal/fleet/distribution"
 	"martendrum/internal/standin/faultnet"
 )
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"martendrum/internal/fleet/agent"
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/distribution"
-	"martendrum/internal/fleet/store/open"
+	"martendrum/internal/fleet/host/agent"
+	"martendrum/internal/fleet/host/agentstore"
 	"martendrum/internal/standin/faultnet"
 )
 
@@ -342,7 +342,7 @@
 	if err != nil {
 		r.w.t.Fatal(err)
 	}
-	record, err := open.Record(config)(filepath.Join(config.StateDir, "record.db"))
+	record, err := agentstore.Record(config)(filepath.Join(config.StateDir, "record.db"))
 	if err != nil {
 		r.w.t.Fatal(err)
 	}
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/client"
-	"martendrum/internal/fleet/rollout"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/rollout"
 	"martendrum/internal/standin/faultnet"
 	"martendrum/internal/standin/shop"
 )
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/host/agent/agent.go
@@ -27,10 +27,10 @@
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/distribution"
 	"martendrum/internal/fleet/distribution/node"
+	"martendrum/internal/fleet/host/proc"
+	"martendrum/internal/fleet/host/scrape"
 	"martendrum/internal/fleet/lease"
-	"martendrum/internal/fleet/proc"
 	"martendrum/internal/fleet/release"
-	"martendrum/internal/fleet/scrape"
 	"martendrum/internal/fleet/store"
 )
 
--- a/internal/fleet/agent/config.go
+++ b/internal/fleet/host/agent/config.go
@@ -12,8 +12,8 @@
 
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/distribution"
-	"martendrum/internal/fleet/life"
-	"martendrum/internal/fleet/units"
+	"martendrum/internal/fleet/host/supervisor"
+	"martendrum/internal/quantity"
 )
 
 // Config is an agent's file; see deploy/agent.toml. Relative paths in it are
@@ -33,12 +33,12 @@
 		Key  string `toml:"key"`
 	} `toml:"tls"`
 	Record struct {
-		Store        string         `toml:"store"`
-		URL          string         `toml:"url"`
-		PasswordFile string         `toml:"password_file"`
-		CA           string         `toml:"ca"`
-		Statement    units.Duration `toml:"statement"`
-		Connect      units.Duration `toml:"connect"`
+		Store        string            `toml:"store"`
+		URL          string            `toml:"url"`
+		PasswordFile string            `toml:"password_file"`
+		CA           string            `toml:"ca"`
+		Statement    quantity.Duration `toml:"statement"`
+		Connect      quantity.Duration `toml:"connect"`
 	} `toml:"record"`
 	Sidecar struct {
 		Binary  string `toml:"binary"`
@@ -50,34 +50,34 @@
 	} `toml:"sidecar"`
 	// Recovery is how instances come back after the host lost its power.
 	Recovery struct {
-		MinWave     units.Duration `toml:"wave_least"`
-		WaveLongest units.Duration `toml:"wave_longest"`
-		MaxWave     int            `toml:"wave_most"` // instances in a wave; 0: no bound
-		Shop        string         `toml:"shop"`      // names of labels
-		Zone        string         `toml:"zone"`
+		MinWave     quantity.Duration `toml:"wave_least"`
+		WaveLongest quantity.Duration `toml:"wave_longest"`
+		MaxWave     int               `toml:"wave_most"` // instances in a wave; 0: no bound
+		Shop        string            `toml:"shop"`      // names of labels
+		Zone        string            `toml:"zone"`
 		// Checkpoint has each sidecar keep what it learns in a file in state_dir.
 		Checkpoint bool `toml:"checkpoint"`
 	} `toml:"recovery"`
 	// Figures are taken of each instance that has a door, at the multiples of Slot.
 	Figures struct {
-		Slot units.Duration `toml:"slot"` // 0: never
-		Keep units.Duration `toml:"keep"`
+		Slot quantity.Duration `toml:"slot"` // 0: never
+		Keep quantity.Duration `toml:"keep"`
 	} `toml:"figures"`
 	Distribution Distribution `toml:"distribution"`
 	// Relay, where set, makes the agent one of the machines that serve settings.
 	Relay  *RelayConfig `toml:"relay"`
 	Limits struct {
-		KillAfter      units.Duration `toml:"kill_after"`
-		HealthInterval units.Duration `toml:"health_each"`
-		BackoffMin     units.Duration `toml:"backoff_min"`
-		BackoffMax     units.Duration `toml:"backoff_max"`
-		MaxCrash       int            `toml:"crash_most"`
-		CrashWithin    units.Duration `toml:"crash_within"`
-		Log            units.Bytes    `toml:"log"`
-		Record         units.Bytes    `toml:"record"`
-		Operations     int            `toml:"operations"`
-		Audit          int            `toml:"audit"`
-		Releases       int            `toml:"releases"`
+		KillAfter      quantity.Duration `toml:"kill_after"`
+		HealthInterval quantity.Duration `toml:"health_each"`
+		BackoffMin     quantity.Duration `toml:"backoff_min"`
+		BackoffMax     quantity.Duration `toml:"backoff_max"`
+		MaxCrash       int               `toml:"crash_most"`
+		CrashWithin    quantity.Duration `toml:"crash_within"`
+		Log            quantity.Bytes    `toml:"log"`
+		Record         quantity.Bytes    `toml:"record"`
+		Operations     int               `toml:"operations"`
+		Audit          int               `toml:"audit"`
+		Releases       int               `toml:"releases"`
 	} `toml:"limits"`
 	Instances []InstanceConfig `toml:"instance"`
 }
@@ -89,7 +89,7 @@
 	Subscribe bool                 `toml:"subscribe"`
 	Region    string               `toml:"region"` // of this host, as the relays' entries name them
 	Zone      string               `toml:"zone"`
-	Coalesce  units.Duration       `toml:"coalesce"` // changes within it are applied together
+	Coalesce  quantity.Duration    `toml:"coalesce"` // changes within it are applied together
 	Writer    string               `toml:"writer"`   // the relay that writes until an operator promotes another
 	Relays    []distribution.Relay `toml:"relay"`
 }
@@ -135,25 +135,25 @@
 func LoadConfig(path string) (*Config, error) {
 	c := &Config{}
 	l := &c.Limits
-	l.KillAfter, l.HealthInterval = units.Duration(5*time.Second), units.Duration(time.Second)
-	l.BackoffMin, l.BackoffMax = units.Duration(500*time.Millisecond), units.Duration(30*time.Second)
-	l.MaxCrash, l.CrashWithin = 5, units.Duration(time.Minute)
+	l.KillAfter, l.HealthInterval = quantity.Duration(5*time.Second), quantity.Duration(time.Second)
+	l.BackoffMin, l.BackoffMax = quantity.Duration(500*time.Millisecond), quantity.Duration(30*time.Second)
+	l.MaxCrash, l.CrashWithin = 5, quantity.Duration(time.Minute)
 	l.Log, l.Record = 8<<20, 64<<20
 	l.Operations, l.Audit, l.Releases = 100, 10000, 3
-	c.Figures.Slot, c.Figures.Keep = units.Duration(10*time.Second), units.Duration(time.Hour)
+	c.Figures.Slot, c.Figures.Keep = quantity.Duration(10*time.Second), quantity.Duration(time.Hour)
 	c.Listen.PlainRole, c.Sidecar.HandOver = api.View, true
-	c.Record.Store, c.Record.Statement, c.Record.Connect = SQLite, units.Duration(2*time.Second), units.Duration(2*time.Second)
-	c.Recovery.MinWave, c.Recovery.WaveLongest = units.Duration(300*time.Millisecond), units.Duration(10*time.Second)
+	c.Record.Store, c.Record.Statement, c.Record.Connect = SQLite, quantity.Duration(2*time.Second), quantity.Duration(2*time.Second)
+	c.Recovery.MinWave, c.Recovery.WaveLongest = quantity.Duration(300*time.Millisecond), quantity.Duration(10*time.Second)
 	c.Recovery.Shop, c.Recovery.Zone = "shop", "zone"
-	c.Distribution.Coalesce = units.Duration(time.Second)
-	if err := units.Load(path, c); err != nil {
+	c.Distribution.Coalesce = quantity.Duration(time.Second)
+	if err := quantity.Load(path, c); err != nil {
 		return nil, err
 	}
 	paths := []*string{&c.StateDir, &c.Listen.Unix, &c.TLS.CA, &c.TLS.Cert, &c.TLS.Key, &c.Sidecar.Binary, &c.Sidecar.Overlay, &c.Record.PasswordFile, &c.Record.CA}
 	for n := range c.Instances {
 		paths = append(paths, &c.Instances[n].Config, &c.Instances[n].Record)
 	}
-	if err := units.ResolvePaths(path, paths...); err != nil {
+	if err := quantity.ResolvePaths(path, paths...); err != nil {
 		return nil, err
 	}
 	if c.Relay != nil {
@@ -190,7 +190,7 @@
 		names[relay.Name] = true
 	}
 	switch {
-	case d.Coalesce < 0 || d.Coalesce > units.Duration(10*time.Second):
+	case d.Coalesce < 0 || d.Coalesce > quantity.Duration(10*time.Second):
 		return fmt.Errorf("distribution.coalesce: %v; want 0s to 10s", time.Duration(d.Coalesce))
 	case d.Subscribe && len(d.Relays) == 0:
 		return fmt.Errorf("distribution.subscribe: no [[distribution.relay]] is there to ask")
@@ -231,9 +231,9 @@
 		return fmt.Errorf("tls: ca, cert and key are needed for listen.tls; `martendrum ca` makes them")
 	case c.Listen.PlainRole != api.View && c.Listen.PlainRole != api.Operate:
 		return fmt.Errorf("listen.plain_role: %q; want %q or %q", c.Listen.PlainRole, api.View, api.Operate)
-	case time.Duration(l.KillAfter) < life.MinKillDelay:
-		return fmt.Errorf("limits.kill_after: %v; a sidecar may need %v from SIGTERM to its last answer", time.Duration(l.KillAfter), life.MinKillDelay)
-	case l.HealthInterval < units.Duration(50*time.Millisecond):
+	case time.Duration(l.KillAfter) < supervisor.MinKillDelay:
+		return fmt.Errorf("limits.kill_after: %v; a sidecar may need %v from SIGTERM to its last answer", time.Duration(l.KillAfter), supervisor.MinKillDelay)
+	case l.HealthInterval < quantity.Duration(50*time.Millisecond):
 		return fmt.Errorf("limits.health_each: %v; 50ms at least", time.Duration(l.HealthInterval))
 	case l.BackoffMin <= 0 || l.BackoffMax < l.BackoffMin:
 		return fmt.Errorf("limits.backoff_min and backoff_max: %v and %v; want 0 < min <= max", time.Duration(l.BackoffMin), time.Duration(l.BackoffMax))
@@ -243,11 +243,11 @@
 		return fmt.Errorf("limits.log: 64KiB at least")
 	case l.Operations < 1 || l.Audit < 1 || l.Releases < 0:
 		return fmt.Errorf("limits.operations and audit must be 1 at least, releases 0")
-	case c.Figures.Slot < 0 || c.Figures.Slot > 0 && c.Figures.Slot < units.Duration(200*time.Millisecond):
+	case c.Figures.Slot < 0 || c.Figures.Slot > 0 && c.Figures.Slot < quantity.Duration(200*time.Millisecond):
 		return fmt.Errorf("figures.slot: %v; 200ms at least, or 0s for none", time.Duration(c.Figures.Slot))
 	case c.Figures.Slot > 0 && (c.Figures.Keep < c.Figures.Slot || c.Figures.Keep/c.Figures.Slot > maxKeep):
 		return fmt.Errorf("figures.keep: %v; want 1 to %d slots of %v", time.Duration(c.Figures.Keep), maxKeep, time.Duration(c.Figures.Slot))
-	case c.Recovery.MinWave < 0 || c.Recovery.WaveLongest < c.Recovery.MinWave || c.Recovery.WaveLongest > units.Duration(time.Hour):
+	case c.Recovery.MinWave < 0 || c.Recovery.WaveLongest < c.Recovery.MinWave || c.Recovery.WaveLongest > quantity.Duration(time.Hour):
 		return fmt.Errorf("recovery.wave_least and wave_longest: %v and %v; want 0 <= least <= longest <= 1h", time.Duration(c.Recovery.MinWave), time.Duration(c.Recovery.WaveLongest))
 	case c.Recovery.Checkpoint && !strings.Contains(c.Sidecar.Fleet, "return"):
 		return fmt.Errorf("recovery.checkpoint: only a sidecar that comes back by rules reads one: add \"return\" to sidecar.fleet, or leave it out")
--- a/internal/fleet/agent/figures.go
+++ b/internal/fleet/host/agent/figures.go
@@ -18,8 +18,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/judge"
-	"martendrum/internal/fleet/life"
+	"martendrum/internal/fleet/canary"
+	"martendrum/internal/fleet/host/supervisor"
 	"martendrum/internal/fleet/store"
 )
 
@@ -70,8 +70,8 @@
 }
 
 // windows are those of the process that runs now.
-func (r *ring) windows(slot time.Duration) (out []judge.Window) {
-	d := judge.Differ{Slot: slot, Off: slot / 4}
+func (r *ring) windows(slot time.Duration) (out []canary.Window) {
+	d := canary.Differ{Slot: slot, Off: slot / 4}
 	for _, s := range r.samples[max(0, len(r.samples)-rateSlots-1):] {
 		names := make([]string, 0, len(s.Classes))
 		for name := range s.Classes {
@@ -328,15 +328,15 @@
 		return
 	}
 	phase := i.life.Phase()
-	own := judge.LocalHealth{
-		Crashing: phase == life.Crashloop || phase == life.Backoff,
-		Unready:  phase == life.Unready && now.Sub(i.life.Since()) > coarseUnready,
+	own := canary.LocalHealth{
+		Crashing: phase == supervisor.Crashloop || phase == supervisor.Backoff,
+		Unready:  phase == supervisor.Unready && now.Sub(i.life.Since()) > coarseUnready,
 		Limit:    uint64(i.cfg.memory) << 20,
 	}
 	if i.row.Running == change.To {
 		own.Windows = i.ring.windows(time.Duration(a.cfg.Figures.Slot))
 	}
-	why := judge.Coarse(own)
+	why := canary.Coarse(own)
 	if why == "" {
 		return
 	}
--- a/internal/fleet/agent/figures_test.go
+++ b/internal/fleet/host/agent/figures_test.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/judge"
+	"martendrum/internal/fleet/canary"
 )
 
 func sample(instance string, boundary int64) api.Sample {
 	return api.Sample{Instance: instance, Boundary: boundary, At: time.Unix(10*boundary, 0), Process: "p", Release: "r",
-		Classes: map[string]judge.Counts{"activate": {Served: uint32(boundary)}}, Attempts: uint32(boundary)}
+		Classes: map[string]canary.Counts{"activate": {Served: uint32(boundary)}}, Attempts: uint32(boundary)}
 }
 
 // Samples come back after a restart, in order, up to a torn tail; the files stay
--- a/internal/fleet/agent/instance.go
+++ b/internal/fleet/host/agent/instance.go
@@ -16,8 +16,8 @@
 
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/distribution"
-	"martendrum/internal/fleet/life"
-	"martendrum/internal/fleet/proc"
+	"martendrum/internal/fleet/host/proc"
+	"martendrum/internal/fleet/host/supervisor"
 	"martendrum/internal/fleet/release"
 	"martendrum/internal/fleet/store"
 )
@@ -43,7 +43,7 @@
 	wake chan struct{}
 
 	row    store.Instance
-	life   *life.Supervisor
+	life   *supervisor.Supervisor
 	proc   *Process
 	step   *api.Step // under way, nil for none
 	dirty  bool      // the record may lack its row or steps
@@ -111,7 +111,7 @@
 
 		a.mu.Lock()
 		p, next := i.proc, i.life.Next()
-		near := held || i.step != nil || i.attempt != nil || i.life.Phase() == life.Starting
+		near := held || i.step != nil || i.attempt != nil || i.life.Phase() == supervisor.Starting
 		a.mu.Unlock()
 		if p != nil && !time.Now().Before(healthAt) {
 			a.health(i, p)
@@ -168,20 +168,20 @@
 }
 
 // act carries out what life asks for.
-func (a *Agent) act(i *instance, kinds []life.Kind) {
+func (a *Agent) act(i *instance, kinds []supervisor.Kind) {
 	for len(kinds) > 0 {
 		k := kinds[0]
 		kinds = kinds[1:]
 		switch k {
-		case life.Launch:
+		case supervisor.Launch:
 			kinds = append(kinds, a.launch(i)...)
-		case life.Term:
+		case supervisor.Term:
 			a.signal(i, i.proc, syscall.SIGTERM)
-		case life.Kill:
+		case supervisor.Kill:
 			a.signal(i, i.proc, syscall.SIGKILL)
-		case life.TermOld:
+		case supervisor.TermOld:
 			a.signal(i, i.prev, syscall.SIGTERM)
-		case life.KillOld:
+		case supervisor.KillOld:
 			a.signal(i, i.prev, syscall.SIGKILL)
 		}
 	}
@@ -215,7 +215,7 @@
 
 // launch starts a process of the wanted generation: it is written down first, and
 // carries a name by which it is found if what follows can't be.
-func (a *Agent) launch(i *instance) []life.Kind {
+func (a *Agent) launch(i *instance) []supervisor.Kind {
 	a.mu.Lock()
 	row := i.row
 	if row.Generation != i.life.Generation() || row.Desired != api.Running {
@@ -357,7 +357,7 @@
 }
 
 // exited takes a process's end, and returns what to do at once.
-func (a *Agent) exited(i *instance, p *Process) []life.Kind {
+func (a *Agent) exited(i *instance, p *Process) []supervisor.Kind {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if i.proc != p {
@@ -373,7 +373,7 @@
 		a.told(i, nil)
 		return i.ended(kinds)
 	}
-	if i.life.Phase() != life.Draining {
+	if i.life.Phase() != supervisor.Draining {
 		i.gone = i.row.Process
 		slog.Warn("sidecar ended on its own", "instance", i.cfg.Name, "pid", p.PID, "how", how)
 	}
@@ -385,7 +385,7 @@
 }
 
 // oldExited takes the end of a process that was being replaced.
-func (a *Agent) oldExited(i *instance, p *Process) []life.Kind {
+func (a *Agent) oldExited(i *instance, p *Process) []supervisor.Kind {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if i.prev != p {
@@ -400,13 +400,13 @@
 
 // ended is what to do at once after a process's end: all but launches, which are left to
 // the next round. That asks with what is wanted by then.
-func (i *instance) ended(kinds []life.Kind) []life.Kind {
+func (i *instance) ended(kinds []supervisor.Kind) []supervisor.Kind {
 	i.poke()
 	return withoutLaunch(kinds)
 }
 
-func withoutLaunch(kinds []life.Kind) []life.Kind {
-	return slices.DeleteFunc(kinds, func(k life.Kind) bool { return k == life.Launch })
+func withoutLaunch(kinds []supervisor.Kind) []supervisor.Kind {
+	return slices.DeleteFunc(kinds, func(k supervisor.Kind) bool { return k == supervisor.Launch })
 }
 
 // observe sees whether the step under way has come to its end.
@@ -440,8 +440,8 @@
 	}
 	failed, how := l.Failed()
 	switch {
-	case l.Old() != 0 && l.Phase() == life.Ready: // the one before it still ends
-	case l.Old() != 0 && l.Phase() == life.Starting && now.Sub(later(i.row.Launched, a.started)) > s.Ready:
+	case l.Old() != 0 && l.Phase() == supervisor.Ready: // the one before it still ends
+	case l.Old() != 0 && l.Phase() == supervisor.Starting && now.Sub(later(i.row.Launched, a.started)) > s.Ready:
 		if i.late == "" {
 			i.late = fmt.Sprintf("not ready within %v: %s", s.Ready, l.Reason())
 			i.poke()
@@ -451,13 +451,13 @@
 		l.KeepPrevious()
 		i.row.Process, i.row.Release, i.row.Previous = i.row.Generation, s.From, s.Before
 		a.end(i, s, false, "the new process failed and the one before it serves on: "+how)
-	case l.Process() == s.Generation && l.Phase() == life.Ready:
+	case l.Process() == s.Generation && l.Phase() == supervisor.Ready:
 		if now.Sub(l.Since()) >= s.Soak {
 			a.end(i, s, true, "")
 		}
 	case i.gone >= s.Generation && l.Process() == 0:
 		a.end(i, s, false, "it ended by itself: "+i.row.LastExit)
-	case l.Process() == s.Generation && l.Phase() == life.Unready:
+	case l.Process() == s.Generation && l.Phase() == supervisor.Unready:
 		a.end(i, s, false, "it became unready while it was soaked: "+l.Reason())
 	case l.Process() == s.Generation && now.Sub(later(i.row.Launched, a.started)) > s.Ready:
 		a.end(i, s, false, fmt.Sprintf("not ready within %v: %s", s.Ready, l.Reason()))
@@ -525,13 +525,13 @@
 	a.mu.Lock()
 	now := time.Now()
 	p, hup := i.proc, i.hupAt
-	waits := i.life.Phase() == life.Starting && now.Sub(later(i.row.Launched, a.started)) < s.Ready ||
+	waits := i.life.Phase() == supervisor.Starting && now.Sub(later(i.row.Launched, a.started)) < s.Ready ||
 		p != nil && now.Sub(i.row.Launched) < hupAfter
 	switch {
 	case waits && hup.IsZero():
 		a.mu.Unlock()
 		return
-	case p == nil || i.life.Phase() != life.Ready:
+	case p == nil || i.life.Phase() != supervisor.Ready:
 		a.end(i, s, false, fmt.Sprintf("it is %s: %s", i.life.Phase(), i.life.Reason()))
 		a.mu.Unlock()
 		return
--- a/internal/fleet/agent/keep.go
+++ b/internal/fleet/host/agent/keep.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/proc"
+	"martendrum/internal/fleet/host/proc"
 	"martendrum/internal/fleet/store"
 )
 
--- a/internal/fleet/agent/load.go
+++ b/internal/fleet/host/agent/load.go
@@ -13,8 +13,8 @@
 
 	"martendrum/internal/filelock"
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/life"
-	"martendrum/internal/fleet/proc"
+	"martendrum/internal/fleet/host/proc"
+	"martendrum/internal/fleet/host/supervisor"
 	"martendrum/internal/fleet/release"
 	"martendrum/internal/fleet/store"
 )
@@ -101,7 +101,7 @@
 		return !strings.HasPrefix(launch[strings.LastIndexByte(launch, '/')+1:], a.id+".")
 	})
 	boot := a.machine.Boot()
-	limits := life.Config{
+	limits := supervisor.Config{
 		KillAfter:  time.Duration(a.cfg.Limits.KillAfter),
 		BackoffMin: time.Duration(a.cfg.Limits.BackoffMin), BackoffMax: time.Duration(a.cfg.Limits.BackoffMax),
 		MaxCrashes: a.cfg.Limits.MaxCrash, CrashWithin: time.Duration(a.cfg.Limits.CrashWithin),
@@ -118,7 +118,7 @@
 		}
 		delete(rows, c.Name)
 		ran, booted := row.Launch != "" && row.PID != 0 && row.Desired == api.Running, row.Boot == boot
-		i := &instance{cfg: c, row: row, life: life.New(limits, now), program: row.Running, wake: make(chan struct{}, 1), ring: ring{limit: a.keepSlots()}}
+		i := &instance{cfg: c, row: row, life: supervisor.New(limits, now), program: row.Running, wake: make(chan struct{}, 1), ring: ring{limit: a.keepSlots()}}
 		a.inst[c.Name] = i
 		a.names = append(a.names, c.Name)
 		launch := i.row.Launch
--- a/internal/fleet/agent/loss.go
+++ b/internal/fleet/host/agent/loss.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/life"
+	"martendrum/internal/fleet/host/supervisor"
 	"martendrum/internal/fleet/store"
 	"martendrum/internal/recovery"
 )
@@ -154,9 +154,9 @@
 		return false
 	}
 	switch i.life.Phase() {
-	case life.Ready, life.Unready, life.Backoff, life.Crashloop, life.Draining:
+	case supervisor.Ready, supervisor.Unready, supervisor.Backoff, supervisor.Crashloop, supervisor.Draining:
 		b.pace.Done(i.cfg.Name)
-	case life.Stopped:
+	case supervisor.Stopped:
 		if i.row.Desired != api.Running {
 			b.pace.Done(i.cfg.Name)
 		}
@@ -176,7 +176,7 @@
 	for _, i := range a.inst {
 		if i.row.Desired == api.Running {
 			of++
-			if i.life.Phase() == life.Ready {
+			if i.life.Phase() == supervisor.Ready {
 				up++
 			}
 		}
--- a/internal/fleet/agent/serve_operations.go
+++ b/internal/fleet/host/agent/serve_operations.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/host/compatibility"
 	"martendrum/internal/fleet/lease"
-	"martendrum/internal/fleet/neighbour"
 	"martendrum/internal/fleet/release"
 	"martendrum/internal/fleet/store"
 )
@@ -126,7 +126,7 @@
 func (a *Agent) neighbours(o *api.Operation) error {
 	a.mu.Lock()
 	_, known := a.ops[o.ID]
-	uses := make(map[string]neighbour.Use) // by the release that runs
+	uses := make(map[string]compatibility.Use) // by the release that runs
 	for _, t := range o.Targets {
 		if i := a.inst[t.Instance]; t.Host == a.cfg.Name && i != nil && i.row.Release != o.Release {
 			u := uses[i.row.Release]
@@ -140,9 +140,9 @@
 		return nil // it was asked when it began
 	}
 	for before, use := range uses {
-		old := neighbour.Query(a.ctx, a.releases.Path(before, release.Sidecar))
-		now := neighbour.Query(a.ctx, a.releases.Path(o.Release, release.Sidecar))
-		if err := neighbour.Check(old, now, use); err != nil {
+		old := compatibility.Query(a.ctx, a.releases.Path(before, release.Sidecar))
+		now := compatibility.Query(a.ctx, a.releases.Path(o.Release, release.Sidecar))
+		if err := compatibility.Check(old, now, use); err != nil {
 			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run beside %.12s: %v", a.cfg.Name, o.Release, before, err)
 		}
 	}
--- a/internal/fleet/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -13,7 +13,7 @@
 	"martendrum/internal/fleet/connect"
 	"martendrum/internal/fleet/distribution"
 	"martendrum/internal/fleet/distribution/node"
-	"martendrum/internal/fleet/life"
+	"martendrum/internal/fleet/host/supervisor"
 	"martendrum/internal/fleet/pki"
 	"martendrum/internal/fleet/store"
 	"martendrum/internal/msgpackrpc"
@@ -218,7 +218,7 @@
 		return "operation " + i.step.Op + " changes it"
 	case lease.Live(now):
 		return "operation " + lease.Op + " holds it"
-	case i.proc == nil || i.life.Phase() != life.Ready:
+	case i.proc == nil || i.life.Phase() != supervisor.Ready:
 		return fmt.Sprintf("it is %s", i.life.Phase())
 	case i.prev != nil:
 		return "a new process takes over"
--- a/internal/fleet/agent/step.go
+++ b/internal/fleet/host/agent/step.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/life"
+	"martendrum/internal/fleet/host/supervisor"
 	"martendrum/internal/fleet/store"
 )
 
@@ -111,8 +111,8 @@
 			return row, "it is drained: undrain it", false
 		case o.Action == api.ActUndrain && row.Desired != api.Drained:
 			return row, "it is not drained", true
-		case running && i.life.Phase() != life.Crashloop && i.life.Phase() != life.Backoff:
-			if i.life.Phase() == life.Ready {
+		case running && i.life.Phase() != supervisor.Crashloop && i.life.Phase() != supervisor.Backoff:
+			if i.life.Phase() == supervisor.Ready {
 				return row, "it was running", true
 			}
 			return row, "", false
@@ -138,7 +138,7 @@
 		return row, "", false
 	case api.ActUpgrade:
 		s.To = o.Release
-		if row.Release == o.Release && (!running || row.Running == o.Release && i.life.Phase() == life.Ready) {
+		if row.Release == o.Release && (!running || row.Running == o.Release && i.life.Phase() == supervisor.Ready) {
 			return row, "it has this release", true
 		}
 		if row.Release != o.Release {
--- a/internal/fleet/store/open/open.go
+++ b/internal/fleet/host/agentstore/open.go
@@ -1,11 +1,11 @@
-// Package open opens an agent's record where its configuration says.
-package open
+// Package agentstore opens an agent's record where its configuration says.
+package agentstore
 
 import (
 	"context"
 	"time"
 
-	"martendrum/internal/fleet/agent"
+	"martendrum/internal/fleet/host/agent"
 	"martendrum/internal/fleet/store"
 	"martendrum/internal/fleet/store/postgres"
 	"martendrum/internal/fleet/store/sqlite"
--- a/internal/fleet/neighbour/neighbour.go
+++ b/internal/fleet/host/compatibility/neighbour.go
@@ -1,8 +1,8 @@
-// Package neighbour says which two programs may run side by side, for the hours of
+// Package compatibility says which two programs may run side by side, for the hours of
 // a change in stages, and whether one may take the other's place and give it back.
 // What a program speaks it tells itself, asked with the word `versions`; one from
 // before that word speaks the first version of each. It is pure but for Ask.
-package neighbour
+package compatibility
 
 import (
 	"context"
--- a/internal/fleet/neighbour/neighbour_test.go
+++ b/internal/fleet/host/compatibility/neighbour_test.go
@@ -1,4 +1,4 @@
-package neighbour
+package compatibility
 
 import (
 	"context"
--- a/internal/fleet/scrape/scrape.go
+++ b/internal/fleet/host/scrape/scrape.go
@@ -20,7 +20,7 @@
 	"github.com/prometheus/common/model"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/judge"
+	"martendrum/internal/fleet/canary"
 )
 
 // maxResponse bounds a response, in bytes: several hundred classes fit.
@@ -65,7 +65,7 @@
 	if families["edge_balancer_tries"] == nil {
 		return nil, errors.New("metrics: no edge_balancer_tries among them: not a sidecar's admin endpoint")
 	}
-	s := &api.Sample{Classes: make(map[string]judge.Counts)}
+	s := &api.Sample{Classes: make(map[string]canary.Counts)}
 	each := func(name string, do func(label func(string) string, v uint32)) {
 		f := families["edge_balancer_"+name]
 		if f == nil {
--- a/internal/fleet/life/life.go
+++ b/internal/fleet/host/supervisor/life.go
@@ -1,4 +1,4 @@
-// Package life decides what becomes of one sidecar's process: when to launch it,
+// Package supervisor decides what becomes of one sidecar's process: when to launch it,
 // to ask it to end, to kill it, to try again after a crash and when to leave off.
 // It is pure: events and the time come in, actions go out, in the order in which
 // they are to be carried out.
@@ -11,13 +11,13 @@
 // serves, which is asked to end only once the new one is ready. A new one that ends
 // before, or is given up, leaves the old one serving, and its generation is not tried
 // again: a further one must be wanted.
-package life
+package supervisor
 
 import (
 	"fmt"
 	"time"
 
-	"martendrum/internal/stopplan"
+	"martendrum/internal/shutdown"
 )
 
 // Phase is the state of an instance as an operator sees it.
@@ -44,7 +44,7 @@
 
 // MinKillDelay is the least KillAfter: the protocol lets SIGKILL come no sooner than
 // the longest deadline, 3 s at most, and 0.7 s more after SIGTERM.
-const MinKillDelay = stopplan.MaxDeadline + stopplan.KillGrace
+const MinKillDelay = shutdown.MaxDeadline + shutdown.KillGrace
 
 // Kind is what should be done.
 type Kind string
--- a/internal/fleet/life/life_test.go
+++ b/internal/fleet/host/supervisor/life_test.go
@@ -1,4 +1,4 @@
-package life
+package supervisor
 
 import (
 	"fmt"
--- a/internal/fleet/stage/stage.go
+++ b/internal/fleet/stage/stage.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"martendrum/internal/fleet/judge"
+	"martendrum/internal/fleet/canary"
 )
 
 // What is done on a verdict.
@@ -56,7 +56,7 @@
 type Look struct {
 	Slot         int // its number; a slot is looked at once
 	HistorySlots int // slots of the past that there are
-	Judgement    judge.Judgement
+	Judgement    canary.Judgement
 	Settled      bool   // every target of the stages so far has come to its end
 	Blind        string // why the evidence is not whole, "" if it is
 }
@@ -136,7 +136,7 @@
 		}
 		return
 	}
-	if l.Judgement.Verdict == judge.Worse {
+	if l.Judgement.Verdict == canary.Worse {
 		s.Worse, s.HoldReason, s.PauseReason = l.Judgement.Evidence[0].String(), "", ""
 		return
 	}
@@ -156,11 +156,11 @@
 	spent := time.Duration(s.Slots) * m.plan.Slot
 	switch {
 	case s.HoldReason != "":
-		if l.Judgement.Verdict == judge.NotWorse {
+		if l.Judgement.Verdict == canary.NotWorse {
 			m.next() // what was missing has come
 		}
 	case spent < m.plan.MinDuration:
-	case l.Judgement.Verdict == judge.NotWorse:
+	case l.Judgement.Verdict == canary.NotWorse:
 		m.next()
 	case spent < m.plan.MaxDuration:
 	case m.plan.OnInconclusive == GoOn:
@@ -172,9 +172,9 @@
 }
 
 // missing names the first test that can't be told.
-func missing(j judge.Judgement) string {
+func missing(j canary.Judgement) string {
 	for _, e := range j.Evidence {
-		if e.Verdict == judge.Inconclusive && !e.Aside {
+		if e.Verdict == canary.Inconclusive && !e.Aside {
 			return e.String()
 		}
 	}
--- a/internal/fleet/stage/stage_test.go
+++ b/internal/fleet/stage/stage_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"martendrum/internal/fleet/judge"
+	"martendrum/internal/fleet/canary"
 )
 
 func TestDraw(t *testing.T) {
@@ -98,16 +98,16 @@
 
 // A script of looks, and what came of each: stage, open targets, and why it waits.
 func TestStages(t *testing.T) {
-	bad := judge.Judgement{Verdict: judge.Worse, Evidence: []judge.Evidence{{Test: judge.Test{Measure: judge.WeightedLoss}, Verdict: judge.Worse}}}
-	unclear := judge.Judgement{Verdict: judge.Inconclusive, Evidence: []judge.Evidence{{Verdict: judge.Inconclusive, Why: "too little traffic"}}}
+	bad := canary.Judgement{Verdict: canary.Worse, Evidence: []canary.Evidence{{Test: canary.Test{Measure: canary.WeightedLoss}, Verdict: canary.Worse}}}
+	unclear := canary.Judgement{Verdict: canary.Inconclusive, Evidence: []canary.Evidence{{Verdict: canary.Inconclusive, Why: "too little traffic"}}}
 	looks := map[string]Look{
 		"young":   {HistorySlots: 2, Settled: true},
-		"good":    {HistorySlots: 9, Settled: true, Judgement: judge.Judgement{Verdict: judge.NotWorse}},
-		"moving":  {HistorySlots: 9, Judgement: judge.Judgement{Verdict: judge.NotWorse}},
+		"good":    {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}},
+		"moving":  {HistorySlots: 9, Judgement: canary.Judgement{Verdict: canary.NotWorse}},
 		"unclear": {HistorySlots: 9, Settled: true, Judgement: unclear},
 		"worse":   {HistorySlots: 9, Judgement: bad},
-		"blind":   {HistorySlots: 9, Settled: true, Judgement: judge.Judgement{Verdict: judge.NotWorse}, Blind: "no evidence of h1"},
-		"bad day": {HistorySlots: 9, Settled: true, Judgement: judge.Judgement{Verdict: judge.NotWorse, Suffering: []judge.Degradation{{Measure: judge.Rejections}}}},
+		"blind":   {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}, Blind: "no evidence of h1"},
+		"bad day": {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse, Suffering: []canary.Degradation{{Measure: canary.Rejections}}}},
 	}
 	plan := Plan{Upto: []int{1, 5, 10}, MinDuration: 2 * time.Second, MaxDuration: 4 * time.Second, Slot: time.Second, HistorySlots: 3, OnInconclusive: Hold}
 	for name, c := range map[string]struct{ script, want string }{
@@ -135,7 +135,7 @@
 					t.Errorf("%s: %v", name, err)
 				}
 			case "same":
-				m.Look(Look{Slot: 2, Settled: true, Judgement: judge.Judgement{Verdict: judge.NotWorse}})
+				m.Look(Look{Slot: 2, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}})
 			default:
 				m.Look(l)
 			}
--- a/internal/handover/link/old.go
+++ b/internal/handover/link/old.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"martendrum/internal/handover"
-	"martendrum/internal/sock"
+	"martendrum/internal/netconn"
 )
 
 // Host is the process that a hand-over is about. Its methods are called from one
@@ -99,7 +99,7 @@
 
 func (o *Old) accept(door *net.UnixListener) {
 	for {
-		uc, err := sock.Accept("hand-over", door.AcceptUnix, nil)
+		uc, err := netconn.Accept("hand-over", door.AcceptUnix, nil)
 		if err != nil {
 			return
 		}
--- a/internal/hollow/main_test.go
+++ b/internal/hollow/main_test.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"testing"
 
-	"martendrum/internal/fleet/agent"
-	"martendrum/internal/fleet/store/open"
+	"martendrum/internal/fleet/host/agent"
+	"martendrum/internal/fleet/host/agentstore"
 )
 
 // Environment of the processes that a test starts of its own binary.
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	served, err := agent.New(cfg, agent.Processes{}, open.Record(cfg))
+	served, err := agent.New(cfg, agent.Processes{}, agentstore.Record(cfg))
 	if err != nil {
 		return err
 	}
--- a/internal/record/e2e/away_test.go
+++ b/internal/idempotency/e2e/away_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"martendrum/internal/record"
+	"martendrum/internal/idempotency"
 	"martendrum/internal/standin/pgserver"
 	"martendrum/internal/standin/shop"
 )
@@ -19,21 +19,21 @@
 // gate is a store that can be held up: transactions that hold says wait until it is
 // opened, or their time is over.
 type gate struct {
-	record.Backend
+	idempotency.Backend
 
 	mu      sync.Mutex
-	hold    func(ops []*record.Op) bool
+	hold    func(ops []*idempotency.Op) bool
 	open    chan struct{}
 	held    chan struct{} // one value for each that waits
 	calls   int           // of Apply
 	refusal error         // instead
 }
 
-func newGate(b record.Backend) *gate {
+func newGate(b idempotency.Backend) *gate {
 	return &gate{Backend: b, open: make(chan struct{}), held: make(chan struct{}, 1000)}
 }
 
-func (g *gate) set(hold func([]*record.Op) bool, refusal error) {
+func (g *gate) set(hold func([]*idempotency.Op) bool, refusal error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	close(g.open)
@@ -41,7 +41,7 @@
 	g.hold, g.refusal = hold, refusal
 }
 
-func (g *gate) pass(ctx context.Context, ops []*record.Op) error {
+func (g *gate) pass(ctx context.Context, ops []*idempotency.Op) error {
 	g.mu.Lock()
 	if ops != nil {
 		g.calls++
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func (g *gate) Apply(ctx context.Context, ops []*record.Op) error {
+func (g *gate) Apply(ctx context.Context, ops []*idempotency.Op) error {
 	if err := g.pass(ctx, ops); err != nil {
 		return err
 	}
@@ -82,11 +82,11 @@
 	return g.calls
 }
 
-func all([]*record.Op) bool { return true }
+func all([]*idempotency.Op) bool { return true }
 
 // of holds transactions that have an op of a kind.
-func of(kind record.Kind) func([]*record.Op) bool {
-	return func(ops []*record.Op) bool {
+func of(kind idempotency.Kind) func([]*idempotency.Op) bool {
+	return func(ops []*idempotency.Op) bool {
 		for _, op := range ops {
 			if op.Kind == kind {
 				return true
@@ -122,7 +122,7 @@
 	} else {
 		p.SQLite = filepath.Join(t.TempDir(), "record.db")
 	}
-	p.wrap = func(b record.Backend) record.Backend {
+	p.wrap = func(b idempotency.Backend) idempotency.Backend {
 		s.gate = newGate(b)
 		return s.gate
 	}
@@ -147,7 +147,7 @@
 }
 
 // row waits until a key's row is as ok says.
-func (s *scene) row(t *testing.T, q request, ok func(record.Entry) bool) record.Entry {
+func (s *scene) row(t *testing.T, q request, ok func(idempotency.Entry) bool) idempotency.Entry {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -163,8 +163,8 @@
 	}
 }
 
-func is(state record.State) func(record.Entry) bool {
-	return func(r record.Entry) bool { return r.State == state }
+func is(state idempotency.State) func(idempotency.Entry) bool {
+	return func(r idempotency.Entry) bool { return r.State == state }
 }
 
 // back waits until the store is asked again.
@@ -212,7 +212,7 @@
 						s.expect(t, q, http.StatusOK)
 						// What went on without the record is known now all the same.
 						q = request{class: "id-register", key: fmt.Sprint("i", n)}
-						s.row(t, q, is(record.Answered))
+						s.row(t, q, is(idempotency.Answered))
 						s.expect(t, q, http.StatusOK)
 						if s.w.ran(q) != 1 {
 							t.Errorf("%s ran %d times", q.key, s.w.ran(q))
@@ -226,9 +226,9 @@
 			}
 			t.Run("one that it never takes", func(t *testing.T) {
 				s := stage(t, store, plan{Wait: short})
-				s.gate.set(func(ops []*record.Op) bool {
+				s.gate.set(func(ops []*idempotency.Op) bool {
 					for _, op := range ops {
-						if op.Kind == record.End && op.Key == "poison" {
+						if op.Kind == idempotency.End && op.Key == "poison" {
 							return true
 						}
 					}
@@ -243,12 +243,12 @@
 						t.Fatal(a, err)
 					}
 					if a.status == http.StatusOK {
-						s.row(t, q, is(record.Answered))
+						s.row(t, q, is(idempotency.Answered))
 						n++
 					}
 				}
 				s.gate.set(nil, nil)
-				s.row(t, request{class: "activate", key: "poison"}, is(record.Answered))
+				s.row(t, request{class: "activate", key: "poison"}, is(idempotency.Answered))
 			})
 			t.Run("open breaker", func(t *testing.T) {
 				s := stage(t, store, plan{Wait: patience})
@@ -270,31 +270,31 @@
 			t.Run("away at the send", func(t *testing.T) {
 				s := stage(t, store, plan{Wait: short})
 				q := request{class: "activate", key: "k"}
-				s.gate.set(of(record.Send), nil)
+				s.gate.set(of(idempotency.Send), nil)
 				s.expect(t, q, http.StatusServiceUnavailable)
 				if s.w.ran(q) > 0 {
 					t.Error("it was sent without its record")
 				}
 				s.gate.set(nil, nil)
 				s.back(t)
-				s.row(t, q, is(record.NeverRan))
+				s.row(t, q, is(idempotency.NeverRan))
 				s.expect(t, q, http.StatusOK)
 				i := request{class: "id-register", key: "k"}
-				s.gate.set(of(record.Send), nil)
+				s.gate.set(of(idempotency.Send), nil)
 				s.expect(t, i, http.StatusOK)
 				s.gate.set(nil, nil)
-				s.row(t, i, is(record.Answered))
+				s.row(t, i, is(idempotency.Answered))
 			})
 			t.Run("away at the end", func(t *testing.T) {
 				s := stage(t, store, plan{Wait: short})
 				q := request{class: "activate", key: "k"}
-				s.gate.set(of(record.End), nil)
+				s.gate.set(of(idempotency.End), nil)
 				a := s.expect(t, q, http.StatusOK)
-				s.row(t, q, is(record.InFlight))
+				s.row(t, q, is(idempotency.InFlight))
 				s.expect(t, q, http.StatusServiceUnavailable) // its shard waits: nothing is known, nothing sent
 				s.gate.set(nil, nil)
 				s.back(t)
-				s.row(t, q, is(record.Answered))
+				s.row(t, q, is(idempotency.Answered))
 				if b := s.expect(t, q, http.StatusOK); b.body != a.body || s.w.ran(q) != 1 {
 					t.Errorf("%q, at first %q; ran %d times", b.body, a.body, s.w.ran(q))
 				}
@@ -302,18 +302,20 @@
 			t.Run("the client's time is over first", func(t *testing.T) {
 				// The store may be waited for much longer than the client waits.
 				s := stage(t, store, plan{Wait: 10 * time.Minute})
-				s.gate.set(of(record.End), nil)
+				s.gate.set(of(idempotency.End), nil)
 				q := request{class: "activate", key: "k", deadline: 400 * time.Millisecond}
 				if a, err := ask(s.addr, q, nil); err != nil || a.status == 0 {
 					t.Error(a, err)
 				}
 				s.gate.set(nil, nil)
-				s.row(t, q, func(r record.Entry) bool { return r.State == record.Answered || r.State == record.NeverRan })
+				s.row(t, q, func(r idempotency.Entry) bool {
+					return r.State == idempotency.Answered || r.State == idempotency.NeverRan
+				})
 			})
 			t.Run("back before the answer", func(t *testing.T) {
 				s := stage(t, store, plan{})
 				q := request{class: "activate", key: "k"}
-				s.gate.set(of(record.End), nil)
+				s.gate.set(of(idempotency.End), nil)
 				done := make(chan answer, 1)
 				go func() {
 					a, _ := ask(s.addr, q, nil)
@@ -327,7 +329,7 @@
 				if a := <-done; a.status != http.StatusOK {
 					t.Error(a)
 				}
-				s.row(t, q, is(record.Answered))
+				s.row(t, q, is(idempotency.Answered))
 			})
 		})
 	}
@@ -373,7 +375,7 @@
 				s.expect(t, request{class: "id-register", key: "new"}, http.StatusOK)
 				day.end(s.pg)
 				s.back(t)
-				s.row(t, flying, is(record.Answered))
+				s.row(t, flying, is(idempotency.Answered))
 				s.expect(t, request{class: "activate", key: "new"}, http.StatusOK)
 				s.expect(t, flying, http.StatusOK)
 				if s.w.ran(flying) != 1 {
@@ -397,7 +399,7 @@
 			if a := s.expect(t, large, http.StatusConflict); !strings.HasPrefix(a.state, "answered") {
 				t.Error(a)
 			}
-			if row := s.row(t, large, is(record.Answered)); !row.Cut || len(row.Answer) > 0 {
+			if row := s.row(t, large, is(idempotency.Answered)); !row.Cut || len(row.Answer) > 0 {
 				t.Errorf("%+v", row)
 			}
 			s.w.act = nil
@@ -422,7 +424,7 @@
 				a, _ := ask(s.addr, slow, nil)
 				done <- a
 			}()
-			s.row(t, slow, func(r record.Entry) bool { return r.Attempts == 1 })
+			s.row(t, slow, func(r idempotency.Entry) bool { return r.Attempts == 1 })
 			if a := s.expect(t, slow, http.StatusConflict); !strings.HasPrefix(a.state, "in-flight") || a.retry == "" {
 				t.Error(a)
 			}
@@ -443,7 +445,7 @@
 			if a, err := ask(s.addr, left, nil); err != nil || a.status == http.StatusOK || a.status == http.StatusServiceUnavailable {
 				t.Error(a, err)
 			}
-			s.row(t, left, is(record.MayHaveRun))
+			s.row(t, left, is(idempotency.MayHaveRun))
 			close(hold)
 			if a := s.expect(t, left, http.StatusConflict); !strings.HasPrefix(a.state, "may-have-run") || s.w.ran(left) != 1 {
 				t.Error(a, s.w.ran(left))
@@ -514,7 +516,7 @@
 		defer owner.end()
 		q := request{class: "activate", key: "k"}
 		go ask(owner.addr, q, nil)
-		b.row(t, q, func(r record.Entry) bool { return r.Attempts == 1 })
+		b.row(t, q, func(r idempotency.Entry) bool { return r.Attempts == 1 })
 		owner.end()
 		for _, skew := range []time.Duration{0, -10 * time.Hour, 0} {
 			b.pg.SetSkew(skew)
@@ -548,7 +550,7 @@
 			x, _ := ask(a.addr, q, nil)
 			got <- x
 		}()
-		a.row(t, q, func(r record.Entry) bool { return r.Attempts == 1 })
+		a.row(t, q, func(r idempotency.Entry) bool { return r.Attempts == 1 })
 		b.pg.SetSkew(time.Hour)
 		if x := b.expect(t, q, http.StatusConflict); !strings.HasPrefix(x.state, "may-have-run") {
 			t.Error(x)
@@ -575,7 +577,7 @@
 func stalls(t *testing.T, class string, pair func(*testing.T) (a, b *scene)) {
 	a, b := pair(t)
 	q := request{class: class, key: "k"}
-	a.gate.set(of(record.Send), nil)
+	a.gate.set(of(idempotency.Send), nil)
 	got := make(chan answer, 1)
 	go func() {
 		x, _ := ask(a.addr, q, nil)
--- a/internal/record/e2e/bench_test.go
+++ b/internal/idempotency/e2e/bench_test.go
@@ -43,7 +43,7 @@
 // (closed), and at a pace of 300 and 2,000 a second. All run in one process. Where the
 // store is swept, every 10 ms, each row is dropped right after its answer.
 //
-//	go test ./internal/record/e2e -run '^$' -bench Store -benchtime 10s
+//	go test ./internal/idempotency/e2e -run '^$' -bench Store -benchtime 10s
 func BenchmarkStore(b *testing.B) {
 	for _, store := range []string{"off", "sqlite", "sqlite-swept", "postgres"} {
 		for _, rate := range []int{0, 300, 2000} {
--- a/internal/record/e2e/crash_test.go
+++ b/internal/idempotency/e2e/crash_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"martendrum/internal/record"
+	"martendrum/internal/idempotency"
 	"martendrum/internal/standin/pgserver"
 	"martendrum/internal/standin/shop"
 )
@@ -279,7 +279,7 @@
 		t.Errorf("%s: refused though the store and the servers are well", where)
 	case a.status == http.StatusConflict && strings.HasPrefix(a.state, "may-have-run"):
 		total.may++
-		rows, err := n.backend.List(ctx, record.Filter{State: record.MayHaveRun, Class: q.class, Limit: 10000})
+		rows, err := n.backend.List(ctx, idempotency.Filter{State: idempotency.MayHaveRun, Class: q.class, Limit: 10000})
 		listed := false
 		for _, r := range rows {
 			listed = listed || r.Key == q.key
@@ -289,7 +289,7 @@
 			t.Errorf("%s: it may have run and is not listed: %v", where, err)
 		case first.status == http.StatusOK || first.status == http.StatusServiceUnavailable:
 			t.Errorf("%s: what the client was told (%d) was not kept", where, first.status)
-		case row.Attempts == 0 && row.State != record.MayHaveRun:
+		case row.Attempts == 0 && row.State != idempotency.MayHaveRun:
 			t.Errorf("%s: nothing was sent, and it is said to may have run: %+v", where, row)
 		}
 	default:
--- a/internal/record/e2e/handover_test.go
+++ b/internal/idempotency/e2e/handover_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"martendrum/internal/fleet/proc"
+	"martendrum/internal/fleet/host/proc"
 )
 
 // logged is a process whose log can be waited on.
--- a/internal/record/e2e/main_test.go
+++ b/internal/idempotency/e2e/main_test.go
@@ -24,11 +24,11 @@
 
 	"martendrum"
 	"martendrum/internal/discovery"
-	"martendrum/internal/front"
-	"martendrum/internal/record"
-	"martendrum/internal/record/keeper"
-	"martendrum/internal/record/postgres"
-	"martendrum/internal/record/sqlite"
+	"martendrum/internal/downstream"
+	"martendrum/internal/idempotency"
+	"martendrum/internal/idempotency/postgres"
+	"martendrum/internal/idempotency/recorder"
+	"martendrum/internal/idempotency/sqlite"
 	"martendrum/internal/settings"
 	"martendrum/internal/sidecar"
 	"martendrum/internal/upstream"
@@ -67,7 +67,7 @@
 	Aim   string        // of the classes, in µs; "": 20 s
 	Sweep bool          // what is answered is dropped at once, without an end
 
-	wrap func(record.Backend) record.Backend
+	wrap func(idempotency.Backend) idempotency.Backend
 }
 
 const form = `{"replicasOfMe":1,"registryMode":"automatic",
@@ -78,8 +78,8 @@
 	{"name":"activate","promiseUs":AIM,"hardLimitUs":20000000,"effect":"once","worth":10},
 	{"name":"report","promiseUs":AIM,"hardLimitUs":20000000,"effect":"once","worth":10}]}`
 
-func rule(t string) record.Rule {
-	r, err := record.ParseRule(t)
+func rule(t string) idempotency.Rule {
+	r, err := idempotency.ParseRule(t)
 	if err != nil {
 		panic(err)
 	}
@@ -90,9 +90,9 @@
 type node struct {
 	addr    string
 	host    *sidecar.Host
-	srv     *front.Server
-	keeper  *keeper.Recorder
-	backend record.Backend
+	srv     *downstream.Server
+	keeper  *recorder.Recorder
+	backend idempotency.Backend
 	ln      net.Listener
 }
 
@@ -121,7 +121,7 @@
 			return nil, err
 		}
 	}
-	n.srv = front.New(front.Config{MaxConns: 1000, MaxBody: 8 << 20}, n.host)
+	n.srv = downstream.New(downstream.Config{MaxConns: 1000, MaxBody: 8 << 20}, n.host)
 	if n.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 }
 
 func (n *node) record(p *plan, points func(string)) (err error) {
-	keep := record.Retention{Answered: time.Hour, NeverRan: time.Hour, Unsettled: time.Hour}
+	keep := idempotency.Retention{Answered: time.Hour, NeverRan: time.Hour, Unsettled: time.Hour}
 	each := time.Hour
 	if p.Sweep {
 		keep.Answered, each = time.Millisecond, 10*time.Millisecond
@@ -166,10 +166,10 @@
 		n.backend = &pointed{n.backend, points}
 	}
 	wait := or(p.Wait, 10*time.Second)
-	n.keeper = keeper.New(keeper.Config{Name: "e2e", Writers: writers, Batch: 64, Queue: 1000, QueueBytes: 4 << 20, Statement: 10 * time.Second,
+	n.keeper = recorder.New(recorder.Config{Name: "e2e", Writers: writers, Batch: 64, Queue: 1000, QueueBytes: 4 << 20, Statement: 10 * time.Second,
 		EndFor: time.Minute, Lease: or(p.Lease, 5*time.Second), MaxAnswerBytes: or(p.Most, 64<<10), Retention: keep, SweepInterval: each,
 		BreakAfter: 3, MinBackoff: 20 * time.Millisecond, MaxBackoff: 100 * time.Millisecond,
-		Classes: []keeper.Class{{Name: "id-register", Rule: rule("header:Idempotency-Key"), FailOpen: true, Wait: wait},
+		Classes: []recorder.Class{{Name: "id-register", Rule: rule("header:Idempotency-Key"), FailOpen: true, Wait: wait},
 			{Name: "activate", Rule: rule("json:/sim/iccid"), Wait: wait}, {Name: "report", Rule: rule("request-id"), Wait: wait}}}, n.backend)
 	if points != nil {
 		n.host.SetRecorder(&pointedRecorder{n.keeper, points})
@@ -214,11 +214,11 @@
 
 // pointed names the points before and after each transaction.
 type pointed struct {
-	record.Backend
+	idempotency.Backend
 	at func(string)
 }
 
-func (b *pointed) Apply(ctx context.Context, ops []*record.Op) error {
+func (b *pointed) Apply(ctx context.Context, ops []*idempotency.Op) error {
 	b.at("before the transaction")
 	err := b.Backend.Apply(ctx, ops)
 	b.at("after the transaction")
@@ -231,7 +231,7 @@
 	at func(string)
 }
 
-func (p *pointedRecorder) Begin(x *front.Exchange, left time.Duration, then func(sidecar.Verdict)) {
+func (p *pointedRecorder) Begin(x *downstream.Exchange, left time.Duration, then func(sidecar.Verdict)) {
 	p.at("a request has come")
 	p.r.Begin(x, left, func(v sidecar.Verdict) {
 		p.at("before the request goes on")
--- a/internal/record/e2e/program_test.go
+++ b/internal/idempotency/e2e/program_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"martendrum/internal/fleet/proc"
+	"martendrum/internal/fleet/host/proc"
 	"martendrum/internal/standin/pgserver"
 	"martendrum/internal/standin/shop"
 )
--- a/internal/record/postgres/postgres.go
+++ b/internal/idempotency/postgres/postgres.go
@@ -17,8 +17,8 @@
 	"github.com/jackc/pgx/v5"
 	"github.com/jackc/pgx/v5/pgconn"
 
+	"martendrum/internal/idempotency"
 	"martendrum/internal/pg"
-	"martendrum/internal/record"
 )
 
 var schema = pg.Schema{Name: "martendrum_schema", Lock: 0x6d6172746e, Migrations: [][]string{
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	s := &Store{db: db, columns: strings.Split(record.Columns, ", ")}
+	s := &Store{db: db, columns: strings.Split(idempotency.Columns, ", ")}
 	s.statements()
 	return s, nil
 }
@@ -86,7 +86,7 @@
 			sets = append(sets, c+" = "+mark)
 		}
 	}
-	s.insert = "INSERT INTO martendrum_record (" + record.Columns + ") VALUES (" + strings.Join(marks, ", ") + ") ON CONFLICT (class, key) DO NOTHING"
+	s.insert = "INSERT INTO martendrum_record (" + idempotency.Columns + ") VALUES (" + strings.Join(marks, ", ") + ") ON CONFLICT (class, key) DO NOTHING"
 	s.update = "UPDATE martendrum_record SET " + strings.Join(sets, ", ") +
 		fmt.Sprintf(" WHERE class = $1::text AND key = $2::text AND version = $%d::bigint", len(s.columns)+1)
 }
@@ -101,7 +101,7 @@
 func (s *Store) explain(err error) error { return inTerms(s.db.Explain(err)) }
 
 func inTerms(err error) error {
-	for from, to := range map[error]error{pg.ErrFull: record.ErrFull, pg.ErrReadOnly: record.ErrReadOnly, pg.ErrUnusable: record.ErrUnusable} {
+	for from, to := range map[error]error{pg.ErrFull: idempotency.ErrFull, pg.ErrReadOnly: idempotency.ErrReadOnly, pg.ErrUnusable: idempotency.ErrUnusable} {
 		if errors.Is(err, from) {
 			return fmt.Errorf("record: %w: %w", to, err)
 		}
@@ -126,7 +126,7 @@
 }
 
 // Apply implements record.Backend.
-func (s *Store) Apply(ctx context.Context, ops []*record.Op) error {
+func (s *Store) Apply(ctx context.Context, ops []*idempotency.Op) error {
 	if err := s.ready(ctx); err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 			return nil
 		}
 		for _, op := range ops {
-			op.Result = record.None
+			op.Result = idempotency.None
 		}
 		if n >= maxRace || !again(err, committing) {
 			return s.explain(err)
@@ -153,9 +153,9 @@
 
 // apply makes one transaction: it reads each row under a lock, in the order of the
 // keys, so that two of these don't wait for one another, and writes what changed.
-func (s *Store) apply(ctx context.Context, ops []*record.Op) (committing bool, err error) {
+func (s *Store) apply(ctx context.Context, ops []*idempotency.Op) (committing bool, err error) {
 	type entry struct {
-		row  record.Entry
+		row  idempotency.Entry
 		had  int64 // its version
 		keep bool  // it has changed
 	}
@@ -175,10 +175,10 @@
 		read := &pgx.Batch{}
 		for _, k := range keys {
 			e := rows[k]
-			read.Queue("SELECT "+record.Columns+" FROM martendrum_record WHERE class = $1::text AND key = $2::text FOR UPDATE", k.class, k.key).QueryRow(func(r pgx.Row) error {
+			read.Queue("SELECT "+idempotency.Columns+" FROM martendrum_record WHERE class = $1::text AND key = $2::text FOR UPDATE", k.class, k.key).QueryRow(func(r pgx.Row) error {
 				err := r.Scan(e.row.Fields()...)
 				if errors.Is(err, pgx.ErrNoRows) {
-					e.row, err = record.Entry{}, nil
+					e.row, err = idempotency.Entry{}, nil
 				}
 				e.had = e.row.Version
 				return err
@@ -191,7 +191,7 @@
 		}
 		for _, op := range ops {
 			e := rows[id{op.Class, op.Key}]
-			e.keep = record.Apply(&e.row, now, op) || e.keep
+			e.keep = idempotency.Apply(&e.row, now, op) || e.keep
 		}
 		write := &pgx.Batch{}
 		one := func(t pgconn.CommandTag) error {
@@ -219,13 +219,13 @@
 }
 
 // Get implements record.Backend.
-func (s *Store) Get(ctx context.Context, class, key string) (row record.Entry, err error) {
+func (s *Store) Get(ctx context.Context, class, key string) (row idempotency.Entry, err error) {
 	if err := s.ready(ctx); err != nil {
 		return row, err
 	}
-	err = s.db.Pool.QueryRow(ctx, "SELECT "+record.Columns+" FROM martendrum_record WHERE class = $1::text AND key = $2::text", class, key).Scan(row.Fields()...)
+	err = s.db.Pool.QueryRow(ctx, "SELECT "+idempotency.Columns+" FROM martendrum_record WHERE class = $1::text AND key = $2::text", class, key).Scan(row.Fields()...)
 	if errors.Is(err, pgx.ErrNoRows) {
-		return record.Entry{}, nil
+		return idempotency.Entry{}, nil
 	}
 	return row, s.explain(err)
 }
@@ -247,14 +247,14 @@
 }
 
 // List implements record.Backend.
-func (s *Store) List(ctx context.Context, f record.Filter) ([]record.Entry, error) {
-	return rows(ctx, s, (*record.Entry).Fields, "SELECT "+strings.Replace(record.Columns, "answer,", "CAST('' AS bytea),", 1)+` FROM martendrum_record
+func (s *Store) List(ctx context.Context, f idempotency.Filter) ([]idempotency.Entry, error) {
+	return rows(ctx, s, (*idempotency.Entry).Fields, "SELECT "+strings.Replace(idempotency.Columns, "answer,", "CAST('' AS bytea),", 1)+` FROM martendrum_record
 		WHERE ($1::text = '' OR state = $1::text) AND ($2::text = '' OR class = $2::text) AND changed >= $3::bigint AND (class, key) > ($4::text, $5::text)
 		ORDER BY class, key LIMIT $6::bigint`, string(f.State), f.Class, f.ChangedSince, f.AfterClass, f.AfterKey, int64(f.Limit))
 }
 
 // Sweep implements record.Backend.
-func (s *Store) Sweep(ctx context.Context, keep record.Retention, limit int) (int, error) {
+func (s *Store) Sweep(ctx context.Context, keep idempotency.Retention, limit int) (int, error) {
 	if err := s.ready(ctx); err != nil {
 		return 0, err
 	}
@@ -262,13 +262,13 @@
 	if err := s.db.Pool.QueryRow(ctx, "SELECT "+clock).Scan(&now); err != nil {
 		return 0, s.explain(err)
 	}
-	lapsed, err := s.db.Pool.Exec(ctx, `UPDATE martendrum_record SET `+record.Lapsed+`, changed = $1::bigint WHERE state = 'in-flight' AND expires <= $1::bigint AND (class, key) IN
+	lapsed, err := s.db.Pool.Exec(ctx, `UPDATE martendrum_record SET `+idempotency.Lapsed+`, changed = $1::bigint WHERE state = 'in-flight' AND expires <= $1::bigint AND (class, key) IN
 		(SELECT class, key FROM martendrum_record WHERE state = 'in-flight' AND expires <= $1::bigint ORDER BY class, key LIMIT $2::bigint)`, now, int64(limit))
 	if err != nil {
 		return 0, s.explain(err)
 	}
 	n := int(lapsed.RowsAffected())
-	for _, state := range record.States {
+	for _, state := range idempotency.States {
 		kept := keep.For(state)
 		if kept <= 0 || n >= limit {
 			continue
@@ -285,7 +285,7 @@
 }
 
 // Gap implements record.Backend.
-func (s *Store) Gap(ctx context.Context, g record.Gap) error {
+func (s *Store) Gap(ctx context.Context, g idempotency.Gap) error {
 	if err := s.ready(ctx); err != nil {
 		return err
 	}
@@ -299,20 +299,22 @@
 }
 
 // Gaps implements record.Backend.
-func (s *Store) Gaps(ctx context.Context, limit int) ([]record.Gap, error) {
-	return rows(ctx, s, func(g *record.Gap) []any { return []any{&g.Owner, &g.Class, &g.From, &g.Until, &g.Requests, &g.Cause} },
+func (s *Store) Gaps(ctx context.Context, limit int) ([]idempotency.Gap, error) {
+	return rows(ctx, s, func(g *idempotency.Gap) []any {
+		return []any{&g.Owner, &g.Class, &g.From, &g.Until, &g.Requests, &g.Cause}
+	},
 		"SELECT owner, class, since, until, requests, cause FROM martendrum_gaps ORDER BY until DESC LIMIT $1::bigint", int64(limit))
 }
 
 // Stats implements record.Backend. Bytes are those of the answers that are kept.
-func (s *Store) Stats(ctx context.Context) (st record.Stats, err error) {
+func (s *Store) Stats(ctx context.Context) (st idempotency.Stats, err error) {
 	type count struct {
-		state    record.State
+		state    idempotency.State
 		n, bytes int64
 	}
 	cs, err := rows(ctx, s, func(c *count) []any { return []any{&c.state, &c.n, &c.bytes} },
 		"SELECT state, CAST(count(*) AS bigint), CAST(coalesce(sum(length(answer) + length(header)), 0) AS bigint) FROM martendrum_record GROUP BY state")
-	st.Rows = make(map[record.State]int64)
+	st.Rows = make(map[idempotency.State]int64)
 	for _, c := range cs {
 		st.Rows[c.state] = c.n
 		st.Bytes += c.bytes
@@ -322,8 +324,8 @@
 
 // Check implements record.Backend.
 func (s *Store) Check(ctx context.Context) (found []string, err error) {
-	bad, err := rows(ctx, s, (*record.Entry).Fields, "SELECT "+strings.Replace(record.Columns, "answer,", "CAST('' AS bytea),", 1)+` FROM martendrum_record
-		WHERE `+record.Impossible+` ORDER BY class, key LIMIT 20`)
+	bad, err := rows(ctx, s, (*idempotency.Entry).Fields, "SELECT "+strings.Replace(idempotency.Columns, "answer,", "CAST('' AS bytea),", 1)+` FROM martendrum_record
+		WHERE `+idempotency.Impossible+` ORDER BY class, key LIMIT 20`)
 	for _, r := range bad {
 		found = append(found, fmt.Sprintf("row %s %q: state %q, fingerprint of %d bytes, status %d", r.Class, r.Key, r.State, len(r.Body), r.Status))
 	}
--- a/internal/record/postgres/postgres_test.go
+++ b/internal/idempotency/postgres/postgres_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/jackc/pgx/v5"
 
-	"martendrum/internal/record"
-	bt "martendrum/internal/record/backendtest"
+	"martendrum/internal/idempotency"
+	bt "martendrum/internal/idempotency/backendtest"
 	"martendrum/internal/standin/pgserver"
 )
 
@@ -46,7 +46,7 @@
 }
 
 func TestBackend(t *testing.T) {
-	bt.Run(t, func(t *testing.T) record.Backend { return mustOpen(t, config(serve(t, pgserver.Config{}).URL())) })
+	bt.Run(t, func(t *testing.T) idempotency.Backend { return mustOpen(t, config(serve(t, pgserver.Config{}).URL())) })
 }
 
 // The same against a real server, where an operator names one; each test gets a schema
@@ -57,7 +57,7 @@
 		t.Skip("MARTENDRUM_TEST_POSTGRES names no server")
 	}
 	n := 0
-	bt.Run(t, func(t *testing.T) record.Backend {
+	bt.Run(t, func(t *testing.T) idempotency.Backend {
 		n++
 		schema := fmt.Sprintf("martendrum_test_%d_%d", os.Getpid(), n)
 		conn, err := pgx.Connect(ctx, at)
@@ -90,8 +90,8 @@
 			t.Fatal(err)
 		}
 		s := mustOpen(t, config(srv.URL()))
-		bt.Expect(t, s, bt.Claim("k", "a", time.Hour), record.Granted)
-		if err := s.Gap(ctx, record.Gap{Class: "x"}); err != nil {
+		bt.Expect(t, s, bt.Claim("k", "a", time.Hour), idempotency.Granted)
+		if err := s.Gap(ctx, idempotency.Gap{Class: "x"}); err != nil {
 			t.Error(from, err)
 		}
 	}
@@ -114,7 +114,7 @@
 			t.Run(fmt.Sprintf("%s %v %s", stage, fault.Reset, fault.Code), func(t *testing.T) {
 				srv := serve(t, pgserver.Config{})
 				s := mustOpen(t, config(srv.URL()))
-				bt.Expect(t, s, bt.Claim("warm", "w", time.Hour), record.Granted)
+				bt.Expect(t, s, bt.Claim("warm", "w", time.Hour), idempotency.Granted)
 				var left, hit atomic.Int64
 				srv.Inject(func(e pgserver.Event) pgserver.Fault {
 					if e.Stage == stage && strings.EqualFold(e.SQL, "commit") && left.Add(-1) >= 0 {
@@ -123,15 +123,15 @@
 					}
 					return pgserver.Fault{}
 				})
-				for n, op := range []*record.Op{bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0), bt.Send("k", "a", 1), bt.End("k", "a", record.Answered)} {
+				for n, op := range []*idempotency.Op{bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0), bt.Send("k", "a", 1), bt.End("k", "a", idempotency.Answered)} {
 					left.Store(2) // and the first try to resolve it, too
-					bt.Expect(t, s, op, record.Granted)
+					bt.Expect(t, s, op, idempotency.Granted)
 					if hit.Load() != int64(2*n+2) {
 						t.Fatalf("op %d: %d faults", n, hit.Load())
 					}
 				}
 				row, err := s.Get(ctx, "activate", "k")
-				if err != nil || row.Attempts != 2 || row.Servers != "s0,s1" || row.State != record.Answered || row.Version != 4 {
+				if err != nil || row.Attempts != 2 || row.Servers != "s0,s1" || row.State != idempotency.Answered || row.Version != 4 {
 					t.Errorf("%+v %v", row, err)
 				}
 			})
@@ -146,7 +146,7 @@
 	c := config(srv.URL())
 	c.Statement, c.Connect = 200*time.Millisecond, 200*time.Millisecond
 	s := mustOpen(t, c)
-	bt.Expect(t, s, bt.Claim("warm", "w", time.Hour), record.Granted)
+	bt.Expect(t, s, bt.Claim("warm", "w", time.Hour), idempotency.Granted)
 	always := func(f pgserver.Fault) func(pgserver.Event) pgserver.Fault {
 		return func(e pgserver.Event) pgserver.Fault { return f }
 	}
@@ -170,10 +170,10 @@
 			day.begin()
 			began := time.Now()
 			short, cancel := context.WithTimeout(ctx, 2*time.Second)
-			err := s.Apply(short, []*record.Op{bt.Claim(key, key, time.Hour)})
+			err := s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
 			for range 3 { // a kept connection may fail otherwise first
 				if err != nil && !strings.Contains(err.Error(), day.want) {
-					err = s.Apply(short, []*record.Op{bt.Claim(key, key, time.Hour)})
+					err = s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
 				}
 			}
 			cancel()
@@ -187,7 +187,7 @@
 			deadline := time.Now().Add(20 * time.Second)
 			for {
 				op := bt.Claim(key, key, time.Hour)
-				if err = s.Apply(ctx, []*record.Op{op}); err == nil && op.Result == record.Granted {
+				if err = s.Apply(ctx, []*idempotency.Op{op}); err == nil && op.Result == idempotency.Granted {
 					return
 				}
 				if time.Now().After(deadline) {
@@ -200,7 +200,7 @@
 		t.Error(err)
 	}
 	srv.SetReadOnly(true)
-	if err := s.Ping(ctx); !errors.Is(err, record.ErrReadOnly) {
+	if err := s.Ping(ctx); !errors.Is(err, idempotency.ErrReadOnly) {
 		t.Error(err)
 	}
 }
@@ -224,7 +224,7 @@
 	for n := range 10 {
 		go func() {
 			key := fmt.Sprint(n)
-			done <- s.Apply(ctx, []*record.Op{bt.Claim(key, key, time.Hour)})
+			done <- s.Apply(ctx, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
 		}()
 	}
 	for range 10 {
--- a/internal/record/record.go
+++ b/internal/idempotency/record.go
@@ -1,7 +1,7 @@
-// Package record is the contract of the store of record, and its decisions: what
+// Package idempotency is the contract of the store of record, and its decisions: what
 // is known of a request's key, and what one more event makes of it. It has no I/O,
-// clock or goroutine; internal/record/sqlite and postgres keep the rows, and
-// internal/record/keeper brings a sidecar's requests to them. docs/design/record.md
+// clock or goroutine; internal/idempotency/sqlite and postgres keep the rows, and
+// internal/idempotency/recorder brings a sidecar's requests to them. docs/design/record.md
 // has the table of promises.
 //
 // What is written when, for each request that has a key:
@@ -16,7 +16,7 @@
 //
 // The store only adds knowledge. A key that may have run never goes again: whether a
 // request that holds its claim is sent a second time is the decision module's matter.
-package record
+package idempotency
 
 import (
 	"bytes"
--- a/internal/record/record_test.go
+++ b/internal/idempotency/record_test.go
@@ -1,4 +1,4 @@
-package record
+package idempotency
 
 import (
 	"bytes"
--- a/internal/record/keeper/commit.go
+++ b/internal/idempotency/recorder/commit.go
@@ -1,4 +1,4 @@
-package keeper
+package recorder
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"martendrum/internal/record"
+	"martendrum/internal/idempotency"
 )
 
 // ErrUnavailable says that the store was not asked: it does not answer, or too much waits
@@ -22,7 +22,7 @@
 
 // job is one op that waits to be written.
 type job struct {
-	op           *record.Op
+	op           *idempotency.Op
 	until        time.Time // no use after it
 	retryOnError bool      // tried again after an error until then
 	size         int       // bytes of the answer it holds
@@ -39,7 +39,7 @@
 // Ops of one key stay in their order: each key has its shard, each shard its worker.
 type committer struct {
 	cfg     *Config
-	backend record.Backend
+	backend idempotency.Backend
 	shards  []*shard
 	seed    maphash.Seed
 	start   time.Time
@@ -49,7 +49,7 @@
 	wg      sync.WaitGroup
 
 	mu      sync.Mutex
-	breaker record.Breaker
+	breaker idempotency.Breaker
 	queued  int
 	bytes   int
 	lost    int64 // ends that were never written
@@ -67,9 +67,9 @@
 	lastWasSolo bool   // one that goes alone went last
 }
 
-func newCommitter(cfg *Config, b record.Backend) *committer {
+func newCommitter(cfg *Config, b idempotency.Backend) *committer {
 	c := &committer{cfg: cfg, backend: b, seed: maphash.MakeSeed(), start: time.Now(), end: make(chan struct{}),
-		breaker: record.NewBreaker(cfg.BreakAfter, cfg.MinBackoff, cfg.MaxBackoff)}
+		breaker: idempotency.NewBreaker(cfg.BreakAfter, cfg.MinBackoff, cfg.MaxBackoff)}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	for range max(1, cfg.Writers) {
 		s := &shard{committer: c, wake: make(chan struct{}, 1)}
@@ -273,7 +273,7 @@
 	if err == nil && took > c.cfg.slow {
 		err = fmt.Errorf("a commit took %v", took.Round(time.Millisecond))
 	}
-	if errors.Is(err, record.ErrFull) {
+	if errors.Is(err, idempotency.ErrFull) {
 		err = nil // it answers, and well
 	}
 	c.mu.Lock()
@@ -294,7 +294,7 @@
 
 func (s *shard) write(batch []*job) {
 	c := s.committer
-	ops := make([]*record.Op, len(batch))
+	ops := make([]*idempotency.Op, len(batch))
 	for n, j := range batch {
 		ops[n] = j.op
 	}
--- a/internal/record/keeper/keeper.go
+++ b/internal/idempotency/recorder/keeper.go
@@ -1,10 +1,10 @@
-// Package keeper brings a sidecar's requests to the store of record: it claims each
+// Package recorder brings a sidecar's requests to the store of record: it claims each
 // key before its request goes on, writes each attempt before its first byte and each
 // end before its answer, waits for none of it longer than a stated share of the
 // class's aim, and goes on without the store where the operator allows. What is
-// known of a key is internal/record's to decide, whether to send again the decision
+// known of a key is internal/idempotency's to decide, whether to send again the decision
 // module's.
-package keeper
+package recorder
 
 import (
 	"bytes"
@@ -22,8 +22,8 @@
 	"sync/atomic"
 	"time"
 
-	"martendrum/internal/front"
-	"martendrum/internal/record"
+	"martendrum/internal/downstream"
+	"martendrum/internal/idempotency"
 	"martendrum/internal/sidecar"
 	"martendrum/internal/upstream"
 )
@@ -31,7 +31,7 @@
 // Class is a class of requests that is recorded.
 type Class struct {
 	Name     string
-	Rule     record.Rule
+	Rule     idempotency.Rule
 	FailOpen bool          // goes on while the store is away; else refused
 	Wait     time.Duration // for each answer of the store, at most
 }
@@ -48,7 +48,7 @@
 	EndFor         time.Duration // an end that could not be written is tried again for so long
 	Lease          time.Duration // past its deadline, a claim's owner counts as alive
 	MaxAnswerBytes int           // bytes of an answer's body that are kept
-	Retention      record.Retention
+	Retention      idempotency.Retention
 	SweepInterval  time.Duration
 	BreakAfter     int // failures in a row
 	MinBackoff     time.Duration
@@ -70,7 +70,7 @@
 // Recorder is a sidecar.Recorder.
 type Recorder struct {
 	cfg       Config
-	backend   record.Backend
+	backend   idempotency.Backend
 	committer *committer
 	owner     string
 	tokens    atomic.Uint64
@@ -79,18 +79,18 @@
 	wg        sync.WaitGroup
 
 	mu     sync.Mutex
-	gaps   map[string]*record.Gap // that are not written yet, by class
+	gaps   map[string]*idempotency.Gap // that are not written yet, by class
 	counts map[string]int64
 }
 
 var _ sidecar.Recorder = (*Recorder)(nil)
 
 // New returns a Keeper over b, which it closes in the end.
-func New(cfg Config, b record.Backend) *Recorder {
+func New(cfg Config, b idempotency.Backend) *Recorder {
 	var id [12]byte
 	rand.Read(id[:])
 	k := &Recorder{cfg: cfg, backend: b, owner: hex.EncodeToString(id[:]), classes: make(map[string]*Class), end: make(chan struct{}),
-		gaps: make(map[string]*record.Gap), counts: make(map[string]int64)}
+		gaps: make(map[string]*idempotency.Gap), counts: make(map[string]int64)}
 	for n := range cfg.Classes {
 		c := &k.cfg.Classes[n]
 		k.classes[c.Name] = c
@@ -128,7 +128,7 @@
 // submit submits op and calls then once: with the store's word or, when wait is over,
 // with ErrUnavailable; the store is to blame only if wait is all of its class's, most. late
 // gets a word that comes after that; it may be nil.
-func (k *Recorder) submit(op *record.Op, limit, wait time.Duration, keep bool, then func(error), late func()) {
+func (k *Recorder) submit(op *idempotency.Op, limit, wait time.Duration, keep bool, then func(error), late func()) {
 	j := &job{op: op, retryOnError: keep, size: len(op.Answer) + len(op.Header), until: time.Now().Add(wait)}
 	if keep {
 		j.until = time.Now().Add(k.cfg.EndFor)
@@ -160,7 +160,7 @@
 }
 
 // Begin implements sidecar.Recorder.
-func (k *Recorder) Begin(x *front.Exchange, left time.Duration, then func(sidecar.Verdict)) {
+func (k *Recorder) Begin(x *downstream.Exchange, left time.Duration, then func(sidecar.Verdict)) {
 	class := k.classes[x.Class]
 	if class == nil {
 		then(sidecar.Verdict{})
@@ -170,16 +170,16 @@
 	if err != nil {
 		k.count("no key")
 		why := strings.Map(printable, err.Error())
-		then(sidecar.Verdict{Answer: func(x *front.Exchange) { x.Deny(http.StatusBadRequest, why, 0) }})
+		then(sidecar.Verdict{Answer: func(x *downstream.Exchange) { x.Deny(http.StatusBadRequest, why, 0) }})
 		return
 	}
-	id, _ := record.Field(x.Request.Head, "Req-Id") // the front saw to it
+	id, _ := idempotency.Field(x.Request.Head, "Req-Id") // the front saw to it
 	e := &entry{k: k, class: class, key: key, lease: left + k.cfg.Lease,
-		token: fmt.Sprintf("%s-%d", k.owner, k.tokens.Add(1)), body: record.Fingerprint(x.Request.Head, x.Tenant, x.Request.Body), request: clean(id)}
-	op := e.op(record.Claim)
+		token: fmt.Sprintf("%s-%d", k.owner, k.tokens.Add(1)), body: idempotency.Fingerprint(x.Request.Head, x.Tenant, x.Request.Body), request: clean(id)}
+	op := e.op(idempotency.Claim)
 	release := func() {
-		if op.Result == record.Granted && !class.FailOpen {
-			k.submit(e.endOp(record.NeverRan), class.Wait, class.Wait, true, func(error) {}, nil) // its client was turned away meanwhile
+		if op.Result == idempotency.Granted && !class.FailOpen {
+			k.submit(e.endOp(idempotency.NeverRan), class.Wait, class.Wait, true, func(error) {}, nil) // its client was turned away meanwhile
 		}
 	}
 	k.submit(op, class.Wait, min(class.Wait, left/4), false, func(err error) {
@@ -192,10 +192,10 @@
 		default:
 			k.count("refused")
 			if !errors.Is(err, ErrUnavailable) { // it may have been written all the same
-				op.Result = record.Granted
+				op.Result = idempotency.Granted
 				release()
 			}
-			then(sidecar.Verdict{Answer: func(x *front.Exchange) { x.Reject(unavailableRetry) }})
+			then(sidecar.Verdict{Answer: func(x *downstream.Exchange) { x.Reject(unavailableRetry) }})
 		}
 	}, release)
 }
@@ -213,25 +213,25 @@
 }
 
 // verdict is what the store's word on a claim means for its request.
-func (k *Recorder) verdict(e *entry, op *record.Op) sidecar.Verdict {
+func (k *Recorder) verdict(e *entry, op *idempotency.Op) sidecar.Verdict {
 	k.count("claims " + op.Result.String())
 	deny := func(status int, why string, after time.Duration) sidecar.Verdict {
-		return sidecar.Verdict{Answer: func(x *front.Exchange) { x.Deny(status, why, after) }}
+		return sidecar.Verdict{Answer: func(x *downstream.Exchange) { x.Deny(status, why, after) }}
 	}
 	row := &op.Entry
 	switch op.Result {
-	case record.Granted:
+	case idempotency.Granted:
 		return sidecar.Verdict{Entry: e}
-	case record.Busy:
+	case idempotency.Busy:
 		return deny(http.StatusConflict, "in-flight; ask again with the same key", busyRetry)
-	case record.Mismatched:
+	case idempotency.Mismatched:
 		return deny(http.StatusUnprocessableEntity, "key-reused; the key belongs to a request that asked for something else", 0)
-	case record.Known:
+	case idempotency.Known:
 		if row.Cut || row.Settled != "" {
 			return deny(http.StatusConflict, "answered; it ran, and its answer is not kept", 0)
 		}
 		ans := &upstream.Answer{Header: parseHeader(row.Header), Body: row.Answer}
-		return sidecar.Verdict{Answer: func(x *front.Exchange) { x.Serve(ans) }}
+		return sidecar.Verdict{Answer: func(x *downstream.Exchange) { x.Serve(ans) }}
 	}
 	return deny(http.StatusConflict, "may-have-run; it is not sent again, the shop's staff must settle it", 0)
 }
@@ -252,12 +252,12 @@
 	gapped bool
 }
 
-func (e *entry) op(kind record.Kind) *record.Op {
-	return &record.Op{Kind: kind, Class: e.class.Name, Key: e.key, Token: e.token, Owner: e.k.owner, Body: e.body, Request: e.request, Lease: e.lease}
+func (e *entry) op(kind idempotency.Kind) *idempotency.Op {
+	return &idempotency.Op{Kind: kind, Class: e.class.Name, Key: e.key, Token: e.token, Owner: e.k.owner, Body: e.body, Request: e.request, Lease: e.lease}
 }
 
-func (e *entry) endOp(to record.State) *record.Op {
-	op := e.op(record.End)
+func (e *entry) endOp(to idempotency.State) *idempotency.Op {
+	op := e.op(idempotency.End)
 	op.To = to
 	return op
 }
@@ -278,7 +278,7 @@
 	k.counts["gaps"]++
 	g := k.gaps[e.class.Name]
 	if g == nil {
-		g = &record.Gap{Owner: k.owner, Class: e.class.Name, From: now, Cause: clean(cause.Error())}
+		g = &idempotency.Gap{Owner: k.owner, Class: e.class.Name, From: now, Cause: clean(cause.Error())}
 		k.gaps[e.class.Name] = g
 	}
 	g.Until = now
@@ -294,11 +294,11 @@
 		then(e.class.FailOpen && !fenced)
 		return
 	}
-	op := e.op(record.Send)
+	op := e.op(idempotency.Send)
 	op.Attempt, op.Server = n, clean(server)
 	e.k.submit(op, e.class.Wait, e.class.Wait, false, func(err error) {
 		switch {
-		case err == nil && op.Result == record.Granted:
+		case err == nil && op.Result == idempotency.Granted:
 			then(true)
 		case err == nil:
 			e.k.count("fenced")
@@ -319,7 +319,7 @@
 }
 
 // states are what the sidecar's ends are to the record.
-var states = map[sidecar.End]record.State{sidecar.Served: record.Answered, sidecar.NeverRan: record.NeverRan, sidecar.MayHaveRun: record.MayHaveRun}
+var states = map[sidecar.End]idempotency.State{sidecar.Served: idempotency.Answered, sidecar.NeverRan: idempotency.NeverRan, sidecar.MayHaveRun: idempotency.MayHaveRun}
 
 // End implements sidecar.Entry.
 func (e *entry) End(end sidecar.End, ans *upstream.Answer, left time.Duration, then func()) {
@@ -408,7 +408,7 @@
 func (k *Recorder) WriteGaps(within context.Context) {
 	k.mu.Lock()
 	gaps := k.gaps
-	k.gaps = make(map[string]*record.Gap)
+	k.gaps = make(map[string]*idempotency.Gap)
 	k.mu.Unlock()
 	for class, g := range gaps {
 		ctx, cancel := context.WithTimeout(within, k.cfg.Statement)
--- a/internal/record/sqlite/compat_test.go
+++ b/internal/idempotency/sqlite/compat_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"martendrum/internal/goldentest"
-	"martendrum/internal/record"
-	bt "martendrum/internal/record/backendtest"
+	"martendrum/internal/idempotency"
+	bt "martendrum/internal/idempotency/backendtest"
 )
 
 // writeStored makes a record at path with a key in each state.
@@ -19,16 +19,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := bt.End("cut", "e", record.Answered)
+	cut := bt.End("cut", "e", idempotency.Answered)
 	cut.Answer, cut.Cut = nil, true
-	settled := &record.Op{Kind: record.Settle, Class: "activate", Key: "settled", To: record.NeverRan, By: "sari", Note: "asked the network"}
+	settled := &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: "settled", To: idempotency.NeverRan, By: "sari", Note: "asked the network"}
 	bt.Apply(t, s, bt.Claim("claimed", "a", time.Hour), bt.Claim("sent", "b", time.Hour), bt.Send("sent", "b", 0), bt.Send("sent", "b", 1),
-		bt.Claim("answered", "c", time.Hour), bt.Send("answered", "c", 0), bt.End("answered", "c", record.Answered),
-		bt.Claim("never", "d", time.Hour), bt.End("never", "d", record.NeverRan),
+		bt.Claim("answered", "c", time.Hour), bt.Send("answered", "c", 0), bt.End("answered", "c", idempotency.Answered),
+		bt.Claim("never", "d", time.Hour), bt.End("never", "d", idempotency.NeverRan),
 		bt.Claim("cut", "e", time.Hour), bt.Send("cut", "e", 0), cut,
-		bt.Claim("may", "f", time.Hour), bt.Send("may", "f", 0), bt.End("may", "f", record.MayHaveRun),
-		bt.Claim("settled", "g", time.Hour), bt.Send("settled", "g", 0), bt.End("settled", "g", record.MayHaveRun), settled)
-	if err := s.Gap(ctx, record.Gap{Owner: "o", Class: "activate", From: 1, Until: 2, Requests: 3, Cause: "the store is away"}); err != nil {
+		bt.Claim("may", "f", time.Hour), bt.Send("may", "f", 0), bt.End("may", "f", idempotency.MayHaveRun),
+		bt.Claim("settled", "g", time.Hour), bt.Send("settled", "g", 0), bt.End("settled", "g", idempotency.MayHaveRun), settled)
+	if err := s.Gap(ctx, idempotency.Gap{Owner: "o", Class: "activate", From: 1, Until: 2, Requests: 3, Cause: "the store is away"}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
@@ -37,7 +37,7 @@
 }
 
 // rowText is what a row says but for times.
-func rowText(row record.Entry) string {
+func rowText(row idempotency.Entry) string {
 	return fmt.Sprintf("%s %s %s %x %s %s %s %d %q %d %q %q %v %q %q", row.Class, row.Key, row.State, row.Body, row.Owner, row.Token, row.Request,
 		row.Attempts, row.Servers, row.Status, row.Header, row.Answer, row.Cut, row.Settled, row.Note)
 }
@@ -66,17 +66,17 @@
 	}
 	old, again := reader(earlier), reader(written)
 	for key, want := range map[string]struct {
-		state    record.State
+		state    idempotency.State
 		attempts int64
 		servers  string
 	}{
-		"claimed":  {record.InFlight, 0, ""},
-		"sent":     {record.InFlight, 2, "s0,s1"},
-		"answered": {record.Answered, 1, "s0"},
-		"never":    {record.NeverRan, 0, ""},
-		"cut":      {record.Answered, 1, "s0"},
-		"may":      {record.MayHaveRun, 1, "s0"},
-		"settled":  {record.NeverRan, 1, "s0"},
+		"claimed":  {idempotency.InFlight, 0, ""},
+		"sent":     {idempotency.InFlight, 2, "s0,s1"},
+		"answered": {idempotency.Answered, 1, "s0"},
+		"never":    {idempotency.NeverRan, 0, ""},
+		"cut":      {idempotency.Answered, 1, "s0"},
+		"may":      {idempotency.MayHaveRun, 1, "s0"},
+		"settled":  {idempotency.NeverRan, 1, "s0"},
 	} {
 		t.Run(key, func(t *testing.T) {
 			row, err := old.Get(ctx, "activate", key)
@@ -100,7 +100,7 @@
 	if row, err := old.Get(ctx, "activate", "settled"); err != nil || row.Settled != "sari" || row.Note != "asked the network" {
 		t.Errorf("the settled key came back as %+v, %v", row, err)
 	}
-	if gaps, err := old.Gaps(ctx, 10); err != nil || len(gaps) != 1 || gaps[0] != (record.Gap{Owner: "o", Class: "activate", From: 1, Until: 2, Requests: 3, Cause: "the store is away"}) {
+	if gaps, err := old.Gaps(ctx, 10); err != nil || len(gaps) != 1 || gaps[0] != (idempotency.Gap{Owner: "o", Class: "activate", From: 1, Until: 2, Requests: 3, Cause: "the store is away"}) {
 		t.Errorf("gaps %+v, %v", gaps, err)
 	}
 }
--- a/internal/record/sqlite/keys_capacity_test.go
+++ b/internal/idempotency/sqlite/keys_capacity_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"martendrum/internal/record"
-	bt "martendrum/internal/record/backendtest"
+	"martendrum/internal/idempotency"
+	bt "martendrum/internal/idempotency/backendtest"
 )
 
 // maxCapacityRecord is the bound of the record's file in the capacity benchmark.
@@ -55,19 +55,19 @@
 }
 
 // lifeOfKey is what a request with a key brings to the record.
-func lifeOfKey(key string) []*record.Op {
-	end := bt.End(key, key, record.Answered)
+func lifeOfKey(key string) []*idempotency.Op {
+	end := bt.End(key, key, idempotency.Answered)
 	end.Answer = bytes.Repeat([]byte{'a'}, capacityAnswer)
-	return []*record.Op{bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), end}
+	return []*idempotency.Op{bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), end}
 }
 
-func applyAll(b *testing.B, store *Store, operations ...*record.Op) {
+func applyAll(b *testing.B, store *Store, operations ...*idempotency.Op) {
 	b.Helper()
 	if err := store.Apply(ctx, operations); err != nil {
 		b.Fatal(err)
 	}
 	for _, operation := range operations {
-		if operation.Result != record.Granted {
+		if operation.Result != idempotency.Granted {
 			b.Fatalf("%s: %v", operation.Key, operation.Result)
 		}
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	var operations []*record.Op
+	var operations []*idempotency.Op
 	for key := range keys {
 		operations = append(operations, lifeOfKey(fmt.Sprint("key-", key))...)
 		if (key+1)%capacityCommit == 0 || key+1 == keys {
--- a/internal/record/sqlite/sqlite.go
+++ b/internal/idempotency/sqlite/sqlite.go
@@ -19,7 +19,7 @@
 	lib "modernc.org/sqlite/lib"
 
 	"martendrum/internal/filelock"
-	"martendrum/internal/record"
+	"martendrum/internal/idempotency"
 	"martendrum/internal/sqlitefile"
 )
 
@@ -57,7 +57,7 @@
 type Config struct {
 	Path      string
 	MaxBytes  int64 // bytes
-	Retention record.Retention
+	Retention idempotency.Retention
 	// Owner takes the file for one sidecar: what an earlier owner left in flight is
 	// made what is known of it. Without it the file must be there already.
 	Owner bool
@@ -74,7 +74,7 @@
 	lock *os.File
 	// shared says that another process owns the file together with this one, or did.
 	shared atomic.Bool
-	clock  record.Clock
+	clock  idempotency.Clock
 	limit  int64 // pages
 
 	mu    sync.Mutex // one writer; guards the prepared statements
@@ -203,7 +203,7 @@
 		return err
 	}
 	wall := time.Now()
-	s.clock = record.NewClock(saved, wall, s.cfg.Retention)
+	s.clock = idempotency.NewClock(saved, wall, s.cfg.Retention)
 	var err error
 	prepare := func(q string) (st *sql.Stmt) {
 		if err == nil {
@@ -211,8 +211,8 @@
 		}
 		return st
 	}
-	s.get = prepare("SELECT " + record.Columns + " FROM record WHERE class = ? AND key = ?")
-	s.put = prepare("INSERT OR REPLACE INTO record (" + record.Columns + ") VALUES (?" + strings.Repeat(",?", strings.Count(record.Columns, ",")) + ")")
+	s.get = prepare("SELECT " + idempotency.Columns + " FROM record WHERE class = ? AND key = ?")
+	s.put = prepare("INSERT OR REPLACE INTO record (" + idempotency.Columns + ") VALUES (?" + strings.Repeat(",?", strings.Count(idempotency.Columns, ",")) + ")")
 	s.pages = prepare("SELECT p.page_count - f.freelist_count FROM pragma_page_count p, pragma_freelist_count f")
 	if err != nil || !s.cfg.Owner || s.cfg.Lock != nil {
 		return err
@@ -221,7 +221,7 @@
 	// here of all.
 	now := s.clock.At(wall)
 	return s.write(ctx, func(tx *sql.Tx) error {
-		if _, err := tx.ExecContext(ctx, `UPDATE record SET `+record.Lapsed+`, changed = ? WHERE state = 'in-flight'`, now); err != nil {
+		if _, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.Lapsed+`, changed = ? WHERE state = 'in-flight'`, now); err != nil {
 			return err
 		}
 		return s.save(ctx, tx, now)
@@ -261,9 +261,9 @@
 	case 0:
 		return err
 	case lib.SQLITE_FULL:
-		return fmt.Errorf("%w: raise its bound, or free space on the disk: %w", record.ErrFull, err)
+		return fmt.Errorf("%w: raise its bound, or free space on the disk: %w", idempotency.ErrFull, err)
 	case lib.SQLITE_READONLY, lib.SQLITE_PERM, lib.SQLITE_CANTOPEN:
-		return fmt.Errorf("%w: the sidecar's user must be able to write the file and its folder: %w", record.ErrReadOnly, err)
+		return fmt.Errorf("%w: the sidecar's user must be able to write the file and its folder: %w", idempotency.ErrReadOnly, err)
 	case lib.SQLITE_BUSY, lib.SQLITE_LOCKED:
 		return fmt.Errorf("locked by another program for longer than 3 s: end what has it open: %w", err)
 	case lib.SQLITE_CORRUPT, lib.SQLITE_NOTADB:
@@ -287,7 +287,7 @@
 }
 
 // Apply implements record.Backend.
-func (s *Store) Apply(ctx context.Context, ops []*record.Op) error {
+func (s *Store) Apply(ctx context.Context, ops []*idempotency.Op) error {
 	err := s.write(ctx, func(tx *sql.Tx) error {
 		get, put := tx.StmtContext(ctx, s.get), tx.StmtContext(ctx, s.put)
 		now := s.clock.At(time.Now())
@@ -297,14 +297,14 @@
 		}
 		full := float64(used) > claimRoom*float64(s.limit)
 		for _, op := range ops {
-			if full && op.Kind == record.Claim {
-				return fmt.Errorf("%w: %d of %d pages are used; raise its bound, or settle and drop", record.ErrFull, used, s.limit)
+			if full && op.Kind == idempotency.Claim {
+				return fmt.Errorf("%w: %d of %d pages are used; raise its bound, or settle and drop", idempotency.ErrFull, used, s.limit)
 			}
 			row, err := scan(get.QueryRowContext(ctx, op.Class, op.Key))
 			if err != nil {
 				return err
 			}
-			if record.Apply(&row, now, op) {
+			if idempotency.Apply(&row, now, op) {
 				if _, err := put.ExecContext(ctx, row.Values()...); err != nil {
 					return err
 				}
@@ -314,32 +314,32 @@
 	})
 	if err != nil {
 		for _, op := range ops {
-			op.Result = record.None
+			op.Result = idempotency.None
 		}
 		return fmt.Errorf("record %s: %w", s.cfg.Path, err)
 	}
 	return nil
 }
 
-func scan(r *sql.Row) (row record.Entry, err error) {
+func scan(r *sql.Row) (row idempotency.Entry, err error) {
 	if err = r.Scan(row.Fields()...); errors.Is(err, sql.ErrNoRows) {
-		return record.Entry{}, nil
+		return idempotency.Entry{}, nil
 	}
 	return row, err
 }
 
 // Get implements record.Backend.
-func (s *Store) Get(ctx context.Context, class, key string) (record.Entry, error) {
+func (s *Store) Get(ctx context.Context, class, key string) (idempotency.Entry, error) {
 	row, err := scan(s.get.QueryRowContext(ctx, class, key))
 	return row, explain(err)
 }
 
 // List implements record.Backend.
-func (s *Store) List(ctx context.Context, f record.Filter) (out []record.Entry, err error) {
-	err = s.each(ctx, `SELECT `+strings.Replace(record.Columns, "answer,", "x'' AS answer,", 1)+` FROM record
+func (s *Store) List(ctx context.Context, f idempotency.Filter) (out []idempotency.Entry, err error) {
+	err = s.each(ctx, `SELECT `+strings.Replace(idempotency.Columns, "answer,", "x'' AS answer,", 1)+` FROM record
 		WHERE (?1 = '' OR state = ?1) AND (?2 = '' OR class = ?2) AND changed >= ?3 AND (class, key) > (?4, ?5)
 		ORDER BY class, key LIMIT ?6`, func(rows *sql.Rows) error {
-		var r record.Entry
+		var r idempotency.Entry
 		err := rows.Scan(r.Fields()...)
 		out = append(out, r)
 		return err
@@ -352,17 +352,17 @@
 }
 
 // Sweep implements record.Backend.
-func (s *Store) Sweep(ctx context.Context, keep record.Retention, limit int) (n int, err error) {
+func (s *Store) Sweep(ctx context.Context, keep idempotency.Retention, limit int) (n int, err error) {
 	err = s.write(ctx, func(tx *sql.Tx) error {
 		n = 0
 		now := s.clock.At(time.Now())
-		lapsed, err := tx.ExecContext(ctx, `UPDATE record SET `+record.Lapsed+`, changed = ?1 WHERE (class, key) IN
+		lapsed, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.Lapsed+`, changed = ?1 WHERE (class, key) IN
 			(SELECT class, key FROM record WHERE state = 'in-flight' AND expires <= ?1 LIMIT ?2)`, now, limit)
 		if err != nil {
 			return err
 		}
 		n += affected(lapsed)
-		for _, state := range record.States {
+		for _, state := range idempotency.States {
 			kept := keep.For(state)
 			if kept <= 0 || n >= limit {
 				continue
@@ -390,7 +390,7 @@
 }
 
 // Gap implements record.Backend.
-func (s *Store) Gap(ctx context.Context, g record.Gap) error {
+func (s *Store) Gap(ctx context.Context, g idempotency.Gap) error {
 	return s.write(ctx, func(tx *sql.Tx) error {
 		if _, err := tx.ExecContext(ctx, "INSERT INTO gaps (owner, class, since, until, requests, cause) VALUES (?,?,?,?,?,?)",
 			g.Owner, g.Class, g.From, g.Until, g.Requests, g.Cause); err != nil {
@@ -402,9 +402,9 @@
 }
 
 // Gaps implements record.Backend.
-func (s *Store) Gaps(ctx context.Context, limit int) (out []record.Gap, err error) {
+func (s *Store) Gaps(ctx context.Context, limit int) (out []idempotency.Gap, err error) {
 	err = s.each(ctx, "SELECT owner, class, since, until, requests, cause FROM gaps ORDER BY n DESC LIMIT ?", func(rows *sql.Rows) error {
-		var g record.Gap
+		var g idempotency.Gap
 		err := rows.Scan(&g.Owner, &g.Class, &g.From, &g.Until, &g.Requests, &g.Cause)
 		out = append(out, g)
 		return err
@@ -413,14 +413,14 @@
 }
 
 // Stats implements record.Backend.
-func (s *Store) Stats(ctx context.Context) (st record.Stats, err error) {
-	st = record.Stats{Rows: make(map[record.State]int64), MaxBytes: s.limit * pageSize}
+func (s *Store) Stats(ctx context.Context) (st idempotency.Stats, err error) {
+	st = idempotency.Stats{Rows: make(map[idempotency.State]int64), MaxBytes: s.limit * pageSize}
 	if err := s.pages.QueryRowContext(ctx).Scan(&st.Bytes); err != nil {
 		return st, explain(err)
 	}
 	st.Bytes *= pageSize
 	return st, s.each(ctx, "SELECT state, count(*) FROM record GROUP BY state", func(rows *sql.Rows) error {
-		var state record.State
+		var state idempotency.State
 		var n int64
 		err := rows.Scan(&state, &n)
 		st.Rows[state] = n
@@ -433,7 +433,7 @@
 	for _, q := range []string{"PRAGMA integrity_check(20)",
 		`SELECT 'row ' || class || ' ' || quote(key) || ': ' || CASE WHEN state NOT IN ('in-flight','answered','never-ran','may-have-run') THEN 'unknown state ' || quote(state)
 			WHEN length(body) <> 32 THEN 'fingerprint of ' || length(body) || ' bytes' WHEN token = '' THEN 'no token' ELSE 'answered without a status' END
-		FROM record WHERE ` + record.Impossible + ` LIMIT 20`} {
+		FROM record WHERE ` + idempotency.Impossible + ` LIMIT 20`} {
 		rows, err := s.db.QueryContext(ctx, q)
 		if err != nil {
 			return found, explain(err)
--- a/internal/record/sqlite/sqlite_test.go
+++ b/internal/idempotency/sqlite/sqlite_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"martendrum/internal/record"
-	bt "martendrum/internal/record/backendtest"
+	"martendrum/internal/idempotency"
+	bt "martendrum/internal/idempotency/backendtest"
 )
 
 var ctx = context.Background()
@@ -32,7 +32,9 @@
 }
 
 func TestBackend(t *testing.T) {
-	bt.Run(t, func(t *testing.T) record.Backend { return mustOpen(t, cfg(filepath.Join(t.TempDir(), "a b?#%.db"))) })
+	bt.Run(t, func(t *testing.T) idempotency.Backend {
+		return mustOpen(t, cfg(filepath.Join(t.TempDir(), "a b?#%.db")))
+	})
 }
 
 func TestPragmas(t *testing.T) {
@@ -50,12 +52,12 @@
 	path := filepath.Join(t.TempDir(), "r.db")
 	s := mustOpen(t, cfg(path))
 	bt.Apply(t, s, bt.Claim("sent", "a", time.Hour), bt.Send("sent", "a", 0), bt.Claim("unsent", "b", time.Hour),
-		bt.Claim("done", "c", time.Hour), bt.Send("done", "c", 0), bt.End("done", "c", record.Answered))
+		bt.Claim("done", "c", time.Hour), bt.Send("done", "c", 0), bt.End("done", "c", idempotency.Answered))
 	s.Close()
 	s = mustOpen(t, cfg(path))
-	bt.Expect(t, s, bt.Claim("sent", "x", time.Hour), record.Unsettled)
-	bt.Expect(t, s, bt.Claim("unsent", "x", time.Hour), record.Granted)
-	bt.Expect(t, s, bt.Claim("done", "x", time.Hour), record.Known)
+	bt.Expect(t, s, bt.Claim("sent", "x", time.Hour), idempotency.Unsettled)
+	bt.Expect(t, s, bt.Claim("unsent", "x", time.Hour), idempotency.Granted)
+	bt.Expect(t, s, bt.Claim("done", "x", time.Hour), idempotency.Known)
 }
 
 // Two processes share a file's ownership: what each has in flight stands as long as
@@ -71,18 +73,18 @@
 	c := cfg(path)
 	c.Lock = os.NewFile(uintptr(passed), "passed")
 	next := mustOpen(t, c)
-	bt.Expect(t, next, bt.Claim("k", "b", time.Hour), record.Busy)
+	bt.Expect(t, next, bt.Claim("k", "b", time.Hour), idempotency.Busy)
 	bt.Apply(t, next, bt.Claim("n", "b", time.Hour), bt.Send("n", "b", 0))
-	bt.Apply(t, old, bt.End("k", "a", record.Answered))
-	bt.Expect(t, next, bt.Claim("k", "c", time.Hour), record.Known)
+	bt.Apply(t, old, bt.End("k", "a", idempotency.Answered))
+	bt.Expect(t, next, bt.Claim("k", "c", time.Hour), idempotency.Known)
 	old.Close()
 	if s, err := Open(ctx, cfg(path)); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("locked by process %d", os.Getpid())) {
 		t.Errorf("a third owner: %v %v", s, err)
 	}
-	bt.Expect(t, next, bt.Claim("n", "c", time.Hour), record.Busy)
+	bt.Expect(t, next, bt.Claim("n", "c", time.Hour), idempotency.Busy)
 	next.Close()
 	last := mustOpen(t, cfg(path))
-	bt.Expect(t, last, bt.Claim("n", "d", time.Hour), record.Unsettled)
+	bt.Expect(t, last, bt.Claim("n", "d", time.Hour), idempotency.Unsettled)
 	// The ownership of another file is no use, and what can't be used is closed.
 	other := cfg(filepath.Join(t.TempDir(), "other.db"))
 	mustOpen(t, other).Close()
@@ -104,8 +106,8 @@
 		}
 		old.Close()
 		s := mustOpen(t, cfg(path))
-		bt.Expect(t, s, bt.Claim("k", "a", time.Hour), record.Granted)
-		if err := s.Gap(ctx, record.Gap{Class: "x"}); err != nil {
+		bt.Expect(t, s, bt.Claim("k", "a", time.Hour), idempotency.Granted)
+		if err := s.Gap(ctx, idempotency.Gap{Class: "x"}); err != nil {
 			t.Error(from, err)
 		}
 	}
@@ -116,9 +118,9 @@
 	t.Helper()
 	for ; n < 5000; n++ {
 		key := fmt.Sprint("fill", n)
-		end := bt.End(key, key, record.Answered)
+		end := bt.End(key, key, idempotency.Answered)
 		end.Answer = make([]byte, 20000)
-		if err = s.Apply(ctx, []*record.Op{bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), end}); err != nil {
+		if err = s.Apply(ctx, []*idempotency.Op{bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), end}); err != nil {
 			break
 		}
 	}
@@ -133,20 +135,20 @@
 	s := mustOpen(t, c)
 	bt.Apply(t, s, bt.Claim("flying", "f", time.Hour), bt.Send("flying", "f", 0))
 	n, err := fill(t, s)
-	if !errors.Is(err, record.ErrFull) || !strings.Contains(err.Error(), c.Path) {
+	if !errors.Is(err, idempotency.ErrFull) || !strings.Contains(err.Error(), c.Path) {
 		t.Fatalf("after %d: %v", n, err)
 	}
-	bt.Expect(t, s, bt.End("flying", "f", record.Answered), record.Granted)
+	bt.Expect(t, s, bt.End("flying", "f", idempotency.Answered), idempotency.Granted)
 	for k := range n {
-		if row, err := s.Get(ctx, "activate", fmt.Sprint("fill", k)); err != nil || row.State != record.Answered {
+		if row, err := s.Get(ctx, "activate", fmt.Sprint("fill", k)); err != nil || row.State != idempotency.Answered {
 			t.Fatalf("%d of %d: %+v %v", k, n, row.State, err)
 		}
 	}
 	time.Sleep(2 * time.Millisecond)
-	if n, err := s.Sweep(ctx, record.Retention{Answered: time.Millisecond, NeverRan: time.Hour, Unsettled: time.Hour}, 10000); err != nil || n == 0 {
+	if n, err := s.Sweep(ctx, idempotency.Retention{Answered: time.Millisecond, NeverRan: time.Hour, Unsettled: time.Hour}, 10000); err != nil || n == 0 {
 		t.Fatal(n, err)
 	}
-	bt.Expect(t, s, bt.Claim("new", "n", time.Hour), record.Granted)
+	bt.Expect(t, s, bt.Claim("new", "n", time.Hour), idempotency.Granted)
 	if st, err := os.Stat(c.Path); err != nil || st.Size() > 1<<20 {
 		t.Error(st.Size(), err)
 	}
@@ -174,7 +176,7 @@
 	if got, _ := os.ReadFile(path("noise")); string(got) != string(noise) {
 		t.Error("the damaged file was changed")
 	}
-	bt.Expect(t, held, bt.Claim("k", "a", time.Hour), record.Granted)
+	bt.Expect(t, held, bt.Claim("k", "a", time.Hour), idempotency.Granted)
 
 	// A torn log: cut at each of many places it holds a whole number of batches, the
 	// first ones, or is said to be damaged. Nothing is made up.
@@ -183,7 +185,7 @@
 	var ends [batches]int64
 	for n := range batches {
 		key := fmt.Sprintf("k%02d", n)
-		bt.Apply(t, live, bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), bt.End(key, key, record.Answered))
+		bt.Apply(t, live, bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), bt.End(key, key, idempotency.Answered))
 		st, err := os.Stat(path("live") + "-wal")
 		if err != nil {
 			t.Fatal(err)
@@ -213,15 +215,15 @@
 			gone := false
 			for n := range batches {
 				row, err := s.Get(ctx, "activate", fmt.Sprintf("k%02d", n))
-				if err != nil || row.State != record.Unknown && row.State != record.Answered {
+				if err != nil || row.State != idempotency.Unknown && row.State != idempotency.Answered {
 					t.Fatalf("cut at %d: key %d is %+v %v", cut, n, row, err)
 				}
-				if row.State == record.Unknown {
+				if row.State == idempotency.Unknown {
 					gone = true
 				} else if gone {
 					t.Fatalf("cut at %d: key %d is there and one before it is not", cut, n)
 				}
-				if !flip && row.State == record.Unknown && ends[n] <= int64(cut) {
+				if !flip && row.State == idempotency.Unknown && ends[n] <= int64(cut) {
 					t.Fatalf("cut at %d: key %d was whole and is gone", cut, n)
 				}
 			}
@@ -262,11 +264,11 @@
 func TestBesideItsOwner(t *testing.T) {
 	c := cfg(filepath.Join(t.TempDir(), "r.db"))
 	owner := mustOpen(t, c)
-	bt.Apply(t, owner, bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0), bt.End("k", "a", record.MayHaveRun))
+	bt.Apply(t, owner, bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0), bt.End("k", "a", idempotency.MayHaveRun))
 	c.Owner = false
 	staff := mustOpen(t, c)
-	bt.Expect(t, staff, &record.Op{Kind: record.Settle, Class: "activate", Key: "k", To: record.NeverRan, By: "sari"}, record.Granted)
-	bt.Expect(t, owner, bt.Claim("k", "b", time.Hour), record.Granted)
+	bt.Expect(t, staff, &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: "k", To: idempotency.NeverRan, By: "sari"}, idempotency.Granted)
+	bt.Expect(t, owner, bt.Claim("k", "b", time.Hour), idempotency.Granted)
 	c.Path += "x"
 	if _, err := Open(ctx, c); err == nil || !strings.Contains(err.Error(), "no such file") {
 		t.Error(err)
--- a/internal/record/conf/conf.go
+++ b/internal/idempotency/storeconfig/conf.go
@@ -1,6 +1,6 @@
-// Package conf reads the operator's file for the store of record, deploy/record.toml,
+// Package storeconfig reads the operator's file for the store of record, deploy/record.toml,
 // and opens the store that it names.
-package conf
+package storeconfig
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"time"
 
 	"martendrum"
-	"martendrum/internal/fleet/units"
-	"martendrum/internal/record"
-	"martendrum/internal/record/keeper"
-	"martendrum/internal/record/postgres"
-	"martendrum/internal/record/sqlite"
+	"martendrum/internal/idempotency"
+	"martendrum/internal/idempotency/postgres"
+	"martendrum/internal/idempotency/recorder"
+	"martendrum/internal/idempotency/sqlite"
+	"martendrum/internal/quantity"
 	"martendrum/internal/settings"
 )
 
@@ -21,43 +21,43 @@
 type Config struct {
 	Store  string `toml:"store"`
 	SQLite struct {
-		Path string      `toml:"path"`
-		Most units.Bytes `toml:"most"`
+		Path string         `toml:"path"`
+		Most quantity.Bytes `toml:"most"`
 	} `toml:"sqlite"`
 	Postgres struct {
-		URL          string         `toml:"url"`
-		PasswordFile string         `toml:"password_file"`
-		CA           string         `toml:"ca"`
-		Connections  int            `toml:"connections"`
-		Connect      units.Duration `toml:"connect"`
+		URL          string            `toml:"url"`
+		PasswordFile string            `toml:"password_file"`
+		CA           string            `toml:"ca"`
+		Connections  int               `toml:"connections"`
+		Connect      quantity.Duration `toml:"connect"`
 	} `toml:"postgres"`
 	Wait struct {
-		Share     float64        `toml:"share"`
-		Statement units.Duration `toml:"statement"`
-		EndFor    units.Duration `toml:"end_for"`
-		Lease     units.Duration `toml:"lease"`
+		Share     float64           `toml:"share"`
+		Statement quantity.Duration `toml:"statement"`
+		EndFor    quantity.Duration `toml:"end_for"`
+		Lease     quantity.Duration `toml:"lease"`
 	} `toml:"wait"`
 	Keep struct {
-		Answered      units.Duration `toml:"answered"`
-		NeverRan      units.Duration `toml:"never_ran"`
-		Unsettled     units.Duration `toml:"may_have_run"`
-		Answer        units.Bytes    `toml:"answer"`
-		SweepInterval units.Duration `toml:"sweep_each"`
+		Answered      quantity.Duration `toml:"answered"`
+		NeverRan      quantity.Duration `toml:"never_ran"`
+		Unsettled     quantity.Duration `toml:"may_have_run"`
+		Answer        quantity.Bytes    `toml:"answer"`
+		SweepInterval quantity.Duration `toml:"sweep_each"`
 	} `toml:"keep"`
 	Queue struct {
-		Ops   int         `toml:"ops"`
-		Bytes units.Bytes `toml:"bytes"`
-		Batch int         `toml:"batch"`
+		Ops   int            `toml:"ops"`
+		Bytes quantity.Bytes `toml:"bytes"`
+		Batch int            `toml:"batch"`
 	} `toml:"queue"`
 	Breaker struct {
-		After int            `toml:"after"`
-		Least units.Duration `toml:"pause_min"`
-		Most  units.Duration `toml:"pause_max"`
+		After int               `toml:"after"`
+		Least quantity.Duration `toml:"pause_min"`
+		Most  quantity.Duration `toml:"pause_max"`
 	} `toml:"breaker"`
 	Classes []Class `toml:"class"`
 
 	path  string
-	rules []record.Rule
+	rules []idempotency.Rule
 }
 
 // Class is one class that is recorded.
@@ -75,17 +75,17 @@
 // Load reads and checks a file. Errors name the file and the place.
 func Load(path string) (*Config, error) {
 	c := &Config{path: path}
-	d := func(v time.Duration) units.Duration { return units.Duration(v) }
+	d := func(v time.Duration) quantity.Duration { return quantity.Duration(v) }
 	c.SQLite.Path, c.SQLite.Most = "record.db", 256<<20
 	c.Postgres.Connections, c.Postgres.Connect = 2, d(2*time.Second)
 	c.Wait.Share, c.Wait.Statement, c.Wait.EndFor, c.Wait.Lease = 0.1, d(time.Second), d(time.Minute), d(5*time.Second)
 	c.Keep.Answered, c.Keep.NeverRan, c.Keep.Unsettled, c.Keep.Answer, c.Keep.SweepInterval = d(24*time.Hour), d(time.Hour), d(720*time.Hour), 64<<10, d(5*time.Second)
 	c.Queue.Ops, c.Queue.Bytes, c.Queue.Batch = 1024, 2<<20, 128
 	c.Breaker.After, c.Breaker.Least, c.Breaker.Most = 5, d(100*time.Millisecond), d(5*time.Second)
-	if err := units.Load(path, c); err != nil {
+	if err := quantity.Load(path, c); err != nil {
 		return nil, err
 	}
-	if err := units.ResolvePaths(path, &c.SQLite.Path, &c.Postgres.PasswordFile, &c.Postgres.CA); err != nil {
+	if err := quantity.ResolvePaths(path, &c.SQLite.Path, &c.Postgres.PasswordFile, &c.Postgres.CA); err != nil {
 		return nil, err
 	}
 	if err := c.check(); err != nil {
@@ -108,11 +108,11 @@
 		return fmt.Errorf("wait.share: %v; want a share of a class's aim, above 0 and at most 0.5", c.Wait.Share)
 	case c.Wait.Statement <= 0 || c.Wait.EndFor <= 0 || c.Postgres.Connect <= 0:
 		return fmt.Errorf("wait.statement, wait.end_for and postgres.connect must be above 0")
-	case c.Wait.Lease < units.Duration(time.Second):
+	case c.Wait.Lease < quantity.Duration(time.Second):
 		return fmt.Errorf("wait.lease: 1s at least")
-	case c.Keep.Answered < units.Duration(time.Minute) || c.Keep.Unsettled < units.Duration(time.Minute) || c.Keep.NeverRan <= 0:
+	case c.Keep.Answered < quantity.Duration(time.Minute) || c.Keep.Unsettled < quantity.Duration(time.Minute) || c.Keep.NeverRan <= 0:
 		return fmt.Errorf("keep.answered and keep.may_have_run must be 1m at least, keep.never_ran above 0")
-	case c.Keep.Answer < 0 || c.Keep.SweepInterval < units.Duration(100*time.Millisecond):
+	case c.Keep.Answer < 0 || c.Keep.SweepInterval < quantity.Duration(100*time.Millisecond):
 		return fmt.Errorf("keep.answer must be 0B or more, keep.sweep_each 100ms at least")
 	case c.Queue.Ops < 1 || c.Queue.Bytes < 64<<10 || c.Queue.Batch < 1:
 		return fmt.Errorf("queue.ops and queue.batch must be 1 at least, queue.bytes 64KiB")
@@ -134,7 +134,7 @@
 		if k.Away != refuse && k.Away != pass {
 			return fmt.Errorf("class %s: away: %q; want %q or %q", k.Name, k.Away, refuse, pass)
 		}
-		rule, err := record.ParseRule(k.Key)
+		rule, err := idempotency.ParseRule(k.Key)
 		if err != nil {
 			return fmt.Errorf("class %s: key: %w", k.Name, err)
 		}
@@ -144,14 +144,14 @@
 }
 
 // Keeping is how long rows are kept.
-func (c *Config) Keeping() record.Retention {
-	return record.Retention{Answered: time.Duration(c.Keep.Answered), NeverRan: time.Duration(c.Keep.NeverRan), Unsettled: time.Duration(c.Keep.Unsettled)}
+func (c *Config) Keeping() idempotency.Retention {
+	return idempotency.Retention{Answered: time.Duration(c.Keep.Answered), NeverRan: time.Duration(c.Keep.NeverRan), Unsettled: time.Duration(c.Keep.Unsettled)}
 }
 
 // Keeper checks the file against a deployment's settings and says how the store is
 // used. sockets bounds the store's connections.
-func (c *Config) Keeper(set *settings.Settings, sockets int) (keeper.Config, error) {
-	out := keeper.Config{Name: c.Store, Writers: 1, Batch: c.Queue.Batch, Queue: c.Queue.Ops, QueueBytes: int(c.Queue.Bytes),
+func (c *Config) Keeper(set *settings.Settings, sockets int) (recorder.Config, error) {
+	out := recorder.Config{Name: c.Store, Writers: 1, Batch: c.Queue.Batch, Queue: c.Queue.Ops, QueueBytes: int(c.Queue.Bytes),
 		Statement: time.Duration(c.Wait.Statement), EndFor: time.Duration(c.Wait.EndFor), Lease: time.Duration(c.Wait.Lease),
 		MaxAnswerBytes: int(c.Keep.Answer), Retention: c.Keeping(), SweepInterval: time.Duration(c.Keep.SweepInterval),
 		BreakAfter: c.Breaker.After, MinBackoff: time.Duration(c.Breaker.Least), MaxBackoff: time.Duration(c.Breaker.Most)}
@@ -170,7 +170,7 @@
 			return out, fmt.Errorf("%s: class %s: away: its requests must not run twice, so that they can't go on without a record; want %q", c.path, k.Name, refuse)
 		}
 		wait := min(time.Duration(c.Wait.Share*float64(class.LatencyObjective)), set.Deadlines[at]/8)
-		out.Classes = append(out.Classes, keeper.Class{Name: k.Name, Rule: c.rules[n], FailOpen: k.Away == pass, Wait: max(wait, time.Millisecond)})
+		out.Classes = append(out.Classes, recorder.Class{Name: k.Name, Rule: c.rules[n], FailOpen: k.Away == pass, Wait: max(wait, time.Millisecond)})
 	}
 	return out, nil
 }
@@ -186,7 +186,7 @@
 // Open opens the store; owner says that it is for a sidecar, which holds a SQLite file
 // alone, or with the process that passed lock on (nil: none did). A PostgreSQL database
 // that is away is no error.
-func (c *Config) Open(ctx context.Context, owner bool, lock *os.File) (record.Backend, error) {
+func (c *Config) Open(ctx context.Context, owner bool, lock *os.File) (idempotency.Backend, error) {
 	if c.Store == "sqlite" {
 		return sqlite.Open(ctx, sqlite.Config{Path: c.SQLite.Path, MaxBytes: int64(c.SQLite.Most), Retention: c.Keeping(), Owner: owner, Lock: lock})
 	}
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -12,7 +12,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"martendrum/internal/sock"
+	"martendrum/internal/netconn"
 )
 
 // Request is a request or a notification that has come.
@@ -69,7 +69,7 @@
 	s.mu.Unlock()
 	defer ln.Close()
 	for {
-		nc, err := sock.Accept("msgpackrpc", ln.Accept, nil)
+		nc, err := netconn.Accept("msgpackrpc", ln.Accept, nil)
 		if err != nil {
 			s.mu.Lock()
 			closed := s.closed
--- a/internal/sock/lazy.go
+++ b/internal/netconn/lazy.go
@@ -1,6 +1,6 @@
-// Package sock reads sockets, and asks them what the net package does not tell. Both
+// Package netconn reads sockets, and asks them what the net package does not tell. Both
 // sides of the sidecar use it.
-package sock
+package netconn
 
 import (
 	"bufio"
--- a/internal/sock/lazy_test.go
+++ b/internal/netconn/lazy_test.go
@@ -1,4 +1,4 @@
-package sock
+package netconn
 
 import (
 	"bytes"
--- a/internal/fleet/units/units.go
+++ b/internal/quantity/units.go
@@ -1,6 +1,6 @@
-// Package units reads operators' TOML files strictly: durations and sizes carry
+// Package quantity reads operators' TOML files strictly: durations and sizes carry
 // their unit, an unknown key is an error, and errors name file and line.
-package units
+package quantity
 
 import (
 	"bytes"
--- a/internal/limitlog/limitlog.go
+++ b/internal/ratelimitlog/limitlog.go
@@ -1,6 +1,6 @@
-// Package limitlog is a log for a process under load: of lines with the same
+// Package ratelimitlog is a log for a process under load: of lines with the same
 // message only one a second is written, with the number of those left out.
-package limitlog
+package ratelimitlog
 
 import (
 	"context"
--- a/internal/stopplan/stopplan.go
+++ b/internal/shutdown/stopplan.go
@@ -1,11 +1,11 @@
-// Package stopplan says when a sidecar that was told to end does what. It is pure: spans in,
+// Package shutdown says when a sidecar that was told to end does what. It is pure: spans in,
 // spans out.
 //
 // Everything is counted back from the one moment that the sidecar does not choose, the
 // supervisor's kill at its earliest. The longest deadline of the settings is an input to
 // that moment and to nothing else: a plan that is made from it alone may end later than the
 // kill.
-package stopplan
+package shutdown
 
 import "time"
 
--- a/internal/stopplan/stopplan_test.go
+++ b/internal/shutdown/stopplan_test.go
@@ -1,4 +1,4 @@
-package stopplan
+package shutdown
 
 import (
 	"testing"
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -98,7 +98,7 @@
 // enqueue adds an action to be carried out once the lock is released. The lock is held.
 func (h *Host) enqueue(action func()) { h.actions = append(h.actions, action) }
 
-// Ready implements front.Handler.
+// Ready implements downstream.Handler.
 func (h *Host) Ready() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -112,7 +112,7 @@
 	h.ready = ready
 }
 
-// Class implements front.Handler.
+// Class implements downstream.Handler.
 func (h *Host) Class(name string) *settings.Class {
 	return (*h.classes.Load())[name]
 }
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -11,7 +11,7 @@
 
 	"martendrum"
 	"martendrum/internal/discovery"
-	"martendrum/internal/front"
+	"martendrum/internal/downstream"
 	"martendrum/internal/metrics"
 	"martendrum/internal/settings"
 	"martendrum/internal/standin/tcp"
@@ -22,7 +22,7 @@
 const patience = 20 * time.Second
 
 // start returns a sidecar before servers at the addresses, and where it listens.
-func start(t testing.TB, addrs ...string) (*Host, *front.Server, string) {
+func start(t testing.TB, addrs ...string) (*Host, *downstream.Server, string) {
 	t.Helper()
 	return startWith(t, usual, addrs...)
 }
@@ -36,7 +36,7 @@
 		{"name":"book","promiseUs":20000000,"hardLimitUs":20000000,"effect":"by_key","repeatWindowUs":400000}]}`
 
 // startWith is start with other settings.
-func startWith(t testing.TB, text string, addrs ...string) (*Host, *front.Server, string) {
+func startWith(t testing.TB, text string, addrs ...string) (*Host, *downstream.Server, string) {
 	t.Helper()
 	set, err := settings.Parse([]byte(text))
 	if err != nil {
@@ -52,7 +52,7 @@
 		l.Entries = append(l.Entries, discovery.Entry{Endpoint: martendrum.Endpoint{Name: fmt.Sprint(n), CapacityHint: 1}, Address: addr})
 	}
 	h.Listed(l)
-	srv := front.New(front.Config{MaxConns: 100, MaxBody: 1 << 20}, h)
+	srv := downstream.New(downstream.Config{MaxConns: 100, MaxBody: 1 << 20}, h)
 	metricSet := metrics.New()
 	metricSet.Classes(set.Names())
 	h.SetMeter(metricSet)
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -13,7 +13,7 @@
 
 	"martendrum"
 	"martendrum/internal/discovery"
-	"martendrum/internal/front"
+	"martendrum/internal/downstream"
 	"martendrum/internal/standin/tcp"
 )
 
@@ -108,11 +108,11 @@
 
 // unheard is a Handler that hears of clients that leave only once it is let.
 type unheard struct {
-	front.Handler
+	downstream.Handler
 	let chan struct{}
 }
 
-func (u unheard) ClientDisconnected(x *front.Exchange) bool {
+func (u unheard) ClientDisconnected(x *downstream.Exchange) bool {
 	<-u.let
 	return u.Handler.ClientDisconnected(x)
 }
@@ -136,7 +136,7 @@
 	})
 	h, _, _ := start(t, breaker)
 	let := make(chan struct{})
-	server := front.New(front.Config{MaxConns: 100, MaxBody: 1 << 20}, unheard{h, let})
+	server := downstream.New(downstream.Config{MaxConns: 100, MaxBody: 1 << 20}, unheard{h, let})
 	ln := listen(t)
 	go server.Serve(ln)
 	c := dialled(t, ln.Addr().String())
--- a/internal/sidecar/recorder.go
+++ b/internal/sidecar/recorder.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"martendrum"
-	"martendrum/internal/front"
+	"martendrum/internal/downstream"
 	"martendrum/internal/upstream"
 )
 
@@ -13,13 +13,13 @@
 type Recorder interface {
 	// Begin takes a request that has arrived and whose client waits for left. It
 	// calls then once, from any goroutine and well within left.
-	Begin(x *front.Exchange, left time.Duration, then func(Verdict))
+	Begin(x *downstream.Exchange, left time.Duration, then func(Verdict))
 }
 
 // Verdict is a Recorder's decision about a request.
 type Verdict struct {
 	// Answer gives the client its recorded response; nil: there is none, go on.
-	Answer func(x *front.Exchange)
+	Answer func(x *downstream.Exchange)
 	Entry  Entry // of a request that goes on; nil: it is not recorded
 }
 
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"martendrum"
-	"martendrum/internal/front"
+	"martendrum/internal/downstream"
 	"martendrum/internal/metrics"
 )
 
@@ -17,7 +17,7 @@
 // It is guarded by the Host's lock.
 type clientRequest struct {
 	id       martendrum.RequestID
-	exchange *front.Exchange // nil: released
+	exchange *downstream.Exchange // nil: released
 	deadline time.Duration
 	timeout  time.Duration // from its last byte to its deadline
 	timer    *timer        // at its deadline
@@ -30,8 +30,8 @@
 	recordedEnd  End   // what the recorder was given
 }
 
-// Arrive implements front.Handler.
-func (h *Host) Arrive(x *front.Exchange) {
+// Arrive implements downstream.Handler.
+func (h *Host) Arrive(x *downstream.Exchange) {
 	h.handle(func(now time.Duration) {
 		if !h.reserveInFlight() {
 			h.rejectAtLimit(x)
@@ -51,7 +51,7 @@
 }
 
 // rejectAtLimit refuses a request because too many are in flight.
-func (h *Host) rejectAtLimit(x *front.Exchange) {
+func (h *Host) rejectAtLimit(x *downstream.Exchange) {
 	slog.Warn("request refused: too many held", "held", len(h.requests))
 	h.meter.Limited(metrics.InFlightLimit)
 	retryAfter := h.limitRetryAfter()
@@ -64,7 +64,7 @@
 func (h *Host) limitRetryAfter() time.Duration { return h.settings.Config.MaxRetryAfter / 10 }
 
 // newRequest registers the request of x, with its deadline.
-func (h *Host) newRequest(now time.Duration, x *front.Exchange) *clientRequest {
+func (h *Host) newRequest(now time.Duration, x *downstream.Exchange) *clientRequest {
 	timeout := x.Rules.Wait // no client waits longer, whatever it says
 	if x.Wait > 0 {
 		timeout = min(timeout, x.Wait)
@@ -121,8 +121,8 @@
 	})
 }
 
-// ClientDisconnected implements front.Handler.
-func (h *Host) ClientDisconnected(x *front.Exchange) (taken bool) {
+// ClientDisconnected implements downstream.Handler.
+func (h *Host) ClientDisconnected(x *downstream.Exchange) (taken bool) {
 	h.handle(func(now time.Duration) {
 		request, _ := x.State.(*clientRequest)
 		if request == nil || request.answered {
@@ -140,20 +140,20 @@
 
 // logLeft logs that a request ended without an answer, because its client left: whether it
 // did so in its time, or because the answer was late, is the first question after an incident.
-func logLeft(x *front.Exchange, attempts int) {
+func logLeft(x *downstream.Exchange, attempts int) {
 	slog.Info("client left before its answer", "class", x.Class, "after", time.Since(x.Received), "wait", x.Wait, "attempts", attempts)
 }
 
 // Reject implements martendrum.Host.
 func (h *Host) Reject(id martendrum.RequestID, retryAfter time.Duration) {
-	h.answer(id, func(x *front.Exchange) { x.Reject(retryAfter) })
+	h.answer(id, func(x *downstream.Exchange) { x.Reject(retryAfter) })
 }
 
 // Fail implements martendrum.Host.
-func (h *Host) Fail(id martendrum.RequestID) { h.answer(id, (*front.Exchange).Fail) }
+func (h *Host) Fail(id martendrum.RequestID) { h.answer(id, (*downstream.Exchange).Fail) }
 
 // answer gives a request its final response, which is none of a server's, by respond.
-func (h *Host) answer(id martendrum.RequestID, respond func(*front.Exchange)) {
+func (h *Host) answer(id martendrum.RequestID, respond func(*downstream.Exchange)) {
 	request := h.requests[id]
 	if request == nil || request.answered {
 		return
--- a/internal/standin/simhost/simhost.go
+++ b/internal/standin/simhost/simhost.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
-	"martendrum/internal/fleet/agent"
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/proc"
+	"martendrum/internal/fleet/host/agent"
+	"martendrum/internal/fleet/host/proc"
 )
 
 // Host is a pretended machine; it outlives the agents on it.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"martendrum"
-	"martendrum/internal/sock"
+	"martendrum/internal/netconn"
 )
 
 // Request is a client's request as each of its attempts sends it.
@@ -181,7 +181,7 @@
 	}
 	return &conn{
 		Conn: netConn, server: a.server, addr: addr, owner: a,
-		input: sock.NewLazy(netConn),
+		input: netconn.NewLazy(netConn),
 	}
 }
 
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"martendrum/internal/framing/framingtest"
-	"martendrum/internal/sock"
+	"martendrum/internal/netconn"
 )
 
 // FuzzAnswerBody reads a server's answer, chunked, of a stated length or ended by its
@@ -48,7 +48,7 @@
 			defer there.Close()
 			framingtest.Send(there, append([]byte(head+"\r\n"), body...), piece)
 		}()
-		c := &conn{Conn: here, input: sock.NewLazy(here)}
+		c := &conn{Conn: here, input: netconn.NewLazy(here)}
 		resp, ans, err := c.readAnswer(http.MethodPost)
 		var got []byte
 		if err == nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"martendrum/internal/sock"
+	"martendrum/internal/netconn"
 )
 
 // Config is the configuration of a Pool.
@@ -47,7 +47,7 @@
 // is used again, for an unsafe request that ends as a reset can't be saved.
 type conn struct {
 	net.Conn
-	input  *sock.Lazy
+	input  *netconn.Lazy
 	server *server
 	addr   string
 
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"martendrum"
-	"martendrum/internal/sock"
+	"martendrum/internal/netconn"
 	"martendrum/internal/standin/tcp"
 )
 
@@ -375,7 +375,7 @@
 	a := attemptOf(s)
 	a.pool, a.server, a.reused, a.startedAt = p, p.servers["s"], true, time.Now()
 	p.conns++
-	c := &conn{Conn: nc, server: a.server, addr: addr, owner: a, input: sock.NewLazy(nc)}
+	c := &conn{Conn: nc, server: a.server, addr: addr, owner: a, input: netconn.NewLazy(nc)}
 	c.read(p) // finds the stray answer, and returns
 	if len(s) > 0 {
 		e := <-s
