--- a/cmd/martendrum/judge.go
+++ b/cmd/martendrum/judge.go
@@ -63,7 +63,7 @@
 				return strconv.Itoa(int(v)) + " s"
 			}
 			fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%s\t%s\t%s\t%.0f %%\n", r.Instances, r.Harm, r.Method, r.Runs,
-				strings.TrimSuffix(fmt.Sprintf("%.1f", 100*r.Share()), ".0")+" %", at(r.Median), at(r.Slowest), 100*r.Touched)
+				strings.TrimSuffix(fmt.Sprintf("%.1f", 100*r.StopRate()), ".0")+" %", at(r.Median), at(r.Slowest), 100*r.Touched)
 		}
 		return w.Flush()
 	}
--- a/cmd/martendrum/settings.go
+++ b/cmd/martendrum/settings.go
@@ -188,7 +188,7 @@
 func printInForce(out *api.SettingsStatusOut) {
 	s := &out.Status
 	fmt.Printf("revision %v (latest %v), writer %s in epoch %d\n", s.Revision, s.Latest, out.Writer.Writer, out.Writer.Epoch)
-	fmt.Printf("in force at %d of %d hosts; refused at %d, behind at %d, away at %d\n", s.InForce, s.Hosts, s.Refused, s.Behind, s.Away)
+	fmt.Printf("in force at %d of %d hosts; refused at %d, behind at %d, away at %d\n", s.InForce, s.Hosts, s.Rejected, s.Behind, s.Unavailable)
 	if !out.Complete {
 		fmt.Println("the writer does not answer: these are the hosts of the relays that do")
 	}
@@ -245,7 +245,7 @@
 	for _, accepted := range s.Accepted {
 		fmt.Printf("  %s of revision %v is in force\n", accepted.Name, accepted.Revision)
 	}
-	for _, refusal := range s.Refused {
+	for _, refusal := range s.Rejections {
 		fmt.Printf("  %s of revision %v was refused: %s\n", refusal.Resource, refusal.Revision, refusal.Reason)
 	}
 	if s.Waiting != "" {
--- a/cmd/sidecar/gauges.go
+++ b/cmd/sidecar/gauges.go
@@ -55,7 +55,7 @@
 	count("peer_dropped", `why="ceiling"`, func(s peers.Stats) uint64 { return s.Withheld })
 	metricSet.Gauge("peer_dropped", `why="stranger"`, func() float64 {
 		if l := f.currentLink(); l != nil {
-			return float64(l.Counts().Strays)
+			return float64(l.Counts().UnknownSenders)
 		}
 		return math.NaN()
 	})
--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -64,7 +64,7 @@
 		listed:      make(chan struct{}, 1),
 	}
 	if predecessor != nil {
-		p.alone, p.lateListeners, p.failed = predecessor.Alone(), predecessor.Late(), predecessor.Failed()
+		p.alone, p.lateListeners, p.failed = predecessor.Alone(), predecessor.LateListeners(), predecessor.Failed()
 	}
 	return p
 }
@@ -176,8 +176,8 @@
 	r, c := p.resources, p.config
 	r.Limit(c.fullShare())
 	if p.inheritedIDs != nil {
-		p.forgetIDs = time.After(idtable.Life)
-		r.host.UnshareInFlight(p.inheritedIDs) // the predecessor's requests have ended with it
+		p.forgetIDs = time.After(idtable.EntryTTL)
+		r.host.RemoveTally(p.inheritedIDs) // the predecessor's requests have ended with it
 	}
 	listen, host := c.listen, r.host // p.config may change before the snapshot is taken
 	protocol := handover.NewOld(listen, c.fullShare(), func() []byte { return snapshot(listen, host) })
@@ -250,7 +250,7 @@
 		r.Limit(r.currentShare())
 	}
 	r.server.SetHealth(healthSum, next.sum)
-	p.watcher.MoveTo(next.discovery, next.pace)
+	p.watcher.SetEndpoint(next.discovery, next.pace)
 	if next.asks {
 		r.host.PollNow() // what has changed there must be known soon, whether or not a watch is open
 	}
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -161,14 +161,14 @@
 func (r *resources) ShareIDs(ids *link.IDs) {
 	r.server.ShareIDs(ids)
 	if ids.Counted() {
-		r.host.ShareInFlight(ids)
+		r.host.SetTally(ids)
 	}
 }
 
 // UnshareIDs implements link.Host.
 func (r *resources) UnshareIDs(ids *link.IDs) {
 	r.server.UnshareIDs(ids)
-	r.host.UnshareInFlight(ids)
+	r.host.RemoveTally(ids)
 }
 
 // setStopping notes that the process is about to end.
--- a/cmd/simulator/instance.go
+++ b/cmd/simulator/instance.go
@@ -41,13 +41,13 @@
 			Deadline: micros(e.Deadline),
 		})
 	case wire.HeadReceived:
-		i.b.StreamStarted(now, id, e.Copy)
+		i.b.StreamStarted(now, id, e.Attempt)
 	case wire.Finished:
 		o, ok := outcomes[e.Ending]
 		if !ok {
 			return fmt.Errorf("unknown ending %d", e.Ending)
 		}
-		i.b.AttemptFinished(now, id, e.Copy, o, e.Over, report(e.Load))
+		i.b.AttemptFinished(now, id, e.Attempt, o, e.Over, report(e.Load))
 	case wire.Checked:
 		i.b.ProbeAnswered(now, string(e.Server), report(e.Load))
 	case wire.TimedOutClient:
@@ -103,7 +103,7 @@
 func (i *instance) Probe(server string) { i.reply.Probe(i.id, server) }
 
 // Subscribe implements martendrum.Host.
-func (i *instance) Subscribe() { i.reply.KeepInformed(i.id) }
+func (i *instance) Subscribe() { i.reply.Subscribe(i.id) }
 
 func endpoints(hosts []wire.Host) []martendrum.Endpoint {
 	list := make([]martendrum.Endpoint, len(hosts))
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -105,7 +105,7 @@
 		}
 		switch {
 		case e.Kind == wire.Tick && turn < 0:
-			turn = e.Turn
+			turn = e.Tick
 			a.now = micros(e.TimeUs)
 			a.reply.Reset()
 		case e.Kind == wire.Tick || turn < 0:
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -136,10 +136,10 @@
 	w.heard.Store(&now)
 }
 
-// MoveTo follows the list at another address and pace from now on. The watch that is open
+// SetEndpoint follows the list at another address and pace from now on. The watch that is open
 // ends, and the next one asks for the whole list: versions at the new address
 // need not be those of the old.
-func (w *Watcher) MoveTo(addr string, pace Pace) {
+func (w *Watcher) SetEndpoint(addr string, pace Pace) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Addr, w.Index, w.Pace = addr, 0, pace
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -251,7 +251,7 @@
 		return false
 	})
 	moved := time.Now()
-	w.MoveTo(there, w.Pace)
+	w.SetEndpoint(there, w.Pace)
 	if l := w.next(t, patience); l.Index != 3 {
 		t.Errorf("after the move: %+v", l)
 	}
@@ -323,7 +323,7 @@
 		held(3)(conn, c, r)
 		return false
 	})
-	w.MoveTo(there, w.Pace)
+	w.SetEndpoint(there, w.Pace)
 	if l := w.next(t, soon); l.Index != 3 {
 		t.Errorf("after the move: %+v", l)
 	}
--- a/internal/fleet/api/distribution.go
+++ b/internal/fleet/api/distribution.go
@@ -53,7 +53,7 @@
 // SettingsStatusIn asks how far a revision is; zero is the latest.
 type SettingsStatusIn struct {
 	Revision distribution.Revision `msgpack:"revision"`
-	Most     int                   `msgpack:"most"` // hosts to name
+	Limit    int                   `msgpack:"most"` // hosts to name
 }
 
 // SettingsStatusOut tells it, and who writes.
@@ -125,11 +125,11 @@
 
 // InstanceSettings is what an instance has of the distributed settings.
 type InstanceSettings struct {
-	Received distribution.Revision    `msgpack:"received" json:"received"` // by its host
-	Relay    string                   `msgpack:"relay" json:"relay"`       // that its host asks, "" for none that answers
-	Accepted []AcceptedSettings       `msgpack:"accepted" json:"accepted"`
-	Refused  []distribution.Rejection `msgpack:"refused,omitempty" json:"refused,omitempty"`
-	Waiting  string                   `msgpack:"waiting,omitempty" json:"waiting,omitempty"` // for what, where changes are pending
+	Received   distribution.Revision    `msgpack:"received" json:"received"` // by its host
+	Relay      string                   `msgpack:"relay" json:"relay"`       // that its host asks, "" for none that answers
+	Accepted   []AcceptedSettings       `msgpack:"accepted" json:"accepted"`
+	Rejections []distribution.Rejection `msgpack:"refused,omitempty" json:"refused,omitempty"`
+	Waiting    string                   `msgpack:"waiting,omitempty" json:"waiting,omitempty"` // for what, where changes are pending
 }
 
 // AcceptedSettings is a resource that an instance runs.
--- a/internal/fleet/canary/simulation/compat_test.go
+++ b/internal/fleet/canary/simulation/compat_test.go
@@ -9,7 +9,7 @@
 
 // A row of a trial, with a value in every field, has the JSON form of an earlier build.
 func TestRowOfEarlierBuild(t *testing.T) {
-	var row Row
+	var row Result
 	goldentest.Fill(&row)
 	text, err := json.Marshal(row)
 	if err != nil {
--- a/internal/fleet/canary/simulation/plot.go
+++ b/internal/fleet/canary/simulation/plot.go
@@ -13,7 +13,7 @@
 // Plot draws, for fleets of one size, the share of runs stopped over the time since
 // the change began: a line for each method, solid without harm and dashed with it.
 // The file's ending says its form: .svg, .png or .pdf.
-func Plot(rows []Row, size int, harm, path string) error {
+func Plot(rows []Result, size int, harm, path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d instances: share of changes stopped", size)
 	p.X.Label.Text, p.Y.Label.Text = "seconds since the change began", "share of runs"
@@ -31,7 +31,7 @@
 				y := float64(n) / float64(r.Runs)
 				pts = append(pts, plotter.XY{X: t, Y: y}, plotter.XY{X: t, Y: y + 1/float64(r.Runs)})
 			}
-			pts = append(pts, plotter.XY{X: end, Y: math.Min(1, r.Share())})
+			pts = append(pts, plotter.XY{X: end, Y: math.Min(1, r.StopRate())})
 			l, err := plotter.NewLine(pts)
 			if err != nil {
 				return fmt.Errorf("plot of %s: %w", method, err)
--- a/internal/fleet/canary/simulation/trial.go
+++ b/internal/fleet/canary/simulation/trial.go
@@ -124,8 +124,8 @@
 	return t > 0 && 1-(distuv.StudentsT{Mu: 0, Sigma: 1, Nu: df}).CDF(t) < tLevel
 }
 
-// Row is what became of all runs of one size and harm under one method.
-type Row struct {
+// Result is what became of all runs of one size and harm under one method.
+type Result struct {
 	Instances int     `json:"instances"`
 	Harm      string  `json:"harm"`
 	Method    Method  `json:"method"`
@@ -138,13 +138,13 @@
 	Times []float64 `json:"-"`
 }
 
-// Share is the part of the runs that were stopped.
-func (r Row) Share() float64 { return float64(r.Stopped) / float64(r.Runs) }
+// StopRate is the part of the runs that were stopped.
+func (r Result) StopRate() float64 { return float64(r.Stopped) / float64(r.Runs) }
 
 // Play runs each size with each harm, runs times for none and harmRuns times for
 // each other, on all cores, and reports in order. progress may be nil; it is called
 // from one goroutine at a time.
-func Play(sizes []int, runs, harmRuns int, seed uint64, progress func(done, of int)) []Row {
+func Play(sizes []int, runs, harmRuns int, seed uint64, progress func(done, of int)) []Result {
 	type job struct {
 		size, harm, run int
 	}
@@ -183,11 +183,11 @@
 	}
 	close(next)
 	wg.Wait()
-	var rows []Row
+	var rows []Result
 	for s, size := range sizes {
 		for h, harm := range harms {
 			for _, m := range Methods {
-				row := Row{Instances: size, Harm: harm.Name, Method: m}
+				row := Result{Instances: size, Harm: harm.Name, Method: m}
 				for n, b := range jobs {
 					if b.size != s || b.harm != h {
 						continue
--- a/internal/fleet/connect/connect.go
+++ b/internal/fleet/connect/connect.go
@@ -38,7 +38,7 @@
 	}
 	if err != nil {
 		conn.Close()
-		return nil, Refusal(err)
+		return nil, RejectionReason(err)
 	}
 	return conn, nil
 }
@@ -54,9 +54,9 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", rest)
 }
 
-// Refusal is the *api.Error that an agent answered with, or err itself where it answered
+// RejectionReason is the *api.Error that an agent answered with, or err itself where it answered
 // with none.
-func Refusal(err error) error {
+func RejectionReason(err error) error {
 	said, ok := errors.AsType[*msgpackrpc.RemoteError](err)
 	if !ok {
 		return err
@@ -74,5 +74,5 @@
 
 // Call makes a call. out may be nil.
 func (c Caller) Call(ctx context.Context, method string, in, out any) error {
-	return Refusal(c.Client.Call(ctx, method, []any{in}, out))
+	return RejectionReason(c.Client.Call(ctx, method, []any{in}, out))
 }
--- a/internal/fleet/control/client/client.go
+++ b/internal/fleet/control/client/client.go
@@ -118,7 +118,7 @@
 		}
 		if said, ok := errors.AsType[*msgpackrpc.RemoteError](err); ok {
 			a.heard()
-			if refusal, ok := errors.AsType[*api.Error](connect.Refusal(err)); ok {
+			if refusal, ok := errors.AsType[*api.Error](connect.RejectionReason(err)); ok {
 				return refusal
 			}
 			return api.Errorf(api.Internal, "host %s: %v", a.Host.Name, said)
--- a/internal/fleet/control/client/settings.go
+++ b/internal/fleet/control/client/settings.go
@@ -125,7 +125,7 @@
 // its own subscribers; zero is the latest. Where the writer does not answer, the relays that
 // do are added up, and Complete is false: hosts of relays that are silent are not known.
 func (f *Fleet) InForce(ctx context.Context, relay string, revision distribution.Revision, limit int) (*api.SettingsStatusOut, error) {
-	in := &api.SettingsStatusIn{Revision: revision, Most: limit}
+	in := &api.SettingsStatusIn{Revision: revision, Limit: limit}
 	relays, err := f.relays(relay)
 	if err != nil {
 		return nil, err
--- a/internal/fleet/distribution/applier.go
+++ b/internal/fleet/distribution/applier.go
@@ -188,13 +188,13 @@
 
 // appliedEntry keeps what an instance accepted and refused.
 type appliedEntry struct {
-	Accepted []Resource  `json:"accepted"`
-	Refused  []Rejection `json:"refused,omitempty"`
+	Accepted   []Resource  `json:"accepted"`
+	Rejections []Rejection `json:"refused,omitempty"`
 }
 
 // Entry is the row that keeps what the instance accepted and refused.
 func (a *Applier) Entry() Entry {
-	return row(acceptedPrefix+a.instance, appliedEntry{Accepted: a.Accepted(), Refused: a.Rejections()})
+	return row(acceptedPrefix+a.instance, appliedEntry{Accepted: a.Accepted(), Rejections: a.Rejections()})
 }
 
 // Restore takes over what the rows hold of the instance. Until Want says otherwise the accepted
@@ -214,7 +214,7 @@
 			}
 			a.accepted[r.Name], a.wanted[r.Name] = r, r
 		}
-		for _, refusal := range kept.Refused {
+		for _, refusal := range kept.Rejections {
 			a.refused[refusal.Resource] = refusal
 		}
 	}
--- a/internal/fleet/distribution/node/relay.go
+++ b/internal/fleet/distribution/node/relay.go
@@ -302,7 +302,7 @@
 func (r *Relay) Status(in *api.SettingsStatusIn) *api.SettingsStatusOut {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return &api.SettingsStatusOut{Status: r.registry.Status(in.Revision, min(max(in.Most, 0), maxStatus)),
+	return &api.SettingsStatusOut{Status: r.registry.Status(in.Revision, min(max(in.Limit, 0), maxStatus)),
 		Writer: r.writer, Relay: r.cfg.Name, Complete: r.writer.Writer == r.cfg.Name}
 }
 
--- a/internal/fleet/distribution/registry.go
+++ b/internal/fleet/distribution/registry.go
@@ -337,13 +337,13 @@
 
 // Status says how far a revision is.
 type Status struct {
-	Revision Revision `msgpack:"revision" json:"revision"` // asked for
-	Latest   Revision `msgpack:"latest" json:"latest"`     // of who answers
-	Hosts    int      `msgpack:"hosts" json:"hosts"`       // that are known
-	InForce  int      `msgpack:"in_force" json:"in_force"` // hold it in all instances that it concerns
-	Refused  int      `msgpack:"refused" json:"refused"`   // by an instance; the last accepted settings are in force
-	Behind   int      `msgpack:"behind" json:"behind"`     // present, and not so far yet
-	Away     int      `msgpack:"away" json:"away"`         // not so far when they were last heard of
+	Revision    Revision `msgpack:"revision" json:"revision"` // asked for
+	Latest      Revision `msgpack:"latest" json:"latest"`     // of who answers
+	Hosts       int      `msgpack:"hosts" json:"hosts"`       // that are known
+	InForce     int      `msgpack:"in_force" json:"in_force"` // hold it in all instances that it concerns
+	Rejected    int      `msgpack:"refused" json:"refused"`   // by an instance; the last accepted settings are in force
+	Behind      int      `msgpack:"behind" json:"behind"`     // present, and not so far yet
+	Unavailable int      `msgpack:"away" json:"away"`         // not so far when they were last heard of
 	// Missing names some of the hosts where it is not in force, the refused first.
 	Missing []HostReport `msgpack:"missing,omitempty" json:"missing,omitempty"`
 }
@@ -364,11 +364,11 @@
 			status.InForce++
 			continue
 		case refused:
-			status.Refused++
+			status.Rejected++
 		case behind:
 			status.Behind++
 		case away:
-			status.Away++
+			status.Unavailable++
 		}
 		missing = append(missing, missingHost{entry: e, refused: len(state.Rejections)})
 	}
@@ -433,9 +433,9 @@
 	}
 	s.Hosts += other.Hosts
 	s.InForce += other.InForce
-	s.Refused += other.Refused
+	s.Rejected += other.Rejected
 	s.Behind += other.Behind
-	s.Away += other.Away
+	s.Unavailable += other.Unavailable
 	s.Missing = append(s.Missing, other.Missing...)
 	s.Missing = s.Missing[:min(len(s.Missing), limit)]
 }
--- a/internal/fleet/distribution/registry_test.go
+++ b/internal/fleet/distribution/registry_test.go
@@ -26,7 +26,7 @@
 func requireCounts(t failer, registry *Registry, revision Revision, want counts) {
 	t.Helper()
 	status := registry.Status(revision, 100)
-	have := counts{status.Hosts, status.InForce, status.Refused, status.Behind, status.Away}
+	have := counts{status.Hosts, status.InForce, status.Rejected, status.Behind, status.Unavailable}
 	if have != want {
 		t.Errorf("at %v: %+v; want %+v", status.Revision, have, want)
 	}
@@ -38,7 +38,7 @@
 
 func requireSum(t failer, status Status) {
 	t.Helper()
-	if sum := status.InForce + status.Refused + status.Behind + status.Away; sum != status.Hosts {
+	if sum := status.InForce + status.Rejected + status.Behind + status.Unavailable; sum != status.Hosts {
 		t.Errorf("%d of %d hosts are counted: %+v", sum, status.Hosts, status)
 	}
 }
--- a/internal/fleet/e2e/fleet_test.go
+++ b/internal/fleet/e2e/fleet_test.go
@@ -806,7 +806,7 @@
 	if !strings.Contains(list.Unwritable, "full") || list.Instances[0].State != "ready" || list.Instances[0].Generation != 1 || len(s.hosts[0].Launches()) != before {
 		t.Errorf("after it: %+v", list)
 	}
-	if err := s.stores[0].Commit(ctx, &store.Change{AuditKeep: 1}); err != nil {
+	if err := s.stores[0].Commit(ctx, &store.Change{AuditLimit: 1}); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "a record that can be written", func() bool { return s.fleet.List(ctx, &inventory.Select{})[0].Unwritable == "" })
--- a/internal/fleet/e2e/settings_away_test.go
+++ b/internal/fleet/e2e/settings_away_test.go
@@ -45,7 +45,7 @@
 	w.publish("limits/even", memoryLimit(80), "--scope", "service=even")
 	last := w.publish("limits/all", memoryLimit(96))
 	status := w.inForce(last, 1)
-	if status.Hosts != 3 || status.Behind+status.Away != 2 {
+	if status.Hosts != 3 || status.Behind+status.Unavailable != 2 {
 		t.Errorf("with two hosts away: %+v", status)
 	}
 	for _, name := range instances(stopped, killed) {
--- a/internal/fleet/e2e/settings_crash_test.go
+++ b/internal/fleet/e2e/settings_crash_test.go
@@ -74,7 +74,7 @@
 	w.refusedBy(crashing, h)
 	w.ready()
 	w.limits(good, h.insts)
-	if refusals := w.inspect(h, h.insts[0]).Settings.Refused; len(refusals) != 1 || !strings.Contains(refusals[0].Reason, "its process ended") {
+	if refusals := w.inspect(h, h.insts[0]).Settings.Rejections; len(refusals) != 1 || !strings.Contains(refusals[0].Reason, "its process ended") {
 		t.Errorf("refusals %+v", refusals)
 	}
 	launches := w.inspect(h, h.insts[0]).Instance.Restarts
--- a/internal/fleet/e2e/settings_refused_test.go
+++ b/internal/fleet/e2e/settings_refused_test.go
@@ -20,12 +20,12 @@
 	w.t.Helper()
 	eventually(w.t, fmt.Sprintf("a refusal of revision %v by all of %s", revision, h.name), func() bool {
 		for _, instance := range h.insts {
-			if !slices.ContainsFunc(w.inspect(h, instance).Settings.Refused, func(r distribution.Rejection) bool { return r.Revision == revision }) {
+			if !slices.ContainsFunc(w.inspect(h, instance).Settings.Rejections, func(r distribution.Rejection) bool { return r.Revision == revision }) {
 				return false
 			}
 		}
 		out, ok := w.status(w.writer(), revision)
-		return ok && out.Status.Refused == 1
+		return ok && out.Status.Rejected == 1
 	})
 }
 
@@ -60,7 +60,7 @@
 		if file := h.file(instance); !strings.Contains(file, `"memory_mb": 96`) {
 			t.Errorf("the file of %s does not hold the last accepted settings: %s", instance, file)
 		}
-		refusals := w.inspect(h, instance).Settings.Refused
+		refusals := w.inspect(h, instance).Settings.Rejections
 		if len(refusals) != 1 || refusals[0].Revision != refused || !strings.Contains(refusals[0].Reason, memoryRefusal) {
 			t.Errorf("%s tells the refusals %+v", instance, refusals)
 		}
--- a/internal/fleet/e2e/settings_world_test.go
+++ b/internal/fleet/e2e/settings_world_test.go
@@ -348,7 +348,7 @@
 // status asks a relay how far a revision is at its own subscribers, or at all hosts where it
 // is the writer. ok is false if it does not answer.
 func (w *settingsWorld) status(relay *host, revision distribution.Revision) (out api.SettingsStatusOut, ok bool) {
-	in := &api.SettingsStatusIn{Revision: revision, Most: 10}
+	in := &api.SettingsStatusIn{Revision: revision, Limit: 10}
 	err := w.operator.Agent(relay.name).Call(context.Background(), api.SettingsStatus, in, &out)
 	return out, err == nil
 }
--- a/internal/fleet/host/agent/agent.go
+++ b/internal/fleet/host/agent/agent.go
@@ -40,8 +40,8 @@
 	Adopt(ctx context.Context, pid int, ticks uint64) (*Process, error)
 	Find(prefix string) map[string]proc.Found
 	Health(ctx context.Context, addr string, limit time.Duration) (proc.Healthy, error)
-	// Figures asks a process's operators' door; of the sample, only the figures count.
-	Figures(ctx context.Context, door string, pid int, limit time.Duration) (*api.Sample, error)
+	// Metrics asks a process's operators' door; of the sample, only the figures count.
+	Metrics(ctx context.Context, door string, pid int, limit time.Duration) (*api.Sample, error)
 	Boot() string
 }
 
@@ -74,7 +74,7 @@
 	return proc.Health(ctx, addr, limit)
 }
 
-func (Processes) Figures(ctx context.Context, door string, pid int, limit time.Duration) (*api.Sample, error) {
+func (Processes) Metrics(ctx context.Context, door string, pid int, limit time.Duration) (*api.Sample, error) {
 	s, err := scrape.Metrics(ctx, door, limit)
 	if err != nil {
 		return nil, err
@@ -138,7 +138,7 @@
 		}
 		return nil, fmt.Errorf("agent %s: %w", cfg.Name, err)
 	}
-	if a.cfg.Figures.Slot > 0 {
+	if a.cfg.Metrics.Slot > 0 {
 		j, err := openJournal(a.figuresPath(), a.keepSlots()*max(1, len(a.names)), func(s api.Sample) {
 			if i := a.inst[s.Instance]; i != nil {
 				i.ring.add(s)
@@ -201,7 +201,7 @@
 		return api.Errorf(api.Unwritable, "agent %s is stopping", a.cfg.Name)
 	}
 	if len(c.Audit) > 0 {
-		c.AuditKeep = a.cfg.Limits.Audit
+		c.AuditLimit = a.cfg.Limits.Audit
 	}
 	ctx, cancel := context.WithTimeout(a.ctx, maxCommit)
 	defer cancel()
@@ -276,10 +276,10 @@
 
 // keepSlots is how many slots' figures are kept of each instance.
 func (a *Agent) keepSlots() int {
-	if a.cfg.Figures.Slot <= 0 {
+	if a.cfg.Metrics.Slot <= 0 {
 		return 1
 	}
-	return int(a.cfg.Figures.Keep/a.cfg.Figures.Slot) + 2
+	return int(a.cfg.Metrics.Retention/a.cfg.Metrics.Slot) + 2
 }
 
 func (a *Agent) logPath(name string) string {
--- a/internal/fleet/host/agent/config.go
+++ b/internal/fleet/host/agent/config.go
@@ -58,10 +58,10 @@
 		// Checkpoint has each sidecar keep what it learns in a file in state_dir.
 		Checkpoint bool `toml:"checkpoint"`
 	} `toml:"recovery"`
-	// Figures are taken of each instance that has a door, at the multiples of Slot.
-	Figures struct {
-		Slot quantity.Duration `toml:"slot"` // 0: never
-		Keep quantity.Duration `toml:"keep"`
+	// Metrics are taken of each instance that has a door, at the multiples of Slot.
+	Metrics struct {
+		Slot      quantity.Duration `toml:"slot"` // 0: never
+		Retention quantity.Duration `toml:"keep"`
 	} `toml:"figures"`
 	Distribution Distribution `toml:"distribution"`
 	// Relay, where set, makes the agent one of the machines that serve settings.
@@ -140,7 +140,7 @@
 	l.MaxCrash, l.CrashWithin = 5, quantity.Duration(time.Minute)
 	l.Log, l.Record = 8<<20, 64<<20
 	l.Operations, l.Audit, l.Releases = 100, 10000, 3
-	c.Figures.Slot, c.Figures.Keep = quantity.Duration(10*time.Second), quantity.Duration(time.Hour)
+	c.Metrics.Slot, c.Metrics.Retention = quantity.Duration(10*time.Second), quantity.Duration(time.Hour)
 	c.Listen.PlainRole, c.Sidecar.HandOver = api.View, true
 	c.Record.Store, c.Record.Statement, c.Record.Connect = SQLite, quantity.Duration(2*time.Second), quantity.Duration(2*time.Second)
 	c.Recovery.MinWave, c.Recovery.WaveLongest = quantity.Duration(300*time.Millisecond), quantity.Duration(10*time.Second)
@@ -243,10 +243,10 @@
 		return fmt.Errorf("limits.log: 64KiB at least")
 	case l.Operations < 1 || l.Audit < 1 || l.Releases < 0:
 		return fmt.Errorf("limits.operations and audit must be 1 at least, releases 0")
-	case c.Figures.Slot < 0 || c.Figures.Slot > 0 && c.Figures.Slot < quantity.Duration(200*time.Millisecond):
-		return fmt.Errorf("figures.slot: %v; 200ms at least, or 0s for none", time.Duration(c.Figures.Slot))
-	case c.Figures.Slot > 0 && (c.Figures.Keep < c.Figures.Slot || c.Figures.Keep/c.Figures.Slot > maxKeep):
-		return fmt.Errorf("figures.keep: %v; want 1 to %d slots of %v", time.Duration(c.Figures.Keep), maxKeep, time.Duration(c.Figures.Slot))
+	case c.Metrics.Slot < 0 || c.Metrics.Slot > 0 && c.Metrics.Slot < quantity.Duration(200*time.Millisecond):
+		return fmt.Errorf("figures.slot: %v; 200ms at least, or 0s for none", time.Duration(c.Metrics.Slot))
+	case c.Metrics.Slot > 0 && (c.Metrics.Retention < c.Metrics.Slot || c.Metrics.Retention/c.Metrics.Slot > maxKeep):
+		return fmt.Errorf("figures.keep: %v; want 1 to %d slots of %v", time.Duration(c.Metrics.Retention), maxKeep, time.Duration(c.Metrics.Slot))
 	case c.Recovery.MinWave < 0 || c.Recovery.WaveLongest < c.Recovery.MinWave || c.Recovery.WaveLongest > quantity.Duration(time.Hour):
 		return fmt.Errorf("recovery.wave_least and wave_longest: %v and %v; want 0 <= least <= longest <= 1h", time.Duration(c.Recovery.MinWave), time.Duration(c.Recovery.WaveLongest))
 	case c.Recovery.Checkpoint && !strings.Contains(c.Sidecar.Fleet, "return"):
--- a/internal/fleet/host/agent/figures.go
+++ b/internal/fleet/host/agent/figures.go
@@ -171,7 +171,7 @@
 // ends.
 func (a *Agent) takeFigures(j *journal) {
 	defer j.f.Close()
-	slot := time.Duration(a.cfg.Figures.Slot)
+	slot := time.Duration(a.cfg.Metrics.Slot)
 	for {
 		next := time.Unix(0, (time.Now().UnixNano()/int64(slot)+1)*int64(slot))
 		timer := time.NewTimer(time.Until(next))
@@ -221,7 +221,7 @@
 		turns <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-turns }()
-			got, err := a.machine.Figures(a.ctx, b.door, b.pid, limit)
+			got, err := a.machine.Metrics(a.ctx, b.door, b.pid, limit)
 			if err != nil {
 				return // a gap, which whoever judges sees and counts
 			}
@@ -240,7 +240,7 @@
 func (a *Agent) figures(_ context.Context, _ *caller, in *api.MetricsIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := &api.MetricsOut{Slot: time.Duration(a.cfg.Figures.Slot), Now: time.Now(), Last: a.boundary}
+	out := &api.MetricsOut{Slot: time.Duration(a.cfg.Metrics.Slot), Now: time.Now(), Last: a.boundary}
 	for _, name := range a.names {
 		ss := a.inst[name].ring.samples
 		at, _ := slices.BinarySearchFunc(ss, in.After+1, func(s api.Sample, b int64) int { return cmp.Compare(s.Boundary, b) })
@@ -334,7 +334,7 @@
 		Limit:    uint64(i.cfg.memory) << 20,
 	}
 	if i.row.Running == change.To {
-		own.Windows = i.ring.windows(time.Duration(a.cfg.Figures.Slot))
+		own.Windows = i.ring.windows(time.Duration(a.cfg.Metrics.Slot))
 	}
 	why := canary.Coarse(own)
 	if why == "" {
--- a/internal/fleet/host/agent/keep.go
+++ b/internal/fleet/host/agent/keep.go
@@ -42,7 +42,7 @@
 		maps.DeleteFunc(a.hands, func(release string, _ bool) bool { return !slices.Contains(used, release) })
 		a.mu.Unlock()
 		if n%30 == 29 {
-			if err := a.releases.Keep(used, a.cfg.Limits.Releases); err != nil {
+			if err := a.releases.Prune(used, a.cfg.Limits.Releases); err != nil {
 				slog.Warn("old releases stay", "err", err)
 			}
 		}
--- a/internal/fleet/host/agent/loss.go
+++ b/internal/fleet/host/agent/loss.go
@@ -143,7 +143,7 @@
 	}
 	waves := recovery.Waves(places, a.cfg.Recovery.MaxWave)
 	a.back = &comeback{epoch: n.Epoch, pace: recovery.NewPace(recovery.PaceConfig{
-		Least: time.Duration(a.cfg.Recovery.MinWave), Longest: time.Duration(a.cfg.Recovery.WaveLongest), Losses: n.Recent,
+		MinInterval: time.Duration(a.cfg.Recovery.MinWave), Longest: time.Duration(a.cfg.Recovery.WaveLongest), Losses: n.Recent,
 	}, waves, 0)}
 }
 
--- a/internal/fleet/host/agent/serve_operations.go
+++ b/internal/fleet/host/agent/serve_operations.go
@@ -56,7 +56,7 @@
 		if err := errors.Join(s.Plan.Check(len(o.Targets)), s.Judge.Check()); err != nil {
 			return nil, api.Errorf(api.InvalidParams, "%v", err)
 		}
-		if slot := time.Duration(a.cfg.Figures.Slot); s.Judge.Slot != slot {
+		if slot := time.Duration(a.cfg.Metrics.Slot); s.Judge.Slot != slot {
 			return nil, api.Errorf(api.InvalidParams, "agent %s takes figures each %v and operation %s is judged each %v: set figures.slot alike at all hosts", a.cfg.Name, slot, o.ID, s.Judge.Slot)
 		}
 	}
--- a/internal/fleet/host/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -370,7 +370,7 @@
 	if i.applier == nil {
 		return nil
 	}
-	out := &api.InstanceSettings{Received: a.settings.replica.Revision(), Relay: a.settings.subscriber.Relay(), Refused: i.applier.Rejections()}
+	out := &api.InstanceSettings{Received: a.settings.replica.Revision(), Relay: a.settings.subscriber.Relay(), Rejections: i.applier.Rejections()}
 	for _, resource := range i.applier.Accepted() {
 		out.Accepted = append(out.Accepted, api.AcceptedSettings{Name: resource.Name, Revision: resource.Revision})
 	}
--- a/internal/fleet/release/release.go
+++ b/internal/fleet/release/release.go
@@ -30,7 +30,7 @@
 
 // Most is the most bytes of a program, and MaxOverlay of an overlay.
 const (
-	Most       = 256 << 20
+	MaxSize    = 256 << 20
 	MaxOverlay = 1 << 20
 )
 
@@ -142,7 +142,7 @@
 // Write adds bytes at an offset, which must be where the file ends: a repeat of
 // what is there already is taken and changes nothing.
 func (d *Dir) Write(hash, file string, offset int64, data []byte) error {
-	limit := int64(Most)
+	limit := int64(MaxSize)
 	switch {
 	case !Valid(hash):
 		return fmt.Errorf("release: %q is no release's hash", hash)
@@ -293,8 +293,8 @@
 	}
 }
 
-// Keep removes all releases but those named and the latest spare others.
-func (d *Dir) Keep(used []string, spare int) error { return prune(d.path, used, spare) }
+// Prune removes all releases but those named and the latest spare others.
+func (d *Dir) Prune(used []string, spare int) error { return prune(d.path, used, spare) }
 
 // prune removes all folders with a hash's name but those named and the latest spare.
 func prune(path string, used []string, spare int) error {
--- a/internal/fleet/release/release_test.go
+++ b/internal/fleet/release/release_test.go
@@ -113,7 +113,7 @@
 		}
 		hashes = append(hashes, h)
 	}
-	if err := d.Keep(hashes[:1], 1); err != nil {
+	if err := d.Prune(hashes[:1], 1); err != nil {
 		t.Fatal(err)
 	}
 	left := 0
--- a/internal/fleet/store/postgres/postgres.go
+++ b/internal/fleet/store/postgres/postgres.go
@@ -172,9 +172,9 @@
 		put("DELETE FROM martendrum_instances WHERE agent = $1::text AND name = $2::text", name)
 		put("DELETE FROM martendrum_leases WHERE agent = $1::text AND instance = $2::text", name)
 	}
-	if c.AuditKeep > 0 {
+	if c.AuditLimit > 0 {
 		put(`DELETE FROM martendrum_audit WHERE agent = $1::text AND
-			n <= (SELECT max(n) FROM martendrum_audit WHERE agent = $1::text) - $2::bigint`, int64(c.AuditKeep))
+			n <= (SELECT max(n) FROM martendrum_audit WHERE agent = $1::text) - $2::bigint`, int64(c.AuditLimit))
 	}
 	put("UPDATE martendrum_agents SET last = $2::text WHERE agent = $1::text", id)
 	if err != nil {
@@ -203,7 +203,7 @@
 }
 
 // read reads all rows of a query about the agent, of which scan takes each.
-func (s *Store) read(ctx context.Context, q string, scan func(store.Row) error, args ...any) error {
+func (s *Store) read(ctx context.Context, q string, scan func(store.Scanner) error, args ...any) error {
 	rows, err := s.db.Pool.Query(ctx, q, append([]any{s.agent}, args...)...)
 	if err != nil {
 		return err
@@ -222,7 +222,7 @@
 	out := &store.Snapshot{}
 	for _, q := range []struct {
 		columns, table, order string
-		scan                  func(store.Row) error
+		scan                  func(store.Scanner) error
 	}{
 		{store.InstanceColumns, "martendrum_instances", "name", out.ReadInstance},
 		{store.OperationColumns, "martendrum_operations", "closed, id", out.ReadOperation},
@@ -239,7 +239,7 @@
 
 // Audit implements store.Store.
 func (s *Store) Audit(ctx context.Context, limit int) (out []api.AuditEntry, err error) {
-	err = s.read(ctx, "SELECT "+store.AuditColumns+" FROM martendrum_audit WHERE agent = $1::text ORDER BY n DESC LIMIT $2::bigint", func(r store.Row) error {
+	err = s.read(ctx, "SELECT "+store.AuditColumns+" FROM martendrum_audit WHERE agent = $1::text ORDER BY n DESC LIMIT $2::bigint", func(r store.Scanner) error {
 		a, err := store.ReadAudit(r)
 		out = append(out, a)
 		return err
--- a/internal/fleet/store/rows.go
+++ b/internal/fleet/store/rows.go
@@ -9,8 +9,8 @@
 	"martendrum/internal/fleet/lease"
 )
 
-// Row is one that a database returns, of either driver.
-type Row interface {
+// Scanner is one that a database returns, of either driver.
+type Scanner interface {
 	Scan(to ...any) error
 }
 
@@ -47,7 +47,7 @@
 }
 
 // ReadInstance adds a row to the snapshot.
-func (s *Snapshot) ReadInstance(r Row) error {
+func (s *Snapshot) ReadInstance(r Scanner) error {
 	var i Instance
 	var launched, ticks int64
 	err := r.Scan(&i.Name, &i.Desired, &i.Generation, &i.Release, &i.Previous, &i.Launch, &i.Process, &i.Running, &i.PID, &ticks, &i.Boot,
@@ -64,7 +64,7 @@
 }
 
 // ReadOperation adds a row to the snapshot.
-func (s *Snapshot) ReadOperation(r Row) error {
+func (s *Snapshot) ReadOperation(r Scanner) error {
 	var o Operation
 	var id, body string
 	var closed int64
@@ -84,7 +84,7 @@
 }
 
 // ReadStep adds a row to the snapshot.
-func (s *Snapshot) ReadStep(r Row) error {
+func (s *Snapshot) ReadStep(r Scanner) error {
 	var op, instance, kind, status, body string
 	var x api.Step
 	err := r.Scan(&op, &instance, &kind, &status, &body)
@@ -101,7 +101,7 @@
 }
 
 // ReadLease adds a row to the snapshot.
-func (s *Snapshot) ReadLease(r Row) error {
+func (s *Snapshot) ReadLease(r Scanner) error {
 	var l lease.Lease
 	var granted, expires int64
 	err := r.Scan(&l.Instance, &l.Op, &l.Holder, &l.Token, &granted, &expires)
@@ -114,7 +114,7 @@
 func SettingsValues(r *distribution.Entry) []any { return []any{r.Key, string(r.Value)} }
 
 // ReadSettings adds a row to the snapshot.
-func (s *Snapshot) ReadSettings(r Row) error {
+func (s *Snapshot) ReadSettings(r Scanner) error {
 	var key, body string
 	err := r.Scan(&key, &body)
 	s.Settings = append(s.Settings, distribution.Entry{Key: key, Value: []byte(body)})
@@ -127,7 +127,7 @@
 }
 
 // ReadAudit reads an entry.
-func ReadAudit(r Row) (a api.AuditEntry, err error) {
+func ReadAudit(r Scanner) (a api.AuditEntry, err error) {
 	var at int64
 	err = r.Scan(&at, &a.Who, &a.What, &a.Target, &a.Result)
 	a.At = fromUnix(at)
--- a/internal/fleet/store/sqlite/sqlite.go
+++ b/internal/fleet/store/sqlite/sqlite.go
@@ -133,8 +133,8 @@
 		put(`DELETE FROM instances WHERE name = ?`, name)
 		put(`DELETE FROM leases WHERE instance = ?`, name)
 	}
-	if c.AuditKeep > 0 {
-		put(`DELETE FROM audit WHERE n <= (SELECT max(n) FROM audit) - ?`, c.AuditKeep)
+	if c.AuditLimit > 0 {
+		put(`DELETE FROM audit WHERE n <= (SELECT max(n) FROM audit) - ?`, c.AuditLimit)
 	}
 	if err == nil {
 		err = tx.Commit()
@@ -150,7 +150,7 @@
 	out := &store.Snapshot{}
 	for _, q := range []struct {
 		text string
-		scan func(store.Row) error
+		scan func(store.Scanner) error
 	}{
 		{"SELECT " + store.InstanceColumns + " FROM instances ORDER BY name", out.ReadInstance},
 		{"SELECT " + store.OperationColumns + " FROM operations ORDER BY closed, id", out.ReadOperation},
--- a/internal/fleet/store/sqlite/sqlite_test.go
+++ b/internal/fleet/store/sqlite/sqlite_test.go
@@ -119,7 +119,7 @@
 	if got, err := s.Load(ctx); err != nil || len(got.Instances) != 1 {
 		t.Error(got, err)
 	}
-	if err := s.Commit(ctx, &store.Change{AuditKeep: 1}); err != nil {
+	if err := s.Commit(ctx, &store.Change{AuditLimit: 1}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Commit(ctx, storetest.Full()); err != nil {
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -59,7 +59,7 @@
 
 	DropOperations []string // with their steps
 	DropInstances  []string
-	AuditKeep      int // if above 0: only so many of the latest audit entries stay
+	AuditLimit     int // if above 0: only so many of the latest audit entries stay
 }
 
 // Snapshot is the whole record but for the audit log.
--- a/internal/fleet/store/storetest/storetest.go
+++ b/internal/fleet/store/storetest/storetest.go
@@ -63,7 +63,7 @@
 	if got, err := s.Load(ctx); err != nil || !reflect.DeepEqual(got.Settings, kept) {
 		t.Errorf("after a row was dropped: %+v %v", got.Settings, err)
 	}
-	if err := s.Commit(ctx, &store.Change{DropOperations: []string{"op1"}, DropInstances: []string{"n1"}, DropSettings: []string{kept[0].Key}, AuditKeep: 1}); err != nil {
+	if err := s.Commit(ctx, &store.Change{DropOperations: []string{"op1"}, DropInstances: []string{"n1"}, DropSettings: []string{kept[0].Key}, AuditLimit: 1}); err != nil {
 		t.Fatal(err)
 	}
 	if got, _ := s.Load(ctx); !reflect.DeepEqual(got, &store.Snapshot{}) {
--- a/internal/handover/idtable/idtable.go
+++ b/internal/handover/idtable/idtable.go
@@ -22,16 +22,16 @@
 	// Slots is the number of words: a power of two. At four times the platform's rate
 	// of 320 requests a second, two thirds of it stay free.
 	Slots = 1 << 14
-	// Life is how long an id is known from its opening: the longest deadline, 3 s, and
+	// EntryTTL is how long an id is known from its opening: the longest deadline, 3 s, and
 	// some more for one that comes late.
-	Life = 4 * time.Second
+	EntryTTL = 4 * time.Second
 
 	probes = 16
 	tick   = 250 * time.Millisecond // the unit of a word's time
 	// Of a word.
 	timeBits = 24
 	timeMask = 1<<timeBits - 1
-	life     = uint64(Life / tick)
+	life     = uint64(EntryTTL / tick)
 )
 
 // Table is the set. Its methods may be called from any goroutine of any process.
--- a/internal/handover/idtable/idtable_test.go
+++ b/internal/handover/idtable/idtable_test.go
@@ -33,9 +33,9 @@
 			age := now - at
 			full := tab.Full()
 			switch ok := tab.Open(id, now); {
-			case ok && was && age <= Life-tick && tab.Full() == full:
+			case ok && was && age <= EntryTTL-tick && tab.Full() == full:
 				t.Fatalf("an id of %v ago is forgotten", age)
-			case !ok && (!was || age >= Life+tick):
+			case !ok && (!was || age >= EntryTTL+tick):
 				t.Fatalf("a new id passes for a known one (%v, %v)", was, age)
 			case ok && tab.Full() == full:
 				plain[id] = now
@@ -78,7 +78,7 @@
 	if tab.Full() > 0 || once < ids*9/10 {
 		t.Errorf("%d of %d opened, %d for want of room", once, ids, tab.Full())
 	}
-	if later := t0 + Life + tick; !tab.Open(hash[0], later) || tab.Open(hash[0], later) {
+	if later := t0 + EntryTTL + tick; !tab.Open(hash[0], later) || tab.Open(hash[0], later) {
 		t.Error("after its life an id is not new, or not known again")
 	}
 }
--- a/internal/handover/link/link.go
+++ b/internal/handover/link/link.go
@@ -46,8 +46,8 @@
 
 // Errors of a place.
 var (
-	// ErrHeld says that a process serves already.
-	ErrHeld = errors.New("link: another process serves at this address")
+	// ErrLocked says that a process serves already.
+	ErrLocked = errors.New("link: another process serves at this address")
 	// ErrForeign says that what lies in the way is not this user's.
 	ErrForeign = errors.New("link: a file in the way")
 )
@@ -61,7 +61,7 @@
 
 func (p *Place) path(suffix string) string { return filepath.Join(p.dir, p.name+suffix) }
 
-// Lock takes the place; ErrHeld if a process has it.
+// Lock takes the place; ErrLocked if a process has it.
 func (p *Place) Lock() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +80,7 @@
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return ErrHeld
+			return ErrLocked
 		}
 		return fmt.Errorf("link: lock %s: %w", path, err)
 	}
@@ -142,7 +142,7 @@
 // Save keeps a snapshot for the next process. Only the one that has the place may.
 func (p *Place) Save(data []byte) error {
 	if !p.Locked() {
-		return ErrHeld
+		return ErrLocked
 	}
 	part := p.path(".snap.new")
 	os.Remove(part)
--- a/internal/handover/link/new.go
+++ b/internal/handover/link/new.go
@@ -98,7 +98,7 @@
 	if err == nil {
 		return n.do(n.machine.Nobody())
 	}
-	if !errors.Is(err, ErrHeld) {
+	if !errors.Is(err, ErrLocked) {
 		return err
 	}
 	addr, done, err := n.place.address(".sock")
@@ -348,9 +348,9 @@
 	return list
 }
 
-// Late brings the listeners of an old process that hung and has handed over after all;
+// LateListeners brings the listeners of an old process that hung and has handed over after all;
 // Listeners and IDs have them too by then. The caller serves there and says so by Ready.
-func (n *New) Late() <-chan []*net.TCPListener { return n.late }
+func (n *New) LateListeners() <-chan []*net.TCPListener { return n.late }
 
 // Snapshot is what the old process has learned, empty if it said nothing.
 func (n *New) Snapshot() []byte {
--- a/internal/idempotency/backendtest/backendtest.go
+++ b/internal/idempotency/backendtest/backendtest.go
@@ -15,8 +15,8 @@
 	"martendrum/internal/idempotency"
 )
 
-// Keep is what the tests keep rows for.
-var Keep = idempotency.Retention{Answered: time.Hour, NeverRan: time.Minute, Unsettled: 24 * time.Hour}
+// Retention is what the tests keep rows for.
+var Retention = idempotency.Retention{Answered: time.Hour, NeverRan: time.Minute, Unsettled: 24 * time.Hour}
 
 func ctx(t *testing.T) context.Context {
 	c, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -181,7 +181,7 @@
 		sent := Send("dead", "d", 0)
 		sent.Lease = -time.Second
 		Apply(t, b, dead, sent, Claim("unsent", "u", -time.Second), Claim("alive", "l", time.Hour))
-		n, err := b.Sweep(ctx(t), Keep, 100)
+		n, err := b.Sweep(ctx(t), Retention, 100)
 		if err != nil || n != 2 {
 			t.Fatal(n, err)
 		}
--- a/internal/idempotency/sqlite/sqlite_test.go
+++ b/internal/idempotency/sqlite/sqlite_test.go
@@ -18,7 +18,7 @@
 var ctx = context.Background()
 
 func cfg(path string) Config {
-	return Config{Path: path, MaxBytes: 16 << 20, Retention: bt.Keep, Owner: true}
+	return Config{Path: path, MaxBytes: 16 << 20, Retention: bt.Retention, Owner: true}
 }
 
 func mustOpen(t *testing.T, c Config) *Store {
--- a/internal/msgpackrpc/client.go
+++ b/internal/msgpackrpc/client.go
@@ -116,9 +116,9 @@
 	return c.err
 }
 
-// Strays is how many answers came to calls that had been given up or that nobody
+// UnsolicitedResponses is how many answers came to calls that had been given up or that nobody
 // made. They reach no one.
-func (c *Client) Strays() int {
+func (c *Client) UnsolicitedResponses() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.strays
@@ -242,7 +242,7 @@
 		return nil
 	}
 	if err := msgpack.Unmarshal(call.answer.b, result); err != nil {
-		return &CallError{Method: method, Sent: SentWhole, Err: fmt.Errorf("its result can't be read: %w", err)}
+		return &CallError{Method: method, Sent: SentCompletely, Err: fmt.Errorf("its result can't be read: %w", err)}
 	}
 	return nil
 }
--- a/internal/msgpackrpc/rpc_test.go
+++ b/internal/msgpackrpc/rpc_test.go
@@ -111,8 +111,8 @@
 		})
 	}
 	wg.Wait()
-	if c.Strays() != 0 {
-		t.Errorf("%d strays", c.Strays())
+	if c.UnsolicitedResponses() != 0 {
+		t.Errorf("%d strays", c.UnsolicitedResponses())
 	}
 }
 
@@ -252,7 +252,7 @@
 	}
 	cancel()
 	err := <-slow
-	if ce, ok := errors.AsType[*CallError](err); !ok || ce.Sent != SentWhole || !errors.Is(err, context.Canceled) {
+	if ce, ok := errors.AsType[*CallError](err); !ok || ce.Sent != SentCompletely || !errors.Is(err, context.Canceled) {
 		t.Errorf("the call given up: %v", err)
 	}
 	c.mu.Lock()
@@ -265,7 +265,7 @@
 		}
 	}
 	close(release)
-	for deadline := time.Now().Add(patience); c.Strays() == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(patience); c.UnsolicitedResponses() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the late reply was never counted")
 		}
@@ -347,7 +347,7 @@
 			t.Errorf("cut %d: the peer got %d bytes", cut, n)
 		}
 		whole, part := n/size, min(1, n%size)
-		if states[SentWhole] != whole || states[SentPart] != part || states[SentNone] != 3-whole-part {
+		if states[SentCompletely] != whole || states[SentPart] != part || states[SentNone] != 3-whole-part {
 			t.Errorf("cut at %d of %d: %v", cut, 3*size, states)
 		}
 	}
@@ -368,7 +368,7 @@
 	<-began
 	c.Close()
 	err := <-res
-	if ce, ok := errors.AsType[*CallError](err); !ok || ce.Sent != SentWhole || !errors.Is(err, ErrClosed) {
+	if ce, ok := errors.AsType[*CallError](err); !ok || ce.Sent != SentCompletely || !errors.Is(err, ErrClosed) {
 		t.Error(err)
 	}
 	select {
--- a/internal/msgpackrpc/writer.go
+++ b/internal/msgpackrpc/writer.go
@@ -10,9 +10,9 @@
 type Sent int
 
 const (
-	SentNone  Sent = iota // not a byte: the peer can't have taken it
-	SentPart              // some bytes, not the last: a peer that keeps to the specification has not taken it
-	SentWhole             // all: it may have been carried out
+	SentNone       Sent = iota // not a byte: the peer can't have taken it
+	SentPart                   // some bytes, not the last: a peer that keeps to the specification has not taken it
+	SentCompletely             // all: it may have been carried out
 )
 
 func (s Sent) String() string {
@@ -128,7 +128,7 @@
 				continue
 			}
 			// From here on all of it may be out; the write's end tells.
-			it.sent = SentWhole
+			it.sent = SentCompletely
 			batch = append(batch, it)
 			bytes += len(it.data)
 		}
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -133,7 +133,7 @@
 }
 
 // Counts is what the socket itself has seen.
-type Counts struct{ Strays, Unsent uint64 }
+type Counts struct{ UnknownSenders, Unsent uint64 }
 
 // Counts returns it.
 func (l *Link) Counts() Counts { return Counts{l.strays.Load(), l.unsent.Load()} }
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -129,7 +129,7 @@
 	}
 	defer c.Close()
 	c.Write([]byte("hello"))
-	eventually(t, "a stranger counted", func() bool { return l.Counts().Strays == 1 })
+	eventually(t, "a stranger counted", func() bool { return l.Counts().UnknownSenders == 1 })
 	for _, cfg := range []Config{
 		{Listen: "nowhere", Peers: at},
 		{Listen: at[0], Peers: at}, // taken
--- a/internal/recovery/waves.go
+++ b/internal/recovery/waves.go
@@ -54,8 +54,8 @@
 
 // PaceConfig says how the waves of a host follow each other.
 type PaceConfig struct {
-	Least   time.Duration // from one wave to the next, at least
-	Longest time.Duration // and at most, also where some of a wave are not ready
+	MinInterval time.Duration // from one wave to the next, at least
+	Longest     time.Duration // and at most, also where some of a wave are not ready
 	// Losses is how many losses came in a row, this one too. Least grows with them, by
 	// up to maxFlap: power that flaps must not start storms.
 	Losses int
@@ -78,8 +78,8 @@
 // NewPace returns the Pace of waves that begin at now.
 func NewPace(cfg PaceConfig, waves [][]string, now time.Duration) *Pace {
 	flap := min(1<<min(max(0, cfg.Losses-1), 10), maxFlap)
-	cfg.Least *= time.Duration(flap)
-	cfg.Longest = max(cfg.Longest, cfg.Least)
+	cfg.MinInterval *= time.Duration(flap)
+	cfg.Longest = max(cfg.Longest, cfg.MinInterval)
 	p := &Pace{cfg: cfg, wave: make(map[string]int), done: make(map[string]bool), began: now}
 	for n, w := range waves {
 		p.left = append(p.left, len(w))
@@ -103,7 +103,7 @@
 func (p *Pace) May(now time.Duration, name string) bool {
 	for p.current < len(p.left) {
 		age := now - p.began
-		if age < p.cfg.Least || p.left[p.current] > 0 && age < p.cfg.Longest {
+		if age < p.cfg.MinInterval || p.left[p.current] > 0 && age < p.cfg.Longest {
 			break
 		}
 		p.current++
--- a/internal/recovery/waves_test.go
+++ b/internal/recovery/waves_test.go
@@ -37,9 +37,9 @@
 			takes[fmt.Sprint(i)] = rapid.SampledFrom([]time.Duration{0, step, time.Second, 3 * time.Second, never}).Draw(t, "takes")
 		}
 		waves := Waves(places, rapid.IntRange(0, 4).Draw(t, "most"))
-		cfg := PaceConfig{Least: 200 * ms, Longest: 2 * time.Second, Losses: rapid.IntRange(0, 40).Draw(t, "losses")}
+		cfg := PaceConfig{MinInterval: 200 * ms, Longest: 2 * time.Second, Losses: rapid.IntRange(0, 40).Draw(t, "losses")}
 		p := NewPace(cfg, waves, 0)
-		bound := time.Duration(len(waves)) * max(cfg.Longest, cfg.Least*maxFlap)
+		bound := time.Duration(len(waves)) * max(cfg.Longest, cfg.MinInterval*maxFlap)
 		started := make(map[string]time.Duration)
 		for now := time.Duration(0); now <= bound+step; now += step {
 			for _, place := range places {
@@ -59,7 +59,7 @@
 			t.Fatalf("only %d of %d may start by %v", len(started), len(places), bound)
 		}
 		for n := 1; n < len(waves); n++ {
-			if a, b := started[waves[n-1][0]], started[waves[n][0]]; b-a < cfg.Least-step { // the one before is seen a step late
+			if a, b := started[waves[n-1][0]], started[waves[n][0]]; b-a < cfg.MinInterval-step { // the one before is seen a step late
 				t.Fatalf("wave %d came %v after the one before", n, b-a)
 			}
 		}
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -22,17 +22,17 @@
 	h.limits.local, h.limits.shared = own, shared
 }
 
-// ShareInFlight counts requests in flight in tally from now on, and limits the sum. A
+// SetTally counts requests in flight in tally from now on, and limits the sum. A
 // tally set before is not used any more.
-func (h *Host) ShareInFlight(tally Tally) {
+func (h *Host) SetTally(tally Tally) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.limits.tally = tally
 	h.updateTally()
 }
 
-// UnshareInFlight ends the sharing: when it returns, tally is not used any more.
-func (h *Host) UnshareInFlight(tally Tally) {
+// RemoveTally ends the sharing: when it returns, tally is not used any more.
+func (h *Host) RemoveTally(tally Tally) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.limits.tally == tally {
--- a/internal/standin/simhost/simhost.go
+++ b/internal/standin/simhost/simhost.go
@@ -136,8 +136,8 @@
 	return proc.Healthy{}, errors.New("connection refused")
 }
 
-// Figures implements agent.Machine: a pretended sidecar has no door.
-func (h *Host) Figures(context.Context, string, int, time.Duration) (*api.Sample, error) {
+// Metrics implements agent.Machine: a pretended sidecar has no door.
+func (h *Host) Metrics(context.Context, string, int, time.Duration) (*api.Sample, error) {
 	return nil, errors.New("a pretended sidecar has no door")
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -57,7 +57,7 @@
 	Kind     Kind
 	Instance []byte
 	TimeUs   int64 // tick: the clock
-	Turn     int64
+	Tick     int64
 	Seed     uint64
 	Env      []byte // powerOn: the settings, as JSON
 	List     int
@@ -68,7 +68,7 @@
 	Key      []byte
 	Tenant   []byte
 	Deadline int64
-	Copy     int
+	Attempt  int
 	Over     bool
 	Ending   int
 	Load     Load
@@ -95,7 +95,7 @@
 	*e = Event{Kind: kind}
 	switch kind {
 	case Tick:
-		e.TimeUs, e.Turn = v.GetInt64("tsUs"), v.GetInt64("turn")
+		e.TimeUs, e.Tick = v.GetInt64("tsUs"), v.GetInt64("turn")
 		return nil
 	case End:
 		return nil
@@ -124,7 +124,7 @@
 		}
 		e.Class, e.Key, e.Tenant = v.GetStringBytes("cls"), v.GetStringBytes("resource"), v.GetStringBytes("project")
 		e.Deadline = v.GetInt64("clientDeadlineUs")
-		e.Copy, e.Over, e.Ending = v.GetInt("copy"), v.GetBool("noMore"), v.GetInt("ending")
+		e.Attempt, e.Over, e.Ending = v.GetInt("copy"), v.GetBool("noMore"), v.GetInt("ending")
 		e.Load = decodeLoad(v.Get("feedback"))
 	}
 	return nil
@@ -277,8 +277,8 @@
 	r.close()
 }
 
-// KeepInformed writes a subscription to discovery.
-func (r *Reply) KeepInformed(instance string) {
+// Subscribe writes a subscription to discovery.
+func (r *Reply) Subscribe(instance string) {
 	r.open("keepInformed", instance)
 	r.buf = append(r.buf, `,"on":true`...)
 	r.close()
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -17,7 +17,7 @@
 
 func TestDecode(t *testing.T) {
 	e := decode(t, `{"t":"tick","tsUs":8412250,"turn":12}`)
-	if e.Kind != Tick || e.TimeUs != 8412250 || e.Turn != 12 {
+	if e.Kind != Tick || e.TimeUs != 8412250 || e.Tick != 12 {
 		t.Errorf("tick: %+v", e)
 	}
 	e = decode(t, `{"t":"knock","sidecarId":"sidecar/3","id":"069fa6f45d3a91c4","resource":"k:x","cls":"c","project":"p","clientDeadlineUs":8652250,"new":{"a":[1]}}`)
@@ -25,7 +25,7 @@
 		t.Errorf("knock: %+v", e)
 	}
 	e = decode(t, `{"t":"finished","sidecarId":"s","id":"069fa6f45d3a91c4","copy":2,"noMore":true,"ending":429,"feedback":{"cpu_share":0.5,"odd":1}}`)
-	if e.Copy != 2 || !e.Over || e.Ending != 429 || !e.Load.HasCPUShare || e.Load.CPUShare != 0.5 || e.Load.HasBusyReqs {
+	if e.Attempt != 2 || !e.Over || e.Ending != 429 || !e.Load.HasCPUShare || e.Load.CPUShare != 0.5 || e.Load.HasBusyReqs {
 		t.Errorf("finished: %+v", e)
 	}
 	e = decode(t, `{"t":"checked","sidecarId":"s","server":"10.0.0.1:1","ending":200,"durationUs":1400,"feedback":{"busy_reqs":3}}`)
@@ -69,7 +69,7 @@
 		{func(r *Reply) { r.DropRequest("s", 1) }, map[string]any{"t": "dropRequest", "sidecarId": "s", "id": "0000000000000001"}},
 		{func(r *Reply) { r.SetTimer("s", 7, 5) }, map[string]any{"t": "setTimer", "sidecarId": "s", "cookie": 7.0, "inUs": 5.0}},
 		{func(r *Reply) { r.DropConns("s", "x") }, map[string]any{"t": "dropConns", "sidecarId": "s", "server": "x"}},
-		{func(r *Reply) { r.KeepInformed("s") }, map[string]any{"t": "keepInformed", "sidecarId": "s", "on": true}},
+		{func(r *Reply) { r.Subscribe("s") }, map[string]any{"t": "keepInformed", "sidecarId": "s", "on": true}},
 		{func(r *Reply) { r.BailOut("s", odd) }, map[string]any{"t": "bailOut", "sidecarId": "s", "reasonText": odd}},
 		{func(r *Reply) { r.EndOfReply(3) }, map[string]any{"t": "eor", "turn": 3.0}},
 	} {
