--- a/cmd/sidecar/config.go
+++ b/cmd/sidecar/config.go
@@ -198,8 +198,8 @@
 	}
 	c.pace = discovery.Polled()
 	// The first call comes within four fifths of AskWithin.
-	s.Config.MaxListAge = min(s.Config.MaxListAge, c.pace.First*5/4)
-	s.Config.RetryWithin = c.pace.Back
+	s.Config.MaxListAge = min(s.Config.MaxListAge, c.pace.InitialDelay*5/4)
+	s.Config.RetryWithin = c.pace.MaxBackoff
 }
 
 // loadExtras loads what only the environment turns on: the store of record, the fleet
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -20,8 +20,8 @@
 	"martendrum"
 )
 
-// backoffMin is the mean wait after a first failure.
-const backoffMin = 20 * time.Millisecond
+// minBackoff is the mean wait after a first failure.
+const minBackoff = 20 * time.Millisecond
 
 // Entry is one server on the list.
 type Entry struct {
@@ -111,29 +111,29 @@
 	Failed func(error) // a call has failed or a watch has ended
 	Pace   Pace
 
-	mu    sync.Mutex
-	conns map[net.Conn]struct{} // of the watch, two while a second call is made beside the first
-	busy  bool                  // in Watch
-	shut  bool
-	moves int // how often Addr has changed
+	mu              sync.Mutex
+	conns           map[net.Conn]struct{} // of the watch, two while a second call is made beside the first
+	watching        bool                  // in Watch
+	closedByOwner   bool
+	endpointChanges int // how often Addr has changed
 
-	heard atomic.Pointer[time.Time] // when the last byte of a watch came; nil: none yet
+	lastReceived atomic.Pointer[time.Time] // when the last byte of a watch came; nil: none yet
 }
 
 // Age is the time since discovery was heard last, also if it had nothing to tell;
 // false if it never was.
 func (w *Watcher) Age() (time.Duration, bool) {
-	at := w.heard.Load()
+	at := w.lastReceived.Load()
 	if at == nil {
 		return 0, false
 	}
 	return time.Since(*at), true
 }
 
-// hear notes that a byte of a watch has come.
-func (w *Watcher) hear() {
+// markReceived notes that a byte of a watch has come.
+func (w *Watcher) markReceived() {
 	now := time.Now()
-	w.heard.Store(&now)
+	w.lastReceived.Store(&now)
 }
 
 // SetEndpoint follows the list at another address and pace from now on. The watch that is open
@@ -143,27 +143,27 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Addr, w.Index, w.Pace = addr, 0, pace
-	w.moves++
+	w.endpointChanges++
 	w.closeConns()
 }
 
-// place is where to watch from which version on, and how many moves led there.
-type place struct {
-	addr  string
-	index int64
-	moves int
-	pace  Pace
+// watchTarget is where to watch from which version on, and how many moves led there.
+type watchTarget struct {
+	addr            string
+	index           int64
+	endpointChanges int
+	pace            Pace
 }
 
-func (w *Watcher) place() place {
+func (w *Watcher) target() watchTarget {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return place{addr: w.Addr, index: w.Index, moves: w.moves, pace: w.Pace}
+	return watchTarget{addr: w.Addr, index: w.Index, endpointChanges: w.endpointChanges, pace: w.Pace}
 }
 
 // Follow keeps a watch open until Close, and calls Failed at each break.
 func (w *Watcher) Follow() {
-	backoff := backoffMin
+	backoff := minBackoff
 	for !w.closed() {
 		began := time.Now()
 		err := w.Watch()
@@ -172,10 +172,10 @@
 		}
 		w.Failed(err)
 		if time.Since(began) > time.Second {
-			backoff = backoffMin // it worked: what was missed is wanted at once
+			backoff = minBackoff // it worked: what was missed is wanted at once
 		}
 		time.Sleep(backoff/2 + rand.N(backoff))
-		backoff = min(2*backoff, w.place().pace.Back*2/3)
+		backoff = min(2*backoff, w.target().pace.MaxBackoff*2/3)
 	}
 }
 
@@ -183,7 +183,7 @@
 func (w *Watcher) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.shut = true
+	w.closedByOwner = true
 	w.closeConns()
 }
 
@@ -194,11 +194,11 @@
 	}
 }
 
-// own makes conn one that Move and Close end, unless one of them has come before it.
-func (w *Watcher) own(conn net.Conn, moves int) bool {
+// adopt makes conn one that Move and Close end, unless one of them has come before it.
+func (w *Watcher) adopt(conn net.Conn, moves int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.shut || w.moves != moves {
+	if w.closedByOwner || w.endpointChanges != moves {
 		return false
 	}
 	if w.conns == nil {
@@ -219,7 +219,7 @@
 func (w *Watcher) closed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.shut
+	return w.closedByOwner
 }
 
 // ErrOpen says that a watch is open already: there is nothing to open.
@@ -231,35 +231,35 @@
 // It returns ErrOpen where another call of Watch has not returned yet.
 func (w *Watcher) Watch() error {
 	w.mu.Lock()
-	if w.busy {
+	if w.watching {
 		w.mu.Unlock()
 		return ErrOpen
 	}
-	w.busy = true
+	w.watching = true
 	w.mu.Unlock()
 	silent := false
 	for {
-		at := w.place()
+		at := w.target()
 		err := w.watch(at, silent)
 		fell, ok := errors.AsType[*SilentError](err)
 		silent = ok && fell.During == Watching
 		w.mu.Lock()
-		again := w.moves != at.moves && !w.shut
-		if w.shut || !again && !ok {
-			w.busy = false // under one lock with the look at moves: none is overlooked
+		again := w.endpointChanges != at.endpointChanges && !w.closedByOwner
+		if w.closedByOwner || !again && !ok {
+			w.watching = false // under one lock with the look at moves: none is overlooked
 			w.mu.Unlock()
 			return err
 		}
 		w.mu.Unlock()
 		if !again {
 			slog.Warn("discovery fell silent: asked again", "err", err, "advice", fell.Advice())
-			time.Sleep(rand.N(max(at.pace.Spread, backoffMin)))
+			time.Sleep(rand.N(max(at.pace.RetrySpread, minBackoff)))
 		}
 	}
 }
 
-// silence is err, worded where it says that nothing came in time.
-func silence(err error, addr string, during Phase) error {
+// asSilentError is err, worded where it says that nothing came in time.
+func asSilentError(err error, addr string, during Phase) error {
 	if late, ok := errors.AsType[net.Error](err); ok && late.Timeout() {
 		return &SilentError{Addr: addr, During: during, err: err}
 	}
@@ -268,13 +268,13 @@
 
 // watch makes a call and follows what it brings. After a watch that fell silent, a second
 // call may be made beside it.
-func (w *Watcher) watch(at place, silent bool) error {
-	var f *feed
+func (w *Watcher) watch(at watchTarget, silent bool) error {
+	var f *activeCall
 	var err error
-	if silent && at.pace.Again > 0 {
+	if silent && at.pace.SecondCallDelay > 0 {
 		f, err = w.openEither(at)
 	} else {
-		f, err = w.open(at, at.pace.Call)
+		f, err = w.open(at, at.pace.CallTimeout)
 	}
 	if err != nil {
 		return err
@@ -283,33 +283,33 @@
 	for {
 		list, err := f.stream.next()
 		if broken, ok := errors.AsType[*json.SyntaxError](err); ok {
-			w.distrust(at.moves)
+			w.resetIndex(at.endpointChanges)
 			return fmt.Errorf("discovery: no list: %w", broken)
 		}
 		if err != nil {
-			return silence(err, at.addr, Watching)
+			return asSilentError(err, at.addr, Watching)
 		}
-		if err := w.take(list, at.moves); err != nil {
+		if err := w.deliver(list, at.endpointChanges); err != nil {
 			return err
 		}
 	}
 }
 
-// distrust sees to it that the next watch asks for the whole list.
-func (w *Watcher) distrust(moves int) {
+// resetIndex sees to it that the next watch asks for the whole list.
+func (w *Watcher) resetIndex(moves int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.moves == moves {
+	if w.endpointChanges == moves {
 		w.Index = 0
 	}
 }
 
-// take hands a list on. After one that can't be read, or that has gone back, the
+// deliver hands a list on. After one that can't be read, or that has gone back, the
 // next watch asks for the whole list: the one held can't be relied on to go on from.
-func (w *Watcher) take(list []byte, moves int) error {
+func (w *Watcher) deliver(list []byte, moves int) error {
 	l, err := Parse(list)
 	w.mu.Lock()
-	if w.moves != moves {
+	if w.endpointChanges != moves {
 		w.mu.Unlock()
 		return net.ErrClosed
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -51,7 +51,7 @@
 		return false
 	})
 	w := &watched{lists: make(chan *List, 100), failed: make(chan error, 100)}
-	w.Watcher = &Watcher{Addr: addr, Pace: Pace{Call: patience, Spread: time.Second, Back: 500 * time.Millisecond}, Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
+	w.Watcher = &Watcher{Addr: addr, Pace: Pace{CallTimeout: patience, RetrySpread: time.Second, MaxBackoff: 500 * time.Millisecond}, Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
 	t.Cleanup(w.Close)
 	if asks {
 		go func() { w.failed <- w.Watch() }()
@@ -216,7 +216,7 @@
 			if l := w.next(t, patience); l.Index != 9 {
 				t.Errorf("it got %+v", l)
 			}
-			if late := time.Since(since); late > maxTold-toldMargin {
+			if late := time.Since(since); late > maxNotificationDelay-notificationMargin {
 				t.Errorf("told %v after the watch fell silent", late)
 			}
 		})
@@ -255,7 +255,7 @@
 	if l := w.next(t, patience); l.Index != 3 {
 		t.Errorf("after the move: %+v", l)
 	}
-	if took := time.Since(moved); took > Polled().Again {
+	if took := time.Since(moved); took > Polled().SecondCallDelay {
 		t.Errorf("the move was followed after %v", took)
 	}
 }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -14,24 +14,24 @@
 // which what discovery has counts as told.
 func TestWaitsAddUp(t *testing.T) {
 	asked := Polled()
-	if w := asked.Worst(); w > maxTold-toldMargin {
+	if w := asked.WorstDelay(); w > maxNotificationDelay-notificationMargin {
 		t.Errorf("asked: %v in all", w)
 	}
-	for _, d := range []time.Duration{asked.Call, asked.Spread, asked.Back, asked.First} {
+	for _, d := range []time.Duration{asked.CallTimeout, asked.RetrySpread, asked.MaxBackoff, asked.InitialDelay} {
 		if d < 100*time.Millisecond {
 			t.Errorf("asked: %+v leaves a part no time", asked)
 		}
 	}
 	for grace := time.Duration(0); grace < time.Minute; grace += 10 * time.Millisecond {
 		p := Pushed(grace)
-		if w := p.Worst(); w > maxTold-toldMargin {
+		if w := p.WorstDelay(); w > maxNotificationDelay-notificationMargin {
 			t.Errorf("pushed, grace %v: %v in all", grace, w)
 		}
-		if p.Call < minPushed || p.Back*2/3 < backoffMin {
+		if p.CallTimeout < minPushedCallTimeout || p.MaxBackoff*2/3 < minBackoff {
 			t.Errorf("pushed, grace %v: %+v leaves a part no time", grace, p)
 		}
-		if grace >= 2*minPushed && p.Call+p.Back > grace*3/4 {
-			t.Errorf("pushed, grace %v: the next answer comes after %v", grace, p.Call+p.Back)
+		if grace >= 2*minPushedCallTimeout && p.CallTimeout+p.MaxBackoff > grace*3/4 {
+			t.Errorf("pushed, grace %v: the next answer comes after %v", grace, p.CallTimeout+p.MaxBackoff)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 		if w.refuses {
 			w.at(w.now, failed)
 		} else {
-			w.at(w.now+Polled().Call, failed)
+			w.at(w.now+Polled().CallTimeout, failed)
 		}
 		return
 	}
@@ -99,10 +99,10 @@
 	begins := max(w.now, w.free)
 	switch {
 	case begins-w.now > 2*time.Second:
-		w.at(w.now+min(2*time.Second, Polled().Call), failed)
-	case begins+w.cost-w.now > Polled().Call:
+		w.at(w.now+min(2*time.Second, Polled().CallTimeout), failed)
+	case begins+w.cost-w.now > Polled().CallTimeout:
 		w.free = begins + w.cost
-		w.at(w.now+Polled().Call, failed)
+		w.at(w.now+Polled().CallTimeout, failed)
 	default:
 		w.free = begins + w.cost
 		w.at(w.free, func() {
@@ -125,7 +125,7 @@
 					w := &askWorld{back: 20 * time.Second, refuses: refuses, cost: cost}
 					p := Polled()
 					cfg := martendrum.Config{Instances: count, MaxAttempts: 1, Classes: []martendrum.Class{{LatencyObjective: time.Second}},
-						MaxListAge: p.First * 5 / 4, RetryWithin: p.Back}
+						MaxListAge: p.InitialDelay * 5 / 4, RetryWithin: p.MaxBackoff}
 					var all []*asker
 					for range count {
 						a := &asker{w: w}
@@ -150,7 +150,7 @@
 					if testing.Verbose() {
 						t.Logf("seed %d: the last told after %v, %d calls", seed, worst, w.calls)
 					}
-					if worst > maxTold-toldMargin {
+					if worst > maxNotificationDelay-notificationMargin {
 						t.Errorf("seed %d: the last was told after %v", seed, worst)
 					}
 					if w.calls > 2*count {
@@ -186,12 +186,12 @@
 					}
 				})
 			}
-			first := maxSilence + time.Duration(rng.Int64N(int64(pace.Spread)))
+			first := maxSilence + time.Duration(rng.Int64N(int64(pace.RetrySpread)))
 			lost := rng.IntN(10) == 0
-			w.at(first, func() { call(lost, pace.Call) })
-			w.at(first+pace.Again, func() {
+			w.at(first, func() { call(lost, pace.CallTimeout) })
+			w.at(first+pace.SecondCallDelay, func() {
 				if told[i] == 0 {
-					call(false, pace.secondCall())
+					call(false, pace.secondCallTimeout())
 				}
 			})
 		}
@@ -208,7 +208,7 @@
 			worst = max(worst, at)
 		}
 		t.Logf("%v a call: the last told after %v, %d calls", cost, worst, w.calls)
-		if worst > maxTold-toldMargin {
+		if worst > maxNotificationDelay-notificationMargin {
 			t.Errorf("%v a call: the last was told after %v", cost, worst)
 		}
 		if w.calls > 2*count {
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -22,9 +22,9 @@
 
 // The phases.
 const (
-	Connecting Phase = "connecting"
-	Asking     Phase = "waiting for an answer"
-	Watching   Phase = "following the list"
+	Connecting       Phase = "connecting"
+	AwaitingResponse Phase = "waiting for an answer"
+	Watching         Phase = "following the list"
 )
 
 // SilentError says that discovery said nothing in time, or stopped within a list.
@@ -48,25 +48,25 @@
 		" is reached from here, and whether it writes a line at least every 2 s"
 }
 
-// errLong says that a list has no end within maxList.
-var errLong = errors.New("discovery: a list of over 8 MiB")
+// errListTooLong says that a list has no end within maxList.
+var errListTooLong = errors.New("discovery: a list of over 8 MiB")
 
 // stream reads the lists of a watch, JSON objects one behind the other over as many
 // lines as they like, and keeps the watch's silence clock.
 type stream struct {
 	body     io.Reader
 	deadline func(time.Time) error
-	heard    func() // a byte has come
+	onBytes  func() // a byte has come
 	dec      *json.Decoder
 	list     json.RawMessage
 
-	spoke bool      // something has come; before it, the caller's own deadline holds
-	began time.Time // of the list being read; zero: none is
-	read  int       // bytes of it, and of spaces before
+	received bool      // something has come; before it, the caller's own deadline holds
+	began    time.Time // of the list being read; zero: none is
+	read     int       // bytes of it, and of spaces before
 }
 
 func newStream(body io.Reader, deadline func(time.Time) error, heard func()) *stream {
-	s := &stream{body: body, deadline: deadline, heard: heard}
+	s := &stream{body: body, deadline: deadline, onBytes: heard}
 	s.dec = json.NewDecoder(s)
 	return s
 }
@@ -97,9 +97,9 @@
 // Read implements io.Reader for the decoder.
 func (s *stream) Read(p []byte) (int, error) {
 	if s.read > maxList {
-		return 0, errLong
+		return 0, errListTooLong
 	}
-	if s.spoke {
+	if s.received {
 		until := time.Now()
 		if !s.began.IsZero() {
 			until = s.began
@@ -108,8 +108,8 @@
 	}
 	n, err := s.body.Read(p)
 	if n > 0 {
-		s.spoke = true
-		s.heard()
+		s.received = true
+		s.onBytes()
 		s.count(p[:n])
 	}
 	return n, err
--- a/internal/netconn/accept.go
+++ b/internal/netconn/accept.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// acceptPause is the pause after an accept that failed.
-const acceptPause = 5 * time.Millisecond
+// acceptBackoff is the pause after an accept that failed.
+const acceptBackoff = 5 * time.Millisecond
 
 // Accept returns the next connection that accept brings. Whatever error accept returns, but
 // net.ErrClosed, is one of the moment: Linux hands on what is wrong with the network at that
@@ -26,7 +26,7 @@
 		if failed != nil {
 			failed(err)
 		}
-		time.Sleep(acceptPause)
+		time.Sleep(acceptBackoff)
 	}
 }
 
