--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// activeCall is a call that discovery has begun to answer. Its connection is the Watcher's until
+// activeCall is a call that discovery has begun to answer. Its connection belongs to the Watcher until
 // release.
 type activeCall struct {
 	conn   net.Conn
 	stream *stream
 }
 
-// open calls discovery and returns once the first byte of what it tells has come, within
-// most. An error of *SilentError says that nothing came.
+// open calls discovery and returns once the first byte of the body has arrived, within limit.
+// It returns a *SilentError if nothing arrived in time.
 func (w *Watcher) open(at watchTarget, limit time.Duration) (*activeCall, error) {
 	until := time.Now().Add(limit)
 	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
@@ -37,7 +37,7 @@
 	return &activeCall{conn: conn, stream: stream}, nil
 }
 
-// request sends the request and reads the answer up to the first byte of its body.
+// request sends the call and reads the response up to the first byte of its body.
 func (w *Watcher) request(conn net.Conn, at watchTarget, until time.Time) (*stream, error) {
 	path := "/catalog/members?watch=1"
 	if at.index > 0 {
@@ -61,13 +61,13 @@
 	return newStream(body, conn.SetDeadline, w.markReceived), nil
 }
 
-// callResult is the end of a call to open.
+// callResult is what a call to open returned.
 type callResult struct {
 	feed *activeCall
 	err  error
 }
 
-// openEither is open, and makes a second call beside the first one where that has brought
+// openEither is open, with a second call in parallel if the first one has brought
 // nothing after Pace.Again, whatever has become of it. The first to be answered is taken; the
 // other one is closed when its own deadline is over, at the latest.
 func (w *Watcher) openEither(at watchTarget) (*activeCall, error) {
@@ -87,7 +87,7 @@
 			running, second = running+1, true
 		case result := <-results:
 			running--
-			stale := errors.Is(result.err, net.ErrClosed) // by Move or Close
+			stale := errors.Is(result.err, net.ErrClosed) // by SetEndpoint or Close
 			if result.err == nil || stale || second && running == 0 {
 				go w.discard(results, running)
 				return result.feed, result.err
@@ -96,7 +96,7 @@
 	}
 }
 
-// discard closes what the calls that still run bring.
+// discard closes the connections of the calls that still run.
 func (w *Watcher) discard(results <-chan callResult, running int) {
 	for range running {
 		if late := <-results; late.feed != nil {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,8 +1,8 @@
 // Package discovery follows the list of servers.
 //
-// It owns the watch and its silence clock: a watch on which nothing comes is broken and
-// is opened anew, well before what it missed counts as told. It decides nothing about
-// servers; whoever set Listed does.
+// It owns the watch and its silence timeout: a watch on which nothing arrives counts as
+// broken and is opened again, well before the sidecar is held responsible for the changes
+// that it missed. It decides nothing about servers; the Listed callback does.
 package discovery
 
 import (
@@ -20,7 +20,7 @@
 	"martendrum"
 )
 
-// minBackoff is the mean wait after a first failure.
+// minBackoff is the mean backoff after a first failure.
 const minBackoff = 20 * time.Millisecond
 
 // Entry is one server on the list.
@@ -29,14 +29,14 @@
 	Address string
 }
 
-// List is a list of servers, or of those that changed.
+// List is a complete list of servers, or the entries that changed.
 type List struct {
-	Index    int64
-	Complete bool
+	Index    int64 // the version of the list
+	Complete bool  // it names every server
 	Entries  []Entry
 }
 
-// Parse reads a list in discovery's form. An entry that is of no use is left out.
+// Parse decodes a list in discovery's JSON form. Invalid entries are logged and skipped.
 func Parse(data []byte) (*List, error) {
 	var raw struct {
 		Index     *int64            `json:"index"`
@@ -47,7 +47,7 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	if raw.Index == nil {
-		return nil, errors.New("discovery: a list without index")
+		return nil, errors.New("discovery: the list has no index")
 	}
 	l := &List{Index: *raw.Index, Complete: raw.Snapshot, Entries: make([]Entry, 0, len(raw.Endpoints))}
 	for _, r := range raw.Endpoints {
@@ -61,6 +61,7 @@
 	return l, nil
 }
 
+// states maps the status words of the wire.
 var states = map[string]martendrum.EndpointState{"up": martendrum.Serving, "draining": martendrum.Draining, "removed": martendrum.Removed}
 
 func parseEntry(data []byte) (Entry, error) {
@@ -79,7 +80,7 @@
 	state, ok := states[raw.Status]
 	switch {
 	case raw.Name == "":
-		return Entry{}, errors.New("no name")
+		return Entry{}, errors.New("the entry has no name")
 	case !ok:
 		return Entry{}, fmt.Errorf("unknown status %q", raw.Status)
 	case raw.SinceMs < 0 || raw.SinceMs > math.MaxInt64/1e6:
@@ -103,25 +104,26 @@
 	}, nil
 }
 
-// Watcher follows the list at an address.
+// Watcher follows the list at an address. Its exported fields are set before the first call
+// of Follow or Watch.
 type Watcher struct {
 	Addr   string
-	Index  int64       // the version held
-	Listed func(*List) // takes a list or its changes
-	Failed func(error) // a call has failed or a watch has ended
+	Index  int64       // the version of the list received last; 0: none
+	Listed func(*List) // receives each list or change
+	Failed func(error) // is called when a call has failed or a watch has ended
 	Pace   Pace
 
 	mu              sync.Mutex
-	conns           map[net.Conn]struct{} // of the watch, two while a second call is made beside the first
+	conns           map[net.Conn]struct{} // of the watch; two while a second call runs in parallel
 	watching        bool                  // in Watch
 	closedByOwner   bool
-	endpointChanges int // how often Addr has changed
+	endpointChanges int // how often SetEndpoint was called
 
-	lastReceived atomic.Pointer[time.Time] // when the last byte of a watch came; nil: none yet
+	lastReceived atomic.Pointer[time.Time] // when the last byte of a watch arrived; nil: none yet
 }
 
-// Age is the time since discovery was heard last, also if it had nothing to tell;
-// false if it never was.
+// Age returns the time since discovery last sent anything, empty lines included; false if
+// it never did.
 func (w *Watcher) Age() (time.Duration, bool) {
 	at := w.lastReceived.Load()
 	if at == nil {
@@ -130,15 +132,15 @@
 	return time.Since(*at), true
 }
 
-// markReceived notes that a byte of a watch has come.
+// markReceived records that bytes of a watch have arrived.
 func (w *Watcher) markReceived() {
 	now := time.Now()
 	w.lastReceived.Store(&now)
 }
 
-// SetEndpoint follows the list at another address and pace from now on. The watch that is open
-// ends, and the next one asks for the whole list: versions at the new address
-// need not be those of the old.
+// SetEndpoint follows the list at another address and pace from now on. The open watch ends,
+// and the next one requests the complete list, because versions at the new address are
+// unrelated to those at the old one.
 func (w *Watcher) SetEndpoint(addr string, pace Pace) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -147,7 +149,8 @@
 	w.closeConns()
 }
 
-// watchTarget is where to watch from which version on, and how many moves led there.
+// watchTarget is what one watch follows: the address, the version to start from, and the number of
+// SetEndpoint calls that led there.
 type watchTarget struct {
 	addr            string
 	index           int64
@@ -172,7 +175,7 @@
 		}
 		w.Failed(err)
 		if time.Since(began) > time.Second {
-			backoff = minBackoff // it worked: what was missed is wanted at once
+			backoff = minBackoff // the watch had worked: retry without delay
 		}
 		time.Sleep(backoff/2 + rand.N(backoff))
 		backoff = min(2*backoff, w.target().pace.MaxBackoff*2/3)
@@ -187,14 +190,15 @@
 	w.closeConns()
 }
 
-// closeConns ends the calls that are open; the lock is held.
+// closeConns closes the connections of open calls. The lock is held.
 func (w *Watcher) closeConns() {
 	for conn := range w.conns {
 		conn.Close()
 	}
 }
 
-// adopt makes conn one that Move and Close end, unless one of them has come before it.
+// adopt registers conn so that SetEndpoint and Close close it. It returns false if one of them was
+// called after the call began.
 func (w *Watcher) adopt(conn net.Conn, moves int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -208,7 +212,7 @@
 	return true
 }
 
-// release closes conn, which nobody reads any more.
+// release closes a connection that is no longer read.
 func (w *Watcher) release(conn net.Conn) {
 	w.mu.Lock()
 	delete(w.conns, conn)
@@ -222,13 +226,14 @@
 	return w.closedByOwner
 }
 
-// ErrOpen says that a watch is open already: there is nothing to open.
+// ErrOpen is returned by Watch while another call of Watch has not returned.
 var ErrOpen = errors.New("discovery: the watch is open")
 
-// Watch opens a watch and hands on what it brings until it ends. One that a move
-// has ended goes on at the new address at once, one that fell silent soon after: it
-// is no sign that discovery has too much to do, and the clock of what it missed runs.
-// It returns ErrOpen where another call of Watch has not returned yet.
+// Watch opens a watch and passes its lists to Listed until it ends. A watch ended by
+// SetEndpoint continues at the new address at once. One that fell silent is reopened after a
+// short random delay without the caller's backoff, since silence is no sign that discovery is
+// overloaded and the limit on how late a change may be notified keeps running. It returns
+// ErrOpen while another call of Watch has not returned.
 func (w *Watcher) Watch() error {
 	w.mu.Lock()
 	if w.watching {
@@ -246,19 +251,19 @@
 		w.mu.Lock()
 		again := w.endpointChanges != at.endpointChanges && !w.closedByOwner
 		if w.closedByOwner || !again && !ok {
-			w.watching = false // under one lock with the look at moves: none is overlooked
+			w.watching = false // under the same lock as the check, so that no SetEndpoint is missed
 			w.mu.Unlock()
 			return err
 		}
 		w.mu.Unlock()
 		if !again {
-			slog.Warn("discovery fell silent: asked again", "err", err, "advice", fell.Advice())
+			slog.Warn("discovery fell silent, polling again", "err", err, "advice", fell.Advice())
 			time.Sleep(rand.N(max(at.pace.RetrySpread, minBackoff)))
 		}
 	}
 }
 
-// asSilentError is err, worded where it says that nothing came in time.
+// asSilentError wraps err, as a *SilentError where it is a timeout.
 func asSilentError(err error, addr string, during Phase) error {
 	if late, ok := errors.AsType[net.Error](err); ok && late.Timeout() {
 		return &SilentError{Addr: addr, During: during, err: err}
@@ -266,8 +271,8 @@
 	return fmt.Errorf("discovery: %s: %w", during, err)
 }
 
-// watch makes a call and follows what it brings. After a watch that fell silent, a second
-// call may be made beside it.
+// watch makes one call and follows its lists. After a watch that fell silent, a second call
+// may run in parallel with the first.
 func (w *Watcher) watch(at watchTarget, silent bool) error {
 	var f *activeCall
 	var err error
@@ -284,7 +289,7 @@
 		list, err := f.stream.next()
 		if broken, ok := errors.AsType[*json.SyntaxError](err); ok {
 			w.resetIndex(at.endpointChanges)
-			return fmt.Errorf("discovery: no list: %w", broken)
+			return fmt.Errorf("discovery: the watch brought no valid JSON: %w", broken)
 		}
 		if err != nil {
 			return asSilentError(err, at.addr, Watching)
@@ -295,7 +300,7 @@
 	}
 }
 
-// resetIndex sees to it that the next watch asks for the whole list.
+// resetIndex makes the next watch request the complete list.
 func (w *Watcher) resetIndex(moves int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -304,8 +309,8 @@
 	}
 }
 
-// deliver hands a list on. After one that can't be read, or that has gone back, the
-// next watch asks for the whole list: the one held can't be relied on to go on from.
+// deliver passes a list to Listed. After one that is invalid or older than its predecessor, the
+// next watch requests the complete list, since later changes can't be applied to it.
 func (w *Watcher) deliver(list []byte, moves int) error {
 	l, err := Parse(list)
 	w.mu.Lock()
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// What a list tells counts as told, whether or not it has arrived, maxNotificationDelay after discovery
-// had it and could be reached. All waits of a Watcher add up to less by notificationMargin, which is
-// for the answer's way and a busy process.
+// The platform counts a change as notified maxNotificationDelay after discovery had it and
+// could be reached, whether or not it has arrived here. The waits of a Watcher add up to
+// less than that by notificationMargin, which covers transmission and a busy process.
 const (
 	maxNotificationDelay = 6 * time.Second
 	notificationMargin   = 500 * time.Millisecond
 )
 
-// Pace is how long each part of following the list may take.
+// Pace bounds each wait while the list is followed.
 type Pace struct {
-	CallTimeout  time.Duration // connecting and the wait for an answer, together
-	RetrySpread  time.Duration // over which those whose watches fell silent together ask again
+	CallTimeout  time.Duration // connecting and waiting for the response, together
+	RetrySpread  time.Duration // random delay before a silent watch is reopened, at most
 	MaxBackoff   time.Duration // from a failed call to the next, at most
 	InitialDelay time.Duration // from a process's start to its first call, at most
-	// SecondCallDelay is when, after a watch fell silent, a second call is made beside the first one,
-	// which has brought nothing yet: the clock of what the watch missed runs on, and a lost
-	// call must not cost its whole wait. 0: there is time for one after the other.
+	// SecondCallDelay is how long the first call after a silent watch may go unanswered before
+	// a second one starts in parallel, so that one lost call does not use up the time left.
+	// 0: there is time for sequential calls.
 	SecondCallDelay time.Duration
 }
 
-// Polled is the pace where discovery is one service that works through the calls of all
-// sidecars in turn: a call may wait as long as the rest leaves it, since one that is given
-// up has cost discovery all the same.
+// Polled returns the pace where discovery is one service that works through the calls of all
+// sidecars one by one. A call may wait as long as the other waits allow, since a call that
+// is abandoned has cost discovery its work all the same.
 func Polled() Pace {
 	p := Pace{RetrySpread: 400 * time.Millisecond, MaxBackoff: 500 * time.Millisecond}
 	p.CallTimeout = maxNotificationDelay - notificationMargin - maxSilence - p.RetrySpread - p.MaxBackoff
@@ -33,10 +33,11 @@
 	return p
 }
 
-// Pushed is the pace where lists are pushed: the agent is on this machine, answers at once
-// or, while discovery is down, not at all, and what it has counts as told from then on. So
-// a call that waits in vain and the wait for the next one stay well within grace, for which
-// a server may still be sent to when it drains; but no call is given up within minPushedCallTimeout.
+// Pushed returns the pace where lists are pushed by an agent on this machine, which responds
+// at once or, while discovery is down, not at all. A change counts as notified once the agent
+// has it, so a call that times out and the backoff behind it stay well within grace, the time
+// in which a draining server may still get attempts. No call is abandoned within
+// minPushedCallTimeout.
 func Pushed(grace time.Duration) Pace {
 	return Pace{
 		CallTimeout: min(max(grace/2, minPushedCallTimeout), time.Second),
@@ -44,11 +45,12 @@
 	}
 }
 
+// minPushedCallTimeout is the shortest time that a call is given.
 const minPushedCallTimeout = 100 * time.Millisecond
 
-// WorstDelay is the longest time from a change that discovery has and can tell to its arrival,
-// less the way: over a watch that fell silent just before and the call after it that was
-// lost, or over a call that was lost at another time.
+// WorstDelay returns the longest time from a change that discovery can notify to its arrival,
+// without transmission: across a watch that fell silent just before it and one lost call, or
+// across a call that was lost at another time.
 func (p Pace) WorstDelay() time.Duration {
 	silent := maxSilence + p.RetrySpread + p.CallTimeout + p.MaxBackoff + p.CallTimeout
 	if p.SecondCallDelay > 0 {
@@ -57,7 +59,7 @@
 	return max(silent, p.CallTimeout+p.MaxBackoff+p.CallTimeout, p.InitialDelay+p.MaxBackoff+p.CallTimeout)
 }
 
-// secondCallTimeout is how long the call that is made beside another one may take.
+// secondCallTimeout bounds the parallel second call.
 func (p Pace) secondCallTimeout() time.Duration {
 	return maxNotificationDelay - notificationMargin - maxSilence - p.RetrySpread - p.SecondCallDelay
 }
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -11,13 +11,13 @@
 
 const (
 	maxList = 8 << 20 // bytes of one list in a watch
-	// An empty line comes every 2 s: a watch that is silent for longer is broken, and
-	// what it misses counts as told 6 s after it fell silent. A list that has begun is
-	// whole within the same time, whatever comes in small pieces.
+	// maxSilence is how long a watch may be silent. Discovery sends an empty line every 2 s,
+	// and changes missed by a silent watch count as notified 6 s after it fell silent. A
+	// list that has begun must be complete within the same time.
 	maxSilence = 2600 * time.Millisecond
 )
 
-// Phase is what a call to discovery was at when it failed.
+// Phase is what a call to discovery was doing when it failed.
 type Phase string
 
 // The phases.
@@ -27,7 +27,7 @@
 	Watching         Phase = "following the list"
 )
 
-// SilentError says that discovery said nothing in time, or stopped within a list.
+// SilentError reports that discovery sent nothing in time, or stopped within a list.
 type SilentError struct {
 	Addr   string
 	During Phase
@@ -44,25 +44,25 @@
 
 // Advice says what an operator can do.
 func (e *SilentError) Advice() string {
-	return "nothing, if it comes once: the list is asked for again within a second. If it goes on, look whether " + e.Addr +
-		" is reached from here, and whether it writes a line at least every 2 s"
+	return "nothing, if it happens once: the list is requested again within a second. If it goes on, check whether " + e.Addr +
+		" is reachable from here, and whether it writes a line at least every 2 s"
 }
 
-// errListTooLong says that a list has no end within maxList.
-var errListTooLong = errors.New("discovery: a list of over 8 MiB")
+// errListTooLong reports a list of more than maxList bytes.
+var errListTooLong = errors.New("discovery: the list is longer than 8 MiB")
 
-// stream reads the lists of a watch, JSON objects one behind the other over as many
-// lines as they like, and keeps the watch's silence clock.
+// stream reads the lists of a watch, which are consecutive JSON objects over any number of
+// lines, and enforces maxSilence.
 type stream struct {
 	body     io.Reader
 	deadline func(time.Time) error
-	onBytes  func() // a byte has come
+	onBytes  func() // is called when bytes arrive
 	dec      *json.Decoder
 	list     json.RawMessage
 
-	received bool      // something has come; before it, the caller's own deadline holds
-	began    time.Time // of the list being read; zero: none is
-	read     int       // bytes of it, and of spaces before
+	received bool      // something has arrived; until then the caller's deadline holds
+	began    time.Time // when the list being read began; zero: none has
+	read     int       // bytes of it, leading white space included
 }
 
 func newStream(body io.Reader, deadline func(time.Time) error, heard func()) *stream {
@@ -76,21 +76,21 @@
 	if err := s.dec.Decode(&s.list); err != nil {
 		return nil, err
 	}
-	// What the decoder holds already belongs to the next one.
+	// What the decoder has buffered belongs to the next list.
 	rest, _ := io.ReadAll(s.dec.Buffered())
 	s.began, s.read = time.Time{}, 0
 	s.count(rest)
 	return s.list, nil
 }
 
-// count books bytes of the list that is being read.
+// count adds bytes to the list that is being read.
 func (s *stream) count(b []byte) {
 	s.read += len(b)
 	if s.began.IsZero() && len(bytes.TrimLeft(b, " \t\r\n")) > 0 {
 		s.began = time.Now()
 	}
 	if s.began.IsZero() {
-		s.read = 0 // empty lines have no end
+		s.read = 0 // empty lines between lists do not count
 	}
 }
 
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,5 +1,5 @@
-// Package framing reads the heads of HTTP/1.1 messages whole and checks that
-// they leave no doubt where the message ends. Both sides of the sidecar use it.
+// Package framing reads complete heads of HTTP/1.1 messages and checks that the end of the
+// message is unambiguous. The client and the server side of the sidecar use it.
 package framing
 
 import (
@@ -18,9 +18,9 @@
 // MaxHead is the longest head read: the buffer that a connection's reader needs.
 const MaxHead = 8 << 10
 
-// Await waits until the whole head of the next message stands in br's buffer,
-// and returns it without taking it. The bytes are good until br is read. A head
-// that the buffer can't hold is ErrLong, so one without end keeps no memory.
+// Await waits until the complete head of the next message is in br's buffer, and returns it
+// without consuming it. The bytes are valid until br is read. A head that the buffer can't
+// hold is ErrLong, which bounds the memory of a head without end.
 func Await(br *bufio.Reader) ([]byte, error) {
 	for seen := 0; ; {
 		head, err := br.Peek(br.Buffered())
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,9 +1,10 @@
 // Package metrics holds a sidecar's metrics, which its admin endpoint exports.
 //
-// It owns the counters of events: the ends of requests and attempts. What another
-// package already knows (open requests, servers, connections) is a gauge that asks that
-// package at each export. docs/operate/figures.md lists names and labels. Label values
-// are bounded: a class of the settings or a constant of this program.
+// It owns the counters of events: the ends of requests and attempts. What another package
+// already knows (open requests, servers, connections) is a gauge that reads it at each
+// export. docs/operate/figures.md lists names and labels, which keep the operators' words;
+// the terms of the code are mapped to them here. Label values are bounded: a class of the
+// settings or a constant of this program.
 package metrics
 
 import (
@@ -53,17 +54,17 @@
 // class is what is counted for one class of requests.
 type class struct{ ok, shed, errors *metrics.Counter }
 
-// Reason is why the sidecar itself refused a request, before its decisions.
+// Reason is the limit by which the sidecar rejected a request before deciding on it.
 type Reason string
 
 // The reasons.
 const (
-	ConnectionLimit Reason = "connections" // no room for the connection
-	BodyBytesLimit  Reason = "bytes"       // no room for the body
+	ConnectionLimit Reason = "connections" // the limit on client connections
+	BodyBytesLimit  Reason = "bytes"       // the limit on buffered body bytes
 	InFlightLimit   Reason = "held"        // as many requests in flight as the settings allow
 )
 
-// New returns metrics that are all 0.
+// New returns a Set whose metrics are all 0.
 func New() *Set {
 	s := &Set{set: metrics.NewSet(), reasons: make(map[Reason]*metrics.Counter)}
 	s.classes.Store(&map[string]*class{})
@@ -86,8 +87,8 @@
 	return name + "{" + key + "=" + strconv.Quote(value) + "}"
 }
 
-// Gauge adds a gauge whose value is read at each export. labels is in the text
-// format, or empty.
+// Gauge adds a gauge whose value read returns at each export. labels is in the text format,
+// or empty.
 func (s *Set) Gauge(name, labels string, read func() float64) {
 	if labels != "" {
 		name += "{" + labels + "}"
@@ -95,8 +96,8 @@
 	s.set.NewGauge(prefix+name, read)
 }
 
-// Classes says which classes there are. Those that were there before go on, a
-// dropped one's count too: requests of it may be open, and a count must not fall.
+// Classes sets the classes that are counted. Earlier ones keep their counters, since requests
+// of a dropped class may be open and a counter must not decrease.
 func (s *Set) Classes(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,10 +117,10 @@
 	s.classes.Store(&next)
 }
 
-// maxClasses bounds what a process counts apart, over all its configurations.
+// maxClasses bounds the classes counted over all configurations of a process.
 const maxClasses = 256
 
-// Answered counts a request's final answer by its status.
+// Answered counts a request's final response by its status.
 func (s *Set) Answered(name string, status int) {
 	c := (*s.classes.Load())[name]
 	switch {
@@ -133,24 +134,24 @@
 	}
 }
 
-// Limited counts a request that a limit of the sidecar's own refused.
+// Limited counts a request that was rejected by one of the sidecar's own limits.
 func (s *Set) Limited(r Reason) {
 	if c := s.reasons[r]; c != nil {
 		c.Inc()
 	}
 }
 
-// AttemptWritten counts an attempt written whole to a server.
+// AttemptWritten counts an attempt written completely to a server.
 func (s *Set) AttemptWritten() { s.attemptsWritten.Inc() }
 
-// AttemptStarted counts a copy sent.
+// AttemptStarted counts the start of an attempt; only hedged ones have a metric.
 func (s *Set) AttemptStarted(isCopy bool) {
 	if isCopy {
 		s.hedges.Inc()
 	}
 }
 
-// AttemptFinished counts an attempt's end; served says that the client got this answer.
+// AttemptFinished counts the end of an attempt. served reports whether the client got its response.
 func (s *Set) AttemptFinished(o martendrum.Outcome, isCopy, served bool) {
 	if int(o) < len(s.attemptOutcomes) {
 		s.attemptOutcomes[o].Inc()
@@ -160,11 +161,11 @@
 	}
 }
 
-// ProcessingTime logs the time that a request spent in the sidecar itself before its first
-// send or its answer, whichever came first.
+// ProcessingTime observes the time that a request spent in the sidecar itself before its first
+// attempt or its response, whichever came first.
 func (s *Set) ProcessingTime(took time.Duration) { s.processingTime.Update(took.Seconds()) }
 
-// Configured counts a configuration taken over or turned down.
+// Configured counts a configuration that was applied or rejected.
 func (s *Set) Configured(taken bool) {
 	if taken {
 		s.applied.Inc()
--- a/internal/netconn/accept.go
+++ b/internal/netconn/accept.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// acceptBackoff is the pause after an accept that failed.
+// acceptBackoff is the wait after a failed accept.
 const acceptBackoff = 5 * time.Millisecond
 
-// Accept returns the next connection that accept brings. Whatever error accept returns, but
-// net.ErrClosed, is one of the moment: Linux hands on what is wrong with the network at that
-// connection, and a full table of descriptors or a lack of memory passes. It is logged under
-// the listener's name, given to failed if that is not nil, and accept is called again after
-// a pause. So a loop over Accept ends with its listener, and for nothing else.
+// Accept returns the next connection of accept. Every error but net.ErrClosed is treated as
+// temporary: Linux reports pending network errors of the new connection, and a full descriptor
+// table or a lack of memory passes. Such an error is logged under the listener's name, given
+// to failed if that is not nil, and accept is called again after a short backoff. A loop over
+// Accept therefore ends only with its listener.
 func Accept[C any](listener string, accept func() (C, error), failed func(error)) (C, error) {
 	for {
 		conn, err := accept()
--- a/internal/netconn/lazy.go
+++ b/internal/netconn/lazy.go
@@ -1,5 +1,6 @@
-// Package netconn reads sockets, and asks them what the net package does not tell. Both
-// sides of the sidecar use it.
+// Package netconn reads sockets with buffers that exist only while needed, and queries socket
+// state that the net package does not expose. The client and the server side of the sidecar
+// use it; it parses no messages.
 package netconn
 
 import (
@@ -15,16 +16,16 @@
 	"martendrum/internal/framing"
 )
 
-// Lazy reads a connection through a buffer that it holds only while something of the
-// peer's is unread or being read. A connection that says nothing, or waits for its
-// answer, costs no buffer. It is its reader's, one goroutine at a time, but for Quiet,
-// IfQuiet and Rest, which settle with the reader, under one lock, who came first, and Left.
+// Lazy reads a connection through a buffer that it holds only while bytes of the peer are
+// unread or being read, so that idle connections cost no buffer. Its methods are for one
+// reading goroutine at a time, except Quiet, IfQuiet, Rest and Left; the first three decide
+// together with the reader, under one lock, which of them acts first.
 type Lazy struct {
 	nc  net.Conn
-	raw syscall.RawConn // nil: not a socket, read in the plain way
+	raw syscall.RawConn // nil: not a socket, read without polling
 	now *buffer         // nil: none held
 
-	mu    sync.Mutex // held while a byte is taken off the socket, and where that must not be
+	mu    sync.Mutex // held while bytes are read off the socket, and while that must not happen
 	found bool       // Wait has found something, and the reader may be about to act on it
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,8 @@
-// Package settings reads the settings of a deployment into what the balancer
-// and its hosts need of them, so that all hosts share one mapping.
+// Package settings maps a deployment's settings to the terms of this code.
+//
+// It owns the JSON keys of the settings object (type document) and the checks of their
+// values; the sidecar and the simulator's adapter share it. It reads no file and keeps
+// nothing.
 package settings
 
 import (
@@ -13,32 +16,31 @@
 	"martendrum"
 )
 
-// minDial is what a dial is given at least. It may take the settings' time, but a
-// quarter of the shortest aim at most: one that fails proves that nothing ran, and
-// the request should still be in time elsewhere.
+// minDial is the least timeout of a dial. A dial gets the settings' time, but at most a
+// quarter of the shortest latency objective: a dial that fails proves that nothing ran, and
+// the request should still be in time at another server.
 const minDial = 30 * time.Millisecond
 
-// Settings is what a deployment's settings say.
+// Settings are a deployment's settings in this code's terms.
 type Settings struct {
 	Config    martendrum.Config
 	Deadlines []time.Duration // by class: how long a client waits at most
 
-	// What only a host on real sockets needs.
-	ConnIdle    time.Duration // a server closes a connection that has been idle for so long
+	// Only for a host on real sockets.
+	ConnIdle    time.Duration // after which a server closes an idle connection
 	DialTimeout time.Duration
-	DrainGrace  time.Duration // sends to a server that drains must stop within it
-	MaxInFlight int           // requests held at once
+	DrainGrace  time.Duration // attempts to a draining server must stop within it
+	MaxInFlight int           // requests in flight at once
 	Rank        int           // this sidecar's number among those of its tier
-	Peers       bool          // sidecars may tell each other
+	Peers       bool          // sidecars may exchange state
 	Cluster     string        // names the tier
 
 	classes, tenants map[string]int
-	names            []string // of classes by place; empty: dropped
-	owners           []string // of tenants by place
+	classNames       []string // of classes by place; empty: dropped
+	tenantNames      []string // of tenants by place
 }
 
-// Class is one class as these settings have it. A request holds the one that it was
-// read under to its end.
+// Class is one class of these settings. A request keeps the one that it was read under.
 type Class struct {
 	Name  string
 	Place int // in the balancer's configuration
@@ -46,7 +48,7 @@
 	Wait  time.Duration // how long a client waits at most
 }
 
-// Explain words an error of reading JSON by the fields' own names.
+// Explain rewords an error of encoding/json with the JSON names of the fields.
 func Explain(err error) error {
 	if syntax, ok := errors.AsType[*json.SyntaxError](err); ok {
 		return fmt.Errorf("no whole JSON: %w, at byte %d", err, syntax.Offset)
@@ -64,7 +66,7 @@
 	return fmt.Errorf("JSON field %q can't be a %s; want %s", strings.Join(parts, "."), kind.Value, kind.Type.Kind())
 }
 
-// ByName is the class of a name, nil if there is none.
+// ByName returns the class of a name, nil if there is none.
 func (s *Settings) ByName(name string) *Class {
 	n, ok := s.classes[name]
 	if !ok {
@@ -73,26 +75,26 @@
 	return &Class{Name: name, Place: n, Rules: &s.Config.Classes[n], Wait: s.Deadlines[n]}
 }
 
-// Follow gives the classes and tenants that were there before their old places. New
-// ones take the places of dropped ones, or come behind; a place that is free keeps what
-// stood there, and no name leads to it.
+// Follow gives classes and tenants that the old settings had the same places again. New ones
+// take the places of dropped ones or are appended. A free place keeps its old values, and no
+// name refers to it.
 func (s *Settings) Follow(old *Settings) {
-	places := follow(old.names, s.names)
+	places := follow(old.classNames, s.classNames)
 	for n, at := range places {
-		s.classes[s.names[n]] = at
+		s.classes[s.classNames[n]] = at
 	}
 	s.Config.Classes = placed(old.Config.Classes, s.Config.Classes, places)
 	s.Deadlines = placed(old.Deadlines, s.Deadlines, places)
-	s.names = placed(make([]string, len(old.names)), s.names, places)
-	places = follow(old.owners, s.owners)
+	s.classNames = placed(make([]string, len(old.classNames)), s.classNames, places)
+	places = follow(old.tenantNames, s.tenantNames)
 	for n, at := range places {
-		s.tenants[s.owners[n]] = at
+		s.tenants[s.tenantNames[n]] = at
 	}
 	s.Config.TenantQuotas = placed(old.Config.TenantQuotas, s.Config.TenantQuotas, places)
-	s.owners = placed(make([]string, len(old.owners)), s.owners, places)
+	s.tenantNames = placed(make([]string, len(old.tenantNames)), s.tenantNames, places)
 }
 
-// placed is old with next's values at their places, the last of which come behind it.
+// placed returns old with next's values at their places; places beyond old are appended.
 func placed[T any](old, next []T, places []int) []T {
 	list := slices.Clone(old)
 	for n, at := range places {
@@ -102,7 +104,7 @@
 	return list
 }
 
-// follow places names: each where it was, else on a place of none, the first first.
+// follow returns the place of each name: where it was, else the first free place.
 func follow(old, names []string) []int {
 	places, taken := make([]int, len(names)), make([]bool, len(old)+len(names))
 	for n, name := range names {
@@ -119,29 +121,29 @@
 	return places
 }
 
-// env is the settings object; keys that have no use here are skipped.
-type env struct {
+// document is the settings object on the wire. Keys without a use here are skipped.
+type document struct {
 	Caps struct {
-		AttemptsCap     int   `json:"attemptsCap"`
-		MayCancel       bool  `json:"mayCancel"`
-		AllowHedging    bool  `json:"secondCopies"`
-		Probes          bool  `json:"probes"`
-		MaxRetryAfterUs int64 `json:"maxRetryAfterUs"`
-		RetryAfter      bool  `json:"retryAfter"`
-		ConnIdleUs      int64 `json:"connIdleUs"`
-		DialTimeoutUs   int64 `json:"dialTimeoutUs"`
-		MaxInFlight     int   `json:"mostHeld"`
-		Peers           bool  `json:"peers"`
+		MaxAttempts       int   `json:"attemptsCap"`
+		AllowCancellation bool  `json:"mayCancel"`
+		AllowHedging      bool  `json:"secondCopies"`
+		Probes            bool  `json:"probes"`
+		MaxRetryAfterUs   int64 `json:"maxRetryAfterUs"`
+		RetryAfter        bool  `json:"retryAfter"`
+		ConnIdleUs        int64 `json:"connIdleUs"`
+		DialTimeoutUs     int64 `json:"dialTimeoutUs"`
+		MaxInFlight       int   `json:"mostHeld"`
+		Peers             bool  `json:"peers"`
 	} `json:"caps"`
 	Classes []struct {
-		Name           string  `json:"name"`
-		PromiseUs      int64   `json:"promiseUs"`
-		HardLimitUs    int64   `json:"hardLimitUs"`
-		Effect         string  `json:"effect"`
-		DedupScope     string  `json:"dedupScope"`
-		LateValue      float64 `json:"lateValue"`
-		RepeatWindowUs int64   `json:"repeatWindowUs"`
-		Worth          float64 `json:"worth"`
+		Name               string  `json:"name"`
+		LatencyObjectiveUs int64   `json:"promiseUs"`
+		DeadlineUs         int64   `json:"hardLimitUs"`
+		Idempotency        string  `json:"effect"`
+		DedupScope         string  `json:"dedupScope"`
+		LateWeight         float64 `json:"lateValue"`
+		DedupWindowUs      int64   `json:"repeatWindowUs"`
+		Weight             float64 `json:"worth"`
 	} `json:"classes"`
 	Costs struct {
 		Connection float64 `json:"connection"`
@@ -153,30 +155,30 @@
 		How string `json:"how"`
 	} `json:"feedback"`
 	Guarantees struct {
-		AskWithinUs    int64   `json:"askWithinUs"`
-		ColdFrom       float64 `json:"coldFrom"`
-		ColdUs         int64   `json:"coldUs"`
-		DrainGraceUs   int64   `json:"drainGraceUs"`
-		OverloadFactor float64 `json:"overloadFactor"`
-		OverloadForUs  int64   `json:"overloadForUs"`
+		MaxListAgeUs             int64   `json:"askWithinUs"`
+		SlowStartInitialFraction float64 `json:"coldFrom"`
+		SlowStartUs              int64   `json:"coldUs"`
+		DrainGraceUs             int64   `json:"drainGraceUs"`
+		OverloadFactor           float64 `json:"overloadFactor"`
+		OverloadUs               int64   `json:"overloadForUs"`
 	} `json:"guarantees"`
 	OverQuotaWeight float64 `json:"overShareWorth"`
 	Tenants         []struct {
-		Name          string  `json:"name"`
-		AllowancePerS float64 `json:"allowancePerS"`
+		Name           string  `json:"name"`
+		QuotaPerSecond float64 `json:"allowancePerS"`
 	} `json:"tenants"`
-	RegistryMode string   `json:"registryMode"`
-	ReplicasOfMe int      `json:"replicasOfMe"`
-	Rank         int      `json:"rank"`
-	Family       string   `json:"family"`
-	Tier         int      `json:"tier"`
-	Tiers        []string `json:"tiers"`
-	Zone         string   `json:"zone"`
+	DiscoveryMode string   `json:"registryMode"`
+	Instances     int      `json:"replicasOfMe"`
+	Rank          int      `json:"rank"`
+	Family        string   `json:"family"`
+	Tier          int      `json:"tier"`
+	Tiers         []string `json:"tiers"`
+	Zone          string   `json:"zone"`
 }
 
-// Parse reads the settings object.
+// Parse decodes and checks the settings object. Errors name the field by its JSON key.
 func Parse(data []byte) (*Settings, error) {
-	var e env
+	var e document
 	if err := json.Unmarshal(data, &e); err != nil {
 		return nil, fmt.Errorf("settings: %w", Explain(err))
 	}
@@ -184,10 +186,10 @@
 		return nil, errors.New("settings: classes must be non-empty")
 	}
 	s := &Settings{
-		Config:      config(&e),
-		ConnIdle:    micros(e.Caps.ConnIdleUs),
-		DialTimeout: micros(e.Caps.DialTimeoutUs),
-		DrainGrace:  micros(e.Guarantees.DrainGraceUs),
+		Config:      balancerConfig(&e),
+		ConnIdle:    microseconds(e.Caps.ConnIdleUs),
+		DialTimeout: microseconds(e.Caps.DialTimeoutUs),
+		DrainGrace:  microseconds(e.Guarantees.DrainGraceUs),
 		MaxInFlight: e.Caps.MaxInFlight,
 		Rank:        e.Rank,
 		Peers:       e.Caps.Peers,
@@ -206,23 +208,23 @@
 			return nil, fmt.Errorf("settings: classes[%d].name: there are two classes %q", n, c.Name)
 		}
 		s.classes[c.Name] = n
-		s.names = append(s.names, c.Name)
-		s.Deadlines = append(s.Deadlines, micros(c.HardLimitUs))
+		s.classNames = append(s.classNames, c.Name)
+		s.Deadlines = append(s.Deadlines, microseconds(c.DeadlineUs))
 	}
 	for _, c := range s.Config.Classes {
 		s.DialTimeout = min(s.DialTimeout, max(c.LatencyObjective/4, minDial))
 	}
 	for n, t := range e.Tenants {
 		s.tenants[t.Name] = n
-		s.owners = append(s.owners, t.Name)
+		s.tenantNames = append(s.tenantNames, t.Name)
 	}
 	return s, nil
 }
 
-// Class is the place of a class, -1 if there is none of that name.
+// Class returns the place of a class, -1 if there is none of that name.
 func (s *Settings) Class(name []byte) int { return index(s.classes, name) }
 
-// Names are those of the classes.
+// Names returns the names of the classes, sorted.
 func (s *Settings) Names() (names []string) {
 	for name := range s.classes {
 		names = append(names, name)
@@ -231,7 +233,7 @@
 	return names
 }
 
-// Tenant is the place of a tenant, -1 if there is none of that name.
+// Tenant returns the place of a tenant, -1 if there is none of that name.
 func (s *Settings) Tenant(name []byte) int { return index(s.tenants, name) }
 
 func index(places map[string]int, name []byte) int {
@@ -241,14 +243,14 @@
 	return -1
 }
 
-// The words of the settings for what repeating a request does, and who drops repeats.
+// The values of classes[].effect and classes[].dedupScope.
 var (
 	effects = []string{"repeatable", "by_key", "once"}
 	scopes  = []string{"all", "zone", "cell"}
 )
 
-// check names the first field that is out of its range.
-func check(c *martendrum.Config, e *env) error {
+// check returns an error that names the first field out of its range.
+func check(c *martendrum.Config, e *document) error {
 	var err error
 	need := func(ok bool, field, want string) {
 		if !ok && err == nil {
@@ -268,48 +270,49 @@
 		raw := &e.Classes[n]
 		at := fmt.Sprintf("classes[%d] (%s).", n, raw.Name)
 		need(k.LatencyObjective > 0, at+"promiseUs", "above 0")
-		need(raw.HardLimitUs >= 0, at+"hardLimitUs", "0 or more")
-		need(slices.Contains(effects, raw.Effect), at+"effect", "one of "+strings.Join(effects, ", "))
+		need(raw.DeadlineUs >= 0, at+"hardLimitUs", "0 or more")
+		need(slices.Contains(effects, raw.Idempotency), at+"effect", "one of "+strings.Join(effects, ", "))
 		need(raw.DedupScope == "" || slices.Contains(scopes, raw.DedupScope), at+"dedupScope", "one of "+strings.Join(scopes, ", "))
 	}
 	return err
 }
 
-func config(e *env) martendrum.Config {
+// balancerConfig maps the document to the decision module's configuration.
+func balancerConfig(e *document) martendrum.Config {
 	cfg := martendrum.Config{
-		Instances:                e.ReplicasOfMe,
+		Instances:                e.Instances,
 		Zone:                     e.Zone,
 		OverQuotaWeight:          e.OverQuotaWeight,
-		MaxAttempts:              e.Caps.AttemptsCap,
-		AllowCancellation:        e.Caps.MayCancel,
+		MaxAttempts:              e.Caps.MaxAttempts,
+		AllowCancellation:        e.Caps.AllowCancellation,
 		AllowHedging:             e.Caps.AllowHedging,
 		WastedWorkCost:           e.Costs.Waste,
 		Probes:                   e.Caps.Probes && e.Feedback.How == "probe",
 		ProbeCost:                e.Costs.Probe,
 		ConnectionCost:           e.Costs.Connection,
 		CrossZoneCost:            e.Costs.CrossZone,
-		SlowStartInitialFraction: e.Guarantees.ColdFrom,
-		SlowStartDuration:        micros(e.Guarantees.ColdUs),
+		SlowStartInitialFraction: e.Guarantees.SlowStartInitialFraction,
+		SlowStartDuration:        microseconds(e.Guarantees.SlowStartUs),
 		OverloadFactor:           e.Guarantees.OverloadFactor,
-		OverloadDuration:         micros(e.Guarantees.OverloadForUs),
+		OverloadDuration:         microseconds(e.Guarantees.OverloadUs),
 	}
-	if e.RegistryMode == "subscribe" {
-		cfg.MaxListAge = micros(e.Guarantees.AskWithinUs)
+	if e.DiscoveryMode == "subscribe" {
+		cfg.MaxListAge = microseconds(e.Guarantees.MaxListAgeUs)
 	}
 	if e.Caps.RetryAfter {
-		cfg.MaxRetryAfter = micros(e.Caps.MaxRetryAfterUs)
+		cfg.MaxRetryAfter = microseconds(e.Caps.MaxRetryAfterUs)
 	}
 	for _, t := range e.Tenants {
-		cfg.TenantQuotas = append(cfg.TenantQuotas, t.AllowancePerS)
+		cfg.TenantQuotas = append(cfg.TenantQuotas, t.QuotaPerSecond)
 	}
 	for _, c := range e.Classes {
 		class := martendrum.Class{
-			LatencyObjective: micros(c.PromiseUs),
-			LateWeight:       c.LateValue,
-			Weight:           c.Worth,
-			DedupWindow:      micros(c.RepeatWindowUs),
+			LatencyObjective: microseconds(c.LatencyObjectiveUs),
+			LateWeight:       c.LateWeight,
+			Weight:           c.Weight,
+			DedupWindow:      microseconds(c.DedupWindowUs),
 		}
-		switch c.Effect {
+		switch c.Idempotency {
 		case "by_key":
 			class.Idempotency = martendrum.IdempotencyKeyed
 		case "once":
@@ -326,4 +329,4 @@
 	return cfg
 }
 
-func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+func microseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
