--- a/cmd/sidecar/checkpoint.go
+++ b/cmd/sidecar/checkpoint.go
@@ -43,6 +43,6 @@
 	f.savedAt = now
 	c.Name = f.name
 	if err := checkpoint.Save(f.path, c); err != nil {
-		slog.Warn("the checkpoint is not kept", "err", err, "advice", "look at the disk; the sidecar serves on")
+		slog.Warn("checkpoint not written", "err", err, "advice", "check the disk; the sidecar continues to serve")
 	}
 }
--- a/cmd/sidecar/config.go
+++ b/cmd/sidecar/config.go
@@ -30,12 +30,12 @@
 	memoryMB, sockets int
 	known             *discovery.List // servers known before discovery answers; nil: none
 	settings          *settings.Settings
-	asks              bool // discovery must be asked
+	pollsDiscovery    bool // lists are polled; else discovery pushes them
 	pace              discovery.Pace
-	record            *recordConfig // of the store of record; nil: off
-	fleet             fleetConfig   // what it does together with other sidecars
-	sum               string        // SHA-256 of the file
-	keys              any           // the keys that the file has, as a tree
+	record            *recordConfig      // of the store of record; nil: off
+	coordination      coordinationConfig // what it does together with other sidecars
+	hash              string             // SHA-256 of the file
+	keys              any                // the keys that the file has, as a tree
 }
 
 // configFile is the form of the configuration file.
@@ -99,7 +99,7 @@
 		cores:     file.Limits.Cores,
 		memoryMB:  int(file.Limits.MemoryMB),
 		sockets:   int(file.Limits.Sockets),
-		sum:       fmt.Sprintf("%x", sha256.Sum256(data)),
+		hash:      fmt.Sprintf("%x", sha256.Sum256(data)),
 		keys:      keys,
 	}
 	return c, &file, nil
@@ -188,16 +188,16 @@
 	return nil
 }
 
-// setDiscoveryPace sets how discovery is followed or asked.
+// setDiscoveryPace sets how discovery is polled or followed.
 func (c *config) setDiscoveryPace() {
 	s := c.settings
-	c.asks = s.Config.MaxListAge > 0
-	if !c.asks {
+	c.pollsDiscovery = s.Config.MaxListAge > 0
+	if !c.pollsDiscovery {
 		c.pace = discovery.Pushed(s.DrainGrace)
 		return
 	}
 	c.pace = discovery.Polled()
-	// The first call comes within four fifths of AskWithin.
+	// The Balancer makes its first call within four fifths of MaxListAge.
 	s.Config.MaxListAge = min(s.Config.MaxListAge, c.pace.InitialDelay*5/4)
 	s.Config.RetryWithin = c.pace.MaxBackoff
 }
@@ -206,16 +206,16 @@
 // and the checkpoint.
 func (c *config) loadExtras(getenv func(string) string, file *configFile) (err error) {
 	if path := getenv("MARTENDRUM_RECORD"); path != "" {
-		if c.record, err = loadRecord(path, c.settings, (c.sockets-spareSockets)/4); err != nil {
+		if c.record, err = loadRecord(path, c.settings, (c.sockets-reservedSockets)/4); err != nil {
 			return fmt.Errorf("MARTENDRUM_RECORD: %w", err)
 		}
 	}
-	if c.fleet, err = loadFleet(getenv("MARTENDRUM_FLEET"), c.settings, file.PeerListen, file.Peers); err != nil {
+	if c.coordination, err = loadCoordination(getenv("MARTENDRUM_FLEET"), c.settings, file.PeerListen, file.Peers); err != nil {
 		return err
 	}
-	c.fleet.checkpointPath = getenv("MARTENDRUM_CHECKPOINT")
-	if c.fleet.checkpointPath != "" && !c.fleet.gradualReturn {
-		return &FleetError{"MARTENDRUM_CHECKPOINT is set, and nothing reads it", "add " + wordReturn + " to MARTENDRUM_FLEET, or unset the file"}
+	c.coordination.checkpointPath = getenv("MARTENDRUM_CHECKPOINT")
+	if c.coordination.checkpointPath != "" && !c.coordination.gradualReturn {
+		return &CoordinationError{"MARTENDRUM_CHECKPOINT is set, and nothing reads it", "add " + featureReturn + " to MARTENDRUM_FLEET, or unset the file"}
 	}
 	return nil
 }
@@ -223,7 +223,7 @@
 // logSettings logs what of the settings decides how long requests may take: an incident's
 // first question is what was in force.
 func (c *config) logSettings(event string) {
-	attributes := []any{"config", c.sum[:8], "discovery", c.discovery, "longest_deadline", c.longestDeadline(), "drain_grace", c.settings.DrainGrace}
+	attributes := []any{"config", c.hash[:8], "discovery", c.discovery, "longest_deadline", c.longestDeadline(), "drain_grace", c.settings.DrainGrace}
 	for _, name := range c.settings.Names() {
 		class := c.settings.ByName(name)
 		attributes = append(attributes, "class_"+name, fmt.Sprintf("%v/%v", class.Rules.Idempotency, class.Wait))
--- a/cmd/sidecar/fleet.go
+++ b/cmd/sidecar/coordinator.go
@@ -17,10 +17,10 @@
 	"martendrum/internal/sidecar"
 )
 
-// fleet is the part of a sidecar that acts together with others: it brings what peers
-// publish and what the host knows to the state machines that decide, and carries out
+// coordinator is the part of a sidecar that acts together with other sidecars. It passes what
+// peers publish and what the host knows to the state machines that decide, and carries out
 // their orders.
-type fleet struct {
+type coordinator struct {
 	host    *sidecar.Host
 	stop    chan struct{} // closed by close
 	running sync.WaitGroup
@@ -34,25 +34,25 @@
 	checkpoint checkpointFile
 }
 
-// startFleet starts what the configuration asks for. besidePredecessor says that an old
-// process serves beside this one, which may still have the address of the peer socket.
-func startFleet(c *config, host *sidecar.Host, metricSet *metrics.Set, besidePredecessor bool) (*fleet, error) {
-	f := &fleet{host: host, stop: make(chan struct{}), started: time.Now()}
-	f.checkpoint = checkpointFile{path: c.fleet.checkpointPath, name: c.listen, savedAt: f.started}
+// startCoordinator starts what the configuration turns on. sharedWithPredecessor says that a
+// predecessor serves at the same time and may still own the address of the peer socket.
+func startCoordinator(c *config, host *sidecar.Host, metricSet *metrics.Set, sharedWithPredecessor bool) (*coordinator, error) {
+	f := &coordinator{host: host, stop: make(chan struct{}), started: time.Now()}
+	f.checkpoint = checkpointFile{path: c.coordination.checkpointPath, name: c.listen, savedAt: f.started}
 	f.checkpoint.load(clock.Wall())
 	size := 1
-	if peersConfig := c.fleet.peers; peersConfig != nil {
+	if peersConfig := c.coordination.peers; peersConfig != nil {
 		size = len(peersConfig.Peers)
 		peersConfig.Seed = c.seed
 		if previous := f.checkpoint.previous; previous != nil { // whatever the clock says
 			peersConfig.Node.Incarnation = max(previous.Incarnation+1, uint64(max(1, f.started.UnixMilli())))
 		}
-		if err := f.openLink(*peersConfig, besidePredecessor); err != nil {
+		if err := f.openLink(*peersConfig, sharedWithPredecessor); err != nil {
 			return nil, err
 		}
 		f.addPeerGauges(metricSet)
 	}
-	if c.fleet.gradualReturn {
+	if c.coordination.gradualReturn {
 		f.startRecovery(size, metricSet)
 	}
 	return f, nil
@@ -60,28 +60,28 @@
 
 // openLink opens the link to peers, or does so later if the predecessor still has its
 // address.
-func (f *fleet) openLink(config link.Config, besidePredecessor bool) error {
+func (f *coordinator) openLink(config link.Config, sharedWithPredecessor bool) error {
 	opened, err := link.Open(config)
 	switch {
 	case err == nil:
 		f.link = opened
 		return nil
-	case besidePredecessor && errors.Is(err, syscall.EADDRINUSE):
-		f.running.Go(func() { f.openLinkLate(config) })
+	case sharedWithPredecessor && errors.Is(err, syscall.EADDRINUSE):
+		f.running.Go(func() { f.retryOpenLink(config) })
 		return nil
 	}
 	return err
 }
 
-// openLinkLate opens the link to peers once the predecessor has released its address.
-func (f *fleet) openLinkLate(config link.Config) {
+// retryOpenLink opens the link to peers once the predecessor has released its address.
+func (f *coordinator) retryOpenLink(config link.Config) {
 	retryUntil(f.stop, func() bool {
 		opened, err := link.Open(config)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			return false
 		}
 		if err != nil {
-			slog.Warn("nothing is told to other sidecars, nor heard", "err", err)
+			slog.Warn("no exchange with other sidecars", "err", err)
 			return true
 		}
 		f.mu.Lock()
@@ -92,7 +92,7 @@
 }
 
 // startRecovery starts the gradual return to service; size is the number of peers.
-func (f *fleet) startRecovery(size int, metricSet *metrics.Set) {
+func (f *coordinator) startRecovery(size int, metricSet *metrics.Set) {
 	f.machine = recovery.New(recovery.Config{Size: size}, 0)
 	if previous := f.checkpoint.previous; previous != nil {
 		_, weight := recovery.Retained(previous.Learned, f.checkpoint.age, recovery.Open)
@@ -103,41 +103,41 @@
 	f.running.Go(f.run)
 }
 
-// warm has the host learn what of the checkpoint is still valid. It is called after the
+// warmUp gives the host what is still valid of the checkpoint. It is called after the
 // list of servers has arrived and before the first request.
-func (f *fleet) warm() {
+func (f *coordinator) warmUp() {
 	previous, age := f.checkpoint.previous, f.checkpoint.age
 	if previous == nil {
 		return
 	}
 	learned, weight := recovery.Retained(previous.Learned, age, f.lastOrders().Verdict)
 	f.host.Learn(learned, age)
-	slog.Info("checkpoint taken as a hint", "age", age, "times", len(learned.Primary), "servers", len(learned.Servers), "demand", previous.Demand, "weight", weight)
+	slog.Info("checkpoint restored as a hint", "age", age, "times", len(learned.Primary), "servers", len(learned.Servers), "demand", previous.Demand, "weight", weight)
 }
 
 // currentLink returns the link to peers, nil if there is none.
-func (f *fleet) currentLink() *link.Link {
+func (f *coordinator) currentLink() *link.Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.link
 }
 
 // withNode calls use with the peers.Node, if there is one.
-func (f *fleet) withNode(use func(now time.Duration, node *peers.Node)) {
+func (f *coordinator) withNode(use func(now time.Duration, node *peers.Node)) {
 	if l := f.currentLink(); l != nil {
 		l.Do(use)
 	}
 }
 
 // lastOrders returns what the recovery machine decided last.
-func (f *fleet) lastOrders() recovery.Orders {
+func (f *coordinator) lastOrders() recovery.Orders {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.orders
 }
 
 // run steps the recovery machine whenever it is due, until close.
-func (f *fleet) run() {
+func (f *coordinator) run() {
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for {
@@ -146,7 +146,7 @@
 			return
 		case <-due.C:
 		}
-		f.step()
+		f.stepRecovery()
 		if now := time.Now(); f.checkpoint.isDue(now) {
 			f.saveCheckpoint(now)
 		}
@@ -154,11 +154,11 @@
 	}
 }
 
-// step brings the recovery machine what is known, and carries out its orders.
-func (f *fleet) step() {
+// stepRecovery brings the recovery machine what is known, and carries out its orders.
+func (f *coordinator) stepRecovery() {
 	before := f.lastOrders()
 	if before.Phase != recovery.Serving {
-		f.hearPeers()
+		f.receivePeerPhases()
 	}
 	var orders recovery.Orders
 	f.host.Steer(func(now time.Duration, arrivals uint64, b *martendrum.Balancer) {
@@ -174,8 +174,8 @@
 	f.logChange(before, orders)
 }
 
-// hearPeers brings the recovery machine the phases that peers publish.
-func (f *fleet) hearPeers() {
+// receivePeerPhases brings the recovery machine the phases that peers publish.
+func (f *coordinator) receivePeerPhases() {
 	f.withNode(func(now time.Duration, node *peers.Node) {
 		for member := range node.Speaking(now) {
 			f.machine.Hear(int(member.Rank), recovery.Report{Phase: recovery.Phase(member.Phase), Age: member.Age})
@@ -184,18 +184,18 @@
 }
 
 // logChange logs how new orders differ from those before.
-func (f *fleet) logChange(before, orders recovery.Orders) {
+func (f *coordinator) logChange(before, orders recovery.Orders) {
 	if orders.Phase != before.Phase {
 		slog.Info("phase "+orders.Phase.String(), "verdict", orders.Verdict, "after", time.Since(f.started).Round(time.Millisecond), "shed", orders.Bounds.MinShedFraction)
 		return
 	}
 	if sheds := orders.Bounds.MinShedFraction > 0; sheds != (before.Bounds.MinShedFraction > 0) {
-		slog.Info("cold servers", "bounded", sheds, "shed", orders.Bounds.MinShedFraction, "demand", orders.Bounds.NominalRate)
+		slog.Info("servers warming up", "bounded", sheds, "shed", orders.Bounds.MinShedFraction, "demand", orders.Bounds.NominalRate)
 	}
 }
 
 // saveCheckpoint writes the checkpoint, if there is one and the sidecar serves as usual.
-func (f *fleet) saveCheckpoint(now time.Time) {
+func (f *coordinator) saveCheckpoint(now time.Time) {
 	if f.checkpoint.path == "" || f.machine == nil || f.lastOrders().Phase != recovery.Serving {
 		return
 	}
@@ -204,9 +204,9 @@
 	f.checkpoint.save(now, c)
 }
 
-// close ends all of it, with a last checkpoint. Peers are informed that this sidecar
-// leaves.
-func (f *fleet) close() {
+// close stops all of it after a last checkpoint, and informs the peers that this sidecar
+// terminates.
+func (f *coordinator) close() {
 	close(f.stop)
 	f.running.Wait()
 	f.saveCheckpoint(time.Now())
--- a/cmd/sidecar/errors_test.go
+++ b/cmd/sidecar/errors_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	for name, e := range map[string]interface{ Advice() string }{
-		"FleetError":      &FleetError{Do: "x"},
+		"FleetError":      &CoordinationError{Do: "x"},
 		"ConfigError":     &peers.ConfigError{Field: "x"},
 		"AddrError":       &link.AddrError{Field: "x"},
 		"DecodeError":     &peers.DecodeError{},
--- a/cmd/sidecar/gauges.go
+++ b/cmd/sidecar/gauges.go
@@ -27,12 +27,12 @@
 		}
 		return age.Seconds()
 	})
-	set.Gauge("share", `of="sockets"`, func() float64 { return float64(r.currentShare().Sockets) })
-	set.Gauge("share", `of="memory_mb"`, func() float64 { return float64(r.currentShare().MemoryMB) })
+	set.Gauge("share", `of="sockets"`, func() float64 { return float64(r.currentQuota().Sockets) })
+	set.Gauge("share", `of="memory_mb"`, func() float64 { return float64(r.currentQuota().MemoryMB) })
 }
 
 // addPeerGauges adds the metrics of what is exchanged with peers.
-func (f *fleet) addPeerGauges(metricSet *metrics.Set) {
+func (f *coordinator) addPeerGauges(metricSet *metrics.Set) {
 	ask := func(read func(now time.Duration, node *peers.Node) float64) func() float64 {
 		return func() float64 {
 			v := math.NaN()
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,5 @@
-// Command sidecar is the real sidecar: one process between an application and
-// the servers, which hosts one balancer. It runs until SIGTERM.
+// Command sidecar runs one balancer on real sockets between an application process and the
+// servers. It owns flags, signals and the wiring of its packages, and runs until SIGTERM.
 package main
 
 import (
@@ -57,7 +57,7 @@
 }
 
 // printVersions prints the versions of the protocols that this program speaks, for an
-// agent that is to run it beside another version. The fields are those of
+// agent that may run it side by side with another version. The fields are those of
 // internal/fleet/host/compatibility, which this program does not link.
 func printVersions() {
 	fmt.Printf("{\"program\": \"sidecar\", \"hand_over\": %d, \"snapshot\": %d, \"record\": %d, \"agent\": %d}\n",
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -99,7 +99,7 @@
 	}
 	term, hup, done := make(chan time.Time, 1), make(chan os.Signal, 1), make(chan error, 1)
 	r := &resources{config: c, listeners: []*net.TCPListener{ln.(*net.TCPListener)}}
-	r.Limit(c.fullShare())
+	r.Limit(c.fullQuota())
 	go func() { done <- run(c, r, nil, nil, signals{terminate: term, reload: hup}) }()
 
 	client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
@@ -133,7 +133,7 @@
 			return err.Error()
 		}
 		r.Body.Close()
-		return r.Header.Get(healthSum)
+		return r.Header.Get(healthConfigHash)
 	}
 	sumOf := func(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
 	if got := told(); got != sumOf(fmt.Sprintf(configForm, first)) {
--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -30,12 +30,12 @@
 // sidecarProcess is a running sidecar: its parts, and its place between the process before it
 // and the one after. The goroutine of serve owns it.
 type sidecarProcess struct {
-	config    *config
-	resources *resources
-	watcher   *discovery.Watcher
-	recorder  requestRecorder // nil: there is none
-	metrics   *metrics.Set
-	fleet     *fleet
+	config      *config
+	resources   *resources
+	watcher     *discovery.Watcher
+	recorder    requestRecorder // nil: there is none
+	metrics     *metrics.Set
+	coordinator *coordinator
 
 	place       *link.Place // of the hand-over; nil: processes don't hand over
 	predecessor *link.New   // the process that this one takes over from; nil as place
@@ -69,8 +69,8 @@
 	return p
 }
 
-// besidePredecessor reports whether an old process serves beside this one.
-func (p *sidecarProcess) besidePredecessor() bool {
+// sharesWithPredecessor reports whether a predecessor serves at the same time.
+func (p *sidecarProcess) sharesWithPredecessor() bool {
 	return p.predecessor != nil && p.predecessor.Shared()
 }
 
@@ -78,10 +78,10 @@
 func (p *sidecarProcess) serve(on signals) error {
 	p.listTimeout = time.NewTimer(listTimeout)
 	defer p.listTimeout.Stop()
-	if !p.besidePredecessor() {
-		p.accept() // nobody else does: whoever connects now is better off than in the queue
+	if !p.sharesWithPredecessor() {
+		p.accept() // no other process accepts, and clients would wait in the queue
 	}
-	if p.config.asks {
+	if p.config.pollsDiscovery {
 		p.becomeReady()
 	} else {
 		p.followDiscovery()
@@ -100,16 +100,16 @@
 		case <-p.forgetIDs:
 			p.resources.UnshareIDs(p.inheritedIDs)
 		case listeners := <-p.lateListeners:
-			p.takeOverLate(listeners)
+			p.takeOverListeners(listeners)
 		case <-p.alone:
 			p.continueAlone()
 		case err := <-p.failed:
 			return err
 		case <-on.reload:
 			p.reload()
-		case told := <-on.terminate:
+		case signalledAt := <-on.terminate:
 			p.reloadPending(on.reload)
-			p.stop(told)
+			p.stop(signalledAt)
 			return nil
 		}
 	}
@@ -120,7 +120,7 @@
 	p.acceptOnce.Do(func() { p.resources.accept(p.resources.listeners) })
 }
 
-// followDiscovery starts to follow discovery, and notes each list in p.listed.
+// followDiscovery starts to follow discovery, and signals each list on p.listed.
 func (p *sidecarProcess) followDiscovery() {
 	takeList := p.watcher.Listed
 	p.watcher.Listed = func(list *discovery.List) {
@@ -133,8 +133,8 @@
 	go p.watcher.Follow()
 }
 
-// becomeReady takes clients from now on, with what the process before this one had
-// learned. Only the first call counts.
+// becomeReady lets the process accept clients, after it has restored what an earlier process
+// had learned. Only the first call has an effect.
 func (p *sidecarProcess) becomeReady() {
 	host := p.resources.host
 	if host.Ready() {
@@ -142,7 +142,7 @@
 	}
 	p.listTimeout.Stop()
 	if p.predecessor == nil || !p.warmUp() {
-		p.fleet.warm()
+		p.coordinator.warmUp()
 	}
 	p.accept()
 	host.SetReady(true)
@@ -152,35 +152,35 @@
 	}
 }
 
-// takeOverLate takes listeners over from a predecessor that was stopped, so that this
-// process opened a socket of its own beside, and that runs again now.
-func (p *sidecarProcess) takeOverLate(listeners []*net.TCPListener) {
+// takeOverListeners takes listeners over from a predecessor that was stalled, so that this
+// process had opened a socket of its own, and that runs again now.
+func (p *sidecarProcess) takeOverListeners(listeners []*net.TCPListener) {
 	p.resources.setListeners(slices.Concat(listeners, p.resources.listeners))
 	p.inheritIDs()
-	slog.Info("the old process has woken and hands over")
+	slog.Info("the stalled predecessor runs again and hands over")
 	if p.resources.host.Ready() {
 		p.resources.accept(listeners)
 		p.predecessor.Ready()
 	}
 }
 
-// continueAlone takes the whole of the limits after the predecessor's end, and prepares
-// for a successor.
+// continueAlone takes over the full limits after the predecessor's end, and prepares for a
+// successor.
 func (p *sidecarProcess) continueAlone() {
 	p.alone = nil
 	select {
-	case listeners := <-p.lateListeners: // it ran again, and has ended since
-		p.takeOverLate(listeners)
+	case listeners := <-p.lateListeners: // the predecessor ran again and has ended since
+		p.takeOverListeners(listeners)
 	default:
 	}
 	r, c := p.resources, p.config
-	r.Limit(c.fullShare())
+	r.Limit(c.fullQuota())
 	if p.inheritedIDs != nil {
 		p.forgetIDs = time.After(idtable.EntryTTL)
 		r.host.RemoveTally(p.inheritedIDs) // the predecessor's requests have ended with it
 	}
 	listen, host := c.listen, r.host // p.config may change before the snapshot is taken
-	protocol := handover.NewOld(listen, c.fullShare(), func() []byte { return snapshot(listen, host) })
+	protocol := handover.NewOld(listen, c.fullQuota(), func() []byte { return snapshot(listen, host) })
 	p.successor = link.NewOld(p.place, r.listeners, protocol, r)
 	if p.recorder != nil && p.recorder.Lock() != nil {
 		p.successor.PassRecord(p.recorder.Lock())
@@ -198,7 +198,7 @@
 }
 
 // inheritIDs shares the ids of open and recent requests with the predecessor, if there
-// is one. They are known for idtable.Life after its end.
+// is one. They stay known for idtable.EntryTTL after its end.
 func (p *sidecarProcess) inheritIDs() {
 	if p.predecessor == nil {
 		return
@@ -216,8 +216,8 @@
 	}
 }
 
-// reloadPending applies the file once more if a signal to do so has come and was not acted
-// on yet: the stop is planned by the deadlines of the file that is in force.
+// reloadPending applies the file once more if a SIGHUP is pending, because the shutdown is
+// planned by the deadlines in force.
 func (p *sidecarProcess) reloadPending(reload <-chan os.Signal) {
 	select {
 	case <-reload:
@@ -226,16 +226,16 @@
 	}
 }
 
-// reload applies the configuration file again, as a whole or not at all.
+// reload applies the configuration file again, completely or not at all.
 func (p *sidecarProcess) reload() {
 	r := p.resources
 	next, err := reload(os.Getenv, p.config)
 	if err == nil {
-		err = r.host.Retune(next.settings)
+		err = r.host.Reconfigure(next.settings)
 	}
 	p.metrics.Configured(err == nil)
 	if err != nil {
-		slog.Error("configuration not taken over: the one before stays", "err", err)
+		slog.Error("configuration rejected, the previous one stays in force", "err", err)
 		return
 	}
 	p.config = next
@@ -243,22 +243,22 @@
 	r.setConfig(next)
 	switch {
 	case p.successor != nil:
-		p.successor.Retuned(next.fullShare())
+		p.successor.Retuned(next.fullQuota())
 	case p.predecessor == nil:
-		r.Limit(next.fullShare())
-	default: // the predecessor decides about the share
-		r.Limit(r.currentShare())
+		r.Limit(next.fullQuota())
+	default: // the predecessor decides about the quota
+		r.Limit(r.currentQuota())
 	}
-	r.server.SetHealth(healthSum, next.sum)
+	r.server.SetHealth(healthConfigHash, next.hash)
 	p.watcher.SetEndpoint(next.discovery, next.pace)
-	if next.asks {
-		r.host.PollNow() // what has changed there must be known soon, whether or not a watch is open
+	if next.pollsDiscovery {
+		r.host.PollNow() // the new endpoint's list is needed soon, whether or not a watch is open
 	}
-	next.logSettings("configuration taken over")
+	next.logSettings("configuration applied")
 }
 
-// retryUntil calls done each retryInterval until it returns true, or stop is closed: for
-// what an old process has to release first.
+// retryUntil calls done at each retryInterval until it returns true or stop is closed. It is
+// used for resources that a predecessor has to release first.
 func retryUntil(stop <-chan struct{}, done func() bool) {
 	retry := time.NewTicker(retryInterval)
 	defer retry.Stop()
--- a/cmd/sidecar/record.go
+++ b/cmd/sidecar/record.go
@@ -18,14 +18,15 @@
 	"martendrum/internal/settings"
 )
 
-// recordAsk is how long a start asks the store for a sign of life. One that is away is
-// no reason not to start; one that can't be used is.
-const recordAsk = time.Second
+// recordPingTimeout bounds the check of the store at the start. The sidecar starts while the
+// store is unavailable, but not with one that is unusable.
+const recordPingTimeout = time.Second
 
-// recordConfig is the operator's file, and what it means for this sidecar.
+// recordConfig is the operator's file of the idempotency store, with the recorder's configuration
+// for this sidecar.
 type recordConfig struct {
 	*storeconfig.Config
-	keeper recorder.Config
+	recorder recorder.Config
 }
 
 // Sockets is how many descriptors the store takes at most.
@@ -45,8 +46,8 @@
 	return &recordConfig{c, k}, err
 }
 
-// openRecord opens the store of record; nil if there is none.
-// lock is its ownership, where an old process passed that on.
+// openRecord opens the idempotency store; nil if there is none. lock is its ownership, where
+// a predecessor passed that on.
 func openRecord(c *config, lock *os.File) (requestRecorder, error) {
 	if c.record == nil {
 		return nil, nil
@@ -57,18 +58,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("MARTENDRUM_RECORD: %w", err)
 	}
-	ask, cancelAsk := context.WithTimeout(ctx, recordAsk)
+	ask, cancelAsk := context.WithTimeout(ctx, recordPingTimeout)
 	defer cancelAsk()
 	switch err := b.Ping(ask); {
 	case errors.Is(err, idempotency.ErrUnusable), errors.Is(err, idempotency.ErrReadOnly):
 		b.Close()
 		return nil, fmt.Errorf("MARTENDRUM_RECORD: %w", err)
 	case err != nil:
-		slog.Warn("the store of record is away at the start", "err", err)
+		slog.Warn("idempotency store unavailable at the start", "err", err)
 	}
-	return recorder.New(c.record.keeper, b), nil
+	return recorder.New(c.record.recorder, b), nil
 }
 
-// recordVersion is the schema of the store of record that this build reads and writes;
-// the two databases' go up together.
+// recordVersion is the schema version of the idempotency store that this build reads and
+// writes, the same for both databases.
 func recordVersion() int { return max(sqlite.Version, postgres.Version) }
--- a/cmd/sidecar/record_off.go
+++ b/cmd/sidecar/record_off.go
@@ -9,8 +9,8 @@
 	"martendrum/internal/settings"
 )
 
-// recordConfig has no fields: this build has no store of record, whose databases would
-// cost it memory even while off. docs/design/record.md has the figures.
+// recordConfig has no fields: this build has no idempotency store, whose databases would
+// cost memory even while unused. docs/design/record.md has the figures.
 type recordConfig struct{}
 
 // Sockets is none.
@@ -22,5 +22,5 @@
 
 func openRecord(*config, *os.File) (requestRecorder, error) { return nil, nil }
 
-// recordVersion is the schema of the store of record; this build has none.
+// recordVersion is the schema version of the idempotency store; this build has none.
 func recordVersion() int { return 0 }
--- a/cmd/sidecar/recorder.go
+++ b/cmd/sidecar/recorder.go
@@ -13,18 +13,18 @@
 // fits between the last response and SIGKILL.
 const recordFlushTimeout = 200 * time.Millisecond
 
-// requestRecorder is the store of record of a build that has one, see record.go.
+// requestRecorder is the idempotency store of a build that has one, see record.go.
 type requestRecorder interface {
 	sidecar.Recorder
 	// Status is the state of the store, for health responses.
 	Status() string
-	// Lock is what a new process must have to own the store beside this one; nil: nothing.
+	// Lock is the ownership that a successor needs to use the store at the same time; nil: none.
 	Lock() *os.File
 	// Close writes what is buffered, as long as ctx allows.
 	Close(ctx context.Context) error
 }
 
-// closeRecorder closes the store of record, if there is one.
+// closeRecorder closes the idempotency store, if there is one.
 func (p *sidecarProcess) closeRecorder() {
 	if p.recorder == nil {
 		return
@@ -32,6 +32,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), recordFlushTimeout)
 	defer cancel()
 	if err := p.recorder.Close(ctx); err != nil {
-		slog.Warn("the record was not closed well", "err", err)
+		slog.Warn("idempotency store not closed cleanly", "err", err)
 	}
 }
--- a/cmd/sidecar/reload.go
+++ b/cmd/sidecar/reload.go
@@ -30,9 +30,8 @@
 
 // missingKey returns the first key that the file in force has and next lacks, empty if
 // there is none. In a list, every object must have the keys that all objects of the list
-// in force have. Guards against a file that was written in part: what it leaves out would
-// be taken for zero. Its cost: a file that leaves a key out on purpose must say null, or
-// needs a new process.
+// in force have. This rejects a file that was written in part, whose missing keys would count as
+// zero. A file that omits a key on purpose must say null, or needs a new process.
 func missingKey(at string, inForce, next any) string {
 	switch old := inForce.(type) {
 	case map[string]any:
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// spareSockets is how many descriptors are reserved for the listener, discovery,
+	// reservedSockets is the number of descriptors reserved for the listener, discovery,
 	// the runtime and the log.
-	spareSockets = 24
+	reservedSockets = 24
 	// unknownResidentMB is assumed where the resident memory can't be read.
 	unknownResidentMB = 1 << 10
 )
 
-// resources keeps the parts of a process to its share of the limits, which two processes
+// resources keeps the parts of a process within its quota of the limits, which two processes
 // divide during a hand-over. It implements link.Host.
 type resources struct {
 	mu     sync.Mutex
 	config *config
-	share  handover.Quota
+	quota  handover.Quota
 
 	// Set once, by createParts; nil before.
 	pool   *upstream.Pool
@@ -44,8 +44,8 @@
 	stopping  bool
 }
 
-// fullShare is all that one sidecar may use by its configuration.
-func (c *config) fullShare() handover.Quota {
+// fullQuota is all that one sidecar may use by its configuration.
+func (c *config) fullQuota() handover.Quota {
 	inFlight := c.settings.MaxInFlight
 	if inFlight == 0 {
 		inFlight = math.MaxInt32
@@ -53,75 +53,75 @@
 	return handover.Quota{Sockets: c.sockets, MemoryMB: c.memoryMB, InFlight: inFlight}
 }
 
-// reservedSockets is how many descriptors of a share clients and servers can't use.
-func (c *config) reservedSockets() int {
-	n := spareSockets + c.record.Sockets()
+// reservedDescriptors is the number of descriptors of a quota that clients and servers can't use.
+func (c *config) reservedDescriptors() int {
+	n := reservedSockets + c.record.Sockets()
 	if c.mgmt != "" {
 		n += admin.MaxSockets
 	}
 	return n
 }
 
-// applyShare sets the limits of the runtime and returns those of the process's parts.
-func (c *config) applyShare(share handover.Quota) (upstream.Config, downstream.Config) {
-	memory := int64(share.MemoryMB) << 20
+// applyQuota sets the limits of the runtime and returns those of the process's parts.
+func (c *config) applyQuota(quota handover.Quota) (upstream.Config, downstream.Config) {
+	memory := int64(quota.MemoryMB) << 20
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.cores))))
 	debug.SetMemoryLimit(memory * 6 / 10)
-	conns := max(2, share.Sockets-c.reservedSockets())
+	conns := max(2, quota.Sockets-c.reservedDescriptors())
 	upstreamConfig := upstream.Config{
 		ConnIdle:    c.settings.ConnIdle,
 		DialTimeout: c.settings.DialTimeout,
 		DrainGrace:  c.settings.DrainGrace,
 		MaxConns:    conns - conns/2,
 	}
-	frontConfig := downstream.Config{
+	downstreamConfig := downstream.Config{
 		MaxConns: conns / 2,
 		MaxBody:  memory * 3 / 8,
 	}
-	return upstreamConfig, frontConfig
+	return upstreamConfig, downstreamConfig
 }
 
-// createParts creates the parts, under the limits of the share in force.
+// createParts creates the parts, under the limits of the quota in force.
 func (r *resources) createParts(watcher *discovery.Watcher) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.config
-	upstreamConfig, frontConfig := c.applyShare(r.share)
+	upstreamConfig, downstreamConfig := c.applyQuota(r.quota)
 	pool := upstream.New(upstreamConfig)
 	host, err := sidecar.New(c.settings, c.seed, pool, watcher)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	host.Limit(r.share.InFlight, c.fullShare().InFlight)
-	r.pool, r.server, r.host = pool, downstream.New(frontConfig, seamHandler(host)), host
+	host.Limit(r.quota.InFlight, c.fullQuota().InFlight)
+	r.pool, r.server, r.host = pool, downstream.New(downstreamConfig, seamHandler(host)), host
 	return nil
 }
 
 // Limit implements link.Host.
-func (r *resources) Limit(share handover.Quota) {
+func (r *resources) Limit(quota handover.Quota) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fewerSockets := share.Sockets < r.share.Sockets
-	r.share = share
-	upstreamConfig, frontConfig := r.config.applyShare(share)
+	fewerSockets := quota.Sockets < r.quota.Sockets
+	r.quota = quota
+	upstreamConfig, downstreamConfig := r.config.applyQuota(quota)
 	if r.pool != nil {
 		r.pool.Limit(upstreamConfig)
-		r.server.Limit(frontConfig)
-		r.host.Limit(share.InFlight, r.config.fullShare().InFlight)
+		r.server.Limit(downstreamConfig)
+		r.host.Limit(quota.InFlight, r.config.fullQuota().InFlight)
 	}
-	if fewerSockets && r.pool != nil && !r.stopping { // a stopping one gives up only what it does not use
+	if fewerSockets && r.pool != nil && !r.stopping { // a terminating process releases only what it does not use
 		r.server.Trim()
 		r.pool.Trim()
 		debug.FreeOSMemory()
 	}
-	slog.Info("share of the limits", "sockets", share.Sockets, "memory_mb", share.MemoryMB, "held", share.InFlight)
+	slog.Info("share of the limits", "sockets", quota.Sockets, "memory_mb", quota.MemoryMB, "held", quota.InFlight)
 }
 
-// currentShare is the share in force.
-func (r *resources) currentShare() handover.Quota {
+// currentQuota is the quota in force.
+func (r *resources) currentQuota() handover.Quota {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.share
+	return r.quota
 }
 
 // setConfig replaces the configuration. Limit puts its limits in force.
@@ -152,8 +152,8 @@
 	for _, listener := range r.listeners {
 		listener.Close()
 	}
-	// What was accepted is among the server's connections when this returns: the
-	// resources that they need are not given away.
+	// Accepted connections are registered with the server when this returns, so that the
+	// resources they need are not released.
 	r.accepting.Wait()
 }
 
@@ -178,11 +178,11 @@
 	r.stopping = true
 }
 
-// used is what the process still uses of its share.
+// used is what the process still uses of its quota.
 func (r *resources) used() handover.Quota {
 	return handover.Quota{
 		// Each request that may come on a client's connection needs one to a server.
-		Sockets:  r.config.reservedSockets() + 2*max(r.server.Conns(), r.pool.Conns()),
+		Sockets:  r.config.reservedDescriptors() + 2*max(r.server.Conns(), r.pool.Conns()),
 		MemoryMB: residentMB(),
 		// The same for requests in flight, where no tally is shared.
 		InFlight: max(r.host.InFlight(), r.server.Conns()),
--- a/cmd/sidecar/seams_on.go
+++ b/cmd/sidecar/seams_on.go
@@ -14,16 +14,16 @@
 	"martendrum/internal/shutdown"
 )
 
-// A build with the tag seams breaks the rules that MARTENDRUM_SEAMS names, so that a test
-// of whole processes can be seen to notice it. No release is built so.
+// A build with the tag seams breaks the rules that MARTENDRUM_SEAMS names, so that the
+// process tests can be shown to detect it. No release is built so.
 const (
-	seamLateStop    = "late-stop"    // a stop is planned as if the deadlines were longer
-	seamDeafToDrain = "deaf-drain"   // servers that drain or have gone stay on the list
-	seamDeadlines   = "no-deadlines" // what clients say of how long they wait is not heeded
+	seamLateShutdown = "late-stop"    // a shutdown is planned as if the deadlines were longer
+	seamDeafToDrain  = "deaf-drain"   // draining and removed servers stay on the list
+	seamDeadlines    = "no-deadlines" // the deadlines that clients state are ignored
 )
 
-// lateStop is by how much later seamLateStop plans a process's end.
-const lateStop = time.Hour
+// shutdownDelay is by how much seamLateShutdown delays the planned end of the process.
+const shutdownDelay = time.Hour
 
 func seam(name string) bool {
 	return slices.Contains(strings.Split(os.Getenv("MARTENDRUM_SEAMS"), ","), name)
@@ -41,15 +41,15 @@
 	}
 }
 
-// seamPlan returns when a stop does what.
+// seamPlan returns the plan of a shutdown.
 func seamPlan(plan shutdown.Plan) shutdown.Plan {
-	if seam(seamLateStop) {
-		plan.AnswerAll, plan.End = plan.AnswerAll+lateStop, plan.End+lateStop
+	if seam(seamLateShutdown) {
+		plan.AnswerAll, plan.End = plan.AnswerAll+shutdownDelay, plan.End+shutdownDelay
 	}
 	return plan
 }
 
-// deafHandler does not heed how long clients wait.
+// deafHandler ignores the deadlines of clients.
 type deafHandler struct{ downstream.Handler }
 
 // Arrive implements downstream.Handler.
--- a/cmd/sidecar/snapshot.go
+++ b/cmd/sidecar/snapshot.go
@@ -13,7 +13,7 @@
 func snapshot(listen string, host *sidecar.Host) []byte {
 	data, err := handover.Encode(handover.Snapshot{Listen: listen, Saved: clock.Wall().UnixNano(), Learned: host.Learned()})
 	if err != nil {
-		slog.Warn("what was learned can't be told", "err", err)
+		slog.Warn("learned state not encoded", "err", err)
 		return nil
 	}
 	return data
@@ -22,7 +22,7 @@
 // saveSnapshot stores what this process has learned, for one that starts later.
 func (p *sidecarProcess) saveSnapshot() {
 	if err := p.place.Save(snapshot(p.config.listen, p.resources.host)); err != nil {
-		slog.Warn("what was learned is not kept", "err", err)
+		slog.Warn("learned state not stored", "err", err)
 	}
 }
 
--- a/cmd/sidecar/standing_test.go
+++ b/cmd/sidecar/standing_test.go
@@ -220,7 +220,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	life("checkpoint taken as a hint")
+	life("checkpoint restored as a hint")
 	for want, data := range map[string][]byte{"empty": nil, "torn or damaged": good[:len(good)/2]} {
 		if err := os.WriteFile(keep, data, 0o600); err != nil {
 			t.Fatal(err)
@@ -249,7 +249,7 @@
 		_, err := load(func(name string) string {
 			return map[string]string{"BALANCER_CONFIG": s.config, "MARTENDRUM_FLEET": words, "MARTENDRUM_CHECKPOINT": keep}[name]
 		})
-		if e, ok := errors.AsType[*FleetError](err); !ok || e.Advice() == "" {
+		if e, ok := errors.AsType[*CoordinationError](err); !ok || e.Advice() == "" {
 			t.Errorf("%q: %v", words, err)
 		}
 	}
--- a/cmd/sidecar/start.go
+++ b/cmd/sidecar/start.go
@@ -22,9 +22,9 @@
 
 // Header fields of health responses.
 const (
-	// healthSum is the SHA-256 of the configuration file in force. An agent sees by it
+	// healthConfigHash is the SHA-256 of the configuration file in force. An agent sees by it
 	// whether a reload was applied.
-	healthSum = "Config-Sum"
+	healthConfigHash = "Config-Sum"
 	// healthRecord is the state of the store of record, if there is one.
 	healthRecord = "Record"
 	// healthLaunch identifies, where processes can hand over, which of two answers: the
@@ -32,7 +32,7 @@
 	healthLaunch = "Hands-Over"
 )
 
-// start serves alone or takes over from an old process, which it finds by TMPDIR.
+// start serves alone or takes over from a predecessor, which it finds by TMPDIR.
 func start(c *config, on signals) error {
 	r := &resources{config: c}
 	dir := os.Getenv("TMPDIR")
@@ -41,7 +41,7 @@
 	}
 	place := link.At(dir, c.listen)
 	defer place.Close()
-	predecessor, err := link.Start(place, c.listen, c.fullShare(), c.record != nil, r)
+	predecessor, err := link.Start(place, c.listen, c.fullQuota(), c.record != nil, r)
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 
 // startAlone serves where processes don't hand over.
 func startAlone(c *config, r *resources, on signals) error {
-	r.Limit(c.fullShare())
+	r.Limit(c.fullQuota())
 	listener, err := net.Listen("tcp", c.listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -63,7 +63,7 @@
 	return run(c, r, nil, nil, on)
 }
 
-// run serves until it is told to stop, and then until every request is answered. place
+// run serves until SIGTERM, and then until every request is answered. place
 // and predecessor are nil where processes don't hand over.
 func run(c *config, r *resources, place *link.Place, predecessor *link.New, on signals) error {
 	debug.SetGCPercent(gcPercent)
@@ -86,10 +86,10 @@
 	}
 	defer closeAdmin()
 	p.setHealth()
-	if p.fleet, err = startFleet(c, r.host, p.metrics, p.besidePredecessor()); err != nil {
+	if p.coordinator, err = startCoordinator(c, r.host, p.metrics, p.sharesWithPredecessor()); err != nil {
 		return err
 	}
-	defer p.fleet.close()
+	defer p.coordinator.close()
 	defer p.closeSuccessor()
 	defer p.closeInheritedIDs()
 	p.inheritIDs()
@@ -152,10 +152,10 @@
 	case err == nil:
 		go server.Serve(listener)
 		return server.Close, nil
-	case errors.Is(err, syscall.EADDRINUSE) && p.besidePredecessor():
-		slog.Info("the old process has the admin address; this one listens there when that has gone", "mgmt", address)
+	case errors.Is(err, syscall.EADDRINUSE) && p.sharesWithPredecessor():
+		slog.Info("the predecessor owns the admin address, listening there after its end", "mgmt", address)
 		stop := make(chan struct{})
-		go openAdminLate(address, server, stop)
+		go retryOpenAdmin(address, server, stop)
 		return func() {
 			close(stop)
 			server.Close()
@@ -164,9 +164,9 @@
 	return nil, fmt.Errorf("mgmt: %w", err)
 }
 
-// openAdminLate opens the admin endpoint once its address is free, unless stop is closed
+// retryOpenAdmin opens the admin endpoint once its address is free, unless stop is closed
 // before.
-func openAdminLate(address string, server *admin.Server, stop <-chan struct{}) {
+func retryOpenAdmin(address string, server *admin.Server, stop <-chan struct{}) {
 	retryUntil(stop, func() bool {
 		listener, err := net.Listen("tcp", address)
 		if err == nil {
@@ -179,7 +179,7 @@
 // setHealth sets the header fields of health responses.
 func (p *sidecarProcess) setHealth() {
 	server := p.resources.server
-	server.SetHealth(healthSum, p.config.sum)
+	server.SetHealth(healthConfigHash, p.config.hash)
 	if p.recorder != nil {
 		server.SetHealthFunc(healthRecord, p.recorder.Status)
 	}
--- a/cmd/sidecar/stop.go
+++ b/cmd/sidecar/stop.go
@@ -23,10 +23,10 @@
 	maxSuccessorRounds = 30
 )
 
-// stop ends the process when every request is answered; the signal to end came at told.
-// Unless a successor serves, it stores what this process has learned.
-func (p *sidecarProcess) stop(told time.Time) {
-	replaced := newShutdown(told, p.config, p.resources, p.successor).run()
+// stop serves until every request is answered; SIGTERM came at signalledAt. Unless a successor
+// serves, it then stores what this process has learned.
+func (p *sidecarProcess) stop(signalledAt time.Time) {
+	replaced := newShutdown(signalledAt, p.config, p.resources, p.successor).run()
 	if p.place != nil && p.place.Locked() && !replaced {
 		p.saveSnapshot()
 	}
@@ -34,17 +34,17 @@
 
 // gracefulShutdown is a stop in progress.
 type gracefulShutdown struct {
-	resources *resources
-	successor *link.Old // nil: no process can take over
-	told      time.Time // when the signal came: the plan's spans are counted from it
-	plan      shutdown.Plan
-	replaced  bool // a successor serves
-	closed    bool // no connection is accepted any more
+	resources   *resources
+	successor   *link.Old // nil: no process can take over
+	signalledAt time.Time // when the signal came; the plan's spans count from it
+	plan        shutdown.Plan
+	replaced    bool // a successor serves
+	closed      bool // no connection is accepted any more
 }
 
-// newShutdown returns the graceful shutdown of a process that was told to end at told.
-func newShutdown(told time.Time, c *config, r *resources, successor *link.Old) *gracefulShutdown {
-	return &gracefulShutdown{resources: r, successor: successor, told: told, plan: seamPlan(shutdown.For(c.longestDeadline()))}
+// newShutdown returns the graceful shutdown of a process that got its signal at signalledAt.
+func newShutdown(signalledAt time.Time, c *config, r *resources, successor *link.Old) *gracefulShutdown {
+	return &gracefulShutdown{resources: r, successor: successor, signalledAt: signalledAt, plan: seamPlan(shutdown.For(c.longestDeadline()))}
 }
 
 // run serves on as long as connections may come, and until every request is answered. If
@@ -52,8 +52,8 @@
 // as their clients leave them idle. It returns whether a successor serves.
 func (s *gracefulShutdown) run() (replaced bool) {
 	host, server := s.resources.host, s.resources.server
-	slog.Info("stopping", "held", host.InFlight(), "signal_ago", time.Since(s.told), "answer_all", s.plan.AnswerAll, "kill", s.plan.Kill)
-	host.StopWithin(time.Until(s.told.Add(s.plan.AnswerAll)))
+	slog.Info("stopping", "held", host.InFlight(), "signal_ago", time.Since(s.signalledAt), "answer_all", s.plan.AnswerAll, "kill", s.plan.Kill)
+	host.StopWithin(time.Until(s.signalledAt.Add(s.plan.AnswerAll)))
 	s.resources.setStopping()
 	s.replaced = s.successor != nil && s.successor.Leave()
 	server.Drain(s.successor != nil) // one may be about to take over: idle connections stay for a moment
@@ -64,7 +64,7 @@
 			s.closed = true
 			continue
 		case stepEnd:
-			slog.Info("stopped", "busy", server.Busy(), "held", host.InFlight(), "after", time.Since(s.told))
+			slog.Info("stopped", "busy", server.Busy(), "held", host.InFlight(), "after", time.Since(s.signalledAt))
 			return s.replaced
 		}
 		time.Sleep(stopPollInterval)
@@ -73,7 +73,7 @@
 		}
 		server.CloseIdle(s.idleTime(round))
 		server.CloseSilent()
-		if time.Since(s.told) >= s.plan.AnswerAll {
+		if time.Since(s.signalledAt) >= s.plan.AnswerAll {
 			server.CloseUnfinished()
 		}
 	}
@@ -91,7 +91,7 @@
 // next decides the next step. Whoever connects before stepClose is among the connections
 // after it, and is waited for.
 func (s *gracefulShutdown) next() shutdownStep {
-	elapsed := time.Since(s.told)
+	elapsed := time.Since(s.signalledAt)
 	accepts := !s.replaced && !s.closed
 	switch {
 	case elapsed >= s.plan.End:
--- a/cmd/sidecar/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -358,7 +358,7 @@
 				old.Process.Signal(syscall.SIGTERM)
 			}
 			old.Process.Signal(syscall.SIGCONT)
-			eventually(t, "a hand-over after all", func() bool { return strings.Contains(next.log.String(), "has woken") })
+			eventually(t, "a hand-over after all", func() bool { return strings.Contains(next.log.String(), "runs again and hands over") })
 			if !c.asleep {
 				clients.more(t, 50)
 				old.Process.Signal(syscall.SIGTERM)
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -60,7 +60,7 @@
 }
 
 // readBody buffers the first part of a request's body under the byte budget, makes the
-// rest its upload, and completes the head. If the budget has no room for it, the body is
+// rest its upload, and completes the head. If the budget does not allow it, the body is
 // discarded and fits is false.
 func (x *Exchange) readBody(r *http.Request) (fits bool, status int) {
 	if r.Body == http.NoBody {
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -22,7 +22,7 @@
 	// head is cut off. Bodies have a minimum rate of their own, see pacedReader.
 	firstRequestTimeout = 2600 * time.Millisecond
 	requestTimeout      = 2600 * time.Millisecond
-	// keepAliveTimeout is how long an idle connection is kept. Guards against clients
+	// keepAliveTimeout is how long an idle connection stays open. Guards against clients
 	// that send one request and keep their connection for good. A client whose next
 	// request races with the close sends it again.
 	keepAliveTimeout = 5 * time.Second
@@ -152,8 +152,8 @@
 	return statusNone
 }
 
-// logAcceptedDuringShutdown logs a request that is taken while the process stops: when, and on which
-// kind of connection.
+// logAcceptedDuringShutdown logs a request that is accepted during a shutdown: when, and on
+// which kind of connection.
 func (c *conn) logAcceptedDuringShutdown(x *Exchange) {
 	slog.Info("request taken while stopping", "class", x.Class, "after", time.Since(x.acceptedDuringShutdown),
 		"conn_age", time.Since(c.accepted), "first_on_conn", c.requests == 1)
@@ -206,7 +206,7 @@
 	}
 }
 
-// cancelExchange tells the handler that the client of the open request has left; it
+// cancelExchange reports to the handler that the client of the open request has left; it
 // returns false if the response is being written. The server's lock is held, but not
 // during the handler's call.
 func (c *conn) cancelExchange() bool {
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -99,7 +99,7 @@
 	return true
 }
 
-// stopReading has the connection's goroutine end it: a request that has been read whole by
+// stopReading has the connection's goroutine end it: a request that has been read completely by
 // now is answered. The server's lock is held.
 func (c *conn) stopReading() {
 	c.enter(stateClosed)
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -2,8 +2,9 @@
 // requests, writes responses and notices clients that disconnect.
 //
 // A Server owns the connections and their limits, a conn is one connection, an Exchange
-// is one request with its response. What a request is answered with is decided by the
-// Handler.
+// is one request with its response. It guarantees that each request read gets exactly one
+// final response or a closed connection. It does not decide how a request is answered: the
+// Handler does.
 package downstream
 
 import (
@@ -12,12 +13,12 @@
 )
 
 // Handler takes requests. Each Exchange that arrives is ended once, by one of
-// its own methods, or by Gone, and released when its body is not needed.
+// its own methods, or by ClientDisconnected, and released when its body is not needed.
 type Handler interface {
 	// Arrive takes a request that has been read.
 	Arrive(x *Exchange)
-	// ClientDisconnected reports that the client has disconnected; it returns false if the response
-	// is being written.
+	// ClientDisconnected reports that the client has disconnected; it returns false if the
+	// response is being written.
 	ClientDisconnected(x *Exchange) bool
 	// Ready reports whether the sidecar takes clients.
 	Ready() bool
@@ -36,7 +37,10 @@
 // unmetered is a Meter that counts nothing.
 type unmetered struct{}
 
-func (unmetered) Answered(string, int)   {}
+// Answered implements Meter.
+func (unmetered) Answered(string, int) {}
+
+// Limited implements Meter.
 func (unmetered) Limited(metrics.Reason) {}
 
 // Config holds the limits of a Server.
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -14,7 +14,7 @@
 	"martendrum/internal/metrics"
 )
 
-// Results of reading a request beside the HTTP statuses to reject it with.
+// Results of reading a request other than the HTTP statuses to reject it with.
 const (
 	statusNone         = 0  // the request is not rejected
 	statusDisconnected = -1 // the client has left: nothing is written
@@ -87,7 +87,7 @@
 	return http.StatusBadRequest
 }
 
-// isHealthCheck reports whether a request asks for the sidecar's own health.
+// isHealthCheck reports whether a request is a health check of the sidecar itself.
 func isHealthCheck(r *http.Request) bool {
 	return r.URL.Path == "/_health" && r.Method == http.MethodGet && r.Body == http.NoBody
 }
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -16,7 +16,7 @@
 	writeTimeout = 2 * time.Second
 	// streamWriteTimeout is how long writing a piece of a streamed response may take.
 	streamWriteTimeout = 10 * time.Second
-	// maxPooledBuffer is the largest response buffer that is kept for reuse.
+	// maxPooledBuffer is the largest response buffer that is pooled for reuse.
 	maxPooledBuffer = 80 << 10
 )
 
@@ -26,15 +26,15 @@
 // buffers are the write buffers of buffered responses.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-// Reject tells the client that the request was not carried out and a retry is harmless.
+// Reject answers that the request was not carried out and a retry is harmless.
 func (x *Exchange) Reject(retryAfter time.Duration) {
 	x.answer(http.StatusServiceUnavailable, retryAfterField(retryAfter), nil, nil)
 }
 
-// Fail tells the client that the request failed.
+// Fail answers that the request failed.
 func (x *Exchange) Fail() { x.answer(http.StatusBadGateway, "", nil, nil) }
 
-// Deny tells the client, in a header field, why its request is not carried out: with a
+// Deny answers, in a header field, why the request is not carried out: with a
 // status that is neither success nor a plain refusal and, if above 0, the time to come
 // back. why is one line.
 func (x *Exchange) Deny(status int, why string, retryAfter time.Duration) {
@@ -50,7 +50,7 @@
 }
 
 // Serve passes on a server's response. If it is not complete yet, Serve returns when the
-// rest has been passed on too, or can't be.
+// rest has been forwarded too, or can't be.
 func (x *Exchange) Serve(ans *upstream.Answer) {
 	if ans.Rest == nil {
 		x.answer(http.StatusOK, "", ans.Header, ans.Body)
@@ -159,7 +159,7 @@
 	return err
 }
 
-// writeStream writes a response that is still arriving: each piece is passed on as it
+// writeStream writes a response that is still arriving: each piece is forwarded as it
 // arrives, one at a time. A response that ends early ends without its last chunk or byte.
 func (x *Exchange) writeStream(ans *upstream.Answer) error {
 	netConn := x.conn.netConn
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// acceptFailed makes room where an accept failed for a lack of descriptors. Connections wait
-// in the queue.
+// acceptFailed evicts a connection if an accept failed for a lack of descriptors. Connections
+// wait in the queue.
 func (s *Server) acceptFailed(err error) {
 	if netconn.IsTableFull(err) {
 		s.evict()
@@ -97,7 +97,7 @@
 // a response: descriptors are finite.
 func rejectionReserve(limit int) int { return limit / 8 }
 
-// add starts the goroutine of an accepted connection, or closes it if there is no room.
+// add starts the goroutine of an accepted connection, or closes it if the limit is reached.
 func (s *Server) add(netConn net.Conn) {
 	now := time.Now()
 	c := &conn{server: s, netConn: netConn, accepted: now, stateSince: now}
@@ -143,16 +143,16 @@
 	s.closeQuiet(stateIdle, idleFor)
 }
 
-// CloseSilent closes the connections on which no byte has come within
-// shutdown.MaxIdleConnection after their accept: on one that is left open, a first request may still
-// come in the process's last moment.
+// CloseSilent closes the connections on which no byte has arrived within
+// shutdown.MaxIdleConnection of their accept, since a first request could still arrive in the
+// process's last moment.
 func (s *Server) CloseSilent() {
 	s.closeQuiet(stateNew, shutdown.MaxIdleConnection)
 }
 
-// CloseUnfinished ends the connections on which a part of a request has come: nobody would
-// answer it any more. Their clients get an error. A request that has been read whole by now
-// has won, and is answered.
+// CloseUnfinished ends the connections on which a part of a request has arrived, since it
+// would not be answered any more. Their clients get an error. A request that has been read
+// completely by now is still answered.
 func (s *Server) CloseUnfinished() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/upload.go
+++ b/internal/downstream/upload.go
@@ -15,7 +15,7 @@
 // upload is the part of a request's body that is not buffered. One attempt reads it.
 type upload struct {
 	from   *pacedReader
-	length int64       // of the whole body; -1: not known
+	length int64       // of the complete body; -1: not known
 	linger atomic.Bool // the connection must end: the body did not arrive completely
 
 	mu       sync.Mutex
@@ -112,7 +112,7 @@
 // finish notes that nobody reads the body any more.
 func (u *upload) finish() { u.once.Do(func() { close(u.done) }) }
 
-// isComplete reports whether the whole body has been read.
+// isComplete reports whether the body has been read completely.
 func (u *upload) isComplete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -120,7 +120,7 @@
 }
 
 // stop notes that the request is over, which stops whoever reads the body. It returns
-// whether the whole body has been read.
+// whether the body has been read completely.
 func (u *upload) stop() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -145,18 +145,18 @@
 func (s *Set) AttemptWritten() { s.attemptsWritten.Inc() }
 
 // AttemptStarted counts the start of an attempt; only hedged ones have a metric.
-func (s *Set) AttemptStarted(isCopy bool) {
-	if isCopy {
+func (s *Set) AttemptStarted(hedged bool) {
+	if hedged {
 		s.hedges.Inc()
 	}
 }
 
 // AttemptFinished counts the end of an attempt. served reports whether the client got its response.
-func (s *Set) AttemptFinished(o martendrum.Outcome, isCopy, served bool) {
+func (s *Set) AttemptFinished(o martendrum.Outcome, hedged, served bool) {
 	if int(o) < len(s.attemptOutcomes) {
 		s.attemptOutcomes[o].Inc()
 	}
-	if isCopy && served {
+	if hedged && served {
 		s.hedgesWon.Inc()
 	}
 }
@@ -166,8 +166,8 @@
 func (s *Set) ProcessingTime(took time.Duration) { s.processingTime.Update(took.Seconds()) }
 
 // Configured counts a configuration that was applied or rejected.
-func (s *Set) Configured(taken bool) {
-	if taken {
+func (s *Set) Configured(applied bool) {
+	if applied {
 		s.applied.Inc()
 	} else {
 		s.rejected.Inc()
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -8,7 +8,7 @@
 	"martendrum/internal/upstream"
 )
 
-// attempt is one attempt of a request. Beside what upstream owns, it is guarded by the
+// attempt is one attempt of a request. Except for what upstream owns, it is guarded by the
 // Host's lock.
 type attempt struct {
 	upstream.Attempt
@@ -16,8 +16,8 @@
 	request *clientRequest
 	index   int // among the request's attempts
 
-	ended    bool
-	isCopy   bool // another attempt was open when it was sent
+	finished bool
+	hedged   bool // another attempt was open when it was sent
 	unsent   bool // cancelled before a byte was written
 	neverRan bool // certainly
 }
@@ -33,7 +33,7 @@
 	if a.index == 0 {
 		h.meter.ProcessingTime(now.Sub(request.exchange.Received))
 	}
-	h.meter.AttemptStarted(a.isCopy)
+	h.meter.AttemptStarted(a.hedged)
 	request.attempts = append(request.attempts, a)
 	request.open++
 	if entry := request.entry; entry != nil {
@@ -50,7 +50,7 @@
 		host:    h,
 		request: request,
 		index:   len(request.attempts),
-		isCopy:  request.open > 0,
+		hedged:  request.open > 0,
 	}
 	a.Attempt = upstream.Attempt{
 		Request:  &x.Request,
@@ -117,14 +117,14 @@
 
 // endAttempt takes an attempt's outcome, of which only the first counts.
 func (h *Host) endAttempt(now time.Duration, a *attempt, outcome martendrum.Outcome, answer *upstream.Answer, report martendrum.LoadReport) {
-	if a.ended {
+	if a.finished {
 		return
 	}
 	request := a.request
-	a.ended, a.neverRan = true, a.unsent || outcome.ProvablyNotExecuted()
+	a.finished, a.neverRan = true, a.unsent || outcome.ProvablyNotExecuted()
 	request.open--
 	if answer != nil && answer.Rest != nil && request.entry != nil {
-		// The record would have to hold it whole, and serve it after Done.
+		// The store would have to hold the complete answer, and serve it after Done.
 		slog.Warn("an answer too long for the record", "server", a.Server)
 		outcome, answer = martendrum.Reset, nil
 	}
@@ -141,7 +141,7 @@
 	case success: // too late for the client, not for the record
 		h.recordEnd(request, Served, answer, nil)
 	}
-	h.meter.AttemptFinished(outcome, a.isCopy, served)
+	h.meter.AttemptFinished(outcome, a.hedged, served)
 	if outcome == martendrum.NotSent && !request.answered && request.exchange.ClientLeft() { // its connection's goroutine has not noticed yet
 		h.balancer.ClientDisconnected(now, request.id)
 		h.Fail(request.id)
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -18,8 +18,8 @@
 )
 
 // Host is the martendrum.Host of a real sidecar. One lock guards the Balancer and
-// all that belongs to it. What the Balancer asks for is queued under the lock and
-// carried out after it is released, by the goroutine that brought the event.
+// all that belongs to it. The Balancer's decisions are queued under the lock and carried
+// out after it is released, by the goroutine that brought the event.
 type Host struct {
 	pool    *upstream.Pool
 	watcher *discovery.Watcher
@@ -70,13 +70,13 @@
 	return h, err
 }
 
-// now returns Unix time as the wall clock had it at the process's start, and goes on with the
-// monotonic clock: no step moves it. What it may be off by, the Balancer allows for (package
-// martendrum, coldstart.go). It is read under the lock, so that the Balancer's events are in
-// the order of their times.
+// now returns the Unix time of the process's start by the wall clock, advanced by the
+// monotonic clock, so that no clock step moves it. The Balancer allows for an error of the
+// wall clock (package martendrum, slowstart.go). now is called under the lock, so that the
+// Balancer's events are in the order of their times.
 func (h *Host) now() time.Duration { return h.startedUnix + time.Since(h.started) }
 
-// handle brings an event to the Balancer and then carries out what it asked for.
+// handle passes an event to the Balancer and then carries out its decisions.
 func (h *Host) handle(event func(now time.Duration)) {
 	for _, action := range h.decide(event) {
 		action()
@@ -117,9 +117,9 @@
 	return (*h.classes.Load())[name]
 }
 
-// Retune replaces the settings, as a whole or not at all. Requests that have been read
+// Reconfigure replaces the settings, completely or not at all. Requests that have been read
 // keep the class that they were read under.
-func (h *Host) Retune(set *settings.Settings) (err error) {
+func (h *Host) Reconfigure(set *settings.Settings) (err error) {
 	h.handle(func(time.Duration) {
 		set.Follow(h.settings)
 		if err = h.balancer.Reconfigure(set.Config); err == nil {
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -15,20 +15,29 @@
 	// ProcessingTime observes the time from a request's last byte to its first send.
 	ProcessingTime(took time.Duration)
 	// AttemptStarted counts an attempt that is sent.
-	AttemptStarted(isCopy bool)
+	AttemptStarted(hedged bool)
 	// AttemptWritten counts an attempt whose last byte has been written.
 	AttemptWritten()
 	// AttemptFinished counts the end of an attempt; served means that the client gets its answer.
-	AttemptFinished(outcome martendrum.Outcome, isCopy, served bool)
+	AttemptFinished(outcome martendrum.Outcome, hedged, served bool)
 }
 
 // unmetered is a Meter that counts nothing.
 type unmetered struct{}
 
-func (unmetered) Limited(metrics.Reason)                         {}
-func (unmetered) ProcessingTime(time.Duration)                   {}
-func (unmetered) AttemptStarted(bool)                            {}
-func (unmetered) AttemptWritten()                                {}
+// Limited implements Meter.
+func (unmetered) Limited(metrics.Reason) {}
+
+// ProcessingTime implements Meter.
+func (unmetered) ProcessingTime(time.Duration) {}
+
+// AttemptStarted implements Meter.
+func (unmetered) AttemptStarted(bool) {}
+
+// AttemptWritten implements Meter.
+func (unmetered) AttemptWritten() {}
+
+// AttemptFinished implements Meter.
 func (unmetered) AttemptFinished(martendrum.Outcome, bool, bool) {}
 
 // SetMeter sets the Host's Meter. It is called before the first request.
--- a/internal/sidecar/probe.go
+++ b/internal/sidecar/probe.go
@@ -10,10 +10,10 @@
 // probeTimeout is how long a probe may take.
 const probeTimeout = 500 * time.Millisecond
 
-// probeRequest asks a server for its load.
+// probeRequest requests a server's load report.
 var probeRequest = &upstream.Request{Method: "GET", Head: []byte("GET /_load HTTP/1.1\r\nHost: server\r\n")}
 
-// probe is an attempt that asks a server for its load.
+// probe is an attempt that requests a server's load report.
 type probe struct {
 	upstream.Attempt
 	host *Host
--- a/internal/sidecar/recorder.go
+++ b/internal/sidecar/recorder.go
@@ -39,7 +39,7 @@
 type End int
 
 const (
-	notEnded   End = iota
+	endUnknown End = iota
 	Served         // it ran, and this is the answer
 	NeverRan       // certainly, no attempt of it ran
 	MayHaveRun     // an attempt may have run
@@ -76,7 +76,7 @@
 			return
 		}
 		h.mu.Lock()
-		ended := a.ended
+		ended := a.finished
 		h.mu.Unlock()
 		if !ended {
 			h.pool.Start(&a.Attempt)
@@ -88,7 +88,7 @@
 // have.
 func (r *clientRequest) endSoFar() End {
 	for _, a := range r.attempts {
-		if !a.ended || !a.neverRan {
+		if !a.finished || !a.neverRan {
 			return MayHaveRun
 		}
 	}
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -13,7 +13,7 @@
 // the response has still to reach the client.
 const deadlineMargin = 5 * time.Millisecond
 
-// clientRequest is a request that is owed a response, or whose attempts are still open.
+// clientRequest is a request that has no final response yet, or whose attempts are still open.
 // It is guarded by the Host's lock.
 type clientRequest struct {
 	id       martendrum.RequestID
@@ -50,7 +50,7 @@
 	})
 }
 
-// rejectAtLimit refuses a request because too many are in flight.
+// rejectAtLimit rejects a request because too many are in flight.
 func (h *Host) rejectAtLimit(x *downstream.Exchange) {
 	slog.Warn("request refused: too many held", "held", len(h.requests))
 	h.meter.Limited(metrics.InFlightLimit)
@@ -105,7 +105,7 @@
 // setDeadline changes a request's deadline, and its timer.
 func (h *Host) setDeadline(request *clientRequest, deadline time.Duration) {
 	request.deadline = deadline
-	h.timers.move(request.timer, deadline)
+	h.timers.reschedule(request.timer, deadline)
 }
 
 // admit brings a request to the Balancer.
@@ -170,7 +170,7 @@
 func (h *Host) markAnswered(request *clientRequest) {
 	request.answered = true
 	for _, a := range request.attempts {
-		if !a.ended && a.Withdraw() {
+		if !a.finished && a.Withdraw() {
 			a.unsent = true
 			h.enqueue(func() { a.Done(martendrum.NotSent, nil, martendrum.LoadReport{}) })
 		}
@@ -196,7 +196,7 @@
 		return
 	}
 	for _, a := range request.attempts {
-		if !a.ended {
+		if !a.finished {
 			h.expireAttempt(now, a)
 		}
 	}
--- a/internal/sidecar/servers.go
+++ b/internal/sidecar/servers.go
@@ -19,7 +19,7 @@
 // Listed takes a list of servers, or the changes to it, from discovery.
 func (h *Host) Listed(list *discovery.List) { h.takeList(list, false) }
 
-// Known takes the list that the configuration names, before discovery has told one.
+// Known takes the list of the configuration, before discovery has sent one.
 func (h *Host) Known(list *discovery.List) { h.takeList(list, true) }
 
 func (h *Host) takeList(list *discovery.List, known bool) {
@@ -52,7 +52,7 @@
 	if entry.State == martendrum.Serving {
 		h.pool.Serve(entry.Name, entry.Address, entry.Started)
 	} else {
-		h.pool.Leave(entry.Name, entry.State == martendrum.Removed)
+		h.pool.MarkDraining(entry.Name, entry.State == martendrum.Removed)
 	}
 }
 
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -26,22 +26,29 @@
 	armedAt time.Duration // when runtime fires; 0: it is not armed
 }
 
-// timerHeap implements heap.Interface, the earliest timer first.
+// timerHeap is a heap of timers, the earliest first.
 type timerHeap []*timer
 
-func (t timerHeap) Len() int           { return len(t) }
+// Len implements heap.Interface.
+func (t timerHeap) Len() int { return len(t) }
+
+// Less implements heap.Interface.
 func (t timerHeap) Less(i, j int) bool { return t[i].at < t[j].at }
+
+// Swap implements heap.Interface.
 func (t timerHeap) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
 	t[i].index, t[j].index = i, j
 }
 
+// Push implements heap.Interface.
 func (t *timerHeap) Push(x any) {
 	added := x.(*timer)
 	added.index = len(*t)
 	*t = append(*t, added)
 }
 
+// Pop implements heap.Interface.
 func (t *timerHeap) Pop() any {
 	old := *t
 	last := old[len(old)-1]
@@ -57,8 +64,8 @@
 	return t
 }
 
-// move changes the time of a timer. One that has been removed stays so.
-func (q *timerQueue) move(t *timer, at time.Duration) {
+// reschedule changes the time of a timer. One that has been removed stays so.
+func (q *timerQueue) reschedule(t *timer, at time.Duration) {
 	t.at = at
 	if t.index >= 0 {
 		heap.Fix(&q.heap, t.index)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -56,13 +56,13 @@
 	Deadline time.Time // when the sidecar stops waiting
 	Latest   time.Time // when its last byte must have been sent, or it must not run; zero: Deadline
 	Sink     Sink
-	// Patience is the most that the server is told to have; 0: the time until Deadline. A
+	// Patience bounds the time that is announced to the server; 0: the time until Deadline. A
 	// body that is still arriving has a later Deadline than its client waits from its end.
 	Patience time.Duration
-	// Once says that the request can't be repeated: it is not sent on a reused
+	// Once says that the request can't be repeated: it does not go out on a reused
 	// connection while those break at their next request.
 	Once bool
-	// Left, if not nil, reports whether the client has left. It is asked when the first byte
+	// Left, if not nil, reports whether the client has left. It is called when the first byte
 	// is about to be written, and must not block. If it has, nothing is sent, and the outcome
 	// is NotSent.
 	Left func() bool
@@ -72,7 +72,7 @@
 
 	pool        *Pool
 	server      *server
-	reused      bool          // sent on a connection that had been used before
+	reused      bool          // the connection had been used before
 	startedAt   time.Time     // when Start was called
 	dialTimeout time.Duration // for a new connection
 
@@ -195,7 +195,7 @@
 
 // begin notes that the first byte is about to be written to c; false if the attempt must
 // not be sent any more. The client's connection is looked at here, not only by the goroutine
-// that reads from it: after the process has been held up, this one may run first.
+// that reads from it: after a stall of the process, this one may run first.
 func (a *Attempt) begin(c *conn) bool {
 	pastGrace := a.pool.isDrainGraceOver(a.server) // the dial may have taken long
 	left := a.Left != nil && a.Left()
@@ -224,7 +224,7 @@
 	return a.began && a.conn == c
 }
 
-// isWritten reports whether the whole request has been written and the attempt stands.
+// isWritten reports whether the request has been written completely and the attempt is open.
 func (a *Attempt) isWritten() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -37,7 +37,7 @@
 type server struct {
 	name, addr    string
 	started       time.Duration
-	drainedAt     time.Time // when it was reported to drain or to have gone; zero: it serves
+	drainedAt     time.Time // when it was reported as draining or removed; zero: it serves
 	unsolicitedAt time.Time // when it last sent bytes that belong to no request; zero: never
 	idle          []*conn
 }
@@ -69,13 +69,13 @@
 	p.config = config
 }
 
-// idleTimeout is how long an idle connection is kept. Guards against a request that
+// idleTimeout is how long an idle connection stays open. Guards against a request that
 // races with the close by the server.
 func (p *Pool) idleTimeout() time.Duration { return p.config.ConnIdle * 6 / 10 }
 
 const (
 	// maxBrokenFraction is the share of reused connections that may break at their next
-	// request before requests that can't be repeated are sent on new ones;
+	// request before requests that can't be repeated get new connections;
 	// brokenFractionWeight is the weight of one observation in its running mean. Guards
 	// against servers, or middleboxes, that drop connections silently: such a request
 	// fails for good, a new connection costs a handshake. Its cost: handshakes, where
@@ -118,8 +118,8 @@
 	closeAll(old)
 }
 
-// Leave notes that a server drains or has gone.
-func (p *Pool) Leave(name string, gone bool) {
+// MarkDraining records that a server is draining or removed.
+func (p *Pool) MarkDraining(name string, gone bool) {
 	p.mu.Lock()
 	var old []*conn
 	if s := p.servers[name]; s != nil {
@@ -146,7 +146,7 @@
 	}
 	p.mu.Unlock()
 	for _, name := range gone {
-		p.Leave(name, true)
+		p.MarkDraining(name, true)
 	}
 }
 
@@ -243,7 +243,7 @@
 	}()
 	s := p.servers[a.Server]
 	if s == nil {
-		return nil, "", false // gone between the decision and now
+		return nil, "", false // removed since the decision
 	}
 	a.server, a.dialTimeout = s, p.config.DialTimeout
 	needsNew := a.Once && p.brokenFraction > maxBrokenFraction
@@ -337,7 +337,7 @@
 	p.mu.Unlock()
 }
 
-// isDrainGraceOver reports whether the grace of a server that drains or has gone is over.
+// isDrainGraceOver reports whether the grace of a draining or removed server is over.
 func (p *Pool) isDrainGraceOver(s *server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -15,14 +15,14 @@
 
 const (
 	// maxBufferedBody is the longest body of an answer that is buffered before it is
-	// passed on. A longer one is streamed, and one of unknown length after
+	// forwarded. A longer one is streamed, and one of unknown length after
 	// maxBufferTime.
 	maxBufferedBody = 64 << 10
 	maxBufferTime   = 100 * time.Millisecond
 	// firstRead is how much is read at once of a body that is streamed or of unknown
 	// length.
 	firstRead = 4 << 10
-	// maxAnswer is the longest answer passed on. Guards against one without end.
+	// maxAnswer is the longest answer forwarded. Guards against one without end.
 	maxAnswer = 48 << 20
 	// stallTimeout is how long an answer may pause while it is buffered, headTimeout how
 	// long its head may take. Guards against answers that stop short: the time left can
@@ -77,7 +77,7 @@
 // Whatever is not an answer of the protocol's form, complete and of a certain length, is
 // a failed attempt that may have run, and its connection is closed. Guards against
 // corrupted answers of any kind: noise, heads without end, two lengths, more than may be
-// passed on, a break in the middle. What has been passed on by then can't be taken back:
+// forwarded, a break in the middle. What has been forwarded by then can't be taken back:
 // the client's connection is reset.
 func (a *Attempt) receive(c *conn) (goesOn bool) {
 	defer func() {
@@ -240,7 +240,7 @@
 // readUnknownLength reads a body of unknown length, as far as it is buffered.
 func (c *conn) readUnknownLength(resp *http.Response, answer *Answer) error {
 	// One that is not chunked ends with its connection. Noise can look like it, but does
-	// not end: so it must end, or be long, before any of it is passed on.
+	// not end: so it must end, or be long, before any of it is forwarded.
 	endsWithConn := len(resp.TransferEncoding) == 0
 	began := time.Now()
 	for buf := make([]byte, firstRead); ; {
--- a/internal/upstream/rest.go
+++ b/internal/upstream/rest.go
@@ -12,12 +12,12 @@
 const defaultMinRest = 3 * time.Millisecond
 
 const (
-	// defaultUnsolicitedRest is how long a connection rests before its next request once its
-	// server has sent a stray: bytes that came while no request was open, such as an answer
-	// that is sent twice. What tells a stray from an answer is only that it comes first. Its
-	// cost: more connections to such a server.
+	// defaultUnsolicitedRest is how long a connection rests before its next request after its
+	// server has sent an unsolicited response: bytes that arrived while no request was open,
+	// such as a duplicated answer. Only their arrival before the next request distinguishes
+	// them from its answer. Its cost: more connections to such a server.
 	defaultUnsolicitedRest = 50 * time.Millisecond
-	// unsolicitedMemory is for how long after a stray its server is not trusted.
+	// unsolicitedMemory is how long after an unsolicited response the longer rest applies.
 	unsolicitedMemory = 30 * time.Second
 )
 
@@ -29,7 +29,7 @@
 	return max(p.minRest, p.unsolicitedRest)
 }
 
-// recordUnsolicited notes that s has sent bytes that belong to no request.
+// recordUnsolicited records that s has sent bytes that belong to no request.
 func (p *Pool) recordUnsolicited(s *server) {
 	p.mu.Lock()
 	s.unsolicitedAt = time.Now()
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -112,7 +112,7 @@
 	if a.Claimed != nil {
 		a.Claimed()
 	}
-	if err := copyStream(c, to, from); err != nil || chunks == nil {
+	if err := sendStream(c, to, from); err != nil || chunks == nil {
 		return err
 	}
 	if err := chunks.Close(); err != nil {
@@ -122,8 +122,8 @@
 	return err
 }
 
-// copyStream copies from until its end to to, which writes to c.
-func copyStream(c *conn, to io.Writer, from Stream) error {
+// sendStream copies from until its end to to, which writes to c.
+func sendStream(c *conn, to io.Writer, from Stream) error {
 	buf := streamBuffers.Get().(*[]byte)
 	defer streamBuffers.Put(buf)
 	for {
@@ -147,7 +147,7 @@
 // proves that the request never ran; one after it proves nothing.
 func (a *Attempt) endWrite(c *conn, complete bool, err error) {
 	a.mu.Lock()
-	a.written = complete // until then, the reader leaves the report of a break to this function
+	a.written = complete // before that, the reader lets this function report a break
 	readFailed := a.readFailed
 	a.mu.Unlock()
 	if complete && a.Wrote != nil {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -141,7 +141,7 @@
 	ask(t, p)
 	<-old
 	eventually(t, "a kept connection", func() bool { return p.idles("s") == 1 })
-	p.Leave("s", true)
+	p.MarkDraining("s", true)
 	if e := ask(t, p); e.o != martendrum.ConnectFailed {
 		t.Errorf("with no server of that name: %v", e.o)
 	}
