--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -52,7 +52,7 @@
 
 // rejectAtLimit rejects a request because too many are in flight.
 func (h *Host) rejectAtLimit(x *downstream.Exchange) {
-	slog.Warn("request refused: too many held", "held", len(h.requests))
+	slog.Warn("request rejected: too many in flight", "in_flight", len(h.requests))
 	h.meter.Limited(metrics.InFlightLimit)
 	retryAfter := h.limitRetryAfter()
 	h.enqueue(func() { x.Reject(retryAfter) })
