--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -17,15 +17,15 @@
 const (
 	// clientPatience is how long beyond a request's time a client stays for its answer: past
 	// what the rules call too late.
-	clientPatience = maxLate + 400*time.Millisecond
+	clientPatience = maxOverdue + 400*time.Millisecond
 	// dialTimeout is how long a client's connection may take.
 	dialTimeout = time.Second
-	// dialPause is between two tries of a client to connect.
-	dialPause = 10 * time.Millisecond
-	// slowPieces is in how many pieces a slow client writes a request, slowPause how long
+	// dialBackoff is between two tries of a client to connect.
+	dialBackoff = 10 * time.Millisecond
+	// slowPieces is in how many pieces a slow client writes a request, pieceDelay how long
 	// it waits between them.
 	slowPieces = 4
-	slowPause  = 60 * time.Millisecond
+	pieceDelay = 60 * time.Millisecond
 )
 
 // client sends requests to one sidecar, one at a time, for as long as the day lasts.
@@ -51,12 +51,12 @@
 	sleep(ctx, time.Duration(c.script.QuietUntil))
 	for ctx.Err() == nil {
 		if c.conn == nil && !c.dial() {
-			sleep(ctx, dialPause)
+			sleep(ctx, dialBackoff)
 			continue
 		}
 		c.send(ctx)
 		if c.Float64() < 0.8 {
-			sleep(ctx, time.Duration(c.ExpFloat64()*float64(c.script.Pause)))
+			sleep(ctx, time.Duration(c.ExpFloat64()*float64(c.script.ThinkTime)))
 		}
 	}
 }
@@ -92,15 +92,15 @@
 	c.request++
 	r := Request{ID: fmt.Sprintf("%s-%d", c.name, c.request), Sidecar: c.sidecar, Class: class.Name, Dialed: c.dialed, FirstOn: c.used == 0}
 	r.Wait = time.Duration(class.Deadline).Truncate(time.Millisecond)
-	if c.Float64() < c.script.Impatient {
-		r.Wait = max(min(r.Wait, time.Duration(c.script.ImpatientFor)).Truncate(time.Millisecond), time.Millisecond)
+	if c.Float64() < c.script.ShortDeadlineRate {
+		r.Wait = max(min(r.Wait, time.Duration(c.script.ShortDeadline)).Truncate(time.Millisecond), time.Millisecond)
 	}
-	if class.Effect == Keyed {
+	if class.Idempotency == IdempotencyKeyed {
 		r.Key = "key-" + r.ID
 	}
 	c.used++
 	leaves := time.Duration(0)
-	if c.Float64() < c.script.Leaving {
+	if c.Float64() < c.script.DisconnectRate {
 		leaves = time.Duration(c.Float64() * float64(r.Wait) * 0.8)
 	}
 	if !c.write(c.text(&r, class)) {
@@ -113,7 +113,7 @@
 	if !atEnd() && (r.End == EndNothing || r.End == EndTruncated) {
 		r.End = EndLeft // the day is over
 	}
-	r.Ended = c.recorder.now()
+	r.Finished = c.recorder.now()
 	c.recorder.do(func(record *Record) { record.Requests = append(record.Requests, r) })
 }
 
@@ -124,10 +124,10 @@
 		length += c.IntN(c.script.MaxBody - 4)
 	}
 	method, extra := http.MethodPost, fmt.Sprintf("Content-Length: %d\r\n\r\ncard%s", length, strings.Repeat("x", length-4))
-	switch class.Effect {
-	case Safe:
+	switch class.Idempotency {
+	case Idempotent:
 		method, extra = http.MethodGet, "\r\n"
-	case Keyed:
+	case IdempotencyKeyed:
 		extra = "Idempotency-Key: " + r.Key + "\r\n" + extra
 	}
 	return fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Deadline-Ms: %d\r\n%s",
@@ -143,7 +143,7 @@
 				return false
 			}
 			text = text[piece:]
-			time.Sleep(slowPause)
+			time.Sleep(pieceDelay)
 		}
 	}
 	_, err := io.WriteString(c.conn, text)
@@ -193,7 +193,7 @@
 	for ctx.Err() == nil {
 		conn, err := net.DialTimeout("tcp", address, dialTimeout)
 		if err != nil {
-			sleep(ctx, dialPause)
+			sleep(ctx, dialBackoff)
 			continue
 		}
 		_, err = io.WriteString(conn, request[:1+random.IntN(len(request)-1)])
@@ -205,15 +205,15 @@
 		}
 		conn.Close()
 		if ctx.Err() == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
-			s.Ended = recorder.now()
+			s.Finished = recorder.now()
 		}
 		recorder.do(func(record *Record) { record.Stalls = append(record.Stalls, s) })
 		sleep(ctx, time.Duration(random.IntN(500))*time.Millisecond)
 	}
 }
 
-// crowd keeps idle connections to a sidecar, and opens those that it closes anew.
-func crowd(ctx context.Context, address string, size int) {
+// holdIdleConnections keeps idle connections to a sidecar, and opens those that it closes anew.
+func holdIdleConnections(ctx context.Context, address string, size int) {
 	conns := make([]net.Conn, 0, size)
 	defer func() {
 		for _, conn := range conns {
@@ -228,7 +228,7 @@
 		if conn, err := net.DialTimeout("tcp", address, dialTimeout); err == nil {
 			conns = append(conns, conn)
 		}
-		sleep(ctx, dialPause)
+		sleep(ctx, dialBackoff)
 	}
 }
 
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -23,7 +23,7 @@
 type listed struct {
 	number  int
 	address string
-	state   Stay
+	state   ListState
 	since   time.Duration
 	version int
 }
@@ -31,8 +31,8 @@
 // discovery is a stand-in for discovery, with an address for each sidecar, by which it
 // records what it told to whom.
 type discovery struct {
-	recorder *recorder
-	whole    bool // every change is told by a whole list
+	recorder      *recorder
+	completeLists bool // every change is told by a whole list
 
 	mu       sync.Mutex
 	entries  []listed
@@ -45,7 +45,7 @@
 }
 
 func newDiscovery(script *Script, recorder *recorder) *discovery {
-	return &discovery{recorder: recorder, whole: script.WholeLists, mode: DiscoveryServes, version: 1, changed: make(chan struct{})}
+	return &discovery{recorder: recorder, completeLists: script.CompleteLists, mode: DiscoveryServes, version: 1, changed: make(chan struct{})}
 }
 
 // add puts a server on the list, before the first call.
@@ -79,7 +79,7 @@
 }
 
 // change sets a server's state on the list.
-func (d *discovery) change(number int, state Stay, since time.Duration) {
+func (d *discovery) change(number int, state ListState, since time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
@@ -111,13 +111,13 @@
 func (d *discovery) look(after int) (mode string, version int, entries []listed, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.whole && after < d.version {
+	if d.completeLists && after < d.version {
 		after = 0
 	}
 	for _, e := range d.entries {
 		listed := e.version > after
 		if after == 0 {
-			listed = e.state == Up || e.state == Draining && !d.whole
+			listed = e.state == Up || e.state == Draining && !d.completeLists
 		}
 		if listed {
 			entries = append(entries, e)
@@ -129,11 +129,11 @@
 // line is a list on one line.
 func (d *discovery) line(version int, whole bool, entries []listed) []byte {
 	type entry struct {
-		Name    string  `json:"name"`
-		Address string  `json:"address"`
-		Status  Stay    `json:"status"`
-		Weight  float64 `json:"weight"`
-		Since   int64   `json:"since_ms"`
+		Name    string    `json:"name"`
+		Address string    `json:"address"`
+		Status  ListState `json:"status"`
+		Weight  float64   `json:"weight"`
+		Since   int64     `json:"since_ms"`
 	}
 	list := struct {
 		Index     int     `json:"index"`
@@ -159,7 +159,7 @@
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	mode, version, entries, changed := d.look(after)
 	switch mode {
-	case DiscoveryAway:
+	case DiscoveryUnavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case DiscoverySilent:
@@ -169,7 +169,7 @@
 		time.Sleep(slowCall)
 		_, version, entries, changed = d.look(after)
 	}
-	if !d.write(sidecar, w, version, after == 0 || d.whole, entries) || r.URL.Query().Get("watch") != "1" {
+	if !d.write(sidecar, w, version, after == 0 || d.completeLists, entries) || r.URL.Query().Get("watch") != "1" {
 		return
 	}
 	d.watch(sidecar, w, r, version, changed)
@@ -194,12 +194,12 @@
 		mode, next, entries, again := d.look(version)
 		changed = again
 		switch {
-		case mode == DiscoveryAway:
+		case mode == DiscoveryUnavailable:
 			panic(http.ErrAbortHandler)
 		case mode == DiscoverySilent: // and this watch stays so
 			<-r.Context().Done()
 			return
-		case next > version && !d.write(sidecar, w, next, d.whole, entries):
+		case next > version && !d.write(sidecar, w, next, d.completeLists, entries):
 			return
 		}
 		version = next
@@ -231,7 +231,7 @@
 	d.recorder.do(func(record *Record) {
 		for _, e := range told {
 			if e.version <= version {
-				record.Told = append(record.Told, Told{now, sidecar, e.number, e.state, e.since})
+				record.Notifications = append(record.Notifications, Notification{now, sidecar, e.number, e.state, e.since})
 			}
 		}
 	})
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -14,22 +14,22 @@
 
 // The rules.
 const (
-	RuleNoAnswer  Rule = "lost: no answer"
-	RuleLate      Rule = "lost: answered too late"
-	RuleWrong     Rule = "lost: a wrong answer"
-	RuleClosed    Rule = "lost: read, then closed"
-	RuleTruncated Rule = "lost: cut short"
-	RuleLeft      Rule = "lost: begun after the client left"
-	RuleKill      Rule = "lost: found by the kill"
-	RuleDuplicate Rule = "duplicate"
-	RuleRefused   Rule = "refused though it may have run"
-	RuleDrain     Rule = "drain"
-	RuleToldLate  Rule = "time told"
-	RuleSlowStart Rule = "slow start"
-	RuleDeadline  Rule = "deadline passed on"
-	RuleStall     Rule = "half a request not ended"
-	RuleReady     Rule = "not ready in time"
-	RuleCrash     Rule = "crash"
+	RuleNoAnswer         Rule = "lost: no answer"
+	RuleOverdue          Rule = "lost: answered too late"
+	RuleWrong            Rule = "lost: a wrong answer"
+	RuleClosed           Rule = "lost: read, then closed"
+	RuleTruncated        Rule = "lost: cut short"
+	RuleLeft             Rule = "lost: begun after the client left"
+	RuleKill             Rule = "lost: found by the kill"
+	RuleDuplicate        Rule = "duplicate"
+	RuleRejected         Rule = "refused though it may have run"
+	RuleDrain            Rule = "drain"
+	RuleLateNotification Rule = "time told"
+	RuleSlowStart        Rule = "slow start"
+	RuleDeadline         Rule = "deadline passed on"
+	RuleStall            Rule = "half a request not ended"
+	RuleReady            Rule = "not ready in time"
+	RuleCrash            Rule = "crash"
 )
 
 // Breach is one broken rule.
@@ -44,26 +44,26 @@
 
 // Allowances of the rules.
 const (
-	maxLate       = 500 * time.Millisecond // an answer up to so late earns nothing, and is not lost
-	maxLeft       = 100 * time.Millisecond // from a client's leaving to an attempt's first byte
-	deadlineSlack = 150 * time.Millisecond
-	socketSlack   = 50 * time.Millisecond // added to each time limit of the rules
-	maxTold       = 6 * time.Second       // from a change that discovery can tell to its being told
-	maxReady      = 10 * time.Second
-	strayShown    = 100 * time.Millisecond // from a server's first second answer to its being known for it
-	maxStall      = 3 * time.Second        // bad clients are owed an error or a close within it
-	// maxSupervisorCounts and supervisorGrace: see EarliestKill.
-	maxSupervisorCounts = 3 * time.Second
-	supervisorGrace     = 700 * time.Millisecond
+	maxOverdue                = 500 * time.Millisecond // an answer up to so late earns nothing, and is not lost
+	maxAttemptAfterDisconnect = 100 * time.Millisecond // from a client's leaving to an attempt's first byte
+	deadlineSlack             = 150 * time.Millisecond
+	socketSlack               = 50 * time.Millisecond // added to each time limit of the rules
+	maxNotificationDelay      = 6 * time.Second       // from a change that discovery can tell to its being told
+	maxReady                  = 10 * time.Second
+	unsolicitedGrace          = 100 * time.Millisecond // from a server's first second answer to its being known for it
+	maxStall                  = 3 * time.Second        // bad clients are owed an error or a close within it
+	// maxCountedDeadline and supervisorGrace: see EarliestKill.
+	maxCountedDeadline = 3 * time.Second
+	supervisorGrace    = 700 * time.Millisecond
 )
 
 // EarliestKill is how long after a signal to end a process may be killed at the earliest.
 func EarliestKill(longest time.Duration) time.Duration {
-	return min(longest, maxSupervisorCounts) + supervisorGrace
+	return min(longest, maxCountedDeadline) + supervisorGrace
 }
 
-// judging is a verdict in progress.
-type judging struct {
+// judgement is a verdict in progress.
+type judgement struct {
 	script   *Script
 	record   *Record
 	requests map[string]*Request   // by id
@@ -73,7 +73,7 @@
 
 // Judge names each rule that was broken, in the order of their times.
 func Judge(script *Script, record *Record) []Breach {
-	j := &judging{script: script, record: record, requests: make(map[string]*Request, len(record.Requests)), attempts: make(map[string][]*Attempt)}
+	j := &judgement{script: script, record: record, requests: make(map[string]*Request, len(record.Requests)), attempts: make(map[string][]*Attempt)}
 	for n := range record.Requests {
 		j.requests[record.Requests[n].ID] = &record.Requests[n]
 	}
@@ -90,20 +90,20 @@
 	j.judgeDrains()
 	j.judgeSlowStart()
 	j.judgeStalls()
-	j.judgeLives()
+	j.judgeProcesses()
 	slices.SortStableFunc(j.breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
 	return j.breaches
 }
 
-func (j *judging) breach(rule Rule, at time.Duration, format string, args ...any) {
+func (j *judgement) breach(rule Rule, at time.Duration, format string, args ...any) {
 	j.breaches = append(j.breaches, Breach{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// life returns the process that a sidecar had at a time, nil if it had none.
-func (j *judging) life(sidecar int, at time.Duration) *Life {
-	for n := range j.record.Lives {
-		life := &j.record.Lives[n]
-		if life.Sidecar == sidecar && life.Started <= at && (life.Ended == 0 || at <= life.Ended) {
+// processAt returns the process that a sidecar had at a time, nil if it had none.
+func (j *judgement) processAt(sidecar int, at time.Duration) *Process {
+	for n := range j.record.Processes {
+		life := &j.record.Processes[n]
+		if life.Sidecar == sidecar && life.Started <= at && (life.Exited == 0 || at <= life.Exited) {
 			return life
 		}
 	}
@@ -111,10 +111,10 @@
 }
 
 // ran says that an attempt may have run.
-func (a *Attempt) ran() bool { return a.Last > 0 && !a.Declined }
+func (a *Attempt) ran() bool { return a.Last > 0 && !a.Rejected }
 
 // judgeRequest judges a request by itself and its attempts.
-func (j *judging) judgeRequest(r *Request) {
+func (j *judgement) judgeRequest(r *Request) {
 	attempts := j.attempts[r.ID]
 	j.judgeEnd(r, attempts)
 	for _, attempt := range attempts {
@@ -126,91 +126,91 @@
 			ran = append(ran, attempt)
 		}
 	}
-	switch class := j.script.Class(r.Class); class.Effect {
-	case Unsafe:
+	switch class := j.script.Class(r.Class); class.Idempotency {
+	case NonIdempotent:
 		j.judgeUnsafe(r, ran)
-	case Keyed:
-		j.judgeKeyed(r, ran, time.Duration(class.Window))
+	case IdempotencyKeyed:
+		j.judgeKeyed(r, ran, time.Duration(class.DedupWindow))
 	}
 }
 
 // judgeUnsafe judges a request that must not run twice; ran are its attempts that may have
 // run.
-func (j *judging) judgeUnsafe(r *Request, ran []*Attempt) {
+func (j *judgement) judgeUnsafe(r *Request, ran []*Attempt) {
 	if len(ran) > 1 {
 		j.breach(RuleDuplicate, ran[1].Last, "request %s (%s) came to %d servers", r.ID, r.Class, len(ran))
 	}
 	if len(ran) > 0 && (r.Status == 429 || r.Status == 503) {
-		j.breach(RuleRefused, r.Ended, "request %s (%s) was answered %d and had come to server %d", r.ID, r.Class, r.Status, ran[0].Server)
+		j.breach(RuleRejected, r.Finished, "request %s (%s) was answered %d and had come to server %d", r.ID, r.Class, r.Status, ran[0].Server)
 	}
 }
 
 // judgeEnd judges how a request ended for its client.
-func (j *judging) judgeEnd(r *Request, attempts []*Attempt) {
+func (j *judgement) judgeEnd(r *Request, attempts []*Attempt) {
 	switch r.End {
 	case EndAnswered:
-		if over := r.Ended - r.Sent - r.Wait; over > maxLate+j.record.Lateness {
-			j.breach(RuleLate, r.Ended, "request %s (%s) was answered %v after its time", r.ID, r.Class, over)
+		if over := r.Finished - r.Sent - r.Wait; over > maxOverdue+j.record.Lateness {
+			j.breach(RuleOverdue, r.Finished, "request %s (%s) was answered %v after its time", r.ID, r.Class, over)
 		}
 		made := func(a *Attempt) bool { return a.Answer == r.Body }
-		if r.Status == 200 && !slices.ContainsFunc(attempts, made) && !j.isFirstStray(r) {
-			j.breach(RuleWrong, r.Ended, "request %s (%s) was answered %q, which no server made for it", r.ID, r.Class, r.Body)
+		if r.Status == 200 && !slices.ContainsFunc(attempts, made) && !j.isFirstUnsolicited(r) {
+			j.breach(RuleWrong, r.Finished, "request %s (%s) was answered %q, which no server made for it", r.ID, r.Class, r.Body)
 		}
 	case EndNothing:
-		j.breach(RuleNoAnswer, r.Ended, "request %s (%s) got no answer within its time", r.ID, r.Class)
+		j.breach(RuleNoAnswer, r.Finished, "request %s (%s) got no answer within its time", r.ID, r.Class)
 	case EndClosed:
 		j.judgeClosed(r, attempts)
 	case EndTruncated:
-		if !slices.ContainsFunc(attempts, func(a *Attempt) bool { return a.Spoilt }) {
-			j.breach(RuleTruncated, r.Ended, "request %s (%s): its answer was cut short, and no server's was", r.ID, r.Class)
+		if !slices.ContainsFunc(attempts, func(a *Attempt) bool { return a.Truncated }) {
+			j.breach(RuleTruncated, r.Finished, "request %s (%s): its answer was cut short, and no server's was", r.ID, r.Class)
 		}
 	}
 }
 
-// isFirstStray reports whether a request was answered with what a server sent a second time,
+// isFirstUnsolicited reports whether a request was answered with what a server sent a second time,
 // before that server can have shown this sidecar that it does so. Nothing tells such an
 // answer from the request's own: it comes where that is expected, and has its form. The
 // pages' limit, and named in docs/design/acceptance.md; whatever comes later is a breach.
-func (j *judging) isFirstStray(r *Request) bool {
-	at := func(a Attempt) bool { return a.Again > 0 && a.Answer == r.Body }
+func (j *judgement) isFirstUnsolicited(r *Request) bool {
+	at := func(a Attempt) bool { return a.Repeated > 0 && a.Answer == r.Body }
 	from := slices.IndexFunc(j.record.Attempts, at)
 	if from < 0 {
 		return false
 	}
 	stray := &j.record.Attempts[from]
-	first := stray.Again
+	first := stray.Repeated
 	for n := range j.record.Attempts {
 		a := &j.record.Attempts[n]
-		if asked := j.requests[a.ID]; a.Server == stray.Server && a.Again > 0 && asked != nil && asked.Sidecar == r.Sidecar {
-			first = min(first, a.Again)
+		if asked := j.requests[a.ID]; a.Server == stray.Server && a.Repeated > 0 && asked != nil && asked.Sidecar == r.Sidecar {
+			first = min(first, a.Repeated)
 		}
 	}
-	return stray.Again <= first+strayShown+j.record.Lateness
+	return stray.Repeated <= first+unsolicitedGrace+j.record.Lateness
 }
 
 // judgeClosed judges a request whose connection ended without a byte of an answer.
-func (j *judging) judgeClosed(r *Request, attempts []*Attempt) {
-	life := j.life(r.Sidecar, r.Dialed) // whose connection it was
-	if life != nil && life.Killed > 0 && r.Ended >= life.Killed {
+func (j *judgement) judgeClosed(r *Request, attempts []*Attempt) {
+	life := j.processAt(r.Sidecar, r.Dialed) // whose connection it was
+	if life != nil && life.Killed > 0 && r.Finished >= life.Killed {
 		if len(attempts) > 0 {
-			j.breach(RuleKill, r.Ended, "request %s (%s), sent %v after the signal to end, was open when the kill came", r.ID, r.Class, r.Sent-life.Told)
+			j.breach(RuleKill, r.Finished, "request %s (%s), sent %v after the signal to end, was open when the kill came", r.ID, r.Class, r.Sent-life.Signalled)
 		}
 		return
 	}
 	if len(attempts) > 0 {
-		j.breach(RuleClosed, r.Ended, "request %s (%s) was passed on and its connection closed without an answer", r.ID, r.Class)
+		j.breach(RuleClosed, r.Finished, "request %s (%s) was passed on and its connection closed without an answer", r.ID, r.Class)
 		return
 	}
-	ending := life == nil || life.Ready == 0 || r.Dialed < life.Ready || life.Told > 0 && r.Ended >= life.Told
-	if r.FirstOn && !ending && j.script.Crowd == 0 {
-		j.breach(RuleClosed, r.Ended, "request %s (%s), the first on its connection, was closed without an answer", r.ID, r.Class)
+	ending := life == nil || life.Ready == 0 || r.Dialed < life.Ready || life.Signalled > 0 && r.Finished >= life.Signalled
+	if r.FirstOn && !ending && j.script.IdleConnections == 0 {
+		j.breach(RuleClosed, r.Finished, "request %s (%s), the first on its connection, was closed without an answer", r.ID, r.Class)
 	}
 }
 
 // judgeAttempt judges one attempt of a request.
-func (j *judging) judgeAttempt(r *Request, a *Attempt) {
-	if r.End == EndLeft && a.First > r.Ended+maxLeft+j.record.Lateness {
-		j.breach(RuleLeft, a.First, "request %s (%s): an attempt began %v after its client had left", r.ID, r.Class, a.First-r.Ended)
+func (j *judgement) judgeAttempt(r *Request, a *Attempt) {
+	if r.End == EndLeft && a.First > r.Finished+maxAttemptAfterDisconnect+j.record.Lateness {
+		j.breach(RuleLeft, a.First, "request %s (%s): an attempt began %v after its client had left", r.ID, r.Class, a.First-r.Finished)
 	}
 	left := r.Sent + r.Wait - a.First
 	if a.Deadline > 0 && a.Deadline > max(left, 0)+deadlineSlack+j.record.Lateness {
@@ -220,7 +220,7 @@
 
 // judgeKeyed judges a keyed request: a repeat comes within the window of the first attempt
 // that may have run.
-func (j *judging) judgeKeyed(r *Request, ran []*Attempt, window time.Duration) {
+func (j *judgement) judgeKeyed(r *Request, ran []*Attempt, window time.Duration) {
 	for n := 1; n < len(ran); n++ {
 		if gap := ran[n].Last - ran[0].Last; gap > window+socketSlack+j.record.Lateness {
 			j.breach(RuleDuplicate, ran[n].Last, "request %s (%s) was repeated %v after it may have run, its window is %v", r.ID, r.Class, gap, window)
@@ -229,7 +229,7 @@
 }
 
 // stateAt is the last change of a server at a time, nil if there was none.
-func (j *judging) stateAt(server int, at time.Duration) *Change {
+func (j *judgement) stateAt(server int, at time.Duration) *Change {
 	var last *Change
 	for n := range j.record.Changes {
 		c := &j.record.Changes[n]
@@ -240,15 +240,15 @@
 	return last
 }
 
-// toldAt is when a change counts as told to a sidecar, and whether it was written to it.
-func (j *judging) toldAt(sidecar int, c *Change) (at time.Duration, written bool) {
-	limit := c.At + maxTold
+// notifiedAt is when a change counts as told to a sidecar, and whether it was written to it.
+func (j *judgement) notifiedAt(sidecar int, c *Change) (at time.Duration, written bool) {
+	limit := c.At + maxNotificationDelay
 	for _, outage := range j.record.Outages {
 		if outage.From < limit && outage.To > c.At {
-			limit = max(limit, outage.To+maxTold)
+			limit = max(limit, outage.To+maxNotificationDelay)
 		}
 	}
-	for _, told := range j.record.Told {
+	for _, told := range j.record.Notifications {
 		if told.Sidecar == sidecar && told.Server == c.Server && told.At >= c.At && told.State == c.State && told.At < limit {
 			return told.At, true
 		}
@@ -257,7 +257,7 @@
 }
 
 // judgeDrains judges attempts at servers that drain or have gone.
-func (j *judging) judgeDrains() {
+func (j *judgement) judgeDrains() {
 	grace := time.Duration(j.script.DrainGrace) + socketSlack + j.record.Lateness
 	for n := range j.record.Attempts {
 		a := &j.record.Attempts[n]
@@ -265,13 +265,13 @@
 		if r == nil || c == nil || c.State == Up {
 			continue
 		}
-		told, written := j.toldAt(r.Sidecar, c)
+		told, written := j.notifiedAt(r.Sidecar, c)
 		if a.First <= told+grace {
 			continue
 		}
 		rule := RuleDrain
 		if !written {
-			rule = RuleToldLate
+			rule = RuleLateNotification
 		}
 		j.breach(rule, a.First, "request %s came to server %d, %s since %v and told at %v", a.ID, a.Server, c.State, c.At, told)
 	}
@@ -287,7 +287,7 @@
 }
 
 // judgeSlowStart judges the sum of what all sidecars send to a server that has just started.
-func (j *judging) judgeSlowStart() {
+func (j *judgement) judgeSlowStart() {
 	for n := range j.record.Changes {
 		c := &j.record.Changes[n]
 		if c.State == Up && c.Since > 0 {
@@ -297,9 +297,9 @@
 }
 
 // judgeStart judges one start, at its first fall.
-func (j *judging) judgeStart(c *Change) {
+func (j *judgement) judgeStart(c *Change) {
 	s := j.script
-	warm := c.Since + time.Duration(s.ColdFor)
+	warm := c.Since + time.Duration(s.SlowStartDuration)
 	var sends []*Attempt
 	for n := range j.record.Attempts {
 		if a := &j.record.Attempts[n]; a.Server == c.Server && a.First >= c.Since && a.First < warm {
@@ -309,30 +309,30 @@
 	slices.SortFunc(sends, func(a, b *Attempt) int { return cmp.Compare(a.First, b.First) })
 	capacity := float64(s.Workers) / time.Duration(s.Work).Seconds()
 	for first, a := range sends {
-		bears := allowed(s.FallsAt * capacity * s.warmth(a.First-c.Since) * time.Duration(s.FallsOver).Seconds())
+		bears := allowed(s.OverloadFactor * capacity * s.capacityFraction(a.First-c.Since) * time.Duration(s.OverloadDuration).Seconds())
 		count, told := 0, 0
 		for _, b := range sends[first:] {
-			if b.First >= a.First+time.Duration(s.FallsOver) {
+			if b.First >= a.First+time.Duration(s.OverloadDuration) {
 				break
 			}
 			count++
 			if r := j.requests[b.ID]; r != nil {
-				if at, _ := j.toldAt(r.Sidecar, c); at <= b.First {
+				if at, _ := j.notifiedAt(r.Sidecar, c); at <= b.First {
 					told++
 				}
 			}
 		}
 		if float64(count) > bears && told*3 > count*2 {
-			j.breach(RuleSlowStart, a.First, "server %d, started at %v, got %d requests within %v and bears %.0f", c.Server, c.Since, count, time.Duration(s.FallsOver), bears)
+			j.breach(RuleSlowStart, a.First, "server %d, started at %v, got %d requests within %v and bears %.0f", c.Server, c.Since, count, time.Duration(s.OverloadDuration), bears)
 			return
 		}
 	}
 }
 
 // judgeStalls judges clients that stopped in the middle of a request.
-func (j *judging) judgeStalls() {
+func (j *judgement) judgeStalls() {
 	for _, stall := range j.record.Stalls {
-		ended := stall.Ended
+		ended := stall.Finished
 		if ended == 0 {
 			ended = j.record.Length
 		}
@@ -342,10 +342,10 @@
 	}
 }
 
-// judgeLives judges the processes.
-func (j *judging) judgeLives() {
-	for _, life := range j.record.Lives {
-		until := cmp.Or(life.Told, life.Ended, j.record.Length)
+// judgeProcesses judges the processes.
+func (j *judgement) judgeProcesses() {
+	for _, life := range j.record.Processes {
+		until := cmp.Or(life.Signalled, life.Exited, j.record.Length)
 		switch {
 		case life.Ready > 0 && life.Ready-life.Started > maxReady:
 			j.breach(RuleReady, life.Ready, "sidecar %d was ready after %v", life.Sidecar, life.Ready-life.Started)
@@ -353,8 +353,8 @@
 			j.breach(RuleReady, until, "sidecar %d was not ready %v after its start", life.Sidecar, until-life.Started)
 		}
 		bySignal := strings.HasPrefix(life.Exit, "signal: ") // that came before the process handled it
-		if life.Ended > 0 && life.Killed == 0 && (life.Told == 0 || life.Exit != "" && !bySignal) {
-			j.breach(RuleCrash, life.Ended, "sidecar %d ended by itself: %s", life.Sidecar, cmp.Or(life.Exit, "no signal was sent"))
+		if life.Exited > 0 && life.Killed == 0 && (life.Signalled == 0 || life.Exit != "" && !bySignal) {
+			j.breach(RuleCrash, life.Exited, "sidecar %d ended by itself: %s", life.Sidecar, cmp.Or(life.Exit, "no signal was sent"))
 		}
 		if life.Panics > 0 {
 			j.breach(RuleCrash, life.Started, "sidecar %d logged %d panics", life.Sidecar, life.Panics)
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -14,41 +14,41 @@
 	script := &Script{
 		Sidecars: 2, Servers: 3, DrainGrace: Span(time.Second),
 		Classes: []Class{
-			{Name: "look", Effect: Safe, Deadline: Span(2 * time.Second)},
-			{Name: "book", Effect: Keyed, Deadline: Span(2 * time.Second), Window: Span(500 * ms)},
-			{Name: "pay", Effect: Unsafe, Deadline: Span(2 * time.Second)},
+			{Name: "look", Idempotency: Idempotent, Deadline: Span(2 * time.Second)},
+			{Name: "book", Idempotency: IdempotencyKeyed, Deadline: Span(2 * time.Second), DedupWindow: Span(500 * ms)},
+			{Name: "pay", Idempotency: NonIdempotent, Deadline: Span(2 * time.Second)},
 		},
-		Workers: 2, Work: Span(20 * ms), ColdFrom: 0.25, ColdFor: Span(4 * time.Second), FallsAt: 1, FallsOver: Span(time.Second),
+		Workers: 2, Work: Span(20 * ms), SlowStartFraction: 0.25, SlowStartDuration: Span(4 * time.Second), OverloadFactor: 1, OverloadDuration: Span(time.Second),
 	}
 	record := &Record{
 		Length:   20 * time.Second,
 		Lateness: 10 * ms,
 		Requests: []Request{
-			{ID: "look1", Class: "look", Wait: 2 * time.Second, Dialed: 900 * ms, Sent: time.Second, Ended: 1100 * ms, End: EndAnswered, Status: 200, Body: "look1 by 0", FirstOn: true},
-			{ID: "book1", Class: "book", Wait: 2 * time.Second, Sent: time.Second, Ended: 1400 * ms, End: EndAnswered, Status: 200, Body: "book1 by 1"},
-			{ID: "pay1", Class: "pay", Wait: 2 * time.Second, Sent: time.Second, Ended: 1100 * ms, End: EndAnswered, Status: 200, Body: "pay1 by 0"},
-			{ID: "pay2", Class: "pay", Wait: 2 * time.Second, Sent: 2 * time.Second, Ended: 2100 * ms, End: EndAnswered, Status: 503},
-			{ID: "left1", Class: "look", Wait: 2 * time.Second, Sent: 3 * time.Second, Ended: 3200 * ms, End: EndLeft},
-			{ID: "crossed", Class: "look", Wait: 2 * time.Second, Sent: 10010 * ms, Ended: 10020 * ms, End: EndClosed},
+			{ID: "look1", Class: "look", Wait: 2 * time.Second, Dialed: 900 * ms, Sent: time.Second, Finished: 1100 * ms, End: EndAnswered, Status: 200, Body: "look1 by 0", FirstOn: true},
+			{ID: "book1", Class: "book", Wait: 2 * time.Second, Sent: time.Second, Finished: 1400 * ms, End: EndAnswered, Status: 200, Body: "book1 by 1"},
+			{ID: "pay1", Class: "pay", Wait: 2 * time.Second, Sent: time.Second, Finished: 1100 * ms, End: EndAnswered, Status: 200, Body: "pay1 by 0"},
+			{ID: "pay2", Class: "pay", Wait: 2 * time.Second, Sent: 2 * time.Second, Finished: 2100 * ms, End: EndAnswered, Status: 503},
+			{ID: "left1", Class: "look", Wait: 2 * time.Second, Sent: 3 * time.Second, Finished: 3200 * ms, End: EndLeft},
+			{ID: "crossed", Class: "look", Wait: 2 * time.Second, Sent: 10010 * ms, Finished: 10020 * ms, End: EndClosed},
 		},
 		Attempts: []Attempt{
 			{ID: "look1", Server: 0, First: 1010 * ms, Last: 1010 * ms, Deadline: 1990 * ms, Answer: "look1 by 0"},
 			{ID: "book1", Server: 0, First: 1010 * ms, Last: 1010 * ms, Deadline: 1990 * ms, Answer: "book1 by 0"},
 			{ID: "book1", Server: 1, First: 1300 * ms, Last: 1300 * ms, Deadline: 1700 * ms, Answer: "book1 by 1"},
-			{ID: "pay1", Server: 1, First: 1005 * ms, Last: 1005 * ms, Deadline: 1990 * ms, Declined: true},
+			{ID: "pay1", Server: 1, First: 1005 * ms, Last: 1005 * ms, Deadline: 1990 * ms, Rejected: true},
 			{ID: "pay1", Server: 0, First: 1010 * ms, Last: 1010 * ms, Deadline: 1990 * ms, Answer: "pay1 by 0"},
-			{ID: "pay2", Server: 0, First: 2010 * ms, Last: 2010 * ms, Deadline: 1990 * ms, Declined: true},
+			{ID: "pay2", Server: 0, First: 2010 * ms, Last: 2010 * ms, Deadline: 1990 * ms, Rejected: true},
 			{ID: "left1", Server: 0, First: 3010 * ms, Last: 3010 * ms, Deadline: 1990 * ms, Answer: "left1 by 0"},
 		},
 		Changes: []Change{{At: 5 * time.Second, Server: 2, State: Draining}, {At: 8 * time.Second, Server: 1, State: Up, Since: 8 * time.Second}},
-		Told: []Told{{At: 5100 * ms, Sidecar: 0, Server: 2, State: Draining}, {At: 8 * time.Second, Sidecar: 0, Server: 1, State: Up, Since: 8 * time.Second},
+		Notifications: []Notification{{At: 5100 * ms, Sidecar: 0, Server: 2, State: Draining}, {At: 8 * time.Second, Sidecar: 0, Server: 1, State: Up, Since: 8 * time.Second},
 			{At: 8 * time.Second, Sidecar: 1, Server: 1, State: Up, Since: 8 * time.Second}},
-		Lives: []Life{
-			{Sidecar: 0, Started: 0, Ready: 100 * ms, Told: 10 * time.Second, Ended: 11 * time.Second},
+		Processes: []Process{
+			{Sidecar: 0, Started: 0, Ready: 100 * ms, Signalled: 10 * time.Second, Exited: 11 * time.Second},
 			{Sidecar: 0, Started: 11 * time.Second, Ready: 11100 * ms},
 			{Sidecar: 1, Started: 0, Ready: 100 * ms},
 		},
-		Stalls: []Stall{{Sidecar: 0, Stopped: 2 * time.Second, Ended: 4600 * ms}},
+		Stalls: []Stall{{Sidecar: 0, Stopped: 2 * time.Second, Finished: 4600 * ms}},
 	}
 	return script, record
 }
@@ -58,7 +58,7 @@
 	for n := range count {
 		at := 8100*ms + time.Duration(n)*ms
 		id := fmt.Sprint("cold", sidecar, "-", n)
-		record.Requests = append(record.Requests, Request{ID: id, Sidecar: sidecar, Class: "look", Wait: 2 * time.Second, Sent: at, Ended: at + 50*ms, End: EndAnswered, Status: 200, Body: id})
+		record.Requests = append(record.Requests, Request{ID: id, Sidecar: sidecar, Class: "look", Wait: 2 * time.Second, Sent: at, Finished: at + 50*ms, End: EndAnswered, Status: 200, Body: id})
 		record.Attempts = append(record.Attempts, Attempt{ID: id, Server: 1, First: at, Last: at, Answer: id})
 	}
 }
@@ -77,7 +77,7 @@
 		change func(script *Script, record *Record)
 	}{
 		"no answer":              {RuleNoAnswer, func(_ *Script, r *Record) { r.Requests[0].End, r.Requests[0].Status = EndNothing, 0 }},
-		"too late":               {RuleLate, func(_ *Script, r *Record) { r.Requests[0].Ended = 3520 * ms }},
+		"too late":               {RuleOverdue, func(_ *Script, r *Record) { r.Requests[0].Finished = 3520 * ms }},
 		"another's":              {RuleWrong, func(_ *Script, r *Record) { r.Requests[0].Body = "pay1 by 0" }},
 		"spoilt as whole":        {RuleWrong, func(_ *Script, r *Record) { r.Requests[0].Body = "look1" }},
 		"passed on, then closed": {RuleClosed, func(_ *Script, r *Record) { r.Requests[0].End, r.Requests[0].Status = EndClosed, 0 }},
@@ -93,37 +93,37 @@
 			r.Attempts = append(r.Attempts, Attempt{ID: "left1", Server: 1, First: 3400 * ms, Last: 3400 * ms})
 		}},
 		"open at the kill": {RuleKill, func(_ *Script, r *Record) {
-			r.Lives[0].Killed = 10900 * ms
-			r.Requests[5].Ended = 10901 * ms
+			r.Processes[0].Killed = 10900 * ms
+			r.Requests[5].Finished = 10901 * ms
 			r.Attempts = append(r.Attempts, Attempt{ID: "crossed", Server: 0, First: 10015 * ms, Last: 10015 * ms})
 		}},
 		"crossed and passed on": {RuleClosed, func(_ *Script, r *Record) {
 			r.Attempts = append(r.Attempts, Attempt{ID: "crossed", Server: 0, First: 10015 * ms, Last: 10015 * ms})
 		}},
-		"unsafe twice": {RuleDuplicate, func(_ *Script, r *Record) { r.Attempts[3].Declined = false }},
+		"unsafe twice": {RuleDuplicate, func(_ *Script, r *Record) { r.Attempts[3].Rejected = false }},
 		"keyed outside its window": {RuleDuplicate, func(_ *Script, r *Record) {
-			r.Requests[1].Ended = 1700 * ms
+			r.Requests[1].Finished = 1700 * ms
 			r.Attempts[2].First, r.Attempts[2].Last, r.Attempts[2].Deadline = 1571*ms, 1571*ms, 1400*ms
 		}},
-		"refused though it ran": {RuleRefused, func(_ *Script, r *Record) { r.Attempts[5].Declined = false }},
+		"refused though it ran": {RuleRejected, func(_ *Script, r *Record) { r.Attempts[5].Rejected = false }},
 		"sent to one that drains": {RuleDrain, func(_ *Script, r *Record) {
-			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Sent: 6170 * ms, Ended: 6200 * ms, End: EndAnswered, Status: 200, Body: "d"})
+			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Sent: 6170 * ms, Finished: 6200 * ms, End: EndAnswered, Status: 200, Body: "d"})
 			r.Attempts = append(r.Attempts, Attempt{ID: "d", Server: 2, First: 6171 * ms, Last: 6171 * ms, Answer: "d"})
 		}},
-		"not told in time": {RuleToldLate, func(_ *Script, r *Record) {
-			r.Told = r.Told[1:]
-			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Sent: 12071 * ms, Ended: 12200 * ms, End: EndAnswered, Status: 200, Body: "d"})
+		"not told in time": {RuleLateNotification, func(_ *Script, r *Record) {
+			r.Notifications = r.Notifications[1:]
+			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Sent: 12071 * ms, Finished: 12200 * ms, End: EndAnswered, Status: 200, Body: "d"})
 			r.Attempts = append(r.Attempts, Attempt{ID: "d", Server: 2, First: 12071 * ms, Last: 12071 * ms, Answer: "d"})
 		}},
 		"slow start, the sum of two":    {RuleSlowStart, func(_ *Script, r *Record) { late(r, 0, 24); late(r, 1, 24) }},
 		"too long a deadline passed on": {RuleDeadline, func(_ *Script, r *Record) { r.Attempts[0].Deadline = 2151 * ms }},
-		"half a request":                {RuleStall, func(_ *Script, r *Record) { r.Stalls[0].Ended = 5061 * ms }},
-		"half a request, never ended":   {RuleStall, func(_ *Script, r *Record) { r.Stalls[0].Ended = 0 }},
-		"ready late":                    {RuleReady, func(_ *Script, r *Record) { r.Lives[2].Ready = 10001 * ms }},
-		"never ready":                   {RuleReady, func(_ *Script, r *Record) { r.Lives[2].Ready = 0 }},
-		"ended by itself":               {RuleCrash, func(_ *Script, r *Record) { r.Lives[2].Ended = 5 * time.Second }},
-		"ended badly when told to":      {RuleCrash, func(_ *Script, r *Record) { r.Lives[0].Exit = "exit status 2" }},
-		"a panic":                       {RuleCrash, func(_ *Script, r *Record) { r.Lives[2].Panics = 1 }},
+		"half a request":                {RuleStall, func(_ *Script, r *Record) { r.Stalls[0].Finished = 5061 * ms }},
+		"half a request, never ended":   {RuleStall, func(_ *Script, r *Record) { r.Stalls[0].Finished = 0 }},
+		"ready late":                    {RuleReady, func(_ *Script, r *Record) { r.Processes[2].Ready = 10001 * ms }},
+		"never ready":                   {RuleReady, func(_ *Script, r *Record) { r.Processes[2].Ready = 0 }},
+		"ended by itself":               {RuleCrash, func(_ *Script, r *Record) { r.Processes[2].Exited = 5 * time.Second }},
+		"ended badly when told to":      {RuleCrash, func(_ *Script, r *Record) { r.Processes[0].Exit = "exit status 2" }},
+		"a panic":                       {RuleCrash, func(_ *Script, r *Record) { r.Processes[2].Panics = 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			script, record := sample()
@@ -140,22 +140,22 @@
 		})
 	}
 	within := map[string]func(*Script, *Record){
-		"slow start, one sidecar not told": func(_ *Script, r *Record) { r.Told = r.Told[:2]; late(r, 0, 24); late(r, 1, 24) },
+		"slow start, one sidecar not told": func(_ *Script, r *Record) { r.Notifications = r.Notifications[:2]; late(r, 0, 24); late(r, 1, 24) },
 		"slow start, as much as it bears":  func(_ *Script, r *Record) { late(r, 0, 20); late(r, 1, 20) },
 		"closed with the process before": func(_ *Script, r *Record) {
-			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Dialed: 10900 * ms, Sent: 11150 * ms, Ended: 11160 * ms, End: EndClosed, FirstOn: true})
+			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Dialed: 10900 * ms, Sent: 11150 * ms, Finished: 11160 * ms, End: EndClosed, FirstOn: true})
 		},
 		"cut short by the server": func(_ *Script, r *Record) {
 			r.Requests[0].End, r.Requests[0].Status = EndTruncated, 0
-			r.Attempts[0].Spoilt = true
+			r.Attempts[0].Truncated = true
 		},
 		"another's, by a server not yet known to answer twice": func(_ *Script, r *Record) {
-			r.Requests[0].Body, r.Attempts[4].Again, r.Attempts[6].Again = "pay1 by 0", 1085*ms, 3100*ms
+			r.Requests[0].Body, r.Attempts[4].Repeated, r.Attempts[6].Repeated = "pay1 by 0", 1085*ms, 3100*ms
 		},
-		"late within the rule": func(_ *Script, r *Record) { r.Requests[0].Ended = 3500 * ms },
+		"late within the rule": func(_ *Script, r *Record) { r.Requests[0].Finished = 3500 * ms },
 		"told after an outage": func(_ *Script, r *Record) {
-			r.Told, r.Outages = r.Told[1:], []Outage{{4 * time.Second, 9 * time.Second}}
-			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Sent: 14 * time.Second, Ended: 14200 * ms, End: EndAnswered, Status: 200, Body: "d"})
+			r.Notifications, r.Outages = r.Notifications[1:], []Outage{{4 * time.Second, 9 * time.Second}}
+			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Sent: 14 * time.Second, Finished: 14200 * ms, End: EndAnswered, Status: 200, Body: "d"})
 			r.Attempts = append(r.Attempts, Attempt{ID: "d", Server: 2, First: 14010 * ms, Last: 14010 * ms, Answer: "d"})
 		},
 	}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -22,8 +22,8 @@
 	healthInterval = 5 * time.Millisecond
 	// healthTimeout is how long such a question may take.
 	healthTimeout = 500 * time.Millisecond
-	// holdRest is how long a process runs, at least, between two times that it is held up.
-	holdRest = 250 * time.Millisecond
+	// stallRest is how long a process runs, at least, between two times that it is held up.
+	stallRest = 250 * time.Millisecond
 	// maxLog is how much is kept of a sidecar's log.
 	maxLog = 8 << 20
 )
@@ -63,14 +63,14 @@
 	recorder  *recorder
 	log       logBuffer
 
-	mu       sync.Mutex // held over each change of process or configuration
-	process  *exec.Cmd
-	life     int           // in the record
-	ended    chan struct{} // closed at the process's end
-	classes  []Class       // with the deadlines of the configuration file
-	stopping bool
+	mu           sync.Mutex // held over each change of process or configuration
+	process      *exec.Cmd
+	processIndex int           // in the record
+	exited       chan struct{} // closed at the process's end
+	classes      []Class       // with the deadlines of the configuration file
+	stopping     bool
 
-	holdAfter time.Time // when it may be held up again
+	nextStall time.Time // when it may be held up again
 }
 
 // freeAddress returns an address at which nobody listens, on an IP of the caller's own.
@@ -88,12 +88,12 @@
 // configure writes the configuration file whole, with deadlines scaled by factor.
 func (s *sidecar) configure(factor float64) error {
 	type class struct {
-		Name           string  `json:"name"`
-		PromiseUs      int64   `json:"promiseUs"`
-		HardLimitUs    int64   `json:"hardLimitUs"`
-		Effect         Effect  `json:"effect"`
-		RepeatWindowUs int64   `json:"repeatWindowUs"`
-		Worth          float64 `json:"worth"`
+		Name           string      `json:"name"`
+		PromiseUs      int64       `json:"promiseUs"`
+		HardLimitUs    int64       `json:"hardLimitUs"`
+		Effect         Idempotency `json:"effect"`
+		RepeatWindowUs int64       `json:"repeatWindowUs"`
+		Worth          float64     `json:"worth"`
 	}
 	micros := func(d Span) int64 { return time.Duration(d).Microseconds() }
 	script := s.script
@@ -102,12 +102,12 @@
 	for _, c := range script.Classes {
 		c.Deadline = Span(float64(c.Deadline) * factor)
 		s.classes = append(s.classes, c)
-		classes = append(classes, class{c.Name, micros(c.Deadline / 3), micros(c.Deadline), c.Effect, micros(c.Window), 1})
+		classes = append(classes, class{c.Name, micros(c.Deadline / 3), micros(c.Deadline), c.Idempotency, micros(c.DedupWindow), 1})
 	}
 	registry, guarantees := "automatic", map[string]any{
-		"drainGraceUs": micros(script.DrainGrace), "coldFrom": script.ColdFrom, "coldUs": micros(script.ColdFor),
-		"overloadFactor": script.FallsAt, "overloadForUs": micros(script.FallsOver)}
-	if script.Asked {
+		"drainGraceUs": micros(script.DrainGrace), "coldFrom": script.SlowStartFraction, "coldUs": micros(script.SlowStartDuration),
+		"overloadFactor": script.OverloadFactor, "overloadForUs": micros(script.OverloadDuration)}
+	if script.PollsDiscovery {
 		registry, guarantees["askWithinUs"] = "subscribe", 10_000_000
 	}
 	text, err := json.Marshal(map[string]any{
@@ -115,7 +115,7 @@
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": script.Sockets},
 		"settings": map[string]any{
 			"replicasOfMe": script.Sidecars, "rank": s.number, "registryMode": registry,
-			"caps": map[string]any{"attemptsCap": script.Attempts, "mayCancel": true, "secondCopies": script.Copies, "connIdleUs": 3_000_000,
+			"caps": map[string]any{"attemptsCap": script.Attempts, "mayCancel": true, "secondCopies": script.Hedging, "connIdleUs": 3_000_000,
 				"dialTimeoutUs": 250_000, "mostHeld": 1000, "retryAfter": true, "maxRetryAfterUs": 500_000},
 			"guarantees": guarantees, "classes": classes,
 		},
@@ -151,14 +151,14 @@
 	}
 	life, ended := 0, make(chan struct{})
 	s.recorder.do(func(record *Record) {
-		life = len(record.Lives)
-		record.Lives = append(record.Lives, Life{Sidecar: s.number, Started: started})
+		life = len(record.Processes)
+		record.Processes = append(record.Processes, Process{Sidecar: s.number, Started: started})
 	})
-	s.process, s.life, s.ended, s.stopping = process, life, ended, false
+	s.process, s.processIndex, s.exited, s.stopping = process, life, ended, false
 	go func() {
 		err := process.Wait()
-		s.note(life, func(l *Life) {
-			l.Ended = s.recorder.now()
+		s.note(life, func(l *Process) {
+			l.Exited = s.recorder.now()
 			if err != nil && l.Killed == 0 {
 				l.Exit = err.Error()
 			}
@@ -170,8 +170,8 @@
 }
 
 // note changes what is recorded of a life.
-func (s *sidecar) note(life int, change func(*Life)) {
-	s.recorder.do(func(record *Record) { change(&record.Lives[life]) })
+func (s *sidecar) note(life int, change func(*Process)) {
+	s.recorder.do(func(record *Record) { change(&record.Processes[life]) })
 }
 
 // noteReady asks a process until it is ready, and records when.
@@ -182,7 +182,7 @@
 		if err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				s.note(life, func(l *Life) { l.Ready = s.recorder.now() })
+				s.note(life, func(l *Process) { l.Ready = s.recorder.now() })
 				return
 			}
 		}
@@ -222,13 +222,13 @@
 			return err
 		}
 	}
-	process, life, ended, longest := s.process, s.life, s.ended, longestDeadline(s.classes)
+	process, life, ended, longest := s.process, s.processIndex, s.exited, longestDeadline(s.classes)
 	s.mu.Unlock()
 	var told time.Time
 	for _, name := range e.Signals {
 		if name != "HUP" && told.IsZero() {
 			told = time.Now()
-			s.note(life, func(l *Life) { l.Told = s.recorder.now() })
+			s.note(life, func(l *Process) { l.Signalled = s.recorder.now() })
 		}
 		process.Process.Signal(signalsByName[name])
 		time.Sleep(time.Duration(e.Gap))
@@ -236,7 +236,7 @@
 	select {
 	case <-ended:
 	case <-time.After(time.Until(told.Add(EarliestKill(longest)))):
-		s.note(life, func(l *Life) { l.Killed = s.recorder.now() })
+		s.note(life, func(l *Process) { l.Killed = s.recorder.now() })
 		process.Process.Kill()
 		<-ended
 	}
@@ -261,17 +261,17 @@
 	return s.process.Process.Signal(syscall.SIGHUP)
 }
 
-// hold holds the process up for a time, unless it was held up a moment ago: two times one
+// stall holds the process up for a time, unless it was held up a moment ago: two times one
 // right behind the other are one that is longer than the rules allow for.
-func (s *sidecar) hold(limit time.Duration) {
+func (s *sidecar) stall(limit time.Duration) {
 	s.mu.Lock()
 	process := s.process
 	now := time.Now()
-	if now.Before(s.holdAfter) {
+	if now.Before(s.nextStall) {
 		s.mu.Unlock()
 		return
 	}
-	s.holdAfter = now.Add(limit + holdRest)
+	s.nextStall = now.Add(limit + stallRest)
 	s.mu.Unlock()
 	process.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(limit)
@@ -281,13 +281,13 @@
 // kill ends the process at the end of the day.
 func (s *sidecar) kill() {
 	s.mu.Lock()
-	process, ended := s.process, s.ended
+	process, ended := s.process, s.exited
 	s.mu.Unlock()
 	if process == nil {
 		return
 	}
-	s.note(s.life, func(l *Life) {
-		if l.Ended == 0 && l.Killed == 0 {
+	s.note(s.processIndex, func(l *Process) {
+		if l.Exited == 0 && l.Killed == 0 {
 			l.Killed = s.recorder.now()
 		}
 	})
--- a/internal/soak/recorder.go
+++ b/internal/soak/recorder.go
@@ -36,8 +36,8 @@
 	record.Requests = slices.Clone(record.Requests)
 	record.Attempts = slices.Clone(record.Attempts)
 	record.Changes = slices.Clone(record.Changes)
-	record.Told = slices.Clone(record.Told)
-	record.Lives = slices.Clone(record.Lives)
+	record.Notifications = slices.Clone(record.Notifications)
+	record.Processes = slices.Clone(record.Processes)
 	record.Stalls = slices.Clone(record.Stalls)
 	record.Outages = slices.Clone(record.Outages)
 	return &record
--- a/internal/soak/script.go
+++ b/internal/soak/script.go
@@ -22,22 +22,22 @@
 	return err
 }
 
-// Effect says what repeating a request does, in the words of a sidecar's settings.
-type Effect string
+// Idempotency says what repeating a request does, in the words of a sidecar's settings.
+type Idempotency string
 
 // The effects.
 const (
-	Safe   Effect = "repeatable"
-	Keyed  Effect = "by_key"
-	Unsafe Effect = "once"
+	Idempotent       Idempotency = "repeatable"
+	IdempotencyKeyed Idempotency = "by_key"
+	NonIdempotent    Idempotency = "once"
 )
 
 // Class is a class of requests.
 type Class struct {
-	Name     string `json:"Name"`
-	Effect   Effect `json:"Effect"`
-	Deadline Span   `json:"Deadline"` // how long a client waits at most
-	Window   Span   `json:"Window"`   // within which a keyed request may be repeated
+	Name        string      `json:"Name"`
+	Idempotency Idempotency `json:"Effect"`
+	Deadline    Span        `json:"Deadline"` // how long a client waits at most
+	DedupWindow Span        `json:"Window"`   // within which a keyed request may be repeated
 }
 
 // Server modes. What a server does with its requests while it is in a mode.
@@ -46,33 +46,33 @@
 	ModeHang          = "hang"           // takes requests and never answers
 	ModeSilent        = "silent"         // reads nothing; resets what is open at the end
 	ModeDown          = "down"           // refuses connections, resets what is open
-	ModeLate          = "late"           // answers after a pause
+	ModeSlow          = "late"           // answers after a pause
 	ModeFail          = "fail"           // 500
 	ModeDecline       = "decline"        // turns requests away
 	ModeResetBefore   = "reset-before"   // resets at a request's first byte
 	ModeResetWithin   = "reset-within"   // resets in the middle of an answer
 	ModeResetAfter    = "reset-after"    // answers, then resets the connection
 	ModeNoLength      = "no-length"      // answers without a length
-	ModeTwice         = "twice"          // answers twice, the second time a moment later
+	ModeDuplicate     = "twice"          // answers twice, the second time a moment later
 	ModeEndless       = "endless"        // begins an answer and never ends it
 	ModeResetRequests = "reset-requests" // takes a request whole, then resets
 	ModeIdleClose     = "idle-close"     // closes a connection a moment after its answer
 	ModeForget        = "forget"         // reads nothing more of a connection after an answer
 )
 
-var serverModes = []string{ModeHang, ModeHang, ModeHang, ModeSilent, ModeDown, ModeLate, ModeFail, ModeDecline,
-	ModeResetBefore, ModeResetWithin, ModeResetAfter, ModeNoLength, ModeTwice, ModeEndless, ModeResetRequests,
+var serverModes = []string{ModeHang, ModeHang, ModeHang, ModeSilent, ModeDown, ModeSlow, ModeFail, ModeDecline,
+	ModeResetBefore, ModeResetWithin, ModeResetAfter, ModeNoLength, ModeDuplicate, ModeEndless, ModeResetRequests,
 	ModeIdleClose, ModeForget}
 
 // Discovery modes.
 const (
-	DiscoveryServes = "serves"
-	DiscoveryAway   = "away"   // refuses calls, watches end
-	DiscoverySilent = "silent" // says nothing more, and answers no call
-	DiscoverySlow   = "slow"   // answers calls late
+	DiscoveryServes      = "serves"
+	DiscoveryUnavailable = "away"   // refuses calls, watches end
+	DiscoverySilent      = "silent" // says nothing more, and answers no call
+	DiscoverySlow        = "slow"   // answers calls late
 )
 
-var discoveryModes = []string{DiscoveryAway, DiscoverySilent, DiscoverySlow}
+var discoveryModes = []string{DiscoveryUnavailable, DiscoverySilent, DiscoverySlow}
 
 // Kinds of events.
 const (
@@ -107,34 +107,34 @@
 	Sidecars int    `json:"Sidecars"`
 	Servers  int    `json:"Servers"`
 
-	Asked      bool    `json:"Asked"`      // discovery is asked; else lists are pushed
-	WholeLists bool    `json:"WholeLists"` // every change is told by a whole list, without the servers that drain
-	DrainGrace Span    `json:"DrainGrace"`
-	Classes    []Class `json:"Classes"`
-	Attempts   int     `json:"Attempts"`
-	Copies     bool    `json:"Copies"` // hedged requests are allowed
-	Sockets    int     `json:"Sockets"`
-
-	Workers   int     `json:"Workers"` // of a server
-	Work      Span    `json:"Work"`    // of a request at a warm server
-	Queue     int     `json:"Queue"`
-	ColdFrom  float64 `json:"ColdFrom"` // share of its capacity that a server which has just started has
-	ColdFor   Span    `json:"ColdFor"`
-	FallsAt   float64 `json:"FallsAt"` // multiple of its capacity that fells a cold server
-	FallsOver Span    `json:"FallsOver"`
-
-	Clients      int     `json:"Clients"`   // of each sidecar, that send one request after another
-	Pause        Span    `json:"Pause"`     // mean time between a client's requests
-	Leaving      float64 `json:"Leaving"`   // share of requests whose client leaves early
-	Impatient    float64 `json:"Impatient"` // share of requests with little time
-	Stalling     int     `json:"Stalling"`  // clients of each sidecar that stop in the middle of a request and stay
-	Slow         int     `json:"Slow"`      // clients of each sidecar that write slowly
-	Crowd        int     `json:"Crowd"`     // idle connections to each sidecar
-	ImpatientFor Span    `json:"ImpatientFor"`
-	QuietUntil   Span    `json:"QuietUntil"` // when the clients begin
-	MaxBody      int     `json:"BodyMost"`   // bytes of a request's body, at most
-	MaxAnswer    int     `json:"AnswerMost"` // bytes added to an answer, at most
-	Events       []Event `json:"Events"`
+	PollsDiscovery bool    `json:"Asked"`      // discovery is asked; else lists are pushed
+	CompleteLists  bool    `json:"WholeLists"` // every change is told by a whole list, without the servers that drain
+	DrainGrace     Span    `json:"DrainGrace"`
+	Classes        []Class `json:"Classes"`
+	Attempts       int     `json:"Attempts"`
+	Hedging        bool    `json:"Copies"` // hedged requests are allowed
+	Sockets        int     `json:"Sockets"`
+
+	Workers           int     `json:"Workers"` // of a server
+	Work              Span    `json:"Work"`    // of a request at a warm server
+	Queue             int     `json:"Queue"`
+	SlowStartFraction float64 `json:"ColdFrom"` // share of its capacity that a server which has just started has
+	SlowStartDuration Span    `json:"ColdFor"`
+	OverloadFactor    float64 `json:"FallsAt"` // multiple of its capacity that fells a cold server
+	OverloadDuration  Span    `json:"FallsOver"`
+
+	Clients           int     `json:"Clients"`   // of each sidecar, that send one request after another
+	ThinkTime         Span    `json:"Pause"`     // mean time between a client's requests
+	DisconnectRate    float64 `json:"Leaving"`   // share of requests whose client leaves early
+	ShortDeadlineRate float64 `json:"Impatient"` // share of requests with little time
+	Stalling          int     `json:"Stalling"`  // clients of each sidecar that stop in the middle of a request and stay
+	Slow              int     `json:"Slow"`      // clients of each sidecar that write slowly
+	IdleConnections   int     `json:"Crowd"`     // idle connections to each sidecar
+	ShortDeadline     Span    `json:"ImpatientFor"`
+	QuietUntil        Span    `json:"QuietUntil"` // when the clients begin
+	MaxBody           int     `json:"BodyMost"`   // bytes of a request's body, at most
+	MaxAnswer         int     `json:"AnswerMost"` // bytes added to an answer, at most
+	Events            []Event `json:"Events"`
 }
 
 // Longest is the longest deadline of any class.
@@ -148,12 +148,12 @@
 	return longest
 }
 
-// warmth is the share of its capacity that a server has so long after its start.
-func (s *Script) warmth(age time.Duration) float64 {
-	if age >= time.Duration(s.ColdFor) {
+// capacityFraction is the share of its capacity that a server has so long after its start.
+func (s *Script) capacityFraction(age time.Duration) float64 {
+	if age >= time.Duration(s.SlowStartDuration) {
 		return 1
 	}
-	return s.ColdFrom + (1-s.ColdFrom)*age.Seconds()/time.Duration(s.ColdFor).Seconds()
+	return s.SlowStartFraction + (1-s.SlowStartFraction)*age.Seconds()/time.Duration(s.SlowStartDuration).Seconds()
 }
 
 // Class returns a class by its name, nil if there is none.
@@ -238,36 +238,36 @@
 	s.Length = d.between(size.Length*4/5, size.Length)
 	s.Sidecars = 1 + d.IntN(size.Sidecars)
 	s.Servers = 2 + d.IntN(6)
-	s.Asked, s.WholeLists = d.chance(0.5), d.chance(0.3)
+	s.PollsDiscovery, s.CompleteLists = d.chance(0.5), d.chance(0.3)
 	s.DrainGrace = d.between(500*time.Millisecond, 2*time.Second)
 	longest := d.scaled(200*time.Millisecond, 8*time.Second)
-	for n, effect := range []Effect{Safe, Keyed, Unsafe} {
+	for n, effect := range []Idempotency{Idempotent, IdempotencyKeyed, NonIdempotent} {
 		deadline := longest
 		if d.chance(0.6) {
 			deadline = Span(float64(longest) * (0.25 + 0.75*d.Float64()))
 		}
 		s.Classes = append(s.Classes, Class{
-			Name:     []string{"look", "book", "pay"}[n],
-			Effect:   effect,
-			Deadline: max(deadline, Span(150*time.Millisecond)),
-			Window:   Span(float64(deadline) * (0.2 + 0.6*d.Float64())),
+			Name:        []string{"look", "book", "pay"}[n],
+			Idempotency: effect,
+			Deadline:    max(deadline, Span(150*time.Millisecond)),
+			DedupWindow: Span(float64(deadline) * (0.2 + 0.6*d.Float64())),
 		})
 	}
 	s.Attempts = 1 + d.IntN(5)
-	s.Copies = d.chance(0.6)
+	s.Hedging = d.chance(0.6)
 	s.Sockets = []int{96, 128, 256}[d.IntN(3)]
 	s.Workers, s.Queue = 2+d.IntN(3), 2+d.IntN(5)
 	s.Work = d.between(5*time.Millisecond, 40*time.Millisecond)
-	s.ColdFrom, s.FallsAt = 0.15+0.3*d.Float64(), 4
-	s.ColdFor, s.FallsOver = d.between(3*time.Second, 10*time.Second), Span(2*time.Second)
+	s.SlowStartFraction, s.OverloadFactor = 0.15+0.3*d.Float64(), 4
+	s.SlowStartDuration, s.OverloadDuration = d.between(3*time.Second, 10*time.Second), Span(2*time.Second)
 }
 
 func (d *drawing) drawClients() {
 	s := d.script
 	s.Clients = 3 + d.IntN(6)
-	s.Pause = d.between(time.Millisecond, 60*time.Millisecond)
-	s.Leaving, s.Impatient = 0.15*d.Float64(), 0.1*d.Float64()
-	s.ImpatientFor = d.scaled(5*time.Millisecond, 150*time.Millisecond)
+	s.ThinkTime = d.between(time.Millisecond, 60*time.Millisecond)
+	s.DisconnectRate, s.ShortDeadlineRate = 0.15*d.Float64(), 0.1*d.Float64()
+	s.ShortDeadline = d.scaled(5*time.Millisecond, 150*time.Millisecond)
 	if d.chance(0.5) {
 		s.Stalling = 1 + d.IntN(3)
 	}
@@ -275,7 +275,7 @@
 		s.Slow = 1 + d.IntN(2)
 	}
 	if d.chance(0.25) {
-		s.Crowd = s.Sockets
+		s.IdleConnections = s.Sockets
 	}
 	if d.chance(0.15) {
 		s.QuietUntil = d.moment(0.2, 0.5)
@@ -319,7 +319,7 @@
 
 func (d *drawing) drawDiscoveryEvents() {
 	modes := discoveryModes
-	if !d.script.Asked { // an agent on the sidecar's own machine answers at once, or not at all
+	if !d.script.PollsDiscovery { // an agent on the sidecar's own machine answers at once, or not at all
 		modes = slices.DeleteFunc(slices.Clone(modes), func(mode string) bool { return mode == DiscoverySlow })
 	}
 	for range d.IntN(3) {
--- a/internal/soak/seams_test.go
+++ b/internal/soak/seams_test.go
@@ -11,13 +11,13 @@
 	return &Script{
 		Seed: 7, Length: Span(7 * time.Second), Sidecars: 1, Servers: 3, DrainGrace: Span(300 * time.Millisecond),
 		Classes: []Class{
-			{Name: "look", Effect: Safe, Deadline: Span(4 * time.Second)},
-			{Name: "book", Effect: Keyed, Deadline: Span(4 * time.Second), Window: Span(time.Second)},
-			{Name: "pay", Effect: Unsafe, Deadline: Span(4 * time.Second)},
+			{Name: "look", Idempotency: Idempotent, Deadline: Span(4 * time.Second)},
+			{Name: "book", Idempotency: IdempotencyKeyed, Deadline: Span(4 * time.Second), DedupWindow: Span(time.Second)},
+			{Name: "pay", Idempotency: NonIdempotent, Deadline: Span(4 * time.Second)},
 		},
-		Attempts: 5, Copies: true, Sockets: 128, Workers: 4, Work: Span(5 * time.Millisecond), Queue: 8,
-		ColdFrom: 1, FallsAt: 4, FallsOver: Span(time.Second),
-		Clients: 16, Pause: Span(5 * time.Millisecond), Leaving: 0.3, Impatient: 0.3, ImpatientFor: Span(200 * time.Millisecond),
+		Attempts: 5, Hedging: true, Sockets: 128, Workers: 4, Work: Span(5 * time.Millisecond), Queue: 8,
+		SlowStartFraction: 1, OverloadFactor: 4, OverloadDuration: Span(time.Second),
+		Clients: 16, ThinkTime: Span(5 * time.Millisecond), DisconnectRate: 0.3, ShortDeadlineRate: 0.3, ShortDeadline: Span(200 * time.Millisecond),
 		Events: []Event{
 			{At: Span(500 * time.Millisecond), Kind: EventServerMode, Targets: []int{0, 1, 2}, Mode: ModeHang, For: Span(700 * time.Millisecond)},
 			{At: Span(1500 * time.Millisecond), Kind: EventServerMode, Targets: []int{0, 1, 2}, Mode: ModeHang, For: Span(700 * time.Millisecond)},
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// latePause is how much later than usual a server in ModeLate answers.
-	latePause = 700 * time.Millisecond
-	// secondAnswerPause is how long after an answer its repeat comes in ModeTwice.
-	secondAnswerPause = 4 * time.Millisecond
-	// answerPause is between the parts of an answer that is sent in parts.
-	answerPause = 15 * time.Millisecond
+	// slowDelay is how much later than usual a server in ModeSlow answers.
+	slowDelay = 700 * time.Millisecond
+	// duplicateDelay is how long after an answer its repeat comes in ModeDuplicate.
+	duplicateDelay = 4 * time.Millisecond
+	// truncationDelay is between the parts of an answer that is sent in parts.
+	truncationDelay = 15 * time.Millisecond
 	// answerStep is how much answers differ in length where they are long.
 	answerStep = 7919
 )
@@ -191,7 +191,7 @@
 	s.recorder.do(func(record *Record) {
 		for n := range record.Attempts {
 			if record.Attempts[n].Answer == body {
-				record.Attempts[n].Again = now
+				record.Attempts[n].Repeated = now
 			}
 		}
 	})
@@ -204,7 +204,7 @@
 		return false
 	}
 	if mode == ModeDecline || !s.enter() {
-		attempt.Declined = true
+		attempt.Rejected = true
 		s.record(attempt)
 		_, err := io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
@@ -226,7 +226,7 @@
 		return err == nil
 	}
 	attempt.Answer = s.makeAnswer(attempt.ID)
-	attempt.Spoilt = mode == ModeResetWithin || mode == ModeEndless
+	attempt.Truncated = mode == ModeResetWithin || mode == ModeEndless
 	s.record(attempt) // before a byte of it can be with the client
 	s.work(mode)
 	return s.write(conn, mode, changed, attempt.Answer)
@@ -269,11 +269,11 @@
 	warmth, since := 1.0, s.since
 	s.mu.Unlock()
 	if since > 0 {
-		warmth = s.script.warmth(s.recorder.now() - since)
+		warmth = s.script.capacityFraction(s.recorder.now() - since)
 	}
 	time.Sleep(time.Duration(float64(s.script.Work) / warmth))
-	if mode == ModeLate {
-		time.Sleep(latePause)
+	if mode == ModeSlow {
+		time.Sleep(slowDelay)
 	}
 }
 
@@ -283,7 +283,7 @@
 	switch mode {
 	case ModeResetWithin:
 		io.WriteString(conn, whole[:len(whole)-len(body)/2])
-		time.Sleep(answerPause) // what is written must arrive before the reset
+		time.Sleep(truncationDelay) // what is written must arrive before the reset
 		reset(conn)
 		return false
 	case ModeEndless:
@@ -293,14 +293,14 @@
 		return false
 	case ModeNoLength:
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-		time.Sleep(answerPause)
+		time.Sleep(truncationDelay)
 		io.WriteString(conn, body)
 		return false
-	case ModeTwice:
+	case ModeDuplicate:
 		if _, err := io.WriteString(conn, whole); err != nil {
 			return false
 		}
-		time.Sleep(secondAnswerPause)
+		time.Sleep(duplicateDelay)
 		s.recordAgain(body)
 		_, err := io.WriteString(conn, whole)
 		return err == nil
@@ -310,11 +310,11 @@
 	}
 	switch mode {
 	case ModeResetAfter:
-		time.Sleep(answerPause)
+		time.Sleep(truncationDelay)
 		reset(conn)
 		return false
 	case ModeIdleClose:
-		time.Sleep(answerPause)
+		time.Sleep(truncationDelay)
 		return false
 	case ModeForget:
 		<-changed
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -169,7 +169,7 @@
 	}
 	served = record.Served()
 	t.Logf("%d sidecars, longest deadline %v, %d lives: %d requests, %d served, %d attempts, recorders late by %v",
-		script.Sidecars, script.Longest(), len(record.Lives), len(record.Requests), served, len(record.Attempts), record.Lateness)
+		script.Sidecars, script.Longest(), len(record.Processes), len(record.Requests), served, len(record.Attempts), record.Lateness)
 	return served
 }
 
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -57,7 +57,7 @@
 	record = w.recorder.finish()
 	for n, s := range w.sidecars {
 		if panics := panicsIn(s.log.String()); panics > 0 {
-			record.Lives[n].Panics = panics
+			record.Processes[n].Panics = panics
 		}
 	}
 	return record, logs, w.failed
@@ -126,8 +126,8 @@
 	for until := time.Now().Add(maxStart); time.Now().Before(until); time.Sleep(healthInterval) {
 		ready := 0
 		w.recorder.do(func(record *Record) {
-			for _, life := range record.Lives {
-				if life.Ready > 0 || life.Ended > 0 {
+			for _, life := range record.Processes {
+				if life.Ready > 0 || life.Exited > 0 {
 					ready++
 				}
 			}
@@ -174,8 +174,8 @@
 		random := rand.New(rand.NewPCG(script.Seed+1, uint64(s.number)<<16|uint64(n)))
 		group.Go(func() { stall(ctx, s.number, s.address, random, w.recorder) })
 	}
-	if script.Crowd > 0 {
-		group.Go(func() { crowd(ctx, s.address, script.Crowd) })
+	if script.IdleConnections > 0 {
+		group.Go(func() { holdIdleConnections(ctx, s.address, script.IdleConnections) })
 	}
 }
 
@@ -208,7 +208,7 @@
 	case EventReload:
 		err = s.reload(e.Factor)
 	case EventHold:
-		s.hold(time.Duration(e.For))
+		s.stall(time.Duration(e.For))
 	}
 	if err != nil {
 		w.fail(fmt.Errorf("%s of sidecar %d: %w", e.Kind, s.number, err))
