--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -20,7 +20,7 @@
 	clientPatience = maxOverdue + 400*time.Millisecond
 	// dialTimeout is how long a client's connection may take.
 	dialTimeout = time.Second
-	// dialBackoff is between two tries of a client to connect.
+	// dialBackoff is the wait between two attempts to connect.
 	dialBackoff = 10 * time.Millisecond
 	// slowPieces is in how many pieces a slow client writes a request, pieceDelay how long
 	// it waits between them.
@@ -99,9 +99,9 @@
 		r.Key = "key-" + r.ID
 	}
 	c.used++
-	leaves := time.Duration(0)
+	disconnect := time.Duration(0)
 	if c.Float64() < c.script.DisconnectRate {
-		leaves = time.Duration(c.Float64() * float64(r.Wait) * 0.8)
+		disconnect = time.Duration(c.Float64() * float64(r.Wait) * 0.8)
 	}
 	if !c.write(c.text(&r, class)) {
 		c.hangUp()
@@ -109,7 +109,7 @@
 	}
 	r.Sent = c.recorder.now()
 	atEnd := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) })
-	c.await(&r, leaves)
+	c.await(&r, disconnect)
 	if !atEnd() && (r.End == EndNothing || r.End == EndTruncated) {
 		r.End = EndLeft // the day is over
 	}
@@ -150,11 +150,12 @@
 	return err == nil
 }
 
-// await waits for a request's answer; leaves is when its client leaves, 0: it stays.
-func (c *client) await(r *Request, leaves time.Duration) {
+// await waits for a request's answer; disconnect is after which its client disconnects, 0: it
+// stays.
+func (c *client) await(r *Request, disconnect time.Duration) {
 	patience := r.Wait + clientPatience
-	if leaves > 0 {
-		patience = leaves
+	if disconnect > 0 {
+		patience = disconnect
 	}
 	c.conn.SetReadDeadline(time.Now().Add(patience))
 	if _, err := c.reader.Peek(1); err != nil {
@@ -162,7 +163,7 @@
 		switch {
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			r.End = EndClosed
-		case leaves > 0:
+		case disconnect > 0:
 			r.End = EndLeft
 		default:
 			r.End = EndNothing
@@ -212,7 +213,7 @@
 	}
 }
 
-// holdIdleConnections keeps idle connections to a sidecar, and opens those that it closes anew.
+// holdIdleConnections keeps idle connections to a sidecar open, and replaces closed ones.
 func holdIdleConnections(ctx context.Context, address string, size int) {
 	conns := make([]net.Conn, 0, size)
 	defer func() {
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -29,10 +29,10 @@
 }
 
 // discovery is a stand-in for discovery, with an address for each sidecar, by which it
-// records what it told to whom.
+// records what it sent to whom.
 type discovery struct {
 	recorder      *recorder
-	completeLists bool // every change is told by a whole list
+	completeLists bool // each change is sent as a complete list
 
 	mu       sync.Mutex
 	entries  []listed
@@ -107,7 +107,7 @@
 }
 
 // look returns the mode, what changed after a version, and a channel that is closed at the
-// next change. The whole list leaves out what is removed.
+// next change. The complete list omits removed servers.
 func (d *discovery) look(after int) (mode string, version int, entries []listed, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -127,7 +127,7 @@
 }
 
 // line is a list on one line.
-func (d *discovery) line(version int, whole bool, entries []listed) []byte {
+func (d *discovery) line(version int, complete bool, entries []listed) []byte {
 	type entry struct {
 		Name    string    `json:"name"`
 		Address string    `json:"address"`
@@ -139,7 +139,7 @@
 		Index     int     `json:"index"`
 		Snapshot  bool    `json:"snapshot"`
 		Endpoints []entry `json:"endpoints"`
-	}{version, whole, []entry{}}
+	}{version, complete, []entry{}}
 	for _, e := range entries {
 		since := int64(0)
 		if e.since > 0 {
@@ -175,7 +175,7 @@
 	d.watch(sidecar, w, r, version, changed)
 }
 
-// watch tells changes until the watch ends.
+// watch sends changes until the watch ends.
 func (d *discovery) watch(sidecar int, w http.ResponseWriter, r *http.Request, version int, changed <-chan struct{}) {
 	ticker := time.NewTicker(emptyLineEvery)
 	defer ticker.Stop()
@@ -214,22 +214,22 @@
 	}
 }
 
-// write writes a list and records what it told.
-func (d *discovery) write(sidecar int, w http.ResponseWriter, version int, whole bool, entries []listed) bool {
-	_, err := w.Write(d.line(version, whole, entries))
+// write writes a list and records its notifications.
+func (d *discovery) write(sidecar int, w http.ResponseWriter, version int, complete bool, entries []listed) bool {
+	_, err := w.Write(d.line(version, complete, entries))
 	w.(http.Flusher).Flush()
 	if err != nil {
 		return false
 	}
 	now := d.recorder.now()
 	d.mu.Lock()
-	told := entries
-	if whole { // what it leaves out is gone
-		told = slices.Clone(d.entries)
+	notified := entries
+	if complete { // servers that it omits are removed
+		notified = slices.Clone(d.entries)
 	}
 	d.mu.Unlock()
 	d.recorder.do(func(record *Record) {
-		for _, e := range told {
+		for _, e := range notified {
 			if e.version <= version {
 				record.Notifications = append(record.Notifications, Notification{now, sidecar, e.number, e.state, e.since})
 			}
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -22,11 +22,11 @@
 	RuleLeft             Rule = "lost: begun after the client left"
 	RuleKill             Rule = "lost: found by the kill"
 	RuleDuplicate        Rule = "duplicate"
-	RuleRejected         Rule = "refused though it may have run"
+	RuleRejected         Rule = "rejected though it may have run"
 	RuleDrain            Rule = "drain"
-	RuleLateNotification Rule = "time told"
+	RuleLateNotification Rule = "notification time"
 	RuleSlowStart        Rule = "slow start"
-	RuleDeadline         Rule = "deadline passed on"
+	RuleDeadline         Rule = "deadline forwarded"
 	RuleStall            Rule = "half a request not ended"
 	RuleReady            Rule = "not ready in time"
 	RuleCrash            Rule = "crash"
@@ -44,14 +44,14 @@
 
 // Allowances of the rules.
 const (
-	maxOverdue                = 500 * time.Millisecond // an answer up to so late earns nothing, and is not lost
-	maxAttemptAfterDisconnect = 100 * time.Millisecond // from a client's leaving to an attempt's first byte
+	maxOverdue                = 500 * time.Millisecond // an answer that is late by less is not lost
+	maxAttemptAfterDisconnect = 100 * time.Millisecond // from a client's disconnect to an attempt's first byte
 	deadlineSlack             = 150 * time.Millisecond
 	socketSlack               = 50 * time.Millisecond // added to each time limit of the rules
-	maxNotificationDelay      = 6 * time.Second       // from a change that discovery can tell to its being told
+	maxNotificationDelay      = 6 * time.Second       // from a change that discovery can send to its notification
 	maxReady                  = 10 * time.Second
-	unsolicitedGrace          = 100 * time.Millisecond // from a server's first second answer to its being known for it
-	maxStall                  = 3 * time.Second        // bad clients are owed an error or a close within it
+	unsolicitedGrace          = 100 * time.Millisecond // after a server's first duplicate answer
+	maxStall                  = 3 * time.Second        // clients that stall get an error or a close within it
 	// maxCountedDeadline and supervisorGrace: see EarliestKill.
 	maxCountedDeadline = 3 * time.Second
 	supervisorGrace    = 700 * time.Millisecond
@@ -62,7 +62,7 @@
 	return min(longest, maxCountedDeadline) + supervisorGrace
 }
 
-// judgement is a verdict in progress.
+// judgement is the state of one call of Judge.
 type judgement struct {
 	script   *Script
 	record   *Record
@@ -71,7 +71,7 @@
 	breaches []Breach
 }
 
-// Judge names each rule that was broken, in the order of their times.
+// Judge returns each breach of a rule, ordered by time.
 func Judge(script *Script, record *Record) []Breach {
 	j := &judgement{script: script, record: record, requests: make(map[string]*Request, len(record.Requests)), attempts: make(map[string][]*Attempt)}
 	for n := range record.Requests {
@@ -102,9 +102,9 @@
 // processAt returns the process that a sidecar had at a time, nil if it had none.
 func (j *judgement) processAt(sidecar int, at time.Duration) *Process {
 	for n := range j.record.Processes {
-		life := &j.record.Processes[n]
-		if life.Sidecar == sidecar && life.Started <= at && (life.Exited == 0 || at <= life.Exited) {
-			return life
+		process := &j.record.Processes[n]
+		if process.Sidecar == sidecar && process.Started <= at && (process.Exited == 0 || at <= process.Exited) {
+			return process
 		}
 	}
 	return nil
@@ -113,7 +113,7 @@
 // ran says that an attempt may have run.
 func (a *Attempt) ran() bool { return a.Last > 0 && !a.Rejected }
 
-// judgeRequest judges a request by itself and its attempts.
+// judgeRequest judges one request with its attempts.
 func (j *judgement) judgeRequest(r *Request) {
 	attempts := j.attempts[r.ID]
 	j.judgeEnd(r, attempts)
@@ -167,41 +167,41 @@
 	}
 }
 
-// isFirstUnsolicited reports whether a request was answered with what a server sent a second time,
-// before that server can have shown this sidecar that it does so. Nothing tells such an
-// answer from the request's own: it comes where that is expected, and has its form. The
-// pages' limit, and named in docs/design/acceptance.md; whatever comes later is a breach.
+// isFirstUnsolicited reports whether a request was answered with a duplicate of another
+// answer, before this sidecar can have seen that its server sends duplicates. Such an answer
+// can't be distinguished from the request's own; docs/design/acceptance.md names this limit.
+// Any later duplicate is a breach.
 func (j *judgement) isFirstUnsolicited(r *Request) bool {
 	at := func(a Attempt) bool { return a.Repeated > 0 && a.Answer == r.Body }
 	from := slices.IndexFunc(j.record.Attempts, at)
 	if from < 0 {
 		return false
 	}
-	stray := &j.record.Attempts[from]
-	first := stray.Repeated
+	duplicate := &j.record.Attempts[from]
+	first := duplicate.Repeated
 	for n := range j.record.Attempts {
 		a := &j.record.Attempts[n]
-		if asked := j.requests[a.ID]; a.Server == stray.Server && a.Repeated > 0 && asked != nil && asked.Sidecar == r.Sidecar {
+		if request := j.requests[a.ID]; a.Server == duplicate.Server && a.Repeated > 0 && request != nil && request.Sidecar == r.Sidecar {
 			first = min(first, a.Repeated)
 		}
 	}
-	return stray.Repeated <= first+unsolicitedGrace+j.record.Lateness
+	return duplicate.Repeated <= first+unsolicitedGrace+j.record.Lateness
 }
 
 // judgeClosed judges a request whose connection ended without a byte of an answer.
 func (j *judgement) judgeClosed(r *Request, attempts []*Attempt) {
-	life := j.processAt(r.Sidecar, r.Dialed) // whose connection it was
-	if life != nil && life.Killed > 0 && r.Finished >= life.Killed {
+	process := j.processAt(r.Sidecar, r.Dialed) // whose connection it was
+	if process != nil && process.Killed > 0 && r.Finished >= process.Killed {
 		if len(attempts) > 0 {
-			j.breach(RuleKill, r.Finished, "request %s (%s), sent %v after the signal to end, was open when the kill came", r.ID, r.Class, r.Sent-life.Signalled)
+			j.breach(RuleKill, r.Finished, "request %s (%s), sent %v after the signal to end, was open when the kill came", r.ID, r.Class, r.Sent-process.Signalled)
 		}
 		return
 	}
 	if len(attempts) > 0 {
-		j.breach(RuleClosed, r.Finished, "request %s (%s) was passed on and its connection closed without an answer", r.ID, r.Class)
+		j.breach(RuleClosed, r.Finished, "request %s (%s) was forwarded and its connection closed without an answer", r.ID, r.Class)
 		return
 	}
-	ending := life == nil || life.Ready == 0 || r.Dialed < life.Ready || life.Signalled > 0 && r.Finished >= life.Signalled
+	ending := process == nil || process.Ready == 0 || r.Dialed < process.Ready || process.Signalled > 0 && r.Finished >= process.Signalled
 	if r.FirstOn && !ending && j.script.IdleConnections == 0 {
 		j.breach(RuleClosed, r.Finished, "request %s (%s), the first on its connection, was closed without an answer", r.ID, r.Class)
 	}
@@ -214,7 +214,7 @@
 	}
 	left := r.Sent + r.Wait - a.First
 	if a.Deadline > 0 && a.Deadline > max(left, 0)+deadlineSlack+j.record.Lateness {
-		j.breach(RuleDeadline, a.First, "request %s (%s): server %d was told %v, and its client had %v left", r.ID, r.Class, a.Server, a.Deadline, left)
+		j.breach(RuleDeadline, a.First, "request %s (%s): server %d was given %v, and its client had %v left", r.ID, r.Class, a.Server, a.Deadline, left)
 	}
 }
 
@@ -240,7 +240,8 @@
 	return last
 }
 
-// notifiedAt is when a change counts as told to a sidecar, and whether it was written to it.
+// notifiedAt returns when a change counts as notified to a sidecar, and whether it was
+// written to it.
 func (j *judgement) notifiedAt(sidecar int, c *Change) (at time.Duration, written bool) {
 	limit := c.At + maxNotificationDelay
 	for _, outage := range j.record.Outages {
@@ -248,15 +249,15 @@
 			limit = max(limit, outage.To+maxNotificationDelay)
 		}
 	}
-	for _, told := range j.record.Notifications {
-		if told.Sidecar == sidecar && told.Server == c.Server && told.At >= c.At && told.State == c.State && told.At < limit {
-			return told.At, true
+	for _, notified := range j.record.Notifications {
+		if notified.Sidecar == sidecar && notified.Server == c.Server && notified.At >= c.At && notified.State == c.State && notified.At < limit {
+			return notified.At, true
 		}
 	}
 	return limit, false
 }
 
-// judgeDrains judges attempts at servers that drain or have gone.
+// judgeDrains judges attempts at draining and removed servers.
 func (j *judgement) judgeDrains() {
 	grace := time.Duration(j.script.DrainGrace) + socketSlack + j.record.Lateness
 	for n := range j.record.Attempts {
@@ -265,20 +266,20 @@
 		if r == nil || c == nil || c.State == Up {
 			continue
 		}
-		told, written := j.notifiedAt(r.Sidecar, c)
-		if a.First <= told+grace {
+		notified, written := j.notifiedAt(r.Sidecar, c)
+		if a.First <= notified+grace {
 			continue
 		}
 		rule := RuleDrain
 		if !written {
 			rule = RuleLateNotification
 		}
-		j.breach(rule, a.First, "request %s came to server %d, %s since %v and told at %v", a.ID, a.Server, c.State, c.At, told)
+		j.breach(rule, a.First, "request %s came to server %d, %s since %v and notified at %v", a.ID, a.Server, c.State, c.At, notified)
 	}
 }
 
-// allowed is how many requests a server in slow start bears in the time that the settings
-// name, given n by its capacity then.
+// allowed returns how many requests a server in slow start may get within the overload
+// duration, where its capacity allows n.
 func allowed(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -299,18 +300,18 @@
 // judgeStart judges one start, at its first fall.
 func (j *judgement) judgeStart(c *Change) {
 	s := j.script
-	warm := c.Since + time.Duration(s.SlowStartDuration)
+	slowStartEnds := c.Since + time.Duration(s.SlowStartDuration)
 	var sends []*Attempt
 	for n := range j.record.Attempts {
-		if a := &j.record.Attempts[n]; a.Server == c.Server && a.First >= c.Since && a.First < warm {
+		if a := &j.record.Attempts[n]; a.Server == c.Server && a.First >= c.Since && a.First < slowStartEnds {
 			sends = append(sends, a)
 		}
 	}
 	slices.SortFunc(sends, func(a, b *Attempt) int { return cmp.Compare(a.First, b.First) })
 	capacity := float64(s.Workers) / time.Duration(s.Work).Seconds()
 	for first, a := range sends {
-		bears := allowed(s.OverloadFactor * capacity * s.capacityFraction(a.First-c.Since) * time.Duration(s.OverloadDuration).Seconds())
-		count, told := 0, 0
+		capacityLimit := allowed(s.OverloadFactor * capacity * s.capacityFraction(a.First-c.Since) * time.Duration(s.OverloadDuration).Seconds())
+		count, notified := 0, 0
 		for _, b := range sends[first:] {
 			if b.First >= a.First+time.Duration(s.OverloadDuration) {
 				break
@@ -318,12 +319,12 @@
 			count++
 			if r := j.requests[b.ID]; r != nil {
 				if at, _ := j.notifiedAt(r.Sidecar, c); at <= b.First {
-					told++
+					notified++
 				}
 			}
 		}
-		if float64(count) > bears && told*3 > count*2 {
-			j.breach(RuleSlowStart, a.First, "server %d, started at %v, got %d requests within %v and bears %.0f", c.Server, c.Since, count, time.Duration(s.OverloadDuration), bears)
+		if float64(count) > capacityLimit && notified*3 > count*2 {
+			j.breach(RuleSlowStart, a.First, "server %d, started at %v, got %d requests within %v, allowed are %.0f", c.Server, c.Since, count, time.Duration(s.OverloadDuration), capacityLimit)
 			return
 		}
 	}
@@ -336,28 +337,28 @@
 		if ended == 0 {
 			ended = j.record.Length
 		}
-		if took := ended - stall.Stopped; took > maxStall+socketSlack+j.record.Lateness {
-			j.breach(RuleStall, ended, "a client of sidecar %d that stopped in the middle of a request was left for %v", stall.Sidecar, took)
+		if elapsed := ended - stall.Stopped; elapsed > maxStall+socketSlack+j.record.Lateness {
+			j.breach(RuleStall, ended, "a client of sidecar %d that stopped in the middle of a request was left for %v", stall.Sidecar, elapsed)
 		}
 	}
 }
 
-// judgeProcesses judges the processes.
+// judgeProcesses judges readiness and exits of the processes.
 func (j *judgement) judgeProcesses() {
-	for _, life := range j.record.Processes {
-		until := cmp.Or(life.Signalled, life.Exited, j.record.Length)
+	for _, process := range j.record.Processes {
+		until := cmp.Or(process.Signalled, process.Exited, j.record.Length)
 		switch {
-		case life.Ready > 0 && life.Ready-life.Started > maxReady:
-			j.breach(RuleReady, life.Ready, "sidecar %d was ready after %v", life.Sidecar, life.Ready-life.Started)
-		case life.Ready == 0 && until-life.Started > maxReady:
-			j.breach(RuleReady, until, "sidecar %d was not ready %v after its start", life.Sidecar, until-life.Started)
+		case process.Ready > 0 && process.Ready-process.Started > maxReady:
+			j.breach(RuleReady, process.Ready, "sidecar %d was ready after %v", process.Sidecar, process.Ready-process.Started)
+		case process.Ready == 0 && until-process.Started > maxReady:
+			j.breach(RuleReady, until, "sidecar %d was not ready %v after its start", process.Sidecar, until-process.Started)
 		}
-		bySignal := strings.HasPrefix(life.Exit, "signal: ") // that came before the process handled it
-		if life.Exited > 0 && life.Killed == 0 && (life.Signalled == 0 || life.Exit != "" && !bySignal) {
-			j.breach(RuleCrash, life.Exited, "sidecar %d ended by itself: %s", life.Sidecar, cmp.Or(life.Exit, "no signal was sent"))
+		bySignal := strings.HasPrefix(process.Exit, "signal: ") // that arrived before the process handled it
+		if process.Exited > 0 && process.Killed == 0 && (process.Signalled == 0 || process.Exit != "" && !bySignal) {
+			j.breach(RuleCrash, process.Exited, "sidecar %d exited: %s", process.Sidecar, cmp.Or(process.Exit, "no signal was sent"))
 		}
-		if life.Panics > 0 {
-			j.breach(RuleCrash, life.Started, "sidecar %d logged %d panics", life.Sidecar, life.Panics)
+		if process.Panics > 0 {
+			j.breach(RuleCrash, process.Started, "sidecar %d logged %d panics", process.Sidecar, process.Panics)
 		}
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// healthInterval is how often a process that starts is asked whether it is ready.
+	// healthInterval is how often a starting process is checked for readiness.
 	healthInterval = 5 * time.Millisecond
-	// healthTimeout is how long such a question may take.
+	// healthTimeout bounds one health check.
 	healthTimeout = 500 * time.Millisecond
-	// stallRest is how long a process runs, at least, between two times that it is held up.
+	// stallRest is how long a process runs at least between two stalls.
 	stallRest = 250 * time.Millisecond
-	// maxLog is how much is kept of a sidecar's log.
+	// maxLog bounds the bytes that are retained of a sidecar's log.
 	maxLog = 8 << 20
 )
 
-// logBuffer keeps the log of all lives of a sidecar.
+// logBuffer holds the log of all processes of a sidecar.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -44,7 +44,7 @@
 	return len(p), nil
 }
 
-// String returns what is kept.
+// String returns the retained log.
 func (b *logBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,12 +65,12 @@
 
 	mu           sync.Mutex // held over each change of process or configuration
 	process      *exec.Cmd
-	processIndex int           // in the record
+	processIndex int           // of the process, in the record
 	exited       chan struct{} // closed at the process's end
 	classes      []Class       // with the deadlines of the configuration file
 	stopping     bool
 
-	nextStall time.Time // when it may be held up again
+	nextStall time.Time // when it may be stalled again
 }
 
 // freeAddress returns an address at which nobody listens, on an IP of the caller's own.
@@ -85,15 +85,15 @@
 
 func (s *sidecar) configPath() string { return filepath.Join(s.directory, "config.json") }
 
-// configure writes the configuration file whole, with deadlines scaled by factor.
+// configure writes the complete configuration file, with deadlines scaled by factor.
 func (s *sidecar) configure(factor float64) error {
 	type class struct {
 		Name           string      `json:"name"`
-		PromiseUs      int64       `json:"promiseUs"`
+		ObjectiveUs    int64       `json:"promiseUs"`
 		HardLimitUs    int64       `json:"hardLimitUs"`
 		Effect         Idempotency `json:"effect"`
 		RepeatWindowUs int64       `json:"repeatWindowUs"`
-		Worth          float64     `json:"worth"`
+		Weight         float64     `json:"worth"`
 	}
 	micros := func(d Span) int64 { return time.Duration(d).Microseconds() }
 	script := s.script
@@ -149,15 +149,15 @@
 	if err := unix.Prlimit(process.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		return fmt.Errorf("soak: limit of descriptors: %w", err)
 	}
-	life, ended := 0, make(chan struct{})
+	index, ended := 0, make(chan struct{})
 	s.recorder.do(func(record *Record) {
-		life = len(record.Processes)
+		index = len(record.Processes)
 		record.Processes = append(record.Processes, Process{Sidecar: s.number, Started: started})
 	})
-	s.process, s.processIndex, s.exited, s.stopping = process, life, ended, false
+	s.process, s.processIndex, s.exited, s.stopping = process, index, ended, false
 	go func() {
 		err := process.Wait()
-		s.note(life, func(l *Process) {
+		s.note(index, func(l *Process) {
 			l.Exited = s.recorder.now()
 			if err != nil && l.Killed == 0 {
 				l.Exit = err.Error()
@@ -165,24 +165,24 @@
 		})
 		close(ended)
 	}()
-	go s.noteReady(ctx, life, ended)
+	go s.noteReady(ctx, index, ended)
 	return nil
 }
 
-// note changes what is recorded of a life.
-func (s *sidecar) note(life int, change func(*Process)) {
-	s.recorder.do(func(record *Record) { change(&record.Processes[life]) })
+// note changes what is recorded of a process.
+func (s *sidecar) note(index int, change func(*Process)) {
+	s.recorder.do(func(record *Record) { change(&record.Processes[index]) })
 }
 
-// noteReady asks a process until it is ready, and records when.
-func (s *sidecar) noteReady(ctx context.Context, life int, ended <-chan struct{}) {
+// noteReady checks a process until it is ready, and records when.
+func (s *sidecar) noteReady(ctx context.Context, index int, ended <-chan struct{}) {
 	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		response, err := client.Get("http://" + s.address + "/_health")
 		if err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				s.note(life, func(l *Process) { l.Ready = s.recorder.now() })
+				s.note(index, func(l *Process) { l.Ready = s.recorder.now() })
 				return
 			}
 		}
@@ -198,7 +198,7 @@
 
 var signalsByName = map[string]syscall.Signal{"TERM": syscall.SIGTERM, "INT": syscall.SIGINT, "HUP": syscall.SIGHUP}
 
-// stop stops the process, and the one after it as well where the event says so.
+// stop stops the process, and its successor as well if the event says so.
 func (s *sidecar) stop(ctx context.Context, e *Event) error {
 	if err := s.stopOnce(ctx, e); err != nil || e.Again == 0 {
 		return err
@@ -207,8 +207,8 @@
 	return s.stopOnce(ctx, e)
 }
 
-// stopOnce sends a series of signals, kills the process at the earliest, unless it has ended
-// by itself, and starts the next one at once.
+// stopOnce sends a series of signals, kills the process at the earliest time allowed unless it
+// has exited, and starts the next one at once.
 func (s *sidecar) stopOnce(ctx context.Context, e *Event) error {
 	s.mu.Lock()
 	if s.stopping {
@@ -222,21 +222,21 @@
 			return err
 		}
 	}
-	process, life, ended, longest := s.process, s.processIndex, s.exited, longestDeadline(s.classes)
+	process, index, ended, longest := s.process, s.processIndex, s.exited, longestDeadline(s.classes)
 	s.mu.Unlock()
-	var told time.Time
+	var signalledAt time.Time
 	for _, name := range e.Signals {
-		if name != "HUP" && told.IsZero() {
-			told = time.Now()
-			s.note(life, func(l *Process) { l.Signalled = s.recorder.now() })
+		if name != "HUP" && signalledAt.IsZero() {
+			signalledAt = time.Now()
+			s.note(index, func(l *Process) { l.Signalled = s.recorder.now() })
 		}
 		process.Process.Signal(signalsByName[name])
 		time.Sleep(time.Duration(e.Gap))
 	}
 	select {
 	case <-ended:
-	case <-time.After(time.Until(told.Add(EarliestKill(longest)))):
-		s.note(life, func(l *Process) { l.Killed = s.recorder.now() })
+	case <-time.After(time.Until(signalledAt.Add(EarliestKill(longest)))):
+		s.note(index, func(l *Process) { l.Killed = s.recorder.now() })
 		process.Process.Kill()
 		<-ended
 	}
@@ -261,8 +261,8 @@
 	return s.process.Process.Signal(syscall.SIGHUP)
 }
 
-// stall holds the process up for a time, unless it was held up a moment ago: two times one
-// right behind the other are one that is longer than the rules allow for.
+// stall stops the process for a time, unless it was stalled a moment ago: two stalls in a row
+// would be one that is longer than the rules allow for.
 func (s *sidecar) stall(limit time.Duration) {
 	s.mu.Lock()
 	process := s.process
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -9,7 +9,7 @@
 
 // Ways in which a client's request ended.
 const (
-	EndAnswered  = "answered"  // a whole answer came
+	EndAnswered  = "answered"  // a complete answer arrived
 	EndClosed    = "closed"    // the connection ended before the first byte of an answer
 	EndTruncated = "truncated" // the connection ended in the middle of an answer
 	EndNothing   = "nothing"   // the client waited to the end of its patience
@@ -40,13 +40,13 @@
 	First     time.Duration // its first byte
 	Last      time.Duration // its last byte; 0: it never came
 	Deadline  time.Duration // what it said it would wait
-	Rejected  bool          // turned away, known not to have run
+	Rejected  bool          // rejected, known not to have run
 	Answer    string        // the body that the server meant to send; empty: none
-	Truncated bool          // the answer was not sent whole
+	Truncated bool          // the answer was not sent completely
 	Repeated  time.Duration // when the answer was sent a second time; 0: it was not
 }
 
-// ListState is what a server is on the list.
+// ListState is the state of a server on the list.
 type ListState string
 
 // The states of a server on the list.
@@ -64,7 +64,7 @@
 	Since  time.Duration // when the server started, for Up; 0: long ago
 }
 
-// Notification is a state that discovery wrote to a sidecar.
+// Notification is a server's state as discovery wrote it to a sidecar.
 type Notification struct {
 	At      time.Duration
 	Sidecar int
@@ -78,10 +78,10 @@
 	Sidecar   int
 	Started   time.Duration
 	Ready     time.Duration // 0: never
-	Signalled time.Duration // the first signal to end; 0: none
-	Exited    time.Duration // 0: it ran to the end
+	Signalled time.Duration // the first signal to terminate; 0: none
+	Exited    time.Duration // 0: it ran to the end of the day
 	Killed    time.Duration // when it was killed; 0: it was not
-	Exit      string        // how it ended by itself, empty: with success
+	Exit      string        // how it exited, empty: with success
 	Panics    int           // in its log
 }
 
@@ -92,11 +92,11 @@
 	Finished time.Duration // when it got its error or close; 0: never
 }
 
-// Outage is a time in which discovery told nothing.
+// Outage is a time in which discovery sent no changes.
 type Outage struct{ From, To time.Duration }
 
-// Served is how many requests were served. A day may be drawn on which none can be; over
-// many days that must be rare.
+// Served returns the number of requests that were served. A script may be drawn with which
+// none can be; over many scripts that must be rare.
 func (r *Record) Served() (served int) {
 	for _, request := range r.Requests {
 		if request.Status == http.StatusOK {
@@ -106,7 +106,7 @@
 	return served
 }
 
-// Record is what a run left.
+// Record is everything that was recorded in a run.
 type Record struct {
 	Length        time.Duration
 	Requests      []Request
@@ -116,5 +116,5 @@
 	Processes     []Process
 	Stalls        []Stall
 	Outages       []Outage
-	Lateness      time.Duration // the most that the recorders themselves ran late
+	Lateness      time.Duration // how late the recorders' own timers ran at most
 }
--- a/internal/soak/script.go
+++ b/internal/soak/script.go
@@ -22,10 +22,10 @@
 	return err
 }
 
-// Idempotency says what repeating a request does, in the words of a sidecar's settings.
+// Idempotency is what repeating a request does, as in a sidecar's settings.
 type Idempotency string
 
-// The effects.
+// The values.
 const (
 	Idempotent       Idempotency = "repeatable"
 	IdempotencyKeyed Idempotency = "by_key"
@@ -46,16 +46,16 @@
 	ModeHang          = "hang"           // takes requests and never answers
 	ModeSilent        = "silent"         // reads nothing; resets what is open at the end
 	ModeDown          = "down"           // refuses connections, resets what is open
-	ModeSlow          = "late"           // answers after a pause
+	ModeSlow          = "late"           // answers after a delay
 	ModeFail          = "fail"           // 500
-	ModeDecline       = "decline"        // turns requests away
+	ModeDecline       = "decline"        // rejects requests
 	ModeResetBefore   = "reset-before"   // resets at a request's first byte
 	ModeResetWithin   = "reset-within"   // resets in the middle of an answer
 	ModeResetAfter    = "reset-after"    // answers, then resets the connection
 	ModeNoLength      = "no-length"      // answers without a length
-	ModeDuplicate     = "twice"          // answers twice, the second time a moment later
+	ModeDuplicate     = "twice"          // answers twice, the second time after a delay
 	ModeEndless       = "endless"        // begins an answer and never ends it
-	ModeResetRequests = "reset-requests" // takes a request whole, then resets
+	ModeResetRequests = "reset-requests" // reads a complete request, then resets
 	ModeIdleClose     = "idle-close"     // closes a connection a moment after its answer
 	ModeForget        = "forget"         // reads nothing more of a connection after an answer
 )
@@ -67,8 +67,8 @@
 // Discovery modes.
 const (
 	DiscoveryServes      = "serves"
-	DiscoveryUnavailable = "away"   // refuses calls, watches end
-	DiscoverySilent      = "silent" // says nothing more, and answers no call
+	DiscoveryUnavailable = "away"   // rejects calls, watches end
+	DiscoverySilent      = "silent" // sends nothing more, and answers no call
 	DiscoverySlow        = "slow"   // answers calls late
 )
 
@@ -78,13 +78,13 @@
 const (
 	EventServerMode    = "server-mode"    // Targets, Mode, For
 	EventServerDrain   = "server-drain"   // Targets
-	EventServerRemove  = "server-remove"  // Targets: gone from the list, and down
-	EventServerReturn  = "server-return"  // Targets: up again under the same name, cold
+	EventServerRemove  = "server-remove"  // Targets: removed from the list, and down
+	EventServerReturn  = "server-return"  // Targets: up again under the same name, in slow start
 	EventServerReset   = "server-reset"   // Targets: resets every open connection
 	EventDiscoveryMode = "discovery-mode" // Mode, For
 	EventStop          = "stop"           // Targets, Signals, Gap: kill at the earliest, restart at once
 	EventReload        = "reload"         // Targets, Factor: the deadlines are scaled by it
-	EventHold          = "hold"           // Targets, For: the process is held up
+	EventHold          = "hold"           // Targets, For: the process is stalled
 )
 
 // Event is something that happens during a script.
@@ -100,15 +100,15 @@
 	Factor  float64  `json:",omitempty"` // of the deadlines, also just before a stop; 0: as they are
 }
 
-// Script is a deployment and its day.
+// Script is a deployment and the events of its day.
 type Script struct {
 	Seed     uint64 `json:"Seed"`
 	Length   Span   `json:"Length"`
 	Sidecars int    `json:"Sidecars"`
 	Servers  int    `json:"Servers"`
 
-	PollsDiscovery bool    `json:"Asked"`      // discovery is asked; else lists are pushed
-	CompleteLists  bool    `json:"WholeLists"` // every change is told by a whole list, without the servers that drain
+	PollsDiscovery bool    `json:"Asked"`      // discovery is polled; else lists are pushed
+	CompleteLists  bool    `json:"WholeLists"` // each change is sent as a complete list, without draining servers
 	DrainGrace     Span    `json:"DrainGrace"`
 	Classes        []Class `json:"Classes"`
 	Attempts       int     `json:"Attempts"`
@@ -118,15 +118,15 @@
 	Workers           int     `json:"Workers"` // of a server
 	Work              Span    `json:"Work"`    // of a request at a warm server
 	Queue             int     `json:"Queue"`
-	SlowStartFraction float64 `json:"ColdFrom"` // share of its capacity that a server which has just started has
+	SlowStartFraction float64 `json:"ColdFrom"` // fraction of its capacity that a server has right after its start
 	SlowStartDuration Span    `json:"ColdFor"`
-	OverloadFactor    float64 `json:"FallsAt"` // multiple of its capacity that fells a cold server
+	OverloadFactor    float64 `json:"FallsAt"` // multiple of its capacity that overloads a server in slow start
 	OverloadDuration  Span    `json:"FallsOver"`
 
 	Clients           int     `json:"Clients"`   // of each sidecar, that send one request after another
 	ThinkTime         Span    `json:"Pause"`     // mean time between a client's requests
-	DisconnectRate    float64 `json:"Leaving"`   // share of requests whose client leaves early
-	ShortDeadlineRate float64 `json:"Impatient"` // share of requests with little time
+	DisconnectRate    float64 `json:"Leaving"`   // fraction of requests whose client disconnects early
+	ShortDeadlineRate float64 `json:"Impatient"` // fraction of requests with a short deadline
 	Stalling          int     `json:"Stalling"`  // clients of each sidecar that stop in the middle of a request and stay
 	Slow              int     `json:"Slow"`      // clients of each sidecar that write slowly
 	IdleConnections   int     `json:"Crowd"`     // idle connections to each sidecar
@@ -148,7 +148,7 @@
 	return longest
 }
 
-// capacityFraction is the share of its capacity that a server has so long after its start.
+// capacityFraction returns the fraction of its capacity that a server has at an age.
 func (s *Script) capacityFraction(age time.Duration) float64 {
 	if age >= time.Duration(s.SlowStartDuration) {
 		return 1
@@ -328,7 +328,7 @@
 	}
 }
 
-// signalSeries are the ways in which a process is told to end.
+// signalSeries are the series of signals by which a process is terminated.
 var signalSeries = [][]string{{"TERM"}, {"TERM"}, {"TERM", "TERM"}, {"HUP", "TERM"}, {"TERM", "HUP", "TERM"},
 	{"HUP", "HUP", "TERM", "INT"}, {"INT"}, {"INT", "HUP"}}
 
@@ -345,7 +345,7 @@
 			stop.Again = d.between(time.Millisecond, 300*time.Millisecond)
 		}
 		d.add(stop)
-		if d.chance(0.6) { // servers hang through the whole of the shutdown
+		if d.chance(0.6) { // servers hang throughout the shutdown
 			d.add(Event{At: max(0, at-d.between(0, 500*time.Millisecond)), Kind: EventServerMode,
 				Targets: d.some(s.Servers, 0.5), Mode: ModeHang, For: Span(5 * time.Second)})
 		}
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// restart makes the server a new process, which is cold.
+// restart makes the server a new process, in slow start.
 func (s *server) restart() error {
 	s.mu.Lock()
 	s.since = s.recorder.now()
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -37,7 +37,7 @@
 }
 
 // Play plays a script and returns what was recorded, and the sidecars' logs. An error says
-// that the world itself failed: the record is worth nothing.
+// that the world itself failed, and the record is invalid.
 func Play(script *Script, options Options) (record *Record, logs []string, err error) {
 	w := &world{script: script, options: options, recorder: newRecorder()}
 	defer func() {
@@ -63,7 +63,7 @@
 	return record, logs, w.failed
 }
 
-// fail notes an error of the world's own.
+// fail records an error of the world itself.
 func (w *world) fail(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,8 +126,8 @@
 	for until := time.Now().Add(maxStart); time.Now().Before(until); time.Sleep(healthInterval) {
 		ready := 0
 		w.recorder.do(func(record *Record) {
-			for _, life := range record.Processes {
-				if life.Ready > 0 || life.Exited > 0 {
+			for _, process := range record.Processes {
+				if process.Ready > 0 || process.Exited > 0 {
 					ready++
 				}
 			}
