--- a/internal/capacity/days.go
+++ b/internal/capacity/days.go
@@ -5,10 +5,10 @@
 	name     string
 	servers  float64 // that are concerned
 	changes  float64 // of the list, for each of them
-	lists    float64 // whole lists that a sidecar takes
+	lists    float64 // complete lists that a sidecar receives
 	lasts    float64 // seconds
 	unheard  float64 // seconds for which commands don't reach those concerned
-	spreadBy string  // metric of MembershipChange that tells how soon it is known; "all": all start; "": none
+	spreadBy string  // metric of MembershipChange for how soon it is known; "all": all start; "": none
 }
 
 // allStart marks an event after which nobody knows anybody.
@@ -32,11 +32,11 @@
 	for _, event := range events {
 		changes := event.servers * event.changes * length / Servers
 		bytes := changes*c.at(ListChange, "bytes on the wire", length).Value +
-			event.lists*length*c.at(WholeList, "bytes of a server on the wire", length).Value
+			event.lists*length*c.at(CompleteList, "bytes of a server on the wire", length).Value
 		processor := changes*c.at(ListChange, "processor time", length).Value/microseconds +
-			event.lists*c.at(WholeList, "processor time", length).Value/milliseconds
+			event.lists*c.at(CompleteList, "processor time", length).Value/milliseconds
 		over := " (" + formatNumber(event.lasts) + " s)"
-		table.row(event.name, formatCount(event.servers), formatNumber(changes), formatNumber(bytes), formatNumber(bytes/event.lasts)+over,
+		table.addLine(event.name, formatCount(event.servers), formatNumber(changes), formatNumber(bytes), formatNumber(bytes/event.lasts)+over,
 			formatNumber(processor*milliseconds)+" ms", formatNumber(100*processor/event.lasts)+over,
 			event.known(c), formatCount(event.unheard*ChangesPerDay/secondsPerDay))
 	}
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -22,6 +22,7 @@
 	Quadratic              // a + b n + c n²
 )
 
+// String returns the name of the curve.
 func (m Model) String() string {
 	return [...]string{"constant", "straight line", "logarithm", "n log n", "power", "quadratic"}[m]
 }
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// round leaves three digits of a value.
+// round rounds a value to three significant digits.
 func round(value float64) float64 {
 	rounded, err := strconv.ParseFloat(strconv.FormatFloat(value, 'g', digits, 64), 64)
 	if err != nil {
--- a/internal/capacity/measure/measure.go
+++ b/internal/capacity/measure/measure.go
@@ -32,7 +32,7 @@
 func HeapInUse() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
-	runtime.GC() // the first one leaves what finalizers and pools still held
+	runtime.GC() // the first run does not free what finalizers and pools still reference
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc
 }
--- a/internal/capacity/measurement.go
+++ b/internal/capacity/measurement.go
@@ -9,7 +9,7 @@
 	Title   string
 	Package string   // of the benchmark, below the module's root
 	Bench   string   // the benchmark's name
-	Flags   []string // of `go test`, beside -run and -bench
+	Flags   []string // of `go test`, besides -run and -bench
 	Cores   int      // GOMAXPROCS of the benchmark's own process; 0: all
 	Metrics []Metric
 }
@@ -87,14 +87,14 @@
 }
 
 // measurementCores bounds the processor time of most measurements, so that they can run
-// beside other work.
+// together with other work.
 const measurementCores = 3
 
 // The names of the measurements, which are those of their files.
 const (
 	Decision         = "decision"
 	ServerList       = "server-list"
-	WholeList        = "whole-list"
+	CompleteList     = "whole-list"
 	RepeatedList     = "repeated-list"
 	ListChange       = "list-change"
 	SidecarList      = "sidecar-list"
@@ -141,7 +141,7 @@
 		},
 	},
 	{
-		Name: WholeList, Title: "A whole server list read, and taken by decisions and connection pool", Package: "internal/sidecar",
+		Name: CompleteList, Title: "A whole server list read, and taken by decisions and connection pool", Package: "internal/sidecar",
 		Bench: "BenchmarkWholeListCapacity", Flags: []string{"-count", "5"}, Cores: measurementCores,
 		Metrics: []Metric{
 			{Name: "processor time", Unit: "sec/op", Size: "servers", Shown: "ms", Factor: milliseconds},
--- a/internal/capacity/mechanisms.go
+++ b/internal/capacity/mechanisms.go
@@ -35,10 +35,10 @@
 	commandBytes := c.at(CommandBytes, "sent to a host", Servers).plus(c.at(CommandBytes, "received from a host", Servers))
 	budget := make(map[string]Estimate)
 	for _, estimate := range budgetEstimates(c) {
-		budget[estimate.Figure] = estimate
+		budget[estimate.Quantity] = estimate
 	}
 	badMinuteProcessor, memory := budget["processor time, bad minute"], budget["resident memory of both"]
-	listBytes := c.at(WholeList, "bytes of a server on the wire", length.usual).times(length.usual / ConvergeSeconds)
+	listBytes := c.at(CompleteList, "bytes of a server on the wire", length.usual).times(length.usual / ConvergeSeconds)
 	const relays = "`internal/fleet/distribution`"
 	const command, peers, watch = "one command (`internal/fleet/control/client`)", "`internal/peers`", "`internal/discovery`"
 	all := []Mechanism{
--- a/internal/capacity/needs.go
+++ b/internal/capacity/needs.go
@@ -40,19 +40,19 @@
 	// sidecarsUsual and maxSidecars are the sidecars of a host.
 	sidecarsUsual = 3
 	maxSidecars   = 10
-	// listChanges is how many changes of the list a restart makes: draining, gone, back.
+	// listChanges is how many changes of the list a restart makes: draining, removed, back.
 	listChanges = 3
-	// badMinute is how many times as many changes of settings as usual come in a bad minute.
-	badMinute = 10
+	// overloadMinute is how many times as many changes of settings as usual come in a bad minute.
+	overloadMinute = 10
 	// rackServers is the servers of a rack.
 	rackServers = 40
 	// controlMachineGigabytes is the memory of a machine that directs changes: that of the
 	// machine of these measurements.
 	controlMachineGigabytes = 24
-	// keyedShare is the share of calls that have a key, and keyMinutes how long keys are
+	// keyedFraction is the share of calls that have a key, and keyMinutes how long keys are
 	// kept.
-	keyedShare = 0.1
-	keyMinutes = 10
+	keyedFraction = 0.1
+	keyMinutes    = 10
 	// recordBytes is the bound of a sidecar's record of keys.
 	recordBytes = 64 << 20
 )
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// The markers between which a table stands in the page.
+// The markers around a table of the page.
 const (
 	markerBegin    = "<!-- table: "
 	markerBeginEnd = " -->"
@@ -14,7 +14,7 @@
 
 // PageError says where the page is not as it must be.
 type PageError struct {
-	Line int // from 1; 0: the page as a whole
+	Line int // from 1; 0: the complete page
 	What string
 }
 
--- a/internal/capacity/results.go
+++ b/internal/capacity/results.go
@@ -26,7 +26,7 @@
 	Date    string
 	Cores   string
 	Go      string
-	Note    string // what a reader has to know beside
+	Note    string // further remarks for the reader
 	Samples []Sample
 }
 
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -4,11 +4,11 @@
 
 // Estimate is a figure at the size that is needed.
 type Estimate struct {
-	Figure string
-	From   string // how it is worked out
-	Value  Interval
-	Unit   string
-	Limit  float64 // in the same unit; 0: none is set
+	Quantity string
+	From     string // how it is worked out
+	Value    Interval
+	Unit     string
+	Limit    float64 // in the same unit; 0: none is set
 }
 
 // needed is how many times the figure goes beyond its limit.
@@ -87,19 +87,19 @@
 // listEstimates are the figures of one length of the list.
 func listEstimates(c *curves, name string, length float64) []Estimate {
 	share := length / Servers
-	perServer := c.at(WholeList, "bytes of a server on the wire", length)
+	perServer := c.at(CompleteList, "bytes of a server on the wire", length)
 	perChange := c.at(ListChange, "bytes on the wire", length).Value
 	changeMicroseconds := c.at(ListChange, "processor time", length)
 	ordinaryChanges := RestartsPerDay * listChanges * share / secondsPerDay
 	zoneChanges := zoneServers * share / ConvergeSeconds
 	return []Estimate{
-		{name + ": heap", "whole-list", c.at(WholeList, "heap of a server", length).times(length / mebibyte), "MiB", controlMebibyte},
+		{name + ": heap", "whole-list", c.at(CompleteList, "heap of a server", length).times(length / mebibyte), "MiB", controlMebibyte},
 		{name + ": bytes, ordinary day", "5,400 restarts, 3 changes each", exactly(ordinaryChanges * perChange), "B/s", ControlBytesPerSecond},
 		{name + ": bytes, a zone lost, over 16 s", "778 changes at once", exactly(zoneChanges * perChange), "B/s", ControlBytesPerSecond},
 		{name + ": bytes, whole list at a start, over 16 s", "whole-list", perServer.times(length / ConvergeSeconds), "B/s", ControlBytesPerSecond},
 		{name + ": processor time, ordinary day", "list-change", changeMicroseconds.times(ordinaryChanges / microseconds * 100), "% of a core", ControlCorePercent},
 		{name + ": processor time, a zone lost, over 16 s", "list-change", changeMicroseconds.times(zoneChanges / microseconds * 100), "% of a core", ControlCorePercent},
-		{name + ": processor time, whole list at a start, over 16 s", "whole-list", c.at(WholeList, "processor time", length).times(100 / milliseconds / ConvergeSeconds), "% of a core", ControlCorePercent},
+		{name + ": processor time, whole list at a start, over 16 s", "whole-list", c.at(CompleteList, "processor time", length).times(100 / milliseconds / ConvergeSeconds), "% of a core", ControlCorePercent},
 	}
 }
 
@@ -185,7 +185,7 @@
 	ordinary := float64(ChangesPerDay) / minutesPerDay
 	return append(estimates,
 		Estimate{"one sidecar, 9 changes of settings a minute: processor time", "settings-change", c.at(SettingsChange, "processor time of the agent", ordinary), "% of a core", ControlCorePercent},
-		Estimate{"one sidecar, 90 changes a minute: processor time", "settings-change", c.at(SettingsChange, "processor time of the agent", badMinute*ordinary), "% of a core", ControlCorePercent},
+		Estimate{"one sidecar, 90 changes a minute: processor time", "settings-change", c.at(SettingsChange, "processor time of the agent", overloadMinute*ordinary), "% of a core", ControlCorePercent},
 		Estimate{"one sidecar, 9 changes a minute: resident memory", "settings-change", c.at(SettingsChange, "resident memory of the agent", ordinary), "MiB", controlMebibyte},
 		Estimate{"messages to each sidecar, on the host itself", "intervals in the code: health 1 s, metrics 10 s", exactly(1.1), "calls/s", 0},
 		Estimate{"10 sidecars: descriptors", "agent", c.at(Agent, "descriptors of the agent", maxSidecars), "descriptors", ProcessDescriptors})
@@ -205,7 +205,7 @@
 }
 
 func keysEstimates(c *curves) []Estimate {
-	keyed := callsPerSidecar * keyedShare
+	keyed := callsPerSidecar * keyedFraction
 	keys := keyed * keyMinutes * 60
 	commits := c.at(Keys, "one key's three commits", keys)
 	return []Estimate{
@@ -218,7 +218,7 @@
 
 func returnEstimates(c *curves) []Estimate {
 	usual := assumedLists().usual
-	perServer := c.at(WholeList, "bytes of a server on the wire", usual)
+	perServer := c.at(CompleteList, "bytes of a server on the wire", usual)
 	return []Estimate{
 		{"nine tenths of the worth served again, alone", "power-return, 21,000 sidecars", c.at(PowerReturn, "nine tenths of the worth served, alone", Servers), "s", 0},
 		{"nine tenths of the worth served again, sharing", "power-return, 21,000 sidecars", c.at(PowerReturn, "nine tenths of the worth served, sharing", Servers), "s", 0},
@@ -250,7 +250,7 @@
 	return []Estimate{
 		{"processor time at rest", "sidecar-list, agent", rest, "% of a core", ControlCorePercent},
 		{"processor time, ordinary minute", "and 9 changes of settings that concern it, 5,400 restarts a day", rest.plus(settings(ordinary)).plus(listShare(ordinaryListChanges)), "% of a core", ControlCorePercent},
-		{"processor time, bad minute", "and 90 changes of settings, a zone lost", rest.plus(settings(badMinute * ordinary)).plus(listShare(badListChanges)), "% of a core", ControlCorePercent},
+		{"processor time, bad minute", "and 90 changes of settings, a zone lost", rest.plus(settings(overloadMinute * ordinary)).plus(listShare(badListChanges)), "% of a core", ControlCorePercent},
 		{"resident memory of both", "sidecar-list, settings-change", memory, "MiB", controlMebibyte},
 		{"bytes, ordinary minute, without settings", "list changes", changeBytes.times(ordinaryListChanges * share), "B/s", ControlBytesPerSecond},
 		{"the same with membership on", "its ceiling added", changeBytes.times(ordinaryListChanges * share).plus(exactly(membershipCeiling)), "B/s", ControlBytesPerSecond},
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -74,21 +74,21 @@
 // markdown is a table, line by line.
 type markdown struct{ text strings.Builder }
 
-// row adds a line.
-func (m *markdown) row(cells ...string) {
+// addLine adds a line of cells.
+func (m *markdown) addLine(cells ...string) {
 	m.text.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
 // head adds the first line.
 func (m *markdown) head(cells ...string) {
-	m.row(cells...)
-	m.row(slices.Repeat([]string{"---"}, len(cells))...)
+	m.addLine(cells...)
+	m.addLine(slices.Repeat([]string{"---"}, len(cells))...)
 }
 
 func needsTable() string {
 	var table markdown
 	table.head("need or limit", "figure")
-	for _, need := range []struct{ name, figure string }{
+	for _, need := range []struct{ name, value string }{
 		{"servers, each with its sidecar", formatCount(Servers)},
 		{"services", formatCount(Services)},
 		{"regions; zones; servers of a zone, mean", fmt.Sprintf("%d; %d; %s", Regions, Zones, formatCount(zoneServers))},
@@ -104,12 +104,12 @@
 		{"descriptors of a process", formatCount(ProcessDescriptors)},
 		{"machines that fail a day; that are restarted or replaced", fmt.Sprintf("%d; %s", FailuresPerDay, formatCount(RestartsPerDay))},
 	} {
-		table.row(need.name, need.figure)
+		table.addLine(need.name, need.value)
 	}
 	return table.text.String()
 }
 
-// formatCount shows a whole number with all its digits.
+// formatCount formats an integer with all its digits.
 func formatCount(count float64) string { return withCommas(math.Round(count)) }
 
 func servicesTable() string {
@@ -117,18 +117,18 @@
 	length := assumedLists()
 	var table markdown
 	table.head("assumed", "figure")
-	table.row("servers of the 1st, 2nd, 3rd, 10th, 100th largest service", strings.Join(
+	table.addLine("servers of the 1st, 2nd, 3rd, 10th, 100th largest service", strings.Join(
 		[]string{count(sizes[0]), count(sizes[1]), count(sizes[2]), count(sizes[9]), count(sizes[99])}, ", "))
-	table.row("servers of the median and of the smallest service", count(sizes[len(sizes)/2])+", "+count(sizes[len(sizes)-1]))
-	table.row("servers of all services; of the ten largest", count(sum(sizes))+"; "+count(sum(sizes[:10])))
-	table.row("services that a sidecar calls, usually; at most", fmt.Sprintf("%d; %d", servicesCalled, maxServicesCalled))
-	table.row("servers of a called service, mean", formatCount(calledServers(sizes)))
-	table.row("servers on the list of a sidecar that calls 5 services; 20 services", formatCount(length.usual)+"; "+formatCount(length.many))
-	table.row("sidecars that call the largest service", formatCount(callersOfLargest(sizes)))
-	table.row("sidecars of a host, mean; at most", fmt.Sprintf("%d; %d", sidecarsUsual, maxSidecars))
-	table.row("hosts, each with an agent: at the mean; at the worst, which the page counts with", formatCount(Servers/sidecarsUsual)+"; "+formatCount(Servers))
-	table.row("servers of a rack", count(rackServers))
-	table.row("changes of the list for each restart", count(listChanges))
+	table.addLine("servers of the median and of the smallest service", count(sizes[len(sizes)/2])+", "+count(sizes[len(sizes)-1]))
+	table.addLine("servers of all services; of the ten largest", count(sum(sizes))+"; "+count(sum(sizes[:10])))
+	table.addLine("services that a sidecar calls, usually; at most", fmt.Sprintf("%d; %d", servicesCalled, maxServicesCalled))
+	table.addLine("servers of a called service, mean", formatCount(calledServers(sizes)))
+	table.addLine("servers on the list of a sidecar that calls 5 services; 20 services", formatCount(length.usual)+"; "+formatCount(length.many))
+	table.addLine("sidecars that call the largest service", formatCount(callersOfLargest(sizes)))
+	table.addLine("sidecars of a host, mean; at most", fmt.Sprintf("%d; %d", sidecarsUsual, maxSidecars))
+	table.addLine("hosts, each with an agent: at the mean; at the worst, which the page counts with", formatCount(Servers/sidecarsUsual)+"; "+formatCount(Servers))
+	table.addLine("servers of a rack", count(rackServers))
+	table.addLine("changes of the list for each restart", count(listChanges))
 	return table.text.String()
 }
 
@@ -148,7 +148,7 @@
 		if estimate.Limit > 0 {
 			limit, factor = formatNumber(estimate.Limit), formatFactor(estimate.needed())
 		}
-		table.row(estimate.Figure, estimate.From, estimate.shown(), estimate.Unit, limit, factor)
+		table.addLine(estimate.Quantity, estimate.From, estimate.shown(), estimate.Unit, limit, factor)
 	}
 	return table.text.String(), t.curves.err
 }
@@ -181,11 +181,11 @@
 	table.head("needed/there", "need", "needed", "there", "unit", "carried by", "remark")
 	for _, one := range all {
 		if one.Carrier == "" {
-			table.row(formatFactor(one.Factor), one.Need, "", "", "", "none", one.Remark)
+			table.addLine(formatFactor(one.Factor), one.Need, "", "", "", "none", one.Remark)
 			continue
 		}
 		there := Estimate{Value: exactly(one.There.Value), Unit: one.Unit}
-		table.row(formatFactor(one.Factor), one.Need, formatNumber(one.Needed), there.shown(), one.Unit, one.Carrier, one.Remark)
+		table.addLine(formatFactor(one.Factor), one.Need, formatNumber(one.Needed), there.shown(), one.Unit, one.Carrier, one.Remark)
 	}
 	return table.text.String()
 }
@@ -199,7 +199,7 @@
 	return text + "\n\n"
 }
 
-// measured is the results of a measurement.
+// measured returns the results of a measurement.
 func (t *Tables) measured(table, name string) (*Measured, error) {
 	if measured := t.results[name]; measured != nil {
 		return measured, nil
@@ -228,7 +228,7 @@
 		for _, column := range columns {
 			cells = append(cells, group.median(column))
 		}
-		table.row(cells...)
+		table.addLine(cells...)
 	}
 	return provenance(measured) + table.text.String(), nil
 }
@@ -281,7 +281,7 @@
 	return groups
 }
 
-// seedParameter tells repeated samples of the model apart.
+// seedParameter distinguishes repeated samples of the model.
 const seedParameter = "seed"
 
 func parameterName(parameters map[string]string) string {
@@ -326,7 +326,7 @@
 	table.head("metric", "unit", "by", "sizes", "curve", "slope (95 %)", "fixed part (95 %)", "R²", "at 21,000 (95 %)", "as a straight line")
 	for _, metric := range planned.Metrics {
 		if metric.NoFit != "" {
-			table.row(metric.Name, metric.unit(), metric.Size, "", "no curve: "+metric.NoFit, "", "", "", "", "")
+			table.addLine(metric.Name, metric.unit(), metric.Size, "", "no curve: "+metric.NoFit, "", "", "", "", "")
 			continue
 		}
 		fit, err := t.curves.fit(name, metric.Name)
@@ -346,7 +346,7 @@
 			straight = formatNumber(line.At(Servers).Value)
 		}
 		sizes := fmt.Sprintf("%s to %s, %d points", formatNumber(fit.Smallest), formatNumber(fit.Largest), fit.Points)
-		table.row(metric.Name, metric.unit(), metric.Size, sizes, fit.Model.String(), fit.slope(), fit.fixed(), fit.goodness(), at, straight)
+		table.addLine(metric.Name, metric.unit(), metric.Size, sizes, fit.Model.String(), fit.slope(), fit.fixed(), fit.goodness(), at, straight)
 	}
 	return table.text.String(), nil
 }
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -32,7 +32,7 @@
 
 // FormError says that the file is not in its form.
 type FormError struct {
-	Line int // from 1; 0: the file as a whole
+	Line int // from 1; 0: the complete file
 	What string
 }
 
--- a/internal/fleet/e2e/fleet_test.go
+++ b/internal/fleet/e2e/fleet_test.go
@@ -936,7 +936,7 @@
 	}
 	text := strings.Replace(string(b), filepath.Join(w.bin, "sidecar"), sidecar, 1) + fmt.Sprintf("record = %q\n", file)
 	os.WriteFile(h.config, []byte(text), 0o600)
-	pg.SetRefuse(true)
+	pg.SetRejecting(true)
 	w.startAll()
 	says := func(command, want string) {
 		t.Helper()
@@ -963,7 +963,7 @@
 		out, _, _ := w.command("list")
 		return strings.Contains(out, "its store of record is away")
 	})
-	pg.SetRefuse(false)
+	pg.SetRejecting(false)
 	says("inspect h0-i0", "postgres; breaker=closed")
 }
 
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -32,7 +32,7 @@
 // cold.
 type plant struct {
 	*world
-	ramp *shop.Ramp
+	ramp *shop.SlowStart
 	mesh *faultnet.Mesh
 	rank map[string]int
 }
@@ -53,7 +53,7 @@
 // newSlowPlant has so long between the waves of a return.
 func newSlowPlant(t *testing.T, hosts, each int, parts string, wave time.Duration) *plant {
 	t.Helper()
-	p := &plant{rank: make(map[string]int), ramp: &shop.Ramp{
+	p := &plant{rank: make(map[string]int), ramp: &shop.SlowStart{
 		Workers: 4, Work: 40 * time.Millisecond, Queue: 20, From: 0.14, For: 6 * time.Second, Factor: 4, Window: time.Second,
 	}}
 	servers := max(4, hosts*each/5)
--- a/internal/fleet/store/postgres/postgres_test.go
+++ b/internal/fleet/store/postgres/postgres_test.go
@@ -107,7 +107,7 @@
 	s := mustOpen(t, cfg, "host-a")
 	for name, day := range map[string]func(){
 		"hung":     func() { srv.Inject(func(pgserver.Event) pgserver.Fault { return pgserver.Fault{Stall: true} }) },
-		"gone":     func() { srv.SetRefuse(true); srv.ResetAll() },
+		"gone":     func() { srv.SetRejecting(true); srv.ResetAll() },
 		"readonly": func() { srv.SetReadOnly(true) },
 	} {
 		day()
@@ -123,7 +123,7 @@
 		}
 		cancel()
 		srv.Inject(nil)
-		srv.SetRefuse(false)
+		srv.SetRejecting(false)
 		srv.SetReadOnly(false)
 		if got, err := s.Load(ctx); err != nil || len(got.Instances) != 0 {
 			t.Errorf("%s: %+v %v", name, got, err)
--- a/internal/hollow/authority.go
+++ b/internal/hollow/authority.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// certificateLife is how long a hollow fleet's certificates are good for.
-const certificateLife = 24 * time.Hour
+// certificateTTL is how long a hollow fleet's certificates are good for.
+const certificateTTL = 24 * time.Hour
 
 // Authority issues certificates of a fleet's CA that pki.Init made. One key serves all: it
 // saves the time to make thousands of them.
@@ -72,7 +72,7 @@
 func (a *Authority) issue(name string, serial int64, addresses []net.IP, now time.Time) ([]byte, error) {
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: name},
-		NotBefore: now.Add(-time.Minute), NotAfter: now.Add(certificateLife),
+		NotBefore: now.Add(-time.Minute), NotAfter: now.Add(certificateTTL),
 		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 		IPAddresses: addresses,
--- a/internal/hollow/subscriber.go
+++ b/internal/hollow/subscriber.go
@@ -15,16 +15,16 @@
 // maxMessage bounds a message of a connection to a relay, as agents bound it.
 const maxMessage = 2 << 20
 
-// SubscriberConfig is what a Subscriber is told.
+// SubscriberConfig is the configuration of a Subscriber.
 type SubscriberConfig struct {
 	Host     Host
 	Relays   []distribution.Relay
 	TLS      *tls.Config
 	Coalesce time.Duration // how long a change waits for others
 	Accept   time.Duration // that the instance takes to accept settings
-	// Accepted is told of each resource that the instance took. It must not call back.
+	// Accepted is called for each resource that the instance accepted. It must not call back.
 	Accepted func(resource distribution.Resource, at time.Time)
-	// Settled is told once the copy holds the fleet's state and the instance has accepted it,
+	// Settled is called once the copy holds the fleet's state and the instance has accepted it,
 	// the first time only. It must not call back.
 	Settled func(at time.Time)
 }
@@ -38,9 +38,9 @@
 	mu       sync.Mutex
 	replica  *distribution.Replica
 	applier  *distribution.Applier
-	accepted map[string]distribution.Revision // that Accepted was told of
+	accepted map[string]distribution.Revision // for which Accepted was called
 	applied  distribution.Revision            // the last at which the instance was settled
-	settled  bool                             // Settled was told
+	settled  bool                             // Settled was called
 	trying   bool                             // the instance has settings that it did not accept yet
 	timer    *time.Timer                      // of the next step; nil: none
 	closed   bool
@@ -173,7 +173,8 @@
 	return true
 }
 
-// noteSettled tells when the whole state is in force for the first time; the lock is held.
+// noteSettled calls Settled when the complete state is in force for the first time. The lock
+// is held.
 func (s *Subscriber) noteSettled(now time.Time) {
 	if s.settled || s.replica.Revision().IsZero() || s.applier.Pending() {
 		return
--- a/internal/hollow/usage.go
+++ b/internal/hollow/usage.go
@@ -21,7 +21,7 @@
 // clockTick is the unit of processor times in /proc on Linux.
 const clockTick = 10 * time.Millisecond
 
-// ReadUsage asks the kernel about a process.
+// ReadUsage reads a process's usage from the kernel.
 func ReadUsage(pid int) (Usage, error) {
 	var usage Usage
 	folder := fmt.Sprintf("/proc/%d", pid)
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -12,7 +12,7 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// WorkerConfig is what a process of hollow subscribers is told.
+// WorkerConfig is the configuration of a process of hollow subscribers.
 type WorkerConfig struct {
 	Authority string               `json:"authority"` // the folder of the CA
 	Serial    int64                `json:"serial"`    // certificates' serial numbers begin here
@@ -22,7 +22,7 @@
 	Accept    time.Duration        `json:"accept"`
 }
 
-// Command is what a worker is asked to do.
+// Command is a request to a worker.
 type Command string
 
 // Commands of a worker. It ends when its standard input does.
@@ -51,7 +51,7 @@
 	// Accepted holds for each change of the request when instances accepted it, as Unix times
 	// in microseconds.
 	Accepted [][]int64 `json:"accepted,omitempty"`
-	Settled  []int64   `json:"settled,omitempty"` // when each had the whole state first
+	Settled  []int64   `json:"settled,omitempty"` // when each had the complete state first
 }
 
 // Worker holds the subscribers of one process.
--- a/internal/idempotency/e2e/away_test.go
+++ b/internal/idempotency/e2e/away_test.go
@@ -341,7 +341,7 @@
 			"going down": {func(p *pgserver.Server) {
 				p.Inject(func(pgserver.Event) pgserver.Fault { return pgserver.Fault{Code: "57P01"} })
 			}, func(p *pgserver.Server) { p.Inject(nil) }},
-			"unreachable": {func(p *pgserver.Server) { p.SetRefuse(true); p.ResetAll() }, func(p *pgserver.Server) { p.SetRefuse(false) }},
+			"unreachable": {func(p *pgserver.Server) { p.SetRejecting(true); p.ResetAll() }, func(p *pgserver.Server) { p.SetRejecting(false) }},
 			"read-only":   {func(p *pgserver.Server) { p.SetReadOnly(true) }, func(p *pgserver.Server) { p.SetReadOnly(false) }},
 		} {
 			t.Run(name, func(t *testing.T) {
--- a/internal/idempotency/e2e/program_test.go
+++ b/internal/idempotency/e2e/program_test.go
@@ -120,13 +120,13 @@
 		}
 	}
 	q := request{class: "activate", key: "896211"}
-	pg.SetRefuse(true)
+	pg.SetRejecting(true)
 	_, _, first := run(1)
 	say(first, "postgres; ")
 	if a, err := ask(first, q, nil); err != nil || a.status != http.StatusServiceUnavailable || w.ran(q) > 0 {
 		t.Errorf("%+v %v", a, err)
 	}
-	pg.SetRefuse(false)
+	pg.SetRejecting(false)
 	_, _, second := run(2)
 	say(second, "breaker=closed")
 	say(first, "breaker=closed")
--- a/internal/idempotency/postgres/postgres_test.go
+++ b/internal/idempotency/postgres/postgres_test.go
@@ -162,7 +162,7 @@
 		"serialization": {func() { srv.Inject(always(pgserver.Fault{Code: "40001"})) }, func() { srv.Inject(nil) }, "40001"},
 		"no room":       {func() { srv.Inject(always(pgserver.Fault{Code: "53100"})) }, func() { srv.Inject(nil) }, "full"},
 		"read-only":     {func() { srv.SetReadOnly(true) }, func() { srv.SetReadOnly(false) }, "name the primary"},
-		"starting up":   {func() { srv.SetRefuse(true); srv.ResetAll() }, func() { srv.SetRefuse(false) }, "57P03"},
+		"starting up":   {func() { srv.SetRejecting(true); srv.ResetAll() }, func() { srv.SetRejecting(false) }, "57P03"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n++
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -30,7 +30,7 @@
 				t.Parallel()
 				var got atomic.Int64
 				ended := make(chan struct{})
-				addr, open := tcp.Late(t, func(_ int, c net.Conn) {
+				addr, open := tcp.Delayed(t, func(_ int, c net.Conn) {
 					n, _ := io.Copy(io.Discard, c)
 					got.Add(n)
 					close(ended)
@@ -68,7 +68,7 @@
 		return false // it may have run
 	})
 	var got atomic.Int64
-	late, open := tcp.Late(t, func(_ int, c net.Conn) {
+	late, open := tcp.Delayed(t, func(_ int, c net.Conn) {
 		n, _ := io.Copy(io.Discard, c)
 		got.Add(n)
 	})
--- a/internal/standin/faultnet/faultnet.go
+++ b/internal/standin/faultnet/faultnet.go
@@ -35,7 +35,7 @@
 	// Stall keeps connections open and passes nothing these ways. What was sent
 	// meanwhile arrives once it ends; datagrams are lost.
 	Stall Way
-	// Delay holds back each piece for so long, and up to Jitter more. Order is kept.
+	// Delay holds back each piece for so long, and up to Jitter more. The order is preserved.
 	Delay, Jitter time.Duration
 	// Loss is the share of datagrams lost, Double of those that come twice.
 	Loss, Double float64
@@ -97,7 +97,7 @@
 	done     chan struct{}
 }
 
-// end closes both sides, by a reset where asked to.
+// end closes both sides, by a reset if requested.
 func (p *pair) end(reset bool) {
 	p.once.Do(func() {
 		for _, c := range []net.Conn{p.from, p.to} {
@@ -185,7 +185,7 @@
 	n.wg.Wait()
 }
 
-// Mark tells the script that something has happened.
+// Mark notifies the script of an event.
 func (n *Net) Mark(event string) {
 	n.mu.Lock()
 	n.marks[event]++
--- a/internal/standin/pgserver/pgserver_test.go
+++ b/internal/standin/pgserver/pgserver_test.go
@@ -273,7 +273,7 @@
 	if _, err := pgx.Connect(ctx, s.URL()); code(err) != "53300" {
 		t.Error(err)
 	}
-	s.SetRefuse(true)
+	s.SetRejecting(true)
 	if _, err := pgx.Connect(ctx, s.URL()); code(err) != "57P03" {
 		t.Error(err)
 	}
--- a/internal/standin/pgserver/server.go
+++ b/internal/standin/pgserver/server.go
@@ -36,20 +36,20 @@
 	Dir            string      // of the database, which outlives the server; "": its own
 }
 
-// Stage is where a statement stands.
+// Stage is how far a statement has come.
 type Stage string
 
 const (
 	Before Stage = "before" // it has not been carried out
-	After  Stage = "after"  // it has, and its reply has not gone out
+	After  Stage = "after"  // it has, and its reply has not been sent
 )
 
 // Event is a statement at a stage. N counts all events of the server from 1.
 type Event struct {
-	N     int64
-	Conn  int64 // counts from 1
-	Stage Stage
-	SQL   string
+	Number int64
+	Conn   int64 // counts from 1
+	Stage  Stage
+	SQL    string
 }
 
 // Fault is what happens to a statement. The zero Fault is none.
@@ -73,12 +73,12 @@
 
 	events, conns atomic.Int64
 
-	mu       sync.Mutex
-	open     map[*session]struct{}
-	inject   func(Event) Fault
-	readOnly bool
-	skew     time.Duration
-	refuse   bool // connections are turned away
+	mu        sync.Mutex
+	open      map[*session]struct{}
+	inject    func(Event) Fault
+	readOnly  bool
+	skew      time.Duration
+	rejecting bool // new connections are rejected
 }
 
 // servers finds a server for the SQL functions that need one.
@@ -154,7 +154,7 @@
 	return fmt.Sprintf("postgres://%s@%s/app?sslmode=%s", s.cfg.User, s.Addr(), mode)
 }
 
-// Inject sets what is asked for each event, nil for no faults. It is called from the
+// Inject sets the function that is called for each event, nil for no faults. It is called from the
 // connections' goroutines.
 func (s *Server) Inject(f func(Event) Fault) {
 	s.mu.Lock()
@@ -176,11 +176,11 @@
 	s.skew = d
 }
 
-// SetRefuse makes the server turn new connections away, as one does that starts up.
-func (s *Server) SetRefuse(on bool) {
+// SetRejecting makes the server turn new connections away, as one does that starts up.
+func (s *Server) SetRejecting(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refuse = on
+	s.rejecting = on
 }
 
 // ResetAll resets all connections.
@@ -259,16 +259,16 @@
 			start = m
 		}
 	}
-	c := &session{srv: s, raw: raw, nc: nc, b: b, n: s.conns.Add(1), statements: make(map[string]*statement), portals: make(map[string]*portal)}
+	c := &session{srv: s, raw: raw, nc: nc, backend: b, eventCount: s.conns.Add(1), statements: make(map[string]*statement), portals: make(map[string]*portal)}
 	var key [8]byte
 	rand.Read(key[:])
-	c.pid, c.secret = uint32(c.n), key[:4]
+	c.pid, c.secret = uint32(c.eventCount), key[:4]
 	fatal := func(code, text string) {
 		b.Send(&pgproto3.ErrorResponse{Severity: "FATAL", SeverityUnlocalized: "FATAL", Code: code, Message: text})
 		b.Flush()
 	}
 	s.mu.Lock()
-	refuse, crowded := s.refuse, len(s.open) >= s.cfg.MaxConns
+	refuse, crowded := s.rejecting, len(s.open) >= s.cfg.MaxConns
 	if !refuse && !crowded {
 		s.open[c] = struct{}{}
 	}
@@ -354,7 +354,7 @@
 			return errors.New("no SASL response")
 		}
 		if say, err = talk.Step(string(last.Data)); err != nil || !talk.Valid() {
-			return errors.New("wrong password")
+			return errors.New("pgserver: wrong password")
 		}
 		b.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(say)})
 	}
@@ -362,7 +362,7 @@
 	return nil
 }
 
-// cancel carries out a cancel request: the key tells whose.
+// cancel carries out a cancel request; the key identifies the session.
 func (s *Server) cancel(m *pgproto3.CancelRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -386,7 +386,7 @@
 	return s.readOnly
 }
 
-// fault asks what happens to a statement.
+// fault returns the injected fault of a statement.
 func (s *Server) fault(c *session, stage Stage, text string) Fault {
 	n := s.events.Add(1)
 	s.mu.Lock()
@@ -395,5 +395,5 @@
 	if inject == nil {
 		return Fault{}
 	}
-	return inject(Event{N: n, Conn: c.n, Stage: stage, SQL: text})
+	return inject(Event{Number: n, Conn: c.eventCount, Stage: stage, SQL: text})
 }
--- a/internal/standin/pgserver/session.go
+++ b/internal/standin/pgserver/session.go
@@ -19,14 +19,14 @@
 
 // session is one connection, served by one goroutine.
 type session struct {
-	srv     *Server
-	raw, nc net.Conn
-	b       *pgproto3.Backend
-	db      *sql.Conn
-	n       int64
-	pid     uint32
-	secret  []byte
-	timeout time.Duration // of a statement; 0: none
+	srv        *Server
+	raw, nc    net.Conn
+	backend    *pgproto3.Backend
+	db         *sql.Conn
+	eventCount int64
+	pid        uint32
+	secret     []byte
+	timeout    time.Duration // of a statement; 0: none
 
 	statements map[string]*statement
 	portals    map[string]*portal
@@ -58,8 +58,8 @@
 
 func (f *failure) Error() string { return f.code + ": " + f.text }
 
-// errGone ends a session.
-var errGone = errors.New("pgserver: the connection is over")
+// errClosed ends a session.
+var errClosed = errors.New("pgserver: the connection is over")
 
 func parseTimeout(ms string) (time.Duration, error) {
 	if ms == "" {
@@ -92,14 +92,14 @@
 func (c *session) run() {
 	c.status = 'I'
 	defer func() {
-		if c.status != 'I' { // its connection is gone: what it had begun is undone
+		if c.status != 'I' { // its connection is closed: roll back what it had begun
 			ctx, cancel := context.WithTimeout(context.Background(), maxStart)
 			c.db.ExecContext(ctx, "ROLLBACK")
 			cancel()
 		}
 	}()
 	for {
-		m, err := c.b.Receive()
+		m, err := c.backend.Receive()
 		if err != nil {
 			return
 		}
@@ -110,7 +110,7 @@
 			continue
 		}
 		err = c.handle(m)
-		if errors.Is(err, errGone) {
+		if errors.Is(err, errClosed) {
 			return
 		}
 		if err != nil {
@@ -125,14 +125,14 @@
 		}
 		switch m.(type) {
 		case *pgproto3.Sync, *pgproto3.Query, *pgproto3.Flush:
-			if c.b.Flush() != nil {
+			if c.backend.Flush() != nil {
 				return
 			}
 		}
 	}
 }
 
-func (c *session) ready() { c.b.Send(&pgproto3.ReadyForQuery{TxStatus: c.status}) }
+func (c *session) ready() { c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.status}) }
 
 // fail sends an error; false if it ends the session.
 func (c *session) fail(err error) (goesOn bool) {
@@ -141,9 +141,9 @@
 	if strings.HasPrefix(f.code, "57P") {
 		severity = "FATAL"
 	}
-	c.b.Send(&pgproto3.ErrorResponse{Severity: severity, SeverityUnlocalized: severity, Code: f.code, Message: f.text})
+	c.backend.Send(&pgproto3.ErrorResponse{Severity: severity, SeverityUnlocalized: severity, Code: f.code, Message: f.text})
 	if severity == "FATAL" {
-		c.b.Flush()
+		c.backend.Flush()
 		return false
 	}
 	if c.status == 'T' {
@@ -188,7 +188,7 @@
 			return err
 		}
 		c.statements[m.Name] = &statement{q}
-		c.b.Send(&pgproto3.ParseComplete{})
+		c.backend.Send(&pgproto3.ParseComplete{})
 	case *pgproto3.Describe:
 		return c.describe(m)
 	case *pgproto3.Bind:
@@ -205,14 +205,14 @@
 		} else {
 			delete(c.portals, m.Name)
 		}
-		c.b.Send(&pgproto3.CloseComplete{})
+		c.backend.Send(&pgproto3.CloseComplete{})
 	case *pgproto3.Sync:
 		c.skipping = false
 		clear(c.portals)
 		c.ready()
 	case *pgproto3.Flush:
 	case *pgproto3.Terminate:
-		return errGone
+		return errClosed
 	default:
 		return &failure{"0A000", fmt.Sprintf("the stand-in does not take %T", m)}
 	}
@@ -223,7 +223,7 @@
 func (c *session) simple(text string) error {
 	parts := split(text)
 	if len(parts) == 0 {
-		c.b.Send(&pgproto3.EmptyQueryResponse{})
+		c.backend.Send(&pgproto3.EmptyQueryResponse{})
 	}
 	for _, part := range parts {
 		q, err := c.srv.parse(part, nil)
@@ -234,7 +234,7 @@
 			return &failure{"42P02", "there is no parameter $1"}
 		}
 		if len(q.columns) > 0 {
-			c.b.Send(q.description(nil))
+			c.backend.Send(q.description(nil))
 		}
 		if err := c.execute(&portal{query: q}); err != nil {
 			return err
@@ -253,7 +253,7 @@
 			return &failure{"26000", fmt.Sprintf("prepared statement %q does not exist", m.Name)}
 		}
 		q = s.query
-		c.b.Send(&pgproto3.ParameterDescription{ParameterOIDs: q.params})
+		c.backend.Send(&pgproto3.ParameterDescription{ParameterOIDs: q.params})
 	} else {
 		p := c.portals[m.Name]
 		if p == nil {
@@ -262,9 +262,9 @@
 		q, formats = p.query, p.formats
 	}
 	if len(q.columns) == 0 {
-		c.b.Send(&pgproto3.NoData{})
+		c.backend.Send(&pgproto3.NoData{})
 	} else {
-		c.b.Send(q.description(formats))
+		c.backend.Send(q.description(formats))
 	}
 	return nil
 }
@@ -297,7 +297,7 @@
 		p.args = append(p.args, v)
 	}
 	c.portals[m.DestinationPortal] = p
-	c.b.Send(&pgproto3.BindComplete{})
+	c.backend.Send(&pgproto3.BindComplete{})
 	return nil
 }
 
@@ -367,9 +367,9 @@
 			}
 			out = append(out, b)
 		}
-		c.b.Send(&pgproto3.DataRow{Values: out})
+		c.backend.Send(&pgproto3.DataRow{Values: out})
 	}
-	c.b.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
+	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 	return nil
 }
 
@@ -384,7 +384,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-c.srv.end:
-			return errGone
+			return errClosed
 		}
 	}
 	switch {
@@ -395,10 +395,10 @@
 			return ctx.Err()
 		case <-c.srv.end:
 		}
-		return errGone
+		return errClosed
 	case f.Reset:
 		c.reset()
-		return errGone
+		return errClosed
 	case f.Code != "":
 		return &failure{f.Code, "injected"}
 	}
@@ -412,7 +412,7 @@
 	switch p.kind {
 	case begin:
 		if c.status != 'I' {
-			c.b.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25001", Message: "there is already a transaction in progress"})
+			c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25001", Message: "there is already a transaction in progress"})
 			return nil, "BEGIN", nil
 		}
 		if _, err := c.db.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
@@ -423,7 +423,7 @@
 	case commit, rollback:
 		was := c.status
 		if was == 'I' {
-			c.b.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25P01", Message: "there is no transaction in progress"})
+			c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25P01", Message: "there is no transaction in progress"})
 			return nil, strings.ToUpper(p.kind), nil
 		}
 		if was == 'E' || p.kind == rollback {
--- a/internal/standin/pgserver/sql.go
+++ b/internal/standin/pgserver/sql.go
@@ -85,8 +85,8 @@
 					break
 				}
 			}
-		case isWord(c) || c == '$':
-			for j < len(text) && isWord(text[j]) {
+		case isIdentifier(c) || c == '$':
+			for j < len(text) && isIdentifier(text[j]) {
 				j++
 			}
 		case c == ':' && strings.HasPrefix(text[i:], "::"):
@@ -101,7 +101,7 @@
 	return out, nil
 }
 
-func isWord(c byte) bool {
+func isIdentifier(c byte) bool {
 	return c == '_' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
 }
 
@@ -185,7 +185,7 @@
 		case t.is("bytea") && i > 0 && tokens[i-1].is("as"):
 			b.WriteString("blob") // CAST: SQLite takes an unknown name for a number's
 		case t.is("for") && i+1 < len(tokens) && tokens[i+1].is("update"):
-			i++ // the whole file is locked by a transaction
+			i++ // a transaction locks the complete file
 		case (t.is("clock_timestamp") || t.is("current_setting")) && i+1 < len(tokens) && tokens[i+1].text == "(":
 			fmt.Fprintf(&b, "%s(%d", strings.ToLower(t.text), s.id)
 			if i++; tokens[i+1].text != ")" {
@@ -208,7 +208,7 @@
 	return q, err
 }
 
-// results tells the columns of a SELECT's list, or of RETURNING's.
+// results returns the columns of a SELECT list or a RETURNING clause.
 func (s *Server) results(tokens []token) (out []column, err error) {
 	from := -1
 	if tokens[0].is("select") {
--- a/internal/standin/shop/shop.go
+++ b/internal/standin/shop/shop.go
@@ -21,15 +21,15 @@
 type Shop struct {
 	Discovery string // its address
 
-	mu    sync.Mutex
-	runs  map[string]int // executions by Req-Id
-	list  []endpoint
-	index int
-	moved chan struct{} // closed at the next change of the list
-	srvs  []*http.Server
-	addrs []string
-	end   chan struct{}
-	wg    sync.WaitGroup
+	mu          sync.Mutex
+	runs        map[string]int // executions by Req-Id
+	list        []endpoint
+	index       int
+	listChanged chan struct{} // closed at the next change of the list
+	srvs        []*http.Server
+	addrs       []string
+	end         chan struct{}
+	wg          sync.WaitGroup
 }
 
 // New starts n servers and a discovery. Each request takes the servers work.
@@ -53,18 +53,18 @@
 	Since   int64   `json:"since_ms"`
 }
 
-// whole is the list as a line, and a channel that is closed when it changes.
-func (s *Shop) whole() ([]byte, <-chan struct{}) {
+// completeList returns the list as a line, and a channel that is closed when it changes.
+func (s *Shop) completeList() ([]byte, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	line, err := json.Marshal(map[string]any{"index": s.index, "snapshot": true, "endpoints": s.list})
 	if err != nil {
 		panic(err) // of this package's own making
 	}
-	return append(line, '\n'), s.moved
+	return append(line, '\n'), s.listChanged
 }
 
-// Started tells all who watch that every server has started anew at the time.
+// Started notifies all watchers that every server has restarted at the time.
 func (s *Shop) Started(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,8 +72,8 @@
 		s.list[i].Since = at.UnixMilli()
 	}
 	s.index++
-	close(s.moved)
-	s.moved = make(chan struct{})
+	close(s.listChanged)
+	s.listChanged = make(chan struct{})
 }
 
 // Ran counts an execution.
@@ -89,7 +89,7 @@
 // NewWith starts n servers that do with each request what serve says, which counts by
 // Ran what it carries out.
 func NewWith(n int, serve func(s *Shop, name string, w http.ResponseWriter, r *http.Request)) (*Shop, error) {
-	s := &Shop{runs: make(map[string]int), end: make(chan struct{}), index: 1, moved: make(chan struct{})}
+	s := &Shop{runs: make(map[string]int), end: make(chan struct{}), index: 1, listChanged: make(chan struct{})}
 	for i := range n {
 		name := fmt.Sprintf("activation-%d", i+1)
 		addr, err := s.serve(func(w http.ResponseWriter, r *http.Request) {
@@ -108,7 +108,7 @@
 	}
 	var err error
 	s.Discovery, err = s.serve(func(w http.ResponseWriter, r *http.Request) {
-		line, moved := s.whole()
+		line, moved := s.completeList()
 		w.Write(line)
 		if r.URL.Query().Get("watch") != "1" {
 			return
@@ -121,7 +121,7 @@
 			case <-t.C:
 				io.WriteString(w, "\n")
 			case <-moved:
-				line, moved = s.whole()
+				line, moved = s.completeList()
 				w.Write(line)
 			case <-r.Context().Done():
 				return
@@ -172,8 +172,8 @@
 	s.wg.Wait()
 }
 
-// FreeAddr is an address that a sidecar can be told to listen at: a free port of a
-// loopback address that only the caller's n stands for, so that no connection of
+// FreeAddr returns an address for a sidecar to listen at: a free port of a loopback address
+// that only this caller's n uses, so that no connection of
 // others takes it meanwhile. n is 0 to 65,000.
 func FreeAddr(n int) (string, error) {
 	pid := os.Getpid()
@@ -192,7 +192,7 @@
 		return "", "", err
 	}
 	door := listen
-	for door == listen { // beside it, on the same address
+	for door == listen { // a second port on the same address
 		if door, err = FreeAddr(n); err != nil {
 			return "", "", err
 		}
--- a/internal/standin/shop/cold.go
+++ b/internal/standin/shop/slowstart.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Ramp is servers that start cold and warm up, for NewWith: a few workers, a short queue,
-// and more than the overload rule allows fells one for good.
-type Ramp struct {
+// SlowStart configures servers with slow start, for NewWith: a few workers, a short queue. A
+// server that gets more than the overload rule allows fails for good.
+type SlowStart struct {
 	Workers int
 	Work    time.Duration // of a request at a warm server
 	Queue   int
@@ -22,25 +22,25 @@
 
 	mu      sync.Mutex
 	started time.Time // zero: warm
-	servers map[string]*coldServer
+	servers map[string]*slowStartServer
 }
 
-type coldServer struct {
-	slots  chan struct{}
-	held   int
-	recent []time.Time
-	fell   bool
+type slowStartServer struct {
+	slots    chan struct{}
+	inFlight int
+	recent   []time.Time
+	fell     bool
 }
 
-// Restart makes all servers cold from now on, and up.
-func (r *Ramp) Restart(at time.Time) {
+// Restart starts all servers anew, in slow start.
+func (r *SlowStart) Restart(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.started, r.servers = at, nil
 }
 
 // Fallen is how many servers fell.
-func (r *Ramp) Fallen() (n int) {
+func (r *SlowStart) Fallen() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
@@ -52,15 +52,15 @@
 }
 
 // take admits a request to a server and says how long it works on it; ok is false if it
-// is turned away unseen.
-func (r *Ramp) take(name string, now time.Time) (s *coldServer, work time.Duration, ok bool) {
+// is rejected unseen.
+func (r *SlowStart) take(name string, now time.Time) (s *slowStartServer, work time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s = r.servers[name]; s == nil {
 		if r.servers == nil {
-			r.servers = make(map[string]*coldServer)
+			r.servers = make(map[string]*slowStartServer)
 		}
-		s = &coldServer{slots: make(chan struct{}, r.Workers)}
+		s = &slowStartServer{slots: make(chan struct{}, r.Workers)}
 		r.servers[name] = s
 	}
 	warmth, age := 1.0, now.Sub(r.started)
@@ -73,15 +73,15 @@
 		n := r.Factor * float64(r.Workers) / r.Work.Seconds() * warmth * r.Window.Seconds()
 		s.fell = s.fell || float64(len(s.recent)) > n+3*math.Sqrt(n)+3
 	}
-	if s.fell || s.held >= r.Workers+r.Queue {
+	if s.fell || s.inFlight >= r.Workers+r.Queue {
 		return s, 0, false
 	}
-	s.held++
+	s.inFlight++
 	return s, time.Duration(float64(r.Work) / warmth), true
 }
 
 // Serve is for NewWith.
-func (r *Ramp) Serve(s *Shop, name string, w http.ResponseWriter, q *http.Request) {
+func (r *SlowStart) Serve(s *Shop, name string, w http.ResponseWriter, q *http.Request) {
 	id := q.Header.Get("Req-Id")
 	io.Copy(io.Discard, q.Body)
 	at, work, ok := r.take(name, time.Now())
@@ -95,7 +95,7 @@
 	time.Sleep(work)
 	<-at.slots
 	r.mu.Lock()
-	at.held--
+	at.inFlight--
 	r.mu.Unlock()
 	fmt.Fprintf(w, "%s by %s", id, name)
 }
--- a/internal/standin/simhost/simhost.go
+++ b/internal/standin/simhost/simhost.go
@@ -93,13 +93,13 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.procs[pid]
-	if p == nil || ended(p) {
+	if p == nil || exited(p) {
 		return nil, os.ErrProcessDone
 	}
 	return h.handle(pid, p), nil
 }
 
-func ended(p *process) bool {
+func exited(p *process) bool {
 	select {
 	case <-p.done:
 		return true
@@ -114,7 +114,7 @@
 	defer h.mu.Unlock()
 	out := make(map[string]proc.Found)
 	for pid, p := range h.procs {
-		if strings.HasPrefix(p.launch, prefix) && !ended(p) {
+		if strings.HasPrefix(p.launch, prefix) && !exited(p) {
 			out[p.launch] = proc.Found{PID: pid, Ticks: 1}
 		}
 	}
@@ -126,7 +126,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.procs {
-		if p.addr == addr && !ended(p) {
+		if p.addr == addr && !exited(p) {
 			if time.Now().Before(p.ready) {
 				return proc.Healthy{}, errors.New("health: answered 503")
 			}
--- a/internal/standin/tcp/tcp.go
+++ b/internal/standin/tcp/tcp.go
@@ -43,9 +43,9 @@
 	})
 }
 
-// Late is Serve behind a full queue: connections to addr come up only after open has been
+// Delayed is Serve behind a full queue: connections to addr come up only after open has been
 // called, up to a second or two later, when the system tries again.
-func Late(t testing.TB, each func(n int, c net.Conn)) (addr string, open func()) {
+func Delayed(t testing.TB, each func(n int, c net.Conn)) (addr string, open func()) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
