--- /dev/null
+++ b/internal/standin/pgserver/execute.go
@@ -0,0 +1,166 @@
+package pgserver
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/jackc/pgx/v5/pgproto3"
+)
+
+// execute carries a statement out and sends its rows.
+func (c *session) execute(p *portal) error {
+	if c.status == 'E' && p.kind != rollback && p.kind != commit {
+		return &failure{"25P02", "current transaction is aborted, commands ignored until end of transaction block"}
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	if c.timeout > 0 {
+		ctx, cancel = context.WithTimeout(context.Background(), c.timeout)
+	}
+	defer cancel()
+	c.mu.Lock()
+	c.cancel = cancel
+	c.mu.Unlock()
+	defer func() {
+		c.mu.Lock()
+		c.cancel = nil
+		c.mu.Unlock()
+	}()
+	if err := c.suffer(ctx, Before, p.text); err != nil {
+		return err
+	}
+	if p.writes && c.srv.isReadOnly() {
+		return &failure{"25006", "cannot execute " + strings.ToUpper(p.kind) + " in a read-only transaction"}
+	}
+	rows, tag, err := c.carryOut(ctx, p)
+	if err != nil {
+		return err
+	}
+	if err := c.suffer(ctx, After, p.text); err != nil {
+		return err
+	}
+	for _, row := range rows {
+		var out [][]byte
+		for n, v := range row {
+			b, err := encode(p.columns[n].oid, format(p.formats, n), v)
+			if err != nil {
+				return &failure{"XX000", fmt.Sprintf("column %s: %v", p.columns[n].name, err)}
+			}
+			out = append(out, b)
+		}
+		c.backend.Send(&pgproto3.DataRow{Values: out})
+	}
+	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
+	return nil
+}
+
+// suffer does what the fault of a statement's stage says.
+func (c *session) suffer(ctx context.Context, stage Stage, text string) error {
+	f := c.srv.fault(c, stage, text)
+	if f.Delay > 0 {
+		t := time.NewTimer(f.Delay)
+		defer t.Stop()
+		select {
+		case <-t.C:
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-c.srv.end:
+			return errClosed
+		}
+	}
+	switch {
+	case f.Stall:
+		// What is written already is held back too: a hung server says nothing.
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-c.srv.end:
+		}
+		return errClosed
+	case f.Reset:
+		c.reset()
+		return errClosed
+	case f.Code != "":
+		return &failure{f.Code, "injected"}
+	}
+	return nil
+}
+
+// maxRows is how many rows a statement may return.
+const maxRows = 20000
+
+func (c *session) carryOut(ctx context.Context, p *portal) (rows [][]any, tag string, err error) {
+	switch p.kind {
+	case begin:
+		if c.status != 'I' {
+			c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25001", Message: "there is already a transaction in progress"})
+			return nil, "BEGIN", nil
+		}
+		if _, err := c.db.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
+			return nil, "", err
+		}
+		c.status = 'T'
+		return nil, "BEGIN", nil
+	case commit, rollback:
+		was := c.status
+		if was == 'I' {
+			c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25P01", Message: "there is no transaction in progress"})
+			return nil, strings.ToUpper(p.kind), nil
+		}
+		if was == 'E' || p.kind == rollback {
+			tag = "ROLLBACK"
+		} else {
+			tag = "COMMIT"
+		}
+		if _, err := c.db.ExecContext(context.WithoutCancel(ctx), tag); err != nil {
+			return nil, "", err
+		}
+		c.status = 'I'
+		return nil, tag, nil
+	}
+	if len(p.columns) == 0 {
+		r, err := c.db.ExecContext(ctx, p.sqlite, p.args...)
+		if err != nil {
+			return nil, "", err
+		}
+		n, err := r.RowsAffected()
+		switch p.kind {
+		case "insert":
+			tag = fmt.Sprintf("INSERT 0 %d", n)
+		case "update", "delete":
+			tag = fmt.Sprintf("%s %d", strings.ToUpper(p.kind), n)
+		default:
+			tag = strings.ToUpper(p.kind)
+		}
+		return nil, tag, err
+	}
+	r, err := c.db.QueryContext(ctx, p.sqlite, p.args...)
+	if err != nil {
+		return nil, "", err
+	}
+	defer r.Close()
+	for r.Next() {
+		row := make([]any, len(p.columns))
+		to := make([]any, len(row))
+		for n := range row {
+			to[n] = &row[n]
+		}
+		if err := r.Scan(to...); err != nil {
+			return nil, "", err
+		}
+		if rows = append(rows, row); len(rows) > maxRows {
+			return nil, "", &failure{"54000", fmt.Sprintf("the stand-in returns %d rows at most", maxRows)}
+		}
+	}
+	if err := r.Err(); err != nil {
+		return nil, "", err
+	}
+	tag = fmt.Sprintf("SELECT %d", len(rows))
+	if p.kind == "insert" {
+		tag = fmt.Sprintf("INSERT 0 %d", len(rows))
+	} else if p.kind != "select" {
+		tag = fmt.Sprintf("%s %d", strings.ToUpper(p.kind), len(rows))
+	}
+	return rows, tag, nil
+}
--- a/internal/standin/pgserver/session.go
+++ b/internal/standin/pgserver/session.go
@@ -12,7 +12,6 @@
 	"time"
 
 	"github.com/jackc/pgx/v5/pgproto3"
-	"github.com/jackc/pgx/v5/pgtype"
 	driver "modernc.org/sqlite"
 	lib "modernc.org/sqlite/lib"
 )
@@ -49,13 +48,12 @@
 	formats []int16 // of the results
 }
 
-var types = pgtype.NewMap()
-
 // failure is an error with its SQLSTATE.
 type failure struct {
 	code, text string
 }
 
+// Error implements error.
 func (f *failure) Error() string { return f.code + ": " + f.text }
 
 // errClosed ends a session.
@@ -269,17 +267,6 @@
 	return nil
 }
 
-// format is that of field n, by the rule of Bind: none, one for all, or one each.
-func format(formats []int16, n int) int16 {
-	switch {
-	case len(formats) == 1:
-		return formats[0]
-	case n < len(formats):
-		return formats[n]
-	}
-	return 0
-}
-
 func (c *session) bind(m *pgproto3.Bind) error {
 	s := c.statements[m.PreparedStatement]
 	if s == nil {
@@ -300,212 +287,3 @@
 	c.backend.Send(&pgproto3.BindComplete{})
 	return nil
 }
-
-func decode(oid uint32, format int16, raw []byte) (any, error) {
-	if raw == nil {
-		return nil, nil
-	}
-	switch oid {
-	case pgtype.Int8OID:
-		var v int64
-		err := types.Scan(oid, format, raw, &v)
-		return v, err
-	case pgtype.BoolOID:
-		var v bool
-		err := types.Scan(oid, format, raw, &v)
-		return v, err
-	case pgtype.ByteaOID:
-		var v []byte
-		err := types.Scan(oid, format, raw, &v)
-		if v == nil {
-			v = []byte{}
-		}
-		return v, err
-	case pgtype.TextOID:
-		return string(raw), nil
-	}
-	return nil, fmt.Errorf("the stand-in has no type of OID %d", oid)
-}
-
-// execute carries a statement out and sends its rows.
-func (c *session) execute(p *portal) error {
-	if c.status == 'E' && p.kind != rollback && p.kind != commit {
-		return &failure{"25P02", "current transaction is aborted, commands ignored until end of transaction block"}
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	if c.timeout > 0 {
-		ctx, cancel = context.WithTimeout(context.Background(), c.timeout)
-	}
-	defer cancel()
-	c.mu.Lock()
-	c.cancel = cancel
-	c.mu.Unlock()
-	defer func() {
-		c.mu.Lock()
-		c.cancel = nil
-		c.mu.Unlock()
-	}()
-	if err := c.suffer(ctx, Before, p.text); err != nil {
-		return err
-	}
-	if p.writes && c.srv.isReadOnly() {
-		return &failure{"25006", "cannot execute " + strings.ToUpper(p.kind) + " in a read-only transaction"}
-	}
-	rows, tag, err := c.carryOut(ctx, p)
-	if err != nil {
-		return err
-	}
-	if err := c.suffer(ctx, After, p.text); err != nil {
-		return err
-	}
-	for _, row := range rows {
-		var out [][]byte
-		for n, v := range row {
-			b, err := encode(p.columns[n].oid, format(p.formats, n), v)
-			if err != nil {
-				return &failure{"XX000", fmt.Sprintf("column %s: %v", p.columns[n].name, err)}
-			}
-			out = append(out, b)
-		}
-		c.backend.Send(&pgproto3.DataRow{Values: out})
-	}
-	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
-	return nil
-}
-
-// suffer does what the fault of a statement's stage says.
-func (c *session) suffer(ctx context.Context, stage Stage, text string) error {
-	f := c.srv.fault(c, stage, text)
-	if f.Delay > 0 {
-		t := time.NewTimer(f.Delay)
-		defer t.Stop()
-		select {
-		case <-t.C:
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-c.srv.end:
-			return errClosed
-		}
-	}
-	switch {
-	case f.Stall:
-		// What is written already is held back too: a hung server says nothing.
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-c.srv.end:
-		}
-		return errClosed
-	case f.Reset:
-		c.reset()
-		return errClosed
-	case f.Code != "":
-		return &failure{f.Code, "injected"}
-	}
-	return nil
-}
-
-// maxRows is how many rows a statement may return.
-const maxRows = 20000
-
-func (c *session) carryOut(ctx context.Context, p *portal) (rows [][]any, tag string, err error) {
-	switch p.kind {
-	case begin:
-		if c.status != 'I' {
-			c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25001", Message: "there is already a transaction in progress"})
-			return nil, "BEGIN", nil
-		}
-		if _, err := c.db.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
-			return nil, "", err
-		}
-		c.status = 'T'
-		return nil, "BEGIN", nil
-	case commit, rollback:
-		was := c.status
-		if was == 'I' {
-			c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25P01", Message: "there is no transaction in progress"})
-			return nil, strings.ToUpper(p.kind), nil
-		}
-		if was == 'E' || p.kind == rollback {
-			tag = "ROLLBACK"
-		} else {
-			tag = "COMMIT"
-		}
-		if _, err := c.db.ExecContext(context.WithoutCancel(ctx), tag); err != nil {
-			return nil, "", err
-		}
-		c.status = 'I'
-		return nil, tag, nil
-	}
-	if len(p.columns) == 0 {
-		r, err := c.db.ExecContext(ctx, p.sqlite, p.args...)
-		if err != nil {
-			return nil, "", err
-		}
-		n, err := r.RowsAffected()
-		switch p.kind {
-		case "insert":
-			tag = fmt.Sprintf("INSERT 0 %d", n)
-		case "update", "delete":
-			tag = fmt.Sprintf("%s %d", strings.ToUpper(p.kind), n)
-		default:
-			tag = strings.ToUpper(p.kind)
-		}
-		return nil, tag, err
-	}
-	r, err := c.db.QueryContext(ctx, p.sqlite, p.args...)
-	if err != nil {
-		return nil, "", err
-	}
-	defer r.Close()
-	for r.Next() {
-		row := make([]any, len(p.columns))
-		to := make([]any, len(row))
-		for n := range row {
-			to[n] = &row[n]
-		}
-		if err := r.Scan(to...); err != nil {
-			return nil, "", err
-		}
-		if rows = append(rows, row); len(rows) > maxRows {
-			return nil, "", &failure{"54000", fmt.Sprintf("the stand-in returns %d rows at most", maxRows)}
-		}
-	}
-	if err := r.Err(); err != nil {
-		return nil, "", err
-	}
-	tag = fmt.Sprintf("SELECT %d", len(rows))
-	if p.kind == "insert" {
-		tag = fmt.Sprintf("INSERT 0 %d", len(rows))
-	} else if p.kind != "select" {
-		tag = fmt.Sprintf("%s %d", strings.ToUpper(p.kind), len(rows))
-	}
-	return rows, tag, nil
-}
-
-func encode(oid uint32, format int16, v any) ([]byte, error) {
-	if v == nil {
-		return nil, nil
-	}
-	switch oid {
-	case pgtype.BoolOID:
-		if n, ok := v.(int64); ok {
-			v = n != 0
-		}
-	case pgtype.TextOID:
-		if b, ok := v.([]byte); ok {
-			v = string(b)
-		}
-	case pgtype.ByteaOID:
-		if s, ok := v.(string); ok {
-			v = []byte(s)
-		}
-	case voidOID:
-		return []byte{}, nil
-	}
-	b, err := types.Encode(oid, format, v, nil)
-	if b == nil && err == nil {
-		b = []byte{}
-	}
-	return b, err
-}
