--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -155,7 +155,7 @@
 // logAcceptedDuringShutdown logs a request that is accepted during a shutdown: when, and on
 // which kind of connection.
 func (c *conn) logAcceptedDuringShutdown(x *Exchange) {
-	slog.Info("request taken while stopping", "class", x.Class, "after", time.Since(x.acceptedDuringShutdown),
+	slog.Info("request accepted during shutdown", "class", x.Class, "after", time.Since(x.acceptedDuringShutdown),
 		"conn_age", time.Since(c.accepted), "first_on_conn", c.requests == 1)
 }
 
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -107,7 +107,7 @@
 // client is still sending; otherwise the request is answered.
 func (x *Exchange) rejectAtLimit(r *http.Request, crowded, fits bool) (status int) {
 	server := x.conn.server
-	slog.Warn("request refused at a limit", "crowded", crowded, "conns", server.Conns())
+	slog.Warn("request rejected at a limit", "crowded", crowded, "conns", server.Conns())
 	reason := metrics.BodyBytesLimit
 	if crowded {
 		reason = metrics.ConnectionLimit
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -2,7 +2,7 @@
 //
 // It owns the counters of events: the ends of requests and attempts. What another package
 // already knows (open requests, servers, connections) is a gauge that reads it at each
-// export. docs/operate/figures.md lists names and labels, which keep the operators' words;
+// export. docs/operate/metrics.md lists names and labels, which keep the operators' words;
 // the terms of the code are mapped to them here. Label values are bounded: a class of the
 // settings or a constant of this program.
 package metrics
--- a/internal/upstream/rest.go
+++ b/internal/upstream/rest.go
@@ -34,5 +34,5 @@
 	p.mu.Lock()
 	s.unsolicitedAt = time.Now()
 	p.mu.Unlock()
-	slog.Warn("a server sent what belongs to no request: its connections rest longer", "server", s.name, "rest", p.unsolicitedRest)
+	slog.Warn("unsolicited bytes from a server, its connections rest longer", "server", s.name, "rest", p.unsolicitedRest)
 }
