--- a/cmd/sidecar/acceptance_test.go
+++ b/cmd/sidecar/acceptance_test.go
@@ -52,7 +52,7 @@
 // Clients that say nothing, or rest after a request, may take all descriptors that there
 // are for clients, also while discovery is away: it is followed again the moment it is
 // back, servers are reached, and whoever comes with a request is answered.
-func TestIdleClientsLeaveRoom(t *testing.T) {
+func TestIdleClientsAreEvicted(t *testing.T) {
 	const sockets = 64
 	s := newShop(t, sockets)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") }))
@@ -74,7 +74,7 @@
 	if err := unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the list", func() bool { return p.figure(t, "pool_size") == 1 })
+	eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
 	disco.set("")
 	for n := range 200 {
 		c, err := net.Dial("tcp", s.listen)
@@ -97,12 +97,12 @@
 	}
 	disco.set(list(2, "s1", "s2"))
 	back := time.Now()
-	eventually(t, "the new list", func() bool { return p.figure(t, "pool_size") == 2 })
+	eventually(t, "the new list", func() bool { return p.metric(t, "pool_size") == 2 })
 	if took := time.Since(back); took > 2*time.Second {
 		t.Errorf("discovery was followed again after %v", took)
 	}
 	for n := range 20 {
-		if got := ask(t, s.listen, http.MethodGet, "/look"); got != http.StatusOK {
+		if got := sendRequest(t, s.listen, http.MethodGet, "/look"); got != http.StatusOK {
 			t.Errorf("request %d was answered %d", n, got)
 		}
 	}
@@ -113,7 +113,7 @@
 
 // Processes that start together are ready in time, also where discovery says nothing at
 // all, and where an old process has stopped in the midst of its life.
-func TestReadyWhateverIsAway(t *testing.T) {
+func TestReadyWithoutDependencies(t *testing.T) {
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
 	const maxReady = 10 * time.Second
@@ -142,7 +142,7 @@
 
 // Clients that rest until the sidecar ends them, with a request that crosses its closing,
 // see a plain end, and what crosses is not run.
-func TestStopOverRestingClients(t *testing.T) {
+func TestStopWithIdleClients(t *testing.T) {
 	var ran sync.Map
 	s := newShopBefore(t, func(w http.ResponseWriter, r *http.Request) {
 		ran.Store(r.Header.Get("Req-Id"), true)
@@ -230,7 +230,7 @@
 			method, path = http.MethodPost, "/pay"
 		}
 		wg.Go(func() {
-			if got := ask(t, s.listen, method, path); n%2 == 0 && got != http.StatusBadGateway || got < 500 {
+			if got := sendRequest(t, s.listen, method, path); n%2 == 0 && got != http.StatusBadGateway || got < 500 {
 				t.Errorf("%s was answered %d", path, got)
 			}
 		})
--- a/cmd/sidecar/generated_test.go
+++ b/cmd/sidecar/generated_test.go
@@ -102,7 +102,7 @@
 // The program serves whatever customer's settings it is given: each class as they say, and
 // after SIGHUP to another customer's whole settings, with requests of the old ones open,
 // those to their end and the new ones as they say.
-func TestSettingsOfAnyCustomer(t *testing.T) {
+func TestGeneratedSettings(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -132,7 +132,7 @@
 			}
 			s.configure(t, write(first))
 			p := s.running()
-			eventually(t, "the list", func() bool { return p.figure(t, "pool_size") == 1 })
+			eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
 			client := &http.Client{Timeout: patience}
 			defer client.CloseIdleConnections()
 			ids := 0
@@ -175,7 +175,7 @@
 				}
 			}
 			p.retune(t, s, write(second))
-			if n := p.figure(t, "config_applied"); n != 1 {
+			if n := p.metric(t, "config_applied"); n != 1 {
 				t.Fatalf("the second settings were turned down: %s", p.log)
 			}
 			for _, k := range next {
--- a/cmd/sidecar/kill_test.go
+++ b/cmd/sidecar/kill_test.go
@@ -117,7 +117,7 @@
 // While a server hangs, which keeps a stopping process busy, it takes no connection any more
 // once clients have had their time to come, and none of its open connections brings a first
 // request late: both would put requests into its last moments.
-func TestStopTakesNothingLate(t *testing.T) {
+func TestStopLimitsAccepting(t *testing.T) {
 	passedOn := make(chan string, 100)
 	let := make(chan struct{})
 	s := newShopBefore(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/cmd/sidecar/retune_test.go
+++ b/cmd/sidecar/retune_test.go
@@ -15,8 +15,8 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// figure is a figure by its full name, -1 if there is none.
-func (p *process) figure(t *testing.T, name string) float64 {
+// metric is a figure by its full name, -1 if there is none.
+func (p *process) metric(t *testing.T, name string) float64 {
 	t.Helper()
 	resp, err := http.Get("http://" + p.mgmt + "/api/telemetry")
 	if err != nil {
@@ -33,14 +33,14 @@
 	return -1
 }
 
-// ask makes one request on a connection of its own and returns the answer's status.
-func ask(t *testing.T, addr, method, path string) int {
+// sendRequest makes one request on a connection of its own and returns the answer's status.
+func sendRequest(t *testing.T, addr, method, path string) int {
 	t.Helper()
-	return askAs(t, fmt.Sprint("r", requests.Add(1)), addr, method, path)
+	return sendRequestAs(t, fmt.Sprint("r", requests.Add(1)), addr, method, path)
 }
 
-// askAs is ask under an id.
-func askAs(t *testing.T, id, addr, method, path string) int {
+// sendRequestAs is ask under an id.
+func sendRequestAs(t *testing.T, id, addr, method, path string) int {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
@@ -94,10 +94,10 @@
 // retune writes a new file and waits until the process has decided on it.
 func (p *process) retune(t *testing.T, s *shop, text string) {
 	t.Helper()
-	before := p.figure(t, "config_applied") + p.figure(t, "config_rejected")
+	before := p.metric(t, "config_applied") + p.metric(t, "config_rejected")
 	s.configure(t, text)
 	p.Process.Signal(syscall.SIGHUP)
-	eventually(t, "a word on the file", func() bool { return p.figure(t, "config_applied")+p.figure(t, "config_rejected") == before+1 })
+	eventually(t, "a word on the file", func() bool { return p.metric(t, "config_applied")+p.metric(t, "config_rejected") == before+1 })
 }
 
 // replace is strings.Replace of something that is there.
@@ -112,7 +112,7 @@
 // A request that is open when its class changes from unsafe to safe is not sent again
 // when its connection breaks, one that comes later is. Added classes are served,
 // dropped ones are not, and come back to their counts.
-func TestRetuneKeepsOpenClass(t *testing.T) {
+func TestReloadKeepsClassOfOpenRequests(t *testing.T) {
 	s := newShop(t, 256)
 	came, let := make(chan struct{}, 100), make(chan struct{})
 	addr, ran := reset(t, came, let)
@@ -121,30 +121,30 @@
 	p := s.start()
 	p.ready(t)
 	open := make(chan int, 1)
-	go func() { open <- ask(t, s.listen, http.MethodPost, "/pay") }()
+	go func() { open <- sendRequest(t, s.listen, http.MethodPost, "/pay") }()
 	<-came
 	p.retune(t, s, replace(t, replace(t, text, `"once"`, `"repeatable"`), `"name":"look"`, `"name":"seen"`))
-	if n := p.figure(t, "config_applied"); n != 1 {
+	if n := p.metric(t, "config_applied"); n != 1 {
 		t.Fatalf("%v files applied", n)
 	}
 	close(let)
 	if got := <-open; got != http.StatusBadGateway || ran.Load() != 1 {
 		t.Errorf("the open request was answered %d after %d runs", got, ran.Load())
 	}
-	if got := ask(t, s.listen, http.MethodPost, "/pay"); got != http.StatusMethodNotAllowed {
+	if got := sendRequest(t, s.listen, http.MethodPost, "/pay"); got != http.StatusMethodNotAllowed {
 		t.Errorf("the old method of a changed class: %d", got)
 	}
-	if got := ask(t, s.listen, http.MethodGet, "/look"); got != http.StatusNotFound {
+	if got := sendRequest(t, s.listen, http.MethodGet, "/look"); got != http.StatusNotFound {
 		t.Errorf("a dropped class: %d", got)
 	}
-	if ask(t, s.listen, http.MethodGet, "/seen"); ran.Load() < 2 {
+	if sendRequest(t, s.listen, http.MethodGet, "/seen"); ran.Load() < 2 {
 		t.Error("a new class was not sent")
 	}
 	p.retune(t, s, text)
-	if got := ask(t, s.listen, http.MethodGet, "/seen"); got != http.StatusNotFound {
+	if got := sendRequest(t, s.listen, http.MethodGet, "/seen"); got != http.StatusNotFound {
 		t.Errorf("a class dropped again: %d", got)
 	}
-	if n := p.figure(t, `responses{kind="pay",result="errors"}`); n != 1 {
+	if n := p.metric(t, `responses{kind="pay",result="errors"}`); n != 1 {
 		t.Errorf("%v failures counted", n)
 	}
 }
@@ -186,7 +186,7 @@
 		{replace(t, good, `"guarantees":{"drainGraceUs":2000000,"coldFrom":1},`, ""), "guarantees"},
 	} {
 		p.retune(t, s, c.text)
-		if got := p.figure(t, "config_rejected"); got != float64(n+1) {
+		if got := p.metric(t, "config_rejected"); got != float64(n+1) {
 			t.Fatalf("case %d was taken: %s", n, c.text)
 		}
 		if _, err := reload(s.getenv, force); err == nil || !strings.Contains(err.Error(), c.names) {
@@ -194,12 +194,12 @@
 		}
 		for _, path := range []string{"/look", "/pay"} {
 			method := map[string]string{"/look": http.MethodGet, "/pay": http.MethodPost}[path]
-			if got := ask(t, s.listen, method, path); got != http.StatusOK {
+			if got := sendRequest(t, s.listen, method, path); got != http.StatusOK {
 				t.Errorf("case %d: %s answered %d", n, path, got)
 			}
 		}
 	}
-	if n := p.figure(t, "config_applied"); n != 0 {
+	if n := p.metric(t, "config_applied"); n != 0 {
 		t.Errorf("%v files applied", n)
 	}
 }
--- a/cmd/sidecar/standing_test.go
+++ b/cmd/sidecar/standing_test.go
@@ -18,7 +18,7 @@
 
 // What the agent's list says counts from the first moment of a new process: a server that
 // `known` has as up and the list as draining, or no more, gets nothing.
-func TestListGoesBeforeKnown(t *testing.T) {
+func TestDiscoveredListReplacesKnown(t *testing.T) {
 	for name, entry := range map[string]string{"draining": `{"name":"s0","address":%q,"status":"draining"},`, "gone": ""} {
 		t.Run(name, func(t *testing.T) {
 			var wrong atomic.Int64
@@ -37,7 +37,7 @@
 			s.configure(t, text)
 			s.running()
 			for range 20 {
-				if got := ask(t, s.listen, http.MethodGet, "/look"); got != http.StatusOK {
+				if got := sendRequest(t, s.listen, http.MethodGet, "/look"); got != http.StatusOK {
 					t.Errorf("answered %d", got)
 				}
 			}
@@ -76,7 +76,7 @@
 
 // Where discovery is asked, a new configuration that moves it is followed well within the
 // 4 s after which its list counts as told, also while no watch is open.
-func TestMoveIsFollowedWithoutWatch(t *testing.T) {
+func TestEndpointChangeIsFollowedWithoutWatch(t *testing.T) {
 	s := newShop(t, 256)
 	asked := make(chan struct{}, 100)
 	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -95,7 +95,7 @@
 	}
 	p.retune(t, s, good)
 	began := time.Now()
-	eventually(t, "the new discovery's list", func() bool { return p.figure(t, "pool_size") == 1 })
+	eventually(t, "the new discovery's list", func() bool { return p.metric(t, "pool_size") == 1 })
 	if took := time.Since(began); took > 4*time.Second {
 		t.Errorf("after %v", took)
 	}
@@ -103,7 +103,7 @@
 
 // Where discovery is asked, a call that it refuses, loses or lets wait in vain is followed
 // by the next one well before what it has counts as told, however often that happens.
-func TestAskedAgainInTime(t *testing.T) {
+func TestFailedCallIsRetriedInTime(t *testing.T) {
 	for name, call := range map[string]func(w http.ResponseWriter, r *http.Request){
 		"refused": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"reset":   func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
@@ -143,7 +143,7 @@
 // After SIGTERM clients go on sending on every connection that they have, and on new ones
 // for longer than the platform's do. Each request is answered, or its connection closes
 // before anything of it was passed on.
-func TestStopOnKeptConnections(t *testing.T) {
+func TestStopOnIdleConnections(t *testing.T) {
 	var ran sync.Map
 	s := newShopBefore(t, func(w http.ResponseWriter, r *http.Request) {
 		ran.Store(r.Header.Get("Req-Id"), true)
@@ -243,7 +243,7 @@
 
 // A word that MARTENDRUM_FLEET does not know, and peers that can't be, are told with what
 // to do.
-func TestFleetWords(t *testing.T) {
+func TestCoordinationFeatures(t *testing.T) {
 	s := newShop(t, 256)
 	for words, keep := range map[string]string{"retrun": "", "peers": "", "return, breakers": "", "": "somewhere"} {
 		_, err := load(func(name string) string {
--- a/cmd/sidecar/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -137,7 +137,7 @@
 	return p
 }
 
-func (p *process) says(path string) int {
+func (p *process) status(path string) int {
 	c := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Get("http://" + p.mgmt + path)
 	if err != nil {
@@ -147,8 +147,8 @@
 	return resp.StatusCode
 }
 
-// share is how many descriptors the process may hold, by its own word.
-func (p *process) share() (n int) {
+// quota is how many descriptors the process may hold, by its own word.
+func (p *process) quota() (n int) {
 	c := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Get("http://" + p.mgmt + "/api/telemetry")
 	if err != nil {
@@ -164,12 +164,12 @@
 
 func (p *process) holds(t *testing.T, sockets int) {
 	t.Helper()
-	eventually(t, fmt.Sprint("a share of descriptors of ", sockets), func() bool { return p.share() == sockets })
+	eventually(t, fmt.Sprint("a share of descriptors of ", sockets), func() bool { return p.quota() == sockets })
 }
 
 func (p *process) ready(t *testing.T) {
 	t.Helper()
-	eventually(t, "a process that takes clients", func() bool { return p.says("/api/ready") == http.StatusOK })
+	eventually(t, "a process that takes clients", func() bool { return p.status("/api/ready") == http.StatusOK })
 }
 
 // ends waits for the process's end.
@@ -191,14 +191,14 @@
 	return len(names)
 }
 
-// crowd is clients that ask without a pause, some on connections that they keep, the
+// clientGroup is clients that ask without a pause, some on connections that they keep, the
 // others on ever new ones.
-type crowd struct {
-	stop chan struct{}
-	once sync.Once
-	wait sync.WaitGroup
-	good atomic.Int64
-	bad  sync.Map // what went wrong, with a count
+type clientGroup struct {
+	stop     chan struct{}
+	once     sync.Once
+	wait     sync.WaitGroup
+	good     atomic.Int64
+	failures sync.Map // what went wrong, with a count
 }
 
 var requests atomic.Int64
@@ -228,9 +228,9 @@
 	return nil
 }
 
-func flock(t *testing.T, addr string, clients, kept int) *crowd {
+func flock(t *testing.T, addr string, clients, kept int) *clientGroup {
 	t.Helper()
-	c := &crowd{stop: make(chan struct{})}
+	c := &clientGroup{stop: make(chan struct{})}
 	t.Cleanup(c.halt)
 	for n := range clients {
 		c.wait.Go(func() {
@@ -243,7 +243,7 @@
 				default:
 				}
 				if err := visit(client, addr); err != nil {
-					c.bad.Store(err.Error(), true)
+					c.failures.Store(err.Error(), true)
 				} else {
 					c.good.Add(1)
 				}
@@ -254,15 +254,15 @@
 	return c
 }
 
-func (c *crowd) halt() {
+func (c *clientGroup) halt() {
 	c.once.Do(func() { close(c.stop) })
 	c.wait.Wait()
 }
 
-func (c *crowd) end(t *testing.T) {
+func (c *clientGroup) end(t *testing.T) {
 	t.Helper()
 	c.halt()
-	c.bad.Range(func(what, _ any) bool {
+	c.failures.Range(func(what, _ any) bool {
 		t.Errorf("a client met: %v", what)
 		return true
 	})
@@ -272,7 +272,7 @@
 }
 
 // more waits until as many more requests have been served.
-func (c *crowd) more(t *testing.T, n int64) {
+func (c *clientGroup) more(t *testing.T, n int64) {
 	t.Helper()
 	from := c.good.Load()
 	eventually(t, "requests to be served", func() bool { return c.good.Load() >= from+n })
@@ -280,7 +280,7 @@
 
 // succeed lets a new process take the place of old, which is asked to end and does, in
 // front of clients. The new one knows what the old one knew, and holds all in the end.
-func (s *shop) succeed(old *process, c *crowd) *process {
+func (s *shop) succeed(old *process, c *clientGroup) *process {
 	s.t.Helper()
 	c.more(s.t, 50)
 	next := s.running()
@@ -328,7 +328,7 @@
 			clients.more(t, 50)
 			clients.halt()
 			if !c.lossless {
-				clients.bad.Clear()
+				clients.failures.Clear()
 			}
 			clients.end(t)
 			if n := peak.Load(); n == 0 || n > int64(c.limit) {
@@ -341,7 +341,7 @@
 // An old process that was stopped hands over when it wakes: the new one has opened a
 // socket of its own meanwhile, and goes on at both. No client meets anything but its
 // answer, in this upgrade and in the next, which passes both sockets on.
-func TestUpgradeOfAStoppedProcess(t *testing.T) {
+func TestUpgradeOfAStalledProcess(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		asleep bool // it is asked to end before it wakes, as an agent does
@@ -430,7 +430,7 @@
 		io.WriteString(w, "one")
 	}, 256)
 	old := s.running()
-	pay := func() int { return askAs(t, "same", s.listen, http.MethodPost, "/pay") }
+	pay := func() int { return sendRequestAs(t, "same", s.listen, http.MethodPost, "/pay") }
 	turnedAway := func(when string) {
 		t.Helper()
 		for n := range 20 { // some come to each process
@@ -445,7 +445,7 @@
 	next := s.running()
 	turnedAway("while both serve")
 	old.Process.Signal(syscall.SIGTERM)
-	eventually(t, "the old process's leaving", func() bool { return old.says("/api/ready") != http.StatusOK })
+	eventually(t, "the old process's leaving", func() bool { return old.status("/api/ready") != http.StatusOK })
 	turnedAway("while the old one ends")
 	close(hold)
 	if got := <-owner; got != http.StatusOK {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -116,7 +116,7 @@
 
 // A watch on which nothing comes, or on which a list stops half way, is opened anew well
 // before what it missed counts as told, whoever asks, and goes on from what is held.
-func TestSilentWatchIsAskedAnew(t *testing.T) {
+func TestSilentWatchIsReopened(t *testing.T) {
 	for _, asks := range []bool{false, true} {
 		for name, then := range map[string]func(c net.Conn){
 			"nothing":               hold,
@@ -225,7 +225,7 @@
 
 // A move that comes while a second call is awaited is followed at once, and Close ends
 // both calls.
-func TestMoveDuringSecondCall(t *testing.T) {
+func TestEndpointChangeDuringSecondCall(t *testing.T) {
 	asked := make(chan int, 10)
 	addr := tcp.Requests(t, func(conn, _ int, c net.Conn, _ *http.Request) bool {
 		asked <- conn
@@ -271,7 +271,7 @@
 }
 
 // What is no list, or has no end, ends the watch; the next one asks for all.
-func TestBrokenListsAreDistrusted(t *testing.T) {
+func TestInvalidListsResetTheIndex(t *testing.T) {
 	for name, text := range map[string]string{
 		"no JSON":     indented + "} {",
 		"no index":    indented + `{"endpoints":[]}`,
@@ -304,7 +304,7 @@
 
 // A second call does not open a second watch, and a move is followed by the one that is
 // open, also while it waits to ask again.
-func TestOneWatchFollowsMoves(t *testing.T) {
+func TestOneWatchFollowsEndpointChanges(t *testing.T) {
 	held := func(index int) func(int, net.Conn, *http.Request) {
 		return func(_ int, c net.Conn, _ *http.Request) {
 			io.WriteString(c, answer+strings.Replace(indented, "7", fmt.Sprint(index), 1))
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -39,39 +39,39 @@
 // asker is one of many sidecars that ask the same discovery, its calls timed by its own
 // balancer.
 type asker struct {
-	w    *askWorld
+	w    *pollWorld
 	b    *martendrum.Balancer
 	told time.Duration // 0: not yet
 }
 
-// askWorld is a discovery that works through calls in turn, each of which costs it the
+// pollWorld is a discovery that works through calls in turn, each of which costs it the
 // same, and turns one away that has waited for two seconds. Given-up calls cost as much.
-type askWorld struct {
+type pollWorld struct {
 	now, back time.Duration // when it comes back
 	refuses   bool          // while it is down; else it says nothing
 	cost      time.Duration
 	free      time.Duration // when it has worked through what it has
 	calls     int           // after it is back
-	queue     askQueue
+	queue     pollQueue
 }
 
-type askEvent struct {
+type pollEvent struct {
 	at time.Duration
 	do func()
 }
-type askQueue []askEvent
+type pollQueue []pollEvent
 
-func (q askQueue) Len() int           { return len(q) }
-func (q askQueue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q askQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *askQueue) Push(x any)        { *q = append(*q, x.(askEvent)) }
-func (q *askQueue) Pop() any {
+func (q pollQueue) Len() int           { return len(q) }
+func (q pollQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q pollQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *pollQueue) Push(x any)        { *q = append(*q, x.(pollEvent)) }
+func (q *pollQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return x
 }
-func (w *askWorld) at(t time.Duration, do func()) { heap.Push(&w.queue, askEvent{t, do}) }
+func (w *pollWorld) at(t time.Duration, do func()) { heap.Push(&w.queue, pollEvent{t, do}) }
 
 func (a *asker) Send(martendrum.RequestID, string, time.Duration, time.Duration) {}
 func (a *asker) Cancel(martendrum.RequestID, int)                                {}
@@ -115,14 +115,14 @@
 
 // Three hundred sidecars that wait for a discovery which comes back are all told well in
 // time, and what they ask meanwhile is no storm.
-func TestReturnOfDiscoveryIsNoStorm(t *testing.T) {
+func TestDiscoveryReturnCausesNoCallStorm(t *testing.T) {
 	const count = 300
 	for _, cost := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
 		for _, refuses := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%v a call, refuses %v", cost, refuses), func(t *testing.T) {
 				for seed := range uint64(5) {
 					rng := rand.New(rand.NewPCG(seed, 1))
-					w := &askWorld{back: 20 * time.Second, refuses: refuses, cost: cost}
+					w := &pollWorld{back: 20 * time.Second, refuses: refuses, cost: cost}
 					p := Polled()
 					cfg := martendrum.Config{Instances: count, MaxAttempts: 1, Classes: []martendrum.Class{{LatencyObjective: time.Second}},
 						MaxListAge: p.InitialDelay * 5 / 4, RetryWithin: p.MaxBackoff}
@@ -136,7 +136,7 @@
 						all = append(all, a)
 					}
 					for len(w.queue) > 0 && w.queue[0].at < w.back+time.Minute {
-						e := heap.Pop(&w.queue).(askEvent)
+						e := heap.Pop(&w.queue).(pollEvent)
 						w.now = e.at
 						e.do()
 					}
@@ -165,11 +165,11 @@
 // Three hundred watches that fall silent together ask again within Spread, and a second time
 // where a slow discovery has not answered by then: all are told in time, with two calls each
 // at most, also where the first call of every tenth is lost.
-func TestSecondCallsAreNoStorm(t *testing.T) {
+func TestSecondCallsCauseNoStorm(t *testing.T) {
 	const count = 300
 	pace := Polled()
 	for _, cost := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
-		w := &askWorld{cost: cost}
+		w := &pollWorld{cost: cost}
 		rng := rand.New(rand.NewPCG(1, 1))
 		told := make([]time.Duration, count)
 		for i := range count {
@@ -196,7 +196,7 @@
 			})
 		}
 		for len(w.queue) > 0 {
-			e := heap.Pop(&w.queue).(askEvent)
+			e := heap.Pop(&w.queue).(pollEvent)
 			w.now = e.at
 			e.do()
 		}
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -92,7 +92,7 @@
 
 // An answer after which the connection closes reaches its client, and the connection ends
 // without a reset, also where the client has sent on by then.
-func TestAnswerOutlivesWhatIsBehindIt(t *testing.T) {
+func TestAnswerSurvivesTrailingInput(t *testing.T) {
 	for name, prepare := range map[string]func(s *Server) string{
 		"the client closes": func(*Server) string { return "Connection: close\r\n" },
 		"the sidecar stops": func(s *Server) string { s.Drain(true); return "" },
@@ -167,7 +167,7 @@
 
 // A connection that is closed at rest takes no request any more, and says so with a plain
 // end: what crosses the closing is read off and not passed on.
-func TestRequestBehindTheCloseIsNotPassedOn(t *testing.T) {
+func TestRequestBehindTheCloseIsNotForwarded(t *testing.T) {
 	s, h, addr := start(t, 10)
 	c, br := dial(t, addr, look("1"))
 	receive(t, h.arrived).Reject(0)
@@ -192,7 +192,7 @@
 }
 
 // A flood of half heads does not keep newcomers out: the oldest half gives way.
-func TestHalfHeadsGiveWay(t *testing.T) {
+func TestIncompleteHeadsAreEvicted(t *testing.T) {
 	const limit = 16
 	s, h, addr := start(t, limit)
 	for range limit {
@@ -225,7 +225,7 @@
 
 // A connection that is given up while its request comes in is told so where the request
 // has come whole by then.
-func TestRequestWholeWhenGivenUpIsAnswered(t *testing.T) {
+func TestCompleteRequestIsAnsweredWhenReadingStops(t *testing.T) {
 	s, h, addr := start(t, 10)
 	c, br := dial(t, addr, "GET /look HTTP/1.1\r\n")
 	server := stuck(t, s)
@@ -247,7 +247,7 @@
 }
 
 // Each answer leaves at once: nothing of it is held back for a close to take along.
-func TestNothingIsHeldBack(t *testing.T) {
+func TestAnswersAreNotDelayed(t *testing.T) {
 	s, _, addr := start(t, 10)
 	dial(t, addr, "")
 	eventually(t, "the connection", func() bool { return s.Conns() == 1 })
@@ -268,7 +268,7 @@
 
 // A connection that is given up while a body comes in slowly ends, however much more of it
 // the client sends.
-func TestGivenUpBodyEnds(t *testing.T) {
+func TestAbandonedBodyEnds(t *testing.T) {
 	s, _, addr := start(t, 10)
 	c, _ := dial(t, addr, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nContent-Length: 60000\r\n\r\n")
 	server := stuck(t, s)
@@ -338,7 +338,7 @@
 // The story. At the end of a process all open requests end in one moment, and one goroutine
 // answers them in turn. A client that takes nothing kept it for 2 s, which the answers of
 // all others behind it were late by. Whoever answers waits for no client.
-func TestSlowClientKeepsNobodyWaiting(t *testing.T) {
+func TestSlowClientDelaysNoOther(t *testing.T) {
 	_, h, addr := start(t, 100)
 	dial(t, addr, look("1")) // reads nothing
 	slow := receive(t, h.arrived)
--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -93,7 +93,7 @@
 }
 
 // What breaks the protocol ends with an error or a close and never arrives.
-func TestHostile(t *testing.T) {
+func TestMalformedRequests(t *testing.T) {
 	_, h, addr := start(t, 100)
 	post := "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n"
 	for name, text := range map[string]string{
@@ -145,7 +145,7 @@
 }
 
 // A second request ahead of the first one's answer ends both with an error.
-func TestSendingAhead(t *testing.T) {
+func TestPipelinedRequests(t *testing.T) {
 	_, h, addr := start(t, 10)
 	c, br := dial(t, addr, look("1"))
 	x := receive(t, h.arrived)
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestIDsAreForgotten(t *testing.T) {
+func TestIDsExpire(t *testing.T) {
 	i := requestIDs{known: make(map[string]bool)}
 	for n := range 3 * recentIDs {
 		id := fmt.Sprint(n)
@@ -203,7 +203,7 @@
 }
 
 // Silent connections give way to clients, and their number stays under the limit.
-func TestSilentCrowd(t *testing.T) {
+func TestSilentConnectionsAreEvicted(t *testing.T) {
 	const limit = 16
 	s, h, addr := start(t, limit)
 	for range 5 * limit {
--- a/internal/sidecar/clock_test.go
+++ b/internal/sidecar/clock_test.go
@@ -17,7 +17,7 @@
 
 // The wall clock is stepped while requests are open and a server drains: deadlines, windows
 // and graces are spans of real time, and a start that is told afterwards is a start.
-func TestStepsOfTheWallClockMoveNoSpan(t *testing.T) {
+func TestWallClockStepsChangeNoSpan(t *testing.T) {
 	for _, by := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		t.Run(fmt.Sprint("step of ", by), func(t *testing.T) {
 			atStart := clock.Step(by) // the process starts while its clock is off
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -145,7 +145,7 @@
 
 // Where no server can be reached, the refusal comes at once and says when to come
 // back: it is not held back until the deadline.
-func TestRefusalIsPrompt(t *testing.T) {
+func TestRejectionIsPrompt(t *testing.T) {
 	ln := listen(t)
 	addr := ln.Addr().String()
 	ln.Close() // connections there are refused
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -20,7 +20,7 @@
 // A client that leaves while its request waits for a connection, one whose body nobody
 // reads yet included, is noticed at once, and nothing is sent for it when the connection
 // comes up, whether or not servers are told of what is called off.
-func TestNothingBeginsForOneThatLeft(t *testing.T) {
+func TestNoAttemptAfterDisconnect(t *testing.T) {
 	for _, may := range []string{"true", "false"} {
 		for name, request := range map[string]string{
 			"no body":   "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n",
@@ -60,7 +60,7 @@
 
 // A keyed request that may have run is not sent again when the connection for it comes up
 // after the time for which servers drop repeats.
-func TestRepeatKeepsItsWindowOverASlowDial(t *testing.T) {
+func TestRetryKeepsDedupWindowOverSlowDial(t *testing.T) {
 	first, breaks := make(chan struct{}), make(chan struct{})
 	breaker := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
 		close(first)
@@ -106,14 +106,14 @@
 	}
 }
 
-// unheard is a Handler that hears of clients that leave only once it is let.
-type unheard struct {
+// delayedDisconnects is a Handler that hears of clients that leave only once it is let.
+type delayedDisconnects struct {
 	downstream.Handler
-	let chan struct{}
+	released chan struct{}
 }
 
-func (u unheard) ClientDisconnected(x *downstream.Exchange) bool {
-	<-u.let
+func (u delayedDisconnects) ClientDisconnected(x *downstream.Exchange) bool {
+	<-u.released
 	return u.Handler.ClientDisconnected(x)
 }
 
@@ -122,7 +122,7 @@
 // goroutine, and the goroutine that begins an attempt may run before it. Whatever begins an
 // attempt looks at the client's connection in that moment: a retry behind a failed attempt
 // here, while the close has not been noticed.
-func TestRetryLooksAtTheClientsConnection(t *testing.T) {
+func TestRetryChecksTheClientsConnection(t *testing.T) {
 	came, breaks := make(chan struct{}), make(chan struct{})
 	breaker := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
 		came <- struct{}{}
@@ -136,7 +136,7 @@
 	})
 	h, _, _ := start(t, breaker)
 	let := make(chan struct{})
-	server := downstream.New(downstream.Config{MaxConns: 100, MaxBody: 1 << 20}, unheard{h, let})
+	server := downstream.New(downstream.Config{MaxConns: 100, MaxBody: 1 << 20}, delayedDisconnects{h, let})
 	ln := listen(t)
 	go server.Serve(ln)
 	c := dialled(t, ln.Addr().String())
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -256,7 +256,7 @@
 }
 
 // A client at 64 kB a second is served, one that stands still is not.
-func TestSlowUploadIsNotRude(t *testing.T) {
+func TestSlowUploadIsServed(t *testing.T) {
 	_, _, at := start(t, served(t, func(c net.Conn, r *http.Request) bool {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -293,7 +293,7 @@
 // The story. A server of a request whose body was still arriving was told 4.4 s, and its
 // client would wait for 0.5 s from the body's end: the time that the rest of the body might
 // take had been added. A server is told at most what the client waits.
-func TestStreamedRequestTellsWhatItsClientWaits(t *testing.T) {
+func TestStreamedRequestForwardsClientDeadline(t *testing.T) {
 	told := make(chan string, 1)
 	_, _, at := start(t, tcp.Requests(t, func(_, _ int, c net.Conn, r *http.Request) bool {
 		told <- r.Header.Get("Req-Deadline-Ms")
--- a/internal/upstream/errno_test.go
+++ b/internal/upstream/errno_test.go
@@ -91,7 +91,7 @@
 // What a failed call proves does not hang on its errno, only on the call and on how much of
 // the request it took: nothing ran if the server can't have the whole request, and it may
 // have run if it can. One outcome comes, and no connection or slot is left behind.
-func TestWhatFailedCallsProve(t *testing.T) {
+func TestOutcomesOfFailedCalls(t *testing.T) {
 	for name, test := range map[string]struct {
 		want   martendrum.Outcome
 		script func(s *scripted, err error) (dialErr error)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -78,7 +78,7 @@
 const good = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes"
 
 // A spoilt answer is a failed attempt that may have run, and nothing of it is shown.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedAnswers(t *testing.T) {
 	for name, text := range map[string]string{
 		"noise":             "\x00\x01\x02\xff\xfe\r\n\r\n",
 		"no version":        "ICY 200 OK\r\nContent-Length: 3\r\n\r\nyes",
@@ -128,7 +128,7 @@
 
 // A server that is removed and comes back under its name, started anew at another address,
 // gets what is sent from then on; nothing goes on a connection to the one before.
-func TestBackUnderOneName(t *testing.T) {
+func TestRestartUnderOneName(t *testing.T) {
 	old, anew := make(chan struct{}, 10), make(chan struct{}, 10)
 	tell := func(c chan struct{}) string {
 		return serve(t, func(_, _ int, nc net.Conn) {
@@ -159,7 +159,7 @@
 
 // A good answer counts whatever else comes with it, and what follows it is never
 // taken for the answer to the next request.
-func TestMoreThanBelongs(t *testing.T) {
+func TestBytesBeyondTheAnswer(t *testing.T) {
 	for name, c := range map[string]struct{ ahead, behind string }{
 		"second copy": {"", good},
 		"noise":       {"", "\xff\xfe\x00noise"},
@@ -236,7 +236,7 @@
 
 // Where kept connections break at their next request, one that can't be repeated
 // goes on a new one; where they hold, it does not.
-func TestOnceGoesOnNewConnections(t *testing.T) {
+func TestNonRepeatableUsesNewConnections(t *testing.T) {
 	for _, breaks := range []bool{true, false} {
 		conns := make(chan int, 10000)
 		addr := serve(t, func(conn, n int, c net.Conn) {
@@ -316,7 +316,7 @@
 // What has come on a kept connection before a request goes out on it is no answer to
 // that request, also where the connection's goroutine has read it and not acted on it yet.
 // The request goes elsewhere, whole.
-func TestStrayAnswerIsNobodys(t *testing.T) {
+func TestUnsolicitedAnswerIsDropped(t *testing.T) {
 	stray, wrote := make(chan struct{}), make(chan struct{})
 	addr := serve(t, func(conn, _ int, c net.Conn) {
 		io.WriteString(c, good)
@@ -359,7 +359,7 @@
 }
 
 // The same where the connection's goroutine acts first.
-func TestStrayAnswerBeforeTheRequest(t *testing.T) {
+func TestUnsolicitedAnswerBeforeRequest(t *testing.T) {
 	end := make(chan struct{})
 	defer close(end)
 	addr := tcp.Serve(t, func(_ int, c net.Conn) {
@@ -393,7 +393,7 @@
 // rest for 3 ms, so that second answers were passed on as those of the next requests, one
 // after another for as long as it went on, though strays on idle connections had been seen.
 // Once a server has sent a stray, its connections rest for longer than that.
-func TestConnectionsRestLongerAfterAStray(t *testing.T) {
+func TestConnectionsRestLongerAfterUnsolicitedAnswer(t *testing.T) {
 	for name, late := range map[string]bool{"right behind its answer": false, "on an idle connection": true} {
 		t.Run(name, func(t *testing.T) {
 			stray := make(chan struct{})
@@ -428,7 +428,7 @@
 }
 
 // An attempt whose time to leave is over does not go out, on whatever connection.
-func TestTooLateIsNotSent(t *testing.T) {
+func TestOverdueAttemptIsNotSent(t *testing.T) {
 	ran := make(chan struct{}, 10)
 	p := newPool(serve(t, func(_, _ int, c net.Conn) {
 		ran <- struct{}{}
@@ -486,7 +486,7 @@
 
 // A long answer that nobody reads, as a probe's or one that comes after its request's
 // end, holds neither its goroutine nor its connection.
-func TestUnreadRestLeavesNothing(t *testing.T) {
+func TestUnreadRestFreesConnection(t *testing.T) {
 	body := strings.Repeat("x", 1<<20)
 	p := newPool(serve(t, func(_, _ int, c net.Conn) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
