--- a/cmd/sidecar/acceptance_test.go
+++ b/cmd/sidecar/acceptance_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// Processes that start together are ready in time, also where discovery says nothing at
-// all, and where an old process has stopped in the midst of its life.
+// Processes that start together are ready in time, also where discovery never answers and
+// where a predecessor is stalled.
 func TestReadyWithoutDependencies(t *testing.T) {
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
@@ -211,9 +211,8 @@
 	}
 }
 
-// Servers that hang while the sidecar is told to end, twice, and to read its file beside:
-// what was taken is answered by its deadline, and the process has ended before it would be
-// killed.
+// Servers hang while the sidecar gets two signals to terminate and a reload: every accepted
+// request is answered by its deadline, and the process exits before it would be killed.
 func TestStopWhileServersHang(t *testing.T) {
 	const longest = time.Second
 	hung := make(chan struct{}, 100)
--- a/cmd/sidecar/bench_test.go
+++ b/cmd/sidecar/bench_test.go
@@ -64,8 +64,8 @@
 	return kB / 1024
 }
 
-// BenchmarkLongAnswers takes 100 answers of 32 MB at once through a sidecar that may
-// have 32 MB, and shows the most that was resident. Each answer comes whole.
+// BenchmarkLongAnswers transfers 100 answers of 32 MB at once through a sidecar that may
+// have 32 MB, and reports the peak of its resident memory. Each answer arrives completely.
 func BenchmarkLongAnswers(b *testing.B) {
 	const size, clients = 32 << 20, 100
 	server := servedBy(b, func(w io.Writer) error {
@@ -101,8 +101,8 @@
 	b.SetBytes(size * clients)
 }
 
-// BenchmarkIdleConnections shows what 400 clients leave resident who asked once each
-// and keep their connection.
+// BenchmarkIdleConnections reports the resident memory with 400 clients that have sent one
+// request each and keep their connections open.
 func BenchmarkIdleConnections(b *testing.B) {
 	server := servedBy(b, func(w io.Writer) error {
 		_, err := io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes")
@@ -139,7 +139,7 @@
 	return tcp.Requests(b, func(_, _ int, c net.Conn, _ *http.Request) bool { return give(c) == nil })
 }
 
-// fetch asks for one answer and counts its bytes.
+// fetch requests one answer and counts its bytes.
 func fetch(addr, id string) (int64, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/cmd/sidecar/generated_test.go
+++ b/cmd/sidecar/generated_test.go
@@ -16,9 +16,9 @@
 // kind is a class of generated settings, as a client needs to know it.
 type kind struct{ name, effect string }
 
-// generated draws the settings of a customer that nobody has thought of: classes with any
-// effect, tenants, zones, limits and costs, without what may be left out unless whole.
-func generated(rng *rand.Rand, whole bool) (settings map[string]any, kinds []kind) {
+// generated draws the settings of an arbitrary customer: classes of any idempotency, tenants,
+// zones, limits and costs; optional keys are only certain to be there if complete is true.
+func generated(rng *rand.Rand, complete bool) (settings map[string]any, kinds []kind) {
 	word := func() string {
 		b := make([]byte, 3+rng.IntN(12))
 		for i := range b {
@@ -30,7 +30,7 @@
 		return (least + time.Duration(rng.Float64()*float64(limit-least))).Microseconds()
 	}
 	maybe := func(m map[string]any, key string, value any) {
-		if whole || rng.IntN(2) == 0 {
+		if complete || rng.IntN(2) == 0 {
 			m[key] = value
 		}
 	}
@@ -69,7 +69,7 @@
 	maybe(settings, "family", word())
 	maybe(settings, "rank", rng.IntN(400))
 	maybe(settings, word(), word()) // a key that nobody knows
-	if whole || rng.IntN(2) == 0 {
+	if complete || rng.IntN(2) == 0 {
 		var tenants []any
 		for range rng.IntN(5) {
 			tenants = append(tenants, map[string]any{"name": word(), "allowancePerS": rng.Float64() * 100})
@@ -99,9 +99,9 @@
 	return r
 }
 
-// The program serves whatever customer's settings it is given: each class as they say, and
-// after SIGHUP to another customer's whole settings, with requests of the old ones open,
-// those to their end and the new ones as they say.
+// The program serves any customer's settings: each class by its own values and, after SIGHUP
+// to another customer's complete settings, open requests by the old ones and new requests by
+// the new ones.
 func TestGeneratedSettings(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/cmd/sidecar/kill_test.go
+++ b/cmd/sidecar/kill_test.go
@@ -15,17 +15,17 @@
 	"martendrum/internal/soak"
 )
 
-// The story. A deployment's requests may take longer than 3 s. The supervisor tells a
-// sidecar to end (SIGTERM) and kills it 3.7 s later: it counts the longest deadline as 3 s
-// at most, and adds 0.7 s. Some servers hang just then. The sidecar plans its end by its
-// own longest deadline, which is later than the kill; requests that wait for a server that
-// hangs are still open when the kill comes, and their clients see a reset.
+// A deployment's requests may take longer than 3 s. The supervisor sends SIGTERM to a sidecar
+// and kills it 3.7 s later: it counts the longest deadline as 3 s at most, and adds 0.7 s. Some
+// servers hang just then. The sidecar used to plan its shutdown by its own longest deadline,
+// which is later than the kill; requests that waited for a hanging server were still open when
+// the kill came, and their clients saw a reset.
 //
-// The evidence: two recorded runs with longest deadlines of 3.406 and 3.831 s. Their logs
-// have `stopping` within some ms of SIGTERM and a plan to have all answered 3.706 and
-// 4.131 s after it; the kill came after 3.70 s and found one request open in each. These
-// requests had come 0.97 and 1.51 s after SIGTERM, each the first on a connection that had
-// been accepted at the signal and had said nothing since.
+// Two recorded runs showed it, with longest deadlines of 3.406 and 3.831 s. Their logs have
+// `stopping` within some ms of SIGTERM and a plan to have all answered 3.706 and 4.131 s after
+// it; the kill came after 3.70 s and found one request open in each. These requests had arrived
+// 0.97 and 1.51 s after SIGTERM, each the first on a connection that had been accepted at the
+// signal and had sent nothing since.
 
 // finalAnswer sends one request on a connection and returns the status of its answer.
 func finalAnswer(c net.Conn, r *bufio.Reader, id, path string) (int, error) {
@@ -40,8 +40,8 @@
 	return response.StatusCode, err
 }
 
-// Servers hang through the whole of a stop, and the kill comes at its earliest: every
-// request that was passed on has its answer by then, however long its class may wait.
+// Servers hang throughout a shutdown, and the kill comes at its earliest: every forwarded
+// request has its answer by then, however long its class may wait.
 func TestEarliestKillFindsNothingOpen(t *testing.T) {
 	for _, longest := range []time.Duration{500 * time.Millisecond, 2800 * time.Millisecond, 5 * time.Second, 20 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -126,7 +126,7 @@
 	eventually(t, "ready", func() bool { s, _ := ask("GET", "/_health"); return s == http.StatusOK })
 	eventually(t, "an answer of the first server", func() bool { _, b := ask("GET", "/look"); return b == "one" })
 
-	// The health call tells which file is in force.
+	// The health response names the file in force.
 	told := func() string {
 		r, err := client.Get("http://" + ln.Addr().String() + "/_health")
 		if err != nil {
--- a/cmd/sidecar/retune_test.go
+++ b/cmd/sidecar/retune_test.go
@@ -78,8 +78,8 @@
 	return map[string]string{"BALANCER_CONFIG": s.config}[name]
 }
 
-// reset is a server that takes requests, tells of each, and breaks the connection
-// once let. It counts what it ran.
+// reset is a server that accepts requests, reports each, and breaks the connection once
+// released. It counts what it ran.
 func reset(t *testing.T, came chan<- struct{}, let <-chan struct{}) (addr string, ran *atomic.Int64) {
 	t.Helper()
 	ran = new(atomic.Int64)
--- a/cmd/sidecar/standing_test.go
+++ b/cmd/sidecar/standing_test.go
@@ -67,15 +67,15 @@
 	return s.Listener.Addr().String()
 }
 
-// asking is a configuration's text where discovery is asked.
+// asking returns a configuration with which discovery is polled.
 func asking(t *testing.T, text string) string {
 	t.Helper()
 	text = replace(t, text, `"registryMode":"automatic"`, `"registryMode":"subscribe"`)
 	return replace(t, text, `"drainGraceUs":2000000`, `"drainGraceUs":2000000,"askWithinUs":10000000`)
 }
 
-// Where discovery is asked, a new configuration that moves it is followed well within the
-// 4 s after which its list counts as told, also while no watch is open.
+// Where discovery is polled, a new configuration that moves it is followed well within the 4 s
+// after which its list counts as notified, also while no watch is open.
 func TestEndpointChangeIsFollowedWithoutWatch(t *testing.T) {
 	s := newShop(t, 256)
 	asked := make(chan struct{}, 100)
@@ -101,8 +101,8 @@
 	}
 }
 
-// Where discovery is asked, a call that it refuses, loses or lets wait in vain is followed
-// by the next one well before what it has counts as told, however often that happens.
+// Where discovery is polled, a call that it rejects, loses or leaves unanswered is followed by
+// the next one well before its changes count as notified, however often that happens.
 func TestFailedCallIsRetriedInTime(t *testing.T) {
 	for name, call := range map[string]func(w http.ResponseWriter, r *http.Request){
 		"refused": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
@@ -140,9 +140,9 @@
 	}
 }
 
-// After SIGTERM clients go on sending on every connection that they have, and on new ones
-// for longer than the platform's do. Each request is answered, or its connection closes
-// before anything of it was passed on.
+// After SIGTERM clients continue to send on every open connection, and on new ones for longer
+// than the platform's clients do. Each request is answered, or its connection closes before
+// anything of it was forwarded.
 func TestStopOnIdleConnections(t *testing.T) {
 	var ran sync.Map
 	s := newShopBefore(t, func(w http.ResponseWriter, r *http.Request) {
@@ -192,8 +192,8 @@
 	}
 }
 
-// What a sidecar has learned is a hint for its next life; a file that is torn, empty or
-// another's is told for what it is, and the sidecar serves all the same.
+// Learned state is a hint for the next process; a file that is torn, empty or another
+// sidecar's is reported as such, and the sidecar serves all the same.
 func TestCheckpointsNotTrusted(t *testing.T) {
 	s := newShop(t, 256)
 	keep := filepath.Join(t.TempDir(), "checkpoint")
@@ -241,8 +241,7 @@
 	}
 }
 
-// A word that MARTENDRUM_FLEET does not know, and peers that can't be, are told with what
-// to do.
+// An unknown feature of MARTENDRUM_FLEET and an invalid list of peers are reported with advice.
 func TestCoordinationFeatures(t *testing.T) {
 	s := newShop(t, 256)
 	for words, keep := range map[string]string{"retrun": "", "peers": "", "return, breakers": "", "": "somewhere"} {
--- a/cmd/sidecar/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -278,8 +278,8 @@
 	eventually(t, "requests to be served", func() bool { return c.good.Load() >= from+n })
 }
 
-// succeed lets a new process take the place of old, which is asked to end and does, in
-// front of clients. The new one knows what the old one knew, and holds all in the end.
+// succeed replaces old by a new process under load and terminates old. The new one has what the
+// old one had learned, and the full limits in the end.
 func (s *shop) succeed(old *process, c *clientGroup) *process {
 	s.t.Helper()
 	c.more(s.t, 50)
@@ -297,10 +297,10 @@
 	return next
 }
 
-// Versions one after the other under load: no client meets anything but its answer, and
-// each old process ends by itself. So it is where as many clients come as requests may be
-// held, each on a connection that it keeps; with more than that, what both processes hold
-// together stays within the limit.
+// Consecutive versions under load: each client gets its answers and nothing else, and each
+// predecessor exits without a kill. The same holds where as many clients come as requests may
+// be in flight, each on a connection that it keeps open; with more clients than that, the
+// requests in flight of both processes together stay within the limit.
 func TestUpgradeLosesNothing(t *testing.T) {
 	for _, c := range []struct {
 		clients, kept, limit, upgrades int
@@ -344,7 +344,7 @@
 func TestUpgradeOfAStalledProcess(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		asleep bool // it is asked to end before it wakes, as an agent does
+		asleep bool // it gets SIGTERM before it runs again, as from an agent
 	}{{"asked when awake", false}, {"asked while stopped", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newShop(t, 256)
@@ -377,8 +377,8 @@
 	}
 }
 
-// The two processes together hold no more descriptors than one may, whatever many
-// clients open on them, and the new one gets the rest when the old one has gone.
+// The two processes together use no more descriptors than one may, however many clients
+// connect, and the new one gets the rest when the predecessor has exited.
 func TestUpgradeSharesLimits(t *testing.T) {
 	const sockets = 128
 	s := newShop(t, sockets)
@@ -417,8 +417,8 @@
 	})
 }
 
-// An id that one of two processes has open, or had a moment ago, is known to the other:
-// a request under it is turned away and reaches no server, whichever process gets it.
+// A request id that one of two processes has open, or had a moment ago, is known to the other: a
+// request with the same id is rejected and reaches no server, whichever process gets it.
 func TestUpgradeSharesIDs(t *testing.T) {
 	var came atomic.Int64
 	hold := make(chan struct{})
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -15,8 +15,8 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// patience is how long a test waits for what must come; soon is well before what a silent
-// watch missed counts as told.
+// patience bounds the wait for an expected event; soon is well before the changes that a silent
+// watch missed count as notified.
 const (
 	patience = 20 * time.Second
 	soon     = 5 * time.Second
@@ -114,8 +114,9 @@
 	}
 }
 
-// A watch on which nothing comes, or on which a list stops half way, is opened anew well
-// before what it missed counts as told, whoever asks, and goes on from what is held.
+// A watch on which nothing arrives, or on which a list stops half way, is reopened well before
+// the changes that it missed count as notified, polled or pushed, and continues from the last
+// version received.
 func TestSilentWatchIsReopened(t *testing.T) {
 	for _, asks := range []bool{false, true} {
 		for name, then := range map[string]func(c net.Conn){
@@ -153,7 +154,7 @@
 	}
 }
 
-// A watch that is silent from its first byte, or after its head, is asked anew in time.
+// A watch that is silent from its first byte, or after its head, is reopened in time.
 func TestSilentFromTheFirstByte(t *testing.T) {
 	for head, text := range map[string]string{"nothing": "", "a head": answer} {
 		for pace, p := range map[string]Pace{"asked": Polled(), "pushed": Pushed(2 * time.Second)} {
@@ -180,8 +181,8 @@
 	}
 }
 
-// A watch that falls silent and the call after it, which is lost, together cost no more than
-// the time after which what discovery has counts as told, also where the next answer is slow.
+// A silent watch and the lost call after it together cost less than the time after which
+// changes count as notified, also where the next response is slow.
 func TestSilentWatchAndLostCall(t *testing.T) {
 	const slow = 1200 * time.Millisecond // an answer of a discovery with much to do
 	for name, lost := range map[string]func(c net.Conn){
@@ -270,7 +271,7 @@
 	}
 }
 
-// What is no list, or has no end, ends the watch; the next one asks for all.
+// Invalid JSON, or a list without end, ends the watch; the next one requests the complete list.
 func TestInvalidListsResetTheIndex(t *testing.T) {
 	for name, text := range map[string]string{
 		"no JSON":     indented + "} {",
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -10,8 +10,8 @@
 	"martendrum"
 )
 
-// Whatever the settings say, the waits of both paces add up to less than the time after
-// which what discovery has counts as told.
+// For all settings the waits of both paces add up to less than the time after which changes
+// count as notified.
 func TestWaitsAddUp(t *testing.T) {
 	asked := Polled()
 	if w := asked.WorstDelay(); w > maxNotificationDelay-notificationMargin {
@@ -113,8 +113,8 @@
 	}
 }
 
-// Three hundred sidecars that wait for a discovery which comes back are all told well in
-// time, and what they ask meanwhile is no storm.
+// Three hundred sidecars that wait for discovery to return are all notified well in time, and
+// their calls meanwhile are no storm.
 func TestDiscoveryReturnCausesNoCallStorm(t *testing.T) {
 	const count = 300
 	for _, cost := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
@@ -162,9 +162,9 @@
 	}
 }
 
-// Three hundred watches that fall silent together ask again within Spread, and a second time
-// where a slow discovery has not answered by then: all are told in time, with two calls each
-// at most, also where the first call of every tenth is lost.
+// Three hundred watches that fall silent together poll again within RetrySpread, and a second
+// time where a slow discovery has not answered by then: all are notified in time, with two calls
+// each at most, also where the first call of every tenth is lost.
 func TestSecondCallsCauseNoStorm(t *testing.T) {
 	const count = 300
 	pace := Polled()
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -91,7 +91,7 @@
 }
 
 // An answer after which the connection closes reaches its client, and the connection ends
-// without a reset, also where the client has sent on by then.
+// without a reset, also where the client has sent more by then.
 func TestAnswerSurvivesTrailingInput(t *testing.T) {
 	for name, prepare := range map[string]func(s *Server) string{
 		"the client closes": func(*Server) string { return "Connection: close\r\n" },
@@ -165,8 +165,8 @@
 	}
 }
 
-// A connection that is closed at rest takes no request any more, and says so with a plain
-// end: what crosses the closing is read off and not passed on.
+// An idle connection that is closed accepts no further request and ends without a reset: what
+// arrives during the close is discarded and not forwarded.
 func TestRequestBehindTheCloseIsNotForwarded(t *testing.T) {
 	s, h, addr := start(t, 10)
 	c, br := dial(t, addr, look("1"))
@@ -223,8 +223,8 @@
 	}
 }
 
-// A connection that is given up while its request comes in is told so where the request
-// has come whole by then.
+// A connection that stops reading while a request arrives answers that request if it has
+// arrived completely by then.
 func TestCompleteRequestIsAnsweredWhenReadingStops(t *testing.T) {
 	s, h, addr := start(t, 10)
 	c, br := dial(t, addr, "GET /look HTTP/1.1\r\n")
@@ -246,7 +246,7 @@
 	}
 }
 
-// Each answer leaves at once: nothing of it is held back for a close to take along.
+// Each answer is sent at once: the system buffers nothing that a close could discard.
 func TestAnswersAreNotDelayed(t *testing.T) {
 	s, _, addr := start(t, 10)
 	dial(t, addr, "")
@@ -277,7 +277,7 @@
 	}
 	// A read that had armed its own deadline before would go on with what comes.
 	server.netConn.SetReadDeadline(time.Now().Add(patience))
-	for range 500 { // far from the whole body and from the end of its pace, which would end it too
+	for range 500 { // far from the complete body and from its rate limit, which would end it too
 		if _, err := c.Write([]byte("x")); err != nil {
 			return // reset: it is closed
 		}
@@ -335,9 +335,9 @@
 	}
 }
 
-// The story. At the end of a process all open requests end in one moment, and one goroutine
-// answers them in turn. A client that takes nothing kept it for 2 s, which the answers of
-// all others behind it were late by. Whoever answers waits for no client.
+// At the end of a process all open requests end in one moment, and one goroutine answered them
+// in turn. A client that read nothing blocked it for 2 s, by which all other answers behind it
+// were late. An answer must not wait for another client.
 func TestSlowClientDelaysNoOther(t *testing.T) {
 	_, h, addr := start(t, 100)
 	dial(t, addr, look("1")) // reads nothing
--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// A connection serves one request after another, and gives its descriptor back
-// when nothing is asked on it any more.
+// A connection serves one request after another, and releases its descriptor once it has been
+// idle for too long.
 func TestKeepAlive(t *testing.T) {
 	s, h, addr := start(t, 10)
 	c, br := dial(t, addr, "")
@@ -258,8 +258,8 @@
 	}
 }
 
-// Thousands that connect and say nothing, some half a head, many more than there is
-// room for, keep nobody out who asks.
+// Thousands of clients that connect and send nothing or half a head, many more than the limit,
+// do not keep out a client that sends a request.
 func TestThousandsOfIdle(t *testing.T) {
 	const limit = 60
 	s, h, addr := start(t, limit)
--- a/internal/downstream/fuzz_test.go
+++ b/internal/downstream/fuzz_test.go
@@ -16,9 +16,9 @@
 	"martendrum/internal/upstream"
 )
 
-// FuzzRequestBody sends a body, chunked or of a stated length, in pieces, and compares
-// what arrives with what RFC 9112 makes of the same bytes: what the strict grammar takes
-// whole arrives, and nothing arrives that even a lenient reader would read otherwise.
+// FuzzRequestBody sends a body, chunked or of a stated length, in pieces, and compares what
+// arrives with RFC 9112: what the strict grammar accepts arrives completely, and nothing arrives
+// that even a lenient reader would read otherwise.
 func FuzzRequestBody(f *testing.F) {
 	for _, seed := range framingtest.Seeds {
 		f.Add([]byte(seed), -1, 1)
@@ -41,7 +41,7 @@
 		}
 		there.SetDeadline(time.Now().Add(patience))
 		go func() {
-			if framingtest.Send(there, append([]byte(head), body...), piece) == nil { // else it was turned away
+			if framingtest.Send(there, append([]byte(head), body...), piece) == nil { // else it was rejected
 				there.Close()
 			}
 		}()
@@ -76,8 +76,8 @@
 	})
 }
 
-// FuzzPassedAnswer passes an answer on from pieces, chunked where its length is not
-// told, and compares what a client reads with what went in.
+// FuzzPassedAnswer forwards an answer from pieces, chunked where its length is unknown, and
+// compares what a client reads with what went in.
 func FuzzPassedAnswer(f *testing.F) {
 	f.Add([]byte("abc"), 1, true, false)
 	f.Add([]byte("0\r\n\r\n"), 2, false, true)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Names keep their places over any changes, new ones take those of dropped ones, and
-// what stands at a name's place is its own.
+// Names keep their places over any changes, new ones take those of dropped ones, and the values
+// at a name's place belong to it.
 func TestFollow(t *testing.T) {
 	parse := func(names ...string) *Settings {
 		t.Helper()
--- a/internal/sidecar/clock_test.go
+++ b/internal/sidecar/clock_test.go
@@ -15,8 +15,8 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// The wall clock is stepped while requests are open and a server drains: deadlines, windows
-// and graces are spans of real time, and a start that is told afterwards is a start.
+// The wall clock is stepped while requests are open and a server drains: deadlines, windows and
+// graces are spans of real time, and a start that is notified afterwards is a start.
 func TestWallClockStepsChangeNoSpan(t *testing.T) {
 	for _, by := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		t.Run(fmt.Sprint("step of ", by), func(t *testing.T) {
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -17,9 +17,9 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// A client that leaves while its request waits for a connection, one whose body nobody
-// reads yet included, is noticed at once, and nothing is sent for it when the connection
-// comes up, whether or not servers are told of what is called off.
+// A client that disconnects while its request waits for a connection, or while its body is not
+// read yet, is noticed at once, and nothing is sent for it when the connection is up, whether or
+// not cancellation is announced to servers.
 func TestNoAttemptAfterDisconnect(t *testing.T) {
 	for _, may := range []string{"true", "false"} {
 		for name, request := range map[string]string{
@@ -106,7 +106,7 @@
 	}
 }
 
-// delayedDisconnects is a Handler that hears of clients that leave only once it is let.
+// delayedDisconnects is a Handler that is informed of disconnects only once it is released.
 type delayedDisconnects struct {
 	downstream.Handler
 	released chan struct{}
@@ -117,11 +117,10 @@
 	return u.Handler.ClientDisconnected(x)
 }
 
-// The story. A process that had been held up sent attempts 102 to 138 ms after their
-// clients had closed their connections: the close is noticed by the connection's own
-// goroutine, and the goroutine that begins an attempt may run before it. Whatever begins an
-// attempt looks at the client's connection in that moment: a retry behind a failed attempt
-// here, while the close has not been noticed.
+// A stalled process had sent attempts 102 to 138 ms after their clients had closed their
+// connections: the close is noticed by the connection's own goroutine, and the goroutine that
+// starts an attempt may run before it. Whatever starts an attempt therefore checks the client's
+// connection itself. Here a retry follows a failed attempt while the close has not been noticed.
 func TestRetryChecksTheClientsConnection(t *testing.T) {
 	came, breaks := make(chan struct{}), make(chan struct{})
 	breaker := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
--- a/internal/sidecar/list_capacity_test.go
+++ b/internal/sidecar/list_capacity_test.go
@@ -33,7 +33,7 @@
 	Endpoints []listedServer `json:"endpoints"`
 }
 
-// capacityLine is a whole list of servers of one service over 27 zones, as discovery
+// capacityLine returns a complete list of servers of one service over 27 zones, as discovery
 // writes it.
 func capacityLine(b *testing.B, size int) []byte {
 	b.Helper()
@@ -75,8 +75,8 @@
 	host.Listed(list)
 }
 
-// BenchmarkWholeListCapacity reads a whole list and takes it into a new sidecar without
-// connections: decisions and connection pool.
+// BenchmarkWholeListCapacity reads a complete list into a new sidecar without connections:
+// decisions and connection pool.
 func BenchmarkWholeListCapacity(b *testing.B) {
 	for _, size := range capacityServers {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
@@ -95,8 +95,8 @@
 	}
 }
 
-// BenchmarkRepeatedListCapacity takes the same whole list again: what a discovery that
-// pushes the whole list at each change costs a sidecar.
+// BenchmarkRepeatedListCapacity reads the same complete list again: the cost for a sidecar of a
+// discovery that pushes the complete list at each change.
 func BenchmarkRepeatedListCapacity(b *testing.B) {
 	for _, size := range capacityServers {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -39,7 +39,7 @@
 // A scripted day: served, declined and tried again, failed, broken, refused at a
 // limit, abandoned, cancelled. Each metric agrees with what servers and clients counted.
 func TestMetricsAgreeWithCounted(t *testing.T) {
-	var ran atomic.Int64 // requests that came whole to a server
+	var ran atomic.Int64 // requests that arrived completely at a server
 	declined := new(sync.Map)
 	hold := make(chan struct{})
 	act := func(c net.Conn, r *http.Request) bool {
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -47,7 +47,7 @@
 
 const look = "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\n\r\n"
 
-// An answer of any form, whole or longer than is held, comes to the client as it was
+// An answer of any form, buffered or longer than the buffer, arrives at the client as it was
 // made, in whatever pieces it comes.
 func TestPiecesEverywhere(t *testing.T) {
 	long := block(300 << 10)
@@ -154,8 +154,8 @@
 	}
 }
 
-// A client that takes nothing holds its server back: of an answer without end only
-// what sockets and one window hold leaves the server.
+// A client that reads nothing limits its server: of an answer without end the server can send
+// only what the sockets and one window hold.
 func TestStreamBackPressure(t *testing.T) {
 	var sent atomic.Int64
 	blocked := make(chan struct{})
@@ -230,8 +230,8 @@
 	if whole.Load() != 8 {
 		t.Errorf("%d requests ran, want 8", whole.Load())
 	}
-	// This one breaks in the midst of the streamed part, which is more than sockets hold:
-	// it was never written whole, so it never ran.
+	// This one breaks in the streamed part, which is more than the sockets hold: the request was
+	// never written completely, so it never ran.
 	breaks := served(t, func(c net.Conn, r *http.Request) bool {
 		io.CopyN(io.Discard, r.Body, 100<<10)
 		c.(*net.TCPConn).SetLinger(0)
@@ -242,7 +242,7 @@
 	if got := send(at, "b", 28<<20); got != http.StatusServiceUnavailable && got != 0 {
 		t.Errorf("answered %d, want a refusal", got)
 	}
-	// A client that leaves in the midst leaves nothing behind, and nothing runs.
+	// A client that disconnects during its upload leaves no state, and nothing runs.
 	h, srv, at := start(t, good)
 	c := dialled(t, at)
 	fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: gone\r\nContent-Length: 900000\r\n\r\n")
@@ -255,7 +255,7 @@
 	}
 }
 
-// A client at 64 kB a second is served, one that stands still is not.
+// A client that uploads at 64 kB a second is served, one that stalls is not.
 func TestSlowUploadIsServed(t *testing.T) {
 	_, _, at := start(t, served(t, func(c net.Conn, r *http.Request) bool {
 		io.Copy(io.Discard, r.Body)
@@ -290,9 +290,9 @@
 	}
 }
 
-// The story. A server of a request whose body was still arriving was told 4.4 s, and its
-// client would wait for 0.5 s from the body's end: the time that the rest of the body might
-// take had been added. A server is told at most what the client waits.
+// A server of a request whose body was still arriving was given 4.4 s while its client would
+// wait for 0.5 s from the body's end: the time that the rest of the body might take had been
+// added. A server is given at most the time that the client waits.
 func TestStreamedRequestForwardsClientDeadline(t *testing.T) {
 	told := make(chan string, 1)
 	_, _, at := start(t, tcp.Requests(t, func(_, _ int, c net.Conn, r *http.Request) bool {
--- a/internal/upstream/errno_test.go
+++ b/internal/upstream/errno_test.go
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// arrived reports whether the server has the whole request.
+// arrived reports whether the server has the complete request.
 func (s *scripted) arrived() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,9 +88,9 @@
 func (*scripted) SetReadDeadline(time.Time) error  { return nil }
 func (*scripted) SetWriteDeadline(time.Time) error { return nil }
 
-// What a failed call proves does not hang on its errno, only on the call and on how much of
-// the request it took: nothing ran if the server can't have the whole request, and it may
-// have run if it can. One outcome comes, and no connection or slot is left behind.
+// What a failed call proves depends on the call and on how much of the request it accepted, not
+// on its errno: nothing ran if the server can't have the complete request, and it may have run
+// otherwise. There is one outcome, and no connection or slot is leaked.
 func TestOutcomesOfFailedCalls(t *testing.T) {
 	for name, test := range map[string]struct {
 		want   martendrum.Outcome
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -12,10 +12,9 @@
 	"martendrum/internal/netconn"
 )
 
-// FuzzAnswerBody reads a server's answer, chunked, of a stated length or ended by its
-// connection, in pieces, and compares it with what RFC 9112 makes of the same bytes:
-// what the strict grammar takes whole is an answer, and nothing is that even a lenient
-// reader would read otherwise.
+// FuzzAnswerBody reads a server's answer, chunked, of a stated length or delimited by the end of
+// its connection, in pieces, and compares it with RFC 9112: what the strict grammar accepts is an
+// answer, and nothing is that even a lenient reader would read otherwise.
 func FuzzAnswerBody(f *testing.F) {
 	for _, seed := range framingtest.Seeds {
 		f.Add([]byte(seed), -1, 1, false)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -234,8 +234,8 @@
 	}
 }
 
-// Where kept connections break at their next request, one that can't be repeated
-// goes on a new one; where they hold, it does not.
+// Where reused connections break at their next request, a request that can't be repeated gets a
+// new one; where they hold, it does not.
 func TestNonRepeatableUsesNewConnections(t *testing.T) {
 	for _, breaks := range []bool{true, false} {
 		conns := make(chan int, 10000)
@@ -271,9 +271,8 @@
 	}
 }
 
-// Where kept connections are not trusted, those for requests that can't be repeated take
-// the places of idle ones: a server holds only so many, and what lies idle would keep
-// the new ones out.
+// Where reused connections are not trusted, new ones for requests that can't be repeated replace
+// idle ones: a server accepts only so many, and idle ones would keep the new ones out.
 func TestNewConnectionsTakeIdlePlaces(t *testing.T) {
 	conns := make(chan int, 100)
 	p := newPool(serve(t, func(conn, _ int, c net.Conn) {
@@ -294,8 +293,8 @@
 		if got := <-conns; got != n {
 			t.Errorf("request %d went on connection %d, want a new one", n, got)
 		}
-		// An answer that is read before the sender has noted that all is written is good, but
-		// its connection is not kept. That round shows nothing.
+		// An answer that is read before the sender has recorded the end of its write is good, but its
+		// connection is not reused. Such a round shows nothing.
 		eventually(t, "a kept connection, or none", func() bool { return p.idles("s") == 1 || p.Conns() == 0 })
 		if p.Conns() == 0 {
 			continue
@@ -313,9 +312,9 @@
 	return p.brokenFraction
 }
 
-// What has come on a kept connection before a request goes out on it is no answer to
-// that request, also where the connection's goroutine has read it and not acted on it yet.
-// The request goes elsewhere, whole.
+// Bytes that arrived on a reused connection before a request goes out on it are no answer to
+// that request, also where the connection's goroutine has read them and not acted on them yet.
+// The request goes out completely on another connection.
 func TestUnsolicitedAnswerIsDropped(t *testing.T) {
 	stray, wrote := make(chan struct{}), make(chan struct{})
 	addr := serve(t, func(conn, _ int, c net.Conn) {
@@ -389,10 +388,10 @@
 	}
 }
 
-// The story. A server answered some requests twice, the second time 4 ms later. Connections
-// rest for 3 ms, so that second answers were passed on as those of the next requests, one
-// after another for as long as it went on, though strays on idle connections had been seen.
-// Once a server has sent a stray, its connections rest for longer than that.
+// A server answered some requests twice, the second time 4 ms later. Connections rested for 3 ms,
+// so that the duplicates were forwarded as the answers of the next requests, one after another,
+// though unsolicited bytes on idle connections had been seen. Once a server has sent unsolicited
+// bytes, its connections rest for longer than that.
 func TestConnectionsRestLongerAfterUnsolicitedAnswer(t *testing.T) {
 	for name, late := range map[string]bool{"right behind its answer": false, "on an idle connection": true} {
 		t.Run(name, func(t *testing.T) {
@@ -452,7 +451,7 @@
 		if len(ran) > 0 {
 			t.Errorf("%d kept: it was sent", kept)
 		}
-		if ask(t, p).o != martendrum.OK { // leaves a kept connection
+		if ask(t, p).o != martendrum.OK { // leaves a reusable connection
 			t.Error("a request in time failed")
 		}
 		<-ran
