--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -72,7 +72,7 @@
 
 // now returns Unix time as the wall clock had it at the process's start, and goes on with the
 // monotonic clock: no step moves it. What it may be off by, the Balancer allows for (package
-// martendrum, coldstart.go). It is read under the lock, so that the Balancer's events are in
+// martendrum, slowstart.go). It is read under the lock, so that the Balancer's events are in
 // the order of their times.
 func (h *Host) now() time.Duration { return h.startedUnix + time.Since(h.started) }
 
