--- a/admission.go
+++ b/admission.go
@@ -41,17 +41,6 @@
 	tenantQuotas     []tokenBucket
 }
 
-// tokenBucket is a token bucket.
-type tokenBucket struct {
-	tokens float64
-	at     time.Duration
-}
-
-// refill adds rate tokens a second up to burst, which is 1 at least.
-func (b *tokenBucket) refill(rate, burst float64, now time.Duration) {
-	b.tokens, b.at = min(b.tokens+rate*(now-b.at).Seconds(), max(1, burst)), now
-}
-
 // configure makes room for the configuration's classes and tenants.
 func (a *admissionController) configure() {
 	for len(a.arrivalFractions) < 2*len(a.config.Classes) { // all within the shares, until seen otherwise
--- /dev/null
+++ b/endpoint_set.go
@@ -0,0 +1,121 @@
+package martendrum
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// server is one member as this balancer sees it.
+type server struct {
+	name, zone                    string
+	group                         int
+	capacityHint                  float64       // the list's capacity hint, 1 where it gives none
+	weightCorrection              float64       // corrects the hint by what was seen
+	started                       time.Duration // its last start, by its own word
+	slowStartBegan, slowStartEnds time.Duration // from when that start counts, and when it is warm at the latest
+	serving, inWorkingSet         bool          // listed as serving; in the working set
+	inFlight                      int
+	failures, ejections           int           // in a row; for the backoff
+	ejectedUntil                  time.Duration // suspect until then
+	latencySum, latencyWeight     float64       // fading sum and weight of relative latencies
+	load                          float64       // last load report, in requests held
+	latencyAt, loadAt             time.Duration
+	answeredAt                    time.Duration       // last answer but errors
+	errorRates                    map[int]tokenBucket // by class: share of errors
+	weightCorrectedAt             time.Duration
+	priority                      float64     // order among members, lowest first
+	slowStartTokens               tokenBucket // sends that it may get while cold
+}
+
+// endpointSet is the membership, the working set and the sampling table over it.
+type endpointSet struct {
+	config           *Config
+	random           func() float64
+	byName           map[string]*server
+	members          []*server     // serving servers, by priority
+	workingSet       []*server     // the working set
+	weights          []float64     // running sums over set
+	weightsAt        time.Duration // when weights were made
+	dirty            bool          // membership or ejections changed
+	ejected          []*server
+	listReceived     bool    // discovery has told a list
+	sendCount        float64 // fading count of sends
+	nominalRate      float64 // sends a second, were all taken: see Bounds
+	acceptedFraction float64 // running share of sends that were not turned away
+	sendCountAt      time.Duration
+	// The running median of latency by requests held, the mean in fractions of the aim.
+	latencyPerQueued, meanLatency float64
+}
+
+// updateEndpoint takes over what discovery says of one server. Members stay sorted: in a
+// large fleet many small changes come, and sorting it for each cost more than requests.
+func (f *endpointSet) updateEndpoint(e Endpoint, reading startReading) {
+	now := reading.now
+	f.dirty = true
+	s := f.byName[e.Name]
+	if s == nil && e.State == Removed {
+		return
+	}
+	if s == nil {
+		// The order differs by balancer and stays, so that a working set changes little.
+		s = &server{name: e.Name, errorRates: make(map[int]tokenBucket), weightCorrection: 1, priority: -math.Log(1 - f.random())}
+		if f.config.CrossZoneCost > 0 && e.Zone == f.config.Zone {
+			s.priority /= localPreference
+		}
+		f.byName[e.Name] = s
+	}
+	if serving := e.State == Serving; serving != s.serving {
+		s.serving = serving
+		i, _ := slices.BinarySearchFunc(f.members, s, func(a, b *server) int {
+			return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.name, b.name))
+		})
+		if serving {
+			f.members = slices.Insert(f.members, i, s)
+		} else {
+			f.members = slices.Delete(f.members, i, i+1)
+		}
+	}
+	if e.State == Removed {
+		delete(f.byName, e.Name) // attempts still out hold their own pointer
+		return
+	}
+	s.zone, s.group, s.capacityHint = e.Zone, e.Group, e.CapacityHint
+	if !(s.capacityHint > 0) || math.IsInf(s.capacityHint, 0) {
+		s.capacityHint = 1
+	}
+	if e.Started != s.started && e.Started > 0 {
+		// A restarted process has none of its old faults and none of its speed. Its own clock
+		// may have been set back meanwhile.
+		s.failures, s.ejections, s.ejectedUntil = 0, 0, 0
+		s.latencySum, s.latencyWeight, s.weightCorrection, s.slowStartTokens = 0, 0, 1, tokenBucket{f.random(), now}
+		s.slowStartBegan = reading.countsFrom(e.Started)
+	}
+	s.started, s.slowStartEnds = e.Started, 0
+	if e.Started > 0 {
+		s.slowStartEnds = s.slowStartBegan + f.config.SlowStartDuration
+	}
+}
+
+// replaceAll takes a whole list: servers missing from it are gone.
+func (f *endpointSet) replaceAll(list []Endpoint, now time.Duration) {
+	listed := make(map[string]bool, len(list))
+	for _, e := range list {
+		listed[e.Name] = true
+	}
+	for name := range f.byName { // in any order: what goes leaves the others as they are
+		if !listed[name] {
+			f.updateEndpoint(Endpoint{Name: name, State: Removed}, startReading{now: now})
+		}
+	}
+	f.applyChanges(list, now)
+}
+
+// applyChanges takes changes of the list.
+func (f *endpointSet) applyChanges(changed []Endpoint, now time.Duration) {
+	reading := f.readStarts(changed, now)
+	for _, e := range changed {
+		f.updateEndpoint(e, reading)
+	}
+}
--- /dev/null
+++ b/outlier.go
@@ -0,0 +1,40 @@
+package martendrum
+
+import "time"
+
+const (
+	errorRateStep   = 0.3
+	maxErrorRate    = 0.15 // more keeps the class away
+	errorRateMemory = time.Second
+	// ejectionThreshold consecutive failures make a server suspect. It is ejected for
+	// baseEjectionTime, doubled each time up to maxEjectionTime, with a random part so that
+	// balancers do not return together. One that answered well within ejectionGrace is
+	// not: where connections break by chance, the rest would overflow. It may do harm
+	// for that time where a process has died.
+	ejectionThreshold = 2
+	ejectionGrace     = 100 * time.Millisecond
+	baseEjectionTime  = time.Second
+	maxEjectionTime   = 16 * time.Second
+	// maxEjectedFraction of the fleet at most: past it, failures are everyone's or our own.
+	maxEjectedFraction = 0.4
+)
+
+// errorRate is a server's fading share of errors in a class. Guards against one that
+// fails a class only: it serves the others well and would never be left out.
+func (s *server) errorRate(class int, now time.Duration) float64 {
+	return s.errorRates[class].tokens * decay(now-s.errorRates[class].at, errorRateMemory)
+}
+
+// recordFailure counts a failure against a server and ejects it when they add up.
+func (f *endpointSet) recordFailure(s *server, now time.Duration) {
+	s.failures++
+	if s.failures < ejectionThreshold || s.answeredAt > 0 && now-s.answeredAt < ejectionGrace || now < s.ejectedUntil || float64(len(f.ejected)+1) > maxEjectedFraction*float64(len(f.members)) {
+		return
+	}
+	span := min(baseEjectionTime<<min(s.ejections, 10), maxEjectionTime)
+	s.ejections++
+	s.failures = ejectionThreshold - 1 // one more failure on return ejects it again
+	s.ejectedUntil = now + span/2 + time.Duration(f.random()*float64(span))
+	f.ejected = append(f.ejected, s)
+	f.dirty = true
+}
--- /dev/null
+++ b/request.go
@@ -0,0 +1,104 @@
+package martendrum
+
+import (
+	"cmp"
+	"time"
+)
+
+// Request is a client's request.
+type Request struct {
+	ID             RequestID
+	Class          int    // index into Config.Classes
+	ClassAtArrival *Class // the class as it was when the request was read; nil: as it is now
+	Tenant         int    // index into Config.Tenants, -1: none
+	Deadline       time.Duration
+	StreamedBody   bool // its body is sent on as it comes: no copies, and times that tell nothing
+}
+
+// request is one that the balancer still owes an answer or attempts' ends.
+type request struct {
+	Request
+	class              *Class
+	shedRank           int // for shedding
+	maxAttempts        int // attempts, as the configuration stood
+	arrived            time.Duration
+	attempts           []attempt
+	pending            int  // attempts without an outcome
+	samplePair         bool // the loser runs on, to log both times
+	finished, streamed bool
+	hedgeDue, overdue  bool // the timer is for a copy, not for the aim; counted as late
+	timer              uint64
+}
+
+// Arrive takes a client's request; the balancer owes it one final answer.
+func (b *Balancer) Arrive(now time.Duration, r Request) {
+	if b.requests[r.ID] != nil {
+		return
+	}
+	if r.Class < 0 || r.Class >= len(b.config.Classes) {
+		b.host.Reject(r.ID, 0)
+		return
+	}
+	q := &request{Request: r, class: cmp.Or(r.ClassAtArrival, &b.config.Classes[r.Class]), maxAttempts: b.config.MaxAttempts, arrived: now}
+	b.requests[r.ID] = q
+	q.shedRank = b.admission.recordArrival(r.Class, r.Tenant, now)
+	if b.rng.Float64() < b.admission.shedProbability(q.shedRank, now) {
+		b.finish(q)
+		return
+	}
+	if b.config.Probes && !b.bounds.SuspendOptionalWork {
+		b.endpoints.refresh(now)
+		for range probesPerRequest {
+			if s := b.endpoints.draw(); s != nil {
+				b.host.Probe(s.name)
+			}
+		}
+		b.setRequestTimer(q, min(time.Duration(probeWaitFraction*float64(q.class.LatencyObjective)), (q.Deadline-now)/2))
+		return
+	}
+	b.sendFirst(q, now)
+}
+
+// sendFirst makes q's first send.
+func (b *Balancer) sendFirst(q *request, now time.Duration) {
+	if !b.startAttempt(q, now, false) {
+		b.finish(q)
+		return
+	}
+	b.hedger.tokens = min(b.hedger.tokens+b.hedger.budget, maxHedgeTokens)
+	b.retryTokens = min(b.retryTokens+retryTokensPerRequest, maxRetryTokens)
+	b.planHedge(q, now)
+}
+
+// ClientDisconnected says that the client has left; attempts still out will end.
+func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
+	if q := b.requests[id]; q != nil && !q.finished {
+		b.closeRequest(q)
+	}
+}
+
+// finish gives q its final answer, a refusal where a retry is harmless.
+func (b *Balancer) finish(q *request) {
+	b.closeRequest(q)
+	if q.class.Idempotency == Idempotent || q.class.Idempotency == IdempotencyKeyed && q.class.DedupScope == DedupScopeAll || q.firstPossiblyExecuted() == nil {
+		// Those refused together must not return together.
+		b.host.Reject(q.ID, time.Duration((0.5+b.rng.Float64()/2)*float64(b.config.MaxRetryAfter)))
+	} else {
+		b.host.Fail(q.ID)
+	}
+}
+
+// closeRequest marks q as over and calls off what is out.
+func (b *Balancer) closeRequest(q *request) {
+	q.finished = true
+	delete(b.timers, q.timer)
+	b.cancelOthers(q, -1)
+	b.forget(q)
+}
+
+// forget drops a request that has ended and has nothing out.
+func (b *Balancer) forget(q *request) {
+	if q.finished && q.pending == 0 {
+		delete(b.requests, q.ID)
+	}
+}
