--- a/admission.go
+++ b/admission.go
@@ -55,19 +55,19 @@
 
 // weight is by work, of which the aim is the only sign.
 func (a *admissionController) weight(rank int) float64 {
-	c := &a.config.Classes[rank/2]
+	class := &a.config.Classes[rank/2]
 	if rank%2 > 0 {
-		return c.Weight / c.LatencyObjective.Seconds() * a.config.OverQuotaWeight
+		return class.Weight / class.LatencyObjective.Seconds() * a.config.OverQuotaWeight
 	}
-	return c.Weight / c.LatencyObjective.Seconds()
+	return class.Weight / class.LatencyObjective.Seconds()
 }
 
 // meanWeight is the mean over arrivals, were all within the shares.
-func (a *admissionController) meanWeight() (m float64) {
+func (a *admissionController) meanWeight() (mean float64) {
 	for r, share := range a.arrivalFractions {
-		m += share * a.weight(r/2*2)
+		mean += share * a.weight(r/2*2)
 	}
-	return m
+	return mean
 }
 
 // recordArrival counts an arrival and returns its rank.
@@ -75,10 +75,10 @@
 	rank = 2 * class
 	if tenant >= 0 && tenant < len(a.tenantQuotas) {
 		rate := a.config.TenantQuotas[tenant] / float64(a.config.Instances)
-		t := &a.tenantQuotas[tenant]
-		t.refill(rate, rate*quotaBurst.Seconds(), now)
-		if t.tokens >= 1 {
-			t.tokens--
+		quota := &a.tenantQuotas[tenant]
+		quota.refill(rate, rate*quotaBurst.Seconds(), now)
+		if quota.tokens >= 1 {
+			quota.tokens--
 		} else {
 			rank++
 		}
@@ -110,13 +110,13 @@
 	return a.shedLevel * decay(max(0, now-a.shedLevelAt-shedDecayDelay), shedMemory)
 }
 
-// recordOutcome feeds the level with one attempt's end; rate is of sends a second.
-func (a *admissionController) recordOutcome(full, late bool, rate float64, now time.Duration) {
+// updateShedLevel feeds the level with one attempt's end; rate is of sends a second.
+func (a *admissionController) updateShedLevel(rejected, late bool, rate float64, now time.Duration) {
 	gain := max(1, min(unitGainRate/max(rate, 0.1), maxGain))
 	step := -onTimeDecrease
 	if late {
 		step = lateIncrease
-	} else if full {
+	} else if rejected {
 		step = rejectedIncrease
 	}
 	a.shedLevel, a.shedLevelAt = max(0, min(a.decayedShedLevel(now)+gain*step, 1)), now
--- a/attempt.go
+++ b/attempt.go
@@ -19,9 +19,9 @@
 }
 
 // firstPossiblyExecuted is the first attempt that may have run, nil if all proved not to have.
-func (q *request) firstPossiblyExecuted() *attempt {
-	for i := range q.attempts {
-		if a := &q.attempts[i]; !a.done || !a.notExecuted {
+func (r *openRequest) firstPossiblyExecuted() *attempt {
+	for i := range r.attempts {
+		if a := &r.attempts[i]; !a.done || !a.notExecuted {
 			return a
 		}
 	}
@@ -30,89 +30,89 @@
 
 // mayAttempt says whether q may have one more attempt: a keyed request that may have
 // run goes on inside its anchor's group and window only.
-func (b *Balancer) mayAttempt(q *request, anchor *attempt, now time.Duration) bool {
+func (b *Balancer) mayAttempt(request *openRequest, anchor *attempt, now time.Duration) bool {
 	switch {
-	case q.finished || q.streamed || len(q.attempts) >= min(q.maxAttempts, b.config.MaxAttempts) || now >= q.Deadline,
-		q.pending > 0 && !b.config.AllowHedging:
+	case request.finished || request.streamed || len(request.attempts) >= min(request.maxAttempts, b.config.MaxAttempts) || now >= request.Deadline,
+		request.pending > 0 && !b.config.AllowHedging:
 		return false
-	case q.class.Idempotency == Idempotent || anchor == nil:
+	case request.class.Idempotency == Idempotent || anchor == nil:
 		return true
 	}
-	return q.class.Idempotency == IdempotencyKeyed && now-anchor.sent < q.class.DedupWindow
+	return request.class.Idempotency == IdempotencyKeyed && now-anchor.sent < request.class.DedupWindow
 }
 
 // startAttempt sends q's next attempt, if it may have one and a server is to be had.
-func (b *Balancer) startAttempt(q *request, now time.Duration, isCopy bool) bool {
-	anchor := q.firstPossiblyExecuted()
-	if !b.mayAttempt(q, anchor, now) {
+func (b *Balancer) startAttempt(request *openRequest, now time.Duration, isHedge bool) bool {
+	anchor := request.firstPossiblyExecuted()
+	if !b.mayAttempt(request, anchor, now) {
 		return false
 	}
-	sound := true // asks for a server that does not fail the class
-	may := func(s *server) bool {
-		if sound && s.errorRate(q.Class, now) > maxErrorRate {
+	avoidFailing := true // asks for a server that does not fail the class
+	eligible := func(s *server) bool {
+		if avoidFailing && s.errorRate(request.Class, now) > maxErrorRate {
 			return false
 		}
-		for i := range q.attempts {
-			if q.attempts[i].server == s {
+		for i := range request.attempts {
+			if request.attempts[i].server == s {
 				return false
 			}
 		}
-		return anchor == nil || q.class.Idempotency != IdempotencyKeyed || q.class.DedupScope == DedupScopeAll ||
-			anchor.server.zone == s.zone && (q.class.DedupScope == DedupScopeZone || anchor.server.group == s.group)
+		return anchor == nil || request.class.Idempotency != IdempotencyKeyed || request.class.DedupScope == DedupScopeAll ||
+			anchor.server.zone == s.zone && (request.class.DedupScope == DedupScopeZone || anchor.server.group == s.group)
 	}
-	s := b.endpoints.pick(now, may)
-	if sound = s != nil; !sound {
-		s = b.endpoints.pick(now, may)
+	s := b.endpoints.pick(now, eligible)
+	if avoidFailing = s != nil; !avoidFailing {
+		s = b.endpoints.pick(now, eligible)
 	}
 	if s == nil {
 		return false
 	}
-	held := s.queueDepth(now)
-	if b.config.Probes && q.class.LateWeight == 0 && // work that must come late only delays others
-		b.endpoints.latencyPerQueued*held*float64(q.class.LatencyObjective) > float64(q.arrived+q.class.LatencyObjective-now) {
+	queueDepth := s.queueDepth(now)
+	if b.config.Probes && request.class.LateWeight == 0 && // work that must come late only delays others
+		b.endpoints.latencyPerQueued*queueDepth*float64(request.class.LatencyObjective) > float64(request.arrived+request.class.LatencyObjective-now) {
 		return false
 	}
 	b.endpoints.recordSend(s, now)
-	q.attempts = append(q.attempts, attempt{server: s, sent: now, hedged: isCopy, queueDepth: held})
-	q.pending++
-	within := q.Deadline - now
-	if anchor != nil && q.class.Idempotency == IdempotencyKeyed {
-		within = min(within, anchor.sent+q.class.DedupWindow-now)
+	request.attempts = append(request.attempts, attempt{server: s, sent: now, hedged: isHedge, queueDepth: queueDepth})
+	request.pending++
+	sendWithin := request.Deadline - now
+	if anchor != nil && request.class.Idempotency == IdempotencyKeyed {
+		sendWithin = min(sendWithin, anchor.sent+request.class.DedupWindow-now)
 	}
-	b.host.Send(q.ID, s.name, q.Deadline-now, within)
+	b.host.Send(request.ID, s.name, request.Deadline-now, sendWithin)
 	return true
 }
 
 // mayRetry spends the retry budget, which binds all but the dearest work. Guards
 // against retries that only push others out where all queues are full.
-func (b *Balancer) mayRetry(q *request, o Outcome) bool {
-	if o != Rejected { // what broke on the way says nothing of queues
+func (b *Balancer) mayRetry(request *openRequest, outcome Outcome) bool {
+	if outcome != Rejected { // what broke on the way says nothing of queues
 		return true
 	} else if b.retryTokens < 1 {
-		return b.admission.weight(q.shedRank) >= retryWeightFactor*b.admission.meanWeight()
+		return b.admission.weight(request.shedRank) >= retryWeightFactor*b.admission.meanWeight()
 	}
 	b.retryTokens--
 	return true
 }
 
 // StreamStarted says that the answer or the body of attempt n streams: no other one can follow.
-func (b *Balancer) StreamStarted(now time.Duration, id RequestID, n int) {
-	q := b.requests[id]
-	if q == nil || n < 0 || n >= len(q.attempts) {
+func (b *Balancer) StreamStarted(now time.Duration, id RequestID, index int) {
+	request := b.requests[id]
+	if request == nil || index < 0 || index >= len(request.attempts) {
 		return
 	}
-	q.streamed = true
-	b.cancelOthers(q, n)
+	request.streamed = true
+	b.cancelOthers(request, index)
 }
 
 // cancelOthers calls off what is out beside attempt n.
-func (b *Balancer) cancelOthers(q *request, n int) {
-	if !b.config.AllowCancellation || q.pending == 0 {
+func (b *Balancer) cancelOthers(request *openRequest, index int) {
+	if !b.config.AllowCancellation || request.pending == 0 {
 		return
 	}
-	for i := range q.attempts {
-		if i != n && !q.attempts[i].done {
-			b.host.Cancel(q.ID, i)
+	for i := range request.attempts {
+		if i != index && !request.attempts[i].done {
+			b.host.Cancel(request.ID, i)
 		}
 	}
 }
--- a/balancer.go
+++ b/balancer.go
@@ -47,8 +47,8 @@
 	endpoints   endpointSet
 	hedger      hedger
 	admission   admissionController
-	requests    map[RequestID]*request
-	timers      map[uint64]*request
+	requests    map[RequestID]*openRequest
+	timers      map[uint64]*openRequest
 	retryTokens float64 // further attempts in the budget
 	bounds      Bounds
 
@@ -62,8 +62,8 @@
 		host:        host,
 		rng:         rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		hedger:      newHedger(cfg.WastedWorkCost),
-		requests:    make(map[RequestID]*request),
-		timers:      make(map[uint64]*request),
+		requests:    make(map[RequestID]*openRequest),
+		timers:      make(map[uint64]*openRequest),
 		retryTokens: maxRetryTokens,
 	}
 	b.endpoints = endpointSet{config: &b.config, acceptedFraction: 1, byName: make(map[string]*server), random: b.rng.Float64}
--- a/bounds.go
+++ b/bounds.go
@@ -16,10 +16,10 @@
 }
 
 // SetBounds sets the bounds in force from now on.
-func (b *Balancer) SetBounds(x Bounds) {
-	b.bounds = x
-	b.endpoints.nominalRate = x.NominalRate
-	b.admission.minShedFraction = x.MinShedFraction
+func (b *Balancer) SetBounds(bounds Bounds) {
+	b.bounds = bounds
+	b.endpoints.nominalRate = bounds.NominalRate
+	b.admission.minShedFraction = bounds.MinShedFraction
 }
 
 // warmServerHeadroom times its usual share is what a warm server is taken to bear while others are
@@ -30,20 +30,20 @@
 // usually comes that they bear now: 1 where all are warm, less while many are cold. Without
 // servers both are 1, since nothing can be said.
 func (b *Balancer) Capacity(now time.Duration) (warmth, share float64) {
-	f := &b.endpoints
-	f.refresh(now)
-	all, warm, room := 0.0, 0.0, 0.0
-	for _, s := range f.workingSet {
-		all += s.capacityHint
-		w := f.slowStartFactor(s, now)
-		warm += s.capacityHint * w
-		if w == 1 {
-			w = warmServerHeadroom
+	set := &b.endpoints
+	set.refresh(now)
+	nominal, warm, capacity := 0.0, 0.0, 0.0
+	for _, s := range set.workingSet {
+		nominal += s.capacityHint
+		factor := set.slowStartFactor(s, now)
+		warm += s.capacityHint * factor
+		if factor == 1 {
+			factor = warmServerHeadroom
 		}
-		room += s.capacityHint * w
+		capacity += s.capacityHint * factor
 	}
-	if all == 0 {
+	if nominal == 0 {
 		return 1, 1
 	}
-	return warm / all, min(1, room/all)
+	return warm / nominal, min(1, capacity/nominal)
 }
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -51,71 +51,71 @@
 
 // updateEndpoint takes over what discovery says of one server. Members stay sorted: in a
 // large fleet many small changes come, and sorting it for each cost more than requests.
-func (f *endpointSet) updateEndpoint(e Endpoint, reading startReading) {
+func (set *endpointSet) updateEndpoint(endpoint Endpoint, reading startReading) {
 	now := reading.now
-	f.dirty = true
-	s := f.byName[e.Name]
-	if s == nil && e.State == Removed {
+	set.dirty = true
+	s := set.byName[endpoint.Name]
+	if s == nil && endpoint.State == Removed {
 		return
 	}
 	if s == nil {
 		// The order differs by balancer and stays, so that a working set changes little.
-		s = &server{name: e.Name, errorRates: make(map[int]tokenBucket), weightCorrection: 1, priority: -math.Log(1 - f.random())}
-		if f.config.CrossZoneCost > 0 && e.Zone == f.config.Zone {
+		s = &server{name: endpoint.Name, errorRates: make(map[int]tokenBucket), weightCorrection: 1, priority: -math.Log(1 - set.random())}
+		if set.config.CrossZoneCost > 0 && endpoint.Zone == set.config.Zone {
 			s.priority /= localPreference
 		}
-		f.byName[e.Name] = s
+		set.byName[endpoint.Name] = s
 	}
-	if serving := e.State == Serving; serving != s.serving {
+	if serving := endpoint.State == Serving; serving != s.serving {
 		s.serving = serving
-		i, _ := slices.BinarySearchFunc(f.members, s, func(a, b *server) int {
+		i, _ := slices.BinarySearchFunc(set.members, s, func(a, b *server) int {
 			return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.name, b.name))
 		})
 		if serving {
-			f.members = slices.Insert(f.members, i, s)
+			set.members = slices.Insert(set.members, i, s)
 		} else {
-			f.members = slices.Delete(f.members, i, i+1)
+			set.members = slices.Delete(set.members, i, i+1)
 		}
 	}
-	if e.State == Removed {
-		delete(f.byName, e.Name) // attempts still out hold their own pointer
+	if endpoint.State == Removed {
+		delete(set.byName, endpoint.Name) // attempts still out hold their own pointer
 		return
 	}
-	s.zone, s.group, s.capacityHint = e.Zone, e.Group, e.CapacityHint
+	s.zone, s.group, s.capacityHint = endpoint.Zone, endpoint.Group, endpoint.CapacityHint
 	if !(s.capacityHint > 0) || math.IsInf(s.capacityHint, 0) {
 		s.capacityHint = 1
 	}
-	if e.Started != s.started && e.Started > 0 {
+	if endpoint.Started != s.started && endpoint.Started > 0 {
 		// A restarted process has none of its old faults and none of its speed. Its own clock
 		// may have been set back meanwhile.
 		s.failures, s.ejections, s.ejectedUntil = 0, 0, 0
-		s.latencySum, s.latencyWeight, s.weightCorrection, s.slowStartTokens = 0, 0, 1, tokenBucket{f.random(), now}
-		s.slowStartBegan = reading.countsFrom(e.Started)
+		s.latencySum, s.latencyWeight, s.weightCorrection, s.slowStartTokens = 0, 0, 1, tokenBucket{set.random(), now}
+		s.slowStartBegan = reading.countsFrom(endpoint.Started)
 	}
-	s.started, s.slowStartEnds = e.Started, 0
-	if e.Started > 0 {
-		s.slowStartEnds = s.slowStartBegan + f.config.SlowStartDuration
+	s.started, s.slowStartEnds = endpoint.Started, 0
+	if endpoint.Started > 0 {
+		s.slowStartEnds = s.slowStartBegan + set.config.SlowStartDuration
 	}
 }
 
 // replaceAll takes a whole list: servers missing from it are gone.
-func (f *endpointSet) replaceAll(list []Endpoint, now time.Duration) {
+func (set *endpointSet) replaceAll(list []Endpoint, now time.Duration) {
 	listed := make(map[string]bool, len(list))
-	for _, e := range list {
-		listed[e.Name] = true
+	for _, endpoint := range list {
+		listed[endpoint.Name] = true
 	}
-	for name := range f.byName { // in any order: what goes leaves the others as they are
+	for name := range set.byName { // in any order: what goes leaves the others as they are
 		if !listed[name] {
-			f.updateEndpoint(Endpoint{Name: name, State: Removed}, startReading{now: now})
+			set.updateEndpoint(Endpoint{Name: name, State: Removed}, startReading{now: now})
 		}
 	}
-	f.applyChanges(list, now)
+	set.applyChanges(list, now)
 }
 
 // applyChanges takes changes of the list.
-func (f *endpointSet) applyChanges(changed []Endpoint, now time.Duration) {
-	reading := f.readStarts(changed, now)
-	for _, e := range changed {
-		f.updateEndpoint(e, reading)
+func (set *endpointSet) applyChanges(changed []Endpoint, now time.Duration) {
+	reading := set.readStarts(changed, now)
+	for _, endpoint := range changed {
+		set.updateEndpoint(endpoint, reading)
 	}
 }
--- a/hedge.go
+++ b/hedge.go
@@ -84,61 +84,61 @@
 	return hedger{baseBudget: budget, budget: budget, probability: budget, tokens: 1}
 }
 
-func (r *hedger) addPrimary(s sample) {
-	r.primary.add(s, primaryWindow)
-	r.newSamples++
+func (h *hedger) addPrimary(s sample) {
+	h.primary.add(s, primaryWindow)
+	h.newSamples++
 }
 
 // recordLoss counts a first send, lost or overtaken by its copy or neither, and sets B. Guards against peers that
 // fall silent: a copy of a lost send wastes nothing more. It may do harm where sends
 // are late for want of capacity; the shed level then holds copies back.
-func (r *hedger) recordLoss(lost, overtaken bool) {
-	if r.lostFraction *= 1 - lostFractionStep; lost {
-		r.lostFraction += lostFractionStep
+func (h *hedger) recordLoss(lost, overtaken bool) {
+	if h.lostFraction *= 1 - lostFractionStep; lost {
+		h.lostFraction += lostFractionStep
 	} else if overtaken {
-		r.lostFraction += lostFractionStep * overtakenLoss
+		h.lostFraction += lostFractionStep * overtakenLoss
 	}
-	r.budget = min(r.baseBudget+r.lostFraction, maxHedgeBudget)
+	h.budget = min(h.baseBudget+h.lostFraction, maxHedgeBudget)
 }
 
 // recompute takes one step towards the delay that the present logs make best.
 // jitter is in [0, 1).
-func (r *hedger) recompute(now time.Duration, jitter float64) {
-	if r.newSamples < recomputeSamples || now < r.nextRecompute {
+func (h *hedger) recompute(now time.Duration, jitter float64) {
+	if h.newSamples < recomputeSamples || now < h.nextRecompute {
 		return
 	}
-	r.nextRecompute = now + recomputeInterval + time.Duration(jitter*float64(recomputeInterval))
-	step := learningRate * min(1, float64(r.newSamples)/primaryWindow*4)
-	r.newSamples = 0
-	r.primarySurvival.estimate(r.primary.buf, &r.scratch)
+	h.nextRecompute = now + recomputeInterval + time.Duration(jitter*float64(recomputeInterval))
+	step := learningRate * min(1, float64(h.newSamples)/primaryWindow*4)
+	h.newSamples = 0
+	h.primarySurvival.estimate(h.primary.buf, &h.scratch)
 	// Copies log too few answers at first; until then first sends stand in.
-	if len(r.hedges.buf) >= pairPrior {
-		r.hedgeSurvival.estimate(r.hedges.buf, &r.scratch)
+	if len(h.hedges.buf) >= pairPrior {
+		h.hedgeSurvival.estimate(h.hedges.buf, &h.scratch)
 	} else {
-		r.hedgeSurvival.estimate(r.primary.buf, &r.scratch)
+		h.hedgeSurvival.estimate(h.primary.buf, &h.scratch)
 	}
-	local := computeOptimalSingleR(&r.primarySurvival, &r.hedgeSurvival, r.pairs.buf, tailPercentile, r.budget)
-	r.delay += step * (local - r.delay)
-	r.probability = r.primarySurvival.hedgeProbability(r.delay, r.budget)
+	local := computeOptimalSingleR(&h.primarySurvival, &h.hedgeSurvival, h.pairs.buf, tailPercentile, h.budget)
+	h.delay += step * (local - h.delay)
+	h.probability = h.primarySurvival.hedgeProbability(h.delay, h.budget)
 }
 
 // planHedge draws whether q gets a copy and sets its timer, else the one for its aim.
-func (b *Balancer) planHedge(q *request, now time.Duration) {
-	after := q.arrived + q.class.LatencyObjective - now
-	if q.class.Idempotency != NonIdempotent && !q.StreamedBody {
+func (b *Balancer) planHedge(request *openRequest, now time.Duration) {
+	after := request.arrived + request.class.LatencyObjective - now
+	if request.class.Idempotency != NonIdempotent && !request.StreamedBody {
 		b.hedger.recompute(now, b.rng.Float64())
-		d := time.Duration(b.hedger.delay * float64(q.class.LatencyObjective))
-		if q.hedgeDue = b.rng.Float64() < b.hedger.probability && d < after; q.hedgeDue { // later it would not help
-			after = d
+		delay := time.Duration(b.hedger.delay * float64(request.class.LatencyObjective))
+		if request.hedgeDue = b.rng.Float64() < b.hedger.probability && delay < after; request.hedgeDue { // later it would not help
+			after = delay
 		}
 	}
-	b.setRequestTimer(q, after)
+	b.setRequestTimer(request, after)
 }
 
 // sendHedge sends q's copy if it is still unanswered and the budget allows.
-func (b *Balancer) sendHedge(q *request, now time.Duration) {
-	if q.pending == 1 && !b.bounds.SuspendOptionalWork && b.hedger.tokens >= 1 && b.admission.decayedShedLevel(now) < shedTolerance && b.startAttempt(q, now, true) {
+func (b *Balancer) sendHedge(request *openRequest, now time.Duration) {
+	if request.pending == 1 && !b.bounds.SuspendOptionalWork && b.hedger.tokens >= 1 && b.admission.decayedShedLevel(now) < shedTolerance && b.startAttempt(request, now, true) {
 		b.hedger.tokens--
-		q.samplePair = b.rng.Float64() < pairSamplingProbability
+		request.samplePair = b.rng.Float64() < pairSamplingProbability
 	}
 }
--- a/hedge_delay.go
+++ b/hedge_delay.go
@@ -37,32 +37,32 @@
 }
 
 // tailProbability is Pr(T > t).
-func (s *survival) tailProbability(t float64) float64 {
-	if i := sort.Search(len(s.times), func(i int) bool { return s.times[i] > t }); i > 0 {
+func (s *survival) tailProbability(latency float64) float64 {
+	if i := sort.Search(len(s.times), func(i int) bool { return s.times[i] > latency }); i > 0 {
 		return s.tail[i-1]
 	}
 	return 1
 }
 
 // hedgeProbability is q: the probability of a copy at delay d that spends the budget.
-func (s *survival) hedgeProbability(d, budget float64) float64 {
-	return min(1, budget/max(s.tailProbability(d), 1e-9))
+func (s *survival) hedgeProbability(delay, budget float64) float64 {
+	return min(1, budget/max(s.tailProbability(delay), 1e-9))
 }
 
 // computeOptimalSingleR is the paper's search with correlation (its Figure 1
 // and section 4.2): it walks d up and t down over the sorted response times
 // and returns the d that brings the k-th percentile lowest within budget B.
-func computeOptimalSingleR(x, y *survival, pairs []pair, k, budget float64) float64 {
-	if len(x.times) == 0 {
+func computeOptimalSingleR(primary, hedge *survival, pairs []pair, percentile, budget float64) float64 {
+	if len(primary.times) == 0 {
 		return 0
 	}
-	top := len(x.times) - 1
-	best := x.times[0]
+	top := len(primary.times) - 1
+	best := primary.times[0]
 	for i := 0; i <= top; i++ {
-		d := x.times[i]
-		for top > i && successRate(x, y, pairs, budget, x.times[top], d) > k {
+		delay := primary.times[i]
+		for top > i && successRate(primary, hedge, pairs, budget, primary.times[top], delay) > percentile {
 			top--
-			best = d
+			best = delay
 		}
 	}
 	return best
@@ -70,19 +70,19 @@
 
 // successRate is the probability that a request is answered within t under
 // SingleR with delay d.
-func successRate(x, y *survival, pairs []pair, budget, t, d float64) float64 {
-	late := x.tailProbability(t)
-	q := x.hedgeProbability(d, budget)
-	saved := 1 - y.tailProbability(t-d)
-	var n, inTime float64
+func successRate(primary, hedge *survival, pairs []pair, budget, target, delay float64) float64 {
+	late := primary.tailProbability(target)
+	probability := primary.hedgeProbability(delay, budget)
+	rescued := 1 - hedge.tailProbability(target-delay)
+	var slowPairs, rescuedPairs float64
 	for _, p := range pairs {
-		if p.primary > t {
-			n++
-			if p.hedge <= t-d {
-				inTime++
+		if p.primary > target {
+			slowPairs++
+			if p.hedge <= target-delay {
+				rescuedPairs++
 			}
 		}
 	}
-	saved = (inTime + pairPrior*saved) / (n + pairPrior)
-	return 1 - late + q*late*saved
+	rescued = (rescuedPairs + pairPrior*rescued) / (slowPairs + pairPrior)
+	return 1 - late + probability*late*rescued
 }
--- a/learned_state.go
+++ b/learned_state.go
@@ -43,60 +43,60 @@
 
 // LearnedState is what b has learned so far.
 func (b *Balancer) LearnedState(now time.Duration) LearnedState {
-	r := &b.hedger
-	l := LearnedState{
-		HedgeDelay: r.delay, HedgeProbability: r.probability, LostFraction: r.lostFraction,
+	h := &b.hedger
+	state := LearnedState{
+		HedgeDelay: h.delay, HedgeProbability: h.probability, LostFraction: h.lostFraction,
 		ShedLevel: b.admission.shedLevel, ShedLevelAge: now - b.admission.shedLevelAt,
 		AcceptedFraction: b.endpoints.acceptedFraction, MeanLatency: b.endpoints.meanLatency,
 	}
-	for _, s := range r.primary.buf {
-		l.Primary = append(l.Primary, LearnedLatency{s.latency, s.censored})
+	for _, s := range h.primary.buf {
+		state.Primary = append(state.Primary, LearnedLatency{s.latency, s.censored})
 	}
-	for _, s := range r.hedges.buf {
-		l.Hedges = append(l.Hedges, LearnedLatency{s.latency, s.censored})
+	for _, s := range h.hedges.buf {
+		state.Hedges = append(state.Hedges, LearnedLatency{s.latency, s.censored})
 	}
-	for _, p := range r.pairs.buf {
-		l.Pairs = append(l.Pairs, [2]float64{p.primary, p.hedge})
+	for _, p := range h.pairs.buf {
+		state.Pairs = append(state.Pairs, [2]float64{p.primary, p.hedge})
 	}
 	for _, s := range b.endpoints.members {
-		l.Servers = append(l.Servers, LearnedServer{
+		state.Servers = append(state.Servers, LearnedServer{
 			Name: s.name, Started: s.started, WeightCorrection: s.weightCorrection, LatencySum: s.latencySum, LatencyWeight: s.latencyWeight, LatencyAge: now - s.latencyAt,
 			Failures: s.failures, Ejections: s.ejections, EjectionRemaining: max(0, s.ejectedUntil-now),
 		})
 	}
-	return l
+	return state
 }
 
 // Restore takes over what another Balancer had learned by age ago. It is called before
 // the first request. What belongs to a server that is not listed, or has started anew,
 // is left out.
-func (b *Balancer) Restore(now time.Duration, l LearnedState, age time.Duration) {
-	r := &b.hedger
-	r.delay, r.probability, r.lostFraction = l.HedgeDelay, l.HedgeProbability, l.LostFraction
-	r.recordLoss(false, false) // sets the budget
-	for _, s := range l.Primary {
-		r.primary.add(sample{s.Latency, s.Censored}, primaryWindow)
+func (b *Balancer) Restore(now time.Duration, state LearnedState, age time.Duration) {
+	h := &b.hedger
+	h.delay, h.probability, h.lostFraction = state.HedgeDelay, state.HedgeProbability, state.LostFraction
+	h.recordLoss(false, false) // sets the budget
+	for _, s := range state.Primary {
+		h.primary.add(sample{s.Latency, s.Censored}, primaryWindow)
 	}
-	for _, s := range l.Hedges {
-		r.hedges.add(sample{s.Latency, s.Censored}, hedgeWindow)
+	for _, s := range state.Hedges {
+		h.hedges.add(sample{s.Latency, s.Censored}, hedgeWindow)
 	}
-	for _, p := range l.Pairs {
-		r.pairs.add(pair{p[0], p[1]}, pairWindow)
+	for _, p := range state.Pairs {
+		h.pairs.add(pair{p[0], p[1]}, pairWindow)
 	}
-	b.admission.shedLevel, b.admission.shedLevelAt = l.ShedLevel, now-l.ShedLevelAge-age
-	f := &b.endpoints
-	f.acceptedFraction, f.meanLatency = l.AcceptedFraction, l.MeanLatency
-	for _, k := range l.Servers {
-		s := f.byName[k.Name]
-		if s == nil || !s.serving || s.started != k.Started {
+	b.admission.shedLevel, b.admission.shedLevelAt = state.ShedLevel, now-state.ShedLevelAge-age
+	set := &b.endpoints
+	set.acceptedFraction, set.meanLatency = state.AcceptedFraction, state.MeanLatency
+	for _, learned := range state.Servers {
+		s := set.byName[learned.Name]
+		if s == nil || !s.serving || s.started != learned.Started {
 			continue
 		}
-		s.weightCorrection, s.latencySum, s.latencyWeight, s.latencyAt = k.WeightCorrection, k.LatencySum, k.LatencyWeight, now-k.LatencyAge-age
-		s.failures, s.ejections = k.Failures, k.Ejections
-		if left := k.EjectionRemaining - age; left > 0 && !slices.Contains(f.ejected, s) {
-			s.ejectedUntil = now + left
-			f.ejected = append(f.ejected, s)
+		s.weightCorrection, s.latencySum, s.latencyWeight, s.latencyAt = learned.WeightCorrection, learned.LatencySum, learned.LatencyWeight, now-learned.LatencyAge-age
+		s.failures, s.ejections = learned.Failures, learned.Ejections
+		if remaining := learned.EjectionRemaining - age; remaining > 0 && !slices.Contains(set.ejected, s) {
+			s.ejectedUntil = now + remaining
+			set.ejected = append(set.ejected, s)
 		}
 	}
-	f.dirty = true
+	set.dirty = true
 }
--- a/load.go
+++ b/load.go
@@ -38,49 +38,49 @@
 // recordLatency logs how long a send took, in fractions of the aim, takes its load
 // report over and corrects its learned weight. Guards against capacity hints
 // that are missing or wrong: with equal shares a slow kind of server fills first.
-func (f *endpointSet) recordLatency(s *server, o Outcome, rep LoadReport, took, held float64, now time.Duration) {
-	took = max(took, 1e-6)
-	f.meanLatency = cmp.Or(f.meanLatency, took) // starts at the first
-	f.meanLatency += meanStep * (took - f.meanLatency)
-	if f.config.Probes { // only their limit reads it
-		f.latencyPerQueued = cmp.Or(f.latencyPerQueued, took/held)
-		f.latencyPerQueued *= math.Pow(1+meanStep, math.Copysign(1, took-f.latencyPerQueued*held))
+func (set *endpointSet) recordLatency(s *server, outcome Outcome, report LoadReport, latency, queueDepth float64, now time.Duration) {
+	latency = max(latency, 1e-6)
+	set.meanLatency = cmp.Or(set.meanLatency, latency) // starts at the first
+	set.meanLatency += meanStep * (latency - set.meanLatency)
+	if set.config.Probes { // only their limit reads it
+		set.latencyPerQueued = cmp.Or(set.latencyPerQueued, latency/queueDepth)
+		set.latencyPerQueued *= math.Pow(1+meanStep, math.Copysign(1, latency-set.latencyPerQueued*queueDepth))
 	}
 	w := decay(now-s.latencyAt, latencyMemory)
-	s.latencySum, s.latencyWeight, s.latencyAt = s.latencySum*w+took/f.meanLatency, s.latencyWeight*w+1, now
+	s.latencySum, s.latencyWeight, s.latencyAt = s.latencySum*w+latency/set.meanLatency, s.latencyWeight*w+1, now
 	// Scaled to time: a busy balancer has many answers before a step shows.
 	strength := weightCorrectionRate * min(1, float64(now-s.weightCorrectedAt)/float64(weightCorrectionInterval))
 	s.weightCorrectedAt = now
-	correct := math.Pow(f.meanLatency/took, strength)
-	if o == TimedOut || took > 1 {
+	correction := math.Pow(set.meanLatency/latency, strength)
+	if outcome == TimedOut || latency > 1 {
 		// Guards against a jam that feeds itself: each balancer keeps just one
 		// send there, yet all of them together hold the queue full.
-		s.load, s.loadAt, correct = overloadedLoad, now, overloadedWeightFactor
+		s.load, s.loadAt, correction = overloadedLoad, now, overloadedWeightFactor
 	} else {
-		s.updateLoad(rep, now)
+		s.updateLoad(report, now)
 	}
-	s.weightCorrection = max(1/maxWeightCorrection, min(s.weightCorrection*correct, maxWeightCorrection))
+	s.weightCorrection = max(1/maxWeightCorrection, min(s.weightCorrection*correction, maxWeightCorrection))
 }
 
 // updateLoad takes a load report over.
-func (s *server) updateLoad(rep LoadReport, now time.Duration) {
+func (s *server) updateLoad(report LoadReport, now time.Duration) {
 	switch {
-	case rep.HasInFlight:
-		s.load, s.loadAt = rep.InFlight, now
-	case rep.HasUtilization:
-		s.load, s.loadAt = min(rep.Utilization/(1.01-min(rep.Utilization, 1)), overloadedLoad), now
+	case report.HasInFlight:
+		s.load, s.loadAt = report.InFlight, now
+	case report.HasUtilization:
+		s.load, s.loadAt = min(report.Utilization/(1.01-min(report.Utilization, 1)), overloadedLoad), now
 	}
 }
 
 // rate is this balancer's recent sends a second.
-func (f *endpointSet) rate(now time.Duration) float64 {
-	return f.sendCount * decay(now-f.sendCountAt, rateMemory) / rateMemory.Seconds()
+func (set *endpointSet) rate(now time.Duration) float64 {
+	return set.sendCount * decay(now-set.sendCountAt, rateMemory) / rateMemory.Seconds()
 }
 
 // recordSend books a send to s.
-func (f *endpointSet) recordSend(s *server, now time.Duration) {
-	f.sendCount = f.sendCount*decay(now-f.sendCountAt, rateMemory) + 1
-	f.sendCountAt = now
+func (set *endpointSet) recordSend(s *server, now time.Duration) {
+	set.sendCount = set.sendCount*decay(now-set.sendCountAt, rateMemory) + 1
+	set.sendCountAt = now
 	s.inFlight++
 	if now < s.slowStartEnds {
 		s.slowStartTokens.tokens--
--- a/outcome.go
+++ b/outcome.go
@@ -22,46 +22,46 @@
 }
 
 // AttemptFinished takes an attempt's outcome; over says that the request has ended.
-func (b *Balancer) AttemptFinished(now time.Duration, id RequestID, n int, o Outcome, over bool, rep LoadReport) {
-	q := b.requests[id]
-	if q == nil || n < 0 || n >= len(q.attempts) || q.attempts[n].done {
+func (b *Balancer) AttemptFinished(now time.Duration, id RequestID, index int, outcome Outcome, over bool, report LoadReport) {
+	request := b.requests[id]
+	if request == nil || index < 0 || index >= len(request.attempts) || request.attempts[index].done {
 		return
 	}
-	a := &q.attempts[n]
-	a.done, a.notExecuted = true, o.ProvablyNotExecuted()
-	q.pending--
+	a := &request.attempts[index]
+	a.done, a.notExecuted = true, outcome.ProvablyNotExecuted()
+	request.pending--
 	a.server.inFlight--
-	b.recordOutcome(q, a, o, now, rep)
+	b.recordOutcome(request, a, outcome, now, report)
 	if over {
-		q.finished = true
-		delete(b.timers, q.timer)
-		if !q.samplePair || o != OK {
-			b.cancelOthers(q, n)
+		request.finished = true
+		delete(b.timers, request.timer)
+		if !request.samplePair || outcome != OK {
+			b.cancelOthers(request, index)
 		}
-		b.forget(q)
+		b.forget(request)
 		return
 	}
 	switch {
-	case q.finished:
-		b.forget(q)
-	case q.pending > 0: // another attempt may still answer
-	case q.class.LateWeight == 0 && now >= q.arrived+q.class.LatencyObjective: // nothing to win any more
-		b.finish(q)
-	case !b.mayRetry(q, o) || !b.startAttempt(q, now, false): // a planned copy keeps its time
-		b.finish(q)
+	case request.finished:
+		b.forget(request)
+	case request.pending > 0: // another attempt may still answer
+	case request.class.LateWeight == 0 && now >= request.arrived+request.class.LatencyObjective: // nothing to win any more
+		b.finish(request)
+	case !b.mayRetry(request, outcome) || !b.startAttempt(request, now, false): // a planned copy keeps its time
+		b.finish(request)
 	}
 }
 
 // recordOutcome logs what an outcome tells of the server and of response times.
-func (b *Balancer) recordOutcome(q *request, a *attempt, o Outcome, now time.Duration, rep LoadReport) {
-	s, took := a.server, float64(now-a.sent)/float64(q.class.LatencyObjective)
-	if o != Cancelled && o != NotSent && !q.overdue && !q.StreamedBody {
-		b.admission.recordOutcome(o == Rejected, now-q.arrived > q.class.LatencyObjective, b.endpoints.rate(now), now)
+func (b *Balancer) recordOutcome(request *openRequest, a *attempt, outcome Outcome, now time.Duration, report LoadReport) {
+	s, latency := a.server, float64(now-a.sent)/float64(request.class.LatencyObjective)
+	if outcome != Cancelled && outcome != NotSent && !request.overdue && !request.StreamedBody {
+		b.admission.updateShedLevel(outcome == Rejected, now-request.arrived > request.class.LatencyObjective, b.endpoints.rate(now), now)
 	}
-	if b.endpoints.acceptedFraction *= 1 - meanStep; o != Rejected {
+	if b.endpoints.acceptedFraction *= 1 - meanStep; outcome != Rejected {
 		b.endpoints.acceptedFraction += meanStep
 	}
-	switch o {
+	switch outcome {
 	case OK:
 		s.answeredAt, s.failures, s.ejections = now, 0, 0
 	case Rejected:
@@ -69,29 +69,29 @@
 	case ServerError, Reset, TimedOut, ConnectFailed:
 		b.endpoints.recordFailure(s, now)
 	}
-	if o == ServerError {
-		s.errorRates[q.Class] = tokenBucket{s.errorRate(q.Class, now)*(1-errorRateStep) + errorRateStep, now}
+	if outcome == ServerError {
+		s.errorRates[request.Class] = tokenBucket{s.errorRate(request.Class, now)*(1-errorRateStep) + errorRateStep, now}
 	}
-	if (o == OK || o == TimedOut) && !q.StreamedBody { // not after an error: failing fast is not being fast
-		b.endpoints.recordLatency(s, o, rep, took, a.queueDepth, now)
+	if (outcome == OK || outcome == TimedOut) && !request.StreamedBody { // not after an error: failing fast is not being fast
+		b.endpoints.recordLatency(s, outcome, report, latency, a.queueDepth, now)
 	}
 	if b.config.ConnectionCost > 0 && !s.inWorkingSet && s.inFlight == 0 {
 		b.host.CloseIdle(s.name) // a guest's connection would stand open unused
 	}
-	if !a.hedged && o != NotSent {
-		b.hedger.recordLoss(o == TimedOut, o == Cancelled && len(q.attempts) > 1)
+	if !a.hedged && outcome != NotSent {
+		b.hedger.recordLoss(outcome == TimedOut, outcome == Cancelled && len(request.attempts) > 1)
 	}
-	if q.class.Idempotency == NonIdempotent || q.StreamedBody || (o != OK && o != Cancelled && o != TimedOut) {
+	if request.class.Idempotency == NonIdempotent || request.StreamedBody || (outcome != OK && outcome != Cancelled && outcome != TimedOut) {
 		return
 	}
-	a.latency, a.censored = took, o != OK
+	a.latency, a.censored = latency, outcome != OK
 	if a.hedged {
-		b.hedger.hedges.add(sample{took, a.censored}, hedgeWindow)
+		b.hedger.hedges.add(sample{latency, a.censored}, hedgeWindow)
 	} else {
-		b.hedger.addPrimary(sample{took, a.censored})
+		b.hedger.addPrimary(sample{latency, a.censored})
 	}
-	if q.samplePair && q.pending == 0 && len(q.attempts) == 2 {
-		x, y := &q.attempts[0], &q.attempts[1]
+	if request.samplePair && request.pending == 0 && len(request.attempts) == 2 {
+		x, y := &request.attempts[0], &request.attempts[1]
 		if !x.censored && !y.censored && x.latency > 0 && y.latency > 0 {
 			b.hedger.pairs.add(pair{x.latency, y.latency}, pairWindow)
 		}
--- a/outlier.go
+++ b/outlier.go
@@ -26,15 +26,15 @@
 }
 
 // recordFailure counts a failure against a server and ejects it when they add up.
-func (f *endpointSet) recordFailure(s *server, now time.Duration) {
+func (set *endpointSet) recordFailure(s *server, now time.Duration) {
 	s.failures++
-	if s.failures < ejectionThreshold || s.answeredAt > 0 && now-s.answeredAt < ejectionGrace || now < s.ejectedUntil || float64(len(f.ejected)+1) > maxEjectedFraction*float64(len(f.members)) {
+	if s.failures < ejectionThreshold || s.answeredAt > 0 && now-s.answeredAt < ejectionGrace || now < s.ejectedUntil || float64(len(set.ejected)+1) > maxEjectedFraction*float64(len(set.members)) {
 		return
 	}
 	span := min(baseEjectionTime<<min(s.ejections, 10), maxEjectionTime)
 	s.ejections++
 	s.failures = ejectionThreshold - 1 // one more failure on return ejects it again
-	s.ejectedUntil = now + span/2 + time.Duration(f.random()*float64(span))
-	f.ejected = append(f.ejected, s)
-	f.dirty = true
+	s.ejectedUntil = now + span/2 + time.Duration(set.random()*float64(span))
+	set.ejected = append(set.ejected, s)
+	set.dirty = true
 }
--- a/pick_test.go
+++ b/pick_test.go
@@ -304,7 +304,7 @@
 	a := admissionController{config: &cfg}
 	a.configure()
 	for i := range 200 { // half are late, twice a second
-		a.recordOutcome(false, i%2 == 0, 2, time.Duration(i)*500*ms)
+		a.updateShedLevel(false, i%2 == 0, 2, time.Duration(i)*500*ms)
 	}
 	if a.shedLevel < 0.9 {
 		t.Errorf("level %v with half of the answers late", a.shedLevel)
@@ -318,7 +318,7 @@
 	a.configure()
 	a.shedLevel = 0.6
 	for range 15 {
-		a.recordOutcome(false, false, 1, 0)
+		a.updateShedLevel(false, false, 1, 0)
 	}
 	if a.shedLevel > 0.05 {
 		t.Errorf("level %v after 15 calm answers of a quiet balancer", a.shedLevel)
@@ -355,7 +355,7 @@
 		t.Errorf("odds %v for the cheap class and %v for the dear one", lo, hi)
 	}
 	for range 1000 {
-		b.admission.recordOutcome(false, false, 10, 0)
+		b.admission.updateShedLevel(false, false, 10, 0)
 	}
 	if b.admission.shedLevel != 0 {
 		t.Errorf("level %v after calm", b.admission.shedLevel)
--- a/probe.go
+++ b/probe.go
@@ -19,8 +19,8 @@
 }
 
 // ProbeAnswered takes the load report that a probe brought.
-func (b *Balancer) ProbeAnswered(now time.Duration, server string, rep LoadReport) {
+func (b *Balancer) ProbeAnswered(now time.Duration, server string, report LoadReport) {
 	if s := b.endpoints.byName[server]; s != nil {
-		s.updateLoad(rep, now)
+		s.updateLoad(report, now)
 	}
 }
--- a/request.go
+++ b/request.go
@@ -15,8 +15,8 @@
 	StreamedBody   bool // its body is sent on as it comes: no copies, and times that tell nothing
 }
 
-// request is one that the balancer still owes an answer or attempts' ends.
-type request struct {
+// openRequest is one that the balancer still owes an answer or attempts' ends.
+type openRequest struct {
 	Request
 	class              *Class
 	shedRank           int // for shedding
@@ -39,11 +39,11 @@
 		b.host.Reject(r.ID, 0)
 		return
 	}
-	q := &request{Request: r, class: cmp.Or(r.ClassAtArrival, &b.config.Classes[r.Class]), maxAttempts: b.config.MaxAttempts, arrived: now}
-	b.requests[r.ID] = q
-	q.shedRank = b.admission.recordArrival(r.Class, r.Tenant, now)
-	if b.rng.Float64() < b.admission.shedProbability(q.shedRank, now) {
-		b.finish(q)
+	request := &openRequest{Request: r, class: cmp.Or(r.ClassAtArrival, &b.config.Classes[r.Class]), maxAttempts: b.config.MaxAttempts, arrived: now}
+	b.requests[r.ID] = request
+	request.shedRank = b.admission.recordArrival(r.Class, r.Tenant, now)
+	if b.rng.Float64() < b.admission.shedProbability(request.shedRank, now) {
+		b.finish(request)
 		return
 	}
 	if b.config.Probes && !b.bounds.SuspendOptionalWork {
@@ -53,52 +53,52 @@
 				b.host.Probe(s.name)
 			}
 		}
-		b.setRequestTimer(q, min(time.Duration(probeWaitFraction*float64(q.class.LatencyObjective)), (q.Deadline-now)/2))
+		b.setRequestTimer(request, min(time.Duration(probeWaitFraction*float64(request.class.LatencyObjective)), (request.Deadline-now)/2))
 		return
 	}
-	b.sendFirst(q, now)
+	b.sendFirst(request, now)
 }
 
 // sendFirst makes q's first send.
-func (b *Balancer) sendFirst(q *request, now time.Duration) {
-	if !b.startAttempt(q, now, false) {
-		b.finish(q)
+func (b *Balancer) sendFirst(request *openRequest, now time.Duration) {
+	if !b.startAttempt(request, now, false) {
+		b.finish(request)
 		return
 	}
 	b.hedger.tokens = min(b.hedger.tokens+b.hedger.budget, maxHedgeTokens)
 	b.retryTokens = min(b.retryTokens+retryTokensPerRequest, maxRetryTokens)
-	b.planHedge(q, now)
+	b.planHedge(request, now)
 }
 
 // ClientDisconnected says that the client has left; attempts still out will end.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
-	if q := b.requests[id]; q != nil && !q.finished {
-		b.closeRequest(q)
+	if request := b.requests[id]; request != nil && !request.finished {
+		b.closeRequest(request)
 	}
 }
 
 // finish gives q its final answer, a refusal where a retry is harmless.
-func (b *Balancer) finish(q *request) {
-	b.closeRequest(q)
-	if q.class.Idempotency == Idempotent || q.class.Idempotency == IdempotencyKeyed && q.class.DedupScope == DedupScopeAll || q.firstPossiblyExecuted() == nil {
+func (b *Balancer) finish(request *openRequest) {
+	b.closeRequest(request)
+	if request.class.Idempotency == Idempotent || request.class.Idempotency == IdempotencyKeyed && request.class.DedupScope == DedupScopeAll || request.firstPossiblyExecuted() == nil {
 		// Those refused together must not return together.
-		b.host.Reject(q.ID, time.Duration((0.5+b.rng.Float64()/2)*float64(b.config.MaxRetryAfter)))
+		b.host.Reject(request.ID, time.Duration((0.5+b.rng.Float64()/2)*float64(b.config.MaxRetryAfter)))
 	} else {
-		b.host.Fail(q.ID)
+		b.host.Fail(request.ID)
 	}
 }
 
 // closeRequest marks q as over and calls off what is out.
-func (b *Balancer) closeRequest(q *request) {
-	q.finished = true
-	delete(b.timers, q.timer)
-	b.cancelOthers(q, -1)
-	b.forget(q)
+func (b *Balancer) closeRequest(request *openRequest) {
+	request.finished = true
+	delete(b.timers, request.timer)
+	b.cancelOthers(request, -1)
+	b.forget(request)
 }
 
 // forget drops a request that has ended and has nothing out.
-func (b *Balancer) forget(q *request) {
-	if q.finished && q.pending == 0 {
-		delete(b.requests, q.ID)
+func (b *Balancer) forget(request *openRequest) {
+	if request.finished && request.pending == 0 {
+		delete(b.requests, request.ID)
 	}
 }
--- a/slowstart.go
+++ b/slowstart.go
@@ -22,8 +22,8 @@
 }
 
 // readStarts returns the reading of a list that is told now.
-func (f *endpointSet) readStarts(list []Endpoint, now time.Duration) startReading {
-	reading := startReading{now: now, first: !f.listReceived}
+func (set *endpointSet) readStarts(list []Endpoint, now time.Duration) startReading {
+	reading := startReading{now: now, first: !set.listReceived}
 	for _, e := range list {
 		reading.newest = max(reading.newest, e.Started)
 	}
@@ -41,27 +41,27 @@
 const slowStartSafetyFactor = 0.5 // of what fells a cold server is sent at most; the rest is for chance
 
 // slowStartFactor is the share of its full capacity that a server surely has by now.
-func (f *endpointSet) slowStartFactor(s *server, now time.Duration) float64 {
-	if now >= s.slowStartEnds || f.config.SlowStartDuration <= 0 {
+func (set *endpointSet) slowStartFactor(s *server, now time.Duration) float64 {
+	if now >= s.slowStartEnds || set.config.SlowStartDuration <= 0 {
 		return 1
 	}
-	return f.config.SlowStartInitialFraction + (1-f.config.SlowStartInitialFraction)*float64(max(0, now-s.slowStartBegan))/float64(f.config.SlowStartDuration)
+	return set.config.SlowStartInitialFraction + (1-set.config.SlowStartInitialFraction)*float64(max(0, now-s.slowStartBegan))/float64(set.config.SlowStartDuration)
 }
 
 // hasSlowStartBudget says whether a cold server can take one more send from here, guided by what a
 // warm one takes, times what this one can stand: all balancers do the same, so that the sum
 // stays under the fleet's limit. Many small shares, each kept until it is a whole send, would
 // be let go together: they are drawn anew instead. Guests, on which all may fall back, get none.
-func (f *endpointSet) hasSlowStartBudget(s *server, now time.Duration) bool {
+func (set *endpointSet) hasSlowStartBudget(s *server, now time.Duration) bool {
 	if now >= s.slowStartEnds || !s.inWorkingSet {
 		return now >= s.slowStartEnds
 	}
-	span, part := max(f.config.OverloadDuration, time.Millisecond), 1/float64(len(f.workingSet))
-	rate := max(f.acceptedFraction*f.rate(now), f.nominalRate) * part * slowStartSafetyFactor * f.config.OverloadFactor * f.slowStartFactor(s, now)
+	span, part := max(set.config.OverloadDuration, time.Millisecond), 1/float64(len(set.workingSet))
+	rate := max(set.acceptedFraction*set.rate(now), set.nominalRate) * part * slowStartSafetyFactor * set.config.OverloadFactor * set.slowStartFactor(s, now)
 	// where nothing was sent yet, one send in span from all balancers together
-	rate = max(rate, min(1, float64(len(f.members))*part/float64(f.config.Instances))/span.Seconds())
-	if rate*span.Seconds() < 1 && f.random() > decay(now-s.slowStartTokens.at, span) {
-		s.slowStartTokens.tokens = f.random()
+	rate = max(rate, min(1, float64(len(set.members))*part/float64(set.config.Instances))/span.Seconds())
+	if rate*span.Seconds() < 1 && set.random() > decay(now-s.slowStartTokens.at, span) {
+		s.slowStartTokens.tokens = set.random()
 	}
 	s.slowStartTokens.refill(rate, rate*span.Seconds(), now)
 	return s.slowStartTokens.tokens >= 1
--- a/timer.go
+++ b/timer.go
@@ -10,9 +10,9 @@
 }
 
 // setRequestTimer sets q's timer.
-func (b *Balancer) setRequestTimer(q *request, after time.Duration) {
-	q.timer = b.setTimer(after)
-	b.timers[q.timer] = q
+func (b *Balancer) setRequestTimer(request *openRequest, after time.Duration) {
+	request.timer = b.setTimer(after)
+	b.timers[request.timer] = request
 }
 
 // TimerFired takes a timer that came due. Stale ones are ignored.
@@ -22,24 +22,24 @@
 		b.host.Subscribe()
 		return
 	}
-	if q := b.timers[cookie]; q != nil {
+	if request := b.timers[cookie]; request != nil {
 		delete(b.timers, cookie)
 		switch {
-		case len(q.attempts) == 0:
-			b.sendFirst(q, now)
-		case q.StreamedBody: // it takes its time
-		case q.hedgeDue:
-			q.hedgeDue = false
-			b.sendHedge(q, now)
-			b.setRequestTimer(q, q.arrived+q.class.LatencyObjective-now)
+		case len(request.attempts) == 0:
+			b.sendFirst(request, now)
+		case request.StreamedBody: // it takes its time
+		case request.hedgeDue:
+			request.hedgeDue = false
+			b.sendHedge(request, now)
+			b.setRequestTimer(request, request.arrived+request.class.LatencyObjective-now)
 		default:
 			// Guards against hearing only by time-outs of a jam, or of a machine that hung
 			// or was cut off. It may do harm to a slow one asked once in an aim.
-			q.overdue = true
+			request.overdue = true
 			calm := b.admission.decayedShedLevel(now) < shedTolerance
-			b.admission.recordOutcome(false, true, b.endpoints.rate(now), now)
-			for i := range q.attempts {
-				if a := &q.attempts[i]; !a.done && calm && a.server.answeredAt < a.sent {
+			b.admission.updateShedLevel(false, true, b.endpoints.rate(now), now)
+			for i := range request.attempts {
+				if a := &request.attempts[i]; !a.done && calm && a.server.answeredAt < a.sent {
 					b.endpoints.recordFailure(a.server, now)
 				}
 			}
--- a/working_set.go
+++ b/working_set.go
@@ -21,48 +21,48 @@
 )
 
 // refresh rebuilds the sampling table when it is old or what it stands on changed.
-func (f *endpointSet) refresh(now time.Duration) {
-	ejected := len(f.ejected)
-	f.ejected = slices.DeleteFunc(f.ejected, func(s *server) bool { return now >= s.ejectedUntil || !s.serving })
-	f.dirty = f.dirty || len(f.ejected) < ejected
-	if !f.dirty && now-f.weightsAt < maxWeightsAge {
+func (set *endpointSet) refresh(now time.Duration) {
+	ejected := len(set.ejected)
+	set.ejected = slices.DeleteFunc(set.ejected, func(s *server) bool { return now >= s.ejectedUntil || !s.serving })
+	set.dirty = set.dirty || len(set.ejected) < ejected
+	if !set.dirty && now-set.weightsAt < maxWeightsAge {
 		return
 	}
-	if size := f.workingSetSize(now); f.dirty || size > len(f.workingSet) || size < len(f.workingSet)*2/3 {
-		f.chooseWorkingSet(size, now)
+	if size := set.workingSetSize(now); set.dirty || size > len(set.workingSet) || size < len(set.workingSet)*2/3 {
+		set.chooseWorkingSet(size, now)
 	}
-	f.dirty, f.weightsAt, f.weights = false, now, f.weights[:0]
+	set.dirty, set.weightsAt, set.weights = false, now, set.weights[:0]
 	sum := 0.0
-	for _, s := range f.workingSet {
+	for _, s := range set.workingSet {
 		if now >= s.ejectedUntil {
-			sum += s.capacityHint * s.weightCorrection * f.slowStartFactor(s, now)
+			sum += s.capacityHint * s.weightCorrection * set.slowStartFactor(s, now)
 		}
-		f.weights = append(f.weights, sum)
+		set.weights = append(set.weights, sum)
 	}
 }
 
 // workingSetSize is how many servers this balancer's traffic lets it know well.
-func (f *endpointSet) workingSetSize(now time.Duration) int {
-	n := len(f.members)
-	size := max(minWorkingSet, int(serversPerRate*f.rate(now)))
-	if f.config.ConnectionCost > 0 && n > 0 {
-		each := f.config.ConnectionCost * float64(f.config.Instances) / (100 * float64(n))
+func (set *endpointSet) workingSetSize(now time.Duration) int {
+	n := len(set.members)
+	size := max(minWorkingSet, int(serversPerRate*set.rate(now)))
+	if set.config.ConnectionCost > 0 && n > 0 {
+		each := set.config.ConnectionCost * float64(set.config.Instances) / (100 * float64(n))
 		size = max(minConnectedServers, min(size, int(math.Sqrt(connectionCostBudget/each)+0.5)))
 	}
 	return min(size, n)
 }
 
 // chooseWorkingSet takes the first servers by priority into the working set, ejected ones last.
-func (f *endpointSet) chooseWorkingSet(size int, now time.Duration) {
-	for _, s := range f.workingSet {
+func (set *endpointSet) chooseWorkingSet(size int, now time.Duration) {
+	for _, s := range set.workingSet {
 		s.inWorkingSet = false
 	}
-	f.workingSet = f.workingSet[:0]
+	set.workingSet = set.workingSet[:0]
 	for _, ejected := range []bool{false, true} {
-		for i := 0; i < len(f.members) && len(f.workingSet) < size; i++ {
-			if s := f.members[i]; now < s.ejectedUntil == ejected {
+		for i := 0; i < len(set.members) && len(set.workingSet) < size; i++ {
+			if s := set.members[i]; now < s.ejectedUntil == ejected {
 				s.inWorkingSet = true
-				f.workingSet = append(f.workingSet, s)
+				set.workingSet = append(set.workingSet, s)
 			}
 		}
 	}
