--- a/admission.go
+++ b/admission.go
@@ -29,19 +29,24 @@
 	quotaBurst = 4 * time.Second
 )
 
-// admissionController refuses on arrival the share `level` of the traffic that is worth least.
-// Guards against all classes losing alike, and a tenant that crowds out others.
+// admissionController sheds the requests of lowest weight on arrival, a fraction of the
+// traffic that the shed level gives. Classes of higher weight are not shed before lower ones,
+// and a tenant above its quota does not displace others.
+//
+// Requests are ranked by class and quota: rank 2*class is within the tenant's quota,
+// 2*class+1 above it.
 type admissionController struct {
 	config           *Config
-	shedLevel        float64
-	minShedFraction  float64       // shed in any case: see Bounds
-	shedLevelAt      time.Duration // of the last change of level
-	arrivalFractions []float64     // of arrivals, by rank: twice the class, and 1 more above the tenant's share
-	ranksByWeight    []int         // ranks, cheapest first
+	shedLevel        float64       // fraction of the traffic to shed, before shedTolerance
+	minShedFraction  float64       // see Bounds.MinShedFraction
+	shedLevelAt      time.Duration // when shedLevel last changed
+	arrivalFractions []float64     // fading fractions of arrivals, by rank
+	ranksByWeight    []int         // ranks, lowest weight first
 	tenantQuotas     []tokenBucket
 }
 
-// configure makes room for the configuration's classes and tenants.
+// configure adds ranks and quotas for the configuration's new classes and tenants and sorts
+// the ranks.
 func (a *admissionController) configure() {
 	for len(a.arrivalFractions) < 2*len(a.config.Classes) { // all within the shares, until seen otherwise
 		a.ranksByWeight = append(a.ranksByWeight, len(a.arrivalFractions), len(a.arrivalFractions)+1)
@@ -53,7 +58,8 @@
 	slices.SortStableFunc(a.ranksByWeight, func(i, j int) int { return cmp.Compare(a.weight(i), a.weight(j)) })
 }
 
-// weight is by work, of which the aim is the only sign.
+// weight is a rank's priority weight per unit of work, which only the latency objective
+// indicates.
 func (a *admissionController) weight(rank int) float64 {
 	class := &a.config.Classes[rank/2]
 	if rank%2 > 0 {
@@ -62,7 +68,7 @@
 	return class.Weight / class.LatencyObjective.Seconds()
 }
 
-// meanWeight is the mean over arrivals, were all within the shares.
+// meanWeight is the mean weight of arrivals, as if all were within quotas.
 func (a *admissionController) meanWeight() (mean float64) {
 	for r, share := range a.arrivalFractions {
 		mean += share * a.weight(r/2*2)
@@ -70,7 +76,7 @@
 	return mean
 }
 
-// recordArrival counts an arrival and returns its rank.
+// recordArrival counts an arrival against its tenant's quota and returns its rank.
 func (a *admissionController) recordArrival(class, tenant int, now time.Duration) (rank int) {
 	rank = 2 * class
 	if tenant >= 0 && tenant < len(a.tenantQuotas) {
@@ -105,12 +111,12 @@
 	return 0
 }
 
-// decayedShedLevel is the level less what it has lost since the last outcome.
+// decayedShedLevel is the shed level less what has faded since the last outcome.
 func (a *admissionController) decayedShedLevel(now time.Duration) float64 {
 	return a.shedLevel * decay(max(0, now-a.shedLevelAt-shedDecayDelay), shedMemory)
 }
 
-// updateShedLevel feeds the level with one attempt's end; rate is of sends a second.
+// updateShedLevel moves the shed level by one attempt's outcome; rate is in sends a second.
 func (a *admissionController) updateShedLevel(rejected, late bool, rate float64, now time.Duration) {
 	gain := max(1, min(unitGainRate/max(rate, 0.1), maxGain))
 	step := -onTimeDecrease
--- a/attempt.go
+++ b/attempt.go
@@ -3,10 +3,11 @@
 import "time"
 
 const (
-	// A first send earns retryTokensPerRequest retries, to maxRetryTokens; retryWeightFactor times the mean worth needs none.
+	// A first attempt earns retryTokensPerRequest retries, of which maxRetryTokens accumulate.
 	retryTokensPerRequest = 0.3
 	maxRetryTokens        = 10.0
-	retryWeightFactor     = 2.0
+	// Requests of at least retryWeightFactor times the mean weight are retried without a token.
+	retryWeightFactor = 2.0
 )
 
 // attempt is one send of a request.
@@ -18,7 +19,8 @@
 	latency                             float64 // for answered attempts, in fractions of the aim
 }
 
-// firstPossiblyExecuted is the first attempt that may have run, nil if all proved not to have.
+// firstPossiblyExecuted returns the first attempt that may have been executed, nil if
+// all are proved not to have been.
 func (r *openRequest) firstPossiblyExecuted() *attempt {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.done || !a.notExecuted {
@@ -28,8 +30,9 @@
 	return nil
 }
 
-// mayAttempt says whether q may have one more attempt: a keyed request that may have
-// run goes on inside its anchor's group and window only.
+// mayAttempt reports whether the request may have one more attempt. anchor is its first
+// attempt that may have been executed: from then on only idempotent requests, and keyed
+// ones within their deduplication window, may be sent again.
 func (b *Balancer) mayAttempt(request *openRequest, anchor *attempt, now time.Duration) bool {
 	switch {
 	case request.finished || request.streamed || len(request.attempts) >= min(request.maxAttempts, b.config.MaxAttempts) || now >= request.Deadline,
@@ -41,7 +44,8 @@
 	return request.class.Idempotency == IdempotencyKeyed && now-anchor.sent < request.class.DedupWindow
 }
 
-// startAttempt sends q's next attempt, if it may have one and a server is to be had.
+// startAttempt sends the request's next attempt. It returns false if the request may not
+// have one or no server can take it.
 func (b *Balancer) startAttempt(request *openRequest, now time.Duration, isHedge bool) bool {
 	anchor := request.firstPossiblyExecuted()
 	if !b.mayAttempt(request, anchor, now) {
@@ -83,8 +87,9 @@
 	return true
 }
 
-// mayRetry spends the retry budget, which binds all but the dearest work. Guards
-// against retries that only push others out where all queues are full.
+// mayRetry reports whether the retry budget allows a retry after the outcome, and spends it.
+// The budget binds only retries of rejected attempts of ordinary weight: where all queues
+// are full, these only displace other requests.
 func (b *Balancer) mayRetry(request *openRequest, outcome Outcome) bool {
 	if outcome != Rejected { // what broke on the way says nothing of queues
 		return true
@@ -95,7 +100,8 @@
 	return true
 }
 
-// StreamStarted says that the answer or the body of attempt n streams: no other one can follow.
+// StreamStarted says that the body or the answer of the attempt streams: no other attempt
+// may follow.
 func (b *Balancer) StreamStarted(now time.Duration, id RequestID, index int) {
 	request := b.requests[id]
 	if request == nil || index < 0 || index >= len(request.attempts) {
@@ -105,7 +111,7 @@
 	b.cancelOthers(request, index)
 }
 
-// cancelOthers calls off what is out beside attempt n.
+// cancelOthers cancels the request's attempts in flight except the one at index.
 func (b *Balancer) cancelOthers(request *openRequest, index int) {
 	if !b.config.AllowCancellation || request.pending == 0 {
 		return
--- a/balancer.go
+++ b/balancer.go
@@ -1,10 +1,19 @@
-// Package martendrum makes the decisions of a client-side load balancer: where to
-// send each request, when to copy, try again or refuse. It hedges by SingleR and
-// first-sends by two random choices over this balancer's own in-flight requests.
+// Package martendrum makes the decisions of a client-side load balancer: which
+// server a request goes to, when it is hedged or retried, and when it is rejected.
 //
-// A Balancer has no goroutines, clock or I/O. The host calls one method per
-// event, from one goroutine at a time, with a time that never goes back, and
-// carries out what the Balancer asks of it through Host.
+// A Balancer owns the state behind these decisions: the server list, its working
+// set, each server's load and latency, the shed level, the hedging policy and the
+// requests that are open. It picks servers by two random choices over its own
+// in-flight requests and hedges by SingleR.
+//
+// It promises one final answer for each request that arrives, at most
+// Config.MaxAttempts attempts for it, and no retry or hedge that could execute a
+// request more often than its class allows. The same seed and events give the
+// same actions.
+//
+// It has no goroutines, clock or I/O and is not safe for concurrent use. The host
+// calls one method per event, from one goroutine at a time, with a time that never
+// decreases, and carries out the actions that arrive through Host.
 package martendrum
 
 import (
@@ -39,7 +48,7 @@
 	Subscribe()
 }
 
-// Balancer makes one client process's decisions.
+// Balancer makes the decisions of one client process.
 type Balancer struct {
 	config      Config
 	host        Host
@@ -56,7 +65,8 @@
 	pollBackoff          time.Duration
 }
 
-// New returns a Balancer for cfg that draws its random numbers from seed.
+// New returns a Balancer for cfg that draws its random numbers from seed. It
+// returns an error where Reconfigure would.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	b := &Balancer{
 		host:        host,
@@ -79,11 +89,12 @@
 	return b, nil
 }
 
-// Reconfigure takes a new configuration for requests to come; those open keep their class and
-// attempts. Classes and tenants keep their places: new ones follow, or take a dropped one's.
+// Reconfigure takes a new configuration for requests that arrive from now on; open requests
+// keep their class and number of attempts. Classes and tenants keep their indexes: new ones are
+// appended or replace dropped ones. Only what the Balancer relies on is checked here.
 func (b *Balancer) Reconfigure(cfg Config) error {
 	switch {
-	case cfg.Instances < 1 || len(cfg.Classes) == 0 || cfg.MaxAttempts < 1: // the rest is the settings' to check
+	case cfg.Instances < 1 || len(cfg.Classes) == 0 || cfg.MaxAttempts < 1:
 		return errors.New("martendrum: config: Instances, Classes and MaxAttempts must be above 0")
 	case len(cfg.Classes) < len(b.config.Classes), len(cfg.TenantQuotas) < len(b.config.TenantQuotas):
 		return errors.New("martendrum: config: classes and tenants must keep their places")
--- a/bounds.go
+++ b/bounds.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Bounds is what a Balancer is asked to keep to by those who see more of the fleet than
-// it does. The zero value asks nothing: it decides as without.
+// Bounds is what a Balancer must keep to at the request of those who see more of the fleet
+// than it does. The zero value bounds nothing.
 type Bounds struct {
-	// MinShedFraction is the least share of the traffic, the cheapest first, that is refused on
-	// arrival: more than that the servers can't take.
+	// MinShedFraction is the fraction of the traffic, lowest weight first, that is shed on
+	// arrival at least, because servers cannot take more.
 	MinShedFraction float64
-	// NominalRate is how many sends a second would come from here if servers took them all;
-	// cold servers get by it instead of by what was sent of late. 0: not known.
+	// NominalRate is the sends a second that this balancer would make if servers accepted
+	// all. Servers in slow start are paced by it where it is above the recent rate. 0: unknown.
 	NominalRate float64
-	// SuspendOptionalWork says that copies and optional probes wait.
+	// SuspendOptionalWork suspends hedges and probes before a send.
 	SuspendOptionalWork bool
 }
 
@@ -22,13 +22,14 @@
 	b.admission.minShedFraction = bounds.MinShedFraction
 }
 
-// warmServerHeadroom times its usual share is what a warm server is taken to bear while others are
-// cold. It may do harm where all are near their limits: then late answers tell.
+// warmServerHeadroom is the multiple of its usual load that a server at full capacity is
+// taken to bear while others are in slow start. Where all are near their limits it is too
+// high; late answers then raise the shed level.
 const warmServerHeadroom = 1.5
 
-// Capacity tells of the servers of the working set their mean warmth, and the share of what
-// usually comes that they bear now: 1 where all are warm, less while many are cold. Without
-// servers both are 1, since nothing can be said.
+// Capacity returns, for the working set, the mean slow-start factor and the fraction of the
+// usual load that it can bear now. Both are 1 where every server has its full capacity, and
+// where there is no server.
 func (b *Balancer) Capacity(now time.Duration) (warmth, share float64) {
 	set := &b.endpoints
 	set.refresh(now)
--- a/config.go
+++ b/config.go
@@ -2,16 +2,19 @@
 
 import "time"
 
-// Idempotency says what repeating a request does.
+// Idempotency says whether a request may be executed more than once.
 type Idempotency int
 
 const (
-	Idempotent       Idempotency = iota // may be repeated at will
-	IdempotencyKeyed                    // repeats are dropped by a group of servers for a time
-	NonIdempotent                       // must not run twice
+	// Idempotent requests may be executed any number of times.
+	Idempotent Idempotency = iota
+	// IdempotencyKeyed requests are deduplicated by a group of servers for a time.
+	IdempotencyKeyed
+	// NonIdempotent requests must not be executed twice.
+	NonIdempotent
 )
 
-// String implements fmt.Stringer.
+// String implements fmt.Stringer with the words of the settings.
 func (e Idempotency) String() string {
 	switch e {
 	case Idempotent:
@@ -22,49 +25,53 @@
 	return "unsafe"
 }
 
-// DedupScope is the group of servers that drops repeats of a keyed request.
+// DedupScope is the group of servers that deduplicates an IdempotencyKeyed request.
 type DedupScope int
 
 const (
+	// DedupScopeAll is every server.
 	DedupScopeAll DedupScope = iota
+	// DedupScopeZone is the servers of one zone.
 	DedupScopeZone
+	// DedupScopeGroup is the servers of one zone and Endpoint.Group.
 	DedupScopeGroup
 )
 
 // Class describes one class of requests.
 type Class struct {
-	LatencyObjective time.Duration // an answer within it earns the full worth
-	LateWeight       float64       // share of the worth that a later answer earns
-	Weight           float64
+	LatencyObjective time.Duration // an answer within it earns the full weight
+	LateWeight       float64       // fraction of the weight that a later answer earns
+	Weight           float64       // priority weight of a request
 	Idempotency      Idempotency
-	DedupScope       DedupScope    // for Keyed
-	DedupWindow      time.Duration // for Keyed: how long repeats are dropped
+	DedupScope       DedupScope    // for IdempotencyKeyed
+	DedupWindow      time.Duration // for IdempotencyKeyed: how long repeats are deduplicated
 }
 
-// Config is what a Balancer is told of its site.
+// Config is the configuration of a Balancer. Costs are in points of the score.
 type Config struct {
 	Instances         int // balancers in the tier, this one included
 	Classes           []Class
-	TenantQuotas      []float64 // requests a second of all balancers that are within the tenant's share
-	OverQuotaWeight   float64   // share of its worth that a request above it has
+	TenantQuotas      []float64 // requests a second of all balancers together that are within the tenant's quota
+	OverQuotaWeight   float64   // fraction of its weight that a request above the quota has
 	Zone              string
-	MaxAttempts       int
-	AllowCancellation bool
-	AllowHedging      bool // two attempts of a request may be out together
+	MaxAttempts       int  // for one request, the first attempt and hedges included
+	AllowCancellation bool // attempts may be cancelled
+	AllowHedging      bool // two attempts of a request may be in flight together
 	MaxRetryAfter     time.Duration
-	CrossZoneCost     float64
-	ConnectionCost    float64 // points lost for 100 open connections a server
-	WastedWorkCost    float64 // points lost if as much work is wasted as is asked for
+	CrossZoneCost     float64 // only whether it is above 0 matters
+	ConnectionCost    float64 // for 100 open connections per server
+	WastedWorkCost    float64 // for as much wasted work as was requested
 	Probes            bool    // servers report their load when probed, and only then
-	ProbeCost         float64 // points lost for a probe a request
+	ProbeCost         float64 // for one probe per request
 
-	// MaxListAge, where above 0, says that the server list comes only to those
-	// who subscribe, and that one who has not asked for so long counts as told.
-	MaxListAge  time.Duration
-	RetryWithin time.Duration // a failed call is repeated within it; 0: by MaxListAge
+	// MaxListAge, where above 0, says that discovery sends the server list only to
+	// subscribers, and treats a balancer that has not polled for so long as informed.
+	MaxListAge time.Duration
+	// RetryWithin bounds the delay before a failed poll is repeated; 0: MaxListAge bounds it.
+	RetryWithin time.Duration
 
-	SlowStartInitialFraction float64       // share of its capacity that a fresh server has
-	SlowStartDuration        time.Duration // a server is warm after this
-	OverloadFactor           float64       // multiple of its capacity that fells a cold server
-	OverloadDuration         time.Duration // when sent for this long
+	SlowStartInitialFraction float64       // fraction of its capacity that a server has when it starts
+	SlowStartDuration        time.Duration // a server has its full capacity after this
+	OverloadFactor           float64       // multiple of its present capacity that crashes a server in slow start
+	OverloadDuration         time.Duration // if sent for this long
 }
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// server is one member as this balancer sees it.
+// server is one entry of the server list with what this balancer has observed of it.
 type server struct {
 	name, zone                    string
 	group                         int
@@ -29,28 +29,28 @@
 	slowStartTokens               tokenBucket // sends that it may get while cold
 }
 
-// endpointSet is the membership, the working set and the sampling table over it.
+// endpointSet is the servers on the list, the working set and the sampling table over it.
 type endpointSet struct {
 	config           *Config
 	random           func() float64
 	byName           map[string]*server
 	members          []*server     // serving servers, by priority
-	workingSet       []*server     // the working set
-	weights          []float64     // running sums over set
-	weightsAt        time.Duration // when weights were made
-	dirty            bool          // membership or ejections changed
+	workingSet       []*server     // the servers that requests are sampled from
+	weights          []float64     // cumulative over workingSet
+	weightsAt        time.Duration // when weights were computed
+	dirty            bool          // membership or ejections have changed since
 	ejected          []*server
-	listReceived     bool    // discovery has told a list
+	listReceived     bool    // discovery has sent a list
 	sendCount        float64 // fading count of sends
-	nominalRate      float64 // sends a second, were all taken: see Bounds
-	acceptedFraction float64 // running share of sends that were not turned away
+	nominalRate      float64 // see Bounds.NominalRate
+	acceptedFraction float64 // running fraction of sends that were not rejected
 	sendCountAt      time.Duration
-	// The running median of latency by requests held, the mean in fractions of the aim.
+	// latencyPerQueued is the running median of the latency per request in the queue,
+	// meanLatency the running mean, both in fractions of the latency objective.
 	latencyPerQueued, meanLatency float64
 }
 
-// updateEndpoint takes over what discovery says of one server. Members stay sorted: in a
-// large fleet many small changes come, and sorting it for each cost more than requests.
+// updateEndpoint takes one entry of the list.
 func (set *endpointSet) updateEndpoint(endpoint Endpoint, reading startReading) {
 	now := reading.now
 	set.dirty = true
@@ -98,13 +98,13 @@
 	}
 }
 
-// replaceAll takes a whole list: servers missing from it are gone.
+// replaceAll takes a complete list: servers missing from it are removed.
 func (set *endpointSet) replaceAll(list []Endpoint, now time.Duration) {
 	listed := make(map[string]bool, len(list))
 	for _, endpoint := range list {
 		listed[endpoint.Name] = true
 	}
-	for name := range set.byName { // in any order: what goes leaves the others as they are
+	for name := range set.byName { // the order does not matter: a removal leaves the others as they are
 		if !listed[name] {
 			set.updateEndpoint(Endpoint{Name: name, State: Removed}, startReading{now: now})
 		}
@@ -112,7 +112,7 @@
 	set.applyChanges(list, now)
 }
 
-// applyChanges takes changes of the list.
+// applyChanges takes changed entries of the list.
 func (set *endpointSet) applyChanges(changed []Endpoint, now time.Duration) {
 	reading := set.readStarts(changed, now)
 	for _, endpoint := range changed {
--- a/hedge.go
+++ b/hedge.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// SingleR (Kaler, He, Elnikety, SPAA 2017): a request still unanswered after
-// delay d gets, with probability q, one copy on another server. Times here are
-// fractions of the class's aim, so that quiet balancers can pool the samples of
-// all classes.
+// SingleR (Kaler, He, Elnikety, SPAA 2017): a request still unanswered after a delay d
+// gets, with probability q, one hedge on another server. Latencies here are fractions of
+// the class's latency objective, so that quiet balancers can pool the samples of all classes.
 const (
 	maxHedgeBudget = 0.10 // B, copies per first send: well under the spare capacity
 	// hedgeCostFactor bounds what copies may cost where wasted work has a price:
@@ -37,14 +36,13 @@
 	maxHedgeTokens   = 4.0 // bounds copies saved up in quiet times
 )
 
-// sample is one logged response time. A send that was cancelled is censored:
-// its answer would have come later than at.
+// sample is one recorded latency in fractions of the latency objective.
 type sample struct {
 	latency  float64
-	censored bool
+	censored bool // without an answer: the latency would have been higher
 }
 
-// pair is a first send and its copy, both run to their answers.
+// pair is the latencies of a first attempt and its hedge that were both answered.
 type pair struct{ primary, hedge float64 }
 
 // window is a ring of the latest values.
@@ -53,6 +51,7 @@
 	next int
 }
 
+// add appends v and drops the oldest value of more than limit.
 func (w *window[T]) add(v T, limit int) {
 	if len(w.buf) < limit {
 		w.buf = append(w.buf, v)
@@ -62,7 +61,7 @@
 	w.next = (w.next + 1) % limit
 }
 
-// hedger holds the logs and the parameters of SingleR.
+// hedger holds the samples and the parameters of SingleR.
 type hedger struct {
 	primary                        window[sample]
 	hedges                         window[sample]
@@ -78,20 +77,22 @@
 	primarySurvival, hedgeSurvival survival // reused between recomputes
 }
 
+// newHedger returns a hedger with the paper's starting policy: no delay, probability B.
 func newHedger(wasteCost float64) hedger {
 	budget := min(maxHedgeBudget, hedgeCostFactor/max(wasteCost, 1e-9))
 	// The paper's starting policy: no delay, probability B.
 	return hedger{baseBudget: budget, budget: budget, probability: budget, tokens: 1}
 }
 
+// addPrimary records the latency of an attempt that is no hedge.
 func (h *hedger) addPrimary(s sample) {
 	h.primary.add(s, primaryWindow)
 	h.newSamples++
 }
 
-// recordLoss counts a first send, lost or overtaken by its copy or neither, and sets B. Guards against peers that
-// fall silent: a copy of a lost send wastes nothing more. It may do harm where sends
-// are late for want of capacity; the shed level then holds copies back.
+// recordLoss counts an attempt that was lost, overtaken by its hedge or neither, and sets B.
+// Where servers fall silent, B rises: the hedge of a lost attempt wastes no work. Attempts that
+// are late for want of capacity raise it too; the shed level then suspends hedges.
 func (h *hedger) recordLoss(lost, overtaken bool) {
 	if h.lostFraction *= 1 - lostFractionStep; lost {
 		h.lostFraction += lostFractionStep
@@ -101,7 +102,7 @@
 	h.budget = min(h.baseBudget+h.lostFraction, maxHedgeBudget)
 }
 
-// recompute takes one step towards the delay that the present logs make best.
+// recompute takes one step towards the delay that is optimal for the present samples.
 // jitter is in [0, 1).
 func (h *hedger) recompute(now time.Duration, jitter float64) {
 	if h.newSamples < recomputeSamples || now < h.nextRecompute {
@@ -122,7 +123,8 @@
 	h.probability = h.primarySurvival.hedgeProbability(h.delay, h.budget)
 }
 
-// planHedge draws whether q gets a copy and sets its timer, else the one for its aim.
+// planHedge draws whether the request gets a hedge and sets its timer: for the hedge, else
+// for the latency objective.
 func (b *Balancer) planHedge(request *openRequest, now time.Duration) {
 	after := request.arrived + request.class.LatencyObjective - now
 	if request.class.Idempotency != NonIdempotent && !request.StreamedBody {
@@ -135,7 +137,8 @@
 	b.setRequestTimer(request, after)
 }
 
-// sendHedge sends q's copy if it is still unanswered and the budget allows.
+// sendHedge sends the request's hedge if it is still unanswered, the budget allows it and
+// this balancer sheds no load.
 func (b *Balancer) sendHedge(request *openRequest, now time.Duration) {
 	if request.pending == 1 && !b.bounds.SuspendOptionalWork && b.hedger.tokens >= 1 && b.admission.decayedShedLevel(now) < shedTolerance && b.startAttempt(request, now, true) {
 		b.hedger.tokens--
--- a/hedge_delay.go
+++ b/hedge_delay.go
@@ -8,12 +8,12 @@
 
 // survival is a Kaplan-Meier estimate: tail[i] is Pr(T > times[i]).
 type survival struct {
-	times []float64
+	times []float64 // ascending
 	tail  []float64
 }
 
-// estimate fits s to samples, some of them censored. Without censoring the
-// tail is the plain share of samples above each time.
+// estimate fits s to samples, some of them censored. Without censoring the tail is the
+// fraction of samples above each time. scratch is working memory.
 func (s *survival) estimate(samples []sample, scratch *[]sample) {
 	sorted := append((*scratch)[:0], samples...)
 	*scratch = sorted
@@ -36,7 +36,7 @@
 	}
 }
 
-// tailProbability is Pr(T > t).
+// tailProbability is Pr(T > latency).
 func (s *survival) tailProbability(latency float64) float64 {
 	if i := sort.Search(len(s.times), func(i int) bool { return s.times[i] > latency }); i > 0 {
 		return s.tail[i-1]
@@ -44,14 +44,14 @@
 	return 1
 }
 
-// hedgeProbability is q: the probability of a copy at delay d that spends the budget.
+// hedgeProbability is q: the probability of a hedge after the delay that spends the budget.
 func (s *survival) hedgeProbability(delay, budget float64) float64 {
 	return min(1, budget/max(s.tailProbability(delay), 1e-9))
 }
 
-// computeOptimalSingleR is the paper's search with correlation (its Figure 1
-// and section 4.2): it walks d up and t down over the sorted response times
-// and returns the d that brings the k-th percentile lowest within budget B.
+// computeOptimalSingleR is the paper's search with correlation (its Figure 1 and section
+// 4.2): it walks the delay up and the target latency down over the sorted latencies and
+// returns the delay that brings the percentile lowest within the budget.
 func computeOptimalSingleR(primary, hedge *survival, pairs []pair, percentile, budget float64) float64 {
 	if len(primary.times) == 0 {
 		return 0
@@ -68,8 +68,8 @@
 	return best
 }
 
-// successRate is the probability that a request is answered within t under
-// SingleR with delay d.
+// successRate is the probability that a request is answered within the target latency
+// under SingleR with the delay.
 func successRate(primary, hedge *survival, pairs []pair, budget, target, delay float64) float64 {
 	late := primary.tailProbability(target)
 	probability := primary.hedgeProbability(delay, budget)
--- a/learned_state.go
+++ b/learned_state.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// LearnedState is what a Balancer has learned, for another one that takes its place. Times
-// are ages, so that clocks need not agree. Rates are left out: each process counts
-// cold servers' budgets from its own, and two that count the same sends would spend twice.
+// LearnedState is what a Balancer has learned, for another one that takes its place. Times are
+// ages, so that the two clocks need not agree. Send rates are left out: each process paces
+// servers in slow start by its own, and two that count the same sends would spend twice.
 type LearnedState struct {
-	HedgeDelay       float64          `json:"Delay"` // SingleR's d and q; the running share of lost sends
-	HedgeProbability float64          `json:"Odds"`
-	LostFraction     float64          `json:"Lost"`
+	HedgeDelay       float64          `json:"Delay"` // d of SingleR, in fractions of the latency objective
+	HedgeProbability float64          `json:"Odds"`  // q of SingleR
+	LostFraction     float64          `json:"Lost"`  // running fraction of lost attempts other than hedges
 	Primary          []LearnedLatency `json:"Primary"`
 	Hedges           []LearnedLatency `json:"Copies"`
-	Pairs            [][2]float64     `json:"Pairs"`
-	ShedLevel        float64          `json:"Level"`    // of shedding
-	ShedLevelAge     time.Duration    `json:"LevelAge"` // since it changed
-	AcceptedFraction float64          `json:"Taken"`
-	MeanLatency      float64          `json:"MeanTime"`
+	Pairs            [][2]float64     `json:"Pairs"` // latencies of first attempt and hedge, as LearnedLatency.Latency
+	ShedLevel        float64          `json:"Level"`
+	ShedLevelAge     time.Duration    `json:"LevelAge"` // since ShedLevel changed
+	AcceptedFraction float64          `json:"Taken"`    // running fraction of sends that were not rejected
+	MeanLatency      float64          `json:"MeanTime"` // in fractions of the latency objective
 	Servers          []LearnedServer  `json:"Servers"`
 }
 
-// LearnedLatency is a logged response time in fractions of the aim.
+// LearnedLatency is a recorded latency in fractions of the latency objective.
 type LearnedLatency struct {
 	Latency  float64 `json:"At"`
-	Censored bool    `json:"Censored"`
+	Censored bool    `json:"Censored"` // without an answer: the latency would have been higher
 }
 
-// LearnedServer is what was learned of one server since it started last.
+// LearnedServer is what was learned of one server since its last start.
 type LearnedServer struct {
 	Name              string        `json:"Name"`
-	Started           time.Duration `json:"Started"`
-	WeightCorrection  float64       `json:"Weight"` // corrects the hint
-	LatencySum        float64       `json:"Sum"`    // of relative latencies
-	LatencyWeight     float64       `json:"N"`
-	LatencyAge        time.Duration `json:"Age"`
+	Started           time.Duration `json:"Started"` // identifies the start; see Endpoint.Started
+	WeightCorrection  float64       `json:"Weight"`  // observed capacity over Endpoint.CapacityHint
+	LatencySum        float64       `json:"Sum"`     // of latencies relative to the mean, fading
+	LatencyWeight     float64       `json:"N"`       // the samples in LatencySum, fading
+	LatencyAge        time.Duration `json:"Age"`     // since the last of them
 	Failures          int           `json:"Failures"`
 	Ejections         int           `json:"Ejections"`
-	EjectionRemaining time.Duration `json:"EjectedAbout"` // how much longer it is left out
+	EjectionRemaining time.Duration `json:"EjectedAbout"` // how much longer it is ejected
 }
 
-// LearnedState is what b has learned so far.
+// LearnedState returns what b has learned so far.
 func (b *Balancer) LearnedState(now time.Duration) LearnedState {
 	h := &b.hedger
 	state := LearnedState{
@@ -67,9 +67,9 @@
 	return state
 }
 
-// Restore takes over what another Balancer had learned by age ago. It is called before
-// the first request. What belongs to a server that is not listed, or has started anew,
-// is left out.
+// Restore takes over what another Balancer had learned age ago. It is called before the
+// first request and after the server list. The state of a server that is not serving, or has
+// restarted since, is left out.
 func (b *Balancer) Restore(now time.Duration, state LearnedState, age time.Duration) {
 	h := &b.hedger
 	h.delay, h.probability, h.lostFraction = state.HedgeDelay, state.HedgeProbability, state.LostFraction
--- a/load.go
+++ b/load.go
@@ -24,20 +24,20 @@
 	overloadedWeightFactor = 0.7
 )
 
-// queueDepth is how many requests s holds with one more, by its load report.
+// queueDepth is how many requests s would have with one more, by its fading load report.
 func (s *server) queueDepth(now time.Duration) float64 {
 	return 1 + s.load*decay(now-s.loadAt, loadReportMemory)
 }
 
-// latency is a server's recent latency relative to the fleet's.
+// latency is a server's recent latency relative to the mean of all servers.
 func (s *server) latency(now time.Duration) float64 {
 	w := decay(now-s.latencyAt, latencyMemory)
 	return (s.latencySum*w + latencyPrior) / (s.latencyWeight*w + latencyPrior)
 }
 
-// recordLatency logs how long a send took, in fractions of the aim, takes its load
-// report over and corrects its learned weight. Guards against capacity hints
-// that are missing or wrong: with equal shares a slow kind of server fills first.
+// recordLatency records how long an attempt took, in fractions of the latency objective, takes
+// the load report and corrects the server's weight: capacity hints may be missing or wrong, and
+// with equal weights a slow server's queue fills first.
 func (set *endpointSet) recordLatency(s *server, outcome Outcome, report LoadReport, latency, queueDepth float64, now time.Duration) {
 	latency = max(latency, 1e-6)
 	set.meanLatency = cmp.Or(set.meanLatency, latency) // starts at the first
@@ -62,7 +62,8 @@
 	s.weightCorrection = max(1/maxWeightCorrection, min(s.weightCorrection*correction, maxWeightCorrection))
 }
 
-// updateLoad takes a load report over.
+// updateLoad takes a load report: the requests in flight, else an estimate of them from the
+// utilization.
 func (s *server) updateLoad(report LoadReport, now time.Duration) {
 	switch {
 	case report.HasInFlight:
@@ -77,7 +78,7 @@
 	return set.sendCount * decay(now-set.sendCountAt, rateMemory) / rateMemory.Seconds()
 }
 
-// recordSend books a send to s.
+// recordSend counts a send to s.
 func (set *endpointSet) recordSend(s *server, now time.Duration) {
 	set.sendCount = set.sendCount*decay(now-set.sendCountAt, rateMemory) + 1
 	set.sendCountAt = now
@@ -87,5 +88,5 @@
 	}
 }
 
-// decay is the weight left to what is age old.
+// decay is the weight of a sample of the given age; it falls to 1/e in memory.
 func decay(age, memory time.Duration) float64 { return math.Exp(-float64(age) / float64(memory)) }
--- a/outcome.go
+++ b/outcome.go
@@ -6,22 +6,32 @@
 type Outcome int
 
 const (
-	OK            Outcome = iota
-	ServerError           // the server answered with an error
-	Rejected              // turned away unseen
-	TimedOut              // no answer in time
-	ConnectFailed         // no connection in time
-	Reset                 // the connection broke
-	Cancelled             // called off
-	NotSent               // the request was over or its attempts used up
+	// OK is an answer without an error.
+	OK Outcome = iota
+	// ServerError is an answer with an error.
+	ServerError
+	// Rejected means that the server rejected the attempt without executing it.
+	Rejected
+	// TimedOut means that no answer came in time.
+	TimedOut
+	// ConnectFailed means that no connection was made in time.
+	ConnectFailed
+	// Reset means that the connection broke.
+	Reset
+	// Cancelled means that the attempt was cancelled.
+	Cancelled
+	// NotSent means that the request was finished, or had used up its attempts.
+	NotSent
 )
 
-// ProvablyNotExecuted says whether the outcome proves that the attempt had no effect.
+// ProvablyNotExecuted reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) ProvablyNotExecuted() bool {
 	return o == Rejected || o == ConnectFailed || o == NotSent
 }
 
-// AttemptFinished takes an attempt's outcome; over says that the request has ended.
+// AttemptFinished takes the outcome of the attempt at index; over says that the request has
+// its final answer. Otherwise the request is retried or answered here, unless another
+// attempt is still in flight.
 func (b *Balancer) AttemptFinished(now time.Duration, id RequestID, index int, outcome Outcome, over bool, report LoadReport) {
 	request := b.requests[id]
 	if request == nil || index < 0 || index >= len(request.attempts) || request.attempts[index].done {
@@ -52,7 +62,7 @@
 	}
 }
 
-// recordOutcome logs what an outcome tells of the server and of response times.
+// recordOutcome records what an outcome says about the server, the load and latencies.
 func (b *Balancer) recordOutcome(request *openRequest, a *attempt, outcome Outcome, now time.Duration, report LoadReport) {
 	s, latency := a.server, float64(now-a.sent)/float64(request.class.LatencyObjective)
 	if outcome != Cancelled && outcome != NotSent && !request.overdue && !request.StreamedBody {
--- a/outlier.go
+++ b/outlier.go
@@ -19,13 +19,13 @@
 	maxEjectedFraction = 0.4
 )
 
-// errorRate is a server's fading share of errors in a class. Guards against one that
-// fails a class only: it serves the others well and would never be left out.
+// errorRate is a server's fading fraction of errors in a class. A server that fails one class
+// only, and serves the others well, is never ejected; it is avoided for that class instead.
 func (s *server) errorRate(class int, now time.Duration) float64 {
 	return s.errorRates[class].tokens * decay(now-s.errorRates[class].at, errorRateMemory)
 }
 
-// recordFailure counts a failure against a server and ejects it when they add up.
+// recordFailure counts a failure of a server and ejects it after enough consecutive ones.
 func (set *endpointSet) recordFailure(s *server, now time.Duration) {
 	s.failures++
 	if s.failures < ejectionThreshold || s.answeredAt > 0 && now-s.answeredAt < ejectionGrace || now < s.ejectedUntil || float64(len(set.ejected)+1) > maxEjectedFraction*float64(len(set.members)) {
--- a/pick.go
+++ b/pick.go
@@ -8,7 +8,7 @@
 
 const inFlightCost = 1e4 // puts one request in flight above all other signs of cost
 
-// draw samples one member by weight, nil if none has any.
+// draw samples one server of the working set by weight, nil if none has any.
 func (set *endpointSet) draw() *server {
 	n := len(set.weights)
 	if n == 0 || set.weights[n-1] <= 0 {
@@ -19,8 +19,9 @@
 	return set.workingSet[min(i, n-1)]
 }
 
-// pick is the two-choice pick: of two random servers the one with the lower
-// cost. ok restricts the choice to servers that the request may go to.
+// pick picks by the power of two choices: of two random servers the one with the lower cost.
+// If it finds none that is not ejected, it takes any member. eligible restricts the choice to
+// servers that the request may go to; pick returns nil if there is none.
 func (set *endpointSet) pick(now time.Duration, eligible func(*server) bool) *server {
 	set.refresh(now)
 	best, bestCost := (*server)(nil), math.Inf(1)
@@ -48,8 +49,8 @@
 	return best
 }
 
-// cost compares candidates: own in-flight first; quiet balancers mostly tie
-// there, so that the seen latency and the load report decide between equals.
+// cost ranks candidates by this balancer's requests in flight first. Quiet balancers mostly
+// tie there, and load report and latency decide.
 func (set *endpointSet) cost(s *server, now time.Duration) float64 {
 	return inFlightCost*float64(s.inFlight) + s.queueDepth(now)*s.latency(now)
 }
--- a/probe.go
+++ b/probe.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	// Where only probes tell loads, an arrival sends probesPerRequest and waits for them
-	// this share of its aim, if they cost maxProbeCost points at most. Guards against
-	// sends on word from an arrival ago.
+	// Where servers report their load only when probed, an arrival sends probesPerRequest
+	// probes if they cost at most maxProbeCost points, and waits for the answers for
+	// probeWaitFraction of its latency objective. Without them it would be sent on the load
+	// reports of the arrival before.
 	probesPerRequest  = 3
 	maxProbeCost      = 0.01
 	probeWaitFraction = 0.04
 )
 
-// LoadReport is a server's load report: the fields it carried, by meaning.
+// LoadReport is a server's load report: the values it carried.
 type LoadReport struct {
 	HasInFlight, HasUtilization bool
-	InFlight                    float64
-	Utilization                 float64
+	InFlight                    float64 // requests in flight at the server
+	Utilization                 float64 // fraction of the server's capacity in use
 }
 
-// ProbeAnswered takes the load report that a probe brought.
+// ProbeAnswered takes the load report that answers a probe.
 func (b *Balancer) ProbeAnswered(now time.Duration, server string, report LoadReport) {
 	if s := b.endpoints.byName[server]; s != nil {
 		s.updateLoad(report, now)
--- a/request.go
+++ b/request.go
@@ -10,12 +10,12 @@
 	ID             RequestID
 	Class          int    // index into Config.Classes
 	ClassAtArrival *Class // the class as it was when the request was read; nil: as it is now
-	Tenant         int    // index into Config.Tenants, -1: none
+	Tenant         int    // index into Config.TenantQuotas, -1: none
 	Deadline       time.Duration
-	StreamedBody   bool // its body is sent on as it comes: no copies, and times that tell nothing
+	StreamedBody   bool // the body is forwarded as it arrives: no hedges, and its latency is not recorded
 }
 
-// openRequest is one that the balancer still owes an answer or attempts' ends.
+// openRequest is a request that has not been answered, or that has attempts in flight.
 type openRequest struct {
 	Request
 	class              *Class
@@ -30,7 +30,8 @@
 	timer              uint64
 }
 
-// Arrive takes a client's request; the balancer owes it one final answer.
+// Arrive takes a client's request; the Balancer owes it one final answer. A request
+// of an unknown class is rejected, one whose ID is open is ignored.
 func (b *Balancer) Arrive(now time.Duration, r Request) {
 	if b.requests[r.ID] != nil {
 		return
@@ -59,7 +60,7 @@
 	b.sendFirst(request, now)
 }
 
-// sendFirst makes q's first send.
+// sendFirst makes the request's first attempt and plans its hedge.
 func (b *Balancer) sendFirst(request *openRequest, now time.Duration) {
 	if !b.startAttempt(request, now, false) {
 		b.finish(request)
@@ -70,14 +71,15 @@
 	b.planHedge(request, now)
 }
 
-// ClientDisconnected says that the client has left; attempts still out will end.
+// ClientDisconnected says that the client has left; attempts in flight are still reported.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	if request := b.requests[id]; request != nil && !request.finished {
 		b.closeRequest(request)
 	}
 }
 
-// finish gives q its final answer, a refusal where a retry is harmless.
+// finish gives the request its final answer: a rejection where a retry is harmless,
+// else a failure.
 func (b *Balancer) finish(request *openRequest) {
 	b.closeRequest(request)
 	if request.class.Idempotency == Idempotent || request.class.Idempotency == IdempotencyKeyed && request.class.DedupScope == DedupScopeAll || request.firstPossiblyExecuted() == nil {
@@ -88,7 +90,7 @@
 	}
 }
 
-// closeRequest marks q as over and calls off what is out.
+// closeRequest marks the request as finished and cancels its attempts in flight.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.finished = true
 	delete(b.timers, request.timer)
@@ -96,7 +98,7 @@
 	b.forget(request)
 }
 
-// forget drops a request that has ended and has nothing out.
+// forget drops a request that is finished and has no attempt in flight.
 func (b *Balancer) forget(request *openRequest) {
 	if request.finished && request.pending == 0 {
 		delete(b.requests, request.ID)
--- a/server_list.go
+++ b/server_list.go
@@ -5,12 +5,15 @@
 	"time"
 )
 
-// EndpointState is a server's state on the list.
+// EndpointState is a server's state on the server list.
 type EndpointState int
 
 const (
+	// Serving servers take requests.
 	Serving EndpointState = iota
+	// Draining servers take no new requests.
 	Draining
+	// Removed servers are no longer on the list.
 	Removed
 )
 
@@ -18,8 +21,8 @@
 type Endpoint struct {
 	Name         string
 	Zone         string
-	Group        int           // cell that shares which keys it has seen
-	CapacityHint float64       // capacity hint; only comparisons mean anything
+	Group        int           // the servers of one zone and group deduplicate requests together
+	CapacityHint float64       // relative capacity; not above 0: unknown
 	Started      time.Duration // time of its last start; 0: long ago
 	State        EndpointState
 }
@@ -31,20 +34,20 @@
 	b.endpoints.listReceived = true
 }
 
-// ServersListed takes the whole server list.
+// ServersListed takes the complete server list; servers missing from it are removed.
 func (b *Balancer) ServersListed(now time.Duration, list []Endpoint) {
 	b.pollBackoff = b.config.MaxListAge / 2
 	b.endpoints.replaceAll(list, now)
 	b.endpoints.listReceived = true
 }
 
-// ServersRestored takes a list that was known before discovery told one. It may be old: its
-// starts, and those of the first list that is told, may be of long ago.
+// ServersRestored takes a list that was stored before discovery sent one. It may be old, so
+// the starts on it, and on the first list from discovery, may be of long ago.
 func (b *Balancer) ServersRestored(now time.Duration, list []Endpoint) {
 	b.endpoints.replaceAll(list, now)
 }
 
-// ServerCounts counts the servers on the list, and those that get nothing for their failures.
+// ServerCounts counts the servers on the list and those that are ejected as outliers.
 func (b *Balancer) ServerCounts(now time.Duration) (listed, avoided int) {
 	for _, s := range b.endpoints.members {
 		if now < s.ejectedUntil {
@@ -54,7 +57,8 @@
 	return len(b.endpoints.byName), avoided
 }
 
-// DiscoveryFailed says that a call to discovery failed or the subscription broke.
+// DiscoveryFailed says that a poll of discovery failed or the subscription broke. The next
+// poll follows after a random delay with exponential backoff.
 func (b *Balancer) DiscoveryFailed(now time.Duration) {
 	if b.config.MaxListAge == 0 {
 		return
--- a/slowstart.go
+++ b/slowstart.go
@@ -14,14 +14,14 @@
 //     to the newest start on that list, which both clocks agree on, nor than this balancer's
 //     clock says.
 
-// startReading reads the starts of one list.
+// startReading interprets the start times of one list.
 type startReading struct {
 	now    time.Duration
-	first  bool          // nothing has been told before
+	first  bool          // discovery has sent no list before
 	newest time.Duration // the newest start on the list
 }
 
-// readStarts returns the reading of a list that is told now.
+// readStarts returns the reading of a list that arrives now.
 func (set *endpointSet) readStarts(list []Endpoint, now time.Duration) startReading {
 	reading := startReading{now: now, first: !set.listReceived}
 	for _, e := range list {
@@ -30,7 +30,7 @@
 	return reading
 }
 
-// slowStartBegan returns from when on, on the balancer's clock, a start counts.
+// countsFrom returns the start on the balancer's clock.
 func (r startReading) countsFrom(started time.Duration) time.Duration {
 	if !r.first {
 		return r.now
@@ -40,7 +40,7 @@
 
 const slowStartSafetyFactor = 0.5 // of what fells a cold server is sent at most; the rest is for chance
 
-// slowStartFactor is the share of its full capacity that a server surely has by now.
+// slowStartFactor is the fraction of its full capacity that a server has by now at least.
 func (set *endpointSet) slowStartFactor(s *server, now time.Duration) float64 {
 	if now >= s.slowStartEnds || set.config.SlowStartDuration <= 0 {
 		return 1
@@ -48,10 +48,10 @@
 	return set.config.SlowStartInitialFraction + (1-set.config.SlowStartInitialFraction)*float64(max(0, now-s.slowStartBegan))/float64(set.config.SlowStartDuration)
 }
 
-// hasSlowStartBudget says whether a cold server can take one more send from here, guided by what a
-// warm one takes, times what this one can stand: all balancers do the same, so that the sum
-// stays under the fleet's limit. Many small shares, each kept until it is a whole send, would
-// be let go together: they are drawn anew instead. Guests, on which all may fall back, get none.
+// hasSlowStartBudget reports whether a server may take one more send from here. A server in
+// slow start gets a multiple of what one at full capacity takes, by its slow-start factor. All
+// balancers compute it alike, so that their sum stays under the server's overload limit. Outside
+// the working set a server in slow start gets nothing: all balancers may fall back on it.
 func (set *endpointSet) hasSlowStartBudget(s *server, now time.Duration) bool {
 	if now >= s.slowStartEnds || !s.inWorkingSet {
 		return now >= s.slowStartEnds
--- a/timer.go
+++ b/timer.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// setTimer asks the host for a timer and returns its cookie.
+// setTimer requests a timer from the host and returns its cookie.
 func (b *Balancer) setTimer(after time.Duration) uint64 {
 	b.lastTimer++
 	b.host.SetTimer(b.lastTimer, after)
 	return b.lastTimer
 }
 
-// setRequestTimer sets q's timer.
+// setRequestTimer sets the request's timer.
 func (b *Balancer) setRequestTimer(request *openRequest, after time.Duration) {
 	request.timer = b.setTimer(after)
 	b.timers[request.timer] = request
 }
 
-// TimerFired takes a timer that came due. Stale ones are ignored.
+// TimerFired takes a timer that has expired. Stale ones are ignored.
 func (b *Balancer) TimerFired(now time.Duration, cookie uint64) {
 	if cookie == b.pollTimer && cookie != 0 {
 		b.pollTimer = 0
--- a/token_bucket.go
+++ b/token_bucket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// tokenBucket is a token bucket.
+// tokenBucket is an amount of tokens as of a time.
 type tokenBucket struct {
 	tokens float64
 	at     time.Duration
--- a/working_set.go
+++ b/working_set.go
@@ -20,7 +20,7 @@
 	minConnectedServers  = 3
 )
 
-// refresh rebuilds the sampling table when it is old or what it stands on changed.
+// refresh recomputes the sampling table when it is old or the servers under it have changed.
 func (set *endpointSet) refresh(now time.Duration) {
 	ejected := len(set.ejected)
 	set.ejected = slices.DeleteFunc(set.ejected, func(s *server) bool { return now >= s.ejectedUntil || !s.serving })
@@ -41,7 +41,7 @@
 	}
 }
 
-// workingSetSize is how many servers this balancer's traffic lets it know well.
+// workingSetSize is the number of servers that this balancer's traffic suffices to observe.
 func (set *endpointSet) workingSetSize(now time.Duration) int {
 	n := len(set.members)
 	size := max(minWorkingSet, int(serversPerRate*set.rate(now)))
@@ -52,7 +52,7 @@
 	return min(size, n)
 }
 
-// chooseWorkingSet takes the first servers by priority into the working set, ejected ones last.
+// chooseWorkingSet takes the first size members by priority, ejected ones last.
 func (set *endpointSet) chooseWorkingSet(size int, now time.Duration) {
 	for _, s := range set.workingSet {
 		s.inWorkingSet = false
