--- a/attempt.go
+++ b/attempt.go
@@ -12,13 +12,19 @@
 
 // attempt is one send of a request.
 type attempt struct {
-	server                              *server
-	sent                                time.Duration
-	done, notExecuted, hedged, censored bool
-	queueDepth                          float64 // what its server held by report, with it
-	latency                             float64 // for answered attempts, in fractions of the aim
+	server      *server
+	sent        time.Duration
+	done        bool    // has an outcome
+	notExecuted bool    // the outcome proves that it was not executed
+	hedged      bool    // is a hedge
+	censored    bool    // did not answer: latency is a lower bound
+	queueDepth  float64 // of its server by load report, this attempt included
+	latency     float64 // in fractions of the latency objective, if recorded
 }
 
+// noAttempt is an index that no attempt has.
+const noAttempt = -1
+
 // firstPossiblyExecuted returns the first attempt that may have been executed, nil if
 // all are proved not to have been.
 func (r *openRequest) firstPossiblyExecuted() *attempt {
@@ -35,10 +41,13 @@
 // ones within their deduplication window, may be sent again.
 func (b *Balancer) mayAttempt(request *openRequest, anchor *attempt, now time.Duration) bool {
 	switch {
-	case request.finished || request.streamed || len(request.attempts) >= min(request.maxAttempts, b.config.MaxAttempts) || now >= request.Deadline,
+	case request.finished,
+		request.streamed,
+		len(request.attempts) >= min(request.maxAttempts, b.config.MaxAttempts),
+		now >= request.Deadline,
 		request.pending > 0 && !b.config.AllowHedging:
 		return false
-	case request.class.Idempotency == Idempotent || anchor == nil:
+	case request.class.Idempotency == Idempotent, anchor == nil:
 		return true
 	}
 	return request.class.Idempotency == IdempotencyKeyed && now-anchor.sent < request.class.DedupWindow
@@ -51,49 +60,77 @@
 	if !b.mayAttempt(request, anchor, now) {
 		return false
 	}
-	avoidFailing := true // asks for a server that does not fail the class
-	eligible := func(s *server) bool {
-		if avoidFailing && s.errorRate(request.Class, now) > maxErrorRate {
-			return false
-		}
-		for i := range request.attempts {
-			if request.attempts[i].server == s {
-				return false
-			}
-		}
-		return anchor == nil || request.class.Idempotency != IdempotencyKeyed || request.class.DedupScope == DedupScopeAll ||
-			anchor.server.zone == s.zone && (request.class.DedupScope == DedupScopeZone || anchor.server.group == s.group)
-	}
-	s := b.endpoints.pick(now, eligible)
-	if avoidFailing = s != nil; !avoidFailing {
-		s = b.endpoints.pick(now, eligible)
-	}
+	s := b.pickServer(request, anchor, now)
 	if s == nil {
 		return false
 	}
 	queueDepth := s.queueDepth(now)
-	if b.config.Probes && request.class.LateWeight == 0 && // work that must come late only delays others
-		b.endpoints.latencyPerQueued*queueDepth*float64(request.class.LatencyObjective) > float64(request.arrived+request.class.LatencyObjective-now) {
+	if b.wouldEarnNothing(request, queueDepth, now) {
 		return false
 	}
 	b.endpoints.recordSend(s, now)
 	request.attempts = append(request.attempts, attempt{server: s, sent: now, hedged: isHedge, queueDepth: queueDepth})
 	request.pending++
-	sendWithin := request.Deadline - now
+	timeout := request.Deadline - now
+	sendWithin := timeout
 	if anchor != nil && request.class.Idempotency == IdempotencyKeyed {
 		sendWithin = min(sendWithin, anchor.sent+request.class.DedupWindow-now)
 	}
-	b.host.Send(request.ID, s.name, request.Deadline-now, sendWithin)
+	b.host.Send(request.ID, s.name, timeout, sendWithin)
 	return true
 }
 
+// pickServer picks a server for the request's next attempt, nil if there is none. Servers
+// that fail the request's class are picked only if no other server is eligible.
+func (b *Balancer) pickServer(request *openRequest, anchor *attempt, now time.Duration) *server {
+	s := b.endpoints.pick(now, func(s *server) bool {
+		return s.errorRate(request.Class, now) <= maxErrorRate && request.mayGoTo(s, anchor)
+	})
+	if s != nil {
+		return s
+	}
+	return b.endpoints.pick(now, func(s *server) bool { return request.mayGoTo(s, anchor) })
+}
+
+// mayGoTo reports whether the next attempt may go to s: a server that has had no attempt of
+// the request and, for a keyed request that may have been executed, is in anchor's scope.
+func (r *openRequest) mayGoTo(s *server, anchor *attempt) bool {
+	for i := range r.attempts {
+		if r.attempts[i].server == s {
+			return false
+		}
+	}
+	if anchor == nil || r.class.Idempotency != IdempotencyKeyed {
+		return true
+	}
+	switch r.class.DedupScope {
+	case DedupScopeAll:
+		return true
+	case DedupScopeZone:
+		return anchor.server.zone == s.zone
+	}
+	return anchor.server.zone == s.zone && anchor.server.group == s.group
+}
+
+// wouldEarnNothing reports whether an answer from a server with the queue depth would
+// miss the latency objective and earn nothing, so that the attempt would only delay others.
+// It is known only where servers are probed.
+func (b *Balancer) wouldEarnNothing(request *openRequest, queueDepth float64, now time.Duration) bool {
+	if !b.config.Probes || request.class.LateWeight != 0 {
+		return false
+	}
+	expected := b.endpoints.latencyPerQueued * queueDepth * float64(request.class.LatencyObjective)
+	return expected > float64(request.arrived+request.class.LatencyObjective-now)
+}
+
 // mayRetry reports whether the retry budget allows a retry after the outcome, and spends it.
 // The budget binds only retries of rejected attempts of ordinary weight: where all queues
 // are full, these only displace other requests.
 func (b *Balancer) mayRetry(request *openRequest, outcome Outcome) bool {
-	if outcome != Rejected { // what broke on the way says nothing of queues
+	if outcome != Rejected { // other failures say nothing about queues
 		return true
-	} else if b.retryTokens < 1 {
+	}
+	if b.retryTokens < 1 {
 		return b.admission.weight(request.shedRank) >= retryWeightFactor*b.admission.meanWeight()
 	}
 	b.retryTokens--
--- a/balancer.go
+++ b/balancer.go
@@ -28,23 +28,24 @@
 // Host carries out a Balancer's decisions. Its methods are called from within
 // the Balancer's own and must not call back into it.
 type Host interface {
-	// Send starts the request's next attempt; attempts count from 0. One whose last byte
-	// has not left when within is over must not run.
-	Send(id RequestID, server string, timeout, within time.Duration)
+	// Send starts the request's next attempt; attempts are numbered from 0. The attempt
+	// times out after timeout. If its last byte has not been sent when sendWithin has
+	// passed, the attempt must not execute.
+	Send(id RequestID, server string, timeout, sendWithin time.Duration)
 	// Cancel stops waiting for an attempt.
 	Cancel(id RequestID, attempt int)
 	// Reject ends a request and tells the client that a retry is harmless,
 	// preferably not before retryAfter.
 	Reject(id RequestID, retryAfter time.Duration)
-	// Fail ends a request and promises nothing.
+	// Fail ends a request without saying whether a retry is harmless.
 	Fail(id RequestID)
-	// SetTimer asks for a Timer event after a delay.
+	// SetTimer requests a call of Balancer.TimerFired with the cookie after a delay.
 	SetTimer(cookie uint64, after time.Duration)
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(server string)
-	// Probe asks a server for its load report.
+	// Probe requests a load report from a server; see Balancer.ProbeAnswered.
 	Probe(server string)
-	// Subscribe asks discovery for the list's changes from now on.
+	// Subscribe polls discovery for the server list and its changes from now on.
 	Subscribe()
 }
 
@@ -57,34 +58,47 @@
 	hedger      hedger
 	admission   admissionController
 	requests    map[RequestID]*openRequest
-	timers      map[uint64]*openRequest
-	retryTokens float64 // further attempts in the budget
+	timers      map[uint64]*openRequest // by cookie
+	retryTokens float64                 // retries left in the budget
 	bounds      Bounds
 
-	lastTimer, pollTimer uint64 // the last timer's; that of the next call to discovery
-	pollBackoff          time.Duration
+	lastTimer   uint64        // the last cookie given out
+	pollTimer   uint64        // the cookie of the next poll of discovery, 0 if none is due
+	pollBackoff time.Duration // the mean delay before the next poll, less where RetryWithin bounds it
 }
 
+// rngStream is the second word of the random number generator's seed.
+const rngStream = 0x9e3779b97f4a7c15
+
+// firstPollSpread is the fraction of Config.MaxListAge over which first polls are spread.
+const firstPollSpread = 0.8
+
 // New returns a Balancer for cfg that draws its random numbers from seed. It
 // returns an error where Reconfigure would.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	b := &Balancer{
 		host:        host,
-		rng:         rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		rng:         rand.New(rand.NewPCG(seed, rngStream)),
 		hedger:      newHedger(cfg.WastedWorkCost),
 		requests:    make(map[RequestID]*openRequest),
 		timers:      make(map[uint64]*openRequest),
 		retryTokens: maxRetryTokens,
 	}
-	b.endpoints = endpointSet{config: &b.config, acceptedFraction: 1, byName: make(map[string]*server), random: b.rng.Float64}
+	b.endpoints = endpointSet{
+		config:           &b.config,
+		acceptedFraction: 1,
+		byName:           make(map[string]*server),
+		random:           b.rng.Float64,
+	}
 	b.admission = admissionController{config: &b.config}
 	if err := b.Reconfigure(cfg); err != nil {
 		return nil, err
 	}
 	if cfg.MaxListAge > 0 {
-		// All balancers may start at once, and discovery serves them in turn:
-		// the first calls spread over the time it may take.
-		b.pollBackoff, b.pollTimer = cfg.MaxListAge/2, b.setTimer(time.Duration(b.rng.Float64()*0.8*float64(cfg.MaxListAge)))
+		// All balancers may start at once and discovery serves them in turn, so the
+		// first polls are spread over the time that this may take.
+		b.pollBackoff = cfg.MaxListAge / 2
+		b.pollTimer = b.setTimer(time.Duration(b.rng.Float64() * firstPollSpread * float64(cfg.MaxListAge)))
 	}
 	return b, nil
 }
--- a/bounds.go
+++ b/bounds.go
@@ -30,21 +30,21 @@
 // Capacity returns, for the working set, the mean slow-start factor and the fraction of the
 // usual load that it can bear now. Both are 1 where every server has its full capacity, and
 // where there is no server.
-func (b *Balancer) Capacity(now time.Duration) (warmth, share float64) {
+func (b *Balancer) Capacity(now time.Duration) (slowStartFactor, bearable float64) {
 	set := &b.endpoints
 	set.refresh(now)
-	nominal, warm, capacity := 0.0, 0.0, 0.0
+	nominal, present, withHeadroom := 0.0, 0.0, 0.0
 	for _, s := range set.workingSet {
 		nominal += s.capacityHint
 		factor := set.slowStartFactor(s, now)
-		warm += s.capacityHint * factor
+		present += s.capacityHint * factor
 		if factor == 1 {
 			factor = warmServerHeadroom
 		}
-		capacity += s.capacityHint * factor
+		withHeadroom += s.capacityHint * factor
 	}
 	if nominal == 0 {
 		return 1, 1
 	}
-	return warm / nominal, min(1, capacity/nominal)
+	return present / nominal, min(1, withHeadroom/nominal)
 }
--- a/config.go
+++ b/config.go
@@ -15,8 +15,8 @@
 )
 
 // String implements fmt.Stringer with the words of the settings.
-func (e Idempotency) String() string {
-	switch e {
+func (i Idempotency) String() string {
+	switch i {
 	case Idempotent:
 		return "safe"
 	case IdempotencyKeyed:
--- a/hedge.go
+++ b/hedge.go
@@ -6,34 +6,36 @@
 // gets, with probability q, one hedge on another server. Latencies here are fractions of
 // the class's latency objective, so that quiet balancers can pool the samples of all classes.
 const (
-	maxHedgeBudget = 0.10 // B, copies per first send: well under the spare capacity
-	// hedgeCostFactor bounds what copies may cost where wasted work has a price:
-	// B is at most hedgeCostFactor over that price.
-	hedgeCostFactor = 0.002
-	tailPercentile  = 0.95 // k, the percentile of response times to minimise
-	// learningRate is λ at a full batch of new samples; smaller batches step
-	// in proportion, or the delay of a quiet balancer would swing.
+	// maxHedgeBudget bounds B, the hedges per first attempt: well under the spare capacity.
+	maxHedgeBudget = 0.10
+	// Where wasted work has a price, B is at most hedgeCostFactor over that price, of which
+	// minWastedWorkCost is the least.
+	hedgeCostFactor   = 0.002
+	minWastedWorkCost = 1e-9
+	tailPercentile    = 0.95 // k, the percentile of latencies to minimise
+	// learningRate is λ at a full batch of new samples. Smaller batches take steps in
+	// proportion, or the delay of a quiet balancer would swing.
 	learningRate = 0.3
-	// The sample windows. They are short because the fleet's state changes
-	// within seconds and because a recompute sorts them.
+	// batchesPerWindow full batches make up the window of first attempts.
+	batchesPerWindow = 4
+	// The sample windows are short, because the fleet's state changes within seconds and
+	// because a recompute sorts them.
 	primaryWindow = 256
 	hedgeWindow   = 96
 	pairWindow    = 64
-	// recomputeSamples new samples and recomputeInterval, stretched at random so that
-	// balancers do not shift d together, lie between two recomputes.
+	// At least recomputeSamples new samples and recomputeInterval lie between two recomputes.
+	// The interval is stretched at random so that balancers do not shift d together.
 	recomputeSamples  = 32
 	recomputeInterval = time.Second
-	// pairSamplingProbability of the copies run without cancelling the loser, so that some
-	// pairs are seen whole and feed Pr(Y <= t-d | X > t).
+	// pairSamplingProbability is the fraction of hedges whose slower attempt is not
+	// cancelled, so that some pairs are complete and feed Pr(Y <= t-d | X > t).
 	pairSamplingProbability = 0.1
-	// pairPrior is how many whole pairs the unconditional estimate weighs when
-	// mixed with the conditional one, which has few samples.
-	pairPrior = 12.0
-	// lostFractionStep is of the running share of lost sends. One that its copy overtook was
-	// overtakenLoss lost: less than 1, or the budget would feed itself.
+	// lostFractionStep is the step of the running fraction of lost attempts. One that
+	// its hedge overtook counts as overtakenLoss of a loss: as a full one, the budget would
+	// raise itself.
 	lostFractionStep = 0.01
 	overtakenLoss    = 0.5
-	maxHedgeTokens   = 4.0 // bounds copies saved up in quiet times
+	maxHedgeTokens   = 4.0 // bounds the hedges saved up in quiet times
 )
 
 // sample is one recorded latency in fractions of the latency objective.
@@ -63,24 +65,25 @@
 
 // hedger holds the samples and the parameters of SingleR.
 type hedger struct {
-	primary                        window[sample]
-	hedges                         window[sample]
-	pairs                          window[pair]
-	baseBudget                     float64 // B where no first send is lost
-	budget                         float64 // B
-	lostFraction                   float64 // running share of first sends that were lost
-	delay, probability             float64
-	newSamples                     int // primary samples since the last recompute
-	nextRecompute                  time.Duration
-	tokens                         float64
-	scratch                        []sample
-	primarySurvival, hedgeSurvival survival // reused between recomputes
+	primary         window[sample] // of first attempts and retries
+	hedges          window[sample]
+	pairs           window[pair]
+	baseBudget      float64 // B where no attempt is lost
+	budget          float64 // B
+	lostFraction    float64 // running fraction of attempts other than hedges that were lost
+	delay           float64 // d, in fractions of the latency objective
+	probability     float64 // q
+	newSamples      int     // primary samples since the last recompute
+	nextRecompute   time.Duration
+	tokens          float64 // hedges that may be sent, each for one token
+	scratch         []sample
+	primarySurvival survival // reused between recomputes, as hedgeSurvival is
+	hedgeSurvival   survival
 }
 
 // newHedger returns a hedger with the paper's starting policy: no delay, probability B.
-func newHedger(wasteCost float64) hedger {
-	budget := min(maxHedgeBudget, hedgeCostFactor/max(wasteCost, 1e-9))
-	// The paper's starting policy: no delay, probability B.
+func newHedger(wastedWorkCost float64) hedger {
+	budget := min(maxHedgeBudget, hedgeCostFactor/max(wastedWorkCost, minWastedWorkCost))
 	return hedger{baseBudget: budget, budget: budget, probability: budget, tokens: 1}
 }
 
@@ -94,7 +97,8 @@
 // Where servers fall silent, B rises: the hedge of a lost attempt wastes no work. Attempts that
 // are late for want of capacity raise it too; the shed level then suspends hedges.
 func (h *hedger) recordLoss(lost, overtaken bool) {
-	if h.lostFraction *= 1 - lostFractionStep; lost {
+	h.lostFraction *= 1 - lostFractionStep
+	if lost {
 		h.lostFraction += lostFractionStep
 	} else if overtaken {
 		h.lostFraction += lostFractionStep * overtakenLoss
@@ -109,39 +113,73 @@
 		return
 	}
 	h.nextRecompute = now + recomputeInterval + time.Duration(jitter*float64(recomputeInterval))
-	step := learningRate * min(1, float64(h.newSamples)/primaryWindow*4)
+	step := learningRate * min(1, float64(h.newSamples)/primaryWindow*batchesPerWindow)
 	h.newSamples = 0
 	h.primarySurvival.estimate(h.primary.buf, &h.scratch)
-	// Copies log too few answers at first; until then first sends stand in.
-	if len(h.hedges.buf) >= pairPrior {
-		h.hedgeSurvival.estimate(h.hedges.buf, &h.scratch)
-	} else {
-		h.hedgeSurvival.estimate(h.primary.buf, &h.scratch)
+	// Hedges have too few samples at first; until then first attempts stand in.
+	hedges := h.hedges.buf
+	if len(hedges) < pairPrior {
+		hedges = h.primary.buf
 	}
-	local := computeOptimalSingleR(&h.primarySurvival, &h.hedgeSurvival, h.pairs.buf, tailPercentile, h.budget)
-	h.delay += step * (local - h.delay)
+	h.hedgeSurvival.estimate(hedges, &h.scratch)
+	optimum := computeOptimalSingleR(&h.primarySurvival, &h.hedgeSurvival, h.pairs.buf, tailPercentile, h.budget)
+	h.delay += step * (optimum - h.delay)
 	h.probability = h.primarySurvival.hedgeProbability(h.delay, h.budget)
 }
 
 // planHedge draws whether the request gets a hedge and sets its timer: for the hedge, else
 // for the latency objective.
 func (b *Balancer) planHedge(request *openRequest, now time.Duration) {
-	after := request.arrived + request.class.LatencyObjective - now
-	if request.class.Idempotency != NonIdempotent && !request.StreamedBody {
-		b.hedger.recompute(now, b.rng.Float64())
-		delay := time.Duration(b.hedger.delay * float64(request.class.LatencyObjective))
-		if request.hedgeDue = b.rng.Float64() < b.hedger.probability && delay < after; request.hedgeDue { // later it would not help
-			after = delay
-		}
+	untilObjective := request.arrived + request.class.LatencyObjective - now
+	if request.class.Idempotency == NonIdempotent || request.StreamedBody {
+		b.setRequestTimer(request, untilObjective)
+		return
+	}
+	b.hedger.recompute(now, b.rng.Float64())
+	delay := time.Duration(b.hedger.delay * float64(request.class.LatencyObjective))
+	request.hedgeDue = b.rng.Float64() < b.hedger.probability && delay < untilObjective // a later hedge would not help
+	if request.hedgeDue {
+		b.setRequestTimer(request, delay)
+	} else {
+		b.setRequestTimer(request, untilObjective)
 	}
-	b.setRequestTimer(request, after)
 }
 
 // sendHedge sends the request's hedge if it is still unanswered, the budget allows it and
 // this balancer sheds no load.
 func (b *Balancer) sendHedge(request *openRequest, now time.Duration) {
-	if request.pending == 1 && !b.bounds.SuspendOptionalWork && b.hedger.tokens >= 1 && b.admission.decayedShedLevel(now) < shedTolerance && b.startAttempt(request, now, true) {
-		b.hedger.tokens--
-		request.samplePair = b.rng.Float64() < pairSamplingProbability
+	switch {
+	case request.pending != 1,
+		b.bounds.SuspendOptionalWork,
+		b.hedger.tokens < 1,
+		b.admission.decayedShedLevel(now) >= shedTolerance:
+		return
+	}
+	if !b.startAttempt(request, now, true) {
+		return
+	}
+	b.hedger.tokens--
+	request.samplePair = b.rng.Float64() < pairSamplingProbability
+}
+
+// recordHedgeSample records the latency of an attempt of a request that may be hedged, and
+// of a complete pair.
+func (b *Balancer) recordHedgeSample(request *openRequest, a *attempt, latency float64, censored bool) {
+	if request.class.Idempotency == NonIdempotent || request.StreamedBody {
+		return
+	}
+	a.latency = latency
+	a.censored = censored
+	if a.hedged {
+		b.hedger.hedges.add(sample{latency, censored}, hedgeWindow)
+	} else {
+		b.hedger.addPrimary(sample{latency, censored})
+	}
+	if !request.samplePair || request.pending != 0 || len(request.attempts) != 2 {
+		return
+	}
+	first, second := &request.attempts[0], &request.attempts[1]
+	if !first.censored && !second.censored && first.latency > 0 && second.latency > 0 {
+		b.hedger.pairs.add(pair{first.latency, second.latency}, pairWindow)
 	}
 }
--- a/learned_state.go
+++ b/learned_state.go
@@ -45,34 +45,52 @@
 func (b *Balancer) LearnedState(now time.Duration) LearnedState {
 	h := &b.hedger
 	state := LearnedState{
-		HedgeDelay: h.delay, HedgeProbability: h.probability, LostFraction: h.lostFraction,
-		ShedLevel: b.admission.shedLevel, ShedLevelAge: now - b.admission.shedLevelAt,
-		AcceptedFraction: b.endpoints.acceptedFraction, MeanLatency: b.endpoints.meanLatency,
-	}
-	for _, s := range h.primary.buf {
-		state.Primary = append(state.Primary, LearnedLatency{s.latency, s.censored})
-	}
-	for _, s := range h.hedges.buf {
-		state.Hedges = append(state.Hedges, LearnedLatency{s.latency, s.censored})
+		HedgeDelay:       h.delay,
+		HedgeProbability: h.probability,
+		LostFraction:     h.lostFraction,
+		Primary:          learnedLatencies(h.primary.buf),
+		Hedges:           learnedLatencies(h.hedges.buf),
+		ShedLevel:        b.admission.shedLevel,
+		ShedLevelAge:     now - b.admission.shedLevelAt,
+		AcceptedFraction: b.endpoints.acceptedFraction,
+		MeanLatency:      b.endpoints.meanLatency,
 	}
 	for _, p := range h.pairs.buf {
 		state.Pairs = append(state.Pairs, [2]float64{p.primary, p.hedge})
 	}
 	for _, s := range b.endpoints.members {
 		state.Servers = append(state.Servers, LearnedServer{
-			Name: s.name, Started: s.started, WeightCorrection: s.weightCorrection, LatencySum: s.latencySum, LatencyWeight: s.latencyWeight, LatencyAge: now - s.latencyAt,
-			Failures: s.failures, Ejections: s.ejections, EjectionRemaining: max(0, s.ejectedUntil-now),
+			Name:              s.name,
+			Started:           s.started,
+			WeightCorrection:  s.weightCorrection,
+			LatencySum:        s.latencySum,
+			LatencyWeight:     s.latencyWeight,
+			LatencyAge:        now - s.latencyAt,
+			Failures:          s.failures,
+			Ejections:         s.ejections,
+			EjectionRemaining: max(0, s.ejectedUntil-now),
 		})
 	}
 	return state
 }
 
+// learnedLatencies returns the samples as LearnedLatency values, nil for none.
+func learnedLatencies(samples []sample) []LearnedLatency {
+	var learned []LearnedLatency
+	for _, s := range samples {
+		learned = append(learned, LearnedLatency{s.latency, s.censored})
+	}
+	return learned
+}
+
 // Restore takes over what another Balancer had learned age ago. It is called before the
 // first request and after the server list. The state of a server that is not serving, or has
 // restarted since, is left out.
 func (b *Balancer) Restore(now time.Duration, state LearnedState, age time.Duration) {
 	h := &b.hedger
-	h.delay, h.probability, h.lostFraction = state.HedgeDelay, state.HedgeProbability, state.LostFraction
+	h.delay = state.HedgeDelay
+	h.probability = state.HedgeProbability
+	h.lostFraction = state.LostFraction
 	h.recordLoss(false, false) // sets the budget
 	for _, s := range state.Primary {
 		h.primary.add(sample{s.Latency, s.Censored}, primaryWindow)
@@ -83,20 +101,31 @@
 	for _, p := range state.Pairs {
 		h.pairs.add(pair{p[0], p[1]}, pairWindow)
 	}
-	b.admission.shedLevel, b.admission.shedLevelAt = state.ShedLevel, now-state.ShedLevelAge-age
-	set := &b.endpoints
-	set.acceptedFraction, set.meanLatency = state.AcceptedFraction, state.MeanLatency
+	b.admission.shedLevel = state.ShedLevel
+	b.admission.shedLevelAt = now - state.ShedLevelAge - age
+	b.endpoints.acceptedFraction = state.AcceptedFraction
+	b.endpoints.meanLatency = state.MeanLatency
 	for _, learned := range state.Servers {
-		s := set.byName[learned.Name]
-		if s == nil || !s.serving || s.started != learned.Started {
-			continue
-		}
-		s.weightCorrection, s.latencySum, s.latencyWeight, s.latencyAt = learned.WeightCorrection, learned.LatencySum, learned.LatencyWeight, now-learned.LatencyAge-age
-		s.failures, s.ejections = learned.Failures, learned.Ejections
-		if remaining := learned.EjectionRemaining - age; remaining > 0 && !slices.Contains(set.ejected, s) {
-			s.ejectedUntil = now + remaining
-			set.ejected = append(set.ejected, s)
-		}
+		b.endpoints.restoreServer(learned, now, age)
+	}
+	b.endpoints.dirty = true
+}
+
+// restoreServer takes over what was learned of one server age ago.
+func (set *endpointSet) restoreServer(learned LearnedServer, now, age time.Duration) {
+	s := set.byName[learned.Name]
+	if s == nil || !s.serving || s.started != learned.Started {
+		return
+	}
+	s.weightCorrection = learned.WeightCorrection
+	s.latencySum = learned.LatencySum
+	s.latencyWeight = learned.LatencyWeight
+	s.latencyAt = now - learned.LatencyAge - age
+	s.failures = learned.Failures
+	s.ejections = learned.Ejections
+	remaining := learned.EjectionRemaining - age
+	if remaining > 0 && !slices.Contains(set.ejected, s) {
+		s.ejectedUntil = now + remaining
+		set.ejected = append(set.ejected, s)
 	}
-	set.dirty = true
 }
--- a/outcome.go
+++ b/outcome.go
@@ -38,72 +38,49 @@
 		return
 	}
 	a := &request.attempts[index]
-	a.done, a.notExecuted = true, outcome.ProvablyNotExecuted()
+	a.done = true
+	a.notExecuted = outcome.ProvablyNotExecuted()
 	request.pending--
 	a.server.inFlight--
 	b.recordOutcome(request, a, outcome, now, report)
-	if over {
+	switch {
+	case over:
 		request.finished = true
 		delete(b.timers, request.timer)
 		if !request.samplePair || outcome != OK {
 			b.cancelOthers(request, index)
 		}
 		b.forget(request)
-		return
-	}
-	switch {
 	case request.finished:
 		b.forget(request)
 	case request.pending > 0: // another attempt may still answer
-	case request.class.LateWeight == 0 && now >= request.arrived+request.class.LatencyObjective: // nothing to win any more
-		b.finish(request)
-	case !b.mayRetry(request, outcome) || !b.startAttempt(request, now, false): // a planned copy keeps its time
+	case request.class.LateWeight == 0 && now >= request.arrived+request.class.LatencyObjective:
+		b.finish(request) // a later answer would earn nothing
+	case !b.mayRetry(request, outcome) || !b.startAttempt(request, now, false): // a planned hedge keeps its time
 		b.finish(request)
 	}
 }
 
 // recordOutcome records what an outcome says about the server, the load and latencies.
 func (b *Balancer) recordOutcome(request *openRequest, a *attempt, outcome Outcome, now time.Duration, report LoadReport) {
-	s, latency := a.server, float64(now-a.sent)/float64(request.class.LatencyObjective)
+	s := a.server
+	latency := float64(now-a.sent) / float64(request.class.LatencyObjective)
 	if outcome != Cancelled && outcome != NotSent && !request.overdue && !request.StreamedBody {
-		b.admission.updateShedLevel(outcome == Rejected, now-request.arrived > request.class.LatencyObjective, b.endpoints.rate(now), now)
-	}
-	if b.endpoints.acceptedFraction *= 1 - meanStep; outcome != Rejected {
-		b.endpoints.acceptedFraction += meanStep
+		late := now-request.arrived > request.class.LatencyObjective
+		b.admission.updateShedLevel(outcome == Rejected, late, b.endpoints.rate(now), now)
 	}
-	switch outcome {
-	case OK:
-		s.answeredAt, s.failures, s.ejections = now, 0, 0
-	case Rejected:
-		s.answeredAt = now
-	case ServerError, Reset, TimedOut, ConnectFailed:
-		b.endpoints.recordFailure(s, now)
-	}
-	if outcome == ServerError {
-		s.errorRates[request.Class] = tokenBucket{s.errorRate(request.Class, now)*(1-errorRateStep) + errorRateStep, now}
-	}
-	if (outcome == OK || outcome == TimedOut) && !request.StreamedBody { // not after an error: failing fast is not being fast
+	b.endpoints.recordAcceptance(outcome != Rejected)
+	b.endpoints.recordHealth(s, request.Class, outcome, now)
+	if (outcome == OK || outcome == TimedOut) && !request.StreamedBody { // an error that comes fast is not a fast answer
 		b.endpoints.recordLatency(s, outcome, report, latency, a.queueDepth, now)
 	}
 	if b.config.ConnectionCost > 0 && !s.inWorkingSet && s.inFlight == 0 {
-		b.host.CloseIdle(s.name) // a guest's connection would stand open unused
+		b.host.CloseIdle(s.name) // outside the working set the connection would stay open unused
 	}
 	if !a.hedged && outcome != NotSent {
 		b.hedger.recordLoss(outcome == TimedOut, outcome == Cancelled && len(request.attempts) > 1)
 	}
-	if request.class.Idempotency == NonIdempotent || request.StreamedBody || (outcome != OK && outcome != Cancelled && outcome != TimedOut) {
-		return
-	}
-	a.latency, a.censored = latency, outcome != OK
-	if a.hedged {
-		b.hedger.hedges.add(sample{latency, a.censored}, hedgeWindow)
-	} else {
-		b.hedger.addPrimary(sample{latency, a.censored})
-	}
-	if request.samplePair && request.pending == 0 && len(request.attempts) == 2 {
-		x, y := &request.attempts[0], &request.attempts[1]
-		if !x.censored && !y.censored && x.latency > 0 && y.latency > 0 {
-			b.hedger.pairs.add(pair{x.latency, y.latency}, pairWindow)
-		}
+	if outcome == OK || outcome == Cancelled || outcome == TimedOut {
+		b.recordHedgeSample(request, a, latency, outcome != OK)
 	}
 }
--- a/pick.go
+++ b/pick.go
@@ -6,7 +6,13 @@
 	"time"
 )
 
-const inFlightCost = 1e4 // puts one request in flight above all other signs of cost
+const (
+	// Of choices eligible servers, found in at most maxDraws draws, pick takes the cheapest.
+	choices  = 2
+	maxDraws = 8
+	// inFlightCost ranks one request in flight above all other terms of the cost.
+	inFlightCost = 1e4
+)
 
 // draw samples one server of the working set by weight, nil if none has any.
 func (set *endpointSet) draw() *server {
@@ -14,8 +20,9 @@
 	if n == 0 || set.weights[n-1] <= 0 {
 		return nil
 	}
-	// The next float up: a server of no weight is never hit, even by a draw of 0.
-	i, _ := slices.BinarySearch(set.weights, math.Nextafter(set.random()*set.weights[n-1], math.Inf(1)))
+	// The next larger float keeps a draw of 0 from hitting a server without weight.
+	target := math.Nextafter(set.random()*set.weights[n-1], math.Inf(1))
+	i, _ := slices.BinarySearch(set.weights, target)
 	return set.workingSet[min(i, n-1)]
 }
 
@@ -24,8 +31,9 @@
 // servers that the request may go to; pick returns nil if there is none.
 func (set *endpointSet) pick(now time.Duration, eligible func(*server) bool) *server {
 	set.refresh(now)
-	best, bestCost := (*server)(nil), math.Inf(1)
-	for draws, found := 0, 0; draws < 8 && found < 2; draws++ {
+	var best *server
+	bestCost := math.Inf(1)
+	for draws, found := 0, 0; draws < maxDraws && found < choices; draws++ {
 		s := set.draw()
 		if s == nil {
 			break
@@ -38,11 +46,12 @@
 			best, bestCost = s, cost
 		}
 	}
-	// Else any server, ejected too, from a random place: balancers must not herd.
+	// The search for any member starts at a random one, so that balancers do not herd.
 	n := len(set.members)
 	start := int(set.random() * float64(n))
 	for i := 0; i < n && (best == nil || now < best.ejectedUntil); i++ {
-		if s := set.members[(start+i)%n]; eligible(s) && set.hasSlowStartBudget(s, now) && (best == nil || now >= s.ejectedUntil) {
+		s := set.members[(start+i)%n]
+		if eligible(s) && set.hasSlowStartBudget(s, now) && (best == nil || now >= s.ejectedUntil) {
 			best = s
 		}
 	}
--- a/request.go
+++ b/request.go
@@ -18,16 +18,19 @@
 // openRequest is a request that has not been answered, or that has attempts in flight.
 type openRequest struct {
 	Request
-	class              *Class
-	shedRank           int // for shedding
-	maxAttempts        int // attempts, as the configuration stood
-	arrived            time.Duration
-	attempts           []attempt
-	pending            int  // attempts without an outcome
-	samplePair         bool // the loser runs on, to log both times
-	finished, streamed bool
-	hedgeDue, overdue  bool // the timer is for a copy, not for the aim; counted as late
-	timer              uint64
+	class       *Class
+	shedRank    int           // see admissionController.recordArrival
+	maxAttempts int           // as configured when the request arrived
+	arrived     time.Duration // when the request arrived
+	attempts    []attempt
+	pending     int // attempts without an outcome
+
+	samplePair bool // the slower attempt is not cancelled, so that both latencies are recorded
+	finished   bool // has its final answer
+	streamed   bool // an attempt streams its body or answer, which excludes all others
+	hedgeDue   bool // the timer is for the hedge, not for the latency objective
+	overdue    bool // counted as late when the latency objective passed
+	timer      uint64
 }
 
 // Arrive takes a client's request; the Balancer owes it one final answer. A request
@@ -40,24 +43,22 @@
 		b.host.Reject(r.ID, 0)
 		return
 	}
-	request := &openRequest{Request: r, class: cmp.Or(r.ClassAtArrival, &b.config.Classes[r.Class]), maxAttempts: b.config.MaxAttempts, arrived: now}
+	request := &openRequest{
+		Request:     r,
+		class:       cmp.Or(r.ClassAtArrival, &b.config.Classes[r.Class]),
+		maxAttempts: b.config.MaxAttempts,
+		arrived:     now,
+	}
 	b.requests[r.ID] = request
 	request.shedRank = b.admission.recordArrival(r.Class, r.Tenant, now)
-	if b.rng.Float64() < b.admission.shedProbability(request.shedRank, now) {
+	switch {
+	case b.rng.Float64() < b.admission.shedProbability(request.shedRank, now):
 		b.finish(request)
-		return
-	}
-	if b.config.Probes && !b.bounds.SuspendOptionalWork {
-		b.endpoints.refresh(now)
-		for range probesPerRequest {
-			if s := b.endpoints.draw(); s != nil {
-				b.host.Probe(s.name)
-			}
-		}
-		b.setRequestTimer(request, min(time.Duration(probeWaitFraction*float64(request.class.LatencyObjective)), (request.Deadline-now)/2))
-		return
+	case b.config.Probes && !b.bounds.SuspendOptionalWork:
+		b.probeBeforeSend(request, now)
+	default:
+		b.sendFirst(request, now)
 	}
-	b.sendFirst(request, now)
 }
 
 // sendFirst makes the request's first attempt and plans its hedge.
@@ -82,19 +83,31 @@
 // else a failure.
 func (b *Balancer) finish(request *openRequest) {
 	b.closeRequest(request)
-	if request.class.Idempotency == Idempotent || request.class.Idempotency == IdempotencyKeyed && request.class.DedupScope == DedupScopeAll || request.firstPossiblyExecuted() == nil {
-		// Those refused together must not return together.
-		b.host.Reject(request.ID, time.Duration((0.5+b.rng.Float64()/2)*float64(b.config.MaxRetryAfter)))
-	} else {
+	if !request.retryIsHarmless() {
 		b.host.Fail(request.ID)
+		return
+	}
+	// Clients that are rejected together must not return together.
+	fraction := 0.5 + b.rng.Float64()/2
+	b.host.Reject(request.ID, time.Duration(fraction*float64(b.config.MaxRetryAfter)))
+}
+
+// retryIsHarmless reports whether the client may send the request again, to any server.
+func (r *openRequest) retryIsHarmless() bool {
+	switch {
+	case r.class.Idempotency == Idempotent:
+		return true
+	case r.class.Idempotency == IdempotencyKeyed && r.class.DedupScope == DedupScopeAll:
+		return true
 	}
+	return r.firstPossiblyExecuted() == nil
 }
 
 // closeRequest marks the request as finished and cancels its attempts in flight.
 func (b *Balancer) closeRequest(request *openRequest) {
 	request.finished = true
 	delete(b.timers, request.timer)
-	b.cancelOthers(request, -1)
+	b.cancelOthers(request, noAttempt)
 	b.forget(request)
 }
 
--- a/server_list.go
+++ b/server_list.go
@@ -48,22 +48,25 @@
 }
 
 // ServerCounts counts the servers on the list and those that are ejected as outliers.
-func (b *Balancer) ServerCounts(now time.Duration) (listed, avoided int) {
+func (b *Balancer) ServerCounts(now time.Duration) (listed, ejected int) {
 	for _, s := range b.endpoints.members {
 		if now < s.ejectedUntil {
-			avoided++
+			ejected++
 		}
 	}
-	return len(b.endpoints.byName), avoided
+	return len(b.endpoints.byName), ejected
 }
 
 // DiscoveryFailed says that a poll of discovery failed or the subscription broke. The next
 // poll follows after a random delay with exponential backoff.
 func (b *Balancer) DiscoveryFailed(now time.Duration) {
-	if b.config.MaxListAge == 0 {
+	maxListAge := b.config.MaxListAge
+	if maxListAge == 0 {
 		return
 	}
-	back := min(b.pollBackoff, cmp.Or(b.config.RetryWithin*2/3, 2*b.config.MaxListAge))
-	b.pollTimer = b.setTimer(back/2 + time.Duration(b.rng.Float64()*float64(back)))
-	b.pollBackoff = min(b.pollBackoff*2, 2*b.config.MaxListAge)
+	// The delay is up to 3/2 of its mean, so that 2/3 of RetryWithin keeps within it.
+	maxBackoff := cmp.Or(b.config.RetryWithin*2/3, 2*maxListAge)
+	backoff := min(b.pollBackoff, maxBackoff)
+	b.pollTimer = b.setTimer(backoff/2 + time.Duration(b.rng.Float64()*float64(backoff)))
+	b.pollBackoff = min(b.pollBackoff*2, 2*maxListAge)
 }
--- a/timer.go
+++ b/timer.go
@@ -22,27 +22,38 @@
 		b.host.Subscribe()
 		return
 	}
-	if request := b.timers[cookie]; request != nil {
-		delete(b.timers, cookie)
-		switch {
-		case len(request.attempts) == 0:
-			b.sendFirst(request, now)
-		case request.StreamedBody: // it takes its time
-		case request.hedgeDue:
-			request.hedgeDue = false
-			b.sendHedge(request, now)
-			b.setRequestTimer(request, request.arrived+request.class.LatencyObjective-now)
-		default:
-			// Guards against hearing only by time-outs of a jam, or of a machine that hung
-			// or was cut off. It may do harm to a slow one asked once in an aim.
-			request.overdue = true
-			calm := b.admission.decayedShedLevel(now) < shedTolerance
-			b.admission.updateShedLevel(false, true, b.endpoints.rate(now), now)
-			for i := range request.attempts {
-				if a := &request.attempts[i]; !a.done && calm && a.server.answeredAt < a.sent {
-					b.endpoints.recordFailure(a.server, now)
-				}
-			}
+	request := b.timers[cookie]
+	if request == nil {
+		return
+	}
+	delete(b.timers, cookie)
+	switch {
+	case len(request.attempts) == 0: // the wait for probes is over
+		b.sendFirst(request, now)
+	case request.StreamedBody: // its latency says nothing of the server
+	case request.hedgeDue:
+		request.hedgeDue = false
+		b.sendHedge(request, now)
+		b.setRequestTimer(request, request.arrived+request.class.LatencyObjective-now)
+	default:
+		b.recordOverdue(request, now)
+	}
+}
+
+// recordOverdue counts a request that is unanswered at its latency objective as late, and its
+// attempts as failures of servers that have answered nothing since. Their timeouts would tell
+// of a jammed, hung or unreachable server only much later. A slow server that gets less than
+// one request per latency objective may be counted wrongly.
+func (b *Balancer) recordOverdue(request *openRequest, now time.Duration) {
+	request.overdue = true
+	calm := b.admission.decayedShedLevel(now) < shedTolerance
+	b.admission.updateShedLevel(false, true, b.endpoints.rate(now), now)
+	if !calm {
+		return
+	}
+	for i := range request.attempts {
+		if a := &request.attempts[i]; !a.done && a.server.answeredAt < a.sent {
+			b.endpoints.recordFailure(a.server, now)
 		}
 	}
 }
--- a/token_bucket.go
+++ b/token_bucket.go
@@ -9,6 +9,7 @@
 }
 
 // refill adds rate tokens a second up to burst, which is 1 at least.
-func (b *tokenBucket) refill(rate, burst float64, now time.Duration) {
-	b.tokens, b.at = min(b.tokens+rate*(now-b.at).Seconds(), max(1, burst)), now
+func (t *tokenBucket) refill(rate, burst float64, now time.Duration) {
+	t.tokens = min(t.tokens+rate*(now-t.at).Seconds(), max(1, burst))
+	t.at = now
 }
--- a/working_set.go
+++ b/working_set.go
@@ -7,17 +7,16 @@
 )
 
 const (
-	maxWeightsAge = 200 * time.Millisecond // how long sampling weights are kept
-	// localPreference multiplies the odds that a server of the balancer's own
-	// zone is in its working set, where crossing zones has a price.
-	localPreference = 3.0
-	// A balancer keeps to a working set that it can know: serversPerRate servers
-	// for each send a second, at least minWorkingSet. Where open connections have a
-	// price, connectionCostBudget (in points) shrinks the set further, to minConnectedServers at least.
+	maxWeightsAge = 200 * time.Millisecond // sampling weights older than this are recomputed
+	// A balancer samples from a working set small enough to observe: serversPerRate servers
+	// for each send a second, at least minWorkingSet. Where open connections have a price,
+	// connectionCostBudget (in points) shrinks the set further, to minConnectedServers at least.
 	serversPerRate       = 1.0
 	minWorkingSet        = 4
 	connectionCostBudget = 0.08
 	minConnectedServers  = 3
+	// connectionCostUnit is the number of connections that Config.ConnectionCost is for.
+	connectionCostUnit = 100
 )
 
 // refresh recomputes the sampling table when it is old or the servers under it have changed.
@@ -28,10 +27,14 @@
 	if !set.dirty && now-set.weightsAt < maxWeightsAge {
 		return
 	}
-	if size := set.workingSetSize(now); set.dirty || size > len(set.workingSet) || size < len(set.workingSet)*2/3 {
+	// The set shrinks only by more than a third, so that it changes little.
+	size := set.workingSetSize(now)
+	if set.dirty || size > len(set.workingSet) || size < len(set.workingSet)*2/3 {
 		set.chooseWorkingSet(size, now)
 	}
-	set.dirty, set.weightsAt, set.weights = false, now, set.weights[:0]
+	set.dirty = false
+	set.weightsAt = now
+	set.weights = set.weights[:0]
 	sum := 0.0
 	for _, s := range set.workingSet {
 		if now >= s.ejectedUntil {
@@ -43,13 +46,14 @@
 
 // workingSetSize is the number of servers that this balancer's traffic suffices to observe.
 func (set *endpointSet) workingSetSize(now time.Duration) int {
-	n := len(set.members)
+	members := len(set.members)
 	size := max(minWorkingSet, int(serversPerRate*set.rate(now)))
-	if set.config.ConnectionCost > 0 && n > 0 {
-		each := set.config.ConnectionCost * float64(set.config.Instances) / (100 * float64(n))
-		size = max(minConnectedServers, min(size, int(math.Sqrt(connectionCostBudget/each)+0.5)))
+	if set.config.ConnectionCost > 0 && members > 0 {
+		costPerServer := set.config.ConnectionCost * float64(set.config.Instances) / (connectionCostUnit * float64(members))
+		affordable := int(math.Sqrt(connectionCostBudget/costPerServer) + 0.5)
+		size = max(minConnectedServers, min(size, affordable))
 	}
-	return min(size, n)
+	return min(size, members)
 }
 
 // chooseWorkingSet takes the first size members by priority, ejected ones last.
