--- /dev/null
+++ b/attempt_test.go
@@ -0,0 +1,93 @@
+package martendrum
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestFurtherAttempts(t *testing.T) {
+	two := []Endpoint{{Name: "a", Zone: "z"}, {Name: "b", Zone: "z"}}
+	apart := []Endpoint{{Name: "a", Zone: "y"}, {Name: "b", Zone: "z"}}
+	for _, c := range []struct {
+		name    string
+		class   int
+		servers []Endpoint
+		o       Outcome
+		at      time.Duration
+		want    []string
+	}{
+		{"safe after error", 0, two, ServerError, ms, []string{"send 1", "send 1"}},
+		{"safe after full", 0, two, Rejected, ms, []string{"send 1", "send 1"}},
+		{"unsafe after full", 2, two, Rejected, ms, []string{"send 1", "send 1"}},
+		{"unsafe after no connection", 2, two, ConnectFailed, ms, []string{"send 1", "send 1"}},
+		{"unsafe after error", 2, two, ServerError, ms, []string{"send 1", "fail 1"}},
+		{"unsafe after reset", 2, two, Reset, ms, []string{"send 1", "fail 1"}},
+		{"unsafe after timeout", 2, two, TimedOut, ms, []string{"send 1", "fail 1"}},
+		{"unsafe after cancel", 2, two, Cancelled, ms, []string{"send 1", "fail 1"}},
+		{"keyed in its group", 1, two, Reset, ms, []string{"send 1", "send 1"}},
+		{"keyed out of its group", 1, apart, Reset, ms, []string{"send 1", "fail 1"}},
+		{"keyed never ran, any group", 1, apart, Rejected, ms, []string{"send 1", "send 1"}},
+		{"nobody left to try", 2, two[:1], Rejected, ms, []string{"send 1", "refuse 1"}},
+		{"past the aim", 0, two, Reset, 100 * ms, []string{"send 1", "refuse 1"}},
+		{"unsafe past the aim", 2, two, Reset, 100 * ms, []string{"send 1", "fail 1"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, r := newTest(t, testConfig(), c.servers...)
+			b.noCopies()
+			b.Arrive(0, Request{ID: 1, Class: c.class, Deadline: 300 * ms})
+			b.AttemptFinished(c.at, 1, 0, c.o, false, LoadReport{})
+			if !slices.Equal(r.got, c.want) {
+				t.Errorf("got %v, want %v", r.got, c.want)
+			}
+			if len(r.servers) == 2 && r.servers[0] == r.servers[1] {
+				t.Errorf("both attempts went to %s", r.servers[0])
+			}
+		})
+	}
+}
+
+// A retry budget binds all but the dearest: where all queues are full, retries
+// only push others out.
+func TestRetryBudget(t *testing.T) {
+	cfg := testConfig()
+	cfg.Classes[2].Weight = 20
+	b, r := newTest(t, cfg, fleetOf(4)...)
+	for id := RequestID(1); id <= 200; id++ {
+		b.noCopies()
+		now := time.Duration(id) * 10 * ms
+		class := int(id%10/9) * 2 // a tenth is dear
+		b.admission.shedLevel = 0
+		b.Arrive(now, Request{ID: id, Class: class, Tenant: -1, Deadline: now + 300*ms})
+		for n := 0; b.requests[id] != nil; n++ {
+			b.AttemptFinished(now, id, n, Rejected, false, LoadReport{})
+		}
+	}
+	sends := make(map[bool]int)
+	for _, did := range r.got {
+		var id int
+		if _, err := fmt.Sscanf(did, "send %d", &id); err == nil {
+			sends[id%10 == 9]++
+		}
+	}
+	if dear := sends[true]; dear != 20*cfg.MaxAttempts {
+		t.Errorf("%d sends of 20 dear requests, want all %d attempts each", dear, cfg.MaxAttempts)
+	}
+	if cheap := sends[false]; cheap < 180+40 || cheap > 180+80 {
+		t.Errorf("%d sends of 180 cheap requests, want about %v retries a request", cheap, retryTokensPerRequest)
+	}
+}
+
+// A keyed request that may have run may leave again within its window only, also where
+// that ends long before the deadline; one that is free to run may leave until then.
+func TestRepeatMayLeaveWithinItsWindow(t *testing.T) {
+	for class, want := range map[int]time.Duration{0: 930 * ms, 1: 130 * ms} {
+		b, r := newTest(t, testConfig(), fleetOf(2)...)
+		b.Arrive(0, Request{ID: 1, Class: class, Deadline: time.Second})
+		b.AttemptFinished(70*ms, 1, 0, Reset, false, LoadReport{})
+		if len(r.within) != 2 || r.within[0] != time.Second || r.within[1] != want {
+			t.Errorf("class %d: the attempts may leave within %v, want 1s and %v", class, r.within, want)
+		}
+	}
+}
--- /dev/null
+++ b/probe_test.go
@@ -0,0 +1,55 @@
+package martendrum
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// Where only probes tell loads, a request waits for its probes and then goes to
+// the less loaded server; where that one cannot answer within the aim, it is
+// refused at once. Without, quiet balancers fed jams that they could not see.
+func TestProbesFirst(t *testing.T) {
+	cfg := testConfig()
+	cfg.Probes = true
+	b, r := newTest(t, cfg, Endpoint{Name: "a"}, Endpoint{Name: "b"})
+	b.noCopies()
+	arrive := func(id RequestID, deadline time.Duration, a, bb float64) {
+		r.got, r.delays = nil, nil
+		b.Arrive(0, Request{ID: id, Deadline: deadline})
+		if len(r.got) != probesPerRequest {
+			t.Fatalf("asked %v on arrival, want %d probes", r.got, probesPerRequest)
+		}
+		b.ProbeAnswered(0, "a", LoadReport{HasInFlight: true, InFlight: a})
+		b.ProbeAnswered(0, "b", LoadReport{HasInFlight: true, InFlight: bb})
+		b.ProbeAnswered(0, "gone", LoadReport{})
+		r.got = nil
+		b.TimerFired(0, r.timers[len(r.timers)-1])
+	}
+	for id := RequestID(1); id <= 10; id++ {
+		arrive(id, 300*ms, 5, 0)
+		if got := r.servers[id-1]; got != "b" {
+			t.Errorf("request %d went to the loaded %s", id, got)
+		}
+		b.AttemptFinished(20*ms, id, 0, OK, true, LoadReport{})
+	}
+	arrive(11, 300*ms, 90, 90)
+	if !slices.Equal(r.got, []string{"refuse 11"}) {
+		t.Errorf("got %v where the aim is out of reach, want a refusal", r.got)
+	}
+	arrive(12, 2*ms, 0, 0)
+	if r.delays[0] > ms {
+		t.Errorf("waits %v for probes with 2 ms left", r.delays[0])
+	}
+}
+
+// Probes that cost more than they can win are not sent.
+func TestDearProbes(t *testing.T) {
+	cfg := testConfig()
+	cfg.Probes, cfg.ProbeCost = true, 2*maxProbeCost/probesPerRequest
+	b, r := newTest(t, cfg, Endpoint{Name: "a"})
+	b.Arrive(0, Request{ID: 1, Deadline: 300 * ms})
+	if !slices.Contains(r.got, "send 1") {
+		t.Errorf("got %v, want a send at once", r.got)
+	}
+}
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -95,3 +95,114 @@
 		t.Error("a server that was told again counts as started anew")
 	}
 }
+
+// A restarted server must get only its cold share: no more than slowStartSafetyFactor of
+// what would fell it, judged by what its warm peers get.
+func TestColdPacing(t *testing.T) {
+	cfg := testConfig()
+	cfg.Classes = cfg.Classes[2:] // no copies
+	list := fleetOf(4)
+	b, r := newTest(t, cfg, list...)
+	now, cold := 100*time.Second, 0
+	list[0].Started = now
+	b.ServersChanged(now, list[:1])
+	for id := RequestID(1); id <= 400; id++ {
+		now += 5 * ms
+		b.Arrive(now, Request{ID: id, Deadline: now + 300*ms})
+		if r.servers[id-1] == "s000" {
+			cold++
+		}
+		b.AttemptFinished(now, id, 0, OK, true, LoadReport{})
+	}
+	// 2 s, a quarter of the sends would be 100; it has 0.2 to 0.36 of its capacity.
+	if cold == 0 || cold > 60 {
+		t.Errorf("%d of 400 sends to a server that just started", cold)
+	}
+}
+
+// Sampling and pacing each hold a cold server back by themselves.
+func TestColdSamplingAndRoom(t *testing.T) {
+	list := fleetOf(2)
+	b, _ := newTest(t, testConfig(), list...)
+	f, now := &b.endpoints, 100*time.Second
+	list[0].Started = now
+	b.ServersChanged(now, list[:1])
+	f.refresh(now)
+	cold, warm := f.weights[0], f.weights[1]-f.weights[0]
+	if f.workingSet[0].name != "s000" {
+		cold, warm = warm, cold
+	}
+	if cold != 0.2*warm {
+		t.Errorf("a fresh server weighs %v of a warm one's %v, want its cold share", cold, warm)
+	}
+	s := f.byName["s000"]
+	s.slowStartTokens.tokens = 1
+	if !f.hasSlowStartBudget(s, now) {
+		t.Error("no room for a first send")
+	}
+	f.recordSend(s, now)
+	if f.hasSlowStartBudget(s, now) {
+		t.Error("room for a second send at once")
+	}
+	if !f.hasSlowStartBudget(s, now+10*time.Second) {
+		t.Error("no room once warm")
+	}
+}
+
+// A cold server outside the working set gets nothing: all balancers could fall
+// back on it together, each with a full share.
+func TestColdGuestGetsNothing(t *testing.T) {
+	list := fleetOf(12)
+	b, _ := newTest(t, testConfig(), list...)
+	f, now := &b.endpoints, 100*time.Second
+	for i := range list {
+		list[i].Started = now
+	}
+	b.ServersChanged(now, list)
+	f.refresh(now)
+	if len(f.workingSet) == len(f.members) {
+		t.Fatal("no guests to test with")
+	}
+	for _, s := range f.members {
+		s.slowStartTokens.tokens = 1
+		if f.hasSlowStartBudget(s, now) != s.inWorkingSet {
+			t.Errorf("%s: in the set %v, room %v", s.name, s.inWorkingSet, !s.inWorkingSet)
+		}
+	}
+}
+
+// Where servers turn most sends away, what is sent to a warm one says too much
+// of what a cold one can take.
+func TestColdRoomCountsTakenSends(t *testing.T) {
+	room := func(o Outcome) (n int) {
+		cfg := testConfig()
+		cfg.Classes = cfg.Classes[2:] // no copies
+		list := fleetOf(4)
+		b, _ := newTest(t, cfg, list...)
+		now := 90 * time.Second
+		for id := RequestID(1); id <= 400; id++ {
+			now += 5 * ms
+			b.Arrive(now, Request{ID: id, Deadline: now + 300*ms})
+			for k := range 4 {
+				b.AttemptFinished(now, id, k, o, o == OK, LoadReport{})
+			}
+		}
+		list[0].Started = now
+		b.ServersChanged(now, list[:1])
+		f := &b.endpoints
+		f.refresh(now)
+		s := f.byName["s000"]
+		f.hasSlowStartBudget(s, now)
+		for end := now + time.Second; now < end; now += ms {
+			f.sendCount, f.sendCountAt = 800, now // the same rate all the time
+			if f.hasSlowStartBudget(s, now) {
+				f.recordSend(s, now)
+				n++
+			}
+		}
+		return n
+	}
+	if taken, full := room(OK), room(Rejected); full > taken/4 {
+		t.Errorf("%d sends to a cold server where all are taken, %d where none is", taken, full)
+	}
+}
--- /dev/null
+++ b/working_set_test.go
@@ -0,0 +1,20 @@
+package martendrum
+
+import "testing"
+
+// Where connections have a price, a large tier keeps small working sets.
+func TestWorkingSetByConnectionPrice(t *testing.T) {
+	cfg := testConfig()
+	cfg.Instances, cfg.ConnectionCost = 1200, 0.05
+	b, r := newTest(t, cfg, fleetOf(60)...)
+	b.noCopies()
+	used := map[string]bool{}
+	for id := RequestID(1); id <= 200; id++ {
+		b.Arrive(0, Request{ID: id, Deadline: 300 * ms})
+		b.AttemptFinished(0, id, 0, OK, true, LoadReport{})
+		used[r.servers[id-1]] = true
+	}
+	if len(used) > 4 {
+		t.Errorf("%d servers used, want a handful", len(used))
+	}
+}
