--- a/admission_test.go
+++ b/admission_test.go
@@ -38,7 +38,7 @@
 }
 
 // The least worth is shed first, and all of it before the next class.
-func TestShedsLeastWorthFirst(t *testing.T) {
+func TestShedsLowestWeightFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[2].Weight = 10
 	b, _ := newTest(t, cfg)
@@ -60,7 +60,7 @@
 
 // What a tenant asks above its share is shed before what others ask within
 // theirs, whatever the class.
-func TestShedsAboveShareFirst(t *testing.T) {
+func TestShedsAboveQuotaFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.TenantQuotas, cfg.OverQuotaWeight = []float64{9, 9}, 0.1
 	cfg.Classes[2].Weight = 5
--- a/attempt_test.go
+++ b/attempt_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestFurtherAttempts(t *testing.T) {
+func TestRetryAfterOutcome(t *testing.T) {
 	two := []Endpoint{{Name: "a", Zone: "z"}, {Name: "b", Zone: "z"}}
 	apart := []Endpoint{{Name: "a", Zone: "y"}, {Name: "b", Zone: "z"}}
 	for _, c := range []struct {
@@ -35,11 +35,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, r := newTest(t, testConfig(), c.servers...)
-			b.noCopies()
+			b.disableHedging()
 			b.Arrive(0, Request{ID: 1, Class: c.class, Deadline: 300 * ms})
 			b.AttemptFinished(c.at, 1, 0, c.o, false, LoadReport{})
-			if !slices.Equal(r.got, c.want) {
-				t.Errorf("got %v, want %v", r.got, c.want)
+			if !slices.Equal(r.actions, c.want) {
+				t.Errorf("got %v, want %v", r.actions, c.want)
 			}
 			if len(r.servers) == 2 && r.servers[0] == r.servers[1] {
 				t.Errorf("both attempts went to %s", r.servers[0])
@@ -53,9 +53,9 @@
 func TestRetryBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[2].Weight = 20
-	b, r := newTest(t, cfg, fleetOf(4)...)
+	b, r := newTest(t, cfg, servingEndpoints(4)...)
 	for id := RequestID(1); id <= 200; id++ {
-		b.noCopies()
+		b.disableHedging()
 		now := time.Duration(id) * 10 * ms
 		class := int(id%10/9) * 2 // a tenth is dear
 		b.admission.shedLevel = 0
@@ -65,7 +65,7 @@
 		}
 	}
 	sends := make(map[bool]int)
-	for _, did := range r.got {
+	for _, did := range r.actions {
 		var id int
 		if _, err := fmt.Sscanf(did, "send %d", &id); err == nil {
 			sends[id%10 == 9]++
@@ -81,13 +81,13 @@
 
 // A keyed request that may have run may leave again within its window only, also where
 // that ends long before the deadline; one that is free to run may leave until then.
-func TestRepeatMayLeaveWithinItsWindow(t *testing.T) {
+func TestKeyedRetryIsSentWithinDedupWindow(t *testing.T) {
 	for class, want := range map[int]time.Duration{0: 930 * ms, 1: 130 * ms} {
-		b, r := newTest(t, testConfig(), fleetOf(2)...)
+		b, r := newTest(t, testConfig(), servingEndpoints(2)...)
 		b.Arrive(0, Request{ID: 1, Class: class, Deadline: time.Second})
 		b.AttemptFinished(70*ms, 1, 0, Reset, false, LoadReport{})
-		if len(r.within) != 2 || r.within[0] != time.Second || r.within[1] != want {
-			t.Errorf("class %d: the attempts may leave within %v, want 1s and %v", class, r.within, want)
+		if len(r.sendWithins) != 2 || r.sendWithins[0] != time.Second || r.sendWithins[1] != want {
+			t.Errorf("class %d: the attempts may leave within %v, want 1s and %v", class, r.sendWithins, want)
 		}
 	}
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -10,27 +10,27 @@
 
 // recorder is a Host that writes down what it is asked.
 type recorder struct {
-	got     []string
-	servers []string // by send
-	timers  []uint64
-	delays  []time.Duration
-	within  []time.Duration // by send
+	actions     []string
+	servers     []string // by send
+	timers      []uint64
+	delays      []time.Duration
+	sendWithins []time.Duration // by send
 }
 
-func (r *recorder) say(format string, args ...any) {
-	r.got = append(r.got, fmt.Sprintf(format, args...))
+func (r *recorder) record(format string, args ...any) {
+	r.actions = append(r.actions, fmt.Sprintf(format, args...))
 }
 func (r *recorder) Send(id RequestID, server string, _, within time.Duration) {
-	r.within = append(r.within, within)
+	r.sendWithins = append(r.sendWithins, within)
 	r.servers = append(r.servers, server)
-	r.say("send %d", id)
+	r.record("send %d", id)
 }
-func (r *recorder) Cancel(id RequestID, n int)           { r.say("cancel %d/%d", id, n) }
-func (r *recorder) Reject(id RequestID, _ time.Duration) { r.say("refuse %d", id) }
-func (r *recorder) Fail(id RequestID)                    { r.say("fail %d", id) }
+func (r *recorder) Cancel(id RequestID, n int)           { r.record("cancel %d/%d", id, n) }
+func (r *recorder) Reject(id RequestID, _ time.Duration) { r.record("refuse %d", id) }
+func (r *recorder) Fail(id RequestID)                    { r.record("fail %d", id) }
 func (r *recorder) CloseIdle(server string)              {}
-func (r *recorder) Probe(server string)                  { r.say("probe %s", server) }
-func (r *recorder) Subscribe()                           { r.say("subscribe") }
+func (r *recorder) Probe(server string)                  { r.record("probe %s", server) }
+func (r *recorder) Subscribe()                           { r.record("subscribe") }
 func (r *recorder) SetTimer(c uint64, after time.Duration) {
 	r.timers = append(r.timers, c)
 	r.delays = append(r.delays, after)
@@ -60,12 +60,12 @@
 }
 
 // without copies: the draw for one always fails.
-func (b *Balancer) noCopies() { b.hedger.probability = 0 }
+func (b *Balancer) disableHedging() { b.hedger.probability = 0 }
 
 // A jam must be heard of at the aim, not only by the time-outs seconds later, and
 // each request counts once.
 func TestOverdueCountsAsLate(t *testing.T) {
-	b, r := newTest(t, testConfig(), fleetOf(4)...)
+	b, r := newTest(t, testConfig(), servingEndpoints(4)...)
 	b.hedger.probability = 0
 	b.Arrive(0, Request{ID: 1, Class: 2, Tenant: -1, Deadline: time.Second})
 	b.TimerFired(100*ms, r.timers[0])
@@ -81,7 +81,7 @@
 
 // A request that is open when its class changes keeps its effect and its attempts, one
 // that was read before and comes after too; classes that stay keep what was learned.
-func TestRetuneKeepsOpen(t *testing.T) {
+func TestReconfigureKeepsOpenRequests(t *testing.T) {
 	cfg := testConfig()
 	b, r := newTest(t, cfg, Endpoint{Name: "a"}, Endpoint{Name: "b"}, Endpoint{Name: "c"})
 	old := &cfg.Classes[2]
@@ -95,11 +95,11 @@
 	b.Arrive(0, Request{ID: 2, Class: 2, ClassAtArrival: old, Tenant: -1, Deadline: time.Second})
 	b.Arrive(0, Request{ID: 3, Class: 2, Tenant: -1, Deadline: time.Second})
 	b.Arrive(0, Request{ID: 4, Class: 3, Tenant: -1, Deadline: time.Second})
-	r.got = nil
+	r.actions = nil
 	for id := RequestID(1); id <= 4; id++ {
 		b.AttemptFinished(ms, id, 0, Reset, false, LoadReport{})
 	}
-	if got := fmt.Sprint(r.got); got != "[fail 1 fail 2 send 3 send 4]" {
+	if got := fmt.Sprint(r.actions); got != "[fail 1 fail 2 send 3 send 4]" {
 		t.Error(got)
 	}
 	if b.Reconfigure(testConfig()) == nil {
@@ -109,9 +109,9 @@
 	if err := b.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
-	r.got = nil
+	r.actions = nil
 	b.AttemptFinished(2*ms, 3, 1, Reset, false, LoadReport{})
-	if got := fmt.Sprint(r.got); got != "[refuse 3]" {
+	if got := fmt.Sprint(r.actions); got != "[refuse 3]" {
 		t.Error(got)
 	}
 }
--- a/endpoint_set_test.go
+++ b/endpoint_set_test.go
@@ -8,10 +8,10 @@
 // Sorting a large fleet anew for each of many small changes cost a quiet balancer
 // more than its requests did: members stay sorted as changes come.
 func TestMembersStaySorted(t *testing.T) {
-	b, _ := newTest(t, testConfig(), fleetOf(20)...)
+	b, _ := newTest(t, testConfig(), servingEndpoints(20)...)
 	f, rng := &b.endpoints, rand.New(rand.NewPCG(7, 7))
 	for step := range 500 {
-		list := fleetOf(30)
+		list := servingEndpoints(30)
 		e := list[rng.IntN(len(list))]
 		e.State = EndpointState(rng.IntN(3))
 		b.ServersChanged(0, []Endpoint{e})
--- a/hedge_delay_test.go
+++ b/hedge_delay_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func answered(times ...float64) []sample {
+func answeredSamples(times ...float64) []sample {
 	var s []sample
 	for _, t := range times {
 		s = append(s, sample{latency: t})
@@ -13,7 +13,7 @@
 	return s
 }
 
-func fit(samples []sample) *survival {
+func fitSurvival(samples []sample) *survival {
 	s, scratch := new(survival), []sample(nil)
 	s.estimate(samples, &scratch)
 	return s
@@ -27,9 +27,9 @@
 		want    float64
 	}{
 		{"no sample", nil, 1, 1},
-		{"before the first", answered(2, 4), 1, 1},
-		{"at a sample", answered(1, 2, 3, 4), 2, 0.5},
-		{"ties", answered(1, 1, 1, 4), 1, 0.25},
+		{"before the first", answeredSamples(2, 4), 1, 1},
+		{"at a sample", answeredSamples(1, 2, 3, 4), 2, 0.5},
+		{"ties", answeredSamples(1, 1, 1, 4), 1, 0.25},
 		// Three at risk at 1 leave 2/3; the one at 2 is censored, so that one
 		// is at risk at 3 and takes all that is left.
 		{"censored between", []sample{{1, false}, {2, true}, {3, false}}, 2.5, 2.0 / 3},
@@ -39,7 +39,7 @@
 		{"all censored", []sample{{1, true}, {2, true}}, 5, 1},
 		{"a tie of both kinds", []sample{{1, true}, {1, false}, {2, false}}, 1, 2.0 / 3},
 	} {
-		if got := fit(c.samples).tailProbability(c.at); math.Abs(got-c.want) > 1e-12 {
+		if got := fitSurvival(c.samples).tailProbability(c.at); math.Abs(got-c.want) > 1e-12 {
 			t.Errorf("%s: Pr(T > %v) = %v, want %v", c.name, c.at, got, c.want)
 		}
 	}
@@ -49,8 +49,8 @@
 	// Ten first sends answered at 1..10. With d = 6, four are still out, so a
 	// budget of 0.2 copies half of them. By t = 8 two of ten are late; copies
 	// answered within t-d = 2 save half of them with q = 0.5.
-	x := fit(answered(1, 2, 3, 4, 5, 6, 7, 8, 9, 10))
-	y := fit(answered(1, 2, 3, 4))
+	x := fitSurvival(answeredSamples(1, 2, 3, 4, 5, 6, 7, 8, 9, 10))
+	y := fitSurvival(answeredSamples(1, 2, 3, 4))
 	if got, want := successRate(x, y, nil, 0.2, 8, 6), 0.8+0.5*0.2*0.5; math.Abs(got-want) > 1e-12 {
 		t.Errorf("independent: %v, want %v", got, want)
 	}
@@ -76,10 +76,10 @@
 	for i := range 10 {
 		x = append(x, sample{latency: 100 + float64(i)})
 	}
-	if d := computeOptimalSingleR(fit(x), fit(answered(1, 1, 1)), nil, 0.95, 0.1); d != 1 {
+	if d := computeOptimalSingleR(fitSurvival(x), fitSurvival(answeredSamples(1, 1, 1)), nil, 0.95, 0.1); d != 1 {
 		t.Errorf("d = %v, want 1", d)
 	}
-	if d := computeOptimalSingleR(fit(nil), fit(nil), nil, 0.95, 0.1); d != 0 {
+	if d := computeOptimalSingleR(fitSurvival(nil), fitSurvival(nil), nil, 0.95, 0.1); d != 0 {
 		t.Errorf("without samples d = %v, want 0", d)
 	}
 }
--- a/hedge_test.go
+++ b/hedge_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestReissuerSteps(t *testing.T) {
+func TestHedgerRecompute(t *testing.T) {
 	r := newHedger(0)
 	if r.delay != 0 || r.probability != maxHedgeBudget {
 		t.Fatalf("starts at d=%v q=%v, want d=0 and q=B", r.delay, r.probability)
@@ -52,7 +52,7 @@
 
 // Lost first sends raise the copies' budget, and it falls again after them.
 func TestBudgetFollowsLosses(t *testing.T) {
-	b, _ := newTest(t, testConfig(), fleetOf(4)...)
+	b, _ := newTest(t, testConfig(), servingEndpoints(4)...)
 	r := &b.hedger
 	calm := r.budget
 	r.baseBudget, r.budget = 0.01, 0.01
@@ -90,8 +90,8 @@
 	b.requests[1].samplePair = false
 	b.AttemptFinished(60*ms, 1, 1, OK, true, LoadReport{})
 	b.AttemptFinished(60*ms, 1, 0, Cancelled, true, LoadReport{})
-	if want := []string{"send 1", "send 1", "cancel 1/0"}; !slices.Equal(r.got, want) {
-		t.Errorf("got %v, want %v", r.got, want)
+	if want := []string{"send 1", "send 1", "cancel 1/0"}; !slices.Equal(r.actions, want) {
+		t.Errorf("got %v, want %v", r.actions, want)
 	}
 	if n := len(b.requests) + len(b.timers); n != 0 {
 		t.Errorf("%d requests and timers kept after the end", n)
@@ -103,9 +103,9 @@
 
 // In an overload copies only add to what comes late: while the balancer sheds, a
 // planned copy is not sent.
-func TestNoCopiesWhileShedding(t *testing.T) {
+func TestNoHedgesWhileShedding(t *testing.T) {
 	for _, level := range []float64{0, 0.5} {
-		b, r := newTest(t, testConfig(), fleetOf(4)...)
+		b, r := newTest(t, testConfig(), servingEndpoints(4)...)
 		b.hedger.probability = 1
 		b.Arrive(0, Request{ID: 1, Tenant: -1, Deadline: time.Second})
 		b.admission.shedLevel = level
@@ -118,8 +118,8 @@
 
 // The timer at the aim is never one for a copy, not even from a host whose clock
 // cuts fractions off and fires a little early.
-func TestAimTimerSendsNoCopy(t *testing.T) {
-	b, r := newTest(t, testConfig(), fleetOf(4)...)
+func TestObjectiveTimerSendsNoHedge(t *testing.T) {
+	b, r := newTest(t, testConfig(), servingEndpoints(4)...)
 	b.hedger.probability = 0
 	b.Arrive(0, Request{ID: 1, Tenant: -1, Deadline: time.Second})
 	b.TimerFired(100*ms-1, r.timers[0])
--- a/learned_state_test.go
+++ b/learned_state_test.go
@@ -8,7 +8,7 @@
 
 // One that takes another's place knows what that one knew: which server is slow,
 // which is left out, and when to copy; not of a server that has started anew.
-func TestLearnedPassesOn(t *testing.T) {
+func TestLearnedStateIsRestored(t *testing.T) {
 	list := []Endpoint{{Name: "a"}, {Name: "b"}, {Name: "slow"}, {Name: "dead"}, {Name: "new", Started: time.Second}}
 	old, r := newTest(t, testConfig(), list...)
 	now := 20 * time.Second
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -7,7 +7,7 @@
 
 // All suspect: the capped share keeps some in, and a lone suspect still serves.
 func TestEjectionIsCapped(t *testing.T) {
-	b, _ := newTest(t, testConfig(), fleetOf(10)...)
+	b, _ := newTest(t, testConfig(), servingEndpoints(10)...)
 	b.endpoints.refresh(0)
 	for _, s := range b.endpoints.members {
 		for range 3 {
@@ -25,10 +25,10 @@
 
 // A server that answers nobody while requests reach their aim is left out; one
 // that answers others meanwhile is not.
-func TestSilentServerIsLeftOut(t *testing.T) {
+func TestSilentServerIsEjected(t *testing.T) {
 	for _, answers := range []bool{false, true} {
-		b, r := newTest(t, testConfig(), fleetOf(5)...)
-		b.noCopies()
+		b, r := newTest(t, testConfig(), servingEndpoints(5)...)
+		b.disableHedging()
 		for id := RequestID(1); id <= 20; id++ {
 			b.Arrive(ms, Request{ID: id, Class: 2, Deadline: 300 * ms})
 		}
@@ -54,10 +54,10 @@
 
 // Connections that break by chance, with answers between, leave no server out and
 // are tried again past the retry budget; a server that only breaks is left out.
-func TestBreaksByChance(t *testing.T) {
+func TestRandomResetsEjectNoServer(t *testing.T) {
 	for _, dead := range []bool{false, true} {
-		b, r := newTest(t, testConfig(), fleetOf(5)...)
-		b.noCopies()
+		b, r := newTest(t, testConfig(), servingEndpoints(5)...)
+		b.disableHedging()
 		b.retryTokens = 0
 		now, step := time.Second, ms/4 // all is over before any server can seem silent
 		if dead {
@@ -92,8 +92,8 @@
 // A server that fails one class, and fast, gains no weight by its speed, is no
 // place for that class and serves the others on. Where all fail, it still is sent.
 func TestServerThatFailsOneClass(t *testing.T) {
-	b, r := newTest(t, testConfig(), fleetOf(5)...)
-	b.noCopies()
+	b, r := newTest(t, testConfig(), servingEndpoints(5)...)
+	b.disableHedging()
 	bad, asked := b.endpoints.byName["s001"], [2]int{}
 	for id := RequestID(1); id <= 1000; id++ {
 		now, class := time.Second+time.Duration(id)*ms, int(id%2)*2
--- a/pick_test.go
+++ b/pick_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func fleetOf(n int) []Endpoint {
+func servingEndpoints(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
 		list = append(list, Endpoint{Name: fmt.Sprintf("s%03d", i)})
@@ -16,8 +16,8 @@
 
 // Each request stays out, so that two-choice must keep the in-flight even.
 func TestTwoChoiceEvensInFlight(t *testing.T) {
-	b, r := newTest(t, testConfig(), fleetOf(minWorkingSet)...)
-	b.noCopies()
+	b, r := newTest(t, testConfig(), servingEndpoints(minWorkingSet)...)
+	b.disableHedging()
 	for id := RequestID(1); id <= 100; id++ {
 		b.Arrive(0, Request{ID: id, Deadline: 300 * ms})
 	}
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestDefinedAnswersWithoutServers(t *testing.T) {
+func TestRejectsWithoutServers(t *testing.T) {
 	for name, list := range map[string][]Endpoint{
 		"none":         nil,
 		"all draining": {{Name: "a", State: Draining}, {Name: "b", State: Draining}},
@@ -42,22 +42,22 @@
 		for class := range 3 {
 			b.Arrive(0, Request{ID: RequestID(class + 1), Class: class, Deadline: 300 * ms})
 		}
-		if len(r.got) != 3 || r.got[0] != "refuse 1" || r.got[1] != "refuse 2" || r.got[2] != "refuse 3" {
-			t.Errorf("%s: %v, want three refusals", name, r.got)
+		if len(r.actions) != 3 || r.actions[0] != "refuse 1" || r.actions[1] != "refuse 2" || r.actions[2] != "refuse 3" {
+			t.Errorf("%s: %v, want three refusals", name, r.actions)
 		}
 	}
-	b, r := newTest(t, testConfig(), fleetOf(2)...)
+	b, r := newTest(t, testConfig(), servingEndpoints(2)...)
 	b.Arrive(time.Second, Request{ID: 1, Deadline: time.Second})
 	b.Arrive(time.Second, Request{ID: 2, Class: 9, Deadline: 2 * time.Second})
-	if len(r.got) != 2 || r.got[0] != "refuse 1" || r.got[1] != "refuse 2" {
-		t.Errorf("deadline past, no such class: %v, want two refusals", r.got)
+	if len(r.actions) != 2 || r.actions[0] != "refuse 1" || r.actions[1] != "refuse 2" {
+		t.Errorf("deadline past, no such class: %v, want two refusals", r.actions)
 	}
 }
 
 // Own in-flight comes before every other sign: a server that holds one of this
 // balancer's requests may be a jam that its old answers do not show yet.
 func TestInFlightComesFirst(t *testing.T) {
-	b, _ := newTest(t, testConfig(), fleetOf(2)...)
+	b, _ := newTest(t, testConfig(), servingEndpoints(2)...)
 	busy, slow := b.endpoints.byName["s000"], b.endpoints.byName["s001"]
 	busy.inFlight = 1
 	slow.load, slow.latencySum, slow.latencyWeight = overloadedLoad, 40, 10
--- a/probe_test.go
+++ b/probe_test.go
@@ -9,21 +9,21 @@
 // Where only probes tell loads, a request waits for its probes and then goes to
 // the less loaded server; where that one cannot answer within the aim, it is
 // refused at once. Without, quiet balancers fed jams that they could not see.
-func TestProbesFirst(t *testing.T) {
+func TestProbesBeforeFirstSend(t *testing.T) {
 	cfg := testConfig()
 	cfg.Probes = true
 	b, r := newTest(t, cfg, Endpoint{Name: "a"}, Endpoint{Name: "b"})
-	b.noCopies()
+	b.disableHedging()
 	arrive := func(id RequestID, deadline time.Duration, a, bb float64) {
-		r.got, r.delays = nil, nil
+		r.actions, r.delays = nil, nil
 		b.Arrive(0, Request{ID: id, Deadline: deadline})
-		if len(r.got) != probesPerRequest {
-			t.Fatalf("asked %v on arrival, want %d probes", r.got, probesPerRequest)
+		if len(r.actions) != probesPerRequest {
+			t.Fatalf("asked %v on arrival, want %d probes", r.actions, probesPerRequest)
 		}
 		b.ProbeAnswered(0, "a", LoadReport{HasInFlight: true, InFlight: a})
 		b.ProbeAnswered(0, "b", LoadReport{HasInFlight: true, InFlight: bb})
 		b.ProbeAnswered(0, "gone", LoadReport{})
-		r.got = nil
+		r.actions = nil
 		b.TimerFired(0, r.timers[len(r.timers)-1])
 	}
 	for id := RequestID(1); id <= 10; id++ {
@@ -34,8 +34,8 @@
 		b.AttemptFinished(20*ms, id, 0, OK, true, LoadReport{})
 	}
 	arrive(11, 300*ms, 90, 90)
-	if !slices.Equal(r.got, []string{"refuse 11"}) {
-		t.Errorf("got %v where the aim is out of reach, want a refusal", r.got)
+	if !slices.Equal(r.actions, []string{"refuse 11"}) {
+		t.Errorf("got %v where the aim is out of reach, want a refusal", r.actions)
 	}
 	arrive(12, 2*ms, 0, 0)
 	if r.delays[0] > ms {
@@ -44,12 +44,12 @@
 }
 
 // Probes that cost more than they can win are not sent.
-func TestDearProbes(t *testing.T) {
+func TestExpensiveProbesAreNotSent(t *testing.T) {
 	cfg := testConfig()
 	cfg.Probes, cfg.ProbeCost = true, 2*maxProbeCost/probesPerRequest
 	b, r := newTest(t, cfg, Endpoint{Name: "a"})
 	b.Arrive(0, Request{ID: 1, Deadline: 300 * ms})
-	if !slices.Contains(r.got, "send 1") {
-		t.Errorf("got %v, want a send at once", r.got)
+	if !slices.Contains(r.actions, "send 1") {
+		t.Errorf("got %v, want a send at once", r.actions)
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -12,44 +12,44 @@
 // checker is a Host that plays the fleet and the clients from a seed and holds
 // the balancer to the rules on its own account, apart from the module's state.
 type checker struct {
-	t       *testing.T
-	cfg     Config
-	rng     *rand.Rand
-	now     time.Duration
-	servers map[string]*listed
-	reqs    map[RequestID]*asked
-	queue   []event
-	order   int
-	sends   int
-	copies  int
-	refused int
-	failed  int
-	broken  []string
+	t          *testing.T
+	config     Config
+	rng        *rand.Rand
+	now        time.Duration
+	servers    map[string]*listedServer
+	requests   map[RequestID]*clientRequest
+	queue      []scriptEvent
+	lastOrder  int
+	sends      int
+	hedges     int
+	rejected   int
+	failed     int
+	violations []string
 }
 
-// listed is what the balancer was last told of a server.
-type listed struct {
+// listedServer is what the balancer was last told of a server.
+type listedServer struct {
 	Endpoint
-	badSince time.Duration
+	notServingSince time.Duration
 }
 
-type asked struct {
+type clientRequest struct {
 	Request
-	class    Class
-	ended    bool
-	byClient bool
-	tries    []try
+	class        Class
+	finished     bool
+	disconnected bool
+	attempts     []checkedAttempt
 }
 
-type try struct {
-	server   Endpoint
-	sent     time.Duration
-	done     bool
-	neverRan bool
-	cancel   bool
+type checkedAttempt struct {
+	server      Endpoint
+	sent        time.Duration
+	done        bool
+	notExecuted bool
+	cancelled   bool
 }
 
-type event struct {
+type scriptEvent struct {
 	at    time.Duration
 	order int
 	do    func(b *Balancer)
@@ -57,55 +57,55 @@
 
 const slack = 20 * ms
 
-func (c *checker) broke(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
+func (c *checker) violate(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
 }
 
 func (c *checker) at(t time.Duration, do func(b *Balancer)) {
-	c.order++
-	c.queue = append(c.queue, event{t, c.order, do})
+	c.lastOrder++
+	c.queue = append(c.queue, scriptEvent{t, c.lastOrder, do})
 }
 
 func (c *checker) Send(id RequestID, name string, timeout, within time.Duration) {
-	r, s := c.reqs[id], c.servers[name]
+	r, s := c.requests[id], c.servers[name]
 	if r == nil || s == nil {
-		c.broke("send for unknown request %d or server %q", id, name)
+		c.violate("send for unknown request %d or server %q", id, name)
 		return
 	}
-	if r.ended {
-		c.broke("send for ended request %d", id)
+	if r.finished {
+		c.violate("send for ended request %d", id)
 	}
-	if len(r.tries) >= c.cfg.MaxAttempts {
-		c.broke("attempt %d of request %d", len(r.tries), id)
+	if len(r.attempts) >= c.config.MaxAttempts {
+		c.violate("attempt %d of request %d", len(r.attempts), id)
 	}
-	if s.State != Serving && c.now > s.badSince {
-		c.broke("send to %s, which is not serving", name)
+	if s.State != Serving && c.now > s.notServingSince {
+		c.violate("send to %s, which is not serving", name)
 	}
 	out := false
-	for _, t := range r.tries {
+	for _, t := range r.attempts {
 		out = out || !t.done
-		if t.done && t.neverRan {
+		if t.done && t.notExecuted {
 			continue
 		}
 		switch {
 		case r.class.Idempotency == NonIdempotent:
-			c.broke("unsafe request %d sent again", id)
+			c.violate("unsafe request %d sent again", id)
 		case r.class.Idempotency == IdempotencyKeyed && c.now-t.sent >= r.class.DedupWindow:
-			c.broke("keyed request %d sent past its window", id)
+			c.violate("keyed request %d sent past its window", id)
 		case r.class.Idempotency == IdempotencyKeyed && (r.class.DedupScope == DedupScopeZone && t.server.Zone != s.Zone ||
 			r.class.DedupScope == DedupScopeGroup && t.server.Group != s.Group):
-			c.broke("keyed request %d sent outside its group", id)
+			c.violate("keyed request %d sent outside its group", id)
 		}
 	}
-	if out && !c.cfg.AllowHedging {
-		c.broke("two attempts of request %d out", id)
+	if out && !c.config.AllowHedging {
+		c.violate("two attempts of request %d out", id)
 	}
 	if out {
-		c.copies++
+		c.hedges++
 	}
 	c.sends++
-	n := len(r.tries)
-	r.tries = append(r.tries, try{server: s.Endpoint, sent: c.now})
+	n := len(r.attempts)
+	r.attempts = append(r.attempts, checkedAttempt{server: s.Endpoint, sent: c.now})
 	outcomes := []Outcome{OK, OK, OK, OK, OK, Rejected, Rejected, ServerError, ConnectFailed, Reset, TimedOut, NotSent}
 	o := outcomes[c.rng.IntN(len(outcomes))]
 	took := time.Duration(c.rng.ExpFloat64() * float64(60*ms))
@@ -115,60 +115,60 @@
 	c.at(c.now+took, func(b *Balancer) { c.finish(b, r, n, o) })
 }
 
-func (c *checker) finish(b *Balancer, r *asked, n int, o Outcome) {
-	t := &r.tries[n]
+func (c *checker) finish(b *Balancer, r *clientRequest, n int, o Outcome) {
+	t := &r.attempts[n]
 	if t.done {
 		return
 	}
-	t.done, t.neverRan = true, o.ProvablyNotExecuted()
+	t.done, t.notExecuted = true, o.ProvablyNotExecuted()
 	if o == OK {
-		r.ended = true
+		r.finished = true
 	}
 	rep := LoadReport{HasInFlight: c.rng.IntN(2) == 0, InFlight: float64(c.rng.IntN(9)), HasUtilization: c.rng.IntN(2) == 0, Utilization: c.rng.Float64()}
-	b.AttemptFinished(c.now, r.ID, n, o, r.ended, rep)
-	if !r.ended && c.now > r.Deadline+slack {
-		c.broke("request %d unanswered after its deadline", r.ID)
+	b.AttemptFinished(c.now, r.ID, n, o, r.finished, rep)
+	if !r.finished && c.now > r.Deadline+slack {
+		c.violate("request %d unanswered after its deadline", r.ID)
 	}
 }
 
 func (c *checker) Cancel(id RequestID, n int) {
-	r := c.reqs[id]
+	r := c.requests[id]
 	switch {
-	case !c.cfg.AllowCancellation:
-		c.broke("cancel where none is allowed")
-	case r == nil || n >= len(r.tries):
-		c.broke("cancel of an attempt never made")
-	case !r.tries[n].done && !r.tries[n].cancel:
-		r.tries[n].cancel = true
+	case !c.config.AllowCancellation:
+		c.violate("cancel where none is allowed")
+	case r == nil || n >= len(r.attempts):
+		c.violate("cancel of an attempt never made")
+	case !r.attempts[n].done && !r.attempts[n].cancelled:
+		r.attempts[n].cancelled = true
 		c.at(c.now, func(b *Balancer) { c.finish(b, r, n, Cancelled) })
 	}
 }
 
-func (c *checker) answer(id RequestID) *asked {
-	r := c.reqs[id]
+func (c *checker) answer(id RequestID) *clientRequest {
+	r := c.requests[id]
 	if r == nil {
-		c.broke("answer for unknown request %d", id)
-		return &asked{}
+		c.violate("answer for unknown request %d", id)
+		return &clientRequest{}
 	}
-	if r.ended && !r.byClient {
-		c.broke("second answer for request %d", id)
+	if r.finished && !r.disconnected {
+		c.violate("second answer for request %d", id)
 	}
 	if c.now > r.Deadline+slack {
-		c.broke("answer for request %d after its deadline", id)
+		c.violate("answer for request %d after its deadline", id)
 	}
-	r.ended = true
+	r.finished = true
 	return r
 }
 
 func (c *checker) Reject(id RequestID, _ time.Duration) {
 	r := c.answer(id)
-	c.refused++
+	c.rejected++
 	if r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotencyKeyed && r.class.DedupScope == DedupScopeAll {
 		return
 	}
-	for _, t := range r.tries {
-		if !t.done || !t.neverRan {
-			c.broke("request %d refused though it may have run", id)
+	for _, t := range r.attempts {
+		if !t.done || !t.notExecuted {
+			c.violate("request %d refused though it may have run", id)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 
 func (c *checker) SetTimer(cookie uint64, after time.Duration) {
 	if after < 0 {
-		c.broke("timer in the past")
+		c.violate("timer in the past")
 	}
 	c.at(c.now+after+5*ms, func(b *Balancer) { b.TimerFired(c.now, cookie) })
 }
@@ -211,7 +211,7 @@
 	name := fmt.Sprintf("s%d", c.rng.IntN(n))
 	s := c.servers[name]
 	if s == nil {
-		s = &listed{Endpoint: Endpoint{Name: name, Zone: fmt.Sprintf("z%d", c.rng.IntN(2)), Group: c.rng.IntN(3), CapacityHint: c.rng.Float64() * 2}}
+		s = &listedServer{Endpoint: Endpoint{Name: name, Zone: fmt.Sprintf("z%d", c.rng.IntN(2)), Group: c.rng.IntN(3), CapacityHint: c.rng.Float64() * 2}}
 		c.servers[name] = s
 	}
 	was := s.State
@@ -220,7 +220,7 @@
 		s.Started = c.now
 	}
 	if s.State != Serving {
-		s.badSince = c.now
+		s.notServingSince = c.now
 	}
 	b.ServersChanged(c.now, []Endpoint{s.Endpoint})
 }
@@ -228,7 +228,7 @@
 // run plays one random script and returns what it broke.
 func runScript(t *testing.T, seed uint64, cfg Config, servers int, gap, patience time.Duration) *checker {
 	t.Helper()
-	c := &checker{t: t, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 7)), servers: map[string]*listed{}, reqs: map[RequestID]*asked{}, now: time.Hour}
+	c := &checker{t: t, config: cfg, rng: rand.New(rand.NewPCG(seed, 7)), servers: map[string]*listedServer{}, requests: map[RequestID]*clientRequest{}, now: time.Hour}
 	b, err := New(cfg, seed, c)
 	if err != nil {
 		t.Fatal(err)
@@ -239,15 +239,15 @@
 	next := c.now
 	for id := RequestID(1); id <= 600; id++ {
 		next += time.Duration(c.rng.ExpFloat64() * float64(gap))
-		r := &asked{Request: Request{ID: id, Class: c.rng.IntN(len(cfg.Classes)), Tenant: c.rng.IntN(4) - 1, Deadline: next + time.Duration(c.rng.Float64()*float64(patience))}}
+		r := &clientRequest{Request: Request{ID: id, Class: c.rng.IntN(len(cfg.Classes)), Tenant: c.rng.IntN(4) - 1, Deadline: next + time.Duration(c.rng.Float64()*float64(patience))}}
 		r.class = cfg.Classes[r.Class]
 		c.at(next, func(b *Balancer) {
-			c.reqs[r.ID] = r
+			c.requests[r.ID] = r
 			b.Arrive(c.now, r.Request)
 			if c.rng.IntN(10) == 0 {
 				c.at(c.now+time.Duration(c.rng.Float64()*float64(patience)/2), func(b *Balancer) {
-					if !r.ended {
-						r.ended, r.byClient = true, true
+					if !r.finished {
+						r.finished, r.disconnected = true, true
 					}
 					b.ClientDisconnected(c.now, r.ID)
 				})
@@ -258,7 +258,7 @@
 		}
 	}
 	for len(c.queue) > 0 {
-		slices.SortFunc(c.queue, func(a, b event) int {
+		slices.SortFunc(c.queue, func(a, b scriptEvent) int {
 			if a.at != b.at {
 				return int(a.at - b.at)
 			}
@@ -272,13 +272,13 @@
 		c.now = max(c.now, e.at)
 		e.do(b)
 	}
-	for id, r := range c.reqs {
-		if !r.ended {
-			c.broke("request %d never answered", id)
+	for id, r := range c.requests {
+		if !r.finished {
+			c.violate("request %d never answered", id)
 		}
 	}
 	if n := len(b.requests) + len(b.timers); n != 0 {
-		c.broke("%d requests and timers kept after all ended", n)
+		c.violate("%d requests and timers kept after all ended", n)
 	}
 	return c
 }
@@ -313,13 +313,13 @@
 				cfg := testConfig()
 				v.change(&cfg)
 				c := runScript(t, seed, cfg, v.servers, v.gap, v.wait)
-				for _, s := range c.broken {
+				for _, s := range c.violations {
 					t.Errorf("seed %d: %s", seed, s)
 				}
 				if c.sends == 0 && v.servers > 1 {
 					t.Errorf("seed %d: nothing was sent", seed)
 				}
-				copies += c.copies
+				copies += c.hedges
 			}
 			if v.name == "as usual" && copies == 0 {
 				t.Error("no copy was sent in any script")
--- a/server_list_test.go
+++ b/server_list_test.go
@@ -6,7 +6,7 @@
 )
 
 // Where a failed call must be repeated within a time, each is, however many fail.
-func TestAskAgainIsBounded(t *testing.T) {
+func TestPollRetryDelayIsBounded(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxListAge, cfg.RetryWithin = time.Minute, 500*ms
 	r := new(recorder)
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// skews are by how much a balancer's clock may be ahead of the clocks of servers.
-var skews = []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour}
+// clockSkews are by how much a balancer's clock may be ahead of the clocks of servers.
+var clockSkews = []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour}
 
 // The story. A process that started while its machine's clock was an hour ahead took a
 // server that had started just now for one that was warm, and sent it a warm one's share;
 // with a clock an hour behind it took it for cold for an hour. Whatever the clock says, a
 // start that is told is cold from then on, and warm when its time is over.
-func TestToldStartIsColdWhateverTheClock(t *testing.T) {
-	for _, skew := range skews {
+func TestNewStartIsInSlowStartWhateverTheClock(t *testing.T) {
+	for _, skew := range clockSkews {
 		t.Run(fmt.Sprint("clock off by ", skew), func(t *testing.T) {
 			cfg := testConfig()
-			list := fleetOf(4)
+			list := servingEndpoints(4)
 			r := &recorder{}
 			b, err := New(cfg, 1, r)
 			if err != nil {
@@ -43,11 +43,11 @@
 
 // Of a first list no server counts as warmer than it is, whatever the clock, if the newest
 // start on it is of just now; what is warm by its distance to that stays warm.
-func TestFirstListIsReadColder(t *testing.T) {
-	for _, skew := range skews {
+func TestFirstListNeverOverestimatesSlowStartFactor(t *testing.T) {
+	for _, skew := range clockSkews {
 		t.Run(fmt.Sprint("clock off by ", skew), func(t *testing.T) {
 			cfg := testConfig()
-			list := fleetOf(4)
+			list := servingEndpoints(4)
 			const truth = 100 * time.Hour
 			ages := []time.Duration{0, cfg.SlowStartDuration / 2, 2 * cfg.SlowStartDuration}
 			for n, age := range ages {
@@ -59,7 +59,7 @@
 				t.Fatal(err)
 			}
 			own := truth + skew
-			b.ServersRestored(own, fleetOf(4)) // from before the starts
+			b.ServersRestored(own, servingEndpoints(4)) // from before the starts
 			b.ServersListed(own, list)
 			for n, age := range ages {
 				s := b.endpoints.byName[list[n].Name]
@@ -85,7 +85,7 @@
 // The same list again, whole or as a change, is no new start.
 func TestRepeatedListIsNoStart(t *testing.T) {
 	cfg := testConfig()
-	list := fleetOf(2)
+	list := servingEndpoints(2)
 	b, _ := newTest(t, cfg, list...)
 	list[0].Started = time.Hour
 	b.ServersChanged(time.Hour, list[:1])
@@ -98,10 +98,10 @@
 
 // A restarted server must get only its cold share: no more than slowStartSafetyFactor of
 // what would fell it, judged by what its warm peers get.
-func TestColdPacing(t *testing.T) {
+func TestSlowStartPacing(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[2:] // no copies
-	list := fleetOf(4)
+	list := servingEndpoints(4)
 	b, r := newTest(t, cfg, list...)
 	now, cold := 100*time.Second, 0
 	list[0].Started = now
@@ -121,8 +121,8 @@
 }
 
 // Sampling and pacing each hold a cold server back by themselves.
-func TestColdSamplingAndRoom(t *testing.T) {
-	list := fleetOf(2)
+func TestSlowStartSamplingAndBudget(t *testing.T) {
+	list := servingEndpoints(2)
 	b, _ := newTest(t, testConfig(), list...)
 	f, now := &b.endpoints, 100*time.Second
 	list[0].Started = now
@@ -151,8 +151,8 @@
 
 // A cold server outside the working set gets nothing: all balancers could fall
 // back on it together, each with a full share.
-func TestColdGuestGetsNothing(t *testing.T) {
-	list := fleetOf(12)
+func TestNoSlowStartBudgetOutsideWorkingSet(t *testing.T) {
+	list := servingEndpoints(12)
 	b, _ := newTest(t, testConfig(), list...)
 	f, now := &b.endpoints, 100*time.Second
 	for i := range list {
@@ -173,11 +173,11 @@
 
 // Where servers turn most sends away, what is sent to a warm one says too much
 // of what a cold one can take.
-func TestColdRoomCountsTakenSends(t *testing.T) {
+func TestSlowStartBudgetCountsAcceptedSends(t *testing.T) {
 	room := func(o Outcome) (n int) {
 		cfg := testConfig()
 		cfg.Classes = cfg.Classes[2:] // no copies
-		list := fleetOf(4)
+		list := servingEndpoints(4)
 		b, _ := newTest(t, cfg, list...)
 		now := 90 * time.Second
 		for id := RequestID(1); id <= 400; id++ {
--- a/slowstart_tier_test.go
+++ b/slowstart_tier_test.go
@@ -9,106 +9,106 @@
 	"time"
 )
 
-// crowd is many balancers before the same servers in one simulated clock. Servers answer
+// tier is many balancers before the same servers in one simulated clock. Servers answer
 // after a while whatever they get; what counts is what a cold one is sent.
-type crowd struct {
-	now    time.Duration
-	queue  crowdQueue
-	order  int
-	rng    *rand.Rand
-	sends  map[string][]time.Duration // to the servers that start
-	busy   map[string]int             // requests at a server
-	held   int                        // of which it holds so many, and turns the rest away
-	missed int                        // requests that were not served
+type tier struct {
+	now        time.Duration
+	queue      tierEvents
+	lastOrder  int
+	rng        *rand.Rand
+	sends      map[string][]time.Duration // to the servers that start
+	inFlight   map[string]int             // requests at a server
+	queueLimit int                        // of which it holds so many, and turns the rest away
+	unserved   int                        // requests that were not served
 }
 
-type crowdNode struct {
-	c    *crowd
-	b    *Balancer
-	sent map[RequestID]int // attempts
-	next RequestID
+type tierBalancer struct {
+	tier     *tier
+	balancer *Balancer
+	attempts map[RequestID]int // attempts
+	lastID   RequestID
 }
 
-type crowdEvent struct {
+type tierEvent struct {
 	at    time.Duration
 	order int
 	do    func()
 }
 
-type crowdQueue []crowdEvent
+type tierEvents []tierEvent
 
-func (q crowdQueue) Len() int { return len(q) }
-func (q crowdQueue) Less(i, j int) bool {
+func (q tierEvents) Len() int { return len(q) }
+func (q tierEvents) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (q crowdQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *crowdQueue) Push(x any)   { *q = append(*q, x.(crowdEvent)) }
-func (q *crowdQueue) Pop() any {
+func (q tierEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *tierEvents) Push(x any)   { *q = append(*q, x.(tierEvent)) }
+func (q *tierEvents) Pop() any {
 	old := *q
 	x := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return x
 }
 
-func (c *crowd) at(t time.Duration, do func()) {
-	c.order++
-	heap.Push(&c.queue, crowdEvent{t, c.order, do})
+func (c *tier) at(t time.Duration, do func()) {
+	c.lastOrder++
+	heap.Push(&c.queue, tierEvent{t, c.lastOrder, do})
 }
 
-func (c *crowd) run(until time.Duration) {
+func (c *tier) run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
-		e := heap.Pop(&c.queue).(crowdEvent)
+		e := heap.Pop(&c.queue).(tierEvent)
 		c.now = e.at
 		e.do()
 	}
 	c.now = until
 }
 
-func (n *crowdNode) Send(id RequestID, server string, _, _ time.Duration) {
-	c, attempt := n.c, n.sent[id]
-	n.sent[id]++
+func (n *tierBalancer) Send(id RequestID, server string, _, _ time.Duration) {
+	c, attempt := n.tier, n.attempts[id]
+	n.attempts[id]++
 	if sends, ok := c.sends[server]; ok {
 		c.sends[server] = append(sends, c.now)
 	}
 	o, took := OK, time.Duration(c.rng.ExpFloat64()*float64(25*ms))
-	if c.busy[server] >= c.held {
+	if c.inFlight[server] >= c.queueLimit {
 		o, took = Rejected, ms
 	} else {
-		c.busy[server]++
+		c.inFlight[server]++
 	}
 	c.at(c.now+took, func() {
 		if o == OK {
-			c.busy[server]--
+			c.inFlight[server]--
 		}
-		n.b.AttemptFinished(c.now, id, attempt, o, o == OK, LoadReport{})
+		n.balancer.AttemptFinished(c.now, id, attempt, o, o == OK, LoadReport{})
 	})
 }
-func (n *crowdNode) Cancel(id RequestID, k int) {
-	n.c.at(n.c.now, func() { n.b.AttemptFinished(n.c.now, id, k, Cancelled, true, LoadReport{}) })
+func (n *tierBalancer) Cancel(id RequestID, k int) {
+	n.tier.at(n.tier.now, func() { n.balancer.AttemptFinished(n.tier.now, id, k, Cancelled, true, LoadReport{}) })
 }
-func (n *crowdNode) Reject(RequestID, time.Duration) { n.c.missed++ }
-func (n *crowdNode) Fail(RequestID)                  { n.c.missed++ }
-func (n *crowdNode) CloseIdle(string)                {}
-func (n *crowdNode) Probe(server string) {
-	n.c.at(n.c.now+ms, func() { n.b.ProbeAnswered(n.c.now, server, LoadReport{HasInFlight: true, InFlight: 1}) })
+func (n *tierBalancer) Reject(RequestID, time.Duration) { n.tier.unserved++ }
+func (n *tierBalancer) Fail(RequestID)                  { n.tier.unserved++ }
+func (n *tierBalancer) CloseIdle(string)                {}
+func (n *tierBalancer) Probe(server string) {
+	n.tier.at(n.tier.now+ms, func() { n.balancer.ProbeAnswered(n.tier.now, server, LoadReport{HasInFlight: true, InFlight: 1}) })
 }
-func (n *crowdNode) Subscribe() {}
-func (n *crowdNode) SetTimer(cookie uint64, after time.Duration) {
-	n.c.at(n.c.now+after, func() { n.b.TimerFired(n.c.now, cookie) })
+func (n *tierBalancer) Subscribe() {}
+func (n *tierBalancer) SetTimer(cookie uint64, after time.Duration) {
+	n.tier.at(n.tier.now+after, func() { n.balancer.TimerFired(n.tier.now, cookie) })
 }
 
 // arrive makes n's clients send at rate, and half as much again within the burst.
-func (n *crowdNode) arrive(rate float64, burst, burstEnd, end time.Duration) {
-	now, more := n.c.now, 1.0
+func (n *tierBalancer) arrive(rate float64, burst, burstEnd, end time.Duration) {
+	now, more := n.tier.now, 1.0
 	if now >= burst && now < burstEnd {
 		more = 1.5
 	}
-	n.c.at(now+time.Duration(n.c.rng.ExpFloat64()/(rate*more)*float64(time.Second)), func() {
-		if n.c.now >= end {
+	n.tier.at(now+time.Duration(n.tier.rng.ExpFloat64()/(rate*more)*float64(time.Second)), func() {
+		if n.tier.now >= end {
 			return
 		}
-		n.next++
-		n.b.Arrive(n.c.now, Request{ID: n.next, Class: int(n.next) % 3, Tenant: -1, Deadline: n.c.now + 2*time.Second})
+		n.lastID++
+		n.balancer.Arrive(n.tier.now, Request{ID: n.lastID, Class: int(n.lastID) % 3, Tenant: -1, Deadline: n.tier.now + 2*time.Second})
 		n.arrive(rate, burst, burstEnd, end)
 	})
 }
@@ -117,7 +117,7 @@
 // many they are and however many servers start at once, with traffic that is skewed and
 // comes in a burst, with retries and copies, while some know of the start late; and it gets
 // a fair part of what it can take.
-func TestColdSumOverBalancers(t *testing.T) {
+func TestSlowStartSumOverBalancers(t *testing.T) {
 	const (
 		servers  = 12
 		capacity = 20.0 // requests a second of a warm server
@@ -130,12 +130,12 @@
 			t.Run(fmt.Sprintf("%d balancers, %d cold", count, cold), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(10) {
-					c := &crowd{rng: rand.New(rand.NewPCG(seed, 7)), held: 3, sends: make(map[string][]time.Duration), busy: make(map[string]int)}
+					c := &tier{rng: rand.New(rand.NewPCG(seed, 7)), queueLimit: 3, sends: make(map[string][]time.Duration), inFlight: make(map[string]int)}
 					cfg := testConfig()
 					cfg.Instances = count
 					cfg.SlowStartInitialFraction, cfg.SlowStartDuration, cfg.OverloadFactor, cfg.OverloadDuration = 0.14, 23*time.Second, 4, 2*time.Second
-					list := fleetOf(servers)
-					anew := fleetOf(cold)
+					list := servingEndpoints(servers)
+					anew := servingEndpoints(cold)
 					for i := range anew {
 						anew[i].Started = start
 						c.sends[anew[i].Name] = nil
@@ -146,18 +146,18 @@
 						sum += weights[i]
 					}
 					for i := range count {
-						n := &crowdNode{c: c, sent: make(map[RequestID]int)}
+						n := &tierBalancer{tier: c, attempts: make(map[RequestID]int)}
 						var err error
-						if n.b, err = New(cfg, c.rng.Uint64(), n); err != nil {
+						if n.balancer, err = New(cfg, c.rng.Uint64(), n); err != nil {
 							t.Fatal(err)
 						}
-						n.b.ServersListed(0, list)
+						n.balancer.ServersListed(0, list)
 						n.arrive(load*servers*capacity*weights[i]/sum, start+2*time.Second, start+6*time.Second, end)
 						told := start + time.Duration(c.rng.Float64()*float64(100*ms))
 						if i%10 == 9 {
 							told += 3 * time.Second
 						}
-						c.at(told, func() { n.b.ServersChanged(c.now, anew) })
+						c.at(told, func() { n.balancer.ServersChanged(c.now, anew) })
 					}
 					c.run(end)
 					warmth := func(at time.Duration) float64 {
@@ -183,7 +183,7 @@
 						}
 					}
 					if testing.Verbose() {
-						t.Logf("seed %d: worst window %.2f of the bound, %d sends to a cold one of %.0f it could serve, %d not served", seed, worst, got/cold, could, c.missed)
+						t.Logf("seed %d: worst window %.2f of the bound, %d sends to a cold one of %.0f it could serve, %d not served", seed, worst, got/cold, could, c.unserved)
 					}
 					if worst > 1 {
 						t.Errorf("seed %d: a cold server got %.2f times what may be sent in a window", seed, worst)
--- a/working_set_test.go
+++ b/working_set_test.go
@@ -3,11 +3,11 @@
 import "testing"
 
 // Where connections have a price, a large tier keeps small working sets.
-func TestWorkingSetByConnectionPrice(t *testing.T) {
+func TestWorkingSetByConnectionCost(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances, cfg.ConnectionCost = 1200, 0.05
-	b, r := newTest(t, cfg, fleetOf(60)...)
-	b.noCopies()
+	b, r := newTest(t, cfg, servingEndpoints(60)...)
+	b.disableHedging()
 	used := map[string]bool{}
 	for id := RequestID(1); id <= 200; id++ {
 		b.Arrive(0, Request{ID: id, Deadline: 300 * ms})
