--- a/attempt_test.go
+++ b/attempt_test.go
@@ -18,20 +18,20 @@
 		at      time.Duration
 		want    []string
 	}{
-		{"safe after error", 0, two, ServerError, ms, []string{"send 1", "send 1"}},
-		{"safe after full", 0, two, Rejected, ms, []string{"send 1", "send 1"}},
-		{"unsafe after full", 2, two, Rejected, ms, []string{"send 1", "send 1"}},
-		{"unsafe after no connection", 2, two, ConnectFailed, ms, []string{"send 1", "send 1"}},
-		{"unsafe after error", 2, two, ServerError, ms, []string{"send 1", "fail 1"}},
-		{"unsafe after reset", 2, two, Reset, ms, []string{"send 1", "fail 1"}},
-		{"unsafe after timeout", 2, two, TimedOut, ms, []string{"send 1", "fail 1"}},
-		{"unsafe after cancel", 2, two, Cancelled, ms, []string{"send 1", "fail 1"}},
-		{"keyed in its group", 1, two, Reset, ms, []string{"send 1", "send 1"}},
-		{"keyed out of its group", 1, apart, Reset, ms, []string{"send 1", "fail 1"}},
-		{"keyed never ran, any group", 1, apart, Rejected, ms, []string{"send 1", "send 1"}},
-		{"nobody left to try", 2, two[:1], Rejected, ms, []string{"send 1", "refuse 1"}},
-		{"past the aim", 0, two, Reset, 100 * ms, []string{"send 1", "refuse 1"}},
-		{"unsafe past the aim", 2, two, Reset, 100 * ms, []string{"send 1", "fail 1"}},
+		{"idempotent after an error", 0, two, ServerError, ms, []string{"send 1", "send 1"}},
+		{"idempotent after a rejection", 0, two, Rejected, ms, []string{"send 1", "send 1"}},
+		{"non-idempotent after a rejection", 2, two, Rejected, ms, []string{"send 1", "send 1"}},
+		{"non-idempotent after a failed connection", 2, two, ConnectFailed, ms, []string{"send 1", "send 1"}},
+		{"non-idempotent after an error", 2, two, ServerError, ms, []string{"send 1", "fail 1"}},
+		{"non-idempotent after a reset", 2, two, Reset, ms, []string{"send 1", "fail 1"}},
+		{"non-idempotent after a timeout", 2, two, TimedOut, ms, []string{"send 1", "fail 1"}},
+		{"non-idempotent after a cancellation", 2, two, Cancelled, ms, []string{"send 1", "fail 1"}},
+		{"keyed within its scope", 1, two, Reset, ms, []string{"send 1", "send 1"}},
+		{"keyed outside its scope", 1, apart, Reset, ms, []string{"send 1", "fail 1"}},
+		{"keyed and not executed, outside its scope", 1, apart, Rejected, ms, []string{"send 1", "send 1"}},
+		{"no server left", 2, two[:1], Rejected, ms, []string{"send 1", "refuse 1"}},
+		{"past the latency objective", 0, two, Reset, 100 * ms, []string{"send 1", "refuse 1"}},
+		{"non-idempotent past the latency objective", 2, two, Reset, 100 * ms, []string{"send 1", "fail 1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, r := newTest(t, testConfig(), c.servers...)
@@ -48,8 +48,8 @@
 	}
 }
 
-// A retry budget binds all but the dearest: where all queues are full, retries
-// only push others out.
+// A retry budget binds all requests but those of highest weight: where all queues are full,
+// retries only displace others.
 func TestRetryBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[2].Weight = 20
@@ -57,7 +57,7 @@
 	for id := RequestID(1); id <= 200; id++ {
 		b.disableHedging()
 		now := time.Duration(id) * 10 * ms
-		class := int(id%10/9) * 2 // a tenth is dear
+		class := int(id%10/9) * 2 // a tenth has a high weight
 		b.admission.shedLevel = 0
 		b.Arrive(now, Request{ID: id, Class: class, Tenant: -1, Deadline: now + 300*ms})
 		for n := 0; b.requests[id] != nil; n++ {
@@ -72,22 +72,22 @@
 		}
 	}
 	if dear := sends[true]; dear != 20*cfg.MaxAttempts {
-		t.Errorf("%d sends of 20 dear requests, want all %d attempts each", dear, cfg.MaxAttempts)
+		t.Errorf("%d sends of 20 requests of high weight, want all %d attempts each", dear, cfg.MaxAttempts)
 	}
 	if cheap := sends[false]; cheap < 180+40 || cheap > 180+80 {
-		t.Errorf("%d sends of 180 cheap requests, want about %v retries a request", cheap, retryTokensPerRequest)
+		t.Errorf("%d sends of 180 requests of low weight, want about %v retries a request", cheap, retryTokensPerRequest)
 	}
 }
 
-// A keyed request that may have run may leave again within its window only, also where
-// that ends long before the deadline; one that is free to run may leave until then.
+// A keyed request that may have been executed is sent again within its deduplication window
+// only, also where that ends long before the deadline; an idempotent one until the deadline.
 func TestKeyedRetryIsSentWithinDedupWindow(t *testing.T) {
 	for class, want := range map[int]time.Duration{0: 930 * ms, 1: 130 * ms} {
 		b, r := newTest(t, testConfig(), servingEndpoints(2)...)
 		b.Arrive(0, Request{ID: 1, Class: class, Deadline: time.Second})
 		b.AttemptFinished(70*ms, 1, 0, Reset, false, LoadReport{})
 		if len(r.sendWithins) != 2 || r.sendWithins[0] != time.Second || r.sendWithins[1] != want {
-			t.Errorf("class %d: the attempts may leave within %v, want 1s and %v", class, r.sendWithins, want)
+			t.Errorf("class %d: the attempts may be sent within %v, want 1s and %v", class, r.sendWithins, want)
 		}
 	}
 }
--- a/balancer.go
+++ b/balancer.go
@@ -34,7 +34,7 @@
 	Send(id RequestID, server string, timeout, sendWithin time.Duration)
 	// Cancel stops waiting for an attempt.
 	Cancel(id RequestID, attempt int)
-	// Reject ends a request and tells the client that a retry is harmless,
+	// Reject ends a request with an answer that says that a retry is harmless,
 	// preferably not before retryAfter.
 	Reject(id RequestID, retryAfter time.Duration)
 	// Fail ends a request without saying whether a retry is harmless.
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// recorder is a Host that writes down what it is asked.
+// recorder is a Host that records the actions it is to carry out.
 type recorder struct {
 	actions     []string
 	servers     []string // by send
@@ -59,11 +59,11 @@
 	return b, r
 }
 
-// without copies: the draw for one always fails.
+// disableHedging makes every draw for a hedge fail.
 func (b *Balancer) disableHedging() { b.hedger.probability = 0 }
 
-// A jam must be heard of at the aim, not only by the time-outs seconds later, and
-// each request counts once.
+// A jam must be detected when the latency objective passes, not only by timeouts seconds
+// later, and each request counts once.
 func TestOverdueCountsAsLate(t *testing.T) {
 	b, r := newTest(t, testConfig(), servingEndpoints(4)...)
 	b.hedger.probability = 0
@@ -71,7 +71,7 @@
 	b.TimerFired(100*ms, r.timers[0])
 	level := b.admission.shedLevel
 	if level <= 0 {
-		t.Error("unanswered at its aim: the shed level did not rise")
+		t.Error("unanswered at the latency objective: the shed level did not rise")
 	}
 	b.AttemptFinished(150*ms, 1, 0, OK, true, LoadReport{})
 	if b.admission.shedLevel != level {
@@ -79,8 +79,8 @@
 	}
 }
 
-// A request that is open when its class changes keeps its effect and its attempts, one
-// that was read before and comes after too; classes that stay keep what was learned.
+// A request that is open when its class changes keeps its idempotency and its attempts, and
+// so does one that was read before the change and arrives after it.
 func TestReconfigureKeepsOpenRequests(t *testing.T) {
 	cfg := testConfig()
 	b, r := newTest(t, cfg, Endpoint{Name: "a"}, Endpoint{Name: "b"}, Endpoint{Name: "c"})
@@ -103,9 +103,9 @@
 		t.Error(got)
 	}
 	if b.Reconfigure(testConfig()) == nil {
-		t.Error("a class lost its place")
+		t.Error("a configuration that drops a class was accepted")
 	}
-	next.MaxAttempts = 1 // binds at once: they have had two
+	next.MaxAttempts = 1 // applies at once: they have had two
 	if err := b.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
--- a/endpoint_set_test.go
+++ b/endpoint_set_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Sorting a large fleet anew for each of many small changes cost a quiet balancer
-// more than its requests did: members stay sorted as changes come.
+// Members stay sorted through changes: sorting a long list after each of many small changes
+// would cost a quiet balancer more than its requests do.
 func TestMembersStaySorted(t *testing.T) {
 	b, _ := newTest(t, testConfig(), servingEndpoints(20)...)
 	f, rng := &b.endpoints, rand.New(rand.NewPCG(7, 7))
--- a/example_test.go
+++ b/example_test.go
@@ -7,8 +7,8 @@
 	"martendrum"
 )
 
-// printer is a Host that prints what it is asked. A real one would do it, and
-// report each attempt's end and each timer back to the balancer.
+// printer is a Host that prints the actions. A real one would carry them out and report each
+// outcome and each timer to the balancer.
 type printer struct{ timers []uint64 }
 
 func (p *printer) Send(id martendrum.RequestID, server string, _, _ time.Duration) {
@@ -26,8 +26,8 @@
 func (p *printer) Probe(string)                            {}
 func (p *printer) Subscribe()                              {}
 
-// A request, its copy, and the loser called off. A new balancer knows no response
-// times yet and copies one request in ten at once; this seed's first is one.
+// A request is hedged and its slower attempt cancelled. A new balancer knows no latencies yet
+// and hedges one request in ten at once; this seed's first is one.
 func Example() {
 	host := new(printer)
 	b, err := martendrum.New(martendrum.Config{
@@ -46,10 +46,10 @@
 
 	b.Arrive(now, martendrum.Request{ID: 7, Tenant: -1, Deadline: now + time.Second})
 	now += time.Millisecond
-	b.TimerFired(now, host.timers[0]) // the copy's delay is over
+	b.TimerFired(now, host.timers[0]) // the hedge's delay is over
 
 	now += 30 * time.Millisecond
-	b.AttemptFinished(now, 7, 1, martendrum.OK, true, martendrum.LoadReport{}) // the copy answers first
+	b.AttemptFinished(now, 7, 1, martendrum.OK, true, martendrum.LoadReport{}) // the hedge answers first
 	b.AttemptFinished(now, 7, 0, martendrum.Cancelled, true, martendrum.LoadReport{})
 
 	_, err = martendrum.New(martendrum.Config{Instances: 1, MaxAttempts: 3}, 1, host)
--- a/hedge_delay_test.go
+++ b/hedge_delay_test.go
@@ -31,7 +31,7 @@
 		{"at a sample", answeredSamples(1, 2, 3, 4), 2, 0.5},
 		{"ties", answeredSamples(1, 1, 1, 4), 1, 0.25},
 		// Three at risk at 1 leave 2/3; the one at 2 is censored, so that one
-		// is at risk at 3 and takes all that is left.
+		// is at risk at 3 and takes all that remains.
 		{"censored between", []sample{{1, false}, {2, true}, {3, false}}, 2.5, 2.0 / 3},
 		{"censored then answered", []sample{{1, false}, {2, true}, {3, false}}, 3, 0},
 		// Counting the censored one as answered at 2 would give 0.5 here.
@@ -46,16 +46,16 @@
 }
 
 func TestSuccessRate(t *testing.T) {
-	// Ten first sends answered at 1..10. With d = 6, four are still out, so a
-	// budget of 0.2 copies half of them. By t = 8 two of ten are late; copies
-	// answered within t-d = 2 save half of them with q = 0.5.
+	// Ten first attempts answered at 1..10. With d = 6, four are unanswered, so a budget of
+	// 0.2 hedges half of them. By t = 8 two of ten are late; hedges answered within t-d = 2
+	// rescue half of them with q = 0.5.
 	x := fitSurvival(answeredSamples(1, 2, 3, 4, 5, 6, 7, 8, 9, 10))
 	y := fitSurvival(answeredSamples(1, 2, 3, 4))
 	if got, want := successRate(x, y, nil, 0.2, 8, 6), 0.8+0.5*0.2*0.5; math.Abs(got-want) > 1e-12 {
 		t.Errorf("independent: %v, want %v", got, want)
 	}
-	// Twelve whole pairs with X > 8 whose copies were all slow weigh as much
-	// as the prior: half of what independence promised.
+	// Twelve complete pairs with X > 8 whose hedges were all slow weigh as much as the
+	// prior: half of what independence gives.
 	var slow []pair
 	for range 12 {
 		slow = append(slow, pair{9, 9})
@@ -66,9 +66,9 @@
 }
 
 func TestComputeOptimalSingleR(t *testing.T) {
-	// 90 answers at 1 and 10 stragglers at 100; copies answer at 1. A copy at
+	// 90 answers at 1 and 10 stragglers at 100; hedges answer at 1. A hedge at
 	// any d up to the second answers by d+1, and B = 0.1 covers every
-	// straggler once d = 1 leaves only them: the tail falls from 100 to 2.
+	// straggler once only they remain at d = 1: the tail falls from 100 to 2.
 	var x []sample
 	for range 90 {
 		x = append(x, sample{latency: 1})
--- a/hedge_test.go
+++ b/hedge_test.go
@@ -32,12 +32,12 @@
 		t.Errorf("q = %v, want B / Pr(X > d) = %v", r.probability, want)
 	}
 	if dear := newHedger(0.4); dear.budget >= r.budget {
-		t.Errorf("budget %v where waste is dear, want under %v", dear.budget, r.budget)
+		t.Errorf("budget %v where wasted work is expensive, want under %v", dear.budget, r.budget)
 	}
 }
 
-// Copies are bought with tokens that first sends earn: a burst of retries of
-// one request must not buy more.
+// Hedges cost tokens that first attempts earn: a burst of retries of one request must not
+// buy more.
 func TestHedgeTokens(t *testing.T) {
 	b, r := newTest(t, testConfig(), Endpoint{Name: "a"}, Endpoint{Name: "b"}, Endpoint{Name: "c"})
 	b.hedger.probability, b.hedger.delay, b.hedger.tokens = 1, 0, 0
@@ -46,11 +46,11 @@
 		b.TimerFired(0, r.timers[len(r.timers)-1])
 	}
 	if copies := len(r.servers) - 30; copies < 2 || copies > 3 {
-		t.Errorf("%d copies for 30 first sends at B = %v", copies, maxHedgeBudget)
+		t.Errorf("%d hedges for 30 first attempts at B = %v", copies, maxHedgeBudget)
 	}
 }
 
-// Lost first sends raise the copies' budget, and it falls again after them.
+// Lost attempts raise the hedge budget, and it falls again after them.
 func TestBudgetFollowsLosses(t *testing.T) {
 	b, _ := newTest(t, testConfig(), servingEndpoints(4)...)
 	r := &b.hedger
@@ -71,7 +71,7 @@
 	}
 	run(TimedOut)
 	if r.budget != maxHedgeBudget {
-		t.Errorf("budget %v where all is lost, want its limit", r.budget)
+		t.Errorf("budget %v where all attempts are lost, want its limit", r.budget)
 	}
 	run(OK)
 	if r.budget > 0.03 || calm != maxHedgeBudget {
@@ -84,7 +84,7 @@
 	b.hedger.probability, b.hedger.delay, b.hedger.tokens = 1, 0.5, 3
 	b.Arrive(0, Request{ID: 1, Deadline: 300 * ms})
 	if len(r.delays) != 1 || r.delays[0] != 50*ms {
-		t.Fatalf("timers %v, want one after half the aim", r.delays)
+		t.Fatalf("timers %v, want one after half the latency objective", r.delays)
 	}
 	b.TimerFired(50*ms, r.timers[0])
 	b.requests[1].samplePair = false
@@ -94,15 +94,15 @@
 		t.Errorf("got %v, want %v", r.actions, want)
 	}
 	if n := len(b.requests) + len(b.timers); n != 0 {
-		t.Errorf("%d requests and timers kept after the end", n)
+		t.Errorf("%d requests and timers remain after the end", n)
 	}
 	if p := b.hedger.primary.buf; len(p) != 1 || !p[0].censored {
 		t.Errorf("primary log %v, want one censored sample", p)
 	}
 }
 
-// In an overload copies only add to what comes late: while the balancer sheds, a
-// planned copy is not sent.
+// In an overload hedges only delay other requests: while the balancer sheds load, a planned
+// hedge is not sent.
 func TestNoHedgesWhileShedding(t *testing.T) {
 	for _, level := range []float64{0, 0.5} {
 		b, r := newTest(t, testConfig(), servingEndpoints(4)...)
@@ -111,19 +111,19 @@
 		b.admission.shedLevel = level
 		b.TimerFired(10*ms, r.timers[0])
 		if copied := len(r.servers) == 2; copied != (level == 0) {
-			t.Errorf("level %v: copied %v", level, copied)
+			t.Errorf("shed level %v: hedged %v", level, copied)
 		}
 	}
 }
 
-// The timer at the aim is never one for a copy, not even from a host whose clock
-// cuts fractions off and fires a little early.
+// The timer at the latency objective never sends a hedge, not even from a host whose clock
+// truncates and fires a little early.
 func TestObjectiveTimerSendsNoHedge(t *testing.T) {
 	b, r := newTest(t, testConfig(), servingEndpoints(4)...)
 	b.hedger.probability = 0
 	b.Arrive(0, Request{ID: 1, Tenant: -1, Deadline: time.Second})
 	b.TimerFired(100*ms-1, r.timers[0])
 	if len(r.servers) != 1 {
-		t.Errorf("%d sends without a copy drawn, want 1", len(r.servers))
+		t.Errorf("%d sends without a hedge drawn, want 1", len(r.servers))
 	}
 }
--- a/learned_state_test.go
+++ b/learned_state_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// One that takes another's place knows what that one knew: which server is slow,
-// which is left out, and when to copy; not of a server that has started anew.
+// A balancer that takes another's place restores which server is slow, which is ejected and
+// when to hedge, but nothing about a server that has restarted.
 func TestLearnedStateIsRestored(t *testing.T) {
 	list := []Endpoint{{Name: "a"}, {Name: "b"}, {Name: "slow"}, {Name: "dead"}, {Name: "new", Started: time.Second}}
 	old, r := newTest(t, testConfig(), list...)
@@ -30,7 +30,7 @@
 		now += 90 * ms
 	}
 	l := old.LearnedState(now)
-	list[4].Started = 3 * time.Second // it has started anew since
+	list[4].Started = 3 * time.Second // it has restarted since
 	next, _ := newTest(t, testConfig(), list...)
 	next.Restore(now, l, 0)
 	if next.hedger.delay != old.hedger.delay || next.hedger.probability != old.hedger.probability || len(next.hedger.primary.buf) != len(old.hedger.primary.buf) {
@@ -43,11 +43,11 @@
 		}
 	}
 	if s := next.endpoints.byName["new"]; s.weightCorrection != 1 || s.latencyWeight != 0 {
-		t.Errorf("a server that started anew: %+v", s)
+		t.Errorf("a server that restarted: %+v", s)
 	}
 	again := next.LearnedState(now)
-	l.Servers, again.Servers, l.LostFraction, again.LostFraction = nil, nil, 0, 0 // the one that started anew; one step of the running share
+	l.Servers, again.Servers, l.LostFraction, again.LostFraction = nil, nil, 0, 0 // the server that restarted; one step of the running fraction
 	if !reflect.DeepEqual(l, again) {
-		t.Errorf("passed on again: %+v, want %+v", again, l)
+		t.Errorf("learned state after the restore: %+v, want %+v", again, l)
 	}
 }
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// All suspect: the capped share keeps some in, and a lone suspect still serves.
+// Where all servers fail, only maxEjectedFraction of them are ejected.
 func TestEjectionIsCapped(t *testing.T) {
 	b, _ := newTest(t, testConfig(), servingEndpoints(10)...)
 	b.endpoints.refresh(0)
@@ -23,7 +23,7 @@
 	}
 }
 
-// A server that answers nobody while requests reach their aim is left out; one
+// A server that answers nothing while requests reach their latency objective is ejected; one
 // that answers others meanwhile is not.
 func TestSilentServerIsEjected(t *testing.T) {
 	for _, answers := range []bool{false, true} {
@@ -47,19 +47,19 @@
 			b.TimerFired(100*ms, cookie)
 		}
 		if out := len(b.endpoints.ejected); (out == 0) != answers {
-			t.Errorf("answers others: %v, %d left out", answers, out)
+			t.Errorf("answers others: %v, %d ejected", answers, out)
 		}
 	}
 }
 
-// Connections that break by chance, with answers between, leave no server out and
-// are tried again past the retry budget; a server that only breaks is left out.
+// Connections that break at random, with answers between, eject no server, and their requests
+// are retried past the retry budget; a server whose connections all break is ejected.
 func TestRandomResetsEjectNoServer(t *testing.T) {
 	for _, dead := range []bool{false, true} {
 		b, r := newTest(t, testConfig(), servingEndpoints(5)...)
 		b.disableHedging()
 		b.retryTokens = 0
-		now, step := time.Second, ms/4 // all is over before any server can seem silent
+		now, step := time.Second, ms/4 // the test ends before any server can seem silent
 		if dead {
 			step = ms
 		}
@@ -74,7 +74,7 @@
 				if o := Reset; id%9 < 3 && !dead || dead && s == "s001" {
 					b.AttemptFinished(now, id, n, o, false, LoadReport{})
 					if got := len(r.servers) - sends; got != 2 {
-						t.Fatalf("%d sends of a request that broke, want 2", got)
+						t.Fatalf("%d sends of a request whose connection broke, want 2", got)
 					}
 					b.AttemptFinished(now, id, n+1, OK, true, LoadReport{})
 				} else {
@@ -84,13 +84,13 @@
 			b.retryTokens = 0
 		}
 		if out := len(b.endpoints.ejected); (out > 0) != dead {
-			t.Errorf("dead %v: %d servers left out", dead, out)
+			t.Errorf("dead %v: %d servers ejected", dead, out)
 		}
 	}
 }
 
-// A server that fails one class, and fast, gains no weight by its speed, is no
-// place for that class and serves the others on. Where all fail, it still is sent.
+// A server that fails one class, and fast, gains no weight by its speed, is avoided for that
+// class and serves the others. Where all servers fail the class, its requests are still sent.
 func TestServerThatFailsOneClass(t *testing.T) {
 	b, r := newTest(t, testConfig(), servingEndpoints(5)...)
 	b.disableHedging()
@@ -107,7 +107,7 @@
 		b.AttemptFinished(now, id, 0, o, true, LoadReport{})
 	}
 	if asked[1] > 5 || asked[0] < 20 || bad.weightCorrection > 1.5 || bad.ejectedUntil > 0 {
-		t.Errorf("asked %v, weight %v, left out until %v", asked, bad.weightCorrection, bad.ejectedUntil)
+		t.Errorf("sends %v, weight %v, ejected until %v", asked, bad.weightCorrection, bad.ejectedUntil)
 	}
 	for _, s := range b.endpoints.members {
 		s.errorRates = map[int]tokenBucket{0: {1, 3 * time.Second}, 1: {1, 3 * time.Second}, 2: {1, 3 * time.Second}}
--- a/pick_capacity_test.go
+++ b/pick_capacity_test.go
@@ -12,10 +12,10 @@
 // capacityServers are the lengths of the server list of the capacity benchmarks.
 var capacityServers = []int{30, 300, 1000, 3000, 10000, 21000}
 
-// callInterval is the time between two calls of a sidecar with 62 calls a second.
+// callInterval is the time between two requests of a sidecar with 62 requests a second.
 const callInterval = time.Second / 62
 
-// discardHost carries out nothing and remembers the latest timer.
+// discardHost carries out nothing and keeps the cookie of the latest timer.
 type discardHost struct{ timer uint64 }
 
 func (h *discardHost) Send(RequestID, string, time.Duration, time.Duration) {}
@@ -69,7 +69,7 @@
 	}
 }
 
-// BenchmarkServerListCapacity takes a whole server list into a new balancer.
+// BenchmarkServerListCapacity takes a complete server list into a new balancer.
 func BenchmarkServerListCapacity(b *testing.B) {
 	for _, size := range capacityServers {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
@@ -88,7 +88,7 @@
 }
 
 // BenchmarkServerChangeCapacity takes the change of one server, which starts to drain or
-// comes back, and the next request, for which the sampling table is made anew.
+// serves again, and the next request, which recomputes the sampling table.
 func BenchmarkServerChangeCapacity(b *testing.B) {
 	for _, size := range capacityServers {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
--- a/pick_test.go
+++ b/pick_test.go
@@ -14,7 +14,7 @@
 	return list
 }
 
-// Each request stays out, so that two-choice must keep the in-flight even.
+// Each request stays in flight, so that two choices must balance the servers.
 func TestTwoChoiceEvensInFlight(t *testing.T) {
 	b, r := newTest(t, testConfig(), servingEndpoints(minWorkingSet)...)
 	b.disableHedging()
@@ -36,26 +36,26 @@
 	for name, list := range map[string][]Endpoint{
 		"none":         nil,
 		"all draining": {{Name: "a", State: Draining}, {Name: "b", State: Draining}},
-		"all gone":     {{Name: "a", State: Removed}},
+		"all removed":  {{Name: "a", State: Removed}},
 	} {
 		b, r := newTest(t, testConfig(), list...)
 		for class := range 3 {
 			b.Arrive(0, Request{ID: RequestID(class + 1), Class: class, Deadline: 300 * ms})
 		}
 		if len(r.actions) != 3 || r.actions[0] != "refuse 1" || r.actions[1] != "refuse 2" || r.actions[2] != "refuse 3" {
-			t.Errorf("%s: %v, want three refusals", name, r.actions)
+			t.Errorf("%s: %v, want three rejections", name, r.actions)
 		}
 	}
 	b, r := newTest(t, testConfig(), servingEndpoints(2)...)
 	b.Arrive(time.Second, Request{ID: 1, Deadline: time.Second})
 	b.Arrive(time.Second, Request{ID: 2, Class: 9, Deadline: 2 * time.Second})
 	if len(r.actions) != 2 || r.actions[0] != "refuse 1" || r.actions[1] != "refuse 2" {
-		t.Errorf("deadline past, no such class: %v, want two refusals", r.actions)
+		t.Errorf("deadline past, no such class: %v, want two rejections", r.actions)
 	}
 }
 
-// Own in-flight comes before every other sign: a server that holds one of this
-// balancer's requests may be a jam that its old answers do not show yet.
+// This balancer's requests in flight outweigh every other term of the cost: the server that has
+// one may be jammed without its earlier answers showing it.
 func TestInFlightComesFirst(t *testing.T) {
 	b, _ := newTest(t, testConfig(), servingEndpoints(2)...)
 	busy, slow := b.endpoints.byName["s000"], b.endpoints.byName["s001"]
--- a/probe_test.go
+++ b/probe_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Where only probes tell loads, a request waits for its probes and then goes to
-// the less loaded server; where that one cannot answer within the aim, it is
-// refused at once. Without, quiet balancers fed jams that they could not see.
+// Where servers report their load only when probed, a request waits for its probes and then
+// goes to the less loaded server. If that one cannot answer within the latency objective, the
+// request is rejected at once: quiet balancers would otherwise feed jams that they cannot see.
 func TestProbesBeforeFirstSend(t *testing.T) {
 	cfg := testConfig()
 	cfg.Probes = true
@@ -18,7 +18,7 @@
 		r.actions, r.delays = nil, nil
 		b.Arrive(0, Request{ID: id, Deadline: deadline})
 		if len(r.actions) != probesPerRequest {
-			t.Fatalf("asked %v on arrival, want %d probes", r.actions, probesPerRequest)
+			t.Fatalf("actions %v on arrival, want %d probes", r.actions, probesPerRequest)
 		}
 		b.ProbeAnswered(0, "a", LoadReport{HasInFlight: true, InFlight: a})
 		b.ProbeAnswered(0, "b", LoadReport{HasInFlight: true, InFlight: bb})
@@ -35,7 +35,7 @@
 	}
 	arrive(11, 300*ms, 90, 90)
 	if !slices.Equal(r.actions, []string{"refuse 11"}) {
-		t.Errorf("got %v where the aim is out of reach, want a refusal", r.actions)
+		t.Errorf("got %v where the latency objective is out of reach, want a rejection", r.actions)
 	}
 	arrive(12, 2*ms, 0, 0)
 	if r.delays[0] > ms {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Probes that cost more than they can win are not sent.
+// Probes that cost more than they can earn are not sent.
 func TestExpensiveProbesAreNotSent(t *testing.T) {
 	cfg := testConfig()
 	cfg.Probes, cfg.ProbeCost = true, 2*maxProbeCost/probesPerRequest
--- a/rules_test.go
+++ b/rules_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// checker is a Host that plays the fleet and the clients from a seed and holds
-// the balancer to the rules on its own account, apart from the module's state.
+// checker is a Host that plays servers and clients from a seed and checks the rules of
+// attempts and answers from its own records, independent of the Balancer's state.
 type checker struct {
 	t          *testing.T
 	config     Config
@@ -27,7 +27,7 @@
 	violations []string
 }
 
-// listedServer is what the balancer was last told of a server.
+// listedServer is the last entry of a server that the balancer received.
 type listedServer struct {
 	Endpoint
 	notServingSince time.Duration
@@ -89,16 +89,16 @@
 		}
 		switch {
 		case r.class.Idempotency == NonIdempotent:
-			c.violate("unsafe request %d sent again", id)
+			c.violate("non-idempotent request %d sent again", id)
 		case r.class.Idempotency == IdempotencyKeyed && c.now-t.sent >= r.class.DedupWindow:
 			c.violate("keyed request %d sent past its window", id)
 		case r.class.Idempotency == IdempotencyKeyed && (r.class.DedupScope == DedupScopeZone && t.server.Zone != s.Zone ||
 			r.class.DedupScope == DedupScopeGroup && t.server.Group != s.Group):
-			c.violate("keyed request %d sent outside its group", id)
+			c.violate("keyed request %d sent outside its scope", id)
 		}
 	}
 	if out && !c.config.AllowHedging {
-		c.violate("two attempts of request %d out", id)
+		c.violate("two attempts of request %d in flight", id)
 	}
 	if out {
 		c.hedges++
@@ -168,7 +168,7 @@
 	}
 	for _, t := range r.attempts {
 		if !t.done || !t.notExecuted {
-			c.violate("request %d refused though it may have run", id)
+			c.violate("request %d rejected though it may have been executed", id)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 	return all
 }
 
-// change alters one server and tells the balancer.
+// change changes one server and reports it to the balancer.
 func (c *checker) change(b *Balancer, n int) {
 	name := fmt.Sprintf("s%d", c.rng.IntN(n))
 	s := c.servers[name]
@@ -225,7 +225,7 @@
 	b.ServersChanged(c.now, []Endpoint{s.Endpoint})
 }
 
-// run plays one random script and returns what it broke.
+// runScript plays one random script and returns its checker with the violations.
 func runScript(t *testing.T, seed uint64, cfg Config, servers int, gap, patience time.Duration) *checker {
 	t.Helper()
 	c := &checker{t: t, config: cfg, rng: rand.New(rand.NewPCG(seed, 7)), servers: map[string]*listedServer{}, requests: map[RequestID]*clientRequest{}, now: time.Hour}
@@ -267,7 +267,7 @@
 		e := c.queue[0]
 		c.queue = c.queue[1:]
 		if e.at > next+patience+20*time.Second {
-			break // only discovery goes on for ever
+			break // only polls of discovery continue
 		}
 		c.now = max(c.now, e.at)
 		e.do(b)
@@ -278,7 +278,7 @@
 		}
 	}
 	if n := len(b.requests) + len(b.timers); n != 0 {
-		c.violate("%d requests and timers kept after all ended", n)
+		c.violate("%d requests and timers remain after all finished", n)
 	}
 	return c
 }
@@ -292,16 +292,16 @@
 		wait    time.Duration
 	}{
 		{"as usual", func(c *Config) { c.Classes[0].LatencyObjective = 300 * ms }, 8, 10 * ms, 400 * ms},
-		{"no cancel", func(c *Config) { c.AllowCancellation = false }, 8, 10 * ms, 400 * ms},
-		{"no second copies", func(c *Config) { c.AllowHedging = false }, 8, 10 * ms, 400 * ms},
+		{"no cancellation", func(c *Config) { c.AllowCancellation = false }, 8, 10 * ms, 400 * ms},
+		{"no hedging", func(c *Config) { c.AllowHedging = false }, 8, 10 * ms, 400 * ms},
 		{"one server", func(*Config) {}, 1, 10 * ms, 400 * ms},
-		{"tenants, one without a share", func(c *Config) { c.TenantQuotas, c.OverQuotaWeight = []float64{5, 0, 40}, 0.2 }, 5, 10 * ms, 400 * ms},
+		{"tenants, one without a quota", func(c *Config) { c.TenantQuotas, c.OverQuotaWeight = []float64{5, 0, 40}, 0.2 }, 5, 10 * ms, 400 * ms},
 		{"one attempt", func(c *Config) { c.MaxAttempts = 1 }, 5, 10 * ms, 400 * ms},
 		{"one instance", func(c *Config) { c.Instances = 1 }, 5, 10 * ms, 400 * ms},
-		{"thousands of instances, priced connections", func(c *Config) { c.Instances, c.ConnectionCost = 5000, 0.05 }, 40, 200 * ms, 400 * ms},
-		{"keyed everywhere", func(c *Config) { c.Classes[1].DedupScope = DedupScopeAll }, 8, 10 * ms, 400 * ms},
-		{"short repeat window", func(c *Config) { c.Classes[1].DedupWindow = 30 * ms }, 8, 10 * ms, 400 * ms},
-		{"keyed in a cell", func(c *Config) { c.Classes[1].DedupScope = DedupScopeGroup }, 20, 10 * ms, 400 * ms},
+		{"thousands of instances, connections with a cost", func(c *Config) { c.Instances, c.ConnectionCost = 5000, 0.05 }, 40, 200 * ms, 400 * ms},
+		{"keyed for all servers", func(c *Config) { c.Classes[1].DedupScope = DedupScopeAll }, 8, 10 * ms, 400 * ms},
+		{"short deduplication window", func(c *Config) { c.Classes[1].DedupWindow = 30 * ms }, 8, 10 * ms, 400 * ms},
+		{"keyed in a group", func(c *Config) { c.Classes[1].DedupScope = DedupScopeGroup }, 20, 10 * ms, 400 * ms},
 		{"subscribed", func(c *Config) { c.MaxListAge = 3 * time.Second }, 8, 20 * ms, 400 * ms},
 		{"short deadlines", func(*Config) {}, 8, 10 * ms, 8 * ms},
 		{"long deadlines", func(*Config) {}, 8, 10 * ms, time.Minute},
@@ -322,7 +322,7 @@
 				copies += c.hedges
 			}
 			if v.name == "as usual" && copies == 0 {
-				t.Error("no copy was sent in any script")
+				t.Error("no hedge was sent in any script")
 			}
 		})
 	}
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -6,13 +6,12 @@
 	"time"
 )
 
-// clockSkews are by how much a balancer's clock may be ahead of the clocks of servers.
+// clockSkews are the differences of a balancer's clock to the servers' clocks.
 var clockSkews = []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour}
 
-// The story. A process that started while its machine's clock was an hour ahead took a
-// server that had started just now for one that was warm, and sent it a warm one's share;
-// with a clock an hour behind it took it for cold for an hour. Whatever the clock says, a
-// start that is told is cold from then on, and warm when its time is over.
+// A balancer whose clock was an hour ahead used to skip a new server's slow start, and one whose
+// clock was an hour behind prolonged it by an hour. Whatever the clock says, a start that arrives
+// begins the slow start, which ends after SlowStartDuration.
 func TestNewStartIsInSlowStartWhateverTheClock(t *testing.T) {
 	for _, skew := range clockSkews {
 		t.Run(fmt.Sprint("clock off by ", skew), func(t *testing.T) {
@@ -30,19 +29,19 @@
 			list[0].Started = truth + 9*time.Second // a second ago
 			b.ServersChanged(own, list[:1])
 			s := b.endpoints.byName[list[0].Name]
-			fresh := cfg.SlowStartInitialFraction + (1-cfg.SlowStartInitialFraction)*1.0/cfg.SlowStartDuration.Seconds() // what it truly is
+			fresh := cfg.SlowStartInitialFraction + (1-cfg.SlowStartInitialFraction)*1.0/cfg.SlowStartDuration.Seconds() // its true slow-start factor
 			if got := b.endpoints.slowStartFactor(s, own); got > fresh {
-				t.Errorf("it counts as %.2f warm, it is %.2f", got, fresh)
+				t.Errorf("slow-start factor %.2f, it truly is %.2f", got, fresh)
 			}
 			if got := b.endpoints.slowStartFactor(s, own+cfg.SlowStartDuration); got < 1 {
-				t.Errorf("it counts as %.2f warm after its time", got)
+				t.Errorf("slow-start factor %.2f after its slow start", got)
 			}
 		})
 	}
 }
 
-// Of a first list no server counts as warmer than it is, whatever the clock, if the newest
-// start on it is of just now; what is warm by its distance to that stays warm.
+// Whatever the clock, the slow-start factor of no server on a first list is overestimated if the
+// newest start on it is of just now. A server older than that by SlowStartDuration has the factor 1.
 func TestFirstListNeverOverestimatesSlowStartFactor(t *testing.T) {
 	for _, skew := range clockSkews {
 		t.Run(fmt.Sprint("clock off by ", skew), func(t *testing.T) {
@@ -66,23 +65,23 @@
 				true := min(1, cfg.SlowStartInitialFraction+(1-cfg.SlowStartInitialFraction)*age.Seconds()/cfg.SlowStartDuration.Seconds())
 				got := b.endpoints.slowStartFactor(s, own)
 				if got > true+1e-9 {
-					t.Errorf("a server of age %v counts as %.2f warm, it is %.2f", age, got, true)
+					t.Errorf("a server of age %v has the slow-start factor %.2f, it truly is %.2f", age, got, true)
 				}
 				if skew >= 0 && got < true-1e-9 {
-					t.Errorf("a server of age %v counts as %.2f warm, it is %.2f", age, got, true)
+					t.Errorf("a server of age %v has the slow-start factor %.2f, it truly is %.2f", age, got, true)
 				}
 				if got := b.endpoints.slowStartFactor(s, own+cfg.SlowStartDuration); got < 1 {
-					t.Errorf("a server of age %v counts as %.2f warm after its time", age, got)
+					t.Errorf("a server of age %v has the slow-start factor %.2f after its slow start", age, got)
 				}
 			}
 			if s := b.endpoints.byName[list[3].Name]; b.endpoints.slowStartFactor(s, own) < 1 {
-				t.Error("a server of long ago counts as cold")
+				t.Error("a server that started long ago is in slow start")
 			}
 		})
 	}
 }
 
-// The same list again, whole or as a change, is no new start.
+// The same list again, complete or as a change, is no new start.
 func TestRepeatedListIsNoStart(t *testing.T) {
 	cfg := testConfig()
 	list := servingEndpoints(2)
@@ -92,15 +91,15 @@
 	b.ServersListed(time.Hour+cfg.SlowStartDuration/2, list)
 	b.ServersChanged(time.Hour+cfg.SlowStartDuration/2, list)
 	if s := b.endpoints.byName[list[0].Name]; b.endpoints.slowStartFactor(s, time.Hour+cfg.SlowStartDuration) < 1 {
-		t.Error("a server that was told again counts as started anew")
+		t.Error("a server that was listed again counts as restarted")
 	}
 }
 
-// A restarted server must get only its cold share: no more than slowStartSafetyFactor of
-// what would fell it, judged by what its warm peers get.
+// A restarted server gets at most slowStartSafetyFactor of its overload limit, judged by what
+// servers at full capacity get.
 func TestSlowStartPacing(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes = cfg.Classes[2:] // no copies
+	cfg.Classes = cfg.Classes[2:] // no hedges
 	list := servingEndpoints(4)
 	b, r := newTest(t, cfg, list...)
 	now, cold := 100*time.Second, 0
@@ -120,7 +119,7 @@
 	}
 }
 
-// Sampling and pacing each hold a cold server back by themselves.
+// Sampling weight and send budget each restrain a server in slow start.
 func TestSlowStartSamplingAndBudget(t *testing.T) {
 	list := servingEndpoints(2)
 	b, _ := newTest(t, testConfig(), list...)
@@ -133,24 +132,24 @@
 		cold, warm = warm, cold
 	}
 	if cold != 0.2*warm {
-		t.Errorf("a fresh server weighs %v of a warm one's %v, want its cold share", cold, warm)
+		t.Errorf("a new server weighs %v, one at full capacity %v: want the initial fraction of it", cold, warm)
 	}
 	s := f.byName["s000"]
 	s.slowStartTokens.tokens = 1
 	if !f.hasSlowStartBudget(s, now) {
-		t.Error("no room for a first send")
+		t.Error("no budget for a first send")
 	}
 	f.recordSend(s, now)
 	if f.hasSlowStartBudget(s, now) {
-		t.Error("room for a second send at once")
+		t.Error("budget for a second send at once")
 	}
 	if !f.hasSlowStartBudget(s, now+10*time.Second) {
-		t.Error("no room once warm")
+		t.Error("no budget after the slow start")
 	}
 }
 
-// A cold server outside the working set gets nothing: all balancers could fall
-// back on it together, each with a full share.
+// A server in slow start outside the working set gets nothing: all balancers could fall back
+// on it together, each with a full budget.
 func TestNoSlowStartBudgetOutsideWorkingSet(t *testing.T) {
 	list := servingEndpoints(12)
 	b, _ := newTest(t, testConfig(), list...)
@@ -166,17 +165,17 @@
 	for _, s := range f.members {
 		s.slowStartTokens.tokens = 1
 		if f.hasSlowStartBudget(s, now) != s.inWorkingSet {
-			t.Errorf("%s: in the set %v, room %v", s.name, s.inWorkingSet, !s.inWorkingSet)
+			t.Errorf("%s: in the working set %v, budget %v", s.name, s.inWorkingSet, !s.inWorkingSet)
 		}
 	}
 }
 
-// Where servers turn most sends away, what is sent to a warm one says too much
-// of what a cold one can take.
+// Where servers reject most sends, the rate of sends to one at full capacity overstates what a
+// server in slow start can take.
 func TestSlowStartBudgetCountsAcceptedSends(t *testing.T) {
 	room := func(o Outcome) (n int) {
 		cfg := testConfig()
-		cfg.Classes = cfg.Classes[2:] // no copies
+		cfg.Classes = cfg.Classes[2:] // no hedges
 		list := servingEndpoints(4)
 		b, _ := newTest(t, cfg, list...)
 		now := 90 * time.Second
@@ -194,7 +193,7 @@
 		s := f.byName["s000"]
 		f.hasSlowStartBudget(s, now)
 		for end := now + time.Second; now < end; now += ms {
-			f.sendCount, f.sendCountAt = 800, now // the same rate all the time
+			f.sendCount, f.sendCountAt = 800, now // a constant rate
 			if f.hasSlowStartBudget(s, now) {
 				f.recordSend(s, now)
 				n++
@@ -203,6 +202,6 @@
 		return n
 	}
 	if taken, full := room(OK), room(Rejected); full > taken/4 {
-		t.Errorf("%d sends to a cold server where all are taken, %d where none is", taken, full)
+		t.Errorf("%d sends to a server in slow start where all are accepted, %d where none is", taken, full)
 	}
 }
--- a/slowstart_tier_test.go
+++ b/slowstart_tier_test.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// tier is many balancers before the same servers in one simulated clock. Servers answer
-// after a while whatever they get; what counts is what a cold one is sent.
+// tier is many balancers in front of the same servers on one simulated clock. The test counts
+// what a server in slow start is sent.
 type tier struct {
 	now        time.Duration
 	queue      tierEvents
 	lastOrder  int
 	rng        *rand.Rand
-	sends      map[string][]time.Duration // to the servers that start
-	inFlight   map[string]int             // requests at a server
-	queueLimit int                        // of which it holds so many, and turns the rest away
-	unserved   int                        // requests that were not served
+	sends      map[string][]time.Duration // by server that starts
+	inFlight   map[string]int             // requests by server
+	queueLimit int                        // requests that a server takes at once; it rejects the rest
+	unserved   int                        // requests without an answer
 }
 
 type tierBalancer struct {
 	tier     *tier
 	balancer *Balancer
-	attempts map[RequestID]int // attempts
+	attempts map[RequestID]int // by request
 	lastID   RequestID
 }
 
@@ -97,7 +97,7 @@
 	n.tier.at(n.tier.now+after, func() { n.balancer.TimerFired(n.tier.now, cookie) })
 }
 
-// arrive makes n's clients send at rate, and half as much again within the burst.
+// arrive makes n's clients send at rate, half as much again within the burst, until end.
 func (n *tierBalancer) arrive(rate float64, burst, burstEnd, end time.Duration) {
 	now, more := n.tier.now, 1.0
 	if now >= burst && now < burstEnd {
@@ -113,21 +113,21 @@
 	})
 }
 
-// What a cold server gets from all balancers together stays under what fells it, however
-// many they are and however many servers start at once, with traffic that is skewed and
-// comes in a burst, with retries and copies, while some know of the start late; and it gets
-// a fair part of what it can take.
+// The sends of all balancers together to a server in slow start stay under its overload limit,
+// however many balancers there are and however many servers start at once, with skewed traffic,
+// a burst, retries and hedges, while some balancers learn of the start late. The server gets a
+// fair part of what it can serve.
 func TestSlowStartSumOverBalancers(t *testing.T) {
 	const (
 		servers  = 12
-		capacity = 20.0 // requests a second of a warm server
+		capacity = 20.0 // requests a second of a server at full capacity
 		load     = 0.7
 		start    = 30 * time.Second
 		end      = start + 20*time.Second
 	)
 	for _, count := range []int{1, 5, 30, 300} {
 		for _, cold := range []int{1, 6, 12} {
-			t.Run(fmt.Sprintf("%d balancers, %d cold", count, cold), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d balancers, %d starting servers", count, cold), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(10) {
 					c := &tier{rng: rand.New(rand.NewPCG(seed, 7)), queueLimit: 3, sends: make(map[string][]time.Duration), inFlight: make(map[string]int)}
@@ -183,13 +183,13 @@
 						}
 					}
 					if testing.Verbose() {
-						t.Logf("seed %d: worst window %.2f of the bound, %d sends to a cold one of %.0f it could serve, %d not served", seed, worst, got/cold, could, c.unserved)
+						t.Logf("seed %d: worst window %.2f of the bound, %d sends to a server in slow start of %.0f it could serve, %d not served", seed, worst, got/cold, could, c.unserved)
 					}
 					if worst > 1 {
-						t.Errorf("seed %d: a cold server got %.2f times what may be sent in a window", seed, worst)
+						t.Errorf("seed %d: a server in slow start got %.2f times what may be sent in a window", seed, worst)
 					}
 					if float64(got/cold) < could/8 {
-						t.Errorf("seed %d: cold servers got %d sends each of %.0f that they could serve", seed, got/cold, could)
+						t.Errorf("seed %d: servers in slow start got %d sends each of %.0f that they could serve", seed, got/cold, could)
 					}
 				}
 			})
