--- a/attempt_test.go
+++ b/attempt_test.go
@@ -14,7 +14,7 @@
 		name    string
 		class   int
 		servers []Endpoint
-		o       Outcome
+		outcome Outcome
 		at      time.Duration
 		want    []string
 	}{
@@ -37,7 +37,7 @@
 			b, r := newTest(t, testConfig(), c.servers...)
 			b.disableHedging()
 			b.Arrive(0, Request{ID: 1, Class: c.class, Deadline: 300 * ms})
-			b.AttemptFinished(c.at, 1, 0, c.o, false, LoadReport{})
+			b.AttemptFinished(c.at, 1, 0, c.outcome, false, LoadReport{})
 			if !slices.Equal(r.actions, c.want) {
 				t.Errorf("got %v, want %v", r.actions, c.want)
 			}
--- a/rules_test.go
+++ b/rules_test.go
@@ -12,7 +12,6 @@
 // checker is a Host that plays servers and clients from a seed and checks the rules of
 // attempts and answers from its own records, independent of the Balancer's state.
 type checker struct {
-	t          *testing.T
 	config     Config
 	rng        *rand.Rand
 	now        time.Duration
@@ -225,38 +224,86 @@
 	b.ServersChanged(c.now, []Endpoint{s.Endpoint})
 }
 
+// scriptParameters are the parameters of one random script.
+type scriptParameters struct {
+	servers  int
+	gap      time.Duration // mean time between two requests
+	patience time.Duration // longest time from an arrival to its deadline
+}
+
+// scriptRequests is the number of requests of a script.
+const scriptRequests = 600
+
 // runScript plays one random script and returns its checker with the violations.
-func runScript(t *testing.T, seed uint64, cfg Config, servers int, gap, patience time.Duration) *checker {
+func runScript(t *testing.T, seed uint64, cfg Config, script scriptParameters) *checker {
 	t.Helper()
-	c := &checker{t: t, config: cfg, rng: rand.New(rand.NewPCG(seed, 7)), servers: map[string]*listedServer{}, requests: map[RequestID]*clientRequest{}, now: time.Hour}
+	c := &checker{
+		config:   cfg,
+		rng:      rand.New(rand.NewPCG(seed, 7)),
+		servers:  make(map[string]*listedServer),
+		requests: make(map[RequestID]*clientRequest),
+		now:      time.Hour,
+	}
 	b, err := New(cfg, seed, c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range servers {
-		c.change(b, servers)
+	for range script.servers {
+		c.change(b, script.servers)
+	}
+	last := c.schedule(script)
+	c.play(b, last+script.patience+20*time.Second)
+	for id, r := range c.requests {
+		if !r.finished {
+			c.violate("request %d never answered", id)
+		}
+	}
+	if n := len(b.requests) + len(b.timers); n != 0 {
+		c.violate("%d requests and timers remain after all finished", n)
 	}
+	return c
+}
+
+// schedule schedules the script's requests and changes of servers and returns the time of
+// the last request.
+func (c *checker) schedule(script scriptParameters) time.Duration {
 	next := c.now
-	for id := RequestID(1); id <= 600; id++ {
-		next += time.Duration(c.rng.ExpFloat64() * float64(gap))
-		r := &clientRequest{Request: Request{ID: id, Class: c.rng.IntN(len(cfg.Classes)), Tenant: c.rng.IntN(4) - 1, Deadline: next + time.Duration(c.rng.Float64()*float64(patience))}}
-		r.class = cfg.Classes[r.Class]
-		c.at(next, func(b *Balancer) {
-			c.requests[r.ID] = r
-			b.Arrive(c.now, r.Request)
-			if c.rng.IntN(10) == 0 {
-				c.at(c.now+time.Duration(c.rng.Float64()*float64(patience)/2), func(b *Balancer) {
-					if !r.finished {
-						r.finished, r.disconnected = true, true
-					}
-					b.ClientDisconnected(c.now, r.ID)
-				})
-			}
-		})
+	for id := RequestID(1); id <= scriptRequests; id++ {
+		next += time.Duration(c.rng.ExpFloat64() * float64(script.gap))
+		r := &clientRequest{Request: Request{
+			ID:       id,
+			Class:    c.rng.IntN(len(c.config.Classes)),
+			Tenant:   c.rng.IntN(4) - 1,
+			Deadline: next + time.Duration(c.rng.Float64()*float64(script.patience)),
+		}}
+		r.class = c.config.Classes[r.Class]
+		c.at(next, func(b *Balancer) { c.arrive(b, r, script.patience) })
 		if c.rng.IntN(10) == 0 {
-			c.at(next, func(b *Balancer) { c.change(b, servers) })
+			c.at(next, func(b *Balancer) { c.change(b, script.servers) })
 		}
 	}
+	return next
+}
+
+// arrive gives the request to the balancer. One client in ten disconnects within half its
+// patience.
+func (c *checker) arrive(b *Balancer, r *clientRequest, patience time.Duration) {
+	c.requests[r.ID] = r
+	b.Arrive(c.now, r.Request)
+	if c.rng.IntN(10) != 0 {
+		return
+	}
+	c.at(c.now+time.Duration(c.rng.Float64()*float64(patience)/2), func(b *Balancer) {
+		if !r.finished {
+			r.finished, r.disconnected = true, true
+		}
+		b.ClientDisconnected(c.now, r.ID)
+	})
+}
+
+// play runs the queue in the order of time until it is empty or end has passed: polls of
+// discovery never stop.
+func (c *checker) play(b *Balancer, end time.Duration) {
 	for len(c.queue) > 0 {
 		slices.SortFunc(c.queue, func(a, b scriptEvent) int {
 			if a.at != b.at {
@@ -266,62 +313,51 @@
 		})
 		e := c.queue[0]
 		c.queue = c.queue[1:]
-		if e.at > next+patience+20*time.Second {
-			break // only polls of discovery continue
+		if e.at > end {
+			return
 		}
 		c.now = max(c.now, e.at)
 		e.do(b)
 	}
-	for id, r := range c.requests {
-		if !r.finished {
-			c.violate("request %d never answered", id)
-		}
-	}
-	if n := len(b.requests) + len(b.timers); n != 0 {
-		c.violate("%d requests and timers remain after all finished", n)
-	}
-	return c
 }
 
 func TestRulesUnderRandomScripts(t *testing.T) {
 	for _, v := range []struct {
-		name    string
-		change  func(*Config)
-		servers int
-		gap     time.Duration
-		wait    time.Duration
+		name   string
+		change func(*Config)
+		script scriptParameters
 	}{
-		{"as usual", func(c *Config) { c.Classes[0].LatencyObjective = 300 * ms }, 8, 10 * ms, 400 * ms},
-		{"no cancellation", func(c *Config) { c.AllowCancellation = false }, 8, 10 * ms, 400 * ms},
-		{"no hedging", func(c *Config) { c.AllowHedging = false }, 8, 10 * ms, 400 * ms},
-		{"one server", func(*Config) {}, 1, 10 * ms, 400 * ms},
-		{"tenants, one without a quota", func(c *Config) { c.TenantQuotas, c.OverQuotaWeight = []float64{5, 0, 40}, 0.2 }, 5, 10 * ms, 400 * ms},
-		{"one attempt", func(c *Config) { c.MaxAttempts = 1 }, 5, 10 * ms, 400 * ms},
-		{"one instance", func(c *Config) { c.Instances = 1 }, 5, 10 * ms, 400 * ms},
-		{"thousands of instances, connections with a cost", func(c *Config) { c.Instances, c.ConnectionCost = 5000, 0.05 }, 40, 200 * ms, 400 * ms},
-		{"keyed for all servers", func(c *Config) { c.Classes[1].DedupScope = DedupScopeAll }, 8, 10 * ms, 400 * ms},
-		{"short deduplication window", func(c *Config) { c.Classes[1].DedupWindow = 30 * ms }, 8, 10 * ms, 400 * ms},
-		{"keyed in a group", func(c *Config) { c.Classes[1].DedupScope = DedupScopeGroup }, 20, 10 * ms, 400 * ms},
-		{"subscribed", func(c *Config) { c.MaxListAge = 3 * time.Second }, 8, 20 * ms, 400 * ms},
-		{"short deadlines", func(*Config) {}, 8, 10 * ms, 8 * ms},
-		{"long deadlines", func(*Config) {}, 8, 10 * ms, time.Minute},
-		{"late answers count", func(c *Config) { c.Classes[0].LateWeight = 0.5; c.Classes[1].LateWeight = 0.5 }, 8, 10 * ms, 400 * ms},
+		{"as usual", func(c *Config) { c.Classes[0].LatencyObjective = 300 * ms }, scriptParameters{8, 10 * ms, 400 * ms}},
+		{"no cancellation", func(c *Config) { c.AllowCancellation = false }, scriptParameters{8, 10 * ms, 400 * ms}},
+		{"no hedging", func(c *Config) { c.AllowHedging = false }, scriptParameters{8, 10 * ms, 400 * ms}},
+		{"one server", func(*Config) {}, scriptParameters{1, 10 * ms, 400 * ms}},
+		{"tenants, one without a quota", func(c *Config) { c.TenantQuotas, c.OverQuotaWeight = []float64{5, 0, 40}, 0.2 }, scriptParameters{5, 10 * ms, 400 * ms}},
+		{"one attempt", func(c *Config) { c.MaxAttempts = 1 }, scriptParameters{5, 10 * ms, 400 * ms}},
+		{"one instance", func(c *Config) { c.Instances = 1 }, scriptParameters{5, 10 * ms, 400 * ms}},
+		{"thousands of instances, connections with a cost", func(c *Config) { c.Instances, c.ConnectionCost = 5000, 0.05 }, scriptParameters{40, 200 * ms, 400 * ms}},
+		{"keyed for all servers", func(c *Config) { c.Classes[1].DedupScope = DedupScopeAll }, scriptParameters{8, 10 * ms, 400 * ms}},
+		{"short deduplication window", func(c *Config) { c.Classes[1].DedupWindow = 30 * ms }, scriptParameters{8, 10 * ms, 400 * ms}},
+		{"keyed in a group", func(c *Config) { c.Classes[1].DedupScope = DedupScopeGroup }, scriptParameters{20, 10 * ms, 400 * ms}},
+		{"subscribed", func(c *Config) { c.MaxListAge = 3 * time.Second }, scriptParameters{8, 20 * ms, 400 * ms}},
+		{"short deadlines", func(*Config) {}, scriptParameters{8, 10 * ms, 8 * ms}},
+		{"long deadlines", func(*Config) {}, scriptParameters{8, 10 * ms, time.Minute}},
+		{"late answers count", func(c *Config) { c.Classes[0].LateWeight = 0.5; c.Classes[1].LateWeight = 0.5 }, scriptParameters{8, 10 * ms, 400 * ms}},
 	} {
 		t.Run(v.name, func(t *testing.T) {
-			copies := 0
+			hedges := 0
 			for seed := range uint64(12) {
 				cfg := testConfig()
 				v.change(&cfg)
-				c := runScript(t, seed, cfg, v.servers, v.gap, v.wait)
+				c := runScript(t, seed, cfg, v.script)
 				for _, s := range c.violations {
 					t.Errorf("seed %d: %s", seed, s)
 				}
-				if c.sends == 0 && v.servers > 1 {
+				if c.sends == 0 && v.script.servers > 1 {
 					t.Errorf("seed %d: nothing was sent", seed)
 				}
-				copies += c.hedges
+				hedges += c.hedges
 			}
-			if v.name == "as usual" && copies == 0 {
+			if v.name == "as usual" && hedges == 0 {
 				t.Error("no hedge was sent in any script")
 			}
 		})
--- a/slowstart_tier_test.go
+++ b/slowstart_tier_test.go
@@ -113,83 +113,121 @@
 	})
 }
 
+// The parameters of TestSlowStartSumOverBalancers.
+const (
+	tierServers  = 12
+	tierCapacity = 20.0 // requests a second of a server at full capacity
+	tierLoad     = 0.7  // fraction of the capacity of all servers
+	restartAt    = 30 * time.Second
+	tierEnd      = restartAt + 20*time.Second
+)
+
+// tierConfig is the configuration of each of count balancers.
+func tierConfig(count int) Config {
+	cfg := testConfig()
+	cfg.Instances = count
+	cfg.SlowStartInitialFraction = 0.14
+	cfg.SlowStartDuration = 23 * time.Second
+	cfg.OverloadFactor = 4
+	cfg.OverloadDuration = 2 * time.Second
+	return cfg
+}
+
+// runTier runs balancers with the configuration in front of servers, some of which restart, and
+// returns the tier at its end.
+func runTier(t *testing.T, cfg Config, restarting int, seed uint64) *tier {
+	t.Helper()
+	c := &tier{
+		rng:        rand.New(rand.NewPCG(seed, 7)),
+		queueLimit: 3,
+		sends:      make(map[string][]time.Duration),
+		inFlight:   make(map[string]int),
+	}
+	list := servingEndpoints(tierServers)
+	restarted := servingEndpoints(restarting)
+	for i := range restarted {
+		restarted[i].Started = restartAt
+		c.sends[restarted[i].Name] = nil
+	}
+	weights, sum := make([]float64, cfg.Instances), 0.0
+	for i := range weights {
+		weights[i] = 1 / math.Sqrt(float64(i+1)) // some get several times the mean traffic
+		sum += weights[i]
+	}
+	for i := range cfg.Instances {
+		n := &tierBalancer{tier: c, attempts: make(map[RequestID]int)}
+		var err error
+		if n.balancer, err = New(cfg, c.rng.Uint64(), n); err != nil {
+			t.Fatal(err)
+		}
+		n.balancer.ServersListed(0, list)
+		n.arrive(tierLoad*tierServers*tierCapacity*weights[i]/sum, restartAt+2*time.Second, restartAt+6*time.Second, tierEnd)
+		notifiedAt := restartAt + time.Duration(c.rng.Float64()*float64(100*ms))
+		if i%10 == 9 { // every tenth balancer learns of the restarts late
+			notifiedAt += 3 * time.Second
+		}
+		c.at(notifiedAt, func() { n.balancer.ServersChanged(c.now, restarted) })
+	}
+	c.run(tierEnd)
+	return c
+}
+
+// trueSlowStartFactor is the fraction of its capacity that a restarted server has.
+func trueSlowStartFactor(cfg Config, at time.Duration) float64 {
+	return min(1, cfg.SlowStartInitialFraction+(1-cfg.SlowStartInitialFraction)*(at-restartAt).Seconds()/cfg.SlowStartDuration.Seconds())
+}
+
+// serviceable is the number of requests that a restarted server can serve until the end.
+func serviceable(cfg Config) float64 {
+	sum := 0.0
+	for at := restartAt; at < tierEnd; at += time.Second {
+		sum += tierCapacity * trueSlowStartFactor(cfg, at)
+	}
+	return sum
+}
+
+// worstWindow returns the highest number of sends to a restarted server within
+// OverloadDuration, as a multiple of the bound with its random margin, and counts all sends.
+func (c *tier) worstWindow(cfg Config) (worst float64, count int) {
+	for _, sends := range c.sends {
+		for first, from := range sends {
+			if from < restartAt {
+				continue
+			}
+			count++
+			limit := cfg.OverloadFactor * trueSlowStartFactor(cfg, from) * tierCapacity * cfg.OverloadDuration.Seconds()
+			next := first
+			for next < len(sends) && sends[next] < from+cfg.OverloadDuration {
+				next++
+			}
+			worst = max(worst, float64(next-first)/(limit+2*math.Sqrt(limit)+2))
+		}
+	}
+	return worst, count
+}
+
 // The sends of all balancers together to a server in slow start stay under its overload limit,
 // however many balancers there are and however many servers start at once, with skewed traffic,
 // a burst, retries and hedges, while some balancers learn of the start late. The server gets a
 // fair part of what it can serve.
 func TestSlowStartSumOverBalancers(t *testing.T) {
-	const (
-		servers  = 12
-		capacity = 20.0 // requests a second of a server at full capacity
-		load     = 0.7
-		start    = 30 * time.Second
-		end      = start + 20*time.Second
-	)
 	for _, count := range []int{1, 5, 30, 300} {
-		for _, cold := range []int{1, 6, 12} {
-			t.Run(fmt.Sprintf("%d balancers, %d starting servers", count, cold), func(t *testing.T) {
+		for _, restarting := range []int{1, 6, 12} {
+			t.Run(fmt.Sprintf("%d balancers, %d starting servers", count, restarting), func(t *testing.T) {
 				t.Parallel()
+				cfg := tierConfig(count)
+				could := serviceable(cfg)
 				for seed := range uint64(10) {
-					c := &tier{rng: rand.New(rand.NewPCG(seed, 7)), queueLimit: 3, sends: make(map[string][]time.Duration), inFlight: make(map[string]int)}
-					cfg := testConfig()
-					cfg.Instances = count
-					cfg.SlowStartInitialFraction, cfg.SlowStartDuration, cfg.OverloadFactor, cfg.OverloadDuration = 0.14, 23*time.Second, 4, 2*time.Second
-					list := servingEndpoints(servers)
-					anew := servingEndpoints(cold)
-					for i := range anew {
-						anew[i].Started = start
-						c.sends[anew[i].Name] = nil
-					}
-					weights, sum := make([]float64, count), 0.0
-					for i := range weights {
-						weights[i] = 1 / math.Sqrt(float64(i+1)) // some see several times the mean
-						sum += weights[i]
-					}
-					for i := range count {
-						n := &tierBalancer{tier: c, attempts: make(map[RequestID]int)}
-						var err error
-						if n.balancer, err = New(cfg, c.rng.Uint64(), n); err != nil {
-							t.Fatal(err)
-						}
-						n.balancer.ServersListed(0, list)
-						n.arrive(load*servers*capacity*weights[i]/sum, start+2*time.Second, start+6*time.Second, end)
-						told := start + time.Duration(c.rng.Float64()*float64(100*ms))
-						if i%10 == 9 {
-							told += 3 * time.Second
-						}
-						c.at(told, func() { n.balancer.ServersChanged(c.now, anew) })
-					}
-					c.run(end)
-					warmth := func(at time.Duration) float64 {
-						return min(1, cfg.SlowStartInitialFraction+(1-cfg.SlowStartInitialFraction)*(at-start).Seconds()/cfg.SlowStartDuration.Seconds())
-					}
-					could := 0.0
-					for at := start; at < end; at += time.Second {
-						could += capacity * warmth(at)
-					}
-					worst, got := 0.0, 0
-					for _, sends := range c.sends {
-						for i, from := range sends {
-							if from < start {
-								continue
-							}
-							got++
-							n := cfg.OverloadFactor * warmth(from) * capacity * cfg.OverloadDuration.Seconds()
-							k := i
-							for k < len(sends) && sends[k] < from+cfg.OverloadDuration {
-								k++
-							}
-							worst = max(worst, float64(k-i)/(n+2*math.Sqrt(n)+2))
-						}
-					}
+					c := runTier(t, cfg, restarting, seed)
+					worst, sends := c.worstWindow(cfg)
 					if testing.Verbose() {
-						t.Logf("seed %d: worst window %.2f of the bound, %d sends to a server in slow start of %.0f it could serve, %d not served", seed, worst, got/cold, could, c.unserved)
+						t.Logf("seed %d: worst window %.2f of the bound, %d sends to a server in slow start of %.0f it could serve, %d not served", seed, worst, sends/restarting, could, c.unserved)
 					}
 					if worst > 1 {
 						t.Errorf("seed %d: a server in slow start got %.2f times what may be sent in a window", seed, worst)
 					}
-					if float64(got/cold) < could/8 {
-						t.Errorf("seed %d: servers in slow start got %d sends each of %.0f that they could serve", seed, got/cold, could)
+					if float64(sends/restarting) < could/8 {
+						t.Errorf("seed %d: servers in slow start got %d sends each of %.0f that they could serve", seed, sends/restarting, could)
 					}
 				}
 			})
