--- a/cmd/simulator/instance.go
+++ b/cmd/simulator/instance.go
@@ -22,37 +22,37 @@
 func (i *instance) event(e *wire.Event, a *adapter) error {
 	now, id := a.now, martendrum.RequestID(e.ID)
 	switch e.Kind {
-	case wire.BackendsChanged:
-		switch how := string(e.How); how {
+	case wire.ServersChanged:
+		switch how := string(e.Change); how {
 		case "patch":
-			i.b.ServersChanged(now, a.lists[e.List])
+			i.b.ServersChanged(now, a.lists[e.ListNumber])
 		case "whole", "stale_copy":
-			i.b.ServersListed(now, a.lists[e.List])
+			i.b.ServersListed(now, a.lists[e.ListNumber])
 		case "broken":
 			i.b.DiscoveryFailed(now)
 		default:
 			return fmt.Errorf("unknown kind of list %q", how)
 		}
-	case wire.Knock:
+	case wire.RequestArrived:
 		i.b.Arrive(now, martendrum.Request{
 			ID:       id,
 			Class:    i.set.Class(e.Class),
 			Tenant:   i.set.Tenant(e.Tenant),
-			Deadline: micros(e.Deadline),
+			Deadline: micros(e.DeadlineMicros),
 		})
-	case wire.HeadReceived:
+	case wire.StreamStarted:
 		i.b.StreamStarted(now, id, e.Attempt)
-	case wire.Finished:
-		o, ok := outcomes[e.Ending]
+	case wire.AttemptFinished:
+		o, ok := outcomes[e.OutcomeCode]
 		if !ok {
-			return fmt.Errorf("unknown ending %d", e.Ending)
+			return fmt.Errorf("unknown ending %d", e.OutcomeCode)
 		}
-		i.b.AttemptFinished(now, id, e.Attempt, o, e.Over, report(e.Load))
-	case wire.Checked:
-		i.b.ProbeAnswered(now, string(e.Server), report(e.Load))
-	case wire.TimedOutClient:
+		i.b.AttemptFinished(now, id, e.Attempt, o, e.Finished, report(e.Report))
+	case wire.ProbeAnswered:
+		i.b.ProbeAnswered(now, string(e.Server), report(e.Report))
+	case wire.ClientDisconnected:
 		i.b.ClientDisconnected(now, id)
-	case wire.Wakeup:
+	case wire.TimerFired:
 		i.b.TimerFired(now, e.Cookie)
 	}
 	return nil
@@ -69,27 +69,27 @@
 	409: martendrum.NotSent,
 }
 
-func report(l wire.Load) martendrum.LoadReport {
-	return martendrum.LoadReport{HasInFlight: l.HasBusyReqs, InFlight: l.BusyReqs, HasUtilization: l.HasCPUShare, Utilization: l.CPUShare}
+func report(l wire.LoadReport) martendrum.LoadReport {
+	return martendrum.LoadReport{HasInFlight: l.HasInFlight, InFlight: l.InFlight, HasUtilization: l.HasUtilization, Utilization: l.Utilization}
 }
 
 // Send implements martendrum.Host.
 func (i *instance) Send(id martendrum.RequestID, server string, timeout, _ time.Duration) {
-	i.reply.Route(i.id, uint64(id), server, timeout.Microseconds())
+	i.reply.Send(i.id, uint64(id), server, timeout.Microseconds())
 }
 
 // Cancel implements martendrum.Host.
 func (i *instance) Cancel(id martendrum.RequestID, attempt int) {
-	i.reply.AbortAttempt(i.id, uint64(id), attempt)
+	i.reply.Cancel(i.id, uint64(id), attempt)
 }
 
 // Reject implements martendrum.Host.
 func (i *instance) Reject(id martendrum.RequestID, retryAfter time.Duration) {
-	i.reply.NotNow(i.id, uint64(id), retryAfter.Microseconds())
+	i.reply.Reject(i.id, uint64(id), retryAfter.Microseconds())
 }
 
 // Fail implements martendrum.Host.
-func (i *instance) Fail(id martendrum.RequestID) { i.reply.DropRequest(i.id, uint64(id)) }
+func (i *instance) Fail(id martendrum.RequestID) { i.reply.Fail(i.id, uint64(id)) }
 
 // SetTimer implements martendrum.Host.
 func (i *instance) SetTimer(cookie uint64, after time.Duration) {
@@ -97,7 +97,7 @@
 }
 
 // CloseIdle implements martendrum.Host.
-func (i *instance) CloseIdle(server string) { i.reply.DropConns(i.id, server) }
+func (i *instance) CloseIdle(server string) { i.reply.CloseIdle(i.id, server) }
 
 // Probe implements martendrum.Host.
 func (i *instance) Probe(server string) { i.reply.Probe(i.id, server) }
@@ -105,7 +105,7 @@
 // Subscribe implements martendrum.Host.
 func (i *instance) Subscribe() { i.reply.Subscribe(i.id) }
 
-func endpoints(hosts []wire.Host) []martendrum.Endpoint {
+func endpoints(hosts []wire.ListEntry) []martendrum.Endpoint {
 	list := make([]martendrum.Endpoint, len(hosts))
 	for n, h := range hosts {
 		state := martendrum.Serving
@@ -119,8 +119,8 @@
 			Name:         h.Server,
 			Zone:         h.Zone,
 			Group:        h.Group,
-			CapacityHint: h.Hint,
-			Started:      micros(h.StartUs),
+			CapacityHint: h.CapacityHint,
+			Started:      micros(h.StartedMicros),
 			State:        state,
 		}
 	}
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -104,14 +104,14 @@
 			return false, err
 		}
 		switch {
-		case e.Kind == wire.Tick && turn < 0:
-			turn = e.Tick
-			a.now = micros(e.TimeUs)
+		case e.Kind == wire.BatchStart && turn < 0:
+			turn = e.Batch
+			a.now = micros(e.TimeMicros)
 			a.reply.Reset()
-		case e.Kind == wire.Tick || turn < 0:
+		case e.Kind == wire.BatchStart || turn < 0:
 			return false, errors.New("message out of place: a batch runs from tick to end")
-		case e.Kind == wire.End:
-			a.reply.EndOfReply(turn)
+		case e.Kind == wire.BatchEnd:
+			a.reply.EndBatch(turn)
 			_, err := a.out.Write(a.reply.Bytes())
 			return true, err
 		default:
@@ -123,28 +123,28 @@
 }
 
 func (a *adapter) event(e *wire.Event) error {
-	if e.Kind == wire.Ledger || e.Kind == wire.BackendsChanged {
-		if e.List < 0 || e.List >= ledgers {
-			return fmt.Errorf("unknown ledger number %d", e.List)
+	if e.Kind == wire.ServerList || e.Kind == wire.ServersChanged {
+		if e.ListNumber < 0 || e.ListNumber >= ledgers {
+			return fmt.Errorf("unknown ledger number %d", e.ListNumber)
 		}
 	}
 	switch e.Kind {
-	case wire.Ledger:
-		a.lists[e.List], a.listed[e.List] = endpoints(e.Hosts), true
+	case wire.ServerList:
+		a.lists[e.ListNumber], a.listed[e.ListNumber] = endpoints(e.Entries), true
 		return nil
-	case wire.PowerOn:
+	case wire.InstanceStarted:
 		return a.start(e)
 	}
 	i := a.instances[string(e.Instance)]
 	if i == nil {
 		return fmt.Errorf("event for unknown instance %q", e.Instance)
 	}
-	if e.Kind == wire.Exit {
+	if e.Kind == wire.InstanceStopped {
 		delete(a.instances, i.id)
 		return nil
 	}
-	if e.Kind == wire.BackendsChanged && string(e.How) != "broken" && !a.listed[e.List] {
-		return fmt.Errorf("unknown ledger number %d", e.List)
+	if e.Kind == wire.ServersChanged && string(e.Change) != "broken" && !a.listed[e.ListNumber] {
+		return fmt.Errorf("unknown ledger number %d", e.ListNumber)
 	}
 	return a.guard(i.id, func() error { return i.event(e, a) })
 }
@@ -157,14 +157,14 @@
 	defer func() {
 		if p := recover(); p != nil {
 			a.failed = true
-			a.reply.BailOut(id, fmt.Sprint(p))
+			a.reply.ReportPanic(id, fmt.Sprint(p))
 		}
 	}()
 	return f()
 }
 
 func (a *adapter) start(e *wire.Event) error {
-	set, err := settings.Parse(e.Env)
+	set, err := settings.Parse(e.Settings)
 	if err != nil {
 		return err
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -17,27 +17,27 @@
 
 func TestDecode(t *testing.T) {
 	e := decode(t, `{"t":"tick","tsUs":8412250,"turn":12}`)
-	if e.Kind != Tick || e.TimeUs != 8412250 || e.Tick != 12 {
+	if e.Kind != BatchStart || e.TimeMicros != 8412250 || e.Batch != 12 {
 		t.Errorf("tick: %+v", e)
 	}
 	e = decode(t, `{"t":"knock","sidecarId":"sidecar/3","id":"069fa6f45d3a91c4","resource":"k:x","cls":"c","project":"p","clientDeadlineUs":8652250,"new":{"a":[1]}}`)
-	if e.Kind != Knock || e.ID != 0x069fa6f45d3a91c4 || string(e.Key) != "k:x" || string(e.Class) != "c" || string(e.Tenant) != "p" || e.Deadline != 8652250 {
+	if e.Kind != RequestArrived || e.ID != 0x069fa6f45d3a91c4 || string(e.Key) != "k:x" || string(e.Class) != "c" || string(e.Tenant) != "p" || e.DeadlineMicros != 8652250 {
 		t.Errorf("knock: %+v", e)
 	}
 	e = decode(t, `{"t":"finished","sidecarId":"s","id":"069fa6f45d3a91c4","copy":2,"noMore":true,"ending":429,"feedback":{"cpu_share":0.5,"odd":1}}`)
-	if e.Attempt != 2 || !e.Over || e.Ending != 429 || !e.Load.HasCPUShare || e.Load.CPUShare != 0.5 || e.Load.HasBusyReqs {
+	if e.Attempt != 2 || !e.Finished || e.OutcomeCode != 429 || !e.Report.HasUtilization || e.Report.Utilization != 0.5 || e.Report.HasInFlight {
 		t.Errorf("finished: %+v", e)
 	}
 	e = decode(t, `{"t":"checked","sidecarId":"s","server":"10.0.0.1:1","ending":200,"durationUs":1400,"feedback":{"busy_reqs":3}}`)
-	if e.Kind != Checked || string(e.Server) != "10.0.0.1:1" || e.Ending != 200 || !e.Load.HasBusyReqs || e.Load.BusyReqs != 3 {
+	if e.Kind != ProbeAnswered || string(e.Server) != "10.0.0.1:1" || e.OutcomeCode != 200 || !e.Report.HasInFlight || e.Report.InFlight != 3 {
 		t.Errorf("checked: %+v", e)
 	}
 	e = decode(t, `{"t":"ledger","list":3,"hosts":[{"health":"SERVING","powerHint":1.5,"server":"10.0.0.1:1","startTimeUs":6,"unitGroup":4,"generationHw":"g","az":"z"}]}`)
-	if want := (Host{Server: "10.0.0.1:1", Health: "SERVING", Zone: "z", Hint: 1.5, StartUs: 6, Group: 4}); e.List != 3 || len(e.Hosts) != 1 || e.Hosts[0] != want {
+	if want := (ListEntry{Server: "10.0.0.1:1", Health: "SERVING", Zone: "z", CapacityHint: 1.5, StartedMicros: 6, Group: 4}); e.ListNumber != 3 || len(e.Entries) != 1 || e.Entries[0] != want {
 		t.Errorf("ledger: %+v", e)
 	}
 	e = decode(t, `{"t":"powerOn","sidecarId":"s","entropy":18446744073709551615,"env":{"zone":"z","overShareWorth":0.5,"tenants":[{"name":"p","allowancePerS":7.5,"share":1}],"unknown":1,"classes":[{"name":"c","promiseUs":5}]}}`)
-	if e.Seed != 1<<64-1 || !json.Valid(e.Env) {
+	if e.Seed != 1<<64-1 || !json.Valid(e.Settings) {
 		t.Errorf("powerOn: %+v", e)
 	}
 }
@@ -63,15 +63,15 @@
 		write func(r *Reply)
 		want  map[string]any
 	}{
-		{func(r *Reply) { r.Route("s", 0xab, odd, 80) }, map[string]any{"t": "route", "sidecarId": "s", "id": "00000000000000ab", "server": odd, "giveUpAfterUs": 80.0}},
-		{func(r *Reply) { r.AbortAttempt("s", 1, 2) }, map[string]any{"t": "abortAttempt", "sidecarId": "s", "id": "0000000000000001", "copy": 2.0}},
-		{func(r *Reply) { r.NotNow("s", 1, 9) }, map[string]any{"t": "notNow", "sidecarId": "s", "id": "0000000000000001", "holdOffUs": 9.0}},
-		{func(r *Reply) { r.DropRequest("s", 1) }, map[string]any{"t": "dropRequest", "sidecarId": "s", "id": "0000000000000001"}},
+		{func(r *Reply) { r.Send("s", 0xab, odd, 80) }, map[string]any{"t": "route", "sidecarId": "s", "id": "00000000000000ab", "server": odd, "giveUpAfterUs": 80.0}},
+		{func(r *Reply) { r.Cancel("s", 1, 2) }, map[string]any{"t": "abortAttempt", "sidecarId": "s", "id": "0000000000000001", "copy": 2.0}},
+		{func(r *Reply) { r.Reject("s", 1, 9) }, map[string]any{"t": "notNow", "sidecarId": "s", "id": "0000000000000001", "holdOffUs": 9.0}},
+		{func(r *Reply) { r.Fail("s", 1) }, map[string]any{"t": "dropRequest", "sidecarId": "s", "id": "0000000000000001"}},
 		{func(r *Reply) { r.SetTimer("s", 7, 5) }, map[string]any{"t": "setTimer", "sidecarId": "s", "cookie": 7.0, "inUs": 5.0}},
-		{func(r *Reply) { r.DropConns("s", "x") }, map[string]any{"t": "dropConns", "sidecarId": "s", "server": "x"}},
+		{func(r *Reply) { r.CloseIdle("s", "x") }, map[string]any{"t": "dropConns", "sidecarId": "s", "server": "x"}},
 		{func(r *Reply) { r.Subscribe("s") }, map[string]any{"t": "keepInformed", "sidecarId": "s", "on": true}},
-		{func(r *Reply) { r.BailOut("s", odd) }, map[string]any{"t": "bailOut", "sidecarId": "s", "reasonText": odd}},
-		{func(r *Reply) { r.EndOfReply(3) }, map[string]any{"t": "eor", "turn": 3.0}},
+		{func(r *Reply) { r.ReportPanic("s", odd) }, map[string]any{"t": "bailOut", "sidecarId": "s", "reasonText": odd}},
+		{func(r *Reply) { r.EndBatch(3) }, map[string]any{"t": "eor", "turn": 3.0}},
 	} {
 		var r Reply
 		c.write(&r)
@@ -102,7 +102,7 @@
 	f.Fuzz(func(t *testing.T, line []byte) {
 		var d Decoder
 		var e Event
-		if err := d.Decode(line, &e); err == nil && e.Kind > Ledger && len(e.Instance) == 0 {
+		if err := d.Decode(line, &e); err == nil && e.Kind > ServerList && len(e.Instance) == 0 {
 			t.Errorf("%q: an event of no instance", line)
 		}
 	})
@@ -113,7 +113,7 @@
 	f.Add("\x00\"\\ \u2028")
 	f.Fuzz(func(t *testing.T, s string) {
 		var r Reply
-		r.BailOut("i", s)
+		r.ReportPanic("i", s)
 		if !json.Valid(r.Bytes()) {
 			t.Errorf("%q gave %s", s, r.Bytes())
 		}
