--- a/cmd/simulator/instance.go
+++ b/cmd/simulator/instance.go
@@ -9,55 +9,57 @@
 	"martendrum/internal/wire"
 )
 
-// instance is one balancer and its place on the wire; it is the balancer's
-// Host.
+// instance is one balancer and its ID on the wire. As the balancer's Host it writes
+// each action to the reply.
 type instance struct {
-	id    string
-	reply *wire.Reply
-	b     *martendrum.Balancer
-	set   *settings.Settings
+	id       string
+	reply    *wire.Reply
+	balancer *martendrum.Balancer
+	settings *settings.Settings
 }
 
-// event hands one event to the balancer.
-func (i *instance) event(e *wire.Event, a *adapter) error {
-	now, id := a.now, martendrum.RequestID(e.ID)
+// handle gives one event to the balancer.
+func (i *instance) handle(e *wire.Event, a *adapter) error {
+	now := a.now
+	id := martendrum.RequestID(e.ID)
 	switch e.Kind {
 	case wire.ServersChanged:
-		switch how := string(e.Change); how {
-		case "patch":
-			i.b.ServersChanged(now, a.lists[e.ListNumber])
-		case "whole", "stale_copy":
-			i.b.ServersListed(now, a.lists[e.ListNumber])
-		case "broken":
-			i.b.DiscoveryFailed(now)
+		switch change := string(e.Change); change {
+		case wire.ChangePartial:
+			i.balancer.ServersChanged(now, a.lists[e.ListNumber])
+		case wire.ChangeComplete, wire.ChangeStale:
+			i.balancer.ServersListed(now, a.lists[e.ListNumber])
+		case wire.ChangeFailed:
+			i.balancer.DiscoveryFailed(now)
 		default:
-			return fmt.Errorf("unknown kind of list %q", how)
+			return fmt.Errorf("unknown kind of list %q", change)
 		}
 	case wire.RequestArrived:
-		i.b.Arrive(now, martendrum.Request{
+		i.balancer.Arrive(now, martendrum.Request{
 			ID:       id,
-			Class:    i.set.Class(e.Class),
-			Tenant:   i.set.Tenant(e.Tenant),
+			Class:    i.settings.Class(e.Class),
+			Tenant:   i.settings.Tenant(e.Tenant),
 			Deadline: micros(e.DeadlineMicros),
 		})
 	case wire.StreamStarted:
-		i.b.StreamStarted(now, id, e.Attempt)
+		i.balancer.StreamStarted(now, id, e.Attempt)
 	case wire.AttemptFinished:
-		o, ok := outcomes[e.OutcomeCode]
+		outcome, ok := outcomes[e.OutcomeCode]
 		if !ok {
 			return fmt.Errorf("unknown ending %d", e.OutcomeCode)
 		}
-		i.b.AttemptFinished(now, id, e.Attempt, o, e.Finished, report(e.Report))
+		i.balancer.AttemptFinished(now, id, e.Attempt, outcome, e.Finished, loadReport(e.Report))
 	case wire.ProbeAnswered:
-		i.b.ProbeAnswered(now, string(e.Server), report(e.Report))
+		i.balancer.ProbeAnswered(now, string(e.Server), loadReport(e.Report))
 	case wire.ClientDisconnected:
-		i.b.ClientDisconnected(now, id)
+		i.balancer.ClientDisconnected(now, id)
 	case wire.TimerFired:
-		i.b.TimerFired(now, e.Cookie)
+		i.balancer.TimerFired(now, e.Cookie)
 	}
 	return nil
 }
 
+// outcomes maps the codes on the wire.
 var outcomes = map[int]martendrum.Outcome{
 	200: martendrum.OK,
 	502: martendrum.ServerError,
@@ -69,8 +71,14 @@
 	409: martendrum.NotSent,
 }
 
-func report(l wire.LoadReport) martendrum.LoadReport {
-	return martendrum.LoadReport{HasInFlight: l.HasInFlight, InFlight: l.InFlight, HasUtilization: l.HasUtilization, Utilization: l.Utilization}
+// loadReport converts a load report.
+func loadReport(r wire.LoadReport) martendrum.LoadReport {
+	return martendrum.LoadReport{
+		HasInFlight:    r.HasInFlight,
+		InFlight:       r.InFlight,
+		HasUtilization: r.HasUtilization,
+		Utilization:    r.Utilization,
+	}
 }
 
 // Send implements martendrum.Host.
@@ -105,22 +113,23 @@
 // Subscribe implements martendrum.Host.
 func (i *instance) Subscribe() { i.reply.Subscribe(i.id) }
 
-func endpoints(hosts []wire.ListEntry) []martendrum.Endpoint {
-	list := make([]martendrum.Endpoint, len(hosts))
-	for n, h := range hosts {
+// endpoints converts a server list.
+func endpoints(entries []wire.ListEntry) []martendrum.Endpoint {
+	list := make([]martendrum.Endpoint, len(entries))
+	for n, entry := range entries {
 		state := martendrum.Serving
-		switch h.Health {
-		case "DRAINING":
+		switch entry.Health {
+		case wire.HealthDraining:
 			state = martendrum.Draining
-		case "DELETED":
+		case wire.HealthRemoved:
 			state = martendrum.Removed
 		}
 		list[n] = martendrum.Endpoint{
-			Name:         h.Server,
-			Zone:         h.Zone,
-			Group:        h.Group,
-			CapacityHint: h.CapacityHint,
-			Started:      micros(h.StartedMicros),
+			Name:         entry.Server,
+			Zone:         entry.Zone,
+			Group:        entry.Group,
+			CapacityHint: entry.CapacityHint,
+			Started:      micros(entry.StartedMicros),
 			State:        state,
 		}
 	}
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -1,5 +1,10 @@
-// Command simulator hosts balancers on the simulator's wire: events on standard
-// input, actions on standard output. It decides nothing itself.
+// Command simulator runs the decision module on the simulator's wire: it reads batches
+// of events from standard input and writes the actions of its balancers to standard
+// output. It owns the instances and the server lists that they share, and decides
+// nothing itself.
+//
+// On input that it cannot read it exits with status 1 and one line on standard error,
+// which names the input line. A panic of the decision module is reported on the wire.
 package main
 
 import (
@@ -18,37 +23,45 @@
 
 func main() {
 	// Requests are short-lived garbage over a small live heap: collecting less
-	// often saves CPU, and the limit keeps a large fleet within bounds.
-	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(4 << 30)
+	// often saves CPU, and the limit bounds the memory of a large fleet.
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(memoryLimit)
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simulator:", err)
 		os.Exit(1)
 	}
 }
 
-// ledgers is the number of list numbers in use on the wire.
-const ledgers = 16
+const (
+	gcPercent       = 400
+	memoryLimit     = 4 << 30 // bytes
+	inputBufferSize = 1 << 16 // bytes
+	maxLists        = 16      // list numbers on the wire are below it
+)
+
+// noBatch is the number of no batch.
+const noBatch int64 = -1
 
-// adapter is the program's state: instances by id, and the numbered lists, which
-// belong to the process.
+// adapter is the program's state: instances by ID, and the numbered server lists, which
+// all instances share.
 type adapter struct {
 	in        *bufio.Reader
 	out       io.Writer
-	long      []byte // a line longer than in's buffer
-	line      int
-	dec       wire.Decoder
+	longLine  []byte // holds a line longer than in's buffer
+	line      int    // number of the line read last
+	decoder   wire.Decoder
 	reply     wire.Reply
 	instances map[string]*instance
-	lists     [ledgers][]martendrum.Endpoint
-	listed    [ledgers]bool
+	lists     [maxLists][]martendrum.Endpoint
+	listed    [maxLists]bool // which lists have been received
 	now       time.Duration
-	failed    bool
+	panicked  bool // a panic has been reported; no more events are handled
 }
 
+// run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	a := &adapter{
-		in:        bufio.NewReaderSize(in, 1<<16),
+		in:        bufio.NewReaderSize(in, inputBufferSize),
 		out:       out,
 		instances: make(map[string]*instance),
 	}
@@ -63,16 +76,16 @@
 	}
 }
 
-// next reads a line without its end.
+// next reads a line and cuts off its end.
 func (a *adapter) next() ([]byte, error) {
 	line, err := a.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		a.long = append(a.long[:0], line...)
+		a.longLine = append(a.longLine[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = a.in.ReadSlice('\n')
-			a.long = append(a.long, line...)
+			a.longLine = append(a.longLine, line...)
 		}
-		line = a.long
+		line = a.longLine
 	}
 	if err != nil && (err != io.EOF || len(line) == 0) {
 		return nil, err
@@ -84,53 +97,55 @@
 	return line, nil
 }
 
-// batch answers one batch; false says that the input ended before it.
+// batch reads and answers one batch. It returns false if the input has ended before it.
 func (a *adapter) batch() (more bool, err error) {
 	var e wire.Event
-	turn := int64(-1)
+	batch := noBatch
 	for {
 		line, err := a.next()
 		switch {
-		case err == io.EOF && turn < 0:
+		case err == io.EOF && batch < 0:
 			return false, nil
 		case err == io.EOF:
-			return false, fmt.Errorf("batch %d cut short", turn)
+			return false, fmt.Errorf("batch %d cut short", batch)
 		case err != nil:
 			return false, err
 		case len(line) == 0:
 			continue
 		}
-		if err := a.dec.Decode(line, &e); err != nil {
+		if err := a.decoder.Decode(line, &e); err != nil {
 			return false, err
 		}
 		switch {
-		case e.Kind == wire.BatchStart && turn < 0:
-			turn = e.Batch
+		case e.Kind == wire.BatchStart && batch < 0:
+			batch = e.Batch
 			a.now = micros(e.TimeMicros)
 			a.reply.Reset()
-		case e.Kind == wire.BatchStart || turn < 0:
+		case e.Kind == wire.BatchStart || batch < 0:
 			return false, errors.New("message out of place: a batch runs from tick to end")
 		case e.Kind == wire.BatchEnd:
-			a.reply.EndBatch(turn)
+			a.reply.EndBatch(batch)
 			_, err := a.out.Write(a.reply.Bytes())
 			return true, err
 		default:
-			if err := a.event(&e); err != nil {
+			if err := a.handle(&e); err != nil {
 				return false, err
 			}
 		}
 	}
 }
 
-func (a *adapter) event(e *wire.Event) error {
+// handle carries out one event or gives it to its instance.
+func (a *adapter) handle(e *wire.Event) error {
 	if e.Kind == wire.ServerList || e.Kind == wire.ServersChanged {
-		if e.ListNumber < 0 || e.ListNumber >= ledgers {
+		if e.ListNumber < 0 || e.ListNumber >= maxLists {
 			return fmt.Errorf("unknown ledger number %d", e.ListNumber)
 		}
 	}
 	switch e.Kind {
 	case wire.ServerList:
-		a.lists[e.ListNumber], a.listed[e.ListNumber] = endpoints(e.Entries), true
+		a.lists[e.ListNumber] = endpoints(e.Entries)
+		a.listed[e.ListNumber] = true
 		return nil
 	case wire.InstanceStarted:
 		return a.start(e)
@@ -143,37 +158,40 @@
 		delete(a.instances, i.id)
 		return nil
 	}
-	if e.Kind == wire.ServersChanged && string(e.Change) != "broken" && !a.listed[e.ListNumber] {
+	if e.Kind == wire.ServersChanged && string(e.Change) != wire.ChangeFailed && !a.listed[e.ListNumber] {
 		return fmt.Errorf("unknown ledger number %d", e.ListNumber)
 	}
-	return a.guard(i.id, func() error { return i.event(e, a) })
+	return a.guard(i.id, func() error { return i.handle(e, a) })
 }
 
-// guard turns a panic of the decision code into bailOut.
+// guard calls f and reports a panic of the decision module on the wire. After a panic it
+// calls nothing.
 func (a *adapter) guard(id string, f func() error) (err error) {
-	if a.failed {
+	if a.panicked {
 		return nil
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			a.failed = true
+			a.panicked = true
 			a.reply.ReportPanic(id, fmt.Sprint(p))
 		}
 	}()
 	return f()
 }
 
+// start starts an instance.
 func (a *adapter) start(e *wire.Event) error {
-	set, err := settings.Parse(e.Settings)
+	parsed, err := settings.Parse(e.Settings)
 	if err != nil {
 		return err
 	}
-	i := &instance{id: string(e.Instance), reply: &a.reply, set: set}
+	i := &instance{id: string(e.Instance), reply: &a.reply, settings: parsed}
 	return a.guard(i.id, func() error {
-		i.b, err = martendrum.New(set.Config, e.Seed, i)
+		i.balancer, err = martendrum.New(parsed.Config, e.Seed, i)
 		a.instances[i.id] = i
 		return err
 	})
 }
 
+// micros converts microseconds.
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
