--- a/cmd/simulator/main_test.go
+++ b/cmd/simulator/main_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// built is the adapter's binary, as the deploy file builds it.
+// built is the path of the simulator's binary.
 var built string
 
 func TestMain(m *testing.M) {
@@ -49,8 +49,8 @@
 	`"classes":[{"name":"a","effect":"repeatable","promiseUs":100000,"hardLimitUs":400000,"worth":1},{"name":"b","effect":"by_key","dedupScope":"zone","repeatWindowUs":200000,"promiseUs":100000,"worth":2},{"name":"c","effect":"once","promiseUs":100000,"worth":3}],` +
 	`"guarantees":{"askWithinUs":1000000,"coldFrom":0.2,"coldUs":1000000,"overloadFactor":3,"overloadForUs":1000000},"costs":{"waste":0.05}}`
 
-// script is a run of batches over n instances; each batch's events for
-// instances that keep drops are left out, as they are in another process.
+// script is a series of batches for n instances. Events of instances for which keep returns
+// false are left out, as if they were in another process.
 func script(n int, keep func(i int) bool) string {
 	rng := rand.New(rand.NewPCG(5, 5))
 	var b strings.Builder
@@ -64,10 +64,10 @@
 		}
 	}
 	line(`{"t":"end"}`)
-	type open struct {
-		i, id int
+	type openRequest struct {
+		instance, id int
 	}
-	var outs []open
+	var unanswered []openRequest
 	for turn := 2; turn < 300; turn++ {
 		now := turn * 5000
 		line(`{"t":"tick","tsUs":%d,"turn":%d}`, now, turn)
@@ -82,16 +82,16 @@
 			if keep(i) {
 				line(`{"t":"knock","sidecarId":"i/%d","id":"%016x","cls":"%s","clientDeadlineUs":%d}`, i, turn*100+i, class, now+300000)
 			}
-			if keep(i) && turn%10 == 0 { // a client that leaves at once: its attempt is called off
+			if keep(i) && turn%10 == 0 { // a client that disconnects at once: its attempt is cancelled
 				line(`{"t":"timedOutClient","sidecarId":"i/%d","id":"%016x"}`, i, turn*100+i)
 			}
-			outs = append(outs, open{i, turn*100 + i})
+			unanswered = append(unanswered, openRequest{i, turn*100 + i})
 		}
-		for len(outs) > 2*n {
-			o, ending := outs[0], []int{200, 429, 502, 521, 408, 520}[rng.IntN(6)]
-			outs = outs[1:]
-			if keep(o.i) {
-				line(`{"t":"finished","sidecarId":"i/%d","id":"%016x","copy":0,"noMore":%v,"ending":%d,"feedback":{"cpu_share":0.5}}`, o.i, o.id, ending == 200, ending)
+		for len(unanswered) > 2*n {
+			request, ending := unanswered[0], []int{200, 429, 502, 521, 408, 520}[rng.IntN(6)]
+			unanswered = unanswered[1:]
+			if keep(request.instance) {
+				line(`{"t":"finished","sidecarId":"i/%d","id":"%016x","copy":0,"noMore":%v,"ending":%d,"feedback":{"cpu_share":0.5}}`, request.instance, request.id, ending == 200, ending)
 			}
 		}
 		line(`{"t":"end"}`)
@@ -136,15 +136,15 @@
 	}
 	for _, word := range []string{"route", "notNow", "dropRequest", "abortAttempt", "setTimer", "keepInformed"} {
 		if !strings.Contains(whole, `"t":"`+word+`"`) {
-			t.Errorf("the script drew no %s", word)
+			t.Errorf("the script caused no %s", word)
 		}
 	}
 	if again, _, _ := play(t, script(4, all)); again != whole {
-		t.Error("a second run acted otherwise")
+		t.Error("a second run gave other actions")
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	const tick, end = `{"t":"tick","tsUs":1,"turn":7}` + "\n", `{"t":"end"}` + "\n"
 	for _, c := range []struct{ name, input, names string }{
 		{"not JSON", tick + "what\n" + end, "line 2"},
@@ -168,8 +168,8 @@
 	}
 }
 
-// A panic of the decision code must reach the wire as bailOut.
-func TestPanicBailsOut(t *testing.T) {
+// A panic of the decision module is reported on the wire.
+func TestPanicIsReported(t *testing.T) {
 	a := &adapter{}
 	if err := a.guard("i", func() error { panic("index out of range") }); err != nil {
 		t.Fatal(err)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Every action must come out as JSON with the fields put in.
+// Every action is written as JSON with the given values.
 func TestReply(t *testing.T) {
 	odd := "a\"b\\c\né"
 	for _, c := range []struct {
@@ -103,7 +103,7 @@
 		var d Decoder
 		var e Event
 		if err := d.Decode(line, &e); err == nil && e.Kind > ServerList && len(e.Instance) == 0 {
-			t.Errorf("%q: an event of no instance", line)
+			t.Errorf("%q: an event without an instance", line)
 		}
 	})
 }
