--- a/cmd/sidecar/fleet.go
+++ b/cmd/sidecar/fleet.go
@@ -95,8 +95,8 @@
 func (f *fleet) startRecovery(size int, metricSet *metrics.Set) {
 	f.machine = recovery.New(recovery.Config{Size: size}, 0)
 	if previous := f.checkpoint.previous; previous != nil {
-		_, weight := recovery.Retained(previous.Learned, f.checkpoint.age, recovery.Open)
-		f.machine.Usual(previous.Demand, weight)
+		_, weight := recovery.Retained(previous.Learned, f.checkpoint.age, recovery.Undecided)
+		f.machine.SetUsualDemand(previous.Demand, weight)
 	}
 	metricSet.Gauge("phase", "", func() float64 { return float64(f.lastOrders().Phase) })
 	metricSet.Gauge("bound_shed", "", func() float64 { return f.lastOrders().Bounds.MinShedFraction })
@@ -162,7 +162,7 @@
 	}
 	var orders recovery.Orders
 	f.host.Steer(func(now time.Duration, arrivals uint64, b *martendrum.Balancer) {
-		f.machine.Arrived(arrivals)
+		f.machine.SetArrivals(arrivals)
 		f.machine.SetCapacity(b.Capacity(now))
 		orders = f.machine.Tick(time.Since(f.started))
 		b.SetBounds(orders.Bounds)
@@ -178,7 +178,7 @@
 func (f *fleet) hearPeers() {
 	f.withNode(func(now time.Duration, node *peers.Node) {
 		for member := range node.Speaking(now) {
-			f.machine.Hear(int(member.Rank), recovery.Report{Phase: recovery.Phase(member.Phase), Age: member.Age})
+			f.machine.ReceiveReport(int(member.Rank), recovery.Report{Phase: recovery.Phase(member.Phase), Age: member.Age})
 		}
 	})
 }
@@ -199,7 +199,7 @@
 	if f.checkpoint.path == "" || f.machine == nil || f.lastOrders().Phase != recovery.Serving {
 		return
 	}
-	c := checkpoint.Checkpoint{Saved: clock.Wall().UnixMilli(), Demand: f.machine.Demand(), Learned: f.host.Learned()}
+	c := checkpoint.Checkpoint{Saved: clock.Wall().UnixMilli(), Demand: f.machine.UsualDemand(), Learned: f.host.Learned()}
 	f.withNode(func(_ time.Duration, node *peers.Node) { c.Incarnation = node.Incarnation() })
 	f.checkpoint.save(now, c)
 }
--- a/internal/fleet/host/agent/loss.go
+++ b/internal/fleet/host/agent/loss.go
@@ -143,7 +143,7 @@
 	}
 	waves := recovery.Waves(places, a.cfg.Recovery.MaxWave)
 	a.back = &comeback{epoch: n.Epoch, pace: recovery.NewPace(recovery.PaceConfig{
-		MinInterval: time.Duration(a.cfg.Recovery.MinWave), Longest: time.Duration(a.cfg.Recovery.WaveLongest), Losses: n.Recent,
+		MinInterval: time.Duration(a.cfg.Recovery.MinWave), MaxInterval: time.Duration(a.cfg.Recovery.WaveLongest), ConsecutiveLosses: n.Recent,
 	}, waves, 0)}
 }
 
@@ -161,7 +161,7 @@
 			b.pace.Done(i.cfg.Name)
 		}
 	}
-	return !b.pace.May(now, i.cfg.Name)
+	return !b.pace.MayStart(now, i.cfg.Name)
 }
 
 // returning says how far the return is, "" if there is none; the lock is held.
@@ -169,7 +169,7 @@
 	if a.back == nil {
 		return "", 0
 	}
-	if a.back.pace == nil || a.back.pace.Over(time.Since(a.started)) {
+	if a.back.pace == nil || a.back.pace.Finished(time.Since(a.started)) {
 		return "", a.back.epoch
 	}
 	up, of := 0, 0
@@ -189,7 +189,7 @@
 	if a.back == nil {
 		return
 	}
-	if a.back.pace != nil && a.back.pace.Over(up) {
+	if a.back.pace != nil && a.back.pace.Finished(up) {
 		a.back.pace = nil
 		n := a.readLosses()
 		n.Returning = false
--- a/internal/fleetsim/guide.go
+++ b/internal/fleetsim/guide.go
@@ -23,10 +23,10 @@
 func (r *Recovery) Tick(now time.Duration, s *Sidecar) {
 	if r.peer != nil && r.Last.Phase != recovery.Serving {
 		for m := range r.peer.Speaking(now) {
-			r.Hear(int(m.Rank), recovery.Report{Phase: recovery.Phase(m.Phase), Age: m.Age})
+			r.ReceiveReport(int(m.Rank), recovery.Report{Phase: recovery.Phase(m.Phase), Age: m.Age})
 		}
 	}
-	r.Arrived(s.Arrivals())
+	r.SetArrivals(s.Arrivals())
 	r.SetCapacity(s.b.Capacity(Epoch + now))
 	r.Last = r.Machine.Tick(now)
 	if r.peer != nil {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -12,13 +12,13 @@
 const ms = time.Millisecond
 
 var (
-	upWord    = Report{Serving, time.Hour}
-	youngWord = Report{Returning, 200 * ms}
+	upReport    = Report{Serving, time.Hour}
+	youngReport = Report{Returning, 200 * ms}
 )
 
-// run lets a Machine of a fleet look every 100 ms until the end, and returns its orders.
+// runMachine lets a Machine of a fleet look every 100 ms until the end, and returns its orders.
 // each brings it what it learns before each look.
-func run(size int, end time.Duration, each func(now time.Duration, m *Machine)) (all []Orders) {
+func runMachine(size int, end time.Duration, each func(now time.Duration, m *Machine)) (all []Orders) {
 	m := New(Config{Size: size}, 0)
 	for now := time.Duration(0); now <= end; now += 100 * ms {
 		each(now, m)
@@ -36,30 +36,30 @@
 		verdict Verdict
 		by      time.Duration // when it has come
 	}{
-		"alone":                     {60, map[int]Report{1: upWord, 2: upWord, 3: upWord}, 0, Alone, 0},
-		"everybody":                 {60, map[int]Report{1: youngWord, 2: youngWord, 3: youngWord}, 0, Everybody, 0},
-		"one liar says all is up":   {60, map[int]Report{1: youngWord, 2: youngWord, 3: upWord}, 0, Everybody, 300 * ms},
-		"one liar says all are new": {60, map[int]Report{1: upWord, 2: upWord, 3: youngWord}, 0, Alone, 300 * ms},
-		"one word is none":          {60, map[int]Report{1: upWord}, 0, Unsure, 300 * ms},
+		"alone":                     {60, map[int]Report{1: upReport, 2: upReport, 3: upReport}, 0, Alone, 0},
+		"everybody":                 {60, map[int]Report{1: youngReport, 2: youngReport, 3: youngReport}, 0, Everybody, 0},
+		"one liar says all is up":   {60, map[int]Report{1: youngReport, 2: youngReport, 3: upReport}, 0, Everybody, 300 * ms},
+		"one liar says all are new": {60, map[int]Report{1: upReport, 2: upReport, 3: youngReport}, 0, Alone, 300 * ms},
+		"one word is none":          {60, map[int]Report{1: upReport}, 0, Unsure, 300 * ms},
 		"nobody speaks":             {60, nil, 0, Unsure, 300 * ms},
-		"they speak late":           {60, map[int]Report{1: upWord, 2: upWord, 3: upWord}, 500 * ms, Alone, 500 * ms},
-		"two in all":                {2, map[int]Report{1: upWord}, 0, Alone, 0},
+		"they speak late":           {60, map[int]Report{1: upReport, 2: upReport, 3: upReport}, 500 * ms, Alone, 500 * ms},
+		"two in all":                {2, map[int]Report{1: upReport}, 0, Alone, 0},
 		"nobody else":               {1, nil, 0, Unsure, 0},
-		"up, but young":             {4, map[int]Report{1: {Serving, time.Second}, 2: youngWord, 3: youngWord}, 0, Everybody, 0},
-		"half and half":             {5, map[int]Report{1: upWord, 2: upWord, 3: youngWord, 4: youngWord}, 0, Everybody, 300 * ms},
+		"up, but young":             {4, map[int]Report{1: {Serving, time.Second}, 2: youngReport, 3: youngReport}, 0, Everybody, 0},
+		"half and half":             {5, map[int]Report{1: upReport, 2: upReport, 3: youngReport, 4: youngReport}, 0, Everybody, 300 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
-			all := run(c.size, 3*time.Second, func(now time.Duration, m *Machine) {
+			all := runMachine(c.size, 3*time.Second, func(now time.Duration, m *Machine) {
 				if now >= c.at {
 					for r, w := range c.words {
-						m.Hear(r, w)
+						m.ReceiveReport(r, w)
 					}
 				}
 			})
 			if o := all[c.by/(100*ms)]; o.Verdict != c.verdict {
 				t.Errorf("after %v the verdict is %v, want %v", c.by, o.Verdict, c.verdict)
 			}
-			if o := all[3]; o.Verdict == Open || o.Phase == Asking {
+			if o := all[3]; o.Verdict == Undecided || o.Phase == Querying {
 				t.Errorf("after 300 ms it still asks: %+v", o)
 			}
 		})
@@ -68,29 +68,29 @@
 
 // While servers are warm nothing is refused, whatever the verdict; while they are cold the
 // share that they don't bear is, and it ends when they are warm.
-func TestBoundsFollowServers(t *testing.T) {
-	warm := run(60, 5*time.Second, func(now time.Duration, m *Machine) { m.Arrived(uint64(now / (200 * ms))) })
+func TestBoundsFollowCapacity(t *testing.T) {
+	warm := runMachine(60, 5*time.Second, func(now time.Duration, m *Machine) { m.SetArrivals(uint64(now / (200 * ms))) })
 	for i, o := range warm {
 		if o.Bounds.MinShedFraction != 0 || o.Bounds.NominalRate != 0 {
 			t.Fatalf("look %d, warm servers: %+v", i, o)
 		}
 	}
 	ramp := func(now time.Duration) float64 { return min(1, 0.14+0.86*now.Seconds()/23) }
-	cold := run(60, 40*time.Second, func(now time.Duration, m *Machine) {
-		m.Arrived(10 + uint64(now/(200*ms))) // five a second, and ten that waited
+	cold := runMachine(60, 40*time.Second, func(now time.Duration, m *Machine) {
+		m.SetArrivals(10 + uint64(now/(200*ms))) // five a second, and ten that waited
 		m.SetCapacity(ramp(now), ramp(now))
 	})
 	for i, o := range cold {
 		now := time.Duration(i) * 100 * ms
 		room := ramp(now)
 		switch {
-		case room < warmLow && o.Bounds.MinShedFraction != 1-room:
+		case room < reducedCapacityFactor && o.Bounds.MinShedFraction != 1-room:
 			t.Fatalf("at %v servers bear %.2f, and %.2f is shed", now, room, o.Bounds.MinShedFraction)
-		case room >= warmEnough && (o.Bounds != martendrum.Bounds{} || o.Phase != Serving):
+		case room >= fullCapacityFactor && (o.Bounds != martendrum.Bounds{} || o.Phase != Serving):
 			t.Fatalf("at %v all is warm: %+v", now, o)
-		case room < warmLow && now > 4*time.Second && (o.Bounds.NominalRate < 1.5 || o.Bounds.NominalRate > 7):
+		case room < reducedCapacityFactor && now > 4*time.Second && (o.Bounds.NominalRate < 1.5 || o.Bounds.NominalRate > 7):
 			t.Fatalf("at %v five a second come, taken for %.1f", now, o.Bounds.NominalRate)
-		case room < warmLow && o.Bounds.NominalRate > 9:
+		case room < reducedCapacityFactor && o.Bounds.NominalRate > 9:
 			t.Fatalf("at %v those that waited count for %.1f a second", now, o.Bounds.NominalRate)
 		}
 	}
@@ -107,7 +107,7 @@
 			come := 2 + due[i] // twenty a second, and those who come again
 			total += come
 			due[i+15] += come * last.Bounds.MinShedFraction * back
-			m.Arrived(uint64(total))
+			m.SetArrivals(uint64(total))
 			m.SetCapacity(0.3, 0.3)
 			last = m.Tick(time.Duration(i) * 100 * ms)
 			if i > 60 && (last.Bounds.NominalRate < 10 || last.Bounds.NominalRate > 40) {
@@ -118,23 +118,23 @@
 }
 
 // Phases only go up, each ends in time, and the bounds stay within theirs, whatever comes.
-func TestAnythingComes(t *testing.T) {
+func TestMachineUnderRandomInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 6).Draw(t, "size")
 		m := New(Config{Size: size}, 0)
-		phase, total := Asking, uint64(0)
+		phase, total := Querying, uint64(0)
 		for now := time.Duration(0); now < 70*time.Second; now += time.Duration(rapid.IntRange(50, 2000).Draw(t, "step")) * ms {
 			for range rapid.IntRange(0, 2).Draw(t, "words") {
-				m.Hear(rapid.IntRange(1, 100).Draw(t, "rank"), Report{Phase(rapid.IntRange(0, 9).Draw(t, "phase")), time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second})
+				m.ReceiveReport(rapid.IntRange(1, 100).Draw(t, "rank"), Report{Phase(rapid.IntRange(0, 9).Draw(t, "phase")), time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second})
 			}
 			total += rapid.Uint64Range(0, 50).Draw(t, "came")
-			m.Arrived(total)
+			m.SetArrivals(total)
 			m.SetCapacity(rapid.Float64Range(-1, 2).Draw(t, "warmth"), rapid.Float64Range(-1, 2).Draw(t, "room"))
 			o := m.Tick(now)
 			switch {
 			case o.Phase < phase:
 				t.Fatalf("from %v back to %v", phase, o.Phase)
-			case o.Phase == Asking && now >= defaultQueryTime, o.Phase < Serving && now >= returnUsual:
+			case o.Phase == Querying && now >= defaultQueryTime, o.Phase < Serving && now >= defaultReturnTime:
 				t.Fatalf("%v at %v", o.Phase, now)
 			case o.Bounds.MinShedFraction < 0 || o.Bounds.MinShedFraction > 1 || o.Bounds.NominalRate < 0:
 				t.Fatalf("bounds %+v", o.Bounds)
@@ -143,8 +143,8 @@
 			}
 			phase = o.Phase
 		}
-		if len(m.words) > maxReports {
-			t.Fatalf("%d words kept", len(m.words))
+		if len(m.reports) > maxReports {
+			t.Fatalf("%d words kept", len(m.reports))
 		}
 	})
 }
--- a/internal/recovery/waves.go
+++ b/internal/recovery/waves.go
@@ -55,21 +55,21 @@
 // PaceConfig says how the waves of a host follow each other.
 type PaceConfig struct {
 	MinInterval time.Duration // from one wave to the next, at least
-	Longest     time.Duration // and at most, also where some of a wave are not ready
-	// Losses is how many losses came in a row, this one too. Least grows with them, by
-	// up to maxFlap: power that flaps must not start storms.
-	Losses int
+	MaxInterval time.Duration // and at most, also where some of a wave are not ready
+	// ConsecutiveLosses is how many losses came in a row, this one too. Least grows with them, by
+	// up to maxIntervalFactor: power that flaps must not start storms.
+	ConsecutiveLosses int
 }
 
-// maxFlap bounds what a power that flaps makes of the time between waves.
-const maxFlap = 16
+// maxIntervalFactor bounds what a power that flaps makes of the time between waves.
+const maxIntervalFactor = 16
 
 // Pace lets the instances of a host start in waves. A wave begins when all of the one
 // before are up or known to be down, or its longest time is over.
 type Pace struct {
-	cfg     PaceConfig
-	wave    map[string]int
-	left    []int // not done, by wave
+	config  PaceConfig
+	waveOf  map[string]int
+	pending []int // not done, by wave
 	done    map[string]bool
 	current int
 	began   time.Duration
@@ -77,14 +77,14 @@
 
 // NewPace returns the Pace of waves that begin at now.
 func NewPace(cfg PaceConfig, waves [][]string, now time.Duration) *Pace {
-	flap := min(1<<min(max(0, cfg.Losses-1), 10), maxFlap)
+	flap := min(1<<min(max(0, cfg.ConsecutiveLosses-1), 10), maxIntervalFactor)
 	cfg.MinInterval *= time.Duration(flap)
-	cfg.Longest = max(cfg.Longest, cfg.MinInterval)
-	p := &Pace{cfg: cfg, wave: make(map[string]int), done: make(map[string]bool), began: now}
+	cfg.MaxInterval = max(cfg.MaxInterval, cfg.MinInterval)
+	p := &Pace{config: cfg, waveOf: make(map[string]int), done: make(map[string]bool), began: now}
 	for n, w := range waves {
-		p.left = append(p.left, len(w))
+		p.pending = append(p.pending, len(w))
 		for _, name := range w {
-			p.wave[name] = n
+			p.waveOf[name] = n
 		}
 	}
 	return p
@@ -93,28 +93,28 @@
 // Done says that an instance is up, or will not be for now: the next ones need not wait
 // for it.
 func (p *Pace) Done(name string) {
-	if w, ok := p.wave[name]; ok && !p.done[name] {
+	if w, ok := p.waveOf[name]; ok && !p.done[name] {
 		p.done[name] = true
-		p.left[w]--
+		p.pending[w]--
 	}
 }
 
-// May says whether an instance may start now. One that the waves don't name may.
-func (p *Pace) May(now time.Duration, name string) bool {
-	for p.current < len(p.left) {
+// MayStart says whether an instance may start now. One that the waves don't name may.
+func (p *Pace) MayStart(now time.Duration, name string) bool {
+	for p.current < len(p.pending) {
 		age := now - p.began
-		if age < p.cfg.MinInterval || p.left[p.current] > 0 && age < p.cfg.Longest {
+		if age < p.config.MinInterval || p.pending[p.current] > 0 && age < p.config.MaxInterval {
 			break
 		}
 		p.current++
 		p.began = now
 	}
-	w, ok := p.wave[name]
+	w, ok := p.waveOf[name]
 	return !ok || w <= p.current
 }
 
-// Over says that every wave has begun and the last one has had its time.
-func (p *Pace) Over(now time.Duration) bool {
-	p.May(now, "")
-	return p.current >= len(p.left)
+// Finished says that every wave has begun and the last one has had its time.
+func (p *Pace) Finished(now time.Duration) bool {
+	p.MayStart(now, "")
+	return p.current >= len(p.pending)
 }
--- a/internal/recovery/waves_test.go
+++ b/internal/recovery/waves_test.go
@@ -37,13 +37,13 @@
 			takes[fmt.Sprint(i)] = rapid.SampledFrom([]time.Duration{0, step, time.Second, 3 * time.Second, never}).Draw(t, "takes")
 		}
 		waves := Waves(places, rapid.IntRange(0, 4).Draw(t, "most"))
-		cfg := PaceConfig{MinInterval: 200 * ms, Longest: 2 * time.Second, Losses: rapid.IntRange(0, 40).Draw(t, "losses")}
+		cfg := PaceConfig{MinInterval: 200 * ms, MaxInterval: 2 * time.Second, ConsecutiveLosses: rapid.IntRange(0, 40).Draw(t, "losses")}
 		p := NewPace(cfg, waves, 0)
-		bound := time.Duration(len(waves)) * max(cfg.Longest, cfg.MinInterval*maxFlap)
+		bound := time.Duration(len(waves)) * max(cfg.MaxInterval, cfg.MinInterval*maxIntervalFactor)
 		started := make(map[string]time.Duration)
 		for now := time.Duration(0); now <= bound+step; now += step {
 			for _, place := range places {
-				may := p.May(now, place.Name)
+				may := p.MayStart(now, place.Name)
 				at, before := started[place.Name]
 				switch {
 				case before && !may:
@@ -55,7 +55,7 @@
 				}
 			}
 		}
-		if len(started) != len(places) || !p.Over(bound+cfg.Longest) {
+		if len(started) != len(places) || !p.Finished(bound+cfg.MaxInterval) {
 			t.Fatalf("only %d of %d may start by %v", len(started), len(places), bound)
 		}
 		for n := 1; n < len(waves); n++ {
@@ -64,7 +64,7 @@
 			}
 		}
 	})
-	if !NewPace(PaceConfig{}, nil, 0).May(0, "stranger") {
+	if !NewPace(PaceConfig{}, nil, 0).MayStart(0, "stranger") {
 		t.Error("one that the waves don't name is held back")
 	}
 }
