--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,18 +1,19 @@
-// Package recovery decides how one sidecar comes back: alone, or with everybody after a
-// power loss. It has no I/O, clock or goroutine.
+// Package recovery decides how one sidecar restarts: alone, or together with the whole
+// fleet after a power loss. It has no I/O, clock or goroutine.
 //
-// A Machine is told what other sidecars say of themselves, how many requests came and how
-// much the servers may take, and says which phase this sidecar is in and which bounds its
-// Balancer keeps to. What it promises:
+// A Machine takes other sidecars' reports on themselves, the number of requests that
+// arrived and the capacity of the servers. It says which phase this sidecar is in and which
+// bounds its Balancer must keep to. It promises:
 //
-//   - A request is never held back for it, and none is refused while the servers are warm:
-//     it sheds, the cheapest first, the share that cold servers don't surely bear.
-//   - Whether the others stayed up is decided within MaxQueryTime; undecided means careful.
-//   - Each phase has a longest time, and phases only go up within a life.
-//   - It rests on no clock of another's, and on no single other's word.
+//   - No request is delayed, and none is rejected while the servers have their full
+//     capacity. Otherwise it sheds, lowest weight first, what exceeds their capacity.
+//   - Whether the other sidecars stayed up is decided within MaxQueryTime. If it is unsure,
+//     the sidecar restarts as after a power loss.
+//   - Each phase has a longest time, and phases only advance within an incarnation.
+//   - It relies on no other sidecar's clock, and on no single other sidecar's report.
 //
-// It does not know how servers warm up (the Balancer's Room does), who the others are
-// (package peers does), or what lies on a disk (package checkpoint does).
+// It does not know how servers warm up (Balancer.Capacity does), who the others are
+// (package peers does), or what is stored on a disk (package checkpoint does).
 package recovery
 
 import (
@@ -22,16 +23,19 @@
 	"martendrum"
 )
 
-// Phase is how far a sidecar has come in its life.
+// Phase is how far a sidecar's restart has come.
 type Phase uint8
 
-// The phases.
 const (
-	Querying  Phase = iota + 1 // whether the others stayed up
-	Returning                  // with everybody, or it can't be told
+	// Querying lasts until it is decided whether the others stayed up.
+	Querying Phase = iota + 1
+	// Returning is a restart together with the fleet, or one where that is unsure.
+	Returning
+	// Serving is the end of the restart.
 	Serving
 )
 
+// String implements fmt.Stringer with the names that are logged and exported.
 func (p Phase) String() string {
 	if p < Querying || p > Serving {
 		return "unknown"
@@ -39,28 +43,32 @@
 	return [...]string{"asking", "returning", "serving"}[p-1]
 }
 
-// Verdict is what the others' words come to.
+// Verdict is the conclusion from the others' reports.
 type Verdict uint8
 
-// The verdicts.
 const (
-	Undecided Verdict = iota // not decided yet
-	Alone                    // the others stayed up
-	Everybody                // they came back as this one did
-	Unsure                   // too few spoke in time
+	// Undecided means that too few reports have arrived so far.
+	Undecided Verdict = iota
+	// Alone means that the others stayed up.
+	Alone
+	// Everybody means that the others restarted as this sidecar did.
+	Everybody
+	// Unsure means that too few reports arrived in time.
+	Unsure
 )
 
+// String implements fmt.Stringer with the names that are logged and exported.
 func (v Verdict) String() string {
 	return [...]string{"open", "alone", "everybody", "unsure"}[v]
 }
 
-// Config is what a Machine is told. The zero value of a time means its default.
+// Config is the configuration of a Machine. The zero value of a time means its default.
 type Config struct {
-	Size          int           // sidecars in the fleet
-	MaxQueryTime  time.Duration // after it the verdict stands, whoever has spoken
-	MaxReturnTime time.Duration // longest time in Returning
-	Interval      time.Duration // between two looks while there is something to decide
-	IdleInterval  time.Duration // between two looks later
+	Size          int           // sidecars in the fleet, this one included
+	MaxQueryTime  time.Duration // the longest time in Querying
+	MaxReturnTime time.Duration // the longest time in Returning, from the start
+	Interval      time.Duration // between two calls of Tick during the restart or while bounds are in force
+	IdleInterval  time.Duration // between two calls of Tick otherwise
 }
 
 const (
@@ -68,68 +76,75 @@
 	defaultReturnTime   = time.Minute
 	defaultInterval     = 100 * time.Millisecond
 	defaultIdleInterval = 500 * time.Millisecond
-	// sufficientReports others' words decide at once, if they agree; a single one never does
-	// where there are more, so that no liar makes a verdict.
+	// sufficientReports decide at once if they agree. A smaller fleet needs those of all
+	// others, so that one false report decides only where there is just one.
 	sufficientReports = 3
-	// minReturnTime is the least time of Returning: by then the list of servers has come.
+	// minReturnTime is the shortest time in Returning: by then the server list has come.
 	minReturnTime = time.Second
-	// minUptime is the age from which a sidecar's word that it serves shows that it was not
-	// part of this loss.
+	// minUptime is the age from which on a serving sidecar cannot have been part of the
+	// same power loss.
 	minUptime = 5 * time.Second
-	// demandWindow is what arrivals are averaged over. The first ones count as if they had
-	// come in all of it: clients that waited come at once.
+	// demandWindow is the time over which arrivals are averaged. The first ones are spread
+	// over all of it, because clients that waited arrive at once.
 	demandWindow = 3 * time.Second
-	// maxDemandFactor times the usual demand is the most that is taken for true of what comes.
+	// maxDemandFactor times the prior demand is the most that arrivals are taken to be.
 	maxDemandFactor = 1.5
-	// usualDemandMemory is what the usual demand is averaged over.
+	// usualDemandMemory is the time over which the usual demand is averaged.
 	usualDemandMemory = time.Minute
-	// retryFraction is the share of those turned away who are taken to come again, so that
-	// they are not counted as new ones.
+	// retryFraction is the assumed fraction of rejected clients who retry, and whose
+	// retries are not counted as demand.
 	retryFraction = 0.7
-	// fullCapacityFactor is the servers' mean warmth from which on nothing is bounded; reducedCapacityFactor
-	// below which it is again: not the same, so that it does not flap.
+	// Bounds come into force when the mean slow-start factor is below
+	// reducedCapacityFactor and end at fullCapacityFactor. The gap avoids flapping.
 	fullCapacityFactor    = 0.98
 	reducedCapacityFactor = 0.9
+	// maxReports bounds the reports kept; more would not change a verdict.
+	maxReports = 64
 )
 
 // Report is what another sidecar says of itself.
 type Report struct {
 	Phase Phase
-	Age   time.Duration // of its life
+	Age   time.Duration // time since its start
 }
 
-// stayedUp says that it stayed up.
-func (w Report) stayedUp() bool { return w.Phase >= Serving && w.Age >= minUptime }
+// stayedUp reports whether the sidecar was up before this one's restart.
+func (r Report) stayedUp() bool { return r.Phase >= Serving && r.Age >= minUptime }
 
-// Orders is what a Machine wants done.
+// Orders is what a Machine decides.
 type Orders struct {
 	Phase   Phase
 	Verdict Verdict
 	Bounds  martendrum.Bounds
 }
 
-// Machine is one sidecar's return. Its methods take the time since any fixed moment.
+// Machine is one sidecar's restart. Its methods take the time since any fixed moment. It is
+// not safe for concurrent use.
 type Machine struct {
 	config Config
 	began  time.Duration
 	due    time.Duration
 
-	reports map[int]Report
+	reports map[int]Report // by rank
 	phase   Phase
 	verdict Verdict
 
-	constrained                       bool // the servers take less than comes
-	slowStartFactor, capacityFraction float64
-	arrivals                          uint64          // arrivals
-	measuredArrivals                  uint64          // of these, at the last look
-	samples                           []arrivalSample // of the last demandWindow
+	constrained      bool    // the servers bear less than the usual load
+	slowStartFactor  float64 // mean of the servers, 0 to 1
+	capacityFraction float64 // of the usual load that the servers bear, 0 to 1
 
-	priorDemand, priorWeight float64 // from before this life
-	usualDemand              float64 // the usual demand of this one
-	learnedAt                time.Duration
+	arrivals         uint64          // in all
+	measuredArrivals uint64          // of these, at the last Tick
+	samples          []arrivalSample // of the last demandWindow
+
+	priorDemand float64       // usual demand before this start, in requests a second; 0: unknown
+	priorWeight float64       // weight of priorDemand, 0 to 1
+	usualDemand float64       // usual demand since this start; 0: unknown
+	learnedAt   time.Duration // when usualDemand was last updated
 }
 
-// arrivalSample is how many requests came, since the look before, that were nobody's second try.
+// arrivalSample is the estimated number of requests, retries left out, since the sample
+// before.
 type arrivalSample struct {
 	at            time.Duration
 	firstArrivals float64
@@ -137,11 +152,22 @@
 
 // New returns the Machine of a sidecar that starts at now.
 func New(cfg Config, now time.Duration) *Machine {
-	cfg.MaxQueryTime, cfg.MaxReturnTime = cmp.Or(cfg.MaxQueryTime, defaultQueryTime), cmp.Or(cfg.MaxReturnTime, defaultReturnTime)
-	cfg.Interval, cfg.IdleInterval = cmp.Or(cfg.Interval, defaultInterval), cmp.Or(cfg.IdleInterval, defaultIdleInterval)
-	m := &Machine{config: cfg, began: now, due: now, reports: make(map[int]Report), phase: Querying, slowStartFactor: 1, capacityFraction: 1}
-	if cfg.Size < 2 {
-		m.verdict, m.phase = Unsure, Returning // nobody to ask
+	cfg.MaxQueryTime = cmp.Or(cfg.MaxQueryTime, defaultQueryTime)
+	cfg.MaxReturnTime = cmp.Or(cfg.MaxReturnTime, defaultReturnTime)
+	cfg.Interval = cmp.Or(cfg.Interval, defaultInterval)
+	cfg.IdleInterval = cmp.Or(cfg.IdleInterval, defaultIdleInterval)
+	m := &Machine{
+		config:           cfg,
+		began:            now,
+		due:              now,
+		reports:          make(map[int]Report),
+		phase:            Querying,
+		slowStartFactor:  1,
+		capacityFraction: 1,
+	}
+	if cfg.Size < 2 { // nobody to query
+		m.verdict = Unsure
+		m.phase = Returning
 	}
 	return m
 }
@@ -149,33 +175,33 @@
 // Due is when Tick is to be called next.
 func (m *Machine) Due() time.Duration { return m.due }
 
-// ReceiveReport takes what another sidecar says of itself. Only its own word counts, not what
-// others tell of it.
-func (m *Machine) ReceiveReport(rank int, w Report) {
+// ReceiveReport takes what the sidecar of the rank says of itself. Reports on third parties
+// must not be given.
+func (m *Machine) ReceiveReport(rank int, report Report) {
 	if m.phase == Serving || len(m.reports) >= maxReports && m.reports[rank].Phase == 0 {
 		return
 	}
-	m.reports[rank] = w
+	m.reports[rank] = report
 }
 
-// maxReports bounds the words kept: more decide nothing more.
-const maxReports = 64
-
-// SetArrivals takes how many requests have come in all.
+// SetArrivals takes the number of requests that have arrived in all.
 func (m *Machine) SetArrivals(total uint64) { m.arrivals = total }
 
-// SetUsualDemand takes the demand that usually came before this life, by requests a second, and how
-// much that is still worth, from 0 to 1.
+// SetUsualDemand takes the usual demand before this start, in requests a second, and the
+// weight, from 0 to 1, that it still has.
 func (m *Machine) SetUsualDemand(perSecond, weight float64) {
-	m.priorDemand, m.priorWeight = perSecond, weight
+	m.priorDemand = perSecond
+	m.priorWeight = weight
 }
 
-// UsualDemand is how many requests a second usually come: 0 until it is known.
+// UsualDemand is the usual demand in requests a second, 0 until it is known.
 func (m *Machine) UsualDemand() float64 { return m.usualDemand }
 
-// SetCapacity takes the servers' mean warmth and the share of what usually comes that they bear.
-func (m *Machine) SetCapacity(warmth, share float64) {
-	m.slowStartFactor, m.capacityFraction = max(0, min(warmth, 1)), max(0, min(share, 1))
+// SetCapacity takes the servers' mean slow-start factor and the fraction of the usual load
+// that they bear, as Balancer.Capacity returns them.
+func (m *Machine) SetCapacity(slowStartFactor, bearable float64) {
+	m.slowStartFactor = max(0, min(slowStartFactor, 1))
+	m.capacityFraction = max(0, min(bearable, 1))
 }
 
 // Tick decides.
@@ -192,56 +218,78 @@
 	if m.phase == Querying && m.verdict != Undecided {
 		m.phase = Returning
 	}
-	if m.phase == Returning && (m.verdict == Alone || m.verdict != Undecided && !m.constrained && now-m.began >= minReturnTime || now-m.began >= m.config.MaxReturnTime) {
-		m.phase, m.reports = Serving, nil
+	if m.phase == Returning && m.mayServe(now) {
+		m.phase = Serving
+		m.reports = nil
 	}
-	if m.due = now + m.config.Interval; m.phase == Serving && !m.constrained {
-		m.due = now + m.config.IdleInterval
+	interval := m.config.Interval
+	if m.phase == Serving && !m.constrained {
+		interval = m.config.IdleInterval
 	}
-	o := Orders{Phase: m.phase, Verdict: m.verdict}
+	m.due = now + interval
+	return m.orders()
+}
+
+// mayServe reports whether Returning ends.
+func (m *Machine) mayServe(now time.Duration) bool {
+	age := now - m.began
+	switch {
+	case m.verdict == Alone, age >= m.config.MaxReturnTime:
+		return true
+	}
+	return m.verdict != Undecided && !m.constrained && age >= minReturnTime
+}
+
+// orders returns the present phase, verdict and bounds.
+func (m *Machine) orders() Orders {
+	orders := Orders{Phase: m.phase, Verdict: m.verdict}
 	if m.constrained {
-		o.Bounds = martendrum.Bounds{MinShedFraction: m.shedFraction(), NominalRate: m.estimateDemand(), SuspendOptionalWork: true}
+		orders.Bounds.MinShedFraction = m.shedFraction()
+		orders.Bounds.NominalRate = m.estimateDemand()
 	}
-	o.Bounds.SuspendOptionalWork = o.Bounds.SuspendOptionalWork || m.phase == Returning
-	return o
+	orders.Bounds.SuspendOptionalWork = m.constrained || m.phase == Returning
+	return orders
 }
 
-// decideVerdict comes to a verdict: when enough agree, when time is up, and later, for one that
-// was unsure, when enough have spoken.
+// decideVerdict decides as soon as sufficient reports agree, or when MaxQueryTime is over.
+// An unsure verdict is decided later if sufficient reports arrive.
 func (m *Machine) decideVerdict(now time.Duration) {
 	if m.verdict == Alone || m.verdict == Everybody || m.phase == Serving || m.config.Size < 2 {
 		return
 	}
-	up, down := 0, 0
-	for _, w := range m.reports {
-		if w.stayedUp() {
+	up, restarted := 0, 0
+	for _, report := range m.reports {
+		if report.stayedUp() {
 			up++
 		} else {
-			down++
+			restarted++
 		}
 	}
-	enough := min(sufficientReports, m.config.Size-1)
-	late := now-m.began >= m.config.MaxQueryTime
+	sufficient := min(sufficientReports, m.config.Size-1)
+	timeIsOver := now-m.began >= m.config.MaxQueryTime
 	switch {
-	case up+down >= enough && (up == 0 || down == 0 || late):
-		m.verdict = Everybody // half and half: the careful one
-		if up > down {
+	case up+restarted >= sufficient && (up == 0 || restarted == 0 || timeIsOver):
+		m.verdict = Everybody // on a tie too: it is the careful verdict
+		if up > restarted {
 			m.verdict = Alone
 		}
-	case late:
+	case timeIsOver:
 		m.verdict = Unsure
 	}
 }
 
-// recordArrivals notes what has come since the last look.
+// recordArrivals samples the requests that have arrived since the last call. Of the clients
+// that were shed, retryFraction is assumed to have come back.
 func (m *Machine) recordArrivals(now time.Duration) {
-	m.samples = append(m.samples, arrivalSample{now, float64(m.arrivals-m.measuredArrivals) * (1 - retryFraction*m.shedFraction())})
+	arrived := float64(m.arrivals - m.measuredArrivals)
+	m.samples = append(m.samples, arrivalSample{now, arrived * (1 - retryFraction*m.shedFraction())})
 	m.measuredArrivals = m.arrivals
 	for len(m.samples) > 1 && now-m.samples[0].at > demandWindow {
 		m.samples = m.samples[1:]
 	}
 }
 
+// shedFraction is the fraction of the load that the servers do not bear.
 func (m *Machine) shedFraction() float64 {
 	if !m.constrained {
 		return 0
@@ -249,26 +297,27 @@
 	return 1 - m.capacityFraction
 }
 
-// estimateDemand is how many requests a second come for the first time, about.
+// estimateDemand estimates the requests a second, retries left out. The prior demand bounds
+// the estimate by its weight.
 func (m *Machine) estimateDemand() float64 {
 	sum := 0.0
-	for _, l := range m.samples {
-		sum += l.firstArrivals
+	for _, sample := range m.samples {
+		sum += sample.firstArrivals
 	}
-	now := sum / demandWindow.Seconds()
+	present := sum / demandWindow.Seconds()
 	if m.priorDemand > 0 {
-		return m.priorWeight*min(now, maxDemandFactor*m.priorDemand) + (1-m.priorWeight)*now
+		return m.priorWeight*min(present, maxDemandFactor*m.priorDemand) + (1-m.priorWeight)*present
 	}
-	return now
+	return present
 }
 
-// learnUsualDemand keeps the usual demand up to date, while nothing is unusual.
+// learnUsualDemand updates the usual demand in normal operation.
 func (m *Machine) learnUsualDemand(now time.Duration) {
 	if m.phase != Serving || m.constrained || now-m.began < demandWindow {
 		return
 	}
-	d := m.estimateDemand()
-	m.usualDemand = cmp.Or(m.usualDemand, d) // starts at the first
-	m.usualDemand += (d - m.usualDemand) * min(1, (now-m.learnedAt).Seconds()/usualDemandMemory.Seconds())
+	demand := m.estimateDemand()
+	m.usualDemand = cmp.Or(m.usualDemand, demand) // starts at the first estimate
+	m.usualDemand += (demand - m.usualDemand) * min(1, (now-m.learnedAt).Seconds()/usualDemandMemory.Seconds())
 	m.learnedAt = now
 }
--- a/internal/recovery/trust.go
+++ b/internal/recovery/trust.go
@@ -7,19 +7,22 @@
 	"martendrum"
 )
 
-// Trust is what becomes, after a restart, of something known before it.
+// Trust says how far something known before a restart is used after it.
 type Trust string
 
-// The kinds of trust.
 const (
-	Full      Trust = "outright"
-	Hint      Trust = "as a hint that fades with age"
+	// Full trust uses it as it is.
+	Full Trust = "outright"
+	// Hint uses it with a weight that falls with its age.
+	Hint Trust = "as a hint that fades with age"
+	// Requeried asks its source again.
 	Requeried Trust = "asked for anew"
+	// Discarded does not use it.
 	Discarded Trust = "thrown away"
 )
 
-// Trusted is what is trusted of all that was known before, item by item; the design note
-// has the same table.
+// Trusted lists what was known before a restart with its Trust and the reason. The design
+// note has the same table.
 var Trusted = []struct {
 	Item string
 	How  Trust
@@ -43,26 +46,36 @@
 }
 
 const (
-	// latencyMemory is how fast response times from before lose their worth, demandMemory
-	// the usual demand.
-	latencyMemory = time.Hour
-	demandMemory  = 6 * time.Hour
+	latencyMemory = time.Hour     // how fast latencies from before the restart lose their weight
+	demandMemory  = 6 * time.Hour // how fast the usual demand loses its weight
 )
 
-// Retained is what of a checkpoint is still a hint: what was learned, less what is of the
-// moment, and the usual demand with its weight from 0 to 1.
-func Retained(l martendrum.LearnedState, age time.Duration, v Verdict) (_ martendrum.LearnedState, weight float64) {
-	k := martendrum.LearnedState{HedgeDelay: l.HedgeDelay, HedgeProbability: l.HedgeProbability, AcceptedFraction: 1}
-	fresh := func(n int) int { return int(float64(n) * math.Exp(-float64(age)/float64(latencyMemory))) }
-	k.Primary = l.Primary[len(l.Primary)-fresh(len(l.Primary)):]
-	k.Hedges = l.Hedges[len(l.Hedges)-fresh(len(l.Hedges)):]
-	k.Pairs = l.Pairs[len(l.Pairs)-fresh(len(l.Pairs)):]
-	if v == Alone {
-		k.MeanLatency = l.MeanLatency
-		for _, s := range l.Servers {
-			s.Failures, s.Ejections, s.EjectionRemaining = 0, 0, 0
-			k.Servers = append(k.Servers, s)
+// Retained returns what of a checkpoint of the given age is still used after the verdict: the
+// learned state that outlasts the moment, and the weight of the usual demand, from 0 to 1. What
+// was learned of single servers is retained only where the others stayed up.
+func Retained(learned martendrum.LearnedState, age time.Duration, verdict Verdict) (_ martendrum.LearnedState, demandWeight float64) {
+	retained := martendrum.LearnedState{
+		HedgeDelay:       learned.HedgeDelay,
+		HedgeProbability: learned.HedgeProbability,
+		AcceptedFraction: 1,
+		Primary:          latest(learned.Primary, age),
+		Hedges:           latest(learned.Hedges, age),
+		Pairs:            latest(learned.Pairs, age),
+	}
+	if verdict == Alone {
+		retained.MeanLatency = learned.MeanLatency
+		for _, server := range learned.Servers {
+			server.Failures = 0
+			server.Ejections = 0
+			server.EjectionRemaining = 0
+			retained.Servers = append(retained.Servers, server)
 		}
 	}
-	return k, math.Exp(-float64(age) / float64(demandMemory))
+	return retained, math.Exp(-float64(age) / float64(demandMemory))
+}
+
+// latest returns the last part of the samples, a fraction that falls with their age.
+func latest[T any](samples []T, age time.Duration) []T {
+	count := int(float64(len(samples)) * math.Exp(-float64(age)/float64(latencyMemory)))
+	return samples[len(samples)-count:]
 }
--- a/internal/recovery/waves.go
+++ b/internal/recovery/waves.go
@@ -6,43 +6,23 @@
 	"time"
 )
 
-// Place is where an instance of a host belongs.
+// Place is where an instance of a host belongs. An instance without a shop is one by itself.
 type Place struct{ Name, Shop, Zone string }
 
-// Waves orders a host's instances for their return: every shop has one before any has
-// two, and within a wave zones take turns. No wave holds more than most; most below 1
-// means no bound.
+// turn is an instance's place in the order of starts.
+type turn struct {
+	Place
+	wave   int // instances of its shop before it
+	inZone int // instances of its zone and wave before it
+}
+
+// Waves orders a host's instances for their restart: every shop has one before any has two,
+// and within a wave zones take turns. No wave is larger than limit; a limit below 1 means no
+// bound.
 func Waves(places []Place, limit int) [][]string {
-	nth := make(map[string]int) // of a shop's instances
-	type turn struct {
-		Place
-		wave, inZone int
-	}
-	turns := make([]turn, len(places))
-	for i, p := range places {
-		shop := p.Shop
-		if shop == "" {
-			shop = "\x00" + p.Name // one of its own
-		}
-		turns[i] = turn{Place: p, wave: nth[shop]}
-		nth[shop]++
-	}
-	type zoneWave struct {
-		zone string
-		wave int
-	}
-	seen := make(map[zoneWave]int)
-	for i := range turns {
-		z := zoneWave{turns[i].Zone, turns[i].wave}
-		turns[i].inZone = seen[z]
-		seen[z]++
-	}
-	slices.SortStableFunc(turns, func(a, b turn) int {
-		return cmp.Or(cmp.Compare(a.wave, b.wave), cmp.Compare(a.inZone, b.inZone), cmp.Compare(a.Zone, b.Zone))
-	})
 	var waves [][]string
 	last := -1
-	for _, t := range turns {
+	for _, t := range turns(places) {
 		if t.wave != last || limit > 0 && len(waves[len(waves)-1]) >= limit {
 			waves = append(waves, nil)
 			last = t.wave
@@ -52,69 +32,104 @@
 	return waves
 }
 
+// turns returns the instances in the order of their starts.
+func turns(places []Place) []turn {
+	type zoneWave struct {
+		zone string
+		wave int
+	}
+	ofShop := make(map[string]int)
+	ofZoneWave := make(map[zoneWave]int)
+	ordered := make([]turn, len(places))
+	for i, place := range places {
+		shop := place.Shop
+		if shop == "" {
+			shop = "\x00" + place.Name // its own; no shop has such a name
+		}
+		wave := ofShop[shop]
+		ofShop[shop]++
+		zw := zoneWave{place.Zone, wave}
+		ordered[i] = turn{Place: place, wave: wave, inZone: ofZoneWave[zw]}
+		ofZoneWave[zw]++
+	}
+	slices.SortStableFunc(ordered, func(a, b turn) int {
+		return cmp.Or(cmp.Compare(a.wave, b.wave), cmp.Compare(a.inZone, b.inZone), cmp.Compare(a.Zone, b.Zone))
+	})
+	return ordered
+}
+
 // PaceConfig says how the waves of a host follow each other.
 type PaceConfig struct {
-	MinInterval time.Duration // from one wave to the next, at least
-	MaxInterval time.Duration // and at most, also where some of a wave are not ready
-	// ConsecutiveLosses is how many losses came in a row, this one too. Least grows with them, by
-	// up to maxIntervalFactor: power that flaps must not start storms.
+	MinInterval time.Duration // from one wave to the next
+	MaxInterval time.Duration // from one wave to the next, also where some of a wave are not ready
+	// ConsecutiveLosses is the number of power losses in a row, this one included. Each more
+	// doubles MinInterval, up to maxIntervalFactor: flapping power must not cause start storms.
 	ConsecutiveLosses int
 }
 
-// maxIntervalFactor bounds what a power that flaps makes of the time between waves.
-const maxIntervalFactor = 16
+const (
+	maxIntervalFactor = 16
+	maxDoublings      = 10 // keeps the shift from overflowing
+)
 
-// Pace lets the instances of a host start in waves. A wave begins when all of the one
-// before are up or known to be down, or its longest time is over.
+// Pace lets the instances of a host start in waves. A wave begins when all instances of the one
+// before are done, MinInterval after it at the earliest and MaxInterval at the latest. It is
+// not safe for concurrent use.
 type Pace struct {
 	config  PaceConfig
-	waveOf  map[string]int
-	pending []int // not done, by wave
+	waveOf  map[string]int // by instance
+	pending []int          // instances that are not done, by wave
 	done    map[string]bool
-	current int
-	began   time.Duration
+	current int           // the wave that has begun
+	began   time.Duration // when it began
 }
 
 // NewPace returns the Pace of waves that begin at now.
 func NewPace(cfg PaceConfig, waves [][]string, now time.Duration) *Pace {
-	flap := min(1<<min(max(0, cfg.ConsecutiveLosses-1), 10), maxIntervalFactor)
-	cfg.MinInterval *= time.Duration(flap)
+	doublings := min(max(0, cfg.ConsecutiveLosses-1), maxDoublings)
+	cfg.MinInterval *= time.Duration(min(1<<doublings, maxIntervalFactor))
 	cfg.MaxInterval = max(cfg.MaxInterval, cfg.MinInterval)
 	p := &Pace{config: cfg, waveOf: make(map[string]int), done: make(map[string]bool), began: now}
-	for n, w := range waves {
-		p.pending = append(p.pending, len(w))
-		for _, name := range w {
+	for n, wave := range waves {
+		p.pending = append(p.pending, len(wave))
+		for _, name := range wave {
 			p.waveOf[name] = n
 		}
 	}
 	return p
 }
 
-// Done says that an instance is up, or will not be for now: the next ones need not wait
-// for it.
+// Done says that an instance is up, or is known not to come up for now.
 func (p *Pace) Done(name string) {
-	if w, ok := p.waveOf[name]; ok && !p.done[name] {
-		p.done[name] = true
-		p.pending[w]--
+	wave, ok := p.waveOf[name]
+	if !ok || p.done[name] {
+		return
 	}
+	p.done[name] = true
+	p.pending[wave]--
 }
 
-// MayStart says whether an instance may start now. One that the waves don't name may.
+// MayStart reports whether an instance may start now. One that is in no wave may.
 func (p *Pace) MayStart(now time.Duration, name string) bool {
+	p.advance(now)
+	wave, ok := p.waveOf[name]
+	return !ok || wave <= p.current
+}
+
+// Finished reports whether every wave has begun and the last one is done or over.
+func (p *Pace) Finished(now time.Duration) bool {
+	p.advance(now)
+	return p.current >= len(p.pending)
+}
+
+// advance begins the waves that are due.
+func (p *Pace) advance(now time.Duration) {
 	for p.current < len(p.pending) {
 		age := now - p.began
 		if age < p.config.MinInterval || p.pending[p.current] > 0 && age < p.config.MaxInterval {
-			break
+			return
 		}
 		p.current++
 		p.began = now
 	}
-	w, ok := p.waveOf[name]
-	return !ok || w <= p.current
-}
-
-// Finished says that every wave has begun and the last one has had its time.
-func (p *Pace) Finished(now time.Duration) bool {
-	p.MayStart(now, "")
-	return p.current >= len(p.pending)
 }
