--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,5 +1,5 @@
-// Package recovery decides how one sidecar restarts: alone, or together with the whole
-// fleet after a power loss. It has no I/O, clock or goroutine.
+// Package recovery decides how one sidecar restarts: alone, or together with all
+// others after a power loss. It has no I/O, clock or goroutine.
 //
 // A Machine takes other sidecars' reports on themselves, the number of requests that
 // arrived and the capacity of the servers. It says which phase this sidecar is in and which
@@ -98,7 +98,7 @@
 	// reducedCapacityFactor and end at fullCapacityFactor. The gap avoids flapping.
 	fullCapacityFactor    = 0.98
 	reducedCapacityFactor = 0.9
-	// maxReports bounds the reports kept; more would not change a verdict.
+	// maxReports bounds the reports in memory; more would not change a verdict.
 	maxReports = 64
 )
 
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -27,31 +27,31 @@
 	return all
 }
 
-// The others' words make the verdict, in time, and no single one does.
+// The others' reports decide the verdict in time, and no single one does.
 func TestVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
 		size    int
-		words   map[int]Report // by rank
+		reports map[int]Report // by rank
 		at      time.Duration
 		verdict Verdict
-		by      time.Duration // when it has come
+		by      time.Duration // when it is decided
 	}{
-		"alone":                     {60, map[int]Report{1: upReport, 2: upReport, 3: upReport}, 0, Alone, 0},
-		"everybody":                 {60, map[int]Report{1: youngReport, 2: youngReport, 3: youngReport}, 0, Everybody, 0},
-		"one liar says all is up":   {60, map[int]Report{1: youngReport, 2: youngReport, 3: upReport}, 0, Everybody, 300 * ms},
-		"one liar says all are new": {60, map[int]Report{1: upReport, 2: upReport, 3: youngReport}, 0, Alone, 300 * ms},
-		"one word is none":          {60, map[int]Report{1: upReport}, 0, Unsure, 300 * ms},
-		"nobody speaks":             {60, nil, 0, Unsure, 300 * ms},
-		"they speak late":           {60, map[int]Report{1: upReport, 2: upReport, 3: upReport}, 500 * ms, Alone, 500 * ms},
-		"two in all":                {2, map[int]Report{1: upReport}, 0, Alone, 0},
-		"nobody else":               {1, nil, 0, Unsure, 0},
-		"up, but young":             {4, map[int]Report{1: {Serving, time.Second}, 2: youngReport, 3: youngReport}, 0, Everybody, 0},
-		"half and half":             {5, map[int]Report{1: upReport, 2: upReport, 3: youngReport, 4: youngReport}, 0, Everybody, 300 * ms},
+		"alone":                         {60, map[int]Report{1: upReport, 2: upReport, 3: upReport}, 0, Alone, 0},
+		"everybody":                     {60, map[int]Report{1: youngReport, 2: youngReport, 3: youngReport}, 0, Everybody, 0},
+		"one false report of uptime":    {60, map[int]Report{1: youngReport, 2: youngReport, 3: upReport}, 0, Everybody, 300 * ms},
+		"one false report of a restart": {60, map[int]Report{1: upReport, 2: upReport, 3: youngReport}, 0, Alone, 300 * ms},
+		"one report is not enough":      {60, map[int]Report{1: upReport}, 0, Unsure, 300 * ms},
+		"no report":                     {60, nil, 0, Unsure, 300 * ms},
+		"late reports":                  {60, map[int]Report{1: upReport, 2: upReport, 3: upReport}, 500 * ms, Alone, 500 * ms},
+		"fleet of two":                  {2, map[int]Report{1: upReport}, 0, Alone, 0},
+		"fleet of one":                  {1, nil, 0, Unsure, 0},
+		"serving, but young":            {4, map[int]Report{1: {Serving, time.Second}, 2: youngReport, 3: youngReport}, 0, Everybody, 0},
+		"tie":                           {5, map[int]Report{1: upReport, 2: upReport, 3: youngReport, 4: youngReport}, 0, Everybody, 300 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			all := runMachine(c.size, 3*time.Second, func(now time.Duration, m *Machine) {
 				if now >= c.at {
-					for r, w := range c.words {
+					for r, w := range c.reports {
 						m.ReceiveReport(r, w)
 					}
 				}
@@ -60,24 +60,24 @@
 				t.Errorf("after %v the verdict is %v, want %v", c.by, o.Verdict, c.verdict)
 			}
 			if o := all[3]; o.Verdict == Undecided || o.Phase == Querying {
-				t.Errorf("after 300 ms it still asks: %+v", o)
+				t.Errorf("after 300 ms it is still querying: %+v", o)
 			}
 		})
 	}
 }
 
-// While servers are warm nothing is refused, whatever the verdict; while they are cold the
-// share that they don't bear is, and it ends when they are warm.
+// While servers have their full capacity nothing is shed, whatever the verdict. While they have
+// not, the fraction of the load that they do not bear is.
 func TestBoundsFollowCapacity(t *testing.T) {
 	warm := runMachine(60, 5*time.Second, func(now time.Duration, m *Machine) { m.SetArrivals(uint64(now / (200 * ms))) })
 	for i, o := range warm {
 		if o.Bounds.MinShedFraction != 0 || o.Bounds.NominalRate != 0 {
-			t.Fatalf("look %d, warm servers: %+v", i, o)
+			t.Fatalf("tick %d, servers at full capacity: %+v", i, o)
 		}
 	}
 	ramp := func(now time.Duration) float64 { return min(1, 0.14+0.86*now.Seconds()/23) }
 	cold := runMachine(60, 40*time.Second, func(now time.Duration, m *Machine) {
-		m.SetArrivals(10 + uint64(now/(200*ms))) // five a second, and ten that waited
+		m.SetArrivals(10 + uint64(now/(200*ms))) // five a second, and ten that waited before
 		m.SetCapacity(ramp(now), ramp(now))
 	})
 	for i, o := range cold {
@@ -87,37 +87,37 @@
 		case room < reducedCapacityFactor && o.Bounds.MinShedFraction != 1-room:
 			t.Fatalf("at %v servers bear %.2f, and %.2f is shed", now, room, o.Bounds.MinShedFraction)
 		case room >= fullCapacityFactor && (o.Bounds != martendrum.Bounds{} || o.Phase != Serving):
-			t.Fatalf("at %v all is warm: %+v", now, o)
+			t.Fatalf("at %v servers have their full capacity: %+v", now, o)
 		case room < reducedCapacityFactor && now > 4*time.Second && (o.Bounds.NominalRate < 1.5 || o.Bounds.NominalRate > 7):
-			t.Fatalf("at %v five a second come, taken for %.1f", now, o.Bounds.NominalRate)
+			t.Fatalf("at %v five a second arrive, the estimate is %.1f", now, o.Bounds.NominalRate)
 		case room < reducedCapacityFactor && o.Bounds.NominalRate > 9:
-			t.Fatalf("at %v those that waited count for %.1f a second", now, o.Bounds.NominalRate)
+			t.Fatalf("at %v those that waited count as %.1f a second", now, o.Bounds.NominalRate)
 		}
 	}
 }
 
-// Clients that are turned away and come again don't raise the demand that cold servers
-// are given by: whether none or nine in ten do, it stays within a factor of two.
+// Retries of rejected clients do not raise the estimated demand: whether none or nine in ten
+// retry, it stays within a factor of two.
 func TestReturningClientsAreNotDemand(t *testing.T) {
 	for _, back := range []float64{0, 0.5, 0.9} {
 		total, due := 0.0, make([]float64, 1000)
 		var last Orders
 		m := New(Config{Size: 1}, 0)
 		for i := range 300 {
-			come := 2 + due[i] // twenty a second, and those who come again
+			come := 2 + due[i] // twenty a second, and the retries
 			total += come
 			due[i+15] += come * last.Bounds.MinShedFraction * back
 			m.SetArrivals(uint64(total))
 			m.SetCapacity(0.3, 0.3)
 			last = m.Tick(time.Duration(i) * 100 * ms)
 			if i > 60 && (last.Bounds.NominalRate < 10 || last.Bounds.NominalRate > 40) {
-				t.Fatalf("%.1f of those turned away come again: look %d takes 20 a second for %.1f", back, i, last.Bounds.NominalRate)
+				t.Fatalf("%.1f of rejected clients retry: tick %d estimates 20 a second as %.1f", back, i, last.Bounds.NominalRate)
 			}
 		}
 	}
 }
 
-// Phases only go up, each ends in time, and the bounds stay within theirs, whatever comes.
+// Whatever the input, phases only advance, each ends in time, and the bounds stay in their ranges.
 func TestMachineUnderRandomInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 6).Draw(t, "size")
@@ -144,7 +144,7 @@
 			phase = o.Phase
 		}
 		if len(m.reports) > maxReports {
-			t.Fatalf("%d words kept", len(m.reports))
+			t.Fatalf("%d reports in memory", len(m.reports))
 		}
 	})
 }
--- a/internal/recovery/trust.go
+++ b/internal/recovery/trust.go
@@ -15,7 +15,7 @@
 	Full Trust = "outright"
 	// Hint uses it with a weight that falls with its age.
 	Hint Trust = "as a hint that fades with age"
-	// Requeried asks its source again.
+	// Requeried queries its source again.
 	Requeried Trust = "asked for anew"
 	// Discarded does not use it.
 	Discarded Trust = "thrown away"
--- a/internal/recovery/waves.go
+++ b/internal/recovery/waves.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Place is where an instance of a host belongs. An instance without a shop is one by itself.
+// Place is where an instance of a host belongs. An instance without a shop is a shop of its own.
 type Place struct{ Name, Shop, Zone string }
 
-// turn is an instance's place in the order of starts.
-type turn struct {
+// startOrder is what the order of starts depends on.
+type startOrder struct {
 	Place
 	wave   int // instances of its shop before it
 	inZone int // instances of its zone and wave before it
@@ -22,25 +22,25 @@
 func Waves(places []Place, limit int) [][]string {
 	var waves [][]string
 	last := -1
-	for _, t := range turns(places) {
-		if t.wave != last || limit > 0 && len(waves[len(waves)-1]) >= limit {
+	for _, instance := range inStartOrder(places) {
+		if instance.wave != last || limit > 0 && len(waves[len(waves)-1]) >= limit {
 			waves = append(waves, nil)
-			last = t.wave
+			last = instance.wave
 		}
-		waves[len(waves)-1] = append(waves[len(waves)-1], t.Name)
+		waves[len(waves)-1] = append(waves[len(waves)-1], instance.Name)
 	}
 	return waves
 }
 
-// turns returns the instances in the order of their starts.
-func turns(places []Place) []turn {
+// inStartOrder returns the instances in the order of their starts.
+func inStartOrder(places []Place) []startOrder {
 	type zoneWave struct {
 		zone string
 		wave int
 	}
 	ofShop := make(map[string]int)
 	ofZoneWave := make(map[zoneWave]int)
-	ordered := make([]turn, len(places))
+	ordered := make([]startOrder, len(places))
 	for i, place := range places {
 		shop := place.Shop
 		if shop == "" {
@@ -49,10 +49,10 @@
 		wave := ofShop[shop]
 		ofShop[shop]++
 		zw := zoneWave{place.Zone, wave}
-		ordered[i] = turn{Place: place, wave: wave, inZone: ofZoneWave[zw]}
+		ordered[i] = startOrder{Place: place, wave: wave, inZone: ofZoneWave[zw]}
 		ofZoneWave[zw]++
 	}
-	slices.SortStableFunc(ordered, func(a, b turn) int {
+	slices.SortStableFunc(ordered, func(a, b startOrder) int {
 		return cmp.Or(cmp.Compare(a.wave, b.wave), cmp.Compare(a.inZone, b.inZone), cmp.Compare(a.Zone, b.Zone))
 	})
 	return ordered
--- a/internal/recovery/waves_test.go
+++ b/internal/recovery/waves_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Every shop has one before any has two; zones take turns; a wave has its bound.
+// Every shop starts one instance before any starts two, zones take turns, and waves are bounded.
 func TestWaves(t *testing.T) {
 	places := []Place{
 		{"a1", "a", "x"}, {"a2", "a", "x"}, {"a3", "a", "y"}, {"b1", "b", "x"}, {"c1", "c", "y"}, {"c2", "c", "y"}, {"d", "", "z"}, {"e", "", "x"},
@@ -24,9 +24,8 @@
 	}
 }
 
-// Whatever becomes ready when, and whatever does not: each instance may start in the end,
-// within the waves' longest times, no wave before the one before it, and none that may
-// start is held back again.
+// Whichever instances become ready, and whenever: each may start within the waves' longest times,
+// no wave starts before the one before it, and an instance that may start may do so from then on.
 func TestPace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var places []Place
@@ -59,12 +58,12 @@
 			t.Fatalf("only %d of %d may start by %v", len(started), len(places), bound)
 		}
 		for n := 1; n < len(waves); n++ {
-			if a, b := started[waves[n-1][0]], started[waves[n][0]]; b-a < cfg.MinInterval-step { // the one before is seen a step late
+			if a, b := started[waves[n-1][0]], started[waves[n][0]]; b-a < cfg.MinInterval-step { // the end of the wave before is seen one step late
 				t.Fatalf("wave %d came %v after the one before", n, b-a)
 			}
 		}
 	})
 	if !NewPace(PaceConfig{}, nil, 0).MayStart(0, "stranger") {
-		t.Error("one that the waves don't name is held back")
+		t.Error("an instance in no wave is held back")
 	}
 }
