--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -40,8 +40,8 @@
 
 // Network is what lies between the nodes.
 type Network struct {
-	Shortest, Longest time.Duration // of a datagram's way; Shortest must be above 0
-	Loss, Double      float64       // shares of datagrams
+	MinDelay, MaxDelay time.Duration // of a datagram's way; Shortest must be above 0
+	Loss, Duplication  float64       // shares of datagrams
 	// Cut says whether a message that is sent now is lost on this way; nil: none is.
 	// It is called from several goroutines and must only read.
 	Cut func(now time.Duration, from, to int) bool
@@ -50,25 +50,25 @@
 // World is nodes and their network.
 type World struct {
 	Now     time.Duration
-	net     Network
+	network Network
 	places  []place
 	workers int
 }
 
 // place is where a node runs, or none does at the time.
 type place struct {
-	node  Node
-	life  int // of the nodes here: what was sent to one before does not reach the next
-	rng   *rand.Rand
-	inbox inbox
-	out   []letter
-	sent  uint64
-	grams uint64 // datagrams among them
-	bytes uint64 // of these
-}
-
-// letter is a message on its way.
-type letter struct {
+	node        Node
+	incarnation int // of the nodes here: what was sent to one before does not reach the next
+	rng         *rand.Rand
+	inbox       inbox
+	outbox      []envelope
+	sent        uint64
+	datagrams   uint64 // datagrams among them
+	bytes       uint64 // of these
+}
+
+// envelope is a message on its way.
+type envelope struct {
 	at       time.Duration
 	from, to int
 	seq      uint64
@@ -76,18 +76,18 @@
 }
 
 // inbox is a heap of letters by the time at which they arrive.
-type inbox []letter
+type inbox []envelope
 
 func (b inbox) Len() int { return len(b) }
 func (b inbox) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(b[i].at, b[j].at), cmp.Compare(b[i].from, b[j].from), cmp.Compare(b[i].seq, b[j].seq)) < 0
 }
 func (b inbox) Swap(i, j int) { b[i], b[j] = b[j], b[i] }
-func (b *inbox) Push(x any)   { *b = append(*b, x.(letter)) }
+func (b *inbox) Push(x any)   { *b = append(*b, x.(envelope)) }
 func (b *inbox) Pop() any {
 	old := *b
 	x := old[len(old)-1]
-	old[len(old)-1] = letter{}
+	old[len(old)-1] = envelope{}
 	*b = old[:len(old)-1]
 	return x
 }
@@ -95,7 +95,7 @@
 // New returns a world of size places at which nothing runs. workers bounds the goroutines
 // of a run.
 func New(size int, seed uint64, net Network, workers int) *World {
-	w := &World{net: net, places: make([]place, size), workers: max(1, workers)}
+	w := &World{network: net, places: make([]place, size), workers: max(1, workers)}
 	for i := range w.places {
 		w.places[i].rng = rand.New(rand.NewPCG(seed, uint64(i)))
 	}
@@ -115,23 +115,25 @@
 func (w *World) Stop(i int) {
 	p := &w.places[i]
 	p.node, p.inbox = nil, nil
-	p.life++
+	p.incarnation++
 }
 
 // Node is what runs at a place, nil if nothing does.
 func (w *World) Node(i int) Node { return w.places[i].node }
 
 // Sent is how many datagrams and bytes a place has sent so far.
-func (w *World) Sent(i int) (datagrams, bytes uint64) { return w.places[i].grams, w.places[i].bytes }
+func (w *World) Sent(i int) (datagrams, bytes uint64) {
+	return w.places[i].datagrams, w.places[i].bytes
+}
 
 // SetNetwork replaces the network for what is sent from now on.
-func (w *World) SetNetwork(n Network) { w.net = n }
+func (w *World) SetNetwork(n Network) { w.network = n }
 
 // Network is the one in force.
-func (w *World) Network() Network { return w.net }
+func (w *World) Network() Network { return w.network }
 
-// next is when something happens at a place.
-func (p *place) next() time.Duration {
+// nextEvent is when something happens at a place.
+func (p *place) nextEvent() time.Duration {
 	if p.node == nil {
 		return Never
 	}
@@ -148,15 +150,15 @@
 	for {
 		first := Never
 		for i := range w.places {
-			first = min(first, w.places[i].next())
+			first = min(first, w.places[i].nextEvent())
 		}
 		first = max(first, w.Now)
 		if first >= until {
 			w.Now = until
 			return
 		}
-		end := min(first+w.net.Shortest, until)
-		w.window(end)
+		end := min(first+w.network.MinDelay, until)
+		w.runWindow(end)
 		w.Now = end
 		if done != nil && done() {
 			return
@@ -164,15 +166,15 @@
 	}
 }
 
-// window works on all that happens before end.
-func (w *World) window(end time.Duration) {
+// runWindow works on all that happens before end.
+func (w *World) runWindow(end time.Duration) {
 	var wg sync.WaitGroup
 	each := (len(w.places) + w.workers - 1) / w.workers
 	for from := 0; from < len(w.places); from += each {
 		part := w.places[from:min(from+each, len(w.places))]
 		work := func() {
 			for i := range part {
-				w.work(&part[i], from+i, end)
+				w.runPlace(&part[i], from+i, end)
 			}
 		}
 		if w.workers == 1 {
@@ -184,25 +186,25 @@
 	wg.Wait()
 	for i := range w.places {
 		p := &w.places[i]
-		for _, l := range p.out {
+		for _, l := range p.outbox {
 			if to := &w.places[l.to]; to.node != nil {
 				heap.Push(&to.inbox, l)
 			}
 		}
-		p.out = p.out[:0]
+		p.outbox = p.outbox[:0]
 	}
 }
 
-// work brings a node what happens before end, in order.
-func (w *World) work(p *place, at int, end time.Duration) {
+// runPlace brings a node what happens before end, in order.
+func (w *World) runPlace(p *place, at int, end time.Duration) {
 	for {
-		now := p.next()
+		now := p.nextEvent()
 		if now >= end || p.node == nil {
 			return
 		}
 		now = max(now, w.Now)
 		if len(p.inbox) > 0 && p.inbox[0].at <= now {
-			l := heap.Pop(&p.inbox).(letter)
+			l := heap.Pop(&p.inbox).(envelope)
 			p.node.Receive(now, l.from, l.body)
 		} else {
 			p.node.Tick(now)
@@ -215,19 +217,19 @@
 	p.sent++
 	copies, loss := 1, 0.0
 	if m.Size > 0 {
-		p.grams++
+		p.datagrams++
 		p.bytes += uint64(m.Size)
-		loss = w.net.Loss
-		if w.net.Double > 0 && p.rng.Float64() < w.net.Double {
+		loss = w.network.Loss
+		if w.network.Duplication > 0 && p.rng.Float64() < w.network.Duplication {
 			copies = 2
 		}
 	}
 	for range copies {
-		way := w.net.Shortest + time.Duration(p.rng.Float64()*float64(w.net.Longest-w.net.Shortest))
+		way := w.network.MinDelay + time.Duration(p.rng.Float64()*float64(w.network.MaxDelay-w.network.MinDelay))
 		lost := loss > 0 && p.rng.Float64() < loss
-		if lost || w.net.Cut != nil && w.net.Cut(now, at, m.To) {
+		if lost || w.network.Cut != nil && w.network.Cut(now, at, m.To) {
 			continue
 		}
-		p.out = append(p.out, letter{at: now + way, from: at, to: m.To, seq: p.sent, body: m.Body})
+		p.outbox = append(p.outbox, envelope{at: now + way, from: at, to: m.To, seq: p.sent, body: m.Body})
 	}
 }
--- a/internal/fleetsim/gossip.go
+++ b/internal/fleetsim/gossip.go
@@ -18,9 +18,9 @@
 }
 
 // Out implements Node.
-func (p Peer) Out(send func(Message)) { datagrams(p.Node, send) }
+func (p Peer) Out(send func(Message)) { sendDatagrams(p.Node, send) }
 
-func datagrams(n *peers.Node, send func(Message)) {
+func sendDatagrams(n *peers.Node, send func(Message)) {
 	for _, d := range n.Out() {
 		send(Message{To: int(d.To), Body: d.Data, Size: len(d.Data)})
 	}
@@ -29,22 +29,22 @@
 // Gossip is a world of sidecars that only talk to each other.
 type Gossip struct {
 	*World
-	cfg   peers.Config
-	lives uint64
+	config          peers.Config
+	lastIncarnation uint64
 }
 
 // NewGossip returns a world of size places for sidecars, none of which runs yet: see Up.
 func NewGossip(size int, seed uint64, net Network, workers int, cfg peers.Config) *Gossip {
 	cfg.Size = size
-	return &Gossip{World: New(size, seed, net, workers), cfg: cfg, lives: 1}
+	return &Gossip{World: New(size, seed, net, workers), config: cfg, lastIncarnation: 1}
 }
 
-// Up starts a sidecar in a new life, whose number is above the one before.
-func (g *Gossip) Up(i int) Peer {
-	cfg := g.cfg
+// StartSidecar starts a sidecar in a new life, whose number is above the one before.
+func (g *Gossip) StartSidecar(i int) Peer {
+	cfg := g.config
 	cfg.Self = peers.Rank(i)
-	g.lives++
-	cfg.Incarnation = g.lives
+	g.lastIncarnation++
+	cfg.Incarnation = g.lastIncarnation
 	n, err := peers.New(cfg, g.Now, g.Rand(i))
 	if err != nil {
 		panic(err) // of this package's own making
--- a/internal/fleetsim/gossip_test.go
+++ b/internal/fleetsim/gossip_test.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	hot, cold = 1, 2
-	settled   = 60 * time.Second
+	hot, cold  = 1, 2
+	settleTime = 60 * time.Second
 )
 
 var kinds = []peers.Kind{{ID: hot, TTL: time.Minute, Weight: 2, Hot: true}, {ID: cold, TTL: time.Minute, Weight: 1}}
 
-var platform = Network{Shortest: 1400 * time.Microsecond, Longest: 34 * time.Millisecond}
+var platform = Network{MinDelay: 1400 * time.Microsecond, MaxDelay: 34 * time.Millisecond}
 
 // lossy is the platform's network with a fifth of all datagrams lost.
 func lossy() Network {
 	n := platform
-	n.Loss, n.Double = 0.2, 0.02
+	n.Loss, n.Duplication = 0.2, 0.02
 	return n
 }
 
 func gossip(size int, seed uint64, net Network, workers int) *Gossip {
 	g := NewGossip(size, seed, net, workers, peers.Config{Cluster: "test", Kinds: kinds})
 	for i := range size {
-		g.Up(i)
+		g.StartSidecar(i)
 	}
 	return g
 }
@@ -63,10 +63,10 @@
 	}
 }
 
-// spread is how long a hot fact takes to reach nine in ten, in a fleet that has settled.
-func spread(t testing.TB, size int, net Network, workers int) (took time.Duration, bytes float64) {
+// measureSpread is how long a hot fact takes to reach nine in ten, in a fleet that has settled.
+func measureSpread(t testing.TB, size int, net Network, workers int) (took time.Duration, bytes float64) {
 	g := gossip(size, 11, net, workers)
-	g.Run(settled, nil)
+	g.Run(settleTime, nil)
 	began := g.Now
 	p, _ := g.Peer(0)
 	p.Publish(g.Now, hot, 7, 1)
@@ -92,13 +92,13 @@
 
 // A hot fact reaches nine in ten within a second although a fifth of all is lost, and
 // what a sidecar sends does not grow with the fleet.
-func TestHotFactTravels(t *testing.T) {
+func TestHotEntrySpreads(t *testing.T) {
 	sizes := []int{10, 60, 300}
 	if testing.Short() {
 		sizes = sizes[:2]
 	}
 	for _, size := range sizes {
-		took, bytes := spread(t, size, lossy(), 4)
+		took, bytes := measureSpread(t, size, lossy(), 4)
 		if took > time.Second || bytes > 600 {
 			t.Errorf("%d sidecars: %v, %.0f bytes a second each", size, took, bytes)
 		}
@@ -111,7 +111,7 @@
 	for _, size := range []int{12, 300, 1000, 5000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
-				took, bytes := spread(b, size, lossy(), 6)
+				took, bytes := measureSpread(b, size, lossy(), 6)
 				b.ReportMetric(float64(took.Milliseconds()), "ms-to-9-in-10")
 				b.ReportMetric(bytes, "bytes/s/sidecar")
 			}
@@ -121,7 +121,7 @@
 
 // Those that die are known to, those that live are not taken for dead although a fifth of
 // all is lost, and those that come back are known again in their new life.
-func TestWhoLives(t *testing.T) {
+func TestDeathsAndRestartsAreKnown(t *testing.T) {
 	const size, down = 60, 12
 	g := gossip(size, 3, lossy(), 4)
 	g.Run(10*time.Second, nil)
@@ -158,7 +158,7 @@
 	p, _ := g.Peer(down)
 	for i := range down {
 		before[i] = p.Member(peers.Rank(i), g.Now).Incarnation
-		g.Up(i)
+		g.StartSidecar(i)
 	}
 	back := func(p Peer) bool {
 		for i := range down {
--- a/internal/fleetsim/guide.go
+++ b/internal/fleetsim/guide.go
@@ -27,10 +27,10 @@
 		}
 	}
 	r.SetArrivals(s.Arrivals())
-	r.SetCapacity(s.b.Capacity(Epoch + now))
+	r.SetCapacity(s.balancer.Capacity(Epoch + now))
 	r.Last = r.Machine.Tick(now)
 	if r.peer != nil {
 		r.peer.SetPhase(now, uint8(r.Last.Phase))
 	}
-	s.Bound(r.Last.Bounds)
+	s.SetBounds(r.Last.Bounds)
 }
--- a/internal/fleetsim/membership_capacity_test.go
+++ b/internal/fleetsim/membership_capacity_test.go
@@ -112,7 +112,7 @@
 				before := measure.HeapInUse()
 				fleet := NewGossip(size, 1, platform, 1, peers.Config{Cluster: "test", Kinds: kinds})
 				places := measure.HeapInUse()
-				fleet.Up(0)
+				fleet.StartSidecar(0)
 				b.ReportMetric(float64(measure.HeapInUse()-places), "heap-B/node")
 				b.ReportMetric(float64(places-before)/float64(size), "model-B/place")
 				runtime.KeepAlive(fleet)
@@ -147,8 +147,8 @@
 	fleet := gossip(size, seed, platform, capacityWorkers)
 	runUntilNineInTen(b, fleet, membershipStep, knowsNearlyAll(fleet, size))
 	restarted := size - 1
-	fleet.Up(restarted)
-	knowsRestart := knowsAlive(fleet, []int{restarted}, lifeNumbers(fleet, []int{restarted}))
+	fleet.StartSidecar(restarted)
+	knowsRestart := knowsAlive(fleet, []int{restarted}, incarnations(fleet, []int{restarted}))
 	b.ReportMetric(runUntilNineInTen(b, fleet, changeStep, knowsRestart).Seconds(), "s-restart")
 
 	lost := make([]int, max(1, size/zones))
@@ -158,14 +158,14 @@
 	}
 	b.ReportMetric(runUntilNineInTen(b, fleet, membershipStep, knowsLost(fleet, lost)).Seconds(), "s-zone-lost")
 	for _, rank := range lost {
-		fleet.Up(rank)
+		fleet.StartSidecar(rank)
 	}
-	knowsReturn := knowsAlive(fleet, lost, lifeNumbers(fleet, lost))
+	knowsReturn := knowsAlive(fleet, lost, incarnations(fleet, lost))
 	b.ReportMetric(runUntilNineInTen(b, fleet, changeStep, knowsReturn).Seconds(), "s-zone-returned")
 }
 
-// lifeNumbers are the present life numbers of running sidecars.
-func lifeNumbers(fleet *Gossip, ranks []int) []uint64 {
+// incarnations are the present life numbers of running sidecars.
+func incarnations(fleet *Gossip, ranks []int) []uint64 {
 	numbers := make([]uint64, len(ranks))
 	for i, rank := range ranks {
 		peer, _ := fleet.Peer(rank)
--- a/internal/fleetsim/powerloss.go
+++ b/internal/fleetsim/powerloss.go
@@ -7,27 +7,27 @@
 	"martendrum/internal/peers"
 )
 
-// Loss is a power loss and what comes back from it.
-type Loss struct {
+// PowerLoss is a power loss and what comes back from it.
+type PowerLoss struct {
 	Sidecars, Servers int
 	Zones             int
 	Queue             int           // of a server
 	Load              float64       // demand by what all warm servers can carry
 	Spread            time.Duration // over which sidecars come back, and servers
-	Ramp              SlowStart
-	Even              bool    // each request is the same work
+	SlowStart         SlowStart
+	UniformWork       bool    // each request is the same work
 	Clients           Clients // Rate: of each sidecar
-	Share             bool    // sidecars tell each other
-	Guided            bool    // they come back as package recovery says
+	ShareReports      bool    // sidecars tell each other
+	UseRecovery       bool    // they come back as package recovery says
 	Network           Network
 	Seed              uint64
 	Workers           int
 	Until             time.Duration
 }
 
-// Site is what the model's fleet serves: a class that is safe, a keyed and an unsafe one,
+// SiteConfig is what the model's fleet serves: a class that is safe, a keyed and an unsafe one,
 // by worth.
-func Site(instances int, ramp SlowStart) (martendrum.Config, []time.Duration) {
+func SiteConfig(instances int, ramp SlowStart) (martendrum.Config, []time.Duration) {
 	return martendrum.Config{
 		Instances: instances,
 		Classes: []martendrum.Class{
@@ -36,25 +36,25 @@
 			{LatencyObjective: 750 * time.Millisecond, Weight: 10, Idempotency: martendrum.NonIdempotent},
 		},
 		MaxAttempts: 5, AllowCancellation: true, AllowHedging: true, MaxRetryAfter: 2 * time.Second, WastedWorkCost: 0.2, CrossZoneCost: 0.03,
-		SlowStartInitialFraction: ramp.From, SlowStartDuration: ramp.For, OverloadFactor: ramp.Factor, OverloadDuration: ramp.Window,
+		SlowStartInitialFraction: ramp.InitialFraction, SlowStartDuration: ramp.Duration, OverloadFactor: ramp.OverloadFactor, OverloadDuration: ramp.OverloadDuration,
 	}, []time.Duration{3 * time.Second, 2500 * time.Millisecond, 2500 * time.Millisecond}
 }
 
-// Return is how a fleet came back.
-type Return struct {
-	Loss
+// PowerLossResult is how a fleet came back.
+type PowerLossResult struct {
+	PowerLoss
 	Offered, Served [][]float64 // by class, then second, over all sidecars
-	Worth           []float64   // of the classes
-	Fallen          int         // cold servers that fell
+	Weights         []float64   // of the classes
+	Crashes         int         // cold servers that fell
 	Sends           int
-	Bytes           float64 // of datagrams, for each sidecar and second
+	BytesPerSecond  float64 // of datagrams, for each sidecar and second
 }
 
-// Play plays it from the moment at which the power is back: servers and sidecars come up
+// Run plays it from the moment at which the power is back: servers and sidecars come up
 // within Spread, all servers cold, all clients at once.
-func (l Loss) Play() Return {
+func (l PowerLoss) Run() PowerLossResult {
 	w := New(l.Sidecars+l.Servers, l.Seed, l.Network, l.Workers)
-	cfg, limits := Site(l.Sidecars, l.Ramp)
+	cfg, limits := SiteConfig(l.Sidecars, l.SlowStart)
 	each := l.Load / l.Clients.Rate // servers' capacity for each sidecar
 	work := time.Duration(4 * float64(time.Second) * each * float64(l.Servers) / float64(l.Sidecars))
 	var list []martendrum.Endpoint
@@ -64,9 +64,9 @@
 	up := make([]time.Duration, l.Sidecars)
 	for i := range servers {
 		at := l.Sidecars + i
-		s := &Server{Ramp: l.Ramp, Workers: 4, Work: work, Queue: l.Queue, Even: l.Even}
+		s := &Server{SlowStart: l.SlowStart, Workers: 4, ServiceTime: work, QueueLimit: l.Queue, UniformWork: l.UniformWork}
 		rng := w.Rand(at)
-		s.Up(time.Duration(rng.Float64()*float64(l.Spread)), rng)
+		s.Start(time.Duration(rng.Float64()*float64(l.Spread)), rng)
 		servers[i] = s
 		w.Start(at, s)
 		list = append(list, martendrum.Endpoint{Name: serverName(at), Zone: zones[i%len(zones)], CapacityHint: 1, Started: Epoch + s.started})
@@ -80,35 +80,35 @@
 		w.Run(step, nil)
 		for i := range up {
 			if w.Node(i) == nil && up[i] <= step {
-				l.start(w, i, cfg, limits, list, places, zones)
+				l.startSidecar(w, i, cfg, limits, list, places, zones)
 			}
 		}
 	}
 	w.Run(l.Until, nil)
-	r := Return{Loss: l}
+	r := PowerLossResult{PowerLoss: l}
 	for _, c := range cfg.Classes {
-		r.Worth = append(r.Worth, c.Weight)
+		r.Weights = append(r.Weights, c.Weight)
 	}
 	bytes := uint64(0)
 	for i := range l.Sidecars {
 		s := w.Node(i).(*Sidecar)
-		r.Offered, r.Served = sum(r.Offered, s.Tally.Offered), sum(r.Served, s.Tally.Served)
+		r.Offered, r.Served = addSeries(r.Offered, s.Tally.Offered), addSeries(r.Served, s.Tally.Served)
 		r.Sends += s.Tally.Sends
 		_, b := w.Sent(i)
 		bytes += b
 	}
 	for _, s := range servers {
-		r.Fallen += s.Fallen
+		r.Crashes += s.Crashes
 	}
-	r.Bytes = float64(bytes) / float64(l.Sidecars) / l.Until.Seconds()
+	r.BytesPerSecond = float64(bytes) / float64(l.Sidecars) / l.Until.Seconds()
 	return r
 }
 
-func (l Loss) start(w *World, i int, cfg martendrum.Config, limits []time.Duration, list []martendrum.Endpoint, places []int, zones []string) {
+func (l PowerLoss) startSidecar(w *World, i int, cfg martendrum.Config, limits []time.Duration, list []martendrum.Endpoint, places []int, zones []string) {
 	cfg.Zone = zones[i%len(zones)]
 	rng := w.Rand(i)
 	var peer *peers.Node
-	if l.Share {
+	if l.ShareReports {
 		var err error
 		peer, err = peers.New(peers.Config{Cluster: "model", Self: peers.Rank(i), Size: l.Sidecars, Incarnation: 1}, w.Now, rng)
 		if err != nil {
@@ -116,15 +116,15 @@
 		}
 	}
 	var guide Guide
-	if l.Guided {
+	if l.UseRecovery {
 		guide = NewRecovery(w.Now, l.Sidecars, peer)
 	}
 	s := NewSidecar(w.Now, cfg, limits, l.Clients, rng, peer, guide)
-	s.Listed(time.Duration(rng.Float64()*float64(100*time.Millisecond)), list, places)
+	s.ReceiveList(time.Duration(rng.Float64()*float64(100*time.Millisecond)), list, places)
 	w.Start(i, s)
 }
 
-func sum(a, b [][]float64) [][]float64 {
+func addSeries(a, b [][]float64) [][]float64 {
 	for c := range b {
 		for len(a) <= c {
 			a = append(a, nil)
@@ -139,7 +139,7 @@
 	return a
 }
 
-func at(list [][]float64, class, second int) float64 {
+func valueAt(list [][]float64, class, second int) float64 {
 	if class >= len(list) || second >= len(list[class]) {
 		return 0
 	}
@@ -148,13 +148,13 @@
 
 // ServedFraction is the share of the worth offered from second on, for so many seconds, that was
 // served in time; of one class, or of all for -1.
-func (r Return) ServedFraction(class, second, seconds int) float64 {
+func (r PowerLossResult) ServedFraction(class, second, seconds int) float64 {
 	offered, served := 0.0, 0.0
 	for s := second; s < second+seconds; s++ {
-		for c, worth := range r.Worth {
+		for c, worth := range r.Weights {
 			if class < 0 || c == class {
-				offered += worth * at(r.Offered, c, s)
-				served += worth * at(r.Served, c, s)
+				offered += worth * valueAt(r.Offered, c, s)
+				served += worth * valueAt(r.Served, c, s)
 			}
 		}
 	}
@@ -164,9 +164,9 @@
 	return served / offered
 }
 
-// Back is the first second from which on, for three seconds, the share of worth served is
+// RecoveredAt is the first second from which on, for three seconds, the share of worth served is
 // at least least; -1 if there is none.
-func (r Return) Back(class int, least float64) int {
+func (r PowerLossResult) RecoveredAt(class int, least float64) int {
 	for s := 0; time.Duration(s+5)*time.Second < r.Until; s++ {
 		if r.ServedFraction(class, s, 3) >= least {
 			return s
--- a/internal/fleetsim/powerloss_test.go
+++ b/internal/fleetsim/powerloss_test.go
@@ -8,31 +8,31 @@
 )
 
 // platformLoss is a loss of everything on a site like the platform's.
-func platformLoss(sidecars, servers int, seed uint64) Loss {
-	return Loss{
+func platformLoss(sidecars, servers int, seed uint64) PowerLoss {
+	return PowerLoss{
 		Sidecars: sidecars, Servers: servers, Zones: 3, Queue: 40, Load: 0.6, Spread: 2 * time.Second, Seed: seed, Workers: 6,
-		Ramp:    SlowStart{From: 0.14, For: 23 * time.Second, Factor: 4, Window: 2 * time.Second},
-		Clients: Clients{Rate: 5, Mix: []float64{0.5, 0.3, 0.2}, Burst: 2, Returns: 0.9},
-		Network: platform, Until: 45 * time.Second,
+		SlowStart: SlowStart{InitialFraction: 0.14, Duration: 23 * time.Second, OverloadFactor: 4, OverloadDuration: 2 * time.Second},
+		Clients:   Clients{Rate: 5, ClassFractions: []float64{0.5, 0.3, 0.2}, Burst: 2, RetryFraction: 0.9},
+		Network:   platform, Until: 45 * time.Second,
 	}
 }
 
-// staged is a loss after which the sidecars come back as package recovery says.
-func (l Loss) staged() Loss {
-	l.Share, l.Guided, l.Network.Loss = true, true, 0.2
+// guided is a loss after which the sidecars come back as package recovery says.
+func (l PowerLoss) guided() PowerLoss {
+	l.ShareReports, l.UseRecovery, l.Network.Loss = true, true, 0.2
 	return l
 }
 
 // After a power loss in which all servers are cold, a fleet that comes back in stages
 // serves nine tenths of the worth well before one that comes back at once, the dear
 // classes first, and no cold server falls in either.
-func TestPowerLossInStages(t *testing.T) {
+func TestGuidedRestartRecoversSooner(t *testing.T) {
 	l := platformLoss(60, 12, 1)
-	once, staged := l.Play(), l.staged().Play()
-	if once.Fallen > 0 || staged.Fallen > 0 {
-		t.Errorf("cold servers that fell: %d at once, %d in stages", once.Fallen, staged.Fallen)
+	once, staged := l.Run(), l.guided().Run()
+	if once.Crashes > 0 || staged.Crashes > 0 {
+		t.Errorf("cold servers that fell: %d at once, %d in stages", once.Crashes, staged.Crashes)
 	}
-	a, b := once.Back(-1, 0.9), staged.Back(-1, 0.9)
+	a, b := once.RecoveredAt(-1, 0.9), staged.RecoveredAt(-1, 0.9)
 	if a < 0 || b < 0 || b > a*3/4 {
 		t.Errorf("nine tenths of the worth from second %d at once, %d in stages", a, b)
 	}
@@ -45,16 +45,16 @@
 
 // No cold server falls where clients have waited for long, more comes than all servers can
 // carry, and the rule allows little.
-func TestPowerLossFellsNobody(t *testing.T) {
+func TestPowerLossCrashesNoServer(t *testing.T) {
 	for _, factor := range []float64{1.5, 4} {
 		for _, load := range []float64{0.5, 1.2} {
 			if testing.Short() && (factor != 1.5 || load != 1.2) {
 				continue
 			}
-			l := platformLoss(60, 12, 2).staged()
-			l.Load, l.Ramp.Factor, l.Clients.Burst, l.Until = load, factor, 5, 25*time.Second
-			if r := l.Play(); r.Fallen > 0 {
-				t.Errorf("load %.1f, %.1f times a cold server's capacity allowed: %d fell", load, factor, r.Fallen)
+			l := platformLoss(60, 12, 2).guided()
+			l.Load, l.SlowStart.OverloadFactor, l.Clients.Burst, l.Until = load, factor, 5, 25*time.Second
+			if r := l.Run(); r.Crashes > 0 {
+				t.Errorf("load %.1f, %.1f times a cold server's capacity allowed: %d fell", load, factor, r.Crashes)
 			}
 		}
 	}
@@ -62,11 +62,11 @@
 
 // A run is the same with any number of workers.
 func TestPowerLossSameWithAnyWorkers(t *testing.T) {
-	l := platformLoss(20, 6, 3).staged()
+	l := platformLoss(20, 6, 3).guided()
 	l.Until, l.Workers = 12*time.Second, 1
-	one := l.Play()
+	one := l.Run()
 	l.Workers = 7
-	seven := l.Play()
+	seven := l.Run()
 	one.Workers = 7
 	if !reflect.DeepEqual(one, seven) {
 		t.Errorf("one worker: %+v\nseven: %+v", one, seven)
@@ -86,15 +86,15 @@
 						l := platformLoss(size, size/5, 1)
 						l.Load = load
 						if staged {
-							l = l.staged()
+							l = l.guided()
 						}
-						r := l.Play()
-						b.ReportMetric(float64(r.Back(-1, 0.9)), "s-to-9/10")
-						b.ReportMetric(float64(r.Back(2, 0.9)), "s-to-9/10-dearest")
+						r := l.Run()
+						b.ReportMetric(float64(r.RecoveredAt(-1, 0.9)), "s-to-9/10")
+						b.ReportMetric(float64(r.RecoveredAt(2, 0.9)), "s-to-9/10-dearest")
 						b.ReportMetric(r.ServedFraction(-1, 0, 10), "share-0-10s")
 						b.ReportMetric(r.ServedFraction(-1, 10, 10), "share-10-20s")
-						b.ReportMetric(float64(r.Fallen), "fallen")
-						b.ReportMetric(r.Bytes, "peer-bytes/s")
+						b.ReportMetric(float64(r.Crashes), "fallen")
+						b.ReportMetric(r.BytesPerSecond, "peer-bytes/s")
 					}
 				})
 			}
@@ -110,15 +110,15 @@
 			for b.Loop() {
 				l := platformLoss(60, 12, 1)
 				l.Load, l.Spread, l.Until = 0.5, 200*time.Millisecond, 20*time.Second
-				l.Ramp = SlowStart{From: 0.14, For: 6 * time.Second, Factor: 4, Window: time.Second}
-				l.Clients.Rate, l.Clients.Burst, l.Clients.Patient, l.Even, l.Queue, l.Zones = 10, 0.5, true, true, 20, 1
-				l.Network.Shortest, l.Network.Longest = 50*time.Microsecond, 500*time.Microsecond
+				l.SlowStart = SlowStart{InitialFraction: 0.14, Duration: 6 * time.Second, OverloadFactor: 4, OverloadDuration: time.Second}
+				l.Clients.Rate, l.Clients.Burst, l.Clients.AcceptLate, l.UniformWork, l.Queue, l.Zones = 10, 0.5, true, true, 20, 1
+				l.Network.MinDelay, l.Network.MaxDelay = 50*time.Microsecond, 500*time.Microsecond
 				if staged {
-					l = l.staged()
+					l = l.guided()
 					l.Network.Loss = 0
 				}
-				r := l.Play()
-				b.ReportMetric(float64(r.Back(-1, 0.9)), "s-to-9/10")
+				r := l.Run()
+				b.ReportMetric(float64(r.RecoveredAt(-1, 0.9)), "s-to-9/10")
 				for c, name := range []string{"status", "register", "activate"} {
 					b.ReportMetric(r.ServedFraction(c, 0, 3), name+"-0-3s")
 				}
--- a/internal/fleetsim/return_capacity_test.go
+++ b/internal/fleetsim/return_capacity_test.go
@@ -18,16 +18,16 @@
 			for seed := 1; seed <= *capacitySeeds; seed++ {
 				b.Run(fmt.Sprintf("size=%d/share=%v/seed=%d", size, share, seed), func(b *testing.B) {
 					for b.Loop() {
-						loss := platformLoss(size, size/serversInterval, uint64(seed)).staged()
-						loss.Share, loss.Workers = share, capacityWorkers
-						returned := loss.Play()
-						seconds := returned.Back(-1, 0.9)
+						loss := platformLoss(size, size/serversInterval, uint64(seed)).guided()
+						loss.ShareReports, loss.Workers = share, capacityWorkers
+						returned := loss.Run()
+						seconds := returned.RecoveredAt(-1, 0.9)
 						if seconds < 0 {
 							b.Fatalf("nine tenths are not served after %v", loss.Until)
 						}
 						b.ReportMetric(float64(seconds), "s-to-nine-tenths")
-						b.ReportMetric(returned.Bytes, "sent-B/s")
-						b.ReportMetric(float64(returned.Fallen), "servers-fallen")
+						b.ReportMetric(returned.BytesPerSecond, "sent-B/s")
+						b.ReportMetric(float64(returned.Crashes), "servers-fallen")
 					}
 				})
 			}
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -12,85 +12,85 @@
 
 // SlowStart is how servers warm up, and what fells one that is cold.
 type SlowStart struct {
-	From   float64 // share of its capacity that a fresh one has
-	For    time.Duration
-	Factor float64 // it falls when sent more than this multiple of its capacity of the time
-	Window time.Duration
+	InitialFraction  float64 // share of its capacity that a fresh one has
+	Duration         time.Duration
+	OverloadFactor   float64 // it falls when sent more than this multiple of its capacity of the time
+	OverloadDuration time.Duration
 }
 
 // capacityFraction is the share of its capacity that a server of that age has.
 func (r SlowStart) capacityFraction(age time.Duration) float64 {
-	if age >= r.For || r.For <= 0 {
+	if age >= r.Duration || r.Duration <= 0 {
 		return 1
 	}
-	return r.From + (1-r.From)*float64(max(0, age))/float64(r.For)
+	return r.InitialFraction + (1-r.InitialFraction)*float64(max(0, age))/float64(r.Duration)
 }
 
 // Server is a server with a queue: workers that each take a request for a time drawn
 // about the mean, longer while it is cold.
 type Server struct {
-	Ramp    SlowStart
-	Workers int
-	Work    time.Duration // mean, of a warm one
-	Queue   int           // requests that may wait
-	Even    bool          // each takes just the mean
-
-	Fallen int // how often it fell while cold
-	Ran    int // requests that it has carried out
-
-	up      bool
-	started time.Duration
-	rng     *rand.Rand
-	running []job
-	waiting []job
-	recent  []time.Duration // arrivals within the window, while cold
-	out     []Message
+	SlowStart   SlowStart
+	Workers     int
+	ServiceTime time.Duration // mean, of a warm one
+	QueueLimit  int           // requests that may wait
+	UniformWork bool          // each takes just the mean
+
+	Crashes  int // how often it fell while cold
+	Executed int // requests that it has carried out
+
+	up             bool
+	started        time.Duration
+	rng            *rand.Rand
+	running        []job
+	waiting        []job
+	recentArrivals []time.Duration // arrivals within the window, while cold
+	outbox         []Message
 }
 
 // job is an attempt at a server.
 type job struct {
-	from int
-	try  try
-	ends time.Duration
+	from      int
+	attemptID attemptID
+	end       time.Duration
 }
 
-// try is what goes to a server, and comes back.
-type try struct {
+// attemptID is what goes to a server, and comes back.
+type attemptID struct {
 	id      uint64
 	attempt int
 }
 
 // result is a server's answer.
 type result struct {
-	try
-	what outcome
+	attemptID
+	status status
 }
 
-type outcome uint8
+type status uint8
 
 const (
-	served  outcome = iota
-	full            // turned away unseen
-	refused         // no connection
+	executed      status = iota
+	rejected             // turned away unseen
+	connectFailed        // no connection
 )
 
 // Capacity is how many requests a second it can carry out when warm.
-func (s *Server) Capacity() float64 { return float64(s.Workers) / s.Work.Seconds() }
+func (s *Server) Capacity() float64 { return float64(s.Workers) / s.ServiceTime.Seconds() }
 
-// Up starts it cold, Down ends it and all that it had.
-func (s *Server) Up(now time.Duration, rng *rand.Rand) {
+// Start starts it cold, Down ends it and all that it had.
+func (s *Server) Start(now time.Duration, rng *rand.Rand) {
 	s.up, s.started, s.rng = true, now, rng
-	s.recent = s.recent[:0]
+	s.recentArrivals = s.recentArrivals[:0]
 }
 
-// Down stops the server; requests that run or wait there are lost.
-func (s *Server) Down() { s.up, s.running, s.waiting = false, nil, nil }
+// Stop stops the server; requests that run or wait there are lost.
+func (s *Server) Stop() { s.up, s.running, s.waiting = false, nil, nil }
 
 // Due implements Node.
 func (s *Server) Due() time.Duration {
 	due := Never
 	for _, j := range s.running {
-		due = min(due, j.ends)
+		due = min(due, j.end)
 	}
 	return due
 }
@@ -98,11 +98,11 @@
 // Tick implements Node: what has been carried out is answered.
 func (s *Server) Tick(now time.Duration) {
 	s.running = slices.DeleteFunc(s.running, func(j job) bool {
-		if j.ends > now {
+		if j.end > now {
 			return false
 		}
-		s.Ran++
-		s.answer(j, served)
+		s.Executed++
+		s.answer(j, executed)
 		return true
 	})
 	for len(s.waiting) > 0 && len(s.running) < s.Workers {
@@ -112,61 +112,61 @@
 }
 
 func (s *Server) begin(now time.Duration, j job) {
-	took := float64(s.Work) / s.Ramp.capacityFraction(now-s.started)
-	if !s.Even {
+	took := float64(s.ServiceTime) / s.SlowStart.capacityFraction(now-s.started)
+	if !s.UniformWork {
 		took *= s.rng.ExpFloat64()
 	}
-	j.ends = now + max(time.Microsecond, time.Duration(took))
+	j.end = now + max(time.Microsecond, time.Duration(took))
 	s.running = append(s.running, j)
 }
 
-func (s *Server) answer(j job, o outcome) {
-	s.out = append(s.out, Message{To: j.from, Body: result{j.try, o}})
+func (s *Server) answer(j job, o status) {
+	s.outbox = append(s.outbox, Message{To: j.from, Body: result{j.attemptID, o}})
 }
 
 // Receive implements Node.
 func (s *Server) Receive(now time.Duration, from int, msg any) {
-	j := job{from: from, try: msg.(try)}
+	j := job{from: from, attemptID: msg.(attemptID)}
 	if !s.up {
-		s.answer(j, refused)
+		s.answer(j, connectFailed)
 		return
 	}
-	if s.strained(now) {
-		s.Fallen++
-		s.Down()
-		s.answer(j, refused)
+	if s.overloaded(now) {
+		s.Crashes++
+		s.Stop()
+		s.answer(j, connectFailed)
 		return
 	}
 	switch {
 	case len(s.running) < s.Workers:
 		s.begin(now, j)
-	case len(s.waiting) < s.Queue:
+	case len(s.waiting) < s.QueueLimit:
 		s.waiting = append(s.waiting, j)
 	default:
-		s.answer(j, full)
+		s.answer(j, rejected)
 	}
 }
 
-// strained counts an arrival and says whether it fells a cold server: more than N + 3
+// overloaded counts an arrival and says whether it fells a cold server: more than N + 3
 // roots of N + 3 within the window, N being what it may get then.
-func (s *Server) strained(now time.Duration) bool {
+func (s *Server) overloaded(now time.Duration) bool {
 	age := now - s.started
-	if age >= s.Ramp.For {
-		s.recent = nil
+	if age >= s.SlowStart.Duration {
+		s.recentArrivals = nil
 		return false
 	}
-	s.recent = append(s.recent, now)
-	for len(s.recent) > 0 && now-s.recent[0] > s.Ramp.Window {
-		s.recent = s.recent[1:]
+	s.recentArrivals = append(s.recentArrivals, now)
+	for len(s.recentArrivals) > 0 && now-s.recentArrivals[0] > s.SlowStart.OverloadDuration {
+		s.recentArrivals = s.recentArrivals[1:]
 	}
-	n := s.Ramp.Factor * s.Capacity() * s.Ramp.capacityFraction(age) * s.Ramp.Window.Seconds()
-	return float64(len(s.recent)) > n+3*math.Sqrt(n)+3
+	n := s.SlowStart.OverloadFactor * s.Capacity() * s.SlowStart.capacityFraction(age) * s.SlowStart.OverloadDuration.Seconds()
+	return float64(len(s.recentArrivals)) > n+3*math.Sqrt(n)+3
 }
 
 // Out implements Node.
 func (s *Server) Out(send func(Message)) {
-	for _, m := range s.out {
+	for _, m := range s.outbox {
 		send(m)
 	}
-	s.out = s.out[:0]
+	s.outbox = s.outbox[:0]
 }
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -13,32 +13,32 @@
 
 // Clients is the requests that come to one sidecar.
 type Clients struct {
-	Rate    float64   // a second, of those that come for the first time
-	Mix     []float64 // shares of the classes
-	Burst   float64   // seconds' worth of requests that wait when it starts
-	Returns float64   // share of those turned away who come back when told, within their time
-	Patient bool      // an answer after the aim counts as one in time
+	Rate           float64   // a second, of those that come for the first time
+	ClassFractions []float64 // shares of the classes
+	Burst          float64   // seconds' worth of requests that wait when it starts
+	RetryFraction  float64   // share of those turned away who come back when told, within their time
+	AcceptLate     bool      // an answer after the aim counts as one in time
 }
 
 // Sidecar hosts a real Balancer, and a real peers.Node where it has one.
 type Sidecar struct {
 	Tally Tally
 
-	cfg     martendrum.Config
-	limits  []time.Duration // by class: how long a client waits in all its tries
-	clients Clients
-	b       *martendrum.Balancer
-	peer    *peers.Node // nil: it tells nobody anything
-	guide   Guide       // nil: none
-	rng     *rand.Rand
-
-	now     time.Duration
-	held    map[martendrum.RequestID]*request
-	last    martendrum.RequestID
-	alarms  alarms
-	later   []func()
-	out     []Message
-	servers map[string]int // places by name
+	config   martendrum.Config
+	limits   []time.Duration // by class: how long a client waits in all its tries
+	clients  Clients
+	balancer *martendrum.Balancer
+	peer     *peers.Node // nil: it tells nobody anything
+	guide    Guide       // nil: none
+	rng      *rand.Rand
+
+	now      time.Duration
+	requests map[martendrum.RequestID]*clientRequest
+	lastID   martendrum.RequestID
+	timers   timerQueue
+	deferred []func()
+	outbox   []Message
+	servers  map[string]int // places by name
 }
 
 // Guide is what a sidecar asks, at ticks, for what its Balancer has to keep to.
@@ -49,12 +49,12 @@
 
 // Tally counts what became of requests, by class and second of the first arrival.
 type Tally struct {
-	Offered, Served [][]float64 // in time; by class, then second
-	Late, Lost      int
-	Sends           int
+	Offered, Served      [][]float64 // in time; by class, then second
+	LateAnswers, Expired int
+	Sends                int
 }
 
-func (t *Tally) add(list *[][]float64, class int, at time.Duration) {
+func (t *Tally) count(list *[][]float64, class int, at time.Duration) {
 	for len(*list) <= class {
 		*list = append(*list, nil)
 	}
@@ -65,57 +65,57 @@
 	(*row)[int(at/time.Second)]++
 }
 
-type request struct {
-	id       martendrum.RequestID
-	class    int
-	began    time.Duration // its client's first try
-	deadline time.Duration
-	sent     []bool // by attempt: done
-	out      int
-	over     bool
+type clientRequest struct {
+	id           martendrum.RequestID
+	class        int
+	firstArrived time.Duration // its client's first try
+	deadline     time.Duration
+	attemptsDone []bool // by attempt: done
+	inFlight     int
+	finished     bool
 }
 
-// alarm is something due: a timer of the Balancer's, a deadline, a client.
-type alarm struct {
+// timer is something due: a timer of the Balancer's, a deadline, a client.
+type timer struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
-type alarms struct {
-	list []alarm
+type timerQueue struct {
+	list []timer
 	seq  int
 }
 
-func (a *alarms) Len() int { return len(a.list) }
-func (a *alarms) Less(i, j int) bool {
+func (a *timerQueue) Len() int { return len(a.list) }
+func (a *timerQueue) Less(i, j int) bool {
 	return a.list[i].at < a.list[j].at || a.list[i].at == a.list[j].at && a.list[i].seq < a.list[j].seq
 }
-func (a *alarms) Swap(i, j int) { a.list[i], a.list[j] = a.list[j], a.list[i] }
-func (a *alarms) Push(x any)    { a.list = append(a.list, x.(alarm)) }
-func (a *alarms) Pop() any {
+func (a *timerQueue) Swap(i, j int) { a.list[i], a.list[j] = a.list[j], a.list[i] }
+func (a *timerQueue) Push(x any)    { a.list = append(a.list, x.(timer)) }
+func (a *timerQueue) Pop() any {
 	x := a.list[len(a.list)-1]
 	a.list = a.list[:len(a.list)-1]
 	return x
 }
 
-func (s *Sidecar) at(when time.Duration, do func()) {
-	s.alarms.seq++
-	heap.Push(&s.alarms, alarm{when, s.alarms.seq, do})
+func (s *Sidecar) schedule(when time.Duration, do func()) {
+	s.timers.seq++
+	heap.Push(&s.timers, timer{when, s.timers.seq, do})
 }
 
 // NewSidecar returns a sidecar that starts at now.
 func NewSidecar(now time.Duration, cfg martendrum.Config, limits []time.Duration, c Clients, rng *rand.Rand, peer *peers.Node, guide Guide) *Sidecar {
 	s := &Sidecar{
-		cfg: cfg, limits: limits, clients: c, peer: peer, guide: guide, rng: rng, now: now,
-		held: make(map[martendrum.RequestID]*request), servers: make(map[string]int),
+		config: cfg, limits: limits, clients: c, peer: peer, guide: guide, rng: rng, now: now,
+		requests: make(map[martendrum.RequestID]*clientRequest), servers: make(map[string]int),
 	}
 	var err error
-	if s.b, err = martendrum.New(cfg, rng.Uint64(), s); err != nil {
+	if s.balancer, err = martendrum.New(cfg, rng.Uint64(), s); err != nil {
 		panic(err) // of this package's own making
 	}
 	for range int(c.Burst * c.Rate) {
-		s.at(now+time.Duration(rng.Float64()*float64(200*time.Millisecond)), func() { s.arrive(s.class(), s.now) })
+		s.schedule(now+time.Duration(rng.Float64()*float64(200*time.Millisecond)), func() { s.arrive(s.drawClass(), s.now) })
 	}
 	s.nextClient()
 	return s
@@ -124,33 +124,33 @@
 // Peer is the sidecar's peers.Node, nil if it has none.
 func (s *Sidecar) Peer() *peers.Node { return s.peer }
 
-// Bound passes on what a Guide found to its Balancer.
-func (s *Sidecar) Bound(x martendrum.Bounds) { s.b.SetBounds(x) }
+// SetBounds passes on what a Guide found to its Balancer.
+func (s *Sidecar) SetBounds(x martendrum.Bounds) { s.balancer.SetBounds(x) }
 
 // serverName is the name of the server at a place.
 func serverName(place int) string { return "s" + strconv.Itoa(place) }
 
-// Listed brings the sidecar a list of servers, each with its place, after a delay.
-func (s *Sidecar) Listed(after time.Duration, list []martendrum.Endpoint, places []int) {
-	s.at(s.now+after, func() {
+// ReceiveList brings the sidecar a list of servers, each with its place, after a delay.
+func (s *Sidecar) ReceiveList(after time.Duration, list []martendrum.Endpoint, places []int) {
+	s.schedule(s.now+after, func() {
 		for i, e := range list {
 			s.servers[e.Name] = places[i]
 		}
-		s.b.ServersListed(Epoch+s.now, list)
+		s.balancer.ServersListed(Epoch+s.now, list)
 	})
 }
 
 func (s *Sidecar) nextClient() {
 	wait := time.Duration(s.rng.ExpFloat64() / s.clients.Rate * float64(time.Second))
-	s.at(s.now+wait, func() {
-		s.arrive(s.class(), s.now)
+	s.schedule(s.now+wait, func() {
+		s.arrive(s.drawClass(), s.now)
 		s.nextClient()
 	})
 }
 
-func (s *Sidecar) class() int {
+func (s *Sidecar) drawClass() int {
 	x := s.rng.Float64()
-	for c, share := range s.clients.Mix {
+	for c, share := range s.clients.ClassFractions {
 		if x -= share; x < 0 {
 			return c
 		}
@@ -160,62 +160,62 @@
 
 func (s *Sidecar) arrive(class int, began time.Duration) {
 	if began == s.now {
-		s.Tally.add(&s.Tally.Offered, class, began)
+		s.Tally.count(&s.Tally.Offered, class, began)
 	}
-	s.last++
-	q := &request{id: s.last, class: class, began: began, deadline: began + s.limits[class]}
-	s.held[q.id] = q
-	s.at(q.deadline, func() { s.expire(q) })
-	s.b.Arrive(Epoch+s.now, martendrum.Request{ID: q.id, Class: class, Tenant: -1, Deadline: Epoch + q.deadline})
+	s.lastID++
+	q := &clientRequest{id: s.lastID, class: class, firstArrived: began, deadline: began + s.limits[class]}
+	s.requests[q.id] = q
+	s.schedule(q.deadline, func() { s.expire(q) })
+	s.balancer.Arrive(Epoch+s.now, martendrum.Request{ID: q.id, Class: class, Tenant: -1, Deadline: Epoch + q.deadline})
 }
 
 // Arrivals is how many requests have come so far, those that came again among them.
-func (s *Sidecar) Arrivals() uint64 { return uint64(s.last) }
+func (s *Sidecar) Arrivals() uint64 { return uint64(s.lastID) }
 
-func (s *Sidecar) expire(q *request) {
-	if s.held[q.id] == nil {
+func (s *Sidecar) expire(q *clientRequest) {
+	if s.requests[q.id] == nil {
 		return
 	}
-	for n := range q.sent {
-		s.done(q, n, martendrum.TimedOut)
+	for n := range q.attemptsDone {
+		s.finishAttempt(q, n, martendrum.TimedOut)
 	}
-	if !q.over {
-		s.b.ClientDisconnected(Epoch+s.now, q.id)
-		q.over = true
-		s.Tally.Lost++
+	if !q.finished {
+		s.balancer.ClientDisconnected(Epoch+s.now, q.id)
+		q.finished = true
+		s.Tally.Expired++
 		s.forget(q)
 	}
 }
 
-func (s *Sidecar) done(q *request, n int, o martendrum.Outcome) {
-	if q.sent[n] {
+func (s *Sidecar) finishAttempt(q *clientRequest, n int, o martendrum.Outcome) {
+	if q.attemptsDone[n] {
 		return
 	}
-	q.sent[n] = true
-	q.out--
-	if o == martendrum.OK && !q.over {
-		q.over = true
-		if s.now-q.began <= s.cfg.Classes[q.class].LatencyObjective || s.clients.Patient {
-			s.Tally.add(&s.Tally.Served, q.class, q.began)
+	q.attemptsDone[n] = true
+	q.inFlight--
+	if o == martendrum.OK && !q.finished {
+		q.finished = true
+		if s.now-q.firstArrived <= s.config.Classes[q.class].LatencyObjective || s.clients.AcceptLate {
+			s.Tally.count(&s.Tally.Served, q.class, q.firstArrived)
 		} else {
-			s.Tally.Late++
+			s.Tally.LateAnswers++
 		}
 	}
-	s.b.AttemptFinished(Epoch+s.now, q.id, n, o, q.over, martendrum.LoadReport{})
+	s.balancer.AttemptFinished(Epoch+s.now, q.id, n, o, q.finished, martendrum.LoadReport{})
 	s.forget(q)
 }
 
-func (s *Sidecar) forget(q *request) {
-	if q.over && q.out == 0 {
-		delete(s.held, q.id)
+func (s *Sidecar) forget(q *clientRequest) {
+	if q.finished && q.inFlight == 0 {
+		delete(s.requests, q.id)
 	}
 }
 
 // Due implements Node.
 func (s *Sidecar) Due() time.Duration {
 	due := Never
-	if s.alarms.Len() > 0 {
-		due = s.alarms.list[0].at
+	if s.timers.Len() > 0 {
+		due = s.timers.list[0].at
 	}
 	if s.peer != nil {
 		due = min(due, s.peer.Due())
@@ -235,17 +235,17 @@
 	if s.guide != nil && now >= s.guide.Due() {
 		s.guide.Tick(now, s)
 	}
-	for s.alarms.Len() > 0 && s.alarms.list[0].at <= now {
-		heap.Pop(&s.alarms).(alarm).do()
-		s.settle()
+	for s.timers.Len() > 0 && s.timers.list[0].at <= now {
+		heap.Pop(&s.timers).(timer).run()
+		s.runDeferred()
 	}
 }
 
-// settle does what the Balancer asked for and may not be called back with at once.
-func (s *Sidecar) settle() {
-	for len(s.later) > 0 {
-		do := s.later[0]
-		s.later = s.later[1:]
+// runDeferred does what the Balancer asked for and may not be called back with at once.
+func (s *Sidecar) runDeferred() {
+	for len(s.deferred) > 0 {
+		do := s.deferred[0]
+		s.deferred = s.deferred[1:]
 		do()
 	}
 }
@@ -259,12 +259,12 @@
 			s.peer.Receive(now, peers.Rank(from), m)
 		}
 	case result:
-		q := s.held[martendrum.RequestID(m.id)]
+		q := s.requests[martendrum.RequestID(m.id)]
 		if q == nil {
 			return
 		}
-		s.done(q, m.attempt, [...]martendrum.Outcome{served: martendrum.OK, full: martendrum.Rejected, refused: martendrum.ConnectFailed}[m.what])
-		s.settle()
+		s.finishAttempt(q, m.attempt, [...]martendrum.Outcome{executed: martendrum.OK, rejected: martendrum.Rejected, connectFailed: martendrum.ConnectFailed}[m.status])
+		s.runDeferred()
 	default:
 		panic(fmt.Sprintf("fleetsim: a sidecar got a %T", msg))
 	}
@@ -273,55 +273,55 @@
 // Out implements Node.
 func (s *Sidecar) Out(send func(Message)) {
 	if s.peer != nil {
-		datagrams(s.peer, send)
+		sendDatagrams(s.peer, send)
 	}
-	for _, m := range s.out {
+	for _, m := range s.outbox {
 		send(m)
 	}
-	s.out = s.out[:0]
+	s.outbox = s.outbox[:0]
 }
 
 // Send implements martendrum.Host.
 func (s *Sidecar) Send(id martendrum.RequestID, server string, _, _ time.Duration) {
-	q := s.held[id]
+	q := s.requests[id]
 	s.Tally.Sends++
-	s.out = append(s.out, Message{To: s.servers[server], Body: try{uint64(id), len(q.sent)}})
-	q.sent = append(q.sent, false)
-	q.out++
+	s.outbox = append(s.outbox, Message{To: s.servers[server], Body: attemptID{uint64(id), len(q.attemptsDone)}})
+	q.attemptsDone = append(q.attemptsDone, false)
+	q.inFlight++
 }
 
 // Cancel implements martendrum.Host. The server goes on with it: that is the dearer case.
 func (s *Sidecar) Cancel(id martendrum.RequestID, n int) {
-	if q := s.held[id]; q != nil && n < len(q.sent) {
-		s.later = append(s.later, func() { s.done(q, n, martendrum.Cancelled) })
+	if q := s.requests[id]; q != nil && n < len(q.attemptsDone) {
+		s.deferred = append(s.deferred, func() { s.finishAttempt(q, n, martendrum.Cancelled) })
 	}
 }
 
 // Reject implements martendrum.Host: the client may come back.
 func (s *Sidecar) Reject(id martendrum.RequestID, after time.Duration) {
-	q := s.held[id]
-	if q == nil || q.over {
+	q := s.requests[id]
+	if q == nil || q.finished {
 		return
 	}
-	q.over = true
+	q.finished = true
 	back := s.now + max(after, time.Millisecond)
-	if s.rng.Float64() < s.clients.Returns && back < q.deadline {
-		s.at(back, func() { s.arrive(q.class, q.began) })
+	if s.rng.Float64() < s.clients.RetryFraction && back < q.deadline {
+		s.schedule(back, func() { s.arrive(q.class, q.firstArrived) })
 	}
 	s.forget(q)
 }
 
 // Fail implements martendrum.Host.
 func (s *Sidecar) Fail(id martendrum.RequestID) {
-	if q := s.held[id]; q != nil && !q.over {
-		q.over = true
+	if q := s.requests[id]; q != nil && !q.finished {
+		q.finished = true
 		s.forget(q)
 	}
 }
 
 // SetTimer implements martendrum.Host.
 func (s *Sidecar) SetTimer(cookie uint64, after time.Duration) {
-	s.at(s.now+max(after, time.Microsecond), func() { s.b.TimerFired(Epoch+s.now, cookie) })
+	s.schedule(s.now+max(after, time.Microsecond), func() { s.balancer.TimerFired(Epoch+s.now, cookie) })
 }
 
 // CloseIdle implements martendrum.Host; the model has no connections.
