--- a/internal/fleetsim/gossip.go
+++ b/internal/fleetsim/gossip.go
@@ -12,63 +12,68 @@
 
 // Receive implements Node.
 func (p Peer) Receive(now time.Duration, from int, msg any) {
-	if err := p.Node.Receive(now, peers.Rank(from), msg.([]byte)); err != nil && !errors.As(err, new(*peers.DecodeError)) {
-		panic(err) // the world gives nobody a wrong sender
+	err := p.Node.Receive(now, peers.Rank(from), msg.([]byte))
+	if err != nil && !errors.As(err, new(*peers.DecodeError)) {
+		panic(err) // the world states the true sender
 	}
 }
 
 // Out implements Node.
 func (p Peer) Out(send func(Message)) { sendDatagrams(p.Node, send) }
 
-func sendDatagrams(n *peers.Node, send func(Message)) {
-	for _, d := range n.Out() {
+// sendDatagrams sends the node's datagrams.
+func sendDatagrams(node *peers.Node, send func(Message)) {
+	for _, d := range node.Out() {
 		send(Message{To: int(d.To), Body: d.Data, Size: len(d.Data)})
 	}
 }
 
-// Gossip is a world of sidecars that only talk to each other.
+// Gossip is a world of sidecars that only gossip.
 type Gossip struct {
 	*World
 	config          peers.Config
 	lastIncarnation uint64
 }
 
-// NewGossip returns a world of size places for sidecars, none of which runs yet: see Up.
+// NewGossip returns a world of size places for sidecars, none of which runs yet.
 func NewGossip(size int, seed uint64, net Network, workers int, cfg peers.Config) *Gossip {
 	cfg.Size = size
 	return &Gossip{World: New(size, seed, net, workers), config: cfg, lastIncarnation: 1}
 }
 
-// StartSidecar starts a sidecar in a new life, whose number is above the one before.
+// StartSidecar starts a sidecar at a place, with a higher incarnation than any before.
 func (g *Gossip) StartSidecar(i int) Peer {
+	g.lastIncarnation++
 	cfg := g.config
 	cfg.Self = peers.Rank(i)
-	g.lastIncarnation++
 	cfg.Incarnation = g.lastIncarnation
-	n, err := peers.New(cfg, g.Now, g.Rand(i))
+	node, err := peers.New(cfg, g.Now, g.Rand(i))
 	if err != nil {
-		panic(err) // of this package's own making
+		panic(err) // the configuration is this package's own
 	}
-	p := Peer{n}
+	p := Peer{node}
 	g.Start(i, p)
 	return p
 }
 
-// Peer is the sidecar at a place, false if none runs there.
+// Peer returns the sidecar at a place, false if none runs there.
 func (g *Gossip) Peer(i int) (Peer, bool) {
 	p, ok := g.Node(i).(Peer)
 	return p, ok
 }
 
-// InformedFraction is the share of running sidecars for which ok holds.
-func (g *Gossip) InformedFraction(ok func(p Peer) bool) float64 {
-	n, yes := 0, 0
+// InformedFraction is the fraction of running sidecars for which informed returns true.
+func (g *Gossip) InformedFraction(informed func(p Peer) bool) float64 {
+	running, count := 0, 0
 	for i := range g.places {
-		if p, up := g.Peer(i); up {
-			if n++; ok(p) {
-				yes++
-			}
+		p, up := g.Peer(i)
+		if !up {
+			continue
+		}
+		running++
+		if informed(p) {
+			count++
 		}
 	}
-	return float64(yes) / float64(max(1, n))
+	return float64(count) / float64(max(1, running))
 }
--- a/internal/fleetsim/guide.go
+++ b/internal/fleetsim/guide.go
@@ -7,10 +7,18 @@
 	"martendrum/internal/recovery"
 )
 
-// Recovery is a Guide that has a sidecar come back as package recovery says.
+// Guide gives a sidecar the bounds that its Balancer must keep to.
+type Guide interface {
+	// Due is when Tick is to be called.
+	Due() time.Duration
+	// Tick sets the sidecar's bounds.
+	Tick(now time.Duration, s *Sidecar)
+}
+
+// Recovery is a Guide that restarts a sidecar as package recovery decides.
 type Recovery struct {
 	*recovery.Machine
-	peer *peers.Node // nil: nobody to ask
+	peer *peers.Node // nil: there is nobody to query
 	Last recovery.Orders
 }
 
--- a/internal/fleetsim/powerloss.go
+++ b/internal/fleetsim/powerloss.go
@@ -1,160 +1,233 @@
 package fleetsim
 
 import (
+	"math/rand/v2"
 	"time"
 
 	"martendrum"
 	"martendrum/internal/peers"
 )
 
-// PowerLoss is a power loss and what comes back from it.
+// PowerLoss is an experiment: the restart of a whole fleet after a power loss.
 type PowerLoss struct {
 	Sidecars, Servers int
-	Zones             int
-	Queue             int           // of a server
-	Load              float64       // demand by what all warm servers can carry
-	Spread            time.Duration // over which sidecars come back, and servers
+	Zones             int           // at most len(zoneNames)
+	Queue             int           // Server.QueueLimit
+	Load              float64       // demand over the full capacity of all servers
+	Spread            time.Duration // over which servers restart, and then sidecars
 	SlowStart         SlowStart
-	UniformWork       bool    // each request is the same work
-	Clients           Clients // Rate: of each sidecar
-	ShareReports      bool    // sidecars tell each other
-	UseRecovery       bool    // they come back as package recovery says
+	UniformWork       bool    // Server.UniformWork
+	Clients           Clients // of each sidecar
+	ShareReports      bool    // sidecars gossip
+	UseRecovery       bool    // sidecars restart as package recovery decides
 	Network           Network
 	Seed              uint64
-	Workers           int
+	Workers           int // goroutines of the run
 	Until             time.Duration
 }
 
-// SiteConfig is what the model's fleet serves: a class that is safe, a keyed and an unsafe one,
-// by worth.
-func SiteConfig(instances int, ramp SlowStart) (martendrum.Config, []time.Duration) {
-	return martendrum.Config{
+// serverWorkers is Server.Workers.
+const serverWorkers = 4
+
+// zoneNames are the names of the zones.
+var zoneNames = []string{"a", "b", "c", "d", "e", "f"}
+
+// SiteConfig is the configuration of the model's Balancers, with an idempotent, a keyed and a
+// non-idempotent class in the order of their weights, and how long clients of each class wait.
+func SiteConfig(instances int, slowStart SlowStart) (cfg martendrum.Config, limits []time.Duration) {
+	cfg = martendrum.Config{
 		Instances: instances,
 		Classes: []martendrum.Class{
 			{LatencyObjective: 800 * time.Millisecond, Weight: 1, Idempotency: martendrum.Idempotent},
 			{LatencyObjective: time.Second, Weight: 3, Idempotency: martendrum.IdempotencyKeyed, DedupWindow: 1500 * time.Millisecond},
 			{LatencyObjective: 750 * time.Millisecond, Weight: 10, Idempotency: martendrum.NonIdempotent},
 		},
-		MaxAttempts: 5, AllowCancellation: true, AllowHedging: true, MaxRetryAfter: 2 * time.Second, WastedWorkCost: 0.2, CrossZoneCost: 0.03,
-		SlowStartInitialFraction: ramp.InitialFraction, SlowStartDuration: ramp.Duration, OverloadFactor: ramp.OverloadFactor, OverloadDuration: ramp.OverloadDuration,
-	}, []time.Duration{3 * time.Second, 2500 * time.Millisecond, 2500 * time.Millisecond}
+		MaxAttempts:              5,
+		AllowCancellation:        true,
+		AllowHedging:             true,
+		MaxRetryAfter:            2 * time.Second,
+		WastedWorkCost:           0.2,
+		CrossZoneCost:            0.03,
+		SlowStartInitialFraction: slowStart.InitialFraction,
+		SlowStartDuration:        slowStart.Duration,
+		OverloadFactor:           slowStart.OverloadFactor,
+		OverloadDuration:         slowStart.OverloadDuration,
+	}
+	return cfg, []time.Duration{3 * time.Second, 2500 * time.Millisecond, 2500 * time.Millisecond}
 }
 
-// PowerLossResult is how a fleet came back.
+// PowerLossResult is how a fleet recovered.
 type PowerLossResult struct {
 	PowerLoss
-	Offered, Served [][]float64 // by class, then second, over all sidecars
-	Weights         []float64   // of the classes
-	Crashes         int         // cold servers that fell
+	Offered, Served [][]float64 // by class, then second, over all sidecars; see Tally
+	Weights         []float64   // by class
+	Crashes         int         // of servers in slow start
 	Sends           int
-	BytesPerSecond  float64 // of datagrams, for each sidecar and second
+	BytesPerSecond  float64 // of datagrams, per sidecar
+}
+
+// powerLossRun is the state of a run of the experiment.
+type powerLossRun struct {
+	PowerLoss
+	world   *World
+	config  martendrum.Config
+	limits  []time.Duration // by class
+	zones   []string
+	servers []*Server
+	list    []martendrum.Endpoint
+	places  []int // of the servers on the list
 }
 
-// Run plays it from the moment at which the power is back: servers and sidecars come up
-// within Spread, all servers cold, all clients at once.
+// Run runs the experiment from the return of power: servers restart within Spread, all in slow
+// start, and sidecars within the next Spread, all with clients that have waited.
 func (l PowerLoss) Run() PowerLossResult {
-	w := New(l.Sidecars+l.Servers, l.Seed, l.Network, l.Workers)
-	cfg, limits := SiteConfig(l.Sidecars, l.SlowStart)
-	each := l.Load / l.Clients.Rate // servers' capacity for each sidecar
-	work := time.Duration(4 * float64(time.Second) * each * float64(l.Servers) / float64(l.Sidecars))
-	var list []martendrum.Endpoint
-	var places []int
-	servers := make([]*Server, l.Servers)
-	zones := []string{"a", "b", "c", "d", "e", "f"}[:max(1, l.Zones)]
-	up := make([]time.Duration, l.Sidecars)
-	for i := range servers {
-		at := l.Sidecars + i
-		s := &Server{SlowStart: l.SlowStart, Workers: 4, ServiceTime: work, QueueLimit: l.Queue, UniformWork: l.UniformWork}
-		rng := w.Rand(at)
-		s.Start(time.Duration(rng.Float64()*float64(l.Spread)), rng)
-		servers[i] = s
-		w.Start(at, s)
-		list = append(list, martendrum.Endpoint{Name: serverName(at), Zone: zones[i%len(zones)], CapacityHint: 1, Started: Epoch + s.started})
-		places = append(places, at)
-	}
-	for i := range up {
-		up[i] = l.Spread + time.Duration(w.Rand(i).Float64()*float64(l.Spread))
-	}
-	// All have come back by the time that servers have; the list tells of them.
-	for step := l.Spread; step <= 2*l.Spread; step += 50 * time.Millisecond {
-		w.Run(step, nil)
-		for i := range up {
-			if w.Node(i) == nil && up[i] <= step {
-				l.startSidecar(w, i, cfg, limits, list, places, zones)
-			}
+	run := &powerLossRun{
+		PowerLoss: l,
+		world:     New(l.Sidecars+l.Servers, l.Seed, l.Network, l.Workers),
+		zones:     zoneNames[:max(1, l.Zones)],
+	}
+	run.config, run.limits = SiteConfig(l.Sidecars, l.SlowStart)
+	run.startServers()
+	run.startSidecars()
+	run.world.Run(l.Until, nil)
+	return run.result()
+}
+
+// startServers starts the servers; sidecars are at the places before them.
+func (r *powerLossRun) startServers() {
+	capacityPerRate := r.Load / r.Clients.Rate
+	serviceTime := time.Duration(serverWorkers * float64(time.Second) * capacityPerRate * float64(r.Servers) / float64(r.Sidecars))
+	for i := range r.Servers {
+		place := r.Sidecars + i
+		server := &Server{
+			SlowStart:   r.SlowStart,
+			Workers:     serverWorkers,
+			ServiceTime: serviceTime,
+			QueueLimit:  r.Queue,
+			UniformWork: r.UniformWork,
 		}
+		rng := r.world.Rand(place)
+		server.Start(time.Duration(rng.Float64()*float64(r.Spread)), rng)
+		r.world.Start(place, server)
+		r.servers = append(r.servers, server)
+		r.list = append(r.list, martendrum.Endpoint{
+			Name:         serverName(place),
+			Zone:         r.zones[i%len(r.zones)],
+			CapacityHint: 1,
+			Started:      Epoch + server.started,
+		})
+		r.places = append(r.places, place)
 	}
-	w.Run(l.Until, nil)
-	r := PowerLossResult{PowerLoss: l}
-	for _, c := range cfg.Classes {
-		r.Weights = append(r.Weights, c.Weight)
+}
+
+// startStep is the resolution of the sidecars' starts.
+const startStep = 50 * time.Millisecond
+
+// startSidecars runs the world until all sidecars have started.
+func (r *powerLossRun) startSidecars() {
+	starts := make([]time.Duration, r.Sidecars)
+	for i := range starts {
+		starts[i] = r.Spread + time.Duration(r.world.Rand(i).Float64()*float64(r.Spread))
+	}
+	for now := r.Spread; now <= 2*r.Spread; now += startStep {
+		r.world.Run(now, nil)
+		for i := range starts {
+			if r.world.Node(i) == nil && starts[i] <= now {
+				r.startSidecar(i)
+			}
+		}
 	}
-	bytes := uint64(0)
-	for i := range l.Sidecars {
-		s := w.Node(i).(*Sidecar)
-		r.Offered, r.Served = addSeries(r.Offered, s.Tally.Offered), addSeries(r.Served, s.Tally.Served)
-		r.Sends += s.Tally.Sends
-		_, b := w.Sent(i)
-		bytes += b
-	}
-	for _, s := range servers {
-		r.Crashes += s.Crashes
-	}
-	r.BytesPerSecond = float64(bytes) / float64(l.Sidecars) / l.Until.Seconds()
-	return r
 }
 
-func (l PowerLoss) startSidecar(w *World, i int, cfg martendrum.Config, limits []time.Duration, list []martendrum.Endpoint, places []int, zones []string) {
-	cfg.Zone = zones[i%len(zones)]
-	rng := w.Rand(i)
+// maxListDelay is the longest delay of a sidecar's first server list.
+const maxListDelay = 100 * time.Millisecond
+
+// startSidecar starts a sidecar.
+func (r *powerLossRun) startSidecar(i int) {
+	cfg := r.config
+	cfg.Zone = r.zones[i%len(r.zones)]
+	rng := r.world.Rand(i)
 	var peer *peers.Node
-	if l.ShareReports {
-		var err error
-		peer, err = peers.New(peers.Config{Cluster: "model", Self: peers.Rank(i), Size: l.Sidecars, Incarnation: 1}, w.Now, rng)
-		if err != nil {
-			panic(err) // of this package's own making
-		}
+	if r.ShareReports {
+		peer = r.newPeer(i, rng)
 	}
 	var guide Guide
-	if l.UseRecovery {
-		guide = NewRecovery(w.Now, l.Sidecars, peer)
+	if r.UseRecovery {
+		guide = NewRecovery(r.world.Now, r.Sidecars, peer)
+	}
+	s := NewSidecar(r.world.Now, cfg, r.limits, r.Clients, rng, peer, guide)
+	s.ReceiveList(time.Duration(rng.Float64()*float64(maxListDelay)), r.list, r.places)
+	r.world.Start(i, s)
+}
+
+// newPeer returns the gossip node of a sidecar.
+func (r *powerLossRun) newPeer(i int, rng *rand.Rand) *peers.Node {
+	cfg := peers.Config{Cluster: "model", Self: peers.Rank(i), Size: r.Sidecars, Incarnation: 1}
+	peer, err := peers.New(cfg, r.world.Now, rng)
+	if err != nil {
+		panic(err) // the configuration is this package's own
 	}
-	s := NewSidecar(w.Now, cfg, limits, l.Clients, rng, peer, guide)
-	s.ReceiveList(time.Duration(rng.Float64()*float64(100*time.Millisecond)), list, places)
-	w.Start(i, s)
+	return peer
 }
 
-func addSeries(a, b [][]float64) [][]float64 {
-	for c := range b {
-		for len(a) <= c {
-			a = append(a, nil)
+// result sums up what all nodes have counted.
+func (r *powerLossRun) result() PowerLossResult {
+	result := PowerLossResult{PowerLoss: r.PowerLoss}
+	for _, class := range r.config.Classes {
+		result.Weights = append(result.Weights, class.Weight)
+	}
+	bytes := uint64(0)
+	for i := range r.Sidecars {
+		s := r.world.Node(i).(*Sidecar)
+		result.Offered = addCounts(result.Offered, s.Tally.Offered)
+		result.Served = addCounts(result.Served, s.Tally.Served)
+		result.Sends += s.Tally.Sends
+		_, sent := r.world.Sent(i)
+		bytes += sent
+	}
+	for _, server := range r.servers {
+		result.Crashes += server.Crashes
+	}
+	result.BytesPerSecond = float64(bytes) / float64(r.Sidecars) / r.Until.Seconds()
+	return result
+}
+
+// addCounts adds counts by class and second to a sum, which it returns.
+func addCounts(sum, counts [][]float64) [][]float64 {
+	for class := range counts {
+		for len(sum) <= class {
+			sum = append(sum, nil)
 		}
-		for s, v := range b[c] {
-			for len(a[c]) <= s {
-				a[c] = append(a[c], 0)
+		for second, n := range counts[class] {
+			for len(sum[class]) <= second {
+				sum[class] = append(sum[class], 0)
 			}
-			a[c][s] += v
+			sum[class][second] += n
 		}
 	}
-	return a
+	return sum
 }
 
-func valueAt(list [][]float64, class, second int) float64 {
-	if class >= len(list) || second >= len(list[class]) {
+// countAt returns the count of a class and second, 0 where there is none.
+func countAt(counts [][]float64, class, second int) float64 {
+	if class >= len(counts) || second >= len(counts[class]) {
 		return 0
 	}
-	return list[class][second]
+	return counts[class][second]
 }
 
-// ServedFraction is the share of the worth offered from second on, for so many seconds, that was
-// served in time; of one class, or of all for -1.
-func (r PowerLossResult) ServedFraction(class, second, seconds int) float64 {
+// AllClasses stands for all classes in PowerLossResult's methods.
+const AllClasses = -1
+
+// ServedFraction is the fraction, by weight, of the requests offered in some seconds that were
+// served in time.
+func (r PowerLossResult) ServedFraction(class, firstSecond, seconds int) float64 {
 	offered, served := 0.0, 0.0
-	for s := second; s < second+seconds; s++ {
-		for c, worth := range r.Weights {
+	for second := firstSecond; second < firstSecond+seconds; second++ {
+		for c, weight := range r.Weights {
 			if class < 0 || c == class {
-				offered += worth * valueAt(r.Offered, c, s)
-				served += worth * valueAt(r.Served, c, s)
+				offered += weight * countAt(r.Offered, c, second)
+				served += weight * countAt(r.Served, c, second)
 			}
 		}
 	}
@@ -164,12 +237,19 @@
 	return served / offered
 }
 
-// RecoveredAt is the first second from which on, for three seconds, the share of worth served is
-// at least least; -1 if there is none.
-func (r PowerLossResult) RecoveredAt(class int, least float64) int {
-	for s := 0; time.Duration(s+5)*time.Second < r.Until; s++ {
-		if r.ServedFraction(class, s, 3) >= least {
-			return s
+// The served fraction of recoveryWindow seconds decides when a fleet has recovered. Seconds
+// whose requests may still be open at the end of the run are left out.
+const (
+	recoveryWindow   = 3
+	secondsBeforeEnd = 5
+)
+
+// RecoveredAt is the first second from which on, for recoveryWindow seconds, the served
+// fraction is at least minFraction; -1 if there is none.
+func (r PowerLossResult) RecoveredAt(class int, minFraction float64) int {
+	for second := 0; time.Duration(second+secondsBeforeEnd)*time.Second < r.Until; second++ {
+		if r.ServedFraction(class, second, recoveryWindow) >= minFraction {
+			return second
 		}
 	}
 	return -1
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -7,57 +7,57 @@
 	"time"
 )
 
-// Epoch is the Unix time at which a world begins: balancers and lists speak of Unix time.
+// Epoch is the Unix time at which a world begins: balancers and server lists use Unix time.
 const Epoch = 1_000_000 * time.Hour
 
-// SlowStart is how servers warm up, and what fells one that is cold.
+// SlowStart is how servers warm up, and which load crashes one that does.
 type SlowStart struct {
-	InitialFraction  float64 // share of its capacity that a fresh one has
-	Duration         time.Duration
-	OverloadFactor   float64 // it falls when sent more than this multiple of its capacity of the time
-	OverloadDuration time.Duration
+	InitialFraction  float64       // fraction of its capacity that a server has when it starts
+	Duration         time.Duration // until it has its full capacity
+	OverloadFactor   float64       // multiple of its present capacity that crashes it
+	OverloadDuration time.Duration // if received for this long
 }
 
-// capacityFraction is the share of its capacity that a server of that age has.
-func (r SlowStart) capacityFraction(age time.Duration) float64 {
-	if age >= r.Duration || r.Duration <= 0 {
+// capacityFraction is the fraction of its capacity that a server of the age has.
+func (s SlowStart) capacityFraction(age time.Duration) float64 {
+	if age >= s.Duration || s.Duration <= 0 {
 		return 1
 	}
-	return r.InitialFraction + (1-r.InitialFraction)*float64(max(0, age))/float64(r.Duration)
+	return s.InitialFraction + (1-s.InitialFraction)*float64(max(0, age))/float64(s.Duration)
 }
 
-// Server is a server with a queue: workers that each take a request for a time drawn
-// about the mean, longer while it is cold.
+// Server is a Node that executes attempts: workers, each with one attempt at a time, and a
+// queue. Service times are exponentially distributed, and longer during slow start.
 type Server struct {
 	SlowStart   SlowStart
 	Workers     int
-	ServiceTime time.Duration // mean, of a warm one
-	QueueLimit  int           // requests that may wait
-	UniformWork bool          // each takes just the mean
+	ServiceTime time.Duration // mean, at full capacity
+	QueueLimit  int           // attempts that may wait
+	UniformWork bool          // every attempt takes the mean
 
-	Crashes  int // how often it fell while cold
-	Executed int // requests that it has carried out
+	Crashes  int // from overload during slow start
+	Executed int // attempts
 
 	up             bool
 	started        time.Duration
 	rng            *rand.Rand
 	running        []job
 	waiting        []job
-	recentArrivals []time.Duration // arrivals within the window, while cold
+	recentArrivals []time.Duration // within OverloadDuration, during slow start
 	outbox         []Message
 }
 
 // job is an attempt at a server.
 type job struct {
-	from      int
+	from      int // place of its sidecar
 	attemptID attemptID
-	end       time.Duration
+	end       time.Duration // of its execution
 }
 
-// attemptID is what goes to a server, and comes back.
+// attemptID identifies an attempt of one sidecar.
 type attemptID struct {
-	id      uint64
-	attempt int
+	id      uint64 // of the request
+	attempt int    // index
 }
 
 // result is a server's answer.
@@ -66,25 +66,32 @@
 	status status
 }
 
+// status is what became of an attempt.
 type status uint8
 
 const (
 	executed      status = iota
-	rejected             // turned away unseen
-	connectFailed        // no connection
+	rejected             // without execution, because the queue was full
+	connectFailed        // the server is down
 )
 
-// Capacity is how many requests a second it can carry out when warm.
+// Capacity is how many attempts a second the server executes at full capacity.
 func (s *Server) Capacity() float64 { return float64(s.Workers) / s.ServiceTime.Seconds() }
 
-// Start starts it cold, Down ends it and all that it had.
+// Start starts the server, which begins its slow start.
 func (s *Server) Start(now time.Duration, rng *rand.Rand) {
-	s.up, s.started, s.rng = true, now, rng
+	s.up = true
+	s.started = now
+	s.rng = rng
 	s.recentArrivals = s.recentArrivals[:0]
 }
 
-// Stop stops the server; requests that run or wait there are lost.
-func (s *Server) Stop() { s.up, s.running, s.waiting = false, nil, nil }
+// Stop stops the server; attempts that run or wait there are lost.
+func (s *Server) Stop() {
+	s.up = false
+	s.running = nil
+	s.waiting = nil
+}
 
 // Due implements Node.
 func (s *Server) Due() time.Duration {
@@ -95,7 +102,7 @@
 	return due
 }
 
-// Tick implements Node: what has been carried out is answered.
+// Tick implements Node: it answers what has been executed and begins what waits.
 func (s *Server) Tick(now time.Duration) {
 	s.running = slices.DeleteFunc(s.running, func(j job) bool {
 		if j.end > now {
@@ -111,17 +118,19 @@
 	}
 }
 
+// begin begins the execution of an attempt.
 func (s *Server) begin(now time.Duration, j job) {
-	took := float64(s.ServiceTime) / s.SlowStart.capacityFraction(now-s.started)
+	serviceTime := float64(s.ServiceTime) / s.SlowStart.capacityFraction(now-s.started)
 	if !s.UniformWork {
-		took *= s.rng.ExpFloat64()
+		serviceTime *= s.rng.ExpFloat64()
 	}
-	j.end = now + max(time.Microsecond, time.Duration(took))
+	j.end = now + max(time.Microsecond, time.Duration(serviceTime))
 	s.running = append(s.running, j)
 }
 
-func (s *Server) answer(j job, o status) {
-	s.outbox = append(s.outbox, Message{To: j.from, Body: result{j.attemptID, o}})
+// answer sends the status of an attempt.
+func (s *Server) answer(j job, st status) {
+	s.outbox = append(s.outbox, Message{To: j.from, Body: result{j.attemptID, st}})
 }
 
 // Receive implements Node.
@@ -147,8 +156,8 @@
 	}
 }
 
-// overloaded counts an arrival and says whether it fells a cold server: more than N + 3
-// roots of N + 3 within the window, N being what it may get then.
+// overloaded counts an arrival and reports whether it crashes a server in slow start: more
+// than N + 3 sqrt(N) + 3 within OverloadDuration, where N is the number it can bear.
 func (s *Server) overloaded(now time.Duration) bool {
 	age := now - s.started
 	if age >= s.SlowStart.Duration {
@@ -159,8 +168,8 @@
 	for len(s.recentArrivals) > 0 && now-s.recentArrivals[0] > s.SlowStart.OverloadDuration {
 		s.recentArrivals = s.recentArrivals[1:]
 	}
-	n := s.SlowStart.OverloadFactor * s.Capacity() * s.SlowStart.capacityFraction(age) * s.SlowStart.OverloadDuration.Seconds()
-	return float64(len(s.recentArrivals)) > n+3*math.Sqrt(n)+3
+	bearable := s.SlowStart.OverloadFactor * s.Capacity() * s.SlowStart.capacityFraction(age) * s.SlowStart.OverloadDuration.Seconds()
+	return float64(len(s.recentArrivals)) > bearable+3*math.Sqrt(bearable)+3
 }
 
 // Out implements Node.
