--- a/internal/fleetsim/guide.go
+++ b/internal/fleetsim/guide.go
@@ -7,10 +7,18 @@
 	"martendrum/internal/recovery"
 )
 
-// Recovery is a Guide that has a sidecar come back as package recovery says.
+// Guide gives a sidecar the bounds that its Balancer must keep to.
+type Guide interface {
+	// Due is when Tick is to be called.
+	Due() time.Duration
+	// Tick sets the sidecar's bounds.
+	Tick(now time.Duration, s *Sidecar)
+}
+
+// Recovery is a Guide that restarts a sidecar as package recovery decides.
 type Recovery struct {
 	*recovery.Machine
-	peer *peers.Node // nil: nobody to ask
+	peer *peers.Node // nil: there is nobody to query
 	Last recovery.Orders
 }
 
@@ -23,14 +31,14 @@
 func (r *Recovery) Tick(now time.Duration, s *Sidecar) {
 	if r.peer != nil && r.Last.Phase != recovery.Serving {
 		for m := range r.peer.Speaking(now) {
-			r.Hear(int(m.Rank), recovery.Report{Phase: recovery.Phase(m.Phase), Age: m.Age})
+			r.ReceiveReport(int(m.Rank), recovery.Report{Phase: recovery.Phase(m.Phase), Age: m.Age})
 		}
 	}
-	r.Arrived(s.Arrivals())
-	r.SetCapacity(s.b.Capacity(Epoch + now))
+	r.SetArrivals(s.Arrivals())
+	r.SetCapacity(s.balancer.Capacity(Epoch + now))
 	r.Last = r.Machine.Tick(now)
 	if r.peer != nil {
 		r.peer.SetPhase(now, uint8(r.Last.Phase))
 	}
-	s.Bound(r.Last.Bounds)
+	s.SetBounds(r.Last.Bounds)
 }
