--- a/internal/fleet/distribution/applier_test.go
+++ b/internal/fleet/distribution/applier_test.go
@@ -36,24 +36,24 @@
 			return attempts
 		}
 		offered := versions(applier.Begin())
-		refused := slices.ContainsFunc(offered, func(name string) bool { return slices.Contains(refuses, name) })
-		applier.Done(!refused, "no such limit")
+		rejected := slices.ContainsFunc(offered, func(name string) bool { return slices.Contains(refuses, name) })
+		applier.Done(!rejected, "no such limit")
 	}
 	t.Fatal("the attempts have no end")
 	return attempts
 }
 
-func requireApplied(t testing.TB, applier *Applier, accepted, refused []string) {
+func requireApplied(t testing.TB, applier *Applier, accepted, rejected []string) {
 	t.Helper()
 	if have := versions(applier.Accepted()); !slices.Equal(have, accepted) {
 		t.Errorf("accepted %v; want %v", have, accepted)
 	}
 	var names []string
-	for _, refusal := range applier.Rejections() {
-		names = append(names, fmt.Sprintf("%s@%d", refusal.Resource, refusal.Revision.Number))
+	for _, rejection := range applier.Rejections() {
+		names = append(names, fmt.Sprintf("%s@%d", rejection.Resource, rejection.Revision.Number))
 	}
-	if !slices.Equal(names, refused) {
-		t.Errorf("refused %v; want %v", names, refused)
+	if !slices.Equal(names, rejected) {
+		t.Errorf("refused %v; want %v", names, rejected)
 	}
 }
 
@@ -94,8 +94,8 @@
 		t.Errorf("%d attempts", attempts)
 	}
 	requireApplied(t, applier, []string{"a@2", "b@1", "c@4"}, []string{"b@3"})
-	if refusal := applier.Rejections()[0]; refusal.Reason != "no such limit" || refusal.Instance != "i" {
-		t.Errorf("%+v", refusal)
+	if rejection := applier.Rejections()[0]; rejection.Reason != "no such limit" || rejection.Instance != "i" {
+		t.Errorf("%+v", rejection)
 	}
 
 	applier.Want(testTime, []Resource{version("a", 2), version("b", 5), version("c", 4)})
@@ -188,8 +188,8 @@
 	applier := NewApplier("i", testCoalesce)
 	applier.Want(testTime, []Resource{version("a", 1)})
 	applier.Begin()
-	applier.Done(false, "x"+strings.Repeat("ä", maxReason))
-	if reason := applier.Rejections()[0].Reason; len(reason) > maxReason || strings.ToValidUTF8(reason, "") != reason {
+	applier.Done(false, "x"+strings.Repeat("ä", maxReasonBytes))
+	if reason := applier.Rejections()[0].Reason; len(reason) > maxReasonBytes || strings.ToValidUTF8(reason, "") != reason {
 		t.Errorf("a reason of %d bytes, or one cut within a letter: %q", len(reason), reason)
 	}
 }
--- a/internal/fleet/distribution/choose.go
+++ b/internal/fleet/distribution/choose.go
@@ -34,10 +34,10 @@
 // Times of a Chooser. Waits are drawn from half to one and a half of what is due, so that
 // many hosts that lost the same relay do not come back together.
 const (
-	avoidFirst = 5 * time.Second
-	maxAvoid   = time.Minute
-	retryFirst = 200 * time.Millisecond
-	maxRetry   = 3 * time.Second
+	initialAvoidance  = 5 * time.Second
+	maxAvoidance      = time.Minute
+	initialRetryDelay = 200 * time.Millisecond
+	maxRetryDelay     = 3 * time.Second
 )
 
 // NewChooser returns the order of relays for a host.
@@ -70,7 +70,7 @@
 			return r, spread(wait)
 		}
 	}
-	c.wait = min(max(2*c.wait, retryFirst), maxRetry)
+	c.wait = min(max(2*c.wait, initialRetryDelay), maxRetryDelay)
 	earliest := slices.MinFunc(c.order, func(x, y Relay) int {
 		return c.failed[x.Name].until.Compare(c.failed[y.Name].until)
 	})
@@ -80,9 +80,9 @@
 // Failed notes that a relay gave no answer or turned the host away.
 func (c *Chooser) Failed(now time.Time, relay string) {
 	f := c.failed[relay]
-	avoid := min(avoidFirst<<min(f.count, 8), maxAvoid)
+	avoid := min(initialAvoidance<<min(f.count, 8), maxAvoidance)
 	c.failed[relay] = failure{until: now.Add(avoid), count: f.count + 1}
-	c.wait = min(max(2*c.wait, retryFirst), maxRetry)
+	c.wait = min(max(2*c.wait, initialRetryDelay), maxRetryDelay)
 }
 
 // Served notes that a relay answered.
--- a/internal/fleet/distribution/choose_test.go
+++ b/internal/fleet/distribution/choose_test.go
@@ -151,14 +151,14 @@
 	}
 	chooser.Failed(now, preferred.Name)
 	next, wait := chooser.Next(now, noSpread)
-	if next == preferred || wait != retryFirst {
+	if next == preferred || wait != initialRetryDelay {
 		t.Fatalf("%v after %v", next, wait)
 	}
 	chooser.Served(next.Name)
-	if relay, wait := chooser.Next(now.Add(avoidFirst-1), noSpread); relay != next || wait != 0 {
+	if relay, wait := chooser.Next(now.Add(initialAvoidance-1), noSpread); relay != next || wait != 0 {
 		t.Errorf("before its time: %v after %v", relay, wait)
 	}
-	if relay, _ := chooser.Next(now.Add(avoidFirst), noSpread); relay != preferred {
+	if relay, _ := chooser.Next(now.Add(initialAvoidance), noSpread); relay != preferred {
 		t.Errorf("after its time: %v", relay)
 	}
 
@@ -166,14 +166,14 @@
 	for n := range 20 {
 		now = now.Add(time.Hour)
 		chooser.Failed(now, preferred.Name)
-		avoid := min(avoidFirst<<(n+1), maxAvoid)
+		avoid := min(initialAvoidance<<(n+1), maxAvoidance)
 		if relay, _ := chooser.Next(now.Add(avoid-1), noSpread); relay == preferred {
 			t.Errorf("failed %d times: asked before %v", n+2, avoid)
 		}
 		if relay, _ := chooser.Next(now.Add(avoid), noSpread); relay != preferred {
 			t.Errorf("failed %d times: not asked after %v", n+2, avoid)
 		}
-		if avoid == maxAvoid {
+		if avoid == maxAvoidance {
 			break
 		}
 	}
@@ -190,7 +190,7 @@
 	seen := make(map[string]bool)
 	for range 30 {
 		relay, wait := chooser.Next(now, noSpread)
-		if wait > maxRetry {
+		if wait > maxRetryDelay {
 			t.Fatalf("a wait of %v", wait)
 		}
 		seen[relay.Name] = true
@@ -200,9 +200,9 @@
 	if len(seen) != len(relays) {
 		t.Errorf("only %v are asked", seen)
 	}
-	for draw, want := range map[float64]time.Duration{0: maxRetry / 2, 0.999: maxRetry * 3 / 2} {
+	for draw, want := range map[float64]time.Duration{0: maxRetryDelay / 2, 0.999: maxRetryDelay * 3 / 2} {
 		_, wait := chooser.Next(now, func() float64 { return draw })
-		if difference := wait - want; difference.Abs() > maxRetry/100 {
+		if difference := wait - want; difference.Abs() > maxRetryDelay/100 {
 			t.Errorf("drawn %v: a wait of %v, not %v", draw, wait, want)
 		}
 	}
--- a/internal/fleet/distribution/compat_test.go
+++ b/internal/fleet/distribution/compat_test.go
@@ -111,10 +111,10 @@
 	if err := again.Restore(rows); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(again.accepted, applier.accepted) || !reflect.DeepEqual(again.refused, applier.refused) {
-		t.Errorf("accepted %+v, refused %+v; want %+v, %+v", again.accepted, again.refused, applier.accepted, applier.refused)
+	if !reflect.DeepEqual(again.accepted, applier.accepted) || !reflect.DeepEqual(again.rejected, applier.rejected) {
+		t.Errorf("accepted %+v, refused %+v; want %+v, %+v", again.accepted, again.rejected, applier.accepted, applier.rejected)
 	}
-	if len(applier.refused) != 1 || len(applier.accepted) != 1 {
-		t.Errorf("%d refused, %d accepted: the row shows little", len(applier.refused), len(applier.accepted))
+	if len(applier.rejected) != 1 || len(applier.accepted) != 1 {
+		t.Errorf("%d refused, %d accepted: the row shows little", len(applier.rejected), len(applier.accepted))
 	}
 }
--- a/internal/fleet/distribution/fuzz_test.go
+++ b/internal/fleet/distribution/fuzz_test.go
@@ -123,9 +123,9 @@
 	limits := Limits{Resources: 2, History: 2}
 	reader := NewReader(limits)
 	for range 3 {
-		whole, err := reader.Take(update)
-		if whole != nil && (err != nil || len(whole.Resources) > 2*(limits.Resources+limits.History)) {
-			t.Fatalf("%d resources, %v", len(whole.Resources), err)
+		complete, err := reader.Take(update)
+		if complete != nil && (err != nil || len(complete.Resources) > 2*(limits.Resources+limits.History)) {
+			t.Fatalf("%d resources, %v", len(complete.Resources), err)
 		}
 		reader.Query(Revision{}, nil)
 	}
--- a/internal/fleet/distribution/helpers_test.go
+++ b/internal/fleet/distribution/helpers_test.go
@@ -99,12 +99,12 @@
 		if err != nil {
 			t.Fatalf("read after %v: %v", query.After, err)
 		}
-		whole, err := reader.Take(page)
+		complete, err := reader.Take(page)
 		if err != nil {
 			t.Fatalf("page of %v: %v", page.Revision, err)
 		}
-		if whole != nil {
-			return *whole
+		if complete != nil {
+			return *complete
 		}
 		if between != nil {
 			between()
--- a/internal/fleet/distribution/log.go
+++ b/internal/fleet/distribution/log.go
@@ -25,7 +25,7 @@
 func (s *Step) Batch() Batch { return s.step.batch }
 
 // Make makes a prepared step whose Batch is on disk.
-func (s *State) Make(next *Step) { s.take(next.step) }
+func (s *State) Make(next *Step) { s.commit(next.step) }
 
 // Propose works out a change of the log in the given epoch. A change that would change
 // nothing has a nil Step: whoever asks again after a lost answer is answered with what is. The
@@ -44,22 +44,22 @@
 	if err := next.Check(); err != nil {
 		return Resource{}, nil, err
 	}
-	current, there := s.resources[put.Name]
-	if there && current.Hash == next.Hash {
+	current, exists := s.resources[put.Name]
+	if exists && current.Hash == next.Hash {
 		return current, nil, nil
 	}
-	if !there && next.Removed {
+	if !exists && next.Removed {
 		removed, err := s.removedBefore(&put)
 		return removed, nil, err
 	}
 	if put.If != nil && *put.If != current.Revision {
 		return Resource{}, nil, &ConflictError{Name: put.Name, Want: *put.If, Current: current.Revision}
 	}
-	if !there && len(s.resources) >= s.limits.Resources {
+	if !exists && len(s.resources) >= s.limits.Resources {
 		return Resource{}, nil, &LimitError{What: "resources", Limit: s.limits.Resources}
 	}
 	change := Change{Revision: next.Revision, Name: next.Name, Scope: next.Scope, Removed: next.Removed}
-	if there {
+	if exists {
 		before := current.Scope
 		change.Before = &before
 	}
@@ -84,7 +84,7 @@
 // Promote works out the step by which the State becomes the log of a new epoch, above all
 // that are known. Readers of earlier epochs get a snapshot.
 func (s *State) Promote(epoch int64) *Step {
-	return &Step{s.prepare(step{revision: Revision{Epoch: epoch, Number: s.revision.Number}, fresh: true})}
+	return &Step{s.prepare(step{revision: Revision{Epoch: epoch, Number: s.revision.Number}, resetHistory: true})}
 }
 
 // Follow works out the step by which a relay's copy takes an update. It returns nil for one
@@ -95,14 +95,14 @@
 		return nil, err
 	}
 	if update.Snapshot {
-		kept := make(map[string]bool)
+		stored := make(map[string]bool)
 		for _, r := range update.Resources {
-			kept[r.Name] = true
+			stored[r.Name] = true
 		}
-		next := step{resources: update.Resources, revision: update.Revision, fresh: true}
+		next := step{resources: update.Resources, revision: update.Revision, resetHistory: true}
 		for name := range s.resources {
-			if !kept[name] {
-				next.drop = append(next.drop, name)
+			if !stored[name] {
+				next.removed = append(next.removed, name)
 			}
 		}
 		return &Step{s.prepare(next)}, nil
@@ -177,8 +177,8 @@
 
 // check says what is wrong with a change that came from another relay.
 func (c *Change) check() error {
-	if !nameForm.MatchString(c.Name) {
-		return &InvalidError{What: "name", Name: c.Name, Reason: "of a change; " + nameWanted}
+	if !namePattern.MatchString(c.Name) {
+		return &InvalidError{What: "name", Name: c.Name, Reason: "of a change; " + nameRequirement}
 	}
 	if err := c.Scope.check(c.Name); err != nil {
 		return err
--- a/internal/fleet/distribution/log_test.go
+++ b/internal/fleet/distribution/log_test.go
@@ -125,7 +125,7 @@
 		"labels":           {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Labels: tooMany}}, "scope"},
 		"label not UTF-8":  {put("a", "\xff", "{}"), "scope"},
 		"key not UTF-8":    {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Labels: map[string]string{"\xff": "x"}}}, "scope"},
-		"author":           {Put{Name: "a", Content: []byte("{}"), Author: strings.Repeat("x", maxAuthor+1)}, "author"},
+		"author":           {Put{Name: "a", Content: []byte("{}"), Author: strings.Repeat("x", maxAuthorBytes+1)}, "author"},
 		"author not UTF-8": {Put{Name: "a", Content: []byte("{}"), Author: "\xff"}, "author"},
 	}
 	for name, c := range cases {
--- a/internal/fleet/distribution/model_check_test.go
+++ b/internal/fleet/distribution/model_check_test.go
@@ -65,7 +65,7 @@
 	}
 	registry := s.server.registry
 	e := registry.hosts[s.interest.Host]
-	if standing(registry.position, e.report.Present, registry.stateOf(e)) != inForce {
+	if progressOf(registry.position, e.report.Present, registry.reportedState(e)) != inForce {
 		return
 	}
 	if registry.position.IsZero() || s.replica.Revision().After(registry.position) {
@@ -93,15 +93,15 @@
 	want := counts{hosts: len(m.subscribers)}
 	for _, s := range m.subscribers {
 		requireCopy(m.t, state, s.replica, s.interest)
-		refused := false
+		rejected := false
 		for _, instance := range s.instances {
 			wanted := matching(state, s.interest.Host, instance.labels)
 			if have := s.replica.For(s.interest.Host, instance.labels); !slices.EqualFunc(have, wanted, sameResource) {
 				m.t.Fatalf("%s has %v; want %v", s.interest.Host, versions(have), versions(wanted))
 			}
-			refused = m.checkSettled(instance, wanted) || refused
+			rejected = m.checkSettled(instance, wanted) || rejected
 		}
-		if refused {
+		if rejected {
 			want.refused++
 		} else {
 			want.inForce++
@@ -112,10 +112,10 @@
 
 // checkSettled says that an instance has all that is wanted but what it refuses, of which it
 // has the last that it accepted, and whether it refuses any.
-func (m *model) checkSettled(instance *modelInstance, wanted []Resource) (refused bool) {
-	refusals := make(map[string]Revision)
-	for _, refusal := range instance.applier.Rejections() {
-		refusals[refusal.Resource] = refusal.Revision
+func (m *model) checkSettled(instance *modelInstance, wanted []Resource) (rejected bool) {
+	rejections := make(map[string]Revision)
+	for _, rejection := range instance.applier.Rejections() {
+		rejections[rejection.Resource] = rejection.Revision
 	}
 	accepted := make(map[string]Resource)
 	for _, r := range instance.applier.Accepted() {
@@ -124,9 +124,9 @@
 	names := make(map[string]bool)
 	for _, r := range wanted {
 		names[r.Name] = true
-		revision, turnedDown := refusals[r.Name]
+		revision, turnedDown := rejections[r.Name]
 		if turnedDown != instance.refuses(r) || turnedDown && revision != r.Revision {
-			m.t.Fatalf("instance %d: %v of %v is refused: %v", instance.number, r.Name, r.Revision, refusals)
+			m.t.Fatalf("instance %d: %v of %v is refused: %v", instance.number, r.Name, r.Revision, rejections)
 		}
 		if !turnedDown && !sameResource(accepted[r.Name], r) {
 			m.t.Fatalf("instance %d: has %v; want %v", instance.number, accepted[r.Name], r)
@@ -137,10 +137,10 @@
 			m.t.Fatalf("instance %d: still has %s", instance.number, name)
 		}
 	}
-	for name := range refusals {
+	for name := range rejections {
 		if !names[name] {
 			m.t.Fatalf("instance %d: a refusal of %s, which is not wanted", instance.number, name)
 		}
 	}
-	return len(refusals) > 0
+	return len(rejections) > 0
 }
--- a/internal/fleet/distribution/model_test.go
+++ b/internal/fleet/distribution/model_test.go
@@ -203,7 +203,7 @@
 			change.Scope.Labels = map[string]string{"service": rapid.SampledFrom(modelServices).Draw(m.t, "service")}
 		}
 	}
-	current, there := s.state.Resource(change.Name)
+	current, exists := s.state.Resource(change.Name)
 	if m.flip("compare") {
 		change.If = &current.Revision
 	}
@@ -212,9 +212,9 @@
 	switch {
 	case fenced != isFenced(err):
 		m.t.Fatalf("%s writes in epoch %d at %v: %v", s.name, s.epoch, s.state.Revision(), err)
-	case fenced, isLimit(err) && len(s.state.resources) == m.limits.Resources && !there:
+	case fenced, isLimit(err) && len(s.state.resources) == m.limits.Resources && !exists:
 		return
-	case isInvalid(err) && change.Remove && !there:
+	case isInvalid(err) && change.Remove && !exists:
 		return
 	case err != nil:
 		m.t.Fatal(err)
@@ -274,11 +274,11 @@
 			page = l.inbox[rapid.IntRange(0, len(l.inbox)-1).Draw(m.t, "which")]
 		}
 	}
-	whole, err := l.reader.Take(m.carried(page))
+	complete, err := l.reader.Take(m.carried(page))
 	if err != nil && !isLimit(err) {
 		m.t.Fatal(err)
 	}
-	return whole
+	return complete
 }
 
 // follow lets a relay, or a writer of an earlier epoch, ask another server.
@@ -290,11 +290,11 @@
 	if !ok {
 		return
 	}
-	whole := m.deliver(&s.link, page, faults)
-	if whole == nil {
+	complete := m.deliver(&s.link, page, faults)
+	if complete == nil {
 		return
 	}
-	next, err := s.state.Follow(*whole)
+	next, err := s.state.Follow(*complete)
 	switch {
 	case isFenced(err) || isInvalid(err):
 		// The update began with a page that came late. It is asked for anew.
@@ -368,11 +368,11 @@
 		return
 	}
 	s.server.registry.Acknowledged(s.interest.Host, s.session, &page)
-	whole := m.deliver(&s.link, page, faults)
-	if whole == nil {
+	complete := m.deliver(&s.link, page, faults)
+	if complete == nil {
 		return
 	}
-	changed, err := s.replica.Take(*whole)
+	changed, err := s.replica.Take(*complete)
 	switch {
 	case isFenced(err) || isInvalid(err):
 		return
--- a/internal/fleet/distribution/reader.go
+++ b/internal/fleet/distribution/reader.go
@@ -7,12 +7,12 @@
 
 // Reader joins the pages of updates. It serves one copy; the copy takes only whole updates.
 type Reader struct {
-	limits Limits
-	joined *joined // nil: between two updates
+	limits   Limits
+	assembly *assembly // nil: between two updates
 }
 
-// joined is an update that goes on.
-type joined struct {
+// assembly is an update that goes on.
+type assembly struct {
 	update    Update
 	resources map[string]Resource
 }
@@ -21,13 +21,13 @@
 func NewReader(limits Limits) *Reader { return &Reader{limits: limits} }
 
 // Reset forgets the pages so far: another relay is asked from now on.
-func (r *Reader) Reset() { r.joined = nil }
+func (r *Reader) Reset() { r.assembly = nil }
 
 // Query is what a copy that holds a revision asks for next.
 func (r *Reader) Query(held Revision, interest *Interest) Query {
 	query := Query{After: held, Interest: interest}
-	if r.joined != nil {
-		query.After, query.Began = r.joined.update.Revision, r.joined.update.Began
+	if r.assembly != nil {
+		query.After, query.Began = r.assembly.update.Revision, r.assembly.update.Began
 	}
 	return query
 }
@@ -35,30 +35,30 @@
 // Take takes a page, and returns the whole update once it is there. A page of a snapshot that
 // is not the next one is left out: it came late, and the next one is asked for again. The
 // error is of *LimitError; the pages so far are forgotten then.
-func (r *Reader) Take(page Update) (whole *Update, err error) {
+func (r *Reader) Take(page Update) (complete *Update, err error) {
 	switch {
-	case r.joined != nil && r.joined.goesOnWith(&page):
+	case r.assembly != nil && r.assembly.continuedBy(&page):
 	case page.Snapshot && !page.After.IsZero():
 		return nil, nil
 	default:
-		r.joined = begin(page)
+		r.assembly = newAssembly(page)
 	}
-	j := r.joined
+	j := r.assembly
 	j.add(&page)
 	if err := r.check(j); err != nil {
-		r.joined = nil
+		r.assembly = nil
 		return nil, err
 	}
 	if page.More {
 		return nil, nil
 	}
-	r.joined = nil
-	return j.whole(), nil
+	r.assembly = nil
+	return j.complete(), nil
 }
 
 // check bounds what is joined: as much as a State may hold and have in its history, and as
 // much again for what changes meanwhile.
-func (r *Reader) check(j *joined) error {
+func (r *Reader) check(j *assembly) error {
 	if limit := 2 * (r.limits.Resources + r.limits.History); len(j.resources) > limit {
 		return &LimitError{What: "resources of one update", Limit: limit}
 	}
@@ -68,12 +68,12 @@
 	return nil
 }
 
-func begin(page Update) *joined {
+func newAssembly(page Update) *assembly {
 	page.Resources, page.Changes = nil, nil
-	return &joined{update: page, resources: make(map[string]Resource)}
+	return &assembly{update: page, resources: make(map[string]Resource)}
 }
 
-func (j *joined) add(page *Update) {
+func (j *assembly) add(page *Update) {
 	for _, resource := range page.Resources {
 		j.resources[resource.Name] = resource
 	}
@@ -81,13 +81,13 @@
 	j.update.Revision, j.update.More = page.Revision, page.More
 }
 
-func (j *joined) whole() *Update {
+func (j *assembly) complete() *Update {
 	resources := slices.SortedFunc(maps.Values(j.resources), compareRevisions)
 	j.update.Resources = withoutRemoved(j.update.Snapshot, resources)
 	return &j.update
 }
 
-func (j *joined) goesOnWith(page *Update) bool {
+func (j *assembly) continuedBy(page *Update) bool {
 	return page.Snapshot == j.update.Snapshot && page.Began == j.update.Began && page.After == j.update.Revision
 }
 
--- a/internal/fleet/distribution/reader_test.go
+++ b/internal/fleet/distribution/reader_test.go
@@ -18,10 +18,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept := page
-		kept.Resources = slices.Clone(page.Resources)
-		pages = append(pages, kept)
-		if whole, err := reader.Take(page); err != nil || whole != nil {
+		stored := page
+		stored.Resources = slices.Clone(page.Resources)
+		pages = append(pages, stored)
+		if complete, err := reader.Take(page); err != nil || complete != nil {
 			return pages
 		}
 	}
@@ -42,16 +42,16 @@
 	pages := pagesOf(t, log, &interest)
 	reader := NewReader(testLimits())
 	for _, n := range []int{0, 2} {
-		if whole, err := reader.Take(pages[n]); whole != nil || err != nil {
-			t.Fatalf("page %d: %v, %v", n, whole, err)
+		if complete, err := reader.Take(pages[n]); complete != nil || err != nil {
+			t.Fatalf("page %d: %v, %v", n, complete, err)
 		}
 	}
-	if whole, err := reader.Take(pages[3]); whole != nil || err != nil {
-		t.Fatalf("the last page: %+v, %v", whole, err)
+	if complete, err := reader.Take(pages[3]); complete != nil || err != nil {
+		t.Fatalf("the last page: %+v, %v", complete, err)
 	}
 	replica := NewReplica(interest)
-	whole := readWhole(t, log, reader, replica.Revision(), &interest, 1, nil)
-	if _, err := replica.Take(whole); err != nil {
+	complete := readWhole(t, log, reader, replica.Revision(), &interest, 1, nil)
+	if _, err := replica.Take(complete); err != nil {
 		t.Fatal(err)
 	}
 	requireCopy(t, log, replica, interest)
@@ -62,8 +62,8 @@
 	log := snapshotLog(t)
 	pages := pagesOf(t, log, nil)
 	reader := NewReader(testLimits())
-	if whole, err := reader.Take(pages[len(pages)-1]); whole != nil || err != nil {
-		t.Fatalf("%+v, %v", whole, err)
+	if complete, err := reader.Take(pages[len(pages)-1]); complete != nil || err != nil {
+		t.Fatalf("%+v, %v", complete, err)
 	}
 }
 
@@ -71,7 +71,7 @@
 	log := snapshotLog(t)
 	interest := interestIn("h", "x")
 	reader, replica := NewReader(testLimits()), NewReplica(interest)
-	var whole *Update
+	var complete *Update
 	for _, page := range pagesOf(t, log, &interest) {
 		for range 2 {
 			page := page
@@ -80,15 +80,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got != nil && whole == nil {
-				whole = got
+			if got != nil && complete == nil {
+				complete = got
 			}
 		}
 	}
-	if whole == nil {
+	if complete == nil {
 		t.Fatal("the update never was whole")
 	}
-	if _, err := replica.Take(*whole); err != nil {
+	if _, err := replica.Take(*complete); err != nil {
 		t.Fatal(err)
 	}
 	requireCopy(t, log, replica, interest)
@@ -128,13 +128,13 @@
 		publish(t, log, put(fmt.Sprintf("r%d", n), "x", content(n)))
 	}
 	replica, rounds := NewReplica(interest), 0
-	whole := readWhole(t, log, NewReader(testLimits()), Revision{}, &interest, 1, func() {
+	complete := readWhole(t, log, NewReader(testLimits()), Revision{}, &interest, 1, func() {
 		if rounds++; rounds <= 3 {
 			publish(t, log, remove(fmt.Sprintf("r%d", rounds)))
 			publish(t, log, put("r0", "x", content(10+rounds)))
 		}
 	})
-	if _, err := replica.Take(whole); err != nil {
+	if _, err := replica.Take(complete); err != nil {
 		t.Fatal(err)
 	}
 	requireCopy(t, log, replica, interest)
@@ -152,9 +152,9 @@
 		publish(t, log, remove(name))
 	}
 	for _, bytes := range []int{0, 1} {
-		whole := readWhole(t, log, NewReader(limits), held, nil, bytes, nil)
-		if len(whole.Resources) != 20 || len(whole.Changes) != 40 {
-			t.Errorf("%d resources, %d changes", len(whole.Resources), len(whole.Changes))
+		complete := readWhole(t, log, NewReader(limits), held, nil, bytes, nil)
+		if len(complete.Resources) != 20 || len(complete.Changes) != 40 {
+			t.Errorf("%d resources, %d changes", len(complete.Resources), len(complete.Changes))
 		}
 	}
 }
--- a/internal/fleet/distribution/registry.go
+++ b/internal/fleet/distribution/registry.go
@@ -20,17 +20,17 @@
 	Waiting    string          `msgpack:"waiting,omitempty" json:"waiting,omitempty"` // for what, where it is not settled
 }
 
-// maxRefusals is how many refusals of one host are passed on.
-const maxRefusals = 8
+// maxRejections is how many refusals of one host are passed on.
+const maxRejections = 8
 
 // bounded is the state with no more of its texts and refusals than a Registry keeps.
 func (s HostState) bounded() HostState {
-	cut := func(text string) string { return text[:min(len(text), maxReason)] }
-	refused := s.Rejections[:min(len(s.Rejections), maxRefusals)]
+	cut := func(text string) string { return text[:min(len(text), maxReasonBytes)] }
+	rejected := s.Rejections[:min(len(s.Rejections), maxRejections)]
 	s.Rejections = nil
-	for _, refusal := range refused {
-		refusal.Instance, refusal.Resource, refusal.Reason = cut(refusal.Instance), cut(refusal.Resource), cut(refusal.Reason)
-		s.Rejections = append(s.Rejections, refusal)
+	for _, rejection := range rejected {
+		rejection.Instance, rejection.Resource, rejection.Reason = cut(rejection.Instance), cut(rejection.Resource), cut(rejection.Reason)
+		s.Rejections = append(s.Rejections, rejection)
 	}
 	s.Waiting = cut(s.Waiting)
 	return s
@@ -50,11 +50,11 @@
 // MaxHosts is how many hosts a Registry knows.
 const MaxHosts = 1 << 16
 
-// forgetAfter is how long a host that is away is known.
-const forgetAfter = 24 * time.Hour
+// hostRetention is how long a host that is away is known.
+const hostRetention = 24 * time.Hour
 
-// entry is a host in a Registry.
-type entry struct {
+// hostRecord is a host in a Registry.
+type hostRecord struct {
 	report HostReport
 	// Of a subscriber of this relay: what it wants, and the latest change that concerns it.
 	interest  Interest
@@ -71,14 +71,14 @@
 	position  Revision            // of its own copy
 	reported  Revision            // position as Moved was last asked
 	positions map[string]Revision // of other relays
-	hosts     map[string]*entry
+	hosts     map[string]*hostRecord
 	dirty     map[string]bool // own subscribers whose report has changed
 }
 
 // NewRegistry returns an empty Registry of the named relay with room for so many subscribers.
 func NewRegistry(relay string, limit int) *Registry {
 	return &Registry{relay: relay, limit: limit, positions: make(map[string]Revision),
-		hosts: make(map[string]*entry), dirty: make(map[string]bool)}
+		hosts: make(map[string]*hostRecord), dirty: make(map[string]bool)}
 }
 
 // Join takes a subscriber in, or one that was there under an earlier session. It counts as
@@ -97,7 +97,7 @@
 		g.present++
 	}
 	if e == nil {
-		e = &entry{}
+		e = &hostRecord{}
 		g.hosts[interest.Host] = e
 	}
 	e.interest, e.concerned, e.seen = interest, g.position, now
@@ -108,7 +108,7 @@
 
 // Seen notes that a subscriber asks; false says that this session is none here.
 func (g *Registry) Seen(now time.Time, host string, session int64) bool {
-	e := g.own(host, session)
+	e := g.subscriber(host, session)
 	if e != nil {
 		e.seen = now
 	}
@@ -117,7 +117,7 @@
 
 // Interest is what a subscriber that is present wants; false if that session is none here.
 func (g *Registry) Interest(host string, session int64) (Interest, bool) {
-	if e := g.own(host, session); e != nil {
+	if e := g.subscriber(host, session); e != nil {
 		return e.interest, true
 	}
 	return Interest{}, false
@@ -136,7 +136,7 @@
 // Acknowledged notes what was read for a subscriber: an update that it is sent, or an empty one, also
 // where its call goes on to wait instead of being answered with that.
 func (g *Registry) Acknowledged(host string, session int64, update *Update) {
-	e := g.own(host, session)
+	e := g.subscriber(host, session)
 	if e == nil {
 		return
 	}
@@ -160,13 +160,13 @@
 
 // Acknowledge takes what a subscriber says of itself.
 func (g *Registry) Acknowledge(host string, session int64, state HostState) {
-	if e := g.own(host, session); e != nil {
+	if e := g.subscriber(host, session); e != nil {
 		g.setState(e, state)
 	}
 }
 
-// own is a present subscriber of this relay, nil if that session is none.
-func (g *Registry) own(host string, session int64) *entry {
+// subscriber is a present subscriber of this relay, nil if that session is none.
+func (g *Registry) subscriber(host string, session int64) *hostRecord {
 	e := g.hosts[host]
 	if e == nil || e.report.Session != session || e.report.Relay != g.relay || !e.report.Present {
 		return nil
@@ -174,18 +174,18 @@
 	return e
 }
 
-func (g *Registry) setState(e *entry, state HostState) {
+func (g *Registry) setState(e *hostRecord, state HostState) {
 	e.report.State = state.bounded()
 	g.dirty[e.report.Host] = true
 }
 
 // Leave notes that a subscriber's connection has ended.
 func (g *Registry) Leave(now time.Time, host string, session int64) {
-	e := g.own(host, session)
+	e := g.subscriber(host, session)
 	if e == nil {
 		return
 	}
-	e.report.State = g.effective(e)
+	e.report.State = g.effectiveState(e)
 	e.report.Present, e.report.Since = false, now.UTC()
 	g.present--
 	g.dirty[host] = true
@@ -203,7 +203,7 @@
 		if e.report.Relay != g.relay || !e.report.Present {
 			continue
 		}
-		if !state.reaches(before) {
+		if !state.historyCovers(before) {
 			e.concerned = g.position
 			g.dirty[host] = true
 			continue
@@ -215,9 +215,9 @@
 	}
 }
 
-// effective is the state of one's own subscriber with what it need not be told: one that is
+// effectiveState is the state of one's own subscriber with what it need not be told: one that is
 // settled, and has received all that concerns it, is at the relay's position.
-func (g *Registry) effective(e *entry) HostState {
+func (g *Registry) effectiveState(e *hostRecord) HostState {
 	state := e.report.State
 	if state.Settled && !e.concerned.After(state.Received) {
 		if g.position.After(state.Received) {
@@ -243,7 +243,7 @@
 		}
 		report := e.report
 		if report.Present {
-			report.State = g.effective(e)
+			report.State = g.effectiveState(e)
 		}
 		reports = append(reports, report)
 	}
@@ -286,7 +286,7 @@
 			if len(g.hosts) >= MaxHosts {
 				continue
 			}
-			e = &entry{}
+			e = &hostRecord{}
 			g.hosts[report.Host] = e
 		}
 		if e.report.Relay == g.relay && e.report.Present {
@@ -301,7 +301,7 @@
 func (g *Registry) Lost(now time.Time, relay string) {
 	for _, e := range g.hosts {
 		if e.report.Relay == relay && e.report.Present {
-			e.report.State = g.stateOf(e)
+			e.report.State = g.reportedState(e)
 			e.report.Present, e.report.Since = false, now.UTC()
 		}
 	}
@@ -310,8 +310,8 @@
 
 // Forget drops hosts that have been away for a day.
 func (g *Registry) Forget(now time.Time) {
-	maps.DeleteFunc(g.hosts, func(host string, e *entry) bool {
-		forgotten := !e.report.Present && now.Sub(e.report.Since) > forgetAfter
+	maps.DeleteFunc(g.hosts, func(host string, e *hostRecord) bool {
+		forgotten := !e.report.Present && now.Sub(e.report.Since) > hostRetention
 		if forgotten {
 			delete(g.dirty, host)
 		}
@@ -319,11 +319,11 @@
 	})
 }
 
-// stateOf is a host's state with what its relay's position tells.
-func (g *Registry) stateOf(e *entry) HostState {
+// reportedState is a host's state with what its relay's position tells.
+func (g *Registry) reportedState(e *hostRecord) HostState {
 	if e.report.Relay == g.relay {
 		if e.report.Present {
-			return g.effective(e)
+			return g.effectiveState(e)
 		}
 		return e.report.State
 	}
@@ -357,61 +357,61 @@
 	status := Status{Revision: revision, Latest: g.position}
 	var missing []missingHost
 	for _, e := range g.hosts {
-		state := g.stateOf(e)
+		state := g.reportedState(e)
 		status.Hosts++
-		switch standing(revision, e.report.Present, state) {
+		switch progressOf(revision, e.report.Present, state) {
 		case inForce:
 			status.InForce++
 			continue
-		case refused:
+		case rejected:
 			status.Rejected++
 		case behind:
 			status.Behind++
-		case away:
+		case unavailable:
 			status.Unavailable++
 		}
-		missing = append(missing, missingHost{entry: e, refused: len(state.Rejections)})
+		missing = append(missing, missingHost{record: e, rejections: len(state.Rejections)})
 	}
-	status.Missing = g.name(missing, limit)
+	status.Missing = g.missingReports(missing, limit)
 	return status
 }
 
 // missingHost is a host where a revision is not in force.
 type missingHost struct {
-	entry   *entry
-	refused int
+	record     *hostRecord
+	rejections int
 }
 
-// name returns the reports of up to most of the hosts, the refused first.
-func (g *Registry) name(missing []missingHost, limit int) []HostReport {
+// missingReports returns the reports of up to most of the hosts, the refused first.
+func (g *Registry) missingReports(missing []missingHost, limit int) []HostReport {
 	if limit <= 0 || len(missing) == 0 {
 		return nil
 	}
 	slices.SortFunc(missing, func(x, y missingHost) int {
-		return cmp.Or(y.refused-x.refused, strings.Compare(x.entry.report.Host, y.entry.report.Host))
+		return cmp.Or(y.rejections-x.rejections, strings.Compare(x.record.report.Host, y.record.report.Host))
 	})
 	var reports []HostReport
 	for _, host := range missing[:min(len(missing), limit)] {
-		report := host.entry.report
-		report.State = g.stateOf(host.entry)
+		report := host.record.report
+		report.State = g.reportedState(host.record)
 		reports = append(reports, report)
 	}
 	return reports
 }
 
 // How far a revision is at a host.
-type level int
+type applyProgress int
 
 const (
-	inForce level = iota
-	refused
+	inForce applyProgress = iota
+	rejected
 	behind
-	away
+	unavailable
 )
 
-func standing(revision Revision, present bool, state HostState) level {
+func progressOf(revision Revision, present bool, state HostState) applyProgress {
 	if slices.ContainsFunc(state.Rejections, func(r Rejection) bool { return !r.Revision.After(revision) }) {
-		return refused
+		return rejected
 	}
 	if !revision.After(state.Applied) {
 		return inForce
@@ -419,7 +419,7 @@
 	if present {
 		return behind
 	}
-	return away
+	return unavailable
 }
 
 // Add adds the counts of another relay's subscribers, of which most missing hosts are named.
--- a/internal/fleet/distribution/registry_test.go
+++ b/internal/fleet/distribution/registry_test.go
@@ -196,10 +196,10 @@
 
 func TestRegistryBoundsRefusals(t *testing.T) {
 	registry := NewRegistry("r1", 2)
-	state := HostState{Settled: true, Rejections: make([]Rejection, maxRefusals+5)}
+	state := HostState{Settled: true, Rejections: make([]Rejection, maxRejections+5)}
 	mustJoin(t, registry, interestIn("h1", "x"), 1, state)
 	reports, _ := registry.Reports(1)
-	if len(reports[0].State.Rejections) != maxRefusals {
+	if len(reports[0].State.Rejections) != maxRejections {
 		t.Errorf("%d refusals", len(reports[0].State.Rejections))
 	}
 }
@@ -282,9 +282,9 @@
 	requireCounts(t, writer, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
 
 	writer.Lost(testTime, "r1")
-	writer.Forget(testTime.Add(forgetAfter))
+	writer.Forget(testTime.Add(hostRetention))
 	requireCounts(t, writer, Revision{}, counts{hosts: 2, inForce: 1, away: 1})
-	writer.Forget(testTime.Add(forgetAfter + 1))
+	writer.Forget(testTime.Add(hostRetention + 1))
 	requireCounts(t, writer, Revision{}, counts{})
 }
 
@@ -299,7 +299,7 @@
 	publish(t, log, put("a", "y", content(2)))
 	registry.Advance(log)
 	requireCounts(t, registry, Revision{}, counts{hosts: 1, away: 1})
-	registry.Forget(testTime.Add(forgetAfter + 1))
+	registry.Forget(testTime.Add(hostRetention + 1))
 	requireCounts(t, registry, Revision{}, counts{})
 	if reports, all := registry.Reports(1); len(reports) != 0 || !all {
 		t.Errorf("%v", reports)
--- a/internal/fleet/distribution/replica.go
+++ b/internal/fleet/distribution/replica.go
@@ -39,7 +39,7 @@
 		for _, resource := range update.Resources {
 			r.resources[resource.Name] = resource
 		}
-		r.moveTo(update.Revision)
+		r.setRevision(update.Revision)
 		return !maps.EqualFunc(before, r.resources, sameRevision), nil
 	}
 	for _, resource := range update.Resources {
@@ -49,11 +49,11 @@
 			r.resources[resource.Name] = resource
 		}
 	}
-	r.moveTo(update.Revision)
+	r.setRevision(update.Revision)
 	return len(update.Resources) > 0, nil
 }
 
-func (r *Replica) moveTo(revision Revision) { r.revision, r.epoch = revision, revision.Epoch }
+func (r *Replica) setRevision(revision Revision) { r.revision, r.epoch = revision, revision.Epoch }
 
 func sameRevision(x, y Resource) bool { return x.Revision == y.Revision && x.Hash == y.Hash }
 
@@ -86,8 +86,8 @@
 	acceptedPrefix = "accepted/"
 )
 
-// replicaRow is the row that says where a Replica stands.
-type replicaRow struct {
+// replicaHeader is the row that says where a Replica stands.
+type replicaHeader struct {
 	Revision Revision `json:"revision"`
 	Epoch    int64    `json:"epoch"`
 	Interest string   `json:"interest"`
@@ -96,17 +96,17 @@
 // Batch is the rows that keep the copy; before is what it was when it was kept last, nil for
 // not yet.
 func (r *Replica) Batch(before *Replica) Batch {
-	batch := Batch{Put: []Entry{row(replicaKey, replicaRow{Revision: r.revision, Epoch: r.epoch, Interest: r.interest})}}
+	batch := Batch{Put: []Entry{newEntry(replicaKey, replicaHeader{Revision: r.revision, Epoch: r.epoch, Interest: r.interest})}}
 	for name, resource := range r.resources {
 		if before == nil || !sameRevision(before.resources[name], resource) {
-			batch.Put = append(batch.Put, row(replicaPrefix+name, resource))
+			batch.Put = append(batch.Put, newEntry(replicaPrefix+name, resource))
 		}
 	}
 	if before == nil {
 		return batch
 	}
 	for name := range before.resources {
-		if _, there := r.resources[name]; !there {
+		if _, exists := r.resources[name]; !exists {
 			batch.Drop = append(batch.Drop, replicaPrefix+name)
 		}
 	}
@@ -126,11 +126,11 @@
 		var err error
 		switch {
 		case line.Key == replicaKey:
-			var kept replicaRow
-			err = json.Unmarshal(line.Value, &kept)
-			r.epoch = kept.Epoch
-			if kept.Interest == r.interest {
-				r.revision = kept.Revision
+			var stored replicaHeader
+			err = json.Unmarshal(line.Value, &stored)
+			r.epoch = stored.Epoch
+			if stored.Interest == r.interest {
+				r.revision = stored.Revision
 			}
 		case strings.HasPrefix(line.Key, replicaPrefix):
 			var resource Resource
--- a/internal/fleet/distribution/resource.go
+++ b/internal/fleet/distribution/resource.go
@@ -18,18 +18,18 @@
 
 // Bounds of one resource.
 const (
-	MaxContent = 64 << 10 // bytes
-	maxLabels  = 16
-	maxLabel   = 128  // bytes of a label's key or value
-	maxAuthor  = 200  // bytes
-	lastYear   = 9999 // that a row, as JSON, can hold
+	MaxContent     = 64 << 10 // bytes
+	maxLabels      = 16
+	maxLabelBytes  = 128  // bytes of a label's key or value
+	maxAuthorBytes = 200  // bytes
+	maxYear        = 9999 // that a row, as JSON, can hold
 )
 
-// nameWanted says in words what nameForm takes.
-const nameWanted = "want letters, digits, '.', '_', '/' or '-', 128 at most"
+// nameRequirement says in words what namePattern takes.
+const nameRequirement = "want letters, digits, '.', '_', '/' or '-', 128 at most"
 
 var (
-	nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/-]{0,127}$`)
+	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/-]{0,127}$`)
 	// instanceKeys differ from instance to instance and can't be distributed.
 	instanceKeys = []string{"listen", "name", "seed"}
 )
@@ -65,8 +65,8 @@
 
 // Bounds of an interest.
 const (
-	interestInstances = 256
-	interestBytes     = 32 << 10 // of all labels
+	maxInterestInstances = 256
+	maxInterestBytes     = 32 << 10 // of all labels
 )
 
 // Check says what is wrong with an interest.
@@ -74,11 +74,11 @@
 	invalid := func(reason string) error {
 		return &InvalidError{What: "interest", Name: i.Host, Reason: reason}
 	}
-	if i.Host == "" || len(i.Host) > maxLabel {
-		return invalid(fmt.Sprintf("a host's name of 1 to %d bytes is needed", maxLabel))
+	if i.Host == "" || len(i.Host) > maxLabelBytes {
+		return invalid(fmt.Sprintf("a host's name of 1 to %d bytes is needed", maxLabelBytes))
 	}
-	if len(i.Instances) > interestInstances {
-		return invalid(fmt.Sprintf("%d instances; %d at most", len(i.Instances), interestInstances))
+	if len(i.Instances) > maxInterestInstances {
+		return invalid(fmt.Sprintf("%d instances; %d at most", len(i.Instances), maxInterestInstances))
 	}
 	bytes := 0
 	for _, labels := range i.Instances {
@@ -86,8 +86,8 @@
 			bytes += len(key) + len(value)
 		}
 	}
-	if bytes > interestBytes {
-		return invalid(fmt.Sprintf("%d bytes of labels; %d at most", bytes, interestBytes))
+	if bytes > maxInterestBytes {
+		return invalid(fmt.Sprintf("%d bytes of labels; %d at most", bytes, maxInterestBytes))
 	}
 	return nil
 }
@@ -140,17 +140,17 @@
 	invalid := func(what, format string, values ...any) error {
 		return &InvalidError{What: what, Name: r.Name, Reason: fmt.Sprintf(format, values...)}
 	}
-	if !nameForm.MatchString(r.Name) {
-		return invalid("name", nameWanted)
+	if !namePattern.MatchString(r.Name) {
+		return invalid("name", nameRequirement)
 	}
 	if err := r.Scope.check(r.Name); err != nil {
 		return err
 	}
-	if len(r.Author) > maxAuthor || !utf8.ValidString(r.Author) {
-		return invalid("author", "%d bytes; want UTF-8, %d bytes at most", len(r.Author), maxAuthor)
+	if len(r.Author) > maxAuthorBytes || !utf8.ValidString(r.Author) {
+		return invalid("author", "%d bytes; want UTF-8, %d bytes at most", len(r.Author), maxAuthorBytes)
 	}
-	if year := r.At.Year(); year < 0 || year > lastYear {
-		return invalid("time", "the year %d; want 0 to %d", year, lastYear)
+	if year := r.At.Year(); year < 0 || year > maxYear {
+		return invalid("time", "the year %d; want 0 to %d", year, maxYear)
 	}
 	if r.Hash != hashOf(r) {
 		return invalid("hash", "it is not that of the content")
@@ -172,8 +172,8 @@
 		return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("%d labels; %d at most", len(s.Labels), maxLabels)}
 	}
 	for key, value := range s.Labels {
-		if key == "" || len(key) > maxLabel || len(value) > maxLabel {
-			return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("label %.40q: a key, and %d bytes at most", key, maxLabel)}
+		if key == "" || len(key) > maxLabelBytes || len(value) > maxLabelBytes {
+			return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("label %.40q: a key, and %d bytes at most", key, maxLabelBytes)}
 		}
 		// The hash and the rows are made of JSON, which would replace other bytes.
 		if !utf8.ValidString(key) || !utf8.ValidString(value) {
--- a/internal/fleet/distribution/state.go
+++ b/internal/fleet/distribution/state.go
@@ -105,18 +105,18 @@
 			return Update{}, &AheadError{Have: s.revision, Requested: asked}
 		}
 	}
-	if !query.Began.IsZero() && s.reaches(query.Began) {
+	if !query.Began.IsZero() && s.historyCovers(query.Began) {
 		return s.snapshot(query), nil
 	}
-	if query.Began.IsZero() && s.reaches(query.After) {
+	if query.Began.IsZero() && s.historyCovers(query.After) {
 		return s.delta(query), nil
 	}
 	query.After, query.Began = Revision{}, s.revision
 	return s.snapshot(query), nil
 }
 
-// reaches says whether the history holds all that came after a revision.
-func (s *State) reaches(after Revision) bool {
+// historyCovers says whether the history holds all that came after a revision.
+func (s *State) historyCovers(after Revision) bool {
 	return after.Epoch == s.revision.Epoch && !s.compacted.After(after)
 }
 
@@ -146,33 +146,33 @@
 func (s *State) delta(query Query) Update {
 	changes := s.changesAfter(query.After)
 	update := Update{After: query.After, Revision: s.revision}
-	update.Resources = s.changed(changes, query.Interest)
+	update.Resources = s.changedResources(changes, query.Interest)
 	if query.Interest == nil {
 		update.Changes = slices.Clone(changes)
 	}
-	update.cut(query.Bytes)
+	update.truncate(query.Bytes)
 	return update
 }
 
-// changed returns the resources of the changes as they are now, each once, and marks those
+// changedResources returns the resources of the changes as they are now, each once, and marks those
 // that are there no more for the interest as removed.
-func (s *State) changed(changes []Change, interest *Interest) []Resource {
+func (s *State) changedResources(changes []Change, interest *Interest) []Resource {
 	latest := make(map[string]Resource)
 	for n := range changes {
 		change := &changes[n]
 		if interest == nil || change.concerns(*interest) {
-			latest[change.Name] = s.seenBy(interest, change)
+			latest[change.Name] = s.visibleTo(interest, change)
 		}
 	}
 	return slices.SortedFunc(maps.Values(latest), compareRevisions)
 }
 
-// seenBy is the resource of a change as the interest sees it now. Where it is there no more, it
+// visibleTo is the resource of a change as the interest sees it now. Where it is there no more, it
 // has the revision of the change that took it away from the interest, the last that concerns
 // it: a page that ends between that and a later change must hold it.
-func (s *State) seenBy(interest *Interest, change *Change) Resource {
-	r, there := s.resources[change.Name]
-	if there && (interest == nil || interest.Concerned(r.Name, r.Scope)) {
+func (s *State) visibleTo(interest *Interest, change *Change) Resource {
+	r, exists := s.resources[change.Name]
+	if exists && (interest == nil || interest.Concerned(r.Name, r.Scope)) {
 		return r
 	}
 	return removedResource(change.Name, change.Revision)
@@ -186,13 +186,13 @@
 		}
 	}
 	// What the reader got before and is there no more.
-	for _, r := range s.changed(s.changesAfter(query.Began), query.Interest) {
+	for _, r := range s.changedResources(s.changesAfter(query.Began), query.Interest) {
 		if r.Removed && r.Revision.After(query.After) {
 			update.Resources = append(update.Resources, r)
 		}
 	}
 	slices.SortFunc(update.Resources, compareRevisions)
-	update.cut(query.Bytes)
+	update.truncate(query.Bytes)
 	return update
 }
 
@@ -223,9 +223,9 @@
 	return size
 }
 
-// cut ends an update that is longer than most bytes at an earlier revision. What belongs to
+// truncate ends an update that is longer than most bytes at an earlier revision. What belongs to
 // its first revision stays.
-func (u *Update) cut(limit int) {
+func (u *Update) truncate(limit int) {
 	if limit <= 0 {
 		return
 	}
@@ -282,8 +282,8 @@
 	revisionKey    = "revision"
 )
 
-// place is the row that says where a State stands.
-type place struct {
+// stateHeader is the row that says where a State stands.
+type stateHeader struct {
 	Revision  Revision `json:"revision"`
 	Compacted Revision `json:"compacted"`
 }
@@ -292,7 +292,7 @@
 	return fmt.Sprintf("%s%020d.%020d", changePrefix, r.Epoch, r.Number)
 }
 
-func row(key string, value any) Entry {
+func newEntry(key string, value any) Entry {
 	data, err := json.Marshal(value)
 	if err != nil {
 		panic(err) // types of this package's own
@@ -300,7 +300,7 @@
 	return Entry{Key: key, Value: data}
 }
 
-func resourceRow(r *Resource) Entry { return row(resourcePrefix+r.Name, r) }
+func resourceEntry(r *Resource) Entry { return newEntry(resourcePrefix+r.Name, r) }
 
 // Restore returns the State that the rows hold. Rows with other keys are left alone.
 func Restore(limits Limits, rows []Entry) (*State, error) {
@@ -319,7 +319,7 @@
 			err = json.Unmarshal(r.Value, &change)
 			s.history = append(s.history, change)
 		case r.Key == revisionKey:
-			var at place
+			var at stateHeader
 			err = json.Unmarshal(r.Value, &at)
 			s.revision, s.compacted = at.Revision, at.Compacted
 		}
@@ -333,13 +333,13 @@
 
 // step is a change of a State that was worked out and not made yet.
 type step struct {
-	batch     Batch
-	resources []Resource // removed ones are taken out
-	drop      []string   // resources that are there no more, beside those
-	changes   []Change
-	revision  Revision
-	compacted Revision
-	fresh     bool // a snapshot: the history begins anew
+	batch        Batch
+	resources    []Resource // removed ones are taken out
+	removed      []string   // resources that are there no more, beside those
+	changes      []Change
+	revision     Revision
+	compacted    Revision
+	resetHistory bool // a snapshot: the history begins anew
 }
 
 // prepare works out the rows of a step.
@@ -349,15 +349,15 @@
 		if r.Removed {
 			next.batch.Drop = append(next.batch.Drop, resourcePrefix+r.Name)
 		} else {
-			next.batch.Put = append(next.batch.Put, resourceRow(r))
+			next.batch.Put = append(next.batch.Put, resourceEntry(r))
 		}
 	}
-	for _, name := range next.drop {
+	for _, name := range next.removed {
 		next.batch.Drop = append(next.batch.Drop, resourcePrefix+name)
 	}
 	next.compacted = s.compacted
 	old := s.history
-	if next.fresh {
+	if next.resetHistory {
 		next.compacted = next.revision
 		for _, c := range old {
 			next.batch.Drop = append(next.batch.Drop, changeKey(c.Revision))
@@ -375,14 +375,14 @@
 		next.changes = next.changes[first:]
 	}
 	for _, c := range next.changes {
-		next.batch.Put = append(next.batch.Put, row(changeKey(c.Revision), c))
+		next.batch.Put = append(next.batch.Put, newEntry(changeKey(c.Revision), c))
 	}
-	next.batch.Put = append(next.batch.Put, row(revisionKey, place{Revision: next.revision, Compacted: next.compacted}))
+	next.batch.Put = append(next.batch.Put, newEntry(revisionKey, stateHeader{Revision: next.revision, Compacted: next.compacted}))
 	return next
 }
 
-// take makes a step that was prepared and is on disk.
-func (s *State) take(next step) {
+// commit makes a step that was prepared and is on disk.
+func (s *State) commit(next step) {
 	for _, r := range next.resources {
 		if r.Removed {
 			delete(s.resources, r.Name)
@@ -390,10 +390,10 @@
 			s.resources[r.Name] = r
 		}
 	}
-	for _, name := range next.drop {
+	for _, name := range next.removed {
 		delete(s.resources, name)
 	}
-	if next.fresh {
+	if next.resetHistory {
 		s.history = nil
 	}
 	s.history = append(s.history, next.changes...)
