--- /dev/null
+++ b/internal/fleet/distribution/page.go
@@ -0,0 +1,68 @@
+package distribution
+
+// About what a resource and a change take beside their texts, and a label, in bytes.
+const (
+	resourceOverhead = 300
+	changeOverhead   = 100
+	labelOverhead    = 6
+)
+
+func (s *Scope) size() int {
+	size := 0
+	for key, value := range s.Labels {
+		size += len(key) + len(value) + labelOverhead
+	}
+	return size
+}
+
+func (r *Resource) size() int {
+	return resourceOverhead + len(r.Content) + len(r.Author) + r.Scope.size()
+}
+
+func (c *Change) size() int {
+	size := changeOverhead + len(c.Name) + c.Scope.size()
+	if c.Before != nil {
+		size += c.Before.size()
+	}
+	return size
+}
+
+// truncate ends an update that is longer than most bytes at an earlier revision. What belongs to
+// its first revision stays.
+func (u *Update) truncate(limit int) {
+	if limit <= 0 {
+		return
+	}
+	var last Revision
+	bytes, resources, changes := 0, 0, 0
+	for resources < len(u.Resources) || changes < len(u.Changes) {
+		revision := u.firstRevision(resources, changes)
+		resourcesBefore, changesBefore := resources, changes
+		for ; resources < len(u.Resources) && !u.Resources[resources].Revision.After(revision); resources++ {
+			bytes += u.Resources[resources].size()
+		}
+		for ; changes < len(u.Changes) && !u.Changes[changes].Revision.After(revision); changes++ {
+			bytes += u.Changes[changes].size()
+		}
+		if bytes > limit && resourcesBefore+changesBefore > 0 {
+			u.Resources, u.Changes = u.Resources[:resourcesBefore], u.Changes[:changesBefore]
+			u.Revision, u.More = last, true
+			return
+		}
+		last = revision
+	}
+}
+
+// firstRevision is the earliest of the resources and changes from the given places on, at
+// least one of which is there.
+func (u *Update) firstRevision(resources, changes int) Revision {
+	if resources == len(u.Resources) {
+		return u.Changes[changes].Revision
+	}
+	revision := u.Resources[resources].Revision
+	if changes < len(u.Changes) && revision.After(u.Changes[changes].Revision) {
+		return u.Changes[changes].Revision
+	}
+	return revision
+}
+
--- /dev/null
+++ b/internal/fleet/distribution/status.go
@@ -0,0 +1,112 @@
+package distribution
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+)
+
+// Status says how far a revision is.
+type Status struct {
+	Revision    Revision `msgpack:"revision" json:"revision"` // asked for
+	Latest      Revision `msgpack:"latest" json:"latest"`     // of who answers
+	Hosts       int      `msgpack:"hosts" json:"hosts"`       // that are known
+	InForce     int      `msgpack:"in_force" json:"in_force"` // hold it in all instances that it concerns
+	Rejected    int      `msgpack:"refused" json:"refused"`   // by an instance; the last accepted settings are in force
+	Behind      int      `msgpack:"behind" json:"behind"`     // present, and not so far yet
+	Unavailable int      `msgpack:"away" json:"away"`         // not so far when they were last heard of
+	// Missing names some of the hosts where it is not in force, the refused first.
+	Missing []HostReport `msgpack:"missing,omitempty" json:"missing,omitempty"`
+}
+
+// Status counts the hosts by how far a revision is there; zero asks for the latest. It names
+// up to most hosts where that is not in force.
+func (g *Registry) Status(revision Revision, limit int) Status {
+	if revision.IsZero() {
+		revision = g.position
+	}
+	status := Status{Revision: revision, Latest: g.position}
+	var missing []missingHost
+	for _, e := range g.hosts {
+		state := g.reportedState(e)
+		status.Hosts++
+		switch progressOf(revision, e.report.Present, state) {
+		case inForce:
+			status.InForce++
+			continue
+		case rejected:
+			status.Rejected++
+		case behind:
+			status.Behind++
+		case unavailable:
+			status.Unavailable++
+		}
+		missing = append(missing, missingHost{record: e, rejections: len(state.Rejections)})
+	}
+	status.Missing = g.missingReports(missing, limit)
+	return status
+}
+
+// missingHost is a host where a revision is not in force.
+type missingHost struct {
+	record     *hostRecord
+	rejections int
+}
+
+// missingReports returns the reports of up to most of the hosts, the refused first.
+func (g *Registry) missingReports(missing []missingHost, limit int) []HostReport {
+	if limit <= 0 || len(missing) == 0 {
+		return nil
+	}
+	slices.SortFunc(missing, func(x, y missingHost) int {
+		return cmp.Or(y.rejections-x.rejections, strings.Compare(x.record.report.Host, y.record.report.Host))
+	})
+	var reports []HostReport
+	for _, host := range missing[:min(len(missing), limit)] {
+		report := host.record.report
+		report.State = g.reportedState(host.record)
+		reports = append(reports, report)
+	}
+	return reports
+}
+
+// How far a revision is at a host.
+type applyProgress int
+
+const (
+	inForce applyProgress = iota
+	rejected
+	behind
+	unavailable
+)
+
+func progressOf(revision Revision, present bool, state HostState) applyProgress {
+	if slices.ContainsFunc(state.Rejections, func(r Rejection) bool { return !r.Revision.After(revision) }) {
+		return rejected
+	}
+	if !revision.After(state.Applied) {
+		return inForce
+	}
+	if present {
+		return behind
+	}
+	return unavailable
+}
+
+// Add adds the counts of another relay's subscribers, of which most missing hosts are named.
+// A host that both know is counted twice.
+func (s *Status) Add(other Status, limit int) {
+	if other.Latest.After(s.Latest) {
+		s.Latest = other.Latest
+	}
+	if other.Revision.After(s.Revision) {
+		s.Revision = other.Revision
+	}
+	s.Hosts += other.Hosts
+	s.InForce += other.InForce
+	s.Rejected += other.Rejected
+	s.Behind += other.Behind
+	s.Unavailable += other.Unavailable
+	s.Missing = append(s.Missing, other.Missing...)
+	s.Missing = s.Missing[:min(len(s.Missing), limit)]
+}
