--- a/internal/fleet/distribution/applier.go
+++ b/internal/fleet/distribution/applier.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Rejection is a revision that an instance turned down.
+// Rejection reports a revision that an instance rejected.
 type Rejection struct {
 	Instance string   `msgpack:"instance" json:"instance"`
 	Resource string   `msgpack:"resource" json:"resource"`
@@ -17,32 +17,32 @@
 	Reason   string   `msgpack:"reason" json:"reason"` // the instance's own, maxReasonBytes bytes
 }
 
-// maxReasonBytes bounds a refusal's reason, in bytes.
+// maxReasonBytes bounds the reason of a Rejection.
 const maxReasonBytes = 300
 
-// Applier decides which settings one instance is given when. Changes that come within a short
-// time are tried together. Where the instance refuses them they are tried one at a time, so
-// that a refused revision neither replaces the last accepted one nor keeps others back.
+// Applier decides which settings an instance is given, and when. Changes that arrive within the
+// coalescing delay are tried in one attempt. If the instance rejects them they are retried one at a
+// time, so that a rejected revision neither replaces the last accepted one nor blocks the others.
 type Applier struct {
 	instance string
 	coalesce time.Duration
 
 	wanted       map[string]Resource
-	accepted     map[string]Resource  // in force, the last that the instance took
-	rejected     map[string]Rejection // by resource; of the revision that is wanted
-	pendingSince time.Time            // when the first of the pending changes came
-	oneByOne     bool                 // pending changes are tried one at a time
-	attempt      map[string]Resource  // wanted ones of the attempt, Removed where they are to go
+	accepted     map[string]Resource  // in force: what the instance accepted last
+	rejected     map[string]Rejection // by resource; only of revisions that are still wanted
+	pendingSince time.Time            // arrival of the first pending change
+	oneByOne     bool                 // pending changes are tried one at a time, after a rejected batch
+	attempt      map[string]Resource  // what the running attempt changes; Removed to delete
 }
 
-// NewApplier returns an Applier without settings. coalesce is how long a change waits for
-// others.
+// NewApplier returns an Applier without settings. A change waits for others for the duration
+// coalesce.
 func NewApplier(instance string, coalesce time.Duration) *Applier {
 	return &Applier{instance: instance, coalesce: coalesce, wanted: make(map[string]Resource),
 		accepted: make(map[string]Resource), rejected: make(map[string]Rejection)}
 }
 
-// Want tells which resources concern the instance now.
+// Want sets the resources that apply to the instance now.
 func (a *Applier) Want(now time.Time, resources []Resource) {
 	a.wanted = make(map[string]Resource, len(resources))
 	for _, r := range resources {
@@ -59,7 +59,7 @@
 	}
 }
 
-// wantedResource is the wanted resource of a name, Removed where none is wanted.
+// wantedResource returns the wanted resource of a name, with Removed set if none is wanted.
 func (a *Applier) wantedResource(name string) Resource {
 	if r, ok := a.wanted[name]; ok {
 		return r
@@ -67,7 +67,7 @@
 	return Resource{Name: name, Removed: true}
 }
 
-// pending returns what is wanted and neither accepted nor refused, by revision.
+// pending returns the changes that are neither accepted nor rejected, ordered by revision.
 func (a *Applier) pending() []Resource {
 	var pending []Resource
 	for name, r := range a.wanted {
@@ -86,10 +86,10 @@
 	return pending
 }
 
-// Pending says whether changes wait to be tried or are being tried.
+// Pending reports whether changes wait for an attempt or are part of the running one.
 func (a *Applier) Pending() bool { return a.attempt != nil || len(a.pending()) > 0 }
 
-// Due is when the next attempt may begin; false if there is nothing to try.
+// Due returns the earliest time of the next attempt, and false if there is nothing to try.
 func (a *Applier) Due() (time.Time, bool) {
 	if a.attempt != nil || len(a.pending()) == 0 {
 		return time.Time{}, false
@@ -100,8 +100,8 @@
 	return a.pendingSince.Add(a.coalesce), true
 }
 
-// Begin begins an attempt, and returns the settings that it gives the instance in the order
-// in which they are merged. Done must follow.
+// Begin starts an attempt and returns the settings to give the instance, in merge order. The caller
+// must end the attempt with Done or Abandon.
 func (a *Applier) Begin() []Resource {
 	pending := a.pending()
 	if a.oneByOne && len(pending) > 1 {
@@ -120,12 +120,12 @@
 	return mergeOrdered(next)
 }
 
-// Abandon ends an attempt that came to no answer: the instance ended, or an operation took
-// it. The same is tried again later.
+// Abandon ends an attempt without an answer, because the instance exited or another operation took
+// it over. Its changes are retried later.
 func (a *Applier) Abandon() { a.attempt = nil }
 
-// Done ends an attempt with the instance's answer. Afterwards Accepted is what has to be in
-// the instance's file.
+// Done ends an attempt with the instance's answer. The instance's settings file must then hold what
+// Accepted returns.
 func (a *Applier) Done(accepted bool, reason string) {
 	attempt := a.attempt
 	a.attempt = nil
@@ -148,8 +148,8 @@
 	}
 }
 
-// reject notes what the instance turned down, unless another revision of it, or none, is
-// wanted by now: that is tried as if nothing had been refused.
+// reject records a rejection, unless the wanted revision has changed since the attempt began. The
+// new revision is then tried like any other.
 func (a *Applier) reject(tried map[string]Resource, reason string) {
 	reason = strings.ToValidUTF8(reason[:min(len(reason), maxReasonBytes)], "")
 	for name, r := range tried {
@@ -159,7 +159,8 @@
 	}
 }
 
-// Forgive lets refused revisions be tried again: the instance runs another program.
+// Forgive discards the rejections so that their revisions are retried, for example because the
+// instance now runs another version of its program.
 func (a *Applier) Forgive(now time.Time) {
 	clear(a.rejected)
 	if len(a.pending()) > 0 && a.pendingSince.IsZero() {
@@ -167,8 +168,7 @@
 	}
 }
 
-// Accepted returns the settings that the instance took last, in the order in which they are
-// merged.
+// Accepted returns the settings that the instance accepted last, in merge order.
 func (a *Applier) Accepted() []Resource { return mergeOrdered(a.accepted) }
 
 func mergeOrdered(resources map[string]Resource) []Resource {
@@ -177,7 +177,7 @@
 	return ordered
 }
 
-// Rejections returns the refusals that stand, by resource.
+// Rejections returns the rejections that still apply, ordered by resource.
 func (a *Applier) Rejections() []Rejection {
 	var rejections []Rejection
 	for _, name := range slices.Sorted(maps.Keys(a.rejected)) {
@@ -186,31 +186,31 @@
 	return rejections
 }
 
-// appliedEntry keeps what an instance accepted and refused.
+// appliedEntry is the stored form of an Applier.
 type appliedEntry struct {
 	Accepted   []Resource  `json:"accepted"`
 	Rejections []Rejection `json:"refused,omitempty"`
 }
 
-// Entry is the row that keeps what the instance accepted and refused.
+// Entry returns the entry that stores what the instance accepted and rejected.
 func (a *Applier) Entry() Entry {
 	return newEntry(acceptedPrefix+a.instance, appliedEntry{Accepted: a.Accepted(), Rejections: a.Rejections()})
 }
 
-// Restore takes over what the rows hold of the instance. Until Want says otherwise the accepted
-// settings are the wanted ones, so that a restart takes nothing out of force.
-func (a *Applier) Restore(rows []Entry) error {
-	for _, line := range rows {
-		if line.Key != acceptedPrefix+a.instance {
+// Restore loads the instance's state from the stored entries. Until the first call of Want the
+// accepted settings are also the wanted ones, so that a restart takes nothing out of force.
+func (a *Applier) Restore(entries []Entry) error {
+	for _, entry := range entries {
+		if entry.Key != acceptedPrefix+a.instance {
 			continue
 		}
 		var stored appliedEntry
-		if err := json.Unmarshal(line.Value, &stored); err != nil {
-			return fmt.Errorf("settings: row %q: %w", line.Key, err)
+		if err := json.Unmarshal(entry.Value, &stored); err != nil {
+			return fmt.Errorf("settings: entry %q: %w", entry.Key, err)
 		}
 		for _, r := range stored.Accepted {
 			if err := r.Check(); err != nil {
-				return fmt.Errorf("settings: row %q: %w", line.Key, err)
+				return fmt.Errorf("settings: entry %q: %w", entry.Key, err)
 			}
 			a.accepted[r.Name], a.wanted[r.Name] = r, r
 		}
--- a/internal/fleet/distribution/choose.go
+++ b/internal/fleet/distribution/choose.go
@@ -9,21 +9,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Relay is one of the machines that serve settings.
+// Relay is a host that serves settings.
 type Relay struct {
-	Name    string `toml:"name"`    // of its agent
+	Name    string `toml:"name"`    // of the relay's agent
 	Address string `toml:"address"` // as in the inventory: tls:HOST:PORT, unix:PATH, tcp:HOST:PORT
 	Region  string `toml:"region"`
 	Zone    string `toml:"zone"`
 }
 
-// Chooser decides which relay a host asks: of its own zone first, then of its region, then
-// any, and among equals in an order that is drawn for each host by rendezvous hashing. A relay
-// that failed is left out for a time, so that its hosts spread over all others.
+// Chooser decides which relay a host uses. Relays of the host's own zone come first, then those of
+// its region, then all others. The order among equals is drawn per host by rendezvous hashing. A
+// failed relay is avoided for a time, so that its hosts spread over all others.
 type Chooser struct {
 	order  []Relay
 	failed map[string]failure
-	wait   time.Duration // before any relay is asked, since none was left
+	wait   time.Duration // backoff before the next attempt; grows while no relay answers
 }
 
 type failure struct {
@@ -31,8 +31,8 @@
 	count int
 }
 
-// Times of a Chooser. Waits are drawn from half to one and a half of what is due, so that
-// many hosts that lost the same relay do not come back together.
+// Times of a Chooser. Waits are spread over half to one and a half times their nominal value, so
+// that hosts that lost the same relay do not return at the same moment.
 const (
 	initialAvoidance  = 5 * time.Second
 	maxAvoidance      = time.Minute
@@ -40,7 +40,7 @@
 	maxRetryDelay     = 3 * time.Second
 )
 
-// NewChooser returns the order of relays for a host.
+// NewChooser returns a Chooser with the relays in the host's order of preference.
 func NewChooser(host, region, zone string, relays []Relay) *Chooser {
 	order := slices.Clone(relays)
 	distance := func(r Relay) int {
@@ -60,8 +60,8 @@
 
 func weight(host, relay string) uint64 { return xxhash.Sum64String(host + "\x00" + relay) }
 
-// Next is the relay to ask, and how long to wait before; draw returns a number from 0 up to,
-// not including, 1. Where all have failed of late it is the one whose time is over first.
+// Next returns the relay to use next and how long to wait before connecting. draw returns a number
+// in [0, 1). If every relay is being avoided, Next returns the one whose avoidance ends first.
 func (c *Chooser) Next(now time.Time, draw func() float64) (Relay, time.Duration) {
 	spread := func(d time.Duration) time.Duration { return time.Duration(float64(d) * (0.5 + draw())) }
 	for _, r := range c.order {
@@ -77,7 +77,7 @@
 	return earliest, spread(c.wait)
 }
 
-// Failed notes that a relay gave no answer or turned the host away.
+// Failed records that a relay did not answer or rejected the host.
 func (c *Chooser) Failed(now time.Time, relay string) {
 	f := c.failed[relay]
 	avoid := min(initialAvoidance<<min(f.count, 8), maxAvoidance)
@@ -85,13 +85,13 @@
 	c.wait = min(max(2*c.wait, initialRetryDelay), maxRetryDelay)
 }
 
-// Served notes that a relay answered.
+// Served records that a relay answered.
 func (c *Chooser) Served(relay string) {
 	delete(c.failed, relay)
 	c.wait = 0
 }
 
-// Better says whether a relay that comes before the one in use may be asked again.
+// Better reports whether a relay that the host prefers to the one in use is available again.
 func (c *Chooser) Better(now time.Time, inUse string) bool {
 	for _, r := range c.order {
 		if r.Name == inUse {
@@ -104,5 +104,5 @@
 	return false
 }
 
-// Preferred is the relay that a host asks when all live.
+// Preferred returns the host's first choice when all relays are available.
 func (c *Chooser) Preferred() Relay { return c.order[0] }
--- a/internal/fleet/distribution/errors.go
+++ b/internal/fleet/distribution/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// InvalidError says what of a change can't be.
+// InvalidError reports a change with an invalid field.
 type InvalidError struct {
 	What   string // the field
 	Name   string // of the resource or the value
@@ -14,15 +14,15 @@
 	return fmt.Sprintf("settings: %s %.200q: %s", e.What, e.Name, e.Reason)
 }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *InvalidError) Advice() string { return "correct the " + e.What + " and publish again" }
 
-// ConflictError says that a resource is at another revision than the one that a change was
-// made for.
+// ConflictError reports that a resource is at another revision than the one its change was based
+// on.
 type ConflictError struct {
 	Name    string
-	Want    Revision // zero: it should not have been there
-	Current Revision // zero: it is not there
+	Want    Revision // zero: the resource was expected not to exist
+	Current Revision // zero: the resource does not exist
 }
 
 // Error implements error.
@@ -38,12 +38,12 @@
 	return fmt.Sprintf("settings: resource %q is %s; it was to %s", e.Name, current, want)
 }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *ConflictError) Advice() string {
 	return "somebody changed it meanwhile: look at what it holds now, then publish against its revision"
 }
 
-// LimitError says that a bound would be passed.
+// LimitError reports that a limit would be exceeded.
 type LimitError struct {
 	What  string
 	Limit int
@@ -52,15 +52,15 @@
 // Error implements error.
 func (e *LimitError) Error() string { return fmt.Sprintf("settings: %s: %d at most", e.What, e.Limit) }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *LimitError) Advice() string {
 	return "remove resources that nothing needs any more, or join small ones into one"
 }
 
-// FencedError says that a writer or a copy is of an epoch below one that is known.
+// FencedError reports a writer or a copy whose epoch is lower than one that is known.
 type FencedError struct {
 	Epoch, Known int64
-	Writer       string // of the known epoch, "" if that is not known
+	Writer       string // of the known epoch; "" if unknown
 }
 
 // Error implements error.
@@ -68,12 +68,12 @@
 	return fmt.Sprintf("settings: epoch %d is over: the writer is %q since epoch %d", e.Epoch, e.Writer, e.Known)
 }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *FencedError) Advice() string {
 	return fmt.Sprintf("publish at %q; changes that only the earlier writer acknowledged after the promotion are void: publish them again", e.Writer)
 }
 
-// NotWriterError says that changes are made elsewhere.
+// NotWriterError reports that changes are accepted by another relay.
 type NotWriterError struct {
 	Here, Writer string
 	Epoch        int64
@@ -84,26 +84,26 @@
 	return fmt.Sprintf("settings: %q is not the writer; that is %q in epoch %d", e.Here, e.Writer, e.Epoch)
 }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *NotWriterError) Advice() string {
 	return fmt.Sprintf("ask %q, or promote a relay if it is lost", e.Writer)
 }
 
-// AheadError says that a reader holds more than the one it asks: a relay that has not caught
-// up, or a log that was put back to an older state.
+// AheadError reports that a reader holds a later revision than its relay: the relay has not caught
+// up, or the log was restored to an older state.
 type AheadError struct{ Have, Requested Revision }
 
 // Error implements error.
 func (e *AheadError) Error() string {
-	return fmt.Sprintf("settings: asked for what comes after %v; here is nothing after %v", e.Requested, e.Have)
+	return fmt.Sprintf("settings: requested the changes after %v; this relay holds none after %v", e.Requested, e.Have)
 }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *AheadError) Advice() string {
 	return "nothing while a relay catches up; if it stays so the writer lost changes: promote the relay that has the most"
 }
 
-// UnreachableError says that no relay answers. What was accepted stays in force.
+// UnreachableError reports that no relay answers. The accepted settings stay in force.
 type UnreachableError struct {
 	Tried int
 	Last  error
@@ -117,12 +117,12 @@
 // Unwrap returns the last relay's error.
 func (e *UnreachableError) Unwrap() error { return e.Last }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *UnreachableError) Advice() string {
 	return "the last accepted settings stay in force; look whether the relays run and are reached from this host"
 }
 
-// FullError says that a relay serves as many subscribers as it may.
+// FullError reports that a relay serves its maximum number of subscribers.
 type FullError struct{ Limit int }
 
 // Error implements error.
@@ -130,7 +130,7 @@
 	return fmt.Sprintf("settings: this relay serves %d subscribers, its limit", e.Limit)
 }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *FullError) Advice() string {
 	return "nothing, subscribers go to the next relay; if all are full, add relays or raise relay.subscribers"
 }
--- a/internal/fleet/distribution/list.go
+++ b/internal/fleet/distribution/list.go
@@ -2,11 +2,11 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// MaxList is how many elements a List that comes from outside may have.
+// MaxList is the maximum number of elements of a List that comes from outside.
 const MaxList = MaxHosts
 
-// List is a list that is decoded with a bound, and for which memory is taken as its elements
-// come: the codec would take all at once that a message claims to hold.
+// List is a list with a bound on its decoded length. Memory is allocated as elements arrive,
+// because the codec would allocate at once whatever length a message claims.
 type List[T any] []T
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
--- a/internal/fleet/distribution/log.go
+++ b/internal/fleet/distribution/log.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Put is a change that an operator asks for.
+// Put is an operator's request to change a resource.
 type Put struct {
 	Name    string `msgpack:"name"`
 	Scope   Scope  `msgpack:"scope"`
 	Content []byte `msgpack:"content,omitempty"`
 	Remove  bool   `msgpack:"remove,omitempty"`
-	// If, where set, is the revision that the resource must be at; zero: it must be new.
+	// If, where set, is the revision that the resource must be at. Zero: it must not exist.
 	If     *Revision `msgpack:"if,omitempty"`
 	Author string    `msgpack:"author,omitempty"`
 }
 
-// Step is a change of a State that has to be on disk, by its Batch, before it is made by
-// State.Make. While one is outstanding no other may be prepared.
+// Step is a prepared change of a State. Its Batch must be on disk before State.Make applies it.
+// Only one Step may be outstanding at a time.
 type Step struct{ step step }
 
-// Batch returns what has to be on disk first.
+// Batch returns the entries that must be on disk before the step is applied.
 func (s *Step) Batch() Batch { return s.step.batch }
 
-// Make makes a prepared step whose Batch is on disk.
+// Make applies a prepared step whose Batch is on disk.
 func (s *State) Make(next *Step) { s.commit(next.step) }
 
-// Propose works out a change of the log in the given epoch. A change that would change
-// nothing has a nil Step: whoever asks again after a lost answer is answered with what is. The
-// returned resource has the revision that the change gets. Errors are of *InvalidError,
-// *ConflictError, *LimitError and, where the epoch is over, *FencedError.
+// Propose prepares a change of the log in the given epoch. The returned resource has the revision
+// that the change gets. A change without effect has a nil Step and returns the current resource,
+// which makes a retry after a lost response idempotent. Errors are *InvalidError, *ConflictError,
+// *LimitError and, for an epoch that has ended, *FencedError.
 func (s *State) Propose(now time.Time, epoch int64, put Put) (Resource, *Step, error) {
 	if epoch < s.revision.Epoch {
 		return Resource{}, nil, &FencedError{Epoch: epoch, Known: s.revision.Epoch}
@@ -67,8 +67,8 @@
 	return next, &Step{prepared}, nil
 }
 
-// removedBefore answers the removal of a resource that is not there: with the removal that the
-// history holds, if it does.
+// removedBefore answers the removal of a resource that does not exist. A retried removal is
+// answered with the earlier one, if the history still holds it.
 func (s *State) removedBefore(put *Put) (Resource, error) {
 	for _, change := range slices.Backward(s.history) {
 		if change.Name == put.Name {
@@ -81,15 +81,15 @@
 	return Resource{}, &InvalidError{What: "name", Name: put.Name, Reason: "there is no such resource to remove"}
 }
 
-// Promote works out the step by which the State becomes the log of a new epoch, above all
-// that are known. Readers of earlier epochs get a snapshot.
+// Promote prepares the step that makes the State the log of a new epoch, which must be above all
+// known ones. Readers of earlier epochs get a snapshot.
 func (s *State) Promote(epoch int64) *Step {
 	return &Step{s.prepare(step{revision: Revision{Epoch: epoch, Number: s.revision.Number}, resetHistory: true})}
 }
 
-// Follow works out the step by which a relay's copy takes an update. It returns nil for one
-// that brings nothing. Errors are of *InvalidError where the update can't be, and of
-// *FencedError where it is of an earlier epoch; the copy stays as it is.
+// Follow prepares the step that applies an update to a relay's copy. It returns nil for an update
+// without changes. Errors are *InvalidError for an impossible update and *FencedError for one of an
+// earlier epoch; the copy is then unchanged.
 func (s *State) Follow(update Update) (*Step, error) {
 	if err := checkUpdate(&update, s.revision); err != nil {
 		return nil, err
@@ -113,7 +113,7 @@
 	return &Step{s.prepare(step{resources: update.Resources, changes: update.Changes, revision: update.Revision})}, nil
 }
 
-// checkUpdate says whether a copy at held may take an update.
+// checkUpdate returns an error if a copy at the held revision must not accept the update.
 func checkUpdate(update *Update, held Revision) error {
 	switch {
 	case update.Revision.Epoch < held.Epoch:
@@ -121,7 +121,7 @@
 	case held.After(update.Revision):
 		return update.invalid("it goes back behind " + held.String())
 	case update.More || update.Snapshot && !update.After.IsZero():
-		return update.invalid("it is not whole")
+		return update.invalid("it is incomplete")
 	case !update.Snapshot && update.After != held:
 		return update.invalid("it goes on from " + update.After.String() + " and not from " + held.String())
 	case !update.Snapshot && update.Revision.Epoch != held.Epoch && !held.IsZero():
@@ -137,7 +137,7 @@
 	return &InvalidError{What: "update", Name: u.Revision.String(), Reason: reason}
 }
 
-// holds says whether a revision is one that the update brings.
+// holds reports whether a revision lies within the update.
 func (u *Update) holds(revision Revision) bool {
 	return revision.After(u.After) && !revision.After(u.Revision)
 }
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// check says what is wrong with a change that came from another relay.
+// check validates a change received from another relay.
 func (c *Change) check() error {
 	if !namePattern.MatchString(c.Name) {
 		return &InvalidError{What: "name", Name: c.Name, Reason: "of a change; " + nameRequirement}
--- a/internal/fleet/distribution/page.go
+++ b/internal/fleet/distribution/page.go
@@ -1,6 +1,6 @@
 package distribution
 
-// About what a resource and a change take beside their texts, and a label, in bytes.
+// Approximate encoding overhead of a resource, a change and a label beyond their texts, in bytes.
 const (
 	resourceOverhead = 300
 	changeOverhead   = 100
@@ -27,8 +27,8 @@
 	return size
 }
 
-// truncate ends an update that is longer than most bytes at an earlier revision. What belongs to
-// its first revision stays.
+// truncate ends an update that exceeds limit bytes at an earlier revision. Its first revision is
+// always included.
 func (u *Update) truncate(limit int) {
 	if limit <= 0 {
 		return
@@ -53,8 +53,8 @@
 	}
 }
 
-// firstRevision is the earliest of the resources and changes from the given places on, at
-// least one of which is there.
+// firstRevision returns the earliest revision from the given indexes on, at least one of which is
+// in range.
 func (u *Update) firstRevision(resources, changes int) Revision {
 	if resources == len(u.Resources) {
 		return u.Changes[changes].Revision
@@ -65,4 +65,3 @@
 	}
 	return revision
 }
-
--- a/internal/fleet/distribution/persistence.go
+++ b/internal/fleet/distribution/persistence.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// Entry is a line of what a store keeps; Batch is rows to write and to delete in one
-// transaction.
+// Entry is a key and a value in a store.
 type Entry struct {
 	Key   string
 	Value []byte
 }
 
-// Batch is what must be on disk before the change that it comes with is acted on.
+// Batch is a set of entries to write and to delete in one transaction. It must be on disk before
+// the change that it belongs to takes effect.
 type Batch struct {
 	Put  []Entry
 	Drop []string // keys
 }
 
-// Prefixes of the rows' keys, and the key of the row that holds the revision.
+// Prefixes of entry keys, and the key of the entry that holds the revision.
 const (
 	resourcePrefix = "resource/"
 	changePrefix   = "change/"
 	revisionKey    = "revision"
 )
 
-// stateHeader is the row that says where a State stands.
+// stateHeader is the stored form of a State without its resources and history.
 type stateHeader struct {
 	Revision  Revision `json:"revision"`
 	Compacted Revision `json:"compacted"`
@@ -40,39 +40,38 @@
 func newEntry(key string, value any) Entry {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // types of this package's own
+		panic(err) // only types of this package are encoded
 	}
 	return Entry{Key: key, Value: data}
 }
 
 func resourceEntry(r *Resource) Entry { return newEntry(resourcePrefix+r.Name, r) }
 
-// Restore returns the State that the rows hold. Rows with other keys are left alone.
-func Restore(limits Limits, rows []Entry) (*State, error) {
+// Restore returns the State in the stored entries. Entries with unknown keys are ignored.
+func Restore(limits Limits, entries []Entry) (*State, error) {
 	s := NewState(limits)
-	for _, r := range rows {
+	for _, entry := range entries {
 		var err error
 		switch {
-		case strings.HasPrefix(r.Key, resourcePrefix):
+		case strings.HasPrefix(entry.Key, resourcePrefix):
 			var resource Resource
-			if err = json.Unmarshal(r.Value, &resource); err == nil {
+			if err = json.Unmarshal(entry.Value, &resource); err == nil {
 				err = resource.Check()
 			}
 			s.resources[resource.Name] = resource
-		case strings.HasPrefix(r.Key, changePrefix):
+		case strings.HasPrefix(entry.Key, changePrefix):
 			var change Change
-			err = json.Unmarshal(r.Value, &change)
+			err = json.Unmarshal(entry.Value, &change)
 			s.history = append(s.history, change)
-		case r.Key == revisionKey:
-			var at stateHeader
-			err = json.Unmarshal(r.Value, &at)
-			s.revision, s.compacted = at.Revision, at.Compacted
+		case entry.Key == revisionKey:
+			var header stateHeader
+			err = json.Unmarshal(entry.Value, &header)
+			s.revision, s.compacted = header.Revision, header.Compacted
 		}
 		if err != nil {
-			return nil, fmt.Errorf("settings: row %q: %w", r.Key, err)
+			return nil, fmt.Errorf("settings: entry %q: %w", entry.Key, err)
 		}
 	}
 	slices.SortFunc(s.history, func(x, y Change) int { return x.Revision.Compare(y.Revision) })
 	return s, nil
 }
-
--- a/internal/fleet/distribution/reader.go
+++ b/internal/fleet/distribution/reader.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Reader joins the pages of updates. It serves one copy; the copy takes only whole updates.
+// Reader assembles the pages of an update. It serves one copy, which accepts only complete updates.
 type Reader struct {
 	limits   Limits
-	assembly *assembly // nil: between two updates
+	assembly *assembly // nil between two updates
 }
 
-// assembly is an update that goes on.
+// assembly is an update of which more pages follow.
 type assembly struct {
 	update    Update
 	resources map[string]Resource
 }
 
-// NewReader returns a Reader that bounds what it joins.
+// NewReader returns a Reader with limits on what it assembles.
 func NewReader(limits Limits) *Reader { return &Reader{limits: limits} }
 
-// Reset forgets the pages so far: another relay is asked from now on.
+// Reset discards the pages received so far. It is called when another relay is used.
 func (r *Reader) Reset() { r.assembly = nil }
 
-// Query is what a copy that holds a revision asks for next.
+// Query returns the next query of a copy that holds the given revision.
 func (r *Reader) Query(held Revision, interest *Interest) Query {
 	query := Query{After: held, Interest: interest}
 	if r.assembly != nil {
@@ -32,9 +32,9 @@
 	return query
 }
 
-// Take takes a page, and returns the whole update once it is there. A page of a snapshot that
-// is not the next one is left out: it came late, and the next one is asked for again. The
-// error is of *LimitError; the pages so far are forgotten then.
+// Take adds a page, and returns the update once it is complete. A page of a snapshot that is not
+// the expected one arrived late: it is ignored, and the expected page is requested again. The error
+// is a *LimitError and discards the pages received so far.
 func (r *Reader) Take(page Update) (complete *Update, err error) {
 	switch {
 	case r.assembly != nil && r.assembly.continuedBy(&page):
@@ -56,8 +56,8 @@
 	return j.complete(), nil
 }
 
-// check bounds what is joined: as much as a State may hold and have in its history, and as
-// much again for what changes meanwhile.
+// check limits what is assembled to twice the contents and history of a State: once for the update,
+// and once for what changes while it is read.
 func (r *Reader) check(j *assembly) error {
 	if limit := 2 * (r.limits.Resources + r.limits.History); len(j.resources) > limit {
 		return &LimitError{What: "resources of one update", Limit: limit}
@@ -91,7 +91,7 @@
 	return page.Snapshot == j.update.Snapshot && page.Began == j.update.Began && page.After == j.update.Revision
 }
 
-// withoutRemoved leaves out of a snapshot what was removed while it was read.
+// withoutRemoved drops from a snapshot the resources that were removed while it was read.
 func withoutRemoved(snapshot bool, resources []Resource) []Resource {
 	if !snapshot {
 		return resources
--- a/internal/fleet/distribution/registry.go
+++ b/internal/fleet/distribution/registry.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// MaxHosts is how many hosts a Registry knows.
+// MaxHosts is the maximum number of hosts that a Registry knows.
 const MaxHosts = 1 << 16
 
-// hostRetention is how long a host that is away is known.
+// hostRetention is how long a disconnected host is remembered.
 const hostRetention = 24 * time.Hour
 
 // hostRecord is a host in a Registry.
 type hostRecord struct {
 	report HostReport
-	// Of a subscriber of this relay: what it wants, and the latest change that concerns it.
+	// Only of this relay's subscribers: the interest, and the latest change within it.
 	interest  Interest
 	concerned Revision
-	seen      time.Time // when it asked last
+	seen      time.Time // time of the last poll
 }
 
-// Registry knows how far each host is: a relay's own subscribers, and at the writer the hosts
-// of all relays.
+// Registry tracks the progress of hosts: a relay's own subscribers and, at the writer, the hosts of
+// all relays.
 type Registry struct {
-	relay     string // its own name
-	limit     int    // subscribers of its own
+	relay     string // name of this relay
+	limit     int    // maximum number of own subscribers
 	present   int
-	position  Revision            // of its own copy
-	reported  Revision            // position as Moved was last asked
+	position  Revision            // revision of the relay's own copy
+	reported  Revision            // position at the last call of Changed
 	positions map[string]Revision // of other relays
 	hosts     map[string]*hostRecord
 	dirty     map[string]bool // own subscribers whose report has changed
 }
 
-// NewRegistry returns an empty Registry of the named relay with room for so many subscribers.
+// NewRegistry returns an empty Registry of the named relay. limit is the maximum number of its
+// subscribers.
 func NewRegistry(relay string, limit int) *Registry {
 	return &Registry{relay: relay, limit: limit, positions: make(map[string]Revision),
 		hosts: make(map[string]*hostRecord), dirty: make(map[string]bool)}
 }
 
-// Join takes a subscriber in, or one that was there under an earlier session. It counts as
-// behind until it holds the relay's position, or Told says that nothing it lacks concerns it.
-// Errors are of *FullError; of *InvalidError where the host is known by a later session.
+// Join adds a subscriber, or continues one under a new session. The subscriber counts as behind
+// until it holds the relay's position, or Acknowledged shows that nothing it lacks is in its
+// interest. Errors are *FullError, and *InvalidError if the host has a later session.
 func (g *Registry) Join(now time.Time, interest Interest, session int64, state HostState) error {
 	e := g.hosts[interest.Host]
 	if e != nil && e.report.Session > session {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// Seen notes that a subscriber asks; false says that this session is none here.
+// Seen records a subscriber's poll. It returns false if the session is not open here.
 func (g *Registry) Seen(now time.Time, host string, session int64) bool {
 	e := g.subscriber(host, session)
 	if e != nil {
@@ -73,7 +74,7 @@
 	return e != nil
 }
 
-// Interest is what a subscriber that is present wants; false if that session is none here.
+// Interest returns the interest of a present subscriber, and false if the session is not open here.
 func (g *Registry) Interest(host string, session int64) (Interest, bool) {
 	if e := g.subscriber(host, session); e != nil {
 		return e.interest, true
@@ -81,8 +82,8 @@
 	return Interest{}, false
 }
 
-// Sweep takes those for away that have not asked for so long: their machine is lost, or cut
-// off, and their connection never told.
+// Sweep marks subscribers as absent that have not polled for longer than silent: their machine is
+// lost or unreachable, and the connection did not report it.
 func (g *Registry) Sweep(now time.Time, silent time.Duration) {
 	for host, e := range g.hosts {
 		if e.report.Relay == g.relay && e.report.Present && now.Sub(e.seen) > silent {
@@ -91,8 +92,8 @@
 	}
 }
 
-// Acknowledged notes what was read for a subscriber: an update that it is sent, or an empty one, also
-// where its call goes on to wait instead of being answered with that.
+// Acknowledged records the update that was read for a subscriber. It is also called for an empty
+// update whose call continues to wait instead of returning it.
 func (g *Registry) Acknowledged(host string, session int64, update *Update) {
 	e := g.subscriber(host, session)
 	if e == nil {
@@ -101,10 +102,10 @@
 	before := e.concerned
 	switch {
 	case before.After(update.Revision):
-		// A later change has come since the update was read.
+		// A later change has arrived since the update was read.
 	case update.Empty():
-		// Nothing after update.After concerns it. What concerned it before that stays: a
-		// subscriber goes on from an empty update without a word of having received it.
+		// Nothing after update.After is in its interest. An earlier change that is stays
+		// recorded, because a subscriber does not acknowledge an empty update.
 		if before.After(update.After) {
 			e.concerned = update.After
 		}
@@ -116,14 +117,14 @@
 	}
 }
 
-// Acknowledge takes what a subscriber says of itself.
+// Acknowledge records a subscriber's report on its own progress.
 func (g *Registry) Acknowledge(host string, session int64, state HostState) {
 	if e := g.subscriber(host, session); e != nil {
 		g.setState(e, state)
 	}
 }
 
-// subscriber is a present subscriber of this relay, nil if that session is none.
+// subscriber returns a present subscriber of this relay, and nil if the session is not open here.
 func (g *Registry) subscriber(host string, session int64) *hostRecord {
 	e := g.hosts[host]
 	if e == nil || e.report.Session != session || e.report.Relay != g.relay || !e.report.Present {
@@ -137,7 +138,7 @@
 	g.dirty[e.report.Host] = true
 }
 
-// Leave notes that a subscriber's connection has ended.
+// Leave records that a subscriber's connection has ended.
 func (g *Registry) Leave(now time.Time, host string, session int64) {
 	e := g.subscriber(host, session)
 	if e == nil {
@@ -149,11 +150,11 @@
 	g.dirty[host] = true
 }
 
-// Subscribers is how many of its own are present.
+// Subscribers returns the number of this relay's present subscribers.
 func (g *Registry) Subscribers() int { return g.present }
 
-// Advance notes that the relay's own copy has moved on: who is not concerned by the changes
-// holds the new revision without being told.
+// Advance records the new revision of the relay's own copy. A subscriber without a change in its
+// interest holds that revision without receiving an update.
 func (g *Registry) Advance(state *State) {
 	before := g.position
 	g.position = state.Revision()
@@ -173,8 +174,9 @@
 	}
 }
 
-// effectiveState is the state of one's own subscriber with what it need not be told: one that is
-// settled, and has received all that concerns it, is at the relay's position.
+// effectiveState returns the state of one of the relay's own subscribers. A settled subscriber that
+// has received every change in its interest counts as being at the relay's position, although it
+// has not received the changes outside its interest.
 func (g *Registry) effectiveState(e *hostRecord) HostState {
 	state := e.report.State
 	if state.Settled && !e.concerned.After(state.Received) {
@@ -187,8 +189,8 @@
 	return state
 }
 
-// Reports takes out up to most reports of one's own subscribers that have changed, and says
-// whether these were all.
+// Reports removes and returns up to limit changed reports of the relay's own subscribers, and
+// reports whether none are left.
 func (g *Registry) Reports(limit int) (reports []HostReport, all bool) {
 	for host := range g.dirty {
 		if len(reports) >= limit {
@@ -208,7 +210,8 @@
 	return reports, true
 }
 
-// ReportAll lets Reports begin anew: who takes them has forgotten what it was told.
+// ReportAll makes Reports start again with all subscribers, because the receiver has lost the
+// earlier reports.
 func (g *Registry) ReportAll() {
 	for host, e := range g.hosts {
 		if e.report.Relay == g.relay {
@@ -217,20 +220,20 @@
 	}
 }
 
-// Changed says whether the position has changed since Moved was last asked.
+// Changed reports whether the position has changed since the previous call.
 func (g *Registry) Changed() bool {
 	moved := g.position != g.reported
 	g.reported = g.position
 	return moved
 }
 
-// Position is that of the relay's own copy.
+// Position returns the revision of the relay's own copy.
 func (g *Registry) Position() Revision { return g.position }
 
-// Merge takes what another relay reports; of two reports of a host the later session's
-// counts. position is the zero value while more reports follow. A relay that connects anew
-// reports all of its subscribers, after Lost was called for it: it may not know those that it
-// had before it was restarted.
+// Merge adds another relay's reports. Of two reports of a host the one of the later session wins.
+// position is zero while more reports follow. A relay that reconnects reports all of its
+// subscribers, and the caller calls Lost for it first: after a restart the relay may not know its
+// earlier subscribers.
 func (g *Registry) Merge(relay string, position Revision, reports []HostReport) {
 	if !position.IsZero() {
 		g.positions[relay] = position
@@ -248,14 +251,15 @@
 			g.hosts[report.Host] = e
 		}
 		if e.report.Relay == g.relay && e.report.Present {
-			g.present-- // it went on to another relay
+			g.present-- // it has moved to another relay
 		}
 		report.Relay = relay
 		e.report, e.interest = report, Interest{}
 	}
 }
 
-// Lost notes that a relay reports no more: its hosts are away until they turn up elsewhere.
+// Lost records that a relay no longer reports. Its hosts count as absent until another relay
+// reports them.
 func (g *Registry) Lost(now time.Time, relay string) {
 	for _, e := range g.hosts {
 		if e.report.Relay == relay && e.report.Present {
@@ -266,7 +270,7 @@
 	delete(g.positions, relay)
 }
 
-// Forget drops hosts that have been away for a day.
+// Forget drops hosts that have been absent for longer than hostRetention.
 func (g *Registry) Forget(now time.Time) {
 	maps.DeleteFunc(g.hosts, func(host string, e *hostRecord) bool {
 		forgotten := !e.report.Present && now.Sub(e.report.Since) > hostRetention
@@ -277,7 +281,8 @@
 	})
 }
 
-// reportedState is a host's state with what its relay's position tells.
+// reportedState returns a host's state, brought forward to its relay's position where it is
+// settled.
 func (g *Registry) reportedState(e *hostRecord) HostState {
 	if e.report.Relay == g.relay {
 		if e.report.Present {
@@ -292,4 +297,3 @@
 	}
 	return state
 }
-
--- a/internal/fleet/distribution/replica.go
+++ b/internal/fleet/distribution/replica.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// Replica is a subscriber's copy: the resources that concern its instances.
+// Replica is a subscriber's copy: the resources whose scope covers one of its instances.
 type Replica struct {
 	revision  Revision
-	epoch     int64  // the latest that is known; what is of an earlier one is void
-	interest  string // the interest that the copy was made for, by its hash
+	epoch     int64  // the highest that is known; updates of lower epochs are rejected
+	interest  string // hash of the interest that the copy was made for
 	resources map[string]Resource
 }
 
@@ -21,11 +21,11 @@
 	return &Replica{interest: interest.hash(), resources: make(map[string]Resource)}
 }
 
-// Revision is what the copy holds.
+// Revision returns the revision that the copy holds.
 func (r *Replica) Revision() Revision { return r.revision }
 
-// Take takes a whole update, and says whether it changed any resource. Errors are of
-// *InvalidError and *FencedError; the copy stays as it is.
+// Take applies a complete update and reports whether it changed any resource. Errors are
+// *InvalidError and *FencedError; the copy is then unchanged.
 func (r *Replica) Take(update Update) (changed bool, err error) {
 	if update.Revision.Epoch < r.epoch {
 		return false, &FencedError{Epoch: update.Revision.Epoch, Known: r.epoch}
@@ -57,8 +57,7 @@
 
 func sameRevision(x, y Resource) bool { return x.Revision == y.Revision && x.Hash == y.Hash }
 
-// For returns the resources that concern an instance of the host, in the order in which they
-// are merged.
+// For returns the resources that apply to an instance of the host, in merge order.
 func (r *Replica) For(host string, labels map[string]string) []Resource {
 	var concerned []Resource
 	for _, resource := range r.resources {
@@ -70,7 +69,7 @@
 	return concerned
 }
 
-// hash tells interests apart.
+// hash returns a text that differs between interests.
 func (i Interest) hash() string {
 	text, err := json.Marshal(i)
 	if err != nil {
@@ -79,22 +78,22 @@
 	return string(text)
 }
 
-// Keys of a subscriber's rows.
+// Keys of a subscriber's stored entries.
 const (
 	replicaKey     = "replica"
 	replicaPrefix  = "replica/"
 	acceptedPrefix = "accepted/"
 )
 
-// replicaHeader is the row that says where a Replica stands.
+// replicaHeader is the stored form of a Replica without its resources.
 type replicaHeader struct {
 	Revision Revision `json:"revision"`
 	Epoch    int64    `json:"epoch"`
 	Interest string   `json:"interest"`
 }
 
-// Batch is the rows that keep the copy; before is what it was when it was kept last, nil for
-// not yet.
+// Batch returns the entries that store the copy. before is the copy as it was stored last, nil if
+// it has not been stored.
 func (r *Replica) Batch(before *Replica) Batch {
 	batch := Batch{Put: []Entry{newEntry(replicaKey, replicaHeader{Revision: r.revision, Epoch: r.epoch, Interest: r.interest})}}
 	for name, resource := range r.resources {
@@ -113,38 +112,38 @@
 	return batch
 }
 
-// Clone returns a copy for Batch.
+// Clone returns a copy to pass to Batch later.
 func (r *Replica) Clone() *Replica {
 	return &Replica{revision: r.revision, epoch: r.epoch, interest: r.interest, resources: maps.Clone(r.resources)}
 }
 
-// RestoreReplica returns the copy that the rows hold. What was kept for another interest
-// counts as of no revision, so that the next update is a snapshot; its epoch is remembered.
-func RestoreReplica(interest Interest, rows []Entry) (*Replica, error) {
+// RestoreReplica returns the copy in the stored entries. A copy made for another interest has no
+// revision, so that the next update is a snapshot; its epoch is retained.
+func RestoreReplica(interest Interest, entries []Entry) (*Replica, error) {
 	r := NewReplica(interest)
-	for _, line := range rows {
+	for _, entry := range entries {
 		var err error
 		switch {
-		case line.Key == replicaKey:
+		case entry.Key == replicaKey:
 			var stored replicaHeader
-			err = json.Unmarshal(line.Value, &stored)
+			err = json.Unmarshal(entry.Value, &stored)
 			r.epoch = stored.Epoch
 			if stored.Interest == r.interest {
 				r.revision = stored.Revision
 			}
-		case strings.HasPrefix(line.Key, replicaPrefix):
+		case strings.HasPrefix(entry.Key, replicaPrefix):
 			var resource Resource
-			if err = json.Unmarshal(line.Value, &resource); err == nil {
+			if err = json.Unmarshal(entry.Value, &resource); err == nil {
 				err = resource.Check()
 			}
 			r.resources[resource.Name] = resource
 		}
 		if err != nil {
-			return nil, fmt.Errorf("settings: row %q: %w", line.Key, err)
+			return nil, fmt.Errorf("settings: entry %q: %w", entry.Key, err)
 		}
 	}
 	return r, nil
 }
 
-// Names returns the names of the resources that the copy holds, in order.
+// Names returns the names of the copy's resources, sorted.
 func (r *Replica) Names() []string { return slices.Sorted(maps.Keys(r.resources)) }
--- a/internal/fleet/distribution/resource.go
+++ b/internal/fleet/distribution/resource.go
@@ -22,15 +22,15 @@
 	maxLabels      = 16
 	maxLabelBytes  = 128  // bytes of a label's key or value
 	maxAuthorBytes = 200  // bytes
-	maxYear        = 9999 // that a row, as JSON, can hold
+	maxYear        = 9999 // the last that JSON can represent
 )
 
-// nameRequirement says in words what namePattern takes.
+// nameRequirement describes namePattern.
 const nameRequirement = "want letters, digits, '.', '_', '/' or '-', 128 at most"
 
 var (
 	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/-]{0,127}$`)
-	// instanceKeys differ from instance to instance and can't be distributed.
+	// instanceKeys are settings that differ between instances and can't be distributed.
 	instanceKeys = []string{"listen", "name", "seed"}
 )
 
@@ -40,26 +40,25 @@
 	Name     string    `msgpack:"name" json:"name"`
 	Scope    Scope     `msgpack:"scope" json:"scope"`
 	Content  []byte    `msgpack:"content,omitempty" json:"content,omitempty"` // a JSON object
-	Removed  bool      `msgpack:"removed,omitempty" json:"removed,omitempty"` // without content
-	Revision Revision  `msgpack:"revision" json:"revision"`                   // that made it so
+	Removed  bool      `msgpack:"removed,omitempty" json:"removed,omitempty"` // removed: it has no content
+	Revision Revision  `msgpack:"revision" json:"revision"`                   // of the latest change
 	Hash     string    `msgpack:"hash" json:"hash"`                           // SHA-256 of name, scope and content
 	Author   string    `msgpack:"author,omitempty" json:"author,omitempty"`
 	At       time.Time `msgpack:"at" json:"at"`
 }
 
-// Scope says whom a resource concerns: the instances that have all of its labels, on the
-// hosts of its share.
+// Scope selects instances: those that have all of its labels, on the hosts of its fraction.
 type Scope struct {
 	Labels map[string]string `msgpack:"labels,omitempty" json:"labels,omitempty"`
-	// Fraction is the part of all hosts, above 0 and up to 1, that is drawn by a hash of the
-	// resource's and the host's name. A larger share holds all hosts of a smaller one.
+	// Fraction is the fraction of all hosts, above 0 and up to 1, drawn by a hash of the
+	// resource's and the host's name. A larger fraction contains all hosts of a smaller one.
 	Fraction float64 `msgpack:"share,omitempty" json:"share,omitempty"` // 0 means 1
 }
 
-// Interest is what a subscriber wants to hear of.
+// Interest selects the resources that a subscriber receives.
 type Interest struct {
 	Host string `msgpack:"host"`
-	// Instances are the labels of each instance of the host, those of the host among them.
+	// Instances holds the labels of each instance of the host, including the host's own.
 	Instances List[map[string]string] `msgpack:"instances"`
 }
 
@@ -69,7 +68,7 @@
 	maxInterestBytes     = 32 << 10 // of all labels
 )
 
-// Check says what is wrong with an interest.
+// Check validates an interest.
 func (i Interest) Check() error {
 	invalid := func(reason string) error {
 		return &InvalidError{What: "interest", Name: i.Host, Reason: reason}
@@ -92,8 +91,8 @@
 	return nil
 }
 
-// Matches says whether the scope of the named resource holds an instance with these labels on
-// that host.
+// Matches reports whether the named resource's scope covers an instance with these labels on the
+// given host.
 func (s Scope) Matches(resource, host string, labels map[string]string) bool {
 	for key, value := range s.Labels {
 		if have, ok := labels[key]; !ok || have != value {
@@ -111,14 +110,14 @@
 	return drawn < s.Fraction
 }
 
-// Concerned says whether the scope of the named resource holds any instance of the interest.
+// Concerned reports whether the named resource's scope covers an instance of the interest.
 func (i Interest) Concerned(resource string, scope Scope) bool {
 	return slices.ContainsFunc(i.Instances, func(labels map[string]string) bool {
 		return scope.Matches(resource, i.Host, labels)
 	})
 }
 
-// hashOf returns the resource's hash as it should be.
+// hashOf computes a resource's hash.
 func hashOf(r *Resource) string {
 	// Maps are encoded in the order of their keys.
 	scope, _ := json.Marshal(r.Scope)
@@ -128,14 +127,14 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// removedResource is what is left of a resource that a revision took away.
+// removedResource returns the marker of a resource that a revision removed.
 func removedResource(name string, revision Revision) Resource {
 	removed := Resource{Name: name, Removed: true, Revision: revision}
 	removed.Hash = hashOf(&removed)
 	return removed
 }
 
-// Check says what is wrong with a resource. It checks all that a receiver relies on.
+// Check validates everything about a resource that a receiver relies on.
 func (r *Resource) Check() error {
 	invalid := func(what, format string, values ...any) error {
 		return &InvalidError{What: what, Name: r.Name, Reason: fmt.Sprintf(format, values...)}
@@ -175,7 +174,7 @@
 		if key == "" || len(key) > maxLabelBytes || len(value) > maxLabelBytes {
 			return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("label %.40q: a key, and %d bytes at most", key, maxLabelBytes)}
 		}
-		// The hash and the rows are made of JSON, which would replace other bytes.
+		// The hash and the stored entries use JSON, which replaces invalid bytes.
 		if !utf8.ValidString(key) || !utf8.ValidString(value) {
 			return &InvalidError{What: "scope", Name: name, Reason: fmt.Sprintf("label %.40q: not UTF-8", key)}
 		}
@@ -202,19 +201,19 @@
 	return nil
 }
 
-// isInstanceKey ignores the case, as the decoding of an instance's settings does.
+// isInstanceKey ignores case, as the decoder of an instance's settings does.
 func isInstanceKey(key string) bool {
 	return slices.ContainsFunc(instanceKeys, func(reserved string) bool { return strings.EqualFold(key, reserved) })
 }
 
-// clone returns a copy that shares nothing that is changed.
+// clone returns a deep copy.
 func (s Scope) clone() Scope {
 	s.Labels = maps.Clone(s.Labels)
 	return s
 }
 
-// inMergeOrder sorts resources in the order in which they are merged: the more labels a scope
-// has the later, and by name where that is the same.
+// inMergeOrder sorts resources in merge order: by the number of labels in their scope, ascending,
+// then by name. Later resources override earlier ones.
 func inMergeOrder(resources []Resource) {
 	slices.SortFunc(resources, func(x, y Resource) int {
 		if n := len(x.Scope.Labels) - len(y.Scope.Labels); n != 0 {
--- a/internal/fleet/distribution/revision.go
+++ b/internal/fleet/distribution/revision.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// Revision is the place of a change in the order of all changes of a fleet's settings. The
+// Revision is the position of a change in the total order of all changes of a fleet's settings. The
 // zero value is before the first change.
 type Revision struct {
-	// Epoch is the writer's: each promotion of a writer raises it.
+	// Epoch is the writer's term; each promotion of a writer raises it.
 	Epoch int64 `msgpack:"e" json:"epoch"`
-	// Number counts the changes, over all epochs.
+	// Number counts the changes of all epochs.
 	Number int64 `msgpack:"n" json:"number"`
 }
 
@@ -21,16 +21,16 @@
 	return cmp.Or(cmp.Compare(r.Epoch, other.Epoch), cmp.Compare(r.Number, other.Number))
 }
 
-// After says whether r is after other.
+// After reports whether r is after other.
 func (r Revision) After(other Revision) bool { return r.Compare(other) > 0 }
 
-// IsZero says whether r is before the first change.
+// IsZero reports whether r is before the first change.
 func (r Revision) IsZero() bool { return r == Revision{} }
 
-// String returns the form that ParseRevision reads, such as "1.42".
+// String returns the form that ParseRevision accepts, such as "1.42".
 func (r Revision) String() string { return fmt.Sprintf("%d.%d", r.Epoch, r.Number) }
 
-// ParseRevision reads the form of String, and no other: no signs, no leading zeros.
+// ParseRevision parses the form of String and no other: no signs and no leading zeros.
 func ParseRevision(text string) (Revision, error) {
 	epoch, number, _ := strings.Cut(text, ".")
 	e, errEpoch := strconv.ParseUint(epoch, 10, 63)
--- a/internal/fleet/distribution/state.go
+++ b/internal/fleet/distribution/state.go
@@ -9,62 +9,62 @@
 
 // Limits bound a State.
 type Limits struct {
-	Resources int // that are there at once
-	History   int // changes that are kept
+	Resources int // maximum number of resources
+	History   int // number of changes retained
 }
 
-// DefaultLimits are those of a fleet of tens of thousands of servers.
+// DefaultLimits returns the limits for a fleet of tens of thousands of servers.
 func DefaultLimits() Limits { return Limits{Resources: 20000, History: 20000} }
 
-// Change is a line of the history: which resource a revision concerns, and whom it concerned
-// before.
+// Change is an entry of the history: a resource that a revision changed, and its scope before and
+// after.
 type Change struct {
 	Revision Revision `msgpack:"revision" json:"revision"`
 	Name     string   `msgpack:"name" json:"name"`
 	Scope    Scope    `msgpack:"scope" json:"scope"`
-	Before   *Scope   `msgpack:"before,omitempty" json:"before,omitempty"` // nil: it was not there
+	Before   *Scope   `msgpack:"before,omitempty" json:"before,omitempty"` // nil: the resource did not exist
 	Removed  bool     `msgpack:"removed,omitempty" json:"removed,omitempty"`
 }
 
-// concerns says whether the change has to reach the interest.
+// concerns reports whether the interest must receive the change.
 func (c *Change) concerns(interest Interest) bool {
 	return !c.Removed && interest.Concerned(c.Name, c.Scope) || c.Before != nil && interest.Concerned(c.Name, *c.Before)
 }
 
-// Update is a part of a State, or what changed in it.
+// Update is a State's contents, or the changes since an earlier revision.
 type Update struct {
-	// After is the revision that a delta, or a page of a snapshot, goes on from. It is zero
-	// where a snapshot begins.
+	// After is the revision that a delta, or a page of a snapshot, continues from. It is zero
+	// on the first page of a snapshot.
 	After    Revision `msgpack:"after" json:"after"`
-	Revision Revision `msgpack:"revision" json:"revision"` // that the reader holds then
+	Revision Revision `msgpack:"revision" json:"revision"` // that the reader holds afterwards
 	Snapshot bool     `msgpack:"snapshot,omitempty" json:"snapshot,omitempty"`
-	// More says that the update goes on: the reader asks again with Query.After at Revision
-	// and, of a snapshot, with Query.Began.
+	// More reports that further pages follow. The reader requests the next page with
+	// Query.After at Revision and, for a snapshot, with Query.Began.
 	More bool `msgpack:"more,omitempty" json:"more,omitempty"`
-	// Began is the revision at which a snapshot that goes on was begun.
+	// Began is the revision at which a paged snapshot began.
 	Began     Revision       `msgpack:"began" json:"began"`
 	Resources List[Resource] `msgpack:"resources,omitempty" json:"resources,omitempty"` // by revision
 	Changes   List[Change]   `msgpack:"changes,omitempty" json:"changes,omitempty"`     // of a delta, for relays
 }
 
-// Empty says that an update brings nothing but its revision.
+// Empty reports whether an update brings nothing but its revision.
 func (u *Update) Empty() bool { return !u.Snapshot && len(u.Resources) == 0 && len(u.Changes) == 0 }
 
-// Query is what a reader asks a State for.
+// Query is a reader's request to a State.
 type Query struct {
-	After Revision // that the reader holds
-	Began Revision // of a snapshot that the reader goes on with; zero: none
-	Bytes int      // of one update, about; 0: no bound
-	// Interest narrows the answer down; nil is everything, with the history.
+	After Revision // revision that the reader holds
+	Began Revision // of the snapshot that the reader continues; zero: none
+	Bytes int      // approximate size of the update; 0: unlimited
+	// Interest restricts the update; nil requests everything, with the history.
 	Interest *Interest
 }
 
-// State is the settings of a fleet at a revision with the history before it: the writer's, or
-// a relay's copy.
+// State is the settings of a fleet at one revision, and the history before it. The writer holds the
+// authoritative one, each relay a copy.
 type State struct {
 	limits    Limits
 	revision  Revision
-	compacted Revision // the history holds what came after it
+	compacted Revision // the history holds all later changes
 	resources map[string]Resource
 	history   []Change // by revision
 }
@@ -74,16 +74,16 @@
 	return &State{limits: limits, resources: make(map[string]Resource)}
 }
 
-// Revision is that of the latest change.
+// Revision returns the revision of the latest change.
 func (s *State) Revision() Revision { return s.revision }
 
-// Resource returns a resource that is there.
+// Resource returns a resource, and false if it does not exist.
 func (s *State) Resource(name string) (Resource, bool) {
 	r, ok := s.resources[name]
 	return r, ok
 }
 
-// Resources returns all resources by name.
+// Resources returns all resources, ordered by name.
 func (s *State) Resources() []Resource {
 	return slices.SortedFunc(maps.Values(s.resources), compareNames)
 }
@@ -94,13 +94,13 @@
 	return cmp.Or(x.Revision.Compare(y.Revision), strings.Compare(x.Name, y.Name))
 }
 
-// Read answers a reader: with what changed after the revision that it holds or, where the
-// history does not hold that, with a snapshot. The error is of *AheadError where the reader
-// holds more than the State.
+// Read answers a query with the changes since the reader's revision or, where the history does not
+// reach back that far, with a snapshot. The error is an *AheadError if the reader holds a later
+// revision than the State.
 func (s *State) Read(query Query) (Update, error) {
-	for _, asked := range []Revision{query.After, query.Began} {
-		if asked.After(s.revision) {
-			return Update{}, &AheadError{Have: s.revision, Requested: asked}
+	for _, requested := range []Revision{query.After, query.Began} {
+		if requested.After(s.revision) {
+			return Update{}, &AheadError{Have: s.revision, Requested: requested}
 		}
 	}
 	if !query.Began.IsZero() && s.historyCovers(query.Began) {
@@ -113,12 +113,12 @@
 	return s.snapshot(query), nil
 }
 
-// historyCovers says whether the history holds all that came after a revision.
+// historyCovers reports whether the history holds all changes since a revision.
 func (s *State) historyCovers(after Revision) bool {
 	return after.Epoch == s.revision.Epoch && !s.compacted.After(after)
 }
 
-// changesAfter is the end of the history.
+// changesAfter returns the part of the history that follows a revision.
 func (s *State) changesAfter(after Revision) []Change {
 	first, _ := slices.BinarySearchFunc(s.history, after, func(c Change, after Revision) int {
 		if c.Revision.After(after) {
@@ -129,8 +129,8 @@
 	return s.history[first:]
 }
 
-// Concerned returns the revision of the latest change after the given one that concerns the
-// interest, and false if none does.
+// Concerned returns the revision of the latest change after the given one that the interest must
+// receive, and false if there is none.
 func (s *State) Concerned(after Revision, interest Interest) (Revision, bool) {
 	changes := s.changesAfter(after)
 	for n := len(changes) - 1; n >= 0; n-- {
@@ -152,8 +152,8 @@
 	return update
 }
 
-// changedResources returns the resources of the changes as they are now, each once, and marks those
-// that are there no more for the interest as removed.
+// changedResources returns the current resources of the changes, each once. Those that the interest
+// no longer covers are marked as removed.
 func (s *State) changedResources(changes []Change, interest *Interest) []Resource {
 	latest := make(map[string]Resource)
 	for n := range changes {
@@ -165,9 +165,9 @@
 	return slices.SortedFunc(maps.Values(latest), compareRevisions)
 }
 
-// visibleTo is the resource of a change as the interest sees it now. Where it is there no more, it
-// has the revision of the change that took it away from the interest, the last that concerns
-// it: a page that ends between that and a later change must hold it.
+// visibleTo returns the resource of a change as the interest sees it now. A resource that is gone
+// has the revision of the change that removed it from the interest, which is the last that concerns
+// it: a page that ends between that change and a later one must hold it.
 func (s *State) visibleTo(interest *Interest, change *Change) Resource {
 	r, exists := s.resources[change.Name]
 	if exists && (interest == nil || interest.Concerned(r.Name, r.Scope)) {
@@ -183,7 +183,7 @@
 			update.Resources = append(update.Resources, r)
 		}
 	}
-	// What the reader got before and is there no more.
+	// Resources of earlier pages that have been removed since.
 	for _, r := range s.changedResources(s.changesAfter(query.Began), query.Interest) {
 		if r.Removed && r.Revision.After(query.After) {
 			update.Resources = append(update.Resources, r)
@@ -193,4 +193,3 @@
 	update.truncate(query.Bytes)
 	return update
 }
-
--- a/internal/fleet/distribution/status.go
+++ b/internal/fleet/distribution/status.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Status says how far a revision is.
+// Status counts the hosts by their progress towards a revision.
 type Status struct {
-	Revision    Revision `msgpack:"revision" json:"revision"` // asked for
-	Latest      Revision `msgpack:"latest" json:"latest"`     // of who answers
-	Hosts       int      `msgpack:"hosts" json:"hosts"`       // that are known
-	InForce     int      `msgpack:"in_force" json:"in_force"` // hold it in all instances that it concerns
-	Rejected    int      `msgpack:"refused" json:"refused"`   // by an instance; the last accepted settings are in force
-	Behind      int      `msgpack:"behind" json:"behind"`     // present, and not so far yet
-	Unavailable int      `msgpack:"away" json:"away"`         // not so far when they were last heard of
-	// Missing names some of the hosts where it is not in force, the refused first.
+	Revision    Revision `msgpack:"revision" json:"revision"` // as requested
+	Latest      Revision `msgpack:"latest" json:"latest"`     // known to the relay that answers
+	Hosts       int      `msgpack:"hosts" json:"hosts"`       // all known hosts
+	InForce     int      `msgpack:"in_force" json:"in_force"` // in force in all instances in its scope
+	Rejected    int      `msgpack:"refused" json:"refused"`   // rejected by an instance; its last accepted settings are in force
+	Behind      int      `msgpack:"behind" json:"behind"`     // present and not yet at the revision
+	Unavailable int      `msgpack:"away" json:"away"`         // absent, and not at the revision when last reported
+	// Missing lists some of the hosts where it is not in force, those with rejections first.
 	Missing []HostReport `msgpack:"missing,omitempty" json:"missing,omitempty"`
 }
 
-// Status counts the hosts by how far a revision is there; zero asks for the latest. It names
-// up to most hosts where that is not in force.
+// Status counts the hosts by their progress towards a revision; zero means the latest. It lists up
+// to limit hosts where the revision is not in force.
 func (g *Registry) Status(revision Revision, limit int) Status {
 	if revision.IsZero() {
 		revision = g.position
@@ -53,7 +53,7 @@
 	rejections int
 }
 
-// missingReports returns the reports of up to most of the hosts, the refused first.
+// missingReports returns up to limit of the hosts' reports, those with rejections first.
 func (g *Registry) missingReports(missing []missingHost, limit int) []HostReport {
 	if limit <= 0 || len(missing) == 0 {
 		return nil
@@ -70,7 +70,7 @@
 	return reports
 }
 
-// How far a revision is at a host.
+// applyProgress is a host's progress towards a revision.
 type applyProgress int
 
 const (
@@ -93,8 +93,8 @@
 	return unavailable
 }
 
-// Add adds the counts of another relay's subscribers, of which most missing hosts are named.
-// A host that both know is counted twice.
+// Add adds the counts of another relay's subscribers, and keeps up to limit missing hosts. A host
+// that both relays know is counted twice.
 func (s *Status) Add(other Status, limit int) {
 	if other.Latest.After(s.Latest) {
 		s.Latest = other.Latest
--- a/internal/fleet/distribution/step.go
+++ b/internal/fleet/distribution/step.go
@@ -4,18 +4,18 @@
 	"slices"
 )
 
-// step is a change of a State that was worked out and not made yet.
+// step is a prepared change of a State that has not been applied.
 type step struct {
 	batch        Batch
-	resources    []Resource // removed ones are taken out
-	removed      []string   // resources that are there no more, beside those
+	resources    []Resource // those marked Removed are deleted
+	removed      []string   // names of further resources to delete
 	changes      []Change
 	revision     Revision
 	compacted    Revision
-	resetHistory bool // a snapshot: the history begins anew
+	resetHistory bool // the update is a snapshot: the history starts again
 }
 
-// prepare works out the rows of a step.
+// prepare computes the Batch of a step.
 func (s *State) prepare(next step) step {
 	for n := range next.resources {
 		r := &next.resources[n]
@@ -42,7 +42,7 @@
 		next.compacted = c.Revision
 		next.batch.Drop = append(next.batch.Drop, changeKey(c.Revision))
 	}
-	if over > len(old) { // a long update: of its changes too only the last are kept
+	if over > len(old) { // only the last changes of a long update are retained
 		first := over - len(old)
 		next.compacted = next.changes[first-1].Revision
 		next.changes = next.changes[first:]
@@ -54,7 +54,7 @@
 	return next
 }
 
-// commit makes a step that was prepared and is on disk.
+// commit applies a prepared step whose Batch is on disk.
 func (s *State) commit(next step) {
 	for _, r := range next.resources {
 		if r.Removed {
