--- a/internal/fleet/distribution/applier_test.go
+++ b/internal/fleet/distribution/applier_test.go
@@ -28,7 +28,7 @@
 	return names
 }
 
-// settle makes attempts until none is due; the instance refuses the named versions.
+// settle makes attempts until none is due. The instance rejects the named versions.
 func settle(t testing.TB, applier *Applier, refuses ...string) (attempts int) {
 	t.Helper()
 	for ; attempts < 1000; attempts++ {
@@ -39,7 +39,7 @@
 		rejected := slices.ContainsFunc(offered, func(name string) bool { return slices.Contains(refuses, name) })
 		applier.Done(!rejected, "no such limit")
 	}
-	t.Fatal("the attempts have no end")
+	t.Fatal("the attempts do not end")
 	return attempts
 }
 
@@ -53,7 +53,7 @@
 		names = append(names, fmt.Sprintf("%s@%d", rejection.Resource, rejection.Revision.Number))
 	}
 	if !slices.Equal(names, rejected) {
-		t.Errorf("refused %v; want %v", names, rejected)
+		t.Errorf("rejected %v; want %v", names, rejected)
 	}
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestApplierRefusesOneAmongSeveral(t *testing.T) {
+func TestApplierRejectsOneAmongSeveral(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
 	applier.Want(testTime, []Resource{version("b", 1)})
 	settle(t, applier)
@@ -103,8 +103,8 @@
 	requireApplied(t, applier, []string{"a@2", "b@5", "c@4"}, nil)
 }
 
-// A later revision that comes while an earlier one is being refused is tried.
-func TestApplierTriesRevisionThatCameDuringAttempt(t *testing.T) {
+// A later revision that arrives while an earlier one is being rejected is attempted.
+func TestApplierAttemptsRevisionThatArrivedDuringAttempt(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
 	applier.Want(testTime, []Resource{version("a", 1)})
 	applier.Begin()
@@ -125,8 +125,8 @@
 	requireApplied(t, applier, []string{"a@4"}, nil)
 }
 
-// What is no longer wanted when it is refused leaves no refusal behind.
-func TestApplierForgetsRefusalOfUnwanted(t *testing.T) {
+// A revision that is no longer wanted when it is rejected leaves no rejection behind.
+func TestApplierForgetsRejectionOfUnwanted(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
 	applier.Want(testTime, []Resource{version("a", 1)})
 	applier.Begin()
@@ -150,7 +150,7 @@
 	requireApplied(t, applier, []string{"a@1", "b@2"}, []string{"a@0"})
 	applier.Want(testTime, []Resource{version("b", 2)})
 	if applier.Pending() {
-		t.Error("a refused removal is tried again")
+		t.Error("a rejected removal is retried")
 	}
 	applier.Forgive(testTime)
 	settle(t, applier)
@@ -164,13 +164,13 @@
 	applier.Abandon()
 	requireApplied(t, applier, nil, nil)
 	if _, due := applier.Due(); !due {
-		t.Error("the same is not tried again")
+		t.Error("an abandoned attempt is not retried")
 	}
 	settle(t, applier)
 	requireApplied(t, applier, []string{"a@1"}, nil)
 }
 
-func TestApplierForgives(t *testing.T) {
+func TestApplierRetriesAfterForgive(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
 	applier.Want(testTime, []Resource{version("a", 1)})
 	settle(t, applier, "a@1")
@@ -194,7 +194,7 @@
 	}
 }
 
-// restoreApplier returns what the applier's row holds.
+// restoreApplier returns an Applier restored from the applier's entry.
 func restoreApplier(t failer, applier *Applier) *Applier {
 	t.Helper()
 	restored := NewApplier(applier.instance, applier.coalesce)
@@ -205,8 +205,8 @@
 	return restored
 }
 
-// What an instance accepted stays in force after a restart, also before it is known what is
-// wanted.
+// The accepted settings stay in force after a restart, even before the wanted settings are
+// known.
 func TestApplierRestores(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
 	first := []Resource{version("a", 1), version("b", 2)}
@@ -218,11 +218,11 @@
 	restored := restoreApplier(t, applier)
 	requireApplied(t, restored, []string{"a@1", "b@2"}, []string{"a@3"})
 	if _, due := restored.Due(); due || restored.Pending() {
-		t.Error("settings are to go before anyone asked for that")
+		t.Error("accepted settings are removed before Want was called")
 	}
 	restored.Want(testTime, second)
 	if restored.Pending() {
-		t.Error("what was refused is tried again")
+		t.Error("a rejected revision is retried")
 	}
 	restored.Want(testTime, []Resource{version("a", 4)})
 	settle(t, restored)
@@ -237,7 +237,7 @@
 	}
 }
 
-// A stream of changes, one of which is refused each time, ends with the last good of each.
+// After a stream of changes, some of them rejected, each resource has its last good revision.
 func TestApplierUnderSteadyChanges(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
 	wanted := make(map[string]Resource)
--- a/internal/fleet/distribution/bench_test.go
+++ b/internal/fleet/distribution/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// benchState is a log with so many resources, one for each service.
+// benchState returns a log with the given number of resources, one per service.
 func benchState(b *testing.B, resources int) *State {
 	b.Helper()
 	state := newLog(DefaultLimits())
@@ -17,8 +17,7 @@
 
 func serviceName(n int) string { return fmt.Sprintf("service-%04d", n) }
 
-// benchInterest is that of a host with an instance of one service, with the labels that a
-// host has.
+// benchInterest returns the interest of a host with an instance of one service and typical labels.
 func benchInterest(n, services int) Interest {
 	return Interest{Host: hostName(n), Instances: []map[string]string{{"service": serviceName(n % services),
 		"region": hostRegion(n), "zone": hostZone(n), "host": hostName(n)}}}
@@ -58,7 +57,7 @@
 	}
 }
 
-// BenchmarkReadAll is what a relay that begins reads.
+// BenchmarkReadAll measures the read of a relay that starts without a copy.
 func BenchmarkReadAll(b *testing.B) {
 	for _, resources := range benchResources {
 		b.Run(fmt.Sprintf("resources=%d", resources), func(b *testing.B) {
@@ -73,8 +72,8 @@
 	}
 }
 
-// BenchmarkAdvance is one change at a relay that has its share of 21,000 subscribers when all
-// relays live, and when half of them do.
+// BenchmarkAdvance measures one change at a relay that has its part of 21,000 subscribers when
+// all relays are alive, and when half of them are.
 func BenchmarkAdvance(b *testing.B) {
 	for _, subscribers := range []int{fleetHosts/fleetRelays + 1, 2 * fleetHosts / fleetRelays} {
 		b.Run(fmt.Sprintf("subscribers=%d", subscribers), func(b *testing.B) {
--- a/internal/fleet/distribution/choose_test.go
+++ b/internal/fleet/distribution/choose_test.go
@@ -34,8 +34,8 @@
 
 func noSpread() float64 { return 0.5 }
 
-// loads counts the hosts of each relay, while the gone ones do not answer.
-func loads(t testing.TB, relays []Relay, withRegions bool, gone map[string]bool) map[string]int {
+// loads counts the hosts of each relay while the lost relays do not answer.
+func loads(t testing.TB, relays []Relay, withRegions bool, lost map[string]bool) map[string]int {
 	t.Helper()
 	load := make(map[string]int)
 	for n := range fleetHosts {
@@ -48,7 +48,7 @@
 		for range len(relays) + 1 {
 			relay, wait := chooser.Next(now, noSpread)
 			now = now.Add(min(wait, 100*time.Millisecond))
-			if !gone[relay.Name] {
+			if !lost[relay.Name] {
 				chooser.Served(relay.Name)
 				load[relay.Name]++
 				served = true
@@ -57,7 +57,7 @@
 			chooser.Failed(now, relay.Name)
 		}
 		if !served {
-			t.Fatalf("host %d found none", n)
+			t.Fatalf("host %d found no relay", n)
 		}
 	}
 	return load
@@ -80,9 +80,9 @@
 		half[relays[n].Name] = true
 	}
 	one := map[string]bool{relays[3].Name: true}
-	for name, gone := range map[string]map[string]bool{"all live": nil, "one is gone": one, "half are gone": half} {
-		living := fleetRelays - len(gone)
-		load := loads(t, relays, false, gone)
+	for name, lost := range map[string]map[string]bool{"all live": nil, "one is lost": one, "half are lost": half} {
+		living := fleetRelays - len(lost)
+		load := loads(t, relays, false, lost)
 		ratio := fullest(load, living)
 		t.Logf("%s: the fullest of %d has %.3f times the mean", name, living, ratio)
 		if ratio > 1.1 || len(load) != living {
@@ -112,8 +112,8 @@
 	}
 }
 
-// 16 relays do not divide by 9 regions: seven regions have two and two have one, whose relay
-// has its region's hosts alone. Half of the relays carry all nevertheless.
+// 16 relays do not divide by 9 regions: seven regions have two relays and two have one, which
+// serves all hosts of its region. Half of the relays can still serve all hosts.
 func TestChooserLoadWithRegions(t *testing.T) {
 	t.Parallel()
 	relays := testRelays(true)
@@ -127,13 +127,13 @@
 		"both kinds in five of regions": {[]int{0, 1, 2, 9, 10, 11, 7, 8}, 1.34 * 1.1},
 	}
 	for name, c := range cases {
-		gone := make(map[string]bool)
+		lost := make(map[string]bool)
 		for n := range relays {
 			if !slices.Contains(c.living, n) {
-				gone[relays[n].Name] = true
+				lost[relays[n].Name] = true
 			}
 		}
-		load := loads(t, relays, true, gone)
+		load := loads(t, relays, true, lost)
 		ratio := fullest(load, len(c.living))
 		t.Logf("%s: the fullest of %d has %.3f times the mean", name, len(c.living), ratio)
 		if ratio > c.limit || len(load) != len(c.living) {
@@ -162,16 +162,16 @@
 		t.Errorf("after its time: %v", relay)
 	}
 
-	// Failing again it is left out for longer, up to a bound; once it served it is as new.
+	// Repeated failures lengthen the avoidance up to a bound; one answer resets it.
 	for n := range 20 {
 		now = now.Add(time.Hour)
 		chooser.Failed(now, preferred.Name)
 		avoid := min(initialAvoidance<<(n+1), maxAvoidance)
 		if relay, _ := chooser.Next(now.Add(avoid-1), noSpread); relay == preferred {
-			t.Errorf("failed %d times: asked before %v", n+2, avoid)
+			t.Errorf("failed %d times: used before %v", n+2, avoid)
 		}
 		if relay, _ := chooser.Next(now.Add(avoid), noSpread); relay != preferred {
-			t.Errorf("failed %d times: not asked after %v", n+2, avoid)
+			t.Errorf("failed %d times: not used after %v", n+2, avoid)
 		}
 		if avoid == maxAvoidance {
 			break
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestChooserBacksOffWhereNoneIsLeft(t *testing.T) {
+func TestChooserBacksOffIfAllFailed(t *testing.T) {
 	relays := testRelays(false)[:3]
 	chooser := NewChooser("h", "", "", relays)
 	now := testTime
@@ -198,7 +198,7 @@
 		chooser.Failed(now, relay.Name)
 	}
 	if len(seen) != len(relays) {
-		t.Errorf("only %v are asked", seen)
+		t.Errorf("only %v are used", seen)
 	}
 	for draw, want := range map[float64]time.Duration{0: maxRetryDelay / 2, 0.999: maxRetryDelay * 3 / 2} {
 		_, wait := chooser.Next(now, func() float64 { return draw })
--- a/internal/fleet/distribution/compat_test.go
+++ b/internal/fleet/distribution/compat_test.go
@@ -9,18 +9,18 @@
 	"martendrum/internal/goldentest"
 )
 
-// storedRow is a row in a golden file.
-type storedRow struct {
+// storedEntry is an entry in a golden file.
+type storedEntry struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
 }
 
-// rowLines returns rows in the form of a golden file.
-func rowLines(t *testing.T, rows []Entry) []byte {
+// entryLines encodes entries in the form of a golden file.
+func entryLines(t *testing.T, rows []Entry) []byte {
 	t.Helper()
 	var lines bytes.Buffer
 	for _, r := range rows {
-		line, err := json.Marshal(storedRow{Key: r.Key, Value: r.Value})
+		line, err := json.Marshal(storedEntry{Key: r.Key, Value: r.Value})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,12 +29,12 @@
 	return lines.Bytes()
 }
 
-// goldenRows returns the rows of a golden file.
-func goldenRows(t *testing.T, name string) []Entry {
+// goldenEntries returns the entries of a golden file.
+func goldenEntries(t *testing.T, name string) []Entry {
 	t.Helper()
 	var rows []Entry
 	for line := range bytes.Lines(goldentest.Read(t, name)) {
-		var r storedRow
+		var r storedEntry
 		if err := json.Unmarshal(line, &r); err != nil {
 			t.Fatal(err)
 		}
@@ -43,8 +43,8 @@
 	return rows
 }
 
-// A log of settings that an earlier build stored is read as it was meant, and stored again
-// byte by byte.
+// A log stored by an earlier build is restored to the same state, and stored again with the
+// same bytes.
 func TestLogOfEarlierBuild(t *testing.T) {
 	const golden = "log.jsonl"
 	disk, state := newDisk(), NewState(testLimits())
@@ -67,9 +67,9 @@
 	propose(Put{Name: "limits/share", Scope: Scope{Labels: map[string]string{"zone": "a"}, Fraction: 0.25}, Content: []byte(content(3)), Author: "sari"})
 	propose(put("limits/gone", "sim", content(4)))
 	propose(remove("limits/gone"))
-	goldentest.Compare(t, golden, rowLines(t, disk.all()))
+	goldentest.Compare(t, golden, entryLines(t, disk.all()))
 
-	restored, err := Restore(testLimits(), goldenRows(t, golden))
+	restored, err := Restore(testLimits(), goldenEntries(t, golden))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// What a subscriber of an earlier build stored is read as it was meant, and stored again byte
-// by byte.
+// A subscriber's state stored by an earlier build is restored to the same state, and stored
+// again with the same bytes.
 func TestSubscriberOfEarlierBuild(t *testing.T) {
 	const golden = "subscriber.jsonl"
 	source, interest := newLog(testLimits()), interestIn("h1", "sim")
@@ -100,9 +100,9 @@
 	disk := newDisk()
 	disk.write(replica.Batch(nil))
 	disk.write(Batch{Put: []Entry{applier.Entry()}})
-	goldentest.Compare(t, golden, rowLines(t, disk.all()))
+	goldentest.Compare(t, golden, entryLines(t, disk.all()))
 
-	rows := goldenRows(t, golden)
+	rows := goldenEntries(t, golden)
 	restored, err := RestoreReplica(interest, rows)
 	if err != nil || !reflect.DeepEqual(restored, replica) {
 		t.Errorf("%+v, %v; want %+v", restored, err, replica)
@@ -112,9 +112,9 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(again.accepted, applier.accepted) || !reflect.DeepEqual(again.rejected, applier.rejected) {
-		t.Errorf("accepted %+v, refused %+v; want %+v, %+v", again.accepted, again.rejected, applier.accepted, applier.rejected)
+		t.Errorf("accepted %+v, rejected %+v; want %+v, %+v", again.accepted, again.rejected, applier.accepted, applier.rejected)
 	}
 	if len(applier.rejected) != 1 || len(applier.accepted) != 1 {
-		t.Errorf("%d refused, %d accepted: the row shows little", len(applier.rejected), len(applier.accepted))
+		t.Errorf("%d rejected, %d accepted: the entry shows little", len(applier.rejected), len(applier.accepted))
 	}
 }
--- a/internal/fleet/distribution/fuzz_test.go
+++ b/internal/fleet/distribution/fuzz_test.go
@@ -9,9 +9,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// fuzzCopies returns a relay's and a subscriber's copy at the same revision of a log, and the
-// log, which has gone on.
-func fuzzCopies(t testing.TB) (log, relay *State, replica *Replica) {
+// fuzzReplicas returns a relay's and a subscriber's copy at the same revision of a log, and the
+// log, which has advanced since.
+func fuzzReplicas(t testing.TB) (log, relay *State, replica *Replica) {
 	log, relay, replica = newLog(testLimits()), NewState(testLimits()), NewReplica(interestIn("h", "x"))
 	publish(t, log, put("a", "x", content(1)))
 	publish(t, log, put("b", "y", content(1)))
@@ -23,9 +23,9 @@
 	return log, relay, replica
 }
 
-// FuzzUpdate takes bytes of a relay: no panic, and no change of the copy on an error.
+// FuzzUpdate decodes bytes from a relay: no input panics, and an error leaves the copy unchanged.
 func FuzzUpdate(f *testing.F) {
-	log, relay, replica := fuzzCopies(f)
+	log, relay, replica := fuzzReplicas(f)
 	interest := interestIn("h", "x")
 	for _, query := range []Query{{}, {Bytes: 1}, {After: relay.Revision()}, {After: relay.Revision(), Bytes: 1},
 		{Interest: &interest}, {After: replica.Revision(), Interest: &interest}} {
@@ -54,7 +54,7 @@
 		if err := msgpack.Unmarshal(data, &update); err != nil {
 			return
 		}
-		_, relay, replica := fuzzCopies(t)
+		_, relay, replica := fuzzReplicas(t)
 		checkTake(t, replica, update)
 		checkFollow(t, relay, update)
 		checkReader(t, update)
@@ -131,7 +131,7 @@
 	}
 }
 
-// FuzzPut takes an operator's change: what a log takes can be kept, restored and sent.
+// FuzzPut proposes an operator's change: what a log accepts can be stored, restored and sent.
 func FuzzPut(f *testing.F) {
 	f.Add("a", "service", "x", 0.5, []byte(`{"limits":{"in_flight":1}}`), "author")
 	f.Add("a/b.c", "", "", 0.0, []byte(`{}`), "")
@@ -148,7 +148,7 @@
 			return
 		}
 		if !json.Valid(resource.Content) || !bytes.Equal(resource.Content, content) {
-			t.Fatalf("%q was kept as %q", content, resource.Content)
+			t.Fatalf("%q was stored as %q", content, resource.Content)
 		}
 		store.write(next.Batch())
 		log.Make(next)
--- a/internal/fleet/distribution/helpers_test.go
+++ b/internal/fleet/distribution/helpers_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// testTime is when everything in a test happens, unless it says otherwise.
+// testTime is the time of all events that do not set their own.
 var testTime = time.Date(2030, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// failer is what tests and properties have in common.
+// failer is the common part of testing.TB and rapid.T.
 type failer interface {
 	Helper()
 	Errorf(format string, values ...any)
@@ -19,31 +19,31 @@
 	Fatal(values ...any)
 }
 
-// disk is what a store would keep of Batches.
-type disk struct{ rows map[string][]byte }
+// disk is an in-memory store of Batches.
+type disk struct{ entries map[string][]byte }
 
-func newDisk() *disk { return &disk{rows: make(map[string][]byte)} }
+func newDisk() *disk { return &disk{entries: make(map[string][]byte)} }
 
-// write carries out a batch.
+// write applies a batch.
 func (d *disk) write(batch Batch) {
 	for _, key := range batch.Drop {
-		delete(d.rows, key)
+		delete(d.entries, key)
 	}
 	for _, r := range batch.Put {
-		d.rows[r.Key] = slices.Clone(r.Value)
+		d.entries[r.Key] = slices.Clone(r.Value)
 	}
 }
 
-// all returns the rows by key.
+// all returns the entries, ordered by key.
 func (d *disk) all() []Entry {
 	var rows []Entry
-	for _, key := range slices.Sorted(maps.Keys(d.rows)) {
-		rows = append(rows, Entry{Key: key, Value: d.rows[key]})
+	for _, key := range slices.Sorted(maps.Keys(d.entries)) {
+		rows = append(rows, Entry{Key: key, Value: d.entries[key]})
 	}
 	return rows
 }
 
-// testLimits are wide enough for tests that are not about them.
+// testLimits are wide enough for tests that are not about limits.
 func testLimits() Limits { return Limits{Resources: 100, History: 100} }
 
 // newLog returns a State promoted to epoch 1.
@@ -77,7 +77,7 @@
 	return Scope{Labels: map[string]string{"service": service}}
 }
 
-// interestIn is that of a host with one instance of each service.
+// interestIn returns the interest of a host with one instance of each service.
 func interestIn(host string, services ...string) Interest {
 	interest := Interest{Host: host}
 	for _, service := range services {
@@ -86,11 +86,12 @@
 	return interest
 }
 
-// content is settings that differ by number.
+// content returns settings that differ by number.
 func content(number int) string { return fmt.Sprintf(`{"limits":{"in_flight":%d}}`, number) }
 
-// readWhole asks a state until the update is whole, with a change between pages where given.
-func readWhole(t testing.TB, state *State, reader *Reader, held Revision, interest *Interest, bytes int, between func()) Update {
+// readComplete reads pages until the update is complete, and calls between, if given, after each
+// page.
+func readComplete(t testing.TB, state *State, reader *Reader, held Revision, interest *Interest, bytes int, between func()) Update {
 	t.Helper()
 	for range 10_000 {
 		query := reader.Query(held, interest)
@@ -110,14 +111,14 @@
 			between()
 		}
 	}
-	t.Fatal("the pages have no end")
+	t.Fatal("the pages do not end")
 	return Update{}
 }
 
 // catchUp brings a relay's copy to the state of its source.
 func catchUp(t testing.TB, source, copied *State, bytes int) {
 	t.Helper()
-	update := readWhole(t, source, NewReader(testLimits()), copied.Revision(), nil, bytes, nil)
+	update := readComplete(t, source, NewReader(testLimits()), copied.Revision(), nil, bytes, nil)
 	next, err := copied.Follow(update)
 	if err != nil {
 		t.Fatalf("follow: %v", err)
@@ -130,7 +131,7 @@
 // subscribe brings a subscriber's copy to the state of its relay.
 func subscribe(t testing.TB, source *State, replica *Replica, interest Interest, bytes int) {
 	t.Helper()
-	update := readWhole(t, source, NewReader(testLimits()), replica.Revision(), &interest, bytes, nil)
+	update := readComplete(t, source, NewReader(testLimits()), replica.Revision(), &interest, bytes, nil)
 	if _, err := replica.Take(update); err != nil {
 		t.Fatalf("take: %v", err)
 	}
@@ -164,8 +165,8 @@
 		string(x.Content) == string(y.Content) && maps.Equal(x.Scope.Labels, y.Scope.Labels)
 }
 
-// requireCopy says that a subscriber holds exactly what concerns it.
-func requireCopy(t failer, state *State, replica *Replica, interest Interest) {
+// requireReplica requires that a replica holds exactly the resources in its interest.
+func requireReplica(t failer, state *State, replica *Replica, interest Interest) {
 	t.Helper()
 	want := wanted(state, interest)
 	if have := replica.Names(); !slices.Equal(want, have) {
--- a/internal/fleet/distribution/list_test.go
+++ b/internal/fleet/distribution/list_test.go
@@ -10,15 +10,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// listMessage is a map with one list, which claims to have so many elements, and has as many
-// that are nil as follow.
+// listMessage encodes a map with one list that claims a number of elements and is followed by
+// another number of nil elements.
 func listMessage(key string, claimed, following int) []byte {
 	data := append([]byte{0x81, 0xa0 | byte(len(key))}, key...)
 	data = binary.BigEndian.AppendUint32(append(data, 0xdd), uint32(claimed))
 	return append(data, bytes.Repeat([]byte{0xc0}, following)...)
 }
 
-// allocated is how many bytes a call allocates.
+// allocated returns the number of bytes that a call allocates.
 func allocated(call func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -27,7 +27,7 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// A message of 1 MiB, as long as a connection takes, does not cost hundreds of it.
+// A message of 1 MiB, the maximum of a connection, does not cost hundreds of MiB.
 func TestListsAreDecodedWithABound(t *testing.T) {
 	const limit = 8 << 20
 	cases := map[string]struct {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestListIsCarriedWhole(t *testing.T) {
+func TestListRoundTrip(t *testing.T) {
 	for _, update := range []Update{{}, {Resources: []Resource{}}, {Resources: []Resource{version("a", 1), version("b", 2)}}} {
 		data, err := msgpack.Marshal(&update)
 		if err != nil {
--- a/internal/fleet/distribution/log_test.go
+++ b/internal/fleet/distribution/log_test.go
@@ -31,13 +31,13 @@
 	change = put("b", "x", content(2))
 	change.If = &other
 	if _, _, err := log.Propose(testTime, 1, change); err == nil {
-		t.Error("a resource that is not there is not at a revision")
+		t.Error("a resource that does not exist has no revision")
 	}
 	change.If = &zero
 	publish(t, log, change)
 }
 
-func TestProposeAnswersRepeatedPutWithWhatIs(t *testing.T) {
+func TestProposeAnswersRepeatedPutWithCurrent(t *testing.T) {
 	log := newLog(testLimits())
 	zero := Revision{}
 	change := put("a", "x", content(1))
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestProposeAnswersRepeatedRemovalWithWhatIs(t *testing.T) {
+func TestProposeAnswersRepeatedRemovalWithEarlierOne(t *testing.T) {
 	log := newLog(testLimits())
 	publish(t, log, put("a", "x", content(1)))
 	first := publish(t, log, remove("a"))
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestProposeRefusesRemovalOfUnknown(t *testing.T) {
+func TestProposeRejectsRemovalOfUnknown(t *testing.T) {
 	log := newLog(testLimits())
 	_, next, err := log.Propose(testTime, 1, remove("a"))
 	if invalid, ok := errors.AsType[*InvalidError](err); !ok || next != nil || invalid.What != "name" {
@@ -81,7 +81,7 @@
 	return ok
 }
 
-func TestProposeRefusesEarlierEpoch(t *testing.T) {
+func TestProposeRejectsEarlierEpoch(t *testing.T) {
 	log := newLog(testLimits())
 	log.Make(log.Promote(3))
 	_, next, err := log.Propose(testTime, 2, put("a", "x", content(1)))
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestProposeKeepsNothingOfTheCaller(t *testing.T) {
+func TestProposeCopiesItsInput(t *testing.T) {
 	log := newLog(testLimits())
 	change := put("a", "x", content(1))
 	publish(t, log, change)
@@ -160,7 +160,7 @@
 		}
 	}
 	if !errors.Is(&UnreachableError{Last: cause}, cause) {
-		t.Error("the cause is not within")
+		t.Error("the cause is not wrapped")
 	}
 }
 
@@ -188,7 +188,7 @@
 		t.Fatalf("%+v, %v", page, err)
 	}
 	subscribe(t, promoted, replica, interest, 0)
-	requireCopy(t, promoted, replica, interest)
+	requireReplica(t, promoted, replica, interest)
 	catchUp(t, promoted, relay, 0)
 	requireSameState(t, promoted, relay)
 
@@ -203,7 +203,7 @@
 	if _, err := relay.Follow(late); !isFenced(err) {
 		t.Errorf("relay: %v", err)
 	}
-	requireCopy(t, promoted, replica, interest)
+	requireReplica(t, promoted, replica, interest)
 	requireSameState(t, promoted, relay)
 	if _, err := old.Read(Query{After: relay.Revision()}); !isAhead(err) {
 		t.Errorf("old writer: %v", err)
@@ -230,7 +230,7 @@
 	return ok
 }
 
-func TestFollowRefusesWhatDoesNotFit(t *testing.T) {
+func TestFollowRejectsInvalidUpdates(t *testing.T) {
 	log, relay := newLog(testLimits()), NewState(testLimits())
 	publish(t, log, put("a", "x", content(1)))
 	catchUp(t, log, relay, 0)
@@ -249,7 +249,7 @@
 		spoil  func(*Update)
 	}{
 		"with a gap":             {delta, func(u *Update) { u.After.Number-- }},
-		"not whole":              {delta, func(u *Update) { u.More = true }},
+		"incomplete":             {delta, func(u *Update) { u.More = true }},
 		"back":                   {delta, func(u *Update) { u.Revision = Revision{1, 0} }},
 		"epoch without snapshot": {delta, func(u *Update) { u.Revision.Epoch = 2 }},
 		"twice":                  {delta, func(u *Update) { u.Resources = append(u.Resources, u.Resources[0]) }},
@@ -280,6 +280,6 @@
 	relay.Make(next)
 	requireSameState(t, log, relay)
 	if next, err := relay.Follow(Update{After: relay.Revision(), Revision: relay.Revision()}); next != nil || err != nil {
-		t.Errorf("an update that brings nothing: %v, %v", next, err)
+		t.Errorf("an empty update: %v, %v", next, err)
 	}
 }
--- a/internal/fleet/distribution/model_check_test.go
+++ b/internal/fleet/distribution/model_check_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// checkInstance says that what is accepted is what the instance runs with, and that it is to
-// its liking.
+// checkInstance requires that the accepted settings are those the instance runs with, and that
+// it would not reject them.
 func (m *model) checkInstance(instance *modelInstance) {
 	accepted := instance.applier.Accepted()
 	if !slices.EqualFunc(accepted, instance.inForce, sameResource) {
@@ -52,13 +52,13 @@
 	}
 	for _, r := range accepted {
 		m.checkMade("an instance", r)
-		if instance.refuses(r) {
+		if instance.rejects(r) {
 			m.t.Fatalf("instance %d: %v is accepted", instance.number, r)
 		}
 	}
 }
 
-// checkInForce says that a host that its relay counts as in force is so.
+// checkInForce requires that settings which the relay counts as in force at a host are.
 func (m *model) checkInForce(s *modelSubscriber) {
 	if s.server == nil {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// matching is what concerns an instance, in the order in which it is merged.
+// matching returns the resources that apply to an instance, in merge order.
 func matching(state *State, host string, labels map[string]string) []Resource {
 	matching := slices.DeleteFunc(state.Resources(), func(r Resource) bool { return !r.Scope.Matches(r.Name, host, labels) })
 	inMergeOrder(matching)
@@ -92,7 +92,7 @@
 	state := m.servers[m.writer].state
 	want := counts{hosts: len(m.subscribers)}
 	for _, s := range m.subscribers {
-		requireCopy(m.t, state, s.replica, s.interest)
+		requireReplica(m.t, state, s.replica, s.interest)
 		rejected := false
 		for _, instance := range s.instances {
 			wanted := matching(state, s.interest.Host, instance.labels)
@@ -102,7 +102,7 @@
 			rejected = m.checkSettled(instance, wanted) || rejected
 		}
 		if rejected {
-			want.refused++
+			want.rejected++
 		} else {
 			want.inForce++
 		}
@@ -110,8 +110,8 @@
 	requireCounts(m.t, m.servers[m.writer].registry, Revision{}, want)
 }
 
-// checkSettled says that an instance has all that is wanted but what it refuses, of which it
-// has the last that it accepted, and whether it refuses any.
+// checkSettled requires that an instance has every wanted revision that it accepts, and the last
+// accepted revision of the others. It reports whether the instance rejects any.
 func (m *model) checkSettled(instance *modelInstance, wanted []Resource) (rejected bool) {
 	rejections := make(map[string]Revision)
 	for _, rejection := range instance.applier.Rejections() {
@@ -124,11 +124,11 @@
 	names := make(map[string]bool)
 	for _, r := range wanted {
 		names[r.Name] = true
-		revision, turnedDown := rejections[r.Name]
-		if turnedDown != instance.refuses(r) || turnedDown && revision != r.Revision {
-			m.t.Fatalf("instance %d: %v of %v is refused: %v", instance.number, r.Name, r.Revision, rejections)
+		revision, isRejected := rejections[r.Name]
+		if isRejected != instance.rejects(r) || isRejected && revision != r.Revision {
+			m.t.Fatalf("instance %d: %v of %v is rejected: %v", instance.number, r.Name, r.Revision, rejections)
 		}
-		if !turnedDown && !sameResource(accepted[r.Name], r) {
+		if !isRejected && !sameResource(accepted[r.Name], r) {
 			m.t.Fatalf("instance %d: has %v; want %v", instance.number, accepted[r.Name], r)
 		}
 	}
@@ -139,7 +139,7 @@
 	}
 	for name := range rejections {
 		if !names[name] {
-			m.t.Fatalf("instance %d: a refusal of %s, which is not wanted", instance.number, name)
+			m.t.Fatalf("instance %d: a rejection of %s, which is not wanted", instance.number, name)
 		}
 	}
 	return len(rejections) > 0
--- /dev/null
+++ b/internal/fleet/distribution/model_server_test.go
@@ -0,0 +1,71 @@
+package distribution
+
+import (
+	"maps"
+	"slices"
+
+	"pgregory.net/rapid"
+)
+
+// modelServer is a writer, a relay, or a writer of an earlier epoch that continues to write.
+type modelServer struct {
+	link
+	name     string
+	state    *State
+	disk     *disk
+	previous *disk // without the last batch
+	epoch    int64 // that it writes in; 0 if it was never the writer
+	registry *Registry
+	floor    Revision
+}
+
+// make writes and applies a server's step, or restarts the server before or after the write.
+func (m *model) make(s *modelServer, next *Step) {
+	end := ""
+	if m.oneIn(10, "ends") {
+		end = rapid.SampledFrom([]string{"before the write", "after the write"}).Draw(m.t, "end")
+	}
+	if end != "before the write" {
+		s.write(next)
+	}
+	if end != "" {
+		m.restart(s)
+		return
+	}
+	s.state.Make(next)
+	s.registry.Advance(s.state)
+}
+
+func (s *modelServer) write(next *Step) {
+	s.previous = &disk{entries: maps.Clone(s.disk.entries)}
+	s.disk.write(next.Batch())
+}
+
+// restart restores a server from its entries and disconnects its subscribers.
+func (m *model) restart(s *modelServer) {
+	state, err := Restore(m.limits, s.disk.all())
+	if err != nil {
+		m.t.Fatalf("%s: %v", s.name, err)
+	}
+	s.state, s.link, s.floor = state, newLink(m.limits), state.Revision()
+	s.registry = NewRegistry(s.name, 100)
+	s.registry.Advance(state)
+	for _, subscriber := range m.subscribers {
+		if subscriber.server == s {
+			subscriber.server = nil
+		}
+	}
+	if s != m.servers[m.writer] {
+		m.servers[m.writer].registry.Lost(m.now, s.name)
+	}
+}
+
+// promote makes a server the writer.
+func (m *model) promote(s *modelServer) {
+	s.epoch = m.epoch
+	next := s.state.Promote(m.epoch)
+	s.write(next)
+	s.state.Make(next)
+	s.registry.Advance(s.state)
+	m.writer = slices.Index(m.servers, s)
+}
--- a/internal/fleet/distribution/reader_test.go
+++ b/internal/fleet/distribution/reader_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// pagesOf returns the pages of a whole snapshot, one resource each.
+// pagesOf returns the pages of a complete snapshot, one resource each.
 func pagesOf(t *testing.T, log *State, interest *Interest) []Update {
 	t.Helper()
 	reader := NewReader(testLimits())
@@ -35,7 +35,7 @@
 	return log
 }
 
-// A page that comes late, after the reader began anew, is not taken for the next one.
+// A late page, received after the reader restarted, is not accepted as the next one.
 func TestReaderIgnoresPageThatSkips(t *testing.T) {
 	log := snapshotLog(t)
 	interest := interestIn("h", "x")
@@ -50,11 +50,11 @@
 		t.Fatalf("the last page: %+v, %v", complete, err)
 	}
 	replica := NewReplica(interest)
-	complete := readWhole(t, log, reader, replica.Revision(), &interest, 1, nil)
+	complete := readComplete(t, log, reader, replica.Revision(), &interest, 1, nil)
 	if _, err := replica.Take(complete); err != nil {
 		t.Fatal(err)
 	}
-	requireCopy(t, log, replica, interest)
+	requireReplica(t, log, replica, interest)
 }
 
 // The last page of a snapshot alone is no snapshot.
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestReaderTakesRepeatedPages(t *testing.T) {
+func TestReaderAcceptsRepeatedPages(t *testing.T) {
 	log := snapshotLog(t)
 	interest := interestIn("h", "x")
 	reader, replica := NewReader(testLimits()), NewReplica(interest)
@@ -86,15 +86,15 @@
 		}
 	}
 	if complete == nil {
-		t.Fatal("the update never was whole")
+		t.Fatal("the update was never complete")
 	}
 	if _, err := replica.Take(*complete); err != nil {
 		t.Fatal(err)
 	}
-	requireCopy(t, log, replica, interest)
+	requireReplica(t, log, replica, interest)
 }
 
-func TestReaderBoundsWhatItJoins(t *testing.T) {
+func TestReaderBoundsWhatItAssembles(t *testing.T) {
 	log := newLog(testLimits())
 	for n := range 9 {
 		publish(t, log, put(fmt.Sprintf("r%d", n), "x", content(n)))
@@ -121,14 +121,14 @@
 	}
 }
 
-func TestReaderBeginsAnewAfterCompaction(t *testing.T) {
+func TestReaderRestartsAfterCompaction(t *testing.T) {
 	log := newLog(Limits{Resources: 20, History: 4})
 	interest := interestIn("h", "x")
 	for n := range 8 {
 		publish(t, log, put(fmt.Sprintf("r%d", n), "x", content(n)))
 	}
 	replica, rounds := NewReplica(interest), 0
-	complete := readWhole(t, log, NewReader(testLimits()), Revision{}, &interest, 1, func() {
+	complete := readComplete(t, log, NewReader(testLimits()), Revision{}, &interest, 1, func() {
 		if rounds++; rounds <= 3 {
 			publish(t, log, remove(fmt.Sprintf("r%d", rounds)))
 			publish(t, log, put("r0", "x", content(10+rounds)))
@@ -137,11 +137,11 @@
 	if _, err := replica.Take(complete); err != nil {
 		t.Fatal(err)
 	}
-	requireCopy(t, log, replica, interest)
+	requireReplica(t, log, replica, interest)
 }
 
-// A history that is longer than the resources are many can hold more names than these.
-func TestReaderTakesAllNamesOfTheHistory(t *testing.T) {
+// A history longer than the number of resources can hold more names than there are resources.
+func TestReaderAcceptsAllNamesOfTheHistory(t *testing.T) {
 	limits := Limits{Resources: 2, History: 50}
 	log := newLog(limits)
 	publish(t, log, put("first", "x", content(1)))
@@ -152,7 +152,7 @@
 		publish(t, log, remove(name))
 	}
 	for _, bytes := range []int{0, 1} {
-		complete := readWhole(t, log, NewReader(limits), held, nil, bytes, nil)
+		complete := readComplete(t, log, NewReader(limits), held, nil, bytes, nil)
 		if len(complete.Resources) != 20 || len(complete.Changes) != 40 {
 			t.Errorf("%d resources, %d changes", len(complete.Resources), len(complete.Changes))
 		}
--- a/internal/fleet/distribution/registry_test.go
+++ b/internal/fleet/distribution/registry_test.go
@@ -8,74 +8,6 @@
 	"time"
 )
 
-// settledAt is what a host says that has all up to a revision in force.
-func settledAt(revision Revision) HostState {
-	return HostState{Received: revision, Settled: true, Applied: revision}
-}
-
-// refusedAt is what a host says of which an instance refused a revision.
-func refusedAt(revision Revision) HostState {
-	state := settledAt(revision)
-	state.Rejections = []Rejection{{Instance: "i", Resource: "a", Revision: revision, Reason: "no"}}
-	return state
-}
-
-// counts are those of a Status.
-type counts struct{ hosts, inForce, refused, behind, away int }
-
-func requireCounts(t failer, registry *Registry, revision Revision, want counts) {
-	t.Helper()
-	status := registry.Status(revision, 100)
-	have := counts{status.Hosts, status.InForce, status.Rejected, status.Behind, status.Unavailable}
-	if have != want {
-		t.Errorf("at %v: %+v; want %+v", status.Revision, have, want)
-	}
-	requireSum(t, status)
-	if len(status.Missing) != min(status.Hosts-status.InForce, 100) {
-		t.Errorf("%d hosts are named", len(status.Missing))
-	}
-}
-
-func requireSum(t failer, status Status) {
-	t.Helper()
-	if sum := status.InForce + status.Rejected + status.Behind + status.Unavailable; sum != status.Hosts {
-		t.Errorf("%d of %d hosts are counted: %+v", sum, status.Hosts, status)
-	}
-}
-
-// forward passes all reports of a relay on to another registry, some at a time.
-func forward(from, to *Registry, limit int) {
-	for {
-		reports, all := from.Reports(limit)
-		position := Revision{}
-		if all {
-			position = from.Position()
-		}
-		to.Merge(from.relay, position, reports)
-		if all {
-			return
-		}
-	}
-}
-
-func mustJoin(t testing.TB, registry *Registry, interest Interest, session int64, state HostState) {
-	t.Helper()
-	if err := registry.Join(testTime, interest, session, state); err != nil {
-		t.Fatalf("%s, session %d: %v", interest.Host, session, err)
-	}
-}
-
-// tell reads what a subscriber has not received, and notes that it was sent that.
-func tell(t testing.TB, registry *Registry, state *State, interest Interest, session int64, held Revision) Update {
-	t.Helper()
-	update, err := state.Read(Query{After: held, Interest: &interest})
-	if err != nil {
-		t.Fatal(err)
-	}
-	registry.Acknowledged(interest.Host, session, &update)
-	return update
-}
-
 func TestRegistryFollowsChangesOfConcern(t *testing.T) {
 	log, registry := newLog(testLimits()), NewRegistry("r1", 10)
 	registry.Advance(log)
@@ -87,7 +19,7 @@
 	resource := publish(t, log, put("a", "x", content(1)))
 	registry.Advance(log)
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
-	tell(t, registry, log, x, 1, Revision{1, 0})
+	sendUpdate(t, registry, log, x, 1, Revision{1, 0})
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
 	registry.Acknowledge("hx", 1, HostState{Received: resource.Revision, Applied: Revision{1, 0}, Waiting: "an operation"})
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
@@ -99,16 +31,16 @@
 	registry.Advance(log)
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 2})
 
-	registry.Acknowledge("hx", 1, refusedAt(log.Revision()))
-	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 1, refused: 1})
+	registry.Acknowledge("hx", 1, rejectedAt(log.Revision()))
+	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 1, rejected: 1})
 	requireCounts(t, registry, resource.Revision, counts{hosts: 2, inForce: 2})
 	if status := registry.Status(Revision{}, 0); len(status.Missing) != 0 {
 		t.Errorf("none is to be named: %v", status.Missing)
 	}
 }
 
-// A host that joins with an earlier revision has not got what came since, as long as the
-// relay has not looked whether that concerns it.
+// A host that joins with an earlier revision counts as behind until the relay has checked
+// whether the changes since are in its interest.
 func TestRegistryDoesNotTrustJoinWithEarlierRevision(t *testing.T) {
 	log, registry := newLog(testLimits()), NewRegistry("r1", 10)
 	before := log.Revision()
@@ -122,10 +54,10 @@
 	forward(registry, writer, 1)
 	requireCounts(t, writer, log.Revision(), counts{hosts: 2, behind: 2})
 
-	if update := tell(t, registry, log, y, 2, before); !update.Empty() {
+	if update := sendUpdate(t, registry, log, y, 2, before); !update.Empty() {
 		t.Fatalf("%+v", update)
 	}
-	if update := tell(t, registry, log, x, 1, before); update.Empty() {
+	if update := sendUpdate(t, registry, log, x, 1, before); update.Empty() {
 		t.Fatalf("%+v", update)
 	}
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
@@ -133,8 +65,8 @@
 	requireCounts(t, writer, log.Revision(), counts{hosts: 2, inForce: 1, behind: 1})
 }
 
-// An update that was read before a change is sent after it: the change is still to come.
-func TestRegistryToldOfEarlierRevision(t *testing.T) {
+// An update read before a change and sent after it does not cover the change.
+func TestRegistryUpdateReadBeforeAChange(t *testing.T) {
 	log, registry := newLog(testLimits()), NewRegistry("r1", 10)
 	registry.Advance(log)
 	x := interestIn("hx", "x")
@@ -184,7 +116,7 @@
 	}
 	registry.Leave(testTime, "h2", 2)
 	if registry.Subscribers() != 2 {
-		t.Errorf("an earlier session leaves: %d subscribers", registry.Subscribers())
+		t.Errorf("an earlier session ends: %d subscribers", registry.Subscribers())
 	}
 	registry.Leave(testTime, "h2", 3)
 	registry.Leave(testTime, "h2", 3)
@@ -194,13 +126,13 @@
 	mustJoin(t, registry, interestIn("h3", "x"), 5, HostState{})
 }
 
-func TestRegistryBoundsRefusals(t *testing.T) {
+func TestRegistryBoundsRejections(t *testing.T) {
 	registry := NewRegistry("r1", 2)
 	state := HostState{Settled: true, Rejections: make([]Rejection, maxRejections+5)}
 	mustJoin(t, registry, interestIn("h1", "x"), 1, state)
 	reports, _ := registry.Reports(1)
 	if len(reports[0].State.Rejections) != maxRejections {
-		t.Errorf("%d refusals", len(reports[0].State.Rejections))
+		t.Errorf("%d rejections", len(reports[0].State.Rejections))
 	}
 }
 
@@ -216,15 +148,15 @@
 	forward(near, writer, 1)
 	requireCounts(t, writer, Revision{}, counts{hosts: 1, inForce: 1})
 
-	// It moves, and the first relay's word that it has left comes last.
-	mustJoin(t, far, x, 2, refusedAt(log.Revision()))
+	// It moves, and the first relay's report that it is absent arrives last.
+	mustJoin(t, far, x, 2, rejectedAt(log.Revision()))
 	forward(far, writer, 1)
-	requireCounts(t, writer, Revision{}, counts{hosts: 1, refused: 1})
+	requireCounts(t, writer, Revision{}, counts{hosts: 1, rejected: 1})
 	near.Leave(testTime, "h", 1)
 	forward(near, writer, 1)
-	requireCounts(t, writer, Revision{}, counts{hosts: 1, refused: 1})
+	requireCounts(t, writer, Revision{}, counts{hosts: 1, rejected: 1})
 
-	// To the writer itself, and away again.
+	// It moves to the writer itself and back.
 	mustJoin(t, writer, x, 3, settledAt(log.Revision()))
 	far.Leave(testTime, "h", 2)
 	forward(far, writer, 1)
@@ -273,7 +205,7 @@
 	publish(t, log, put("a", "x", content(1)))
 	writer.Advance(log)
 	writer.Lost(testTime, "r1")
-	requireCounts(t, writer, Revision{}, counts{hosts: 2, away: 2})
+	requireCounts(t, writer, Revision{}, counts{hosts: 2, unavailable: 2})
 	requireCounts(t, writer, Revision{1, 0}, counts{hosts: 2, inForce: 2})
 
 	relay.Advance(log)
@@ -283,12 +215,12 @@
 
 	writer.Lost(testTime, "r1")
 	writer.Forget(testTime.Add(hostRetention))
-	requireCounts(t, writer, Revision{}, counts{hosts: 2, inForce: 1, away: 1})
+	requireCounts(t, writer, Revision{}, counts{hosts: 2, inForce: 1, unavailable: 1})
 	writer.Forget(testTime.Add(hostRetention + 1))
 	requireCounts(t, writer, Revision{}, counts{})
 }
 
-func TestRegistryLeavesAndForgets(t *testing.T) {
+func TestRegistryForgetsAbsentHosts(t *testing.T) {
 	log, registry := newLog(testLimits()), NewRegistry("r1", 10)
 	registry.Advance(log)
 	mustJoin(t, registry, interestIn("h", "x"), 1, settledAt(log.Revision()))
@@ -298,7 +230,7 @@
 	requireCounts(t, registry, Revision{}, counts{hosts: 1, inForce: 1})
 	publish(t, log, put("a", "y", content(2)))
 	registry.Advance(log)
-	requireCounts(t, registry, Revision{}, counts{hosts: 1, away: 1})
+	requireCounts(t, registry, Revision{}, counts{hosts: 1, unavailable: 1})
 	registry.Forget(testTime.Add(hostRetention + 1))
 	requireCounts(t, registry, Revision{}, counts{})
 	if reports, all := registry.Reports(1); len(reports) != 0 || !all {
@@ -306,14 +238,14 @@
 	}
 }
 
-func TestRegistryNamesRefusedFirst(t *testing.T) {
+func TestRegistryListsRejectionsFirst(t *testing.T) {
 	log, registry := newLog(testLimits()), NewRegistry("r1", 100)
 	publish(t, log, put("a", "x", content(1)))
 	registry.Advance(log)
 	for n := range 10 {
 		state := HostState{}
 		if n == 7 {
-			state = refusedAt(log.Revision())
+			state = rejectedAt(log.Revision())
 		}
 		mustJoin(t, registry, interestIn(fmt.Sprintf("h%d", n), "x"), int64(n+1), state)
 	}
@@ -323,7 +255,7 @@
 	}
 }
 
-func TestRegistryPassesReportsOnInParts(t *testing.T) {
+func TestRegistryForwardsReportsInParts(t *testing.T) {
 	registry, writer := NewRegistry("r1", 100), NewRegistry("writer", 1)
 	for n := range 10 {
 		mustJoin(t, registry, interestIn(fmt.Sprintf("h%d", n), "x"), int64(n+1), HostState{})
@@ -361,8 +293,8 @@
 	}
 }
 
-// A host that goes on from empty updates, which it does not acknowledge, stays settled: what
-// it was asked to take is what it has.
+// A host that continues from empty updates, which it does not acknowledge, stays settled: it
+// holds every change that it was sent.
 func TestRegistryKeepsHostSettledOverEmptyUpdates(t *testing.T) {
 	state := NewState(DefaultLimits())
 	registry := NewRegistry("relay", 10)
@@ -396,7 +328,7 @@
 		latest := put("other", []string{"two", "three"}[n%2])
 		update := ask(first)
 		if !update.Empty() {
-			t.Fatalf("a change of another service is told: %+v", update)
+			t.Fatalf("a change of another service is sent: %+v", update)
 		}
 		// It asks from there on, and has acknowledged nothing since.
 		ask(update.Revision)
@@ -405,6 +337,6 @@
 		}
 	}
 	if latest := put("limits/more", "one"); registry.Status(latest, 1).Behind != 1 {
-		t.Error("a change that concerns it is in force before it was told")
+		t.Error("a change in its interest is in force before it was sent")
 	}
 }
--- a/internal/fleet/distribution/replica_test.go
+++ b/internal/fleet/distribution/replica_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestReplicaTakesDeltaAndSnapshot(t *testing.T) {
+func TestReplicaAppliesDeltaAndSnapshot(t *testing.T) {
 	log := newLog(testLimits())
 	interest := interestIn("h", "x")
 	replica := NewReplica(interest)
@@ -28,10 +28,10 @@
 	if _, err := replica.Take(snapshot); !isInvalid(err) {
 		t.Errorf("an earlier snapshot: %v", err)
 	}
-	requireCopy(t, log, replica, interest)
+	requireReplica(t, log, replica, interest)
 }
 
-func TestReplicaStaysAsItIsOnError(t *testing.T) {
+func TestReplicaUnchangedOnError(t *testing.T) {
 	log := newLog(testLimits())
 	interest := interestIn("h", "x")
 	replica := NewReplica(interest)
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestShareGrowsByHosts(t *testing.T) {
+func TestLargerFractionContainsSmaller(t *testing.T) {
 	const hosts = 10_000
 	for _, share := range []float64{0.01, 0.1, 0.5, 0.9} {
 		held := 0
@@ -86,17 +86,17 @@
 			}
 			held++
 			if !(Scope{Fraction: min(share*1.5, 1)}).Matches("a", host, nil) {
-				t.Fatalf("%s is in a share of %v, and not in a larger one", host, share)
+				t.Fatalf("%s is in a fraction of %v, and not in a larger one", host, share)
 			}
 		}
 		if drawn := float64(held) / hosts; drawn < share-0.02 || drawn > share+0.02 {
-			t.Errorf("a share of %v holds %v", share, drawn)
+			t.Errorf("a fraction of %v holds %v", share, drawn)
 		}
 	}
 }
 
-// keep writes a replica's batch and returns what is restored from the rows.
-func keep(t *testing.T, store *disk, replica, before *Replica, interest Interest) *Replica {
+// storeAndRestore writes a replica's batch and returns the replica restored from the entries.
+func storeAndRestore(t *testing.T, store *disk, replica, before *Replica, interest Interest) *Replica {
 	t.Helper()
 	store.write(replica.Batch(before))
 	restored, err := RestoreReplica(interest, store.all())
@@ -106,7 +106,7 @@
 	return restored
 }
 
-func TestReplicaRestoresFromRows(t *testing.T) {
+func TestReplicaRestoresFromEntries(t *testing.T) {
 	log, store := newLog(testLimits()), newDisk()
 	interest := interestIn("h", "x")
 	replica := NewReplica(interest)
@@ -119,14 +119,14 @@
 			t.Fatal(err)
 		}
 		subscribe(t, log, replica, interest, 0)
-		requireCopy(t, log, keep(t, store, replica, before, interest), interest)
+		requireReplica(t, log, storeAndRestore(t, store, replica, before, interest), interest)
 		before = replica.Clone()
 
 		// The one before, whose batch was lost, gets there as well.
 		subscribe(t, log, lost, interest, 0)
-		requireCopy(t, log, lost, interest)
-		if n == 0 && len(store.rows) != 2 {
-			t.Errorf("%d rows", len(store.rows))
+		requireReplica(t, log, lost, interest)
+		if n == 0 && len(store.entries) != 2 {
+			t.Errorf("%d entries", len(store.entries))
 		}
 	}
 	for key, value := range map[string]string{replicaKey: "[]", replicaPrefix + "c": `{"name":"c"}`, replicaPrefix + "d": ""} {
@@ -137,8 +137,8 @@
 	}
 }
 
-// Other instances ask for a snapshot, and hold nothing else after it; what was kept serves
-// until then, and an epoch that is over stays over.
+// A replica restored for another interest gets a snapshot and holds nothing else afterwards.
+// The stored resources serve until then, and the known epoch is retained.
 func TestReplicaWithOtherInterestGetsSnapshot(t *testing.T) {
 	log, store := newLog(testLimits()), newDisk()
 	x, y := interestIn("h", "x"), interestIn("h", "x", "y")
@@ -146,16 +146,16 @@
 	publish(t, log, put("a", "x", content(1)))
 	publish(t, log, put("b", "y", content(1)))
 	subscribe(t, log, replica, y, 0)
-	restored := keep(t, store, replica, nil, x)
+	restored := storeAndRestore(t, store, replica, nil, x)
 	if names := restored.Names(); !slices.Equal(names, []string{"a", "b"}) {
-		t.Errorf("kept %v", names)
+		t.Errorf("stored %v", names)
 	}
 	update, err := log.Read(NewReader(testLimits()).Query(restored.Revision(), &x))
 	if err != nil || !update.Snapshot {
 		t.Errorf("snapshot %v, %v", update.Snapshot, err)
 	}
 	subscribe(t, log, restored, x, 0)
-	requireCopy(t, log, restored, x)
+	requireReplica(t, log, restored, x)
 }
 
 func TestReplicaWithOtherInterestRemembersEpoch(t *testing.T) {
@@ -164,8 +164,8 @@
 	x, y := interestIn("h", "x"), interestIn("h", "x", "y")
 	replica := NewReplica(x)
 	subscribe(t, promoted, replica, x, 0)
-	restored := keep(t, store, replica, nil, y)
-	again := keep(t, store, restored, replica, y)
+	restored := storeAndRestore(t, store, replica, nil, y)
+	again := storeAndRestore(t, store, restored, replica, y)
 	late, err := old.Read(Query{Interest: &y})
 	if err != nil {
 		t.Fatal(err)
@@ -175,6 +175,6 @@
 			t.Errorf("%v", err)
 		}
 		subscribe(t, promoted, r, y, 0)
-		requireCopy(t, promoted, r, y)
+		requireReplica(t, promoted, r, y)
 	}
 }
--- a/internal/fleet/distribution/state.go
+++ b/internal/fleet/distribution/state.go
@@ -165,7 +165,7 @@
 	return slices.SortedFunc(maps.Values(latest), compareRevisions)
 }
 
-// visibleTo returns the resource of a change as the interest sees it now. A resource that is gone
+// visibleTo returns the resource of a change as the interest sees it now. A resource that was removed
 // has the revision of the change that removed it from the interest, which is the last that concerns
 // it: a page that ends between that change and a later one must hold it.
 func (s *State) visibleTo(interest *Interest, change *Change) Resource {
--- a/internal/fleet/distribution/state_test.go
+++ b/internal/fleet/distribution/state_test.go
@@ -27,8 +27,8 @@
 	}
 	subscribe(t, log, atX, x, 0)
 	subscribe(t, log, atY, y, 0)
-	requireCopy(t, log, atX, x)
-	requireCopy(t, log, atY, y)
+	requireReplica(t, log, atX, x)
+	requireReplica(t, log, atY, y)
 }
 
 func TestRescopedWhileMovingBetweenRelays(t *testing.T) {
@@ -43,7 +43,7 @@
 	publish(t, log, put("a", "z", content(1)))
 	catchUp(t, log, far, 0)
 	subscribe(t, far, replica, interest, 0)
-	requireCopy(t, far, replica, interest)
+	requireReplica(t, far, replica, interest)
 	if _, err := near.Read(Query{After: replica.Revision(), Interest: &interest}); !isAhead(err) {
 		t.Errorf("a relay behind: %v", err)
 	}
@@ -51,11 +51,11 @@
 	publish(t, log, put("a", "x", content(1)))
 	catchUp(t, log, near, 0)
 	subscribe(t, near, replica, interest, 0)
-	requireCopy(t, near, replica, interest)
+	requireReplica(t, near, replica, interest)
 }
 
-// A resource that left the reader's scope and changed again later is removed for the reader
-// also where a page ends between these two changes.
+// A resource that left the reader's interest and changed again later is removed for the reader
+// even if a page ends between these two changes.
 func TestTombstoneIsNotLostBetweenPages(t *testing.T) {
 	log := newLog(testLimits())
 	interest := interestIn("h", "x")
@@ -67,7 +67,7 @@
 	publish(t, log, put("a", "z", content(1)))
 	publish(t, log, put("c", "x", content(1)))
 	subscribe(t, log, replica, interest, 1)
-	requireCopy(t, log, replica, interest)
+	requireReplica(t, log, replica, interest)
 }
 
 func TestCompactionGivesSnapshot(t *testing.T) {
@@ -92,7 +92,7 @@
 		}
 	}
 	subscribe(t, log, replica, interest, 0)
-	requireCopy(t, log, replica, interest)
+	requireReplica(t, log, replica, interest)
 	catchUp(t, log, relay, 0)
 	requireSameState(t, log, relay)
 
@@ -111,7 +111,7 @@
 	for n := range 8 {
 		publish(t, log, put("b", "x", content(n)))
 	}
-	next, err := relay.Follow(readWhole(t, log, NewReader(testLimits()), relay.Revision(), nil, 0, nil))
+	next, err := relay.Follow(readComplete(t, log, NewReader(testLimits()), relay.Revision(), nil, 0, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 		t.Errorf("history of %d", len(relay.history))
 	}
 	changes := 0
-	for key := range store.rows {
+	for key := range store.entries {
 		if strings.HasPrefix(key, changePrefix) {
 			changes++
 		}
@@ -132,7 +132,7 @@
 	requireSameState(t, log, relay)
 }
 
-func TestPagesWhileChangesGoOn(t *testing.T) {
+func TestPagesDuringChanges(t *testing.T) {
 	for _, snapshot := range []bool{false, true} {
 		for _, bytes := range []int{1, resourceOverhead * 3} {
 			t.Run(fmt.Sprintf("snapshot=%v/bytes=%d", snapshot, bytes), func(t *testing.T) {
@@ -161,13 +161,13 @@
 						publish(t, log, put("new", "x", content(1)))
 					}
 				}
-				update := readWhole(t, log, NewReader(testLimits()), replica.Revision(), &interest, bytes, between)
+				update := readComplete(t, log, NewReader(testLimits()), replica.Revision(), &interest, bytes, between)
 				if _, err := replica.Take(update); err != nil {
 					t.Fatal(err)
 				}
-				requireCopy(t, log, replica, interest)
+				requireReplica(t, log, replica, interest)
 				step = 0
-				next, err := relay.Follow(readWhole(t, log, NewReader(testLimits()), relay.Revision(), nil, bytes, between))
+				next, err := relay.Follow(readComplete(t, log, NewReader(testLimits()), relay.Revision(), nil, bytes, between))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -178,8 +178,8 @@
 	}
 }
 
-// The history of one resource that changed often does not fit into one message of a relay's
-// connection: pages are bounded by what they hold of it also.
+// The history of one frequently changed resource may exceed the maximum message of a relay's
+// connection, so pages are also bounded by the size of their changes.
 func TestPageIsBoundedByChanges(t *testing.T) {
 	const bytes = 20_000
 	log := newLog(Limits{Resources: 10, History: 2000})
@@ -195,10 +195,10 @@
 	}
 	data, err := msgpack.Marshal(&page)
 	if err != nil || len(data) > 2*bytes || !page.More {
-		t.Errorf("a page of %d bytes, %d changes, more %v, %v; %d asked for", len(data), len(page.Changes), page.More, err, bytes)
+		t.Errorf("a page of %d bytes, %d changes, more %v, %v; %d requested", len(data), len(page.Changes), page.More, err, bytes)
 	}
 	reader := NewReader(Limits{Resources: 10, History: 2000})
-	next, err := relay.Follow(readWhole(t, log, reader, relay.Revision(), nil, bytes, nil))
+	next, err := relay.Follow(readComplete(t, log, reader, relay.Revision(), nil, bytes, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,8 +209,8 @@
 	}
 }
 
-// A relay that is behind the beginning of a snapshot can't go on with it.
-func TestSnapshotDoesNotGoOnAtRelayBehind(t *testing.T) {
+// A relay that is behind the beginning of a snapshot can't continue it.
+func TestSnapshotDoesNotContinueAtRelayBehind(t *testing.T) {
 	log, behindRelay := newLog(testLimits()), NewState(testLimits())
 	for n := range 4 {
 		publish(t, log, put(fmt.Sprintf("r%d", n), "x", content(n)))
@@ -253,9 +253,9 @@
 	}
 }
 
-// Every state is restored from what its batches wrote, and a lost batch is as if its step had
-// not been made.
-func TestRestoreAfterEachBatch(t *testing.T) {
+// Every state can be restored from its batches, and losing the last batch is equivalent to not
+// making its step.
+func TestRestoreAfterEveryBatch(t *testing.T) {
 	limits := Limits{Resources: 10, History: 4}
 	log, store := NewState(limits), newDisk()
 	do := func(next *Step, err error) {
@@ -307,14 +307,14 @@
 		t.Fatal(err)
 	}
 	do(log.Follow(delta))
-	if keys := len(store.rows); keys != len(log.resources)+len(log.history)+1 {
-		t.Errorf("%d rows for %d resources and %d changes", keys, len(log.resources), len(log.history))
+	if keys := len(store.entries); keys != len(log.resources)+len(log.history)+1 {
+		t.Errorf("%d entries for %d resources and %d changes", keys, len(log.resources), len(log.history))
 	}
 }
 
 func sameChange(x, y Change) bool { return x.Revision == y.Revision && x.Name == y.Name }
 
-func TestRestoreRefusesSpoiltRows(t *testing.T) {
+func TestRestoreRejectsCorruptEntries(t *testing.T) {
 	log, store := NewState(testLimits()), newDisk()
 	next := log.Promote(1)
 	store.write(next.Batch())
@@ -324,7 +324,7 @@
 		t.Fatal(err)
 	}
 	store.write(next.Batch())
-	for key := range store.rows {
+	for key := range store.entries {
 		for _, value := range []string{"", "[]", `{"name":"b"}`} {
 			if key == revisionKey && value != "" && value != "[]" || strings.HasPrefix(key, changePrefix) && value == `{"name":"b"}` {
 				continue // it is a row of that kind
@@ -341,6 +341,6 @@
 		}
 	}
 	if _, err := Restore(testLimits(), append(store.all(), Entry{Key: "other", Value: nil})); err != nil {
-		t.Errorf("a row of something else: %v", err)
+		t.Errorf("an entry with an unknown key: %v", err)
 	}
 }
