--- a/internal/fleet/distribution/node/node.go
+++ b/internal/fleet/distribution/node/node.go
@@ -37,16 +37,16 @@
 	// nothing is given up.
 	watchWait = 4 * time.Second
 	// watchSlack is how much longer than its wait a call may take.
-	watchSlack = 2 * time.Second
-	maxDial    = 3 * time.Second
-	maxCall    = 3 * time.Second
-	maxCommit  = 5 * time.Second
+	watchSlack    = 2 * time.Second
+	dialTimeout   = 3 * time.Second
+	callTimeout   = 3 * time.Second
+	commitTimeout = 5 * time.Second
 	// pageBytes is the size of one answer, about.
 	pageBytes = 512 << 10
 )
 
-// pause waits, and says whether ctx still lives.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits, and says whether ctx still lives.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -71,7 +71,7 @@
 }
 
 // codes are the errors of package distribution by their code on the wire.
-func code(err error) string {
+func errorCode(err error) string {
 	switch {
 	case errors.As(err, new(*distribution.InvalidError)):
 		return api.SettingsInvalid
@@ -100,7 +100,7 @@
 		error
 		Advice() string
 	}](err)
-	if name := code(err); ok && name != "" {
+	if name := errorCode(err); ok && name != "" {
 		return api.Errorf(name, "%v: %s", err, advised.Advice())
 	}
 	return err
--- a/internal/fleet/distribution/node/relay.go
+++ b/internal/fleet/distribution/node/relay.go
@@ -32,16 +32,16 @@
 // Relay serves a copy of the settings, and is the writer where the highest epoch that it knows
 // names it. Close ends it.
 type Relay struct {
-	cfg     RelayConfig
-	process string // new with each start
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
+	config     RelayConfig
+	process    string // new with each start
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
 	// writing is held over a change of the copy, from its proposal until it is made; mu is
 	// taken within it.
-	writing sync.Mutex
-	unsure  bool // what the store holds is not known; guarded by writing
+	writing        sync.Mutex
+	storeUncertain bool // what the store holds is not known; guarded by writing
 
 	mu       sync.Mutex
 	state    *distribution.State
@@ -49,7 +49,7 @@
 	writer   api.SettingsWriter
 	changed  chan struct{}            // closed at the next change of state or writer
 	reported map[string]relayReported // by relay; at the writer
-	told     map[string]bool          // relays that know of this epoch; at the writer
+	notified map[string]bool          // relays that know of this epoch; at the writer
 }
 
 // relayReported is the last report of a relay.
@@ -59,14 +59,14 @@
 }
 
 // NewRelay restores a relay from its store's rows and starts it.
-func NewRelay(cfg RelayConfig, process string, rows []distribution.Entry) (*Relay, error) {
-	state, err := distribution.Restore(cfg.Limits, rows)
+func NewRelay(config RelayConfig, process string, rows []distribution.Entry) (*Relay, error) {
+	state, err := distribution.Restore(config.Limits, rows)
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{cfg: cfg, process: process, state: state, registry: distribution.NewRegistry(cfg.Name, cfg.Subscribers),
-		writer: api.SettingsWriter{Writer: cfg.Writer, Epoch: 1}, changed: make(chan struct{}),
-		reported: make(map[string]relayReported), told: make(map[string]bool)}
+	r := &Relay{config: config, process: process, state: state, registry: distribution.NewRegistry(config.Name, config.Subscribers),
+		writer: api.SettingsWriter{Writer: config.Writer, Epoch: 1}, changed: make(chan struct{}),
+		reported: make(map[string]relayReported), notified: make(map[string]bool)}
 	for _, row := range rows {
 		if row.Key != writerKey {
 			continue
@@ -77,17 +77,17 @@
 	}
 	r.registry.Advance(state)
 	r.ctx, r.cancel = context.WithCancel(context.Background())
-	r.wg.Go(r.follow)
-	r.wg.Go(r.report)
-	r.wg.Go(r.keep)
-	r.wg.Go(r.announceUntilClosed)
+	r.goroutines.Go(r.followUntilClosed)
+	r.goroutines.Go(r.reportUntilClosed)
+	r.goroutines.Go(r.runMaintenance)
+	r.goroutines.Go(r.announceUntilClosed)
 	return r, nil
 }
 
 // Close ends the relay. Nothing of it runs when it returns.
 func (r *Relay) Close() {
 	r.cancel()
-	r.wg.Wait()
+	r.goroutines.Wait()
 }
 
 // Writer is the highest epoch that is known, and who writes in it.
@@ -97,11 +97,11 @@
 	return r.writer
 }
 
-func (r *Relay) writes() bool { return r.Writer().Writer == r.cfg.Name }
+func (r *Relay) isWriter() bool { return r.Writer().Writer == r.config.Name }
 
 // relay is one of the configured relays; false if there is none of that name.
 func (r *Relay) relay(name string) (distribution.Relay, bool) {
-	for _, other := range r.cfg.Relays {
+	for _, other := range r.config.Relays {
 		if other.Name == name {
 			return other, true
 		}
@@ -109,51 +109,51 @@
 	return distribution.Relay{}, false
 }
 
-// bump wakes those who wait; the lock is held.
-func (r *Relay) bump() {
+// notifyWaiters wakes those who wait; the lock is held.
+func (r *Relay) notifyWaiters() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
 // commit writes rows to disk. After an error it is not known what the store holds.
 func (r *Relay) commit(batch distribution.Batch) error {
-	ctx, cancel := context.WithTimeout(r.ctx, maxCommit)
+	ctx, cancel := context.WithTimeout(r.ctx, commitTimeout)
 	defer cancel()
-	err := r.cfg.Store.Commit(ctx, &store.Change{Settings: batch.Put, DropSettings: batch.Drop})
+	err := r.config.Store.Commit(ctx, &store.Change{Settings: batch.Put, DropSettings: batch.Drop})
 	if err != nil {
-		r.unsure = true
-		return api.Errorf(api.Unwritable, "relay %s: the settings can't be written: %v", r.cfg.Name, err)
+		r.storeUncertain = true
+		return api.Errorf(api.Unwritable, "relay %s: the settings can't be written: %v", r.config.Name, err)
 	}
 	return nil
 }
 
-// sure reads the store again after a write of unknown outcome, so that what it holds and
+// reloadIfUncertain reads the store again after a write of unknown outcome, so that what it holds and
 // what is served are the same: a revision never gets a second content. writing is held.
-func (r *Relay) sure() error {
-	if !r.unsure {
+func (r *Relay) reloadIfUncertain() error {
+	if !r.storeUncertain {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(r.ctx, maxCommit)
+	ctx, cancel := context.WithTimeout(r.ctx, commitTimeout)
 	defer cancel()
-	snapshot, err := r.cfg.Store.Load(ctx)
+	snapshot, err := r.config.Store.Load(ctx)
 	if err != nil {
-		return api.Errorf(api.Unwritable, "relay %s: the settings can't be read again: %v", r.cfg.Name, err)
+		return api.Errorf(api.Unwritable, "relay %s: the settings can't be read again: %v", r.config.Name, err)
 	}
-	state, err := distribution.Restore(r.cfg.Limits, snapshot.Settings)
+	state, err := distribution.Restore(r.config.Limits, snapshot.Settings)
 	if err != nil {
 		return err
 	}
-	r.unsure = false
+	r.storeUncertain = false
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state = state
 	r.registry.Advance(state)
-	r.bump()
+	r.notifyWaiters()
 	return nil
 }
 
-// make carries a step out that state has worked out: to disk, then into memory.
-func (r *Relay) make(step *distribution.Step) error {
+// apply carries a step out that state has worked out: to disk, then into memory.
+func (r *Relay) apply(step *distribution.Step) error {
 	if err := r.commit(step.Batch()); err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 	defer r.mu.Unlock()
 	r.state.Make(step)
 	r.registry.Advance(r.state)
-	r.bump()
+	r.notifyWaiters()
 	return nil
 }
 
@@ -171,14 +171,14 @@
 func (r *Relay) Put(put distribution.Put) (*api.SettingsPutOut, error) {
 	r.writing.Lock()
 	defer r.writing.Unlock()
-	if err := r.sure(); err != nil {
+	if err := r.reloadIfUncertain(); err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
 	writer := r.writer
-	if writer.Writer != r.cfg.Name {
+	if writer.Writer != r.config.Name {
 		r.mu.Unlock()
-		return nil, &distribution.NotWriterError{Here: r.cfg.Name, Writer: writer.Writer, Epoch: writer.Epoch}
+		return nil, &distribution.NotWriterError{Here: r.config.Name, Writer: writer.Writer, Epoch: writer.Epoch}
 	}
 	resource, step, err := r.state.Propose(time.Now(), writer.Epoch, put)
 	r.mu.Unlock()
@@ -188,7 +188,7 @@
 	if step == nil {
 		return &api.SettingsPutOut{Resource: resource}, nil
 	}
-	if err := r.make(step); err != nil {
+	if err := r.apply(step); err != nil {
 		return nil, err
 	}
 	return &api.SettingsPutOut{Resource: resource, Changed: true}, nil
@@ -199,12 +199,12 @@
 // while they know nothing of each other never write in the same epoch.
 func (r *Relay) nextEpoch(known int64) int64 {
 	var share int64
-	for _, other := range r.cfg.Relays {
-		if other.Name < r.cfg.Name {
+	for _, other := range r.config.Relays {
+		if other.Name < r.config.Name {
 			share++
 		}
 	}
-	all := int64(len(r.cfg.Relays))
+	all := int64(len(r.config.Relays))
 	next := known + 1
 	return next + (share-next%all+all)%all
 }
@@ -214,31 +214,31 @@
 func (r *Relay) Promote() (*api.SettingsWriter, error) {
 	r.writing.Lock()
 	defer r.writing.Unlock()
-	if err := r.sure(); err != nil {
+	if err := r.reloadIfUncertain(); err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
-	next := api.SettingsWriter{Writer: r.cfg.Name, Epoch: r.nextEpoch(r.writer.Epoch)}
+	next := api.SettingsWriter{Writer: r.config.Name, Epoch: r.nextEpoch(r.writer.Epoch)}
 	step := r.state.Promote(next.Epoch)
 	r.mu.Unlock()
 	batch := step.Batch()
-	batch.Put = append(batch.Put, writerRow(next))
+	batch.Put = append(batch.Put, writerEntry(next))
 	if err := r.commit(batch); err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.writer = next
-	r.told = make(map[string]bool)
+	r.notified = make(map[string]bool)
 	r.reported = make(map[string]relayReported)
 	r.state.Make(step)
 	r.registry.Advance(r.state)
-	r.bump()
-	slog.Warn("this relay is the settings' writer now", "relay", r.cfg.Name, "epoch", next.Epoch, "revision", r.state.Revision().String())
+	r.notifyWaiters()
+	slog.Warn("this relay is the settings' writer now", "relay", r.config.Name, "epoch", next.Epoch, "revision", r.state.Revision().String())
 	return &next, nil
 }
 
-func writerRow(writer api.SettingsWriter) distribution.Entry {
+func writerEntry(writer api.SettingsWriter) distribution.Entry {
 	value, err := json.Marshal(writer)
 	if err != nil {
 		panic(err) // a string and a number
@@ -247,27 +247,27 @@
 }
 
 // Learn takes what another relay knows of the writer, and returns what is known here then.
-func (r *Relay) Learn(heard api.SettingsWriter) (*api.SettingsWriter, error) {
-	if heard.Epoch <= r.Writer().Epoch {
+func (r *Relay) Learn(received api.SettingsWriter) (*api.SettingsWriter, error) {
+	if received.Epoch <= r.Writer().Epoch {
 		known := r.Writer()
 		return &known, nil
 	}
-	if _, known := r.relay(heard.Writer); !known {
-		return nil, &distribution.InvalidError{What: "writer", Name: heard.Writer, Reason: "no relay of this configuration"}
+	if _, known := r.relay(received.Writer); !known {
+		return nil, &distribution.InvalidError{What: "writer", Name: received.Writer, Reason: "no relay of this configuration"}
 	}
 	r.writing.Lock()
 	defer r.writing.Unlock()
-	if heard.Epoch > r.Writer().Epoch {
-		if err := r.commit(distribution.Batch{Put: []distribution.Entry{writerRow(heard)}}); err != nil {
+	if received.Epoch > r.Writer().Epoch {
+		if err := r.commit(distribution.Batch{Put: []distribution.Entry{writerEntry(received)}}); err != nil {
 			return nil, err
 		}
 		r.mu.Lock()
-		if r.writer.Writer == r.cfg.Name {
-			slog.Warn("another relay is the settings' writer now", "relay", r.cfg.Name, "writer", heard.Writer, "epoch", heard.Epoch)
+		if r.writer.Writer == r.config.Name {
+			slog.Warn("another relay is the settings' writer now", "relay", r.config.Name, "writer", received.Writer, "epoch", received.Epoch)
 		}
-		r.writer = heard
+		r.writer = received
 		r.registry.ReportAll()
-		r.bump()
+		r.notifyWaiters()
 		r.mu.Unlock()
 	}
 	known := r.Writer()
@@ -294,16 +294,16 @@
 	return out
 }
 
-// maxStatus is how many hosts one answer names.
-const maxStatus = 500
+// maxStatusHosts is how many hosts one answer names.
+const maxStatusHosts = 500
 
 // Status says how far a revision is: at the writer of all hosts, elsewhere of those that
 // subscribe here.
 func (r *Relay) Status(in *api.SettingsStatusIn) *api.SettingsStatusOut {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return &api.SettingsStatusOut{Status: r.registry.Status(in.Revision, min(max(in.Limit, 0), maxStatus)),
-		Writer: r.writer, Relay: r.cfg.Name, Complete: r.writer.Writer == r.cfg.Name}
+	return &api.SettingsStatusOut{Status: r.registry.Status(in.Revision, min(max(in.Limit, 0), maxStatusHosts)),
+		Writer: r.writer, Relay: r.config.Name, Complete: r.writer.Writer == r.config.Name}
 }
 
 // Watch answers a subscriber with what is after the revision that it holds, once there is
@@ -326,7 +326,7 @@
 	if update, err := r.state.Read(query); err == nil {
 		r.registry.Acknowledged(in.Host, in.Session, &update) // also that nothing is new, before the wait
 	}
-	update, err := r.read(ctx, in.Wait, query)
+	update, err := r.waitForUpdate(ctx, in.Wait, query)
 	if err != nil {
 		return nil, err
 	}
@@ -334,9 +334,9 @@
 	return &api.SettingsWatchOut{Update: update, Writer: r.writer}, nil
 }
 
-// read waits until the state has an answer to a query that brings something; the lock is
+// waitForUpdate waits until the state has an answer to a query that brings something; the lock is
 // held but while it waits.
-func (r *Relay) read(ctx context.Context, wait time.Duration, query distribution.Query) (distribution.Update, error) {
+func (r *Relay) waitForUpdate(ctx context.Context, wait time.Duration, query distribution.Query) (distribution.Update, error) {
 	timer := time.NewTimer(min(max(wait, 0), 2*watchWait))
 	defer timer.Stop()
 	for {
@@ -384,10 +384,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.writer.Writer != r.cfg.Name {
-		return nil, &distribution.NotWriterError{Here: r.cfg.Name, Writer: r.writer.Writer, Epoch: r.writer.Epoch}
+	if r.writer.Writer != r.config.Name {
+		return nil, &distribution.NotWriterError{Here: r.config.Name, Writer: r.writer.Writer, Epoch: r.writer.Epoch}
 	}
-	update, err := r.read(ctx, in.Wait, distribution.Query{After: in.After, Began: in.Began, Bytes: pageBytes})
+	update, err := r.waitForUpdate(ctx, in.Wait, distribution.Query{After: in.After, Began: in.Began, Bytes: pageBytes})
 	if err != nil {
 		return nil, err
 	}
@@ -398,8 +398,8 @@
 func (r *Relay) Report(in *api.SettingsReportIn) (*api.SettingsReportOut, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.writer.Writer != r.cfg.Name {
-		return nil, &distribution.NotWriterError{Here: r.cfg.Name, Writer: r.writer.Writer, Epoch: r.writer.Epoch}
+	if r.writer.Writer != r.config.Name {
+		return nil, &distribution.NotWriterError{Here: r.config.Name, Writer: r.writer.Writer, Epoch: r.writer.Epoch}
 	}
 	if in.Epoch > r.writer.Epoch {
 		return nil, &distribution.FencedError{Epoch: r.writer.Epoch, Known: in.Epoch}
--- a/internal/fleet/distribution/node/relay_loops.go
+++ b/internal/fleet/distribution/node/relay_loops.go
@@ -15,35 +15,35 @@
 const (
 	// retryInterval is about how often the writer is looked for while it does not answer.
 	retryInterval = time.Second
-	// reportInterval is how often changed reports go to the writer, minReport how often a relay
+	// reportInterval is how often changed reports go to the writer, idleReportInterval how often a relay
 	// reports that it lives.
-	reportInterval = 250 * time.Millisecond
-	minReport      = 3 * time.Second
-	maxReport      = 1000 // hosts in one message
-	// relaySilent is when a relay that does not report counts as lost.
-	relaySilent = 12 * time.Second
-	// subscriberSilent is when a subscriber that does not ask counts as away.
-	subscriberSilent = 2 * (watchWait + watchSlack)
-	keepInterval     = time.Second
+	reportInterval     = 250 * time.Millisecond
+	idleReportInterval = 3 * time.Second
+	maxReportHosts     = 1000 // hosts in one message
+	// relaySilenceTimeout is when a relay that does not report counts as lost.
+	relaySilenceTimeout = 12 * time.Second
+	// subscriberSilenceTimeout is when a subscriber that does not ask counts as away.
+	subscriberSilenceTimeout = 2 * (watchWait + watchSlack)
+	maintenanceInterval      = time.Second
 )
 
-// follow copies the log of whoever is the writer, until the relay is closed.
-func (r *Relay) follow() {
+// followUntilClosed copies the log of whoever is the writer, until the relay is closed.
+func (r *Relay) followUntilClosed() {
 	logged := false
 	for r.ctx.Err() == nil {
-		if r.writes() {
+		if r.isWriter() {
 			r.waitForChange()
 			continue
 		}
 		err := r.followWriter()
 		if err != nil && !logged && r.ctx.Err() == nil {
-			slog.Warn("the settings' writer can't be followed; what is here is served on", "relay", r.cfg.Name, "writer", r.Writer().Writer, "err", err)
+			slog.Warn("the settings' writer can't be followed; what is here is served on", "relay", r.config.Name, "writer", r.Writer().Writer, "err", err)
 		}
 		logged = err != nil
-		if !pause(r.ctx, jittered(retryInterval)) {
+		if !sleep(r.ctx, jittered(retryInterval)) {
 			return
 		}
-		r.askAnother()
+		r.queryRandomRelay()
 	}
 }
 
@@ -59,26 +59,26 @@
 
 // dial connects to a relay.
 func (r *Relay) dial(relay distribution.Relay) (Conn, error) {
-	ctx, cancel := context.WithTimeout(r.ctx, maxDial)
+	ctx, cancel := context.WithTimeout(r.ctx, dialTimeout)
 	defer cancel()
-	return r.cfg.Dial(ctx, relay)
+	return r.config.Dial(ctx, relay)
 }
 
-// exchange tells another relay who writes, and learns what that one knows.
-func (r *Relay) exchange(conn Conn) error {
-	var heard api.SettingsWriter
-	if err := call(r.ctx, conn, maxCall, api.SettingsWriting, r.Writer(), &heard); err != nil {
+// exchangeWriter tells another relay who writes, and learns what that one knows.
+func (r *Relay) exchangeWriter(conn Conn) error {
+	var received api.SettingsWriter
+	if err := call(r.ctx, conn, callTimeout, api.SettingsWriting, r.Writer(), &received); err != nil {
 		return err
 	}
-	_, err := r.Learn(heard)
+	_, err := r.Learn(received)
 	return err
 }
 
-// askAnother asks a relay drawn at random who writes: the one known may be lost, and another
+// queryRandomRelay asks a relay drawn at random who writes: the one known may be lost, and another
 // promoted while this relay was away.
-func (r *Relay) askAnother() {
-	other := r.cfg.Relays[rand.IntN(len(r.cfg.Relays))]
-	if other.Name == r.cfg.Name {
+func (r *Relay) queryRandomRelay() {
+	other := r.config.Relays[rand.IntN(len(r.config.Relays))]
+	if other.Name == r.config.Name {
 		return
 	}
 	conn, err := r.dial(other)
@@ -86,7 +86,7 @@
 		return
 	}
 	defer conn.Close()
-	if err := r.exchange(conn); err != nil {
+	if err := r.exchangeWriter(conn); err != nil {
 		slog.Debug("a relay did not tell who writes", "relay", other.Name, "err", err)
 	}
 }
@@ -103,10 +103,10 @@
 		return err
 	}
 	defer conn.Close()
-	if err := r.exchange(conn); err != nil {
+	if err := r.exchangeWriter(conn); err != nil {
 		return err
 	}
-	reader := distribution.NewReader(r.cfg.Limits)
+	reader := distribution.NewReader(r.config.Limits)
 	for r.Writer() == writer {
 		if err := r.followOnce(conn, reader, writer); err != nil {
 			return err
@@ -119,23 +119,23 @@
 	r.mu.Lock()
 	query := reader.Query(r.state.Revision(), nil)
 	r.mu.Unlock()
-	in := &api.SettingsFollowIn{Relay: r.cfg.Name, Epoch: writer.Epoch, Writer: writer.Writer, After: query.After, Began: query.Began, Wait: watchWait}
+	in := &api.SettingsFollowIn{Relay: r.config.Name, Epoch: writer.Epoch, Writer: writer.Writer, After: query.After, Began: query.Began, Wait: watchWait}
 	var out api.SettingsWatchOut
 	if err := call(r.ctx, conn, watchWait+watchSlack, api.SettingsFollow, in, &out); err != nil {
 		return err
 	}
-	whole, err := reader.Take(out.Update)
-	if err != nil || whole == nil {
+	complete, err := reader.Take(out.Update)
+	if err != nil || complete == nil {
 		return err
 	}
-	return r.take(*whole)
+	return r.applyUpdate(*complete)
 }
 
-// take takes an update of the writer's into the copy.
-func (r *Relay) take(update distribution.Update) error {
+// applyUpdate takes an update of the writer's into the copy.
+func (r *Relay) applyUpdate(update distribution.Update) error {
 	r.writing.Lock()
 	defer r.writing.Unlock()
-	if err := r.sure(); err != nil {
+	if err := r.reloadIfUncertain(); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -148,11 +148,11 @@
 	if err != nil || step == nil {
 		return err
 	}
-	return r.make(step)
+	return r.apply(step)
 }
 
-// report tells the writer of the subscribers here, until the relay is closed.
-func (r *Relay) report() {
+// reportUntilClosed tells the writer of the subscribers here, until the relay is closed.
+func (r *Relay) reportUntilClosed() {
 	var conn Conn
 	var to api.SettingsWriter
 	var last time.Time
@@ -163,29 +163,29 @@
 		}
 	}
 	defer drop()
-	for pause(r.ctx, reportInterval) {
+	for sleep(r.ctx, reportInterval) {
 		writer := r.Writer()
-		if writer.Writer == r.cfg.Name || writer != to {
+		if writer.Writer == r.config.Name || writer != to {
 			drop()
 			to = writer
 		}
 		relay, ok := r.relay(writer.Writer)
-		if writer.Writer == r.cfg.Name || !ok {
+		if writer.Writer == r.config.Name || !ok {
 			continue
 		}
 		if conn == nil {
 			var err error
 			if conn, err = r.dial(relay); err != nil {
 				conn = nil
-				pause(r.ctx, jittered(retryInterval))
+				sleep(r.ctx, jittered(retryInterval))
 				continue
 			}
 			r.reportAll()
 		}
 		if err := r.reportOnce(conn, writer, &last); err != nil {
-			slog.Debug("the settings' writer did not take a report", "relay", r.cfg.Name, "err", err)
+			slog.Debug("the settings' writer did not take a report", "relay", r.config.Name, "err", err)
 			drop()
-			pause(r.ctx, jittered(retryInterval))
+			sleep(r.ctx, jittered(retryInterval))
 		}
 	}
 }
@@ -199,19 +199,19 @@
 // reportOnce sends what has changed since the last report, in as many messages as it needs.
 func (r *Relay) reportOnce(conn Conn, writer api.SettingsWriter, last *time.Time) error {
 	for all := false; !all; {
-		in := &api.SettingsReportIn{Relay: r.cfg.Name, Epoch: writer.Epoch, Process: r.process}
+		in := &api.SettingsReportIn{Relay: r.config.Name, Epoch: writer.Epoch, Process: r.process}
 		r.mu.Lock()
 		moved := r.registry.Changed()
-		in.Hosts, all = r.registry.Reports(maxReport)
+		in.Hosts, all = r.registry.Reports(maxReportHosts)
 		if all {
 			in.Position = r.registry.Position()
 		}
 		r.mu.Unlock()
-		if len(in.Hosts) == 0 && !moved && time.Since(*last) < minReport {
+		if len(in.Hosts) == 0 && !moved && time.Since(*last) < idleReportInterval {
 			return nil
 		}
 		var out api.SettingsReportOut
-		if err := call(r.ctx, conn, maxCall, api.SettingsReport, in, &out); err != nil {
+		if err := call(r.ctx, conn, callTimeout, api.SettingsReport, in, &out); err != nil {
 			r.reportAll()
 			return err
 		}
@@ -224,15 +224,15 @@
 	return nil
 }
 
-// keep does what is due by the clock, until the relay is closed.
-func (r *Relay) keep() {
-	for pause(r.ctx, keepInterval) {
+// runMaintenance does what is due by the clock, until the relay is closed.
+func (r *Relay) runMaintenance() {
+	for sleep(r.ctx, maintenanceInterval) {
 		now := time.Now()
 		r.mu.Lock()
-		r.registry.Sweep(now, subscriberSilent)
+		r.registry.Sweep(now, subscriberSilenceTimeout)
 		r.registry.Forget(now)
 		for name, reported := range r.reported {
-			if now.Sub(reported.at) > relaySilent {
+			if now.Sub(reported.at) > relaySilenceTimeout {
 				r.registry.Lost(now, name)
 				delete(r.reported, name)
 			}
@@ -244,7 +244,7 @@
 // announceUntilClosed tells other relays who writes, until the relay is closed. It dials, so
 // it is apart from what is due by the clock.
 func (r *Relay) announceUntilClosed() {
-	for pause(r.ctx, keepInterval) {
+	for sleep(r.ctx, maintenanceInterval) {
 		r.announce()
 	}
 }
@@ -252,9 +252,9 @@
 // announce tells each other relay once who writes, where this one does in a later epoch than
 // the first.
 func (r *Relay) announce() {
-	for _, other := range r.cfg.Relays {
+	for _, other := range r.config.Relays {
 		r.mu.Lock()
-		skip := r.writer.Writer != r.cfg.Name || r.writer.Epoch <= 1 || r.told[other.Name] || other.Name == r.cfg.Name
+		skip := r.writer.Writer != r.config.Name || r.writer.Epoch <= 1 || r.notified[other.Name] || other.Name == r.config.Name
 		r.mu.Unlock()
 		if skip {
 			continue
@@ -263,11 +263,11 @@
 		if err != nil {
 			continue
 		}
-		err = r.exchange(conn)
+		err = r.exchangeWriter(conn)
 		conn.Close()
 		if err == nil {
 			r.mu.Lock()
-			r.told[other.Name] = true
+			r.notified[other.Name] = true
 			r.mu.Unlock()
 		} else if !errors.Is(err, context.Canceled) {
 			slog.Warn("a relay did not take the new writer", "relay", other.Name, "err", err)
--- a/internal/fleet/distribution/node/subscriber.go
+++ b/internal/fleet/distribution/node/subscriber.go
@@ -28,61 +28,61 @@
 	Relays   []distribution.Relay
 	Limits   distribution.Limits
 	Dial     Dialer
-	Copy     Replica
+	Replica  Replica
 }
 
 // Subscriber keeps a copy up to date: it asks one relay at a time, and goes on with the next
 // one when that fails. Run is its loop.
 type Subscriber struct {
-	cfg     SubscriberConfig
+	config  SubscriberConfig
 	chooser *distribution.Chooser
 
-	mu      sync.Mutex
-	session int64  // of the latest connection
-	conn    Conn   // nil: not connected
-	relay   string // of conn
-	acking  bool
-	stale   bool // the state has changed since the last acknowledgement
-	lastErr error
-	failed  int // relays in a row
-	wg      sync.WaitGroup
+	mu            sync.Mutex
+	session       int64  // of the latest connection
+	conn          Conn   // nil: not connected
+	relay         string // of conn
+	acknowledging bool
+	stale         bool // the state has changed since the last acknowledgement
+	lastErr       error
+	failed        int // relays in a row
+	goroutines    sync.WaitGroup
 }
 
-// moveInterval is about how often a subscriber looks whether a relay that it would rather ask is
+// preferenceInterval is about how often a subscriber looks whether a relay that it would rather ask is
 // back. It is spread wide, so that a relay that returns is not asked by all at once.
-const moveInterval = 30 * time.Second
+const preferenceInterval = 30 * time.Second
 
 // NewSubscriber returns a Subscriber that does not run yet.
-func NewSubscriber(cfg SubscriberConfig) *Subscriber {
-	return &Subscriber{cfg: cfg, chooser: distribution.NewChooser(cfg.Interest.Host, cfg.Region, cfg.Zone, cfg.Relays)}
+func NewSubscriber(config SubscriberConfig) *Subscriber {
+	return &Subscriber{config: config, chooser: distribution.NewChooser(config.Interest.Host, config.Region, config.Zone, config.Relays)}
 }
 
 // Run asks relays until ctx ends. Nothing of it runs when it returns.
 func (s *Subscriber) Run(ctx context.Context) {
-	defer s.wg.Wait()
+	defer s.goroutines.Wait()
 	for ctx.Err() == nil {
 		relay, wait := s.chooser.Next(time.Now(), rand.Float64)
-		if !pause(ctx, wait) {
+		if !sleep(ctx, wait) {
 			return
 		}
-		err := s.ask(ctx, relay)
+		err := s.followRelay(ctx, relay)
 		if err == nil || ctx.Err() != nil {
 			continue // it moves to a relay that it would rather ask
 		}
 		s.chooser.Failed(time.Now(), relay.Name)
-		s.note(err)
+		s.recordFailure(err)
 	}
 }
 
-// note remembers a failure, and logs when none of the relays is left.
-func (s *Subscriber) note(err error) {
+// recordFailure remembers a failure, and logs when none of the relays is left.
+func (s *Subscriber) recordFailure(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastErr = err
 	s.failed++
-	if s.failed == len(s.cfg.Relays) {
+	if s.failed == len(s.config.Relays) {
 		unreachable := &distribution.UnreachableError{Tried: s.failed, Last: err}
-		slog.Warn("no relay answers", "host", s.cfg.Interest.Host, "err", unreachable, "advice", unreachable.Advice())
+		slog.Warn("no relay answers", "host", s.config.Interest.Host, "err", unreachable, "advice", unreachable.Advice())
 	}
 }
 
@@ -113,10 +113,10 @@
 	return s.session
 }
 
-// ask connects to a relay and follows it until it fails, or nil where another is better.
-func (s *Subscriber) ask(ctx context.Context, relay distribution.Relay) error {
-	dialing, cancel := context.WithTimeout(ctx, maxDial)
-	conn, err := s.cfg.Dial(dialing, relay)
+// followRelay connects to a relay and follows it until it fails, or nil where another is better.
+func (s *Subscriber) followRelay(ctx context.Context, relay distribution.Relay) error {
+	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
+	conn, err := s.config.Dial(dialing, relay)
 	cancel()
 	if err != nil {
 		return err
@@ -126,11 +126,11 @@
 		s.connected(nil, "")
 		conn.Close()
 	}()
-	reader := distribution.NewReader(s.cfg.Limits)
-	move := time.Now().Add(moveInterval/3 + rand.N(moveInterval))
-	state := s.cfg.Copy.State()
+	reader := distribution.NewReader(s.config.Limits)
+	move := time.Now().Add(preferenceInterval/3 + rand.N(preferenceInterval))
+	state := s.config.Replica.State()
 	// A connection's first call does not wait: acknowledgements go out once it is answered.
-	in := &api.SettingsWatchIn{Host: s.cfg.Interest.Host, Session: session, Interest: &s.cfg.Interest, State: &state}
+	in := &api.SettingsWatchIn{Host: s.config.Interest.Host, Session: session, Interest: &s.config.Interest, State: &state}
 	for {
 		if err := s.watch(ctx, conn, reader, in); err != nil {
 			return err
@@ -146,7 +146,7 @@
 			if s.chooser.Better(now, relay.Name) {
 				return nil
 			}
-			move = now.Add(moveInterval/3 + rand.N(moveInterval))
+			move = now.Add(preferenceInterval/3 + rand.N(preferenceInterval))
 		}
 	}
 }
@@ -165,18 +165,18 @@
 
 // watch makes one call and takes what it brings.
 func (s *Subscriber) watch(ctx context.Context, conn Conn, reader *distribution.Reader, in *api.SettingsWatchIn) error {
-	query := reader.Query(s.cfg.Copy.State().Received, nil)
+	query := reader.Query(s.config.Replica.State().Received, nil)
 	in.After, in.Began = query.After, query.Began
 	var out api.SettingsWatchOut
 	if err := call(ctx, conn, watchWait+watchSlack, api.SettingsWatch, in, &out); err != nil {
 		return err
 	}
-	whole, err := reader.Take(out.Update)
-	if err != nil || whole == nil {
+	complete, err := reader.Take(out.Update)
+	if err != nil || complete == nil {
 		return err
 	}
-	quiet := whole.Empty()
-	if err := s.cfg.Copy.Take(*whole); err != nil {
+	quiet := complete.Empty()
+	if err := s.config.Replica.Take(*complete); err != nil {
 		return err
 	}
 	if quiet {
@@ -197,11 +197,11 @@
 
 // startAcknowledging has a stale state acknowledged, unless that is under way; the lock is held.
 func (s *Subscriber) startAcknowledging() {
-	if !s.stale || s.acking || s.conn == nil {
+	if !s.stale || s.acknowledging || s.conn == nil {
 		return
 	}
-	s.acking = true
-	s.wg.Go(s.acknowledge)
+	s.acknowledging = true
+	s.goroutines.Go(s.acknowledge)
 }
 
 // acknowledge tells the relay in use how far the host is until nothing is new. A call that
@@ -211,14 +211,14 @@
 		s.mu.Lock()
 		conn, session := s.conn, s.session
 		if !s.stale || conn == nil {
-			s.acking = false
+			s.acknowledging = false
 			s.mu.Unlock()
 			return
 		}
 		s.stale = false
 		s.mu.Unlock()
-		in := &api.SettingsAckIn{Host: s.cfg.Interest.Host, Session: session, State: s.cfg.Copy.State()}
-		if err := call(context.Background(), conn, maxCall, api.SettingsAck, in, nil); err != nil {
+		in := &api.SettingsAckIn{Host: s.config.Interest.Host, Session: session, State: s.config.Replica.State()}
+		if err := call(context.Background(), conn, callTimeout, api.SettingsAck, in, nil); err != nil {
 			conn.Close()
 		}
 	}
--- a/internal/fleet/distribution/node/subscriber_test.go
+++ b/internal/fleet/distribution/node/subscriber_test.go
@@ -10,8 +10,8 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// heldConn is a connection whose watches and acknowledgements the test answers.
-type heldConn struct {
+// scriptedConn is a connection whose watches and acknowledgements the test answers.
+type scriptedConn struct {
 	watches chan *api.SettingsWatchIn // each watch as it comes
 	answers chan error                // of watches
 	acks    chan *api.SettingsAckIn
@@ -20,12 +20,12 @@
 	once    sync.Once
 }
 
-func newHeldConn() *heldConn {
-	return &heldConn{watches: make(chan *api.SettingsWatchIn), answers: make(chan error),
+func newScriptedConn() *scriptedConn {
+	return &scriptedConn{watches: make(chan *api.SettingsWatchIn), answers: make(chan error),
 		acks: make(chan *api.SettingsAckIn), ackErr: make(chan error), closed: make(chan struct{})}
 }
 
-func (c *heldConn) Call(ctx context.Context, method string, in, _ any) error {
+func (c *scriptedConn) Call(ctx context.Context, method string, in, _ any) error {
 	asked, answered := true, make(<-chan error)
 	switch request := in.(type) {
 	case *api.SettingsWatchIn:
@@ -55,41 +55,41 @@
 	}
 }
 
-func (c *heldConn) Close() error {
+func (c *scriptedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return nil
 }
 
-// settlingCopy is a copy whose state the test sets.
-type settlingCopy struct {
+// settlingReplica is a copy whose state the test sets.
+type settlingReplica struct {
 	mu    sync.Mutex
 	state distribution.HostState
 }
 
-func (c *settlingCopy) Take(distribution.Update) error { return nil }
+func (c *settlingReplica) Take(distribution.Update) error { return nil }
 
-func (c *settlingCopy) State() distribution.HostState {
+func (c *settlingReplica) State() distribution.HostState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state
 }
 
-func (c *settlingCopy) settle() {
+func (c *settlingReplica) settle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.Settled = true
 }
 
 // runSubscriber runs a subscriber of one relay over the given connections, one after the other.
-func runSubscriber(t *testing.T, copied Replica, conns ...*heldConn) *Subscriber {
+func runSubscriber(t *testing.T, copied Replica, conns ...*scriptedConn) *Subscriber {
 	t.Helper()
-	dialed := make(chan *heldConn, len(conns))
+	dialed := make(chan *scriptedConn, len(conns))
 	for _, conn := range conns {
 		dialed <- conn
 	}
 	s := NewSubscriber(SubscriberConfig{
 		Interest: distribution.Interest{Host: "host"}, Relays: []distribution.Relay{{Name: "relay"}},
-		Limits: distribution.DefaultLimits(), Copy: copied,
+		Limits: distribution.DefaultLimits(), Replica: copied,
 		Dial: func(ctx context.Context, _ distribution.Relay) (Conn, error) {
 			select {
 			case conn := <-dialed:
@@ -127,7 +127,7 @@
 // A state that changes while the first call of a connection is open is acknowledged once that
 // is answered, and that call does not wait for changes.
 func TestChangeBeforeConnectionAnswersIsAcknowledged(t *testing.T) {
-	copied, conn := &settlingCopy{}, newHeldConn()
+	copied, conn := &settlingReplica{}, newScriptedConn()
 	s := runSubscriber(t, copied, conn)
 	first := receive(t, "the first watch", conn.watches)
 	if first.State == nil || first.State.Settled {
@@ -151,7 +151,7 @@
 // A state that changes while an acknowledgement on an earlier connection is still open is
 // acknowledged on the next one.
 func TestChangeDuringLostAcknowledgementIsAcknowledged(t *testing.T) {
-	copied, first, second := &settlingCopy{}, newHeldConn(), newHeldConn()
+	copied, first, second := &settlingReplica{}, newScriptedConn(), newScriptedConn()
 	s := runSubscriber(t, copied, first, second)
 	receive(t, "the first watch", first.watches)
 	first.answers <- nil
--- a/internal/fleet/host/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -90,7 +90,7 @@
 	s := &subscription{interest: interest, replica: replica}
 	s.subscriber = node.NewSubscriber(node.SubscriberConfig{
 		Interest: interest, Region: a.cfg.Distribution.Region, Zone: a.cfg.Distribution.Zone,
-		Relays: a.cfg.Distribution.Relays, Limits: distribution.DefaultLimits(), Dial: dial, Copy: settingsCopy{a},
+		Relays: a.cfg.Distribution.Relays, Limits: distribution.DefaultLimits(), Dial: dial, Replica: settingsCopy{a},
 	})
 	a.settings = s
 	a.want(time.Now())
--- a/internal/fleet/host/agent/settings_subscriber_test.go
+++ b/internal/fleet/host/agent/settings_subscriber_test.go
@@ -102,7 +102,7 @@
 	}
 	subscriber := node.NewSubscriber(node.SubscriberConfig{
 		Interest: distribution.Interest{Host: "host"}, Relays: []distribution.Relay{{Name: "relay"}},
-		Limits: distribution.DefaultLimits(), Copy: held,
+		Limits: distribution.DefaultLimits(), Replica: held,
 		Dial: func(ctx context.Context, _ distribution.Relay) (node.Conn, error) {
 			select {
 			case conn := <-dialled:
--- a/internal/hollow/subscriber.go
+++ b/internal/hollow/subscriber.go
@@ -55,7 +55,7 @@
 		accepted: make(map[string]distribution.Revision)}
 	s.loop = node.NewSubscriber(node.SubscriberConfig{
 		Interest: interest, Region: cfg.Host.Region, Zone: cfg.Host.Zone, Relays: cfg.Relays,
-		Limits: distribution.DefaultLimits(), Dial: s.dial, Copy: s,
+		Limits: distribution.DefaultLimits(), Dial: s.dial, Replica: s,
 	})
 	return s
 }
