--- a/internal/fleet/distribution/node/node.go
+++ b/internal/fleet/distribution/node/node.go
@@ -1,7 +1,7 @@
-// Package node runs the settings' distribution over connections: a Relay that serves copies
-// of the log, or the log itself where it is the writer, and a Subscriber that keeps asking a
-// relay. What is decided stands in package distribution; this one dials, waits, writes to
-// disk and reports back.
+// Package node runs the distribution of settings over connections. It owns a Relay, which serves
+// a copy of the log or, as the writer, the log itself, and a Subscriber, which polls a relay. A
+// change is served only after it was committed to the Store. It dials, waits, writes to disk
+// and reports back; decisions about the log and its copies belong to package distribution.
 package node
 
 import (
@@ -15,9 +15,9 @@
 	"martendrum/internal/fleet/store"
 )
 
-// Conn is a connection to an agent; *msgpackrpc.Client is one.
+// Conn is a connection to an agent; *msgpackrpc.Client implements it.
 type Conn interface {
-	// Call makes a call. Errors are *api.Error where the agent said no.
+	// Call makes a call. The error is an *api.Error if the agent rejected the call.
 	Call(ctx context.Context, method string, in, out any) error
 	Close() error
 }
@@ -25,27 +25,27 @@
 // Dialer opens connections to relays.
 type Dialer func(ctx context.Context, relay distribution.Relay) (Conn, error)
 
-// Store keeps rows; store.Store is one.
+// Store stores entries; store.Store implements it.
 type Store interface {
 	Load(ctx context.Context) (*store.Snapshot, error)
 	Commit(ctx context.Context, change *store.Change) error
 }
 
-// Times of both sides.
+// Timeouts and sizes that relays and subscribers share.
 const (
-	// watchWait is how long a call waits for a change. It bounds how late a relay that says
-	// nothing is given up.
+	// watchWait is how long a poll waits for a change. It bounds the time until a silent relay is
+	// detected.
 	watchWait = 4 * time.Second
-	// watchSlack is how much longer than its wait a call may take.
+	// watchSlack is the time that a poll may take beyond its wait.
 	watchSlack    = 2 * time.Second
 	dialTimeout   = 3 * time.Second
 	callTimeout   = 3 * time.Second
 	commitTimeout = 5 * time.Second
-	// pageBytes is the size of one answer, about.
+	// pageBytes is the approximate size of one response.
 	pageBytes = 512 << 10
 )
 
-// sleep waits, and says whether ctx still lives.
+// sleep waits for d and reports whether ctx is still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -60,17 +60,17 @@
 	}
 }
 
-// jittered is d give or take half of it.
+// jittered returns a random duration between half and one and a half times d.
 func jittered(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// call makes one call with a bound of its own.
+// call makes one call with a timeout.
 func call(ctx context.Context, conn Conn, limit time.Duration, method string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return conn.Call(ctx, method, in, out)
 }
 
-// codes are the errors of package distribution by their code on the wire.
+// errorCode returns the wire code of an error of package distribution, "" for other errors.
 func errorCode(err error) string {
 	switch {
 	case errors.As(err, new(*distribution.InvalidError)):
@@ -91,7 +91,7 @@
 	return ""
 }
 
-// RejectionReason is an error as it goes over the wire, with its advice.
+// RejectionReason converts an error to its form on the wire, which includes the advice.
 func RejectionReason(err error) error {
 	if err == nil {
 		return nil
--- a/internal/fleet/distribution/node/relay_loops.go
+++ b/internal/fleet/distribution/node/relay_loops.go
@@ -13,21 +13,22 @@
 
 // Times of a relay's loops.
 const (
-	// retryInterval is about how often the writer is looked for while it does not answer.
+	// retryInterval is the mean interval between attempts to reach the writer.
 	retryInterval = time.Second
-	// reportInterval is how often changed reports go to the writer, idleReportInterval how often a relay
-	// reports that it lives.
+	// reportInterval is the interval between reports of changes to the writer, and
+	// idleReportInterval the interval between heartbeats without changes.
 	reportInterval     = 250 * time.Millisecond
 	idleReportInterval = 3 * time.Second
 	maxReportHosts     = 1000 // hosts in one message
-	// relaySilenceTimeout is when a relay that does not report counts as lost.
+	// relaySilenceTimeout is the time without reports after which a relay counts as lost.
 	relaySilenceTimeout = 12 * time.Second
-	// subscriberSilenceTimeout is when a subscriber that does not ask counts as away.
+	// subscriberSilenceTimeout is the time without polls after which a subscriber counts as
+	// absent.
 	subscriberSilenceTimeout = 2 * (watchWait + watchSlack)
 	maintenanceInterval      = time.Second
 )
 
-// followUntilClosed copies the log of whoever is the writer, until the relay is closed.
+// followUntilClosed copies the current writer's log until the relay is closed.
 func (r *Relay) followUntilClosed() {
 	logged := false
 	for r.ctx.Err() == nil {
@@ -37,7 +38,7 @@
 		}
 		err := r.followWriter()
 		if err != nil && !logged && r.ctx.Err() == nil {
-			slog.Warn("the settings' writer can't be followed; what is here is served on", "relay", r.config.Name, "writer", r.Writer().Writer, "err", err)
+			slog.Warn("the settings' writer can't be followed; this relay continues to serve its copy", "relay", r.config.Name, "writer", r.Writer().Writer, "err", err)
 		}
 		logged = err != nil
 		if !sleep(r.ctx, jittered(retryInterval)) {
@@ -64,7 +65,8 @@
 	return r.config.Dial(ctx, relay)
 }
 
-// exchangeWriter tells another relay who writes, and learns what that one knows.
+// exchangeWriter sends this relay's knowledge of the writer to another relay and learns the
+// other's.
 func (r *Relay) exchangeWriter(conn Conn) error {
 	var received api.SettingsWriter
 	if err := call(r.ctx, conn, callTimeout, api.SettingsWriting, r.Writer(), &received); err != nil {
@@ -74,8 +76,8 @@
 	return err
 }
 
-// queryRandomRelay asks a relay drawn at random who writes: the one known may be lost, and another
-// promoted while this relay was away.
+// queryRandomRelay queries a relay drawn at random for the writer. The known writer may be lost,
+// and another relay may have been promoted while this one was disconnected.
 func (r *Relay) queryRandomRelay() {
 	other := r.config.Relays[rand.IntN(len(r.config.Relays))]
 	if other.Name == r.config.Name {
@@ -87,11 +89,11 @@
 	}
 	defer conn.Close()
 	if err := r.exchangeWriter(conn); err != nil {
-		slog.Debug("a relay did not tell who writes", "relay", other.Name, "err", err)
+		slog.Debug("a relay did not report the writer", "relay", other.Name, "err", err)
 	}
 }
 
-// followWriter copies what the writer has until something fails or another one writes.
+// followWriter copies the writer's log until an error occurs or another relay becomes the writer.
 func (r *Relay) followWriter() error {
 	writer := r.Writer()
 	relay, ok := r.relay(writer.Writer)
@@ -131,7 +133,7 @@
 	return r.applyUpdate(*complete)
 }
 
-// applyUpdate takes an update of the writer's into the copy.
+// applyUpdate applies an update from the writer to the copy.
 func (r *Relay) applyUpdate(update distribution.Update) error {
 	r.writing.Lock()
 	defer r.writing.Unlock()
@@ -151,7 +153,7 @@
 	return r.apply(step)
 }
 
-// reportUntilClosed tells the writer of the subscribers here, until the relay is closed.
+// reportUntilClosed reports this relay's subscribers to the writer until the relay is closed.
 func (r *Relay) reportUntilClosed() {
 	var conn Conn
 	var to api.SettingsWriter
@@ -183,7 +185,7 @@
 			r.reportAll()
 		}
 		if err := r.reportOnce(conn, writer, &last); err != nil {
-			slog.Debug("the settings' writer did not take a report", "relay", r.config.Name, "err", err)
+			slog.Debug("the settings' writer did not accept a report", "relay", r.config.Name, "err", err)
 			drop()
 			sleep(r.ctx, jittered(retryInterval))
 		}
@@ -196,7 +198,7 @@
 	r.registry.ReportAll()
 }
 
-// reportOnce sends what has changed since the last report, in as many messages as it needs.
+// reportOnce sends what has changed since the last report, in as many messages as needed.
 func (r *Relay) reportOnce(conn Conn, writer api.SettingsWriter, last *time.Time) error {
 	for all := false; !all; {
 		in := &api.SettingsReportIn{Relay: r.config.Name, Epoch: writer.Epoch, Process: r.process}
@@ -224,7 +226,7 @@
 	return nil
 }
 
-// runMaintenance does what is due by the clock, until the relay is closed.
+// runMaintenance expires silent subscribers and relays until the relay is closed.
 func (r *Relay) runMaintenance() {
 	for sleep(r.ctx, maintenanceInterval) {
 		now := time.Now()
@@ -241,16 +243,15 @@
 	}
 }
 
-// announceUntilClosed tells other relays who writes, until the relay is closed. It dials, so
-// it is apart from what is due by the clock.
+// announceUntilClosed announces the writer to other relays until the relay is closed. It dials, so
+// it runs apart from runMaintenance, which must not be delayed.
 func (r *Relay) announceUntilClosed() {
 	for sleep(r.ctx, maintenanceInterval) {
 		r.announce()
 	}
 }
 
-// announce tells each other relay once who writes, where this one does in a later epoch than
-// the first.
+// announce notifies each other relay once that this one is the writer, if it was promoted.
 func (r *Relay) announce() {
 	for _, other := range r.config.Relays {
 		r.mu.Lock()
@@ -270,7 +271,7 @@
 			r.notified[other.Name] = true
 			r.mu.Unlock()
 		} else if !errors.Is(err, context.Canceled) {
-			slog.Warn("a relay did not take the new writer", "relay", other.Name, "err", err)
+			slog.Warn("a relay did not accept the new writer", "relay", other.Name, "err", err)
 		}
 	}
 }
--- a/internal/fleet/distribution/node/subscriber.go
+++ b/internal/fleet/distribution/node/subscriber.go
@@ -11,19 +11,19 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// Replica is a subscriber's copy and those who act on it. Its methods may be called from several
-// goroutines.
+// Replica is a subscriber's copy and whatever acts on its changes. Its methods are safe for
+// concurrent use.
 type Replica interface {
-	// Take takes a whole update and keeps it; an error leaves the copy as it is.
+	// Take applies and stores a complete update. An error leaves the copy unchanged.
 	Take(update distribution.Update) error
-	// State says how far the host is.
+	// State returns the host's progress.
 	State() distribution.HostState
 }
 
-// SubscriberConfig is what a Subscriber is told.
+// SubscriberConfig configures a Subscriber.
 type SubscriberConfig struct {
 	Interest distribution.Interest
-	Region   string // of the host, "" if not known
+	Region   string // of the host; "" if unknown
 	Zone     string
 	Relays   []distribution.Relay
 	Limits   distribution.Limits
@@ -31,33 +31,33 @@
 	Replica  Replica
 }
 
-// Subscriber keeps a copy up to date: it asks one relay at a time, and goes on with the next
-// one when that fails. Run is its loop.
+// Subscriber keeps a copy up to date. It polls one relay at a time, and changes to the next one
+// when that fails. Run is its loop.
 type Subscriber struct {
 	config  SubscriberConfig
 	chooser *distribution.Chooser
 
 	mu            sync.Mutex
 	session       int64  // of the latest connection
-	conn          Conn   // nil: not connected
+	conn          Conn   // nil while not connected
 	relay         string // of conn
 	acknowledging bool
 	stale         bool // the state has changed since the last acknowledgement
 	lastErr       error
-	failed        int // relays in a row
+	failed        int // consecutive failures of relays
 	goroutines    sync.WaitGroup
 }
 
-// preferenceInterval is about how often a subscriber looks whether a relay that it would rather ask is
-// back. It is spread wide, so that a relay that returns is not asked by all at once.
+// preferenceInterval is the approximate interval between checks whether a preferred relay is
+// available again. It is spread widely, so that subscribers do not return to a relay all at once.
 const preferenceInterval = 30 * time.Second
 
-// NewSubscriber returns a Subscriber that does not run yet.
+// NewSubscriber returns a Subscriber, which starts with Run.
 func NewSubscriber(config SubscriberConfig) *Subscriber {
 	return &Subscriber{config: config, chooser: distribution.NewChooser(config.Interest.Host, config.Region, config.Zone, config.Relays)}
 }
 
-// Run asks relays until ctx ends. Nothing of it runs when it returns.
+// Run polls relays until ctx ends. All of its goroutines have ended when it returns.
 func (s *Subscriber) Run(ctx context.Context) {
 	defer s.goroutines.Wait()
 	for ctx.Err() == nil {
@@ -67,14 +67,14 @@
 		}
 		err := s.followRelay(ctx, relay)
 		if err == nil || ctx.Err() != nil {
-			continue // it moves to a relay that it would rather ask
+			continue // a preferred relay is available again
 		}
 		s.chooser.Failed(time.Now(), relay.Name)
 		s.recordFailure(err)
 	}
 }
 
-// recordFailure remembers a failure, and logs when none of the relays is left.
+// recordFailure records a failed relay, and logs when all relays have failed in a row.
 func (s *Subscriber) recordFailure(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// Err is nil while a relay answers, else of *distribution.UnreachableError.
+// Err returns nil while a relay answers, and otherwise a *distribution.UnreachableError.
 func (s *Subscriber) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,15 +96,16 @@
 	return &distribution.UnreachableError{Tried: s.failed, Last: s.lastErr}
 }
 
-// Relay is the relay that answers, "" for none.
+// Relay returns the name of the connected relay, "" if there is none.
 func (s *Subscriber) Relay() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.relay
 }
 
-// nextSession is above all earlier ones, those of an earlier process of the host among them
-// unless the clock went back. It begins with the copy's state as it is after this call.
+// nextSession returns a session above all earlier ones. Those of an earlier process of the host are
+// included, unless the clock was set back. The session begins with the copy's state as read after
+// this call.
 func (s *Subscriber) nextSession(now time.Time) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +114,8 @@
 	return s.session
 }
 
-// followRelay connects to a relay and follows it until it fails, or nil where another is better.
+// followRelay connects to a relay and polls it until it fails. It returns nil when a preferred
+// relay is available again.
 func (s *Subscriber) followRelay(ctx context.Context, relay distribution.Relay) error {
 	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
 	conn, err := s.config.Dial(dialing, relay)
@@ -129,7 +131,8 @@
 	reader := distribution.NewReader(s.config.Limits)
 	move := time.Now().Add(preferenceInterval/3 + rand.N(preferenceInterval))
 	state := s.config.Replica.State()
-	// A connection's first call does not wait: acknowledgements go out once it is answered.
+	// The first call of a connection does not wait, because acknowledgements are sent only
+	// after it has been answered.
 	in := &api.SettingsWatchIn{Host: s.config.Interest.Host, Session: session, Interest: &s.config.Interest, State: &state}
 	for {
 		if err := s.watch(ctx, conn, reader, in); err != nil {
@@ -140,7 +143,7 @@
 			s.chooser.Served(relay.Name)
 			s.connected(conn, relay.Name)
 		}
-		// The waits of many hosts must not end together.
+		// Jitter keeps the waits of many hosts from ending together.
 		in.Wait = watchWait*3/4 + rand.N(watchWait/4)
 		if now := time.Now(); now.After(move) {
 			if s.chooser.Better(now, relay.Name) {
@@ -151,8 +154,8 @@
 	}
 }
 
-// connected notes the connection in use, and that a relay answers. What has changed since the
-// session began is acknowledged.
+// connected records the connection in use, and sends an acknowledgement if the state has changed
+// since the session began.
 func (s *Subscriber) connected(conn Conn, relay string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +166,7 @@
 	}
 }
 
-// watch makes one call and takes what it brings.
+// watch makes one poll and applies its update.
 func (s *Subscriber) watch(ctx context.Context, conn Conn, reader *distribution.Reader, in *api.SettingsWatchIn) error {
 	query := reader.Query(s.config.Replica.State().Received, nil)
 	in.After, in.Began = query.After, query.Began
@@ -175,19 +178,19 @@
 	if err != nil || complete == nil {
 		return err
 	}
-	quiet := complete.Empty()
+	empty := complete.Empty()
 	if err := s.config.Replica.Take(*complete); err != nil {
 		return err
 	}
-	if quiet {
-		return nil // the relay knows
+	if empty {
+		return nil // an empty update needs no acknowledgement
 	}
 	s.Changed()
 	return nil
 }
 
-// Changed tells that the copy's state has changed: the relay is told, over the next connection
-// where there is none. It does not wait.
+// Changed schedules an acknowledgement of the copy's changed state, on the next connection if there
+// is none now. It does not block.
 func (s *Subscriber) Changed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,7 +198,8 @@
 	s.startAcknowledging()
 }
 
-// startAcknowledging has a stale state acknowledged, unless that is under way; the lock is held.
+// startAcknowledging starts the acknowledgement of a stale state unless one is running. The caller
+// holds mu.
 func (s *Subscriber) startAcknowledging() {
 	if !s.stale || s.acknowledging || s.conn == nil {
 		return
@@ -204,8 +208,8 @@
 	s.goroutines.Go(s.acknowledge)
 }
 
-// acknowledge tells the relay in use how far the host is until nothing is new. A call that
-// fails is not made again: its connection fails with it, and the next one begins with the state.
+// acknowledge sends the host's state to the relay in use until it is up to date. A failed call is
+// not retried: the connection is closed, and the next one begins with the current state.
 func (s *Subscriber) acknowledge() {
 	for {
 		s.mu.Lock()
--- a/internal/fleet/distribution/node/subscriber_test.go
+++ b/internal/fleet/distribution/node/subscriber_test.go
@@ -10,12 +10,12 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// scriptedConn is a connection whose watches and acknowledgements the test answers.
+// scriptedConn is a connection whose polls and acknowledgements the test answers.
 type scriptedConn struct {
-	watches chan *api.SettingsWatchIn // each watch as it comes
-	answers chan error                // of watches
+	watches chan *api.SettingsWatchIn // each poll as it is made
+	answers chan error                // responses to polls
 	acks    chan *api.SettingsAckIn
-	ackErr  chan error // of acknowledgements
+	ackErr  chan error // responses to acknowledgements
 	closed  chan struct{}
 	once    sync.Once
 }
@@ -26,7 +26,7 @@
 }
 
 func (c *scriptedConn) Call(ctx context.Context, method string, in, _ any) error {
-	asked, answered := true, make(<-chan error)
+	sent, answered := true, make(<-chan error)
 	switch request := in.(type) {
 	case *api.SettingsWatchIn:
 		copied := *request
@@ -34,17 +34,17 @@
 		case c.watches <- &copied:
 			answered = c.answers
 		case <-ctx.Done():
-			asked = false
+			sent = false
 		}
 	case *api.SettingsAckIn:
 		select {
 		case c.acks <- request:
 			answered = c.ackErr
 		case <-ctx.Done():
-			asked = false
+			sent = false
 		}
 	}
-	if !asked {
+	if !sent {
 		return ctx.Err()
 	}
 	select {
@@ -80,7 +80,7 @@
 	c.state.Settled = true
 }
 
-// runSubscriber runs a subscriber of one relay over the given connections, one after the other.
+// runSubscriber runs a subscriber of one relay over the given connections, in order.
 func runSubscriber(t *testing.T, copied Replica, conns ...*scriptedConn) *Subscriber {
 	t.Helper()
 	dialed := make(chan *scriptedConn, len(conns))
@@ -112,7 +112,7 @@
 	return s
 }
 
-// receive waits for what must come.
+// receive returns the next value, or fails the test after ten seconds.
 func receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
@@ -124,8 +124,8 @@
 	}
 }
 
-// A state that changes while the first call of a connection is open is acknowledged once that
-// is answered, and that call does not wait for changes.
+// A state that changes while the first call of a connection is open is acknowledged once the call
+// has been answered, and that call does not wait for changes.
 func TestChangeBeforeConnectionAnswersIsAcknowledged(t *testing.T) {
 	copied, conn := &settlingReplica{}, newScriptedConn()
 	s := runSubscriber(t, copied, conn)
@@ -148,8 +148,8 @@
 	}
 }
 
-// A state that changes while an acknowledgement on an earlier connection is still open is
-// acknowledged on the next one.
+// A state that changes while an acknowledgement on an earlier connection is open is acknowledged on
+// the next connection.
 func TestChangeDuringLostAcknowledgementIsAcknowledged(t *testing.T) {
 	copied, first, second := &settlingReplica{}, newScriptedConn(), newScriptedConn()
 	s := runSubscriber(t, copied, first, second)
