--- a/internal/msgpackrpc/client.go
+++ b/internal/msgpackrpc/client.go
@@ -42,52 +42,52 @@
 
 // call is a request that waits for its answer.
 type call struct {
-	it   *item
-	done chan struct{}
+	request *item
+	done    chan struct{}
 	// Set before done is closed.
-	err    error // the connection's end
-	answer message
+	err      error // the connection's end
+	response message
 }
 
 // Client is the calling side of a connection. Its methods may be called from many
 // goroutines; answers come in any order.
 type Client struct {
-	nc      net.Conn
-	lim     Limits
-	w       *writer
+	conn    net.Conn
+	limits  Limits
+	writer  *writer
 	notify  func(method string, params msgpack.RawMessage)
 	slots   chan struct{} // one for each message id in use
 	done    chan struct{} // both goroutines have ended
 	written chan struct{} // the writing one has
 
-	mu      sync.Mutex
-	pending map[uint32]*call // nil values: given up, the answer may still come
-	next    uint32
-	err     error // the connection has ended
-	strays  int
+	mu          sync.Mutex
+	pending     map[uint32]*call // nil values: given up, the answer may still come
+	nextID      uint32
+	err         error // the connection has ended
+	unsolicited int
 }
 
 // NewClient takes a connection over. notify, if not nil, gets the peer's
 // notifications, one at a time: while it runs, no answer is read. Close ends the
 // connection and both its goroutines.
-func NewClient(nc net.Conn, lim Limits, notify func(method string, params msgpack.RawMessage)) *Client {
-	lim = lim.filled()
+func NewClient(conn net.Conn, limits Limits, notify func(method string, params msgpack.RawMessage)) *Client {
+	limits = limits.withDefaults()
 	c := &Client{
-		nc:      nc,
-		lim:     lim,
-		w:       newWriter(nc, lim),
+		conn:    conn,
+		limits:  limits,
+		writer:  newWriter(conn, limits),
 		notify:  notify,
-		slots:   make(chan struct{}, lim.Outstanding),
+		slots:   make(chan struct{}, limits.Outstanding),
 		done:    make(chan struct{}),
 		written: make(chan struct{}),
 		pending: make(map[uint32]*call),
 	}
 	var both sync.WaitGroup
 	both.Go(func() {
-		err := c.w.run()
+		err := c.writer.run()
 		close(c.written)
 		if err != nil {
-			c.end(err)
+			c.fail(err)
 		}
 	})
 	both.Go(c.read)
@@ -101,7 +101,7 @@
 // Close ends the connection. Pending calls end with ErrClosed and tell whether
 // their requests were written. It returns when nothing of the client runs any more.
 func (c *Client) Close() error {
-	c.end(ErrClosed)
+	c.fail(ErrClosed)
 	<-c.done
 	return nil
 }
@@ -121,11 +121,11 @@
 func (c *Client) UnsolicitedResponses() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.strays
+	return c.unsolicited
 }
 
-// end closes the connection and ends all calls.
-func (c *Client) end(err error) {
+// fail closes the connection and ends all calls.
+func (c *Client) fail(err error) {
 	c.mu.Lock()
 	if c.err != nil {
 		c.mu.Unlock()
@@ -135,8 +135,8 @@
 	calls := c.pending
 	c.pending = nil
 	c.mu.Unlock()
-	c.nc.Close() // a write that is under way ends, and says how far it came
-	c.w.fail(err)
+	c.conn.Close() // a write that is under way ends, and says how far it came
+	c.writer.fail(err)
 	for _, call := range calls {
 		if call != nil {
 			call.err = err
@@ -146,35 +146,35 @@
 }
 
 func (c *Client) read() {
-	r := newReader(c.nc, c.lim)
+	r := newReader(c.conn, c.limits)
 	for {
 		m, err := r.next(0)
 		if err != nil {
-			c.end(err)
+			c.fail(err)
 			return
 		}
 		switch m.kind {
 		case kindNotify:
 			if c.notify != nil {
-				c.notify(m.method, m.a)
+				c.notify(m.method, m.first)
 			}
 		case kindResponse:
 			c.mu.Lock()
 			call, known := c.pending[m.id]
 			delete(c.pending, m.id)
 			if call == nil {
-				c.strays++
+				c.unsolicited++
 			}
 			c.mu.Unlock()
 			if known {
 				<-c.slots
 			}
 			if call != nil {
-				call.answer = m
+				call.response = m
 				close(call.done)
 			}
 		default:
-			c.end(fmt.Errorf("%w: a request came to the calling side", ErrFormat))
+			c.fail(fmt.Errorf("%w: a request came to the calling side", ErrFormat))
 			return
 		}
 	}
@@ -190,7 +190,7 @@
 	if err != nil {
 		return &CallError{Method: method, Err: err}
 	}
-	if len(data) > c.lim.Message {
+	if len(data) > c.limits.Message {
 		return &CallError{Method: method, Err: ErrTooLong}
 	}
 	select {
@@ -200,7 +200,7 @@
 	case <-c.done:
 		return &CallError{Method: method, Err: c.Err()}
 	}
-	call := &call{it: &item{data: data}, done: make(chan struct{})}
+	call := &call{request: &item{data: data}, done: make(chan struct{})}
 	c.mu.Lock()
 	if c.err != nil {
 		err := c.err
@@ -209,17 +209,17 @@
 		return &CallError{Method: method, Err: err}
 	}
 	for {
-		c.next++
-		if _, taken := c.pending[c.next]; !taken {
+		c.nextID++
+		if _, taken := c.pending[c.nextID]; !taken {
 			break
 		}
 	}
-	id := c.next
+	id := c.nextID
 	c.pending[id] = call
 	c.mu.Unlock()
-	copy(data, appendHead(nil, kindRequest, id))
+	copy(data, appendHeader(nil, kindRequest, id))
 
-	if err := c.w.add(call.it); err != nil {
+	if err := c.writer.add(call.request); err != nil {
 		c.giveUp(id, call)
 		return &CallError{Method: method, Err: err}
 	}
@@ -227,21 +227,21 @@
 	case <-call.done:
 	case <-ctx.Done():
 		if answered := c.giveUp(id, call); !answered {
-			return &CallError{Method: method, Sent: c.w.state(call.it), Err: ctx.Err()}
+			return &CallError{Method: method, Sent: c.writer.sentState(call.request), Err: ctx.Err()}
 		}
 		<-call.done
 	}
 	if call.err != nil {
 		<-c.written // how far the last write came is known
-		return &CallError{Method: method, Sent: c.w.state(call.it), Err: call.err}
+		return &CallError{Method: method, Sent: c.writer.sentState(call.request), Err: call.err}
 	}
-	if !isNil(call.answer.a) {
-		return &RemoteError{Method: method, Value: call.answer.a}
+	if !isNil(call.response.first) {
+		return &RemoteError{Method: method, Value: call.response.first}
 	}
 	if result == nil {
 		return nil
 	}
-	if err := msgpack.Unmarshal(call.answer.b, result); err != nil {
+	if err := msgpack.Unmarshal(call.response.second, result); err != nil {
 		return &CallError{Method: method, Sent: SentCompletely, Err: fmt.Errorf("its result can't be read: %w", err)}
 	}
 	return nil
@@ -250,7 +250,7 @@
 // giveUp forgets a call; true if its end has come already. Where its request
 // went out, its id and slot stay taken until the answer comes.
 func (c *Client) giveUp(id uint32, call *call) (ended bool) {
-	never := c.w.take(call.it)
+	never := c.writer.withdraw(call.request)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending[id] != call {
@@ -268,11 +268,11 @@
 // Notify sends a notification, which has no answer.
 func (c *Client) Notify(method string, params []any) error {
 	data, err := encode(kindNotify, 0, method, params)
-	if err == nil && len(data) > c.lim.Message {
+	if err == nil && len(data) > c.limits.Message {
 		err = ErrTooLong
 	}
 	if err == nil {
-		err = c.w.add(&item{data: data})
+		err = c.writer.add(&item{data: data})
 	}
 	if err != nil {
 		return &CallError{Method: method, Err: err}
@@ -282,7 +282,7 @@
 
 // encode makes a request or a notification.
 func encode(kind byte, id uint32, method string, params []any) ([]byte, error) {
-	b := appendString(appendHead(make([]byte, 0, 128), kind, id), method)
+	b := appendString(appendHeader(make([]byte, 0, 128), kind, id), method)
 	if params == nil {
 		return append(b, 0x90), nil
 	}
--- a/internal/msgpackrpc/frame.go
+++ b/internal/msgpackrpc/frame.go
@@ -34,7 +34,7 @@
 	Idle        time.Duration // between messages while none is open; 0: no limit
 }
 
-func (l Limits) filled() Limits {
+func (l Limits) withDefaults() Limits {
 	if l.Message <= 0 {
 		l.Message = 1 << 20
 	}
@@ -64,12 +64,12 @@
 	ErrFormat  = errors.New("msgpackrpc: not a MessagePack-RPC message")
 )
 
-// grow is how much of a body is made room for ahead of its bytes: a length that
+// bodyChunk is how much of a body is made room for ahead of its bytes: a length that
 // is claimed costs nothing until the bytes have come.
-const grow = 16 << 10
+const bodyChunk = 16 << 10
 
 // readObject reads one whole MessagePack object. buf is reused where it fits.
-func readObject(br *bufio.Reader, lim Limits, buf []byte) ([]byte, error) {
+func readObject(buffered *bufio.Reader, limits Limits, buf []byte) ([]byte, error) {
 	buf = buf[:0]
 	open := make([]uint64, 1, 8) // objects still to come, by level
 	open[0] = 1
@@ -80,38 +80,38 @@
 			continue
 		}
 		*top--
-		code, err := br.ReadByte()
+		code, err := buffered.ReadByte()
 		if err != nil {
 			return nil, unexpected(err, len(buf))
 		}
 		buf = append(buf, code)
-		extra, body, children, err := shape(code)
+		extra, body, children, err := objectLayout(code)
 		if err != nil {
 			return nil, err
 		}
 		if extra > 0 {
 			at := len(buf)
-			if buf, err = readBody(br, buf, uint64(extra), lim.Message); err != nil {
+			if buf, err = readBody(buffered, buf, uint64(extra), limits.Message); err != nil {
 				return nil, err
 			}
-			body, children = sized(code, uintOf(buf[at:]))
+			body, children = lengthLayout(code, decodeUint(buf[at:]))
 		}
 		if body > 0 {
-			if buf, err = readBody(br, buf, body, lim.Message); err != nil {
+			if buf, err = readBody(buffered, buf, body, limits.Message); err != nil {
 				return nil, err
 			}
 		}
 		if children > 0 {
 			// Every child takes a byte at least.
-			if children > uint64(lim.Message) {
+			if children > uint64(limits.Message) {
 				return nil, ErrTooLong
 			}
-			if len(open) >= lim.Depth {
+			if len(open) >= limits.Depth {
 				return nil, ErrTooDeep
 			}
 			open = append(open, children)
 		}
-		if len(buf) > lim.Message {
+		if len(buf) > limits.Message {
 			return nil, ErrTooLong
 		}
 	}
@@ -125,15 +125,15 @@
 	return err
 }
 
-func readBody(br *bufio.Reader, buf []byte, n uint64, limit int) ([]byte, error) {
+func readBody(buffered *bufio.Reader, buf []byte, n uint64, limit int) ([]byte, error) {
 	if n > uint64(limit) || len(buf)+int(n) > limit {
 		return nil, ErrTooLong
 	}
 	for left := int(n); left > 0; {
-		part := min(left, grow)
+		part := min(left, bodyChunk)
 		at := len(buf)
 		buf = append(buf, make([]byte, part)...)
-		if _, err := io.ReadFull(br, buf[at:]); err != nil {
+		if _, err := io.ReadFull(buffered, buf[at:]); err != nil {
 			return nil, unexpected(err, 1)
 		}
 		left -= part
@@ -141,9 +141,9 @@
 	return buf, nil
 }
 
-// shape tells what follows a type byte: a big-endian length of extra bytes, or a
+// objectLayout tells what follows a type byte: a big-endian length of extra bytes, or a
 // body of known size, or children.
-func shape(code byte) (extra int, body, children uint64, err error) {
+func objectLayout(code byte) (extra int, body, children uint64, err error) {
 	switch {
 	case code <= 0x7f, code >= 0xe0: // fixint
 	case code <= 0x8f:
@@ -177,8 +177,8 @@
 	return extra, body, children, err
 }
 
-// sized tells what follows a length of n, for a type that shape gives extra bytes.
-func sized(code byte, n uint64) (body, children uint64) {
+// lengthLayout tells what follows a length of n, for a type that shape gives extra bytes.
+func lengthLayout(code byte, n uint64) (body, children uint64) {
 	switch {
 	case code >= 0xde: // map
 		return 0, 2 * n
@@ -190,7 +190,7 @@
 	return n, 0
 }
 
-func uintOf(b []byte) uint64 {
+func decodeUint(b []byte) uint64 {
 	switch len(b) {
 	case 1:
 		return uint64(b[0])
@@ -202,15 +202,15 @@
 	return binary.BigEndian.Uint64(b)
 }
 
-// skip is the length of the first object in b, which readObject has passed.
-func skip(b []byte) int {
+// objectLength is the length of the first object in b, which readObject has passed.
+func objectLength(b []byte) int {
 	at := 0
 	for left := uint64(1); left > 0; left-- {
 		code := b[at]
 		at++
-		extra, body, children, _ := shape(code)
+		extra, body, children, _ := objectLayout(code)
 		if extra > 0 {
-			body, children = sized(code, uintOf(b[at:at+extra]))
+			body, children = lengthLayout(code, decodeUint(b[at:at+extra]))
 			at += extra
 		}
 		at += int(body)
@@ -228,25 +228,25 @@
 
 // message is a message taken apart. Its slices point into what was read.
 type message struct {
-	kind   uint64
-	id     uint32
-	method string
-	a, b   msgpack.RawMessage // params; error and result
+	kind          uint64
+	id            uint32
+	method        string
+	first, second msgpack.RawMessage // params; error and result
 }
 
 // parse takes a whole object apart.
 func parse(raw []byte) (m message, err error) {
-	n, at := arrayLen(raw)
+	n, at := parseArrayHeader(raw)
 	if n != 3 && n != 4 {
 		return m, fmt.Errorf("%w: no array of three or four", ErrFormat)
 	}
 	var part [4][]byte
 	for i := range n {
-		size := skip(raw[at:])
+		size := objectLength(raw[at:])
 		part[i] = raw[at : at+size]
 		at += size
 	}
-	kind, ok := uintValue(part[0])
+	kind, ok := parseUint(part[0])
 	if !ok {
 		return m, fmt.Errorf("%w: its type is no whole number", ErrFormat)
 	}
@@ -259,30 +259,30 @@
 		return m, fmt.Errorf("%w: type %d in an array of %d", ErrFormat, kind, n)
 	}
 	if kind != kindNotify {
-		id, ok := uintValue(part[1])
+		id, ok := parseUint(part[1])
 		if !ok || id > math.MaxUint32 {
 			return m, fmt.Errorf("%w: its msgid is no number of 32 bits", ErrFormat)
 		}
 		m.id = uint32(id)
 	}
 	if kind == kindResponse {
-		m.a, m.b = part[2], part[3]
+		m.first, m.second = part[2], part[3]
 		return m, nil
 	}
-	method, ok := stringValue(part[n-2])
+	method, ok := parseString(part[n-2])
 	if !ok {
 		return m, fmt.Errorf("%w: its method is no string", ErrFormat)
 	}
-	m.method, m.a = method, part[n-1]
-	if k, _ := arrayLen(m.a); k < 0 {
+	m.method, m.first = method, part[n-1]
+	if k, _ := parseArrayHeader(m.first); k < 0 {
 		return m, fmt.Errorf("%w: its params are no array", ErrFormat)
 	}
 	return m, nil
 }
 
-// arrayLen is the number of elements and where the first begins; -1 if b holds
+// parseArrayHeader is the number of elements and where the first begins; -1 if b holds
 // no array.
-func arrayLen(b []byte) (n, at int) {
+func parseArrayHeader(b []byte) (n, at int) {
 	switch code := b[0]; {
 	case code >= 0x90 && code <= 0x9f:
 		return int(code & 0x0f), 1
@@ -294,21 +294,21 @@
 	return -1, 0
 }
 
-// uintValue reads a whole number that is not negative, in any of its forms.
-func uintValue(b []byte) (uint64, bool) {
+// parseUint reads a whole number that is not negative, in any of its forms.
+func parseUint(b []byte) (uint64, bool) {
 	switch code := b[0]; {
 	case code <= 0x7f:
 		return uint64(code), true
 	case code >= 0xcc && code <= 0xcf:
-		return uintOf(b[1:]), true
+		return decodeUint(b[1:]), true
 	case code >= 0xd0 && code <= 0xd3: // signed: fine where it is not negative
-		return uintOf(b[1:]), b[1] < 0x80
+		return decodeUint(b[1:]), b[1] < 0x80
 	}
 	return 0, false
 }
 
-// stringValue reads a string, also one that an old client sends as raw bytes.
-func stringValue(b []byte) (string, bool) {
+// parseString reads a string, also one that an old client sends as raw bytes.
+func parseString(b []byte) (string, bool) {
 	code := b[0]
 	if code >= 0xa0 && code <= 0xbf {
 		return string(b[1:]), true
@@ -324,8 +324,8 @@
 
 func isNil(b []byte) bool { return len(b) == 1 && b[0] == 0xc0 }
 
-// appendHead begins a message: its array, type and, but for notifications, msgid.
-func appendHead(b []byte, kind byte, id uint32) []byte {
+// appendHeader begins a message: its array, type and, but for notifications, msgid.
+func appendHeader(b []byte, kind byte, id uint32) []byte {
 	if kind == kindNotify {
 		return append(b, 0x93, kind)
 	}
@@ -348,42 +348,42 @@
 
 // reader reads messages off a connection, each within its time.
 type reader struct {
-	nc  net.Conn
-	br  *bufio.Reader
-	lim Limits
+	conn     net.Conn
+	buffered *bufio.Reader
+	limits   Limits
 }
 
-func newReader(nc net.Conn, lim Limits) *reader {
-	return &reader{nc: nc, br: bufio.NewReaderSize(nc, readBuffer), lim: lim}
+func newReader(conn net.Conn, limits Limits) *reader {
+	return &reader{conn: conn, buffered: bufio.NewReaderSize(conn, readBufferSize), limits: limits}
 }
 
-// readBuffer is the size of a connection's buffer, in bytes. It is held as long as the
+// readBufferSize is the size of a connection's buffer, in bytes. It is held as long as the
 // connection, most of which are idle; longer bodies are read past it.
-const readBuffer = 2 << 10
+const readBufferSize = 2 << 10
 
 var errIdle = errors.New("msgpackrpc: connection idle for too long")
 
 // next waits for a message for idle at most, 0 for ever, and reads it whole.
 func (r *reader) next(idle time.Duration) (message, error) {
-	if r.br.Buffered() == 0 {
+	if r.buffered.Buffered() == 0 {
 		var until time.Time
 		if idle > 0 {
 			until = time.Now().Add(idle)
 		}
-		if err := r.nc.SetReadDeadline(until); err != nil {
+		if err := r.conn.SetReadDeadline(until); err != nil {
 			return message{}, err
 		}
-		if _, err := r.br.Peek(1); err != nil {
+		if _, err := r.buffered.Peek(1); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				err = errIdle
 			}
 			return message{}, err
 		}
 	}
-	if err := r.nc.SetReadDeadline(time.Now().Add(r.lim.Receive)); err != nil {
+	if err := r.conn.SetReadDeadline(time.Now().Add(r.limits.Receive)); err != nil {
 		return message{}, err
 	}
-	raw, err := readObject(r.br, r.lim, nil)
+	raw, err := readObject(r.buffered, r.limits, nil)
 	if err != nil {
 		return message{}, err
 	}
--- a/internal/msgpackrpc/idle_test.go
+++ b/internal/msgpackrpc/idle_test.go
@@ -24,11 +24,11 @@
 		go func() { served <- server.Serve(listener) }()
 		clients := make([]*Client, connections)
 		for n := range clients {
-			nc, err := net.Dial("tcp", listener.Addr().String())
+			conn, err := net.Dial("tcp", listener.Addr().String())
 			if err != nil {
 				b.Fatal(err)
 			}
-			clients[n] = NewClient(nc, Limits{}, nil)
+			clients[n] = NewClient(conn, Limits{}, nil)
 			if err := clients[n].Call(b.Context(), "any", nil, nil); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/msgpackrpc/rpc_test.go
+++ b/internal/msgpackrpc/rpc_test.go
@@ -20,45 +20,45 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience is how long a test waits for what must come.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for what must come.
+const testTimeout = 20 * time.Second
 
 // serve starts a server on loopback and returns its address.
 func serve(t testing.TB, s *Server) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- s.Serve(ln) }()
+	go func() { done <- s.Serve(listener) }()
 	t.Cleanup(func() {
 		s.Close()
 		if err := <-done; err != nil {
 			t.Error("Serve:", err)
 		}
 	})
-	return ln.Addr().String()
+	return listener.Addr().String()
 }
 
 func dial(t testing.TB, addr string) net.Conn {
 	t.Helper()
-	nc, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
-	return nc
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	return conn
 }
 
-func client(t testing.TB, addr string, lim Limits) *Client {
+func client(t testing.TB, addr string, limits Limits) *Client {
 	t.Helper()
-	nc, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := NewClient(nc, lim, nil)
+	c := NewClient(conn, limits, nil)
 	t.Cleanup(func() { c.Close() })
 	return c
 }
@@ -71,15 +71,15 @@
 	return p, nil
 }
 
-func within(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
 // All 256 requests are open at once before the first is answered, and they are
 // answered in the reverse order: each caller gets its own.
-func TestInterleaved(t *testing.T) {
+func TestInterleavedResponses(t *testing.T) {
 	const n = 256
 	var mu sync.Mutex
 	turn := sync.NewCond(&mu)
@@ -105,7 +105,7 @@
 	for i := range n {
 		wg.Go(func() {
 			var got int
-			if err := c.Call(within(t), "square", []any{i}, &got); err != nil || got != i*i {
+			if err := c.Call(testContext(t), "square", []any{i}, &got); err != nil || got != i*i {
 				t.Errorf("square of %d: %d, %v", i, got, err)
 			}
 		})
@@ -118,16 +118,16 @@
 
 // A peer in any language: the bytes are those of the specification, in forms that
 // this implementation does not write itself.
-func TestBytesOfTheSpecification(t *testing.T) {
+func TestEncodingsOfTheSpecification(t *testing.T) {
 	addr := serve(t, &Server{Handler: echo})
 	for name, in := range map[string]string{
 		"smallest forms":        "\x94\x00\x07\xa4echo\x91\x01",
 		"array16 and uint64 id": "\xdc\x00\x04\xcc\x00\xcf\x00\x00\x00\x00\x00\x00\x00\x07\xd9\x04echo\xdd\x00\x00\x00\x01\x01",
 		"array32, bin method":   "\xdd\x00\x00\x00\x04\xd0\x00\xd1\x00\x07\xc4\x04echo\xdc\x00\x01\x01",
 	} {
-		nc := dial(t, addr)
-		io.WriteString(nc, in)
-		raw, err := readObject(bufio.NewReader(nc), Limits{}.filled(), nil)
+		conn := dial(t, addr)
+		io.WriteString(conn, in)
+		raw, err := readObject(bufio.NewReader(conn), Limits{}.withDefaults(), nil)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -139,7 +139,7 @@
 }
 
 // What is not MessagePack-RPC ends its connection, and only that one.
-func TestHostileBytes(t *testing.T) {
+func TestInvalidBytesCloseConnection(t *testing.T) {
 	addr := serve(t, &Server{Handler: echo, Limits: Limits{Message: 4096, Depth: 8, Receive: 200 * time.Millisecond}})
 	good := client(t, addr, Limits{})
 	for name, in := range map[string]string{
@@ -160,31 +160,31 @@
 		"never whole":           "\x94\x00\x01\xa9a",
 		"id twice while open":   "\x94\x00\x01\xa4wait\x90\x94\x00\x01\xa4wait\x90",
 	} {
-		nc := dial(t, addr)
-		io.WriteString(nc, in)
+		conn := dial(t, addr)
+		io.WriteString(conn, in)
 		if name == "id twice while open" {
-			continue // see TestIDTwiceWhileOpen
+			continue // see TestDuplicateOpenID
 		}
-		if b, err := io.ReadAll(nc); len(b) > 0 || errors.Is(err, context.DeadlineExceeded) {
+		if b, err := io.ReadAll(conn); len(b) > 0 || errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("%s: answered %q, %v; want a close", name, b, err)
 		}
 		var got []int
-		if err := good.Call(within(t), "echo", []any{7}, &got); err != nil || got[0] != 7 {
+		if err := good.Call(testContext(t), "echo", []any{7}, &got); err != nil || got[0] != 7 {
 			t.Fatalf("after %s another connection: %v %v", name, got, err)
 		}
 	}
 }
 
-func TestIDTwiceWhileOpen(t *testing.T) {
+func TestDuplicateOpenID(t *testing.T) {
 	var ended atomic.Int32
 	addr := serve(t, &Server{Handler: func(ctx context.Context, r *Request) (any, error) {
 		<-ctx.Done()
 		ended.Add(1)
 		return "late", nil
 	}})
-	nc := dial(t, addr)
-	io.WriteString(nc, "\x94\x00\x01\xa4wait\x90\x94\x00\x01\xa4wait\x90")
-	if b, _ := io.ReadAll(nc); len(b) > 0 {
+	conn := dial(t, addr)
+	io.WriteString(conn, "\x94\x00\x01\xa4wait\x90\x94\x00\x01\xa4wait\x90")
+	if b, _ := io.ReadAll(conn); len(b) > 0 {
 		t.Errorf("answered %q; neither may be", b)
 	}
 }
@@ -213,25 +213,25 @@
 		"coded": "map[code:no_such]", "panic": "internal error", "large": "over the limit",
 		"unsendable": "unsupported", "other": "plain",
 	} {
-		err := c.Call(within(t), method, nil, nil)
+		err := c.Call(testContext(t), method, nil, nil)
 		if _, ok := errors.AsType[*RemoteError](err); !ok || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v; want %q", method, err, want)
 		}
 	}
-	err := c.Call(within(t), "echo", []any{strings.Repeat("x", 2<<20)}, nil)
+	err := c.Call(testContext(t), "echo", []any{strings.Repeat("x", 2<<20)}, nil)
 	if ce, ok := errors.AsType[*CallError](err); !ok || ce.Sent != SentNone || !errors.Is(err, ErrTooLong) {
 		t.Errorf("a call over the limit: %v", err)
 	}
 	// A result of another type than the caller expects is an error of that call alone.
 	var n int
-	if err := c.Call(within(t), "other", nil, &n); err == nil {
+	if err := c.Call(testContext(t), "other", nil, &n); err == nil {
 		t.Error("no error")
 	}
 }
 
 // A reply after its caller gave up reaches no one, and its id is not used again
 // before it has come.
-func TestLateReply(t *testing.T) {
+func TestResponseAfterCallEnded(t *testing.T) {
 	release := make(chan struct{})
 	addr := serve(t, &Server{Handler: func(ctx context.Context, r *Request) (any, error) {
 		if r.Method == "slow" {
@@ -247,7 +247,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	var got string
-	if err := c.Call(within(t), "first", nil, &got); err != nil || got != "first" { // the slow one was written before
+	if err := c.Call(testContext(t), "first", nil, &got); err != nil || got != "first" { // the slow one was written before
 		t.Fatal(got, err)
 	}
 	cancel()
@@ -256,16 +256,16 @@
 		t.Errorf("the call given up: %v", err)
 	}
 	c.mu.Lock()
-	c.next = 0 // the ids begin again, as after 4 G calls: 1 is still taken
+	c.nextID = 0 // the ids begin again, as after 4 G calls: 1 is still taken
 	c.mu.Unlock()
 	for i := range 3 {
 		method := fmt.Sprint("m", i)
-		if err := c.Call(within(t), method, nil, &got); err != nil || got != method {
+		if err := c.Call(testContext(t), method, nil, &got); err != nil || got != method {
 			t.Fatalf("%s: %q %v", method, got, err)
 		}
 	}
 	close(release)
-	for deadline := time.Now().Add(patience); c.UnsolicitedResponses() == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); c.UnsolicitedResponses() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the late reply was never counted")
 		}
@@ -278,11 +278,11 @@
 func (c *Client) next1() uint32 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.next
+	return c.nextID
 }
 
-// gate is a connection that lets so many bytes through and then fails.
-type gate struct {
+// cuttingConn is a connection that lets so many bytes through and then fails.
+type cuttingConn struct {
 	net.Conn
 	mu   sync.Mutex
 	left int
@@ -290,7 +290,7 @@
 	once sync.Once
 }
 
-func (g *gate) Write(b []byte) (int, error) {
+func (g *cuttingConn) Write(b []byte) (int, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := min(len(b), g.left)
@@ -308,7 +308,7 @@
 
 // A connection that breaks after any number of bytes: each call knows how much of
 // it went out, in agreement with what the peer got.
-func TestBrokenConnectionTellsWhatWasSent(t *testing.T) {
+func TestBrokenConnectionReportsWhatWasSent(t *testing.T) {
 	one, _ := encode(kindRequest, 1, "m", []any{1})
 	size := len(one)
 	for cut := range 3*size + 1 {
@@ -321,14 +321,14 @@
 			}
 			got <- int(n)
 		}()
-		g := &gate{Conn: near, left: cut, full: make(chan struct{})}
+		g := &cuttingConn{Conn: near, left: cut, full: make(chan struct{})}
 		c := NewClient(g, Limits{}, nil)
 		states := map[Sent]int{}
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		for range 3 {
 			wg.Go(func() {
-				err := c.Call(within(t), "m", []any{1}, nil)
+				err := c.Call(testContext(t), "m", []any{1}, nil)
 				ce, ok := errors.AsType[*CallError](err)
 				if !ok {
 					t.Errorf("cut %d: %v", cut, err)
@@ -354,7 +354,7 @@
 }
 
 // Close ends pending calls, and the handlers' contexts at the other side.
-func TestCloseEndsAll(t *testing.T) {
+func TestCloseEndsCallsAndHandlers(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
 	addr := serve(t, &Server{Handler: func(ctx context.Context, r *Request) (any, error) {
 		close(began)
@@ -364,7 +364,7 @@
 	}})
 	c := client(t, addr, Limits{})
 	res := make(chan error, 1)
-	go func() { res <- c.Call(within(t), "m", nil, nil) }()
+	go func() { res <- c.Call(testContext(t), "m", nil, nil) }()
 	<-began
 	c.Close()
 	err := <-res
@@ -373,17 +373,17 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the handler goes on after its connection has ended")
 	}
-	if ce, ok := errors.AsType[*CallError](c.Call(within(t), "m", nil, nil)); !ok || ce.Sent != SentNone {
+	if ce, ok := errors.AsType[*CallError](c.Call(testContext(t), "m", nil, nil)); !ok || ce.Sent != SentNone {
 		t.Error("a call after Close:", ce)
 	}
 }
 
 // A peer that asks and never reads is closed; what it costs is bounded: requests
 // are read no further than answers find room.
-func TestSlowReader(t *testing.T) {
+func TestPeerThatNeverReads(t *testing.T) {
 	var calls atomic.Int32
 	big := strings.Repeat("x", 64<<10)
 	closed := make(chan struct{})
@@ -399,27 +399,27 @@
 			return big, nil
 		}}
 	addr := serve(t, s)
-	nc := dial(t, addr)
-	nc.(*net.TCPConn).SetReadBuffer(4096)
+	conn := dial(t, addr)
+	conn.(*net.TCPConn).SetReadBuffer(4096)
 	const asked = 100000
 	go func() {
 		var b []byte
 		for id := range uint32(asked) {
-			b = append(appendString(appendHead(b[:0], kindRequest, id), "m"), 0x90)
-			if _, err := nc.Write(b); err != nil {
+			b = append(appendString(appendHeader(b[:0], kindRequest, id), "m"), 0x90)
+			if _, err := conn.Write(b); err != nil {
 				return
 			}
 		}
 	}()
 	select {
 	case <-closed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the slow reader was never closed")
 	}
 	if n := calls.Load(); n > 1000 {
 		t.Errorf("%d calls were carried out for a peer that read nothing", n)
 	}
-	nc.Close()
+	conn.Close()
 }
 
 func TestConnLimitAndNotify(t *testing.T) {
@@ -432,11 +432,11 @@
 	}}
 	addr := serve(t, s)
 	c := client(t, addr, Limits{})
-	if err := c.Call(within(t), "m", nil, nil); err != nil {
+	if err := c.Call(testContext(t), "m", nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	second := client(t, addr, Limits{})
-	if err := second.Call(within(t), "m", nil, nil); err == nil {
+	if err := second.Call(testContext(t), "m", nil, nil); err == nil {
 		t.Error("a connection over the limit was served")
 	}
 	if err := c.Notify("told", nil); err != nil {
@@ -455,22 +455,22 @@
 	} {
 		f.Add([]byte(s))
 	}
-	lim := Limits{Message: 1 << 12, Depth: 8}.filled()
+	limits := Limits{Message: 1 << 12, Depth: 8}.withDefaults()
 	f.Fuzz(func(t *testing.T, in []byte) {
-		raw, err := readObject(bufio.NewReader(bytes.NewReader(in)), lim, nil)
+		raw, err := readObject(bufio.NewReader(bytes.NewReader(in)), limits, nil)
 		if err != nil {
 			return
 		}
-		if len(raw) > lim.Message || !bytes.HasPrefix(in, raw) {
+		if len(raw) > limits.Message || !bytes.HasPrefix(in, raw) {
 			t.Fatalf("read %d bytes that are not the input's", len(raw))
 		}
-		if n := skip(raw); n != len(raw) {
+		if n := objectLength(raw); n != len(raw) {
 			t.Fatalf("skip says %d of %d", n, len(raw))
 		}
 		if m, err := parse(raw); err == nil && m.kind != kindResponse {
 			// What passes can be written again and reads as the same.
 			kind := byte(m.kind)
-			b := append(appendString(appendHead(nil, kind, m.id), m.method), m.a...)
+			b := append(appendString(appendHeader(nil, kind, m.id), m.method), m.first...)
 			if again, err := parse(b); err != nil || again.method != m.method || again.id != m.id {
 				t.Fatalf("%x written again: %v", raw, err)
 			}
@@ -488,15 +488,15 @@
 	f.Add([]byte("\x94\x00\x01\xa1a\xdd\xff\xff\xff\xff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		near, far := net.Pipe()
-		if !s.add(far) {
+		if !s.startConn(far) {
 			t.Skip("full")
 		}
 		go io.Copy(io.Discard, near)
-		near.SetDeadline(time.Now().Add(patience))
+		near.SetDeadline(time.Now().Add(testTimeout))
 		near.Write(in)
 		near.Close()
 		var got []int
-		if err := good.Call(within(t), "echo", []any{1}, &got); err != nil || got[0] != 1 {
+		if err := good.Call(testContext(t), "echo", []any{1}, &got); err != nil || got[0] != 1 {
 			t.Fatal(got, err)
 		}
 	})
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -47,29 +47,29 @@
 	// message is read; an error closes it. It must end within Limits.Receive.
 	Welcome func(p *Peer) error
 
-	mu     sync.Mutex
-	conns  map[net.Conn]struct{}
-	lns    map[net.Listener]struct{}
-	closed bool
-	wg     sync.WaitGroup
+	mu         sync.Mutex
+	conns      map[net.Conn]struct{}
+	listeners  map[net.Listener]struct{}
+	closed     bool
+	goroutines sync.WaitGroup
 }
 
 // Serve accepts connections until the listener or the server is closed. It
 // returns nil after Close.
-func (s *Server) Serve(ln net.Listener) error {
+func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
 		return ErrClosed
 	}
-	if s.lns == nil {
-		s.lns, s.conns = make(map[net.Listener]struct{}), make(map[net.Conn]struct{})
+	if s.listeners == nil {
+		s.listeners, s.conns = make(map[net.Listener]struct{}), make(map[net.Conn]struct{})
 	}
-	s.lns[ln] = struct{}{}
+	s.listeners[listener] = struct{}{}
 	s.mu.Unlock()
-	defer ln.Close()
+	defer listener.Close()
 	for {
-		nc, err := netconn.Accept("msgpackrpc", ln.Accept, nil)
+		conn, err := netconn.Accept("msgpackrpc", listener.Accept, nil)
 		if err != nil {
 			s.mu.Lock()
 			closed := s.closed
@@ -79,14 +79,14 @@
 			}
 			return err
 		}
-		if !s.add(nc) {
-			nc.Close()
+		if !s.startConn(conn) {
+			conn.Close()
 		}
 	}
 }
 
-// add serves a connection if there is room.
-func (s *Server) add(nc net.Conn) bool {
+// startConn serves a connection if there is room.
+func (s *Server) startConn(conn net.Conn) bool {
 	limit := s.Conns
 	if limit <= 0 {
 		limit = 256
@@ -96,15 +96,15 @@
 	if s.closed || len(s.conns) >= limit {
 		return false
 	}
-	s.conns[nc] = struct{}{}
-	s.wg.Go(func() {
-		err := s.serve(nc)
-		nc.Close()
+	s.conns[conn] = struct{}{}
+	s.goroutines.Go(func() {
+		err := s.serve(conn)
+		conn.Close()
 		s.mu.Lock()
-		delete(s.conns, nc)
+		delete(s.conns, conn)
 		s.mu.Unlock()
 		if errors.Is(err, ErrFormat) || errors.Is(err, ErrTooDeep) || errors.Is(err, ErrTooLong) {
-			slog.Warn("msgpackrpc: connection closed", "from", nc.RemoteAddr(), "err", err)
+			slog.Warn("msgpackrpc: connection closed", "from", conn.RemoteAddr(), "err", err)
 		}
 	})
 	return true
@@ -115,36 +115,36 @@
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
-	for ln := range s.lns {
-		ln.Close()
+	for listener := range s.listeners {
+		listener.Close()
 	}
-	for nc := range s.conns {
-		nc.Close()
+	for conn := range s.conns {
+		conn.Close()
 	}
 	s.mu.Unlock()
-	s.wg.Wait()
+	s.goroutines.Wait()
 }
 
 // serve reads requests until the connection ends. Reading stops while as many are
 // open as the limit allows, so that the peer is slowed and not the memory filled.
-func (s *Server) serve(nc net.Conn) (err error) {
-	lim := s.Limits.filled()
+func (s *Server) serve(conn net.Conn) (err error) {
+	limits := s.Limits.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
-	peer := &Peer{Conn: nc}
+	peer := &Peer{Conn: conn}
 	if s.Welcome != nil {
-		nc.SetDeadline(time.Now().Add(lim.Receive))
+		conn.SetDeadline(time.Now().Add(limits.Receive))
 		if err := s.Welcome(peer); err != nil {
 			cancel()
 			return err
 		}
-		nc.SetDeadline(time.Time{})
+		conn.SetDeadline(time.Time{})
 	}
-	w := newWriter(nc, lim)
+	w := newWriter(conn, limits)
 	var wg sync.WaitGroup // the handlers
 	var writing sync.WaitGroup
 	writing.Go(func() {
 		if w.run() != nil {
-			nc.Close() // the reader ends too
+			conn.Close() // the reader ends too
 		}
 	})
 	defer func() {
@@ -152,7 +152,7 @@
 			// What is still to be answered has no one to read it, or no one who
 			// keeps to the protocol. Before handlers hear of the end: their answers
 			// must not get out.
-			nc.Close()
+			conn.Close()
 			w.fail(err)
 		}
 		cancel()
@@ -160,12 +160,12 @@
 		w.finish()
 		writing.Wait()
 	}()
-	slots := make(chan struct{}, lim.Outstanding)
+	slots := make(chan struct{}, limits.Outstanding)
 	var mu sync.Mutex
 	open := make(map[uint32]struct{})
-	r := newReader(nc, lim)
+	r := newReader(conn, limits)
 	for {
-		m, err := r.next(lim.Idle)
+		m, err := r.next(limits.Idle)
 		if err == errIdle && len(slots) > 0 {
 			continue
 		}
@@ -175,7 +175,7 @@
 		if m.kind == kindResponse {
 			return fmt.Errorf("%w: a response came to the answering side", ErrFormat)
 		}
-		req := &Request{Method: m.method, Params: m.a, Notify: m.kind == kindNotify, Peer: peer}
+		req := &Request{Method: m.method, Params: m.first, Notify: m.kind == kindNotify, Peer: peer}
 		if !req.Notify {
 			mu.Lock()
 			_, twice := open[m.id]
@@ -189,7 +189,7 @@
 		slots <- struct{}{} // freed by handlers, which end with ctx
 		wg.Go(func() {
 			defer func() { <-slots }()
-			data := s.handle(ctx, req, m.id, lim)
+			data := s.handle(ctx, req, m.id, limits)
 			if req.Notify {
 				return
 			}
@@ -203,15 +203,15 @@
 }
 
 // handle runs the handler and encodes its answer.
-func (s *Server) handle(ctx context.Context, r *Request, id uint32, lim Limits) []byte {
-	result, err := s.call(ctx, r)
+func (s *Server) handle(ctx context.Context, r *Request, id uint32, limits Limits) []byte {
+	result, err := s.callHandler(ctx, r)
 	if r.Notify {
 		return nil
 	}
-	head := appendHead(make([]byte, 0, 256), kindResponse, id)
+	head := appendHeader(make([]byte, 0, 256), kindResponse, id)
 	if err == nil {
 		var b []byte
-		if b, err = msgpack.Marshal(result); err == nil && len(b)+len(head)+1 > lim.Message {
+		if b, err = msgpack.Marshal(result); err == nil && len(b)+len(head)+1 > limits.Message {
 			err = fmt.Errorf("%s: an answer of %d bytes: %w", r.Method, len(b), ErrTooLong)
 		}
 		if err == nil {
@@ -226,14 +226,14 @@
 		value = v.ErrorValue()
 	}
 	b, err := msgpack.Marshal(value)
-	if err != nil || len(b)+len(head)+1 > lim.Message {
+	if err != nil || len(b)+len(head)+1 > limits.Message {
 		b, _ = msgpack.Marshal("error that can't be sent")
 	}
 	return append(append(head, b...), 0xc0)
 }
 
-// call guards the other requests from a handler that panics.
-func (s *Server) call(ctx context.Context, r *Request) (result any, err error) {
+// callHandler guards the other requests from a handler that panics.
+func (s *Server) callHandler(ctx context.Context, r *Request) (result any, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("msgpackrpc: handler panicked", "method", r.Method, "panic", p, "stack", string(debug.Stack()))
--- a/internal/msgpackrpc/writer.go
+++ b/internal/msgpackrpc/writer.go
@@ -21,30 +21,30 @@
 
 // item is a message on its way out. Its field sent is guarded by the writer's lock.
 type item struct {
-	data []byte
-	sent Sent
-	gone bool // taken back before a byte of it went out
+	data      []byte
+	sent      Sent
+	withdrawn bool // taken back before a byte of it went out
 }
 
-// maxBatch is how many bytes are handed to the socket in one write.
-const maxBatch = 64 << 10
+// maxBatchBytes is how many bytes are handed to the socket in one write.
+const maxBatchBytes = 64 << 10
 
 // writer writes queued messages in order, from one goroutine that ends with the
 // connection. Its queue is bounded in bytes: who adds to a full one waits.
 type writer struct {
-	nc  net.Conn
-	lim Limits
-
-	mu     sync.Mutex
-	cond   sync.Cond // the queue, stop or err changed
-	queue  []*item
-	queued int // bytes, with those being written
-	stop   bool
-	err    error // why nothing more goes out
+	conn   net.Conn
+	limits Limits
+
+	mu       sync.Mutex
+	cond     sync.Cond // the queue, stop or err changed
+	queue    []*item
+	queued   int // bytes, with those being written
+	stopping bool
+	err      error // why nothing more goes out
 }
 
-func newWriter(nc net.Conn, lim Limits) *writer {
-	w := &writer{nc: nc, lim: lim}
+func newWriter(conn net.Conn, limits Limits) *writer {
+	w := &writer{conn: conn, limits: limits}
 	w.cond.L = &w.mu
 	return w
 }
@@ -54,13 +54,13 @@
 func (w *writer) add(it *item) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for w.err == nil && !w.stop && w.queued > 0 && w.queued+len(it.data) > w.lim.Queued {
+	for w.err == nil && !w.stopping && w.queued > 0 && w.queued+len(it.data) > w.limits.Queued {
 		w.cond.Wait()
 	}
 	if w.err != nil {
 		return w.err
 	}
-	if w.stop {
+	if w.stopping {
 		return net.ErrClosed
 	}
 	w.queue = append(w.queue, it)
@@ -69,17 +69,17 @@
 	return nil
 }
 
-// take takes a message back if not a byte of it has gone out.
-func (w *writer) take(it *item) bool {
+// withdraw takes a message back if not a byte of it has gone out.
+func (w *writer) withdraw(it *item) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if it.sent == SentNone {
-		it.gone = true
+		it.withdrawn = true
 	}
-	return it.gone
+	return it.withdrawn
 }
 
-func (w *writer) state(it *item) Sent {
+func (w *writer) sentState(it *item) Sent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return it.sent
@@ -99,7 +99,7 @@
 func (w *writer) finish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.stop = true
+	w.stopping = true
 	w.cond.Broadcast()
 }
 
@@ -108,7 +108,7 @@
 	var batch []*item
 	for {
 		w.mu.Lock()
-		for len(w.queue) == 0 && w.err == nil && !w.stop {
+		for len(w.queue) == 0 && w.err == nil && !w.stopping {
 			w.cond.Wait()
 		}
 		if w.err != nil || len(w.queue) == 0 {
@@ -119,11 +119,11 @@
 		batch = batch[:0]
 		taken, bytes := 0, 0
 		for _, it := range w.queue {
-			if len(batch) > 0 && bytes+len(it.data) > maxBatch {
+			if len(batch) > 0 && bytes+len(it.data) > maxBatchBytes {
 				break
 			}
 			taken++
-			if it.gone {
+			if it.withdrawn {
 				w.queued -= len(it.data)
 				continue
 			}
@@ -139,9 +139,9 @@
 		}
 		w.mu.Unlock()
 
-		n, err := 0, w.nc.SetWriteDeadline(time.Now().Add(w.lim.Send))
+		n, err := 0, w.conn.SetWriteDeadline(time.Now().Add(w.limits.Send))
 		if err == nil && bytes > 0 {
-			n, err = w.nc.Write(joined(batch, bytes))
+			n, err = w.conn.Write(joinBatch(batch, bytes))
 		}
 		w.mu.Lock()
 		at := 0
@@ -165,9 +165,9 @@
 	}
 }
 
-// joined is the bytes of a batch for one write. A buffer is made only for several messages,
+// joinBatch is the bytes of a batch for one write. A buffer is made only for several messages,
 // and not kept: most connections are idle.
-func joined(batch []*item, bytes int) []byte {
+func joinBatch(batch []*item, bytes int) []byte {
 	if len(batch) == 1 {
 		return batch[0].data
 	}
