--- a/internal/msgpackrpc/client.go
+++ b/internal/msgpackrpc/client.go
@@ -145,34 +145,22 @@
 	}
 }
 
+// read receives messages until the connection ends.
 func (c *Client) read() {
-	r := newReader(c.conn, c.limits)
+	messages := newReader(c.conn, c.limits)
 	for {
-		m, err := r.next(0)
+		message, err := messages.next(0)
 		if err != nil {
 			c.fail(err)
 			return
 		}
-		switch m.kind {
+		switch message.kind {
 		case kindNotify:
 			if c.notify != nil {
-				c.notify(m.method, m.first)
+				c.notify(message.method, message.paramsOrError)
 			}
 		case kindResponse:
-			c.mu.Lock()
-			call, known := c.pending[m.id]
-			delete(c.pending, m.id)
-			if call == nil {
-				c.unsolicited++
-			}
-			c.mu.Unlock()
-			if known {
-				<-c.slots
-			}
-			if call != nil {
-				call.response = m
-				close(call.done)
-			}
+			c.deliver(message)
 		default:
 			c.fail(fmt.Errorf("%w: a request came to the calling side", ErrFormat))
 			return
@@ -180,83 +168,126 @@
 	}
 }
 
-// Call sends a request and waits for its answer, which it decodes into result
+// deliver passes a response to its call and releases the call's message id.
+func (c *Client) deliver(response message) {
+	c.mu.Lock()
+	call, known := c.pending[response.id]
+	delete(c.pending, response.id)
+	if call == nil {
+		c.unsolicited++
+	}
+	c.mu.Unlock()
+	if known {
+		<-c.slots
+	}
+	if call != nil {
+		call.response = response
+		close(call.done)
+	}
+}
+
+// Call sends a request, waits for its response and decodes the result into result
 // unless that is nil. params is the method's array of parameters; nil is none.
-// It ends with the context: the answer, if it still comes, is dropped, and the
-// message id stays taken until then. Errors are *RemoteError where the peer said
-// no, *CallError where there is no answer.
+// Call ends with the context: a response that arrives later is dropped, and the
+// message id stays in use until then. Errors are *RemoteError if the peer responded
+// with an error, and *CallError if there is no usable response.
 func (c *Client) Call(ctx context.Context, method string, params []any, result any) error {
-	data, err := encode(kindRequest, 0, method, params)
+	data, err := c.encodeBounded(kindRequest, method, params)
 	if err != nil {
 		return &CallError{Method: method, Err: err}
 	}
-	if len(data) > c.limits.Message {
-		return &CallError{Method: method, Err: ErrTooLong}
+	if err := c.acquireSlot(ctx); err != nil {
+		return &CallError{Method: method, Err: err}
+	}
+	call := &call{request: &item{data: data}, done: make(chan struct{})}
+	id, err := c.register(call)
+	if err != nil {
+		return &CallError{Method: method, Err: err}
+	}
+	copy(data, appendHeader(nil, kindRequest, id))
+
+	if err := c.writer.add(call.request); err != nil {
+		c.abandon(id, call)
+		return &CallError{Method: method, Err: err}
+	}
+	if err := c.await(ctx, id, call); err != nil {
+		return &CallError{Method: method, Sent: c.writer.sentState(call.request), Err: err}
 	}
+	return call.response.decodeResult(method, result)
+}
+
+// acquireSlot waits until fewer than Limits.Outstanding message ids are in use.
+func (c *Client) acquireSlot(ctx context.Context) error {
 	select {
 	case c.slots <- struct{}{}:
+		return nil
 	case <-ctx.Done():
-		return &CallError{Method: method, Err: ctx.Err()}
+		return ctx.Err()
 	case <-c.done:
-		return &CallError{Method: method, Err: c.Err()}
+		return c.Err()
 	}
-	call := &call{request: &item{data: data}, done: make(chan struct{})}
+}
+
+// register assigns a message id to a call that holds a slot. On an error the slot is
+// released.
+func (c *Client) register(call *call) (id uint32, err error) {
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	if c.err != nil {
-		err := c.err
-		c.mu.Unlock()
 		<-c.slots
-		return &CallError{Method: method, Err: err}
+		return 0, c.err
 	}
 	for {
 		c.nextID++
-		if _, taken := c.pending[c.nextID]; !taken {
+		if _, inUse := c.pending[c.nextID]; !inUse {
 			break
 		}
 	}
-	id := c.nextID
-	c.pending[id] = call
-	c.mu.Unlock()
-	copy(data, appendHeader(nil, kindRequest, id))
+	c.pending[c.nextID] = call
+	return c.nextID, nil
+}
 
-	if err := c.writer.add(call.request); err != nil {
-		c.giveUp(id, call)
-		return &CallError{Method: method, Err: err}
-	}
+// await waits for the end of a call, and returns an error unless it has a response.
+func (c *Client) await(ctx context.Context, id uint32, call *call) error {
 	select {
 	case <-call.done:
 	case <-ctx.Done():
-		if answered := c.giveUp(id, call); !answered {
-			return &CallError{Method: method, Sent: c.writer.sentState(call.request), Err: ctx.Err()}
+		if ended := c.abandon(id, call); !ended {
+			return ctx.Err()
 		}
 		<-call.done
 	}
 	if call.err != nil {
-		<-c.written // how far the last write came is known
-		return &CallError{Method: method, Sent: c.writer.sentState(call.request), Err: call.err}
+		<-c.written // afterwards it is known how much of the request was sent
+		return call.err
 	}
-	if !isNil(call.response.first) {
-		return &RemoteError{Method: method, Value: call.response.first}
+	return nil
+}
+
+// decodeResult decodes a response, which may carry an error instead of a result.
+func (m *message) decodeResult(method string, result any) error {
+	if !isNil(m.paramsOrError) {
+		return &RemoteError{Method: method, Value: m.paramsOrError}
 	}
 	if result == nil {
 		return nil
 	}
-	if err := msgpack.Unmarshal(call.response.second, result); err != nil {
+	if err := msgpack.Unmarshal(m.result, result); err != nil {
 		return &CallError{Method: method, Sent: SentCompletely, Err: fmt.Errorf("its result can't be read: %w", err)}
 	}
 	return nil
 }
 
-// giveUp forgets a call; true if its end has come already. Where its request
-// went out, its id and slot stay taken until the answer comes.
-func (c *Client) giveUp(id uint32, call *call) (ended bool) {
-	never := c.writer.withdraw(call.request)
+// abandon ends the wait for a call, and reports whether the call has ended already.
+// If its request was sent, its id and slot stay in use until the response arrives.
+func (c *Client) abandon(id uint32, call *call) (ended bool) {
+	withdrawn := c.writer.withdraw(call.request)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending[id] != call {
 		return true
 	}
-	if never {
+	if withdrawn {
 		delete(c.pending, id)
 		<-c.slots
 	} else {
@@ -265,12 +296,9 @@
 	return false
 }
 
-// Notify sends a notification, which has no answer.
+// Notify sends a notification, which has no response.
 func (c *Client) Notify(method string, params []any) error {
-	data, err := encode(kindNotify, 0, method, params)
-	if err == nil && len(data) > c.limits.Message {
-		err = ErrTooLong
-	}
+	data, err := c.encodeBounded(kindNotify, method, params)
 	if err == nil {
 		err = c.writer.add(&item{data: data})
 	}
@@ -280,6 +308,19 @@
 	return nil
 }
 
+// encodeBounded encodes a request, whose message id is set later, or a notification. It
+// returns ErrTooLong for a message over the limit.
+func (c *Client) encodeBounded(kind byte, method string, params []any) ([]byte, error) {
+	data, err := encode(kind, 0, method, params)
+	if err != nil {
+		return nil, err
+	}
+	if len(data) > c.limits.Message {
+		return nil, ErrTooLong
+	}
+	return data, nil
+}
+
 // encode makes a request or a notification.
 func encode(kind byte, id uint32, method string, params []any) ([]byte, error) {
 	b := appendString(appendHeader(make([]byte, 0, 128), kind, id), method)
--- a/internal/msgpackrpc/frame.go
+++ b/internal/msgpackrpc/frame.go
@@ -8,6 +8,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
+// codeNil is the encoding of nil.
+const codeNil = 0xc0
+
 // Kinds of messages.
 const (
 	kindRequest  = 0
@@ -20,7 +23,8 @@
 	kind          uint64
 	id            uint32
 	method        string
-	first, second msgpack.RawMessage // params; error and result
+	paramsOrError msgpack.RawMessage // params of a request or notification; error of a response
+	result        msgpack.RawMessage // of a response
 }
 
 // parse takes a whole object apart.
@@ -55,15 +59,15 @@
 		m.id = uint32(id)
 	}
 	if kind == kindResponse {
-		m.first, m.second = part[2], part[3]
+		m.paramsOrError, m.result = part[2], part[3]
 		return m, nil
 	}
 	method, ok := parseString(part[n-2])
 	if !ok {
 		return m, fmt.Errorf("%w: its method is no string", ErrFormat)
 	}
-	m.method, m.first = method, part[n-1]
-	if k, _ := parseArrayHeader(m.first); k < 0 {
+	m.method, m.paramsOrError = method, part[n-1]
+	if k, _ := parseArrayHeader(m.paramsOrError); k < 0 {
 		return m, fmt.Errorf("%w: its params are no array", ErrFormat)
 	}
 	return m, nil
@@ -111,7 +115,7 @@
 	return "", false
 }
 
-func isNil(b []byte) bool { return len(b) == 1 && b[0] == 0xc0 }
+func isNil(b []byte) bool { return len(b) == 1 && b[0] == codeNil }
 
 // appendHeader begins a message: its array, type and, but for notifications, msgid.
 func appendHeader(b []byte, kind byte, id uint32) []byte {
--- a/internal/msgpackrpc/rpc_test.go
+++ b/internal/msgpackrpc/rpc_test.go
@@ -470,7 +470,7 @@
 		if m, err := parse(raw); err == nil && m.kind != kindResponse {
 			// What passes can be written again and reads as the same.
 			kind := byte(m.kind)
-			b := append(appendString(appendHeader(nil, kind, m.id), m.method), m.first...)
+			b := append(appendString(appendHeader(nil, kind, m.id), m.method), m.paramsOrError...)
 			if again, err := parse(b); err != nil || again.method != m.method || again.id != m.id {
 				t.Fatalf("%x written again: %v", raw, err)
 			}
--- /dev/null
+++ b/internal/msgpackrpc/server_conn.go
@@ -0,0 +1,178 @@
+package msgpackrpc
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"runtime/debug"
+	"sync"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// serverConn serves one connection.
+type serverConn struct {
+	server   *Server
+	peer     *Peer
+	conn     net.Conn
+	limits   Limits
+	writer   *writer
+	handlers sync.WaitGroup
+	slots    chan struct{} // one for each running handler
+
+	mu   sync.Mutex
+	open map[uint32]struct{} // message ids of requests without a queued response
+}
+
+// serve serves a connection until it ends and all of its handlers have returned. The
+// error is never nil.
+func (s *Server) serve(conn net.Conn) error {
+	limits := s.Limits.withDefaults()
+	peer := &Peer{Conn: conn}
+	if err := s.welcome(peer, limits); err != nil {
+		return err
+	}
+	c := &serverConn{
+		server: s,
+		peer:   peer,
+		conn:   conn,
+		limits: limits,
+		writer: newWriter(conn, limits),
+		slots:  make(chan struct{}, limits.Outstanding),
+		open:   make(map[uint32]struct{}),
+	}
+	return c.run()
+}
+
+// welcome calls Welcome with a deadline on the connection.
+func (s *Server) welcome(peer *Peer, limits Limits) error {
+	if s.Welcome == nil {
+		return nil
+	}
+	peer.Conn.SetDeadline(time.Now().Add(limits.Receive))
+	if err := s.Welcome(peer); err != nil {
+		return err
+	}
+	peer.Conn.SetDeadline(time.Time{})
+	return nil
+}
+
+// run serves requests until the connection ends, then waits for handlers and the writer.
+func (c *serverConn) run() error {
+	ctx, cancel := context.WithCancel(context.Background())
+	var writing sync.WaitGroup
+	writing.Go(func() {
+		if c.writer.run() != nil {
+			c.conn.Close() // ends the reader too
+		}
+	})
+	err := c.readRequests(ctx)
+	// The peer can't receive the remaining responses, or has violated the protocol. The
+	// connection is closed before handlers are cancelled, so that their responses are not sent.
+	c.conn.Close()
+	c.writer.fail(err)
+	cancel()
+	c.handlers.Wait()
+	c.writer.finish()
+	writing.Wait()
+	return err
+}
+
+// readRequests starts a handler for each request until the connection ends. It stops
+// reading while Limits.Outstanding handlers run: that slows the peer down instead of
+// filling memory.
+func (c *serverConn) readRequests(ctx context.Context) error {
+	messages := newReader(c.conn, c.limits)
+	for {
+		message, err := messages.next(c.limits.Idle)
+		if err == errIdle && len(c.slots) > 0 {
+			continue
+		}
+		if err != nil {
+			return err
+		}
+		if message.kind == kindResponse {
+			return fmt.Errorf("%w: a response came to the answering side", ErrFormat)
+		}
+		id := message.id
+		request := &Request{Method: message.method, Params: message.paramsOrError, Notify: message.kind == kindNotify, Peer: c.peer}
+		if !request.Notify && !c.begin(id) {
+			// Two responses with one id could be confused: neither is sent.
+			return fmt.Errorf("%w: msgid %d used again while open", ErrFormat, id)
+		}
+		c.slots <- struct{}{} // released by handlers, which end with ctx
+		c.handlers.Go(func() {
+			defer func() { <-c.slots }()
+			c.respond(ctx, request, id)
+		})
+	}
+}
+
+// begin marks a message id as open. It returns false if the id is open already.
+func (c *serverConn) begin(id uint32) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, duplicate := c.open[id]
+	c.open[id] = struct{}{}
+	return !duplicate
+}
+
+// respond runs the handler and queues its response.
+func (c *serverConn) respond(ctx context.Context, request *Request, id uint32) {
+	result, err := c.server.callHandler(ctx, request)
+	if request.Notify {
+		return
+	}
+	data := encodeResponse(request.Method, id, result, err, c.limits)
+	// The peer may use the id again once the response is queued, and not before.
+	c.mu.Lock()
+	delete(c.open, id)
+	c.mu.Unlock()
+	c.writer.add(&item{data: data})
+}
+
+// encodeResponse encodes a result or an error. A result that can't be encoded, or exceeds
+// the limit, is replaced by an error.
+func encodeResponse(method string, id uint32, result any, err error, limits Limits) []byte {
+	head := appendHeader(make([]byte, 0, 256), kindResponse, id)
+	if err == nil {
+		var encoded []byte
+		if encoded, err = msgpack.Marshal(result); err == nil && len(encoded)+len(head)+1 > limits.Message {
+			err = fmt.Errorf("%s: an answer of %d bytes: %w", method, len(encoded), ErrTooLong)
+		}
+		if err == nil {
+			return append(append(head, codeNil), encoded...)
+		}
+	}
+	encoded, err := msgpack.Marshal(errorValue(err))
+	if err != nil || len(encoded)+len(head)+1 > limits.Message {
+		encoded, _ = msgpack.Marshal("error that can't be sent")
+	}
+	return append(append(head, encoded...), codeNil)
+}
+
+// errorValue returns an error's value on the wire.
+func errorValue(err error) any {
+	if valuer, ok := errors.AsType[interface {
+		error
+		ErrorValuer
+	}](err); ok {
+		return valuer.ErrorValue()
+	}
+	return err.Error()
+}
+
+// callHandler calls the handler and converts a panic to an error, so that it does not end
+// the other requests.
+func (s *Server) callHandler(ctx context.Context, request *Request) (result any, err error) {
+	defer func() {
+		if p := recover(); p != nil {
+			slog.Error("msgpackrpc: handler panicked", "method", request.Method, "panic", p, "stack", string(debug.Stack()))
+			err = fmt.Errorf("%s: internal error", request.Method)
+		}
+	}()
+	return s.Handler(ctx, request)
+}
--- a/internal/msgpackrpc/writer.go
+++ b/internal/msgpackrpc/writer.go
@@ -108,54 +108,17 @@
 	var batch []*item
 	for {
 		w.mu.Lock()
-		for len(w.queue) == 0 && w.err == nil && !w.stopping {
-			w.cond.Wait()
-		}
-		if w.err != nil || len(w.queue) == 0 {
+		if !w.waitForItems() {
 			err := w.err
 			w.mu.Unlock()
 			return err
 		}
-		batch = batch[:0]
-		taken, bytes := 0, 0
-		for _, it := range w.queue {
-			if len(batch) > 0 && bytes+len(it.data) > maxBatchBytes {
-				break
-			}
-			taken++
-			if it.withdrawn {
-				w.queued -= len(it.data)
-				continue
-			}
-			// From here on all of it may be out; the write's end tells.
-			it.sent = SentCompletely
-			batch = append(batch, it)
-			bytes += len(it.data)
-		}
-		clear(w.queue[:taken])
-		w.queue = w.queue[taken:]
-		if len(w.queue) == 0 {
-			w.queue = nil
-		}
+		batch = w.takeBatch(batch[:0])
 		w.mu.Unlock()
 
-		n, err := 0, w.conn.SetWriteDeadline(time.Now().Add(w.limits.Send))
-		if err == nil && bytes > 0 {
-			n, err = w.conn.Write(joinBatch(batch, bytes))
-		}
+		written, err := w.write(batch)
 		w.mu.Lock()
-		at := 0
-		for _, it := range batch {
-			switch at += len(it.data); {
-			case at <= n:
-			case at-len(it.data) >= n:
-				it.sent = SentNone
-			default:
-				it.sent = SentPart
-			}
-			w.queued -= len(it.data)
-			it.data = nil
-		}
+		w.recordSent(batch, written)
 		if err != nil && w.err == nil {
 			w.err = err
 		}
@@ -165,15 +128,83 @@
 	}
 }
 
-// joinBatch is the bytes of a batch for one write. A buffer is made only for several messages,
-// and not kept: most connections are idle.
-func joinBatch(batch []*item, bytes int) []byte {
+// waitForItems waits until the queue holds items. It returns false if the writer must end.
+// The caller holds mu.
+func (w *writer) waitForItems() bool {
+	for len(w.queue) == 0 && w.err == nil && !w.stopping {
+		w.cond.Wait()
+	}
+	return w.err == nil && len(w.queue) > 0
+}
+
+// takeBatch moves items from the queue to a batch of at most maxBatchBytes, or of one
+// longer item, and drops withdrawn ones. The caller holds mu.
+func (w *writer) takeBatch(batch []*item) []*item {
+	taken, bytes := 0, 0
+	for _, next := range w.queue {
+		if len(batch) > 0 && bytes+len(next.data) > maxBatchBytes {
+			break
+		}
+		taken++
+		if next.withdrawn {
+			w.queued -= len(next.data)
+			continue
+		}
+		// From here on all of it may be sent. recordSent corrects that after the write.
+		next.sent = SentCompletely
+		batch = append(batch, next)
+		bytes += len(next.data)
+	}
+	clear(w.queue[:taken])
+	w.queue = w.queue[taken:]
+	if len(w.queue) == 0 {
+		w.queue = nil
+	}
+	return batch
+}
+
+// write writes a batch, which may be empty, and returns the number of bytes written.
+func (w *writer) write(batch []*item) (int, error) {
+	if err := w.conn.SetWriteDeadline(time.Now().Add(w.limits.Send)); err != nil {
+		return 0, err
+	}
+	if len(batch) == 0 {
+		return 0, nil
+	}
+	return w.conn.Write(joinBatch(batch))
+}
+
+// recordSent records how much of each item of a batch was sent. The caller holds mu.
+func (w *writer) recordSent(batch []*item, written int) {
+	end := 0
+	for _, next := range batch {
+		begin := end
+		end += len(next.data)
+		switch {
+		case end <= written: // sent completely, as takeBatch has recorded
+		case begin >= written:
+			next.sent = SentNone
+		default:
+			next.sent = SentPart
+		}
+		w.queued -= len(next.data)
+		next.data = nil
+	}
+}
+
+// joinBatch returns the bytes of a batch for one write. A buffer is allocated only for several
+// items, and not retained, because most connections are idle.
+func joinBatch(batch []*item) []byte {
 	if len(batch) == 1 {
 		return batch[0].data
 	}
+	bytes := 0
+	for _, next := range batch {
+		bytes += len(next.data)
+	}
 	data := make([]byte, 0, bytes)
-	for _, it := range batch {
-		data = append(data, it.data...)
+	for _, next := range batch {
+		data = append(data, next.data...)
 	}
 	return data
 }
