--- a/internal/msgpackrpc/idle_test.go
+++ b/internal/msgpackrpc/bench_test.go
@@ -2,13 +2,16 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"runtime"
+	"sync"
+	"sync/atomic"
 	"testing"
 )
 
-// BenchmarkIdleConnections tells what connections cost while nothing is said, both ends in one
-// process, after each has answered one call.
+// BenchmarkIdleConnections measures the memory of idle connections, both ends in one process, after
+// each has answered one call.
 func BenchmarkIdleConnections(b *testing.B) {
 	const connections = 1000
 	for b.Loop() {
@@ -44,10 +47,36 @@
 	}
 }
 
-// memoryInUse is the heap and the stacks after a collection.
+// memoryInUse returns the size of the heap and the stacks after a collection, in bytes.
 func memoryInUse() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return int64(stats.HeapInuse + stats.StackInuse)
 }
+
+func BenchmarkCall(b *testing.B) {
+	for _, many := range []int{1, 64, 256} {
+		b.Run(fmt.Sprintf("outstanding=%d", many), func(b *testing.B) {
+			c := client(b, serve(b, &Server{Handler: func(context.Context, *Request) (any, error) { return 1, nil }}), Limits{})
+			b.ReportAllocs()
+			var left atomic.Int64
+			left.Store(int64(b.N))
+			ctx := context.Background()
+			var wg sync.WaitGroup
+			b.ResetTimer()
+			for range many {
+				wg.Go(func() {
+					for left.Add(-1) >= 0 {
+						if err := c.Call(ctx, "m", []any{1}, nil); err != nil {
+							b.Error(err)
+							return
+						}
+					}
+				})
+			}
+			wg.Wait()
+			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
+		})
+	}
+}
--- a/internal/msgpackrpc/client.go
+++ b/internal/msgpackrpc/client.go
@@ -10,28 +10,32 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrClosed ends the calls of a connection that was closed at this side.
+// ErrClosed is the cause of calls that ended because this side closed the connection.
 var ErrClosed = errors.New("msgpackrpc: connection closed")
 
-// CallError is a call without an answer. Sent tells whether the peer may have
-// carried it out.
+// CallError reports a call without a response. Sent shows whether the peer may have executed it.
 type CallError struct {
 	Method string
 	Sent   Sent
 	Err    error
 }
 
+// Error implements error.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("msgpackrpc: call %s: %s: %v", e.Method, e.Sent, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// RemoteError is an answer that carries an error: the peer took the call and said no.
+// RemoteError is a response that carries an error: the peer received the call and reported a
+// failure.
 type RemoteError struct {
 	Method string
 	Value  msgpack.RawMessage // as the peer sent it
 }
 
+// Error implements error.
 func (e *RemoteError) Error() string {
 	var v any
 	if err := msgpack.Unmarshal(e.Value, &v); err != nil {
@@ -40,36 +44,35 @@
 	return fmt.Sprintf("msgpackrpc: %s: %v", e.Method, v)
 }
 
-// call is a request that waits for its answer.
+// call is a request that waits for its response.
 type call struct {
 	request *item
 	done    chan struct{}
 	// Set before done is closed.
-	err      error // the connection's end
+	err      error // why the connection ended; nil if there is a response
 	response message
 }
 
-// Client is the calling side of a connection. Its methods may be called from many
-// goroutines; answers come in any order.
+// Client is the calling side of a connection. Its methods are safe for concurrent use; responses
+// may arrive in any order.
 type Client struct {
 	conn    net.Conn
 	limits  Limits
 	writer  *writer
 	notify  func(method string, params msgpack.RawMessage)
-	slots   chan struct{} // one for each message id in use
-	done    chan struct{} // both goroutines have ended
-	written chan struct{} // the writing one has
+	slots   chan struct{} // an element for each message id in use
+	done    chan struct{} // closed when both goroutines have ended
+	written chan struct{} // closed when the writing goroutine has ended
 
 	mu          sync.Mutex
-	pending     map[uint32]*call // nil values: given up, the answer may still come
+	pending     map[uint32]*call // nil for abandoned calls whose response may still arrive
 	nextID      uint32
-	err         error // the connection has ended
+	err         error // why the connection ended; nil while it is open
 	unsolicited int
 }
 
-// NewClient takes a connection over. notify, if not nil, gets the peer's
-// notifications, one at a time: while it runs, no answer is read. Close ends the
-// connection and both its goroutines.
+// NewClient takes ownership of a connection. notify, if not nil, receives the peer's notifications
+// one at a time; no response is read while it runs. Close ends the connection and its goroutines.
 func NewClient(conn net.Conn, limits Limits, notify func(method string, params msgpack.RawMessage)) *Client {
 	limits = limits.withDefaults()
 	c := &Client{
@@ -82,24 +85,24 @@
 		written: make(chan struct{}),
 		pending: make(map[uint32]*call),
 	}
-	var both sync.WaitGroup
-	both.Go(func() {
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() {
 		err := c.writer.run()
 		close(c.written)
 		if err != nil {
 			c.fail(err)
 		}
 	})
-	both.Go(c.read)
+	goroutines.Go(c.read)
 	go func() {
-		both.Wait()
+		goroutines.Wait()
 		close(c.done)
 	}()
 	return c
 }
 
-// Close ends the connection. Pending calls end with ErrClosed and tell whether
-// their requests were written. It returns when nothing of the client runs any more.
+// Close ends the connection. Pending calls end with ErrClosed and report whether their requests
+// were sent. Close returns after all goroutines of the client have ended.
 func (c *Client) Close() error {
 	c.fail(ErrClosed)
 	<-c.done
@@ -109,15 +112,15 @@
 // Done is closed when the connection has ended.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
-// Err is why the connection ended; nil while it lives.
+// Err returns why the connection ended, and nil while it is open.
 func (c *Client) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// UnsolicitedResponses is how many answers came to calls that had been given up or that nobody
-// made. They reach no one.
+// UnsolicitedResponses returns the number of responses to calls that were abandoned or never made.
+// Such responses are dropped.
 func (c *Client) UnsolicitedResponses() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +138,7 @@
 	calls := c.pending
 	c.pending = nil
 	c.mu.Unlock()
-	c.conn.Close() // a write that is under way ends, and says how far it came
+	c.conn.Close() // ends a write in progress, which then returns the bytes written
 	c.writer.fail(err)
 	for _, call := range calls {
 		if call != nil {
@@ -321,7 +324,7 @@
 	return data, nil
 }
 
-// encode makes a request or a notification.
+// encode encodes a request or a notification.
 func encode(kind byte, id uint32, method string, params []any) ([]byte, error) {
 	b := appendString(appendHeader(make([]byte, 0, 128), kind, id), method)
 	if params == nil {
--- a/internal/msgpackrpc/frame.go
+++ b/internal/msgpackrpc/frame.go
@@ -18,7 +18,7 @@
 	kindNotify   = 2
 )
 
-// message is a message taken apart. Its slices point into what was read.
+// message is a decoded message. Its slices refer to the bytes read.
 type message struct {
 	kind          uint64
 	id            uint32
@@ -27,21 +27,21 @@
 	result        msgpack.RawMessage // of a response
 }
 
-// parse takes a whole object apart.
+// parse decodes a message from a complete object.
 func parse(raw []byte) (m message, err error) {
 	n, at := parseArrayHeader(raw)
 	if n != 3 && n != 4 {
 		return m, fmt.Errorf("%w: no array of three or four", ErrFormat)
 	}
-	var part [4][]byte
+	var parts [4][]byte
 	for i := range n {
 		size := objectLength(raw[at:])
-		part[i] = raw[at : at+size]
+		parts[i] = raw[at : at+size]
 		at += size
 	}
-	kind, ok := parseUint(part[0])
+	kind, ok := parseUint(parts[0])
 	if !ok {
-		return m, fmt.Errorf("%w: its type is no whole number", ErrFormat)
+		return m, fmt.Errorf("%w: its type is no integer", ErrFormat)
 	}
 	m.kind = kind
 	want := 4
@@ -52,29 +52,29 @@
 		return m, fmt.Errorf("%w: type %d in an array of %d", ErrFormat, kind, n)
 	}
 	if kind != kindNotify {
-		id, ok := parseUint(part[1])
+		id, ok := parseUint(parts[1])
 		if !ok || id > math.MaxUint32 {
 			return m, fmt.Errorf("%w: its msgid is no number of 32 bits", ErrFormat)
 		}
 		m.id = uint32(id)
 	}
 	if kind == kindResponse {
-		m.paramsOrError, m.result = part[2], part[3]
+		m.paramsOrError, m.result = parts[2], parts[3]
 		return m, nil
 	}
-	method, ok := parseString(part[n-2])
+	method, ok := parseString(parts[n-2])
 	if !ok {
 		return m, fmt.Errorf("%w: its method is no string", ErrFormat)
 	}
-	m.method, m.paramsOrError = method, part[n-1]
+	m.method, m.paramsOrError = method, parts[n-1]
 	if k, _ := parseArrayHeader(m.paramsOrError); k < 0 {
 		return m, fmt.Errorf("%w: its params are no array", ErrFormat)
 	}
 	return m, nil
 }
 
-// parseArrayHeader is the number of elements and where the first begins; -1 if b holds
-// no array.
+// parseArrayHeader returns the number of elements and the offset of the first one, and -1 if b
+// holds no array.
 func parseArrayHeader(b []byte) (n, at int) {
 	switch code := b[0]; {
 	case code >= 0x90 && code <= 0x9f:
@@ -87,20 +87,20 @@
 	return -1, 0
 }
 
-// parseUint reads a whole number that is not negative, in any of its forms.
+// parseUint decodes a non-negative integer of any encoding.
 func parseUint(b []byte) (uint64, bool) {
 	switch code := b[0]; {
 	case code <= 0x7f:
 		return uint64(code), true
 	case code >= 0xcc && code <= 0xcf:
 		return decodeUint(b[1:]), true
-	case code >= 0xd0 && code <= 0xd3: // signed: fine where it is not negative
+	case code >= 0xd0 && code <= 0xd3: // signed encodings are accepted for values that are not negative
 		return decodeUint(b[1:]), b[1] < 0x80
 	}
 	return 0, false
 }
 
-// parseString reads a string, also one that an old client sends as raw bytes.
+// parseString decodes a string, including the raw bytes that old clients send instead.
 func parseString(b []byte) (string, bool) {
 	code := b[0]
 	if code >= 0xa0 && code <= 0xbf {
@@ -117,7 +117,8 @@
 
 func isNil(b []byte) bool { return len(b) == 1 && b[0] == codeNil }
 
-// appendHeader begins a message: its array, type and, but for notifications, msgid.
+// appendHeader appends the beginning of a message: array header, type and, except for
+// notifications, msgid.
 func appendHeader(b []byte, kind byte, id uint32) []byte {
 	if kind == kindNotify {
 		return append(b, 0x93, kind)
@@ -125,6 +126,7 @@
 	return binary.BigEndian.AppendUint32(append(b, 0x94, kind, 0xce), id)
 }
 
+// appendString appends an encoded string.
 func appendString(b []byte, s string) []byte {
 	switch n := len(s); {
 	case n < 32:
--- a/internal/msgpackrpc/limits.go
+++ b/internal/msgpackrpc/limits.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Limits bound what one connection may cost. Zero fields take the default.
+// Limits bound the resources of one connection. Zero fields take the default.
 type Limits struct {
-	Message     int           // bytes of one message, at most; 1 MiB
-	Depth       int           // nesting of arrays and maps in one message; 32
-	Outstanding int           // requests open at once on a connection; 1,024
-	Queued      int           // bytes waiting to be written on a connection; 4 MiB
-	Receive     time.Duration // for a message, from its first byte to its last; 10 s
-	Send        time.Duration // for a write; a peer that takes nothing for so long has hung; 10 s
-	Idle        time.Duration // between messages while none is open; 0: no limit
+	Message     int           // maximum bytes of one message; default 1 MiB
+	Depth       int           // maximum nesting of arrays and maps in one message; default 32
+	Outstanding int           // maximum number of open requests; default 1,024
+	Queued      int           // maximum bytes waiting to be written; default 4 MiB
+	Receive     time.Duration // timeout of a message, from its first byte to its last; default 10 s
+	Send        time.Duration // timeout of a write, after which the peer is considered hung; default 10 s
+	Idle        time.Duration // timeout between messages while no request is open; 0: none
 }
 
+// withDefaults returns the limits with zero fields replaced.
 func (l Limits) withDefaults() Limits {
 	if l.Message <= 0 {
 		l.Message = 1 << 20
@@ -38,8 +39,8 @@
 	return l
 }
 
-// Errors of a message that can't be used. Each ends the connection: where the
-// next message would begin is not known, or not to be trusted.
+// Errors of an invalid message. Each ends the connection, because the position of the next
+// message is unknown or can't be trusted.
 var (
 	ErrTooLong = errors.New("msgpackrpc: message over the limit of bytes")
 	ErrTooDeep = errors.New("msgpackrpc: message nested over the limit")
--- a/internal/msgpackrpc/object.go
+++ b/internal/msgpackrpc/object.go
@@ -7,14 +7,14 @@
 	"io"
 )
 
-// bodyChunk is how much of a body is made room for ahead of its bytes: a length that
-// is claimed costs nothing until the bytes have come.
+// bodyChunk is the number of bytes of a body that are allocated ahead of their arrival, so that a
+// claimed length alone costs no memory.
 const bodyChunk = 16 << 10
 
-// readObject reads one whole MessagePack object. buf is reused where it fits.
+// readObject reads one complete MessagePack object. It reuses buf if it is large enough.
 func readObject(buffered *bufio.Reader, limits Limits, buf []byte) ([]byte, error) {
 	buf = buf[:0]
-	open := make([]uint64, 1, 8) // objects still to come, by level
+	open := make([]uint64, 1, 8) // number of objects still expected, by nesting level
 	open[0] = 1
 	for len(open) > 0 {
 		top := &open[len(open)-1]
@@ -45,7 +45,7 @@
 			}
 		}
 		if children > 0 {
-			// Every child takes a byte at least.
+			// Every child takes at least one byte.
 			if children > uint64(limits.Message) {
 				return nil, ErrTooLong
 			}
@@ -61,6 +61,7 @@
 	return buf, nil
 }
 
+// unexpected converts an end of file after the first byte.
 func unexpected(err error, had int) error {
 	if err == io.EOF && had > 0 {
 		return io.ErrUnexpectedEOF
@@ -68,6 +69,7 @@
 	return err
 }
 
+// readBody appends n bytes to buf.
 func readBody(buffered *bufio.Reader, buf []byte, n uint64, limit int) ([]byte, error) {
 	if n > uint64(limit) || len(buf)+int(n) > limit {
 		return nil, ErrTooLong
@@ -84,8 +86,8 @@
 	return buf, nil
 }
 
-// objectLayout tells what follows a type byte: a big-endian length of extra bytes, or a
-// body of known size, or children.
+// objectLayout returns what follows a type byte: a big-endian length of extra bytes, a body of
+// known size, or children.
 func objectLayout(code byte) (extra int, body, children uint64, err error) {
 	switch {
 	case code <= 0x7f, code >= 0xe0: // fixint
@@ -120,7 +122,7 @@
 	return extra, body, children, err
 }
 
-// lengthLayout tells what follows a length of n, for a type that shape gives extra bytes.
+// lengthLayout returns what follows a length of n, for the types that have one.
 func lengthLayout(code byte, n uint64) (body, children uint64) {
 	switch {
 	case code >= 0xde: // map
@@ -145,7 +147,8 @@
 	return binary.BigEndian.Uint64(b)
 }
 
-// objectLength is the length of the first object in b, which readObject has passed.
+// objectLength returns the length of the first object in b, which must have been validated by
+// readObject.
 func objectLength(b []byte) int {
 	at := 0
 	for left := uint64(1); left > 0; left-- {
--- a/internal/msgpackrpc/reader.go
+++ b/internal/msgpackrpc/reader.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// reader reads messages off a connection, each within its time.
+// reader reads messages from a connection, each within Limits.Receive.
 type reader struct {
 	conn     net.Conn
 	buffered *bufio.Reader
@@ -19,13 +19,14 @@
 	return &reader{conn: conn, buffered: bufio.NewReaderSize(conn, readBufferSize), limits: limits}
 }
 
-// readBufferSize is the size of a connection's buffer, in bytes. It is held as long as the
-// connection, most of which are idle; longer bodies are read past it.
+// readBufferSize is the size of a connection's buffer, in bytes. It is retained for the lifetime of
+// the connection, most of which are idle; longer bodies bypass it.
 const readBufferSize = 2 << 10
 
 var errIdle = errors.New("msgpackrpc: connection idle for too long")
 
-// next waits for a message for idle at most, 0 for ever, and reads it whole.
+// next waits for the first byte of a message for at most idle, without limit if that is 0, and
+// reads the complete message.
 func (r *reader) next(idle time.Duration) (message, error) {
 	if r.buffered.Buffered() == 0 {
 		var until time.Time
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -12,36 +12,36 @@
 	"martendrum/internal/netconn"
 )
 
-// Request is a request or a notification that has come.
+// Request is a received request or notification.
 type Request struct {
 	Method string
 	Params msgpack.RawMessage // an array
-	Notify bool               // it gets no answer
+	Notify bool               // a notification, which has no response
 	Peer   *Peer
 }
 
-// Peer is the connection that a request came by.
+// Peer is the connection that a request was received on.
 type Peer struct {
 	Conn net.Conn
-	// State is the handler's own, set by Server.Welcome.
+	// State belongs to the handler. Server.Welcome may set it.
 	State any
 }
 
-// Handler carries requests out, each in a goroutine of its own. ctx ends with the
-// connection and with the server. An error is sent as the answer's error: as the
-// value that ErrorValue gives, where it has that method, else as its text.
+// Handler executes requests, each in its own goroutine. ctx ends with the connection and with the
+// server. An error is sent as the response's error: as the value of its ErrorValue method if it has
+// one, otherwise as its text.
 type Handler func(ctx context.Context, r *Request) (result any, err error)
 
-// ErrorValuer is an error with a value of its own on the wire.
+// ErrorValuer is an error with its own value on the wire.
 type ErrorValuer interface{ ErrorValue() any }
 
-// Server is the answering side. Close ends it.
+// Server is the responding side. Close ends it.
 type Server struct {
 	Handler Handler
 	Limits  Limits
-	Conns   int // connections at once, over all listeners; 0: 256
-	// Welcome, if not nil, is called once for each connection, before its first
-	// message is read; an error closes it. It must end within Limits.Receive.
+	Conns   int // maximum number of connections over all listeners; 0: 256
+	// Welcome, if not nil, is called once for each connection before its first message is
+	// read. An error closes the connection. It must return within Limits.Receive.
 	Welcome func(p *Peer) error
 
 	mu         sync.Mutex
@@ -51,8 +51,7 @@
 	goroutines sync.WaitGroup
 }
 
-// Serve accepts connections until the listener or the server is closed. It
-// returns nil after Close.
+// Serve accepts connections until the listener or the server is closed. It returns nil after Close.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	if s.closed {
@@ -82,7 +81,7 @@
 	}
 }
 
-// startConn serves a connection if there is room.
+// startConn serves a connection unless the server is closed or at its maximum.
 func (s *Server) startConn(conn net.Conn) bool {
 	limit := s.Conns
 	if limit <= 0 {
@@ -107,8 +106,8 @@
 	return true
 }
 
-// Close closes listeners and connections and waits until all handlers have
-// returned; their contexts end.
+// Close closes listeners and connections, cancels the handlers' contexts and waits until all
+// handlers have returned.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/msgpackrpc/writer.go
+++ b/internal/msgpackrpc/writer.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// Sent tells how much of a message went out before its connection ended.
+// Sent is how much of a message was sent before its connection ended.
 type Sent int
 
 const (
-	SentNone       Sent = iota // not a byte: the peer can't have taken it
-	SentPart                   // some bytes, not the last: a peer that keeps to the specification has not taken it
-	SentCompletely             // all: it may have been carried out
+	SentNone       Sent = iota // no byte: the peer can't have executed it
+	SentPart                   // some bytes but not the last: a peer that follows the specification has not executed it
+	SentCompletely             // all bytes: the peer may have executed it
 )
 
+// String describes s in words.
 func (s Sent) String() string {
-	return [...]string{"never sent", "sent in part", "sent whole"}[s]
+	return [...]string{"never sent", "sent in part", "sent completely"}[s]
 }
 
-// item is a message on its way out. Its field sent is guarded by the writer's lock.
+// item is a message to write. Its fields sent and withdrawn are guarded by the writer's lock.
 type item struct {
 	data      []byte
 	sent      Sent
-	withdrawn bool // taken back before a byte of it went out
+	withdrawn bool // withdrawn before any byte was sent
 }
 
-// maxBatchBytes is how many bytes are handed to the socket in one write.
+// maxBatchBytes is the maximum number of bytes of several messages in one write.
 const maxBatchBytes = 64 << 10
 
-// writer writes queued messages in order, from one goroutine that ends with the
-// connection. Its queue is bounded in bytes: who adds to a full one waits.
+// writer writes queued messages in order, in one goroutine that ends with the connection. Its queue
+// is bounded in bytes; add blocks while it is full.
 type writer struct {
 	conn   net.Conn
 	limits Limits
 
 	mu       sync.Mutex
-	cond     sync.Cond // the queue, stop or err changed
+	cond     sync.Cond // signals a change of queue, stopping or err
 	queue    []*item
-	queued   int // bytes, with those being written
+	queued   int // bytes in the queue and in the current write
 	stopping bool
-	err      error // why nothing more goes out
+	err      error // why the writer has ended
 }
 
 func newWriter(conn net.Conn, limits Limits) *writer {
@@ -49,8 +50,8 @@
 	return w
 }
 
-// add queues a message. It waits while the queue is full, which ends when the
-// peer takes what it is sent or, after Limits.Send, with the connection.
+// add queues a message. It blocks while the queue is full, until the peer reads or, after
+// Limits.Send, the connection ends.
 func (w *writer) add(it *item) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// withdraw takes a message back if not a byte of it has gone out.
+// withdraw keeps a message from being sent, and returns false if a byte of it may have been sent.
 func (w *writer) withdraw(it *item) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,13 +80,14 @@
 	return it.withdrawn
 }
 
+// sentState returns how much of an item was sent.
 func (w *writer) sentState(it *item) Sent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return it.sent
 }
 
-// fail ends the writer at once.
+// fail ends the writer immediately.
 func (w *writer) fail(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,7 +97,7 @@
 	w.cond.Broadcast()
 }
 
-// finish ends the writer when all that is queued has gone out.
+// finish ends the writer once its queue is empty.
 func (w *writer) finish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
