--- a/cmd/sidecar/fleet.go
+++ b/cmd/sidecar/fleet.go
@@ -177,7 +177,7 @@
 // hearPeers brings the recovery machine the phases that peers publish.
 func (f *fleet) hearPeers() {
 	f.withNode(func(now time.Duration, node *peers.Node) {
-		for member := range node.Speaking(now) {
+		for member := range node.DirectMembers(now) {
 			f.machine.Hear(int(member.Rank), recovery.Report{Phase: recovery.Phase(member.Phase), Age: member.Age})
 		}
 	})
--- a/internal/fleetsim/guide.go
+++ b/internal/fleetsim/guide.go
@@ -22,7 +22,7 @@
 // Tick implements Guide.
 func (r *Recovery) Tick(now time.Duration, s *Sidecar) {
 	if r.peer != nil && r.Last.Phase != recovery.Serving {
-		for m := range r.peer.Speaking(now) {
+		for m := range r.peer.DirectMembers(now) {
 			r.Hear(int(m.Rank), recovery.Report{Phase: recovery.Phase(m.Phase), Age: m.Age})
 		}
 	}
--- a/internal/peers/compat_test.go
+++ b/internal/peers/compat_test.go
@@ -15,29 +15,29 @@
 func TestDatagramsOfEarlierBuild(t *testing.T) {
 	const golden = "datagrams.hex"
 	const now = time.Hour
-	self := Record{Incarnation: 1_800_000_000_123, Heartbeat: 9, State: Alive, Phase: 3, Traffic: 40, Born: now - time.Minute}
-	row := Record{Rank: 4, Incarnation: 1_800_000_000_456, Heartbeat: 2, State: Suspect, Phase: 2, Traffic: 7, Born: now - 2*time.Minute}
-	fact := Entry{Owner: 5, Kind: hot, Subject: 1 << 60, Incarnation: 1_800_000_000_789, Count: 11, Value: 12, Born: now - 3*time.Second}
-	node := &Node{cfg: config(3, 16)}
+	self := Record{Incarnation: 1_800_000_000_123, Heartbeat: 9, State: Alive, Phase: 3, Traffic: 40, StartedAt: now - time.Minute}
+	record := Record{Rank: 4, Incarnation: 1_800_000_000_456, Heartbeat: 2, State: Suspect, Phase: 2, Traffic: 7, StartedAt: now - 2*time.Minute}
+	entry := Entry{Owner: 5, Kind: hot, Subject: 1 << 60, Incarnation: 1_800_000_000_789, Sequence: 11, Value: 12, CreatedAt: now - 3*time.Second}
+	node := &Node{config: testConfig(3, 16)}
 	messages := []message{
 		{kind: kindPing, seq: 1, self: self},
 		{kind: kindAck, seq: 2, self: self},
-		{kind: kindReach, seq: 3, self: self, target: 6},
-		{kind: kindFound, seq: 4, self: self, target: 7},
-		{kind: kindPull, seq: 5, self: self, about: entryKey{owner: 3, kind: hot, subject: 1 << 59}},
+		{kind: kindPingRequest, seq: 3, self: self, target: 6},
+		{kind: kindIndirectAck, seq: 4, self: self, target: 7},
+		{kind: kindPull, seq: 5, self: self, pulled: entryKey{owner: 3, kind: hot, subject: 1 << 59}},
 		{kind: kindUpdate, seq: 6, self: self},
 	}
-	if len(messages) != int(kinds) {
-		t.Fatalf("%d messages of %d kinds", len(messages), kinds)
+	if len(messages) != int(kindCount) {
+		t.Fatalf("%d messages of %d kinds", len(messages), kindCount)
 	}
 	var written []string
 	for _, m := range messages {
 		w := newWriter(now)
-		w.head(m)
-		if !w.addRecord(row) || !w.addEntry(fact) {
+		w.header(m)
+		if !w.addRecord(record) || !w.addEntry(entry) {
 			t.Fatal("the items do not fit")
 		}
-		written = append(written, hex.EncodeToString(w.done(node)))
+		written = append(written, hex.EncodeToString(w.finish(node)))
 	}
 	goldentest.Compare(t, golden, []byte(strings.Join(written, "\n")+"\n"))
 
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := &decoded{message: messages[n], rows: []Record{row}, facts: []Entry{fact}}
+		want := &decoded{message: messages[n], records: []Record{record}, entries: []Entry{entry}}
 		if !reflect.DeepEqual(got, want) {
 			t.Errorf("%+v; want %+v", got, want)
 		}
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -7,67 +7,67 @@
 	"time"
 )
 
-// pending is news to be passed on: a row or a fact that has changed.
-type pending struct {
-	rank    Rank
-	entry   entryKey
-	isEntry bool
-	hot     bool // waits to be spread at once
-	weight  int
-	sent    int
+// update is news to be passed on: a row or a fact that has changed.
+type update struct {
+	rank      Rank
+	entry     entryKey
+	isEntry   bool
+	hot       bool // waits to be spread at once
+	weight    int
+	transmits int
 }
 
-// same says that both are news of the same row or fact.
-func (p pending) same(q pending) bool {
+// sameSubject says that both are news of the same row or fact.
+func (p update) sameSubject(q update) bool {
 	return q.isEntry == p.isEntry && q.entry == p.entry && q.rank == p.rank
 }
 
-// queue makes something news, in place of what was news of it before. What is hot leaves
+// queueUpdate makes something news, in place of what was news of it before. What is hot leaves
 // soon.
-func (n *Node) queue(now time.Duration, p pending) {
-	n.pending = slices.DeleteFunc(n.pending, p.same)
-	if len(n.pending) >= maxPending { // the one that was passed on most often, the lightest first
+func (n *Node) queueUpdate(now time.Duration, p update) {
+	n.updates = slices.DeleteFunc(n.updates, p.sameSubject)
+	if len(n.updates) >= maxUpdates { // the one that was passed on most often, the lightest first
 		least := 0
-		for i, q := range n.pending {
-			if o := n.pending[least]; cmp.Or(cmp.Compare(o.weight, q.weight), cmp.Compare(q.sent, o.sent)) > 0 {
+		for i, q := range n.updates {
+			if o := n.updates[least]; cmp.Or(cmp.Compare(o.weight, q.weight), cmp.Compare(q.transmits, o.transmits)) > 0 {
 				least = i
 			}
 		}
-		n.pending = slices.Delete(n.pending, least, least+1)
+		n.updates = slices.Delete(n.updates, least, least+1)
 	}
-	n.pending = append(n.pending, p)
-	if p.hot && n.hotAt == 0 {
-		n.hotAt = now + time.Duration(n.rng.Float64()*float64(hotDelay)) + 1
+	n.updates = append(n.updates, p)
+	if p.hot && n.hotDue == 0 {
+		n.hotDue = now + time.Duration(n.rng.Float64()*float64(hotDelay)) + 1
 	}
 }
 
-// maxSent is how often a piece of news is passed on.
-func (n *Node) maxSent() int { return int(math.Ceil(sentFactor * n.logN)) }
+// maxTransmits is how often a piece of news is passed on.
+func (n *Node) maxTransmits() int { return int(math.Ceil(transmitFactor * n.logSize)) }
 
-// known takes that another told news that is held already: after a few such words it is
+// countDuplicate takes that another told news that is held already: after a few such words it is
 // news to nobody (rumour mongering with a counter, Demers and others 1987).
-func (n *Node) known(p pending) {
-	for i := range n.pending {
-		if q := &n.pending[i]; p.same(*q) {
-			q.sent += 1 + n.maxSent()/maxKnown
+func (n *Node) countDuplicate(p update) {
+	for i := range n.updates {
+		if q := &n.updates[i]; p.sameSubject(*q) {
+			q.transmits += 1 + n.maxTransmits()/maxDuplicates
 			return
 		}
 	}
 }
 
-// maxKnown words of others end one's own interest in a piece of news.
-const maxKnown = 6
+// maxDuplicates words of others end one's own interest in a piece of news.
+const maxDuplicates = 6
 
-// news orders what is pending for a datagram: hot facts, weight, then what was passed on
+// updateOrder orders what is pending for a datagram: hot facts, weight, then what was passed on
 // least, the latest first.
-func (n *Node) news() []int {
-	order := make([]int, len(n.pending))
+func (n *Node) updateOrder() []int {
+	order := make([]int, len(n.updates))
 	for i := range order {
 		order[i] = len(order) - 1 - i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		p, q := &n.pending[a], &n.pending[b]
-		return cmp.Or(compareBool(q.hot, p.hot), cmp.Compare(q.weight, p.weight), cmp.Compare(p.sent, q.sent))
+		p, q := &n.updates[a], &n.updates[b]
+		return cmp.Or(compareBool(q.hot, p.hot), cmp.Compare(q.weight, p.weight), cmp.Compare(p.transmits, q.transmits))
 	})
 	return order
 }
@@ -85,42 +85,42 @@
 // send puts a datagram to one sidecar into Out, with as much news as fits, if the ceiling
 // allows; must lets it pass into debt of one burst: what keeps the fleet together.
 func (n *Node) send(now time.Duration, to Rank, m message, must bool) bool {
-	n.tokens = min(n.cfg.Burst, n.tokens+n.cfg.Rate*(now-n.filled).Seconds())
-	n.filled = now
-	if n.tokens < MaxDatagram && !(must && n.tokens > -n.cfg.Burst) {
+	n.tokens = min(n.config.Burst, n.tokens+n.config.Rate*(now-n.tokensUpdated).Seconds())
+	n.tokensUpdated = now
+	if n.tokens < MaxDatagram && !(must && n.tokens > -n.config.Burst) {
 		n.stats.Withheld++
 		return false
 	}
 	m.self = n.self
 	w := newWriter(now)
-	w.head(m)
+	w.header(m)
 	theirs := n.members[to].record
-	if theirs.Incarnation > 0 && (theirs.State != Alive || n.members[to].direct != theirs.Incarnation) {
+	if theirs.Incarnation > 0 && (theirs.State != Alive || n.members[to].directIncarnation != theirs.Incarnation) {
 		w.addRecord(theirs) // it can speak for itself
 	}
 	if m.publish != nil {
 		w.addEntry(*m.publish)
 	}
-	limit, room := n.maxSent(), true
-	order := n.news()
-	if m.kind != kindUpdate && n.tokens < n.cfg.Burst/2 {
-		order, room = nil, false // the rest is kept for what is hot
+	limit, hasCapacity := n.maxTransmits(), true
+	order := n.updateOrder()
+	if m.kind != kindUpdate && n.tokens < n.config.Burst/2 {
+		order, hasCapacity = nil, false // the rest is kept for what is hot
 	}
 	for _, i := range order {
-		p := &n.pending[i]
+		p := &n.updates[i]
 		if !p.isEntry && p.rank == to || p.isEntry && p.entry.owner == to {
 			continue
 		}
-		if room = n.pack(now, w, p); !room {
+		if hasCapacity = n.addUpdate(now, w, p); !hasCapacity {
 			break
 		}
-		p.sent++
+		p.transmits++
 	}
-	n.pending = slices.DeleteFunc(n.pending, func(p pending) bool { return p.sent >= limit })
-	if room {
-		n.filler(now, w, to, m.kind == kindAck)
+	n.updates = slices.DeleteFunc(n.updates, func(p update) bool { return p.transmits >= limit })
+	if hasCapacity {
+		n.addFillers(now, w, to, m.kind == kindAck)
 	}
-	data := w.done(n)
+	data := w.finish(n)
 	n.tokens -= float64(len(data))
 	n.stats.Sent++
 	n.stats.SentBytes += uint64(len(data))
@@ -128,43 +128,43 @@
 	return true
 }
 
-// pack adds one piece of news, false if it does not fit. What is news no more counts as
+// addUpdate adds one piece of news, false if it does not fit. What is news no more counts as
 // packed.
-func (n *Node) pack(now time.Duration, w *writer, p *pending) bool {
+func (n *Node) addUpdate(now time.Duration, w *writer, p *update) bool {
 	if p.isEntry {
-		h := n.facts.byKey[p.entry]
-		if h == nil || !n.valid(h, now) {
-			p.sent = math.MaxInt - 1
+		stored := n.entries.byKey[p.entry]
+		if stored == nil || !n.isCurrent(stored, now) {
+			p.transmits = math.MaxInt - 1
 			return true
 		}
-		return w.addEntry(h.Entry)
+		return w.addEntry(stored.Entry)
 	}
-	if p.rank == n.cfg.Self {
+	if p.rank == n.config.Self {
 		return true // it is in the head
 	}
 	return w.addRecord(n.members[p.rank].record)
 }
 
-// filler adds some of what is no news, in turn: for those that missed it. Whoever has just
+// addFillers adds some of what is no news, in turn: for those that missed it. Whoever has just
 // begun gets all that fits.
-func (n *Node) filler(now time.Duration, w *writer, to Rank, answer bool) {
-	left := fillers
-	if m := &n.members[to]; answer && now-m.record.Born < 10*n.cfg.Period {
+func (n *Node) addFillers(now time.Duration, w *writer, to Rank, answer bool) {
+	left := maxFillers
+	if m := &n.members[to]; answer && now-m.record.StartedAt < 10*n.config.Period {
 		left = math.MaxInt
 	}
-	all := len(n.members) + len(n.facts.order)
+	all := len(n.members) + len(n.entries.order)
 	for tries := 0; tries < min(all, 64) && left > 0; tries++ {
-		n.fill = (n.fill + 1) % all
+		n.lastFiller = (n.lastFiller + 1) % all
 		var ok bool
-		if i := n.fill - len(n.members); i >= 0 {
-			h := n.facts.byKey[n.facts.order[i]]
-			if h.Owner == to || !n.valid(h, now) {
+		if i := n.lastFiller - len(n.members); i >= 0 {
+			stored := n.entries.byKey[n.entries.order[i]]
+			if stored.Owner == to || !n.isCurrent(stored, now) {
 				continue
 			}
-			ok = w.addEntry(h.Entry)
+			ok = w.addEntry(stored.Entry)
 		} else {
-			r := Rank(n.fill)
-			if r == to || r == n.cfg.Self || n.members[r].record.Incarnation == 0 {
+			r := Rank(n.lastFiller)
+			if r == to || r == n.config.Self || n.members[r].record.Incarnation == 0 {
 				continue
 			}
 			ok = w.addRecord(n.members[r].record)
@@ -176,28 +176,28 @@
 	}
 }
 
-// maxSpread bounds the datagrams to each of a fan in which hot facts leave.
-const maxSpread = 4
+// maxPushRounds bounds the datagrams to each of a fan in which hot facts leave.
+const maxPushRounds = 4
 
-// spread passes hot facts on at once.
-func (n *Node) spread(now time.Duration) {
-	waits := func(p pending) bool {
-		return p.hot && p.sent < n.cfg.Fan && (p.isEntry || n.tokens > n.cfg.Burst/2)
+// pushHot passes hot facts on at once.
+func (n *Node) pushHot(now time.Duration) {
+	waits := func(p update) bool {
+		return p.hot && p.transmits < n.config.Fanout && (p.isEntry || n.tokens > n.config.Burst/2)
 	}
 	// One datagram may not hold them all. What the ceiling keeps back goes with probes.
-	for round := 0; round < maxSpread && slices.ContainsFunc(n.pending, waits); round++ {
-		for _, r := range n.sample(n.cfg.Fan, now, true) {
+	for round := 0; round < maxPushRounds && slices.ContainsFunc(n.updates, waits); round++ {
+		for _, r := range n.sample(n.config.Fanout, now, true) {
 			n.send(now, r, message{kind: kindUpdate}, false)
 		}
 	}
-	for i := range n.pending {
-		n.pending[i].hot = false
+	for i := range n.updates {
+		n.updates[i].hot = false
 	}
 }
 
 // Receive takes a datagram that came from a sidecar's address.
 func (n *Node) Receive(now time.Duration, from Rank, data []byte) error {
-	if int(from) >= len(n.members) || from == n.cfg.Self {
+	if int(from) >= len(n.members) || from == n.config.Self {
 		return errSelf
 	}
 	n.stats.Received++
@@ -208,29 +208,29 @@
 		return err
 	}
 	d.self.Rank = from // nobody speaks in another's name
-	n.receiveRecord(now, d.self)
-	for _, r := range d.rows {
+	n.receiveSenderRecord(now, d.self)
+	for _, r := range d.records {
 		if r.Rank == from {
 			n.stats.Rejected++ // its own row is in the head
 			continue
 		}
-		n.admit(now, from, r)
+		n.receiveIndirectRecord(now, from, r)
 	}
-	for _, f := range d.facts {
-		n.receiveEntry(now, from, f)
+	for _, entry := range d.entries {
+		n.receiveEntry(now, from, entry)
 	}
 	switch d.kind {
 	case kindPing:
 		n.send(now, from, message{kind: kindAck, seq: d.seq}, true)
 	case kindAck:
-		n.acked(now, from, d.seq)
-	case kindReach:
-		n.reach(now, from, d.target, d.seq)
-	case kindFound:
-		n.found(now, d.target, d.seq)
+		n.receiveAck(now, from, d.seq)
+	case kindPingRequest:
+		n.relayProbe(now, from, d.target, d.seq)
+	case kindIndirectAck:
+		n.receiveIndirectAck(now, d.target, d.seq)
 	case kindPull:
-		if f := n.localEntries[d.about]; f != nil {
-			n.send(now, from, message{kind: kindUpdate, publish: f}, false)
+		if entry := n.localEntries[d.pulled]; entry != nil {
+			n.send(now, from, message{kind: kindUpdate, publish: entry}, false)
 		}
 	}
 	return nil
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -44,9 +44,9 @@
 	return "give " + e.Field + " as an IPv4 address and a port that no other process has; to serve without the others, leave MARTENDRUM_SHARE unset"
 }
 
-// least is the shortest time between two looks at the Node's clock: what is due within it
+// minTimerInterval is the shortest time between two looks at the Node's clock: what is due within it
 // shares one.
-const least = time.Millisecond
+const minTimerInterval = time.Millisecond
 
 // Link is a running Node.
 type Link struct {
@@ -60,18 +60,18 @@
 	timer  *time.Timer
 	closed bool
 
-	wg       sync.WaitGroup
-	strays   atomic.Uint64 // datagrams from no address of the fleet
-	unsent   atomic.Uint64 // the socket did not take them
-	damaged  int           // since the last one logged; the reader's, as is loggedAt
-	loggedAt time.Time
+	goroutines     sync.WaitGroup
+	unknownSenders atomic.Uint64 // datagrams from no address of the fleet
+	unsent         atomic.Uint64 // the socket did not take them
+	damaged        int           // since the last one logged; the reader's, as is loggedAt
+	loggedAt       time.Time
 }
 
 // Open begins the life of a sidecar among its peers. The number of the life is drawn from
 // the system's clock; where that went back, the Node goes above it.
-func Open(cfg Config) (*Link, error) {
+func Open(config Config) (*Link, error) {
 	l := &Link{ranks: make(map[netip.AddrPort]peers.Rank), start: time.Now()}
-	for r, text := range cfg.Peers {
+	for r, text := range config.Peers {
 		a, err := netip.ParseAddrPort(text)
 		if err == nil && !a.Addr().Unmap().Is4() {
 			err = errors.New("no IPv4 address")
@@ -86,22 +86,22 @@
 		l.addrs = append(l.addrs, a)
 		l.ranks[a] = peers.Rank(r)
 	}
-	at, err := netip.ParseAddrPort(cfg.Listen)
+	at, err := netip.ParseAddrPort(config.Listen)
 	if err != nil {
-		return nil, &AddrError{"peer_listen", cfg.Listen, err}
+		return nil, &AddrError{"peer_listen", config.Listen, err}
 	}
-	cfg.Node.Size = len(cfg.Peers)
-	if cfg.Node.Incarnation == 0 {
-		cfg.Node.Incarnation = uint64(max(1, l.start.UnixMilli()))
+	config.Node.Size = len(config.Peers)
+	if config.Node.Incarnation == 0 {
+		config.Node.Incarnation = uint64(max(1, l.start.UnixMilli()))
 	}
-	if l.node, err = peers.New(cfg.Node, 0, rand.New(rand.NewPCG(cfg.Seed, 3))); err != nil {
+	if l.node, err = peers.New(config.Node, 0, rand.New(rand.NewPCG(config.Seed, 3))); err != nil {
 		return nil, err
 	}
 	if l.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at)); err != nil {
-		return nil, &AddrError{"peer_listen", cfg.Listen, err}
+		return nil, &AddrError{"peer_listen", config.Listen, err}
 	}
 	l.timer = time.AfterFunc(time.Hour, l.tick)
-	l.wg.Go(l.read)
+	l.goroutines.Go(l.read)
 	l.Do(func(time.Duration, *peers.Node) {}) // sets the timer
 	return l, nil
 }
@@ -115,7 +115,7 @@
 	}
 	f(time.Since(l.start), l.node)
 	out := l.node.Out()
-	l.timer.Reset(max(l.node.Due()-time.Since(l.start), least))
+	l.timer.Reset(max(l.node.Due()-time.Since(l.start), minTimerInterval))
 	l.mu.Unlock()
 	for _, d := range out {
 		if _, err := l.conn.WriteToUDPAddrPort(d.Data, l.addrs[d.To]); err != nil {
@@ -136,7 +136,7 @@
 type Counts struct{ UnknownSenders, Unsent uint64 }
 
 // Counts returns it.
-func (l *Link) Counts() Counts { return Counts{l.strays.Load(), l.unsent.Load()} }
+func (l *Link) Counts() Counts { return Counts{l.unknownSenders.Load(), l.unsent.Load()} }
 
 // Close tells some that this sidecar leaves, and ends the link. Nothing of it runs when it
 // returns.
@@ -147,42 +147,42 @@
 	l.timer.Stop()
 	l.mu.Unlock()
 	l.conn.Close()
-	l.wg.Wait()
+	l.goroutines.Wait()
 }
 
 const (
-	pause     = 10 * time.Millisecond // after a read that failed
-	logAgain  = time.Minute           // damaged datagrams are logged so often
-	bufferLen = peers.MaxDatagram + 1
+	readErrorDelay = 10 * time.Millisecond // after a read that failed
+	logInterval    = time.Minute           // damaged datagrams are logged so often
+	readBufferSize = peers.MaxDatagram + 1
 )
 
 func (l *Link) read() {
-	buf := make([]byte, bufferLen)
+	buf := make([]byte, readBufferSize)
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(pause)
+			time.Sleep(readErrorDelay)
 			continue
 		}
 		rank, ok := l.ranks[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !ok {
-			l.strays.Add(1)
+			l.unknownSenders.Add(1)
 			continue
 		}
 		l.Do(func(now time.Duration, node *peers.Node) { err = node.Receive(now, rank, buf[:n]) })
 		if err != nil {
-			l.complain(rank, err)
+			l.logDropped(rank, err)
 		}
 	}
 }
 
-// complain logs datagrams that were dropped, not each.
-func (l *Link) complain(from peers.Rank, err error) {
+// logDropped logs datagrams that were dropped, not each.
+func (l *Link) logDropped(from peers.Rank, err error) {
 	l.damaged++
-	if time.Since(l.loggedAt) < logAgain {
+	if time.Since(l.loggedAt) < logInterval {
 		return
 	}
 	l.loggedAt = time.Now()
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	patience = 20 * time.Second
-	hot      = 1
+	testTimeout = 20 * time.Second
+	hot         = 1
 )
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for until := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("it never came to: " + what)
 		}
 	}
 }
 
-// homes are addresses at which nobody receives.
-func homes(t *testing.T, n int) (addrs []string) {
+// unusedAddresses are addresses at which nobody receives.
+func unusedAddresses(t *testing.T, n int) (addrs []string) {
 	t.Helper()
 	for range n {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -68,7 +68,7 @@
 	const size = 5
 	net := faultnet.New(7)
 	defer net.Close()
-	at := homes(t, size)
+	at := unusedAddresses(t, size)
 	mesh, err := net.Mesh(at)
 	if err != nil {
 		t.Fatal(err)
@@ -118,9 +118,9 @@
 
 // What comes from no address of the fleet is dropped and counted; addresses that can't be
 // used are named, with what to do.
-func TestStrangersAndAddresses(t *testing.T) {
+func TestUnknownSendersAndInvalidAddresses(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	at := homes(t, 2)
+	at := unusedAddresses(t, 2)
 	l := open(t, 0, at[0], at)
 	defer l.Close()
 	c, err := net.Dial("udp4", at[0])
@@ -130,16 +130,16 @@
 	defer c.Close()
 	c.Write([]byte("hello"))
 	eventually(t, "a stranger counted", func() bool { return l.Counts().UnknownSenders == 1 })
-	for _, cfg := range []Config{
+	for _, config := range []Config{
 		{Listen: "nowhere", Peers: at},
 		{Listen: at[0], Peers: at}, // taken
 		{Listen: at[1], Peers: []string{at[0], at[0]}},
 		{Listen: at[1], Peers: []string{at[0], "[::1]:5"}},
 	} {
-		cfg.Node.Cluster = "test"
-		_, err := Open(cfg)
+		config.Node.Cluster = "test"
+		_, err := Open(config)
 		if a, ok := errors.AsType[*AddrError](err); !ok || a.Advice() == "" || a.Field == "" {
-			t.Errorf("%+v: %v", cfg, err)
+			t.Errorf("%+v: %v", config, err)
 		}
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -45,7 +45,7 @@
 	Timeout time.Duration // of a probe, before others are asked to try
 	Rate    float64       // bytes a second to send, at most
 	Burst   float64       // bytes that may be saved up
-	Fan     int           // to how many a new fact of a hot kind is passed on
+	Fanout  int           // to how many a new fact of a hot kind is passed on
 }
 
 // Kind is a sort of facts.
@@ -69,64 +69,64 @@
 
 // The defaults, and bounds that are nobody's to set.
 const (
-	periodUsual  = time.Second
-	timeoutUsual = 250 * time.Millisecond // longest way there and back on the platform: 70 ms
-	rateUsual    = 600.0                  // two full datagrams a second, and some of facts
-	burstUsual   = 4096.0
-	fanUsual     = 4
-
-	maxSize        = 1 << 16
-	maxIncarnation = 1 << 52 // of a life's number: room to go above any that is told
-	maxFacts       = 2048
-	factsOfOne     = 64 // of one owner
-	maxPending     = 512
-	helloFan       = 8 // asked at once at the start
-	hellos         = 3 // so often, while fewer than half of a fan have answered
-	helloInterval  = 90 * time.Millisecond
-	hotDelay       = 20 * time.Millisecond // new facts that come together leave together
-	indirectFan    = 3
-	suspectTimes   = 4  // periods that a suspect has to speak up, times log of the fleet
-	maxHealth      = 8  // Lifeguard's: how far one's own slowness stretches probes
-	sentFactor     = 3  // how often news is passed on, times log of the fleet
-	fillers        = 3  // old rows in a datagram that has room
-	maxAside       = 64 // members to be probed out of turn
-	ratedInterval  = 30 * time.Second
+	defaultPeriod  = time.Second
+	defaultTimeout = 250 * time.Millisecond // longest way there and back on the platform: 70 ms
+	defaultRate    = 600.0                  // two full datagrams a second, and some of facts
+	defaultBurst   = 4096.0
+	defaultFanout  = 4
+
+	maxSize            = 1 << 16
+	maxIncarnation     = 1 << 52 // of a life's number: room to go above any that is told
+	maxEntries         = 2048
+	maxEntriesPerOwner = 64 // of one owner
+	maxUpdates         = 512
+	startFanout        = 8 // asked at once at the start
+	startRounds        = 3 // so often, while fewer than half of a fan have answered
+	startInterval      = 90 * time.Millisecond
+	hotDelay           = 20 * time.Millisecond // new facts that come together leave together
+	indirectProbes     = 3
+	suspicionFactor    = 4  // periods that a suspect has to speak up, times log of the fleet
+	maxHealth          = 8  // Lifeguard's: how far one's own slowness stretches probes
+	transmitFactor     = 3  // how often news is passed on, times log of the fleet
+	maxFillers         = 3  // old rows in a datagram that has room
+	maxPriorityProbes  = 64 // members to be probed out of turn
+	trafficInterval    = 30 * time.Second
 )
 
 // Node is one sidecar's part in the fleet. It is not safe for use by several goroutines.
 type Node struct {
-	cfg   Config
-	rng   *rand.Rand
-	kinds map[uint8]*Kind
-	logN  float64
+	config  Config
+	rng     *rand.Rand
+	kinds   map[uint8]*Kind
+	logSize float64
 
 	self         Record
 	members      []member
-	facts        entryTable
+	entries      entryTable
 	localEntries map[entryKey]*Entry // this life's
-	count        uint32              // of this life's words
-
-	pending []pending // news to pass on
-	fill    int       // where the next filler is looked for
-	out     []Datagram
-	tokens  float64
-	filled  time.Duration // when tokens were
-
-	order       []Rank // of probes, in this round
-	aside       []Rank // to be probed before
-	probe       *probe
-	relays      []relay
-	seq         uint32
-	health      int
-	rival       incarnationClaim
-	due         time.Duration // the next probe
-	hello       int           // rounds left
-	helloAt     time.Duration
-	hotAt       time.Duration // when hot facts leave; 0: none wait
-	membersSeen int           // members that spoke since the start
-	rated       time.Duration // when traffic was told last
-	ticked      time.Duration // when Tick was due last, to see one's own slowness
-	stats       Stats
+	sequence     uint32              // of this life's words
+
+	updates       []update // news to pass on
+	lastFiller    int      // where the next filler is looked for
+	out           []Datagram
+	tokens        float64
+	tokensUpdated time.Duration // when tokens were
+
+	probeOrder       []Rank // of probes, in this round
+	priorityProbes   []Rank // to be probed before
+	probe            *probe
+	relays           []relay
+	seq              uint32
+	health           int
+	claimed          incarnationClaim
+	probeDue         time.Duration // the next probe
+	startRoundsLeft  int           // rounds left
+	startPingDue     time.Duration
+	hotDue           time.Duration // when hot facts leave; 0: none wait
+	contactedMembers int           // members that spoke since the start
+	trafficPublished time.Duration // when traffic was told last
+	expectedTick     time.Duration // when Tick was due last, to see one's own slowness
+	stats            Stats
 }
 
 // Datagram is one to send.
@@ -148,55 +148,55 @@
 }
 
 // New returns a Node that begins its life at now. Random choices are drawn from rng.
-func New(cfg Config, now time.Duration, rng *rand.Rand) (*Node, error) {
+func New(config Config, now time.Duration, rng *rand.Rand) (*Node, error) {
 	switch {
-	case cfg.Size < 1 || cfg.Size > maxSize:
+	case config.Size < 1 || config.Size > maxSize:
 		return nil, &ConfigError{"peers", fmt.Sprintf("a list of 1 to %d addresses", maxSize)}
-	case int(cfg.Self) >= cfg.Size:
-		return nil, &ConfigError{"settings.rank", fmt.Sprintf("below the number of peers, which is %d", cfg.Size)}
-	case cfg.Incarnation == 0 || cfg.Incarnation >= maxIncarnation:
+	case int(config.Self) >= config.Size:
+		return nil, &ConfigError{"settings.rank", fmt.Sprintf("below the number of peers, which is %d", config.Size)}
+	case config.Incarnation == 0 || config.Incarnation >= maxIncarnation:
 		return nil, &ConfigError{"the life's number", fmt.Sprintf("from 1 to %d", uint64(maxIncarnation-1))}
 	}
-	cfg.Period = cmp.Or(cfg.Period, periodUsual)
-	cfg.Timeout = cmp.Or(cfg.Timeout, min(timeoutUsual, cfg.Period/3))
-	cfg.Rate, cfg.Burst, cfg.Fan = cmp.Or(cfg.Rate, rateUsual), cmp.Or(cfg.Burst, burstUsual), cmp.Or(cfg.Fan, fanUsual)
+	config.Period = cmp.Or(config.Period, defaultPeriod)
+	config.Timeout = cmp.Or(config.Timeout, min(defaultTimeout, config.Period/3))
+	config.Rate, config.Burst, config.Fanout = cmp.Or(config.Rate, defaultRate), cmp.Or(config.Burst, defaultBurst), cmp.Or(config.Fanout, defaultFanout)
 	n := &Node{
-		cfg:          cfg,
-		rng:          rng,
-		kinds:        make(map[uint8]*Kind),
-		logN:         math.Log2(float64(cfg.Size) + 1),
-		self:         Record{Rank: cfg.Self, Incarnation: cfg.Incarnation, Born: now},
-		members:      make([]member, cfg.Size),
-		facts:        entryTable{byKey: make(map[entryKey]*storedEntry), byOwner: make(map[Rank]int)},
-		localEntries: make(map[entryKey]*Entry),
-		tokens:       cfg.Burst,
-		filled:       now,
-		hello:        hellos,
-		helloAt:      now,
-		due:          now + time.Duration(rng.Float64()*float64(cfg.Period)),
+		config:          config,
+		rng:             rng,
+		kinds:           make(map[uint8]*Kind),
+		logSize:         math.Log2(float64(config.Size) + 1),
+		self:            Record{Rank: config.Self, Incarnation: config.Incarnation, StartedAt: now},
+		members:         make([]member, config.Size),
+		entries:         entryTable{byKey: make(map[entryKey]*storedEntry), byOwner: make(map[Rank]int)},
+		localEntries:    make(map[entryKey]*Entry),
+		tokens:          config.Burst,
+		tokensUpdated:   now,
+		startRoundsLeft: startRounds,
+		startPingDue:    now,
+		probeDue:        now + time.Duration(rng.Float64()*float64(config.Period)),
 	}
-	for i := range cfg.Kinds {
-		n.kinds[cfg.Kinds[i].ID] = &cfg.Kinds[i]
+	for i := range config.Kinds {
+		n.kinds[config.Kinds[i].ID] = &config.Kinds[i]
 	}
 	for r := range n.members {
 		n.members[r].record.Rank = Rank(r)
 	}
-	n.members[cfg.Self].record = n.self
-	if cfg.Size == 1 {
-		n.hello = 0
+	n.members[config.Self].record = n.self
+	if config.Size == 1 {
+		n.startRoundsLeft = 0
 	}
-	n.ticked = n.Due()
+	n.expectedTick = n.Due()
 	return n, nil
 }
 
 // Due is when Tick is to be called next.
 func (n *Node) Due() time.Duration {
-	due := n.due
-	if n.hello > 0 {
-		due = min(due, n.helloAt)
+	due := n.probeDue
+	if n.startRoundsLeft > 0 {
+		due = min(due, n.startPingDue)
 	}
-	if n.hotAt > 0 {
-		due = min(due, n.hotAt)
+	if n.hotDue > 0 {
+		due = min(due, n.hotDue)
 	}
 	if p := n.probe; p != nil {
 		due = min(due, p.next)
@@ -213,37 +213,37 @@
 
 // Tick does what is due by now.
 func (n *Node) Tick(now time.Duration) {
-	if now-n.ticked > n.cfg.Period/2 && n.probe != nil {
+	if now-n.expectedTick > n.config.Period/2 && n.probe != nil {
 		// This process hung: what did not come says nothing of others (Lifeguard).
 		n.probe = nil
-		n.sicken(1)
+		n.adjustHealth(1)
 	}
-	if n.hello > 0 && now >= n.helloAt {
-		n.greet(now)
+	if n.startRoundsLeft > 0 && now >= n.startPingDue {
+		n.pingAtStart(now)
 	}
 	if p := n.probe; p != nil && now >= p.next {
-		n.chase(now, p)
+		n.continueProbe(now, p)
 	}
-	if now >= n.due {
-		n.begin(now)
+	if now >= n.probeDue {
+		n.startProbe(now)
 	}
-	if n.hotAt > 0 && now >= n.hotAt {
-		n.hotAt = 0
-		n.spread(now)
+	if n.hotDue > 0 && now >= n.hotDue {
+		n.hotDue = 0
+		n.pushHot(now)
 	}
-	n.facts.sweep(n, now)
-	n.ticked = n.Due()
+	n.entries.sweep(n, now)
+	n.expectedTick = n.Due()
 }
 
-// greet asks some at once at the start, for all that follows from how old others are.
-func (n *Node) greet(now time.Duration) {
-	n.hello--
-	n.helloAt = now + helloInterval
-	if n.membersSeen >= helloFan/2 {
-		n.hello = 0
+// pingAtStart asks some at once at the start, for all that follows from how old others are.
+func (n *Node) pingAtStart(now time.Duration) {
+	n.startRoundsLeft--
+	n.startPingDue = now + startInterval
+	if n.contactedMembers >= startFanout/2 {
+		n.startRoundsLeft = 0
 		return
 	}
-	for _, r := range n.sample(helloFan, now, false) {
+	for _, r := range n.sample(startFanout, now, false) {
 		n.seq++
 		n.send(now, r, message{kind: kindPing, seq: n.seq}, true)
 	}
@@ -252,9 +252,9 @@
 // sample draws up to k other members at random; living leaves out those that seem dead.
 func (n *Node) sample(k int, now time.Duration, living bool) []Rank {
 	var some []Rank
-	for tries := 0; tries < 8*k && len(some) < k && len(some) < n.cfg.Size-1; tries++ {
-		r := Rank(n.rng.IntN(n.cfg.Size))
-		if s := n.status(r, now); r == n.cfg.Self || living && (s == Dead || s == Silent || s == Left) || slices.Contains(some, r) {
+	for tries := 0; tries < 8*k && len(some) < k && len(some) < n.config.Size-1; tries++ {
+		r := Rank(n.rng.IntN(n.config.Size))
+		if s := n.status(r, now); r == n.config.Self || living && (s == Dead || s == Silent || s == Left) || slices.Contains(some, r) {
 			continue
 		}
 		some = append(some, r)
@@ -279,10 +279,10 @@
 // not worth telling, nor is a second one soon after: each is passed on by the whole fleet.
 func (n *Node) SetTraffic(now time.Duration, perSecond float64) {
 	t := int(encodeTraffic(perSecond))
-	if off := t - int(n.self.Traffic); off >= -1 && off <= 1 || n.rated > 0 && now-n.rated < ratedInterval {
+	if off := t - int(n.self.Traffic); off >= -1 && off <= 1 || n.trafficPublished > 0 && now-n.trafficPublished < trafficInterval {
 		return
 	}
-	n.self.Traffic, n.rated = uint8(t), now
+	n.self.Traffic, n.trafficPublished = uint8(t), now
 	n.advance(now)
 }
 
@@ -290,7 +290,7 @@
 func (n *Node) Leave(now time.Duration) {
 	n.self.State = Left
 	n.advance(now)
-	for _, r := range n.sample(n.cfg.Fan, now, true) {
+	for _, r := range n.sample(n.config.Fanout, now, true) {
 		n.send(now, r, message{kind: kindUpdate}, true)
 	}
 }
@@ -298,8 +298,8 @@
 // advance makes this sidecar's row news.
 func (n *Node) advance(now time.Duration) {
 	n.self.Heartbeat++
-	n.members[n.cfg.Self].record = n.self
-	n.queue(now, pending{rank: n.cfg.Self, hot: true})
+	n.members[n.config.Self].record = n.self
+	n.queueUpdate(now, update{rank: n.config.Self, hot: true})
 }
 
 // Incarnation is the number of this life. It may rise: one that began with a lower number than
@@ -312,7 +312,7 @@
 // Health is how slow this sidecar takes itself to be, from 0 (not at all) to 8.
 func (n *Node) Health() int { return n.health }
 
-func (n *Node) sicken(by int) { n.health = max(0, min(n.health+by, maxHealth)) }
+func (n *Node) adjustHealth(by int) { n.health = max(0, min(n.health+by, maxHealth)) }
 
 // errSelf is for datagrams in one's own name.
 var errSelf = errors.New("peers: a datagram from oneself")
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -13,50 +13,50 @@
 
 const hot, cold = 1, 2
 
-func config(self Rank, size int) Config {
+func testConfig(self Rank, size int) Config {
 	return Config{
 		Cluster: "test", Self: self, Size: size, Incarnation: 1000,
 		Kinds: []Kind{{ID: hot, TTL: time.Minute, Weight: 2, Hot: true}, {ID: cold, TTL: time.Minute, Weight: 1}},
 	}
 }
 
-func newNode(t rapid.TB, cfg Config) *Node {
+func newNode(t rapid.TB, config Config) *Node {
 	t.Helper()
-	n, err := New(cfg, 0, rand.New(rand.NewPCG(uint64(cfg.Self), 1)))
+	n, err := New(config, 0, rand.New(rand.NewPCG(uint64(config.Self), 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return n
 }
 
-// told is a datagram in which from, in a life of its own, tells rows and facts.
-func told(from Rank, size int, life uint64, now time.Duration, rows []Record, facts []Entry) []byte {
-	n := &Node{cfg: config(from, size)}
+// datagramFrom is a datagram in which from, in a life of its own, tells rows and facts.
+func datagramFrom(from Rank, size int, incarnation uint64, now time.Duration, records []Record, entries []Entry) []byte {
+	n := &Node{config: testConfig(from, size)}
 	w := newWriter(now)
-	w.head(message{kind: kindUpdate, self: Record{Incarnation: life, Born: 0}})
-	for _, r := range rows {
+	w.header(message{kind: kindUpdate, self: Record{Incarnation: incarnation, StartedAt: 0}})
+	for _, r := range records {
 		w.addRecord(r)
 	}
-	for _, f := range facts {
-		w.addEntry(f)
+	for _, entry := range entries {
+		w.addEntry(entry)
 	}
-	return w.done(n)
+	return w.finish(n)
 }
 
-func drawRow(t *rapid.T) Record {
+func drawRecord(t *rapid.T) Record {
 	return Record{
 		Rank: 3, Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life"), Heartbeat: rapid.Uint32Range(0, 2).Draw(t, "beat"),
 		State: State(rapid.IntRange(0, int(Left)).Draw(t, "state")), Phase: rapid.Uint8Range(0, 2).Draw(t, "phase"),
-		Traffic: rapid.Uint8Range(0, 2).Draw(t, "traffic"), Born: time.Duration(rapid.IntRange(0, 3).Draw(t, "born")),
+		Traffic: rapid.Uint8Range(0, 2).Draw(t, "traffic"), StartedAt: time.Duration(rapid.IntRange(0, 3).Draw(t, "born")),
 	}
 }
 
-func drawFact(t *rapid.T) Entry {
+func drawEntry(t *rapid.T) Entry {
 	return Entry{
 		Owner: Rank(rapid.IntRange(1, 4).Draw(t, "owner")), Kind: rapid.Uint8Range(hot, cold).Draw(t, "kind"),
 		Subject: rapid.Uint64Range(1, 3).Draw(t, "subject"), Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life"),
-		Count: rapid.Uint32Range(1, 3).Draw(t, "count"), Value: rapid.Uint32Range(0, 2).Draw(t, "value"),
-		Born: time.Duration(rapid.IntRange(0, 20).Draw(t, "born")) * ageUnit,
+		Sequence: rapid.Uint32Range(1, 3).Draw(t, "count"), Value: rapid.Uint32Range(0, 2).Draw(t, "value"),
+		CreatedAt: time.Duration(rapid.IntRange(0, 20).Draw(t, "born")) * ageUnit,
 	}
 }
 
@@ -73,51 +73,51 @@
 }
 
 func TestJoinLaws(t *testing.T) {
-	t.Run("rows", rapid.MakeCheck(func(t *rapid.T) { laws(t, Record.Join, drawRow(t), drawRow(t), drawRow(t)) }))
+	t.Run("rows", rapid.MakeCheck(func(t *rapid.T) { laws(t, Record.Join, drawRecord(t), drawRecord(t), drawRecord(t)) }))
 	t.Run("facts", rapid.MakeCheck(func(t *rapid.T) {
-		a, b, c := drawFact(t), drawFact(t), drawFact(t)
+		a, b, c := drawEntry(t), drawEntry(t), drawEntry(t)
 		b.Owner, b.Kind, b.Subject, c.Owner, c.Kind, c.Subject = a.Owner, a.Kind, a.Subject, a.Owner, a.Kind, a.Subject
 		laws(t, Entry.Join, a, b, c)
 	}))
 }
 
 // state is all that a node holds, without how it came by it.
-func state(n *Node, now time.Duration) (rows []Record, facts []Entry) {
+func state(n *Node, now time.Duration) (records []Record, entries []Entry) {
 	for r := range n.members {
-		if Rank(r) != n.cfg.Self {
-			rows = append(rows, n.members[r].record)
+		if Rank(r) != n.config.Self {
+			records = append(records, n.members[r].record)
 		}
 	}
 	for _, kind := range []uint8{hot, cold} {
-		for f := range n.Entries(now, kind) {
-			f.Direct = false
-			facts = append(facts, f)
+		for entry := range n.Entries(now, kind) {
+			entry.Direct = false
+			entries = append(entries, entry)
 		}
 	}
-	slices.SortFunc(facts, func(a, b Entry) int {
+	slices.SortFunc(entries, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(a.Owner, b.Owner), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
 	})
-	return rows, facts
+	return records, entries
 }
 
 // Whatever the order and the repetition, and with a loss that a later word makes good,
 // those who have heard the same hold the same, and nothing of an old life.
-func TestSameNewsSameState(t *testing.T) {
+func TestStateIndependentOfOrderAndRepetition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size, now = 6, 10 * time.Second
 		var grams [][]byte
 		var from []Rank
 		for range rapid.IntRange(1, 12).Draw(t, "datagrams") {
-			teller := Rank(rapid.IntRange(1, 5).Draw(t, "teller"))
-			var rows []Record
-			if r := drawRow(t); r.Rank != teller {
-				rows = append(rows, r)
+			sender := Rank(rapid.IntRange(1, 5).Draw(t, "teller"))
+			var records []Record
+			if r := drawRecord(t); r.Rank != sender {
+				records = append(records, r)
 			}
-			grams = append(grams, told(teller, size, uint64(rapid.IntRange(1, 3).Draw(t, "own life")), now, rows, []Entry{drawFact(t), drawFact(t)}))
-			from = append(from, teller)
+			grams = append(grams, datagramFrom(sender, size, uint64(rapid.IntRange(1, 3).Draw(t, "own life")), now, records, []Entry{drawEntry(t), drawEntry(t)}))
+			from = append(from, sender)
 		}
 		hear := func(order []int) *Node {
-			n := newNode(t, config(0, size))
+			n := newNode(t, testConfig(0, size))
 			for _, i := range order {
 				if err := n.Receive(now, from[i], grams[i]); err != nil {
 					t.Fatal(err)
@@ -138,9 +138,9 @@
 		if !slices.Equal(fa, fb) {
 			t.Errorf("facts differ:\n%+v\n%+v", fa, fb)
 		}
-		for _, f := range fa {
-			if f.Incarnation < ra[f.Owner-1].Incarnation {
-				t.Errorf("an old life's news: %+v, its owner lives life %d", f, ra[f.Owner-1].Incarnation)
+		for _, entry := range fa {
+			if entry.Incarnation < ra[entry.Owner-1].Incarnation {
+				t.Errorf("an old life's news: %+v, its owner lives life %d", entry, ra[entry.Owner-1].Incarnation)
 			}
 		}
 	})
@@ -148,32 +148,32 @@
 
 // A liar can't give others lives or beats out of their reach, can't speak in another's
 // name, and what it passes on is nobody's direct word.
-func TestLiarHasOneVoice(t *testing.T) {
+func TestLiarCannotSpeakForOthers(t *testing.T) {
 	const size, liar, victim, now = 5, 4, 2, 20 * time.Second
-	n := newNode(t, config(0, size))
-	honest := newNode(t, config(victim, size))
+	n := newNode(t, testConfig(0, size))
+	honest := newNode(t, testConfig(victim, size))
 	meet := func(to, by *Node, at time.Duration) {
-		by.send(at, to.cfg.Self, message{kind: kindUpdate}, true)
+		by.send(at, to.config.Self, message{kind: kindUpdate}, true)
 		for _, d := range by.Out() {
-			if d.To == to.cfg.Self {
-				if err := to.Receive(at, by.cfg.Self, d.Data); err != nil {
+			if d.To == to.config.Self {
+				if err := to.Receive(at, by.config.Self, d.Data); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 	}
 	meet(n, honest, now)
-	lies := told(liar, size, 1000, now, []Record{
+	lies := datagramFrom(liar, size, 1000, now, []Record{
 		{Rank: victim, Incarnation: maxIncarnation - 1},
 		{Rank: victim, Incarnation: 1000, Heartbeat: 1 << 30, State: Left},
-		{Rank: victim, Incarnation: 1000, Heartbeat: 0, State: Suspect, Born: -1000 * time.Hour},
+		{Rank: victim, Incarnation: 1000, Heartbeat: 0, State: Suspect, StartedAt: -1000 * time.Hour},
 		{Rank: 0, Incarnation: maxIncarnation - 2},
 		{Rank: liar, Incarnation: 7, State: Left},
 	}, []Entry{
-		{Owner: victim, Kind: hot, Subject: 5, Incarnation: 1000, Count: 9, Value: 1, Born: now},
-		{Owner: 1, Kind: hot, Subject: 5, Incarnation: 1, Count: 9, Value: 1, Born: now},
-		{Owner: 0, Kind: hot, Subject: 6, Incarnation: 1000, Count: 1<<32 - 1, Value: 1, Born: now},
-		{Owner: liar, Kind: hot, Subject: 5, Incarnation: 1000, Count: 1, Value: 1, Born: now},
+		{Owner: victim, Kind: hot, Subject: 5, Incarnation: 1000, Sequence: 9, Value: 1, CreatedAt: now},
+		{Owner: 1, Kind: hot, Subject: 5, Incarnation: 1, Sequence: 9, Value: 1, CreatedAt: now},
+		{Owner: 0, Kind: hot, Subject: 6, Incarnation: 1000, Sequence: 1<<32 - 1, Value: 1, CreatedAt: now},
+		{Owner: liar, Kind: hot, Subject: 5, Incarnation: 1000, Sequence: 1, Value: 1, CreatedAt: now},
 	})
 	for range 3 {
 		if err := n.Receive(now, liar, lies); err != nil {
@@ -187,12 +187,12 @@
 		t.Errorf("one voice moved this sidecar's life to %d", n.Incarnation())
 	}
 	direct := 0
-	for f := range n.Entries(now, hot) {
-		if f.Direct {
+	for entry := range n.Entries(now, hot) {
+		if entry.Direct {
 			direct++
 		}
-		if f.Owner == 0 && f.Value != 0 {
-			t.Errorf("words were put into this sidecar's mouth: %+v", f)
+		if entry.Owner == 0 && entry.Value != 0 {
+			t.Errorf("words were put into this sidecar's mouth: %+v", entry)
 		}
 	}
 	if direct != 2 { // its own, and this sidecar's denial
@@ -209,30 +209,30 @@
 
 // A life whose number is below that of the life before it (a clock that went back by
 // years) goes above it once two have told so.
-func TestClockWentBack(t *testing.T) {
+func TestIncarnationRisesAboveEarlierOne(t *testing.T) {
 	const size, far = 4, 50 * 365 * 24 * 3600_000
-	cfg := config(1, size)
-	n := newNode(t, cfg)
+	config := testConfig(1, size)
+	n := newNode(t, config)
 	for _, c := range []struct {
 		teller Rank
 		want   uint64
 	}{{2, 1000}, {2, 1000}, {3, far + 1}} {
-		n.Receive(time.Second, c.teller, told(c.teller, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far, Heartbeat: 7, Phase: 3}}, nil))
+		n.Receive(time.Second, c.teller, datagramFrom(c.teller, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far, Heartbeat: 7, Phase: 3}}, nil))
 		if n.Incarnation() != c.want {
 			t.Errorf("after a word of %d it goes on as life %d, want %d", c.teller, n.Incarnation(), c.want)
 		}
 	}
-	n.Receive(time.Second, 2, told(2, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far + 10}}, nil))
+	n.Receive(time.Second, 2, datagramFrom(2, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far + 10}}, nil))
 	if n.Incarnation() != far+11 {
 		t.Errorf("a life just ahead: it goes on as life %d", n.Incarnation())
 	}
 }
 
 // Phases never go back but by a new life, whatever is tried and told.
-func TestPhasesNeverGoBack(t *testing.T) {
+func TestPhasesNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size = 3
-		n, other := newNode(t, config(1, size)), newNode(t, config(0, size))
+		n, other := newNode(t, testConfig(1, size)), newNode(t, testConfig(0, size))
 		seen := Record{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now := time.Duration(i) * 100 * time.Millisecond
@@ -240,9 +240,9 @@
 			case 0:
 				n.SetPhase(now, rapid.Uint8Range(0, 5).Draw(t, "phase"))
 			case 1:
-				r := drawRow(t)
+				r := drawRecord(t)
 				r.Rank, r.Incarnation = 1, 1000+r.Incarnation-1
-				n.Receive(now, 2, told(2, size, 5, now, []Record{r}, nil))
+				n.Receive(now, 2, datagramFrom(2, size, 5, now, []Record{r}, nil))
 			case 2:
 				n.send(now, 0, message{kind: kindUpdate}, true)
 			}
@@ -255,11 +255,11 @@
 					other.Receive(now, 1, d.Data)
 				}
 			}
-			row := other.members[1].record
-			if row.Incarnation == seen.Incarnation && row.Phase < seen.Phase && row.Heartbeat <= seen.Heartbeat {
-				t.Fatalf("from %+v back to %+v", seen, row)
+			record := other.members[1].record
+			if record.Incarnation == seen.Incarnation && record.Phase < seen.Phase && record.Heartbeat <= seen.Heartbeat {
+				t.Fatalf("from %+v back to %+v", seen, record)
 			}
-			seen = row
+			seen = record
 		}
 	})
 }
@@ -268,7 +268,7 @@
 // keeps to its bounds.
 func TestBounds(t *testing.T) {
 	const size = 400
-	n := newNode(t, config(0, size))
+	n := newNode(t, testConfig(0, size))
 	sent := 0
 	for now := time.Duration(0); now < 60*time.Second; now += 20 * time.Millisecond {
 		for range 3 {
@@ -276,8 +276,8 @@
 			if n.rng.IntN(2) == 0 {
 				owner = 1
 			}
-			f := Entry{Owner: owner, Kind: hot, Subject: n.rng.Uint64(), Incarnation: 5, Count: n.rng.Uint32(), Value: n.rng.Uint32(), Born: now}
-			n.Receive(now, owner, told(owner, size, 5, now, []Record{{Rank: Rank(1 + n.rng.IntN(size-1)), Incarnation: n.rng.Uint64N(1000) + 1}}, []Entry{f}))
+			entry := Entry{Owner: owner, Kind: hot, Subject: n.rng.Uint64(), Incarnation: 5, Sequence: n.rng.Uint32(), Value: n.rng.Uint32(), CreatedAt: now}
+			n.Receive(now, owner, datagramFrom(owner, size, 5, now, []Record{{Rank: Rank(1 + n.rng.IntN(size-1)), Incarnation: n.rng.Uint64N(1000) + 1}}, []Entry{entry}))
 		}
 		n.Publish(now, cold, n.rng.Uint64(), 1)
 		if now >= n.Due() {
@@ -290,22 +290,22 @@
 			sent += len(d.Data)
 		}
 	}
-	if limit := int(60*n.cfg.Rate + 2*n.cfg.Burst); sent > limit {
+	if limit := int(60*n.config.Rate + 2*n.config.Burst); sent > limit {
 		t.Errorf("%d bytes sent in a minute, the ceiling allows %d", sent, limit)
 	}
 	switch {
-	case len(n.facts.byKey) > maxFacts, n.facts.byOwner[1] > factsOfOne, n.facts.byOwner[0] > factsOfOne:
-		t.Errorf("%d facts, %d of one, %d of its own", len(n.facts.byKey), n.facts.byOwner[1], n.facts.byOwner[0])
-	case len(n.facts.order) != len(n.facts.byKey), len(n.localEntries) > factsOfOne, len(n.pending) > maxPending, len(n.aside) > maxAside:
-		t.Errorf("%d in order of %d, %d own, %d pending, %d aside", len(n.facts.order), len(n.facts.byKey), len(n.localEntries), len(n.pending), len(n.aside))
+	case len(n.entries.byKey) > maxEntries, n.entries.byOwner[1] > maxEntriesPerOwner, n.entries.byOwner[0] > maxEntriesPerOwner:
+		t.Errorf("%d facts, %d of one, %d of its own", len(n.entries.byKey), n.entries.byOwner[1], n.entries.byOwner[0])
+	case len(n.entries.order) != len(n.entries.byKey), len(n.localEntries) > maxEntriesPerOwner, len(n.updates) > maxUpdates, len(n.priorityProbes) > maxPriorityProbes:
+		t.Errorf("%d in order of %d, %d own, %d pending, %d aside", len(n.entries.order), len(n.entries.byKey), len(n.localEntries), len(n.updates), len(n.priorityProbes))
 	}
 }
 
 // A process that hung suspects itself, not those whose answers it slept through.
-func TestHungProcessBlamesItself(t *testing.T) {
-	n := newNode(t, config(0, 3))
-	n.Receive(0, 1, told(1, 3, 5, 0, nil, nil))
-	n.Receive(0, 2, told(2, 3, 5, 0, nil, nil))
+func TestHungProcessSuspectsItself(t *testing.T) {
+	n := newNode(t, testConfig(0, 3))
+	n.Receive(0, 1, datagramFrom(1, 3, 5, 0, nil, nil))
+	n.Receive(0, 2, datagramFrom(2, 3, 5, 0, nil, nil))
 	for now := time.Duration(0); now < time.Minute; now += 10 * time.Second { // each tick comes late
 		n.Tick(now)
 	}
@@ -315,23 +315,23 @@
 }
 
 // A configuration that can't be, and a datagram that can't be read, say what and what to do.
-func TestErrorsAdvise(t *testing.T) {
+func TestErrorsHaveAdvice(t *testing.T) {
 	type advised interface {
 		error
 		Advice() string
 	}
-	n := newNode(t, config(0, 3))
-	good := told(1, 3, 5, 0, nil, nil)
+	n := newNode(t, testConfig(0, 3))
+	good := datagramFrom(1, 3, 5, 0, nil, nil)
 	errs := []error{
 		n.Receive(0, 1, nil),
 		n.Receive(0, 1, make([]byte, 300)),
 		n.Receive(0, 1, append(slices.Clone(good), 1)),
-		n.Receive(0, 1, told(1, 3, 0, 0, nil, nil)),
+		n.Receive(0, 1, datagramFrom(1, 3, 0, 0, nil, nil)),
 	}
 	for _, edit := range []func(*Config){func(c *Config) { c.Size = 0 }, func(c *Config) { c.Self = 3 }, func(c *Config) { c.Incarnation = 0 }} {
-		cfg := config(0, 3)
-		edit(&cfg)
-		_, err := New(cfg, 0, rand.New(rand.NewPCG(1, 1)))
+		config := testConfig(0, 3)
+		edit(&config)
+		_, err := New(config, 0, rand.New(rand.NewPCG(1, 1)))
 		errs = append(errs, err)
 	}
 	for i, err := range errs {
@@ -349,11 +349,11 @@
 }
 
 func FuzzReceive(f *testing.F) {
-	rows, facts := []Record{{Rank: 2, Incarnation: 9, State: Suspect}}, []Entry{{Owner: 2, Kind: hot, Subject: 1, Incarnation: 9, Count: 1, Value: 1}}
-	f.Add(told(1, 3, 5, 0, rows, facts)[4:])
+	records, entries := []Record{{Rank: 2, Incarnation: 9, State: Suspect}}, []Entry{{Owner: 2, Kind: hot, Subject: 1, Incarnation: 9, Sequence: 1, Value: 1}}
+	f.Add(datagramFrom(1, 3, 5, 0, records, entries)[4:])
 	f.Add([]byte{Version, byte(kindPull)})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		n := newNode(t, config(0, 3))
+		n := newNode(t, testConfig(0, 3))
 		sum := n.checksum(body)
 		data := append([]byte{byte(sum >> 24), byte(sum >> 16), byte(sum >> 8), byte(sum)}, body...)
 		if n.Receive(0, 1, data) != nil {
--- a/internal/peers/row.go
+++ b/internal/peers/record.go
@@ -33,7 +33,7 @@
 	State       State
 	Phase       uint8
 	Traffic     uint8         // by encodeTraffic
-	Born        time.Duration // when this life began, by one's own clock
+	StartedAt   time.Duration // when this life began, by one's own clock
 }
 
 // compare orders rows of one sidecar by how much is known; Born is apart.
@@ -50,7 +50,7 @@
 		j = o
 	}
 	if r.Incarnation == o.Incarnation {
-		j.Born = min(r.Born, o.Born)
+		j.StartedAt = min(r.StartedAt, o.StartedAt)
 	}
 	return j
 }
@@ -72,13 +72,13 @@
 
 // member is one sidecar as this one sees it.
 type member struct {
-	record       Record
-	direct       uint64        // the life that it told of itself last, 0: none
-	born         time.Duration // when that began, by its own word
-	met          bool          // it spoke here
-	lastReceived time.Duration // when it did last
-	suspected    time.Duration // since when row says Suspect
-	missed       uint8         // probes in a row without an answer
+	record            Record
+	directIncarnation uint64        // the life that it told of itself last, 0: none
+	directStartedAt   time.Duration // when that began, by its own word
+	contacted         bool          // it spoke here
+	lastReceived      time.Duration // when it did last
+	suspectedAt       time.Duration // since when row says Suspect
+	missedProbes      uint8         // probes in a row without an answer
 }
 
 // Member is one other sidecar, as of now.
@@ -96,23 +96,23 @@
 func (n *Node) status(r Rank, now time.Duration) State {
 	m := &n.members[r]
 	switch {
-	case m.record.Incarnation == 0 && m.missed >= min(2, n.maxMissed()):
+	case m.record.Incarnation == 0 && m.missedProbes >= min(2, n.maxMissed()):
 		return Silent
 	case m.record.Incarnation == 0:
 		return Unknown
 	case m.record.State != Suspect:
 		return m.record.State
-	case m.direct == m.record.Incarnation && m.lastReceived > m.suspected:
+	case m.directIncarnation == m.record.Incarnation && m.lastReceived > m.suspectedAt:
 		return Alive // it speaks here: whoever suspects it has another trouble
-	case now-m.suspected >= n.patience():
+	case now-m.suspectedAt >= n.suspicionTimeout():
 		return Dead
 	}
 	return Suspect
 }
 
-// patience is how long a suspect has to speak up.
-func (n *Node) patience() time.Duration {
-	return time.Duration(suspectTimes * max(1, math.Log10(float64(n.cfg.Size))) * float64(n.cfg.Period))
+// suspicionTimeout is how long a suspect has to speak up.
+func (n *Node) suspicionTimeout() time.Duration {
+	return time.Duration(suspicionFactor * max(1, math.Log10(float64(n.config.Size))) * float64(n.config.Period))
 }
 
 // Member is what is known of one sidecar.
@@ -120,10 +120,10 @@
 	m := &n.members[r]
 	k := Member{
 		Rank: r, Incarnation: m.record.Incarnation, State: n.status(r, now), Phase: m.record.Phase, Traffic: decodeTraffic(m.record.Traffic),
-		Age: max(0, now-m.record.Born), Direct: r == n.cfg.Self || m.direct != 0 && m.direct == m.record.Incarnation,
+		Age: max(0, now-m.record.StartedAt), Direct: r == n.config.Self || m.directIncarnation != 0 && m.directIncarnation == m.record.Incarnation,
 	}
-	if k.Direct && r != n.cfg.Self {
-		k.Age = max(0, now-m.born) // whatever others make of it
+	if k.Direct && r != n.config.Self {
+		k.Age = max(0, now-m.directStartedAt) // whatever others make of it
 	}
 	return k
 }
@@ -140,12 +140,12 @@
 	}
 }
 
-// Speaking yields the others that live and told of this life of theirs themselves: whose
+// DirectMembers yields the others that live and told of this life of theirs themselves: whose
 // word is a voice.
-func (n *Node) Speaking(now time.Duration) iter.Seq[Member] {
+func (n *Node) DirectMembers(now time.Duration) iter.Seq[Member] {
 	return func(yield func(Member) bool) {
 		for m := range n.Members(now) {
-			if m.Direct && m.Rank != n.cfg.Self && (m.State == Alive || m.State == Suspect) && !yield(m) {
+			if m.Direct && m.Rank != n.config.Self && (m.State == Alive || m.State == Suspect) && !yield(m) {
 				return
 			}
 		}
@@ -170,7 +170,7 @@
 
 // Count counts the sidecars.
 func (n *Node) Count(now time.Duration) Count {
-	c := Count{Size: n.cfg.Size}
+	c := Count{Size: n.config.Size}
 	for r := range n.members {
 		switch n.status(Rank(r), now) {
 		case Alive, Suspect:
@@ -192,39 +192,39 @@
 	maxHeartbeatJump   = 1 << 10
 )
 
-// admit takes a row that from tells of another sidecar.
-func (n *Node) admit(now time.Duration, from Rank, r Record) {
+// receiveIndirectRecord takes a row that from tells of another sidecar.
+func (n *Node) receiveIndirectRecord(now time.Duration, from Rank, r Record) {
 	if int(r.Rank) >= len(n.members) || r.Incarnation == 0 || r.Incarnation >= maxIncarnation || r.State > Left {
 		n.stats.Rejected++
 		return
 	}
-	if r.Rank == n.cfg.Self {
-		n.answer(now, from, r)
+	if r.Rank == n.config.Self {
+		n.refute(now, from, r)
 		return
 	}
 	m := &n.members[r.Rank]
 	if m.record.compare(r) >= 0 {
 		if m.record.Incarnation == r.Incarnation {
-			m.record.Born = min(m.record.Born, r.Born)
+			m.record.StartedAt = min(m.record.StartedAt, r.StartedAt)
 		}
 		if m.record.compare(r) == 0 {
-			n.known(pending{rank: r.Rank})
+			n.countDuplicate(update{rank: r.Rank})
 		}
 		return
 	}
 	if m.record.Incarnation > 0 && (r.Incarnation > m.record.Incarnation+maxIncarnationJump || r.Incarnation == m.record.Incarnation && r.Heartbeat > m.record.Heartbeat+maxHeartbeatJump) {
 		n.stats.Rejected++
-		n.lookAt(r.Rank)
+		n.probeOutOfTurn(r.Rank)
 		return
 	}
-	if r.State != Alive && m.direct == r.Incarnation && now-m.lastReceived < n.cfg.Period {
-		n.lookAt(r.Rank) // it spoke here a moment ago: it is told, and can speak for itself
+	if r.State != Alive && m.directIncarnation == r.Incarnation && now-m.lastReceived < n.config.Period {
+		n.probeOutOfTurn(r.Rank) // it spoke here a moment ago: it is told, and can speak for itself
 	}
-	n.take(now, r)
+	n.mergeRecord(now, r)
 }
 
-// take merges a row and makes it news.
-func (n *Node) take(now time.Duration, r Record) {
+// mergeRecord merges a row and makes it news.
+func (n *Node) mergeRecord(now time.Duration, r Record) {
 	m := &n.members[r.Rank]
 	before := m.record
 	m.record = m.record.Join(r)
@@ -232,35 +232,35 @@
 		return
 	}
 	if m.record.State == Suspect && (before.State != Suspect || before.Incarnation != m.record.Incarnation) {
-		m.suspected = now
+		m.suspectedAt = now
 	}
 	if m.record.Incarnation > before.Incarnation {
-		m.missed = 0
-		n.facts.void(n, r.Rank, m.record.Incarnation)
+		m.missedProbes = 0
+		n.entries.dropEarlierIncarnations(n, r.Rank, m.record.Incarnation)
 	}
 	// Who speaks up against a suspicion, or has begun a new life, is told of at once.
-	n.queue(now, pending{rank: r.Rank, hot: before.Incarnation > 0 && before.State != Alive && m.record.State == Alive})
+	n.queueUpdate(now, update{rank: r.Rank, hot: before.Incarnation > 0 && before.State != Alive && m.record.State == Alive})
 }
 
-// receiveRecord takes a sidecar's row from itself.
-func (n *Node) receiveRecord(now time.Duration, r Record) {
+// receiveSenderRecord takes a sidecar's row from itself.
+func (n *Node) receiveSenderRecord(now time.Duration, r Record) {
 	m := &n.members[r.Rank]
-	if !m.met {
-		m.met = true
-		n.membersSeen++
+	if !m.contacted {
+		m.contacted = true
+		n.contactedMembers++
 	}
-	m.lastReceived, m.missed = now, 0
-	if m.direct == 0 && m.record.Incarnation > r.Incarnation+maxIncarnationJump {
+	m.lastReceived, m.missedProbes = now, 0
+	if m.directIncarnation == 0 && m.record.Incarnation > r.Incarnation+maxIncarnationJump {
 		m.record = Record{Rank: r.Rank} // known by hearsay only, and out of reach for itself
 	}
 	if r.Incarnation < m.record.Incarnation {
 		return // it is told so, and goes above
 	}
-	if m.direct != r.Incarnation {
-		m.direct, m.born = r.Incarnation, r.Born
+	if m.directIncarnation != r.Incarnation {
+		m.directIncarnation, m.directStartedAt = r.Incarnation, r.StartedAt
 	}
-	m.born = min(m.born, r.Born)
-	n.take(now, r)
+	m.directStartedAt = min(m.directStartedAt, r.StartedAt)
+	n.mergeRecord(now, r)
 }
 
 // incarnationClaim is a higher life of this sidecar that one other told of.
@@ -269,29 +269,29 @@
 	from        Rank
 }
 
-// answer takes what another holds of this sidecar: it goes above a suspicion, and above a
+// refute takes what another holds of this sidecar: it goes above a suspicion, and above a
 // life before this one whose number is not lower. Two must tell of one that is far ahead,
 // where there are two, so that no single liar can use the numbers up.
-func (n *Node) answer(now time.Duration, from Rank, r Record) {
+func (n *Node) refute(now time.Duration, from Rank, r Record) {
 	if n.self.compare(r) >= 0 {
 		return
 	}
 	if r.Incarnation > n.self.Incarnation {
-		if far := r.Incarnation > n.self.Incarnation+maxIncarnationJump; far && n.cfg.Size > 2 {
-			if n.rival.incarnation == 0 || n.rival.from == from || r.Incarnation >= maxIncarnation-1 {
-				n.rival = incarnationClaim{r.Incarnation, from}
+		if far := r.Incarnation > n.self.Incarnation+maxIncarnationJump; far && n.config.Size > 2 {
+			if n.claimed.incarnation == 0 || n.claimed.from == from || r.Incarnation >= maxIncarnation-1 {
+				n.claimed = incarnationClaim{r.Incarnation, from}
 				return
 			}
-			r.Incarnation = min(r.Incarnation, n.rival.incarnation)
+			r.Incarnation = min(r.Incarnation, n.claimed.incarnation)
 		}
-		n.rival = incarnationClaim{}
+		n.claimed = incarnationClaim{}
 		n.self.Incarnation, n.self.Heartbeat = r.Incarnation+1, 0
-		n.restamp(now)
+		n.republishAll(now)
 	} else {
 		n.self.Heartbeat = max(n.self.Heartbeat, r.Heartbeat)
 		if r.State == Suspect && n.self.State != Left {
 			n.stats.Refuted++
-			n.sicken(1)
+			n.adjustHealth(1)
 		}
 	}
 	n.advance(now)
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -24,13 +24,13 @@
 type messageKind uint8
 
 const (
-	kindPing   messageKind = iota // answered by kindAck with the same number
-	kindAck                       //
-	kindReach                     // please ping target for me
-	kindFound                     // target has answered, by the number of kindReach
-	kindPull                      // please tell about, which is yours
-	kindUpdate                    // only items
-	kinds
+	kindPing        messageKind = iota // answered by kindAck with the same number
+	kindAck                            //
+	kindPingRequest                    // please ping target for me
+	kindIndirectAck                    // target has answered, by the number of kindPingRequest
+	kindPull                           // please tell about, which is yours
+	kindUpdate                         // only items
+	kindCount
 )
 
 // message is a datagram's head.
@@ -38,16 +38,16 @@
 	kind    messageKind
 	seq     uint32
 	self    Record
-	target  Rank     // of kindReach and kindFound
-	about   entryKey // of kindPull
+	target  Rank     // of kindPingRequest and kindIndirectAck
+	pulled  entryKey // of kindPull
 	publish *Entry   // goes first
 }
 
 const (
-	itemRecord = 0
-	itemEntry  = 1
-	ageUnit    = 100 * time.Millisecond
-	maxAge     = 1 << 31 // units: seven years
+	itemRecord  = 0
+	itemEntry   = 1
+	ageUnit     = 100 * time.Millisecond
+	maxAgeUnits = 1 << 31 // units: seven years
 )
 
 // DecodeError says why a datagram was dropped.
@@ -75,7 +75,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func (n *Node) checksum(body []byte) uint32 {
-	return crc32.Update(crc32.Checksum([]byte(n.cfg.Cluster), castagnoli), castagnoli, body)
+	return crc32.Update(crc32.Checksum([]byte(n.config.Cluster), castagnoli), castagnoli, body)
 }
 
 // writer packs one datagram. A write to a bytes.Buffer does not fail.
@@ -94,50 +94,50 @@
 	return w
 }
 
-func (w *writer) ints(vs ...uint64) {
+func (w *writer) uints(vs ...uint64) {
 	for _, v := range vs {
 		w.enc.EncodeUint(v)
 	}
 }
 
 func (w *writer) age(born time.Duration) uint64 {
-	return uint64(min(max(0, w.now-born)/ageUnit, maxAge))
+	return uint64(min(max(0, w.now-born)/ageUnit, maxAgeUnits))
 }
 
 func (w *writer) record(r Record) {
-	w.ints(r.Incarnation, uint64(r.Heartbeat), uint64(r.State), uint64(r.Phase), uint64(r.Traffic), w.age(r.Born))
+	w.uints(r.Incarnation, uint64(r.Heartbeat), uint64(r.State), uint64(r.Phase), uint64(r.Traffic), w.age(r.StartedAt))
 }
 
 // addRecord adds another's row, if it fits.
 func (w *writer) addRecord(r Record) bool {
 	return w.item(itemRecord, func() {
-		w.ints(uint64(r.Rank))
+		w.uints(uint64(r.Rank))
 		w.record(r)
 	})
 }
 
 // addEntry adds a fact, if it fits.
-func (w *writer) addEntry(f Entry) bool { return w.item(itemEntry, func() { w.entry(f) }) }
+func (w *writer) addEntry(entry Entry) bool { return w.item(itemEntry, func() { w.entry(entry) }) }
 
-func (w *writer) entry(f Entry) {
-	w.ints(uint64(f.Owner), uint64(f.Kind), f.Subject, f.Incarnation, uint64(f.Count), uint64(f.Value), w.age(f.Born))
+func (w *writer) entry(entry Entry) {
+	w.uints(uint64(entry.Owner), uint64(entry.Kind), entry.Subject, entry.Incarnation, uint64(entry.Sequence), uint64(entry.Value), w.age(entry.CreatedAt))
 }
 
-func (w *writer) head(m message) {
-	w.ints(Version, uint64(m.kind), uint64(m.seq))
+func (w *writer) header(m message) {
+	w.uints(Version, uint64(m.kind), uint64(m.seq))
 	w.record(m.self)
 	switch m.kind {
-	case kindReach, kindFound:
-		w.ints(uint64(m.target))
+	case kindPingRequest, kindIndirectAck:
+		w.uints(uint64(m.target))
 	case kindPull:
-		w.ints(uint64(m.about.kind), m.about.subject)
+		w.uints(uint64(m.pulled.kind), m.pulled.subject)
 	}
 }
 
 // item adds what write writes, if it fits.
 func (w *writer) item(kind uint64, write func()) bool {
 	before := w.buf.Len()
-	w.ints(kind)
+	w.uints(kind)
 	write()
 	if w.buf.Len() > MaxDatagram {
 		w.buf.Truncate(before)
@@ -146,7 +146,7 @@
 	return true
 }
 
-func (w *writer) done(n *Node) []byte {
+func (w *writer) finish(n *Node) []byte {
 	b := w.buf.Bytes()
 	binary.BigEndian.PutUint32(b, n.checksum(b[4:]))
 	return b
@@ -160,7 +160,7 @@
 	err error
 }
 
-func (r *reader) int(limit uint64) uint64 {
+func (r *reader) uint(limit uint64) uint64 {
 	if r.err != nil {
 		return 0
 	}
@@ -175,27 +175,27 @@
 	return v
 }
 
-func (r *reader) born() time.Duration { return r.now - time.Duration(r.int(maxAge))*ageUnit }
+func (r *reader) born() time.Duration { return r.now - time.Duration(r.uint(maxAgeUnits))*ageUnit }
 
 func (r *reader) record() Record {
 	return Record{
-		Incarnation: r.int(maxIncarnation - 1), Heartbeat: uint32(r.int(1<<32 - 1)), State: State(r.int(uint64(Left))),
-		Phase: uint8(r.int(255)), Traffic: uint8(r.int(255)), Born: r.born(),
+		Incarnation: r.uint(maxIncarnation - 1), Heartbeat: uint32(r.uint(1<<32 - 1)), State: State(r.uint(uint64(Left))),
+		Phase: uint8(r.uint(255)), Traffic: uint8(r.uint(255)), StartedAt: r.born(),
 	}
 }
 
 func (r *reader) entry() Entry {
 	return Entry{
-		Owner: Rank(r.int(1<<16 - 1)), Kind: uint8(r.int(255)), Subject: r.int(1<<64 - 1), Incarnation: r.int(maxIncarnation - 1),
-		Count: uint32(r.int(1<<32 - 1)), Value: uint32(r.int(1<<32 - 1)), Born: r.born(),
+		Owner: Rank(r.uint(1<<16 - 1)), Kind: uint8(r.uint(255)), Subject: r.uint(1<<64 - 1), Incarnation: r.uint(maxIncarnation - 1),
+		Sequence: uint32(r.uint(1<<32 - 1)), Value: uint32(r.uint(1<<32 - 1)), CreatedAt: r.born(),
 	}
 }
 
 // decoded is a datagram as it was read, whole.
 type decoded struct {
 	message
-	rows  []Record
-	facts []Entry
+	records []Record
+	entries []Entry
 }
 
 // decode reads a datagram. Nothing of it is used if any of it can't be read.
@@ -208,27 +208,27 @@
 	}
 	in := bytes.NewReader(data[4:])
 	r := &reader{dec: msgpack.NewDecoder(in), in: in, now: now}
-	if v := r.int(1<<64 - 1); r.err == nil && v != Version {
+	if v := r.uint(1<<64 - 1); r.err == nil && v != Version {
 		return nil, &DecodeError{What: fmt.Sprintf("version %d, and this is %d", v, Version)}
 	}
 	d := &decoded{}
-	d.kind = messageKind(r.int(uint64(kinds) - 1))
-	d.seq = uint32(r.int(1<<32 - 1))
+	d.kind = messageKind(r.uint(uint64(kindCount) - 1))
+	d.seq = uint32(r.uint(1<<32 - 1))
 	d.self = r.record()
 	switch d.kind {
-	case kindReach, kindFound:
-		d.target = Rank(r.int(uint64(n.cfg.Size) - 1))
+	case kindPingRequest, kindIndirectAck:
+		d.target = Rank(r.uint(uint64(n.config.Size) - 1))
 	case kindPull:
-		d.about = entryKey{n.cfg.Self, uint8(r.int(255)), r.int(1<<64 - 1)}
+		d.pulled = entryKey{n.config.Self, uint8(r.uint(255)), r.uint(1<<64 - 1)}
 	}
 	for r.err == nil && in.Len() > 0 {
-		if r.int(itemEntry) == itemRecord {
-			rank := Rank(r.int(1<<16 - 1))
-			row := r.record()
-			row.Rank = rank
-			d.rows = append(d.rows, row)
+		if r.uint(itemEntry) == itemRecord {
+			rank := Rank(r.uint(1<<16 - 1))
+			record := r.record()
+			record.Rank = rank
+			d.records = append(d.records, record)
 		} else {
-			d.facts = append(d.facts, r.entry())
+			d.entries = append(d.entries, r.entry())
 		}
 	}
 	if r.err != nil {
