--- a/internal/peers/compat_test.go
+++ b/internal/peers/compat_test.go
@@ -10,8 +10,8 @@
 	"martendrum/internal/goldentest"
 )
 
-// One datagram of each kind has the form that an earlier build wrote, and is read as it was
-// meant.
+// Datagrams of each kind are encoded as an earlier build encoded them, and decode to the same
+// messages.
 func TestDatagramsOfEarlierBuild(t *testing.T) {
 	const golden = "datagrams.hex"
 	const now = time.Hour
--- a/internal/peers/entry.go
+++ b/internal/peers/entry.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Entry is what one sidecar tells of a subject. The last word of its owner counts; a Value
-// of 0 says that there is nothing to say any more.
+// Entry is a value that a member publishes about a subject. Its owner's latest one counts. A Value
+// of 0 withdraws the entry.
 type Entry struct {
 	Owner       Rank
 	Kind        uint8
 	Subject     uint64 // a hash of its name
 	Incarnation uint64 // of the owner
-	Sequence    uint32 // counts the owner's words in this life
+	Sequence    uint32 // of the owner's entries in this incarnation
 	Value       uint32
-	CreatedAt   time.Duration // when it was told first, by one's own clock
-	Direct      bool          // its owner told so here itself; not passed on
+	CreatedAt   time.Duration // when it was first published, by the local clock
+	Direct      bool          // received from its owner; not transmitted
 }
 
 type entryKey struct {
@@ -27,40 +27,41 @@
 	subject uint64
 }
 
-func (entry *Entry) key() entryKey { return entryKey{entry.Owner, entry.Kind, entry.Subject} }
+func (e *Entry) key() entryKey { return entryKey{e.Owner, e.Kind, e.Subject} }
 
-// compare orders words of one owner on one subject by how late they are.
-func (entry Entry) compare(o Entry) int {
-	return cmp.Or(cmp.Compare(entry.Incarnation, o.Incarnation), cmp.Compare(entry.Sequence, o.Sequence), cmp.Compare(entry.Value, o.Value))
+// compare orders an owner's entries on one subject, earlier before later.
+func (e Entry) compare(other Entry) int {
+	return cmp.Or(cmp.Compare(e.Incarnation, other.Incarnation), cmp.Compare(e.Sequence, other.Sequence), cmp.Compare(e.Value, other.Value))
 }
 
-// Join is the least fact that holds what both say: the later one, born at the earlier
-// time if they are the same.
-func (entry Entry) Join(o Entry) Entry {
-	j := entry
-	switch c := entry.compare(o); {
+// Join returns the least upper bound of two entries: the later one, or, if they are the same
+// version, that version with the earlier creation time.
+func (e Entry) Join(other Entry) Entry {
+	joined := e
+	switch c := e.compare(other); {
 	case c < 0:
-		j = o
+		joined = other
 	case c == 0:
-		j.CreatedAt, j.Direct = min(entry.CreatedAt, o.CreatedAt), entry.Direct || o.Direct
+		joined.CreatedAt, joined.Direct = min(e.CreatedAt, other.CreatedAt), e.Direct || other.Direct
 	}
-	return j
+	return joined
 }
 
-// storedEntry is a fact and how it is passed on.
+// storedEntry is an entry with its kind.
 type storedEntry struct {
 	Entry
 	kind *Kind
 }
 
-// entryTable holds facts within bounds: maxEntries in all, maxEntriesPerOwner of each owner.
+// entryTable holds entries within bounds: maxEntries in all, maxEntriesPerOwner of each owner.
 type entryTable struct {
 	byKey   map[entryKey]*storedEntry
 	byOwner map[Rank]int
-	order   []entryKey // as they came, for the bound and the sweep
+	order   []entryKey // in order of arrival
 	sweptAt time.Duration
 }
 
+// drop deletes an entry.
 func (t *entryTable) drop(n *Node, k entryKey) {
 	if t.byKey[k] == nil {
 		return
@@ -73,10 +74,10 @@
 	}
 }
 
-// sweepInterval is how often facts that have faded are looked for.
+// sweepInterval is the interval between searches for expired entries.
 const sweepInterval = time.Second
 
-// sweep forgets what is too old.
+// sweep drops expired entries.
 func (t *entryTable) sweep(n *Node, now time.Duration) {
 	if now-t.sweptAt < sweepInterval {
 		return
@@ -85,24 +86,25 @@
 	t.dropIf(n, func(stored *storedEntry) bool { return now-stored.CreatedAt > stored.kind.TTL })
 }
 
-// dropIf forgets what is old.
-func (t *entryTable) dropIf(n *Node, old func(*storedEntry) bool) {
+// dropIf drops the entries that match.
+func (t *entryTable) dropIf(n *Node, matches func(*storedEntry) bool) {
 	for _, k := range slices.Clone(t.order) {
-		if old(t.byKey[k]) {
+		if matches(t.byKey[k]) {
 			t.drop(n, k)
 		}
 	}
 }
 
-// dropEarlierIncarnations forgets what a life before this one told.
+// dropEarlierIncarnations drops an owner's entries of incarnations before the given one.
 func (t *entryTable) dropEarlierIncarnations(n *Node, owner Rank, incarnation uint64) {
 	if t.byOwner[owner] > 0 {
 		t.dropIf(n, func(stored *storedEntry) bool { return stored.Owner == owner && stored.Incarnation < incarnation })
 	}
 }
 
-// ensureCapacity makes room for a further fact of owner: its own oldest goes where it has too
-// many, else the oldest of the least weight.
+// ensureCapacity frees a place for another entry of owner, and returns false if it can't. It evicts
+// the owner's own oldest entry if the owner has too many, otherwise the oldest entry of the lowest
+// weight.
 func (t *entryTable) ensureCapacity(n *Node, owner Rank, weight int) bool {
 	full := t.byOwner[owner] >= maxEntriesPerOwner
 	if !full && len(t.byKey) < maxEntries {
@@ -126,8 +128,8 @@
 	return true
 }
 
-// Publish tells the fleet a fact of this sidecar's. The same value again makes it young
-// again, and is passed on as news. It returns false for a kind that is not configured.
+// Publish publishes an entry of this member. Publishing the same value again renews the entry and
+// queues a new update. It returns false for a kind that is not configured.
 func (n *Node) Publish(now time.Duration, kind uint8, subject uint64, value uint32) bool {
 	if n.kinds[kind] == nil {
 		return false
@@ -139,9 +141,9 @@
 	return true
 }
 
-// republishAll tells all of this sidecar's facts again, in its new life.
+// republishAll renews all of this member's entries in its new incarnation.
 func (n *Node) republishAll(now time.Duration) {
-	for _, k := range n.entries.order { // in their order: a map has none
+	for _, k := range n.entries.order { // ordered, unlike localEntries
 		if entry := n.localEntries[k]; entry != nil {
 			entry.Incarnation = n.self.Incarnation
 			n.storeEntry(now, *entry)
@@ -149,7 +151,7 @@
 	}
 }
 
-// receiveEntry takes a fact that from tells.
+// receiveEntry processes an entry in a datagram from a member.
 func (n *Node) receiveEntry(now time.Duration, from Rank, entry Entry) {
 	kind := n.kinds[entry.Kind]
 	if kind == nil || int(entry.Owner) >= len(n.members) || entry.Incarnation == 0 || entry.Incarnation >= maxIncarnation {
@@ -160,32 +162,32 @@
 	known := n.members[entry.Owner].record.Incarnation
 	switch {
 	case now-entry.CreatedAt > kind.TTL:
-		return // faded: it is not taken up again
+		return // expired: it is not stored again
 	case entry.Owner == n.config.Self:
-		// Of a life before this one, or what was told just now: nobody knows it better.
+		// Only this member publishes its entries. One that is later than its own is forged.
 		if mine := n.localEntries[entry.key()]; entry.Incarnation == n.self.Incarnation && (mine == nil && entry.Sequence > n.sequence || mine != nil && mine.compare(entry) < 0) {
 			n.supersede(now, entry, mine)
 		}
 		return
 	case entry.Incarnation < known:
-		return // an old life's news
+		return // of an earlier incarnation
 	case known > 0 && entry.Incarnation > known+maxIncarnationJump && !entry.Direct:
 		n.stats.Rejected++
-		n.probeOutOfTurn(entry.Owner)
+		n.prioritizeProbe(entry.Owner)
 		return
 	}
 	n.storeEntry(now, entry)
 }
 
-// supersede goes above a word that somebody else put into this sidecar's mouth: its own last
-// one, if there is one, else one that is over at once.
+// supersede replaces a forged entry of this member by a later one: the member's own latest value,
+// or a withdrawal if it has published none.
 func (n *Node) supersede(now time.Duration, entry Entry, mine *Entry) {
 	n.stats.Rejected++
 	entry.Value, entry.CreatedAt, entry.Direct = 0, now, true
 	if mine != nil {
 		entry.Value = mine.Value
 	}
-	if entry.Sequence == math.MaxUint32 { // no count is above: a new life's are
+	if entry.Sequence == math.MaxUint32 { // no sequence is higher in this incarnation
 		n.self.Incarnation++
 		n.self.Heartbeat, entry.Incarnation, entry.Sequence = 0, n.self.Incarnation, n.sequence
 		n.republishAll(now)
@@ -197,7 +199,7 @@
 	n.storeEntry(now, entry)
 }
 
-// storeEntry merges a fact and makes it news if it is.
+// storeEntry merges an entry, and queues an update if it is new.
 func (n *Node) storeEntry(now time.Duration, entry Entry) {
 	k := entry.key()
 	stored := n.entries.byKey[k]
@@ -222,7 +224,7 @@
 	n.queueUpdate(now, update{entry: k, isEntry: true, weight: stored.kind.Weight, hot: stored.kind.Hot})
 }
 
-// Entry is what an owner told last of a subject, false if it is not known or faded.
+// Entry returns an owner's latest entry on a subject, and false if there is none or it has expired.
 func (n *Node) Entry(now time.Duration, owner Rank, kind uint8, subject uint64) (Entry, bool) {
 	stored := n.entries.byKey[entryKey{owner, kind, subject}]
 	if stored == nil || !n.isCurrent(stored, now) {
@@ -231,11 +233,12 @@
 	return stored.Entry, true
 }
 
+// isCurrent reports whether an entry has not expired and is of its owner's known incarnation.
 func (n *Node) isCurrent(stored *storedEntry, now time.Duration) bool {
 	return now-stored.CreatedAt <= stored.kind.TTL && stored.Incarnation >= n.members[stored.Owner].record.Incarnation
 }
 
-// Entries yields what is known of a kind, in the order in which it came first.
+// Entries yields the current entries of a kind, in order of first arrival.
 func (n *Node) Entries(now time.Duration, kind uint8) iter.Seq[Entry] {
 	return func(yield func(Entry) bool) {
 		for _, k := range n.entries.order {
@@ -246,7 +249,7 @@
 	}
 }
 
-// Pull asks an owner for its own word on a subject: what others passed on is no vote.
+// Pull requests an entry from its owner. Only direct entries count as votes.
 func (n *Node) Pull(now time.Duration, owner Rank, kind uint8, subject uint64) {
 	if int(owner) < len(n.members) && owner != n.config.Self {
 		n.send(now, owner, message{kind: kindPull, pulled: entryKey{owner, kind, subject}}, false)
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// update is news to be passed on: a row or a fact that has changed.
+// update is a changed record or entry to be sent.
 type update struct {
 	rank      Rank
 	entry     entryKey
 	isEntry   bool
-	hot       bool // waits to be spread at once
+	hot       bool // waits for pushHot
 	weight    int
 	transmits int
 }
 
-// sameSubject says that both are news of the same row or fact.
+// sameSubject reports whether both are updates of the same record or entry.
 func (p update) sameSubject(q update) bool {
 	return q.isEntry == p.isEntry && q.entry == p.entry && q.rank == p.rank
 }
 
-// queueUpdate makes something news, in place of what was news of it before. What is hot leaves
-// soon.
+// queueUpdate queues an update in place of an earlier one of the same subject, and schedules
+// pushHot for a hot one.
 func (n *Node) queueUpdate(now time.Duration, p update) {
 	n.updates = slices.DeleteFunc(n.updates, p.sameSubject)
-	if len(n.updates) >= maxUpdates { // the one that was passed on most often, the lightest first
-		least := 0
+	if len(n.updates) >= maxUpdates { // drop the one of the lowest weight, and of these the one sent most often
+		lowest := 0
 		for i, q := range n.updates {
-			if o := n.updates[least]; cmp.Or(cmp.Compare(o.weight, q.weight), cmp.Compare(q.transmits, o.transmits)) > 0 {
-				least = i
+			if o := n.updates[lowest]; cmp.Or(cmp.Compare(o.weight, q.weight), cmp.Compare(q.transmits, o.transmits)) > 0 {
+				lowest = i
 			}
 		}
-		n.updates = slices.Delete(n.updates, least, least+1)
+		n.updates = slices.Delete(n.updates, lowest, lowest+1)
 	}
 	n.updates = append(n.updates, p)
 	if p.hot && n.hotDue == 0 {
@@ -41,11 +41,11 @@
 	}
 }
 
-// maxTransmits is how often a piece of news is passed on.
+// maxTransmits returns how often an update is sent.
 func (n *Node) maxTransmits() int { return int(math.Ceil(transmitFactor * n.logSize)) }
 
-// countDuplicate takes that another told news that is held already: after a few such words it is
-// news to nobody (rumour mongering with a counter, Demers and others 1987).
+// countDuplicate records that another member sent an update that is known already. After a few
+// duplicates it is no longer sent (rumor mongering with a counter, Demers et al. 1987).
 func (n *Node) countDuplicate(p update) {
 	for i := range n.updates {
 		if q := &n.updates[i]; p.sameSubject(*q) {
@@ -55,11 +55,11 @@
 	}
 }
 
-// maxDuplicates words of others end one's own interest in a piece of news.
+// maxDuplicates is the number of duplicates after which an update is no longer sent.
 const maxDuplicates = 6
 
-// updateOrder orders what is pending for a datagram: hot facts, weight, then what was passed on
-// least, the latest first.
+// updateOrder returns the order in which updates are added to a datagram: hot ones first, then by
+// weight, then those sent least often, the latest first.
 func (n *Node) updateOrder() []int {
 	order := make([]int, len(n.updates))
 	for i := range order {
@@ -72,6 +72,7 @@
 	return order
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -82,8 +83,8 @@
 	return -1
 }
 
-// send puts a datagram to one sidecar into Out, with as much news as fits, if the ceiling
-// allows; must lets it pass into debt of one burst: what keeps the fleet together.
+// send adds a datagram to Out with as many updates as fit, if the rate limit allows. must allows a
+// debt of up to one burst; it is set for datagrams that the membership depends on.
 func (n *Node) send(now time.Duration, to Rank, m message, must bool) bool {
 	n.tokens = min(n.config.Burst, n.tokens+n.config.Rate*(now-n.tokensUpdated).Seconds())
 	n.tokensUpdated = now
@@ -96,28 +97,28 @@
 	w.header(m)
 	theirs := n.members[to].record
 	if theirs.Incarnation > 0 && (theirs.State != Alive || n.members[to].directIncarnation != theirs.Incarnation) {
-		w.addRecord(theirs) // it can speak for itself
+		w.addRecord(theirs) // lets the member refute what is known about it
 	}
 	if m.publish != nil {
 		w.addEntry(*m.publish)
 	}
-	limit, hasCapacity := n.maxTransmits(), true
+	limit, hasSpace := n.maxTransmits(), true
 	order := n.updateOrder()
 	if m.kind != kindUpdate && n.tokens < n.config.Burst/2 {
-		order, hasCapacity = nil, false // the rest is kept for what is hot
+		order, hasSpace = nil, false // the remaining tokens are reserved for hot updates
 	}
 	for _, i := range order {
 		p := &n.updates[i]
 		if !p.isEntry && p.rank == to || p.isEntry && p.entry.owner == to {
 			continue
 		}
-		if hasCapacity = n.addUpdate(now, w, p); !hasCapacity {
+		if hasSpace = n.addUpdate(now, w, p); !hasSpace {
 			break
 		}
 		p.transmits++
 	}
 	n.updates = slices.DeleteFunc(n.updates, func(p update) bool { return p.transmits >= limit })
-	if hasCapacity {
+	if hasSpace {
 		n.addFillers(now, w, to, m.kind == kindAck)
 	}
 	data := w.finish(n)
@@ -128,8 +129,8 @@
 	return true
 }
 
-// addUpdate adds one piece of news, false if it does not fit. What is news no more counts as
-// packed.
+// addUpdate adds an update to a datagram, and returns false if it does not fit. An obsolete update
+// is skipped and counts as added.
 func (n *Node) addUpdate(now time.Duration, w *writer, p *update) bool {
 	if p.isEntry {
 		stored := n.entries.byKey[p.entry]
@@ -140,20 +141,20 @@
 		return w.addEntry(stored.Entry)
 	}
 	if p.rank == n.config.Self {
-		return true // it is in the head
+		return true // it is in the header
 	}
 	return w.addRecord(n.members[p.rank].record)
 }
 
-// addFillers adds some of what is no news, in turn: for those that missed it. Whoever has just
-// begun gets all that fits.
-func (n *Node) addFillers(now time.Duration, w *writer, to Rank, answer bool) {
+// addFillers adds known records and entries in turn, for members that missed their updates. An
+// acknowledgement to a member that has just started gets as many as fit.
+func (n *Node) addFillers(now time.Duration, w *writer, to Rank, isAck bool) {
 	left := maxFillers
-	if m := &n.members[to]; answer && now-m.record.StartedAt < 10*n.config.Period {
+	if m := &n.members[to]; isAck && now-m.record.StartedAt < 10*n.config.Period {
 		left = math.MaxInt
 	}
 	all := len(n.members) + len(n.entries.order)
-	for tries := 0; tries < min(all, 64) && left > 0; tries++ {
+	for attempts := 0; attempts < min(all, 64) && left > 0; attempts++ {
 		n.lastFiller = (n.lastFiller + 1) % all
 		var ok bool
 		if i := n.lastFiller - len(n.members); i >= 0 {
@@ -176,15 +177,16 @@
 	}
 }
 
-// maxPushRounds bounds the datagrams to each of a fan in which hot facts leave.
+// maxPushRounds is the maximum number of datagrams to each member in which pushHot sends hot
+// updates.
 const maxPushRounds = 4
 
-// pushHot passes hot facts on at once.
+// pushHot sends the hot updates immediately to a random sample of members.
 func (n *Node) pushHot(now time.Duration) {
 	waits := func(p update) bool {
 		return p.hot && p.transmits < n.config.Fanout && (p.isEntry || n.tokens > n.config.Burst/2)
 	}
-	// One datagram may not hold them all. What the ceiling keeps back goes with probes.
+	// One datagram may not hold all of them. Updates that the rate limit delays are sent with probes.
 	for round := 0; round < maxPushRounds && slices.ContainsFunc(n.updates, waits); round++ {
 		for _, r := range n.sample(n.config.Fanout, now, true) {
 			n.send(now, r, message{kind: kindUpdate}, false)
@@ -195,7 +197,7 @@
 	}
 }
 
-// Receive takes a datagram that came from a sidecar's address.
+// Receive processes a datagram that arrived from a member's address.
 func (n *Node) Receive(now time.Duration, from Rank, data []byte) error {
 	if int(from) >= len(n.members) || from == n.config.Self {
 		return errSelf
@@ -207,11 +209,11 @@
 		n.stats.Damaged++
 		return err
 	}
-	d.self.Rank = from // nobody speaks in another's name
+	d.self.Rank = from // the address identifies the sender
 	n.receiveSenderRecord(now, d.self)
 	for _, r := range d.records {
 		if r.Rank == from {
-			n.stats.Rejected++ // its own row is in the head
+			n.stats.Rejected++ // the sender's record is in the header
 			continue
 		}
 		n.receiveIndirectRecord(now, from, r)
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -1,6 +1,6 @@
-// Package link runs a peers.Node on a UDP socket: it owns the socket, the clock and two
-// goroutines, the reader's and a timer's. It decides nothing. Who sent a datagram is told
-// by its address, which has to be one of the fleet's; others are counted and dropped.
+// Package link runs a peers.Node on a UDP socket. It owns the socket, the clock, the reading
+// goroutine and a timer. It takes no decisions. A datagram's address identifies its sender;
+// datagrams from addresses outside the fleet are counted and dropped.
 package link
 
 import (
@@ -17,15 +17,15 @@
 	"martendrum/internal/peers"
 )
 
-// Config is what a Link is told.
+// Config configures a Link.
 type Config struct {
 	Listen string   // where datagrams arrive, host:port
-	Peers  []string // by rank, this sidecar's own among them
+	Peers  []string // addresses by rank, including this sidecar's own
 	Node   peers.Config
 	Seed   uint64
 }
 
-// AddrError says which address can't be used.
+// AddrError reports an unusable address.
 type AddrError struct {
 	Field, Addr string
 	err         error
@@ -39,13 +39,13 @@
 // Unwrap returns the cause.
 func (e *AddrError) Unwrap() error { return e.err }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *AddrError) Advice() string {
 	return "give " + e.Field + " as an IPv4 address and a port that no other process has; to serve without the others, leave MARTENDRUM_SHARE unset"
 }
 
-// minTimerInterval is the shortest time between two looks at the Node's clock: what is due within it
-// shares one.
+// minTimerInterval is the minimum time between two timer events. Actions that are due within it are
+// performed together.
 const minTimerInterval = time.Millisecond
 
 // Link is a running Node.
@@ -61,30 +61,30 @@
 	closed bool
 
 	goroutines     sync.WaitGroup
-	unknownSenders atomic.Uint64 // datagrams from no address of the fleet
-	unsent         atomic.Uint64 // the socket did not take them
-	damaged        int           // since the last one logged; the reader's, as is loggedAt
+	unknownSenders atomic.Uint64 // datagrams from addresses outside the fleet
+	unsent         atomic.Uint64 // datagrams that the socket rejected
+	damaged        int           // since the last log line; used by the reading goroutine only, as is loggedAt
 	loggedAt       time.Time
 }
 
-// Open begins the life of a sidecar among its peers. The number of the life is drawn from
-// the system's clock; where that went back, the Node goes above it.
+// Open starts a Link. The incarnation is the system clock's time in milliseconds unless it is
+// configured. If the clock went back, the Node rises above its earlier incarnation.
 func Open(config Config) (*Link, error) {
 	l := &Link{ranks: make(map[netip.AddrPort]peers.Rank), start: time.Now()}
 	for r, text := range config.Peers {
-		a, err := netip.ParseAddrPort(text)
-		if err == nil && !a.Addr().Unmap().Is4() {
-			err = errors.New("no IPv4 address")
+		addr, err := netip.ParseAddrPort(text)
+		if err == nil && !addr.Addr().Unmap().Is4() {
+			err = errors.New("not an IPv4 address")
 		}
 		if err != nil {
 			return nil, &AddrError{fmt.Sprintf("peers[%d]", r), text, err}
 		}
-		a = netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
-		if _, twice := l.ranks[a]; twice {
-			return nil, &AddrError{fmt.Sprintf("peers[%d]", r), text, errors.New("it is another one's too")}
+		addr = netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
+		if _, duplicate := l.ranks[addr]; duplicate {
+			return nil, &AddrError{fmt.Sprintf("peers[%d]", r), text, errors.New("another peer has the same address")}
 		}
-		l.addrs = append(l.addrs, a)
-		l.ranks[a] = peers.Rank(r)
+		l.addrs = append(l.addrs, addr)
+		l.ranks[addr] = peers.Rank(r)
 	}
 	at, err := netip.ParseAddrPort(config.Listen)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return l, nil
 }
 
-// Do lets f use the Node, and sends what it wants sent. f must not block.
+// Do calls f with the Node, and sends the resulting datagrams. f must not block.
 func (l *Link) Do(f func(now time.Duration, n *peers.Node)) {
 	l.mu.Lock()
 	if l.closed {
@@ -119,7 +119,7 @@
 	l.mu.Unlock()
 	for _, d := range out {
 		if _, err := l.conn.WriteToUDPAddrPort(d.Data, l.addrs[d.To]); err != nil {
-			l.unsent.Add(1) // as good as lost on the way
+			l.unsent.Add(1) // equivalent to a lost datagram
 		}
 	}
 }
@@ -132,14 +132,14 @@
 	})
 }
 
-// Counts is what the socket itself has seen.
+// Counts counts datagrams that the socket did not exchange with the Node.
 type Counts struct{ UnknownSenders, Unsent uint64 }
 
-// Counts returns it.
+// Counts returns the counts so far.
 func (l *Link) Counts() Counts { return Counts{l.unknownSenders.Load(), l.unsent.Load()} }
 
-// Close tells some that this sidecar leaves, and ends the link. Nothing of it runs when it
-// returns.
+// Close notifies some members that this one leaves, and closes the socket. All goroutines have
+// ended when it returns.
 func (l *Link) Close() {
 	l.Do(func(now time.Duration, n *peers.Node) { n.Leave(now) })
 	l.mu.Lock()
@@ -151,8 +151,8 @@
 }
 
 const (
-	readErrorDelay = 10 * time.Millisecond // after a read that failed
-	logInterval    = time.Minute           // damaged datagrams are logged so often
+	readErrorDelay = 10 * time.Millisecond // delay after a failed read
+	logInterval    = time.Minute           // minimum interval between log lines about dropped datagrams
 	readBufferSize = peers.MaxDatagram + 1
 )
 
@@ -179,7 +179,7 @@
 	}
 }
 
-// logDropped logs datagrams that were dropped, not each.
+// logDropped logs dropped datagrams, at most once per logInterval.
 func (l *Link) logDropped(from peers.Rank, err error) {
 	l.damaged++
 	if time.Since(l.loggedAt) < logInterval {
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -21,12 +21,12 @@
 	t.Helper()
 	for until := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("it never came to: " + what)
+			t.Fatal("timed out waiting until " + what)
 		}
 	}
 }
 
-// unusedAddresses are addresses at which nobody receives.
+// unusedAddresses returns loopback addresses without a listener.
 func unusedAddresses(t *testing.T, n int) (addrs []string) {
 	t.Helper()
 	for range n {
@@ -61,8 +61,8 @@
 	return s
 }
 
-// A few sidecars on sockets, a fifth of whose datagrams are lost and some doubled, know
-// who lives; a fact goes round; one that leaves is known to, and one that comes back.
+// Sidecars on sockets, with a fifth of the datagrams lost and some duplicated, learn which members
+// are alive, receive an entry, and learn that a member has left and come back.
 func TestSidecarsOnSockets(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const size = 5
@@ -90,10 +90,10 @@
 		}
 	}
 	for i := range size {
-		eventually(t, "all know that one lives", all(peers.Alive, i))
+		eventually(t, "all know that one is alive", all(peers.Alive, i))
 	}
 	links[2].Do(func(now time.Duration, n *peers.Node) { n.Publish(now, hot, 77, 5) })
-	eventually(t, "all know a fact", func() bool {
+	eventually(t, "all know an entry", func() bool {
 		known := 0
 		for _, l := range links {
 			l.Do(func(now time.Duration, n *peers.Node) {
@@ -116,8 +116,8 @@
 	}
 }
 
-// What comes from no address of the fleet is dropped and counted; addresses that can't be
-// used are named, with what to do.
+// Datagrams from outside the fleet are dropped and counted. Unusable addresses are reported with
+// advice.
 func TestUnknownSendersAndInvalidAddresses(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	at := unusedAddresses(t, 2)
@@ -129,10 +129,10 @@
 	}
 	defer c.Close()
 	c.Write([]byte("hello"))
-	eventually(t, "a stranger counted", func() bool { return l.Counts().UnknownSenders == 1 })
+	eventually(t, "an unknown sender is counted", func() bool { return l.Counts().UnknownSenders == 1 })
 	for _, config := range []Config{
 		{Listen: "nowhere", Peers: at},
-		{Listen: at[0], Peers: at}, // taken
+		{Listen: at[0], Peers: at}, // in use
 		{Listen: at[1], Peers: []string{at[0], at[0]}},
 		{Listen: at[1], Peers: []string{at[0], "[::1]:5"}},
 	} {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,20 +1,23 @@
-// Package peers is what the sidecars of one fleet tell each other, without I/O, clock or
-// goroutine: who lives, in which life and phase, and facts that each may tell of itself.
+// Package peers is the gossip protocol between the sidecars of one fleet. It owns the membership
+// (state, incarnation and phase of each sidecar) and entries that each sidecar publishes about
+// itself. It is pure: it has no I/O, clock or goroutine.
 //
-// A Node is one sidecar's part. Its owner hands it datagrams as they come and calls Tick
-// when Due says so; what the Node wants sent lies in Out. Datagrams may be lost, late,
-// doubled and out of order, and hold 256 bytes at most. What it promises:
+// A Node is one member. Its owner passes it the datagrams that arrive, calls Tick at the time
+// that Due returns, and sends the datagrams that Out returns. Datagrams may be lost, late,
+// duplicated and out of order, and hold at most 256 bytes. Promises:
 //
-//   - Rows and facts merge as a join-semilattice (Row.Join, Fact.Join): whatever the order,
-//     loss or repetition, those who have heard the same hold the same.
-//   - Nothing rests on another's wall clock: ages travel, and only make what is told older.
-//   - What a sidecar sends in a second has a ceiling in bytes that does not depend on the
-//     fleet's size.
-//   - Who says something of itself is told from who passes it on (Fact.Direct): whoever
-//     lies has one voice, its own, where a decision asks for direct words.
+//   - Records and entries merge as a join-semilattice (Record.Join, Entry.Join): members that
+//     received the same information hold the same state, whatever the order, loss or repetition.
+//   - No result depends on another member's wall clock: datagrams carry ages, and merging
+//     only ever makes information older.
+//   - The bytes that a member sends per second have a limit that does not depend on the fleet's
+//     size.
+//   - Information received from its owner is distinguished from forwarded information
+//     (Entry.Direct): a member that lies has one vote, its own, in decisions that require direct
+//     entries.
 //
-// It does not know servers, requests or what a fact means, and it sends to no server.
-// Views may differ: what is built on them has to be safe when they do.
+// The package does not know servers, requests or the meaning of an entry, and it sends to no
+// server. Members' views may differ, and whatever uses them must be safe when they do.
 package peers
 
 import (
@@ -27,73 +30,73 @@
 	"time"
 )
 
-// Rank is a sidecar's number in the fleet, from 0, as the settings have it.
+// Rank is a sidecar's number in the fleet, from 0, as in the settings.
 type Rank uint16
 
-// MaxDatagram is the longest datagram, in bytes.
+// MaxDatagram is the maximum length of a datagram, in bytes.
 const MaxDatagram = 256
 
-// Config is what a Node is told. The zero value of a tuning field means its default.
+// Config configures a Node. The zero value of a tuning field means its default.
 type Config struct {
-	Cluster     string // names the fleet: datagrams of another one are dropped
+	Cluster     string // name of the fleet; datagrams of another one are dropped
 	Self        Rank
-	Size        int    // sidecars in the fleet, this one included
-	Incarnation uint64 // number of this life; a later one has a higher one, see Node.Life
-	Kinds       []Kind // of the facts that are told here; others are dropped
-
-	Period  time.Duration // between two probes
-	Timeout time.Duration // of a probe, before others are asked to try
-	Rate    float64       // bytes a second to send, at most
-	Burst   float64       // bytes that may be saved up
-	Fanout  int           // to how many a new fact of a hot kind is passed on
+	Size        int    // number of sidecars in the fleet, including this one
+	Incarnation uint64 // of this process; a later process has a higher one, see Node.Incarnation
+	Kinds       []Kind // accepted kinds of entries; others are dropped
+
+	Period  time.Duration // interval between probes
+	Timeout time.Duration // of a direct probe, before indirect ones are requested
+	Rate    float64       // maximum bytes sent per second
+	Burst   float64       // capacity of the token bucket, in bytes
+	Fanout  int           // number of members to which a new hot entry is forwarded
 }
 
-// Kind is a sort of facts.
+// Kind configures a kind of entry.
 type Kind struct {
 	ID     uint8
-	TTL    time.Duration // a fact older than this is forgotten
-	Weight int           // higher goes first where not all fits
-	Hot    bool          // passed on at once, by everyone who learns of it
+	TTL    time.Duration // an older entry is dropped
+	Weight int           // entries of higher weight are sent first if not all fit
+	Hot    bool          // forwarded immediately by every member that receives it
 }
 
-// ConfigError says what of a configuration can't be.
+// ConfigError reports an invalid field of a configuration.
 type ConfigError struct{ Field, Want string }
 
 // Error implements error.
 func (e *ConfigError) Error() string { return fmt.Sprintf("peers: %s must be %s", e.Field, e.Want) }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *ConfigError) Advice() string {
-	return "correct " + e.Field + " in the sidecar's configuration; without peers it serves as it did alone"
+	return "correct " + e.Field + " in the sidecar's configuration; without peers it serves on its own"
 }
 
-// The defaults, and bounds that are nobody's to set.
+// Defaults of the tuning fields, and bounds that can't be configured.
 const (
 	defaultPeriod  = time.Second
-	defaultTimeout = 250 * time.Millisecond // longest way there and back on the platform: 70 ms
-	defaultRate    = 600.0                  // two full datagrams a second, and some of facts
+	defaultTimeout = 250 * time.Millisecond // the platform's longest round trip is 70 ms
+	defaultRate    = 600.0                  // two full datagrams and some entries per second
 	defaultBurst   = 4096.0
 	defaultFanout  = 4
 
 	maxSize            = 1 << 16
-	maxIncarnation     = 1 << 52 // of a life's number: room to go above any that is told
+	maxIncarnation     = 1 << 52 // leaves values above any that is received
 	maxEntries         = 2048
-	maxEntriesPerOwner = 64 // of one owner
+	maxEntriesPerOwner = 64 // bounds the memory that one owner can claim
 	maxUpdates         = 512
-	startFanout        = 8 // asked at once at the start
-	startRounds        = 3 // so often, while fewer than half of a fan have answered
+	startFanout        = 8 // members pinged in each round at the start
+	startRounds        = 3 // rounds, until half of startFanout members have answered
 	startInterval      = 90 * time.Millisecond
-	hotDelay           = 20 * time.Millisecond // new facts that come together leave together
+	hotDelay           = 20 * time.Millisecond // collects hot entries that arrive together into one datagram
 	indirectProbes     = 3
-	suspicionFactor    = 4  // periods that a suspect has to speak up, times log of the fleet
-	maxHealth          = 8  // Lifeguard's: how far one's own slowness stretches probes
-	transmitFactor     = 3  // how often news is passed on, times log of the fleet
-	maxFillers         = 3  // old rows in a datagram that has room
-	maxPriorityProbes  = 64 // members to be probed out of turn
+	suspicionFactor    = 4  // periods before a suspect counts as dead, times log10 of the fleet's size
+	maxHealth          = 8  // Lifeguard: maximum factor, less one, on this member's probe intervals
+	transmitFactor     = 3  // transmissions of an update, times log2 of the fleet's size
+	maxFillers         = 3  // known records and entries added to a datagram with free space
+	maxPriorityProbes  = 64 // members queued to be probed out of turn
 	trafficInterval    = 30 * time.Second
 )
 
-// Node is one sidecar's part in the fleet. It is not safe for use by several goroutines.
+// Node is one member of the fleet. It is not safe for concurrent use.
 type Node struct {
 	config  Config
 	rng     *rand.Rand
@@ -103,51 +106,51 @@
 	self         Record
 	members      []member
 	entries      entryTable
-	localEntries map[entryKey]*Entry // this life's
-	sequence     uint32              // of this life's words
+	localEntries map[entryKey]*Entry // of this incarnation
+	sequence     uint32              // of the latest local entry
 
-	updates       []update // news to pass on
-	lastFiller    int      // where the next filler is looked for
+	updates       []update // to be sent
+	lastFiller    int      // position of the latest filler
 	out           []Datagram
 	tokens        float64
-	tokensUpdated time.Duration // when tokens were
+	tokensUpdated time.Duration // time of the latest refill
 
-	probeOrder       []Rank // of probes, in this round
-	priorityProbes   []Rank // to be probed before
+	probeOrder       []Rank // members still to probe in this round
+	priorityProbes   []Rank // probed before probeOrder
 	probe            *probe
 	relays           []relay
 	seq              uint32
 	health           int
 	claimed          incarnationClaim
-	probeDue         time.Duration // the next probe
-	startRoundsLeft  int           // rounds left
+	probeDue         time.Duration // time of the next probe
+	startRoundsLeft  int           // rounds of pingAtStart left
 	startPingDue     time.Duration
-	hotDue           time.Duration // when hot facts leave; 0: none wait
-	contactedMembers int           // members that spoke since the start
-	trafficPublished time.Duration // when traffic was told last
-	expectedTick     time.Duration // when Tick was due last, to see one's own slowness
+	hotDue           time.Duration // when hot updates are sent; 0: none are queued
+	contactedMembers int           // members that have sent a datagram
+	trafficPublished time.Duration // time of the latest change of traffic
+	expectedTick     time.Duration // due time of the next Tick, to detect a hung process
 	stats            Stats
 }
 
-// Datagram is one to send.
+// Datagram is a datagram to send.
 type Datagram struct {
 	To   Rank
 	Data []byte
 }
 
-// Stats counts what a Node has done.
+// Stats counts events of a Node.
 type Stats struct {
 	Sent, SentBytes         uint64
 	Received, ReceivedBytes uint64
-	Damaged                 uint64 // did not decode, or came from another fleet
-	Rejected                uint64 // rows and facts that can't be, by what is known
-	Withheld                uint64 // datagrams that the ceiling kept back
-	Refuted                 uint64 // suspicions of this sidecar
-	Suspected               uint64 // by this sidecar itself
-	Forgotten               uint64 // facts that a bound pushed out
+	Damaged                 uint64 // not decodable, or of another fleet
+	Rejected                uint64 // invalid or implausible records and entries
+	Withheld                uint64 // datagrams not sent because of the rate limit
+	Refuted                 uint64 // suspicions of this member that it refuted
+	Suspected               uint64 // suspicions raised by this member
+	Forgotten               uint64 // entries evicted or dropped because of a bound
 }
 
-// New returns a Node that begins its life at now. Random choices are drawn from rng.
+// New returns a Node that starts at now. Random choices are drawn from rng.
 func New(config Config, now time.Duration, rng *rand.Rand) (*Node, error) {
 	switch {
 	case config.Size < 1 || config.Size > maxSize:
@@ -155,7 +158,7 @@
 	case int(config.Self) >= config.Size:
 		return nil, &ConfigError{"settings.rank", fmt.Sprintf("below the number of peers, which is %d", config.Size)}
 	case config.Incarnation == 0 || config.Incarnation >= maxIncarnation:
-		return nil, &ConfigError{"the life's number", fmt.Sprintf("from 1 to %d", uint64(maxIncarnation-1))}
+		return nil, &ConfigError{"the incarnation", fmt.Sprintf("from 1 to %d", uint64(maxIncarnation-1))}
 	}
 	config.Period = cmp.Or(config.Period, defaultPeriod)
 	config.Timeout = cmp.Or(config.Timeout, min(defaultTimeout, config.Period/3))
@@ -189,7 +192,7 @@
 	return n, nil
 }
 
-// Due is when Tick is to be called next.
+// Due returns the time at which Tick must be called next.
 func (n *Node) Due() time.Duration {
 	due := n.probeDue
 	if n.startRoundsLeft > 0 {
@@ -204,17 +207,17 @@
 	return due
 }
 
-// Out hands over the datagrams to be sent now.
+// Out returns the datagrams to be sent now, and clears them.
 func (n *Node) Out() []Datagram {
 	out := n.out
 	n.out = nil
 	return out
 }
 
-// Tick does what is due by now.
+// Tick performs the actions that are due.
 func (n *Node) Tick(now time.Duration) {
 	if now-n.expectedTick > n.config.Period/2 && n.probe != nil {
-		// This process hung: what did not come says nothing of others (Lifeguard).
+		// This process was suspended: missing acknowledgements say nothing about others (Lifeguard).
 		n.probe = nil
 		n.adjustHealth(1)
 	}
@@ -235,7 +238,8 @@
 	n.expectedTick = n.Due()
 }
 
-// pingAtStart asks some at once at the start, for all that follows from how old others are.
+// pingAtStart pings several members at once after the start, because decisions at the start depend
+// on the ages of others.
 func (n *Node) pingAtStart(now time.Duration) {
 	n.startRoundsLeft--
 	n.startPingDue = now + startInterval
@@ -249,10 +253,11 @@
 	}
 }
 
-// sample draws up to k other members at random; living leaves out those that seem dead.
+// sample draws up to k other members at random. If living is set it excludes members that appear
+// not to be alive.
 func (n *Node) sample(k int, now time.Duration, living bool) []Rank {
 	var some []Rank
-	for tries := 0; tries < 8*k && len(some) < k && len(some) < n.config.Size-1; tries++ {
+	for attempts := 0; attempts < 8*k && len(some) < k && len(some) < n.config.Size-1; attempts++ {
 		r := Rank(n.rng.IntN(n.config.Size))
 		if s := n.status(r, now); r == n.config.Self || living && (s == Dead || s == Silent || s == Left) || slices.Contains(some, r) {
 			continue
@@ -262,8 +267,8 @@
 	return some
 }
 
-// SetPhase tells the fleet which phase this sidecar is in, 0 to 255. Within a life phases
-// only go up; one below is ignored, and false returned.
+// SetPhase publishes this member's phase, 0 to 255. Within an incarnation phases only increase; a
+// lower one is ignored, and false returned.
 func (n *Node) SetPhase(now time.Duration, phase uint8) bool {
 	if phase < n.self.Phase {
 		return false
@@ -275,8 +280,8 @@
 	return true
 }
 
-// SetTraffic tells how many requests a second come here. A change of less than a half is
-// not worth telling, nor is a second one soon after: each is passed on by the whole fleet.
+// SetTraffic publishes this member's rate of requests. Changes of less than a half, and changes
+// soon after another, are not published, because every member forwards each of them.
 func (n *Node) SetTraffic(now time.Duration, perSecond float64) {
 	t := int(encodeTraffic(perSecond))
 	if off := t - int(n.self.Traffic); off >= -1 && off <= 1 || n.trafficPublished > 0 && now-n.trafficPublished < trafficInterval {
@@ -286,7 +291,7 @@
 	n.advance(now)
 }
 
-// Leave tells some that this sidecar ends on purpose: nobody has to suspect it.
+// Leave notifies some members that this one leaves, so that none has to suspect it.
 func (n *Node) Leave(now time.Duration) {
 	n.self.State = Left
 	n.advance(now)
@@ -295,24 +300,25 @@
 	}
 }
 
-// advance makes this sidecar's row news.
+// advance queues an update of this member's own record.
 func (n *Node) advance(now time.Duration) {
 	n.self.Heartbeat++
 	n.members[n.config.Self].record = n.self
 	n.queueUpdate(now, update{rank: n.config.Self, hot: true})
 }
 
-// Incarnation is the number of this life. It may rise: one that began with a lower number than
-// the life before it (a clock that went back) takes a higher one once told.
+// Incarnation returns this member's incarnation. It may rise: a member that learns of an earlier
+// incarnation with a higher number, caused by a clock that went back, rises above it.
 func (n *Node) Incarnation() uint64 { return n.self.Incarnation }
 
-// Stats counts what was done so far.
+// Stats returns the counts so far.
 func (n *Node) Stats() Stats { return n.stats }
 
-// Health is how slow this sidecar takes itself to be, from 0 (not at all) to 8.
+// Health returns this member's estimate of its own slowness, from 0 (none) to 8.
 func (n *Node) Health() int { return n.health }
 
+// adjustHealth changes Health within its bounds.
 func (n *Node) adjustHealth(by int) { n.health = max(0, min(n.health+by, maxHealth)) }
 
-// errSelf is for datagrams in one's own name.
+// errSelf reports a datagram from this member's own address.
 var errSelf = errors.New("peers: a datagram from oneself")
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -11,12 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-const hot, cold = 1, 2
+// Kinds of entries in tests.
+const hot, plain = 1, 2
 
 func testConfig(self Rank, size int) Config {
 	return Config{
 		Cluster: "test", Self: self, Size: size, Incarnation: 1000,
-		Kinds: []Kind{{ID: hot, TTL: time.Minute, Weight: 2, Hot: true}, {ID: cold, TTL: time.Minute, Weight: 1}},
+		Kinds: []Kind{{ID: hot, TTL: time.Minute, Weight: 2, Hot: true}, {ID: plain, TTL: time.Minute, Weight: 1}},
 	}
 }
 
@@ -29,7 +30,7 @@
 	return n
 }
 
-// datagramFrom is a datagram in which from, in a life of its own, tells rows and facts.
+// datagramFrom returns a datagram in which from, in the given incarnation, sends records and entries.
 func datagramFrom(from Rank, size int, incarnation uint64, now time.Duration, records []Record, entries []Entry) []byte {
 	n := &Node{config: testConfig(from, size)}
 	w := newWriter(now)
@@ -53,14 +54,14 @@
 
 func drawEntry(t *rapid.T) Entry {
 	return Entry{
-		Owner: Rank(rapid.IntRange(1, 4).Draw(t, "owner")), Kind: rapid.Uint8Range(hot, cold).Draw(t, "kind"),
+		Owner: Rank(rapid.IntRange(1, 4).Draw(t, "owner")), Kind: rapid.Uint8Range(hot, plain).Draw(t, "kind"),
 		Subject: rapid.Uint64Range(1, 3).Draw(t, "subject"), Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life"),
 		Sequence: rapid.Uint32Range(1, 3).Draw(t, "count"), Value: rapid.Uint32Range(0, 2).Draw(t, "value"),
 		CreatedAt: time.Duration(rapid.IntRange(0, 20).Draw(t, "born")) * ageUnit,
 	}
 }
 
-// laws checks that join is that of a semilattice.
+// laws checks that join is commutative, associative and idempotent.
 func laws[T comparable](t *rapid.T, join func(a, b T) T, a, b, c T) {
 	switch {
 	case join(a, b) != join(b, a):
@@ -73,22 +74,22 @@
 }
 
 func TestJoinLaws(t *testing.T) {
-	t.Run("rows", rapid.MakeCheck(func(t *rapid.T) { laws(t, Record.Join, drawRecord(t), drawRecord(t), drawRecord(t)) }))
-	t.Run("facts", rapid.MakeCheck(func(t *rapid.T) {
+	t.Run("records", rapid.MakeCheck(func(t *rapid.T) { laws(t, Record.Join, drawRecord(t), drawRecord(t), drawRecord(t)) }))
+	t.Run("entries", rapid.MakeCheck(func(t *rapid.T) {
 		a, b, c := drawEntry(t), drawEntry(t), drawEntry(t)
 		b.Owner, b.Kind, b.Subject, c.Owner, c.Kind, c.Subject = a.Owner, a.Kind, a.Subject, a.Owner, a.Kind, a.Subject
 		laws(t, Entry.Join, a, b, c)
 	}))
 }
 
-// state is all that a node holds, without how it came by it.
+// state returns what a node holds, except whether it is direct.
 func state(n *Node, now time.Duration) (records []Record, entries []Entry) {
 	for r := range n.members {
 		if Rank(r) != n.config.Self {
 			records = append(records, n.members[r].record)
 		}
 	}
-	for _, kind := range []uint8{hot, cold} {
+	for _, kind := range []uint8{hot, plain} {
 		for entry := range n.Entries(now, kind) {
 			entry.Direct = false
 			entries = append(entries, entry)
@@ -100,54 +101,54 @@
 	return records, entries
 }
 
-// Whatever the order and the repetition, and with a loss that a later word makes good,
-// those who have heard the same hold the same, and nothing of an old life.
+// Nodes that receive the same datadatagrams hold the same state, whatever the order and the repetition,
+// and nothing of an earlier incarnation.
 func TestStateIndependentOfOrderAndRepetition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size, now = 6, 10 * time.Second
-		var grams [][]byte
+		var datagrams [][]byte
 		var from []Rank
-		for range rapid.IntRange(1, 12).Draw(t, "datagrams") {
+		for range rapid.IntRange(1, 12).Draw(t, "datadatagrams") {
 			sender := Rank(rapid.IntRange(1, 5).Draw(t, "teller"))
 			var records []Record
 			if r := drawRecord(t); r.Rank != sender {
 				records = append(records, r)
 			}
-			grams = append(grams, datagramFrom(sender, size, uint64(rapid.IntRange(1, 3).Draw(t, "own life")), now, records, []Entry{drawEntry(t), drawEntry(t)}))
+			datagrams = append(datagrams, datagramFrom(sender, size, uint64(rapid.IntRange(1, 3).Draw(t, "own life")), now, records, []Entry{drawEntry(t), drawEntry(t)}))
 			from = append(from, sender)
 		}
-		hear := func(order []int) *Node {
+		receive := func(order []int) *Node {
 			n := newNode(t, testConfig(0, size))
 			for _, i := range order {
-				if err := n.Receive(now, from[i], grams[i]); err != nil {
+				if err := n.Receive(now, from[i], datagrams[i]); err != nil {
 					t.Fatal(err)
 				}
 			}
 			return n
 		}
-		order := make([]int, len(grams))
+		order := make([]int, len(datagrams))
 		for i := range order {
 			order[i] = i
 		}
 		other := rapid.Permutation(append(slices.Clone(order), order...)).Draw(t, "order")
-		ra, fa := state(hear(order), now)
-		rb, fb := state(hear(other), now)
+		ra, fa := state(receive(order), now)
+		rb, fb := state(receive(other), now)
 		if !slices.Equal(ra, rb) {
-			t.Errorf("rows differ:\n%+v\n%+v", ra, rb)
+			t.Errorf("records differ:\n%+v\n%+v", ra, rb)
 		}
 		if !slices.Equal(fa, fb) {
-			t.Errorf("facts differ:\n%+v\n%+v", fa, fb)
+			t.Errorf("entries differ:\n%+v\n%+v", fa, fb)
 		}
 		for _, entry := range fa {
 			if entry.Incarnation < ra[entry.Owner-1].Incarnation {
-				t.Errorf("an old life's news: %+v, its owner lives life %d", entry, ra[entry.Owner-1].Incarnation)
+				t.Errorf("an entry of an earlier incarnation: %+v, its owner's is %d", entry, ra[entry.Owner-1].Incarnation)
 			}
 		}
 	})
 }
 
-// A liar can't give others lives or beats out of their reach, can't speak in another's
-// name, and what it passes on is nobody's direct word.
+// A lying member can't raise others' incarnations or heartbeats out of their reach, can't send in
+// another's name, and entries that it forwards are not direct.
 func TestLiarCannotSpeakForOthers(t *testing.T) {
 	const size, liar, victim, now = 5, 4, 2, 20 * time.Second
 	n := newNode(t, testConfig(0, size))
@@ -181,10 +182,10 @@
 		}
 	}
 	if m := n.Member(victim, now); m.Incarnation != 1000 || m.State == Left || m.State == Dead || m.Age > now {
-		t.Errorf("the victim is held to be %+v", m)
+		t.Errorf("the victim's record is %+v", m)
 	}
 	if n.Incarnation() > 1001 {
-		t.Errorf("one voice moved this sidecar's life to %d", n.Incarnation())
+		t.Errorf("one member raised this one's incarnation to %d", n.Incarnation())
 	}
 	direct := 0
 	for entry := range n.Entries(now, hot) {
@@ -192,23 +193,23 @@
 			direct++
 		}
 		if entry.Owner == 0 && entry.Value != 0 {
-			t.Errorf("words were put into this sidecar's mouth: %+v", entry)
+			t.Errorf("a forged entry of this member is stored: %+v", entry)
 		}
 	}
-	if direct != 2 { // its own, and this sidecar's denial
-		t.Errorf("%d facts count as direct words", direct)
+	if direct != 2 { // the liar's own, and this member's withdrawal of the forged one
+		t.Errorf("%d entries count as direct", direct)
 	}
-	for step := range 4 { // the victim hears of it, and speaks for itself
+	for step := range 4 { // the victim receives the claims, and refutes them
 		meet(honest, n, now+time.Duration(step)*time.Second)
 		meet(n, honest, now+time.Duration(step)*time.Second)
 	}
 	if m := n.Member(victim, now+4*time.Second); m.State != Alive {
-		t.Errorf("the victim spoke up and is held to be %v", m.State)
+		t.Errorf("the victim refuted the claims; its state is %v", m.State)
 	}
 }
 
-// A life whose number is below that of the life before it (a clock that went back by
-// years) goes above it once two have told so.
+// An incarnation below the member's earlier one, after a clock went back by years, rises above that
+// once two members have reported it.
 func TestIncarnationRisesAboveEarlierOne(t *testing.T) {
 	const size, far = 4, 50 * 365 * 24 * 3600_000
 	config := testConfig(1, size)
@@ -219,16 +220,16 @@
 	}{{2, 1000}, {2, 1000}, {3, far + 1}} {
 		n.Receive(time.Second, c.teller, datagramFrom(c.teller, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far, Heartbeat: 7, Phase: 3}}, nil))
 		if n.Incarnation() != c.want {
-			t.Errorf("after a word of %d it goes on as life %d, want %d", c.teller, n.Incarnation(), c.want)
+			t.Errorf("after a report of %d the incarnation is %d, want %d", c.teller, n.Incarnation(), c.want)
 		}
 	}
 	n.Receive(time.Second, 2, datagramFrom(2, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far + 10}}, nil))
 	if n.Incarnation() != far+11 {
-		t.Errorf("a life just ahead: it goes on as life %d", n.Incarnation())
+		t.Errorf("an incarnation just ahead: the incarnation is %d", n.Incarnation())
 	}
 }
 
-// Phases never go back but by a new life, whatever is tried and told.
+// Within an incarnation phases never decrease, whatever is set and received.
 func TestPhasesNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size = 3
@@ -246,11 +247,11 @@
 			case 2:
 				n.send(now, 0, message{kind: kindUpdate}, true)
 			}
-			grams := n.Out()
-			if len(grams) > 0 && rapid.Bool().Draw(t, "late") {
-				slices.Reverse(grams)
+			datagrams := n.Out()
+			if len(datagrams) > 0 && rapid.Bool().Draw(t, "late") {
+				slices.Reverse(datagrams)
 			}
-			for _, d := range grams {
+			for _, d := range datagrams {
 				if d.To == 0 {
 					other.Receive(now, 1, d.Data)
 				}
@@ -264,8 +265,8 @@
 	})
 }
 
-// However much there is to say, a datagram holds 256 bytes, and what is sent and kept
-// keeps to its bounds.
+// Under any load a datagram holds at most 256 bytes, and what is sent and stored stays within its
+// bounds.
 func TestBounds(t *testing.T) {
 	const size = 400
 	n := newNode(t, testConfig(0, size))
@@ -279,7 +280,7 @@
 			entry := Entry{Owner: owner, Kind: hot, Subject: n.rng.Uint64(), Incarnation: 5, Sequence: n.rng.Uint32(), Value: n.rng.Uint32(), CreatedAt: now}
 			n.Receive(now, owner, datagramFrom(owner, size, 5, now, []Record{{Rank: Rank(1 + n.rng.IntN(size-1)), Incarnation: n.rng.Uint64N(1000) + 1}}, []Entry{entry}))
 		}
-		n.Publish(now, cold, n.rng.Uint64(), 1)
+		n.Publish(now, plain, n.rng.Uint64(), 1)
 		if now >= n.Due() {
 			n.Tick(now)
 		}
@@ -291,30 +292,31 @@
 		}
 	}
 	if limit := int(60*n.config.Rate + 2*n.config.Burst); sent > limit {
-		t.Errorf("%d bytes sent in a minute, the ceiling allows %d", sent, limit)
+		t.Errorf("%d bytes sent in a minute, the limit is %d", sent, limit)
 	}
 	switch {
 	case len(n.entries.byKey) > maxEntries, n.entries.byOwner[1] > maxEntriesPerOwner, n.entries.byOwner[0] > maxEntriesPerOwner:
-		t.Errorf("%d facts, %d of one, %d of its own", len(n.entries.byKey), n.entries.byOwner[1], n.entries.byOwner[0])
+		t.Errorf("%d entries, %d of one owner, %d of its own", len(n.entries.byKey), n.entries.byOwner[1], n.entries.byOwner[0])
 	case len(n.entries.order) != len(n.entries.byKey), len(n.localEntries) > maxEntriesPerOwner, len(n.updates) > maxUpdates, len(n.priorityProbes) > maxPriorityProbes:
-		t.Errorf("%d in order of %d, %d own, %d pending, %d aside", len(n.entries.order), len(n.entries.byKey), len(n.localEntries), len(n.updates), len(n.priorityProbes))
+		t.Errorf("%d in order of %d, %d own, %d updates, %d priority probes", len(n.entries.order), len(n.entries.byKey), len(n.localEntries), len(n.updates), len(n.priorityProbes))
 	}
 }
 
-// A process that hung suspects itself, not those whose answers it slept through.
+// A process that was suspended lowers its own health instead of suspecting the members whose
+// acknowledgements it missed.
 func TestHungProcessSuspectsItself(t *testing.T) {
 	n := newNode(t, testConfig(0, 3))
 	n.Receive(0, 1, datagramFrom(1, 3, 5, 0, nil, nil))
 	n.Receive(0, 2, datagramFrom(2, 3, 5, 0, nil, nil))
-	for now := time.Duration(0); now < time.Minute; now += 10 * time.Second { // each tick comes late
+	for now := time.Duration(0); now < time.Minute; now += 10 * time.Second { // each tick is late
 		n.Tick(now)
 	}
 	if n.Stats().Suspected > 0 || n.Health() == 0 {
-		t.Errorf("%d suspected by a process that hung, its health %d", n.Stats().Suspected, n.Health())
+		t.Errorf("%d suspected by a suspended process, its health %d", n.Stats().Suspected, n.Health())
 	}
 }
 
-// A configuration that can't be, and a datagram that can't be read, say what and what to do.
+// The errors of an invalid configuration and of an undecodable datagram have text and advice.
 func TestErrorsHaveAdvice(t *testing.T) {
 	type advised interface {
 		error
@@ -337,7 +339,7 @@
 	for i, err := range errs {
 		var a advised
 		if !errors.As(err, &a) || a.Advice() == "" || a.Error() == "" {
-			t.Errorf("error %d, %v, says not what to do", i, err)
+			t.Errorf("error %d, %v, has no advice", i, err)
 		}
 	}
 	if n.Stats().Damaged != 4 {
@@ -365,7 +367,7 @@
 				t.Fatalf("%d bytes", len(d.Data))
 			}
 			if _, err := n.decode(time.Second, d.Data); err != nil {
-				t.Fatalf("what it sends can't be read: %v", err)
+				t.Fatalf("a sent datagram can't be decoded: %v", err)
 			}
 		}
 	})
--- a/internal/peers/probe.go
+++ b/internal/peers/probe.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// probe is the one that is under way: asked itself, then through others.
+// probe is the probe in progress: first direct, then indirect.
 type probe struct {
 	target   Rank
 	seq      uint32
-	next     time.Duration // when something is to be done about it
+	next     time.Duration // when continueProbe is due
 	indirect bool
 	until    time.Duration
 }
 
-// relay is a probe made for another.
+// relay is a probe on behalf of another member.
 type relay struct {
 	requester    Rank
 	requesterSeq uint32
@@ -24,17 +24,18 @@
 	until        time.Duration
 }
 
-// maxMissed probes in a row without an answer make a suspect: more in a large fleet, so
-// that where datagrams get lost the suspicions that all hear of stay as rare.
+// maxMissed returns the number of consecutive unacknowledged probes that raise a suspicion. It
+// grows with the fleet, so that the rate of false suspicions, which every member receives, stays
+// constant when datagrams are lost.
 func (n *Node) maxMissed() uint8 {
 	return uint8(1 + math.Ceil(math.Log10(float64(n.config.Size))))
 }
 
-// maxRelays bounds the probes made for others at once.
+// maxRelays is the maximum number of concurrent probes for others.
 const maxRelays = 32
 
-// startProbe starts the period's probe: one that somebody doubts, else the next in this
-// round's order, so that each is asked once in a round.
+// startProbe starts the period's probe: of a member that was queued out of turn, otherwise of the
+// next one in this round's order, which contains each member once.
 func (n *Node) startProbe(now time.Duration) {
 	n.probeDue = now + n.config.Period*time.Duration(1+n.health)
 	if n.config.Size < 2 || n.self.State == Left || n.probe != nil {
@@ -60,14 +61,15 @@
 	n.send(now, target, message{kind: kindPing, seq: n.seq}, true)
 }
 
-// probeOutOfTurn has a sidecar probed out of turn.
-func (n *Node) probeOutOfTurn(r Rank) {
+// prioritizeProbe queues a member to be probed before the others of this round.
+func (n *Node) prioritizeProbe(r Rank) {
 	if len(n.priorityProbes) < maxPriorityProbes && !slices.Contains(n.priorityProbes, r) {
 		n.priorityProbes = append(n.priorityProbes, r)
 	}
 }
 
-// continueProbe goes on with a probe that was not answered in time.
+// continueProbe requests indirect probes after the direct one has timed out, and ends the probe
+// after these have.
 func (n *Node) continueProbe(now time.Duration, p *probe) {
 	if !p.indirect {
 		p.indirect, p.next = true, p.until
@@ -84,19 +86,19 @@
 	m.missedProbes = min(m.missedProbes+1, n.maxMissed())
 	switch {
 	case m.record.Incarnation == 0:
-	case m.missedProbes < n.maxMissed(): // chance, where datagrams are lost
-		n.probeOutOfTurn(p.target)
+	case m.missedProbes < n.maxMissed(): // possibly a lost datagram
+		n.prioritizeProbe(p.target)
 	case m.record.State == Alive:
 		n.stats.Suspected++
 		r := m.record
 		r.State = Suspect
 		n.mergeRecord(now, r)
 	case m.record.State == Suspect && m.lastReceived > m.suspectedAt:
-		m.suspectedAt = now // it spoke since, and is silent again
+		m.suspectedAt = now // it refuted the earlier suspicion and is silent again
 	}
 }
 
-// receiveAck takes an answer.
+// receiveAck processes an acknowledgement.
 func (n *Node) receiveAck(now time.Duration, from Rank, seq uint32) {
 	if p := n.probe; p != nil && p.target == from && p.seq == seq {
 		n.probe = nil
@@ -112,7 +114,7 @@
 	}
 }
 
-// relayProbe pings target for another.
+// relayProbe probes target on behalf of requester.
 func (n *Node) relayProbe(now time.Duration, requester, target Rank, seq uint32) {
 	n.relays = slices.DeleteFunc(n.relays, func(r relay) bool { return now >= r.until })
 	if target == n.config.Self || target == requester || len(n.relays) >= maxRelays {
@@ -123,7 +125,7 @@
 	n.send(now, target, message{kind: kindPing, seq: n.seq}, true)
 }
 
-// receiveIndirectAck takes that another has reached the target of this sidecar's probe.
+// receiveIndirectAck processes another member's report that it has reached the probe's target.
 func (n *Node) receiveIndirectAck(now time.Duration, target Rank, seq uint32) {
 	if p := n.probe; p != nil && p.target == target && p.seq == seq {
 		n.probe = nil
--- a/internal/peers/record.go
+++ b/internal/peers/record.go
@@ -7,55 +7,57 @@
 	"time"
 )
 
-// State is what is told of a sidecar, or derived.
+// State is the state of a member, as published or as concluded locally.
 type State uint8
 
-// The states. Rows tell Alive, Suspect and Left; Unknown, Silent and Dead are each one's
-// own conclusion.
+// The states. Records carry Alive, Suspect and Left. Each member concludes Unknown, Silent and
+// Dead on its own.
 const (
-	Alive   State = iota // speaks, or is told to
-	Suspect              // did not answer somebody
-	Left                 // ended on purpose
+	Alive   State = iota // sends datagrams, or is reported to
+	Suspect              // did not acknowledge another member's probes
+	Left                 // left deliberately
 	Unknown              // nothing is known of it
-	Dead                 // a suspect that did not speak up in time
-	Silent               // never heard of, and did not answer
+	Dead                 // a suspect that did not refute the suspicion in time
+	Silent               // no record is known, and it did not acknowledge probes
 )
 
+// String returns the state's name.
 func (s State) String() string {
 	return [...]string{"alive", "suspect", "left", "unknown", "dead", "silent"}[s]
 }
 
-// Record is what is told of one sidecar.
+// Record is what is published about one member.
 type Record struct {
 	Rank        Rank
 	Incarnation uint64 // 0: nothing is known
-	Heartbeat   uint32 // counts what it told of itself in this life
+	Heartbeat   uint32 // version of the record within the incarnation
 	State       State
 	Phase       uint8
 	Traffic     uint8         // by encodeTraffic
-	StartedAt   time.Duration // when this life began, by one's own clock
+	StartedAt   time.Duration // start of the incarnation, by the local clock
 }
 
-// compare orders rows of one sidecar by how much is known; Born is apart.
-func (r Record) compare(o Record) int {
-	return cmp.Or(cmp.Compare(r.Incarnation, o.Incarnation), cmp.Compare(r.Heartbeat, o.Heartbeat), cmp.Compare(r.State, o.State),
-		cmp.Compare(r.Phase, o.Phase), cmp.Compare(r.Traffic, o.Traffic))
+// compare orders records of one member, earlier before later. StartedAt is not compared.
+func (r Record) compare(other Record) int {
+	return cmp.Or(cmp.Compare(r.Incarnation, other.Incarnation), cmp.Compare(r.Heartbeat, other.Heartbeat), cmp.Compare(r.State, other.State),
+		cmp.Compare(r.Phase, other.Phase), cmp.Compare(r.Traffic, other.Traffic))
 }
 
-// Join is the least row that holds what both say: the later one, born at the earlier time
-// if it is the same life, since a word that took its time makes a life look younger.
-func (r Record) Join(o Record) Record {
-	j := r
-	if r.compare(o) < 0 {
-		j = o
+// Join returns the least upper bound of two records: the later one, with the earlier start if both
+// are of one incarnation. Delay on the way makes an incarnation appear younger than it is, so the
+// earlier start is the more accurate one.
+func (r Record) Join(other Record) Record {
+	joined := r
+	if r.compare(other) < 0 {
+		joined = other
 	}
-	if r.Incarnation == o.Incarnation {
-		j.StartedAt = min(r.StartedAt, o.StartedAt)
+	if r.Incarnation == other.Incarnation {
+		joined.StartedAt = min(r.StartedAt, other.StartedAt)
 	}
-	return j
+	return joined
 }
 
-// encodeTraffic is a rate in steps of about a fifth: 0 is none, 1 is 0.1 a second.
+// encodeTraffic encodes a rate in steps of about a fifth: 0 is none, 1 is 0.1 per second.
 func encodeTraffic(perSecond float64) uint8 {
 	if !(perSecond >= 0.1) {
 		return 0
@@ -63,6 +65,7 @@
 	return uint8(min(255, 1+math.Round(4*math.Log2(perSecond/0.1))))
 }
 
+// decodeTraffic returns the rate per second that encodeTraffic encoded.
 func decodeTraffic(t uint8) float64 {
 	if t == 0 {
 		return 0
@@ -70,29 +73,29 @@
 	return 0.1 * math.Exp2(float64(t-1)/4)
 }
 
-// member is one sidecar as this one sees it.
+// member is the local view of one member.
 type member struct {
 	record            Record
-	directIncarnation uint64        // the life that it told of itself last, 0: none
-	directStartedAt   time.Duration // when that began, by its own word
-	contacted         bool          // it spoke here
-	lastReceived      time.Duration // when it did last
-	suspectedAt       time.Duration // since when row says Suspect
-	missedProbes      uint8         // probes in a row without an answer
+	directIncarnation uint64        // the latest incarnation received from the member itself; 0: none
+	directStartedAt   time.Duration // start of directIncarnation, as received from the member itself
+	contacted         bool          // a datagram has been received from it
+	lastReceived      time.Duration // time of the latest datagram
+	suspectedAt       time.Duration // when the record's state became Suspect
+	missedProbes      uint8         // consecutive probes without an acknowledgement
 }
 
-// Member is one other sidecar, as of now.
+// Member is the current view of one member.
 type Member struct {
 	Rank        Rank
 	Incarnation uint64
 	State       State
 	Phase       uint8
-	Traffic     float64       // requests a second
-	Age         time.Duration // of its life
-	Direct      bool          // it told so itself
+	Traffic     float64       // requests per second
+	Age         time.Duration // of its incarnation
+	Direct      bool          // its incarnation was received from the member itself
 }
 
-// status is what follows from a member's row.
+// status derives a member's state from its record.
 func (n *Node) status(r Rank, now time.Duration) State {
 	m := &n.members[r]
 	switch {
@@ -103,33 +106,32 @@
 	case m.record.State != Suspect:
 		return m.record.State
 	case m.directIncarnation == m.record.Incarnation && m.lastReceived > m.suspectedAt:
-		return Alive // it speaks here: whoever suspects it has another trouble
+		return Alive // it is reachable from here, so the suspicion has another cause
 	case now-m.suspectedAt >= n.suspicionTimeout():
 		return Dead
 	}
 	return Suspect
 }
 
-// suspicionTimeout is how long a suspect has to speak up.
+// suspicionTimeout returns how long a suspect has to refute the suspicion.
 func (n *Node) suspicionTimeout() time.Duration {
 	return time.Duration(suspicionFactor * max(1, math.Log10(float64(n.config.Size))) * float64(n.config.Period))
 }
 
-// Member is what is known of one sidecar.
+// Member returns the view of one member.
 func (n *Node) Member(r Rank, now time.Duration) Member {
 	m := &n.members[r]
-	k := Member{
+	view := Member{
 		Rank: r, Incarnation: m.record.Incarnation, State: n.status(r, now), Phase: m.record.Phase, Traffic: decodeTraffic(m.record.Traffic),
 		Age: max(0, now-m.record.StartedAt), Direct: r == n.config.Self || m.directIncarnation != 0 && m.directIncarnation == m.record.Incarnation,
 	}
-	if k.Direct && r != n.config.Self {
-		k.Age = max(0, now-m.directStartedAt) // whatever others make of it
+	if view.Direct && r != n.config.Self {
+		view.Age = max(0, now-m.directStartedAt) // others' records can't change it
 	}
-	return k
+	return view
 }
 
-// Members yields all sidecars of the fleet of which something is known, this one too, in
-// the order of their ranks.
+// Members yields all members of which something is known, including this one, ordered by rank.
 func (n *Node) Members(now time.Duration) iter.Seq[Member] {
 	return func(yield func(Member) bool) {
 		for r := range n.members {
@@ -140,8 +142,8 @@
 	}
 }
 
-// DirectMembers yields the others that live and told of this life of theirs themselves: whose
-// word is a voice.
+// DirectMembers yields the other living members whose incarnation was received from themselves.
+// Only their entries count as votes.
 func (n *Node) DirectMembers(now time.Duration) iter.Seq[Member] {
 	return func(yield func(Member) bool) {
 		for m := range n.Members(now) {
@@ -152,15 +154,15 @@
 	}
 }
 
-// Count is how many sidecars there are.
+// Count is the number of members by state.
 type Count struct {
 	Size   int // in the fleet
 	Known  int // of which something is known
-	Living int // of those known, this one too
+	Living int // of those known, including this one
 }
 
-// Estimate is the number that live, were all like those known. Nothing known but
-// oneself: all.
+// Estimate extrapolates the number of living members from the known ones. If only this member is
+// known, it returns the fleet's size.
 func (c Count) Estimate() float64 {
 	if c.Known <= 1 {
 		return float64(c.Size)
@@ -168,7 +170,7 @@
 	return max(1, float64(c.Size)*float64(c.Living)/float64(c.Known))
 }
 
-// Count counts the sidecars.
+// Count counts the members.
 func (n *Node) Count(now time.Duration) Count {
 	c := Count{Size: n.config.Size}
 	for r := range n.members {
@@ -184,15 +186,16 @@
 	return c
 }
 
-// maxIncarnationJump is how far ahead of what is known a life or a beat may be that somebody else
-// tells of. Guards against a liar who gives another a life that it can't go above; what
-// lies further ahead has to be heard from the sidecar itself. Lives count in ms.
+// Bounds on how far an incarnation or a heartbeat that another member forwards may exceed the known
+// one. Larger values are accepted only from the member itself. Otherwise a lying member could raise
+// another's incarnation to the maximum, above which that member can't rise. Incarnations are in
+// milliseconds.
 const (
 	maxIncarnationJump = uint64(3600_000)
 	maxHeartbeatJump   = 1 << 10
 )
 
-// receiveIndirectRecord takes a row that from tells of another sidecar.
+// receiveIndirectRecord processes a record of a third member in a datagram from a member.
 func (n *Node) receiveIndirectRecord(now time.Duration, from Rank, r Record) {
 	if int(r.Rank) >= len(n.members) || r.Incarnation == 0 || r.Incarnation >= maxIncarnation || r.State > Left {
 		n.stats.Rejected++
@@ -214,16 +217,16 @@
 	}
 	if m.record.Incarnation > 0 && (r.Incarnation > m.record.Incarnation+maxIncarnationJump || r.Incarnation == m.record.Incarnation && r.Heartbeat > m.record.Heartbeat+maxHeartbeatJump) {
 		n.stats.Rejected++
-		n.probeOutOfTurn(r.Rank)
+		n.prioritizeProbe(r.Rank)
 		return
 	}
 	if r.State != Alive && m.directIncarnation == r.Incarnation && now-m.lastReceived < n.config.Period {
-		n.probeOutOfTurn(r.Rank) // it spoke here a moment ago: it is told, and can speak for itself
+		n.prioritizeProbe(r.Rank) // it was reachable a moment ago: the probe lets it refute this
 	}
 	n.mergeRecord(now, r)
 }
 
-// mergeRecord merges a row and makes it news.
+// mergeRecord merges a record, and queues an update if it is new.
 func (n *Node) mergeRecord(now time.Duration, r Record) {
 	m := &n.members[r.Rank]
 	before := m.record
@@ -238,11 +241,11 @@
 		m.missedProbes = 0
 		n.entries.dropEarlierIncarnations(n, r.Rank, m.record.Incarnation)
 	}
-	// Who speaks up against a suspicion, or has begun a new life, is told of at once.
+	// A refuted suspicion and a new incarnation are sent immediately.
 	n.queueUpdate(now, update{rank: r.Rank, hot: before.Incarnation > 0 && before.State != Alive && m.record.State == Alive})
 }
 
-// receiveSenderRecord takes a sidecar's row from itself.
+// receiveSenderRecord processes the record in a datagram's header, which is the sender's own.
 func (n *Node) receiveSenderRecord(now time.Duration, r Record) {
 	m := &n.members[r.Rank]
 	if !m.contacted {
@@ -251,10 +254,10 @@
 	}
 	m.lastReceived, m.missedProbes = now, 0
 	if m.directIncarnation == 0 && m.record.Incarnation > r.Incarnation+maxIncarnationJump {
-		m.record = Record{Rank: r.Rank} // known by hearsay only, and out of reach for itself
+		m.record = Record{Rank: r.Rank} // known only from others, and too high for the sender to rise above
 	}
 	if r.Incarnation < m.record.Incarnation {
-		return // it is told so, and goes above
+		return // it is sent the higher incarnation, and rises above it
 	}
 	if m.directIncarnation != r.Incarnation {
 		m.directIncarnation, m.directStartedAt = r.Incarnation, r.StartedAt
@@ -263,15 +266,16 @@
 	n.mergeRecord(now, r)
 }
 
-// incarnationClaim is a higher life of this sidecar that one other told of.
+// incarnationClaim is a higher incarnation of this member that another one has sent.
 type incarnationClaim struct {
 	incarnation uint64
 	from        Rank
 }
 
-// refute takes what another holds of this sidecar: it goes above a suspicion, and above a
-// life before this one whose number is not lower. Two must tell of one that is far ahead,
-// where there are two, so that no single liar can use the numbers up.
+// refute responds to what another member holds of this one: it refutes a suspicion, and rises above
+// an earlier incarnation whose number is not lower. An incarnation that is far ahead must be
+// reported by two members, unless the fleet has only two, so that a single lying member can't
+// exhaust the numbers.
 func (n *Node) refute(now time.Duration, from Rank, r Record) {
 	if n.self.compare(r) >= 0 {
 		return
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -12,45 +12,44 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// A datagram is a checksum (CRC-32C over the fleet's name and what follows, big endian)
-// and MessagePack values one behind the other: version, kind, sequence number, the
-// sender's row, what the kind asks for, and items until the end. Who sent it is known by
-// its address alone.
+// A datagram is a checksum (CRC-32C over the fleet's name and the rest of the datagram, big
+// endian) followed by MessagePack values: version, kind, sequence number, the sender's record,
+// the fields of the kind, and items until the end. Only its address identifies the sender.
 
-// Version is that of the datagrams. Another one is dropped whole: nothing is understood
-// by half.
+// Version is the version of the datagrams' format. Datagrams of another version are dropped.
 const Version = 1
 
+// messageKind is the kind of a datagram.
 type messageKind uint8
 
 const (
-	kindPing        messageKind = iota // answered by kindAck with the same number
-	kindAck                            //
-	kindPingRequest                    // please ping target for me
-	kindIndirectAck                    // target has answered, by the number of kindPingRequest
-	kindPull                           // please tell about, which is yours
-	kindUpdate                         // only items
+	kindPing        messageKind = iota // requests a kindAck with the same sequence number
+	kindAck                            // acknowledges kindPing
+	kindPingRequest                    // requests a ping of target on the sender's behalf
+	kindIndirectAck                    // target has acknowledged; with the sequence number of kindPingRequest
+	kindPull                           // requests the receiver's entry pulled
+	kindUpdate                         // carries items only
 	kindCount
 )
 
-// message is a datagram's head.
+// message is the header of a datagram to send, or of a decoded one.
 type message struct {
 	kind    messageKind
 	seq     uint32
 	self    Record
 	target  Rank     // of kindPingRequest and kindIndirectAck
 	pulled  entryKey // of kindPull
-	publish *Entry   // goes first
+	publish *Entry   // an entry to add before others
 }
 
 const (
 	itemRecord  = 0
 	itemEntry   = 1
 	ageUnit     = 100 * time.Millisecond
-	maxAgeUnits = 1 << 31 // units: seven years
+	maxAgeUnits = 1 << 31 // in ageUnit: seven years
 )
 
-// DecodeError says why a datagram was dropped.
+// DecodeError reports why a datagram was dropped.
 type DecodeError struct {
 	What string
 	err  error
@@ -67,18 +66,19 @@
 // Unwrap returns the cause, nil if there is none.
 func (e *DecodeError) Unwrap() error { return e.err }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *DecodeError) Advice() string {
 	return "a few are the network's; if it goes on, look for a sidecar of another release or another fleet at these peers' addresses"
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// checksum returns the checksum of a datagram's body.
 func (n *Node) checksum(body []byte) uint32 {
 	return crc32.Update(crc32.Checksum([]byte(n.config.Cluster), castagnoli), castagnoli, body)
 }
 
-// writer packs one datagram. A write to a bytes.Buffer does not fail.
+// writer encodes one datagram. Writes to a bytes.Buffer do not fail.
 type writer struct {
 	buf bytes.Buffer
 	enc *msgpack.Encoder
@@ -108,7 +108,7 @@
 	w.uints(r.Incarnation, uint64(r.Heartbeat), uint64(r.State), uint64(r.Phase), uint64(r.Traffic), w.age(r.StartedAt))
 }
 
-// addRecord adds another's row, if it fits.
+// addRecord adds the record of another member, and returns false if it does not fit.
 func (w *writer) addRecord(r Record) bool {
 	return w.item(itemRecord, func() {
 		w.uints(uint64(r.Rank))
@@ -116,7 +116,7 @@
 	})
 }
 
-// addEntry adds a fact, if it fits.
+// addEntry adds an entry, and returns false if it does not fit.
 func (w *writer) addEntry(entry Entry) bool { return w.item(itemEntry, func() { w.entry(entry) }) }
 
 func (w *writer) entry(entry Entry) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// item adds what write writes, if it fits.
+// item adds an item encoded by write, and returns false if it does not fit.
 func (w *writer) item(kind uint64, write func()) bool {
 	before := w.buf.Len()
 	w.uints(kind)
@@ -152,7 +152,7 @@
 	return b
 }
 
-// reader unpacks one datagram. The first error stays.
+// reader decodes one datagram. After the first error it returns zero values.
 type reader struct {
 	dec *msgpack.Decoder
 	in  *bytes.Reader
@@ -166,7 +166,7 @@
 	}
 	v, err := r.dec.DecodeUint64()
 	if err == nil && v > limit {
-		err = fmt.Errorf("%d where %d is the most", v, limit)
+		err = fmt.Errorf("%d exceeds %d", v, limit)
 	}
 	if err != nil {
 		r.err = err
@@ -191,14 +191,14 @@
 	}
 }
 
-// decoded is a datagram as it was read, whole.
+// decoded is a complete datagram.
 type decoded struct {
 	message
 	records []Record
 	entries []Entry
 }
 
-// decode reads a datagram. Nothing of it is used if any of it can't be read.
+// decode decodes a datagram. An error in any part rejects all of it.
 func (n *Node) decode(now time.Duration, data []byte) (*decoded, error) {
 	if len(data) < 5 || len(data) > MaxDatagram {
 		return nil, &DecodeError{What: fmt.Sprintf("%d bytes long", len(data))}
@@ -238,7 +238,7 @@
 		return nil, &DecodeError{What: "it can't be read", err: r.err}
 	}
 	if d.self.Incarnation == 0 {
-		return nil, &DecodeError{What: "its sender has no life"}
+		return nil, &DecodeError{What: "its sender has no incarnation"}
 	}
 	return d, nil
 }
