--- a/internal/msgpackrpc/object.go
+++ b/internal/msgpackrpc/object.go
@@ -28,31 +28,31 @@
 			return nil, unexpected(err, len(buf))
 		}
 		buf = append(buf, code)
-		extra, body, children, err := objectLayout(code)
+		next, err := layoutOf(code)
 		if err != nil {
 			return nil, err
 		}
-		if extra > 0 {
+		if next.lengthBytes > 0 {
 			at := len(buf)
-			if buf, err = readBody(buffered, buf, uint64(extra), limits.Message); err != nil {
+			if buf, err = readBody(buffered, buf, uint64(next.lengthBytes), limits.Message); err != nil {
 				return nil, err
 			}
-			body, children = lengthLayout(code, decodeUint(buf[at:]))
+			next = layoutOfLength(code, decodeUint(buf[at:]))
 		}
-		if body > 0 {
-			if buf, err = readBody(buffered, buf, body, limits.Message); err != nil {
+		if next.body > 0 {
+			if buf, err = readBody(buffered, buf, next.body, limits.Message); err != nil {
 				return nil, err
 			}
 		}
-		if children > 0 {
+		if next.children > 0 {
 			// Every child takes at least one byte.
-			if children > uint64(limits.Message) {
+			if next.children > uint64(limits.Message) {
 				return nil, ErrTooLong
 			}
 			if len(open) >= limits.Depth {
 				return nil, ErrTooDeep
 			}
-			open = append(open, children)
+			open = append(open, next.children)
 		}
 		if len(buf) > limits.Message {
 			return nil, ErrTooLong
@@ -86,55 +86,63 @@
 	return buf, nil
 }
 
-// objectLayout returns what follows a type byte: a big-endian length of extra bytes, a body of
-// known size, or children.
-func objectLayout(code byte) (extra int, body, children uint64, err error) {
+// layout is what follows a type byte. If it has length bytes, the rest depends on them.
+type layout struct {
+	lengthBytes int    // big-endian length of the body or number of children
+	body        uint64 // bytes
+	children    uint64 // objects
+}
+
+// layoutOf returns what follows a type byte.
+func layoutOf(code byte) (layout, error) {
 	switch {
 	case code <= 0x7f, code >= 0xe0: // fixint
-	case code <= 0x8f:
-		children = 2 * uint64(code&0x0f)
-	case code <= 0x9f:
-		children = uint64(code & 0x0f)
-	case code <= 0xbf:
-		body = uint64(code & 0x1f)
+		return layout{}, nil
+	case code <= 0x8f: // fixmap
+		return layout{children: 2 * uint64(code&0x0f)}, nil
+	case code <= 0x9f: // fixarray
+		return layout{children: uint64(code & 0x0f)}, nil
+	case code <= 0xbf: // fixstr
+		return layout{body: uint64(code & 0x1f)}, nil
 	case code == 0xc1:
-		err = fmt.Errorf("%w: type byte c1 is never used", ErrFormat)
+		return layout{}, fmt.Errorf("%w: type byte c1 is never used", ErrFormat)
 	case code <= 0xc3: // nil, false, true
+		return layout{}, nil
 	case code <= 0xc6: // bin
-		extra = 1 << (code - 0xc4)
+		return layout{lengthBytes: 1 << (code - 0xc4)}, nil
 	case code <= 0xc9: // ext
-		extra = 1 << (code - 0xc7)
-	case code == 0xca:
-		body = 4
-	case code == 0xcb:
-		body = 8
+		return layout{lengthBytes: 1 << (code - 0xc7)}, nil
+	case code == 0xca: // float 32
+		return layout{body: 4}, nil
+	case code == 0xcb: // float 64
+		return layout{body: 8}, nil
 	case code <= 0xcf: // uint
-		body = 1 << (code - 0xcc)
+		return layout{body: 1 << (code - 0xcc)}, nil
 	case code <= 0xd3: // int
-		body = 1 << (code - 0xd0)
+		return layout{body: 1 << (code - 0xd0)}, nil
 	case code <= 0xd8: // fixext, with its type byte
-		body = 1 + 1<<(code-0xd4)
+		return layout{body: 1 + 1<<(code-0xd4)}, nil
 	case code <= 0xdb: // str
-		extra = 1 << (code - 0xd9)
+		return layout{lengthBytes: 1 << (code - 0xd9)}, nil
 	default: // array and map, 16 and 32
-		extra = 2 << (code & 1)
+		return layout{lengthBytes: 2 << (code & 1)}, nil
 	}
-	return extra, body, children, err
 }
 
-// lengthLayout returns what follows a length of n, for the types that have one.
-func lengthLayout(code byte, n uint64) (body, children uint64) {
+// layoutOfLength returns what follows the length bytes with value n.
+func layoutOfLength(code byte, n uint64) layout {
 	switch {
 	case code >= 0xde: // map
-		return 0, 2 * n
+		return layout{children: 2 * n}
 	case code >= 0xdc: // array
-		return 0, n
+		return layout{children: n}
 	case code >= 0xc7 && code <= 0xc9: // ext: a type byte and its data
-		return n + 1, 0
+		return layout{body: n + 1}
 	}
-	return n, 0
+	return layout{body: n}
 }
 
+// decodeUint decodes a big-endian number of 1, 2, 4 or 8 bytes.
 func decodeUint(b []byte) uint64 {
 	switch len(b) {
 	case 1:
@@ -154,13 +162,14 @@
 	for left := uint64(1); left > 0; left-- {
 		code := b[at]
 		at++
-		extra, body, children, _ := objectLayout(code)
-		if extra > 0 {
-			body, children = lengthLayout(code, decodeUint(b[at:at+extra]))
-			at += extra
+		next, _ := layoutOf(code)
+		if next.lengthBytes > 0 {
+			length := decodeUint(b[at : at+next.lengthBytes])
+			at += next.lengthBytes
+			next = layoutOfLength(code, length)
 		}
-		at += int(body)
-		left += children
+		at += int(next.body)
+		left += next.children
 	}
 	return at
 }
