--- a/internal/fleet/distribution/errors.go
+++ b/internal/fleet/distribution/errors.go
@@ -27,20 +27,20 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	current := "not there"
+	current := "missing"
 	if !e.Current.IsZero() {
 		current = "at revision " + e.Current.String()
 	}
-	want := "be new"
+	want := "it not to exist"
 	if !e.Want.IsZero() {
-		want = "be at " + e.Want.String()
+		want = "revision " + e.Want.String()
 	}
-	return fmt.Sprintf("settings: resource %q is %s; it was to %s", e.Name, current, want)
+	return fmt.Sprintf("settings: resource %q is %s; the change expects %s", e.Name, current, want)
 }
 
 // Advice returns the operator's next step.
 func (e *ConflictError) Advice() string {
-	return "somebody changed it meanwhile: look at what it holds now, then publish against its revision"
+	return "it was changed meanwhile: look at its current content, then publish against its revision"
 }
 
 // LimitError reports that a limit would be exceeded.
@@ -50,11 +50,11 @@
 }
 
 // Error implements error.
-func (e *LimitError) Error() string { return fmt.Sprintf("settings: %s: %d at most", e.What, e.Limit) }
+func (e *LimitError) Error() string { return fmt.Sprintf("settings: %s: at most %d are allowed", e.What, e.Limit) }
 
 // Advice returns the operator's next step.
 func (e *LimitError) Advice() string {
-	return "remove resources that nothing needs any more, or join small ones into one"
+	return "remove resources that are no longer needed, or merge small ones"
 }
 
 // FencedError reports a writer or a copy whose epoch is lower than one that is known.
@@ -65,7 +65,7 @@
 
 // Error implements error.
 func (e *FencedError) Error() string {
-	return fmt.Sprintf("settings: epoch %d is over: the writer is %q since epoch %d", e.Epoch, e.Writer, e.Known)
+	return fmt.Sprintf("settings: epoch %d has ended: the writer is %q since epoch %d", e.Epoch, e.Writer, e.Known)
 }
 
 // Advice returns the operator's next step.
@@ -81,12 +81,12 @@
 
 // Error implements error.
 func (e *NotWriterError) Error() string {
-	return fmt.Sprintf("settings: %q is not the writer; that is %q in epoch %d", e.Here, e.Writer, e.Epoch)
+	return fmt.Sprintf("settings: %q is not the writer; the writer is %q in epoch %d", e.Here, e.Writer, e.Epoch)
 }
 
 // Advice returns the operator's next step.
 func (e *NotWriterError) Advice() string {
-	return fmt.Sprintf("ask %q, or promote a relay if it is lost", e.Writer)
+	return fmt.Sprintf("publish at %q, or promote a relay if it is lost", e.Writer)
 }
 
 // AheadError reports that a reader holds a later revision than its relay: the relay has not caught
@@ -100,7 +100,7 @@
 
 // Advice returns the operator's next step.
 func (e *AheadError) Advice() string {
-	return "nothing while a relay catches up; if it stays so the writer lost changes: promote the relay that has the most"
+	return "wait until the relay has caught up; if the error persists the writer has lost changes: promote the relay with the latest revision"
 }
 
 // UnreachableError reports that no relay answers. The accepted settings stay in force.
@@ -119,7 +119,7 @@
 
 // Advice returns the operator's next step.
 func (e *UnreachableError) Advice() string {
-	return "the last accepted settings stay in force; look whether the relays run and are reached from this host"
+	return "the last accepted settings stay in force; check that the relays run and are reachable from this host"
 }
 
 // FullError reports that a relay serves its maximum number of subscribers.
@@ -127,10 +127,10 @@
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("settings: this relay serves %d subscribers, its limit", e.Limit)
+	return fmt.Sprintf("settings: this relay serves its limit of %d subscribers", e.Limit)
 }
 
 // Advice returns the operator's next step.
 func (e *FullError) Advice() string {
-	return "nothing, subscribers go to the next relay; if all are full, add relays or raise relay.subscribers"
+	return "none needed, subscribers use the next relay; if all are full, add relays or raise relay.subscribers"
 }
--- a/internal/fleet/distribution/log.go
+++ b/internal/fleet/distribution/log.go
@@ -78,7 +78,7 @@
 	if put.If != nil && !put.If.IsZero() {
 		return Resource{}, &ConflictError{Name: put.Name, Want: *put.If}
 	}
-	return Resource{}, &InvalidError{What: "name", Name: put.Name, Reason: "there is no such resource to remove"}
+	return Resource{}, &InvalidError{What: "name", Name: put.Name, Reason: "no such resource to remove"}
 }
 
 // Promote prepares the step that makes the State the log of a new epoch, which must be above all
@@ -119,11 +119,11 @@
 	case update.Revision.Epoch < held.Epoch:
 		return &FencedError{Epoch: update.Revision.Epoch, Known: held.Epoch}
 	case held.After(update.Revision):
-		return update.invalid("it goes back behind " + held.String())
+		return update.invalid("it is earlier than " + held.String())
 	case update.More || update.Snapshot && !update.After.IsZero():
 		return update.invalid("it is incomplete")
 	case !update.Snapshot && update.After != held:
-		return update.invalid("it goes on from " + update.After.String() + " and not from " + held.String())
+		return update.invalid("it continues from " + update.After.String() + " instead of " + held.String())
 	case !update.Snapshot && update.Revision.Epoch != held.Epoch && !held.IsZero():
 		return update.invalid("a new epoch begins with a snapshot")
 	}
@@ -150,10 +150,10 @@
 			return err
 		}
 		if seen[r.Name] || !u.holds(r.Revision) {
-			return u.invalid("resource " + r.Name + " is there twice or of revision " + r.Revision.String())
+			return u.invalid("resource " + r.Name + " is duplicated or of revision " + r.Revision.String())
 		}
 		if u.Snapshot && r.Removed {
-			return u.invalid("a snapshot with " + r.Name + ", which is removed")
+			return u.invalid("a snapshot contains the removed " + r.Name)
 		}
 		seen[r.Name] = true
 	}
--- a/internal/fleet/distribution/node/relay_serve.go
+++ b/internal/fleet/distribution/node/relay_serve.go
@@ -56,7 +56,7 @@
 	}
 	interest, ok := r.registry.Interest(in.Host, in.Session)
 	if !ok || !r.registry.Seen(now, in.Host, in.Session) {
-		return nil, &distribution.InvalidError{What: "session", Name: in.Host, Reason: "it is not open here; connect anew"}
+		return nil, &distribution.InvalidError{What: "session", Name: in.Host, Reason: "it is not open here; reconnect"}
 	}
 	query := distribution.Query{After: in.After, Began: in.Began, Bytes: pageBytes, Interest: &interest}
 	if update, err := r.state.Read(query); err == nil {
--- a/internal/fleet/distribution/resource.go
+++ b/internal/fleet/distribution/resource.go
@@ -152,7 +152,7 @@
 		return invalid("time", "the year %d; want 0 to %d", year, maxYear)
 	}
 	if r.Hash != hashOf(r) {
-		return invalid("hash", "it is not that of the content")
+		return invalid("hash", "it does not match the content")
 	}
 	if r.Removed {
 		if len(r.Content) > 0 {
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -68,7 +68,7 @@
 
 // Advice returns the operator's next step.
 func (e *DecodeError) Advice() string {
-	return "a few are the network's; if it goes on, look for a sidecar of another release or another fleet at these peers' addresses"
+	return "a few are caused by the network; if they continue, look for a sidecar of another release or another fleet at these peers' addresses"
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
