--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -18,25 +18,25 @@
 }
 
 // sameSubject reports whether both are updates of the same record or entry.
-func (p update) sameSubject(q update) bool {
-	return q.isEntry == p.isEntry && q.entry == p.entry && q.rank == p.rank
+func (u update) sameSubject(other update) bool {
+	return other.isEntry == u.isEntry && other.entry == u.entry && other.rank == u.rank
 }
 
 // queueUpdate queues an update in place of an earlier one of the same subject, and schedules
 // pushHot for a hot one.
-func (n *Node) queueUpdate(now time.Duration, p update) {
-	n.updates = slices.DeleteFunc(n.updates, p.sameSubject)
+func (n *Node) queueUpdate(now time.Duration, u update) {
+	n.updates = slices.DeleteFunc(n.updates, u.sameSubject)
 	if len(n.updates) >= maxUpdates { // drop the one of the lowest weight, and of these the one sent most often
 		lowest := 0
-		for i, q := range n.updates {
-			if o := n.updates[lowest]; cmp.Or(cmp.Compare(o.weight, q.weight), cmp.Compare(q.transmits, o.transmits)) > 0 {
+		for i, other := range n.updates {
+			if o := n.updates[lowest]; cmp.Or(cmp.Compare(o.weight, other.weight), cmp.Compare(other.transmits, o.transmits)) > 0 {
 				lowest = i
 			}
 		}
 		n.updates = slices.Delete(n.updates, lowest, lowest+1)
 	}
-	n.updates = append(n.updates, p)
-	if p.hot && n.hotDue == 0 {
+	n.updates = append(n.updates, u)
+	if u.hot && n.hotDue == 0 {
 		n.hotDue = now + time.Duration(n.rng.Float64()*float64(hotDelay)) + 1
 	}
 }
@@ -46,10 +46,10 @@
 
 // countDuplicate records that another member sent an update that is known already. After a few
 // duplicates it is no longer sent (rumor mongering with a counter, Demers et al. 1987).
-func (n *Node) countDuplicate(p update) {
+func (n *Node) countDuplicate(u update) {
 	for i := range n.updates {
-		if q := &n.updates[i]; p.sameSubject(*q) {
-			q.transmits += 1 + n.maxTransmits()/maxDuplicates
+		if other := &n.updates[i]; u.sameSubject(*other) {
+			other.transmits += 1 + n.maxTransmits()/maxDuplicates
 			return
 		}
 	}
@@ -66,8 +66,8 @@
 		order[i] = len(order) - 1 - i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		p, q := &n.updates[a], &n.updates[b]
-		return cmp.Or(compareBool(q.hot, p.hot), cmp.Compare(q.weight, p.weight), cmp.Compare(p.transmits, q.transmits))
+		u, other := &n.updates[a], &n.updates[b]
+		return cmp.Or(compareBool(other.hot, u.hot), cmp.Compare(other.weight, u.weight), cmp.Compare(u.transmits, other.transmits))
 	})
 	return order
 }
@@ -108,16 +108,16 @@
 		order, hasSpace = nil, false // the remaining tokens are reserved for hot updates
 	}
 	for _, i := range order {
-		p := &n.updates[i]
-		if !p.isEntry && p.rank == to || p.isEntry && p.entry.owner == to {
+		u := &n.updates[i]
+		if !u.isEntry && u.rank == to || u.isEntry && u.entry.owner == to {
 			continue
 		}
-		if hasSpace = n.addUpdate(now, w, p); !hasSpace {
+		if hasSpace = n.addUpdate(now, w, u); !hasSpace {
 			break
 		}
-		p.transmits++
+		u.transmits++
 	}
-	n.updates = slices.DeleteFunc(n.updates, func(p update) bool { return p.transmits >= limit })
+	n.updates = slices.DeleteFunc(n.updates, func(u update) bool { return u.transmits >= limit })
 	if hasSpace {
 		n.addFillers(now, w, to, m.kind == kindAck)
 	}
@@ -131,19 +131,19 @@
 
 // addUpdate adds an update to a datagram, and returns false if it does not fit. An obsolete update
 // is skipped and counts as added.
-func (n *Node) addUpdate(now time.Duration, w *writer, p *update) bool {
-	if p.isEntry {
-		stored := n.entries.byKey[p.entry]
+func (n *Node) addUpdate(now time.Duration, w *writer, u *update) bool {
+	if u.isEntry {
+		stored := n.entries.byKey[u.entry]
 		if stored == nil || !n.isCurrent(stored, now) {
-			p.transmits = math.MaxInt - 1
+			u.transmits = math.MaxInt - 1
 			return true
 		}
 		return w.addEntry(stored.Entry)
 	}
-	if p.rank == n.config.Self {
+	if u.rank == n.config.Self {
 		return true // it is in the header
 	}
-	return w.addRecord(n.members[p.rank].record)
+	return w.addRecord(n.members[u.rank].record)
 }
 
 // addFillers adds known records and entries in turn, for members that missed their updates. An
@@ -183,8 +183,8 @@
 
 // pushHot sends the hot updates immediately to a random sample of members.
 func (n *Node) pushHot(now time.Duration) {
-	waits := func(p update) bool {
-		return p.hot && p.transmits < n.config.Fanout && (p.isEntry || n.tokens > n.config.Burst/2)
+	waits := func(u update) bool {
+		return u.hot && u.transmits < n.config.Fanout && (u.isEntry || n.tokens > n.config.Burst/2)
 	}
 	// One datagram may not hold all of them. Updates that the rate limit delays are sent with probes.
 	for round := 0; round < maxPushRounds && slices.ContainsFunc(n.updates, waits); round++ {
