--- a/internal/fleet/distribution/errors.go
+++ b/internal/fleet/distribution/errors.go
@@ -50,7 +50,9 @@
 }
 
 // Error implements error.
-func (e *LimitError) Error() string { return fmt.Sprintf("settings: %s: at most %d are allowed", e.What, e.Limit) }
+func (e *LimitError) Error() string {
+	return fmt.Sprintf("settings: %s: at most %d are allowed", e.What, e.Limit)
+}
 
 // Advice returns the operator's next step.
 func (e *LimitError) Advice() string {
