--- a/cmd/sidecar/coordinator.go
+++ b/cmd/sidecar/coordinator.go
@@ -177,7 +177,7 @@
 // receivePeerPhases brings the recovery machine the phases that peers publish.
 func (f *coordinator) receivePeerPhases() {
 	f.withNode(func(now time.Duration, node *peers.Node) {
-		for member := range node.Speaking(now) {
+		for member := range node.DirectMembers(now) {
 			f.machine.ReceiveReport(int(member.Rank), recovery.Report{Phase: recovery.Phase(member.Phase), Age: member.Age})
 		}
 	})
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -7,71 +7,72 @@
 	"time"
 )
 
-// pending is news to be passed on: a row or a fact that has changed.
-type pending struct {
-	rank    Rank
-	entry   entryKey
-	isEntry bool
-	hot     bool // waits to be spread at once
-	weight  int
-	sent    int
+// update is a changed record or entry to be sent.
+type update struct {
+	rank      Rank
+	entry     entryKey
+	isEntry   bool
+	hot       bool // waits for pushHot
+	weight    int
+	transmits int
 }
 
-// same says that both are news of the same row or fact.
-func (p pending) same(q pending) bool {
-	return q.isEntry == p.isEntry && q.entry == p.entry && q.rank == p.rank
+// sameSubject reports whether both are updates of the same record or entry.
+func (u update) sameSubject(other update) bool {
+	return other.isEntry == u.isEntry && other.entry == u.entry && other.rank == u.rank
 }
 
-// queue makes something news, in place of what was news of it before. What is hot leaves
-// soon.
-func (n *Node) queue(now time.Duration, p pending) {
-	n.pending = slices.DeleteFunc(n.pending, p.same)
-	if len(n.pending) >= maxPending { // the one that was passed on most often, the lightest first
-		least := 0
-		for i, q := range n.pending {
-			if o := n.pending[least]; cmp.Or(cmp.Compare(o.weight, q.weight), cmp.Compare(q.sent, o.sent)) > 0 {
-				least = i
+// queueUpdate queues an update in place of an earlier one of the same subject, and schedules
+// pushHot for a hot one.
+func (n *Node) queueUpdate(now time.Duration, u update) {
+	n.updates = slices.DeleteFunc(n.updates, u.sameSubject)
+	if len(n.updates) >= maxUpdates { // drop the one of the lowest weight, and of these the one sent most often
+		lowest := 0
+		for i, other := range n.updates {
+			if o := n.updates[lowest]; cmp.Or(cmp.Compare(o.weight, other.weight), cmp.Compare(other.transmits, o.transmits)) > 0 {
+				lowest = i
 			}
 		}
-		n.pending = slices.Delete(n.pending, least, least+1)
+		n.updates = slices.Delete(n.updates, lowest, lowest+1)
 	}
-	n.pending = append(n.pending, p)
-	if p.hot && n.hotAt == 0 {
-		n.hotAt = now + time.Duration(n.rng.Float64()*float64(hotDelay)) + 1
+	n.updates = append(n.updates, u)
+	if u.hot && n.hotDue == 0 {
+		n.hotDue = now + time.Duration(n.rng.Float64()*float64(hotDelay)) + 1
 	}
 }
 
-// maxSent is how often a piece of news is passed on.
-func (n *Node) maxSent() int { return int(math.Ceil(sentFactor * n.logN)) }
+// maxTransmits returns how often an update is sent.
+func (n *Node) maxTransmits() int { return int(math.Ceil(transmitFactor * n.logSize)) }
 
-// known takes that another told news that is held already: after a few such words it is
-// news to nobody (rumour mongering with a counter, Demers and others 1987).
-func (n *Node) known(p pending) {
-	for i := range n.pending {
-		if q := &n.pending[i]; p.same(*q) {
-			q.sent += 1 + n.maxSent()/maxKnown
+// countDuplicate records that another member sent an update that is known already. After a few
+// duplicates it is no longer sent (rumor mongering with a counter, Demers et al. 1987).
+func (n *Node) countDuplicate(u update) {
+	for i := range n.updates {
+		if other := &n.updates[i]; u.sameSubject(*other) {
+			other.transmits += 1 + n.maxTransmits()/maxDuplicates
 			return
 		}
 	}
 }
 
-// maxKnown words of others end one's own interest in a piece of news.
-const maxKnown = 6
+// maxDuplicates is the number of duplicates after which an update is no longer sent.
+const maxDuplicates = 6
 
-// news orders what is pending for a datagram: hot facts, weight, then what was passed on
-// least, the latest first.
-func (n *Node) news() []int {
-	order := make([]int, len(n.pending))
+// updateOrder returns the order in which updates are added to a datagram: hot ones first, then by
+// weight, then those sent least often, the latest first.
+func (n *Node) updateOrder() []int {
+	order := make([]int, len(n.updates))
 	for i := range order {
 		order[i] = len(order) - 1 - i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		p, q := &n.pending[a], &n.pending[b]
-		return cmp.Or(compareBool(q.hot, p.hot), cmp.Compare(q.weight, p.weight), cmp.Compare(p.sent, q.sent))
+		u, other := &n.updates[a], &n.updates[b]
+		return cmp.Or(compareBool(other.hot, u.hot), cmp.Compare(other.weight, u.weight), cmp.Compare(u.transmits, other.transmits))
 	})
 	return order
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -82,45 +83,45 @@
 	return -1
 }
 
-// send puts a datagram to one sidecar into Out, with as much news as fits, if the ceiling
-// allows; must lets it pass into debt of one burst: what keeps the fleet together.
+// send adds a datagram to Out with as many updates as fit, if the rate limit allows. must allows a
+// debt of up to one burst; it is set for datagrams that the membership depends on.
 func (n *Node) send(now time.Duration, to Rank, m message, must bool) bool {
-	n.tokens = min(n.cfg.Burst, n.tokens+n.cfg.Rate*(now-n.filled).Seconds())
-	n.filled = now
-	if n.tokens < MaxDatagram && !(must && n.tokens > -n.cfg.Burst) {
+	n.tokens = min(n.config.Burst, n.tokens+n.config.Rate*(now-n.tokensUpdated).Seconds())
+	n.tokensUpdated = now
+	if n.tokens < MaxDatagram && !(must && n.tokens > -n.config.Burst) {
 		n.stats.Withheld++
 		return false
 	}
 	m.self = n.self
 	w := newWriter(now)
-	w.head(m)
+	w.header(m)
 	theirs := n.members[to].record
-	if theirs.Incarnation > 0 && (theirs.State != Alive || n.members[to].direct != theirs.Incarnation) {
-		w.addRecord(theirs) // it can speak for itself
+	if theirs.Incarnation > 0 && (theirs.State != Alive || n.members[to].directIncarnation != theirs.Incarnation) {
+		w.addRecord(theirs) // lets the member refute what is known about it
 	}
 	if m.publish != nil {
 		w.addEntry(*m.publish)
 	}
-	limit, room := n.maxSent(), true
-	order := n.news()
-	if m.kind != kindUpdate && n.tokens < n.cfg.Burst/2 {
-		order, room = nil, false // the rest is kept for what is hot
+	limit, hasSpace := n.maxTransmits(), true
+	order := n.updateOrder()
+	if m.kind != kindUpdate && n.tokens < n.config.Burst/2 {
+		order, hasSpace = nil, false // the remaining tokens are reserved for hot updates
 	}
 	for _, i := range order {
-		p := &n.pending[i]
-		if !p.isEntry && p.rank == to || p.isEntry && p.entry.owner == to {
+		u := &n.updates[i]
+		if !u.isEntry && u.rank == to || u.isEntry && u.entry.owner == to {
 			continue
 		}
-		if room = n.pack(now, w, p); !room {
+		if hasSpace = n.addUpdate(now, w, u); !hasSpace {
 			break
 		}
-		p.sent++
+		u.transmits++
 	}
-	n.pending = slices.DeleteFunc(n.pending, func(p pending) bool { return p.sent >= limit })
-	if room {
-		n.filler(now, w, to, m.kind == kindAck)
+	n.updates = slices.DeleteFunc(n.updates, func(u update) bool { return u.transmits >= limit })
+	if hasSpace {
+		n.addFillers(now, w, to, m.kind == kindAck)
 	}
-	data := w.done(n)
+	data := w.finish(n)
 	n.tokens -= float64(len(data))
 	n.stats.Sent++
 	n.stats.SentBytes += uint64(len(data))
@@ -128,43 +129,43 @@
 	return true
 }
 
-// pack adds one piece of news, false if it does not fit. What is news no more counts as
-// packed.
-func (n *Node) pack(now time.Duration, w *writer, p *pending) bool {
-	if p.isEntry {
-		h := n.facts.byKey[p.entry]
-		if h == nil || !n.valid(h, now) {
-			p.sent = math.MaxInt - 1
+// addUpdate adds an update to a datagram, and returns false if it does not fit. An obsolete update
+// is skipped and counts as added.
+func (n *Node) addUpdate(now time.Duration, w *writer, u *update) bool {
+	if u.isEntry {
+		stored := n.entries.byKey[u.entry]
+		if stored == nil || !n.isCurrent(stored, now) {
+			u.transmits = math.MaxInt - 1
 			return true
 		}
-		return w.addEntry(h.Entry)
+		return w.addEntry(stored.Entry)
 	}
-	if p.rank == n.cfg.Self {
-		return true // it is in the head
+	if u.rank == n.config.Self {
+		return true // it is in the header
 	}
-	return w.addRecord(n.members[p.rank].record)
+	return w.addRecord(n.members[u.rank].record)
 }
 
-// filler adds some of what is no news, in turn: for those that missed it. Whoever has just
-// begun gets all that fits.
-func (n *Node) filler(now time.Duration, w *writer, to Rank, answer bool) {
-	left := fillers
-	if m := &n.members[to]; answer && now-m.record.Born < 10*n.cfg.Period {
+// addFillers adds known records and entries in turn, for members that missed their updates. An
+// acknowledgement to a member that has just started gets as many as fit.
+func (n *Node) addFillers(now time.Duration, w *writer, to Rank, isAck bool) {
+	left := maxFillers
+	if m := &n.members[to]; isAck && now-m.record.StartedAt < 10*n.config.Period {
 		left = math.MaxInt
 	}
-	all := len(n.members) + len(n.facts.order)
-	for tries := 0; tries < min(all, 64) && left > 0; tries++ {
-		n.fill = (n.fill + 1) % all
+	all := len(n.members) + len(n.entries.order)
+	for attempts := 0; attempts < min(all, 64) && left > 0; attempts++ {
+		n.lastFiller = (n.lastFiller + 1) % all
 		var ok bool
-		if i := n.fill - len(n.members); i >= 0 {
-			h := n.facts.byKey[n.facts.order[i]]
-			if h.Owner == to || !n.valid(h, now) {
+		if i := n.lastFiller - len(n.members); i >= 0 {
+			stored := n.entries.byKey[n.entries.order[i]]
+			if stored.Owner == to || !n.isCurrent(stored, now) {
 				continue
 			}
-			ok = w.addEntry(h.Entry)
+			ok = w.addEntry(stored.Entry)
 		} else {
-			r := Rank(n.fill)
-			if r == to || r == n.cfg.Self || n.members[r].record.Incarnation == 0 {
+			r := Rank(n.lastFiller)
+			if r == to || r == n.config.Self || n.members[r].record.Incarnation == 0 {
 				continue
 			}
 			ok = w.addRecord(n.members[r].record)
@@ -176,28 +177,29 @@
 	}
 }
 
-// maxSpread bounds the datagrams to each of a fan in which hot facts leave.
-const maxSpread = 4
+// maxPushRounds is the maximum number of datagrams to each member in which pushHot sends hot
+// updates.
+const maxPushRounds = 4
 
-// spread passes hot facts on at once.
-func (n *Node) spread(now time.Duration) {
-	waits := func(p pending) bool {
-		return p.hot && p.sent < n.cfg.Fan && (p.isEntry || n.tokens > n.cfg.Burst/2)
-	}
-	// One datagram may not hold them all. What the ceiling keeps back goes with probes.
-	for round := 0; round < maxSpread && slices.ContainsFunc(n.pending, waits); round++ {
-		for _, r := range n.sample(n.cfg.Fan, now, true) {
+// pushHot sends the hot updates immediately to a random sample of members.
+func (n *Node) pushHot(now time.Duration) {
+	waits := func(u update) bool {
+		return u.hot && u.transmits < n.config.Fanout && (u.isEntry || n.tokens > n.config.Burst/2)
+	}
+	// One datagram may not hold all of them. Updates that the rate limit delays are sent with probes.
+	for round := 0; round < maxPushRounds && slices.ContainsFunc(n.updates, waits); round++ {
+		for _, r := range n.sample(n.config.Fanout, now, true) {
 			n.send(now, r, message{kind: kindUpdate}, false)
 		}
 	}
-	for i := range n.pending {
-		n.pending[i].hot = false
+	for i := range n.updates {
+		n.updates[i].hot = false
 	}
 }
 
-// Receive takes a datagram that came from a sidecar's address.
+// Receive processes a datagram that arrived from a member's address.
 func (n *Node) Receive(now time.Duration, from Rank, data []byte) error {
-	if int(from) >= len(n.members) || from == n.cfg.Self {
+	if int(from) >= len(n.members) || from == n.config.Self {
 		return errSelf
 	}
 	n.stats.Received++
@@ -207,30 +209,30 @@
 		n.stats.Damaged++
 		return err
 	}
-	d.self.Rank = from // nobody speaks in another's name
-	n.receiveRecord(now, d.self)
-	for _, r := range d.rows {
+	d.self.Rank = from // the address identifies the sender
+	n.receiveSenderRecord(now, d.self)
+	for _, r := range d.records {
 		if r.Rank == from {
-			n.stats.Rejected++ // its own row is in the head
+			n.stats.Rejected++ // the sender's record is in the header
 			continue
 		}
-		n.admit(now, from, r)
+		n.receiveIndirectRecord(now, from, r)
 	}
-	for _, f := range d.facts {
-		n.receiveEntry(now, from, f)
+	for _, entry := range d.entries {
+		n.receiveEntry(now, from, entry)
 	}
 	switch d.kind {
 	case kindPing:
 		n.send(now, from, message{kind: kindAck, seq: d.seq}, true)
 	case kindAck:
-		n.acked(now, from, d.seq)
-	case kindReach:
-		n.reach(now, from, d.target, d.seq)
-	case kindFound:
-		n.found(now, d.target, d.seq)
+		n.receiveAck(now, from, d.seq)
+	case kindPingRequest:
+		n.relayProbe(now, from, d.target, d.seq)
+	case kindIndirectAck:
+		n.receiveIndirectAck(now, d.target, d.seq)
 	case kindPull:
-		if f := n.localEntries[d.about]; f != nil {
-			n.send(now, from, message{kind: kindUpdate, publish: f}, false)
+		if entry := n.localEntries[d.pulled]; entry != nil {
+			n.send(now, from, message{kind: kindUpdate, publish: entry}, false)
 		}
 	}
 	return nil
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -1,6 +1,6 @@
-// Package link runs a peers.Node on a UDP socket: it owns the socket, the clock and two
-// goroutines, the reader's and a timer's. It decides nothing. Who sent a datagram is told
-// by its address, which has to be one of the fleet's; others are counted and dropped.
+// Package link runs a peers.Node on a UDP socket. It owns the socket, the clock, the reading
+// goroutine and a timer. It takes no decisions. A datagram's address identifies its sender;
+// datagrams from addresses outside the fleet are counted and dropped.
 package link
 
 import (
@@ -17,15 +17,15 @@
 	"martendrum/internal/peers"
 )
 
-// Config is what a Link is told.
+// Config configures a Link.
 type Config struct {
 	Listen string   // where datagrams arrive, host:port
-	Peers  []string // by rank, this sidecar's own among them
+	Peers  []string // addresses by rank, including this sidecar's own
 	Node   peers.Config
 	Seed   uint64
 }
 
-// AddrError says which address can't be used.
+// AddrError reports an unusable address.
 type AddrError struct {
 	Field, Addr string
 	err         error
@@ -39,14 +39,14 @@
 // Unwrap returns the cause.
 func (e *AddrError) Unwrap() error { return e.err }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *AddrError) Advice() string {
 	return "give " + e.Field + " as an IPv4 address and a port that no other process has; to serve without the others, leave MARTENDRUM_SHARE unset"
 }
 
-// least is the shortest time between two looks at the Node's clock: what is due within it
-// shares one.
-const least = time.Millisecond
+// minTimerInterval is the minimum time between two timer events. Actions that are due within it are
+// performed together.
+const minTimerInterval = time.Millisecond
 
 // Link is a running Node.
 type Link struct {
@@ -60,53 +60,53 @@
 	timer  *time.Timer
 	closed bool
 
-	wg       sync.WaitGroup
-	strays   atomic.Uint64 // datagrams from no address of the fleet
-	unsent   atomic.Uint64 // the socket did not take them
-	damaged  int           // since the last one logged; the reader's, as is loggedAt
-	loggedAt time.Time
+	goroutines     sync.WaitGroup
+	unknownSenders atomic.Uint64 // datagrams from addresses outside the fleet
+	unsent         atomic.Uint64 // datagrams that the socket rejected
+	damaged        int           // since the last log line; used by the reading goroutine only, as is loggedAt
+	loggedAt       time.Time
 }
 
-// Open begins the life of a sidecar among its peers. The number of the life is drawn from
-// the system's clock; where that went back, the Node goes above it.
-func Open(cfg Config) (*Link, error) {
+// Open starts a Link. The incarnation is the system clock's time in milliseconds unless it is
+// configured. If the clock went back, the Node rises above its earlier incarnation.
+func Open(config Config) (*Link, error) {
 	l := &Link{ranks: make(map[netip.AddrPort]peers.Rank), start: time.Now()}
-	for r, text := range cfg.Peers {
-		a, err := netip.ParseAddrPort(text)
-		if err == nil && !a.Addr().Unmap().Is4() {
-			err = errors.New("no IPv4 address")
+	for r, text := range config.Peers {
+		addr, err := netip.ParseAddrPort(text)
+		if err == nil && !addr.Addr().Unmap().Is4() {
+			err = errors.New("not an IPv4 address")
 		}
 		if err != nil {
 			return nil, &AddrError{fmt.Sprintf("peers[%d]", r), text, err}
 		}
-		a = netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
-		if _, twice := l.ranks[a]; twice {
-			return nil, &AddrError{fmt.Sprintf("peers[%d]", r), text, errors.New("it is another one's too")}
+		addr = netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
+		if _, duplicate := l.ranks[addr]; duplicate {
+			return nil, &AddrError{fmt.Sprintf("peers[%d]", r), text, errors.New("another peer has the same address")}
 		}
-		l.addrs = append(l.addrs, a)
-		l.ranks[a] = peers.Rank(r)
+		l.addrs = append(l.addrs, addr)
+		l.ranks[addr] = peers.Rank(r)
 	}
-	at, err := netip.ParseAddrPort(cfg.Listen)
+	at, err := netip.ParseAddrPort(config.Listen)
 	if err != nil {
-		return nil, &AddrError{"peer_listen", cfg.Listen, err}
+		return nil, &AddrError{"peer_listen", config.Listen, err}
 	}
-	cfg.Node.Size = len(cfg.Peers)
-	if cfg.Node.Incarnation == 0 {
-		cfg.Node.Incarnation = uint64(max(1, l.start.UnixMilli()))
+	config.Node.Size = len(config.Peers)
+	if config.Node.Incarnation == 0 {
+		config.Node.Incarnation = uint64(max(1, l.start.UnixMilli()))
 	}
-	if l.node, err = peers.New(cfg.Node, 0, rand.New(rand.NewPCG(cfg.Seed, 3))); err != nil {
+	if l.node, err = peers.New(config.Node, 0, rand.New(rand.NewPCG(config.Seed, 3))); err != nil {
 		return nil, err
 	}
 	if l.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at)); err != nil {
-		return nil, &AddrError{"peer_listen", cfg.Listen, err}
+		return nil, &AddrError{"peer_listen", config.Listen, err}
 	}
 	l.timer = time.AfterFunc(time.Hour, l.tick)
-	l.wg.Go(l.read)
+	l.goroutines.Go(l.read)
 	l.Do(func(time.Duration, *peers.Node) {}) // sets the timer
 	return l, nil
 }
 
-// Do lets f use the Node, and sends what it wants sent. f must not block.
+// Do calls f with the Node, and sends the resulting datagrams. f must not block.
 func (l *Link) Do(f func(now time.Duration, n *peers.Node)) {
 	l.mu.Lock()
 	if l.closed {
@@ -115,11 +115,11 @@
 	}
 	f(time.Since(l.start), l.node)
 	out := l.node.Out()
-	l.timer.Reset(max(l.node.Due()-time.Since(l.start), least))
+	l.timer.Reset(max(l.node.Due()-time.Since(l.start), minTimerInterval))
 	l.mu.Unlock()
 	for _, d := range out {
 		if _, err := l.conn.WriteToUDPAddrPort(d.Data, l.addrs[d.To]); err != nil {
-			l.unsent.Add(1) // as good as lost on the way
+			l.unsent.Add(1) // equivalent to a lost datagram
 		}
 	}
 }
@@ -132,14 +132,14 @@
 	})
 }
 
-// Counts is what the socket itself has seen.
+// Counts counts datagrams that the socket did not exchange with the Node.
 type Counts struct{ UnknownSenders, Unsent uint64 }
 
-// Counts returns it.
-func (l *Link) Counts() Counts { return Counts{l.strays.Load(), l.unsent.Load()} }
+// Counts returns the counts so far.
+func (l *Link) Counts() Counts { return Counts{l.unknownSenders.Load(), l.unsent.Load()} }
 
-// Close tells some that this sidecar leaves, and ends the link. Nothing of it runs when it
-// returns.
+// Close notifies some members that this one leaves, and closes the socket. All goroutines have
+// ended when it returns.
 func (l *Link) Close() {
 	l.Do(func(now time.Duration, n *peers.Node) { n.Leave(now) })
 	l.mu.Lock()
@@ -147,42 +147,42 @@
 	l.timer.Stop()
 	l.mu.Unlock()
 	l.conn.Close()
-	l.wg.Wait()
+	l.goroutines.Wait()
 }
 
 const (
-	pause     = 10 * time.Millisecond // after a read that failed
-	logAgain  = time.Minute           // damaged datagrams are logged so often
-	bufferLen = peers.MaxDatagram + 1
+	readErrorDelay = 10 * time.Millisecond // delay after a failed read
+	logInterval    = time.Minute           // minimum interval between log lines about dropped datagrams
+	readBufferSize = peers.MaxDatagram + 1
 )
 
 func (l *Link) read() {
-	buf := make([]byte, bufferLen)
+	buf := make([]byte, readBufferSize)
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(pause)
+			time.Sleep(readErrorDelay)
 			continue
 		}
 		rank, ok := l.ranks[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !ok {
-			l.strays.Add(1)
+			l.unknownSenders.Add(1)
 			continue
 		}
 		l.Do(func(now time.Duration, node *peers.Node) { err = node.Receive(now, rank, buf[:n]) })
 		if err != nil {
-			l.complain(rank, err)
+			l.logDropped(rank, err)
 		}
 	}
 }
 
-// complain logs datagrams that were dropped, not each.
-func (l *Link) complain(from peers.Rank, err error) {
+// logDropped logs dropped datagrams, at most once per logInterval.
+func (l *Link) logDropped(from peers.Rank, err error) {
 	l.damaged++
-	if time.Since(l.loggedAt) < logAgain {
+	if time.Since(l.loggedAt) < logInterval {
 		return
 	}
 	l.loggedAt = time.Now()
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	patience = 20 * time.Second
-	hot      = 1
+	testTimeout = 20 * time.Second
+	hot         = 1
 )
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for until := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("it never came to: " + what)
+			t.Fatal("timed out waiting until " + what)
 		}
 	}
 }
 
-// homes are addresses at which nobody receives.
-func homes(t *testing.T, n int) (addrs []string) {
+// unusedAddresses returns loopback addresses without a listener.
+func unusedAddresses(t *testing.T, n int) (addrs []string) {
 	t.Helper()
 	for range n {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -61,14 +61,14 @@
 	return s
 }
 
-// A few sidecars on sockets, a fifth of whose datagrams are lost and some doubled, know
-// who lives; a fact goes round; one that leaves is known to, and one that comes back.
+// Sidecars on sockets, with a fifth of the datagrams lost and some duplicated, learn which members
+// are alive, receive an entry, and learn that a member has left and come back.
 func TestSidecarsOnSockets(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const size = 5
 	net := faultnet.New(7)
 	defer net.Close()
-	at := homes(t, size)
+	at := unusedAddresses(t, size)
 	mesh, err := net.Mesh(at)
 	if err != nil {
 		t.Fatal(err)
@@ -90,10 +90,10 @@
 		}
 	}
 	for i := range size {
-		eventually(t, "all know that one lives", all(peers.Alive, i))
+		eventually(t, "all know that one is alive", all(peers.Alive, i))
 	}
 	links[2].Do(func(now time.Duration, n *peers.Node) { n.Publish(now, hot, 77, 5) })
-	eventually(t, "all know a fact", func() bool {
+	eventually(t, "all know an entry", func() bool {
 		known := 0
 		for _, l := range links {
 			l.Do(func(now time.Duration, n *peers.Node) {
@@ -116,11 +116,11 @@
 	}
 }
 
-// What comes from no address of the fleet is dropped and counted; addresses that can't be
-// used are named, with what to do.
-func TestStrangersAndAddresses(t *testing.T) {
+// Datagrams from outside the fleet are dropped and counted. Unusable addresses are reported with
+// advice.
+func TestUnknownSendersAndInvalidAddresses(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	at := homes(t, 2)
+	at := unusedAddresses(t, 2)
 	l := open(t, 0, at[0], at)
 	defer l.Close()
 	c, err := net.Dial("udp4", at[0])
@@ -129,17 +129,17 @@
 	}
 	defer c.Close()
 	c.Write([]byte("hello"))
-	eventually(t, "a stranger counted", func() bool { return l.Counts().UnknownSenders == 1 })
-	for _, cfg := range []Config{
+	eventually(t, "an unknown sender is counted", func() bool { return l.Counts().UnknownSenders == 1 })
+	for _, config := range []Config{
 		{Listen: "nowhere", Peers: at},
-		{Listen: at[0], Peers: at}, // taken
+		{Listen: at[0], Peers: at}, // in use
 		{Listen: at[1], Peers: []string{at[0], at[0]}},
 		{Listen: at[1], Peers: []string{at[0], "[::1]:5"}},
 	} {
-		cfg.Node.Cluster = "test"
-		_, err := Open(cfg)
+		config.Node.Cluster = "test"
+		_, err := Open(config)
 		if a, ok := errors.AsType[*AddrError](err); !ok || a.Advice() == "" || a.Field == "" {
-			t.Errorf("%+v: %v", cfg, err)
+			t.Errorf("%+v: %v", config, err)
 		}
 	}
 }
