--- a/internal/fleet/control/rollout/rollout.go
+++ b/internal/fleet/control/rollout/rollout.go
@@ -15,23 +15,6 @@
 	"martendrum/internal/fleet/api"
 )
 
-// Batches are the targets' numbers by batch: canaries first.
-func Batches(p api.Policy, n int) [][]int {
-	var out [][]int
-	size := p.Batch
-	if p.Canaries > 0 {
-		size = p.Canaries
-	}
-	for at := 0; at < n; size = p.Batch {
-		var b []int
-		for ; at < n && len(b) < size; at++ {
-			b = append(b, at)
-		}
-		out = append(out, b)
-	}
-	return out
-}
-
 // State is what is known of a target.
 type State string
 
@@ -69,21 +52,6 @@
 	back   bool      // a rollback was asked for
 }
 
-// groups are those of which the policy allows only so many unavailable at once.
-func (t *Target) groups(p *api.Policy) (out []group) {
-	for _, g := range []group{{"host", t.Host, p.MaxHost}, {"zone", t.Place.Zone, p.MaxZone}, {"shop", t.Place.Shop, p.MaxShop}} {
-		if g.limit > 0 && g.name != "" {
-			out = append(out, g)
-		}
-	}
-	return out
-}
-
-type group struct {
-	kind, name string
-	limit      int
-}
-
 // Action is a step to begin, Kind api.Change or api.Rollback, or the end: Kind "".
 type Action struct {
 	Target int
@@ -142,13 +110,18 @@
 // Settled says that every target that may be changed so far has come to its end.
 func (m *Machine) Settled() bool {
 	for i := range m.targets[:m.open] {
-		if t := &m.targets[i]; t.State == Pending && !m.gaveUp[t.Host] || t.State == Changing || t.State == Unknown && !m.gaveUp[t.Host] {
+		if m.unfinished(&m.targets[i]) {
 			return false
 		}
 	}
 	return true
 }
 
+// unfinished says whether a target that may be changed is still waited for.
+func (m *Machine) unfinished(t *Target) bool {
+	return t.State == Pending && !m.gaveUp[t.Host] || t.State == Changing || t.State == Unknown && !m.gaveUp[t.Host]
+}
+
 // Trip tells that what was changed is judged worse: nothing new is changed, and
 // the policy says what becomes of the rest.
 func (m *Machine) Trip(reason string) {
@@ -289,149 +262,3 @@
 		m.tripped = reason
 	}
 }
-
-// running counts steps under way, those of silent hosts that are still waited for
-// among them.
-func (m *Machine) running() (n int) {
-	for i := range m.targets {
-		t := &m.targets[i]
-		if t.State == Changing || t.State == RollingBack || t.State == Unknown && !m.gaveUp[t.Host] {
-			n++
-		}
-	}
-	return n
-}
-
-// unavailable says whether a target counts as such.
-func (m *Machine) unavailable(t *Target) bool {
-	return t.down || m.silent[t.Host] || t.State == Changing || t.State == RollingBack || t.State == Unknown
-}
-
-// Next returns the steps to begin now, or the end. It returns nothing while there
-// is something to wait for.
-func (m *Machine) Next() (out []Action) {
-	if m.result != "" {
-		return nil
-	}
-	used, within := 0, make(map[group]int)
-	for i := range m.targets {
-		if t := &m.targets[i]; m.unavailable(t) {
-			used++
-			for _, g := range t.groups(&m.policy) {
-				within[g]++
-			}
-		}
-	}
-	begin := func(i int, kind string) {
-		t := &m.targets[i]
-		if !m.unavailable(t) {
-			if used >= m.policy.MaxUnavailable {
-				return
-			}
-			groups := t.groups(&m.policy)
-			for _, g := range groups {
-				if within[g] >= g.limit {
-					return
-				}
-			}
-			for _, g := range groups {
-				within[g]++
-			}
-			used++
-		}
-		t.State, t.Reason = Changing, ""
-		if kind == api.Rollback {
-			t.State, t.back = RollingBack, true
-		}
-		out = append(out, Action{Target: i, Kind: kind})
-	}
-	wait := m.running() > 0
-	switch {
-	case m.aborted || m.stuck:
-	case m.tripped == "":
-		// The first batch with a target that has not come to its end.
-		batch := -1
-		wait = wait || m.more
-		for i := range m.targets[:m.open] {
-			t := &m.targets[i]
-			open := t.State == Pending && !m.gaveUp[t.Host] || t.State == Changing || t.State == Unknown && !m.gaveUp[t.Host]
-			if open && batch < 0 {
-				batch = t.Batch
-			}
-			if open && t.Batch == batch && t.State == Pending {
-				wait = true
-				if !m.silent[t.Host] {
-					begin(i, api.Change)
-				}
-			}
-		}
-	case m.back() && m.changing() == 0:
-		// Those that are down first: putting them right takes nothing away.
-		for _, down := range []bool{true, false} {
-			for i := range m.targets {
-				t := &m.targets[i]
-				if (t.State == Failed || t.State == Changed) && !t.back && !m.gaveUp[t.Host] && i >= m.backFrom() {
-					wait = true
-					if t.down == down && !m.silent[t.Host] {
-						begin(i, api.Rollback)
-					}
-				}
-			}
-		}
-	}
-	if len(out) == 0 && !wait {
-		m.result = m.end()
-		return []Action{{}}
-	}
-	return out
-}
-
-// back says whether what was changed is taken back, and backFrom from which target on.
-func (m *Machine) back() bool {
-	return m.policy.OnFailure == api.OnFailureRollback || m.policy.OnFailure == api.OnFailureRollbackStage
-}
-
-func (m *Machine) backFrom() int {
-	if m.policy.OnFailure == api.OnFailureRollbackStage {
-		return m.from
-	}
-	return 0
-}
-
-// changing counts changes under way: they end before anything is taken back.
-func (m *Machine) changing() (n int) {
-	for i := range m.targets {
-		if t := &m.targets[i]; t.State == Changing || t.State == Unknown && !t.back && !m.gaveUp[t.Host] {
-			n++
-		}
-	}
-	return n
-}
-
-func (m *Machine) end() string {
-	n, forward := make(map[State]int), 0
-	for i := range m.targets {
-		s := m.targets[i].State
-		n[s]++
-		if i >= m.backFrom() && (s == Changed || s == Failed || s == Unknown) {
-			forward++
-		}
-	}
-	switch {
-	case m.aborted:
-		return Aborted
-	case n[Changed] == len(m.targets):
-		return Succeeded
-	case n[RollbackFailed] > 0, m.tripped != "" && m.back() && forward > 0:
-		return BackFailed
-	case m.tripped != "" && m.back():
-		return WentBack
-	case m.tripped != "" && m.policy.OnFailure == api.OnFailurePause:
-		return Paused
-	case m.tripped != "":
-		return Stopped
-	case n[Pending]+n[Unknown] > 0:
-		return Incomplete
-	}
-	return SomeFailed
-}
