--- a/internal/fleet/control/rollout/batches.go
+++ b/internal/fleet/control/rollout/batches.go
@@ -2,7 +2,8 @@
 
 import "martendrum/internal/fleet/api"
 
-// Batches are the targets' numbers by batch: canaries first.
+// Batches divides n targets into batches of indices: the canaries first, if any, then
+// batches of the policy's size.
 func Batches(p api.Policy, n int) [][]int {
 	var out [][]int
 	size := p.Batch
--- a/internal/fleet/control/rollout/next.go
+++ b/internal/fleet/control/rollout/next.go
@@ -2,8 +2,8 @@
 
 import "martendrum/internal/fleet/api"
 
-// Next returns the steps to begin now, or the end. It returns nothing while there
-// is something to wait for.
+// Next returns the steps to begin now, or a single Action without a Kind once the
+// rollout has ended. It returns nothing while it waits.
 func (m *Machine) Next() []Action {
 	if m.result != "" {
 		return nil
@@ -12,9 +12,9 @@
 	wait := m.running() > 0
 	switch {
 	case m.aborted || m.stuck:
-	case m.tripped == "":
-		wait = p.planChanges() || m.more || wait
-	case m.back() && m.changing() == 0:
+	case m.stopReason == "":
+		wait = p.planChanges() || m.moreStages || wait
+	case m.rollsBack() && m.changing() == 0:
 		wait = p.planRollbacks() || wait
 	}
 	if len(p.actions) == 0 && !wait {
@@ -45,12 +45,12 @@
 	return p
 }
 
-// planChanges begins changes in the first batch with a target that has not come to its
-// end. It says whether a target of that batch is still pending.
+// planChanges begins changes in the first batch with an unfinished target. It reports
+// whether the rollout waits for a pending target of that batch.
 func (p *stepPlanner) planChanges() (wait bool) {
 	m := p.machine
 	batch := -1
-	for i := range m.targets[:m.open] {
+	for i := range m.targets[:m.openTargets] {
 		t := &m.targets[i]
 		if !m.unfinished(t) {
 			continue
@@ -68,14 +68,14 @@
 	return wait
 }
 
-// planRollbacks begins rollbacks, those of targets that are down first: putting them
-// right takes nothing away. It says whether a target is still to be rolled back.
+// planRollbacks begins rollbacks, first those of unavailable targets, which cost no
+// capacity. It reports whether a target is still to be rolled back.
 func (p *stepPlanner) planRollbacks() (wait bool) {
 	m := p.machine
 	for _, down := range []bool{true, false} {
 		for i := range m.targets {
 			t := &m.targets[i]
-			if (t.State == Failed || t.State == Changed) && !t.back && !m.gaveUp[t.Host] && i >= m.backFrom() {
+			if (t.State == Failed || t.State == Changed) && !t.rollbackStarted && !m.gaveUp[t.Host] && i >= m.rollbackStart() {
 				wait = true
 				if t.down == down && !m.silent[t.Host] {
 					p.begin(i, api.Rollback)
@@ -86,7 +86,7 @@
 	return wait
 }
 
-// begin begins a step unless it would make more targets unavailable than allowed.
+// begin adds a step unless it would make more targets unavailable than allowed.
 func (p *stepPlanner) begin(i int, kind string) {
 	m := p.machine
 	t := &m.targets[i]
@@ -95,12 +95,13 @@
 	}
 	t.State, t.Reason = Changing, ""
 	if kind == api.Rollback {
-		t.State, t.back = RollingBack, true
+		t.State, t.rollbackStarted = RollingBack, true
 	}
 	p.actions = append(p.actions, Action{Target: i, Kind: kind})
 }
 
-// reserve counts a target as unavailable, in all its groups or not at all.
+// reserve counts a target as unavailable if the limits of the policy and of all its
+// groups allow it.
 func (p *stepPlanner) reserve(t *Target) bool {
 	if p.unavailable >= p.machine.policy.MaxUnavailable {
 		return false
@@ -118,7 +119,8 @@
 	return true
 }
 
-// groups are those of which the policy allows only so many unavailable at once.
+// groups returns the groups of the target for which the policy limits how many may be
+// unavailable at once.
 func (t *Target) groups(p *api.Policy) (out []group) {
 	for _, g := range []group{{"host", t.Host, p.MaxHost}, {"zone", t.Place.Zone, p.MaxZone}, {"shop", t.Place.Shop, p.MaxShop}} {
 		if g.limit > 0 && g.name != "" {
@@ -128,13 +130,14 @@
 	return out
 }
 
+// group is a host, a zone or a shop with a limit on its unavailable targets.
 type group struct {
 	kind, name string
 	limit      int
 }
 
-// running counts steps under way, those of silent hosts that are still waited for
-// among them.
+// running counts running steps, including those of silent hosts that the rollout
+// still waits for.
 func (m *Machine) running() (n int) {
 	for i := range m.targets {
 		t := &m.targets[i]
@@ -145,39 +148,41 @@
 	return n
 }
 
-// unavailable says whether a target counts as such.
+// unavailable reports whether a target counts against MaxUnavailable.
 func (m *Machine) unavailable(t *Target) bool {
 	return t.down || m.silent[t.Host] || t.State == Changing || t.State == RollingBack || t.State == Unknown
 }
 
-// back says whether what was changed is taken back, and backFrom from which target on.
-func (m *Machine) back() bool {
+// rollsBack reports whether the policy rolls changed targets back on failure.
+func (m *Machine) rollsBack() bool {
 	return m.policy.OnFailure == api.OnFailureRollback || m.policy.OnFailure == api.OnFailureRollbackStage
 }
 
-func (m *Machine) backFrom() int {
+// rollbackStart is the index of the first target that a rollback includes.
+func (m *Machine) rollbackStart() int {
 	if m.policy.OnFailure == api.OnFailureRollbackStage {
-		return m.from
+		return m.stageStart
 	}
 	return 0
 }
 
-// changing counts changes under way: they end before anything is taken back.
+// changing counts running changes. Rollbacks begin only after they have ended.
 func (m *Machine) changing() (n int) {
 	for i := range m.targets {
-		if t := &m.targets[i]; t.State == Changing || t.State == Unknown && !t.back && !m.gaveUp[t.Host] {
+		if t := &m.targets[i]; t.State == Changing || t.State == Unknown && !t.rollbackStarted && !m.gaveUp[t.Host] {
 			n++
 		}
 	}
 	return n
 }
 
+// end returns the result of a rollout that waits for nothing.
 func (m *Machine) end() string {
 	n, forward := make(map[State]int), 0
 	for i := range m.targets {
 		s := m.targets[i].State
 		n[s]++
-		if i >= m.backFrom() && (s == Changed || s == Failed || s == Unknown) {
+		if i >= m.rollbackStart() && (s == Changed || s == Failed || s == Unknown) {
 			forward++
 		}
 	}
@@ -186,13 +191,13 @@
 		return Aborted
 	case n[Changed] == len(m.targets):
 		return Succeeded
-	case n[RollbackFailed] > 0, m.tripped != "" && m.back() && forward > 0:
+	case n[RollbackFailed] > 0, m.stopReason != "" && m.rollsBack() && forward > 0:
 		return BackFailed
-	case m.tripped != "" && m.back():
+	case m.stopReason != "" && m.rollsBack():
 		return WentBack
-	case m.tripped != "" && m.policy.OnFailure == api.OnFailurePause:
+	case m.stopReason != "" && m.policy.OnFailure == api.OnFailurePause:
 		return Paused
-	case m.tripped != "":
+	case m.stopReason != "":
 		return Stopped
 	case n[Pending]+n[Unknown] > 0:
 		return Incomplete
--- a/internal/fleet/control/rollout/rollout.go
+++ b/internal/fleet/control/rollout/rollout.go
@@ -1,12 +1,16 @@
-// Package rollout decides how a change goes through a set of instances: which are
-// next, when to wait, to stop or to take back, and what is known of each. It is
-// pure: it does no I/O and reads no clock. Its driver tells it what happened and
-// carries out what Next returns, in order.
+// Package rollout decides how a change proceeds through a set of instances: which
+// are changed next, when to wait, stop or roll back, and the state of each. It is
+// pure: it does no I/O and reads no clock. Its driver reports events and carries
+// out the steps that Next returns, in order.
 //
-// It promises, for every sequence of events: no step is asked for twice; no step
-// that takes an available instance down is asked for while that would make more
-// than MaxUnavailable of the targets unavailable; and once the driver says that
-// it waits no longer (GiveUp, Stuck), it comes to an end.
+// It promises, for every sequence of events: Next returns no step twice; it returns
+// no step that takes an available instance down while that would make more than
+// MaxUnavailable of the targets unavailable; and once the driver stops waiting
+// (GiveUp, Stuck), the rollout ends.
+//
+// It does not judge whether the change is worse than what it replaces (package
+// canary does) and does not decide which targets a stage may change (package stage
+// does): Trip and Open carry their decisions in.
 package rollout
 
 import (
@@ -15,66 +19,67 @@
 	"martendrum/internal/fleet/api"
 )
 
-// State is what is known of a target.
+// State is the state of a target.
 type State string
 
 const (
-	Pending        State = "pending"         // not touched
-	Changing       State = "changing"        // its step is under way
-	Changed        State = "changed"         // and has succeeded
-	Failed         State = "failed"          // or failed
-	Unknown        State = "unknown"         // or its agent went silent meanwhile
-	RollingBack    State = "rolling back"    // a step back is under way
-	RolledBack     State = "rolled back"     // and has succeeded
-	RollbackFailed State = "rollback failed" // or failed
+	Pending        State = "pending"         // no step has begun
+	Changing       State = "changing"        // the change is running
+	Changed        State = "changed"         // the change succeeded
+	Failed         State = "failed"          // the change failed
+	Unknown        State = "unknown"         // the agent went silent during a step
+	RollingBack    State = "rolling back"    // the rollback is running
+	RolledBack     State = "rolled back"     // the rollback succeeded
+	RollbackFailed State = "rollback failed" // the rollback failed
 )
 
 // Results of an operation.
 const (
 	Succeeded  = "succeeded"
-	Stopped    = "stopped"     // too many failures, or no way on
-	WentBack   = "rolled back" // too many failures; all that was changed is as before
-	BackFailed = "rollback incomplete"
-	Paused     = "paused"
-	Aborted    = "aborted"
-	Incomplete = "incomplete" // of some targets the outcome is not known, or they were not reached
-	SomeFailed = "finished with failures"
+	Stopped    = "stopped"                // too many failures, or no step could begin
+	WentBack   = "rolled back"            // too many failures; every changed target was rolled back
+	BackFailed = "rollback incomplete"    // a rollback failed, or a target could not be rolled back
+	Paused     = "paused"                 // too many failures; an operator may resume
+	Aborted    = "aborted"                // by an operator
+	Incomplete = "incomplete"             // some targets have an unknown outcome or were not reached
+	SomeFailed = "finished with failures" // no more failures than the policy allows
 )
 
-// Target is a target and what is known of it.
+// Target is an instance to be changed and its state.
 type Target struct {
 	api.Target
-	State  State
-	Reason string
-	Batch  int
-	Place  api.Place // where it is, for the policy's limits
-	down   bool      // observed to be unavailable while no step runs
-	back   bool      // a rollback was asked for
+	State         State
+	Reason        string
+	Batch         int
+	Place         api.Place // for the policy's limits by host, zone and shop
+	down          bool      // observed to be unavailable while no step runs
+	rollbackStarted bool      // Next returned its rollback
 }
 
-// Action is a step to begin, Kind api.Change or api.Rollback, or the end: Kind "".
+// Action is a step to begin. Kind is api.Change or api.Rollback; "" marks the end of
+// the rollout.
 type Action struct {
 	Target int
 	Kind   string
 }
 
-// Machine is a rolling change.
+// Machine is the state of a rolling change.
 type Machine struct {
-	policy  api.Policy
-	targets []Target
-	silent  map[string]bool
-	gaveUp  map[string]bool
-	open    int    // targets before it may be changed
-	more    bool   // more is to come, though all that may be changed is
-	from    int    // a rollback of the stage takes back targets from it on
-	tripped string // why nothing new is changed
-	aborted bool
-	stuck   bool
-	result  string
+	policy      api.Policy
+	targets     []Target
+	silent      map[string]bool
+	gaveUp      map[string]bool
+	openTargets int    // only the targets before this index may be changed
+	moreStages  bool   // further stages will open, so the rollout does not end yet
+	stageStart  int    // index of the first target of the current stage
+	stopReason  string // why no further change begins, "" if changes go on
+	aborted     bool
+	stuck       bool
+	result      string
 }
 
-// New returns a machine with all targets pending. places, where given, say where each
-// target is.
+// New returns a machine with all targets pending. places is empty or holds the place
+// of each target, in the same order.
 func New(p api.Policy, targets []api.Target, places ...api.Place) (*Machine, error) {
 	if err := p.Check(len(targets)); err != nil {
 		return nil, fmt.Errorf("rollout: %w", err)
@@ -82,7 +87,7 @@
 	if len(places) != 0 && len(places) != len(targets) {
 		return nil, fmt.Errorf("rollout: %d places of %d targets", len(places), len(targets))
 	}
-	m := &Machine{policy: p, silent: make(map[string]bool), gaveUp: make(map[string]bool), open: len(targets)}
+	m := &Machine{policy: p, silent: make(map[string]bool), gaveUp: make(map[string]bool), openTargets: len(targets)}
 	seen := make(map[api.Target]bool)
 	for _, t := range targets {
 		if seen[t] {
@@ -103,13 +108,15 @@
 	return m, nil
 }
 
-// Open says that only the first n targets may be changed so far, and that the stage
-// under way begins at the target from. With more, the machine waits after them too.
-func (m *Machine) Open(n, from int, more bool) { m.open, m.from, m.more = n, from, more }
+// Open allows changes to the first n targets. The current stage begins at the target
+// with index from. With more, the rollout does not end after these targets.
+func (m *Machine) Open(n, from int, more bool) {
+	m.openTargets, m.stageStart, m.moreStages = n, from, more
+}
 
-// Settled says that every target that may be changed so far has come to its end.
+// Settled reports whether no target that may be changed is still waited for.
 func (m *Machine) Settled() bool {
-	for i := range m.targets[:m.open] {
+	for i := range m.targets[:m.openTargets] {
 		if m.unfinished(&m.targets[i]) {
 			return false
 		}
@@ -117,45 +124,47 @@
 	return true
 }
 
-// unfinished says whether a target that may be changed is still waited for.
+// unfinished reports whether the rollout still waits for a target's change.
 func (m *Machine) unfinished(t *Target) bool {
 	return t.State == Pending && !m.gaveUp[t.Host] || t.State == Changing || t.State == Unknown && !m.gaveUp[t.Host]
 }
 
-// Trip tells that what was changed is judged worse: nothing new is changed, and
-// the policy says what becomes of the rest.
+// Trip stops the rollout because the changed targets were judged worse: no further
+// change begins, and the policy decides whether changed targets are rolled back.
 func (m *Machine) Trip(reason string) {
-	if m.tripped == "" {
-		m.tripped = reason
+	if m.stopReason == "" {
+		m.stopReason = reason
 	}
 }
 
-// Targets is what is known of each, in order. The caller must not change it.
+// Targets returns the state of each target, in order. The caller must not modify it.
 func (m *Machine) Targets() []Target { return m.targets }
 
-// Result is the end's, "" before it; Why tells what stopped it.
+// Result is the result of the rollout, "" until it has ended.
 func (m *Machine) Result() string { return m.result }
-func (m *Machine) Why() string    { return m.tripped }
 
-// Recall takes over what an agent's record says of a target's steps, before the
-// first Next or at any time later: status is that of api.Step.
+// Why is the reason for which no further change begins, "" if there is none.
+func (m *Machine) Why() string { return m.stopReason }
+
+// Recall takes over the state of a target's step from an agent's record, before the
+// first Next or later. status is that of api.Step.
 func (m *Machine) Recall(i int, kind, status, reason string) {
 	t := &m.targets[i]
 	if kind == api.Rollback {
-		t.back = true
-		if m.tripped == "" {
-			m.tripped = "the rollback had begun"
+		t.rollbackStarted = true
+		if m.stopReason == "" {
+			m.stopReason = "the rollback had begun"
 		}
-	} else if t.back {
-		return // what came before the step back
+	} else if t.rollbackStarted {
+		return // the change preceded the rollback
 	}
-	m.note(t, kind, status, reason)
+	m.record(t, kind, status, reason)
 	if m.result == "" {
-		m.judge(t)
+		m.countFailures(t)
 	}
 }
 
-func (m *Machine) note(t *Target, kind, status, reason string) {
+func (m *Machine) record(t *Target, kind, status, reason string) {
 	t.Reason, t.down = reason, false
 	states := map[string]State{api.StepRunning: Changing, api.StepOK: Changed, api.StepFailed: Failed}
 	if kind == api.Rollback {
@@ -163,20 +172,21 @@
 	}
 	t.State = states[status]
 	if status == api.StepFailed {
-		t.down = true // until seen otherwise
+		t.down = true // until Down reports otherwise
 	}
 	if status == api.StepRunning && m.silent[t.Host] {
 		t.State = Unknown
 	}
 }
 
-// judge counts failures; a failed canary is one too many.
-func (m *Machine) judge(t *Target) {
-	if m.tripped != "" {
+// countFailures stops the rollout once more targets failed than the policy allows. A
+// failed canary always stops it.
+func (m *Machine) countFailures(t *Target) {
+	if m.stopReason != "" {
 		return
 	}
 	if t.Batch == 0 && m.policy.Canaries > 0 && (t.State == Failed || t.State == Unknown && m.gaveUp[t.Host]) {
-		m.tripped = fmt.Sprintf("canary %s %s: %s", t.Instance, t.State, t.Reason)
+		m.stopReason = fmt.Sprintf("canary %s %s: %s", t.Instance, t.State, t.Reason)
 		return
 	}
 	failed, last := 0, ""
@@ -188,11 +198,11 @@
 		}
 	}
 	if failed > m.policy.MaxFailures {
-		m.tripped = fmt.Sprintf("%d failed and %d may (%s)", failed, m.policy.MaxFailures, last)
+		m.stopReason = fmt.Sprintf("%d failed and %d may (%s)", failed, m.policy.MaxFailures, last)
 	}
 }
 
-// Done tells how a step that Next asked for has ended.
+// Done reports the outcome of a step that Next returned.
 func (m *Machine) Done(i int, kind string, ok bool, reason string) {
 	status := api.StepFailed
 	if ok {
@@ -201,11 +211,11 @@
 	m.Recall(i, kind, status, reason)
 }
 
-// Down tells whether a target was seen to be unavailable, steps aside.
+// Down reports whether a target was observed to be unavailable while no step runs.
 func (m *Machine) Down(i int, down bool) { m.targets[i].down = down }
 
-// Silent tells that a host's agent does not answer: of its running steps nothing is
-// known, and its other instances can't be seen.
+// Silent reports that a host's agent does not answer. The outcome of its running steps
+// is unknown, and all its instances count as unavailable.
 func (m *Machine) Silent(host, reason string) {
 	m.silent[host] = true
 	for i := range m.targets {
@@ -215,23 +225,23 @@
 	}
 }
 
-// Answers tells that a host's agent is back. Steps that were under way are so
-// again, until Recall or Done says otherwise.
+// Answers reports that a host's agent answers again. Steps with an unknown outcome
+// count as running until Recall or Done reports otherwise.
 func (m *Machine) Answers(host string) {
 	delete(m.silent, host)
 	delete(m.gaveUp, host)
 	for i := range m.targets {
 		if t := &m.targets[i]; t.Host == host && t.State == Unknown {
 			t.State, t.Reason = Changing, ""
-			if t.back {
+			if t.rollbackStarted {
 				t.State = RollingBack
 			}
 		}
 	}
 }
 
-// GiveUp tells that a silent host is waited for no longer: its unknown steps count
-// as failures, and nothing waits for its pending targets.
+// GiveUp stops waiting for a silent host: its steps with an unknown outcome count as
+// failures, and the rollout may end without its pending targets.
 func (m *Machine) GiveUp(host string) {
 	if !m.silent[host] {
 		return
@@ -239,26 +249,26 @@
 	m.gaveUp[host] = true
 	for i := range m.targets {
 		if t := &m.targets[i]; t.Host == host && t.State == Unknown {
-			m.judge(t)
+			m.countFailures(t)
 		}
 	}
 }
 
-// Stuck tells that nothing has changed for as long as the driver waits, while Next
-// could begin nothing and nothing ran.
+// Stuck reports that nothing has changed for as long as the driver waits, while no step ran
+// and Next could begin none. It stops the rollout.
 func (m *Machine) Stuck() {
 	if m.running() == 0 {
 		m.stuck = true
-		if m.tripped == "" {
-			m.tripped = "max-unavailable is used up by instances that are down"
+		if m.stopReason == "" {
+			m.stopReason = "max-unavailable is used up by instances that are down"
 		}
 	}
 }
 
-// Abort begins nothing new; what is under way is waited for.
+// Abort lets no further step begin. The rollout ends once running steps have ended.
 func (m *Machine) Abort(reason string) {
 	m.aborted = true
-	if m.tripped == "" {
-		m.tripped = reason
+	if m.stopReason == "" {
+		m.stopReason = reason
 	}
 }
