--- a/internal/fleet/control/rollout/rollout_test.go
+++ b/internal/fleet/control/rollout/rollout_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// targets returns hosts*each targets.
 func targets(hosts, each int) (out []api.Target) {
 	for h := range hosts {
 		for i := range each {
@@ -18,7 +19,7 @@
 	return out
 }
 
-// play runs a script of events and prints what the machine did with each.
+// play runs a script of events and returns the steps that each of them led to.
 func play(t *testing.T, m *Machine, script string) string {
 	t.Helper()
 	var out strings.Builder
@@ -32,9 +33,9 @@
 			fmt.Sscan(f[1], &i)
 			switch f[0] {
 			case "ok", "bad":
-				m.Done(i, api.Change, f[0] == "ok", "told")
+				m.Done(i, api.Change, f[0] == "ok", "reported")
 			case "backok", "backbad":
-				m.Done(i, api.Rollback, f[0] == "backok", "told")
+				m.Done(i, api.Rollback, f[0] == "backok", "reported")
 			default:
 				m.Down(i, f[0] == "down")
 			}
@@ -71,17 +72,17 @@
 		edit func(*api.Policy)
 		want string
 	}{
-		"all well, canary first": {nil, `
+		"all succeed, canary first": {nil, `
 			next: change 0
 			ok 0: change 1 change 2
 			ok 2:
 			ok 1: change 3
 			ok 3: end succeeded`},
-		"a failed canary is one too many": {nil, `
+		"a failed canary stops the rollout": {nil, `
 			next: change 0
 			bad 0: rollback 0
 			backok 0: end rolled back`},
-		"failures over the limit go back, those down first": {nil, `
+		"failures over the limit are rolled back, unavailable targets first": {nil, `
 			next: change 0
 			ok 0: change 1 change 2
 			bad 1:
@@ -99,7 +100,7 @@
 		"pause": {func(p *api.Policy) { p.OnFailure = api.OnFailurePause }, `
 			next: change 0
 			bad 0: end paused`},
-		"one failure of two that may": {func(p *api.Policy) { p.MaxFailures = 2 }, `
+		"one failure of two that are allowed": {func(p *api.Policy) { p.MaxFailures = 2 }, `
 			next: change 0
 			ok 0: change 1 change 2
 			bad 1:
@@ -113,13 +114,13 @@
 			answers h1:
 			ok 2: change 3
 			ok 3: end succeeded`},
-		"one that stays away": {nil, `
+		"an agent that stays silent": {nil, `
 			next: change 0
 			ok 0: change 1 change 2
 			ok 1:
 			silent h1:
 			giveup h1: end incomplete`},
-		"instances that are down use up the budget": {func(p *api.Policy) { p.Canaries = 0 }, `
+		"unavailable instances use up the budget": {func(p *api.Policy) { p.Canaries = 0 }, `
 			down 2: change 0
 			down 3:
 			ok 0:
@@ -130,29 +131,31 @@
 		"stuck": {func(p *api.Policy) { p.Canaries = 0; p.MaxUnavailable = 1; p.OnFailure = api.OnFailureStop }, `
 			down 3:
 			stuck 0: end stopped`},
-		"abort waits for what is under way": {nil, `
+		"abort waits for running steps": {nil, `
 			next: change 0
 			ok 0: change 1 change 2
 			abort:
 			ok 1:
 			bad 2: end aborted`},
 	} {
-		p := policy
-		if c.edit != nil {
-			c.edit(&p)
-		}
-		m, err := New(p, targets(2, 2))
-		if err != nil {
-			t.Fatal(err)
-		}
-		want := strings.ReplaceAll(strings.TrimSpace(c.want), "\t", "") + "\n"
-		var script strings.Builder
-		for _, l := range strings.Split(strings.TrimSpace(want), "\n") {
-			script.WriteString(l[:strings.IndexByte(l, ':')] + "\n")
-		}
-		if got := play(t, m, script.String()); got != want {
-			t.Errorf("%s: got\n%swant\n%s", name, got, want)
-		}
+		t.Run(name, func(t *testing.T) {
+			p := policy
+			if c.edit != nil {
+				c.edit(&p)
+			}
+			m, err := New(p, targets(2, 2))
+			if err != nil {
+				t.Fatal(err)
+			}
+			want := strings.ReplaceAll(strings.TrimSpace(c.want), "\t", "") + "\n"
+			var script strings.Builder
+			for _, l := range strings.Split(strings.TrimSpace(want), "\n") {
+				script.WriteString(l[:strings.IndexByte(l, ':')] + "\n")
+			}
+			if got := play(t, m, script.String()); got != want {
+				t.Errorf("got\n%swant\n%s", got, want)
+			}
+		})
 	}
 }
 
@@ -166,21 +169,21 @@
 		p := good
 		edit(&p)
 		if _, err := New(p, targets(1, 1)); err == nil {
-			t.Errorf("%+v was taken", p)
+			t.Errorf("%+v was accepted", p)
 		}
 	}
 	if _, err := New(good, nil); err == nil {
-		t.Error("no targets were taken")
+		t.Error("no targets were accepted")
 	}
 	if _, err := New(good, append(targets(1, 1), targets(1, 1)...)); err == nil {
-		t.Error("a target twice was taken")
+		t.Error("a duplicate target was accepted")
 	}
 }
 
-// For every policy and every sequence of answers: never more unavailable than
-// allowed by what the machine begins, no step twice, at most one on an instance at
-// a time, and an end. A second machine that recalls the agents' records where the
-// first one stops goes on without a step twice.
+// For every policy and every sequence of events, the steps that begin never make more
+// targets unavailable than allowed, no step begins twice, an instance has at most one
+// step at a time, and the rollout ends. A second machine that recalls the agents'
+// records where the first one stopped repeats no step.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := api.Policy{
@@ -199,14 +202,14 @@
 			target int
 			kind   string
 		}
-		record := make(map[step]string) // the agents'
+		record := make(map[step]string) // the agents' records
 		running := make(map[int]step)
 		silent := make(map[string]bool)
 		down := make(map[int]bool)
 		last := 0
 		for round := 0; ; round++ {
 			if round > 40*len(ts)+200 {
-				t.Fatal("it does not end")
+				t.Fatal("the rollout does not end")
 			}
 			began := 0
 			for _, a := range m.Next() {
@@ -219,7 +222,7 @@
 						}
 					}
 					if m.Result() == "" || m.Next() != nil {
-						t.Fatal("an end that is none")
+						t.Fatal("the end has no result, or a step follows it")
 					}
 					if m.Result() == Succeeded {
 						for i := range ts {
@@ -239,7 +242,7 @@
 					t.Fatalf("%v while %v runs", s, other)
 				}
 				if a.Kind == api.Rollback && p.OnFailure != api.OnFailureRollback {
-					t.Fatal("a rollback that was not asked for")
+					t.Fatal("a rollback that the policy does not allow")
 				}
 				count := 0
 				for i, x := range ts {
@@ -281,7 +284,7 @@
 					delete(silent, h)
 					m.Answers(h)
 				}
-			case event == 8 && round > last+10: // another command takes over from the records
+			case event == 8 && round > last+10: // another command resumes from the records
 				last = round
 				if m, err = New(p, ts); err != nil {
 					t.Fatal(err)
