--- a/internal/fleet/control/rollout/rollout.go
+++ b/internal/fleet/control/rollout/rollout.go
@@ -48,11 +48,11 @@
 // Target is an instance to be changed and its state.
 type Target struct {
 	api.Target
-	State         State
-	Reason        string
-	Batch         int
-	Place         api.Place // for the policy's limits by host, zone and shop
-	down          bool      // observed to be unavailable while no step runs
+	State           State
+	Reason          string
+	Batch           int
+	Place           api.Place // for the policy's limits by host, zone and shop
+	down            bool      // observed to be unavailable while no step runs
 	rollbackStarted bool      // Next returned its rollback
 }
 
