--- a/internal/fleet/host/agent/loss.go
+++ b/internal/fleet/host/agent/loss.go
@@ -110,7 +110,7 @@
 	n.Recent++
 	n.Returning = true
 	a.writeLosses(n)
-	begin.Leases = a.leases.Void()
+	begin.Leases = a.leases.RevokeAll()
 	a.leases.Put(begin.Leases)
 	for _, i := range l.lost {
 		i.gone = 0
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -32,8 +32,8 @@
 	return !now.Before(l.Granted) && now.Before(l.Expires)
 }
 
-// Void says that it was ended by Table.Void.
-func (l Lease) Void() bool { return l.Token > 0 && l.Expires.Equal(l.Granted) }
+// Revoked says that it was ended by Table.Void.
+func (l Lease) Revoked() bool { return l.Token > 0 && l.Expires.Equal(l.Granted) }
 
 // LostError tells a run of a command that what it held was voided: the host lost its power
 // in the midst of its operation.
@@ -65,24 +65,24 @@
 type FencedError struct {
 	Instance string
 	Token    int64
-	Now      Lease // in force, or the last one
+	Current  Lease // in force, or the last one
 	Live     bool
 }
 
 func (e *FencedError) Error() string {
 	switch {
-	case e.Now.Token == 0:
+	case e.Current.Token == 0:
 		return fmt.Sprintf("%s: token %d: no lease is held on it", e.Instance, e.Token)
-	case e.Now.Token != e.Token:
-		return fmt.Sprintf("%s: token %d is not that of the lease (%d, %s for operation %s)", e.Instance, e.Token, e.Now.Token, e.Now.Holder, e.Now.Op)
+	case e.Current.Token != e.Token:
+		return fmt.Sprintf("%s: token %d is not that of the lease (%d, %s for operation %s)", e.Instance, e.Token, e.Current.Token, e.Current.Holder, e.Current.Op)
 	}
-	return fmt.Sprintf("%s: the lease of token %d ended at %s", e.Instance, e.Token, e.Now.Expires.Format(time.RFC3339))
+	return fmt.Sprintf("%s: the lease of token %d ended at %s", e.Instance, e.Token, e.Current.Expires.Format(time.RFC3339))
 }
 
 // Table is the leases of an agent's instances, and the last token given.
 type Table struct {
 	ByInstance map[string]Lease
-	Last       int64
+	LastToken  int64
 }
 
 // Acquire grants all of the instances or none. busy tells of each what else is in
@@ -90,30 +90,37 @@
 // replaced; a holder that asks again gets a new token. The table is not changed:
 // Put the leases once they are recorded.
 func (t *Table) Acquire(now time.Time, op, holder string, instances []string, ttl time.Duration, busy func(instance string) string) ([]Lease, error) {
-	if ttl <= 0 || ttl > MaxTTL {
-		return nil, fmt.Errorf("lease: a time of %v; above 0 and up to %v is granted", ttl, MaxTTL)
+	if err := checkTTL(ttl); err != nil {
+		return nil, err
 	}
 	out := make([]Lease, 0, len(instances))
 	for _, name := range instances {
 		if l, ok := t.ByInstance[name]; ok && l.Live(now) && (l.Op != op || l.Holder != holder) {
 			return nil, &HeldError{Lease: l}
 		}
-		if l := t.ByInstance[name]; l.Void() && l.Op == op && l.Holder == holder {
+		if l := t.ByInstance[name]; l.Revoked() && l.Op == op && l.Holder == holder {
 			return nil, &LostError{l}
 		}
 		if why := busy(name); why != "" {
 			return nil, &HeldError{Lease: Lease{Instance: name}, Why: why}
 		}
-		out = append(out, Lease{Instance: name, Op: op, Holder: holder, Token: t.Last + 1, Granted: now, Expires: now.Add(ttl)})
+		out = append(out, Lease{Instance: name, Op: op, Holder: holder, Token: t.LastToken + 1, Granted: now, Expires: now.Add(ttl)})
 	}
 	return out, nil
 }
 
+func checkTTL(ttl time.Duration) error {
+	if ttl <= 0 || ttl > MaxTTL {
+		return fmt.Errorf("lease: a time of %v; above 0 and up to %v is granted", ttl, MaxTTL)
+	}
+	return nil
+}
+
 // Check is nil if the token's holder may change the instance for the operation now.
 func (t *Table) Check(now time.Time, op string, token int64, instance string) error {
 	l := t.ByInstance[instance]
 	if live := l.Live(now); token <= 0 || l.Token != token || l.Op != op || !live {
-		return &FencedError{Instance: instance, Token: token, Now: l, Live: live}
+		return &FencedError{Instance: instance, Token: token, Current: l, Live: live}
 	}
 	return nil
 }
@@ -121,8 +128,8 @@
 // Renew returns the token's leases with a later end. One that has ended is not
 // renewed: another may have looked, and been told that it is free.
 func (t *Table) Renew(now time.Time, op string, token int64, instances []string, ttl time.Duration) ([]Lease, error) {
-	if ttl <= 0 || ttl > MaxTTL {
-		return nil, fmt.Errorf("lease: a time of %v; above 0 and up to %v is granted", ttl, MaxTTL)
+	if err := checkTTL(ttl); err != nil {
+		return nil, err
 	}
 	out := make([]Lease, 0, len(instances))
 	for _, name := range instances {
@@ -136,10 +143,10 @@
 	return out, nil
 }
 
-// Void returns all leases ended for good, whatever the clocks say: after a power loss. No
+// RevokeAll returns all leases ended for good, whatever the clocks say: after a power loss. No
 // token from before is in force again, and a run that held one does not get another: a
 // new run, an operator's resume, does. The caller records them and Puts them.
-func (t *Table) Void() (out []Lease) {
+func (t *Table) RevokeAll() (out []Lease) {
 	for _, l := range t.ByInstance {
 		l.Expires = l.Granted
 		out = append(out, l)
@@ -154,6 +161,6 @@
 	}
 	for _, l := range ls {
 		t.ByInstance[l.Instance] = l
-		t.Last = max(t.Last, l.Token)
+		t.LastToken = max(t.LastToken, l.Token)
 	}
 }
