--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -60,12 +60,13 @@
 	}
 	tab.Put(ls)
 	if err := tab.Check(end, "op1", 1, "a"); err == nil {
-		t.Error("the token of before is still allowed")
+		t.Error("the earlier token is still allowed")
 	}
 }
 
-// Whatever is asked, and however the clock goes: at each moment at most one token
-// may change an instance, and none that once gave way to a later one ever may again.
+// For every sequence of calls and every movement of the clock, at most one token allows
+// changes to an instance at any time, and a token that a later one replaced never does
+// again.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tab Table
@@ -98,7 +99,7 @@
 				if tab.Check(now, g.op, g.token, "a") == nil {
 					allowed++
 					if g.fenced {
-						t.Fatalf("token %d is allowed after a later one was given", g.token)
+						t.Fatalf("token %d is allowed after a later one was granted", g.token)
 					}
 				}
 			}
