--- a/internal/fleet/host/agent/instance.go
+++ b/internal/fleet/host/agent/instance.go
@@ -168,20 +168,20 @@
 }
 
 // act carries out what life asks for.
-func (a *Agent) act(i *instance, kinds []supervisor.Kind) {
+func (a *Agent) act(i *instance, kinds []supervisor.Action) {
 	for len(kinds) > 0 {
 		k := kinds[0]
 		kinds = kinds[1:]
 		switch k {
 		case supervisor.Launch:
 			kinds = append(kinds, a.launch(i)...)
-		case supervisor.Term:
+		case supervisor.Terminate:
 			a.signal(i, i.proc, syscall.SIGTERM)
 		case supervisor.Kill:
 			a.signal(i, i.proc, syscall.SIGKILL)
-		case supervisor.TermOld:
+		case supervisor.TerminatePrevious:
 			a.signal(i, i.prev, syscall.SIGTERM)
-		case supervisor.KillOld:
+		case supervisor.KillPrevious:
 			a.signal(i, i.prev, syscall.SIGKILL)
 		}
 	}
@@ -215,7 +215,7 @@
 
 // launch starts a process of the wanted generation: it is written down first, and
 // carries a name by which it is found if what follows can't be.
-func (a *Agent) launch(i *instance) []supervisor.Kind {
+func (a *Agent) launch(i *instance) []supervisor.Action {
 	a.mu.Lock()
 	row := i.row
 	if row.Generation != i.life.Generation() || row.Desired != api.Running {
@@ -357,7 +357,7 @@
 }
 
 // exited takes a process's end, and returns what to do at once.
-func (a *Agent) exited(i *instance, p *Process) []supervisor.Kind {
+func (a *Agent) exited(i *instance, p *Process) []supervisor.Action {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if i.proc != p {
@@ -385,7 +385,7 @@
 }
 
 // oldExited takes the end of a process that was being replaced.
-func (a *Agent) oldExited(i *instance, p *Process) []supervisor.Kind {
+func (a *Agent) oldExited(i *instance, p *Process) []supervisor.Action {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if i.prev != p {
@@ -393,20 +393,20 @@
 	}
 	i.row.LastExit = p.Exit()
 	i.prev, i.prevRow = nil, store.Instance{}
-	kinds := i.life.OldExited(time.Now())
+	kinds := i.life.PreviousExited(time.Now())
 	a.told(i, nil)
 	return i.ended(kinds)
 }
 
 // ended is what to do at once after a process's end: all but launches, which are left to
 // the next round. That asks with what is wanted by then.
-func (i *instance) ended(kinds []supervisor.Kind) []supervisor.Kind {
+func (i *instance) ended(kinds []supervisor.Action) []supervisor.Action {
 	i.poke()
 	return withoutLaunch(kinds)
 }
 
-func withoutLaunch(kinds []supervisor.Kind) []supervisor.Kind {
-	return slices.DeleteFunc(kinds, func(k supervisor.Kind) bool { return k == supervisor.Launch })
+func withoutLaunch(kinds []supervisor.Action) []supervisor.Action {
+	return slices.DeleteFunc(kinds, func(k supervisor.Action) bool { return k == supervisor.Launch })
 }
 
 // observe sees whether the step under way has come to its end.
@@ -440,15 +440,15 @@
 	}
 	failed, how := l.Failed()
 	switch {
-	case l.Old() != 0 && l.Phase() == supervisor.Ready: // the one before it still ends
-	case l.Old() != 0 && l.Phase() == supervisor.Starting && now.Sub(later(i.row.Launched, a.started)) > s.Ready:
+	case l.Previous() != 0 && l.Phase() == supervisor.Ready: // the one before it still ends
+	case l.Previous() != 0 && l.Phase() == supervisor.Starting && now.Sub(later(i.row.Launched, a.started)) > s.Ready:
 		if i.late == "" {
 			i.late = fmt.Sprintf("not ready within %v: %s", s.Ready, l.Reason())
 			i.poke()
 		}
-	case l.Process() != 0 && l.Old() == 0 && failed == s.Generation && failed != l.Process():
+	case l.Process() != 0 && l.Previous() == 0 && failed == s.Generation && failed != l.Process():
 		// What serves is what is wanted now: a restart of the agent must not try again.
-		l.KeepPrevious()
+		l.AdoptPreviousAsWanted()
 		i.row.Process, i.row.Release, i.row.Previous = i.row.Generation, s.From, s.Before
 		a.end(i, s, false, "the new process failed and the one before it serves on: "+how)
 	case l.Process() == s.Generation && l.Phase() == supervisor.Ready:
--- a/internal/fleet/host/agent/load.go
+++ b/internal/fleet/host/agent/load.go
@@ -205,7 +205,7 @@
 		runs(&old, other, generation, f, boot)
 		if i.proc != nil {
 			i.prev, i.prevRow = p, old
-			i.life.AdoptOld(generation)
+			i.life.AdoptPrevious(generation)
 			return false
 		}
 		i.proc, i.row = p, old
--- a/internal/fleet/host/supervisor/life_test.go
+++ b/internal/fleet/host/supervisor/supervisor_test.go
@@ -15,7 +15,7 @@
 
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-func expect(t *testing.T, l *Supervisor, got []Kind, phase Phase, want ...Kind) {
+func expect(t *testing.T, l *Supervisor, got []Action, phase Phase, want ...Action) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) || l.Phase() != phase {
 		t.Fatalf("%s %v; want %s %v (%s)", l.Phase(), got, phase, want, l.Reason())
@@ -27,13 +27,13 @@
 	expect(t, l, l.Want(at(0), true, 1), Stopped, Launch)
 	expect(t, l, l.Launched(at(0)), Starting)
 	l.Health(at(1), true, "")
-	expect(t, l, l.Want(at(2), true, 2), Draining, Term)
+	expect(t, l, l.Want(at(2), true, 2), Draining, Terminate)
 	expect(t, l, l.Tick(at(5.9)), Draining) // SIGKILL comes no sooner
 	expect(t, l, l.Tick(at(6)), Draining, Kill)
 	expect(t, l, l.Tick(at(7)), Draining) // and once
 	expect(t, l, l.Exited(at(7), "killed"), Stopped, Launch)
 	expect(t, l, l.Launched(at(7)), Starting)
-	expect(t, l, l.Want(at(8), false, 2), Draining, Term)
+	expect(t, l, l.Want(at(8), false, 2), Draining, Terminate)
 	expect(t, l, l.Exited(at(8), "exit status 0"), Stopped)
 	expect(t, l, l.Tick(at(100)), Stopped)
 }
@@ -77,7 +77,7 @@
 	expect(t, l, l.Want(at(0), true, 3), Starting)
 	m := New(cfg, t0)
 	m.Adopt(t0, 2)
-	expect(t, m, m.Want(at(0), true, 3), Draining, Term)
+	expect(t, m, m.Want(at(0), true, 3), Draining, Terminate)
 }
 
 // A new generation starts beside the one that serves, which ends once it is ready.
@@ -86,7 +86,7 @@
 	l.SetSideBySide(true)
 	expect(t, l, l.Want(at(0), true, 1), Stopped, Launch)
 	expect(t, l, l.Launched(at(0)), Starting)
-	expect(t, l, l.Want(at(0.5), true, 2), Draining, Term) // it serves nobody: nothing to keep
+	expect(t, l, l.Want(at(0.5), true, 2), Draining, Terminate) // it serves nobody: nothing to keep
 	expect(t, l, l.Exited(at(1), "exit status 0"), Stopped, Launch)
 	l.Launched(at(1))
 	l.Health(at(1), true, "")
@@ -95,14 +95,14 @@
 	l.Health(at(2.5), false, "refused")
 	expect(t, l, l.Tick(at(3)), Starting)
 	l.Health(at(3), true, "")
-	expect(t, l, l.Tick(at(3)), Ready, TermOld)
+	expect(t, l, l.Tick(at(3)), Ready, TerminatePrevious)
 	expect(t, l, l.Tick(at(6.9)), Ready)
-	expect(t, l, l.Tick(at(7)), Ready, KillOld)
+	expect(t, l, l.Tick(at(7)), Ready, KillPrevious)
 	expect(t, l, l.Tick(at(8)), Ready)
-	if l.Settled() || l.Old() != 2 || l.Process() != 3 {
-		t.Errorf("settled %v, old %d, process %d", l.Settled(), l.Old(), l.Process())
+	if l.Settled() || l.Previous() != 2 || l.Process() != 3 {
+		t.Errorf("settled %v, old %d, process %d", l.Settled(), l.Previous(), l.Process())
 	}
-	expect(t, l, l.OldExited(at(8)), Ready)
+	expect(t, l, l.PreviousExited(at(8)), Ready)
 	if !l.Settled() {
 		t.Error("not settled")
 	}
@@ -161,24 +161,24 @@
 	}
 	l := begin()
 	l.Health(at(3), true, "")
-	expect(t, l, l.Tick(at(3)), Ready, TermOld)
+	expect(t, l, l.Tick(at(3)), Ready, TerminatePrevious)
 	expect(t, l, l.Exited(at(4), "exit status 2"), Draining)
 	expect(t, l, l.Tick(at(7)), Draining, Kill)
 	expect(t, l, l.Exited(at(7), "killed"), Stopped, Launch)
 	l = begin()
-	expect(t, l, l.OldExited(at(3)), Starting)
+	expect(t, l, l.PreviousExited(at(3)), Starting)
 	l.Health(at(4), true, "")
 	expect(t, l, l.Tick(at(4)), Ready)
 	l = begin() // no longer wanted at all
 	expect(t, l, l.Want(at(3), false, 2), Draining, Kill)
-	expect(t, l, l.Exited(at(3), "killed"), Draining, Term)
+	expect(t, l, l.Exited(at(3), "killed"), Draining, Terminate)
 	expect(t, l, l.Exited(at(4), "exit status 0"), Stopped)
 	m := New(cfg, t0) // found by an agent that was away
 	m.Adopt(t0, 2)
-	m.AdoptOld(1)
+	m.AdoptPrevious(1)
 	expect(t, m, m.Want(at(0), true, 2), Starting)
 	m.Health(at(1), true, "")
-	expect(t, m, m.Tick(at(1)), Ready, TermOld)
+	expect(t, m, m.Tick(at(1)), Ready, TerminatePrevious)
 }
 
 // For any events: a process beside another only where both hand over and that one
@@ -209,9 +209,9 @@
 			}
 			p.term = now
 		}
-		var do func(ks []Kind)
+		var do func(ks []Action)
 		fail := true
-		do = func(ks []Kind) {
+		do = func(ks []Action) {
 			for _, k := range ks {
 				switch k {
 				case Launch:
@@ -224,16 +224,16 @@
 					}
 					old, cur = cur, &process{generation: gen}
 					do(l.Launched(now))
-				case Term:
+				case Terminate:
 					term(cur)
-				case TermOld:
+				case TerminatePrevious:
 					if want && !cur.ready {
 						t.Fatal("the old one is asked to end before the new one serves")
 					}
 					term(old)
 				case Kill:
 					kill(cur)
-				case KillOld:
+				case KillPrevious:
 					kill(old)
 				}
 			}
@@ -247,7 +247,7 @@
 		exitOld := func() {
 			if old != nil {
 				old = nil
-				do(l.OldExited(now))
+				do(l.PreviousExited(now))
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
@@ -293,7 +293,7 @@
 			do(l.Tick(now))
 		}
 		if (cur != nil) != want || old != nil || want && l.Process() != gen || !l.Settled() {
-			t.Fatalf("wanted %v of %d: process %d, old %d, %s", want, gen, l.Process(), l.Old(), l.Phase())
+			t.Fatalf("wanted %v of %d: process %d, old %d, %s", want, gen, l.Process(), l.Previous(), l.Phase())
 		}
 	})
 }
