--- a/internal/fleet/host/agent/instance.go
+++ b/internal/fleet/host/agent/instance.go
@@ -448,7 +448,7 @@
 		}
 	case l.Process() != 0 && l.Previous() == 0 && failed == s.Generation && failed != l.Process():
 		// What serves is what is wanted now: a restart of the agent must not try again.
-		l.AdoptPreviousAsWanted()
+		l.AcceptServing()
 		i.row.Process, i.row.Release, i.row.Previous = i.row.Generation, s.From, s.Before
 		a.end(i, s, false, "the new process failed and the one before it serves on: "+how)
 	case l.Process() == s.Generation && l.Phase() == supervisor.Ready:
--- a/internal/fleet/host/supervisor/replacement.go
+++ b/internal/fleet/host/supervisor/replacement.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// SetSideBySide says whether a generation wanted from now on starts beside the process that
-// serves: both must be able to hand over.
+// SetSideBySide sets whether a generation that is wanted from now on starts next to the
+// serving process, which requires that both can hand over.
 func (s *Supervisor) SetSideBySide(can bool) { s.sideBySide = can }
 
 // Previous is the generation of the process being replaced, 0 for none.
 func (s *Supervisor) Previous() int64 { return s.previous }
 
-// Failed is the latest generation that failed beside a process that serves on, and how.
+// Failed is the latest generation that failed to replace a process that continues to
+// serve, 0 for none, and how it failed.
 func (s *Supervisor) Failed() (generation int64, how string) { return s.failed, s.failure }
 
-// AdoptPrevious tells of a process of an earlier generation that was found running beside
-// the adopted one.
+// AdoptPrevious reports a process of an earlier generation that was found running next
+// to the adopted one.
 func (s *Supervisor) AdoptPrevious(generation int64) { s.setPrevious(generation) }
 
-// AdoptFailed tells of a generation that ended beside the adopted process.
+// AdoptFailed reports a generation that failed to replace the adopted process.
 func (s *Supervisor) AdoptFailed(generation int64, how string) { s.failed, s.failure = generation, how }
 
-// AdoptPreviousAsWanted makes the process that serves on after a failure the wanted one: it counts as of
-// the wanted generation from now on.
-func (s *Supervisor) AdoptPreviousAsWanted() {
+// AcceptServing makes the process that continues to serve after a failed replacement the
+// wanted one: it counts as of the wanted generation from now on.
+func (s *Supervisor) AcceptServing() {
 	if s.process != 0 && s.previous == 0 && s.failed == s.generation {
 		s.process = s.generation
 	}
 }
 
-// GiveUp ends a new process that has not become ready beside the old one, which serves
-// on; nothing where there is no old one.
+// GiveUp kills a new process that has not become ready; the previous one continues to
+// serve. It does nothing if there is no previous process.
 func (s *Supervisor) GiveUp(now time.Time, why string) []Action {
 	if s.previous == 0 || s.terminatingPrevious() || s.phase != Starting {
 		return nil
@@ -40,22 +41,22 @@
 	return []Action{Kill}
 }
 
-// PreviousExited tells that the process being replaced has ended.
+// PreviousExited reports that the process being replaced has exited.
 func (s *Supervisor) PreviousExited(now time.Time) []Action {
 	s.setPrevious(0)
 	return s.step(now)
 }
 
-// stepReplacement is step while an old process is there beside the new one. One that is not
-// wanted any more has not served before it is ready, and is killed; a ready one ends
-// like any other, after the old one.
+// stepReplacement is step while the previous process runs next to the new one. A new
+// process that is no longer wanted is killed if it was never ready, because it has not
+// served; a ready one is drained after the previous one has exited.
 func (s *Supervisor) stepReplacement(now time.Time) []Action {
 	if s.terminatingPrevious() && !s.previousKilled && !now.Before(s.previousKillAt) {
 		s.previousKilled = true
 		return []Action{KillPrevious}
 	}
 	switch {
-	case s.phase == Draining: // its end is awaited
+	case s.phase == Draining: // wait for its exit
 	case s.phase == Starting && (!s.wanted || s.process != s.generation):
 		s.abandon(now, "not wanted any more")
 		return []Action{Kill}
@@ -66,14 +67,14 @@
 	return nil
 }
 
-// abandon marks the new process as one that is to be killed.
+// abandon marks the new process as killed.
 func (s *Supervisor) abandon(now time.Time, why string) {
 	s.enter(now, Draining, why)
 	s.killed = true
 }
 
-// restorePrevious takes the end of the new process while the old one is there: that one is the
-// instance's again.
+// restorePrevious makes the previous process the instance's process again after the new
+// one has exited.
 func (s *Supervisor) restorePrevious(now time.Time, ended int64, how string) []Action {
 	wanted := s.wanted && ended == s.generation
 	if wanted {
@@ -85,7 +86,7 @@
 	s.process, s.healthFailures = s.previous, 0
 	if s.terminatingPrevious() {
 		s.killAt, s.killed = s.previousKillAt, s.previousKilled
-		s.failed = 0 // no process serves on: it is launched again
+		s.failed = 0 // no process continues to serve: the generation is launched again
 		s.enter(now, Draining, how)
 	} else {
 		s.enter(now, Ready, s.serveReason())
@@ -99,10 +100,10 @@
 	s.previous, s.previousKillAt, s.previousKilled = generation, time.Time{}, false
 }
 
-// terminatingPrevious says that the process being replaced was asked to end.
+// terminatingPrevious reports whether the process being replaced was sent SIGTERM.
 func (s *Supervisor) terminatingPrevious() bool { return !s.previousKillAt.IsZero() }
 
-// serveReason is the reason of an instance whose new process failed.
+// serveReason is the reason of a ready instance: how its replacement failed, if it did.
 func (s *Supervisor) serveReason() string {
 	if s.failed != s.generation || s.failed == 0 {
 		return ""
--- a/internal/fleet/host/supervisor/supervisor_test.go
+++ b/internal/fleet/host/supervisor/supervisor_test.go
@@ -51,7 +51,7 @@
 	}
 	expect(t, l, l.LaunchFailed(at(now), "no such file"), Crashloop)
 	expect(t, l, l.Tick(at(1000)), Crashloop)
-	expect(t, l, l.Want(at(1000), true, 2), Crashloop, Launch) // an operator's new try
+	expect(t, l, l.Want(at(1000), true, 2), Crashloop, Launch) // an operator's new attempt
 }
 
 func TestUnreadyAfterThreeFailures(t *testing.T) {
@@ -80,13 +80,13 @@
 	expect(t, m, m.Want(at(0), true, 3), Draining, Terminate)
 }
 
-// A new generation starts beside the one that serves, which ends once it is ready.
-func TestBeside(t *testing.T) {
+// A new generation starts next to the serving one, which is terminated once it is ready.
+func TestReplacementWaitsForReady(t *testing.T) {
 	l := New(cfg, t0)
 	l.SetSideBySide(true)
 	expect(t, l, l.Want(at(0), true, 1), Stopped, Launch)
 	expect(t, l, l.Launched(at(0)), Starting)
-	expect(t, l, l.Want(at(0.5), true, 2), Draining, Terminate) // it serves nobody: nothing to keep
+	expect(t, l, l.Want(at(0.5), true, 2), Draining, Terminate) // it does not serve yet: nothing is preserved
 	expect(t, l, l.Exited(at(1), "exit status 0"), Stopped, Launch)
 	l.Launched(at(1))
 	l.Health(at(1), true, "")
@@ -108,7 +108,7 @@
 	}
 }
 
-// serving is an instance whose process of generation 1 serves, and hands over.
+// serving returns an instance whose process of generation 1 serves and can hand over.
 func serving() *Supervisor {
 	l := New(cfg, t0)
 	l.SetSideBySide(true)
@@ -118,9 +118,9 @@
 	return l
 }
 
-// A new process that ends before it is ready, can't be started or is given up leaves the
-// old one serving, and is not tried again.
-func TestBesideFails(t *testing.T) {
+// If a new process exits before it is ready, can't be started or is given up, the previous
+// one continues to serve, and the generation is not tried again.
+func TestFailedReplacementKeepsPreviousServing(t *testing.T) {
 	for name, fail := range map[string]func(l *Supervisor){
 		"ends": func(l *Supervisor) {
 			expect(t, l, l.Launched(at(2)), Starting)
@@ -145,14 +145,15 @@
 			}
 			expect(t, l, l.Tick(at(100)), Ready)
 			expect(t, l, l.Want(at(100), true, 2), Ready)
-			expect(t, l, l.Want(at(101), true, 3), Ready, Launch) // an operator's new try
+			expect(t, l, l.Want(at(101), true, 3), Ready, Launch) // an operator's new attempt
 		})
 	}
 }
 
-// The new process crashes while the old one ends: what is wanted is launched anew after
-// that. The old one crashes while the new one starts: the new one goes on.
-func TestBesideCrashes(t *testing.T) {
+// If the new process crashes while the previous one drains, the wanted generation is
+// launched after that. If the previous one crashes while the new one starts, the new one
+// continues.
+func TestCrashDuringReplacement(t *testing.T) {
 	begin := func() *Supervisor {
 		l := serving()
 		l.Want(at(2), true, 2)
@@ -173,7 +174,7 @@
 	expect(t, l, l.Want(at(3), false, 2), Draining, Kill)
 	expect(t, l, l.Exited(at(3), "killed"), Draining, Terminate)
 	expect(t, l, l.Exited(at(4), "exit status 0"), Stopped)
-	m := New(cfg, t0) // found by an agent that was away
+	m := New(cfg, t0) // found by a restarted agent
 	m.Adopt(t0, 2)
 	m.AdoptPrevious(1)
 	expect(t, m, m.Want(at(0), true, 2), Starting)
@@ -181,10 +182,11 @@
 	expect(t, m, m.Tick(at(1)), Ready, TerminatePrevious)
 }
 
-// For any events: a process beside another only where both hand over and that one
-// serves, never a third, the old one asked to end only once the new one was ready or
-// none is wanted, SIGKILL only KillAfter after SIGTERM and only once, or to one that
-// never served; and what is wanted comes about once events stop.
+// For every sequence of events: a second process starts only where both can hand over
+// and the first one serves, and there is never a third; the previous one is terminated
+// only once the new one was ready or none is wanted; SIGKILL is sent once, KillAfter
+// after SIGTERM or to a process that never served; and the wanted state is reached once
+// events stop.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type process struct {
@@ -195,17 +197,17 @@
 		}
 		now := t0
 		l := New(cfg, now)
-		var old, cur *process
-		gen, want, beside := int64(1), false, false
+		var previous, current *process
+		generation, want, sideBySide := int64(1), false, false
 		kill := func(p *process) {
-			if p == nil || p.killed || (p.term.IsZero() || now.Sub(p.term) < cfg.KillAfter) && !(p == cur && old != nil && !p.ready) {
-				t.Fatal("SIGKILL too early, twice or to none")
+			if p == nil || p.killed || (p.term.IsZero() || now.Sub(p.term) < cfg.KillAfter) && !(p == current && previous != nil && !p.ready) {
+				t.Fatal("SIGKILL too early, twice or to no process")
 			}
 			p.killed = true
 		}
 		term := func(p *process) {
 			if p == nil || !p.term.IsZero() {
-				t.Fatal("SIGTERM to none, or twice")
+				t.Fatal("SIGTERM to no process, or twice")
 			}
 			p.term = now
 		}
@@ -215,38 +217,38 @@
 			for _, k := range ks {
 				switch k {
 				case Launch:
-					if old != nil || cur != nil && !(beside && cur.ready && cur.term.IsZero()) {
-						t.Fatal("a process too many")
+					if previous != nil || current != nil && !(sideBySide && current.ready && current.term.IsZero()) {
+						t.Fatal("one process too many")
 					}
 					if fail && rapid.IntRange(0, 4).Draw(t, "fails") == 0 {
 						do(l.LaunchFailed(now, "no"))
 						continue
 					}
-					old, cur = cur, &process{generation: gen}
+					previous, current = current, &process{generation: generation}
 					do(l.Launched(now))
 				case Terminate:
-					term(cur)
+					term(current)
 				case TerminatePrevious:
-					if want && !cur.ready {
-						t.Fatal("the old one is asked to end before the new one serves")
+					if want && !current.ready {
+						t.Fatal("the previous process is terminated before the new one serves")
 					}
-					term(old)
+					term(previous)
 				case Kill:
-					kill(cur)
+					kill(current)
 				case KillPrevious:
-					kill(old)
+					kill(previous)
 				}
 			}
 		}
 		exit := func() {
-			if cur != nil {
-				cur, old = old, nil
+			if current != nil {
+				current, previous = previous, nil
 				do(l.Exited(now, "gone"))
 			}
 		}
-		exitOld := func() {
-			if old != nil {
-				old = nil
+		exitPrevious := func() {
+			if previous != nil {
+				previous = nil
 				do(l.PreviousExited(now))
 			}
 		}
@@ -254,21 +256,21 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 7).Draw(t, "event") {
 			case 0:
-				gen += int64(rapid.IntRange(0, 1).Draw(t, "new"))
+				generation += int64(rapid.IntRange(0, 1).Draw(t, "new"))
 				want = rapid.Bool().Draw(t, "run")
-				beside = rapid.Bool().Draw(t, "beside")
-				l.SetSideBySide(beside)
-				do(l.Want(now, want, gen))
+				sideBySide = rapid.Bool().Draw(t, "sideBySide")
+				l.SetSideBySide(sideBySide)
+				do(l.Want(now, want, generation))
 			case 1:
 				exit()
 			case 2:
-				exitOld()
+				exitPrevious()
 			case 3:
 				do(l.GiveUp(now, "late"))
 			case 4, 5:
 				ok := rapid.Bool().Draw(t, "healthy")
-				if cur != nil && ok && cur.term.IsZero() && !cur.killed {
-					cur.ready = true
+				if current != nil && ok && current.term.IsZero() && !current.killed {
+					current.ready = true
 				}
 				l.Health(now, ok, "")
 			default:
@@ -276,24 +278,24 @@
 			}
 		}
 		fail = false
-		gen++
-		do(l.Want(now, want, gen))
+		generation++
+		do(l.Want(now, want, generation))
 		for range 12 {
-			if old != nil && !old.term.IsZero() {
-				exitOld()
+			if previous != nil && !previous.term.IsZero() {
+				exitPrevious()
 			}
-			if cur != nil && (!cur.term.IsZero() || cur.killed) {
+			if current != nil && (!current.term.IsZero() || current.killed) {
 				exit()
 			}
-			if cur != nil && cur.term.IsZero() {
-				cur.ready = true
+			if current != nil && current.term.IsZero() {
+				current.ready = true
 				l.Health(now, true, "")
 			}
 			now = now.Add(10 * time.Second)
 			do(l.Tick(now))
 		}
-		if (cur != nil) != want || old != nil || want && l.Process() != gen || !l.Settled() {
-			t.Fatalf("wanted %v of %d: process %d, old %d, %s", want, gen, l.Process(), l.Previous(), l.Phase())
+		if (current != nil) != want || previous != nil || want && l.Process() != generation || !l.Settled() {
+			t.Fatalf("wanted %v of %d: process %d, previous %d, %s", want, generation, l.Process(), l.Previous(), l.Phase())
 		}
 	})
 }
