--- a/internal/fleet/control/client/staged.go
+++ b/internal/fleet/control/client/staged.go
@@ -240,7 +240,7 @@
 	if s.r.m.Why() != "" {
 		return // it was stopped, for this or another reason
 	}
-	if slot < 0 || s.busy || s.dirty || slot <= s.m.State().Looked {
+	if slot < 0 || s.busy || s.dirty || slot <= s.m.State().LastSlot {
 		if s.dirty && !s.busy {
 			s.write()
 		}
@@ -253,7 +253,7 @@
 		}
 	}
 	before := s.m.State()
-	changed := s.m.Look(stage.Look{Slot: slot, HistorySlots: s.j.CompleteSlots(slot + 1), Judgement: s.last, Settled: s.r.m.Settled(), Blind: s.blind()})
+	changed := s.m.Observe(stage.Observation{Slot: slot, HistorySlots: s.j.CompleteSlots(slot + 1), Judgement: s.last, Settled: s.r.m.Settled(), EvidenceGap: s.blind()})
 	state := s.m.State()
 	if before.Stage == 0 && state.Stage > 0 {
 		s.note.Start = slot + 1
@@ -386,7 +386,7 @@
 			after = out.Last
 		}
 	}
-	for slot := note.Start; slot <= note.State.Looked; slot++ {
+	for slot := note.Start; slot <= note.State.LastSlot; slot++ {
 		series = append(series, e.j.Evaluate(slot+1))
 	}
 	return series, missing, nil
--- a/internal/fleet/stage/stage.go
+++ b/internal/fleet/stage/stage.go
@@ -43,7 +43,7 @@
 type State struct {
 	Stage       int    `msgpack:"stage" json:"stage"` // 0: none has begun
 	Slots       int    `msgpack:"slots" json:"slots"` // of evidence in it, holds aside
-	Looked      int    `msgpack:"looked" json:"looked"`
+	LastSlot    int    `msgpack:"looked" json:"looked"`
 	HoldReason  string `msgpack:"held" json:"held,omitempty"` // why it waits for an operator
 	PauseReason string `msgpack:"pause" json:"pause,omitempty"`
 	Worse       string `msgpack:"worse" json:"worse,omitempty"` // why it was stopped
@@ -52,13 +52,13 @@
 	From int `msgpack:"from" json:"from"`
 }
 
-// Look is what is known at the end of a slot.
-type Look struct {
+// Observation is what is known at the end of a slot.
+type Observation struct {
 	Slot         int // its number; a slot is looked at once
 	HistorySlots int // slots of the past that there are
 	Judgement    canary.Judgement
 	Settled      bool   // every target of the stages so far has come to its end
-	Blind        string // why the evidence is not whole, "" if it is
+	EvidenceGap  string // why the evidence is not whole, "" if it is
 }
 
 // Machine walks a plan.
@@ -112,23 +112,23 @@
 	m.state.Stage++
 }
 
-// Look takes what is known at a slot's end, and says whether the state has changed
+// Observe takes what is known at a slot's end, and says whether the state has changed
 // in a way that is to be written down before anything is done.
-func (m *Machine) Look(l Look) (changed bool) {
+func (m *Machine) Observe(l Observation) (changed bool) {
 	s := &m.state
-	if s.Done || s.Worse != "" || s.Looked >= l.Slot {
+	if s.Done || s.Worse != "" || s.LastSlot >= l.Slot {
 		return false
 	}
 	before := *s
-	s.Looked = l.Slot
+	s.LastSlot = l.Slot
 	defer func() {
-		before.Looked, before.Slots = s.Looked, s.Slots // each slot's passing is no news by itself
+		before.LastSlot, before.Slots = s.LastSlot, s.Slots // each slot's passing is no news by itself
 		changed = before != *s
 	}()
 	if s.Stage == 0 {
 		switch {
-		case l.Blind != "":
-			s.PauseReason = l.Blind
+		case l.EvidenceGap != "":
+			s.PauseReason = l.EvidenceGap
 		case l.HistorySlots < m.plan.HistorySlots:
 			s.PauseReason = fmt.Sprintf("%d of %d slots of the past are there", l.HistorySlots, m.plan.HistorySlots)
 		default:
@@ -144,8 +144,8 @@
 	switch {
 	case !l.Settled:
 		return // its time begins once all of it runs
-	case l.Blind != "":
-		s.PauseReason = l.Blind
+	case l.EvidenceGap != "":
+		s.PauseReason = l.EvidenceGap
 		return
 	case len(l.Judgement.Suffering) > 0:
 		x := l.Judgement.Suffering[0]
--- a/internal/fleet/stage/stage_test.go
+++ b/internal/fleet/stage/stage_test.go
@@ -100,13 +100,13 @@
 func TestStages(t *testing.T) {
 	bad := canary.Judgement{Verdict: canary.Worse, Evidence: []canary.Evidence{{Test: canary.Test{Measure: canary.WeightedLoss}, Verdict: canary.Worse}}}
 	unclear := canary.Judgement{Verdict: canary.Inconclusive, Evidence: []canary.Evidence{{Verdict: canary.Inconclusive, Why: "too little traffic"}}}
-	looks := map[string]Look{
+	looks := map[string]Observation{
 		"young":   {HistorySlots: 2, Settled: true},
 		"good":    {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}},
 		"moving":  {HistorySlots: 9, Judgement: canary.Judgement{Verdict: canary.NotWorse}},
 		"unclear": {HistorySlots: 9, Settled: true, Judgement: unclear},
 		"worse":   {HistorySlots: 9, Judgement: bad},
-		"blind":   {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}, Blind: "no evidence of h1"},
+		"blind":   {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}, EvidenceGap: "no evidence of h1"},
 		"bad day": {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse, Suffering: []canary.Degradation{{Measure: canary.Rejections}}}},
 	}
 	plan := Plan{Upto: []int{1, 5, 10}, MinDuration: 2 * time.Second, MaxDuration: 4 * time.Second, Slot: time.Second, HistorySlots: 3, OnInconclusive: Hold}
@@ -135,9 +135,9 @@
 					t.Errorf("%s: %v", name, err)
 				}
 			case "same":
-				m.Look(Look{Slot: 2, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}})
+				m.Observe(Observation{Slot: 2, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}})
 			default:
-				m.Look(l)
+				m.Observe(l)
 			}
 			s := m.State()
 			text := fmt.Sprintf("%d:%d", s.Stage, m.Open())
