--- a/internal/fleet/stage/draw.go
+++ b/internal/fleet/stage/draw.go
@@ -1,11 +1,15 @@
-// Package stage decides how a change goes through a fleet in stages: who is in
-// which (draw.go), and after each look at the evidence whether to go on, to wait,
-// to hold or to stop (stage.go). It is pure: it does no I/O and reads no clock.
+// Package stage decides how a change proceeds through a fleet in stages: the order of
+// the instances (draw.go) and, after each slot of evidence, whether to continue, wait,
+// hold or stop (stage.go). It is pure: it does no I/O and reads no clock.
 //
-// It promises: the same members and seed give the same order; each stage holds the
-// one before it; every beginning of the order takes from each zone its share,
-// rounded, and spreads over traffic, hosts and shops within it; a stage is left only
-// on "not worse" or by an operator's word, never by silence.
+// It promises: the same members and seed give the same order; each stage includes the
+// one before it; every prefix of the order takes from each zone in proportion to its
+// size, rounded, and spreads over traffic, hosts and shops within the zone; a stage is
+// left only on "not worse" or on an operator's order, never for lack of evidence
+// unless the plan says so.
+//
+// It does not judge the evidence (package canary does) and changes no instance (package
+// rollout decides on the steps within a stage).
 package stage
 
 import (
@@ -25,93 +29,158 @@
 	Rate           float64 // requests a second, of late; 0 if not known
 }
 
-// bands is how many bands of traffic a zone's members are told apart by.
-const bands = 4
+// trafficBands is the number of bands by traffic that a zone's members are divided into.
+const trafficBands = 4
+
+// Factors small enough to break ties only.
+const (
+	zoneTieBreak   = 1e-9
+	bandTolerance  = 1e-9
+	memberTieBreak = 1e-6
+)
 
-// Draw returns the members' numbers in the order in which they are changed.
+// Draw returns the members' indices in the order in which they are changed.
 func Draw(members []Member, seed uint64) []int {
 	rng := rand.New(rand.NewPCG(seed, 3))
-	// What the caller's order says must not matter.
-	order := make([]int, len(members))
-	for i := range order {
-		order[i] = i
+	d := newDrawing(members, rng)
+	// Ties between zones are broken by the seed, in the same way throughout.
+	zoneRank := rng.Perm(len(d.zones))
+	order := make([]int, 0, len(members))
+	for len(order) < len(members) {
+		zone := d.mostBehind(len(order)+1, zoneRank)
+		band := zone.mostBehind()
+		member := zone.take(band, d.leastExposed(zone.remaining[band]))
+		d.count(member)
+		order = append(order, member)
 	}
-	slices.SortFunc(order, func(a, b int) int {
-		x, y := &members[a], &members[b]
-		return cmp.Or(cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.Rate, y.Rate), cmp.Compare(x.Host, y.Host), cmp.Compare(x.Instance, y.Instance))
-	})
-	luck := make([]float64, len(members))
-	band := make([]int, len(members))
-	type group struct {
-		left  [bands][]int
-		size  [bands]int
-		all   int
-		taken [bands]int
-		total int
-	}
-	var zones []*group
-	place := make(map[string]*group)
-	count := make(map[string]int) // members of a zone seen, for their bands
-	for _, i := range order {
-		z := place[members[i].Zone]
-		if z == nil {
-			z = &group{}
-			place[members[i].Zone] = z
-			zones = append(zones, z)
+	return order
+}
+
+// drawing is the state of one Draw.
+type drawing struct {
+	members []Member
+	random  []float64 // for each member, to break ties
+	zones   []*drawnZone
+	hosts   map[string]drawnCount
+	shops   map[string]drawnCount
+}
+
+// drawnCount is how many of a group's members are drawn, and how many there are.
+type drawnCount struct{ drawn, total int }
+
+// fraction is the part of the group that is drawn.
+func (c drawnCount) fraction() float64 { return float64(c.drawn) / float64(c.total) }
+
+// drawnZone is the members of a zone by traffic band.
+type drawnZone struct {
+	remaining   [trafficBands][]int // members not drawn yet
+	bandSize    [trafficBands]int
+	drawnOfBand [trafficBands]int
+	size        int
+	drawn       int
+}
+
+// newDrawing draws one random number for each member, in an order that does not depend
+// on the caller's.
+func newDrawing(members []Member, rng *rand.Rand) *drawing {
+	d := &drawing{members: members, random: make([]float64, len(members)), hosts: make(map[string]drawnCount), shops: make(map[string]drawnCount)}
+	sorted := sortedByZoneAndRate(members)
+	zones := make(map[string]*drawnZone)
+	for _, i := range sorted {
+		zone := zones[members[i].Zone]
+		if zone == nil {
+			zone = &drawnZone{}
+			zones[members[i].Zone] = zone
+			d.zones = append(d.zones, zone)
 		}
-		z.all++
-		luck[i] = rng.Float64()
+		zone.size++
+		d.random[i] = rng.Float64()
 	}
-	for _, i := range order {
-		z := place[members[i].Zone]
-		band[i] = count[members[i].Zone] * bands / z.all
-		count[members[i].Zone]++
-		z.left[band[i]] = append(z.left[band[i]], i)
-		z.size[band[i]]++
+	seen := make(map[string]int) // members of a zone so far
+	for _, i := range sorted {
+		name := members[i].Zone
+		zone := zones[name]
+		band := seen[name] * trafficBands / zone.size
+		seen[name]++
+		zone.remaining[band] = append(zone.remaining[band], i)
+		zone.bandSize[band]++
 	}
-	hosts, shops := make(map[string][2]int), make(map[string][2]int) // taken, all
 	for _, m := range members {
-		h, s := hosts[m.Host], shops[m.Shop]
-		hosts[m.Host], shops[m.Shop] = [2]int{0, h[1] + 1}, [2]int{0, s[1] + 1}
+		d.hosts[m.Host] = drawnCount{total: d.hosts[m.Host].total + 1}
+		d.shops[m.Shop] = drawnCount{total: d.shops[m.Shop].total + 1}
 	}
-	// Ties between zones and bands are broken by the seed, one way throughout.
-	zoneLuck := rng.Perm(len(zones))
-	out := make([]int, 0, len(members))
-	for k := 1; len(out) < len(members); k++ {
-		// The zone that lags furthest behind its share, then its band likewise.
-		var z *group
-		best := math.Inf(-1)
-		for n, g := range zones {
-			lag := float64(k*g.all)/float64(len(members)) - float64(g.total) + 1e-9*float64(zoneLuck[n])
-			if g.total < g.all && lag > best {
-				z, best = g, lag
-			}
+	return d
+}
+
+// sortedByZoneAndRate returns the members' indices by zone, and by traffic within a zone.
+func sortedByZoneAndRate(members []Member) []int {
+	sorted := make([]int, len(members))
+	for i := range sorted {
+		sorted[i] = i
+	}
+	slices.SortFunc(sorted, func(a, b int) int {
+		x, y := &members[a], &members[b]
+		return cmp.Or(cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.Rate, y.Rate), cmp.Compare(x.Host, y.Host), cmp.Compare(x.Instance, y.Instance))
+	})
+	return sorted
+}
+
+// mostBehind returns the zone that is furthest behind its share of the first count
+// members of the order.
+func (d *drawing) mostBehind(count int, zoneRank []int) *drawnZone {
+	var zone *drawnZone
+	best := math.Inf(-1)
+	for n, z := range d.zones {
+		lag := float64(count*z.size)/float64(len(d.members)) - float64(z.drawn) + zoneTieBreak*float64(zoneRank[n])
+		if z.drawn < z.size && lag > best {
+			zone, best = z, lag
 		}
-		b := -1
-		best = math.Inf(-1)
-		for n := range bands {
-			lag := float64((z.total+1)*z.size[n])/float64(z.all) - float64(z.taken[n])
-			if len(z.left[n]) > 0 && lag > best+1e-9 {
-				b, best = n, lag
-			}
+	}
+	return zone
+}
+
+// mostBehind returns the band that is furthest behind its share of the zone's next draw.
+func (z *drawnZone) mostBehind() int {
+	band := -1
+	best := math.Inf(-1)
+	for n := range trafficBands {
+		lag := float64((z.drawn+1)*z.bandSize[n])/float64(z.size) - float64(z.drawnOfBand[n])
+		if len(z.remaining[n]) > 0 && lag > best+bandTolerance {
+			band, best = n, lag
 		}
-		// Of the band, who has the fewest of host and shop before them.
-		at, least := 0, math.Inf(1)
-		for n, i := range z.left[b] {
-			h, s := hosts[members[i].Host], shops[members[i].Shop]
-			if v := float64(h[0])/float64(h[1]) + float64(s[0])/float64(s[1]) + 1e-6*luck[i]; v < least {
-				at, least = n, v
-			}
+	}
+	return band
+}
+
+// take removes and returns the band's remaining member at the given position.
+func (z *drawnZone) take(band, at int) int {
+	member := z.remaining[band][at]
+	z.remaining[band] = slices.Delete(z.remaining[band], at, at+1)
+	z.drawnOfBand[band]++
+	z.drawn++
+	return member
+}
+
+// leastExposed returns the position of the candidate of whose host and shop the smallest
+// parts are drawn.
+func (d *drawing) leastExposed(candidates []int) int {
+	at, least := 0, math.Inf(1)
+	for n, i := range candidates {
+		host, shop := d.hosts[d.members[i].Host], d.shops[d.members[i].Shop]
+		if v := host.fraction() + shop.fraction() + memberTieBreak*d.random[i]; v < least {
+			at, least = n, v
 		}
-		i := z.left[b][at]
-		z.left[b] = slices.Delete(z.left[b], at, at+1)
-		z.taken[b]++
-		z.total++
-		h, s := hosts[members[i].Host], shops[members[i].Shop]
-		hosts[members[i].Host], shops[members[i].Shop] = [2]int{h[0] + 1, h[1]}, [2]int{s[0] + 1, s[1]}
-		out = append(out, i)
 	}
-	return out
+	return at
+}
+
+// count adds a drawn member to the counts of its host and shop.
+func (d *drawing) count(member int) {
+	m := &d.members[member]
+	host, shop := d.hosts[m.Host], d.shops[m.Shop]
+	host.drawn++
+	shop.drawn++
+	d.hosts[m.Host], d.shops[m.Shop] = host, shop
 }
 
 // Sizes reads stages as operators write them, such as "1,2%,10%,50%,100%", for n
