--- a/internal/fleet/stage/draw.go
+++ b/internal/fleet/stage/draw.go
@@ -26,7 +26,7 @@
 type Member struct {
 	Host, Instance string
 	Zone, Shop     string  // "" where it has none
-	Rate           float64 // requests a second, of late; 0 if not known
+	Rate           float64 // recent requests per second; 0 if unknown
 }
 
 // trafficBands is the number of bands by traffic that a zone's members are divided into.
@@ -183,9 +183,9 @@
 	d.hosts[m.Host], d.shops[m.Shop] = host, shop
 }
 
-// Sizes reads stages as operators write them, such as "1,2%,10%,50%,100%", for n
-// members: how many run the change by the end of each. Stages that come out no
-// larger than the one before are left out; the last must hold all.
+// Sizes parses stages as operators write them, such as "1,2%,10%,50%,100%", for n
+// members. It returns how many members run the change by the end of each stage. Stages
+// that are not larger than the one before are omitted; the last must include all.
 func Sizes(text string, n int) ([]int, error) {
 	var out []int
 	for _, part := range strings.Split(text, ",") {
--- a/internal/fleet/stage/stage.go
+++ b/internal/fleet/stage/stage.go
@@ -8,24 +8,24 @@
 	"martendrum/internal/fleet/canary"
 )
 
-// What is done on a verdict.
+// What is done when a stage has lasted MaxDuration without a conclusive verdict.
 const (
-	Hold = "hold" // nothing new is changed until an operator says so, or it passes
-	GoOn = "go-on"
+	Hold = "hold"  // no further change begins until an operator releases the stage or it passes
+	GoOn = "go-on" // the next stage begins
 )
 
-// Plan is what stages there are. Times are of evidence: time in which nobody
-// looked, or in which a hold was on, does not count.
+// Plan is the stages of a change. Durations are of evidence: time without an
+// observation, and time that a pause took, does not count.
 type Plan struct {
 	Upto           []int         `msgpack:"Upto" json:"Upto"` // how many targets, in order, run the change by the end of each stage
 	MinDuration    time.Duration `msgpack:"Least" json:"Least"`
 	MaxDuration    time.Duration `msgpack:"Longest" json:"Longest"`
 	Slot           time.Duration `msgpack:"Slot" json:"Slot"`
-	HistorySlots   int           `msgpack:"Past" json:"Past"`             // slots of the past that are wanted before anything is changed
-	OnInconclusive string        `msgpack:"OnCantTell" json:"OnCantTell"` // at Longest: Hold or GoOn
+	HistorySlots   int           `msgpack:"Past" json:"Past"`             // slots of history required before anything is changed
+	OnInconclusive string        `msgpack:"OnCantTell" json:"OnCantTell"` // at MaxDuration: Hold or GoOn
 }
 
-// Check says what is wrong with a plan for n targets.
+// Check returns an error that names the invalid values of a plan for n targets.
 func (p *Plan) Check(n int) error {
 	switch {
 	case len(p.Upto) == 0 || p.Upto[len(p.Upto)-1] != n || p.Upto[0] < 1 || !slices.IsSorted(p.Upto):
@@ -38,36 +38,36 @@
 	return nil
 }
 
-// State is where a change stands. It is written down by those who carry it out, so
-// that whoever goes on with it starts from there.
+// State is the progress of a change. The driver stores it, so that another run of a
+// command can resume from it.
 type State struct {
-	Stage       int    `msgpack:"stage" json:"stage"` // 0: none has begun
-	Slots       int    `msgpack:"slots" json:"slots"` // of evidence in it, holds aside
+	Stage       int    `msgpack:"stage" json:"stage"` // 1 for the first; 0: none has begun
+	Slots       int    `msgpack:"slots" json:"slots"` // of evidence in the stage, without pauses
 	LastSlot    int    `msgpack:"looked" json:"looked"`
 	HoldReason  string `msgpack:"held" json:"held,omitempty"` // why it waits for an operator
 	PauseReason string `msgpack:"pause" json:"pause,omitempty"`
 	Worse       string `msgpack:"worse" json:"worse,omitempty"` // why it was stopped
 	Done        bool   `msgpack:"done" json:"done"`
-	// From is the place in the order at which the present stage begins.
+	// From is the index in the order at which the current stage begins.
 	From int `msgpack:"from" json:"from"`
 }
 
 // Observation is what is known at the end of a slot.
 type Observation struct {
-	Slot         int // its number; a slot is looked at once
-	HistorySlots int // slots of the past that there are
+	Slot         int // its number; a slot is observed once
+	HistorySlots int // complete slots of history
 	Judgement    canary.Judgement
-	Settled      bool   // every target of the stages so far has come to its end
-	EvidenceGap  string // why the evidence is not whole, "" if it is
+	Settled      bool   // every target of the stages so far has been changed or has failed
+	EvidenceGap  string // why the evidence is incomplete, "" if it is complete
 }
 
-// Machine walks a plan.
+// Machine moves a change through the stages of a plan.
 type Machine struct {
 	plan  Plan
 	state State
 }
 
-// New returns a machine at the given state: the zero one, or what was written down.
+// New returns a machine in the given state: the zero state, or a stored one.
 func New(p Plan, s State, n int) (*Machine, error) {
 	if err := p.Check(n); err != nil {
 		return nil, fmt.Errorf("stages: %w", err)
@@ -78,10 +78,10 @@
 	return &Machine{plan: p, state: s}, nil
 }
 
-// State is where the change stands.
+// State is the progress of the change.
 func (m *Machine) State() State { return m.state }
 
-// Open is how many targets, in order, may be changed by now.
+// Open is how many targets, in order, may be changed so far.
 func (m *Machine) Open() int {
 	if m.state.Stage == 0 {
 		return 0
@@ -89,8 +89,9 @@
 	return m.plan.Upto[m.state.Stage-1]
 }
 
-// Release is an operator's word that a held change goes on to its next stage,
-// whatever can't be told. It says why not, if it may not.
+// Release is an operator's order to move a held change to its next stage although the
+// evidence is inconclusive. It returns an error if the change is not held or was
+// judged worse.
 func (m *Machine) Release() error {
 	switch {
 	case m.state.Worse != "":
@@ -102,6 +103,7 @@
 	return nil
 }
 
+// next enters the next stage, or ends the plan after the last one.
 func (m *Machine) next() {
 	m.state.From = m.Open()
 	m.state.Slots, m.state.HoldReason, m.state.PauseReason = 0, "", ""
@@ -112,43 +114,52 @@
 	m.state.Stage++
 }
 
-// Observe takes what is known at a slot's end, and says whether the state has changed
-// in a way that is to be written down before anything is done.
-func (m *Machine) Observe(l Observation) (changed bool) {
+// Observe takes the observation of a slot. It reports whether the state has changed in a
+// way that must be stored before anything is done.
+func (m *Machine) Observe(o Observation) (changed bool) {
 	s := &m.state
-	if s.Done || s.Worse != "" || s.LastSlot >= l.Slot {
+	if s.Done || s.Worse != "" || s.LastSlot >= o.Slot {
 		return false
 	}
 	before := *s
-	s.LastSlot = l.Slot
-	defer func() {
-		before.LastSlot, before.Slots = s.LastSlot, s.Slots // each slot's passing is no news by itself
-		changed = before != *s
-	}()
-	if s.Stage == 0 {
-		switch {
-		case l.EvidenceGap != "":
-			s.PauseReason = l.EvidenceGap
-		case l.HistorySlots < m.plan.HistorySlots:
-			s.PauseReason = fmt.Sprintf("%d of %d slots of the past are there", l.HistorySlots, m.plan.HistorySlots)
-		default:
-			m.next()
-		}
-		return
+	s.LastSlot = o.Slot
+	switch {
+	case s.Stage == 0:
+		m.observeHistory(o)
+	case o.Judgement.Verdict == canary.Worse:
+		s.Worse, s.HoldReason, s.PauseReason = o.Judgement.Evidence[0].String(), "", ""
+	default:
+		m.observeStage(o)
 	}
-	if l.Judgement.Verdict == canary.Worse {
-		s.Worse, s.HoldReason, s.PauseReason = l.Judgement.Evidence[0].String(), "", ""
-		return
+	before.LastSlot, before.Slots = s.LastSlot, s.Slots // the passing of a slot alone is no change
+	return before != *s
+}
+
+// observeHistory begins the first stage once there is enough history.
+func (m *Machine) observeHistory(o Observation) {
+	switch {
+	case o.EvidenceGap != "":
+		m.state.PauseReason = o.EvidenceGap
+	case o.HistorySlots < m.plan.HistorySlots:
+		m.state.PauseReason = fmt.Sprintf("%d of %d slots of the past are there", o.HistorySlots, m.plan.HistorySlots)
+	default:
+		m.next()
 	}
+}
+
+// observeStage counts a slot of evidence, unless something pauses the stage, and decides
+// whether the stage ends or holds.
+func (m *Machine) observeStage(o Observation) {
+	s := &m.state
 	s.PauseReason = ""
 	switch {
-	case !l.Settled:
-		return // its time begins once all of it runs
-	case l.EvidenceGap != "":
-		s.PauseReason = l.EvidenceGap
+	case !o.Settled:
+		return // the stage's time begins once all of its targets run the change
+	case o.EvidenceGap != "":
+		s.PauseReason = o.EvidenceGap
 		return
-	case len(l.Judgement.Suffering) > 0:
-		x := l.Judgement.Suffering[0]
+	case len(o.Judgement.Suffering) > 0:
+		x := o.Judgement.Suffering[0]
 		s.PauseReason = fmt.Sprintf("the unchanged ones do worse than before (%s %.4g, was %.4g): the change's doing or a bad day, which can't be told apart", x.Measure, x.Now, x.Usual)
 		return
 	}
@@ -156,22 +167,21 @@
 	spent := time.Duration(s.Slots) * m.plan.Slot
 	switch {
 	case s.HoldReason != "":
-		if l.Judgement.Verdict == canary.NotWorse {
-			m.next() // what was missing has come
+		if o.Judgement.Verdict == canary.NotWorse {
+			m.next() // the missing evidence has arrived
 		}
 	case spent < m.plan.MinDuration:
-	case l.Judgement.Verdict == canary.NotWorse:
+	case o.Judgement.Verdict == canary.NotWorse:
 		m.next()
 	case spent < m.plan.MaxDuration:
 	case m.plan.OnInconclusive == GoOn:
 		m.next()
 	default:
-		s.HoldReason = fmt.Sprintf("after %v it can't be told whether stage %d does worse: %s", spent, s.Stage, missing(l.Judgement))
+		s.HoldReason = fmt.Sprintf("after %v it can't be told whether stage %d does worse: %s", spent, s.Stage, missing(o.Judgement))
 	}
-	return
 }
 
-// missing names the first test that can't be told.
+// missing names the first inconclusive test that holds the change.
 func missing(j canary.Judgement) string {
 	for _, e := range j.Evidence {
 		if e.Verdict == canary.Inconclusive && !e.Aside {
