--- a/internal/fleet/stage/stage_test.go
+++ b/internal/fleet/stage/stage_test.go
@@ -32,7 +32,7 @@
 		if again := Draw(members, seed); !slices.Equal(order, again) {
 			t.Fatal("the same seed gave another order")
 		}
-		// From the same members in another order: the same instances.
+		// The same members in another order give the same order of instances.
 		turned := slices.Clone(members)
 		slices.Reverse(turned)
 		for k, i := range Draw(turned, seed) {
@@ -52,7 +52,7 @@
 	})
 }
 
-// A half of a fleet has its half of the quiet and of the busy, and of each host.
+// Half of a fleet carries about half of the traffic and half of each host's members.
 func TestDrawSpreads(t *testing.T) {
 	var members []Member
 	for i := range 120 {
@@ -96,7 +96,8 @@
 	}
 }
 
-// A script of looks, and what came of each: stage, open targets, and why it waits.
+// A script of observations, and the state after each: stage, open targets, and whether it
+// pauses (?) or holds (!).
 func TestStages(t *testing.T) {
 	bad := canary.Judgement{Verdict: canary.Worse, Evidence: []canary.Evidence{{Test: canary.Test{Measure: canary.WeightedLoss}, Verdict: canary.Worse}}}
 	unclear := canary.Judgement{Verdict: canary.Inconclusive, Evidence: []canary.Evidence{{Verdict: canary.Inconclusive, Why: "too little traffic"}}}
@@ -111,58 +112,60 @@
 	}
 	plan := Plan{Upto: []int{1, 5, 10}, MinDuration: 2 * time.Second, MaxDuration: 4 * time.Second, Slot: time.Second, HistorySlots: 3, OnInconclusive: Hold}
 	for name, c := range map[string]struct{ script, want string }{
-		"passes":               {"young good good good good good good good", "0:0 1:1 1:1 2:5 2:5 3:10 3:10 done"},
-		"worse stops":          {"good good worse good", "1:1 1:1 worse worse"},
-		"waits for the steps":  {"good moving moving good good", "1:1 1:1 1:1 1:1 2:5"},
-		"blind does not count": {"good good blind blind good", "1:1 1:1 1:1? 1:1? 2:5"},
-		"a bad day neither":    {"good good bad.day good", "1:1 1:1 1:1? 2:5"},
-		"not begun blind":      {"blind good", "0:0? 1:1"},
-		"holds, then passes":   {"good unclear unclear unclear unclear unclear good", "1:1 1:1 1:1 1:1 1:1! 1:1! 2:5"},
-		"let go on":            {"good unclear unclear unclear unclear release unclear", "1:1 1:1 1:1 1:1 1:1! 2:5 2:5"},
-		"told twice":           {"good good same same good", "1:1 1:1 1:1 1:1 2:5"},
+		"passes":                              {"young good good good good good good good", "0:0 1:1 1:1 2:5 2:5 3:10 3:10 done"},
+		"worse stops":                         {"good good worse good", "1:1 1:1 worse worse"},
+		"waits until all targets are changed": {"good moving moving good good", "1:1 1:1 1:1 1:1 2:5"},
+		"slots with an evidence gap do not count":      {"good good blind blind good", "1:1 1:1 1:1? 1:1? 2:5"},
+		"degraded unchanged instances pause the stage": {"good good bad.day good", "1:1 1:1 1:1? 2:5"},
+		"does not begin with an evidence gap":          {"blind good", "0:0? 1:1"},
+		"holds, then passes":                           {"good unclear unclear unclear unclear unclear good", "1:1 1:1 1:1 1:1 1:1! 1:1! 2:5"},
+		"an operator releases a hold":                  {"good unclear unclear unclear unclear release unclear", "1:1 1:1 1:1 1:1 1:1! 2:5 2:5"},
+		"a slot observed twice counts once":            {"good good same same good", "1:1 1:1 1:1 1:1 2:5"},
 	} {
-		m, err := New(plan, State{}, 10)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var out []string
-		for n, what := range strings.Fields(c.script) {
-			l := looks[strings.ReplaceAll(what, ".", " ")]
-			l.Slot = n + 1
-			switch what {
-			case "release":
-				if err := m.Release(); err != nil {
-					t.Errorf("%s: %v", name, err)
-				}
-			case "same":
-				m.Observe(Observation{Slot: 2, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}})
-			default:
-				m.Observe(l)
+		t.Run(name, func(t *testing.T) {
+			m, err := New(plan, State{}, 10)
+			if err != nil {
+				t.Fatal(err)
 			}
-			s := m.State()
-			text := fmt.Sprintf("%d:%d", s.Stage, m.Open())
-			switch {
-			case s.Worse != "":
-				text = "worse"
-			case s.Done:
-				text = "done"
-			case s.HoldReason != "":
-				text += "!"
-			case s.PauseReason != "" && what != "young":
-				text += "?"
+			var out []string
+			for n, what := range strings.Fields(c.script) {
+				l := looks[strings.ReplaceAll(what, ".", " ")]
+				l.Slot = n + 1
+				switch what {
+				case "release":
+					if err := m.Release(); err != nil {
+						t.Error(err)
+					}
+				case "same":
+					m.Observe(Observation{Slot: 2, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}})
+				default:
+					m.Observe(l)
+				}
+				s := m.State()
+				text := fmt.Sprintf("%d:%d", s.Stage, m.Open())
+				switch {
+				case s.Worse != "":
+					text = "worse"
+				case s.Done:
+					text = "done"
+				case s.HoldReason != "":
+					text += "!"
+				case s.PauseReason != "" && what != "young":
+					text += "?"
+				}
+				out = append(out, text)
+				// A machine that resumes from the stored state is in the same state.
+				if m, err = New(plan, s, 10); err != nil {
+					t.Fatal(err)
+				}
 			}
-			out = append(out, text)
-			// Whoever goes on from what was written down stands where this one does.
-			if m, err = New(plan, s, 10); err != nil {
-				t.Fatal(err)
+			if got := strings.Join(out, " "); got != c.want {
+				t.Errorf("\n got %s\nwant %s", got, c.want)
 			}
-		}
-		if got := strings.Join(out, " "); got != c.want {
-			t.Errorf("%s:\n got %s\nwant %s", name, got, c.want)
-		}
+		})
 	}
 	m, _ := New(plan, State{Stage: 1, Worse: "it is"}, 10)
 	if err := m.Release(); err == nil || !reflect.DeepEqual(m.State(), State{Stage: 1, Worse: "it is"}) {
-		t.Errorf("judged worse and let go on: %v %+v", err, m.State())
+		t.Errorf("judged worse and released: %v %+v", err, m.State())
 	}
 }
