--- a/internal/fleet/stage/draw.go
+++ b/internal/fleet/stage/draw.go
@@ -47,8 +47,8 @@
 	zoneRank := rng.Perm(len(d.zones))
 	order := make([]int, 0, len(members))
 	for len(order) < len(members) {
-		zone := d.mostBehind(len(order)+1, zoneRank)
-		band := zone.mostBehind()
+		zone := d.furthestBehind(len(order)+1, zoneRank)
+		band := zone.furthestBehind()
 		member := zone.take(band, d.leastExposed(zone.remaining[band]))
 		d.count(member)
 		order = append(order, member)
@@ -125,9 +125,9 @@
 	return sorted
 }
 
-// mostBehind returns the zone that is furthest behind its share of the first count
+// furthestBehind returns the zone that is furthest behind its share of the first count
 // members of the order.
-func (d *drawing) mostBehind(count int, zoneRank []int) *drawnZone {
+func (d *drawing) furthestBehind(count int, zoneRank []int) *drawnZone {
 	var zone *drawnZone
 	best := math.Inf(-1)
 	for n, z := range d.zones {
@@ -139,8 +139,8 @@
 	return zone
 }
 
-// mostBehind returns the band that is furthest behind its share of the zone's next draw.
-func (z *drawnZone) mostBehind() int {
+// furthestBehind returns the band that is furthest behind its share of the zone's next draw.
+func (z *drawnZone) furthestBehind() int {
 	band := -1
 	best := math.Inf(-1)
 	for n := range trafficBands {
