--- a/cmd/martendrum/staged.go
+++ b/cmd/martendrum/staged.go
@@ -365,7 +365,7 @@
 				share /= float64(len(s.Judge.Classes)) // of one class, were all alike
 			}
 			seconds := s.Plan.MaxDuration.Seconds()
-			e.Notice = append(e.Notice, sight{m, canary.Smallest(m, map[canary.Measure]float64{canary.Attempts: 1.1}[m], share*seconds*e.Rate, share*seconds*(sum(rates)-e.Rate),
+			e.Notice = append(e.Notice, sight{m, canary.SmallestDetectable(m, map[canary.Measure]float64{canary.Attempts: 1.1}[m], share*seconds*e.Rate, share*seconds*(sum(rates)-e.Rate),
 				s.Judge.FalseStops, len(j.Tests()), s.Judge.Margins[m])})
 		}
 		plan = append(plan, e)
--- a/internal/fleet/api/api.go
+++ b/internal/fleet/api/api.go
@@ -413,7 +413,7 @@
 // classes in that order.
 func (s *Sample) CanarySample(instance int, classes []string) canary.Sample {
 	w := canary.Window{Instance: instance, Release: s.Release, Attempts: s.Attempts, Finished: s.Finished, Rejected: s.Rejected,
-		Timed: s.Timed, Slow: s.Slow, Crashes: s.Crashes, Memory: s.Memory, Files: s.Files, Classes: make([]canary.Counts, len(classes))}
+		Sampled: s.Timed, Slow: s.Slow, Crashes: s.Crashes, Memory: s.Memory, Files: s.Files, Classes: make([]canary.Counts, len(classes))}
 	for n, name := range classes {
 		w.Classes[n] = s.Classes[name]
 	}
--- a/internal/fleet/canary/bound.go
+++ b/internal/fleet/canary/bound.go
@@ -14,7 +14,7 @@
 // "Time-uniform, nonparametric, nonasymptotic confidence sequences" (Annals of
 // Statistics 49, 2021), Proposition 6, on the scale of information v = 1/s2. The
 // mixture is over effects of the size of scale, at which it is nearly at its
-// narrowest. It is asymptotic here, since the variance is estimated: leastEvents
+// narrowest. It is asymptotic here, since the variance is estimated: minEvents
 // sees to it that there is something to estimate from, and `martendrum judge
 // trial` measures what is left of the promise.
 func radius(s2, scale, alpha float64) float64 {
@@ -44,9 +44,9 @@
 	return high
 }
 
-// leastEvents is how many events the changed ones must have been able to show
+// minEvents is how many events the changed ones must have been able to show
 // before a rate is judged: under it a normal bound says nothing of counts.
-const leastEvents = 8
+const minEvents = 8
 
 // rareShape and rareRate are of the gamma mixture of rareLog: rates of ten times the
 // null's are the typical alternative.
@@ -68,85 +68,85 @@
 	return rareShape*math.Log(rareRate) + k - k0 - (rareShape+seen)*math.Log(rareRate+expected) + expected
 }
 
-// view is what one instance says of one test: the estimate of how much more of the
+// instanceEstimate is what one instance says of one test: the estimate of how much more of the
 // measure it has now than in its past, beyond what those beside it lead to expect.
-type view struct {
-	zone   int
-	new    bool
-	a, s2  float64 // estimate, and its variance by chance
-	n      float64 // exposure in the present
-	events float64 // expected at the boundary of the null
-	seen   float64 // events in the present
+type instanceEstimate struct {
+	zone               int
+	isChanged          bool
+	estimate, variance float64 // estimate, and its variance by chance
+	exposure           float64 // exposure in the present
+	expectedEvents     float64 // expected at the boundary of the null
+	seenEvents         float64 // events in the present
 }
 
 // contrast sets the changed views against the unchanged ones, and allows for
 // instances that drift by themselves: drift is the variance of that.
-func contrast(views []view, drift float64) (e Evidence) {
+func contrast(views []instanceEstimate, drift float64) (e Evidence) {
 	var sum, weight [2]float64
 	for _, v := range views {
 		arm := 0
-		if v.new {
+		if v.isChanged {
 			arm = 1
 			e.Changed++
-			e.Exposure += v.n
-			e.events += v.events
-			e.seen += v.seen
+			e.Exposure += v.exposure
+			e.expectedEvents += v.expectedEvents
+			e.seenEvents += v.seenEvents
 		} else {
 			e.Unchanged++
 		}
-		w := 1 / (v.s2 + drift)
-		sum[arm] += w * v.a
+		w := 1 / (v.variance + drift)
+		sum[arm] += w * v.estimate
 		weight[arm] += w
 	}
 	if e.Changed == 0 || e.Unchanged == 0 {
 		return e
 	}
 	e.Estimate = sum[1]/weight[1] - sum[0]/weight[0]
-	e.s2 = 1/weight[1] + 1/weight[0]
-	e.floor = drift/float64(e.Changed) + drift/float64(e.Unchanged)
+	e.variance = 1/weight[1] + 1/weight[0]
+	e.driftFloor = drift/float64(e.Changed) + drift/float64(e.Unchanged)
 	return e
 }
 
-// driftSure is how sure the allowance for drift is of not being too small.
-const driftSure = 0.99
+// driftConfidence is how sure the allowance for drift is of not being too small.
+const driftConfidence = 0.99
 
-// minDrift is how many unchanged instances tell how much instances drift.
-const minDrift = 3
+// minDriftInstances is how many unchanged instances tell how much instances drift.
+const minDriftInstances = 3
 
-// drift estimates, from the unchanged ones, the variance that instances have beyond
+// estimateDrift estimates, from the unchanged ones, the variance that instances have beyond
 // chance (DerSimonian and Laird's estimate of a random effect, Controlled Clinical
 // Trials 7, 1986), taken larger where few tell it. ok says whether enough do.
-func drift(views []view) (tau2 float64, ok bool) {
+func estimateDrift(views []instanceEstimate) (tau2 float64, ok bool) {
 	var k, w1, w2, mean float64
 	for _, v := range views {
-		if !v.new && v.s2 > 0 {
-			w := 1 / v.s2
+		if !v.isChanged && v.variance > 0 {
+			w := 1 / v.variance
 			k++
 			w1 += w
 			w2 += w * w
-			mean += w * v.a
+			mean += w * v.estimate
 		}
 	}
-	if k < minDrift {
+	if k < minDriftInstances {
 		return 0, false
 	}
 	mean /= w1
 	q := 0.0
 	for _, v := range views {
-		if !v.new && v.s2 > 0 {
-			q += (v.a - mean) * (v.a - mean) / v.s2
+		if !v.isChanged && v.variance > 0 {
+			q += (v.estimate - mean) * (v.estimate - mean) / v.variance
 		}
 	}
 	// A sum of squares that happened to come out small is no proof of small drift.
-	q *= (k - 1) / distuv.ChiSquared{K: k - 1}.Quantile(1-driftSure)
+	q *= (k - 1) / distuv.ChiSquared{K: k - 1}.Quantile(1-driftConfidence)
 	return max(0, q-(k-1)) / (w1 - w2/w1), true
 }
 
-// Smallest is the least harm in a measure that would be noticed, with the odds of a
+// SmallestDetectable is the least harm in a measure that would be noticed, with the odds of a
 // coin, once the changed and the unchanged ones have been exposed so much each, at
 // the usual rate, where tests are made at once in all. It is for planning: drift
 // between instances and bursts come on top.
-func Smallest(m Measure, usual, changed, unchanged, falseStops float64, tests int, margin Margin) float64 {
+func SmallestDetectable(m Measure, usual, changed, unchanged, falseStops float64, tests int, margin Margin) float64 {
 	if changed <= 0 || unchanged <= 0 {
 		return math.Inf(1)
 	}
--- a/internal/fleet/canary/differ.go
+++ b/internal/fleet/canary/differ.go
@@ -16,12 +16,12 @@
 // What it can't make a true window of it leaves out, and counts.
 type Differ struct {
 	Slot time.Duration // windows begin and end at its multiples
-	// Off is how far from a boundary a sample may be taken.
-	Off  time.Duration
-	Left map[Reason]int
-	last Sample
-	slot int64 // of last
-	have bool
+	// MaxOffset is how far from a boundary a sample may be taken.
+	MaxOffset time.Duration
+	Excluded  map[Reason]int
+	last      Sample
+	slot      int64 // of last
+	have      bool
 }
 
 // Boundary is the multiple of slot that is nearest to at, and how far that is.
@@ -31,19 +31,19 @@
 	return n, (time.Duration(t%int64(slot)) - slot/2).Abs()
 }
 
-func (d *Differ) leave(r Reason, n int) {
-	if d.Left == nil {
-		d.Left = make(map[Reason]int)
+func (d *Differ) exclude(r Reason, n int) {
+	if d.Excluded == nil {
+		d.Excluded = make(map[Reason]int)
 	}
-	d.Left[r] += n
+	d.Excluded[r] += n
 }
 
 // Next takes the next sample, and returns the window between it and the one before,
 // if there is one. first is the number of the boundary at which slot 0 begins.
 func (d *Differ) Next(s Sample, first int64) (w Window, ok bool) {
 	n, off := Boundary(s.At, d.Slot)
-	if off > d.Off {
-		d.leave(OffBoundary, 1)
+	if off > d.MaxOffset {
+		d.exclude(OffBoundary, 1)
 		return Window{}, false // the next one is too long, and is left out for that
 	}
 	last, slot, have := d.last, d.slot, d.have
@@ -57,17 +57,17 @@
 	case s.Process != last.Process && s.Crashes > last.Crashes && s.Release == last.Release && len(s.Classes) > 0:
 		// A crash is told by the instance's own count, which outlives processes; what
 		// the process had counted until then is lost with it.
-		d.leave(Restarted, int(n-slot))
+		d.exclude(Restarted, int(n-slot))
 		return Window{Instance: s.Instance, Slot: int(n - 1 - first), Release: s.Release, Age: s.At.Sub(s.Started),
 			Classes: make([]Counts, len(s.Classes)), Crashes: s.Crashes - last.Crashes}, n > first
 	case n != slot+1:
-		d.leave(Missing, int(n-slot))
+		d.exclude(MissingSample, int(n-slot))
 		return Window{}, false
 	case s.Process != last.Process || s.Release != last.Release:
-		d.leave(Restarted, 1)
+		d.exclude(Restarted, 1)
 		return Window{}, false
 	case len(s.Classes) != len(last.Classes):
-		d.leave(Strange, 1)
+		d.exclude(Unrecognized, 1)
 		return Window{}, false
 	case slot < first:
 		return Window{}, false
@@ -85,9 +85,9 @@
 		w.Classes[c] = Counts{less(a.Served, b.Served), less(a.Rejected, b.Rejected), less(a.Failed, b.Failed)}
 	}
 	w.Attempts, w.Finished, w.Rejected = less(s.Attempts, last.Attempts), less(s.Finished, last.Finished), less(s.Rejected, last.Rejected)
-	w.Timed, w.Slow, w.Crashes = less(s.Timed, last.Timed), less(s.Slow, last.Slow), less(s.Crashes, last.Crashes)
+	w.Sampled, w.Slow, w.Crashes = less(s.Sampled, last.Sampled), less(s.Slow, last.Slow), less(s.Crashes, last.Crashes)
 	if fell {
-		d.leave(Fell, 1)
+		d.exclude(CounterDecreased, 1)
 		return Window{}, false
 	}
 	return w, true
--- a/internal/fleet/canary/judge.go
+++ b/internal/fleet/canary/judge.go
@@ -27,8 +27,8 @@
 	Failed   uint32 `msgpack:"Failed" json:"Failed"`
 }
 
-// All is how many there were.
-func (c Counts) All() float64 { return float64(c.Served) + float64(c.Rejected) + float64(c.Failed) }
+// Total is how many there were.
+func (c Counts) Total() float64 { return float64(c.Served) + float64(c.Rejected) + float64(c.Failed) }
 
 // Window is what one process counted in one slot of time.
 type Window struct {
@@ -43,18 +43,18 @@
 	// Attempts are attempts written to servers; Ended all that ended, Declined those
 	// of them that a server turned away.
 	Attempts, Finished, Rejected uint32
-	// Timed are requests whose time in the sidecar was taken, Slow those of them
+	// Sampled are requests whose time in the sidecar was taken, Slow those of them
 	// held for too long, which whoever reads the figures decides (package scrape).
-	Timed, Slow uint32
-	Crashes     uint32 // ends of a process that nobody asked for, since the window before
-	Memory      uint64 // resident, in bytes, at the window's end; 0: not known
-	Files       uint32 // open descriptors, likewise
+	Sampled, Slow uint32
+	Crashes       uint32 // ends of a process that nobody asked for, since the window before
+	Memory        uint64 // resident, in bytes, at the window's end; 0: not known
+	Files         uint32 // open descriptors, likewise
 }
 
 // requests is how many requests there were.
 func (w *Window) requests() (n float64) {
 	for _, c := range w.Classes {
-		n += c.All()
+		n += c.Total()
 	}
 	return n
 }
@@ -150,54 +150,54 @@
 
 // The reasons. Differ gives the first ones, a Judge the others.
 const (
-	Restarted   Reason = "process started anew"
-	Missing     Reason = "no figures at a boundary"
-	OffBoundary Reason = "figures not of the boundary"
-	Fell        Reason = "a count fell"
-	Clock       Reason = "clocks differ"
-	Other       Reason = "another release"
-	Young       Reason = "process still warming up"
-	Beyond      Reason = "past the slots that are kept"
-	Strange     Reason = "not of this fleet's classes or instances"
-	Alone       Reason = "no unchanged instance beside it"
+	Restarted        Reason = "process started anew"
+	MissingSample    Reason = "no figures at a boundary"
+	OffBoundary      Reason = "figures not of the boundary"
+	CounterDecreased Reason = "a count fell"
+	ClockSkew        Reason = "clocks differ"
+	OtherRelease     Reason = "another release"
+	WarmingUp        Reason = "process still warming up"
+	BeyondMaxSlots   Reason = "past the slots that are kept"
+	Unrecognized     Reason = "not of this fleet's classes or instances"
+	NoBaseline       Reason = "no unchanged instance beside it"
 )
 
 // Judge holds the windows of one change. Its bound is MaxSlots windows an instance.
 type Judge struct {
-	cfg   Config
-	cells []cell
-	tests []Test
-	zones []string       // the names, without repetition
-	zone  []int          // of each instance
-	slots [][]*got       // by slot, by instance; nil: no window
-	arm   []arm          // of each instance
-	left  map[Reason]int // by Add
-	alone int            // windows without an unchanged one beside them, as advance found
+	cfg             Config
+	cells           []cell
+	tests           []Test
+	zoneNames       []string          // the names, without repetition
+	zoneOf          []int             // of each instance
+	slots           [][]*storedWindow // by slot, by instance; nil: no window
+	arms            []arm             // of each instance
+	excluded        map[Reason]int    // by Add
+	unpairedWindows int               // windows without an unchanged one beside them, as advance found
 	// What advance has added up, slots before done.
-	done             int
-	sums             [][]sums     // by cell, by instance
-	noise            []noise      // by cell
-	usualFactor      [][]float64  // by cell, by instance: how many times as bad as the others it was before Start
-	base             [][]float64  // by cell, by zone: the rate of all before Start
-	was              [][]sums     // of changed ones, as they stood before: their evidence as unchanged ones stays
-	gauge            [2][2][]line // by gauge, by side (1: changed), by instance
-	now              []level      // by cell: the unchanged ones' rate by slot
-	baselineRequests float64      // requests of the unchanged ones
+	aggregatedSlots    int
+	totals             [][]totals   // by cell, by instance
+	noise              []noise      // by cell
+	usualFactor        [][]float64  // by cell, by instance: how many times as bad as the others it was before Start
+	baseRate           [][]float64  // by cell, by zone: the rate of all before Start
+	totalsBeforeChange [][]totals   // of changed ones, as they stood before: their evidence as unchanged ones stays
+	gaugeLines         [2][2][]line // by gauge, by side (1: changed), by instance
+	baselineLevels     []level      // by cell: the unchanged ones' rate by slot
+	baselineRequests   float64      // requests of the unchanged ones
 }
 
-type got struct {
-	w   Window
-	new bool
+type storedWindow struct {
+	window   Window
+	isChange bool
 }
 
 // arm is the side on which an instance counts.
 type arm uint8
 
 const (
-	mute    arm = iota // nothing of it came
-	old                // not changed so far
-	changed            // since a window of it, it runs the change
-	back               // it was changed and runs the old again: no side
+	armUnknown   arm = iota // nothing of it came
+	armUnchanged            // not changed so far
+	armChanged              // since a window of it, it runs the change
+	armReverted             // it was changed and runs the old again: no side
 )
 
 // New returns a judge without evidence.
@@ -208,69 +208,69 @@
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	j := &Judge{cfg: c, left: make(map[Reason]int)}
+	j := &Judge{cfg: c, excluded: make(map[Reason]int)}
 	place := make(map[string]int)
 	for _, z := range c.Zones {
 		if _, ok := place[z]; !ok {
-			place[z] = len(j.zones)
-			j.zones = append(j.zones, z)
+			place[z] = len(j.zoneNames)
+			j.zoneNames = append(j.zoneNames, z)
 		}
-		j.zone = append(j.zone, place[z])
+		j.zoneOf = append(j.zoneOf, place[z])
 	}
-	j.lay()
-	j.clear()
+	j.buildCells()
+	j.reset()
 	return j, nil
 }
 
-// clear forgets what was added up, not the windows.
-func (j *Judge) clear() {
-	j.done, j.alone, j.baselineRequests = 0, 0, 0
-	j.sums, j.was = make([][]sums, len(j.cells)), make([][]sums, len(j.cells))
-	for k := range j.sums {
-		j.sums[k], j.was[k] = make([]sums, len(j.zone)), make([]sums, len(j.zone))
+// reset forgets what was added up, not the windows.
+func (j *Judge) reset() {
+	j.aggregatedSlots, j.unpairedWindows, j.baselineRequests = 0, 0, 0
+	j.totals, j.totalsBeforeChange = make([][]totals, len(j.cells)), make([][]totals, len(j.cells))
+	for k := range j.totals {
+		j.totals[k], j.totalsBeforeChange[k] = make([]totals, len(j.zoneOf)), make([]totals, len(j.zoneOf))
 	}
-	j.arm = make([]arm, len(j.zone))
+	j.arms = make([]arm, len(j.zoneOf))
 	j.usualFactor = nil
-	j.noise, j.now = make([]noise, len(j.cells)), make([]level, len(j.cells))
-	for g := range j.gauge {
-		j.gauge[g] = [2][]line{make([]line, len(j.zone)), make([]line, len(j.zone))}
+	j.noise, j.baselineLevels = make([]noise, len(j.cells)), make([]level, len(j.cells))
+	for g := range j.gaugeLines {
+		j.gaugeLines[g] = [2][]line{make([]line, len(j.zoneOf)), make([]line, len(j.zoneOf))}
 	}
 }
 
 // Add takes a window. It may come late, in any order, or again.
 func (j *Judge) Add(w Window) {
 	switch {
-	case w.Instance < 0 || w.Instance >= len(j.zone) || len(w.Classes) != len(j.cfg.Classes) || w.Slot < 0:
-		j.left[Strange]++
+	case w.Instance < 0 || w.Instance >= len(j.zoneOf) || len(w.Classes) != len(j.cfg.Classes) || w.Slot < 0:
+		j.excluded[Unrecognized]++
 		return
 	case w.Slot >= j.cfg.MaxSlots:
-		j.left[Beyond]++
+		j.excluded[BeyondMaxSlots]++
 		return
 	}
 	for len(j.slots) <= w.Slot {
-		j.slots = append(j.slots, make([]*got, len(j.zone)))
+		j.slots = append(j.slots, make([]*storedWindow, len(j.zoneOf)))
 	}
 	if j.slots[w.Slot][w.Instance] != nil {
 		return // told before
 	}
 	switch {
 	case w.Release != j.cfg.Base && w.Release != j.cfg.Change:
-		j.left[Other]++
+		j.excluded[OtherRelease]++
 		return
 	case w.Age-j.cfg.Slot < j.cfg.Warm && w.Crashes == 0:
-		j.left[Young]++
+		j.excluded[WarmingUp]++
 		return
 	}
-	j.slots[w.Slot][w.Instance] = &got{w, w.Release == j.cfg.Change}
-	if w.Slot < j.done {
-		j.clear() // it is added up anew, in order
+	j.slots[w.Slot][w.Instance] = &storedWindow{w, w.Release == j.cfg.Change}
+	if w.Slot < j.aggregatedSlots {
+		j.reset() // it is added up anew, in order
 	}
 }
 
 // Begin sets the slot from which on the change is made, Config.Start.
 func (j *Judge) Begin(slot int) {
 	j.cfg.Start = slot
-	j.clear()
+	j.reset()
 }
 
 // CompleteSlots is how many slots before the given one have windows of half of the
@@ -283,24 +283,24 @@
 				have++
 			}
 		}
-		if 2*have >= len(j.zone) {
+		if 2*have >= len(j.zoneOf) {
 			n++
 		}
 	}
 	return n
 }
 
-// Leave counts evidence that its bearer left out.
-func (j *Judge) Leave(r Reason, windows int) { j.left[r] += windows }
+// Exclude counts evidence that its bearer left out.
+func (j *Judge) Exclude(r Reason, windows int) { j.excluded[r] += windows }
 
-// Left tells what was left out, by reason, in windows.
-func (j *Judge) Left() map[Reason]int {
+// Excluded tells what was left out, by reason, in windows.
+func (j *Judge) Excluded() map[Reason]int {
 	out := make(map[Reason]int)
-	for r, n := range j.left {
+	for r, n := range j.excluded {
 		out[r] = n
 	}
-	if j.alone > 0 {
-		out[Alone] = j.alone
+	if j.unpairedWindows > 0 {
+		out[NoBaseline] = j.unpairedWindows
 	}
 	return out
 }
@@ -335,31 +335,31 @@
 	return s
 }
 
-// lay makes the cells and tests that the configuration asks for.
-func (j *Judge) lay() {
+// buildCells makes the cells and tests that the configuration asks for.
+func (j *Judge) buildCells() {
 	add := func(c cell, class string, byZone bool) {
 		if _, ok := j.cfg.Margins[c.measure]; !ok {
 			return
 		}
 		j.cells = append(j.cells, c)
-		j.test(c.measure, class, len(j.cells)-1, byZone)
+		j.addTests(c.measure, class, len(j.cells)-1, byZone)
 	}
 	for c, name := range j.cfg.Classes {
 		add(cell{Unserved, c, false, func(w *Window) (float64, float64, float64) {
 			k := w.Classes[c]
-			return float64(k.Rejected) + float64(k.Failed), k.All(), k.All()
+			return float64(k.Rejected) + float64(k.Failed), k.Total(), k.Total()
 		}}, name, true)
 		add(cell{Failed, c, false, func(w *Window) (float64, float64, float64) {
 			k := w.Classes[c]
-			return float64(k.Failed), k.All(), k.All()
+			return float64(k.Failed), k.Total(), k.Total()
 		}}, name, false)
 	}
 	add(cell{WeightedLoss, -1, false, func(w *Window) (x, n, n2 float64) {
 		for c, k := range w.Classes {
 			v := j.cfg.Weights[c]
 			x += v * (float64(k.Rejected) + float64(k.Failed))
-			n += v * k.All()
-			n2 += v * v * k.All()
+			n += v * k.Total()
+			n2 += v * v * k.Total()
 		}
 		return x, n, n2
 	}}, "", true)
@@ -370,7 +370,7 @@
 		return float64(w.Rejected), float64(w.Finished), float64(w.Finished)
 	}}, "", false)
 	add(cell{Slow, -1, false, func(w *Window) (float64, float64, float64) {
-		return float64(w.Slow), float64(w.Timed), float64(w.Timed)
+		return float64(w.Slow), float64(w.Sampled), float64(w.Sampled)
 	}}, "", false)
 	minutes := j.cfg.Slot.Minutes()
 	add(cell{Crashes, -1, true, func(w *Window) (float64, float64, float64) {
@@ -378,17 +378,17 @@
 	}}, "", false)
 	for g, m := range gauges {
 		if _, ok := j.cfg.Margins[m]; ok {
-			j.test(m, "", len(j.cells)+g, false)
+			j.addTests(m, "", len(j.cells)+g, false)
 		}
 	}
 }
 
 var gauges = [...]Measure{Memory, Files}
 
-func (j *Judge) test(m Measure, class string, cell int, byZone bool) {
+func (j *Judge) addTests(m Measure, class string, cell int, byZone bool) {
 	j.tests = append(j.tests, Test{m, class, "", cell, -1})
-	if byZone && len(j.zones) > 1 {
-		for z, name := range j.zones {
+	if byZone && len(j.zoneNames) > 1 {
+		for z, name := range j.zoneNames {
 			j.tests = append(j.tests, Test{m, class, name, cell, z})
 		}
 	}
@@ -400,26 +400,26 @@
 // alpha is one test's share of the false stops.
 func (j *Judge) alpha() float64 { return j.cfg.FalseStops / float64(len(j.tests)) }
 
-// sums are what one instance counted in one cell: its past [0] and present [1],
+// totals are what one instance counted in one cell: its past [0] and present [1],
 // with the events that the unchanged ones beside it would lead one to expect.
-type sums struct{ x, n, n2, e [2]float64 }
+type totals struct{ events, exposure, squares, expected [2]float64 }
 
 // noise compares the unchanged ones' windows with what chance alone gives.
-type noise struct{ square, variance float64 }
+type noise struct{ observed, byChance float64 }
 
 // factor is how much more windows vary than chance alone would have it; 1 at least.
 func (o noise) factor() float64 {
-	if o.variance <= 0 {
+	if o.byChance <= 0 {
 		return 1
 	}
-	return max(1, o.square/o.variance)
+	return max(1, o.observed/o.byChance)
 }
 
 // level is the unchanged ones' rate over the slots: its past [0] and the present [1].
 type level struct {
-	n, sum, square [2]float64
-	x, exposure    float64 // of all slots together
-	recent         []float64
+	slots, rateSum, rateSquares [2]float64
+	events, exposure            float64 // of all slots together
+	recent                      []float64
 }
 
 // recentSlots is how far back the present state of the unchanged ones is looked at.
@@ -434,27 +434,27 @@
 	return p * (1 - p) * n2
 }
 
-// advance adds up all slots before the given one.
-func (j *Judge) advance(before int) {
-	for ; j.done < min(before, len(j.slots)); j.done++ {
-		slot, phase := j.slots[j.done], 0
-		if j.done >= j.cfg.Start {
+// aggregate adds up all slots before the given one.
+func (j *Judge) aggregate(before int) {
+	for ; j.aggregatedSlots < min(before, len(j.slots)); j.aggregatedSlots++ {
+		slot, phase := j.slots[j.aggregatedSlots], 0
+		if j.aggregatedSlots >= j.cfg.Start {
 			phase = 1
-			j.freeze()
+			j.freezeBaseline()
 		}
-		j.sides(slot, phase)
+		j.assignArms(slot, phase)
 		for k := range j.cells {
-			j.count(k, slot, phase)
+			j.addSlot(k, slot, phase)
 		}
 	}
 }
 
-// sides says on which side each instance of a slot counts, and takes its gauges.
-func (j *Judge) sides(slot []*got, phase int) {
-	beside := make([]int, len(j.zones))
+// assignArms says on which side each instance of a slot counts, and takes its gauges.
+func (j *Judge) assignArms(slot []*storedWindow, phase int) {
+	beside := make([]int, len(j.zoneNames))
 	for i, g := range slot {
-		if g != nil && !g.new {
-			beside[j.zone[i]]++
+		if g != nil && !g.isChange {
+			beside[j.zoneOf[i]]++
 		}
 	}
 	for i, g := range slot {
@@ -462,26 +462,26 @@
 			continue
 		}
 		switch {
-		case g.new && j.arm[i] != back:
-			if j.arm[i] != changed {
-				j.change(i)
+		case g.isChange && j.arms[i] != armReverted:
+			if j.arms[i] != armChanged {
+				j.markChanged(i)
 			}
-			j.arm[i] = changed
-		case j.arm[i] == changed:
-			j.arm[i] = back
-		case j.arm[i] == mute:
-			j.arm[i] = old
+			j.arms[i] = armChanged
+		case j.arms[i] == armChanged:
+			j.arms[i] = armReverted
+		case j.arms[i] == armUnknown:
+			j.arms[i] = armUnchanged
 		}
 		side := 1
-		if !g.new {
+		if !g.isChange {
 			side = 0
-			j.baselineRequests += g.w.requests()
-		} else if beside[j.zone[i]] == 0 {
-			j.alone++
+			j.baselineRequests += g.window.requests()
+		} else if beside[j.zoneOf[i]] == 0 {
+			j.unpairedWindows++
 		}
-		for n, v := range [...]float64{float64(g.w.Memory) / (1 << 20), float64(g.w.Files)} {
-			if v > 0 && (g.new || phase == 1) && g.w.Age >= j.cfg.Settle {
-				j.gauge[n][side][i].add(g.w.Age.Minutes(), v)
+		for n, v := range [...]float64{float64(g.window.Memory) / (1 << 20), float64(g.window.Files)} {
+			if v > 0 && (g.isChange || phase == 1) && g.window.Age >= j.cfg.Settle {
+				j.gaugeLines[n][side][i].add(g.window.Age.Minutes(), v)
 			}
 		}
 	}
@@ -489,138 +489,138 @@
 
 // pool is what the unchanged ones of a zone came to in a slot.
 type pool struct {
-	x, n, n2 float64 // events, exposure, its squares
-	usual    float64 // the exposure, as many times as each is as bad as the usual one
+	events, exposure, squares float64 // events, exposure, its squares
+	weightedExposure          float64 // the exposure, as many times as each is as bad as the usual one
 }
 
-// count adds a slot up in one cell.
-func (j *Judge) count(k int, slot []*got, phase int) {
-	c, pools := &j.cells[k], make([]pool, len(j.zones))
+// addSlot adds a slot up in one cell.
+func (j *Judge) addSlot(k int, slot []*storedWindow, phase int) {
+	c, pools := &j.cells[k], make([]pool, len(j.zoneNames))
 	var x, n float64
 	for i, g := range slot {
-		if g != nil && !g.new {
-			dx, dn, dn2 := c.read(&g.w)
-			p := &pools[j.zone[i]]
-			p.x, p.n, p.n2, p.usual = p.x+dx, p.n+dn, p.n2+dn2, p.usual+dn*j.times(k, i)
+		if g != nil && !g.isChange {
+			dx, dn, dn2 := c.read(&g.window)
+			p := &pools[j.zoneOf[i]]
+			p.events, p.exposure, p.squares, p.weightedExposure = p.events+dx, p.exposure+dn, p.squares+dn2, p.weightedExposure+dn*j.factorOf(k, i)
 			x, n = x+dx, n+dn
 		}
 	}
 	if n > 0 {
-		j.now[k].add(phase, x, n)
+		j.baselineLevels[k].add(phase, x, n)
 	}
 	for i, g := range slot {
 		if g == nil {
 			continue
 		}
-		dx, dn, dn2 := c.read(&g.w)
-		beside := &pools[j.zone[i]]
-		if dn == 0 || beside.n == 0 {
+		dx, dn, dn2 := c.read(&g.window)
+		beside := &pools[j.zoneOf[i]]
+		if dn == 0 || beside.exposure == 0 {
 			continue
 		}
 		at := phase
-		if g.new {
+		if g.isChange {
 			at = 1
 		}
-		s := &j.sums[k][i]
-		s.x[at] += dx
-		s.n[at] += dn
-		s.n2[at] += dn2
-		s.e[at] += dn * j.expected(k, j.zone[i], beside)
-		own := j.times(k, i)
-		if rest := beside.usual - dn*own; !g.new && rest > 0 {
+		s := &j.totals[k][i]
+		s.events[at] += dx
+		s.exposure[at] += dn
+		s.squares[at] += dn2
+		s.expected[at] += dn * j.expectedRate(k, j.zoneOf[i], beside)
+		own := j.factorOf(k, i)
+		if rest := beside.weightedExposure - dn*own; !g.isChange && rest > 0 {
 			// Against the others, so that its own events don't hide in the rate.
-			q := (beside.x - dx) / rest
+			q := (beside.events - dx) / rest
 			d := dx - dn*own*q
-			j.noise[k].square += d * d
-			j.noise[k].variance += c.spread(own*q, dn2) + c.spread(q, rest)*(dn*own/rest)*(dn*own/rest)
+			j.noise[k].observed += d * d
+			j.noise[k].byChance += c.spread(own*q, dn2) + c.spread(q, rest)*(dn*own/rest)*(dn*own/rest)
 		}
 	}
 }
 
-// freeze settles, at the first slot of the present, how many times as bad as the
+// freezeBaseline settles, at the first slot of the present, how many times as bad as the
 // others each instance was until then. From there on the others' rate is that of
 // instances of the usual kind, whoever of them is still unchanged: else a zone would
 // look better as its bad ones are changed first.
-func (j *Judge) freeze() {
+func (j *Judge) freezeBaseline() {
 	if j.usualFactor != nil {
 		return
 	}
-	j.usualFactor, j.base = make([][]float64, len(j.cells)), make([][]float64, len(j.cells))
+	j.usualFactor, j.baseRate = make([][]float64, len(j.cells)), make([][]float64, len(j.cells))
 	for k := range j.usualFactor {
-		j.usualFactor[k], j.base[k] = make([]float64, len(j.zone)), make([]float64, len(j.zones))
-		exposure := make([]float64, len(j.zones))
-		for i, z := range j.zone {
-			j.base[k][z] += j.sums[k][i].x[0]
-			exposure[z] += j.sums[k][i].n[0]
+		j.usualFactor[k], j.baseRate[k] = make([]float64, len(j.zoneOf)), make([]float64, len(j.zoneNames))
+		exposure := make([]float64, len(j.zoneNames))
+		for i, z := range j.zoneOf {
+			j.baseRate[k][z] += j.totals[k][i].events[0]
+			exposure[z] += j.totals[k][i].exposure[0]
 		}
 		for z := range exposure {
 			if exposure[z] > 0 {
-				j.base[k][z] /= exposure[z]
+				j.baseRate[k][z] /= exposure[z]
 			}
 		}
 		for i := range j.usualFactor[k] {
 			// Not shrunk: over a zone, these add up to what it had.
 			j.usualFactor[k][i] = 1
-			if s := &j.sums[k][i]; s.e[0] > 0 {
-				j.usualFactor[k][i] = s.x[0] / s.e[0]
+			if s := &j.totals[k][i]; s.expected[0] > 0 {
+				j.usualFactor[k][i] = s.events[0] / s.expected[0]
 			}
 		}
 	}
 }
 
-// expected is the rate of an instance of the usual kind in a slot, by the unchanged ones
+// expectedRate is the rate of an instance of the usual kind in a slot, by the unchanged ones
 // of its zone. In the present it is the zone's past rate, as many times as the slot's
 // events ask for; where they are few, it stays near once. Where there never were any,
 // nothing tells by how many times they became more: then old and new are compared as
 // they are.
-func (j *Judge) expected(cell, zone int, p *pool) float64 {
+func (j *Judge) expectedRate(cell, zone int, p *pool) float64 {
 	if j.usualFactor == nil {
-		return p.x / p.n
+		return p.events / p.exposure
 	}
-	base, little := j.base[cell][zone], littleSlot*p.n2/p.n
-	return base * (p.x + little) / (p.usual*base + little)
+	base, little := j.baseRate[cell][zone], slotPriorEvents*p.squares/p.exposure
+	return base * (p.events + little) / (p.weightedExposure*base + little)
 }
 
-// littleSlot is how many events as expected are added to those of a zone's slot.
-const littleSlot = 0.5
+// slotPriorEvents is how many events as expected are added to those of a zone's slot.
+const slotPriorEvents = 0.5
 
-func (j *Judge) times(cell, instance int) float64 {
+func (j *Judge) factorOf(cell, instance int) float64 {
 	if j.usualFactor == nil {
 		return 1
 	}
 	return j.usualFactor[cell][instance]
 }
 
-// littlePast is how many events like those of the instances beside it are added to an
+// pastPriorEvents is how many events like those of the instances beside it are added to an
 // instance's past: with few of its own it counts as one like the others.
-const littlePast = 3.0
+const pastPriorEvents = 3.0
 
-// little is littlePast in the weights of the exposure.
-func (s *sums) little() float64 { return littlePast * s.n2[0] / s.n[0] }
+// priorEvents is pastPriorEvents in the weights of the exposure.
+func (s *totals) priorEvents() float64 { return pastPriorEvents * s.squares[0] / s.exposure[0] }
 
-// times is how many times as bad as those beside it an instance was in its past.
-func (s *sums) times() float64 {
-	if s.n[0] <= 0 {
+// pastFactor is how many times as bad as those beside it an instance was in its past.
+func (s *totals) pastFactor() float64 {
+	if s.exposure[0] <= 0 {
 		return 1
 	}
-	return (s.x[0] + s.little()) / (s.e[0] + s.little())
+	return (s.events[0] + s.priorEvents()) / (s.expected[0] + s.priorEvents())
 }
 
-// change makes an instance a changed one: all that it has counted is its past.
-func (j *Judge) change(i int) {
+// markChanged makes an instance a changed one: all that it has counted is its past.
+func (j *Judge) markChanged(i int) {
 	for k := range j.cells {
-		s := &j.sums[k][i]
-		j.was[k][i] = *s
-		*s = sums{x: [2]float64{s.x[0] + s.x[1]}, n: [2]float64{s.n[0] + s.n[1]}, n2: [2]float64{s.n2[0] + s.n2[1]}, e: [2]float64{s.e[0] + s.e[1]}}
+		s := &j.totals[k][i]
+		j.totalsBeforeChange[k][i] = *s
+		*s = totals{events: [2]float64{s.events[0] + s.events[1]}, exposure: [2]float64{s.exposure[0] + s.exposure[1]}, squares: [2]float64{s.squares[0] + s.squares[1]}, expected: [2]float64{s.expected[0] + s.expected[1]}}
 	}
 }
 
 func (l *level) add(phase int, x, n float64) {
 	r := x / n
-	l.n[phase]++
-	l.sum[phase] += r
-	l.square[phase] += r * r
-	l.x += x
+	l.slots[phase]++
+	l.rateSum[phase] += r
+	l.rateSquares[phase] += r * r
+	l.events += x
 	l.exposure += n
 	if phase == 1 {
 		l.recent = append(l.recent, r)
@@ -632,38 +632,38 @@
 
 // line fits a straight line through a gauge over the process's age.
 type line struct {
-	last                float64 // age
-	n, t, v, tt, tv, v2 float64
+	lastAge                                                       float64 // age
+	points, ageSum, valueSum, ageSquares, ageValues, valueSquares float64
 }
 
 func (l *line) add(t, v float64) {
-	if t < l.last {
+	if t < l.lastAge {
 		*l = line{} // another process, with a line of its own
 	}
-	l.last = t
-	l.n++
-	l.t += t
-	l.v += v
-	l.tt += t * t
-	l.tv += t * v
-	l.v2 += v * v
+	l.lastAge = t
+	l.points++
+	l.ageSum += t
+	l.valueSum += v
+	l.ageSquares += t * t
+	l.ageValues += t * v
+	l.valueSquares += v * v
 }
 
-// minLine is how many points a line needs to be spoken of.
-const minLine = 5
+// minLinePoints is how many points a line needs to be spoken of.
+const minLinePoints = 5
 
 // slope returns the growth a minute and its variance; floor is the least standard
 // deviation that a point is held to have.
 func (l *line) slope(floor float64) (a, s2 float64, ok bool) {
-	if l.n < minLine {
+	if l.points < minLinePoints {
 		return 0, 0, false
 	}
-	stt := l.tt - l.t*l.t/l.n
+	stt := l.ageSquares - l.ageSum*l.ageSum/l.points
 	if stt <= 0 {
 		return 0, 0, false
 	}
-	stv, svv := l.tv-l.t*l.v/l.n, l.v2-l.v*l.v/l.n
+	stv, svv := l.ageValues-l.ageSum*l.valueSum/l.points, l.valueSquares-l.valueSum*l.valueSum/l.points
 	a = stv / stt
-	rest := max(0, svv-a*stv) / (l.n - 2)
+	rest := max(0, svv-a*stv) / (l.points - 2)
 	return a, max(rest, floor*floor) / stt, !math.IsNaN(a)
 }
--- a/internal/fleet/canary/judge_test.go
+++ b/internal/fleet/canary/judge_test.go
@@ -40,7 +40,7 @@
 				w.Classes[k] = canary.Counts{Served: each - lost, Rejected: lost}
 			}
 			w.Attempts = 2*each + uint32(rng.IntN(20))
-			w.Finished, w.Timed = w.Attempts, 2*each
+			w.Finished, w.Sampled = w.Attempts, 2*each
 			if harm != nil {
 				harm(&w, i%2, isNew, s)
 			}
@@ -83,7 +83,7 @@
 		"one class":   {n: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 1, 0.1) }},
 		"one zone":    {n: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, z int, isNew bool, _ int) { loseIf(isNew && z == 1, w, 1, 0.1) }},
 		"attempts":    {n: 30, changed: 6, want: canary.Worse, by: "attempts", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Attempts *= 1 + one(isNew) }},
-		"slow":        {n: 30, changed: 6, want: canary.Worse, by: "slow", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Slow = one(isNew) * w.Timed / 10 }},
+		"slow":        {n: 30, changed: 6, want: canary.Worse, by: "slow", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Slow = one(isNew) * w.Sampled / 10 }},
 		"leaks": {n: 30, changed: 6, want: canary.Worse, by: "memory", harm: func(w *canary.Window, _ int, isNew bool, _ int) {
 			w.Memory += uint64(one(isNew)) * uint64(w.Age.Seconds()) << 18
 		}},
@@ -101,11 +101,11 @@
 			if got.Verdict != c.want || !strings.HasPrefix(got.Evidence[0].String(), c.by) || !strings.Contains(got.Evidence[0].String(), c.why) {
 				t.Errorf("%s by %s; want %s by %q %q", got.Verdict, got.Evidence[0], c.want, c.by, c.why)
 			}
-			if got.Verdict == canary.Inconclusive && (got.Evidence[0].Zone != "" || !got.Evidence[len(got.Evidence)-1].Aside) {
+			if got.Verdict == canary.Inconclusive && (got.Evidence[0].Zone != "" || !got.Evidence[len(got.Evidence)-1].Advisory) {
 				t.Errorf("it can't be told, and an aside is named for it: %s", got.Evidence[0])
 			}
-			if (len(got.Suffering) > 0) != c.suffers {
-				t.Errorf("suffering: %+v; want any: %v", got.Suffering, c.suffers)
+			if (len(got.Degradations) > 0) != c.suffers {
+				t.Errorf("suffering: %+v; want any: %v", got.Degradations, c.suffers)
 			}
 		})
 	}
@@ -129,13 +129,13 @@
 		for k := range w.Classes {
 			w.Classes[k] = canary.Counts{Served: w.Classes[k].Served / 3, Rejected: w.Classes[k].Rejected / 3}
 		}
-		w.Attempts, w.Finished, w.Timed = w.Attempts/3, w.Finished/3, w.Timed/3
+		w.Attempts, w.Finished, w.Sampled = w.Attempts/3, w.Finished/3, w.Sampled/3
 	}
 }
 
 func quiet(w *canary.Window, slot int) {
 	w.Classes = []canary.Counts{{Served: one(slot%10 == 0)}, {}}
-	w.Attempts, w.Finished, w.Timed = 1, 1, 1
+	w.Attempts, w.Finished, w.Sampled = 1, 1, 1
 }
 
 // Through stages, an instance that is changed later counts as an unchanged one until
@@ -154,8 +154,8 @@
 		if got.Verdict != want || e.Unchanged != 24 || e.Changed != 6 || want == canary.Worse && (e.Estimate < 0.06 || e.Estimate > 0.1) {
 			t.Errorf("harm of %v: %s by %s", lost, got.Verdict, e)
 		}
-		if got.Left[canary.Alone] != 20*30 {
-			t.Errorf("left out %v; want %d windows with nobody beside them", got.Left, 20*30)
+		if got.Excluded[canary.NoBaseline] != 20*30 {
+			t.Errorf("left out %v; want %d windows with nobody beside them", got.Excluded, 20*30)
 		}
 	}
 }
@@ -195,9 +195,9 @@
 	other, far, strange := ws[0], ws[1], ws[2]
 	other.Release, other.Slot, far.Slot, strange.Instance = "third", 30, 999, 77
 	got := judged(t, cfg, append(ws, other, far, strange))
-	want := map[canary.Reason]int{canary.Other: 1, canary.Beyond: 1, canary.Strange: 1, canary.Young: 20 + 2}
-	if !reflect.DeepEqual(got.Left, want) {
-		t.Errorf("left out %v, want %v", got.Left, want)
+	want := map[canary.Reason]int{canary.OtherRelease: 1, canary.BeyondMaxSlots: 1, canary.Unrecognized: 1, canary.WarmingUp: 20 + 2}
+	if !reflect.DeepEqual(got.Excluded, want) {
+		t.Errorf("left out %v, want %v", got.Excluded, want)
 	}
 }
 
@@ -257,23 +257,23 @@
 	}{
 		"in order":          {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, time.Second, "a", 9, 0, 0, 4}, {102, -time.Second, "a", 9, 0, 1, 0}}, nil},
 		"told twice":        {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 0, "a", 9, 0, 0, 4}, {101, 0, "a", 9, 0, -1, 0}}, nil},
-		"a gap":             {[]told{{100, 0, "a", 5, 0, -1, 0}, {103, 0, "a", 9, 0, -1, 0}, {104, 0, "a", 10, 0, 3, 1}}, map[canary.Reason]int{canary.Missing: 3}},
+		"a gap":             {[]told{{100, 0, "a", 5, 0, -1, 0}, {103, 0, "a", 9, 0, -1, 0}, {104, 0, "a", 10, 0, 3, 1}}, map[canary.Reason]int{canary.MissingSample: 3}},
 		"a new process":     {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "b", 60, 0, -1, 0}, {102, 0, "b", 61, 0, 1, 1}}, map[canary.Reason]int{canary.Restarted: 1}},
 		"a crash counts":    {[]told{{100, 0, "a", 50, 0, -1, 0}, {103, 0, "b", 0, 1, 2, 0}}, map[canary.Reason]int{canary.Restarted: 3}},
-		"a count that fell": {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "a", 49, 0, -1, 0}}, map[canary.Reason]int{canary.Fell: 1}},
-		"off the boundary":  {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 4 * time.Second, "a", 6, 0, -1, 0}, {102, 0, "a", 9, 0, -1, 0}}, map[canary.Reason]int{canary.OffBoundary: 1, canary.Missing: 2}},
+		"a count that fell": {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "a", 49, 0, -1, 0}}, map[canary.Reason]int{canary.CounterDecreased: 1}},
+		"off the boundary":  {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 4 * time.Second, "a", 6, 0, -1, 0}, {102, 0, "a", 9, 0, -1, 0}}, map[canary.Reason]int{canary.OffBoundary: 1, canary.MissingSample: 2}},
 		"before slot 0":     {[]told{{98, 0, "a", 5, 0, -1, 0}, {99, 0, "a", 6, 0, -1, 0}, {100, 0, "a", 9, 0, -1, 0}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := canary.Differ{Slot: slot, Off: 2 * time.Second}
+			d := canary.Differ{Slot: slot, MaxOffset: 2 * time.Second}
 			for _, x := range c.told {
 				w, ok := d.Next(canary.Sample{At: at(x.n, x.off), Process: x.process, Window: canary.Window{Crashes: x.crashes, Classes: []canary.Counts{{Served: x.served}}}}, 100)
 				if ok != (x.wantSlot >= 0) || ok && (w.Slot != x.wantSlot || w.Classes[0].Served != x.wantServe) {
 					t.Errorf("boundary %d: %v %+v; want slot %d, %d served", x.n, ok, w, x.wantSlot, x.wantServe)
 				}
 			}
-			if !reflect.DeepEqual(d.Left, c.left) {
-				t.Errorf("left out %v, want %v", d.Left, c.left)
+			if !reflect.DeepEqual(d.Excluded, c.left) {
+				t.Errorf("left out %v, want %v", d.Excluded, c.left)
 			}
 		})
 	}
--- a/internal/fleet/canary/simulation/world.go
+++ b/internal/fleet/canary/simulation/world.go
@@ -169,7 +169,7 @@
 		win.Attempts = all + w.poisson(float64(all)*((x.tries-1)*w.spread(burst)+harm.Tries))
 		win.Finished = win.Attempts
 		win.Rejected = w.binomial(win.Finished, min(0.9, 2*lost))
-		win.Timed, win.Slow = all, w.binomial(all, 0.002*w.spread(burst))
+		win.Sampled, win.Slow = all, w.binomial(all, 0.002*w.spread(burst))
 		age := float64(slot+1) * slotLength.Minutes()
 		if slot > x.from {
 			age = float64(slot-x.from) * slotLength.Minutes()
--- a/internal/fleet/control/client/staged.go
+++ b/internal/fleet/control/client/staged.go
@@ -52,7 +52,7 @@
 	}
 	e := &evidence{spec: op.Staged, j: j, place: make(map[api.Target]int), diffs: make([]canary.Differ, len(op.Targets))}
 	for i, t := range op.Targets {
-		e.place[t], e.diffs[i] = i, canary.Differ{Slot: cfg.Slot, Off: cfg.Slot / 4}
+		e.place[t], e.diffs[i] = i, canary.Differ{Slot: cfg.Slot, MaxOffset: cfg.Slot / 4}
 	}
 	return e, nil
 }
@@ -189,7 +189,7 @@
 	}
 	for _, x := range g.out.Samples {
 		if _, ok := s.place[api.Target{Host: g.host, Instance: x.Instance}]; ok && late && x.Boundary > h.after {
-			s.j.Leave(canary.Clock, 1)
+			s.j.Exclude(canary.ClockSkew, 1)
 		}
 	}
 	h.after = max(h.after, g.out.Last)
@@ -248,8 +248,8 @@
 	}
 	s.last = s.j.Evaluate(slot + 1)
 	for i := range s.diffs {
-		for reason, n := range s.diffs[i].Left {
-			s.last.Left[reason] += n
+		for reason, n := range s.diffs[i].Excluded {
+			s.last.Excluded[reason] += n
 		}
 	}
 	before := s.m.State()
--- a/internal/fleet/host/agent/figures.go
+++ b/internal/fleet/host/agent/figures.go
@@ -64,14 +64,14 @@
 	n := 0.0
 	for name, c := range b.Classes {
 		was := a.Classes[name]
-		n += c.All() - was.All()
+		n += c.Total() - was.Total()
 	}
 	return max(0, n/took)
 }
 
 // windows are those of the process that runs now.
 func (r *ring) windows(slot time.Duration) (out []canary.Window) {
-	d := canary.Differ{Slot: slot, Off: slot / 4}
+	d := canary.Differ{Slot: slot, MaxOffset: slot / 4}
 	for _, s := range r.samples[max(0, len(r.samples)-rateSlots-1):] {
 		names := make([]string, 0, len(s.Classes))
 		for name := range s.Classes {
--- a/internal/fleet/stage/stage.go
+++ b/internal/fleet/stage/stage.go
@@ -158,8 +158,8 @@
 	case o.EvidenceGap != "":
 		s.PauseReason = o.EvidenceGap
 		return
-	case len(o.Judgement.Suffering) > 0:
-		x := o.Judgement.Suffering[0]
+	case len(o.Judgement.Degradations) > 0:
+		x := o.Judgement.Degradations[0]
 		s.PauseReason = fmt.Sprintf("the unchanged ones do worse than before (%s %.4g, was %.4g): the change's doing or a bad day, which can't be told apart", x.Measure, x.Now, x.Usual)
 		return
 	}
@@ -184,7 +184,7 @@
 // missing names the first inconclusive test that holds the change.
 func missing(j canary.Judgement) string {
 	for _, e := range j.Evidence {
-		if e.Verdict == canary.Inconclusive && !e.Aside {
+		if e.Verdict == canary.Inconclusive && !e.Advisory {
 			return e.String()
 		}
 	}
--- a/internal/fleet/stage/stage_test.go
+++ b/internal/fleet/stage/stage_test.go
@@ -108,7 +108,7 @@
 		"unclear": {HistorySlots: 9, Settled: true, Judgement: unclear},
 		"worse":   {HistorySlots: 9, Judgement: bad},
 		"blind":   {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}, EvidenceGap: "no evidence of h1"},
-		"bad day": {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse, Suffering: []canary.Degradation{{Measure: canary.Rejections}}}},
+		"bad day": {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse, Degradations: []canary.Degradation{{Measure: canary.Rejections}}}},
 	}
 	plan := Plan{Upto: []int{1, 5, 10}, MinDuration: 2 * time.Second, MaxDuration: 4 * time.Second, Slot: time.Second, HistorySlots: 3, OnInconclusive: Hold}
 	for name, c := range map[string]struct{ script, want string }{
