--- a/internal/fleet/canary/cell.go
+++ b/internal/fleet/canary/cell.go
@@ -1,33 +1,53 @@
 package canary
 
-// cell is a pair of counts that are kept for each instance: events and exposures.
+// cell is a measure of a class of requests that is counted for each instance as events
+// and exposure.
 type cell struct {
 	measure Measure
-	class   int  // -1: of all
-	poisson bool // events a unit of exposure, rather than a share of it
-	// read returns the events, the exposure, and the sum of squares of the weights
-	// in it: the exposure itself where each counts 1.
-	read func(w *Window) (x, n, n2 float64)
+	class   int  // allClasses, or an index into Config.Classes
+	poisson bool // events per unit of exposure, rather than a fraction of it
+	read    func(w *Window) reading
 }
 
-// spread is how many events, in variance, n2 of exposure give at rate p.
-func (c *cell) spread(p, n2 float64) float64 {
+// allClasses is the class of a cell that counts the requests of all classes.
+const allClasses = -1
+
+// reading is what a cell reads from a window.
+type reading struct {
+	events, exposure float64
+	// squares is the sum of the squared weights in the exposure: the exposure itself
+	// where each unit has weight 1.
+	squares float64
+}
+
+// unweighted is a reading in which each unit of exposure has weight 1.
+func unweighted(events, exposure float64) reading {
+	return reading{events: events, exposure: exposure, squares: exposure}
+}
+
+// variance is the variance of the number of events at the given rate, by chance alone.
+// squares is that of the exposure (see reading).
+func (c *cell) variance(rate, squares float64) float64 {
 	if c.poisson {
-		return max(p, 0) * n2
+		return max(rate, 0) * squares
 	}
-	p = min(max(p, 0), 1)
-	return p * (1 - p) * n2
+	p := min(max(rate, 0), 1)
+	return p * (1 - p) * squares
 }
 
-// Test is one comparison: a measure of a class, over all zones or in one alone.
+// allZones is the zone of a test over all zones.
+const allZones = -1
+
+// Test is one comparison: a measure of a class, over all zones or in one zone.
 type Test struct {
 	Measure Measure `json:"measure"`
 	Class   string  `json:"class,omitempty"`
 	Zone    string  `json:"zone,omitempty"` // "": all
-	cell    int     // or, from len(cells) on, a gauge
-	zone    int     // -1: all
+	cell    int     // index of the cell or, from len(Judge.cells) on, of the gauge
+	zone    int     // allZones, or an index into Judge.zoneNames
 }
 
+// String names the test as in "unserved of status in zone-1".
 func (t Test) String() string {
 	s := string(t.Measure)
 	if t.Class != "" {
@@ -39,48 +59,28 @@
 	return s
 }
 
+// gauges are the measures that are judged by their growth.
 var gauges = [...]Measure{Memory, Files}
 
-// buildCells makes the cells and tests that the configuration asks for.
+// buildCells makes the cells and tests of the measures that have a margin.
 func (j *Judge) buildCells() {
-	add := func(c cell, class string, byZone bool) {
-		if _, ok := j.cfg.Margins[c.measure]; !ok {
-			return
-		}
-		j.cells = append(j.cells, c)
-		j.addTests(c.measure, class, len(j.cells)-1, byZone)
-	}
-	for c, name := range j.cfg.Classes {
-		add(cell{Unserved, c, false, func(w *Window) (float64, float64, float64) {
-			k := w.Classes[c]
-			return float64(k.Rejected) + float64(k.Failed), k.Total(), k.Total()
-		}}, name, true)
-		add(cell{Failed, c, false, func(w *Window) (float64, float64, float64) {
-			k := w.Classes[c]
-			return float64(k.Failed), k.Total(), k.Total()
-		}}, name, false)
+	for class, name := range j.cfg.Classes {
+		j.addCell(unservedOf(class), name, true)
+		j.addCell(failedOf(class), name, false)
 	}
-	add(cell{WeightedLoss, -1, false, func(w *Window) (x, n, n2 float64) {
-		for c, k := range w.Classes {
-			v := j.cfg.Weights[c]
-			x += v * (float64(k.Rejected) + float64(k.Failed))
-			n += v * k.Total()
-			n2 += v * v * k.Total()
-		}
-		return x, n, n2
-	}}, "", true)
-	add(cell{Attempts, -1, true, func(w *Window) (float64, float64, float64) {
-		return float64(w.Attempts), w.requests(), w.requests()
+	j.addCell(weightedLoss(j.cfg.Weights), "", true)
+	j.addCell(cell{Attempts, allClasses, true, func(w *Window) reading {
+		return unweighted(float64(w.Attempts), w.requests())
 	}}, "", false)
-	add(cell{Rejections, -1, false, func(w *Window) (float64, float64, float64) {
-		return float64(w.Rejected), float64(w.Finished), float64(w.Finished)
+	j.addCell(cell{Rejections, allClasses, false, func(w *Window) reading {
+		return unweighted(float64(w.Rejected), float64(w.Finished))
 	}}, "", false)
-	add(cell{Slow, -1, false, func(w *Window) (float64, float64, float64) {
-		return float64(w.Slow), float64(w.Sampled), float64(w.Sampled)
+	j.addCell(cell{Slow, allClasses, false, func(w *Window) reading {
+		return unweighted(float64(w.Slow), float64(w.Sampled))
 	}}, "", false)
 	minutes := j.cfg.Slot.Minutes()
-	add(cell{Crashes, -1, true, func(w *Window) (float64, float64, float64) {
-		return float64(w.Crashes), minutes, minutes
+	j.addCell(cell{Crashes, allClasses, true, func(w *Window) reading {
+		return unweighted(float64(w.Crashes), minutes)
 	}}, "", false)
 	for g, m := range gauges {
 		if _, ok := j.cfg.Margins[m]; ok {
@@ -89,8 +89,49 @@
 	}
 }
 
+// unservedOf counts the requests of a class that were rejected or failed.
+func unservedOf(class int) cell {
+	return cell{Unserved, class, false, func(w *Window) reading {
+		counts := w.Classes[class]
+		return unweighted(float64(counts.Rejected)+float64(counts.Failed), counts.Total())
+	}}
+}
+
+// failedOf counts the requests of a class that failed.
+func failedOf(class int) cell {
+	return cell{Failed, class, false, func(w *Window) reading {
+		counts := w.Classes[class]
+		return unweighted(float64(counts.Failed), counts.Total())
+	}}
+}
+
+// weightedLoss counts the requests that were rejected or failed by the weight of their
+// class.
+func weightedLoss(weights []float64) cell {
+	return cell{WeightedLoss, allClasses, false, func(w *Window) (r reading) {
+		for class, counts := range w.Classes {
+			weight := weights[class]
+			r.events += weight * (float64(counts.Rejected) + float64(counts.Failed))
+			r.exposure += weight * counts.Total()
+			r.squares += weight * weight * counts.Total()
+		}
+		return r
+	}}
+}
+
+// addCell adds a cell and its tests, if its measure has a margin.
+func (j *Judge) addCell(c cell, class string, byZone bool) {
+	if _, ok := j.cfg.Margins[c.measure]; !ok {
+		return
+	}
+	j.cells = append(j.cells, c)
+	j.addTests(c.measure, class, len(j.cells)-1, byZone)
+}
+
+// addTests adds the test of a cell or gauge over all zones and, with byZone, one in each
+// zone.
 func (j *Judge) addTests(m Measure, class string, cell int, byZone bool) {
-	j.tests = append(j.tests, Test{m, class, "", cell, -1})
+	j.tests = append(j.tests, Test{m, class, "", cell, allZones})
 	if byZone && len(j.zoneNames) > 1 {
 		for z, name := range j.zoneNames {
 			j.tests = append(j.tests, Test{m, class, name, cell, z})
--- a/internal/fleet/canary/estimate.go
+++ b/internal/fleet/canary/estimate.go
@@ -4,76 +4,84 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// instanceEstimate is what one instance says of one test: the estimate of how much more of the
-// measure it has now than in its past, beyond what those beside it lead to expect.
+// instanceEstimate is what one instance contributes to a test: by how much the measure is
+// higher than its past and the unchanged instances of its zone lead one to expect.
 type instanceEstimate struct {
-	zone               int
-	isChanged          bool
-	estimate, variance float64 // estimate, and its variance by chance
-	exposure           float64 // exposure in the present
-	expectedEvents     float64 // expected at the boundary of the null
-	seenEvents         float64 // events in the present
+	zone           int
+	isChanged      bool
+	estimate       float64
+	variance       float64 // of estimate, by chance
+	exposure       float64 // in the present
+	expectedEvents float64 // in the present, at the boundary of the null hypothesis
+	seenEvents     float64 // in the present
 }
 
-// contrast sets the changed views against the unchanged ones, and allows for
-// instances that drift by themselves: drift is the variance of that.
-func contrast(views []instanceEstimate, drift float64) (e Evidence) {
-	var sum, weight [2]float64
-	for _, v := range views {
-		arm := 0
-		if v.isChanged {
-			arm = 1
+// contrast compares the estimates of changed instances with those of unchanged ones.
+// driftVariance is the variance of instances that drift by themselves.
+func contrast(estimates []instanceEstimate, driftVariance float64) (e Evidence) {
+	var sum, weight [sides]float64
+	for _, x := range estimates {
+		side := unchangedSide
+		if x.isChanged {
+			side = changedSide
 			e.Changed++
-			e.Exposure += v.exposure
-			e.expectedEvents += v.expectedEvents
-			e.seenEvents += v.seenEvents
+			e.Exposure += x.exposure
+			e.expectedEvents += x.expectedEvents
+			e.seenEvents += x.seenEvents
 		} else {
 			e.Unchanged++
 		}
-		w := 1 / (v.variance + drift)
-		sum[arm] += w * v.estimate
-		weight[arm] += w
+		w := 1 / (x.variance + driftVariance)
+		sum[side] += w * x.estimate
+		weight[side] += w
 	}
 	if e.Changed == 0 || e.Unchanged == 0 {
 		return e
 	}
-	e.Estimate = sum[1]/weight[1] - sum[0]/weight[0]
-	e.variance = 1/weight[1] + 1/weight[0]
-	e.driftFloor = drift/float64(e.Changed) + drift/float64(e.Unchanged)
+	e.Estimate = sum[changedSide]/weight[changedSide] - sum[unchangedSide]/weight[unchangedSide]
+	e.variance = 1/weight[changedSide] + 1/weight[unchangedSide]
+	e.driftFloor = driftVariance/float64(e.Changed) + driftVariance/float64(e.Unchanged)
 	return e
 }
 
-// driftConfidence is how sure the allowance for drift is of not being too small.
+// driftConfidence is the confidence with which the estimate of drift is not too small.
 const driftConfidence = 0.99
 
-// minDriftInstances is how many unchanged instances tell how much instances drift.
+// minDriftInstances is the number of unchanged instances needed to estimate drift.
 const minDriftInstances = 3
 
-// estimateDrift estimates, from the unchanged ones, the variance that instances have beyond
-// chance (DerSimonian and Laird's estimate of a random effect, Controlled Clinical
-// Trials 7, 1986), taken larger where few tell it. ok says whether enough do.
-func estimateDrift(views []instanceEstimate) (tau2 float64, ok bool) {
-	var k, w1, w2, mean float64
-	for _, v := range views {
-		if !v.isChanged && v.variance > 0 {
-			w := 1 / v.variance
-			k++
-			w1 += w
-			w2 += w * w
-			mean += w * v.estimate
+// drift is the variance by which instances differ from their past beyond chance. It is
+// known only with minDriftInstances unchanged instances.
+type drift struct {
+	variance float64
+	known    bool
+}
+
+// estimateDrift estimates drift from the unchanged instances (DerSimonian and Laird's
+// estimate of a random effect, Controlled Clinical Trials 7, 1986). With few instances
+// the estimate is raised.
+func estimateDrift(estimates []instanceEstimate) drift {
+	var count, weights, weightSquares, mean float64
+	for _, x := range estimates {
+		if !x.isChanged && x.variance > 0 {
+			w := 1 / x.variance
+			count++
+			weights += w
+			weightSquares += w * w
+			mean += w * x.estimate
 		}
 	}
-	if k < minDriftInstances {
-		return 0, false
+	if count < minDriftInstances {
+		return drift{}
 	}
-	mean /= w1
-	q := 0.0
-	for _, v := range views {
-		if !v.isChanged && v.variance > 0 {
-			q += (v.estimate - mean) * (v.estimate - mean) / v.variance
+	mean /= weights
+	q := 0.0 // Cochran's heterogeneity statistic
+	for _, x := range estimates {
+		if !x.isChanged && x.variance > 0 {
+			q += (x.estimate - mean) * (x.estimate - mean) / x.variance
 		}
 	}
-	// A sum of squares that happened to come out small is no proof of small drift.
-	q *= (k - 1) / distuv.ChiSquared{K: k - 1}.Quantile(1-driftConfidence)
-	return max(0, q-(k-1)) / (w1 - w2/w1), true
+	// A sum of squares that is small by chance does not prove that drift is small.
+	q *= (count - 1) / distuv.ChiSquared{K: count - 1}.Quantile(1-driftConfidence)
+	return drift{variance: max(0, q-(count-1)) / (weights - weightSquares/weights), known: true}
 }
--- a/internal/fleet/canary/evaluate.go
+++ b/internal/fleet/canary/evaluate.go
@@ -6,148 +6,179 @@
 	"sort"
 )
 
-// Evaluate judges all that has come of slots before the given one. It may be called
-// as often as one likes.
+// Evaluate judges the evidence of all slots before the given one. It may be called any
+// number of times.
 func (j *Judge) Evaluate(before int) Judgement {
 	j.aggregate(before)
 	out := Judgement{Verdict: NotWorse, Excluded: j.Excluded(), Slots: max(0, j.aggregatedSlots-j.cfg.Start)}
-	views := make([][]instanceEstimate, len(j.cells)+len(gauges))
-	drifts, known := make([]float64, len(views)), make([]bool, len(views))
-	for k := range views {
-		views[k] = j.estimates(k)
-		drifts[k], known[k] = estimateDrift(views[k])
+	estimates := make([][]instanceEstimate, len(j.cells)+len(gauges))
+	drifts := make([]drift, len(estimates))
+	for k := range estimates {
+		estimates[k] = j.estimates(k)
+		drifts[k] = estimateDrift(estimates[k])
 	}
-	var some []instanceEstimate
+	var inZone []instanceEstimate
 	for _, t := range j.tests {
-		some = some[:0]
-		for _, v := range views[t.cell] {
-			if t.zone < 0 || v.zone == t.zone {
-				some = append(some, v)
+		inZone = inZone[:0]
+		for _, e := range estimates[t.cell] {
+			if t.zone == allZones || e.zone == t.zone {
+				inZone = append(inZone, e)
 			}
 		}
-		e := contrast(some, drifts[t.cell])
-		e.Test, e.Margin = t, j.cfg.Margins[t.Measure]
-		if t.cell < len(j.cells) {
-			if l := &j.baselineLevels[t.cell]; l.exposure > 0 {
-				e.Usual = l.events / l.exposure
-			}
-		}
-		j.decide(&e, known[t.cell])
-		e.Advisory = e.Verdict == Inconclusive && !j.decisive(&e)
+		e := j.evaluateTest(t, inZone, drifts[t.cell])
 		if e.Verdict == Worse || e.Verdict == Inconclusive && out.Verdict == NotWorse && !e.Advisory {
 			out.Verdict = e.Verdict
 		}
 		out.Evidence = append(out.Evidence, e)
 	}
-	rank := func(e *Evidence) int {
-		if e.Advisory {
-			return 3
-		}
-		return map[Verdict]int{Worse: 0, Inconclusive: 1, NotWorse: 2}[e.Verdict]
-	}
-	sort.SliceStable(out.Evidence, func(a, b int) bool { return rank(&out.Evidence[a]) < rank(&out.Evidence[b]) })
+	sort.SliceStable(out.Evidence, func(a, b int) bool { return out.Evidence[a].rank() < out.Evidence[b].rank() })
 	out.Degradations = j.degradations()
 	return out
 }
 
-// minorClassFraction is the part of all requests under which a class is minor.
+// evaluateTest returns the evidence of one test from the estimates of its instances.
+func (j *Judge) evaluateTest(t Test, estimates []instanceEstimate, d drift) Evidence {
+	e := contrast(estimates, d.variance)
+	e.Test, e.Margin = t, j.cfg.Margins[t.Measure]
+	if t.cell < len(j.cells) {
+		if l := &j.baselineLevels[t.cell]; l.exposure > 0 {
+			e.Usual = l.events / l.exposure
+		}
+	}
+	j.decide(&e, d.known)
+	e.Advisory = e.Verdict == Inconclusive && !j.decisive(&e)
+	return e
+}
+
+// rank is the place of the evidence in a judgement: what decides it comes first.
+func (e *Evidence) rank() int {
+	switch {
+	case e.Advisory:
+		return 3
+	case e.Verdict == Worse:
+		return 0
+	case e.Verdict == Inconclusive:
+		return 1
+	}
+	return 2
+}
+
+// minorClassFraction is the fraction of all requests below which a class is minor.
 const minorClassFraction = 0.02
 
-// decisive says whether a test that can't be told keeps the whole from being told. Those of
-// one zone or of a minor class stop a change that does worse there, and else would hold
-// each: there is never enough traffic to rule harm out in the smallest corner.
+// decisive reports whether an inconclusive test makes the judgement inconclusive. A test of
+// one zone or of a minor class does not: it stops a change that is worse there, but there
+// is rarely enough traffic to rule harm out, so it would hold every change.
 func (j *Judge) decisive(e *Evidence) bool {
-	if e.zone >= 0 {
+	if e.zone != allZones {
 		return false
 	}
-	if e.cell >= len(j.cells) || j.cells[e.cell].class < 0 {
+	if e.cell >= len(j.cells) || j.cells[e.cell].class == allClasses {
 		return true
 	}
 	return j.baselineLevels[e.cell].exposure >= minorClassFraction*j.baselineRequests
 }
 
-// estimates are what the instances say in a cell, or of a gauge. One that was changed speaks
-// twice: for what it was, and for what it is.
+// estimates are the estimates of the instances in a cell or, from len(Judge.cells) on, of
+// a gauge. A changed instance has two: as an unchanged one before, and as a changed one.
 func (j *Judge) estimates(k int) (out []instanceEstimate) {
 	if g := k - len(j.cells); g >= 0 {
-		// A page of memory comes and goes, and so do a few descriptors.
-		floor := [...]float64{0.25, 2}[g]
-		for i, z := range j.zoneOf {
-			for side := range j.gaugeLines[g] {
-				l := &j.gaugeLines[g][side][i]
-				if a, s2, ok := l.slope(floor); ok && j.arms[i] != armReverted {
-					out = append(out, instanceEstimate{zone: z, isChanged: side == 1, estimate: a, variance: s2, exposure: l.points, expectedEvents: minEvents})
-				}
-			}
-		}
-		return out
+		return j.gaugeEstimates(g)
 	}
-	c, l := &j.cells[k], &j.baselineLevels[k]
-	if l.exposure == 0 {
+	if j.baselineLevels[k].exposure == 0 {
 		return nil
 	}
-	tolerate, factor := j.cfg.Margins[c.measure].Tolerate, j.noise[k].factor()
-	say := func(i int, s *totals, isNew bool) {
-		if s.exposure[0] <= 0 || s.exposure[1] <= 0 {
-			return
+	add := func(i int, s *totals, isChanged bool) {
+		if s.exposure[past] > 0 && s.exposure[present] > 0 {
+			out = append(out, j.cellEstimate(k, i, s, isChanged))
 		}
-		// It is as many times as bad as those beside it as it was in its past: on a bad
-		// day, an instance that is always twice as bad is so too.
-		little, times := s.priorEvents(), s.pastFactor()
-		rate := s.expected[1] / s.exposure[1]
-		// At the boundary of the null, in the windows that it had, and never 0: what was
-		// not seen may yet come.
-		now, past := max(times*rate, l.events/l.exposure)+tolerate, (s.events[0]+little/pastPriorEvents)/s.exposure[0]
-		out = append(out, instanceEstimate{
-			zone:           j.zoneOf[i],
-			isChanged:      isNew,
-			estimate:       s.events[1]/s.exposure[1] - times*rate,
-			variance:       factor * (c.spread(now, s.squares[1])/(s.exposure[1]*s.exposure[1]) + rate*rate*c.spread(past, s.squares[0])/((s.expected[0]+little)*(s.expected[0]+little))),
-			exposure:       s.exposure[1],
-			expectedEvents: now * s.exposure[1] * s.exposure[1] / s.squares[1],
-			seenEvents:     s.events[1],
-		})
 	}
 	for i := range j.zoneOf {
 		switch j.arms[i] {
 		case armUnchanged:
-			say(i, &j.totals[k][i], false)
+			add(i, &j.totals[k][i], false)
 		case armChanged:
-			say(i, &j.totalsBeforeChange[k][i], false)
-			say(i, &j.totals[k][i], true)
+			add(i, &j.totalsBeforeChange[k][i], false)
+			add(i, &j.totals[k][i], true)
 		}
 	}
 	return out
 }
 
-// worseBoundFraction is the part of what is tolerated that even the lower bound must pass. With 0
-// one in 25 harmless changes of 60 instances was stopped: rates of few events are
-// skewed, and instances drift by more on a bad day than the bound allows for.
+// gaugeFloors are the smallest standard deviations assumed for a value of each gauge, since
+// a page of memory (in MiB) or a few descriptors come and go.
+var gaugeFloors = [len(gauges)]float64{0.25, 2}
+
+// gaugeEstimates are the growths of a gauge at each instance and side.
+func (j *Judge) gaugeEstimates(g int) (out []instanceEstimate) {
+	for i, z := range j.zoneOf {
+		for side := range j.gaugeLines[g] {
+			l := &j.gaugeLines[g][side][i]
+			if growth, ok := l.slope(gaugeFloors[g]); ok && j.arms[i] != armReverted {
+				out = append(out, instanceEstimate{zone: z, isChanged: side == changedSide,
+					estimate: growth.perMinute, variance: growth.variance, exposure: l.points, expectedEvents: minEvents})
+			}
+		}
+	}
+	return out
+}
+
+// cellEstimate compares an instance's present with the rate expected of it: that of the
+// unchanged instances in the same slots, multiplied by the instance's factor in the past.
+// On a bad day, an instance that always fails twice as often is expected to do so too.
+func (j *Judge) cellEstimate(k, i int, s *totals, isChanged bool) instanceEstimate {
+	c, l := &j.cells[k], &j.baselineLevels[k]
+	tolerate, excess := j.cfg.Margins[c.measure].Tolerate, j.noise[k].factor()
+	prior, factor := s.priorEvents(), s.pastFactor()
+	rate := s.expected[present] / s.exposure[present]
+	// The variances are those at the boundary of the null hypothesis, for the windows that
+	// there were, and never 0: events that have not been seen may still come.
+	nowRate := max(factor*rate, l.events/l.exposure) + tolerate
+	pastRate := (s.events[past] + prior/pastPriorEvents) / s.exposure[past]
+	return instanceEstimate{
+		zone:           j.zoneOf[i],
+		isChanged:      isChanged,
+		estimate:       s.events[present]/s.exposure[present] - factor*rate,
+		variance:       excess * (c.variance(nowRate, s.squares[present])/(s.exposure[present]*s.exposure[present]) + rate*rate*c.variance(pastRate, s.squares[past])/((s.expected[past]+prior)*(s.expected[past]+prior))),
+		exposure:       s.exposure[present],
+		expectedEvents: nowRate * s.exposure[present] * s.exposure[present] / s.squares[present],
+		seenEvents:     s.events[present],
+	}
+}
+
+// worseBoundFraction is the fraction of the tolerated margin that the lower bound must
+// exceed before a change is judged worse. It makes up for what the bound does not cover:
+// rates of few events are skewed, and instances drift more on a bad day.
 const worseBoundFraction = 0.5
 
-// decide says what a test's evidence amounts to.
-func (j *Judge) decide(e *Evidence, known bool) {
+// decide sets the verdict of a test's evidence. driftKnown says whether there are enough
+// unchanged instances to estimate drift.
+func (j *Judge) decide(e *Evidence, driftKnown bool) {
 	e.Verdict = Inconclusive
 	switch {
 	case e.Changed == 0:
 		e.Why = "no changed instance has both a past and a present beside unchanged ones"
-		return
-	case e.Unchanged == 0 || !known:
+	case e.Unchanged == 0 || !driftKnown:
 		e.Why = fmt.Sprintf("%d unchanged instances; %d at least tell how much instances drift by themselves", e.Unchanged, minDriftInstances)
-		return
 	case e.Measure == Crashes && rareLog(e.seenEvents, e.expectedEvents) > -math.Log(j.alpha()):
-		// Few as they are, they are more than the unchanged ones' rate and what is
-		// tolerated would bring.
+		// Few crashes are enough here: they are more than the usual rate and the tolerated
+		// margin explain.
 		e.Verdict, e.Low, e.High = Worse, e.Estimate-e.Margin.Tolerate, math.MaxFloat64
-		return
 	case e.Measure == Crashes && e.expectedEvents < minEvents && e.seenEvents <= e.expectedEvents:
-		// Crashes are rare: that there were none is as much as can be known.
+		// Crashes are rare: no more of them than expected is all that can be shown.
 		e.Verdict, e.Low, e.High = NotWorse, -math.MaxFloat64, e.Margin.Exclude
-		return
 	case e.expectedEvents < minEvents:
-		e.Why, e.Needs = "too few requests", minEvents/max(e.expectedEvents, 1e-3)
-		return
+		e.Why, e.Needs = "too few requests", minEvents/max(e.expectedEvents, minNeedsEvents)
+	default:
+		j.decideByBounds(e)
 	}
+}
+
+// minNeedsEvents keeps Evidence.Needs finite where no event is expected.
+const minNeedsEvents = 1e-3
+
+// decideByBounds sets the verdict by the bounds of the estimate.
+func (j *Judge) decideByBounds(e *Evidence) {
 	r := radius(e.variance, e.Margin.Tolerate, j.alpha())
 	e.Low, e.High = e.Estimate-r, e.Estimate+r
 	switch {
--- a/internal/fleet/canary/judge.go
+++ b/internal/fleet/canary/judge.go
@@ -27,14 +27,14 @@
 	unpairedWindows int               // windows without an unchanged one beside them, as advance found
 	// What advance has added up, slots before done.
 	aggregatedSlots    int
-	totals             [][]totals   // by cell, by instance
-	noise              []noise      // by cell
-	usualFactor        [][]float64  // by cell, by instance: how many times as bad as the others it was before Start
-	baseRate           [][]float64  // by cell, by zone: the rate of all before Start
-	totalsBeforeChange [][]totals   // of changed ones, as they stood before: their evidence as unchanged ones stays
-	gaugeLines         [2][2][]line // by gauge, by side (1: changed), by instance
-	baselineLevels     []level      // by cell: the unchanged ones' rate by slot
-	baselineRequests   float64      // requests of the unchanged ones
+	totals             [][]totals                 // by cell, by instance
+	noise              []noise                    // by cell
+	usualFactor        [][]float64                // by cell, by instance: how many times as bad as the others it was before Start
+	baseRate           [][]float64                // by cell, by zone: the rate of all before Start
+	totalsBeforeChange [][]totals                 // of changed ones, as they stood before: their evidence as unchanged ones stays
+	gaugeLines         [len(gauges)][sides][]line // by gauge, by side (1: changed), by instance
+	baselineLevels     []level                    // by cell: the unchanged ones' rate by slot
+	baselineRequests   float64                    // requests of the unchanged ones
 }
 
 type storedWindow struct {
@@ -75,7 +75,7 @@
 	j.usualFactor = nil
 	j.noise, j.baselineLevels = make([]noise, len(j.cells)), make([]level, len(j.cells))
 	for g := range j.gaugeLines {
-		j.gaugeLines[g] = [2][]line{make([]line, len(j.zoneOf)), make([]line, len(j.zoneOf))}
+		j.gaugeLines[g] = [sides][]line{make([]line, len(j.zoneOf)), make([]line, len(j.zoneOf))}
 	}
 }
 
--- a/internal/fleet/canary/level.go
+++ b/internal/fleet/canary/level.go
@@ -1,24 +1,27 @@
 package canary
 
-// level is the unchanged ones' rate over the slots: its past [0] and the present [1].
+// level is the rate of the unchanged instances in one cell, by slot. Its arrays are
+// indexed by phase.
 type level struct {
-	slots, rateSum, rateSquares [2]float64
-	events, exposure            float64 // of all slots together
-	recent                      []float64
+	slots, rateSum, rateSquares [phases]float64
+	events, exposure            float64   // of all slots
+	recent                      []float64 // the rates of the last slots of the present
 }
 
-// recentSlots is how far back the present state of the unchanged ones is looked at.
+// recentSlots is the number of slots that make up the recent state of the unchanged
+// instances.
 const recentSlots = 6
 
-func (l *level) add(phase int, x, n float64) {
-	r := x / n
+// add adds a slot.
+func (l *level) add(phase int, events, exposure float64) {
+	rate := events / exposure
 	l.slots[phase]++
-	l.rateSum[phase] += r
-	l.rateSquares[phase] += r * r
-	l.events += x
-	l.exposure += n
-	if phase == 1 {
-		l.recent = append(l.recent, r)
+	l.rateSum[phase] += rate
+	l.rateSquares[phase] += rate * rate
+	l.events += events
+	l.exposure += exposure
+	if phase == present {
+		l.recent = append(l.recent, rate)
 		if len(l.recent) > recentSlots {
 			l.recent = l.recent[1:]
 		}
--- a/internal/fleet/canary/planning.go
+++ b/internal/fleet/canary/planning.go
@@ -16,7 +16,7 @@
 	h := margin.Tolerate
 	for range 50 { // the variance grows with the harm: a fixed point
 		p := usual + h
-		next := max(margin.Tolerate, radius(c.spread(p, 1)/changed+c.spread(usual+margin.Tolerate, 1)/unchanged, margin.Tolerate, falseStops/float64(max(1, tests))))
+		next := max(margin.Tolerate, radius(c.variance(p, 1)/changed+c.variance(usual+margin.Tolerate, 1)/unchanged, margin.Tolerate, falseStops/float64(max(1, tests))))
 		if math.Abs(next-h) < 1e-6 {
 			break
 		}
