--- a/internal/fleet/canary/aggregate.go
+++ b/internal/fleet/canary/aggregate.go
@@ -146,6 +146,7 @@
 	sides
 )
 
+// bytesPerMiB converts resident memory to the unit of its margin.
 const bytesPerMiB = 1 << 20
 
 // addSlot adds a slot to the totals of one cell.
--- a/internal/fleet/canary/config.go
+++ b/internal/fleet/canary/config.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Measure is one thing that is compared.
+// Measure is a quantity that is compared.
 type Measure string
 
 // The measures.
 const (
-	Unserved     Measure = "unserved" // share of a class's requests refused or failed
-	Failed       Measure = "failed"   // share of a class's requests failed: they may have run
-	WeightedLoss Measure = "worth"    // share of the worth asked for that was not served
-	Attempts     Measure = "attempts" // attempts a request
-	Rejections   Measure = "declined" // share of attempts that servers turned away
-	Slow         Measure = "slow"     // share of requests held in the sidecar for too long
-	Crashes      Measure = "crashes"  // a minute
-	Memory       Measure = "memory"   // growth, MiB a minute
-	Files        Measure = "files"    // growth of open descriptors, a minute
+	Unserved     Measure = "unserved" // fraction of a class's requests that were rejected or failed
+	Failed       Measure = "failed"   // fraction of a class's requests that failed and may have been executed
+	WeightedLoss Measure = "worth"    // fraction of the requests, by weight, that were rejected or failed
+	Attempts     Measure = "attempts" // attempts per request
+	Rejections   Measure = "declined" // fraction of the attempts that servers rejected
+	Slow         Measure = "slow"     // fraction of the requests that were in the sidecar for too long
+	Crashes      Measure = "crashes"  // per minute
+	Memory       Measure = "memory"   // growth, MiB per minute
+	Files        Measure = "files"    // growth of open descriptors, per minute
 )
 
-// Margin is how much worse a measure may be, in the measure's unit.
+// Margin is by how much a measure may be worse, in the measure's unit.
 type Margin struct {
-	// Tolerate is what is stood: an estimate below it stops nothing.
+	// Tolerate is the tolerated excess: a smaller estimate never stops a change.
 	Tolerate float64 `msgpack:"Tolerate" json:"Tolerate"`
-	// Exclude is the harm that must be ruled out before "not worse" is said.
+	// Exclude is the excess that must be ruled out before the verdict is "not worse".
 	Exclude float64 `msgpack:"Exclude" json:"Exclude"`
 }
 
-// Margins are the defaults: docs/design/staged-change.md argues each.
+// Margins are the default margins. docs/design/staged-change.md gives the reason for each.
 func Margins() map[Measure]Margin {
 	return map[Measure]Margin{
 		Unserved:     {0.01, 0.05},
@@ -44,32 +44,32 @@
 	}
 }
 
-// Config is what a judge needs to know before the first window.
+// Config is the configuration of a judge.
 type Config struct {
 	Classes []string  `msgpack:"Classes" json:"Classes"`
-	Weights []float64 `msgpack:"Worth" json:"Worth"` // of a request of each class
-	// Zones has each instance's zone, "" where it has none.
+	Weights []float64 `msgpack:"Worth" json:"Worth"` // of a request, by class
+	// Zones is the zone of each instance, "" where it has none.
 	Zones   []string           `msgpack:"Zones" json:"Zones"`
 	Margins map[Measure]Margin `msgpack:"Margins" json:"Margins"`
-	// Base and Change are the releases compared. Windows of others are left out.
+	// Base and Change are the compared releases. Windows of others are excluded.
 	Base   string `msgpack:"Base" json:"Base"`
 	Change string `msgpack:"Change" json:"Change"`
-	// Start is the slot from which on the change is made to anyone.
+	// Start is the first slot in which the change is made to any instance.
 	Start int `msgpack:"Start" json:"Start"`
-	// Slot is a slot's length.
+	// Slot is the length of a slot.
 	Slot time.Duration `msgpack:"Slot" json:"Slot"`
-	// Warm is how old a process must be at a window's begin for it to count.
+	// Warm is the minimum age of a process at the beginning of a window.
 	Warm time.Duration `msgpack:"Warm" json:"Warm"`
-	// Settle is likewise for memory and descriptors, which grow at first.
+	// Settle is the minimum age for memory and descriptors, which grow at first.
 	Settle time.Duration `msgpack:"Settle" json:"Settle"`
-	// FalseStops is the probability with which a change that is no worse is ever
-	// called worse, over all measures, classes, zones and looks together.
+	// FalseStops is the probability that a change that is no worse is ever judged worse,
+	// over all measures, classes, zones and looks together.
 	FalseStops float64 `msgpack:"FalseStops" json:"FalseStops"`
-	// MaxSlots bounds what is kept: windows of later slots are left out.
+	// MaxSlots bounds the stored windows: those of later slots are excluded.
 	MaxSlots int `msgpack:"SlotsMost" json:"SlotsMost"`
 }
 
-// Check says what is wrong with a configuration.
+// Check returns an error that names the invalid values of a configuration.
 func (c *Config) Check() error {
 	switch {
 	case len(c.Zones) == 0:
--- a/internal/fleet/canary/differ.go
+++ b/internal/fleet/canary/differ.go
@@ -2,64 +2,61 @@
 
 import "time"
 
-// Sample is what an instance's door told at a moment: counts since its process
-// began, and what stands. The zero value of a count that the door does not give
-// stays 0 in all windows.
+// Sample is the figures of an instance at one time: counters since its process began, and
+// gauges. A counter that the instance does not report is 0 in all windows.
 type Sample struct {
-	At      time.Time // when it was asked, by its agent's clock
-	Process string    // names the process: another one counts anew
-	Started time.Time // of the process, by the same clock
-	Window            // the counts, since the process began; Instance is its place
+	At      time.Time // when it was read, by its agent's clock
+	Process string    // identifies the process, whose counters begin at 0
+	Started time.Time // start of the process, by the same clock
+	Window            // the counters since the process began, and Instance
 }
 
-// Differ makes windows of the samples of one instance, in the order of their time.
-// What it can't make a true window of it leaves out, and counts.
+// Differ makes windows from the samples of one instance, in the order of their time. It
+// excludes and counts the slots for which it cannot make a window.
 type Differ struct {
 	Slot time.Duration // windows begin and end at its multiples
 	// MaxOffset is how far from a boundary a sample may be taken.
 	MaxOffset time.Duration
-	Excluded  map[Reason]int
+	Excluded  map[Reason]int // slots without a window, by reason
 	last      Sample
-	slot      int64 // of last
-	have      bool
+	lastSlot  int64 // number of the boundary of last
+	hasLast   bool
 }
 
-// Boundary is the multiple of slot that is nearest to at, and how far that is.
+// Boundary returns the number n of the multiple of slot that is nearest to at, and how far
+// it is from at.
 func Boundary(at time.Time, slot time.Duration) (n int64, off time.Duration) {
 	t := at.UnixNano() + int64(slot)/2
 	n = t / int64(slot)
 	return n, (time.Duration(t%int64(slot)) - slot/2).Abs()
 }
 
-func (d *Differ) exclude(r Reason, n int) {
+func (d *Differ) exclude(r Reason, slots int) {
 	if d.Excluded == nil {
 		d.Excluded = make(map[Reason]int)
 	}
-	d.Excluded[r] += n
+	d.Excluded[r] += slots
 }
 
-// Next takes the next sample, and returns the window between it and the one before,
-// if there is one. first is the number of the boundary at which slot 0 begins.
+// Next takes the next sample and returns the window between it and the one before, if
+// there is one. first is the number of the boundary at which slot 0 begins.
 func (d *Differ) Next(s Sample, first int64) (w Window, ok bool) {
 	n, off := Boundary(s.At, d.Slot)
 	if off > d.MaxOffset {
 		d.exclude(OffBoundary, 1)
-		return Window{}, false // the next one is too long, and is left out for that
+		return Window{}, false // the next window spans two slots and is excluded for that
 	}
-	last, slot, have := d.last, d.slot, d.have
-	if have && n <= slot {
-		return Window{}, false // told before
+	last, slot, hasLast := d.last, d.lastSlot, d.hasLast
+	if hasLast && n <= slot {
+		return Window{}, false // a repetition
 	}
-	d.last, d.slot, d.have = s, n, true
+	d.last, d.lastSlot, d.hasLast = s, n, true
 	switch {
-	case !have:
+	case !hasLast:
 		return Window{}, false
 	case s.Process != last.Process && s.Crashes > last.Crashes && s.Release == last.Release && len(s.Classes) > 0:
-		// A crash is told by the instance's own count, which outlives processes; what
-		// the process had counted until then is lost with it.
 		d.exclude(Restarted, int(n-slot))
-		return Window{Instance: s.Instance, Slot: int(n - 1 - first), Release: s.Release, Age: s.At.Sub(s.Started),
-			Classes: make([]Counts, len(s.Classes)), Crashes: s.Crashes - last.Crashes}, n > first
+		return crashWindow(s, last, int(n-1-first)), n > first
 	case n != slot+1:
 		d.exclude(MissingSample, int(n-slot))
 		return Window{}, false
@@ -72,23 +69,41 @@
 	case slot < first:
 		return Window{}, false
 	}
-	w = s.Window
-	w.Slot, w.Release, w.Age = int(slot-first), s.Release, s.At.Sub(s.Started)
-	w.Classes = make([]Counts, len(s.Classes))
-	fell := false
-	less := func(now, before uint32) uint32 {
-		fell = fell || now < before
-		return now - before
-	}
-	for c := range w.Classes {
-		a, b := s.Classes[c], last.Classes[c]
-		w.Classes[c] = Counts{less(a.Served, b.Served), less(a.Rejected, b.Rejected), less(a.Failed, b.Failed)}
-	}
-	w.Attempts, w.Finished, w.Rejected = less(s.Attempts, last.Attempts), less(s.Finished, last.Finished), less(s.Rejected, last.Rejected)
-	w.Sampled, w.Slow, w.Crashes = less(s.Sampled, last.Sampled), less(s.Slow, last.Slow), less(s.Crashes, last.Crashes)
-	if fell {
+	w, ok = difference(s, last, int(slot-first))
+	if !ok {
 		d.exclude(CounterDecreased, 1)
 		return Window{}, false
 	}
 	return w, true
 }
+
+// crashWindow is the window after a crash. The count of crashes outlives the process, and
+// is all that the window holds: what the process had counted was lost with it.
+func crashWindow(s, last Sample, slot int) Window {
+	return Window{Instance: s.Instance, Slot: slot, Release: s.Release, Age: s.At.Sub(s.Started),
+		Classes: make([]Counts, len(s.Classes)), Crashes: s.Crashes - last.Crashes}
+}
+
+// difference is the window between two samples of one process. It reports false if a
+// counter has decreased.
+func difference(s, last Sample, slot int) (w Window, ok bool) {
+	ok = true
+	subtract := func(now, before uint32) uint32 {
+		ok = ok && now >= before
+		return now - before
+	}
+	w = s.Window
+	w.Slot, w.Release, w.Age = slot, s.Release, s.At.Sub(s.Started)
+	w.Classes = make([]Counts, len(s.Classes))
+	for c := range w.Classes {
+		now, before := s.Classes[c], last.Classes[c]
+		w.Classes[c] = Counts{subtract(now.Served, before.Served), subtract(now.Rejected, before.Rejected), subtract(now.Failed, before.Failed)}
+	}
+	w.Attempts = subtract(s.Attempts, last.Attempts)
+	w.Finished = subtract(s.Finished, last.Finished)
+	w.Rejected = subtract(s.Rejected, last.Rejected)
+	w.Sampled = subtract(s.Sampled, last.Sampled)
+	w.Slow = subtract(s.Slow, last.Slow)
+	w.Crashes = subtract(s.Crashes, last.Crashes)
+	return w, ok
+}
--- a/internal/fleet/canary/judge.go
+++ b/internal/fleet/canary/judge.go
@@ -1,48 +1,50 @@
-// Package canary says whether sidecars that run a change serve worse than those
-// that do not, from what they counted over the same time. It is pure: it does no
-// I/O and reads no clock; counts come in, verdicts with their evidence go out.
+// Package canary judges whether sidecars that run a change serve worse than those that
+// do not, from what both counted over the same time (canary analysis, as in Kayenta). It
+// is pure: it does no I/O and reads no clock; windows of counts come in, verdicts with
+// their evidence go out.
 //
-// Each instance is expected to be as many times as bad as the unchanged ones beside it,
-// within a zone and a slot of time, as it was in its past; what the changed ones are
-// beyond that is set against what the unchanged ones are. So neither a bad minute at the servers nor an instance
-// that was always worse looks like the change's doing. The bounds hold however
-// often they are looked at (see bound.go), over all measures together.
+// Each instance is compared with the unchanged instances of its zone in the same slots of
+// time, as a multiple that is known from its past. The excess of the changed instances is
+// then tested against that of the unchanged ones. Neither a bad minute at the servers nor
+// an instance that was always worse therefore looks like an effect of the change. The
+// bounds hold under repeated looks (see bound.go), over all measures together.
 //
-// It promises: the order in which windows come does not matter; a window that
-// comes twice counts once; what can't be compared is left out and counted by
-// reason, never filled in. It does not promise to find harm that falls on changed
-// and unchanged instances alike: that is told apart as Suffering, and says to hold.
+// It promises: the order in which windows are added does not matter; a window that is
+// added twice counts once; windows that cannot be compared are excluded and counted by
+// reason, never estimated. It does not promise to find harm that affects changed and
+// unchanged instances alike: that is reported as a Degradation, a reason to wait.
 package canary
 
-// Judge holds the windows of one change. Its bound is MaxSlots windows an instance.
+// Judge holds the windows of one change: at most Config.MaxSlots for each instance.
 type Judge struct {
-	cfg             Config
-	cells           []cell
-	tests           []Test
-	zoneNames       []string          // the names, without repetition
-	zoneOf          []int             // of each instance
-	slots           [][]*storedWindow // by slot, by instance; nil: no window
-	arms            []arm             // of each instance
-	excluded        map[Reason]int    // by Add
-	unpairedWindows int               // windows without an unchanged one beside them, as advance found
-	// What advance has added up, slots before done.
-	aggregatedSlots    int
-	totals             [][]totals                 // by cell, by instance
+	cfg                Config
+	cells              []cell
+	tests              []Test
+	zoneNames          []string                   // distinct, in the order of Config.Zones
+	zoneOf             []int                      // of each instance, an index into zoneNames
+	slots              [][]*storedWindow          // by slot and instance; nil: no window
+	arms               []arm                      // of each instance
+	excluded           map[Reason]int             // by Add
+	unpairedWindows    int                        // windows of changed instances in a zone and slot without an unchanged one
+	aggregatedSlots    int                        // the fields below are the sums of the slots before this one
+	totals             [][]totals                 // by cell and instance
 	noise              []noise                    // by cell
-	usualFactor        [][]float64                // by cell, by instance: how many times as bad as the others it was before Start
-	baseRate           [][]float64                // by cell, by zone: the rate of all before Start
-	totalsBeforeChange [][]totals                 // of changed ones, as they stood before: their evidence as unchanged ones stays
-	gaugeLines         [len(gauges)][sides][]line // by gauge, by side (1: changed), by instance
-	baselineLevels     []level                    // by cell: the unchanged ones' rate by slot
-	baselineRequests   float64                    // requests of the unchanged ones
+	usualFactor        [][]float64                // by cell and instance: its rate before Start as a multiple of its zone's
+	baseRate           [][]float64                // by cell and zone: the rate of all instances before Start
+	totalsBeforeChange [][]totals                 // of changed instances: the totals from when they were unchanged
+	gaugeLines         [len(gauges)][sides][]line // by gauge, side and instance
+	baselineLevels     []level                    // by cell: the rate of the unchanged instances
+	baselineRequests   float64                    // requests of the unchanged instances
 }
 
+// storedWindow is a window that was not excluded.
 type storedWindow struct {
 	window   Window
-	isChange bool
+	isChange bool // whether the instance ran Config.Change
 }
 
-// New returns a judge without evidence.
+// New returns a judge without evidence. Without margins in the configuration it uses
+// those of Margins.
 func New(c Config) (*Judge, error) {
 	if c.Margins == nil {
 		c.Margins = Margins()
@@ -64,7 +66,7 @@
 	return j, nil
 }
 
-// reset forgets what was added up, not the windows.
+// reset discards the sums, not the windows.
 func (j *Judge) reset() {
 	j.aggregatedSlots, j.unpairedWindows, j.baselineRequests = 0, 0, 0
 	j.totals, j.totalsBeforeChange = make([][]totals, len(j.cells)), make([][]totals, len(j.cells))
@@ -79,7 +81,7 @@
 	}
 }
 
-// Add takes a window. It may come late, in any order, or again.
+// Add adds a window. Windows may come late, in any order, and repeatedly.
 func (j *Judge) Add(w Window) {
 	switch {
 	case w.Instance < 0 || w.Instance >= len(j.zoneOf) || len(w.Classes) != len(j.cfg.Classes) || w.Slot < 0:
@@ -93,7 +95,7 @@
 		j.slots = append(j.slots, make([]*storedWindow, len(j.zoneOf)))
 	}
 	if j.slots[w.Slot][w.Instance] != nil {
-		return // told before
+		return // a repetition
 	}
 	switch {
 	case w.Release != j.cfg.Base && w.Release != j.cfg.Change:
@@ -105,37 +107,37 @@
 	}
 	j.slots[w.Slot][w.Instance] = &storedWindow{w, w.Release == j.cfg.Change}
 	if w.Slot < j.aggregatedSlots {
-		j.reset() // it is added up anew, in order
+		j.reset() // all slots are added up again, in order
 	}
 }
 
-// Begin sets the slot from which on the change is made, Config.Start.
+// Begin sets Config.Start, the first slot in which the change is made.
 func (j *Judge) Begin(slot int) {
 	j.cfg.Start = slot
 	j.reset()
 }
 
-// CompleteSlots is how many slots before the given one have windows of half of the
-// instances at least.
+// CompleteSlots is how many slots before the given one have windows of at least half of
+// the instances.
 func (j *Judge) CompleteSlots(before int) (n int) {
 	for _, slot := range j.slots[:min(max(before, 0), len(j.slots))] {
-		have := 0
+		windows := 0
 		for _, g := range slot {
 			if g != nil {
-				have++
+				windows++
 			}
 		}
-		if 2*have >= len(j.zoneOf) {
+		if 2*windows >= len(j.zoneOf) {
 			n++
 		}
 	}
 	return n
 }
 
-// Exclude counts evidence that its bearer left out.
+// Exclude counts windows that the caller excluded.
 func (j *Judge) Exclude(r Reason, windows int) { j.excluded[r] += windows }
 
-// Excluded tells what was left out, by reason, in windows.
+// Excluded is the number of excluded windows by reason.
 func (j *Judge) Excluded() map[Reason]int {
 	out := make(map[Reason]int)
 	for r, n := range j.excluded {
@@ -147,8 +149,8 @@
 	return out
 }
 
-// Tests are the comparisons that are made.
+// Tests are the comparisons that the judge makes.
 func (j *Judge) Tests() []Test { return j.tests }
 
-// alpha is one test's share of the false stops.
+// alpha is the probability of a false stop allowed to one test, equal for all tests.
 func (j *Judge) alpha() float64 { return j.cfg.FalseStops / float64(len(j.tests)) }
--- a/internal/fleet/canary/verdict.go
+++ b/internal/fleet/canary/verdict.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// Verdict is what is known of a test, or of a change.
+// Verdict is the result of a test, or of all tests of a change.
 type Verdict string
 
 // The verdicts.
@@ -14,34 +14,36 @@
 	Inconclusive Verdict = "can't tell yet"
 )
 
-// Evidence is a test's verdict with the figures it rests on.
+// Evidence is the verdict of a test and the figures that support it.
 type Evidence struct {
 	Test
 	Verdict Verdict `json:"verdict"`
-	// Estimate is how much more of the measure the changed ones have, in its unit;
-	// with the stated certainty the truth lies above Low, and likewise below High.
+	// Estimate is by how much the measure is higher at the changed instances, in its unit.
+	// Low and High bound the true value, each with the configured confidence.
 	Estimate float64 `json:"estimate"`
 	Low      float64 `json:"low"`
 	High     float64 `json:"high"`
 	Margin   Margin  `json:"margin"`
-	// Usual is the unchanged ones' rate.
+	// Usual is the rate of the unchanged instances.
 	Usual     float64 `json:"usual"`
 	Changed   int     `json:"changed"` // instances
 	Unchanged int     `json:"unchanged"`
-	Exposure  float64 `json:"exposure"` // of the changed ones: requests, attempts or minutes
-	// Needs is by what factor Exposure must grow before harm of Margin.Exclude can
-	// be ruled out, if the estimate stays; 0: more of it will not do, or no need.
+	Exposure  float64 `json:"exposure"` // of the changed instances: requests, attempts or minutes
+	// Needs is the factor by which Exposure must grow before an excess of Margin.Exclude
+	// can be ruled out, if the estimate stays the same; 0: more exposure does not help or
+	// is not needed.
 	Needs float64 `json:"needs,omitempty"`
-	Why   string  `json:"why,omitempty"` // of a verdict that can't be told
-	// Advisory says that it can't be told and does not keep the whole from being told.
+	Why   string  `json:"why,omitempty"` // of an inconclusive verdict
+	// Advisory marks an inconclusive test that does not make the judgement inconclusive.
 	Advisory bool `json:"aside,omitempty"`
 
 	variance, expectedEvents, seenEvents, driftFloor float64
 }
 
+// String is the evidence in one line, for operators.
 func (e Evidence) String() string {
 	s := fmt.Sprintf("%s: %s", e.Test, e.Verdict)
-	if e.High > e.Low { // else there were no bounds to speak of
+	if e.High > e.Low { // otherwise there are no bounds
 		s += fmt.Sprintf(": %+.4g, between %+.4g and %+.4g", e.Estimate, e.Low, e.High)
 	}
 	if e.Changed > 0 {
@@ -56,11 +58,11 @@
 	return s
 }
 
-// Judgement is what is known at a look.
+// Judgement is the result of one evaluation.
 type Judgement struct {
 	Verdict      Verdict        `json:"verdict"`
-	Evidence     []Evidence     `json:"evidence"` // worse first, then what can't be told, the asides last
+	Evidence     []Evidence     `json:"evidence"` // worse first, then inconclusive, not worse, and advisory tests last
 	Degradations []Degradation  `json:"suffering,omitempty"`
-	Excluded     map[Reason]int `json:"left_out,omitempty"` // windows, by reason
-	Slots        int            `json:"slots"`              // of evidence since the start
+	Excluded     map[Reason]int `json:"left_out,omitempty"` // windows by reason
+	Slots        int            `json:"slots"`              // of evidence since Config.Start
 }
--- a/internal/fleet/canary/window.go
+++ b/internal/fleet/canary/window.go
@@ -4,38 +4,38 @@
 	"time"
 )
 
-// Counts are what a class of requests came to in a window, in requests.
+// Counts are the requests of one class in a window, by outcome.
 type Counts struct {
 	Served   uint32 `msgpack:"Served" json:"Served"`
 	Rejected uint32 `msgpack:"Refused" json:"Refused"`
 	Failed   uint32 `msgpack:"Failed" json:"Failed"`
 }
 
-// Total is how many there were.
+// Total is the number of requests.
 func (c Counts) Total() float64 { return float64(c.Served) + float64(c.Rejected) + float64(c.Failed) }
 
-// Window is what one process counted in one slot of time.
+// Window is the counts of one process in one slot of time.
 type Window struct {
-	Instance int // its place in Config.Zones
-	// Slot counts slots of Config.Slot length, from the same moment at all hosts.
+	Instance int // index into Config.Zones
+	// Slot is the number of the slot, which begins at the same time on all hosts.
 	Slot int
-	// Release is what it ran: the program's and the configuration's hash. A window
-	// in which that changed is none (see Differ).
+	// Release is the hash of the program and configuration that ran. No window spans a
+	// change of it (see Differ).
 	Release string
-	Age     time.Duration // of the process at the window's end
-	Classes []Counts      // by class, as Config.Classes names them
-	// Attempts are attempts written to servers; Ended all that ended, Declined those
-	// of them that a server turned away.
+	Age     time.Duration // of the process, at the end of the window
+	Classes []Counts      // by class, in the order of Config.Classes
+	// Attempts are attempts written to servers, Finished all that finished, and Rejected
+	// those of them that a server rejected.
 	Attempts, Finished, Rejected uint32
-	// Sampled are requests whose time in the sidecar was taken, Slow those of them
-	// held for too long, which whoever reads the figures decides (package scrape).
+	// Sampled are requests whose time in the sidecar was measured, Slow those of them that
+	// were in it for too long (package scrape sets the limit).
 	Sampled, Slow uint32
-	Crashes       uint32 // ends of a process that nobody asked for, since the window before
-	Memory        uint64 // resident, in bytes, at the window's end; 0: not known
-	Files         uint32 // open descriptors, likewise
+	Crashes       uint32 // unexpected exits of a process since the window before
+	Memory        uint64 // resident, in bytes, at the end of the window; 0: unknown
+	Files         uint32 // open descriptors at the end of the window; 0: unknown
 }
 
-// requests is how many requests there were.
+// requests is the number of requests of all classes.
 func (w *Window) requests() (n float64) {
 	for _, c := range w.Classes {
 		n += c.Total()
@@ -43,10 +43,11 @@
 	return n
 }
 
-// Reason is why evidence was left out.
+// Reason is why a window was excluded.
 type Reason string
 
-// The reasons. Differ gives the first ones, a Judge the others.
+// The reasons. The first five are those of a Differ or its caller, the others those of a
+// Judge, which shares Unrecognized with Differ.
 const (
 	Restarted        Reason = "process started anew"
 	MissingSample    Reason = "no figures at a boundary"
