--- a/cmd/martendrum/judge.go
+++ b/cmd/martendrum/judge.go
@@ -35,7 +35,7 @@
 		}
 		began := time.Now()
 		shown := time.Time{}
-		rows := simulation.Play(*sizes, *runs, *harmRuns, *seed, func(done, of int) {
+		rows := simulation.RunAll(*sizes, *runs, *harmRuns, *seed, func(done, of int) {
 			if time.Since(shown) > time.Second || done == of {
 				shown = time.Now()
 				fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, of)
--- a/internal/fleet/canary/aggregate.go
+++ b/internal/fleet/canary/aggregate.go
@@ -2,7 +2,7 @@
 
 // The phases of a change: the slots before Config.Start, and those from it on.
 const (
-	past = iota
+	history = iota
 	present
 	phases
 )
@@ -22,30 +22,32 @@
 // of the unchanged instances of its zone in the same slots.
 type totals struct{ events, exposure, squares, expected [phases]float64 }
 
-// pastPriorEvents is the number of events, at the rate of the instances of its zone, that
+// historyPriorEvents is the number of events, at the rate of the instances of its zone, that
 // are added to an instance's past. An instance with few events of its own thereby counts
 // as similar to the others.
-const pastPriorEvents = 3.0
+const historyPriorEvents = 3.0
 
-// priorEvents is pastPriorEvents in units of the weighted exposure.
-func (s *totals) priorEvents() float64 { return pastPriorEvents * s.squares[past] / s.exposure[past] }
+// priorEvents is historyPriorEvents in units of the weighted exposure.
+func (s *totals) priorEvents() float64 {
+	return historyPriorEvents * s.squares[history] / s.exposure[history]
+}
 
-// pastFactor is the instance's rate in the past as a multiple of the rate of the unchanged
+// historyFactor is the instance's rate in the past as a multiple of the rate of the unchanged
 // instances of its zone.
-func (s *totals) pastFactor() float64 {
-	if s.exposure[past] <= 0 {
+func (s *totals) historyFactor() float64 {
+	if s.exposure[history] <= 0 {
 		return 1
 	}
-	return (s.events[past] + s.priorEvents()) / (s.expected[past] + s.priorEvents())
+	return (s.events[history] + s.priorEvents()) / (s.expected[history] + s.priorEvents())
 }
 
 // merged is the totals with both phases counted as the past.
 func (s *totals) merged() totals {
 	return totals{
-		events:   [phases]float64{s.events[past] + s.events[present]},
-		exposure: [phases]float64{s.exposure[past] + s.exposure[present]},
-		squares:  [phases]float64{s.squares[past] + s.squares[present]},
-		expected: [phases]float64{s.expected[past] + s.expected[present]},
+		events:   [phases]float64{s.events[history] + s.events[present]},
+		exposure: [phases]float64{s.exposure[history] + s.exposure[present]},
+		squares:  [phases]float64{s.squares[history] + s.squares[present]},
+		expected: [phases]float64{s.expected[history] + s.expected[present]},
 	}
 }
 
@@ -64,7 +66,7 @@
 // aggregate adds up all slots before the given one.
 func (j *Judge) aggregate(before int) {
 	for ; j.aggregatedSlots < min(before, len(j.slots)); j.aggregatedSlots++ {
-		slot, phase := j.slots[j.aggregatedSlots], past
+		slot, phase := j.slots[j.aggregatedSlots], history
 		if j.aggregatedSlots >= j.cfg.Start {
 			phase = present
 			j.freezeBaseline()
--- a/internal/fleet/canary/baseline.go
+++ b/internal/fleet/canary/baseline.go
@@ -17,26 +17,26 @@
 	}
 	j.usualFactor, j.baseRate = make([][]float64, len(j.cells)), make([][]float64, len(j.cells))
 	for k := range j.cells {
-		j.baseRate[k] = j.pastRateByZone(k)
+		j.baseRate[k] = j.historyRateByZone(k)
 		j.usualFactor[k] = make([]float64, len(j.zoneOf))
 		for i := range j.usualFactor[k] {
 			// Without prior events: over a zone, the factors must add up to its events.
 			j.usualFactor[k][i] = 1
-			if s := &j.totals[k][i]; s.expected[past] > 0 {
-				j.usualFactor[k][i] = s.events[past] / s.expected[past]
+			if s := &j.totals[k][i]; s.expected[history] > 0 {
+				j.usualFactor[k][i] = s.events[history] / s.expected[history]
 			}
 		}
 	}
 }
 
-// pastRateByZone is the rate of all instances of each zone in the past, 0 where there was
+// historyRateByZone is the rate of all instances of each zone in the past, 0 where there was
 // no exposure.
-func (j *Judge) pastRateByZone(k int) []float64 {
+func (j *Judge) historyRateByZone(k int) []float64 {
 	rate := make([]float64, len(j.zoneNames))
 	exposure := make([]float64, len(j.zoneNames))
 	for i, z := range j.zoneOf {
-		rate[z] += j.totals[k][i].events[past]
-		exposure[z] += j.totals[k][i].exposure[past]
+		rate[z] += j.totals[k][i].events[history]
+		exposure[z] += j.totals[k][i].exposure[history]
 	}
 	for z := range exposure {
 		if exposure[z] > 0 {
--- a/internal/fleet/canary/degradation.go
+++ b/internal/fleet/canary/degradation.go
@@ -27,17 +27,17 @@
 func (j *Judge) degradations() (out []Degradation) {
 	for k, c := range j.cells {
 		l := &j.baselineLevels[k]
-		if c.measure != Unserved && c.measure != Rejections || l.slots[past] < minDegradationSlots || len(l.recent) < recentSlots/2 {
+		if c.measure != Unserved && c.measure != Rejections || l.slots[history] < minDegradationSlots || len(l.recent) < recentSlots/2 {
 			continue
 		}
-		usual := l.rateSum[past] / l.slots[past]
-		variance := max(0, l.rateSquares[past]/l.slots[past]-usual*usual)
+		usual := l.rateSum[history] / l.slots[history]
+		variance := max(0, l.rateSquares[history]/l.slots[history]-usual*usual)
 		now := 0.0
 		for _, r := range l.recent {
 			now += r
 		}
 		now /= float64(len(l.recent))
-		limit := usual + max(j.cfg.Margins[c.measure].Exclude, degradationSigma*math.Sqrt(variance*(1/float64(len(l.recent))+1/l.slots[past])))
+		limit := usual + max(j.cfg.Margins[c.measure].Exclude, degradationSigma*math.Sqrt(variance*(1/float64(len(l.recent))+1/l.slots[history])))
 		if now > limit {
 			d := Degradation{Measure: c.measure, Usual: usual, Now: now, Limit: limit}
 			if c.class != allClasses {
--- a/internal/fleet/canary/evaluate.go
+++ b/internal/fleet/canary/evaluate.go
@@ -89,7 +89,7 @@
 		return nil
 	}
 	add := func(i int, s *totals, isChanged bool) {
-		if s.exposure[past] > 0 && s.exposure[present] > 0 {
+		if s.exposure[history] > 0 && s.exposure[present] > 0 {
 			out = append(out, j.cellEstimate(k, i, s, isChanged))
 		}
 	}
@@ -129,17 +129,17 @@
 func (j *Judge) cellEstimate(k, i int, s *totals, isChanged bool) instanceEstimate {
 	c, l := &j.cells[k], &j.baselineLevels[k]
 	tolerate, excess := j.cfg.Margins[c.measure].Tolerate, j.noise[k].factor()
-	prior, factor := s.priorEvents(), s.pastFactor()
+	prior, factor := s.priorEvents(), s.historyFactor()
 	rate := s.expected[present] / s.exposure[present]
 	// The variances are those at the boundary of the null hypothesis, for the windows that
 	// there were, and never 0: events that have not been seen may still come.
 	nowRate := max(factor*rate, l.events/l.exposure) + tolerate
-	pastRate := (s.events[past] + prior/pastPriorEvents) / s.exposure[past]
+	pastRate := (s.events[history] + prior/historyPriorEvents) / s.exposure[history]
 	return instanceEstimate{
 		zone:           j.zoneOf[i],
 		isChanged:      isChanged,
 		estimate:       s.events[present]/s.exposure[present] - factor*rate,
-		variance:       excess * (c.variance(nowRate, s.squares[present])/(s.exposure[present]*s.exposure[present]) + rate*rate*c.variance(pastRate, s.squares[past])/((s.expected[past]+prior)*(s.expected[past]+prior))),
+		variance:       excess * (c.variance(nowRate, s.squares[present])/(s.exposure[present]*s.exposure[present]) + rate*rate*c.variance(pastRate, s.squares[history])/((s.expected[history]+prior)*(s.expected[history]+prior))),
 		exposure:       s.exposure[present],
 		expectedEvents: nowRate * s.exposure[present] * s.exposure[present] / s.squares[present],
 		seenEvents:     s.events[present],
--- a/internal/fleet/canary/simulation/plot.go
+++ b/internal/fleet/canary/simulation/plot.go
@@ -19,7 +19,7 @@
 	p.X.Label.Text, p.Y.Label.Text = "seconds since the change began", "share of runs"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Top, p.Legend.Left = false, false
-	end := float64(slotsPlayed-pastSlots) * slotLength.Seconds()
+	end := float64(slotsPlayed-historySlots) * slotLength.Seconds()
 	drawn := 0
 	for m, method := range Methods {
 		for _, r := range rows {
--- a/internal/fleet/canary/simulation/trial.go
+++ b/internal/fleet/canary/simulation/trial.go
@@ -32,11 +32,11 @@
 const (
 	thresholdPoints = 0.02
 	thresholdSlots  = 6
-	tLevel          = 0.01
+	tTestLevel      = 0.01
 )
 
-// stops is when each method stopped one run: slots since the start, -1: never.
-type stops map[Method]int
+// stopSlots is when each method stopped one run: slots since the start, -1: never.
+type stopSlots map[Method]int
 
 // Run plays one fleet.
 func Run(size int, harm Harm, seed uint64) map[Method]int {
@@ -45,18 +45,18 @@
 	if err != nil {
 		panic(err) // the constants above are wrong
 	}
-	out := stops{Sequential: -1, Threshold: -1, TTest: -1}
+	out := stopSlots{Sequential: -1, Threshold: -1, TTest: -1}
 	var shares [2][][]float64 // by arm, slot: of each class
 	for slot := range slotsPlayed {
 		ws := w.step(slot)
 		for _, win := range ws {
 			j.Add(win)
 		}
-		if slot < pastSlots {
+		if slot < historySlots {
 			continue
 		}
-		since := slot + 1 - pastSlots
-		n := sum(ws)
+		since := slot + 1 - historySlots
+		n := countsByArm(ws)
 		for arm := range shares {
 			row := make([]float64, len(classes))
 			for c := range row {
@@ -79,8 +79,8 @@
 	return out
 }
 
-// sum adds a slot's windows up by arm and class: unserved, all.
-func sum(ws []canary.Window) (n [2][3][2]float64) {
+// countsByArm adds a slot's windows up by arm and class: unserved, all.
+func countsByArm(ws []canary.Window) (n [2][3][2]float64) {
 	for _, w := range ws {
 		arm := 0
 		if w.Release == "new" {
@@ -121,7 +121,7 @@
 	}
 	df := (sa + sb) * (sa + sb) / (sa*sa/float64(len(a)-1) + sb*sb/float64(len(b)-1))
 	t := (ma - mb) / math.Sqrt(sa+sb)
-	return t > 0 && 1-(distuv.StudentsT{Mu: 0, Sigma: 1, Nu: df}).CDF(t) < tLevel
+	return t > 0 && 1-(distuv.StudentsT{Mu: 0, Sigma: 1, Nu: df}).CDF(t) < tTestLevel
 }
 
 // Result is what became of all runs of one size and harm under one method.
@@ -141,10 +141,10 @@
 // StopRate is the part of the runs that were stopped.
 func (r Result) StopRate() float64 { return float64(r.Stopped) / float64(r.Runs) }
 
-// Play runs each size with each harm, runs times for none and harmRuns times for
+// RunAll runs each size with each harm, runs times for none and harmRuns times for
 // each other, on all cores, and reports in order. progress may be nil; it is called
 // from one goroutine at a time.
-func Play(sizes []int, runs, harmRuns int, seed uint64, progress func(done, of int)) []Result {
+func RunAll(sizes []int, runs, harmRuns int, seed uint64, progress func(done, of int)) []Result {
 	type job struct {
 		size, harm, run int
 	}
