--- a/internal/fleet/canary/simulation/plot.go
+++ b/internal/fleet/canary/simulation/plot.go
@@ -10,9 +10,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot draws, for fleets of one size, the share of runs stopped over the time since
-// the change began: a line for each method, solid without harm and dashed with it.
-// The file's ending says its form: .svg, .png or .pdf.
+// Plot draws the fraction of runs that were stopped over the time since the change
+// started, for fleets of one size: a line for each method, solid without harm and dashed
+// with it. The extension of path selects the format: .svg, .png or .pdf.
 func Plot(rows []Result, size int, harm, path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d instances: share of changes stopped", size)
