--- a/internal/fleet/canary/judge_test.go
+++ b/internal/fleet/canary/judge_test.go
@@ -15,8 +15,8 @@
 	"martendrum/internal/fleet/canary/simulation"
 )
 
-// fleet plays a small fleet: instances of two zones, of which some change at slot
-// 20, and do with each window what harm says.
+// fleet simulates a small fleet: instances in two zones, of which some change at slot 20.
+// harm, if not nil, edits each window.
 func fleet(n, changed, slots int, seed uint64, harm func(w *canary.Window, zone int, isNew bool, slot int)) (canary.Config, []canary.Window) {
 	c := canary.Config{Classes: []string{"activate", "status"}, Weights: []float64{10, 1}, Base: "old", Change: "new", Start: 20,
 		Slot: 10 * time.Second, FalseStops: 0.01, MaxSlots: 200, Zones: make([]string, n)}
@@ -62,7 +62,7 @@
 	return j.Evaluate(len(ws))
 }
 
-// lose makes a share of a class's requests failed.
+// lose makes a fraction of a class's served requests fail.
 func lose(w *canary.Window, class int, share float64) {
 	k := &w.Classes[class]
 	n := uint32(share * float64(k.Served))
@@ -87,13 +87,13 @@
 		"leaks": {n: 30, changed: 6, want: canary.Worse, by: "memory", harm: func(w *canary.Window, _ int, isNew bool, _ int) {
 			w.Memory += uint64(one(isNew)) * uint64(w.Age.Seconds()) << 18
 		}},
-		"crashes":        {n: 30, changed: 6, want: canary.Worse, by: "crashes", harm: func(w *canary.Window, _ int, isNew bool, s int) { w.Crashes = one(isNew && s%3 == 0) }},
-		"always worse":   {n: 30, changed: 6, want: canary.Inconclusive, harm: func(w *canary.Window, _ int, _ bool, _ int) { loseIf(w.Instance < 6, w, 0, 0.1) }},
-		"bad for all":    {n: 30, changed: 6, want: canary.Inconclusive, suffers: true, harm: func(w *canary.Window, _ int, _ bool, s int) { loseIf(s > 30, w, 0, 0.3) }},
-		"less traffic":   {n: 30, changed: 6, want: canary.NotWorse, harm: func(w *canary.Window, _ int, isNew bool, _ int) { thin(w, isNew) }},
-		"nobody beside":  {n: 6, changed: 6, want: canary.Inconclusive, why: "no changed instance has both"},
-		"too few beside": {n: 6, changed: 4, want: canary.Inconclusive, why: "3 at least"},
-		"too few asked":  {n: 30, changed: 1, want: canary.Inconclusive, why: "too few requests", harm: func(w *canary.Window, _ int, _ bool, s int) { quiet(w, s) }},
+		"crashes":                      {n: 30, changed: 6, want: canary.Worse, by: "crashes", harm: func(w *canary.Window, _ int, isNew bool, s int) { w.Crashes = one(isNew && s%3 == 0) }},
+		"always worse, changed or not": {n: 30, changed: 6, want: canary.Inconclusive, harm: func(w *canary.Window, _ int, _ bool, _ int) { loseIf(w.Instance < 6, w, 0, 0.1) }},
+		"bad for all":                  {n: 30, changed: 6, want: canary.Inconclusive, suffers: true, harm: func(w *canary.Window, _ int, _ bool, s int) { loseIf(s > 30, w, 0, 0.3) }},
+		"less traffic":                 {n: 30, changed: 6, want: canary.NotWorse, harm: func(w *canary.Window, _ int, isNew bool, _ int) { thin(w, isNew) }},
+		"no unchanged instance":        {n: 6, changed: 6, want: canary.Inconclusive, why: "no changed instance has both"},
+		"too few unchanged instances":  {n: 6, changed: 4, want: canary.Inconclusive, why: "3 at least"},
+		"too few requests":             {n: 30, changed: 1, want: canary.Inconclusive, why: "too few requests", harm: func(w *canary.Window, _ int, _ bool, s int) { quiet(w, s) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, ws := fleet(c.n, c.changed, 50, 1, c.harm)
@@ -102,7 +102,7 @@
 				t.Errorf("%s by %s; want %s by %q %q", got.Verdict, got.Evidence[0], c.want, c.by, c.why)
 			}
 			if got.Verdict == canary.Inconclusive && (got.Evidence[0].Zone != "" || !got.Evidence[len(got.Evidence)-1].Advisory) {
-				t.Errorf("it can't be told, and an aside is named for it: %s", got.Evidence[0])
+				t.Errorf("inconclusive because of an advisory test: %s", got.Evidence[0])
 			}
 			if (len(got.Degradations) > 0) != c.suffers {
 				t.Errorf("suffering: %+v; want any: %v", got.Degradations, c.suffers)
@@ -138,11 +138,11 @@
 	w.Attempts, w.Finished, w.Sampled = 1, 1, 1
 }
 
-// Through stages, an instance that is changed later counts as an unchanged one until
-// then, and what was known stands once all are changed.
+// An instance that is changed in a later stage counts as unchanged until then, and the
+// evidence so far stays once all instances are changed.
 func TestLaterStages(t *testing.T) {
 	for lost, want := range map[float64]canary.Verdict{0: canary.NotWorse, 0.08: canary.Worse} {
-		// Six change at slot 20, the others at slot 40: from there on nobody is beside them.
+		// Six change at slot 20, the others at slot 40: from then on no instance is unchanged.
 		cfg, ws := fleet(30, 6, 60, 2, func(w *canary.Window, _ int, isNew bool, s int) {
 			if isNew = isNew || s >= 40; isNew {
 				w.Release = "new"
@@ -155,13 +155,13 @@
 			t.Errorf("harm of %v: %s by %s", lost, got.Verdict, e)
 		}
 		if got.Excluded[canary.NoBaseline] != 20*30 {
-			t.Errorf("left out %v; want %d windows with nobody beside them", got.Excluded, 20*30)
+			t.Errorf("excluded %v; want %d windows without an unchanged instance", got.Excluded, 20*30)
 		}
 	}
 }
 
-// What is known does not depend on the order in which windows come, on looks in
-// between, or on how often one is told.
+// A judgement does not depend on the order in which windows are added, on evaluations in
+// between, or on repeated windows.
 func TestOrderAndRepeatsDoNotMatter(t *testing.T) {
 	cfg, ws := fleet(12, 4, 30, 3, func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 0, 0.03) })
 	want := judged(t, cfg, ws)
@@ -187,9 +187,9 @@
 	})
 }
 
-// Evidence of another release, of young processes and past the bound is left out
-// and counted.
-func TestLeftOut(t *testing.T) {
+// Windows of another release, of young processes and beyond the last slot are excluded and
+// counted.
+func TestExcluded(t *testing.T) {
 	cfg, ws := fleet(10, 2, 25, 4, nil)
 	cfg.Warm = 20 * time.Second
 	other, far, strange := ws[0], ws[1], ws[2]
@@ -197,11 +197,11 @@
 	got := judged(t, cfg, append(ws, other, far, strange))
 	want := map[canary.Reason]int{canary.OtherRelease: 1, canary.BeyondMaxSlots: 1, canary.Unrecognized: 1, canary.WarmingUp: 20 + 2}
 	if !reflect.DeepEqual(got.Excluded, want) {
-		t.Errorf("left out %v, want %v", got.Excluded, want)
+		t.Errorf("excluded %v, want %v", got.Excluded, want)
 	}
 }
 
-// The bound holds at all looks together, and informationFor is its inverse.
+// The bound holds over all looks together, and informationFor is its inverse.
 func TestBoundUnderPeeking(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	const alpha, scale, runs = 0.05, 0.1, 2000
@@ -226,15 +226,15 @@
 	}
 }
 
-// Small trials: a good change passes, a bad one is stopped while few run it.
-func TestTrial(t *testing.T) {
+// In small simulations, a harmless change passes and a harmful one is stopped.
+func TestSimulation(t *testing.T) {
 	harms := simulation.Harms()
 	for seed := range uint64(12) {
 		if at := simulation.Run(60, harms[0], seed)[simulation.Sequential]; at >= 0 {
-			t.Errorf("seed %d: no harm, and stopped after %d slots", seed, at)
+			t.Errorf("seed %d: stopped without harm after %d slots", seed, at)
 		}
 		if at := simulation.Run(60, harms[3], seed)[simulation.Sequential]; at < 0 {
-			t.Errorf("seed %d: %s, and not stopped", seed, harms[3].Name)
+			t.Errorf("seed %d: %s, but not stopped", seed, harms[3].Name)
 		}
 	}
 }
@@ -242,7 +242,7 @@
 func TestDiffer(t *testing.T) {
 	const slot = 10 * time.Second
 	at := func(n int, off time.Duration) time.Time { return time.Unix(int64(10*n), 0).Add(off) }
-	type told struct {
+	type sample struct {
 		n         int
 		off       time.Duration
 		process   string
@@ -252,28 +252,28 @@
 		wantServe uint32
 	}
 	for name, c := range map[string]struct {
-		told []told
-		left map[canary.Reason]int
+		samples  []sample
+		excluded map[canary.Reason]int
 	}{
-		"in order":          {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, time.Second, "a", 9, 0, 0, 4}, {102, -time.Second, "a", 9, 0, 1, 0}}, nil},
-		"told twice":        {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 0, "a", 9, 0, 0, 4}, {101, 0, "a", 9, 0, -1, 0}}, nil},
-		"a gap":             {[]told{{100, 0, "a", 5, 0, -1, 0}, {103, 0, "a", 9, 0, -1, 0}, {104, 0, "a", 10, 0, 3, 1}}, map[canary.Reason]int{canary.MissingSample: 3}},
-		"a new process":     {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "b", 60, 0, -1, 0}, {102, 0, "b", 61, 0, 1, 1}}, map[canary.Reason]int{canary.Restarted: 1}},
-		"a crash counts":    {[]told{{100, 0, "a", 50, 0, -1, 0}, {103, 0, "b", 0, 1, 2, 0}}, map[canary.Reason]int{canary.Restarted: 3}},
-		"a count that fell": {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "a", 49, 0, -1, 0}}, map[canary.Reason]int{canary.CounterDecreased: 1}},
-		"off the boundary":  {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 4 * time.Second, "a", 6, 0, -1, 0}, {102, 0, "a", 9, 0, -1, 0}}, map[canary.Reason]int{canary.OffBoundary: 1, canary.MissingSample: 2}},
-		"before slot 0":     {[]told{{98, 0, "a", 5, 0, -1, 0}, {99, 0, "a", 6, 0, -1, 0}, {100, 0, "a", 9, 0, -1, 0}}, nil},
+		"in order":          {[]sample{{100, 0, "a", 5, 0, -1, 0}, {101, time.Second, "a", 9, 0, 0, 4}, {102, -time.Second, "a", 9, 0, 1, 0}}, nil},
+		"a sample repeated": {[]sample{{100, 0, "a", 5, 0, -1, 0}, {101, 0, "a", 9, 0, 0, 4}, {101, 0, "a", 9, 0, -1, 0}}, nil},
+		"a gap":             {[]sample{{100, 0, "a", 5, 0, -1, 0}, {103, 0, "a", 9, 0, -1, 0}, {104, 0, "a", 10, 0, 3, 1}}, map[canary.Reason]int{canary.MissingSample: 3}},
+		"a new process":     {[]sample{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "b", 60, 0, -1, 0}, {102, 0, "b", 61, 0, 1, 1}}, map[canary.Reason]int{canary.Restarted: 1}},
+		"a crash counts":    {[]sample{{100, 0, "a", 50, 0, -1, 0}, {103, 0, "b", 0, 1, 2, 0}}, map[canary.Reason]int{canary.Restarted: 3}},
+		"a count that fell": {[]sample{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "a", 49, 0, -1, 0}}, map[canary.Reason]int{canary.CounterDecreased: 1}},
+		"off the boundary":  {[]sample{{100, 0, "a", 5, 0, -1, 0}, {101, 4 * time.Second, "a", 6, 0, -1, 0}, {102, 0, "a", 9, 0, -1, 0}}, map[canary.Reason]int{canary.OffBoundary: 1, canary.MissingSample: 2}},
+		"before slot 0":     {[]sample{{98, 0, "a", 5, 0, -1, 0}, {99, 0, "a", 6, 0, -1, 0}, {100, 0, "a", 9, 0, -1, 0}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := canary.Differ{Slot: slot, MaxOffset: 2 * time.Second}
-			for _, x := range c.told {
+			for _, x := range c.samples {
 				w, ok := d.Next(canary.Sample{At: at(x.n, x.off), Process: x.process, Window: canary.Window{Crashes: x.crashes, Classes: []canary.Counts{{Served: x.served}}}}, 100)
 				if ok != (x.wantSlot >= 0) || ok && (w.Slot != x.wantSlot || w.Classes[0].Served != x.wantServe) {
 					t.Errorf("boundary %d: %v %+v; want slot %d, %d served", x.n, ok, w, x.wantSlot, x.wantServe)
 				}
 			}
-			if !reflect.DeepEqual(d.Excluded, c.left) {
-				t.Errorf("left out %v, want %v", d.Excluded, c.left)
+			if !reflect.DeepEqual(d.Excluded, c.excluded) {
+				t.Errorf("excluded %v, want %v", d.Excluded, c.excluded)
 			}
 		})
 	}
