--- a/internal/fleet/control/client/client.go
+++ b/internal/fleet/control/client/client.go
@@ -57,7 +57,7 @@
 	f := &Fleet{Timeout: time.Duration(v.Timeout), Who: who}
 	if v.TLS.Cert != "" {
 		var err error
-		if f.tls, err = pki.TLS(v.TLS.CA, v.TLS.Cert, v.TLS.Key); err != nil {
+		if f.tls, err = pki.LoadTLS(v.TLS.CA, v.TLS.Cert, v.TLS.Key); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/fleet/host/agent/serve.go
+++ b/internal/fleet/host/agent/serve.go
@@ -110,7 +110,7 @@
 // ServerTLS is the agent's side of mutual TLS: callers need a certificate of the
 // fleet's CA, whose organisational unit is their role.
 func ServerTLS(ca, cert, key string) (*tls.Config, error) {
-	c, err := pki.TLS(ca, cert, key)
+	c, err := pki.LoadTLS(ca, cert, key)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/host/agent/serve_operations.go
+++ b/internal/fleet/host/agent/serve_operations.go
@@ -130,7 +130,7 @@
 	for _, t := range o.Targets {
 		if i := a.inst[t.Instance]; t.Host == a.cfg.Name && i != nil && i.row.Release != o.Release {
 			u := uses[i.row.Release]
-			u.HandOver, u.Back = a.cfg.Sidecar.HandOver && o.Action == api.ActUpgrade, o.Policy.OnFailure == api.OnFailureRollback || o.Policy.OnFailure == api.OnFailureRollbackStage
+			u.HandOver, u.MayRollBack = a.cfg.Sidecar.HandOver && o.Action == api.ActUpgrade, o.Policy.OnFailure == api.OnFailureRollback || o.Policy.OnFailure == api.OnFailureRollbackStage
 			u.Record = u.Record || i.cfg.Record != ""
 			uses[i.row.Release] = u
 		}
--- a/internal/fleet/host/agent/serve_releases.go
+++ b/internal/fleet/host/agent/serve_releases.go
@@ -25,7 +25,7 @@
 }
 
 func (a *Agent) releaseDone(ctx context.Context, c *caller, in *api.ReleaseIn) (any, error) {
-	if err := a.releases.Done(in.Release); err != nil {
+	if err := a.releases.Commit(in.Release); err != nil {
 		return nil, api.Errorf(api.InvalidRelease, "agent %s: %v", a.cfg.Name, err)
 	}
 	return a.releaseStat(ctx, c, in)
--- a/internal/fleet/host/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -126,7 +126,7 @@
 	var config *tls.Config
 	if t := &a.cfg.TLS; t.Cert != "" {
 		var err error
-		if config, err = pki.TLS(t.CA, t.Cert, t.Key); err != nil {
+		if config, err = pki.LoadTLS(t.CA, t.Cert, t.Key); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/fleet/host/compatibility/neighbour.go
+++ b/internal/fleet/host/compatibility/compatibility.go
@@ -40,9 +40,9 @@
 
 // Use is how an instance runs.
 type Use struct {
-	HandOver bool // upgrades start the new process beside the old one
-	Record   bool // it has a store of record
-	Back     bool // the change may have to be taken back
+	HandOver    bool // upgrades start the new process beside the old one
+	Record      bool // it has a store of record
+	MayRollBack bool // the change may have to be taken back
 }
 
 // Check says why now may not take before's place, or stand beside it; nil if it may.
@@ -64,7 +64,7 @@
 			why = append(why, errors.New("it is a build without a store of record, and the instance has one: build it with -tags record"))
 		case now.Record < before.Record:
 			why = append(why, fmt.Errorf("it reads the record's schema %d, and that is at %d", now.Record, before.Record))
-		case now.Record > before.Record && before.Record > 0 && u.Back:
+		case now.Record > before.Record && before.Record > 0 && u.MayRollBack:
 			why = append(why, fmt.Errorf("it brings the record's schema from %d to %d, which the old program can't read: such a change can't be taken back, so it goes with --on-worse stop", before.Record, now.Record))
 		}
 	}
@@ -78,22 +78,22 @@
 	formerName  = "fawnrock"
 )
 
-// maxAsk is how long a program may take to tell.
-const maxAsk = time.Second
+// queryTimeout is how long a program may take to tell.
+const queryTimeout = time.Second
 
-// maxLeave is how long after its end what it started may keep its output open.
-const maxLeave = 100 * time.Millisecond
+// outputTimeout is how long after its end what it started may keep its output open.
+const outputTimeout = 100 * time.Millisecond
 
 // Query asks a program. One that does not tell, for whatever reason, is First. All that
 // it started is ended.
 func Query(ctx context.Context, path string) Versions {
-	ctx, cancel := context.WithTimeout(ctx, maxAsk)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, path, "versions")
 	cmd.Env = []string{} // no configuration: a program without the word ends at once
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.Cancel = func() error { return syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }
-	cmd.WaitDelay = maxLeave
+	cmd.WaitDelay = outputTimeout
 	out, err := cmd.Output()
 	if cmd.Process != nil {
 		syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
--- a/internal/fleet/host/compatibility/neighbour_test.go
+++ b/internal/fleet/host/compatibility/compatibility_test.go
@@ -11,14 +11,14 @@
 func TestCheck(t *testing.T) {
 	one := Versions{Program: "sidecar", HandOver: 1, Snapshot: 1, Record: 1, Agent: 1}
 	with := func(edit func(*Versions)) Versions { v := one; edit(&v); return v }
-	all := Use{HandOver: true, Record: true, Back: true}
+	all := Use{HandOver: true, Record: true, MayRollBack: true}
 	for name, c := range map[string]struct {
 		before, now Versions
 		use         Use
 		want        string // of the error; "" for none
 	}{
 		"the same":               {one, one, all, ""},
-		"one that does not tell": {First, one, Use{HandOver: true, Back: true}, ""},
+		"one that does not tell": {First, one, Use{HandOver: true, MayRollBack: true}, ""},
 		"another snapshot":       {one, with(func(v *Versions) { v.Snapshot = 2 }), all, ""},
 		"another hand-over":      {one, with(func(v *Versions) { v.HandOver = 2 }), all, "versions 1 and 2 of the hand-over"},
 		"which is off":           {one, with(func(v *Versions) { v.HandOver = 2 }), Use{Record: true}, ""},
--- a/internal/fleet/host/proc/proc.go
+++ b/internal/fleet/host/proc/proc.go
@@ -40,15 +40,15 @@
 	Ticks uint64 // its start time since the machine's boot, in clock ticks
 	Done  <-chan struct{}
 
-	p    *os.Process
-	exit string
+	process *os.Process
+	exit    string
 }
 
 // Exit is how it ended; valid once Done is closed.
 func (p *Proc) Exit() string { return p.exit }
 
 // Signal signals the process, and never another that got its pid.
-func (p *Proc) Signal(sig syscall.Signal) error { return p.p.Signal(sig) }
+func (p *Proc) Signal(sig syscall.Signal) error { return p.process.Signal(sig) }
 
 // Boot is the id of the machine's boot, within which pid and start time name a process.
 func Boot() string {
@@ -78,7 +78,7 @@
 		return nil, fmt.Errorf("proc: %w", err)
 	}
 	done := make(chan struct{})
-	p := &Proc{PID: cmd.Process.Pid, Ticks: ticks, Done: done, p: cmd.Process}
+	p := &Proc{PID: cmd.Process.Pid, Ticks: ticks, Done: done, process: cmd.Process}
 	go func() {
 		defer close(done)
 		err := cmd.Wait()
@@ -90,8 +90,8 @@
 	return p, nil
 }
 
-// pollInterval is how often a process that is no child is looked at.
-const pollInterval = 200 * time.Millisecond
+// adoptedPollInterval is how often a process that is no child is looked at.
+const adoptedPollInterval = 200 * time.Millisecond
 
 // Adopt takes over a process that another has started, if it still runs. ctx ends
 // the watch over it, not the process.
@@ -105,9 +105,9 @@
 		return nil, os.ErrProcessDone
 	}
 	done := make(chan struct{})
-	p := &Proc{PID: pid, Ticks: ticks, Done: done, p: op, exit: "ended; how is not known, as an earlier agent had started it"}
+	p := &Proc{PID: pid, Ticks: ticks, Done: done, process: op, exit: "ended; how is not known, as an earlier agent had started it"}
 	go func() {
-		t := time.NewTicker(pollInterval)
+		t := time.NewTicker(adoptedPollInterval)
 		defer t.Stop()
 		for Alive(pid, ticks) {
 			select {
--- a/internal/fleet/pki/pki.go
+++ b/internal/fleet/pki/pki.go
@@ -21,13 +21,13 @@
 
 // Times that certificates are good for.
 const (
-	CAFor   = 10 * 365 * 24 * time.Hour
-	LeafFor = 397 * 24 * time.Hour
+	CAValidity   = 10 * 365 * 24 * time.Hour
+	LeafValidity = 397 * 24 * time.Hour
 )
 
-// TLS is what both sides of a connection in the fleet share: their own certificate,
+// LoadTLS is what both sides of a connection in the fleet share: their own certificate,
 // and the CA that the other's must be of.
-func TLS(ca, cert, key string) (*tls.Config, error) {
+func LoadTLS(ca, cert, key string) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
 		return nil, fmt.Errorf("tls: %w", err)
@@ -58,7 +58,7 @@
 	}
 	t := &x509.Certificate{
 		SerialNumber: serial(), Subject: pkix.Name{CommonName: "martendrum fleet CA"},
-		NotBefore: now.Add(-time.Minute), NotAfter: now.Add(CAFor),
+		NotBefore: now.Add(-time.Minute), NotAfter: now.Add(CAValidity),
 		IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	return issue(dir, "ca", t, nil, nil)
@@ -76,7 +76,7 @@
 			t.DNSNames = append(t.DNSNames, h)
 		}
 	}
-	return signed(dir, name, t)
+	return issueSigned(dir, name, t)
 }
 
 // Operator makes the certificate of a caller with a role.
@@ -84,17 +84,17 @@
 	t := leaf(name, now)
 	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
 	t.Subject.OrganizationalUnit = []string{role}
-	return signed(dir, name, t)
+	return issueSigned(dir, name, t)
 }
 
 func leaf(name string, now time.Time) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: serial(), Subject: pkix.Name{CommonName: name},
-		NotBefore: now.Add(-time.Minute), NotAfter: now.Add(LeafFor), KeyUsage: x509.KeyUsageDigitalSignature,
+		NotBefore: now.Add(-time.Minute), NotAfter: now.Add(LeafValidity), KeyUsage: x509.KeyUsageDigitalSignature,
 	}
 }
 
-func signed(dir, name string, t *x509.Certificate) error {
+func issueSigned(dir, name string, t *x509.Certificate) error {
 	if filepath.Base(name) != name || name == "ca" {
 		return fmt.Errorf("ca: %q can't be a certificate's name", name)
 	}
--- a/internal/fleet/release/release.go
+++ b/internal/fleet/release/release.go
@@ -34,20 +34,20 @@
 	MaxOverlay = 1 << 20
 )
 
-var form = regexp.MustCompile(`^[0-9a-f]{64}$`)
+var hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// ErrNone is a release that is not there.
-var ErrNone = errors.New("release: not there")
+// ErrNotFound is a release that is not there.
+var ErrNotFound = errors.New("release: not there")
 
 // Valid says whether a string has a hash's form.
-func Valid(hash string) bool { return form.MatchString(hash) }
+func Valid(hash string) bool { return hashPattern.MatchString(hash) }
 
 // Hash is the hash of a release made of these files. overlay may be "".
 func Hash(sidecar, overlay string) (string, error) {
 	h := sha256.New()
 	fmt.Fprintln(h, "martendrum release 1")
 	for _, path := range []string{sidecar, overlay} {
-		one, err := sum(path)
+		one, err := fileSum(path)
 		if err != nil {
 			return "", err
 		}
@@ -56,8 +56,8 @@
 	return hex.EncodeToString(h.Sum(nil)), nil
 }
 
-// sum is the SHA-256 of a file, of nothing where path is "".
-func sum(path string) ([]byte, error) {
+// fileSum is the SHA-256 of a file, of nothing where path is "".
+func fileSum(path string) ([]byte, error) {
 	h := sha256.New()
 	if path != "" {
 		f, err := os.Open(path)
@@ -107,7 +107,7 @@
 	return &Dir{path: path}, nil
 }
 
-func (d *Dir) in(hash string) string { return filepath.Join(d.path, "incoming", hash) }
+func (d *Dir) incoming(hash string) string { return filepath.Join(d.path, "incoming", hash) }
 
 // Path is the path of a release's file.
 func (d *Dir) Path(hash, file string) string { return filepath.Join(d.path, hash, file) }
@@ -118,7 +118,7 @@
 		return true, 0, 0
 	}
 	size := func(file string) int64 {
-		if st, err := os.Stat(filepath.Join(d.in(hash), file)); err == nil {
+		if st, err := os.Stat(filepath.Join(d.incoming(hash), file)); err == nil {
 			return st.Size()
 		}
 		return 0
@@ -128,11 +128,11 @@
 
 // SameProgram says whether two releases differ in their overlays alone.
 func (d *Dir) SameProgram(x, y string) (bool, error) {
-	one, err := sum(d.Path(x, Sidecar))
+	one, err := fileSum(d.Path(x, Sidecar))
 	if err != nil {
 		return false, fmt.Errorf("release: %w", err)
 	}
-	other, err := sum(d.Path(y, Sidecar))
+	other, err := fileSum(d.Path(y, Sidecar))
 	if err != nil {
 		return false, fmt.Errorf("release: %w", err)
 	}
@@ -154,15 +154,15 @@
 	if offset < 0 || offset+int64(len(data)) > limit {
 		return fmt.Errorf("release: %s over %d bytes", file, limit)
 	}
-	if _, err := os.Stat(d.in(hash)); errors.Is(err, os.ErrNotExist) {
+	if _, err := os.Stat(d.incoming(hash)); errors.Is(err, os.ErrNotExist) {
 		if err := prune(filepath.Join(d.path, "incoming"), nil, maxIncoming-1); err != nil {
 			return err
 		}
 	}
-	if err := os.MkdirAll(d.in(hash), 0o750); err != nil {
+	if err := os.MkdirAll(d.incoming(hash), 0o750); err != nil {
 		return fmt.Errorf("release: %w", err)
 	}
-	f, err := os.OpenFile(filepath.Join(d.in(hash), file), os.O_CREATE|os.O_RDWR, 0o750)
+	f, err := os.OpenFile(filepath.Join(d.incoming(hash), file), os.O_CREATE|os.O_RDWR, 0o750)
 	if err != nil {
 		return fmt.Errorf("release: %w", err)
 	}
@@ -180,12 +180,12 @@
 	return nil
 }
 
-// Done checks what has come and gives it its name.
-func (d *Dir) Done(hash string) error {
+// Commit checks what has come and gives it its name.
+func (d *Dir) Commit(hash string) error {
 	if have, _, _ := d.Have(hash); have {
 		return d.Verify(hash)
 	}
-	in := d.in(hash)
+	in := d.incoming(hash)
 	if err := verify(in, hash); err != nil {
 		os.RemoveAll(in) // to be sent anew
 		return err
@@ -236,7 +236,7 @@
 	}
 	got, err := Hash(filepath.Join(dir, Sidecar), overlay)
 	if errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%w: %.12s", ErrNone, hash)
+		return fmt.Errorf("%w: %.12s", ErrNotFound, hash)
 	}
 	if err != nil {
 		return fmt.Errorf("release: %w", err)
@@ -257,19 +257,19 @@
 		return hash, nil
 	}
 	os.RemoveAll(filepath.Join(d.path, hash))
-	os.RemoveAll(d.in(hash))
+	os.RemoveAll(d.incoming(hash))
 	for file, path := range map[string]string{Sidecar: sidecar, Overlay: overlay} {
 		if path == "" {
 			continue
 		}
-		if err := d.copy(hash, file, path); err != nil {
+		if err := d.importFile(hash, file, path); err != nil {
 			return "", err
 		}
 	}
-	return hash, d.Done(hash)
+	return hash, d.Commit(hash)
 }
 
-func (d *Dir) copy(hash, file, path string) error {
+func (d *Dir) importFile(hash, file, path string) error {
 	in, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("release: %w", err)
--- a/internal/fleet/release/release_test.go
+++ b/internal/fleet/release/release_test.go
@@ -37,7 +37,7 @@
 		if have, got, _ := d.Have(hash); have || got != int64(n+1) {
 			t.Fatalf("after %d bytes: %v, %d", n+1, have, got)
 		}
-		if err := d.Verify(hash); !errors.Is(err, ErrNone) {
+		if err := d.Verify(hash); !errors.Is(err, ErrNotFound) {
 			t.Fatalf("after %d bytes it can be started: %v", n+1, err)
 		}
 	}
@@ -48,14 +48,14 @@
 		t.Errorf("%d bytes stay of what was never finished", got)
 	}
 	d.Write(hash, Sidecar, 0, []byte("012345678"))
-	if err := d.Done(hash); err == nil {
+	if err := d.Commit(hash); err == nil {
 		t.Error("a release that lacks its last byte was taken")
 	}
 	if err := d.Write(hash, Sidecar, 0, []byte("0123456789")); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 { // said again it does no harm
-		if err := d.Done(hash); err != nil {
+		if err := d.Commit(hash); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/hollow/cluster_test.go
+++ b/internal/hollow/cluster_test.go
@@ -103,7 +103,7 @@
 	var err error
 	c.authority, err = LoadAuthority(c.folder)
 	c.must(err)
-	c.operator, err = pki.TLS(c.path("ca.crt"), c.path("operator.crt"), c.path("operator.key"))
+	c.operator, err = pki.LoadTLS(c.path("ca.crt"), c.path("operator.crt"), c.path("operator.key"))
 	c.must(err)
 	// The agents have no instances: the program that these would run is never started.
 	c.must(os.WriteFile(c.path("unused"), []byte("#!/bin/false\n"), 0o700))
