--- a/internal/fleet/host/agent/serve_releases.go
+++ b/internal/fleet/host/agent/serve_releases.go
@@ -12,9 +12,8 @@
 	if !release.Valid(in.Release) {
 		return nil, api.Errorf(api.InvalidParams, "%q is no release's hash", in.Release)
 	}
-	out := &api.ReleaseOut{}
-	out.Have, out.Sidecar, out.Overlay = a.releases.Have(in.Release)
-	return out, nil
+	status := a.releases.Status(in.Release)
+	return &api.ReleaseOut{Have: status.Complete, Sidecar: status.Sidecar, Overlay: status.Overlay}, nil
 }
 
 func (a *Agent) releaseWrite(ctx context.Context, c *caller, in *api.ChunkIn) (any, error) {
--- a/internal/fleet/release/release.go
+++ b/internal/fleet/release/release.go
@@ -1,20 +1,19 @@
-// Package release keeps releases by content hash: a sidecar's program and an
-// overlay for its configuration. What is under a hash is whole: it is written
-// aside, synced, checked and only then given its name, and it is checked again
-// each time before it is started. One owner at a time, the agent.
+// Package release stores releases by content hash: a sidecar's program, and an overlay for
+// its configuration. The files stored under a hash are complete: they are received in a
+// separate folder, checked, synced and only then renamed to their hash, and they are
+// checked again each time before the program is started.
+//
+// A Dir has one owner at a time, the agent. The package does not decide which releases are
+// in use: Prune's caller does.
 package release
 
 import (
 	"bytes"
-	"crypto/sha256"
-	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"os"
 	"path/filepath"
-	"regexp"
 	"slices"
 )
 
@@ -24,79 +23,24 @@
 	Overlay = "overlay.json"
 )
 
-// maxIncoming is how many releases may be on their way at once; a further one
-// drops the oldest, which its sender begins again.
+// maxIncoming is the maximum number of releases being received at once. A further one
+// discards the oldest, which its sender must begin again.
 const maxIncoming = 4
 
-// Most is the most bytes of a program, and MaxOverlay of an overlay.
+// MaxSize is the maximum size of a program and MaxOverlay that of an overlay, in bytes.
 const (
 	MaxSize    = 256 << 20
 	MaxOverlay = 1 << 20
 )
 
-var hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
-
-// ErrNotFound is a release that is not there.
+// ErrNotFound is returned for a release that is not stored.
 var ErrNotFound = errors.New("release: not there")
 
-// Valid says whether a string has a hash's form.
-func Valid(hash string) bool { return hashPattern.MatchString(hash) }
-
-// Hash is the hash of a release made of these files. overlay may be "".
-func Hash(sidecar, overlay string) (string, error) {
-	h := sha256.New()
-	fmt.Fprintln(h, "martendrum release 1")
-	for _, path := range []string{sidecar, overlay} {
-		one, err := fileSum(path)
-		if err != nil {
-			return "", err
-		}
-		fmt.Fprintf(h, "%x\n", one)
-	}
-	return hex.EncodeToString(h.Sum(nil)), nil
-}
-
-// fileSum is the SHA-256 of a file, of nothing where path is "".
-func fileSum(path string) ([]byte, error) {
-	h := sha256.New()
-	if path != "" {
-		f, err := os.Open(path)
-		if err != nil {
-			return nil, err
-		}
-		_, err = io.Copy(h, f)
-		f.Close()
-		if err != nil {
-			return nil, err
-		}
-	}
-	return h.Sum(nil), nil
-}
-
-// CheckOverlay says what is wrong with an overlay: a JSON object, empty for none.
-func CheckOverlay(data []byte) error {
-	if len(data) == 0 {
-		return nil
-	}
-	if len(data) > MaxOverlay {
-		return fmt.Errorf("overlay: %d bytes; %d at most", len(data), MaxOverlay)
-	}
-	var v map[string]any
-	if err := json.Unmarshal(data, &v); err != nil {
-		return fmt.Errorf("overlay: not a JSON object: %w", err)
-	}
-	for _, k := range []string{"listen", "name", "seed"} {
-		if _, ok := v[k]; ok {
-			return fmt.Errorf("overlay: %q differs from instance to instance and can't be part of a release", k)
-		}
-	}
-	return nil
-}
-
-// Dir is where releases are kept.
+// Dir is a folder of releases.
 type Dir struct{ path string }
 
-// Open makes the folder if need be, and clears away what was never finished.
+// Open creates the folder if it does not exist, and removes releases that were not received
+// completely.
 func Open(path string) (*Dir, error) {
 	if err := os.RemoveAll(filepath.Join(path, "incoming")); err != nil {
 		return nil, fmt.Errorf("release: %w", err)
@@ -107,15 +51,23 @@
 	return &Dir{path: path}, nil
 }
 
+// incoming returns the folder in which a release is received.
 func (d *Dir) incoming(hash string) string { return filepath.Join(d.path, "incoming", hash) }
 
-// Path is the path of a release's file.
+// Path returns the path of a release's file.
 func (d *Dir) Path(hash, file string) string { return filepath.Join(d.path, hash, file) }
 
-// Have says whether the release is there, and else what has come of it.
-func (d *Dir) Have(hash string) (have bool, sidecar, overlay int64) {
+// Status is how much of a release is stored.
+type Status struct {
+	Complete bool
+	// The bytes received of each file, while the release is not complete.
+	Sidecar, Overlay int64
+}
+
+// Status returns how much of a release is stored.
+func (d *Dir) Status(hash string) Status {
 	if _, err := os.Stat(filepath.Join(d.path, hash)); err == nil {
-		return true, 0, 0
+		return Status{Complete: true}
 	}
 	size := func(file string) int64 {
 		if st, err := os.Stat(filepath.Join(d.incoming(hash), file)); err == nil {
@@ -123,10 +75,10 @@
 		}
 		return 0
 	}
-	return false, size(Sidecar), size(Overlay)
+	return Status{Sidecar: size(Sidecar), Overlay: size(Overlay)}
 }
 
-// SameProgram says whether two releases differ in their overlays alone.
+// SameProgram reports whether two releases have the same program.
 func (d *Dir) SameProgram(x, y string) (bool, error) {
 	one, err := fileSum(d.Path(x, Sidecar))
 	if err != nil {
@@ -139,8 +91,8 @@
 	return bytes.Equal(one, other), nil
 }
 
-// Write adds bytes at an offset, which must be where the file ends: a repeat of
-// what is there already is taken and changes nothing.
+// Write writes bytes at an offset, which must not be beyond the end of what was received
+// of the file. Bytes that were received before may be written again.
 func (d *Dir) Write(hash, file string, offset int64, data []byte) error {
 	limit := int64(MaxSize)
 	switch {
@@ -154,25 +106,20 @@
 	if offset < 0 || offset+int64(len(data)) > limit {
 		return fmt.Errorf("release: %s over %d bytes", file, limit)
 	}
-	if _, err := os.Stat(d.incoming(hash)); errors.Is(err, os.ErrNotExist) {
-		if err := prune(filepath.Join(d.path, "incoming"), nil, maxIncoming-1); err != nil {
-			return err
-		}
-	}
-	if err := os.MkdirAll(d.incoming(hash), 0o750); err != nil {
-		return fmt.Errorf("release: %w", err)
+	if err := d.makeIncoming(hash); err != nil {
+		return err
 	}
 	f, err := os.OpenFile(filepath.Join(d.incoming(hash), file), os.O_CREATE|os.O_RDWR, 0o750)
 	if err != nil {
 		return fmt.Errorf("release: %w", err)
 	}
 	defer f.Close()
-	st, err := f.Stat()
+	info, err := f.Stat()
 	if err != nil {
 		return fmt.Errorf("release: %w", err)
 	}
-	if offset > st.Size() {
-		return fmt.Errorf("release: %s has %d bytes and more came at %d", file, st.Size(), offset)
+	if offset > info.Size() {
+		return fmt.Errorf("release: %s has %d bytes and more came at %d", file, info.Size(), offset)
 	}
 	if _, err := f.WriteAt(data, offset); err != nil {
 		return fmt.Errorf("release: %w", err)
@@ -180,14 +127,29 @@
 	return nil
 }
 
-// Commit checks what has come and gives it its name.
+// makeIncoming creates the folder in which a release is received, and discards the oldest
+// if there are too many.
+func (d *Dir) makeIncoming(hash string) error {
+	if _, err := os.Stat(d.incoming(hash)); errors.Is(err, os.ErrNotExist) {
+		if err := prune(filepath.Join(d.path, "incoming"), nil, maxIncoming-1); err != nil {
+			return err
+		}
+	}
+	if err := os.MkdirAll(d.incoming(hash), 0o750); err != nil {
+		return fmt.Errorf("release: %w", err)
+	}
+	return nil
+}
+
+// Commit checks a received release and stores it under its hash. A release that fails the
+// check is discarded and must be sent again. Committing a stored release verifies it.
 func (d *Dir) Commit(hash string) error {
-	if have, _, _ := d.Have(hash); have {
+	if d.Status(hash).Complete {
 		return d.Verify(hash)
 	}
 	in := d.incoming(hash)
 	if err := verify(in, hash); err != nil {
-		os.RemoveAll(in) // to be sent anew
+		os.RemoveAll(in)
 		return err
 	}
 	overlay, err := os.ReadFile(filepath.Join(in, Overlay))
@@ -212,6 +174,7 @@
 	return syncPath(d.path)
 }
 
+// syncPath syncs a file or folder.
 func syncPath(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -221,7 +184,8 @@
 	return f.Sync()
 }
 
-// Verify is nil if the release is there and is what its hash says.
+// Verify returns nil if the release is stored and its files have its hash. If it is not
+// stored, the error wraps ErrNotFound.
 func (d *Dir) Verify(hash string) error {
 	if !Valid(hash) {
 		return fmt.Errorf("release: %q is no release's hash", hash)
@@ -229,6 +193,7 @@
 	return verify(filepath.Join(d.path, hash), hash)
 }
 
+// verify checks the files in a folder against a hash.
 func verify(dir, hash string) error {
 	overlay := filepath.Join(dir, Overlay)
 	if _, err := os.Stat(overlay); err != nil {
@@ -247,13 +212,13 @@
 	return nil
 }
 
-// Import takes a release from files of this machine and returns its hash.
+// Import stores a release from local files and returns its hash.
 func (d *Dir) Import(sidecar, overlay string) (string, error) {
 	hash, err := Hash(sidecar, overlay)
 	if err != nil {
 		return "", fmt.Errorf("release: %w", err)
 	}
-	if have, _, _ := d.Have(hash); have && d.Verify(hash) == nil {
+	if d.Status(hash).Complete && d.Verify(hash) == nil {
 		return hash, nil
 	}
 	os.RemoveAll(filepath.Join(d.path, hash))
@@ -269,13 +234,14 @@
 	return hash, d.Commit(hash)
 }
 
+// importFile writes a local file as a file of the release.
 func (d *Dir) importFile(hash, file, path string) error {
 	in, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("release: %w", err)
 	}
 	defer in.Close()
-	buf := make([]byte, 256<<10)
+	buf := make([]byte, importChunk)
 	for at := int64(0); ; {
 		n, err := in.Read(buf)
 		if n > 0 {
@@ -293,23 +259,26 @@
 	}
 }
 
-// Prune removes all releases but those named and the latest spare others.
+// importChunk is the number of bytes that importFile reads at once.
+const importChunk = 256 << 10
+
+// Prune removes all releases except those used and the latest spare others.
 func (d *Dir) Prune(used []string, spare int) error { return prune(d.path, used, spare) }
 
-// prune removes all folders with a hash's name but those named and the latest spare.
+// prune removes all folders named by a hash except those used and the latest spare others.
 func prune(path string, used []string, spare int) error {
 	entries, err := os.ReadDir(path)
 	if err != nil {
 		return fmt.Errorf("release: %w", err)
 	}
-	var rest []os.FileInfo
+	var unused []os.FileInfo
 	for _, e := range entries {
 		if info, err := e.Info(); err == nil && Valid(e.Name()) && !slices.Contains(used, e.Name()) {
-			rest = append(rest, info)
+			unused = append(unused, info)
 		}
 	}
-	slices.SortFunc(rest, func(a, b os.FileInfo) int { return b.ModTime().Compare(a.ModTime()) })
-	for _, info := range rest[min(spare, len(rest)):] {
+	slices.SortFunc(unused, func(a, b os.FileInfo) int { return b.ModTime().Compare(a.ModTime()) })
+	for _, info := range unused[min(spare, len(unused)):] {
 		if err := os.RemoveAll(filepath.Join(path, info.Name())); err != nil {
 			return fmt.Errorf("release: %w", err)
 		}
--- a/internal/fleet/release/release_test.go
+++ b/internal/fleet/release/release_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// files creates a program file and an empty folder of releases.
 func files(t *testing.T, program string) (dir *Dir, root, path string) {
 	t.Helper()
 	root = t.TempDir()
@@ -22,9 +23,9 @@
 	return dir, root, path
 }
 
-// What is written in part is never a release, whatever is cut off where; a new
-// owner clears it away.
-func TestHalfWritten(t *testing.T) {
+// A release that was not received completely can never be started, wherever it was cut off,
+// and is removed by a new owner.
+func TestIncompleteRelease(t *testing.T) {
 	d, root, path := files(t, "0123456789")
 	hash, err := Hash(path, "")
 	if err != nil {
@@ -34,8 +35,8 @@
 		if err := d.Write(hash, Sidecar, int64(n), []byte("0123456789")[n:n+1]); err != nil {
 			t.Fatal(err)
 		}
-		if have, got, _ := d.Have(hash); have || got != int64(n+1) {
-			t.Fatalf("after %d bytes: %v, %d", n+1, have, got)
+		if got := d.Status(hash); got.Complete || got.Sidecar != int64(n+1) {
+			t.Fatalf("after %d bytes: %+v", n+1, got)
 		}
 		if err := d.Verify(hash); !errors.Is(err, ErrNotFound) {
 			t.Fatalf("after %d bytes it can be started: %v", n+1, err)
@@ -44,17 +45,17 @@
 	if d, err = Open(filepath.Join(root, "releases")); err != nil {
 		t.Fatal(err)
 	}
-	if _, got, _ := d.Have(hash); got != 0 {
-		t.Errorf("%d bytes stay of what was never finished", got)
+	if got := d.Status(hash).Sidecar; got != 0 {
+		t.Errorf("%d bytes of an incomplete release remain", got)
 	}
 	d.Write(hash, Sidecar, 0, []byte("012345678"))
 	if err := d.Commit(hash); err == nil {
-		t.Error("a release that lacks its last byte was taken")
+		t.Error("a release that lacks its last byte was accepted")
 	}
 	if err := d.Write(hash, Sidecar, 0, []byte("0123456789")); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // said again it does no harm
+	for range 2 { // repeating it is harmless
 		if err := d.Commit(hash); err != nil {
 			t.Fatal(err)
 		}
@@ -67,7 +68,7 @@
 		t.Errorf("a program changed on the disk: %v", err)
 	}
 	if again, err := d.Import(path, ""); err != nil || again != hash || d.Verify(hash) != nil {
-		t.Errorf("import does not mend it: %v", err)
+		t.Errorf("import does not repair it: %v", err)
 	}
 }
 
@@ -82,13 +83,13 @@
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v; want %q", text, err, want)
 		}
-		if have, _, _ := d.Have(hash); have != (want == "") && hash != "" {
-			t.Errorf("%q: have %v", text, have)
+		if complete := d.Status(hash).Complete; complete != (want == "") && hash != "" {
+			t.Errorf("%q: complete %v", text, complete)
 		}
 	}
 }
 
-// Releases that are begun and never finished don't pile up.
+// Releases that are never received completely do not accumulate.
 func TestIncomingIsBounded(t *testing.T) {
 	d, root, _ := files(t, "x")
 	for n := range 20 {
@@ -97,11 +98,11 @@
 		}
 	}
 	if e, err := os.ReadDir(filepath.Join(root, "releases", "incoming")); err != nil || len(e) > maxIncoming {
-		t.Errorf("%d are on their way, %v", len(e), err)
+		t.Errorf("%d are being received, %v", len(e), err)
 	}
 }
 
-func TestKeep(t *testing.T) {
+func TestPruneKeepsUsedAndSpare(t *testing.T) {
 	d, root, _ := files(t, "x")
 	var hashes []string
 	for _, text := range []string{"a", "b", "c", "d"} {
