--- a/internal/fleet/host/scrape/scrape.go
+++ b/internal/fleet/host/scrape/scrape.go
@@ -1,5 +1,6 @@
 // Package scrape reads a sidecar's metrics from its admin endpoint, and its process's
-// resource usage from /proc. It opens one connection per call and keeps no state.
+// resource usage from /proc. It opens one connection per call and keeps no state. It does
+// not decide when to read, and does not judge what it reads. Linux only.
 package scrape
 
 import (
@@ -23,13 +24,16 @@
 	"martendrum/internal/fleet/canary"
 )
 
-// maxResponse bounds a response, in bytes: several hundred classes fit.
+// maxResponse is the maximum size of a response in bytes, enough for several hundred classes.
 const maxResponse = 1 << 20
 
-// slowOver is the bound of edge_balancer_own_seconds past which a request counts as
-// slow in the sidecar.
+// slowOver is the bucket of edge_balancer_own_seconds above which a request counts as slow
+// in the sidecar, in seconds.
 const slowOver = "0.005"
 
+// slowOverScientific is the same bucket as a sidecar may also write it.
+const slowOverScientific = "5e-03"
+
 // Metrics reads the metrics of the admin endpoint at addr, within timeout.
 func Metrics(ctx context.Context, addr string, timeout time.Duration) (*api.Sample, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -55,7 +59,8 @@
 	return s, nil
 }
 
-// Read parses metrics in the Prometheus text format.
+// Read parses a sidecar's metrics in the Prometheus text format. The sample has no time, no
+// instance and no resource usage.
 func Read(in io.Reader) (*api.Sample, error) {
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(in)
@@ -66,45 +71,30 @@
 		return nil, errors.New("metrics: no edge_balancer_tries among them: not a sidecar's admin endpoint")
 	}
 	s := &api.Sample{Classes: make(map[string]canary.Counts)}
-	each := func(name string, do func(label func(string) string, v uint32)) {
-		f := families["edge_balancer_"+name]
-		if f == nil {
-			return
-		}
-		for _, m := range f.Metric {
-			do(func(key string) string {
-				for _, l := range m.Label {
-					if l.GetName() == key {
-						return l.GetValue()
-					}
-				}
-				return ""
-			}, completeCount(m))
-		}
-	}
-	each("responses", func(label func(string) string, v uint32) {
-		c := s.Classes[label("kind")]
-		switch label("result") {
+	each := func(name string, do func(l labels, v uint32)) { eachMetric(families["edge_balancer_"+name], do) }
+	each("responses", func(l labels, v uint32) {
+		counts := s.Classes[l.get("kind")]
+		switch l.get("result") {
 		case "ok":
-			c.Served = v
+			counts.Served = v
 		case "shed":
-			c.Rejected = v
+			counts.Rejected = v
 		default:
-			c.Failed += v
+			counts.Failed += v
 		}
-		s.Classes[label("kind")] = c
+		s.Classes[l.get("kind")] = counts
 	})
-	each("tries", func(_ func(string) string, v uint32) { s.Attempts = v })
-	each("attempts", func(label func(string) string, v uint32) {
+	each("tries", func(_ labels, v uint32) { s.Attempts = v })
+	each("attempts", func(l labels, v uint32) {
 		s.Finished += v
-		if label("outcome") == "declined" {
+		if l.get("outcome") == "declined" {
 			s.Rejected = v
 		}
 	})
-	each("own_seconds_count", func(_ func(string) string, v uint32) { s.Timed = v })
+	each("own_seconds_count", func(_ labels, v uint32) { s.Timed = v })
 	within := uint32(0)
-	each("own_seconds_bucket", func(label func(string) string, v uint32) {
-		if label("le") == slowOver || label("le") == "5e-03" {
+	each("own_seconds_bucket", func(l labels, v uint32) {
+		if le := l.get("le"); le == slowOver || le == slowOverScientific {
 			within = v
 		}
 	})
@@ -112,7 +102,30 @@
 	return s, nil
 }
 
-// completeCount is a metric's value as a count; what is no count is 0.
+// labels are the labels of a metric.
+type labels []*dto.LabelPair
+
+// get returns the value of a label, "" if there is none of that name.
+func (l labels) get(name string) string {
+	for _, pair := range l {
+		if pair.GetName() == name {
+			return pair.GetValue()
+		}
+	}
+	return ""
+}
+
+// eachMetric calls do for each metric of a family, which may be nil.
+func eachMetric(family *dto.MetricFamily, do func(l labels, v uint32)) {
+	if family == nil {
+		return
+	}
+	for _, m := range family.Metric {
+		do(m.Label, completeCount(m))
+	}
+}
+
+// completeCount returns a metric's value as a count, 0 if it is not one.
 func completeCount(m *dto.Metric) uint32 {
 	var v float64
 	switch {
@@ -129,17 +142,17 @@
 	return uint32(min(v, math.MaxUint32))
 }
 
-// Usage is a process's resident memory in bytes, and its open descriptors.
+// Usage returns a process's resident memory in bytes and its number of open descriptors.
 func Usage(pid int) (memory uint64, files uint32, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0, 0, fmt.Errorf("scrape: %w", err)
 	}
-	f := strings.Fields(string(text))
-	if len(f) < 2 {
+	fields := strings.Fields(string(text))
+	if len(fields) < 2 {
 		return 0, 0, fmt.Errorf("scrape: /proc/%d/statm is %q", pid, text)
 	}
-	pages, err := strconv.ParseUint(f[1], 10, 64)
+	pages, err := strconv.ParseUint(fields[1], 10, 64)
 	if err != nil {
 		return 0, 0, fmt.Errorf("scrape: /proc/%d/statm: %w", pid, err)
 	}
