--- a/internal/fleet/connect/connect.go
+++ b/internal/fleet/connect/connect.go
@@ -1,5 +1,6 @@
 // Package connect opens connections to agents: it dials an address of the inventory's form,
-// says hello and checks who answers. It keeps no connection and decides nothing.
+// sends the hello and checks which agent answers. It does not pool, retry or reopen
+// connections.
 package connect
 
 import (
@@ -23,8 +24,8 @@
 	TLS     *tls.Config // for tls: addresses
 }
 
-// Dial connects to an agent and says hello for caller. Errors are *api.Error where the agent
-// said no. ctx bounds the dialling and the hello, not the connection.
+// Dial connects to an agent and sends the hello for caller. If the agent rejects it, the
+// error is an *api.Error. ctx bounds dialing and the hello, not the connection.
 func Dial(ctx context.Context, target Target, caller string, limits msgpackrpc.Limits) (*msgpackrpc.Client, error) {
 	nc, err := dial(ctx, target)
 	if err != nil {
@@ -43,6 +44,7 @@
 	return conn, nil
 }
 
+// dial opens the connection for the kind of the address; an unknown kind is dialed as TCP.
 func dial(ctx context.Context, target Target) (net.Conn, error) {
 	kind, rest, _ := strings.Cut(target.Address, ":")
 	switch kind {
@@ -54,21 +56,21 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", rest)
 }
 
-// RejectionReason is the *api.Error that an agent answered with, or err itself where it answered
-// with none.
+// RejectionReason returns the *api.Error that an agent answered with, or err itself if it
+// answered with none.
 func RejectionReason(err error) error {
-	said, ok := errors.AsType[*msgpackrpc.RemoteError](err)
+	remote, ok := errors.AsType[*msgpackrpc.RemoteError](err)
 	if !ok {
 		return err
 	}
-	refusal := &api.Error{}
-	if msgpack.Unmarshal(said.Value, refusal) != nil || refusal.Code == "" {
+	rejection := &api.Error{}
+	if msgpack.Unmarshal(remote.Value, rejection) != nil || rejection.Code == "" {
 		return err
 	}
-	return refusal
+	return rejection
 }
 
-// Caller makes calls whose only parameter is a map, and returns what an agent refuses as
+// Caller makes calls whose only parameter is a map. The error of a rejected call is an
 // *api.Error.
 type Caller struct{ *msgpackrpc.Client }
 
--- a/internal/fleet/host/proc/proc.go
+++ b/internal/fleet/host/proc/proc.go
@@ -1,6 +1,6 @@
-// Package proc runs sidecars as processes of this machine, in sessions of their
-// own so that they outlive whoever started them, and finds them again. It decides
-// nothing about them. Linux only: it reads /proc.
+// Package proc runs sidecars as local processes, each in a session of its own so that it
+// outlives the agent that started it, and finds them again after a restart of the agent. It
+// does not decide when a process starts or ends. Linux only: it reads /proc.
 package proc
 
 import (
@@ -21,42 +21,43 @@
 	"time"
 )
 
-// Marker is the environment variable that tells a sidecar's launch, so that one
-// whose pid was never recorded is found all the same.
+// Marker is the environment variable that holds a sidecar's launch ID, by which a process
+// is found even if its PID was never recorded.
 const Marker = "MARTENDRUM_LAUNCH"
 
-// Spec is what to start.
+// Spec is the process to start.
 type Spec struct {
-	Launch string // unique; for Marker
+	Launch string // unique ID, passed in Marker
 	Path   string
 	Dir    string
-	Env    []string // beside Marker
-	Log    string   // the file that output is appended to
+	Env    []string // without Marker
+	Log    string   // file to which output is appended
 }
 
-// Proc is a running process. Done is closed when it has ended.
+// Proc is a process. Done is closed when it has exited.
 type Proc struct {
 	PID   int
-	Ticks uint64 // its start time since the machine's boot, in clock ticks
+	Ticks uint64 // its start time in clock ticks since boot
 	Done  <-chan struct{}
 
 	process *os.Process
 	exit    string
 }
 
-// Exit is how it ended; valid once Done is closed.
+// Exit is how the process exited. It is valid once Done is closed.
 func (p *Proc) Exit() string { return p.exit }
 
-// Signal signals the process, and never another that got its pid.
+// Signal sends a signal to the process, never to another one that has reused its PID.
 func (p *Proc) Signal(sig syscall.Signal) error { return p.process.Signal(sig) }
 
-// Boot is the id of the machine's boot, within which pid and start time name a process.
+// Boot returns the ID of the machine's current boot, within which PID and start time
+// identify a process.
 func Boot() string {
 	b, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	return strings.TrimSpace(string(b))
 }
 
-// Start starts a process. A goroutine waits for its end.
+// Start starts a process. A goroutine waits for its exit.
 func Start(s Spec) (*Proc, error) {
 	log, err := os.OpenFile(s.Log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o640)
 	if err != nil {
@@ -71,14 +72,14 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("proc: %w", err)
 	}
-	ticks, _, err := stat(cmd.Process.Pid) // not reaped yet: it is there
+	started, err := readStat(cmd.Process.Pid) // not reaped yet, so it exists
 	if err != nil {
 		cmd.Process.Kill()
 		cmd.Wait()
 		return nil, fmt.Errorf("proc: %w", err)
 	}
 	done := make(chan struct{})
-	p := &Proc{PID: cmd.Process.Pid, Ticks: ticks, Done: done, process: cmd.Process}
+	p := &Proc{PID: cmd.Process.Pid, Ticks: started.ticks, Done: done, process: cmd.Process}
 	go func() {
 		defer close(done)
 		err := cmd.Wait()
@@ -90,13 +91,13 @@
 	return p, nil
 }
 
-// adoptedPollInterval is how often a process that is no child is looked at.
+// adoptedPollInterval is how often a process that is not a child is checked for its exit.
 const adoptedPollInterval = 200 * time.Millisecond
 
-// Adopt takes over a process that another has started, if it still runs. ctx ends
-// the watch over it, not the process.
+// Adopt returns a process that an earlier agent started, or os.ErrProcessDone if it no
+// longer runs. Cancelling ctx ends the wait for its exit, not the process.
 func Adopt(ctx context.Context, pid int, ticks uint64) (*Proc, error) {
-	op, err := os.FindProcess(pid) // holds on to this process where the kernel can
+	op, err := os.FindProcess(pid) // refers to this process, not its PID, where the kernel supports it
 	if err != nil {
 		return nil, err
 	}
@@ -121,70 +122,88 @@
 	return p, nil
 }
 
-// Alive says whether the process of that pid and start time runs. One that has
-// ended and was not waited for yet does not.
+// Alive reports whether the process with this PID and start time runs. A process that has
+// exited and was not waited for yet does not.
 func Alive(pid int, ticks uint64) bool {
-	t, state, err := stat(pid)
-	return err == nil && t == ticks && state != 'Z' && state != 'X'
+	s, err := readStat(pid)
+	return err == nil && s.ticks == ticks && s.state != stateZombie && s.state != stateDead
 }
 
-// stat reads start time and state off /proc/PID/stat, as proc(5) has them.
-func stat(pid int) (ticks uint64, state byte, err error) {
-	b, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
+// The states of a process that has exited, see proc(5).
+const (
+	stateZombie = 'Z'
+	stateDead   = 'X'
+)
+
+// processStat is the start time and state of a process.
+type processStat struct {
+	ticks uint64
+	state byte
+}
+
+// The fields of /proc/PID/stat, counted after the program's name.
+const (
+	stateField     = 0
+	startTimeField = 19
+)
+
+// readStat reads /proc/PID/stat, see proc(5).
+func readStat(pid int) (processStat, error) {
+	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
-		return 0, 0, err
+		return processStat{}, err
 	}
-	// The name, in parentheses, may hold anything.
-	f := bytes.Fields(b[bytes.LastIndexByte(b, ')')+1:])
-	if len(f) < 20 {
-		return 0, 0, errors.New("proc: /proc/PID/stat is not understood")
+	// The program's name, in parentheses, may contain any character.
+	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
+	if len(fields) <= startTimeField {
+		return processStat{}, errors.New("proc: /proc/PID/stat is not understood")
 	}
-	ticks, err = strconv.ParseUint(string(f[19]), 10, 64)
-	return ticks, f[0][0], err
+	ticks, err := strconv.ParseUint(string(fields[startTimeField]), 10, 64)
+	return processStat{ticks: ticks, state: fields[stateField][0]}, err
 }
 
-// Found is a process that carries a launch in its environment.
+// Found is a process that has a launch ID in its environment.
 type Found struct {
 	PID   int
 	Ticks uint64
-	Exe   string // the path of its program, "" if not known
+	Exe   string // path of its program, "" if unknown
 }
 
-// Find returns the running processes whose launch begins with prefix, by launch.
+// Find returns the running processes whose launch ID begins with prefix, by launch ID.
 func Find(prefix string) map[string]Found {
 	out := make(map[string]Found)
 	dirs, _ := filepath.Glob("/proc/[0-9]*")
-	for _, d := range dirs {
-		pid, err := strconv.Atoi(filepath.Base(d))
+	for _, dir := range dirs {
+		pid, err := strconv.Atoi(filepath.Base(dir))
 		if err != nil {
 			continue
 		}
-		env, err := os.ReadFile(d + "/environ")
+		env, err := os.ReadFile(dir + "/environ")
 		if err != nil {
-			continue // another user's, or gone
+			continue // it belongs to another user, or has exited
 		}
 		for _, v := range bytes.Split(env, []byte{0}) {
 			launch, ok := bytes.CutPrefix(v, []byte(Marker+"="))
 			if !ok || !bytes.HasPrefix(launch, []byte(prefix)) {
 				continue
 			}
-			if ticks, state, err := stat(pid); err == nil && state != 'Z' {
-				exe, _ := os.Readlink(d + "/exe")
-				out[string(launch)] = Found{PID: pid, Ticks: ticks, Exe: exe}
+			if s, err := readStat(pid); err == nil && s.state != stateZombie {
+				exe, _ := os.Readlink(dir + "/exe")
+				out[string(launch)] = Found{PID: pid, Ticks: s.ticks, Exe: exe}
 			}
 		}
 	}
 	return out
 }
 
-// Healthy is what a sidecar says of itself in the health call; "" where it says nothing.
+// Healthy is what a sidecar reports in its health call; "" for what it does not report.
 type Healthy struct {
-	ConfigSum string // of the configuration in force
-	Record    string // how its store of record does
-	Launch    string // which process answered; told only by one that can hand over
+	ConfigSum string // hash of the configuration in force
+	Record    string // state of its idempotency store
+	Launch    string // launch ID of the process that answered, if it can hand over
 }
 
-// Health makes the health call.
+// Health makes the health call, within limit.
 func Health(ctx context.Context, addr string, limit time.Duration) (h Healthy, err error) {
 	d := net.Dialer{Timeout: limit, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", addr)
@@ -206,12 +225,12 @@
 	return Healthy{resp.Header.Get("Config-Sum"), resp.Header.Get("Record"), resp.Header.Get("Hands-Over")}, nil
 }
 
-// Rotate keeps a log within most bytes: past half of that its content goes to
-// file.1 and it begins anew. Lines written meanwhile may be lost; the writer goes
-// on with the same open file.
+// Rotate keeps a log within limit bytes: once it is larger than half of that, its content is
+// moved to the file with the suffix .1 and it is truncated. The writer continues with the
+// same open file; lines written during the rotation may be lost.
 func Rotate(path string, limit int64) error {
-	st, err := os.Stat(path)
-	if err != nil || st.Size() <= limit/2 {
+	info, err := os.Stat(path)
+	if err != nil || info.Size() <= limit/2 {
 		return nil
 	}
 	in, err := os.Open(path)
@@ -219,7 +238,7 @@
 		return err
 	}
 	defer in.Close()
-	if _, err := in.Seek(max(0, st.Size()-limit/2), io.SeekStart); err != nil {
+	if _, err := in.Seek(max(0, info.Size()-limit/2), io.SeekStart); err != nil {
 		return err
 	}
 	out, err := os.OpenFile(path+".1", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
--- a/internal/fleet/host/proc/proc_test.go
+++ b/internal/fleet/host/proc/proc_test.go
@@ -12,6 +12,7 @@
 	"time"
 )
 
+// start starts a process that exits at once, since its standard input is empty.
 func start(t *testing.T, launch string) *Proc {
 	t.Helper()
 	p, err := Start(Spec{Launch: launch, Path: "/bin/cat", Dir: "/", Log: filepath.Join(t.TempDir(), "log")})
@@ -21,8 +22,8 @@
 	return p
 }
 
-// A process is known by pid and start time, and one that has ended is not taken
-// for alive, nor another for it.
+// A process is identified by PID and start time. One that has exited is not reported as
+// alive, and no other process is mistaken for it.
 func TestFindAndAdopt(t *testing.T) {
 	script := filepath.Join(t.TempDir(), "wait")
 	os.WriteFile(script, []byte("#!/bin/sh\nexec sleep 1000\n"), 0o700)
@@ -33,7 +34,7 @@
 	}
 	defer p.Signal(syscall.SIGKILL)
 	var found map[string]Found
-	for until := time.Now().Add(20 * time.Second); len(found) == 0 && time.Now().Before(until); { // between fork and exec it has none
+	for until := time.Now().Add(20 * time.Second); len(found) == 0 && time.Now().Before(until); { // it has no launch ID between fork and exec
 		found = Find(launch)
 	}
 	if f := found[launch+"/a"]; f.PID != p.PID || f.Ticks != p.Ticks || len(found) != 1 {
@@ -55,14 +56,14 @@
 		select {
 		case <-done:
 		case <-time.After(20 * time.Second):
-			t.Fatal("its end was not seen")
+			t.Fatal("its exit was not seen")
 		}
 	}
 	if !strings.Contains(p.Exit(), "terminated") {
 		t.Error(p.Exit())
 	}
 	if Alive(p.PID, p.Ticks) || len(Find(launch)) > 0 {
-		t.Error("it is alive still")
+		t.Error("it is still alive")
 	}
 }
 
--- a/internal/fleet/pki/pki.go
+++ b/internal/fleet/pki/pki.go
@@ -1,5 +1,6 @@
-// Package pki makes a fleet's certificates for a start: a CA, agents' certificates
-// by host name, and operators' with a role. Files are never overwritten.
+// Package pki issues the certificates with which a fleet can start: a certificate
+// authority, certificates of agents by host name, and those of operators with a role. It
+// never overwrites a file. It does not renew or revoke certificates.
 package pki
 
 import (
@@ -19,14 +20,14 @@
 	"time"
 )
 
-// Times that certificates are good for.
+// How long certificates are valid.
 const (
 	CAValidity   = 10 * 365 * 24 * time.Hour
 	LeafValidity = 397 * 24 * time.Hour
 )
 
-// LoadTLS is what both sides of a connection in the fleet share: their own certificate,
-// and the CA that the other's must be of.
+// LoadTLS returns the configuration that both sides of a connection in the fleet share:
+// their own certificate, and the CA that must have issued the other's.
 func LoadTLS(ca, cert, key string) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
@@ -43,15 +44,16 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{pair}, RootCAs: pool}, nil
 }
 
+// serial returns a random serial number.
 func serial() *big.Int {
 	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
-		panic(err) // the system gives no random numbers
+		panic(err) // the system has no random numbers
 	}
 	return n
 }
 
-// Init makes a CA in a folder: ca.crt and ca.key.
+// Init creates a CA in a folder: ca.crt and ca.key.
 func Init(dir string, now time.Time) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("ca: %w", err)
@@ -64,8 +66,8 @@
 	return issue(dir, "ca", t, nil, nil)
 }
 
-// Agent makes the certificate of an agent that is reached under these names or addresses, and
-// that calls relays under its own. It has no role: the name alone counts there.
+// Agent issues the certificate of an agent that is reached at these host names or addresses
+// and calls relays under its own name. It has no role: relays check the name only.
 func Agent(dir, name string, hosts []string, now time.Time) error {
 	t := leaf(name, now)
 	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
@@ -79,7 +81,7 @@
 	return issueSigned(dir, name, t)
 }
 
-// Operator makes the certificate of a caller with a role.
+// Operator issues the certificate of a caller with a role.
 func Operator(dir, name, role string, now time.Time) error {
 	t := leaf(name, now)
 	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
@@ -87,6 +89,7 @@
 	return issueSigned(dir, name, t)
 }
 
+// leaf returns the template that the certificates of agents and operators share.
 func leaf(name string, now time.Time) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: serial(), Subject: pkix.Name{CommonName: name},
@@ -94,29 +97,31 @@
 	}
 }
 
+// issueSigned issues a certificate that the folder's CA signs.
 func issueSigned(dir, name string, t *x509.Certificate) error {
 	if filepath.Base(name) != name || name == "ca" {
 		return fmt.Errorf("ca: %q can't be a certificate's name", name)
 	}
-	cb, err := readPEM(filepath.Join(dir, "ca.crt"))
+	certificate, err := readPEM(filepath.Join(dir, "ca.crt"))
 	if err != nil {
 		return err
 	}
-	ca, err := x509.ParseCertificate(cb)
+	ca, err := x509.ParseCertificate(certificate)
 	if err != nil {
 		return fmt.Errorf("ca: %w", err)
 	}
-	kb, err := readPEM(filepath.Join(dir, "ca.key"))
+	private, err := readPEM(filepath.Join(dir, "ca.key"))
 	if err != nil {
 		return err
 	}
-	key, err := x509.ParseECPrivateKey(kb)
+	key, err := x509.ParseECPrivateKey(private)
 	if err != nil {
 		return fmt.Errorf("ca: %w", err)
 	}
 	return issue(dir, name, t, ca, key)
 }
 
+// readPEM returns the content of the first block of a PEM file.
 func readPEM(path string) ([]byte, error) {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -132,6 +137,8 @@
 	return block.Bytes, nil
 }
 
+// issue creates a key and a certificate and writes both. Without a parent the certificate
+// is signed by its own key.
 func issue(dir, name string, t, parent *x509.Certificate, by *ecdsa.PrivateKey) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -144,16 +151,17 @@
 	if err != nil {
 		return fmt.Errorf("ca: %w", err)
 	}
-	kd, err := x509.MarshalECPrivateKey(key)
+	private, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		return fmt.Errorf("ca: %w", err)
 	}
-	if err := write(filepath.Join(dir, name+".key"), "EC PRIVATE KEY", kd, 0o600); err != nil {
+	if err := write(filepath.Join(dir, name+".key"), "EC PRIVATE KEY", private, 0o600); err != nil {
 		return err
 	}
 	return write(filepath.Join(dir, name+".crt"), "CERTIFICATE", der, 0o644)
 }
 
+// write creates a PEM file and syncs it.
 func write(path, kind string, der []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, mode)
 	if err != nil {
--- a/internal/quantity/units.go
+++ b/internal/quantity/quantity.go
@@ -1,5 +1,6 @@
-// Package quantity reads operators' TOML files strictly: durations and sizes carry
-// their unit, an unknown key is an error, and errors name file and line.
+// Package quantity reads operators' TOML files strictly: durations and sizes must have a
+// unit, an unknown key is an error, and errors name file and line. It does not check the
+// values otherwise.
 package quantity
 
 import (
@@ -15,9 +16,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a time with its unit, as in "1.5s".
+// Duration is a duration with its unit, as in "1.5s".
 type Duration time.Duration
 
+// UnmarshalText parses a duration.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -30,6 +32,7 @@
 // Bytes is a size with its unit, as in "4MiB".
 type Bytes int64
 
+// UnmarshalText parses a size in KiB, MiB or GiB.
 func (n *Bytes) UnmarshalText(b []byte) error {
 	for unit, shift := range map[string]int{"KiB": 10, "MiB": 20, "GiB": 30} {
 		if s, ok := strings.CutSuffix(string(b), unit); ok {
@@ -43,7 +46,7 @@
 	return fmt.Errorf("%q is no size; write it with its unit, as in \"64KiB\" or \"4MiB\"", b)
 }
 
-// ResolvePaths makes relative paths that stand in a file relative to its folder.
+// ResolvePaths makes the relative paths that a file contains relative to its folder.
 func ResolvePaths(file string, paths ...*string) error {
 	dir, err := filepath.Abs(filepath.Dir(file))
 	if err != nil {
@@ -57,17 +60,17 @@
 	return nil
 }
 
-// Load reads a file into v.
+// Load decodes a TOML file into v.
 func Load(path string, v any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	err = toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(v)
-	if miss, ok := errors.AsType[*toml.StrictMissingError](err); ok {
-		e := miss.Errors[0]
-		row, _ := e.Position()
-		return fmt.Errorf("%s:%d: unknown key %q", path, row, strings.Join(e.Key(), "."))
+	if unknown, ok := errors.AsType[*toml.StrictMissingError](err); ok {
+		first := unknown.Errors[0]
+		row, _ := first.Position()
+		return fmt.Errorf("%s:%d: unknown key %q", path, row, strings.Join(first.Key(), "."))
 	}
 	if e, ok := errors.AsType[*toml.DecodeError](err); ok {
 		row, _ := e.Position()
