--- a/internal/fleet/control/rollout/rollout_test.go
+++ b/internal/fleet/control/rollout/rollout_test.go
@@ -186,132 +186,180 @@
 // records where the first one stopped repeats no step.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := api.Policy{
+		policy := api.Policy{
 			Batch:          rapid.IntRange(1, 5).Draw(t, "batch"),
 			Canaries:       rapid.IntRange(0, 3).Draw(t, "canaries"),
 			MaxUnavailable: rapid.IntRange(1, 4).Draw(t, "unavailable"),
 			MaxFailures:    rapid.IntRange(0, 4).Draw(t, "failures"),
 			OnFailure:      rapid.SampledFrom([]string{api.OnFailureStop, api.OnFailureRollback, api.OnFailurePause}).Draw(t, "on"),
 		}
-		ts := targets(rapid.IntRange(1, 4).Draw(t, "hosts"), rapid.IntRange(1, 4).Draw(t, "each"))
-		m, err := New(p, ts)
-		if err != nil {
-			t.Fatal(err)
-		}
-		type step struct {
-			target int
-			kind   string
-		}
-		record := make(map[step]string) // the agents' records
-		running := make(map[int]step)
-		silent := make(map[string]bool)
-		down := make(map[int]bool)
-		last := 0
+		f := newFleetModel(t, policy, targets(rapid.IntRange(1, 4).Draw(t, "hosts"), rapid.IntRange(1, 4).Draw(t, "each")))
+		takenOver := 0 // the round in which another command resumed last
 		for round := 0; ; round++ {
-			if round > 40*len(ts)+200 {
+			if round > 40*len(f.targets)+200 {
 				t.Fatal("the rollout does not end")
 			}
 			began := 0
-			for _, a := range m.Next() {
-				if a.Kind == "" {
-					if len(running) > 0 {
-						for i := range running {
-							if !silent[ts[i].Host] {
-								t.Fatalf("ended as %s while a step runs", m.Result())
-							}
-						}
-					}
-					if m.Result() == "" || m.Next() != nil {
-						t.Fatal("the end has no result, or a step follows it")
-					}
-					if m.Result() == Succeeded {
-						for i := range ts {
-							if record[step{i, api.Change}] != api.StepOK {
-								t.Fatalf("succeeded, and %d is %q", i, record[step{i, api.Change}])
-							}
-						}
-					}
+			for _, action := range f.machine.Next() {
+				if action.Kind == "" {
+					f.checkEnd(t)
 					return
 				}
 				began++
-				s := step{a.Target, a.Kind}
-				if _, twice := record[s]; twice {
-					t.Fatalf("%v twice", s)
-				}
-				if other, busy := running[a.Target]; busy {
-					t.Fatalf("%v while %v runs", s, other)
-				}
-				if a.Kind == api.Rollback && p.OnFailure != api.OnFailureRollback {
-					t.Fatal("a rollback that the policy does not allow")
-				}
-				count := 0
-				for i, x := range ts {
-					_, busy := running[i]
-					if i != a.Target && (busy || down[i] || silent[x.Host]) {
-						count++
-					}
-				}
-				if !down[a.Target] && count+1 > p.MaxUnavailable {
-					t.Fatalf("%v makes %d unavailable", s, count+1)
-				}
-				record[s], running[a.Target] = api.StepRunning, s
-				delete(down, a.Target)
-			}
-			var live []int
-			for i := range ts {
-				if _, ok := running[i]; ok && !silent[ts[i].Host] {
-					live = append(live, i)
-				}
+				f.begin(t, action)
 			}
+			live := f.live()
 			switch event := rapid.IntRange(0, 9).Draw(t, "event"); {
 			case event < 6 && len(live) > 0:
-				i := rapid.SampledFrom(live).Draw(t, "which")
-				ok := rapid.IntRange(0, 3).Draw(t, "ok") > 0
-				s := running[i]
-				delete(running, i)
-				record[s] = api.StepOK
-				if !ok {
-					record[s], down[i] = api.StepFailed, true
-				}
-				m.Done(i, s.kind, ok, "")
+				f.finish(rapid.SampledFrom(live).Draw(t, "which"), rapid.IntRange(0, 3).Draw(t, "ok") > 0)
 			case event == 6:
-				h := rapid.SampledFrom(ts).Draw(t, "host").Host
-				silent[h] = true
-				m.Silent(h, "")
+				host := rapid.SampledFrom(f.targets).Draw(t, "host").Host
+				f.silent[host] = true
+				f.machine.Silent(host, "")
 			case event == 7:
-				h := rapid.SampledFrom(ts).Draw(t, "host").Host
-				if silent[h] {
-					delete(silent, h)
-					m.Answers(h)
-				}
-			case event == 8 && round > last+10: // another command resumes from the records
-				last = round
-				if m, err = New(p, ts); err != nil {
-					t.Fatal(err)
-				}
-				for h := range silent {
-					m.Silent(h, "")
-				}
-				for _, kind := range []string{api.Change, api.Rollback} {
-					for i := range ts {
-						if st, ok := record[step{i, kind}]; ok {
-							m.Recall(i, kind, st, "")
-						}
-					}
-				}
-				for i := range ts {
-					m.Down(i, down[i])
+				host := rapid.SampledFrom(f.targets).Draw(t, "host").Host
+				if f.silent[host] {
+					delete(f.silent, host)
+					f.machine.Answers(host)
 				}
+			case event == 8 && round > takenOver+10:
+				takenOver = round
+				f.resume(t)
 			default:
 				if began == 0 && len(live) == 0 {
-					for h := range silent {
-						m.GiveUp(h)
-					}
-					if len(running) == 0 || rapid.Bool().Draw(t, "stuck") {
-						m.Stuck()
-					}
+					f.stopWaiting(t)
 				}
 			}
 		}
 	})
 }
+
+// step is a step of one target.
+type step struct {
+	target int
+	kind   string
+}
+
+// fleetModel is the instances and agents that a rollout acts on. It checks each step and
+// the end.
+type fleetModel struct {
+	machine *Machine
+	policy  api.Policy
+	targets []api.Target
+	records map[step]string // of the agents
+	running map[int]step    // by target
+	silent  map[string]bool // hosts
+	down    map[int]bool    // targets
+}
+
+func newFleetModel(t *rapid.T, policy api.Policy, targets []api.Target) *fleetModel {
+	t.Helper()
+	machine, err := New(policy, targets)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &fleetModel{machine: machine, policy: policy, targets: targets, records: make(map[step]string),
+		running: make(map[int]step), silent: make(map[string]bool), down: make(map[int]bool)}
+}
+
+// checkEnd checks that nothing runs where it can be seen, and that the result is true.
+func (f *fleetModel) checkEnd(t *rapid.T) {
+	t.Helper()
+	if len(f.running) > 0 {
+		for i := range f.running {
+			if !f.silent[f.targets[i].Host] {
+				t.Fatalf("ended as %s while a step runs", f.machine.Result())
+			}
+		}
+	}
+	if f.machine.Result() == "" || f.machine.Next() != nil {
+		t.Fatal("the end has no result, or a step follows it")
+	}
+	if f.machine.Result() == Succeeded {
+		for i := range f.targets {
+			if f.records[step{i, api.Change}] != api.StepOK {
+				t.Fatalf("succeeded, and %d is %q", i, f.records[step{i, api.Change}])
+			}
+		}
+	}
+}
+
+// begin begins a step, and checks that it may.
+func (f *fleetModel) begin(t *rapid.T, action Action) {
+	t.Helper()
+	s := step{action.Target, action.Kind}
+	if _, twice := f.records[s]; twice {
+		t.Fatalf("%v twice", s)
+	}
+	if other, busy := f.running[action.Target]; busy {
+		t.Fatalf("%v while %v runs", s, other)
+	}
+	if action.Kind == api.Rollback && f.policy.OnFailure != api.OnFailureRollback {
+		t.Fatal("a rollback that the policy does not allow")
+	}
+	unavailable := 0
+	for i, target := range f.targets {
+		_, busy := f.running[i]
+		if i != action.Target && (busy || f.down[i] || f.silent[target.Host]) {
+			unavailable++
+		}
+	}
+	if !f.down[action.Target] && unavailable+1 > f.policy.MaxUnavailable {
+		t.Fatalf("%v makes %d unavailable", s, unavailable+1)
+	}
+	f.records[s], f.running[action.Target] = api.StepRunning, s
+	delete(f.down, action.Target)
+}
+
+// live is the targets with a running step whose host answers.
+func (f *fleetModel) live() (out []int) {
+	for i := range f.targets {
+		if _, ok := f.running[i]; ok && !f.silent[f.targets[i].Host] {
+			out = append(out, i)
+		}
+	}
+	return out
+}
+
+// finish ends a target's step.
+func (f *fleetModel) finish(i int, ok bool) {
+	s := f.running[i]
+	delete(f.running, i)
+	f.records[s] = api.StepOK
+	if !ok {
+		f.records[s], f.down[i] = api.StepFailed, true
+	}
+	f.machine.Done(i, s.kind, ok, "")
+}
+
+// resume replaces the machine by that of another command, which recalls the agents' records.
+func (f *fleetModel) resume(t *rapid.T) {
+	t.Helper()
+	var err error
+	if f.machine, err = New(f.policy, f.targets); err != nil {
+		t.Fatal(err)
+	}
+	for host := range f.silent {
+		f.machine.Silent(host, "")
+	}
+	for _, kind := range []string{api.Change, api.Rollback} {
+		for i := range f.targets {
+			if status, ok := f.records[step{i, kind}]; ok {
+				f.machine.Recall(i, kind, status, "")
+			}
+		}
+	}
+	for i := range f.targets {
+		f.machine.Down(i, f.down[i])
+	}
+}
+
+// stopWaiting gives up silent hosts and, if nothing runs, reports the rollout as stuck.
+func (f *fleetModel) stopWaiting(t *rapid.T) {
+	for host := range f.silent {
+		f.machine.GiveUp(host)
+	}
+	if len(f.running) == 0 || rapid.Bool().Draw(t, "stuck") {
+		f.machine.Stuck()
+	}
+}
