--- a/internal/fleet/host/supervisor/supervisor_test.go
+++ b/internal/fleet/host/supervisor/supervisor_test.go
@@ -189,113 +189,149 @@
 // events stop.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type process struct {
-			generation int64
-			ready      bool
-			term       time.Time
-			killed     bool
-		}
-		now := t0
-		l := New(cfg, now)
-		var previous, current *process
-		generation, want, sideBySide := int64(1), false, false
-		kill := func(p *process) {
-			if p == nil || p.killed || (p.term.IsZero() || now.Sub(p.term) < cfg.KillAfter) && !(p == current && previous != nil && !p.ready) {
-				t.Fatal("SIGKILL too early, twice or to no process")
-			}
-			p.killed = true
-		}
-		term := func(p *process) {
-			if p == nil || !p.term.IsZero() {
-				t.Fatal("SIGTERM to no process, or twice")
-			}
-			p.term = now
-		}
-		var do func(ks []Action)
-		fail := true
-		do = func(ks []Action) {
-			for _, k := range ks {
-				switch k {
-				case Launch:
-					if previous != nil || current != nil && !(sideBySide && current.ready && current.term.IsZero()) {
-						t.Fatal("one process too many")
-					}
-					if fail && rapid.IntRange(0, 4).Draw(t, "fails") == 0 {
-						do(l.LaunchFailed(now, "no"))
-						continue
-					}
-					previous, current = current, &process{generation: generation}
-					do(l.Launched(now))
-				case Terminate:
-					term(current)
-				case TerminatePrevious:
-					if want && !current.ready {
-						t.Fatal("the previous process is terminated before the new one serves")
-					}
-					term(previous)
-				case Kill:
-					kill(current)
-				case KillPrevious:
-					kill(previous)
-				}
-			}
-		}
-		exit := func() {
-			if current != nil {
-				current, previous = previous, nil
-				do(l.Exited(now, "gone"))
-			}
-		}
-		exitPrevious := func() {
-			if previous != nil {
-				previous = nil
-				do(l.PreviousExited(now))
-			}
-		}
+		m := &machineModel{now: t0, supervisor: New(cfg, t0), generation: 1, launchesFail: true}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
+			m.now = m.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 7).Draw(t, "event") {
 			case 0:
-				generation += int64(rapid.IntRange(0, 1).Draw(t, "new"))
-				want = rapid.Bool().Draw(t, "run")
-				sideBySide = rapid.Bool().Draw(t, "sideBySide")
-				l.SetSideBySide(sideBySide)
-				do(l.Want(now, want, generation))
+				m.generation += int64(rapid.IntRange(0, 1).Draw(t, "new"))
+				m.wanted = rapid.Bool().Draw(t, "run")
+				m.sideBySide = rapid.Bool().Draw(t, "sideBySide")
+				m.supervisor.SetSideBySide(m.sideBySide)
+				m.carryOut(t, m.supervisor.Want(m.now, m.wanted, m.generation))
 			case 1:
-				exit()
+				m.exit(t)
 			case 2:
-				exitPrevious()
+				m.exitPrevious(t)
 			case 3:
-				do(l.GiveUp(now, "late"))
+				m.carryOut(t, m.supervisor.GiveUp(m.now, "late"))
 			case 4, 5:
-				ok := rapid.Bool().Draw(t, "healthy")
-				if current != nil && ok && current.term.IsZero() && !current.killed {
-					current.ready = true
-				}
-				l.Health(now, ok, "")
+				m.health(rapid.Bool().Draw(t, "healthy"))
 			default:
-				do(l.Tick(now))
+				m.carryOut(t, m.supervisor.Tick(m.now))
 			}
 		}
-		fail = false
-		generation++
-		do(l.Want(now, want, generation))
-		for range 12 {
-			if previous != nil && !previous.term.IsZero() {
-				exitPrevious()
-			}
-			if current != nil && (!current.term.IsZero() || current.killed) {
-				exit()
-			}
-			if current != nil && current.term.IsZero() {
-				current.ready = true
-				l.Health(now, true, "")
+		m.settle(t)
+	})
+}
+
+// process is a process of the model.
+type process struct {
+	generation int64
+	ready      bool
+	term       time.Time // of SIGTERM, zero for none
+	killed     bool
+}
+
+// machineModel carries out the actions of a supervisor, and checks each of them.
+type machineModel struct {
+	now               time.Time
+	supervisor        *Supervisor
+	previous, current *process
+	generation        int64 // wanted
+	wanted            bool
+	sideBySide        bool
+	launchesFail      bool // some of them
+}
+
+// carryOut carries out actions and reports what came of them.
+func (m *machineModel) carryOut(t *rapid.T, actions []Action) {
+	t.Helper()
+	for _, action := range actions {
+		switch action {
+		case Launch:
+			m.launch(t)
+		case Terminate:
+			m.terminate(t, m.current)
+		case TerminatePrevious:
+			if m.wanted && !m.current.ready {
+				t.Fatal("the previous process is terminated before the new one serves")
 			}
-			now = now.Add(10 * time.Second)
-			do(l.Tick(now))
+			m.terminate(t, m.previous)
+		case Kill:
+			m.kill(t, m.current)
+		case KillPrevious:
+			m.kill(t, m.previous)
+		}
+	}
+}
+
+func (m *machineModel) launch(t *rapid.T) {
+	t.Helper()
+	if m.previous != nil || m.current != nil && !(m.sideBySide && m.current.ready && m.current.term.IsZero()) {
+		t.Fatal("one process too many")
+	}
+	if m.launchesFail && rapid.IntRange(0, 4).Draw(t, "fails") == 0 {
+		m.carryOut(t, m.supervisor.LaunchFailed(m.now, "no"))
+		return
+	}
+	m.previous, m.current = m.current, &process{generation: m.generation}
+	m.carryOut(t, m.supervisor.Launched(m.now))
+}
+
+func (m *machineModel) terminate(t *rapid.T, p *process) {
+	t.Helper()
+	if p == nil || !p.term.IsZero() {
+		t.Fatal("SIGTERM to no process, or twice")
+	}
+	p.term = m.now
+}
+
+func (m *machineModel) kill(t *rapid.T, p *process) {
+	t.Helper()
+	if p == nil || p.killed || (p.term.IsZero() || m.now.Sub(p.term) < cfg.KillAfter) && !(p == m.current && m.previous != nil && !p.ready) {
+		t.Fatal("SIGKILL too early, twice or to no process")
+	}
+	p.killed = true
+}
+
+// exit ends the current process, if there is one.
+func (m *machineModel) exit(t *rapid.T) {
+	t.Helper()
+	if m.current != nil {
+		m.current, m.previous = m.previous, nil
+		m.carryOut(t, m.supervisor.Exited(m.now, "gone"))
+	}
+}
+
+// exitPrevious ends the previous process, if there is one.
+func (m *machineModel) exitPrevious(t *rapid.T) {
+	t.Helper()
+	if m.previous != nil {
+		m.previous = nil
+		m.carryOut(t, m.supervisor.PreviousExited(m.now))
+	}
+}
+
+// health reports a health call.
+func (m *machineModel) health(ok bool) {
+	if m.current != nil && ok && m.current.term.IsZero() && !m.current.killed {
+		m.current.ready = true
+	}
+	m.supervisor.Health(m.now, ok, "")
+}
+
+// settle lets each process do what it is told, and checks that the wanted state is reached.
+func (m *machineModel) settle(t *rapid.T) {
+	t.Helper()
+	m.launchesFail = false
+	m.generation++
+	m.carryOut(t, m.supervisor.Want(m.now, m.wanted, m.generation))
+	for range 12 {
+		if m.previous != nil && !m.previous.term.IsZero() {
+			m.exitPrevious(t)
 		}
-		if (current != nil) != want || previous != nil || want && l.Process() != generation || !l.Settled() {
-			t.Fatalf("wanted %v of %d: process %d, previous %d, %s", want, generation, l.Process(), l.Previous(), l.Phase())
+		if m.current != nil && (!m.current.term.IsZero() || m.current.killed) {
+			m.exit(t)
 		}
-	})
+		if m.current != nil && m.current.term.IsZero() {
+			m.current.ready = true
+			m.supervisor.Health(m.now, true, "")
+		}
+		m.now = m.now.Add(10 * time.Second)
+		m.carryOut(t, m.supervisor.Tick(m.now))
+	}
+	if (m.current != nil) != m.wanted || m.previous != nil || m.wanted && m.supervisor.Process() != m.generation || !m.supervisor.Settled() {
+		t.Fatalf("wanted %v of %d: process %d, previous %d, %s", m.wanted, m.generation, m.supervisor.Process(), m.supervisor.Previous(), m.supervisor.Phase())
+	}
 }
