--- a/internal/fleet/canary/degradation.go
+++ b/internal/fleet/canary/degradation.go
@@ -6,7 +6,7 @@
 
 // Degradation is a measure in which the unchanged instances have become worse than in
 // their own past. Either the change causes it, by way of the servers, or something else
-// does; the two cannot be told apart.
+// does; the two cannot be distinguished.
 type Degradation struct {
 	Measure Measure `json:"measure"`
 	Class   string  `json:"class,omitempty"`
--- a/internal/fleet/canary/judge_test.go
+++ b/internal/fleet/canary/judge_test.go
@@ -71,32 +71,32 @@
 
 func TestVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
-		n, changed int
-		harm       func(w *canary.Window, zone int, isNew bool, slot int)
-		want       canary.Verdict
-		by         string // begins the first evidence
-		suffers    bool
-		why        string
+		instances, changed int
+		harm               func(w *canary.Window, zone int, isNew bool, slot int)
+		want               canary.Verdict
+		by                 string // the first evidence begins with it
+		suffers            bool
+		why                string
 	}{
-		"no harm":     {n: 30, changed: 6, want: canary.NotWorse},
-		"serves less": {n: 30, changed: 6, want: canary.Worse, by: "unserved of activate", harm: func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 0, 0.1); loseIf(isNew, w, 1, 0.1) }},
-		"one class":   {n: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 1, 0.1) }},
-		"one zone":    {n: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, z int, isNew bool, _ int) { loseIf(isNew && z == 1, w, 1, 0.1) }},
-		"attempts":    {n: 30, changed: 6, want: canary.Worse, by: "attempts", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Attempts *= 1 + one(isNew) }},
-		"slow":        {n: 30, changed: 6, want: canary.Worse, by: "slow", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Slow = one(isNew) * w.Sampled / 10 }},
-		"leaks": {n: 30, changed: 6, want: canary.Worse, by: "memory", harm: func(w *canary.Window, _ int, isNew bool, _ int) {
+		"no harm":     {instances: 30, changed: 6, want: canary.NotWorse},
+		"serves less": {instances: 30, changed: 6, want: canary.Worse, by: "unserved of activate", harm: func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 0, 0.1); loseIf(isNew, w, 1, 0.1) }},
+		"one class":   {instances: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 1, 0.1) }},
+		"one zone":    {instances: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, z int, isNew bool, _ int) { loseIf(isNew && z == 1, w, 1, 0.1) }},
+		"attempts":    {instances: 30, changed: 6, want: canary.Worse, by: "attempts", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Attempts *= 1 + one(isNew) }},
+		"slow":        {instances: 30, changed: 6, want: canary.Worse, by: "slow", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Slow = one(isNew) * w.Sampled / 10 }},
+		"leaks": {instances: 30, changed: 6, want: canary.Worse, by: "memory", harm: func(w *canary.Window, _ int, isNew bool, _ int) {
 			w.Memory += uint64(one(isNew)) * uint64(w.Age.Seconds()) << 18
 		}},
-		"crashes":                      {n: 30, changed: 6, want: canary.Worse, by: "crashes", harm: func(w *canary.Window, _ int, isNew bool, s int) { w.Crashes = one(isNew && s%3 == 0) }},
-		"always worse, changed or not": {n: 30, changed: 6, want: canary.Inconclusive, harm: func(w *canary.Window, _ int, _ bool, _ int) { loseIf(w.Instance < 6, w, 0, 0.1) }},
-		"bad for all":                  {n: 30, changed: 6, want: canary.Inconclusive, suffers: true, harm: func(w *canary.Window, _ int, _ bool, s int) { loseIf(s > 30, w, 0, 0.3) }},
-		"less traffic":                 {n: 30, changed: 6, want: canary.NotWorse, harm: func(w *canary.Window, _ int, isNew bool, _ int) { thin(w, isNew) }},
-		"no unchanged instance":        {n: 6, changed: 6, want: canary.Inconclusive, why: "no changed instance has both"},
-		"too few unchanged instances":  {n: 6, changed: 4, want: canary.Inconclusive, why: "3 at least"},
-		"too few requests":             {n: 30, changed: 1, want: canary.Inconclusive, why: "too few requests", harm: func(w *canary.Window, _ int, _ bool, s int) { quiet(w, s) }},
+		"crashes":                      {instances: 30, changed: 6, want: canary.Worse, by: "crashes", harm: func(w *canary.Window, _ int, isNew bool, s int) { w.Crashes = one(isNew && s%3 == 0) }},
+		"always worse, changed or not": {instances: 30, changed: 6, want: canary.Inconclusive, harm: func(w *canary.Window, _ int, _ bool, _ int) { loseIf(w.Instance < 6, w, 0, 0.1) }},
+		"bad for all":                  {instances: 30, changed: 6, want: canary.Inconclusive, suffers: true, harm: func(w *canary.Window, _ int, _ bool, s int) { loseIf(s > 30, w, 0, 0.3) }},
+		"less traffic":                 {instances: 30, changed: 6, want: canary.NotWorse, harm: func(w *canary.Window, _ int, isNew bool, _ int) { thin(w, isNew) }},
+		"no unchanged instance":        {instances: 6, changed: 6, want: canary.Inconclusive, why: "no changed instance has both"},
+		"too few unchanged instances":  {instances: 6, changed: 4, want: canary.Inconclusive, why: "3 at least"},
+		"too few requests":             {instances: 30, changed: 1, want: canary.Inconclusive, why: "too few requests", harm: func(w *canary.Window, _ int, _ bool, s int) { quiet(w, s) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg, ws := fleet(c.n, c.changed, 50, 1, c.harm)
+			cfg, ws := fleet(c.instances, c.changed, 50, 1, c.harm)
 			got := judged(t, cfg, ws)
 			if got.Verdict != c.want || !strings.HasPrefix(got.Evidence[0].String(), c.by) || !strings.Contains(got.Evidence[0].String(), c.why) {
 				t.Errorf("%s by %s; want %s by %q %q", got.Verdict, got.Evidence[0], c.want, c.by, c.why)
@@ -243,7 +243,7 @@
 	const slot = 10 * time.Second
 	at := func(n int, off time.Duration) time.Time { return time.Unix(int64(10*n), 0).Add(off) }
 	type sample struct {
-		n         int
+		boundary  int
 		off       time.Duration
 		process   string
 		served    uint32
@@ -267,9 +267,9 @@
 		t.Run(name, func(t *testing.T) {
 			d := canary.Differ{Slot: slot, MaxOffset: 2 * time.Second}
 			for _, x := range c.samples {
-				w, ok := d.Next(canary.Sample{At: at(x.n, x.off), Process: x.process, Window: canary.Window{Crashes: x.crashes, Classes: []canary.Counts{{Served: x.served}}}}, 100)
+				w, ok := d.Next(canary.Sample{At: at(x.boundary, x.off), Process: x.process, Window: canary.Window{Crashes: x.crashes, Classes: []canary.Counts{{Served: x.served}}}}, 100)
 				if ok != (x.wantSlot >= 0) || ok && (w.Slot != x.wantSlot || w.Classes[0].Served != x.wantServe) {
-					t.Errorf("boundary %d: %v %+v; want slot %d, %d served", x.n, ok, w, x.wantSlot, x.wantServe)
+					t.Errorf("boundary %d: %v %+v; want slot %d, %d served", x.boundary, ok, w, x.wantSlot, x.wantServe)
 				}
 			}
 			if !reflect.DeepEqual(d.Excluded, c.excluded) {
