--- a/internal/fleet/control/rollout/next.go
+++ b/internal/fleet/control/rollout/next.go
@@ -192,9 +192,9 @@
 	case n[Changed] == len(m.targets):
 		return Succeeded
 	case n[RollbackFailed] > 0, m.stopReason != "" && m.rollsBack() && forward > 0:
-		return BackFailed
+		return RollbackIncomplete
 	case m.stopReason != "" && m.rollsBack():
-		return WentBack
+		return AllRolledBack
 	case m.stopReason != "" && m.policy.OnFailure == api.OnFailurePause:
 		return Paused
 	case m.stopReason != "":
--- a/internal/fleet/control/rollout/rollout.go
+++ b/internal/fleet/control/rollout/rollout.go
@@ -35,14 +35,14 @@
 
 // Results of an operation.
 const (
-	Succeeded  = "succeeded"
-	Stopped    = "stopped"                // too many failures, or no step could begin
-	WentBack   = "rolled back"            // too many failures; every changed target was rolled back
-	BackFailed = "rollback incomplete"    // a rollback failed, or a target could not be rolled back
-	Paused     = "paused"                 // too many failures; an operator may resume
-	Aborted    = "aborted"                // by an operator
-	Incomplete = "incomplete"             // some targets have an unknown outcome or were not reached
-	SomeFailed = "finished with failures" // no more failures than the policy allows
+	Succeeded          = "succeeded"
+	Stopped            = "stopped"                // too many failures, or no step could begin
+	AllRolledBack      = "rolled back"            // too many failures; every changed target was rolled back
+	RollbackIncomplete = "rollback incomplete"    // a rollback failed, or a target could not be rolled back
+	Paused             = "paused"                 // too many failures; an operator may resume
+	Aborted            = "aborted"                // by an operator
+	Incomplete         = "incomplete"             // some targets have an unknown outcome or were not reached
+	SomeFailed         = "finished with failures" // no more failures than the policy allows
 )
 
 // Target is an instance to be changed and its state.
--- a/internal/fleet/e2e/fleet_test.go
+++ b/internal/fleet/e2e/fleet_test.go
@@ -513,7 +513,7 @@
 			continue
 		}
 		rows := w.once(rep, op)
-		if rep.Result != rollout.WentBack || !strings.Contains(rep.Why, c.why) || rows["h0-i0"].Outcome != rollout.RolledBack {
+		if rep.Result != rollout.AllRolledBack || !strings.Contains(rep.Why, c.why) || rows["h0-i0"].Outcome != rollout.RolledBack {
 			t.Errorf("%s: %s because %s, %+v", name, rep.Result, rep.Why, rows["h0-i0"].Outcome)
 		}
 		states := w.ready()
--- a/internal/fleet/e2e/scale_test.go
+++ b/internal/fleet/e2e/scale_test.go
@@ -83,7 +83,7 @@
 			append(quick, "--longest", "80s", "--batch", "6", "--margin", "unserved=0.02:0.08", "--margin", "worth=0.02:0.08", "--margin", "failed=0.02:0.08")...)...).report()
 		w.asBefore(base)
 		requests.stop()
-		if rep.Result != rollout.WentBack || len(requests.lost) > 0 {
+		if rep.Result != rollout.AllRolledBack || len(requests.lost) > 0 {
 			b.Fatalf("%s because %s; lost: %v", rep.Result, rep.Why, requests.lost)
 		}
 		var first, last time.Time
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -249,7 +249,7 @@
 			rep := w.change(args...).report()
 			w.asBefore(base)
 			requests.stop()
-			if rep.Result != rollout.WentBack || !strings.Contains(rep.Why, c.by) {
+			if rep.Result != rollout.AllRolledBack || !strings.Contains(rep.Why, c.by) {
 				t.Errorf("%s because %s; want it taken back by %q", rep.Result, rep.Why, c.by)
 			}
 			if n := touched(rep); n == 0 || n > 3 {
@@ -403,7 +403,7 @@
 	}
 	requests := w.load()
 	rep := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(`{"settings":{"classes":"none"}}`)}, quick...)...).report()
-	if rep.Result != rollout.WentBack || !strings.Contains(rep.Why, "it kept its earlier configuration: ") {
+	if rep.Result != rollout.AllRolledBack || !strings.Contains(rep.Why, "it kept its earlier configuration: ") {
 		t.Errorf("turned down: %s because %s", rep.Result, rep.Why)
 	}
 	w.asBefore(base)
