--- a/internal/fleet/canary/judge_test.go
+++ b/internal/fleet/canary/judge_test.go
@@ -15,8 +15,8 @@
 	"martendrum/internal/fleet/canary/simulation"
 )
 
-// fleet plays a small fleet: instances of two zones, of which some change at slot
-// 20, and do with each window what harm says.
+// fleet simulates a small fleet: instances in two zones, of which some change at slot 20.
+// harm, if not nil, edits each window.
 func fleet(n, changed, slots int, seed uint64, harm func(w *canary.Window, zone int, isNew bool, slot int)) (canary.Config, []canary.Window) {
 	c := canary.Config{Classes: []string{"activate", "status"}, Weights: []float64{10, 1}, Base: "old", Change: "new", Start: 20,
 		Slot: 10 * time.Second, FalseStops: 0.01, MaxSlots: 200, Zones: make([]string, n)}
@@ -40,7 +40,7 @@
 				w.Classes[k] = canary.Counts{Served: each - lost, Rejected: lost}
 			}
 			w.Attempts = 2*each + uint32(rng.IntN(20))
-			w.Finished, w.Timed = w.Attempts, 2*each
+			w.Finished, w.Sampled = w.Attempts, 2*each
 			if harm != nil {
 				harm(&w, i%2, isNew, s)
 			}
@@ -62,7 +62,7 @@
 	return j.Evaluate(len(ws))
 }
 
-// lose makes a share of a class's requests failed.
+// lose makes a fraction of a class's served requests fail.
 func lose(w *canary.Window, class int, share float64) {
 	k := &w.Classes[class]
 	n := uint32(share * float64(k.Served))
@@ -71,41 +71,41 @@
 
 func TestVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
-		n, changed int
-		harm       func(w *canary.Window, zone int, isNew bool, slot int)
-		want       canary.Verdict
-		by         string // begins the first evidence
-		suffers    bool
-		why        string
+		instances, changed int
+		harm               func(w *canary.Window, zone int, isNew bool, slot int)
+		want               canary.Verdict
+		by                 string // the first evidence begins with it
+		suffers            bool
+		why                string
 	}{
-		"no harm":     {n: 30, changed: 6, want: canary.NotWorse},
-		"serves less": {n: 30, changed: 6, want: canary.Worse, by: "unserved of activate", harm: func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 0, 0.1); loseIf(isNew, w, 1, 0.1) }},
-		"one class":   {n: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 1, 0.1) }},
-		"one zone":    {n: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, z int, isNew bool, _ int) { loseIf(isNew && z == 1, w, 1, 0.1) }},
-		"attempts":    {n: 30, changed: 6, want: canary.Worse, by: "attempts", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Attempts *= 1 + one(isNew) }},
-		"slow":        {n: 30, changed: 6, want: canary.Worse, by: "slow", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Slow = one(isNew) * w.Timed / 10 }},
-		"leaks": {n: 30, changed: 6, want: canary.Worse, by: "memory", harm: func(w *canary.Window, _ int, isNew bool, _ int) {
+		"no harm":     {instances: 30, changed: 6, want: canary.NotWorse},
+		"serves less": {instances: 30, changed: 6, want: canary.Worse, by: "unserved of activate", harm: func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 0, 0.1); loseIf(isNew, w, 1, 0.1) }},
+		"one class":   {instances: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 1, 0.1) }},
+		"one zone":    {instances: 30, changed: 6, want: canary.Worse, by: "unserved of status", harm: func(w *canary.Window, z int, isNew bool, _ int) { loseIf(isNew && z == 1, w, 1, 0.1) }},
+		"attempts":    {instances: 30, changed: 6, want: canary.Worse, by: "attempts", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Attempts *= 1 + one(isNew) }},
+		"slow":        {instances: 30, changed: 6, want: canary.Worse, by: "slow", harm: func(w *canary.Window, _ int, isNew bool, _ int) { w.Slow = one(isNew) * w.Sampled / 10 }},
+		"leaks": {instances: 30, changed: 6, want: canary.Worse, by: "memory", harm: func(w *canary.Window, _ int, isNew bool, _ int) {
 			w.Memory += uint64(one(isNew)) * uint64(w.Age.Seconds()) << 18
 		}},
-		"crashes":        {n: 30, changed: 6, want: canary.Worse, by: "crashes", harm: func(w *canary.Window, _ int, isNew bool, s int) { w.Crashes = one(isNew && s%3 == 0) }},
-		"always worse":   {n: 30, changed: 6, want: canary.Inconclusive, harm: func(w *canary.Window, _ int, _ bool, _ int) { loseIf(w.Instance < 6, w, 0, 0.1) }},
-		"bad for all":    {n: 30, changed: 6, want: canary.Inconclusive, suffers: true, harm: func(w *canary.Window, _ int, _ bool, s int) { loseIf(s > 30, w, 0, 0.3) }},
-		"less traffic":   {n: 30, changed: 6, want: canary.NotWorse, harm: func(w *canary.Window, _ int, isNew bool, _ int) { thin(w, isNew) }},
-		"nobody beside":  {n: 6, changed: 6, want: canary.Inconclusive, why: "no changed instance has both"},
-		"too few beside": {n: 6, changed: 4, want: canary.Inconclusive, why: "3 at least"},
-		"too few asked":  {n: 30, changed: 1, want: canary.Inconclusive, why: "too few requests", harm: func(w *canary.Window, _ int, _ bool, s int) { quiet(w, s) }},
+		"crashes":                      {instances: 30, changed: 6, want: canary.Worse, by: "crashes", harm: func(w *canary.Window, _ int, isNew bool, s int) { w.Crashes = one(isNew && s%3 == 0) }},
+		"always worse, changed or not": {instances: 30, changed: 6, want: canary.Inconclusive, harm: func(w *canary.Window, _ int, _ bool, _ int) { loseIf(w.Instance < 6, w, 0, 0.1) }},
+		"bad for all":                  {instances: 30, changed: 6, want: canary.Inconclusive, suffers: true, harm: func(w *canary.Window, _ int, _ bool, s int) { loseIf(s > 30, w, 0, 0.3) }},
+		"less traffic":                 {instances: 30, changed: 6, want: canary.NotWorse, harm: func(w *canary.Window, _ int, isNew bool, _ int) { thin(w, isNew) }},
+		"no unchanged instance":        {instances: 6, changed: 6, want: canary.Inconclusive, why: "no changed instance has both"},
+		"too few unchanged instances":  {instances: 6, changed: 4, want: canary.Inconclusive, why: "3 at least"},
+		"too few requests":             {instances: 30, changed: 1, want: canary.Inconclusive, why: "too few requests", harm: func(w *canary.Window, _ int, _ bool, s int) { quiet(w, s) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg, ws := fleet(c.n, c.changed, 50, 1, c.harm)
+			cfg, ws := fleet(c.instances, c.changed, 50, 1, c.harm)
 			got := judged(t, cfg, ws)
 			if got.Verdict != c.want || !strings.HasPrefix(got.Evidence[0].String(), c.by) || !strings.Contains(got.Evidence[0].String(), c.why) {
 				t.Errorf("%s by %s; want %s by %q %q", got.Verdict, got.Evidence[0], c.want, c.by, c.why)
 			}
-			if got.Verdict == canary.Inconclusive && (got.Evidence[0].Zone != "" || !got.Evidence[len(got.Evidence)-1].Aside) {
-				t.Errorf("it can't be told, and an aside is named for it: %s", got.Evidence[0])
+			if got.Verdict == canary.Inconclusive && (got.Evidence[0].Zone != "" || !got.Evidence[len(got.Evidence)-1].Advisory) {
+				t.Errorf("inconclusive because of an advisory test: %s", got.Evidence[0])
 			}
-			if (len(got.Suffering) > 0) != c.suffers {
-				t.Errorf("suffering: %+v; want any: %v", got.Suffering, c.suffers)
+			if (len(got.Degradations) > 0) != c.suffers {
+				t.Errorf("suffering: %+v; want any: %v", got.Degradations, c.suffers)
 			}
 		})
 	}
@@ -129,20 +129,20 @@
 		for k := range w.Classes {
 			w.Classes[k] = canary.Counts{Served: w.Classes[k].Served / 3, Rejected: w.Classes[k].Rejected / 3}
 		}
-		w.Attempts, w.Finished, w.Timed = w.Attempts/3, w.Finished/3, w.Timed/3
+		w.Attempts, w.Finished, w.Sampled = w.Attempts/3, w.Finished/3, w.Sampled/3
 	}
 }
 
 func quiet(w *canary.Window, slot int) {
 	w.Classes = []canary.Counts{{Served: one(slot%10 == 0)}, {}}
-	w.Attempts, w.Finished, w.Timed = 1, 1, 1
+	w.Attempts, w.Finished, w.Sampled = 1, 1, 1
 }
 
-// Through stages, an instance that is changed later counts as an unchanged one until
-// then, and what was known stands once all are changed.
+// An instance that is changed in a later stage counts as unchanged until then, and the
+// evidence so far stays once all instances are changed.
 func TestLaterStages(t *testing.T) {
 	for lost, want := range map[float64]canary.Verdict{0: canary.NotWorse, 0.08: canary.Worse} {
-		// Six change at slot 20, the others at slot 40: from there on nobody is beside them.
+		// Six change at slot 20, the others at slot 40: from then on no instance is unchanged.
 		cfg, ws := fleet(30, 6, 60, 2, func(w *canary.Window, _ int, isNew bool, s int) {
 			if isNew = isNew || s >= 40; isNew {
 				w.Release = "new"
@@ -154,14 +154,14 @@
 		if got.Verdict != want || e.Unchanged != 24 || e.Changed != 6 || want == canary.Worse && (e.Estimate < 0.06 || e.Estimate > 0.1) {
 			t.Errorf("harm of %v: %s by %s", lost, got.Verdict, e)
 		}
-		if got.Left[canary.Alone] != 20*30 {
-			t.Errorf("left out %v; want %d windows with nobody beside them", got.Left, 20*30)
+		if got.Excluded[canary.NoBaseline] != 20*30 {
+			t.Errorf("excluded %v; want %d windows without an unchanged instance", got.Excluded, 20*30)
 		}
 	}
 }
 
-// What is known does not depend on the order in which windows come, on looks in
-// between, or on how often one is told.
+// A judgement does not depend on the order in which windows are added, on evaluations in
+// between, or on repeated windows.
 func TestOrderAndRepeatsDoNotMatter(t *testing.T) {
 	cfg, ws := fleet(12, 4, 30, 3, func(w *canary.Window, _ int, isNew bool, _ int) { loseIf(isNew, w, 0, 0.03) })
 	want := judged(t, cfg, ws)
@@ -187,21 +187,21 @@
 	})
 }
 
-// Evidence of another release, of young processes and past the bound is left out
-// and counted.
-func TestLeftOut(t *testing.T) {
+// Windows of another release, of young processes and beyond the last slot are excluded and
+// counted.
+func TestExcluded(t *testing.T) {
 	cfg, ws := fleet(10, 2, 25, 4, nil)
 	cfg.Warm = 20 * time.Second
 	other, far, strange := ws[0], ws[1], ws[2]
 	other.Release, other.Slot, far.Slot, strange.Instance = "third", 30, 999, 77
 	got := judged(t, cfg, append(ws, other, far, strange))
-	want := map[canary.Reason]int{canary.Other: 1, canary.Beyond: 1, canary.Strange: 1, canary.Young: 20 + 2}
-	if !reflect.DeepEqual(got.Left, want) {
-		t.Errorf("left out %v, want %v", got.Left, want)
+	want := map[canary.Reason]int{canary.OtherRelease: 1, canary.BeyondMaxSlots: 1, canary.Unrecognized: 1, canary.WarmingUp: 20 + 2}
+	if !reflect.DeepEqual(got.Excluded, want) {
+		t.Errorf("excluded %v, want %v", got.Excluded, want)
 	}
 }
 
-// The bound holds at all looks together, and informationFor is its inverse.
+// The bound holds over all looks together, and informationFor is its inverse.
 func TestBoundUnderPeeking(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	const alpha, scale, runs = 0.05, 0.1, 2000
@@ -226,15 +226,15 @@
 	}
 }
 
-// Small trials: a good change passes, a bad one is stopped while few run it.
-func TestTrial(t *testing.T) {
+// In small simulations, a harmless change passes and a harmful one is stopped.
+func TestSimulation(t *testing.T) {
 	harms := simulation.Harms()
 	for seed := range uint64(12) {
 		if at := simulation.Run(60, harms[0], seed)[simulation.Sequential]; at >= 0 {
-			t.Errorf("seed %d: no harm, and stopped after %d slots", seed, at)
+			t.Errorf("seed %d: stopped without harm after %d slots", seed, at)
 		}
 		if at := simulation.Run(60, harms[3], seed)[simulation.Sequential]; at < 0 {
-			t.Errorf("seed %d: %s, and not stopped", seed, harms[3].Name)
+			t.Errorf("seed %d: %s, but not stopped", seed, harms[3].Name)
 		}
 	}
 }
@@ -242,8 +242,8 @@
 func TestDiffer(t *testing.T) {
 	const slot = 10 * time.Second
 	at := func(n int, off time.Duration) time.Time { return time.Unix(int64(10*n), 0).Add(off) }
-	type told struct {
-		n         int
+	type sample struct {
+		boundary  int
 		off       time.Duration
 		process   string
 		served    uint32
@@ -252,28 +252,28 @@
 		wantServe uint32
 	}
 	for name, c := range map[string]struct {
-		told []told
-		left map[canary.Reason]int
+		samples  []sample
+		excluded map[canary.Reason]int
 	}{
-		"in order":          {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, time.Second, "a", 9, 0, 0, 4}, {102, -time.Second, "a", 9, 0, 1, 0}}, nil},
-		"told twice":        {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 0, "a", 9, 0, 0, 4}, {101, 0, "a", 9, 0, -1, 0}}, nil},
-		"a gap":             {[]told{{100, 0, "a", 5, 0, -1, 0}, {103, 0, "a", 9, 0, -1, 0}, {104, 0, "a", 10, 0, 3, 1}}, map[canary.Reason]int{canary.Missing: 3}},
-		"a new process":     {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "b", 60, 0, -1, 0}, {102, 0, "b", 61, 0, 1, 1}}, map[canary.Reason]int{canary.Restarted: 1}},
-		"a crash counts":    {[]told{{100, 0, "a", 50, 0, -1, 0}, {103, 0, "b", 0, 1, 2, 0}}, map[canary.Reason]int{canary.Restarted: 3}},
-		"a count that fell": {[]told{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "a", 49, 0, -1, 0}}, map[canary.Reason]int{canary.Fell: 1}},
-		"off the boundary":  {[]told{{100, 0, "a", 5, 0, -1, 0}, {101, 4 * time.Second, "a", 6, 0, -1, 0}, {102, 0, "a", 9, 0, -1, 0}}, map[canary.Reason]int{canary.OffBoundary: 1, canary.Missing: 2}},
-		"before slot 0":     {[]told{{98, 0, "a", 5, 0, -1, 0}, {99, 0, "a", 6, 0, -1, 0}, {100, 0, "a", 9, 0, -1, 0}}, nil},
+		"in order":          {[]sample{{100, 0, "a", 5, 0, -1, 0}, {101, time.Second, "a", 9, 0, 0, 4}, {102, -time.Second, "a", 9, 0, 1, 0}}, nil},
+		"a sample repeated": {[]sample{{100, 0, "a", 5, 0, -1, 0}, {101, 0, "a", 9, 0, 0, 4}, {101, 0, "a", 9, 0, -1, 0}}, nil},
+		"a gap":             {[]sample{{100, 0, "a", 5, 0, -1, 0}, {103, 0, "a", 9, 0, -1, 0}, {104, 0, "a", 10, 0, 3, 1}}, map[canary.Reason]int{canary.MissingSample: 3}},
+		"a new process":     {[]sample{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "b", 60, 0, -1, 0}, {102, 0, "b", 61, 0, 1, 1}}, map[canary.Reason]int{canary.Restarted: 1}},
+		"a crash counts":    {[]sample{{100, 0, "a", 50, 0, -1, 0}, {103, 0, "b", 0, 1, 2, 0}}, map[canary.Reason]int{canary.Restarted: 3}},
+		"a count that fell": {[]sample{{100, 0, "a", 50, 0, -1, 0}, {101, 0, "a", 49, 0, -1, 0}}, map[canary.Reason]int{canary.CounterDecreased: 1}},
+		"off the boundary":  {[]sample{{100, 0, "a", 5, 0, -1, 0}, {101, 4 * time.Second, "a", 6, 0, -1, 0}, {102, 0, "a", 9, 0, -1, 0}}, map[canary.Reason]int{canary.OffBoundary: 1, canary.MissingSample: 2}},
+		"before slot 0":     {[]sample{{98, 0, "a", 5, 0, -1, 0}, {99, 0, "a", 6, 0, -1, 0}, {100, 0, "a", 9, 0, -1, 0}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := canary.Differ{Slot: slot, Off: 2 * time.Second}
-			for _, x := range c.told {
-				w, ok := d.Next(canary.Sample{At: at(x.n, x.off), Process: x.process, Window: canary.Window{Crashes: x.crashes, Classes: []canary.Counts{{Served: x.served}}}}, 100)
+			d := canary.Differ{Slot: slot, MaxOffset: 2 * time.Second}
+			for _, x := range c.samples {
+				w, ok := d.Next(canary.Sample{At: at(x.boundary, x.off), Process: x.process, Window: canary.Window{Crashes: x.crashes, Classes: []canary.Counts{{Served: x.served}}}}, 100)
 				if ok != (x.wantSlot >= 0) || ok && (w.Slot != x.wantSlot || w.Classes[0].Served != x.wantServe) {
-					t.Errorf("boundary %d: %v %+v; want slot %d, %d served", x.n, ok, w, x.wantSlot, x.wantServe)
+					t.Errorf("boundary %d: %v %+v; want slot %d, %d served", x.boundary, ok, w, x.wantSlot, x.wantServe)
 				}
 			}
-			if !reflect.DeepEqual(d.Left, c.left) {
-				t.Errorf("left out %v, want %v", d.Left, c.left)
+			if !reflect.DeepEqual(d.Excluded, c.excluded) {
+				t.Errorf("excluded %v, want %v", d.Excluded, c.excluded)
 			}
 		})
 	}
--- a/internal/fleet/canary/simulation/plot.go
+++ b/internal/fleet/canary/simulation/plot.go
@@ -10,16 +10,16 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot draws, for fleets of one size, the share of runs stopped over the time since
-// the change began: a line for each method, solid without harm and dashed with it.
-// The file's ending says its form: .svg, .png or .pdf.
+// Plot draws the fraction of runs that were stopped over the time since the change
+// started, for fleets of one size: a line for each method, solid without harm and dashed
+// with it. The extension of path selects the format: .svg, .png or .pdf.
 func Plot(rows []Result, size int, harm, path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d instances: share of changes stopped", size)
 	p.X.Label.Text, p.Y.Label.Text = "seconds since the change began", "share of runs"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Top, p.Legend.Left = false, false
-	end := float64(slotsPlayed-pastSlots) * slotLength.Seconds()
+	end := float64(slotsPlayed-historySlots) * slotLength.Seconds()
 	drawn := 0
 	for m, method := range Methods {
 		for _, r := range rows {
--- a/internal/fleet/control/client/staged.go
+++ b/internal/fleet/control/client/staged.go
@@ -52,7 +52,7 @@
 	}
 	e := &evidence{spec: op.Staged, j: j, place: make(map[api.Target]int), diffs: make([]canary.Differ, len(op.Targets))}
 	for i, t := range op.Targets {
-		e.place[t], e.diffs[i] = i, canary.Differ{Slot: cfg.Slot, Off: cfg.Slot / 4}
+		e.place[t], e.diffs[i] = i, canary.Differ{Slot: cfg.Slot, MaxOffset: cfg.Slot / 4}
 	}
 	return e, nil
 }
@@ -189,7 +189,7 @@
 	}
 	for _, x := range g.out.Samples {
 		if _, ok := s.place[api.Target{Host: g.host, Instance: x.Instance}]; ok && late && x.Boundary > h.after {
-			s.j.Leave(canary.Clock, 1)
+			s.j.Exclude(canary.ClockSkew, 1)
 		}
 	}
 	h.after = max(h.after, g.out.Last)
@@ -240,7 +240,7 @@
 	if s.r.m.Why() != "" {
 		return // it was stopped, for this or another reason
 	}
-	if slot < 0 || s.busy || s.dirty || slot <= s.m.State().Looked {
+	if slot < 0 || s.busy || s.dirty || slot <= s.m.State().LastSlot {
 		if s.dirty && !s.busy {
 			s.write()
 		}
@@ -248,12 +248,12 @@
 	}
 	s.last = s.j.Evaluate(slot + 1)
 	for i := range s.diffs {
-		for reason, n := range s.diffs[i].Left {
-			s.last.Left[reason] += n
+		for reason, n := range s.diffs[i].Excluded {
+			s.last.Excluded[reason] += n
 		}
 	}
 	before := s.m.State()
-	changed := s.m.Look(stage.Look{Slot: slot, HistorySlots: s.j.CompleteSlots(slot + 1), Judgement: s.last, Settled: s.r.m.Settled(), Blind: s.blind()})
+	changed := s.m.Observe(stage.Observation{Slot: slot, HistorySlots: s.j.CompleteSlots(slot + 1), Judgement: s.last, Settled: s.r.m.Settled(), EvidenceGap: s.blind()})
 	state := s.m.State()
 	if before.Stage == 0 && state.Stage > 0 {
 		s.note.Start = slot + 1
@@ -386,7 +386,7 @@
 			after = out.Last
 		}
 	}
-	for slot := note.Start; slot <= note.State.Looked; slot++ {
+	for slot := note.Start; slot <= note.State.LastSlot; slot++ {
 		series = append(series, e.j.Evaluate(slot+1))
 	}
 	return series, missing, nil
--- a/internal/fleet/host/agent/serve_releases.go
+++ b/internal/fleet/host/agent/serve_releases.go
@@ -12,9 +12,8 @@
 	if !release.Valid(in.Release) {
 		return nil, api.Errorf(api.InvalidParams, "%q is no release's hash", in.Release)
 	}
-	out := &api.ReleaseOut{}
-	out.Have, out.Sidecar, out.Overlay = a.releases.Have(in.Release)
-	return out, nil
+	status := a.releases.Status(in.Release)
+	return &api.ReleaseOut{Have: status.Complete, Sidecar: status.Sidecar, Overlay: status.Overlay}, nil
 }
 
 func (a *Agent) releaseWrite(ctx context.Context, c *caller, in *api.ChunkIn) (any, error) {
@@ -25,7 +24,7 @@
 }
 
 func (a *Agent) releaseDone(ctx context.Context, c *caller, in *api.ReleaseIn) (any, error) {
-	if err := a.releases.Done(in.Release); err != nil {
+	if err := a.releases.Commit(in.Release); err != nil {
 		return nil, api.Errorf(api.InvalidRelease, "agent %s: %v", a.cfg.Name, err)
 	}
 	return a.releaseStat(ctx, c, in)
