--- a/cmd/martendrum/record.go
+++ b/cmd/martendrum/record.go
@@ -40,9 +40,9 @@
 }
 
 func printed(r *idempotency.Entry) recordRow {
-	return recordRow{Class: r.Class, Key: r.Key, State: string(r.State), Request: r.Request, Attempts: r.Attempts, Servers: r.Servers, Owner: r.Owner,
-		Began: time.UnixMicro(r.Began).UTC(), Changed: time.UnixMicro(r.Changed).UTC(), Status: r.Status, Header: string(r.Header), Answer: r.Answer,
-		Cut: r.Cut, Settled: r.Settled, Note: r.Note}
+	return recordRow{Class: r.Class, Key: r.Key, State: string(r.State), Request: r.RequestID, Attempts: r.Attempts, Servers: r.Servers, Owner: r.Owner,
+		Began: time.UnixMicro(r.StartedAt).UTC(), Changed: time.UnixMicro(r.ChangedAt).UTC(), Status: r.Status, Header: string(r.Header), Answer: r.Answer,
+		Cut: r.AnswerOmitted, Settled: r.SettledBy, Note: r.Note}
 }
 
 // recording is what the commands on a store share.
@@ -227,7 +227,7 @@
 			if err != nil {
 				return err
 			}
-			op := &idempotency.Op{Kind: idempotency.Settle, Class: args[0], Key: args[1], To: to, By: *by, Note: *note}
+			op := &idempotency.Op{Kind: idempotency.Settle, Class: args[0], Key: args[1], Outcome: to, SettledBy: *by, Note: *note}
 			if !*dry {
 				if err := b.Apply(ctx, []*idempotency.Op{op}); err != nil {
 					return err
--- a/internal/idempotency/backend.go
+++ b/internal/idempotency/backend.go
@@ -87,10 +87,10 @@
 func NewClock(saved int64, wall time.Time, keep Retention) Clock {
 	base := wall.UnixMicro()
 	if saved > 0 {
-		base = saved + min(max(base-saved, 0), keep.Shortest().Microseconds()/4)
+		base = saved + min(max(base-saved, 0), keep.ShortestEvidence().Microseconds()/4)
 	}
 	return Clock{base: base, started: wall}
 }
 
-// At is the clock's time at wall, which must carry a monotonic reading.
-func (c Clock) At(wall time.Time) int64 { return c.base + max(wall.Sub(c.started), 0).Microseconds() }
+// Time is the clock's time at wall, which must carry a monotonic reading.
+func (c Clock) Time(wall time.Time) int64 { return c.base + max(wall.Sub(c.started), 0).Microseconds() }
--- a/internal/idempotency/backendtest/backendtest.go
+++ b/internal/idempotency/backendtest/backendtest.go
@@ -26,7 +26,7 @@
 
 // Claim is an op that claims a key.
 func Claim(key, token string, lease time.Duration) *idempotency.Op {
-	return &idempotency.Op{Kind: idempotency.Claim, Class: "activate", Key: key, Token: token, Owner: "o-" + token, Body: bytes.Repeat([]byte{7}, 32), Request: "r1", Lease: lease}
+	return &idempotency.Op{Kind: idempotency.Claim, Class: "activate", Key: key, Token: token, Owner: "o-" + token, Fingerprint: bytes.Repeat([]byte{7}, 32), RequestID: "r1", Lease: lease}
 }
 
 // Send is an op that sends an attempt.
@@ -36,7 +36,7 @@
 
 // End is an op that ends a request.
 func End(key, token string, to idempotency.State) *idempotency.Op {
-	op := &idempotency.Op{Kind: idempotency.End, Class: "activate", Key: key, Token: token, To: to}
+	op := &idempotency.Op{Kind: idempotency.End, Class: "activate", Key: key, Token: token, Outcome: to}
 	if to == idempotency.Answered {
 		op.Status, op.Header, op.Answer = 200, []byte("Content-Type: text/plain\r\n"), []byte("yes\x00\xff")
 	}
@@ -76,7 +76,7 @@
 			Expect(t, b, Send("k", "a", 1), idempotency.Granted)
 		}
 		row, err := b.Get(ctx(t), "activate", "k")
-		if err != nil || row.Attempts != 2 || row.Servers != "s0,s1" || row.State != idempotency.InFlight || row.Owner != "o-a" || row.Request != "r1" {
+		if err != nil || row.Attempts != 2 || row.Servers != "s0,s1" || row.State != idempotency.InFlight || row.Owner != "o-a" || row.RequestID != "r1" {
 			t.Fatalf("%+v %v", row, err)
 		}
 		for range 2 {
@@ -84,13 +84,13 @@
 		}
 		Expect(t, b, End("k", "a", idempotency.NeverRan), idempotency.Fenced)
 		op := Claim("k", "c", time.Hour)
-		Expect(t, b, op, idempotency.Known)
+		Expect(t, b, op, idempotency.AlreadyAnswered)
 		if string(op.Entry.Answer) != "yes\x00\xff" || string(op.Entry.Header) != "Content-Type: text/plain\r\n" || op.Entry.Status != 200 {
 			t.Errorf("the answer came back as %+v", op.Entry)
 		}
 		other := Claim("k", "d", time.Hour)
-		other.Body = bytes.Repeat([]byte{8}, 32)
-		Expect(t, b, other, idempotency.Mismatched)
+		other.Fingerprint = bytes.Repeat([]byte{8}, 32)
+		Expect(t, b, other, idempotency.KeyReused)
 		if found, err := b.Check(ctx(t)); err != nil || len(found) > 0 {
 			t.Error(found, err)
 		}
@@ -116,7 +116,7 @@
 		Expect(t, b, Send("unsent", "b", 0), idempotency.Fenced) // it wakes up too late
 		Expect(t, b, Send("sent", "a", 1), idempotency.Fenced)
 		Expect(t, b, End("sent", "a", idempotency.Answered), idempotency.Granted) // but its word still counts
-		Expect(t, b, Claim("sent", "e", time.Hour), idempotency.Known)
+		Expect(t, b, Claim("sent", "e", time.Hour), idempotency.AlreadyAnswered)
 	})
 	t.Run("settled by hand", func(t *testing.T) {
 		b := open(t)
@@ -125,7 +125,7 @@
 		}
 		Apply(t, b, End("ran", "ran", idempotency.MayHaveRun), End("not", "not", idempotency.MayHaveRun))
 		settle := func(key string, to idempotency.State) *idempotency.Op {
-			return &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: key, To: to, By: "sari", Note: "asked the network"}
+			return &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: key, Outcome: to, SettledBy: "sari", Note: "asked the network"}
 		}
 		Expect(t, b, settle("ran", idempotency.Answered), idempotency.Granted)
 		Expect(t, b, settle("ran", idempotency.NeverRan), idempotency.Fenced)
@@ -133,8 +133,8 @@
 		Expect(t, b, settle("flying", idempotency.NeverRan), idempotency.Fenced)
 		Expect(t, b, settle("nobody's", idempotency.NeverRan), idempotency.Fenced)
 		op := Claim("ran", "x", time.Hour)
-		Expect(t, b, op, idempotency.Known)
-		if op.Entry.Settled != "sari" || op.Entry.Note != "asked the network" {
+		Expect(t, b, op, idempotency.AlreadyAnswered)
+		if op.Entry.SettledBy != "sari" || op.Entry.Note != "asked the network" {
 			t.Errorf("%+v", op.Entry)
 		}
 		Expect(t, b, Claim("not", "y", time.Hour), idempotency.Granted)
--- a/internal/idempotency/e2e/away_test.go
+++ b/internal/idempotency/e2e/away_test.go
@@ -85,7 +85,7 @@
 func all([]*idempotency.Op) bool { return true }
 
 // of holds transactions that have an op of a kind.
-func of(kind idempotency.Kind) func([]*idempotency.Op) bool {
+func of(kind idempotency.OpKind) func([]*idempotency.Op) bool {
 	return func(ops []*idempotency.Op) bool {
 		for _, op := range ops {
 			if op.Kind == kind {
@@ -399,7 +399,7 @@
 			if a := s.expect(t, large, http.StatusConflict); !strings.HasPrefix(a.state, "answered") {
 				t.Error(a)
 			}
-			if row := s.row(t, large, is(idempotency.Answered)); !row.Cut || len(row.Answer) > 0 {
+			if row := s.row(t, large, is(idempotency.Answered)); !row.AnswerOmitted || len(row.Answer) > 0 {
 				t.Errorf("%+v", row)
 			}
 			s.w.act = nil
--- a/internal/idempotency/e2e/main_test.go
+++ b/internal/idempotency/e2e/main_test.go
@@ -78,8 +78,8 @@
 	{"name":"activate","promiseUs":AIM,"hardLimitUs":20000000,"effect":"once","worth":10},
 	{"name":"report","promiseUs":AIM,"hardLimitUs":20000000,"effect":"once","worth":10}]}`
 
-func rule(t string) idempotency.Rule {
-	r, err := idempotency.ParseRule(t)
+func rule(t string) idempotency.KeyRule {
+	r, err := idempotency.ParseKeyRule(t)
 	if err != nil {
 		panic(err)
 	}
@@ -166,11 +166,11 @@
 		n.backend = &pointed{n.backend, points}
 	}
 	wait := or(p.Wait, 10*time.Second)
-	n.keeper = recorder.New(recorder.Config{Name: "e2e", Writers: writers, Batch: 64, Queue: 1000, QueueBytes: 4 << 20, Statement: 10 * time.Second,
-		EndFor: time.Minute, Lease: or(p.Lease, 5*time.Second), MaxAnswerBytes: or(p.Most, 64<<10), Retention: keep, SweepInterval: each,
-		BreakAfter: 3, MinBackoff: 20 * time.Millisecond, MaxBackoff: 100 * time.Millisecond,
-		Classes: []recorder.Class{{Name: "id-register", Rule: rule("header:Idempotency-Key"), FailOpen: true, Wait: wait},
-			{Name: "activate", Rule: rule("json:/sim/iccid"), Wait: wait}, {Name: "report", Rule: rule("request-id"), Wait: wait}}}, n.backend)
+	n.keeper = recorder.New(recorder.Config{StoreName: "e2e", Writers: writers, MaxBatch: 64, MaxQueuedOps: 1000, MaxQueuedBytes: 4 << 20, StatementTimeout: 10 * time.Second,
+		EndRetryDuration: time.Minute, LeaseMargin: or(p.Lease, 5*time.Second), MaxAnswerBytes: or(p.Most, 64<<10), Retention: keep, SweepInterval: each,
+		BreakerThreshold: 3, MinBackoff: 20 * time.Millisecond, MaxBackoff: 100 * time.Millisecond,
+		Classes: []recorder.Class{{Name: "id-register", KeyRule: rule("header:Idempotency-Key"), FailOpen: true, MaxWait: wait},
+			{Name: "activate", KeyRule: rule("json:/sim/iccid"), MaxWait: wait}, {Name: "report", KeyRule: rule("request-id"), MaxWait: wait}}}, n.backend)
 	if points != nil {
 		n.host.SetRecorder(&pointedRecorder{n.keeper, points})
 	} else {
--- a/internal/idempotency/key.go
+++ b/internal/idempotency/key.go
@@ -12,46 +12,46 @@
 	"unicode/utf8"
 )
 
-// maxKey is the longest key, in bytes.
-const maxKey = 256
+// maxKeyBytes is the longest key, in bytes.
+const maxKeyBytes = 256
 
-// Rule says where a class's keys come from: "header:NAME", "json:/POINTER" (RFC
+// KeyRule says where a class's keys come from: "header:NAME", "json:/POINTER" (RFC
 // 6901, into the body) or "request-id". The last records each request by itself:
 // clients give every try a new id, so that repeats are not recognised.
-type Rule struct {
+type KeyRule struct {
 	kind, arg string
 }
 
-// ParseRule reads a rule.
-func ParseRule(text string) (Rule, error) {
+// ParseKeyRule reads a rule.
+func ParseKeyRule(text string) (KeyRule, error) {
 	kind, arg, _ := strings.Cut(text, ":")
 	switch {
 	case kind == "header" && arg != "" && !strings.ContainsAny(arg, " \t:\r\n"):
 	case kind == "json" && strings.HasPrefix(arg, "/"):
 	case text == "request-id":
 	default:
-		return Rule{}, fmt.Errorf(`%q is no rule for keys; want "header:NAME", "json:/path/in/body" or "request-id"`, text)
+		return KeyRule{}, fmt.Errorf(`%q is no rule for keys; want "header:NAME", "json:/path/in/body" or "request-id"`, text)
 	}
-	return Rule{kind, arg}, nil
+	return KeyRule{kind, arg}, nil
 }
 
-func (r Rule) String() string {
+func (r KeyRule) String() string {
 	if r.arg == "" {
 		return r.kind
 	}
 	return r.kind + ":" + r.arg
 }
 
-// Recognises says whether a repeat of a request has the same key.
-func (r Rule) Recognises() bool { return r.kind != "request-id" }
+// DetectsRetries says whether a repeat of a request has the same key.
+func (r KeyRule) DetectsRetries() bool { return r.kind != "request-id" }
 
 // Key finds a request's key. head is its HTTP/1.1 head.
-func (r Rule) Key(head, body []byte) (key string, err error) {
+func (r KeyRule) Key(head, body []byte) (key string, err error) {
 	switch r.kind {
 	case "header":
 		key, err = Field(head, r.arg)
 	case "json":
-		key, err = pointer(body, r.arg)
+		key, err = jsonValue(body, r.arg)
 	default:
 		key, err = Field(head, "Req-Id")
 	}
@@ -60,8 +60,8 @@
 		return "", fmt.Errorf("no key by %s: %w", r, err)
 	case key == "":
 		return "", fmt.Errorf("no key by %s: it is empty or missing", r)
-	case len(key) > maxKey:
-		return "", fmt.Errorf("no key by %s: %d bytes; %d at most", r, len(key), maxKey)
+	case len(key) > maxKeyBytes:
+		return "", fmt.Errorf("no key by %s: %d bytes; %d at most", r, len(key), maxKeyBytes)
 	case strings.ContainsRune(key, 0) || !utf8.ValidString(key):
 		return "", fmt.Errorf("no key by %s: it is no UTF-8 text", r)
 	}
@@ -85,8 +85,8 @@
 	return value, nil
 }
 
-// pointer finds a string, number or truth value in a JSON body.
-func pointer(body []byte, at string) (string, error) {
+// jsonValue finds a string, number or truth value in a JSON body.
+func jsonValue(body []byte, at string) (string, error) {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.UseNumber()
 	var v any
--- a/internal/idempotency/postgres/postgres.go
+++ b/internal/idempotency/postgres/postgres.go
@@ -136,7 +136,7 @@
 			return nil
 		}
 		for _, op := range ops {
-			op.Result = idempotency.None
+			op.Result = idempotency.NotApplied
 		}
 		if n >= maxRace || !again(err, committing) {
 			return s.explain(err)
@@ -262,7 +262,7 @@
 	if err := s.db.Pool.QueryRow(ctx, "SELECT "+clock).Scan(&now); err != nil {
 		return 0, s.explain(err)
 	}
-	lapsed, err := s.db.Pool.Exec(ctx, `UPDATE martendrum_record SET `+idempotency.Lapsed+`, changed = $1::bigint WHERE state = 'in-flight' AND expires <= $1::bigint AND (class, key) IN
+	lapsed, err := s.db.Pool.Exec(ctx, `UPDATE martendrum_record SET `+idempotency.LapseAssignments+`, changed = $1::bigint WHERE state = 'in-flight' AND expires <= $1::bigint AND (class, key) IN
 		(SELECT class, key FROM martendrum_record WHERE state = 'in-flight' AND expires <= $1::bigint ORDER BY class, key LIMIT $2::bigint)`, now, int64(limit))
 	if err != nil {
 		return 0, s.explain(err)
@@ -325,9 +325,9 @@
 // Check implements record.Backend.
 func (s *Store) Check(ctx context.Context) (found []string, err error) {
 	bad, err := rows(ctx, s, (*idempotency.Entry).Fields, "SELECT "+strings.Replace(idempotency.Columns, "answer,", "CAST('' AS bytea),", 1)+` FROM martendrum_record
-		WHERE `+idempotency.Impossible+` ORDER BY class, key LIMIT 20`)
+		WHERE `+idempotency.InvalidRowCondition+` ORDER BY class, key LIMIT 20`)
 	for _, r := range bad {
-		found = append(found, fmt.Sprintf("row %s %q: state %q, fingerprint of %d bytes, status %d", r.Class, r.Key, r.State, len(r.Body), r.Status))
+		found = append(found, fmt.Sprintf("row %s %q: state %q, fingerprint of %d bytes, status %d", r.Class, r.Key, r.State, len(r.Fingerprint), r.Status))
 	}
 	return found, err
 }
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -41,25 +41,25 @@
 // Entry is what is stored of a key. Times are the store's own, in microseconds since
 // 1970; for SQLite see Clock, for PostgreSQL they are the server's.
 type Entry struct {
-	Class, Key string
-	State      State
-	Body       []byte // SHA-256 of what was asked, see Fingerprint
-	Owner      string // the sidecar's run that claimed it
-	Token      string // fences: of one claim, never used twice
-	Request    string // its Req-Id
-	Attempts   int64  // that may have gone out
-	Servers    string // of the attempts, with commas between
-	Began      int64
-	Changed    int64
-	Expires    int64 // in flight past it, the owner counts as dead
+	Class, Key   string
+	State        State
+	Fingerprint  []byte // SHA-256 of what was asked, see Fingerprint
+	Owner        string // the sidecar's run that claimed it
+	Token        string // fences: of one claim, never used twice
+	RequestID    string // its Req-Id
+	Attempts     int64  // that may have gone out
+	Servers      string // of the attempts, with commas between
+	StartedAt    int64
+	ChangedAt    int64
+	LeaseExpires int64 // in flight past it, the owner counts as dead
 
-	Status  int64  // of the answer
-	Header  []byte // its fields, HTTP/1.1
-	Answer  []byte
-	Cut     bool   // the answer was too large to be kept
-	Settled string // who settled it by hand
-	Note    string
-	Version int64 // counts the changes: guards one against another
+	Status        int64  // of the answer
+	Header        []byte // its fields, HTTP/1.1
+	Answer        []byte
+	AnswerOmitted bool   // the answer was too large to be kept
+	SettledBy     string // who settled it by hand
+	Note          string
+	Version       int64 // counts the changes: guards one against another
 }
 
 // Columns names Row's columns in the order of Fields.
@@ -67,14 +67,14 @@
 
 // Fields returns pointers to r's fields, to scan into.
 func (r *Entry) Fields() []any {
-	return []any{&r.Class, &r.Key, &r.State, &r.Body, &r.Owner, &r.Token, &r.Request, &r.Attempts, &r.Servers, &r.Began, &r.Changed, &r.Expires,
-		&r.Status, &r.Header, &r.Answer, &r.Cut, &r.Settled, &r.Note, &r.Version}
+	return []any{&r.Class, &r.Key, &r.State, &r.Fingerprint, &r.Owner, &r.Token, &r.RequestID, &r.Attempts, &r.Servers, &r.StartedAt, &r.ChangedAt, &r.LeaseExpires,
+		&r.Status, &r.Header, &r.Answer, &r.AnswerOmitted, &r.SettledBy, &r.Note, &r.Version}
 }
 
 // Values returns r's fields, to store.
 func (r *Entry) Values() []any {
-	return []any{r.Class, r.Key, string(r.State), nonNil(r.Body), r.Owner, r.Token, r.Request, r.Attempts, r.Servers, r.Began, r.Changed, r.Expires,
-		r.Status, nonNil(r.Header), nonNil(r.Answer), r.Cut, r.Settled, r.Note, r.Version}
+	return []any{r.Class, r.Key, string(r.State), nonNil(r.Fingerprint), r.Owner, r.Token, r.RequestID, r.Attempts, r.Servers, r.StartedAt, r.ChangedAt, r.LeaseExpires,
+		r.Status, nonNil(r.Header), nonNil(r.Answer), r.AnswerOmitted, r.SettledBy, r.Note, r.Version}
 }
 
 func nonNil(b []byte) []byte {
@@ -84,35 +84,35 @@
 	return b
 }
 
-// Kind is what an Op does.
-type Kind int
+// OpKind is what an Op does.
+type OpKind int
 
 const (
-	Claim  Kind = iota // asks for the key
-	Send               // says that attempt Attempt is about to go to Server
-	End                // says what the request came to
-	Settle             // says it by hand, for a key that may have run
+	Claim  OpKind = iota // asks for the key
+	Send                 // says that attempt Attempt is about to go to Server
+	End                  // says what the request came to
+	Settle               // says it by hand, for a key that may have run
 )
 
 // Op is one event of one key. The first fields are set by who asks, the rest by
 // the store. Carried out twice, it does what it does once: that is how a commit of
 // unknown outcome is resolved.
 type Op struct {
-	Kind       Kind
-	Class, Key string
-	Token      string
-	Owner      string        // Claim, and End of a key whose claim was not kept
-	Body       []byte        // as Owner
-	Request    string        // as Owner
-	Lease      time.Duration // Claim, Send: how long the owner counts as alive from now on
-	Attempt    int           // Send: counts from 0
-	Server     string        // Send
-	To         State         // End, Settle: Answered, NeverRan or MayHaveRun
-	Status     int64         // End: of the answer
-	Header     []byte        // End
-	Answer     []byte        // End
-	Cut        bool          // End
-	By, Note   string        // Settle
+	Kind            OpKind
+	Class, Key      string
+	Token           string
+	Owner           string        // Claim, and End of a key whose claim was not kept
+	Fingerprint     []byte        // as Owner
+	RequestID       string        // as Owner
+	Lease           time.Duration // Claim, Send: how long the owner counts as alive from now on
+	Attempt         int           // Send: counts from 0
+	Server          string        // Send
+	Outcome         State         // End, Settle: Answered, NeverRan or MayHaveRun
+	Status          int64         // End: of the answer
+	Header          []byte        // End
+	Answer          []byte        // End
+	AnswerOmitted   bool          // End
+	SettledBy, Note string        // Settle
 
 	Result Result
 	Entry  Entry // as it is after the Op
@@ -122,13 +122,13 @@
 type Result int
 
 const (
-	None       Result = iota // not carried out
-	Granted                  // a claim is the asker's; a send may go; an end or settlement is kept
-	Busy                     // claimed by a request that may still be answered
-	Known                    // answered: the row has the answer, unless Cut or settled
-	Unsettled                // it may have run
-	Mismatched               // the key is another request's: keys are not reused
-	Fenced                   // the claim is not the asker's any more, or nothing to settle
+	NotApplied      Result = iota // not carried out
+	Granted                       // a claim is the asker's; a send may go; an end or settlement is kept
+	Busy                          // claimed by a request that may still be answered
+	AlreadyAnswered               // answered: the row has the answer, unless Cut or settled
+	Unsettled                     // it may have run
+	KeyReused                     // the key is another request's: keys are not reused
+	Fenced                        // the claim is not the asker's any more, or nothing to settle
 )
 
 func (r Result) String() string {
@@ -136,7 +136,7 @@
 }
 
 // Expired says whether a row in flight has outlived its owner's time.
-func (r *Entry) Expired(now int64) bool { return r.State == InFlight && now >= r.Expires }
+func (r *Entry) Expired(now int64) bool { return r.State == InFlight && now >= r.LeaseExpires }
 
 // Lapse makes of a row in flight what is known once its owner is gone: with no
 // attempt written, nothing was sent and, its claim being void, nothing will be.
@@ -146,16 +146,16 @@
 	} else {
 		r.State = MayHaveRun
 	}
-	r.Changed = now
+	r.ChangedAt = now
 	r.Version++
 }
 
 // What the databases do to many rows at once, in SQL.
 const (
-	// Lapsed is what Lapse sets, but for the time.
-	Lapsed = "state = CASE WHEN attempts = 0 THEN 'never-ran' ELSE 'may-have-run' END, version = version + 1"
-	// Impossible holds for rows that no Op makes.
-	Impossible = "(state NOT IN ('in-flight', 'answered', 'never-ran', 'may-have-run') OR length(body) <> 32 OR token = '' OR state = 'answered' AND status = 0 AND settled = '')"
+	// LapseAssignments is what Lapse sets, but for the time.
+	LapseAssignments = "state = CASE WHEN attempts = 0 THEN 'never-ran' ELSE 'may-have-run' END, version = version + 1"
+	// InvalidRowCondition holds for rows that no Op makes.
+	InvalidRowCondition = "(state NOT IN ('in-flight', 'answered', 'never-ran', 'may-have-run') OR length(body) <> 32 OR token = '' OR state = 'answered' AND status = 0 AND settled = '')"
 )
 
 // Apply carries op out on its key's row, which is the zero Row if there is none.
@@ -177,8 +177,8 @@
 	return row.Version != before
 }
 
-func (r *Entry) mark(s State, now int64) {
-	r.State, r.Changed = s, now
+func (r *Entry) setState(s State, now int64) {
+	r.State, r.ChangedAt = s, now
 	r.Version++
 }
 
@@ -189,26 +189,26 @@
 	if row.Expired(now) {
 		row.Lapse(now)
 	}
-	if row.State != Unknown && row.State != NeverRan && !bytes.Equal(row.Body, op.Body) {
-		return Mismatched
+	if row.State != Unknown && row.State != NeverRan && !bytes.Equal(row.Fingerprint, op.Fingerprint) {
+		return KeyReused
 	}
 	switch row.State {
 	case InFlight:
 		return Busy
 	case Answered:
-		return Known
+		return AlreadyAnswered
 	case MayHaveRun:
 		return Unsettled
 	}
-	begin(row, now, op)
-	row.mark(InFlight, now)
+	startClaim(row, now, op)
+	row.setState(InFlight, now)
 	return Granted
 }
 
-// begin makes row a new claim's.
-func begin(row *Entry, now int64, op *Op) {
-	*row = Entry{Class: op.Class, Key: op.Key, Body: op.Body, Owner: op.Owner, Token: op.Token, Request: op.Request,
-		Began: now, Expires: now + op.Lease.Microseconds(), Version: row.Version}
+// startClaim makes row a new claim's.
+func startClaim(row *Entry, now int64, op *Op) {
+	*row = Entry{Class: op.Class, Key: op.Key, Fingerprint: op.Fingerprint, Owner: op.Owner, Token: op.Token, RequestID: op.RequestID,
+		StartedAt: now, LeaseExpires: now + op.Lease.Microseconds(), Version: row.Version}
 }
 
 func send(row *Entry, now int64, op *Op) Result {
@@ -221,16 +221,16 @@
 			row.Servers += ","
 		}
 		row.Servers += op.Server
-		row.Expires = max(row.Expires, now+op.Lease.Microseconds())
-		row.mark(InFlight, now)
+		row.LeaseExpires = max(row.LeaseExpires, now+op.Lease.Microseconds())
+		row.setState(InFlight, now)
 	}
 	return Granted
 }
 
-// knows orders what an owner may say of its own claim: later words may only add.
+// mayReplace orders what an owner may say of its own claim: later words may only add.
 // That it never ran is said once all its attempts have ended, so that it replaces
 // a may-have-run; that it ran stands for good.
-func knows(from, to State) bool {
+func mayReplace(from, to State) bool {
 	switch from {
 	case InFlight:
 		return true
@@ -243,8 +243,8 @@
 }
 
 func end(row *Entry, now int64, op *Op) Result {
-	if row.State == Unknown && op.To != NeverRan && op.Owner != "" {
-		begin(row, now, op) // went out while the store was away: its end is worth keeping
+	if row.State == Unknown && op.Outcome != NeverRan && op.Owner != "" {
+		startClaim(row, now, op) // went out while the store was away: its end is worth keeping
 	}
 	if row.Token != op.Token {
 		if row.State == Unknown {
@@ -252,20 +252,20 @@
 		}
 		return Fenced
 	}
-	if row.State == op.To {
+	if row.State == op.Outcome {
 		return Granted
 	}
-	if row.State != Unknown && !knows(row.State, op.To) {
+	if row.State != Unknown && !mayReplace(row.State, op.Outcome) {
 		return Fenced
 	}
-	if row.Settled != "" {
-		row.Note = fmt.Sprintf("%s; settled as %s by %s, then the owner said %s", row.Note, row.State, row.Settled, op.To)
-		row.Settled = ""
+	if row.SettledBy != "" {
+		row.Note = fmt.Sprintf("%s; settled as %s by %s, then the owner said %s", row.Note, row.State, row.SettledBy, op.Outcome)
+		row.SettledBy = ""
 	}
-	if op.To == Answered {
-		row.Status, row.Header, row.Answer, row.Cut = op.Status, op.Header, op.Answer, op.Cut
+	if op.Outcome == Answered {
+		row.Status, row.Header, row.Answer, row.AnswerOmitted = op.Status, op.Header, op.Answer, op.AnswerOmitted
 	}
-	row.mark(op.To, now)
+	row.setState(op.Outcome, now)
 	return Granted
 }
 
@@ -273,11 +273,11 @@
 	if row.Expired(now) {
 		row.Lapse(now)
 	}
-	if row.State != MayHaveRun || op.To != Answered && op.To != NeverRan {
+	if row.State != MayHaveRun || op.Outcome != Answered && op.Outcome != NeverRan {
 		return Fenced
 	}
-	row.Settled, row.Note = op.By, op.Note
-	row.mark(op.To, now)
+	row.SettledBy, row.Note = op.SettledBy, op.Note
+	row.setState(op.Outcome, now)
 	return Granted
 }
 
@@ -294,5 +294,5 @@
 	return map[State]time.Duration{Answered: k.Answered, NeverRan: k.NeverRan, MayHaveRun: k.Unsettled}[s]
 }
 
-// Shortest is the least time that what ran, or may have, is kept.
-func (k Retention) Shortest() time.Duration { return min(k.Answered, k.Unsettled) }
+// ShortestEvidence is the least time that what ran, or may have, is kept.
+func (k Retention) ShortestEvidence() time.Duration { return min(k.Answered, k.Unsettled) }
--- a/internal/idempotency/record_test.go
+++ b/internal/idempotency/record_test.go
@@ -40,8 +40,8 @@
 		}
 		return claims[rapid.IntRange(0, len(claims)-1).Draw(t, "claim")]
 	}
-	op := func(c *claim, kind Kind) *Op {
-		return &Op{Kind: kind, Class: "c", Key: fmt.Sprint(c.key), Token: c.token, Owner: "o", Body: []byte{1}, Lease: time.Second}
+	op := func(c *claim, kind OpKind) *Op {
+		return &Op{Kind: kind, Class: "c", Key: fmt.Sprint(c.key), Token: c.token, Owner: "o", Fingerprint: []byte{1}, Lease: time.Second}
 	}
 	t.Repeat(map[string]func(*rapid.T){
 		"claim": func(t *rapid.T) {
@@ -84,17 +84,17 @@
 			o := op(c, End)
 			switch {
 			case c.ran:
-				o.To = rapid.SampledFrom([]State{Answered, MayHaveRun}).Draw(t, "to")
+				o.Outcome = rapid.SampledFrom([]State{Answered, MayHaveRun}).Draw(t, "to")
 			case c.unsent > 0: // called off before a byte, or not known
 				if rapid.Bool().Draw(t, "called off") {
-					c.unsent, o.To = 0, NeverRan
+					c.unsent, o.Outcome = 0, NeverRan
 				} else {
-					o.To = MayHaveRun
+					o.Outcome = MayHaveRun
 				}
 			default:
-				o.To = NeverRan
+				o.Outcome = NeverRan
 			}
-			if c.over = o.To != MayHaveRun || c.over; c.over {
+			if c.over = o.Outcome != MayHaveRun || c.over; c.over {
 				c.unsent = 0
 			}
 			Apply(&rows[c.key], now, o)
@@ -105,9 +105,9 @@
 		},
 		"settle": func(t *rapid.T) {
 			k := rapid.IntRange(0, 1).Draw(t, "key")
-			o := &Op{Kind: Settle, Class: "c", Key: fmt.Sprint(k), To: NeverRan, By: "sari"}
+			o := &Op{Kind: Settle, Class: "c", Key: fmt.Sprint(k), Outcome: NeverRan, SettledBy: "sari"}
 			if runs[k] > 0 {
-				o.To = Answered
+				o.Outcome = Answered
 			} else if slices.ContainsFunc(claims, func(c *claim) bool { return c.key == k && c.unsent > 0 }) {
 				t.Skip("staff waits until the sidecar is known to be gone")
 			}
@@ -142,12 +142,12 @@
 			if rapid.Bool().Draw(t, "a new claim") {
 				n++
 			}
-			o := Op{Kind: Kind(rapid.IntRange(0, 3).Draw(t, "kind")), Class: "c", Key: "k", Token: fmt.Sprint(n), Owner: "o", Body: []byte{1},
+			o := Op{Kind: OpKind(rapid.IntRange(0, 3).Draw(t, "kind")), Class: "c", Key: "k", Token: fmt.Sprint(n), Owner: "o", Fingerprint: []byte{1},
 				Lease: time.Duration(rapid.IntRange(1, 5).Draw(t, "lease")) * time.Second, Attempt: rapid.IntRange(0, 3).Draw(t, "attempt"), Server: "s",
-				To: rapid.SampledFrom(States[1:]).Draw(t, "to"), Status: 200, Answer: []byte("a")}
+				Outcome: rapid.SampledFrom(States[1:]).Draw(t, "to"), Status: 200, Answer: []byte("a")}
 			Apply(&row, 5, &o)
 			once, again := row, o
-			again.Result = None
+			again.Result = NotApplied
 			Apply(&row, 6, &again)
 			if o.Kind == Settle { // a settlement says by its result whether it was the one
 				continue
@@ -177,7 +177,7 @@
 		{"json:/sim/obj", "", "neither"},
 		{"header:", "", "no rule"}, {"json:sim", "", "no rule"}, {"body", "", "no rule"}, {"header:a b", "", "no rule"},
 	} {
-		r, err := ParseRule(c.rule)
+		r, err := ParseKeyRule(c.rule)
 		got := ""
 		if err == nil {
 			got, err = r.Key(head, body)
@@ -189,7 +189,7 @@
 			t.Errorf("%s: %q %v; want %q %q", c.rule, got, err, c.want, c.err)
 		}
 	}
-	r, _ := ParseRule("json:/k")
+	r, _ := ParseKeyRule("json:/k")
 	for body, want := range map[string]string{`{"k":`: "no JSON", `{"k":"a"} {}`: "more than one", `{"k":"` + strings.Repeat("x", 300) + `"}`: "at most", `{"k":"a\u0000"}`: "UTF-8"} {
 		if _, err := r.Key(nil, []byte(body)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.20s: %v, want %q", body, err, want)
@@ -201,11 +201,11 @@
 	f.Add("json:/a/0", []byte("POST / HTTP/1.1\r\nA: b\r\n"), []byte(`{"a":["k"]}`))
 	f.Add("header:A", []byte("POST / HTTP/1.1\r\nA: b\r\n"), []byte{})
 	f.Fuzz(func(t *testing.T, rule string, head, body []byte) {
-		r, err := ParseRule(rule)
+		r, err := ParseKeyRule(rule)
 		if err != nil {
 			return
 		}
-		if key, err := r.Key(head, body); err == nil && (key == "" || len(key) > maxKey || strings.ContainsRune(key, 0)) {
+		if key, err := r.Key(head, body); err == nil && (key == "" || len(key) > maxKeyBytes || strings.ContainsRune(key, 0)) {
 			t.Errorf("key %q", key)
 		}
 	})
@@ -246,7 +246,7 @@
 		if from == 0 {
 			from = saved
 		}
-		if got := NewClock(c.saved, wall, keep).At(wall.Add(c.at)) - from; got != c.want {
+		if got := NewClock(c.saved, wall, keep).Time(wall.Add(c.at)) - from; got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
--- a/internal/idempotency/recorder/commit.go
+++ b/internal/idempotency/recorder/commit.go
@@ -17,64 +17,64 @@
 // for it already.
 var ErrUnavailable = errors.New("the store is away")
 
-// maxIdle is how long a worker waits with nothing to do, at most.
-const maxIdle = time.Minute
+// idleInterval is how long a worker waits with nothing to do, at most.
+const idleInterval = time.Minute
 
 // job is one op that waits to be written.
 type job struct {
 	op           *idempotency.Op
-	until        time.Time // no use after it
+	deadline     time.Time // no use after it
 	retryOnError bool      // tried again after an error until then
 	size         int       // bytes of the answer it holds
 	done         func(error)
 
 	// One that failed by itself goes alone from then on, after a pause, and between
 	// others: it may be what the store never takes.
-	alone    bool
-	after    time.Time
-	attempts int
+	alone     bool
+	notBefore time.Time
+	attempts  int
 }
 
 // committer brings ops to the backend, those that wait together in one transaction.
 // Ops of one key stay in their order: each key has its shard, each shard its worker.
 type committer struct {
-	cfg     *Config
+	config  *Config
 	backend idempotency.Backend
 	shards  []*shard
 	seed    maphash.Seed
 	start   time.Time
-	end     chan struct{}
+	stop    chan struct{}
 	ctx     context.Context // of all calls but the last; over when the committer is closed
 	cancel  context.CancelFunc
-	wg      sync.WaitGroup
+	workers sync.WaitGroup
 
-	mu      sync.Mutex
-	breaker idempotency.Breaker
-	queued  int
-	bytes   int
-	lost    int64 // ends that were never written
-	batches int64
-	ops     int64
-	closing bool
+	mu          sync.Mutex
+	breaker     idempotency.Breaker
+	queued      int
+	queuedBytes int
+	lost        int64 // ends that were never written
+	batches     int64
+	ops         int64
+	closing     bool
 }
 
 type shard struct {
 	committer *committer
 	wake      chan struct{} // something was queued, or all is over
 
-	queue       []*job // guarded by the committer's lock
-	solo        int    // so many ops go one by one, after a batch that failed
-	lastWasSolo bool   // one that goes alone went last
+	queue         []*job // guarded by the committer's lock
+	soloRemaining int    // so many ops go one by one, after a batch that failed
+	lastWasSolo   bool   // one that goes alone went last
 }
 
 func newCommitter(cfg *Config, b idempotency.Backend) *committer {
-	c := &committer{cfg: cfg, backend: b, seed: maphash.MakeSeed(), start: time.Now(), end: make(chan struct{}),
-		breaker: idempotency.NewBreaker(cfg.BreakAfter, cfg.MinBackoff, cfg.MaxBackoff)}
+	c := &committer{config: cfg, backend: b, seed: maphash.MakeSeed(), start: time.Now(), stop: make(chan struct{}),
+		breaker: idempotency.NewBreaker(cfg.BreakerThreshold, cfg.MinBackoff, cfg.MaxBackoff)}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	for range max(1, cfg.Writers) {
 		s := &shard{committer: c, wake: make(chan struct{}, 1)}
 		c.shards = append(c.shards, s)
-		c.wg.Go(s.run)
+		c.workers.Go(s.run)
 	}
 	return c
 }
@@ -93,8 +93,8 @@
 		err = fmt.Errorf("%w: the sidecar stops", ErrUnavailable)
 	case open && !j.retryOnError:
 		err = fmt.Errorf("%w: %s", ErrUnavailable, cause)
-	case c.queued >= c.cfg.Queue || c.bytes+j.size > c.cfg.QueueBytes:
-		err = fmt.Errorf("%w: %d ops of %d bytes wait for it already", ErrUnavailable, c.queued, c.bytes)
+	case c.queued >= c.config.MaxQueuedOps || c.queuedBytes+j.size > c.config.MaxQueuedBytes:
+		err = fmt.Errorf("%w: %d ops of %d bytes wait for it already", ErrUnavailable, c.queued, c.queuedBytes)
 		if j.retryOnError {
 			c.lost++
 		}
@@ -105,14 +105,14 @@
 		return
 	}
 	c.queued++
-	c.bytes += j.size
+	c.queuedBytes += j.size
 	s := c.shards[maphash.String(c.seed, j.op.Class+"\x00"+j.op.Key)%uint64(len(c.shards))]
 	s.queue = append(s.queue, j)
 	c.mu.Unlock()
-	s.kick()
+	s.notify()
 }
 
-func (s *shard) kick() {
+func (s *shard) notify() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -125,10 +125,10 @@
 	for {
 		// Also with nothing to write: while the breaker is open, nothing is queued that
 		// could close it.
-		if !s.ready() {
+		if !s.awaitStore() {
 			return
 		}
-		batch, late, wait := s.take()
+		batch, late, wait := s.nextBatch()
 		for _, j := range late {
 			s.finish(j, fmt.Errorf("%w: it took too long", ErrUnavailable))
 		}
@@ -137,53 +137,53 @@
 				continue
 			}
 			if wait == 0 {
-				wait = maxIdle
+				wait = idleInterval
 			}
 			t := time.NewTimer(wait)
 			select {
 			case <-s.wake:
 			case <-t.C:
-			case <-c.end:
+			case <-c.stop:
 				t.Stop()
 				return
 			}
 			t.Stop()
 			continue
 		}
-		s.write(batch)
+		s.commit(batch)
 		select {
-		case <-c.end:
+		case <-c.stop:
 			return
 		default:
 		}
 	}
 }
 
-// take removes the next batch from the queue, and what is late. One key may be in a
+// nextBatch removes the next batch from the queue, and what is late. One key may be in a
 // batch more than once: ops are carried out in their order. wait, where above 0, is when
 // one that goes alone is due.
-func (s *shard) take() (batch, late []*job, wait time.Duration) {
+func (s *shard) nextBatch() (batch, late []*job, wait time.Duration) {
 	c := s.committer
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	limit := c.cfg.Batch
-	if s.solo > 0 {
-		limit, s.solo = 1, s.solo-1
+	limit := c.config.MaxBatch
+	if s.soloRemaining > 0 {
+		limit, s.soloRemaining = 1, s.soloRemaining-1
 	}
 	now := time.Now()
 	var alone *job
 	left := s.queue[:0]
 	for _, j := range s.queue {
 		switch {
-		case now.After(j.until):
+		case now.After(j.deadline):
 			late = append(late, j)
 			if j.retryOnError {
 				c.lost++
 			}
-		case j.alone && alone == nil && !s.lastWasSolo && !now.Before(j.after):
+		case j.alone && alone == nil && !s.lastWasSolo && !now.Before(j.notBefore):
 			alone = j
 		case j.alone:
-			if d := max(j.after.Sub(now), time.Millisecond); wait == 0 || d < wait {
+			if d := max(j.notBefore.Sub(now), time.Millisecond); wait == 0 || d < wait {
 				wait = d
 			}
 			left = append(left, j)
@@ -203,26 +203,26 @@
 	return batch, late, wait
 }
 
-// back puts jobs at the head of the queue.
-func (s *shard) back(jobs []*job) {
+// requeue puts jobs at the head of the queue.
+func (s *shard) requeue(jobs []*job) {
 	s.committer.mu.Lock()
 	s.queue = append(jobs[:len(jobs):len(jobs)], s.queue...)
 	s.committer.mu.Unlock()
 }
 
-// single puts a job that failed by itself back, to go alone. What overtakes it may be of
+// requeueAlone puts a job that failed by itself back, to go alone. What overtakes it may be of
 // its key, which is still in flight to it.
-func (s *shard) single(j *job) {
+func (s *shard) requeueAlone(j *job) {
 	s.committer.mu.Lock()
-	j.after = time.Now().Add(min(s.committer.cfg.MinBackoff<<min(j.attempts, 10), s.committer.cfg.MaxBackoff))
+	j.notBefore = time.Now().Add(min(s.committer.config.MinBackoff<<min(j.attempts, 10), s.committer.config.MaxBackoff))
 	j.alone = true
 	j.attempts++
 	s.queue = append(s.queue, j)
 	s.committer.mu.Unlock()
 }
 
-// rejoin lets those that go alone go with others again: the store was away.
-func (s *shard) rejoin() {
+// rejoinBatches lets those that go alone go with others again: the store was away.
+func (s *shard) rejoinBatches() {
 	s.committer.mu.Lock()
 	for _, j := range s.queue {
 		j.alone = false
@@ -230,9 +230,9 @@
 	s.committer.mu.Unlock()
 }
 
-// ready waits, while the breaker is open, until a try is due and the store gives a
+// awaitStore waits, while the breaker is open, until a try is due and the store gives a
 // sign of life; false when the committer is closed.
-func (s *shard) ready() bool {
+func (s *shard) awaitStore() bool {
 	c := s.committer
 	for {
 		c.mu.Lock()
@@ -244,14 +244,14 @@
 			return true
 		}
 		if try {
-			ctx, cancel := context.WithTimeout(c.ctx, c.cfg.Statement)
+			ctx, cancel := context.WithTimeout(c.ctx, c.config.StatementTimeout)
 			err := c.backend.Ping(ctx)
 			cancel()
-			c.note(err, 0)
+			c.reportResult(err, 0)
 			if err == nil {
 				slog.Info("the store is back")
 				for _, s := range c.shards {
-					s.rejoin()
+					s.rejoinBatches()
 				}
 				return true
 			}
@@ -260,17 +260,17 @@
 		t := time.NewTimer(max(until-now, time.Millisecond))
 		select {
 		case <-t.C:
-		case <-c.end:
+		case <-c.stop:
 			t.Stop()
 			return false
 		}
 	}
 }
 
-// note tells the breaker how a call went. One that took longer than requests wait
+// reportResult tells the breaker how a call went. One that took longer than requests wait
 // for it was of no use to them.
-func (c *committer) note(err error, took time.Duration) {
-	if err == nil && took > c.cfg.slow {
+func (c *committer) reportResult(err error, took time.Duration) {
+	if err == nil && took > c.config.slowCommit {
 		err = fmt.Errorf("a commit took %v", took.Round(time.Millisecond))
 	}
 	if errors.Is(err, idempotency.ErrFull) {
@@ -287,23 +287,23 @@
 	if is, _, _ := c.breaker.Open(); is && !was {
 		slog.Warn("the store is away", "err", err)
 		for _, s := range c.shards {
-			s.kick()
+			s.notify()
 		}
 	}
 }
 
-func (s *shard) write(batch []*job) {
+func (s *shard) commit(batch []*job) {
 	c := s.committer
 	ops := make([]*idempotency.Op, len(batch))
 	for n, j := range batch {
 		ops[n] = j.op
 	}
-	ctx, cancel := context.WithTimeout(c.ctx, c.cfg.Statement)
+	ctx, cancel := context.WithTimeout(c.ctx, c.config.StatementTimeout)
 	began := time.Now()
 	err := c.backend.Apply(ctx, ops)
 	cancel()
 	if !batch[0].alone || err == nil {
-		c.note(err, time.Since(began))
+		c.reportResult(err, time.Since(began))
 	}
 	if err == nil {
 		c.mu.Lock()
@@ -326,10 +326,10 @@
 	case len(batch) > 1:
 		// In their order, and before others learn that they failed and ask for something
 		// after them; one by one, for one of them may be what the store does not take.
-		s.back(again)
-		s.solo = len(again)
+		s.requeue(again)
+		s.soloRemaining = len(again)
 	case len(again) == 1:
-		s.single(again[0])
+		s.requeueAlone(again[0])
 	}
 	for _, j := range batch {
 		if !j.retryOnError {
@@ -342,7 +342,7 @@
 	c := s.committer
 	c.mu.Lock()
 	c.queued--
-	c.bytes -= j.size
+	c.queuedBytes -= j.size
 	c.mu.Unlock()
 	j.done(err)
 }
@@ -367,15 +367,15 @@
 	c.closing = true
 	c.mu.Unlock()
 	c.cancel()
-	close(c.end)
-	c.wg.Wait()
+	close(c.stop)
+	c.workers.Wait()
 	c.mu.Lock()
 	var left []*job
 	for _, s := range c.shards {
 		left = append(left, s.queue...)
 		s.queue = nil
 	}
-	c.queued, c.bytes = 0, 0
+	c.queued, c.queuedBytes = 0, 0
 	for _, j := range left {
 		if j.retryOnError {
 			c.lost++
--- a/internal/idempotency/recorder/keeper.go
+++ b/internal/idempotency/recorder/keeper.go
@@ -31,36 +31,36 @@
 // Class is a class of requests that is recorded.
 type Class struct {
 	Name     string
-	Rule     idempotency.Rule
+	KeyRule  idempotency.KeyRule
 	FailOpen bool          // goes on while the store is away; else refused
-	Wait     time.Duration // for each answer of the store, at most
+	MaxWait  time.Duration // for each answer of the store, at most
 }
 
 // Config says how a store is used. All of it must be set.
 type Config struct {
-	Name           string // of the store, for people
-	Classes        []Class
-	Writers        int           // transactions at once
-	Batch          int           // ops in one transaction
-	Queue          int           // ops that wait, at most
-	QueueBytes     int           // bytes of answers among them
-	Statement      time.Duration // a transaction may take
-	EndFor         time.Duration // an end that could not be written is tried again for so long
-	Lease          time.Duration // past its deadline, a claim's owner counts as alive
-	MaxAnswerBytes int           // bytes of an answer's body that are kept
-	Retention      idempotency.Retention
-	SweepInterval  time.Duration
-	BreakAfter     int // failures in a row
-	MinBackoff     time.Duration
-	MaxBackoff     time.Duration
-
-	slow time.Duration
+	StoreName        string // of the store, for people
+	Classes          []Class
+	Writers          int           // transactions at once
+	MaxBatch         int           // ops in one transaction
+	MaxQueuedOps     int           // ops that wait, at most
+	MaxQueuedBytes   int           // bytes of answers among them
+	StatementTimeout time.Duration // a transaction may take
+	EndRetryDuration time.Duration // an end that could not be written is tried again for so long
+	LeaseMargin      time.Duration // past its deadline, a claim's owner counts as alive
+	MaxAnswerBytes   int           // bytes of an answer's body that are kept
+	Retention        idempotency.Retention
+	SweepInterval    time.Duration
+	BreakerThreshold int // failures in a row
+	MinBackoff       time.Duration
+	MaxBackoff       time.Duration
+
+	slowCommit time.Duration
 }
 
 const (
-	// maxSweep rows are touched by one transaction of a sweep, so that requests
+	// maxSweptRows rows are touched by one transaction of a sweep, so that requests
 	// get in between.
-	maxSweep = 256
+	maxSweptRows = 256
 	// unavailableRetry is when a client may come back that was refused for want of the
 	// store, busyRetry one whose key is under way elsewhere.
 	unavailableRetry = 500 * time.Millisecond
@@ -69,18 +69,18 @@
 
 // Recorder is a sidecar.Recorder.
 type Recorder struct {
-	cfg       Config
+	config    Config
 	backend   idempotency.Backend
 	committer *committer
 	owner     string
 	tokens    atomic.Uint64
 	classes   map[string]*Class
-	end       chan struct{}
-	wg        sync.WaitGroup
+	stop      chan struct{}
+	workers   sync.WaitGroup
 
-	mu     sync.Mutex
-	gaps   map[string]*idempotency.Gap // that are not written yet, by class
-	counts map[string]int64
+	mu            sync.Mutex
+	unwrittenGaps map[string]*idempotency.Gap // that are not written yet, by class
+	counts        map[string]int64
 }
 
 var _ sidecar.Recorder = (*Recorder)(nil)
@@ -89,23 +89,23 @@
 func New(cfg Config, b idempotency.Backend) *Recorder {
 	var id [12]byte
 	rand.Read(id[:])
-	k := &Recorder{cfg: cfg, backend: b, owner: hex.EncodeToString(id[:]), classes: make(map[string]*Class), end: make(chan struct{}),
-		gaps: make(map[string]*idempotency.Gap), counts: make(map[string]int64)}
+	k := &Recorder{config: cfg, backend: b, owner: hex.EncodeToString(id[:]), classes: make(map[string]*Class), stop: make(chan struct{}),
+		unwrittenGaps: make(map[string]*idempotency.Gap), counts: make(map[string]int64)}
 	for n := range cfg.Classes {
-		c := &k.cfg.Classes[n]
+		c := &k.config.Classes[n]
 		k.classes[c.Name] = c
-		k.cfg.slow = max(k.cfg.slow, c.Wait)
+		k.config.slowCommit = max(k.config.slowCommit, c.MaxWait)
 	}
-	k.committer = newCommitter(&k.cfg, b)
-	k.wg.Go(k.sweep)
+	k.committer = newCommitter(&k.config, b)
+	k.workers.Go(k.sweep)
 	return k
 }
 
 // Close writes what waits, as long as ctx allows, and closes the store.
 func (k *Recorder) Close(ctx context.Context) error {
-	close(k.end)
+	close(k.stop)
 	k.committer.close(ctx)
-	k.wg.Wait()
+	k.workers.Wait()
 	k.WriteGaps(ctx)
 	return k.backend.Close()
 }
@@ -129,9 +129,9 @@
 // with ErrUnavailable; the store is to blame only if wait is all of its class's, most. late
 // gets a word that comes after that; it may be nil.
 func (k *Recorder) submit(op *idempotency.Op, limit, wait time.Duration, keep bool, then func(error), late func()) {
-	j := &job{op: op, retryOnError: keep, size: len(op.Answer) + len(op.Header), until: time.Now().Add(wait)}
+	j := &job{op: op, retryOnError: keep, size: len(op.Answer) + len(op.Header), deadline: time.Now().Add(wait)}
 	if keep {
-		j.until = time.Now().Add(k.cfg.EndFor)
+		j.deadline = time.Now().Add(k.config.EndRetryDuration)
 	}
 	var once sync.Once
 	t := time.AfterFunc(wait, func() {
@@ -140,7 +140,7 @@
 			// Also while a call hangs: else each request would wait until that ends.
 			if wait >= limit {
 				k.count("waited in vain")
-				k.committer.note(err, 0)
+				k.committer.reportResult(err, 0)
 			}
 			then(err)
 		})
@@ -166,7 +166,7 @@
 		then(sidecar.Verdict{})
 		return
 	}
-	key, err := class.Rule.Key(x.Request.Head, x.Request.Body)
+	key, err := class.KeyRule.Key(x.Request.Head, x.Request.Body)
 	if err != nil {
 		k.count("no key")
 		why := strings.Map(printable, err.Error())
@@ -174,20 +174,20 @@
 		return
 	}
 	id, _ := idempotency.Field(x.Request.Head, "Req-Id") // the front saw to it
-	e := &entry{k: k, class: class, key: key, lease: left + k.cfg.Lease,
-		token: fmt.Sprintf("%s-%d", k.owner, k.tokens.Add(1)), body: idempotency.Fingerprint(x.Request.Head, x.Tenant, x.Request.Body), request: clean(id)}
+	e := &recordedRequest{recorder: k, class: class, key: key, lease: left + k.config.LeaseMargin,
+		token: fmt.Sprintf("%s-%d", k.owner, k.tokens.Add(1)), fingerprint: idempotency.Fingerprint(x.Request.Head, x.Tenant, x.Request.Body), requestID: storableText(id)}
 	op := e.op(idempotency.Claim)
 	release := func() {
 		if op.Result == idempotency.Granted && !class.FailOpen {
-			k.submit(e.endOp(idempotency.NeverRan), class.Wait, class.Wait, true, func(error) {}, nil) // its client was turned away meanwhile
+			k.submit(e.endOp(idempotency.NeverRan), class.MaxWait, class.MaxWait, true, func(error) {}, nil) // its client was turned away meanwhile
 		}
 	}
-	k.submit(op, class.Wait, min(class.Wait, left/4), false, func(err error) {
+	k.submit(op, class.MaxWait, min(class.MaxWait, left/4), false, func(err error) {
 		switch {
 		case err == nil:
 			then(k.verdict(e, op))
 		case class.FailOpen:
-			e.gap(err)
+			e.failOpen(err)
 			then(sidecar.Verdict{Entry: e})
 		default:
 			k.count("refused")
@@ -200,8 +200,8 @@
 	}, release)
 }
 
-// clean makes a text one that each database takes.
-func clean(s string) string {
+// storableText makes a text one that each database takes.
+func storableText(s string) string {
 	return strings.ReplaceAll(strings.ToValidUTF8(s, "?"), "\x00", "?")
 }
 
@@ -213,7 +213,7 @@
 }
 
 // verdict is what the store's word on a claim means for its request.
-func (k *Recorder) verdict(e *entry, op *idempotency.Op) sidecar.Verdict {
+func (k *Recorder) verdict(e *recordedRequest, op *idempotency.Op) sidecar.Verdict {
 	k.count("claims " + op.Result.String())
 	deny := func(status int, why string, after time.Duration) sidecar.Verdict {
 		return sidecar.Verdict{Answer: func(x *downstream.Exchange) { x.Deny(status, why, after) }}
@@ -224,128 +224,128 @@
 		return sidecar.Verdict{Entry: e}
 	case idempotency.Busy:
 		return deny(http.StatusConflict, "in-flight; ask again with the same key", busyRetry)
-	case idempotency.Mismatched:
+	case idempotency.KeyReused:
 		return deny(http.StatusUnprocessableEntity, "key-reused; the key belongs to a request that asked for something else", 0)
-	case idempotency.Known:
-		if row.Cut || row.Settled != "" {
+	case idempotency.AlreadyAnswered:
+		if row.AnswerOmitted || row.SettledBy != "" {
 			return deny(http.StatusConflict, "answered; it ran, and its answer is not kept", 0)
 		}
-		ans := &upstream.Answer{Header: parseHeader(row.Header), Body: row.Answer}
+		ans := &upstream.Answer{Header: decodeHeader(row.Header), Body: row.Answer}
 		return sidecar.Verdict{Answer: func(x *downstream.Exchange) { x.Serve(ans) }}
 	}
 	return deny(http.StatusConflict, "may-have-run; it is not sent again, the shop's staff must settle it", 0)
 }
 
-// entry is a recorded request.
-type entry struct {
-	k       *Recorder
-	class   *Class
-	key     string
-	token   string
-	body    []byte
-	request string
-	lease   time.Duration
-
-	mu     sync.Mutex
-	broken bool // the store failed it: it is asked no more about attempts
-	fenced bool // the claim is another's: nothing may go
-	gapped bool
+// recordedRequest is a recorded request.
+type recordedRequest struct {
+	recorder    *Recorder
+	class       *Class
+	key         string
+	token       string
+	fingerprint []byte
+	requestID   string
+	lease       time.Duration
+
+	mu          sync.Mutex
+	storeFailed bool // the store failed it: it is asked no more about attempts
+	fenced      bool // the claim is another's: nothing may go
+	inGap       bool
 }
 
-func (e *entry) op(kind idempotency.Kind) *idempotency.Op {
-	return &idempotency.Op{Kind: kind, Class: e.class.Name, Key: e.key, Token: e.token, Owner: e.k.owner, Body: e.body, Request: e.request, Lease: e.lease}
+func (e *recordedRequest) op(kind idempotency.OpKind) *idempotency.Op {
+	return &idempotency.Op{Kind: kind, Class: e.class.Name, Key: e.key, Token: e.token, Owner: e.recorder.owner, Fingerprint: e.fingerprint, RequestID: e.requestID, Lease: e.lease}
 }
 
-func (e *entry) endOp(to idempotency.State) *idempotency.Op {
+func (e *recordedRequest) endOp(to idempotency.State) *idempotency.Op {
 	op := e.op(idempotency.End)
-	op.To = to
+	op.Outcome = to
 	return op
 }
 
-// gap marks that the request goes on without the store.
-func (e *entry) gap(cause error) {
+// failOpen marks that the request goes on without the store.
+func (e *recordedRequest) failOpen(cause error) {
 	e.mu.Lock()
-	was := e.gapped
-	e.broken, e.gapped = true, true
+	was := e.inGap
+	e.storeFailed, e.inGap = true, true
 	e.mu.Unlock()
 	if was {
 		return
 	}
 	now := time.Now().UnixMicro()
-	k := e.k
+	k := e.recorder
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.counts["gaps"]++
-	g := k.gaps[e.class.Name]
+	g := k.unwrittenGaps[e.class.Name]
 	if g == nil {
-		g = &idempotency.Gap{Owner: k.owner, Class: e.class.Name, From: now, Cause: clean(cause.Error())}
-		k.gaps[e.class.Name] = g
+		g = &idempotency.Gap{Owner: k.owner, Class: e.class.Name, From: now, Cause: storableText(cause.Error())}
+		k.unwrittenGaps[e.class.Name] = g
 	}
 	g.Until = now
 	g.Requests++
 }
 
 // Sending implements sidecar.Entry.
-func (e *entry) Sending(n int, server string, then func(ok bool)) {
+func (e *recordedRequest) Sending(n int, server string, then func(ok bool)) {
 	e.mu.Lock()
-	broken, fenced := e.broken, e.fenced
+	broken, fenced := e.storeFailed, e.fenced
 	e.mu.Unlock()
 	if broken || fenced {
 		then(e.class.FailOpen && !fenced)
 		return
 	}
 	op := e.op(idempotency.Send)
-	op.Attempt, op.Server = n, clean(server)
-	e.k.submit(op, e.class.Wait, e.class.Wait, false, func(err error) {
+	op.Attempt, op.Server = n, storableText(server)
+	e.recorder.submit(op, e.class.MaxWait, e.class.MaxWait, false, func(err error) {
 		switch {
 		case err == nil && op.Result == idempotency.Granted:
 			then(true)
 		case err == nil:
-			e.k.count("fenced")
+			e.recorder.count("fenced")
 			e.mu.Lock()
 			e.fenced = true
 			e.mu.Unlock()
 			then(false) // others may go on with the key: not this one, whatever its class
 		case e.class.FailOpen:
-			e.gap(err)
+			e.failOpen(err)
 			then(true)
 		default:
 			e.mu.Lock()
-			e.broken = true
+			e.storeFailed = true
 			e.mu.Unlock()
 			then(false)
 		}
 	}, nil)
 }
 
-// states are what the sidecar's ends are to the record.
-var states = map[sidecar.End]idempotency.State{sidecar.Served: idempotency.Answered, sidecar.NeverRan: idempotency.NeverRan, sidecar.MayHaveRun: idempotency.MayHaveRun}
+// stateOfEnd are what the sidecar's ends are to the record.
+var stateOfEnd = map[sidecar.End]idempotency.State{sidecar.Served: idempotency.Answered, sidecar.NeverRan: idempotency.NeverRan, sidecar.MayHaveRun: idempotency.MayHaveRun}
 
 // End implements sidecar.Entry.
-func (e *entry) End(end sidecar.End, ans *upstream.Answer, left time.Duration, then func()) {
-	op := e.endOp(states[end])
+func (e *recordedRequest) End(end sidecar.End, ans *upstream.Answer, left time.Duration, then func()) {
+	op := e.endOp(stateOfEnd[end])
 	if ans != nil {
-		op.Status, op.Header = http.StatusOK, formHeader(ans.Header)
-		if len(ans.Body) <= e.k.cfg.MaxAnswerBytes {
+		op.Status, op.Header = http.StatusOK, encodeHeader(ans.Header)
+		if len(ans.Body) <= e.recorder.config.MaxAnswerBytes {
 			op.Answer = ans.Body
 		} else {
-			op.Cut = true
+			op.AnswerOmitted = true
 		}
 	}
-	e.k.submit(op, e.class.Wait, max(0, min(e.class.Wait, left)), true, func(error) { then() }, nil)
+	e.recorder.submit(op, e.class.MaxWait, max(0, min(e.class.MaxWait, left)), true, func(error) { then() }, nil)
 }
 
 // Fields of an answer that are kept: those that say what its body is.
 var retainedHeaders = []string{"Content-Type", "Content-Encoding", "Content-Language", "Etag", "Last-Modified", "Location"}
 
-// maxHeader bounds the kept fields, in bytes; past it they are left out.
-const maxHeader = 2 << 10
+// maxHeaderBytes bounds the kept fields, in bytes; past it they are left out.
+const maxHeaderBytes = 2 << 10
 
-func formHeader(h http.Header) []byte {
+func encodeHeader(h http.Header) []byte {
 	var b []byte
 	for _, name := range retainedHeaders {
 		for _, v := range h[name] {
-			if line := name + ": " + v + "\r\n"; len(b)+len(line) <= maxHeader {
+			if line := name + ": " + v + "\r\n"; len(b)+len(line) <= maxHeaderBytes {
 				b = append(b, line...)
 			}
 		}
@@ -353,7 +353,7 @@
 	return b
 }
 
-func parseHeader(b []byte) http.Header {
+func decodeHeader(b []byte) http.Header {
 	h := make(http.Header)
 	for line := range bytes.SplitSeq(b, []byte("\r\n")) {
 		if k, v, ok := bytes.Cut(line, []byte(": ")); ok {
@@ -366,12 +366,12 @@
 // sweep drops what has been kept for long enough and writes gaps. It ends with the
 // Keeper.
 func (k *Recorder) sweep() {
-	t := time.NewTicker(k.cfg.SweepInterval)
+	t := time.NewTicker(k.config.SweepInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-		case <-k.end:
+		case <-k.stop:
 			return
 		}
 		if k.unavailable() {
@@ -379,18 +379,18 @@
 		}
 		k.WriteGaps(k.committer.ctx)
 		for {
-			ctx, cancel := context.WithTimeout(k.committer.ctx, k.cfg.Statement)
-			n, err := k.backend.Sweep(ctx, k.cfg.Retention, maxSweep)
+			ctx, cancel := context.WithTimeout(k.committer.ctx, k.config.StatementTimeout)
+			n, err := k.backend.Sweep(ctx, k.config.Retention, maxSweptRows)
 			cancel()
 			if err != nil {
 				slog.Warn("the record was not swept", "err", err)
 			}
-			if err != nil || n < maxSweep {
+			if err != nil || n < maxSweptRows {
 				break
 			}
 			select {
 			case <-time.After(5 * time.Millisecond): // requests get in between
-			case <-k.end:
+			case <-k.stop:
 				return
 			}
 		}
@@ -407,11 +407,11 @@
 // WriteGaps notes in the store which requests went on without it.
 func (k *Recorder) WriteGaps(within context.Context) {
 	k.mu.Lock()
-	gaps := k.gaps
-	k.gaps = make(map[string]*idempotency.Gap)
+	gaps := k.unwrittenGaps
+	k.unwrittenGaps = make(map[string]*idempotency.Gap)
 	k.mu.Unlock()
 	for class, g := range gaps {
-		ctx, cancel := context.WithTimeout(within, k.cfg.Statement)
+		ctx, cancel := context.WithTimeout(within, k.config.StatementTimeout)
 		err := k.backend.Gap(ctx, *g)
 		cancel()
 		if err == nil {
@@ -419,10 +419,10 @@
 		}
 		slog.Warn("a gap of the record was not noted", "class", class, "requests", g.Requests, "err", err)
 		k.mu.Lock()
-		if now := k.gaps[class]; now != nil {
+		if now := k.unwrittenGaps[class]; now != nil {
 			now.From, now.Requests, now.Cause = g.From, now.Requests+g.Requests, g.Cause
 		} else {
-			k.gaps[class] = g
+			k.unwrittenGaps[class] = g
 		}
 		k.mu.Unlock()
 	}
@@ -432,7 +432,7 @@
 // counts since the start.
 func (k *Recorder) Status() string {
 	k.committer.mu.Lock()
-	line := fmt.Sprintf("%s; breaker=%s; queued=%d; lost=%d", k.cfg.Name, k.committer.breaker.State(), k.committer.queued, k.committer.lost)
+	line := fmt.Sprintf("%s; breaker=%s; queued=%d; lost=%d", k.config.StoreName, k.committer.breaker.State(), k.committer.queued, k.committer.lost)
 	open, _, cause := k.committer.breaker.Open()
 	k.committer.mu.Unlock()
 	k.mu.Lock()
--- a/internal/idempotency/sqlite/compat_test.go
+++ b/internal/idempotency/sqlite/compat_test.go
@@ -20,8 +20,8 @@
 		t.Fatal(err)
 	}
 	cut := bt.End("cut", "e", idempotency.Answered)
-	cut.Answer, cut.Cut = nil, true
-	settled := &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: "settled", To: idempotency.NeverRan, By: "sari", Note: "asked the network"}
+	cut.Answer, cut.AnswerOmitted = nil, true
+	settled := &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: "settled", Outcome: idempotency.NeverRan, SettledBy: "sari", Note: "asked the network"}
 	bt.Apply(t, s, bt.Claim("claimed", "a", time.Hour), bt.Claim("sent", "b", time.Hour), bt.Send("sent", "b", 0), bt.Send("sent", "b", 1),
 		bt.Claim("answered", "c", time.Hour), bt.Send("answered", "c", 0), bt.End("answered", "c", idempotency.Answered),
 		bt.Claim("never", "d", time.Hour), bt.End("never", "d", idempotency.NeverRan),
@@ -38,8 +38,8 @@
 
 // rowText is what a row says but for times.
 func rowText(row idempotency.Entry) string {
-	return fmt.Sprintf("%s %s %s %x %s %s %s %d %q %d %q %q %v %q %q", row.Class, row.Key, row.State, row.Body, row.Owner, row.Token, row.Request,
-		row.Attempts, row.Servers, row.Status, row.Header, row.Answer, row.Cut, row.Settled, row.Note)
+	return fmt.Sprintf("%s %s %s %x %s %s %s %d %q %d %q %q %v %q %q", row.Class, row.Key, row.State, row.Fingerprint, row.Owner, row.Token, row.RequestID,
+		row.Attempts, row.Servers, row.Status, row.Header, row.Answer, row.AnswerOmitted, row.SettledBy, row.Note)
 }
 
 // A record that an earlier build wrote is read as it was meant, key by key, and the same
@@ -83,7 +83,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if row.State != want.state || row.Attempts != want.attempts || row.Servers != want.servers || row.Began == 0 || row.Changed == 0 {
+			if row.State != want.state || row.Attempts != want.attempts || row.Servers != want.servers || row.StartedAt == 0 || row.ChangedAt == 0 {
 				t.Errorf("%+v; want %+v", row, want)
 			}
 			if same, err := again.Get(ctx, "activate", key); err != nil || rowText(same) != rowText(row) {
@@ -91,13 +91,13 @@
 			}
 		})
 	}
-	if row, err := old.Get(ctx, "activate", "answered"); err != nil || string(row.Answer) != "yes\x00\xff" || row.Status != 200 || row.Request != "r1" {
+	if row, err := old.Get(ctx, "activate", "answered"); err != nil || string(row.Answer) != "yes\x00\xff" || row.Status != 200 || row.RequestID != "r1" {
 		t.Errorf("the answer came back as %+v, %v", row, err)
 	}
-	if row, err := old.Get(ctx, "activate", "cut"); err != nil || !row.Cut {
+	if row, err := old.Get(ctx, "activate", "cut"); err != nil || !row.AnswerOmitted {
 		t.Errorf("the cut answer came back as %+v, %v", row, err)
 	}
-	if row, err := old.Get(ctx, "activate", "settled"); err != nil || row.Settled != "sari" || row.Note != "asked the network" {
+	if row, err := old.Get(ctx, "activate", "settled"); err != nil || row.SettledBy != "sari" || row.Note != "asked the network" {
 		t.Errorf("the settled key came back as %+v, %v", row, err)
 	}
 	if gaps, err := old.Gaps(ctx, 10); err != nil || len(gaps) != 1 || gaps[0] != (idempotency.Gap{Owner: "o", Class: "activate", From: 1, Until: 2, Requests: 3, Cause: "the store is away"}) {
--- a/internal/idempotency/sqlite/sqlite.go
+++ b/internal/idempotency/sqlite/sqlite.go
@@ -219,9 +219,9 @@
 	}
 	// The former owner is dead: its lock was free. What Lapse says of one row is said
 	// here of all.
-	now := s.clock.At(wall)
+	now := s.clock.Time(wall)
 	return s.write(ctx, func(tx *sql.Tx) error {
-		if _, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.Lapsed+`, changed = ? WHERE state = 'in-flight'`, now); err != nil {
+		if _, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.LapseAssignments+`, changed = ? WHERE state = 'in-flight'`, now); err != nil {
 			return err
 		}
 		return s.save(ctx, tx, now)
@@ -290,7 +290,7 @@
 func (s *Store) Apply(ctx context.Context, ops []*idempotency.Op) error {
 	err := s.write(ctx, func(tx *sql.Tx) error {
 		get, put := tx.StmtContext(ctx, s.get), tx.StmtContext(ctx, s.put)
-		now := s.clock.At(time.Now())
+		now := s.clock.Time(time.Now())
 		var used int64
 		if err := tx.StmtContext(ctx, s.pages).QueryRowContext(ctx).Scan(&used); err != nil {
 			return err
@@ -314,7 +314,7 @@
 	})
 	if err != nil {
 		for _, op := range ops {
-			op.Result = idempotency.None
+			op.Result = idempotency.NotApplied
 		}
 		return fmt.Errorf("record %s: %w", s.cfg.Path, err)
 	}
@@ -355,8 +355,8 @@
 func (s *Store) Sweep(ctx context.Context, keep idempotency.Retention, limit int) (n int, err error) {
 	err = s.write(ctx, func(tx *sql.Tx) error {
 		n = 0
-		now := s.clock.At(time.Now())
-		lapsed, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.Lapsed+`, changed = ?1 WHERE (class, key) IN
+		now := s.clock.Time(time.Now())
+		lapsed, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.LapseAssignments+`, changed = ?1 WHERE (class, key) IN
 			(SELECT class, key FROM record WHERE state = 'in-flight' AND expires <= ?1 LIMIT ?2)`, now, limit)
 		if err != nil {
 			return err
@@ -433,7 +433,7 @@
 	for _, q := range []string{"PRAGMA integrity_check(20)",
 		`SELECT 'row ' || class || ' ' || quote(key) || ': ' || CASE WHEN state NOT IN ('in-flight','answered','never-ran','may-have-run') THEN 'unknown state ' || quote(state)
 			WHEN length(body) <> 32 THEN 'fingerprint of ' || length(body) || ' bytes' WHEN token = '' THEN 'no token' ELSE 'answered without a status' END
-		FROM record WHERE ` + idempotency.Impossible + ` LIMIT 20`} {
+		FROM record WHERE ` + idempotency.InvalidRowCondition + ` LIMIT 20`} {
 		rows, err := s.db.QueryContext(ctx, q)
 		if err != nil {
 			return found, explain(err)
@@ -470,5 +470,5 @@
 
 // Ping implements record.Backend. It writes: a disk that only reads is no store.
 func (s *Store) Ping(ctx context.Context) error {
-	return s.write(ctx, func(tx *sql.Tx) error { return s.save(ctx, tx, s.clock.At(time.Now())) })
+	return s.write(ctx, func(tx *sql.Tx) error { return s.save(ctx, tx, s.clock.Time(time.Now())) })
 }
--- a/internal/idempotency/sqlite/sqlite_test.go
+++ b/internal/idempotency/sqlite/sqlite_test.go
@@ -57,7 +57,7 @@
 	s = mustOpen(t, cfg(path))
 	bt.Expect(t, s, bt.Claim("sent", "x", time.Hour), idempotency.Unsettled)
 	bt.Expect(t, s, bt.Claim("unsent", "x", time.Hour), idempotency.Granted)
-	bt.Expect(t, s, bt.Claim("done", "x", time.Hour), idempotency.Known)
+	bt.Expect(t, s, bt.Claim("done", "x", time.Hour), idempotency.AlreadyAnswered)
 }
 
 // Two processes share a file's ownership: what each has in flight stands as long as
@@ -76,7 +76,7 @@
 	bt.Expect(t, next, bt.Claim("k", "b", time.Hour), idempotency.Busy)
 	bt.Apply(t, next, bt.Claim("n", "b", time.Hour), bt.Send("n", "b", 0))
 	bt.Apply(t, old, bt.End("k", "a", idempotency.Answered))
-	bt.Expect(t, next, bt.Claim("k", "c", time.Hour), idempotency.Known)
+	bt.Expect(t, next, bt.Claim("k", "c", time.Hour), idempotency.AlreadyAnswered)
 	old.Close()
 	if s, err := Open(ctx, cfg(path)); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("locked by process %d", os.Getpid())) {
 		t.Errorf("a third owner: %v %v", s, err)
@@ -267,7 +267,7 @@
 	bt.Apply(t, owner, bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0), bt.End("k", "a", idempotency.MayHaveRun))
 	c.Owner = false
 	staff := mustOpen(t, c)
-	bt.Expect(t, staff, &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: "k", To: idempotency.NeverRan, By: "sari"}, idempotency.Granted)
+	bt.Expect(t, staff, &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: "k", Outcome: idempotency.NeverRan, SettledBy: "sari"}, idempotency.Granted)
 	bt.Expect(t, owner, bt.Claim("k", "b", time.Hour), idempotency.Granted)
 	c.Path += "x"
 	if _, err := Open(ctx, c); err == nil || !strings.Contains(err.Error(), "no such file") {
--- a/internal/idempotency/storeconfig/conf.go
+++ b/internal/idempotency/storeconfig/conf.go
@@ -57,7 +57,7 @@
 	Classes []Class `toml:"class"`
 
 	path  string
-	rules []idempotency.Rule
+	rules []idempotency.KeyRule
 }
 
 // Class is one class that is recorded.
@@ -134,7 +134,7 @@
 		if k.Away != refuse && k.Away != pass {
 			return fmt.Errorf("class %s: away: %q; want %q or %q", k.Name, k.Away, refuse, pass)
 		}
-		rule, err := idempotency.ParseRule(k.Key)
+		rule, err := idempotency.ParseKeyRule(k.Key)
 		if err != nil {
 			return fmt.Errorf("class %s: key: %w", k.Name, err)
 		}
@@ -151,10 +151,10 @@
 // Keeper checks the file against a deployment's settings and says how the store is
 // used. sockets bounds the store's connections.
 func (c *Config) Keeper(set *settings.Settings, sockets int) (recorder.Config, error) {
-	out := recorder.Config{Name: c.Store, Writers: 1, Batch: c.Queue.Batch, Queue: c.Queue.Ops, QueueBytes: int(c.Queue.Bytes),
-		Statement: time.Duration(c.Wait.Statement), EndFor: time.Duration(c.Wait.EndFor), Lease: time.Duration(c.Wait.Lease),
+	out := recorder.Config{StoreName: c.Store, Writers: 1, MaxBatch: c.Queue.Batch, MaxQueuedOps: c.Queue.Ops, MaxQueuedBytes: int(c.Queue.Bytes),
+		StatementTimeout: time.Duration(c.Wait.Statement), EndRetryDuration: time.Duration(c.Wait.EndFor), LeaseMargin: time.Duration(c.Wait.Lease),
 		MaxAnswerBytes: int(c.Keep.Answer), Retention: c.Keeping(), SweepInterval: time.Duration(c.Keep.SweepInterval),
-		BreakAfter: c.Breaker.After, MinBackoff: time.Duration(c.Breaker.Least), MaxBackoff: time.Duration(c.Breaker.Most)}
+		BreakerThreshold: c.Breaker.After, MinBackoff: time.Duration(c.Breaker.Least), MaxBackoff: time.Duration(c.Breaker.Most)}
 	if c.Store == "postgres" {
 		if out.Writers = c.Postgres.Connections; out.Writers > sockets {
 			return out, fmt.Errorf("%s: postgres.connections: %d; the sidecar's limits.sockets leave %d", c.path, out.Writers, sockets)
@@ -170,7 +170,7 @@
 			return out, fmt.Errorf("%s: class %s: away: its requests must not run twice, so that they can't go on without a record; want %q", c.path, k.Name, refuse)
 		}
 		wait := min(time.Duration(c.Wait.Share*float64(class.LatencyObjective)), set.Deadlines[at]/8)
-		out.Classes = append(out.Classes, recorder.Class{Name: k.Name, Rule: c.rules[n], FailOpen: k.Away == pass, Wait: max(wait, time.Millisecond)})
+		out.Classes = append(out.Classes, recorder.Class{Name: k.Name, KeyRule: c.rules[n], FailOpen: k.Away == pass, MaxWait: max(wait, time.Millisecond)})
 	}
 	return out, nil
 }
