--- /dev/null
+++ b/internal/idempotency/recorder/request.go
@@ -0,0 +1,214 @@
+package recorder
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"martendrum/internal/downstream"
+	"martendrum/internal/idempotency"
+	"martendrum/internal/sidecar"
+	"martendrum/internal/upstream"
+)
+
+const (
+	// unavailableRetry is the Retry-After of a request that was rejected because the
+	// store is unavailable.
+	unavailableRetry = 500 * time.Millisecond
+	// busyRetry is the Retry-After of a request whose key is in flight.
+	busyRetry = 500 * time.Millisecond
+	// maxWaitPart divides the time left to a request into the part that its claim may
+	// wait for the store.
+	maxWaitPart = 4
+)
+
+// recordedRequest is a request whose key is claimed, or that failed open. It implements
+// sidecar.Entry.
+type recordedRequest struct {
+	recorder    *Recorder
+	class       *Class
+	key         string
+	token       string
+	fingerprint []byte
+	requestID   string
+	lease       time.Duration
+
+	mu          sync.Mutex
+	storeFailed bool // attempts are not written any more
+	fenced      bool // another request owns the key: nothing may be sent
+	inGap       bool // counted in a gap
+}
+
+// Begin implements sidecar.Recorder.
+func (r *Recorder) Begin(exchange *downstream.Exchange, left time.Duration, then func(sidecar.Verdict)) {
+	class := r.classes[exchange.Class]
+	if class == nil {
+		then(sidecar.Verdict{})
+		return
+	}
+	key, err := class.KeyRule.Key(exchange.Request.Head, exchange.Request.Body)
+	if err != nil {
+		r.count("no key")
+		then(deny(http.StatusBadRequest, strings.Map(printable, err.Error()), 0))
+		return
+	}
+	r.claim(r.newRequest(exchange, class, key, left), min(class.MaxWait, left/maxWaitPart), then)
+}
+
+func (r *Recorder) newRequest(exchange *downstream.Exchange, class *Class, key string, left time.Duration) *recordedRequest {
+	requestID, _ := idempotency.Field(exchange.Request.Head, "Req-Id") // downstream has checked the head
+	return &recordedRequest{
+		recorder:    r,
+		class:       class,
+		key:         key,
+		lease:       left + r.config.LeaseMargin,
+		token:       fmt.Sprintf("%s-%d", r.owner, r.tokens.Add(1)),
+		fingerprint: idempotency.Fingerprint(exchange.Request.Head, exchange.Tenant, exchange.Request.Body),
+		requestID:   storableText(requestID),
+	}
+}
+
+// claim claims the request's key and calls then with what to do with the request.
+func (r *Recorder) claim(request *recordedRequest, wait time.Duration, then func(sidecar.Verdict)) {
+	class := request.class
+	op := request.op(idempotency.Claim)
+	// A claim that succeeds after its client was rejected is released.
+	release := func() {
+		if op.Result == idempotency.Granted && !class.FailOpen {
+			r.submit(submission{op: request.endOp(idempotency.NeverRan), maxWait: class.MaxWait, wait: class.MaxWait, retryOnError: true, done: func(error) {}})
+		}
+	}
+	done := func(err error) {
+		switch {
+		case err == nil:
+			then(r.verdict(request, op))
+		case class.FailOpen:
+			request.failOpen(err)
+			then(sidecar.Verdict{Entry: request})
+		default:
+			r.count("refused")
+			if !errors.Is(err, ErrUnavailable) { // the claim may have been written
+				op.Result = idempotency.Granted
+				release()
+			}
+			then(sidecar.Verdict{Answer: func(exchange *downstream.Exchange) { exchange.Reject(unavailableRetry) }})
+		}
+	}
+	r.submit(submission{op: op, maxWait: class.MaxWait, wait: wait, done: done, doneLate: release})
+}
+
+// deny is a verdict that answers the request with a status and a reason.
+func deny(status int, reason string, retryAfter time.Duration) sidecar.Verdict {
+	return sidecar.Verdict{Answer: func(exchange *downstream.Exchange) { exchange.Deny(status, reason, retryAfter) }}
+}
+
+// verdict says what the result of a claim means for its request.
+func (r *Recorder) verdict(request *recordedRequest, op *idempotency.Op) sidecar.Verdict {
+	r.count("claims " + op.Result.String())
+	stored := &op.Entry
+	switch op.Result {
+	case idempotency.Granted:
+		return sidecar.Verdict{Entry: request}
+	case idempotency.Busy:
+		return deny(http.StatusConflict, "in-flight; ask again with the same key", busyRetry)
+	case idempotency.KeyReused:
+		return deny(http.StatusUnprocessableEntity, "key-reused; the key belongs to a request that asked for something else", 0)
+	case idempotency.AlreadyAnswered:
+		if stored.AnswerOmitted || stored.SettledBy != "" {
+			return deny(http.StatusConflict, "answered; it ran, and its answer is not kept", 0)
+		}
+		answer := &upstream.Answer{Header: decodeHeader(stored.Header), Body: stored.Answer}
+		return sidecar.Verdict{Answer: func(exchange *downstream.Exchange) { exchange.Serve(answer) }}
+	}
+	return deny(http.StatusConflict, "may-have-run; it is not sent again, the shop's staff must settle it", 0)
+}
+
+func (e *recordedRequest) op(kind idempotency.OpKind) *idempotency.Op {
+	return &idempotency.Op{
+		Kind:        kind,
+		Class:       e.class.Name,
+		Key:         e.key,
+		Token:       e.token,
+		Owner:       e.recorder.owner,
+		Fingerprint: e.fingerprint,
+		RequestID:   e.requestID,
+		Lease:       e.lease,
+	}
+}
+
+func (e *recordedRequest) endOp(outcome idempotency.State) *idempotency.Op {
+	op := e.op(idempotency.End)
+	op.Outcome = outcome
+	return op
+}
+
+// failOpen notes that the request continues without the store, and counts it in the
+// gap of its class.
+func (e *recordedRequest) failOpen(cause error) {
+	e.mu.Lock()
+	counted := e.inGap
+	e.storeFailed, e.inGap = true, true
+	e.mu.Unlock()
+	if !counted {
+		e.recorder.extendGap(e.class.Name, cause)
+	}
+}
+
+// Sending implements sidecar.Entry.
+func (e *recordedRequest) Sending(attempt int, server string, then func(ok bool)) {
+	e.mu.Lock()
+	storeFailed, fenced := e.storeFailed, e.fenced
+	e.mu.Unlock()
+	if storeFailed || fenced {
+		then(e.class.FailOpen && !fenced)
+		return
+	}
+	op := e.op(idempotency.Send)
+	op.Attempt, op.Server = attempt, storableText(server)
+	done := func(err error) {
+		switch {
+		case err == nil && op.Result == idempotency.Granted:
+			then(true)
+		case err == nil:
+			e.recorder.count("fenced")
+			e.mu.Lock()
+			e.fenced = true
+			e.mu.Unlock()
+			then(false) // another request may use the key; this one stops even if its class fails open
+		case e.class.FailOpen:
+			e.failOpen(err)
+			then(true)
+		default:
+			e.mu.Lock()
+			e.storeFailed = true
+			e.mu.Unlock()
+			then(false)
+		}
+	}
+	e.recorder.submit(submission{op: op, maxWait: e.class.MaxWait, wait: e.class.MaxWait, done: done})
+}
+
+// stateOfEnd maps the sidecar's outcomes to the store's.
+var stateOfEnd = map[sidecar.End]idempotency.State{
+	sidecar.Served:     idempotency.Answered,
+	sidecar.NeverRan:   idempotency.NeverRan,
+	sidecar.MayHaveRun: idempotency.MayHaveRun,
+}
+
+// End implements sidecar.Entry.
+func (e *recordedRequest) End(end sidecar.End, answer *upstream.Answer, left time.Duration, then func()) {
+	op := e.endOp(stateOfEnd[end])
+	if answer != nil {
+		op.Status, op.Header = http.StatusOK, encodeHeader(answer.Header)
+		if len(answer.Body) <= e.recorder.config.MaxAnswerBytes {
+			op.Answer = answer.Body
+		} else {
+			op.AnswerOmitted = true
+		}
+	}
+	wait := max(0, min(e.class.MaxWait, left))
+	e.recorder.submit(submission{op: op, maxWait: e.class.MaxWait, wait: wait, retryOnError: true, done: func(error) { then() }})
+}
