--- a/internal/idempotency/recorder/committer.go
+++ b/internal/idempotency/recorder/committer.go
@@ -131,7 +131,7 @@
 	wasOpen, _, _ := c.breaker.Open()
 	c.breaker.Failed(c.now(), err.Error(), rand.Float64())
 	if open, _, _ := c.breaker.Open(); open && !wasOpen {
-		slog.Warn("the store is away", "err", err)
+		slog.Warn("idempotency store unavailable", "err", err)
 		for _, s := range c.shards {
 			s.notify()
 		}
--- a/internal/idempotency/recorder/maintenance.go
+++ b/internal/idempotency/recorder/maintenance.go
@@ -44,7 +44,7 @@
 		swept, err := r.backend.Sweep(ctx, r.config.Retention, maxSweptRows)
 		cancel()
 		if err != nil {
-			slog.Warn("the record was not swept", "err", err)
+			slog.Warn("idempotency store not swept", "err", err)
 		}
 		if err != nil || swept < maxSweptRows {
 			return true
@@ -86,7 +86,7 @@
 		if err == nil {
 			continue
 		}
-		slog.Warn("a gap of the record was not noted", "class", class, "requests", gap.Requests, "err", err)
+		slog.Warn("gap not written to the idempotency store", "class", class, "requests", gap.Requests, "err", err)
 		r.restoreGap(class, gap)
 	}
 }
--- a/internal/idempotency/recorder/shard.go
+++ b/internal/idempotency/recorder/shard.go
@@ -191,7 +191,7 @@
 	if err != nil {
 		return false
 	}
-	slog.Info("the store is back")
+	slog.Info("idempotency store available again")
 	for _, shard := range c.shards {
 		shard.rejoinBatches()
 	}
@@ -227,7 +227,7 @@
 
 // commitFailed puts back the jobs that are retried and fails the others.
 func (s *shard) commitFailed(batch []*job, err error) {
-	slog.Warn("not recorded", "ops", len(batch), "err", err)
+	slog.Warn("idempotency entries not written", "ops", len(batch), "err", err)
 	var retried []*job
 	for _, j := range batch {
 		if j.retryOnError {
