--- /dev/null
+++ b/internal/idempotency/sqlite/maintenance.go
@@ -0,0 +1,105 @@
+package sqlite
+
+import (
+	"context"
+	"database/sql"
+	"fmt"
+	"time"
+
+	"martendrum/internal/idempotency"
+)
+
+// Sweep implements record.Backend.
+func (s *Store) Sweep(ctx context.Context, keep idempotency.Retention, limit int) (n int, err error) {
+	err = s.write(ctx, func(tx *sql.Tx) error {
+		n = 0
+		now := s.clock.Time(time.Now())
+		lapsed, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.LapseAssignments+`, changed = ?1 WHERE (class, key) IN
+			(SELECT class, key FROM record WHERE state = 'in-flight' AND expires <= ?1 LIMIT ?2)`, now, limit)
+		if err != nil {
+			return err
+		}
+		n += affected(lapsed)
+		for _, state := range idempotency.States {
+			kept := keep.For(state)
+			if kept <= 0 || n >= limit {
+				continue
+			}
+			gone, err := tx.ExecContext(ctx, `DELETE FROM record WHERE (class, key) IN
+				(SELECT class, key FROM record WHERE state = ? AND changed < ? LIMIT ?)`, string(state), now-kept.Microseconds(), limit-n)
+			if err != nil {
+				return err
+			}
+			n += affected(gone)
+		}
+		return s.save(ctx, tx, now)
+	})
+	if err != nil {
+		return 0, err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return n, s.each(ctx, fmt.Sprintf("PRAGMA incremental_vacuum(%d)", sweepPages), func(*sql.Rows) error { return nil })
+}
+
+func affected(r sql.Result) int {
+	n, _ := r.RowsAffected() // this driver has it always
+	return int(n)
+}
+
+// Gap implements record.Backend.
+func (s *Store) Gap(ctx context.Context, g idempotency.Gap) error {
+	return s.write(ctx, func(tx *sql.Tx) error {
+		if _, err := tx.ExecContext(ctx, "INSERT INTO gaps (owner, class, since, until, requests, cause) VALUES (?,?,?,?,?,?)",
+			g.Owner, g.Class, g.From, g.Until, g.Requests, g.Cause); err != nil {
+			return err
+		}
+		_, err := tx.ExecContext(ctx, "DELETE FROM gaps WHERE n <= (SELECT max(n) FROM gaps) - ?", maxGaps)
+		return err
+	})
+}
+
+// Check implements record.Backend.
+func (s *Store) Check(ctx context.Context) (found []string, err error) {
+	for _, q := range []string{"PRAGMA integrity_check(20)",
+		`SELECT 'row ' || class || ' ' || quote(key) || ': ' || CASE WHEN state NOT IN ('in-flight','answered','never-ran','may-have-run') THEN 'unknown state ' || quote(state)
+			WHEN length(body) <> 32 THEN 'fingerprint of ' || length(body) || ' bytes' WHEN token = '' THEN 'no token' ELSE 'answered without a status' END
+		FROM record WHERE ` + idempotency.InvalidRowCondition + ` LIMIT 20`} {
+		rows, err := s.db.QueryContext(ctx, q)
+		if err != nil {
+			return found, explain(err)
+		}
+		for rows.Next() {
+			var line string
+			if err := rows.Scan(&line); err != nil {
+				rows.Close()
+				return found, err
+			}
+			if line != "ok" {
+				found = append(found, line)
+			}
+		}
+		rows.Close()
+		if err := rows.Err(); err != nil {
+			return append(found, err.Error()), nil
+		}
+	}
+	return found, nil
+}
+
+// Compact implements record.Backend. It writes the file anew, and needs it alone.
+func (s *Store) Compact(ctx context.Context) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, q := range []string{"VACUUM", "PRAGMA wal_checkpoint(TRUNCATE)"} {
+		if _, err := s.db.ExecContext(ctx, q); err != nil {
+			return fmt.Errorf("record %s: %w", s.cfg.Path, explain(err))
+		}
+	}
+	return nil
+}
+
+// Ping implements record.Backend. It writes: a disk that only reads is no store.
+func (s *Store) Ping(ctx context.Context) error {
+	return s.write(ctx, func(tx *sql.Tx) error { return s.save(ctx, tx, s.clock.Time(time.Now())) })
+}
--- /dev/null
+++ b/internal/idempotency/sqlite/query.go
@@ -0,0 +1,60 @@
+package sqlite
+
+import (
+	"context"
+	"database/sql"
+	"strings"
+
+	"martendrum/internal/idempotency"
+	"martendrum/internal/sqlitefile"
+)
+
+// Get implements record.Backend.
+func (s *Store) Get(ctx context.Context, class, key string) (idempotency.Entry, error) {
+	row, err := scan(s.get.QueryRowContext(ctx, class, key))
+	return row, explain(err)
+}
+
+// List implements record.Backend.
+func (s *Store) List(ctx context.Context, f idempotency.Filter) (out []idempotency.Entry, err error) {
+	err = s.each(ctx, `SELECT `+strings.Replace(idempotency.Columns, "answer,", "x'' AS answer,", 1)+` FROM record
+		WHERE (?1 = '' OR state = ?1) AND (?2 = '' OR class = ?2) AND changed >= ?3 AND (class, key) > (?4, ?5)
+		ORDER BY class, key LIMIT ?6`, func(rows *sql.Rows) error {
+		var r idempotency.Entry
+		err := rows.Scan(r.Fields()...)
+		out = append(out, r)
+		return err
+	}, string(f.State), f.Class, f.ChangedSince, f.AfterClass, f.AfterKey, f.Limit)
+	return out, err
+}
+
+func (s *Store) each(ctx context.Context, q string, scan func(*sql.Rows) error, args ...any) error {
+	return explain(sqlitefile.ForInterval(ctx, s.db, q, scan, args...))
+}
+
+// Gaps implements record.Backend.
+func (s *Store) Gaps(ctx context.Context, limit int) (out []idempotency.Gap, err error) {
+	err = s.each(ctx, "SELECT owner, class, since, until, requests, cause FROM gaps ORDER BY n DESC LIMIT ?", func(rows *sql.Rows) error {
+		var g idempotency.Gap
+		err := rows.Scan(&g.Owner, &g.Class, &g.From, &g.Until, &g.Requests, &g.Cause)
+		out = append(out, g)
+		return err
+	}, limit)
+	return out, err
+}
+
+// Stats implements record.Backend.
+func (s *Store) Stats(ctx context.Context) (st idempotency.Stats, err error) {
+	st = idempotency.Stats{Rows: make(map[idempotency.State]int64), MaxBytes: s.limit * pageSize}
+	if err := s.pages.QueryRowContext(ctx).Scan(&st.Bytes); err != nil {
+		return st, explain(err)
+	}
+	st.Bytes *= pageSize
+	return st, s.each(ctx, "SELECT state, count(*) FROM record GROUP BY state", func(rows *sql.Rows) error {
+		var state idempotency.State
+		var n int64
+		err := rows.Scan(&state, &n)
+		st.Rows[state] = n
+		return err
+	})
+}
