--- a/cmd/sidecar/record.go
+++ b/cmd/sidecar/record.go
@@ -33,7 +33,7 @@
 	if c == nil {
 		return 0
 	}
-	return c.Config.Sockets()
+	return c.Config.MaxDescriptors()
 }
 
 func loadRecord(path string, set *settings.Settings, sockets int) (*recordConfig, error) {
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k, err := c.Keeper(set, sockets)
+	k, err := c.RecorderConfig(set, sockets)
 	return &recordConfig{c, k}, err
 }
 
--- a/internal/fleet/store/sqlite/sqlite.go
+++ b/internal/fleet/store/sqlite/sqlite.go
@@ -75,7 +75,7 @@
 func (s *Store) migrate(to int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	if err := sqlitefile.Sound(ctx, s.db); err != nil {
+	if err := sqlitefile.CheckIntegrity(ctx, s.db); err != nil {
 		return fmt.Errorf("it can't be read (%w): if it is damaged, move it and its -wal and -shm files aside; the agent then finds its sidecars by their environment and begins a new record", err)
 	}
 	return sqlitefile.Migrate(ctx, s.db, migrations, to)
@@ -158,7 +158,7 @@
 		{"SELECT " + store.LeaseColumns + " FROM leases ORDER BY instance", out.ReadLease},
 		{"SELECT " + store.SettingsColumns + " FROM settings ORDER BY key", out.ReadSettings},
 	} {
-		if err := sqlitefile.ForInterval(ctx, s.db, q.text, func(r *sql.Rows) error { return q.scan(r) }); err != nil {
+		if err := sqlitefile.ForEachRow(ctx, s.db, q.text, func(r *sql.Rows) error { return q.scan(r) }); err != nil {
 			return nil, fmt.Errorf("record %s: %w", s.path, err)
 		}
 	}
@@ -167,7 +167,7 @@
 
 // Audit implements store.Store.
 func (s *Store) Audit(ctx context.Context, limit int) (out []api.AuditEntry, err error) {
-	err = sqlitefile.ForInterval(ctx, s.db, "SELECT "+store.AuditColumns+" FROM audit ORDER BY n DESC LIMIT ?", func(r *sql.Rows) error {
+	err = sqlitefile.ForEachRow(ctx, s.db, "SELECT "+store.AuditColumns+" FROM audit ORDER BY n DESC LIMIT ?", func(r *sql.Rows) error {
 		a, err := store.ReadAudit(r)
 		out = append(out, a)
 		return err
--- a/internal/idempotency/postgres/postgres.go
+++ b/internal/idempotency/postgres/postgres.go
@@ -38,10 +38,10 @@
 
 const (
 	maxGaps = 1000
-	// maxRace is how often a transaction is made anew that another one overtook.
-	maxRace = 8
-	// clock is the database's time in microseconds since 1970.
-	clock = "CAST(date_part('epoch', clock_timestamp()) * 1000000 AS bigint)"
+	// maxRetries is how often a transaction is made anew that another one overtook.
+	maxRetries = 8
+	// nowMicros is the database's time in microseconds since 1970.
+	nowMicros = "CAST(date_part('epoch', clock_timestamp()) * 1000000 AS bigint)"
 )
 
 // Config says which database, and how it is used.
@@ -64,19 +64,19 @@
 		return nil, fmt.Errorf("record: %w", err)
 	}
 	s := &Store{db: db, columns: strings.Split(idempotency.Columns, ", ")}
-	s.statements()
+	s.buildStatements()
 	return s, nil
 }
 
-// types of the columns that are not text.
-var types = map[string]string{"body": "bytea", "header": "bytea", "answer": "bytea", "cut": "boolean", "attempts": "bigint", "began": "bigint",
+// columnTypes of the columns that are not text.
+var columnTypes = map[string]string{"body": "bytea", "header": "bytea", "answer": "bytea", "cut": "boolean", "attempts": "bigint", "began": "bigint",
 	"changed": "bigint", "expires": "bigint", "status": "bigint", "version": "bigint"}
 
-// statements writes the two that hold all columns.
-func (s *Store) statements() {
+// buildStatements writes the two that hold all columns.
+func (s *Store) buildStatements() {
 	var marks, sets []string
 	for n, c := range s.columns {
-		t := types[c]
+		t := columnTypes[c]
 		if t == "" {
 			t = "text"
 		}
@@ -98,9 +98,9 @@
 }
 
 // explain says what an operator can do, in the terms of record.Backend.
-func (s *Store) explain(err error) error { return inTerms(s.db.Explain(err)) }
+func (s *Store) explain(err error) error { return asStoreError(s.db.Explain(err)) }
 
-func inTerms(err error) error {
+func asStoreError(err error) error {
 	for from, to := range map[error]error{pg.ErrFull: idempotency.ErrFull, pg.ErrReadOnly: idempotency.ErrReadOnly, pg.ErrUnusable: idempotency.ErrUnusable} {
 		if errors.Is(err, from) {
 			return fmt.Errorf("record: %w: %w", to, err)
@@ -112,22 +112,22 @@
 	return err
 }
 
-func (s *Store) ready(ctx context.Context) error {
-	return inTerms(s.db.Ready(ctx))
+func (s *Store) awaitSchema(ctx context.Context) error {
+	return asStoreError(s.db.Ready(ctx))
 }
 
 // errRaced says that another transaction changed a row between read and write.
 var errRaced = errors.New("another transaction came first")
 
-// again says whether a transaction that ended with err is to be made anew: it was
+// mayRetry says whether a transaction that ended with err is to be made anew: it was
 // overtaken and surely undone, or its outcome is in doubt, which reading resolves.
-func again(err error, committing bool) bool {
+func mayRetry(err error, committing bool) bool {
 	return errors.Is(err, errRaced) || pg.Undone(err) || committing && pg.OutcomeUnknown(err)
 }
 
 // Apply implements record.Backend.
 func (s *Store) Apply(ctx context.Context, ops []*idempotency.Op) error {
-	if err := s.ready(ctx); err != nil {
+	if err := s.awaitSchema(ctx); err != nil {
 		return err
 	}
 	for n := 0; ; n++ {
@@ -138,7 +138,7 @@
 		for _, op := range ops {
 			op.Result = idempotency.NotApplied
 		}
-		if n >= maxRace || !again(err, committing) {
+		if n >= maxRetries || !mayRetry(err, committing) {
 			return s.explain(err)
 		}
 		t := time.NewTimer(time.Duration(rand.Int64N(int64(time.Millisecond) << min(n, 5))))
@@ -185,7 +185,7 @@
 			})
 		}
 		// Read last, when the locks are had: waiting for them takes time.
-		read.Queue("SELECT " + clock).QueryRow(func(r pgx.Row) error { return r.Scan(&now) })
+		read.Queue("SELECT " + nowMicros).QueryRow(func(r pgx.Row) error { return r.Scan(&now) })
 		if err := tx.SendBatch(ctx, read).Close(); err != nil {
 			return err
 		}
@@ -220,7 +220,7 @@
 
 // Get implements record.Backend.
 func (s *Store) Get(ctx context.Context, class, key string) (row idempotency.Entry, err error) {
-	if err := s.ready(ctx); err != nil {
+	if err := s.awaitSchema(ctx); err != nil {
 		return row, err
 	}
 	err = s.db.Pool.QueryRow(ctx, "SELECT "+idempotency.Columns+" FROM martendrum_record WHERE class = $1::text AND key = $2::text", class, key).Scan(row.Fields()...)
@@ -232,7 +232,7 @@
 
 // rows reads all rows of a query.
 func rows[T any](ctx context.Context, s *Store, scan func(*T) []any, q string, args ...any) (out []T, err error) {
-	if err := s.ready(ctx); err != nil {
+	if err := s.awaitSchema(ctx); err != nil {
 		return nil, err
 	}
 	r, err := s.db.Pool.Query(ctx, q, args...)
@@ -255,11 +255,11 @@
 
 // Sweep implements record.Backend.
 func (s *Store) Sweep(ctx context.Context, keep idempotency.Retention, limit int) (int, error) {
-	if err := s.ready(ctx); err != nil {
+	if err := s.awaitSchema(ctx); err != nil {
 		return 0, err
 	}
 	var now int64
-	if err := s.db.Pool.QueryRow(ctx, "SELECT "+clock).Scan(&now); err != nil {
+	if err := s.db.Pool.QueryRow(ctx, "SELECT "+nowMicros).Scan(&now); err != nil {
 		return 0, s.explain(err)
 	}
 	lapsed, err := s.db.Pool.Exec(ctx, `UPDATE martendrum_record SET `+idempotency.LapseAssignments+`, changed = $1::bigint WHERE state = 'in-flight' AND expires <= $1::bigint AND (class, key) IN
@@ -286,7 +286,7 @@
 
 // Gap implements record.Backend.
 func (s *Store) Gap(ctx context.Context, g idempotency.Gap) error {
-	if err := s.ready(ctx); err != nil {
+	if err := s.awaitSchema(ctx); err != nil {
 		return err
 	}
 	if _, err := s.db.Pool.Exec(ctx, `INSERT INTO martendrum_gaps (owner, class, since, until, requests, cause)
@@ -334,7 +334,7 @@
 
 // Compact implements record.Backend.
 func (s *Store) Compact(ctx context.Context) error {
-	if err := s.ready(ctx); err != nil {
+	if err := s.awaitSchema(ctx); err != nil {
 		return err
 	}
 	_, err := s.db.Pool.Exec(ctx, "VACUUM martendrum_record")
@@ -344,5 +344,5 @@
 // Ping implements record.Backend. It brings the schema up to date where that is due,
 // and asks whether the server takes writes.
 func (s *Store) Ping(ctx context.Context) error {
-	return inTerms(s.db.Writable(ctx))
+	return asStoreError(s.db.Writable(ctx))
 }
--- a/internal/idempotency/postgres/postgres_test.go
+++ b/internal/idempotency/postgres/postgres_test.go
@@ -97,11 +97,11 @@
 	}
 	srv := serve(t, pgserver.Config{})
 	s := mustOpen(t, config(srv.URL()))
-	if err := s.ready(ctx); err != nil {
+	if err := s.awaitSchema(ctx); err != nil {
 		t.Fatal(err)
 	}
 	s.db.Pool.Exec(ctx, "INSERT INTO martendrum_schema (version) VALUES ($1::bigint)", int64(99))
-	if err := mustOpen(t, config(srv.URL())).ready(ctx); err == nil || !strings.Contains(err.Error(), "newer build") {
+	if err := mustOpen(t, config(srv.URL())).awaitSchema(ctx); err == nil || !strings.Contains(err.Error(), "newer build") {
 		t.Error(err)
 	}
 }
--- a/internal/idempotency/sqlite/errors.go
+++ b/internal/idempotency/sqlite/errors.go
@@ -10,16 +10,16 @@
 	"martendrum/internal/idempotency"
 )
 
-func code(err error) int {
+func resultCode(err error) int {
 	if e, ok := errors.AsType[*driver.Error](err); ok {
 		return e.Code() & 0xff
 	}
 	return 0
 }
 
-// explain says what an operator can do about an error.
-func explain(err error) error {
-	switch code(err) {
+// withAdvice says what an operator can do about an error.
+func withAdvice(err error) error {
+	switch resultCode(err) {
 	case 0:
 		return err
 	case lib.SQLITE_FULL:
@@ -34,9 +34,9 @@
 	return err
 }
 
-func damaged(err error) error {
-	if code(err) == lib.SQLITE_BUSY || code(err) == lib.SQLITE_LOCKED {
-		return explain(err)
+func damagedError(err error) error {
+	if resultCode(err) == lib.SQLITE_BUSY || resultCode(err) == lib.SQLITE_LOCKED {
+		return withAdvice(err)
 	}
 	return fmt.Errorf("it can't be read (%w): if it is damaged, keep it with its -wal and -shm files for `martendrum record export`, move them aside and start again; keys that it held are then unknown", err)
 }
--- a/internal/idempotency/sqlite/maintenance.go
+++ b/internal/idempotency/sqlite/maintenance.go
@@ -11,7 +11,7 @@
 
 // Sweep implements record.Backend.
 func (s *Store) Sweep(ctx context.Context, keep idempotency.Retention, limit int) (n int, err error) {
-	err = s.write(ctx, func(tx *sql.Tx) error {
+	err = s.transact(ctx, func(tx *sql.Tx) error {
 		n = 0
 		now := s.clock.Time(time.Now())
 		lapsed, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.LapseAssignments+`, changed = ?1 WHERE (class, key) IN
@@ -32,14 +32,14 @@
 			}
 			n += affected(gone)
 		}
-		return s.save(ctx, tx, now)
+		return s.saveClock(ctx, tx, now)
 	})
 	if err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return n, s.each(ctx, fmt.Sprintf("PRAGMA incremental_vacuum(%d)", sweepPages), func(*sql.Rows) error { return nil })
+	return n, s.query(ctx, fmt.Sprintf("PRAGMA incremental_vacuum(%d)", maxSweptPages), func(*sql.Rows) error { return nil })
 }
 
 func affected(r sql.Result) int {
@@ -49,7 +49,7 @@
 
 // Gap implements record.Backend.
 func (s *Store) Gap(ctx context.Context, g idempotency.Gap) error {
-	return s.write(ctx, func(tx *sql.Tx) error {
+	return s.transact(ctx, func(tx *sql.Tx) error {
 		if _, err := tx.ExecContext(ctx, "INSERT INTO gaps (owner, class, since, until, requests, cause) VALUES (?,?,?,?,?,?)",
 			g.Owner, g.Class, g.From, g.Until, g.Requests, g.Cause); err != nil {
 			return err
@@ -67,7 +67,7 @@
 		FROM record WHERE ` + idempotency.InvalidRowCondition + ` LIMIT 20`} {
 		rows, err := s.db.QueryContext(ctx, q)
 		if err != nil {
-			return found, explain(err)
+			return found, withAdvice(err)
 		}
 		for rows.Next() {
 			var line string
@@ -93,7 +93,7 @@
 	defer s.mu.Unlock()
 	for _, q := range []string{"VACUUM", "PRAGMA wal_checkpoint(TRUNCATE)"} {
 		if _, err := s.db.ExecContext(ctx, q); err != nil {
-			return fmt.Errorf("record %s: %w", s.cfg.Path, explain(err))
+			return fmt.Errorf("record %s: %w", s.config.Path, withAdvice(err))
 		}
 	}
 	return nil
@@ -101,5 +101,5 @@
 
 // Ping implements record.Backend. It writes: a disk that only reads is no store.
 func (s *Store) Ping(ctx context.Context) error {
-	return s.write(ctx, func(tx *sql.Tx) error { return s.save(ctx, tx, s.clock.Time(time.Now())) })
+	return s.transact(ctx, func(tx *sql.Tx) error { return s.saveClock(ctx, tx, s.clock.Time(time.Now())) })
 }
--- a/internal/idempotency/sqlite/ownership.go
+++ b/internal/idempotency/sqlite/ownership.go
@@ -9,9 +9,9 @@
 	"martendrum/internal/filelock"
 )
 
-// own takes the lock file, which the kernel frees when the process ends.
-func (s *Store) own() error {
-	f, err := filelock.Acquire(s.cfg.Path+".lock", 0o600)
+// acquireLock takes the lock file, which the kernel frees when the process ends.
+func (s *Store) acquireLock() error {
+	f, err := filelock.Acquire(s.config.Path+".lock", 0o600)
 	if errors.Is(err, filelock.ErrLocked) {
 		holder := make([]byte, 32)
 		n, _ := f.Read(holder)
@@ -27,13 +27,13 @@
 	return nil
 }
 
-// share checks an ownership that was passed on: it must be of this file, and held.
-func (s *Store) share() error {
+// adoptLock checks an ownership that was passed on: it must be of this file, and held.
+func (s *Store) adoptLock() error {
 	got, err := s.lock.Stat()
 	if err != nil {
 		return err
 	}
-	want, err := os.Stat(s.cfg.Path + ".lock")
+	want, err := os.Stat(s.config.Path + ".lock")
 	if err != nil {
 		return err
 	}
--- a/internal/idempotency/sqlite/query.go
+++ b/internal/idempotency/sqlite/query.go
@@ -11,13 +11,13 @@
 
 // Get implements record.Backend.
 func (s *Store) Get(ctx context.Context, class, key string) (idempotency.Entry, error) {
-	row, err := scan(s.get.QueryRowContext(ctx, class, key))
-	return row, explain(err)
+	row, err := scanEntry(s.getEntry.QueryRowContext(ctx, class, key))
+	return row, withAdvice(err)
 }
 
 // List implements record.Backend.
 func (s *Store) List(ctx context.Context, f idempotency.Filter) (out []idempotency.Entry, err error) {
-	err = s.each(ctx, `SELECT `+strings.Replace(idempotency.Columns, "answer,", "x'' AS answer,", 1)+` FROM record
+	err = s.query(ctx, `SELECT `+strings.Replace(idempotency.Columns, "answer,", "x'' AS answer,", 1)+` FROM record
 		WHERE (?1 = '' OR state = ?1) AND (?2 = '' OR class = ?2) AND changed >= ?3 AND (class, key) > (?4, ?5)
 		ORDER BY class, key LIMIT ?6`, func(rows *sql.Rows) error {
 		var r idempotency.Entry
@@ -28,13 +28,13 @@
 	return out, err
 }
 
-func (s *Store) each(ctx context.Context, q string, scan func(*sql.Rows) error, args ...any) error {
-	return explain(sqlitefile.ForInterval(ctx, s.db, q, scan, args...))
+func (s *Store) query(ctx context.Context, q string, scan func(*sql.Rows) error, args ...any) error {
+	return withAdvice(sqlitefile.ForEachRow(ctx, s.db, q, scan, args...))
 }
 
 // Gaps implements record.Backend.
 func (s *Store) Gaps(ctx context.Context, limit int) (out []idempotency.Gap, err error) {
-	err = s.each(ctx, "SELECT owner, class, since, until, requests, cause FROM gaps ORDER BY n DESC LIMIT ?", func(rows *sql.Rows) error {
+	err = s.query(ctx, "SELECT owner, class, since, until, requests, cause FROM gaps ORDER BY n DESC LIMIT ?", func(rows *sql.Rows) error {
 		var g idempotency.Gap
 		err := rows.Scan(&g.Owner, &g.Class, &g.From, &g.Until, &g.Requests, &g.Cause)
 		out = append(out, g)
@@ -45,12 +45,12 @@
 
 // Stats implements record.Backend.
 func (s *Store) Stats(ctx context.Context) (st idempotency.Stats, err error) {
-	st = idempotency.Stats{Rows: make(map[idempotency.State]int64), MaxBytes: s.limit * pageSize}
-	if err := s.pages.QueryRowContext(ctx).Scan(&st.Bytes); err != nil {
-		return st, explain(err)
+	st = idempotency.Stats{Rows: make(map[idempotency.State]int64), MaxBytes: s.maxPages * pageSize}
+	if err := s.countPages.QueryRowContext(ctx).Scan(&st.Bytes); err != nil {
+		return st, withAdvice(err)
 	}
 	st.Bytes *= pageSize
-	return st, s.each(ctx, "SELECT state, count(*) FROM record GROUP BY state", func(rows *sql.Rows) error {
+	return st, s.query(ctx, "SELECT state, count(*) FROM record GROUP BY state", func(rows *sql.Rows) error {
 		var state idempotency.State
 		var n int64
 		err := rows.Scan(&state, &n)
--- a/internal/idempotency/sqlite/schema.go
+++ b/internal/idempotency/sqlite/schema.go
@@ -30,31 +30,31 @@
 var Version = len(migrations)
 
 func (s *Store) migrate(ctx context.Context, to int) error {
-	if s.cfg.Owner && s.cfg.Lock == nil {
-		if err := sqlitefile.Sound(ctx, s.db); err != nil {
-			return damaged(err)
+	if s.config.Owner && s.config.Lock == nil {
+		if err := sqlitefile.CheckIntegrity(ctx, s.db); err != nil {
+			return damagedError(err)
 		}
-		return explain(sqlitefile.Migrate(ctx, s.db, migrations, to))
+		return withAdvice(sqlitefile.Migrate(ctx, s.db, migrations, to))
 	}
 	// Others may look into what is left of a damaged file, and leave the schema alone.
 	var have int
 	if err := s.db.QueryRowContext(ctx, "PRAGMA user_version").Scan(&have); err != nil {
-		return damaged(err)
+		return damagedError(err)
 	}
 	if have < to {
 		return fmt.Errorf("its schema is version %d, this build's %d: start the sidecar first, which brings it up to date", have, Version)
 	}
-	return sqlitefile.TooNew(have, Version)
+	return sqlitefile.CheckVersion(have, Version)
 }
 
-// begin takes up where the last owner stopped.
-func (s *Store) begin(ctx context.Context) error {
+// prepare takes up where the last owner stopped.
+func (s *Store) prepare(ctx context.Context) error {
 	var saved int64
 	if err := s.db.QueryRowContext(ctx, "SELECT value FROM meta WHERE name = 'clock'").Scan(&saved); err != nil && !errors.Is(err, sql.ErrNoRows) {
 		return err
 	}
 	wall := time.Now()
-	s.clock = idempotency.NewClock(saved, wall, s.cfg.Retention)
+	s.clock = idempotency.NewClock(saved, wall, s.config.Retention)
 	var err error
 	prepare := func(q string) (st *sql.Stmt) {
 		if err == nil {
@@ -62,24 +62,24 @@
 		}
 		return st
 	}
-	s.get = prepare("SELECT " + idempotency.Columns + " FROM record WHERE class = ? AND key = ?")
-	s.put = prepare("INSERT OR REPLACE INTO record (" + idempotency.Columns + ") VALUES (?" + strings.Repeat(",?", strings.Count(idempotency.Columns, ",")) + ")")
-	s.pages = prepare("SELECT p.page_count - f.freelist_count FROM pragma_page_count p, pragma_freelist_count f")
-	if err != nil || !s.cfg.Owner || s.cfg.Lock != nil {
+	s.getEntry = prepare("SELECT " + idempotency.Columns + " FROM record WHERE class = ? AND key = ?")
+	s.putEntry = prepare("INSERT OR REPLACE INTO record (" + idempotency.Columns + ") VALUES (?" + strings.Repeat(",?", strings.Count(idempotency.Columns, ",")) + ")")
+	s.countPages = prepare("SELECT p.page_count - f.freelist_count FROM pragma_page_count p, pragma_freelist_count f")
+	if err != nil || !s.config.Owner || s.config.Lock != nil {
 		return err
 	}
 	// The former owner is dead: its lock was free. What Lapse says of one row is said
 	// here of all.
 	now := s.clock.Time(wall)
-	return s.write(ctx, func(tx *sql.Tx) error {
+	return s.transact(ctx, func(tx *sql.Tx) error {
 		if _, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.LapseAssignments+`, changed = ? WHERE state = 'in-flight'`, now); err != nil {
 			return err
 		}
-		return s.save(ctx, tx, now)
+		return s.saveClock(ctx, tx, now)
 	})
 }
 
-func (s *Store) save(ctx context.Context, tx *sql.Tx, now int64) error {
+func (s *Store) saveClock(ctx context.Context, tx *sql.Tx, now int64) error {
 	_, err := tx.ExecContext(ctx, "INSERT OR REPLACE INTO meta (name, value) VALUES ('clock', ?)", now)
 	return err
 }
--- a/internal/idempotency/sqlite/sqlite.go
+++ b/internal/idempotency/sqlite/sqlite.go
@@ -24,11 +24,11 @@
 	minPages = 64
 	// Part of the bound is left for what ends requests under way: new claims are
 	// turned away as full before that.
-	claimRoom = 0.9
-	maxGaps   = 1000
-	// sweepPages are given back to the file system by one Sweep.
-	sweepPages = 64
-	maxStart   = 30 * time.Second
+	maxClaimUsage = 0.9
+	maxGaps       = 1000
+	// maxSweptPages are given back to the file system by one Sweep.
+	maxSweptPages = 64
+	openTimeout   = 30 * time.Second
 )
 
 // Config says which file, and how it is used.
@@ -47,18 +47,18 @@
 
 // Store is a record in a file.
 type Store struct {
-	cfg  Config
-	db   *sql.DB
-	lock *os.File
+	config Config
+	db     *sql.DB
+	lock   *os.File
 	// shared says that another process owns the file together with this one, or did.
-	shared atomic.Bool
-	clock  idempotency.Clock
-	limit  int64 // pages
+	shared   atomic.Bool
+	clock    idempotency.Clock
+	maxPages int64 // pages
 
-	mu    sync.Mutex // one writer; guards the prepared statements
-	get   *sql.Stmt
-	put   *sql.Stmt
-	pages *sql.Stmt
+	mu         sync.Mutex // one writer; guards the prepared statements
+	getEntry   *sql.Stmt
+	putEntry   *sql.Stmt
+	countPages *sql.Stmt
 }
 
 // Open opens the file, makes it if there is none, and brings its schema up to date.
@@ -66,9 +66,9 @@
 func Open(ctx context.Context, cfg Config) (*Store, error) { return open(ctx, cfg, Version) }
 
 func open(ctx context.Context, cfg Config, version int) (_ *Store, err error) {
-	ctx, cancel := context.WithTimeout(ctx, maxStart)
+	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
-	s := &Store{cfg: cfg, limit: max(cfg.MaxBytes/pageSize, minPages)}
+	s := &Store{config: cfg, maxPages: max(cfg.MaxBytes/pageSize, minPages)}
 	defer func() {
 		if err != nil {
 			s.Close()
@@ -78,18 +78,18 @@
 	if cfg.Lock != nil {
 		s.lock = cfg.Lock
 		s.shared.Store(true)
-		if err := s.share(); err != nil {
+		if err := s.adoptLock(); err != nil {
 			return nil, err
 		}
 	} else if cfg.Owner {
-		if err := s.own(); err != nil {
+		if err := s.acquireLock(); err != nil {
 			return nil, err
 		}
 	} else if _, err := os.Stat(cfg.Path); err != nil {
 		return nil, fmt.Errorf("there is no such file; a sidecar makes it at its first start: %w", err)
 	}
 	if s.db, err = sqlitefile.Open(cfg.Path, "busy_timeout(3000)", "auto_vacuum(2)", "journal_mode(WAL)", "synchronous(FULL)",
-		fmt.Sprintf("max_page_count(%d)", s.limit), "journal_size_limit(4194304)", "cache_size(-1024)"); err != nil {
+		fmt.Sprintf("max_page_count(%d)", s.maxPages), "journal_size_limit(4194304)", "cache_size(-1024)"); err != nil {
 		return nil, err
 	}
 	s.db.SetMaxOpenConns(2) // one writes, one reads
@@ -99,8 +99,8 @@
 	if version < Version {
 		return s, nil
 	}
-	if err := s.begin(ctx); err != nil {
-		return nil, explain(err)
+	if err := s.prepare(ctx); err != nil {
+		return nil, withAdvice(err)
 	}
 	return s, nil
 }
--- a/internal/sqlitefile/sqlitefile.go
+++ b/internal/sqlitefile/sqlitefile.go
@@ -19,8 +19,8 @@
 	return sql.Open("sqlite", "file:"+(&url.URL{Path: path}).EscapedPath()+"?"+q.Encode())
 }
 
-// Sound looks the file over for damage, in proportion to its size.
-func Sound(ctx context.Context, db *sql.DB) error {
+// CheckIntegrity looks the file over for damage, in proportion to its size.
+func CheckIntegrity(ctx context.Context, db *sql.DB) error {
 	var ok string
 	err := db.QueryRowContext(ctx, "PRAGMA quick_check(1)").Scan(&ok)
 	if err == nil && ok != "ok" {
@@ -29,8 +29,8 @@
 	return err
 }
 
-// TooNew is the error of a schema that a newer build wrote, nil if this build knows it.
-func TooNew(have, known int) error {
+// CheckVersion is the error of a schema that a newer build wrote, nil if this build knows it.
+func CheckVersion(have, known int) error {
 	if have <= known {
 		return nil
 	}
@@ -49,7 +49,7 @@
 	if err := tx.QueryRowContext(ctx, "PRAGMA user_version").Scan(&have); err != nil {
 		return err
 	}
-	if err := TooNew(have, len(migrations)); err != nil {
+	if err := CheckVersion(have, len(migrations)); err != nil {
 		return err
 	}
 	if have >= to {
@@ -66,8 +66,8 @@
 	return tx.Commit()
 }
 
-// ForInterval reads the rows of a query, of which scan takes each.
-func ForInterval(ctx context.Context, db *sql.DB, q string, scan func(*sql.Rows) error, args ...any) error {
+// ForEachRow reads the rows of a query, of which scan takes each.
+func ForEachRow(ctx context.Context, db *sql.DB, q string, scan func(*sql.Rows) error, args ...any) error {
 	rows, err := db.QueryContext(ctx, q, args...)
 	if err != nil {
 		return err
