--- a/internal/idempotency/sqlite/apply.go
+++ b/internal/idempotency/sqlite/apply.go
@@ -10,6 +10,7 @@
 	"martendrum/internal/idempotency"
 )
 
+// transact runs do in a transaction, one at a time.
 func (s *Store) transact(ctx context.Context, do func(tx *sql.Tx) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,32 +25,9 @@
 	return withAdvice(tx.Commit())
 }
 
-// Apply implements record.Backend.
+// Apply implements idempotency.Backend.
 func (s *Store) Apply(ctx context.Context, ops []*idempotency.Op) error {
-	err := s.transact(ctx, func(tx *sql.Tx) error {
-		get, put := tx.StmtContext(ctx, s.getEntry), tx.StmtContext(ctx, s.putEntry)
-		now := s.clock.Time(time.Now())
-		var used int64
-		if err := tx.StmtContext(ctx, s.countPages).QueryRowContext(ctx).Scan(&used); err != nil {
-			return err
-		}
-		full := float64(used) > maxClaimUsage*float64(s.maxPages)
-		for _, op := range ops {
-			if full && op.Kind == idempotency.Claim {
-				return fmt.Errorf("%w: %d of %d pages are used; raise its bound, or settle and drop", idempotency.ErrFull, used, s.maxPages)
-			}
-			row, err := scanEntry(get.QueryRowContext(ctx, op.Class, op.Key))
-			if err != nil {
-				return err
-			}
-			if idempotency.Apply(&row, now, op) {
-				if _, err := put.ExecContext(ctx, row.Values()...); err != nil {
-					return err
-				}
-			}
-		}
-		return nil
-	})
+	err := s.transact(ctx, func(tx *sql.Tx) error { return s.applyAll(ctx, tx, ops) })
 	if err != nil {
 		for _, op := range ops {
 			op.Result = idempotency.NotApplied
@@ -59,9 +37,37 @@
 	return nil
 }
 
-func scanEntry(r *sql.Row) (row idempotency.Entry, err error) {
-	if err = r.Scan(row.Fields()...); errors.Is(err, sql.ErrNoRows) {
+// applyAll applies ops in order. It fails at the first claim if the file is nearly full.
+func (s *Store) applyAll(ctx context.Context, tx *sql.Tx, ops []*idempotency.Op) error {
+	get, put := tx.StmtContext(ctx, s.getEntry), tx.StmtContext(ctx, s.putEntry)
+	now := s.clock.Time(time.Now())
+	var used int64
+	if err := tx.StmtContext(ctx, s.countPages).QueryRowContext(ctx).Scan(&used); err != nil {
+		return err
+	}
+	full := float64(used) > maxClaimUsage*float64(s.maxPages)
+	for _, op := range ops {
+		if full && op.Kind == idempotency.Claim {
+			return fmt.Errorf("%w: %d of %d pages are used; raise its bound, or settle and drop", idempotency.ErrFull, used, s.maxPages)
+		}
+		entry, err := scanEntry(get.QueryRowContext(ctx, op.Class, op.Key))
+		if err != nil {
+			return err
+		}
+		if !idempotency.Apply(&entry, now, op) {
+			continue
+		}
+		if _, err := put.ExecContext(ctx, entry.Values()...); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// scanEntry reads an entry, the zero Entry if there is none.
+func scanEntry(row *sql.Row) (entry idempotency.Entry, err error) {
+	if err = row.Scan(entry.Fields()...); errors.Is(err, sql.ErrNoRows) {
 		return idempotency.Entry{}, nil
 	}
-	return row, err
+	return entry, err
 }
--- a/internal/idempotency/sqlite/maintenance.go
+++ b/internal/idempotency/sqlite/maintenance.go
@@ -9,8 +9,8 @@
 	"martendrum/internal/idempotency"
 )
 
-// Sweep implements record.Backend.
-func (s *Store) Sweep(ctx context.Context, keep idempotency.Retention, limit int) (n int, err error) {
+// Sweep implements idempotency.Backend.
+func (s *Store) Sweep(ctx context.Context, retention idempotency.Retention, limit int) (n int, err error) {
 	err = s.transact(ctx, func(tx *sql.Tx) error {
 		n = 0
 		now := s.clock.Time(time.Now())
@@ -21,16 +21,16 @@
 		}
 		n += affected(lapsed)
 		for _, state := range idempotency.States {
-			kept := keep.For(state)
-			if kept <= 0 || n >= limit {
+			period := retention.For(state)
+			if period <= 0 || n >= limit {
 				continue
 			}
-			gone, err := tx.ExecContext(ctx, `DELETE FROM record WHERE (class, key) IN
-				(SELECT class, key FROM record WHERE state = ? AND changed < ? LIMIT ?)`, string(state), now-kept.Microseconds(), limit-n)
+			dropped, err := tx.ExecContext(ctx, `DELETE FROM record WHERE (class, key) IN
+				(SELECT class, key FROM record WHERE state = ? AND changed < ? LIMIT ?)`, string(state), now-period.Microseconds(), limit-n)
 			if err != nil {
 				return err
 			}
-			n += affected(gone)
+			n += affected(dropped)
 		}
 		return s.saveClock(ctx, tx, now)
 	})
@@ -42,16 +42,17 @@
 	return n, s.query(ctx, fmt.Sprintf("PRAGMA incremental_vacuum(%d)", maxSweptPages), func(*sql.Rows) error { return nil })
 }
 
-func affected(r sql.Result) int {
-	n, _ := r.RowsAffected() // this driver has it always
+// affected is the number of rows that a statement changed.
+func affected(result sql.Result) int {
+	n, _ := result.RowsAffected() // this driver never fails
 	return int(n)
 }
 
-// Gap implements record.Backend.
-func (s *Store) Gap(ctx context.Context, g idempotency.Gap) error {
+// Gap implements idempotency.Backend.
+func (s *Store) Gap(ctx context.Context, gap idempotency.Gap) error {
 	return s.transact(ctx, func(tx *sql.Tx) error {
 		if _, err := tx.ExecContext(ctx, "INSERT INTO gaps (owner, class, since, until, requests, cause) VALUES (?,?,?,?,?,?)",
-			g.Owner, g.Class, g.From, g.Until, g.Requests, g.Cause); err != nil {
+			gap.Owner, gap.Class, gap.From, gap.Until, gap.Requests, gap.Cause); err != nil {
 			return err
 		}
 		_, err := tx.ExecContext(ctx, "DELETE FROM gaps WHERE n <= (SELECT max(n) FROM gaps) - ?", maxGaps)
@@ -59,13 +60,13 @@
 	})
 }
 
-// Check implements record.Backend.
+// Check implements idempotency.Backend.
 func (s *Store) Check(ctx context.Context) (found []string, err error) {
-	for _, q := range []string{"PRAGMA integrity_check(20)",
+	for _, query := range []string{"PRAGMA integrity_check(20)",
 		`SELECT 'row ' || class || ' ' || quote(key) || ': ' || CASE WHEN state NOT IN ('in-flight','answered','never-ran','may-have-run') THEN 'unknown state ' || quote(state)
 			WHEN length(body) <> 32 THEN 'fingerprint of ' || length(body) || ' bytes' WHEN token = '' THEN 'no token' ELSE 'answered without a status' END
 		FROM record WHERE ` + idempotency.InvalidRowCondition + ` LIMIT 20`} {
-		rows, err := s.db.QueryContext(ctx, q)
+		rows, err := s.db.QueryContext(ctx, query)
 		if err != nil {
 			return found, withAdvice(err)
 		}
@@ -87,19 +88,21 @@
 	return found, nil
 }
 
-// Compact implements record.Backend. It writes the file anew, and needs it alone.
+// Compact implements idempotency.Backend. It rewrites the file, which no other
+// process may have open.
 func (s *Store) Compact(ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, q := range []string{"VACUUM", "PRAGMA wal_checkpoint(TRUNCATE)"} {
-		if _, err := s.db.ExecContext(ctx, q); err != nil {
+	for _, statement := range []string{"VACUUM", "PRAGMA wal_checkpoint(TRUNCATE)"} {
+		if _, err := s.db.ExecContext(ctx, statement); err != nil {
 			return fmt.Errorf("record %s: %w", s.config.Path, withAdvice(err))
 		}
 	}
 	return nil
 }
 
-// Ping implements record.Backend. It writes: a disk that only reads is no store.
+// Ping implements idempotency.Backend. It writes, as a read-only disk is of
+// no use.
 func (s *Store) Ping(ctx context.Context) error {
 	return s.transact(ctx, func(tx *sql.Tx) error { return s.saveClock(ctx, tx, s.clock.Time(time.Now())) })
 }
--- a/internal/idempotency/sqlite/query.go
+++ b/internal/idempotency/sqlite/query.go
@@ -9,30 +9,31 @@
 	"martendrum/internal/sqlitefile"
 )
 
-// Get implements record.Backend.
+// Get implements idempotency.Backend.
 func (s *Store) Get(ctx context.Context, class, key string) (idempotency.Entry, error) {
-	row, err := scanEntry(s.getEntry.QueryRowContext(ctx, class, key))
-	return row, withAdvice(err)
+	entry, err := scanEntry(s.getEntry.QueryRowContext(ctx, class, key))
+	return entry, withAdvice(err)
 }
 
-// List implements record.Backend.
-func (s *Store) List(ctx context.Context, f idempotency.Filter) (out []idempotency.Entry, err error) {
+// List implements idempotency.Backend.
+func (s *Store) List(ctx context.Context, filter idempotency.Filter) (out []idempotency.Entry, err error) {
 	err = s.query(ctx, `SELECT `+strings.Replace(idempotency.Columns, "answer,", "x'' AS answer,", 1)+` FROM record
 		WHERE (?1 = '' OR state = ?1) AND (?2 = '' OR class = ?2) AND changed >= ?3 AND (class, key) > (?4, ?5)
 		ORDER BY class, key LIMIT ?6`, func(rows *sql.Rows) error {
-		var r idempotency.Entry
-		err := rows.Scan(r.Fields()...)
-		out = append(out, r)
+		var entry idempotency.Entry
+		err := rows.Scan(entry.Fields()...)
+		out = append(out, entry)
 		return err
-	}, string(f.State), f.Class, f.ChangedSince, f.AfterClass, f.AfterKey, f.Limit)
+	}, string(filter.State), filter.Class, filter.ChangedSince, filter.AfterClass, filter.AfterKey, filter.Limit)
 	return out, err
 }
 
-func (s *Store) query(ctx context.Context, q string, scan func(*sql.Rows) error, args ...any) error {
-	return withAdvice(sqlitefile.ForEachRow(ctx, s.db, q, scan, args...))
+// query calls scan for each row of a query.
+func (s *Store) query(ctx context.Context, query string, scan func(*sql.Rows) error, args ...any) error {
+	return withAdvice(sqlitefile.ForEachRow(ctx, s.db, query, scan, args...))
 }
 
-// Gaps implements record.Backend.
+// Gaps implements idempotency.Backend.
 func (s *Store) Gaps(ctx context.Context, limit int) (out []idempotency.Gap, err error) {
 	err = s.query(ctx, "SELECT owner, class, since, until, requests, cause FROM gaps ORDER BY n DESC LIMIT ?", func(rows *sql.Rows) error {
 		var g idempotency.Gap
@@ -43,18 +44,18 @@
 	return out, err
 }
 
-// Stats implements record.Backend.
-func (s *Store) Stats(ctx context.Context) (st idempotency.Stats, err error) {
-	st = idempotency.Stats{Rows: make(map[idempotency.State]int64), MaxBytes: s.maxPages * pageSize}
-	if err := s.countPages.QueryRowContext(ctx).Scan(&st.Bytes); err != nil {
-		return st, withAdvice(err)
+// Stats implements idempotency.Backend.
+func (s *Store) Stats(ctx context.Context) (stats idempotency.Stats, err error) {
+	stats = idempotency.Stats{Rows: make(map[idempotency.State]int64), MaxBytes: s.maxPages * pageSize}
+	if err := s.countPages.QueryRowContext(ctx).Scan(&stats.Bytes); err != nil {
+		return stats, withAdvice(err)
 	}
-	st.Bytes *= pageSize
-	return st, s.query(ctx, "SELECT state, count(*) FROM record GROUP BY state", func(rows *sql.Rows) error {
+	stats.Bytes *= pageSize
+	return stats, s.query(ctx, "SELECT state, count(*) FROM record GROUP BY state", func(rows *sql.Rows) error {
 		var state idempotency.State
 		var n int64
 		err := rows.Scan(&state, &n)
-		st.Rows[state] = n
+		stats.Rows[state] = n
 		return err
 	})
 }
--- a/internal/idempotency/sqlite/schema.go
+++ b/internal/idempotency/sqlite/schema.go
@@ -12,8 +12,8 @@
 	"martendrum/internal/sqlitefile"
 )
 
-// migrations bring a file from version n to n+1. They are never changed once
-// released: a file may be at any of them.
+// migrations[n] brings a file from schema version n to n+1. Released ones are never
+// changed: a file may have any version.
 var migrations = []string{
 	`CREATE TABLE record (
 		class TEXT NOT NULL, key TEXT NOT NULL, state TEXT NOT NULL, body BLOB NOT NULL, owner TEXT NOT NULL, token TEXT NOT NULL,
@@ -26,28 +26,33 @@
 		until INTEGER NOT NULL, requests INTEGER NOT NULL, cause TEXT NOT NULL);`,
 }
 
-// Version is the schema's that this build reads and writes.
+// Version is the schema version that this build reads and writes.
 var Version = len(migrations)
 
+// migrate checks the file and, for its sole owner, brings the schema to a version.
 func (s *Store) migrate(ctx context.Context, to int) error {
 	if s.config.Owner && s.config.Lock == nil {
 		if err := sqlitefile.CheckIntegrity(ctx, s.db); err != nil {
-			return damagedError(err)
+			return unreadable(err)
 		}
 		return withAdvice(sqlitefile.Migrate(ctx, s.db, migrations, to))
 	}
-	// Others may look into what is left of a damaged file, and leave the schema alone.
+	// A reader may open a damaged file to save what is left. Only the sole owner migrates.
 	var have int
 	if err := s.db.QueryRowContext(ctx, "PRAGMA user_version").Scan(&have); err != nil {
-		return damagedError(err)
+		return unreadable(err)
 	}
 	if have < to {
-		return fmt.Errorf("its schema is version %d, this build's %d: start the sidecar first, which brings it up to date", have, Version)
+		return &FileError{
+			Problem: fmt.Errorf("its schema is version %d, this build's %d", have, Version),
+			Next:    "start the sidecar first, which brings it up to date",
+		}
 	}
 	return sqlitefile.CheckVersion(have, Version)
 }
 
-// prepare takes up where the last owner stopped.
+// prepare sets the clock and the prepared statements and, for a sole owner, settles what
+// the previous owner left in flight.
 func (s *Store) prepare(ctx context.Context) error {
 	var saved int64
 	if err := s.db.QueryRowContext(ctx, "SELECT value FROM meta WHERE name = 'clock'").Scan(&saved); err != nil && !errors.Is(err, sql.ErrNoRows) {
@@ -55,21 +60,11 @@
 	}
 	wall := time.Now()
 	s.clock = idempotency.NewClock(saved, wall, s.config.Retention)
-	var err error
-	prepare := func(q string) (st *sql.Stmt) {
-		if err == nil {
-			st, err = s.db.PrepareContext(ctx, q)
-		}
-		return st
-	}
-	s.getEntry = prepare("SELECT " + idempotency.Columns + " FROM record WHERE class = ? AND key = ?")
-	s.putEntry = prepare("INSERT OR REPLACE INTO record (" + idempotency.Columns + ") VALUES (?" + strings.Repeat(",?", strings.Count(idempotency.Columns, ",")) + ")")
-	s.countPages = prepare("SELECT p.page_count - f.freelist_count FROM pragma_page_count p, pragma_freelist_count f")
-	if err != nil || !s.config.Owner || s.config.Lock != nil {
+	if err := s.prepareStatements(ctx); err != nil || !s.config.Owner || s.config.Lock != nil {
 		return err
 	}
-	// The former owner is dead: its lock was free. What Lapse says of one row is said
-	// here of all.
+	// The previous owner has ended, as its lock was free: its entries in flight lapse, as
+	// Entry.Lapse does for one.
 	now := s.clock.Time(wall)
 	return s.transact(ctx, func(tx *sql.Tx) error {
 		if _, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.LapseAssignments+`, changed = ? WHERE state = 'in-flight'`, now); err != nil {
@@ -79,6 +74,20 @@
 	})
 }
 
+func (s *Store) prepareStatements(ctx context.Context) (err error) {
+	prepare := func(query string) (statement *sql.Stmt) {
+		if err == nil {
+			statement, err = s.db.PrepareContext(ctx, query)
+		}
+		return statement
+	}
+	s.getEntry = prepare("SELECT " + idempotency.Columns + " FROM record WHERE class = ? AND key = ?")
+	s.putEntry = prepare("INSERT OR REPLACE INTO record (" + idempotency.Columns + ") VALUES (?" + strings.Repeat(",?", strings.Count(idempotency.Columns, ",")) + ")")
+	s.countPages = prepare("SELECT p.page_count - f.freelist_count FROM pragma_page_count p, pragma_freelist_count f")
+	return err
+}
+
+// saveClock stores the clock, which continues from there after a restart.
 func (s *Store) saveClock(ctx context.Context, tx *sql.Tx, now int64) error {
 	_, err := tx.ExecContext(ctx, "INSERT OR REPLACE INTO meta (name, value) VALUES ('clock', ?)", now)
 	return err
--- a/internal/idempotency/sqlite/sqlite.go
+++ b/internal/idempotency/sqlite/sqlite.go
@@ -1,7 +1,8 @@
-// Package sqlite keeps a sidecar's record in a SQLite file: write-ahead log, full
-// synchronous, a bounded size. One sidecar owns a file; `martendrum record` may read
-// and settle in it meanwhile. Each Apply is one transaction and one sync, so that
-// requests brought together share it.
+// Package sqlite is an idempotency store in a SQLite file of bounded size, with a
+// write-ahead log that is synced at each commit. One sidecar owns a file;
+// `martendrum record` may read it and settle entries meanwhile. Each Apply is one
+// transaction and one sync, which the ops of a batch share. What an op does to an entry
+// is decided by package idempotency.
 package sqlite
 
 import (
@@ -20,79 +21,74 @@
 
 const (
 	pageSize = 4096
-	// minPages is the least bound: an empty schema and a few rows.
+	// minPages is the smallest bound: an empty schema and a few entries.
 	minPages = 64
-	// Part of the bound is left for what ends requests under way: new claims are
-	// turned away as full before that.
+	// maxClaimUsage is the used fraction of the bound above which claims are rejected, so
+	// that requests in flight can still be completed.
 	maxClaimUsage = 0.9
-	maxGaps       = 1000
-	// maxSweptPages are given back to the file system by one Sweep.
+	// maxGaps is how many gaps are stored; older ones are dropped.
+	maxGaps = 1000
+	// maxSweptPages are returned to the file system by one Sweep.
 	maxSweptPages = 64
 	openTimeout   = 30 * time.Second
+	// maxConnections allows one writer and one reader.
+	maxConnections = 2
 )
 
 // Config says which file, and how it is used.
 type Config struct {
 	Path      string
-	MaxBytes  int64 // bytes
+	MaxBytes  int64
 	Retention idempotency.Retention
-	// Owner takes the file for one sidecar: what an earlier owner left in flight is
-	// made what is known of it. Without it the file must be there already.
+	// Owner opens the file for one sidecar and settles what a previous owner left in
+	// flight. Without it the file must exist.
 	Owner bool
-	// Lock, where set, is the ownership of the file as a process that lives passed it on
-	// (Store.Lock): the two own it together, what the other has in flight stands, and the
-	// schema is not touched. The Store closes it.
+	// Lock, where set, is the file's lock as a live process passed it on (Store.Lock). Both
+	// processes own the file then: what the other has in flight stays, and the schema is not
+	// changed. The Store closes the lock.
 	Lock *os.File
 }
 
-// Store is a record in a file.
+// Store is an idempotency store in a file.
 type Store struct {
 	config Config
 	db     *sql.DB
 	lock   *os.File
-	// shared says that another process owns the file together with this one, or did.
+	// shared is set once another process may own the file together with this one.
 	shared   atomic.Bool
 	clock    idempotency.Clock
-	maxPages int64 // pages
+	maxPages int64
 
-	mu         sync.Mutex // one writer; guards the prepared statements
+	mu         sync.Mutex // serialises writers and guards the prepared statements
 	getEntry   *sql.Stmt
 	putEntry   *sql.Stmt
 	countPages *sql.Stmt
 }
 
-// Open opens the file, makes it if there is none, and brings its schema up to date.
-// Errors name the file and say what to do.
-func Open(ctx context.Context, cfg Config) (*Store, error) { return open(ctx, cfg, Version) }
+// Open opens the file, creates it if there is none, and migrates its schema. Errors
+// name the file and the next step.
+func Open(ctx context.Context, config Config) (*Store, error) { return open(ctx, config, Version) }
 
-func open(ctx context.Context, cfg Config, version int) (_ *Store, err error) {
+// open opens a file at a schema version; below Version, only the schema is written.
+func open(ctx context.Context, config Config, version int) (_ *Store, err error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
-	s := &Store{config: cfg, maxPages: max(cfg.MaxBytes/pageSize, minPages)}
+	s := &Store{config: config, maxPages: max(config.MaxBytes/pageSize, minPages)}
 	defer func() {
 		if err != nil {
 			s.Close()
-			err = fmt.Errorf("record %s: %w", cfg.Path, err)
+			err = fmt.Errorf("record %s: %w", config.Path, err)
 		}
 	}()
-	if cfg.Lock != nil {
-		s.lock = cfg.Lock
-		s.shared.Store(true)
-		if err := s.adoptLock(); err != nil {
-			return nil, err
-		}
-	} else if cfg.Owner {
-		if err := s.acquireLock(); err != nil {
-			return nil, err
-		}
-	} else if _, err := os.Stat(cfg.Path); err != nil {
-		return nil, fmt.Errorf("there is no such file; a sidecar makes it at its first start: %w", err)
+	if err := s.claimFile(); err != nil {
+		return nil, err
 	}
-	if s.db, err = sqlitefile.Open(cfg.Path, "busy_timeout(3000)", "auto_vacuum(2)", "journal_mode(WAL)", "synchronous(FULL)",
-		fmt.Sprintf("max_page_count(%d)", s.maxPages), "journal_size_limit(4194304)", "cache_size(-1024)"); err != nil {
+	s.db, err = sqlitefile.Open(config.Path, "busy_timeout(3000)", "auto_vacuum(2)", "journal_mode(WAL)", "synchronous(FULL)",
+		fmt.Sprintf("max_page_count(%d)", s.maxPages), "journal_size_limit(4194304)", "cache_size(-1024)")
+	if err != nil {
 		return nil, err
 	}
-	s.db.SetMaxOpenConns(2) // one writes, one reads
+	s.db.SetMaxOpenConns(maxConnections)
 	if err := s.migrate(ctx, version); err != nil {
 		return nil, err
 	}
@@ -105,7 +101,23 @@
 	return s, nil
 }
 
-// Close closes the file and gives it free.
+// claimFile takes or adopts the file's lock, or checks that the file exists.
+func (s *Store) claimFile() error {
+	switch {
+	case s.config.Lock != nil:
+		s.lock = s.config.Lock
+		s.shared.Store(true)
+		return s.adoptLock()
+	case s.config.Owner:
+		return s.acquireLock()
+	}
+	if _, err := os.Stat(s.config.Path); err != nil {
+		return &FileError{Next: "there is no such file; a sidecar makes it at its first start", Cause: err}
+	}
+	return nil
+}
+
+// Close closes the file and releases its lock, unless another process has it too.
 func (s *Store) Close() (err error) {
 	if s.db != nil {
 		err = s.db.Close()
@@ -113,7 +125,7 @@
 	switch {
 	case s.lock == nil:
 	case s.shared.Load():
-		s.lock.Close() // the other process goes on with it
+		s.lock.Close() // the other process keeps it
 	default:
 		filelock.Release(s.lock)
 	}
