--- a/internal/idempotency/recorder/committer.go
+++ b/internal/idempotency/recorder/committer.go
@@ -13,7 +13,7 @@
 	"martendrum/internal/idempotency"
 )
 
-// ErrUnavailable says that the store was not asked: it does not answer, or too many ops
+// ErrUnavailable says that the store was not called: it does not reply, or too many ops
 // are queued for it.
 var ErrUnavailable = errors.New("the store is away")
 
--- a/internal/idempotency/recorder/maintenance.go
+++ b/internal/idempotency/recorder/maintenance.go
@@ -12,8 +12,8 @@
 	// maxSweptRows bounds one transaction of a sweep, so that requests are written in
 	// between.
 	maxSweptRows = 256
-	// sweepPause separates two transactions of a sweep.
-	sweepPause = 5 * time.Millisecond
+	// sweepYield separates two transactions of a sweep, for requests to be written.
+	sweepYield = 5 * time.Millisecond
 )
 
 // sweep periodically writes gaps and drops entries past their retention, until Close.
@@ -50,7 +50,7 @@
 			return true
 		}
 		select {
-		case <-time.After(sweepPause):
+		case <-time.After(sweepYield):
 		case <-r.stop:
 			return false
 		}
@@ -73,7 +73,7 @@
 }
 
 // WriteGaps writes to the store which requests continued without it. Gaps that can't be
-// written are kept for the next call.
+// written are retained for the next call.
 func (r *Recorder) WriteGaps(within context.Context) {
 	r.mu.Lock()
 	gaps := r.unwrittenGaps
--- a/internal/idempotency/recorder/recorder.go
+++ b/internal/idempotency/recorder/recorder.go
@@ -131,8 +131,8 @@
 	// done is called once: with the store's result or, once wait has passed, with
 	// ErrUnavailable.
 	done func(error)
-	// doneLate, where set, is called for a success that follows a timeout.
-	doneLate func()
+	// doneAfterTimeout, where set, is called for a success that follows a timeout.
+	doneAfterTimeout func()
 }
 
 // submit queues a submission's op. It does not block.
@@ -165,8 +165,8 @@
 		switch {
 		case first:
 			s.done(err)
-		case err == nil && s.doneLate != nil:
-			s.doneLate()
+		case err == nil && s.doneAfterTimeout != nil:
+			s.doneAfterTimeout()
 		}
 	}
 	r.committer.submit(queued)
--- a/internal/idempotency/recorder/request.go
+++ b/internal/idempotency/recorder/request.go
@@ -97,7 +97,7 @@
 			then(sidecar.Verdict{Answer: func(exchange *downstream.Exchange) { exchange.Reject(unavailableRetry) }})
 		}
 	}
-	r.submit(submission{op: op, maxWait: class.MaxWait, wait: wait, done: done, doneLate: release})
+	r.submit(submission{op: op, maxWait: class.MaxWait, wait: wait, done: done, doneAfterTimeout: release})
 }
 
 // deny is a verdict that answers the request with a status and a reason.
--- a/internal/idempotency/sqlite/errors.go
+++ b/internal/idempotency/sqlite/errors.go
@@ -18,6 +18,7 @@
 	Cause   error  // of the system; may be nil
 }
 
+// Error joins the problem, the next step and the cause.
 func (e *FileError) Error() string {
 	var parts []string
 	if e.Problem != nil {
@@ -48,6 +49,7 @@
 // UnreadableError says that a file could not be read and may be damaged.
 type UnreadableError struct{ Cause error }
 
+// Error has the cause and the next step.
 func (e *UnreadableError) Error() string {
 	return fmt.Sprintf("it can't be read (%v): %s", e.Cause, e.Advice())
 }
--- a/internal/idempotency/sqlite/ownership.go
+++ b/internal/idempotency/sqlite/ownership.go
@@ -12,15 +12,15 @@
 const (
 	lockSuffix      = ".lock"
 	lockPermissions = 0o600
-	// maxHolderText bounds what is read of a lock file: the process ID of its holder.
-	maxHolderText = 32
+	// maxProcessIDText bounds what is read of a lock file: the process ID of its holder.
+	maxProcessIDText = 32
 )
 
 // acquireLock takes the lock file, which the kernel releases when the process ends.
 func (s *Store) acquireLock() error {
 	file, err := filelock.Acquire(s.config.Path+lockSuffix, lockPermissions)
 	if errors.Is(err, filelock.ErrLocked) {
-		holder := make([]byte, maxHolderText)
+		holder := make([]byte, maxProcessIDText)
 		n, _ := file.Read(holder)
 		file.Close()
 		return &FileError{
