--- a/internal/idempotency/breaker.go
+++ b/internal/idempotency/breaker.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Breaker says whether the store is worth asking. It opens after a run of failures,
-// lets one try through when its pause is over, and closes at the first success.
-// Pauses double up to a bound.
+// Breaker is a circuit breaker for the store. It opens after consecutive failures, lets
+// one probe through after each backoff, and closes at the first success. Backoffs double
+// up to a bound. Times are durations since a start of the caller's choice.
 type Breaker struct {
 	failureThreshold int
 	minBackoff       time.Duration
@@ -17,14 +17,14 @@
 	lastError        string
 }
 
-// NewBreaker returns a closed breaker that opens after so many failures in a row
-// and pauses from least to most.
-func NewBreaker(after int, least, limit time.Duration) Breaker {
-	return Breaker{failureThreshold: after, minBackoff: least, maxBackoff: limit}
+// NewBreaker returns a closed breaker that opens after failureThreshold consecutive
+// failures.
+func NewBreaker(failureThreshold int, minBackoff, maxBackoff time.Duration) Breaker {
+	return Breaker{failureThreshold: failureThreshold, minBackoff: minBackoff, maxBackoff: maxBackoff}
 }
 
-// Allow says whether the store may be asked at now. While the breaker is open, one
-// try a pause is allowed; jitter within 0 and 1 stretches the next pause by up to half.
+// Allow says whether the store may be called at now. While the breaker is open, one
+// probe for each backoff is allowed.
 func (b *Breaker) Allow(now time.Duration) bool {
 	switch {
 	case !b.open:
@@ -36,12 +36,13 @@
 	return true
 }
 
-// Succeeded notes that the store did its work.
+// Succeeded reports a call that succeeded.
 func (b *Breaker) Succeeded() {
 	b.failures, b.open, b.probing, b.backoff = 0, false, false, 0
 }
 
-// Failed notes that it did not.
+// Failed reports a call that failed. jitter within 0 and 1 lengthens the next backoff by
+// up to half.
 func (b *Breaker) Failed(now time.Duration, cause string, jitter float64) {
 	b.failures++
 	b.lastError = cause
@@ -58,7 +59,7 @@
 	return b.open, b.retryAt, b.lastError
 }
 
-// State names the breaker's state.
+// State is the breaker's state: "closed", "half-open" or "open".
 func (b *Breaker) State() string {
 	switch {
 	case !b.open:
--- a/internal/idempotency/key.go
+++ b/internal/idempotency/key.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"crypto/sha256"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -15,43 +13,51 @@
 // maxKeyBytes is the longest key, in bytes.
 const maxKeyBytes = 256
 
+// The kinds of key rules.
+const (
+	headerRule    = "header"
+	jsonRule      = "json"
+	requestIDRule = "request-id"
+)
+
 // KeyRule says where a class's keys come from: "header:NAME", "json:/POINTER" (RFC
-// 6901, into the body) or "request-id". The last records each request by itself:
-// clients give every try a new id, so that repeats are not recognised.
+// 6901, into the body) or "request-id". With the last, retries by the client are not
+// recognised, as it gives each a new ID.
 type KeyRule struct {
-	kind, arg string
+	kind, argument string
 }
 
 // ParseKeyRule reads a rule.
 func ParseKeyRule(text string) (KeyRule, error) {
-	kind, arg, _ := strings.Cut(text, ":")
+	kind, argument, _ := strings.Cut(text, ":")
 	switch {
-	case kind == "header" && arg != "" && !strings.ContainsAny(arg, " \t:\r\n"):
-	case kind == "json" && strings.HasPrefix(arg, "/"):
-	case text == "request-id":
+	case kind == headerRule && argument != "" && !strings.ContainsAny(argument, " \t:\r\n"):
+	case kind == jsonRule && strings.HasPrefix(argument, "/"):
+	case text == requestIDRule:
 	default:
 		return KeyRule{}, fmt.Errorf(`%q is no rule for keys; want "header:NAME", "json:/path/in/body" or "request-id"`, text)
 	}
-	return KeyRule{kind, arg}, nil
+	return KeyRule{kind, argument}, nil
 }
 
+// String is the rule as ParseKeyRule reads it.
 func (r KeyRule) String() string {
-	if r.arg == "" {
+	if r.argument == "" {
 		return r.kind
 	}
-	return r.kind + ":" + r.arg
+	return r.kind + ":" + r.argument
 }
 
-// DetectsRetries says whether a repeat of a request has the same key.
-func (r KeyRule) DetectsRetries() bool { return r.kind != "request-id" }
+// DetectsRetries says whether a client's retry has the same key.
+func (r KeyRule) DetectsRetries() bool { return r.kind != requestIDRule }
 
 // Key finds a request's key. head is its HTTP/1.1 head.
 func (r KeyRule) Key(head, body []byte) (key string, err error) {
 	switch r.kind {
-	case "header":
-		key, err = Field(head, r.arg)
-	case "json":
-		key, err = jsonValue(body, r.arg)
+	case headerRule:
+		key, err = Field(head, r.argument)
+	case jsonRule:
+		key, err = jsonValue(body, r.argument)
 	default:
 		key, err = Field(head, "Req-Id")
 	}
@@ -68,68 +74,72 @@
 	return key, nil
 }
 
-// Field is the value of a head's field, "" if there is none. Given twice it says
-// nothing.
+// Field is the value of a head's field, "" if there is none. A field that occurs twice
+// is an error.
 func Field(head []byte, name string) (value string, err error) {
 	found := false
 	for line := range bytes.SplitSeq(head, []byte("\r\n")) {
-		k, v, ok := bytes.Cut(line, []byte(":"))
-		if !ok || len(k) != len(name) || !strings.EqualFold(string(k), name) {
+		lineName, lineValue, ok := bytes.Cut(line, []byte(":"))
+		if !ok || len(lineName) != len(name) || !strings.EqualFold(string(lineName), name) {
 			continue
 		}
 		if found {
 			return "", fmt.Errorf("field %s is there twice", name)
 		}
-		found, value = true, string(bytes.TrimSpace(v))
+		found, value = true, string(bytes.TrimSpace(lineValue))
 	}
 	return value, nil
 }
 
-// jsonValue finds a string, number or truth value in a JSON body.
-func jsonValue(body []byte, at string) (string, error) {
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.UseNumber()
-	var v any
-	if err := d.Decode(&v); err != nil {
-		return "", fmt.Errorf("the body is no JSON: %w", err)
-	}
-	if d.More() {
-		return "", errors.New("the body is more than one JSON value")
-	}
-	for _, step := range strings.Split(at, "/")[1:] {
-		step = strings.NewReplacer("~1", "/", "~0", "~").Replace(step)
-		switch in := v.(type) {
-		case map[string]any:
-			v = in[step]
-		case []any:
-			n, err := strconv.Atoi(step)
-			if err != nil || n < 0 || n >= len(in) {
-				return "", nil
-			}
-			v = in[n]
-		default:
-			return "", nil
-		}
+// pointerEscapes are the escapes of a JSON pointer's step (RFC 6901).
+var pointerEscapes = strings.NewReplacer("~1", "/", "~0", "~")
+
+// jsonValue finds a string or number in a JSON body by its pointer; "" if there is none.
+func jsonValue(body []byte, pointer string) (string, error) {
+	document, err := decodeSingle(body)
+	if err != nil {
+		return "", err
 	}
-	switch v := v.(type) {
+	switch value := resolve(document, pointer).(type) {
 	case string:
-		return v, nil
+		return value, nil
 	case json.Number:
-		return v.String(), nil
+		return value.String(), nil
 	case nil:
 		return "", nil
 	}
-	return "", fmt.Errorf("what stands at %s is neither a string nor a number", at)
+	return "", fmt.Errorf("what stands at %s is neither a string nor a number", pointer)
 }
 
-// Fingerprint tells one request from another that has the same key: the SHA-256 of
-// method, path with query, tenant and body, each with its length.
-func Fingerprint(head []byte, tenant string, body []byte) []byte {
-	line, _, _ := bytes.Cut(head, []byte("\r\n"))
-	h := sha256.New()
-	for _, part := range [][]byte{line, []byte(tenant), body} {
-		h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(part))))
-		h.Write(part)
+// decodeSingle decodes a body that must be one JSON value.
+func decodeSingle(body []byte) (document any, err error) {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.UseNumber()
+	if err := decoder.Decode(&document); err != nil {
+		return nil, fmt.Errorf("the body is no JSON: %w", err)
+	}
+	if decoder.More() {
+		return nil, errors.New("the body is more than one JSON value")
+	}
+	return document, nil
+}
+
+// resolve is the value at a JSON pointer, nil if there is none.
+func resolve(value any, pointer string) any {
+	for _, step := range strings.Split(pointer, "/")[1:] {
+		step = pointerEscapes.Replace(step)
+		switch container := value.(type) {
+		case map[string]any:
+			value = container[step]
+		case []any:
+			index, err := strconv.Atoi(step)
+			if err != nil || index < 0 || index >= len(container) {
+				return nil
+			}
+			value = container[index]
+		default:
+			return nil
+		}
 	}
-	return h.Sum(nil)
+	return value
 }
