--- a/internal/fleet/host/agentstore/open.go
+++ b/internal/fleet/host/agentstore/open.go
@@ -20,8 +20,8 @@
 func Record(cfg *agent.Config) func(path string) (store.Store, error) {
 	return func(path string) (store.Store, error) {
 		if r := &cfg.Record; r.Store == agent.Postgres {
-			return postgres.Open(context.Background(), pg.Config{URL: r.URL, PasswordFile: r.PasswordFile, CA: r.CA, Connections: connections,
-				Statement: time.Duration(r.Statement), Connect: time.Duration(r.Connect)}, cfg.Name)
+			return postgres.Open(context.Background(), pg.Config{URL: r.URL, PasswordFile: r.PasswordFile, CA: r.CA, MaxConnections: connections,
+				StatementTimeout: time.Duration(r.Statement), ConnectTimeout: time.Duration(r.Connect)}, cfg.Name)
 		}
 		return sqlite.Open(path, int64(cfg.Limits.Record))
 	}
--- a/internal/fleet/store/postgres/postgres.go
+++ b/internal/fleet/store/postgres/postgres.go
@@ -41,9 +41,9 @@
 var Version = len(schema.Migrations)
 
 const (
-	maxOpen = 30 * time.Second
-	// maxAgain is how often a transaction is made anew.
-	maxAgain = 5
+	openTimeout = 30 * time.Second
+	// maxRetries is how often a transaction is made anew.
+	maxRetries = 5
 )
 
 // Store is one agent's record.
@@ -53,12 +53,12 @@
 	epoch int64
 }
 
-// ErrTaken says that another agent of the same name has the record now.
-var ErrTaken = errors.New("another agent of this name has taken the record over: give each host's agent a name of its own, and end one of them")
+// ErrSuperseded says that another agent of the same name has the record now.
+var ErrSuperseded = errors.New("another agent of this name has taken the record over: give each host's agent a name of its own, and end one of them")
 
 // Open takes an agent's record, and makes it if there is none. It needs the database.
 func Open(ctx context.Context, cfg pg.Config, agent string) (*Store, error) {
-	ctx, cancel := context.WithTimeout(ctx, maxOpen)
+	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	db, err := pg.Open(cfg, schema)
 	if err != nil {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// numbers are the columns that are; the others are texts.
-var numbers = map[string]bool{"generation": true, "process": true, "pid": true, "ticks": true, "launched": true, "restarts": true, "closed": true,
+// numericColumns are the columns that are; the others are texts.
+var numericColumns = map[string]bool{"generation": true, "process": true, "pid": true, "ticks": true, "launched": true, "restarts": true, "closed": true,
 	"token": true, "granted": true, "expires": true}
 
 // upsert is a statement that writes a whole row of an agent's: the first keys columns
@@ -93,7 +93,7 @@
 	var marks, sets []string
 	for n, name := range names {
 		kind := "text"
-		if numbers[name] {
+		if numericColumns[name] {
 			kind = "bigint"
 		}
 		marks = append(marks, fmt.Sprintf("$%d::%s", n+1, kind))
@@ -123,7 +123,7 @@
 		if err == nil {
 			return nil
 		}
-		if n >= maxAgain || ctx.Err() != nil || !pg.Undone(err) && !(committing && pg.OutcomeUnknown(err)) {
+		if n >= maxRetries || ctx.Err() != nil || !pg.RolledBack(err) && !(committing && pg.OutcomeUnknown(err)) {
 			return fmt.Errorf("record: %w", s.db.Explain(err))
 		}
 	}
@@ -189,7 +189,7 @@
 		}
 		switch {
 		case epoch != s.epoch:
-			return ErrTaken
+			return ErrSuperseded
 		case last == id: // an earlier try took effect
 			done = true
 			return nil
--- a/internal/fleet/store/postgres/postgres_test.go
+++ b/internal/fleet/store/postgres/postgres_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Close() })
-	return s, pg.Config{URL: s.URL(), Connections: 2, Statement: 5 * time.Second, Connect: 5 * time.Second}
+	return s, pg.Config{URL: s.URL(), MaxConnections: 2, StatementTimeout: 5 * time.Second, ConnectTimeout: 5 * time.Second}
 }
 
 func mustOpen(t *testing.T, cfg pg.Config, agent string) *Store {
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	second := mustOpen(t, cfg, "host-a")
-	if err := first.Commit(ctx, &store.Change{DropInstances: []string{"n1"}}); !errors.Is(err, ErrTaken) {
+	if err := first.Commit(ctx, &store.Change{DropInstances: []string{"n1"}}); !errors.Is(err, ErrSuperseded) {
 		t.Error(err)
 	}
 	if got, err := second.Load(ctx); err != nil || len(got.Instances) != 1 {
@@ -103,7 +103,7 @@
 // A database that is gone makes a commit fail and leaves the record as it was.
 func TestAway(t *testing.T) {
 	srv, cfg := serve(t)
-	cfg.Statement, cfg.Connect = 200*time.Millisecond, 200*time.Millisecond
+	cfg.StatementTimeout, cfg.ConnectTimeout = 200*time.Millisecond, 200*time.Millisecond
 	s := mustOpen(t, cfg, "host-a")
 	for name, day := range map[string]func(){
 		"hung":     func() { srv.Inject(func(pgserver.Event) pgserver.Fault { return pgserver.Fault{Stall: true} }) },
--- a/internal/fleet/store/rows.go
+++ b/internal/fleet/store/rows.go
@@ -26,14 +26,14 @@
 	AuditColumns     = "at, who, what, target, result"
 )
 
-func unix(t time.Time) int64 {
+func toUnixNanos(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixNano()
 }
 
-func fromUnix(n int64) time.Time {
+func fromUnixNanos(n int64) time.Time {
 	if n == 0 {
 		return time.Time{}
 	}
@@ -43,7 +43,7 @@
 // Values returns what is written of i.
 func (i *Instance) Values() []any {
 	return []any{i.Name, i.Desired, i.Generation, i.Release, i.Previous, i.Launch, i.Process, i.Running, int64(i.PID), int64(i.Ticks), i.Boot,
-		unix(i.Launched), i.Restarts, i.LastExit}
+		toUnixNanos(i.Launched), i.Restarts, i.LastExit}
 }
 
 // ReadInstance adds a row to the snapshot.
@@ -52,7 +52,7 @@
 	var launched, ticks int64
 	err := r.Scan(&i.Name, &i.Desired, &i.Generation, &i.Release, &i.Previous, &i.Launch, &i.Process, &i.Running, &i.PID, &ticks, &i.Boot,
 		&launched, &i.Restarts, &i.LastExit)
-	i.Launched, i.Ticks = fromUnix(launched), uint64(ticks)
+	i.Launched, i.Ticks = fromUnixNanos(launched), uint64(ticks)
 	s.Instances = append(s.Instances, i)
 	return err
 }
@@ -60,7 +60,7 @@
 // Values returns what is written of o.
 func (o *Operation) Values() ([]any, error) {
 	body, err := json.Marshal(o.Operation)
-	return []any{o.ID, string(body), o.State, o.Result, unix(o.Closed)}, err
+	return []any{o.ID, string(body), o.State, o.Result, toUnixNanos(o.Closed)}, err
 }
 
 // ReadOperation adds a row to the snapshot.
@@ -70,7 +70,7 @@
 	var closed int64
 	err := r.Scan(&id, &body, &o.State, &o.Result, &closed)
 	if err == nil {
-		o.Closed = fromUnix(closed)
+		o.Closed = fromUnixNanos(closed)
 		err = json.Unmarshal([]byte(body), &o.Operation)
 	}
 	s.Operations = append(s.Operations, o)
@@ -97,7 +97,7 @@
 
 // LeaseValues returns what is written of l.
 func LeaseValues(l *lease.Lease) []any {
-	return []any{l.Instance, l.Op, l.Holder, l.Token, unix(l.Granted), unix(l.Expires)}
+	return []any{l.Instance, l.Op, l.Holder, l.Token, toUnixNanos(l.Granted), toUnixNanos(l.Expires)}
 }
 
 // ReadLease adds a row to the snapshot.
@@ -105,7 +105,7 @@
 	var l lease.Lease
 	var granted, expires int64
 	err := r.Scan(&l.Instance, &l.Op, &l.Holder, &l.Token, &granted, &expires)
-	l.Granted, l.Expires = fromUnix(granted), fromUnix(expires)
+	l.Granted, l.Expires = fromUnixNanos(granted), fromUnixNanos(expires)
 	s.Leases = append(s.Leases, l)
 	return err
 }
@@ -123,13 +123,13 @@
 
 // AuditValues returns what is written of a.
 func AuditValues(a *api.AuditEntry) []any {
-	return []any{unix(a.At), a.Who, a.What, a.Target, a.Result}
+	return []any{toUnixNanos(a.At), a.Who, a.What, a.Target, a.Result}
 }
 
 // ReadAudit reads an entry.
 func ReadAudit(r Scanner) (a api.AuditEntry, err error) {
 	var at int64
 	err = r.Scan(&at, &a.Who, &a.What, &a.Target, &a.Result)
-	a.At = fromUnix(at)
+	a.At = fromUnixNanos(at)
 	return a, err
 }
--- a/internal/idempotency/e2e/main_test.go
+++ b/internal/idempotency/e2e/main_test.go
@@ -149,7 +149,7 @@
 		n.backend, err = sqlite.Open(context.Background(), sqlite.Config{Path: p.SQLite, MaxBytes: 64 << 20, Retention: keep, Owner: true})
 	} else {
 		writers = 2
-		n.backend, err = postgres.Open(postgres.Config{URL: p.Postgres, Connections: 2, Statement: 10 * time.Second, Connect: 5 * time.Second})
+		n.backend, err = postgres.Open(postgres.Config{URL: p.Postgres, MaxConnections: 2, StatementTimeout: 10 * time.Second, ConnectTimeout: 5 * time.Second})
 	}
 	if err != nil {
 		return err
--- a/internal/idempotency/postgres/postgres.go
+++ b/internal/idempotency/postgres/postgres.go
@@ -122,7 +122,7 @@
 // mayRetry says whether a transaction that ended with err is to be made anew: it was
 // overtaken and surely undone, or its outcome is in doubt, which reading resolves.
 func mayRetry(err error, committing bool) bool {
-	return errors.Is(err, errRaced) || pg.Undone(err) || committing && pg.OutcomeUnknown(err)
+	return errors.Is(err, errRaced) || pg.RolledBack(err) || committing && pg.OutcomeUnknown(err)
 }
 
 // Apply implements record.Backend.
@@ -344,5 +344,5 @@
 // Ping implements record.Backend. It brings the schema up to date where that is due,
 // and asks whether the server takes writes.
 func (s *Store) Ping(ctx context.Context) error {
-	return asStoreError(s.db.Writable(ctx))
+	return asStoreError(s.db.CheckWritable(ctx))
 }
--- a/internal/idempotency/postgres/postgres_test.go
+++ b/internal/idempotency/postgres/postgres_test.go
@@ -22,7 +22,7 @@
 var ctx = context.Background()
 
 func config(u string) Config {
-	return Config{URL: u, Connections: 4, Statement: 5 * time.Second, Connect: 5 * time.Second}
+	return Config{URL: u, MaxConnections: 4, StatementTimeout: 5 * time.Second, ConnectTimeout: 5 * time.Second}
 }
 
 func serve(t *testing.T, cfg pgserver.Config) *pgserver.Server {
@@ -144,7 +144,7 @@
 func TestBadDays(t *testing.T) {
 	srv := serve(t, pgserver.Config{MaxConns: 3})
 	c := config(srv.URL())
-	c.Statement, c.Connect = 200*time.Millisecond, 200*time.Millisecond
+	c.StatementTimeout, c.ConnectTimeout = 200*time.Millisecond, 200*time.Millisecond
 	s := mustOpen(t, c)
 	bt.Expect(t, s, bt.Claim("warm", "w", time.Hour), idempotency.Granted)
 	always := func(f pgserver.Fault) func(pgserver.Event) pgserver.Fault {
@@ -211,7 +211,7 @@
 	file := filepath.Join(t.TempDir(), "password")
 	os.WriteFile(file, []byte("wrong\n"), 0o600)
 	c := config(srv.URL())
-	c.PasswordFile, c.Connections = file, 2
+	c.PasswordFile, c.MaxConnections = file, 2
 	s := mustOpen(t, c)
 	if err := s.Ping(ctx); err == nil || !strings.Contains(err.Error(), "password_file") {
 		t.Error(err)
@@ -235,7 +235,7 @@
 			t.Errorf("%d connections", n)
 		}
 	}
-	for want, c := range map[string]Config{"postgres.ca": {URL: srv.URL(), CA: file, Connections: 1}, "postgres.url": {URL: "postgres://%zz"}} {
+	for want, c := range map[string]Config{"postgres.ca": {URL: srv.URL(), CA: file, MaxConnections: 1}, "postgres.url": {URL: "postgres://%zz"}} {
 		if _, err := Open(c); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v; want it to say %q", err, want)
 		}
--- a/internal/idempotency/storeconfig/open.go
+++ b/internal/idempotency/storeconfig/open.go
@@ -99,11 +99,11 @@
 		})
 	}
 	return postgres.Open(postgres.Config{
-		URL:          c.Postgres.URL,
-		PasswordFile: c.Postgres.PasswordFile,
-		CA:           c.Postgres.CA,
-		Connections:  c.Postgres.Connections,
-		Statement:    time.Duration(c.Wait.StatementTimeout),
-		Connect:      time.Duration(c.Postgres.ConnectTimeout),
+		URL:              c.Postgres.URL,
+		PasswordFile:     c.Postgres.PasswordFile,
+		CA:               c.Postgres.CA,
+		MaxConnections:   c.Postgres.Connections,
+		StatementTimeout: time.Duration(c.Wait.StatementTimeout),
+		ConnectTimeout:   time.Duration(c.Postgres.ConnectTimeout),
 	})
 }
--- a/internal/pg/pg.go
+++ b/internal/pg/pg.go
@@ -29,18 +29,18 @@
 	ErrUnusable = errors.New("the database can't be used")
 )
 
-// maxStart bounds bringing the schema up to date.
-const maxStart = 20 * time.Second
+// migrationTimeout bounds bringing the schema up to date.
+const migrationTimeout = 20 * time.Second
 
 // Config says which database, and how it is used.
 type Config struct {
 	// URL is a connection string of PostgreSQL's, without a password.
-	URL          string
-	PasswordFile string // "": none; read anew for each connection
-	CA           string // PEM file; "": as the URL says
-	Connections  int    // at once, at most
-	Statement    time.Duration
-	Connect      time.Duration
+	URL              string
+	PasswordFile     string // "": none; read anew for each connection
+	CA               string // PEM file; "": as the URL says
+	MaxConnections   int    // at once, at most
+	StatementTimeout time.Duration
+	ConnectTimeout   time.Duration
 }
 
 // Schema is a set of tables that goes through versions.
@@ -54,12 +54,12 @@
 
 // DB is a database with one Schema.
 type DB struct {
-	Pool   *pgxpool.Pool
-	schema Schema
-	name   string // for people
+	Pool        *pgxpool.Pool
+	schema      Schema
+	displayName string // for people
 
-	mu    sync.Mutex
-	known bool // the schema is this build's
+	mu       sync.Mutex
+	migrated bool // the schema is this build's
 }
 
 // Open returns the DB. It does not need the server yet: Ready does.
@@ -72,15 +72,15 @@
 		return nil, errors.New("postgres.url holds a password and password_file is set: keep the file")
 	}
 	c := pc.ConnConfig
-	c.ConnectTimeout = cfg.Connect
-	c.RuntimeParams["statement_timeout"] = strconv.FormatInt(cfg.Statement.Milliseconds(), 10)
+	c.ConnectTimeout = cfg.ConnectTimeout
+	c.RuntimeParams["statement_timeout"] = strconv.FormatInt(cfg.StatementTimeout.Milliseconds(), 10)
 	c.RuntimeParams["application_name"] = "martendrum"
 	if cfg.CA != "" {
-		if err := trust(c, cfg.CA); err != nil {
+		if err := verifyServerWith(c, cfg.CA); err != nil {
 			return nil, err
 		}
 	}
-	pc.MaxConns, pc.MinConns = int32(cfg.Connections), 0
+	pc.MaxConns, pc.MinConns = int32(cfg.MaxConnections), 0
 	pc.MaxConnIdleTime = 5 * time.Minute
 	if cfg.PasswordFile != "" {
 		pc.BeforeConnect = func(_ context.Context, c *pgx.ConnConfig) error {
@@ -92,15 +92,15 @@
 			return nil
 		}
 	}
-	db := &DB{schema: schema, name: fmt.Sprintf("postgres %s:%d/%s", c.Host, c.Port, c.Database)}
+	db := &DB{schema: schema, displayName: fmt.Sprintf("postgres %s:%d/%s", c.Host, c.Port, c.Database)}
 	if db.Pool, err = pgxpool.NewWithConfig(context.Background(), pc); err != nil {
-		return nil, fmt.Errorf("%s: %w", db.name, err)
+		return nil, fmt.Errorf("%s: %w", db.displayName, err)
 	}
 	return db, nil
 }
 
-// trust makes connections verify the server by the CA in a file, its name too.
-func trust(c *pgx.ConnConfig, file string) error {
+// verifyServerWith makes connections verify the server by the CA in a file, its name too.
+func verifyServerWith(c *pgx.ConnConfig, file string) error {
 	pem, err := os.ReadFile(file)
 	if err != nil {
 		return fmt.Errorf("postgres.ca: %w", err)
@@ -117,8 +117,8 @@
 // Close closes the connections.
 func (db *DB) Close() { db.Pool.Close() }
 
-// State is an error's SQLSTATE, "" if it is none of the server's.
-func State(err error) string {
+// SQLState is an error's SQLSTATE, "" if it is none of the server's.
+func SQLState(err error) string {
 	if e, ok := errors.AsType[*pgconn.PgError](err); ok {
 		return e.Code
 	}
@@ -130,7 +130,7 @@
 	if err == nil {
 		return nil
 	}
-	switch State(err) {
+	switch SQLState(err) {
 	case "53100", "53200":
 		err = fmt.Errorf("%w: %w", ErrFull, err)
 	case "25006":
@@ -142,27 +142,27 @@
 	case "42501":
 		err = fmt.Errorf("%w: this user may not; it needs to read and write the tables martendrum_*, and at first to create them: %w", ErrUnusable, err)
 	}
-	return fmt.Errorf("%s: %w", db.name, err)
+	return fmt.Errorf("%s: %w", db.displayName, err)
 }
 
 // Ready brings the schema up to date, or says why the database can't be used.
 func (db *DB) Ready(ctx context.Context) error {
 	db.mu.Lock()
 	defer db.mu.Unlock()
-	if db.known {
+	if db.migrated {
 		return nil
 	}
 	if err := db.Migrate(ctx, len(db.schema.Migrations)); err != nil {
 		return db.Explain(err)
 	}
-	db.known = true
+	db.migrated = true
 	return nil
 }
 
 // Migrate brings the schema to a version. Programs that start together wait here for
 // the first of them.
 func (db *DB) Migrate(ctx context.Context, to int) error {
-	ctx, cancel := context.WithTimeout(ctx, maxStart)
+	ctx, cancel := context.WithTimeout(ctx, migrationTimeout)
 	defer cancel()
 	return pgx.BeginFunc(ctx, db.Pool, func(tx pgx.Tx) error {
 		do := func(q string, args ...any) error {
@@ -214,10 +214,10 @@
 	return committing, err
 }
 
-// Undone says that a transaction which ended with err was overtaken by another one and
+// RolledBack says that a transaction which ended with err was overtaken by another one and
 // surely has no effect.
-func Undone(err error) bool {
-	switch State(err) {
+func RolledBack(err error) bool {
+	switch SQLState(err) {
 	case "40001", "40P01", "55P03":
 		return true
 	}
@@ -227,12 +227,12 @@
 // OutcomeUnknown says that a COMMIT which ended with err may have taken effect: the connection
 // was lost, or the server went down.
 func OutcomeUnknown(err error) bool {
-	state := State(err)
+	state := SQLState(err)
 	return err != nil && (state == "" || strings.HasPrefix(state, "57P"))
 }
 
-// Writable asks whether the server takes writes.
-func (db *DB) Writable(ctx context.Context) error {
+// CheckWritable asks whether the server takes writes.
+func (db *DB) CheckWritable(ctx context.Context) error {
 	if err := db.Ready(ctx); err != nil {
 		return err
 	}
