--- a/internal/idempotency/e2e/bench_test.go
+++ b/internal/idempotency/e2e/bench_test.go
@@ -17,19 +17,19 @@
 	"martendrum/internal/standin/shop"
 )
 
-// client keeps one connection, as a point-of-sale process does.
-type client struct {
-	c  net.Conn
-	br *bufio.Reader
+// benchmarkClient keeps one connection, as a point-of-sale process does.
+type benchmarkClient struct {
+	connection net.Conn
+	reader     *bufio.Reader
 }
 
-func (c *client) ask(q request) (int, error) {
+func (c *benchmarkClient) ask(q clientRequest) (int, error) {
 	q.id = fmt.Sprintf("b%d", lastID.Add(1))
-	c.c.SetDeadline(time.Now().Add(patience))
-	if _, err := c.c.Write(q.bytes()); err != nil {
+	c.connection.SetDeadline(time.Now().Add(testTimeout))
+	if _, err := c.connection.Write(q.bytes()); err != nil {
 		return 0, err
 	}
-	resp, err := http.ReadResponse(c.br, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, err
 	}
@@ -51,12 +51,12 @@
 			if rate == 0 {
 				name = store + "/closed"
 			}
-			b.Run(name, func(b *testing.B) { benchStore(b, store, rate) })
+			b.Run(name, func(b *testing.B) { benchmarkStore(b, store, rate) })
 		}
 	}
 }
 
-func benchStore(b *testing.B, store string, rate int) {
+func benchmarkStore(b *testing.B, store string, rate int) {
 	servers, err := shop.NewWith(3, func(_ *shop.Shop, _ string, rw http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(rw, "registered")
@@ -65,10 +65,10 @@
 		b.Fatal(err)
 	}
 	defer servers.Close()
-	p := &plan{Servers: servers.Addrs(), Wait: 200 * time.Millisecond}
+	p := &sidecarConfig{Servers: servers.Addrs(), MaxWait: 200 * time.Millisecond}
 	switch store {
 	case "sqlite", "sqlite-swept":
-		p.Sweep = store == "sqlite-swept"
+		p.SweepAtOnce = store == "sqlite-swept"
 		p.SQLite = filepath.Join(b.TempDir(), "record.db")
 	case "postgres":
 		pg, err := pgserver.Start(pgserver.Config{})
@@ -84,21 +84,21 @@
 	}
 	defer n.stop()
 	const clients = 64
-	var conns []*client
+	var conns []*benchmarkClient
 	for range clients {
-		c, err := net.Dial("tcp", n.addr)
+		c, err := net.Dial("tcp", n.address)
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer c.Close()
-		conns = append(conns, &client{c, bufio.NewReader(c)})
+		conns = append(conns, &benchmarkClient{c, bufio.NewReader(c)})
 	}
 	var mu sync.Mutex
 	var took []time.Duration
 	var bad, key atomic.Int64
-	one := func(c *client) {
+	one := func(c *benchmarkClient) {
 		began := time.Now()
-		status, err := c.ask(request{class: "id-register", key: fmt.Sprintf("%s-%d-%d", store, rate, key.Add(1)), body: "card 896210, buyer 3174"})
+		status, err := c.ask(clientRequest{class: "id-register", key: fmt.Sprintf("%s-%d-%d", store, rate, key.Add(1)), body: "card 896210, buyer 3174"})
 		d := time.Since(began)
 		if err != nil || status != http.StatusOK {
 			bad.Add(1)
@@ -137,8 +137,8 @@
 	b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-µs")
 	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-µs")
 	b.ReportMetric(float64(bad.Load()), "not-served")
-	if n.keeper != nil {
-		batches, ops := n.keeper.Batches()
+	if n.recorder != nil {
+		batches, ops := n.recorder.Batches()
 		b.ReportMetric(float64(ops)/float64(max(batches, 1)), "ops/commit")
 	}
 	b.ReportMetric(0, "ns/op")
--- a/internal/idempotency/e2e/crash_test.go
+++ b/internal/idempotency/e2e/crash_test.go
@@ -21,60 +21,60 @@
 	"martendrum/internal/standin/shop"
 )
 
-// process is a sidecar in a process of its own.
-type process struct {
-	cmd   *exec.Cmd
-	addr  string
-	in    func() error
-	out   *bufio.Reader
-	err   bytes.Buffer
-	death sync.Once
+// childProcess is a sidecar in a process of its own.
+type childProcess struct {
+	command    *exec.Cmd
+	address    string
+	closeStdin func() error
+	stdout     *bufio.Reader
+	stderr     bytes.Buffer
+	endOnce    sync.Once
 }
 
-func launch(p *plan) (*process, error) {
+func launchChild(p *sidecarConfig) (*childProcess, error) {
 	text, err := json.Marshal(p)
 	if err != nil {
 		return nil, err
 	}
-	c := &process{cmd: exec.Command(os.Args[0])}
-	c.cmd.Env = append(os.Environ(), "E2E_RECORD="+string(text))
-	c.cmd.Stderr = &c.err
-	in, err := c.cmd.StdinPipe()
+	c := &childProcess{command: exec.Command(os.Args[0])}
+	c.command.Env = append(os.Environ(), "E2E_RECORD="+string(text))
+	c.command.Stderr = &c.stderr
+	in, err := c.command.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	c.in = in.Close
-	out, err := c.cmd.StdoutPipe()
+	c.closeStdin = in.Close
+	out, err := c.command.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	c.out = bufio.NewReader(out)
-	if err := c.cmd.Start(); err != nil {
+	c.stdout = bufio.NewReader(out)
+	if err := c.command.Start(); err != nil {
 		return nil, err
 	}
-	line, err := c.out.ReadString('\n')
+	line, err := c.stdout.ReadString('\n')
 	if addr, ok := strings.CutPrefix(strings.TrimSpace(line), "ready "); ok {
-		c.addr = addr
+		c.address = addr
 		return c, nil
 	}
 	c.end()
-	return nil, fmt.Errorf("the sidecar did not start: %v %s", err, c.err.String())
+	return nil, fmt.Errorf("the sidecar did not start: %v %s", err, c.stderr.String())
 }
 
-func (c *process) kill() { c.cmd.Process.Kill() }
+func (c *childProcess) kill() { c.command.Process.Kill() }
 
 // end kills the process, if it still runs, and waits for it.
-func (c *process) end() {
-	c.death.Do(func() {
-		c.cmd.Process.Kill()
-		c.cmd.Wait()
+func (c *childProcess) end() {
+	c.endOnce.Do(func() {
+		c.command.Process.Kill()
+		c.command.Wait()
 	})
 }
 
 // points ends the process in peace and returns how many points it passed.
-func (c *process) points() (n int64, err error) {
-	c.in()
-	line, err := c.out.ReadString('\n')
+func (c *childProcess) points() (n int64, err error) {
+	c.closeStdin()
+	line, err := c.stdout.ReadString('\n')
 	if _, scanErr := fmt.Sscanf(line, "points %d", &n); scanErr != nil {
 		return 0, fmt.Errorf("%q %v", line, err)
 	}
@@ -89,21 +89,21 @@
 	atDatabase = "at the database" // it is killed before or after a statement
 )
 
-// crash is one way to run a request.
-type crash struct {
-	store string
-	class string
-	name  string
-	act   func(hit int) act
+// crashCase is one way to run a request.
+type crashCase struct {
+	store  string
+	class  string
+	name   string
+	behave func(hit int) behavior
 }
 
-func (c crash) String() string { return c.store + " " + c.class + " " + c.name }
+func (c crashCase) String() string { return c.store + " " + c.class + " " + c.name }
 
-// tally is what became of the keys.
-type tally struct {
-	mu                                    sync.Mutex
-	runs, answered, refused, may, retried int
-	byKind                                map[string]int
+// crashTotals is what became of the keys.
+type crashTotals struct {
+	mu                                            sync.Mutex
+	runs, answered, rejected, mayHaveRun, retried int
+	byKind                                        map[string]int
 }
 
 // A sidecar is killed at each point in turn: they are counted in a run without a kill,
@@ -111,24 +111,24 @@
 // asked again with the same key. Nothing runs twice, and each key ends answered,
 // refused and then carried out, or listed as one that may have run.
 func TestCrashAtEveryPoint(t *testing.T) {
-	first := func(a act) func(int) act {
-		return func(hit int) act {
+	first := func(a behavior) func(int) behavior {
+		return func(hit int) behavior {
 			if hit == 1 {
 				return a
 			}
-			return act{}
+			return behavior{}
 		}
 	}
-	served := crash{name: "served", act: func(int) act { return act{} }}
-	declined := crash{name: "turned away once", act: first(act{decline: true})}
-	reset := crash{name: "run, then reset", act: first(act{reset: true})}
-	half := crash{name: "half an answer", act: first(act{half: true})}
-	failed := crash{name: "run, then 500", act: first(act{fail: true})}
-	refused := crash{name: "turned away by all", act: func(int) act { return act{decline: true} }}
-	total := &tally{byKind: make(map[string]int)}
+	served := crashCase{name: "served", behave: func(int) behavior { return behavior{} }}
+	declined := crashCase{name: "turned away once", behave: first(behavior{reject: true})}
+	reset := crashCase{name: "run, then reset", behave: first(behavior{reset: true})}
+	half := crashCase{name: "half an answer", behave: first(behavior{truncate: true})}
+	failed := crashCase{name: "run, then 500", behave: first(behavior{fail: true})}
+	refused := crashCase{name: "turned away by all", behave: func(int) behavior { return behavior{reject: true} }}
+	total := &crashTotals{byKind: make(map[string]int)}
 	t.Run("all", func(t *testing.T) {
 		for _, store := range []string{"sqlite", "postgres"} {
-			for class, cs := range map[string][]crash{
+			for class, cs := range map[string][]crashCase{
 				"activate":    {served, declined, reset, half, failed, refused},
 				"id-register": {served, reset, refused},
 				"report":      {served, reset},
@@ -144,15 +144,15 @@
 		}
 	})
 	t.Logf("%d runs that were killed: %v; keys: %d answered, %d of them asked again after a refusal, %d refused for good, %d may have run",
-		total.runs, total.byKind, total.answered, total.retried, total.refused, total.may)
-	if total.runs < 300 || total.answered == 0 || total.may == 0 || total.retried == 0 {
+		total.runs, total.byKind, total.answered, total.retried, total.rejected, total.mayHaveRun)
+	if total.runs < 300 || total.answered == 0 || total.mayHaveRun == 0 || total.retried == 0 {
 		t.Error("too few points, or one of the ends never came")
 	}
 }
 
-func (c crash) run(t *testing.T, total *tally) {
+func (c crashCase) run(t *testing.T, total *crashTotals) {
 	dir := t.TempDir()
-	w := &world{runs: make(map[string]int)}
+	w := &serverGroup{runs: make(map[string]int)}
 	s, err := shop.NewWith(3, func(_ *shop.Shop, _ string, rw http.ResponseWriter, r *http.Request) { w.serve(rw, r) })
 	if err != nil {
 		t.Fatal(err)
@@ -166,10 +166,10 @@
 		defer pg.Close()
 	}
 	n := 0
-	counts := c.once(t, s, w, pg, dir, &n, "", 0, nil)
+	counts := c.runOnce(t, s, w, pg, dir, &n, "", 0, nil)
 	for kind, limit := range counts {
 		for at := int64(1); at <= limit; at++ {
-			c.once(t, s, w, pg, dir, &n, kind, at, total)
+			c.runOnce(t, s, w, pg, dir, &n, kind, at, total)
 			if t.Failed() {
 				return
 			}
@@ -177,13 +177,13 @@
 	}
 }
 
-// once makes one request, whose sidecar dies at point at of a kind, and asks again.
+// runOnce makes one request, whose sidecar dies at point at of a kind, and asks again.
 // Without a kind nothing dies, and the points are counted.
-func (c crash) once(t *testing.T, s *shop.Shop, w *world, pg *pgserver.Server, dir string, n *int, kind string, at int64, total *tally) map[string]int64 {
+func (c crashCase) runOnce(t *testing.T, s *shop.Shop, w *serverGroup, pg *pgserver.Server, dir string, n *int, kind string, at int64, total *crashTotals) map[string]int64 {
 	t.Helper()
 	*n++
-	q := request{class: c.class, key: fmt.Sprintf("key%d", *n)}
-	p := &plan{Servers: s.Addrs()}
+	q := clientRequest{class: c.class, key: fmt.Sprintf("key%d", *n)}
+	p := &sidecarConfig{Servers: s.Addrs()}
 	if pg != nil {
 		p.Postgres = pg.URL()
 	} else {
@@ -192,7 +192,7 @@
 	if kind == inSidecar {
 		p.CrashAt = at
 	}
-	child, err := launch(p)
+	child, err := launchChild(p)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,11 +201,11 @@
 	dies := func(where string, count *atomic.Int64) {
 		if count.Add(1) == at && kind == where {
 			child.kill()
-			child.cmd.Process.Wait() // dead before it can do more
+			child.command.Process.Wait() // dead before it can do more
 		}
 	}
 	w.mu.Lock()
-	w.hits, w.act, w.at = 0, c.act, func(string) { dies(atServer, &server) }
+	w.requests, w.behave, w.onPoint = 0, c.behave, func(string) { dies(atServer, &server) }
 	w.mu.Unlock()
 	if pg != nil {
 		pg.Inject(func(pgserver.Event) pgserver.Fault {
@@ -213,7 +213,7 @@
 			return pgserver.Fault{}
 		})
 	}
-	first, err := ask(child.addr, q, func() { dies(atClient, &client) })
+	first, err := sendRequest(child.address, q, func() { dies(atClient, &client) })
 	if err != nil {
 		t.Fatalf("%v, %s %d: %v", c, kind, at, err)
 	}
@@ -235,27 +235,27 @@
 		pg.SetSkew(time.Duration(*n) * time.Minute) // the dead owner's time is over
 	}
 	w.mu.Lock()
-	w.hits, w.act, w.at = 0, nil, nil
+	w.requests, w.behave, w.onPoint = 0, nil, nil
 	w.mu.Unlock()
 	again, err := start(p, nil)
 	if err != nil {
 		t.Fatalf("%v, %s %d: %v", c, kind, at, err)
 	}
 	defer again.stop()
-	c.judge(t, w, again, q, first, fmt.Sprintf("%v, %s, point %d, first %v", c, kind, at, first.status), kind, total)
+	c.check(t, w, again, q, first, fmt.Sprintf("%v, %s, point %d, first %v", c, kind, at, first.status), kind, total)
 	return nil
 }
 
-func (c crash) judge(t *testing.T, w *world, n *node, q request, first answer, where, kind string, total *tally) {
+func (c crashCase) check(t *testing.T, w *serverGroup, n *testSidecar, q clientRequest, first clientResponse, where, kind string, total *crashTotals) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	row, err := n.backend.Get(ctx, q.class, q.key)
 	if err != nil {
 		t.Fatalf("%s: %v", where, err)
 	}
-	before := w.ran(q)
-	a, err := ask(n.addr, q, nil)
+	before := w.runCount(q)
+	a, err := sendRequest(n.address, q, nil)
 	if err != nil {
 		t.Fatalf("%s: %v", where, err)
 	}
@@ -264,21 +264,21 @@
 	total.runs++
 	total.byKind[kind]++
 	switch {
-	case w.ran(q) > 1:
-		t.Errorf("%s: it ran %d times; row %+v", where, w.ran(q), row)
+	case w.runCount(q) > 1:
+		t.Errorf("%s: it ran %d times; row %+v", where, w.runCount(q), row)
 	case a.status == http.StatusOK:
 		total.answered++
-		if w.ran(q) != 1 || first.status == http.StatusOK && a.body != first.body || a.body != "done: "+q.class+" "+q.key {
-			t.Errorf("%s: answered %q, at first %q, ran %d times", where, a.body, first.body, w.ran(q))
+		if w.runCount(q) != 1 || first.status == http.StatusOK && a.body != first.body || a.body != "done: "+q.class+" "+q.key {
+			t.Errorf("%s: answered %q, at first %q, ran %d times", where, a.body, first.body, w.runCount(q))
 		}
 		if first.status == http.StatusServiceUnavailable {
 			total.retried++
 		}
 	case a.status == http.StatusServiceUnavailable:
-		total.refused++
+		total.rejected++
 		t.Errorf("%s: refused though the store and the servers are well", where)
-	case a.status == http.StatusConflict && strings.HasPrefix(a.state, "may-have-run"):
-		total.may++
+	case a.status == http.StatusConflict && strings.HasPrefix(a.recordState, "may-have-run"):
+		total.mayHaveRun++
 		rows, err := n.backend.List(ctx, idempotency.Filter{State: idempotency.MayHaveRun, Class: q.class, Limit: 10000})
 		listed := false
 		for _, r := range rows {
@@ -293,6 +293,6 @@
 			t.Errorf("%s: nothing was sent, and it is said to may have run: %+v", where, row)
 		}
 	default:
-		t.Errorf("%s: asked again: %+v (ran %d, before %d, row %+v)", where, a, w.ran(q), before, row)
+		t.Errorf("%s: asked again: %+v (ran %d, before %d, row %+v)", where, a, w.runCount(q), before, row)
 	}
 }
--- a/internal/idempotency/e2e/handover_test.go
+++ b/internal/idempotency/e2e/handover_test.go
@@ -16,27 +16,27 @@
 	"martendrum/internal/fleet/host/proc"
 )
 
-// logged is a process whose log can be waited on.
-type logged struct {
-	cmd  *exec.Cmd
-	done chan struct{}
-	mu   sync.Mutex
-	log  bytes.Buffer
+// loggedProcess is a process whose log can be waited on.
+type loggedProcess struct {
+	command *exec.Cmd
+	done    chan struct{}
+	mu      sync.Mutex
+	log     bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *loggedProcess) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.log.Write(b)
 }
 
-func (l *logged) text() string {
+func (l *loggedProcess) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.log.String()
 }
 
-func (l *logged) alive() bool {
+func (l *loggedProcess) alive() bool {
 	select {
 	case <-l.done:
 		return false
@@ -45,15 +45,15 @@
 	}
 }
 
-func (l *logged) kill() {
-	l.cmd.Process.Kill()
+func (l *loggedProcess) kill() {
+	l.command.Process.Kill()
 	<-l.done
 }
 
-// says waits for a line that has all of the words, or for the process's end.
-func (l *logged) says(t *testing.T, words ...string) {
+// awaitLine waits for a line that has all of the words, or for the process's end.
+func (l *loggedProcess) awaitLine(t *testing.T, words ...string) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); l.alive(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); l.alive(); time.Sleep(time.Millisecond) {
 		for line := range strings.Lines(l.text()) {
 			all := true
 			for _, w := range words {
@@ -72,8 +72,8 @@
 // A sidecar with a store of record hands over to a new process with requests under
 // way, and either is killed at each event of the hand-over in turn. Whoever is left
 // has the store; no key runs twice, and what a client was told stays true.
-func TestRecordHandsOver(t *testing.T) {
-	sidecar, _ := build(t, t.TempDir())
+func TestHandover(t *testing.T) {
+	sidecar, _ := buildPrograms(t, t.TempDir())
 	events := []string{"before", "begun", "hello", "ready", "serving", "stopping", "never"}
 	for n, event := range events {
 		for v, victim := range []string{"old", "new"} {
@@ -81,18 +81,18 @@
 				continue // all of them without -short
 			}
 			t.Run(event+" "+victim, func(t *testing.T) {
-				handsOver(t, sidecar, 60100+10*n+v, event, victim)
+				testHandover(t, sidecar, 60100+10*n+v, event, victim)
 			})
 		}
 	}
 }
 
-func handsOver(t *testing.T, sidecar string, place int, event, victim string) {
+func testHandover(t *testing.T, sidecar string, place int, event, victim string) {
 	dir := t.TempDir()
 	hold := make(chan struct{})
 	release := sync.OnceFunc(func() { close(hold) })
 	defer release()
-	w, s := holdsFirst(t, hold)
+	w, s := serversHoldingFirst(t, hold)
 	config, listen, err := s.Config(dir, "n1", place)
 	if err != nil {
 		t.Fatal(err)
@@ -101,39 +101,39 @@
 	if err := os.WriteFile(file, []byte(strings.Replace(recordFile, "[wait]\n", "[wait]\nlease = \"1s\"\n", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	run := func(config string) *logged {
-		l := &logged{cmd: exec.Command(sidecar), done: make(chan struct{})}
-		l.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+config, "MARTENDRUM_RECORD="+file, "TMPDIR="+dir)
-		l.cmd.Stderr = l
-		if err := l.cmd.Start(); err != nil {
+	run := func(config string) *loggedProcess {
+		l := &loggedProcess{command: exec.Command(sidecar), done: make(chan struct{})}
+		l.command.Env = append(os.Environ(), "BALANCER_CONFIG="+config, "MARTENDRUM_RECORD="+file, "TMPDIR="+dir)
+		l.command.Stderr = l
+		if err := l.command.Start(); err != nil {
 			t.Fatal(err)
 		}
 		go func() {
-			l.cmd.Wait()
+			l.command.Wait()
 			close(l.done)
 		}()
 		t.Cleanup(func() {
 			l.kill()
 			if t.Failed() {
-				t.Logf("pid %d: %s", l.cmd.Process.Pid, l.text())
+				t.Logf("pid %d: %s", l.command.Process.Pid, l.text())
 			}
 		})
 		return l
 	}
 	old := run(config)
-	ready(t, listen)
-	q1, q2 := request{class: "activate", key: "first"}, request{class: "activate", key: "second"}
-	told := make(chan answer, 1)
+	awaitHealthy(t, listen)
+	q1, q2 := clientRequest{class: "activate", key: "first"}, clientRequest{class: "activate", key: "second"}
+	told := make(chan clientResponse, 1)
 	go func() {
-		a, _ := ask(listen, q1, nil)
+		a, _ := sendRequest(listen, q1, nil)
 		told <- a
 	}()
-	for deadline := time.Now().Add(patience); w.ran(q1) == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); w.runCount(q1) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no server got it")
 		}
 	}
-	var next *logged
+	var next *loggedProcess
 	at := func(e string) {
 		switch {
 		case e != event:
@@ -147,14 +147,14 @@
 	next = run(config)
 	at("begun")
 	if next.alive() {
-		old.says(t, "msg=hand-over", "kind=hello")
+		old.awaitLine(t, "msg=hand-over", "kind=hello")
 		at("hello")
 	}
-	next.says(t, "msg=ready")
+	next.awaitLine(t, "msg=ready")
 	at("ready")
 	// It takes clients, beside the old one or alone.
-	for deadline := time.Now().Add(patience); next.alive(); time.Sleep(time.Millisecond) {
-		if h, err := proc.Health(t.Context(), listen, time.Second); err == nil && h.Launch == strconv.Itoa(next.cmd.Process.Pid) {
+	for deadline := time.Now().Add(testTimeout); next.alive(); time.Sleep(time.Millisecond) {
+		if h, err := proc.Health(t.Context(), listen, time.Second); err == nil && h.Launch == strconv.Itoa(next.command.Process.Pid) {
 			break
 		}
 		if time.Now().After(deadline) {
@@ -163,8 +163,8 @@
 	}
 	at("serving")
 	if next.alive() {
-		old.cmd.Process.Signal(syscall.SIGTERM)
-		old.says(t, "stopping")
+		old.command.Process.Signal(syscall.SIGTERM)
+		old.awaitLine(t, "stopping")
 	}
 	at("stopping")
 	release()
@@ -175,12 +175,12 @@
 	if !old.alive() && !next.alive() {
 		next = run(config)
 	}
-	ready(t, listen)
+	awaitHealthy(t, listen)
 	// Until its dead owner's time is over, a key is in flight.
-	settled := func(q request) (a answer) {
-		for deadline := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
-			a, err := ask(listen, q, nil)
-			if err == nil && (a.status == http.StatusOK || a.status == http.StatusConflict && strings.HasPrefix(a.state, "may-have-run")) {
+	settled := func(q clientRequest) (a clientResponse) {
+		for deadline := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
+			a, err := sendRequest(listen, q, nil)
+			if err == nil && (a.status == http.StatusOK || a.status == http.StatusConflict && strings.HasPrefix(a.recordState, "may-have-run")) {
 				return a
 			}
 			if time.Now().After(deadline) {
@@ -189,8 +189,8 @@
 		}
 	}
 	a1, a2 := settled(q1), settled(q2)
-	if w.ran(q1) != 1 || w.ran(q2) != 1 {
-		t.Errorf("the keys ran %d and %d times; want once each", w.ran(q1), w.ran(q2))
+	if w.runCount(q1) != 1 || w.runCount(q2) != 1 {
+		t.Errorf("the keys ran %d and %d times; want once each", w.runCount(q1), w.runCount(q2))
 	}
 	if first.status == http.StatusOK && (a1.status != http.StatusOK || a1.body != first.body) {
 		t.Errorf("told %+v at first, and %+v when asked again", first, a1)
--- a/internal/idempotency/e2e/main_test.go
+++ b/internal/idempotency/e2e/main_test.go
@@ -34,16 +34,16 @@
 	"martendrum/internal/upstream"
 )
 
-// patience is how long a test waits for what must come.
-const patience = 30 * time.Second
+// testTimeout is how long a test waits for what must come.
+const testTimeout = 30 * time.Second
 
 // TestMain also plays a sidecar that kills itself at a point.
 func TestMain(m *testing.M) {
 	if text := os.Getenv("E2E_RECORD"); text != "" {
-		var p plan
+		var p sidecarConfig
 		err := json.Unmarshal([]byte(text), &p)
 		if err == nil {
-			err = child(&p)
+			err = runChild(&p)
 		}
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -54,23 +54,23 @@
 	os.Exit(m.Run())
 }
 
-// plan is what a sidecar of these tests is told.
-type plan struct {
+// sidecarConfig is what a sidecar of these tests is told.
+type sidecarConfig struct {
 	SQLite   string // its file, or
 	Postgres string // its URL
 	Servers  []string
 	CrashAt  int64 // the point to die at, counted from 1; 0: none
 
-	Wait  time.Duration // for the store; 0: 10 s
-	Lease time.Duration // 0: 5 s
-	Most  int           // bytes of an answer that are kept; 0: 64 KiB
-	Aim   string        // of the classes, in µs; "": 20 s
-	Sweep bool          // what is answered is dropped at once, without an end
+	MaxWait          time.Duration // for the store; 0: 10 s
+	LeaseMargin      time.Duration // 0: 5 s
+	MaxAnswerBytes   int           // bytes of an answer that are kept; 0: 64 KiB
+	LatencyObjective string        // of the classes, in µs; "": 20 s
+	SweepAtOnce      bool          // what is answered is dropped at once, without an end
 
-	wrap func(idempotency.Backend) idempotency.Backend
+	wrapBackend func(idempotency.Backend) idempotency.Backend
 }
 
-const form = `{"replicasOfMe":1,"registryMode":"automatic",
+const settingsTemplate = `{"replicasOfMe":1,"registryMode":"automatic",
 	"caps":{"attemptsCap":3,"mayCancel":true,"secondCopies":false,"connIdleUs":30000000,"dialTimeoutUs":5000000,"mostHeld":500,"retryAfter":true,"maxRetryAfterUs":1000000},
 	"guarantees":{"drainGraceUs":2000000,"coldFrom":1},
 	"classes":[{"name":"status-check","promiseUs":AIM,"hardLimitUs":20000000,"effect":"repeatable","worth":1},
@@ -78,7 +78,7 @@
 	{"name":"activate","promiseUs":AIM,"hardLimitUs":20000000,"effect":"once","worth":10},
 	{"name":"report","promiseUs":AIM,"hardLimitUs":20000000,"effect":"once","worth":10}]}`
 
-func rule(t string) idempotency.KeyRule {
+func mustParseKeyRule(t string) idempotency.KeyRule {
 	r, err := idempotency.ParseKeyRule(t)
 	if err != nil {
 		panic(err)
@@ -86,28 +86,28 @@
 	return r
 }
 
-// node is a running sidecar.
-type node struct {
-	addr    string
-	host    *sidecar.Host
-	srv     *downstream.Server
-	keeper  *recorder.Recorder
-	backend idempotency.Backend
-	ln      net.Listener
+// testSidecar is a running sidecar.
+type testSidecar struct {
+	address  string
+	host     *sidecar.Host
+	server   *downstream.Server
+	recorder *recorder.Recorder
+	backend  idempotency.Backend
+	listener net.Listener
 }
 
 // start starts a sidecar. points, where set, is told of each crash point.
-func start(p *plan, points func(string)) (*node, error) {
-	aim := p.Aim
+func start(p *sidecarConfig, points func(string)) (*testSidecar, error) {
+	aim := p.LatencyObjective
 	if aim == "" {
 		aim = "20000000"
 	}
-	set, err := settings.Parse([]byte(strings.ReplaceAll(form, "AIM", aim)))
+	set, err := settings.Parse([]byte(strings.ReplaceAll(settingsTemplate, "AIM", aim)))
 	if err != nil {
 		return nil, err
 	}
 	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 300})
-	n := &node{}
+	n := &testSidecar{}
 	if n.host, err = sidecar.New(set, 1, pool, new(discovery.Watcher)); err != nil {
 		return nil, err
 	}
@@ -117,20 +117,20 @@
 	}
 	n.host.Listed(l)
 	if p.SQLite != "" || p.Postgres != "" {
-		if err := n.record(p, points); err != nil {
+		if err := n.openRecorder(p, points); err != nil {
 			return nil, err
 		}
 	}
-	n.srv = downstream.New(downstream.Config{MaxConns: 1000, MaxBody: 8 << 20}, n.host)
-	if n.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	n.server = downstream.New(downstream.Config{MaxConns: 1000, MaxBody: 8 << 20}, n.host)
+	if n.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	n.addr = n.ln.Addr().String()
-	go n.srv.Serve(n.ln)
+	n.address = n.listener.Addr().String()
+	go n.server.Serve(n.listener)
 	return n, nil
 }
 
-func or[T comparable](v, other T) T {
+func orDefault[T comparable](v, other T) T {
 	var zero T
 	if v == zero {
 		return other
@@ -138,10 +138,10 @@
 	return v
 }
 
-func (n *node) record(p *plan, points func(string)) (err error) {
+func (n *testSidecar) openRecorder(p *sidecarConfig, points func(string)) (err error) {
 	keep := idempotency.Retention{Answered: time.Hour, NeverRan: time.Hour, Unsettled: time.Hour}
 	each := time.Hour
-	if p.Sweep {
+	if p.SweepAtOnce {
 		keep.Answered, each = time.Millisecond, 10*time.Millisecond
 	}
 	writers := 1
@@ -154,55 +154,55 @@
 	if err != nil {
 		return err
 	}
-	if p.wrap != nil {
-		n.backend = p.wrap(n.backend)
+	if p.wrapBackend != nil {
+		n.backend = p.wrapBackend(n.backend)
 	}
 	if points != nil {
 		if p.SQLite != "" {
-			if err := within(p.SQLite, points); err != nil {
+			if err := addCrashTrigger(p.SQLite, points); err != nil {
 				return err
 			}
 		}
-		n.backend = &pointed{n.backend, points}
+		n.backend = &crashPointBackend{n.backend, points}
 	}
-	wait := or(p.Wait, 10*time.Second)
-	n.keeper = recorder.New(recorder.Config{StoreName: "e2e", Writers: writers, MaxBatch: 64, MaxQueuedOps: 1000, MaxQueuedBytes: 4 << 20, StatementTimeout: 10 * time.Second,
-		EndRetryDuration: time.Minute, LeaseMargin: or(p.Lease, 5*time.Second), MaxAnswerBytes: or(p.Most, 64<<10), Retention: keep, SweepInterval: each,
+	wait := orDefault(p.MaxWait, 10*time.Second)
+	n.recorder = recorder.New(recorder.Config{StoreName: "e2e", Writers: writers, MaxBatch: 64, MaxQueuedOps: 1000, MaxQueuedBytes: 4 << 20, StatementTimeout: 10 * time.Second,
+		EndRetryDuration: time.Minute, LeaseMargin: orDefault(p.LeaseMargin, 5*time.Second), MaxAnswerBytes: orDefault(p.MaxAnswerBytes, 64<<10), Retention: keep, SweepInterval: each,
 		BreakerThreshold: 3, MinBackoff: 20 * time.Millisecond, MaxBackoff: 100 * time.Millisecond,
-		Classes: []recorder.Class{{Name: "id-register", KeyRule: rule("header:Idempotency-Key"), FailOpen: true, MaxWait: wait},
-			{Name: "activate", KeyRule: rule("json:/sim/iccid"), MaxWait: wait}, {Name: "report", KeyRule: rule("request-id"), MaxWait: wait}}}, n.backend)
+		Classes: []recorder.Class{{Name: "id-register", KeyRule: mustParseKeyRule("header:Idempotency-Key"), FailOpen: true, MaxWait: wait},
+			{Name: "activate", KeyRule: mustParseKeyRule("json:/sim/iccid"), MaxWait: wait}, {Name: "report", KeyRule: mustParseKeyRule("request-id"), MaxWait: wait}}}, n.backend)
 	if points != nil {
-		n.host.SetRecorder(&pointedRecorder{n.keeper, points})
+		n.host.SetRecorder(&crashPointRecorder{n.recorder, points})
 	} else {
-		n.host.SetRecorder(n.keeper)
+		n.host.SetRecorder(n.recorder)
 	}
 	return nil
 }
 
-func (n *node) stop() {
-	n.ln.Close()
-	if n.keeper != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		n.keeper.Close(ctx)
+func (n *testSidecar) stop() {
+	n.listener.Close()
+	if n.recorder != nil {
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+		n.recorder.Close(ctx)
 		cancel()
 	}
 }
 
-// inside is told of each row that SQLite has written, in the midst of its transaction.
-var inside atomic.Pointer[func(string)]
+// rowWritten is told of each row that SQLite has written, in the midst of its transaction.
+var rowWritten atomic.Pointer[func(string)]
 
 func init() {
 	driver.MustRegisterScalarFunction("crash_point", 0, func(*driver.FunctionContext, []sqldriver.Value) (sqldriver.Value, error) {
-		if at := inside.Load(); at != nil {
+		if at := rowWritten.Load(); at != nil {
 			(*at)("a row is written, its transaction is not")
 		}
 		return int64(0), nil
 	})
 }
 
-// within puts the points into a file, as a trigger.
-func within(path string, points func(string)) error {
-	inside.Store(&points)
+// addCrashTrigger puts the points into a file, as a trigger.
+func addCrashTrigger(path string, points func(string)) error {
+	rowWritten.Store(&points)
 	db, err := sql.Open("sqlite", path)
 	if err != nil {
 		return err
@@ -212,62 +212,62 @@
 	return err
 }
 
-// pointed names the points before and after each transaction.
-type pointed struct {
+// crashPointBackend names the points before and after each transaction.
+type crashPointBackend struct {
 	idempotency.Backend
-	at func(string)
+	reach func(string)
 }
 
-func (b *pointed) Apply(ctx context.Context, ops []*idempotency.Op) error {
-	b.at("before the transaction")
+func (b *crashPointBackend) Apply(ctx context.Context, ops []*idempotency.Op) error {
+	b.reach("before the transaction")
 	err := b.Backend.Apply(ctx, ops)
-	b.at("after the transaction")
+	b.reach("after the transaction")
 	return err
 }
 
-// pointedRecorder names the points between the sidecar and its record.
-type pointedRecorder struct {
-	r  sidecar.Recorder
-	at func(string)
+// crashPointRecorder names the points between the sidecar and its record.
+type crashPointRecorder struct {
+	recorder sidecar.Recorder
+	reach    func(string)
 }
 
-func (p *pointedRecorder) Begin(x *downstream.Exchange, left time.Duration, then func(sidecar.Verdict)) {
-	p.at("a request has come")
-	p.r.Begin(x, left, func(v sidecar.Verdict) {
-		p.at("before the request goes on")
+func (p *crashPointRecorder) Begin(x *downstream.Exchange, left time.Duration, then func(sidecar.Verdict)) {
+	p.reach("a request has come")
+	p.recorder.Begin(x, left, func(v sidecar.Verdict) {
+		p.reach("before the request goes on")
 		if v.Entry != nil {
-			v.Entry = &pointedEntry{v.Entry, p.at}
+			v.Entry = &crashPointEntry{v.Entry, p.reach}
 		}
 		then(v)
-		p.at("after the request went on")
+		p.reach("after the request went on")
 	})
 }
 
-type pointedEntry struct {
-	e  sidecar.Entry
-	at func(string)
+type crashPointEntry struct {
+	entry sidecar.Entry
+	reach func(string)
 }
 
-func (p *pointedEntry) Sending(n int, server string, then func(bool)) {
-	p.at("an attempt is decided")
-	p.e.Sending(n, server, func(ok bool) {
-		p.at("before its first byte")
+func (p *crashPointEntry) Sending(n int, server string, then func(bool)) {
+	p.reach("an attempt is decided")
+	p.entry.Sending(n, server, func(ok bool) {
+		p.reach("before its first byte")
 		then(ok)
-		p.at("after its last byte")
+		p.reach("after its last byte")
 	})
 }
 
-func (p *pointedEntry) End(e sidecar.End, ans *upstream.Answer, left time.Duration, then func()) {
-	p.at("the end is known")
-	p.e.End(e, ans, left, func() {
-		p.at("before the answer goes out")
+func (p *crashPointEntry) End(e sidecar.End, ans *upstream.Answer, left time.Duration, then func()) {
+	p.reach("the end is known")
+	p.entry.End(e, ans, left, func() {
+		p.reach("before the answer goes out")
 		then()
-		p.at("after the answer went out")
+		p.reach("after the answer went out")
 	})
 }
 
-// child is a process that is killed at a point.
-func child(p *plan) error {
+// runChild is a process that is killed at a point.
+func runChild(p *sidecarConfig) error {
 	var count atomic.Int64
 	n, err := start(p, func(string) {
 		if count.Add(1) == p.CrashAt {
@@ -278,19 +278,19 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println("ready", n.addr)
+	fmt.Println("ready", n.address)
 	io.Copy(io.Discard, os.Stdin) // until the test closes it
 	fmt.Println("points", count.Load())
 	return nil
 }
 
-// request is what a client asks.
-type request struct {
+// clientRequest is what a client asks.
+type clientRequest struct {
 	class, key, id, body string
 	deadline             time.Duration
 }
 
-func (q *request) bytes() []byte {
+func (q *clientRequest) bytes() []byte {
 	body := q.body
 	head := "POST /" + q.class + "/1 HTTP/1.1\r\nHost: shop\r\nReq-Owner: toko\r\n"
 	switch q.class {
@@ -313,28 +313,28 @@
 	return fmt.Appendf(nil, "%sReq-Id: %s\r\nReq-Kind: %s\r\nContent-Length: %d\r\n\r\n%s", head, id, q.class, len(body), body)
 }
 
-// answer is what a client is told; status 0: the connection ended without.
-type answer struct {
-	status int
-	state  string // Record-State
-	retry  string
-	body   string
+// clientResponse is what a client is told; status 0: the connection ended without.
+type clientResponse struct {
+	status      int
+	recordState string // Record-State
+	retryAfter  string
+	body        string
 }
 
 var lastID atomic.Int64
 
-// ask asks a sidecar once, on a connection of its own. sent, where set, is told when
+// sendRequest asks a sidecar once, on a connection of its own. sent, where set, is told when
 // the request has gone out.
-func ask(addr string, q request, sent func()) (a answer, err error) {
+func sendRequest(addr string, q clientRequest, sent func()) (a clientResponse, err error) {
 	if q.id == "" {
 		q.id = fmt.Sprintf("r%d", lastID.Add(1))
 	}
-	c, err := net.DialTimeout("tcp", addr, patience)
+	c, err := net.DialTimeout("tcp", addr, testTimeout)
 	if err != nil {
 		return a, nil // it has died
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Write(q.bytes()); err != nil {
 		return a, nil
 	}
@@ -344,7 +344,7 @@
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
-			return a, fmt.Errorf("%s %s: no answer within %v", q.class, q.key, patience)
+			return a, fmt.Errorf("%s %s: no answer within %v", q.class, q.key, testTimeout)
 		}
 		return a, nil
 	}
@@ -353,39 +353,39 @@
 	if err != nil {
 		return a, nil
 	}
-	return answer{resp.StatusCode, resp.Header.Get("Record-State"), resp.Header.Get("Retry-After"), string(b)}, nil
+	return clientResponse{resp.StatusCode, resp.Header.Get("Record-State"), resp.Header.Get("Retry-After"), string(b)}, nil
 }
 
-// world is servers that count what they run by key, and drop repeats of a keyed
+// serverGroup is servers that count what they run by key, and drop repeats of a keyed
 // request as the real ones do.
-type world struct {
-	mu   sync.Mutex
-	runs map[string]int // by class and key
-	hits int            // requests that came
-	act  func(hit int) act
-	at   func(string) // told of each point at a server
+type serverGroup struct {
+	mu       sync.Mutex
+	runs     map[string]int // by class and key
+	requests int            // requests that came
+	behave   func(hit int) behavior
+	onPoint  func(string) // told of each point at a server
 }
 
-// act is what a server does with a request.
-type act struct {
-	decline bool // turns it away unseen
-	reset   bool // runs it and breaks off
-	fail    bool // runs it and says 500
-	half    bool // runs it and breaks off in the midst of the answer
-	hold    <-chan struct{}
-	size    int // of the answer's body; 0: as it comes
+// behavior is what a server does with a request.
+type behavior struct {
+	reject   bool // turns it away unseen
+	reset    bool // runs it and breaks off
+	fail     bool // runs it and says 500
+	truncate bool // runs it and breaks off in the midst of the answer
+	hold     <-chan struct{}
+	bodySize int // of the answer's body; 0: as it comes
 }
 
-func (w *world) point(name string) {
+func (w *serverGroup) reachPoint(name string) {
 	w.mu.Lock()
-	at := w.at
+	at := w.onPoint
 	w.mu.Unlock()
 	if at != nil {
 		at(name)
 	}
 }
 
-func (w *world) serve(rw http.ResponseWriter, r *http.Request) {
+func (w *serverGroup) serve(rw http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return // it did not come whole
@@ -400,37 +400,37 @@
 		json.Unmarshal(body, &b)
 		key = class + " " + b.Sim.Iccid
 	}
-	w.point("a server has it")
+	w.reachPoint("a server has it")
 	w.mu.Lock()
-	w.hits++
-	var a act
-	if w.act != nil {
-		a = w.act(w.hits)
+	w.requests++
+	var a behavior
+	if w.behave != nil {
+		a = w.behave(w.requests)
 	}
-	if !a.decline && (class != "id-register" || w.runs[key] == 0) {
+	if !a.reject && (class != "id-register" || w.runs[key] == 0) {
 		w.runs[key]++
 	}
 	w.mu.Unlock()
-	w.point("a server has run it")
+	w.reachPoint("a server has run it")
 	if a.hold != nil {
 		<-a.hold
 	}
 	text := "done: " + key
-	if a.size > 0 {
-		text = strings.Repeat("x", a.size)
+	if a.bodySize > 0 {
+		text = strings.Repeat("x", a.bodySize)
 	}
 	switch {
-	case a.decline:
+	case a.reject:
 		rw.Header().Set("Srv-Declined", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	case a.fail:
 		rw.WriteHeader(http.StatusInternalServerError)
-	case a.reset, a.half:
+	case a.reset, a.truncate:
 		c, _, err := rw.(http.Hijacker).Hijack()
 		if err != nil {
 			return
 		}
-		if a.half {
+		if a.truncate {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:3])
 		}
 		c.Close()
@@ -440,10 +440,10 @@
 		io.WriteString(rw, text)
 		rw.(http.Flusher).Flush()
 	}
-	w.point("a server has answered")
+	w.reachPoint("a server has answered")
 }
 
-func (w *world) ran(q request) int {
+func (w *serverGroup) runCount(q clientRequest) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runs[q.class+" "+q.key]
--- a/internal/idempotency/e2e/program_test.go
+++ b/internal/idempotency/e2e/program_test.go
@@ -29,8 +29,8 @@
 key = "json:/sim/iccid"
 `
 
-// build builds the programs as operators do.
-func build(t *testing.T, dir string) (sidecar, tool string) {
+// buildPrograms builds the programs as operators do.
+func buildPrograms(t *testing.T, dir string) (sidecar, tool string) {
 	t.Helper()
 	sidecar, tool = filepath.Join(dir, "sidecar-record"), filepath.Join(dir, "martendrum")
 	for _, args := range [][]string{{"build", "-tags", "record", "-o", sidecar, "martendrum/cmd/sidecar"}, {"build", "-o", tool, "martendrum/cmd/martendrum"}} {
@@ -41,10 +41,10 @@
 	return sidecar, tool
 }
 
-// ready waits until a sidecar's health call is answered well.
-func ready(t *testing.T, listen string) proc.Healthy {
+// awaitHealthy waits until a sidecar's health call is answered well.
+func awaitHealthy(t *testing.T, listen string) proc.Healthy {
 	t.Helper()
-	for deadline := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		h, err := proc.Health(t.Context(), listen, time.Second)
 		if err == nil {
 			return h
@@ -55,14 +55,14 @@
 	}
 }
 
-// holdsFirst is servers of which the first request waits for hold; they end with the test.
-func holdsFirst(t *testing.T, hold <-chan struct{}) (*world, *shop.Shop) {
+// serversHoldingFirst is servers of which the first request waits for hold; they end with the test.
+func serversHoldingFirst(t *testing.T, hold <-chan struct{}) (*serverGroup, *shop.Shop) {
 	t.Helper()
-	w := &world{runs: make(map[string]int), act: func(hit int) act {
+	w := &serverGroup{runs: make(map[string]int), behave: func(hit int) behavior {
 		if hit == 1 {
-			return act{hold: hold}
+			return behavior{hold: hold}
 		}
-		return act{}
+		return behavior{}
 	}}
 	s, err := shop.NewWith(2, func(_ *shop.Shop, _ string, rw http.ResponseWriter, r *http.Request) { w.serve(rw, r) })
 	if err != nil {
@@ -76,8 +76,8 @@
 // a start does not need the database, and one that it may not use is said at start.
 func TestProgramsOnPostgres(t *testing.T) {
 	dir := t.TempDir()
-	sidecar, tool := build(t, dir)
-	w := &world{runs: make(map[string]int)}
+	sidecar, tool := buildPrograms(t, dir)
+	w := &serverGroup{runs: make(map[string]int)}
 	s, err := shop.NewWith(2, func(_ *shop.Shop, _ string, rw http.ResponseWriter, r *http.Request) { w.serve(rw, r) })
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 	}
 	say := func(listen, want string) {
 		t.Helper()
-		for deadline := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+		for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 			h, err := proc.Health(t.Context(), listen, time.Second)
 			if err == nil && strings.Contains(h.Record, want) {
 				return
@@ -119,19 +119,19 @@
 			}
 		}
 	}
-	q := request{class: "activate", key: "896211"}
+	q := clientRequest{class: "activate", key: "896211"}
 	pg.SetRefuse(true)
 	_, _, first := run(1)
 	say(first, "postgres; ")
-	if a, err := ask(first, q, nil); err != nil || a.status != http.StatusServiceUnavailable || w.ran(q) > 0 {
+	if a, err := sendRequest(first, q, nil); err != nil || a.status != http.StatusServiceUnavailable || w.runCount(q) > 0 {
 		t.Errorf("%+v %v", a, err)
 	}
 	pg.SetRefuse(false)
 	_, _, second := run(2)
 	say(second, "breaker=closed")
 	say(first, "breaker=closed")
-	for deadline := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
-		a, err := ask(first, q, nil)
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		a, err := sendRequest(first, q, nil)
 		if err == nil && a.status == http.StatusOK {
 			break
 		}
@@ -139,8 +139,8 @@
 			t.Fatalf("%+v %v", a, err)
 		}
 	}
-	if a, err := ask(second, q, nil); err != nil || a.body != "done: activate 896211" || w.ran(q) != 1 {
-		t.Errorf("%+v %v, ran %d times", a, err, w.ran(q))
+	if a, err := sendRequest(second, q, nil); err != nil || a.body != "done: activate 896211" || w.runCount(q) != 1 {
+		t.Errorf("%+v %v, ran %d times", a, err, w.runCount(q))
 	}
 	for args, says := range map[string]string{"look activate 896211": "done: activate 896211", "list": "896211", "stats": "answered       1", "check": "no damage", "compact": "", "export": "896211"} {
 		out, err := exec.Command(tool, append([]string{"record", "--config", file}, strings.Fields(args)...)...).CombinedOutput()
@@ -159,9 +159,9 @@
 // its successor does not send it again, staff settles it, and the key goes through.
 func TestPrograms(t *testing.T) {
 	dir := t.TempDir()
-	sidecar, tool := build(t, dir)
+	sidecar, tool := buildPrograms(t, dir)
 	hold := make(chan struct{})
-	w, s := holdsFirst(t, hold)
+	w, s := serversHoldingFirst(t, hold)
 	defer close(hold)
 	config, listen, err := s.Config(dir, "n1", 60001)
 	if err != nil {
@@ -181,16 +181,16 @@
 		return c, &out
 	}
 	first, _ := run()
-	if h := ready(t, listen); !strings.HasPrefix(h.Record, "sqlite; breaker=closed; queued=0") {
+	if h := awaitHealthy(t, listen); !strings.HasPrefix(h.Record, "sqlite; breaker=closed; queued=0") {
 		t.Errorf("%+v", h)
 	}
-	q := request{class: "activate", key: "896210"}
-	done := make(chan answer, 1)
+	q := clientRequest{class: "activate", key: "896210"}
+	done := make(chan clientResponse, 1)
 	go func() {
-		a, _ := ask(listen, q, nil)
+		a, _ := sendRequest(listen, q, nil)
 		done <- a
 	}()
-	for deadline := time.Now().Add(patience); w.ran(q) == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); w.runCount(q) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no server got it")
 		}
@@ -215,8 +215,8 @@
 		t.Errorf("%+v", a)
 	}
 	second, log := run()
-	ready(t, listen)
-	if a, err := ask(listen, q, nil); err != nil || a.status != http.StatusConflict || !strings.HasPrefix(a.state, "may-have-run") {
+	awaitHealthy(t, listen)
+	if a, err := sendRequest(listen, q, nil); err != nil || a.status != http.StatusConflict || !strings.HasPrefix(a.recordState, "may-have-run") {
 		t.Errorf("%+v %v", a, err)
 	}
 	command(0, "896210", "list", "--state", "may-have-run")
@@ -226,7 +226,7 @@
 	command(2, "ran never-ran", "settle", "activate", "896210")
 	command(0, "nothing was changed", "settle", "activate", "896210", "--never-ran", "--dry-run")
 	command(0, "settled by sari", "settle", "activate", "896210", "--never-ran", "--who", "sari", "--note", "asked the registry")
-	if a, err := ask(listen, q, nil); err != nil || a.status != http.StatusOK {
+	if a, err := sendRequest(listen, q, nil); err != nil || a.status != http.StatusOK {
 		t.Errorf("%+v %v", a, err)
 	}
 	command(0, "done: activate 896210", "look", "activate", "896210")
--- a/internal/idempotency/postgres/postgres_test.go
+++ b/internal/idempotency/postgres/postgres_test.go
@@ -141,7 +141,7 @@
 
 // Each bad day ends in an error that says what it is, in time, and the store goes on
 // when it is over.
-func TestBadDays(t *testing.T) {
+func TestDatabaseFaults(t *testing.T) {
 	srv := serve(t, pgserver.Config{MaxConns: 3})
 	c := config(srv.URL())
 	c.StatementTimeout, c.ConnectTimeout = 200*time.Millisecond, 200*time.Millisecond
--- a/internal/idempotency/sqlite/sqlite_test.go
+++ b/internal/idempotency/sqlite/sqlite_test.go
@@ -261,7 +261,7 @@
 }
 
 // A reader beside the owner sees and settles; compacting needs the file alone.
-func TestBesideItsOwner(t *testing.T) {
+func TestReaderBesideOwner(t *testing.T) {
 	c := cfg(filepath.Join(t.TempDir(), "r.db"))
 	owner := mustOpen(t, c)
 	bt.Apply(t, owner, bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0), bt.End("k", "a", idempotency.MayHaveRun))
