--- a/internal/idempotency/e2e/bench_test.go
+++ b/internal/idempotency/e2e/bench_test.go
@@ -23,10 +23,10 @@
 	reader     *bufio.Reader
 }
 
-func (c *benchmarkClient) ask(q clientRequest) (int, error) {
-	q.id = fmt.Sprintf("b%d", lastID.Add(1))
+func (c *benchmarkClient) ask(request clientRequest) (int, error) {
+	request.id = fmt.Sprintf("b%d", lastID.Add(1))
 	c.connection.SetDeadline(time.Now().Add(testTimeout))
-	if _, err := c.connection.Write(q.bytes()); err != nil {
+	if _, err := c.connection.Write(request.bytes()); err != nil {
 		return 0, err
 	}
 	resp, err := http.ReadResponse(c.reader, nil)
--- a/internal/idempotency/e2e/crash_test.go
+++ b/internal/idempotency/e2e/crash_test.go
@@ -111,20 +111,12 @@
 // asked again with the same key. Nothing runs twice, and each key ends answered,
 // refused and then carried out, or listed as one that may have run.
 func TestCrashAtEveryPoint(t *testing.T) {
-	first := func(a behavior) func(int) behavior {
-		return func(hit int) behavior {
-			if hit == 1 {
-				return a
-			}
-			return behavior{}
-		}
-	}
-	served := crashCase{name: "served", behave: func(int) behavior { return behavior{} }}
-	declined := crashCase{name: "turned away once", behave: first(behavior{reject: true})}
-	reset := crashCase{name: "run, then reset", behave: first(behavior{reset: true})}
-	half := crashCase{name: "half an answer", behave: first(behavior{truncate: true})}
-	failed := crashCase{name: "run, then 500", behave: first(behavior{fail: true})}
-	refused := crashCase{name: "turned away by all", behave: func(int) behavior { return behavior{reject: true} }}
+	served := crashCase{name: "served", behave: always(behavior{})}
+	declined := crashCase{name: "turned away once", behave: onFirstRequest(behavior{reject: true})}
+	reset := crashCase{name: "run, then reset", behave: onFirstRequest(behavior{reset: true})}
+	half := crashCase{name: "half an answer", behave: onFirstRequest(behavior{truncate: true})}
+	failed := crashCase{name: "run, then 500", behave: onFirstRequest(behavior{fail: true})}
+	refused := crashCase{name: "turned away by all", behave: always(behavior{reject: true})}
 	total := &crashTotals{byKind: make(map[string]int)}
 	t.Run("all", func(t *testing.T) {
 		for _, store := range []string{"sqlite", "postgres"} {
@@ -152,8 +144,8 @@
 
 func (c crashCase) run(t *testing.T, total *crashTotals) {
 	dir := t.TempDir()
-	w := &serverGroup{runs: make(map[string]int)}
-	s, err := shop.NewWith(3, func(_ *shop.Shop, _ string, rw http.ResponseWriter, r *http.Request) { w.serve(rw, r) })
+	w := newServerGroup()
+	s, err := shop.NewWith(serversPerSidecar, w.handle)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +174,7 @@
 func (c crashCase) runOnce(t *testing.T, s *shop.Shop, w *serverGroup, pg *pgserver.Server, dir string, n *int, kind string, at int64, total *crashTotals) map[string]int64 {
 	t.Helper()
 	*n++
-	q := clientRequest{class: c.class, key: fmt.Sprintf("key%d", *n)}
+	request := clientRequest{class: c.class, key: fmt.Sprintf("key%d", *n)}
 	p := &sidecarConfig{Servers: s.Addrs()}
 	if pg != nil {
 		p.Postgres = pg.URL()
@@ -213,7 +205,7 @@
 			return pgserver.Fault{}
 		})
 	}
-	first, err := sendRequest(child.address, q, func() { dies(atClient, &client) })
+	first, err := sendRequest(child.address, request, func() { dies(atClient, &client) })
 	if err != nil {
 		t.Fatalf("%v, %s %d: %v", c, kind, at, err)
 	}
@@ -242,20 +234,20 @@
 		t.Fatalf("%v, %s %d: %v", c, kind, at, err)
 	}
 	defer again.stop()
-	c.check(t, w, again, q, first, fmt.Sprintf("%v, %s, point %d, first %v", c, kind, at, first.status), kind, total)
+	c.check(t, w, again, request, first, fmt.Sprintf("%v, %s, point %d, first %v", c, kind, at, first.status), kind, total)
 	return nil
 }
 
-func (c crashCase) check(t *testing.T, w *serverGroup, n *testSidecar, q clientRequest, first clientResponse, where, kind string, total *crashTotals) {
+func (c crashCase) check(t *testing.T, w *serverGroup, n *testSidecar, request clientRequest, first clientResponse, where, kind string, total *crashTotals) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	row, err := n.backend.Get(ctx, q.class, q.key)
+	row, err := n.backend.Get(ctx, request.class, request.key)
 	if err != nil {
 		t.Fatalf("%s: %v", where, err)
 	}
-	before := w.runCount(q)
-	a, err := sendRequest(n.address, q, nil)
+	before := w.runCount(request)
+	a, err := sendRequest(n.address, request, nil)
 	if err != nil {
 		t.Fatalf("%s: %v", where, err)
 	}
@@ -264,12 +256,12 @@
 	total.runs++
 	total.byKind[kind]++
 	switch {
-	case w.runCount(q) > 1:
-		t.Errorf("%s: it ran %d times; row %+v", where, w.runCount(q), row)
+	case w.runCount(request) > 1:
+		t.Errorf("%s: it ran %d times; row %+v", where, w.runCount(request), row)
 	case a.status == http.StatusOK:
 		total.answered++
-		if w.runCount(q) != 1 || first.status == http.StatusOK && a.body != first.body || a.body != "done: "+q.class+" "+q.key {
-			t.Errorf("%s: answered %q, at first %q, ran %d times", where, a.body, first.body, w.runCount(q))
+		if w.runCount(request) != 1 || first.status == http.StatusOK && a.body != first.body || a.body != "done: "+request.class+" "+request.key {
+			t.Errorf("%s: answered %q, at first %q, ran %d times", where, a.body, first.body, w.runCount(request))
 		}
 		if first.status == http.StatusServiceUnavailable {
 			total.retried++
@@ -279,10 +271,10 @@
 		t.Errorf("%s: refused though the store and the servers are well", where)
 	case a.status == http.StatusConflict && strings.HasPrefix(a.recordState, "may-have-run"):
 		total.mayHaveRun++
-		rows, err := n.backend.List(ctx, idempotency.Filter{State: idempotency.MayHaveRun, Class: q.class, Limit: 10000})
+		rows, err := n.backend.List(ctx, idempotency.Filter{State: idempotency.MayHaveRun, Class: request.class, Limit: 10000})
 		listed := false
 		for _, r := range rows {
-			listed = listed || r.Key == q.key
+			listed = listed || r.Key == request.key
 		}
 		switch {
 		case err != nil || !listed:
@@ -293,6 +285,6 @@
 			t.Errorf("%s: nothing was sent, and it is said to may have run: %+v", where, row)
 		}
 	default:
-		t.Errorf("%s: asked again: %+v (ran %d, before %d, row %+v)", where, a, w.runCount(q), before, row)
+		t.Errorf("%s: asked again: %+v (ran %d, before %d, row %+v)", where, a, w.runCount(request), before, row)
 	}
 }
--- a/internal/idempotency/e2e/handover_test.go
+++ b/internal/idempotency/e2e/handover_test.go
@@ -122,13 +122,13 @@
 	}
 	old := run(config)
 	awaitHealthy(t, listen)
-	q1, q2 := clientRequest{class: "activate", key: "first"}, clientRequest{class: "activate", key: "second"}
+	firstRequest, secondRequest := clientRequest{class: "activate", key: "first"}, clientRequest{class: "activate", key: "second"}
 	told := make(chan clientResponse, 1)
 	go func() {
-		a, _ := sendRequest(listen, q1, nil)
+		a, _ := sendRequest(listen, firstRequest, nil)
 		told <- a
 	}()
-	for deadline := time.Now().Add(testTimeout); w.runCount(q1) == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); w.runCount(firstRequest) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no server got it")
 		}
@@ -177,20 +177,20 @@
 	}
 	awaitHealthy(t, listen)
 	// Until its dead owner's time is over, a key is in flight.
-	settled := func(q clientRequest) (a clientResponse) {
+	settled := func(request clientRequest) (a clientResponse) {
 		for deadline := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
-			a, err := sendRequest(listen, q, nil)
+			a, err := sendRequest(listen, request, nil)
 			if err == nil && (a.status == http.StatusOK || a.status == http.StatusConflict && strings.HasPrefix(a.recordState, "may-have-run")) {
 				return a
 			}
 			if time.Now().After(deadline) {
-				t.Fatalf("%s comes to no end: %+v %v", q.key, a, err)
+				t.Fatalf("%s comes to no end: %+v %v", request.key, a, err)
 			}
 		}
 	}
-	a1, a2 := settled(q1), settled(q2)
-	if w.runCount(q1) != 1 || w.runCount(q2) != 1 {
-		t.Errorf("the keys ran %d and %d times; want once each", w.runCount(q1), w.runCount(q2))
+	a1, a2 := settled(firstRequest), settled(secondRequest)
+	if w.runCount(firstRequest) != 1 || w.runCount(secondRequest) != 1 {
+		t.Errorf("the keys ran %d and %d times; want once each", w.runCount(firstRequest), w.runCount(secondRequest))
 	}
 	if first.status == http.StatusOK && (a1.status != http.StatusOK || a1.body != first.body) {
 		t.Errorf("told %+v at first, and %+v when asked again", first, a1)
--- a/internal/idempotency/e2e/main_test.go
+++ b/internal/idempotency/e2e/main_test.go
@@ -3,25 +3,18 @@
 package e2e
 
 import (
-	"bufio"
 	"context"
-	"database/sql"
-	sqldriver "database/sql/driver"
 	"encoding/json"
 	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"os"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
-	driver "modernc.org/sqlite"
-
 	"martendrum"
 	"martendrum/internal/discovery"
 	"martendrum/internal/downstream"
@@ -188,84 +181,6 @@
 	}
 }
 
-// rowWritten is told of each row that SQLite has written, in the midst of its transaction.
-var rowWritten atomic.Pointer[func(string)]
-
-func init() {
-	driver.MustRegisterScalarFunction("crash_point", 0, func(*driver.FunctionContext, []sqldriver.Value) (sqldriver.Value, error) {
-		if at := rowWritten.Load(); at != nil {
-			(*at)("a row is written, its transaction is not")
-		}
-		return int64(0), nil
-	})
-}
-
-// addCrashTrigger puts the points into a file, as a trigger.
-func addCrashTrigger(path string, points func(string)) error {
-	rowWritten.Store(&points)
-	db, err := sql.Open("sqlite", path)
-	if err != nil {
-		return err
-	}
-	defer db.Close()
-	_, err = db.Exec("CREATE TRIGGER IF NOT EXISTS crash AFTER INSERT ON record BEGIN SELECT crash_point(); END")
-	return err
-}
-
-// crashPointBackend names the points before and after each transaction.
-type crashPointBackend struct {
-	idempotency.Backend
-	reach func(string)
-}
-
-func (b *crashPointBackend) Apply(ctx context.Context, ops []*idempotency.Op) error {
-	b.reach("before the transaction")
-	err := b.Backend.Apply(ctx, ops)
-	b.reach("after the transaction")
-	return err
-}
-
-// crashPointRecorder names the points between the sidecar and its record.
-type crashPointRecorder struct {
-	recorder sidecar.Recorder
-	reach    func(string)
-}
-
-func (p *crashPointRecorder) Begin(x *downstream.Exchange, left time.Duration, then func(sidecar.Verdict)) {
-	p.reach("a request has come")
-	p.recorder.Begin(x, left, func(v sidecar.Verdict) {
-		p.reach("before the request goes on")
-		if v.Entry != nil {
-			v.Entry = &crashPointEntry{v.Entry, p.reach}
-		}
-		then(v)
-		p.reach("after the request went on")
-	})
-}
-
-type crashPointEntry struct {
-	entry sidecar.Entry
-	reach func(string)
-}
-
-func (p *crashPointEntry) Sending(n int, server string, then func(bool)) {
-	p.reach("an attempt is decided")
-	p.entry.Sending(n, server, func(ok bool) {
-		p.reach("before its first byte")
-		then(ok)
-		p.reach("after its last byte")
-	})
-}
-
-func (p *crashPointEntry) End(e sidecar.End, ans *upstream.Answer, left time.Duration, then func()) {
-	p.reach("the end is known")
-	p.entry.End(e, ans, left, func() {
-		p.reach("before the answer goes out")
-		then()
-		p.reach("after the answer went out")
-	})
-}
-
 // runChild is a process that is killed at a point.
 func runChild(p *sidecarConfig) error {
 	var count atomic.Int64
@@ -283,168 +198,3 @@
 	fmt.Println("points", count.Load())
 	return nil
 }
-
-// clientRequest is what a client asks.
-type clientRequest struct {
-	class, key, id, body string
-	deadline             time.Duration
-}
-
-func (q *clientRequest) bytes() []byte {
-	body := q.body
-	head := "POST /" + q.class + "/1 HTTP/1.1\r\nHost: shop\r\nReq-Owner: toko\r\n"
-	switch q.class {
-	case "id-register":
-		head += "Idempotency-Key: " + q.key + "\r\n"
-	case "activate":
-		if body == "" {
-			body = `{"sim":{"iccid":"` + q.key + `"}}`
-		}
-	case "status-check":
-		return fmt.Appendf(nil, "GET /status-check/1 HTTP/1.1\r\nHost: shop\r\nReq-Id: %s\r\nReq-Kind: status-check\r\n\r\n", q.id)
-	}
-	id := q.id
-	if q.class == "report" {
-		id = q.key
-	}
-	if q.deadline > 0 {
-		head += fmt.Sprintf("Req-Deadline-Ms: %d\r\n", q.deadline.Milliseconds())
-	}
-	return fmt.Appendf(nil, "%sReq-Id: %s\r\nReq-Kind: %s\r\nContent-Length: %d\r\n\r\n%s", head, id, q.class, len(body), body)
-}
-
-// clientResponse is what a client is told; status 0: the connection ended without.
-type clientResponse struct {
-	status      int
-	recordState string // Record-State
-	retryAfter  string
-	body        string
-}
-
-var lastID atomic.Int64
-
-// sendRequest asks a sidecar once, on a connection of its own. sent, where set, is told when
-// the request has gone out.
-func sendRequest(addr string, q clientRequest, sent func()) (a clientResponse, err error) {
-	if q.id == "" {
-		q.id = fmt.Sprintf("r%d", lastID.Add(1))
-	}
-	c, err := net.DialTimeout("tcp", addr, testTimeout)
-	if err != nil {
-		return a, nil // it has died
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(testTimeout))
-	if _, err := c.Write(q.bytes()); err != nil {
-		return a, nil
-	}
-	if sent != nil {
-		sent()
-	}
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil {
-		if ne, ok := err.(net.Error); ok && ne.Timeout() {
-			return a, fmt.Errorf("%s %s: no answer within %v", q.class, q.key, testTimeout)
-		}
-		return a, nil
-	}
-	defer resp.Body.Close()
-	b, err := io.ReadAll(resp.Body)
-	if err != nil {
-		return a, nil
-	}
-	return clientResponse{resp.StatusCode, resp.Header.Get("Record-State"), resp.Header.Get("Retry-After"), string(b)}, nil
-}
-
-// serverGroup is servers that count what they run by key, and drop repeats of a keyed
-// request as the real ones do.
-type serverGroup struct {
-	mu       sync.Mutex
-	runs     map[string]int // by class and key
-	requests int            // requests that came
-	behave   func(hit int) behavior
-	onPoint  func(string) // told of each point at a server
-}
-
-// behavior is what a server does with a request.
-type behavior struct {
-	reject   bool // turns it away unseen
-	reset    bool // runs it and breaks off
-	fail     bool // runs it and says 500
-	truncate bool // runs it and breaks off in the midst of the answer
-	hold     <-chan struct{}
-	bodySize int // of the answer's body; 0: as it comes
-}
-
-func (w *serverGroup) reachPoint(name string) {
-	w.mu.Lock()
-	at := w.onPoint
-	w.mu.Unlock()
-	if at != nil {
-		at(name)
-	}
-}
-
-func (w *serverGroup) serve(rw http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(r.Body)
-	if err != nil {
-		return // it did not come whole
-	}
-	class, _, _ := strings.Cut(strings.Trim(r.URL.Path, "/"), "/")
-	key := class + " " + r.Header.Get("Req-Id")
-	switch class {
-	case "id-register":
-		key = class + " " + r.Header.Get("Idempotency-Key")
-	case "activate":
-		var b struct{ Sim struct{ Iccid string } }
-		json.Unmarshal(body, &b)
-		key = class + " " + b.Sim.Iccid
-	}
-	w.reachPoint("a server has it")
-	w.mu.Lock()
-	w.requests++
-	var a behavior
-	if w.behave != nil {
-		a = w.behave(w.requests)
-	}
-	if !a.reject && (class != "id-register" || w.runs[key] == 0) {
-		w.runs[key]++
-	}
-	w.mu.Unlock()
-	w.reachPoint("a server has run it")
-	if a.hold != nil {
-		<-a.hold
-	}
-	text := "done: " + key
-	if a.bodySize > 0 {
-		text = strings.Repeat("x", a.bodySize)
-	}
-	switch {
-	case a.reject:
-		rw.Header().Set("Srv-Declined", "1")
-		rw.WriteHeader(http.StatusServiceUnavailable)
-	case a.fail:
-		rw.WriteHeader(http.StatusInternalServerError)
-	case a.reset, a.truncate:
-		c, _, err := rw.(http.Hijacker).Hijack()
-		if err != nil {
-			return
-		}
-		if a.truncate {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:3])
-		}
-		c.Close()
-	default:
-		rw.Header().Set("Content-Type", "text/plain")
-		rw.Header().Set("Content-Length", fmt.Sprint(len(text)))
-		io.WriteString(rw, text)
-		rw.(http.Flusher).Flush()
-	}
-	w.reachPoint("a server has answered")
-}
-
-func (w *serverGroup) runCount(q clientRequest) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.runs[q.class+" "+q.key]
-}
--- a/internal/idempotency/e2e/program_test.go
+++ b/internal/idempotency/e2e/program_test.go
@@ -55,21 +55,18 @@
 	}
 }
 
-// serversHoldingFirst is servers of which the first request waits for hold; they end with the test.
+// serversHoldingFirst starts servers that hold their first request until hold is closed;
+// they end with the test.
 func serversHoldingFirst(t *testing.T, hold <-chan struct{}) (*serverGroup, *shop.Shop) {
 	t.Helper()
-	w := &serverGroup{runs: make(map[string]int), behave: func(hit int) behavior {
-		if hit == 1 {
-			return behavior{hold: hold}
-		}
-		return behavior{}
-	}}
-	s, err := shop.NewWith(2, func(_ *shop.Shop, _ string, rw http.ResponseWriter, r *http.Request) { w.serve(rw, r) })
+	group := newServerGroup()
+	group.behave = onFirstRequest(behavior{hold: hold})
+	servers, err := shop.NewWith(2, group.handle)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Close)
-	return w, s
+	t.Cleanup(servers.Close)
+	return group, servers
 }
 
 // Two sidecars and the commands on one database: a repeat is answered at the other one,
@@ -77,8 +74,8 @@
 func TestProgramsOnPostgres(t *testing.T) {
 	dir := t.TempDir()
 	sidecar, tool := buildPrograms(t, dir)
-	w := &serverGroup{runs: make(map[string]int)}
-	s, err := shop.NewWith(2, func(_ *shop.Shop, _ string, rw http.ResponseWriter, r *http.Request) { w.serve(rw, r) })
+	w := newServerGroup()
+	s, err := shop.NewWith(2, w.handle)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,11 +116,11 @@
 			}
 		}
 	}
-	q := clientRequest{class: "activate", key: "896211"}
+	request := clientRequest{class: "activate", key: "896211"}
 	pg.SetRefuse(true)
 	_, _, first := run(1)
 	say(first, "postgres; ")
-	if a, err := sendRequest(first, q, nil); err != nil || a.status != http.StatusServiceUnavailable || w.runCount(q) > 0 {
+	if a, err := sendRequest(first, request, nil); err != nil || a.status != http.StatusServiceUnavailable || w.runCount(request) > 0 {
 		t.Errorf("%+v %v", a, err)
 	}
 	pg.SetRefuse(false)
@@ -131,7 +128,7 @@
 	say(second, "breaker=closed")
 	say(first, "breaker=closed")
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
-		a, err := sendRequest(first, q, nil)
+		a, err := sendRequest(first, request, nil)
 		if err == nil && a.status == http.StatusOK {
 			break
 		}
@@ -139,8 +136,8 @@
 			t.Fatalf("%+v %v", a, err)
 		}
 	}
-	if a, err := sendRequest(second, q, nil); err != nil || a.body != "done: activate 896211" || w.runCount(q) != 1 {
-		t.Errorf("%+v %v, ran %d times", a, err, w.runCount(q))
+	if a, err := sendRequest(second, request, nil); err != nil || a.body != "done: activate 896211" || w.runCount(request) != 1 {
+		t.Errorf("%+v %v, ran %d times", a, err, w.runCount(request))
 	}
 	for args, says := range map[string]string{"look activate 896211": "done: activate 896211", "list": "896211", "stats": "answered       1", "check": "no damage", "compact": "", "export": "896211"} {
 		out, err := exec.Command(tool, append([]string{"record", "--config", file}, strings.Fields(args)...)...).CombinedOutput()
@@ -184,13 +181,13 @@
 	if h := awaitHealthy(t, listen); !strings.HasPrefix(h.Record, "sqlite; breaker=closed; queued=0") {
 		t.Errorf("%+v", h)
 	}
-	q := clientRequest{class: "activate", key: "896210"}
+	request := clientRequest{class: "activate", key: "896210"}
 	done := make(chan clientResponse, 1)
 	go func() {
-		a, _ := sendRequest(listen, q, nil)
+		a, _ := sendRequest(listen, request, nil)
 		done <- a
 	}()
-	for deadline := time.Now().Add(testTimeout); w.runCount(q) == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); w.runCount(request) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no server got it")
 		}
@@ -216,7 +213,7 @@
 	}
 	second, log := run()
 	awaitHealthy(t, listen)
-	if a, err := sendRequest(listen, q, nil); err != nil || a.status != http.StatusConflict || !strings.HasPrefix(a.recordState, "may-have-run") {
+	if a, err := sendRequest(listen, request, nil); err != nil || a.status != http.StatusConflict || !strings.HasPrefix(a.recordState, "may-have-run") {
 		t.Errorf("%+v %v", a, err)
 	}
 	command(0, "896210", "list", "--state", "may-have-run")
@@ -226,7 +223,7 @@
 	command(2, "ran never-ran", "settle", "activate", "896210")
 	command(0, "nothing was changed", "settle", "activate", "896210", "--never-ran", "--dry-run")
 	command(0, "settled by sari", "settle", "activate", "896210", "--never-ran", "--who", "sari", "--note", "asked the registry")
-	if a, err := sendRequest(listen, q, nil); err != nil || a.status != http.StatusOK {
+	if a, err := sendRequest(listen, request, nil); err != nil || a.status != http.StatusOK {
 		t.Errorf("%+v %v", a, err)
 	}
 	command(0, "done: activate 896210", "look", "activate", "896210")
