--- a/cmd/sidecar/checkpoint.go
+++ b/cmd/sidecar/checkpoint.go
@@ -29,7 +29,7 @@
 	f.previous, f.age, err = checkpoint.Load(f.path, f.name, now)
 	if bad, ok := errors.AsType[*checkpoint.NotTrustedError](err); ok {
 		slog.Warn("checkpoint not trusted", "err", err, "advice", bad.Advice())
-		if bad.Why == checkpoint.Foreign {
+		if bad.Reason == checkpoint.OtherSidecar {
 			f.path = "" // another sidecar's file is not overwritten
 		}
 	}
--- a/cmd/sidecar/fleet.go
+++ b/cmd/sidecar/fleet.go
@@ -199,7 +199,7 @@
 	if f.checkpoint.path == "" || f.machine == nil || f.lastOrders().Phase != recovery.Serving {
 		return
 	}
-	c := checkpoint.Checkpoint{Saved: clock.Wall().UnixMilli(), Demand: f.machine.Demand(), Learned: f.host.Learned()}
+	c := checkpoint.Checkpoint{SavedAt: clock.Wall().UnixMilli(), Demand: f.machine.Demand(), Learned: f.host.Learned()}
 	f.withNode(func(_ time.Duration, node *peers.Node) { c.Incarnation = node.Incarnation() })
 	f.checkpoint.save(now, c)
 }
--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -37,17 +37,17 @@
 	metrics   *metrics.Set
 	fleet     *fleet
 
-	place       *link.Place // of the hand-over; nil: processes don't hand over
-	predecessor *link.New   // the process that this one takes over from; nil as place
-	successor   *link.Old   // for the process that takes over from this one; nil until this one is alone
+	place       *link.Rendezvous  // of the hand-over; nil: processes don't hand over
+	predecessor *link.Successor   // the process that this one takes over from; nil as place
+	successor   *link.Predecessor // for the process that takes over from this one; nil until this one is alone
 
 	// Events of the predecessor; nil where there is none.
 	alone         <-chan struct{}
 	lateListeners <-chan []*net.TCPListener
 	failed        <-chan error
 
-	inheritedIDs *link.IDs        // shared with the predecessor; nil: none
-	forgetIDs    <-chan time.Time // when inheritedIDs are not needed any more
+	inheritedIDs *link.SharedTable // shared with the predecessor; nil: none
+	forgetIDs    <-chan time.Time  // when inheritedIDs are not needed any more
 
 	listed      chan struct{} // discovery has sent a list
 	listTimeout *time.Timer
@@ -55,7 +55,7 @@
 }
 
 // newProcess returns a sidecarProcess whose parts are not created yet.
-func newProcess(c *config, r *resources, place *link.Place, predecessor *link.New) *sidecarProcess {
+func newProcess(c *config, r *resources, place *link.Rendezvous, predecessor *link.Successor) *sidecarProcess {
 	p := &sidecarProcess{
 		config:      c,
 		resources:   r,
@@ -71,7 +71,7 @@
 
 // besidePredecessor reports whether an old process serves beside this one.
 func (p *sidecarProcess) besidePredecessor() bool {
-	return p.predecessor != nil && p.predecessor.Shared()
+	return p.predecessor != nil && p.predecessor.HasPredecessor()
 }
 
 // serve accepts clients and acts on events until the process is to end.
@@ -98,7 +98,7 @@
 		case now := <-sweep.C:
 			p.resources.pool.Sweep(now)
 		case <-p.forgetIDs:
-			p.resources.UnshareIDs(p.inheritedIDs)
+			p.resources.UnshareTable(p.inheritedIDs)
 		case listeners := <-p.lateListeners:
 			p.takeOverLate(listeners)
 		case <-p.alone:
@@ -180,10 +180,10 @@
 		r.host.RemoveTally(p.inheritedIDs) // the predecessor's requests have ended with it
 	}
 	listen, host := c.listen, r.host // p.config may change before the snapshot is taken
-	protocol := handover.NewOld(listen, c.fullShare(), func() []byte { return snapshot(listen, host) })
-	p.successor = link.NewOld(p.place, r.listeners, protocol, r)
+	protocol := handover.NewPredecessor(listen, c.fullShare(), func() []byte { return snapshot(listen, host) })
+	p.successor = link.NewPredecessor(p.place, r.listeners, protocol, r)
 	if p.recorder != nil && p.recorder.Lock() != nil {
-		p.successor.PassRecord(p.recorder.Lock())
+		p.successor.PassStoreLock(p.recorder.Lock())
 	}
 	if err := p.successor.Publish(); err != nil {
 		slog.Warn("a new process can't take over from this one", "err", err)
@@ -203,15 +203,15 @@
 	if p.predecessor == nil {
 		return
 	}
-	if p.inheritedIDs = p.predecessor.IDs(); p.inheritedIDs != nil {
-		p.resources.ShareIDs(p.inheritedIDs)
+	if p.inheritedIDs = p.predecessor.Table(); p.inheritedIDs != nil {
+		p.resources.ShareTable(p.inheritedIDs)
 	}
 }
 
 // closeInheritedIDs ends the sharing of ids with the predecessor.
 func (p *sidecarProcess) closeInheritedIDs() {
 	if p.inheritedIDs != nil {
-		p.resources.UnshareIDs(p.inheritedIDs)
+		p.resources.UnshareTable(p.inheritedIDs)
 		p.inheritedIDs.Close()
 	}
 }
@@ -243,7 +243,7 @@
 	r.setConfig(next)
 	switch {
 	case p.successor != nil:
-		p.successor.Retuned(next.fullShare())
+		p.successor.SetLimits(next.fullShare())
 	case p.predecessor == nil:
 		r.Limit(next.fullShare())
 	default: // the predecessor decides about the share
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -157,16 +157,16 @@
 	r.accepting.Wait()
 }
 
-// ShareIDs implements link.Host.
-func (r *resources) ShareIDs(ids *link.IDs) {
+// ShareTable implements link.Host.
+func (r *resources) ShareTable(ids *link.SharedTable) {
 	r.server.ShareIDs(ids)
-	if ids.Counted() {
+	if ids.CountsInFlight() {
 		r.host.SetTally(ids)
 	}
 }
 
-// UnshareIDs implements link.Host.
-func (r *resources) UnshareIDs(ids *link.IDs) {
+// UnshareTable implements link.Host.
+func (r *resources) UnshareTable(ids *link.SharedTable) {
 	r.server.UnshareIDs(ids)
 	r.host.RemoveTally(ids)
 }
--- a/cmd/sidecar/snapshot.go
+++ b/cmd/sidecar/snapshot.go
@@ -11,7 +11,7 @@
 // snapshot returns what this process has learned, for the next one; empty if it can't be
 // encoded.
 func snapshot(listen string, host *sidecar.Host) []byte {
-	data, err := handover.Encode(handover.Snapshot{Listen: listen, Saved: clock.Wall().UnixNano(), Learned: host.Learned()})
+	data, err := handover.EncodeSnapshot(handover.Snapshot{Listen: listen, SavedAt: clock.Wall().UnixNano(), Learned: host.Learned()})
 	if err != nil {
 		slog.Warn("what was learned can't be told", "err", err)
 		return nil
@@ -21,7 +21,7 @@
 
 // saveSnapshot stores what this process has learned, for one that starts later.
 func (p *sidecarProcess) saveSnapshot() {
-	if err := p.place.Save(snapshot(p.config.listen, p.resources.host)); err != nil {
+	if err := p.place.SaveSnapshot(snapshot(p.config.listen, p.resources.host)); err != nil {
 		slog.Warn("what was learned is not kept", "err", err)
 	}
 }
@@ -32,7 +32,7 @@
 	data, from := p.predecessor.Snapshot(), "the old process"
 	if len(data) == 0 && p.place.Locked() {
 		var err error
-		if data, err = p.place.Saved(); err != nil {
+		if data, err = p.place.LoadSnapshot(); err != nil {
 			slog.Warn("cold start", "err", err)
 			return false
 		}
@@ -41,7 +41,7 @@
 	if len(data) == 0 {
 		return false
 	}
-	learned, age, err := handover.Decode(data, p.config.listen, clock.Wall())
+	learned, age, err := handover.DecodeSnapshot(data, p.config.listen, clock.Wall())
 	if err != nil {
 		slog.Warn("cold start", "err", err)
 		return false
--- a/cmd/sidecar/start.go
+++ b/cmd/sidecar/start.go
@@ -39,7 +39,7 @@
 	if dir == "" {
 		return startAlone(c, r, on)
 	}
-	place := link.At(dir, c.listen)
+	place := link.NewRendezvous(dir, c.listen)
 	defer place.Close()
 	predecessor, err := link.Start(place, c.listen, c.fullShare(), c.record != nil, r)
 	if err != nil {
@@ -65,7 +65,7 @@
 
 // run serves until it is told to stop, and then until every request is answered. place
 // and predecessor are nil where processes don't hand over.
-func run(c *config, r *resources, place *link.Place, predecessor *link.New, on signals) error {
+func run(c *config, r *resources, place *link.Rendezvous, predecessor *link.Successor, on signals) error {
 	debug.SetGCPercent(gcPercent)
 	c.logSettings("configuration in force")
 	p := newProcess(c, r, place, predecessor)
@@ -115,7 +115,7 @@
 func (p *sidecarProcess) openRecorder() error {
 	var lock *os.File
 	if p.predecessor != nil {
-		lock = p.predecessor.Record()
+		lock = p.predecessor.StoreLock()
 	}
 	opened, err := openRecord(p.config, lock)
 	if err != nil {
--- a/cmd/sidecar/stop.go
+++ b/cmd/sidecar/stop.go
@@ -35,15 +35,15 @@
 // gracefulShutdown is a stop in progress.
 type gracefulShutdown struct {
 	resources *resources
-	successor *link.Old // nil: no process can take over
-	told      time.Time // when the signal came: the plan's spans are counted from it
+	successor *link.Predecessor // nil: no process can take over
+	told      time.Time         // when the signal came: the plan's spans are counted from it
 	plan      shutdown.Plan
 	replaced  bool // a successor serves
 	closed    bool // no connection is accepted any more
 }
 
 // newShutdown returns the graceful shutdown of a process that was told to end at told.
-func newShutdown(told time.Time, c *config, r *resources, successor *link.Old) *gracefulShutdown {
+func newShutdown(told time.Time, c *config, r *resources, successor *link.Predecessor) *gracefulShutdown {
 	return &gracefulShutdown{resources: r, successor: successor, told: told, plan: seamPlan(shutdown.For(c.longestDeadline()))}
 }
 
@@ -55,7 +55,7 @@
 	slog.Info("stopping", "held", host.InFlight(), "signal_ago", time.Since(s.told), "answer_all", s.plan.AnswerAll, "kill", s.plan.Kill)
 	host.StopWithin(time.Until(s.told.Add(s.plan.AnswerAll)))
 	s.resources.setStopping()
-	s.replaced = s.successor != nil && s.successor.Leave()
+	s.replaced = s.successor != nil && s.successor.Terminate()
 	server.Drain(s.successor != nil) // one may be about to take over: idle connections stay for a moment
 	for round := 0; ; round++ {
 		switch s.next() {
@@ -69,7 +69,7 @@
 		}
 		time.Sleep(stopPollInterval)
 		if s.successor != nil && round%successorRounds == 0 {
-			s.replaced = s.successor.Needs(s.resources.used()) // a late one may still take over
+			s.replaced = s.successor.ReleaseUnused(s.resources.used()) // a late one may still take over
 		}
 		server.CloseIdle(s.idleTime(round))
 		server.CloseSilent()
@@ -106,7 +106,7 @@
 
 // mayBeReplaced reports whether a process has come that may take over, which needs the
 // listeners.
-func (s *gracefulShutdown) mayBeReplaced() bool { return s.successor != nil && s.successor.Talking() }
+func (s *gracefulShutdown) mayBeReplaced() bool { return s.successor != nil && s.successor.HasPeers() }
 
 // busy reports whether there are connections to wait for.
 func (s *gracefulShutdown) busy() bool {
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -24,8 +24,8 @@
 const (
 	// Version changes with the meaning of any field.
 	Version = 1
-	// MaxSize is the longest file, in bytes.
-	MaxSize = handover.MaxSnapshotSize + 4<<10
+	// MaxFileSize is the longest file, in bytes.
+	MaxFileSize = handover.MaxSnapshotSize + 4<<10
 	// MaxAge is how old a file may be: past it a start from nothing knows as much.
 	MaxAge = 24 * time.Hour
 )
@@ -33,56 +33,56 @@
 // Checkpoint is what is kept.
 type Checkpoint struct {
 	Name        string                  `json:"name"`   // of the sidecar, by its address
-	Saved       int64                   `json:"saved"`  // Unix time in ms
+	SavedAt     int64                   `json:"saved"`  // Unix time in ms
 	Incarnation uint64                  `json:"life"`   // its number among peers
 	Demand      float64                 `json:"demand"` // requests a second that usually come
 	Learned     martendrum.LearnedState `json:"learned"`
 }
 
-// Why a file is not trusted.
-type Why string
+// Reason a file is not trusted.
+type Reason string
 
 // The reasons.
 const (
-	Empty   Why = "empty"
-	Torn    Why = "torn or damaged"
-	Old     Why = "too old, or of a time to come"
-	Foreign Why = "of another sidecar"
-	Other   Why = "of another version"
-	Unread  Why = "not readable"
+	Empty        Reason = "empty"
+	Damaged      Reason = "torn or damaged"
+	Expired      Reason = "too old, or of a time to come"
+	OtherSidecar Reason = "of another sidecar"
+	OtherVersion Reason = "of another version"
+	Unreadable   Reason = "not readable"
 )
 
 // NotTrustedError says why a file was left aside.
 type NotTrustedError struct {
-	Path string
-	Why  Why
-	err  error
+	Path   string
+	Reason Reason
+	cause  error
 }
 
 // Error implements error.
 func (e *NotTrustedError) Error() string {
-	if e.err == nil {
-		return fmt.Sprintf("checkpoint %s: %s", e.Path, e.Why)
+	if e.cause == nil {
+		return fmt.Sprintf("checkpoint %s: %s", e.Path, e.Reason)
 	}
-	return fmt.Sprintf("checkpoint %s: %s: %v", e.Path, e.Why, e.err)
+	return fmt.Sprintf("checkpoint %s: %s: %v", e.Path, e.Reason, e.cause)
 }
 
 // Unwrap returns the cause, nil if there is none.
-func (e *NotTrustedError) Unwrap() error { return e.err }
+func (e *NotTrustedError) Unwrap() error { return e.cause }
 
 // Advice says what an operator can do.
 func (e *NotTrustedError) Advice() string {
-	switch e.Why {
-	case Foreign:
+	switch e.Reason {
+	case OtherSidecar:
 		return "give each sidecar a file of its own; this one starts from nothing and leaves the file as it is"
-	case Unread:
+	case Unreadable:
 		return "look at the file's owner and mode, and at the disk; the sidecar starts from nothing"
 	}
 	return "nothing: the sidecar starts from nothing and writes the file anew"
 }
 
-// file is the form on the disk. Sum is the CRC-32C of Body as it stands.
-type file struct {
+// envelope is the form on the disk. Sum is the CRC-32C of Body as it stands.
+type envelope struct {
 	Version int             `json:"version"`
 	Sum     uint32          `json:"sum"`
 	Body    json.RawMessage `json:"body"`
@@ -96,12 +96,12 @@
 	if err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
-	data, err := json.Marshal(file{Version, crc32.Checksum(body, castagnoli), body})
+	data, err := json.Marshal(envelope{Version, crc32.Checksum(body, castagnoli), body})
 	if err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
-	if len(data) > MaxSize {
-		return fmt.Errorf("checkpoint: %d bytes, %d at most", len(data), MaxSize)
+	if len(data) > MaxFileSize {
+		return fmt.Errorf("checkpoint: %d bytes, %d at most", len(data), MaxFileSize)
 	}
 	if err := renameio.WriteFile(path, data, 0o600); err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
@@ -116,48 +116,48 @@
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, 0, nil
 	}
-	not := func(why Why, err error) (*Checkpoint, time.Duration, error) {
+	not := func(why Reason, err error) (*Checkpoint, time.Duration, error) {
 		return nil, 0, &NotTrustedError{path, why, err}
 	}
 	if err != nil {
-		return not(Unread, err)
+		return not(Unreadable, err)
 	}
 	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
+	data, err := io.ReadAll(io.LimitReader(f, MaxFileSize+1))
 	if err != nil {
-		return not(Unread, err)
+		return not(Unreadable, err)
 	}
-	var in file
+	var in envelope
 	var c Checkpoint
 	switch err := json.Unmarshal(data, &in); {
 	case len(data) == 0:
 		return not(Empty, nil)
-	case len(data) > MaxSize:
-		return not(Torn, fmt.Errorf("over %d bytes", MaxSize))
+	case len(data) > MaxFileSize:
+		return not(Damaged, fmt.Errorf("over %d bytes", MaxFileSize))
 	case err != nil:
-		return not(Torn, err)
+		return not(Damaged, err)
 	case in.Version != Version:
-		return not(Other, fmt.Errorf("version %d, and this is %d", in.Version, Version))
+		return not(OtherVersion, fmt.Errorf("version %d, and this is %d", in.Version, Version))
 	case crc32.Checksum(in.Body, castagnoli) != in.Sum:
-		return not(Torn, errors.New("the checksum is wrong"))
+		return not(Damaged, errors.New("the checksum is wrong"))
 	}
 	if err := json.Unmarshal(in.Body, &c); err != nil {
-		return not(Torn, err)
+		return not(Damaged, err)
 	}
 	if c.Name != name {
-		return not(Foreign, fmt.Errorf("of %q", c.Name))
+		return not(OtherSidecar, fmt.Errorf("of %q", c.Name))
 	}
 	// The file outlives the machine, so the age is by the wall clock. A step makes it wrong:
 	// too old or from the future is not taken; too young is taken, as the hint it is.
-	age := now.Sub(time.UnixMilli(c.Saved))
+	age := now.Sub(time.UnixMilli(c.SavedAt))
 	if age < -time.Second || age > MaxAge {
-		return not(Old, fmt.Errorf("saved %v ago", age.Round(time.Second)))
+		return not(Expired, fmt.Errorf("saved %v ago", age.Round(time.Second)))
 	}
 	if !(c.Demand >= 0) {
-		return not(Torn, fmt.Errorf("a demand of %v", c.Demand))
+		return not(Damaged, fmt.Errorf("a demand of %v", c.Demand))
 	}
-	if err := handover.Check(&c.Learned); err != nil {
-		return not(Torn, err)
+	if err := handover.CheckLearned(&c.Learned); err != nil {
+		return not(Damaged, err)
 	}
 	return &c, max(0, age), nil
 }
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -15,7 +15,7 @@
 var now = time.UnixMilli(1_800_000_000_000)
 
 func good() Checkpoint {
-	return Checkpoint{Name: "10.0.0.4:8081", Saved: now.Add(-time.Minute).UnixMilli(), Incarnation: 7, Demand: 4.5, Learned: martendrum.LearnedState{
+	return Checkpoint{Name: "10.0.0.4:8081", SavedAt: now.Add(-time.Minute).UnixMilli(), Incarnation: 7, Demand: 4.5, Learned: martendrum.LearnedState{
 		HedgeDelay: 0.4, HedgeProbability: 0.2, AcceptedFraction: 1, Primary: []martendrum.LearnedLatency{{Latency: 0.3}},
 		Servers: []martendrum.LearnedServer{{Name: "s1", WeightCorrection: 1, Started: time.Hour}},
 	}}
@@ -55,17 +55,17 @@
 	for name, c := range map[string]struct {
 		keep Checkpoint
 		mar  func([]byte) []byte
-		why  Why
+		why  Reason
 	}{
 		"empty":         {good(), func([]byte) []byte { return nil }, Empty},
-		"no JSON":       {good(), func([]byte) []byte { return []byte("what is this") }, Torn},
-		"too long":      {good(), func(b []byte) []byte { return append(b, bytes.Repeat([]byte(" "), MaxSize)...) }, Torn},
-		"version":       {good(), func(b []byte) []byte { return bytes.Replace(b, []byte(`"version":1`), []byte(`"version":2`), 1) }, Other},
-		"another's":     {edit(func(c *Checkpoint) { c.Name = "10.0.0.5:8081" }), nil, Foreign},
-		"days old":      {edit(func(c *Checkpoint) { c.Saved -= 48 * time.Hour.Milliseconds() }), nil, Old},
-		"of tomorrow":   {edit(func(c *Checkpoint) { c.Saved += 24 * time.Hour.Milliseconds() }), nil, Old},
-		"can't be true": {edit(func(c *Checkpoint) { c.Learned.HedgeProbability = 3 }), nil, Torn},
-		"no demand":     {edit(func(c *Checkpoint) { c.Demand = -1 }), nil, Torn},
+		"no JSON":       {good(), func([]byte) []byte { return []byte("what is this") }, Damaged},
+		"too long":      {good(), func(b []byte) []byte { return append(b, bytes.Repeat([]byte(" "), MaxFileSize)...) }, Damaged},
+		"version":       {good(), func(b []byte) []byte { return bytes.Replace(b, []byte(`"version":1`), []byte(`"version":2`), 1) }, OtherVersion},
+		"another's":     {edit(func(c *Checkpoint) { c.Name = "10.0.0.5:8081" }), nil, OtherSidecar},
+		"days old":      {edit(func(c *Checkpoint) { c.SavedAt -= 48 * time.Hour.Milliseconds() }), nil, Expired},
+		"of tomorrow":   {edit(func(c *Checkpoint) { c.SavedAt += 24 * time.Hour.Milliseconds() }), nil, Expired},
+		"can't be true": {edit(func(c *Checkpoint) { c.Learned.HedgeProbability = 3 }), nil, Damaged},
+		"no demand":     {edit(func(c *Checkpoint) { c.Demand = -1 }), nil, Damaged},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path, data := saved(t, c.keep)
@@ -75,7 +75,7 @@
 				}
 			}
 			got, _, err := Load(path, good().Name, now)
-			if bad, ok := errors.AsType[*NotTrustedError](err); !ok || bad.Why != c.why || bad.Advice() == "" || got != nil {
+			if bad, ok := errors.AsType[*NotTrustedError](err); !ok || bad.Reason != c.why || bad.Advice() == "" || got != nil {
 				t.Errorf("%+v, %v; want it %s", got, err, c.why)
 			}
 		})
--- a/internal/checkpoint/compat_test.go
+++ b/internal/checkpoint/compat_test.go
@@ -14,7 +14,7 @@
 func filled() Checkpoint {
 	var c Checkpoint
 	goldentest.Fill(&c)
-	c.Name, c.Saved, c.Demand = "10.0.0.4:8081", now.Add(-time.Minute).UnixMilli(), 4.5
+	c.Name, c.SavedAt, c.Demand = "10.0.0.4:8081", now.Add(-time.Minute).UnixMilli(), 4.5
 	c.Learned.HedgeProbability, c.Learned.LostFraction, c.Learned.ShedLevel, c.Learned.AcceptedFraction = 0.2, 0.01, 0.3, 0.9
 	c.Learned.Servers[0].WeightCorrection = 1.5
 	return c
--- a/internal/handover/compat_test.go
+++ b/internal/handover/compat_test.go
@@ -25,7 +25,7 @@
 func TestSnapshotOfEarlierBuild(t *testing.T) {
 	const golden = "snapshot.bin"
 	goldentest.Compare(t, golden, encoded(t, filled()))
-	got, age, err := Decode(goldentest.Read(t, golden), "a:1", saved.Add(time.Second))
+	got, age, err := DecodeSnapshot(goldentest.Read(t, golden), "a:1", saved.Add(time.Second))
 	if err != nil || age != time.Second || !reflect.DeepEqual(got, filled()) {
 		t.Errorf("%+v, %v, %v; want %+v", got, age, err, filled())
 	}
@@ -36,28 +36,28 @@
 func TestMessagesOfEarlierBuild(t *testing.T) {
 	const golden = "messages.jsonl"
 	full := Quota{Sockets: 100, MemoryMB: 64, InFlight: 50}
-	old := NewOld("a:1", full, func() []byte { return []byte("snapshot") })
-	old.OwnsRecord()
-	next := NewNew(full)
-	next.HasRecord()
+	old := NewPredecessor("a:1", full, func() []byte { return []byte("snapshot") })
+	old.SetOwnsStore()
+	next := NewSuccessor(full)
+	next.SetUsesStore()
 	var messages []Message
 	collect := func(actions []Action) {
 		for _, action := range actions {
-			if action.Do == Send || action.Do == SendListener {
+			if action.Type == SendMessage || action.Type == SendListener {
 				messages = append(messages, action.Message)
 			}
 		}
 	}
-	collect(next.Begin("a:1"))
-	collect(old.Came(1, messages[0]))
-	collect(old.Came(2, messages[0])) // refused: one new process at a time
-	if _, err := next.Came(messages[1]); err != nil {
+	collect(next.Hello("a:1"))
+	collect(old.Receive(1, messages[0]))
+	collect(old.Receive(2, messages[0])) // refused: one new process at a time
+	if _, err := next.Receive(messages[1]); err != nil {
 		t.Fatal(err)
 	}
 	collect(next.Ready())
-	collect(old.Came(1, messages[len(messages)-1]))
-	collect(old.Leave())
-	collect(old.Needs(Quota{Sockets: 10, MemoryMB: 16, InFlight: 1}))
+	collect(old.Receive(1, messages[len(messages)-1]))
+	collect(old.Terminate())
+	collect(old.ReleaseUnused(Quota{Sockets: 10, MemoryMB: 16, InFlight: 1}))
 	var every Message
 	goldentest.Fill(&every)
 	messages = append(messages, every)
--- a/internal/handover/idtable/idtable.go
+++ b/internal/handover/idtable/idtable.go
@@ -26,31 +26,31 @@
 	// some more for one that comes late.
 	EntryTTL = 4 * time.Second
 
-	probes = 16
-	tick   = 250 * time.Millisecond // the unit of a word's time
+	maxProbes = 16
+	tick      = 250 * time.Millisecond // the unit of a word's time
 	// Of a word.
 	timeBits = 24
 	timeMask = 1<<timeBits - 1
-	life     = uint64(EntryTTL / tick)
+	ttlTicks = uint64(EntryTTL / tick)
 )
 
 // Table is the set. Its methods may be called from any goroutine of any process.
 type Table struct {
-	words []uint64
-	full  atomic.Int64
+	words      []uint64
+	overflowed atomic.Int64
 }
 
-// Over returns the table that lies in words, Slots of them, zero where it is new.
-func Over(words []uint64) *Table { return &Table{words: words[:Slots]} }
+// NewTable returns the table that lies in words, Slots of them, zero where it is new.
+func NewTable(words []uint64) *Table { return &Table{words: words[:Slots]} }
 
-// Full is how many ids this process let through for want of room.
-func (t *Table) Full() int64 { return t.full.Load() }
+// Overflowed is how many ids this process let through for want of room.
+func (t *Table) Overflowed() int64 { return t.overflowed.Load() }
 
-// alive says whether a word is known at now. Times are compared around the wrap, after
+// isLive says whether a word is known at now. Times are compared around the wrap, after
 // 48 days; one that lies further ahead than any may was written by another clock.
-func alive(w, now uint64) bool {
+func isLive(w, now uint64) bool {
 	left := (w - now) & timeMask
-	return w != 0 && left > 0 && left <= life
+	return w != 0 && left > 0 && left <= ttlTicks
 }
 
 // Open enters the id of that hash; false if it is known already. at is of a clock that both
@@ -63,41 +63,41 @@
 	if tag == 0 {
 		tag = 1 << timeBits
 	}
-	word := tag | (now+life)&timeMask
+	word := tag | (now+ttlTicks)&timeMask
 	for {
-		place, was, known := t.look(hash, tag, now, -1)
+		place, was, known := t.find(hash, tag, now, -1)
 		switch {
 		case known:
 			return false
 		case place < 0:
-			t.full.Add(1)
+			t.overflowed.Add(1)
 			return true
-		case !atomic.CompareAndSwapUint64(t.at(hash, place), was, word):
+		case !atomic.CompareAndSwapUint64(t.word(hash, place), was, word):
 			continue // somebody took the place: look again
 		}
 		// Another may have entered the same id elsewhere since this one looked. Of two
 		// that enter before either looks again, each sees the other, or one does.
-		if _, _, known = t.look(hash, tag, now, place); known {
-			atomic.CompareAndSwapUint64(t.at(hash, place), word, 0)
+		if _, _, known = t.find(hash, tag, now, place); known {
+			atomic.CompareAndSwapUint64(t.word(hash, place), word, 0)
 			return false
 		}
 		return true
 	}
 }
 
-func (t *Table) at(hash uint64, place int) *uint64 {
+func (t *Table) word(hash uint64, place int) *uint64 {
 	return &t.words[(hash+uint64(place))&(Slots-1)]
 }
 
-// look finds whether an id is known, in another place than but, and the first that is free.
-func (t *Table) look(hash, tag, now uint64, but int) (free int, was uint64, known bool) {
+// find finds whether an id is known, in another place than but, and the first that is free.
+func (t *Table) find(hash, tag, now uint64, but int) (free int, was uint64, known bool) {
 	free = -1
-	for place := range probes {
+	for place := range maxProbes {
 		if place == but {
 			continue
 		}
-		w := atomic.LoadUint64(t.at(hash, place))
-		switch live := alive(w, now); {
+		w := atomic.LoadUint64(t.word(hash, place))
+		switch live := isLive(w, now); {
 		case live && w&^timeMask == tag:
 			return -1, 0, true
 		case !live && free < 0:
--- a/internal/handover/idtable/idtable_test.go
+++ b/internal/handover/idtable/idtable_test.go
@@ -17,7 +17,7 @@
 // within a tick, in a table as full as it gets.
 func TestAgainstAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tab, plain, now := Over(make([]uint64, Slots)), make(map[uint64]time.Duration), time.Duration(t0)
+		tab, plain, now := NewTable(make([]uint64, Slots)), make(map[uint64]time.Duration), time.Duration(t0)
 		ids := make([]uint64, 64)
 		for n := range ids {
 			// Hashes differ above the place's bits; half of them share one place.
@@ -31,13 +31,13 @@
 			id := ids[rapid.IntRange(0, len(ids)-1).Draw(t, "which")]
 			at, was := plain[id]
 			age := now - at
-			full := tab.Full()
+			full := tab.Overflowed()
 			switch ok := tab.Open(id, now); {
-			case ok && was && age <= EntryTTL-tick && tab.Full() == full:
+			case ok && was && age <= EntryTTL-tick && tab.Overflowed() == full:
 				t.Fatalf("an id of %v ago is forgotten", age)
 			case !ok && (!was || age >= EntryTTL+tick):
 				t.Fatalf("a new id passes for a known one (%v, %v)", was, age)
-			case ok && tab.Full() == full:
+			case ok && tab.Overflowed() == full:
 				plain[id] = now
 			}
 		}
@@ -48,7 +48,7 @@
 // each is got.
 func TestOneOpensEach(t *testing.T) {
 	const ids, openers = 3000, 8
-	tab := Over(make([]uint64, Slots))
+	tab := NewTable(make([]uint64, Slots))
 	var got [ids]atomic.Int32
 	var wait sync.WaitGroup
 	hash := make([]uint64, ids)
@@ -75,8 +75,8 @@
 			t.Errorf("id %d was opened %d times", n, got[n].Load())
 		}
 	}
-	if tab.Full() > 0 || once < ids*9/10 {
-		t.Errorf("%d of %d opened, %d for want of room", once, ids, tab.Full())
+	if tab.Overflowed() > 0 || once < ids*9/10 {
+		t.Errorf("%d of %d opened, %d for want of room", once, ids, tab.Overflowed())
 	}
 	if later := t0 + EntryTTL + tick; !tab.Open(hash[0], later) || tab.Open(hash[0], later) {
 		t.Error("after its life an id is not new, or not known again")
@@ -85,7 +85,7 @@
 
 // A clock that steps back leaves words that lie too far ahead: they are free.
 func TestClockSteps(t *testing.T) {
-	tab := Over(make([]uint64, Slots))
+	tab := NewTable(make([]uint64, Slots))
 	if !tab.Open(7, t0) || !tab.Open(7, t0-time.Hour) || tab.Open(7, t0-time.Hour) {
 		t.Error("a word of an hour ahead is taken for a known one")
 	}
@@ -94,7 +94,7 @@
 // BenchmarkOpen is one opening among those that the platform's busiest day has open.
 func BenchmarkOpen(b *testing.B) {
 	b.Run("table", func(b *testing.B) {
-		tab, at := Over(make([]uint64, Slots)), time.Duration(t0)
+		tab, at := NewTable(make([]uint64, Slots)), time.Duration(t0)
 		for b.Loop() {
 			at += 800 * time.Microsecond
 			tab.Open(rand.Uint64(), at)
--- a/internal/handover/link/ids.go
+++ b/internal/handover/link/ids.go
@@ -12,21 +12,21 @@
 	"martendrum/internal/handover/idtable"
 )
 
-// IDs is a table of ids in memory that two processes map, and beside it how many requests
+// SharedTable is a table of ids in memory that two processes map, and beside it how many requests
 // each of the two holds.
-type IDs struct {
+type SharedTable struct {
 	*idtable.Table
-	mem  []byte
-	held []uint64 // of either side; nil: the other process can't count with this one
-	side side
+	memory   []byte
+	inFlight []uint64 // of either side; nil: the other process can't count with this one
+	side     side
 }
 
 // side is which of the two a process is.
 type side int
 
 const (
-	older side = iota
-	newer
+	predecessorSide side = iota
+	successorSide
 	sides
 )
 
@@ -38,28 +38,28 @@
 	return idtable.Slots * 8
 }
 
-// Counted says that the table has a count of the requests held.
-func (t *IDs) Counted() bool { return t.held != nil }
+// CountsInFlight says that the table has a count of the requests held.
+func (t *SharedTable) CountsInFlight() bool { return t.inFlight != nil }
 
 // SetInFlight says that this process holds n requests and returns how many the other one does.
 // Of two that write at the same time at least one sees what the other wrote, so two
 // that each keep the sum within a limit don't exceed it together. A process's own
 // calls are in turn. (A swap, for a plain atomic store is weaker under the race detector:
 // there it let both take the last place.)
-func (t *IDs) SetInFlight(n int) (others int) {
-	atomic.SwapUint64(&t.held[t.side], uint64(n))
-	return int(atomic.LoadUint64(&t.held[sides-1-t.side]))
+func (t *SharedTable) SetInFlight(n int) (others int) {
+	atomic.SwapUint64(&t.inFlight[t.side], uint64(n))
+	return int(atomic.LoadUint64(&t.inFlight[sides-1-t.side]))
 }
 
-// newIDs makes a table and returns the file to pass on, which the caller closes.
-func newIDs(counted bool) (t *IDs, f *os.File, err error) {
+// newSharedTable makes a table and returns the file to pass on, which the caller closes.
+func newSharedTable(counted bool) (t *SharedTable, f *os.File, err error) {
 	fd, err := unix.MemfdCreate("sidecar-ids", unix.MFD_CLOEXEC)
 	if err != nil {
 		return nil, nil, fmt.Errorf("link: a table of ids: %w", err)
 	}
 	f = os.NewFile(uintptr(fd), "ids")
 	if err = f.Truncate(int64(tableBytes(counted))); err == nil {
-		t, err = mapIDs(f, counted, older)
+		t, err = mapSharedTable(f, counted, predecessorSide)
 	}
 	if err != nil {
 		f.Close()
@@ -68,8 +68,8 @@
 	return t, f, nil
 }
 
-// mapIDs maps the table of a file that another process made.
-func mapIDs(f *os.File, counted bool, s side) (*IDs, error) {
+// mapSharedTable maps the table of a file that another process made.
+func mapSharedTable(f *os.File, counted bool, s side) (*SharedTable, error) {
 	size := tableBytes(counted)
 	info, err := f.Stat()
 	if err != nil {
@@ -84,12 +84,12 @@
 	}
 	// A mapping begins at a page, so it is aligned.
 	words := unsafe.Slice((*uint64)(unsafe.Pointer(&mem[0])), size/8)
-	t := &IDs{Table: idtable.Over(words), mem: mem, side: s}
+	t := &SharedTable{Table: idtable.NewTable(words), memory: mem, side: s}
 	if counted {
-		t.held = words[idtable.Slots:]
+		t.inFlight = words[idtable.Slots:]
 	}
 	return t, nil
 }
 
 // Close unmaps the table: nobody of this process may use it any more.
-func (t *IDs) Close() { syscall.Munmap(t.mem) }
+func (t *SharedTable) Close() { syscall.Munmap(t.memory) }
--- a/internal/handover/link/ids_test.go
+++ b/internal/handover/link/ids_test.go
@@ -10,11 +10,11 @@
 // writes when; and where there are no more who ask than may be held, none is refused.
 func TestHeldByTwo(t *testing.T) {
 	for _, c := range []struct{ older, newer, limit int }{{4, 4, 8}, {8, 0, 8}, {6, 6, 8}, {1, 1, 1}} {
-		t1, f, err := newIDs(true)
+		t1, f, err := newSharedTable(true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t2, err := mapIDs(f, true, newer)
+		t2, err := mapSharedTable(f, true, successorSide)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -22,7 +22,7 @@
 		var held, over, refused atomic.Int64
 		var wait sync.WaitGroup
 		for _, s := range []struct {
-			ids  *IDs
+			ids  *SharedTable
 			asks int
 		}{{t1, c.older}, {t2, c.newer}} {
 			wait.Go(func() {
@@ -54,13 +54,13 @@
 		t1.Close()
 		t2.Close()
 	}
-	plain, f, err := newIDs(false)
-	if err != nil || plain.Counted() {
+	plain, f, err := newSharedTable(false)
+	if err != nil || plain.CountsInFlight() {
 		t.Fatal("a table without a count:", err)
 	}
 	defer plain.Close()
 	defer f.Close()
-	if _, err := mapIDs(f, true, newer); err == nil {
+	if _, err := mapSharedTable(f, true, successorSide); err == nil {
 		t.Error("a table without a count was taken for one with it")
 	}
 }
--- a/internal/handover/link/link.go
+++ b/internal/handover/link/link.go
@@ -26,18 +26,18 @@
 )
 
 const (
-	// maxMessage is the longest message, a snapshot's.
-	maxMessage = 192 << 10
-	// maxSend is how long a message may take to be sent.
-	maxSend = 500 * time.Millisecond
-	// maxServing is how long a new process may take from its offer to serving.
-	maxServing = 15 * time.Second
+	// maxMessageBytes is the longest message, a snapshot's.
+	maxMessageBytes = 192 << 10
+	// sendTimeout is how long a message may take to be sent.
+	sendTimeout = 500 * time.Millisecond
+	// servingTimeout is how long a new process may take from its offer to serving.
+	servingTimeout = 15 * time.Second
 	// maxPeers is how many processes may talk to the old one at once.
 	maxPeers = 4
 )
 
-// Place is where the processes of one sidecar find each other.
-type Place struct {
+// Rendezvous is where the processes of one sidecar find each other.
+type Rendezvous struct {
 	dir, name string
 
 	mu   sync.Mutex
@@ -52,17 +52,17 @@
 	ErrForeign = errors.New("link: a file in the way")
 )
 
-// At is the place in dir of the sidecar that listens at an address.
-func At(dir, listen string) *Place {
+// NewRendezvous is the place in dir of the sidecar that listens at an address.
+func NewRendezvous(dir, listen string) *Rendezvous {
 	h := fnv.New64a()
 	h.Write([]byte(listen))
-	return &Place{dir: dir, name: fmt.Sprintf("sidecar-%016x", h.Sum64())}
+	return &Rendezvous{dir: dir, name: fmt.Sprintf("sidecar-%016x", h.Sum64())}
 }
 
-func (p *Place) path(suffix string) string { return filepath.Join(p.dir, p.name+suffix) }
+func (p *Rendezvous) path(suffix string) string { return filepath.Join(p.dir, p.name+suffix) }
 
 // Lock takes the place; ErrLocked if a process has it.
-func (p *Place) Lock() error {
+func (p *Rendezvous) Lock() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.lock != nil {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrForeign, err)
 	}
-	if err := own(path, f); err != nil {
+	if err := checkOwner(path, f); err != nil {
 		f.Close()
 		return err
 	}
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// own says whether f is a plain file of this user's.
-func own(path string, f *os.File) error {
+// checkOwner says whether f is a plain file of this user's.
+func checkOwner(path string, f *os.File) error {
 	info, err := f.Stat()
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
@@ -102,14 +102,14 @@
 }
 
 // Locked says that this process has the place.
-func (p *Place) Locked() bool {
+func (p *Rendezvous) Locked() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lock != nil
 }
 
-// take makes a lock that another process passed on this one's.
-func (p *Place) take(lock *os.File) {
+// adoptLock makes a lock that another process passed on this one's.
+func (p *Rendezvous) adoptLock(lock *os.File) {
 	p.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,7 +117,7 @@
 }
 
 // Close gives the place up. Where the lock was passed on, the other process has it.
-func (p *Place) Close() {
+func (p *Rendezvous) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.lock != nil {
@@ -126,8 +126,8 @@
 	}
 }
 
-// address is the socket's, short enough for any directory: closing done frees it.
-func (p *Place) address(suffix string) (addr string, done func(), err error) {
+// socketAddress is the socket's, short enough for any directory: closing done frees it.
+func (p *Rendezvous) socketAddress(suffix string) (addr string, done func(), err error) {
 	addr = p.path(suffix)
 	if len(addr) < 100 { // sun_path holds 108 bytes
 		return addr, func() {}, nil
@@ -139,8 +139,8 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s%s", fd, p.name, suffix), func() { syscall.Close(fd) }, nil
 }
 
-// Save keeps a snapshot for the next process. Only the one that has the place may.
-func (p *Place) Save(data []byte) error {
+// SaveSnapshot keeps a snapshot for the next process. Only the one that has the place may.
+func (p *Rendezvous) SaveSnapshot(data []byte) error {
 	if !p.Locked() {
 		return ErrLocked
 	}
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// Saved is the snapshot that an earlier process kept; empty if there is none.
-func (p *Place) Saved() ([]byte, error) {
+// LoadSnapshot is the snapshot that an earlier process kept; empty if there is none.
+func (p *Rendezvous) LoadSnapshot() ([]byte, error) {
 	path := p.path(".snap")
 	f, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
 	if errors.Is(err, os.ErrNotExist) {
@@ -175,25 +175,25 @@
 		return nil, fmt.Errorf("link: %w", err)
 	}
 	defer f.Close()
-	if err := own(path, f); err != nil {
+	if err := checkOwner(path, f); err != nil {
 		return nil, err
 	}
 	return io.ReadAll(io.LimitReader(f, handover.MaxSnapshotSize+1))
 }
 
-// conn is one end of a hand-over. Reads are one goroutine's.
-type conn struct {
-	uc *net.UnixConn
-	mu sync.Mutex // of writes
+// connection is one end of a hand-over. Reads are one goroutine's.
+type connection struct {
+	unix    *net.UnixConn
+	writeMu sync.Mutex // of writes
 }
 
 // send sends m, with the descriptors beside it.
-func (c *conn) send(m handover.Message, fds ...int) error {
+func (c *connection) send(m handover.Message, fds ...int) error {
 	data, err := json.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
-	if len(data) > maxMessage {
+	if len(data) > maxMessageBytes {
 		m.Snapshot = nil // a start without it is slower, and no worse
 		if data, err = json.Marshal(m); err != nil {
 			return fmt.Errorf("link: %w", err)
@@ -203,17 +203,17 @@
 	if len(fds) > 0 {
 		oob = syscall.UnixRights(fds...)
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.uc.SetWriteDeadline(time.Now().Add(maxSend))
-	_, _, err = c.uc.WriteMsgUnix(data, oob, nil)
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	c.unix.SetWriteDeadline(time.Now().Add(sendTimeout))
+	_, _, err = c.unix.WriteMsgUnix(data, oob, nil)
 	return err
 }
 
 // receive waits for a message. The caller closes the files that came with it.
-func (c *conn) receive(buf []byte) (m handover.Message, files []*os.File, err error) {
+func (c *connection) receive(buf []byte) (m handover.Message, files []*os.File, err error) {
 	oob := make([]byte, syscall.CmsgSpace(4*(handover.MaxListeners+3))) // and the lock, the table, and the record's lock
-	n, oobn, flags, _, err := c.uc.ReadMsgUnix(buf, oob)
+	n, oobn, flags, _, err := c.unix.ReadMsgUnix(buf, oob)
 	if err != nil {
 		return m, nil, err
 	}
@@ -249,8 +249,8 @@
 	}
 }
 
-// peerIsOwn says whether the process at the other end is this user's.
-func peerIsOwn(uc *net.UnixConn) bool {
+// isSameUser says whether the process at the other end is this user's.
+func isSameUser(uc *net.UnixConn) bool {
 	raw, err := uc.SyscallConn()
 	if err != nil {
 		return false
--- a/internal/handover/link/old.go
+++ b/internal/handover/link/old.go
@@ -20,67 +20,67 @@
 	Limit(s handover.Quota)
 	// StopAccepting closes this process's end of the listening socket.
 	StopAccepting()
-	// ShareIDs makes the ids that this process has open known to another one by t, and
+	// ShareTable makes the ids that this process has open known to another one by t, and
 	// the other's to this one; so with how many requests it holds, where t is counted.
 	// When it returns, a table before is not used any more.
-	ShareIDs(t *IDs)
-	// UnshareIDs ends that. When it returns, t is not used any more.
-	UnshareIDs(t *IDs)
+	ShareTable(t *SharedTable)
+	// UnshareTable ends that. When it returns, t is not used any more.
+	UnshareTable(t *SharedTable)
 }
 
-// Old lets new processes find this one and hands over to one of them.
-type Old struct {
-	place *Place
-	lns   []*net.TCPListener
-	host  Host
+// Predecessor lets new processes find this one and hands over to one of them.
+type Predecessor struct {
+	rendezvous *Rendezvous
+	listeners  []*net.TCPListener
+	host       Host
 
-	mu      sync.Mutex // of all below, and of the machine's events
-	machine *handover.Old
-	door    *net.UnixListener
-	peers   map[int]*peer
-	last    int
-	ids     *IDs // shared with the peer idsOf; nil: none
-	idsOf   int
-	idsFile *os.File // of ids, until it is sent
-	record  *os.File // the lock of this process's store of record; nil: none
-	closed  bool
-	wait    sync.WaitGroup
+	mu         sync.Mutex // of all below, and of the machine's events
+	machine    *handover.Predecessor
+	listener   *net.UnixListener
+	peers      map[int]*peer
+	lastPeer   int
+	table      *SharedTable // shared with the peer tablePeer; nil: none
+	tablePeer  int
+	tableFile  *os.File // of ids, until it is sent
+	storeLock  *os.File // the lock of this process's store of record; nil: none
+	closed     bool
+	goroutines sync.WaitGroup
 }
 
 // peer is a process that talks to this one.
 type peer struct {
-	conn
+	connection
 	timer *time.Timer // until it must have said that it serves
 }
 
-// NewOld returns the old one's side for a process that serves on lns and has the place.
-func NewOld(p *Place, lns []*net.TCPListener, m *handover.Old, h Host) *Old {
-	return &Old{place: p, lns: lns, machine: m, host: h, peers: make(map[int]*peer)}
+// NewPredecessor returns the old one's side for a process that serves on lns and has the place.
+func NewPredecessor(p *Rendezvous, lns []*net.TCPListener, m *handover.Predecessor, h Host) *Predecessor {
+	return &Predecessor{rendezvous: p, listeners: lns, machine: m, host: h, peers: make(map[int]*peer)}
 }
 
-// PassRecord lets a new process share the ownership of this one's store of record, which
+// PassStoreLock lets a new process share the ownership of this one's store of record, which
 // is a lock on a file. It is called before Publish; the file stays the caller's, and open
 // until Close.
-func (o *Old) PassRecord(lock *os.File) {
-	o.record = lock
-	o.machine.OwnsRecord()
+func (o *Predecessor) PassStoreLock(lock *os.File) {
+	o.storeLock = lock
+	o.machine.SetOwnsStore()
 }
 
 // Publish lets new processes find this one. A file that an ended process left is replaced.
-func (o *Old) Publish() error {
-	addr, done, err := o.place.address(".new")
+func (o *Predecessor) Publish() error {
+	addr, done, err := o.rendezvous.socketAddress(".new")
 	if err != nil {
 		return err
 	}
 	defer done()
-	os.Remove(o.place.path(".new"))
+	os.Remove(o.rendezvous.path(".new"))
 	door, err := net.ListenUnix("unixpacket", &net.UnixAddr{Net: "unixpacket", Name: addr})
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
 	door.SetUnlinkOnClose(false) // by then the name may be another process's
-	if err = os.Chmod(o.place.path(".new"), 0o600); err == nil {
-		err = os.Rename(o.place.path(".new"), o.place.path(".sock"))
+	if err = os.Chmod(o.rendezvous.path(".new"), 0o600); err == nil {
+		err = os.Rename(o.rendezvous.path(".new"), o.rendezvous.path(".sock"))
 	}
 	if err != nil {
 		door.Close()
@@ -92,18 +92,18 @@
 		door.Close()
 		return nil
 	}
-	o.door = door
-	o.wait.Go(func() { o.accept(door) })
+	o.listener = door
+	o.goroutines.Go(func() { o.accept(door) })
 	return nil
 }
 
-func (o *Old) accept(door *net.UnixListener) {
+func (o *Predecessor) accept(door *net.UnixListener) {
 	for {
 		uc, err := netconn.Accept("hand-over", door.AcceptUnix, nil)
 		if err != nil {
 			return
 		}
-		if !peerIsOwn(uc) {
+		if !isSameUser(uc) {
 			uc.Close()
 			continue
 		}
@@ -113,16 +113,16 @@
 			uc.Close()
 			continue
 		}
-		o.last++
-		id, p := o.last, &peer{conn: conn{uc: uc}}
-		p.timer = time.AfterFunc(maxServing, func() { o.overdue(id) })
+		o.lastPeer++
+		id, p := o.lastPeer, &peer{connection: connection{unix: uc}}
+		p.timer = time.AfterFunc(servingTimeout, func() { o.overdue(id) })
 		o.peers[id] = p
-		o.wait.Go(func() { o.read(id, p) })
+		o.goroutines.Go(func() { o.read(id, p) })
 		o.mu.Unlock()
 	}
 }
 
-func (o *Old) read(id int, p *peer) {
+func (o *Predecessor) read(id int, p *peer) {
 	buf := make([]byte, 4<<10) // what a new one says is short
 	for {
 		m, files, err := p.receive(buf)
@@ -130,7 +130,7 @@
 		o.mu.Lock()
 		if err != nil {
 			if o.peers[id] == p {
-				o.drop(id)
+				o.disconnect(id)
 			}
 			o.mu.Unlock()
 			return
@@ -139,59 +139,59 @@
 			p.timer.Stop()
 		}
 		slog.Info("hand-over", "from", "new", "kind", m.Kind)
-		o.do(o.machine.Came(id, m))
+		o.perform(o.machine.Receive(id, m))
 		o.mu.Unlock()
 	}
 }
 
 // overdue ends a hand-over whose new process neither serves nor ends.
-func (o *Old) overdue(id int) {
+func (o *Predecessor) overdue(id int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if p := o.peers[id]; p != nil {
-		p.send(handover.Message{Kind: handover.Reject, Version: handover.Version, Why: "it took too long to serve"})
-		o.drop(id)
+		p.send(handover.Message{Kind: handover.Reject, Version: handover.Version, Reason: "it took too long to serve"})
+		o.disconnect(id)
 	}
 }
 
-// drop ends the talk with a peer. The lock is held.
-func (o *Old) drop(id int) {
+// disconnect ends the talk with a peer. The lock is held.
+func (o *Predecessor) disconnect(id int) {
 	p := o.peers[id]
 	if p == nil {
 		return
 	}
 	delete(o.peers, id)
 	p.timer.Stop()
-	p.uc.Close()
+	p.unix.Close()
 	if !o.closed {
-		o.do(o.machine.Lost(id))
+		o.perform(o.machine.PeerLost(id))
 	}
-	if o.idsOf == id { // after the limits, which grow: without the count they were less
-		o.unshareIDs()
+	if o.tablePeer == id { // after the limits, which grow: without the count they were less
+		o.unshareTable()
 	}
 }
 
-// do carries out what the machine asks for. The lock is held.
-func (o *Old) do(acts []handover.Action) {
+// perform carries out what the machine asks for. The lock is held.
+func (o *Predecessor) perform(acts []handover.Action) {
 	for _, a := range acts {
-		switch a.Do {
-		case handover.Send:
+		switch a.Type {
+		case handover.SendMessage:
 			if p := o.peers[a.To]; p != nil && p.send(a.Message) != nil {
-				o.drop(a.To)
+				o.disconnect(a.To)
 			}
 		case handover.SendIDTable:
-			o.shareIDs(a.To, a.Message.Counts)
+			o.shareTable(a.To, a.Message.InFlightCounts)
 		case handover.SendListener:
 			if o.sendListener(a) != nil {
-				o.drop(a.To)
+				o.disconnect(a.To)
 			}
 		case handover.Drop:
-			o.drop(a.To)
+			o.disconnect(a.To)
 		case handover.Limit:
 			o.host.Limit(a.Quota)
 		case handover.Unpublish:
-			if o.door != nil {
-				o.door.Close()
+			if o.listener != nil {
+				o.listener.Close()
 			}
 		case handover.StopAccepting:
 			o.host.StopAccepting()
@@ -201,25 +201,25 @@
 
 // sendListener sends a message with the listening sockets, the place's lock, the table
 // that is shared with the peer, and the lock of the store of record.
-func (o *Old) sendListener(a handover.Action) error {
+func (o *Predecessor) sendListener(a handover.Action) error {
 	p := o.peers[a.To]
 	if p == nil {
 		return net.ErrClosed
 	}
-	lns := o.lns
-	if !a.Message.Many {
+	lns := o.listeners
+	if !a.Message.MultipleListeners {
 		lns = lns[:1]
 	}
-	a.Message.Listeners = len(lns)
-	rest := []int{int(o.place.lock.Fd())}
-	if o.idsFile != nil && o.idsOf == a.To {
-		defer o.sentIDs()
-		rest = append(rest, int(o.idsFile.Fd()))
+	a.Message.ListenerCount = len(lns)
+	rest := []int{int(o.rendezvous.lock.Fd())}
+	if o.tableFile != nil && o.tablePeer == a.To {
+		defer o.closeTableFile()
+		rest = append(rest, int(o.tableFile.Fd()))
 	} else {
-		a.Message.IDs, a.Message.Counts = false, false
+		a.Message.IDTable, a.Message.InFlightCounts = false, false
 	}
-	if a.Message.Record {
-		rest = append(rest, int(o.record.Fd()))
+	if a.Message.IdempotencyStore {
+		rest = append(rest, int(o.storeLock.Fd()))
 	}
 	err := withFDs(lns, nil, func(fds []int) error { return p.send(a.Message, append(fds, rest...)...) })
 	if err != nil {
@@ -244,76 +244,76 @@
 	return err
 }
 
-// shareIDs makes a table and shares it with a peer. The lock is held.
-func (o *Old) shareIDs(with int, counted bool) {
-	o.unshareIDs()
-	t, file, err := newIDs(counted)
+// shareTable makes a table and shares it with a peer. The lock is held.
+func (o *Predecessor) shareTable(with int, counted bool) {
+	o.unshareTable()
+	t, file, err := newSharedTable(counted)
 	if err != nil { // each knows its own ids then, and keeps to its share
 		slog.Warn("ids are not shared", "err", err)
 		return
 	}
-	o.ids, o.idsOf, o.idsFile = t, with, file
-	o.host.ShareIDs(t)
+	o.table, o.tablePeer, o.tableFile = t, with, file
+	o.host.ShareTable(t)
 }
 
-// sentIDs closes the table's file. The lock is held.
-func (o *Old) sentIDs() {
-	if o.idsFile != nil {
-		o.idsFile.Close()
-		o.idsFile = nil
+// closeTableFile closes the table's file. The lock is held.
+func (o *Predecessor) closeTableFile() {
+	if o.tableFile != nil {
+		o.tableFile.Close()
+		o.tableFile = nil
 	}
 }
 
-// unshareIDs ends the sharing. The lock is held.
-func (o *Old) unshareIDs() {
-	o.sentIDs()
-	if o.ids != nil {
-		o.host.UnshareIDs(o.ids)
-		o.ids.Close()
-		o.ids, o.idsOf = nil, 0
+// unshareTable ends the sharing. The lock is held.
+func (o *Predecessor) unshareTable() {
+	o.closeTableFile()
+	if o.table != nil {
+		o.host.UnshareTable(o.table)
+		o.table.Close()
+		o.table, o.tablePeer = nil, 0
 	}
 }
 
-// Retuned takes new limits of the configuration.
-func (o *Old) Retuned(full handover.Quota) {
+// SetLimits takes new limits of the configuration.
+func (o *Predecessor) SetLimits(full handover.Quota) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.do(o.machine.Reconfigured(full))
+	o.perform(o.machine.SetLimits(full))
 }
 
-// Leave says that this process ends when all is answered; true if a new one serves.
-func (o *Old) Leave() bool {
+// Terminate says that this process ends when all is answered; true if a new one serves.
+func (o *Predecessor) Terminate() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.do(o.machine.Leave())
-	return o.machine.Succeeded()
+	o.perform(o.machine.Terminate())
+	return o.machine.SuccessorServing()
 }
 
-// Needs says what this process still holds; true if a new one serves.
-func (o *Old) Needs(use handover.Quota) bool {
+// ReleaseUnused says what this process still holds; true if a new one serves.
+func (o *Predecessor) ReleaseUnused(use handover.Quota) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.do(o.machine.Needs(use))
-	return o.machine.Succeeded()
+	o.perform(o.machine.ReleaseUnused(use))
+	return o.machine.SuccessorServing()
 }
 
-// Talking says that a process has come that may take over.
-func (o *Old) Talking() bool {
+// HasPeers says that a process has come that may take over.
+func (o *Predecessor) HasPeers() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.peers) > 0
 }
 
 // Close ends this side for good: a new process learns by it that this one has gone.
-func (o *Old) Close() {
+func (o *Predecessor) Close() {
 	o.mu.Lock()
 	o.closed = true
-	if o.door != nil {
-		o.door.Close()
+	if o.listener != nil {
+		o.listener.Close()
 	}
 	for id := range o.peers {
-		o.drop(id)
+		o.disconnect(id)
 	}
 	o.mu.Unlock()
-	o.wait.Wait()
+	o.goroutines.Wait()
 }
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -39,12 +39,12 @@
 // Snapshot is what one process has learned for the next.
 type Snapshot struct {
 	Listen  string                  `json:"Listen"` // the sidecar's, by its address
-	Saved   int64                   `json:"Saved"`  // Unix time in ns
+	SavedAt int64                   `json:"Saved"`  // Unix time in ns
 	Learned martendrum.LearnedState `json:"Learned"`
 }
 
-// Encode is s as bytes: a mark, the version, a checksum (CRC-32C), JSON.
-func Encode(s Snapshot) ([]byte, error) {
+// EncodeSnapshot is s as bytes: a mark, the version, a checksum (CRC-32C), JSON.
+func EncodeSnapshot(s Snapshot) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return nil, fmt.Errorf("handover: snapshot: %w", err)
@@ -60,9 +60,9 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Decode reads a snapshot for the sidecar at listen, and how old it is. Anything in it
+// DecodeSnapshot reads a snapshot for the sidecar at listen, and how old it is. Anything in it
 // that no Balancer could have learned makes it damaged.
-func Decode(data []byte, listen string, now time.Time) (l martendrum.LearnedState, age time.Duration, err error) {
+func DecodeSnapshot(data []byte, listen string, now time.Time) (l martendrum.LearnedState, age time.Duration, err error) {
 	body, ok := bytes.CutPrefix(data, snapshotMagic)
 	switch {
 	case !ok || len(body) < 5 || len(data) > MaxSnapshotSize:
@@ -82,17 +82,17 @@
 	// A step of the wall clock makes the age wrong: too old or from the future is not taken,
 	// which costs the hints; too young lets hints of MaxSnapshotAge and the step's length through,
 	// which are hints still.
-	if age = now.Sub(time.Unix(0, s.Saved)); age < -time.Second || age > MaxSnapshotAge {
+	if age = now.Sub(time.Unix(0, s.SavedAt)); age < -time.Second || age > MaxSnapshotAge {
 		return l, 0, fmt.Errorf("%w: %v", ErrStale, age)
 	}
-	if err := Check(&s.Learned); err != nil {
+	if err := CheckLearned(&s.Learned); err != nil {
 		return l, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	return s.Learned, max(0, age), nil
 }
 
-// Check names the first value that no Balancer could have learned.
-func Check(l *martendrum.LearnedState) error {
+// CheckLearned names the first value that no Balancer could have learned.
+func CheckLearned(l *martendrum.LearnedState) error {
 	var err error
 	within := func(name string, v, least, limit float64) {
 		if err == nil && !(v >= least && v <= limit) { // a NaN is not
--- a/internal/handover/snapshot_test.go
+++ b/internal/handover/snapshot_test.go
@@ -24,7 +24,7 @@
 
 func encoded(t testing.TB, l martendrum.LearnedState) []byte {
 	t.Helper()
-	data, err := Encode(Snapshot{Listen: "a:1", Saved: saved.UnixNano(), Learned: l})
+	data, err := EncodeSnapshot(Snapshot{Listen: "a:1", SavedAt: saved.UnixNano(), Learned: l})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,30 +35,30 @@
 // anywhere, of another version or sidecar, too old, or could not be, is left aside.
 func TestWarmSnapshot(t *testing.T) {
 	data := encoded(t, learned())
-	got, age, err := Decode(data, "a:1", saved.Add(3*time.Second))
+	got, age, err := DecodeSnapshot(data, "a:1", saved.Add(3*time.Second))
 	if err != nil || age != 3*time.Second || !reflect.DeepEqual(got, learned()) {
 		t.Fatalf("%+v, %v, %v", got, age, err)
 	}
 	for n := range data {
 		spoilt := append([]byte(nil), data...)
 		spoilt[n] ^= 0x10
-		if _, _, err := Decode(spoilt, "a:1", saved); err == nil {
+		if _, _, err := DecodeSnapshot(spoilt, "a:1", saved); err == nil {
 			t.Errorf("byte %d may be anything", n)
 		}
-		if _, _, err := Decode(data[:n], "a:1", saved); !errors.Is(err, ErrDamaged) {
+		if _, _, err := DecodeSnapshot(data[:n], "a:1", saved); !errors.Is(err, ErrDamaged) {
 			t.Errorf("cut at %d: %v", n, err)
 		}
 	}
-	if _, _, err := Decode(data, "b:1", saved); !errors.Is(err, ErrForeign) {
+	if _, _, err := DecodeSnapshot(data, "b:1", saved); !errors.Is(err, ErrForeign) {
 		t.Error("another sidecar's:", err)
 	}
 	next := append([]byte(nil), data...)
 	next[len(snapshotMagic)]++
-	if _, _, err := Decode(next, "a:1", saved); !errors.Is(err, ErrForeign) {
+	if _, _, err := DecodeSnapshot(next, "a:1", saved); !errors.Is(err, ErrForeign) {
 		t.Error("another version's:", err)
 	}
 	for _, at := range []time.Time{saved.Add(MaxSnapshotAge + 1), saved.Add(-2 * time.Second)} {
-		if _, _, err := Decode(data, "a:1", at); !errors.Is(err, ErrStale) {
+		if _, _, err := DecodeSnapshot(data, "a:1", at); !errors.Is(err, ErrStale) {
 			t.Error("stale:", err)
 		}
 	}
@@ -72,11 +72,11 @@
 	} {
 		l := learned()
 		spoil(&l)
-		if _, _, err := Decode(encoded(t, l), "a:1", saved); !errors.Is(err, ErrDamaged) {
+		if _, _, err := DecodeSnapshot(encoded(t, l), "a:1", saved); !errors.Is(err, ErrDamaged) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Encode(Snapshot{Learned: martendrum.LearnedState{HedgeDelay: math.NaN()}}); err == nil {
+	if _, err := EncodeSnapshot(Snapshot{Learned: martendrum.LearnedState{HedgeDelay: math.NaN()}}); err == nil {
 		t.Error("what can't be read was written")
 	}
 }
@@ -85,11 +85,11 @@
 	f.Add(encoded(f, learned()))
 	f.Add([]byte("mtdsnap\x01\x00\x00\x00\x00{}"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		l, _, err := Decode(data, "a:1", saved)
+		l, _, err := DecodeSnapshot(data, "a:1", saved)
 		if err != nil {
 			return
 		}
-		again, _, err := Decode(encoded(t, l), "a:1", saved)
+		again, _, err := DecodeSnapshot(encoded(t, l), "a:1", saved)
 		if err != nil || !reflect.DeepEqual(l, again) {
 			t.Errorf("%+v came back as %+v, %v", l, again, err)
 		}
