--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -1,8 +1,9 @@
-// Package checkpoint keeps what one sidecar has learned on a disk that lasts, for its next
-// life, also after a power loss. It owns one file: written whole by a rename after a sync,
-// with a version, a checksum and the sidecar's name. A file that is torn, empty, too old,
-// of another version or another sidecar is told for what it is and left aside; nothing
-// depends on one. What of it is still true is not decided here, see recovery.Kept.
+// Package checkpoint stores what a sidecar has learned on a durable disk, for its next
+// start, also after a power loss. It owns one file, which is replaced atomically: written,
+// synced and renamed, with a version, a checksum and the sidecar's name. A file that is
+// damaged, empty, too old, of another version or of another sidecar is reported and
+// ignored; nothing depends on one. What of it is still valid is decided by package
+// recovery, see recovery.Kept.
 package checkpoint
 
 import (
@@ -24,18 +25,22 @@
 const (
 	// Version changes with the meaning of any field.
 	Version = 1
-	// MaxFileSize is the longest file, in bytes.
+	// MaxFileSize is the longest file, in bytes: a snapshot and its envelope.
 	MaxFileSize = handover.MaxSnapshotSize + 4<<10
-	// MaxAge is how old a file may be: past it a start from nothing knows as much.
+	// MaxAge is how old a file may be; an older one is worth no more than none.
 	MaxAge = 24 * time.Hour
+
+	// maxClockError is how far in the future a file may be.
+	maxClockError   = time.Second
+	filePermissions = 0o600
 )
 
-// Checkpoint is what is kept.
+// Checkpoint is what is stored.
 type Checkpoint struct {
-	Name        string                  `json:"name"`   // of the sidecar, by its address
+	Name        string                  `json:"name"`   // the sidecar's address
 	SavedAt     int64                   `json:"saved"`  // Unix time in ms
-	Incarnation uint64                  `json:"life"`   // its number among peers
-	Demand      float64                 `json:"demand"` // requests a second that usually come
+	Incarnation uint64                  `json:"life"`   // its incarnation among peers
+	Demand      float64                 `json:"demand"` // usual requests a second
 	Learned     martendrum.LearnedState `json:"learned"`
 }
 
@@ -52,7 +57,7 @@
 	Unreadable   Reason = "not readable"
 )
 
-// NotTrustedError says why a file was left aside.
+// NotTrustedError says why a file was ignored.
 type NotTrustedError struct {
 	Path   string
 	Reason Reason
@@ -81,7 +86,7 @@
 	return "nothing: the sidecar starts from nothing and writes the file anew"
 }
 
-// envelope is the form on the disk. Sum is the CRC-32C of Body as it stands.
+// envelope is the file's form. Sum is the CRC-32C of Body.
 type envelope struct {
 	Version int             `json:"version"`
 	Sum     uint32          `json:"sum"`
@@ -90,9 +95,9 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Save writes c in place of what was there, whole or not at all.
-func Save(path string, c Checkpoint) error {
-	body, err := json.Marshal(c)
+// Save replaces the file atomically.
+func Save(path string, checkpoint Checkpoint) error {
+	body, err := json.Marshal(checkpoint)
 	if err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
@@ -103,61 +108,74 @@
 	if len(data) > MaxFileSize {
 		return fmt.Errorf("checkpoint: %d bytes, %d at most", len(data), MaxFileSize)
 	}
-	if err := renameio.WriteFile(path, data, 0o600); err != nil {
+	if err := renameio.WriteFile(path, data, filePermissions); err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
 	return nil
 }
 
-// Load reads the file of the sidecar of that name, and how old it is; nil if there is
-// none. Whatever can't be trusted is a *NotTrustedError.
+// Load reads the file of the sidecar of that name and returns its age; nil if there is
+// none. The error of a file that can't be trusted is a *NotTrustedError.
 func Load(path, name string, now time.Time) (*Checkpoint, time.Duration, error) {
-	f, err := os.Open(path)
+	data, err := read(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, 0, nil
 	}
-	not := func(why Reason, err error) (*Checkpoint, time.Duration, error) {
-		return nil, 0, &NotTrustedError{path, why, err}
-	}
 	if err != nil {
-		return not(Unreadable, err)
+		return nil, 0, &NotTrustedError{path, Unreadable, err}
+	}
+	body, refused := open(data)
+	if refused != nil {
+		refused.Path = path
+		return nil, 0, refused
+	}
+	var checkpoint Checkpoint
+	if err := json.Unmarshal(body, &checkpoint); err != nil {
+		return nil, 0, &NotTrustedError{path, Damaged, err}
+	}
+	if checkpoint.Name != name {
+		return nil, 0, &NotTrustedError{path, OtherSidecar, fmt.Errorf("of %q", checkpoint.Name)}
 	}
-	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, MaxFileSize+1))
+	// The file outlives the machine, so its age is by the wall clock. After a step of the
+	// clock, a file that seems too old or from the future is rejected; one that seems too
+	// young is accepted, as what it holds are hints.
+	age := now.Sub(time.UnixMilli(checkpoint.SavedAt))
+	if age < -maxClockError || age > MaxAge {
+		return nil, 0, &NotTrustedError{path, Expired, fmt.Errorf("saved %v ago", age.Round(time.Second))}
+	}
+	if !(checkpoint.Demand >= 0) { // also rejects NaN
+		return nil, 0, &NotTrustedError{path, Damaged, fmt.Errorf("a demand of %v", checkpoint.Demand)}
+	}
+	if err := handover.CheckLearned(&checkpoint.Learned); err != nil {
+		return nil, 0, &NotTrustedError{path, Damaged, err}
+	}
+	return &checkpoint, max(0, age), nil
+}
+
+// read reads a file up to one byte past MaxFileSize.
+func read(path string) ([]byte, error) {
+	file, err := os.Open(path)
 	if err != nil {
-		return not(Unreadable, err)
+		return nil, err
 	}
+	defer file.Close()
+	return io.ReadAll(io.LimitReader(file, MaxFileSize+1))
+}
+
+// open checks the envelope and returns its body. The caller sets the path of the error.
+func open(data []byte) (json.RawMessage, *NotTrustedError) {
 	var in envelope
-	var c Checkpoint
 	switch err := json.Unmarshal(data, &in); {
 	case len(data) == 0:
-		return not(Empty, nil)
+		return nil, &NotTrustedError{Reason: Empty}
 	case len(data) > MaxFileSize:
-		return not(Damaged, fmt.Errorf("over %d bytes", MaxFileSize))
+		return nil, &NotTrustedError{Reason: Damaged, cause: fmt.Errorf("over %d bytes", MaxFileSize)}
 	case err != nil:
-		return not(Damaged, err)
+		return nil, &NotTrustedError{Reason: Damaged, cause: err}
 	case in.Version != Version:
-		return not(OtherVersion, fmt.Errorf("version %d, and this is %d", in.Version, Version))
+		return nil, &NotTrustedError{Reason: OtherVersion, cause: fmt.Errorf("version %d, and this is %d", in.Version, Version)}
 	case crc32.Checksum(in.Body, castagnoli) != in.Sum:
-		return not(Damaged, errors.New("the checksum is wrong"))
-	}
-	if err := json.Unmarshal(in.Body, &c); err != nil {
-		return not(Damaged, err)
-	}
-	if c.Name != name {
-		return not(OtherSidecar, fmt.Errorf("of %q", c.Name))
-	}
-	// The file outlives the machine, so the age is by the wall clock. A step makes it wrong:
-	// too old or from the future is not taken; too young is taken, as the hint it is.
-	age := now.Sub(time.UnixMilli(c.SavedAt))
-	if age < -time.Second || age > MaxAge {
-		return not(Expired, fmt.Errorf("saved %v ago", age.Round(time.Second)))
-	}
-	if !(c.Demand >= 0) {
-		return not(Damaged, fmt.Errorf("a demand of %v", c.Demand))
-	}
-	if err := handover.CheckLearned(&c.Learned); err != nil {
-		return not(Damaged, err)
+		return nil, &NotTrustedError{Reason: Damaged, cause: errors.New("the checksum is wrong")}
 	}
-	return &c, max(0, age), nil
+	return in.Body, nil
 }
--- a/internal/handover/idtable/idtable.go
+++ b/internal/handover/idtable/idtable.go
@@ -1,16 +1,16 @@
-// Package idtable is a set of request ids that the old process of a sidecar and the new
-// one share while both take clients: an id that one has open, or had a short while ago,
-// is known to the other. It is laid over memory that the caller maps; it does no I/O.
+// Package idtable is a set of request ids that the two processes of a hand-over share
+// while both accept clients: an id that one has open, or had a short while ago, is known
+// to the other. The set lies in memory that the caller maps; the package does no I/O.
 //
-// It promises that of any number of openings of one id within Life, in either process
-// and at the same time, at most one succeeds, as long as there is room. It forgets by
-// time alone, so a process that is killed leaves nothing that must be cleaned up. It
-// does not promise that one succeeds: two at the very same moment may both be told
-// that the id is known. Where the 16 places of an id are taken, the id is let through:
-// each process still knows its own.
+// It promises that of any number of concurrent openings of one id within EntryTTL, in
+// either process, at most one succeeds as long as there is space. Entries expire by time
+// alone, so that a killed process leaves nothing to clean up. It does not promise that one
+// succeeds: two at the very same moment may both find the id known. An id whose slots are
+// all in use is accepted: each process still knows its own ids.
 //
-// A word is 40 bits of the id's hash, and in the others until when it is known. 14 bits
-// more of the hash are in its place. All changes are one compare-and-swap.
+// The highest 40 bits of a word are those of the id's hash, the others the time until
+// which the id is known. The lowest 14 bits of the hash are the word's index. Each change
+// is one compare-and-swap.
 package idtable
 
 import (
@@ -19,19 +19,18 @@
 )
 
 const (
-	// Slots is the number of words: a power of two. At four times the platform's rate
-	// of 320 requests a second, two thirds of it stay free.
+	// Slots is the number of words, a power of two. At four times the platform's rate of 320
+	// requests a second, two thirds of them are free.
 	Slots = 1 << 14
-	// EntryTTL is how long an id is known from its opening: the longest deadline, 3 s, and
-	// some more for one that comes late.
+	// EntryTTL is how long an id is known after its opening: the longest deadline, 3 s, and
+	// a margin for a late retry.
 	EntryTTL = 4 * time.Second
 
-	maxProbes = 16
+	maxProbes = 16                     // words that are searched for an id
 	tick      = 250 * time.Millisecond // the unit of a word's time
-	// Of a word.
-	timeBits = 24
-	timeMask = 1<<timeBits - 1
-	ttlTicks = uint64(EntryTTL / tick)
+	timeBits  = 24                     // of a word
+	timeMask  = 1<<timeBits - 1
+	ttlTicks  = uint64(EntryTTL / tick)
 )
 
 // Table is the set. Its methods may be called from any goroutine of any process.
@@ -40,69 +39,71 @@
 	overflowed atomic.Int64
 }
 
-// NewTable returns the table that lies in words, Slots of them, zero where it is new.
+// NewTable returns the table that lies in words: Slots of them, zero in a new table.
 func NewTable(words []uint64) *Table { return &Table{words: words[:Slots]} }
 
-// Overflowed is how many ids this process let through for want of room.
+// Overflowed is how many ids this process accepted without an entry, for want of space.
 func (t *Table) Overflowed() int64 { return t.overflowed.Load() }
 
-// isLive says whether a word is known at now. Times are compared around the wrap, after
-// 48 days; one that lies further ahead than any may was written by another clock.
-func isLive(w, now uint64) bool {
-	left := (w - now) & timeMask
-	return w != 0 && left > 0 && left <= ttlTicks
+// isLive says whether a word's id is known at now. Times wrap around after 48 days. A time
+// further ahead than EntryTTL was written by another clock.
+func isLive(word, now uint64) bool {
+	left := (word - now) & timeMask
+	return word != 0 && left > 0 && left <= ttlTicks
 }
 
-// Open enters the id of that hash; false if it is known already. at is of a clock that both
-// processes read alike and nobody steps (clock.Boot): a step of the wall clock would make
-// both forget what they know. A process of a version that counted by the wall clock shares
-// nothing with one of this version; each still knows its own.
+// Open enters the id of a hash; false if it is known already. at is the time of a clock
+// that both processes share and nobody sets (clock.Boot): a step of the wall clock would
+// make both forget what they know. Processes of versions that count by the wall clock share
+// nothing with those of this version; each still knows its own ids.
 func (t *Table) Open(hash uint64, at time.Duration) bool {
 	now := uint64(at/tick) & timeMask
 	tag := hash &^ timeMask
 	if tag == 0 {
 		tag = 1 << timeBits
 	}
-	word := tag | (now+ttlTicks)&timeMask
+	entry := tag | (now+ttlTicks)&timeMask
 	for {
-		place, was, known := t.find(hash, tag, now, -1)
+		place, previous, known := t.find(hash, tag, now, -1)
 		switch {
 		case known:
 			return false
 		case place < 0:
 			t.overflowed.Add(1)
 			return true
-		case !atomic.CompareAndSwapUint64(t.word(hash, place), was, word):
-			continue // somebody took the place: look again
+		case !atomic.CompareAndSwapUint64(t.word(hash, place), previous, entry):
+			continue // the word was taken meanwhile
 		}
-		// Another may have entered the same id elsewhere since this one looked. Of two
-		// that enter before either looks again, each sees the other, or one does.
+		// The same id may have been entered in another word meanwhile. Of two that enter
+		// before either searches again, at least one sees the other.
 		if _, _, known = t.find(hash, tag, now, place); known {
-			atomic.CompareAndSwapUint64(t.word(hash, place), word, 0)
+			atomic.CompareAndSwapUint64(t.word(hash, place), entry, 0)
 			return false
 		}
 		return true
 	}
 }
 
+// word is the word at a place of a hash, from 0 to maxProbes-1.
 func (t *Table) word(hash uint64, place int) *uint64 {
 	return &t.words[(hash+uint64(place))&(Slots-1)]
 }
 
-// find finds whether an id is known, in another place than but, and the first that is free.
-func (t *Table) find(hash, tag, now uint64, but int) (free int, was uint64, known bool) {
+// find says whether an id is known, in another place than except. If it is not, find
+// returns the first place that is free and its word; free is -1 if there is none.
+func (t *Table) find(hash, tag, now uint64, except int) (free int, previous uint64, known bool) {
 	free = -1
 	for place := range maxProbes {
-		if place == but {
+		if place == except {
 			continue
 		}
-		w := atomic.LoadUint64(t.word(hash, place))
-		switch live := isLive(w, now); {
-		case live && w&^timeMask == tag:
+		word := atomic.LoadUint64(t.word(hash, place))
+		switch live := isLive(word, now); {
+		case live && word&^timeMask == tag:
 			return -1, 0, true
 		case !live && free < 0:
-			free, was = place, w
+			free, previous = place, word
 		}
 	}
-	return free, was, false
+	return free, previous, false
 }
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -14,121 +14,140 @@
 )
 
 const (
-	// SnapshotVersion changes with the meaning of any field: what another version
-	// wrote is not understood halfway.
+	// SnapshotVersion changes with the meaning of any field. Snapshots of other versions
+	// are rejected.
 	SnapshotVersion = 1
-	// MaxSnapshotSize is the longest snapshot read.
+	// MaxSnapshotSize is the longest snapshot, in bytes.
 	MaxSnapshotSize = 128 << 10
-	// MaxSnapshotAge is how old a snapshot may be. Servers' state changes within seconds;
-	// past it a start from nothing knows more.
+	// MaxSnapshotAge is how old a snapshot may be. The servers' state changes within seconds,
+	// so an older one is worse than none.
 	MaxSnapshotAge = 30 * time.Second
 
-	maxSamples = 1024
-	maxServers = 4096
+	// maxClockError is how far in the future a snapshot may be.
+	maxClockError = time.Second
+	// headerSize is the version, 1 byte, and the checksum, 4 bytes, after the magic.
+	headerSize = 5
+
+	maxSamples          = 1024
+	maxServers          = 4096
+	maxWeightCorrection = 16
+	maxEjection         = time.Minute
 )
 
+// snapshotMagic begins a snapshot.
 var snapshotMagic = []byte("mtdsnap")
 
-// Errors of a snapshot, which is then left aside.
+// Errors of a snapshot, which is then ignored.
 var (
 	ErrDamaged = errors.New("handover: damaged snapshot")
 	ErrForeign = errors.New("handover: snapshot of another version or sidecar")
 	ErrStale   = errors.New("handover: snapshot too old")
 )
 
-// Snapshot is what one process has learned for the next.
+// Snapshot is what a predecessor has learned, for its successor.
 type Snapshot struct {
-	Listen  string                  `json:"Listen"` // the sidecar's, by its address
+	Listen  string                  `json:"Listen"` // the sidecar's address
 	SavedAt int64                   `json:"Saved"`  // Unix time in ns
 	Learned martendrum.LearnedState `json:"Learned"`
 }
 
-// EncodeSnapshot is s as bytes: a mark, the version, a checksum (CRC-32C), JSON.
-func EncodeSnapshot(s Snapshot) ([]byte, error) {
-	body, err := json.Marshal(s)
+// EncodeSnapshot encodes a snapshot: a magic, the version, a checksum (CRC-32C) and JSON.
+func EncodeSnapshot(snapshot Snapshot) ([]byte, error) {
+	body, err := json.Marshal(snapshot)
 	if err != nil {
 		return nil, fmt.Errorf("handover: snapshot: %w", err)
 	}
-	b := append([]byte(nil), snapshotMagic...)
-	b = append(b, SnapshotVersion)
-	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(body, castagnoli))
-	if b = append(b, body...); len(b) > MaxSnapshotSize {
-		return nil, fmt.Errorf("handover: snapshot of %d bytes", len(b))
+	encoded := append([]byte(nil), snapshotMagic...)
+	encoded = append(encoded, SnapshotVersion)
+	encoded = binary.BigEndian.AppendUint32(encoded, crc32.Checksum(body, castagnoli))
+	if encoded = append(encoded, body...); len(encoded) > MaxSnapshotSize {
+		return nil, fmt.Errorf("handover: snapshot of %d bytes", len(encoded))
 	}
-	return b, nil
+	return encoded, nil
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// DecodeSnapshot reads a snapshot for the sidecar at listen, and how old it is. Anything in it
+// DecodeSnapshot decodes a snapshot for the sidecar at listen and returns its age. A value
 // that no Balancer could have learned makes it damaged.
-func DecodeSnapshot(data []byte, listen string, now time.Time) (l martendrum.LearnedState, age time.Duration, err error) {
-	body, ok := bytes.CutPrefix(data, snapshotMagic)
-	switch {
-	case !ok || len(body) < 5 || len(data) > MaxSnapshotSize:
-		return l, 0, ErrDamaged
-	case body[0] != SnapshotVersion:
-		return l, 0, fmt.Errorf("%w: version %d", ErrForeign, body[0])
-	case crc32.Checksum(body[5:], castagnoli) != binary.BigEndian.Uint32(body[1:5]):
-		return l, 0, ErrDamaged
+func DecodeSnapshot(data []byte, listen string, now time.Time) (learned martendrum.LearnedState, age time.Duration, err error) {
+	body, err := checkEnvelope(data)
+	if err != nil {
+		return learned, 0, err
+	}
+	var snapshot Snapshot
+	if err := json.Unmarshal(body, &snapshot); err != nil {
+		return learned, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
+	}
+	if snapshot.Listen != listen {
+		return learned, 0, fmt.Errorf("%w: of %q", ErrForeign, snapshot.Listen)
 	}
-	var s Snapshot
-	if err := json.Unmarshal(body[5:], &s); err != nil {
-		return l, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
+	// A step of the wall clock makes the age wrong. A snapshot that seems too old or from the
+	// future is rejected, which costs its hints; one that seems too young is accepted, and
+	// its hints are older by the length of the step.
+	if age = now.Sub(time.Unix(0, snapshot.SavedAt)); age < -maxClockError || age > MaxSnapshotAge {
+		return learned, 0, fmt.Errorf("%w: %v", ErrStale, age)
 	}
-	if s.Listen != listen {
-		return l, 0, fmt.Errorf("%w: of %q", ErrForeign, s.Listen)
+	if err := CheckLearned(&snapshot.Learned); err != nil {
+		return learned, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
+	}
+	return snapshot.Learned, max(0, age), nil
+}
+
+// checkEnvelope checks the magic, the version and the checksum and returns the JSON.
+func checkEnvelope(data []byte) (body []byte, err error) {
+	rest, ok := bytes.CutPrefix(data, snapshotMagic)
+	if !ok || len(rest) < headerSize || len(data) > MaxSnapshotSize {
+		return nil, ErrDamaged
 	}
-	// A step of the wall clock makes the age wrong: too old or from the future is not taken,
-	// which costs the hints; too young lets hints of MaxSnapshotAge and the step's length through,
-	// which are hints still.
-	if age = now.Sub(time.Unix(0, s.SavedAt)); age < -time.Second || age > MaxSnapshotAge {
-		return l, 0, fmt.Errorf("%w: %v", ErrStale, age)
+	version, sum, body := rest[0], binary.BigEndian.Uint32(rest[1:headerSize]), rest[headerSize:]
+	if version != SnapshotVersion {
+		return nil, fmt.Errorf("%w: version %d", ErrForeign, version)
 	}
-	if err := CheckLearned(&s.Learned); err != nil {
-		return l, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
+	if crc32.Checksum(body, castagnoli) != sum {
+		return nil, ErrDamaged
 	}
-	return s.Learned, max(0, age), nil
+	return body, nil
 }
 
 // CheckLearned names the first value that no Balancer could have learned.
-func CheckLearned(l *martendrum.LearnedState) error {
+func CheckLearned(learned *martendrum.LearnedState) error {
 	var err error
-	within := func(name string, v, least, limit float64) {
-		if err == nil && !(v >= least && v <= limit) { // a NaN is not
-			err = fmt.Errorf("%s is %v", name, v)
+	within := func(name string, value, lower, upper float64) {
+		if err == nil && !(value >= lower && value <= upper) { // also rejects NaN
+			err = fmt.Errorf("%s is %v", name, value)
 		}
 	}
-	within("Delay", l.HedgeDelay, 0, math.MaxFloat32)
-	within("Odds", l.HedgeProbability, 0, 1)
-	within("Lost", l.LostFraction, 0, 1)
-	within("Level", l.ShedLevel, 0, 1)
-	within("LevelAge", float64(l.ShedLevelAge), 0, math.MaxInt64)
-	within("Taken", l.AcceptedFraction, 0, 1)
-	within("MeanTime", l.MeanLatency, 0, math.MaxFloat32)
-	within("Primary", float64(len(l.Primary)), 0, maxSamples)
-	within("Copies", float64(len(l.Hedges)), 0, maxSamples)
-	within("Pairs", float64(len(l.Pairs)), 0, maxSamples)
-	within("Servers", float64(len(l.Servers)), 0, maxServers)
-	for _, list := range [][]martendrum.LearnedLatency{l.Primary, l.Hedges} {
-		for _, s := range list {
-			within("a time", s.Latency, 0, math.MaxFloat32)
+	within("Delay", learned.HedgeDelay, 0, math.MaxFloat32)
+	within("Odds", learned.HedgeProbability, 0, 1)
+	within("Lost", learned.LostFraction, 0, 1)
+	within("Level", learned.ShedLevel, 0, 1)
+	within("LevelAge", float64(learned.ShedLevelAge), 0, math.MaxInt64)
+	within("Taken", learned.AcceptedFraction, 0, 1)
+	within("MeanTime", learned.MeanLatency, 0, math.MaxFloat32)
+	within("Primary", float64(len(learned.Primary)), 0, maxSamples)
+	within("Copies", float64(len(learned.Hedges)), 0, maxSamples)
+	within("Pairs", float64(len(learned.Pairs)), 0, maxSamples)
+	within("Servers", float64(len(learned.Servers)), 0, maxServers)
+	for _, list := range [][]martendrum.LearnedLatency{learned.Primary, learned.Hedges} {
+		for _, sample := range list {
+			within("a time", sample.Latency, 0, math.MaxFloat32)
 		}
 	}
-	for _, p := range l.Pairs {
-		within("a pair", min(p[0], p[1]), 0, math.MaxFloat32)
-		within("a pair", max(p[0], p[1]), 0, math.MaxFloat32)
+	for _, pair := range learned.Pairs {
+		within("a pair", min(pair[0], pair[1]), 0, math.MaxFloat32)
+		within("a pair", max(pair[0], pair[1]), 0, math.MaxFloat32)
 	}
-	for i := range l.Servers {
-		s := &l.Servers[i]
-		within(s.Name+": Weight", s.WeightCorrection, 1.0/16, 16)
-		within(s.Name+": Sum", s.LatencySum, 0, math.MaxFloat32)
-		within(s.Name+": N", s.LatencyWeight, 0, math.MaxFloat32)
-		within(s.Name+": Age", float64(s.LatencyAge), 0, math.MaxInt64)
-		within(s.Name+": Started", float64(s.Started), 0, math.MaxInt64)
-		within(s.Name+": Failures", float64(s.Failures), 0, math.MaxInt32)
-		within(s.Name+": Ejections", float64(s.Ejections), 0, math.MaxInt32)
-		within(s.Name+": EjectedAbout", float64(s.EjectionRemaining), 0, float64(time.Minute))
+	for i := range learned.Servers {
+		server := &learned.Servers[i]
+		within(server.Name+": Weight", server.WeightCorrection, 1.0/maxWeightCorrection, maxWeightCorrection)
+		within(server.Name+": Sum", server.LatencySum, 0, math.MaxFloat32)
+		within(server.Name+": N", server.LatencyWeight, 0, math.MaxFloat32)
+		within(server.Name+": Age", float64(server.LatencyAge), 0, math.MaxInt64)
+		within(server.Name+": Started", float64(server.Started), 0, math.MaxInt64)
+		within(server.Name+": Failures", float64(server.Failures), 0, math.MaxInt32)
+		within(server.Name+": Ejections", float64(server.Ejections), 0, math.MaxInt32)
+		within(server.Name+": EjectedAbout", float64(server.EjectionRemaining), 0, float64(maxEjection))
 	}
 	return err
 }
