--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -37,9 +37,9 @@
 	metrics   *metrics.Set
 	fleet     *fleet
 
-	place       *link.Rendezvous  // of the hand-over; nil: processes don't hand over
-	predecessor *link.Successor   // the process that this one takes over from; nil as place
-	successor   *link.Predecessor // for the process that takes over from this one; nil until this one is alone
+	place       *link.Rendezvous     // of the hand-over; nil: processes don't hand over
+	predecessor *link.SuccessorEnd   // the process that this one takes over from; nil as place
+	successor   *link.PredecessorEnd // for the process that takes over from this one; nil until this one is alone
 
 	// Events of the predecessor; nil where there is none.
 	alone         <-chan struct{}
@@ -55,7 +55,7 @@
 }
 
 // newProcess returns a sidecarProcess whose parts are not created yet.
-func newProcess(c *config, r *resources, place *link.Rendezvous, predecessor *link.Successor) *sidecarProcess {
+func newProcess(c *config, r *resources, place *link.Rendezvous, predecessor *link.SuccessorEnd) *sidecarProcess {
 	p := &sidecarProcess{
 		config:      c,
 		resources:   r,
@@ -181,7 +181,7 @@
 	}
 	listen, host := c.listen, r.host // p.config may change before the snapshot is taken
 	protocol := handover.NewPredecessor(listen, c.fullShare(), func() []byte { return snapshot(listen, host) })
-	p.successor = link.NewPredecessor(p.place, r.listeners, protocol, r)
+	p.successor = link.NewPredecessorEnd(p.place, r.listeners, protocol, r)
 	if p.recorder != nil && p.recorder.Lock() != nil {
 		p.successor.PassStoreLock(p.recorder.Lock())
 	}
--- a/cmd/sidecar/start.go
+++ b/cmd/sidecar/start.go
@@ -65,7 +65,7 @@
 
 // run serves until it is told to stop, and then until every request is answered. place
 // and predecessor are nil where processes don't hand over.
-func run(c *config, r *resources, place *link.Rendezvous, predecessor *link.Successor, on signals) error {
+func run(c *config, r *resources, place *link.Rendezvous, predecessor *link.SuccessorEnd, on signals) error {
 	debug.SetGCPercent(gcPercent)
 	c.logSettings("configuration in force")
 	p := newProcess(c, r, place, predecessor)
--- a/cmd/sidecar/stop.go
+++ b/cmd/sidecar/stop.go
@@ -35,15 +35,15 @@
 // gracefulShutdown is a stop in progress.
 type gracefulShutdown struct {
 	resources *resources
-	successor *link.Predecessor // nil: no process can take over
-	told      time.Time         // when the signal came: the plan's spans are counted from it
+	successor *link.PredecessorEnd // nil: no process can take over
+	told      time.Time            // when the signal came: the plan's spans are counted from it
 	plan      shutdown.Plan
 	replaced  bool // a successor serves
 	closed    bool // no connection is accepted any more
 }
 
 // newShutdown returns the graceful shutdown of a process that was told to end at told.
-func newShutdown(told time.Time, c *config, r *resources, successor *link.Predecessor) *gracefulShutdown {
+func newShutdown(told time.Time, c *config, r *resources, successor *link.PredecessorEnd) *gracefulShutdown {
 	return &gracefulShutdown{resources: r, successor: successor, told: told, plan: seamPlan(shutdown.For(c.longestDeadline()))}
 }
 
--- /dev/null
+++ b/internal/handover/link/successor.go
@@ -0,0 +1,358 @@
+package link
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"sync"
+	"syscall"
+	"time"
+
+	"martendrum/internal/handover"
+)
+
+// Bounds of a start that looks for a predecessor. Their sum stays well below the 6 s
+// within which a new process must serve.
+const (
+	offerTimeout  = 1200 * time.Millisecond // a predecessor that takes longer hangs
+	absentTimeout = 600 * time.Millisecond  // the lock is held, and its owner can't be found
+	busyTimeout   = 3 * time.Second         // another successor is taking over
+	retryInterval = 20 * time.Millisecond
+	// lockPollInterval is how often the lock of a predecessor that ended is tried.
+	lockPollInterval = 5 * retryInterval
+)
+
+// Reasons for no hand-over.
+var (
+	errAbsent = errors.New("link: the place is held, and its process can't be found")
+	errSilent = errors.New("link: the old process does not answer")
+)
+
+// SuccessorEnd is the end of a hand-over at the process that starts.
+type SuccessorEnd struct {
+	rendezvous *Rendezvous
+	host       Host
+	listen     string
+	machine    *handover.Successor
+
+	mu            sync.Mutex  // guards the machine and all below
+	conn          *connection // to the predecessor; nil: none
+	passed        []*net.TCPListener
+	ownListener   *net.TCPListener
+	snapshot      []byte
+	table         *SharedTable // nil: none
+	storeLock     *os.File     // of the idempotency store, from the predecessor; nil: none
+	lateListeners chan []*net.TCPListener
+	alone         chan struct{}
+	failed        chan error
+	closed        bool
+	goroutines    sync.WaitGroup
+}
+
+// Start looks for a predecessor and agrees with it on quotas. When it returns, the host
+// has its limits and Listeners returns where to accept; the caller accepts once it can
+// answer. usesStore says that this process uses an idempotency store.
+func Start(rendezvous *Rendezvous, listen string, limits handover.Quota, usesStore bool, host Host) (*SuccessorEnd, error) {
+	s := &SuccessorEnd{
+		rendezvous:    rendezvous,
+		host:          host,
+		listen:        listen,
+		machine:       handover.NewSuccessor(limits),
+		lateListeners: make(chan []*net.TCPListener, 1),
+		alone:         make(chan struct{}),
+		failed:        make(chan error, 1),
+	}
+	if usesStore {
+		s.machine.SetUsesStore()
+	}
+	for started := time.Now(); ; time.Sleep(retryInterval) {
+		err := s.attempt()
+		elapsed := time.Since(started)
+		switch {
+		case err == nil:
+			return s, nil
+		case errors.Is(err, handover.ErrBusy) && elapsed < busyTimeout:
+		case errors.Is(err, errAbsent) && elapsed < absentTimeout:
+		case errors.Is(err, errAbsent), errors.Is(err, errSilent), errors.Is(err, handover.ErrRejected):
+			slog.Warn("no hand-over: this process opens a socket of its own beside the old one's", "err", err)
+			return s.startBesideSilent()
+		case errors.Is(err, ErrForeign):
+			slog.Warn("no hand-over: this process is on its own", "err", err)
+			return s.startIsolated()
+		default:
+			s.Close()
+			return nil, err
+		}
+	}
+}
+
+func (s *SuccessorEnd) startBesideSilent() (*SuccessorEnd, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.perform(s.machine.PredecessorSilent()); err != nil {
+		return nil, err
+	}
+	s.followPredecessor()
+	return s, nil
+}
+
+func (s *SuccessorEnd) startIsolated() (*SuccessorEnd, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.perform(s.machine.Isolated()); err != nil {
+		return nil, err
+	}
+	return s, nil
+}
+
+// attempt takes the lock, or asks its owner to hand over.
+func (s *SuccessorEnd) attempt() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	err := s.rendezvous.Lock()
+	if err == nil {
+		return s.perform(s.machine.NoPredecessor())
+	}
+	if !errors.Is(err, ErrLocked) {
+		return err
+	}
+	if s.conn, err = s.dial(); err != nil {
+		return err
+	}
+	if err := s.perform(s.machine.Hello(s.listen)); err != nil {
+		s.disconnect()
+		return fmt.Errorf("%w: %w", errSilent, err)
+	}
+	s.conn.unix.SetReadDeadline(time.Now().Add(offerTimeout))
+	message, files, err := s.conn.receive(make([]byte, maxMessageBytes))
+	s.conn.unix.SetReadDeadline(time.Time{})
+	if err != nil {
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			return errSilent // the connection stays open, as its end shows that the predecessor ended
+		}
+		s.disconnect()
+		return fmt.Errorf("%w: %w", errAbsent, err)
+	}
+	if err := s.handle(message, files); err != nil {
+		s.disconnect()
+		return err
+	}
+	s.followPredecessor()
+	return nil
+}
+
+// dial connects to the predecessor.
+func (s *SuccessorEnd) dial() (*connection, error) {
+	address, done, err := s.rendezvous.socketAddress(socketSuffix)
+	if err != nil {
+		return nil, err
+	}
+	defer done()
+	dialer := net.Dialer{Timeout: offerTimeout}
+	dialed, err := dialer.Dial("unixpacket", address)
+	switch {
+	case errors.Is(err, syscall.EAGAIN): // its accept queue is full
+		return nil, errSilent
+	case err != nil:
+		return nil, fmt.Errorf("%w: %w", errAbsent, err)
+	}
+	unix := dialed.(*net.UnixConn)
+	if !isSameUser(unix) {
+		unix.Close()
+		return nil, fmt.Errorf("%w: another user's process answers at %s", ErrForeign, s.rendezvous.path(socketSuffix))
+	}
+	return &connection{unix: unix}, nil
+}
+
+// disconnect closes the connection to the predecessor. The caller holds the lock.
+func (s *SuccessorEnd) disconnect() {
+	if s.conn != nil {
+		s.conn.unix.Close()
+		s.conn = nil
+	}
+}
+
+// handle handles a message and the files beside it. The caller holds the lock.
+func (s *SuccessorEnd) handle(message handover.Message, files []*os.File) error {
+	defer closeAll(files)
+	var offered offeredFiles
+	var actions []handover.Action
+	var err error
+	if message.Kind == handover.Offer {
+		err = offered.open(message, files, s.listen, s.rendezvous.path(lockSuffix))
+	}
+	if err == nil {
+		actions, err = s.machine.Receive(message)
+	}
+	if err != nil {
+		offered.close()
+		return err
+	}
+	if message.Kind == handover.Offer {
+		s.rendezvous.adoptLock(offered.lock)
+		s.passed, s.snapshot, s.table, s.storeLock = offered.listeners, message.Snapshot, offered.table, offered.storeLock
+	}
+	return s.perform(actions)
+}
+
+// perform carries out the machine's actions. The caller holds the lock.
+func (s *SuccessorEnd) perform(actions []handover.Action) error {
+	for _, action := range actions {
+		switch action.Type {
+		case handover.SendMessage:
+			if s.conn == nil {
+				continue
+			}
+			if err := s.conn.send(action.Message); err != nil {
+				return fmt.Errorf("link: %w", err)
+			}
+		case handover.Limit:
+			s.host.Limit(action.Quota)
+		case handover.OpenListener:
+			listener, err := Listen(s.listen)
+			if err != nil {
+				return fmt.Errorf("listen: %w", err)
+			}
+			s.ownListener = listener
+		case handover.TakeListener:
+			if s.ownListener != nil { // a silent predecessor has woken up
+				s.lateListeners <- s.passed
+			}
+		case handover.Publish:
+			close(s.alone)
+		}
+	}
+	return nil
+}
+
+// followPredecessor handles the predecessor's messages until it has ended. The caller
+// holds the lock.
+func (s *SuccessorEnd) followPredecessor() {
+	conn := s.conn
+	s.goroutines.Go(func() {
+		buffer := make([]byte, maxMessageBytes)
+		for conn != nil {
+			message, files, err := conn.receive(buffer)
+			s.mu.Lock()
+			if err == nil && s.handleLater(message, files) {
+				s.mu.Unlock()
+				continue
+			}
+			closed := s.closed
+			s.disconnect()
+			s.mu.Unlock()
+			if closed {
+				return
+			}
+			break
+		}
+		s.awaitPredecessorExit()
+	})
+}
+
+// handleLater handles a message that follows the first. It returns false where the
+// connection is of no further use. The caller holds the lock.
+func (s *SuccessorEnd) handleLater(message handover.Message, files []*os.File) bool {
+	err := s.handle(message, files)
+	if err != nil && !s.closed {
+		slog.Error("hand-over", "err", err)
+	}
+	rejected, locked := errors.Is(err, handover.ErrRejected), s.rendezvous.Locked()
+	if rejected && locked {
+		// The predecessor lives and has taken its quota back: this process must end.
+		s.failed <- err
+		s.closed = true
+	}
+	offerFailed := err != nil && message.Kind == handover.Offer
+	return !rejected && !(offerFailed && !locked)
+}
+
+// awaitPredecessorExit waits until no predecessor has the lock, and takes it.
+func (s *SuccessorEnd) awaitPredecessorExit() {
+	for {
+		s.mu.Lock()
+		if s.closed {
+			s.mu.Unlock()
+			return
+		}
+		if err := s.rendezvous.Lock(); err == nil {
+			s.perform(s.machine.PredecessorLost())
+			s.mu.Unlock()
+			return
+		}
+		s.mu.Unlock()
+		time.Sleep(lockPollInterval)
+	}
+}
+
+// Listeners are the sockets to accept from: those of a predecessor, this process's own,
+// or both.
+func (s *SuccessorEnd) Listeners() (listeners []*net.TCPListener) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	listeners = append(listeners, s.passed...)
+	if s.ownListener != nil {
+		listeners = append(listeners, s.ownListener)
+	}
+	return listeners
+}
+
+// LateListeners delivers the listeners of a silent predecessor that woke up and handed
+// over. Listeners and Table return them too by then. The caller accepts from them and
+// then calls Ready.
+func (s *SuccessorEnd) LateListeners() <-chan []*net.TCPListener { return s.lateListeners }
+
+// Snapshot is what the predecessor has learned, empty if it sent nothing.
+func (s *SuccessorEnd) Snapshot() []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.snapshot
+}
+
+// Table is the table that the predecessor shares, nil for none. The caller closes it.
+func (s *SuccessorEnd) Table() *SharedTable {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.table
+}
+
+// StoreLock is the lock of the idempotency store that the predecessor shares, nil for
+// none. The caller closes it.
+func (s *SuccessorEnd) StoreLock() *os.File {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.storeLock
+}
+
+// Ready says that this process accepts clients.
+func (s *SuccessorEnd) Ready() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.perform(s.machine.Ready()); err != nil {
+		slog.Warn("hand-over", "err", err)
+	}
+}
+
+// HasPredecessor says whether there is, or was, a predecessor.
+func (s *SuccessorEnd) HasPredecessor() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.passed) > 0 || !s.machine.Alone()
+}
+
+// Alone is closed when no predecessor is left and this process owns all limits.
+func (s *SuccessorEnd) Alone() <-chan struct{} { return s.alone }
+
+// Failed delivers the reason for which this process must end, if there is one.
+func (s *SuccessorEnd) Failed() <-chan error { return s.failed }
+
+// Close closes the connection and ends what Start began.
+func (s *SuccessorEnd) Close() {
+	s.mu.Lock()
+	s.closed = true
+	s.disconnect()
+	s.mu.Unlock()
+	s.goroutines.Wait()
+}
