--- a/internal/sqlitefile/sqlitefile.go
+++ b/internal/sqlitefile/sqlitefile.go
@@ -1,5 +1,6 @@
-// Package sqlitefile is what the users of SQLite files share: how one is named and
-// tuned, looked over for damage and brought up to date, and rows are read.
+// Package sqlitefile is what stores in SQLite files share: opening a file with its
+// pragmas, checking its integrity, migrating its schema and reading rows. Schemas and
+// transactions are the stores' own.
 package sqlitefile
 
 import (
@@ -12,32 +13,44 @@
 	_ "modernc.org/sqlite" // the driver
 )
 
-// Open returns a file's database, each connection of which begins with the pragmas.
-// Transactions take the writer's lock at their begin.
+// Open returns the database in a file. Each connection begins with the pragmas, and each
+// transaction takes the writer's lock when it begins.
 func Open(path string, pragmas ...string) (*sql.DB, error) {
-	q := url.Values{"_pragma": pragmas, "_txlock": {"immediate"}}
-	return sql.Open("sqlite", "file:"+(&url.URL{Path: path}).EscapedPath()+"?"+q.Encode())
+	query := url.Values{"_pragma": pragmas, "_txlock": {"immediate"}}
+	return sql.Open("sqlite", "file:"+(&url.URL{Path: path}).EscapedPath()+"?"+query.Encode())
 }
 
-// CheckIntegrity looks the file over for damage, in proportion to its size.
+// CheckIntegrity checks the file for damage. It takes time in proportion to its size.
 func CheckIntegrity(ctx context.Context, db *sql.DB) error {
-	var ok string
-	err := db.QueryRowContext(ctx, "PRAGMA quick_check(1)").Scan(&ok)
-	if err == nil && ok != "ok" {
-		err = errors.New(ok)
+	var result string
+	err := db.QueryRowContext(ctx, "PRAGMA quick_check(1)").Scan(&result)
+	if err == nil && result != "ok" {
+		err = errors.New(result)
 	}
 	return err
 }
 
-// CheckVersion is the error of a schema that a newer build wrote, nil if this build knows it.
-func CheckVersion(have, known int) error {
-	if have <= known {
+// NewerSchemaError says that a newer build wrote the schema.
+type NewerSchemaError struct{ Version, Known int }
+
+// Error has the versions and the next step.
+func (e *NewerSchemaError) Error() string {
+	return fmt.Sprintf("its schema is version %d and this build knows up to %d: %s", e.Version, e.Known, e.Advice())
+}
+
+// Advice is the next step.
+func (e *NewerSchemaError) Advice() string { return "run the newer build that wrote it" }
+
+// CheckVersion returns a *NewerSchemaError if a schema's version is above the one that
+// this build knows.
+func CheckVersion(version, known int) error {
+	if version <= known {
 		return nil
 	}
-	return fmt.Errorf("its schema is version %d and this build knows up to %d: run the newer build that wrote it", have, known)
+	return &NewerSchemaError{Version: version, Known: known}
 }
 
-// Migrate brings the schema to a version in one transaction; migrations bring it from
+// Migrate brings the schema to a version in one transaction. migrations[n] brings it from
 // version n to n+1.
 func Migrate(ctx context.Context, db *sql.DB, migrations []string, to int) error {
 	tx, err := db.BeginTx(ctx, nil)
@@ -45,17 +58,17 @@
 		return fmt.Errorf("it can't be written: %w", err)
 	}
 	defer tx.Rollback()
-	var have int
-	if err := tx.QueryRowContext(ctx, "PRAGMA user_version").Scan(&have); err != nil {
+	var version int
+	if err := tx.QueryRowContext(ctx, "PRAGMA user_version").Scan(&version); err != nil {
 		return err
 	}
-	if err := CheckVersion(have, len(migrations)); err != nil {
+	if err := CheckVersion(version, len(migrations)); err != nil {
 		return err
 	}
-	if have >= to {
+	if version >= to {
 		return nil
 	}
-	for n := have; n < to; n++ {
+	for n := version; n < to; n++ {
 		if _, err := tx.ExecContext(ctx, migrations[n]); err != nil {
 			return fmt.Errorf("to schema version %d: %w", n+1, err)
 		}
@@ -66,9 +79,9 @@
 	return tx.Commit()
 }
 
-// ForEachRow reads the rows of a query, of which scan takes each.
-func ForEachRow(ctx context.Context, db *sql.DB, q string, scan func(*sql.Rows) error, args ...any) error {
-	rows, err := db.QueryContext(ctx, q, args...)
+// ForEachRow calls scan for each row of a query, until it fails.
+func ForEachRow(ctx context.Context, db *sql.DB, query string, scan func(*sql.Rows) error, args ...any) error {
+	rows, err := db.QueryContext(ctx, query, args...)
 	if err != nil {
 		return err
 	}
