--- a/internal/fleet/store/sqlite/sqlite.go
+++ b/internal/fleet/store/sqlite/sqlite.go
@@ -1,6 +1,7 @@
-// Package sqlite keeps an agent's record in a SQLite file: write-ahead log, full
-// synchronous, a bounded size. The schema has a version, and each older one is
-// brought up to date in one transaction when the file is opened.
+// Package sqlite is an agent's store in a SQLite file of bounded size, with a write-ahead
+// log that is synced at each commit. The schema has a version; an older one is migrated in
+// one transaction when the file is opened. One agent at a time may use a file; that is the
+// agent's to ensure.
 package sqlite
 
 import (
@@ -15,8 +16,8 @@
 	"martendrum/internal/sqlitefile"
 )
 
-// migrations bring a file from version n to n+1. They are never changed once
-// released: a file may be at any of them.
+// migrations[n] brings a file from schema version n to n+1. Released ones are never
+// changed: a file may have any version.
 var migrations = []string{
 	// 1: desired and actual state, operations, steps, leases.
 	`CREATE TABLE instances (
@@ -31,7 +32,7 @@
 	// 2: the audit log.
 	`CREATE TABLE audit (n INTEGER PRIMARY KEY AUTOINCREMENT, at INTEGER NOT NULL, who TEXT NOT NULL, what TEXT NOT NULL,
 		target TEXT NOT NULL, result TEXT NOT NULL);`,
-	// 3: what a rollback goes back to, and what became of processes.
+	// 3: the release to roll back to, and the exits of processes.
 	`ALTER TABLE instances ADD COLUMN previous TEXT NOT NULL DEFAULT '';
 	ALTER TABLE instances ADD COLUMN restarts INTEGER NOT NULL DEFAULT 0;
 	ALTER TABLE instances ADD COLUMN last_exit TEXT NOT NULL DEFAULT '';`,
@@ -39,27 +40,47 @@
 	`CREATE TABLE settings (key TEXT PRIMARY KEY, body TEXT NOT NULL) WITHOUT ROWID;`,
 }
 
-// Version is the schema's that this build reads and writes.
+// Version is the schema version that this build reads and writes.
 var Version = len(migrations)
 
-// pageSize is the file's, in bytes.
-const pageSize = 4096
+const (
+	pageSize = 4096 // bytes
+	// minPages is the smallest bound of a file.
+	minPages         = 64
+	migrationTimeout = 30 * time.Second
+)
 
-// Store is a record in a file.
+// Store is an agent's store in a file.
 type Store struct {
 	db   *sql.DB
 	path string
 }
 
-// Open opens the file, makes it if there is none, and brings its schema up to
-// date. most bounds it, in bytes. Errors name the file and say what to do.
-func Open(path string, limit int64) (*Store, error) {
-	return open(path, limit, Version)
+// UnreadableError says that a file could not be read and may be damaged.
+type UnreadableError struct{ Cause error }
+
+// Error has the cause and the next step.
+func (e *UnreadableError) Error() string {
+	return fmt.Sprintf("it can't be read (%v): %s", e.Cause, e.Advice())
+}
+
+// Unwrap returns the cause.
+func (e *UnreadableError) Unwrap() error { return e.Cause }
+
+// Advice is the next step.
+func (e *UnreadableError) Advice() string {
+	return "if it is damaged, move it and its -wal and -shm files aside; the agent then finds its sidecars by their environment and begins a new record"
+}
+
+// Open opens the file, creates it if there is none, and migrates its schema. maxBytes
+// bounds its size. Errors name the file and the next step.
+func Open(path string, maxBytes int64) (*Store, error) {
+	return open(path, maxBytes, Version)
 }
 
-func open(path string, limit int64, version int) (*Store, error) {
+func open(path string, maxBytes int64, version int) (*Store, error) {
 	db, err := sqlitefile.Open(path, "busy_timeout(2000)", "journal_mode(WAL)", "synchronous(FULL)", "foreign_keys(ON)", "cache_size(-256)",
-		"wal_autocheckpoint(256)", "journal_size_limit(1048576)", fmt.Sprintf("max_page_count(%d)", max(limit/pageSize, 64)))
+		"wal_autocheckpoint(256)", "journal_size_limit(1048576)", fmt.Sprintf("max_page_count(%d)", max(maxBytes/pageSize, minPages)))
 	if err != nil {
 		return nil, fmt.Errorf("record %s: %w", path, err)
 	}
@@ -72,11 +93,12 @@
 	return s, nil
 }
 
+// migrate checks the file and brings its schema to a version.
 func (s *Store) migrate(to int) error {
-	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), migrationTimeout)
 	defer cancel()
 	if err := sqlitefile.CheckIntegrity(ctx, s.db); err != nil {
-		return fmt.Errorf("it can't be read (%w): if it is damaged, move it and its -wal and -shm files aside; the agent then finds its sidecars by their environment and begins a new record", err)
+		return &UnreadableError{Cause: err}
 	}
 	return sqlitefile.Migrate(ctx, s.db, migrations, to)
 }
@@ -85,95 +107,120 @@
 func (s *Store) Close() error { return s.db.Close() }
 
 // Commit implements store.Store.
-func (s *Store) Commit(ctx context.Context, c *store.Change) error {
+func (s *Store) Commit(ctx context.Context, change *store.Change) error {
+	if err := s.commit(ctx, change); err != nil {
+		return fmt.Errorf("record %s: %w", s.path, err)
+	}
+	return nil
+}
+
+func (s *Store) commit(ctx context.Context, change *store.Change) error {
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
-		return fmt.Errorf("record %s: %w", s.path, err)
+		return err
 	}
 	defer tx.Rollback()
-	put := func(q string, args ...any) {
-		if err == nil {
-			_, err = tx.ExecContext(ctx, q, args...)
-		}
+	w := &writer{ctx: ctx, tx: tx}
+	w.putAll(change)
+	w.dropAll(change)
+	if w.err != nil {
+		return w.err
 	}
-	row := func(table, columns string, args []any, e error) {
-		if err == nil {
-			err = e
-		}
-		put("INSERT OR REPLACE INTO "+table+" ("+columns+") VALUES (?"+strings.Repeat(",?", len(args)-1)+")", args...)
-	}
-	for _, i := range c.Instances {
-		row("instances", store.InstanceColumns, i.Values(), nil)
+	return tx.Commit()
+}
+
+// writer executes the statements of a change until one fails.
+type writer struct {
+	ctx context.Context
+	tx  *sql.Tx
+	err error
+}
+
+func (w *writer) execute(statement string, args ...any) {
+	if w.err == nil {
+		_, w.err = w.tx.ExecContext(w.ctx, statement, args...)
 	}
-	for _, o := range c.Operations {
-		args, e := o.Values()
-		row("operations", store.OperationColumns, args, e)
+}
+
+// put replaces a row. err is that of its values.
+func (w *writer) put(table, columns string, values []any, err error) {
+	if w.err == nil {
+		w.err = err
 	}
-	for _, x := range c.Steps {
-		args, e := store.StepValues(&x)
-		row("steps", store.StepColumns, args, e)
+	w.execute("INSERT OR REPLACE INTO "+table+" ("+columns+") VALUES (?"+strings.Repeat(",?", len(values)-1)+")", values...)
+}
+
+// putAll writes a change's rows.
+func (w *writer) putAll(change *store.Change) {
+	for _, instance := range change.Instances {
+		w.put("instances", store.InstanceColumns, instance.Values(), nil)
 	}
-	for _, l := range c.Leases {
-		row("leases", store.LeaseColumns, store.LeaseValues(&l), nil)
+	for _, operation := range change.Operations {
+		values, err := operation.Values()
+		w.put("operations", store.OperationColumns, values, err)
 	}
-	for _, r := range c.Settings {
-		row("settings", store.SettingsColumns, store.SettingsValues(&r), nil)
+	for _, step := range change.Steps {
+		values, err := store.StepValues(&step)
+		w.put("steps", store.StepColumns, values, err)
 	}
-	for _, key := range c.DropSettings {
-		put(`DELETE FROM settings WHERE key = ?`, key)
+	for _, lease := range change.Leases {
+		w.put("leases", store.LeaseColumns, store.LeaseValues(&lease), nil)
 	}
-	for _, a := range c.Audit {
-		row("audit", store.AuditColumns, store.AuditValues(&a), nil)
+	for _, entry := range change.Settings {
+		w.put("settings", store.SettingsColumns, store.SettingsValues(&entry), nil)
 	}
-	for _, id := range c.DropOperations {
-		put(`DELETE FROM steps WHERE op = ?`, id)
-		put(`DELETE FROM operations WHERE id = ?`, id)
+	for _, entry := range change.Audit {
+		w.put("audit", store.AuditColumns, store.AuditValues(&entry), nil)
 	}
-	for _, name := range c.DropInstances {
-		put(`DELETE FROM instances WHERE name = ?`, name)
-		put(`DELETE FROM leases WHERE instance = ?`, name)
+}
+
+// dropAll deletes a change's rows, and audit entries past the limit.
+func (w *writer) dropAll(change *store.Change) {
+	for _, key := range change.DropSettings {
+		w.execute(`DELETE FROM settings WHERE key = ?`, key)
 	}
-	if c.AuditLimit > 0 {
-		put(`DELETE FROM audit WHERE n <= (SELECT max(n) FROM audit) - ?`, c.AuditLimit)
+	for _, id := range change.DropOperations {
+		w.execute(`DELETE FROM steps WHERE op = ?`, id)
+		w.execute(`DELETE FROM operations WHERE id = ?`, id)
 	}
-	if err == nil {
-		err = tx.Commit()
+	for _, name := range change.DropInstances {
+		w.execute(`DELETE FROM instances WHERE name = ?`, name)
+		w.execute(`DELETE FROM leases WHERE instance = ?`, name)
 	}
-	if err != nil {
-		return fmt.Errorf("record %s: %w", s.path, err)
+	if change.AuditLimit > 0 {
+		w.execute(`DELETE FROM audit WHERE n <= (SELECT max(n) FROM audit) - ?`, change.AuditLimit)
 	}
-	return nil
 }
 
 // Load implements store.Store.
 func (s *Store) Load(ctx context.Context) (*store.Snapshot, error) {
-	out := &store.Snapshot{}
-	for _, q := range []struct {
+	snapshot := &store.Snapshot{}
+	for _, query := range []struct {
 		text string
 		scan func(store.Scanner) error
 	}{
-		{"SELECT " + store.InstanceColumns + " FROM instances ORDER BY name", out.ReadInstance},
-		{"SELECT " + store.OperationColumns + " FROM operations ORDER BY closed, id", out.ReadOperation},
-		{"SELECT " + store.StepColumns + " FROM steps ORDER BY op, instance, kind", out.ReadStep},
-		{"SELECT " + store.LeaseColumns + " FROM leases ORDER BY instance", out.ReadLease},
-		{"SELECT " + store.SettingsColumns + " FROM settings ORDER BY key", out.ReadSettings},
+		{"SELECT " + store.InstanceColumns + " FROM instances ORDER BY name", snapshot.ReadInstance},
+		{"SELECT " + store.OperationColumns + " FROM operations ORDER BY closed, id", snapshot.ReadOperation},
+		{"SELECT " + store.StepColumns + " FROM steps ORDER BY op, instance, kind", snapshot.ReadStep},
+		{"SELECT " + store.LeaseColumns + " FROM leases ORDER BY instance", snapshot.ReadLease},
+		{"SELECT " + store.SettingsColumns + " FROM settings ORDER BY key", snapshot.ReadSettings},
 	} {
-		if err := sqlitefile.ForEachRow(ctx, s.db, q.text, func(r *sql.Rows) error { return q.scan(r) }); err != nil {
+		if err := sqlitefile.ForEachRow(ctx, s.db, query.text, func(row *sql.Rows) error { return query.scan(row) }); err != nil {
 			return nil, fmt.Errorf("record %s: %w", s.path, err)
 		}
 	}
-	return out, nil
+	return snapshot, nil
 }
 
 // Audit implements store.Store.
-func (s *Store) Audit(ctx context.Context, limit int) (out []api.AuditEntry, err error) {
-	err = sqlitefile.ForEachRow(ctx, s.db, "SELECT "+store.AuditColumns+" FROM audit ORDER BY n DESC LIMIT ?", func(r *sql.Rows) error {
-		a, err := store.ReadAudit(r)
-		out = append(out, a)
+func (s *Store) Audit(ctx context.Context, limit int) (entries []api.AuditEntry, err error) {
+	err = sqlitefile.ForEachRow(ctx, s.db, "SELECT "+store.AuditColumns+" FROM audit ORDER BY n DESC LIMIT ?", func(row *sql.Rows) error {
+		entry, err := store.ReadAudit(row)
+		entries = append(entries, entry)
 		return err
 	}, limit)
 	if err != nil {
 		return nil, fmt.Errorf("record %s: %w", s.path, err)
 	}
-	return out, nil
+	return entries, nil
 }
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,12 +1,12 @@
-// Package store is the contract of an agent's record: what an agent must know
-// again after it was killed. The agent holds all of it in memory, reads it once at
-// its start, and writes each change before it acts on it.
+// Package store is the interface of an agent's store: what an agent must know after it
+// was killed. The agent holds all of it in memory, reads the store once at its start, and
+// writes each change before it acts on it.
 //
-// A Store promises: a Change is written whole or not at all, in the order of the
-// calls, and durably before Commit returns nil. After an error of Commit the change
-// may be there or not; it is the caller's to write it again, which does no harm,
-// or to end. Only one agent uses a record at a time (the agent holds a file lock,
-// or the database's own).
+// A Store promises that a Change is written atomically, in the order of the calls, and
+// durably before Commit returns nil. After an error of Commit the change may have been
+// written or not: the caller commits it again, which has no further effect, or ends. It
+// does not promise to serve several agents: one agent uses a store at a time, under a file
+// lock or the database's epoch.
 package store
 
 import (
@@ -18,21 +18,21 @@
 	"martendrum/internal/fleet/lease"
 )
 
-// Instance is what is wanted of an instance, and what is known of its process.
+// Instance is the desired state of an instance and the known state of its process.
 type Instance struct {
 	Name       string
 	Desired    string // api.Running, ...
-	Generation int64  // wanted; each launch that an operator asks for has a new one
-	Release    string // wanted
-	Previous   string // the release before, for a rollback
+	Generation int64  // desired; each launch that an operator requests has a new one
+	Release    string // desired
+	Previous   string // the release to roll back to
 
-	Launch   string    // token of the launch, in the process's environment; "" for none
+	Launch   string    // token of the launch, in the process's environment; "": none
 	Process  int64     // its generation
 	Running  string    // its release
-	PID      int       // 0: written before the process was started
+	PID      int       // 0: the process has not been started yet
 	Ticks    uint64    // its start time, in clock ticks since Boot
-	Boot     string    // id of the machine's boot
-	Launched time.Time // by the wall clock
+	Boot     string    // ID of the machine's boot
+	Launched time.Time // wall clock
 	Restarts int64
 	LastExit string
 }
@@ -45,7 +45,7 @@
 	Closed time.Time
 }
 
-// Change is rows to write, and to delete. Rows replace those of the same key.
+// Change is what to write and to delete. What is written replaces what has the same key.
 type Change struct {
 	Instances  []Instance
 	Operations []Operation
@@ -53,16 +53,16 @@
 	Leases     []lease.Lease
 	Audit      []api.AuditEntry
 
-	// Settings are rows of the settings' distribution; see distribution.Batch.
+	// Settings are entries of the settings' distribution; see distribution.Batch.
 	Settings     []distribution.Entry
 	DropSettings []string // keys
 
 	DropOperations []string // with their steps
 	DropInstances  []string
-	AuditLimit     int // if above 0: only so many of the latest audit entries stay
+	AuditLimit     int // if above 0: how many of the latest audit entries are retained
 }
 
-// Snapshot is the whole record but for the audit log.
+// Snapshot is all that a store holds, except for the audit log.
 type Snapshot struct {
 	Instances  []Instance
 	Operations []Operation
@@ -71,11 +71,13 @@
 	Settings   []distribution.Entry
 }
 
-// Store keeps a record.
+// Store stores what an agent must know after it was killed.
 type Store interface {
+	// Load reads the store.
 	Load(ctx context.Context) (*Snapshot, error)
-	Commit(ctx context.Context, c *Change) error
-	// Audit returns the latest entries, the latest first.
+	// Commit writes a change durably.
+	Commit(ctx context.Context, change *Change) error
+	// Audit returns the latest audit entries, the latest first.
 	Audit(ctx context.Context, limit int) ([]api.AuditEntry, error)
 	Close() error
 }
