--- a/internal/fleet/host/agentstore/open.go
+++ b/internal/fleet/host/agentstore/open.go
@@ -1,4 +1,5 @@
-// Package agentstore opens an agent's record where its configuration says.
+// Package agentstore opens an agent's store where the agent's configuration says. What is
+// stored is the agent's own, and how, the stores'.
 package agentstore
 
 import (
@@ -12,17 +13,23 @@
 	"martendrum/internal/pg"
 )
 
-// connections are enough: an agent makes one change at a time, and reads its audit log.
-const connections = 2
+// maxConnections is for an agent that makes one change at a time and reads its audit log.
+const maxConnections = 2
 
-// Record returns what opens the record of an agent; a file is at the path that the
-// agent gives it.
-func Record(cfg *agent.Config) func(path string) (store.Store, error) {
+// Record returns the function that opens an agent's store. path is where a file is.
+func Record(config *agent.Config) func(path string) (store.Store, error) {
 	return func(path string) (store.Store, error) {
-		if r := &cfg.Record; r.Store == agent.Postgres {
-			return postgres.Open(context.Background(), pg.Config{URL: r.URL, PasswordFile: r.PasswordFile, CA: r.CA, MaxConnections: connections,
-				StatementTimeout: time.Duration(r.Statement), ConnectTimeout: time.Duration(r.Connect)}, cfg.Name)
+		record := &config.Record
+		if record.Store != agent.Postgres {
+			return sqlite.Open(path, int64(config.Limits.Record))
 		}
-		return sqlite.Open(path, int64(cfg.Limits.Record))
+		return postgres.Open(context.Background(), pg.Config{
+			URL:              record.URL,
+			PasswordFile:     record.PasswordFile,
+			CA:               record.CA,
+			MaxConnections:   maxConnections,
+			StatementTimeout: time.Duration(record.Statement),
+			ConnectTimeout:   time.Duration(record.Connect),
+		}, config.Name)
 	}
 }
