--- a/internal/idempotency/e2e/crash_test.go
+++ b/internal/idempotency/e2e/crash_test.go
@@ -18,7 +18,6 @@
 
 	"martendrum/internal/idempotency"
 	"martendrum/internal/standin/pgserver"
-	"martendrum/internal/standin/shop"
 )
 
 // childProcess is a sidecar in a process of its own.
@@ -31,30 +30,31 @@
 	endOnce    sync.Once
 }
 
-func launchChild(p *sidecarConfig) (*childProcess, error) {
-	text, err := json.Marshal(p)
+// launchChild starts a child and waits until it serves.
+func launchChild(config *sidecarConfig) (*childProcess, error) {
+	text, err := json.Marshal(config)
 	if err != nil {
 		return nil, err
 	}
 	c := &childProcess{command: exec.Command(os.Args[0])}
 	c.command.Env = append(os.Environ(), "E2E_RECORD="+string(text))
 	c.command.Stderr = &c.stderr
-	in, err := c.command.StdinPipe()
+	stdin, err := c.command.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	c.closeStdin = in.Close
-	out, err := c.command.StdoutPipe()
+	c.closeStdin = stdin.Close
+	stdout, err := c.command.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	c.stdout = bufio.NewReader(out)
+	c.stdout = bufio.NewReader(stdout)
 	if err := c.command.Start(); err != nil {
 		return nil, err
 	}
 	line, err := c.stdout.ReadString('\n')
-	if addr, ok := strings.CutPrefix(strings.TrimSpace(line), "ready "); ok {
-		c.address = addr
+	if address, ok := strings.CutPrefix(strings.TrimSpace(line), "ready "); ok {
+		c.address = address
 		return c, nil
 	}
 	c.end()
@@ -71,7 +71,7 @@
 	})
 }
 
-// points ends the process in peace and returns how many points it passed.
+// points ends the process gracefully and returns how many crash points it passed.
 func (c *childProcess) points() (n int64, err error) {
 	c.closeStdin()
 	line, err := c.stdout.ReadString('\n')
@@ -89,79 +89,84 @@
 	atDatabase = "at the database" // it is killed before or after a statement
 )
 
-// crashCase is one way to run a request.
+// crashCase is one way in which a request runs.
 type crashCase struct {
 	store  string
 	class  string
 	name   string
-	behave func(hit int) behavior
+	behave func(request int) behavior
 }
 
 func (c crashCase) String() string { return c.store + " " + c.class + " " + c.name }
 
-// crashTotals is what became of the keys.
+// crashTotals counts the outcomes of all cases.
 type crashTotals struct {
 	mu                                            sync.Mutex
 	runs, answered, rejected, mayHaveRun, retried int
 	byKind                                        map[string]int
 }
 
-// A sidecar is killed at each point in turn: they are counted in a run without a kill,
-// and then each is died at in a run of its own. A new sidecar over the same record is
-// asked again with the same key. Nothing runs twice, and each key ends answered,
-// refused and then carried out, or listed as one that may have run.
+// TestCrashAtEveryPoint kills a sidecar at each crash point in turn: the points are
+// counted in a run without a kill, and each is then died at in a run of its own. A new
+// sidecar over the same store gets the same key again. Nothing runs twice, and each key
+// ends answered, rejected and then carried out, or listed as one that may have run.
 func TestCrashAtEveryPoint(t *testing.T) {
 	served := crashCase{name: "served", behave: always(behavior{})}
-	declined := crashCase{name: "turned away once", behave: onFirstRequest(behavior{reject: true})}
+	rejectedOnce := crashCase{name: "rejected once", behave: onFirstRequest(behavior{reject: true})}
 	reset := crashCase{name: "run, then reset", behave: onFirstRequest(behavior{reset: true})}
-	half := crashCase{name: "half an answer", behave: onFirstRequest(behavior{truncate: true})}
+	truncated := crashCase{name: "truncated answer", behave: onFirstRequest(behavior{truncate: true})}
 	failed := crashCase{name: "run, then 500", behave: onFirstRequest(behavior{fail: true})}
-	refused := crashCase{name: "turned away by all", behave: always(behavior{reject: true})}
-	total := &crashTotals{byKind: make(map[string]int)}
+	rejected := crashCase{name: "rejected by all", behave: always(behavior{reject: true})}
+	totals := &crashTotals{byKind: make(map[string]int)}
 	t.Run("all", func(t *testing.T) {
 		for _, store := range []string{"sqlite", "postgres"} {
-			for class, cs := range map[string][]crashCase{
-				"activate":    {served, declined, reset, half, failed, refused},
-				"id-register": {served, reset, refused},
+			for class, cases := range map[string][]crashCase{
+				"activate":    {served, rejectedOnce, reset, truncated, failed, rejected},
+				"id-register": {served, reset, rejected},
 				"report":      {served, reset},
 			} {
-				for _, c := range cs {
+				for _, c := range cases {
 					c.store, c.class = store, class
 					t.Run(c.String(), func(t *testing.T) {
 						t.Parallel()
-						c.run(t, total)
+						c.run(t, totals)
 					})
 				}
 			}
 		}
 	})
-	t.Logf("%d runs that were killed: %v; keys: %d answered, %d of them asked again after a refusal, %d refused for good, %d may have run",
-		total.runs, total.byKind, total.answered, total.retried, total.rejected, total.mayHaveRun)
-	if total.runs < 300 || total.answered == 0 || total.mayHaveRun == 0 || total.retried == 0 {
-		t.Error("too few points, or one of the ends never came")
+	t.Logf("%d runs that were killed: %v; keys: %d answered, %d of them retried after a rejection, %d rejected for good, %d may have run",
+		totals.runs, totals.byKind, totals.answered, totals.retried, totals.rejected, totals.mayHaveRun)
+	if totals.runs < 300 || totals.answered == 0 || totals.mayHaveRun == 0 || totals.retried == 0 {
+		t.Error("too few crash points, or one of the outcomes never came")
 	}
 }
 
-func (c crashCase) run(t *testing.T, total *crashTotals) {
-	dir := t.TempDir()
-	w := newServerGroup()
-	s, err := shop.NewWith(serversPerSidecar, w.handle)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
-	var pg *pgserver.Server
+// crashRun is the fixture of one case.
+type crashRun struct {
+	crashCase
+	servers   *serverGroup
+	addresses []string
+	database  *pgserver.Server // nil for SQLite
+	directory string
+	keys      int // used so far
+	totals    *crashTotals
+}
+
+// run counts the crash points of each kind and dies at each.
+func (c crashCase) run(t *testing.T, totals *crashTotals) {
+	r := &crashRun{crashCase: c, servers: newServerGroup(), directory: t.TempDir(), totals: totals}
+	r.addresses = newServers(t, serversPerSidecar, r.servers)
 	if c.store == "postgres" {
-		if pg, err = pgserver.Start(pgserver.Config{}); err != nil {
+		var err error
+		if r.database, err = pgserver.Start(pgserver.Config{}); err != nil {
 			t.Fatal(err)
 		}
-		defer pg.Close()
+		defer r.database.Close()
 	}
-	n := 0
-	counts := c.runOnce(t, s, w, pg, dir, &n, "", 0, nil)
-	for kind, limit := range counts {
-		for at := int64(1); at <= limit; at++ {
-			c.runOnce(t, s, w, pg, dir, &n, kind, at, total)
+	for kind, points := range r.countPoints(t) {
+		for at := int64(1); at <= points; at++ {
+			r.crashAt(t, kind, at)
 			if t.Failed() {
 				return
 			}
@@ -169,122 +174,156 @@
 	}
 }
 
-// runOnce makes one request, whose sidecar dies at point at of a kind, and asks again.
-// Without a kind nothing dies, and the points are counted.
-func (c crashCase) runOnce(t *testing.T, s *shop.Shop, w *serverGroup, pg *pgserver.Server, dir string, n *int, kind string, at int64, total *crashTotals) map[string]int64 {
-	t.Helper()
-	*n++
-	request := clientRequest{class: c.class, key: fmt.Sprintf("key%d", *n)}
-	p := &sidecarConfig{Servers: s.Addrs()}
-	if pg != nil {
-		p.Postgres = pg.URL()
+// newConfig is the configuration of a sidecar, and newRequest a request with a new key.
+func (r *crashRun) newConfig() *sidecarConfig {
+	config := &sidecarConfig{Servers: r.addresses}
+	if r.database != nil {
+		config.Postgres = r.database.URL()
 	} else {
-		p.SQLite = filepath.Join(dir, "record.db")
+		config.SQLite = filepath.Join(r.directory, "record.db")
 	}
-	if kind == inSidecar {
-		p.CrashAt = at
+	return config
+}
+
+func (r *crashRun) newRequest() clientRequest {
+	r.keys++
+	return clientRequest{class: r.class, key: fmt.Sprintf("key%d", r.keys)}
+}
+
+// crashCounters count the crash points outside of the sidecar.
+type crashCounters struct{ server, client, database atomic.Int64 }
+
+// countPoints makes one request without a kill and returns the crash points of each kind.
+func (r *crashRun) countPoints(t *testing.T) map[string]int64 {
+	t.Helper()
+	child, counters, _ := r.send(t, r.newConfig(), r.newRequest(), "", 0)
+	defer child.end()
+	points, err := child.points()
+	if err != nil {
+		t.Fatal(err)
 	}
-	child, err := launchChild(p)
+	counts := map[string]int64{inSidecar: points, atServer: counters.server.Load(), atClient: counters.client.Load()}
+	if r.database != nil {
+		counts[atDatabase] = counters.database.Load()
+	}
+	return counts
+}
+
+// send starts a sidecar and sends it a request; the sidecar dies at a point of a kind.
+func (r *crashRun) send(t *testing.T, config *sidecarConfig, request clientRequest, kind string, at int64) (*childProcess, *crashCounters, clientResponse) {
+	t.Helper()
+	child, err := launchChild(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer child.end()
-	var server, client, database atomic.Int64
-	dies := func(where string, count *atomic.Int64) {
+	t.Cleanup(child.end)
+	counters := &crashCounters{}
+	reach := func(where string, count *atomic.Int64) {
 		if count.Add(1) == at && kind == where {
 			child.kill()
 			child.command.Process.Wait() // dead before it can do more
 		}
 	}
-	w.mu.Lock()
-	w.requests, w.behave, w.onPoint = 0, c.behave, func(string) { dies(atServer, &server) }
-	w.mu.Unlock()
-	if pg != nil {
-		pg.Inject(func(pgserver.Event) pgserver.Fault {
-			dies(atDatabase, &database)
+	r.servers.mu.Lock()
+	r.servers.requests, r.servers.behave = 0, r.behave
+	r.servers.onPoint = func(string) { reach(atServer, &counters.server) }
+	r.servers.mu.Unlock()
+	if r.database != nil {
+		r.database.Inject(func(pgserver.Event) pgserver.Fault {
+			reach(atDatabase, &counters.database)
 			return pgserver.Fault{}
 		})
 	}
-	first, err := sendRequest(child.address, request, func() { dies(atClient, &client) })
+	response, err := sendRequest(child.address, request, func() { reach(atClient, &counters.client) })
 	if err != nil {
-		t.Fatalf("%v, %s %d: %v", c, kind, at, err)
+		t.Fatalf("%v, %s %d: %v", r, kind, at, err)
 	}
-	dies(atClient, &client)
-	if kind == "" {
-		points, err := child.points()
-		if err != nil {
-			t.Fatal(err)
-		}
-		counts := map[string]int64{inSidecar: points, atServer: server.Load(), atClient: client.Load()}
-		if pg != nil {
-			counts[atDatabase] = database.Load()
-		}
-		return counts
+	reach(atClient, &counters.client)
+	return child, counters, response
+}
+
+// crashAt makes one request, whose sidecar dies at a point of a kind, and sends it again
+// to another sidecar over the same store.
+func (r *crashRun) crashAt(t *testing.T, kind string, at int64) {
+	t.Helper()
+	config, request := r.newConfig(), r.newRequest()
+	if kind == inSidecar {
+		config.CrashAt = at
 	}
+	child, _, first := r.send(t, config, request, kind, at)
 	child.end()
-	if pg != nil {
-		pg.Inject(nil)
-		pg.SetSkew(time.Duration(*n) * time.Minute) // the dead owner's time is over
+	if r.database != nil {
+		r.database.Inject(nil)
+		r.database.SetSkew(time.Duration(r.keys) * time.Minute) // the dead owner's lease is over
 	}
-	w.mu.Lock()
-	w.requests, w.behave, w.onPoint = 0, nil, nil
-	w.mu.Unlock()
-	again, err := start(p, nil)
+	r.servers.mu.Lock()
+	r.servers.requests, r.servers.behave, r.servers.onPoint = 0, nil, nil
+	r.servers.mu.Unlock()
+	next, err := start(config, nil)
 	if err != nil {
-		t.Fatalf("%v, %s %d: %v", c, kind, at, err)
+		t.Fatalf("%v, %s %d: %v", r, kind, at, err)
 	}
-	defer again.stop()
-	c.check(t, w, again, request, first, fmt.Sprintf("%v, %s, point %d, first %v", c, kind, at, first.status), kind, total)
-	return nil
+	defer next.stop()
+	where := fmt.Sprintf("%v, %s, point %d, first %v", r, kind, at, first.status)
+	r.check(t, next, request, first, where, kind)
 }
 
-func (c crashCase) check(t *testing.T, w *serverGroup, n *testSidecar, request clientRequest, first clientResponse, where, kind string, total *crashTotals) {
+// check sends the request again and compares the response, the entry and the runs.
+func (r *crashRun) check(t *testing.T, next *testSidecar, request clientRequest, first clientResponse, where, kind string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	row, err := n.backend.Get(ctx, request.class, request.key)
+	entry, err := next.backend.Get(ctx, request.class, request.key)
 	if err != nil {
 		t.Fatalf("%s: %v", where, err)
 	}
-	before := w.runCount(request)
-	a, err := sendRequest(n.address, request, nil)
+	before := r.servers.runCount(request)
+	again, err := sendRequest(next.address, request, nil)
 	if err != nil {
 		t.Fatalf("%s: %v", where, err)
 	}
-	total.mu.Lock()
-	defer total.mu.Unlock()
-	total.runs++
-	total.byKind[kind]++
+	ran := r.servers.runCount(request)
+	r.totals.mu.Lock()
+	defer r.totals.mu.Unlock()
+	r.totals.runs++
+	r.totals.byKind[kind]++
 	switch {
-	case w.runCount(request) > 1:
-		t.Errorf("%s: it ran %d times; row %+v", where, w.runCount(request), row)
-	case a.status == http.StatusOK:
-		total.answered++
-		if w.runCount(request) != 1 || first.status == http.StatusOK && a.body != first.body || a.body != "done: "+request.class+" "+request.key {
-			t.Errorf("%s: answered %q, at first %q, ran %d times", where, a.body, first.body, w.runCount(request))
+	case ran > 1:
+		t.Errorf("%s: it ran %d times; entry %+v", where, ran, entry)
+	case again.status == http.StatusOK:
+		r.totals.answered++
+		if ran != 1 || first.status == http.StatusOK && again.body != first.body || again.body != "done: "+request.class+" "+request.key {
+			t.Errorf("%s: answered %q, at first %q, ran %d times", where, again.body, first.body, ran)
 		}
 		if first.status == http.StatusServiceUnavailable {
-			total.retried++
-		}
-	case a.status == http.StatusServiceUnavailable:
-		total.rejected++
-		t.Errorf("%s: refused though the store and the servers are well", where)
-	case a.status == http.StatusConflict && strings.HasPrefix(a.recordState, "may-have-run"):
-		total.mayHaveRun++
-		rows, err := n.backend.List(ctx, idempotency.Filter{State: idempotency.MayHaveRun, Class: request.class, Limit: 10000})
-		listed := false
-		for _, r := range rows {
-			listed = listed || r.Key == request.key
-		}
-		switch {
-		case err != nil || !listed:
-			t.Errorf("%s: it may have run and is not listed: %v", where, err)
-		case first.status == http.StatusOK || first.status == http.StatusServiceUnavailable:
-			t.Errorf("%s: what the client was told (%d) was not kept", where, first.status)
-		case row.Attempts == 0 && row.State != idempotency.MayHaveRun:
-			t.Errorf("%s: nothing was sent, and it is said to may have run: %+v", where, row)
+			r.totals.retried++
 		}
+	case again.status == http.StatusServiceUnavailable:
+		r.totals.rejected++
+		t.Errorf("%s: rejected though the store and the servers are well", where)
+	case again.status == http.StatusConflict && strings.HasPrefix(again.recordState, "may-have-run"):
+		r.totals.mayHaveRun++
+		checkListed(ctx, t, next.backend, request, first, entry, where)
 	default:
-		t.Errorf("%s: asked again: %+v (ran %d, before %d, row %+v)", where, a, w.runCount(request), before, row)
+		t.Errorf("%s: repeated: %+v (ran %d, before %d, entry %+v)", where, again, ran, before, entry)
+	}
+}
+
+// checkListed checks that a key that may have run is listed, and that its first response
+// and its entry before the repeat permit that.
+func checkListed(ctx context.Context, t *testing.T, backend idempotency.Backend, request clientRequest, first clientResponse, entry idempotency.Entry, where string) {
+	t.Helper()
+	entries, err := backend.List(ctx, idempotency.Filter{State: idempotency.MayHaveRun, Class: request.class, Limit: 10000})
+	listed := false
+	for _, e := range entries {
+		listed = listed || e.Key == request.key
+	}
+	switch {
+	case err != nil || !listed:
+		t.Errorf("%s: it may have run and is not listed: %v", where, err)
+	case first.status == http.StatusOK || first.status == http.StatusServiceUnavailable:
+		t.Errorf("%s: the client's first response (%d) did not hold", where, first.status)
+	case entry.Attempts == 0 && entry.State != idempotency.MayHaveRun:
+		t.Errorf("%s: nothing was sent, and it is said that it may have run: %+v", where, entry)
 	}
 }
--- a/internal/idempotency/e2e/main_test.go
+++ b/internal/idempotency/e2e/main_test.go
@@ -1,5 +1,5 @@
-// Package e2e tests the store of record in whole sidecars: front, decision module,
-// upstream and store, over sockets of this machine, with processes that are killed.
+// Package e2e tests the idempotency store in complete sidecars: downstream, decision
+// module, upstream and store, over loopback sockets, with processes that are killed.
 package e2e
 
 import (
@@ -27,16 +27,17 @@
 	"martendrum/internal/upstream"
 )
 
-// testTimeout is how long a test waits for what must come.
+// testTimeout is how long a test waits for an event that must happen.
 const testTimeout = 30 * time.Second
 
-// TestMain also plays a sidecar that kills itself at a point.
+// TestMain runs the tests or, as a child process of one, a sidecar that kills itself at a
+// crash point.
 func TestMain(m *testing.M) {
 	if text := os.Getenv("E2E_RECORD"); text != "" {
-		var p sidecarConfig
-		err := json.Unmarshal([]byte(text), &p)
+		var config sidecarConfig
+		err := json.Unmarshal([]byte(text), &config)
 		if err == nil {
-			err = runChild(&p)
+			err = runChild(&config)
 		}
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -47,22 +48,23 @@
 	os.Exit(m.Run())
 }
 
-// sidecarConfig is what a sidecar of these tests is told.
+// sidecarConfig is how a test runs a sidecar.
 type sidecarConfig struct {
 	SQLite   string // its file, or
 	Postgres string // its URL
 	Servers  []string
-	CrashAt  int64 // the point to die at, counted from 1; 0: none
+	CrashAt  int64 // the crash point to die at, counted from 1; 0: none
 
 	MaxWait          time.Duration // for the store; 0: 10 s
 	LeaseMargin      time.Duration // 0: 5 s
-	MaxAnswerBytes   int           // bytes of an answer that are kept; 0: 64 KiB
+	MaxAnswerBytes   int           // 0: 64 KiB
 	LatencyObjective string        // of the classes, in µs; "": 20 s
-	SweepAtOnce      bool          // what is answered is dropped at once, without an end
+	SweepAtOnce      bool          // drop answered entries at once
 
 	wrapBackend func(idempotency.Backend) idempotency.Backend
 }
 
+// settingsTemplate is the settings, with AIM in place of the latency objective.
 const settingsTemplate = `{"replicasOfMe":1,"registryMode":"automatic",
 	"caps":{"attemptsCap":3,"mayCancel":true,"secondCopies":false,"connIdleUs":30000000,"dialTimeoutUs":5000000,"mostHeld":500,"retryAfter":true,"maxRetryAfterUs":1000000},
 	"guarantees":{"drainGraceUs":2000000,"coldFrom":1},
@@ -71,12 +73,12 @@
 	{"name":"activate","promiseUs":AIM,"hardLimitUs":20000000,"effect":"once","worth":10},
 	{"name":"report","promiseUs":AIM,"hardLimitUs":20000000,"effect":"once","worth":10}]}`
 
-func mustParseKeyRule(t string) idempotency.KeyRule {
-	r, err := idempotency.ParseKeyRule(t)
+func mustParseKeyRule(text string) idempotency.KeyRule {
+	rule, err := idempotency.ParseKeyRule(text)
 	if err != nil {
 		panic(err)
 	}
-	return r
+	return rule
 }
 
 // testSidecar is a running sidecar.
@@ -89,103 +91,128 @@
 	listener net.Listener
 }
 
-// start starts a sidecar. points, where set, is told of each crash point.
-func start(p *sidecarConfig, points func(string)) (*testSidecar, error) {
-	aim := p.LatencyObjective
-	if aim == "" {
-		aim = "20000000"
-	}
-	set, err := settings.Parse([]byte(strings.ReplaceAll(settingsTemplate, "AIM", aim)))
+// start starts a sidecar. onPoint, where set, is called at each crash point.
+func start(config *sidecarConfig, onPoint func(string)) (*testSidecar, error) {
+	objective := orDefault(config.LatencyObjective, "20000000")
+	set, err := settings.Parse([]byte(strings.ReplaceAll(settingsTemplate, "AIM", objective)))
 	if err != nil {
 		return nil, err
 	}
 	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 300})
-	n := &testSidecar{}
-	if n.host, err = sidecar.New(set, 1, pool, new(discovery.Watcher)); err != nil {
+	s := &testSidecar{}
+	if s.host, err = sidecar.New(set, 1, pool, new(discovery.Watcher)); err != nil {
 		return nil, err
 	}
-	l := &discovery.List{Index: 1, Complete: true}
-	for i, addr := range p.Servers {
-		l.Entries = append(l.Entries, discovery.Entry{Endpoint: martendrum.Endpoint{Name: fmt.Sprint("s", i), CapacityHint: 1}, Address: addr})
+	list := &discovery.List{Index: 1, Complete: true}
+	for i, address := range config.Servers {
+		list.Entries = append(list.Entries, discovery.Entry{Endpoint: martendrum.Endpoint{Name: fmt.Sprint("s", i), CapacityHint: 1}, Address: address})
 	}
-	n.host.Listed(l)
-	if p.SQLite != "" || p.Postgres != "" {
-		if err := n.openRecorder(p, points); err != nil {
+	s.host.Listed(list)
+	if config.SQLite != "" || config.Postgres != "" {
+		if err := s.openRecorder(config, onPoint); err != nil {
 			return nil, err
 		}
 	}
-	n.server = downstream.New(downstream.Config{MaxConns: 1000, MaxBody: 8 << 20}, n.host)
-	if n.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	s.server = downstream.New(downstream.Config{MaxConns: 1000, MaxBody: 8 << 20}, s.host)
+	if s.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	n.address = n.listener.Addr().String()
-	go n.server.Serve(n.listener)
-	return n, nil
+	s.address = s.listener.Addr().String()
+	go s.server.Serve(s.listener)
+	return s, nil
 }
 
-func orDefault[T comparable](v, other T) T {
+func orDefault[T comparable](value, fallback T) T {
 	var zero T
-	if v == zero {
-		return other
+	if value == zero {
+		return fallback
 	}
-	return v
+	return value
 }
 
-func (n *testSidecar) openRecorder(p *sidecarConfig, points func(string)) (err error) {
-	keep := idempotency.Retention{Answered: time.Hour, NeverRan: time.Hour, Unsettled: time.Hour}
-	each := time.Hour
-	if p.SweepAtOnce {
-		keep.Answered, each = time.Millisecond, 10*time.Millisecond
+// openRecorder opens the store and gives the sidecar its recorder.
+func (s *testSidecar) openRecorder(config *sidecarConfig, onPoint func(string)) error {
+	retention := idempotency.Retention{Answered: time.Hour, NeverRan: time.Hour, Unsettled: time.Hour}
+	sweepInterval := time.Hour
+	if config.SweepAtOnce {
+		retention.Answered, sweepInterval = time.Millisecond, 10*time.Millisecond
+	}
+	if err := s.openBackend(config, retention, onPoint); err != nil {
+		return err
 	}
 	writers := 1
-	if p.SQLite != "" {
-		n.backend, err = sqlite.Open(context.Background(), sqlite.Config{Path: p.SQLite, MaxBytes: 64 << 20, Retention: keep, Owner: true})
-	} else {
+	if config.SQLite == "" {
 		writers = 2
-		n.backend, err = postgres.Open(postgres.Config{URL: p.Postgres, MaxConnections: 2, StatementTimeout: 10 * time.Second, ConnectTimeout: 5 * time.Second})
+	}
+	wait := orDefault(config.MaxWait, 10*time.Second)
+	s.recorder = recorder.New(recorder.Config{
+		StoreName:        "e2e",
+		Writers:          writers,
+		MaxBatch:         64,
+		MaxQueuedOps:     1000,
+		MaxQueuedBytes:   4 << 20,
+		StatementTimeout: 10 * time.Second,
+		EndRetryDuration: time.Minute,
+		LeaseMargin:      orDefault(config.LeaseMargin, 5*time.Second),
+		MaxAnswerBytes:   orDefault(config.MaxAnswerBytes, 64<<10),
+		Retention:        retention,
+		SweepInterval:    sweepInterval,
+		BreakerThreshold: 3,
+		MinBackoff:       20 * time.Millisecond,
+		MaxBackoff:       100 * time.Millisecond,
+		Classes: []recorder.Class{
+			{Name: "id-register", KeyRule: mustParseKeyRule("header:Idempotency-Key"), FailOpen: true, MaxWait: wait},
+			{Name: "activate", KeyRule: mustParseKeyRule("json:/sim/iccid"), MaxWait: wait},
+			{Name: "report", KeyRule: mustParseKeyRule("request-id"), MaxWait: wait},
+		},
+	}, s.backend)
+	if onPoint != nil {
+		s.host.SetRecorder(&crashPointRecorder{s.recorder, onPoint})
+	} else {
+		s.host.SetRecorder(s.recorder)
+	}
+	return nil
+}
+
+// openBackend opens the store, with crash points where onPoint is set.
+func (s *testSidecar) openBackend(config *sidecarConfig, retention idempotency.Retention, onPoint func(string)) (err error) {
+	if config.SQLite != "" {
+		s.backend, err = sqlite.Open(context.Background(), sqlite.Config{Path: config.SQLite, MaxBytes: 64 << 20, Retention: retention, Owner: true})
+	} else {
+		s.backend, err = postgres.Open(postgres.Config{URL: config.Postgres, MaxConnections: 2, StatementTimeout: 10 * time.Second, ConnectTimeout: 5 * time.Second})
 	}
 	if err != nil {
 		return err
 	}
-	if p.wrapBackend != nil {
-		n.backend = p.wrapBackend(n.backend)
+	if config.wrapBackend != nil {
+		s.backend = config.wrapBackend(s.backend)
+	}
+	if onPoint == nil {
+		return nil
 	}
-	if points != nil {
-		if p.SQLite != "" {
-			if err := addCrashTrigger(p.SQLite, points); err != nil {
-				return err
-			}
+	if config.SQLite != "" {
+		if err := addCrashTrigger(config.SQLite, onPoint); err != nil {
+			return err
 		}
-		n.backend = &crashPointBackend{n.backend, points}
-	}
-	wait := orDefault(p.MaxWait, 10*time.Second)
-	n.recorder = recorder.New(recorder.Config{StoreName: "e2e", Writers: writers, MaxBatch: 64, MaxQueuedOps: 1000, MaxQueuedBytes: 4 << 20, StatementTimeout: 10 * time.Second,
-		EndRetryDuration: time.Minute, LeaseMargin: orDefault(p.LeaseMargin, 5*time.Second), MaxAnswerBytes: orDefault(p.MaxAnswerBytes, 64<<10), Retention: keep, SweepInterval: each,
-		BreakerThreshold: 3, MinBackoff: 20 * time.Millisecond, MaxBackoff: 100 * time.Millisecond,
-		Classes: []recorder.Class{{Name: "id-register", KeyRule: mustParseKeyRule("header:Idempotency-Key"), FailOpen: true, MaxWait: wait},
-			{Name: "activate", KeyRule: mustParseKeyRule("json:/sim/iccid"), MaxWait: wait}, {Name: "report", KeyRule: mustParseKeyRule("request-id"), MaxWait: wait}}}, n.backend)
-	if points != nil {
-		n.host.SetRecorder(&crashPointRecorder{n.recorder, points})
-	} else {
-		n.host.SetRecorder(n.recorder)
 	}
+	s.backend = &crashPointBackend{s.backend, onPoint}
 	return nil
 }
 
-func (n *testSidecar) stop() {
-	n.listener.Close()
-	if n.recorder != nil {
+func (s *testSidecar) stop() {
+	s.listener.Close()
+	if s.recorder != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
-		n.recorder.Close(ctx)
+		s.recorder.Close(ctx)
 		cancel()
 	}
 }
 
-// runChild is a process that is killed at a point.
-func runChild(p *sidecarConfig) error {
+// runChild is a child process, which kills itself at its crash point.
+func runChild(config *sidecarConfig) error {
 	var count atomic.Int64
-	n, err := start(p, func(string) {
-		if count.Add(1) == p.CrashAt {
+	s, err := start(config, func(string) {
+		if count.Add(1) == config.CrashAt {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			select {}
 		}
@@ -193,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println("ready", n.address)
+	fmt.Println("ready", s.address)
 	io.Copy(io.Discard, os.Stdin) // until the test closes it
 	fmt.Println("points", count.Load())
 	return nil
