--- a/internal/idempotency/e2e/crashpoint_test.go
+++ b/internal/idempotency/e2e/crashpoint_test.go
@@ -15,21 +15,21 @@
 	"martendrum/internal/upstream"
 )
 
-// rowWritten is told of each row that SQLite has written, in the midst of its transaction.
+// rowWritten is called for each row that SQLite has written, within its transaction.
 var rowWritten atomic.Pointer[func(string)]
 
 func init() {
 	driver.MustRegisterScalarFunction("crash_point", 0, func(*driver.FunctionContext, []sqldriver.Value) (sqldriver.Value, error) {
-		if at := rowWritten.Load(); at != nil {
-			(*at)("a row is written, its transaction is not")
+		if onPoint := rowWritten.Load(); onPoint != nil {
+			(*onPoint)("a row is written, its transaction is not")
 		}
 		return int64(0), nil
 	})
 }
 
-// addCrashTrigger puts the points into a file, as a trigger.
-func addCrashTrigger(path string, points func(string)) error {
-	rowWritten.Store(&points)
+// addCrashTrigger adds to a file a trigger that calls onPoint for each row.
+func addCrashTrigger(path string, onPoint func(string)) error {
+	rowWritten.Store(&onPoint)
 	db, err := sql.Open("sqlite", path)
 	if err != nil {
 		return err
@@ -39,12 +39,13 @@
 	return err
 }
 
-// crashPointBackend names the points before and after each transaction.
+// crashPointBackend has crash points before and after each transaction.
 type crashPointBackend struct {
 	idempotency.Backend
 	reach func(string)
 }
 
+// Apply implements idempotency.Backend.
 func (b *crashPointBackend) Apply(ctx context.Context, ops []*idempotency.Op) error {
 	b.reach("before the transaction")
 	err := b.Backend.Apply(ctx, ops)
@@ -52,43 +53,47 @@
 	return err
 }
 
-// crashPointRecorder names the points between the sidecar and its record.
+// crashPointRecorder has the crash points between the sidecar and its recorder.
 type crashPointRecorder struct {
 	recorder sidecar.Recorder
 	reach    func(string)
 }
 
-func (p *crashPointRecorder) Begin(x *downstream.Exchange, left time.Duration, then func(sidecar.Verdict)) {
-	p.reach("a request has come")
-	p.recorder.Begin(x, left, func(v sidecar.Verdict) {
-		p.reach("before the request goes on")
-		if v.Entry != nil {
-			v.Entry = &crashPointEntry{v.Entry, p.reach}
+// Begin implements sidecar.Recorder.
+func (p *crashPointRecorder) Begin(exchange *downstream.Exchange, left time.Duration, then func(sidecar.Verdict)) {
+	p.reach("a request is received")
+	p.recorder.Begin(exchange, left, func(verdict sidecar.Verdict) {
+		p.reach("before the request is forwarded")
+		if verdict.Entry != nil {
+			verdict.Entry = &crashPointEntry{verdict.Entry, p.reach}
 		}
-		then(v)
-		p.reach("after the request went on")
+		then(verdict)
+		p.reach("after the request is forwarded")
 	})
 }
 
+// crashPointEntry has the crash points of a recorded request.
 type crashPointEntry struct {
 	entry sidecar.Entry
 	reach func(string)
 }
 
-func (p *crashPointEntry) Sending(n int, server string, then func(bool)) {
+// Sending implements sidecar.Entry.
+func (p *crashPointEntry) Sending(attempt int, server string, then func(bool)) {
 	p.reach("an attempt is decided")
-	p.entry.Sending(n, server, func(ok bool) {
+	p.entry.Sending(attempt, server, func(ok bool) {
 		p.reach("before its first byte")
 		then(ok)
 		p.reach("after its last byte")
 	})
 }
 
-func (p *crashPointEntry) End(e sidecar.End, ans *upstream.Answer, left time.Duration, then func()) {
-	p.reach("the end is known")
-	p.entry.End(e, ans, left, func() {
-		p.reach("before the answer goes out")
+// End implements sidecar.Entry.
+func (p *crashPointEntry) End(end sidecar.End, answer *upstream.Answer, left time.Duration, then func()) {
+	p.reach("the outcome is known")
+	p.entry.End(end, answer, left, func() {
+		p.reach("before the answer is sent")
 		then()
-		p.reach("after the answer went out")
+		p.reach("after the answer is sent")
 	})
 }
--- a/internal/idempotency/e2e/program_test.go
+++ b/internal/idempotency/e2e/program_test.go
@@ -17,6 +17,7 @@
 	"martendrum/internal/standin/shop"
 )
 
+// recordFile is an operator's settings of the store.
 const recordFile = `store = "sqlite"
 [wait]
 share = 0.5
@@ -30,9 +31,9 @@
 `
 
 // buildPrograms builds the programs as operators do.
-func buildPrograms(t *testing.T, dir string) (sidecar, tool string) {
+func buildPrograms(t *testing.T, directory string) (sidecar, tool string) {
 	t.Helper()
-	sidecar, tool = filepath.Join(dir, "sidecar-record"), filepath.Join(dir, "martendrum")
+	sidecar, tool = filepath.Join(directory, "sidecar-record"), filepath.Join(directory, "martendrum")
 	for _, args := range [][]string{{"build", "-tags", "record", "-o", sidecar, "martendrum/cmd/sidecar"}, {"build", "-o", tool, "martendrum/cmd/martendrum"}} {
 		if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
 			t.Fatalf("%v: %v\n%s", args, err, out)
@@ -41,13 +42,13 @@
 	return sidecar, tool
 }
 
-// awaitHealthy waits until a sidecar's health call is answered well.
+// awaitHealthy waits until a sidecar is healthy.
 func awaitHealthy(t *testing.T, listen string) proc.Healthy {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
-		h, err := proc.Health(t.Context(), listen, time.Second)
+		health, err := proc.Health(t.Context(), listen, time.Second)
 		if err == nil {
-			return h
+			return health
 		}
 		if time.Now().After(deadline) {
 			t.Fatal(err)
@@ -60,7 +61,7 @@
 func serversHoldingFirst(t *testing.T, hold <-chan struct{}) (*serverGroup, *shop.Shop) {
 	t.Helper()
 	group := newServerGroup()
-	group.behave = onFirstRequest(behavior{hold: hold})
+	group.behave = onFirstRequest(behavior{hold: hold}) // a nil hold does not wait
 	servers, err := shop.NewWith(2, group.handle)
 	if err != nil {
 		t.Fatal(err)
@@ -69,187 +70,235 @@
 	return group, servers
 }
 
-// Two sidecars and the commands on one database: a repeat is answered at the other one,
-// a start does not need the database, and one that it may not use is said at start.
-func TestProgramsOnPostgres(t *testing.T) {
-	dir := t.TempDir()
-	sidecar, tool := buildPrograms(t, dir)
-	w := newServerGroup()
-	s, err := shop.NewWith(2, w.handle)
-	if err != nil {
+// programFixture is the programs as operators build them, with the servers and the files
+// that they use.
+type programFixture struct {
+	directory     string
+	sidecar, tool string
+	storeFile     string // the operator's settings of the store
+	servers       *serverGroup
+	shop          *shop.Shop
+}
+
+// newProgramFixture builds the programs. The servers' first request waits for hold, unless
+// that is nil.
+func newProgramFixture(t *testing.T, hold <-chan struct{}) *programFixture {
+	t.Helper()
+	f := &programFixture{directory: t.TempDir()}
+	f.sidecar, f.tool = buildPrograms(t, f.directory)
+	f.storeFile = filepath.Join(f.directory, "record.toml")
+	f.servers, f.shop = serversHoldingFirst(t, hold)
+	return f
+}
+
+// writeFile writes a file in the fixture's directory.
+func (f *programFixture) writeFile(name, content string) {
+	os.WriteFile(filepath.Join(f.directory, name), []byte(content), 0o600)
+}
+
+// run starts a sidecar, which is killed with the test, and returns its log.
+func (f *programFixture) run(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
+	t.Helper()
+	command, log := exec.Command(f.sidecar), new(bytes.Buffer)
+	command.Env = append(os.Environ(), "BALANCER_CONFIG="+config, "MARTENDRUM_RECORD="+f.storeFile)
+	command.Stderr = log
+	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	pg, err := pgserver.Start(pgserver.Config{User: "kasir", Password: "rahasia"})
+	t.Cleanup(func() { command.Process.Kill() })
+	return command, log
+}
+
+// record runs a subcommand of `martendrum record`.
+func (f *programFixture) record(args ...string) (output string, err error) {
+	out, err := exec.Command(f.tool, append([]string{"record", "--config", f.storeFile}, args...)...).CombinedOutput()
+	return string(out), err
+}
+
+// expectRecord runs a subcommand and compares its exit code and a part of its output.
+func (f *programFixture) expectRecord(t *testing.T, code int, says string, args ...string) {
+	t.Helper()
+	output, err := f.record(args...)
+	got := 0
+	if exit, ok := errors.AsType[*exec.ExitError](err); ok {
+		got = exit.ExitCode()
+	}
+	if got != code || !strings.Contains(output, says) {
+		t.Errorf("record %v: exit %d, %s; want %d and %q", args, got, output, code, says)
+	}
+}
+
+// runNumbered starts the n-th of several sidecars and returns where it listens.
+func (f *programFixture) runNumbered(t *testing.T, n int) (command *exec.Cmd, log *bytes.Buffer, listen string) {
+	t.Helper()
+	config, listen, err := f.shop.Config(f.directory, fmt.Sprint("n", n), 60010+n)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer pg.Close()
-	os.WriteFile(filepath.Join(dir, "password"), []byte("rahasia\n"), 0o600)
-	file := filepath.Join(dir, "record.toml")
-	os.WriteFile(file, []byte(strings.Replace(recordFile, `store = "sqlite"`,
-		fmt.Sprintf("store = \"postgres\"\n[postgres]\nurl = %q\npassword_file = \"password\"", pg.URL()), 1)), 0o600)
-	run := func(n int) (*exec.Cmd, *bytes.Buffer, string) {
-		config, listen, err := s.Config(dir, fmt.Sprint("n", n), 60010+n)
-		if err != nil {
-			t.Fatal(err)
+	command, log = f.run(t, config)
+	return command, log, listen
+}
+
+// awaitStatus waits until a sidecar's status of the store has a text.
+func awaitStatus(t *testing.T, listen, want string) {
+	t.Helper()
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+		health, err := proc.Health(t.Context(), listen, time.Second)
+		if err == nil && strings.Contains(health.Record, want) {
+			return
 		}
-		c := exec.Command(sidecar)
-		c.Env = append(os.Environ(), "BALANCER_CONFIG="+config, "MARTENDRUM_RECORD="+file)
-		out := new(bytes.Buffer)
-		c.Stderr = out
-		if err := c.Start(); err != nil {
-			t.Fatal(err)
+		if time.Now().After(deadline) {
+			t.Fatalf("%+v %v; want %q", health, err, want)
 		}
-		t.Cleanup(func() { c.Process.Kill() })
-		return c, out, listen
 	}
-	say := func(listen, want string) {
-		t.Helper()
-		for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
-			h, err := proc.Health(t.Context(), listen, time.Second)
-			if err == nil && strings.Contains(h.Record, want) {
-				return
-			}
-			if time.Now().After(deadline) {
-				t.Fatalf("%+v %v; want %q", h, err, want)
-			}
-		}
+}
+
+// TestProgramsOnPostgres runs two sidecars and the commands on one database: a repeat is
+// answered at the other sidecar, a start does not need the database, and one that it may
+// not use is reported at start.
+func TestProgramsOnPostgres(t *testing.T) {
+	f := newProgramFixture(t, nil)
+	database, err := pgserver.Start(pgserver.Config{User: "kasir", Password: "rahasia"})
+	if err != nil {
+		t.Fatal(err)
 	}
+	defer database.Close()
+	f.writeFile("password", "rahasia\n")
+	f.writeFile("record.toml", strings.Replace(recordFile, `store = "sqlite"`,
+		fmt.Sprintf("store = \"postgres\"\n[postgres]\nurl = %q\npassword_file = \"password\"", database.URL()), 1))
 	request := clientRequest{class: "activate", key: "896211"}
-	pg.SetRefuse(true)
-	_, _, first := run(1)
-	say(first, "postgres; ")
-	if a, err := sendRequest(first, request, nil); err != nil || a.status != http.StatusServiceUnavailable || w.runCount(request) > 0 {
-		t.Errorf("%+v %v", a, err)
-	}
-	pg.SetRefuse(false)
-	_, _, second := run(2)
-	say(second, "breaker=closed")
-	say(first, "breaker=closed")
-	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
-		a, err := sendRequest(first, request, nil)
-		if err == nil && a.status == http.StatusOK {
-			break
-		}
-		if time.Now().After(deadline) {
-			t.Fatalf("%+v %v", a, err)
-		}
+	database.SetRefuse(true)
+	_, _, first := f.runNumbered(t, 1)
+	awaitStatus(t, first, "postgres; ")
+	if response, err := sendRequest(first, request, nil); err != nil || response.status != http.StatusServiceUnavailable || f.servers.runCount(request) > 0 {
+		t.Errorf("%+v %v", response, err)
 	}
-	if a, err := sendRequest(second, request, nil); err != nil || a.body != "done: activate 896211" || w.runCount(request) != 1 {
-		t.Errorf("%+v %v, ran %d times", a, err, w.runCount(request))
+	database.SetRefuse(false)
+	_, _, second := f.runNumbered(t, 2)
+	awaitStatus(t, second, "breaker=closed")
+	awaitStatus(t, first, "breaker=closed")
+	awaitServed(t, first, request)
+	if response, err := sendRequest(second, request, nil); err != nil || response.body != "done: activate 896211" || f.servers.runCount(request) != 1 {
+		t.Errorf("%+v %v, ran %d times", response, err, f.servers.runCount(request))
 	}
 	for args, says := range map[string]string{"look activate 896211": "done: activate 896211", "list": "896211", "stats": "answered       1", "check": "no damage", "compact": "", "export": "896211"} {
-		out, err := exec.Command(tool, append([]string{"record", "--config", file}, strings.Fields(args)...)...).CombinedOutput()
-		if err != nil || !strings.Contains(string(out), says) {
-			t.Errorf("%s: %v %s", args, err, out)
+		if output, err := f.record(strings.Fields(args)...); err != nil || !strings.Contains(output, says) {
+			t.Errorf("%s: %v %s", args, err, output)
 		}
 	}
-	os.WriteFile(filepath.Join(dir, "password"), []byte("wrong\n"), 0o600)
-	third, out, _ := run(3)
-	if err := third.Wait(); err == nil || !strings.Contains(out.String(), "password_file") {
-		t.Errorf("%v %s", err, out)
+	f.writeFile("password", "wrong\n")
+	third, log, _ := f.runNumbered(t, 3)
+	if err := third.Wait(); err == nil || !strings.Contains(log.String(), "password_file") {
+		t.Errorf("%v %s", err, log)
+	}
+}
+
+// awaitServed sends a request until it is served.
+func awaitServed(t *testing.T, address string, request clientRequest) {
+	t.Helper()
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		response, err := sendRequest(address, request, nil)
+		if err == nil && response.status == http.StatusOK {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("%+v %v", response, err)
+		}
 	}
 }
 
-// The programs as operators build them: the sidecar is killed with a request under way,
-// its successor does not send it again, staff settles it, and the key goes through.
+// TestPrograms kills a sidecar with a request in flight: its successor does not send it
+// again, staff settles it, and the key is forwarded. Then it makes the store unusable.
 func TestPrograms(t *testing.T) {
-	dir := t.TempDir()
-	sidecar, tool := buildPrograms(t, dir)
 	hold := make(chan struct{})
-	w, s := serversHoldingFirst(t, hold)
+	f := newProgramFixture(t, hold)
 	defer close(hold)
-	config, listen, err := s.Config(dir, "n1", 60001)
+	config, listen, err := f.shop.Config(f.directory, "n1", 60001)
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := filepath.Join(dir, "record.toml")
-	os.WriteFile(file, []byte(recordFile), 0o600)
-	run := func(env ...string) (*exec.Cmd, *bytes.Buffer) {
-		c := exec.Command(sidecar)
-		c.Env = append(append(os.Environ(), "BALANCER_CONFIG="+config, "MARTENDRUM_RECORD="+file), env...)
-		var out bytes.Buffer
-		c.Stderr = &out
-		if err := c.Start(); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Process.Kill() })
-		return c, &out
+	f.writeFile("record.toml", recordFile)
+	request := clientRequest{class: "activate", key: "896210"}
+	f.testKilledInFlight(t, config, listen, request)
+	second, log := f.run(t, config)
+	awaitHealthy(t, listen)
+	f.testSettle(t, listen, request)
+	second.Process.Signal(os.Interrupt)
+	if err := second.Wait(); err != nil {
+		t.Errorf("%v %s", err, log)
 	}
-	first, _ := run()
-	if h := awaitHealthy(t, listen); !strings.HasPrefix(h.Record, "sqlite; breaker=closed; queued=0") {
-		t.Errorf("%+v", h)
+	f.expectRecord(t, 0, "", "compact")
+	f.testDamagedFile(t, config)
+	f.testInvalidSettings(t, config)
+}
+
+// testKilledInFlight kills a sidecar while a server has its request.
+func (f *programFixture) testKilledInFlight(t *testing.T, config, listen string, request clientRequest) {
+	t.Helper()
+	first, _ := f.run(t, config)
+	if health := awaitHealthy(t, listen); !strings.HasPrefix(health.Record, "sqlite; breaker=closed; queued=0") {
+		t.Errorf("%+v", health)
 	}
-	request := clientRequest{class: "activate", key: "896210"}
 	done := make(chan clientResponse, 1)
 	go func() {
-		a, _ := sendRequest(listen, request, nil)
-		done <- a
+		response, _ := sendRequest(listen, request, nil)
+		done <- response
 	}()
-	for deadline := time.Now().Add(testTimeout); w.runCount(request) == 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(deadline) {
-			t.Fatal("no server got it")
-		}
-	}
-	command := func(code int, says string, args ...string) {
-		t.Helper()
-		out, err := exec.Command(tool, append([]string{"record", "--config", file}, args...)...).CombinedOutput()
-		got := 0
-		if e, ok := errors.AsType[*exec.ExitError](err); ok {
-			got = e.ExitCode()
-		}
-		if got != code || !strings.Contains(string(out), says) {
-			t.Errorf("record %v: exit %d, %s; want %d and %q", args, got, out, code, says)
-		}
-	}
-	command(0, "in-flight", "look", "activate", "896210")
-	command(1, "only what may have run", "settle", "activate", "896210", "--ran")
-	command(3, fmt.Sprint("locked by process ", first.Process.Pid), "compact")
+	f.servers.awaitRun(t, request)
+	f.expectRecord(t, 0, "in-flight", "look", "activate", "896210")
+	f.expectRecord(t, 1, "only what may have run", "settle", "activate", "896210", "--ran")
+	f.expectRecord(t, 3, fmt.Sprint("locked by process ", first.Process.Pid), "compact")
 	first.Process.Kill()
 	first.Wait()
-	if a := <-done; a.status != 0 {
-		t.Errorf("%+v", a)
+	if response := <-done; response.status != 0 {
+		t.Errorf("%+v", response)
 	}
-	second, log := run()
-	awaitHealthy(t, listen)
-	if a, err := sendRequest(listen, request, nil); err != nil || a.status != http.StatusConflict || !strings.HasPrefix(a.recordState, "may-have-run") {
-		t.Errorf("%+v %v", a, err)
+}
+
+// testSettle settles the key that may have run, with the commands around it.
+func (f *programFixture) testSettle(t *testing.T, listen string, request clientRequest) {
+	t.Helper()
+	if response, err := sendRequest(listen, request, nil); err != nil || response.status != http.StatusConflict || !strings.HasPrefix(response.recordState, "may-have-run") {
+		t.Errorf("%+v %v", response, err)
 	}
-	command(0, "896210", "list", "--state", "may-have-run")
-	command(0, `"state": "may-have-run"`, "list", "--json", "--class", "activate")
-	command(2, "--state x", "list", "--state", "x")
-	command(1, "may-have-run   1", "stats")
-	command(2, "ran never-ran", "settle", "activate", "896210")
-	command(0, "nothing was changed", "settle", "activate", "896210", "--never-ran", "--dry-run")
-	command(0, "settled by sari", "settle", "activate", "896210", "--never-ran", "--who", "sari", "--note", "asked the registry")
-	if a, err := sendRequest(listen, request, nil); err != nil || a.status != http.StatusOK {
-		t.Errorf("%+v %v", a, err)
+	f.expectRecord(t, 0, "896210", "list", "--state", "may-have-run")
+	f.expectRecord(t, 0, `"state": "may-have-run"`, "list", "--json", "--class", "activate")
+	f.expectRecord(t, 2, "--state x", "list", "--state", "x")
+	f.expectRecord(t, 1, "may-have-run   1", "stats")
+	f.expectRecord(t, 2, "ran never-ran", "settle", "activate", "896210")
+	f.expectRecord(t, 0, "nothing was changed", "settle", "activate", "896210", "--never-ran", "--dry-run")
+	f.expectRecord(t, 0, "settled by sari", "settle", "activate", "896210", "--never-ran", "--who", "sari", "--note", "asked the registry")
+	if response, err := sendRequest(listen, request, nil); err != nil || response.status != http.StatusOK {
+		t.Errorf("%+v %v", response, err)
 	}
-	command(0, "done: activate 896210", "look", "activate", "896210")
-	command(1, "no key", "look", "activate", "other")
-	command(0, `"answer"`, "export")
-	command(0, "no damage", "check")
-	command(0, `"answered": 1`, "stats", "--json")
-	command(2, "unknown command", "explode")
-	second.Process.Signal(os.Interrupt)
-	if err := second.Wait(); err != nil {
+	f.expectRecord(t, 0, "done: activate 896210", "look", "activate", "896210")
+	f.expectRecord(t, 1, "no key", "look", "activate", "other")
+	f.expectRecord(t, 0, `"answer"`, "export")
+	f.expectRecord(t, 0, "no damage", "check")
+	f.expectRecord(t, 0, `"answered": 1`, "stats", "--json")
+	f.expectRecord(t, 2, "unknown command", "explode")
+}
+
+// testDamagedFile checks that a damaged file stops the start and the commands, with the
+// next step, and restores it.
+func (f *programFixture) testDamagedFile(t *testing.T, config string) {
+	t.Helper()
+	path := filepath.Join(f.directory, "record.db")
+	content, _ := os.ReadFile(path)
+	os.WriteFile(path, bytes.Repeat([]byte("noise"), 5000), 0o600)
+	third, log := f.run(t, config)
+	if err := third.Wait(); err == nil || !strings.Contains(log.String(), path) || !strings.Contains(log.String(), "move them aside") {
 		t.Errorf("%v %s", err, log)
 	}
-	command(0, "", "compact")
+	f.expectRecord(t, 3, path, "list")
+	os.WriteFile(path, content, 0o600)
+	f.expectRecord(t, 0, "896210", "list")
+}
 
-	// What can't be used is said at start, with what to do.
-	db := filepath.Join(dir, "record.db")
-	data, _ := os.ReadFile(db)
-	os.WriteFile(db, bytes.Repeat([]byte("noise"), 5000), 0o600)
-	third, out := run()
-	if err := third.Wait(); err == nil || !strings.Contains(out.String(), db) || !strings.Contains(out.String(), "move them aside") {
-		t.Errorf("%v %s", err, out)
-	}
-	command(3, db, "list")
-	os.WriteFile(db, data, 0o600)
-	command(0, "896210", "list")
-	for text, want := range map[string]string{
+// testInvalidSettings checks that invalid settings stop the start, with the place.
+func (f *programFixture) testInvalidSettings(t *testing.T, config string) {
+	t.Helper()
+	for content, want := range map[string]string{
 		"store = \"oracle\"":                        "store: \"oracle\"",
 		recordFile + "colour = 1":                   "record.toml:11: unknown key",
 		recordFile + "away = \"pass\"":              "class activate: away: its requests must not run twice",
@@ -257,10 +306,10 @@
 		strings.Replace(recordFile, "json:", "", 1): "class activate: key",
 		strings.Replace(recordFile, "0.5", "5", 1):  "wait.share",
 	} {
-		os.WriteFile(file, []byte(text), 0o600)
-		c, out := run()
-		if err := c.Wait(); err == nil || !strings.Contains(out.String(), want) {
-			t.Errorf("%v %s; want it to say %q", err, out, want)
+		f.writeFile("record.toml", content)
+		command, log := f.run(t, config)
+		if err := command.Wait(); err == nil || !strings.Contains(log.String(), want) {
+			t.Errorf("%v %s; want it to say %q", err, log, want)
 		}
 	}
 }
--- a/internal/idempotency/e2e/servers_test.go
+++ b/internal/idempotency/e2e/servers_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"sync"
 	"testing"
+	"time"
 
 	"martendrum/internal/standin/shop"
 )
@@ -149,6 +150,16 @@
 	}
 }
 
+// awaitRun waits until a server has run a request.
+func (g *serverGroup) awaitRun(t *testing.T, request clientRequest) {
+	t.Helper()
+	for deadline := time.Now().Add(testTimeout); g.runCount(request) == 0; time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
+			t.Fatal("no server got it")
+		}
+	}
+}
+
 // runCount is how often a request's key ran.
 func (g *serverGroup) runCount(request clientRequest) int {
 	g.mu.Lock()
