--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -11,10 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// The machine against a world of sidecars that claim, send, stall, die and come back,
-// servers that run what they get, staff that settles truthfully, and a clock that
-// jumps. Whatever happens, no key's request runs twice, and what ran is never said
-// not to have.
+// TestNoKeyRunsTwice runs random sidecars that claim, send, stall, die and restart, servers
+// that run what they receive, staff that settles truthfully, and a clock that jumps. No
+// key's request may run twice, and none that ran may be said to never have.
 func TestNoKeyRunsTwice(t *testing.T) {
 	for range 20 { // what goes wrong takes several steps in their order: one check's runs are few
 		rapid.Check(t, noKeyRunsTwice)
@@ -132,8 +131,8 @@
 	})
 }
 
-// Carried out twice, an op does what it does once: that is how a commit of unknown
-// outcome is resolved.
+// TestOpsAreIdempotent checks that an op that is applied again has no further effect, which
+// resolves a commit of unknown outcome.
 func TestOpsAreIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var row Entry
--- a/internal/idempotency/postgres/postgres_test.go
+++ b/internal/idempotency/postgres/postgres_test.go
@@ -49,8 +49,8 @@
 	bt.Run(t, func(t *testing.T) idempotency.Backend { return mustOpen(t, config(serve(t, pgserver.Config{}).URL())) })
 }
 
-// The same against a real server, where an operator names one; each test gets a schema
-// of its own, which is dropped.
+// TestRealServer runs the same tests against a real server, where an operator names one.
+// Each test has a schema of its own, which is dropped.
 func TestRealServer(t *testing.T) {
 	at := os.Getenv("MARTENDRUM_TEST_POSTGRES")
 	if at == "" {
@@ -106,8 +106,8 @@
 	}
 }
 
-// The connection is lost at COMMIT, before it took effect or after, or its reply is:
-// what became of it is asked, and each op is told the truth and carried out once.
+// TestAmbiguousCommit loses the connection at COMMIT, before or after it takes effect. Each
+// op must have its true result and be applied once.
 func TestAmbiguousCommit(t *testing.T) {
 	for _, stage := range []pgserver.Stage{pgserver.Before, pgserver.After} {
 		for _, fault := range []pgserver.Fault{{Reset: true}, {Code: "57P01"}, {Code: "40001"}} {
@@ -139,8 +139,8 @@
 	}
 }
 
-// Each bad day ends in an error that says what it is, in time, and the store goes on
-// when it is over.
+// TestDatabaseFaults checks that each fault is reported in time with what it is, and that
+// the store continues when it is over.
 func TestDatabaseFaults(t *testing.T) {
 	srv := serve(t, pgserver.Config{MaxConns: 3})
 	c := config(srv.URL())
@@ -205,7 +205,8 @@
 	}
 }
 
-// Connections are bounded, and a password is read from its file for each.
+// TestPasswordAndBound checks that connections are bounded, and that the password is read
+// from its file for each.
 func TestPasswordAndBound(t *testing.T) {
 	srv := serve(t, pgserver.Config{User: "kasir", Password: "rahasia"})
 	file := filepath.Join(t.TempDir(), "password")
--- a/internal/idempotency/sqlite/sqlite_test.go
+++ b/internal/idempotency/sqlite/sqlite_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// What a dead owner left in flight is known at the next start, whatever the clock says.
+// TestRestart checks that what a dead owner left in flight is settled at the next start,
+// whatever the clock says.
 func TestRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.db")
 	s := mustOpen(t, cfg(path))
@@ -60,8 +61,9 @@
 	bt.Expect(t, s, bt.Claim("done", "x", time.Hour), idempotency.AlreadyAnswered)
 }
 
-// Two processes share a file's ownership: what each has in flight stands as long as
-// either lives, no third one gets in, and the next one to begin alone knows both gone.
+// TestSharedOwnership checks that of two processes that share a file's ownership, what each
+// has in flight stays as long as either lives, that no third one opens the file, and that
+// the next sole owner settles what both left.
 func TestSharedOwnership(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.db")
 	old := mustOpen(t, cfg(path))
@@ -85,7 +87,7 @@
 	next.Close()
 	last := mustOpen(t, cfg(path))
 	bt.Expect(t, last, bt.Claim("n", "d", time.Hour), idempotency.Unsettled)
-	// The ownership of another file is no use, and what can't be used is closed.
+	// The lock of another file is rejected, and closed.
 	other := cfg(filepath.Join(t.TempDir(), "other.db"))
 	mustOpen(t, other).Close()
 	if passed, err = syscall.Dup(int(last.Lock().Fd())); err != nil {
@@ -113,7 +115,7 @@
 	}
 }
 
-// fill writes keys until the store is full, and returns how many it holds.
+// fill writes keys until the store is full and returns how many it has written.
 func fill(t *testing.T, s *Store) (n int, err error) {
 	t.Helper()
 	for ; n < 5000; n++ {
@@ -127,8 +129,8 @@
 	return n, err
 }
 
-// A full store takes no new keys, ends what is under way, loses nothing, and takes
-// keys again when it has room.
+// TestFull checks that a full store rejects new keys, stores the outcomes of those in
+// flight, loses nothing, and accepts keys again when it has space.
 func TestFull(t *testing.T) {
 	c := cfg(filepath.Join(t.TempDir(), "r.db"))
 	c.MaxBytes = 1 << 20
@@ -154,10 +156,11 @@
 	}
 }
 
-// Files that can't be used are said so at start, with what to do, and are left alone.
-func TestCorruptFile(t *testing.T) {
-	dir := t.TempDir()
-	path := func(name string) string { return filepath.Join(dir, name) }
+// TestUnusableFile checks that files that can't be used are reported at start, with the
+// next step, and left as they are.
+func TestUnusableFile(t *testing.T) {
+	directory := t.TempDir()
+	path := func(name string) string { return filepath.Join(directory, name) }
 	noise := []byte(strings.Repeat("this is no database ", 1000))
 	os.WriteFile(path("noise"), noise, 0o600)
 	newer := mustOpen(t, cfg(path("newer")))
@@ -177,79 +180,105 @@
 		t.Error("the damaged file was changed")
 	}
 	bt.Expect(t, held, bt.Claim("k", "a", time.Hour), idempotency.Granted)
+}
+
+// batches is how many batches are written to a file that is damaged later.
+const batches = 12
+
+func batchKey(n int) string { return fmt.Sprintf("k%02d", n) }
 
-	// A torn log: cut at each of many places it holds a whole number of batches, the
-	// first ones, or is said to be damaged. Nothing is made up.
-	live := mustOpen(t, cfg(path("live")))
-	const batches = 12
-	var ends [batches]int64
+// writeBatches writes one answered key in each batch and returns the log's length after
+// each.
+func writeBatches(t *testing.T, s *Store, path string) (ends [batches]int64) {
+	t.Helper()
 	for n := range batches {
-		key := fmt.Sprintf("k%02d", n)
-		bt.Apply(t, live, bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), bt.End(key, key, idempotency.Answered))
-		st, err := os.Stat(path("live") + "-wal")
+		key := batchKey(n)
+		bt.Apply(t, s, bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), bt.End(key, key, idempotency.Answered))
+		log, err := os.Stat(path + "-wal")
 		if err != nil {
 			t.Fatal(err)
 		}
-		ends[n] = st.Size()
+		ends[n] = log.Size()
 	}
-	main, _ := os.ReadFile(path("live"))
-	wal, _ := os.ReadFile(path("live") + "-wal")
-	cuts := 0
+	return ends
+}
+
+// TestTornLog checks that a log that is cut at each of many places holds the first
+// batches, all complete, or is reported as damaged. Nothing is made up.
+func TestTornLog(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "live")
+	live := mustOpen(t, cfg(path))
+	ends := writeBatches(t, live, path)
+	main, _ := os.ReadFile(path)
+	wal, _ := os.ReadFile(path + "-wal")
+	opened := 0
 	for cut := 0; cut <= len(wal); cut += 1013 {
 		for _, flip := range []bool{false, true} {
 			torn := append([]byte(nil), wal[:cut]...)
 			if flip && cut > 40 {
 				torn[cut-20] ^= 0x55
 			}
-			p := filepath.Join(t.TempDir(), "torn")
-			os.WriteFile(p, main, 0o600)
-			os.WriteFile(p+"-wal", torn, 0o600)
-			s, err := Open(ctx, cfg(p))
+			damaged := filepath.Join(t.TempDir(), "torn")
+			os.WriteFile(damaged, main, 0o600)
+			os.WriteFile(damaged+"-wal", torn, 0o600)
+			s, err := Open(ctx, cfg(damaged))
 			if err != nil {
-				if !strings.Contains(err.Error(), p) {
+				if !strings.Contains(err.Error(), damaged) {
 					t.Fatal(err)
 				}
 				continue
 			}
-			cuts++
-			gone := false
-			for n := range batches {
-				row, err := s.Get(ctx, "activate", fmt.Sprintf("k%02d", n))
-				if err != nil || row.State != idempotency.Unknown && row.State != idempotency.Answered {
-					t.Fatalf("cut at %d: key %d is %+v %v", cut, n, row, err)
-				}
-				if row.State == idempotency.Unknown {
-					gone = true
-				} else if gone {
-					t.Fatalf("cut at %d: key %d is there and one before it is not", cut, n)
-				}
-				if !flip && row.State == idempotency.Unknown && ends[n] <= int64(cut) {
-					t.Fatalf("cut at %d: key %d was whole and is gone", cut, n)
-				}
-			}
+			opened++
+			checkFirstBatches(t, s, ends, cut, flip)
 			s.Close()
 		}
 	}
-	t.Logf("%d torn logs opened", cuts)
+	t.Logf("%d torn logs opened", opened)
+}
+
+// checkFirstBatches checks that a store with a log that was cut holds the first batches
+// and no later one; without a flipped byte, those that end before the cut.
+func checkFirstBatches(t *testing.T, s *Store, ends [batches]int64, cut int, flipped bool) {
+	t.Helper()
+	missing := false
+	for n := range batches {
+		entry, err := s.Get(ctx, "activate", batchKey(n))
+		if err != nil || entry.State != idempotency.Unknown && entry.State != idempotency.Answered {
+			t.Fatalf("cut at %d: key %d is %+v %v", cut, n, entry, err)
+		}
+		if entry.State == idempotency.Unknown {
+			missing = true
+		} else if missing {
+			t.Fatalf("cut at %d: key %d is there and one before it is not", cut, n)
+		}
+		if !flipped && entry.State == idempotency.Unknown && ends[n] <= int64(cut) {
+			t.Fatalf("cut at %d: key %d was complete and is missing", cut, n)
+		}
+	}
+}
 
-	// Damage in the midst of the file is found by the check, if not at start.
+// TestDamagedPages checks that damage within the file is found at start or by Check.
+func TestDamagedPages(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "live")
+	live := mustOpen(t, cfg(path))
+	writeBatches(t, live, path)
 	live.Close()
-	whole, _ := os.ReadFile(path("live"))
+	intact, _ := os.ReadFile(path)
 	found := 0
-	for page := pageSize; page < len(whole); page += pageSize {
-		p := filepath.Join(t.TempDir(), "hurt")
-		hurt := append([]byte(nil), whole...)
+	for page := pageSize; page < len(intact); page += pageSize {
+		damaged := filepath.Join(t.TempDir(), "hurt")
+		content := append([]byte(nil), intact...)
 		for i := page; i < page+64; i++ {
-			hurt[i] ^= 0xa5
+			content[i] ^= 0xa5
 		}
-		os.WriteFile(p, hurt, 0o600)
-		s, err := Open(ctx, cfg(p))
+		os.WriteFile(damaged, content, 0o600)
+		s, err := Open(ctx, cfg(damaged))
 		if err != nil {
 			found++
 			continue
 		}
-		bad, err := s.Check(ctx)
-		if err != nil || len(bad) > 0 {
+		problems, err := s.Check(ctx)
+		if err != nil || len(problems) > 0 {
 			found++
 		}
 		s.Close()
@@ -257,10 +286,11 @@
 	if found == 0 {
 		t.Error("no damage was found")
 	}
-	t.Logf("damage found in %d of %d pages", found, len(whole)/pageSize-1)
+	t.Logf("damage found in %d of %d pages", found, len(intact)/pageSize-1)
 }
 
-// A reader beside the owner sees and settles; compacting needs the file alone.
+// TestReaderBesideOwner checks that a reader beside the owner can settle a key, and needs
+// an existing file.
 func TestReaderBesideOwner(t *testing.T) {
 	c := cfg(filepath.Join(t.TempDir(), "r.db"))
 	owner := mustOpen(t, c)
