--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Each thing that can be wrong is told for what it is, with what to do.
+// TestNotTrusted checks that each fault of a file is reported with its reason and advice.
 func TestNotTrusted(t *testing.T) {
 	edit := func(f func(*Checkpoint)) Checkpoint {
 		c := good()
@@ -53,9 +53,9 @@
 		return c
 	}
 	for name, c := range map[string]struct {
-		keep Checkpoint
-		mar  func([]byte) []byte
-		why  Reason
+		saved Checkpoint
+		spoil func([]byte) []byte
+		want  Reason
 	}{
 		"empty":         {good(), func([]byte) []byte { return nil }, Empty},
 		"no JSON":       {good(), func([]byte) []byte { return []byte("what is this") }, Damaged},
@@ -68,25 +68,25 @@
 		"no demand":     {edit(func(c *Checkpoint) { c.Demand = -1 }), nil, Damaged},
 	} {
 		t.Run(name, func(t *testing.T) {
-			path, data := saved(t, c.keep)
-			if c.mar != nil {
-				if err := os.WriteFile(path, c.mar(data), 0o600); err != nil {
+			path, data := saved(t, c.saved)
+			if c.spoil != nil {
+				if err := os.WriteFile(path, c.spoil(data), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
 			got, _, err := Load(path, good().Name, now)
-			if bad, ok := errors.AsType[*NotTrustedError](err); !ok || bad.Reason != c.why || bad.Advice() == "" || got != nil {
-				t.Errorf("%+v, %v; want it %s", got, err, c.why)
+			if bad, ok := errors.AsType[*NotTrustedError](err); !ok || bad.Reason != c.want || bad.Advice() == "" || got != nil {
+				t.Errorf("%+v, %v; want it %s", got, err, c.want)
 			}
 		})
 	}
 }
 
-// Wherever a write is cut off, and whichever byte is spoilt, nothing else is read than was
-// written.
+// TestEveryByte cuts the file off at each byte and spoils each byte: nothing may be read
+// but what was written.
 func TestEveryByte(t *testing.T) {
 	path, data := saved(t, good())
-	try := func(what string, at int, data []byte) {
+	load := func(what string, at int, data []byte) {
 		if err := os.WriteFile(path, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -96,9 +96,9 @@
 		}
 	}
 	for i := range data {
-		try("cut off", i, data[:i])
+		load("cut off", i, data[:i])
 		spoilt := bytes.Clone(data)
 		spoilt[i] ^= 1 << (i % 8)
-		try("spoilt", i, spoilt)
+		load("spoilt", i, spoilt)
 	}
 }
--- a/internal/checkpoint/compat_test.go
+++ b/internal/checkpoint/compat_test.go
@@ -20,8 +20,8 @@
 	return c
 }
 
-// A checkpoint that an earlier build wrote is read as it was meant, and written again byte
-// by byte.
+// TestCheckpointOfEarlierBuild checks that an earlier build's checkpoint is read with its
+// values and written again byte by byte.
 func TestCheckpointOfEarlierBuild(t *testing.T) {
 	const golden = "checkpoint.json"
 	path := filepath.Join(t.TempDir(), "checkpoint")
--- a/internal/filelock/filelock_test.go
+++ b/internal/filelock/filelock_test.go
@@ -20,7 +20,7 @@
 	return file
 }
 
-// locked says whether an open file of the path's gets the lock now, without a wait.
+// locked tries to lock a path once; nil if the lock was free.
 func locked(t *testing.T, path string) error {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
@@ -31,8 +31,8 @@
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
 
-// A child between its fork and its exec has a copy of the open file. Here a copy stands for
-// it, and stays.
+// TestReleaseFreesTheLockBeforeAChildsExec checks that Release frees the lock while a copy of
+// the open file exists, as in a child between its fork and its exec.
 func TestReleaseFreesTheLockBeforeAChildsExec(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "lock")
 	file := acquire(t, path)
@@ -49,8 +49,9 @@
 	}
 }
 
-// The lock changes hands within one process while others are started from it.
-func TestLockChangesHandsWhileProcessesStart(t *testing.T) {
+// TestLockIsReusedWhileProcessesStart acquires and releases the lock while processes are
+// started.
+func TestLockIsReusedWhileProcessesStart(t *testing.T) {
 	const starters, turns = 4, 200
 	path := filepath.Join(t.TempDir(), "lock")
 	done := make(chan struct{})
@@ -75,7 +76,7 @@
 		if err := Release(file); err != nil {
 			t.Error(err)
 		}
-		if err := locked(t, path); err != nil { // at once, without Acquire's wait
+		if err := locked(t, path); err != nil { // without Acquire's retries
 			t.Errorf("the lock was not free: %v", err)
 		}
 	}
@@ -83,16 +84,16 @@
 	wg.Wait()
 }
 
-// A lock that the child of a killed process still holds is waited for; one that is held for
-// good is an error.
-func TestAcquireWaitsForALateHolder(t *testing.T) {
+// TestAcquireRetries checks that Acquire gets a lock that is released soon, and returns an
+// error for one that is not.
+func TestAcquireRetries(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "lock")
-	holder := acquire(t, path)
-	refused, err := Acquire(path, 0o600)
+	owner := acquire(t, path)
+	rejected, err := Acquire(path, 0o600)
 	if !errors.Is(err, ErrLocked) {
 		t.Fatalf("a lock that is held: %v", err)
 	}
-	refused.Close()
+	rejected.Close()
 	waiting := make(chan error, 1)
 	began := make(chan struct{})
 	go func() {
@@ -105,7 +106,7 @@
 	}()
 	<-began
 	time.Sleep(2 * retryInterval) // it has found the lock held, in most runs
-	if err := Release(holder); err != nil {
+	if err := Release(owner); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-waiting; err != nil {
--- a/internal/fleet/store/postgres/postgres.go
+++ b/internal/fleet/store/postgres/postgres.go
@@ -9,7 +9,6 @@
 	"fmt"
 	"time"
 
-
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/store"
 	"martendrum/internal/pg"
--- a/internal/fleet/store/postgres/postgres_test.go
+++ b/internal/fleet/store/postgres/postgres_test.go
@@ -50,8 +50,9 @@
 	}
 }
 
-// The agent that opened the record last has it; the one before can't write any more.
-func TestTakenOver(t *testing.T) {
+// TestSuperseded checks that the agent that opened the store last owns it, and that the one
+// before can't write any more.
+func TestSuperseded(t *testing.T) {
 	_, cfg := serve(t)
 	first := mustOpen(t, cfg, "host-a")
 	if err := first.Commit(ctx, storetest.Full()); err != nil {
@@ -69,8 +70,8 @@
 	}
 }
 
-// The connection is lost at COMMIT, before it took effect or after: the change is made
-// once, its audit entry too.
+// TestAmbiguousCommit loses the connection at COMMIT, before or after it takes effect: the
+// change and its audit entry must be written once.
 func TestAmbiguousCommit(t *testing.T) {
 	for _, stage := range []pgserver.Stage{pgserver.Before, pgserver.After} {
 		for _, fault := range []pgserver.Fault{{Reset: true}, {Code: "57P01"}, {Code: "40001"}} {
@@ -100,22 +101,23 @@
 	}
 }
 
-// A database that is gone makes a commit fail and leaves the record as it was.
-func TestAway(t *testing.T) {
+// TestDatabaseUnavailable checks that a commit fails without the database, and that the
+// store is unchanged.
+func TestDatabaseUnavailable(t *testing.T) {
 	srv, cfg := serve(t)
 	cfg.StatementTimeout, cfg.ConnectTimeout = 200*time.Millisecond, 200*time.Millisecond
 	s := mustOpen(t, cfg, "host-a")
-	for name, day := range map[string]func(){
-		"hung":     func() { srv.Inject(func(pgserver.Event) pgserver.Fault { return pgserver.Fault{Stall: true} }) },
-		"gone":     func() { srv.SetRefuse(true); srv.ResetAll() },
-		"readonly": func() { srv.SetReadOnly(true) },
+	for name, outage := range map[string]func(){
+		"hangs":       func() { srv.Inject(func(pgserver.Event) pgserver.Fault { return pgserver.Fault{Stall: true} }) },
+		"unreachable": func() { srv.SetRefuse(true); srv.ResetAll() },
+		"read-only":   func() { srv.SetReadOnly(true) },
 	} {
-		day()
+		outage()
 		short, cancel := context.WithTimeout(ctx, 2*time.Second)
 		if err := s.Commit(short, storetest.Full()); err == nil || !strings.Contains(err.Error(), srv.Addr()) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if name == "gone" {
+		if name == "unreachable" {
 			if s, err := Open(short, cfg, "host-b"); err == nil {
 				s.Close()
 				t.Error("opened")
--- a/internal/fleet/store/sqlite/compat_test.go
+++ b/internal/fleet/store/sqlite/compat_test.go
@@ -28,10 +28,10 @@
 	return c
 }
 
-// writeStored makes a record at path that holds stored.
+// writeStored creates a store at path that holds stored.
 func writeStored(t *testing.T, path string) {
 	t.Helper()
-	s, err := Open(path, room)
+	s, err := Open(path, maxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-// dump returns the schema and all rows of a record.
+// dump returns the schema and all rows of a store.
 func dump(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := sql.Open("sqlite", path)
@@ -81,8 +81,8 @@
 	return out.Bytes()
 }
 
-// An agent's record that an earlier build wrote is read as it was meant, and written again row
-// by row.
+// TestRecordOfEarlierBuild checks that an earlier build's store is read with its values and
+// written again row by row.
 func TestRecordOfEarlierBuild(t *testing.T) {
 	const golden = "agent-record.db"
 	written := filepath.Join(t.TempDir(), "written.db")
@@ -101,7 +101,7 @@
 	if got, want := dump(t, written), dump(t, earlier); !bytes.Equal(got, want) {
 		t.Errorf("rows\n%s\nwant\n%s", got, want)
 	}
-	s, err := Open(earlier, room)
+	s, err := Open(earlier, maxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/store/sqlite/sqlite_test.go
+++ b/internal/fleet/store/sqlite/sqlite_test.go
@@ -13,20 +13,21 @@
 	"martendrum/internal/fleet/store/storetest"
 )
 
-const room = 8 << 20
+// maxBytes bounds the files of the tests.
+const maxBytes = 8 << 20
 
 var ctx = context.Background()
 
 func TestWhatIsWrittenIsRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a record?#%.db")
 	storetest.Run(t, func() store.Store {
-		s, err := Open(path, room)
+		s, err := Open(path, maxBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s
 	})
-	s, err := Open(path, room)
+	s, err := Open(path, maxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,12 +40,12 @@
 	}
 }
 
-// A file of each older schema is brought up to date with what it holds.
+// TestMigrations checks that a file of each older schema is migrated with its content.
 func TestMigrations(t *testing.T) {
 	for from := range Version {
 		t.Run(fmt.Sprint("from ", from), func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "r.db")
-			old, err := open(path, room, from)
+			old, err := open(path, maxBytes, from)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -56,7 +57,7 @@
 				}
 			}
 			old.Close()
-			s, err := Open(path, room)
+			s, err := Open(path, maxBytes)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -79,7 +80,7 @@
 func TestFilesThatCantBeUsed(t *testing.T) {
 	dir := t.TempDir()
 	newer := filepath.Join(dir, "newer.db")
-	s, err := Open(newer, room)
+	s, err := Open(newer, maxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,17 +91,17 @@
 	for path, want := range map[string]string{
 		newer: "newer build", damaged: "aside", filepath.Join(dir, "none", "r.db"): "none/r.db",
 	} {
-		if _, err := Open(path, room); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
+		if _, err := Open(path, maxBytes); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s: %v; want it to say %q", path, err, want)
 		}
 	}
 }
 
-// A record that has no room left refuses, keeps what it has, and goes on when it
-// has room again.
+// TestFull checks that a full store rejects changes, loses nothing, and continues when it has
+// space again.
 func TestFull(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.db")
-	s, err := Open(path, 0) // the least: 64 pages
+	s, err := Open(path, 0) // the smallest: 64 pages
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/store/storetest/storetest.go
+++ b/internal/fleet/store/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest is what each store.Store must do, as a test that the stores' own
-// packages run.
+// Package storetest is what each store.Store must do, as a test that the stores' packages
+// run.
 package storetest
 
 import (
@@ -32,15 +32,15 @@
 	}
 }
 
-// Run checks that what is written is read again, over a new opening, and that what is
-// dropped is gone. open opens the same record each time.
+// Run checks that what is written is read again after a restart, and that what is dropped
+// is deleted. open opens the same store each time.
 func Run(t *testing.T, open func() store.Store) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	s := open()
 	c := Full()
-	for range 2 { // again does no harm
+	for range 2 { // committing again has no further effect
 		if err := s.Commit(ctx, c); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/handover/compat_test.go
+++ b/internal/handover/compat_test.go
@@ -11,7 +11,7 @@
 	"martendrum/internal/goldentest"
 )
 
-// filled is a state with a value in every field, within what Check accepts.
+// filled is a state with a value in every field, within what CheckLearned accepts.
 func filled() martendrum.LearnedState {
 	var l martendrum.LearnedState
 	goldentest.Fill(&l)
@@ -20,8 +20,8 @@
 	return l
 }
 
-// A snapshot that an earlier build wrote is read as it was meant, and written again byte by
-// byte.
+// TestSnapshotOfEarlierBuild checks that an earlier build's snapshot is read with its values
+// and written again byte by byte.
 func TestSnapshotOfEarlierBuild(t *testing.T) {
 	const golden = "snapshot.bin"
 	goldentest.Compare(t, golden, encoded(t, filled()))
@@ -31,8 +31,8 @@
 	}
 }
 
-// The messages of a hand-over have the form that an earlier build wrote: each step of one,
-// and one message with every field.
+// TestMessagesOfEarlierBuild checks that the messages of a hand-over, and one message with
+// every field, have the form that an earlier build wrote.
 func TestMessagesOfEarlierBuild(t *testing.T) {
 	const golden = "messages.jsonl"
 	full := Quota{Sockets: 100, MemoryMB: 64, InFlight: 50}
@@ -50,7 +50,7 @@
 	}
 	collect(next.Hello("a:1"))
 	collect(old.Receive(1, messages[0]))
-	collect(old.Receive(2, messages[0])) // refused: one new process at a time
+	collect(old.Receive(2, messages[0])) // rejected: one successor at a time
 	if _, err := next.Receive(messages[1]); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/link/queue_test.go
+++ b/internal/handover/link/queue_test.go
@@ -10,9 +10,10 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// What waits in the accept queue when the old process closes its socket: with a second
-// socket under SO_REUSEPORT the kernel's share of the old one is reset; on the passed
-// socket, whose queue both have, nothing is lost. This is why the socket is passed on.
+// TestQueueOfAClosedSocket closes a socket with connections in its accept queue. With a
+// second socket under SO_REUSEPORT, those that the kernel gave the first one are reset; with
+// the passed socket, whose queue both processes have, none is lost. This is why a hand-over
+// passes the socket.
 func TestQueueOfAClosedSocket(t *testing.T) {
 	const clients = 60
 	count := func(old, next *net.TCPListener) (served, lost int) {
--- a/internal/handover/link/successor.go
+++ b/internal/handover/link/successor.go
@@ -77,7 +77,7 @@
 		case errors.Is(err, errAbsent) && elapsed < absentTimeout:
 		case errors.Is(err, errAbsent), errors.Is(err, errSilent), errors.Is(err, handover.ErrRejected):
 			slog.Warn("no hand-over: this process opens a socket of its own beside the old one's", "err", err)
-			return s.startBesideSilent()
+			return s.startDespiteSilent()
 		case errors.Is(err, ErrForeign):
 			slog.Warn("no hand-over: this process is on its own", "err", err)
 			return s.startIsolated()
@@ -88,7 +88,7 @@
 	}
 }
 
-func (s *SuccessorEnd) startBesideSilent() (*SuccessorEnd, error) {
+func (s *SuccessorEnd) startDespiteSilent() (*SuccessorEnd, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.perform(s.machine.PredecessorSilent()); err != nil {
--- a/internal/handover/snapshot_test.go
+++ b/internal/handover/snapshot_test.go
@@ -31,8 +31,9 @@
 	return data
 }
 
-// What one process wrote the next one reads; what is damaged at any byte, cut
-// anywhere, of another version or sidecar, too old, or could not be, is left aside.
+// TestWarmSnapshot checks that a successor reads what its predecessor wrote, and rejects a
+// snapshot that is damaged at any byte, cut anywhere, of another version or sidecar, too
+// old, or has values that no Balancer could have learned.
 func TestWarmSnapshot(t *testing.T) {
 	data := encoded(t, learned())
 	got, age, err := DecodeSnapshot(data, "a:1", saved.Add(3*time.Second))
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -19,8 +19,8 @@
 	awaitingOffer successorState = iota
 	sharingQuota
 	alone
-	besideSilent // the predecessor does not answer
-	isolated     // processes can't find each other here
+	predecessorSilent // the predecessor does not answer
+	isolated          // processes can't find each other here
 )
 
 // Successor is the machine of a process that starts.
@@ -58,7 +58,7 @@
 	if s.state != awaitingOffer {
 		return nil
 	}
-	s.state, s.quota = besideSilent, s.limits.half()
+	s.state, s.quota = predecessorSilent, s.limits.half()
 	return []Action{{Type: Limit, Quota: s.quota}, {Type: OpenListener}}
 }
 
@@ -77,7 +77,7 @@
 		return nil, fmt.Errorf("%w: %s", ErrRejected, message.Reason)
 	case message.Version != Version:
 		return nil, fmt.Errorf("%w: version %d", ErrRejected, message.Version)
-	case message.Kind == Offer && (s.state == awaitingOffer || s.state == besideSilent): // a silent predecessor may wake up
+	case message.Kind == Offer && (s.state == awaitingOffer || s.state == predecessorSilent): // a silent predecessor may wake up
 		if !message.validOffer() {
 			return nil, ErrInvalidOffer
 		}
@@ -110,7 +110,7 @@
 // PredecessorLost says that the predecessor has ended: this process owns the limits.
 func (s *Successor) PredecessorLost() []Action {
 	switch s.state {
-	case sharingQuota, besideSilent:
+	case sharingQuota, predecessorSilent:
 		s.state, s.quota = alone, s.limits
 		return []Action{{Type: Limit, Quota: s.limits}, {Type: Publish}}
 	}
--- a/internal/idempotency/sqlite/compat_test.go
+++ b/internal/idempotency/sqlite/compat_test.go
@@ -12,7 +12,7 @@
 	bt "martendrum/internal/idempotency/backendtest"
 )
 
-// writeStored makes a record at path with a key in each state.
+// writeStored creates a store at path with a key in each state.
 func writeStored(t *testing.T, path string) {
 	t.Helper()
 	s, err := Open(ctx, cfg(path))
@@ -36,14 +36,14 @@
 	}
 }
 
-// rowText is what a row says but for times.
-func rowText(row idempotency.Entry) string {
+// entryText is an entry without its times.
+func entryText(row idempotency.Entry) string {
 	return fmt.Sprintf("%s %s %s %x %s %s %s %d %q %d %q %q %v %q %q", row.Class, row.Key, row.State, row.Fingerprint, row.Owner, row.Token, row.RequestID,
 		row.Attempts, row.Servers, row.Status, row.Header, row.Answer, row.AnswerOmitted, row.SettledBy, row.Note)
 }
 
-// A record that an earlier build wrote is read as it was meant, key by key, and the same
-// operations write the same rows.
+// TestRecordOfEarlierBuild checks that an earlier build's store is read with its values, key
+// by key, and that the same operations write the same entries.
 func TestRecordOfEarlierBuild(t *testing.T) {
 	const golden = "record.db"
 	written := filepath.Join(t.TempDir(), "written.db")
@@ -86,8 +86,8 @@
 			if row.State != want.state || row.Attempts != want.attempts || row.Servers != want.servers || row.StartedAt == 0 || row.ChangedAt == 0 {
 				t.Errorf("%+v; want %+v", row, want)
 			}
-			if same, err := again.Get(ctx, "activate", key); err != nil || rowText(same) != rowText(row) {
-				t.Errorf("%s, %v; want %s", rowText(same), err, rowText(row))
+			if same, err := again.Get(ctx, "activate", key); err != nil || entryText(same) != entryText(row) {
+				t.Errorf("%s, %v; want %s", entryText(same), err, entryText(row))
 			}
 		})
 	}
--- a/internal/idempotency/sqlite/keys_capacity_test.go
+++ b/internal/idempotency/sqlite/keys_capacity_test.go
@@ -43,7 +43,7 @@
 			defer store.Close()
 			key := 0
 			for b.Loop() {
-				for _, operation := range lifeOfKey(fmt.Sprint("further-", key)) {
+				for _, operation := range opsOfKey(fmt.Sprint("further-", key)) {
 					applyAll(b, store, operation)
 				}
 				key++
@@ -54,8 +54,8 @@
 	}
 }
 
-// lifeOfKey is what a request with a key brings to the record.
-func lifeOfKey(key string) []*idempotency.Op {
+// opsOfKey is what a request with a key brings to the record.
+func opsOfKey(key string) []*idempotency.Op {
 	end := bt.End(key, key, idempotency.Answered)
 	end.Answer = bytes.Repeat([]byte{'a'}, capacityAnswer)
 	return []*idempotency.Op{bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), end}
@@ -82,7 +82,7 @@
 	}
 	var operations []*idempotency.Op
 	for key := range keys {
-		operations = append(operations, lifeOfKey(fmt.Sprint("key-", key))...)
+		operations = append(operations, opsOfKey(fmt.Sprint("key-", key))...)
 		if (key+1)%capacityCommit == 0 || key+1 == keys {
 			applyAll(b, store, operations...)
 			operations = nil
