--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,7 +15,7 @@
 	return NewPredecessor("a:1", full, func() []byte { return []byte("learned") })
 }
 
-// trace is what actions ask for, in one line.
+// trace is actions in one line.
 func trace(acts []Action) (s string) {
 	names := [...]string{"send", "shareTable", "sendListener", "drop", "limit", "unpublish", "publish", "stopAccepting", "takeListener", "ownListener"}
 	for _, a := range acts {
@@ -33,8 +33,8 @@
 	return s
 }
 
-// The old process's side, step by step.
-func TestOldScript(t *testing.T) {
+// TestPredecessorScript checks the predecessor's actions, step by step.
+func TestPredecessorScript(t *testing.T) {
 	o := newOld()
 	for n, step := range []struct {
 		do   func() []Action
@@ -46,12 +46,12 @@
 		{func() []Action { return o.Receive(2, hello()) }, "limit(100) sendListener(2 offer 100) "},
 		{func() []Action { return o.Receive(3, hello()) }, "send(3 refuse 0) drop(3) "},
 		{func() []Action { return o.PeerLost(3) }, ""},
-		{func() []Action { return o.PeerLost(2) }, "limit(200) "}, // it died before it served
+		{func() []Action { return o.PeerLost(2) }, "limit(200) "}, // it ended before it served
 		{func() []Action { return o.Receive(4, hello()) }, "limit(100) sendListener(4 offer 100) "},
-		{func() []Action { return o.ReleaseUnused(Quota{Sockets: 10}) }, ""}, // not on its way out
-		{func() []Action { return o.Terminate() }, ""},                       // the new one does not serve yet
+		{func() []Action { return o.ReleaseUnused(Quota{Sockets: 10}) }, ""}, // not terminating
+		{func() []Action { return o.Terminate() }, ""},                       // the successor does not serve yet
 		{func() []Action { return o.Receive(4, Message{Kind: Serving, Version: Version}) }, "unpublish stopAccepting "},
-		{func() []Action { return o.ReleaseUnused(Quota{Sockets: 120, MemoryMB: 60}) }, "limit(100) send(4 grant 100) "}, // memory stays as it was, held grows
+		{func() []Action { return o.ReleaseUnused(Quota{Sockets: 120, MemoryMB: 60}) }, "limit(100) send(4 grant 100) "}, // memory stays as it was, in-flight grows
 		{func() []Action { return o.ReleaseUnused(Quota{Sockets: 30, MemoryMB: 60}) }, "limit(30) send(4 grant 170) "},
 		{func() []Action { return o.ReleaseUnused(Quota{Sockets: 50, MemoryMB: 60}) }, ""}, // nothing is taken back
 		{func() []Action { return o.PeerLost(4) }, "limit(200) "},
@@ -63,8 +63,9 @@
 	}
 }
 
-// The new process's side: alone, shared, beside one that hangs and wakes, refused.
-func TestNewScript(t *testing.T) {
+// TestSuccessorScript checks the successor's actions: alone, sharing, beside a predecessor that
+// hangs and wakes up, rejected.
+func TestSuccessorScript(t *testing.T) {
 	offer := Message{Kind: Offer, Version: Version, Listen: "a:1", Quota: full.half()}
 	n := NewSuccessor(full)
 	if got := trace(n.NoPredecessor()); got != "limit(200) ownListener publish " || !n.Alone() {
@@ -91,7 +92,7 @@
 	if got := trace(n.PredecessorSilent()) + trace(n.Ready()) + trace(n.PredecessorLost()); got != "limit(100) ownListener limit(200) publish " {
 		t.Error("silent:", got)
 	}
-	n = NewSuccessor(full) // the old one wakes
+	n = NewSuccessor(full) // the predecessor wakes up
 	got := trace(n.PredecessorSilent()) + trace(n.Ready())
 	acts, err = n.Receive(offer)
 	if got += trace(acts) + trace(n.Ready()) + trace(n.PredecessorLost()); got != "limit(100) ownListener limit(100) takeListener send(0 serving 0) limit(200) publish " || err != nil {
@@ -106,81 +107,106 @@
 	}
 }
 
-// Whatever happens in whatever order, the two together never may hold more than one,
-// and some process accepts: the old one stops only while a new one serves.
+// limitsModel is a predecessor, its successors and what each may use.
+type limitsModel struct {
+	predecessor *Predecessor
+	local       Quota // of the predecessor, as it was told
+	granted     Quota // of the successor, as it was told
+	successors  map[int]*Successor
+	serving     int // the successor that serves; 0: none
+	last        int
+}
+
+// TestLimitsAreNeverExceeded checks that, whatever happens in whatever order, both processes
+// together never may use more than one, and that one accepts: the predecessor stops only
+// while a successor serves.
 func TestLimitsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOld()
-		old, taken := full, Quota{} // what each was told
-		news := map[int]*Successor{}
-		serving := 0
-		var run func(acts []Action)
-		run = func(acts []Action) {
-			for _, a := range acts {
-				switch a.Type {
-				case Limit:
-					old = a.Quota
-				case StopAccepting:
-					if serving == 0 {
-						t.Fatal("nobody accepts")
-					}
-				case Drop:
-					delete(news, a.To)
-				case SendMessage, SendListener:
-					n := news[a.To]
-					if n == nil {
-						continue
-					}
-					got, err := n.Receive(a.Message)
-					if err != nil {
-						delete(news, a.To)
-						run(o.PeerLost(a.To))
-						continue
-					}
-					for _, b := range got {
-						if b.Type == Limit {
-							taken = b.Quota
-						}
-					}
-				}
-				if !old.fitsWithin(full) || old.Sockets+taken.Sockets > full.Sockets || old.MemoryMB+taken.MemoryMB > full.MemoryMB || old.InFlight+taken.InFlight > full.InFlight+1 {
-					t.Fatalf("old %+v, new %+v of %+v", old, taken, full)
-				}
-			}
-		}
-		last := 0
+		m := &limitsModel{predecessor: newOld(), local: full, successors: map[int]*Successor{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"start": func(t *rapid.T) {
-				last++
-				news[last] = NewSuccessor(full)
-				for _, a := range news[last].Hello("a:1") {
-					run(o.Receive(last, a.Message))
-				}
-			},
-			"serve": func(t *rapid.T) {
-				for id, n := range news {
-					for _, a := range n.Ready() {
-						serving = id
-						run(o.Receive(id, a.Message))
-					}
-				}
-			},
-			"die": func(t *rapid.T) {
-				for id := range news {
-					if delete(news, id); id == o.successor {
-						taken = Quota{}
-					}
-					if id == serving {
-						serving = 0
-					}
-					run(o.PeerLost(id))
-					break
-				}
-			},
-			"leave": func(t *rapid.T) { run(o.Terminate()) },
+			"start": m.start,
+			"serve": m.serve,
+			"die":   m.die,
+			"leave": func(t *rapid.T) { m.perform(t, m.predecessor.Terminate()) },
 			"need": func(t *rapid.T) {
-				run(o.ReleaseUnused(Quota{rapid.IntRange(0, 200).Draw(t, "s"), rapid.IntRange(0, 64).Draw(t, "m"), rapid.IntRange(0, 101).Draw(t, "h")}))
+				used := Quota{rapid.IntRange(0, 200).Draw(t, "s"), rapid.IntRange(0, 64).Draw(t, "m"), rapid.IntRange(0, 101).Draw(t, "h")}
+				m.perform(t, m.predecessor.ReleaseUnused(used))
 			},
 		})
 	})
 }
+
+func (m *limitsModel) start(t *rapid.T) {
+	m.last++
+	m.successors[m.last] = NewSuccessor(full)
+	for _, action := range m.successors[m.last].Hello("a:1") {
+		m.perform(t, m.predecessor.Receive(m.last, action.Message))
+	}
+}
+
+func (m *limitsModel) serve(t *rapid.T) {
+	for id, successor := range m.successors {
+		for _, action := range successor.Ready() {
+			m.serving = id
+			m.perform(t, m.predecessor.Receive(id, action.Message))
+		}
+	}
+}
+
+// die ends one successor.
+func (m *limitsModel) die(t *rapid.T) {
+	for id := range m.successors {
+		if delete(m.successors, id); id == m.predecessor.successor {
+			m.granted = Quota{}
+		}
+		if id == m.serving {
+			m.serving = 0
+		}
+		m.perform(t, m.predecessor.PeerLost(id))
+		break
+	}
+}
+
+// perform carries out the predecessor's actions and checks the limits after each.
+func (m *limitsModel) perform(t *rapid.T, actions []Action) {
+	for _, action := range actions {
+		switch action.Type {
+		case Limit:
+			m.local = action.Quota
+		case StopAccepting:
+			if m.serving == 0 {
+				t.Fatal("nobody accepts")
+			}
+		case Drop:
+			delete(m.successors, action.To)
+		case SendMessage, SendListener:
+			if !m.deliver(t, action) {
+				continue
+			}
+		}
+		if !m.local.fitsWithin(full) || m.local.Sockets+m.granted.Sockets > full.Sockets || m.local.MemoryMB+m.granted.MemoryMB > full.MemoryMB || m.local.InFlight+m.granted.InFlight > full.InFlight+1 {
+			t.Fatalf("old %+v, new %+v of %+v", m.local, m.granted, full)
+		}
+	}
+}
+
+// deliver gives a message to its successor. It returns false if that has ended or ends by
+// it.
+func (m *limitsModel) deliver(t *rapid.T, action Action) bool {
+	successor := m.successors[action.To]
+	if successor == nil {
+		return false
+	}
+	actions, err := successor.Receive(action.Message)
+	if err != nil {
+		delete(m.successors, action.To)
+		m.perform(t, m.predecessor.PeerLost(action.To))
+		return false
+	}
+	for _, caused := range actions {
+		if caused.Type == Limit {
+			m.granted = caused.Quota
+		}
+	}
+	return true
+}
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -15,120 +15,151 @@
 // that run what they receive, staff that settles truthfully, and a clock that jumps. No
 // key's request may run twice, and none that ran may be said to never have.
 func TestNoKeyRunsTwice(t *testing.T) {
-	for range 20 { // what goes wrong takes several steps in their order: one check's runs are few
+	for range 20 { // a fault takes several steps in order, and one check has few runs
 		rapid.Check(t, noKeyRunsTwice)
 	}
 }
 
+// modelClaim is a claim that a sidecar of the model was granted.
+type modelClaim struct {
+	token  string
+	key    int
+	sends  int  // granted
+	unsent int  // of them, those of which no byte was sent yet
+	ran    bool // one of them ran
+	over   bool
+}
+
+func (c *modelClaim) op(kind OpKind) *Op {
+	return &Op{Kind: kind, Class: "c", Key: fmt.Sprint(c.key), Token: c.token, Owner: "o", Fingerprint: []byte{1}, Lease: time.Second}
+}
+
+// model is two keys' entries and what really happened.
+type model struct {
+	entries [2]Entry
+	runs    [2]int
+	claims  []*modelClaim
+	now     int64
+}
+
 func noKeyRunsTwice(t *rapid.T) {
-	type claim struct {
-		token  string
-		key    int
-		sends  int  // granted
-		unsent int  // of them, not a byte has gone out yet
-		ran    bool // one of them ran
-		over   bool
+	m := &model{now: 1_000_000}
+	t.Repeat(map[string]func(*rapid.T){
+		"claim":  m.claim,
+		"send":   m.send,
+		"run":    m.run,
+		"end":    m.end,
+		"die":    m.die,
+		"settle": m.settle,
+		"time":   m.advance,
+		"jump":   m.jump,
+		"":       m.check,
+	})
+}
+
+func (m *model) apply(key int, op *Op) { Apply(&m.entries[key], m.now, op) }
+
+func (m *model) pick(t *rapid.T) *modelClaim {
+	if len(m.claims) == 0 {
+		t.Skip("no claim")
 	}
-	var rows [2]Entry
-	var runs [2]int
-	var claims []*claim
-	now := int64(1_000_000)
-	pick := func() *claim {
-		if len(claims) == 0 {
-			t.Skip("no claim")
+	return m.claims[rapid.IntRange(0, len(m.claims)-1).Draw(t, "claim")]
+}
+
+func (m *model) claim(t *rapid.T) {
+	c := &modelClaim{token: fmt.Sprint(len(m.claims)), key: rapid.IntRange(0, 1).Draw(t, "key")}
+	op := c.op(Claim)
+	m.apply(c.key, op)
+	if op.Result == Granted {
+		m.claims = append(m.claims, c)
+	}
+}
+
+func (m *model) send(t *rapid.T) {
+	c := m.pick(t)
+	if c.over {
+		t.Skip("over")
+	}
+	op := c.op(Send)
+	op.Attempt, op.Server = c.sends, "s"
+	m.apply(c.key, op)
+	if op.Result == Granted && rapid.IntRange(0, 3).Draw(t, "heard of") > 0 {
+		c.sends++
+		c.unsent++
+	}
+}
+
+// run sends an attempt's bytes, however late: the sidecar may have stalled since. The
+// decision module retries a non-idempotent request only when those attempts before are known
+// not to have run, so that at most one of a claim's attempts runs.
+func (m *model) run(t *rapid.T) {
+	c := m.pick(t)
+	if c.unsent == 0 || c.ran {
+		t.Skip("nothing to run")
+	}
+	c.unsent--
+	c.ran = true
+	if m.runs[c.key]++; m.runs[c.key] > 1 {
+		t.Fatalf("key %d ran %d times", c.key, m.runs[c.key])
+	}
+}
+
+func (m *model) end(t *rapid.T) {
+	c := m.pick(t)
+	op := c.op(End)
+	switch {
+	case c.ran:
+		op.Outcome = rapid.SampledFrom([]State{Answered, MayHaveRun}).Draw(t, "to")
+	case c.unsent > 0: // cancelled before a byte was sent, or unknown
+		if rapid.Bool().Draw(t, "called off") {
+			c.unsent, op.Outcome = 0, NeverRan
+		} else {
+			op.Outcome = MayHaveRun
 		}
-		return claims[rapid.IntRange(0, len(claims)-1).Draw(t, "claim")]
+	default:
+		op.Outcome = NeverRan
 	}
-	op := func(c *claim, kind OpKind) *Op {
-		return &Op{Kind: kind, Class: "c", Key: fmt.Sprint(c.key), Token: c.token, Owner: "o", Fingerprint: []byte{1}, Lease: time.Second}
+	if c.over = op.Outcome != MayHaveRun || c.over; c.over {
+		c.unsent = 0
+	}
+	m.apply(c.key, op)
+}
+
+// die ends a claim's owner with its bytes unsent; the entry lapses later.
+func (m *model) die(t *rapid.T) {
+	c := m.pick(t)
+	c.unsent, c.over = 0, true
+}
+
+func (m *model) settle(t *rapid.T) {
+	key := rapid.IntRange(0, 1).Draw(t, "key")
+	op := &Op{Kind: Settle, Class: "c", Key: fmt.Sprint(key), Outcome: NeverRan, SettledBy: "sari"}
+	if m.runs[key] > 0 {
+		op.Outcome = Answered
+	} else if slices.ContainsFunc(m.claims, func(c *modelClaim) bool { return c.key == key && c.unsent > 0 }) {
+		t.Skip("staff waits until the sidecar is known to have ended")
+	}
+	m.apply(key, op)
+}
+
+func (m *model) advance(t *rapid.T) {
+	m.now += rapid.Int64Range(0, 2).Draw(t, "s")*700_000 + rapid.Int64Range(0, 1000).Draw(t, "µs")
+}
+
+func (m *model) jump(t *rapid.T) {
+	if rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
+		t.Skip("not now")
+	}
+	m.now += rapid.Int64Range(-1e12, 1e12).Draw(t, "µs")
+}
+
+// check checks that no key ran whose entry says that it never did.
+func (m *model) check(t *rapid.T) {
+	for key := range m.entries {
+		if m.runs[key] > 0 && m.entries[key].State == NeverRan {
+			t.Fatalf("key %d ran and is said not to have: %+v", key, m.entries[key])
+		}
 	}
-	t.Repeat(map[string]func(*rapid.T){
-		"claim": func(t *rapid.T) {
-			c := &claim{token: fmt.Sprint(len(claims)), key: rapid.IntRange(0, 1).Draw(t, "key")}
-			o := op(c, Claim)
-			Apply(&rows[c.key], now, o)
-			if o.Result == Granted {
-				claims = append(claims, c)
-			}
-		},
-		"send": func(t *rapid.T) {
-			c := pick()
-			if c.over {
-				t.Skip("over")
-			}
-			o := op(c, Send)
-			o.Attempt, o.Server = c.sends, "s"
-			Apply(&rows[c.key], now, o)
-			if o.Result == Granted && rapid.IntRange(0, 3).Draw(t, "heard of") > 0 {
-				c.sends++
-				c.unsent++
-			}
-		},
-		// A byte goes out as late as it will: the sidecar may have stalled since. The
-		// decision module sends the next attempt of an unsafe request only when those
-		// before are known not to have run; so one of a claim's attempts runs at most.
-		"run": func(t *rapid.T) {
-			c := pick()
-			if c.unsent == 0 || c.ran {
-				t.Skip("nothing to run")
-			}
-			c.unsent--
-			c.ran = true
-			if runs[c.key]++; runs[c.key] > 1 {
-				t.Fatalf("key %d ran %d times", c.key, runs[c.key])
-			}
-		},
-		"end": func(t *rapid.T) {
-			c := pick()
-			o := op(c, End)
-			switch {
-			case c.ran:
-				o.Outcome = rapid.SampledFrom([]State{Answered, MayHaveRun}).Draw(t, "to")
-			case c.unsent > 0: // called off before a byte, or not known
-				if rapid.Bool().Draw(t, "called off") {
-					c.unsent, o.Outcome = 0, NeverRan
-				} else {
-					o.Outcome = MayHaveRun
-				}
-			default:
-				o.Outcome = NeverRan
-			}
-			if c.over = o.Outcome != MayHaveRun || c.over; c.over {
-				c.unsent = 0
-			}
-			Apply(&rows[c.key], now, o)
-		},
-		"die": func(t *rapid.T) { // with its bytes unsent; its row lapses in time
-			c := pick()
-			c.unsent, c.over = 0, true
-		},
-		"settle": func(t *rapid.T) {
-			k := rapid.IntRange(0, 1).Draw(t, "key")
-			o := &Op{Kind: Settle, Class: "c", Key: fmt.Sprint(k), Outcome: NeverRan, SettledBy: "sari"}
-			if runs[k] > 0 {
-				o.Outcome = Answered
-			} else if slices.ContainsFunc(claims, func(c *claim) bool { return c.key == k && c.unsent > 0 }) {
-				t.Skip("staff waits until the sidecar is known to be gone")
-			}
-			Apply(&rows[k], now, o)
-		},
-		"time": func(t *rapid.T) {
-			now += rapid.Int64Range(0, 2).Draw(t, "s")*700_000 + rapid.Int64Range(0, 1000).Draw(t, "µs")
-		},
-		"jump": func(t *rapid.T) {
-			if rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
-				t.Skip("not now")
-			}
-			now += rapid.Int64Range(-1e12, 1e12).Draw(t, "µs")
-		},
-		"": func(t *rapid.T) {
-			for k := range rows {
-				if runs[k] > 0 && rows[k].State == NeverRan {
-					t.Fatalf("key %d ran and is said not to have: %+v", k, rows[k])
-				}
-			}
-		},
-	})
 }
 
 // TestOpsAreIdempotent checks that an op that is applied again has no further effect, which
