--- a/internal/idempotency/e2e/bench_test.go
+++ b/internal/idempotency/e2e/bench_test.go
@@ -23,25 +23,26 @@
 	reader     *bufio.Reader
 }
 
-func (c *benchmarkClient) ask(request clientRequest) (int, error) {
+// send sends a request and returns the response's status.
+func (c *benchmarkClient) send(request clientRequest) (status int, err error) {
 	request.id = fmt.Sprintf("b%d", lastID.Add(1))
 	c.connection.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := c.connection.Write(request.bytes()); err != nil {
 		return 0, err
 	}
-	resp, err := http.ReadResponse(c.reader, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, err
 	}
-	defer resp.Body.Close()
-	_, err = io.Copy(io.Discard, resp.Body)
-	return resp.StatusCode, err
+	defer response.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, err
 }
 
-// BenchmarkStore is id-register requests, each with a key of its own, through one
-// sidecar before three servers that answer at once: as fast as 64 clients go
-// (closed), and at a pace of 300 and 2,000 a second. All run in one process. Where the
-// store is swept, every 10 ms, each row is dropped right after its answer.
+// BenchmarkStore measures id-register requests, each with a key of its own, through one
+// sidecar with three servers that answer at once: as fast as 64 clients send (closed), and
+// at 300 and 2,000 requests a second. All run in one process. Where the store is swept,
+// every 10 ms, entries are dropped right after their answer.
 //
 //	go test ./internal/idempotency/e2e -run '^$' -bench Store -benchtime 10s
 func BenchmarkStore(b *testing.B) {
@@ -56,90 +57,126 @@
 	}
 }
 
+// benchmarkClients is the number of clients of BenchmarkStore.
+const benchmarkClients = 64
+
 func benchmarkStore(b *testing.B, store string, rate int) {
-	servers, err := shop.NewWith(3, func(_ *shop.Shop, _ string, rw http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body)
-		io.WriteString(rw, "registered")
+	s := startBenchmarkSidecar(b, store)
+	m := &measurement{keyPrefix: fmt.Sprintf("%s-%d", store, rate)}
+	clients := dialBenchmarkClients(b, s.address)
+	for _, client := range clients {
+		m.send(client) // a warm-up
+	}
+	m.latencies = nil
+	b.ResetTimer()
+	started := time.Now()
+	m.run(clients, b.N, rate)
+	elapsed := time.Since(started)
+	b.StopTimer()
+	m.report(b, elapsed)
+	if s.recorder != nil {
+		batches, ops := s.recorder.Batches()
+		b.ReportMetric(float64(ops)/float64(max(batches, 1)), "ops/commit")
+	}
+	b.ReportMetric(0, "ns/op")
+}
+
+// startBenchmarkSidecar starts a sidecar, its servers and its store, which end with the
+// benchmark.
+func startBenchmarkSidecar(b *testing.B, store string) *testSidecar {
+	b.Helper()
+	servers, err := shop.NewWith(serversPerSidecar, func(_ *shop.Shop, _ string, writer http.ResponseWriter, request *http.Request) {
+		io.Copy(io.Discard, request.Body)
+		io.WriteString(writer, "registered")
 	})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer servers.Close()
-	p := &sidecarConfig{Servers: servers.Addrs(), MaxWait: 200 * time.Millisecond}
+	b.Cleanup(servers.Close)
+	config := &sidecarConfig{Servers: servers.Addrs(), MaxWait: 200 * time.Millisecond}
 	switch store {
 	case "sqlite", "sqlite-swept":
-		p.SweepAtOnce = store == "sqlite-swept"
-		p.SQLite = filepath.Join(b.TempDir(), "record.db")
+		config.SweepAtOnce = store == "sqlite-swept"
+		config.SQLite = filepath.Join(b.TempDir(), "record.db")
 	case "postgres":
-		pg, err := pgserver.Start(pgserver.Config{})
+		database, err := pgserver.Start(pgserver.Config{})
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer pg.Close()
-		p.Postgres = pg.URL()
+		b.Cleanup(func() { database.Close() })
+		config.Postgres = database.URL()
 	}
-	n, err := start(p, nil)
+	s, err := start(config, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer n.stop()
-	const clients = 64
-	var conns []*benchmarkClient
-	for range clients {
-		c, err := net.Dial("tcp", n.address)
+	b.Cleanup(s.stop)
+	return s
+}
+
+func dialBenchmarkClients(b *testing.B, address string) (clients []*benchmarkClient) {
+	b.Helper()
+	for range benchmarkClients {
+		connection, err := net.Dial("tcp", address)
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer c.Close()
-		conns = append(conns, &benchmarkClient{c, bufio.NewReader(c)})
+		b.Cleanup(func() { connection.Close() })
+		clients = append(clients, &benchmarkClient{connection, bufio.NewReader(connection)})
 	}
-	var mu sync.Mutex
-	var took []time.Duration
-	var bad, key atomic.Int64
-	one := func(c *benchmarkClient) {
-		began := time.Now()
-		status, err := c.ask(clientRequest{class: "id-register", key: fmt.Sprintf("%s-%d-%d", store, rate, key.Add(1)), body: "card 896210, buyer 3174"})
-		d := time.Since(began)
-		if err != nil || status != http.StatusOK {
-			bad.Add(1)
-		}
-		mu.Lock()
-		took = append(took, d)
-		mu.Unlock()
-	}
-	for _, c := range conns {
-		one(c) // warm
+	return clients
+}
+
+// measurement collects the latencies of a benchmark's requests.
+type measurement struct {
+	keyPrefix string
+	lastKey   atomic.Int64
+	notServed atomic.Int64
+
+	mu        sync.Mutex
+	latencies []time.Duration
+}
+
+// send sends one request with a new key.
+func (m *measurement) send(client *benchmarkClient) {
+	started := time.Now()
+	key := fmt.Sprintf("%s-%d", m.keyPrefix, m.lastKey.Add(1))
+	status, err := client.send(clientRequest{class: "id-register", key: key, body: "card 896210, buyer 3174"})
+	latency := time.Since(started)
+	if err != nil || status != http.StatusOK {
+		m.notServed.Add(1)
 	}
-	took = nil
-	b.ResetTimer()
-	began := time.Now()
+	m.mu.Lock()
+	m.latencies = append(m.latencies, latency)
+	m.mu.Unlock()
+}
+
+// run sends requests by all clients, at a rate a second or, at 0, as fast as they can.
+func (m *measurement) run(clients []*benchmarkClient, requests, rate int) {
 	var wg sync.WaitGroup
 	work := make(chan struct{}, 10000)
-	for _, c := range conns {
+	for _, client := range clients {
 		wg.Go(func() {
 			for range work {
-				one(c)
+				m.send(client)
 			}
 		})
 	}
-	for k := range b.N {
+	started := time.Now()
+	for n := range requests {
 		if rate > 0 {
-			time.Sleep(time.Until(began.Add(time.Duration(k) * time.Second / time.Duration(rate))))
+			time.Sleep(time.Until(started.Add(time.Duration(n) * time.Second / time.Duration(rate))))
 		}
 		work <- struct{}{}
 	}
 	close(work)
 	wg.Wait()
-	lasted := time.Since(began)
-	b.StopTimer()
-	slices.Sort(took)
-	b.ReportMetric(float64(len(took))/lasted.Seconds(), "req/s")
-	b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-µs")
-	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-µs")
-	b.ReportMetric(float64(bad.Load()), "not-served")
-	if n.recorder != nil {
-		batches, ops := n.recorder.Batches()
-		b.ReportMetric(float64(ops)/float64(max(batches, 1)), "ops/commit")
-	}
-	b.ReportMetric(0, "ns/op")
+}
+
+func (m *measurement) report(b *testing.B, elapsed time.Duration) {
+	slices.Sort(m.latencies)
+	b.ReportMetric(float64(len(m.latencies))/elapsed.Seconds(), "req/s")
+	b.ReportMetric(float64(m.latencies[len(m.latencies)/2].Microseconds()), "p50-µs")
+	b.ReportMetric(float64(m.latencies[len(m.latencies)*99/100].Microseconds()), "p99-µs")
+	b.ReportMetric(float64(m.notServed.Load()), "not-served")
 }
--- a/internal/idempotency/postgres/postgres_test.go
+++ b/internal/idempotency/postgres/postgres_test.go
@@ -151,7 +151,7 @@
 		return func(e pgserver.Event) pgserver.Fault { return f }
 	}
 	n := 0
-	for name, day := range map[string]struct {
+	for name, outage := range map[string]struct {
 		begin, end func()
 		want       string
 	}{
@@ -167,33 +167,10 @@
 		t.Run(name, func(t *testing.T) {
 			n++
 			key := fmt.Sprint("k", n)
-			day.begin()
-			began := time.Now()
-			short, cancel := context.WithTimeout(ctx, 2*time.Second)
-			err := s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
-			for range 3 { // a kept connection may fail otherwise first
-				if err != nil && !strings.Contains(err.Error(), day.want) {
-					err = s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
-				}
-			}
-			cancel()
-			if err == nil || !strings.Contains(err.Error(), day.want) || !strings.Contains(err.Error(), srv.Addr()) {
-				t.Errorf("%v; want it to say %q", err, day.want)
-			}
-			if took := time.Since(began); took > 10*time.Second {
-				t.Errorf("it took %v", took)
-			}
-			day.end()
-			deadline := time.Now().Add(20 * time.Second)
-			for {
-				op := bt.Claim(key, key, time.Hour)
-				if err = s.Apply(ctx, []*idempotency.Op{op}); err == nil && op.Result == idempotency.Granted {
-					return
-				}
-				if time.Now().After(deadline) {
-					t.Fatalf("it does not come back: %v %v", op.Result, err)
-				}
-			}
+			outage.begin()
+			checkReported(t, s, key, srv.Addr(), outage.want)
+			outage.end()
+			awaitClaim(t, s, key)
 		})
 	}
 	if err := s.Ping(ctx); err != nil {
@@ -205,6 +182,43 @@
 	}
 }
 
+// checkReported checks that a claim fails in time, with an error that names the server and
+// what is wrong.
+func checkReported(t *testing.T, s *Store, key, address, want string) {
+	t.Helper()
+	started := time.Now()
+	short, cancel := context.WithTimeout(ctx, 2*time.Second)
+	defer cancel()
+	err := s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
+	for range 3 { // a pooled connection may fail differently first
+		if err != nil && !strings.Contains(err.Error(), want) {
+			err = s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
+		}
+	}
+	if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), address) {
+		t.Errorf("%v; want it to say %q", err, want)
+	}
+	if elapsed := time.Since(started); elapsed > 10*time.Second {
+		t.Errorf("it took %v", elapsed)
+	}
+}
+
+// awaitClaim claims a key until that is granted.
+func awaitClaim(t *testing.T, s *Store, key string) {
+	t.Helper()
+	deadline := time.Now().Add(20 * time.Second)
+	for {
+		op := bt.Claim(key, key, time.Hour)
+		err := s.Apply(ctx, []*idempotency.Op{op})
+		if err == nil && op.Result == idempotency.Granted {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("it does not recover: %v %v", op.Result, err)
+		}
+	}
+}
+
 // TestPasswordAndBound checks that connections are bounded, and that the password is read
 // from its file for each.
 func TestPasswordAndBound(t *testing.T) {
