--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -27,7 +27,7 @@
 	Version = 1
 	// MaxFileSize is the longest file, in bytes: a snapshot and its envelope.
 	MaxFileSize = handover.MaxSnapshotSize + 4<<10
-	// MaxAge is how old a file may be; an older one is worth no more than none.
+	// MaxAge is how old a file may be; an older one is of no more use than none.
 	MaxAge = 24 * time.Hour
 
 	// maxClockError is how far in the future a file may be.
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -25,7 +25,7 @@
 const (
 	SendMessage   ActionType = iota
 	SendIDTable              // share a table of request ids with a peer, with the counts in flight if Message says so
-	SendListener             // SendMessage, with the listening sockets and the shared table beside it
+	SendListener             // SendMessage, with the listening sockets and the shared table
 	Drop                     // close the connection to a peer
 	Limit                    // keep to Quota from now on
 	Unpublish                // let no new process find this one from now on
@@ -35,7 +35,7 @@
 	OpenListener             // open a socket, which a predecessor may have open at the same address
 )
 
-// Action is what a machine asks its host to do. Actions are carried out in the order given.
+// Action is what a machine makes its host do. Actions are carried out in the order given.
 type Action struct {
 	Type    ActionType
 	To      int     // a peer, for SendMessage, SendIDTable, SendListener and Drop
--- a/internal/handover/idtable/idtable.go
+++ b/internal/handover/idtable/idtable.go
@@ -71,21 +71,21 @@
 		case place < 0:
 			t.overflowed.Add(1)
 			return true
-		case !atomic.CompareAndSwapUint64(t.wordAt(hash, place), previous, entry):
+		case !atomic.CompareAndSwapUint64(t.slot(hash, place), previous, entry):
 			continue // the word was taken meanwhile
 		}
 		// The same id may have been entered in another word meanwhile. Of two that enter
 		// before either searches again, at least one sees the other.
 		if _, _, known = t.find(hash, tag, now, place); known {
-			atomic.CompareAndSwapUint64(t.wordAt(hash, place), entry, 0)
+			atomic.CompareAndSwapUint64(t.slot(hash, place), entry, 0)
 			return false
 		}
 		return true
 	}
 }
 
-// wordAt is the word at a place of a hash, from 0 to maxProbes-1.
-func (t *Table) wordAt(hash uint64, place int) *uint64 {
+// slot is the word at a place of a hash, from 0 to maxProbes-1.
+func (t *Table) slot(hash uint64, place int) *uint64 {
 	return &t.words[(hash+uint64(place))&(Slots-1)]
 }
 
@@ -97,7 +97,7 @@
 		if place == except {
 			continue
 		}
-		word := atomic.LoadUint64(t.wordAt(hash, place))
+		word := atomic.LoadUint64(t.slot(hash, place))
 		switch live := isLive(word, now); {
 		case live && word&^timeMask == tag:
 			return -1, 0, true
--- a/internal/handover/link/connection.go
+++ b/internal/handover/link/connection.go
@@ -18,7 +18,7 @@
 	maxMessageBytes = 192 << 10
 	// sendTimeout bounds the sending of a message.
 	sendTimeout = 500 * time.Millisecond
-	// maxDescriptors is how many may come beside a message: listeners, and the locks of the
+	// maxDescriptors is how many may come with a message: listeners, and the locks of the
 	// rendezvous and the idempotency store, and the shared table.
 	maxDescriptors = handover.MaxListeners + 3
 	// descriptorBytes is the size of a descriptor in a control message.
@@ -31,7 +31,7 @@
 	writeMu sync.Mutex
 }
 
-// send sends a message, with descriptors beside it.
+// send sends a message, and passes descriptors with it.
 func (c *connection) send(message handover.Message, descriptors ...int) error {
 	data, err := json.Marshal(message)
 	if err != nil {
--- a/internal/handover/link/offer.go
+++ b/internal/handover/link/offer.go
@@ -10,7 +10,7 @@
 	"martendrum/internal/handover"
 )
 
-// offeredFiles is what came beside an offer: the listeners, the rendezvous' lock, the
+// offeredFiles is what came with an offer: the listeners, the rendezvous' lock, the
 // shared table where there is one, and the idempotency store's lock where there is one, in
 // this order.
 type offeredFiles struct {
@@ -35,7 +35,7 @@
 	}
 }
 
-// open opens what came beside an offer to a process that listens at an address. The caller
+// open opens what came with an offer to a process that listens at an address. The caller
 // closes the files and, also after an error, o. lockPath names the lock.
 func (o *offeredFiles) open(offer handover.Message, files []*os.File, listen, lockPath string) error {
 	listeners := max(1, offer.ListenerCount)
--- a/internal/handover/link/predecessor.go
+++ b/internal/handover/link/predecessor.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// sendListener sends an offer with what offeredFiles lists beside it.
+// sendListener sends an offer with the files that offeredFiles lists.
 func (p *PredecessorEnd) sendListener(action handover.Action) error {
 	to, offer := p.peers[action.To], action.Message
 	if to == nil {
--- a/internal/handover/link/rendezvous.go
+++ b/internal/handover/link/rendezvous.go
@@ -104,7 +104,7 @@
 	return r.lock != nil
 }
 
-// adoptLock takes over a lock that another process passed on.
+// adoptLock takes over a lock that another process sent.
 func (r *Rendezvous) adoptLock(lock *os.File) {
 	r.Close()
 	r.mu.Lock()
--- a/internal/handover/link/sharedtable.go
+++ b/internal/handover/link/sharedtable.go
@@ -12,7 +12,7 @@
 	"martendrum/internal/handover/idtable"
 )
 
-// SharedTable is a table of request ids in memory that both processes map and, beside it,
+// SharedTable is a table of request ids in memory that both processes map, and of
 // how many requests each has in flight.
 type SharedTable struct {
 	*idtable.Table
--- a/internal/handover/link/successor.go
+++ b/internal/handover/link/successor.go
@@ -40,7 +40,7 @@
 	mu            sync.Mutex  // guards the machine and all below
 	conn          *connection // to the predecessor; nil: none
 	passed        []*net.TCPListener
-	ownListener   *net.TCPListener
+	localListener *net.TCPListener
 	snapshot      []byte
 	table         *SharedTable // nil: none
 	storeLock     *os.File     // of the idempotency store, from the predecessor; nil: none
@@ -107,7 +107,7 @@
 	return s, nil
 }
 
-// attempt takes the lock, or asks its owner to hand over.
+// attempt takes the lock, or requests a hand-over from its owner.
 func (s *SuccessorEnd) attempt() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +174,7 @@
 	}
 }
 
-// handle handles a message and the files beside it. The caller holds the lock.
+// handle handles a message and the files that came with it. The caller holds the lock.
 func (s *SuccessorEnd) handle(message handover.Message, files []*os.File) error {
 	defer closeAll(files)
 	var offered offeredFiles
@@ -215,9 +215,9 @@
 			if err != nil {
 				return fmt.Errorf("listen: %w", err)
 			}
-			s.ownListener = listener
+			s.localListener = listener
 		case handover.TakeListener:
-			if s.ownListener != nil { // a silent predecessor has woken up
+			if s.localListener != nil { // a silent predecessor has woken up
 				s.lateListeners <- s.passed
 			}
 		case handover.Publish:
@@ -293,8 +293,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	listeners = append(listeners, s.passed...)
-	if s.ownListener != nil {
-		listeners = append(listeners, s.ownListener)
+	if s.localListener != nil {
+		listeners = append(listeners, s.localListener)
 	}
 	return listeners
 }
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -1,7 +1,7 @@
 package handover
 
 // Version is the protocol's version. A peer with another one is rejected; the successor
-// then opens a socket of its own beside the predecessor's.
+// then opens a socket of its own at the same address.
 const Version = 1
 
 // MaxListeners is how many sockets an offer may have: one, and another one for each
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -8,7 +8,7 @@
 	grantedQuota     Quota // to the successor
 	successor        int   // a peer; 0: none
 	successorServing bool
-	terminating      bool // this process has been told to end
+	terminating      bool // this process has received the signal to end
 	ownsStore        bool // it owns an idempotency store and can share that
 	snapshot         func() []byte
 	listen           string
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -12,7 +12,7 @@
 	ErrRejected     = errors.New("handover: refused")
 )
 
-// successorState is how a successor stands to its predecessor.
+// successorState is the state of a successor's hand-over.
 type successorState int
 
 const (
@@ -53,7 +53,7 @@
 
 // PredecessorSilent says that there is a predecessor that does not take part: it does
 // not answer, or can't. Both listen at the address then. This process keeps to half of the
-// limits: the predecessor can't be told to use less, but one that hangs takes no more.
+// limits: the predecessor can't be limited, but one that hangs takes no more.
 func (s *Successor) PredecessorSilent() []Action {
 	if s.state != awaitingOffer {
 		return nil
--- a/internal/idempotency/storeconfig/check.go
+++ b/internal/idempotency/storeconfig/check.go
@@ -18,7 +18,7 @@
 	minQueueBytes    = 64 << 10
 )
 
-// check checks the file by itself. Errors name the key; Load adds the file.
+// check checks the file without the settings. Errors name the key; Load adds the file.
 func (c *Config) check() error {
 	if err := c.checkStore(); err != nil {
 		return err
--- a/internal/pg/errors.go
+++ b/internal/pg/errors.go
@@ -16,7 +16,7 @@
 	ErrUnusable = errors.New("the database can't be used")
 )
 
-// The SQLSTATEs that are told apart.
+// The SQLSTATEs that are distinguished.
 const (
 	stateDiskFull             = "53100"
 	stateOutOfMemory          = "53200"
