--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -10,7 +10,7 @@
 //     predecessor stops accepting only once the successor serves and is still there.
 //   - There is one successor at a time; another one is rejected.
 //   - A predecessor that hangs is not waited for. If it wakes up, the hand-over continues
-//     and the successor serves on the predecessor's socket beside its own.
+//     and the successor serves on the predecessor's socket and its own.
 //
 // Where both processes support it, requests in flight are counted by both together in a
 // shared table. Quotas of a fixed size would be too small for one of them: a client whose
--- a/internal/handover/link/sharedtable.go
+++ b/internal/handover/link/sharedtable.go
@@ -12,8 +12,8 @@
 	"martendrum/internal/handover/idtable"
 )
 
-// SharedTable is a table of request ids in memory that both processes map, and of
-// how many requests each has in flight.
+// SharedTable is memory that both processes map: a table of request ids and the number of
+// requests that each has in flight.
 type SharedTable struct {
 	*idtable.Table
 	memory   []byte
