--- a/internal/checkpoint/compat_test.go
+++ b/internal/checkpoint/compat_test.go
@@ -14,14 +14,14 @@
 func filled() Checkpoint {
 	var c Checkpoint
 	goldentest.Fill(&c)
-	c.Name, c.Saved, c.Demand = "10.0.0.4:8081", now.Add(-time.Minute).UnixMilli(), 4.5
+	c.Name, c.SavedAt, c.Demand = "10.0.0.4:8081", now.Add(-time.Minute).UnixMilli(), 4.5
 	c.Learned.HedgeProbability, c.Learned.LostFraction, c.Learned.ShedLevel, c.Learned.AcceptedFraction = 0.2, 0.01, 0.3, 0.9
 	c.Learned.Servers[0].WeightCorrection = 1.5
 	return c
 }
 
-// A checkpoint that an earlier build wrote is read as it was meant, and written again byte
-// by byte.
+// TestCheckpointOfEarlierBuild checks that an earlier build's checkpoint is read with its
+// values and written again byte by byte.
 func TestCheckpointOfEarlierBuild(t *testing.T) {
 	const golden = "checkpoint.json"
 	path := filepath.Join(t.TempDir(), "checkpoint")
--- a/internal/idempotency/record_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -11,129 +11,159 @@
 	"pgregory.net/rapid"
 )
 
-// The machine against a world of sidecars that claim, send, stall, die and come back,
-// servers that run what they get, staff that settles truthfully, and a clock that
-// jumps. Whatever happens, no key's request runs twice, and what ran is never said
-// not to have.
+// TestNoKeyRunsTwice runs random sidecars that claim, send, stall, die and restart, servers
+// that run what they receive, staff that settles truthfully, and a clock that jumps. No
+// key's request may run twice, and none that ran may be said to never have.
 func TestNoKeyRunsTwice(t *testing.T) {
-	for range 20 { // what goes wrong takes several steps in their order: one check's runs are few
+	for range 20 { // a fault takes several steps in order, and one check has few runs
 		rapid.Check(t, noKeyRunsTwice)
 	}
 }
 
+// modelClaim is a claim that a sidecar of the model was granted.
+type modelClaim struct {
+	token  string
+	key    int
+	sends  int  // granted
+	unsent int  // of them, those of which no byte was sent yet
+	ran    bool // one of them ran
+	over   bool
+}
+
+func (c *modelClaim) op(kind OpKind) *Op {
+	return &Op{Kind: kind, Class: "c", Key: fmt.Sprint(c.key), Token: c.token, Owner: "o", Fingerprint: []byte{1}, Lease: time.Second}
+}
+
+// model is two keys' entries and what really happened.
+type model struct {
+	entries [2]Entry
+	runs    [2]int
+	claims  []*modelClaim
+	now     int64
+}
+
 func noKeyRunsTwice(t *rapid.T) {
-	type claim struct {
-		token  string
-		key    int
-		sends  int  // granted
-		unsent int  // of them, not a byte has gone out yet
-		ran    bool // one of them ran
-		over   bool
+	m := &model{now: 1_000_000}
+	t.Repeat(map[string]func(*rapid.T){
+		"claim":  m.claim,
+		"send":   m.send,
+		"run":    m.run,
+		"end":    m.end,
+		"die":    m.die,
+		"settle": m.settle,
+		"time":   m.advance,
+		"jump":   m.jump,
+		"":       m.check,
+	})
+}
+
+func (m *model) apply(key int, op *Op) { Apply(&m.entries[key], m.now, op) }
+
+func (m *model) pick(t *rapid.T) *modelClaim {
+	if len(m.claims) == 0 {
+		t.Skip("no claim")
 	}
-	var rows [2]Entry
-	var runs [2]int
-	var claims []*claim
-	now := int64(1_000_000)
-	pick := func() *claim {
-		if len(claims) == 0 {
-			t.Skip("no claim")
+	return m.claims[rapid.IntRange(0, len(m.claims)-1).Draw(t, "claim")]
+}
+
+func (m *model) claim(t *rapid.T) {
+	c := &modelClaim{token: fmt.Sprint(len(m.claims)), key: rapid.IntRange(0, 1).Draw(t, "key")}
+	op := c.op(Claim)
+	m.apply(c.key, op)
+	if op.Result == Granted {
+		m.claims = append(m.claims, c)
+	}
+}
+
+func (m *model) send(t *rapid.T) {
+	c := m.pick(t)
+	if c.over {
+		t.Skip("over")
+	}
+	op := c.op(Send)
+	op.Attempt, op.Server = c.sends, "s"
+	m.apply(c.key, op)
+	if op.Result == Granted && rapid.IntRange(0, 3).Draw(t, "heard of") > 0 {
+		c.sends++
+		c.unsent++
+	}
+}
+
+// run sends an attempt's bytes, however late: the sidecar may have stalled since. The
+// decision module retries a non-idempotent request only when those attempts before are known
+// not to have run, so that at most one of a claim's attempts runs.
+func (m *model) run(t *rapid.T) {
+	c := m.pick(t)
+	if c.unsent == 0 || c.ran {
+		t.Skip("nothing to run")
+	}
+	c.unsent--
+	c.ran = true
+	if m.runs[c.key]++; m.runs[c.key] > 1 {
+		t.Fatalf("key %d ran %d times", c.key, m.runs[c.key])
+	}
+}
+
+func (m *model) end(t *rapid.T) {
+	c := m.pick(t)
+	op := c.op(End)
+	switch {
+	case c.ran:
+		op.Outcome = rapid.SampledFrom([]State{Answered, MayHaveRun}).Draw(t, "to")
+	case c.unsent > 0: // cancelled before a byte was sent, or unknown
+		if rapid.Bool().Draw(t, "called off") {
+			c.unsent, op.Outcome = 0, NeverRan
+		} else {
+			op.Outcome = MayHaveRun
 		}
-		return claims[rapid.IntRange(0, len(claims)-1).Draw(t, "claim")]
+	default:
+		op.Outcome = NeverRan
 	}
-	op := func(c *claim, kind Kind) *Op {
-		return &Op{Kind: kind, Class: "c", Key: fmt.Sprint(c.key), Token: c.token, Owner: "o", Body: []byte{1}, Lease: time.Second}
+	if c.over = op.Outcome != MayHaveRun || c.over; c.over {
+		c.unsent = 0
+	}
+	m.apply(c.key, op)
+}
+
+// die ends a claim's owner with its bytes unsent; the entry lapses later.
+func (m *model) die(t *rapid.T) {
+	c := m.pick(t)
+	c.unsent, c.over = 0, true
+}
+
+func (m *model) settle(t *rapid.T) {
+	key := rapid.IntRange(0, 1).Draw(t, "key")
+	op := &Op{Kind: Settle, Class: "c", Key: fmt.Sprint(key), Outcome: NeverRan, SettledBy: "sari"}
+	if m.runs[key] > 0 {
+		op.Outcome = Answered
+	} else if slices.ContainsFunc(m.claims, func(c *modelClaim) bool { return c.key == key && c.unsent > 0 }) {
+		t.Skip("staff waits until the sidecar is known to have ended")
+	}
+	m.apply(key, op)
+}
+
+func (m *model) advance(t *rapid.T) {
+	m.now += rapid.Int64Range(0, 2).Draw(t, "s")*700_000 + rapid.Int64Range(0, 1000).Draw(t, "µs")
+}
+
+func (m *model) jump(t *rapid.T) {
+	if rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
+		t.Skip("not now")
+	}
+	m.now += rapid.Int64Range(-1e12, 1e12).Draw(t, "µs")
+}
+
+// check checks that no key ran whose entry says that it never did.
+func (m *model) check(t *rapid.T) {
+	for key := range m.entries {
+		if m.runs[key] > 0 && m.entries[key].State == NeverRan {
+			t.Fatalf("key %d ran and is said not to have: %+v", key, m.entries[key])
+		}
 	}
-	t.Repeat(map[string]func(*rapid.T){
-		"claim": func(t *rapid.T) {
-			c := &claim{token: fmt.Sprint(len(claims)), key: rapid.IntRange(0, 1).Draw(t, "key")}
-			o := op(c, Claim)
-			Apply(&rows[c.key], now, o)
-			if o.Result == Granted {
-				claims = append(claims, c)
-			}
-		},
-		"send": func(t *rapid.T) {
-			c := pick()
-			if c.over {
-				t.Skip("over")
-			}
-			o := op(c, Send)
-			o.Attempt, o.Server = c.sends, "s"
-			Apply(&rows[c.key], now, o)
-			if o.Result == Granted && rapid.IntRange(0, 3).Draw(t, "heard of") > 0 {
-				c.sends++
-				c.unsent++
-			}
-		},
-		// A byte goes out as late as it will: the sidecar may have stalled since. The
-		// decision module sends the next attempt of an unsafe request only when those
-		// before are known not to have run; so one of a claim's attempts runs at most.
-		"run": func(t *rapid.T) {
-			c := pick()
-			if c.unsent == 0 || c.ran {
-				t.Skip("nothing to run")
-			}
-			c.unsent--
-			c.ran = true
-			if runs[c.key]++; runs[c.key] > 1 {
-				t.Fatalf("key %d ran %d times", c.key, runs[c.key])
-			}
-		},
-		"end": func(t *rapid.T) {
-			c := pick()
-			o := op(c, End)
-			switch {
-			case c.ran:
-				o.To = rapid.SampledFrom([]State{Answered, MayHaveRun}).Draw(t, "to")
-			case c.unsent > 0: // called off before a byte, or not known
-				if rapid.Bool().Draw(t, "called off") {
-					c.unsent, o.To = 0, NeverRan
-				} else {
-					o.To = MayHaveRun
-				}
-			default:
-				o.To = NeverRan
-			}
-			if c.over = o.To != MayHaveRun || c.over; c.over {
-				c.unsent = 0
-			}
-			Apply(&rows[c.key], now, o)
-		},
-		"die": func(t *rapid.T) { // with its bytes unsent; its row lapses in time
-			c := pick()
-			c.unsent, c.over = 0, true
-		},
-		"settle": func(t *rapid.T) {
-			k := rapid.IntRange(0, 1).Draw(t, "key")
-			o := &Op{Kind: Settle, Class: "c", Key: fmt.Sprint(k), To: NeverRan, By: "sari"}
-			if runs[k] > 0 {
-				o.To = Answered
-			} else if slices.ContainsFunc(claims, func(c *claim) bool { return c.key == k && c.unsent > 0 }) {
-				t.Skip("staff waits until the sidecar is known to be gone")
-			}
-			Apply(&rows[k], now, o)
-		},
-		"time": func(t *rapid.T) {
-			now += rapid.Int64Range(0, 2).Draw(t, "s")*700_000 + rapid.Int64Range(0, 1000).Draw(t, "µs")
-		},
-		"jump": func(t *rapid.T) {
-			if rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
-				t.Skip("not now")
-			}
-			now += rapid.Int64Range(-1e12, 1e12).Draw(t, "µs")
-		},
-		"": func(t *rapid.T) {
-			for k := range rows {
-				if runs[k] > 0 && rows[k].State == NeverRan {
-					t.Fatalf("key %d ran and is said not to have: %+v", k, rows[k])
-				}
-			}
-		},
-	})
 }
 
-// Carried out twice, an op does what it does once: that is how a commit of unknown
-// outcome is resolved.
+// TestOpsAreIdempotent checks that an op that is applied again has no further effect, which
+// resolves a commit of unknown outcome.
 func TestOpsAreIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var row Entry
@@ -142,12 +172,12 @@
 			if rapid.Bool().Draw(t, "a new claim") {
 				n++
 			}
-			o := Op{Kind: Kind(rapid.IntRange(0, 3).Draw(t, "kind")), Class: "c", Key: "k", Token: fmt.Sprint(n), Owner: "o", Body: []byte{1},
+			o := Op{Kind: OpKind(rapid.IntRange(0, 3).Draw(t, "kind")), Class: "c", Key: "k", Token: fmt.Sprint(n), Owner: "o", Fingerprint: []byte{1},
 				Lease: time.Duration(rapid.IntRange(1, 5).Draw(t, "lease")) * time.Second, Attempt: rapid.IntRange(0, 3).Draw(t, "attempt"), Server: "s",
-				To: rapid.SampledFrom(States[1:]).Draw(t, "to"), Status: 200, Answer: []byte("a")}
+				Outcome: rapid.SampledFrom(States[1:]).Draw(t, "to"), Status: 200, Answer: []byte("a")}
 			Apply(&row, 5, &o)
 			once, again := row, o
-			again.Result = None
+			again.Result = NotApplied
 			Apply(&row, 6, &again)
 			if o.Kind == Settle { // a settlement says by its result whether it was the one
 				continue
@@ -177,7 +207,7 @@
 		{"json:/sim/obj", "", "neither"},
 		{"header:", "", "no rule"}, {"json:sim", "", "no rule"}, {"body", "", "no rule"}, {"header:a b", "", "no rule"},
 	} {
-		r, err := ParseRule(c.rule)
+		r, err := ParseKeyRule(c.rule)
 		got := ""
 		if err == nil {
 			got, err = r.Key(head, body)
@@ -189,7 +219,7 @@
 			t.Errorf("%s: %q %v; want %q %q", c.rule, got, err, c.want, c.err)
 		}
 	}
-	r, _ := ParseRule("json:/k")
+	r, _ := ParseKeyRule("json:/k")
 	for body, want := range map[string]string{`{"k":`: "no JSON", `{"k":"a"} {}`: "more than one", `{"k":"` + strings.Repeat("x", 300) + `"}`: "at most", `{"k":"a\u0000"}`: "UTF-8"} {
 		if _, err := r.Key(nil, []byte(body)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.20s: %v, want %q", body, err, want)
@@ -201,11 +231,11 @@
 	f.Add("json:/a/0", []byte("POST / HTTP/1.1\r\nA: b\r\n"), []byte(`{"a":["k"]}`))
 	f.Add("header:A", []byte("POST / HTTP/1.1\r\nA: b\r\n"), []byte{})
 	f.Fuzz(func(t *testing.T, rule string, head, body []byte) {
-		r, err := ParseRule(rule)
+		r, err := ParseKeyRule(rule)
 		if err != nil {
 			return
 		}
-		if key, err := r.Key(head, body); err == nil && (key == "" || len(key) > maxKey || strings.ContainsRune(key, 0)) {
+		if key, err := r.Key(head, body); err == nil && (key == "" || len(key) > maxKeyBytes || strings.ContainsRune(key, 0)) {
 			t.Errorf("key %q", key)
 		}
 	})
@@ -246,7 +276,7 @@
 		if from == 0 {
 			from = saved
 		}
-		if got := NewClock(c.saved, wall, keep).At(wall.Add(c.at)) - from; got != c.want {
+		if got := NewClock(c.saved, wall, keep).Time(wall.Add(c.at)) - from; got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
