--- a/internal/fleet/host/agent/agent.go
+++ b/internal/fleet/host/agent/agent.go
@@ -88,43 +88,43 @@
 // Agent is a running agent. One lock guards all it knows; the record is written
 // under it, so that memory and record never tell different stories for long.
 type Agent struct {
-	cfg      *Config
-	machine  Machine
-	releases *release.Dir
-	started  time.Time
-	flock    *os.File
-	rows     []distribution.Entry // of the record's settings, until the distribution has begun
-	id       string               // of the state folder, in the name of each launch
+	config         *Config
+	machine        Machine
+	releases       *release.Dir
+	started        time.Time
+	lockFile       *os.File
+	loadedSettings []distribution.Entry // of the record's settings, until the distribution has begun
+	stateID        string               // of the state folder, in the name of each launch
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu         sync.Mutex
-	store      store.Store
-	inst       map[string]*instance
-	names      []string // of inst, in the file's order
-	ops        map[string]*store.Operation
-	steps      map[stepKey]*api.Step
-	hands      map[string]bool      // releases that said that they hand over
-	heldAt     map[string]time.Time // of open staged operations: when somebody last held them
-	boundary   int64                // up to which figures were taken
-	leases     lease.Table
-	back       *comeback     // of the instances after a power loss; nil: all may start
-	settings   *subscription // nil: the host does not follow relays
-	relay      *node.Relay   // nil: the agent is none; set before it serves
-	change     int64
-	changed    chan struct{} // closed at the next change
-	unwritable string        // why the last write of the record failed
+	mu            sync.Mutex
+	store         store.Store
+	instances     map[string]*instance
+	instanceNames []string // of inst, in the file's order
+	operations    map[string]*store.Operation
+	steps         map[stepKey]*api.Step
+	canHandover   map[string]bool      // releases that said that they hand over
+	lastLeased    map[string]time.Time // of open staged operations: when somebody last held them
+	lastBoundary  int64                // up to which figures were taken
+	leases        lease.Table
+	powerReturn   *powerReturn  // of the instances after a power loss; nil: all may start
+	settings      *subscription // nil: the host does not follow relays
+	relay         *node.Relay   // nil: the agent is none; set before it serves
+	changeNumber  int64
+	changed       chan struct{} // closed at the next change
+	unwritable    string        // why the last write of the record failed
 }
 
 // New opens the state folder, reads the record and begins to look after the
 // instances. open opens the record at a path. Close ends it.
 func New(cfg *Config, m Machine, open func(path string) (store.Store, error)) (*Agent, error) {
 	a := &Agent{
-		cfg: cfg, machine: m, started: time.Now(),
-		inst: make(map[string]*instance), ops: make(map[string]*store.Operation), steps: make(map[stepKey]*api.Step),
-		hands: make(map[string]bool), heldAt: make(map[string]time.Time),
+		config: cfg, machine: m, started: time.Now(),
+		instances: make(map[string]*instance), operations: make(map[string]*store.Operation), steps: make(map[stepKey]*api.Step),
+		canHandover: make(map[string]bool), lastLeased: make(map[string]time.Time),
 		changed: make(chan struct{}),
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
@@ -133,41 +133,41 @@
 		if a.store != nil {
 			a.store.Close()
 		}
-		if a.flock != nil {
-			filelock.Release(a.flock)
+		if a.lockFile != nil {
+			filelock.Release(a.lockFile)
 		}
 		return nil, fmt.Errorf("agent %s: %w", cfg.Name, err)
 	}
-	if a.cfg.Metrics.Slot > 0 {
-		j, err := openJournal(a.figuresPath(), a.keepSlots()*max(1, len(a.names)), func(s api.Sample) {
-			if i := a.inst[s.Instance]; i != nil {
-				i.ring.add(s)
+	if a.config.Metrics.Slot > 0 {
+		j, err := openMetricsJournal(a.metricsPath(), a.retainedSlots()*max(1, len(a.instanceNames)), func(s api.Sample) {
+			if i := a.instances[s.Instance]; i != nil {
+				i.history.add(s)
 			}
 		})
 		if err != nil {
 			a.cancel()
 			a.store.Close()
-			filelock.Release(a.flock)
+			filelock.Release(a.lockFile)
 			return nil, fmt.Errorf("agent %s: figures: %w", cfg.Name, err)
 		}
-		a.wg.Go(func() { a.takeFigures(j) })
+		a.wg.Go(func() { a.collectMetrics(j) })
 	}
-	if err := a.startDistribution(a.rows); err != nil {
+	if err := a.startDistribution(a.loadedSettings); err != nil {
 		a.cancel()
 		a.wg.Wait()
 		if a.relay != nil {
 			a.relay.Close()
 		}
 		a.store.Close()
-		filelock.Release(a.flock)
+		filelock.Release(a.lockFile)
 		return nil, fmt.Errorf("agent %s: %w", cfg.Name, err)
 	}
-	a.rows = nil
-	for _, name := range a.names {
-		i := a.inst[name]
-		a.wg.Go(func() { a.run(i) })
+	a.loadedSettings = nil
+	for _, name := range a.instanceNames {
+		i := a.instances[name]
+		a.wg.Go(func() { a.superviseInstance(i) })
 	}
-	a.wg.Go(a.keep)
+	a.wg.Go(a.runHousekeeping)
 	return a, nil
 }
 
@@ -181,56 +181,56 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.store.Close()
-	filelock.Release(a.flock)
+	filelock.Release(a.lockFile)
 }
 
-// bump tells those who wait that something has changed.
-func (a *Agent) bump() {
-	a.change++
+// notifyChanged tells those who wait that something has changed.
+func (a *Agent) notifyChanged() {
+	a.changeNumber++
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// maxCommit is how long a write of the record may take.
-const maxCommit = 5 * time.Second
+// commitTimeout is how long a write of the record may take.
+const commitTimeout = 5 * time.Second
 
 // commit writes a change. On success it is for the caller to take it over into
 // memory, still under the lock.
 func (a *Agent) commit(c *store.Change) error {
 	if err := a.ctx.Err(); err != nil {
-		return api.Errorf(api.Unwritable, "agent %s is stopping", a.cfg.Name)
+		return api.Errorf(api.Unwritable, "agent %s is stopping", a.config.Name)
 	}
 	if len(c.Audit) > 0 {
-		c.AuditLimit = a.cfg.Limits.Audit
+		c.AuditLimit = a.config.Limits.Audit
 	}
-	ctx, cancel := context.WithTimeout(a.ctx, maxCommit)
+	ctx, cancel := context.WithTimeout(a.ctx, commitTimeout)
 	defer cancel()
 	if err := a.store.Commit(ctx, c); err != nil {
 		if a.unwritable == "" {
 			slog.Error("the record can't be written", "err", err)
 		}
 		a.unwritable = err.Error()
-		return api.Errorf(api.Unwritable, "agent %s: the record can't be written, so nothing was touched: %v", a.cfg.Name, err)
+		return api.Errorf(api.Unwritable, "agent %s: the record can't be written, so nothing was touched: %v", a.config.Name, err)
 	}
 	if a.unwritable != "" {
 		slog.Info("the record can be written again")
 	}
 	a.unwritable = ""
-	a.bump()
+	a.notifyChanged()
 	return nil
 }
 
-// told writes down what has happened already. Where that fails it stays in memory
+// persistOrMarkDirty writes down what has happened already. Where that fails it stays in memory
 // and is written with the next that can be: after a kill meanwhile, the processes
 // themselves tell.
-func (a *Agent) told(i *instance, s *api.Step) {
-	c := &store.Change{Instances: []store.Instance{i.row}}
+func (a *Agent) persistOrMarkDirty(i *instance, s *api.Step) {
+	c := &store.Change{Instances: []store.Instance{i.stored}}
 	if s != nil {
 		c.Steps = []api.Step{*s}
 	}
 	if a.commit(c) != nil {
 		i.dirty = true
-		a.bump()
+		a.notifyChanged()
 	}
 }
 
@@ -238,23 +238,23 @@
 func (a *Agent) StopAll(ctx context.Context) error {
 	a.mu.Lock()
 	c := &store.Change{Audit: []api.AuditEntry{{At: time.Now(), Who: "agent", What: "stop all", Result: "ok"}}}
-	for _, i := range a.inst {
-		row := i.row
+	for _, i := range a.instances {
+		row := i.stored
 		row.Desired = api.Stopped
 		c.Instances = append(c.Instances, row)
 	}
 	err := a.commit(c)
 	if err == nil {
 		for _, row := range c.Instances {
-			i := a.inst[row.Name]
-			i.row.Desired = api.Stopped
-			i.poke()
+			i := a.instances[row.Name]
+			i.stored.Desired = api.Stopped
+			i.wakeUp()
 		}
 	}
 	for err == nil {
 		running := 0
-		for _, i := range a.inst {
-			if i.life.Process() != 0 {
+		for _, i := range a.instances {
+			if i.supervisor.Process() != 0 {
 				running++
 			}
 		}
@@ -274,23 +274,23 @@
 	return err
 }
 
-// keepSlots is how many slots' figures are kept of each instance.
-func (a *Agent) keepSlots() int {
-	if a.cfg.Metrics.Slot <= 0 {
+// retainedSlots is how many slots' figures are kept of each instance.
+func (a *Agent) retainedSlots() int {
+	if a.config.Metrics.Slot <= 0 {
 		return 1
 	}
-	return int(a.cfg.Metrics.Retention/a.cfg.Metrics.Slot) + 2
+	return int(a.config.Metrics.Retention/a.config.Metrics.Slot) + 2
 }
 
 func (a *Agent) logPath(name string) string {
-	return filepath.Join(a.cfg.StateDir, "logs", name+".log")
+	return filepath.Join(a.config.StateDir, "logs", name+".log")
 }
 
-// meetPath is the folder in which an old process and a new one find each other.
-func (a *Agent) meetPath() string { return filepath.Join(a.cfg.StateDir, "meet") }
+// handoverPath is the folder in which an old process and a new one find each other.
+func (a *Agent) handoverPath() string { return filepath.Join(a.config.StateDir, "meet") }
 
 func (a *Agent) configPath(name string) string {
-	return filepath.Join(a.cfg.StateDir, "instances", name+".json")
+	return filepath.Join(a.config.StateDir, "instances", name+".json")
 }
 
 // random is a new name for a launch, a seed or the like.
--- a/internal/fleet/host/agent/config.go
+++ b/internal/fleet/host/agent/config.go
@@ -112,9 +112,9 @@
 	Labels map[string]string `toml:"labels"`
 	Stop   bool              `toml:"stopped"` // at first; later the record tells
 
-	listen string
-	door   string // of operators, "" for none
-	memory int    // its limit, MiB
+	listen        string
+	adminAddress  string // of operators, "" for none
+	memoryLimitMB int    // its limit, MiB
 }
 
 // Where an agent's record may be kept.
@@ -123,8 +123,8 @@
 	Postgres = "postgres"
 )
 
-// maxKeep is how many slots' figures are kept at most.
-const maxKeep = 2000
+// maxRetainedSlots is how many slots' figures are kept at most.
+const maxRetainedSlots = 2000
 
 // MaxInstances is how many sidecars one agent looks after.
 const MaxInstances = 256
@@ -245,8 +245,8 @@
 		return fmt.Errorf("limits.operations and audit must be 1 at least, releases 0")
 	case c.Metrics.Slot < 0 || c.Metrics.Slot > 0 && c.Metrics.Slot < quantity.Duration(200*time.Millisecond):
 		return fmt.Errorf("figures.slot: %v; 200ms at least, or 0s for none", time.Duration(c.Metrics.Slot))
-	case c.Metrics.Slot > 0 && (c.Metrics.Retention < c.Metrics.Slot || c.Metrics.Retention/c.Metrics.Slot > maxKeep):
-		return fmt.Errorf("figures.keep: %v; want 1 to %d slots of %v", time.Duration(c.Metrics.Retention), maxKeep, time.Duration(c.Metrics.Slot))
+	case c.Metrics.Slot > 0 && (c.Metrics.Retention < c.Metrics.Slot || c.Metrics.Retention/c.Metrics.Slot > maxRetainedSlots):
+		return fmt.Errorf("figures.keep: %v; want 1 to %d slots of %v", time.Duration(c.Metrics.Retention), maxRetainedSlots, time.Duration(c.Metrics.Slot))
 	case c.Recovery.MinWave < 0 || c.Recovery.WaveLongest < c.Recovery.MinWave || c.Recovery.WaveLongest > quantity.Duration(time.Hour):
 		return fmt.Errorf("recovery.wave_least and wave_longest: %v and %v; want 0 <= least <= longest <= 1h", time.Duration(c.Recovery.MinWave), time.Duration(c.Recovery.WaveLongest))
 	case c.Recovery.Checkpoint && !strings.Contains(c.Sidecar.Fleet, "return"):
@@ -300,7 +300,7 @@
 			return fmt.Errorf("instances %s and %s both listen on %s", other, i.Name, base.Listen)
 		}
 		i.listen, addrs[base.Listen] = base.Listen, i.Name
-		i.door, i.memory = doorOf(data)
+		i.adminAddress, i.memoryLimitMB = adminEndpoint(data)
 	}
 	return nil
 }
--- a/internal/fleet/host/agent/keep.go
+++ b/internal/fleet/host/agent/housekeeping.go
@@ -11,13 +11,13 @@
 	"martendrum/internal/fleet/store"
 )
 
-// keepInterval is how often the agent's own housekeeping is done.
-const keepInterval = time.Second
+// housekeepingInterval is how often the agent's own housekeeping is done.
+const housekeepingInterval = time.Second
 
-// keep writes what could not be written, ends operations that were aborted, and
+// runHousekeeping writes what could not be written, ends operations that were aborted, and
 // keeps the record, releases and logs within their bounds.
-func (a *Agent) keep() {
-	t := time.NewTicker(keepInterval)
+func (a *Agent) runHousekeeping() {
+	t := time.NewTicker(housekeepingInterval)
 	defer t.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -26,29 +26,29 @@
 		case <-t.C:
 		}
 		a.mu.Lock()
-		a.rewrite()
+		a.persistDirty()
 		a.endAborted()
-		a.alone(time.Now())
-		a.steady(time.Since(a.started))
+		a.rollBackUnattended(time.Now())
+		a.settlePowerReturn(time.Since(a.started))
 		var used []string
-		for _, i := range a.inst {
-			used = append(used, i.row.Release, i.row.Previous, i.row.Running, i.prevRow.Running)
+		for _, i := range a.instances {
+			used = append(used, i.stored.Release, i.stored.Previous, i.stored.Running, i.storedPrevious.Running)
 		}
-		for _, o := range a.ops {
+		for _, o := range a.operations {
 			if o.State != api.OpClosed {
 				used = append(used, o.Release)
 			}
 		}
-		maps.DeleteFunc(a.hands, func(release string, _ bool) bool { return !slices.Contains(used, release) })
+		maps.DeleteFunc(a.canHandover, func(release string, _ bool) bool { return !slices.Contains(used, release) })
 		a.mu.Unlock()
 		if n%30 == 29 {
-			if err := a.releases.Prune(used, a.cfg.Limits.Releases); err != nil {
+			if err := a.releases.Prune(used, a.config.Limits.Releases); err != nil {
 				slog.Warn("old releases stay", "err", err)
 			}
 		}
 		if n%5 == 4 {
-			for _, name := range a.names {
-				if err := proc.Rotate(a.logPath(name), int64(a.cfg.Limits.Log)); err != nil {
+			for _, name := range a.instanceNames {
+				if err := proc.Rotate(a.logPath(name), int64(a.config.Limits.Log)); err != nil {
 					slog.Warn("log not rotated", "instance", name, "err", err)
 				}
 			}
@@ -56,28 +56,28 @@
 	}
 }
 
-// rewrite writes all that the record may lack.
-func (a *Agent) rewrite() {
+// persistDirty writes all that the record may lack.
+func (a *Agent) persistDirty() {
 	c := &store.Change{}
-	for _, i := range a.inst {
+	for _, i := range a.instances {
 		if i.dirty {
-			c.Instances = append(c.Instances, i.row)
+			c.Instances = append(c.Instances, i.stored)
 			c.Settings = append(c.Settings, i.settingsRows()...)
 			for _, s := range a.steps {
-				if s.Instance == i.cfg.Name {
+				if s.Instance == i.config.Name {
 					c.Steps = append(c.Steps, *s)
 				}
 			}
 		}
 	}
-	if len(c.Instances) == 0 && a.unwritable == "" || len(a.names) == 0 {
+	if len(c.Instances) == 0 && a.unwritable == "" || len(a.instanceNames) == 0 {
 		return
 	}
 	if len(c.Instances) == 0 { // is it writable again?
-		c.Instances = append(c.Instances, a.inst[a.names[0]].row)
+		c.Instances = append(c.Instances, a.instances[a.instanceNames[0]].stored)
 	}
 	if a.commit(c) == nil {
-		for _, i := range a.inst {
+		for _, i := range a.instances {
 			i.dirty = false
 		}
 	}
@@ -86,16 +86,16 @@
 // endAborted closes operations that are to end, once nothing of them runs and
 // nobody holds them.
 func (a *Agent) endAborted() {
-	for _, o := range a.ops {
-		if o.State == api.OpAborting && !a.held(o.ID, time.Now()) && !a.busy(o.ID) {
-			if err := a.closeOp(o, "aborted", "agent"); err != nil {
+	for _, o := range a.operations {
+		if o.State == api.OpAborting && !a.isLeased(o.ID, time.Now()) && !a.hasRunningStep(o.ID) {
+			if err := a.closeOperation(o, "aborted", "agent"); err != nil {
 				return
 			}
 		}
 	}
 }
 
-func (a *Agent) held(op string, now time.Time) bool {
+func (a *Agent) isLeased(op string, now time.Time) bool {
 	for _, l := range a.leases.ByInstance {
 		if l.Op == op && l.Live(now) {
 			return true
@@ -104,8 +104,8 @@
 	return false
 }
 
-func (a *Agent) busy(op string) bool {
-	for _, i := range a.inst {
+func (a *Agent) hasRunningStep(op string) bool {
+	for _, i := range a.instances {
 		if i.step != nil && i.step.Op == op {
 			return true
 		}
@@ -113,8 +113,8 @@
 	return false
 }
 
-// closeOp ends an operation and its leases here, and forgets the oldest.
-func (a *Agent) closeOp(o *store.Operation, result, who string) error {
+// closeOperation ends an operation and its leases here, and forgets the oldest.
+func (a *Agent) closeOperation(o *store.Operation, result, who string) error {
 	now := time.Now()
 	next := *o
 	next.State, next.Result, next.Closed = api.OpClosed, result, now
@@ -126,13 +126,13 @@
 		}
 	}
 	var closed []*store.Operation
-	for _, x := range a.ops {
+	for _, x := range a.operations {
 		if x.State == api.OpClosed {
 			closed = append(closed, x)
 		}
 	}
 	slices.SortFunc(closed, func(x, y *store.Operation) int { return x.Closed.Compare(y.Closed) })
-	for len(closed) >= a.cfg.Limits.Operations {
+	for len(closed) >= a.config.Limits.Operations {
 		c.DropOperations = append(c.DropOperations, closed[0].ID)
 		closed = closed[1:]
 	}
@@ -142,7 +142,7 @@
 	*o = next
 	a.leases.Put(c.Leases)
 	for _, id := range c.DropOperations {
-		delete(a.ops, id)
+		delete(a.operations, id)
 		for k := range a.steps {
 			if k.op == id {
 				delete(a.steps, k)
--- a/internal/fleet/host/agent/instance.go
+++ b/internal/fleet/host/agent/instance.go
@@ -23,40 +23,40 @@
 )
 
 const (
-	// maxHealth is how long a health call may take.
-	maxHealth = 800 * time.Millisecond
-	// closeInterval is how often an instance is looked at while it starts or changes.
-	closeInterval = 50 * time.Millisecond
+	// healthTimeout is how long a health call may take.
+	healthTimeout = 800 * time.Millisecond
+	// activeInterval is how often an instance is looked at while it starts or changes.
+	activeInterval = 50 * time.Millisecond
 	// retryInterval is how soon what the record kept from being done is tried again.
 	retryInterval = time.Second
-	// hupAfter is the least age of a process that gets SIGHUP: a sidecar that has
+	// minReloadAge is the least age of a process that gets SIGHUP: a sidecar that has
 	// just begun may not listen for it yet, and would end.
-	hupAfter = 1200 * time.Millisecond
-	// hupWithin is how soon a sidecar must tell that it runs a new configuration.
-	hupWithin = 5 * time.Second
+	minReloadAge = 1200 * time.Millisecond
+	// reloadTimeout is how soon a sidecar must tell that it runs a new configuration.
+	reloadTimeout = 5 * time.Second
 )
 
 // instance is one sidecar. Its goroutine, run, alone moves life and proc; the
 // agent's lock guards them all the same, for those who look.
 type instance struct {
-	cfg  InstanceConfig
-	wake chan struct{}
+	config InstanceConfig
+	wake   chan struct{}
 
-	row    store.Instance
-	life   *supervisor.Supervisor
-	proc   *Process
-	step   *api.Step // under way, nil for none
-	dirty  bool      // the record may lack its row or steps
-	gone   int64     // generation of a process that ended on its own, the latest
-	sum    string    // of the configuration that the process says it runs
-	record string    // how it says that its store of record does
-	hands  bool      // it says that it can hand over
-	late   string    // why a new process beside an old one is to be given up
+	stored           store.Instance
+	supervisor       *supervisor.Supervisor
+	process          *Process
+	step             *api.Step // under way, nil for none
+	dirty            bool      // the record may lack its row or steps
+	exitedGeneration int64     // generation of a process that ended on its own, the latest
+	configHash       string    // of the configuration that the process says it runs
+	recordState      string    // how it says that its store of record does
+	canHandover      bool      // it says that it can hand over
+	abandonReason    string    // why a new process beside an old one is to be given up
 
-	ring ring // of its figures
+	history sampleHistory // of its figures
 
-	prev    *Process       // the process being replaced, nil for none
-	prevRow store.Instance // the row as it told of prev
+	previous       *Process       // the process being replaced, nil for none
+	storedPrevious store.Instance // the row as it told of prev
 
 	applier *distribution.Applier // of distributed settings; nil: the host does not subscribe
 	attempt *settingsAttempt      // of the applier, nil for none
@@ -68,60 +68,60 @@
 	// pendingReported says that the relay was told of settings that the instance waits for.
 	pendingReported bool
 
-	wantSum string    // of the configuration last written for it
-	hupAt   time.Time // of the step's SIGHUP
-	retryAt time.Time
+	writtenConfigHash string    // of the configuration last written for it
+	reloadSentAt      time.Time // of the step's SIGHUP
+	launchRetryAt     time.Time
 }
 
-func (i *instance) poke() {
+func (i *instance) wakeUp() {
 	select {
 	case i.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run looks after one instance until the agent ends.
-func (a *Agent) run(i *instance) {
+// superviseInstance looks after one instance until the agent ends.
+func (a *Agent) superviseInstance(i *instance) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var healthAt time.Time
 	for first := true; ; first = false {
 		a.mu.Lock()
 		now := time.Now()
-		if first && i.gone != 0 && i.proc == nil && i.row.Desired == api.Running && i.gone == i.row.Generation {
+		if first && i.exitedGeneration != 0 && i.process == nil && i.stored.Desired == api.Running && i.exitedGeneration == i.stored.Generation {
 			// It ended while nobody looked: a crash like another.
-			i.life.Want(now, true, i.row.Generation)
-			i.life.Adopt(now, i.gone)
-			i.life.Exited(now, i.row.LastExit)
+			i.supervisor.Want(now, true, i.stored.Generation)
+			i.supervisor.Adopt(now, i.exitedGeneration)
+			i.supervisor.Exited(now, i.stored.LastExit)
 		}
-		i.life.SetSideBySide(a.beside(i))
-		kinds := i.life.Want(now, i.row.Desired == api.Running, i.row.Generation)
-		if i.late != "" {
-			kinds = append(kinds, i.life.GiveUp(now, i.late)...)
-			i.late = ""
+		i.supervisor.SetSideBySide(a.sideBySide(i))
+		kinds := i.supervisor.Want(now, i.stored.Desired == api.Running, i.stored.Generation)
+		if i.abandonReason != "" {
+			kinds = append(kinds, i.supervisor.GiveUp(now, i.abandonReason)...)
+			i.abandonReason = ""
 		}
-		held := a.back.holds(now.Sub(a.started), i)
-		if now.Before(i.retryAt) || held {
+		held := a.powerReturn.mustWait(now.Sub(a.started), i)
+		if now.Before(i.launchRetryAt) || held {
 			kinds = withoutLaunch(kinds) // asked for again then
 		}
 		a.mu.Unlock()
-		a.act(i, kinds)
-		a.observe(i)
+		a.carryOut(i, kinds)
+		a.checkStep(i)
 		settingsDue := a.applySettings(i)
 
 		a.mu.Lock()
-		p, next := i.proc, i.life.Next()
-		near := held || i.step != nil || i.attempt != nil || i.life.Phase() == supervisor.Starting
+		p, next := i.process, i.supervisor.Next()
+		near := held || i.step != nil || i.attempt != nil || i.supervisor.Phase() == supervisor.Starting
 		a.mu.Unlock()
 		if p != nil && !time.Now().Before(healthAt) {
 			a.health(i, p)
-			each := time.Duration(a.cfg.Limits.HealthInterval)
+			each := time.Duration(a.config.Limits.HealthInterval)
 			each = each*9/10 + rand.N(each/5) // so that many agents' instances don't fall into step
 			if near {
-				each = min(each, closeInterval)
+				each = min(each, activeInterval)
 			}
 			healthAt = time.Now().Add(each)
-			a.observe(i)
+			a.checkStep(i)
 			settingsDue = a.applySettings(i)
 		}
 		wait := time.Hour
@@ -136,14 +136,14 @@
 			until(healthAt)
 		}
 		if near {
-			wait = min(wait, closeInterval)
+			wait = min(wait, activeInterval)
 		}
-		if time.Now().Before(i.retryAt) {
-			until(i.retryAt)
+		if time.Now().Before(i.launchRetryAt) {
+			until(i.launchRetryAt)
 		}
 		timer.Reset(wait)
 		a.mu.Lock()
-		prev := i.prev
+		prev := i.previous
 		a.mu.Unlock()
 		var done, prevDone <-chan struct{}
 		if p != nil {
@@ -159,16 +159,16 @@
 			healthAt = time.Time{}
 		case <-timer.C:
 		case <-done:
-			a.act(i, a.exited(i, p))
+			a.carryOut(i, a.processExited(i, p))
 			healthAt = time.Time{}
 		case <-prevDone:
-			a.act(i, a.oldExited(i, prev))
+			a.carryOut(i, a.previousExited(i, prev))
 		}
 	}
 }
 
-// act carries out what life asks for.
-func (a *Agent) act(i *instance, kinds []supervisor.Kind) {
+// carryOut carries out what life asks for.
+func (a *Agent) carryOut(i *instance, kinds []supervisor.Kind) {
 	for len(kinds) > 0 {
 		k := kinds[0]
 		kinds = kinds[1:]
@@ -176,68 +176,68 @@
 		case supervisor.Launch:
 			kinds = append(kinds, a.launch(i)...)
 		case supervisor.Term:
-			a.signal(i, i.proc, syscall.SIGTERM)
+			a.signal(i, i.process, syscall.SIGTERM)
 		case supervisor.Kill:
-			a.signal(i, i.proc, syscall.SIGKILL)
+			a.signal(i, i.process, syscall.SIGKILL)
 		case supervisor.TermOld:
-			a.signal(i, i.prev, syscall.SIGTERM)
+			a.signal(i, i.previous, syscall.SIGTERM)
 		case supervisor.KillOld:
-			a.signal(i, i.prev, syscall.SIGKILL)
+			a.signal(i, i.previous, syscall.SIGKILL)
 		}
 	}
 }
 
 func (a *Agent) signal(i *instance, p *Process, sig syscall.Signal) {
 	if err := p.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		slog.Error("signal failed", "instance", i.cfg.Name, "signal", sig, "err", err)
+		slog.Error("signal failed", "instance", i.config.Name, "signal", sig, "err", err)
 	}
 	a.mu.Lock()
-	a.bump()
+	a.notifyChanged()
 	a.mu.Unlock()
 }
 
-// beside says whether a new generation of i may start beside its process: for an
+// sideBySide says whether a new generation of i may start beside its process: for an
 // upgrade, where that one says that it hands over. Whether the new release does shows
 // when it is tried; a way back is only taken beside what serves where that is known.
-func (a *Agent) beside(i *instance) bool {
+func (a *Agent) sideBySide(i *instance) bool {
 	s := i.step
-	return a.cfg.Sidecar.HandOver && i.hands && s != nil &&
-		(s.Action == api.ActUpgrade && s.Kind == api.Change || (s.Action == api.ActUpgrade || s.Action == api.ActRollback) && a.hands[i.row.Release])
+	return a.config.Sidecar.HandOver && i.canHandover && s != nil &&
+		(s.Action == api.ActUpgrade && s.Kind == api.Change || (s.Action == api.ActUpgrade || s.Action == api.ActRollback) && a.canHandover[i.stored.Release])
 }
 
-// putBack makes the process that was being replaced the instance's again, and the row's.
-func (i *instance) putBack() {
-	row, old := &i.row, &i.prevRow
+// restorePrevious makes the process that was being replaced the instance's again, and the row's.
+func (i *instance) restorePrevious() {
+	row, old := &i.stored, &i.storedPrevious
 	row.Launch, row.Process, row.Running, row.PID, row.Ticks, row.Boot, row.Launched =
 		old.Launch, old.Process, old.Running, old.PID, old.Ticks, old.Boot, old.Launched
-	i.proc, i.prev, i.prevRow = i.prev, nil, store.Instance{}
+	i.process, i.previous, i.storedPrevious = i.previous, nil, store.Instance{}
 }
 
 // launch starts a process of the wanted generation: it is written down first, and
 // carries a name by which it is found if what follows can't be.
 func (a *Agent) launch(i *instance) []supervisor.Kind {
 	a.mu.Lock()
-	row := i.row
-	if row.Generation != i.life.Generation() || row.Desired != api.Running {
+	row := i.stored
+	if row.Generation != i.supervisor.Generation() || row.Desired != api.Running {
 		a.mu.Unlock() // it has changed since: the next round sees
-		i.poke()
+		i.wakeUp()
 		return nil
 	}
-	row.Launch = fmt.Sprintf("%s/%s/%d/%s.%s", a.cfg.Name, row.Name, row.Generation, a.id, random())
-	if i.gone == row.Generation {
+	row.Launch = fmt.Sprintf("%s/%s/%d/%s.%s", a.config.Name, row.Name, row.Generation, a.stateID, random())
+	if i.exitedGeneration == row.Generation {
 		row.Restarts++
 	}
 	row.Process, row.Running, row.PID, row.Ticks, row.Boot = row.Generation, row.Release, 0, 0, ""
 	row.Launched = time.Now()
 	if err := a.commit(&store.Change{Instances: []store.Instance{row}}); err != nil {
-		i.retryAt = time.Now().Add(retryInterval)
+		i.launchRetryAt = time.Now().Add(retryInterval)
 		a.mu.Unlock()
 		return nil
 	}
-	if i.proc != nil { // beside it
-		i.prev, i.prevRow = i.proc, i.row
+	if i.process != nil { // beside it
+		i.previous, i.storedPrevious = i.process, i.stored
 	}
-	i.row = row
+	i.stored = row
 	a.mu.Unlock()
 
 	p, err := a.start(i, row)
@@ -246,22 +246,22 @@
 	defer a.mu.Unlock()
 	now := time.Now()
 	if err != nil {
-		i.row.Launch, i.row.Process, i.row.Running = "", 0, ""
-		i.row.LastExit = err.Error()
-		if i.prev != nil {
-			i.putBack()
+		i.stored.Launch, i.stored.Process, i.stored.Running = "", 0, ""
+		i.stored.LastExit = err.Error()
+		if i.previous != nil {
+			i.restorePrevious()
 		} else {
-			i.gone = row.Generation
+			i.exitedGeneration = row.Generation
 		}
-		kinds := i.life.LaunchFailed(now, err.Error())
-		a.told(i, nil)
+		kinds := i.supervisor.LaunchFailed(now, err.Error())
+		a.persistOrMarkDirty(i, nil)
 		return kinds
 	}
-	i.proc, i.sum, i.record, i.hands = p, "", "", false
-	i.programStarted(i.row.Running, now)
-	i.row.PID, i.row.Ticks, i.row.Boot = p.PID, p.Ticks, a.machine.Boot()
-	kinds := i.life.Launched(now)
-	a.told(i, nil)
+	i.process, i.configHash, i.recordState, i.canHandover = p, "", "", false
+	i.programStarted(i.stored.Running, now)
+	i.stored.PID, i.stored.Ticks, i.stored.Boot = p.PID, p.Ticks, a.machine.Boot()
+	kinds := i.supervisor.Launched(now)
+	a.persistOrMarkDirty(i, nil)
 	return kinds
 }
 
@@ -273,18 +273,18 @@
 	if err := a.configure(i, row.Release, random()); err != nil {
 		return nil, err
 	}
-	env := append(os.Environ(), "BALANCER_NAME="+row.Name, "BALANCER_LISTEN="+i.cfg.listen, "BALANCER_CONFIG="+a.configPath(row.Name),
-		"MARTENDRUM_RECORD="+i.cfg.Record, "MARTENDRUM_FLEET="+a.cfg.Sidecar.Fleet) // also where it has none: not the agent's own
-	if a.cfg.Sidecar.HandOver {
-		env = append(env, "TMPDIR="+a.meetPath())
+	env := append(os.Environ(), "BALANCER_NAME="+row.Name, "BALANCER_LISTEN="+i.config.listen, "BALANCER_CONFIG="+a.configPath(row.Name),
+		"MARTENDRUM_RECORD="+i.config.Record, "MARTENDRUM_FLEET="+a.config.Sidecar.Fleet) // also where it has none: not the agent's own
+	if a.config.Sidecar.HandOver {
+		env = append(env, "TMPDIR="+a.handoverPath())
 	}
 	keep := ""
-	if a.cfg.Recovery.Checkpoint {
-		keep = filepath.Join(a.cfg.StateDir, "instances", row.Name+".checkpoint")
+	if a.config.Recovery.Checkpoint {
+		keep = filepath.Join(a.config.StateDir, "instances", row.Name+".checkpoint")
 	}
 	env = append(env, "MARTENDRUM_CHECKPOINT="+keep)
 	return a.machine.Start(proc.Spec{
-		Launch: row.Launch, Path: a.releases.Path(row.Release, release.Sidecar), Dir: a.cfg.StateDir, Env: env, Log: a.logPath(row.Name),
+		Launch: row.Launch, Path: a.releases.Path(row.Release, release.Sidecar), Dir: a.config.StateDir, Env: env, Log: a.logPath(row.Name),
 	})
 }
 
@@ -304,7 +304,7 @@
 // configureWith writes an instance's configuration with the given distributed settings, and
 // returns its sum.
 func (a *Agent) configureWith(i *instance, hash string, settings []distribution.Resource, seed string) (sum string, err error) {
-	base, err := os.ReadFile(i.cfg.Config)
+	base, err := os.ReadFile(i.config.Config)
 	if err != nil {
 		return "", err
 	}
@@ -316,18 +316,18 @@
 	if err != nil {
 		return "", err
 	}
-	if err := writeFile(a.configPath(i.cfg.Name), data); err != nil {
+	if err := writeFile(a.configPath(i.config.Name), data); err != nil {
 		return "", err
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	i.wantSum = fmt.Sprintf("%x", sha256.Sum256(data))
-	return i.wantSum, nil
+	i.writtenConfigHash = fmt.Sprintf("%x", sha256.Sum256(data))
+	return i.writtenConfigHash, nil
 }
 
 // health makes a health call and takes what it tells.
 func (a *Agent) health(i *instance, p *Process) {
-	says, err := a.machine.Health(a.ctx, i.cfg.listen, maxHealth)
+	says, err := a.machine.Health(a.ctx, i.config.listen, healthTimeout)
 	why := ""
 	if err != nil {
 		why = err.Error()
@@ -339,69 +339,69 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if i.proc != p || a.ctx.Err() != nil {
+	if i.process != p || a.ctx.Err() != nil {
 		return
 	}
-	if err == nil && i.prev != nil && says.Launch != i.row.Launch {
+	if err == nil && i.previous != nil && says.Launch != i.stored.Launch {
 		return // the one being replaced: both take clients for a while
 	}
-	before := i.life.Phase()
-	i.life.Health(time.Now(), err == nil, why)
+	before := i.supervisor.Phase()
+	i.supervisor.Health(time.Now(), err == nil, why)
 	if err == nil {
-		i.sum, i.record, i.hands = says.ConfigSum, says.Record, says.Launch != ""
-		a.hands[i.row.Running] = i.hands
+		i.configHash, i.recordState, i.canHandover = says.ConfigSum, says.Record, says.Launch != ""
+		a.canHandover[i.stored.Running] = i.canHandover
 	}
-	if i.life.Phase() != before {
-		a.bump()
+	if i.supervisor.Phase() != before {
+		a.notifyChanged()
 	}
 }
 
-// exited takes a process's end, and returns what to do at once.
-func (a *Agent) exited(i *instance, p *Process) []supervisor.Kind {
+// processExited takes a process's end, and returns what to do at once.
+func (a *Agent) processExited(i *instance, p *Process) []supervisor.Kind {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if i.proc != p {
+	if i.process != p {
 		return nil
 	}
 	now := time.Now()
 	how := p.Exit()
-	if i.prev != nil {
-		slog.Warn("a new process ended while the one before it was there", "instance", i.cfg.Name, "pid", p.PID, "how", how)
-		i.putBack()
-		i.row.LastExit, i.sum, i.hands = how, "", true
-		kinds := i.life.Exited(now, how)
-		a.told(i, nil)
-		return i.ended(kinds)
-	}
-	if i.life.Phase() != supervisor.Draining {
-		i.gone = i.row.Process
-		slog.Warn("sidecar ended on its own", "instance", i.cfg.Name, "pid", p.PID, "how", how)
-	}
-	i.proc, i.sum, i.record = nil, "", ""
-	i.row.Launch, i.row.PID, i.row.Process, i.row.Running, i.row.LastExit = "", 0, 0, "", how
-	kinds := i.life.Exited(now, how)
-	a.told(i, nil)
-	return i.ended(kinds)
+	if i.previous != nil {
+		slog.Warn("a new process ended while the one before it was there", "instance", i.config.Name, "pid", p.PID, "how", how)
+		i.restorePrevious()
+		i.stored.LastExit, i.configHash, i.canHandover = how, "", true
+		kinds := i.supervisor.Exited(now, how)
+		a.persistOrMarkDirty(i, nil)
+		return i.afterExit(kinds)
+	}
+	if i.supervisor.Phase() != supervisor.Draining {
+		i.exitedGeneration = i.stored.Process
+		slog.Warn("sidecar ended on its own", "instance", i.config.Name, "pid", p.PID, "how", how)
+	}
+	i.process, i.configHash, i.recordState = nil, "", ""
+	i.stored.Launch, i.stored.PID, i.stored.Process, i.stored.Running, i.stored.LastExit = "", 0, 0, "", how
+	kinds := i.supervisor.Exited(now, how)
+	a.persistOrMarkDirty(i, nil)
+	return i.afterExit(kinds)
 }
 
-// oldExited takes the end of a process that was being replaced.
-func (a *Agent) oldExited(i *instance, p *Process) []supervisor.Kind {
+// previousExited takes the end of a process that was being replaced.
+func (a *Agent) previousExited(i *instance, p *Process) []supervisor.Kind {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if i.prev != p {
+	if i.previous != p {
 		return nil
 	}
-	i.row.LastExit = p.Exit()
-	i.prev, i.prevRow = nil, store.Instance{}
-	kinds := i.life.OldExited(time.Now())
-	a.told(i, nil)
-	return i.ended(kinds)
+	i.stored.LastExit = p.Exit()
+	i.previous, i.storedPrevious = nil, store.Instance{}
+	kinds := i.supervisor.OldExited(time.Now())
+	a.persistOrMarkDirty(i, nil)
+	return i.afterExit(kinds)
 }
 
-// ended is what to do at once after a process's end: all but launches, which are left to
+// afterExit is what to do at once after a process's end: all but launches, which are left to
 // the next round. That asks with what is wanted by then.
-func (i *instance) ended(kinds []supervisor.Kind) []supervisor.Kind {
-	i.poke()
+func (i *instance) afterExit(kinds []supervisor.Kind) []supervisor.Kind {
+	i.wakeUp()
 	return withoutLaunch(kinds)
 }
 
@@ -409,11 +409,11 @@
 	return slices.DeleteFunc(kinds, func(k supervisor.Kind) bool { return k == supervisor.Launch })
 }
 
-// observe sees whether the step under way has come to its end.
-func (a *Agent) observe(i *instance) {
+// checkStep sees whether the step under way has come to its end.
+func (a *Agent) checkStep(i *instance) {
 	a.mu.Lock()
 	s := i.step
-	if s == nil || i.life.Generation() != i.row.Generation || i.life.Wanted() != (i.row.Desired == api.Running) {
+	if s == nil || i.supervisor.Generation() != i.stored.Generation || i.supervisor.Wanted() != (i.stored.Desired == api.Running) {
 		a.mu.Unlock()
 		return
 	}
@@ -423,14 +423,14 @@
 		return
 	}
 	defer a.mu.Unlock()
-	a.judge(i, s, time.Now())
+	a.evaluateStep(i, s, time.Now())
 }
 
-func (a *Agent) judge(i *instance, s *api.Step, now time.Time) {
-	l := i.life
-	if i.row.Desired != api.Running {
+func (a *Agent) evaluateStep(i *instance, s *api.Step, now time.Time) {
+	l := i.supervisor
+	if i.stored.Desired != api.Running {
 		if l.Process() == 0 {
-			a.end(i, s, true, i.row.LastExit)
+			a.endStep(i, s, true, i.stored.LastExit)
 		}
 		return
 	}
@@ -441,28 +441,28 @@
 	failed, how := l.Failed()
 	switch {
 	case l.Old() != 0 && l.Phase() == supervisor.Ready: // the one before it still ends
-	case l.Old() != 0 && l.Phase() == supervisor.Starting && now.Sub(later(i.row.Launched, a.started)) > s.Ready:
-		if i.late == "" {
-			i.late = fmt.Sprintf("not ready within %v: %s", s.Ready, l.Reason())
-			i.poke()
+	case l.Old() != 0 && l.Phase() == supervisor.Starting && now.Sub(later(i.stored.Launched, a.started)) > s.Ready:
+		if i.abandonReason == "" {
+			i.abandonReason = fmt.Sprintf("not ready within %v: %s", s.Ready, l.Reason())
+			i.wakeUp()
 		}
 	case l.Process() != 0 && l.Old() == 0 && failed == s.Generation && failed != l.Process():
 		// What serves is what is wanted now: a restart of the agent must not try again.
 		l.KeepPrevious()
-		i.row.Process, i.row.Release, i.row.Previous = i.row.Generation, s.From, s.Before
-		a.end(i, s, false, "the new process failed and the one before it serves on: "+how)
+		i.stored.Process, i.stored.Release, i.stored.Previous = i.stored.Generation, s.From, s.Before
+		a.endStep(i, s, false, "the new process failed and the one before it serves on: "+how)
 	case l.Process() == s.Generation && l.Phase() == supervisor.Ready:
 		if now.Sub(l.Since()) >= s.Soak {
-			a.end(i, s, true, "")
+			a.endStep(i, s, true, "")
 		}
-	case i.gone >= s.Generation && l.Process() == 0:
-		a.end(i, s, false, "it ended by itself: "+i.row.LastExit)
+	case i.exitedGeneration >= s.Generation && l.Process() == 0:
+		a.endStep(i, s, false, "it ended by itself: "+i.stored.LastExit)
 	case l.Process() == s.Generation && l.Phase() == supervisor.Unready:
-		a.end(i, s, false, "it became unready while it was soaked: "+l.Reason())
-	case l.Process() == s.Generation && now.Sub(later(i.row.Launched, a.started)) > s.Ready:
-		a.end(i, s, false, fmt.Sprintf("not ready within %v: %s", s.Ready, l.Reason()))
-	case now.Sub(begun) > time.Duration(a.cfg.Limits.KillAfter)+s.Ready+s.Soak+10*time.Second:
-		a.end(i, s, false, "it could not be started in time: "+l.Reason()+a.unwritable)
+		a.endStep(i, s, false, "it became unready while it was soaked: "+l.Reason())
+	case l.Process() == s.Generation && now.Sub(later(i.stored.Launched, a.started)) > s.Ready:
+		a.endStep(i, s, false, fmt.Sprintf("not ready within %v: %s", s.Ready, l.Reason()))
+	case now.Sub(begun) > time.Duration(a.config.Limits.KillAfter)+s.Ready+s.Soak+10*time.Second:
+		a.endStep(i, s, false, "it could not be started in time: "+l.Reason()+a.unwritable)
 	}
 }
 
@@ -473,40 +473,40 @@
 	return y
 }
 
-// end ends a step.
-func (a *Agent) end(i *instance, s *api.Step, ok bool, reason string) {
+// endStep ends a step.
+func (a *Agent) endStep(i *instance, s *api.Step, ok bool, reason string) {
 	next := *s
 	next.Status, next.Reason, next.Finished = api.StepFailed, reason, time.Now()
 	if ok {
 		next.Status = api.StepOK
 	}
 	a.steps[stepKey{s.Op, s.Instance, s.Kind}] = &next
-	i.step, i.hupAt = nil, time.Time{}
+	i.step, i.reloadSentAt = nil, time.Time{}
 	if s.Action == api.ActSettings {
-		a.settled(i, s, ok)
+		a.settingsStepEnded(i, s, ok)
 	}
-	a.told(i, &next)
+	a.persistOrMarkDirty(i, &next)
 }
 
-// settled puts an instance's row right after a change of settings: what runs is what
+// settingsStepEnded puts an instance's row right after a change of settings: what runs is what
 // was taken over, and if that was not, what is wanted and its file are as before.
-func (a *Agent) settled(i *instance, s *api.Step, ok bool) {
+func (a *Agent) settingsStepEnded(i *instance, s *api.Step, ok bool) {
 	if ok {
-		if i.proc != nil {
-			i.row.Running = s.To
+		if i.process != nil {
+			i.stored.Running = s.To
 		}
 		return
 	}
-	i.row.Release, i.row.Previous = s.From, s.Before
+	i.stored.Release, i.stored.Previous = s.From, s.Before
 	a.wg.Go(func() { // writes a file, without the lock
 		if err := a.configure(i, s.From, random()); err != nil {
-			slog.Error("an instance's file holds settings that it turned down", "instance", i.cfg.Name, "err", err)
+			slog.Error("an instance's file holds settings that it turned down", "instance", i.config.Name, "err", err)
 		}
 	})
 }
 
-// complaint is the last warning or error in a log.
-func complaint(path string) string {
+// lastLogProblem is the last warning or error in a log.
+func lastLogProblem(path string) string {
 	b, _, err := readTail(path, -16<<10, 16<<10)
 	if err == nil {
 		lines := strings.Split(string(b), "\n")
@@ -524,33 +524,33 @@
 func (a *Agent) reload(i *instance, s *api.Step) {
 	a.mu.Lock()
 	now := time.Now()
-	p, hup := i.proc, i.hupAt
-	waits := i.life.Phase() == supervisor.Starting && now.Sub(later(i.row.Launched, a.started)) < s.Ready ||
-		p != nil && now.Sub(i.row.Launched) < hupAfter
+	p, hup := i.process, i.reloadSentAt
+	waits := i.supervisor.Phase() == supervisor.Starting && now.Sub(later(i.stored.Launched, a.started)) < s.Ready ||
+		p != nil && now.Sub(i.stored.Launched) < minReloadAge
 	switch {
 	case waits && hup.IsZero():
 		a.mu.Unlock()
 		return
-	case p == nil || i.life.Phase() != supervisor.Ready:
-		a.end(i, s, false, fmt.Sprintf("it is %s: %s", i.life.Phase(), i.life.Reason()))
+	case p == nil || i.supervisor.Phase() != supervisor.Ready:
+		a.endStep(i, s, false, fmt.Sprintf("it is %s: %s", i.supervisor.Phase(), i.supervisor.Reason()))
 		a.mu.Unlock()
 		return
-	case !hup.IsZero() && i.sum == "" && now.Sub(hup) > time.Second:
-		a.end(i, s, true, "not confirmed: this release does not tell which configuration it runs")
+	case !hup.IsZero() && i.configHash == "" && now.Sub(hup) > time.Second:
+		a.endStep(i, s, true, "not confirmed: this release does not tell which configuration it runs")
 		a.mu.Unlock()
 		return
-	case !hup.IsZero() && i.sum == i.wantSum:
-		a.end(i, s, true, "")
+	case !hup.IsZero() && i.configHash == i.writtenConfigHash:
+		a.endStep(i, s, true, "")
 		a.mu.Unlock()
 		return
 	case !hup.IsZero():
-		if now.Sub(hup) > hupWithin {
-			a.end(i, s, false, "it kept its earlier configuration: "+complaint(a.logPath(i.cfg.Name)))
+		if now.Sub(hup) > reloadTimeout {
+			a.endStep(i, s, false, "it kept its earlier configuration: "+lastLogProblem(a.logPath(i.config.Name)))
 		}
 		a.mu.Unlock()
 		return
 	}
-	hash := i.row.Running
+	hash := i.stored.Running
 	if s.Action == api.ActSettings {
 		hash = s.To
 	}
@@ -562,36 +562,36 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
-		a.end(i, s, false, err.Error())
+		a.endStep(i, s, false, err.Error())
 		return
 	}
-	i.hupAt = now
+	i.reloadSentAt = now
 }
 
-// status is the instance as the API tells it.
-func (a *Agent) status(i *instance) api.Instance {
+// instanceStatus is the instance as the API tells it.
+func (a *Agent) instanceStatus(i *instance) api.Instance {
 	out := api.Instance{
-		Name: i.cfg.Name, Host: a.cfg.Name, Labels: maps.Clone(i.cfg.Labels), Listen: i.cfg.listen,
-		Desired: i.row.Desired, State: string(i.life.Phase()), Reason: i.life.Reason(),
-		Release: i.row.Release, Running: i.row.Running, Previous: i.row.Previous,
-		Generation: i.row.Generation, Process: i.row.Process, PID: i.row.PID,
-		Launched: i.row.Launched, Since: i.life.Since(), Restarts: i.row.Restarts, LastExit: i.row.LastExit,
-		Record: i.record, AdminAddress: i.cfg.door, Rate: i.ring.rate(),
-	}
-	if l := a.leases.ByInstance[i.cfg.Name]; l.Live(time.Now()) {
+		Name: i.config.Name, Host: a.config.Name, Labels: maps.Clone(i.config.Labels), Listen: i.config.listen,
+		Desired: i.stored.Desired, State: string(i.supervisor.Phase()), Reason: i.supervisor.Reason(),
+		Release: i.stored.Release, Running: i.stored.Running, Previous: i.stored.Previous,
+		Generation: i.stored.Generation, Process: i.stored.Process, PID: i.stored.PID,
+		Launched: i.stored.Launched, Since: i.supervisor.Since(), Restarts: i.stored.Restarts, LastExit: i.stored.LastExit,
+		Record: i.recordState, AdminAddress: i.config.adminAddress, Rate: i.history.rate(),
+	}
+	if l := a.leases.ByInstance[i.config.Name]; l.Live(time.Now()) {
 		out.LeaseHolder = l.Holder
 	}
-	for _, o := range a.ops {
-		if o.State != api.OpClosed && a.targets(&o.Operation, i.cfg.Name) {
+	for _, o := range a.operations {
+		if o.State != api.OpClosed && a.isTarget(&o.Operation, i.config.Name) {
 			out.Operation = o.ID
 		}
 	}
 	return out
 }
 
-func (a *Agent) targets(o *api.Operation, instance string) bool {
+func (a *Agent) isTarget(o *api.Operation, instance string) bool {
 	for _, t := range o.Targets {
-		if t.Host == a.cfg.Name && t.Instance == instance {
+		if t.Host == a.config.Name && t.Instance == instance {
 			return true
 		}
 	}
--- a/internal/fleet/host/agent/figures.go
+++ b/internal/fleet/host/agent/metrics.go
@@ -24,23 +24,23 @@
 )
 
 const (
-	// maxDoor is how long a door may take, of a slot's quarter at most.
-	maxDoor = 2 * time.Second
-	// doorsAtOnce bounds the calls under way.
-	doorsAtOnce = 16
-	// maxFigures is how many samples one answer holds.
-	maxFigures = 4000
+	// maxScrapeDuration is how long a door may take, of a slot's quarter at most.
+	maxScrapeDuration = 2 * time.Second
+	// maxConcurrentScrapes bounds the calls under way.
+	maxConcurrentScrapes = 16
+	// maxMetricsSamples is how many samples one answer holds.
+	maxMetricsSamples = 4000
 	// rateSlots is over how many slots an instance's rate is told.
 	rateSlots = 6
 )
 
-// ring keeps an instance's latest samples, in order. The agent's lock guards it.
-type ring struct {
+// sampleHistory keeps an instance's latest samples, in order. The agent's lock guards it.
+type sampleHistory struct {
 	samples []api.Sample
 	limit   int
 }
 
-func (r *ring) add(s api.Sample) {
+func (r *sampleHistory) add(s api.Sample) {
 	if n := len(r.samples); n > 0 && r.samples[n-1].Boundary >= s.Boundary {
 		return
 	}
@@ -51,7 +51,7 @@
 }
 
 // rate is the requests a second of late; 0 where that is not known.
-func (r *ring) rate() float64 {
+func (r *sampleHistory) rate() float64 {
 	ss := r.samples[max(0, len(r.samples)-rateSlots-1):]
 	if len(ss) < 2 {
 		return 0
@@ -70,7 +70,7 @@
 }
 
 // windows are those of the process that runs now.
-func (r *ring) windows(slot time.Duration) (out []canary.Window) {
+func (r *sampleHistory) windows(slot time.Duration) (out []canary.Window) {
 	d := canary.Differ{Slot: slot, Off: slot / 4}
 	for _, s := range r.samples[max(0, len(r.samples)-rateSlots-1):] {
 		names := make([]string, 0, len(s.Classes))
@@ -89,19 +89,19 @@
 	return out[n:]
 }
 
-// journal keeps samples over the agent's own restarts, in two files of which the
+// metricsJournal keeps samples over the agent's own restarts, in two files of which the
 // older goes when the newer is full. Samples that are lost with it are missing
 // evidence, no more: it is not synced, and a torn tail is left out.
-type journal struct {
+type metricsJournal struct {
 	path    string
-	f       *os.File
+	file    *os.File
 	samples int // in f
 	limit   int
 }
 
-// openJournal reads what there is and goes on behind it.
-func openJournal(path string, limit int, each func(api.Sample)) (*journal, error) {
-	j := &journal{path: path, limit: limit}
+// openMetricsJournal reads what there is and goes on behind it.
+func openMetricsJournal(path string, limit int, each func(api.Sample)) (*metricsJournal, error) {
+	j := &metricsJournal{path: path, limit: limit}
 	for _, p := range []string{path + ".1", path} {
 		f, err := os.Open(p)
 		if errors.Is(err, os.ErrNotExist) {
@@ -126,17 +126,17 @@
 		f.Close()
 	}
 	// Behind a torn tail nothing could be read: the next sample begins a file.
-	if err := j.turn(); err != nil {
+	if err := j.rotate(); err != nil {
 		return nil, err
 	}
 	return j, nil
 }
 
-// turn begins a new file, and keeps the one before it.
-func (j *journal) turn() error {
-	if j.f != nil {
-		j.f.Close()
-		j.f = nil
+// rotate begins a new file, and keeps the one before it.
+func (j *metricsJournal) rotate() error {
+	if j.file != nil {
+		j.file.Close()
+		j.file = nil
 	}
 	if st, err := os.Stat(j.path); err == nil && st.Size() > 0 {
 		if err := os.Rename(j.path, j.path+".1"); err != nil {
@@ -144,13 +144,13 @@
 		}
 	}
 	f, err := os.OpenFile(j.path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
-	j.f, j.samples = f, 0
+	j.file, j.samples = f, 0
 	return err
 }
 
-func (j *journal) write(ss []api.Sample) error {
-	if j.f == nil || j.samples+len(ss) > j.limit {
-		if err := j.turn(); err != nil {
+func (j *metricsJournal) write(ss []api.Sample) error {
+	if j.file == nil || j.samples+len(ss) > j.limit {
+		if err := j.rotate(); err != nil {
 			return err
 		}
 	}
@@ -163,15 +163,15 @@
 		b = append(b, one...)
 	}
 	j.samples += len(ss)
-	_, err := j.f.Write(b)
+	_, err := j.file.Write(b)
 	return err
 }
 
-// takeFigures takes all instances' figures at each boundary of a slot, until the agent
+// collectMetrics takes all instances' figures at each boundary of a slot, until the agent
 // ends.
-func (a *Agent) takeFigures(j *journal) {
-	defer j.f.Close()
-	slot := time.Duration(a.cfg.Metrics.Slot)
+func (a *Agent) collectMetrics(j *metricsJournal) {
+	defer j.file.Close()
+	slot := time.Duration(a.config.Metrics.Slot)
 	for {
 		next := time.Unix(0, (time.Now().UnixNano()/int64(slot)+1)*int64(slot))
 		timer := time.NewTimer(time.Until(next))
@@ -182,12 +182,12 @@
 		case <-timer.C:
 		}
 		boundary := next.UnixNano() / int64(slot)
-		got := a.sampleAll(boundary, min(maxDoor, slot/4))
+		got := a.scrapeAll(boundary, min(maxScrapeDuration, slot/4))
 		a.mu.Lock()
 		for _, s := range got {
-			a.inst[s.Instance].ring.add(s)
+			a.instances[s.Instance].history.add(s)
 		}
-		a.boundary = boundary
+		a.lastBoundary = boundary
 		a.mu.Unlock()
 		if err := j.write(got); err != nil {
 			slog.Warn("figures can't be kept over a restart of this agent", "err", err)
@@ -195,9 +195,9 @@
 	}
 }
 
-// sampleAll asks all doors at once. An instance that is being replaced is left out:
+// scrapeAll asks all doors at once. An instance that is being replaced is left out:
 // which of its processes answers is not known.
-func (a *Agent) sampleAll(boundary int64, limit time.Duration) []api.Sample {
+func (a *Agent) scrapeAll(boundary int64, limit time.Duration) []api.Sample {
 	type job struct {
 		s    api.Sample
 		door string
@@ -205,18 +205,18 @@
 	}
 	var jobs []job
 	a.mu.Lock()
-	for _, name := range a.names {
-		i := a.inst[name]
-		if i.cfg.door != "" && i.proc != nil && i.prev == nil && i.row.Launch != "" {
-			jobs = append(jobs, job{api.Sample{Instance: name, Process: i.row.Launch, Release: i.row.Running,
-				Started: i.row.Launched, Crashes: uint32(max(0, i.row.Restarts))}, i.cfg.door, i.row.PID})
+	for _, name := range a.instanceNames {
+		i := a.instances[name]
+		if i.config.adminAddress != "" && i.process != nil && i.previous == nil && i.stored.Launch != "" {
+			jobs = append(jobs, job{api.Sample{Instance: name, Process: i.stored.Launch, Release: i.stored.Running,
+				Started: i.stored.Launched, Crashes: uint32(max(0, i.stored.Restarts))}, i.config.adminAddress, i.stored.PID})
 		}
 	}
 	a.mu.Unlock()
 	var mu sync.Mutex
 	var out []api.Sample
 	var wg sync.WaitGroup
-	turns := make(chan struct{}, doorsAtOnce)
+	turns := make(chan struct{}, maxConcurrentScrapes)
 	for _, b := range jobs {
 		turns <- struct{}{}
 		wg.Go(func() {
@@ -236,18 +236,18 @@
 	return out
 }
 
-// figures answers with samples, the earliest first.
-func (a *Agent) figures(_ context.Context, _ *caller, in *api.MetricsIn) (any, error) {
+// metrics answers with samples, the earliest first.
+func (a *Agent) metrics(_ context.Context, _ *caller, in *api.MetricsIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := &api.MetricsOut{Slot: time.Duration(a.cfg.Metrics.Slot), Now: time.Now(), Last: a.boundary}
-	for _, name := range a.names {
-		ss := a.inst[name].ring.samples
+	out := &api.MetricsOut{Slot: time.Duration(a.config.Metrics.Slot), Now: time.Now(), Last: a.lastBoundary}
+	for _, name := range a.instanceNames {
+		ss := a.instances[name].history.samples
 		at, _ := slices.BinarySearchFunc(ss, in.After+1, func(s api.Sample, b int64) int { return cmp.Compare(s.Boundary, b) })
 		out.Samples = append(out.Samples, ss[at:]...)
 	}
 	slices.SortStableFunc(out.Samples, func(x, y api.Sample) int { return cmp.Compare(x.Boundary, y.Boundary) })
-	limit := maxFigures
+	limit := maxMetricsSamples
 	if in.Limit > 0 {
 		limit = min(limit, in.Limit)
 	}
@@ -269,11 +269,11 @@
 func (a *Agent) opNote(_ context.Context, c *caller, in *api.NoteIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.op(in.Op)
+	o, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
-	names, err := a.own(&o.Operation)
+	names, err := a.localTargets(&o.Operation)
 	if err != nil {
 		return nil, err
 	}
@@ -282,11 +282,11 @@
 	}
 	switch {
 	case o.State != api.OpOpened:
-		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.cfg.Name)
+		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.config.Name)
 	case len(in.Note.Log) > api.MaxVerdicts:
 		return nil, api.Errorf(api.InvalidParams, "%d verdicts in a note; %d at most", len(in.Note.Log), api.MaxVerdicts)
 	case o.Note != nil && o.Note.Number >= in.Note.Number:
-		return a.opOut(o), nil // told before, or by a holder that went further
+		return a.operationStatus(o), nil // told before, or by a holder that went further
 	}
 	next := *o
 	next.Note = &in.Note
@@ -294,69 +294,69 @@
 		return nil, err
 	}
 	*o = next
-	return a.opOut(o), nil
+	return a.operationStatus(o), nil
 }
 
-// alone takes back, of open operations that nobody has held for as long as they say,
+// rollBackUnattended takes back, of open operations that nobody has held for as long as they say,
 // those of its own instances that were changed and fail by the coarse rule.
-func (a *Agent) alone(now time.Time) {
-	for id := range a.heldAt {
-		if o := a.ops[id]; o == nil || o.State == api.OpClosed {
-			delete(a.heldAt, id)
+func (a *Agent) rollBackUnattended(now time.Time) {
+	for id := range a.lastLeased {
+		if o := a.operations[id]; o == nil || o.State == api.OpClosed {
+			delete(a.lastLeased, id)
 		}
 	}
-	for _, o := range a.ops {
+	for _, o := range a.operations {
 		if o.State != api.OpOpened || o.Staged == nil || o.Staged.Alone <= 0 {
 			continue
 		}
-		if a.heldAt[o.ID].IsZero() || a.held(o.ID, now) {
-			a.heldAt[o.ID] = now
+		if a.lastLeased[o.ID].IsZero() || a.isLeased(o.ID, now) {
+			a.lastLeased[o.ID] = now
 			continue
 		}
-		if gone := now.Sub(a.heldAt[o.ID]); gone > o.Staged.Alone {
-			for _, name := range a.names {
-				a.takeBack(o, a.inst[name], gone, now)
+		if gone := now.Sub(a.lastLeased[o.ID]); gone > o.Staged.Alone {
+			for _, name := range a.instanceNames {
+				a.rollBackIfFailing(o, a.instances[name], gone, now)
 			}
 		}
 	}
 }
 
-func (a *Agent) takeBack(o *store.Operation, i *instance, gone time.Duration, now time.Time) {
-	name := i.cfg.Name
+func (a *Agent) rollBackIfFailing(o *store.Operation, i *instance, gone time.Duration, now time.Time) {
+	name := i.config.Name
 	change := a.steps[stepKey{o.ID, name, api.Change}]
 	if change == nil || i.step != nil && i.step.Kind == api.Rollback || a.steps[stepKey{o.ID, name, api.Rollback}] != nil {
 		return
 	}
-	phase := i.life.Phase()
+	phase := i.supervisor.Phase()
 	own := canary.LocalHealth{
 		Crashing: phase == supervisor.Crashloop || phase == supervisor.Backoff,
-		Unready:  phase == supervisor.Unready && now.Sub(i.life.Since()) > coarseUnready,
-		Limit:    uint64(i.cfg.memory) << 20,
+		Unready:  phase == supervisor.Unready && now.Sub(i.supervisor.Since()) > maxUnreadyDuration,
+		Limit:    uint64(i.config.memoryLimitMB) << 20,
 	}
-	if i.row.Running == change.To {
-		own.Windows = i.ring.windows(time.Duration(a.cfg.Metrics.Slot))
+	if i.stored.Running == change.To {
+		own.Windows = i.history.windows(time.Duration(a.config.Metrics.Slot))
 	}
 	why := canary.Coarse(own)
 	if why == "" {
 		return
 	}
 	if i.step != nil { // the change itself is still under way, and won't come about
-		a.end(i, i.step, false, why)
+		a.endStep(i, i.step, false, why)
 	}
-	reason := fmt.Sprintf("taken back by agent %s alone: nobody held the operation for %v, and %s", a.cfg.Name, gone.Round(time.Second), why)
-	if _, err := a.begin(o, i, api.Rollback, 0, "agent "+a.cfg.Name+" alone", reason); err != nil {
+	reason := fmt.Sprintf("taken back by agent %s alone: nobody held the operation for %v, and %s", a.config.Name, gone.Round(time.Second), why)
+	if _, err := a.beginStep(o, i, api.Rollback, 0, "agent "+a.config.Name+" alone", reason); err != nil {
 		slog.Warn("an instance can't be taken back", "instance", name, "why", why, "err", err)
 		return
 	}
 	slog.Warn("an instance is taken back", "instance", name, "operation", o.ID, "reason", reason)
 }
 
-// coarseUnready is how long an instance's health call may fail before it counts.
-const coarseUnready = 5 * time.Second
+// maxUnreadyDuration is how long an instance's health call may fail before it counts.
+const maxUnreadyDuration = 5 * time.Second
 
-// doorOf reads from a sidecar's configuration where its door is, and its memory's limit
+// adminEndpoint reads from a sidecar's configuration where its door is, and its memory's limit
 // in MiB.
-func doorOf(config []byte) (door string, memory int) {
+func adminEndpoint(config []byte) (door string, memory int) {
 	var c struct {
 		Mgmt   string `json:"mgmt"`
 		Limits struct {
@@ -369,4 +369,4 @@
 	return c.Mgmt, c.Limits.MemoryMB
 }
 
-func (a *Agent) figuresPath() string { return filepath.Join(a.cfg.StateDir, "figures") }
+func (a *Agent) metricsPath() string { return filepath.Join(a.config.StateDir, "figures") }
--- a/internal/fleet/host/agent/figures_test.go
+++ b/internal/fleet/host/agent/metrics_test.go
@@ -20,9 +20,9 @@
 // within their bound, and what is written after a restart is read after the next.
 func TestJournal(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
-	read := func() (j *journal, got []int64) {
+	read := func() (j *metricsJournal, got []int64) {
 		t.Helper()
-		j, err := openJournal(path, 10, func(s api.Sample) {
+		j, err := openMetricsJournal(path, 10, func(s api.Sample) {
 			if want := sample(s.Instance, s.Boundary); !s.At.Equal(want.At) || !reflect.DeepEqual(s.Classes, want.Classes) {
 				t.Errorf("read %+v, wrote %+v", s, want)
 			}
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 	}
-	j.f.Close()
+	j.file.Close()
 	j, got = read()
 	if len(got) < 10 || len(got) > 20 || got[len(got)-1] != 25 {
 		t.Errorf("of 25 with a bound of 10 a file: %v", got)
@@ -50,7 +50,7 @@
 	if err := j.write([]api.Sample{sample("i", 26), sample("i", 27)}); err != nil {
 		t.Fatal(err)
 	}
-	j.f.Close()
+	j.file.Close()
 	st, err := os.Stat(path)
 	if err == nil {
 		err = os.Truncate(path, st.Size()-3)
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	j, got = read()
-	j.f.Close()
+	j.file.Close()
 	if len(got) == 0 || got[len(got)-1] != 26 {
 		t.Errorf("behind a torn tail: %v", got)
 	}
@@ -67,7 +67,7 @@
 
 // A ring keeps the latest, takes none twice, and tells a rate within one process only.
 func TestRing(t *testing.T) {
-	r := ring{limit: 8}
+	r := sampleHistory{limit: 8}
 	for n := range int64(100) {
 		r.add(sample("i", n))
 		r.add(sample("i", n))
--- a/internal/fleet/host/agent/serve.go
+++ b/internal/fleet/host/agent/serve.go
@@ -28,17 +28,17 @@
 	certified bool
 }
 
-// limits of a connection to an agent. A chunk of a release fits into a message.
-var limits = msgpackrpc.Limits{Message: 2 << 20, Depth: 16, Outstanding: 64, Queued: 4 << 20, Receive: 10 * time.Second, Send: 10 * time.Second, Idle: 5 * time.Minute}
+// connectionLimits of a connection to an agent. A chunk of a release fits into a message.
+var connectionLimits = msgpackrpc.Limits{Message: 2 << 20, Depth: 16, Outstanding: 64, Queued: 4 << 20, Receive: 10 * time.Second, Send: 10 * time.Second, Idle: 5 * time.Minute}
 
 // Serve opens the configured listeners and answers until ctx ends. ready, if not
 // nil, is told the addresses once all listen.
 func (a *Agent) Serve(ctx context.Context, ready func(addrs []net.Addr)) error {
-	limit := conns
-	if a.cfg.Relay != nil {
-		limit += a.cfg.Relay.Subscribers + len(a.cfg.Distribution.Relays)
+	limit := maxConnections
+	if a.config.Relay != nil {
+		limit += a.config.Relay.Subscribers + len(a.config.Distribution.Relays)
 	}
-	srv := &msgpackrpc.Server{Handler: a.handle, Limits: limits, Conns: limit, Welcome: a.welcome}
+	srv := &msgpackrpc.Server{Handler: a.handle, Limits: connectionLimits, Conns: limit, Welcome: a.welcome}
 	var lns []net.Listener
 	closeAll := func() {
 		for _, ln := range lns {
@@ -48,12 +48,12 @@
 	open := func(network, addr string) error {
 		ln, err := net.Listen(network, addr)
 		if err != nil {
-			return fmt.Errorf("agent %s: listen: %w", a.cfg.Name, err)
+			return fmt.Errorf("agent %s: listen: %w", a.config.Name, err)
 		}
 		lns = append(lns, ln)
 		return nil
 	}
-	if path := a.cfg.Listen.Unix; path != "" {
+	if path := a.config.Listen.Unix; path != "" {
 		// The state folder's lock is held: a socket there is a dead agent's.
 		if st, err := os.Lstat(path); err == nil && st.Mode()&os.ModeSocket != 0 {
 			os.Remove(path)
@@ -63,19 +63,19 @@
 		}
 		if err := os.Chmod(path, 0o660); err != nil {
 			closeAll()
-			return fmt.Errorf("agent %s: %w", a.cfg.Name, err)
+			return fmt.Errorf("agent %s: %w", a.config.Name, err)
 		}
 	}
-	if a.cfg.Listen.Plain != "" {
-		if err := open("tcp", a.cfg.Listen.Plain); err != nil {
+	if a.config.Listen.Plain != "" {
+		if err := open("tcp", a.config.Listen.Plain); err != nil {
 			closeAll()
 			return err
 		}
 	}
-	if a.cfg.Listen.TLS != "" {
-		tc, err := ServerTLS(a.cfg.TLS.CA, a.cfg.TLS.Cert, a.cfg.TLS.Key)
+	if a.config.Listen.TLS != "" {
+		tc, err := ServerTLS(a.config.TLS.CA, a.config.TLS.Cert, a.config.TLS.Key)
 		if err == nil {
-			err = open("tcp", a.cfg.Listen.TLS)
+			err = open("tcp", a.config.Listen.TLS)
 		}
 		if err != nil {
 			closeAll()
@@ -120,7 +120,7 @@
 
 // welcome finds out the role of a connection.
 func (a *Agent) welcome(p *msgpackrpc.Peer) error {
-	c := &caller{role: a.cfg.Listen.PlainRole, id: p.Conn.RemoteAddr().String()}
+	c := &caller{role: a.config.Listen.PlainRole, id: p.Conn.RemoteAddr().String()}
 	switch nc := p.Conn.(type) {
 	case *tls.Conn:
 		if err := nc.Handshake(); err != nil {
@@ -208,7 +208,7 @@
 		api.OpAbort:      typed(api.Operate, (*Agent).opAbort),
 		api.StepStart:    typed(api.Operate, (*Agent).stepStart),
 		api.OpNote:       typed(api.Operate, (*Agent).opNote),
-		api.Metrics:      typed(api.View, (*Agent).figures),
+		api.Metrics:      typed(api.View, (*Agent).metrics),
 
 		api.SettingsPut:     typed(api.Operate, (*Agent).settingsPut),
 		api.SettingsPromote: typed(api.Operate, (*Agent).settingsPromote),
@@ -233,11 +233,11 @@
 	case r.Notify:
 		return nil, nil // nothing here is told by notification
 	case !ok:
-		return nil, api.Errorf(api.NoMethod, "agent %s has no method %q; it speaks version %d", a.cfg.Name, r.Method, api.Version)
+		return nil, api.Errorf(api.NoMethod, "agent %s has no method %q; it speaks version %d", a.config.Name, r.Method, api.Version)
 	case who == "" && r.Method != api.Hello:
 		return nil, api.Errorf(api.NotWelcomed, "%s before %s: say which versions you speak first", r.Method, api.Hello)
 	case m.role == api.Operate && c.role != api.Operate, m.role == api.View && c.role == "":
-		return nil, api.Errorf(api.Forbidden, "%s needs the role %q; %s has %q at agent %s", r.Method, m.role, c.id, c.role, a.cfg.Name)
+		return nil, api.Errorf(api.Forbidden, "%s needs the role %q; %s has %q at agent %s", r.Method, m.role, c.id, c.role, a.config.Name)
 	}
 	out, err := m.call(a, ctx, c, r.Params)
 	if err == nil {
@@ -246,47 +246,47 @@
 	if e, ok := errors.AsType[*api.Error](err); ok {
 		return nil, e
 	}
-	return nil, api.Errorf(api.Internal, "agent %s: %s: %v", a.cfg.Name, r.Method, err)
+	return nil, api.Errorf(api.Internal, "agent %s: %s: %v", a.config.Name, r.Method, err)
 }
 
 func (a *Agent) hello(_ context.Context, c *caller, in *api.HelloIn) (any, error) {
 	if in.Oldest > api.Version || in.Version < api.Oldest {
 		return nil, api.Errorf(api.UnsupportedVersion, "agent %s speaks versions %d to %d and you %d to %d: use a martendrum of its age, or upgrade the agent",
-			a.cfg.Name, api.Oldest, api.Version, in.Oldest, in.Version)
+			a.config.Name, api.Oldest, api.Version, in.Oldest, in.Version)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	c.who = fmt.Sprintf("%.100s (%s)", in.Client, c.id)
-	return &api.HelloOut{Version: min(in.Version, api.Version), Agent: a.cfg.Name, Role: c.role, Started: a.started}, nil
+	return &api.HelloOut{Version: min(in.Version, api.Version), Agent: a.config.Name, Role: c.role, Started: a.started}, nil
 }
 
 func (a *Agent) list(_ context.Context, _ *caller, _ *api.Empty) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := &api.ListOut{Agent: a.cfg.Name, Now: time.Now(), Unwritable: a.unwritable}
-	out.Returning, out.Epoch = a.returning()
-	for _, name := range a.names {
-		out.Instances = append(out.Instances, a.status(a.inst[name]))
+	out := &api.ListOut{Agent: a.config.Name, Now: time.Now(), Unwritable: a.unwritable}
+	out.Returning, out.Epoch = a.returnProgress()
+	for _, name := range a.instanceNames {
+		out.Instances = append(out.Instances, a.instanceStatus(a.instances[name]))
 	}
 	return out, nil
 }
 
-// named finds an instance; the lock is held.
-func (a *Agent) named(name string) (*instance, error) {
-	if i := a.inst[name]; i != nil {
+// findInstance finds an instance; the lock is held.
+func (a *Agent) findInstance(name string) (*instance, error) {
+	if i := a.instances[name]; i != nil {
 		return i, nil
 	}
-	return nil, api.Errorf(api.NoInstance, "agent %s has no instance %q; it has %s", a.cfg.Name, name, strings.Join(a.names, ", "))
+	return nil, api.Errorf(api.NoInstance, "agent %s has no instance %q; it has %s", a.config.Name, name, strings.Join(a.instanceNames, ", "))
 }
 
 func (a *Agent) inspect(_ context.Context, _ *caller, in *api.InstanceIn) (any, error) {
 	a.mu.Lock()
-	i, err := a.named(in.Instance)
+	i, err := a.findInstance(in.Instance)
 	if err != nil {
 		a.mu.Unlock()
 		return nil, err
 	}
-	out := &api.InspectOut{Instance: a.status(i), Settings: a.instanceSettings(i)}
+	out := &api.InspectOut{Instance: a.instanceStatus(i), Settings: a.instanceSettings(i)}
 	for _, s := range a.steps {
 		if s.Instance == in.Instance {
 			out.Steps = append(out.Steps, *s)
@@ -305,7 +305,7 @@
 
 func (a *Agent) logs(_ context.Context, _ *caller, in *api.LogsIn) (any, error) {
 	a.mu.Lock()
-	_, err := a.named(in.Instance)
+	_, err := a.findInstance(in.Instance)
 	a.mu.Unlock()
 	if err != nil {
 		return nil, err
--- a/internal/fleet/host/agent/serve_operations.go
+++ b/internal/fleet/host/agent/serve_operations.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	maxWait    = 10 * time.Second // of op.status
-	maxTargets = 10000            // of an operation
-	maxLogs    = 256 << 10        // bytes of one answer
-	conns      = 128
+	maxStatusWait  = 10 * time.Second // of op.status
+	maxTargets     = 10000            // of an operation
+	maxLogs        = 256 << 10        // bytes of one answer
+	maxConnections = 128
 )
 
-// own is the operation's instances here.
-func (a *Agent) own(o *api.Operation) (out []string, err error) {
+// localTargets is the operation's instances here.
+func (a *Agent) localTargets(o *api.Operation) (out []string, err error) {
 	for _, t := range o.Targets {
-		if t.Host == a.cfg.Name {
-			if _, err := a.named(t.Instance); err != nil {
+		if t.Host == a.config.Name {
+			if _, err := a.findInstance(t.Instance); err != nil {
 				return nil, err
 			}
 			out = append(out, t.Instance)
 		}
 	}
 	if len(out) == 0 {
-		return nil, api.Errorf(api.InvalidParams, "operation %s has no instance at agent %s", o.ID, a.cfg.Name)
+		return nil, api.Errorf(api.InvalidParams, "operation %s has no instance at agent %s", o.ID, a.config.Name)
 	}
 	return out, nil
 }
@@ -56,8 +56,8 @@
 		if err := errors.Join(s.Plan.Check(len(o.Targets)), s.Judge.Check()); err != nil {
 			return nil, api.Errorf(api.InvalidParams, "%v", err)
 		}
-		if slot := time.Duration(a.cfg.Metrics.Slot); s.Judge.Slot != slot {
-			return nil, api.Errorf(api.InvalidParams, "agent %s takes figures each %v and operation %s is judged each %v: set figures.slot alike at all hosts", a.cfg.Name, slot, o.ID, s.Judge.Slot)
+		if slot := time.Duration(a.config.Metrics.Slot); s.Judge.Slot != slot {
+			return nil, api.Errorf(api.InvalidParams, "agent %s takes figures each %v and operation %s is judged each %v: set figures.slot alike at all hosts", a.config.Name, slot, o.ID, s.Judge.Slot)
 		}
 	}
 	if len(o.Places) != 0 && len(o.Places) != len(o.Targets) {
@@ -65,45 +65,45 @@
 	}
 	if o.Action == api.ActUpgrade || o.Action == api.ActSettings {
 		if err := a.releases.Verify(o.Release); err != nil {
-			return nil, api.Errorf(api.NoRelease, "agent %s: %v", a.cfg.Name, err)
+			return nil, api.Errorf(api.NoRelease, "agent %s: %v", a.config.Name, err)
 		}
 	}
 	if o.Staged != nil {
-		if err := a.neighbours(o); err != nil {
+		if err := a.checkCompatibility(o); err != nil {
 			return nil, err
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if how, _ := a.returning(); how != "" {
-		e := &api.ReturningError{Host: a.cfg.Name, How: how}
+	if how, _ := a.returnProgress(); how != "" {
+		e := &api.ReturningError{Host: a.config.Name, How: how}
 		return nil, api.Errorf(api.LeaseHeld, "%v: %s", e, e.Advice())
 	}
-	have := a.ops[o.ID]
+	have := a.operations[o.ID]
 	if have != nil {
 		if have.State != api.OpOpened {
-			return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s: %s", o.ID, have.State, a.cfg.Name, have.Result)
+			return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s: %s", o.ID, have.State, a.config.Name, have.Result)
 		}
 		o = &have.Operation // the record's word counts
 	}
-	names, err := a.own(o)
+	names, err := a.localTargets(o)
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
 	ls, err := a.leases.Acquire(now, o.ID, in.LeaseHolder, names, in.TTL, func(name string) string {
-		for _, x := range a.ops {
-			if x.ID != o.ID && x.State != api.OpClosed && a.targets(&x.Operation, name) {
+		for _, x := range a.operations {
+			if x.ID != o.ID && x.State != api.OpClosed && a.isTarget(&x.Operation, name) {
 				return fmt.Sprintf("operation %s (%s by %s) is %s on it; `martendrum resume %s` or `martendrum abort %s` first", x.ID, x.Action, x.Operator, x.State, x.ID, x.ID)
 			}
 		}
 		return ""
 	})
 	if lost, ok := errors.AsType[*lease.LostError](err); ok {
-		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v: %s", a.cfg.Name, lost, lost.Advice())
+		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v: %s", a.config.Name, lost, lost.Advice())
 	}
 	if held, ok := errors.AsType[*lease.HeldError](err); ok {
-		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v", a.cfg.Name, held)
+		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v", a.config.Name, held)
 	}
 	if err != nil {
 		return nil, api.Errorf(api.InvalidParams, "%v", err)
@@ -116,23 +116,23 @@
 		return nil, err
 	}
 	if have == nil {
-		a.ops[o.ID] = &next
+		a.operations[o.ID] = &next
 	}
 	a.leases.Put(ls)
 	return &api.OpenOut{Token: ls[0].Token, Expires: ls[0].Expires}, nil
 }
 
-// neighbours says whether old and new programs may run side by side here.
-func (a *Agent) neighbours(o *api.Operation) error {
+// checkCompatibility says whether old and new programs may run side by side here.
+func (a *Agent) checkCompatibility(o *api.Operation) error {
 	a.mu.Lock()
-	_, known := a.ops[o.ID]
+	_, known := a.operations[o.ID]
 	uses := make(map[string]compatibility.Use) // by the release that runs
 	for _, t := range o.Targets {
-		if i := a.inst[t.Instance]; t.Host == a.cfg.Name && i != nil && i.row.Release != o.Release {
-			u := uses[i.row.Release]
-			u.HandOver, u.Back = a.cfg.Sidecar.HandOver && o.Action == api.ActUpgrade, o.Policy.OnFailure == api.OnFailureRollback || o.Policy.OnFailure == api.OnFailureRollbackStage
-			u.Record = u.Record || i.cfg.Record != ""
-			uses[i.row.Release] = u
+		if i := a.instances[t.Instance]; t.Host == a.config.Name && i != nil && i.stored.Release != o.Release {
+			u := uses[i.stored.Release]
+			u.HandOver, u.Back = a.config.Sidecar.HandOver && o.Action == api.ActUpgrade, o.Policy.OnFailure == api.OnFailureRollback || o.Policy.OnFailure == api.OnFailureRollbackStage
+			u.Record = u.Record || i.config.Record != ""
+			uses[i.stored.Release] = u
 		}
 	}
 	a.mu.Unlock()
@@ -143,18 +143,18 @@
 		old := compatibility.Query(a.ctx, a.releases.Path(before, release.Sidecar))
 		now := compatibility.Query(a.ctx, a.releases.Path(o.Release, release.Sidecar))
 		if err := compatibility.Check(old, now, use); err != nil {
-			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run beside %.12s: %v", a.cfg.Name, o.Release, before, err)
+			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run beside %.12s: %v", a.config.Name, o.Release, before, err)
 		}
 	}
 	return nil
 }
 
-// op finds an operation; the lock is held.
-func (a *Agent) op(id string) (*store.Operation, error) {
-	if o := a.ops[id]; o != nil {
+// findOperation finds an operation; the lock is held.
+func (a *Agent) findOperation(id string) (*store.Operation, error) {
+	if o := a.operations[id]; o != nil {
 		return o, nil
 	}
-	return nil, api.Errorf(api.NoOperation, "agent %s knows no operation %q", a.cfg.Name, id)
+	return nil, api.Errorf(api.NoOperation, "agent %s knows no operation %q", a.config.Name, id)
 }
 
 // fenced makes an API error of a lease's.
@@ -162,20 +162,20 @@
 	if err == nil {
 		return nil
 	}
-	return api.Errorf(api.Fenced, "agent %s: %v", a.cfg.Name, err)
+	return api.Errorf(api.Fenced, "agent %s: %v", a.config.Name, err)
 }
 
 func (a *Agent) opClose(_ context.Context, c *caller, in *api.CloseIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.op(in.Op)
+	o, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
 	if o.State == api.OpClosed {
-		return a.opOut(o), nil
+		return a.operationStatus(o), nil
 	}
-	names, err := a.own(&o.Operation)
+	names, err := a.localTargets(&o.Operation)
 	if err != nil {
 		return nil, err
 	}
@@ -184,20 +184,20 @@
 			return nil, err
 		}
 	}
-	if a.busy(o.ID) {
-		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is under way at agent %s", o.ID, a.cfg.Name)
+	if a.hasRunningStep(o.ID) {
+		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is under way at agent %s", o.ID, a.config.Name)
 	}
-	if err := a.closeOp(o, in.Result, c.who); err != nil {
+	if err := a.closeOperation(o, in.Result, c.who); err != nil {
 		return nil, err
 	}
-	return a.opOut(o), nil
+	return a.operationStatus(o), nil
 }
 
 // opAbort needs no lease: it only ever stops things.
 func (a *Agent) opAbort(_ context.Context, c *caller, in *api.AbortIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.op(in.Op)
+	o, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
@@ -211,20 +211,20 @@
 		*o = next
 	}
 	a.endAborted()
-	return a.opOut(o), nil
+	return a.operationStatus(o), nil
 }
 
-func (a *Agent) opOut(o *store.Operation) *api.OpOut {
+func (a *Agent) operationStatus(o *store.Operation) *api.OpOut {
 	now := time.Now()
-	out := &api.OpOut{Operation: o.Operation, State: o.State, Result: o.Result, Change: a.change, Now: now}
+	out := &api.OpOut{Operation: o.Operation, State: o.State, Result: o.Result, Change: a.changeNumber, Now: now}
 	for _, l := range a.leases.ByInstance {
 		if l.Op == o.ID && l.Live(now) {
 			out.LeaseHolder, out.Expires = l.Holder, l.Expires
 		}
 	}
-	for _, name := range a.names {
-		if a.targets(&o.Operation, name) {
-			out.Instances = append(out.Instances, a.status(a.inst[name]))
+	for _, name := range a.instanceNames {
+		if a.isTarget(&o.Operation, name) {
+			out.Instances = append(out.Instances, a.instanceStatus(a.instances[name]))
 		}
 	}
 	for k, s := range a.steps {
@@ -240,8 +240,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := &api.OpsOut{}
-	for _, o := range a.ops {
-		x := a.opOut(o)
+	for _, o := range a.operations {
+		x := a.operationStatus(o)
 		x.Instances = nil
 		x.Operation.Targets = nil
 		out.Ops = append(out.Ops, *x)
@@ -252,7 +252,7 @@
 func (a *Agent) opStatus(ctx context.Context, _ *caller, in *api.StatusIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.op(in.Op)
+	o, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
@@ -261,9 +261,9 @@
 			return nil, err
 		}
 	}
-	timer := time.NewTimer(min(in.Wait, maxWait))
+	timer := time.NewTimer(min(in.Wait, maxStatusWait))
 	defer timer.Stop()
-	for in.Wait > 0 && a.change <= in.After {
+	for in.Wait > 0 && a.changeNumber <= in.After {
 		changed := a.changed
 		a.mu.Unlock()
 		more := true
@@ -281,13 +281,13 @@
 			break
 		}
 	}
-	return a.opOut(o), nil
+	return a.operationStatus(o), nil
 }
 
 // renew lengthens the caller's leases, and writes that only once a third of their
 // time has gone.
 func (a *Agent) renew(o *store.Operation, in *api.StatusIn) error {
-	names, err := a.own(&o.Operation)
+	names, err := a.localTargets(&o.Operation)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/host/agent/serve_releases.go
+++ b/internal/fleet/host/agent/serve_releases.go
@@ -19,20 +19,20 @@
 
 func (a *Agent) releaseWrite(ctx context.Context, c *caller, in *api.ChunkIn) (any, error) {
 	if err := a.releases.Write(in.Release, in.File, in.Offset, in.Data); err != nil {
-		return nil, api.Errorf(api.InvalidRelease, "agent %s: %v", a.cfg.Name, err)
+		return nil, api.Errorf(api.InvalidRelease, "agent %s: %v", a.config.Name, err)
 	}
 	return a.releaseStat(ctx, c, &api.ReleaseIn{Release: in.Release})
 }
 
 func (a *Agent) releaseDone(ctx context.Context, c *caller, in *api.ReleaseIn) (any, error) {
 	if err := a.releases.Done(in.Release); err != nil {
-		return nil, api.Errorf(api.InvalidRelease, "agent %s: %v", a.cfg.Name, err)
+		return nil, api.Errorf(api.InvalidRelease, "agent %s: %v", a.config.Name, err)
 	}
 	return a.releaseStat(ctx, c, in)
 }
 
-// maxRead is how much of a release's file one answer holds.
-const maxRead = 1 << 20
+// maxReleaseChunk is how much of a release's file one answer holds.
+const maxReleaseChunk = 1 << 20
 
 func (a *Agent) releaseRead(_ context.Context, _ *caller, in *api.ReadIn) (any, error) {
 	if !release.Valid(in.Release) || in.File != release.Sidecar && in.File != release.Overlay || in.Offset < 0 {
@@ -40,14 +40,14 @@
 	}
 	f, err := os.Open(a.releases.Path(in.Release, in.File))
 	if err != nil {
-		return nil, api.Errorf(api.NoRelease, "agent %s: %v", a.cfg.Name, err)
+		return nil, api.Errorf(api.NoRelease, "agent %s: %v", a.config.Name, err)
 	}
 	defer f.Close()
 	st, err := f.Stat()
 	if err != nil {
 		return nil, err
 	}
-	buf := make([]byte, max(0, min(maxRead, st.Size()-in.Offset)))
+	buf := make([]byte, max(0, min(maxReleaseChunk, st.Size()-in.Offset)))
 	n, err := f.ReadAt(buf, in.Offset)
 	if n < len(buf) && err != nil {
 		return nil, err
--- a/internal/fleet/host/agent/serve_settings.go
+++ b/internal/fleet/host/agent/serve_settings.go
@@ -11,10 +11,10 @@
 	"martendrum/internal/fleet/store"
 )
 
-// serving returns the relay of this agent.
-func (a *Agent) serving() (*node.Relay, error) {
+// servedRelay returns the relay of this agent.
+func (a *Agent) servedRelay() (*node.Relay, error) {
 	if a.relay == nil {
-		return nil, api.Errorf(api.NotRelay, "agent %s is no relay: its configuration has no [relay]", a.cfg.Name)
+		return nil, api.Errorf(api.NotRelay, "agent %s is no relay: its configuration has no [relay]", a.config.Name)
 	}
 	return a.relay, nil
 }
@@ -25,21 +25,21 @@
 	if !c.certified || c.id == name {
 		return nil
 	}
-	return api.Errorf(api.Forbidden, "%s may not speak for %s at agent %s", c.id, name, a.cfg.Name)
+	return api.Errorf(api.Forbidden, "%s may not speak for %s at agent %s", c.id, name, a.config.Name)
 }
 
-// relayOnly says whether a caller may speak for a relay.
-func (a *Agent) relayOnly(c *caller, name string) error {
-	for _, relay := range a.cfg.Distribution.Relays {
+// speaksForRelay says whether a caller may speak for a relay.
+func (a *Agent) speaksForRelay(c *caller, name string) error {
+	for _, relay := range a.config.Distribution.Relays {
 		if relay.Name == name {
 			return a.speaksFor(c, name)
 		}
 	}
-	return api.Errorf(api.Forbidden, "%s is none of the relays of agent %s", name, a.cfg.Name)
+	return api.Errorf(api.Forbidden, "%s is none of the relays of agent %s", name, a.config.Name)
 }
 
 func (a *Agent) settingsPut(_ context.Context, c *caller, in *distribution.Put) (any, error) {
-	relay, err := a.serving()
+	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 }
 
 func (a *Agent) settingsPromote(_ context.Context, c *caller, _ *api.Empty) (any, error) {
-	relay, err := a.serving()
+	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, node.RejectionReason(err)
 	}
-	a.auditSettings(c, "settings.promote", a.cfg.Name, fmt.Sprint("epoch ", out.Epoch))
+	a.auditSettings(c, "settings.promote", a.config.Name, fmt.Sprint("epoch ", out.Epoch))
 	return out, nil
 }
 
@@ -76,7 +76,7 @@
 }
 
 func (a *Agent) settingsGet(_ context.Context, _ *caller, in *api.SettingsGetIn) (any, error) {
-	relay, err := a.serving()
+	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 }
 
 func (a *Agent) settingsStatus(_ context.Context, _ *caller, in *api.SettingsStatusIn) (any, error) {
-	relay, err := a.serving()
+	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 }
 
 func (a *Agent) settingsWatch(ctx context.Context, c *caller, in *api.SettingsWatchIn) (any, error) {
-	relay, err := a.serving()
+	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 }
 
 func (a *Agent) settingsAck(_ context.Context, c *caller, in *api.SettingsAckIn) (any, error) {
-	relay, err := a.serving()
+	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
@@ -124,11 +124,11 @@
 }
 
 func (a *Agent) settingsFollow(ctx context.Context, c *caller, in *api.SettingsFollowIn) (any, error) {
-	relay, err := a.serving()
+	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
-	if err := a.relayOnly(c, in.Relay); err != nil {
+	if err := a.speaksForRelay(c, in.Relay); err != nil {
 		return nil, err
 	}
 	out, err := relay.Follow(ctx, in)
@@ -136,11 +136,11 @@
 }
 
 func (a *Agent) settingsReport(_ context.Context, c *caller, in *api.SettingsReportIn) (any, error) {
-	relay, err := a.serving()
+	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
-	if err := a.relayOnly(c, in.Relay); err != nil {
+	if err := a.speaksForRelay(c, in.Relay); err != nil {
 		return nil, err
 	}
 	out, err := relay.Report(in)
@@ -148,12 +148,12 @@
 }
 
 func (a *Agent) settingsWriting(_ context.Context, c *caller, in *api.SettingsWriter) (any, error) {
-	relay, err := a.serving()
+	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
 	if c.certified {
-		if err := a.relayOnly(c, c.id); err != nil {
+		if err := a.speaksForRelay(c, c.id); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/fleet/host/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -22,18 +22,18 @@
 // settingsAttempt is distributed settings on their way into an instance: its file is written
 // and the process has got SIGHUP.
 type settingsAttempt struct {
-	process *Process
-	sum     string    // of the configuration that it was given
-	sent    time.Time // the SIGHUP
+	process    *Process
+	configHash string    // of the configuration that it was given
+	sent       time.Time // the SIGHUP
 }
 
 // maxCrashes is how many processes may end while they take the same settings before these
 // count as refused: the first end may have had another cause.
 const maxCrashes = 2
 
-// unconfirmedAfter is when settings count as taken by a program that does not tell which
+// unconfirmedDelay is when settings count as taken by a program that does not tell which
 // configuration it runs.
-const unconfirmedAfter = time.Second
+const unconfirmedDelay = time.Second
 
 // subscription is the host's copy of the settings that concern its instances. The agent's
 // lock guards it.
@@ -46,12 +46,12 @@
 // startDistribution begins to serve and to follow settings as the configuration says. rows
 // are those of the record.
 func (a *Agent) startDistribution(rows []distribution.Entry) error {
-	if a.cfg.Relay != nil {
+	if a.config.Relay != nil {
 		if err := a.startRelay(rows); err != nil {
 			return err
 		}
 	}
-	if !a.cfg.Distribution.Subscribe {
+	if !a.config.Distribution.Subscribe {
 		return nil
 	}
 	return a.startSubscriber(rows)
@@ -63,9 +63,9 @@
 		return err
 	}
 	a.relay, err = node.NewRelay(node.RelayConfig{
-		Name: a.cfg.Name, Relays: a.cfg.Distribution.Relays, Writer: a.cfg.Distribution.Writer,
-		Subscribers: a.cfg.Relay.Subscribers,
-		Limits:      distribution.Limits{Resources: a.cfg.Relay.Resources, History: a.cfg.Relay.History},
+		Name: a.config.Name, Relays: a.config.Distribution.Relays, Writer: a.config.Distribution.Writer,
+		Subscribers: a.config.Relay.Subscribers,
+		Limits:      distribution.Limits{Resources: a.config.Relay.Resources, History: a.config.Relay.History},
 		Dial:        dial, Store: a.store,
 	}, random(), rows)
 	return err
@@ -77,8 +77,8 @@
 	if err != nil {
 		return err
 	}
-	for _, i := range a.inst {
-		i.applier = distribution.NewApplier(i.cfg.Name, time.Duration(a.cfg.Distribution.Coalesce))
+	for _, i := range a.instances {
+		i.applier = distribution.NewApplier(i.config.Name, time.Duration(a.config.Distribution.Coalesce))
 		if err := i.applier.Restore(rows); err != nil {
 			return err
 		}
@@ -89,20 +89,20 @@
 	}
 	s := &subscription{interest: interest, replica: replica}
 	s.subscriber = node.NewSubscriber(node.SubscriberConfig{
-		Interest: interest, Region: a.cfg.Distribution.Region, Zone: a.cfg.Distribution.Zone,
-		Relays: a.cfg.Distribution.Relays, Limits: distribution.DefaultLimits(), Dial: dial, Copy: settingsCopy{a},
+		Interest: interest, Region: a.config.Distribution.Region, Zone: a.config.Distribution.Zone,
+		Relays: a.config.Distribution.Relays, Limits: distribution.DefaultLimits(), Dial: dial, Copy: hostReplica{a},
 	})
 	a.settings = s
-	a.want(time.Now())
+	a.wantSettings(time.Now())
 	a.wg.Go(func() { s.subscriber.Run(a.ctx) })
 	return nil
 }
 
 // interest is the labels of each instance with those of the host.
 func (a *Agent) interest() distribution.Interest {
-	interest := distribution.Interest{Host: a.cfg.Name}
-	for _, name := range a.names {
-		interest.Instances = append(interest.Instances, a.settingsLabels(a.inst[name]))
+	interest := distribution.Interest{Host: a.config.Name}
+	for _, name := range a.instanceNames {
+		interest.Instances = append(interest.Instances, a.settingsLabels(a.instances[name]))
 	}
 	return interest
 }
@@ -110,21 +110,21 @@
 // settingsLabels are the labels by which a scope names an instance: its own, and those of
 // its host where it has none of that name.
 func (a *Agent) settingsLabels(i *instance) map[string]string {
-	labels := map[string]string{"host": a.cfg.Name, "instance": i.cfg.Name}
-	if a.cfg.Distribution.Region != "" {
-		labels["region"] = a.cfg.Distribution.Region
+	labels := map[string]string{"host": a.config.Name, "instance": i.config.Name}
+	if a.config.Distribution.Region != "" {
+		labels["region"] = a.config.Distribution.Region
 	}
-	if a.cfg.Distribution.Zone != "" {
-		labels["zone"] = a.cfg.Distribution.Zone
+	if a.config.Distribution.Zone != "" {
+		labels["zone"] = a.config.Distribution.Zone
 	}
-	maps.Copy(labels, i.cfg.Labels)
+	maps.Copy(labels, i.config.Labels)
 	return labels
 }
 
 // relayDialer connects to relays with the agent's own certificate.
 func (a *Agent) relayDialer() (node.Dialer, error) {
 	var config *tls.Config
-	if t := &a.cfg.TLS; t.Cert != "" {
+	if t := &a.config.TLS; t.Cert != "" {
 		var err error
 		if config, err = pki.TLS(t.CA, t.Cert, t.Key); err != nil {
 			return nil, err
@@ -132,7 +132,7 @@
 	}
 	return func(ctx context.Context, relay distribution.Relay) (node.Conn, error) {
 		target := connect.Target{Agent: relay.Name, Address: relay.Address, TLS: config}
-		client, err := connect.Dial(ctx, target, "agent "+a.cfg.Name, msgpackrpc.Limits{Message: limits.Message})
+		client, err := connect.Dial(ctx, target, "agent "+a.config.Name, msgpackrpc.Limits{Message: connectionLimits.Message})
 		if err != nil {
 			return nil, err
 		}
@@ -140,11 +140,11 @@
 	}, nil
 }
 
-// settingsCopy is the agent as its subscriber sees it.
-type settingsCopy struct{ agent *Agent }
+// hostReplica is the agent as its subscriber sees it.
+type hostReplica struct{ agent *Agent }
 
 // Take implements node.Copy: the update is in the record before any instance gets it.
-func (c settingsCopy) Take(update distribution.Update) error {
+func (c hostReplica) Take(update distribution.Update) error {
 	a := c.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -162,25 +162,25 @@
 		s.replica = before
 		return err
 	}
-	a.want(time.Now())
+	a.wantSettings(time.Now())
 	return nil
 }
 
 // State implements node.Copy.
-func (c settingsCopy) State() distribution.HostState {
+func (c hostReplica) State() distribution.HostState {
 	c.agent.mu.Lock()
 	defer c.agent.mu.Unlock()
 	return c.agent.hostState()
 }
 
-// want tells each instance's applier what concerns it; the lock is held.
-func (a *Agent) want(now time.Time) {
+// wantSettings tells each instance's applier what concerns it; the lock is held.
+func (a *Agent) wantSettings(now time.Time) {
 	if a.settings.replica.Revision().IsZero() {
 		return // nothing was ever heard: what was accepted stays
 	}
-	for _, i := range a.inst {
-		i.applier.Want(now, a.settings.replica.For(a.cfg.Name, a.settingsLabels(i)))
-		i.poke()
+	for _, i := range a.instances {
+		i.applier.Want(now, a.settings.replica.For(a.config.Name, a.settingsLabels(i)))
+		i.wakeUp()
 	}
 }
 
@@ -189,13 +189,13 @@
 func (a *Agent) hostState() distribution.HostState {
 	received := a.settings.replica.Revision()
 	state := distribution.HostState{Received: received, Applied: received, Settled: true}
-	for _, name := range a.names {
-		i := a.inst[name]
+	for _, name := range a.instanceNames {
+		i := a.instances[name]
 		state.Rejections = append(state.Rejections, i.applier.Rejections()...)
 		if !i.applier.Pending() {
 			i.settledAt = received
 		}
-		if i.row.Desired != api.Running || !i.applier.Pending() {
+		if i.stored.Desired != api.Running || !i.applier.Pending() {
 			continue
 		}
 		if state.Settled {
@@ -213,16 +213,16 @@
 // that holds a live lease, or has a step under way, goes first: it decides what the instance
 // runs, and what is distributed follows when it lets go. The lock is held.
 func (a *Agent) settingsWait(i *instance, now time.Time) string {
-	switch lease := a.leases.ByInstance[i.cfg.Name]; {
+	switch lease := a.leases.ByInstance[i.config.Name]; {
 	case i.step != nil:
 		return "operation " + i.step.Op + " changes it"
 	case lease.Live(now):
 		return "operation " + lease.Op + " holds it"
-	case i.proc == nil || i.life.Phase() != supervisor.Ready:
-		return fmt.Sprintf("it is %s", i.life.Phase())
-	case i.prev != nil:
+	case i.process == nil || i.supervisor.Phase() != supervisor.Ready:
+		return fmt.Sprintf("it is %s", i.supervisor.Phase())
+	case i.previous != nil:
 		return "a new process takes over"
-	case now.Sub(i.row.Launched) < hupAfter:
+	case now.Sub(i.stored.Launched) < minReloadAge:
 		return "its process has just begun"
 	case i.attempt != nil:
 		return "its answer is awaited"
@@ -241,7 +241,7 @@
 	now := time.Now()
 	a.reportPending(i)
 	if i.attempt != nil {
-		process, hash := i.attempt.process, i.row.Running
+		process, hash := i.attempt.process, i.stored.Running
 		refused := a.settleAttempt(i, now)
 		a.mu.Unlock()
 		if refused {
@@ -260,9 +260,9 @@
 	}
 	if a.settingsWait(i, now) != "" {
 		a.mu.Unlock()
-		return now.Add(closeInterval)
+		return now.Add(activeInterval)
 	}
-	settings, process, hash := i.applier.Begin(), i.proc, i.row.Running
+	settings, process, hash := i.applier.Begin(), i.process, i.stored.Running
 	a.mu.Unlock()
 	sum, err := a.configureWith(i, hash, settings, random())
 	if err == nil {
@@ -273,16 +273,16 @@
 	if err != nil {
 		i.applier.Abandon()
 	} else {
-		i.attempt = &settingsAttempt{process: process, sum: sum, sent: now}
+		i.attempt = &settingsAttempt{process: process, configHash: sum, sent: now}
 	}
-	return now.Add(closeInterval)
+	return now.Add(activeInterval)
 }
 
 // reportPending has the relay told when an instance begins or ceases to wait for settings. That
 // also changes without an update or an attempt: a start, an operation that lets it run again.
 // The lock is held.
 func (a *Agent) reportPending(i *instance) {
-	pending := i.row.Desired == api.Running && i.applier.Pending()
+	pending := i.stored.Desired == api.Running && i.applier.Pending()
 	if pending == i.pendingReported {
 		return
 	}
@@ -298,12 +298,12 @@
 	case i.step != nil:
 		i.attempt = nil
 		i.applier.Abandon()
-	case i.proc != i.attempt.process:
+	case i.process != i.attempt.process:
 		a.crashedAttempt(i)
-	case i.sum == i.attempt.sum, i.sum == "" && waited > unconfirmedAfter:
+	case i.configHash == i.attempt.configHash, i.configHash == "" && waited > unconfirmedDelay:
 		a.endAttempt(i, true, "")
-	case waited > hupWithin:
-		a.endAttempt(i, false, complaint(a.logPath(i.cfg.Name)))
+	case waited > reloadTimeout:
+		a.endAttempt(i, false, lastLogProblem(a.logPath(i.config.Name)))
 		return true
 	}
 	return false
@@ -318,7 +318,7 @@
 		i.applier.Abandon()
 		return
 	}
-	a.endAttempt(i, false, "its process ended while it took them: "+i.row.LastExit)
+	a.endAttempt(i, false, "its process ended while it took them: "+i.stored.LastExit)
 }
 
 // endAttempt takes the instance's answer; the lock is held.
@@ -340,7 +340,7 @@
 		err = process.Signal(syscall.SIGHUP)
 	}
 	if err != nil {
-		slog.Warn("an instance's file may hold settings that it refused", "instance", i.cfg.Name, "err", err)
+		slog.Warn("an instance's file may hold settings that it refused", "instance", i.config.Name, "err", err)
 	}
 }
 
--- a/internal/fleet/host/agent/step.go
+++ b/internal/fleet/host/agent/step.go
@@ -17,16 +17,16 @@
 func (a *Agent) stepStart(_ context.Context, c *caller, in *api.StepIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.op(in.Op)
+	o, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
-	i, err := a.named(in.Instance)
+	i, err := a.findInstance(in.Instance)
 	if err != nil {
 		return nil, err
 	}
 	switch {
-	case !a.targets(&o.Operation, in.Instance):
+	case !a.isTarget(&o.Operation, in.Instance):
 		return nil, api.Errorf(api.InvalidParams, "%s is no instance of operation %s", in.Instance, o.ID)
 	case in.Kind != api.Change && in.Kind != api.Rollback:
 		return nil, api.Errorf(api.InvalidParams, "kind %q; want %q or %q", in.Kind, api.Change, api.Rollback)
@@ -34,25 +34,25 @@
 	if err := a.fenced(a.leases.Check(time.Now(), o.ID, in.Token, in.Instance)); err != nil {
 		return nil, err
 	}
-	return a.begin(o, i, in.Kind, in.Token, c.who, "")
+	return a.beginStep(o, i, in.Kind, in.Token, c.who, "")
 }
 
-// begin begins a step; the lock is held. reason says why where the agent does so by
+// beginStep begins a step; the lock is held. reason says why where the agent does so by
 // itself.
-func (a *Agent) begin(o *store.Operation, i *instance, kind string, token int64, who, reason string) (*api.Step, error) {
-	name, now := i.cfg.Name, time.Now()
+func (a *Agent) beginStep(o *store.Operation, i *instance, kind string, token int64, who, reason string) (*api.Step, error) {
+	name, now := i.config.Name, time.Now()
 	if s := a.steps[stepKey{o.ID, name, kind}]; s != nil {
 		return s, nil
 	}
 	switch {
 	case o.State != api.OpOpened:
-		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.cfg.Name)
+		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.config.Name)
 	case i.step != nil:
 		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is under way on %s", i.step.Op, name)
 	}
 	s := &api.Step{Op: o.ID, Instance: name, Kind: kind, Action: o.Action, Status: api.StepRunning, Cause: reason,
-		From: i.row.Release, To: i.row.Release, Before: i.row.Previous, Ready: o.Ready, Soak: o.Soak, Started: now, Token: token}
-	row, verdict, ok := a.plan(i, o, s)
+		From: i.stored.Release, To: i.stored.Release, Before: i.stored.Previous, Ready: o.Ready, Soak: o.Soak, Started: now, Token: token}
+	row, verdict, ok := a.planStep(i, o, s)
 	s.Generation = row.Generation
 	if verdict != "" || ok {
 		s.Status, s.Reason, s.Finished = api.StepOK, verdict, now
@@ -64,20 +64,20 @@
 		Audit: []api.AuditEntry{{At: now, Who: who, What: o.Action + " " + kind, Target: name, Result: strings.TrimSuffix(s.Status+": "+reason, ": ")}}}); err != nil {
 		return nil, err
 	}
-	i.row = row
+	i.stored = row
 	a.steps[stepKey{o.ID, name, kind}] = s
 	if s.Status == api.StepRunning {
 		i.step = s
-		i.hupAt = time.Time{}
+		i.reloadSentAt = time.Time{}
 	}
-	i.poke()
+	i.wakeUp()
 	return s, nil
 }
 
-// plan is the instance's row as the step wants it. With ok or a verdict the step
+// planStep is the instance's row as the step wants it. With ok or a verdict the step
 // has its outcome already.
-func (a *Agent) plan(i *instance, o *store.Operation, s *api.Step) (row store.Instance, verdict string, ok bool) {
-	row = i.row
+func (a *Agent) planStep(i *instance, o *store.Operation, s *api.Step) (row store.Instance, verdict string, ok bool) {
+	row = i.stored
 	running := row.Desired == api.Running
 	// again asks for a new process, where one is wanted at all.
 	again := func() (store.Instance, string, bool) {
@@ -96,7 +96,7 @@
 			return row, "it was not changed", true
 		}
 		row.Release, row.Previous, s.To = change.From, change.Before, change.From
-		if row.Release == i.row.Release {
+		if row.Release == i.stored.Release {
 			return row, "it was not changed", true
 		}
 		if o.Action == api.ActSettings && running {
@@ -111,8 +111,8 @@
 			return row, "it is drained: undrain it", false
 		case o.Action == api.ActUndrain && row.Desired != api.Drained:
 			return row, "it is not drained", true
-		case running && i.life.Phase() != supervisor.Crashloop && i.life.Phase() != supervisor.Backoff:
-			if i.life.Phase() == supervisor.Ready {
+		case running && i.supervisor.Phase() != supervisor.Crashloop && i.supervisor.Phase() != supervisor.Backoff:
+			if i.supervisor.Phase() == supervisor.Ready {
 				return row, "it was running", true
 			}
 			return row, "", false
@@ -138,7 +138,7 @@
 		return row, "", false
 	case api.ActUpgrade:
 		s.To = o.Release
-		if row.Release == o.Release && (!running || row.Running == o.Release && i.life.Phase() == supervisor.Ready) {
+		if row.Release == o.Release && (!running || row.Running == o.Release && i.supervisor.Phase() == supervisor.Ready) {
 			return row, "it has this release", true
 		}
 		if row.Release != o.Release {
