--- a/internal/fleet/host/agent/agent.go
+++ b/internal/fleet/host/agent/agent.go
@@ -12,77 +12,20 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/hex"
-	"errors"
 	"fmt"
-	"log/slog"
 	"os"
-	"path/filepath"
 	"sync"
-	"syscall"
 	"time"
 
 	"martendrum/internal/filelock"
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/distribution"
 	"martendrum/internal/fleet/distribution/node"
-	"martendrum/internal/fleet/host/proc"
-	"martendrum/internal/fleet/host/scrape"
 	"martendrum/internal/fleet/lease"
 	"martendrum/internal/fleet/release"
 	"martendrum/internal/fleet/store"
 )
 
-// Machine is what instances run on. Processes is the real one.
-type Machine interface {
-	Start(s proc.Spec) (*Process, error)
-	Adopt(ctx context.Context, pid int, ticks uint64) (*Process, error)
-	Find(prefix string) map[string]proc.Found
-	Health(ctx context.Context, addr string, limit time.Duration) (proc.Healthy, error)
-	// Metrics asks a process's operators' door; of the sample, only the figures count.
-	Metrics(ctx context.Context, door string, pid int, limit time.Duration) (*api.Sample, error)
-	Boot() string
-}
-
-// Process is a running process of a Machine.
-type Process struct {
-	PID    int
-	Ticks  uint64
-	Done   <-chan struct{}
-	Exit   func() string // valid once Done is closed
-	Signal func(syscall.Signal) error
-}
-
-// Processes runs instances as processes of this machine.
-type Processes struct{}
-
-func wrap(p *proc.Proc, err error) (*Process, error) {
-	if err != nil {
-		return nil, err
-	}
-	return &Process{PID: p.PID, Ticks: p.Ticks, Done: p.Done, Exit: p.Exit, Signal: p.Signal}, nil
-}
-
-func (Processes) Start(s proc.Spec) (*Process, error) { return wrap(proc.Start(s)) }
-func (Processes) Adopt(ctx context.Context, pid int, ticks uint64) (*Process, error) {
-	return wrap(proc.Adopt(ctx, pid, ticks))
-}
-func (Processes) Find(prefix string) map[string]proc.Found { return proc.Find(prefix) }
-func (Processes) Boot() string                             { return proc.Boot() }
-func (Processes) Health(ctx context.Context, addr string, limit time.Duration) (proc.Healthy, error) {
-	return proc.Health(ctx, addr, limit)
-}
-
-func (Processes) Metrics(ctx context.Context, door string, pid int, limit time.Duration) (*api.Sample, error) {
-	s, err := scrape.Metrics(ctx, door, limit)
-	if err != nil {
-		return nil, err
-	}
-	s.Memory, s.Files, err = scrape.Usage(pid)
-	return s, err
-}
-
 type stepKey struct{ op, instance, kind string }
 
 // Agent is a running agent. One lock guards all it knows; the record is written
@@ -184,56 +127,6 @@
 	filelock.Release(a.lockFile)
 }
 
-// notifyChanged tells those who wait that something has changed.
-func (a *Agent) notifyChanged() {
-	a.changeNumber++
-	close(a.changed)
-	a.changed = make(chan struct{})
-}
-
-// commitTimeout is how long a write of the record may take.
-const commitTimeout = 5 * time.Second
-
-// commit writes a change. On success it is for the caller to take it over into
-// memory, still under the lock.
-func (a *Agent) commit(c *store.Change) error {
-	if err := a.ctx.Err(); err != nil {
-		return api.Errorf(api.Unwritable, "agent %s is stopping", a.config.Name)
-	}
-	if len(c.Audit) > 0 {
-		c.AuditLimit = a.config.Limits.Audit
-	}
-	ctx, cancel := context.WithTimeout(a.ctx, commitTimeout)
-	defer cancel()
-	if err := a.store.Commit(ctx, c); err != nil {
-		if a.unwritable == "" {
-			slog.Error("the record can't be written", "err", err)
-		}
-		a.unwritable = err.Error()
-		return api.Errorf(api.Unwritable, "agent %s: the record can't be written, so nothing was touched: %v", a.config.Name, err)
-	}
-	if a.unwritable != "" {
-		slog.Info("the record can be written again")
-	}
-	a.unwritable = ""
-	a.notifyChanged()
-	return nil
-}
-
-// persistOrMarkDirty writes down what has happened already. Where that fails it stays in memory
-// and is written with the next that can be: after a kill meanwhile, the processes
-// themselves tell.
-func (a *Agent) persistOrMarkDirty(i *instance, s *api.Step) {
-	c := &store.Change{Instances: []store.Instance{i.stored}}
-	if s != nil {
-		c.Steps = []api.Step{*s}
-	}
-	if a.commit(c) != nil {
-		i.dirty = true
-		a.notifyChanged()
-	}
-}
-
 // StopAll stops every instance for good and waits until none runs, or ctx ends.
 func (a *Agent) StopAll(ctx context.Context) error {
 	a.mu.Lock()
@@ -281,35 +174,3 @@
 	}
 	return int(a.config.Metrics.Retention/a.config.Metrics.Slot) + 2
 }
-
-func (a *Agent) logPath(name string) string {
-	return filepath.Join(a.config.StateDir, "logs", name+".log")
-}
-
-// handoverPath is the folder in which an old process and a new one find each other.
-func (a *Agent) handoverPath() string { return filepath.Join(a.config.StateDir, "meet") }
-
-func (a *Agent) configPath(name string) string {
-	return filepath.Join(a.config.StateDir, "instances", name+".json")
-}
-
-// random is a new name for a launch, a seed or the like.
-func random() string {
-	var b [8]byte
-	rand.Read(b[:])
-	return hex.EncodeToString(b[:])
-}
-
-// writeFile replaces a file whole or not at all.
-func writeFile(path string, data []byte) error {
-	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
-	if err != nil {
-		return err
-	}
-	_, err = f.Write(data)
-	err = errors.Join(err, f.Sync(), f.Close())
-	if err != nil {
-		return err
-	}
-	return os.Rename(path+".new", path)
-}
--- /dev/null
+++ b/internal/fleet/host/agent/operations.go
@@ -0,0 +1,170 @@
+package agent
+
+import (
+	"slices"
+	"time"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/host/compatibility"
+	"martendrum/internal/fleet/release"
+	"martendrum/internal/fleet/store"
+)
+
+// localTargets is the operation's instances here.
+func (a *Agent) localTargets(o *api.Operation) (out []string, err error) {
+	for _, t := range o.Targets {
+		if t.Host == a.config.Name {
+			if _, err := a.findInstance(t.Instance); err != nil {
+				return nil, err
+			}
+			out = append(out, t.Instance)
+		}
+	}
+	if len(out) == 0 {
+		return nil, api.Errorf(api.InvalidParams, "operation %s has no instance at agent %s", o.ID, a.config.Name)
+	}
+	return out, nil
+}
+
+func (a *Agent) isTarget(o *api.Operation, instance string) bool {
+	for _, t := range o.Targets {
+		if t.Host == a.config.Name && t.Instance == instance {
+			return true
+		}
+	}
+	return false
+}
+
+// checkCompatibility says whether old and new programs may run side by side here.
+func (a *Agent) checkCompatibility(o *api.Operation) error {
+	a.mu.Lock()
+	_, known := a.operations[o.ID]
+	uses := make(map[string]compatibility.Use) // by the release that runs
+	for _, t := range o.Targets {
+		if i := a.instances[t.Instance]; t.Host == a.config.Name && i != nil && i.stored.Release != o.Release {
+			u := uses[i.stored.Release]
+			u.HandOver, u.Back = a.config.Sidecar.HandOver && o.Action == api.ActUpgrade, o.Policy.OnFailure == api.OnFailureRollback || o.Policy.OnFailure == api.OnFailureRollbackStage
+			u.Record = u.Record || i.config.Record != ""
+			uses[i.stored.Release] = u
+		}
+	}
+	a.mu.Unlock()
+	if known {
+		return nil // it was asked when it began
+	}
+	for before, use := range uses {
+		old := compatibility.Query(a.ctx, a.releases.Path(before, release.Sidecar))
+		now := compatibility.Query(a.ctx, a.releases.Path(o.Release, release.Sidecar))
+		if err := compatibility.Check(old, now, use); err != nil {
+			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run beside %.12s: %v", a.config.Name, o.Release, before, err)
+		}
+	}
+	return nil
+}
+
+// findOperation finds an operation; the lock is held.
+func (a *Agent) findOperation(id string) (*store.Operation, error) {
+	if o := a.operations[id]; o != nil {
+		return o, nil
+	}
+	return nil, api.Errorf(api.NoOperation, "agent %s knows no operation %q", a.config.Name, id)
+}
+
+// fenced makes an API error of a lease's.
+func (a *Agent) fenced(err error) error {
+	if err == nil {
+		return nil
+	}
+	return api.Errorf(api.Fenced, "agent %s: %v", a.config.Name, err)
+}
+
+func (a *Agent) isLeased(op string, now time.Time) bool {
+	for _, l := range a.leases.ByInstance {
+		if l.Op == op && l.Live(now) {
+			return true
+		}
+	}
+	return false
+}
+
+func (a *Agent) hasRunningStep(op string) bool {
+	for _, i := range a.instances {
+		if i.step != nil && i.step.Op == op {
+			return true
+		}
+	}
+	return false
+}
+
+// closeOperation ends an operation and its leases here, and forgets the oldest.
+func (a *Agent) closeOperation(o *store.Operation, result, who string) error {
+	now := time.Now()
+	next := *o
+	next.State, next.Result, next.Closed = api.OpClosed, result, now
+	c := &store.Change{Operations: []store.Operation{next}, Audit: []api.AuditEntry{{At: now, Who: who, What: "op.close", Target: o.ID, Result: result}}}
+	for _, l := range a.leases.ByInstance {
+		if l.Op == o.ID && l.Live(now) {
+			l.Expires = now
+			c.Leases = append(c.Leases, l)
+		}
+	}
+	var closed []*store.Operation
+	for _, x := range a.operations {
+		if x.State == api.OpClosed {
+			closed = append(closed, x)
+		}
+	}
+	slices.SortFunc(closed, func(x, y *store.Operation) int { return x.Closed.Compare(y.Closed) })
+	for len(closed) >= a.config.Limits.Operations {
+		c.DropOperations = append(c.DropOperations, closed[0].ID)
+		closed = closed[1:]
+	}
+	if err := a.commit(c); err != nil {
+		return err
+	}
+	*o = next
+	a.leases.Put(c.Leases)
+	for _, id := range c.DropOperations {
+		delete(a.operations, id)
+		for k := range a.steps {
+			if k.op == id {
+				delete(a.steps, k)
+			}
+		}
+	}
+	return nil
+}
+
+// endAborted closes operations that are to end, once nothing of them runs and
+// nobody holds them.
+func (a *Agent) endAborted() {
+	for _, o := range a.operations {
+		if o.State == api.OpAborting && !a.isLeased(o.ID, time.Now()) && !a.hasRunningStep(o.ID) {
+			if err := a.closeOperation(o, "aborted", "agent"); err != nil {
+				return
+			}
+		}
+	}
+}
+
+func (a *Agent) operationStatus(o *store.Operation) *api.OpOut {
+	now := time.Now()
+	out := &api.OpOut{Operation: o.Operation, State: o.State, Result: o.Result, Change: a.changeNumber, Now: now}
+	for _, l := range a.leases.ByInstance {
+		if l.Op == o.ID && l.Live(now) {
+			out.LeaseHolder, out.Expires = l.Holder, l.Expires
+		}
+	}
+	for _, name := range a.instanceNames {
+		if a.isTarget(&o.Operation, name) {
+			out.Instances = append(out.Instances, a.instanceStatus(a.instances[name]))
+		}
+	}
+	for k, s := range a.steps {
+		if k.op == o.ID {
+			out.Steps = append(out.Steps, *s)
+		}
+	}
+	slices.SortFunc(out.Steps, func(x, y api.Step) int { return x.Started.Compare(y.Started) })
+	return out
+}
--- /dev/null
+++ b/internal/fleet/host/agent/persist.go
@@ -0,0 +1,87 @@
+package agent
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/store"
+)
+
+// commitTimeout is how long a write of the record may take.
+const commitTimeout = 5 * time.Second
+
+// notifyChanged tells those who wait that something has changed.
+func (a *Agent) notifyChanged() {
+	a.changeNumber++
+	close(a.changed)
+	a.changed = make(chan struct{})
+}
+
+// commit writes a change. On success it is for the caller to take it over into
+// memory, still under the lock.
+func (a *Agent) commit(c *store.Change) error {
+	if err := a.ctx.Err(); err != nil {
+		return api.Errorf(api.Unwritable, "agent %s is stopping", a.config.Name)
+	}
+	if len(c.Audit) > 0 {
+		c.AuditLimit = a.config.Limits.Audit
+	}
+	ctx, cancel := context.WithTimeout(a.ctx, commitTimeout)
+	defer cancel()
+	if err := a.store.Commit(ctx, c); err != nil {
+		if a.unwritable == "" {
+			slog.Error("the record can't be written", "err", err)
+		}
+		a.unwritable = err.Error()
+		return api.Errorf(api.Unwritable, "agent %s: the record can't be written, so nothing was touched: %v", a.config.Name, err)
+	}
+	if a.unwritable != "" {
+		slog.Info("the record can be written again")
+	}
+	a.unwritable = ""
+	a.notifyChanged()
+	return nil
+}
+
+// persistOrMarkDirty writes down what has happened already. Where that fails it stays in memory
+// and is written with the next that can be: after a kill meanwhile, the processes
+// themselves tell.
+func (a *Agent) persistOrMarkDirty(i *instance, s *api.Step) {
+	c := &store.Change{Instances: []store.Instance{i.stored}}
+	if s != nil {
+		c.Steps = []api.Step{*s}
+	}
+	if a.commit(c) != nil {
+		i.dirty = true
+		a.notifyChanged()
+	}
+}
+
+// persistDirty writes all that the record may lack.
+func (a *Agent) persistDirty() {
+	c := &store.Change{}
+	for _, i := range a.instances {
+		if i.dirty {
+			c.Instances = append(c.Instances, i.stored)
+			c.Settings = append(c.Settings, i.settingsRows()...)
+			for _, s := range a.steps {
+				if s.Instance == i.config.Name {
+					c.Steps = append(c.Steps, *s)
+				}
+			}
+		}
+	}
+	if len(c.Instances) == 0 && a.unwritable == "" || len(a.instanceNames) == 0 {
+		return
+	}
+	if len(c.Instances) == 0 { // is it writable again?
+		c.Instances = append(c.Instances, a.instances[a.instanceNames[0]].stored)
+	}
+	if a.commit(c) == nil {
+		for _, i := range a.instances {
+			i.dirty = false
+		}
+	}
+}
--- a/internal/fleet/host/agent/serve_operations.go
+++ b/internal/fleet/host/agent/serve_operations.go
@@ -8,9 +8,7 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/host/compatibility"
 	"martendrum/internal/fleet/lease"
-	"martendrum/internal/fleet/release"
 	"martendrum/internal/fleet/store"
 )
 
@@ -21,22 +19,6 @@
 	maxConnections = 128
 )
 
-// localTargets is the operation's instances here.
-func (a *Agent) localTargets(o *api.Operation) (out []string, err error) {
-	for _, t := range o.Targets {
-		if t.Host == a.config.Name {
-			if _, err := a.findInstance(t.Instance); err != nil {
-				return nil, err
-			}
-			out = append(out, t.Instance)
-		}
-	}
-	if len(out) == 0 {
-		return nil, api.Errorf(api.InvalidParams, "operation %s has no instance at agent %s", o.ID, a.config.Name)
-	}
-	return out, nil
-}
-
 func (a *Agent) opOpen(_ context.Context, c *caller, in *api.OpenIn) (any, error) {
 	o := &in.Operation
 	switch {
@@ -122,49 +104,6 @@
 	return &api.OpenOut{Token: ls[0].Token, Expires: ls[0].Expires}, nil
 }
 
-// checkCompatibility says whether old and new programs may run side by side here.
-func (a *Agent) checkCompatibility(o *api.Operation) error {
-	a.mu.Lock()
-	_, known := a.operations[o.ID]
-	uses := make(map[string]compatibility.Use) // by the release that runs
-	for _, t := range o.Targets {
-		if i := a.instances[t.Instance]; t.Host == a.config.Name && i != nil && i.stored.Release != o.Release {
-			u := uses[i.stored.Release]
-			u.HandOver, u.Back = a.config.Sidecar.HandOver && o.Action == api.ActUpgrade, o.Policy.OnFailure == api.OnFailureRollback || o.Policy.OnFailure == api.OnFailureRollbackStage
-			u.Record = u.Record || i.config.Record != ""
-			uses[i.stored.Release] = u
-		}
-	}
-	a.mu.Unlock()
-	if known {
-		return nil // it was asked when it began
-	}
-	for before, use := range uses {
-		old := compatibility.Query(a.ctx, a.releases.Path(before, release.Sidecar))
-		now := compatibility.Query(a.ctx, a.releases.Path(o.Release, release.Sidecar))
-		if err := compatibility.Check(old, now, use); err != nil {
-			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run beside %.12s: %v", a.config.Name, o.Release, before, err)
-		}
-	}
-	return nil
-}
-
-// findOperation finds an operation; the lock is held.
-func (a *Agent) findOperation(id string) (*store.Operation, error) {
-	if o := a.operations[id]; o != nil {
-		return o, nil
-	}
-	return nil, api.Errorf(api.NoOperation, "agent %s knows no operation %q", a.config.Name, id)
-}
-
-// fenced makes an API error of a lease's.
-func (a *Agent) fenced(err error) error {
-	if err == nil {
-		return nil
-	}
-	return api.Errorf(api.Fenced, "agent %s: %v", a.config.Name, err)
-}
-
 func (a *Agent) opClose(_ context.Context, c *caller, in *api.CloseIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -214,28 +153,6 @@
 	return a.operationStatus(o), nil
 }
 
-func (a *Agent) operationStatus(o *store.Operation) *api.OpOut {
-	now := time.Now()
-	out := &api.OpOut{Operation: o.Operation, State: o.State, Result: o.Result, Change: a.changeNumber, Now: now}
-	for _, l := range a.leases.ByInstance {
-		if l.Op == o.ID && l.Live(now) {
-			out.LeaseHolder, out.Expires = l.Holder, l.Expires
-		}
-	}
-	for _, name := range a.instanceNames {
-		if a.isTarget(&o.Operation, name) {
-			out.Instances = append(out.Instances, a.instanceStatus(a.instances[name]))
-		}
-	}
-	for k, s := range a.steps {
-		if k.op == o.ID {
-			out.Steps = append(out.Steps, *s)
-		}
-	}
-	slices.SortFunc(out.Steps, func(x, y api.Step) int { return x.Started.Compare(y.Started) })
-	return out
-}
-
 func (a *Agent) opList(_ context.Context, _ *caller, _ *api.Empty) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -308,3 +225,35 @@
 	a.leases.Put(ls)
 	return nil
 }
+
+// opNote writes down where a staged change stands.
+func (a *Agent) opNote(_ context.Context, c *caller, in *api.NoteIn) (any, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	o, err := a.findOperation(in.Op)
+	if err != nil {
+		return nil, err
+	}
+	names, err := a.localTargets(&o.Operation)
+	if err != nil {
+		return nil, err
+	}
+	if err := a.fenced(a.leases.Check(time.Now(), o.ID, in.Token, names[0])); err != nil {
+		return nil, err
+	}
+	switch {
+	case o.State != api.OpOpened:
+		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.config.Name)
+	case len(in.Note.Log) > api.MaxVerdicts:
+		return nil, api.Errorf(api.InvalidParams, "%d verdicts in a note; %d at most", len(in.Note.Log), api.MaxVerdicts)
+	case o.Note != nil && o.Note.Number >= in.Note.Number:
+		return a.operationStatus(o), nil // told before, or by a holder that went further
+	}
+	next := *o
+	next.Note = &in.Note
+	if err := a.commit(&store.Change{Operations: []store.Operation{next}}); err != nil {
+		return nil, err
+	}
+	*o = next
+	return a.operationStatus(o), nil
+}
--- /dev/null
+++ b/internal/fleet/host/agent/serve_view.go
@@ -0,0 +1,85 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"time"
+
+	"martendrum/internal/fleet/api"
+)
+
+func (a *Agent) hello(_ context.Context, c *caller, in *api.HelloIn) (any, error) {
+	if in.Oldest > api.Version || in.Version < api.Oldest {
+		return nil, api.Errorf(api.UnsupportedVersion, "agent %s speaks versions %d to %d and you %d to %d: use a martendrum of its age, or upgrade the agent",
+			a.config.Name, api.Oldest, api.Version, in.Oldest, in.Version)
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	c.who = fmt.Sprintf("%.100s (%s)", in.Client, c.id)
+	return &api.HelloOut{Version: min(in.Version, api.Version), Agent: a.config.Name, Role: c.role, Started: a.started}, nil
+}
+
+func (a *Agent) list(_ context.Context, _ *caller, _ *api.Empty) (any, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	out := &api.ListOut{Agent: a.config.Name, Now: time.Now(), Unwritable: a.unwritable}
+	out.Returning, out.Epoch = a.returnProgress()
+	for _, name := range a.instanceNames {
+		out.Instances = append(out.Instances, a.instanceStatus(a.instances[name]))
+	}
+	return out, nil
+}
+
+// findInstance finds an instance; the lock is held.
+func (a *Agent) findInstance(name string) (*instance, error) {
+	if i := a.instances[name]; i != nil {
+		return i, nil
+	}
+	return nil, api.Errorf(api.NoInstance, "agent %s has no instance %q; it has %s", a.config.Name, name, strings.Join(a.instanceNames, ", "))
+}
+
+func (a *Agent) inspect(_ context.Context, _ *caller, in *api.InstanceIn) (any, error) {
+	a.mu.Lock()
+	i, err := a.findInstance(in.Instance)
+	if err != nil {
+		a.mu.Unlock()
+		return nil, err
+	}
+	out := &api.InspectOut{Instance: a.instanceStatus(i), Settings: a.instanceSettings(i)}
+	for _, s := range a.steps {
+		if s.Instance == in.Instance {
+			out.Steps = append(out.Steps, *s)
+		}
+	}
+	a.mu.Unlock()
+	slices.SortFunc(out.Steps, func(x, y api.Step) int { return y.Started.Compare(x.Started) })
+	out.Steps = out.Steps[:min(20, len(out.Steps))]
+	if b, err := os.ReadFile(a.configPath(in.Instance)); err == nil {
+		out.Config = string(b[:min(len(b), maxLogs)])
+	}
+	b, _, err := readTail(a.logPath(in.Instance), -4096, 4096)
+	out.Log = string(b)
+	return out, err
+}
+
+func (a *Agent) logs(_ context.Context, _ *caller, in *api.LogsIn) (any, error) {
+	a.mu.Lock()
+	_, err := a.findInstance(in.Instance)
+	a.mu.Unlock()
+	if err != nil {
+		return nil, err
+	}
+	if in.Limit <= 0 || in.Limit > maxLogs {
+		in.Limit = maxLogs
+	}
+	b, next, err := readTail(a.logPath(in.Instance), max(in.Offset, -maxLogs), in.Limit)
+	return &api.LogsOut{Data: b, Next: next}, err
+}
+
+func (a *Agent) audit(ctx context.Context, _ *caller, in *api.AuditIn) (any, error) {
+	es, err := a.store.Audit(ctx, max(1, min(in.Limit, 1000)))
+	return &api.AuditOut{Entries: es}, err
+}
