--- a/internal/fleet/host/agent/agent.go
+++ b/internal/fleet/host/agent/agent.go
@@ -61,49 +61,24 @@
 	unwritable    string        // why the last write of the record failed
 }
 
-// New opens the state folder, reads the record and begins to look after the
-// instances. open opens the record at a path. Close ends it.
-func New(cfg *Config, m Machine, open func(path string) (store.Store, error)) (*Agent, error) {
+// New opens the state folder, reads the record and begins to supervise the instances. open
+// opens the record at a path. The caller ends the agent with Close.
+func New(config *Config, m Machine, open func(path string) (store.Store, error)) (*Agent, error) {
 	a := &Agent{
-		config: cfg, machine: m, started: time.Now(),
-		instances: make(map[string]*instance), operations: make(map[string]*store.Operation), steps: make(map[stepKey]*api.Step),
-		canHandover: make(map[string]bool), lastLeased: make(map[string]time.Time),
-		changed: make(chan struct{}),
+		config:      config,
+		machine:     m,
+		started:     time.Now(),
+		instances:   make(map[string]*instance),
+		operations:  make(map[string]*store.Operation),
+		steps:       make(map[stepKey]*api.Step),
+		canHandover: make(map[string]bool),
+		lastLeased:  make(map[string]time.Time),
+		changed:     make(chan struct{}),
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
-	if err := a.load(open); err != nil {
-		a.cancel()
-		if a.store != nil {
-			a.store.Close()
-		}
-		if a.lockFile != nil {
-			filelock.Release(a.lockFile)
-		}
-		return nil, fmt.Errorf("agent %s: %w", cfg.Name, err)
-	}
-	if a.config.Metrics.Slot > 0 {
-		j, err := openMetricsJournal(a.metricsPath(), a.retainedSlots()*max(1, len(a.instanceNames)), func(s api.Sample) {
-			if i := a.instances[s.Instance]; i != nil {
-				i.history.add(s)
-			}
-		})
-		if err != nil {
-			a.cancel()
-			a.store.Close()
-			filelock.Release(a.lockFile)
-			return nil, fmt.Errorf("agent %s: figures: %w", cfg.Name, err)
-		}
-		a.wg.Go(func() { a.collectMetrics(j) })
-	}
-	if err := a.startDistribution(a.loadedSettings); err != nil {
-		a.cancel()
-		a.wg.Wait()
-		if a.relay != nil {
-			a.relay.Close()
-		}
-		a.store.Close()
-		filelock.Release(a.lockFile)
-		return nil, fmt.Errorf("agent %s: %w", cfg.Name, err)
+	if err := a.start(open); err != nil {
+		a.abandonStart()
+		return nil, &StartError{Agent: config.Name, Err: err}
 	}
 	a.loadedSettings = nil
 	for _, name := range a.instanceNames {
@@ -114,6 +89,32 @@
 	return a, nil
 }
 
+// start loads the state folder and begins to collect metrics and to distribute settings.
+func (a *Agent) start(open func(path string) (store.Store, error)) error {
+	if err := a.load(open); err != nil {
+		return err
+	}
+	if err := a.startMetrics(); err != nil {
+		return fmt.Errorf("figures: %w", err)
+	}
+	return a.startDistribution(a.loadedSettings)
+}
+
+// abandonStart releases what a failed start holds.
+func (a *Agent) abandonStart() {
+	a.cancel()
+	a.wg.Wait()
+	if a.relay != nil {
+		a.relay.Close()
+	}
+	if a.store != nil {
+		a.store.Close()
+	}
+	if a.lockFile != nil {
+		filelock.Release(a.lockFile)
+	}
+}
+
 // Close ends the agent and leaves the sidecars running.
 func (a *Agent) Close() {
 	a.cancel()
--- a/internal/fleet/host/agent/config.go
+++ b/internal/fleet/host/agent/config.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"time"
 
 	"martendrum/internal/fleet/api"
@@ -123,42 +122,71 @@
 // MaxInstances is how many sidecars one agent looks after.
 const MaxInstances = 256
 
-// LoadConfig reads and checks a whole file. Errors name the file and the place.
+// LoadConfig reads and checks a configuration. Errors name the file and the place.
 func LoadConfig(path string) (*Config, error) {
-	c := &Config{}
-	l := &c.Limits
-	l.KillAfter, l.HealthInterval = quantity.Duration(5*time.Second), quantity.Duration(time.Second)
-	l.BackoffMin, l.BackoffMax = quantity.Duration(500*time.Millisecond), quantity.Duration(30*time.Second)
-	l.MaxCrash, l.CrashWithin = 5, quantity.Duration(time.Minute)
-	l.Log, l.Record = 8<<20, 64<<20
-	l.Operations, l.Audit, l.Releases = 100, 10000, 3
-	c.Metrics.Slot, c.Metrics.Retention = quantity.Duration(10*time.Second), quantity.Duration(time.Hour)
-	c.Listen.PlainRole, c.Sidecar.HandOver = api.View, true
-	c.Record.Store, c.Record.Statement, c.Record.Connect = SQLite, quantity.Duration(2*time.Second), quantity.Duration(2*time.Second)
-	c.Recovery.MinWave, c.Recovery.WaveLongest = quantity.Duration(300*time.Millisecond), quantity.Duration(10*time.Second)
-	c.Recovery.Shop, c.Recovery.Zone = "shop", "zone"
-	c.Distribution.Coalesce = quantity.Duration(time.Second)
+	c := defaultConfig()
 	if err := quantity.Load(path, c); err != nil {
 		return nil, err
 	}
-	paths := []*string{&c.StateDir, &c.Listen.Unix, &c.TLS.CA, &c.TLS.Cert, &c.TLS.Key, &c.Sidecar.Binary, &c.Sidecar.Overlay, &c.Record.PasswordFile, &c.Record.CA}
-	for n := range c.Instances {
-		paths = append(paths, &c.Instances[n].Config, &c.Instances[n].Record)
-	}
-	if err := quantity.ResolvePaths(path, paths...); err != nil {
+	if err := c.resolvePaths(path); err != nil {
 		return nil, err
 	}
 	if c.Relay != nil {
-		c.Relay.fill()
+		c.Relay.setDefaults()
 	}
 	if err := c.check(); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, &ConfigError{Path: path, Err: err}
 	}
 	return c, nil
 }
 
-// fill sets what a [relay] section leaves out.
-func (c *RelayConfig) fill() {
+// defaultConfig returns what applies to keys that the file leaves out.
+func defaultConfig() *Config {
+	c := &Config{}
+	c.Listen.PlainRole = api.View
+	c.Record.Store = SQLite
+	c.Record.Statement = quantity.Duration(2 * time.Second)
+	c.Record.Connect = quantity.Duration(2 * time.Second)
+	c.Sidecar.HandOver = true
+
+	c.Recovery.MinWave = quantity.Duration(300 * time.Millisecond)
+	c.Recovery.WaveLongest = quantity.Duration(10 * time.Second)
+	c.Recovery.Shop = "shop"
+	c.Recovery.Zone = "zone"
+
+	c.Metrics.Slot = quantity.Duration(10 * time.Second)
+	c.Metrics.Retention = quantity.Duration(time.Hour)
+	c.Distribution.Coalesce = quantity.Duration(time.Second)
+
+	limits := &c.Limits
+	limits.KillAfter = quantity.Duration(5 * time.Second)
+	limits.HealthInterval = quantity.Duration(time.Second)
+	limits.BackoffMin = quantity.Duration(500 * time.Millisecond)
+	limits.BackoffMax = quantity.Duration(30 * time.Second)
+	limits.MaxCrash = 5
+	limits.CrashWithin = quantity.Duration(time.Minute)
+	limits.Log = 8 << 20
+	limits.Record = 64 << 20
+	limits.Operations = 100
+	limits.Audit = 10000
+	limits.Releases = 3
+	return c
+}
+
+// resolvePaths makes relative paths relative to the folder of the configuration.
+func (c *Config) resolvePaths(path string) error {
+	paths := []*string{
+		&c.StateDir, &c.Listen.Unix, &c.TLS.CA, &c.TLS.Cert, &c.TLS.Key,
+		&c.Sidecar.Binary, &c.Sidecar.Overlay, &c.Record.PasswordFile, &c.Record.CA,
+	}
+	for n := range c.Instances {
+		paths = append(paths, &c.Instances[n].Config, &c.Instances[n].Record)
+	}
+	return quantity.ResolvePaths(path, paths...)
+}
+
+// setDefaults sets what a [relay] section leaves out.
+func (c *RelayConfig) setDefaults() {
 	limits := distribution.DefaultLimits()
 	c.Subscribers = cmp.Or(c.Subscribers, 4000)
 	c.Resources = cmp.Or(c.Resources, limits.Resources)
--- a/internal/fleet/host/agent/config_check.go
+++ b/internal/fleet/host/agent/config_check.go
@@ -14,15 +14,36 @@
 	"martendrum/internal/quantity"
 )
 
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
+// check returns the first error of the configuration, in the order of the file's sections.
 func (c *Config) check() error {
-	l := &c.Limits
+	checks := []func() error{
+		c.checkIdentity, c.checkRecord, c.checkSidecar, c.checkListen, c.checkLimits, c.checkMetrics, c.checkRecovery,
+		c.checkInstanceCount, c.checkDistribution, c.checkPlainAddress, c.checkInstances,
+	}
+	for _, check := range checks {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkIdentity checks the agent's name and its state folder.
+func (c *Config) checkIdentity() error {
 	switch {
-	case !nameForm.MatchString(c.Name):
+	case !namePattern.MatchString(c.Name):
 		return fmt.Errorf("name: %q; want letters, digits, '.', '_' or '-', 63 at most", c.Name)
 	case c.StateDir == "":
 		return fmt.Errorf("state_dir is missing: a folder that outlives restarts")
+	}
+	return nil
+}
+
+// checkRecord checks the section [record].
+func (c *Config) checkRecord() error {
+	switch {
 	case c.Record.Store != SQLite && c.Record.Store != Postgres:
 		return fmt.Errorf("record.store: %q; want %q or %q", c.Record.Store, SQLite, Postgres)
 	case c.Record.Store == Postgres && c.Record.URL == "":
@@ -31,103 +52,90 @@
 		return fmt.Errorf("record: url, password_file and ca go with store = %q", Postgres)
 	case c.Record.Statement <= 0 || c.Record.Connect <= 0:
 		return fmt.Errorf("record.statement and record.connect must be above 0")
+	}
+	return nil
+}
+
+// checkSidecar checks the section [sidecar].
+func (c *Config) checkSidecar() error {
+	switch {
 	case c.Sidecar.Binary == "":
 		return fmt.Errorf("sidecar.binary is missing: the program that instances begin with")
+	}
+	return nil
+}
+
+// checkListen checks the sections [listen] and [tls].
+func (c *Config) checkListen() error {
+	switch {
 	case c.Listen.Unix == "" && c.Listen.TLS == "" && c.Listen.Plain == "":
 		return fmt.Errorf("listen: none of unix, tls and plain is set, so nobody could ask")
 	case c.Listen.TLS != "" && (c.TLS.CA == "" || c.TLS.Cert == "" || c.TLS.Key == ""):
 		return fmt.Errorf("tls: ca, cert and key are needed for listen.tls; `martendrum ca` makes them")
 	case c.Listen.PlainRole != api.View && c.Listen.PlainRole != api.Operate:
 		return fmt.Errorf("listen.plain_role: %q; want %q or %q", c.Listen.PlainRole, api.View, api.Operate)
-	case time.Duration(l.KillAfter) < supervisor.MinKillDelay:
-		return fmt.Errorf("limits.kill_after: %v; a sidecar may need %v from SIGTERM to its last answer", time.Duration(l.KillAfter), supervisor.MinKillDelay)
-	case l.HealthInterval < quantity.Duration(50*time.Millisecond):
-		return fmt.Errorf("limits.health_each: %v; 50ms at least", time.Duration(l.HealthInterval))
-	case l.BackoffMin <= 0 || l.BackoffMax < l.BackoffMin:
-		return fmt.Errorf("limits.backoff_min and backoff_max: %v and %v; want 0 < min <= max", time.Duration(l.BackoffMin), time.Duration(l.BackoffMax))
-	case l.MaxCrash < 1 || l.CrashWithin <= 0:
+	}
+	return nil
+}
+
+// checkLimits checks the section [limits].
+func (c *Config) checkLimits() error {
+	limits := &c.Limits
+	switch {
+	case time.Duration(limits.KillAfter) < supervisor.MinKillDelay:
+		return fmt.Errorf("limits.kill_after: %v; a sidecar may need %v from SIGTERM to its last answer", time.Duration(limits.KillAfter), supervisor.MinKillDelay)
+	case limits.HealthInterval < quantity.Duration(50*time.Millisecond):
+		return fmt.Errorf("limits.health_each: %v; 50ms at least", time.Duration(limits.HealthInterval))
+	case limits.BackoffMin <= 0 || limits.BackoffMax < limits.BackoffMin:
+		return fmt.Errorf("limits.backoff_min and backoff_max: %v and %v; want 0 < min <= max", time.Duration(limits.BackoffMin), time.Duration(limits.BackoffMax))
+	case limits.MaxCrash < 1 || limits.CrashWithin <= 0:
 		return fmt.Errorf("limits.crash_most and crash_within must be above 0")
-	case l.Log < 64<<10:
+	case limits.Log < 64<<10:
 		return fmt.Errorf("limits.log: 64KiB at least")
-	case l.Operations < 1 || l.Audit < 1 || l.Releases < 0:
+	case limits.Operations < 1 || limits.Audit < 1 || limits.Releases < 0:
 		return fmt.Errorf("limits.operations and audit must be 1 at least, releases 0")
+	}
+	return nil
+}
+
+// checkMetrics checks the section [figures].
+func (c *Config) checkMetrics() error {
+	switch {
 	case c.Metrics.Slot < 0 || c.Metrics.Slot > 0 && c.Metrics.Slot < quantity.Duration(200*time.Millisecond):
 		return fmt.Errorf("figures.slot: %v; 200ms at least, or 0s for none", time.Duration(c.Metrics.Slot))
 	case c.Metrics.Slot > 0 && (c.Metrics.Retention < c.Metrics.Slot || c.Metrics.Retention/c.Metrics.Slot > maxRetainedSlots):
 		return fmt.Errorf("figures.keep: %v; want 1 to %d slots of %v", time.Duration(c.Metrics.Retention), maxRetainedSlots, time.Duration(c.Metrics.Slot))
+	}
+	return nil
+}
+
+// checkRecovery checks the section [recovery].
+func (c *Config) checkRecovery() error {
+	switch {
 	case c.Recovery.MinWave < 0 || c.Recovery.WaveLongest < c.Recovery.MinWave || c.Recovery.WaveLongest > quantity.Duration(time.Hour):
 		return fmt.Errorf("recovery.wave_least and wave_longest: %v and %v; want 0 <= least <= longest <= 1h", time.Duration(c.Recovery.MinWave), time.Duration(c.Recovery.WaveLongest))
 	case c.Recovery.Checkpoint && !strings.Contains(c.Sidecar.Fleet, "return"):
 		return fmt.Errorf("recovery.checkpoint: only a sidecar that comes back by rules reads one: add \"return\" to sidecar.fleet, or leave it out")
 	case c.Recovery.MaxWave < 0:
 		return fmt.Errorf("recovery.wave_most: %d; want 0 (no bound) or more", c.Recovery.MaxWave)
-	case len(c.Instances) > MaxInstances:
-		return fmt.Errorf("instance: %d of them; an agent looks after %d at most", len(c.Instances), MaxInstances)
 	}
-	if err := c.checkDistribution(); err != nil {
-		return err
-	}
-	if c.Listen.Plain != "" {
-		host, _, err := net.SplitHostPort(c.Listen.Plain)
-		if err != nil {
-			return fmt.Errorf("listen.plain: %w", err)
-		}
-		if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-			return fmt.Errorf("listen.plain: %s is not a loopback address; use listen.tls beyond this machine", host)
-		}
-	}
-	seen, addrs := make(map[string]bool), make(map[string]string)
-	for n := range c.Instances {
-		i := &c.Instances[n]
-		switch {
-		case !nameForm.MatchString(i.Name):
-			return fmt.Errorf("instance %d: name %q; want letters, digits, '.', '_' or '-', 63 at most", n+1, i.Name)
-		case seen[i.Name]:
-			return fmt.Errorf("instance %s is there twice", i.Name)
-		}
-		seen[i.Name] = true
-		data, err := os.ReadFile(i.Config)
-		if err != nil {
-			return fmt.Errorf("instance %s: config: %w", i.Name, err)
-		}
-		if i.Record != "" {
-			if _, err := os.Stat(i.Record); err != nil {
-				return fmt.Errorf("instance %s: record: %w", i.Name, err)
-			}
-		}
-		var base struct {
-			Listen string `json:"listen"`
-		}
-		if err := json.Unmarshal(data, &base); err != nil {
-			return fmt.Errorf("instance %s: config %s: %w", i.Name, i.Config, err)
-		}
-		if _, _, err := net.SplitHostPort(base.Listen); err != nil {
-			return fmt.Errorf("instance %s: config %s: listen: %w", i.Name, i.Config, err)
-		}
-		if other := addrs[base.Listen]; other != "" {
-			return fmt.Errorf("instances %s and %s both listen on %s", other, i.Name, base.Listen)
-		}
-		i.listen, addrs[base.Listen] = base.Listen, i.Name
-		i.adminAddress, i.memoryLimitMB = adminEndpoint(data)
+	return nil
+}
+
+// checkInstanceCount bounds the number of instances.
+func (c *Config) checkInstanceCount() error {
+	if len(c.Instances) > MaxInstances {
+		return fmt.Errorf("instance: %d of them; an agent looks after %d at most", len(c.Instances), MaxInstances)
 	}
 	return nil
 }
 
-// checkDistribution says what is wrong with the sections [distribution] and [relay].
+// checkDistribution checks the sections [distribution] and [relay].
 func (c *Config) checkDistribution() error {
 	d := &c.Distribution
-	names := make(map[string]bool)
-	for n, relay := range d.Relays {
-		kind, rest, _ := strings.Cut(relay.Address, ":")
-		switch {
-		case !nameForm.MatchString(relay.Name) || names[relay.Name]:
-			return fmt.Errorf("distribution.relay %d: its name %q is missing or there twice", n+1, relay.Name)
-		case rest == "" || kind != "tls" && kind != "tcp" && kind != "unix":
-			return fmt.Errorf("distribution.relay %s: address %q; want tls:HOST:PORT, unix:PATH or tcp:HOST:PORT", relay.Name, relay.Address)
-		case kind == "tls" && (c.TLS.CA == "" || c.TLS.Cert == "" || c.TLS.Key == ""):
-			return fmt.Errorf("distribution.relay %s: tls.ca, tls.cert and tls.key are needed for it; `martendrum ca` makes them", relay.Name)
-		}
-		names[relay.Name] = true
+	names, err := c.checkRelayAddresses()
+	if err != nil {
+		return err
 	}
 	switch {
 	case d.Coalesce < 0 || d.Coalesce > quantity.Duration(10*time.Second):
@@ -147,3 +155,86 @@
 	}
 	return nil
 }
+
+// checkRelayAddresses checks the relays' names and addresses and returns the set of names.
+func (c *Config) checkRelayAddresses() (map[string]bool, error) {
+	names := make(map[string]bool)
+	for n, relay := range c.Distribution.Relays {
+		kind, rest, _ := strings.Cut(relay.Address, ":")
+		switch {
+		case !namePattern.MatchString(relay.Name) || names[relay.Name]:
+			return nil, fmt.Errorf("distribution.relay %d: its name %q is missing or there twice", n+1, relay.Name)
+		case rest == "" || kind != "tls" && kind != "tcp" && kind != "unix":
+			return nil, fmt.Errorf("distribution.relay %s: address %q; want tls:HOST:PORT, unix:PATH or tcp:HOST:PORT", relay.Name, relay.Address)
+		case kind == "tls" && (c.TLS.CA == "" || c.TLS.Cert == "" || c.TLS.Key == ""):
+			return nil, fmt.Errorf("distribution.relay %s: tls.ca, tls.cert and tls.key are needed for it; `martendrum ca` makes them", relay.Name)
+		}
+		names[relay.Name] = true
+	}
+	return names, nil
+}
+
+// checkPlainAddress requires a loopback address where connections have no TLS.
+func (c *Config) checkPlainAddress() error {
+	if c.Listen.Plain == "" {
+		return nil
+	}
+	host, _, err := net.SplitHostPort(c.Listen.Plain)
+	if err != nil {
+		return fmt.Errorf("listen.plain: %w", err)
+	}
+	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
+		return fmt.Errorf("listen.plain: %s is not a loopback address; use listen.tls beyond this machine", host)
+	}
+	return nil
+}
+
+// checkInstances checks each instance and reads what the agent needs from its configuration.
+// Names and listening addresses must be unique.
+func (c *Config) checkInstances() error {
+	seen, nameByAddress := make(map[string]bool), make(map[string]string)
+	for n := range c.Instances {
+		i := &c.Instances[n]
+		switch {
+		case !namePattern.MatchString(i.Name):
+			return fmt.Errorf("instance %d: name %q; want letters, digits, '.', '_' or '-', 63 at most", n+1, i.Name)
+		case seen[i.Name]:
+			return fmt.Errorf("instance %s is there twice", i.Name)
+		}
+		seen[i.Name] = true
+		if err := i.readConfig(); err != nil {
+			return err
+		}
+		if other := nameByAddress[i.listen]; other != "" {
+			return fmt.Errorf("instances %s and %s both listen on %s", other, i.Name, i.listen)
+		}
+		nameByAddress[i.listen] = i.Name
+	}
+	return nil
+}
+
+// readConfig reads the sidecar's addresses and its memory limit from its configuration, and
+// checks that its record's file exists.
+func (i *InstanceConfig) readConfig() error {
+	data, err := os.ReadFile(i.Config)
+	if err != nil {
+		return fmt.Errorf("instance %s: config: %w", i.Name, err)
+	}
+	if i.Record != "" {
+		if _, err := os.Stat(i.Record); err != nil {
+			return fmt.Errorf("instance %s: record: %w", i.Name, err)
+		}
+	}
+	var base struct {
+		Listen string `json:"listen"`
+	}
+	if err := json.Unmarshal(data, &base); err != nil {
+		return fmt.Errorf("instance %s: config %s: %w", i.Name, i.Config, err)
+	}
+	if _, _, err := net.SplitHostPort(base.Listen); err != nil {
+		return fmt.Errorf("instance %s: config %s: listen: %w", i.Name, i.Config, err)
+	}
+	i.listen = base.Listen
+	i.adminAddress, i.memoryLimitMB = adminEndpoint(data)
+	return nil
+}
--- a/internal/fleet/host/agent/connections.go
+++ b/internal/fleet/host/agent/connections.go
@@ -26,80 +26,101 @@
 // connectionLimits of a connection to an agent. A chunk of a release fits into a message.
 var connectionLimits = msgpackrpc.Limits{Message: 2 << 20, Depth: 16, Outstanding: 64, Queued: 4 << 20, Receive: 10 * time.Second, Send: 10 * time.Second, Idle: 5 * time.Minute}
 
-// Serve opens the configured listeners and answers until ctx ends. ready, if not
-// nil, is told the addresses once all listen.
+// Serve opens the configured listeners and answers until ctx ends, the agent is closed or a
+// listener fails. ready, if not nil, is called with the addresses once all listen.
 func (a *Agent) Serve(ctx context.Context, ready func(addrs []net.Addr)) error {
 	limit := maxConnections
 	if a.config.Relay != nil {
 		limit += a.config.Relay.Subscribers + len(a.config.Distribution.Relays)
 	}
-	srv := &msgpackrpc.Server{Handler: a.handle, Limits: connectionLimits, Conns: limit, Welcome: a.welcome}
-	var lns []net.Listener
-	closeAll := func() {
-		for _, ln := range lns {
-			ln.Close()
-		}
+	server := &msgpackrpc.Server{Handler: a.handle, Limits: connectionLimits, Conns: limit, Welcome: a.welcome}
+	listeners, err := a.openListeners()
+	if err != nil {
+		return err
+	}
+	var addrs []net.Addr
+	errs := make(chan error, len(listeners))
+	for _, listener := range listeners {
+		addrs = append(addrs, listener.Addr())
+		go func() { errs <- server.Serve(listener) }()
+	}
+	if ready != nil {
+		ready(addrs)
+	}
+	left := len(listeners)
+	select {
+	case <-ctx.Done():
+	case <-a.ctx.Done():
+	case err = <-errs:
+		left--
+	}
+	server.Close()
+	for ; left > 0; left-- {
+		<-errs
 	}
-	open := func(network, addr string) error {
-		ln, err := net.Listen(network, addr)
+	return err
+}
+
+// openListeners opens the configured listeners: the Unix socket, the plain one, the one with
+// TLS. If one can't be opened, none stays open.
+func (a *Agent) openListeners() (listeners []net.Listener, err error) {
+	defer func() {
 		if err != nil {
-			return fmt.Errorf("agent %s: listen: %w", a.config.Name, err)
+			for _, listener := range listeners {
+				listener.Close()
+			}
+			listeners = nil
 		}
-		lns = append(lns, ln)
-		return nil
-	}
+	}()
 	if path := a.config.Listen.Unix; path != "" {
-		// The state folder's lock is held: a socket there is a dead agent's.
-		if st, err := os.Lstat(path); err == nil && st.Mode()&os.ModeSocket != 0 {
-			os.Remove(path)
-		}
-		if err := open("unix", path); err != nil {
-			return err
+		removeStaleSocket(path)
+		listener, err := a.openListener("unix", path)
+		if err != nil {
+			return listeners, err
 		}
-		if err := os.Chmod(path, 0o660); err != nil {
-			closeAll()
-			return fmt.Errorf("agent %s: %w", a.config.Name, err)
+		listeners = append(listeners, listener)
+		if err := os.Chmod(path, socketMode); err != nil {
+			return listeners, fmt.Errorf("agent %s: %w", a.config.Name, err)
 		}
 	}
 	if a.config.Listen.Plain != "" {
-		if err := open("tcp", a.config.Listen.Plain); err != nil {
-			closeAll()
-			return err
+		listener, err := a.openListener("tcp", a.config.Listen.Plain)
+		if err != nil {
+			return listeners, err
 		}
+		listeners = append(listeners, listener)
 	}
 	if a.config.Listen.TLS != "" {
-		tc, err := ServerTLS(a.config.TLS.CA, a.config.TLS.Cert, a.config.TLS.Key)
-		if err == nil {
-			err = open("tcp", a.config.Listen.TLS)
+		config, err := ServerTLS(a.config.TLS.CA, a.config.TLS.Cert, a.config.TLS.Key)
+		if err != nil {
+			return listeners, err
 		}
+		listener, err := a.openListener("tcp", a.config.Listen.TLS)
 		if err != nil {
-			closeAll()
-			return err
+			return listeners, err
 		}
-		lns[len(lns)-1] = tls.NewListener(lns[len(lns)-1], tc)
-	}
-	var addrs []net.Addr
-	errs := make(chan error, len(lns))
-	for _, ln := range lns {
-		addrs = append(addrs, ln.Addr())
-		go func() { errs <- srv.Serve(ln) }()
+		listeners = append(listeners, tls.NewListener(listener, config))
 	}
-	if ready != nil {
-		ready(addrs)
-	}
-	var err error
-	left := len(lns)
-	select {
-	case <-ctx.Done():
-	case <-a.ctx.Done():
-	case err = <-errs:
-		left--
+	return listeners, nil
+}
+
+// socketMode lets the socket's group connect; welcome decides its members' role.
+const socketMode = 0o660
+
+func (a *Agent) openListener(network, address string) (net.Listener, error) {
+	listener, err := net.Listen(network, address)
+	if err != nil {
+		return nil, &ListenError{Agent: a.config.Name, Err: err}
 	}
-	srv.Close()
-	for ; left > 0; left-- {
-		<-errs
+	return listener, nil
+}
+
+// removeStaleSocket removes the socket of an agent that was killed. The lock of the state
+// folder is held, so no other agent with this configuration is running.
+func removeStaleSocket(path string) {
+	if st, err := os.Lstat(path); err == nil && st.Mode()&os.ModeSocket != 0 {
+		os.Remove(path)
 	}
-	return err
 }
 
 // ServerTLS is the agent's side of mutual TLS: callers need a certificate of the
--- a/internal/fleet/host/agent/instance_process.go
+++ b/internal/fleet/host/agent/instance_process.go
@@ -90,7 +90,7 @@
 	i.stored = row
 	a.mu.Unlock()
 
-	p, err := a.start(i, row)
+	p, err := a.startProcess(i, row)
 
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -115,8 +115,8 @@
 	return kinds
 }
 
-// start checks the release, writes the configuration and starts the process.
-func (a *Agent) start(i *instance, row store.Instance) (*Process, error) {
+// startProcess checks the release, writes the configuration and starts the process.
+func (a *Agent) startProcess(i *instance, row store.Instance) (*Process, error) {
 	if err := a.releases.Verify(row.Release); err != nil {
 		return nil, err
 	}
--- a/internal/fleet/host/agent/load.go
+++ b/internal/fleet/host/agent/load.go
@@ -59,7 +59,7 @@
 	lock := filepath.Join(a.config.StateDir, "agent.lock")
 	a.lockFile, err = filelock.Acquire(lock, 0o640)
 	if errors.Is(err, filelock.ErrLocked) {
-		return fmt.Errorf("%s: another agent uses this state_dir: %w", lock, err)
+		return &StateDirInUseError{Lock: lock, Err: err}
 	}
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 	for name, row := range rows {
 		// No longer in the file. One that runs must not be forgotten.
 		if row.Launch != "" && (proc.Alive(row.PID, row.Ticks) && row.Boot == boot || found[row.Launch].PID != 0) {
-			return fmt.Errorf("instance %s is not in the configuration any more and its process %d runs: stop it before it is taken out", name, row.PID)
+			return &RemovedInstanceError{Instance: name, PID: row.PID}
 		}
 		begin.DropInstances = append(begin.DropInstances, name)
 	}
--- a/internal/fleet/host/agent/metrics.go
+++ b/internal/fleet/host/agent/metrics.go
@@ -22,6 +22,25 @@
 	rateSlots = 6
 )
 
+// startMetrics restores the samples from before the agent's restart and begins to collect,
+// unless the configuration turns metrics off.
+func (a *Agent) startMetrics() error {
+	if a.config.Metrics.Slot <= 0 {
+		return nil
+	}
+	restore := func(s api.Sample) {
+		if i := a.instances[s.Instance]; i != nil {
+			i.history.add(s)
+		}
+	}
+	journal, err := openMetricsJournal(a.metricsPath(), a.retainedSlots()*max(1, len(a.instanceNames)), restore)
+	if err != nil {
+		return err
+	}
+	a.wg.Go(func() { a.collectMetrics(journal) })
+	return nil
+}
+
 // collectMetrics takes all instances' figures at each boundary of a slot, until the agent
 // ends.
 func (a *Agent) collectMetrics(j *metricsJournal) {
