--- a/internal/fleet/host/agent/instance_loop.go
+++ b/internal/fleet/host/agent/instance_loop.go
@@ -8,89 +8,127 @@
 	"martendrum/internal/fleet/host/supervisor"
 )
 
-// superviseInstance looks after one instance until the agent ends.
+// maxIdleWait is how long an instance's loop waits when nothing is due.
+const maxIdleWait = time.Hour
+
+// instanceRound is what a round of an instance's loop found.
+type instanceRound struct {
+	process       *Process  // nil: none runs
+	supervisorDue time.Time // when the supervisor wants to act; zero: at the next event
+	settingsDue   time.Time // when settings should be applied; zero: at the next event
+	active        bool      // the instance starts, changes or waits for its wave
+}
+
+// superviseInstance brings one instance to its desired state and keeps it there until the
+// agent ends. It alone changes the instance's supervisor and processes.
 func (a *Agent) superviseInstance(i *instance) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var healthAt time.Time
 	for first := true; ; first = false {
-		a.mu.Lock()
-		now := time.Now()
-		if first && i.exitedGeneration != 0 && i.process == nil && i.stored.Desired == api.Running && i.exitedGeneration == i.stored.Generation {
-			// It ended while nobody looked: a crash like another.
-			i.supervisor.Want(now, true, i.stored.Generation)
-			i.supervisor.Adopt(now, i.exitedGeneration)
-			i.supervisor.Exited(now, i.stored.LastExit)
-		}
-		i.supervisor.SetSideBySide(a.sideBySide(i))
-		kinds := i.supervisor.Want(now, i.stored.Desired == api.Running, i.stored.Generation)
-		if i.abandonReason != "" {
-			kinds = append(kinds, i.supervisor.GiveUp(now, i.abandonReason)...)
-			i.abandonReason = ""
-		}
-		held := a.powerReturn.mustWait(now.Sub(a.started), i)
-		if now.Before(i.launchRetryAt) || held {
-			kinds = withoutLaunch(kinds) // asked for again then
-		}
-		a.mu.Unlock()
-		a.carryOut(i, kinds)
+		actions, mustWait := a.dueActions(i, first)
+		a.carryOut(i, actions)
 		a.checkStep(i)
 		settingsDue := a.applySettings(i)
 
-		a.mu.Lock()
-		p, next := i.process, i.supervisor.Next()
-		near := held || i.step != nil || i.attempt != nil || i.supervisor.Phase() == supervisor.Starting
-		a.mu.Unlock()
-		if p != nil && !time.Now().Before(healthAt) {
-			a.health(i, p)
-			each := time.Duration(a.config.Limits.HealthInterval)
-			each = each*9/10 + rand.N(each/5) // so that many agents' instances don't fall into step
-			if near {
-				each = min(each, activeInterval)
-			}
-			healthAt = time.Now().Add(each)
+		round := a.endRound(i, mustWait)
+		round.settingsDue = settingsDue
+		if round.process != nil && !time.Now().Before(healthAt) {
+			a.checkHealth(i, round.process)
+			healthAt = time.Now().Add(a.healthDelay(round.active))
 			a.checkStep(i)
-			settingsDue = a.applySettings(i)
-		}
-		wait := time.Hour
-		until := func(t time.Time) {
-			if !t.IsZero() {
-				wait = min(wait, max(time.Until(t), time.Millisecond))
-			}
-		}
-		until(next)
-		until(settingsDue)
-		if p != nil {
-			until(healthAt)
-		}
-		if near {
-			wait = min(wait, activeInterval)
-		}
-		if time.Now().Before(i.launchRetryAt) {
-			until(i.launchRetryAt)
+			round.settingsDue = a.applySettings(i)
 		}
-		timer.Reset(wait)
+		timer.Reset(i.waitAfter(round, healthAt))
 		a.mu.Lock()
-		prev := i.previous
+		previous := i.previous
 		a.mu.Unlock()
-		var done, prevDone <-chan struct{}
-		if p != nil {
-			done = p.Done
-		}
-		if prev != nil {
-			prevDone = prev.Done
-		}
 		select {
 		case <-a.ctx.Done():
 			return
 		case <-i.wake:
 			healthAt = time.Time{}
 		case <-timer.C:
-		case <-done:
-			a.carryOut(i, a.processExited(i, p))
+		case <-round.process.done():
+			a.carryOut(i, a.processExited(i, round.process))
 			healthAt = time.Time{}
-		case <-prevDone:
-			a.carryOut(i, a.previousExited(i, prev))
+		case <-previous.done():
+			a.carryOut(i, a.previousExited(i, previous))
+		}
+	}
+}
+
+// dueActions returns what the supervisor wants done now, and whether the instance has to wait
+// for its wave after a power loss.
+func (a *Agent) dueActions(i *instance, first bool) (actions []supervisor.Kind, mustWait bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := time.Now()
+	if first && i.exitedWhileAgentWasDown() {
+		// Counts as a crash like any other.
+		i.supervisor.Want(now, true, i.stored.Generation)
+		i.supervisor.Adopt(now, i.exitedGeneration)
+		i.supervisor.Exited(now, i.stored.LastExit)
+	}
+	i.supervisor.SetSideBySide(a.sideBySide(i))
+	actions = i.supervisor.Want(now, i.stored.Desired == api.Running, i.stored.Generation)
+	if i.abandonReason != "" {
+		actions = append(actions, i.supervisor.GiveUp(now, i.abandonReason)...)
+		i.abandonReason = ""
+	}
+	mustWait = a.powerReturn.mustWait(now.Sub(a.started), i)
+	if now.Before(i.launchRetryAt) || mustWait {
+		actions = withoutLaunch(actions) // the supervisor asks again in a later round
+	}
+	return actions, mustWait
+}
+
+// exitedWhileAgentWasDown says whether the wanted process ended before the agent started.
+func (i *instance) exitedWhileAgentWasDown() bool {
+	return i.exitedGeneration != 0 && i.process == nil &&
+		i.stored.Desired == api.Running && i.exitedGeneration == i.stored.Generation
+}
+
+// endRound reads what decides how long the loop waits.
+func (a *Agent) endRound(i *instance, mustWait bool) instanceRound {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return instanceRound{
+		process:       i.process,
+		supervisorDue: i.supervisor.Next(),
+		active:        mustWait || i.step != nil || i.attempt != nil || i.supervisor.Phase() == supervisor.Starting,
+	}
+}
+
+// healthDelay returns the time until the next health check. It varies by a tenth, so that the
+// checks of many agents' instances spread out.
+func (a *Agent) healthDelay(active bool) time.Duration {
+	delay := time.Duration(a.config.Limits.HealthInterval)
+	delay = delay*9/10 + rand.N(delay/5)
+	if active {
+		delay = min(delay, activeInterval)
+	}
+	return delay
+}
+
+// waitAfter returns how long the loop waits for an event after a round.
+func (i *instance) waitAfter(round instanceRound, healthAt time.Time) time.Duration {
+	wait := maxIdleWait
+	until := func(t time.Time) {
+		if !t.IsZero() {
+			wait = min(wait, max(time.Until(t), time.Millisecond))
 		}
 	}
+	until(round.supervisorDue)
+	until(round.settingsDue)
+	if round.process != nil {
+		until(healthAt)
+	}
+	if round.active {
+		wait = min(wait, activeInterval)
+	}
+	if time.Now().Before(i.launchRetryAt) {
+		until(i.launchRetryAt)
+	}
+	return wait
 }
--- a/internal/fleet/host/agent/instance_process.go
+++ b/internal/fleet/host/agent/instance_process.go
@@ -191,8 +191,8 @@
 	return slices.DeleteFunc(kinds, func(k supervisor.Kind) bool { return k == supervisor.Launch })
 }
 
-// health makes a health call and takes what it tells.
-func (a *Agent) health(i *instance, p *Process) {
+// checkHealth makes a health call and takes what it tells.
+func (a *Agent) checkHealth(i *instance, p *Process) {
 	says, err := a.machine.Health(a.ctx, i.config.listen, healthTimeout)
 	why := ""
 	if err != nil {
--- a/internal/fleet/host/agent/serve_operations.go
+++ b/internal/fleet/host/agent/serve_operations.go
@@ -14,36 +14,26 @@
 
 const (
 	maxStatusWait  = 10 * time.Second // of op.status
+	maxStepWait    = time.Hour        // of a step, for readiness and for the soak
+	maxOperationID = 64               // bytes
+	maxLeaseHolder = 200              // bytes
 	maxTargets     = 10000            // of an operation
 	maxLogs        = 256 << 10        // bytes of one answer
-	maxConnections = 128
+	maxConnections = 128              // without those of a relay's subscribers
 )
 
+// operationActions are those that an operation may have.
+var operationActions = []string{
+	api.ActStart, api.ActStop, api.ActDrain, api.ActUndrain, api.ActRestart, api.ActReload,
+	api.ActUpgrade, api.ActRollback, api.ActSettings,
+}
+
+// opOpen opens an operation on its instances here and acquires their leases. A repeated call
+// of the same operation acquires the leases again; the operation stays as it was first opened.
 func (a *Agent) opOpen(_ context.Context, c *caller, in *api.OpenIn) (any, error) {
 	o := &in.Operation
-	switch {
-	case o.ID == "" || len(o.ID) > 64 || in.LeaseHolder == "" || len(in.LeaseHolder) > 200:
-		return nil, api.Errorf(api.InvalidParams, "operation and holder need names")
-	case !slices.Contains([]string{api.ActStart, api.ActStop, api.ActDrain, api.ActUndrain, api.ActRestart, api.ActReload, api.ActUpgrade, api.ActRollback, api.ActSettings}, o.Action):
-		return nil, api.Errorf(api.InvalidParams, "unknown action %q", o.Action)
-	case len(o.Targets) > maxTargets:
-		return nil, api.Errorf(api.InvalidParams, "%d targets; %d at most", len(o.Targets), maxTargets)
-	case o.Ready <= 0 || o.Soak < 0 || o.Ready > time.Hour || o.Soak > time.Hour:
-		return nil, api.Errorf(api.InvalidParams, "ready %v, soak %v; want above 0, 0 or more, and an hour at most", o.Ready, o.Soak)
-	}
-	if err := o.Policy.Check(len(o.Targets)); err != nil {
-		return nil, api.Errorf(api.InvalidParams, "%v", err)
-	}
-	if s := o.Staged; s != nil {
-		if err := errors.Join(s.Plan.Check(len(o.Targets)), s.Judge.Check()); err != nil {
-			return nil, api.Errorf(api.InvalidParams, "%v", err)
-		}
-		if slot := time.Duration(a.config.Metrics.Slot); s.Judge.Slot != slot {
-			return nil, api.Errorf(api.InvalidParams, "agent %s takes figures each %v and operation %s is judged each %v: set figures.slot alike at all hosts", a.config.Name, slot, o.ID, s.Judge.Slot)
-		}
-	}
-	if len(o.Places) != 0 && len(o.Places) != len(o.Targets) {
-		return nil, api.Errorf(api.InvalidParams, "%d places of %d targets", len(o.Places), len(o.Targets))
+	if err := a.checkOpen(in); err != nil {
+		return nil, err
 	}
 	if o.Action == api.ActUpgrade || o.Action == api.ActSettings {
 		if err := a.releases.Verify(o.Release); err != nil {
@@ -61,26 +51,91 @@
 		e := &api.ReturningError{Host: a.config.Name, How: how}
 		return nil, api.Errorf(api.LeaseHeld, "%v: %s", e, e.Advice())
 	}
-	have := a.operations[o.ID]
-	if have != nil {
-		if have.State != api.OpOpened {
-			return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s: %s", o.ID, have.State, a.config.Name, have.Result)
+	existing := a.operations[o.ID]
+	if existing != nil {
+		if existing.State != api.OpOpened {
+			return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s: %s", o.ID, existing.State, a.config.Name, existing.Result)
 		}
-		o = &have.Operation // the record's word counts
+		o = &existing.Operation // as stored, whatever this call says
+	}
+	now := time.Now()
+	leases, err := a.acquireLeases(o, in, now)
+	if err != nil {
+		return nil, err
+	}
+	next := store.Operation{Operation: *o, State: api.OpOpened}
+	token := leases[0].Token
+	if err := a.commit(&store.Change{
+		Operations: []store.Operation{next}, Leases: leases,
+		Audit: []api.AuditEntry{{At: now, Who: c.who, What: "op.open " + o.Action, Target: o.ID, Result: fmt.Sprintf("token %d for %s", token, in.LeaseHolder)}},
+	}); err != nil {
+		return nil, err
+	}
+	if existing == nil {
+		a.operations[o.ID] = &next
+	}
+	a.leases.Put(leases)
+	return &api.OpenOut{Token: token, Expires: leases[0].Expires}, nil
+}
+
+// checkOpen checks the parameters of opOpen.
+func (a *Agent) checkOpen(in *api.OpenIn) error {
+	o := &in.Operation
+	switch {
+	case o.ID == "" || len(o.ID) > maxOperationID || in.LeaseHolder == "" || len(in.LeaseHolder) > maxLeaseHolder:
+		return api.Errorf(api.InvalidParams, "operation and holder need names")
+	case !slices.Contains(operationActions, o.Action):
+		return api.Errorf(api.InvalidParams, "unknown action %q", o.Action)
+	case len(o.Targets) > maxTargets:
+		return api.Errorf(api.InvalidParams, "%d targets; %d at most", len(o.Targets), maxTargets)
+	case o.Ready <= 0 || o.Soak < 0 || o.Ready > maxStepWait || o.Soak > maxStepWait:
+		return api.Errorf(api.InvalidParams, "ready %v, soak %v; want above 0, 0 or more, and an hour at most", o.Ready, o.Soak)
+	}
+	if err := o.Policy.Check(len(o.Targets)); err != nil {
+		return api.Errorf(api.InvalidParams, "%v", err)
+	}
+	if err := a.checkStaged(o); err != nil {
+		return err
+	}
+	if len(o.Places) != 0 && len(o.Places) != len(o.Targets) {
+		return api.Errorf(api.InvalidParams, "%d places of %d targets", len(o.Places), len(o.Targets))
+	}
+	return nil
+}
+
+// checkStaged checks the plan of a staged change and that its canary analysis samples at this
+// agent's interval.
+func (a *Agent) checkStaged(o *api.Operation) error {
+	staged := o.Staged
+	if staged == nil {
+		return nil
+	}
+	if err := errors.Join(staged.Plan.Check(len(o.Targets)), staged.Judge.Check()); err != nil {
+		return api.Errorf(api.InvalidParams, "%v", err)
 	}
+	if slot := time.Duration(a.config.Metrics.Slot); staged.Judge.Slot != slot {
+		return api.Errorf(api.InvalidParams, "agent %s takes figures each %v and operation %s is judged each %v: set figures.slot alike at all hosts", a.config.Name, slot, o.ID, staged.Judge.Slot)
+	}
+	return nil
+}
+
+// acquireLeases returns the leases of an operation's instances here; the caller stores them.
+// An open operation blocks others on its instances even when nobody holds its leases. The
+// lock is held.
+func (a *Agent) acquireLeases(o *api.Operation, in *api.OpenIn, now time.Time) ([]lease.Lease, error) {
 	names, err := a.localTargets(o)
 	if err != nil {
 		return nil, err
 	}
-	now := time.Now()
-	ls, err := a.leases.Acquire(now, o.ID, in.LeaseHolder, names, in.TTL, func(name string) string {
-		for _, x := range a.operations {
-			if x.ID != o.ID && x.State != api.OpClosed && a.isTarget(&x.Operation, name) {
-				return fmt.Sprintf("operation %s (%s by %s) is %s on it; `martendrum resume %s` or `martendrum abort %s` first", x.ID, x.Action, x.Operator, x.State, x.ID, x.ID)
+	blocked := func(name string) string {
+		for _, other := range a.operations {
+			if other.ID != o.ID && other.State != api.OpClosed && a.isTarget(&other.Operation, name) {
+				return fmt.Sprintf("operation %s (%s by %s) is %s on it; `martendrum resume %s` or `martendrum abort %s` first", other.ID, other.Action, other.Operator, other.State, other.ID, other.ID)
 			}
 		}
 		return ""
-	})
+	}
+	leases, err := a.leases.Acquire(now, o.ID, in.LeaseHolder, names, in.TTL, blocked)
 	if lost, ok := errors.AsType[*lease.LostError](err); ok {
 		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v: %s", a.config.Name, lost, lost.Advice())
 	}
@@ -90,18 +145,7 @@
 	if err != nil {
 		return nil, api.Errorf(api.InvalidParams, "%v", err)
 	}
-	next := store.Operation{Operation: *o, State: api.OpOpened}
-	if err := a.commit(&store.Change{
-		Operations: []store.Operation{next}, Leases: ls,
-		Audit: []api.AuditEntry{{At: now, Who: c.who, What: "op.open " + o.Action, Target: o.ID, Result: fmt.Sprintf("token %d for %s", ls[0].Token, in.LeaseHolder)}},
-	}); err != nil {
-		return nil, err
-	}
-	if have == nil {
-		a.operations[o.ID] = &next
-	}
-	a.leases.Put(ls)
-	return &api.OpenOut{Token: ls[0].Token, Expires: ls[0].Expires}, nil
+	return leases, nil
 }
 
 func (a *Agent) opClose(_ context.Context, c *caller, in *api.CloseIn) (any, error) {
--- a/internal/fleet/host/agent/step.go
+++ b/internal/fleet/host/agent/step.go
@@ -9,9 +9,8 @@
 	"martendrum/internal/fleet/store"
 )
 
-// stepStart begins a step of an operation on one instance, once: whoever asks
-// again is told how it stands. What is wanted of the instance and the step are
-// written in one change, before anything is done.
+// stepStart begins a step of an operation on one instance. A repeated call returns the step
+// that is under way or finished.
 func (a *Agent) stepStart(_ context.Context, c *caller, in *api.StepIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -35,8 +34,9 @@
 	return a.beginStep(o, i, in.Kind, in.Token, c.who, "")
 }
 
-// beginStep begins a step; the lock is held. reason says why where the agent does so by
-// itself.
+// beginStep begins a step, unless it has begun before. The desired state of the instance and
+// the step are written in one change before anything is done. reason is the cause of a step
+// that the agent begins on its own. The lock is held.
 func (a *Agent) beginStep(o *store.Operation, i *instance, kind string, token int64, who, reason string) (*api.Step, error) {
 	name, now := i.config.Name, time.Now()
 	if s := a.steps[stepKey{o.ID, name, kind}]; s != nil {
@@ -50,19 +50,16 @@
 	}
 	s := &api.Step{Op: o.ID, Instance: name, Kind: kind, Action: o.Action, Status: api.StepRunning, Cause: reason,
 		From: i.stored.Release, To: i.stored.Release, Before: i.stored.Previous, Ready: o.Ready, Soak: o.Soak, Started: now, Token: token}
-	row, verdict, ok := a.planStep(i, o, s)
-	s.Generation = row.Generation
-	if verdict != "" || ok {
-		s.Status, s.Reason, s.Finished = api.StepOK, verdict, now
-		if !ok {
-			s.Status = api.StepFailed
-		}
+	plan := a.planStep(i, o, s)
+	s.Generation = plan.stored.Generation
+	if plan.status != api.StepRunning {
+		s.Status, s.Reason, s.Finished = plan.status, plan.reason, now
 	}
-	if err := a.commit(&store.Change{Instances: []store.Instance{row}, Steps: []api.Step{*s},
+	if err := a.commit(&store.Change{Instances: []store.Instance{plan.stored}, Steps: []api.Step{*s},
 		Audit: []api.AuditEntry{{At: now, Who: who, What: o.Action + " " + kind, Target: name, Result: strings.TrimSuffix(s.Status+": "+reason, ": ")}}}); err != nil {
 		return nil, err
 	}
-	i.stored = row
+	i.stored = plan.stored
 	a.steps[stepKey{o.ID, name, kind}] = s
 	if s.Status == api.StepRunning {
 		i.step = s
