--- a/internal/fleet/host/agent/agent.go
+++ b/internal/fleet/host/agent/agent.go
@@ -1,13 +1,15 @@
-// Package agent looks after the sidecars of one host: it starts them, keeps them
-// running, changes them as operations ask, and answers for them over
-// MessagePack-RPC.
+// Package agent supervises the sidecars of one host: it starts them, keeps them running, changes
+// them as operations ask and serves the fleet's API over MessagePack-RPC.
 //
-// It writes down what it will do before it does it, and goes by levels: its record
-// says which launch (generation) of which release each instance should run, and
-// its runners bring that about. An agent that was killed at any point reads its
-// record, finds the processes again and goes on; sidecars outlive it. What should
-// be done next is decided in the packages life and lease; what an operation does
-// to which instance when, in rollout, by whoever runs the operation.
+// It owns the state folder and the host's record. The record holds the desired state: which
+// generation of which release each instance should run. One goroutine per instance compares
+// that with what runs and acts on the difference. Every change is in the record before it is
+// carried out, so an agent that was killed at any point reads its record, finds its processes
+// and continues. Sidecars outlive the agent.
+//
+// It does not decide on its own what an operation does to which instance and when: that is
+// package rollout, in the command that runs the operation. When to start, stop or retry a
+// process is decided by package supervisor, who may change an instance by package lease.
 package agent
 
 import (
@@ -26,18 +28,19 @@
 	"martendrum/internal/fleet/store"
 )
 
+// stepKey identifies a step: an operation has at most one of a kind on an instance.
 type stepKey struct{ op, instance, kind string }
 
-// Agent is a running agent. One lock guards all it knows; the record is written
-// under it, so that memory and record never tell different stories for long.
+// Agent is a running agent. One lock guards its state. The record is written under that lock,
+// so that memory and record change together.
 type Agent struct {
 	config         *Config
 	machine        Machine
 	releases       *release.Dir
 	started        time.Time
 	lockFile       *os.File
-	loadedSettings []distribution.Entry // of the record's settings, until the distribution has begun
-	stateID        string               // of the state folder, in the name of each launch
+	loadedSettings []distribution.Entry // from the record; nil once the distribution has started
+	stateID        string               // identifies the state folder in the name of each launch
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -46,19 +49,19 @@
 	mu            sync.Mutex
 	store         store.Store
 	instances     map[string]*instance
-	instanceNames []string // of inst, in the file's order
+	instanceNames []string // in the order of the configuration
 	operations    map[string]*store.Operation
 	steps         map[stepKey]*api.Step
-	canHandover   map[string]bool      // releases that said that they hand over
-	lastLeased    map[string]time.Time // of open staged operations: when somebody last held them
-	lastBoundary  int64                // up to which figures were taken
+	canHandover   map[string]bool      // by release: whether its process said that it supports handover
+	lastLeased    map[string]time.Time // by open staged operation: when its leases were last live
+	lastBoundary  int64                // the latest at which metrics were collected
 	leases        lease.Table
-	powerReturn   *powerReturn  // of the instances after a power loss; nil: all may start
-	settings      *subscription // nil: the host does not follow relays
-	relay         *node.Relay   // nil: the agent is none; set before it serves
-	changeNumber  int64
-	changed       chan struct{} // closed at the next change
-	unwritable    string        // why the last write of the record failed
+	powerReturn   *powerReturn  // nil: no instance waits for its wave
+	settings      *subscription // nil: the host does not subscribe to relays
+	relay         *node.Relay   // nil: the agent is no relay; set before it serves
+	changeNumber  int64         // counts changes, for callers that wait for the next
+	changed       chan struct{} // closed and replaced at each change
+	unwritable    string        // why the last write of the record failed; "" if it did not
 }
 
 // New opens the state folder, reads the record and begins to supervise the instances. open
@@ -128,19 +131,20 @@
 	filelock.Release(a.lockFile)
 }
 
-// StopAll stops every instance for good and waits until none runs, or ctx ends.
+// StopAll sets the desired state of every instance to stopped and waits until none runs or ctx
+// ends.
 func (a *Agent) StopAll(ctx context.Context) error {
 	a.mu.Lock()
-	c := &store.Change{Audit: []api.AuditEntry{{At: time.Now(), Who: "agent", What: "stop all", Result: "ok"}}}
+	change := &store.Change{Audit: []api.AuditEntry{{At: time.Now(), Who: "agent", What: "stop all", Result: "ok"}}}
 	for _, i := range a.instances {
-		row := i.stored
-		row.Desired = api.Stopped
-		c.Instances = append(c.Instances, row)
+		stored := i.stored
+		stored.Desired = api.Stopped
+		change.Instances = append(change.Instances, stored)
 	}
-	err := a.commit(c)
+	err := a.commit(change)
 	if err == nil {
-		for _, row := range c.Instances {
-			i := a.instances[row.Name]
+		for _, stored := range change.Instances {
+			i := a.instances[stored.Name]
 			i.stored.Desired = api.Stopped
 			i.wakeUp()
 		}
@@ -168,7 +172,7 @@
 	return err
 }
 
-// retainedSlots is how many slots' figures are kept of each instance.
+// retainedSlots returns how many samples are retained for each instance, one for each slot.
 func (a *Agent) retainedSlots() int {
 	if a.config.Metrics.Slot <= 0 {
 		return 1
--- a/internal/fleet/host/agent/files.go
+++ b/internal/fleet/host/agent/files.go
@@ -11,23 +11,29 @@
 	"strings"
 )
 
+// logPath returns the path of an instance's log.
 func (a *Agent) logPath(name string) string {
 	return filepath.Join(a.config.StateDir, "logs", name+".log")
 }
 
-// handoverPath is the folder in which an old process and a new one find each other.
+// handoverPath returns the folder of the sockets over which an old process hands over to a
+// new one.
 func (a *Agent) handoverPath() string { return filepath.Join(a.config.StateDir, "meet") }
 
+// configPath returns the path of the configuration that is rendered for an instance.
 func (a *Agent) configPath(name string) string {
 	return filepath.Join(a.config.StateDir, "instances", name+".json")
 }
 
+// metricsPath returns the path of the metrics journal.
 func (a *Agent) metricsPath() string { return filepath.Join(a.config.StateDir, "figures") }
 
+// lossesPath returns the path of the counter of power losses.
 func (a *Agent) lossesPath() string { return filepath.Join(a.config.StateDir, "losses.json") }
 
-// identity is the state folder's own name, made once. Another agent of the same
-// name on this machine has another folder, and its sidecars are not taken for ours.
+// identity returns the random identity of the state folder and creates it at the first start.
+// It tells this agent's processes from those of another agent with the same name on this
+// machine.
 func identity(path string) (string, error) {
 	b, err := os.ReadFile(path)
 	if err == nil && len(b) > 0 {
@@ -40,14 +46,14 @@
 	return id, writeFile(path, []byte(id))
 }
 
-// random is a new name for a launch, a seed or the like.
+// random returns a random identifier, such as of a launch or a seed.
 func random() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// writeFile replaces a file whole or not at all.
+// writeFile replaces a file atomically.
 func writeFile(path string, data []byte) error {
 	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
 	if err != nil {
@@ -61,7 +67,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// readTail reads the end of a file, or from an offset on.
+// readTail reads up to limit bytes of a file from an offset on; a negative offset counts from
+// its end. It returns the offset behind what it read. A file that does not exist is empty.
 func readTail(path string, offset int64, limit int) ([]byte, int64, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -79,7 +86,7 @@
 		offset = max(0, st.Size()+offset)
 	}
 	if offset > st.Size() {
-		offset = 0 // it was rotated
+		offset = 0 // the file was rotated
 	}
 	buf := make([]byte, min(int64(limit), st.Size()-offset))
 	n, err := f.ReadAt(buf, offset)
@@ -89,9 +96,12 @@
 	return buf[:n], offset + int64(n), nil
 }
 
-// lastLogProblem is the last warning or error in a log.
+// logTail is how much of a log is searched, in bytes.
+const logTail = 16 << 10
+
+// lastLogProblem returns the last warning or error in the tail of a log.
 func lastLogProblem(path string) string {
-	b, _, err := readTail(path, -16<<10, 16<<10)
+	b, _, err := readTail(path, -logTail, logTail)
 	if err == nil {
 		lines := strings.Split(string(b), "\n")
 		for _, line := range slices.Backward(lines) {
--- a/internal/fleet/host/agent/housekeeping.go
+++ b/internal/fleet/host/agent/housekeeping.go
@@ -10,47 +10,60 @@
 	"martendrum/internal/fleet/host/proc"
 )
 
-// housekeepingInterval is how often the agent's own housekeeping is done.
-const housekeepingInterval = time.Second
+const (
+	housekeepingInterval = time.Second
+	// Rounds of housekeeping between two prunings of releases and two rotations of logs.
+	pruneRounds  = 30
+	rotateRounds = 5
+)
 
-// runHousekeeping writes what could not be written, ends operations that were aborted, and
-// keeps the record, releases and logs within their bounds.
+// runHousekeeping retries failed writes, closes aborted operations and keeps releases and logs
+// within their limits, until the agent ends.
 func (a *Agent) runHousekeeping() {
-	t := time.NewTicker(housekeepingInterval)
-	defer t.Stop()
-	for n := 0; ; n++ {
+	ticker := time.NewTicker(housekeepingInterval)
+	defer ticker.Stop()
+	for round := 1; ; round++ {
 		select {
 		case <-a.ctx.Done():
 			return
-		case <-t.C:
-		}
-		a.mu.Lock()
-		a.persistDirty()
-		a.endAborted()
-		a.rollBackUnattended(time.Now())
-		a.settlePowerReturn(time.Since(a.started))
-		var used []string
-		for _, i := range a.instances {
-			used = append(used, i.stored.Release, i.stored.Previous, i.stored.Running, i.storedPrevious.Running)
-		}
-		for _, o := range a.operations {
-			if o.State != api.OpClosed {
-				used = append(used, o.Release)
-			}
+		case <-ticker.C:
 		}
-		maps.DeleteFunc(a.canHandover, func(release string, _ bool) bool { return !slices.Contains(used, release) })
-		a.mu.Unlock()
-		if n%30 == 29 {
+		used := a.tidyState()
+		if round%pruneRounds == 0 {
 			if err := a.releases.Prune(used, a.config.Limits.Releases); err != nil {
-				slog.Warn("old releases stay", "err", err)
+				slog.Warn("old releases not removed", "err", err)
 			}
 		}
-		if n%5 == 4 {
-			for _, name := range a.instanceNames {
-				if err := proc.Rotate(a.logPath(name), int64(a.config.Limits.Log)); err != nil {
-					slog.Warn("log not rotated", "instance", name, "err", err)
-				}
-			}
+		if round%rotateRounds == 0 {
+			a.rotateLogs()
+		}
+	}
+}
+
+// tidyState does the housekeeping that needs the lock, and returns the releases in use.
+func (a *Agent) tidyState() (used []string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.persistDirty()
+	a.endAborted()
+	a.rollBackUnattended(time.Now())
+	a.settlePowerReturn(time.Since(a.started))
+	for _, i := range a.instances {
+		used = append(used, i.stored.Release, i.stored.Previous, i.stored.Running, i.storedPrevious.Running)
+	}
+	for _, o := range a.operations {
+		if o.State != api.OpClosed {
+			used = append(used, o.Release)
+		}
+	}
+	maps.DeleteFunc(a.canHandover, func(release string, _ bool) bool { return !slices.Contains(used, release) })
+	return used
+}
+
+func (a *Agent) rotateLogs() {
+	for _, name := range a.instanceNames {
+		if err := proc.Rotate(a.logPath(name), int64(a.config.Limits.Log)); err != nil {
+			slog.Warn("log not rotated", "instance", name, "err", err)
 		}
 	}
 }
--- a/internal/fleet/host/agent/instance.go
+++ b/internal/fleet/host/agent/instance.go
@@ -11,56 +11,57 @@
 )
 
 const (
-	// healthTimeout is how long a health call may take.
+	// healthTimeout bounds a health check.
 	healthTimeout = 800 * time.Millisecond
-	// activeInterval is how often an instance is looked at while it starts or changes.
+	// activeInterval is the period of an instance's loop while it starts or changes.
 	activeInterval = 50 * time.Millisecond
-	// retryInterval is how soon what the record kept from being done is tried again.
+	// retryInterval is the delay before a launch that could not be recorded is retried.
 	retryInterval = time.Second
-	// minReloadAge is the least age of a process that gets SIGHUP: a sidecar that has
-	// just begun may not listen for it yet, and would end.
+	// minReloadAge is the minimum age of a process that gets SIGHUP. A sidecar that has just
+	// started may not handle the signal yet, and would end.
 	minReloadAge = 1200 * time.Millisecond
-	// reloadTimeout is how soon a sidecar must tell that it runs a new configuration.
+	// reloadTimeout is how soon a sidecar must report that it runs a new configuration.
 	reloadTimeout = 5 * time.Second
 )
 
-// instance is one sidecar. Its goroutine, run, alone moves life and proc; the
-// agent's lock guards them all the same, for those who look.
+// instance is one sidecar. Only its own goroutine, superviseInstance, changes supervisor and
+// process; it does so under the agent's lock, which guards all fields for readers.
 type instance struct {
 	config InstanceConfig
-	wake   chan struct{}
+	wake   chan struct{} // starts the next round of its loop
 
-	stored           store.Instance
+	stored           store.Instance // as in the record
 	supervisor       *supervisor.Supervisor
-	process          *Process
-	step             *api.Step // under way, nil for none
-	dirty            bool      // the record may lack its row or steps
-	exitedGeneration int64     // generation of a process that ended on its own, the latest
-	configHash       string    // of the configuration that the process says it runs
-	recordState      string    // how it says that its store of record does
-	canHandover      bool      // it says that it can hand over
-	abandonReason    string    // why a new process beside an old one is to be given up
+	process          *Process  // nil: none runs
+	step             *api.Step // that is running; nil: none
+	dirty            bool      // the last write of the instance or its steps failed
+	exitedGeneration int64     // the latest generation whose process exited unasked
+	configHash       string    // of the configuration that the process reports
+	recordState      string    // of its idempotency store, as the process reports it
+	canHandover      bool      // the process reports that it supports handover
+	abandonReason    string    // why a new process that runs side by side must end; "": none
 
-	history sampleHistory // of its figures
+	history sampleHistory
 
-	previous       *Process       // the process being replaced, nil for none
-	storedPrevious store.Instance // the row as it told of prev
+	previous       *Process       // that is being replaced; nil: none
+	storedPrevious store.Instance // as in the record when previous was the instance's process
 
 	applier *distribution.Applier // of distributed settings; nil: the host does not subscribe
-	attempt *settingsAttempt      // of the applier, nil for none
-	// attemptCrashes counts the processes that ended in an attempt since the last answer.
+	attempt *settingsAttempt      // of the applier; nil: none
+	// attemptCrashes counts the processes that ended during an attempt since the last answer.
 	attemptCrashes int
-	program        string // the release of the latest process, "" if none is known
-	// settledAt is the revision at which the instance last waited for no settings.
+	program        string // the release of the latest process; "": unknown
+	// settledAt is the latest revision at which no settings were pending.
 	settledAt distribution.Revision
-	// pendingReported says that the relay was told of settings that the instance waits for.
+	// pendingReported says that the relay was notified of pending settings.
 	pendingReported bool
 
-	writtenConfigHash string    // of the configuration last written for it
-	reloadSentAt      time.Time // of the step's SIGHUP
-	launchRetryAt     time.Time
+	writtenConfigHash string    // of the configuration last written for the process
+	reloadSentAt      time.Time // when the step's SIGHUP was sent; zero: not yet
+	launchRetryAt     time.Time // no launch before this time
 }
 
+// wakeUp starts the next round of the instance's loop.
 func (i *instance) wakeUp() {
 	select {
 	case i.wake <- struct{}{}:
@@ -68,7 +69,7 @@
 	}
 }
 
-// instanceStatus is the instance as the API tells it.
+// instanceStatus returns the instance as the API shows it. The lock is held.
 func (a *Agent) instanceStatus(i *instance) api.Instance {
 	out := api.Instance{
 		Name: i.config.Name, Host: a.config.Name, Labels: maps.Clone(i.config.Labels), Listen: i.config.listen,
--- a/internal/fleet/host/agent/instance_process.go
+++ b/internal/fleet/host/agent/instance_process.go
@@ -17,14 +17,14 @@
 	"martendrum/internal/fleet/store"
 )
 
-// carryOut carries out what life asks for.
-func (a *Agent) carryOut(i *instance, kinds []supervisor.Kind) {
-	for len(kinds) > 0 {
-		k := kinds[0]
-		kinds = kinds[1:]
-		switch k {
+// carryOut carries out the supervisor's actions and those that follow from them.
+func (a *Agent) carryOut(i *instance, actions []supervisor.Kind) {
+	for len(actions) > 0 {
+		action := actions[0]
+		actions = actions[1:]
+		switch action {
 		case supervisor.Launch:
-			kinds = append(kinds, a.launch(i)...)
+			actions = append(actions, a.launch(i)...)
 		case supervisor.Term:
 			a.signal(i, i.process, syscall.SIGTERM)
 		case supervisor.Kill:
@@ -37,6 +37,7 @@
 	}
 }
 
+// signal sends a signal to a process; one that has exited is no error.
 func (a *Agent) signal(i *instance, p *Process, sig syscall.Signal) {
 	if err := p.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		slog.Error("signal failed", "instance", i.config.Name, "signal", sig, "err", err)
@@ -46,99 +47,132 @@
 	a.mu.Unlock()
 }
 
-// sideBySide says whether a new generation of i may start beside its process: for an
-// upgrade, where that one says that it hands over. Whether the new release does shows
-// when it is tried; a way back is only taken beside what serves where that is known.
+// sideBySide says whether a new generation may start while the current process still serves.
+// An upgrade may if the current process supports handover: whether the new release does too
+// shows when it starts. A rollback may only if its release is known to support handover. The
+// lock is held.
 func (a *Agent) sideBySide(i *instance) bool {
 	s := i.step
-	return a.config.Sidecar.HandOver && i.canHandover && s != nil &&
-		(s.Action == api.ActUpgrade && s.Kind == api.Change || (s.Action == api.ActUpgrade || s.Action == api.ActRollback) && a.canHandover[i.stored.Release])
+	if !a.config.Sidecar.HandOver || !i.canHandover || s == nil {
+		return false
+	}
+	if s.Action == api.ActUpgrade && s.Kind == api.Change {
+		return true
+	}
+	return (s.Action == api.ActUpgrade || s.Action == api.ActRollback) && a.canHandover[i.stored.Release]
 }
 
-// restorePrevious makes the process that was being replaced the instance's again, and the row's.
+// restorePrevious makes the process that was being replaced the instance's process again. The
+// lock is held.
 func (i *instance) restorePrevious() {
-	row, old := &i.stored, &i.storedPrevious
-	row.Launch, row.Process, row.Running, row.PID, row.Ticks, row.Boot, row.Launched =
-		old.Launch, old.Process, old.Running, old.PID, old.Ticks, old.Boot, old.Launched
+	stored, previous := &i.stored, &i.storedPrevious
+	stored.Launch, stored.Process, stored.Running = previous.Launch, previous.Process, previous.Running
+	stored.PID, stored.Ticks, stored.Boot = previous.PID, previous.Ticks, previous.Boot
+	stored.Launched = previous.Launched
 	i.process, i.previous, i.storedPrevious = i.previous, nil, store.Instance{}
 }
 
-// launch starts a process of the wanted generation: it is written down first, and
-// carries a name by which it is found if what follows can't be.
+// launch starts a process of the wanted generation and returns what the supervisor wants done
+// next.
 func (a *Agent) launch(i *instance) []supervisor.Kind {
-	a.mu.Lock()
-	row := i.stored
-	if row.Generation != i.supervisor.Generation() || row.Desired != api.Running {
-		a.mu.Unlock() // it has changed since: the next round sees
-		i.wakeUp()
+	stored, ok := a.recordLaunch(i)
+	if !ok {
 		return nil
 	}
-	row.Launch = fmt.Sprintf("%s/%s/%d/%s.%s", a.config.Name, row.Name, row.Generation, a.stateID, random())
-	if i.exitedGeneration == row.Generation {
-		row.Restarts++
-	}
-	row.Process, row.Running, row.PID, row.Ticks, row.Boot = row.Generation, row.Release, 0, 0, ""
-	row.Launched = time.Now()
-	if err := a.commit(&store.Change{Instances: []store.Instance{row}}); err != nil {
-		i.launchRetryAt = time.Now().Add(retryInterval)
-		a.mu.Unlock()
-		return nil
-	}
-	if i.process != nil { // beside it
-		i.previous, i.storedPrevious = i.process, i.stored
-	}
-	i.stored = row
-	a.mu.Unlock()
-
-	p, err := a.startProcess(i, row)
+	p, err := a.startProcess(i, stored)
 
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
 	if err != nil {
-		i.stored.Launch, i.stored.Process, i.stored.Running = "", 0, ""
-		i.stored.LastExit = err.Error()
-		if i.previous != nil {
-			i.restorePrevious()
-		} else {
-			i.exitedGeneration = row.Generation
-		}
-		kinds := i.supervisor.LaunchFailed(now, err.Error())
-		a.persistOrMarkDirty(i, nil)
-		return kinds
+		return a.launchFailed(i, stored.Generation, err, now)
 	}
 	i.process, i.configHash, i.recordState, i.canHandover = p, "", "", false
 	i.programStarted(i.stored.Running, now)
 	i.stored.PID, i.stored.Ticks, i.stored.Boot = p.PID, p.Ticks, a.machine.Boot()
-	kinds := i.supervisor.Launched(now)
+	actions := i.supervisor.Launched(now)
 	a.persistOrMarkDirty(i, nil)
-	return kinds
+	return actions
+}
+
+// recordLaunch writes the launch to the record before it happens. The launch's name, which the
+// process carries, identifies the process if its PID can't be written afterwards.
+func (a *Agent) recordLaunch(i *instance) (stored store.Instance, ok bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	stored = i.stored
+	if stored.Generation != i.supervisor.Generation() || stored.Desired != api.Running {
+		i.wakeUp() // the desired state has changed since: the next round acts on it
+		return stored, false
+	}
+	stored.Launch = fmt.Sprintf("%s/%s/%d/%s.%s", a.config.Name, stored.Name, stored.Generation, a.stateID, random())
+	if i.exitedGeneration == stored.Generation {
+		stored.Restarts++
+	}
+	stored.Process, stored.Running, stored.PID, stored.Ticks, stored.Boot = stored.Generation, stored.Release, 0, 0, ""
+	stored.Launched = time.Now()
+	if err := a.commit(&store.Change{Instances: []store.Instance{stored}}); err != nil {
+		i.launchRetryAt = time.Now().Add(retryInterval)
+		return stored, false
+	}
+	if i.process != nil { // the new process runs side by side with it
+		i.previous, i.storedPrevious = i.process, i.stored
+	}
+	i.stored = stored
+	return stored, true
+}
+
+// launchFailed takes a process that could not be started. The lock is held.
+func (a *Agent) launchFailed(i *instance, generation int64, err error, now time.Time) []supervisor.Kind {
+	i.stored.Launch, i.stored.Process, i.stored.Running = "", 0, ""
+	i.stored.LastExit = err.Error()
+	if i.previous != nil {
+		i.restorePrevious()
+	} else {
+		i.exitedGeneration = generation
+	}
+	actions := i.supervisor.LaunchFailed(now, err.Error())
+	a.persistOrMarkDirty(i, nil)
+	return actions
 }
 
 // startProcess checks the release, writes the configuration and starts the process.
-func (a *Agent) startProcess(i *instance, row store.Instance) (*Process, error) {
-	if err := a.releases.Verify(row.Release); err != nil {
+func (a *Agent) startProcess(i *instance, stored store.Instance) (*Process, error) {
+	if err := a.releases.Verify(stored.Release); err != nil {
 		return nil, err
 	}
-	if err := a.configure(i, row.Release, random()); err != nil {
+	if err := a.configure(i, stored.Release, random()); err != nil {
 		return nil, err
 	}
-	env := append(os.Environ(), "BALANCER_NAME="+row.Name, "BALANCER_LISTEN="+i.config.listen, "BALANCER_CONFIG="+a.configPath(row.Name),
-		"MARTENDRUM_RECORD="+i.config.Record, "MARTENDRUM_FLEET="+a.config.Sidecar.Fleet) // also where it has none: not the agent's own
+	return a.machine.Start(proc.Spec{
+		Launch: stored.Launch,
+		Path:   a.releases.Path(stored.Release, release.Sidecar),
+		Dir:    a.config.StateDir,
+		Env:    a.environment(i, stored.Name),
+		Log:    a.logPath(stored.Name),
+	})
+}
+
+// environment returns the environment of an instance's process. Variables without a value are
+// set all the same, so that the process does not inherit the agent's own.
+func (a *Agent) environment(i *instance, name string) []string {
+	env := append(os.Environ(),
+		"BALANCER_NAME="+name,
+		"BALANCER_LISTEN="+i.config.listen,
+		"BALANCER_CONFIG="+a.configPath(name),
+		"MARTENDRUM_RECORD="+i.config.Record,
+		"MARTENDRUM_FLEET="+a.config.Sidecar.Fleet)
 	if a.config.Sidecar.HandOver {
 		env = append(env, "TMPDIR="+a.handoverPath())
 	}
-	keep := ""
+	checkpoint := ""
 	if a.config.Recovery.Checkpoint {
-		keep = filepath.Join(a.config.StateDir, "instances", row.Name+".checkpoint")
+		checkpoint = filepath.Join(a.config.StateDir, "instances", name+".checkpoint")
 	}
-	env = append(env, "MARTENDRUM_CHECKPOINT="+keep)
-	return a.machine.Start(proc.Spec{
-		Launch: row.Launch, Path: a.releases.Path(row.Release, release.Sidecar), Dir: a.config.StateDir, Env: env, Log: a.logPath(row.Name),
-	})
+	return append(env, "MARTENDRUM_CHECKPOINT="+checkpoint)
 }
 
-// processExited takes a process's end, and returns what to do at once.
+// processExited takes the exit of an instance's process and returns what to do at once.
 func (a *Agent) processExited(i *instance, p *Process) []supervisor.Kind {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -148,25 +182,25 @@
 	now := time.Now()
 	how := p.Exit()
 	if i.previous != nil {
-		slog.Warn("a new process ended while the one before it was there", "instance", i.config.Name, "pid", p.PID, "how", how)
+		slog.Warn("new process exited before it replaced the previous one", "instance", i.config.Name, "pid", p.PID, "how", how)
 		i.restorePrevious()
 		i.stored.LastExit, i.configHash, i.canHandover = how, "", true
-		kinds := i.supervisor.Exited(now, how)
+		actions := i.supervisor.Exited(now, how)
 		a.persistOrMarkDirty(i, nil)
-		return i.afterExit(kinds)
+		return i.afterExit(actions)
 	}
 	if i.supervisor.Phase() != supervisor.Draining {
 		i.exitedGeneration = i.stored.Process
-		slog.Warn("sidecar ended on its own", "instance", i.config.Name, "pid", p.PID, "how", how)
+		slog.Warn("sidecar exited unexpectedly", "instance", i.config.Name, "pid", p.PID, "how", how)
 	}
 	i.process, i.configHash, i.recordState = nil, "", ""
 	i.stored.Launch, i.stored.PID, i.stored.Process, i.stored.Running, i.stored.LastExit = "", 0, 0, "", how
-	kinds := i.supervisor.Exited(now, how)
+	actions := i.supervisor.Exited(now, how)
 	a.persistOrMarkDirty(i, nil)
-	return i.afterExit(kinds)
+	return i.afterExit(actions)
 }
 
-// previousExited takes the end of a process that was being replaced.
+// previousExited takes the exit of a process that was being replaced.
 func (a *Agent) previousExited(i *instance, p *Process) []supervisor.Kind {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -175,32 +209,32 @@
 	}
 	i.stored.LastExit = p.Exit()
 	i.previous, i.storedPrevious = nil, store.Instance{}
-	kinds := i.supervisor.OldExited(time.Now())
+	actions := i.supervisor.OldExited(time.Now())
 	a.persistOrMarkDirty(i, nil)
-	return i.afterExit(kinds)
+	return i.afterExit(actions)
 }
 
-// afterExit is what to do at once after a process's end: all but launches, which are left to
-// the next round. That asks with what is wanted by then.
-func (i *instance) afterExit(kinds []supervisor.Kind) []supervisor.Kind {
+// afterExit returns what to do at once after an exit: all actions but launches. The next round
+// decides on a launch, by the desired state at that time.
+func (i *instance) afterExit(actions []supervisor.Kind) []supervisor.Kind {
 	i.wakeUp()
-	return withoutLaunch(kinds)
+	return withoutLaunch(actions)
 }
 
-func withoutLaunch(kinds []supervisor.Kind) []supervisor.Kind {
-	return slices.DeleteFunc(kinds, func(k supervisor.Kind) bool { return k == supervisor.Launch })
+func withoutLaunch(actions []supervisor.Kind) []supervisor.Kind {
+	return slices.DeleteFunc(actions, func(action supervisor.Kind) bool { return action == supervisor.Launch })
 }
 
-// checkHealth makes a health call and takes what it tells.
+// checkHealth makes a health check and takes what the process reports about itself.
 func (a *Agent) checkHealth(i *instance, p *Process) {
-	says, err := a.machine.Health(a.ctx, i.config.listen, healthTimeout)
-	why := ""
+	health, err := a.machine.Health(a.ctx, i.config.listen, healthTimeout)
+	reason := ""
 	if err != nil {
-		why = err.Error()
+		reason = err.Error()
 	}
 	select {
 	case <-p.Done:
-		return // of whoever listens there now
+		return // another process may have answered
 	default:
 	}
 	a.mu.Lock()
@@ -208,13 +242,13 @@
 	if i.process != p || a.ctx.Err() != nil {
 		return
 	}
-	if err == nil && i.previous != nil && says.Launch != i.stored.Launch {
-		return // the one being replaced: both take clients for a while
+	if err == nil && i.previous != nil && health.Launch != i.stored.Launch {
+		return // the previous process answered: both accept connections during a handover
 	}
 	before := i.supervisor.Phase()
-	i.supervisor.Health(time.Now(), err == nil, why)
+	i.supervisor.Health(time.Now(), err == nil, reason)
 	if err == nil {
-		i.configHash, i.recordState, i.canHandover = says.ConfigSum, says.Record, says.Launch != ""
+		i.configHash, i.recordState, i.canHandover = health.ConfigSum, health.Record, health.Launch != ""
 		a.canHandover[i.stored.Running] = i.canHandover
 	}
 	if i.supervisor.Phase() != before {
--- a/internal/fleet/host/agent/persist.go
+++ b/internal/fleet/host/agent/persist.go
@@ -9,18 +9,18 @@
 	"martendrum/internal/fleet/store"
 )
 
-// commitTimeout is how long a write of the record may take.
+// commitTimeout bounds a write of the record.
 const commitTimeout = 5 * time.Second
 
-// notifyChanged tells those who wait that something has changed.
+// notifyChanged wakes the callers that wait for a change. The lock is held.
 func (a *Agent) notifyChanged() {
 	a.changeNumber++
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// commit writes a change. On success it is for the caller to take it over into
-// memory, still under the lock.
+// commit writes a change to the record. The lock is held; on success the caller applies the
+// change to memory before it releases the lock.
 func (a *Agent) commit(c *store.Change) error {
 	if err := a.ctx.Err(); err != nil {
 		return api.Errorf(api.Unwritable, "agent %s is stopping", a.config.Name)
@@ -45,9 +45,9 @@
 	return nil
 }
 
-// persistOrMarkDirty writes down what has happened already. Where that fails it stays in memory
-// and is written with the next that can be: after a kill meanwhile, the processes
-// themselves tell.
+// persistOrMarkDirty writes what has already happened to an instance and, if s is not nil, to
+// a step. If the write fails, the instance is marked dirty and housekeeping writes it later; an
+// agent that is killed before that learns the state from the processes. The lock is held.
 func (a *Agent) persistOrMarkDirty(i *instance, s *api.Step) {
 	c := &store.Change{Instances: []store.Instance{i.stored}}
 	if s != nil {
@@ -59,7 +59,8 @@
 	}
 }
 
-// persistDirty writes all that the record may lack.
+// persistDirty writes the instances whose last write failed. With none, it probes a record that
+// was unwritable. The lock is held.
 func (a *Agent) persistDirty() {
 	c := &store.Change{}
 	for _, i := range a.instances {
@@ -76,7 +77,7 @@
 	if len(c.Instances) == 0 && a.unwritable == "" || len(a.instanceNames) == 0 {
 		return
 	}
-	if len(c.Instances) == 0 { // is it writable again?
+	if len(c.Instances) == 0 { // probes whether the record is writable again
 		c.Instances = append(c.Instances, a.instances[a.instanceNames[0]].stored)
 	}
 	if a.commit(c) == nil {
