--- a/internal/fleet/host/agent/instance_config.go
+++ b/internal/fleet/host/agent/instance_config.go
@@ -11,8 +11,8 @@
 	"martendrum/internal/fleet/release"
 )
 
-// configure writes an instance's configuration, with the distributed settings that it
-// accepted last.
+// configure writes an instance's configuration with the overlay of a release and the distributed
+// settings that the instance accepted last.
 func (a *Agent) configure(i *instance, hash, seed string) error {
 	a.mu.Lock()
 	var settings []distribution.Resource
@@ -24,9 +24,9 @@
 	return err
 }
 
-// configureWith writes an instance's configuration with the given distributed settings, and
-// returns its sum.
-func (a *Agent) configureWith(i *instance, hash string, settings []distribution.Resource, seed string) (sum string, err error) {
+// configureWith writes an instance's configuration with the given distributed settings and
+// returns its SHA-256 hash in hex.
+func (a *Agent) configureWith(i *instance, hash string, settings []distribution.Resource, seed string) (configHash string, err error) {
 	base, err := os.ReadFile(i.config.Config)
 	if err != nil {
 		return "", err
@@ -48,8 +48,8 @@
 	return i.writtenConfigHash, nil
 }
 
-// render makes an instance's configuration: its own file, the release's overlay merged over
-// it (RFC 7396), then the distributed settings in their order, and the seed.
+// render makes an instance's configuration: its own file, with the release's overlay merged
+// into it (RFC 7396), then the distributed settings in their order, then the seed.
 func render(base, overlay []byte, settings []distribution.Resource, seed string) ([]byte, error) {
 	var config map[string]any
 	if err := json.Unmarshal(base, &config); err != nil {
@@ -69,6 +69,7 @@
 	return json.MarshalIndent(config, "", " ")
 }
 
+// mergeJSON applies a JSON merge patch (RFC 7396) to a configuration.
 func mergeJSON(into map[string]any, patch []byte) error {
 	var from map[string]any
 	if err := json.Unmarshal(patch, &from); err != nil {
@@ -78,6 +79,7 @@
 	return nil
 }
 
+// merge applies a decoded merge patch: null deletes a key, objects merge, other values replace.
 func merge(into, from map[string]any) {
 	for k, v := range from {
 		if v == nil {
@@ -98,17 +100,17 @@
 	}
 }
 
-// adminEndpoint reads from a sidecar's configuration where its door is, and its memory's limit
-// in MiB.
-func adminEndpoint(config []byte) (door string, memory int) {
-	var c struct {
+// adminEndpoint reads a sidecar's admin address, "" for none, and its memory limit in MiB from
+// its configuration.
+func adminEndpoint(config []byte) (address string, memoryLimitMB int) {
+	var sidecar struct {
 		Mgmt   string `json:"mgmt"`
 		Limits struct {
 			MemoryMB int `json:"memory_mb"`
 		} `json:"limits"`
 	}
-	if json.Unmarshal(config, &c) != nil {
+	if json.Unmarshal(config, &sidecar) != nil {
 		return "", 0
 	}
-	return c.Mgmt, c.Limits.MemoryMB
+	return sidecar.Mgmt, sidecar.Limits.MemoryMB
 }
--- a/internal/fleet/host/agent/metrics.go
+++ b/internal/fleet/host/agent/metrics.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// maxScrapeDuration is how long a door may take, of a slot's quarter at most.
+	// maxScrapeDuration bounds a scrape, with a quarter of a slot as the other bound.
 	maxScrapeDuration = 2 * time.Second
-	// maxConcurrentScrapes bounds the calls under way.
+	// maxConcurrentScrapes bounds the scrapes in flight.
 	maxConcurrentScrapes = 16
-	// maxMetricsSamples is how many samples one answer holds.
+	// maxMetricsSamples bounds the samples in one answer.
 	maxMetricsSamples = 4000
-	// rateSlots is over how many slots an instance's rate is told.
+	// rateSlots is the number of slots over which an instance's rate is measured.
 	rateSlots = 6
 )
 
@@ -41,8 +41,7 @@
 	return nil
 }
 
-// collectMetrics takes all instances' figures at each boundary of a slot, until the agent
-// ends.
+// collectMetrics samples all instances at each boundary of a slot, until the agent ends.
 func (a *Agent) collectMetrics(j *metricsJournal) {
 	defer j.file.Close()
 	slot := time.Duration(a.config.Metrics.Slot)
@@ -56,51 +55,45 @@
 		case <-timer.C:
 		}
 		boundary := next.UnixNano() / int64(slot)
-		got := a.scrapeAll(boundary, min(maxScrapeDuration, slot/4))
+		samples := a.scrapeAll(boundary, min(maxScrapeDuration, slot/4))
 		a.mu.Lock()
-		for _, s := range got {
-			a.instances[s.Instance].history.add(s)
+		for _, sample := range samples {
+			a.instances[sample.Instance].history.add(sample)
 		}
 		a.lastBoundary = boundary
 		a.mu.Unlock()
-		if err := j.write(got); err != nil {
-			slog.Warn("figures can't be kept over a restart of this agent", "err", err)
+		if err := j.write(samples); err != nil {
+			slog.Warn("metrics not written to the journal", "err", err)
 		}
 	}
 }
 
-// scrapeAll asks all doors at once. An instance that is being replaced is left out:
-// which of its processes answers is not known.
+// scrapeTarget is a process to sample.
+type scrapeTarget struct {
+	sample       api.Sample // what the agent knows of the process
+	adminAddress string
+	pid          int
+}
+
+// scrapeAll samples all instances concurrently. An instance whose scrape fails has a gap, which
+// the canary analysis counts.
 func (a *Agent) scrapeAll(boundary int64, limit time.Duration) []api.Sample {
-	type job struct {
-		s    api.Sample
-		door string
-		pid  int
-	}
-	var jobs []job
-	a.mu.Lock()
-	for _, name := range a.instanceNames {
-		i := a.instances[name]
-		if i.config.adminAddress != "" && i.process != nil && i.previous == nil && i.stored.Launch != "" {
-			jobs = append(jobs, job{api.Sample{Instance: name, Process: i.stored.Launch, Release: i.stored.Running,
-				Started: i.stored.Launched, Crashes: uint32(max(0, i.stored.Restarts))}, i.config.adminAddress, i.stored.PID})
-		}
-	}
-	a.mu.Unlock()
+	targets := a.scrapeTargets()
 	var mu sync.Mutex
 	var out []api.Sample
 	var wg sync.WaitGroup
-	turns := make(chan struct{}, maxConcurrentScrapes)
-	for _, b := range jobs {
-		turns <- struct{}{}
+	slots := make(chan struct{}, maxConcurrentScrapes)
+	for _, s := range targets {
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-turns }()
-			got, err := a.machine.Metrics(a.ctx, b.door, b.pid, limit)
+			defer func() { <-slots }()
+			got, err := a.machine.Metrics(a.ctx, s.adminAddress, s.pid, limit)
 			if err != nil {
-				return // a gap, which whoever judges sees and counts
+				return
 			}
-			got.At, got.Instance, got.Boundary, got.Process = time.Now(), b.s.Instance, boundary, b.s.Process
-			got.Release, got.Started, got.Crashes = b.s.Release, b.s.Started, b.s.Crashes
+			got.At, got.Boundary = time.Now(), boundary
+			got.Instance, got.Process, got.Release = s.sample.Instance, s.sample.Process, s.sample.Release
+			got.Started, got.Crashes = s.sample.Started, s.sample.Crashes
 			mu.Lock()
 			defer mu.Unlock()
 			out = append(out, *got)
@@ -110,15 +103,39 @@
 	return out
 }
 
-// metrics answers with samples, the earliest first.
+// scrapeTargets returns the processes to sample. An instance that is being replaced is left out:
+// either of its processes may answer.
+func (a *Agent) scrapeTargets() []scrapeTarget {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	var targets []scrapeTarget
+	for _, name := range a.instanceNames {
+		i := a.instances[name]
+		if i.config.adminAddress == "" || i.process == nil || i.previous != nil || i.stored.Launch == "" {
+			continue
+		}
+		targets = append(targets, scrapeTarget{
+			sample: api.Sample{
+				Instance: name, Process: i.stored.Launch, Release: i.stored.Running,
+				Started: i.stored.Launched, Crashes: uint32(max(0, i.stored.Restarts)),
+			},
+			adminAddress: i.config.adminAddress,
+			pid:          i.stored.PID,
+		})
+	}
+	return targets
+}
+
+// metrics returns the samples after a boundary, the earliest first. An answer that reaches its
+// limit ends with a complete boundary, so that the next call continues after it.
 func (a *Agent) metrics(_ context.Context, _ *caller, in *api.MetricsIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := &api.MetricsOut{Slot: time.Duration(a.config.Metrics.Slot), Now: time.Now(), Last: a.lastBoundary}
 	for _, name := range a.instanceNames {
-		ss := a.instances[name].history.samples
-		at, _ := slices.BinarySearchFunc(ss, in.After+1, func(s api.Sample, b int64) int { return cmp.Compare(s.Boundary, b) })
-		out.Samples = append(out.Samples, ss[at:]...)
+		samples := a.instances[name].history.samples
+		first, _ := slices.BinarySearchFunc(samples, in.After+1, func(s api.Sample, b int64) int { return cmp.Compare(s.Boundary, b) })
+		out.Samples = append(out.Samples, samples[first:]...)
 	}
 	slices.SortStableFunc(out.Samples, func(x, y api.Sample) int { return cmp.Compare(x.Boundary, y.Boundary) })
 	limit := maxMetricsSamples
@@ -126,7 +143,6 @@
 		limit = min(limit, in.Limit)
 	}
 	if len(out.Samples) > limit {
-		// Whole boundaries only, so that the next call goes on behind them.
 		cut := out.Samples[limit].Boundary
 		n := limit
 		for n > 0 && out.Samples[n-1].Boundary == cut {
--- a/internal/fleet/host/agent/metrics_history.go
+++ b/internal/fleet/host/agent/metrics_history.go
@@ -8,51 +8,55 @@
 	"martendrum/internal/fleet/canary"
 )
 
-// sampleHistory keeps an instance's latest samples, in order. The agent's lock guards it.
+// sampleHistory retains an instance's latest samples, in order of their boundaries. The agent's
+// lock guards it.
 type sampleHistory struct {
 	samples []api.Sample
-	limit   int
+	limit   int // samples retained at least; twice as many at most
 }
 
-func (r *sampleHistory) add(s api.Sample) {
-	if n := len(r.samples); n > 0 && r.samples[n-1].Boundary >= s.Boundary {
+// add appends a sample; one that is not later than the latest is ignored.
+func (h *sampleHistory) add(s api.Sample) {
+	if n := len(h.samples); n > 0 && h.samples[n-1].Boundary >= s.Boundary {
 		return
 	}
-	if len(r.samples) >= 2*r.limit {
-		r.samples = append(r.samples[:0:0], r.samples[len(r.samples)-r.limit:]...)
+	if len(h.samples) >= 2*h.limit {
+		h.samples = append(h.samples[:0:0], h.samples[len(h.samples)-h.limit:]...)
 	}
-	r.samples = append(r.samples, s)
+	h.samples = append(h.samples, s)
 }
 
-// rate is the requests a second of late; 0 where that is not known.
-func (r *sampleHistory) rate() float64 {
-	ss := r.samples[max(0, len(r.samples)-rateSlots-1):]
-	if len(ss) < 2 {
+// rate returns the requests per second over the latest slots, 0 if unknown. A new process starts
+// a new measurement.
+func (h *sampleHistory) rate() float64 {
+	recent := h.samples[max(0, len(h.samples)-rateSlots-1):]
+	if len(recent) < 2 {
 		return 0
 	}
-	a, b := &ss[0], &ss[len(ss)-1]
-	took := b.At.Sub(a.At).Seconds()
-	if a.Process != b.Process || took <= 0 {
+	first, last := &recent[0], &recent[len(recent)-1]
+	seconds := last.At.Sub(first.At).Seconds()
+	if first.Process != last.Process || seconds <= 0 {
 		return 0
 	}
-	n := 0.0
-	for name, c := range b.Classes {
-		was := a.Classes[name]
-		n += c.All() - was.All()
+	requests := 0.0
+	for name, counts := range last.Classes {
+		before := first.Classes[name]
+		requests += counts.All() - before.All()
 	}
-	return max(0, n/took)
+	return max(0, requests/seconds)
 }
 
-// windows are those of the process that runs now.
-func (r *sampleHistory) windows(slot time.Duration) (out []canary.Window) {
-	d := canary.Differ{Slot: slot, Off: slot / 4}
-	for _, s := range r.samples[max(0, len(r.samples)-rateSlots-1):] {
+// windows returns the differences between the latest samples, as the canary analysis reads them,
+// back to the start of the release that runs.
+func (h *sampleHistory) windows(slot time.Duration) (out []canary.Window) {
+	differ := canary.Differ{Slot: slot, Off: slot / 4}
+	for _, s := range h.samples[max(0, len(h.samples)-rateSlots-1):] {
 		names := make([]string, 0, len(s.Classes))
 		for name := range s.Classes {
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		if w, ok := d.Next(s.CanarySample(0, names), 0); ok {
+		if w, ok := differ.Next(s.CanarySample(0, names), 0); ok {
 			out = append(out, w)
 		}
 	}
--- a/internal/fleet/host/agent/metrics_journal.go
+++ b/internal/fleet/host/agent/metrics_journal.go
@@ -12,50 +12,56 @@
 	"martendrum/internal/fleet/api"
 )
 
-// metricsJournal keeps samples over the agent's own restarts, in two files of which the
-// older goes when the newer is full. Samples that are lost with it are missing
-// evidence, no more: it is not synced, and a torn tail is left out.
+// metricsJournal retains samples across restarts of the agent, in two files of which the older
+// is dropped when the newer is full. It is not synced and a torn tail is ignored: lost samples
+// are only missing evidence.
 type metricsJournal struct {
 	path    string
 	file    *os.File
-	samples int // in f
-	limit   int
+	samples int // in file
+	limit   int // samples in a file
 }
 
-// openMetricsJournal reads what there is and goes on behind it.
-func openMetricsJournal(path string, limit int, each func(api.Sample)) (*metricsJournal, error) {
+// openMetricsJournal calls restore for each sample of the files at path, the earliest first, and
+// starts a new file: after a torn tail, nothing that is appended could be read.
+func openMetricsJournal(path string, limit int, restore func(api.Sample)) (*metricsJournal, error) {
 	j := &metricsJournal{path: path, limit: limit}
 	for _, p := range []string{path + ".1", path} {
-		f, err := os.Open(p)
-		if errors.Is(err, os.ErrNotExist) {
-			continue
-		}
-		if err != nil {
+		if err := readSamples(p, restore); err != nil {
 			return nil, err
 		}
-		j.samples = 0
-		dec := msgpack.NewDecoder(bufio.NewReader(f))
-		for {
-			var s api.Sample
-			if err := dec.Decode(&s); err != nil {
-				if !errors.Is(err, io.EOF) {
-					slog.Warn("figures: the rest of a file can't be read and is left out", "file", p, "after", j.samples, "err", err)
-				}
-				break
-			}
-			j.samples++
-			each(s)
-		}
-		f.Close()
 	}
-	// Behind a torn tail nothing could be read: the next sample begins a file.
 	if err := j.rotate(); err != nil {
 		return nil, err
 	}
 	return j, nil
 }
 
-// rotate begins a new file, and keeps the one before it.
+// readSamples calls restore for each sample of a file, up to the first that can't be read. A
+// file that does not exist has none.
+func readSamples(path string, restore func(api.Sample)) error {
+	f, err := os.Open(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	decoder := msgpack.NewDecoder(bufio.NewReader(f))
+	for n := 0; ; n++ {
+		var sample api.Sample
+		if err := decoder.Decode(&sample); err != nil {
+			if !errors.Is(err, io.EOF) {
+				slog.Warn("rest of a metrics journal ignored: it can't be read", "file", path, "after", n, "err", err)
+			}
+			return nil
+		}
+		restore(sample)
+	}
+}
+
+// rotate starts a new file and retains the one before it.
 func (j *metricsJournal) rotate() error {
 	if j.file != nil {
 		j.file.Close()
@@ -71,21 +77,22 @@
 	return err
 }
 
-func (j *metricsJournal) write(ss []api.Sample) error {
-	if j.file == nil || j.samples+len(ss) > j.limit {
+// write appends samples, to a new file if the current one is full.
+func (j *metricsJournal) write(samples []api.Sample) error {
+	if j.file == nil || j.samples+len(samples) > j.limit {
 		if err := j.rotate(); err != nil {
 			return err
 		}
 	}
-	var b []byte
-	for n := range ss {
-		one, err := msgpack.Marshal(&ss[n])
+	var data []byte
+	for n := range samples {
+		encoded, err := msgpack.Marshal(&samples[n])
 		if err != nil {
 			return err
 		}
-		b = append(b, one...)
+		data = append(data, encoded...)
 	}
-	j.samples += len(ss)
-	_, err := j.file.Write(b)
+	j.samples += len(samples)
+	_, err := j.file.Write(data)
 	return err
 }
--- a/internal/fleet/host/agent/power_loss.go
+++ b/internal/fleet/host/agent/power_loss.go
@@ -11,46 +11,48 @@
 	"martendrum/internal/recovery"
 )
 
-// lossDetector is what an agent's start shows of the host: whether it lost its power.
+// lossDetector finds out at the agent's start whether the host lost its power.
 type lossDetector struct {
-	lost     []*instance // ran, and have no process
-	alive    int
-	rebooted bool
+	lost     []*instance // ran according to the record and have no process
+	alive    int         // instances that have a process
+	rebooted bool        // a lost process ran in an earlier boot
 }
 
-// observe takes one instance: whether a process of it ran by the record, and in this boot.
-func (l *lossDetector) observe(i *instance, ran, booted bool) {
+// observe takes an instance: ran says that a process of it ran according to the record, and
+// sameBoot that it ran in the current boot.
+func (l *lossDetector) observe(i *instance, ran, sameBoot bool) {
 	switch {
 	case i.process != nil:
 		l.alive++
 	case ran:
 		l.lost = append(l.lost, i)
-		l.rebooted = l.rebooted || !booted
+		l.rebooted = l.rebooted || !sameBoot
 	}
 }
 
-// powerLost says that the host lost its power, or all its sidecars at once, which is the same
-// to the fleet: everything that ran is gone, and it is not just one that crashed.
-// returning says that the agent before this one had not come to the end of a return.
+// powerLost says whether the host lost its power, or all its sidecars at once, which is the same
+// to the fleet: no process is left, and more happened than one crash. returning says that the
+// previous agent had not finished the return from an earlier loss.
 func (l *lossDetector) powerLost(returning bool) bool {
 	return l.alive == 0 && (returning || len(l.lost) > 0 && (l.rebooted || len(l.lost) > 1))
 }
 
-// stableDelay is how long an agent must run for a later loss not to count as one of a
-// power that flaps.
+// stableDelay is how long an agent must run until losses before it no longer count as recent.
+// Recent losses slow the waves.
 const stableDelay = 10 * time.Minute
 
-// powerReturn is the return of a host's instances. The agent's lock guards it.
+// powerReturn is the return of a host's instances after a power loss. The agent's lock guards
+// it.
 type powerReturn struct {
-	pace  *recovery.Pace
-	epoch int64
+	pace  *recovery.Pace // nil: all waves have started
+	epoch int64          // of the loss
 }
 
-// recoverFromPowerLoss looks whether there was a loss and readies the return: all leases from before
-// are void, for good and whatever the clocks say, so that operations hold; what was lost
-// did not crash; and the instances start in waves. begin is written before anything
-// starts. An agent killed before that finds the same loss again, one killed later goes on
-// with the waves.
+// recoverFromPowerLoss checks for a power loss and prepares the return: all earlier leases are
+// void, whatever the clocks say, so that operations pause; lost processes do not count as
+// crashed; and the instances start in waves. begin is written to the record before any instance
+// starts. An agent that is killed before that detects the same loss again; one that is killed
+// later continues with the waves.
 func (a *Agent) recoverFromPowerLoss(l *lossDetector, begin *store.Change, now time.Time) {
 	n := a.readLosses()
 	if !l.powerLost(n.Returning) {
@@ -74,19 +76,19 @@
 			begin.Instances[k] = i.stored
 		}
 	}
-	held := 0
+	paused := 0
 	for _, o := range a.operations {
 		if o.State == api.OpOpened {
-			held++
+			paused++
 		}
 	}
 	begin.Audit = append(begin.Audit, api.AuditEntry{At: now, Who: "agent", What: "power loss", Target: a.config.Name,
-		Result: fmt.Sprintf("epoch %d: %d instances lost, %d leases void, %d operations hold", n.Epoch, len(l.lost), len(begin.Leases), held)})
-	slog.Warn("the host lost its power: instances come back in waves", "epoch", n.Epoch, "recent", n.Recent, "lost", len(l.lost), "operations_held", held)
+		Result: fmt.Sprintf("epoch %d: %d instances lost, %d leases void, %d operations hold", n.Epoch, len(l.lost), len(begin.Leases), paused)})
+	slog.Warn("power loss detected, restarting instances in waves", "epoch", n.Epoch, "recent", n.Recent, "lost", len(l.lost), "operations_held", paused)
 	a.startWaves(n)
 }
 
-// startWaves has the instances that are wanted come in waves.
+// startWaves assigns the instances that should run to waves.
 func (a *Agent) startWaves(n lossCounter) {
 	var places []recovery.Place
 	for _, name := range a.instanceNames {
@@ -100,8 +102,8 @@
 	}, waves, 0)}
 }
 
-// mustWait says whether an instance has to wait for its wave, and takes how it stands. A nil
-// comeback holds nothing.
+// mustWait says whether an instance has to wait for its wave, and lets the pace know of an
+// instance that no longer starts. Without a return (nil) no instance waits.
 func (b *powerReturn) mustWait(now time.Duration, i *instance) bool {
 	if b == nil || b.pace == nil {
 		return false
@@ -117,7 +119,8 @@
 	return !b.pace.May(now, i.config.Name)
 }
 
-// returnProgress says how far the return is, "" if there is none; the lock is held.
+// returnProgress describes the progress of a return, "" if none is going on, and returns the
+// epoch of the latest loss. The lock is held.
 func (a *Agent) returnProgress() (how string, epoch int64) {
 	if a.powerReturn == nil {
 		return "", 0
@@ -125,19 +128,20 @@
 	if a.powerReturn.pace == nil || a.powerReturn.pace.Over(time.Since(a.started)) {
 		return "", a.powerReturn.epoch
 	}
-	up, of := 0, 0
+	ready, wanted := 0, 0
 	for _, i := range a.instances {
 		if i.stored.Desired == api.Running {
-			of++
+			wanted++
 			if i.supervisor.Phase() == supervisor.Ready {
-				up++
+				ready++
 			}
 		}
 	}
-	return fmt.Sprintf("loss %d, %d of %d instances are ready", a.powerReturn.epoch, up, of), a.powerReturn.epoch
+	return fmt.Sprintf("loss %d, %d of %d instances are ready", a.powerReturn.epoch, ready, wanted), a.powerReturn.epoch
 }
 
-// settlePowerReturn ends the return once it is over, and later the memory of recent losses.
+// settlePowerReturn ends the return once all waves have started, and resets the count of recent
+// losses after stableDelay. up is how long the agent has run. The lock is held.
 func (a *Agent) settlePowerReturn(up time.Duration) {
 	if a.powerReturn == nil {
 		return
@@ -147,7 +151,7 @@
 		n := a.readLosses()
 		n.Returning = false
 		a.writeLosses(n)
-		slog.Info("all waves have begun", "epoch", a.powerReturn.epoch, "after", up.Round(time.Millisecond))
+		slog.Info("all waves started", "epoch", a.powerReturn.epoch, "after", up.Round(time.Millisecond))
 	}
 	if up >= stableDelay {
 		n := a.readLosses()
--- a/internal/fleet/host/agent/unattended_rollback.go
+++ b/internal/fleet/host/agent/unattended_rollback.go
@@ -11,8 +11,11 @@
 	"martendrum/internal/fleet/store"
 )
 
-// rollBackUnattended takes back, of open operations that nobody has held for as long as they say,
-// those of its own instances that were changed and fail by the coarse rule.
+// maxUnreadyDuration is how long an instance's health check may fail before it counts as harm.
+const maxUnreadyDuration = 5 * time.Second
+
+// rollBackUnattended rolls back the failing instances of staged operations whose leases nobody
+// has held for longer than the operation allows. The lock is held.
 func (a *Agent) rollBackUnattended(now time.Time) {
 	for id := range a.lastLeased {
 		if o := a.operations[id]; o == nil || o.State == api.OpClosed {
@@ -27,43 +30,42 @@
 			a.lastLeased[o.ID] = now
 			continue
 		}
-		if gone := now.Sub(a.lastLeased[o.ID]); gone > o.Staged.Alone {
+		if unattended := now.Sub(a.lastLeased[o.ID]); unattended > o.Staged.Alone {
 			for _, name := range a.instanceNames {
-				a.rollBackIfFailing(o, a.instances[name], gone, now)
+				a.rollBackIfFailing(o, a.instances[name], unattended, now)
 			}
 		}
 	}
 }
 
-func (a *Agent) rollBackIfFailing(o *store.Operation, i *instance, gone time.Duration, now time.Time) {
+// rollBackIfFailing rolls an instance back if the operation changed it and it fails the coarse
+// rule, which needs no baseline. The lock is held.
+func (a *Agent) rollBackIfFailing(o *store.Operation, i *instance, unattended time.Duration, now time.Time) {
 	name := i.config.Name
 	change := a.steps[stepKey{o.ID, name, api.Change}]
 	if change == nil || i.step != nil && i.step.Kind == api.Rollback || a.steps[stepKey{o.ID, name, api.Rollback}] != nil {
 		return
 	}
 	phase := i.supervisor.Phase()
-	own := canary.LocalHealth{
+	health := canary.LocalHealth{
 		Crashing: phase == supervisor.Crashloop || phase == supervisor.Backoff,
 		Unready:  phase == supervisor.Unready && now.Sub(i.supervisor.Since()) > maxUnreadyDuration,
 		Limit:    uint64(i.config.memoryLimitMB) << 20,
 	}
 	if i.stored.Running == change.To {
-		own.Windows = i.history.windows(time.Duration(a.config.Metrics.Slot))
+		health.Windows = i.history.windows(time.Duration(a.config.Metrics.Slot))
 	}
-	why := canary.Coarse(own)
-	if why == "" {
+	harm := canary.Coarse(health)
+	if harm == "" {
 		return
 	}
-	if i.step != nil { // the change itself is still under way, and won't come about
-		a.endStep(i, i.step, false, why)
+	if i.step != nil { // the change is still running and won't succeed
+		a.endStep(i, i.step, false, harm)
 	}
-	reason := fmt.Sprintf("taken back by agent %s alone: nobody held the operation for %v, and %s", a.config.Name, gone.Round(time.Second), why)
+	reason := fmt.Sprintf("taken back by agent %s alone: nobody held the operation for %v, and %s", a.config.Name, unattended.Round(time.Second), harm)
 	if _, err := a.beginStep(o, i, api.Rollback, 0, "agent "+a.config.Name+" alone", reason); err != nil {
-		slog.Warn("an instance can't be taken back", "instance", name, "why", why, "err", err)
+		slog.Warn("instance not rolled back", "instance", name, "why", harm, "err", err)
 		return
 	}
-	slog.Warn("an instance is taken back", "instance", name, "operation", o.ID, "reason", reason)
+	slog.Warn("instance rolled back", "instance", name, "operation", o.ID, "reason", reason)
 }
-
-// maxUnreadyDuration is how long an instance's health call may fail before it counts.
-const maxUnreadyDuration = 5 * time.Second
