--- a/internal/fleet/host/agent/config.go
+++ b/internal/fleet/host/agent/config.go
@@ -9,8 +9,8 @@
 	"martendrum/internal/quantity"
 )
 
-// Config is an agent's file; see deploy/agent.toml. Relative paths in it are
-// relative to its folder.
+// Config is an agent's configuration; deploy/agent.toml is an annotated example. Relative paths
+// are relative to the file's folder.
 type Config struct {
 	Name     string `toml:"name"`
 	StateDir string `toml:"state_dir"`
@@ -36,28 +36,28 @@
 	Sidecar struct {
 		Binary  string `toml:"binary"`
 		Overlay string `toml:"overlay"`
-		// HandOver lets an upgrade start the new process beside the old one.
+		// HandOver lets an upgrade start the new process while the old one still serves.
 		HandOver bool `toml:"hand_over"`
-		// Fleet is what sidecars do together, the words of MARTENDRUM_FLEET.
+		// Fleet names the features that sidecars share, as MARTENDRUM_FLEET does.
 		Fleet string `toml:"fleet"`
 	} `toml:"sidecar"`
-	// Recovery is how instances come back after the host lost its power.
+	// Recovery paces the start of instances after a power loss.
 	Recovery struct {
 		MinWave     quantity.Duration `toml:"wave_least"`
 		WaveLongest quantity.Duration `toml:"wave_longest"`
-		MaxWave     int               `toml:"wave_most"` // instances in a wave; 0: no bound
-		Shop        string            `toml:"shop"`      // names of labels
-		Zone        string            `toml:"zone"`
-		// Checkpoint has each sidecar keep what it learns in a file in state_dir.
+		MaxWave     int               `toml:"wave_most"` // instances in a wave; 0: no limit
+		Shop        string            `toml:"shop"`      // the label that names an instance's shop
+		Zone        string            `toml:"zone"`      // the label that names its zone
+		// Checkpoint lets each sidecar write its learned state to a file in state_dir.
 		Checkpoint bool `toml:"checkpoint"`
 	} `toml:"recovery"`
-	// Metrics are taken of each instance that has a door, at the multiples of Slot.
+	// Metrics are collected from each instance that has an admin address, at multiples of Slot.
 	Metrics struct {
 		Slot      quantity.Duration `toml:"slot"` // 0: never
 		Retention quantity.Duration `toml:"keep"`
 	} `toml:"figures"`
 	Distribution Distribution `toml:"distribution"`
-	// Relay, where set, makes the agent one of the machines that serve settings.
+	// Relay, if set, makes the agent a relay, which serves settings to other hosts.
 	Relay  *RelayConfig `toml:"relay"`
 	Limits struct {
 		KillAfter      quantity.Duration `toml:"kill_after"`
@@ -75,51 +75,51 @@
 	Instances []InstanceConfig `toml:"instance"`
 }
 
-// Distribution is how settings reach the host; see package distribution. Without relays
-// there is none.
+// Distribution configures how settings reach the host; see package distribution. Without relays
+// no settings are distributed.
 type Distribution struct {
-	// Subscribe lets the host's instances follow the relays.
+	// Subscribe applies the relays' settings to the host's instances.
 	Subscribe bool                 `toml:"subscribe"`
 	Region    string               `toml:"region"` // of this host, as the relays' entries name them
 	Zone      string               `toml:"zone"`
-	Coalesce  quantity.Duration    `toml:"coalesce"` // changes within it are applied together
+	Coalesce  quantity.Duration    `toml:"coalesce"` // changes within this time are applied together
 	Writer    string               `toml:"writer"`   // the relay that writes until an operator promotes another
 	Relays    []distribution.Relay `toml:"relay"`
 }
 
-// RelayConfig bounds what a relay serves.
+// RelayConfig limits what a relay serves.
 type RelayConfig struct {
 	Subscribers int `toml:"subscribers"`
 	Resources   int `toml:"resources"`
-	History     int `toml:"history"` // changes
+	History     int `toml:"history"` // changes that a relay retains
 }
 
-// maxSubscribers is how many subscribers one relay may have: each costs a descriptor.
+// maxSubscribers bounds a relay's subscribers: each takes a file descriptor.
 const maxSubscribers = 16000
 
-// InstanceConfig is one sidecar of the host.
+// InstanceConfig configures one sidecar of the host.
 type InstanceConfig struct {
 	Name   string            `toml:"name"`
 	Config string            `toml:"config"` // the sidecar's configuration, JSON, as BALANCER_CONFIG names it
-	Record string            `toml:"record"` // its store of record's file; "": none
+	Record string            `toml:"record"` // the file of its idempotency store; "": none
 	Labels map[string]string `toml:"labels"`
-	Stop   bool              `toml:"stopped"` // at first; later the record tells
+	Stop   bool              `toml:"stopped"` // initially; later the agent's record holds the desired state
 
 	listen        string
-	adminAddress  string // of operators, "" for none
-	memoryLimitMB int    // its limit, MiB
+	adminAddress  string // of its admin endpoint; "": none
+	memoryLimitMB int    // 0: none
 }
 
-// Where an agent's record may be kept.
+// Stores of an agent's record.
 const (
 	SQLite   = "sqlite" // a file in state_dir
 	Postgres = "postgres"
 )
 
-// maxRetainedSlots is how many slots' figures are kept at most.
+// maxRetainedSlots bounds the slots whose metrics are retained.
 const maxRetainedSlots = 2000
 
-// MaxInstances is how many sidecars one agent looks after.
+// MaxInstances bounds the sidecars of one agent.
 const MaxInstances = 256
 
 // LoadConfig reads and checks a configuration. Errors name the file and the place.
--- a/internal/fleet/host/agent/connections.go
+++ b/internal/fleet/host/agent/connections.go
@@ -15,16 +15,25 @@
 	"martendrum/internal/msgpackrpc"
 )
 
-// caller is who is at the other end of a connection. who is set by hello.
+// caller is the peer of a connection.
 type caller struct {
-	role, id string
-	who      string
-	// certified says that id is the name in a certificate of the fleet's CA.
-	certified bool
+	role      string // api.View, api.Operate or "" for none
+	id        string // the certificate's name, the user's ID or the address
+	certified bool   // id is the name in a certificate of the fleet's CA
+	who       string // for the audit log; "" until hello. The agent's lock guards it.
 }
 
-// connectionLimits of a connection to an agent. A chunk of a release fits into a message.
-var connectionLimits = msgpackrpc.Limits{Message: 2 << 20, Depth: 16, Outstanding: 64, Queued: 4 << 20, Receive: 10 * time.Second, Send: 10 * time.Second, Idle: 5 * time.Minute}
+// connectionLimits are those of a connection to an agent. A chunk of a release fits into a
+// message.
+var connectionLimits = msgpackrpc.Limits{
+	Message:     2 << 20,
+	Depth:       16,
+	Outstanding: 64,
+	Queued:      4 << 20,
+	Receive:     10 * time.Second,
+	Send:        10 * time.Second,
+	Idle:        5 * time.Minute,
+}
 
 // Serve opens the configured listeners and answers until ctx ends, the agent is closed or a
 // listener fails. ready, if not nil, is called with the addresses once all listen.
@@ -123,8 +132,8 @@
 	}
 }
 
-// ServerTLS is the agent's side of mutual TLS: callers need a certificate of the
-// fleet's CA, whose organisational unit is their role.
+// ServerTLS returns the agent's side of mutual TLS. Callers need a certificate of the fleet's CA;
+// its organisational unit is their role.
 func ServerTLS(ca, cert, key string) (*tls.Config, error) {
 	c, err := pki.TLS(ca, cert, key)
 	if err != nil {
@@ -134,7 +143,8 @@
 	return c, nil
 }
 
-// welcome finds out the role of a connection.
+// welcome determines the caller of a new connection and its role: from the certificate under TLS,
+// from the user on the Unix socket, from the configuration otherwise.
 func (a *Agent) welcome(p *msgpackrpc.Peer) error {
 	c := &caller{role: a.config.Listen.PlainRole, id: p.Conn.RemoteAddr().String()}
 	switch nc := p.Conn.(type) {
@@ -150,7 +160,7 @@
 			}
 		}
 	case *net.UnixConn:
-		// Whoever may open the socket may look; the agent's own user and root operate.
+		// Everyone who may open the socket may view; the agent's own user and root may operate.
 		uid, err := peerUID(nc)
 		if err != nil {
 			return err
@@ -164,6 +174,7 @@
 	return nil
 }
 
+// peerUID returns the user at the other end of a Unix socket.
 func peerUID(nc *net.UnixConn) (uid int, err error) {
 	raw, err := nc.SyscallConn()
 	if err != nil {
--- a/internal/fleet/host/agent/load.go
+++ b/internal/fleet/host/agent/load.go
@@ -17,13 +17,13 @@
 	"martendrum/internal/fleet/store"
 )
 
-// load opens the state folder and the record, finds the processes that the record speaks of,
-// and writes down what has become of them.
+// load opens the state folder and the record, finds the instances' processes and records what
+// has changed while no agent ran.
 func (a *Agent) load(open func(path string) (store.Store, error)) error {
 	if err := a.openFolder(); err != nil {
 		return err
 	}
-	snap, err := a.openRecord(open)
+	snapshot, err := a.openRecord(open)
 	if err != nil {
 		return err
 	}
@@ -34,19 +34,19 @@
 	if a.stateID, err = identity(filepath.Join(a.config.StateDir, "agent.id")); err != nil {
 		return err
 	}
-	begin, loss, now := &store.Change{}, &lossDetector{}, time.Now()
-	if err := a.loadInstances(snap.Instances, first, begin, loss, now); err != nil {
+	change, detector, now := &store.Change{}, &lossDetector{}, time.Now()
+	if err := a.loadInstances(snapshot.Instances, first, change, detector, now); err != nil {
 		return err
 	}
-	a.resumeSteps(begin, now)
-	a.recoverFromPowerLoss(loss, begin, now)
-	if len(begin.Instances)+len(begin.DropInstances)+len(begin.Steps)+len(begin.Leases) == 0 {
+	a.resumeSteps(change, now)
+	a.recoverFromPowerLoss(detector, change, now)
+	if len(change.Instances)+len(change.DropInstances)+len(change.Steps)+len(change.Leases) == 0 {
 		return nil
 	}
-	return a.store.Commit(a.ctx, begin)
+	return a.store.Commit(a.ctx, change)
 }
 
-// openFolder makes the state folder and takes its lock.
+// openFolder creates the state folder, locks it and opens its releases.
 func (a *Agent) openFolder() (err error) {
 	for _, sub := range []string{"", "instances", "logs"} {
 		if err := os.MkdirAll(filepath.Join(a.config.StateDir, sub), 0o750); err != nil {
@@ -68,77 +68,108 @@
 	return err
 }
 
-// openRecord opens the record and takes over what it holds, but for the instances.
-func (a *Agent) openRecord(open func(path string) (store.Store, error)) (snap *store.Snapshot, err error) {
+// openRecord opens the record and loads it, except for the instances, which the caller takes from
+// the snapshot.
+func (a *Agent) openRecord(open func(path string) (store.Store, error)) (snapshot *store.Snapshot, err error) {
 	if a.store, err = open(filepath.Join(a.config.StateDir, "record.db")); err != nil {
 		return nil, err
 	}
-	if snap, err = a.store.Load(a.ctx); err != nil {
+	if snapshot, err = a.store.Load(a.ctx); err != nil {
 		return nil, err
 	}
-	a.loadedSettings = snap.Settings
-	for _, o := range snap.Operations {
+	a.loadedSettings = snapshot.Settings
+	for _, o := range snapshot.Operations {
 		a.operations[o.ID] = &o
 	}
-	for _, s := range snap.Steps {
+	for _, s := range snapshot.Steps {
 		a.steps[stepKey{s.Op, s.Instance, s.Kind}] = &s
 	}
-	a.leases.Put(snap.Leases)
-	return snap, nil
+	a.leases.Put(snapshot.Leases)
+	return snapshot, nil
 }
 
-// loadInstances sets up the configured instances from their rows and the processes that are
-// found; those without a row begin with the release first. begin gets what has changed.
-func (a *Agent) loadInstances(known []store.Instance, first string, begin *store.Change, loss *lossDetector, now time.Time) error {
-	rows := make(map[string]store.Instance)
-	for _, r := range known {
-		rows[r.Name] = r
-	}
-	found := a.machine.Find(a.config.Name + "/")
-	maps.DeleteFunc(found, func(launch string, _ proc.Found) bool {
-		return !strings.HasPrefix(launch[strings.LastIndexByte(launch, '/')+1:], a.stateID+".")
-	})
+// loadInstances sets up the configured instances from the record and the processes that run.
+// Instances that the record does not have start with the release first. What has changed is
+// added to change.
+func (a *Agent) loadInstances(known []store.Instance, first string, change *store.Change, detector *lossDetector, now time.Time) error {
+	storedByName := make(map[string]store.Instance)
+	for _, stored := range known {
+		storedByName[stored.Name] = stored
+	}
+	found := a.findProcesses()
 	boot := a.machine.Boot()
-	limits := supervisor.Config{
-		KillAfter:  time.Duration(a.config.Limits.KillAfter),
-		BackoffMin: time.Duration(a.config.Limits.BackoffMin), BackoffMax: time.Duration(a.config.Limits.BackoffMax),
-		MaxCrashes: a.config.Limits.MaxCrash, CrashWithin: time.Duration(a.config.Limits.CrashWithin),
-	}
-	for _, c := range a.config.Instances {
-		row, known := rows[c.Name]
+	for _, config := range a.config.Instances {
+		stored, known := storedByName[config.Name]
 		if !known {
-			row = store.Instance{Name: c.Name, Desired: api.Running, Generation: 1, Release: first}
-			if c.Stop {
-				row.Desired = api.Stopped
-			}
-			a.recoverInstance(&row, found, boot)
-			begin.Instances = append(begin.Instances, row)
+			stored = a.newInstance(config, first, found, boot)
+			change.Instances = append(change.Instances, stored)
+		}
+		delete(storedByName, config.Name)
+		ran := stored.Launch != "" && stored.PID != 0 && stored.Desired == api.Running
+		sameBoot := stored.Boot == boot
+		i := &instance{
+			config: config, stored: stored, program: stored.Running,
+			supervisor: supervisor.New(a.supervisorConfig(), now),
+			wake:       make(chan struct{}, 1),
+			history:    sampleHistory{limit: a.retainedSlots()},
 		}
-		delete(rows, c.Name)
-		ran, booted := row.Launch != "" && row.PID != 0 && row.Desired == api.Running, row.Boot == boot
-		i := &instance{config: c, stored: row, supervisor: supervisor.New(limits, now), program: row.Running, wake: make(chan struct{}, 1), history: sampleHistory{limit: a.retainedSlots()}}
-		a.instances[c.Name] = i
-		a.instanceNames = append(a.instanceNames, c.Name)
+		a.instances[config.Name] = i
+		a.instanceNames = append(a.instanceNames, config.Name)
 		launch := i.stored.Launch
 		changed := a.findProcess(i, found, boot, now)
 		if a.findPreviousProcess(i, launch, found, boot, now) || changed {
-			begin.Instances = append(begin.Instances, i.stored)
+			change.Instances = append(change.Instances, i.stored)
 		}
-		loss.observe(i, ran, booted)
+		detector.observe(i, ran, sameBoot)
+	}
+	return dropRemoved(storedByName, found, boot, change)
+}
+
+// findProcesses returns this agent's running processes by the name of their launch.
+func (a *Agent) findProcesses() map[string]proc.Found {
+	found := a.machine.Find(a.config.Name + "/")
+	maps.DeleteFunc(found, func(launch string, _ proc.Found) bool {
+		return !strings.HasPrefix(launch[strings.LastIndexByte(launch, '/')+1:], a.stateID+".")
+	})
+	return found
+}
+
+func (a *Agent) supervisorConfig() supervisor.Config {
+	limits := &a.config.Limits
+	return supervisor.Config{
+		KillAfter:   time.Duration(limits.KillAfter),
+		BackoffMin:  time.Duration(limits.BackoffMin),
+		BackoffMax:  time.Duration(limits.BackoffMax),
+		MaxCrashes:  limits.MaxCrash,
+		CrashWithin: time.Duration(limits.CrashWithin),
 	}
-	for name, row := range rows {
-		// No longer in the file. One that runs must not be forgotten.
-		if row.Launch != "" && (proc.Alive(row.PID, row.Ticks) && row.Boot == boot || found[row.Launch].PID != 0) {
-			return &RemovedInstanceError{Instance: name, PID: row.PID}
+}
+
+// newInstance returns the first state of an instance that the record does not have.
+func (a *Agent) newInstance(config InstanceConfig, release string, found map[string]proc.Found, boot string) store.Instance {
+	stored := store.Instance{Name: config.Name, Desired: api.Running, Generation: 1, Release: release}
+	if config.Stop {
+		stored.Desired = api.Stopped
+	}
+	a.recoverInstance(&stored, found, boot)
+	return stored
+}
+
+// dropRemoved drops the instances that the configuration no longer has. One whose process runs
+// is an error: nobody would supervise the process.
+func dropRemoved(removed map[string]store.Instance, found map[string]proc.Found, boot string, change *store.Change) error {
+	for name, stored := range removed {
+		if stored.Launch != "" && (proc.Alive(stored.PID, stored.Ticks) && stored.Boot == boot || found[stored.Launch].PID != 0) {
+			return &RemovedInstanceError{Instance: name, PID: stored.PID}
 		}
-		begin.DropInstances = append(begin.DropInstances, name)
+		change.DropInstances = append(change.DropInstances, name)
 	}
 	return nil
 }
 
-// resumeSteps gives steps that were under way back to their instances, and ends those whose
-// instance is gone.
-func (a *Agent) resumeSteps(begin *store.Change, now time.Time) {
+// resumeSteps assigns running steps to their instances and fails those whose instance is no
+// longer configured.
+func (a *Agent) resumeSteps(change *store.Change, now time.Time) {
 	for _, s := range a.steps {
 		if s.Status != api.StepRunning {
 			continue
@@ -148,6 +179,6 @@
 			continue
 		}
 		s.Status, s.Reason, s.Finished = api.StepFailed, "the instance was taken out of the agent's configuration", now
-		begin.Steps = append(begin.Steps, *s)
+		change.Steps = append(change.Steps, *s)
 	}
 }
--- a/internal/fleet/host/agent/load_processes.go
+++ b/internal/fleet/host/agent/load_processes.go
@@ -13,24 +13,24 @@
 	"martendrum/internal/fleet/store"
 )
 
-// recoverInstance takes over an instance that no record names and that runs: the record was
-// lost. What it runs stays, and is what is wanted, if that release is kept here.
-func (a *Agent) recoverInstance(row *store.Instance, found map[string]proc.Found, boot string) {
-	for launch, f := range found {
-		generation, ok := a.generation(launch, row.Name)
-		if !ok || generation < row.Process { // of two the later one; find looks after the other
+// recoverInstance adopts the running process of an instance that the record does not have: the
+// record was lost. Its release becomes the desired one if it is in the state folder.
+func (a *Agent) recoverInstance(stored *store.Instance, found map[string]proc.Found, boot string) {
+	for launch, process := range found {
+		generation, ok := a.generation(launch, stored.Name)
+		if !ok || generation < stored.Process { // of two processes the later one counts; findPreviousProcess adopts the other
 			continue
 		}
-		row.Desired, row.Generation = api.Running, generation
-		setRunning(row, launch, generation, f, boot)
-		if row.Running != "" && a.releases.Verify(row.Running) == nil {
-			row.Release = row.Running
+		stored.Desired, stored.Generation = api.Running, generation
+		setRunning(stored, launch, generation, process, boot)
+		if stored.Running != "" && a.releases.Verify(stored.Running) == nil {
+			stored.Release = stored.Running
 		}
-		slog.Warn("an instance that no record names was found running", "instance", row.Name, "pid", f.PID, "generation", generation)
+		slog.Warn("running instance found that the record does not have", "instance", stored.Name, "pid", process.PID, "generation", generation)
 	}
 }
 
-// generation is the generation in the name of a launch of that instance.
+// generation returns the generation in the name of a launch, if it is one of this instance.
 func (a *Agent) generation(launch, name string) (generation int64, ok bool) {
 	rest, ok := strings.CutPrefix(launch, a.config.Name+"/"+name+"/")
 	text, _, _ := strings.Cut(rest, "/")
@@ -38,36 +38,36 @@
 	return generation, ok && err == nil && generation >= 1
 }
 
-// setRunning makes a process that was found the row's.
-func setRunning(row *store.Instance, launch string, generation int64, f proc.Found, boot string) {
-	row.Launch, row.Process, row.PID, row.Ticks, row.Boot, row.Running = launch, generation, f.PID, f.Ticks, boot, ""
-	if hash := filepath.Base(filepath.Dir(f.Exe)); release.Valid(hash) {
-		row.Running = hash
+// setRunning records a process that was found as the instance's process.
+func setRunning(stored *store.Instance, launch string, generation int64, process proc.Found, boot string) {
+	stored.Launch, stored.Process, stored.PID, stored.Ticks, stored.Boot, stored.Running = launch, generation, process.PID, process.Ticks, boot, ""
+	if hash := filepath.Base(filepath.Dir(process.Exe)); release.Valid(hash) {
+		stored.Running = hash
 	}
 }
 
-// findPreviousProcess looks for a process that was being replaced when the agent ended: its launch
-// is not the row's any more. It is the instance's process again if the new one has not
-// come about. It says whether the row has changed.
+// findPreviousProcess adopts a process that was being replaced when the agent ended: its launch is
+// not the recorded one. If the new process does not run, the previous one is the instance's
+// process again. It says whether i.stored has changed.
 func (a *Agent) findPreviousProcess(i *instance, launch string, found map[string]proc.Found, boot string, now time.Time) bool {
-	for other, f := range found {
+	for other, process := range found {
 		generation, ok := a.generation(other, i.config.Name)
 		if !ok || other == launch {
 			continue
 		}
-		p, err := a.machine.Adopt(a.ctx, f.PID, f.Ticks)
+		p, err := a.machine.Adopt(a.ctx, process.PID, process.Ticks)
 		if err != nil {
 			continue
 		}
-		slog.Info("a process that was being replaced was found", "instance", i.config.Name, "pid", f.PID, "launch", other)
-		old := i.stored
-		setRunning(&old, other, generation, f, boot)
+		slog.Info("process found that was being replaced", "instance", i.config.Name, "pid", process.PID, "launch", other)
+		replaced := i.stored
+		setRunning(&replaced, other, generation, process, boot)
 		if i.process != nil {
-			i.previous, i.storedPrevious = p, old
+			i.previous, i.storedPrevious = p, replaced
 			i.supervisor.AdoptOld(generation)
 			return false
 		}
-		i.process, i.stored = p, old
+		i.process, i.stored = p, replaced
 		i.supervisor.Adopt(now, generation)
 		if i.exitedGeneration != 0 {
 			i.supervisor.AdoptFailed(i.exitedGeneration, i.stored.LastExit)
@@ -78,32 +78,32 @@
 	return false
 }
 
-// findProcess looks for the process that the record speaks of, and says whether the row
-// has changed.
+// findProcess adopts the process that the record names, or records its end. It says whether
+// i.stored has changed.
 func (a *Agent) findProcess(i *instance, found map[string]proc.Found, boot string, now time.Time) bool {
-	row := &i.stored
-	if row.Launch == "" {
+	stored := &i.stored
+	if stored.Launch == "" {
 		return false
 	}
-	pid, ticks := row.PID, row.Ticks
-	if pid == 0 || row.Boot != boot {
-		// Written before its start, which may have come about or not.
-		pid, ticks = found[row.Launch].PID, found[row.Launch].Ticks
+	pid, ticks := stored.PID, stored.Ticks
+	if pid == 0 || stored.Boot != boot {
+		// The launch was recorded; whether the process was started is not known.
+		pid, ticks = found[stored.Launch].PID, found[stored.Launch].Ticks
 	}
 	if pid != 0 {
 		if p, err := a.machine.Adopt(a.ctx, pid, ticks); err == nil {
 			i.process = p
-			i.supervisor.Adopt(now, row.Process)
-			fresh := row.PID != pid
-			row.PID, row.Ticks, row.Boot = pid, ticks, boot
-			return fresh
+			i.supervisor.Adopt(now, stored.Process)
+			changed := stored.PID != pid
+			stored.PID, stored.Ticks, stored.Boot = pid, ticks, boot
+			return changed
 		}
 	}
-	if row.PID != 0 {
-		// It ran, and ended while nobody looked.
-		row.LastExit = "ended while the agent was away"
-		i.exitedGeneration = row.Process
+	if stored.PID != 0 {
+		// It ran, and exited while no agent ran.
+		stored.LastExit = "ended while the agent was away"
+		i.exitedGeneration = stored.Process
 	}
-	row.Launch, row.PID, row.Process, row.Running = "", 0, 0, ""
+	stored.Launch, stored.PID, stored.Process, stored.Running = "", 0, 0, ""
 	return true
 }
--- a/internal/fleet/host/agent/serve.go
+++ b/internal/fleet/host/agent/serve.go
@@ -11,29 +11,31 @@
 	"martendrum/internal/msgpackrpc"
 )
 
-// method is one of the API's.
+// method is a method of the API and the role that its callers need; "" is none.
 type method struct {
 	role string
 	call func(a *Agent, ctx context.Context, c *caller, params msgpack.RawMessage) (any, error)
 }
 
-// typed makes a method of a function of its parameter.
+// typed returns a method that decodes its only parameter, a map, for f. A call without parameters
+// gets the zero value.
 func typed[In any](role string, f func(a *Agent, ctx context.Context, c *caller, in *In) (any, error)) method {
 	return method{role, func(a *Agent, ctx context.Context, c *caller, params msgpack.RawMessage) (any, error) {
-		var in [1]In
-		var count []msgpack.RawMessage
-		if err := msgpack.Unmarshal(params, &count); err != nil || len(count) > 1 {
-			return nil, api.Errorf(api.InvalidParams, "%d parameters; want one, a map", len(count))
+		var in In
+		var list []msgpack.RawMessage
+		if err := msgpack.Unmarshal(params, &list); err != nil || len(list) > 1 {
+			return nil, api.Errorf(api.InvalidParams, "%d parameters; want one, a map", len(list))
 		}
-		if len(count) == 1 {
-			if err := msgpack.Unmarshal(count[0], &in[0]); err != nil {
+		if len(list) == 1 {
+			if err := msgpack.Unmarshal(list[0], &in); err != nil {
 				return nil, api.Errorf(api.InvalidParams, "parameter of %s: %v", reflect.TypeFor[In]().Name(), err)
 			}
 		}
-		return f(a, ctx, c, &in[0])
+		return f(a, ctx, c, &in)
 	}}
 }
 
+// methods are those of the API by name.
 var methods map[string]method
 
 func init() {
@@ -60,7 +62,7 @@
 		api.SettingsPromote: typed(api.Operate, (*Agent).settingsPromote),
 		api.SettingsGet:     typed(api.View, (*Agent).settingsGet),
 		api.SettingsStatus:  typed(api.View, (*Agent).settingsStatus),
-		// Those of hosts and relays, which have no role: each checks who asks.
+		// Called by hosts and relays, which have no role: each method checks its caller.
 		api.SettingsWatch:   typed("", (*Agent).settingsWatch),
 		api.SettingsAck:     typed("", (*Agent).settingsAck),
 		api.SettingsFollow:  typed("", (*Agent).settingsFollow),
@@ -69,6 +71,7 @@
 	}
 }
 
+// handle answers a call. Every error that leaves is an api.Error.
 func (a *Agent) handle(ctx context.Context, r *msgpackrpc.Request) (any, error) {
 	c := r.Peer.State.(*caller)
 	m, ok := methods[r.Method]
@@ -77,7 +80,7 @@
 	a.mu.Unlock()
 	switch {
 	case r.Notify:
-		return nil, nil // nothing here is told by notification
+		return nil, nil // the API has no notifications
 	case !ok:
 		return nil, api.Errorf(api.NoMethod, "agent %s has no method %q; it speaks version %d", a.config.Name, r.Method, api.Version)
 	case who == "" && r.Method != api.Hello:
--- a/internal/fleet/host/agent/serve_view.go
+++ b/internal/fleet/host/agent/serve_view.go
@@ -11,6 +11,13 @@
 	"martendrum/internal/fleet/api"
 )
 
+const (
+	maxInspectSteps = 20
+	inspectLog      = 4096 // bytes
+	maxAuditEntries = 1000
+)
+
+// hello negotiates the version and names the caller.
 func (a *Agent) hello(_ context.Context, c *caller, in *api.HelloIn) (any, error) {
 	if in.Oldest > api.Version || in.Version < api.Oldest {
 		return nil, api.Errorf(api.UnsupportedVersion, "agent %s speaks versions %d to %d and you %d to %d: use a martendrum of its age, or upgrade the agent",
@@ -22,6 +29,7 @@
 	return &api.HelloOut{Version: min(in.Version, api.Version), Agent: a.config.Name, Role: c.role, Started: a.started}, nil
 }
 
+// list returns all instances.
 func (a *Agent) list(_ context.Context, _ *caller, _ *api.Empty) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -33,7 +41,7 @@
 	return out, nil
 }
 
-// findInstance finds an instance; the lock is held.
+// findInstance returns the instance of a name. The lock is held.
 func (a *Agent) findInstance(name string) (*instance, error) {
 	if i := a.instances[name]; i != nil {
 		return i, nil
@@ -41,6 +49,7 @@
 	return nil, api.Errorf(api.NoInstance, "agent %s has no instance %q; it has %s", a.config.Name, name, strings.Join(a.instanceNames, ", "))
 }
 
+// inspect returns an instance with its latest steps, its configuration and the end of its log.
 func (a *Agent) inspect(_ context.Context, _ *caller, in *api.InstanceIn) (any, error) {
 	a.mu.Lock()
 	i, err := a.findInstance(in.Instance)
@@ -56,15 +65,16 @@
 	}
 	a.mu.Unlock()
 	slices.SortFunc(out.Steps, func(x, y api.Step) int { return y.Started.Compare(x.Started) })
-	out.Steps = out.Steps[:min(20, len(out.Steps))]
+	out.Steps = out.Steps[:min(maxInspectSteps, len(out.Steps))]
 	if b, err := os.ReadFile(a.configPath(in.Instance)); err == nil {
 		out.Config = string(b[:min(len(b), maxLogs)])
 	}
-	b, _, err := readTail(a.logPath(in.Instance), -4096, 4096)
+	b, _, err := readTail(a.logPath(in.Instance), -inspectLog, inspectLog)
 	out.Log = string(b)
 	return out, err
 }
 
+// logs returns a part of an instance's log.
 func (a *Agent) logs(_ context.Context, _ *caller, in *api.LogsIn) (any, error) {
 	a.mu.Lock()
 	_, err := a.findInstance(in.Instance)
@@ -79,7 +89,8 @@
 	return &api.LogsOut{Data: b, Next: next}, err
 }
 
+// audit returns the latest entries of the audit log.
 func (a *Agent) audit(ctx context.Context, _ *caller, in *api.AuditIn) (any, error) {
-	es, err := a.store.Audit(ctx, max(1, min(in.Limit, 1000)))
+	es, err := a.store.Audit(ctx, max(1, min(in.Limit, maxAuditEntries)))
 	return &api.AuditOut{Entries: es}, err
 }
