--- a/internal/fleet/host/agent/files.go
+++ b/internal/fleet/host/agent/files.go
@@ -32,7 +32,7 @@
 func (a *Agent) lossesPath() string { return filepath.Join(a.config.StateDir, "losses.json") }
 
 // identity returns the random identity of the state folder and creates it at the first start.
-// It tells this agent's processes from those of another agent with the same name on this
+// It distinguishes this agent's processes from those of another agent with the same name on this
 // machine.
 func identity(path string) (string, error) {
 	b, err := os.ReadFile(path)
--- a/internal/fleet/host/agent/instance_loop.go
+++ b/internal/fleet/host/agent/instance_loop.go
@@ -78,7 +78,7 @@
 	}
 	mustWait = a.powerReturn.mustWait(now.Sub(a.started), i)
 	if now.Before(i.launchRetryAt) || mustWait {
-		actions = withoutLaunch(actions) // the supervisor asks again in a later round
+		actions = withoutLaunch(actions) // the supervisor returns it again in a later round
 	}
 	return actions, mustWait
 }
--- a/internal/fleet/host/agent/metrics.go
+++ b/internal/fleet/host/agent/metrics.go
@@ -18,7 +18,7 @@
 	maxConcurrentScrapes = 16
 	// maxMetricsSamples bounds the samples in one answer.
 	maxMetricsSamples = 4000
-	// rateSlots is the number of slots over which an instance's rate is measured.
+	// rateSlots is the number of slots over which the rate of an instance is computed.
 	rateSlots = 6
 )
 
--- a/internal/fleet/host/agent/operations.go
+++ b/internal/fleet/host/agent/operations.go
@@ -10,7 +10,7 @@
 	"martendrum/internal/fleet/store"
 )
 
-// localTargets is the operation's instances here.
+// localTargets returns the names of an operation's instances at this agent. The lock is held.
 func (a *Agent) localTargets(o *api.Operation) (out []string, err error) {
 	for _, t := range o.Targets {
 		if t.Host == a.config.Name {
@@ -26,6 +26,7 @@
 	return out, nil
 }
 
+// isTarget says whether an operation has an instance of this agent among its targets.
 func (a *Agent) isTarget(o *api.Operation, instance string) bool {
 	for _, t := range o.Targets {
 		if t.Host == a.config.Name && t.Instance == instance {
@@ -35,34 +36,36 @@
 	return false
 }
 
-// checkCompatibility says whether old and new programs may run side by side here.
+// checkCompatibility checks that the operation's release may run side by side with the releases of
+// its instances here. It starts both programs to query their versions, without the lock.
 func (a *Agent) checkCompatibility(o *api.Operation) error {
 	a.mu.Lock()
 	_, known := a.operations[o.ID]
-	uses := make(map[string]compatibility.Use) // by the release that runs
+	uses := make(map[string]compatibility.Use) // by the current release
 	for _, t := range o.Targets {
 		if i := a.instances[t.Instance]; t.Host == a.config.Name && i != nil && i.stored.Release != o.Release {
-			u := uses[i.stored.Release]
-			u.HandOver, u.Back = a.config.Sidecar.HandOver && o.Action == api.ActUpgrade, o.Policy.OnFailure == api.OnFailureRollback || o.Policy.OnFailure == api.OnFailureRollbackStage
-			u.Record = u.Record || i.config.Record != ""
-			uses[i.stored.Release] = u
+			use := uses[i.stored.Release]
+			use.HandOver = a.config.Sidecar.HandOver && o.Action == api.ActUpgrade
+			use.Back = o.Policy.OnFailure == api.OnFailureRollback || o.Policy.OnFailure == api.OnFailureRollbackStage
+			use.Record = use.Record || i.config.Record != ""
+			uses[i.stored.Release] = use
 		}
 	}
 	a.mu.Unlock()
 	if known {
-		return nil // it was asked when it began
+		return nil // checked when the operation was opened
 	}
-	for before, use := range uses {
-		old := compatibility.Query(a.ctx, a.releases.Path(before, release.Sidecar))
-		now := compatibility.Query(a.ctx, a.releases.Path(o.Release, release.Sidecar))
-		if err := compatibility.Check(old, now, use); err != nil {
-			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run beside %.12s: %v", a.config.Name, o.Release, before, err)
+	for current, use := range uses {
+		old := compatibility.Query(a.ctx, a.releases.Path(current, release.Sidecar))
+		next := compatibility.Query(a.ctx, a.releases.Path(o.Release, release.Sidecar))
+		if err := compatibility.Check(old, next, use); err != nil {
+			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run beside %.12s: %v", a.config.Name, o.Release, current, err)
 		}
 	}
 	return nil
 }
 
-// findOperation finds an operation; the lock is held.
+// findOperation returns the operation of an ID. The lock is held.
 func (a *Agent) findOperation(id string) (*store.Operation, error) {
 	if o := a.operations[id]; o != nil {
 		return o, nil
@@ -70,7 +73,7 @@
 	return nil, api.Errorf(api.NoOperation, "agent %s knows no operation %q", a.config.Name, id)
 }
 
-// fenced makes an API error of a lease's.
+// fenced makes an API error of the error of a lease check.
 func (a *Agent) fenced(err error) error {
 	if err == nil {
 		return nil
@@ -78,6 +81,7 @@
 	return api.Errorf(api.Fenced, "agent %s: %v", a.config.Name, err)
 }
 
+// isLeased says whether somebody holds a live lease for an operation. The lock is held.
 func (a *Agent) isLeased(op string, now time.Time) bool {
 	for _, l := range a.leases.ByInstance {
 		if l.Op == op && l.Live(now) {
@@ -87,6 +91,7 @@
 	return false
 }
 
+// hasRunningStep says whether a step of an operation is running here. The lock is held.
 func (a *Agent) hasRunningStep(op string) bool {
 	for _, i := range a.instances {
 		if i.step != nil && i.step.Op == op {
@@ -96,7 +101,8 @@
 	return false
 }
 
-// closeOperation ends an operation and its leases here, and forgets the oldest.
+// closeOperation closes an operation, ends its leases here and drops the oldest closed operations
+// beyond the limit. The lock is held.
 func (a *Agent) closeOperation(o *store.Operation, result, who string) error {
 	now := time.Now()
 	next := *o
@@ -135,8 +141,8 @@
 	return nil
 }
 
-// endAborted closes operations that are to end, once nothing of them runs and
-// nobody holds them.
+// endAborted closes aborting operations that have no running step and no live lease. The lock is
+// held.
 func (a *Agent) endAborted() {
 	for _, o := range a.operations {
 		if o.State == api.OpAborting && !a.isLeased(o.ID, time.Now()) && !a.hasRunningStep(o.ID) {
@@ -147,6 +153,7 @@
 	}
 }
 
+// operationStatus returns an operation as the API shows it. The lock is held.
 func (a *Agent) operationStatus(o *store.Operation) *api.OpOut {
 	now := time.Now()
 	out := &api.OpOut{Operation: o.Operation, State: o.State, Result: o.Result, Change: a.changeNumber, Now: now}
--- a/internal/fleet/host/agent/persist.go
+++ b/internal/fleet/host/agent/persist.go
@@ -66,7 +66,7 @@
 	for _, i := range a.instances {
 		if i.dirty {
 			c.Instances = append(c.Instances, i.stored)
-			c.Settings = append(c.Settings, i.settingsRows()...)
+			c.Settings = append(c.Settings, i.settingsEntries()...)
 			for _, s := range a.steps {
 				if s.Instance == i.config.Name {
 					c.Steps = append(c.Steps, *s)
--- a/internal/fleet/host/agent/serve.go
+++ b/internal/fleet/host/agent/serve.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// handle answers a call. Every error that leaves is an api.Error.
+// handle answers a call. Every error that it returns is an api.Error.
 func (a *Agent) handle(ctx context.Context, r *msgpackrpc.Request) (any, error) {
 	c := r.Peer.State.(*caller)
 	m, ok := methods[r.Method]
--- a/internal/fleet/host/agent/serve_operations.go
+++ b/internal/fleet/host/agent/serve_operations.go
@@ -148,6 +148,7 @@
 	return leases, nil
 }
 
+// opClose closes an operation for the holder of its leases. A closed one is returned as it is.
 func (a *Agent) opClose(_ context.Context, c *caller, in *api.CloseIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -176,7 +177,7 @@
 	return a.operationStatus(o), nil
 }
 
-// opAbort needs no lease: it only ever stops things.
+// opAbort lets an operation begin no more steps. It needs no lease, so that anyone may stop one.
 func (a *Agent) opAbort(_ context.Context, c *caller, in *api.AbortIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -197,6 +198,7 @@
 	return a.operationStatus(o), nil
 }
 
+// opList returns all operations without their targets and instances.
 func (a *Agent) opList(_ context.Context, _ *caller, _ *api.Empty) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -210,6 +212,8 @@
 	return out, nil
 }
 
+// opStatus returns an operation, and waits for a change if the caller wants that. With a token
+// it renews the caller's leases.
 func (a *Agent) opStatus(ctx context.Context, _ *caller, in *api.StatusIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -225,28 +229,31 @@
 	timer := time.NewTimer(min(in.Wait, maxStatusWait))
 	defer timer.Stop()
 	for in.Wait > 0 && a.changeNumber <= in.After {
-		changed := a.changed
-		a.mu.Unlock()
-		more := true
-		select {
-		case <-changed:
-		case <-timer.C:
-			more = false
-		case <-ctx.Done():
-			more = false
-		case <-a.ctx.Done():
-			more = false
-		}
-		a.mu.Lock()
-		if !more {
+		if !a.awaitChange(ctx, timer.C) {
 			break
 		}
 	}
 	return a.operationStatus(o), nil
 }
 
-// renew lengthens the caller's leases, and writes that only once a third of their
-// time has gone.
+// awaitChange waits for the next change and says whether one came before the timeout, the end of
+// ctx or that of the agent. The lock is held, and released while it waits.
+func (a *Agent) awaitChange(ctx context.Context, timeout <-chan time.Time) bool {
+	changed := a.changed
+	a.mu.Unlock()
+	defer a.mu.Lock()
+	select {
+	case <-changed:
+		return true
+	case <-timeout:
+	case <-ctx.Done():
+	case <-a.ctx.Done():
+	}
+	return false
+}
+
+// renew extends the caller's leases. The record is written only once a third of their time has
+// passed. The lock is held.
 func (a *Agent) renew(o *store.Operation, in *api.StatusIn) error {
 	names, err := a.localTargets(&o.Operation)
 	if err != nil {
@@ -270,7 +277,7 @@
 	return nil
 }
 
-// opNote writes down where a staged change stands.
+// opNote records the progress of a staged change. A note that is not newer is ignored.
 func (a *Agent) opNote(_ context.Context, c *caller, in *api.NoteIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -291,7 +298,7 @@
 	case len(in.Note.Log) > api.MaxVerdicts:
 		return nil, api.Errorf(api.InvalidParams, "%d verdicts in a note; %d at most", len(in.Note.Log), api.MaxVerdicts)
 	case o.Note != nil && o.Note.Number >= in.Note.Number:
-		return a.operationStatus(o), nil // told before, or by a holder that went further
+		return a.operationStatus(o), nil
 	}
 	next := *o
 	next.Note = &in.Note
--- a/internal/fleet/host/agent/serve_releases.go
+++ b/internal/fleet/host/agent/serve_releases.go
@@ -8,6 +8,7 @@
 	"martendrum/internal/fleet/release"
 )
 
+// releaseStat says which files of a release are here.
 func (a *Agent) releaseStat(_ context.Context, _ *caller, in *api.ReleaseIn) (any, error) {
 	if !release.Valid(in.Release) {
 		return nil, api.Errorf(api.InvalidParams, "%q is no release's hash", in.Release)
@@ -17,6 +18,7 @@
 	return out, nil
 }
 
+// releaseWrite writes a chunk of a release's file.
 func (a *Agent) releaseWrite(ctx context.Context, c *caller, in *api.ChunkIn) (any, error) {
 	if err := a.releases.Write(in.Release, in.File, in.Offset, in.Data); err != nil {
 		return nil, api.Errorf(api.InvalidRelease, "agent %s: %v", a.config.Name, err)
@@ -24,6 +26,7 @@
 	return a.releaseStat(ctx, c, &api.ReleaseIn{Release: in.Release})
 }
 
+// releaseDone verifies a written release and makes it available.
 func (a *Agent) releaseDone(ctx context.Context, c *caller, in *api.ReleaseIn) (any, error) {
 	if err := a.releases.Done(in.Release); err != nil {
 		return nil, api.Errorf(api.InvalidRelease, "agent %s: %v", a.config.Name, err)
@@ -31,9 +34,10 @@
 	return a.releaseStat(ctx, c, in)
 }
 
-// maxReleaseChunk is how much of a release's file one answer holds.
+// maxReleaseChunk bounds the bytes of a release's file in one answer.
 const maxReleaseChunk = 1 << 20
 
+// releaseRead returns a chunk of a release's file.
 func (a *Agent) releaseRead(_ context.Context, _ *caller, in *api.ReadIn) (any, error) {
 	if !release.Valid(in.Release) || in.File != release.Sidecar && in.File != release.Overlay || in.Offset < 0 {
 		return nil, api.Errorf(api.InvalidParams, "%q of release %q from %d: no such piece", in.File, in.Release, in.Offset)
@@ -47,10 +51,10 @@
 	if err != nil {
 		return nil, err
 	}
-	buf := make([]byte, max(0, min(maxReleaseChunk, st.Size()-in.Offset)))
-	n, err := f.ReadAt(buf, in.Offset)
-	if n < len(buf) && err != nil {
+	chunk := make([]byte, max(0, min(maxReleaseChunk, st.Size()-in.Offset)))
+	n, err := f.ReadAt(chunk, in.Offset)
+	if n < len(chunk) && err != nil {
 		return nil, err
 	}
-	return &api.ReadOut{Data: buf[:n], Size: st.Size()}, nil
+	return &api.ReadOut{Data: chunk[:n], Size: st.Size()}, nil
 }
--- a/internal/fleet/host/agent/serve_settings.go
+++ b/internal/fleet/host/agent/serve_settings.go
@@ -11,7 +11,7 @@
 	"martendrum/internal/fleet/store"
 )
 
-// servedRelay returns the relay of this agent.
+// servedRelay returns the agent's relay, or an error if it is none.
 func (a *Agent) servedRelay() (*node.Relay, error) {
 	if a.relay == nil {
 		return nil, api.Errorf(api.NotRelay, "agent %s is no relay: its configuration has no [relay]", a.config.Name)
@@ -19,8 +19,7 @@
 	return a.relay, nil
 }
 
-// speaksFor says whether a caller may speak for a host: over TLS, only with its
-// certificate.
+// speaksFor checks that a caller may act for a host. Over TLS it needs the host's certificate.
 func (a *Agent) speaksFor(c *caller, name string) error {
 	if !c.certified || c.id == name {
 		return nil
@@ -28,7 +27,7 @@
 	return api.Errorf(api.Forbidden, "%s may not speak for %s at agent %s", c.id, name, a.config.Name)
 }
 
-// speaksForRelay says whether a caller may speak for a relay.
+// speaksForRelay checks that a caller may act for one of the configured relays.
 func (a *Agent) speaksForRelay(c *caller, name string) error {
 	for _, relay := range a.config.Distribution.Relays {
 		if relay.Name == name {
@@ -38,6 +37,7 @@
 	return api.Errorf(api.Forbidden, "%s is none of the relays of agent %s", name, a.config.Name)
 }
 
+// settingsPut publishes a settings resource.
 func (a *Agent) settingsPut(_ context.Context, c *caller, in *distribution.Put) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -54,6 +54,7 @@
 	return out, nil
 }
 
+// settingsPromote makes this relay the writer.
 func (a *Agent) settingsPromote(_ context.Context, c *caller, _ *api.Empty) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -67,14 +68,15 @@
 	return out, nil
 }
 
-// auditSettings notes who did what. It is done already: an entry that can't be written is
-// only logged.
+// auditSettings adds an entry to the audit log. The change has been made: an entry that can't be
+// written is only logged.
 func (a *Agent) auditSettings(c *caller, what, target, result string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.commit(&store.Change{Audit: []api.AuditEntry{{At: time.Now(), Who: c.who, What: what, Target: target, Result: result}}})
 }
 
+// settingsGet returns settings resources.
 func (a *Agent) settingsGet(_ context.Context, _ *caller, in *api.SettingsGetIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -83,6 +85,7 @@
 	return relay.Get(in), nil
 }
 
+// settingsStatus returns the relay's state and that of its hosts.
 func (a *Agent) settingsStatus(_ context.Context, _ *caller, in *api.SettingsStatusIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -91,6 +94,7 @@
 	return relay.Status(in), nil
 }
 
+// settingsWatch waits for the next update of a host.
 func (a *Agent) settingsWatch(ctx context.Context, c *caller, in *api.SettingsWatchIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -111,6 +115,7 @@
 	return out, node.RejectionReason(err)
 }
 
+// settingsAck takes a host's state.
 func (a *Agent) settingsAck(_ context.Context, c *caller, in *api.SettingsAckIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -123,6 +128,7 @@
 	return &api.Empty{}, nil
 }
 
+// settingsFollow waits for the next entries of the log, for another relay.
 func (a *Agent) settingsFollow(ctx context.Context, c *caller, in *api.SettingsFollowIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -135,6 +141,7 @@
 	return out, node.RejectionReason(err)
 }
 
+// settingsReport takes the state of another relay's hosts.
 func (a *Agent) settingsReport(_ context.Context, c *caller, in *api.SettingsReportIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -147,6 +154,7 @@
 	return out, node.RejectionReason(err)
 }
 
+// settingsWriting takes who the writer is.
 func (a *Agent) settingsWriting(_ context.Context, c *caller, in *api.SettingsWriter) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
--- a/internal/fleet/host/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -15,29 +15,30 @@
 	"martendrum/internal/msgpackrpc"
 )
 
-// subscription is the host's copy of the settings that concern its instances. The agent's
-// lock guards it.
+// subscription is the host's replica of the settings that its instances use. The agent's lock
+// guards it.
 type subscription struct {
 	interest   distribution.Interest
 	replica    *distribution.Replica
 	subscriber *node.Subscriber
 }
 
-// startDistribution begins to serve and to follow settings as the configuration says. rows
-// are those of the record.
-func (a *Agent) startDistribution(rows []distribution.Entry) error {
+// startDistribution starts the relay and the subscriber that are configured, from the
+// settings in the record.
+func (a *Agent) startDistribution(stored []distribution.Entry) error {
 	if a.config.Relay != nil {
-		if err := a.startRelay(rows); err != nil {
+		if err := a.startRelay(stored); err != nil {
 			return err
 		}
 	}
 	if !a.config.Distribution.Subscribe {
 		return nil
 	}
-	return a.startSubscriber(rows)
+	return a.startSubscriber(stored)
 }
 
-func (a *Agent) startRelay(rows []distribution.Entry) error {
+// startRelay starts to serve settings.
+func (a *Agent) startRelay(stored []distribution.Entry) error {
 	dial, err := a.relayDialer()
 	if err != nil {
 		return err
@@ -47,19 +48,20 @@
 		Subscribers: a.config.Relay.Subscribers,
 		Limits:      distribution.Limits{Resources: a.config.Relay.Resources, History: a.config.Relay.History},
 		Dial:        dial, Store: a.store,
-	}, random(), rows)
+	}, random(), stored)
 	return err
 }
 
-func (a *Agent) startSubscriber(rows []distribution.Entry) error {
+// startSubscriber starts to follow the relays.
+func (a *Agent) startSubscriber(stored []distribution.Entry) error {
 	interest := a.interest()
-	replica, err := distribution.RestoreReplica(interest, rows)
+	replica, err := distribution.RestoreReplica(interest, stored)
 	if err != nil {
 		return err
 	}
 	for _, i := range a.instances {
 		i.applier = distribution.NewApplier(i.config.Name, time.Duration(a.config.Distribution.Coalesce))
-		if err := i.applier.Restore(rows); err != nil {
+		if err := i.applier.Restore(stored); err != nil {
 			return err
 		}
 	}
@@ -78,7 +80,7 @@
 	return nil
 }
 
-// interest is the labels of each instance with those of the host.
+// interest returns what the host subscribes to: the settings for any of its instances.
 func (a *Agent) interest() distribution.Interest {
 	interest := distribution.Interest{Host: a.config.Name}
 	for _, name := range a.instanceNames {
@@ -87,8 +89,8 @@
 	return interest
 }
 
-// settingsLabels are the labels by which a scope names an instance: its own, and those of
-// its host where it has none of that name.
+// settingsLabels returns the labels that a scope matches: those of the host, overridden by the
+// instance's own.
 func (a *Agent) settingsLabels(i *instance) map[string]string {
 	labels := map[string]string{"host": a.config.Name, "instance": i.config.Name}
 	if a.config.Distribution.Region != "" {
@@ -101,7 +103,7 @@
 	return labels
 }
 
-// relayDialer connects to relays with the agent's own certificate.
+// relayDialer returns a dialer that uses the agent's own certificate.
 func (a *Agent) relayDialer() (node.Dialer, error) {
 	var config *tls.Config
 	if t := &a.config.TLS; t.Cert != "" {
@@ -120,10 +122,10 @@
 	}, nil
 }
 
-// hostReplica is the agent as its subscriber sees it.
+// hostReplica implements node.Copy for the agent's subscriber.
 type hostReplica struct{ agent *Agent }
 
-// Take implements node.Copy: the update is in the record before any instance gets it.
+// Take implements node.Copy. The update is in the record before any instance gets it.
 func (c hostReplica) Take(update distribution.Update) error {
 	a := c.agent
 	a.mu.Lock()
@@ -135,7 +137,7 @@
 		return err
 	}
 	if !changed && before.Revision().Epoch == s.replica.Revision().Epoch {
-		return nil // the record may lag behind: the same is asked for again
+		return nil // not worth a write: after a restart the same update is requested again
 	}
 	batch := s.replica.Batch(before)
 	if err := a.commit(&store.Change{Settings: batch.Put, DropSettings: batch.Drop}); err != nil {
@@ -153,10 +155,10 @@
 	return c.agent.hostState()
 }
 
-// wantSettings tells each instance's applier what concerns it; the lock is held.
+// wantSettings passes to each instance's applier the settings for it. The lock is held.
 func (a *Agent) wantSettings(now time.Time) {
 	if a.settings.replica.Revision().IsZero() {
-		return // nothing was ever heard: what was accepted stays
+		return // no update has arrived yet: the accepted settings stay
 	}
 	for _, i := range a.instances {
 		i.applier.Want(now, a.settings.replica.For(a.config.Name, a.settingsLabels(i)))
@@ -164,8 +166,8 @@
 	}
 }
 
-// hostState is how far the host is; the lock is held. Instances that are not wanted to run
-// keep nothing back, but count again with what they have once they are.
+// hostState returns the host's progress. An instance that should not run does not hold it back,
+// but counts again once it should run. The lock is held.
 func (a *Agent) hostState() distribution.HostState {
 	received := a.settings.replica.Revision()
 	state := distribution.HostState{Received: received, Applied: received, Settled: true}
@@ -189,16 +191,16 @@
 	return state
 }
 
-// settingsRows are an instance's rows of the distribution; the lock is held.
-func (i *instance) settingsRows() []distribution.Entry {
+// settingsEntries returns the instance's entries of the record's settings. The lock is held.
+func (i *instance) settingsEntries() []distribution.Entry {
 	if i.applier == nil {
 		return nil
 	}
 	return []distribution.Entry{i.applier.Entry()}
 }
 
-// instanceSettings is what inspect tells of an instance's distributed settings; the lock is
-// held.
+// instanceSettings returns the state of an instance's distributed settings for inspect, nil if the
+// host does not subscribe. The lock is held.
 func (a *Agent) instanceSettings(i *instance) *api.InstanceSettings {
 	if i.applier == nil {
 		return nil
--- a/internal/fleet/host/agent/settings_apply.go
+++ b/internal/fleet/host/agent/settings_apply.go
@@ -12,25 +12,25 @@
 	"martendrum/internal/fleet/store"
 )
 
-// settingsAttempt is distributed settings on their way into an instance: its file is written
-// and the process has got SIGHUP.
+// settingsAttempt is an attempt to apply distributed settings: the configuration is written, the
+// process has been sent SIGHUP and its answer is pending.
 type settingsAttempt struct {
 	process    *Process
-	configHash string    // of the configuration that it was given
-	sent       time.Time // the SIGHUP
+	configHash string    // of the configuration that was written
+	sent       time.Time // when SIGHUP was sent
 }
 
-// maxCrashes is how many processes may end while they take the same settings before these
-// count as refused: the first end may have had another cause.
+// maxCrashes is the number of processes that exit during an attempt with the same settings until
+// these count as rejected: the first exit may have had another cause.
 const maxCrashes = 2
 
-// unconfirmedDelay is when settings count as taken by a program that does not tell which
-// configuration it runs.
+// unconfirmedDelay is the time until settings count as accepted by a program that does not report
+// which configuration it runs.
 const unconfirmedDelay = time.Second
 
-// settingsWait is why an instance is not given settings now, "" if it may be. An operation
-// that holds a live lease, or has a step under way, goes first: it decides what the instance
-// runs, and what is distributed follows when it lets go. The lock is held.
+// settingsWait returns why settings can't be applied to an instance now, "" if they can. An
+// operation that holds a live lease or has a running step takes precedence; distributed settings
+// follow when it ends. The lock is held.
 func (a *Agent) settingsWait(i *instance, now time.Time) string {
 	switch lease := a.leases.ByInstance[i.config.Name]; {
 	case i.step != nil:
@@ -49,8 +49,8 @@
 	return ""
 }
 
-// applySettings carries distributed settings into an instance, a step at each call, and
-// returns when it should be called again; the zero time is at the next event.
+// applySettings advances the attempt to apply distributed settings, or starts one. It returns when
+// it should be called again; zero means at the next event.
 func (a *Agent) applySettings(i *instance) time.Time {
 	a.mu.Lock()
 	if i.applier == nil {
@@ -61,9 +61,9 @@
 	a.reportPending(i)
 	if i.attempt != nil {
 		process, hash := i.attempt.process, i.stored.Running
-		refused := a.settleAttempt(i, now)
+		rejected := a.settleAttempt(i, now)
 		a.mu.Unlock()
-		if refused {
+		if rejected {
 			a.restoreSettings(i, process, hash)
 		}
 		return time.Time{}
@@ -83,7 +83,7 @@
 	}
 	settings, process, hash := i.applier.Begin(), i.process, i.stored.Running
 	a.mu.Unlock()
-	sum, err := a.configureWith(i, hash, settings, random())
+	configHash, err := a.configureWith(i, hash, settings, random())
 	if err == nil {
 		err = process.Signal(syscall.SIGHUP)
 	}
@@ -92,14 +92,14 @@
 	if err != nil {
 		i.applier.Abandon()
 	} else {
-		i.attempt = &settingsAttempt{process: process, configHash: sum, sent: now}
+		i.attempt = &settingsAttempt{process: process, configHash: configHash, sent: now}
 	}
 	return now.Add(activeInterval)
 }
 
-// reportPending has the relay told when an instance begins or ceases to wait for settings. That
-// also changes without an update or an attempt: a start, an operation that lets it run again.
-// The lock is held.
+// reportPending notifies the relay when settings become pending for an instance or cease to be.
+// That can happen without an update or an attempt, for example when an operation starts the
+// instance. The lock is held.
 func (a *Agent) reportPending(i *instance) {
 	pending := i.stored.Desired == api.Running && i.applier.Pending()
 	if pending == i.pendingReported {
@@ -109,9 +109,9 @@
 	a.settings.subscriber.Changed()
 }
 
-// settleAttempt looks how an attempt stands, and says whether the process, which lives, has
-// refused it. The lock is held.
-func (a *Agent) settleAttempt(i *instance, now time.Time) (refused bool) {
+// settleAttempt ends an attempt that has an outcome. It says whether a process that still runs
+// has rejected the settings. The lock is held.
+func (a *Agent) settleAttempt(i *instance, now time.Time) (rejected bool) {
 	waited := now.Sub(i.attempt.sent)
 	switch {
 	case i.step != nil:
@@ -128,8 +128,8 @@
 	return false
 }
 
-// crashedAttempt takes the end of a process that had been given settings. The next one is
-// started with the last accepted ones. The lock is held.
+// crashedAttempt takes the exit of a process during an attempt. The next process starts with the
+// last accepted settings. The lock is held.
 func (a *Agent) crashedAttempt(i *instance) {
 	i.attemptCrashes++
 	if i.attemptCrashes < maxCrashes {
@@ -140,31 +140,30 @@
 	a.endAttempt(i, false, "its process ended while it took them: "+i.stored.LastExit)
 }
 
-// endAttempt takes the instance's answer; the lock is held.
+// endAttempt ends an attempt with the instance's answer. The lock is held.
 func (a *Agent) endAttempt(i *instance, accepted bool, reason string) {
 	i.attempt, i.attemptCrashes = nil, 0
 	i.applier.Done(accepted, reason)
 	if a.commit(&store.Change{Settings: []distribution.Entry{i.applier.Entry()}}) != nil {
-		i.dirty = true // written again with its row
+		i.dirty = true // written again with the instance
 	}
 	a.settings.subscriber.Changed()
 }
 
-// restoreSettings puts the last accepted settings back into the file of an instance that has
-// refused others, and has it read them: a process that was only late may have taken the
-// others by now.
+// restoreSettings writes the last accepted settings to an instance that has rejected others, and
+// makes it reload: a process that was only late may have applied the others by now.
 func (a *Agent) restoreSettings(i *instance, process *Process, hash string) {
 	err := a.configure(i, hash, random())
 	if err == nil {
 		err = process.Signal(syscall.SIGHUP)
 	}
 	if err != nil {
-		slog.Warn("an instance's file may hold settings that it refused", "instance", i.config.Name, "err", err)
+		slog.Warn("configuration file may contain rejected settings", "instance", i.config.Name, "err", err)
 	}
 }
 
-// programStarted lets settings that an earlier program refused be tried again by another
-// one; until then the instance counts as having nothing. The agent's lock is held.
+// programStarted lets settings that another program rejected be tried again, after the start of
+// a process. Until then the instance counts as having no settings. The lock is held.
 func (i *instance) programStarted(release string, now time.Time) {
 	before := i.program
 	i.program = release
--- a/internal/fleet/host/agent/step_plan.go
+++ b/internal/fleet/host/agent/step_plan.go
@@ -28,7 +28,7 @@
 	return stepPlan{stored: stored, status: api.StepFailed, reason: reason}
 }
 
-// planNewProcess asks for a new process if the instance is wanted to run.
+// planNewProcess plans a new process if the instance is wanted to run.
 func planNewProcess(stored store.Instance) stepPlan {
 	if stored.Desired != api.Running {
 		return planNextStart(stored)
--- a/internal/fleet/host/agent/step_progress.go
+++ b/internal/fleet/host/agent/step_progress.go
@@ -10,7 +10,7 @@
 	"martendrum/internal/fleet/host/supervisor"
 )
 
-// checkStep sees whether the step under way has come to its end.
+// checkStep ends the instance's running step if it has an outcome, and advances a reload.
 func (a *Agent) checkStep(i *instance) {
 	a.mu.Lock()
 	s := i.step
@@ -27,46 +27,51 @@
 	a.evaluateStep(i, s, time.Now())
 }
 
+// startMargin is added to a step's own times before a process that does not start fails it.
+const startMargin = 10 * time.Second
+
+// evaluateStep ends a step that needs no reload if it has an outcome. The lock is held.
 func (a *Agent) evaluateStep(i *instance, s *api.Step, now time.Time) {
-	l := i.supervisor
+	supervised := i.supervisor
 	if i.stored.Desired != api.Running {
-		if l.Process() == 0 {
+		if supervised.Process() == 0 {
 			a.endStep(i, s, true, i.stored.LastExit)
 		}
 		return
 	}
-	begun := s.Started
-	if a.started.After(begun) {
-		begun = a.started // time that the agent was away is not the instance's
-	}
-	failed, how := l.Failed()
+	// Time during which no agent ran does not count against the instance.
+	begun := later(s.Started, a.started)
+	launched := later(i.stored.Launched, a.started)
+	failed, how := supervised.Failed()
 	switch {
-	case l.Old() != 0 && l.Phase() == supervisor.Ready: // the one before it still ends
-	case l.Old() != 0 && l.Phase() == supervisor.Starting && now.Sub(later(i.stored.Launched, a.started)) > s.Ready:
+	case supervised.Old() != 0 && supervised.Phase() == supervisor.Ready: // the previous process is still draining
+	case supervised.Old() != 0 && supervised.Phase() == supervisor.Starting && now.Sub(launched) > s.Ready:
 		if i.abandonReason == "" {
-			i.abandonReason = fmt.Sprintf("not ready within %v: %s", s.Ready, l.Reason())
+			i.abandonReason = fmt.Sprintf("not ready within %v: %s", s.Ready, supervised.Reason())
 			i.wakeUp()
 		}
-	case l.Process() != 0 && l.Old() == 0 && failed == s.Generation && failed != l.Process():
-		// What serves is what is wanted now: a restart of the agent must not try again.
-		l.KeepPrevious()
+	case supervised.Process() != 0 && supervised.Old() == 0 && failed == s.Generation && failed != supervised.Process():
+		// The previous process becomes the desired one, so that an agent that restarts does not
+		// try again.
+		supervised.KeepPrevious()
 		i.stored.Process, i.stored.Release, i.stored.Previous = i.stored.Generation, s.From, s.Before
 		a.endStep(i, s, false, "the new process failed and the one before it serves on: "+how)
-	case l.Process() == s.Generation && l.Phase() == supervisor.Ready:
-		if now.Sub(l.Since()) >= s.Soak {
+	case supervised.Process() == s.Generation && supervised.Phase() == supervisor.Ready:
+		if now.Sub(supervised.Since()) >= s.Soak {
 			a.endStep(i, s, true, "")
 		}
-	case i.exitedGeneration >= s.Generation && l.Process() == 0:
+	case i.exitedGeneration >= s.Generation && supervised.Process() == 0:
 		a.endStep(i, s, false, "it ended by itself: "+i.stored.LastExit)
-	case l.Process() == s.Generation && l.Phase() == supervisor.Unready:
-		a.endStep(i, s, false, "it became unready while it was soaked: "+l.Reason())
-	case l.Process() == s.Generation && now.Sub(later(i.stored.Launched, a.started)) > s.Ready:
-		a.endStep(i, s, false, fmt.Sprintf("not ready within %v: %s", s.Ready, l.Reason()))
-	case now.Sub(begun) > time.Duration(a.config.Limits.KillAfter)+s.Ready+s.Soak+10*time.Second:
-		a.endStep(i, s, false, "it could not be started in time: "+l.Reason()+a.unwritable)
+	case supervised.Process() == s.Generation && supervised.Phase() == supervisor.Unready:
+		a.endStep(i, s, false, "it became unready while it was soaked: "+supervised.Reason())
+	case supervised.Process() == s.Generation && now.Sub(launched) > s.Ready:
+		a.endStep(i, s, false, fmt.Sprintf("not ready within %v: %s", s.Ready, supervised.Reason()))
+	case now.Sub(begun) > time.Duration(a.config.Limits.KillAfter)+s.Ready+s.Soak+startMargin:
+		a.endStep(i, s, false, "it could not be started in time: "+supervised.Reason()+a.unwritable)
 	}
 }
 
+// later returns the later of two times.
 func later(x, y time.Time) time.Time {
 	if x.After(y) {
 		return x
@@ -74,7 +79,7 @@
 	return y
 }
 
-// endStep ends a step.
+// endStep ends a step with its outcome. The lock is held.
 func (a *Agent) endStep(i *instance, s *api.Step, ok bool, reason string) {
 	next := *s
 	next.Status, next.Reason, next.Finished = api.StepFailed, reason, time.Now()
@@ -84,14 +89,15 @@
 	a.steps[stepKey{s.Op, s.Instance, s.Kind}] = &next
 	i.step, i.reloadSentAt = nil, time.Time{}
 	if s.Action == api.ActSettings {
-		a.settingsStepEnded(i, s, ok)
+		a.recordSettingsStep(i, s, ok)
 	}
 	a.persistOrMarkDirty(i, &next)
 }
 
-// settingsStepEnded puts an instance's row right after a change of settings: what runs is what
-// was taken over, and if that was not, what is wanted and its file are as before.
-func (a *Agent) settingsStepEnded(i *instance, s *api.Step, ok bool) {
+// recordSettingsStep records the outcome of a change of settings: the release that runs if they
+// were accepted; otherwise the desired release and the configuration are as before. The lock is
+// held.
+func (a *Agent) recordSettingsStep(i *instance, s *api.Step, ok bool) {
 	if ok {
 		if i.process != nil {
 			i.stored.Running = s.To
@@ -99,39 +105,40 @@
 		return
 	}
 	i.stored.Release, i.stored.Previous = s.From, s.Before
-	a.wg.Go(func() { // writes a file, without the lock
+	a.wg.Go(func() { // configure takes the lock
 		if err := a.configure(i, s.From, random()); err != nil {
-			slog.Error("an instance's file holds settings that it turned down", "instance", i.config.Name, "err", err)
+			slog.Error("configuration file contains rejected settings", "instance", i.config.Name, "err", err)
 		}
 	})
 }
 
-// reload brings a reload on its way: configuration, SIGHUP, and the sidecar's own
-// word that it runs it. To do all that again after a restart of the agent does no harm.
+// reload advances a reload: it writes the configuration, sends SIGHUP and waits until the sidecar
+// reports that it runs the configuration. Doing that again after a restart of the agent is
+// harmless.
 func (a *Agent) reload(i *instance, s *api.Step) {
 	a.mu.Lock()
 	now := time.Now()
-	p, hup := i.process, i.reloadSentAt
-	waits := i.supervisor.Phase() == supervisor.Starting && now.Sub(later(i.stored.Launched, a.started)) < s.Ready ||
-		p != nil && now.Sub(i.stored.Launched) < minReloadAge
+	process, sentAt := i.process, i.reloadSentAt
+	tooEarly := i.supervisor.Phase() == supervisor.Starting && now.Sub(later(i.stored.Launched, a.started)) < s.Ready ||
+		process != nil && now.Sub(i.stored.Launched) < minReloadAge
 	switch {
-	case waits && hup.IsZero():
+	case tooEarly && sentAt.IsZero():
 		a.mu.Unlock()
 		return
-	case p == nil || i.supervisor.Phase() != supervisor.Ready:
+	case process == nil || i.supervisor.Phase() != supervisor.Ready:
 		a.endStep(i, s, false, fmt.Sprintf("it is %s: %s", i.supervisor.Phase(), i.supervisor.Reason()))
 		a.mu.Unlock()
 		return
-	case !hup.IsZero() && i.configHash == "" && now.Sub(hup) > time.Second:
+	case !sentAt.IsZero() && i.configHash == "" && now.Sub(sentAt) > unconfirmedDelay:
 		a.endStep(i, s, true, "not confirmed: this release does not tell which configuration it runs")
 		a.mu.Unlock()
 		return
-	case !hup.IsZero() && i.configHash == i.writtenConfigHash:
+	case !sentAt.IsZero() && i.configHash == i.writtenConfigHash:
 		a.endStep(i, s, true, "")
 		a.mu.Unlock()
 		return
-	case !hup.IsZero():
-		if now.Sub(hup) > reloadTimeout {
+	case !sentAt.IsZero():
+		if now.Sub(sentAt) > reloadTimeout {
 			a.endStep(i, s, false, "it kept its earlier configuration: "+lastLogProblem(a.logPath(i.config.Name)))
 		}
 		a.mu.Unlock()
@@ -144,7 +151,7 @@
 	a.mu.Unlock()
 	err := a.configure(i, hash, random())
 	if err == nil {
-		err = p.Signal(syscall.SIGHUP)
+		err = process.Signal(syscall.SIGHUP)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
