--- a/internal/fleet/api/distribution.go
+++ b/internal/fleet/api/distribution.go
@@ -6,7 +6,7 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// Methods of the settings' distribution, served by agents that are relays.
+// Methods for the distribution of settings, served by agents that are relays.
 const (
 	SettingsPut     = "settings.put"     // distribution.Put, SettingsPutOut; at the writer
 	SettingsGet     = "settings.get"     // SettingsGetIn, SettingsGetOut
@@ -19,7 +19,7 @@
 	SettingsWriting = "settings.writer"  // SettingsWriter, SettingsWriter; among relays
 )
 
-// Codes of the distribution's errors.
+// Error codes of the distribution.
 const (
 	SettingsInvalid  = "settings_invalid"
 	SettingsConflict = "settings_conflict"
@@ -31,51 +31,51 @@
 	NotWriter        = "not_the_writer"
 )
 
-// SettingsPutOut is a resource as it is after a change, or was before one that changes nothing.
+// SettingsPutOut is a resource after a call; Changed says whether the call changed it.
 type SettingsPutOut struct {
 	Resource distribution.Resource `msgpack:"resource" json:"resource"`
 	Changed  bool                  `msgpack:"changed" json:"changed"`
 }
 
-// SettingsGetIn asks for the resources whose names begin with a prefix.
+// SettingsGetIn requests the resources whose names start with a prefix.
 type SettingsGetIn struct {
 	Prefix string `msgpack:"prefix"`
-	After  string `msgpack:"after"` // begin behind this name
+	After  string `msgpack:"after"` // start after this name
 }
 
-// SettingsGetOut holds as many as a message does.
+// SettingsGetOut holds as many resources as fit into a message; More says that there are others.
 type SettingsGetOut struct {
 	Revision  distribution.Revision                    `msgpack:"revision" json:"revision"`
 	Resources distribution.List[distribution.Resource] `msgpack:"resources" json:"resources"`
 	More      bool                                     `msgpack:"more" json:"more"`
 }
 
-// SettingsStatusIn asks how far a revision is; zero is the latest.
+// SettingsStatusIn requests the progress of a revision; zero is the latest.
 type SettingsStatusIn struct {
 	Revision distribution.Revision `msgpack:"revision"`
-	Limit    int                   `msgpack:"most"` // hosts to name
+	Limit    int                   `msgpack:"most"` // hosts that are listed by name
 }
 
-// SettingsStatusOut tells it, and who writes.
+// SettingsStatusOut is the progress of a revision, and the writer.
 type SettingsStatusOut struct {
 	Status distribution.Status `msgpack:"status" json:"status"`
 	Writer SettingsWriter      `msgpack:"writer" json:"writer"`
-	Relay  string              `msgpack:"relay" json:"relay"` // who answers
-	// Complete says that the writer answers: the counts are of all hosts.
+	Relay  string              `msgpack:"relay" json:"relay"` // that answers
+	// Complete says that the writer answers, whose counts include all hosts.
 	Complete bool `msgpack:"complete" json:"complete"`
 }
 
-// SettingsWriter says who writes since which epoch. The one with the highest epoch counts.
+// SettingsWriter is the writer since an epoch. The writer with the highest epoch is the current one.
 type SettingsWriter struct {
 	Writer string `msgpack:"writer" json:"writer"`
 	Epoch  int64  `msgpack:"epoch" json:"epoch"`
 }
 
-// SettingsWatchIn asks for what is after a revision, and waits while there is nothing.
+// SettingsWatchIn requests the updates after a revision and waits for Wait at most until there is one.
 type SettingsWatchIn struct {
 	Host    string `msgpack:"host"`
 	Session int64  `msgpack:"session"`
-	// Interest is told with the first call of a connection.
+	// Interest is set in the first call of a connection.
 	Interest *distribution.Interest  `msgpack:"interest,omitempty"`
 	State    *distribution.HostState `msgpack:"state,omitempty"` // with Interest
 	After    distribution.Revision   `msgpack:"after"`
@@ -83,56 +83,56 @@
 	Wait     time.Duration           `msgpack:"wait"`
 }
 
-// SettingsWatchOut is one page.
+// SettingsWatchOut is one page of updates, and the writer.
 type SettingsWatchOut struct {
 	Update distribution.Update `msgpack:"update"`
 	Writer SettingsWriter      `msgpack:"writer"`
 }
 
-// SettingsAckIn says how far a host is.
+// SettingsAckIn acknowledges what a host has received and applied.
 type SettingsAckIn struct {
 	Host    string                 `msgpack:"host"`
 	Session int64                  `msgpack:"session"`
 	State   distribution.HostState `msgpack:"state"`
 }
 
-// SettingsFollowIn is a relay's question for what is after a revision.
+// SettingsFollowIn requests the updates after a revision for another relay.
 type SettingsFollowIn struct {
 	Relay  string                `msgpack:"relay"`
-	Epoch  int64                 `msgpack:"epoch"` // the highest that it knows
+	Epoch  int64                 `msgpack:"epoch"` // the highest that the caller knows
 	Writer string                `msgpack:"writer"`
 	After  distribution.Revision `msgpack:"after"`
 	Began  distribution.Revision `msgpack:"began"`
 	Wait   time.Duration         `msgpack:"wait"`
 }
 
-// SettingsReportIn is what a relay knows of its subscribers.
+// SettingsReportIn is the state of a relay's subscribers.
 type SettingsReportIn struct {
 	Relay string `msgpack:"relay"`
 	Epoch int64  `msgpack:"epoch"`
-	// Process is new with each start of the relay.
+	// Process identifies a run of the relay.
 	Process string `msgpack:"process"`
-	// Position is the relay's, zero while more reports follow.
+	// Position is the revision that the relay has; zero while more reports follow.
 	Position distribution.Revision                      `msgpack:"position"`
 	Hosts    distribution.List[distribution.HostReport] `msgpack:"hosts"`
 }
 
-// SettingsReportOut asks for all reports anew where the writer does not know this process of
-// the relay yet.
+// SettingsReportOut answers a report. Again requests all reports anew: the writer does not know
+// this run of the relay yet.
 type SettingsReportOut struct {
 	Again bool `msgpack:"again"`
 }
 
-// InstanceSettings is what an instance has of the distributed settings.
+// InstanceSettings is the state of an instance's distributed settings.
 type InstanceSettings struct {
 	Received   distribution.Revision    `msgpack:"received" json:"received"` // by its host
-	Relay      string                   `msgpack:"relay" json:"relay"`       // that its host asks, "" for none that answers
+	Relay      string                   `msgpack:"relay" json:"relay"`       // that its host follows; "": none answers
 	Accepted   []AcceptedSettings       `msgpack:"accepted" json:"accepted"`
 	Rejections []distribution.Rejection `msgpack:"refused,omitempty" json:"refused,omitempty"`
-	Waiting    string                   `msgpack:"waiting,omitempty" json:"waiting,omitempty"` // for what, where changes are pending
+	Waiting    string                   `msgpack:"waiting,omitempty" json:"waiting,omitempty"` // why pending changes are not applied yet
 }
 
-// AcceptedSettings is a resource that an instance runs.
+// AcceptedSettings is a resource that an instance has applied.
 type AcceptedSettings struct {
 	Name     string                `msgpack:"name" json:"name"`
 	Revision distribution.Revision `msgpack:"revision" json:"revision"`
--- a/internal/fleet/api/errors.go
+++ b/internal/fleet/api/errors.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// Codes of errors.
+// Error codes.
 const (
 	InvalidParams      = "bad_params"
 	UnsupportedVersion = "bad_version"
@@ -14,34 +14,36 @@
 	NoRelease          = "no_such_release"
 	InvalidRelease     = "bad_release"
 	Forbidden          = "forbidden"
-	LeaseHeld          = "held"       // another holds the lease, or an operation is open
-	Fenced             = "fenced"     // the caller's token is not, or no longer, the lease's
-	Closed             = "closed"     // the operation has ended or is to end
-	Unwritable         = "unwritable" // the record can't be written; nothing was touched
+	LeaseHeld          = "held"       // another holds the lease, or another operation is open on the instance
+	Fenced             = "fenced"     // the caller's token is not, or no longer, that of the lease
+	Closed             = "closed"     // the operation is closed or aborting
+	Unwritable         = "unwritable" // the record can't be written; nothing was changed
 	Internal           = "internal"
 	NotWelcomed        = "hello_first"
 )
 
-// Error is an error on the wire.
+// Error is an error as it is sent.
 type Error struct {
 	Code    string `msgpack:"code" json:"code"`
 	Message string `msgpack:"message" json:"message"`
 }
 
+// Error implements error.
 func (e *Error) Error() string { return e.Message }
 
 // ErrorValue implements msgpackrpc.ErrorValuer.
 func (e *Error) ErrorValue() any { return e }
 
-// Errorf makes an error with a code.
+// Errorf returns an error with a code and a formatted message.
 func Errorf(code, format string, a ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, a...)}
 }
 
-// ReturningError tells that a host comes back from a power loss: nothing is taken away
-// from a fleet that is not whole.
+// ReturningError reports a host that is returning from a power loss. No operation starts until
+// the capacity of the fleet is complete again.
 type ReturningError struct{ Host, How string }
 
+// Error implements error.
 func (e *ReturningError) Error() string {
 	return fmt.Sprintf("host %s comes back from a power loss: %s", e.Host, e.How)
 }
--- a/internal/fleet/api/methods.go
+++ b/internal/fleet/api/methods.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// The versions of this protocol that this build speaks. A new field is no new
-// version; a changed meaning is.
+// The protocol versions that this build speaks. A new field does not need a new version; a changed
+// meaning does.
 const (
 	Version = 1
 	Oldest  = 1
 )
 
-// Methods. All may be called again after a lost answer: a repeat changes nothing
-// more and is answered with what is.
+// Methods. All are idempotent: one whose answer was lost may be called again and returns the
+// current state.
 const (
 	Hello        = "hello"         // HelloIn, HelloOut; first on each connection
 	List         = "list"          // Empty, ListOut
@@ -39,16 +39,19 @@
 	Operate = "operate"
 )
 
+// Empty is the parameter or the result of a method that has none.
 type Empty struct{}
 
+// HelloIn offers the versions from Oldest to Version.
 type HelloIn struct {
 	Oldest  int    `msgpack:"oldest"`
 	Version int    `msgpack:"version"`
-	Client  string `msgpack:"client"` // who asks, for the audit log
+	Client  string `msgpack:"client"` // the caller, for the audit log
 }
 
+// HelloOut is the agent's choice of a version and the caller's role.
 type HelloOut struct {
-	Version int       `msgpack:"version"` // the one spoken from here on
+	Version int       `msgpack:"version"` // of this connection from now on
 	Agent   string    `msgpack:"agent"`
 	Role    string    `msgpack:"role"`
 	Started time.Time `msgpack:"started"`
--- a/internal/fleet/api/metrics.go
+++ b/internal/fleet/api/metrics.go
@@ -6,22 +6,22 @@
 	"martendrum/internal/fleet/canary"
 )
 
-// MetricsIn asks for what an agent's instances counted at the boundaries of slots
-// of its own length, from After on (a boundary's number, Unix time over the
-// length), the earliest first.
+// MetricsIn requests the samples of an agent's instances after a boundary, the earliest first. The
+// number of a boundary is its Unix time divided by the length of the agent's slots.
 type MetricsIn struct {
 	After int64 `msgpack:"after"`
-	Limit int   `msgpack:"most"` // samples; 0: as many as a message holds
+	Limit int   `msgpack:"most"` // samples; 0: as many as fit into a message
 }
 
+// MetricsOut holds samples of an agent's instances.
 type MetricsOut struct {
-	Slot    time.Duration `msgpack:"slot"` // 0: this agent takes no figures
+	Slot    time.Duration `msgpack:"slot"` // 0: the agent collects no metrics
 	Now     time.Time     `msgpack:"now"`
-	Last    int64         `msgpack:"last"` // the latest boundary that is whole
+	Last    int64         `msgpack:"last"` // the latest boundary that is complete
 	Samples []Sample      `msgpack:"samples"`
 }
 
-// Sample is what an instance's door told at a boundary; see canary.Sample.
+// Sample is the state of an instance's metrics at a boundary; see canary.Sample.
 type Sample struct {
 	Instance string                   `msgpack:"i"`
 	Boundary int64                    `msgpack:"b"`
@@ -40,13 +40,13 @@
 	Files    uint32                   `msgpack:"f"`
 }
 
-// CanarySample is the sample as the judge takes it: of the instance at that place, with the
-// classes in that order.
+// CanarySample returns the sample for the canary analysis: instance is the instance's index, and
+// classes is the order of the classes.
 func (s *Sample) CanarySample(instance int, classes []string) canary.Sample {
-	w := canary.Window{Instance: instance, Release: s.Release, Attempts: s.Attempts, Finished: s.Finished, Rejected: s.Rejected,
+	window := canary.Window{Instance: instance, Release: s.Release, Attempts: s.Attempts, Finished: s.Finished, Rejected: s.Rejected,
 		Timed: s.Timed, Slow: s.Slow, Crashes: s.Crashes, Memory: s.Memory, Files: s.Files, Classes: make([]canary.Counts, len(classes))}
 	for n, name := range classes {
-		w.Classes[n] = s.Classes[name]
+		window.Classes[n] = s.Classes[name]
 	}
-	return canary.Sample{At: s.At, Process: s.Process, Started: s.Started, Window: w}
+	return canary.Sample{At: s.At, Process: s.Process, Started: s.Started, Window: window}
 }
--- a/internal/fleet/api/policy.go
+++ b/internal/fleet/api/policy.go
@@ -2,28 +2,29 @@
 
 import "fmt"
 
-// What is done after too many failures.
+// Reactions to more failures than MaxFailures.
 const (
-	OnFailureStop          = "stop"           // nothing new is changed
-	OnFailureRollback      = "rollback"       // and every changed instance is rolled back
-	OnFailureRollbackStage = "rollback-stage" // only the instances of the current stage are rolled back
-	OnFailurePause         = "pause"          // nothing new, and the operation stays open to be resumed
+	OnFailureStop          = "stop"           // change no more instances
+	OnFailureRollback      = "rollback"       // and roll back every changed instance
+	OnFailureRollbackStage = "rollback-stage" // and roll back the instances of the current stage
+	OnFailurePause         = "pause"          // change no more instances and leave the operation open, to be resumed
 )
 
-// Policy is how a rolling change goes about its instances; see package rollout.
+// Policy limits a rolling change; see package rollout.
 type Policy struct {
 	Batch          int    `msgpack:"batch" json:"batch"`
 	Canaries       int    `msgpack:"canaries" json:"canaries"`
 	MaxUnavailable int    `msgpack:"max_unavailable" json:"max_unavailable"`
 	MaxFailures    int    `msgpack:"max_failures" json:"max_failures"`
 	OnFailure      string `msgpack:"on_failure" json:"on_failure"`
-	// So many of one host, zone or shop unavailable at most; 0: no limit of its own.
+	// MaxHost, MaxZone and MaxShop limit the unavailable instances of one host, zone or shop. 0: no
+	// limit besides MaxUnavailable.
 	MaxHost int `msgpack:"max_host,omitempty" json:"max_host,omitempty"`
 	MaxZone int `msgpack:"max_zone,omitempty" json:"max_zone,omitempty"`
 	MaxShop int `msgpack:"max_shop,omitempty" json:"max_shop,omitempty"`
 }
 
-// Check says what is wrong with a policy for n targets.
+// Check returns the first error of a policy for n targets.
 func (p *Policy) Check(n int) error {
 	switch {
 	case n == 0:
--- a/internal/fleet/api/releases.go
+++ b/internal/fleet/api/releases.go
@@ -5,6 +5,7 @@
 	Release string `msgpack:"release"`
 }
 
+// ChunkIn is a part of a release's file, to be written at an offset.
 type ChunkIn struct {
 	Release string `msgpack:"release"`
 	File    string `msgpack:"file"` // "sidecar" or "overlay.json"
@@ -12,20 +13,22 @@
 	Data    []byte `msgpack:"data"`
 }
 
-// ReadIn asks for a piece of a release's file.
+// ReadIn requests a part of a release's file.
 type ReadIn struct {
 	Release string `msgpack:"release"`
 	File    string `msgpack:"file"`
 	Offset  int64  `msgpack:"offset"`
 }
 
+// ReadOut is a part of a release's file.
 type ReadOut struct {
 	Data []byte `msgpack:"data"`
-	Size int64  `msgpack:"size"` // of the whole file
+	Size int64  `msgpack:"size"` // of the complete file
 }
 
+// ReleaseOut says whether an agent has a release, and how much of one that is being written.
 type ReleaseOut struct {
 	Have    bool  `msgpack:"have"`
-	Sidecar int64 `msgpack:"sidecar"` // bytes received of it so far
+	Sidecar int64 `msgpack:"sidecar"` // bytes received so far
 	Overlay int64 `msgpack:"overlay"`
 }
--- a/internal/fleet/api/staged.go
+++ b/internal/fleet/api/staged.go
@@ -7,34 +7,33 @@
 	"martendrum/internal/fleet/stage"
 )
 
-// Staged is how a change in stages goes about it; see packages stage and canary.
+// Staged configures a change in stages; see packages stage and canary.
 type Staged struct {
 	Plan  stage.Plan    `msgpack:"plan" json:"plan"`
-	Judge canary.Config `msgpack:"judge" json:"judge"` // its Start is set when the first stage begins
-	Seed  uint64        `msgpack:"seed" json:"seed"`   // of the draw that ordered the targets
+	Judge canary.Config `msgpack:"judge" json:"judge"` // its Start is set when the first stage starts
+	Seed  uint64        `msgpack:"seed" json:"seed"`   // of the random order of the targets
 	// First is the boundary (Unix time over slot length) at which slot 0 begins.
 	First int64 `msgpack:"first" json:"first"`
-	// Alone is how long an agent waits, once nobody holds the operation any more,
-	// before it takes back those of its own instances that fail by the coarse rule.
-	// 0: it never does.
+	// Alone is how long an agent waits after the last lease of the operation has expired before
+	// it rolls back those of its instances that fail the coarse rule. 0: never.
 	Alone time.Duration `msgpack:"alone" json:"alone"`
 }
 
-// Note is where a staged change stands, as its holder last wrote it down. Of two,
-// the one with the higher Number counts.
+// Note is the progress of a staged change, as the holder of its leases last recorded it. Of two
+// notes, the one with the higher Number counts.
 type Note struct {
 	Number int64       `msgpack:"number" json:"number"`
 	At     time.Time   `msgpack:"at" json:"at"`
 	By     string      `msgpack:"by" json:"by"`
 	State  stage.State `msgpack:"state" json:"state"`
-	Start  int         `msgpack:"start" json:"start"` // slot at which the first stage began
-	Log    []Verdict   `msgpack:"log" json:"log"`     // the latest last, MaxVerdicts of them
+	Start  int         `msgpack:"start" json:"start"` // slot at which the first stage started
+	Log    []Verdict   `msgpack:"log" json:"log"`     // the latest last, MaxVerdicts at most
 }
 
-// MaxVerdicts is how many verdicts a note keeps.
+// MaxVerdicts bounds the verdicts of a note.
 const MaxVerdicts = 64
 
-// Verdict is one change of what was known, for the report.
+// Verdict is a change of the canary analysis's verdict, for the report.
 type Verdict struct {
 	At       time.Time `msgpack:"at" json:"at"`
 	Slot     int       `msgpack:"slot" json:"slot"`
@@ -44,7 +43,7 @@
 	Evidence []string  `msgpack:"evidence" json:"evidence,omitempty"`
 }
 
-// NoteIn writes down where a staged change stands.
+// NoteIn records the progress of a staged change.
 type NoteIn struct {
 	Op    string `msgpack:"op"`
 	Token int64  `msgpack:"token"`
