--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -390,7 +390,7 @@
 		}
 		defer f.Close()
 		outs := make([]api.OpsOut, len(f.Agents))
-		errs := client.ForInterval(f.Agents, func(n int, a *client.Agent) error {
+		errs := client.ForEach(f.Agents, func(n int, a *client.Agent) error {
 			return a.Call(c.Context(), api.OpList, api.Empty{}, &outs[n])
 		})
 		type row struct {
--- a/internal/fleet/control/client/client.go
+++ b/internal/fleet/control/client/client.go
@@ -33,11 +33,11 @@
 // Agent is a host's agent as seen from here. It connects when it is asked
 // something, and anew when a connection has ended.
 type Agent struct {
-	Host    inventory.Host
-	fleet   *Fleet
-	mu      sync.Mutex
-	conn    *msgpackrpc.Client
-	dialing chan struct{} // held while connecting
+	Host     inventory.Host
+	fleet    *Fleet
+	mu       sync.Mutex
+	conn     *msgpackrpc.Client
+	dialSlot chan struct{} // held while connecting
 
 	seenMu sync.Mutex
 	seen   time.Time
@@ -62,7 +62,7 @@
 		}
 	}
 	for _, h := range v.Hosts {
-		f.Agents = append(f.Agents, &Agent{Host: h, fleet: f, dialing: make(chan struct{}, 1)})
+		f.Agents = append(f.Agents, &Agent{Host: h, fleet: f, dialSlot: make(chan struct{}, 1)})
 	}
 	return f, nil
 }
@@ -109,41 +109,41 @@
 	for again := true; ; again = false {
 		conn, fresh, err := a.connect(ctx)
 		if err != nil {
-			return a.failed(err)
+			return a.callError(err)
 		}
 		err = conn.Call(ctx, method, []any{in}, out)
 		if err == nil {
-			a.heard()
+			a.markSeen()
 			return nil
 		}
 		if said, ok := errors.AsType[*msgpackrpc.RemoteError](err); ok {
-			a.heard()
+			a.markSeen()
 			if refusal, ok := errors.AsType[*api.Error](connect.RejectionReason(err)); ok {
 				return refusal
 			}
 			return api.Errorf(api.Internal, "host %s: %v", a.Host.Name, said)
 		}
-		a.drop(conn)
+		a.dropConnection(conn)
 		if fresh || !again || ctx.Err() != nil {
-			return a.failed(err)
+			return a.callError(err)
 		}
 	}
 }
 
-func (a *Agent) failed(err error) error {
+func (a *Agent) callError(err error) error {
 	if e, ok := errors.AsType[*api.Error](err); ok {
 		return e
 	}
 	return &UnreachableError{Host: a.Host.Name, Err: err}
 }
 
-func (a *Agent) heard() {
+func (a *Agent) markSeen() {
 	a.seenMu.Lock()
 	defer a.seenMu.Unlock()
 	a.seen = time.Now()
 }
 
-func (a *Agent) drop(conn *msgpackrpc.Client) {
+func (a *Agent) dropConnection(conn *msgpackrpc.Client) {
 	a.mu.Lock()
 	if a.conn == conn {
 		a.conn = nil
@@ -155,8 +155,8 @@
 // connect returns the open connection or makes one; fresh if it was made now.
 func (a *Agent) connect(ctx context.Context) (conn *msgpackrpc.Client, fresh bool, err error) {
 	select {
-	case a.dialing <- struct{}{}:
-		defer func() { <-a.dialing }()
+	case a.dialSlot <- struct{}{}:
+		defer func() { <-a.dialSlot }()
 	case <-ctx.Done():
 		return nil, false, ctx.Err()
 	}
@@ -177,13 +177,13 @@
 	return conn, true, nil
 }
 
-// parallel is how many agents are asked at once.
-const parallel = 64
+// maxConcurrentCalls is how many agents are asked at once.
+const maxConcurrentCalls = 64
 
-// ForInterval calls do for each agent, many at once, and returns the errors in order.
-func ForInterval(agents []*Agent, do func(n int, a *Agent) error) []error {
+// ForEach calls do for each agent, many at once, and returns the errors in order.
+func ForEach(agents []*Agent, do func(n int, a *Agent) error) []error {
 	errs := make([]error, len(agents))
-	slots := make(chan struct{}, parallel)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	var wg sync.WaitGroup
 	for n, a := range agents {
 		slots <- struct{}{}
@@ -216,7 +216,7 @@
 		}
 	}
 	out := make([]HostState, len(agents))
-	ForInterval(agents, func(n int, a *Agent) error {
+	ForEach(agents, func(n int, a *Agent) error {
 		out[n].Host = a.Host
 		var l api.ListOut
 		if err := a.Call(ctx, api.List, api.Empty{}, &l); err != nil {
--- a/internal/fleet/control/client/operation.go
+++ b/internal/fleet/control/client/operation.go
@@ -16,25 +16,25 @@
 // brings it to its end. The error tells that nothing was changed; what went wrong
 // later is in the report.
 func (f *Fleet) Start(ctx context.Context, op api.Operation, opt Options) (*Report, error) {
-	r, err := f.runner(op, opt)
+	r, err := f.newRunner(op, opt)
 	if err != nil {
 		return nil, err
 	}
 	if op.Staged != nil {
-		if err := r.stages(nil); err != nil {
+		if err := r.setUpStages(nil); err != nil {
 			return nil, fmt.Errorf("nothing was changed: %w", err)
 		}
 	}
-	if err := f.whole(ctx); err != nil {
+	if err := f.checkReturned(ctx); err != nil {
 		return nil, fmt.Errorf("nothing was changed: %w", err)
 	}
 	// In one order everywhere: of two who want the same, one gets the first.
-	for n, host := range r.order {
-		p := r.parts[host]
+	for n, host := range r.hostNames {
+		p := r.hostRuns[host]
 		var out api.OpenOut
 		if err := p.agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: opt.LeaseHolder, TTL: opt.TTL}, &out); err != nil {
-			for _, back := range r.order[:n+1] {
-				if q := r.parts[back]; back != host || errors.As(err, new(*UnreachableError)) {
+			for _, back := range r.hostNames[:n+1] {
+				if q := r.hostRuns[back]; back != host || errors.As(err, new(*UnreachableError)) {
 					// Where no answer came it may have been taken: said again, it is given back.
 					cctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.Timeout)
 					if back == host {
@@ -52,14 +52,14 @@
 	return r.run(ctx)
 }
 
-// maxLook is how long the fleet is asked whether it is whole. Who is silent for longer is
+// returnCheckTimeout is how long the fleet is asked whether it is whole. Who is silent for longer is
 // down, which is no return.
-const maxLook = time.Second
+const returnCheckTimeout = time.Second
 
-// whole says whether no host of the fleet comes back from a power loss, those that the
+// checkReturned says whether no host of the fleet comes back from a power loss, those that the
 // operation does not touch among them.
-func (f *Fleet) whole(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, maxLook)
+func (f *Fleet) checkReturned(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, returnCheckTimeout)
 	defer cancel()
 	for _, h := range f.List(ctx, &inventory.Select{}) {
 		if h.Returning != "" {
@@ -74,7 +74,7 @@
 func (f *Fleet) Find(ctx context.Context, id string) (op api.Operation, outs map[string]*api.OpOut, errs map[string]error) {
 	outs, errs = make(map[string]*api.OpOut), make(map[string]error)
 	var mu sync.Mutex
-	ForInterval(f.Agents, func(_ int, a *Agent) error {
+	ForEach(f.Agents, func(_ int, a *Agent) error {
 		out := &api.OpOut{}
 		err := a.Call(ctx, api.OpStatus, &api.StatusIn{Op: id}, out)
 		mu.Lock()
@@ -107,16 +107,16 @@
 			}
 		}
 	}
-	r, err := f.runner(op, opt)
+	r, err := f.newRunner(op, opt)
 	if err != nil {
 		return nil, err
 	}
 	open := 0
-	for _, host := range r.order {
-		p, out := r.parts[host], outs[host]
+	for _, host := range r.hostNames {
+		p, out := r.hostRuns[host], outs[host]
 		if out != nil && out.State == api.OpClosed {
-			p.last = out
-			r.ended = out.Result
+			p.status = out
+			r.previousResult = out.Result
 			continue
 		}
 		if e, ok := errors.AsType[*api.Error](errs[host]); ok && e.Code != api.NoOperation {
@@ -137,18 +137,18 @@
 		p.token = got.Token
 	}
 	if open == 0 {
-		return nil, fmt.Errorf("operation %s has ended everywhere: %s; see `martendrum report %s`", id, r.ended, id)
+		return nil, fmt.Errorf("operation %s has ended everywhere: %s; see `martendrum report %s`", id, r.previousResult, id)
 	}
 	for host, out := range outs {
-		if p := r.parts[host]; p != nil {
-			r.take(p, out)
+		if p := r.hostRuns[host]; p != nil {
+			r.takeStatus(p, out)
 		}
 	}
-	if r.ended != "" {
-		r.m.Abort("it had ended: " + r.ended)
+	if r.previousResult != "" {
+		r.machine.Abort("it had ended: " + r.previousResult)
 	}
 	if op.Staged != nil {
-		if err := r.stages(latest(outs)); err != nil {
+		if err := r.setUpStages(latestNote(outs)); err != nil {
 			return nil, err
 		}
 		if opt.Release {
@@ -177,7 +177,7 @@
 		return nil, notFound(id, errs)
 	}
 	failed := make(map[string]error)
-	for _, host := range hosts(&op) {
+	for _, host := range targetHosts(&op) {
 		a := f.Agent(host)
 		err := errs[host]
 		if a != nil && outs[host] != nil {
@@ -199,14 +199,14 @@
 	if len(outs) == 0 {
 		return nil, notFound(id, errs)
 	}
-	r, err := f.runner(op, Options{})
+	r, err := f.newRunner(op, Options{})
 	if err != nil {
 		return nil, err
 	}
 	result, holder := "", ""
 	for host, out := range outs {
-		if p := r.parts[host]; p != nil {
-			r.take(p, out)
+		if p := r.hostRuns[host]; p != nil {
+			r.takeStatus(p, out)
 			if out.State != api.OpClosed {
 				result = out.State
 				if out.LeaseHolder != "" {
@@ -217,19 +217,19 @@
 			}
 		}
 	}
-	for _, host := range r.order {
+	for _, host := range r.hostNames {
 		if e := errs[host]; e != nil {
-			r.parts[host].silent = time.Now()
-			r.m.Silent(host, e.Error())
+			r.hostRuns[host].silentSince = time.Now()
+			r.machine.Silent(host, e.Error())
 		}
 	}
 	rep := r.report()
 	rep.Result, rep.LeaseHolder, rep.Why = result, holder, ""
-	rep.Stages = latest(outs)
+	rep.Stages = latestNote(outs)
 	return rep, nil
 }
 
-func hosts(op *api.Operation) (out []string) {
+func targetHosts(op *api.Operation) (out []string) {
 	seen := make(map[string]bool)
 	for _, t := range op.Targets {
 		if !seen[t.Host] {
--- a/internal/fleet/control/client/report.go
+++ b/internal/fleet/control/client/report.go
@@ -52,28 +52,28 @@
 
 // finish closes the operation where that can be done, and reports.
 func (r *runner) finish(ctx context.Context) *Report {
-	result := r.m.Result()
-	if r.ended != "" {
-		result = r.ended
+	result := r.machine.Result()
+	if r.previousResult != "" {
+		result = r.previousResult
 	}
 	// The last word of each host, and the end of the operation there.
 	var agents []*Agent
-	for _, host := range r.order {
-		if r.parts[host].gaveUp || !r.parts[host].silent.IsZero() {
-			r.notes = append(r.notes, fmt.Sprintf("host %s: %s: the operation may still be open there; `martendrum report %s` tells once it answers, `martendrum resume %s` ends it", host, r.unknown(r.parts[host]), r.op.ID, r.op.ID))
+	for _, host := range r.hostNames {
+		if r.hostRuns[host].givenUp || !r.hostRuns[host].silentSince.IsZero() {
+			r.notes = append(r.notes, fmt.Sprintf("host %s: %s: the operation may still be open there; `martendrum report %s` tells once it answers, `martendrum resume %s` ends it", host, r.unknownSince(r.hostRuns[host]), r.operation.ID, r.operation.ID))
 			continue
 		}
-		agents = append(agents, r.parts[host].agent)
+		agents = append(agents, r.hostRuns[host].agent)
 	}
 	var mu sync.Mutex
-	ForInterval(agents, func(_ int, a *Agent) error {
-		p := r.parts[a.Host.Name]
+	ForEach(agents, func(_ int, a *Agent) error {
+		p := r.hostRuns[a.Host.Name]
 		out := &api.OpOut{}
 		var err error
-		if token := p.held(); token != 0 && result != "" && result != rollout.Paused {
-			err = a.Call(ctx, api.OpClose, &api.CloseIn{Op: r.op.ID, Token: token, Result: result}, out)
+		if token := p.leaseToken(); token != 0 && result != "" && result != rollout.Paused {
+			err = a.Call(ctx, api.OpClose, &api.CloseIn{Op: r.operation.ID, Token: token, Result: result}, out)
 		} else {
-			err = a.Call(ctx, api.OpStatus, &api.StatusIn{Op: r.op.ID}, out)
+			err = a.Call(ctx, api.OpStatus, &api.StatusIn{Op: r.operation.ID}, out)
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -81,37 +81,37 @@
 			r.notes = append(r.notes, fmt.Sprintf("host %s: not ended there: %v", a.Host.Name, err))
 			return err
 		}
-		r.take(p, out)
+		r.takeStatus(p, out)
 		return nil
 	})
 	rep := r.report()
 	rep.Result = result
 	if result == "" {
 		rep.Result = "interrupted"
-		rep.Notes = append(rep.Notes, fmt.Sprintf("the operation stays open: `martendrum resume %s` goes on with it, `martendrum abort %s` ends it", r.op.ID, r.op.ID))
+		rep.Notes = append(rep.Notes, fmt.Sprintf("the operation stays open: `martendrum resume %s` goes on with it, `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
 	}
 	if result == rollout.Paused {
-		rep.Notes = append(rep.Notes, fmt.Sprintf("`martendrum resume %s` goes on once the cause is mended, `martendrum abort %s` ends it", r.op.ID, r.op.ID))
+		rep.Notes = append(rep.Notes, fmt.Sprintf("`martendrum resume %s` goes on once the cause is mended, `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
 	}
 	return rep
 }
 
 // report makes a report of what is known now.
 func (r *runner) report() *Report {
-	rep := &Report{Operation: r.op, Result: r.m.Result(), Why: r.m.Why(), Notes: r.notes}
-	for _, t := range r.m.Targets() {
-		p := r.parts[t.Host]
+	rep := &Report{Operation: r.operation, Result: r.machine.Result(), Why: r.machine.Why(), Notes: r.notes}
+	for _, t := range r.machine.Targets() {
+		p := r.hostRuns[t.Host]
 		row := InstanceResult{Host: t.Host, Instance: t.Instance, Outcome: t.State, Reason: t.Reason, LastSeen: p.agent.Seen()}
-		if !p.silent.IsZero() {
-			row.Unknown = r.unknown(p)
+		if !p.silentSince.IsZero() {
+			row.Unknown = r.unknownSince(p)
 		}
-		if p.last != nil {
-			for _, x := range p.last.Instances {
+		if p.status != nil {
+			for _, x := range p.status.Instances {
 				if x.Name == t.Instance {
 					row.State = &x
 				}
 			}
-			for _, s := range p.last.Steps {
+			for _, s := range p.status.Steps {
 				if s.Instance == t.Instance {
 					row.Steps = append(row.Steps, s)
 				}
@@ -120,7 +120,7 @@
 		rep.Rows = append(rep.Rows, row)
 	}
 	if r.staged != nil {
-		rep.Stages, rep.Judgement = &r.staged.note, &r.staged.last
+		rep.Stages, rep.Judgement = &r.staged.note, &r.staged.judgement
 	}
 	return rep
 }
--- a/internal/fleet/control/client/run.go
+++ b/internal/fleet/control/client/run.go
@@ -35,132 +35,132 @@
 	Of       int       `json:"of"`
 }
 
-// part is one host's part in a run.
-type part struct {
-	agent   *Agent
-	mu      sync.Mutex
-	token   int64 // 0: the operation has ended there
-	last    *api.OpOut
-	silent  time.Time // since when it does not answer
-	gaveUp  bool
-	waiting map[int]string // steps that were asked for and may not have come, by target
-	asking  map[int]bool   // of these, a call is under way
+// hostRun is one host's part in a run.
+type hostRun struct {
+	agent        *Agent
+	mu           sync.Mutex
+	token        int64 // 0: the operation has ended there
+	status       *api.OpOut
+	silentSince  time.Time // since when it does not answer
+	givenUp      bool
+	pendingSteps map[int]string // steps that were asked for and may not have come, by target
+	stepCalls    map[int]bool   // of these, a call is under way
 }
 
-func (p *part) held() int64 {
+func (p *hostRun) leaseToken() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.token
 }
 
-type event struct {
-	host string
-	out  *api.OpOut
-	err  error
+type hostEvent struct {
+	host   string
+	status *api.OpOut
+	err    error
 	// Of a step that was asked for.
-	step   bool
+	isStep bool
 	target int
 	kind   string
-	got    *api.Step
+	result *api.Step
 }
 
 type runner struct {
-	fleet   *Fleet
-	op      api.Operation
-	opt     Options
-	m       *rollout.Machine
-	parts   map[string]*part
-	order   []string
-	index   map[api.Target]int
-	states  []rollout.State
-	events  chan event
-	wg      sync.WaitGroup
-	ctx     context.Context
-	notes   []string
-	ended   string // the result at a host where the operation has ended already
-	changed time.Time
+	fleet          *Fleet
+	operation      api.Operation
+	options        Options
+	machine        *rollout.Machine
+	hostRuns       map[string]*hostRun
+	hostNames      []string
+	targetIndex    map[api.Target]int
+	shownStates    []rollout.State
+	events         chan hostEvent
+	wg             sync.WaitGroup
+	ctx            context.Context
+	notes          []string
+	previousResult string // the result at a host where the operation has ended already
+	lastChange     time.Time
 
-	staged  *staged // nil: no stages
-	figures chan gathered
-	noted   chan int
+	staged       *staged // nil: no stages
+	metrics      chan metricsAnswer
+	notesWritten chan int
 }
 
-func (f *Fleet) runner(op api.Operation, opt Options) (*runner, error) {
+func (f *Fleet) newRunner(op api.Operation, opt Options) (*runner, error) {
 	m, err := rollout.New(op.Policy, op.Targets, op.Places...)
 	if err != nil {
 		return nil, err
 	}
-	r := &runner{fleet: f, op: op, opt: opt, m: m, parts: make(map[string]*part), order: hosts(&op),
-		index: make(map[api.Target]int), states: make([]rollout.State, len(op.Targets)), events: make(chan event), changed: time.Now(),
-		figures: make(chan gathered), noted: make(chan int)}
-	for _, host := range r.order {
+	r := &runner{fleet: f, operation: op, options: opt, machine: m, hostRuns: make(map[string]*hostRun), hostNames: targetHosts(&op),
+		targetIndex: make(map[api.Target]int), shownStates: make([]rollout.State, len(op.Targets)), events: make(chan hostEvent), lastChange: time.Now(),
+		metrics: make(chan metricsAnswer), notesWritten: make(chan int)}
+	for _, host := range r.hostNames {
 		a := f.Agent(host)
 		if a == nil {
 			return nil, fmt.Errorf("host %s of operation %s is not in the inventory", host, op.ID)
 		}
-		r.parts[host] = &part{agent: a, waiting: make(map[int]string), asking: make(map[int]bool)}
+		r.hostRuns[host] = &hostRun{agent: a, pendingSteps: make(map[int]string), stepCalls: make(map[int]bool)}
 	}
 	for i, t := range op.Targets {
-		r.index[t] = i
+		r.targetIndex[t] = i
 	}
 	return r, nil
 }
 
-func (r *runner) tell(e Event) {
-	if r.opt.Progress == nil {
+func (r *runner) notify(e Event) {
+	if r.options.Progress == nil {
 		return
 	}
-	e.At, e.Of = time.Now(), len(r.states)
-	for _, t := range r.m.Targets() {
+	e.At, e.Of = time.Now(), len(r.shownStates)
+	for _, t := range r.machine.Targets() {
 		if t.State != rollout.Pending && t.State != rollout.Changing && t.State != rollout.Unknown && t.State != rollout.RollingBack {
 			e.Done++
 		}
 	}
-	r.opt.Progress(e)
+	r.options.Progress(e)
 }
 
 // run brings the operation to its end, or leaves it as it is when ctx ends.
 func (r *runner) run(ctx context.Context) (*Report, error) {
 	var cancel context.CancelFunc
 	r.ctx, cancel = context.WithCancel(ctx)
-	for _, host := range r.order {
-		p := r.parts[host]
-		if p.last != nil && p.last.State == api.OpClosed {
+	for _, host := range r.hostNames {
+		p := r.hostRuns[host]
+		if p.status != nil && p.status.State == api.OpClosed {
 			continue
 		}
 		r.wg.Go(func() { r.follow(p) })
 		if r.staged != nil {
-			r.wg.Go(func() { r.staged.gather(p) })
+			r.wg.Go(func() { r.staged.collectMetrics(p) })
 		}
 	}
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
-	for r.m.Result() == "" && ctx.Err() == nil {
-		for _, a := range r.m.Next() {
+	for r.machine.Result() == "" && ctx.Err() == nil {
+		for _, a := range r.machine.Next() {
 			if a.Kind != "" {
-				r.begin(a)
+				r.startStep(a)
 			}
 		}
-		r.show()
-		if r.m.Result() != "" {
+		r.notifyChanges()
+		if r.machine.Result() != "" {
 			break
 		}
 		select {
 		case <-ctx.Done():
 		case e := <-r.events:
-			r.handle(e)
-		case g := <-r.figures:
-			r.staged.take(g)
-		case n := <-r.noted:
+			r.handleEvent(e)
+		case g := <-r.metrics:
+			r.staged.takeMetrics(g)
+		case n := <-r.notesWritten:
 			r.staged.noteWritten(n)
 		case <-tick.C:
 			if r.staged != nil {
-				r.staged.look()
-				if r.m.Settled() {
-					r.changed = time.Now() // it waits for evidence, not for instances
+				r.staged.evaluate()
+				if r.machine.Settled() {
+					r.lastChange = time.Now() // it waits for evidence, not for instances
 				}
 			}
-			r.patience()
+			r.giveUpSilent()
 		}
 	}
 	cancel()
@@ -172,8 +172,8 @@
 	for waiting := true; waiting; {
 		select {
 		case <-r.events: // of no use any more
-		case <-r.figures:
-		case <-r.noted:
+		case <-r.metrics:
+		case <-r.notesWritten:
 		case <-done:
 			waiting = false
 		}
@@ -182,15 +182,15 @@
 }
 
 // follow keeps an eye on one host, and its leases alive.
-func (r *runner) follow(p *part) {
-	wait := min(2*time.Second, r.opt.TTL/3)
+func (r *runner) follow(p *hostRun) {
+	wait := min(2*time.Second, r.options.TTL/3)
 	after, pause := int64(0), 50*time.Millisecond
 	for r.ctx.Err() == nil {
-		token := p.held()
+		token := p.leaseToken()
 		var err error
 		if token == 0 { // it was not reached yet, or its lease ran out meanwhile
 			var got api.OpenOut
-			if err = p.agent.Call(r.ctx, api.OpOpen, &api.OpenIn{Operation: r.op, LeaseHolder: r.opt.LeaseHolder, TTL: r.opt.TTL}, &got); err == nil {
+			if err = p.agent.Call(r.ctx, api.OpOpen, &api.OpenIn{Operation: r.operation, LeaseHolder: r.options.LeaseHolder, TTL: r.options.TTL}, &got); err == nil {
 				token = got.Token
 				p.mu.Lock()
 				p.token = token
@@ -199,7 +199,7 @@
 		}
 		out := &api.OpOut{}
 		if err == nil {
-			in := &api.StatusIn{Op: r.op.ID, Token: token, TTL: r.opt.TTL, After: after, Wait: wait}
+			in := &api.StatusIn{Op: r.operation.ID, Token: token, TTL: r.options.TTL, After: after, Wait: wait}
 			err = p.agent.CallFor(r.ctx, wait+r.fleet.Timeout, api.OpStatus, in, out)
 		}
 		if e, ok := errors.AsType[*api.Error](err); ok && e.Code == api.Fenced {
@@ -208,7 +208,7 @@
 			p.token = 0
 			p.mu.Unlock()
 			var got api.OpenOut
-			err = p.agent.Call(r.ctx, api.OpOpen, &api.OpenIn{Operation: r.op, LeaseHolder: r.opt.LeaseHolder, TTL: r.opt.TTL}, &got)
+			err = p.agent.Call(r.ctx, api.OpOpen, &api.OpenIn{Operation: r.operation, LeaseHolder: r.options.LeaseHolder, TTL: r.options.TTL}, &got)
 			if err == nil {
 				p.mu.Lock()
 				p.token = got.Token
@@ -223,7 +223,7 @@
 			after, out = 0, nil
 		}
 		select {
-		case r.events <- event{host: p.agent.Host.Name, out: out, err: err}:
+		case r.events <- hostEvent{host: p.agent.Host.Name, status: out, err: err}:
 		case <-r.ctx.Done():
 			return
 		}
@@ -238,142 +238,142 @@
 	}
 }
 
-// begin asks for a step.
-func (r *runner) begin(a rollout.Action) {
-	t := r.op.Targets[a.Target]
-	p := r.parts[t.Host]
-	if p.waiting[a.Target] != a.Kind {
-		r.tell(Event{Kind: "begin", Host: t.Host, Instance: t.Instance, Step: a.Kind})
+// startStep asks for a step.
+func (r *runner) startStep(a rollout.Action) {
+	t := r.operation.Targets[a.Target]
+	p := r.hostRuns[t.Host]
+	if p.pendingSteps[a.Target] != a.Kind {
+		r.notify(Event{Kind: "begin", Host: t.Host, Instance: t.Instance, Step: a.Kind})
 	}
-	p.waiting[a.Target] = a.Kind
-	if p.asking[a.Target] {
+	p.pendingSteps[a.Target] = a.Kind
+	if p.stepCalls[a.Target] {
 		return
 	}
-	p.asking[a.Target] = true
-	token := p.held()
+	p.stepCalls[a.Target] = true
+	token := p.leaseToken()
 	r.wg.Go(func() {
 		got := &api.Step{}
-		err := p.agent.Call(r.ctx, api.StepStart, &api.StepIn{Op: r.op.ID, Token: token, Instance: t.Instance, Kind: a.Kind}, got)
+		err := p.agent.Call(r.ctx, api.StepStart, &api.StepIn{Op: r.operation.ID, Token: token, Instance: t.Instance, Kind: a.Kind}, got)
 		select {
-		case r.events <- event{host: t.Host, err: err, step: true, target: a.Target, kind: a.Kind, got: got}:
+		case r.events <- hostEvent{host: t.Host, err: err, isStep: true, target: a.Target, kind: a.Kind, result: got}:
 		case <-r.ctx.Done():
 		}
 	})
 }
 
-func (r *runner) handle(e event) {
-	p := r.parts[e.host]
+func (r *runner) handleEvent(e hostEvent) {
+	p := r.hostRuns[e.host]
 	apiErr, said := errors.AsType[*api.Error](e.err)
-	if e.step {
-		delete(p.asking, e.target)
+	if e.isStep {
+		delete(p.stepCalls, e.target)
 	}
 	switch {
-	case e.step && e.err == nil:
-		if p.waiting[e.target] != e.kind {
+	case e.isStep && e.err == nil:
+		if p.pendingSteps[e.target] != e.kind {
 			return // a status of the host, later than this answer, has told already
 		}
-		delete(p.waiting, e.target)
-		r.m.Recall(e.target, e.kind, e.got.Status, e.got.Reason)
-	case e.step && !said:
+		delete(p.pendingSteps, e.target)
+		r.machine.Recall(e.target, e.kind, e.result.Status, e.result.Reason)
+	case e.isStep && !said:
 		// It may have been begun: the host's next status tells, or it is asked again.
-	case e.step && apiErr.Code == api.Fenced:
+	case e.isStep && apiErr.Code == api.Fenced:
 		// The follower finds out who holds it, or takes it again.
-	case e.step && apiErr.Code == api.Closed:
-		r.m.Abort(apiErr.Message)
-		delete(p.waiting, e.target)
-		r.m.Done(e.target, e.kind, false, apiErr.Message)
-	case e.step:
-		delete(p.waiting, e.target)
-		r.m.Done(e.target, e.kind, false, apiErr.Message)
+	case e.isStep && apiErr.Code == api.Closed:
+		r.machine.Abort(apiErr.Message)
+		delete(p.pendingSteps, e.target)
+		r.machine.Done(e.target, e.kind, false, apiErr.Message)
+	case e.isStep:
+		delete(p.pendingSteps, e.target)
+		r.machine.Done(e.target, e.kind, false, apiErr.Message)
 	case e.err == nil:
-		r.answers(p, e.out)
+		r.handleStatus(p, e.status)
 	case said:
 		// Another has it, or it has ended: nothing may be changed from here.
-		r.lost(p, apiErr)
-	case p.silent.IsZero():
-		p.silent = time.Now()
-		r.m.Silent(e.host, r.unknown(p))
-		r.tell(Event{Kind: "silent", Host: e.host, Text: e.err.Error()})
+		r.loseHost(p, apiErr)
+	case p.silentSince.IsZero():
+		p.silentSince = time.Now()
+		r.machine.Silent(e.host, r.unknownSince(p))
+		r.notify(Event{Kind: "silent", Host: e.host, Text: e.err.Error()})
 	}
 }
 
-func (r *runner) lost(p *part, e *api.Error) {
+func (r *runner) loseHost(p *hostRun, e *api.Error) {
 	if e.Code == api.Unwritable {
 		return // it answers, and can't be written to: its steps say so
 	}
-	r.m.Abort(e.Message)
-	for i, kind := range p.waiting {
-		delete(p.waiting, i)
-		r.m.Done(i, kind, false, e.Message)
+	r.machine.Abort(e.Message)
+	for i, kind := range p.pendingSteps {
+		delete(p.pendingSteps, i)
+		r.machine.Done(i, kind, false, e.Message)
 	}
 	// What runs there is another's to follow.
-	if p.silent.IsZero() {
-		p.silent = time.Now()
-		r.m.Silent(p.agent.Host.Name, e.Message)
+	if p.silentSince.IsZero() {
+		p.silentSince = time.Now()
+		r.machine.Silent(p.agent.Host.Name, e.Message)
 	}
-	r.m.GiveUp(p.agent.Host.Name)
-	p.gaveUp = true
+	r.machine.GiveUp(p.agent.Host.Name)
+	p.givenUp = true
 }
 
-func (r *runner) unknown(p *part) string {
+func (r *runner) unknownSince(p *hostRun) string {
 	seen := "never seen"
 	if t := p.agent.Seen(); !t.IsZero() {
 		seen = "last seen " + t.Format(time.RFC3339)
 	}
-	return fmt.Sprintf("unknown since %s, %s", p.silent.Format(time.RFC3339), seen)
+	return fmt.Sprintf("unknown since %s, %s", p.silentSince.Format(time.RFC3339), seen)
 }
 
-// answers takes a host's state.
-func (r *runner) answers(p *part, out *api.OpOut) {
+// handleStatus takes a host's state.
+func (r *runner) handleStatus(p *hostRun, out *api.OpOut) {
 	host := p.agent.Host.Name
-	if !p.silent.IsZero() {
-		p.silent, p.gaveUp = time.Time{}, false
-		r.m.Answers(host)
-		r.tell(Event{Kind: "answers", Host: host})
+	if !p.silentSince.IsZero() {
+		p.silentSince, p.givenUp = time.Time{}, false
+		r.machine.Answers(host)
+		r.notify(Event{Kind: "answers", Host: host})
 	}
-	r.take(p, out)
+	r.takeStatus(p, out)
 	if out.State != api.OpOpened {
-		r.m.Abort(fmt.Sprintf("operation %s is %s at host %s", r.op.ID, out.State, host))
+		r.machine.Abort(fmt.Sprintf("operation %s is %s at host %s", r.operation.ID, out.State, host))
 	}
 	// Steps that were asked for and are not on record never came.
-	for i, kind := range p.waiting {
+	for i, kind := range p.pendingSteps {
 		if out.State == api.OpOpened {
-			r.begin(rollout.Action{Target: i, Kind: kind})
+			r.startStep(rollout.Action{Target: i, Kind: kind})
 		} else {
-			delete(p.waiting, i)
-			r.m.Done(i, kind, false, "not begun: the operation was aborted")
+			delete(p.pendingSteps, i)
+			r.machine.Done(i, kind, false, "not begun: the operation was aborted")
 		}
 	}
 }
 
-// take takes over what a host's record says.
-func (r *runner) take(p *part, out *api.OpOut) {
-	p.last = out
+// takeStatus takes over what a host's record says.
+func (r *runner) takeStatus(p *hostRun, out *api.OpOut) {
+	p.status = out
 	host := p.agent.Host.Name
 	for _, kind := range []string{api.Change, api.Rollback} {
 		for _, s := range out.Steps {
-			if i, ok := r.index[api.Target{Host: host, Instance: s.Instance}]; ok && s.Kind == kind {
-				if p.waiting[i] == kind {
-					delete(p.waiting, i)
+			if i, ok := r.targetIndex[api.Target{Host: host, Instance: s.Instance}]; ok && s.Kind == kind {
+				if p.pendingSteps[i] == kind {
+					delete(p.pendingSteps, i)
 				}
-				r.m.Recall(i, kind, s.Status, s.Reason)
+				r.machine.Recall(i, kind, s.Status, s.Reason)
 			}
 		}
 	}
 	for _, x := range out.Instances {
-		if i, ok := r.index[api.Target{Host: host, Instance: x.Name}]; ok {
-			r.m.Down(i, x.Desired == api.Running && x.State != "ready")
+		if i, ok := r.targetIndex[api.Target{Host: host, Instance: x.Name}]; ok {
+			r.machine.Down(i, x.Desired == api.Running && x.State != "ready")
 		}
 	}
 }
 
-// show tells what has changed.
-func (r *runner) show() {
-	for i, t := range r.m.Targets() {
-		if r.states[i] == t.State {
+// notifyChanges tells what has changed.
+func (r *runner) notifyChanges() {
+	for i, t := range r.machine.Targets() {
+		if r.shownStates[i] == t.State {
 			continue
 		}
-		r.states[i], r.changed = t.State, time.Now()
+		r.shownStates[i], r.lastChange = t.State, time.Now()
 		kind := ""
 		switch t.State {
 		case rollout.Changed, rollout.RolledBack:
@@ -382,22 +382,22 @@
 			kind = "failed"
 		}
 		if kind != "" {
-			r.tell(Event{Kind: kind, Host: t.Host, Instance: t.Instance, Step: string(t.State), Text: t.Reason})
+			r.notify(Event{Kind: kind, Host: t.Host, Instance: t.Instance, Step: string(t.State), Text: t.Reason})
 		}
 	}
 }
 
-// patience ends what has been waited for for long enough.
-func (r *runner) patience() {
-	for _, host := range r.order {
-		p := r.parts[host]
-		if !p.silent.IsZero() && !p.gaveUp && time.Since(p.silent) > r.opt.GiveUp {
-			p.gaveUp, r.changed = true, time.Now() // others may go on now
-			r.m.GiveUp(host)
-			r.tell(Event{Kind: "note", Host: host, Text: "waited for no longer: " + r.unknown(p)})
+// giveUpSilent ends what has been waited for for long enough.
+func (r *runner) giveUpSilent() {
+	for _, host := range r.hostNames {
+		p := r.hostRuns[host]
+		if !p.silentSince.IsZero() && !p.givenUp && time.Since(p.silentSince) > r.options.GiveUp {
+			p.givenUp, r.lastChange = true, time.Now() // others may go on now
+			r.machine.GiveUp(host)
+			r.notify(Event{Kind: "note", Host: host, Text: "waited for no longer: " + r.unknownSince(p)})
 		}
 	}
-	if time.Since(r.changed) > r.opt.GiveUp {
-		r.m.Stuck()
+	if time.Since(r.lastChange) > r.options.GiveUp {
+		r.machine.Stuck()
 	}
 }
--- a/internal/fleet/control/client/staged.go
+++ b/internal/fleet/control/client/staged.go
@@ -17,29 +17,29 @@
 // decided, it writes down at the agents before it acts on it.
 type staged struct {
 	*evidence
-	r     *runner
-	m     *stage.Machine
-	last  canary.Judgement
-	hosts map[string]*source
-	note  api.Note
-	dirty bool   // the note is to be written before anything is done on it
-	busy  bool   // it is being written
-	told  string // verdict last told
+	runner          *runner
+	machine         *stage.Machine
+	judgement       canary.Judgement
+	sources         map[string]*source
+	note            api.Note
+	notePending     bool   // the note is to be written before anything is done on it
+	noteInFlight    bool   // it is being written
+	notifiedVerdict string // verdict last told
 }
 
 // source is where one host's figures have come to.
 type source struct {
-	after int64     // the latest boundary taken over
-	heard time.Time // the last answer with figures
-	why   string    // what is wrong with it
+	lastBoundary int64     // the latest boundary taken over
+	lastMetrics  time.Time // the last answer with figures
+	problem      string    // what is wrong with it
 }
 
 // evidence makes windows of what hosts' agents tell, for a judge.
 type evidence struct {
-	spec  *api.Staged
-	j     *canary.Judge
-	place map[api.Target]int
-	diffs []canary.Differ // by place
+	spec        *api.Staged
+	judge       *canary.Judge
+	targetIndex map[api.Target]int
+	differs     []canary.Differ // by place
 }
 
 // newEvidence returns none so far, of an operation whose first stage began at slot start.
@@ -50,9 +50,9 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &evidence{spec: op.Staged, j: j, place: make(map[api.Target]int), diffs: make([]canary.Differ, len(op.Targets))}
+	e := &evidence{spec: op.Staged, judge: j, targetIndex: make(map[api.Target]int), differs: make([]canary.Differ, len(op.Targets))}
 	for i, t := range op.Targets {
-		e.place[t], e.diffs[i] = i, canary.Differ{Slot: cfg.Slot, Off: cfg.Slot / 4}
+		e.targetIndex[t], e.differs[i] = i, canary.Differ{Slot: cfg.Slot, Off: cfg.Slot / 4}
 	}
 	return e, nil
 }
@@ -61,36 +61,36 @@
 func (e *evidence) add(host string, samples []api.Sample) {
 	for n := range samples {
 		x := &samples[n]
-		i, ok := e.place[api.Target{Host: host, Instance: x.Instance}]
+		i, ok := e.targetIndex[api.Target{Host: host, Instance: x.Instance}]
 		if !ok {
 			continue
 		}
-		if w, ok := e.diffs[i].Next(x.CanarySample(i, e.spec.Judge.Classes), e.spec.First); ok {
-			e.j.Add(w)
+		if w, ok := e.differs[i].Next(x.CanarySample(i, e.spec.Judge.Classes), e.spec.First); ok {
+			e.judge.Add(w)
 		}
 	}
 }
 
-// gathered is a host's answer to a call for figures.
-type gathered struct {
-	host string
-	out  *api.MetricsOut
-	err  error
-	sent time.Time
+// metricsAnswer is a host's answer to a call for figures.
+type metricsAnswer struct {
+	host    string
+	metrics *api.MetricsOut
+	err     error
+	sent    time.Time
 }
 
-// noteInterval is how often a note is written where only time has passed, in slots.
-const noteInterval = 6
+// noteSlots is how often a note is written where only time has passed, in slots.
+const noteSlots = 6
 
-// blindAfter is for how many slots a host may be silent before its instances'
+// maxSilentSlots is for how many slots a host may be silent before its instances'
 // evidence is held to be missing.
-const blindAfter = 4
+const maxSilentSlots = 4
 
-// stages sets a staged change up at the latest note that any host has.
-func (r *runner) stages(note *api.Note) error {
-	spec := r.op.Staged
+// setUpStages sets a staged change up at the latest note that any host has.
+func (r *runner) setUpStages(note *api.Note) error {
+	spec := r.operation.Staged
 	start := spec.Judge.MaxSlots // all is past so far
-	s := &staged{r: r, hosts: make(map[string]*source)}
+	s := &staged{runner: r, sources: make(map[string]*source)}
 	if note != nil {
 		s.note = *note
 		if note.State.Stage > 0 {
@@ -98,57 +98,57 @@
 		}
 	}
 	var err error
-	if s.evidence, err = newEvidence(&r.op, start); err != nil {
+	if s.evidence, err = newEvidence(&r.operation, start); err != nil {
 		return err
 	}
-	if s.m, err = stage.New(spec.Plan, s.note.State, len(r.op.Targets)); err != nil {
+	if s.machine, err = stage.New(spec.Plan, s.note.State, len(r.operation.Targets)); err != nil {
 		return err
 	}
-	for _, host := range r.order {
-		s.hosts[host] = &source{after: spec.First - 1, heard: time.Now()}
+	for _, host := range r.hostNames {
+		s.sources[host] = &source{lastBoundary: spec.First - 1, lastMetrics: time.Now()}
 	}
 	r.staged = s
-	s.open()
+	s.openTargets()
 	return nil
 }
 
 // release is an operator's word to go on; it is written down before it is acted on.
 func (s *staged) release() error {
-	before := s.m.State()
-	if err := s.m.Release(); err != nil {
+	before := s.machine.State()
+	if err := s.machine.Release(); err != nil {
 		return err
 	}
-	s.note.State, s.dirty = s.m.State(), true
-	s.log(api.Verdict{Stage: before.Stage, Text: "let go on by " + s.r.opt.LeaseHolder + ", which held: " + before.HoldReason})
+	s.note.State, s.notePending = s.machine.State(), true
+	s.addVerdict(api.Verdict{Stage: before.Stage, Text: "let go on by " + s.runner.options.LeaseHolder + ", which held: " + before.HoldReason})
 	return nil
 }
 
-// log keeps a verdict in the note, of which the latest stay.
-func (s *staged) log(v api.Verdict) {
+// addVerdict keeps a verdict in the note, of which the latest stay.
+func (s *staged) addVerdict(v api.Verdict) {
 	v.At = time.Now().UTC()
 	s.note.Log = append(s.note.Log, v)
 	s.note.Log = s.note.Log[max(0, len(s.note.Log)-api.MaxVerdicts):]
 }
 
-// open lets the rollout begin what the stages allow.
-func (s *staged) open() {
-	state := s.m.State()
-	s.r.m.Open(s.m.Open(), state.From, !state.Done)
+// openTargets lets the rollout begin what the stages allow.
+func (s *staged) openTargets() {
+	state := s.machine.State()
+	s.runner.machine.Open(s.machine.Open(), state.From, !state.Done)
 	if state.Worse != "" {
-		s.r.m.Trip("judged worse: " + state.Worse)
+		s.runner.machine.Trip("judged worse: " + state.Worse)
 	}
 }
 
-// gather asks one host for its figures, a slot after the other.
-func (s *staged) gather(p *part) {
-	r, slot := s.r, s.spec.Judge.Slot
+// collectMetrics asks one host for its figures, a slot after the other.
+func (s *staged) collectMetrics(p *hostRun) {
+	r, slot := s.runner, s.spec.Judge.Slot
 	after := s.spec.First - 1
 	for r.ctx.Err() == nil {
 		out := &api.MetricsOut{}
 		sent := time.Now()
 		err := p.agent.Call(r.ctx, api.Metrics, &api.MetricsIn{After: after}, out)
 		select {
-		case r.figures <- gathered{p.agent.Host.Name, out, err, sent}:
+		case r.metrics <- metricsAnswer{p.agent.Host.Name, out, err, sent}:
 		case <-r.ctx.Done():
 			return
 		}
@@ -169,63 +169,63 @@
 	}
 }
 
-// take takes a host's figures over.
-func (s *staged) take(g gathered) {
-	h, slot := s.hosts[g.host], s.spec.Judge.Slot
+// takeMetrics takes a host's figures over.
+func (s *staged) takeMetrics(g metricsAnswer) {
+	h, slot := s.sources[g.host], s.spec.Judge.Slot
 	if g.err != nil {
-		h.why = g.err.Error()
+		h.problem = g.err.Error()
 		return
 	}
 	// The answer's time lies between the question and now: what is outside is the clock's.
 	now, off := time.Now(), time.Duration(0)
-	if g.out.Now.Before(g.sent) {
-		off = g.out.Now.Sub(g.sent)
-	} else if g.out.Now.After(now) {
-		off = g.out.Now.Sub(now)
+	if g.metrics.Now.Before(g.sent) {
+		off = g.metrics.Now.Sub(g.sent)
+	} else if g.metrics.Now.After(now) {
+		off = g.metrics.Now.Sub(now)
 	}
 	late := off.Abs() > slot/4
 	if !late {
-		s.add(g.host, g.out.Samples)
+		s.add(g.host, g.metrics.Samples)
 	}
-	for _, x := range g.out.Samples {
-		if _, ok := s.place[api.Target{Host: g.host, Instance: x.Instance}]; ok && late && x.Boundary > h.after {
-			s.j.Leave(canary.Clock, 1)
+	for _, x := range g.metrics.Samples {
+		if _, ok := s.targetIndex[api.Target{Host: g.host, Instance: x.Instance}]; ok && late && x.Boundary > h.lastBoundary {
+			s.judge.Leave(canary.Clock, 1)
 		}
 	}
-	h.after = max(h.after, g.out.Last)
-	h.why = ""
+	h.lastBoundary = max(h.lastBoundary, g.metrics.Last)
+	h.problem = ""
 	switch {
 	case late:
-		h.why = fmt.Sprintf("its clock is %v off this one's", off.Round(time.Millisecond))
-	case g.out.Slot != slot:
-		h.why = fmt.Sprintf("it takes figures each %v, not each %v", g.out.Slot, slot)
-	case h.after >= s.boundary()-blindAfter:
-		h.heard = now
+		h.problem = fmt.Sprintf("its clock is %v off this one's", off.Round(time.Millisecond))
+	case g.metrics.Slot != slot:
+		h.problem = fmt.Sprintf("it takes figures each %v, not each %v", g.metrics.Slot, slot)
+	case h.lastBoundary >= s.boundary()-maxSilentSlots:
+		h.lastMetrics = now
 	}
 }
 
 // boundary is the latest one by this clock.
 func (s *staged) boundary() int64 { return time.Now().UnixNano() / int64(s.spec.Judge.Slot) }
 
-// slot is the latest slot of which all figures should be there by now.
-func (s *staged) slot() int {
+// latestSlot is the latest slot of which all figures should be there by now.
+func (s *staged) latestSlot() int {
 	t := time.Now().Add(-s.spec.Judge.Slot * 3 / 2).UnixNano()
 	return int(t/int64(s.spec.Judge.Slot)-s.spec.First) - 1
 }
 
-// blind says why the evidence is not whole: a host whose changed instances nobody
+// missingEvidence says why the evidence is not whole: a host whose changed instances nobody
 // hears of.
-func (s *staged) blind() string {
+func (s *staged) missingEvidence() string {
 	var silent []string
-	for host, h := range s.hosts {
-		if time.Since(h.heard) <= blindAfter*s.spec.Judge.Slot {
+	for host, h := range s.sources {
+		if time.Since(h.lastMetrics) <= maxSilentSlots*s.spec.Judge.Slot {
 			continue
 		}
-		why := h.why
+		why := h.problem
 		if why == "" {
 			why = "no figures"
 		}
-		silent = append(silent, fmt.Sprintf("no evidence of host %s since %s: %s", host, h.heard.Format(time.TimeOnly), why))
+		silent = append(silent, fmt.Sprintf("no evidence of host %s since %s: %s", host, h.lastMetrics.Format(time.TimeOnly), why))
 	}
 	sort.Strings(silent)
 	if len(silent) > 0 {
@@ -234,47 +234,47 @@
 	return ""
 }
 
-// look judges the slots that have passed since the last look.
-func (s *staged) look() {
-	slot := s.slot()
-	if s.r.m.Why() != "" {
+// evaluate judges the slots that have passed since the last look.
+func (s *staged) evaluate() {
+	slot := s.latestSlot()
+	if s.runner.machine.Why() != "" {
 		return // it was stopped, for this or another reason
 	}
-	if slot < 0 || s.busy || s.dirty || slot <= s.m.State().Looked {
-		if s.dirty && !s.busy {
-			s.write()
+	if slot < 0 || s.noteInFlight || s.notePending || slot <= s.machine.State().Looked {
+		if s.notePending && !s.noteInFlight {
+			s.writeNote()
 		}
 		return
 	}
-	s.last = s.j.Evaluate(slot + 1)
-	for i := range s.diffs {
-		for reason, n := range s.diffs[i].Left {
-			s.last.Left[reason] += n
+	s.judgement = s.judge.Evaluate(slot + 1)
+	for i := range s.differs {
+		for reason, n := range s.differs[i].Left {
+			s.judgement.Left[reason] += n
 		}
 	}
-	before := s.m.State()
-	changed := s.m.Look(stage.Look{Slot: slot, HistorySlots: s.j.CompleteSlots(slot + 1), Judgement: s.last, Settled: s.r.m.Settled(), Blind: s.blind()})
-	state := s.m.State()
+	before := s.machine.State()
+	changed := s.machine.Look(stage.Look{Slot: slot, HistorySlots: s.judge.CompleteSlots(slot + 1), Judgement: s.judgement, Settled: s.runner.machine.Settled(), Blind: s.missingEvidence()})
+	state := s.machine.State()
 	if before.Stage == 0 && state.Stage > 0 {
 		s.note.Start = slot + 1
-		s.j.Begin(s.note.Start)
+		s.judge.Begin(s.note.Start)
 	}
-	s.tell(slot, before, state)
+	s.notify(slot, before, state)
 	s.note.State = state
-	if changed || state.Slots >= noteInterval && state.Slots%noteInterval == 0 && before.Slots != state.Slots {
-		s.dirty = true
-		s.write()
+	if changed || state.Slots >= noteSlots && state.Slots%noteSlots == 0 && before.Slots != state.Slots {
+		s.notePending = true
+		s.writeNote()
 	}
 }
 
-// tell notes a change of what is known, for the report and whoever watches.
-func (s *staged) tell(slot int, before, now stage.State) {
+// notify notes a change of what is known, for the report and whoever watches.
+func (s *staged) notify(slot int, before, now stage.State) {
 	kind, text := "", ""
 	switch {
 	case now.Worse != before.Worse:
 		kind, text = "worse", now.Worse
 	case now.Stage != before.Stage:
-		kind, text = "stage", fmt.Sprintf("stage %d of %d begins: %d of %d instances", now.Stage, len(s.spec.Plan.Upto), s.m.Open(), len(s.r.op.Targets))
+		kind, text = "stage", fmt.Sprintf("stage %d of %d begins: %d of %d instances", now.Stage, len(s.spec.Plan.Upto), s.machine.Open(), len(s.runner.operation.Targets))
 	case now.Done && !before.Done:
 		kind, text = "stage", "the last stage has passed"
 	case now.HoldReason != before.HoldReason && now.HoldReason != "":
@@ -283,44 +283,44 @@
 		kind, text = "wait", now.PauseReason
 	}
 	if kind == "" {
-		if line := string(s.last.Verdict); now.Stage > 0 && line != s.told {
-			s.told = line
-			s.r.tell(Event{Kind: "verdict", Text: line})
+		if line := string(s.judgement.Verdict); now.Stage > 0 && line != s.notifiedVerdict {
+			s.notifiedVerdict = line
+			s.runner.notify(Event{Kind: "verdict", Text: line})
 		}
 		return
 	}
-	v := api.Verdict{Slot: slot, Stage: now.Stage, Verdict: string(s.last.Verdict), Text: text}
-	for n, e := range s.last.Evidence {
+	v := api.Verdict{Slot: slot, Stage: now.Stage, Verdict: string(s.judgement.Verdict), Text: text}
+	for n, e := range s.judgement.Evidence {
 		if n == 4 || e.Verdict == canary.NotWorse || kind != "worse" && kind != "hold" {
 			break
 		}
 		v.Evidence = append(v.Evidence, e.String())
 	}
-	s.log(v)
-	s.r.tell(Event{Kind: kind, Text: text})
+	s.addVerdict(v)
+	s.runner.notify(Event{Kind: kind, Text: text})
 }
 
-// write writes the note at all hosts at once; it is in force once one has it.
-func (s *staged) write() {
-	s.busy = true
+// writeNote writes the note at all hosts at once; it is in force once one has it.
+func (s *staged) writeNote() {
+	s.noteInFlight = true
 	s.note.Number++
-	s.note.At, s.note.By = time.Now().UTC(), s.r.opt.LeaseHolder
+	s.note.At, s.note.By = time.Now().UTC(), s.runner.options.LeaseHolder
 	note := s.note
 	note.Log = append([]api.Verdict(nil), note.Log...)
-	r := s.r
+	r := s.runner
 	r.wg.Go(func() {
 		var agents []*Agent
-		for _, host := range r.order {
-			agents = append(agents, r.parts[host].agent)
+		for _, host := range r.hostNames {
+			agents = append(agents, r.hostRuns[host].agent)
 		}
-		errs := ForInterval(agents, func(_ int, a *Agent) error {
+		errs := ForEach(agents, func(_ int, a *Agent) error {
 			ctx, cancel := context.WithTimeout(r.ctx, r.fleet.Timeout)
 			defer cancel()
-			token := r.parts[a.Host.Name].held()
+			token := r.hostRuns[a.Host.Name].leaseToken()
 			if token == 0 {
 				return errors.New("not held")
 			}
-			return a.Call(ctx, api.OpNote, &api.NoteIn{Op: r.op.ID, Token: token, Note: note}, nil)
+			return a.Call(ctx, api.OpNote, &api.NoteIn{Op: r.operation.ID, Token: token, Note: note}, nil)
 		})
 		got := 0
 		for _, err := range errs {
@@ -329,7 +329,7 @@
 			}
 		}
 		select {
-		case r.noted <- got:
+		case r.notesWritten <- got:
 		case <-r.ctx.Done():
 		}
 	})
@@ -337,16 +337,16 @@
 
 // noteWritten goes on once the note is at a host, or tries again at the next look.
 func (s *staged) noteWritten(hosts int) {
-	s.busy = false
+	s.noteInFlight = false
 	if hosts == 0 {
 		return
 	}
-	s.dirty = false
-	s.open()
+	s.notePending = false
+	s.openTargets()
 }
 
-// latest is the note that went furthest.
-func latest(outs map[string]*api.OpOut) (note *api.Note) {
+// latestNote is the note that went furthest.
+func latestNote(outs map[string]*api.OpOut) (note *api.Note) {
 	for _, out := range outs {
 		if n := out.Operation.Note; n != nil && (note == nil || n.Number > note.Number) {
 			note = n
@@ -367,7 +367,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, host := range hosts(&rep.Operation) {
+	for _, host := range targetHosts(&rep.Operation) {
 		a := f.Agent(host)
 		if a == nil {
 			missing = append(missing, host)
@@ -387,7 +387,7 @@
 		}
 	}
 	for slot := note.Start; slot <= note.State.Looked; slot++ {
-		series = append(series, e.j.Evaluate(slot+1))
+		series = append(series, e.judge.Evaluate(slot+1))
 	}
 	return series, missing, nil
 }
--- a/internal/fleet/control/client/upload.go
+++ b/internal/fleet/control/client/upload.go
@@ -11,13 +11,13 @@
 	"martendrum/internal/fleet/release"
 )
 
-// chunk is how many bytes of a release go in one call.
-const chunk = 512 << 10
+// uploadChunk is how many bytes of a release go in one call.
+const uploadChunk = 512 << 10
 
 // Upload brings a release to agents, many at once, and goes on where an earlier
 // try left off. sent, if not nil, is told of each agent that has it whole.
 func (f *Fleet) Upload(ctx context.Context, agents []*Agent, hash, sidecar, overlay string, sent func(host string)) error {
-	return errors.Join(ForInterval(agents, func(_ int, a *Agent) error {
+	return errors.Join(ForEach(agents, func(_ int, a *Agent) error {
 		if err := a.upload(ctx, hash, sidecar, overlay); err != nil {
 			return fmt.Errorf("release %.12s: %w", hash, err)
 		}
@@ -43,20 +43,20 @@
 		if file.path == "" {
 			continue
 		}
-		if err := a.send(ctx, hash, file.name, file.path, file.at); err != nil {
+		if err := a.uploadFile(ctx, hash, file.name, file.path, file.at); err != nil {
 			return err
 		}
 	}
 	return a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, &have)
 }
 
-func (a *Agent) send(ctx context.Context, hash, name, path string, at int64) error {
+func (a *Agent) uploadFile(ctx context.Context, hash, name, path string, at int64) error {
 	in, err := os.Open(path)
 	if err != nil {
 		return err
 	}
 	defer in.Close()
-	buf := make([]byte, chunk)
+	buf := make([]byte, uploadChunk)
 	for {
 		n, err := in.ReadAt(buf, at)
 		if n > 0 {
