--- /dev/null
+++ b/internal/fleet/control/client/replay.go
@@ -0,0 +1,46 @@
+package client
+
+import (
+	"context"
+	"fmt"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/canary"
+)
+
+// Replay judges a staged change again from the figures that its agents still keep, a
+// slot after the other, up to where its note stands. Hosts that don't answer are left
+// out, and named.
+func (f *Fleet) Replay(ctx context.Context, rep *Report) (series []canary.Judgement, missing []string, err error) {
+	spec, note := rep.Operation.Staged, rep.Stages
+	if spec == nil || note == nil || note.State.Stage == 0 {
+		return nil, nil, fmt.Errorf("operation %s has no stage that was judged", rep.Operation.ID)
+	}
+	e, err := newEvidence(&rep.Operation, note.Start)
+	if err != nil {
+		return nil, nil, err
+	}
+	for _, host := range targetHosts(&rep.Operation) {
+		a := f.Agent(host)
+		if a == nil {
+			missing = append(missing, host)
+			continue
+		}
+		for after := spec.First - 1; ; {
+			var out api.MetricsOut
+			if err := a.Call(ctx, api.Metrics, &api.MetricsIn{After: after}, &out); err != nil {
+				missing = append(missing, host)
+				break
+			}
+			e.add(host, out.Samples)
+			if len(out.Samples) == 0 || out.Last <= after {
+				break
+			}
+			after = out.Last
+		}
+	}
+	for slot := note.Start; slot <= note.State.Looked; slot++ {
+		series = append(series, e.judge.Evaluate(slot+1))
+	}
+	return series, missing, nil
+}
--- a/internal/fleet/control/client/report.go
+++ b/internal/fleet/control/client/report.go
@@ -124,3 +124,39 @@
 	}
 	return rep
 }
+
+// Report tells what the agents' records say of an operation.
+func (f *Fleet) Report(ctx context.Context, id string) (*Report, error) {
+	op, outs, errs := f.Find(ctx, id)
+	if len(outs) == 0 {
+		return nil, notFound(id, errs)
+	}
+	r, err := f.newRunner(op, Options{})
+	if err != nil {
+		return nil, err
+	}
+	result, holder := "", ""
+	for host, out := range outs {
+		if p := r.hostRuns[host]; p != nil {
+			r.takeStatus(p, out)
+			if out.State != api.OpClosed {
+				result = out.State
+				if out.LeaseHolder != "" {
+					holder = out.LeaseHolder
+				}
+			} else if result == "" {
+				result = out.Result
+			}
+		}
+	}
+	for _, host := range r.hostNames {
+		if e := errs[host]; e != nil {
+			r.hostRuns[host].silentSince = time.Now()
+			r.machine.Silent(host, e.Error())
+		}
+	}
+	rep := r.report()
+	rep.Result, rep.LeaseHolder, rep.Why = result, holder, ""
+	rep.Stages = latestNote(outs)
+	return rep, nil
+}
