--- a/internal/fleet/control/client/client.go
+++ b/internal/fleet/control/client/client.go
@@ -1,6 +1,9 @@
-// Package client is the operators' side of the fleet: connections to agents, calls
-// to many at once, and the run of an operation over them. What an operation does
-// next is decided in package rollout.
+// Package client is the operators' side of the fleet: connections to agents, concurrent calls to
+// many of them, and the run of an operation on them. It holds the leases of the operations that it
+// runs and reports what the agents' records say.
+//
+// It does not decide what an operation does next: that is package rollout, for stages package
+// stage, and for the verdict on a stage package canary.
 package client
 
 import (
@@ -16,50 +19,57 @@
 	"martendrum/internal/msgpackrpc"
 )
 
-// UnreachableError is an agent without an answer. What was asked of it may have
-// been done; every method may be asked again.
+// UnreachableError reports an agent that did not answer. The call may have been carried out; every
+// method may be called again.
 type UnreachableError struct {
 	Host string
 	Err  error
 }
 
+// Error implements error.
 func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("host %s: no answer: %v", e.Host, e.Err)
 }
 
+// Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// Agent is a host's agent as seen from here. It connects when it is asked
-// something, and anew when a connection has ended.
+// Advice says what an operator can do.
+func (e *UnreachableError) Advice() string {
+	return "look whether the host's agent runs and whether its address in the inventory is right"
+}
+
+// Agent is the client of one host's agent. It connects at the first call, and again when its
+// connection has ended.
 type Agent struct {
 	Host     inventory.Host
 	fleet    *Fleet
 	mu       sync.Mutex
 	conn     *msgpackrpc.Client
-	dialSlot chan struct{} // held while connecting
+	dialSlot chan struct{} // holds one value while somebody connects
 
 	seenMu sync.Mutex
 	seen   time.Time
 }
 
-// Seen is when the agent last answered this command; zero for never.
+// Seen returns when the agent last answered; zero is never.
 func (a *Agent) Seen() time.Time {
 	a.seenMu.Lock()
 	defer a.seenMu.Unlock()
 	return a.seen
 }
 
-// Call asks the agent. Errors are *api.Error where it said no, and
+// Call calls a method of the agent. An error is an *api.Error, which the agent returned, or an
 // *UnreachableError. A connection that turns out to be dead is replaced once.
 func (a *Agent) Call(ctx context.Context, method string, in, out any) error {
 	return a.CallFor(ctx, a.fleet.Timeout, method, in, out)
 }
 
-// CallFor is Call with a time of its own.
+// CallFor is Call with a timeout of its own.
 func (a *Agent) CallFor(ctx context.Context, limit time.Duration, method string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	for again := true; ; again = false {
+	for mayRetry := true; ; mayRetry = false {
 		conn, fresh, err := a.connect(ctx)
 		if err != nil {
 			return a.callError(err)
@@ -69,20 +79,21 @@
 			a.markSeen()
 			return nil
 		}
-		if said, ok := errors.AsType[*msgpackrpc.RemoteError](err); ok {
+		if remote, ok := errors.AsType[*msgpackrpc.RemoteError](err); ok {
 			a.markSeen()
-			if refusal, ok := errors.AsType[*api.Error](connect.RejectionReason(err)); ok {
-				return refusal
+			if rejection, ok := errors.AsType[*api.Error](connect.RejectionReason(err)); ok {
+				return rejection
 			}
-			return api.Errorf(api.Internal, "host %s: %v", a.Host.Name, said)
+			return api.Errorf(api.Internal, "host %s: %v", a.Host.Name, remote)
 		}
 		a.dropConnection(conn)
-		if fresh || !again || ctx.Err() != nil {
+		if fresh || !mayRetry || ctx.Err() != nil {
 			return a.callError(err)
 		}
 	}
 }
 
+// callError returns the error of a call that got no answer.
 func (a *Agent) callError(err error) error {
 	if e, ok := errors.AsType[*api.Error](err); ok {
 		return e
@@ -90,12 +101,14 @@
 	return &UnreachableError{Host: a.Host.Name, Err: err}
 }
 
+// markSeen records that the agent has answered.
 func (a *Agent) markSeen() {
 	a.seenMu.Lock()
 	defer a.seenMu.Unlock()
 	a.seen = time.Now()
 }
 
+// dropConnection closes a connection and forgets it, unless it has been replaced.
 func (a *Agent) dropConnection(conn *msgpackrpc.Client) {
 	a.mu.Lock()
 	if a.conn == conn {
@@ -105,7 +118,10 @@
 	conn.Close()
 }
 
-// connect returns the open connection or makes one; fresh if it was made now.
+// maxMessage bounds a message of an agent, in bytes.
+const maxMessage = 4 << 20
+
+// connect returns the open connection or a new one. fresh says that it is new.
 func (a *Agent) connect(ctx context.Context) (conn *msgpackrpc.Client, fresh bool, err error) {
 	select {
 	case a.dialSlot <- struct{}{}:
@@ -120,7 +136,7 @@
 		return conn, false, nil
 	}
 	target := connect.Target{Agent: a.Host.Name, Address: a.Host.Address, TLS: a.fleet.tls}
-	conn, err = connect.Dial(ctx, target, a.fleet.Who, msgpackrpc.Limits{Message: 4 << 20, Send: a.fleet.Timeout})
+	conn, err = connect.Dial(ctx, target, a.fleet.Who, msgpackrpc.Limits{Message: maxMessage, Send: a.fleet.Timeout})
 	if err != nil {
 		return nil, false, err
 	}
--- a/internal/fleet/control/client/events.go
+++ b/internal/fleet/control/client/events.go
@@ -6,18 +6,36 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
-// Event is something that an operator may want to see while an operation runs.
+// Kinds of events.
+const (
+	EventBegin   = "begin"   // a step starts
+	EventOK      = "ok"      // an instance was changed or rolled back
+	EventFailed  = "failed"  // a step failed
+	EventSilent  = "silent"  // a host does not answer
+	EventAnswers = "answers" // a silent host answers again
+	EventNote    = "note"    // a message in Text
+
+	// Of staged changes.
+	EventStage   = "stage"   // a stage starts or the last one has passed
+	EventVerdict = "verdict" // the verdict of the canary analysis has changed
+	EventWait    = "wait"    // the change waits for evidence
+	EventHold    = "hold"    // the change waits for an operator
+	EventWorse   = "worse"   // the change does harm and is rolled back
+)
+
+// Event is a change that an operator may want to see while an operation runs.
 type Event struct {
 	At       time.Time `json:"at"`
-	Kind     string    `json:"kind"` // begin, ok, failed, silent, answers, note; of stages: stage, verdict, wait, hold, worse
+	Kind     string    `json:"kind"` // one of the Event constants
 	Host     string    `json:"host,omitempty"`
 	Instance string    `json:"instance,omitempty"`
 	Step     string    `json:"step,omitempty"`
 	Text     string    `json:"text,omitempty"`
-	Done     int       `json:"done"` // targets that have come to their end
-	Of       int       `json:"of"`
+	Done     int       `json:"done"` // targets that are finished
+	Of       int       `json:"of"`   // all targets
 }
 
+// notify completes an event and passes it to the caller of the run.
 func (r *runner) notify(e Event) {
 	if r.options.Progress == nil {
 		return
@@ -31,7 +49,7 @@
 	r.options.Progress(e)
 }
 
-// notifyChanges tells what has changed.
+// notifyChanges reports the targets whose state has changed.
 func (r *runner) notifyChanges() {
 	for i, t := range r.machine.Targets() {
 		if r.shownStates[i] == t.State {
@@ -41,9 +59,9 @@
 		kind := ""
 		switch t.State {
 		case rollout.Changed, rollout.RolledBack:
-			kind = "ok"
+			kind = EventOK
 		case rollout.Failed, rollout.RollbackFailed:
-			kind = "failed"
+			kind = EventFailed
 		}
 		if kind != "" {
 			r.notify(Event{Kind: kind, Host: t.Host, Instance: t.Instance, Step: string(t.State), Text: t.Reason})
--- a/internal/fleet/control/client/find.go
+++ b/internal/fleet/control/client/find.go
@@ -10,25 +10,27 @@
 	"martendrum/internal/fleet/api"
 )
 
-// Find looks for an operation at all hosts.
-func (f *Fleet) Find(ctx context.Context, id string) (op api.Operation, outs map[string]*api.OpOut, errs map[string]error) {
-	outs, errs = make(map[string]*api.OpOut), make(map[string]error)
+// find looks for an operation at all hosts. It returns the operation, its status by host, and the
+// errors of the hosts that have none to show.
+func (f *Fleet) find(ctx context.Context, id string) (operation api.Operation, statuses map[string]*api.OpOut, errs map[string]error) {
+	statuses, errs = make(map[string]*api.OpOut), make(map[string]error)
 	var mu sync.Mutex
 	ForEach(f.Agents, func(_ int, a *Agent) error {
-		out := &api.OpOut{}
-		err := a.Call(ctx, api.OpStatus, &api.StatusIn{Op: id}, out)
+		status := &api.OpOut{}
+		err := a.Call(ctx, api.OpStatus, &api.StatusIn{Op: id}, status)
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
 			errs[a.Host.Name] = err
 			return nil
 		}
-		outs[a.Host.Name], op = out, out.Operation
+		statuses[a.Host.Name], operation = status, status.Operation
 		return nil
 	})
-	return op, outs, errs
+	return operation, statuses, errs
 }
 
+// notFound returns the error for an operation that no host has.
 func notFound(id string, errs map[string]error) error {
 	for _, err := range errs {
 		if errors.As(err, new(*UnreachableError)) {
@@ -38,9 +40,10 @@
 	return api.Errorf(api.NoOperation, "operation %s is known at no host", id)
 }
 
-func targetHosts(op *api.Operation) (out []string) {
+// targetHosts returns the names of an operation's hosts, sorted.
+func targetHosts(operation *api.Operation) (out []string) {
 	seen := make(map[string]bool)
-	for _, t := range op.Targets {
+	for _, t := range operation.Targets {
 		if !seen[t.Host] {
 			seen[t.Host] = true
 			out = append(out, t.Host)
@@ -50,18 +53,18 @@
 	return out
 }
 
-// Abort stops an operation at every host that has it. Steps under way come to
-// their end; nothing new is begun.
+// Abort stops an operation at every host that has it: running steps finish and no new ones start.
+// It returns the errors by host.
 func (f *Fleet) Abort(ctx context.Context, id string) (map[string]error, error) {
-	op, outs, errs := f.Find(ctx, id)
-	if len(outs) == 0 {
+	operation, statuses, errs := f.find(ctx, id)
+	if len(statuses) == 0 {
 		return nil, notFound(id, errs)
 	}
 	failed := make(map[string]error)
-	for _, host := range targetHosts(&op) {
+	for _, host := range targetHosts(&operation) {
 		a := f.Agent(host)
 		err := errs[host]
-		if a != nil && outs[host] != nil {
+		if a != nil && statuses[host] != nil {
 			err = a.Call(ctx, api.OpAbort, &api.AbortIn{Op: id}, nil)
 		}
 		if e, ok := errors.AsType[*api.Error](err); ok && e.Code == api.NoOperation {
--- a/internal/fleet/control/client/fleet.go
+++ b/internal/fleet/control/client/fleet.go
@@ -11,26 +11,26 @@
 	"martendrum/internal/fleet/pki"
 )
 
-// Fleet is all hosts of an inventory.
+// Fleet is the agents of all hosts of an inventory.
 type Fleet struct {
 	Agents  []*Agent
 	Timeout time.Duration // of one call
-	Who     string        // for the audit logs
+	Who     string        // the operator, for the audit logs
 
 	tls *tls.Config
 }
 
-// New returns a fleet; it opens no connection yet. Close ends those it opens.
-func New(v *inventory.Inventory, who string) (*Fleet, error) {
-	f := &Fleet{Timeout: time.Duration(v.Timeout), Who: who}
-	if v.TLS.Cert != "" {
+// New returns a fleet, without connecting. The caller ends its connections with Close.
+func New(hosts *inventory.Inventory, who string) (*Fleet, error) {
+	f := &Fleet{Timeout: time.Duration(hosts.Timeout), Who: who}
+	if hosts.TLS.Cert != "" {
 		var err error
-		if f.tls, err = pki.TLS(v.TLS.CA, v.TLS.Cert, v.TLS.Key); err != nil {
+		if f.tls, err = pki.TLS(hosts.TLS.CA, hosts.TLS.Cert, hosts.TLS.Key); err != nil {
 			return nil, err
 		}
 	}
-	for _, h := range v.Hosts {
-		f.Agents = append(f.Agents, &Agent{Host: h, fleet: f, dialSlot: make(chan struct{}, 1)})
+	for _, host := range hosts.Hosts {
+		f.Agents = append(f.Agents, &Agent{Host: host, fleet: f, dialSlot: make(chan struct{}, 1)})
 	}
 	return f, nil
 }
@@ -57,17 +57,17 @@
 	return nil
 }
 
-// HostState is a host as a list shows it.
+// HostState is a host and its selected instances.
 type HostState struct {
 	Host       inventory.Host `json:"host"`
-	Error      string         `json:"error,omitempty"` // it gave no answer
+	Error      string         `json:"error,omitempty"` // why it did not answer
 	Unwritable string         `json:"unwritable,omitempty"`
-	Returning  string         `json:"returning,omitempty"` // from a power loss: how far it is
-	Epoch      int64          `json:"epoch,omitempty"`     // its last loss, of late
+	Returning  string         `json:"returning,omitempty"` // progress of a return from a power loss
+	Epoch      int64          `json:"epoch,omitempty"`     // of its latest power loss, if recent
 	Instances  []api.Instance `json:"instances"`
 }
 
-// List asks all hosts that may have selected instances. Those that don't answer
+// List returns the state of all hosts that may have selected instances. Hosts that don't answer
 // are in the list, with an error.
 func (f *Fleet) List(ctx context.Context, sel *inventory.Select) []HostState {
 	var agents []*Agent
@@ -79,13 +79,13 @@
 	out := make([]HostState, len(agents))
 	ForEach(agents, func(n int, a *Agent) error {
 		out[n].Host = a.Host
-		var l api.ListOut
-		if err := a.Call(ctx, api.List, api.Empty{}, &l); err != nil {
+		var list api.ListOut
+		if err := a.Call(ctx, api.List, api.Empty{}, &list); err != nil {
 			out[n].Error = err.Error()
 			return err
 		}
-		out[n].Unwritable, out[n].Returning, out[n].Epoch = l.Unwritable, l.Returning, l.Epoch
-		for _, i := range l.Instances {
+		out[n].Unwritable, out[n].Returning, out[n].Epoch = list.Unwritable, list.Returning, list.Epoch
+		for _, i := range list.Instances {
 			if sel.Fits(a.Host, &i) {
 				out[n].Instances = append(out[n].Instances, i)
 			}
@@ -95,7 +95,7 @@
 	return out
 }
 
-// ForEach calls do for each agent, many at once, and returns the errors in order.
+// ForEach calls do for each agent concurrently and returns the errors in the order of the agents.
 func ForEach(agents []*Agent, do func(n int, a *Agent) error) []error {
 	errs := make([]error, len(agents))
 	slots := make(chan struct{}, maxConcurrentCalls)
@@ -111,5 +111,5 @@
 	return errs
 }
 
-// maxConcurrentCalls is how many agents are asked at once.
+// maxConcurrentCalls bounds the agents that ForEach calls at a time.
 const maxConcurrentCalls = 64
--- a/internal/fleet/control/client/replay.go
+++ b/internal/fleet/control/client/replay.go
@@ -8,19 +8,19 @@
 	"martendrum/internal/fleet/canary"
 )
 
-// Replay judges a staged change again from the figures that its agents still keep, a
-// slot after the other, up to where its note stands. Hosts that don't answer are left
-// out, and named.
-func (f *Fleet) Replay(ctx context.Context, rep *Report) (series []canary.Judgement, missing []string, err error) {
-	spec, note := rep.Operation.Staged, rep.Stages
+// Replay repeats the canary analysis of a staged change, slot by slot up to its note, from the
+// metrics that its agents still retain. Hosts that don't answer are left out and returned as
+// missing.
+func (f *Fleet) Replay(ctx context.Context, report *Report) (series []canary.Judgement, missing []string, err error) {
+	spec, note := report.Operation.Staged, report.Stages
 	if spec == nil || note == nil || note.State.Stage == 0 {
-		return nil, nil, fmt.Errorf("operation %s has no stage that was judged", rep.Operation.ID)
+		return nil, nil, fmt.Errorf("operation %s has no stage that was judged", report.Operation.ID)
 	}
-	e, err := newEvidence(&rep.Operation, note.Start)
+	e, err := newEvidence(&report.Operation, note.Start)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, host := range targetHosts(&rep.Operation) {
+	for _, host := range targetHosts(&report.Operation) {
 		a := f.Agent(host)
 		if a == nil {
 			missing = append(missing, host)
--- a/internal/fleet/control/client/report.go
+++ b/internal/fleet/control/client/report.go
@@ -11,33 +11,34 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
-// InstanceResult is one instance in a report.
+// InstanceResult is the outcome for one instance.
 type InstanceResult struct {
 	Host     string        `json:"host"`
 	Instance string        `json:"instance"`
 	Outcome  rollout.State `json:"outcome"`
 	Reason   string        `json:"reason,omitempty"`
-	// What is known of the instance itself; if Unknown, as it was last seen.
-	Unknown  string        `json:"unknown,omitempty"` // since when and why it is not known now
+	// Unknown says since when and why the state of the instance is unknown, "" if it is known.
+	// The fields below are then as last seen.
+	Unknown  string        `json:"unknown,omitempty"`
 	LastSeen time.Time     `json:"last_seen,omitzero"`
 	State    *api.Instance `json:"state,omitempty"`
 	Steps    []api.Step    `json:"steps,omitempty"`
 }
 
-// Report is what became of an operation: each of its instances exactly once.
+// Report is the outcome of an operation. It has each of its instances exactly once.
 type Report struct {
 	Operation   api.Operation    `json:"operation"`
-	Result      string           `json:"result"` // as package rollout has them; "open" while it is
+	Result      string           `json:"result"` // one of package rollout; "open" while the operation is
 	Why         string           `json:"why,omitempty"`
 	LeaseHolder string           `json:"holder,omitempty"`
 	Rows        []InstanceResult `json:"rows"`
 	Notes       []string         `json:"notes,omitempty"`
-	// Of a staged change: where it stands, and what was last known of it.
+	// Stages is the progress of a staged change and Judgement its latest canary analysis.
 	Stages    *api.Note         `json:"stages,omitempty"`
 	Judgement *canary.Judgement `json:"judgement,omitempty"`
 }
 
-// OK says that all went as asked, and is known to have.
+// OK says that the operation succeeded and that the state of every instance is known.
 func (r *Report) OK() bool {
 	if r.Result != rollout.Succeeded {
 		return false
@@ -50,13 +51,13 @@
 	return true
 }
 
-// finish closes the operation where that can be done, and reports.
+// finish closes the operation at the hosts that answer, unless it has to stay open, and returns
+// the report.
 func (r *runner) finish(ctx context.Context) *Report {
 	result := r.machine.Result()
 	if r.previousResult != "" {
 		result = r.previousResult
 	}
-	// The last word of each host, and the end of the operation there.
 	var agents []*Agent
 	for _, host := range r.hostNames {
 		if r.hostRuns[host].givenUp || !r.hostRuns[host].silentSince.IsZero() {
@@ -84,21 +85,21 @@
 		r.takeStatus(p, out)
 		return nil
 	})
-	rep := r.report()
-	rep.Result = result
+	report := r.report()
+	report.Result = result
 	if result == "" {
-		rep.Result = "interrupted"
-		rep.Notes = append(rep.Notes, fmt.Sprintf("the operation stays open: `martendrum resume %s` goes on with it, `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
+		report.Result = "interrupted"
+		report.Notes = append(report.Notes, fmt.Sprintf("the operation stays open: `martendrum resume %s` goes on with it, `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
 	}
 	if result == rollout.Paused {
-		rep.Notes = append(rep.Notes, fmt.Sprintf("`martendrum resume %s` goes on once the cause is mended, `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
+		report.Notes = append(report.Notes, fmt.Sprintf("`martendrum resume %s` goes on once the cause is mended, `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
 	}
-	return rep
+	return report
 }
 
-// report makes a report of what is known now.
+// report returns a report of the current state.
 func (r *runner) report() *Report {
-	rep := &Report{Operation: r.operation, Result: r.machine.Result(), Why: r.machine.Why(), Notes: r.notes}
+	report := &Report{Operation: r.operation, Result: r.machine.Result(), Why: r.machine.Why(), Notes: r.notes}
 	for _, t := range r.machine.Targets() {
 		p := r.hostRuns[t.Host]
 		row := InstanceResult{Host: t.Host, Instance: t.Instance, Outcome: t.State, Reason: t.Reason, LastSeen: p.agent.Seen()}
@@ -117,26 +118,26 @@
 				}
 			}
 		}
-		rep.Rows = append(rep.Rows, row)
+		report.Rows = append(report.Rows, row)
 	}
 	if r.staged != nil {
-		rep.Stages, rep.Judgement = &r.staged.note, &r.staged.judgement
+		report.Stages, report.Judgement = &r.staged.note, &r.staged.judgement
 	}
-	return rep
+	return report
 }
 
-// Report tells what the agents' records say of an operation.
+// Report returns the report of an operation from the agents' records, without changing it.
 func (f *Fleet) Report(ctx context.Context, id string) (*Report, error) {
-	op, outs, errs := f.Find(ctx, id)
-	if len(outs) == 0 {
+	operation, statuses, errs := f.find(ctx, id)
+	if len(statuses) == 0 {
 		return nil, notFound(id, errs)
 	}
-	r, err := f.newRunner(op, Options{})
+	r, err := f.newRunner(operation, Options{})
 	if err != nil {
 		return nil, err
 	}
 	result, holder := "", ""
-	for host, out := range outs {
+	for host, out := range statuses {
 		if p := r.hostRuns[host]; p != nil {
 			r.takeStatus(p, out)
 			if out.State != api.OpClosed {
@@ -155,8 +156,8 @@
 			r.machine.Silent(host, e.Error())
 		}
 	}
-	rep := r.report()
-	rep.Result, rep.LeaseHolder, rep.Why = result, holder, ""
-	rep.Stages = latestNote(outs)
-	return rep, nil
+	report := r.report()
+	report.Result, report.LeaseHolder, report.Why = result, holder, ""
+	report.Stages = latestNote(statuses)
+	return report, nil
 }
--- a/internal/fleet/control/client/resume.go
+++ b/internal/fleet/control/client/resume.go
@@ -8,73 +8,92 @@
 	"martendrum/internal/fleet/api"
 )
 
-// Resume goes on with an operation where it stood, as the agents' records tell.
-// Hosts that don't answer are unknown until they do.
-func (f *Fleet) Resume(ctx context.Context, id string, opt Options) (*Report, error) {
-	op, outs, errs := f.Find(ctx, id)
-	if len(outs) == 0 {
+// Resume continues an operation from what the agents have recorded. The targets of hosts that
+// don't answer are unknown until they do.
+func (f *Fleet) Resume(ctx context.Context, id string, options Options) (*Report, error) {
+	operation, statuses, errs := f.find(ctx, id)
+	if len(statuses) == 0 {
 		return nil, notFound(id, errs)
 	}
-	if op.Policy.OnFailure == api.OnFailurePause {
-		// Going on after a pause means to: what has failed by now is counted no more.
-		op.Policy.Canaries = 0
-		for _, out := range outs {
-			for _, s := range out.Steps {
-				if s.Status == api.StepFailed {
-					op.Policy.MaxFailures++
-				}
-			}
-		}
+	if operation.Policy.OnFailure == api.OnFailurePause {
+		forgiveFailures(&operation, statuses)
 	}
-	r, err := f.newRunner(op, opt)
+	r, err := f.newRunner(operation, options)
 	if err != nil {
 		return nil, err
 	}
+	if err := r.reopen(ctx, statuses, errs); err != nil {
+		return nil, err
+	}
+	for host, status := range statuses {
+		if p := r.hostRuns[host]; p != nil {
+			r.takeStatus(p, status)
+		}
+	}
+	if r.previousResult != "" {
+		r.machine.Abort("it had ended: " + r.previousResult)
+	}
+	if err := r.resumeStages(statuses); err != nil {
+		return nil, err
+	}
+	return r.run(ctx)
+}
+
+// forgiveFailures allows the failures that a paused operation already has: whoever resumes it
+// accepts them. Its canaries have served their purpose.
+func forgiveFailures(operation *api.Operation, statuses map[string]*api.OpOut) {
+	operation.Policy.Canaries = 0
+	for _, status := range statuses {
+		for _, s := range status.Steps {
+			if s.Status == api.StepFailed {
+				operation.Policy.MaxFailures++
+			}
+		}
+	}
+}
+
+// reopen opens the operation at every host where it is not closed. Hosts that don't answer are
+// left to follow.
+func (r *runner) reopen(ctx context.Context, statuses map[string]*api.OpOut, errs map[string]error) error {
+	id := r.operation.ID
 	open := 0
 	for _, host := range r.hostNames {
-		p, out := r.hostRuns[host], outs[host]
-		if out != nil && out.State == api.OpClosed {
-			p.status = out
-			r.previousResult = out.Result
+		p, status := r.hostRuns[host], statuses[host]
+		if status != nil && status.State == api.OpClosed {
+			p.status = status
+			r.previousResult = status.Result
 			continue
 		}
 		if e, ok := errors.AsType[*api.Error](errs[host]); ok && e.Code != api.NoOperation {
-			return nil, e
+			return e
 		}
-		if out != nil && out.State == api.OpAborting {
-			return nil, fmt.Errorf("operation %s is being aborted at host %s", id, host)
+		if status != nil && status.State == api.OpAborting {
+			return fmt.Errorf("operation %s is being aborted at host %s", id, host)
 		}
 		open++
-		var got api.OpenOut
-		err := p.agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: opt.LeaseHolder, TTL: opt.TTL}, &got)
-		if errors.As(err, new(*UnreachableError)) {
-			continue // its follower tries again
-		}
-		if err != nil {
-			return nil, err
+		if err := r.open(ctx, p); err != nil && !errors.As(err, new(*UnreachableError)) {
+			return err
 		}
-		p.token = got.Token
 	}
 	if open == 0 {
-		return nil, fmt.Errorf("operation %s has ended everywhere: %s; see `martendrum report %s`", id, r.previousResult, id)
+		return fmt.Errorf("operation %s has ended everywhere: %s; see `martendrum report %s`", id, r.previousResult, id)
 	}
-	for host, out := range outs {
-		if p := r.hostRuns[host]; p != nil {
-			r.takeStatus(p, out)
-		}
+	return nil
+}
+
+// resumeStages continues a staged change from its latest note, and releases its hold if the
+// operator asks for that.
+func (r *runner) resumeStages(statuses map[string]*api.OpOut) error {
+	if r.operation.Staged == nil {
+		return nil
 	}
-	if r.previousResult != "" {
-		r.machine.Abort("it had ended: " + r.previousResult)
+	if err := r.setUpStages(latestNote(statuses)); err != nil {
+		return err
 	}
-	if op.Staged != nil {
-		if err := r.setUpStages(latestNote(outs)); err != nil {
-			return nil, err
-		}
-		if opt.Release {
-			if err := r.staged.release(); err != nil {
-				return nil, fmt.Errorf("operation %s can't go on: %w", id, err)
-			}
+	if r.options.Release {
+		if err := r.staged.release(); err != nil {
+			return fmt.Errorf("operation %s can't go on: %w", r.operation.ID, err)
 		}
 	}
-	return r.run(ctx)
+	return nil
 }
--- a/internal/fleet/control/client/run_events.go
+++ b/internal/fleet/control/client/run_events.go
@@ -9,23 +9,24 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
+// handleEvent takes the answer of a host.
 func (r *runner) handleEvent(e hostEvent) {
 	p := r.hostRuns[e.host]
-	apiErr, said := errors.AsType[*api.Error](e.err)
+	apiErr, answered := errors.AsType[*api.Error](e.err)
 	if e.isStep {
 		delete(p.stepCalls, e.target)
 	}
 	switch {
 	case e.isStep && e.err == nil:
 		if p.pendingSteps[e.target] != e.kind {
-			return // a status of the host, later than this answer, has told already
+			return // a later status of the host has already brought the outcome
 		}
 		delete(p.pendingSteps, e.target)
 		r.machine.Recall(e.target, e.kind, e.result.Status, e.result.Reason)
-	case e.isStep && !said:
-		// It may have been begun: the host's next status tells, or it is asked again.
+	case e.isStep && !answered:
+		// The step may have started: the host's next status shows it, or the call is repeated.
 	case e.isStep && apiErr.Code == api.Fenced:
-		// The follower finds out who holds it, or takes it again.
+		// follow acquires the leases again, or finds out who holds them.
 	case e.isStep && apiErr.Code == api.Closed:
 		r.machine.Abort(apiErr.Message)
 		delete(p.pendingSteps, e.target)
@@ -35,26 +36,27 @@
 		r.machine.Done(e.target, e.kind, false, apiErr.Message)
 	case e.err == nil:
 		r.handleStatus(p, e.status)
-	case said:
-		// Another has it, or it has ended: nothing may be changed from here.
+	case answered:
+		// Somebody else holds the leases, or the operation is closed.
 		r.loseHost(p, apiErr)
 	case p.silentSince.IsZero():
 		p.silentSince = time.Now()
 		r.machine.Silent(e.host, r.unknownSince(p))
-		r.notify(Event{Kind: "silent", Host: e.host, Text: e.err.Error()})
+		r.notify(Event{Kind: EventSilent, Host: e.host, Text: e.err.Error()})
 	}
 }
 
+// loseHost ends the run at a host whose leases this run can't hold any more, and with it the run.
 func (r *runner) loseHost(p *hostRun, e *api.Error) {
 	if e.Code == api.Unwritable {
-		return // it answers, and can't be written to: its steps say so
+		return // the host answers; its steps report that its record can't be written
 	}
 	r.machine.Abort(e.Message)
 	for i, kind := range p.pendingSteps {
 		delete(p.pendingSteps, i)
 		r.machine.Done(i, kind, false, e.Message)
 	}
-	// What runs there is another's to follow.
+	// Its state is no longer followed, as if it did not answer.
 	if p.silentSince.IsZero() {
 		p.silentSince = time.Now()
 		r.machine.Silent(p.agent.Host.Name, e.Message)
@@ -63,6 +65,7 @@
 	p.givenUp = true
 }
 
+// unknownSince says since when the state of a host is unknown.
 func (r *runner) unknownSince(p *hostRun) string {
 	seen := "never seen"
 	if t := p.agent.Seen(); !t.IsZero() {
@@ -71,19 +74,19 @@
 	return fmt.Sprintf("unknown since %s, %s", p.silentSince.Format(time.RFC3339), seen)
 }
 
-// handleStatus takes a host's state.
+// handleStatus takes the status of a host that answers.
 func (r *runner) handleStatus(p *hostRun, out *api.OpOut) {
 	host := p.agent.Host.Name
 	if !p.silentSince.IsZero() {
 		p.silentSince, p.givenUp = time.Time{}, false
 		r.machine.Answers(host)
-		r.notify(Event{Kind: "answers", Host: host})
+		r.notify(Event{Kind: EventAnswers, Host: host})
 	}
 	r.takeStatus(p, out)
 	if out.State != api.OpOpened {
 		r.machine.Abort(fmt.Sprintf("operation %s is %s at host %s", r.operation.ID, out.State, host))
 	}
-	// Steps that were asked for and are not on record never came.
+	// Steps that were called for and are not in the record never started.
 	for i, kind := range p.pendingSteps {
 		if out.State == api.OpOpened {
 			r.startStep(rollout.Action{Target: i, Kind: kind})
@@ -94,7 +97,7 @@
 	}
 }
 
-// takeStatus takes over what a host's record says.
+// takeStatus applies a host's steps and the states of its instances to the rollout.
 func (r *runner) takeStatus(p *hostRun, out *api.OpOut) {
 	p.status = out
 	host := p.agent.Host.Name
@@ -115,14 +118,15 @@
 	}
 }
 
-// giveUpSilent ends what has been waited for for long enough.
+// giveUpSilent gives up hosts that have been silent for longer than Options.GiveUp, and a rollout
+// in which nothing has changed for as long.
 func (r *runner) giveUpSilent() {
 	for _, host := range r.hostNames {
 		p := r.hostRuns[host]
 		if !p.silentSince.IsZero() && !p.givenUp && time.Since(p.silentSince) > r.options.GiveUp {
-			p.givenUp, r.lastChange = true, time.Now() // others may go on now
+			p.givenUp, r.lastChange = true, time.Now() // other targets may start now
 			r.machine.GiveUp(host)
-			r.notify(Event{Kind: "note", Host: host, Text: "waited for no longer: " + r.unknownSince(p)})
+			r.notify(Event{Kind: EventNote, Host: host, Text: "waited for no longer: " + r.unknownSince(p)})
 		}
 	}
 	if time.Since(r.lastChange) > r.options.GiveUp {
--- a/internal/fleet/control/client/settings.go
+++ b/internal/fleet/control/client/settings.go
@@ -12,7 +12,7 @@
 // RelayLabel is the label, with the value "true", of the inventory's hosts that are relays.
 const RelayLabel = "relay"
 
-// NoRelayError says that the inventory names no relay to ask.
+// NoRelayError reports an inventory without a relay.
 type NoRelayError struct{}
 
 // Error implements error.
@@ -23,7 +23,7 @@
 	return `name one with --relay, or give the relays' hosts the label relay = "true"`
 }
 
-// relays are the named host, or all that the inventory labels as relays.
+// relays returns the agent of the named host, or for "" those that the inventory labels as relays.
 func (f *Fleet) relays(name string) ([]*Agent, error) {
 	if name != "" {
 		agent := f.Agent(name)
@@ -45,7 +45,7 @@
 	return relays, nil
 }
 
-// writer asks the relays who writes the settings; the highest epoch counts.
+// writer returns the writer of the settings with the highest epoch that the relays know.
 func (f *Fleet) writer(ctx context.Context, relay string) (*Agent, error) {
 	relays, err := f.relays(relay)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return nil, fmt.Errorf("the settings' writer is %s, which is not in the inventory", known.Writer)
 }
 
-// Publish makes a change of the distributed settings. relay names a relay to ask for the
-// writer, "" for any. A change that may have been made is made again with the same result.
+// Publish changes the distributed settings. relay names the relay that knows the writer, "" for any.
+// It is idempotent: a change that may have been made can be published again.
 func (f *Fleet) Publish(ctx context.Context, relay string, put distribution.Put) (*api.SettingsPutOut, error) {
 	writer, err := f.writer(ctx, relay)
 	if err != nil {
@@ -99,8 +99,7 @@
 	return out, nil
 }
 
-// Resources returns the wanted settings whose names begin with a prefix, as the writer has
-// them.
+// Resources returns the writer's revision and its resources whose names start with a prefix.
 func (f *Fleet) Resources(ctx context.Context, relay, prefix string) (distribution.Revision, []distribution.Resource, error) {
 	writer, err := f.writer(ctx, relay)
 	if err != nil {
@@ -121,9 +120,10 @@
 	}
 }
 
-// InForce says how far a revision is, by the writer's word, or by that of the named relay of
-// its own subscribers; zero is the latest. Where the writer does not answer, the relays that
-// do are added up, and Complete is false: hosts of relays that are silent are not known.
+// InForce returns the progress of a revision, zero for the latest, as the writer knows it. A relay
+// that is named answers for its own subscribers instead. If the writer does not answer, the
+// result is the sum over the relays that do, and Complete is false: the hosts of the other relays
+// are unknown.
 func (f *Fleet) InForce(ctx context.Context, relay string, revision distribution.Revision, limit int) (*api.SettingsStatusOut, error) {
 	in := &api.SettingsStatusIn{Revision: revision, Limit: limit}
 	relays, err := f.relays(relay)
--- a/internal/fleet/control/client/staged.go
+++ b/internal/fleet/control/client/staged.go
@@ -8,25 +8,25 @@
 	"martendrum/internal/fleet/stage"
 )
 
-// staged carries out a change in stages: it gathers figures of all hosts, has them
-// judged, and opens the targets of a stage once the one before has passed. What is
-// decided, it writes down at the agents before it acts on it.
+// staged runs a staged change: it collects the metrics of all hosts, evaluates them, and opens the
+// targets of the next stage once a stage has passed. Decisions are recorded at the agents before
+// they take effect.
 type staged struct {
 	*evidence
 	runner          *runner
 	machine         *stage.Machine
-	judgement       canary.Judgement
+	judgement       canary.Judgement // the latest
 	sources         map[string]*source
 	note            api.Note
-	notePending     bool   // the note is to be written before anything is done on it
-	noteInFlight    bool   // it is being written
-	notifiedVerdict string // verdict last told
+	notePending     bool   // the note must be recorded before its decisions take effect
+	noteInFlight    bool   // the note is being written
+	notifiedVerdict string // of the latest event
 }
 
-// setUpStages sets a staged change up at the latest note that any host has.
+// setUpStages prepares a staged change. It continues from a note; nil is the start.
 func (r *runner) setUpStages(note *api.Note) error {
 	spec := r.operation.Staged
-	start := spec.Judge.MaxSlots // all is past so far
+	start := spec.Judge.MaxSlots // until the first stage starts, all slots are before it
 	s := &staged{runner: r, sources: make(map[string]*source)}
 	if note != nil {
 		s.note = *note
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// openTargets lets the rollout begin what the stages allow.
+// openTargets opens the targets that the stages allow to the rollout, and rolls back a change that
+// does harm.
 func (s *staged) openTargets() {
 	state := s.machine.State()
 	s.runner.machine.Open(s.machine.Open(), state.From, !state.Done)
@@ -58,11 +59,11 @@
 	}
 }
 
-// evaluate judges the slots that have passed since the last look.
+// evaluate evaluates the slots that have passed since the last evaluation.
 func (s *staged) evaluate() {
 	slot := s.latestSlot()
 	if s.runner.machine.Why() != "" {
-		return // it was stopped, for this or another reason
+		return // the rollout is being stopped
 	}
 	if slot < 0 || s.noteInFlight || s.notePending || slot <= s.machine.State().Looked {
 		if s.notePending && !s.noteInFlight {
@@ -77,7 +78,13 @@
 		}
 	}
 	before := s.machine.State()
-	changed := s.machine.Look(stage.Look{Slot: slot, HistorySlots: s.judge.CompleteSlots(slot + 1), Judgement: s.judgement, Settled: s.runner.machine.Settled(), Blind: s.missingEvidence()})
+	changed := s.machine.Look(stage.Look{
+		Slot:         slot,
+		HistorySlots: s.judge.CompleteSlots(slot + 1),
+		Judgement:    s.judgement,
+		Settled:      s.runner.machine.Settled(),
+		Blind:        s.missingEvidence(),
+	})
 	state := s.machine.State()
 	if before.Stage == 0 && state.Stage > 0 {
 		s.note.Start = slot + 1
--- a/internal/fleet/control/client/staged_evidence.go
+++ b/internal/fleet/control/client/staged_evidence.go
@@ -9,14 +9,14 @@
 	"martendrum/internal/fleet/canary"
 )
 
-// source is where one host's figures have come to.
+// source is the state of one host's metrics.
 type source struct {
-	lastBoundary int64     // the latest boundary taken over
-	lastMetrics  time.Time // the last answer with figures
-	problem      string    // what is wrong with it
+	lastBoundary int64     // the latest that was received
+	lastMetrics  time.Time // when current metrics were last received
+	problem      string    // why they are not; "": unknown or none
 }
 
-// evidence makes windows of what hosts' agents tell, for a judge.
+// evidence turns the samples of the hosts' agents into windows for the canary analysis.
 type evidence struct {
 	spec        *api.Staged
 	judge       *canary.Judge
@@ -24,7 +24,7 @@
 	differs     []canary.Differ // by place
 }
 
-// newEvidence returns none so far, of an operation whose first stage began at slot start.
+// newEvidence returns empty evidence for an operation whose first stage started at a slot.
 func newEvidence(op *api.Operation, start int) (*evidence, error) {
 	cfg := op.Staged.Judge
 	cfg.Start = start
@@ -39,7 +39,7 @@
 	return e, nil
 }
 
-// add takes a host's samples, in the order of their time. Those told before do no harm.
+// add adds a host's samples, which are in order of time. Duplicates are ignored.
 func (e *evidence) add(host string, samples []api.Sample) {
 	for n := range samples {
 		x := &samples[n]
@@ -53,7 +53,7 @@
 	}
 }
 
-// metricsAnswer is a host's answer to a call for figures.
+// metricsAnswer is a host's answer to a call for its metrics.
 type metricsAnswer struct {
 	host    string
 	metrics *api.MetricsOut
@@ -61,7 +61,7 @@
 	sent    time.Time
 }
 
-// collectMetrics asks one host for its figures, a slot after the other.
+// collectMetrics polls one host for its metrics until the run ends.
 func (s *staged) collectMetrics(p *hostRun) {
 	r, slot := s.runner, s.spec.Judge.Slot
 	after := s.spec.First - 1
@@ -80,7 +80,7 @@
 				after = out.Last
 			}
 			if len(out.Samples) > 0 && time.Since(time.Unix(0, out.Last*int64(slot))) > 2*slot {
-				continue // there is more
+				continue // more samples are available
 			}
 		}
 		select {
@@ -91,33 +91,34 @@
 	}
 }
 
-// takeMetrics takes a host's figures over.
+// takeMetrics adds a host's samples to the evidence. Samples by a clock that is off by more than a
+// quarter of a slot are left out.
 func (s *staged) takeMetrics(g metricsAnswer) {
 	h, slot := s.sources[g.host], s.spec.Judge.Slot
 	if g.err != nil {
 		h.problem = g.err.Error()
 		return
 	}
-	// The answer's time lies between the question and now: what is outside is the clock's.
+	// The host's time must lie between the call and now; the rest is the offset of its clock.
 	now, off := time.Now(), time.Duration(0)
 	if g.metrics.Now.Before(g.sent) {
 		off = g.metrics.Now.Sub(g.sent)
 	} else if g.metrics.Now.After(now) {
 		off = g.metrics.Now.Sub(now)
 	}
-	late := off.Abs() > slot/4
-	if !late {
+	clockOff := off.Abs() > slot/4
+	if !clockOff {
 		s.add(g.host, g.metrics.Samples)
 	}
 	for _, x := range g.metrics.Samples {
-		if _, ok := s.targetIndex[api.Target{Host: g.host, Instance: x.Instance}]; ok && late && x.Boundary > h.lastBoundary {
+		if _, ok := s.targetIndex[api.Target{Host: g.host, Instance: x.Instance}]; ok && clockOff && x.Boundary > h.lastBoundary {
 			s.judge.Leave(canary.Clock, 1)
 		}
 	}
 	h.lastBoundary = max(h.lastBoundary, g.metrics.Last)
 	h.problem = ""
 	switch {
-	case late:
+	case clockOff:
 		h.problem = fmt.Sprintf("its clock is %v off this one's", off.Round(time.Millisecond))
 	case g.metrics.Slot != slot:
 		h.problem = fmt.Sprintf("it takes figures each %v, not each %v", g.metrics.Slot, slot)
@@ -126,17 +127,16 @@
 	}
 }
 
-// boundary is the latest one by this clock.
+// boundary returns the latest boundary by the local clock.
 func (s *staged) boundary() int64 { return time.Now().UnixNano() / int64(s.spec.Judge.Slot) }
 
-// latestSlot is the latest slot of which all figures should be there by now.
+// latestSlot returns the latest slot whose metrics should have arrived by now.
 func (s *staged) latestSlot() int {
 	t := time.Now().Add(-s.spec.Judge.Slot * 3 / 2).UnixNano()
 	return int(t/int64(s.spec.Judge.Slot)-s.spec.First) - 1
 }
 
-// missingEvidence says why the evidence is not whole: a host whose changed instances nobody
-// hears of.
+// missingEvidence names a host without current metrics, "" if there is none.
 func (s *staged) missingEvidence() string {
 	var silent []string
 	for host, h := range s.sources {
@@ -156,6 +156,6 @@
 	return ""
 }
 
-// maxSilentSlots is for how many slots a host may be silent before its instances'
-// evidence is held to be missing.
+// maxSilentSlots is the number of slots after which a host without metrics counts as missing
+// evidence.
 const maxSilentSlots = 4
--- a/internal/fleet/control/client/staged_notes.go
+++ b/internal/fleet/control/client/staged_notes.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"time"
 
@@ -11,10 +10,10 @@
 	"martendrum/internal/fleet/stage"
 )
 
-// noteSlots is how often a note is written where only time has passed, in slots.
+// noteSlots is the number of slots after which a note is written if nothing but time has passed.
 const noteSlots = 6
 
-// release is an operator's word to go on; it is written down before it is acted on.
+// release lets a change that is on hold continue, once the note with that decision is recorded.
 func (s *staged) release() error {
 	before := s.machine.State()
 	if err := s.machine.Release(); err != nil {
@@ -25,38 +24,41 @@
 	return nil
 }
 
-// addVerdict keeps a verdict in the note, of which the latest stay.
+// addVerdict adds a verdict to the note, which retains the latest MaxVerdicts.
 func (s *staged) addVerdict(v api.Verdict) {
 	v.At = time.Now().UTC()
 	s.note.Log = append(s.note.Log, v)
 	s.note.Log = s.note.Log[max(0, len(s.note.Log)-api.MaxVerdicts):]
 }
 
-// notify notes a change of what is known, for the report and whoever watches.
+// maxEvidence bounds the lines of evidence in a verdict.
+const maxEvidence = 4
+
+// notify reports a change of the stages' state as an event, and adds it to the note.
 func (s *staged) notify(slot int, before, now stage.State) {
 	kind, text := "", ""
 	switch {
 	case now.Worse != before.Worse:
-		kind, text = "worse", now.Worse
+		kind, text = EventWorse, now.Worse
 	case now.Stage != before.Stage:
-		kind, text = "stage", fmt.Sprintf("stage %d of %d begins: %d of %d instances", now.Stage, len(s.spec.Plan.Upto), s.machine.Open(), len(s.runner.operation.Targets))
+		kind, text = EventStage, fmt.Sprintf("stage %d of %d begins: %d of %d instances", now.Stage, len(s.spec.Plan.Upto), s.machine.Open(), len(s.runner.operation.Targets))
 	case now.Done && !before.Done:
-		kind, text = "stage", "the last stage has passed"
+		kind, text = EventStage, "the last stage has passed"
 	case now.HoldReason != before.HoldReason && now.HoldReason != "":
-		kind, text = "hold", now.HoldReason
+		kind, text = EventHold, now.HoldReason
 	case now.PauseReason != before.PauseReason && now.PauseReason != "":
-		kind, text = "wait", now.PauseReason
+		kind, text = EventWait, now.PauseReason
 	}
 	if kind == "" {
 		if line := string(s.judgement.Verdict); now.Stage > 0 && line != s.notifiedVerdict {
 			s.notifiedVerdict = line
-			s.runner.notify(Event{Kind: "verdict", Text: line})
+			s.runner.notify(Event{Kind: EventVerdict, Text: line})
 		}
 		return
 	}
 	v := api.Verdict{Slot: slot, Stage: now.Stage, Verdict: string(s.judgement.Verdict), Text: text}
 	for n, e := range s.judgement.Evidence {
-		if n == 4 || e.Verdict == canary.NotWorse || kind != "worse" && kind != "hold" {
+		if n == maxEvidence || e.Verdict == canary.NotWorse || kind != EventWorse && kind != EventHold {
 			break
 		}
 		v.Evidence = append(v.Evidence, e.String())
@@ -65,7 +67,7 @@
 	s.runner.notify(Event{Kind: kind, Text: text})
 }
 
-// writeNote writes the note at all hosts at once; it is in force once one has it.
+// writeNote writes the note at all hosts concurrently. One that has it is enough.
 func (s *staged) writeNote() {
 	s.noteInFlight = true
 	s.note.Number++
@@ -83,24 +85,25 @@
 			defer cancel()
 			token := r.hostRuns[a.Host.Name].leaseToken()
 			if token == 0 {
-				return errors.New("not held")
+				return fmt.Errorf("host %s: note not written: no lease is held", a.Host.Name)
 			}
 			return a.Call(ctx, api.OpNote, &api.NoteIn{Op: r.operation.ID, Token: token, Note: note}, nil)
 		})
-		got := 0
+		hosts := 0
 		for _, err := range errs {
 			if err == nil {
-				got++
+				hosts++
 			}
 		}
 		select {
-		case r.notesWritten <- got:
+		case r.notesWritten <- hosts:
 		case <-r.ctx.Done():
 		}
 	})
 }
 
-// noteWritten goes on once the note is at a host, or tries again at the next look.
+// noteWritten opens the targets that the note allows once a host has it. Otherwise the next
+// evaluation writes it again.
 func (s *staged) noteWritten(hosts int) {
 	s.noteInFlight = false
 	if hosts == 0 {
@@ -110,7 +113,7 @@
 	s.openTargets()
 }
 
-// latestNote is the note that went furthest.
+// latestNote returns the note with the highest number, nil if no host has one.
 func latestNote(outs map[string]*api.OpOut) (note *api.Note) {
 	for _, out := range outs {
 		if n := out.Operation.Note; n != nil && (note == nil || n.Number > note.Number) {
--- a/internal/fleet/control/client/upload.go
+++ b/internal/fleet/control/client/upload.go
@@ -11,11 +11,11 @@
 	"martendrum/internal/fleet/release"
 )
 
-// uploadChunk is how many bytes of a release go in one call.
+// uploadChunk bounds the bytes of a release in one call.
 const uploadChunk = 512 << 10
 
-// Upload brings a release to agents, many at once, and goes on where an earlier
-// try left off. sent, if not nil, is told of each agent that has it whole.
+// Upload sends a release to agents concurrently and continues where an earlier attempt stopped.
+// sent, if not nil, is called for each agent that has the complete release.
 func (f *Fleet) Upload(ctx context.Context, agents []*Agent, hash, sidecar, overlay string, sent func(host string)) error {
 	return errors.Join(ForEach(agents, func(_ int, a *Agent) error {
 		if err := a.upload(ctx, hash, sidecar, overlay); err != nil {
@@ -28,13 +28,14 @@
 	})...)
 }
 
+// upload sends the missing parts of a release to the agent and completes it there.
 func (a *Agent) upload(ctx context.Context, hash, sidecar, overlay string) error {
 	var have api.ReleaseOut
 	if err := a.Call(ctx, api.ReleaseStat, &api.ReleaseIn{Release: hash}, &have); err != nil {
 		return err
 	}
 	if have.Have {
-		return a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, &have) // checks it
+		return a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, &have) // verifies it
 	}
 	for _, file := range []struct {
 		name, path string
@@ -50,6 +51,7 @@
 	return a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, &have)
 }
 
+// uploadFile sends a file from an offset on.
 func (a *Agent) uploadFile(ctx context.Context, hash, name, path string, at int64) error {
 	in, err := os.Open(path)
 	if err != nil {
