--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -23,15 +23,15 @@
 	"martendrum/internal/fleet/release"
 )
 
-// rolling is the flags of a rolling change.
-type rolling struct {
-	sel            *inventory.Select
-	all, dry, skip bool
-	batch, unavail string
-	policy         api.Policy
-	ready, soak    time.Duration
-	run            runFlags
-	binary, config string
+// rollingFlags is the flags of a rolling change.
+type rollingFlags struct {
+	selection                    *inventory.Select
+	all, dryRun, skipUnreachable bool
+	batch, maxUnavailable        string
+	policy                       api.Policy
+	ready, soak                  time.Duration
+	run                          runFlags
+	binary, overlay              string
 }
 
 // runFlags is how a command runs an operation.
@@ -45,10 +45,10 @@
 }
 
 func (r *runFlags) options(g *global) client.Options {
-	return client.Options{LeaseHolder: fmt.Sprintf("%s pid %d %s", who(), os.Getpid(), nonce(4)), TTL: r.ttl, GiveUp: r.giveUp, Progress: progress(g)}
+	return client.Options{LeaseHolder: fmt.Sprintf("%s pid %d %s", operatorName(), os.Getpid(), randomHex(4)), TTL: r.ttl, GiveUp: r.giveUp, Progress: progress(g)}
 }
 
-func nonce(n int) string {
+func randomHex(n int) string {
 	b := make([]byte, n)
 	rand.Read(b)
 	return hex.EncodeToString(b)
@@ -81,8 +81,8 @@
 	}
 }
 
-// count reads a number or a percentage of n, of which at least 1 is meant.
-func count(s string, n int) (int, error) {
+// parseCount reads a number or a percentage of n, of which at least 1 is meant.
+func parseCount(s string, n int) (int, error) {
 	if p, ok := strings.CutSuffix(s, "%"); ok {
 		v, err := strconv.ParseFloat(p, 64)
 		if err != nil || !(v > 0 && v <= 100) {
@@ -110,21 +110,21 @@
 
 func changeCommands(g *global) (out []*cobra.Command) {
 	for _, ch := range changes {
-		r := &rolling{}
+		r := &rollingFlags{}
 		c := &cobra.Command{Use: ch.action + " [INSTANCE...]", GroupID: "change", Short: ch.short, Long: ch.long}
 		if ch.action == api.ActUpgrade {
 			c.Example = "  martendrum upgrade --binary ./sidecar --overlay new.json --canaries 1 --batch 10% --soak 30s --all"
 			c.Flags().StringVar(&r.binary, "binary", "", "the sidecar's program (needed)")
-			c.Flags().StringVar(&r.config, "overlay", "", "JSON that is merged over each instance's configuration")
+			c.Flags().StringVar(&r.overlay, "overlay", "", "JSON that is merged over each instance's configuration")
 			c.MarkFlagRequired("binary")
 		}
-		r.sel = selectFlags(c)
+		r.selection = selectFlags(c)
 		f := c.Flags()
 		f.BoolVar(&r.all, "all", false, "all instances of the fleet")
-		f.BoolVar(&r.dry, "dry-run", false, "print the plan and change nothing")
-		f.BoolVar(&r.skip, "skip-unreachable", false, "leave out hosts that don't answer, instead of changing nothing")
+		f.BoolVar(&r.dryRun, "dry-run", false, "print the plan and change nothing")
+		f.BoolVar(&r.skipUnreachable, "skip-unreachable", false, "leave out hosts that don't answer, instead of changing nothing")
 		f.StringVar(&r.batch, "batch", "1", "so many instances at a time, or a percentage")
-		f.StringVar(&r.unavail, "max-unavailable", "", "no more than so many of them unavailable, or a percentage (default: the batch)")
+		f.StringVar(&r.maxUnavailable, "max-unavailable", "", "no more than so many of them unavailable, or a percentage (default: the batch)")
 		f.IntVar(&r.policy.Canaries, "canaries", 0, "so many instances first, and one failure among them is too many")
 		f.IntVar(&r.policy.MaxFailures, "max-failures", 0, "so many may fail; one more stops the change")
 		onFailure := api.OnFailureStop
@@ -135,29 +135,29 @@
 		f.DurationVar(&r.ready, "ready", 30*time.Second, "an instance must be ready within it")
 		f.DurationVar(&r.soak, "soak", 2*time.Second, "and stay so for it")
 		r.run.add(c)
-		c.RunE = func(c *cobra.Command, args []string) error { return g.change(c.Context(), ch.action, r, args) }
+		c.RunE = func(c *cobra.Command, args []string) error { return g.startChange(c.Context(), ch.action, r, args) }
 		out = append(out, c)
 	}
 	return out
 }
 
-func (g *global) change(ctx context.Context, action string, r *rolling, args []string) error {
-	r.sel.Instances = append(r.sel.Instances, args...)
-	if r.sel.Empty() == !r.all {
+func (g *global) startChange(ctx context.Context, action string, r *rollingFlags, args []string) error {
+	r.selection.Instances = append(r.selection.Instances, args...)
+	if r.selection.Empty() == !r.all {
 		return fmt.Errorf("say which instances: their names, --host, --label, --release, --state, or --all alone for every one")
 	}
-	if err := r.sel.Check(); err != nil {
+	if err := r.selection.Check(); err != nil {
 		return err
 	}
-	f, err := g.open()
+	f, err := g.openFleet()
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	op := api.Operation{Action: action, Ready: r.ready, Soak: r.soak, Operator: who(), Created: time.Now().UTC().Truncate(time.Millisecond)}
-	op.ID = op.Created.Format("20060102-150405-") + nonce(3)
+	op := api.Operation{Action: action, Ready: r.ready, Soak: r.soak, Operator: operatorName(), Created: time.Now().UTC().Truncate(time.Millisecond)}
+	op.ID = op.Created.Format("20060102-150405-") + randomHex(3)
 	if action == api.ActUpgrade {
-		if op.Release, err = prepare(r); err != nil {
+		if op.Release, err = hashRelease(r); err != nil {
 			return err
 		}
 	} else if r.policy.OnFailure == api.OnFailureRollback {
@@ -167,13 +167,13 @@
 	if err != nil {
 		return err
 	}
-	spread(op.Targets)
-	if r.policy.Batch, err = count(r.batch, len(op.Targets)); err != nil {
+	spreadOverHosts(op.Targets)
+	if r.policy.Batch, err = parseCount(r.batch, len(op.Targets)); err != nil {
 		return fmt.Errorf("--batch: %w", err)
 	}
 	r.policy.MaxUnavailable = max(r.policy.Batch, r.policy.Canaries)
-	if r.unavail != "" {
-		if r.policy.MaxUnavailable, err = count(r.unavail, len(op.Targets)); err != nil {
+	if r.maxUnavailable != "" {
+		if r.policy.MaxUnavailable, err = parseCount(r.maxUnavailable, len(op.Targets)); err != nil {
 			return fmt.Errorf("--max-unavailable: %w", err)
 		}
 	}
@@ -181,34 +181,34 @@
 	if err := op.Policy.Check(len(op.Targets)); err != nil {
 		return err
 	}
-	if r.dry {
-		return g.plan(&op, states)
+	if r.dryRun {
+		return g.printPlan(&op, states)
 	}
 	if action == api.ActUpgrade {
-		if err := f.Upload(ctx, agents, op.Release, r.binary, r.config, func(host string) {
-			fmt.Fprintf(os.Stderr, "release %s is at %s\n", short(op.Release), host)
+		if err := f.Upload(ctx, agents, op.Release, r.binary, r.overlay, func(host string) {
+			fmt.Fprintf(os.Stderr, "release %s is at %s\n", shortHash(op.Release), host)
 		}); err != nil {
-			return &exitError{exitSome, fmt.Errorf("nothing was changed: %w", err)}
+			return &exitError{exitPartial, fmt.Errorf("nothing was changed: %w", err)}
 		}
 	}
 	fmt.Fprintf(os.Stderr, "operation %s: %s of %d instances\n", op.ID, action, len(op.Targets))
 	rep, err := f.Start(ctx, op, r.run.options(g))
 	if err != nil {
 		if e, ok := errors.AsType[*api.Error](err); ok {
-			return &exitError{exitSome, e}
+			return &exitError{exitPartial, e}
 		}
 		return err
 	}
-	return g.report(rep)
+	return g.printReport(rep)
 }
 
 // targets lists the instances that are meant, and adds them to an operation.
-func (r *rolling) targets(ctx context.Context, f *client.Fleet, op *api.Operation) (states []client.HostState, agents []*client.Agent, err error) {
-	states = f.List(ctx, r.sel)
+func (r *rollingFlags) targets(ctx context.Context, f *client.Fleet, op *api.Operation) (states []client.HostState, agents []*client.Agent, err error) {
+	states = f.List(ctx, r.selection)
 	for _, h := range states {
 		if h.Error != "" {
-			if !r.skip {
-				return nil, nil, &exitError{exitReached, fmt.Errorf("nothing was changed: %s; --skip-unreachable leaves such hosts out", h.Error)}
+			if !r.skipUnreachable {
+				return nil, nil, &exitError{exitUnreachable, fmt.Errorf("nothing was changed: %s; --skip-unreachable leaves such hosts out", h.Error)}
 			}
 			fmt.Fprintf(os.Stderr, "left out: %s\n", h.Error)
 			continue
@@ -221,20 +221,20 @@
 		}
 	}
 	if len(op.Targets) == 0 {
-		return nil, nil, &exitError{exitSome, errors.New("nothing was changed: no instance fits")}
+		return nil, nil, &exitError{exitPartial, errors.New("nothing was changed: no instance fits")}
 	}
 	return states, agents, nil
 }
 
-// prepare reads a release from this machine.
-func prepare(r *rolling) (string, error) {
-	if r.config != "" {
-		b, err := os.ReadFile(r.config)
+// hashRelease reads a release from this machine.
+func hashRelease(r *rollingFlags) (string, error) {
+	if r.overlay != "" {
+		b, err := os.ReadFile(r.overlay)
 		if err == nil {
 			err = release.CheckOverlay(b)
 		}
 		if err != nil {
-			return "", fmt.Errorf("--overlay %s: %w", r.config, err)
+			return "", fmt.Errorf("--overlay %s: %w", r.overlay, err)
 		}
 	}
 	st, err := os.Stat(r.binary)
@@ -244,12 +244,12 @@
 	if err != nil {
 		return "", fmt.Errorf("--binary: %w", err)
 	}
-	return release.Hash(r.binary, r.config)
+	return release.Hash(r.binary, r.overlay)
 }
 
-// spread orders targets so that neighbours are on different hosts: a batch takes
+// spreadOverHosts orders targets so that neighbours are on different hosts: a batch takes
 // little from each.
-func spread(ts []api.Target) {
+func spreadOverHosts(ts []api.Target) {
 	turn := make(map[api.Target]int)
 	seen := make(map[string]int)
 	for _, t := range ts {
@@ -259,8 +259,8 @@
 	sort.SliceStable(ts, func(a, b int) bool { return turn[ts[a]] < turn[ts[b]] })
 }
 
-// plan prints what a change would do.
-func (g *global) plan(op *api.Operation, states []client.HostState) error {
+// printPlan prints what a change would do.
+func (g *global) printPlan(op *api.Operation, states []client.HostState) error {
 	now := make(map[api.Target]api.Instance)
 	for _, h := range states {
 		for _, i := range h.Instances {
@@ -286,9 +286,9 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "BATCH\tHOST\tINSTANCE\tSTATE\tRELEASE")
 	for _, e := range plan {
-		rel := short(e.Instance.Release)
+		rel := shortHash(e.Instance.Release)
 		if op.Release != "" {
-			rel += " -> " + short(op.Release)
+			rel += " -> " + shortHash(op.Release)
 		}
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.Batch, e.Host, e.Instance.Name, e.Instance.State, rel)
 	}
@@ -297,8 +297,8 @@
 	return nil
 }
 
-// report prints a report and says by the exit code how it went.
-func (g *global) report(rep *client.Report) error {
+// printReport prints a report and says by the exit code how it went.
+func (g *global) printReport(rep *client.Report) error {
 	if g.json {
 		if err := printJSON(rep); err != nil {
 			return err
@@ -310,7 +310,7 @@
 		for _, r := range rep.Rows {
 			state, rel, pid, why := "-", "-", 0, r.Reason
 			if r.State != nil {
-				state, rel, pid = r.State.State, short(r.State.Running), r.State.PID
+				state, rel, pid = r.State.State, shortHash(r.State.Running), r.State.PID
 			}
 			if r.Unknown != "" {
 				state, why = "unknown", r.Unknown
@@ -326,14 +326,14 @@
 			fmt.Println("held by:", rep.LeaseHolder)
 		}
 		if rep.Operation.Staged != nil {
-			fmt.Print(noteText(rep.Stages, rep.Operation.Staged))
+			fmt.Print(describeNote(rep.Stages, rep.Operation.Staged))
 		}
 		for _, n := range rep.Notes {
 			fmt.Println(n)
 		}
 	}
 	if !rep.OK() {
-		return &exitError{exitSome, nil}
+		return &exitError{exitPartial, nil}
 	}
 	return nil
 }
@@ -341,7 +341,7 @@
 func opCommands(g *global) []*cobra.Command {
 	with := func(use, short, long string, do func(c *cobra.Command, f *client.Fleet, id string) error) *cobra.Command {
 		return &cobra.Command{Use: use, GroupID: "op", Short: short, Long: long, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			f, err := g.open()
+			f, err := g.openFleet()
 			if err != nil {
 				return err
 			}
@@ -354,18 +354,18 @@
 		if err != nil {
 			return err
 		}
-		return g.report(rep)
+		return g.printReport(rep)
 	})
 	run := &runFlags{}
 	resume := with("resume OPERATION", "Go on with an operation where it stood", "Resume goes on with an operation whose command has died, was interrupted or has paused.\nWhat is done stays done: no instance is changed twice.", func(c *cobra.Command, f *client.Fleet, id string) error {
 		rep, err := f.Resume(c.Context(), id, run.options(g))
 		if err != nil {
 			if e, ok := errors.AsType[*api.Error](err); ok {
-				return &exitError{exitSome, e}
+				return &exitError{exitPartial, e}
 			}
 			return err
 		}
-		return g.report(rep)
+		return g.printReport(rep)
 	})
 	run.add(resume)
 	abort := with("abort OPERATION", "End an operation: what is under way is finished, nothing new begins", "", func(c *cobra.Command, f *client.Fleet, id string) error {
@@ -377,14 +377,14 @@
 			fmt.Fprintf(os.Stderr, "%s: not ended there: %v\n", host, err)
 		}
 		if len(failed) > 0 {
-			return &exitError{exitSome, errors.New("say it again once those hosts answer")}
+			return &exitError{exitPartial, errors.New("say it again once those hosts answer")}
 		}
 		fmt.Printf("operation %s ends; `martendrum report %s` tells how\n", id, id)
 		return nil
 	})
 	ops := &cobra.Command{Use: "operations", GroupID: "op", Short: "List operations, those that are open first", Args: cobra.NoArgs}
 	ops.RunE = func(c *cobra.Command, _ []string) error {
-		f, err := g.open()
+		f, err := g.openFleet()
 		if err != nil {
 			return err
 		}
@@ -439,7 +439,7 @@
 		}
 		if err == nil {
 			if silent := errors.Join(errs...); silent != nil {
-				err = &exitError{exitSome, silent}
+				err = &exitError{exitPartial, silent}
 			}
 		}
 		return err
--- a/cmd/martendrum/main.go
+++ b/cmd/martendrum/main.go
@@ -19,9 +19,9 @@
 
 // Exit codes.
 const (
-	exitSome    = 1 // some of the work failed; what was printed says which
-	exitUse     = 2 // bad use
-	exitReached = 3 // what is needed could not be reached
+	exitPartial     = 1 // some of the work failed; what was printed says which
+	exitUse         = 2 // bad use
+	exitUnreachable = 3 // what is needed could not be reached
 )
 
 // exitError ends the program with a code.
@@ -53,7 +53,7 @@
 			return code
 		}
 	} else if errors.As(err, new(*client.UnreachableError)) {
-		code = exitReached
+		code = exitUnreachable
 	}
 	fmt.Fprintln(os.Stderr, "martendrum:", err)
 	return code
@@ -61,8 +61,8 @@
 
 // global is what all commands that talk to agents share.
 type global struct {
-	fleet string
-	json  bool
+	inventoryPath string
+	json          bool
 }
 
 func newRoot() *cobra.Command {
@@ -88,7 +88,7 @@
 	if def == "" {
 		def = "deploy/fleet.toml"
 	}
-	root.PersistentFlags().StringVar(&g.fleet, "fleet", def, "inventory of hosts")
+	root.PersistentFlags().StringVar(&g.inventoryPath, "fleet", def, "inventory of hosts")
 	root.PersistentFlags().BoolVar(&g.json, "json", false, "print JSON for programs")
 	root.AddGroup(&cobra.Group{ID: "view", Title: "Look:"}, &cobra.Group{ID: "change", Title: "Change:"}, &cobra.Group{ID: "op", Title: "Operations:"}, &cobra.Group{ID: "run", Title: "Run and set up:"})
 	root.AddCommand(viewCommands(g)...)
@@ -98,8 +98,8 @@
 	return root
 }
 
-// who names the operator.
-func who() string {
+// operatorName names the operator.
+func operatorName() string {
 	name := "unknown"
 	if u, err := user.Current(); err == nil {
 		name = u.Username
@@ -108,16 +108,16 @@
 	return name + "@" + host
 }
 
-// open reads the inventory.
-func (g *global) open() (*client.Fleet, error) {
-	inv, err := inventory.Load(g.fleet)
+// openFleet reads the inventory.
+func (g *global) openFleet() (*client.Fleet, error) {
+	inv, err := inventory.Load(g.inventoryPath)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) {
 			err = fmt.Errorf("%w: name your inventory with --fleet or MARTENDRUM_FLEET", err)
 		}
 		return nil, err
 	}
-	return client.New(inv, who())
+	return client.New(inv, operatorName())
 }
 
 // selectFlags adds the flags that select instances.
--- a/cmd/martendrum/record.go
+++ b/cmd/martendrum/record.go
@@ -20,40 +20,40 @@
 // maxPage is how many rows are read from the store at once.
 const maxPage = 500
 
-// recordRow is a row as it is printed.
-type recordRow struct {
-	Class    string    `json:"class"`
-	Key      string    `json:"key"`
-	State    string    `json:"state"`
-	Request  string    `json:"request,omitempty"` // its Req-Id
-	Attempts int64     `json:"attempts"`
-	Servers  string    `json:"servers,omitempty"`
-	Owner    string    `json:"owner,omitempty"`
-	Began    time.Time `json:"began"`
-	Changed  time.Time `json:"changed"`
-	Status   int64     `json:"status,omitempty"`
-	Header   string    `json:"header,omitempty"`
-	Answer   []byte    `json:"answer,omitempty"`
-	Cut      bool      `json:"answer_not_kept,omitempty"`
-	Settled  string    `json:"settled_by,omitempty"`
-	Note     string    `json:"note,omitempty"`
+// recordEntry is a row as it is printed.
+type recordEntry struct {
+	Class         string    `json:"class"`
+	Key           string    `json:"key"`
+	State         string    `json:"state"`
+	Request       string    `json:"request,omitempty"` // its Req-Id
+	Attempts      int64     `json:"attempts"`
+	Servers       string    `json:"servers,omitempty"`
+	Owner         string    `json:"owner,omitempty"`
+	Began         time.Time `json:"began"`
+	Changed       time.Time `json:"changed"`
+	Status        int64     `json:"status,omitempty"`
+	Header        string    `json:"header,omitempty"`
+	Answer        []byte    `json:"answer,omitempty"`
+	AnswerDropped bool      `json:"answer_not_kept,omitempty"`
+	Settled       string    `json:"settled_by,omitempty"`
+	Note          string    `json:"note,omitempty"`
 }
 
-func printed(r *idempotency.Entry) recordRow {
-	return recordRow{Class: r.Class, Key: r.Key, State: string(r.State), Request: r.Request, Attempts: r.Attempts, Servers: r.Servers, Owner: r.Owner,
+func newRecordEntry(r *idempotency.Entry) recordEntry {
+	return recordEntry{Class: r.Class, Key: r.Key, State: string(r.State), Request: r.Request, Attempts: r.Attempts, Servers: r.Servers, Owner: r.Owner,
 		Began: time.UnixMicro(r.Began).UTC(), Changed: time.UnixMicro(r.Changed).UTC(), Status: r.Status, Header: string(r.Header), Answer: r.Answer,
-		Cut: r.Cut, Settled: r.Settled, Note: r.Note}
+		AnswerDropped: r.Cut, Settled: r.Settled, Note: r.Note}
 }
 
-// recording is what the commands on a store share.
-type recording struct {
+// recordFlags is what the commands on a store share.
+type recordFlags struct {
 	*global
 	config  string
 	timeout time.Duration
 }
 
-// with opens the store, bounded in time, and closes it.
-func (r *recording) with(c *cobra.Command, owner bool, do func(ctx context.Context, b idempotency.Backend) error) error {
+// withStore opens the store, bounded in time, and closes it.
+func (r *recordFlags) withStore(c *cobra.Command, owner bool, do func(ctx context.Context, b idempotency.Backend) error) error {
 	cfg, err := storeconfig.Load(r.config)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) {
@@ -65,18 +65,18 @@
 	defer cancel()
 	b, err := cfg.Open(ctx, owner, nil)
 	if err != nil {
-		return &exitError{exitReached, err}
+		return &exitError{exitUnreachable, err}
 	}
 	defer b.Close()
 	err = do(ctx, b)
 	if _, ok := errors.AsType[*exitError](err); err != nil && !ok {
-		err = &exitError{exitReached, err}
+		err = &exitError{exitUnreachable, err}
 	}
 	return err
 }
 
 func recordCommand(g *global) *cobra.Command {
-	r := &recording{global: g}
+	r := &recordFlags{global: g}
 	root := &cobra.Command{
 		Use: "record", GroupID: "view", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 		Short: "Look into a store of record, and settle what may have run",
@@ -97,22 +97,22 @@
 	look := &cobra.Command{Use: "look CLASS KEY", Short: "Show what is known of a key", Args: cobra.ExactArgs(2),
 		Long: "Show what is known of a key. Exit code 1 if nothing is."}
 	look.RunE = func(c *cobra.Command, args []string) error {
-		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
+		return r.withStore(c, false, func(ctx context.Context, b idempotency.Backend) error {
 			row, err := b.Get(ctx, args[0], args[1])
 			if err != nil {
 				return err
 			}
 			if row.State == idempotency.Unknown {
-				return &exitError{exitSome, fmt.Errorf("class %s has no key %q in the record: it was never sent, or what was known is no longer kept", args[0], args[1])}
+				return &exitError{exitPartial, fmt.Errorf("class %s has no key %q in the record: it was never sent, or what was known is no longer kept", args[0], args[1])}
 			}
-			p := printed(&row)
+			p := newRecordEntry(&row)
 			if r.json {
 				return printJSON(p)
 			}
 			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 			for _, l := range [][2]string{{"class", p.Class}, {"key", p.Key}, {"state", p.State}, {"request", p.Request},
 				{"attempts", fmt.Sprintf("%d %s", p.Attempts, p.Servers)}, {"owner", p.Owner}, {"began", p.Began.Format(time.RFC3339Nano)},
-				{"changed", p.Changed.Format(time.RFC3339Nano)}, {"answer", answerText(&p)}, {"settled by", p.Settled}, {"note", p.Note}} {
+				{"changed", p.Changed.Format(time.RFC3339Nano)}, {"answer", describeAnswer(&p)}, {"settled by", p.Settled}, {"note", p.Note}} {
 				fmt.Fprintf(w, "%s\t%s\n", l[0], l[1])
 			}
 			return w.Flush()
@@ -159,10 +159,10 @@
 	filter(list)
 	limit := list.Flags().Int("most", 1000, "so many at most")
 	list.RunE = func(c *cobra.Command, _ []string) error {
-		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
-			out := []recordRow{}
+		return r.withStore(c, false, func(ctx context.Context, b idempotency.Backend) error {
+			out := []recordEntry{}
 			more, err := each(ctx, b, *limit, func(row *idempotency.Entry) error {
-				out = append(out, printed(row))
+				out = append(out, newRecordEntry(row))
 				return nil
 			})
 			if err != nil {
@@ -177,7 +177,7 @@
 			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "CLASS\tKEY\tSTATE\tCHANGED\tATTEMPTS\tSERVERS\tREQUEST\tSETTLED BY\tNOTE")
 			for _, p := range out {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s ago\t%d\t%s\t%s\t%s\t%s\n", p.Class, p.Key, p.State, ago(p.Changed), p.Attempts, p.Servers, p.Request, p.Settled, p.Note)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s ago\t%d\t%s\t%s\t%s\t%s\n", p.Class, p.Key, p.State, age(p.Changed), p.Attempts, p.Servers, p.Request, p.Settled, p.Note)
 			}
 			return w.Flush()
 		})
@@ -186,7 +186,7 @@
 	export := &cobra.Command{Use: "export", Short: "Write all rows, answers too, as JSON, one a line", Args: cobra.NoArgs}
 	filter(export)
 	export.RunE = func(c *cobra.Command, _ []string) error {
-		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
+		return r.withStore(c, false, func(ctx context.Context, b idempotency.Backend) error {
 			out := bufio.NewWriter(os.Stdout)
 			e := json.NewEncoder(out)
 			n := 0
@@ -198,7 +198,7 @@
 				if n++; n%10000 == 0 {
 					fmt.Fprintf(os.Stderr, "%d rows\n", n)
 				}
-				return e.Encode(printed(&whole))
+				return e.Encode(newRecordEntry(&whole))
 			})
 			if err == nil {
 				err = out.Flush()
@@ -212,7 +212,7 @@
 --never-ran: a repeat goes through; be sure, and be sure that no server still has it.`}
 	settle.Flags().Bool("ran", false, "it ran") // the other one decides
 	never := settle.Flags().Bool("never-ran", false, "it did not run, and will not")
-	by := settle.Flags().String("who", who(), "who says so")
+	by := settle.Flags().String("who", operatorName(), "who says so")
 	note := settle.Flags().String("note", "", "how it is known")
 	dry := settle.Flags().Bool("dry-run", false, "only say what would be done")
 	settle.MarkFlagsMutuallyExclusive("ran", "never-ran")
@@ -222,7 +222,7 @@
 		if *never {
 			to = idempotency.NeverRan
 		}
-		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
+		return r.withStore(c, false, func(ctx context.Context, b idempotency.Backend) error {
 			row, err := b.Get(ctx, args[0], args[1])
 			if err != nil {
 				return err
@@ -240,12 +240,12 @@
 				if state == "" {
 					state = "unknown"
 				}
-				return &exitError{exitSome, fmt.Errorf("%s %s is %s: only what may have run can be settled", args[0], args[1], state)}
+				return &exitError{exitPartial, fmt.Errorf("%s %s is %s: only what may have run can be settled", args[0], args[1], state)}
 			}
 			if *dry {
 				fmt.Fprintln(os.Stderr, "nothing was changed; it would become:")
 			}
-			p := printed(&op.Entry)
+			p := newRecordEntry(&op.Entry)
 			if r.json {
 				return printJSON(p)
 			}
@@ -263,7 +263,7 @@
 	stats := &cobra.Command{Use: "stats", Short: "Count rows by state, and show the gaps", Args: cobra.NoArgs,
 		Long: "Count rows by state, show the bytes used and the times in which requests went on without\na record. Exit code 1 if any key may have run."}
 	stats.RunE = func(c *cobra.Command, _ []string) error {
-		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
+		return r.withStore(c, false, func(ctx context.Context, b idempotency.Backend) error {
 			st, err := b.Stats(ctx)
 			if err != nil {
 				return err
@@ -291,7 +291,7 @@
 				}
 			}
 			if st.Rows[idempotency.MayHaveRun] > 0 {
-				return &exitError{exitSome, nil}
+				return &exitError{exitPartial, nil}
 			}
 			return nil
 		})
@@ -299,7 +299,7 @@
 
 	check := &cobra.Command{Use: "check", Short: "Check the file and the store for damage", Args: cobra.NoArgs}
 	check.RunE = func(c *cobra.Command, _ []string) error {
-		return r.with(c, false, func(ctx context.Context, b idempotency.Backend) error {
+		return r.withStore(c, false, func(ctx context.Context, b idempotency.Backend) error {
 			found, err := b.Check(ctx)
 			if err != nil {
 				return err
@@ -314,7 +314,7 @@
 				}
 			}
 			if len(found) > 0 {
-				return &exitError{exitSome, errors.New("the record is damaged: export what can be read, move the file aside, and settle by hand what is missing")}
+				return &exitError{exitPartial, errors.New("the record is damaged: export what can be read, move the file aside, and settle by hand what is missing")}
 			}
 			if !r.json {
 				fmt.Println("no damage found")
@@ -325,17 +325,17 @@
 
 	compact := &cobra.Command{Use: "compact", Short: "Give unused room back; a SQLite file must not be in use", Args: cobra.NoArgs}
 	compact.RunE = func(c *cobra.Command, _ []string) error {
-		return r.with(c, true, func(ctx context.Context, b idempotency.Backend) error { return b.Compact(ctx) })
+		return r.withStore(c, true, func(ctx context.Context, b idempotency.Backend) error { return b.Compact(ctx) })
 	}
 	root.AddCommand(look, list, export, settle, stats, check, compact)
 	return root
 }
 
-func answerText(p *recordRow) string {
+func describeAnswer(p *recordEntry) string {
 	switch {
 	case p.Status == 0:
 		return ""
-	case p.Cut:
+	case p.AnswerDropped:
 		return fmt.Sprintf("%d, too large to be kept", p.Status)
 	}
 	return fmt.Sprintf("%d, %d bytes: %.200q", p.Status, len(p.Answer), p.Answer)
--- a/cmd/martendrum/run.go
+++ b/cmd/martendrum/run.go
@@ -49,7 +49,7 @@
 		debug.SetGCPercent(50)
 		a, err := agent.New(cfg, agent.Processes{}, agentstore.Record(cfg))
 		if err != nil {
-			return &exitError{exitSome, err}
+			return &exitError{exitPartial, err}
 		}
 		defer a.Close()
 		return a.Serve(c.Context(), func(addrs []net.Addr) { slog.Info("agent listens", "name", cfg.Name, "at", fmt.Sprint(addrs)) })
@@ -98,12 +98,12 @@
 		if *many < 1 || *many > 50 {
 			return errors.New("--sidecars: want 1 to 50")
 		}
-		return dev(c.Context(), *sidecar, *many, os.Stdout)
+		return runDev(c.Context(), *sidecar, *many, os.Stdout)
 	}
 	return c
 }
 
-func dev(ctx context.Context, sidecar string, many int, out io.Writer) (err error) {
+func runDev(ctx context.Context, sidecar string, many int, out io.Writer) (err error) {
 	// Output that nobody reads any more must not end this before the sidecars.
 	signal.Ignore(syscall.SIGPIPE)
 	dir, err := os.MkdirTemp("", "martendrum-dev-")
@@ -163,7 +163,7 @@
 	defer wg.Wait()
 	run, cancel := context.WithCancel(ctx)
 	defer cancel()
-	served := traffic(run, &wg, listens)
+	served := sendTraffic(run, &wg, listens)
 	self := "martendrum"
 	if exe, err := os.Executable(); err == nil {
 		if self = exe; strings.Contains(exe, "go-build") {
@@ -219,8 +219,8 @@
 	return path, nil
 }
 
-// traffic sends each sidecar a few requests a second until ctx ends.
-func traffic(ctx context.Context, wg *sync.WaitGroup, listens []string) func() (good, bad int) {
+// sendTraffic sends each sidecar a few requests a second until ctx ends.
+func sendTraffic(ctx context.Context, wg *sync.WaitGroup, listens []string) func() (good, bad int) {
 	var mu sync.Mutex
 	var good, bad int
 	for n, addr := range listens {
--- a/cmd/martendrum/settings.go
+++ b/cmd/martendrum/settings.go
@@ -14,16 +14,16 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// publication is the flags of `change publish`.
-type publication struct {
-	file, relay, only string
-	scope             []string
-	share             float64
-	fresh, remove     bool
+// publishFlags is the flags of `change publish`.
+type publishFlags struct {
+	file, relay, onlyIf string
+	scope               []string
+	fraction            float64
+	onlyNew, remove     bool
 }
 
 func publishCommand(g *global) *cobra.Command {
-	p := &publication{}
+	p := &publishFlags{}
 	c := &cobra.Command{Use: "publish NAME", Short: "Publish settings for the hosts that follow the relays", Args: cobra.ExactArgs(1),
 		Long: `A resource is an overlay (a JSON merge patch) for the configuration of all instances in its
 scope. Publishing writes a new revision at the settings' writer and ends; relays and agents
@@ -36,27 +36,27 @@
 	f := c.Flags()
 	f.StringVar(&p.file, "file", "", "the overlay, a JSON object")
 	f.StringArrayVar(&p.scope, "scope", nil, "KEY=VALUE, a label that an instance must have; all of them, where there are several")
-	f.Float64Var(&p.share, "share", 1, "the part of the hosts, drawn by a hash of their names")
-	f.StringVar(&p.only, "if", "", "only if the resource is at this revision")
-	f.BoolVar(&p.fresh, "new", false, "only if there is no resource of this name")
+	f.Float64Var(&p.fraction, "share", 1, "the part of the hosts, drawn by a hash of their names")
+	f.StringVar(&p.onlyIf, "if", "", "only if the resource is at this revision")
+	f.BoolVar(&p.onlyNew, "new", false, "only if there is no resource of this name")
 	f.BoolVar(&p.remove, "remove", false, "remove the resource")
 	f.StringVar(&p.relay, "relay", "", "ask this relay for the writer (default: those that the inventory labels relay = \"true\")")
 	c.MarkFlagsMutuallyExclusive("file", "remove")
 	c.MarkFlagsOneRequired("file", "remove")
 	c.MarkFlagsMutuallyExclusive("if", "new")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		put, err := p.put(args[0])
+		put, err := p.change(args[0])
 		if err != nil {
 			return err
 		}
-		f, err := g.open()
+		f, err := g.openFleet()
 		if err != nil {
 			return err
 		}
 		defer f.Close()
 		out, err := f.Publish(c.Context(), p.relay, put)
 		if err != nil {
-			return settingsFailed(err)
+			return settingsError(err)
 		}
 		if g.json {
 			return printJSON(out)
@@ -72,11 +72,11 @@
 	return c
 }
 
-// put is the change that the flags ask for.
-func (p *publication) put(name string) (distribution.Put, error) {
+// change is the change that the flags ask for.
+func (p *publishFlags) change(name string) (distribution.Put, error) {
 	put := distribution.Put{Name: name, Remove: p.remove}
-	if p.share != 1 {
-		put.Scope.Fraction = p.share
+	if p.fraction != 1 {
+		put.Scope.Fraction = p.fraction
 	}
 	for _, label := range p.scope {
 		key, value, ok := strings.Cut(label, "=")
@@ -88,11 +88,11 @@
 		}
 		put.Scope.Labels[key] = value
 	}
-	if p.fresh {
+	if p.onlyNew {
 		put.If = &distribution.Revision{}
 	}
-	if p.only != "" {
-		revision, err := distribution.ParseRevision(p.only)
+	if p.onlyIf != "" {
+		revision, err := distribution.ParseRevision(p.onlyIf)
 		if err != nil {
 			return put, err
 		}
@@ -108,11 +108,11 @@
 	return put, nil
 }
 
-// settingsFailed gives an error its exit code: what the writer turned down is bad use, or
+// settingsError gives an error its exit code: what the writer turned down is bad use, or
 // some of the work failed; else it could not be reached.
-func settingsFailed(err error) error {
+func settingsError(err error) error {
 	if refusal, ok := errors.AsType[*api.Error](err); ok && refusal.Code != api.SettingsInvalid {
-		return &exitError{exitSome, err}
+		return &exitError{exitPartial, err}
 	}
 	return err
 }
@@ -123,14 +123,14 @@
 after that is void, and changes that no relay had copied from it are lost: publish them again.
 Promote the relay that has the latest revision (martendrum list --settings --relay HOST).`,
 		RunE: func(c *cobra.Command, args []string) error {
-			f, err := g.open()
+			f, err := g.openFleet()
 			if err != nil {
 				return err
 			}
 			defer f.Close()
 			out, err := f.Promote(c.Context(), args[0])
 			if err != nil {
-				return settingsFailed(err)
+				return settingsError(err)
 			}
 			if g.json {
 				return printJSON(out)
@@ -140,26 +140,26 @@
 		}}
 }
 
-// settingsView is the flags of `list --settings`.
-type settingsView struct {
-	show, resources bool
-	revision, relay string
-	limit           int
+// settingsFlags is the flags of `list --settings`.
+type settingsFlags struct {
+	enabled, resources bool
+	revision, relay    string
+	limit              int
 }
 
-func (v *settingsView) add(c *cobra.Command) {
+func (v *settingsFlags) add(c *cobra.Command) {
 	f := c.Flags()
-	f.BoolVar(&v.show, "settings", false, "tell where a revision of the distributed settings is in force, and where not")
+	f.BoolVar(&v.enabled, "settings", false, "tell where a revision of the distributed settings is in force, and where not")
 	f.StringVar(&v.revision, "revision", "", "with --settings: this revision (default: the latest)")
 	f.BoolVar(&v.resources, "resources", false, "with --settings: the wanted resources instead")
 	f.StringVar(&v.relay, "relay", "", "with --settings: ask this relay")
 	f.IntVar(&v.limit, "most", 20, "with --settings: name so many hosts where it is not in force")
 }
 
-// list prints how far a revision is. Where it is not in force everywhere the exit code is 1.
-func (v *settingsView) list(c *cobra.Command, g *global, f *client.Fleet) error {
+// printProgress prints how far a revision is. Where it is not in force everywhere the exit code is 1.
+func (v *settingsFlags) printProgress(c *cobra.Command, g *global, f *client.Fleet) error {
 	if v.resources {
-		return v.listResources(c, g, f)
+		return v.printResources(c, g, f)
 	}
 	var revision distribution.Revision
 	if v.revision != "" {
@@ -170,7 +170,7 @@
 	}
 	out, err := f.InForce(c.Context(), v.relay, revision, v.limit)
 	if err != nil {
-		return settingsFailed(err)
+		return settingsError(err)
 	}
 	if g.json {
 		if err := printJSON(out); err != nil {
@@ -180,7 +180,7 @@
 		printInForce(out)
 	}
 	if !out.Complete || out.Status.InForce < out.Status.Hosts {
-		return &exitError{exitSome, nil}
+		return &exitError{exitPartial, nil}
 	}
 	return nil
 }
@@ -202,19 +202,19 @@
 		for _, refusal := range host.State.Rejections {
 			note = fmt.Sprintf("%s refused %s of revision %v: %s", refusal.Instance, refusal.Resource, refusal.Revision, refusal.Reason)
 		}
-		present := "yes, for " + ago(host.Since)
+		present := "yes, for " + age(host.Since)
 		if !host.Present {
-			present = "away for " + ago(host.Since)
+			present = "away for " + age(host.Since)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%s\n", host.Host, host.Relay, host.State.Applied, host.State.Received, present, note)
 	}
 	w.Flush()
 }
 
-func (v *settingsView) listResources(c *cobra.Command, g *global, f *client.Fleet) error {
+func (v *settingsFlags) printResources(c *cobra.Command, g *global, f *client.Fleet) error {
 	revision, resources, err := f.Resources(c.Context(), v.relay, "")
 	if err != nil {
-		return settingsFailed(err)
+		return settingsError(err)
 	}
 	if g.json {
 		return printJSON(resources)
@@ -227,7 +227,7 @@
 		if share == 0 {
 			share = 1
 		}
-		fmt.Fprintf(w, "%s\t%v\t%v\t%v\t%d\t%s ago\t%s\n", r.Name, r.Revision, r.Scope.Labels, share, len(r.Content), ago(r.At), r.Author)
+		fmt.Fprintf(w, "%s\t%v\t%v\t%v\t%d\t%s ago\t%s\n", r.Name, r.Revision, r.Scope.Labels, share, len(r.Content), age(r.At), r.Author)
 	}
 	return w.Flush()
 }
--- a/cmd/martendrum/staged.go
+++ b/cmd/martendrum/staged.go
@@ -26,15 +26,15 @@
 	"martendrum/internal/fleet/stage"
 )
 
-// inStages is the flags of a staged change.
-type inStages struct {
-	rolling
+// startStaged is the flags of a staged change.
+type stagedFlags struct {
+	rollingFlags
 	stages, maxHost, maxZone, maxShop string
 	plan                              stage.Plan
-	judge                             canary.Config
+	analysis                          canary.Config
 	margins                           []string
 	seed                              uint64
-	alone                             time.Duration
+	unattended                        time.Duration
 }
 
 func stagedCommand(g *global) *cobra.Command {
@@ -67,16 +67,16 @@
 }
 
 func startCommand(g *global) *cobra.Command {
-	r := &inStages{}
+	r := &stagedFlags{}
 	c := &cobra.Command{Use: "start [INSTANCE...]", Short: "Begin a change in stages",
 		Long: "With --binary the program changes (and its overlay with it), without only the settings.\nThe command stays until the change has passed or was stopped. If it dies, the change\nholds, and `martendrum change resume` goes on with it: no time or evidence is skipped."}
 	f := c.Flags()
 	f.StringVar(&r.binary, "binary", "", "the new program; without it the one that runs stays, and --overlay is needed")
-	f.StringVar(&r.config, "overlay", "", "JSON that is merged over each instance's configuration")
-	r.sel = selectFlags(c)
+	f.StringVar(&r.overlay, "overlay", "", "JSON that is merged over each instance's configuration")
+	r.selection = selectFlags(c)
 	f.BoolVar(&r.all, "all", false, "all instances of the fleet")
-	f.BoolVar(&r.dry, "dry-run", false, "print who is in which stage and what harm could be noticed, and change nothing")
-	f.BoolVar(&r.skip, "skip-unreachable", false, "leave out hosts that don't answer, instead of changing nothing")
+	f.BoolVar(&r.dryRun, "dry-run", false, "print who is in which stage and what harm could be noticed, and change nothing")
+	f.BoolVar(&r.skipUnreachable, "skip-unreachable", false, "leave out hosts that don't answer, instead of changing nothing")
 	f.StringVar(&r.stages, "stages", "1,2%,10%,50%,100%", "how many run it by the end of each stage")
 	f.DurationVar(&r.plan.MinDuration, "least", 5*time.Minute, "each stage lasts so long at least")
 	f.DurationVar(&r.plan.MaxDuration, "longest", 30*time.Minute, "and so long at most before it must be said whether it does worse")
@@ -85,25 +85,25 @@
 	f.StringVar(&r.policy.OnFailure, "on-worse", api.OnFailureRollback, "when it does worse, or too many fail: stop, rollback-stage, rollback (all of it)")
 	f.IntVar(&r.policy.MaxFailures, "max-failures", 0, "so many instances may fail to change")
 	f.StringVar(&r.batch, "batch", "5%", "so many instances at a time within a stage, or a percentage")
-	f.StringVar(&r.unavail, "max-unavailable", "", "no more than so many unavailable, or a percentage (default: the batch)")
+	f.StringVar(&r.maxUnavailable, "max-unavailable", "", "no more than so many unavailable, or a percentage (default: the batch)")
 	f.StringVar(&r.maxHost, "max-host", "", "no more than so many of a host at once, or a percentage of all")
 	f.StringVar(&r.maxZone, "max-zone", "", "no more than so many of a zone (label zone) at once")
 	f.StringVar(&r.maxShop, "max-shop", "1", "no more than so many of a shop (label shop) at once")
 	f.StringArrayVar(&r.margins, "margin", nil, "MEASURE=TOLERATE:EXCLUDE, as in unserved=0.01:0.05, or MEASURE=off")
-	f.Float64Var(&r.judge.FalseStops, "false-stops", 0.01, "how often a change that does no harm may be stopped, over all looks and measures")
-	f.DurationVar(&r.judge.Warm, "warm", 30*time.Second, "a process counts once it is so old")
-	f.DurationVar(&r.judge.Settle, "settle", 5*time.Minute, "and its memory and descriptors, which grow at first, once it is so old")
+	f.Float64Var(&r.analysis.FalseStops, "false-stops", 0.01, "how often a change that does no harm may be stopped, over all looks and measures")
+	f.DurationVar(&r.analysis.Warm, "warm", 30*time.Second, "a process counts once it is so old")
+	f.DurationVar(&r.analysis.Settle, "settle", 5*time.Minute, "and its memory and descriptors, which grow at first, once it is so old")
 	f.Uint64Var(&r.seed, "seed", 0, "of the draw of who is in which stage (0: from the operation's name)")
-	f.DurationVar(&r.alone, "alone", 2*time.Minute, "once nobody directs it for so long, agents take back what plainly fails; 0s: never")
+	f.DurationVar(&r.unattended, "alone", 2*time.Minute, "once nobody directs it for so long, agents take back what plainly fails; 0s: never")
 	f.DurationVar(&r.ready, "ready", 30*time.Second, "an instance must be ready within it")
 	f.DurationVar(&r.soak, "soak", 2*time.Second, "and stay so for it")
 	r.run.add(c)
-	c.RunE = func(c *cobra.Command, args []string) error { return g.inStages(c.Context(), r, args) }
+	c.RunE = func(c *cobra.Command, args []string) error { return g.startStaged(c.Context(), r, args) }
 	return c
 }
 
-// marginsOf reads --margin.
-func marginsOf(texts []string) (map[canary.Measure]canary.Margin, error) {
+// parseMargins reads --margin.
+func parseMargins(texts []string) (map[canary.Measure]canary.Margin, error) {
 	out := canary.Margins()
 	for _, t := range texts {
 		name, rest, ok := strings.Cut(t, "=")
@@ -133,27 +133,27 @@
 	return strings.Join(out, ", ")
 }
 
-func (g *global) inStages(ctx context.Context, r *inStages, args []string) (err error) {
-	r.sel.Instances = append(r.sel.Instances, args...)
-	if r.sel.Empty() == !r.all {
+func (g *global) startStaged(ctx context.Context, r *stagedFlags, args []string) (err error) {
+	r.selection.Instances = append(r.selection.Instances, args...)
+	if r.selection.Empty() == !r.all {
 		return fmt.Errorf("say which instances: their names, --host, --label, --release, --state, or --all alone for every one")
 	}
-	if err := r.sel.Check(); err != nil {
+	if err := r.selection.Check(); err != nil {
 		return err
 	}
-	if r.binary == "" && r.config == "" {
+	if r.binary == "" && r.overlay == "" {
 		return fmt.Errorf("say what changes: --binary for the program, --overlay for its settings, or both")
 	}
-	if r.judge.Margins, err = marginsOf(r.margins); err != nil {
+	if r.analysis.Margins, err = parseMargins(r.margins); err != nil {
 		return err
 	}
-	f, err := g.open()
+	f, err := g.openFleet()
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	op := api.Operation{Action: api.ActUpgrade, Ready: r.ready, Soak: r.soak, Operator: who(), Created: time.Now().UTC().Truncate(time.Millisecond)}
-	op.ID = op.Created.Format("20060102-150405-") + nonce(3)
+	op := api.Operation{Action: api.ActUpgrade, Ready: r.ready, Soak: r.soak, Operator: operatorName(), Created: time.Now().UTC().Truncate(time.Millisecond)}
+	op.ID = op.Created.Format("20060102-150405-") + randomHex(3)
 	states, agents, err := r.targets(ctx, f, &op)
 	if err != nil {
 		return err
@@ -173,7 +173,7 @@
 			now[api.Target{Host: states[h].Host.Name, Instance: x.Name}] = x
 		}
 	}
-	if err := r.fit(ctx, f, agents[0], &op, now); err != nil {
+	if err := r.completeOperation(ctx, f, agents[0], &op, now); err != nil {
 		return err
 	}
 	if r.binary == "" {
@@ -184,16 +184,16 @@
 		}
 		defer os.RemoveAll(dir)
 		r.binary = filepath.Join(dir, "sidecar")
-		if err := fetchProgram(ctx, agents[0], r.judge.Base, r.binary); err != nil {
+		if err := fetchProgram(ctx, agents[0], r.analysis.Base, r.binary); err != nil {
 			return err
 		}
 	}
-	if op.Release, err = prepare(&r.rolling); err != nil {
+	if op.Release, err = hashRelease(&r.rollingFlags); err != nil {
 		return err
 	}
-	r.judge.Change = op.Release
-	r.plan.Slot = r.judge.Slot
-	op.Staged = &api.Staged{Plan: r.plan, Judge: r.judge, Seed: r.seed, Alone: r.alone}
+	r.analysis.Change = op.Release
+	r.plan.Slot = r.analysis.Slot
+	op.Staged = &api.Staged{Plan: r.plan, Judge: r.analysis, Seed: r.seed, Alone: r.unattended}
 	s := op.Staged
 	back := int64(max(60, 2*r.plan.HistorySlots))
 	s.First = time.Now().UnixNano()/int64(s.Judge.Slot) - back
@@ -201,27 +201,27 @@
 	if err := errors.Join(s.Plan.Check(len(op.Targets)), s.Judge.Check(), op.Policy.Check(len(op.Targets))); err != nil {
 		return err
 	}
-	if r.dry {
-		return g.planStages(&op, now)
+	if r.dryRun {
+		return g.printStagePlan(&op, now)
 	}
-	if err := f.Upload(ctx, agents, op.Release, r.binary, r.config, func(host string) {
-		fmt.Fprintf(os.Stderr, "release %s is at %s\n", short(op.Release), host)
+	if err := f.Upload(ctx, agents, op.Release, r.binary, r.overlay, func(host string) {
+		fmt.Fprintf(os.Stderr, "release %s is at %s\n", shortHash(op.Release), host)
 	}); err != nil {
-		return &exitError{exitSome, fmt.Errorf("nothing was changed: %w", err)}
+		return &exitError{exitPartial, fmt.Errorf("nothing was changed: %w", err)}
 	}
 	fmt.Fprintf(os.Stderr, "operation %s: %s of %d instances in %d stages\n", op.ID, op.Action, len(op.Targets), len(s.Plan.Upto))
 	rep, err := f.Start(ctx, op, r.run.options(g))
 	if err != nil {
 		if _, ok := errors.AsType[*api.Error](err); ok {
-			return &exitError{exitSome, err}
+			return &exitError{exitPartial, err}
 		}
 		return err
 	}
-	return g.report(rep)
+	return g.printReport(rep)
 }
 
-// fit draws the stages and completes plan, policy and judge from what the fleet is.
-func (r *inStages) fit(ctx context.Context, f *client.Fleet, first *client.Agent, op *api.Operation, now map[api.Target]*api.Instance) error {
+// completeOperation draws the stages and completes plan, policy and judge from what the fleet is.
+func (r *stagedFlags) completeOperation(ctx context.Context, f *client.Fleet, first *client.Agent, op *api.Operation, now map[api.Target]*api.Instance) error {
 	var figures api.MetricsOut
 	if err := first.Call(ctx, api.Metrics, &api.MetricsIn{Limit: 1}, &figures); err != nil {
 		return err
@@ -229,7 +229,7 @@
 	if figures.Slot == 0 {
 		return fmt.Errorf("agent %s takes no figures: set figures.slot in its file", first.Host.Name)
 	}
-	r.judge.Slot = figures.Slot
+	r.analysis.Slot = figures.Slot
 	var members []stage.Member
 	running := make(map[string]int)
 	for _, t := range op.Targets {
@@ -243,12 +243,12 @@
 	if len(running) != 1 || running[""] > 0 {
 		var list []string
 		for _, rel := range slices.Sorted(maps.Keys(running)) {
-			list = append(list, fmt.Sprintf("%d run %s", running[rel], short(rel)))
+			list = append(list, fmt.Sprintf("%d run %s", running[rel], shortHash(rel)))
 		}
 		return fmt.Errorf("old and new can only be compared if all run one release now; of these, %s: choose with --release, or bring them to one first", strings.Join(list, ", "))
 	}
 	for rel := range running {
-		r.judge.Base = rel
+		r.analysis.Base = rel
 	}
 	var inspect api.InspectOut
 	one := op.Targets[0]
@@ -267,7 +267,7 @@
 		return fmt.Errorf("configuration of %s on %s: %w", one.Instance, one.Host, err)
 	}
 	for _, c := range conf.Settings.Classes {
-		r.judge.Classes, r.judge.Weights = append(r.judge.Classes, c.Name), append(r.judge.Weights, max(c.Worth, 0))
+		r.analysis.Classes, r.analysis.Weights = append(r.analysis.Classes, c.Name), append(r.analysis.Weights, max(c.Worth, 0))
 	}
 	if r.seed == 0 {
 		for _, b := range []byte(op.ID) {
@@ -279,7 +279,7 @@
 	for _, i := range stage.Draw(members, r.seed) {
 		op.Targets = append(op.Targets, targets[i])
 		op.Places = append(op.Places, api.Place{Zone: members[i].Zone, Shop: members[i].Shop})
-		r.judge.Zones = append(r.judge.Zones, members[i].Zone)
+		r.analysis.Zones = append(r.analysis.Zones, members[i].Zone)
 	}
 	n := len(op.Targets)
 	var err error
@@ -289,12 +289,12 @@
 	for _, x := range []struct {
 		flag, text string
 		to         *int
-	}{{"batch", r.batch, &r.policy.Batch}, {"max-unavailable", r.unavail, &r.policy.MaxUnavailable}, {"max-host", r.maxHost, &r.policy.MaxHost},
+	}{{"batch", r.batch, &r.policy.Batch}, {"max-unavailable", r.maxUnavailable, &r.policy.MaxUnavailable}, {"max-host", r.maxHost, &r.policy.MaxHost},
 		{"max-zone", r.maxZone, &r.policy.MaxZone}, {"max-shop", r.maxShop, &r.policy.MaxShop}} {
 		if x.text == "" {
 			continue
 		}
-		if *x.to, err = count(x.text, n); err != nil {
+		if *x.to, err = parseCount(x.text, n); err != nil {
 			return fmt.Errorf("--%s: %w", x.flag, err)
 		}
 	}
@@ -313,7 +313,7 @@
 	for at := int64(0); ; {
 		var out api.ReadOut
 		if err := a.Call(ctx, api.ReleaseRead, &api.ReadIn{Release: hash, File: release.Sidecar, Offset: at}, &out); err != nil {
-			return fmt.Errorf("the program that runs now, release %s: %w", short(hash), err)
+			return fmt.Errorf("the program that runs now, release %s: %w", shortHash(hash), err)
 		}
 		if _, err := f.Write(out.Data); err != nil {
 			return err
@@ -322,13 +322,13 @@
 			return f.Close()
 		}
 		if len(out.Data) == 0 {
-			return fmt.Errorf("the program that runs now, release %s: %w", short(hash), io.ErrUnexpectedEOF)
+			return fmt.Errorf("the program that runs now, release %s: %w", shortHash(hash), io.ErrUnexpectedEOF)
 		}
 	}
 }
 
-// planStages prints who is in which stage, and what harm could be noticed in it.
-func (g *global) planStages(op *api.Operation, now map[api.Target]*api.Instance) error {
+// printStagePlan prints who is in which stage, and what harm could be noticed in it.
+func (g *global) printStagePlan(op *api.Operation, now map[api.Target]*api.Instance) error {
 	s := op.Staged
 	type sight struct {
 		Measure  canary.Measure `json:"measure"`
@@ -414,7 +414,7 @@
 	goOn := c.Flags().Bool("go-on", false, "let a change that holds go on to its next stage, though it can't be told whether it does worse")
 	run.add(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
-		f, err := g.open()
+		f, err := g.openFleet()
 		if err != nil {
 			return err
 		}
@@ -424,11 +424,11 @@
 		rep, err := f.Resume(c.Context(), args[0], opt)
 		if err != nil {
 			if e, ok := errors.AsType[*api.Error](err); ok {
-				return &exitError{exitSome, e}
+				return &exitError{exitPartial, e}
 			}
 			return err
 		}
-		return g.report(rep)
+		return g.printReport(rep)
 	}
 	return c
 }
@@ -440,7 +440,7 @@
 		if *each < 100*time.Millisecond {
 			return fmt.Errorf("--each %v; 100ms at least", *each)
 		}
-		f, err := g.open()
+		f, err := g.openFleet()
 		if err != nil {
 			return err
 		}
@@ -453,7 +453,7 @@
 			if err != nil {
 				return err
 			}
-			text := watchText(rep)
+			text := describeChange(rep)
 			if g.json {
 				if err := printJSON(rep); err != nil {
 					return err
@@ -466,7 +466,7 @@
 			shown = text
 			if rep.Result != api.OpOpened && rep.Result != api.OpAborting {
 				if rep.Result != rollout.Succeeded {
-					return &exitError{exitSome, nil}
+					return &exitError{exitPartial, nil}
 				}
 				return nil
 			}
@@ -487,7 +487,7 @@
 	path := c.Flags().String("plot", "", "draw to this file (.svg, .png or .pdf)")
 	test := c.Flags().String("test", "worth", "which test is drawn, as its evidence names it")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		f, err := g.open()
+		f, err := g.openFleet()
 		if err != nil {
 			return err
 		}
@@ -512,13 +512,13 @@
 			}
 			fmt.Fprintln(os.Stderr, "drawn to", *path)
 		}
-		return g.report(rep)
+		return g.printReport(rep)
 	}
 	return c
 }
 
-// watchText is a change as a person follows it.
-func watchText(rep *client.Report) string {
+// describeChange is a change as a person follows it.
+func describeChange(rep *client.Report) string {
 	var b strings.Builder
 	count := make(map[rollout.State]int)
 	for _, r := range rep.Rows {
@@ -532,12 +532,12 @@
 	for _, s := range slices.Sorted(maps.Keys(count)) {
 		fmt.Fprintf(&b, "  %d %s", count[s], s)
 	}
-	b.WriteString("\n" + noteText(rep.Stages, rep.Operation.Staged))
+	b.WriteString("\n" + describeNote(rep.Stages, rep.Operation.Staged))
 	return b.String()
 }
 
-// noteText is where a staged change stands, and how it came there.
-func noteText(n *api.Note, s *api.Staged) string {
+// describeNote is where a staged change stands, and how it came there.
+func describeNote(n *api.Note, s *api.Staged) string {
 	if s == nil {
 		return "no change in stages\n"
 	}
--- a/cmd/martendrum/view.go
+++ b/cmd/martendrum/view.go
@@ -24,9 +24,9 @@
 	return e.Encode(v)
 }
 
-func short(hash string) string { return hash[:min(12, len(hash))] }
+func shortHash(hash string) string { return hash[:min(12, len(hash))] }
 
-func ago(t time.Time) string {
+func age(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
@@ -39,10 +39,10 @@
 		Long: "List the instances of the fleet. Hosts that don't answer are listed too, and make the exit code 1\n(3 if none answers).",
 	}
 	sel := selectFlags(list)
-	settings := &settingsView{}
+	settings := &settingsFlags{}
 	settings.add(list)
 	list.RunE = func(c *cobra.Command, _ []string) error {
-		f, err := g.open()
+		f, err := g.openFleet()
 		if err == nil {
 			err = sel.Check()
 		}
@@ -50,17 +50,17 @@
 			return err
 		}
 		defer f.Close()
-		if settings.show {
-			return settings.list(c, g, f)
+		if settings.enabled {
+			return settings.printProgress(c, g, f)
 		}
-		return listed(g, f.List(c.Context(), sel))
+		return printInstances(g, f.List(c.Context(), sel))
 	}
 
 	inspect := &cobra.Command{
 		Use: "inspect INSTANCE", GroupID: "view", Short: "Show all that is known of one instance", Args: cobra.ExactArgs(1),
 	}
 	inspect.RunE = func(c *cobra.Command, args []string) error {
-		return g.one(c.Context(), args[0], func(a *client.Agent) error {
+		return g.onInstance(c.Context(), args[0], func(a *client.Agent) error {
 			var out api.InspectOut
 			if err := a.Call(c.Context(), api.Inspect, &api.InstanceIn{Instance: args[0]}, &out); err != nil {
 				return err
@@ -72,8 +72,8 @@
 			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 			for _, l := range [][2]string{
 				{"instance", i.Name}, {"host", i.Host}, {"labels", fmt.Sprint(i.Labels)}, {"listen", i.Listen}, {"desired", i.Desired},
-				{"state", i.State + " for " + ago(i.Since)}, {"reason", i.Reason}, {"release", i.Release}, {"running", i.Running}, {"previous", i.Previous},
-				{"generation", fmt.Sprintf("%d, of the process %d", i.Generation, i.Process)}, {"pid", fmt.Sprint(i.PID)}, {"launched", ago(i.Launched) + " ago"},
+				{"state", i.State + " for " + age(i.Since)}, {"reason", i.Reason}, {"release", i.Release}, {"running", i.Running}, {"previous", i.Previous},
+				{"generation", fmt.Sprintf("%d, of the process %d", i.Generation, i.Process)}, {"pid", fmt.Sprint(i.PID)}, {"launched", age(i.Launched) + " ago"},
 				{"restarts", fmt.Sprint(i.Restarts)}, {"last exit", i.LastExit}, {"record", i.Record}, {"operation", i.Operation}, {"held by", i.LeaseHolder},
 			} {
 				fmt.Fprintf(w, "%s\t%s\n", l[0], l[1])
@@ -95,7 +95,7 @@
 	follow := logs.Flags().BoolP("follow", "f", false, "go on printing until interrupted")
 	tail := logs.Flags().Int64("bytes", 16<<10, "begin so many bytes before the end")
 	logs.RunE = func(c *cobra.Command, args []string) error {
-		return g.one(c.Context(), args[0], func(a *client.Agent) error {
+		return g.onInstance(c.Context(), args[0], func(a *client.Agent) error {
 			at := -max(1, *tail)
 			for {
 				var out api.LogsOut
@@ -124,14 +124,14 @@
 	}
 	limit := audit.Flags().Int("most", 50, "so many of the latest entries, 1000 at most")
 	audit.RunE = func(c *cobra.Command, args []string) error {
-		f, err := g.open()
+		f, err := g.openFleet()
 		if err != nil {
 			return err
 		}
 		defer f.Close()
 		a := f.Agent(args[0])
 		if a == nil {
-			return fmt.Errorf("host %s is not in %s", args[0], g.fleet)
+			return fmt.Errorf("host %s is not in %s", args[0], g.inventoryPath)
 		}
 		var out api.AuditOut
 		if err := a.Call(c.Context(), api.Audit, &api.AuditIn{Limit: *limit}, &out); err != nil {
@@ -150,9 +150,9 @@
 	return []*cobra.Command{list, inspect, logs, audit}
 }
 
-// one finds the host of an instance. Its name may be in use on several hosts.
-func (g *global) one(ctx context.Context, name string, do func(a *client.Agent) error) error {
-	f, err := g.open()
+// onInstance finds the host of an instance. Its name may be in use on several hosts.
+func (g *global) onInstance(ctx context.Context, name string, do func(a *client.Agent) error) error {
+	f, err := g.openFleet()
 	if err != nil {
 		return err
 	}
@@ -173,13 +173,13 @@
 	case len(hosts) > 1:
 		return fmt.Errorf("instance %s is on the hosts %v: their names should differ", name, hosts)
 	case silent != nil:
-		return &exitError{exitReached, fmt.Errorf("no host that answered has an instance %s: %w", name, silent)}
+		return &exitError{exitUnreachable, fmt.Errorf("no host that answered has an instance %s: %w", name, silent)}
 	}
 	return fmt.Errorf("no host has an instance %s", name)
 }
 
-// listed prints a list and says how well it went.
-func listed(g *global, states []client.HostState) error {
+// printInstances prints a list and says how well it went.
+func printInstances(g *global, states []client.HostState) error {
 	silent := 0
 	for _, h := range states {
 		if h.Error != "" {
@@ -202,11 +202,11 @@
 				if strings.Contains(i.Record, "; breaker=") && !strings.Contains(i.Record, "; breaker=closed") {
 					note += " its store of record is away"
 				}
-				rel := short(i.Release)
+				rel := shortHash(i.Release)
 				if i.Running != "" && i.Running != i.Release {
-					rel = short(i.Running) + " -> " + rel
+					rel = shortHash(i.Running) + " -> " + rel
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", h.Host.Name, i.Name, i.Desired, i.State, ago(i.Since), rel, i.Restarts, i.PID, note)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", h.Host.Name, i.Name, i.Desired, i.State, age(i.Since), rel, i.Restarts, i.PID, note)
 			}
 		}
 		w.Flush()
@@ -224,11 +224,11 @@
 	}
 	switch {
 	case silent > 0 && silent == len(states):
-		return &exitError{exitReached, errors.New("no host answers")}
+		return &exitError{exitUnreachable, errors.New("no host answers")}
 	case silent > 0:
-		return &exitError{exitSome, fmt.Errorf("%d of %d hosts don't answer", silent, len(states))}
+		return &exitError{exitPartial, fmt.Errorf("%d of %d hosts don't answer", silent, len(states))}
 	case slices.ContainsFunc(states, func(h client.HostState) bool { return h.Unwritable != "" }):
-		return &exitError{exitSome, nil}
+		return &exitError{exitPartial, nil}
 	}
 	return nil
 }
--- a/internal/standin/simhost/simhost.go
+++ b/internal/standin/simhost/simhost.go
@@ -22,10 +22,10 @@
 	Ready time.Duration // from a start to the first good health call
 	Drain time.Duration // from SIGTERM to the end
 
-	mu       sync.Mutex
-	last     int
-	procs    map[int]*process
-	launches []string
+	mu        sync.Mutex
+	lastPID   int
+	processes map[int]*process
+	launches  []string
 }
 
 type process struct {
@@ -36,7 +36,7 @@
 	exit         string
 }
 
-func (p *process) end(how string) {
+func (p *process) exitWith(how string) {
 	p.once.Do(func() {
 		p.exit = how
 		close(p.done)
@@ -45,7 +45,7 @@
 
 // New returns a machine on which nothing runs.
 func New(ready, drain time.Duration) *Host {
-	return &Host{Ready: ready, Drain: drain, procs: make(map[int]*process)}
+	return &Host{Ready: ready, Drain: drain, processes: make(map[int]*process)}
 }
 
 // Launches is every launch so far, in order.
@@ -59,16 +59,16 @@
 func (h *Host) Start(s proc.Spec) (*agent.Process, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.last++
+	h.lastPID++
 	p := &process{launch: s.Launch, ready: time.Now().Add(h.Ready), done: make(chan struct{})}
 	for _, v := range s.Env {
 		if addr, ok := strings.CutPrefix(v, "BALANCER_LISTEN="); ok {
 			p.addr = addr
 		}
 	}
-	h.procs[h.last] = p
+	h.processes[h.lastPID] = p
 	h.launches = append(h.launches, s.Launch)
-	return h.handle(h.last, p), nil
+	return h.handle(h.lastPID, p), nil
 }
 
 func (h *Host) handle(pid int, p *process) *agent.Process {
@@ -80,9 +80,9 @@
 		}
 		switch sig {
 		case syscall.SIGTERM:
-			time.AfterFunc(h.Drain, func() { p.end("exit status 0") })
+			time.AfterFunc(h.Drain, func() { p.exitWith("exit status 0") })
 		case syscall.SIGKILL:
-			p.end("signal: killed")
+			p.exitWith("signal: killed")
 		}
 		return nil
 	}}
@@ -92,14 +92,14 @@
 func (h *Host) Adopt(_ context.Context, pid int, _ uint64) (*agent.Process, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	p := h.procs[pid]
-	if p == nil || ended(p) {
+	p := h.processes[pid]
+	if p == nil || hasExited(p) {
 		return nil, os.ErrProcessDone
 	}
 	return h.handle(pid, p), nil
 }
 
-func ended(p *process) bool {
+func hasExited(p *process) bool {
 	select {
 	case <-p.done:
 		return true
@@ -113,8 +113,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := make(map[string]proc.Found)
-	for pid, p := range h.procs {
-		if strings.HasPrefix(p.launch, prefix) && !ended(p) {
+	for pid, p := range h.processes {
+		if strings.HasPrefix(p.launch, prefix) && !hasExited(p) {
 			out[p.launch] = proc.Found{PID: pid, Ticks: 1}
 		}
 	}
@@ -125,8 +125,8 @@
 func (h *Host) Health(_ context.Context, addr string, _ time.Duration) (proc.Healthy, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, p := range h.procs {
-		if p.addr == addr && !ended(p) {
+	for _, p := range h.processes {
+		if p.addr == addr && !hasExited(p) {
 			if time.Now().Before(p.ready) {
 				return proc.Healthy{}, errors.New("health: answered 503")
 			}
