--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -2,16 +2,10 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
 	"sort"
-	"strconv"
-	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -19,7 +13,6 @@
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/control/client"
 	"martendrum/internal/fleet/control/inventory"
-	"martendrum/internal/fleet/control/rollout"
 	"martendrum/internal/fleet/release"
 )
 
@@ -34,69 +27,6 @@
 	binary, overlay              string
 }
 
-// runFlags is how a command runs an operation.
-type runFlags struct {
-	ttl, giveUp time.Duration
-}
-
-func (r *runFlags) add(c *cobra.Command) {
-	c.Flags().DurationVar(&r.ttl, "lease", 15*time.Second, "how long the instances stay ours if this command stalls")
-	c.Flags().DurationVar(&r.giveUp, "give-up", 30*time.Second, "how long a silent agent, or a change that can't go on, is waited for")
-}
-
-func (r *runFlags) options(g *global) client.Options {
-	return client.Options{LeaseHolder: fmt.Sprintf("%s pid %d %s", operatorName(), os.Getpid(), randomHex(4)), TTL: r.ttl, GiveUp: r.giveUp, Progress: progress(g)}
-}
-
-func randomHex(n int) string {
-	b := make([]byte, n)
-	rand.Read(b)
-	return hex.EncodeToString(b)
-}
-
-// progress draws a bar of its own on a terminal, one line an event otherwise.
-func progress(g *global) func(client.Event) {
-	st, err := os.Stderr.Stat()
-	terminal := err == nil && st.Mode()&os.ModeCharDevice != 0 && !g.json
-	lines := json.NewEncoder(os.Stderr)
-	return func(e client.Event) {
-		if g.json {
-			lines.Encode(e)
-			return
-		}
-		text := strings.TrimSpace(strings.Join([]string{e.Kind, e.Host, e.Instance, e.Step, e.Text}, " "))
-		if terminal {
-			width := 24
-			fill := 0
-			if e.Of > 0 {
-				fill = width * e.Done / e.Of
-			}
-			fmt.Fprintf(os.Stderr, "\r\x1b[K[%s%s] %d/%d  %.100s", strings.Repeat("#", fill), strings.Repeat(".", width-fill), e.Done, e.Of, text)
-			if e.Kind == "failed" || e.Kind == "silent" || e.Kind == "note" {
-				fmt.Fprintln(os.Stderr)
-			}
-			return
-		}
-		fmt.Fprintf(os.Stderr, "%s %d/%d %s\n", e.At.Format(time.RFC3339), e.Done, e.Of, text)
-	}
-}
-
-// parseCount reads a number or a percentage of n, of which at least 1 is meant.
-func parseCount(s string, n int) (int, error) {
-	if p, ok := strings.CutSuffix(s, "%"); ok {
-		v, err := strconv.ParseFloat(p, 64)
-		if err != nil || !(v > 0 && v <= 100) {
-			return 0, fmt.Errorf("%q is no percentage above 0 and up to 100", s)
-		}
-		return max(1, int(float64(n)*v/100)), nil
-	}
-	v, err := strconv.Atoi(s)
-	if err != nil || v < 1 {
-		return 0, fmt.Errorf("%q is no number of 1 or more and no percentage", s)
-	}
-	return v, nil
-}
-
 var changes = []struct{ action, short, long string }{
 	{api.ActDrain, "Take instances out of service until undrain", "Drain: SIGTERM, and SIGKILL once the longest deadline has passed. A drained instance\nstays down, also over restarts of its agent, until it is undrained."},
 	{api.ActUndrain, "Bring drained instances back", ""},
@@ -258,191 +188,3 @@
 	}
 	sort.SliceStable(ts, func(a, b int) bool { return turn[ts[a]] < turn[ts[b]] })
 }
-
-// printPlan prints what a change would do.
-func (g *global) printPlan(op *api.Operation, states []client.HostState) error {
-	now := make(map[api.Target]api.Instance)
-	for _, h := range states {
-		for _, i := range h.Instances {
-			now[api.Target{Host: h.Host.Name, Instance: i.Name}] = i
-		}
-	}
-	type entry struct {
-		Batch    int          `json:"batch"`
-		Host     string       `json:"host"`
-		Instance api.Instance `json:"instance"`
-	}
-	var plan []entry
-	for n, b := range rollout.Batches(op.Policy, len(op.Targets)) {
-		for _, i := range b {
-			plan = append(plan, entry{n + 1, op.Targets[i].Host, now[op.Targets[i]]})
-		}
-	}
-	if g.json {
-		return printJSON(map[string]any{"operation": op, "plan": plan})
-	}
-	fmt.Printf("%s of %d instances: %d canaries, batches of %d, at most %d unavailable, %d failures allowed, then %s; soak %v\n",
-		op.Action, len(op.Targets), op.Policy.Canaries, op.Policy.Batch, op.Policy.MaxUnavailable, op.Policy.MaxFailures, op.Policy.OnFailure, op.Soak)
-	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "BATCH\tHOST\tINSTANCE\tSTATE\tRELEASE")
-	for _, e := range plan {
-		rel := shortHash(e.Instance.Release)
-		if op.Release != "" {
-			rel += " -> " + shortHash(op.Release)
-		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.Batch, e.Host, e.Instance.Name, e.Instance.State, rel)
-	}
-	w.Flush()
-	fmt.Println("dry run: nothing was changed")
-	return nil
-}
-
-// printReport prints a report and says by the exit code how it went.
-func (g *global) printReport(rep *client.Report) error {
-	if g.json {
-		if err := printJSON(rep); err != nil {
-			return err
-		}
-	} else {
-		fmt.Fprintln(os.Stderr)
-		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(w, "HOST\tINSTANCE\tOUTCOME\tNOW\tRELEASE\tPID\tREASON")
-		for _, r := range rep.Rows {
-			state, rel, pid, why := "-", "-", 0, r.Reason
-			if r.State != nil {
-				state, rel, pid = r.State.State, shortHash(r.State.Running), r.State.PID
-			}
-			if r.Unknown != "" {
-				state, why = "unknown", r.Unknown
-			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", r.Host, r.Instance, r.Outcome, state, rel, pid, why)
-		}
-		w.Flush()
-		fmt.Printf("operation %s (%s by %s): %s\n", rep.Operation.ID, rep.Operation.Action, rep.Operation.Operator, rep.Result)
-		if rep.Why != "" && rep.Result != rollout.Succeeded {
-			fmt.Println("because:", rep.Why)
-		}
-		if rep.LeaseHolder != "" {
-			fmt.Println("held by:", rep.LeaseHolder)
-		}
-		if rep.Operation.Staged != nil {
-			fmt.Print(describeNote(rep.Stages, rep.Operation.Staged))
-		}
-		for _, n := range rep.Notes {
-			fmt.Println(n)
-		}
-	}
-	if !rep.OK() {
-		return &exitError{exitPartial, nil}
-	}
-	return nil
-}
-
-func opCommands(g *global) []*cobra.Command {
-	with := func(use, short, long string, do func(c *cobra.Command, f *client.Fleet, id string) error) *cobra.Command {
-		return &cobra.Command{Use: use, GroupID: "op", Short: short, Long: long, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			f, err := g.openFleet()
-			if err != nil {
-				return err
-			}
-			defer f.Close()
-			return do(c, f, args[0])
-		}}
-	}
-	report := with("report OPERATION", "Tell what became of an operation, from the agents' records", "", func(c *cobra.Command, f *client.Fleet, id string) error {
-		rep, err := f.Report(c.Context(), id)
-		if err != nil {
-			return err
-		}
-		return g.printReport(rep)
-	})
-	run := &runFlags{}
-	resume := with("resume OPERATION", "Go on with an operation where it stood", "Resume goes on with an operation whose command has died, was interrupted or has paused.\nWhat is done stays done: no instance is changed twice.", func(c *cobra.Command, f *client.Fleet, id string) error {
-		rep, err := f.Resume(c.Context(), id, run.options(g))
-		if err != nil {
-			if e, ok := errors.AsType[*api.Error](err); ok {
-				return &exitError{exitPartial, e}
-			}
-			return err
-		}
-		return g.printReport(rep)
-	})
-	run.add(resume)
-	abort := with("abort OPERATION", "End an operation: what is under way is finished, nothing new begins", "", func(c *cobra.Command, f *client.Fleet, id string) error {
-		failed, err := f.Abort(c.Context(), id)
-		if err != nil {
-			return err
-		}
-		for host, err := range failed {
-			fmt.Fprintf(os.Stderr, "%s: not ended there: %v\n", host, err)
-		}
-		if len(failed) > 0 {
-			return &exitError{exitPartial, errors.New("say it again once those hosts answer")}
-		}
-		fmt.Printf("operation %s ends; `martendrum report %s` tells how\n", id, id)
-		return nil
-	})
-	ops := &cobra.Command{Use: "operations", GroupID: "op", Short: "List operations, those that are open first", Args: cobra.NoArgs}
-	ops.RunE = func(c *cobra.Command, _ []string) error {
-		f, err := g.openFleet()
-		if err != nil {
-			return err
-		}
-		defer f.Close()
-		outs := make([]api.OpsOut, len(f.Agents))
-		errs := client.ForEach(f.Agents, func(n int, a *client.Agent) error {
-			return a.Call(c.Context(), api.OpList, api.Empty{}, &outs[n])
-		})
-		type row struct {
-			api.Operation
-			State  string   `json:"state"`
-			Result string   `json:"result"`
-			Holder string   `json:"holder,omitempty"`
-			Hosts  []string `json:"hosts"`
-		}
-		byID := make(map[string]*row)
-		for n, out := range outs {
-			for _, o := range out.Ops {
-				r := byID[o.Operation.ID]
-				if r == nil {
-					r = &row{Operation: o.Operation, State: o.State, Result: o.Result}
-					byID[o.Operation.ID] = r
-				}
-				if o.State != api.OpClosed {
-					r.State, r.Result = o.State, ""
-				}
-				if o.LeaseHolder != "" {
-					r.Holder = o.LeaseHolder
-				}
-				r.Hosts = append(r.Hosts, f.Agents[n].Host.Name)
-			}
-		}
-		var rows []*row
-		for _, r := range byID {
-			rows = append(rows, r)
-		}
-		sort.Slice(rows, func(a, b int) bool {
-			if x, y := rows[a].State == api.OpClosed, rows[b].State == api.OpClosed; x != y {
-				return y
-			}
-			return rows[a].Created.After(rows[b].Created)
-		})
-		if g.json {
-			err = printJSON(rows)
-		} else {
-			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-			fmt.Fprintln(w, "OPERATION\tACTION\tBY\tSTATE\tRESULT\tHOSTS\tHELD BY")
-			for _, r := range rows {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", r.ID, r.Action, r.Operator, r.State, r.Result, len(r.Hosts), r.Holder)
-			}
-			err = w.Flush()
-		}
-		if err == nil {
-			if silent := errors.Join(errs...); silent != nil {
-				err = &exitError{exitPartial, silent}
-			}
-		}
-		return err
-	}
-	return []*cobra.Command{ops, report, resume, abort}
-}
--- a/cmd/martendrum/run.go
+++ b/cmd/martendrum/dev.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -13,7 +12,6 @@
 	"os/exec"
 	"os/signal"
 	"path/filepath"
-	"runtime/debug"
 	"strings"
 	"sync"
 	"syscall"
@@ -21,71 +19,11 @@
 
 	"github.com/spf13/cobra"
 
-	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/host/agent"
 	"martendrum/internal/fleet/host/agentstore"
-	"martendrum/internal/fleet/pki"
 	"martendrum/internal/standin/shop"
 )
 
-func agentCommand() *cobra.Command {
-	c := &cobra.Command{
-		Use: "agent", GroupID: "run", Short: "Look after the sidecars of this host", Args: cobra.NoArgs,
-		Long: `The agent starts the sidecars of its host, keeps them running and answers the other
-commands. SIGTERM ends it and leaves the sidecars running; started again it finds them.`,
-	}
-	path := c.Flags().String("config", "deploy/agent.toml", "the agent's configuration")
-	check := c.Flags().Bool("check", false, "check the configuration and end")
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		cfg, err := agent.LoadConfig(*path)
-		if err != nil {
-			return err
-		}
-		if *check {
-			fmt.Printf("%s: good: agent %s, %d instances\n", *path, cfg.Name, len(cfg.Instances))
-			return nil
-		}
-		// Little lives on: memory matters more than the collector's work.
-		debug.SetGCPercent(50)
-		a, err := agent.New(cfg, agent.Processes{}, agentstore.Record(cfg))
-		if err != nil {
-			return &exitError{exitPartial, err}
-		}
-		defer a.Close()
-		return a.Serve(c.Context(), func(addrs []net.Addr) { slog.Info("agent listens", "name", cfg.Name, "at", fmt.Sprint(addrs)) })
-	}
-	return c
-}
-
-func caCommand() *cobra.Command {
-	ca := &cobra.Command{Use: "ca", GroupID: "run", Short: "Make the fleet's certificates for a start",
-		Long: "Make a CA and certificates for agents and operators. A fleet that has a CA of its own\ncan use that: agents need the host's name in theirs, operators the role (view or operate)\nas organisational unit."}
-	dir := ca.PersistentFlags().String("dir", "ca", "folder of ca.crt, ca.key and the certificates; keep ca.key safe")
-	said := func(name string, err error) error {
-		if err == nil {
-			fmt.Printf("%s and %s are made\n", filepath.Join(*dir, name+".crt"), filepath.Join(*dir, name+".key"))
-		}
-		return err
-	}
-	initCA := &cobra.Command{Use: "init", Short: "Make the CA", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		return said("ca", pki.Init(*dir, time.Now()))
-	}}
-	host := &cobra.Command{Use: "agent NAME ADDRESS...", Short: "Make an agent's certificate, for the names and addresses it is reached at", Args: cobra.MinimumNArgs(2),
-		RunE: func(_ *cobra.Command, args []string) error {
-			return said(args[0], pki.Agent(*dir, args[0], args[1:], time.Now()))
-		}}
-	op := &cobra.Command{Use: "operator NAME", Short: "Make an operator's certificate", Args: cobra.ExactArgs(1)}
-	role := op.Flags().String("role", api.View, "view or operate")
-	op.RunE = func(_ *cobra.Command, args []string) error {
-		if *role != api.View && *role != api.Operate {
-			return fmt.Errorf("--role %q; want %s or %s", *role, api.View, api.Operate)
-		}
-		return said(args[0], pki.Operator(*dir, args[0], *role, time.Now()))
-	}
-	ca.AddCommand(initCA, host, op)
-	return ca
-}
-
 func devCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "dev", GroupID: "run", Short: "Run a small fleet on this machine, with nothing installed", Args: cobra.NoArgs,
--- a/cmd/martendrum/main.go
+++ b/cmd/martendrum/main.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"os"
 	"os/signal"
-	"os/user"
 	"syscall"
 
 	"github.com/spf13/cobra"
@@ -31,6 +30,7 @@
 }
 
 func (e *exitError) Error() string { return fmt.Sprint(e.err) }
+
 func (e *exitError) Unwrap() error { return e.err }
 
 func main() {
@@ -98,16 +98,6 @@
 	return root
 }
 
-// operatorName names the operator.
-func operatorName() string {
-	name := "unknown"
-	if u, err := user.Current(); err == nil {
-		name = u.Username
-	}
-	host, _ := os.Hostname()
-	return name + "@" + host
-}
-
 // openFleet reads the inventory.
 func (g *global) openFleet() (*client.Fleet, error) {
 	inv, err := inventory.Load(g.inventoryPath)
@@ -119,15 +109,3 @@
 	}
 	return client.New(inv, operatorName())
 }
-
-// selectFlags adds the flags that select instances.
-func selectFlags(c *cobra.Command) *inventory.Select {
-	s := &inventory.Select{}
-	f := c.Flags()
-	f.StringSliceVar(&s.Hosts, "host", nil, "only on these hosts (* and ? fit any)")
-	f.StringSliceVar(&s.Labels, "label", nil, "only with one of these labels, KEY=VALUE")
-	f.StringSliceVar(&s.Instances, "instance", nil, "only these instances (* and ? fit any)")
-	f.StringSliceVar(&s.Releases, "release", nil, "only those that run or should run a release whose hash begins so")
-	f.StringSliceVar(&s.States, "state", nil, "only those in one of these states, desired or actual")
-	return s
-}
--- /dev/null
+++ b/cmd/martendrum/staged_start.go
@@ -0,0 +1,212 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/canary"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/release"
+	"martendrum/internal/fleet/stage"
+)
+
+// startStaged is the flags of a staged change.
+type stagedFlags struct {
+	rollingFlags
+	stages, maxHost, maxZone, maxShop string
+	plan                              stage.Plan
+	analysis                          canary.Config
+	margins                           []string
+	seed                              uint64
+	unattended                        time.Duration
+}
+
+func startCommand(g *global) *cobra.Command {
+	r := &stagedFlags{}
+	c := &cobra.Command{Use: "start [INSTANCE...]", Short: "Begin a change in stages",
+		Long: "With --binary the program changes (and its overlay with it), without only the settings.\nThe command stays until the change has passed or was stopped. If it dies, the change\nholds, and `martendrum change resume` goes on with it: no time or evidence is skipped."}
+	f := c.Flags()
+	f.StringVar(&r.binary, "binary", "", "the new program; without it the one that runs stays, and --overlay is needed")
+	f.StringVar(&r.overlay, "overlay", "", "JSON that is merged over each instance's configuration")
+	r.selection = selectFlags(c)
+	f.BoolVar(&r.all, "all", false, "all instances of the fleet")
+	f.BoolVar(&r.dryRun, "dry-run", false, "print who is in which stage and what harm could be noticed, and change nothing")
+	f.BoolVar(&r.skipUnreachable, "skip-unreachable", false, "leave out hosts that don't answer, instead of changing nothing")
+	f.StringVar(&r.stages, "stages", "1,2%,10%,50%,100%", "how many run it by the end of each stage")
+	f.DurationVar(&r.plan.MinDuration, "least", 5*time.Minute, "each stage lasts so long at least")
+	f.DurationVar(&r.plan.MaxDuration, "longest", 30*time.Minute, "and so long at most before it must be said whether it does worse")
+	f.IntVar(&r.plan.HistorySlots, "past", 12, "so many slots of figures are wanted before anything is changed")
+	f.StringVar(&r.plan.OnInconclusive, "on-cant-tell", stage.Hold, "when it can't be told at --longest: hold or go-on")
+	f.StringVar(&r.policy.OnFailure, "on-worse", api.OnFailureRollback, "when it does worse, or too many fail: stop, rollback-stage, rollback (all of it)")
+	f.IntVar(&r.policy.MaxFailures, "max-failures", 0, "so many instances may fail to change")
+	f.StringVar(&r.batch, "batch", "5%", "so many instances at a time within a stage, or a percentage")
+	f.StringVar(&r.maxUnavailable, "max-unavailable", "", "no more than so many unavailable, or a percentage (default: the batch)")
+	f.StringVar(&r.maxHost, "max-host", "", "no more than so many of a host at once, or a percentage of all")
+	f.StringVar(&r.maxZone, "max-zone", "", "no more than so many of a zone (label zone) at once")
+	f.StringVar(&r.maxShop, "max-shop", "1", "no more than so many of a shop (label shop) at once")
+	f.StringArrayVar(&r.margins, "margin", nil, "MEASURE=TOLERATE:EXCLUDE, as in unserved=0.01:0.05, or MEASURE=off")
+	f.Float64Var(&r.analysis.FalseStops, "false-stops", 0.01, "how often a change that does no harm may be stopped, over all looks and measures")
+	f.DurationVar(&r.analysis.Warm, "warm", 30*time.Second, "a process counts once it is so old")
+	f.DurationVar(&r.analysis.Settle, "settle", 5*time.Minute, "and its memory and descriptors, which grow at first, once it is so old")
+	f.Uint64Var(&r.seed, "seed", 0, "of the draw of who is in which stage (0: from the operation's name)")
+	f.DurationVar(&r.unattended, "alone", 2*time.Minute, "once nobody directs it for so long, agents take back what plainly fails; 0s: never")
+	f.DurationVar(&r.ready, "ready", 30*time.Second, "an instance must be ready within it")
+	f.DurationVar(&r.soak, "soak", 2*time.Second, "and stay so for it")
+	r.run.add(c)
+	c.RunE = func(c *cobra.Command, args []string) error { return g.startStaged(c.Context(), r, args) }
+	return c
+}
+
+// parseMargins reads --margin.
+func parseMargins(texts []string) (map[canary.Measure]canary.Margin, error) {
+	out := canary.Margins()
+	for _, t := range texts {
+		name, rest, ok := strings.Cut(t, "=")
+		low, high, ok2 := strings.Cut(rest, ":")
+		tolerate, err1 := strconv.ParseFloat(low, 64)
+		exclude, err2 := strconv.ParseFloat(high, 64)
+		if _, known := out[canary.Measure(name)]; !known {
+			return nil, fmt.Errorf("--margin %q: measures are %s", t, join(slices.Sorted(maps.Keys(out))))
+		}
+		if rest == "off" {
+			delete(out, canary.Measure(name))
+			continue
+		}
+		if !ok || !ok2 || err1 != nil || err2 != nil {
+			return nil, fmt.Errorf("--margin %q; want MEASURE=TOLERATE:EXCLUDE, as in unserved=0.01:0.05, or MEASURE=off", t)
+		}
+		out[canary.Measure(name)] = canary.Margin{Tolerate: tolerate, Exclude: exclude}
+	}
+	return out, nil
+}
+
+func join[T ~string](ss []T) string {
+	var out []string
+	for _, s := range ss {
+		out = append(out, string(s))
+	}
+	return strings.Join(out, ", ")
+}
+
+func (g *global) startStaged(ctx context.Context, r *stagedFlags, args []string) (err error) {
+	r.selection.Instances = append(r.selection.Instances, args...)
+	if r.selection.Empty() == !r.all {
+		return fmt.Errorf("say which instances: their names, --host, --label, --release, --state, or --all alone for every one")
+	}
+	if err := r.selection.Check(); err != nil {
+		return err
+	}
+	if r.binary == "" && r.overlay == "" {
+		return fmt.Errorf("say what changes: --binary for the program, --overlay for its settings, or both")
+	}
+	if r.analysis.Margins, err = parseMargins(r.margins); err != nil {
+		return err
+	}
+	f, err := g.openFleet()
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	op := api.Operation{Action: api.ActUpgrade, Ready: r.ready, Soak: r.soak, Operator: operatorName(), Created: time.Now().UTC().Truncate(time.Millisecond)}
+	op.ID = op.Created.Format("20060102-150405-") + randomHex(3)
+	states, agents, err := r.targets(ctx, f, &op)
+	if err != nil {
+		return err
+	}
+	now := make(map[api.Target]*api.Instance)
+	for h := range states {
+		for i := range states[h].Instances {
+			x := &states[h].Instances[i]
+			for k, v := range states[h].Host.Labels {
+				if _, own := x.Labels[k]; !own {
+					if x.Labels == nil {
+						x.Labels = make(map[string]string)
+					}
+					x.Labels[k] = v
+				}
+			}
+			now[api.Target{Host: states[h].Host.Name, Instance: x.Name}] = x
+		}
+	}
+	if err := r.completeOperation(ctx, f, agents[0], &op, now); err != nil {
+		return err
+	}
+	if r.binary == "" {
+		op.Action = api.ActSettings
+		dir, err := os.MkdirTemp("", "martendrum-change-")
+		if err != nil {
+			return err
+		}
+		defer os.RemoveAll(dir)
+		r.binary = filepath.Join(dir, "sidecar")
+		if err := fetchProgram(ctx, agents[0], r.analysis.Base, r.binary); err != nil {
+			return err
+		}
+	}
+	if op.Release, err = hashRelease(&r.rollingFlags); err != nil {
+		return err
+	}
+	r.analysis.Change = op.Release
+	r.plan.Slot = r.analysis.Slot
+	op.Staged = &api.Staged{Plan: r.plan, Judge: r.analysis, Seed: r.seed, Alone: r.unattended}
+	s := op.Staged
+	back := int64(max(60, 2*r.plan.HistorySlots))
+	s.First = time.Now().UnixNano()/int64(s.Judge.Slot) - back
+	s.Judge.MaxSlots = int(back) + len(s.Plan.Upto)*int(2*s.Plan.MaxDuration/s.Judge.Slot+10)
+	if err := errors.Join(s.Plan.Check(len(op.Targets)), s.Judge.Check(), op.Policy.Check(len(op.Targets))); err != nil {
+		return err
+	}
+	if r.dryRun {
+		return g.printStagePlan(&op, now)
+	}
+	if err := f.Upload(ctx, agents, op.Release, r.binary, r.overlay, func(host string) {
+		fmt.Fprintf(os.Stderr, "release %s is at %s\n", shortHash(op.Release), host)
+	}); err != nil {
+		return &exitError{exitPartial, fmt.Errorf("nothing was changed: %w", err)}
+	}
+	fmt.Fprintf(os.Stderr, "operation %s: %s of %d instances in %d stages\n", op.ID, op.Action, len(op.Targets), len(s.Plan.Upto))
+	rep, err := f.Start(ctx, op, r.run.options(g))
+	if err != nil {
+		if _, ok := errors.AsType[*api.Error](err); ok {
+			return &exitError{exitPartial, err}
+		}
+		return err
+	}
+	return g.printReport(rep)
+}
+
+// fetchProgram brings the program of a release from an agent, and checks it.
+func fetchProgram(ctx context.Context, a *client.Agent, hash, to string) error {
+	f, err := os.OpenFile(to, os.O_CREATE|os.O_WRONLY, 0o700)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	for at := int64(0); ; {
+		var out api.ReadOut
+		if err := a.Call(ctx, api.ReleaseRead, &api.ReadIn{Release: hash, File: release.Sidecar, Offset: at}, &out); err != nil {
+			return fmt.Errorf("the program that runs now, release %s: %w", shortHash(hash), err)
+		}
+		if _, err := f.Write(out.Data); err != nil {
+			return err
+		}
+		if at += int64(len(out.Data)); at >= out.Size {
+			return f.Close()
+		}
+		if len(out.Data) == 0 {
+			return fmt.Errorf("the program that runs now, release %s: %w", shortHash(hash), io.ErrUnexpectedEOF)
+		}
+	}
+}
