--- a/cmd/martendrum/record_entry.go
+++ b/cmd/martendrum/record_entry.go
@@ -7,7 +7,7 @@
 	"martendrum/internal/idempotency"
 )
 
-// recordEntry is a row as it is printed.
+// recordEntry is an entry of the store as it is printed.
 type recordEntry struct {
 	Class         string    `json:"class"`
 	Key           string    `json:"key"`
@@ -21,23 +21,38 @@
 	Status        int64     `json:"status,omitempty"`
 	Header        string    `json:"header,omitempty"`
 	Answer        []byte    `json:"answer,omitempty"`
-	AnswerDropped bool      `json:"answer_not_kept,omitempty"`
+	AnswerDropped bool      `json:"answer_not_kept,omitempty"` // too large to be stored
 	Settled       string    `json:"settled_by,omitempty"`
 	Note          string    `json:"note,omitempty"`
 }
 
-func newRecordEntry(r *idempotency.Entry) recordEntry {
-	return recordEntry{Class: r.Class, Key: r.Key, State: string(r.State), Request: r.Request, Attempts: r.Attempts, Servers: r.Servers, Owner: r.Owner,
-		Began: time.UnixMicro(r.Began).UTC(), Changed: time.UnixMicro(r.Changed).UTC(), Status: r.Status, Header: string(r.Header), Answer: r.Answer,
-		AnswerDropped: r.Cut, Settled: r.Settled, Note: r.Note}
+func newRecordEntry(e *idempotency.Entry) recordEntry {
+	return recordEntry{
+		Class:         e.Class,
+		Key:           e.Key,
+		State:         string(e.State),
+		Request:       e.Request,
+		Attempts:      e.Attempts,
+		Servers:       e.Servers,
+		Owner:         e.Owner,
+		Began:         time.UnixMicro(e.Began).UTC(),
+		Changed:       time.UnixMicro(e.Changed).UTC(),
+		Status:        e.Status,
+		Header:        string(e.Header),
+		Answer:        e.Answer,
+		AnswerDropped: e.Cut,
+		Settled:       e.Settled,
+		Note:          e.Note,
+	}
 }
 
-func describeAnswer(p *recordEntry) string {
+// describeAnswer returns an entry's answer as text, "" if there is none.
+func describeAnswer(e *recordEntry) string {
 	switch {
-	case p.Status == 0:
+	case e.Status == 0:
 		return ""
-	case p.AnswerDropped:
-		return fmt.Sprintf("%d, too large to be kept", p.Status)
+	case e.AnswerDropped:
+		return fmt.Sprintf("%d, too large to be kept", e.Status)
 	}
-	return fmt.Sprintf("%d, %d bytes: %.200q", p.Status, len(p.Answer), p.Answer)
+	return fmt.Sprintf("%d, %d bytes: %.200q", e.Status, len(e.Answer), e.Answer)
 }
--- /dev/null
+++ b/cmd/martendrum/record_settle.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"martendrum/internal/idempotency"
+)
+
+// settleFlags are the flags of `record settle`.
+type settleFlags struct {
+	neverRan bool
+	by, note string
+	dryRun   bool
+}
+
+// recordSettleCommand returns the command that settles a key that may have run.
+func recordSettleCommand(r *recordFlags) *cobra.Command {
+	s := &settleFlags{}
+	settle := &cobra.Command{Use: "settle CLASS KEY", Short: "Say what became of a key that may have run", Args: cobra.ExactArgs(2),
+		Long: `Say what became of a key that may have run. --ran: a repeat is told that it ran.
+--never-ran: a repeat goes through; be sure, and be sure that no server still has it.`}
+	f := settle.Flags()
+	f.Bool("ran", false, "it ran") // required without --never-ran, whose value decides
+	f.BoolVar(&s.neverRan, "never-ran", false, "it did not run, and will not")
+	f.StringVar(&s.by, "who", operatorName(), "who says so")
+	f.StringVar(&s.note, "note", "", "how it is known")
+	f.BoolVar(&s.dryRun, "dry-run", false, "only say what would be done")
+	settle.MarkFlagsMutuallyExclusive("ran", "never-ran")
+	settle.MarkFlagsOneRequired("ran", "never-ran")
+	settle.RunE = func(c *cobra.Command, args []string) error {
+		return r.withStore(c, false, func(ctx context.Context, store idempotency.Backend) error {
+			entry, err := s.settle(ctx, store, args[0], args[1])
+			if err != nil {
+				return err
+			}
+			return r.printSettled(newRecordEntry(entry), s.dryRun)
+		})
+	}
+	return settle
+}
+
+// settle settles a key, or with dryRun only computes the result.
+func (s *settleFlags) settle(ctx context.Context, store idempotency.Backend, class, key string) (*idempotency.Entry, error) {
+	state := idempotency.Answered
+	if s.neverRan {
+		state = idempotency.NeverRan
+	}
+	entry, err := store.Get(ctx, class, key)
+	if err != nil {
+		return nil, err
+	}
+	op := &idempotency.Op{Kind: idempotency.Settle, Class: class, Key: key, To: state, By: s.by, Note: s.note}
+	if s.dryRun {
+		idempotency.Apply(&entry, time.Now().UnixMicro(), op)
+	} else if err := store.Apply(ctx, []*idempotency.Op{op}); err != nil {
+		return nil, err
+	}
+	if op.Result != idempotency.Granted {
+		state := string(op.Entry.State)
+		if state == "" {
+			state = "unknown"
+		}
+		return nil, &exitError{exitPartial, fmt.Errorf("%s %s is %s: only what may have run can be settled", class, key, state)}
+	}
+	return &op.Entry, nil
+}
+
+// printSettled prints an entry that was settled, or would be.
+func (r *recordFlags) printSettled(entry recordEntry, dryRun bool) error {
+	if dryRun {
+		fmt.Fprintln(os.Stderr, "nothing was changed; it would become:")
+	}
+	if r.json {
+		return printJSON(entry)
+	}
+	fmt.Printf("%s %s: %s, settled by %s\n", entry.Class, entry.Key, entry.State, entry.Settled)
+	return nil
+}
