--- a/cmd/martendrum/list.go
+++ b/cmd/martendrum/list.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"os"
@@ -9,89 +8,105 @@
 	"strings"
 	"text/tabwriter"
 
+	"github.com/spf13/cobra"
+
+	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/control/client"
-	"martendrum/internal/fleet/control/inventory"
 )
 
-// onInstance finds the host of an instance. Its name may be in use on several hosts.
-func (g *global) onInstance(ctx context.Context, name string, do func(a *client.Agent) error) error {
-	f, err := g.openFleet()
-	if err != nil {
-		return err
+// listCommand returns the command that lists instances, or with --settings the progress of
+// distributed settings.
+func listCommand(g *global) *cobra.Command {
+	list := &cobra.Command{
+		Use: "list", GroupID: "view", Short: "List instances and their states", Args: cobra.NoArgs,
+		Long: "List the instances of the fleet. Hosts that don't answer are listed too, and make the exit code 1\n(3 if none answers).",
 	}
-	defer f.Close()
-	var hosts []string
-	var silent error
-	for _, h := range f.List(ctx, &inventory.Select{Instances: []string{name}}) {
-		if len(h.Instances) > 0 {
-			hosts = append(hosts, h.Host.Name)
+	selection := selectFlags(list)
+	settings := &settingsFlags{}
+	settings.add(list)
+	list.RunE = func(c *cobra.Command, _ []string) error {
+		f, err := g.openFleet()
+		if err == nil {
+			err = selection.Check()
 		}
-		if h.Error != "" {
-			silent = errors.New(h.Error)
+		if err != nil {
+			return err
 		}
+		defer f.Close()
+		if settings.enabled {
+			return settings.printProgress(c, g, f)
+		}
+		return printInstances(g, f.List(c.Context(), selection))
 	}
-	switch {
-	case len(hosts) == 1:
-		return do(f.Agent(hosts[0]))
-	case len(hosts) > 1:
-		return fmt.Errorf("instance %s is on the hosts %v: their names should differ", name, hosts)
-	case silent != nil:
-		return &exitError{exitUnreachable, fmt.Errorf("no host that answered has an instance %s: %w", name, silent)}
-	}
-	return fmt.Errorf("no host has an instance %s", name)
+	return list
 }
 
-// printInstances prints a list and says how well it went.
-func printInstances(g *global, states []client.HostState) error {
-	silent := 0
-	for _, h := range states {
-		if h.Error != "" {
-			silent++
-		}
-	}
+// printInstances prints the instances of hosts. Its error has the exit code: hosts that don't
+// answer or can't write their record are failures.
+func printInstances(g *global, hosts []client.HostState) error {
 	if g.json {
-		if err := printJSON(states); err != nil {
+		if err := printJSON(hosts); err != nil {
 			return err
 		}
 	} else {
-		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(w, "HOST\tINSTANCE\tDESIRED\tSTATE\tFOR\tRELEASE\tRESTARTS\tPID\tNOTE")
-		for _, h := range states {
-			for _, i := range h.Instances {
-				note := i.Reason
-				if i.Operation != "" {
-					note = "operation " + i.Operation + " " + note
-				}
-				if strings.Contains(i.Record, "; breaker=") && !strings.Contains(i.Record, "; breaker=closed") {
-					note += " its store of record is away"
-				}
-				rel := shortHash(i.Release)
-				if i.Running != "" && i.Running != i.Release {
-					rel = shortHash(i.Running) + " -> " + rel
-				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", h.Host.Name, i.Name, i.Desired, i.State, age(i.Since), rel, i.Restarts, i.PID, note)
-			}
-		}
-		w.Flush()
-		for _, h := range states {
-			if h.Error != "" {
-				fmt.Fprintf(os.Stderr, "%s: %s\n", h.Host.Name, h.Error)
-			}
-			if h.Returning != "" {
-				fmt.Fprintf(os.Stderr, "%s comes back from a power loss: %s\n", h.Host.Name, h.Returning)
-			}
-			if h.Unwritable != "" {
-				fmt.Fprintf(os.Stderr, "%s: its record can't be written: %s\n", h.Host.Name, h.Unwritable)
-			}
+		printInstanceTable(hosts)
+		printHostProblems(hosts)
+	}
+	silent := 0
+	for _, h := range hosts {
+		if h.Error != "" {
+			silent++
 		}
 	}
 	switch {
-	case silent > 0 && silent == len(states):
+	case silent > 0 && silent == len(hosts):
 		return &exitError{exitUnreachable, errors.New("no host answers")}
 	case silent > 0:
-		return &exitError{exitPartial, fmt.Errorf("%d of %d hosts don't answer", silent, len(states))}
-	case slices.ContainsFunc(states, func(h client.HostState) bool { return h.Unwritable != "" }):
+		return &exitError{exitPartial, fmt.Errorf("%d of %d hosts don't answer", silent, len(hosts))}
+	case slices.ContainsFunc(hosts, func(h client.HostState) bool { return h.Unwritable != "" }):
 		return &exitError{exitPartial, nil}
 	}
 	return nil
 }
+
+func printInstanceTable(hosts []client.HostState) {
+	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "HOST\tINSTANCE\tDESIRED\tSTATE\tFOR\tRELEASE\tRESTARTS\tPID\tNOTE")
+	for _, h := range hosts {
+		for _, i := range h.Instances {
+			release := shortHash(i.Release)
+			if i.Running != "" && i.Running != i.Release {
+				release = shortHash(i.Running) + " -> " + release
+			}
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", h.Host.Name, i.Name, i.Desired, i.State, age(i.Since), release, i.Restarts, i.PID, instanceNote(&i))
+		}
+	}
+	w.Flush()
+}
+
+// instanceNote returns what an operator should know of an instance besides its state.
+func instanceNote(i *api.Instance) string {
+	note := i.Reason
+	if i.Operation != "" {
+		note = "operation " + i.Operation + " " + note
+	}
+	if strings.Contains(i.Record, "; breaker=") && !strings.Contains(i.Record, "; breaker=closed") {
+		note += " its store of record is away"
+	}
+	return note
+}
+
+// printHostProblems prints the problems of hosts to standard error.
+func printHostProblems(hosts []client.HostState) {
+	for _, h := range hosts {
+		if h.Error != "" {
+			fmt.Fprintf(os.Stderr, "%s: %s\n", h.Host.Name, h.Error)
+		}
+		if h.Returning != "" {
+			fmt.Fprintf(os.Stderr, "%s comes back from a power loss: %s\n", h.Host.Name, h.Returning)
+		}
+		if h.Unwritable != "" {
+			fmt.Fprintf(os.Stderr, "%s: its record can't be written: %s\n", h.Host.Name, h.Unwritable)
+		}
+	}
+}
--- a/cmd/martendrum/operations.go
+++ b/cmd/martendrum/operations.go
@@ -13,37 +13,49 @@
 	"martendrum/internal/fleet/control/client"
 )
 
+// opCommands returns the commands on operations.
 func opCommands(g *global) []*cobra.Command {
-	with := func(use, short, long string, do func(c *cobra.Command, f *client.Fleet, id string) error) *cobra.Command {
-		return &cobra.Command{Use: use, GroupID: "op", Short: short, Long: long, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			f, err := g.openFleet()
-			if err != nil {
-				return err
-			}
-			defer f.Close()
-			return do(c, f, args[0])
-		}}
-	}
-	report := with("report OPERATION", "Tell what became of an operation, from the agents' records", "", func(c *cobra.Command, f *client.Fleet, id string) error {
-		rep, err := f.Report(c.Context(), id)
+	return []*cobra.Command{operationsCommand(g), reportCommand(g), resumeOperationCommand(g), abortCommand(g)}
+}
+
+// onOperation makes a command with an operation's ID as its argument.
+func (g *global) onOperation(c *cobra.Command, do func(c *cobra.Command, f *client.Fleet, id string) error) *cobra.Command {
+	c.GroupID, c.Args = "op", cobra.ExactArgs(1)
+	c.RunE = func(c *cobra.Command, args []string) error {
+		f, err := g.openFleet()
 		if err != nil {
 			return err
 		}
-		return g.printReport(rep)
-	})
-	run := &runFlags{}
-	resume := with("resume OPERATION", "Go on with an operation where it stood", "Resume goes on with an operation whose command has died, was interrupted or has paused.\nWhat is done stays done: no instance is changed twice.", func(c *cobra.Command, f *client.Fleet, id string) error {
-		rep, err := f.Resume(c.Context(), id, run.options(g))
+		defer f.Close()
+		return do(c, f, args[0])
+	}
+	return c
+}
+
+func reportCommand(g *global) *cobra.Command {
+	report := &cobra.Command{Use: "report OPERATION", Short: "Tell what became of an operation, from the agents' records"}
+	return g.onOperation(report, func(c *cobra.Command, f *client.Fleet, id string) error {
+		report, err := f.Report(c.Context(), id)
 		if err != nil {
-			if e, ok := errors.AsType[*api.Error](err); ok {
-				return &exitError{exitPartial, e}
-			}
 			return err
 		}
-		return g.printReport(rep)
+		return g.printReport(report)
 	})
+}
+
+func resumeOperationCommand(g *global) *cobra.Command {
+	run := &runFlags{}
+	resume := &cobra.Command{Use: "resume OPERATION", Short: "Go on with an operation where it stood",
+		Long: "Resume goes on with an operation whose command has died, was interrupted or has paused.\nWhat is done stays done: no instance is changed twice."}
 	run.add(resume)
-	abort := with("abort OPERATION", "End an operation: what is under way is finished, nothing new begins", "", func(c *cobra.Command, f *client.Fleet, id string) error {
+	return g.onOperation(resume, func(c *cobra.Command, f *client.Fleet, id string) error {
+		return g.resume(c.Context(), f, id, run.options(g))
+	})
+}
+
+func abortCommand(g *global) *cobra.Command {
+	abort := &cobra.Command{Use: "abort OPERATION", Short: "End an operation: what is under way is finished, nothing new begins"}
+	return g.onOperation(abort, func(c *cobra.Command, f *client.Fleet, id string) error {
 		failed, err := f.Abort(c.Context(), id)
 		if err != nil {
 			return err
@@ -57,67 +69,84 @@
 		fmt.Printf("operation %s ends; `martendrum report %s` tells how\n", id, id)
 		return nil
 	})
-	ops := &cobra.Command{Use: "operations", GroupID: "op", Short: "List operations, those that are open first", Args: cobra.NoArgs}
-	ops.RunE = func(c *cobra.Command, _ []string) error {
+}
+
+// listedOperation is an operation as it is printed.
+type listedOperation struct {
+	api.Operation
+	State       string   `json:"state"`
+	Result      string   `json:"result"`
+	LeaseHolder string   `json:"holder,omitempty"`
+	Hosts       []string `json:"hosts"`
+}
+
+func operationsCommand(g *global) *cobra.Command {
+	operations := &cobra.Command{Use: "operations", GroupID: "op", Short: "List operations, those that are open first", Args: cobra.NoArgs}
+	operations.RunE = func(c *cobra.Command, _ []string) error {
 		f, err := g.openFleet()
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		outs := make([]api.OpsOut, len(f.Agents))
+		byAgent := make([]api.OpsOut, len(f.Agents))
 		errs := client.ForEach(f.Agents, func(n int, a *client.Agent) error {
-			return a.Call(c.Context(), api.OpList, api.Empty{}, &outs[n])
+			return a.Call(c.Context(), api.OpList, api.Empty{}, &byAgent[n])
 		})
-		type row struct {
-			api.Operation
-			State  string   `json:"state"`
-			Result string   `json:"result"`
-			Holder string   `json:"holder,omitempty"`
-			Hosts  []string `json:"hosts"`
+		listed := mergeOperations(f, byAgent)
+		if g.json {
+			err = printJSON(listed)
+		} else {
+			err = printOperations(listed)
 		}
-		byID := make(map[string]*row)
-		for n, out := range outs {
-			for _, o := range out.Ops {
-				r := byID[o.Operation.ID]
-				if r == nil {
-					r = &row{Operation: o.Operation, State: o.State, Result: o.Result}
-					byID[o.Operation.ID] = r
-				}
-				if o.State != api.OpClosed {
-					r.State, r.Result = o.State, ""
-				}
-				if o.LeaseHolder != "" {
-					r.Holder = o.LeaseHolder
-				}
-				r.Hosts = append(r.Hosts, f.Agents[n].Host.Name)
-			}
+		if err != nil {
+			return err
 		}
-		var rows []*row
-		for _, r := range byID {
-			rows = append(rows, r)
+		if silent := errors.Join(errs...); silent != nil {
+			return &exitError{exitPartial, silent}
 		}
-		sort.Slice(rows, func(a, b int) bool {
-			if x, y := rows[a].State == api.OpClosed, rows[b].State == api.OpClosed; x != y {
-				return y
+		return nil
+	}
+	return operations
+}
+
+// mergeOperations merges the operations of all agents. Open ones come first, then the latest. An
+// operation that is open at any agent is open.
+func mergeOperations(f *client.Fleet, byAgent []api.OpsOut) []*listedOperation {
+	byID := make(map[string]*listedOperation)
+	for n, out := range byAgent {
+		for _, o := range out.Ops {
+			listed := byID[o.Operation.ID]
+			if listed == nil {
+				listed = &listedOperation{Operation: o.Operation, State: o.State, Result: o.Result}
+				byID[o.Operation.ID] = listed
 			}
-			return rows[a].Created.After(rows[b].Created)
-		})
-		if g.json {
-			err = printJSON(rows)
-		} else {
-			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-			fmt.Fprintln(w, "OPERATION\tACTION\tBY\tSTATE\tRESULT\tHOSTS\tHELD BY")
-			for _, r := range rows {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", r.ID, r.Action, r.Operator, r.State, r.Result, len(r.Hosts), r.Holder)
+			if o.State != api.OpClosed {
+				listed.State, listed.Result = o.State, ""
 			}
-			err = w.Flush()
-		}
-		if err == nil {
-			if silent := errors.Join(errs...); silent != nil {
-				err = &exitError{exitPartial, silent}
+			if o.LeaseHolder != "" {
+				listed.LeaseHolder = o.LeaseHolder
 			}
+			listed.Hosts = append(listed.Hosts, f.Agents[n].Host.Name)
+		}
+	}
+	var all []*listedOperation
+	for _, listed := range byID {
+		all = append(all, listed)
+	}
+	sort.Slice(all, func(a, b int) bool {
+		if x, y := all[a].State == api.OpClosed, all[b].State == api.OpClosed; x != y {
+			return y
 		}
-		return err
+		return all[a].Created.After(all[b].Created)
+	})
+	return all
+}
+
+func printOperations(operations []*listedOperation) error {
+	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "OPERATION\tACTION\tBY\tSTATE\tRESULT\tHOSTS\tHELD BY")
+	for _, o := range operations {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", o.ID, o.Action, o.Operator, o.State, o.Result, len(o.Hosts), o.LeaseHolder)
 	}
-	return []*cobra.Command{ops, report, resume, abort}
+	return w.Flush()
 }
--- a/cmd/martendrum/report.go
+++ b/cmd/martendrum/report.go
@@ -1,51 +1,76 @@
 package main
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"os"
 	"text/tabwriter"
 
+	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/control/client"
 	"martendrum/internal/fleet/control/rollout"
 )
 
-// printReport prints a report and says by the exit code how it went.
-func (g *global) printReport(rep *client.Report) error {
+// printReport prints the report of an operation. One that did not succeed is an error with the
+// exit code for that.
+func (g *global) printReport(report *client.Report) error {
 	if g.json {
-		if err := printJSON(rep); err != nil {
+		if err := printJSON(report); err != nil {
 			return err
 		}
 	} else {
 		fmt.Fprintln(os.Stderr)
-		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(w, "HOST\tINSTANCE\tOUTCOME\tNOW\tRELEASE\tPID\tREASON")
-		for _, r := range rep.Rows {
-			state, rel, pid, why := "-", "-", 0, r.Reason
-			if r.State != nil {
-				state, rel, pid = r.State.State, shortHash(r.State.Running), r.State.PID
-			}
-			if r.Unknown != "" {
-				state, why = "unknown", r.Unknown
-			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", r.Host, r.Instance, r.Outcome, state, rel, pid, why)
-		}
-		w.Flush()
-		fmt.Printf("operation %s (%s by %s): %s\n", rep.Operation.ID, rep.Operation.Action, rep.Operation.Operator, rep.Result)
-		if rep.Why != "" && rep.Result != rollout.Succeeded {
-			fmt.Println("because:", rep.Why)
-		}
-		if rep.LeaseHolder != "" {
-			fmt.Println("held by:", rep.LeaseHolder)
-		}
-		if rep.Operation.Staged != nil {
-			fmt.Print(describeNote(rep.Stages, rep.Operation.Staged))
-		}
-		for _, n := range rep.Notes {
-			fmt.Println(n)
-		}
+		printResults(report.Rows)
+		printSummary(report)
 	}
-	if !rep.OK() {
+	if !report.OK() {
 		return &exitError{exitPartial, nil}
 	}
 	return nil
 }
+
+func printResults(results []client.InstanceResult) {
+	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "HOST\tINSTANCE\tOUTCOME\tNOW\tRELEASE\tPID\tREASON")
+	for _, r := range results {
+		state, release, pid, reason := "-", "-", 0, r.Reason
+		if r.State != nil {
+			state, release, pid = r.State.State, shortHash(r.State.Running), r.State.PID
+		}
+		if r.Unknown != "" {
+			state, reason = "unknown", r.Unknown
+		}
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", r.Host, r.Instance, r.Outcome, state, release, pid, reason)
+	}
+	w.Flush()
+}
+
+func printSummary(report *client.Report) {
+	operation := &report.Operation
+	fmt.Printf("operation %s (%s by %s): %s\n", operation.ID, operation.Action, operation.Operator, report.Result)
+	if report.Why != "" && report.Result != rollout.Succeeded {
+		fmt.Println("because:", report.Why)
+	}
+	if report.LeaseHolder != "" {
+		fmt.Println("held by:", report.LeaseHolder)
+	}
+	if operation.Staged != nil {
+		fmt.Print(describeNote(report.Stages, operation.Staged))
+	}
+	for _, note := range report.Notes {
+		fmt.Println(note)
+	}
+}
+
+// resume resumes an operation and prints its report.
+func (g *global) resume(ctx context.Context, f *client.Fleet, id string, options client.Options) error {
+	report, err := f.Resume(ctx, id, options)
+	if err != nil {
+		if rejection, ok := errors.AsType[*api.Error](err); ok {
+			return &exitError{exitPartial, rejection}
+		}
+		return err
+	}
+	return g.printReport(report)
+}
