--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -16,17 +16,18 @@
 	"martendrum/internal/fleet/release"
 )
 
-// rollingFlags is the flags of a rolling change.
+// rollingFlags are the flags of a rolling change.
 type rollingFlags struct {
 	selection                    *inventory.Select
 	all, dryRun, skipUnreachable bool
-	batch, maxUnavailable        string
+	batch, maxUnavailable        string // numbers or percentages
 	policy                       api.Policy
 	ready, soak                  time.Duration
 	run                          runFlags
-	binary, overlay              string
+	binary, overlay              string // paths
 }
 
+// changes are the actions that have a command of their own.
 var changes = []struct{ action, short, long string }{
 	{api.ActDrain, "Take instances out of service until undrain", "Drain: SIGTERM, and SIGKILL once the longest deadline has passed. A drained instance\nstays down, also over restarts of its agent, until it is undrained."},
 	{api.ActUndrain, "Bring drained instances back", ""},
@@ -38,45 +39,64 @@
 	{api.ActRollback, "Change instances back to the release they ran before", ""},
 }
 
+// changeCommands returns a command for each action.
 func changeCommands(g *global) (out []*cobra.Command) {
-	for _, ch := range changes {
+	for _, change := range changes {
 		r := &rollingFlags{}
-		c := &cobra.Command{Use: ch.action + " [INSTANCE...]", GroupID: "change", Short: ch.short, Long: ch.long}
-		if ch.action == api.ActUpgrade {
-			c.Example = "  martendrum upgrade --binary ./sidecar --overlay new.json --canaries 1 --batch 10% --soak 30s --all"
-			c.Flags().StringVar(&r.binary, "binary", "", "the sidecar's program (needed)")
-			c.Flags().StringVar(&r.overlay, "overlay", "", "JSON that is merged over each instance's configuration")
-			c.MarkFlagRequired("binary")
-		}
-		r.selection = selectFlags(c)
-		f := c.Flags()
-		f.BoolVar(&r.all, "all", false, "all instances of the fleet")
-		f.BoolVar(&r.dryRun, "dry-run", false, "print the plan and change nothing")
-		f.BoolVar(&r.skipUnreachable, "skip-unreachable", false, "leave out hosts that don't answer, instead of changing nothing")
-		f.StringVar(&r.batch, "batch", "1", "so many instances at a time, or a percentage")
-		f.StringVar(&r.maxUnavailable, "max-unavailable", "", "no more than so many of them unavailable, or a percentage (default: the batch)")
-		f.IntVar(&r.policy.Canaries, "canaries", 0, "so many instances first, and one failure among them is too many")
-		f.IntVar(&r.policy.MaxFailures, "max-failures", 0, "so many may fail; one more stops the change")
-		onFailure := api.OnFailureStop
-		if ch.action == api.ActUpgrade {
-			onFailure = api.OnFailureRollback
-		}
-		f.StringVar(&r.policy.OnFailure, "on-failure", onFailure, "after too many failures: stop, pause (to be resumed)"+map[bool]string{true: ", or rollback"}[onFailure == api.OnFailureRollback])
-		f.DurationVar(&r.ready, "ready", 30*time.Second, "an instance must be ready within it")
-		f.DurationVar(&r.soak, "soak", 2*time.Second, "and stay so for it")
-		r.run.add(c)
-		c.RunE = func(c *cobra.Command, args []string) error { return g.startChange(c.Context(), ch.action, r, args) }
+		c := &cobra.Command{Use: change.action + " [INSTANCE...]", GroupID: "change", Short: change.short, Long: change.long}
+		r.add(c, change.action)
+		c.RunE = func(c *cobra.Command, args []string) error { return g.startChange(c.Context(), change.action, r, args) }
 		out = append(out, c)
 	}
 	return out
 }
 
-func (g *global) startChange(ctx context.Context, action string, r *rollingFlags, args []string) error {
+func (r *rollingFlags) add(c *cobra.Command, action string) {
+	f := c.Flags()
+	onFailure, onFailureHelp := api.OnFailureStop, "after too many failures: stop, pause (to be resumed)"
+	if action == api.ActUpgrade {
+		c.Example = "  martendrum upgrade --binary ./sidecar --overlay new.json --canaries 1 --batch 10% --soak 30s --all"
+		f.StringVar(&r.binary, "binary", "", "the sidecar's program (needed)")
+		f.StringVar(&r.overlay, "overlay", "", "JSON that is merged over each instance's configuration")
+		c.MarkFlagRequired("binary")
+		onFailure = api.OnFailureRollback
+		onFailureHelp += ", or rollback"
+	}
+	r.selection = selectFlags(c)
+	f.BoolVar(&r.all, "all", false, "all instances of the fleet")
+	f.BoolVar(&r.dryRun, "dry-run", false, "print the plan and change nothing")
+	f.BoolVar(&r.skipUnreachable, "skip-unreachable", false, "leave out hosts that don't answer, instead of changing nothing")
+	f.StringVar(&r.batch, "batch", "1", "so many instances at a time, or a percentage")
+	f.StringVar(&r.maxUnavailable, "max-unavailable", "", "no more than so many of them unavailable, or a percentage (default: the batch)")
+	f.IntVar(&r.policy.Canaries, "canaries", 0, "so many instances first, and one failure among them is too many")
+	f.IntVar(&r.policy.MaxFailures, "max-failures", 0, "so many may fail; one more stops the change")
+	f.StringVar(&r.policy.OnFailure, "on-failure", onFailure, onFailureHelp)
+	f.DurationVar(&r.ready, "ready", 30*time.Second, "an instance must be ready within it")
+	f.DurationVar(&r.soak, "soak", 2*time.Second, "and stay so for it")
+	r.run.add(c)
+}
+
+// selectInstances adds the arguments to the selection and checks it.
+func (r *rollingFlags) selectInstances(args []string) error {
 	r.selection.Instances = append(r.selection.Instances, args...)
 	if r.selection.Empty() == !r.all {
 		return fmt.Errorf("say which instances: their names, --host, --label, --release, --state, or --all alone for every one")
 	}
-	if err := r.selection.Check(); err != nil {
+	return r.selection.Check()
+}
+
+// newOperation returns an operation without targets.
+func newOperation(action string, r *rollingFlags) api.Operation {
+	created := time.Now().UTC().Truncate(time.Millisecond)
+	return api.Operation{
+		ID:     created.Format("20060102-150405-") + randomHex(3),
+		Action: action, Ready: r.ready, Soak: r.soak, Operator: operatorName(), Created: created,
+	}
+}
+
+// startChange starts a rolling change and follows it to its end.
+func (g *global) startChange(ctx context.Context, action string, r *rollingFlags, args []string) error {
+	if err := r.selectInstances(args); err != nil {
 		return err
 	}
 	f, err := g.openFleet()
@@ -84,58 +104,73 @@
 		return err
 	}
 	defer f.Close()
-	op := api.Operation{Action: action, Ready: r.ready, Soak: r.soak, Operator: operatorName(), Created: time.Now().UTC().Truncate(time.Millisecond)}
-	op.ID = op.Created.Format("20060102-150405-") + randomHex(3)
+	operation := newOperation(action, r)
 	if action == api.ActUpgrade {
-		if op.Release, err = hashRelease(r); err != nil {
+		if operation.Release, err = hashRelease(r); err != nil {
 			return err
 		}
 	} else if r.policy.OnFailure == api.OnFailureRollback {
 		return fmt.Errorf("--on-failure rollback goes with upgrade; a %s can't be taken back", action)
 	}
-	states, agents, err := r.targets(ctx, f, &op)
+	hosts, agents, err := r.targets(ctx, f, &operation)
 	if err != nil {
 		return err
 	}
-	spreadOverHosts(op.Targets)
-	if r.policy.Batch, err = parseCount(r.batch, len(op.Targets)); err != nil {
-		return fmt.Errorf("--batch: %w", err)
-	}
-	r.policy.MaxUnavailable = max(r.policy.Batch, r.policy.Canaries)
-	if r.maxUnavailable != "" {
-		if r.policy.MaxUnavailable, err = parseCount(r.maxUnavailable, len(op.Targets)); err != nil {
-			return fmt.Errorf("--max-unavailable: %w", err)
-		}
-	}
-	op.Policy = r.policy
-	if err := op.Policy.Check(len(op.Targets)); err != nil {
+	spreadOverHosts(operation.Targets)
+	if operation.Policy, err = r.completePolicy(len(operation.Targets)); err != nil {
 		return err
 	}
 	if r.dryRun {
-		return g.printPlan(&op, states)
+		return g.printPlan(&operation, hosts)
 	}
 	if action == api.ActUpgrade {
-		if err := f.Upload(ctx, agents, op.Release, r.binary, r.overlay, func(host string) {
-			fmt.Fprintf(os.Stderr, "release %s is at %s\n", shortHash(op.Release), host)
-		}); err != nil {
-			return &exitError{exitPartial, fmt.Errorf("nothing was changed: %w", err)}
+		if err := r.upload(ctx, f, agents, operation.Release); err != nil {
+			return err
 		}
 	}
-	fmt.Fprintf(os.Stderr, "operation %s: %s of %d instances\n", op.ID, action, len(op.Targets))
-	rep, err := f.Start(ctx, op, r.run.options(g))
+	fmt.Fprintf(os.Stderr, "operation %s: %s of %d instances\n", operation.ID, action, len(operation.Targets))
+	report, err := f.Start(ctx, operation, r.run.options(g))
 	if err != nil {
-		if e, ok := errors.AsType[*api.Error](err); ok {
-			return &exitError{exitPartial, e}
+		if rejection, ok := errors.AsType[*api.Error](err); ok {
+			return &exitError{exitPartial, rejection}
 		}
 		return err
 	}
-	return g.printReport(rep)
+	return g.printReport(report)
+}
+
+// completePolicy returns the policy of the flags for a number of targets, checked.
+func (r *rollingFlags) completePolicy(targets int) (api.Policy, error) {
+	policy := r.policy
+	var err error
+	if policy.Batch, err = parseCount(r.batch, targets); err != nil {
+		return policy, fmt.Errorf("--batch: %w", err)
+	}
+	policy.MaxUnavailable = max(policy.Batch, policy.Canaries)
+	if r.maxUnavailable != "" {
+		if policy.MaxUnavailable, err = parseCount(r.maxUnavailable, targets); err != nil {
+			return policy, fmt.Errorf("--max-unavailable: %w", err)
+		}
+	}
+	return policy, policy.Check(targets)
+}
+
+// upload sends the release to the agents and reports each that has it.
+func (r *rollingFlags) upload(ctx context.Context, f *client.Fleet, agents []*client.Agent, hash string) error {
+	err := f.Upload(ctx, agents, hash, r.binary, r.overlay, func(host string) {
+		fmt.Fprintf(os.Stderr, "release %s is at %s\n", shortHash(hash), host)
+	})
+	if err != nil {
+		return &exitError{exitPartial, fmt.Errorf("nothing was changed: %w", err)}
+	}
+	return nil
 }
 
-// targets lists the instances that are meant, and adds them to an operation.
-func (r *rollingFlags) targets(ctx context.Context, f *client.Fleet, op *api.Operation) (states []client.HostState, agents []*client.Agent, err error) {
-	states = f.List(ctx, r.selection)
-	for _, h := range states {
+// targets adds the selected instances to an operation. It returns the hosts, and the agents of those
+// that have targets.
+func (r *rollingFlags) targets(ctx context.Context, f *client.Fleet, operation *api.Operation) (hosts []client.HostState, agents []*client.Agent, err error) {
+	hosts = f.List(ctx, r.selection)
+	for _, h := range hosts {
 		if h.Error != "" {
 			if !r.skipUnreachable {
 				return nil, nil, &exitError{exitUnreachable, fmt.Errorf("nothing was changed: %s; --skip-unreachable leaves such hosts out", h.Error)}
@@ -144,19 +179,19 @@
 			continue
 		}
 		for _, i := range h.Instances {
-			op.Targets = append(op.Targets, api.Target{Host: h.Host.Name, Instance: i.Name})
+			operation.Targets = append(operation.Targets, api.Target{Host: h.Host.Name, Instance: i.Name})
 		}
 		if len(h.Instances) > 0 {
 			agents = append(agents, f.Agent(h.Host.Name))
 		}
 	}
-	if len(op.Targets) == 0 {
+	if len(operation.Targets) == 0 {
 		return nil, nil, &exitError{exitPartial, errors.New("nothing was changed: no instance fits")}
 	}
-	return states, agents, nil
+	return hosts, agents, nil
 }
 
-// hashRelease reads a release from this machine.
+// hashRelease checks the files of a release on this machine and returns its hash.
 func hashRelease(r *rollingFlags) (string, error) {
 	if r.overlay != "" {
 		b, err := os.ReadFile(r.overlay)
@@ -177,14 +212,13 @@
 	return release.Hash(r.binary, r.overlay)
 }
 
-// spreadOverHosts orders targets so that neighbours are on different hosts: a batch takes
-// little from each.
-func spreadOverHosts(ts []api.Target) {
+// spreadOverHosts orders targets by turns over their hosts, so that a batch takes few from each.
+func spreadOverHosts(targets []api.Target) {
 	turn := make(map[api.Target]int)
 	seen := make(map[string]int)
-	for _, t := range ts {
+	for _, t := range targets {
 		turn[t] = seen[t.Host]
 		seen[t.Host]++
 	}
-	sort.SliceStable(ts, func(a, b int) bool { return turn[ts[a]] < turn[ts[b]] })
+	sort.SliceStable(targets, func(a, b int) bool { return turn[targets[a]] < turn[targets[b]] })
 }
--- a/cmd/martendrum/change_plan.go
+++ b/cmd/martendrum/change_plan.go
@@ -10,38 +10,42 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
-// printPlan prints what a change would do.
-func (g *global) printPlan(op *api.Operation, states []client.HostState) error {
-	now := make(map[api.Target]api.Instance)
-	for _, h := range states {
+// plannedChange is the change of an instance as it is printed.
+type plannedChange struct {
+	Batch    int          `json:"batch"`
+	Host     string       `json:"host"`
+	Instance api.Instance `json:"instance"`
+}
+
+// printPlan prints what a rolling change would do.
+func (g *global) printPlan(operation *api.Operation, hosts []client.HostState) error {
+	instances := make(map[api.Target]api.Instance)
+	for _, h := range hosts {
 		for _, i := range h.Instances {
-			now[api.Target{Host: h.Host.Name, Instance: i.Name}] = i
+			instances[api.Target{Host: h.Host.Name, Instance: i.Name}] = i
 		}
 	}
-	type entry struct {
-		Batch    int          `json:"batch"`
-		Host     string       `json:"host"`
-		Instance api.Instance `json:"instance"`
-	}
-	var plan []entry
-	for n, b := range rollout.Batches(op.Policy, len(op.Targets)) {
-		for _, i := range b {
-			plan = append(plan, entry{n + 1, op.Targets[i].Host, now[op.Targets[i]]})
+	var plan []plannedChange
+	for n, batch := range rollout.Batches(operation.Policy, len(operation.Targets)) {
+		for _, i := range batch {
+			target := operation.Targets[i]
+			plan = append(plan, plannedChange{n + 1, target.Host, instances[target]})
 		}
 	}
 	if g.json {
-		return printJSON(map[string]any{"operation": op, "plan": plan})
+		return printJSON(map[string]any{"operation": operation, "plan": plan})
 	}
+	policy := &operation.Policy
 	fmt.Printf("%s of %d instances: %d canaries, batches of %d, at most %d unavailable, %d failures allowed, then %s; soak %v\n",
-		op.Action, len(op.Targets), op.Policy.Canaries, op.Policy.Batch, op.Policy.MaxUnavailable, op.Policy.MaxFailures, op.Policy.OnFailure, op.Soak)
+		operation.Action, len(operation.Targets), policy.Canaries, policy.Batch, policy.MaxUnavailable, policy.MaxFailures, policy.OnFailure, operation.Soak)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "BATCH\tHOST\tINSTANCE\tSTATE\tRELEASE")
-	for _, e := range plan {
-		rel := shortHash(e.Instance.Release)
-		if op.Release != "" {
-			rel += " -> " + shortHash(op.Release)
+	for _, p := range plan {
+		release := shortHash(p.Instance.Release)
+		if operation.Release != "" {
+			release += " -> " + shortHash(operation.Release)
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.Batch, e.Host, e.Instance.Name, e.Instance.State, rel)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", p.Batch, p.Host, p.Instance.Name, p.Instance.State, release)
 	}
 	w.Flush()
 	fmt.Println("dry run: nothing was changed")
--- a/cmd/martendrum/flags.go
+++ b/cmd/martendrum/flags.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-// runFlags is how a command runs an operation.
+// runFlags are the flags of commands that run an operation.
 type runFlags struct {
 	ttl, giveUp time.Duration
 }
@@ -39,17 +39,22 @@
 }
 
 func (r *runFlags) options(g *global) client.Options {
-	return client.Options{LeaseHolder: fmt.Sprintf("%s pid %d %s", operatorName(), os.Getpid(), randomHex(4)), TTL: r.ttl, GiveUp: r.giveUp, Progress: progress(g)}
+	return client.Options{
+		LeaseHolder: fmt.Sprintf("%s pid %d %s", operatorName(), os.Getpid(), randomHex(4)),
+		TTL:         r.ttl,
+		GiveUp:      r.giveUp,
+		Progress:    progress(g),
+	}
 }
 
-// parseCount reads a number or a percentage of n, of which at least 1 is meant.
+// parseCount reads a number, or a percentage of n, which is rounded down to 1 at least.
 func parseCount(s string, n int) (int, error) {
-	if p, ok := strings.CutSuffix(s, "%"); ok {
-		v, err := strconv.ParseFloat(p, 64)
-		if err != nil || !(v > 0 && v <= 100) {
+	if text, ok := strings.CutSuffix(s, "%"); ok {
+		percentage, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(percentage > 0 && percentage <= 100) {
 			return 0, fmt.Errorf("%q is no percentage above 0 and up to 100", s)
 		}
-		return max(1, int(float64(n)*v/100)), nil
+		return max(1, int(float64(n)*percentage/100)), nil
 	}
 	v, err := strconv.Atoi(s)
 	if err != nil || v < 1 {
@@ -58,13 +63,14 @@
 	return v, nil
 }
 
+// randomHex returns n random bytes in hex.
 func randomHex(n int) string {
-	b := make([]byte, n)
-	rand.Read(b)
-	return hex.EncodeToString(b)
+	data := make([]byte, n)
+	rand.Read(data)
+	return hex.EncodeToString(data)
 }
 
-// operatorName names the operator.
+// operatorName returns the user and the host of the operator.
 func operatorName() string {
 	name := "unknown"
 	if u, err := user.Current(); err == nil {
--- a/cmd/martendrum/output.go
+++ b/cmd/martendrum/output.go
@@ -10,7 +10,11 @@
 	"martendrum/internal/fleet/control/client"
 )
 
-// progress draws a bar of its own on a terminal, one line an event otherwise.
+// barWidth is the width of the progress bar in characters.
+const barWidth = 24
+
+// progress returns what prints events to standard error: as JSON lines, as a progress bar on a
+// terminal, and otherwise as one line each.
 func progress(g *global) func(client.Event) {
 	st, err := os.Stderr.Stat()
 	terminal := err == nil && st.Mode()&os.ModeCharDevice != 0 && !g.json
@@ -22,13 +26,12 @@
 		}
 		text := strings.TrimSpace(strings.Join([]string{e.Kind, e.Host, e.Instance, e.Step, e.Text}, " "))
 		if terminal {
-			width := 24
 			fill := 0
 			if e.Of > 0 {
-				fill = width * e.Done / e.Of
+				fill = barWidth * e.Done / e.Of
 			}
-			fmt.Fprintf(os.Stderr, "\r\x1b[K[%s%s] %d/%d  %.100s", strings.Repeat("#", fill), strings.Repeat(".", width-fill), e.Done, e.Of, text)
-			if e.Kind == "failed" || e.Kind == "silent" || e.Kind == "note" {
+			fmt.Fprintf(os.Stderr, "\r\x1b[K[%s%s] %d/%d  %.100s", strings.Repeat("#", fill), strings.Repeat(".", barWidth-fill), e.Done, e.Of, text)
+			if e.Kind == client.EventFailed || e.Kind == client.EventSilent || e.Kind == client.EventNote {
 				fmt.Fprintln(os.Stderr)
 			}
 			return
@@ -37,14 +40,17 @@
 	}
 }
 
+// printJSON prints a value as indented JSON.
 func printJSON(v any) error {
-	e := json.NewEncoder(os.Stdout)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+	encoder := json.NewEncoder(os.Stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
 
+// shortHash returns the start of a release's hash.
 func shortHash(hash string) string { return hash[:min(12, len(hash))] }
 
+// age returns the time since t in whole seconds, "-" for the zero time.
 func age(t time.Time) string {
 	if t.IsZero() {
 		return "-"
--- a/cmd/martendrum/staged_complete.go
+++ b/cmd/martendrum/staged_complete.go
@@ -13,85 +13,124 @@
 	"martendrum/internal/fleet/stage"
 )
 
-// completeOperation draws the stages and completes plan, policy and judge from what the fleet is.
-func (r *stagedFlags) completeOperation(ctx context.Context, f *client.Fleet, first *client.Agent, op *api.Operation, now map[api.Target]*api.Instance) error {
-	var figures api.MetricsOut
-	if err := first.Call(ctx, api.Metrics, &api.MetricsIn{Limit: 1}, &figures); err != nil {
+// completeOperation draws the stages and completes the operation, the plan and the canary analysis
+// from the state of the fleet. first is an agent of one of the targets.
+func (r *stagedFlags) completeOperation(ctx context.Context, f *client.Fleet, first *client.Agent, operation *api.Operation, instances map[api.Target]*api.Instance) error {
+	var metrics api.MetricsOut
+	if err := first.Call(ctx, api.Metrics, &api.MetricsIn{Limit: 1}, &metrics); err != nil {
 		return err
 	}
-	if figures.Slot == 0 {
+	if metrics.Slot == 0 {
 		return fmt.Errorf("agent %s takes no figures: set figures.slot in its file", first.Host.Name)
 	}
-	r.analysis.Slot = figures.Slot
-	var members []stage.Member
+	r.analysis.Slot = metrics.Slot
+	members, base, err := stageMembers(operation.Targets, instances)
+	if err != nil {
+		return err
+	}
+	r.analysis.Base = base
+	if err := r.readClasses(ctx, f, operation.Targets[0]); err != nil {
+		return err
+	}
+	if r.seed == 0 {
+		r.seed = seedOf(operation.ID)
+	}
+	r.drawOrder(operation, members)
+	if r.plan.Upto, err = stage.Sizes(r.stages, len(operation.Targets)); err != nil {
+		return fmt.Errorf("--stages: %w", err)
+	}
+	if err := r.parseLimits(len(operation.Targets)); err != nil {
+		return err
+	}
+	operation.Policy = r.policy
+	return nil
+}
+
+// stageMembers returns the targets as the stages draw them, and the release that all of them run.
+func stageMembers(targets []api.Target, instances map[api.Target]*api.Instance) (members []stage.Member, base string, err error) {
 	running := make(map[string]int)
-	for _, t := range op.Targets {
-		i := now[t]
+	for _, t := range targets {
+		i := instances[t]
 		if i.AdminAddress == "" {
-			return fmt.Errorf("instance %s on %s has no door, so nobody could judge it: set mgmt in its configuration, or leave it out", t.Instance, t.Host)
+			return nil, "", fmt.Errorf("instance %s on %s has no door, so nobody could judge it: set mgmt in its configuration, or leave it out", t.Instance, t.Host)
 		}
 		running[i.Running]++
+		base = i.Running
 		members = append(members, stage.Member{Host: t.Host, Instance: t.Instance, Zone: i.Labels["zone"], Shop: i.Labels["shop"], Rate: i.Rate})
 	}
 	if len(running) != 1 || running[""] > 0 {
 		var list []string
-		for _, rel := range slices.Sorted(maps.Keys(running)) {
-			list = append(list, fmt.Sprintf("%d run %s", running[rel], shortHash(rel)))
+		for _, release := range slices.Sorted(maps.Keys(running)) {
+			list = append(list, fmt.Sprintf("%d run %s", running[release], shortHash(release)))
 		}
-		return fmt.Errorf("old and new can only be compared if all run one release now; of these, %s: choose with --release, or bring them to one first", strings.Join(list, ", "))
-	}
-	for rel := range running {
-		r.analysis.Base = rel
+		return nil, "", fmt.Errorf("old and new can only be compared if all run one release now; of these, %s: choose with --release, or bring them to one first", strings.Join(list, ", "))
 	}
+	return members, base, nil
+}
+
+// readClasses reads the classes of requests and their weights from a target's configuration.
+func (r *stagedFlags) readClasses(ctx context.Context, f *client.Fleet, target api.Target) error {
 	var inspect api.InspectOut
-	one := op.Targets[0]
-	if err := f.Agent(one.Host).Call(ctx, api.Inspect, &api.InstanceIn{Instance: one.Instance}, &inspect); err != nil {
+	if err := f.Agent(target.Host).Call(ctx, api.Inspect, &api.InstanceIn{Instance: target.Instance}, &inspect); err != nil {
 		return err
 	}
-	var conf struct {
+	var config struct {
 		Settings struct {
 			Classes []struct {
-				Name  string  `json:"name"`
-				Worth float64 `json:"worth"`
+				Name   string  `json:"name"`
+				Weight float64 `json:"worth"`
 			} `json:"classes"`
 		} `json:"settings"`
 	}
-	if err := json.Unmarshal([]byte(inspect.Config), &conf); err != nil {
-		return fmt.Errorf("configuration of %s on %s: %w", one.Instance, one.Host, err)
+	if err := json.Unmarshal([]byte(inspect.Config), &config); err != nil {
+		return fmt.Errorf("configuration of %s on %s: %w", target.Instance, target.Host, err)
 	}
-	for _, c := range conf.Settings.Classes {
-		r.analysis.Classes, r.analysis.Weights = append(r.analysis.Classes, c.Name), append(r.analysis.Weights, max(c.Worth, 0))
+	for _, class := range config.Settings.Classes {
+		r.analysis.Classes = append(r.analysis.Classes, class.Name)
+		r.analysis.Weights = append(r.analysis.Weights, max(class.Weight, 0))
 	}
-	if r.seed == 0 {
-		for _, b := range []byte(op.ID) {
-			r.seed = r.seed*1099511628211 + uint64(b)
-		}
+	return nil
+}
+
+// seedOf derives a seed from an operation's ID.
+func seedOf(id string) (seed uint64) {
+	const prime = 1099511628211 // of FNV
+	for _, b := range []byte(id) {
+		seed = seed*prime + uint64(b)
 	}
-	targets := op.Targets
-	op.Targets = nil
+	return seed
+}
+
+// drawOrder orders the targets randomly, as the stages take them.
+func (r *stagedFlags) drawOrder(operation *api.Operation, members []stage.Member) {
+	targets := operation.Targets
+	operation.Targets = nil
 	for _, i := range stage.Draw(members, r.seed) {
-		op.Targets = append(op.Targets, targets[i])
-		op.Places = append(op.Places, api.Place{Zone: members[i].Zone, Shop: members[i].Shop})
+		operation.Targets = append(operation.Targets, targets[i])
+		operation.Places = append(operation.Places, api.Place{Zone: members[i].Zone, Shop: members[i].Shop})
 		r.analysis.Zones = append(r.analysis.Zones, members[i].Zone)
 	}
-	n := len(op.Targets)
-	var err error
-	if r.plan.Upto, err = stage.Sizes(r.stages, n); err != nil {
-		return fmt.Errorf("--stages: %w", err)
-	}
-	for _, x := range []struct {
+}
+
+// parseLimits reads the flags that limit the change, for a number of targets.
+func (r *stagedFlags) parseLimits(targets int) (err error) {
+	for _, limit := range []struct {
 		flag, text string
 		to         *int
-	}{{"batch", r.batch, &r.policy.Batch}, {"max-unavailable", r.maxUnavailable, &r.policy.MaxUnavailable}, {"max-host", r.maxHost, &r.policy.MaxHost},
-		{"max-zone", r.maxZone, &r.policy.MaxZone}, {"max-shop", r.maxShop, &r.policy.MaxShop}} {
-		if x.text == "" {
+	}{
+		{"batch", r.batch, &r.policy.Batch},
+		{"max-unavailable", r.maxUnavailable, &r.policy.MaxUnavailable},
+		{"max-host", r.maxHost, &r.policy.MaxHost},
+		{"max-zone", r.maxZone, &r.policy.MaxZone},
+		{"max-shop", r.maxShop, &r.policy.MaxShop},
+	} {
+		if limit.text == "" {
 			continue
 		}
-		if *x.to, err = parseCount(x.text, n); err != nil {
-			return fmt.Errorf("--%s: %w", x.flag, err)
+		if *limit.to, err = parseCount(limit.text, targets); err != nil {
+			return fmt.Errorf("--%s: %w", limit.flag, err)
 		}
 	}
 	r.policy.MaxUnavailable = max(r.policy.MaxUnavailable, r.policy.Batch)
-	op.Policy = r.policy
 	return nil
 }
--- a/cmd/martendrum/staged_follow.go
+++ b/cmd/martendrum/staged_follow.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"errors"
+	"context"
 	"fmt"
 	"maps"
 	"os"
@@ -16,6 +16,7 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
+// resumeCommand returns the command that resumes a staged change.
 func resumeCommand(g *global) *cobra.Command {
 	run := &runFlags{}
 	c := &cobra.Command{Use: "resume OPERATION", Short: "Go on with a change where it stood", Args: cobra.ExactArgs(1),
@@ -28,67 +29,73 @@
 			return err
 		}
 		defer f.Close()
-		opt := run.options(g)
-		opt.Release = *goOn
-		rep, err := f.Resume(c.Context(), args[0], opt)
-		if err != nil {
-			if e, ok := errors.AsType[*api.Error](err); ok {
-				return &exitError{exitPartial, e}
-			}
-			return err
-		}
-		return g.printReport(rep)
+		options := run.options(g)
+		options.Release = *goOn
+		return g.resume(c.Context(), f, args[0], options)
 	}
 	return c
 }
 
+// minWatchInterval bounds how often the agents are polled.
+const minWatchInterval = 100 * time.Millisecond
+
+// watchCommand returns the command that follows a change without taking part in it.
 func watchCommand(g *global) *cobra.Command {
 	c := &cobra.Command{Use: "watch OPERATION", Short: "Follow a change, from the agents' records", Args: cobra.ExactArgs(1)}
-	each := c.Flags().Duration("each", 2*time.Second, "look so often")
+	interval := c.Flags().Duration("each", 2*time.Second, "look so often")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		if *each < 100*time.Millisecond {
-			return fmt.Errorf("--each %v; 100ms at least", *each)
+		if *interval < minWatchInterval {
+			return fmt.Errorf("--each %v; 100ms at least", *interval)
 		}
 		f, err := g.openFleet()
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		st, err := os.Stdout.Stat()
-		terminal := err == nil && st.Mode()&os.ModeCharDevice != 0 && !g.json
-		shown := ""
-		for {
-			rep, err := f.Report(c.Context(), args[0])
-			if err != nil {
+		return g.watch(c.Context(), f, args[0], *interval)
+	}
+	return c
+}
+
+// watch prints a change at each interval until it ends, or until ctx does.
+func (g *global) watch(ctx context.Context, f *client.Fleet, id string, interval time.Duration) error {
+	st, err := os.Stdout.Stat()
+	terminal := err == nil && st.Mode()&os.ModeCharDevice != 0 && !g.json
+	shown := ""
+	for {
+		report, err := f.Report(ctx, id)
+		if err != nil {
+			return err
+		}
+		text := describeChange(report)
+		if g.json {
+			if err := printJSON(report); err != nil {
 				return err
 			}
-			text := describeChange(rep)
-			if g.json {
-				if err := printJSON(rep); err != nil {
-					return err
-				}
-			} else if terminal {
-				fmt.Printf("\x1b[H\x1b[2J%s", text)
-			} else if text != shown { // off a terminal only what has changed
-				fmt.Print(text)
-			}
-			shown = text
-			if rep.Result != api.OpOpened && rep.Result != api.OpAborting {
-				if rep.Result != rollout.Succeeded {
-					return &exitError{exitPartial, nil}
-				}
-				return nil
-			}
-			select {
-			case <-c.Context().Done():
-				return nil
-			case <-time.After(*each):
+		} else if terminal {
+			fmt.Printf("%s%s", clearScreen, text)
+		} else if text != shown { // without a terminal, only what has changed
+			fmt.Print(text)
+		}
+		shown = text
+		if report.Result != api.OpOpened && report.Result != api.OpAborting {
+			if report.Result != rollout.Succeeded {
+				return &exitError{exitPartial, nil}
 			}
+			return nil
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-time.After(interval):
 		}
 	}
-	return c
 }
 
+// clearScreen moves a terminal's cursor to the top and clears the screen.
+const clearScreen = "\x1b[H\x1b[2J"
+
+// evidenceCommand returns the command that reports a change with its evidence.
 func evidenceCommand(g *global) *cobra.Command {
 	c := &cobra.Command{Use: "report OPERATION", Short: "Tell what became of a change, and on what evidence", Args: cobra.ExactArgs(1),
 		Long:    "Report tells what became of a change and how it came there, from the agents' records.\nWith --plot it judges again, from the figures that the agents still keep, and draws one test.",
@@ -101,51 +108,60 @@
 			return err
 		}
 		defer f.Close()
-		rep, err := f.Report(c.Context(), args[0])
+		report, err := f.Report(c.Context(), args[0])
 		if err != nil {
 			return err
 		}
 		if *path != "" {
-			series, missing, err := f.Replay(c.Context(), rep)
-			if err != nil {
-				return err
-			}
-			if len(missing) > 0 {
-				fmt.Fprintf(os.Stderr, "without the figures of %s, which don't answer\n", strings.Join(missing, ", "))
-			}
-			if len(series) > 0 {
-				rep.Judgement = &series[len(series)-1]
-			}
-			if err := plotEvidence(series, rep.Operation.Staged.Plan.Slot.Seconds(), *test, *path); err != nil {
+			if err := plotReport(c.Context(), f, report, *test, *path); err != nil {
 				return err
 			}
-			fmt.Fprintln(os.Stderr, "drawn to", *path)
 		}
-		return g.printReport(rep)
+		return g.printReport(report)
 	}
 	return c
 }
 
-// describeChange is a change as a person follows it.
-func describeChange(rep *client.Report) string {
+// plotReport repeats the canary analysis of a change, draws one test of it to a file and puts the
+// latest result into the report.
+func plotReport(ctx context.Context, f *client.Fleet, report *client.Report, test, path string) error {
+	series, missing, err := f.Replay(ctx, report)
+	if err != nil {
+		return err
+	}
+	if len(missing) > 0 {
+		fmt.Fprintf(os.Stderr, "without the figures of %s, which don't answer\n", strings.Join(missing, ", "))
+	}
+	if len(series) > 0 {
+		report.Judgement = &series[len(series)-1]
+	}
+	if err := plotEvidence(series, report.Operation.Staged.Plan.Slot.Seconds(), test, path); err != nil {
+		return err
+	}
+	fmt.Fprintln(os.Stderr, "drawn to", path)
+	return nil
+}
+
+// describeChange returns the state of a change as text.
+func describeChange(report *client.Report) string {
 	var b strings.Builder
-	count := make(map[rollout.State]int)
-	for _, r := range rep.Rows {
-		count[r.Outcome]++
+	outcomes := make(map[rollout.State]int)
+	for _, r := range report.Rows {
+		outcomes[r.Outcome]++
 	}
-	fmt.Fprintf(&b, "operation %s (%s by %s): %s", rep.Operation.ID, rep.Operation.Action, rep.Operation.Operator, rep.Result)
-	if rep.LeaseHolder == "" && rep.Result == api.OpOpened {
+	fmt.Fprintf(&b, "operation %s (%s by %s): %s", report.Operation.ID, report.Operation.Action, report.Operation.Operator, report.Result)
+	if report.LeaseHolder == "" && report.Result == api.OpOpened {
 		b.WriteString(", held by nobody: `martendrum change resume` goes on")
 	}
 	b.WriteString("\n")
-	for _, s := range slices.Sorted(maps.Keys(count)) {
-		fmt.Fprintf(&b, "  %d %s", count[s], s)
+	for _, s := range slices.Sorted(maps.Keys(outcomes)) {
+		fmt.Fprintf(&b, "  %d %s", outcomes[s], s)
 	}
-	b.WriteString("\n" + describeNote(rep.Stages, rep.Operation.Staged))
+	b.WriteString("\n" + describeNote(report.Stages, report.Operation.Staged))
 	return b.String()
 }
 
-// describeNote is where a staged change stands, and how it came there.
+// describeNote returns the progress of a staged change and its latest verdicts as text.
 func describeNote(n *api.Note, s *api.Staged) string {
 	if s == nil {
 		return "no change in stages\n"
--- a/cmd/martendrum/staged_start.go
+++ b/cmd/martendrum/staged_start.go
@@ -22,7 +22,7 @@
 	"martendrum/internal/fleet/stage"
 )
 
-// startStaged is the flags of a staged change.
+// stagedFlags are the flags of a staged change.
 type stagedFlags struct {
 	rollingFlags
 	stages, maxHost, maxZone, maxShop string
@@ -33,6 +33,7 @@
 	unattended                        time.Duration
 }
 
+// startCommand returns the command that starts a staged change.
 func startCommand(g *global) *cobra.Command {
 	r := &stagedFlags{}
 	c := &cobra.Command{Use: "start [INSTANCE...]", Short: "Begin a change in stages",
@@ -69,7 +70,7 @@
 	return c
 }
 
-// parseMargins reads --margin.
+// parseMargins reads --margin flags over the default margins.
 func parseMargins(texts []string) (map[canary.Measure]canary.Margin, error) {
 	out := canary.Margins()
 	for _, t := range texts {
@@ -92,26 +93,18 @@
 	return out, nil
 }
 
-func join[T ~string](ss []T) string {
+// join joins strings of any type with commas.
+func join[T ~string](list []T) string {
 	var out []string
-	for _, s := range ss {
+	for _, s := range list {
 		out = append(out, string(s))
 	}
 	return strings.Join(out, ", ")
 }
 
+// startStaged starts a staged change and follows it to its end.
 func (g *global) startStaged(ctx context.Context, r *stagedFlags, args []string) (err error) {
-	r.selection.Instances = append(r.selection.Instances, args...)
-	if r.selection.Empty() == !r.all {
-		return fmt.Errorf("say which instances: their names, --host, --label, --release, --state, or --all alone for every one")
-	}
-	if err := r.selection.Check(); err != nil {
-		return err
-	}
-	if r.binary == "" && r.overlay == "" {
-		return fmt.Errorf("say what changes: --binary for the program, --overlay for its settings, or both")
-	}
-	if r.analysis.Margins, err = parseMargins(r.margins); err != nil {
+	if err := r.check(args); err != nil {
 		return err
 	}
 	f, err := g.openFleet()
@@ -119,32 +112,17 @@
 		return err
 	}
 	defer f.Close()
-	op := api.Operation{Action: api.ActUpgrade, Ready: r.ready, Soak: r.soak, Operator: operatorName(), Created: time.Now().UTC().Truncate(time.Millisecond)}
-	op.ID = op.Created.Format("20060102-150405-") + randomHex(3)
-	states, agents, err := r.targets(ctx, f, &op)
+	operation := newOperation(api.ActUpgrade, &r.rollingFlags)
+	hosts, agents, err := r.targets(ctx, f, &operation)
 	if err != nil {
 		return err
 	}
-	now := make(map[api.Target]*api.Instance)
-	for h := range states {
-		for i := range states[h].Instances {
-			x := &states[h].Instances[i]
-			for k, v := range states[h].Host.Labels {
-				if _, own := x.Labels[k]; !own {
-					if x.Labels == nil {
-						x.Labels = make(map[string]string)
-					}
-					x.Labels[k] = v
-				}
-			}
-			now[api.Target{Host: states[h].Host.Name, Instance: x.Name}] = x
-		}
-	}
-	if err := r.completeOperation(ctx, f, agents[0], &op, now); err != nil {
+	instances := instancesByTarget(hosts)
+	if err := r.completeOperation(ctx, f, agents[0], &operation, instances); err != nil {
 		return err
 	}
 	if r.binary == "" {
-		op.Action = api.ActSettings
+		operation.Action = api.ActSettings
 		dir, err := os.MkdirTemp("", "martendrum-change-")
 		if err != nil {
 			return err
@@ -155,39 +133,82 @@
 			return err
 		}
 	}
-	if op.Release, err = hashRelease(&r.rollingFlags); err != nil {
+	if operation.Release, err = hashRelease(&r.rollingFlags); err != nil {
 		return err
 	}
-	r.analysis.Change = op.Release
-	r.plan.Slot = r.analysis.Slot
-	op.Staged = &api.Staged{Plan: r.plan, Judge: r.analysis, Seed: r.seed, Alone: r.unattended}
-	s := op.Staged
-	back := int64(max(60, 2*r.plan.HistorySlots))
-	s.First = time.Now().UnixNano()/int64(s.Judge.Slot) - back
-	s.Judge.MaxSlots = int(back) + len(s.Plan.Upto)*int(2*s.Plan.MaxDuration/s.Judge.Slot+10)
-	if err := errors.Join(s.Plan.Check(len(op.Targets)), s.Judge.Check(), op.Policy.Check(len(op.Targets))); err != nil {
+	operation.Staged = r.staged(operation.Release)
+	staged := operation.Staged
+	if err := errors.Join(staged.Plan.Check(len(operation.Targets)), staged.Judge.Check(), operation.Policy.Check(len(operation.Targets))); err != nil {
 		return err
 	}
 	if r.dryRun {
-		return g.printStagePlan(&op, now)
+		return g.printStagePlan(&operation, instances)
 	}
-	if err := f.Upload(ctx, agents, op.Release, r.binary, r.overlay, func(host string) {
-		fmt.Fprintf(os.Stderr, "release %s is at %s\n", shortHash(op.Release), host)
-	}); err != nil {
-		return &exitError{exitPartial, fmt.Errorf("nothing was changed: %w", err)}
+	if err := r.upload(ctx, f, agents, operation.Release); err != nil {
+		return err
 	}
-	fmt.Fprintf(os.Stderr, "operation %s: %s of %d instances in %d stages\n", op.ID, op.Action, len(op.Targets), len(s.Plan.Upto))
-	rep, err := f.Start(ctx, op, r.run.options(g))
+	fmt.Fprintf(os.Stderr, "operation %s: %s of %d instances in %d stages\n", operation.ID, operation.Action, len(operation.Targets), len(staged.Plan.Upto))
+	report, err := f.Start(ctx, operation, r.run.options(g))
 	if err != nil {
 		if _, ok := errors.AsType[*api.Error](err); ok {
 			return &exitError{exitPartial, err}
 		}
 		return err
 	}
-	return g.printReport(rep)
+	return g.printReport(report)
+}
+
+// check checks the flags that need no agent.
+func (r *stagedFlags) check(args []string) (err error) {
+	if err := r.selectInstances(args); err != nil {
+		return err
+	}
+	if r.binary == "" && r.overlay == "" {
+		return fmt.Errorf("say what changes: --binary for the program, --overlay for its settings, or both")
+	}
+	r.analysis.Margins, err = parseMargins(r.margins)
+	return err
+}
+
+// minHistorySlots is the least number of slots before the change whose metrics are used.
+const minHistorySlots = 60
+
+// staged returns the configuration of the stages and of the canary analysis. Slot 0 lies before the
+// change, so that the history of the instances counts.
+func (r *stagedFlags) staged(release string) *api.Staged {
+	r.analysis.Change = release
+	r.plan.Slot = r.analysis.Slot
+	staged := &api.Staged{Plan: r.plan, Judge: r.analysis, Seed: r.seed, Alone: r.unattended}
+	history := int64(max(minHistorySlots, 2*r.plan.HistorySlots))
+	staged.First = time.Now().UnixNano()/int64(staged.Judge.Slot) - history
+	staged.Judge.MaxSlots = int(history) + len(staged.Plan.Upto)*int(2*staged.Plan.MaxDuration/staged.Judge.Slot+10)
+	return staged
+}
+
+// instancesByTarget returns the instances of hosts, with the labels of their hosts added.
+func instancesByTarget(hosts []client.HostState) map[api.Target]*api.Instance {
+	instances := make(map[api.Target]*api.Instance)
+	for h := range hosts {
+		host := &hosts[h]
+		for n := range host.Instances {
+			i := &host.Instances[n]
+			for key, value := range host.Host.Labels {
+				if _, own := i.Labels[key]; own {
+					continue
+				}
+				if i.Labels == nil {
+					i.Labels = make(map[string]string)
+				}
+				i.Labels[key] = value
+			}
+			instances[api.Target{Host: host.Host.Name, Instance: i.Name}] = i
+		}
+	}
+	return instances
 }
 
-// fetchProgram brings the program of a release from an agent, and checks it.
+// fetchProgram downloads the program of a release from an agent. The agents check later that the
+// new release has the same program.
 func fetchProgram(ctx context.Context, a *client.Agent, hash, to string) error {
 	f, err := os.OpenFile(to, os.O_CREATE|os.O_WRONLY, 0o700)
 	if err != nil {
