--- a/cmd/martendrum/agent.go
+++ b/cmd/martendrum/agent.go
@@ -12,6 +12,10 @@
 	"martendrum/internal/fleet/host/agentstore"
 )
 
+// agentGCPercent is the agent's GOGC.
+const agentGCPercent = 50
+
+// agentCommand returns the command that runs a host's agent.
 func agentCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "agent", GroupID: "run", Short: "Look after the sidecars of this host", Args: cobra.NoArgs,
@@ -21,22 +25,22 @@
 	path := c.Flags().String("config", "deploy/agent.toml", "the agent's configuration")
 	check := c.Flags().Bool("check", false, "check the configuration and end")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		cfg, err := agent.LoadConfig(*path)
+		config, err := agent.LoadConfig(*path)
 		if err != nil {
 			return err
 		}
 		if *check {
-			fmt.Printf("%s: good: agent %s, %d instances\n", *path, cfg.Name, len(cfg.Instances))
+			fmt.Printf("%s: good: agent %s, %d instances\n", *path, config.Name, len(config.Instances))
 			return nil
 		}
-		// Little lives on: memory matters more than the collector's work.
-		debug.SetGCPercent(50)
-		a, err := agent.New(cfg, agent.Processes{}, agentstore.Record(cfg))
+		// Trades garbage collection for memory, of which little is long-lived.
+		debug.SetGCPercent(agentGCPercent)
+		a, err := agent.New(config, agent.Processes{}, agentstore.Record(config))
 		if err != nil {
 			return &exitError{exitPartial, err}
 		}
 		defer a.Close()
-		return a.Serve(c.Context(), func(addrs []net.Addr) { slog.Info("agent listens", "name", cfg.Name, "at", fmt.Sprint(addrs)) })
+		return a.Serve(c.Context(), func(addrs []net.Addr) { slog.Info("agent listens", "name", config.Name, "at", fmt.Sprint(addrs)) })
 	}
 	return c
 }
--- a/cmd/martendrum/ca.go
+++ b/cmd/martendrum/ca.go
@@ -11,31 +11,32 @@
 	"martendrum/internal/fleet/pki"
 )
 
+// caCommand returns the commands that make certificates.
 func caCommand() *cobra.Command {
 	ca := &cobra.Command{Use: "ca", GroupID: "run", Short: "Make the fleet's certificates for a start",
 		Long: "Make a CA and certificates for agents and operators. A fleet that has a CA of its own\ncan use that: agents need the host's name in theirs, operators the role (view or operate)\nas organisational unit."}
 	dir := ca.PersistentFlags().String("dir", "ca", "folder of ca.crt, ca.key and the certificates; keep ca.key safe")
-	said := func(name string, err error) error {
+	report := func(name string, err error) error {
 		if err == nil {
 			fmt.Printf("%s and %s are made\n", filepath.Join(*dir, name+".crt"), filepath.Join(*dir, name+".key"))
 		}
 		return err
 	}
 	initCA := &cobra.Command{Use: "init", Short: "Make the CA", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		return said("ca", pki.Init(*dir, time.Now()))
+		return report("ca", pki.Init(*dir, time.Now()))
 	}}
 	host := &cobra.Command{Use: "agent NAME ADDRESS...", Short: "Make an agent's certificate, for the names and addresses it is reached at", Args: cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return said(args[0], pki.Agent(*dir, args[0], args[1:], time.Now()))
+			return report(args[0], pki.Agent(*dir, args[0], args[1:], time.Now()))
 		}}
-	op := &cobra.Command{Use: "operator NAME", Short: "Make an operator's certificate", Args: cobra.ExactArgs(1)}
-	role := op.Flags().String("role", api.View, "view or operate")
-	op.RunE = func(_ *cobra.Command, args []string) error {
+	operator := &cobra.Command{Use: "operator NAME", Short: "Make an operator's certificate", Args: cobra.ExactArgs(1)}
+	role := operator.Flags().String("role", api.View, "view or operate")
+	operator.RunE = func(_ *cobra.Command, args []string) error {
 		if *role != api.View && *role != api.Operate {
 			return fmt.Errorf("--role %q; want %s or %s", *role, api.View, api.Operate)
 		}
-		return said(args[0], pki.Operator(*dir, args[0], *role, time.Now()))
+		return report(args[0], pki.Operator(*dir, args[0], *role, time.Now()))
 	}
-	ca.AddCommand(initCA, host, op)
+	ca.AddCommand(initCA, host, operator)
 	return ca
 }
--- a/cmd/martendrum/dev.go
+++ b/cmd/martendrum/dev.go
@@ -24,6 +24,7 @@
 	"martendrum/internal/standin/shop"
 )
 
+// devCommand returns the command that runs a fleet for a first try.
 func devCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "dev", GroupID: "run", Short: "Run a small fleet on this machine, with nothing installed", Args: cobra.NoArgs,
@@ -41,8 +42,24 @@
 	return c
 }
 
-func runDev(ctx context.Context, sidecar string, many int, out io.Writer) (err error) {
-	// Output that nobody reads any more must not end this before the sidecars.
+// devFleet is the files and addresses of a development fleet.
+type devFleet struct {
+	agentConfig string
+	inventory   string
+	overlay     string // an example for upgrade
+	addresses   []string
+}
+
+const (
+	devServers     = 4
+	devServerDelay = 20 * time.Millisecond
+	devStopTimeout = 20 * time.Second
+	devReportEvery = 10 * time.Second
+)
+
+// runDev runs a fleet on this machine until ctx ends.
+func runDev(ctx context.Context, sidecar string, sidecars int, out io.Writer) (err error) {
+	// A closed output must not end the program before the sidecars.
 	signal.Ignore(syscall.SIGPIPE)
 	dir, err := os.MkdirTemp("", "martendrum-dev-")
 	if err != nil {
@@ -52,46 +69,27 @@
 	if sidecar, err = findSidecar(ctx, sidecar, dir, out); err != nil {
 		return err
 	}
-	servers, err := shop.New(4, 20*time.Millisecond)
+	servers, err := shop.New(devServers, devServerDelay)
 	if err != nil {
 		return err
 	}
 	defer servers.Close()
-	var toml strings.Builder
-	fmt.Fprintf(&toml, "name = \"dev\"\nstate_dir = \"state\"\n[listen]\nunix = \"agent.sock\"\n[figures]\nslot = \"2s\"\n[sidecar]\nbinary = %q\n", sidecar)
-	var listens []string
-	for n := range many {
-		name := fmt.Sprintf("shop-%d", n+1)
-		path, listen, err := servers.Config(dir, name, n)
-		if err != nil {
-			return err
-		}
-		listens = append(listens, listen)
-		fmt.Fprintf(&toml, "[[instance]]\nname = %q\nconfig = %q\nlabels = {zone = \"jakarta\"}\n", name, path)
-	}
-	inv := filepath.Join(dir, "fleet.toml")
-	overlay := filepath.Join(dir, "new.json")
-	for path, text := range map[string]string{
-		filepath.Join(dir, "agent.toml"): toml.String(),
-		inv:                              "[[host]]\nname = \"dev\"\naddress = \"unix:agent.sock\"\n",
-		overlay:                          `{"limits": {"memory_mb": 96}}` + "\n",
-	} {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			return err
-		}
+	fleet, err := writeDevFleet(dir, sidecar, sidecars, servers)
+	if err != nil {
+		return err
 	}
-	cfg, err := agent.LoadConfig(filepath.Join(dir, "agent.toml"))
+	config, err := agent.LoadConfig(fleet.agentConfig)
 	if err != nil {
 		return err
 	}
-	a, err := agent.New(cfg, agent.Processes{}, agentstore.Record(cfg))
+	a, err := agent.New(config, agent.Processes{}, agentstore.Record(config))
 	if err != nil {
 		return err
 	}
 	defer a.Close()
 	defer func() {
 		fmt.Fprintln(out, "stopping the sidecars")
-		stop, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+		stop, cancel := context.WithTimeout(context.Background(), devStopTimeout)
 		defer cancel()
 		if e := a.StopAll(stop); err == nil {
 			err = e
@@ -101,28 +99,65 @@
 	defer wg.Wait()
 	run, cancel := context.WithCancel(ctx)
 	defer cancel()
-	served := sendTraffic(run, &wg, listens)
+	served := sendTraffic(run, &wg, fleet.addresses)
+	wg.Go(func() { reportTraffic(run, served, out) })
+	return a.Serve(run, func([]net.Addr) { printDevHelp(out, sidecars, sidecar, fleet) })
+}
+
+// writeDevFleet writes the configuration of the agent, its sidecars and the inventory to a folder.
+func writeDevFleet(dir, sidecar string, sidecars int, servers *shop.Shop) (*devFleet, error) {
+	fleet := &devFleet{
+		agentConfig: filepath.Join(dir, "agent.toml"),
+		inventory:   filepath.Join(dir, "fleet.toml"),
+		overlay:     filepath.Join(dir, "new.json"),
+	}
+	var config strings.Builder
+	fmt.Fprintf(&config, "name = \"dev\"\nstate_dir = \"state\"\n[listen]\nunix = \"agent.sock\"\n[figures]\nslot = \"2s\"\n[sidecar]\nbinary = %q\n", sidecar)
+	for n := range sidecars {
+		name := fmt.Sprintf("shop-%d", n+1)
+		path, address, err := servers.Config(dir, name, n)
+		if err != nil {
+			return nil, err
+		}
+		fleet.addresses = append(fleet.addresses, address)
+		fmt.Fprintf(&config, "[[instance]]\nname = %q\nconfig = %q\nlabels = {zone = \"jakarta\"}\n", name, path)
+	}
+	for path, text := range map[string]string{
+		fleet.agentConfig: config.String(),
+		fleet.inventory:   "[[host]]\nname = \"dev\"\naddress = \"unix:agent.sock\"\n",
+		fleet.overlay:     `{"limits": {"memory_mb": 96}}` + "\n",
+	} {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			return nil, err
+		}
+	}
+	return fleet, nil
+}
+
+// reportTraffic prints the counts of requests until ctx ends.
+func reportTraffic(ctx context.Context, served func() (good, bad int), out io.Writer) {
+	ticker := time.NewTicker(devReportEvery)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			good, bad := served()
+			fmt.Fprintf(out, "traffic: %d served, %d not\n", good, bad)
+		}
+	}
+}
+
+// printDevHelp prints commands to try on the fleet.
+func printDevHelp(out io.Writer, sidecars int, sidecar string, fleet *devFleet) {
 	self := "martendrum"
-	if exe, err := os.Executable(); err == nil {
-		if self = exe; strings.Contains(exe, "go-build") {
+	if executable, err := os.Executable(); err == nil {
+		if self = executable; strings.Contains(executable, "go-build") {
 			self = "go run ./cmd/martendrum"
 		}
 	}
-	wg.Go(func() {
-		t := time.NewTicker(10 * time.Second)
-		defer t.Stop()
-		for {
-			select {
-			case <-run.Done():
-				return
-			case <-t.C:
-				good, bad := served()
-				fmt.Fprintf(out, "traffic: %d served, %d not\n", good, bad)
-			}
-		}
-	})
-	return a.Serve(run, func([]net.Addr) {
-		fmt.Fprintf(out, `A fleet of %d sidecars runs. In another terminal:
+	fmt.Fprintf(out, `A fleet of %d sidecars runs. In another terminal:
 
   export MARTENDRUM_FLEET=%s
   %[3]s list
@@ -133,20 +168,19 @@
   kill -9 PID, with one off the list; then list again and watch it come back
 
 Ctrl-C ends all of it.
-`, many, inv, self, sidecar, overlay)
-	})
+`, sidecars, fleet.inventory, self, sidecar, fleet.overlay)
 }
 
-// findSidecar is the sidecar's program: the one given, the one beside this
-// program, or built from the source in this folder.
+// findSidecar returns the path of the sidecar's program: the given one, the one in the folder of
+// this program, or one that is built from the source in the current folder.
 func findSidecar(ctx context.Context, given, dir string, out io.Writer) (string, error) {
 	if given != "" {
 		return filepath.Abs(given)
 	}
-	if exe, err := os.Executable(); err == nil {
-		beside := filepath.Join(filepath.Dir(exe), "sidecar")
-		if st, err := os.Stat(beside); err == nil && st.Mode()&0o111 != 0 {
-			return beside, nil
+	if executable, err := os.Executable(); err == nil {
+		sibling := filepath.Join(filepath.Dir(executable), "sidecar")
+		if st, err := os.Stat(sibling); err == nil && st.Mode()&0o111 != 0 {
+			return sibling, nil
 		}
 	}
 	fmt.Fprintln(out, "building the sidecar")
@@ -157,11 +191,12 @@
 	return path, nil
 }
 
-// sendTraffic sends each sidecar a few requests a second until ctx ends.
-func sendTraffic(ctx context.Context, wg *sync.WaitGroup, listens []string) func() (good, bad int) {
+// sendTraffic sends each sidecar a few requests per second until ctx ends. The returned function
+// returns the counts so far.
+func sendTraffic(ctx context.Context, wg *sync.WaitGroup, addresses []string) func() (good, bad int) {
 	var mu sync.Mutex
 	var good, bad int
-	for n, addr := range listens {
+	for n, address := range addresses {
 		wg.Go(func() {
 			client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
@@ -171,18 +206,13 @@
 					return
 				case <-time.After(100*time.Millisecond + rand.N(200*time.Millisecond)):
 				}
-				r, err := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/status-check", nil)
+				request, err := http.NewRequestWithContext(ctx, "GET", "http://"+address+"/status-check", nil)
 				if err != nil {
 					return
 				}
-				r.Header.Set("Req-Id", fmt.Sprintf("dev-%d-%d", n, id))
-				r.Header.Set("Req-Kind", "status-check")
-				resp, err := client.Do(r)
-				ok := err == nil && resp.StatusCode == http.StatusOK
-				if err == nil {
-					io.Copy(io.Discard, resp.Body)
-					resp.Body.Close()
-				}
+				request.Header.Set("Req-Id", fmt.Sprintf("dev-%d-%d", n, id))
+				request.Header.Set("Req-Kind", "status-check")
+				ok := succeeds(client, request)
 				mu.Lock()
 				if ok {
 					good++
@@ -199,3 +229,14 @@
 		return good, bad
 	}
 }
+
+// succeeds sends a request, reads the answer and says whether its status is 200.
+func succeeds(client *http.Client, request *http.Request) bool {
+	response, err := client.Do(request)
+	if err != nil {
+		return false
+	}
+	io.Copy(io.Discard, response.Body)
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
+}
--- a/cmd/martendrum/judge.go
+++ b/cmd/martendrum/judge.go
@@ -14,6 +14,7 @@
 	"martendrum/internal/fleet/canary/simulation"
 )
 
+// judgeCommand returns the command that simulates the canary analysis.
 func judgeCommand(g *global) *cobra.Command {
 	c := &cobra.Command{Use: "judge", GroupID: "run", Short: "Try the judge of staged changes on made-up fleets",
 		Long: "The judge says whether sidecars that run a change do worse than those that don't.\nHow it is used: `martendrum change --help`."}
--- a/cmd/martendrum/main.go
+++ b/cmd/martendrum/main.go
@@ -1,5 +1,6 @@
-// Command martendrum is the operators' one program: the agent that runs on each
-// host, and the commands that manage many sidecars through the agents.
+// Command martendrum is the operators' program: the agent that runs on each host, and the commands
+// that manage the sidecars of a fleet through the agents. It parses flags, prints results and sets
+// exit codes; what the commands do is in the packages under internal.
 package main
 
 import (
@@ -18,19 +19,21 @@
 
 // Exit codes.
 const (
-	exitPartial     = 1 // some of the work failed; what was printed says which
+	exitPartial     = 1 // some of the work failed; the output says which
 	exitUse         = 2 // bad use
-	exitUnreachable = 3 // what is needed could not be reached
+	exitUnreachable = 3 // something that is needed could not be reached
 )
 
-// exitError ends the program with a code.
+// exitError is an error with the program's exit code.
 type exitError struct {
 	code int
-	err  error // nil: all has been said
+	err  error // nil: already printed
 }
 
+// Error implements error.
 func (e *exitError) Error() string { return fmt.Sprint(e.err) }
 
+// Unwrap returns the cause.
 func (e *exitError) Unwrap() error { return e.err }
 
 func main() {
@@ -39,6 +42,7 @@
 	os.Exit(run(ctx, os.Args[1:]))
 }
 
+// run runs a command line and returns its exit code.
 func run(ctx context.Context, args []string) int {
 	root := newRoot()
 	root.SetArgs(args)
@@ -59,12 +63,13 @@
 	return code
 }
 
-// global is what all commands that talk to agents share.
+// global are the flags of all commands that call agents.
 type global struct {
 	inventoryPath string
 	json          bool
 }
 
+// newRoot returns the command line.
 func newRoot() *cobra.Command {
 	g := &global{}
 	root := &cobra.Command{
@@ -84,11 +89,11 @@
   martendrum resume 20260318-201500-5f2c          # go on with a change whose command died`,
 		SilenceUsage: true, SilenceErrors: true,
 	}
-	def := os.Getenv("MARTENDRUM_FLEET")
-	if def == "" {
-		def = "deploy/fleet.toml"
+	inventoryPath := os.Getenv("MARTENDRUM_FLEET")
+	if inventoryPath == "" {
+		inventoryPath = "deploy/fleet.toml"
 	}
-	root.PersistentFlags().StringVar(&g.inventoryPath, "fleet", def, "inventory of hosts")
+	root.PersistentFlags().StringVar(&g.inventoryPath, "fleet", inventoryPath, "inventory of hosts")
 	root.PersistentFlags().BoolVar(&g.json, "json", false, "print JSON for programs")
 	root.AddGroup(&cobra.Group{ID: "view", Title: "Look:"}, &cobra.Group{ID: "change", Title: "Change:"}, &cobra.Group{ID: "op", Title: "Operations:"}, &cobra.Group{ID: "run", Title: "Run and set up:"})
 	root.AddCommand(viewCommands(g)...)
@@ -98,14 +103,14 @@
 	return root
 }
 
-// openFleet reads the inventory.
+// openFleet reads the inventory and returns the fleet, without connecting.
 func (g *global) openFleet() (*client.Fleet, error) {
-	inv, err := inventory.Load(g.inventoryPath)
+	hosts, err := inventory.Load(g.inventoryPath)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) {
 			err = fmt.Errorf("%w: name your inventory with --fleet or MARTENDRUM_FLEET", err)
 		}
 		return nil, err
 	}
-	return client.New(inv, operatorName())
+	return client.New(hosts, operatorName())
 }
--- a/cmd/martendrum/settings.go
+++ b/cmd/martendrum/settings.go
@@ -14,7 +14,7 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// publishFlags is the flags of `change publish`.
+// publishFlags are the flags of `change publish`.
 type publishFlags struct {
 	file, relay, onlyIf string
 	scope               []string
@@ -22,6 +22,7 @@
 	onlyNew, remove     bool
 }
 
+// publishCommand returns the command that publishes settings.
 func publishCommand(g *global) *cobra.Command {
 	p := &publishFlags{}
 	c := &cobra.Command{Use: "publish NAME", Short: "Publish settings for the hosts that follow the relays", Args: cobra.ExactArgs(1),
@@ -72,7 +73,7 @@
 	return c
 }
 
-// change is the change that the flags ask for.
+// change returns the change of a resource by the flags.
 func (p *publishFlags) change(name string) (distribution.Put, error) {
 	put := distribution.Put{Name: name, Remove: p.remove}
 	if p.fraction != 1 {
@@ -108,15 +109,16 @@
 	return put, nil
 }
 
-// settingsError gives an error its exit code: what the writer turned down is bad use, or
-// some of the work failed; else it could not be reached.
+// settingsError gives an error of a relay its exit code: 1 for one that the relay returned, except
+// that invalid settings are a bad use. An unreachable relay keeps its own code.
 func settingsError(err error) error {
-	if refusal, ok := errors.AsType[*api.Error](err); ok && refusal.Code != api.SettingsInvalid {
+	if rejection, ok := errors.AsType[*api.Error](err); ok && rejection.Code != api.SettingsInvalid {
 		return &exitError{exitPartial, err}
 	}
 	return err
 }
 
+// promoteCommand returns the command that makes a relay the writer.
 func promoteCommand(g *global) *cobra.Command {
 	return &cobra.Command{Use: "promote HOST", Short: "Make a relay the writer of the distributed settings", Args: cobra.ExactArgs(1),
 		Long: `Promote a relay when the writer is lost. The epoch rises; what the earlier writer says
@@ -140,7 +142,7 @@
 		}}
 }
 
-// settingsFlags is the flags of `list --settings`.
+// settingsFlags are the flags of `list --settings`.
 type settingsFlags struct {
 	enabled, resources bool
 	revision, relay    string
@@ -156,7 +158,8 @@
 	f.IntVar(&v.limit, "most", 20, "with --settings: name so many hosts where it is not in force")
 }
 
-// printProgress prints how far a revision is. Where it is not in force everywhere the exit code is 1.
+// printProgress prints the progress of a revision. The exit code is 1 if the revision is not in force
+// everywhere.
 func (v *settingsFlags) printProgress(c *cobra.Command, g *global, f *client.Fleet) error {
 	if v.resources {
 		return v.printResources(c, g, f)
@@ -185,6 +188,7 @@
 	return nil
 }
 
+// printInForce prints where a revision is in force and which hosts lack it.
 func printInForce(out *api.SettingsStatusOut) {
 	s := &out.Status
 	fmt.Printf("revision %v (latest %v), writer %s in epoch %d\n", s.Revision, s.Latest, out.Writer.Writer, out.Writer.Epoch)
@@ -199,8 +203,8 @@
 	fmt.Fprintln(w, "HOST\tRELAY\tIN FORCE\tRECEIVED\tPRESENT\tNOTE")
 	for _, host := range s.Missing {
 		note := host.State.Waiting
-		for _, refusal := range host.State.Rejections {
-			note = fmt.Sprintf("%s refused %s of revision %v: %s", refusal.Instance, refusal.Resource, refusal.Revision, refusal.Reason)
+		for _, rejection := range host.State.Rejections {
+			note = fmt.Sprintf("%s refused %s of revision %v: %s", rejection.Instance, rejection.Resource, rejection.Revision, rejection.Reason)
 		}
 		present := "yes, for " + age(host.Since)
 		if !host.Present {
@@ -211,6 +215,7 @@
 	w.Flush()
 }
 
+// printResources prints the desired resources.
 func (v *settingsFlags) printResources(c *cobra.Command, g *global, f *client.Fleet) error {
 	revision, resources, err := f.Resources(c.Context(), v.relay, "")
 	if err != nil {
@@ -232,7 +237,7 @@
 	return w.Flush()
 }
 
-// printInstanceSettings is the lines of `inspect`.
+// printInstanceSettings prints an instance's distributed settings, for inspect.
 func printInstanceSettings(s *api.InstanceSettings) {
 	if s == nil {
 		return
@@ -245,8 +250,8 @@
 	for _, accepted := range s.Accepted {
 		fmt.Printf("  %s of revision %v is in force\n", accepted.Name, accepted.Revision)
 	}
-	for _, refusal := range s.Rejections {
-		fmt.Printf("  %s of revision %v was refused: %s\n", refusal.Resource, refusal.Revision, refusal.Reason)
+	for _, rejection := range s.Rejections {
+		fmt.Printf("  %s of revision %v was refused: %s\n", rejection.Resource, rejection.Revision, rejection.Reason)
 	}
 	if s.Waiting != "" {
 		fmt.Printf("  changes wait: %s\n", s.Waiting)
