--- a/internal/fleet/host/agent/power_loss.go
+++ b/internal/fleet/host/agent/power_loss.go
@@ -48,6 +48,10 @@
 	epoch int64          // of the loss
 }
 
+// powerLossMessage is logged once for each power loss. Operators and process tests look for this
+// text.
+const powerLossMessage = "the host lost its power: instances come back in waves"
+
 // recoverFromPowerLoss checks for a power loss and prepares the return: all earlier leases are
 // void, whatever the clocks say, so that operations pause; lost processes do not count as
 // crashed; and the instances start in waves. begin is written to the record before any instance
@@ -84,7 +88,7 @@
 	}
 	begin.Audit = append(begin.Audit, api.AuditEntry{At: now, Who: "agent", What: "power loss", Target: a.config.Name,
 		Result: fmt.Sprintf("epoch %d: %d instances lost, %d leases void, %d operations hold", n.Epoch, len(l.lost), len(begin.Leases), paused)})
-	slog.Warn("power loss detected, restarting instances in waves", "epoch", n.Epoch, "recent", n.Recent, "lost", len(l.lost), "operations_held", paused)
+	slog.Warn(powerLossMessage, "epoch", n.Epoch, "recent", n.Recent, "lost", len(l.lost), "operations_held", paused)
 	a.startWaves(n)
 }
 
