--- a/internal/standin/simhost/simhost.go
+++ b/internal/standin/simhost/simhost.go
@@ -1,11 +1,12 @@
-// Package simhost is a machine whose sidecars are only pretended: they become
-// ready and end after set times, in memory. It lets one test process hold agents
-// with hundreds of instances. Faults are set through its fields' methods.
+// Package simhost is a simulated machine for agents: its sidecars exist only in memory, become ready
+// and exit after configured times, and serve nothing. It lets one test process run agents with
+// hundreds of instances.
 package simhost
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"os"
 	"strings"
 	"sync"
@@ -17,10 +18,10 @@
 	"martendrum/internal/fleet/host/proc"
 )
 
-// Host is a pretended machine; it outlives the agents on it.
+// Host is a simulated machine. It outlives the agents that run on it.
 type Host struct {
-	Ready time.Duration // from a start to the first good health call
-	Drain time.Duration // from SIGTERM to the end
+	Ready time.Duration // from the start of a process to its first successful health check
+	Drain time.Duration // from SIGTERM to the exit
 
 	mu        sync.Mutex
 	lastPID   int
@@ -28,14 +29,17 @@
 	launches  []string
 }
 
+// process is a simulated process.
 type process struct {
-	launch, addr string
-	ready        time.Time
-	done         chan struct{}
-	once         sync.Once
-	exit         string
+	launch  string
+	address string
+	ready   time.Time // when health checks start to succeed
+	done    chan struct{}
+	once    sync.Once
+	exit    string // valid once done is closed
 }
 
+// exitWith ends the process, once.
 func (p *process) exitWith(how string) {
 	p.once.Do(func() {
 		p.exit = how
@@ -43,12 +47,12 @@
 	})
 }
 
-// New returns a machine on which nothing runs.
+// New returns a machine without processes.
 func New(ready, drain time.Duration) *Host {
 	return &Host{Ready: ready, Drain: drain, processes: make(map[int]*process)}
 }
 
-// Launches is every launch so far, in order.
+// Launches returns the names of all launches so far, in order.
 func (h *Host) Launches() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,8 +66,8 @@
 	h.lastPID++
 	p := &process{launch: s.Launch, ready: time.Now().Add(h.Ready), done: make(chan struct{})}
 	for _, v := range s.Env {
-		if addr, ok := strings.CutPrefix(v, "BALANCER_LISTEN="); ok {
-			p.addr = addr
+		if address, ok := strings.CutPrefix(v, "BALANCER_LISTEN="); ok {
+			p.address = address
 		}
 	}
 	h.processes[h.lastPID] = p
@@ -71,6 +75,7 @@
 	return h.handle(h.lastPID, p), nil
 }
 
+// handle returns a process as an agent sees it.
 func (h *Host) handle(pid int, p *process) *agent.Process {
 	return &agent.Process{PID: pid, Ticks: 1, Done: p.done, Exit: func() string { return p.exit }, Signal: func(sig syscall.Signal) error {
 		select {
@@ -99,6 +104,7 @@
 	return h.handle(pid, p), nil
 }
 
+// hasExited says whether a process has exited.
 func hasExited(p *process) bool {
 	select {
 	case <-p.done:
@@ -122,23 +128,23 @@
 }
 
 // Health implements agent.Machine.
-func (h *Host) Health(_ context.Context, addr string, _ time.Duration) (proc.Healthy, error) {
+func (h *Host) Health(_ context.Context, address string, _ time.Duration) (proc.Healthy, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.processes {
-		if p.addr == addr && !hasExited(p) {
+		if p.address == address && !hasExited(p) {
 			if time.Now().Before(p.ready) {
 				return proc.Healthy{}, errors.New("health: answered 503")
 			}
 			return proc.Healthy{}, nil
 		}
 	}
-	return proc.Healthy{}, errors.New("connection refused")
+	return proc.Healthy{}, fmt.Errorf("health: dial %s: connection refused", address)
 }
 
-// Metrics implements agent.Machine: a pretended sidecar has no door.
+// Metrics implements agent.Machine. A simulated sidecar has no metrics.
 func (h *Host) Metrics(context.Context, string, int, time.Duration) (*api.Sample, error) {
-	return nil, errors.New("a pretended sidecar has no door")
+	return nil, errors.New("a simulated sidecar has no admin endpoint")
 }
 
 // Boot implements agent.Machine.
