--- a/internal/fleet/host/agent/metrics_test.go
+++ b/internal/fleet/host/agent/metrics_test.go
@@ -16,9 +16,9 @@
 		Classes: map[string]canary.Counts{"activate": {Served: uint32(boundary)}}, Attempts: uint32(boundary)}
 }
 
-// Samples come back after a restart, in order, up to a torn tail; the files stay
-// within their bound, and what is written after a restart is read after the next.
-func TestJournal(t *testing.T) {
+// Samples are restored in order after a restart, up to a torn tail. The files stay within their
+// limit, and samples that are written after a restart are restored after the next.
+func TestMetricsJournal(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
 	read := func() (j *metricsJournal, got []int64) {
 		t.Helper()
@@ -65,22 +65,23 @@
 	}
 }
 
-// A ring keeps the latest, takes none twice, and tells a rate within one process only.
-func TestRing(t *testing.T) {
-	r := sampleHistory{limit: 8}
+// A history retains the latest samples, ignores duplicates, and measures a rate within one process
+// only.
+func TestSampleHistory(t *testing.T) {
+	history := sampleHistory{limit: 8}
 	for n := range int64(100) {
-		r.add(sample("i", n))
-		r.add(sample("i", n))
+		history.add(sample("i", n))
+		history.add(sample("i", n))
 	}
-	if n := len(r.samples); n < 8 || n > 16 || r.samples[n-1].Boundary != 99 || r.samples[n-2].Boundary != 98 {
-		t.Errorf("%d samples, the last %+v", n, r.samples[n-1])
+	if n := len(history.samples); n < 8 || n > 16 || history.samples[n-1].Boundary != 99 || history.samples[n-2].Boundary != 98 {
+		t.Errorf("%d samples, the last %+v", n, history.samples[n-1])
 	}
-	if got := r.rate(); got != 0.1 { // one more served each 10 s
+	if got := history.rate(); got != 0.1 { // one more served each 10 s
 		t.Errorf("rate %v", got)
 	}
 	next := sample("i", 100)
 	next.Process = "q"
-	if r.add(next); r.rate() != 0 || len(r.windows(10*time.Second)) == 0 {
-		t.Errorf("rate %v, %d windows over two processes", r.rate(), len(r.windows(10*time.Second)))
+	if history.add(next); history.rate() != 0 || len(history.windows(10*time.Second)) == 0 {
+		t.Errorf("rate %v, %d windows over two processes", history.rate(), len(history.windows(10*time.Second)))
 	}
 }
--- a/internal/fleet/host/agent/settings_subscriber_test.go
+++ b/internal/fleet/host/agent/settings_subscriber_test.go
@@ -12,7 +12,7 @@
 	"martendrum/internal/fleet/distribution/node"
 )
 
-// hostCopy is a copy whose state a test sets.
+// hostCopy is a replica whose state a test sets.
 type hostCopy struct {
 	mu    sync.Mutex
 	state distribution.HostState
@@ -32,14 +32,14 @@
 	c.state.Settled = true
 }
 
-// relayConn is a connection to a relay that a test plays: calls wait for its answer.
+// relayConn is a connection to a simulated relay: calls wait until the test answers.
 type relayConn struct {
 	calls  chan relayCall
 	closed chan struct{}
 	once   sync.Once
 }
 
-// relayCall is a call that waits; a value sent to answer ends it.
+// relayCall is a call in flight; a value sent to answer ends it.
 type relayCall struct {
 	method string
 	in     any
@@ -122,7 +122,7 @@
 	return subscriber
 }
 
-// settledAck waits for an acknowledgement that tells of a settled host.
+// settledAck waits for an acknowledgement of a settled host.
 func settledAck(t *testing.T, conn *relayConn) {
 	t.Helper()
 	for {
@@ -134,8 +134,8 @@
 	}
 }
 
-// A state that changes while the first call of a connection waits is acknowledged once the
-// relay has answered: that call has told the relay of the state before.
+// A state that changes during the first call of a connection is acknowledged once the relay has
+// answered: that call carried the earlier state.
 func TestChangeDuringFirstWatchIsAcknowledged(t *testing.T) {
 	held, conn := &hostCopy{}, newRelayConn()
 	subscriber := subscribe(t, held, conn)
@@ -149,15 +149,15 @@
 	settledAck(t, conn)
 }
 
-// A state that changes while an acknowledgement is lost with its connection is told over the
-// next one.
+// A state that changes while an acknowledgement is lost with its connection is acknowledged on the
+// next connection.
 func TestChangeDuringLostAckIsAcknowledged(t *testing.T) {
 	held, lost, next := &hostCopy{}, newRelayConn(), newRelayConn()
 	subscriber := subscribe(t, held, lost, next)
 	lost.next(t, api.SettingsWatch).answer <- nil
 	subscriber.Changed()
 	ack := lost.next(t, api.SettingsAck)
-	lost.Close() // the call waits no more; the subscriber dials again
+	lost.Close() // ends the call; the subscriber dials again
 	first := next.next(t, api.SettingsWatch)
 	held.settle()
 	subscriber.Changed()
