--- a/internal/fleet/host/agent/instance.go
+++ b/internal/fleet/host/agent/instance.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/distribution"
 	"martendrum/internal/fleet/host/supervisor"
 	"martendrum/internal/fleet/store"
 )
@@ -30,35 +29,32 @@
 	config InstanceConfig
 	wake   chan struct{} // starts the next round of its loop
 
-	stored           store.Instance // as in the record
-	supervisor       *supervisor.Supervisor
-	process          *Process  // nil: none runs
-	step             *api.Step // that is running; nil: none
-	dirty            bool      // the last write of the instance or its steps failed
-	exitedGeneration int64     // the latest generation whose process exited unasked
-	configHash       string    // of the configuration that the process reports
-	recordState      string    // of its idempotency store, as the process reports it
-	canHandover      bool      // the process reports that it supports handover
-	abandonReason    string    // why a new process that runs side by side must end; "": none
-
-	history sampleHistory
+	stored        store.Instance // as in the record
+	dirty         bool           // the last write of the instance or its steps failed
+	supervisor    *supervisor.Supervisor
+	process       *Process      // nil: none runs
+	reported      processReport // by process
+	abandonReason string        // why a new process that runs side by side must end; "": none
+	launchRetryAt time.Time     // no launch before this time
+	history       sampleHistory
+	// exitedGeneration is the latest generation whose process exited unasked.
+	exitedGeneration int64
 
 	previous       *Process       // that is being replaced; nil: none
 	storedPrevious store.Instance // as in the record when previous was the instance's process
 
-	applier *distribution.Applier // of distributed settings; nil: the host does not subscribe
-	attempt *settingsAttempt      // of the applier; nil: none
-	// attemptCrashes counts the processes that ended during an attempt since the last answer.
-	attemptCrashes int
-	program        string // the release of the latest process; "": unknown
-	// settledAt is the latest revision at which no settings were pending.
-	settledAt distribution.Revision
-	// pendingReported says that the relay was notified of pending settings.
-	pendingReported bool
-
-	writtenConfigHash string    // of the configuration last written for the process
+	step              *api.Step // that is running; nil: none
 	reloadSentAt      time.Time // when the step's SIGHUP was sent; zero: not yet
-	launchRetryAt     time.Time // no launch before this time
+	writtenConfigHash string    // of the configuration last written for the process
+
+	settings settingsState
+}
+
+// processReport is what a process reports about itself in its health checks.
+type processReport struct {
+	configHash  string // of the configuration that it runs; "": unknown
+	recordState string // of its idempotency store
+	canHandover bool   // it supports handover
 }
 
 // wakeUp starts the next round of the instance's loop.
@@ -77,7 +73,7 @@
 		Release: i.stored.Release, Running: i.stored.Running, Previous: i.stored.Previous,
 		Generation: i.stored.Generation, Process: i.stored.Process, PID: i.stored.PID,
 		Launched: i.stored.Launched, Since: i.supervisor.Since(), Restarts: i.stored.Restarts, LastExit: i.stored.LastExit,
-		Record: i.recordState, AdminAddress: i.config.adminAddress, Rate: i.history.rate(),
+		Record: i.reported.recordState, AdminAddress: i.config.adminAddress, Rate: i.history.rate(),
 	}
 	if l := a.leases.ByInstance[i.config.Name]; l.Live(time.Now()) {
 		out.LeaseHolder = l.Holder
--- a/internal/fleet/host/agent/instance_config.go
+++ b/internal/fleet/host/agent/instance_config.go
@@ -16,8 +16,8 @@
 func (a *Agent) configure(i *instance, hash, seed string) error {
 	a.mu.Lock()
 	var settings []distribution.Resource
-	if i.applier != nil {
-		settings = i.applier.Accepted()
+	if i.settings.applier != nil {
+		settings = i.settings.applier.Accepted()
 	}
 	a.mu.Unlock()
 	_, err := a.configureWith(i, hash, settings, seed)
--- a/internal/fleet/host/agent/instance_loop.go
+++ b/internal/fleet/host/agent/instance_loop.go
@@ -96,7 +96,7 @@
 	return instanceRound{
 		process:       i.process,
 		supervisorDue: i.supervisor.Next(),
-		active:        mustWait || i.step != nil || i.attempt != nil || i.supervisor.Phase() == supervisor.Starting,
+		active:        mustWait || i.step != nil || i.settings.attempt != nil || i.supervisor.Phase() == supervisor.Starting,
 	}
 }
 
--- a/internal/fleet/host/agent/instance_process.go
+++ b/internal/fleet/host/agent/instance_process.go
@@ -53,7 +53,7 @@
 // lock is held.
 func (a *Agent) sideBySide(i *instance) bool {
 	s := i.step
-	if !a.config.Sidecar.HandOver || !i.canHandover || s == nil {
+	if !a.config.Sidecar.HandOver || !i.reported.canHandover || s == nil {
 		return false
 	}
 	if s.Action == api.ActUpgrade && s.Kind == api.Change {
@@ -87,7 +87,7 @@
 	if err != nil {
 		return a.launchFailed(i, stored.Generation, err, now)
 	}
-	i.process, i.configHash, i.recordState, i.canHandover = p, "", "", false
+	i.process, i.reported = p, processReport{}
 	i.programStarted(i.stored.Running, now)
 	i.stored.PID, i.stored.Ticks, i.stored.Boot = p.PID, p.Ticks, a.machine.Boot()
 	actions := i.supervisor.Launched(now)
@@ -184,7 +184,7 @@
 	if i.previous != nil {
 		slog.Warn("new process exited before it replaced the previous one", "instance", i.config.Name, "pid", p.PID, "how", how)
 		i.restorePrevious()
-		i.stored.LastExit, i.configHash, i.canHandover = how, "", true
+		i.stored.LastExit, i.reported.configHash, i.reported.canHandover = how, "", true
 		actions := i.supervisor.Exited(now, how)
 		a.persistOrMarkDirty(i, nil)
 		return i.afterExit(actions)
@@ -193,7 +193,7 @@
 		i.exitedGeneration = i.stored.Process
 		slog.Warn("sidecar exited unexpectedly", "instance", i.config.Name, "pid", p.PID, "how", how)
 	}
-	i.process, i.configHash, i.recordState = nil, "", ""
+	i.process, i.reported.configHash, i.reported.recordState = nil, "", ""
 	i.stored.Launch, i.stored.PID, i.stored.Process, i.stored.Running, i.stored.LastExit = "", 0, 0, "", how
 	actions := i.supervisor.Exited(now, how)
 	a.persistOrMarkDirty(i, nil)
@@ -248,8 +248,8 @@
 	before := i.supervisor.Phase()
 	i.supervisor.Health(time.Now(), err == nil, reason)
 	if err == nil {
-		i.configHash, i.recordState, i.canHandover = health.ConfigSum, health.Record, health.Launch != ""
-		a.canHandover[i.stored.Running] = i.canHandover
+		i.reported = processReport{configHash: health.ConfigSum, recordState: health.Record, canHandover: health.Launch != ""}
+		a.canHandover[i.stored.Running] = i.reported.canHandover
 	}
 	if i.supervisor.Phase() != before {
 		a.notifyChanged()
--- a/internal/fleet/host/agent/load.go
+++ b/internal/fleet/host/agent/load.go
@@ -108,7 +108,8 @@
 		ran := stored.Launch != "" && stored.PID != 0 && stored.Desired == api.Running
 		sameBoot := stored.Boot == boot
 		i := &instance{
-			config: config, stored: stored, program: stored.Running,
+			config: config, stored: stored,
+			settings:   settingsState{program: stored.Running},
 			supervisor: supervisor.New(a.supervisorConfig(), now),
 			wake:       make(chan struct{}, 1),
 			history:    sampleHistory{limit: a.retainedSlots()},
--- a/internal/fleet/host/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -60,8 +60,8 @@
 		return err
 	}
 	for _, i := range a.instances {
-		i.applier = distribution.NewApplier(i.config.Name, time.Duration(a.config.Distribution.Coalesce))
-		if err := i.applier.Restore(stored); err != nil {
+		i.settings.applier = distribution.NewApplier(i.config.Name, time.Duration(a.config.Distribution.Coalesce))
+		if err := i.settings.applier.Restore(stored); err != nil {
 			return err
 		}
 	}
@@ -161,7 +161,7 @@
 		return // no update has arrived yet: the accepted settings stay
 	}
 	for _, i := range a.instances {
-		i.applier.Want(now, a.settings.replica.For(a.config.Name, a.settingsLabels(i)))
+		i.settings.applier.Want(now, a.settings.replica.For(a.config.Name, a.settingsLabels(i)))
 		i.wakeUp()
 	}
 }
@@ -173,19 +173,19 @@
 	state := distribution.HostState{Received: received, Applied: received, Settled: true}
 	for _, name := range a.instanceNames {
 		i := a.instances[name]
-		state.Rejections = append(state.Rejections, i.applier.Rejections()...)
-		if !i.applier.Pending() {
-			i.settledAt = received
+		state.Rejections = append(state.Rejections, i.settings.applier.Rejections()...)
+		if !i.settings.applier.Pending() {
+			i.settings.settledAt = received
 		}
-		if i.stored.Desired != api.Running || !i.applier.Pending() {
+		if i.stored.Desired != api.Running || !i.settings.applier.Pending() {
 			continue
 		}
 		if state.Settled {
 			state.Waiting = name + ": " + a.settingsWait(i, time.Now())
 		}
 		state.Settled = false
-		if state.Applied.After(i.settledAt) {
-			state.Applied = i.settledAt
+		if state.Applied.After(i.settings.settledAt) {
+			state.Applied = i.settings.settledAt
 		}
 	}
 	return state
@@ -193,23 +193,23 @@
 
 // settingsEntries returns the instance's entries of the record's settings. The lock is held.
 func (i *instance) settingsEntries() []distribution.Entry {
-	if i.applier == nil {
+	if i.settings.applier == nil {
 		return nil
 	}
-	return []distribution.Entry{i.applier.Entry()}
+	return []distribution.Entry{i.settings.applier.Entry()}
 }
 
 // instanceSettings returns the state of an instance's distributed settings for inspect, nil if the
 // host does not subscribe. The lock is held.
 func (a *Agent) instanceSettings(i *instance) *api.InstanceSettings {
-	if i.applier == nil {
+	if i.settings.applier == nil {
 		return nil
 	}
-	out := &api.InstanceSettings{Received: a.settings.replica.Revision(), Relay: a.settings.subscriber.Relay(), Rejections: i.applier.Rejections()}
-	for _, resource := range i.applier.Accepted() {
+	out := &api.InstanceSettings{Received: a.settings.replica.Revision(), Relay: a.settings.subscriber.Relay(), Rejections: i.settings.applier.Rejections()}
+	for _, resource := range i.settings.applier.Accepted() {
 		out.Accepted = append(out.Accepted, api.AcceptedSettings{Name: resource.Name, Revision: resource.Revision})
 	}
-	if i.applier.Pending() {
+	if i.settings.applier.Pending() {
 		out.Waiting = a.settingsWait(i, time.Now())
 		if out.Waiting == "" {
 			out.Waiting = "changes are gathered"
--- a/internal/fleet/host/agent/settings_apply.go
+++ b/internal/fleet/host/agent/settings_apply.go
@@ -20,6 +20,19 @@
 	sent       time.Time // when SIGHUP was sent
 }
 
+// settingsState is the state of an instance's distributed settings.
+type settingsState struct {
+	applier *distribution.Applier // nil: the host does not subscribe
+	attempt *settingsAttempt      // nil: none
+	// attemptCrashes counts the processes that exited during an attempt since the last answer.
+	attemptCrashes int
+	program        string // the release of the latest process; "": unknown
+	// settledAt is the latest revision at which no settings were pending.
+	settledAt distribution.Revision
+	// pendingReported says that the relay was notified of pending settings.
+	pendingReported bool
+}
+
 // maxCrashes is the number of processes that exit during an attempt with the same settings until
 // these count as rejected: the first exit may have had another cause.
 const maxCrashes = 2
@@ -43,7 +56,7 @@
 		return "a new process takes over"
 	case now.Sub(i.stored.Launched) < minReloadAge:
 		return "its process has just begun"
-	case i.attempt != nil:
+	case i.settings.attempt != nil:
 		return "its answer is awaited"
 	}
 	return ""
@@ -53,14 +66,14 @@
 // it should be called again; zero means at the next event.
 func (a *Agent) applySettings(i *instance) time.Time {
 	a.mu.Lock()
-	if i.applier == nil {
+	if i.settings.applier == nil {
 		a.mu.Unlock()
 		return time.Time{}
 	}
 	now := time.Now()
 	a.reportPending(i)
-	if i.attempt != nil {
-		process, hash := i.attempt.process, i.stored.Running
+	if i.settings.attempt != nil {
+		process, hash := i.settings.attempt.process, i.stored.Running
 		rejected := a.settleAttempt(i, now)
 		a.mu.Unlock()
 		if rejected {
@@ -68,7 +81,7 @@
 		}
 		return time.Time{}
 	}
-	due, pending := i.applier.Due()
+	due, pending := i.settings.applier.Due()
 	if !pending {
 		a.mu.Unlock()
 		return time.Time{}
@@ -81,7 +94,7 @@
 		a.mu.Unlock()
 		return now.Add(activeInterval)
 	}
-	settings, process, hash := i.applier.Begin(), i.process, i.stored.Running
+	settings, process, hash := i.settings.applier.Begin(), i.process, i.stored.Running
 	a.mu.Unlock()
 	configHash, err := a.configureWith(i, hash, settings, random())
 	if err == nil {
@@ -90,9 +103,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
-		i.applier.Abandon()
+		i.settings.applier.Abandon()
 	} else {
-		i.attempt = &settingsAttempt{process: process, configHash: configHash, sent: now}
+		i.settings.attempt = &settingsAttempt{process: process, configHash: configHash, sent: now}
 	}
 	return now.Add(activeInterval)
 }
@@ -101,25 +114,25 @@
 // That can happen without an update or an attempt, for example when an operation starts the
 // instance. The lock is held.
 func (a *Agent) reportPending(i *instance) {
-	pending := i.stored.Desired == api.Running && i.applier.Pending()
-	if pending == i.pendingReported {
+	pending := i.stored.Desired == api.Running && i.settings.applier.Pending()
+	if pending == i.settings.pendingReported {
 		return
 	}
-	i.pendingReported = pending
+	i.settings.pendingReported = pending
 	a.settings.subscriber.Changed()
 }
 
 // settleAttempt ends an attempt that has an outcome. It says whether a process that still runs
 // has rejected the settings. The lock is held.
 func (a *Agent) settleAttempt(i *instance, now time.Time) (rejected bool) {
-	waited := now.Sub(i.attempt.sent)
+	waited := now.Sub(i.settings.attempt.sent)
 	switch {
 	case i.step != nil:
-		i.attempt = nil
-		i.applier.Abandon()
-	case i.process != i.attempt.process:
+		i.settings.attempt = nil
+		i.settings.applier.Abandon()
+	case i.process != i.settings.attempt.process:
 		a.crashedAttempt(i)
-	case i.configHash == i.attempt.configHash, i.configHash == "" && waited > unconfirmedDelay:
+	case i.reported.configHash == i.settings.attempt.configHash, i.reported.configHash == "" && waited > unconfirmedDelay:
 		a.endAttempt(i, true, "")
 	case waited > reloadTimeout:
 		a.endAttempt(i, false, lastLogProblem(a.logPath(i.config.Name)))
@@ -131,10 +144,10 @@
 // crashedAttempt takes the exit of a process during an attempt. The next process starts with the
 // last accepted settings. The lock is held.
 func (a *Agent) crashedAttempt(i *instance) {
-	i.attemptCrashes++
-	if i.attemptCrashes < maxCrashes {
-		i.attempt = nil
-		i.applier.Abandon()
+	i.settings.attemptCrashes++
+	if i.settings.attemptCrashes < maxCrashes {
+		i.settings.attempt = nil
+		i.settings.applier.Abandon()
 		return
 	}
 	a.endAttempt(i, false, "its process ended while it took them: "+i.stored.LastExit)
@@ -142,9 +155,9 @@
 
 // endAttempt ends an attempt with the instance's answer. The lock is held.
 func (a *Agent) endAttempt(i *instance, accepted bool, reason string) {
-	i.attempt, i.attemptCrashes = nil, 0
-	i.applier.Done(accepted, reason)
-	if a.commit(&store.Change{Settings: []distribution.Entry{i.applier.Entry()}}) != nil {
+	i.settings.attempt, i.settings.attemptCrashes = nil, 0
+	i.settings.applier.Done(accepted, reason)
+	if a.commit(&store.Change{Settings: []distribution.Entry{i.settings.applier.Entry()}}) != nil {
 		i.dirty = true // written again with the instance
 	}
 	a.settings.subscriber.Changed()
@@ -165,11 +178,11 @@
 // programStarted lets settings that another program rejected be tried again, after the start of
 // a process. Until then the instance counts as having no settings. The lock is held.
 func (i *instance) programStarted(release string, now time.Time) {
-	before := i.program
-	i.program = release
-	if i.applier == nil || before == "" || before == release || len(i.applier.Rejections()) == 0 {
+	before := i.settings.program
+	i.settings.program = release
+	if i.settings.applier == nil || before == "" || before == release || len(i.settings.applier.Rejections()) == 0 {
 		return
 	}
-	i.applier.Forgive(now)
-	i.settledAt = distribution.Revision{}
+	i.settings.applier.Forgive(now)
+	i.settings.settledAt = distribution.Revision{}
 }
--- a/internal/fleet/host/agent/step_progress.go
+++ b/internal/fleet/host/agent/step_progress.go
@@ -129,11 +129,11 @@
 		a.endStep(i, s, false, fmt.Sprintf("it is %s: %s", i.supervisor.Phase(), i.supervisor.Reason()))
 		a.mu.Unlock()
 		return
-	case !sentAt.IsZero() && i.configHash == "" && now.Sub(sentAt) > unconfirmedDelay:
+	case !sentAt.IsZero() && i.reported.configHash == "" && now.Sub(sentAt) > unconfirmedDelay:
 		a.endStep(i, s, true, "not confirmed: this release does not tell which configuration it runs")
 		a.mu.Unlock()
 		return
-	case !sentAt.IsZero() && i.configHash == i.writtenConfigHash:
+	case !sentAt.IsZero() && i.reported.configHash == i.writtenConfigHash:
 		a.endStep(i, s, true, "")
 		a.mu.Unlock()
 		return
