--- a/internal/fleet/control/client/resume.go
+++ b/internal/fleet/control/client/resume.go
@@ -68,7 +68,7 @@
 			return e
 		}
 		if status != nil && status.State == api.OpAborting {
-			return fmt.Errorf("operation %s is being aborted at host %s", id, host)
+			return &OperationAbortingError{Operation: id, Host: host}
 		}
 		open++
 		if err := r.open(ctx, p); err != nil && !errors.As(err, new(*UnreachableError)) {
@@ -76,7 +76,7 @@
 		}
 	}
 	if open == 0 {
-		return fmt.Errorf("operation %s has ended everywhere: %s; see `martendrum report %s`", id, r.previousResult, id)
+		return &OperationEndedError{Operation: id, Result: r.previousResult}
 	}
 	return nil
 }
--- a/internal/fleet/control/client/run.go
+++ b/internal/fleet/control/client/run.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"sync"
 	"time"
 
@@ -68,7 +67,7 @@
 	for _, host := range r.hostNames {
 		agent := f.Agent(host)
 		if agent == nil {
-			return nil, fmt.Errorf("host %s of operation %s is not in the inventory", host, operation.ID)
+			return nil, &UnknownHostError{Host: host, Operation: operation.ID}
 		}
 		r.hostRuns[host] = &hostRun{agent: agent, pendingSteps: make(map[int]string), stepCalls: make(map[int]bool)}
 	}
--- a/internal/fleet/control/client/settings.go
+++ b/internal/fleet/control/client/settings.go
@@ -28,7 +28,7 @@
 	if name != "" {
 		agent := f.Agent(name)
 		if agent == nil {
-			return nil, fmt.Errorf("host %s is not in the inventory", name)
+			return nil, &UnknownHostError{Host: name}
 		}
 		return []*Agent{agent}, nil
 	}
@@ -90,7 +90,7 @@
 func (f *Fleet) Promote(ctx context.Context, host string) (*api.SettingsWriter, error) {
 	agent := f.Agent(host)
 	if agent == nil {
-		return nil, fmt.Errorf("host %s is not in the inventory", host)
+		return nil, &UnknownHostError{Host: host}
 	}
 	out := &api.SettingsWriter{}
 	if err := agent.Call(ctx, api.SettingsPromote, &api.Empty{}, out); err != nil {
