--- /dev/null
+++ b/internal/fleet/api/errors.go
@@ -0,0 +1,54 @@
+package api
+
+import (
+	"fmt"
+)
+
+// Error codes.
+const (
+	InvalidParams      = "bad_params"
+	UnsupportedVersion = "bad_version"
+	NoMethod           = "no_such_method"
+	NoInstance         = "no_such_instance"
+	NoOperation        = "no_such_operation"
+	NoRelease          = "no_such_release"
+	InvalidRelease     = "bad_release"
+	Forbidden          = "forbidden"
+	LeaseHeld          = "held"       // another holds the lease, or another operation is open on the instance
+	Fenced             = "fenced"     // the caller's token is not, or no longer, that of the lease
+	Closed             = "closed"     // the operation is closed or aborting
+	Unwritable         = "unwritable" // the record can't be written; nothing was changed
+	Internal           = "internal"
+	NotWelcomed        = "hello_first"
+)
+
+// Error is an error as it is sent.
+type Error struct {
+	Code    string `msgpack:"code" json:"code"`
+	Message string `msgpack:"message" json:"message"`
+}
+
+// Error implements error.
+func (e *Error) Error() string { return e.Message }
+
+// ErrorValue implements msgpackrpc.ErrorValuer.
+func (e *Error) ErrorValue() any { return e }
+
+// Errorf returns an error with a code and a formatted message.
+func Errorf(code, format string, a ...any) *Error {
+	return &Error{Code: code, Message: fmt.Sprintf(format, a...)}
+}
+
+// ReturningError reports a host that is returning from a power loss. No operation starts until
+// the capacity of the fleet is complete again.
+type ReturningError struct{ Host, How string }
+
+// Error implements error.
+func (e *ReturningError) Error() string {
+	return fmt.Sprintf("host %s comes back from a power loss: %s", e.Host, e.How)
+}
+
+// Advice says what an operator can do.
+func (e *ReturningError) Advice() string {
+	return "wait until all its waves have begun, see `martendrum list`, and say it again"
+}
--- /dev/null
+++ b/internal/fleet/api/metrics.go
@@ -0,0 +1,52 @@
+package api
+
+import (
+	"time"
+
+	"martendrum/internal/fleet/canary"
+)
+
+// MetricsIn requests the samples of an agent's instances after a boundary, the earliest first. The
+// number of a boundary is its Unix time divided by the length of the agent's slots.
+type MetricsIn struct {
+	After int64 `msgpack:"after"`
+	Limit int   `msgpack:"most"` // samples; 0: as many as fit into a message
+}
+
+// MetricsOut holds samples of an agent's instances.
+type MetricsOut struct {
+	Slot    time.Duration `msgpack:"slot"` // 0: the agent collects no metrics
+	Now     time.Time     `msgpack:"now"`
+	Last    int64         `msgpack:"last"` // the latest boundary that is complete
+	Samples []Sample      `msgpack:"samples"`
+}
+
+// Sample is the state of an instance's metrics at a boundary; see canary.Sample.
+type Sample struct {
+	Instance string                   `msgpack:"i"`
+	Boundary int64                    `msgpack:"b"`
+	At       time.Time                `msgpack:"t"`
+	Process  string                   `msgpack:"p"`
+	Release  string                   `msgpack:"r"`
+	Started  time.Time                `msgpack:"s"`
+	Classes  map[string]canary.Counts `msgpack:"c"`
+	Attempts uint32                   `msgpack:"n"`
+	Finished uint32                   `msgpack:"e"`
+	Rejected uint32                   `msgpack:"d"`
+	Timed    uint32                   `msgpack:"o"`
+	Slow     uint32                   `msgpack:"w"`
+	Crashes  uint32                   `msgpack:"x"`
+	Memory   uint64                   `msgpack:"m"`
+	Files    uint32                   `msgpack:"f"`
+}
+
+// CanarySample returns the sample for the canary analysis: instance is the instance's index, and
+// classes is the order of the classes.
+func (s *Sample) CanarySample(instance int, classes []string) canary.Sample {
+	window := canary.Window{Instance: instance, Release: s.Release, Attempts: s.Attempts, Finished: s.Finished, Rejected: s.Rejected,
+		Sampled: s.Timed, Slow: s.Slow, Crashes: s.Crashes, Memory: s.Memory, Files: s.Files, Classes: make([]canary.Counts, len(classes))}
+	for n, name := range classes {
+		window.Classes[n] = s.Classes[name]
+	}
+	return canary.Sample{At: s.At, Process: s.Process, Started: s.Started, Window: window}
+}
--- a/internal/fleet/host/agent/figures_test.go
+++ b/internal/fleet/host/agent/metrics_test.go
@@ -16,13 +16,13 @@
 		Classes: map[string]canary.Counts{"activate": {Served: uint32(boundary)}}, Attempts: uint32(boundary)}
 }
 
-// Samples come back after a restart, in order, up to a torn tail; the files stay
-// within their bound, and what is written after a restart is read after the next.
-func TestJournal(t *testing.T) {
+// Samples are restored in order after a restart, up to a torn tail. The files stay within their
+// limit, and samples that are written after a restart are restored after the next.
+func TestMetricsJournal(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
-	read := func() (j *journal, got []int64) {
+	read := func() (j *metricsJournal, got []int64) {
 		t.Helper()
-		j, err := openJournal(path, 10, func(s api.Sample) {
+		j, err := openMetricsJournal(path, 10, func(s api.Sample) {
 			if want := sample(s.Instance, s.Boundary); !s.At.Equal(want.At) || !reflect.DeepEqual(s.Classes, want.Classes) {
 				t.Errorf("read %+v, wrote %+v", s, want)
 			}
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 	}
-	j.f.Close()
+	j.file.Close()
 	j, got = read()
 	if len(got) < 10 || len(got) > 20 || got[len(got)-1] != 25 {
 		t.Errorf("of 25 with a bound of 10 a file: %v", got)
@@ -50,7 +50,7 @@
 	if err := j.write([]api.Sample{sample("i", 26), sample("i", 27)}); err != nil {
 		t.Fatal(err)
 	}
-	j.f.Close()
+	j.file.Close()
 	st, err := os.Stat(path)
 	if err == nil {
 		err = os.Truncate(path, st.Size()-3)
@@ -59,28 +59,29 @@
 		t.Fatal(err)
 	}
 	j, got = read()
-	j.f.Close()
+	j.file.Close()
 	if len(got) == 0 || got[len(got)-1] != 26 {
 		t.Errorf("behind a torn tail: %v", got)
 	}
 }
 
-// A ring keeps the latest, takes none twice, and tells a rate within one process only.
-func TestRing(t *testing.T) {
-	r := ring{limit: 8}
+// A history retains the latest samples, ignores duplicates, and measures a rate within one process
+// only.
+func TestSampleHistory(t *testing.T) {
+	history := sampleHistory{limit: 8}
 	for n := range int64(100) {
-		r.add(sample("i", n))
-		r.add(sample("i", n))
+		history.add(sample("i", n))
+		history.add(sample("i", n))
 	}
-	if n := len(r.samples); n < 8 || n > 16 || r.samples[n-1].Boundary != 99 || r.samples[n-2].Boundary != 98 {
-		t.Errorf("%d samples, the last %+v", n, r.samples[n-1])
+	if n := len(history.samples); n < 8 || n > 16 || history.samples[n-1].Boundary != 99 || history.samples[n-2].Boundary != 98 {
+		t.Errorf("%d samples, the last %+v", n, history.samples[n-1])
 	}
-	if got := r.rate(); got != 0.1 { // one more served each 10 s
+	if got := history.rate(); got != 0.1 { // one more served each 10 s
 		t.Errorf("rate %v", got)
 	}
 	next := sample("i", 100)
 	next.Process = "q"
-	if r.add(next); r.rate() != 0 || len(r.windows(10*time.Second)) == 0 {
-		t.Errorf("rate %v, %d windows over two processes", r.rate(), len(r.windows(10*time.Second)))
+	if history.add(next); history.rate() != 0 || len(history.windows(10*time.Second)) == 0 {
+		t.Errorf("rate %v, %d windows over two processes", history.rate(), len(history.windows(10*time.Second)))
 	}
 }
--- a/internal/fleet/host/agent/serve_operations.go
+++ b/internal/fleet/host/agent/serve_operations.go
@@ -8,174 +8,158 @@
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/host/compatibility"
 	"martendrum/internal/fleet/lease"
-	"martendrum/internal/fleet/release"
 	"martendrum/internal/fleet/store"
 )
 
 const (
-	maxWait    = 10 * time.Second // of op.status
-	maxTargets = 10000            // of an operation
-	maxLogs    = 256 << 10        // bytes of one answer
-	conns      = 128
+	maxStatusWait  = 10 * time.Second // of op.status
+	maxStepWait    = time.Hour        // of a step, for readiness and for the soak
+	maxOperationID = 64               // bytes
+	maxLeaseHolder = 200              // bytes
+	maxTargets     = 10000            // of an operation
+	maxLogs        = 256 << 10        // bytes of one answer
+	maxConnections = 128              // without those of a relay's subscribers
 )
 
-// own is the operation's instances here.
-func (a *Agent) own(o *api.Operation) (out []string, err error) {
-	for _, t := range o.Targets {
-		if t.Host == a.cfg.Name {
-			if _, err := a.named(t.Instance); err != nil {
-				return nil, err
-			}
-			out = append(out, t.Instance)
-		}
-	}
-	if len(out) == 0 {
-		return nil, api.Errorf(api.InvalidParams, "operation %s has no instance at agent %s", o.ID, a.cfg.Name)
-	}
-	return out, nil
+// operationActions are those that an operation may have.
+var operationActions = []string{
+	api.ActStart, api.ActStop, api.ActDrain, api.ActUndrain, api.ActRestart, api.ActReload,
+	api.ActUpgrade, api.ActRollback, api.ActSettings,
 }
 
+// opOpen opens an operation on its instances here and acquires their leases. A repeated call
+// of the same operation acquires the leases again; the operation stays as it was first opened.
 func (a *Agent) opOpen(_ context.Context, c *caller, in *api.OpenIn) (any, error) {
 	o := &in.Operation
-	switch {
-	case o.ID == "" || len(o.ID) > 64 || in.LeaseHolder == "" || len(in.LeaseHolder) > 200:
-		return nil, api.Errorf(api.InvalidParams, "operation and holder need names")
-	case !slices.Contains([]string{api.ActStart, api.ActStop, api.ActDrain, api.ActUndrain, api.ActRestart, api.ActReload, api.ActUpgrade, api.ActRollback, api.ActSettings}, o.Action):
-		return nil, api.Errorf(api.InvalidParams, "unknown action %q", o.Action)
-	case len(o.Targets) > maxTargets:
-		return nil, api.Errorf(api.InvalidParams, "%d targets; %d at most", len(o.Targets), maxTargets)
-	case o.Ready <= 0 || o.Soak < 0 || o.Ready > time.Hour || o.Soak > time.Hour:
-		return nil, api.Errorf(api.InvalidParams, "ready %v, soak %v; want above 0, 0 or more, and an hour at most", o.Ready, o.Soak)
-	}
-	if err := o.Policy.Check(len(o.Targets)); err != nil {
-		return nil, api.Errorf(api.InvalidParams, "%v", err)
-	}
-	if s := o.Staged; s != nil {
-		if err := errors.Join(s.Plan.Check(len(o.Targets)), s.Judge.Check()); err != nil {
-			return nil, api.Errorf(api.InvalidParams, "%v", err)
-		}
-		if slot := time.Duration(a.cfg.Metrics.Slot); s.Judge.Slot != slot {
-			return nil, api.Errorf(api.InvalidParams, "agent %s takes figures each %v and operation %s is judged each %v: set figures.slot alike at all hosts", a.cfg.Name, slot, o.ID, s.Judge.Slot)
-		}
-	}
-	if len(o.Places) != 0 && len(o.Places) != len(o.Targets) {
-		return nil, api.Errorf(api.InvalidParams, "%d places of %d targets", len(o.Places), len(o.Targets))
+	if err := a.checkOpen(in); err != nil {
+		return nil, err
 	}
 	if o.Action == api.ActUpgrade || o.Action == api.ActSettings {
 		if err := a.releases.Verify(o.Release); err != nil {
-			return nil, api.Errorf(api.NoRelease, "agent %s: %v", a.cfg.Name, err)
+			return nil, api.Errorf(api.NoRelease, "agent %s: %v", a.config.Name, err)
 		}
 	}
 	if o.Staged != nil {
-		if err := a.neighbours(o); err != nil {
+		if err := a.checkCompatibility(o); err != nil {
 			return nil, err
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if how, _ := a.returning(); how != "" {
-		e := &api.ReturningError{Host: a.cfg.Name, How: how}
+	if how, _ := a.returnProgress(); how != "" {
+		e := &api.ReturningError{Host: a.config.Name, How: how}
 		return nil, api.Errorf(api.LeaseHeld, "%v: %s", e, e.Advice())
 	}
-	have := a.ops[o.ID]
-	if have != nil {
-		if have.State != api.OpOpened {
-			return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s: %s", o.ID, have.State, a.cfg.Name, have.Result)
+	existing := a.operations[o.ID]
+	if existing != nil {
+		if existing.State != api.OpOpened {
+			return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s: %s", o.ID, existing.State, a.config.Name, existing.Result)
 		}
-		o = &have.Operation // the record's word counts
-	}
-	names, err := a.own(o)
-	if err != nil {
-		return nil, err
+		o = &existing.Operation // as stored, whatever this call says
 	}
 	now := time.Now()
-	ls, err := a.leases.Acquire(now, o.ID, in.LeaseHolder, names, in.TTL, func(name string) string {
-		for _, x := range a.ops {
-			if x.ID != o.ID && x.State != api.OpClosed && a.targets(&x.Operation, name) {
-				return fmt.Sprintf("operation %s (%s by %s) is %s on it; `martendrum resume %s` or `martendrum abort %s` first", x.ID, x.Action, x.Operator, x.State, x.ID, x.ID)
-			}
-		}
-		return ""
-	})
-	if lost, ok := errors.AsType[*lease.LostError](err); ok {
-		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v: %s", a.cfg.Name, lost, lost.Advice())
-	}
-	if held, ok := errors.AsType[*lease.HeldError](err); ok {
-		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v", a.cfg.Name, held)
-	}
+	leases, err := a.acquireLeases(o, in, now)
 	if err != nil {
-		return nil, api.Errorf(api.InvalidParams, "%v", err)
+		return nil, err
 	}
 	next := store.Operation{Operation: *o, State: api.OpOpened}
+	token := leases[0].Token
 	if err := a.commit(&store.Change{
-		Operations: []store.Operation{next}, Leases: ls,
-		Audit: []api.AuditEntry{{At: now, Who: c.who, What: "op.open " + o.Action, Target: o.ID, Result: fmt.Sprintf("token %d for %s", ls[0].Token, in.LeaseHolder)}},
+		Operations: []store.Operation{next}, Leases: leases,
+		Audit: []api.AuditEntry{{At: now, Who: c.who, What: "op.open " + o.Action, Target: o.ID, Result: fmt.Sprintf("token %d for %s", token, in.LeaseHolder)}},
 	}); err != nil {
 		return nil, err
 	}
-	if have == nil {
-		a.ops[o.ID] = &next
+	if existing == nil {
+		a.operations[o.ID] = &next
 	}
-	a.leases.Put(ls)
-	return &api.OpenOut{Token: ls[0].Token, Expires: ls[0].Expires}, nil
+	a.leases.Put(leases)
+	return &api.OpenOut{Token: token, Expires: leases[0].Expires}, nil
 }
 
-// neighbours says whether old and new programs may run side by side here.
-func (a *Agent) neighbours(o *api.Operation) error {
-	a.mu.Lock()
-	_, known := a.ops[o.ID]
-	uses := make(map[string]compatibility.Use) // by the release that runs
-	for _, t := range o.Targets {
-		if i := a.inst[t.Instance]; t.Host == a.cfg.Name && i != nil && i.row.Release != o.Release {
-			u := uses[i.row.Release]
-			u.HandOver, u.MayRollBack = a.cfg.Sidecar.HandOver && o.Action == api.ActUpgrade, o.Policy.OnFailure == api.OnFailureRollback || o.Policy.OnFailure == api.OnFailureRollbackStage
-			u.Record = u.Record || i.cfg.Record != ""
-			uses[i.row.Release] = u
-		}
+// checkOpen checks the parameters of opOpen.
+func (a *Agent) checkOpen(in *api.OpenIn) error {
+	o := &in.Operation
+	switch {
+	case o.ID == "" || len(o.ID) > maxOperationID || in.LeaseHolder == "" || len(in.LeaseHolder) > maxLeaseHolder:
+		return api.Errorf(api.InvalidParams, "operation and holder need names")
+	case !slices.Contains(operationActions, o.Action):
+		return api.Errorf(api.InvalidParams, "unknown action %q", o.Action)
+	case len(o.Targets) > maxTargets:
+		return api.Errorf(api.InvalidParams, "%d targets; %d at most", len(o.Targets), maxTargets)
+	case o.Ready <= 0 || o.Soak < 0 || o.Ready > maxStepWait || o.Soak > maxStepWait:
+		return api.Errorf(api.InvalidParams, "ready %v, soak %v; want above 0, 0 or more, and an hour at most", o.Ready, o.Soak)
 	}
-	a.mu.Unlock()
-	if known {
-		return nil // it was asked when it began
-	}
-	for before, use := range uses {
-		old := compatibility.Query(a.ctx, a.releases.Path(before, release.Sidecar))
-		now := compatibility.Query(a.ctx, a.releases.Path(o.Release, release.Sidecar))
-		if err := compatibility.Check(old, now, use); err != nil {
-			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run beside %.12s: %v", a.cfg.Name, o.Release, before, err)
-		}
+	if err := o.Policy.Check(len(o.Targets)); err != nil {
+		return api.Errorf(api.InvalidParams, "%v", err)
+	}
+	if err := a.checkStaged(o); err != nil {
+		return err
+	}
+	if len(o.Places) != 0 && len(o.Places) != len(o.Targets) {
+		return api.Errorf(api.InvalidParams, "%d places of %d targets", len(o.Places), len(o.Targets))
 	}
 	return nil
 }
 
-// op finds an operation; the lock is held.
-func (a *Agent) op(id string) (*store.Operation, error) {
-	if o := a.ops[id]; o != nil {
-		return o, nil
+// checkStaged checks the plan of a staged change and that its canary analysis samples at this
+// agent's interval.
+func (a *Agent) checkStaged(o *api.Operation) error {
+	staged := o.Staged
+	if staged == nil {
+		return nil
+	}
+	if err := errors.Join(staged.Plan.Check(len(o.Targets)), staged.Judge.Check()); err != nil {
+		return api.Errorf(api.InvalidParams, "%v", err)
 	}
-	return nil, api.Errorf(api.NoOperation, "agent %s knows no operation %q", a.cfg.Name, id)
+	if slot := time.Duration(a.config.Metrics.Slot); staged.Judge.Slot != slot {
+		return api.Errorf(api.InvalidParams, "agent %s takes figures each %v and operation %s is judged each %v: set figures.slot alike at all hosts", a.config.Name, slot, o.ID, staged.Judge.Slot)
+	}
+	return nil
 }
 
-// fenced makes an API error of a lease's.
-func (a *Agent) fenced(err error) error {
-	if err == nil {
-		return nil
+// acquireLeases returns the leases of an operation's instances here; the caller stores them.
+// An open operation blocks others on its instances even when nobody holds its leases. The
+// lock is held.
+func (a *Agent) acquireLeases(o *api.Operation, in *api.OpenIn, now time.Time) ([]lease.Lease, error) {
+	names, err := a.localTargets(o)
+	if err != nil {
+		return nil, err
+	}
+	blocked := func(name string) string {
+		for _, other := range a.operations {
+			if other.ID != o.ID && other.State != api.OpClosed && a.isTarget(&other.Operation, name) {
+				return fmt.Sprintf("operation %s (%s by %s) is %s on it; `martendrum resume %s` or `martendrum abort %s` first", other.ID, other.Action, other.Operator, other.State, other.ID, other.ID)
+			}
+		}
+		return ""
+	}
+	leases, err := a.leases.Acquire(now, o.ID, in.LeaseHolder, names, in.TTL, blocked)
+	if lost, ok := errors.AsType[*lease.LostError](err); ok {
+		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v: %s", a.config.Name, lost, lost.Advice())
 	}
-	return api.Errorf(api.Fenced, "agent %s: %v", a.cfg.Name, err)
+	if held, ok := errors.AsType[*lease.HeldError](err); ok {
+		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v", a.config.Name, held)
+	}
+	if err != nil {
+		return nil, api.Errorf(api.InvalidParams, "%v", err)
+	}
+	return leases, nil
 }
 
+// opClose closes an operation for the holder of its leases. A closed one is returned as it is.
 func (a *Agent) opClose(_ context.Context, c *caller, in *api.CloseIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.op(in.Op)
+	o, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
 	if o.State == api.OpClosed {
-		return a.opOut(o), nil
+		return a.operationStatus(o), nil
 	}
-	names, err := a.own(&o.Operation)
+	names, err := a.localTargets(&o.Operation)
 	if err != nil {
 		return nil, err
 	}
@@ -184,20 +168,20 @@
 			return nil, err
 		}
 	}
-	if a.busy(o.ID) {
-		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is under way at agent %s", o.ID, a.cfg.Name)
+	if a.hasRunningStep(o.ID) {
+		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is under way at agent %s", o.ID, a.config.Name)
 	}
-	if err := a.closeOp(o, in.Result, c.who); err != nil {
+	if err := a.closeOperation(o, in.Result, c.who); err != nil {
 		return nil, err
 	}
-	return a.opOut(o), nil
+	return a.operationStatus(o), nil
 }
 
-// opAbort needs no lease: it only ever stops things.
+// opAbort lets an operation begin no more steps. It needs no lease, so that anyone may stop one.
 func (a *Agent) opAbort(_ context.Context, c *caller, in *api.AbortIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.op(in.Op)
+	o, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
@@ -211,37 +195,16 @@
 		*o = next
 	}
 	a.endAborted()
-	return a.opOut(o), nil
-}
-
-func (a *Agent) opOut(o *store.Operation) *api.OpOut {
-	now := time.Now()
-	out := &api.OpOut{Operation: o.Operation, State: o.State, Result: o.Result, Change: a.change, Now: now}
-	for _, l := range a.leases.ByInstance {
-		if l.Op == o.ID && l.Live(now) {
-			out.LeaseHolder, out.Expires = l.Holder, l.Expires
-		}
-	}
-	for _, name := range a.names {
-		if a.targets(&o.Operation, name) {
-			out.Instances = append(out.Instances, a.status(a.inst[name]))
-		}
-	}
-	for k, s := range a.steps {
-		if k.op == o.ID {
-			out.Steps = append(out.Steps, *s)
-		}
-	}
-	slices.SortFunc(out.Steps, func(x, y api.Step) int { return x.Started.Compare(y.Started) })
-	return out
+	return a.operationStatus(o), nil
 }
 
+// opList returns all operations without their targets and instances.
 func (a *Agent) opList(_ context.Context, _ *caller, _ *api.Empty) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := &api.OpsOut{}
-	for _, o := range a.ops {
-		x := a.opOut(o)
+	for _, o := range a.operations {
+		x := a.operationStatus(o)
 		x.Instances = nil
 		x.Operation.Targets = nil
 		out.Ops = append(out.Ops, *x)
@@ -249,10 +212,12 @@
 	return out, nil
 }
 
+// opStatus returns an operation, and waits for a change if the caller wants that. With a token
+// it renews the caller's leases.
 func (a *Agent) opStatus(ctx context.Context, _ *caller, in *api.StatusIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.op(in.Op)
+	o, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
@@ -261,33 +226,36 @@
 			return nil, err
 		}
 	}
-	timer := time.NewTimer(min(in.Wait, maxWait))
+	timer := time.NewTimer(min(in.Wait, maxStatusWait))
 	defer timer.Stop()
-	for in.Wait > 0 && a.change <= in.After {
-		changed := a.changed
-		a.mu.Unlock()
-		more := true
-		select {
-		case <-changed:
-		case <-timer.C:
-			more = false
-		case <-ctx.Done():
-			more = false
-		case <-a.ctx.Done():
-			more = false
-		}
-		a.mu.Lock()
-		if !more {
+	for in.Wait > 0 && a.changeNumber <= in.After {
+		if !a.awaitChange(ctx, timer.C) {
 			break
 		}
 	}
-	return a.opOut(o), nil
+	return a.operationStatus(o), nil
 }
 
-// renew lengthens the caller's leases, and writes that only once a third of their
-// time has gone.
+// awaitChange waits for the next change and says whether one came before the timeout, the end of
+// ctx or that of the agent. The lock is held, and released while it waits.
+func (a *Agent) awaitChange(ctx context.Context, timeout <-chan time.Time) bool {
+	changed := a.changed
+	a.mu.Unlock()
+	defer a.mu.Lock()
+	select {
+	case <-changed:
+		return true
+	case <-timeout:
+	case <-ctx.Done():
+	case <-a.ctx.Done():
+	}
+	return false
+}
+
+// renew extends the caller's leases. The record is written only once a third of their time has
+// passed. The lock is held.
 func (a *Agent) renew(o *store.Operation, in *api.StatusIn) error {
-	names, err := a.own(&o.Operation)
+	names, err := a.localTargets(&o.Operation)
 	if err != nil {
 		return err
 	}
@@ -308,3 +276,35 @@
 	a.leases.Put(ls)
 	return nil
 }
+
+// opNote records the progress of a staged change. A note that is not newer is ignored.
+func (a *Agent) opNote(_ context.Context, c *caller, in *api.NoteIn) (any, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	o, err := a.findOperation(in.Op)
+	if err != nil {
+		return nil, err
+	}
+	names, err := a.localTargets(&o.Operation)
+	if err != nil {
+		return nil, err
+	}
+	if err := a.fenced(a.leases.Check(time.Now(), o.ID, in.Token, names[0])); err != nil {
+		return nil, err
+	}
+	switch {
+	case o.State != api.OpOpened:
+		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.config.Name)
+	case len(in.Note.Log) > api.MaxVerdicts:
+		return nil, api.Errorf(api.InvalidParams, "%d verdicts in a note; %d at most", len(in.Note.Log), api.MaxVerdicts)
+	case o.Note != nil && o.Note.Number >= in.Note.Number:
+		return a.operationStatus(o), nil
+	}
+	next := *o
+	next.Note = &in.Note
+	if err := a.commit(&store.Change{Operations: []store.Operation{next}}); err != nil {
+		return nil, err
+	}
+	*o = next
+	return a.operationStatus(o), nil
+}
