--- /dev/null
+++ b/internal/fleet/e2e/command_test.go
@@ -0,0 +1,217 @@
+package e2e
+
+import (
+	"bufio"
+	"context"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/rollout"
+	"martendrum/internal/fleet/host/proc"
+)
+
+// The command is killed as it begins its first, second, ... instance. The operation
+// is seen by others, goes on where it stood, and no instance is changed twice.
+func TestResumeAfterCommandKilled(t *testing.T) {
+	t.Parallel()
+	w := newWorld(t, 2, 2)
+	w.startAll()
+	for kill := 1; kill <= 4; kill++ {
+		cmd := exec.Command(filepath.Join(w.bin, "martendrum"), "--fleet", w.inv, "restart", "--all", "--lease", "1s", "--soak", "100ms")
+		pipe, err := cmd.StderrPipe()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := cmd.Start(); err != nil {
+			t.Fatal(err)
+		}
+		id, begun := "", 0
+		for sc := bufio.NewScanner(pipe); begun < kill && sc.Scan(); {
+			if rest, ok := strings.CutPrefix(sc.Text(), "operation "); ok {
+				id, _, _ = strings.Cut(rest, ":")
+			}
+			if strings.Contains(sc.Text(), " begin ") {
+				begun++
+			}
+		}
+		cmd.Process.Kill()
+		cmd.Wait()
+		if begun < kill {
+			t.Fatalf("only %d were begun", begun)
+		}
+		if out, _, _ := w.command("operations"); !strings.Contains(out, id) {
+			t.Errorf("another operator doesn't see %s:\n%s", id, out)
+		}
+		// Another's change of the same instances is told what is in the way, at each host
+		// once its lease has ended: a command renews each host's by itself, so that one may
+		// last longer than the other.
+		for _, host := range w.hosts {
+			eventually(t, "the end of the lease at "+host.name, func() bool {
+				_, errs, _ := w.command("restart", "--host", host.name, "--soak", "0s")
+				return strings.Contains(errs, "martendrum resume "+id)
+			})
+		}
+		out, errs, code := w.command("resume", id, "--json")
+		if code != 0 {
+			t.Fatalf("resume: %d\n%s%s", code, out, errs)
+		}
+		if _, _, code := w.command("resume", id); code != 2 && code != 1 {
+			t.Errorf("resume of what has ended: exit code %d", code)
+		}
+		for _, hs := range w.ready() {
+			for _, i := range hs.Instances {
+				if i.Generation != int64(kill)+1 {
+					t.Errorf("killed at begin %d: %s is at generation %d", kill, i.Name, i.Generation)
+				}
+			}
+		}
+	}
+	// And abort: what was not begun stays as it is.
+	ctx, cancel := context.WithCancel(context.Background())
+	op := w.op(api.ActRestart, nil)
+	opt := options()
+	opt.TTL = time.Second
+	opt.Progress = func(e client.Event) {
+		if e.Kind == "ok" {
+			cancel()
+		}
+	}
+	rep, err := w.fleet.Start(ctx, op, opt)
+	if err != nil || rep.Result != "interrupted" {
+		t.Fatal(rep, err)
+	}
+	if out, errs, code := w.command("abort", op.ID); code != 0 {
+		t.Fatal(out, errs)
+	}
+	eventually(t, "the operation's end", func() bool {
+		rep, err = w.fleet.Report(context.Background(), op.ID)
+		return err == nil && rep.Result == "aborted"
+	})
+	n := make(map[rollout.State]int)
+	for _, r := range rep.Rows {
+		n[r.Outcome]++
+	}
+	if n[rollout.Changed] == 0 || n[rollout.Pending] == 0 || n[rollout.Changed]+n[rollout.Pending] != 4 {
+		t.Errorf("after the abort: %v", n)
+	}
+	if out, errs, code := w.command("restart", "--all", "--soak", "0s", "--batch", "100%"); code != 0 {
+		t.Errorf("the next operation: %d\n%s%s", code, out, errs)
+	}
+}
+
+// What commands print and how they exit.
+func TestCommands(t *testing.T) {
+	t.Parallel()
+	w := newWorld(t, 2, 1)
+	w.startAll()
+	for _, c := range []struct {
+		args string
+		code int
+		says string
+	}{
+		{"list", 0, "h1-i0"},
+		{"list --instance h1*", 0, "h1-i0"},
+		{"list --json --state ready --label half=0", 0, `"name": "h0-i0"`},
+		{"list --label half", 2, "KEY=VALUE"},
+		{"restart", 2, "say which instances"},
+		{"restart --all --instance x", 2, "say which instances"},
+		{"restart nobody", 1, "no instance fits"},
+		{"restart --all --batch 0", 2, "--batch"},
+		{"restart --all --batch 200%", 2, "percentage"},
+		{"restart --all --on-failure explode", 2, "on-failure"},
+		{"restart --all --on-failure rollback", 2, "goes with upgrade"},
+		{"restart --all --dry-run --batch 50%", 0, "nothing was changed"},
+		{"upgrade --all", 2, "binary"},
+		{"upgrade --all --binary /none", 2, "/none"},
+		{"upgrade --all --binary " + w.inv, 2, "no program"},
+		{"inspect h0-i0", 0, "generation"},
+		{"inspect nobody", 2, "no host has"},
+		{"logs h0-i0", 0, "ready"},
+		{"report nothing", 2, "known at no host"},
+		{"resume nothing", 1, "known at no host"},
+		{"rollback h0-i0 --json", 1, "no earlier release"},
+		{"drain h0-i0", 0, "succeeded"},
+		{"start h0-i0", 1, "undrain"},
+		{"restart h0-i0", 0, "left drained"},
+		{"undrain h0-i0", 0, "succeeded"},
+		{"stop h0-i0", 0, "succeeded"},
+		{"start h0-i0", 0, "succeeded"},
+		{"reload --all", 0, "succeeded"},
+		{"operations", 0, "undrain"},
+		{"audit " + w.hosts[0].name, 0, "op.close"},
+		{"completion bash", 0, "martendrum"},
+		{"explode", 2, "unknown command"},
+		{"--fleet /none list", 2, "MARTENDRUM_FLEET"},
+	} {
+		out, errs, code := w.command(strings.Fields(c.args)...)
+		if code != c.code || !strings.Contains(out+errs, c.says) {
+			t.Errorf("%s: exit code %d, want %d and %q:\n%s%s", c.args, code, c.code, c.says, out, errs)
+		}
+	}
+	for _, hs := range w.ready() {
+		w.observed([]client.HostState{hs})
+	}
+	w.hosts[0].kill()
+	if _, errs, code := w.command("restart", "--all"); code != 3 || !strings.Contains(errs, "--skip-unreachable") {
+		t.Errorf("a change with a host away: %d %s", code, errs)
+	}
+	if out, _, code := w.command("restart", "--all", "--skip-unreachable"); code != 0 || !strings.Contains(out, "h1-i0") {
+		t.Errorf("without it: %d %s", code, out)
+	}
+	if _, errs, code := w.command("list"); code != 1 || !strings.Contains(errs, "1 of 2 hosts") {
+		t.Errorf("list with a host away: %d %s", code, errs)
+	}
+	w.hosts[1].kill()
+	if _, _, code := w.command("list"); code != 3 {
+		t.Errorf("list with all hosts away: %d", code)
+	}
+}
+
+// dev runs as the first command on a checkout, and ends cleanly.
+func TestDev(t *testing.T) {
+	t.Parallel()
+	cmd := exec.Command(filepath.Join(programs(t), "martendrum"), "dev")
+	before := proc.Find("dev/shop-") // of a developer's own
+	cmd.Env = append(os.Environ(), "TMPDIR="+t.TempDir())
+	pipe, err := cmd.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	watchdog := time.AfterFunc(patience, func() { cmd.Process.Kill() })
+	defer watchdog.Stop()
+	inv, sc := "", bufio.NewScanner(pipe)
+	for inv == "" && sc.Scan() {
+		_, inv, _ = strings.Cut(sc.Text(), "MARTENDRUM_FLEET=")
+	}
+	w := &world{t: t, bin: programs(t), inv: inv}
+	eventually(t, "three ready sidecars", func() bool {
+		out, _, _ := w.command("list", "--state", "ready")
+		return strings.Count(out, "shop-") == 3
+	})
+	if out, errs, code := w.command("restart", "--all", "--soak", "0s", "--batch", "3"); code != 0 {
+		t.Errorf("restart: %d\n%s%s", code, out, errs)
+	}
+	cmd.Process.Signal(os.Interrupt)
+	for sc.Scan() {
+	}
+	if err := cmd.Wait(); err != nil {
+		t.Error(err)
+	}
+	for launch, f := range proc.Find("dev/shop-") {
+		if _, own := before[launch]; !own {
+			t.Errorf("a sidecar is left running: %s %v", launch, f)
+		}
+	}
+	if _, err := os.Stat(filepath.Dir(inv)); !os.IsNotExist(err) {
+		t.Errorf("its folder stays: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/fleet/e2e/lease_test.go
@@ -0,0 +1,136 @@
+package e2e
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/control/client"
+)
+
+// Two operators want the same instances at once: one gets them, the other is told
+// who has them, and each instance is changed by one of them only.
+func TestTwoOperators(t *testing.T) {
+	s := simulate(t, 3, 2, 5*time.Millisecond, 5*time.Millisecond, nil)
+	ctx := context.Background()
+	for round := range 10 {
+		ops := []api.Operation{s.op(api.ActRestart), s.op(api.ActRestart)}
+		ops[1].Targets = ops[1].Targets[:4]
+		errs := make([]error, 2)
+		reps := make([]*client.Report, 2)
+		var wg sync.WaitGroup
+		for n := range ops {
+			wg.Go(func() {
+				o := options()
+				o.LeaseHolder = fmt.Sprintf("operator-%d", n)
+				reps[n], errs[n] = s.fleet.Start(ctx, ops[n], o)
+			})
+		}
+		wg.Wait()
+		won := 0
+		for n := range ops {
+			if errs[n] == nil {
+				won++
+				if !reps[n].OK() {
+					t.Fatalf("round %d: %s %s", round, reps[n].Result, reps[n].Why)
+				}
+				continue
+			}
+			e, ok := errors.AsType[*api.Error](errs[n])
+			if !ok || e.Code != api.LeaseHeld || !strings.Contains(e.Message, ops[1-n].ID) || !strings.Contains(e.Message, "operator-") && !strings.Contains(e.Message, "tester") {
+				t.Fatalf("round %d: operator %d was told: %v", round, n, errs[n])
+			}
+		}
+		if won == 0 {
+			t.Fatalf("round %d: neither got them: %v", round, errs)
+		}
+	}
+	for _, h := range s.hosts {
+		for launch, n := range launches(h) {
+			if n != 1 {
+				t.Errorf("%s was launched %d times", launch, n)
+			}
+		}
+	}
+}
+
+// A holder stalls past its lease at each step of its way; another takes over. What
+// the first one does when it wakes up changes nothing.
+func TestStalledHolder(t *testing.T) {
+	s := simulate(t, 1, 2, time.Millisecond, time.Millisecond, nil)
+	ctx, a := context.Background(), s.fleet.Agents[0]
+	wait := func(op string, ok func(out *api.OpOut) bool) {
+		eventually(t, "the operation's state", func() bool {
+			var out api.OpOut
+			err := a.Call(ctx, api.OpStatus, &api.StatusIn{Op: op}, &out)
+			return err == nil && ok(&out)
+		})
+	}
+	for stalls := range 4 { // before its first step, after it, after its second, before its end
+		op := s.op(api.ActRestart)
+		open := func(o api.Operation, who string, ttl time.Duration) (out api.OpenOut) {
+			if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: o, LeaseHolder: who, TTL: ttl}, &out); err != nil {
+				t.Fatal(err)
+			}
+			return out
+		}
+		old := open(op, "stalled", 300*time.Millisecond)
+		for n := range min(stalls, 2) {
+			if err := a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: old.Token, Instance: op.Targets[n].Instance, Kind: api.Change}, nil); err != nil {
+				t.Fatal(err)
+			}
+			wait(op.ID, func(out *api.OpOut) bool {
+				return out.Steps[len(out.Steps)-1].Status == api.StepOK && len(out.Steps) == n+1
+			})
+		}
+		wait(op.ID, func(out *api.OpOut) bool { return out.LeaseHolder == "" }) // its lease has ended
+		var fresh api.OpenOut
+		if stalls%2 == 0 { // another resumes it, or ends it and begins one of its own
+			fresh = open(op, "other", time.Minute)
+		} else {
+			if err := a.Call(ctx, api.OpAbort, &api.AbortIn{Op: op.ID}, nil); err != nil {
+				t.Fatal(err)
+			}
+			wait(op.ID, func(out *api.OpOut) bool { return out.State == api.OpClosed })
+			other := s.op(api.ActDrain)
+			fresh = open(other, "other", time.Minute)
+			op.ID, other.ID = other.ID, op.ID // below, op is the one that is open
+			for _, id := range []string{other.ID, op.ID} {
+				for _, target := range op.Targets {
+					err := a.Call(ctx, api.StepStart, &api.StepIn{Op: id, Token: old.Token, Instance: target.Instance, Kind: api.Change}, nil)
+					if e, ok := errors.AsType[*api.Error](err); !ok || e.Code != api.Fenced && e.Code != api.Closed {
+						t.Errorf("stalled at %d: a step of %s: %v", stalls, id, err)
+					}
+				}
+			}
+		}
+		before := len(s.hosts[0].Launches())
+		for _, target := range op.Targets {
+			for _, kind := range []string{api.Change, api.Rollback} {
+				err := a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: old.Token, Instance: target.Instance, Kind: kind}, nil)
+				if e, ok := errors.AsType[*api.Error](err); !ok || e.Code != api.Fenced {
+					t.Errorf("stalled at %d: a %s of %s: %v", stalls, kind, target.Instance, err)
+				}
+			}
+		}
+		for method, in := range map[string]any{
+			api.OpClose:  &api.CloseIn{Op: op.ID, Token: old.Token, Result: "mine"},
+			api.OpStatus: &api.StatusIn{Op: op.ID, Token: old.Token, TTL: time.Minute},
+		} {
+			if e, ok := errors.AsType[*api.Error](a.Call(ctx, method, in, nil)); !ok || e.Code != api.Fenced {
+				t.Errorf("stalled at %d: %s: %v", stalls, method, e)
+			}
+		}
+		if n := len(s.hosts[0].Launches()); n != before {
+			t.Errorf("stalled at %d: %d launches were caused", stalls, n-before)
+		}
+		if err := a.Call(ctx, api.OpClose, &api.CloseIn{Op: op.ID, Token: fresh.Token, Result: "done"}, nil); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/e2e/powerloss_clients_test.go
@@ -0,0 +1,230 @@
+package e2e
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"martendrum/internal/fleet/control/client"
+)
+
+// visits is what clients saw, who come again when they are told to, within their time.
+type visits struct {
+	stop chan struct{}
+	wg   sync.WaitGroup
+
+	mu   sync.Mutex
+	all  []visit
+	lost []string
+	down map[string][]time.Time // when an instance was killed
+	once map[string]bool        // ids of requests that must not run twice
+}
+
+type visit struct {
+	at    time.Time
+	class int
+	good  bool
+}
+
+var classes = []struct {
+	path         string
+	share, worth float64
+	limit        time.Duration
+}{{"status-check", 0.5, 1, 3 * time.Second}, {"id-register", 0.3, 3, 2500 * time.Millisecond}, {"activate", 0.2, 10, 2500 * time.Millisecond}}
+
+// visit sends so many requests a second to each instance until halt.
+func (p *plant) visit(perSecond float64) *visits {
+	v := &visits{stop: make(chan struct{}), down: make(map[string][]time.Time), once: make(map[string]bool)}
+	for _, h := range p.hosts {
+		for name, addr := range h.listen {
+			v.wg.Go(func() {
+				rng := rand.New(rand.NewPCG(uint64(p.rank[name]), 5))
+				for n := 0; ; n++ {
+					select {
+					case <-v.stop:
+						return
+					case <-time.After(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))):
+					}
+					x, class := rng.Float64(), 0
+					for x > classes[class].share && class < len(classes)-1 {
+						x -= classes[class].share
+						class++
+					}
+					v.wg.Go(func() { v.client(name, addr, n, class) })
+				}
+			})
+		}
+	}
+	p.t.Cleanup(v.halt)
+	return v
+}
+
+func (v *visits) halt() {
+	v.mu.Lock()
+	select {
+	case <-v.stop:
+	default:
+		close(v.stop)
+	}
+	v.mu.Unlock()
+	v.wg.Wait()
+}
+
+// client asks until it is served, or not to come again, or its time is over.
+func (v *visits) client(name, addr string, n, class int) {
+	began := time.Now()
+	end := began.Add(classes[class].limit)
+	good := false
+	for try := 0; ; try++ {
+		id := fmt.Sprintf("%s-%d-%d", name, n, try)
+		status, after := v.ask(name, addr, id, class, end)
+		good = status == http.StatusOK
+		if good || status != http.StatusServiceUnavailable && status != 0 {
+			break
+		}
+		if time.Now().Add(after).After(end) {
+			break
+		}
+		time.Sleep(max(after, 50*time.Millisecond)) // who found nobody there comes back at once
+	}
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.all = append(v.all, visit{began, class, good})
+}
+
+// ask makes one request; 0 is for one that nobody took.
+func (v *visits) ask(name, addr, id string, class int, end time.Time) (status int, after time.Duration) {
+	nc, err := net.DialTimeout("tcp", addr, time.Second)
+	if err != nil {
+		return 0, 0
+	}
+	defer nc.Close()
+	nc.SetDeadline(end.Add(3 * time.Second))
+	c := classes[class]
+	head := fmt.Sprintf("Host: app\r\nReq-Kind: %s\r\nConnection: close\r\nReq-Id: %s\r\nReq-Deadline-Ms: %d\r\n", c.path, id, max(1, time.Until(end).Milliseconds()))
+	switch class {
+	case 0:
+		head = "GET /status-check HTTP/1.1\r\n" + head + "\r\n"
+	case 1:
+		head = "POST /id-register HTTP/1.1\r\n" + head + "Idempotency-Key: " + id + "\r\nContent-Length: 4\r\n\r\ncard"
+	default:
+		head = "POST /activate HTTP/1.1\r\n" + head + "Content-Length: 4\r\n\r\ncard"
+		v.mu.Lock()
+		v.once[id] = true
+		v.mu.Unlock()
+	}
+	if _, err := io.WriteString(nc, head); err != nil {
+		return 0, 0
+	}
+	wrote := time.Now()
+	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
+	if err == nil {
+		_, err = io.Copy(io.Discard, resp.Body)
+	}
+	if err != nil {
+		v.mu.Lock()
+		defer v.mu.Unlock()
+		for _, k := range v.down[name] {
+			if k.After(wrote.Add(-time.Second)) && k.Before(time.Now().Add(time.Second)) {
+				return http.StatusBadGateway, 0 // it was killed: nobody can say what became of it
+			}
+		}
+		v.lost = append(v.lost, fmt.Sprintf("%s: %v", id, err))
+		return http.StatusBadGateway, 0
+	}
+	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+	return resp.StatusCode, time.Duration(seconds * float64(time.Second))
+}
+
+func (v *visits) killed(hosts ...*host) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for _, h := range hosts {
+		for _, name := range h.insts {
+			v.down[name] = append(v.down[name], time.Now())
+		}
+	}
+}
+
+// share is the share of the worth offered in a span that was served; of one class, or all.
+func (v *visits) share(class int, from time.Time, span time.Duration) float64 {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	offered, served := 0.0, 0.0
+	for _, x := range v.all {
+		if x.at.Before(from) || !x.at.Before(from.Add(span)) || class >= 0 && x.class != class {
+			continue
+		}
+		offered += classes[x.class].worth
+		if x.good {
+			served += classes[x.class].worth
+		}
+	}
+	return served / max(offered, 1)
+}
+
+// judged checks the rules by what servers and clients counted.
+func (p *plant) judged(v *visits) {
+	p.t.Helper()
+	v.halt()
+	if len(v.lost) > 0 {
+		p.t.Errorf("%d requests lost, as %s", len(v.lost), v.lost[0])
+	}
+	for id, n := range p.shop.Runs() {
+		if v.once[id] && n > 1 {
+			p.t.Errorf("%s ran %d times", id, n)
+		}
+	}
+	if n := p.ramp.Fallen(); n > 0 {
+		p.t.Errorf("%d cold servers fell", n)
+	}
+}
+
+// back waits until nine tenths of the worth offered within two seconds are served, and
+// returns when that was.
+func (p *plant) back(v *visits, from time.Time) time.Duration {
+	p.t.Helper()
+	const span = 2 * time.Second
+	at := from
+	eventually(p.t, "nine tenths of the worth", func() bool {
+		for ; time.Since(at) > span+3*time.Second; at = at.Add(500 * time.Millisecond) {
+			if v.share(-1, at, span) >= 0.9 {
+				return true
+			}
+		}
+		return false
+	})
+	return at.Sub(from)
+}
+
+// inWaves checks that on each host every shop had one before any had two.
+func (p *plant) inWaves(states []client.HostState) {
+	p.t.Helper()
+	for _, h := range states {
+		first, second := make(map[string]time.Time), make(map[string]time.Time)
+		for _, i := range h.Instances {
+			s := i.Labels["shop"]
+			switch at, there := first[s]; {
+			case !there:
+				first[s] = i.Launched
+			case i.Launched.Before(at):
+				first[s], second[s] = i.Launched, at
+			default:
+				second[s] = i.Launched
+			}
+		}
+		for a, late := range first {
+			for b, early := range second {
+				if early.Before(late) {
+					p.t.Errorf("%s: %s had two before %s had one", h.Host.Name, b, a)
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/e2e/powerloss_world_test.go
@@ -0,0 +1,233 @@
+package e2e
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/control/inventory"
+	"martendrum/internal/fleet/host/proc"
+	"martendrum/internal/standin/faultnet"
+	"martendrum/internal/standin/shop"
+)
+
+// plant is a fleet whose sidecars tell each other over a mesh, before servers that start
+// cold.
+type plant struct {
+	*world
+	ramp *shop.SlowStart
+	mesh *faultnet.Mesh
+	rank map[string]int
+}
+
+// The scenarios' size and speed; larger by the environment, for the design note.
+func sized(name string, usual int) int {
+	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
+		return n
+	}
+	return usual
+}
+
+func newPlant(t *testing.T, hosts, each int, parts string) *plant {
+	t.Helper()
+	return newSlowPlant(t, hosts, each, parts, 100*time.Millisecond)
+}
+
+// newSlowPlant has so long between the waves of a return.
+func newSlowPlant(t *testing.T, hosts, each int, parts string, wave time.Duration) *plant {
+	t.Helper()
+	p := &plant{rank: make(map[string]int), ramp: &shop.SlowStart{
+		Workers: 4, Work: 40 * time.Millisecond, Queue: 20, From: 0.14, For: 6 * time.Second, Factor: 4, Window: time.Second,
+	}}
+	servers := max(4, hosts*each/5)
+	p.world = newWorldBefore(t, hosts, each, fmt.Sprintf("fleet = %q\n[recovery]\nwave_least = %q\n", parts, wave), func() (*shop.Shop, error) {
+		return shop.NewWith(servers, p.ramp.Serve)
+	})
+	var homes, names []string
+	for _, h := range p.hosts {
+		for _, name := range h.insts {
+			host, _, err := net.SplitHostPort(h.listen[name])
+			if err != nil {
+				t.Fatal(err)
+			}
+			c, err := net.ListenPacket("udp4", host+":0") // the instance's own address
+			if err != nil {
+				t.Fatal(err)
+			}
+			c.Close()
+			p.rank[name] = len(names)
+			homes, names = append(homes, c.LocalAddr().String()), append(names, name)
+		}
+	}
+	net := faultnet.New(1)
+	t.Cleanup(net.Close)
+	var err error
+	if p.mesh, err = net.Mesh(homes); err != nil {
+		t.Fatal(err)
+	}
+	for n, name := range names {
+		p.edit(name, func(c map[string]any) {
+			set := c["settings"].(map[string]any)
+			set["rank"], set["replicasOfMe"] = n, len(names)
+			set["caps"].(map[string]any)["peers"] = true
+			set["guarantees"] = map[string]any{
+				"drainGraceUs": 2000000, "coldFrom": p.ramp.From, "coldUs": p.ramp.For.Microseconds(),
+				"overloadFactor": p.ramp.Factor, "overloadForUs": p.ramp.Window.Microseconds(),
+			}
+			c["peer_listen"], c["peers"] = homes[n], p.mesh.Addrs()
+		})
+	}
+	return p
+}
+
+func (p *plant) hostOf(name string) *host {
+	for _, h := range p.hosts {
+		if h.listen[name] != "" {
+			return h
+		}
+	}
+	p.t.Fatal("no host of " + name)
+	return nil
+}
+
+// edit changes an instance's configuration.
+func (p *plant) edit(name string, change func(map[string]any)) {
+	p.t.Helper()
+	path := filepath.Join(filepath.Dir(p.hostOf(name).config), name+".json")
+	data, err := os.ReadFile(path)
+	c := make(map[string]any)
+	if err == nil {
+		err = json.Unmarshal(data, &c)
+	}
+	if err == nil {
+		change(c)
+		data, err = json.Marshal(c)
+	}
+	if err == nil {
+		err = os.WriteFile(path, data, 0o600)
+	}
+	if err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// off ends every process of hosts at one moment, as a loss of power does. v, if not nil,
+// is told before and after: what was under way then is nobody's fault.
+func (p *plant) off(v *visits, hosts ...*host) {
+	if v != nil {
+		v.killed(hosts...)
+		defer v.killed(hosts...)
+	}
+	for _, h := range hosts {
+		h.signal(syscall.SIGKILL) // first: it would start them again
+	}
+	for _, h := range hosts {
+		for _, f := range proc.Find(h.name + "/") {
+			syscall.Kill(f.PID, syscall.SIGKILL)
+		}
+		h.kill()
+	}
+	for _, h := range hosts { // one may have been started in between
+		eventually(p.t, "the end of a host's processes", func() bool {
+			for _, f := range proc.Find(h.name + "/") {
+				syscall.Kill(f.PID, syscall.SIGKILL)
+			}
+			return len(proc.Find(h.name+"/")) == 0
+		})
+	}
+}
+
+// on starts hosts in a drawn order.
+func (p *plant) on(rng *rand.Rand, hosts ...*host) {
+	for _, i := range rng.Perm(len(hosts)) {
+		hosts[i].start()
+	}
+}
+
+// began is what each sidecar that is careful after its start logs first.
+const began = "phase asking"
+
+// log is what an instance's sidecars have written, from the last start on.
+func (p *plant) log(name string) string {
+	text := p.whole(name)
+	return text[max(0, strings.LastIndex(text, began)):]
+}
+
+// verdict is what a sidecar has decided about its start, "" if it has not.
+func (p *plant) verdict(name string) string {
+	text := strings.ReplaceAll(p.log(name), "verdict=open", "")
+	_, rest, _ := strings.Cut(text, "verdict=")
+	v, _, _ := strings.Cut(rest, " ")
+	return v
+}
+
+func (p *plant) verdicts(hosts ...*host) map[string]int {
+	count := make(map[string]int)
+	for _, h := range hosts {
+		for _, name := range h.insts {
+			eventually(p.t, "a verdict of "+name, func() bool { return p.verdict(name) != "" })
+			count[p.verdict(name)]++
+		}
+	}
+	return count
+}
+
+// losses is how many losses of power an agent has logged.
+func (p *plant) losses(h *host) (n int) {
+	text, _ := os.ReadFile(h.config + ".log")
+	return strings.Count(string(text), "the host lost its power")
+}
+
+// whole is all that an instance's sidecars have written.
+func (p *plant) whole(name string) string {
+	text, _ := os.ReadFile(filepath.Join(filepath.Dir(p.hostOf(name).config), "s", "logs", name+".log"))
+	return string(text)
+}
+
+// settled waits until no wave of the hosts is to come.
+func (p *plant) settled(hosts ...*host) {
+	p.t.Helper()
+	eventually(p.t, "the end of the waves", func() bool {
+		for _, s := range p.fleet.List(context.Background(), &inventory.Select{}) {
+			for _, h := range hosts {
+				if s.Host.Name == h.name && (s.Error != "" || s.Returning != "") {
+					return false
+				}
+			}
+		}
+		return true
+	})
+}
+
+// opened opens an operation at the one agent and returns its token.
+func (p *plant) opened(op api.Operation, holder string) int64 {
+	p.t.Helper()
+	var out api.OpenOut
+	if err := p.fleet.Agents[0].Call(context.Background(), api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: holder, TTL: time.Minute}, &out); err != nil {
+		p.t.Fatal(err)
+	}
+	return out.Token
+}
+
+// ends waits for the agent's end, and says whether it came.
+func (h *host) ends(within time.Duration) bool {
+	h.mu.Lock()
+	end := h.end
+	h.mu.Unlock()
+	select {
+	case <-end:
+		return true
+	case <-time.After(within):
+		return false
+	}
+}
--- /dev/null
+++ b/internal/fleet/e2e/staged_world_test.go
@@ -0,0 +1,213 @@
+package e2e
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/standin/faultnet"
+	"martendrum/internal/standin/shop"
+)
+
+// turns lets one such world at a time run: each has its clients, and the other tests are
+// held to times. With -short, as in CI, only some do; long skips the others.
+var turns = make(chan struct{}, 1)
+
+func long(t *testing.T) {
+	t.Helper()
+	if testing.Short() {
+		t.Skip("without -short")
+	}
+}
+
+// stagedWorld is a fleet of which figures are taken each half second. discovery leads
+// its sidecars to other servers than the world's own.
+func stagedWorld(t testing.TB, hosts, each int, discovery ...string) *world {
+	t.Helper()
+	turns <- struct{}{}
+	t.Cleanup(func() { <-turns })
+	w := newWorldOn(t, hosts, each, "[figures]\nslot = \"500ms\"\nkeep = \"5m\"\n")
+	for _, d := range discovery {
+		files, err := filepath.Glob(filepath.Join(w.dir, "h*", "h*.json"))
+		if err != nil || len(files) != hosts*each {
+			t.Fatal(files, err)
+		}
+		for _, f := range files {
+			text, err := os.ReadFile(f)
+			if err == nil {
+				err = os.WriteFile(f, []byte(strings.ReplaceAll(string(text), w.shop.Discovery, d)), 0o600)
+			}
+			if err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	w.startAll()
+	return w
+}
+
+// servers are further ones, which a release's overlay leads its sidecars to.
+func servers(t testing.TB, serve func(n int64, w http.ResponseWriter, r *http.Request) (done bool)) string {
+	t.Helper()
+	var n atomic.Int64
+	s, err := shop.NewWith(4, func(s *shop.Shop, name string, w http.ResponseWriter, r *http.Request) {
+		io.Copy(io.Discard, r.Body)
+		if serve(n.Add(1), w, r) {
+			return
+		}
+		s.Ran(r.Header.Get("Req-Id"))
+		time.Sleep(10 * time.Millisecond)
+		fmt.Fprintf(w, "%s by %s", r.Header.Get("Req-Id"), name)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	return s.Discovery
+}
+
+// change is a running `martendrum change`, of which the agents' records are watched.
+type change struct {
+	w    *world
+	cmd  *exec.Cmd
+	out  strings.Builder
+	errs strings.Builder
+	done chan struct{}
+	id   string
+}
+
+// quick is what a change in a test needs beside what it is about: stages that last
+// seconds, and margins for some hundred requests.
+var quick = slices.Clip([]string{"--all", "--least", "2s", "--longest", "40s", "--past", "6", "--warm", "500ms", "--soak", "200ms", "--batch", "3", "--max-unavailable", "6",
+	"--lease", "3s", "--seed", "1", "--max-shop", "", "--margin", "unserved=0.03:0.3", "--margin", "worth=0.03:0.3", "--margin", "failed=0.03:0.3",
+	"--margin", "slow=0.3:0.9", "--margin", "attempts=0.1:0.6", "--margin", "declined=0.1:0.6", "--margin", "crashes=1:12", "--margin", "memory=off", "--margin", "files=off"})
+
+func (w *world) change(args ...string) *change {
+	w.t.Helper()
+	c := &change{w: w, done: make(chan struct{})}
+	c.cmd = exec.Command(filepath.Join(w.bin, "martendrum"), append([]string{"--fleet", w.inv, "--json", "change"}, args...)...)
+	c.cmd.Stdout, c.cmd.Stderr = &c.out, &c.errs
+	if err := c.cmd.Start(); err != nil {
+		w.t.Fatal(err)
+	}
+	go func() {
+		c.cmd.Wait()
+		close(c.done)
+	}()
+	w.t.Cleanup(func() {
+		c.cmd.Process.Kill()
+		<-c.done
+		if w.t.Failed() {
+			w.t.Logf("martendrum change: %s\n%.100s", c.errs.String(), c.out.String())
+		}
+	})
+	return c
+}
+
+// report waits for the command's end and reads what it printed.
+func (c *change) report() *client.Report {
+	c.w.t.Helper()
+	select {
+	case <-c.done:
+	case <-time.After(90 * time.Second):
+		c.w.t.Fatal("the change has not come to its end")
+	}
+	rep := &client.Report{}
+	if err := json.Unmarshal([]byte(c.out.String()), rep); err != nil {
+		c.w.t.Fatalf("report: %v: %s %s", err, c.out.String(), c.errs.String())
+	}
+	c.id = rep.Operation.ID
+	return rep
+}
+
+// until watches the agents' records until a report of the change fits.
+func (w *world) until(what string, fits func(*client.Report) bool) *client.Report {
+	w.t.Helper()
+	var rep *client.Report
+	eventually(w.t, what, func() bool {
+		for _, a := range w.fleet.Agents {
+			var ops api.OpsOut
+			if a.Call(context.Background(), api.OpList, api.Empty{}, &ops) != nil {
+				continue
+			}
+			for _, o := range ops.Ops {
+				if r, err := w.fleet.Report(context.Background(), o.Operation.ID); err == nil && fits(r) {
+					rep = r
+					return true
+				}
+			}
+		}
+		return false
+	})
+	return rep
+}
+
+// load sends each instance a request each 40 ms or so, an activate in two.
+func (w *world) load() *clients { return w.traffic(40 * time.Millisecond) }
+
+// touched is how many instances ever ran the operation's release.
+func touched(rep *client.Report) (n int) {
+	for _, r := range rep.Rows {
+		for _, s := range r.Steps {
+			if s.Kind == api.Change {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// asBefore says that every instance is ready and runs what it ran at first.
+func (w *world) asBefore(base string) {
+	w.t.Helper()
+	for _, h := range w.ready() {
+		for _, i := range h.Instances {
+			if i.Running != base || i.Release != base {
+				w.t.Errorf("%s runs %.12s (wanted %.12s); it ran %.12s before", i.Name, i.Running, i.Release, base)
+			}
+		}
+	}
+}
+
+func (w *world) running() string { return w.ready()[0].Instances[0].Running }
+
+func (w *world) overlay(text string) string {
+	w.t.Helper()
+	path := filepath.Join(w.dir, fmt.Sprintf("overlay-%d.json", addresses.Add(1)))
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		w.t.Fatal(err)
+	}
+	return path
+}
+
+// links puts a relay between the fleet's commands and each agent.
+func (w *world) links(n *faultnet.Net) (out []*faultnet.Link) {
+	w.t.Helper()
+	var inv strings.Builder
+	inv.WriteString("timeout = \"1s\"\n")
+	for _, h := range w.hosts {
+		l, err := n.TCP(h.name, "unix:"+filepath.Join(filepath.Dir(h.config), "a"))
+		if err != nil {
+			w.t.Fatal(err)
+		}
+		fmt.Fprintf(&inv, "[[host]]\nname = %q\naddress = \"tcp:%s\"\n", h.name, l.Addr())
+		out = append(out, l)
+	}
+	w.inv = filepath.Join(w.dir, "linked.toml")
+	if err := os.WriteFile(w.inv, []byte(inv.String()), 0o600); err != nil {
+		w.t.Fatal(err)
+	}
+	return out
+}
--- /dev/null
+++ b/internal/fleet/e2e/store_test.go
@@ -0,0 +1,146 @@
+package e2e
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/control/inventory"
+	"martendrum/internal/fleet/store"
+	"martendrum/internal/standin/pgserver"
+)
+
+// The record can't be written: a change is refused before anything is touched, the
+// list says why, and it goes on once there is room.
+func TestRecordFull(t *testing.T) {
+	s := simulate(t, 1, 1, time.Millisecond, time.Millisecond, nil)
+	ctx, a := context.Background(), s.fleet.Agents[0]
+	op := s.op(api.ActRestart)
+	var open api.OpenOut
+	if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: "me", TTL: time.Minute}, &open); err != nil {
+		t.Fatal(err)
+	}
+	fill := strings.Repeat("x", 1<<20)
+	var err error
+	for n := 0; err == nil && n < 200; n++ { // 64 MiB is its bound
+		err = s.stores[0].Commit(ctx, &store.Change{Audit: []api.AuditEntry{{Target: fill}}})
+	}
+	for _, size := range []int{3000, 300, 30, 0} { // and what is left of the last pages
+		err = nil
+		for n := 0; err == nil && n < 2000; n++ {
+			err = s.stores[0].Commit(ctx, &store.Change{Audit: []api.AuditEntry{{Target: fill[:size]}}})
+		}
+	}
+	if err == nil {
+		t.Fatal("the record was never full")
+	}
+	before := len(s.hosts[0].Launches())
+	err = a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: open.Token, Instance: op.Targets[0].Instance, Kind: api.Change}, nil)
+	if e, ok := errors.AsType[*api.Error](err); !ok || e.Code != api.Unwritable || !strings.Contains(e.Message, "full") {
+		t.Errorf("a step with a full record: %v", err)
+	}
+	list := s.fleet.List(ctx, &inventory.Select{})[0]
+	if !strings.Contains(list.Unwritable, "full") || list.Instances[0].State != "ready" || list.Instances[0].Generation != 1 || len(s.hosts[0].Launches()) != before {
+		t.Errorf("after it: %+v", list)
+	}
+	if err := s.stores[0].Commit(ctx, &store.Change{AuditLimit: 1}); err != nil {
+		t.Fatal(err)
+	}
+	eventually(t, "a record that can be written", func() bool { return s.fleet.List(ctx, &inventory.Select{})[0].Unwritable == "" })
+	if err := a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: open.Token, Instance: op.Targets[0].Instance, Kind: api.Change}, nil); err != nil {
+		t.Error(err)
+	}
+}
+
+// The record is lost: sidecars go on, and the new record names what runs.
+func TestRecordLost(t *testing.T) {
+	t.Parallel()
+	w := newWorld(t, 1, 2)
+	w.startAll()
+	if rep, err := w.fleet.Start(context.Background(), w.op(api.ActRestart, nil), options()); err != nil || !rep.OK() {
+		t.Fatal(rep, err)
+	}
+	before := w.ready()[0].Instances
+	h := w.hosts[0]
+	h.kill()
+	files, _ := filepath.Glob(filepath.Join(filepath.Dir(h.config), "s", "record.db*"))
+	if len(files) == 0 {
+		t.Fatal("there is no record")
+	}
+	for _, f := range files {
+		if err := os.Remove(f); err != nil {
+			t.Fatal(err)
+		}
+	}
+	h.start()
+	states := w.ready()
+	w.observed(states)
+	for n, i := range states[0].Instances {
+		if b := before[n]; i.PID != b.PID || i.Generation != b.Generation || i.Release != b.Release {
+			t.Errorf("before %+v\nafter  %+v", b, i)
+		}
+	}
+}
+
+// An instance with a store of record: inspect shows how it does, list marks one that is
+// away. The sidecar starts without its database.
+func TestRecordIsShown(t *testing.T) {
+	t.Parallel()
+	pg, err := pgserver.Start(pgserver.Config{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { pg.Close() })
+	w := newWorld(t, 1, 1)
+	h := w.hosts[0]
+	sidecar := filepath.Join(w.dir, "sidecar-record")
+	if out, err := exec.Command("go", "build", "-tags", "record", "-o", sidecar, "martendrum/cmd/sidecar").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
+	file := filepath.Join(w.dir, "record.toml")
+	os.WriteFile(file, fmt.Appendf(nil, "store = \"postgres\"\n[postgres]\nurl = %q\n[[class]]\nname = \"activate\"\nkey = \"header:Order\"\n", pg.URL()), 0o600)
+	b, err := os.ReadFile(h.config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text := strings.Replace(string(b), filepath.Join(w.bin, "sidecar"), sidecar, 1) + fmt.Sprintf("record = %q\n", file)
+	os.WriteFile(h.config, []byte(text), 0o600)
+	pg.SetRejecting(true)
+	w.startAll()
+	says := func(command, want string) {
+		t.Helper()
+		eventually(t, command+" that says "+want, func() bool {
+			out, _, _ := w.command(strings.Fields(command)...)
+			return strings.Contains(out, want)
+		})
+	}
+	says("inspect h0-i0", "postgres; breaker=")
+	eventually(t, "an open breaker", func() bool {
+		req, err := http.NewRequest("POST", "http://"+h.listen["h0-i0"]+"/activate/1", strings.NewReader("x"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		req.Header["Req-Id"], req.Header["Order"] = []string{fmt.Sprint(rand.Uint64())}, []string{fmt.Sprint(rand.Uint64())}
+		resp, err := http.DefaultClient.Do(req)
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp.Body.Close()
+		if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
+			t.Fatalf("answered %s without its record", resp.Status)
+		}
+		out, _, _ := w.command("list")
+		return strings.Contains(out, "its store of record is away")
+	})
+	pg.SetRejecting(false)
+	says("inspect h0-i0", "postgres; breaker=closed")
+}
--- /dev/null
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -0,0 +1,295 @@
+package e2e
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/rollout"
+	"martendrum/internal/fleet/host/proc"
+)
+
+// Fifty sidecars under ten agents are upgraded while sidecars and agents are
+// killed by a seeded schedule and requests run. Every one is in the report once,
+// what is reported is what is, and no request that a living sidecar took is lost.
+func TestFiftyInstancesUpgrade(t *testing.T) {
+	w := newWorld(t, 10, 5)
+	w.startAll()
+	hash := w.release(filepath.Join(w.bin, "sidecar"), `{"limits":{"memory_mb":96}}`)
+	requests := w.traffic(300 * time.Millisecond)
+
+	rng := rand.New(rand.NewPCG(5, 1))
+	stop := make(chan struct{})
+	var chaos sync.WaitGroup
+	sidecars, agents := 0, 0
+	chaos.Go(func() {
+		for {
+			select {
+			case <-stop:
+				return
+			case <-time.After(time.Duration(300+rng.IntN(500)) * time.Millisecond):
+			}
+			h := w.hosts[rng.IntN(len(w.hosts))]
+			if rng.IntN(3) == 0 {
+				h.kill()
+				agents++
+				time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
+				h.start()
+				continue
+			}
+			name := h.insts[rng.IntN(len(h.insts))]
+			for _, f := range proc.Find(h.name + "/" + name + "/") {
+				requests.killed(name)
+				syscall.Kill(f.PID, syscall.SIGKILL)
+				sidecars++
+			}
+		}
+	})
+	op := w.op(api.ActUpgrade, func(o *api.Operation) {
+		o.Release, o.Soak = hash, 500*time.Millisecond
+		o.Policy = api.Policy{Batch: 8, Canaries: 2, MaxUnavailable: 16, MaxFailures: 50, OnFailure: api.OnFailureStop}
+	})
+	began := time.Now()
+	var events []string
+	opt := options()
+	opt.Progress = func(e client.Event) {
+		if e.Kind != "begin" {
+			events = append(events, fmt.Sprint(e.Kind, " ", e.Host, " ", e.Instance, " ", e.Text))
+		}
+	}
+	rep, err := w.fleet.Start(context.Background(), op, opt)
+	took := time.Since(began)
+	close(stop)
+	chaos.Wait()
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.ready()
+	time.Sleep(300 * time.Millisecond) // requests to what has just come back
+	requests.stop()
+	t.Logf("%s in %v: %d sidecars and %d agents were killed; %d requests, %d served, %d lost", rep.Result, took.Round(time.Millisecond), sidecars, agents, requests.sent, requests.served, len(requests.lost))
+	if t.Failed() || testing.Verbose() {
+		t.Log(strings.Join(events, "\n"))
+	}
+	if sidecars == 0 || agents == 0 {
+		t.Error("nothing was killed: the test shows nothing")
+	}
+	for _, l := range requests.lost {
+		t.Error("lost:", l)
+	}
+	if requests.served < requests.sent/2 || requests.served == 0 {
+		t.Errorf("%d of %d requests were served", requests.served, requests.sent)
+	}
+	// The report at the end, and the one from the records afterwards.
+	w.once(rep, op)
+	if rep, err = w.fleet.Report(context.Background(), op.ID); err != nil {
+		t.Fatal(err)
+	}
+	rows := w.once(rep, op)
+	states := w.ready()
+	w.observed(states)
+	for _, hs := range states {
+		for _, i := range hs.Instances {
+			r := rows[i.Name]
+			if r.State == nil || r.Unknown != "" || r.State.PID != i.PID || r.State.Running != i.Running || r.State.State != i.State {
+				t.Errorf("%s: the report says %+v %s, the agent %+v", i.Name, r.State, r.Unknown, i)
+			}
+			switch {
+			case r.Outcome == rollout.Changed && i.Running != hash:
+				t.Errorf("%s is reported changed and runs %.12s", i.Name, i.Running)
+			case r.Outcome == rollout.Failed && r.Reason == "":
+				t.Errorf("%s is reported failed without a reason", i.Name)
+			case r.Outcome != rollout.Changed && r.Outcome != rollout.Failed:
+				t.Errorf("%s is reported %s at the end", i.Name, r.Outcome)
+			}
+			if i.Generation != 2 {
+				t.Errorf("%s is at generation %d: it was changed %d times", i.Name, i.Generation, i.Generation-1)
+			}
+		}
+	}
+}
+
+// A release that never becomes ready, and one that becomes ready and dies while it
+// is soaked: the rollout stops at its limit, takes back what it changed, and says so.
+func TestBadReleases(t *testing.T) {
+	t.Parallel()
+	w := newWorld(t, 2, 2)
+	w.startAll()
+	first := w.ready()[0].Instances[0].Release
+	for name, c := range map[string]struct{ script, why string }{
+		"never ready":   {"#!/bin/sh\nexec sleep 1000\n", "not ready within"},
+		"dies soaked":   {"#!/bin/sh\n" + filepath.Join(w.bin, "sidecar") + " &\nsleep 1\nkill -9 $!\nwait\nexit 3\n", "ended by itself"},
+		"can't start":   {"no program\n", "exec format error"},
+		"ends at once":  {"#!/bin/sh\nexit 7\n", "exit status 7"},
+		"good and well": {"", ""},
+	} {
+		path := w.script("bad"+strings.ReplaceAll(name, " ", "-"), c.script)
+		overlay := ""
+		if c.script == "" {
+			path, overlay = filepath.Join(w.bin, "sidecar"), `{"limits":{"memory_mb":80}}`
+		}
+		hash := w.release(path, overlay)
+		op := w.op(api.ActUpgrade, func(o *api.Operation) {
+			o.Release, o.Ready, o.Soak = hash, 1500*time.Millisecond, 2500*time.Millisecond
+			o.Policy = api.Policy{Batch: 2, Canaries: 1, MaxUnavailable: 2, MaxFailures: 1, OnFailure: api.OnFailureRollback}
+		})
+		if c.script == "" {
+			op.Ready = 10 * time.Second
+		}
+		rep, err := w.fleet.Start(context.Background(), op, options())
+		if err != nil {
+			t.Fatal(err)
+		}
+		if c.script == "" {
+			if !rep.OK() {
+				t.Errorf("%s: %s %s", name, rep.Result, rep.Why)
+			}
+			first = hash
+			continue
+		}
+		rows := w.once(rep, op)
+		if rep.Result != rollout.WentBack || !strings.Contains(rep.Why, c.why) || rows["h0-i0"].Outcome != rollout.RolledBack {
+			t.Errorf("%s: %s because %s, %+v", name, rep.Result, rep.Why, rows["h0-i0"].Outcome)
+		}
+		states := w.ready()
+		w.observed(states)
+		for _, hs := range states {
+			for _, i := range hs.Instances {
+				if i.Running != first {
+					t.Errorf("%s: %s runs %.12s", name, i.Name, i.Running)
+				}
+				if i.Name != "h0-i0" && rows[i.Name].Outcome != rollout.Pending {
+					t.Errorf("%s: %s was touched: %s", name, i.Name, rows[i.Name].Outcome)
+				}
+			}
+		}
+	}
+}
+
+// An upgrade starts each new process beside the old one: nobody who connects is kept
+// out for a moment, and the old process ends only when the new one serves. A release
+// that fails leaves the old process as it was.
+func TestUpgradeHandsOver(t *testing.T) {
+	t.Parallel()
+	w := newWorld(t, 1, 2)
+	w.startAll()
+	pids := make(map[string]int)
+	for _, i := range w.ready()[0].Instances {
+		pids[i.Name] = i.PID
+	}
+	requests := w.traffic(10 * time.Millisecond)
+	stop := make(chan struct{})
+	var dials sync.WaitGroup
+	for name, addr := range w.hosts[0].listen {
+		dials.Go(func() {
+			for n := 0; ; n++ {
+				select {
+				case <-stop:
+					if n == 0 {
+						t.Errorf("%s was not asked at all", name)
+					}
+					return
+				default:
+				}
+				if _, err := proc.Health(context.Background(), addr, patience); err != nil {
+					t.Errorf("%s, call %d: %v", name, n, err)
+				}
+			}
+		})
+	}
+	upgrade := func(binary, overlay string) *client.Report {
+		hash := w.release(binary, overlay)
+		rep, err := w.fleet.Start(context.Background(), w.op(api.ActUpgrade, func(o *api.Operation) { o.Release = hash }), options())
+		if err != nil {
+			t.Fatal(err)
+		}
+		return rep
+	}
+	for n := range 2 {
+		if rep := upgrade(filepath.Join(w.bin, "sidecar"), fmt.Sprintf(`{"limits":{"memory_mb":%d}}`, 90+n)); !rep.OK() {
+			t.Errorf("%s %s", rep.Result, rep.Why)
+		}
+		for _, i := range w.ready()[0].Instances {
+			if i.PID == pids[i.Name] {
+				t.Errorf("%s was not replaced", i.Name)
+			}
+			pids[i.Name] = i.PID
+		}
+		w.observed(w.ready())
+	}
+	if rep := upgrade(w.script("bad", "#!/bin/sh\nexit 7\n"), ""); rep.OK() || !strings.Contains(rep.Why, "serves on: exit status 7") {
+		t.Errorf("%s %s", rep.Result, rep.Why)
+	}
+	close(stop)
+	dials.Wait()
+	requests.stop()
+	if len(requests.lost) > 0 || requests.served != requests.sent {
+		t.Errorf("%d of %d requests served, lost: %v", requests.served, requests.sent, requests.lost)
+	}
+	for _, i := range w.ready()[0].Instances {
+		if i.PID != pids[i.Name] || i.State != "ready" {
+			t.Errorf("after a bad release %s is %s, pid %d, was %d", i.Name, i.State, i.PID, pids[i.Name])
+		}
+	}
+	// What serves on is what is wanted: an agent that comes back leaves it alone.
+	w.hosts[0].kill()
+	w.hosts[0].start()
+	for _, i := range w.ready()[0].Instances {
+		if i.PID != pids[i.Name] {
+			t.Errorf("the agent's restart replaced %s", i.Name)
+		}
+	}
+}
+
+// An agent that is killed while two processes serve finds both when it comes back, and
+// brings the replacement to its end.
+func TestAgentKilledInOverlap(t *testing.T) {
+	t.Parallel()
+	w := newWorld(t, 1, 1)
+	w.startAll()
+	name := w.hosts[0].insts[0]
+	for n, c := range []struct {
+		script string // what the new process is, before it serves
+		keeps  bool   // the old one is left
+	}{
+		{"#!/bin/sh\nsleep 1\nexec " + filepath.Join(w.bin, "sidecar") + "\n", false},
+		{"#!/bin/sh\nsleep 1\nexit 7\n", true},
+	} {
+		old := w.ready()[0].Instances[0].PID
+		hash := w.release(w.script(fmt.Sprint("slow", n), c.script), "")
+		done := make(chan *client.Report, 1)
+		op := w.op(api.ActUpgrade, func(o *api.Operation) { o.Release = hash })
+		go func() {
+			rep, err := w.fleet.Start(context.Background(), op, options())
+			if err != nil {
+				t.Error(err)
+			}
+			done <- rep
+		}()
+		eventually(t, "two processes", func() bool { return len(proc.Find(w.hosts[0].name+"/"+name+"/")) == 2 })
+		w.hosts[0].kill()
+		w.hosts[0].start()
+		var rep *client.Report
+		select {
+		case rep = <-done:
+		case <-time.After(2 * patience):
+			t.Fatal("the upgrade did not end")
+		}
+		if rep == nil || rep.OK() == c.keeps {
+			t.Errorf("case %d: %+v", n, rep)
+		}
+		states := w.ready()
+		if i := states[0].Instances[0]; (i.PID == old) != c.keeps {
+			t.Errorf("case %d: pid %d, was %d", n, i.PID, old)
+		}
+		eventually(t, "one process", func() bool { return len(proc.Find(w.hosts[0].name+"/"+name+"/")) == 1 })
+	}
+}
--- /dev/null
+++ b/internal/fleet/e2e/world_test.go
@@ -0,0 +1,283 @@
+package e2e
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/inventory"
+	"martendrum/internal/fleet/host/proc"
+	"martendrum/internal/fleet/release"
+	"martendrum/internal/standin/shop"
+)
+
+// world is a fleet of agents with their sidecars as processes of this machine.
+type world struct {
+	t      testing.TB
+	dir    string
+	prefix string // of the agents' names, this test's own
+	shop   *shop.Shop
+	hosts  []*host
+	fleet  *client.Fleet
+	inv    string // the inventory's path
+	bin    string
+}
+
+// host is one agent's.
+type host struct {
+	w      *world
+	name   string
+	config string
+	insts  []string
+	listen map[string]string
+
+	mu  sync.Mutex
+	cmd *exec.Cmd
+	end chan struct{}
+}
+
+var addresses atomic.Int64
+
+// newWorld lays out hosts with so many sidecars each; no agent runs yet.
+func newWorld(t testing.TB, hosts, each int) *world {
+	t.Helper()
+	return newWorldOn(t, hosts, each, "")
+}
+
+// newWorldOn has agents whose files hold a [record] table.
+func newWorldOn(t testing.TB, hosts, each int, record string) *world {
+	t.Helper()
+	return newWorldBefore(t, hosts, each, record, func() (*shop.Shop, error) { return shop.New(4, 10*time.Millisecond) })
+}
+
+// newWorldBefore has servers of the test's.
+func newWorldBefore(t testing.TB, hosts, each int, record string, open func() (*shop.Shop, error)) *world {
+	t.Helper()
+	w := &world{t: t, dir: t.TempDir(), prefix: fmt.Sprintf("e2e%08x", rand.Uint32()), bin: programs(t)}
+	var err error
+	if w.shop, err = open(); err != nil {
+		t.Fatal(err)
+	}
+	var inv strings.Builder
+	inv.WriteString("timeout = \"2s\"\n")
+	for h := range hosts {
+		x := &host{w: w, name: fmt.Sprintf("%s-h%d", w.prefix, h), listen: make(map[string]string)}
+		dir := filepath.Join(w.dir, fmt.Sprint("h", h))
+		if err := os.Mkdir(dir, 0o700); err != nil {
+			t.Fatal(err)
+		}
+		var c strings.Builder
+		fmt.Fprintf(&c, "name = %q\nstate_dir = \"s\"\n[listen]\nunix = \"a\"\n[sidecar]\nbinary = %q\n", x.name, filepath.Join(w.bin, "sidecar"))
+		c.WriteString(record)
+		c.WriteString("[limits]\nhealth_each = \"200ms\"\nbackoff_min = \"200ms\"\nbackoff_max = \"1s\"\ncrash_most = 20\n")
+		for i := range each {
+			name := fmt.Sprintf("h%d-i%d", h, i)
+			path, listen, err := w.shop.Config(dir, name, int(addresses.Add(1)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			x.insts, x.listen[name] = append(x.insts, name), listen
+			fmt.Fprintf(&c, "[[instance]]\nname = %q\nconfig = %q\nlabels = {half = \"%d\", zone = \"zone-%d\", shop = \"shop-%d\"}\n", name, path, i%2, i%2, i/2)
+		}
+		x.config = filepath.Join(dir, "agent.toml")
+		if err := os.WriteFile(x.config, []byte(c.String()), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&inv, "[[host]]\nname = %q\naddress = \"unix:%s\"\n", x.name, filepath.Join(dir, "a"))
+		w.hosts = append(w.hosts, x)
+	}
+	w.inv = filepath.Join(w.dir, "fleet.toml")
+	if err := os.WriteFile(w.inv, []byte(inv.String()), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	w.fleet = w.open("tester")
+	t.Cleanup(func() {
+		w.fleet.Close()
+		for _, h := range w.hosts {
+			h.kill()
+		}
+		for _, f := range proc.Find(w.prefix) {
+			syscall.Kill(f.PID, syscall.SIGKILL)
+		}
+		eventually(t, "the end of all sidecars", func() bool { return len(proc.Find(w.prefix)) == 0 })
+		w.shop.Close()
+	})
+	return w
+}
+
+// open returns another operator's view of the fleet.
+func (w *world) open(who string) *client.Fleet {
+	inv, err := inventory.Load(w.inv)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	f, err := client.New(inv, who)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	return f
+}
+
+// start starts the host's agent; env may make it one that crashes.
+func (h *host) start(env ...string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	cmd := exec.Command(filepath.Join(h.w.bin, "martendrum"), "agent", "--config", h.config)
+	if len(env) > 0 {
+		cmd = exec.Command(os.Args[0])
+		cmd.Env = append(os.Environ(), env...)
+	}
+	log, err := os.OpenFile(h.config+".log", os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	if err != nil {
+		h.w.t.Error(err)
+		return
+	}
+	defer log.Close()
+	cmd.Stdout, cmd.Stderr = log, log
+	if err := cmd.Start(); err != nil {
+		h.w.t.Error(err)
+		return
+	}
+	end := make(chan struct{})
+	go func() {
+		cmd.Wait()
+		close(end)
+	}()
+	h.cmd, h.end = cmd, end
+}
+
+// signal signals the agent.
+func (h *host) signal(sig syscall.Signal) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.cmd != nil {
+		h.cmd.Process.Signal(sig)
+	}
+}
+
+// kill kills the agent and waits for its end.
+func (h *host) kill() {
+	h.signal(syscall.SIGKILL)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.cmd != nil {
+		<-h.end
+		h.cmd = nil
+	}
+}
+
+// ready waits until every instance of the fleet is ready, and what is wanted.
+func (w *world) ready() []client.HostState {
+	w.t.Helper()
+	var states []client.HostState
+	defer func() {
+		if w.t.Failed() {
+			w.t.Logf("%+v", states)
+			for _, h := range w.hosts {
+				log, _ := os.ReadFile(h.config + ".log")
+				w.t.Logf("%s: %s", h.name, log[max(0, len(log)-2000):])
+			}
+		}
+	}()
+	eventually(w.t, "a fleet that is ready", func() bool {
+		states = w.fleet.List(context.Background(), &inventory.Select{})
+		for _, h := range states {
+			if h.Error != "" || len(h.Instances) == 0 {
+				return false
+			}
+			for _, i := range h.Instances {
+				if i.Desired == api.Running && (i.State != "ready" || i.Process != i.Generation) {
+					return false
+				}
+			}
+		}
+		return true
+	})
+	return states
+}
+
+func (w *world) startAll() {
+	for _, h := range w.hosts {
+		h.start()
+	}
+	w.ready()
+}
+
+// op is an operation on all instances.
+func (w *world) op(action string, edit func(*api.Operation)) api.Operation {
+	o := api.Operation{
+		ID: fmt.Sprintf("op-%08x", rand.Uint32()), Action: action, Ready: 20 * time.Second, Soak: 300 * time.Millisecond,
+		Policy:   api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop},
+		Operator: "tester", Created: time.Now().UTC(),
+	}
+	for i := range 64 {
+		for _, h := range w.hosts {
+			if i < len(h.insts) {
+				o.Targets = append(o.Targets, api.Target{Host: h.name, Instance: h.insts[i]})
+			}
+		}
+	}
+	if edit != nil {
+		edit(&o)
+	}
+	return o
+}
+
+func options() client.Options {
+	return client.Options{LeaseHolder: fmt.Sprintf("run %08x", rand.Uint32()), TTL: 5 * time.Second, GiveUp: 30 * time.Second}
+}
+
+// command runs martendrum and returns what it printed and its exit code.
+func (w *world) command(args ...string) (out, errs string, code int) {
+	cmd := exec.Command(filepath.Join(w.bin, "martendrum"), append([]string{"--fleet", w.inv}, args...)...)
+	var o, e strings.Builder
+	cmd.Stdout, cmd.Stderr = &o, &e
+	err := cmd.Run()
+	if x, ok := err.(*exec.ExitError); ok {
+		code = x.ExitCode()
+	} else if err != nil {
+		w.t.Fatal(err)
+	}
+	return o.String(), e.String(), code
+}
+
+// script writes a program of a shell's.
+func (w *world) script(name, text string) (path string) {
+	w.t.Helper()
+	path = filepath.Join(w.dir, name)
+	if err := os.WriteFile(path, []byte(text), 0o700); err != nil {
+		w.t.Fatal(err)
+	}
+	return path
+}
+
+// release makes a release of the sidecar with an overlay and sends it to all agents.
+func (w *world) release(binary, overlay string) string {
+	w.t.Helper()
+	path := ""
+	if overlay != "" {
+		path = filepath.Join(w.dir, fmt.Sprintf("overlay-%08x.json", rand.Uint32()))
+		if err := os.WriteFile(path, []byte(overlay), 0o600); err != nil {
+			w.t.Fatal(err)
+		}
+	}
+	hash, err := release.Hash(binary, path)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	if err := w.fleet.Upload(context.Background(), w.fleet.Agents, hash, binary, path, nil); err != nil {
+		w.t.Fatal(err)
+	}
+	return hash
+}
--- a/internal/hollow/scale_test.go
+++ b/internal/hollow/scale_test.go
@@ -3,12 +3,10 @@
 import (
 	"flag"
 	"fmt"
-	"os"
 	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
@@ -250,52 +248,6 @@
 		value{float64(s.workers.usage().ResidentPeak) / float64(len(s.workers.hosts)), "peak-B/subscriber"})
 }
 
-// cost is what the workers and relays used over a time.
-type cost struct {
-	began   time.Time
-	workers Usage
-	relays  []Usage
-}
-
-func (s *scale) cost() cost {
-	s.t.Helper()
-	return cost{began: time.Now(), workers: s.workers.usage(), relays: s.relayUsage()}
-}
-
-// addCost writes what was used since.
-func (s *scale) addCost(name string, before cost) {
-	s.t.Helper()
-	after, count := s.cost(), float64(len(s.workers.hosts))
-	elapsed := seconds(after.began.Sub(before.began))
-	var processor, resident, descriptors []float64
-	total := 0.0
-	for n, relay := range after.relays {
-		share := 100 * seconds(relay.Processor-before.relays[n].Processor) / elapsed
-		total += share
-		processor = append(processor, share)
-		resident = append(resident, float64(relay.Resident))
-		descriptors = append(descriptors, float64(relay.Descriptors))
-	}
-	relays := float64(len(after.relays))
-	s.results.add(name+"-subscriber",
-		value{float64(after.workers.Read-before.workers.Read) / elapsed / count, "received-B/s"},
-		value{float64(after.workers.Written-before.workers.Written) / elapsed / count, "sent-B/s"},
-		value{100 * seconds(after.workers.Processor-before.workers.Processor) / elapsed / count, "%core"},
-		value{float64(after.workers.Resident) / count, "resident-B"})
-	s.results.add(name+"-relay",
-		value{total / relays, "mean-%core"}, value{largest(processor), "max-%core"}, value{processor[0], "writer-%core"},
-		value{sum(resident) / relays, "mean-resident-B"}, value{largest(resident), "max-resident-B"}, value{resident[0], "writer-resident-B"},
-		value{sum(descriptors) / relays, "mean-descriptors"}, value{largest(descriptors), "max-descriptors"}, value{descriptors[0], "writer-descriptors"})
-}
-
-func sum(values []float64) float64 {
-	total := 0.0
-	for _, value := range values {
-		total += value
-	}
-	return total
-}
-
 // atRest measures a time without changes.
 func (s *scale) atRest() {
 	s.t.Helper()
@@ -370,145 +322,3 @@
 		value{seconds(middle(mosts)), "median-s-999"}, value{seconds(largest(mosts)), "worst-s-999"},
 		value{seconds(middle(alls)), "median-s-all"}, value{seconds(largest(alls)), "worst-s-all"})
 }
-
-// relaysKilled kills two relays, not the writer, while changes come at ten times the rate.
-func (s *scale) relaysKilled() {
-	s.t.Helper()
-	lost := s.cluster.relays[1:3]
-	each := min(tenfoldInterval, s.span/10)
-	made := s.changes(each, s.span/6)
-	s.cluster.stop(syscall.SIGKILL, lost...)
-	killed := time.Now()
-	made = append(made, s.later(each, s.span/3)...)
-	s.addChanges("relays-killed", made)
-	known := s.known(made[len(made)-1].Revision)
-	s.results.add("relays-killed-known", value{seconds(known.Sub(killed)), "s-after-kill"})
-	s.cluster.startAll()
-}
-
-// relaysSilent stops two relays, not the writer, and makes a change: their connections stay
-// open and say nothing, as those of a machine that is lost.
-func (s *scale) relaysSilent() {
-	s.t.Helper()
-	silent := s.cluster.relays[3:5] // not those of relaysKilled, whose subscribers are elsewhere yet
-	for _, relay := range silent {
-		relay.process.command.Process.Signal(syscall.SIGSTOP)
-	}
-	stopped := time.Now()
-	made := []change{s.publish("silent/all", distribution.Scope{})}
-	times := s.inForce(made)
-	limit, all := delays(made[0].acknowledged, times[0])
-	known := s.known(made[0].Revision)
-	s.results.add("relays-silent", value{seconds(limit), "s-999"}, value{seconds(all), "s-all"}, value{seconds(known.Sub(stopped)), "s-known"})
-	for _, relay := range silent {
-		relay.process.command.Process.Signal(syscall.SIGCONT)
-	}
-}
-
-// later publishes changes of other names than changes does.
-func (s *scale) later(each, span time.Duration) []change {
-	s.t.Helper()
-	var made []change
-	for until := time.Now().Add(span); time.Now().Before(until); time.Sleep(each) {
-		made = append(made, s.publish(fmt.Sprintf("later/all-%d", len(made)), distribution.Scope{}))
-	}
-	return made
-}
-
-// regionCut stops the processes of one region while a change is made, and tells how long
-// after their return they have it.
-func (s *scale) regionCut() {
-	s.t.Helper()
-	var stopped []*workerHandle
-	for _, handle := range s.workers.handles {
-		if handle.hosts[0].Region == RegionName(0) {
-			stopped = append(stopped, handle)
-			handle.process.command.Process.Signal(syscall.SIGSTOP)
-		}
-	}
-	time.Sleep(s.cut / 2)
-	made := s.publish("cut/all", distribution.Scope{})
-	time.Sleep(s.cut / 2)
-	peak := s.watchDescriptors()
-	for _, handle := range stopped {
-		handle.process.command.Process.Signal(syscall.SIGCONT)
-	}
-	back := time.Now()
-	times := s.inForce([]change{made})[0]
-	_, all := delays(back, times)
-	known := s.known(made.Revision)
-	s.results.add("region-cut", value{seconds(all), "s-all-after-return"}, value{seconds(known.Sub(back)), "s-known-after-return"},
-		value{float64(peak.stop()), "peak-descriptors/relay"})
-}
-
-// powerLoss ends everything, and starts relays and subscribers at once. The relays have what
-// they wrote; the subscribers, with copies in memory, have nothing.
-func (s *scale) powerLoss() {
-	s.t.Helper()
-	s.cluster.disconnect()
-	s.workers.stop(syscall.SIGKILL)
-	s.cluster.stop(syscall.SIGKILL, s.cluster.relays...)
-	s.workers.launch() // certificates are made before the start counts
-	s.cluster.startAll()
-	peak := s.watchDescriptors()
-	began := s.workers.begin()
-	s.cluster.connect()
-	s.awaitState("power-loss", began, peak)
-}
-
-// descriptorPeak is the most descriptors that a relay had at once.
-type descriptorPeak struct {
-	done  chan struct{}
-	limit chan int
-}
-
-// watchDescriptors looks at the relays' descriptors until stop.
-func (s *scale) watchDescriptors() *descriptorPeak {
-	const lookInterval = 200 * time.Millisecond
-	peak := &descriptorPeak{done: make(chan struct{}), limit: make(chan int, 1)}
-	var pids []int
-	for _, relay := range s.cluster.relays {
-		if relay.process != nil {
-			pids = append(pids, relay.process.pid())
-		}
-	}
-	go func() {
-		limit := 0
-		for {
-			for _, pid := range pids {
-				count, _ := Descriptors(pid) // 0 where it has ended
-				limit = max(limit, count)
-			}
-			select {
-			case <-peak.done:
-				peak.limit <- limit
-				return
-			case <-time.After(lookInterval):
-			}
-		}
-	}()
-	return peak
-}
-
-// stop ends the watch and returns the most.
-func (p *descriptorPeak) stop() int {
-	close(p.done)
-	return <-p.limit
-}
-
-// heapProfiles asks relays and workers for a profile of their memory, if profiles are wanted.
-func (s *scale) heapProfiles() {
-	if s.cluster.profiles == "" {
-		return
-	}
-	if err := os.MkdirAll(s.cluster.profiles, 0o700); err != nil {
-		s.t.Fatal(err)
-	}
-	for _, relay := range s.cluster.relays {
-		relay.process.command.Process.Signal(syscall.SIGUSR1)
-	}
-	for _, handle := range s.workers.handles {
-		handle.process.command.Process.Signal(syscall.SIGUSR1)
-	}
-	time.Sleep(2 * time.Second)
-}
