--- a/internal/fleet/e2e/agent_capacity_test.go
+++ b/internal/fleet/e2e/agent_capacity_test.go
@@ -40,7 +40,7 @@
 	}
 	w.startAll()
 	processes := hostProcesses{agent: h.cmd.Process.Pid}
-	for _, host := range w.ready() {
+	for _, host := range w.waitReady() {
 		for _, instance := range host.Instances {
 			processes.sidecars = append(processes.sidecars, instance.PID)
 		}
@@ -125,7 +125,7 @@
 	for i := range times {
 		time.Sleep(time.Until(began.Add(time.Duration(i) * time.Minute / time.Duration(times))))
 		operation := w.op(api.ActReload, func(o *api.Operation) { o.Soak = 0 })
-		report, err := w.fleet.Start(context.Background(), operation, client.Options{LeaseHolder: operation.ID, TTL: 15 * time.Second, GiveUp: patience})
+		report, err := w.fleet.Start(context.Background(), operation, client.Options{LeaseHolder: operation.ID, TTL: 15 * time.Second, GiveUp: eventuallyTimeout})
 		if err != nil || !report.OK() {
 			b.Fatal(report, err)
 		}
--- a/internal/fleet/e2e/agent_failure_test.go
+++ b/internal/fleet/e2e/agent_failure_test.go
@@ -85,9 +85,9 @@
 						return err == nil
 					})
 				}
-				states := w.ready()
-				w.observed(states)
-				for name, r := range w.once(rep, op) {
+				states := w.waitReady()
+				w.checkAgainstProcesses(states)
+				for name, r := range w.rowsByInstance(rep, op) {
 					if r.Outcome != rollout.Changed {
 						t.Errorf("write %d: %s is reported %s: %s", at, name, r.Outcome, r.Reason)
 					}
@@ -124,7 +124,7 @@
 // An agent stops answering in the midst of a change: it hangs with its connections
 // open, or it dies. The change ends, and does not count what it can't see as done;
 // once the agent is back, its record puts the report right.
-func TestSilentAgent(t *testing.T) {
+func TestUnreachableAgentIsReportedUnknown(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"hangs", "dies"} {
 		t.Run(how, func(t *testing.T) {
@@ -158,7 +158,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			rows := w.once(rep, op)
+			rows := w.rowsByInstance(rep, op)
 			if rep.OK() || rep.Result == rollout.Succeeded {
 				t.Errorf("the result is %s", rep.Result)
 			}
@@ -180,7 +180,7 @@
 			} else {
 				h.start()
 			}
-			w.ready()
+			w.waitReady()
 			eventually(t, "a resume, once the lease of before has ended", func() bool {
 				_, err := w.fleet.Resume(context.Background(), op.ID, options())
 				return err == nil
@@ -189,11 +189,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			states := w.ready()
-			w.observed(states)
+			states := w.waitReady()
+			w.checkAgainstProcesses(states)
 			for _, hs := range states {
 				i := hs.Instances[0]
-				r := w.once(rep, op)[i.Name]
+				r := w.rowsByInstance(rep, op)[i.Name]
 				if r.Unknown != "" || r.State == nil || r.State.PID != i.PID {
 					t.Errorf("%s: %+v", i.Name, r)
 				}
@@ -210,7 +210,7 @@
 
 // An agent that dies in the midst of a change and is back soon: the change waits
 // for it and succeeds.
-func TestAgentComesBack(t *testing.T) {
+func TestChangeWaitsForRestartedAgent(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 2, 2)
 	w.startAll()
@@ -234,8 +234,8 @@
 	if err != nil || !rep.OK() {
 		t.Fatalf("%+v %v", rep, err)
 	}
-	states := w.ready()
-	w.observed(states)
+	states := w.waitReady()
+	w.checkAgainstProcesses(states)
 	for _, hs := range states {
 		for _, i := range hs.Instances {
 			if i.Generation != 2 {
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -103,7 +103,7 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 	defer cancel()
 	said := func(err error) (e api.Error) {
 		if r, ok := errors.AsType[*msgpackrpc.RemoteError](err); ok {
@@ -225,7 +225,7 @@
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(pem)
 	if nc, err := tls.Dial("tcp", at, &tls.Config{RootCAs: pool}); err == nil {
-		nc.SetDeadline(now.Add(patience))
+		nc.SetDeadline(now.Add(eventuallyTimeout))
 		if _, err := nc.Read(make([]byte, 1)); err == nil {
 			t.Error("no certificate, and answered")
 		}
--- a/internal/fleet/e2e/chain_capacity_test.go
+++ b/internal/fleet/e2e/chain_capacity_test.go
@@ -118,14 +118,14 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: patience, IdleTimeout: 2 * patience}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: eventuallyTimeout, IdleTimeout: 2 * eventuallyTimeout}
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
 		server.Serve(listener)
 	}()
 	b.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 		defer cancel()
 		if server.Shutdown(ctx) != nil {
 			server.Close()
@@ -162,7 +162,7 @@
 		command.Process.Kill()
 		command.Wait()
 	})
-	health := &http.Client{Timeout: patience}
+	health := &http.Client{Timeout: eventuallyTimeout}
 	defer health.CloseIdleConnections()
 	eventually(b, "a sidecar that is ready", func() bool {
 		response, err := health.Get("http://" + listen + "/_health")
@@ -190,7 +190,7 @@
 // each.
 func newChain(b *testing.B, depth, servers int) *chain {
 	b.Helper()
-	c := &chain{depth: depth, client: &http.Client{Timeout: patience, Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 3 * time.Second}}}
+	c := &chain{depth: depth, client: &http.Client{Timeout: eventuallyTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 3 * time.Second}}}
 	b.Cleanup(c.client.CloseIdleConnections)
 	c.apps, c.sidecars = make([]string, depth), make([]string, depth)
 	for level := range depth {
--- a/internal/fleet/e2e/command_test.go
+++ b/internal/fleet/e2e/command_test.go
@@ -64,7 +64,7 @@
 		if _, _, code := w.command("resume", id); code != 2 && code != 1 {
 			t.Errorf("resume of what has ended: exit code %d", code)
 		}
-		for _, hs := range w.ready() {
+		for _, hs := range w.waitReady() {
 			for _, i := range hs.Instances {
 				if i.Generation != int64(kill)+1 {
 					t.Errorf("killed at begin %d: %s is at generation %d", kill, i.Name, i.Generation)
@@ -106,7 +106,7 @@
 }
 
 // What commands print and how they exit.
-func TestCommands(t *testing.T) {
+func TestCommandOutputAndExitCodes(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 2, 1)
 	w.startAll()
@@ -154,8 +154,8 @@
 			t.Errorf("%s: exit code %d, want %d and %q:\n%s%s", c.args, code, c.code, c.says, out, errs)
 		}
 	}
-	for _, hs := range w.ready() {
-		w.observed([]client.HostState{hs})
+	for _, hs := range w.waitReady() {
+		w.checkAgainstProcesses([]client.HostState{hs})
 	}
 	w.hosts[0].kill()
 	if _, errs, code := w.command("restart", "--all"); code != 3 || !strings.Contains(errs, "--skip-unreachable") {
@@ -174,7 +174,7 @@
 }
 
 // dev runs as the first command on a checkout, and ends cleanly.
-func TestDev(t *testing.T) {
+func TestDevStartsAndStopsCleanly(t *testing.T) {
 	t.Parallel()
 	cmd := exec.Command(filepath.Join(programs(t), "martendrum"), "dev")
 	before := proc.Find("dev/shop-") // of a developer's own
@@ -186,7 +186,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	watchdog := time.AfterFunc(patience, func() { cmd.Process.Kill() })
+	watchdog := time.AfterFunc(eventuallyTimeout, func() { cmd.Process.Kill() })
 	defer watchdog.Stop()
 	inv, sc := "", bufio.NewScanner(pipe)
 	for inv == "" && sc.Scan() {
--- a/internal/fleet/e2e/lease_test.go
+++ b/internal/fleet/e2e/lease_test.go
@@ -15,7 +15,7 @@
 
 // Two operators want the same instances at once: one gets them, the other is told
 // who has them, and each instance is changed by one of them only.
-func TestTwoOperators(t *testing.T) {
+func TestConcurrentOperatorsExcludeEachOther(t *testing.T) {
 	s := simulate(t, 3, 2, 5*time.Millisecond, 5*time.Millisecond, nil)
 	ctx := context.Background()
 	for round := range 10 {
@@ -61,7 +61,7 @@
 
 // A holder stalls past its lease at each step of its way; another takes over. What
 // the first one does when it wakes up changes nothing.
-func TestStalledHolder(t *testing.T) {
+func TestStalledLeaseHolderIsFenced(t *testing.T) {
 	s := simulate(t, 1, 2, time.Millisecond, time.Millisecond, nil)
 	ctx, a := context.Background(), s.fleet.Agents[0]
 	wait := func(op string, ok func(out *api.OpOut) bool) {
--- a/internal/fleet/e2e/main_test.go
+++ b/internal/fleet/e2e/main_test.go
@@ -23,8 +23,8 @@
 	"martendrum/internal/fleet/store"
 )
 
-// patience is how long a test waits for what must come.
-const patience = 30 * time.Second
+// eventuallyTimeout is how long a test waits for what must come.
+const eventuallyTimeout = 30 * time.Second
 
 // TestMain also plays an agent that kills itself at a write of its record.
 func TestMain(m *testing.M) {
@@ -58,20 +58,20 @@
 	change string // once the first change of the settings of this name is written; "": none
 }
 
-// mortal is a store that kills its process at a write.
-type mortal struct {
+// crashingStore is a store that kills its process at a write.
+type crashingStore struct {
 	store.Store
-	death crashPoint
-	n     atomic.Int64
+	point  crashPoint
+	writes atomic.Int64
 }
 
-func (s *mortal) Commit(ctx context.Context, c *store.Change) error {
-	last := s.n.Add(1) == s.death.write
-	if last && !s.death.after {
+func (s *crashingStore) Commit(ctx context.Context, c *store.Change) error {
+	last := s.writes.Add(1) == s.point.write
+	if last && !s.point.after {
 		killSelf()
 	}
 	err := s.Store.Commit(ctx, c)
-	if last || err == nil && s.death.change != "" && changes(c, s.death.change) {
+	if last || err == nil && s.point.change != "" && writesSettings(c, s.point.change) {
 		killSelf()
 	}
 	return err
@@ -82,8 +82,8 @@
 	select {}
 }
 
-// changes says whether a write holds the settings of a name.
-func changes(c *store.Change, name string) bool {
+// writesSettings says whether a write holds the settings of a name.
+func writesSettings(c *store.Change, name string) bool {
 	return slices.ContainsFunc(c.Settings, func(row distribution.Entry) bool {
 		var resource distribution.Resource
 		return json.Unmarshal(row.Value, &resource) == nil && resource.Name == name
@@ -97,7 +97,7 @@
 	}
 	a, err := agent.New(cfg, agent.Processes{}, func(p string) (store.Store, error) {
 		s, err := agentstore.Record(cfg)(p)
-		return &mortal{Store: s, death: death}, err
+		return &crashingStore{Store: s, point: death}, err
 	})
 	if err != nil {
 		return err
@@ -133,7 +133,7 @@
 
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for until := time.Now().Add(patience); !ok(); time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(eventuallyTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("it never came to: " + what)
 		}
--- a/internal/fleet/e2e/powerloss_clients_test.go
+++ b/internal/fleet/e2e/powerloss_clients_test.go
@@ -14,35 +14,35 @@
 	"martendrum/internal/fleet/control/client"
 )
 
-// visits is what clients saw, who come again when they are told to, within their time.
-type visits struct {
+// retryingClients is what clients saw, who come again when they are told to, within their time.
+type retryingClients struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
 
 	mu   sync.Mutex
-	all  []visit
+	all  []clientRequest
 	lost []string
 	down map[string][]time.Time // when an instance was killed
 	once map[string]bool        // ids of requests that must not run twice
 }
 
-type visit struct {
+type clientRequest struct {
 	at    time.Time
 	class int
 	good  bool
 }
 
-var classes = []struct {
+var requestClasses = []struct {
 	path         string
 	share, worth float64
 	limit        time.Duration
 }{{"status-check", 0.5, 1, 3 * time.Second}, {"id-register", 0.3, 3, 2500 * time.Millisecond}, {"activate", 0.2, 10, 2500 * time.Millisecond}}
 
-// visit sends so many requests a second to each instance until halt.
-func (p *plant) visit(perSecond float64) *visits {
-	v := &visits{stop: make(chan struct{}), down: make(map[string][]time.Time), once: make(map[string]bool)}
+// startClients sends so many requests a second to each instance until stopAndWait.
+func (p *recoveryWorld) startClients(perSecond float64) *retryingClients {
+	v := &retryingClients{stop: make(chan struct{}), down: make(map[string][]time.Time), once: make(map[string]bool)}
 	for _, h := range p.hosts {
-		for name, addr := range h.listen {
+		for name, addr := range h.listenAddress {
 			v.wg.Go(func() {
 				rng := rand.New(rand.NewPCG(uint64(p.rank[name]), 5))
 				for n := 0; ; n++ {
@@ -52,8 +52,8 @@
 					case <-time.After(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))):
 					}
 					x, class := rng.Float64(), 0
-					for x > classes[class].share && class < len(classes)-1 {
-						x -= classes[class].share
+					for x > requestClasses[class].share && class < len(requestClasses)-1 {
+						x -= requestClasses[class].share
 						class++
 					}
 					v.wg.Go(func() { v.client(name, addr, n, class) })
@@ -61,11 +61,11 @@
 			})
 		}
 	}
-	p.t.Cleanup(v.halt)
+	p.t.Cleanup(v.stopAndWait)
 	return v
 }
 
-func (v *visits) halt() {
+func (v *retryingClients) stopAndWait() {
 	v.mu.Lock()
 	select {
 	case <-v.stop:
@@ -77,13 +77,13 @@
 }
 
 // client asks until it is served, or not to come again, or its time is over.
-func (v *visits) client(name, addr string, n, class int) {
+func (v *retryingClients) client(name, addr string, n, class int) {
 	began := time.Now()
-	end := began.Add(classes[class].limit)
+	end := began.Add(requestClasses[class].limit)
 	good := false
 	for try := 0; ; try++ {
 		id := fmt.Sprintf("%s-%d-%d", name, n, try)
-		status, after := v.ask(name, addr, id, class, end)
+		status, after := v.attempt(name, addr, id, class, end)
 		good = status == http.StatusOK
 		if good || status != http.StatusServiceUnavailable && status != 0 {
 			break
@@ -95,18 +95,18 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.all = append(v.all, visit{began, class, good})
+	v.all = append(v.all, clientRequest{began, class, good})
 }
 
-// ask makes one request; 0 is for one that nobody took.
-func (v *visits) ask(name, addr, id string, class int, end time.Time) (status int, after time.Duration) {
+// attempt makes one request; 0 is for one that nobody took.
+func (v *retryingClients) attempt(name, addr, id string, class int, end time.Time) (status int, after time.Duration) {
 	nc, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return 0, 0
 	}
 	defer nc.Close()
 	nc.SetDeadline(end.Add(3 * time.Second))
-	c := classes[class]
+	c := requestClasses[class]
 	head := fmt.Sprintf("Host: app\r\nReq-Kind: %s\r\nConnection: close\r\nReq-Id: %s\r\nReq-Deadline-Ms: %d\r\n", c.path, id, max(1, time.Until(end).Milliseconds()))
 	switch class {
 	case 0:
@@ -142,18 +142,18 @@
 	return resp.StatusCode, time.Duration(seconds * float64(time.Second))
 }
 
-func (v *visits) killed(hosts ...*host) {
+func (v *retryingClients) markKilled(hosts ...*host) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, h := range hosts {
-		for _, name := range h.insts {
+		for _, name := range h.instances {
 			v.down[name] = append(v.down[name], time.Now())
 		}
 	}
 }
 
-// share is the share of the worth offered in a span that was served; of one class, or all.
-func (v *visits) share(class int, from time.Time, span time.Duration) float64 {
+// servedFraction is the share of the worth offered in a span that was served; of one class, or all.
+func (v *retryingClients) servedFraction(class int, from time.Time, span time.Duration) float64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	offered, served := 0.0, 0.0
@@ -161,18 +161,18 @@
 		if x.at.Before(from) || !x.at.Before(from.Add(span)) || class >= 0 && x.class != class {
 			continue
 		}
-		offered += classes[x.class].worth
+		offered += requestClasses[x.class].worth
 		if x.good {
-			served += classes[x.class].worth
+			served += requestClasses[x.class].worth
 		}
 	}
 	return served / max(offered, 1)
 }
 
-// judged checks the rules by what servers and clients counted.
-func (p *plant) judged(v *visits) {
+// checkRules checks the rules by what servers and clients counted.
+func (p *recoveryWorld) checkRules(v *retryingClients) {
 	p.t.Helper()
-	v.halt()
+	v.stopAndWait()
 	if len(v.lost) > 0 {
 		p.t.Errorf("%d requests lost, as %s", len(v.lost), v.lost[0])
 	}
@@ -181,20 +181,20 @@
 			p.t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	if n := p.ramp.Fallen(); n > 0 {
+	if n := p.slowStart.Fallen(); n > 0 {
 		p.t.Errorf("%d cold servers fell", n)
 	}
 }
 
-// back waits until nine tenths of the worth offered within two seconds are served, and
+// waitRecovered waits until nine tenths of the worth offered within two seconds are served, and
 // returns when that was.
-func (p *plant) back(v *visits, from time.Time) time.Duration {
+func (p *recoveryWorld) waitRecovered(v *retryingClients, from time.Time) time.Duration {
 	p.t.Helper()
 	const span = 2 * time.Second
 	at := from
 	eventually(p.t, "nine tenths of the worth", func() bool {
 		for ; time.Since(at) > span+3*time.Second; at = at.Add(500 * time.Millisecond) {
-			if v.share(-1, at, span) >= 0.9 {
+			if v.servedFraction(-1, at, span) >= 0.9 {
 				return true
 			}
 		}
@@ -203,8 +203,8 @@
 	return at.Sub(from)
 }
 
-// inWaves checks that on each host every shop had one before any had two.
-func (p *plant) inWaves(states []client.HostState) {
+// checkWaves checks that on each host every shop had one before any had two.
+func (p *recoveryWorld) checkWaves(states []client.HostState) {
 	p.t.Helper()
 	for _, h := range states {
 		first, second := make(map[string]time.Time), make(map[string]time.Time)
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -28,22 +28,22 @@
 	if !ok {
 		parts = "return,peers"
 	}
-	p := newPlant(t, hosts, each, parts)
+	p := newRecoveryWorld(t, hosts, each, parts)
 	p.startAll()
-	v := p.visit(10)
-	eventually(t, "clients that are served", func() bool { return v.share(-1, time.Now().Add(-2*time.Second), 2*time.Second) > 0.9 })
-	p.off(v, p.hosts...)
+	v := p.startClients(10)
+	eventually(t, "clients that are served", func() bool { return v.servedFraction(-1, time.Now().Add(-2*time.Second), 2*time.Second) > 0.9 })
+	p.powerOff(v, p.hosts...)
 	at := time.Now()
-	p.ramp.Restart(at)
+	p.slowStart.Restart(at)
 	p.shop.Started(at)
-	p.on(rand.New(rand.NewPCG(1, 1)), p.hosts...)
-	states := p.ready()
+	p.powerOn(rand.New(rand.NewPCG(1, 1)), p.hosts...)
+	states := p.waitReady()
 	ready := time.Since(at)
-	took := p.back(v, at)
+	took := p.waitRecovered(v, at)
 	t.Logf("%d sidecars on %d hosts, %s: ready after %v, nine tenths of the worth from %v on; first half of the ramp: status %.2f register %.2f activate %.2f, all %.2f",
-		hosts*each, hosts, parts, ready, took, v.share(0, at, p.ramp.For/2), v.share(1, at, p.ramp.For/2), v.share(2, at, p.ramp.For/2), v.share(-1, at, p.ramp.For/2))
-	p.inWaves(states)
-	p.judged(v)
+		hosts*each, hosts, parts, ready, took, v.servedFraction(0, at, p.slowStart.For/2), v.servedFraction(1, at, p.slowStart.For/2), v.servedFraction(2, at, p.slowStart.For/2), v.servedFraction(-1, at, p.slowStart.For/2))
+	p.checkWaves(states)
+	p.checkRules(v)
 	if !strings.Contains(parts, "peers") {
 		return
 	}
@@ -51,47 +51,47 @@
 		t.Errorf("verdicts after the loss of everything: %v", c)
 	}
 	for _, h := range p.hosts {
-		if n := p.losses(h); n != 1 {
+		if n := p.powerLosses(h); n != 1 {
 			t.Errorf("%s counts %d losses", h.name, n)
 		}
 	}
-	if dear, cheap := v.share(2, at, p.ramp.For/2), v.share(0, at, p.ramp.For/2); dear < cheap-0.1 {
+	if dear, cheap := v.servedFraction(2, at, p.slowStart.For/2), v.servedFraction(0, at, p.slowStart.For/2); dear < cheap-0.1 {
 		t.Errorf("while servers were cold %.2f of activate and %.2f of status-check were served", dear, cheap)
 	}
 }
 
 // One sidecar that dies comes back alone: the others stayed up, and no agent takes it for
 // a loss. So does a zone that loses its power: the others tell.
-func TestOneRestartIsNotALoss(t *testing.T) {
-	p := newPlant(t, 3, 2, "return,peers")
+func TestSingleRestartIsNoPowerLoss(t *testing.T) {
+	p := newRecoveryWorld(t, 3, 2, "return,peers")
 	p.startAll()
 	for _, h := range p.hosts {
-		for _, name := range h.insts {
+		for _, name := range h.instances {
 			eventually(t, name+" serves", func() bool { return strings.Contains(p.log(name), "phase serving") })
 		}
 	}
 	time.Sleep(6 * time.Second) // a word that it stayed up counts from an age of five on
-	name := p.hosts[0].insts[0]
+	name := p.hosts[0].instances[0]
 	for launch, f := range proc.Find(p.hosts[0].name + "/" + name + "/") {
 		t.Log("killed", launch)
 		syscall.Kill(f.PID, syscall.SIGKILL)
 	}
-	eventually(t, "a new process", func() bool { return strings.Count(p.whole(name), began) == 2 })
+	eventually(t, "a new process", func() bool { return strings.Count(p.wholeLog(name), recoveryStartMark) == 2 })
 	if eventually(t, "a verdict", func() bool { return p.verdict(name) != "" }); p.verdict(name) != "alone" {
 		t.Errorf("one that came back alone says %s:\n%s", p.verdict(name), p.log(name))
 	}
-	if n := p.losses(p.hosts[0]); n > 0 {
+	if n := p.powerLosses(p.hosts[0]); n > 0 {
 		t.Errorf("one crash was taken for %d losses of power", n)
 	}
 	// A zone.
 	h := p.hosts[1]
-	p.off(nil, h)
-	p.on(rand.New(rand.NewPCG(1, 1)), h)
-	p.ready()
-	if c := p.verdicts(h); c["alone"] != len(h.insts) {
+	p.powerOff(nil, h)
+	p.powerOn(rand.New(rand.NewPCG(1, 1)), h)
+	p.waitReady()
+	if c := p.verdicts(h); c["alone"] != len(h.instances) {
 		t.Errorf("verdicts of a zone that came back: %v", c)
 	}
-	if n := p.losses(h); n != 1 {
+	if n := p.powerLosses(h); n != 1 {
 		t.Errorf("its agent counts %d losses", n)
 	}
 }
@@ -102,19 +102,19 @@
 	if testing.Short() {
 		t.Skip("longer: not in CI")
 	}
-	p := newPlant(t, 3, 4, "return,peers")
+	p := newRecoveryWorld(t, 3, 4, "return,peers")
 	p.startAll()
-	v := p.visit(8)
+	v := p.startClients(8)
 	rng := rand.New(rand.NewPCG(2, 2))
 	left := p.hosts[:2]
-	p.off(v, p.hosts...)
-	p.on(rng, left...)
+	p.powerOff(v, p.hosts...)
+	p.powerOn(rng, left...)
 	eventually(t, "the first wave", func() bool { return len(proc.Find(left[0].name+"/")) > 0 && len(proc.Find(left[1].name+"/")) > 0 })
-	p.off(v, left...)
+	p.powerOff(v, left...)
 	at := time.Now()
-	p.ramp.Restart(at)
+	p.slowStart.Restart(at)
 	p.shop.Started(at)
-	p.on(rng, left...)
+	p.powerOn(rng, left...)
 	p.hosts = left // the third never returns
 	var states []client.HostState
 	eventually(t, "all that came back ready", func() bool {
@@ -133,7 +133,7 @@
 		return ready == 8
 	})
 	for _, h := range left {
-		if n := p.losses(h); n != 2 {
+		if n := p.powerLosses(h); n != 2 {
 			t.Errorf("%s counts %d losses", h.name, n)
 		}
 		data, _ := os.ReadFile(filepath.Join(filepath.Dir(h.config), "s", "losses.json"))
@@ -141,7 +141,7 @@
 			t.Errorf("%s keeps %s", h.name, data)
 		}
 	}
-	p.inWaves(states)
+	p.checkWaves(states)
 	eventually(t, "clients of the hosts that are there are served", func() bool {
 		good := 0
 		v.mu.Lock()
@@ -153,21 +153,21 @@
 		v.mu.Unlock()
 		return good > 50
 	})
-	p.judged(v)
+	p.checkRules(v)
 }
 
 // Peers that are not heard hold nothing up: the sidecar is ready in its usual time, serves,
 // and is careful.
 func TestPeersSilentAtStart(t *testing.T) {
-	p := newPlant(t, 1, 3, "return,peers")
+	p := newRecoveryWorld(t, 1, 3, "return,peers")
 	p.mesh.Set(faultnet.Fault{Drop: true}, func(int, int) bool { return true })
 	p.startAll()
-	for _, name := range p.hosts[0].insts {
-		v := &visits{down: make(map[string][]time.Time), once: make(map[string]bool)}
+	for _, name := range p.hosts[0].instances {
+		v := &retryingClients{down: make(map[string][]time.Time), once: make(map[string]bool)}
 		for n := range 20 {
-			v.client(name, p.hosts[0].listen[name], n, n%3)
+			v.client(name, p.hosts[0].listenAddress[name], n, n%3)
 		}
-		if s := v.share(-1, time.Now().Add(-time.Hour), time.Hour); s < 1 {
+		if s := v.servedFraction(-1, time.Now().Add(-time.Hour), time.Hour); s < 1 {
 			t.Errorf("%s: %.2f of the worth served while nobody is heard", name, s)
 		}
 	}
@@ -182,7 +182,7 @@
 	if testing.Short() {
 		t.Skip("longer: not in CI")
 	}
-	p := newPlant(t, 2, 3, "return,peers")
+	p := newRecoveryWorld(t, 2, 3, "return,peers")
 	p.startAll()
 	op := p.op(api.ActRestart, func(o *api.Operation) { o.Soak = 2 * time.Second })
 	done := make(chan *client.Report, 1)
@@ -195,12 +195,12 @@
 		}
 		done <- rep
 	}()
-	eventually(t, "a step under way", func() bool { return len(proc.Find(p.hosts[0].name+"/"+p.hosts[0].insts[0]+"/2/")) > 0 })
-	p.off(nil, p.hosts...)
-	p.on(rand.New(rand.NewPCG(3, 3)), p.hosts...)
-	p.ready()
+	eventually(t, "a step under way", func() bool { return len(proc.Find(p.hosts[0].name+"/"+p.hosts[0].instances[0]+"/2/")) > 0 })
+	p.powerOff(nil, p.hosts...)
+	p.powerOn(rand.New(rand.NewPCG(3, 3)), p.hosts...)
+	p.waitReady()
 	rep := <-done
-	p.settled(p.hosts...)
+	p.waitWavesDone(p.hosts...)
 	if rep.Result == rollout.Succeeded {
 		t.Errorf("the run went on as if nothing had been: %s, %+v", rep.Result, rep.Rows)
 	}
@@ -209,12 +209,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, r := range p.once(rep, op) {
+	for name, r := range p.rowsByInstance(rep, op) {
 		if r.Outcome != rollout.Changed {
 			t.Errorf("resumed, %s ends as %s: %s", name, r.Outcome, r.Reason)
 		}
 	}
-	for _, h := range p.ready() {
+	for _, h := range p.waitReady() {
 		for _, i := range h.Instances {
 			if i.Generation != 2 {
 				t.Errorf("%s is in generation %d: a restart was repeated or skipped", i.Name, i.Generation)
@@ -225,32 +225,32 @@
 
 // While one host comes back nothing is begun on any: not by its agent, and not by a command
 // for another host. It may be once all waves have begun.
-func TestDrainDuringRecoveryHolds(t *testing.T) {
-	p := newSlowPlant(t, 2, 4, "return", 2*time.Second)
+func TestDrainWaitsForRecovery(t *testing.T) {
+	p := newRecoveryWorldWithWave(t, 2, 4, "return", 2*time.Second)
 	p.startAll()
-	p.off(nil, p.hosts[0])
-	p.on(rand.New(rand.NewPCG(1, 1)), p.hosts[0])
+	p.powerOff(nil, p.hosts[0])
+	p.powerOn(rand.New(rand.NewPCG(1, 1)), p.hosts[0])
 	var h client.HostState
 	eventually(t, "a host that says that it comes back", func() bool {
 		h = p.fleet.List(context.Background(), &inventory.Select{})[0]
 		return h.Returning != ""
 	})
 	drain := p.op(api.ActDrain, func(o *api.Operation) {
-		o.Targets = []api.Target{{Host: p.hosts[1].name, Instance: p.hosts[1].insts[0]}}
+		o.Targets = []api.Target{{Host: p.hosts[1].name, Instance: p.hosts[1].instances[0]}}
 	})
 	_, err := p.fleet.Start(context.Background(), drain, options())
 	if e, ok := errors.AsType[*api.ReturningError](err); !ok || e.Host != p.hosts[0].name {
 		t.Errorf("a drain of another host: %v", err)
 	}
 	own := p.op(api.ActRestart, func(o *api.Operation) {
-		o.Targets = []api.Target{{Host: p.hosts[0].name, Instance: p.hosts[0].insts[0]}}
+		o.Targets = []api.Target{{Host: p.hosts[0].name, Instance: p.hosts[0].instances[0]}}
 	})
 	if err := p.fleet.Agents[0].Call(context.Background(), api.OpOpen, &api.OpenIn{Operation: own, LeaseHolder: "me", TTL: time.Second}, nil); code(err) != api.LeaseHeld || !strings.Contains(err.Error(), "power loss") {
 		t.Errorf("an operation there: %v", err)
 	}
-	states := p.ready()
-	p.settled(p.hosts[0])
-	p.inWaves(states[:1]) // the other started as ever, all at once
+	states := p.waitReady()
+	p.waitWavesDone(p.hosts[0])
+	p.checkWaves(states[:1]) // the other started as ever, all at once
 	if states[0].Epoch != 1 || states[1].Epoch != 0 {
 		t.Errorf("losses told: %d and %d", states[0].Epoch, states[1].Epoch)
 	}
@@ -266,7 +266,7 @@
 	if testing.Short() {
 		t.Skip("longer: not in CI")
 	}
-	p := newPlant(t, 1, 3, "return")
+	p := newRecoveryWorld(t, 1, 3, "return")
 	p.startAll()
 	h := p.hosts[0]
 	op := p.op(api.ActRestart, nil)
@@ -277,23 +277,23 @@
 		for _, after := range []string{"", "1"} {
 			t.Logf("write %d, after it %q", at, after)
 			if token == 0 {
-				token = p.opened(op, opt.LeaseHolder)
+				token = p.openOperation(op, opt.LeaseHolder)
 			}
-			p.off(nil, h)
+			p.powerOff(nil, h)
 			h.start("E2E_AGENT="+h.config, fmt.Sprint("E2E_CRASH_AT=", at), "E2E_CRASH_AFTER="+after)
-			died := h.ends(3 * time.Second)
-			p.off(nil, h)
+			died := h.waitExit(3 * time.Second)
+			p.powerOff(nil, h)
 			h.start()
-			states := p.ready()
-			p.observed(states)
+			states := p.waitReady()
+			p.checkAgainstProcesses(states)
 			for _, i := range states[0].Instances {
 				if i.Generation != 1 || i.LeaseHolder != "" || i.Operation != op.ID {
 					t.Errorf("%s: generation %d, held by %q, operation %q", i.Name, i.Generation, i.LeaseHolder, i.Operation)
 				}
 			}
-			p.settled(h)
+			p.waitWavesDone(h)
 			agent, ctx := p.fleet.Agents[0], context.Background()
-			if err := agent.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: token, Instance: h.insts[0], Kind: api.Change}, nil); code(err) != api.Fenced {
+			if err := agent.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: token, Instance: h.instances[0], Kind: api.Change}, nil); code(err) != api.Fenced {
 				t.Errorf("a step by a token of before the loss: %v", err)
 			}
 			if err := agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: opt.LeaseHolder, TTL: time.Minute}, nil); code(err) != api.LeaseHeld || !strings.Contains(err.Error(), "lost its power") {
--- a/internal/fleet/e2e/powerloss_world_test.go
+++ b/internal/fleet/e2e/powerloss_world_test.go
@@ -21,13 +21,13 @@
 	"martendrum/internal/standin/shop"
 )
 
-// plant is a fleet whose sidecars tell each other over a mesh, before servers that start
+// recoveryWorld is a fleet whose sidecars tell each other over a mesh, before servers that start
 // cold.
-type plant struct {
+type recoveryWorld struct {
 	*world
-	ramp *shop.SlowStart
-	mesh *faultnet.Mesh
-	rank map[string]int
+	slowStart *shop.SlowStart
+	mesh      *faultnet.Mesh
+	rank      map[string]int
 }
 
 // The scenarios' size and speed; larger by the environment, for the design note.
@@ -38,25 +38,25 @@
 	return usual
 }
 
-func newPlant(t *testing.T, hosts, each int, parts string) *plant {
+func newRecoveryWorld(t *testing.T, hosts, each int, parts string) *recoveryWorld {
 	t.Helper()
-	return newSlowPlant(t, hosts, each, parts, 100*time.Millisecond)
+	return newRecoveryWorldWithWave(t, hosts, each, parts, 100*time.Millisecond)
 }
 
-// newSlowPlant has so long between the waves of a return.
-func newSlowPlant(t *testing.T, hosts, each int, parts string, wave time.Duration) *plant {
+// newRecoveryWorldWithWave has so long between the waves of a return.
+func newRecoveryWorldWithWave(t *testing.T, hosts, each int, parts string, wave time.Duration) *recoveryWorld {
 	t.Helper()
-	p := &plant{rank: make(map[string]int), ramp: &shop.SlowStart{
+	p := &recoveryWorld{rank: make(map[string]int), slowStart: &shop.SlowStart{
 		Workers: 4, Work: 40 * time.Millisecond, Queue: 20, From: 0.14, For: 6 * time.Second, Factor: 4, Window: time.Second,
 	}}
 	servers := max(4, hosts*each/5)
 	p.world = newWorldBefore(t, hosts, each, fmt.Sprintf("fleet = %q\n[recovery]\nwave_least = %q\n", parts, wave), func() (*shop.Shop, error) {
-		return shop.NewWith(servers, p.ramp.Serve)
+		return shop.NewWith(servers, p.slowStart.Serve)
 	})
 	var homes, names []string
 	for _, h := range p.hosts {
-		for _, name := range h.insts {
-			host, _, err := net.SplitHostPort(h.listen[name])
+		for _, name := range h.instances {
+			host, _, err := net.SplitHostPort(h.listenAddress[name])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -81,8 +81,8 @@
 			set["rank"], set["replicasOfMe"] = n, len(names)
 			set["caps"].(map[string]any)["peers"] = true
 			set["guarantees"] = map[string]any{
-				"drainGraceUs": 2000000, "coldFrom": p.ramp.From, "coldUs": p.ramp.For.Microseconds(),
-				"overloadFactor": p.ramp.Factor, "overloadForUs": p.ramp.Window.Microseconds(),
+				"drainGraceUs": 2000000, "coldFrom": p.slowStart.From, "coldUs": p.slowStart.For.Microseconds(),
+				"overloadFactor": p.slowStart.Factor, "overloadForUs": p.slowStart.Window.Microseconds(),
 			}
 			c["peer_listen"], c["peers"] = homes[n], p.mesh.Addrs()
 		})
@@ -90,9 +90,9 @@
 	return p
 }
 
-func (p *plant) hostOf(name string) *host {
+func (p *recoveryWorld) hostOf(name string) *host {
 	for _, h := range p.hosts {
-		if h.listen[name] != "" {
+		if h.listenAddress[name] != "" {
 			return h
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 // edit changes an instance's configuration.
-func (p *plant) edit(name string, change func(map[string]any)) {
+func (p *recoveryWorld) edit(name string, change func(map[string]any)) {
 	p.t.Helper()
 	path := filepath.Join(filepath.Dir(p.hostOf(name).config), name+".json")
 	data, err := os.ReadFile(path)
@@ -121,12 +121,12 @@
 	}
 }
 
-// off ends every process of hosts at one moment, as a loss of power does. v, if not nil,
+// powerOff ends every process of hosts at one moment, as a loss of power does. v, if not nil,
 // is told before and after: what was under way then is nobody's fault.
-func (p *plant) off(v *visits, hosts ...*host) {
+func (p *recoveryWorld) powerOff(v *retryingClients, hosts ...*host) {
 	if v != nil {
-		v.killed(hosts...)
-		defer v.killed(hosts...)
+		v.markKilled(hosts...)
+		defer v.markKilled(hosts...)
 	}
 	for _, h := range hosts {
 		h.signal(syscall.SIGKILL) // first: it would start them again
@@ -147,34 +147,34 @@
 	}
 }
 
-// on starts hosts in a drawn order.
-func (p *plant) on(rng *rand.Rand, hosts ...*host) {
+// powerOn starts hosts in a drawn order.
+func (p *recoveryWorld) powerOn(rng *rand.Rand, hosts ...*host) {
 	for _, i := range rng.Perm(len(hosts)) {
 		hosts[i].start()
 	}
 }
 
-// began is what each sidecar that is careful after its start logs first.
-const began = "phase asking"
+// recoveryStartMark is what each sidecar that is careful after its start logs first.
+const recoveryStartMark = "phase asking"
 
 // log is what an instance's sidecars have written, from the last start on.
-func (p *plant) log(name string) string {
-	text := p.whole(name)
-	return text[max(0, strings.LastIndex(text, began)):]
+func (p *recoveryWorld) log(name string) string {
+	text := p.wholeLog(name)
+	return text[max(0, strings.LastIndex(text, recoveryStartMark)):]
 }
 
 // verdict is what a sidecar has decided about its start, "" if it has not.
-func (p *plant) verdict(name string) string {
+func (p *recoveryWorld) verdict(name string) string {
 	text := strings.ReplaceAll(p.log(name), "verdict=open", "")
 	_, rest, _ := strings.Cut(text, "verdict=")
 	v, _, _ := strings.Cut(rest, " ")
 	return v
 }
 
-func (p *plant) verdicts(hosts ...*host) map[string]int {
+func (p *recoveryWorld) verdicts(hosts ...*host) map[string]int {
 	count := make(map[string]int)
 	for _, h := range hosts {
-		for _, name := range h.insts {
+		for _, name := range h.instances {
 			eventually(p.t, "a verdict of "+name, func() bool { return p.verdict(name) != "" })
 			count[p.verdict(name)]++
 		}
@@ -182,20 +182,20 @@
 	return count
 }
 
-// losses is how many losses of power an agent has logged.
-func (p *plant) losses(h *host) (n int) {
+// powerLosses is how many losses of power an agent has logged.
+func (p *recoveryWorld) powerLosses(h *host) (n int) {
 	text, _ := os.ReadFile(h.config + ".log")
 	return strings.Count(string(text), "the host lost its power")
 }
 
-// whole is all that an instance's sidecars have written.
-func (p *plant) whole(name string) string {
+// wholeLog is all that an instance's sidecars have written.
+func (p *recoveryWorld) wholeLog(name string) string {
 	text, _ := os.ReadFile(filepath.Join(filepath.Dir(p.hostOf(name).config), "s", "logs", name+".log"))
 	return string(text)
 }
 
-// settled waits until no wave of the hosts is to come.
-func (p *plant) settled(hosts ...*host) {
+// waitWavesDone waits until no wave of the hosts is to come.
+func (p *recoveryWorld) waitWavesDone(hosts ...*host) {
 	p.t.Helper()
 	eventually(p.t, "the end of the waves", func() bool {
 		for _, s := range p.fleet.List(context.Background(), &inventory.Select{}) {
@@ -209,8 +209,8 @@
 	})
 }
 
-// opened opens an operation at the one agent and returns its token.
-func (p *plant) opened(op api.Operation, holder string) int64 {
+// openOperation opens an operation at the one agent and returns its token.
+func (p *recoveryWorld) openOperation(op api.Operation, holder string) int64 {
 	p.t.Helper()
 	var out api.OpenOut
 	if err := p.fleet.Agents[0].Call(context.Background(), api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: holder, TTL: time.Minute}, &out); err != nil {
@@ -219,8 +219,8 @@
 	return out.Token
 }
 
-// ends waits for the agent's end, and says whether it came.
-func (h *host) ends(within time.Duration) bool {
+// waitExit waits for the agent's end, and says whether it came.
+func (h *host) waitExit(within time.Duration) bool {
 	h.mu.Lock()
 	end := h.end
 	h.mu.Unlock()
--- a/internal/fleet/e2e/scale_test.go
+++ b/internal/fleet/e2e/scale_test.go
@@ -72,7 +72,7 @@
 	for b.Loop() {
 		w := stagedWorld(b, 6, 10)
 		base := w.running()
-		requests := w.load()
+		requests := w.startLoad()
 		overlay := w.overlay(fmt.Sprintf(`{"discovery": %q}`, servers(b, func(n int64, rw http.ResponseWriter, _ *http.Request) bool {
 			if n%10 == 0 {
 				http.Error(rw, "no", http.StatusInternalServerError)
@@ -80,8 +80,8 @@
 			return n%10 == 0
 		})))
 		rep := w.change(append([]string{"start", "--stages", "6,50%,100%", "--binary", filepath.Join(w.bin, "sidecar"), "--overlay", overlay},
-			append(quick, "--longest", "80s", "--batch", "6", "--margin", "unserved=0.02:0.08", "--margin", "worth=0.02:0.08", "--margin", "failed=0.02:0.08")...)...).report()
-		w.asBefore(base)
+			append(quickChange, "--longest", "80s", "--batch", "6", "--margin", "unserved=0.02:0.08", "--margin", "worth=0.02:0.08", "--margin", "failed=0.02:0.08")...)...).report()
+		w.checkRelease(base)
 		requests.stop()
 		if rep.Result != rollout.WentBack || len(requests.lost) > 0 {
 			b.Fatalf("%s because %s; lost: %v", rep.Result, rep.Why, requests.lost)
@@ -99,7 +99,7 @@
 		}
 		b.Logf("%s; %d requests, %d served", rep.Why, requests.sent, requests.served)
 		b.ReportMetric(last.Sub(first).Seconds(), "s-to-all-back")
-		b.ReportMetric(float64(touched(rep)), "instances-touched")
+		b.ReportMetric(float64(countChanged(rep)), "instances-touched")
 	}
 }
 
--- a/internal/fleet/e2e/settings_crash_test.go
+++ b/internal/fleet/e2e/settings_crash_test.go
@@ -49,7 +49,7 @@
 
 // Settings that end the process which takes them are refused after the second time: the
 // processes started since run with the last accepted ones, and a later revision gets through.
-func TestSettingsThatCrashAreRefused(t *testing.T) {
+func TestCrashingSettingsAreRejected(t *testing.T) {
 	t.Parallel()
 	w := layOutSettings(t, settingsLayout{relays: 1, hosts: 2, each: 1})
 	h := w.hosts[1]
@@ -68,16 +68,16 @@
 	w.startRelays()
 	w.startAll()
 	w.inForce(w.publish("limits/all", memoryLimit(96)), 2)
-	good := w.bodyLimit(h.insts[0])
+	good := w.bodyLimit(h.instances[0])
 
 	crashing := w.publish("limits/crash", memoryLimit(crashingLimit), "--scope", "host="+h.name)
-	w.refusedBy(crashing, h)
-	w.ready()
-	w.limits(good, h.insts)
-	if refusals := w.inspect(h, h.insts[0]).Settings.Rejections; len(refusals) != 1 || !strings.Contains(refusals[0].Reason, "its process ended") {
+	w.waitRejected(crashing, h)
+	w.waitReady()
+	w.limits(good, h.instances)
+	if refusals := w.inspect(h, h.instances[0]).Settings.Rejections; len(refusals) != 1 || !strings.Contains(refusals[0].Reason, "its process ended") {
 		t.Errorf("refusals %+v", refusals)
 	}
-	launches := w.inspect(h, h.insts[0]).Instance.Restarts
+	launches := w.inspect(h, h.instances[0]).Instance.Restarts
 	if launches != crashesWanted {
 		t.Errorf("%d restarts; the crashing settings were to be tried %d times", launches, crashesWanted)
 	}
--- a/internal/fleet/e2e/settings_observe_test.go
+++ b/internal/fleet/e2e/settings_observe_test.go
@@ -14,8 +14,8 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// figure asks a sidecar's own figures for one of them; false if it does not answer.
-func (w *settingsWorld) figure(instance, name string) (float64, bool) {
+// metric asks a sidecar's own figures for one of them; false if it does not answer.
+func (w *settingsWorld) metric(instance, name string) (float64, bool) {
 	client := http.Client{Timeout: 2 * time.Second}
 	answer, err := client.Get("http://" + w.admin[instance] + "/api/telemetry")
 	if err != nil {
@@ -38,7 +38,7 @@
 // bodyLimit is the limit on bodies that a sidecar works with by its own figures. It follows
 // from limits.memory_mb.
 func (w *settingsWorld) bodyLimit(instance string) float64 {
-	limit, _ := w.figure(instance, `edge_balancer_body_bytes{of="most"}`)
+	limit, _ := w.metric(instance, `edge_balancer_body_bytes{of="most"}`)
 	return limit
 }
 
@@ -113,7 +113,7 @@
 	w.t.Helper()
 	for _, h := range hosts {
 		eventually(w.t, fmt.Sprintf("revision %v at %s", revision, h.name), func() bool {
-			return !revision.After(w.inspect(h, h.insts[0]).Settings.Received)
+			return !revision.After(w.inspect(h, h.instances[0]).Settings.Received)
 		})
 	}
 }
--- a/internal/fleet/e2e/settings_operation_test.go
+++ b/internal/fleet/e2e/settings_operation_test.go
@@ -15,7 +15,7 @@
 	operation := w.op(action, func(o *api.Operation) {
 		o.Soak = soak
 		o.Targets = nil
-		for _, instance := range h.insts {
+		for _, instance := range h.instances {
 			o.Targets = append(o.Targets, api.Target{Host: h.name, Instance: instance})
 		}
 	})
@@ -45,8 +45,8 @@
 	}
 }
 
-// stepEnded waits until the step on an instance has come to its end, and says how.
-func (w *settingsWorld) stepEnded(h *host, operation api.Operation, instance string) (status string) {
+// waitStep waits until the step on an instance has come to its end, and says how.
+func (w *settingsWorld) waitStep(h *host, operation api.Operation, instance string) (status string) {
 	w.t.Helper()
 	eventually(w.t, "the end of the step on "+instance, func() bool {
 		var out api.OpOut
@@ -70,34 +70,34 @@
 	t.Parallel()
 	w := newSettingsWorld(t, 2, 2, 1)
 	held, free := w.hosts[0], w.hosts[1]
-	instance := held.insts[0]
+	instance := held.instances[0]
 	accepted := w.reference(2, "limits/all", 96)[0]
 
 	operation, token := w.openOperation(held, api.ActRestart, 500*time.Millisecond)
 	later := w.publish("limits/all", memoryLimit(80))
 	w.inForce(later, 1)
 	w.received(later, held)
-	w.heldBack(held, instance, accepted, "operation "+operation.ID)
+	w.checkHeldBack(held, instance, accepted, "operation "+operation.ID)
 	if out, _, code := w.command("list", "--settings"); code != 1 || !strings.Contains(out, "operation "+operation.ID) {
 		t.Errorf("list --settings while the operation holds the instance: exit %d\n%s", code, out)
 	}
 
 	w.startStep(held, operation, token, instance)
-	if status := w.stepEnded(held, operation, instance); status != api.StepOK {
+	if status := w.waitStep(held, operation, instance); status != api.StepOK {
 		t.Errorf("the restart is %s", status)
 	}
 	w.startedWith(instance, accepted)
-	w.heldBack(held, instance, accepted, "operation "+operation.ID)
+	w.checkHeldBack(held, instance, accepted, "operation "+operation.ID)
 
 	w.closeOperation(held, operation, token)
 	w.inForce(later, 2)
-	w.limits(w.bodyLimit(free.insts[0]), []string{instance})
+	w.limits(w.bodyLimit(free.instances[0]), []string{instance})
 
 	// A reload whose lease ends before its step does: the step goes first all the same.
 	operation, token = w.openOperation(held, api.ActReload, 0)
 	w.startStep(held, operation, token, instance)
 	last := w.publish("limits/all", memoryLimit(96))
-	if status := w.stepEnded(held, operation, instance); status != api.StepOK {
+	if status := w.waitStep(held, operation, instance); status != api.StepOK {
 		t.Errorf("the reload is %s", status)
 	}
 	if limit := w.bodyLimit(instance); limit == accepted {
@@ -111,8 +111,8 @@
 	w.drainAndUndrain(held, instance)
 }
 
-// heldBack says whether an instance waits for an operation and has its earlier settings.
-func (w *settingsWorld) heldBack(h *host, instance string, limit float64, why string) {
+// checkHeldBack says whether an instance waits for an operation and has its earlier settings.
+func (w *settingsWorld) checkHeldBack(h *host, instance string, limit float64, why string) {
 	w.t.Helper()
 	settings := w.inspect(h, instance).Settings
 	if !strings.Contains(settings.Waiting, why) {
@@ -128,13 +128,13 @@
 	w.t.Helper()
 	operation, token := w.openOperation(h, api.ActDrain, 0)
 	w.startStep(h, operation, token, instance)
-	w.stepEnded(h, operation, instance)
+	w.waitStep(h, operation, instance)
 	w.closeOperation(h, operation, token)
 	last := w.publish("limits/all", memoryLimit(112))
 	w.inForce(last, len(w.hosts))
 	operation, token = w.openOperation(h, api.ActUndrain, 0)
 	w.startStep(h, operation, token, instance)
-	if status := w.stepEnded(h, operation, instance); status != api.StepOK {
+	if status := w.waitStep(h, operation, instance); status != api.StepOK {
 		w.t.Errorf("the undrain is %s", status)
 	}
 	// The process began with what was accepted before: it is behind, and must be known to be.
@@ -144,5 +144,5 @@
 	})
 	w.closeOperation(h, operation, token)
 	w.inForce(last, len(w.hosts))
-	w.limits(w.bodyLimit(w.hosts[1].insts[0]), []string{instance})
+	w.limits(w.bodyLimit(w.hosts[1].instances[0]), []string{instance})
 }
--- a/internal/fleet/e2e/settings_refused_test.go
+++ b/internal/fleet/e2e/settings_rejected_test.go
@@ -12,14 +12,14 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// memoryRefusal is what a sidecar's parser says of a memory limit below its least.
-const memoryRefusal = "limits.memory_mb must be at least"
+// memoryRejection is what a sidecar's parser says of a memory limit below its least.
+const memoryRejection = "limits.memory_mb must be at least"
 
-// refusedBy waits until all instances of a host have refused a revision, and the writer knows.
-func (w *settingsWorld) refusedBy(revision distribution.Revision, h *host) {
+// waitRejected waits until all instances of a host have refused a revision, and the writer knows.
+func (w *settingsWorld) waitRejected(revision distribution.Revision, h *host) {
 	w.t.Helper()
 	eventually(w.t, fmt.Sprintf("a refusal of revision %v by all of %s", revision, h.name), func() bool {
-		for _, instance := range h.insts {
+		for _, instance := range h.instances {
 			if !slices.ContainsFunc(w.inspect(h, instance).Settings.Rejections, func(r distribution.Rejection) bool { return r.Revision == revision }) {
 				return false
 			}
@@ -31,17 +31,17 @@
 
 // file is the configuration that the agent wrote for an instance.
 func (h *host) file(instance string) string {
-	h.w.t.Helper()
+	h.world.t.Helper()
 	text, err := os.ReadFile(filepath.Join(filepath.Dir(h.config), "s", "instances", instance+".json"))
 	if err != nil {
-		h.w.t.Fatal(err)
+		h.world.t.Fatal(err)
 	}
 	return string(text)
 }
 
 // What a sidecar refuses does not replace the last accepted settings, in the process or in its
 // file, keeps nothing else back, and is told with the sidecar's own reason.
-func TestRefusedRevisionKeepsLastGood(t *testing.T) {
+func TestRejectedRevisionKeepsLastGood(t *testing.T) {
 	t.Parallel()
 	w := newSettingsWorld(t, 2, 2, 2)
 	h := w.hosts[1]
@@ -50,23 +50,23 @@
 	narrow, wider, good := limits[0], limits[1], limits[2]
 
 	refused := w.publish("limits/all", memoryLimit(1), "--scope", "host="+h.name)
-	w.refusedBy(refused, h)
+	w.waitRejected(refused, h)
 	// The other host has no limit of this name any more: its settings are taken back.
-	w.limits(good, h.insts)
-	for _, instance := range h.insts {
-		if rejected, _ := w.figure(instance, "edge_balancer_config_rejected"); rejected != 1 {
+	w.limits(good, h.instances)
+	for _, instance := range h.instances {
+		if rejected, _ := w.metric(instance, "edge_balancer_config_rejected"); rejected != 1 {
 			t.Errorf("%s rejected %v configurations, want 1", instance, rejected)
 		}
 		if file := h.file(instance); !strings.Contains(file, `"memory_mb": 96`) {
 			t.Errorf("the file of %s does not hold the last accepted settings: %s", instance, file)
 		}
 		refusals := w.inspect(h, instance).Settings.Rejections
-		if len(refusals) != 1 || refusals[0].Revision != refused || !strings.Contains(refusals[0].Reason, memoryRefusal) {
+		if len(refusals) != 1 || refusals[0].Revision != refused || !strings.Contains(refusals[0].Reason, memoryRejection) {
 			t.Errorf("%s tells the refusals %+v", instance, refusals)
 		}
 	}
 	out, errs, code := w.command("list", "--settings", "--revision", refused.String())
-	if code != 1 || !strings.Contains(out, h.name) || !strings.Contains(out, memoryRefusal) || strings.Contains(out, w.hosts[0].name) {
+	if code != 1 || !strings.Contains(out, h.name) || !strings.Contains(out, memoryRejection) || strings.Contains(out, w.hosts[0].name) {
 		t.Errorf("list --settings: exit %d\n%s%s", code, out, errs)
 	}
 
@@ -76,8 +76,8 @@
 
 	// A later revision of the refused resource ends the refusal.
 	w.inForce(w.publish("limits/all", memoryLimit(112), "--scope", "host="+h.name), 2)
-	w.limits(wider, h.insts) // the resource with the narrower scope is merged last
-	w.limits(narrow, w.hosts[0].insts)
+	w.limits(wider, h.instances) // the resource with the narrower scope is merged last
+	w.limits(narrow, w.hosts[0].instances)
 	if out, errs, code := w.command("list", "--settings"); code != 0 {
 		t.Errorf("list --settings: exit %d\n%s%s", code, out, errs)
 	}
@@ -85,8 +85,8 @@
 
 // A refused and a good change that come together, between two attempts: the good one gets
 // through. A process that begins anew after that has it too.
-func TestRefusedAndGoodTogether(t *testing.T) {
-	long(t)
+func TestRejectedRevisionDoesNotBlockOthers(t *testing.T) {
+	skipShort(t)
 	t.Parallel()
 	w := newSettingsWorld(t, 2, 1, 2)
 	h := w.hosts[0]
@@ -99,14 +99,14 @@
 	good := w.publish("limits/all", memoryLimit(80))
 	w.received(good, h)
 	w.closeOperation(h, operation, token)
-	w.limits(narrow, h.insts)
-	w.refusedBy(bad, h)
-	w.killSidecar(h, h.insts[0])
-	w.limits(narrow, h.insts)
-	w.refusedBy(bad, h)
+	w.limits(narrow, h.instances)
+	w.waitRejected(bad, h)
+	w.killSidecar(h, h.instances[0])
+	w.limits(narrow, h.instances)
+	w.waitRejected(bad, h)
 	if _, errs, code := w.command("change", "publish", "limits/bad", "--remove"); code != 0 {
 		t.Fatalf("exit %d: %s", code, errs)
 	}
 	w.inForce(distribution.Revision{}, 1)
-	w.limits(narrow, h.insts)
+	w.limits(narrow, h.instances)
 }
--- a/internal/fleet/e2e/settings_relays_test.go
+++ b/internal/fleet/e2e/settings_relays_test.go
@@ -15,7 +15,7 @@
 	for n, h := range w.hosts {
 		want := w.relays[n%len(w.relays)].name
 		eventually(w.t, h.name+" asks "+want, func() bool {
-			return w.inspect(h, h.insts[0]).Settings.Relay == want
+			return w.inspect(h, h.instances[0]).Settings.Relay == want
 		})
 	}
 }
@@ -36,7 +36,7 @@
 	answering.kill()
 	w.setLinks(w.hosts, []*host{answering}, faultnet.Fault{})
 	w.inForce(change, 6)
-	after := w.bodyLimit(w.hosts[0].insts[0])
+	after := w.bodyLimit(w.hosts[0].instances[0])
 	if after == before {
 		t.Fatal("the figure does not tell the settings apart")
 	}
@@ -61,7 +61,7 @@
 
 // Half of the relays go, the hosts that asked them go on with the others; changes reach all,
 // and the relays catch up when they are back.
-func TestHalfTheRelaysGone(t *testing.T) {
+func TestHalfTheRelaysUnavailable(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 4, 8)
 	w.subscribed()
@@ -153,7 +153,7 @@
 
 // The same for a minute, in which waits that do not grow would show.
 func TestRegionCutOffForLong(t *testing.T) {
-	long(t)
+	skipShort(t)
 	t.Parallel()
 	regionCutOff(t, true, time.Minute)
 }
@@ -178,7 +178,7 @@
 	before := w.reference(6, "limits/all", 96)[0]
 	for _, h := range apart {
 		eventually(t, h.name+" asks the relay of its region", func() bool {
-			return w.inspect(h, h.insts[0]).Settings.Relay == regional[0].name
+			return w.inspect(h, h.instances[0]).Settings.Relay == regional[0].name
 		})
 	}
 
@@ -190,7 +190,7 @@
 	began := time.Now()
 	change := w.publish("limits/all", memoryLimit(80))
 	w.inForce(change, len(joined))
-	after := w.bodyLimit(joined[0].insts[0])
+	after := w.bodyLimit(joined[0].instances[0])
 	if after == before {
 		t.Fatal("the figure does not tell the settings apart")
 	}
@@ -203,7 +203,7 @@
 		time.Sleep(lasts / 20)
 	}
 	for _, h := range apart {
-		if relay := w.inspect(h, h.insts[0]).Settings.Relay; relay != regional[0].name {
+		if relay := w.inspect(h, h.instances[0]).Settings.Relay; relay != regional[0].name {
 			t.Errorf("%s asks %q; the relay of its region serves on", h.name, relay)
 		}
 	}
--- a/internal/fleet/e2e/settings_test.go
+++ b/internal/fleet/e2e/settings_test.go
@@ -23,7 +23,7 @@
 	w.limits(narrow, instances(w.hosts[1], w.hosts[3]))
 	w.limits(wide, instances(w.hosts[0], w.hosts[2]))
 	for _, name := range instances(w.hosts[0], w.hosts[2]) {
-		if taken, _ := w.figure(name, "edge_balancer_config_applied"); taken != 1 {
+		if taken, _ := w.metric(name, "edge_balancer_config_applied"); taken != 1 {
 			t.Errorf("%s took %v configurations over; what does not concern it is none of them", name, taken)
 		}
 	}
--- a/internal/fleet/e2e/settings_away_test.go
+++ b/internal/fleet/e2e/settings_unavailable_test.go
@@ -14,7 +14,7 @@
 	w.t.Helper()
 	for _, each := range megabytes {
 		w.inForce(w.publish(name, memoryLimit(each)), hosts)
-		limits = append(limits, w.bodyLimit(w.hosts[0].insts[0]))
+		limits = append(limits, w.bodyLimit(w.hosts[0].instances[0]))
 	}
 	for n := range limits {
 		for other := range n {
@@ -29,7 +29,7 @@
 // A host whose agent was stopped, one whose agent was killed and one that runs for the first
 // time after the changes all end at the latest; the sidecars of the first two serve on meanwhile
 // with what they had.
-func TestHostThatWasAwayConverges(t *testing.T) {
+func TestUnavailableHostConverges(t *testing.T) {
 	t.Parallel()
 	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 4, each: 1})
 	w.startRelays()
@@ -58,9 +58,9 @@
 	killed.start()
 	late.start()
 	w.inForce(last, 4)
-	w.limits(w.bodyLimit(there.insts[0]), instances(there, killed))
-	w.limits(w.bodyLimit(stopped.insts[0]), instances(stopped, late))
-	if even, odd := w.bodyLimit(there.insts[0]), w.bodyLimit(stopped.insts[0]); even == odd || odd == wide {
+	w.limits(w.bodyLimit(there.instances[0]), instances(there, killed))
+	w.limits(w.bodyLimit(stopped.instances[0]), instances(stopped, late))
+	if even, odd := w.bodyLimit(there.instances[0]), w.bodyLimit(stopped.instances[0]); even == odd || odd == wide {
 		t.Errorf("limits of %v and %v after %v", even, odd, wide)
 	}
 }
@@ -77,31 +77,31 @@
 	}
 	h.kill()
 	h.start()
-	w.ready()
-	w.limits(wide, h.insts)
-	for _, instance := range h.insts {
+	w.waitReady()
+	w.limits(wide, h.instances)
+	for _, instance := range h.instances {
 		w.killSidecar(h, instance)
 		w.startedWith(instance, wide)
 	}
-	w.ready()
+	w.waitReady()
 
 	// Once more, with a sidecar that ends while its agent is away.
-	pid := w.inspect(h, h.insts[0]).Instance.PID
+	pid := w.inspect(h, h.instances[0]).Instance.PID
 	h.kill()
 	if err := syscall.Kill(pid, syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
 	h.start()
-	w.ready()
-	w.startedWith(h.insts[0], wide)
-	if settings := w.inspect(h, h.insts[0]).Settings; settings.Relay != "" || len(settings.Accepted) != 1 {
+	w.waitReady()
+	w.startedWith(h.instances[0], wide)
+	if settings := w.inspect(h, h.instances[0]).Settings; settings.Relay != "" || len(settings.Accepted) != 1 {
 		t.Errorf("without a relay the agent tells %+v", settings)
 	}
 
 	// The relays come back: what is published then arrives.
 	w.startRelays()
 	w.inForce(w.publish("limits/all", memoryLimit(80)), 1)
-	if limit := w.bodyLimit(h.insts[0]); limit == wide {
+	if limit := w.bodyLimit(h.instances[0]); limit == wide {
 		t.Errorf("the limit is still %v", limit)
 	}
 }
@@ -110,7 +110,7 @@
 func (w *settingsWorld) startedWith(instance string, want float64) {
 	w.t.Helper()
 	w.limits(want, []string{instance})
-	if taken, ok := w.figure(instance, "edge_balancer_config_applied"); !ok || taken != 0 {
+	if taken, ok := w.metric(instance, "edge_balancer_config_applied"); !ok || taken != 0 {
 		w.t.Errorf("%s took over %v configurations (%v); want it to begin with the accepted one", instance, taken, ok)
 	}
 }
@@ -125,7 +125,7 @@
 	narrow := w.reference(2, "limits/all", 96, 80)[1]
 	removed := w.publish("limits/removed", memoryLimit(112))
 	w.inForce(removed, 2)
-	wide := w.bodyLimit(w.hosts[0].insts[0])
+	wide := w.bodyLimit(w.hosts[0].instances[0])
 	if wide == narrow {
 		t.Fatal("the resource that is removed later does not show")
 	}
@@ -148,7 +148,7 @@
 	away.start()
 	w.inForce(last, 2)
 	w.limits(narrow, instances(w.hosts...))
-	if accepted := w.accepted(away, away.insts[0]); len(accepted) != 1 || accepted["limits/all"] != last {
+	if accepted := w.accepted(away, away.instances[0]); len(accepted) != 1 || accepted["limits/all"] != last {
 		t.Errorf("the host that was away holds %v; want limits/all of %v alone", accepted, last)
 	}
 }
--- a/internal/fleet/e2e/settings_world_test.go
+++ b/internal/fleet/e2e/settings_world_test.go
@@ -130,7 +130,7 @@
 // layRelay writes the beginning of a relay's configuration.
 func (w *settingsWorld) layRelay(n int) *host {
 	w.t.Helper()
-	relay := &host{w: w.world, name: fmt.Sprintf("%s-r%d", w.prefix, n)}
+	relay := &host{world: w.world, name: fmt.Sprintf("%s-r%d", w.prefix, n)}
 	dir := filepath.Join(w.dir, fmt.Sprint("r", n))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		w.t.Fatal(err)
@@ -220,7 +220,7 @@
 	w.t.Helper()
 	addresses := make(map[string]string)
 	for _, h := range w.hosts {
-		for _, name := range h.insts {
+		for _, name := range h.instances {
 			text, err := os.ReadFile(filepath.Join(filepath.Dir(h.config), name+".json"))
 			if err != nil {
 				w.t.Fatal(err)
@@ -238,7 +238,7 @@
 // instances are all sidecars of the hosts.
 func instances(hosts ...*host) (names []string) {
 	for _, h := range hosts {
-		names = append(names, h.insts...)
+		names = append(names, h.instances...)
 	}
 	return names
 }
--- a/internal/fleet/e2e/settings_writer_killed_test.go
+++ b/internal/fleet/e2e/settings_writer_killed_test.go
@@ -55,7 +55,7 @@
 	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 1, each: 1})
 	w.startRelays()
 	w.startAll()
-	run := &writerRun{w: w, seen: &contents{t: t, hashes: make(map[distribution.Revision]string)}, latest: make(map[string]distribution.Resource)}
+	run := &writerRun{world: w, seen: &contents{t: t, hashes: make(map[distribution.Revision]string)}, latest: make(map[string]distribution.Resource)}
 	for at := 1; at <= maxWrite; at++ {
 		for _, after := range []string{"", "yes"} {
 			run.killedAt(at, after)
@@ -71,62 +71,62 @@
 	w.copied(last, w.relays...)
 	w.look(run.seen, w.relays)
 	w.inForce(last, 1)
-	t.Logf("%d changes asked for, %d acknowledged, %d revisions seen", run.asked, run.acknowledged, len(run.seen.hashes))
+	t.Logf("%d changes asked for, %d acknowledged, %d revisions seen", run.published, run.acknowledged, len(run.seen.hashes))
 }
 
 // writerRun asks a writer that dies for changes.
 type writerRun struct {
-	w                   *settingsWorld
-	seen                *contents
-	latest              map[string]distribution.Resource // that were acknowledged, by name
-	asked, acknowledged int
+	world                   *settingsWorld
+	seen                    *contents
+	latest                  map[string]distribution.Resource // that were acknowledged, by name
+	published, acknowledged int
 }
 
 // killedAt starts the writer so that it dies at a write, and asks for changes until it does.
 func (r *writerRun) killedAt(at int, after string) {
-	r.w.t.Helper()
-	writer, follower := r.w.writer(), r.w.relays[1]
+	r.world.t.Helper()
+	writer, follower := r.world.writer(), r.world.relays[1]
 	writer.kill()
 	if after == "" {
 		follower.kill()
 		follower.start()
 	}
 	writer.start("E2E_AGENT="+writer.config, fmt.Sprint("E2E_CRASH_AT=", at), "E2E_CRASH_AFTER="+after)
-	r.askUntilDeath(fmt.Sprintf("at write %d", at), func() { r.ask(fmt.Sprint("notes/", (r.asked+1)%3)) })
-	r.w.look(r.seen, r.w.relays)
+	r.publishUntilExit(fmt.Sprintf("at write %d", at), func() { r.publish(fmt.Sprint("notes/", (r.published+1)%3)) })
+	r.world.look(r.seen, r.world.relays)
 	r.logged()
 }
 
 // killedBeforeAnswer has the writer die once a change of one name is in its log, before it is
 // answered, and returns the change as it stands in that log.
 func (r *writerRun) killedBeforeAnswer() distribution.Resource {
-	r.w.t.Helper()
+	r.world.t.Helper()
 	const name = "notes/unanswered"
-	writer := r.w.writer()
+	writer := r.world.writer()
 	writer.kill()
 	acknowledged := r.acknowledged
 	writer.start("E2E_AGENT="+writer.config, "E2E_CRASH_AFTER_CHANGE="+name)
-	r.askUntilDeath("behind the write of "+name, func() { r.ask(name) })
+	r.publishUntilExit("behind the write of "+name, func() { r.publish(name) })
 	if r.acknowledged != acknowledged {
-		r.w.t.Errorf("%s was acknowledged: the writer did not die between its write and its answer", name)
+		r.world.t.Errorf("%s was acknowledged: the writer did not die between its write and its answer", name)
 	}
 	for _, resource := range r.logged() {
 		if resource.Name == name {
 			return resource
 		}
 	}
-	r.w.t.Fatalf("%s is not in the writer's log: the writer died before its write", name)
+	r.world.t.Fatalf("%s is not in the writer's log: the writer died before its write", name)
 	return distribution.Resource{}
 }
 
-// askUntilDeath asks again and again until the writer's process has ended.
-func (r *writerRun) askUntilDeath(where string, ask func()) {
-	r.w.t.Helper()
-	writer := r.w.writer()
+// publishUntilExit asks again and again until the writer's process has ended.
+func (r *writerRun) publishUntilExit(where string, ask func()) {
+	r.world.t.Helper()
+	writer := r.world.writer()
 	writer.mu.Lock()
 	end := writer.end
 	writer.mu.Unlock()
-	for until := time.Now().Add(patience); time.Now().Before(until); {
+	for until := time.Now().Add(eventuallyTimeout); time.Now().Before(until); {
 		select {
 		case <-end:
 			return
@@ -134,16 +134,16 @@
 		}
 		ask()
 	}
-	r.w.t.Fatalf("the writer does not die %s", where)
+	r.world.t.Fatalf("the writer does not die %s", where)
 }
 
-// ask asks for one change of a name, each with a content of its own, and looks at both relays.
-func (r *writerRun) ask(name string) {
-	r.asked++
+// publish asks for one change of a name, each with a content of its own, and looks at both relays.
+func (r *writerRun) publish(name string) {
+	r.published++
 	put := &distribution.Put{Name: name, Scope: distribution.Scope{Labels: map[string]string{"service": "none"}},
-		Content: fmt.Appendf(nil, `{"note":%d}`, r.asked)}
+		Content: fmt.Appendf(nil, `{"note":%d}`, r.published)}
 	var out api.SettingsPutOut
-	err := r.w.operator.Agent(r.w.writer().name).CallFor(context.Background(), 2*time.Second, api.SettingsPut, put, &out)
+	err := r.world.operator.Agent(r.world.writer().name).CallFor(context.Background(), 2*time.Second, api.SettingsPut, put, &out)
 	if err != nil {
 		time.Sleep(10 * time.Millisecond) // it begins, or has just died
 		return
@@ -151,28 +151,28 @@
 	r.acknowledged++
 	r.seen.saw(out.Resource)
 	r.latest[put.Name] = out.Resource
-	r.w.look(r.seen, r.w.relays)
+	r.world.look(r.seen, r.world.relays)
 }
 
 // logged reads the log that a dead writer left on its disk.
 func (r *writerRun) logged() []distribution.Resource {
-	r.w.t.Helper()
-	config, err := agent.LoadConfig(r.w.writer().config)
+	r.world.t.Helper()
+	config, err := agent.LoadConfig(r.world.writer().config)
 	if err != nil {
-		r.w.t.Fatal(err)
+		r.world.t.Fatal(err)
 	}
 	record, err := agentstore.Record(config)(filepath.Join(config.StateDir, "record.db"))
 	if err != nil {
-		r.w.t.Fatal(err)
+		r.world.t.Fatal(err)
 	}
 	defer record.Close()
 	snapshot, err := record.Load(context.Background())
 	if err != nil {
-		r.w.t.Fatal(err)
+		r.world.t.Fatal(err)
 	}
 	state, err := distribution.Restore(distribution.DefaultLimits(), snapshot.Settings)
 	if err != nil {
-		r.w.t.Fatal(err)
+		r.world.t.Fatal(err)
 	}
 	resources := state.Resources()
 	for _, resource := range resources {
@@ -184,28 +184,28 @@
 // checkUnanswered says whether a change that was written and not answered is there as it was
 // written, at the writer and at each relay.
 func (r *writerRun) checkUnanswered(want distribution.Resource) {
-	r.w.t.Helper()
-	r.w.copied(want.Revision, r.w.relays...)
-	for _, relay := range r.w.relays {
+	r.world.t.Helper()
+	r.world.copied(want.Revision, r.world.relays...)
+	for _, relay := range r.world.relays {
 		var out api.SettingsGetOut
-		if err := r.w.operator.Agent(relay.name).Call(context.Background(), api.SettingsGet, &api.SettingsGetIn{Prefix: want.Name}, &out); err != nil {
-			r.w.t.Fatal(err)
+		if err := r.world.operator.Agent(relay.name).Call(context.Background(), api.SettingsGet, &api.SettingsGetIn{Prefix: want.Name}, &out); err != nil {
+			r.world.t.Fatal(err)
 		}
 		if len(out.Resources) != 1 || out.Resources[0].Revision != want.Revision || out.Resources[0].Hash != want.Hash {
-			r.w.t.Errorf("%s holds %+v; the writer's log had revision %v of hash %s", relay.name, out.Resources, want.Revision, want.Hash)
+			r.world.t.Errorf("%s holds %+v; the writer's log had revision %v of hash %s", relay.name, out.Resources, want.Revision, want.Hash)
 		}
 	}
 }
 
 // check says whether all that was acknowledged is there, or what was asked for later.
 func (r *writerRun) check() {
-	r.w.t.Helper()
+	r.world.t.Helper()
 	if r.acknowledged == 0 || r.acknowledged >= len(r.seen.hashes) {
-		r.w.t.Errorf("%d changes were acknowledged, %d revisions seen: the writer did not die between its write and its answer", r.acknowledged, len(r.seen.hashes))
+		r.world.t.Errorf("%d changes were acknowledged, %d revisions seen: the writer did not die between its write and its answer", r.acknowledged, len(r.seen.hashes))
 	}
-	_, resources, err := r.w.operator.Resources(context.Background(), "", "notes/")
+	_, resources, err := r.world.operator.Resources(context.Background(), "", "notes/")
 	if err != nil {
-		r.w.t.Fatal(err)
+		r.world.t.Fatal(err)
 	}
 	have := make(map[string]distribution.Resource)
 	for _, resource := range resources {
@@ -215,7 +215,7 @@
 	for name, want := range r.latest {
 		got := have[name]
 		if want.Revision.After(got.Revision) || want.Revision == got.Revision && want.Hash != got.Hash {
-			r.w.t.Errorf("%s is of revision %v; revision %v was acknowledged", name, got.Revision, want.Revision)
+			r.world.t.Errorf("%s is of revision %v; revision %v was acknowledged", name, got.Revision, want.Revision)
 		}
 	}
 }
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -71,7 +71,7 @@
 		t.Errorf("the new writer acknowledges revision %v in epoch %d", change, epoch)
 	}
 	w.inForceBy(next, change, 3)
-	limit := w.bodyLimit(w.hosts[0].insts[0])
+	limit := w.bodyLimit(w.hosts[0].instances[0])
 	w.limits(limit, instances(w.hosts...))
 
 	// The old writer acknowledges changes, many enough that its numbers pass the new one's.
@@ -108,14 +108,14 @@
 	for _, agent := range all {
 		agent.start()
 	}
-	w.ready()
+	w.waitReady()
 	w.knowsWriter(next, epoch, w.relays...)
 	last := w.publish("limits/all", memoryLimit(80))
 	if last.Epoch != epoch || !last.After(change) {
 		t.Errorf("after a restart of all, revision %v follows %v", last, change)
 	}
 	w.inForceBy(next, last, 3)
-	w.noneHoldsVoid(w.relays, w.bodyLimit(w.hosts[0].insts[0]))
+	w.noneHoldsVoid(w.relays, w.bodyLimit(w.hosts[0].instances[0]))
 }
 
 // putAt asks one relay for a change, whoever writes.
@@ -143,7 +143,7 @@
 		}
 	}
 	for _, h := range w.hosts {
-		if revision, there := w.accepted(h, h.insts[0])["limits/void"]; there {
+		if revision, there := w.accepted(h, h.instances[0])["limits/void"]; there {
 			w.t.Errorf("%s accepted revision %v of the old writer", h.name, revision)
 		}
 	}
--- a/internal/fleet/e2e/staged_faults_test.go
+++ b/internal/fleet/e2e/staged_faults_test.go
@@ -17,16 +17,18 @@
 // A sound change passes all stages. Its command is killed in mid-stage and another
 // goes on: no instance is changed twice, and the time that nobody looked on does
 // not count.
-func TestCommandKilledMidStage(t *testing.T) {
+func TestStagedChangeResumesAfterCommandKilled(t *testing.T) {
 	t.Parallel()
 	w := stagedWorld(t, 2, 5)
-	requests := w.load()
-	first := w.change(append([]string{"start", "--stages", "3,7,100%", "--binary", filepath.Join(w.bin, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quick...)...)
-	rep := w.until("a first stage that runs", func(r *client.Report) bool { return r.Stages != nil && r.Stages.State.Stage == 1 && touched(r) == 3 })
+	requests := w.startLoad()
+	first := w.change(append([]string{"start", "--stages", "3,7,100%", "--binary", filepath.Join(w.bin, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
+	rep := w.waitForReport("a first stage that runs", func(r *client.Report) bool {
+		return r.Stages != nil && r.Stages.State.Stage == 1 && countChanged(r) == 3
+	})
 	first.cmd.Process.Kill()
 	<-first.done
 	begun := rep.Stages.Number
-	w.until("a lease that has run out", func(r *client.Report) bool { return r.LeaseHolder == "" })
+	w.waitForReport("a lease that has run out", func(r *client.Report) bool { return r.LeaseHolder == "" })
 	rep = w.change("resume", rep.Operation.ID, "--lease", "3s").report()
 	requests.stop()
 	if rep.Result != rollout.Succeeded || rep.Stages.Number <= begun || !rep.Stages.State.Done {
@@ -41,7 +43,7 @@
 			t.Errorf("%q is not once in %q", want, seen)
 		}
 	}
-	for _, h := range w.ready() {
+	for _, h := range w.waitReady() {
 		for _, i := range h.Instances {
 			if i.Generation != 2 || i.Running != rep.Operation.Release {
 				t.Errorf("%s is at generation %d and runs %.12s", i.Name, i.Generation, i.Running)
@@ -56,16 +58,18 @@
 // The command is cut off from one host in mid-stage, both ways, then one way only, and
 // then the host's agent is stopped: it waits for the evidence, changes nothing new, and
 // goes on once it is back.
-func TestCommandCutOff(t *testing.T) {
-	long(t)
+func TestPartitionedCommandPausesChange(t *testing.T) {
+	skipShort(t)
 	t.Parallel()
 	w := stagedWorld(t, 2, 5)
 	n := faultnet.New(1)
 	t.Cleanup(n.Close)
 	links := w.links(n)
-	requests := w.load()
-	c := w.change(append([]string{"start", "--stages", "4,100%", "--give-up", "60s", "--binary", filepath.Join(w.bin, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quick...)...)
-	w.until("a first stage that runs", func(r *client.Report) bool { return r.Stages != nil && r.Stages.State.Stage == 1 && touched(r) == 4 })
+	requests := w.startLoad()
+	c := w.change(append([]string{"start", "--stages", "4,100%", "--give-up", "60s", "--binary", filepath.Join(w.bin, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
+	w.waitForReport("a first stage that runs", func(r *client.Report) bool {
+		return r.Stages != nil && r.Stages.State.Stage == 1 && countChanged(r) == 4
+	})
 	stall := func(ways faultnet.Way) func(bool) {
 		return func(bad bool) { links[1].Set(map[bool]faultnet.Fault{true: {Stall: ways}}[bad]) }
 	}
@@ -73,21 +77,21 @@
 		w.hosts[1].signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[bad])
 	}} {
 		set(true)
-		rep := w.until("a change that waits for evidence", func(r *client.Report) bool {
+		rep := w.waitForReport("a change that waits for evidence", func(r *client.Report) bool {
 			return strings.Contains(r.Stages.State.PauseReason, "no evidence of host "+w.hosts[1].name)
 		})
-		if got := touched(rep); got > 4 { // those of a stopped agent can't be seen
+		if got := countChanged(rep); got > 4 { // those of a stopped agent can't be seen
 			t.Errorf("fault %d: %d instances were touched; the stage has 4", n, got)
 		}
 		set(false)
-		w.until("a change that waits no more", func(r *client.Report) bool { return r.Stages.State.PauseReason == "" })
+		w.waitForReport("a change that waits no more", func(r *client.Report) bool { return r.Stages.State.PauseReason == "" })
 	}
 	rep := c.report()
 	requests.stop()
 	if rep.Result != rollout.Succeeded {
 		t.Errorf("%s because %s", rep.Result, rep.Why)
 	}
-	for _, h := range w.ready() {
+	for _, h := range w.waitReady() {
 		for _, i := range h.Instances {
 			if i.Generation != 2 {
 				t.Errorf("%s is at generation %d: it was changed %d times", i.Name, i.Generation, i.Generation-1)
@@ -98,14 +102,14 @@
 
 // The command dies, and then the new version begins to crash: with nobody to direct
 // them the agents take back what plainly fails, and say so.
-func TestAgentsHoldAlone(t *testing.T) {
+func TestAgentsRollBackWithoutCommand(t *testing.T) {
 	t.Parallel()
 	w := stagedWorld(t, 2, 4)
 	base := w.running()
 	mark := filepath.Join(w.dir, "crash")
 	bad := w.script("bad", fmt.Sprintf("#!/bin/sh\ntest -e %[2]q && exit 1\n%[1]q &\npid=$!\ntrap 'kill -TERM $pid; wait $pid; exit 0' TERM\nwhile kill -0 $pid; do test -e %[2]q && kill -KILL $pid && exit 1; sleep 0.1; done\n", filepath.Join(w.bin, "sidecar"), mark))
-	c := w.change(append([]string{"start", "--stages", "3,100%", "--alone", "2s", "--binary", bad}, quick...)...)
-	w.until("a first stage that runs", func(r *client.Report) bool {
+	c := w.change(append([]string{"start", "--stages", "3,100%", "--alone", "2s", "--binary", bad}, quickChange...)...)
+	w.waitForReport("a first stage that runs", func(r *client.Report) bool {
 		n := 0
 		for _, row := range r.Rows {
 			if row.Outcome == rollout.Changed {
@@ -119,7 +123,7 @@
 	if err := os.WriteFile(mark, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	rep := w.until("three that their agents took back", func(r *client.Report) bool {
+	rep := w.waitForReport("three that their agents took back", func(r *client.Report) bool {
 		n := 0
 		for _, row := range r.Rows {
 			if row.Outcome == rollout.RolledBack {
@@ -128,7 +132,7 @@
 		}
 		return n == 3
 	})
-	w.asBefore(base)
+	w.checkRelease(base)
 	for _, row := range rep.Rows {
 		for _, s := range row.Steps {
 			if s.Kind == api.Rollback && !strings.Contains(s.Cause, "alone") {
@@ -136,7 +140,7 @@
 			}
 		}
 	}
-	if n := touched(rep); n != 3 {
+	if n := countChanged(rep); n != 3 {
 		t.Errorf("%d instances were touched; the stage has 3", n)
 	}
 }
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -20,7 +20,7 @@
 
 // A release that does worse is found in its first stage and taken back; nobody
 // beyond that stage is touched and no request is lost.
-func TestStageStops(t *testing.T) {
+func TestWorseReleaseStopsInFirstStage(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		overlay func(t *testing.T) string // "": the program is at fault
@@ -57,25 +57,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if name != "fails a third" {
-				long(t)
+				skipShort(t)
 			}
 			t.Parallel()
 			w := stagedWorld(t, 2, 5)
 			base := w.running()
-			args := append([]string{"start", "--stages", "3,100%"}, quick...)
+			args := append([]string{"start", "--stages", "3,100%"}, quickChange...)
 			if c.overlay != nil {
 				args = append(args, "--overlay", w.overlay(fmt.Sprintf(`{"discovery": %q}`, c.overlay(t))), "--binary", filepath.Join(w.bin, "sidecar"))
 			} else {
 				args = append(args, "--binary", w.script("bad", fmt.Sprintf(c.program, filepath.Join(w.bin, "sidecar"))))
 			}
-			requests := w.load()
+			requests := w.startLoad()
 			rep := w.change(args...).report()
-			w.asBefore(base)
+			w.checkRelease(base)
 			requests.stop()
 			if rep.Result != rollout.WentBack || !strings.Contains(rep.Why, c.by) {
 				t.Errorf("%s because %s; want it taken back by %q", rep.Result, rep.Why, c.by)
 			}
-			if n := touched(rep); n == 0 || n > 3 {
+			if n := countChanged(rep); n == 0 || n > 3 {
 				t.Errorf("%d instances were touched; the stage has 3", n)
 			}
 			if c.program == "" {
@@ -90,8 +90,8 @@
 
 // While the servers are bad for all, a change waits: it is neither stopped nor goes
 // on. When they are well again, it passes.
-func TestBadMinuteHolds(t *testing.T) {
-	long(t)
+func TestFaultyServersPauseChange(t *testing.T) {
+	skipShort(t)
 	t.Parallel()
 	var bad atomic.Bool
 	w := stagedWorld(t, 2, 5, servers(t, func(n int64, w http.ResponseWriter, _ *http.Request) bool {
@@ -101,16 +101,16 @@
 		}
 		return false
 	}))
-	requests := w.load()
-	c := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quick...)...)
-	w.until("a first stage", func(r *client.Report) bool {
+	requests := w.startLoad()
+	c := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
+	w.waitForReport("a first stage", func(r *client.Report) bool {
 		return r.Result == api.OpOpened && r.Stages != nil && r.Stages.State.Stage == 1
 	})
 	bad.Store(true)
-	rep := w.until("a change that waits", func(r *client.Report) bool {
+	rep := w.waitForReport("a change that waits", func(r *client.Report) bool {
 		return r.Result == api.OpOpened && r.Stages != nil && strings.Contains(r.Stages.State.PauseReason, "a bad day")
 	})
-	if n := touched(rep); n != 3 {
+	if n := countChanged(rep); n != 3 {
 		t.Errorf("%d instances were touched while it waits; the stage has 3", n)
 	}
 	bad.Store(false)
@@ -124,8 +124,8 @@
 // New ones that load the servers for all make the old ones as bad as themselves. That
 // can't be told from a bad day, so the change waits: it never goes on, and whoever
 // looks is told why.
-func TestHarmToOthers(t *testing.T) {
-	long(t)
+func TestHarmToBaselinePausesChange(t *testing.T) {
+	skipShort(t)
 	t.Parallel()
 	// The servers bear so many requests in half a second, whoever sends them.
 	const bears = 100
@@ -154,10 +154,10 @@
 		}
 	}
 	w := stagedWorld(t, 2, 4, servers(t, shared(1)))
-	requests := w.load()
+	requests := w.startLoad()
 	defer requests.stop()
-	c := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(fmt.Sprintf(`{"discovery": %q}`, servers(t, shared(20))))}, quick...)...)
-	rep := w.until("a change that waits", func(r *client.Report) bool {
+	c := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(fmt.Sprintf(`{"discovery": %q}`, servers(t, shared(20))))}, quickChange...)...)
+	rep := w.waitForReport("a change that waits", func(r *client.Report) bool {
 		return r.Stages != nil && strings.Contains(r.Stages.State.PauseReason, "the change's doing or a bad day")
 	})
 	time.Sleep(3 * time.Second) // longer than a stage lasts at least
@@ -165,7 +165,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := touched(rep); n != 3 || rep.Stages.State.Stage != 1 || rep.Result != api.OpOpened {
+	if n := countChanged(rep); n != 3 || rep.Stages.State.Stage != 1 || rep.Result != api.OpOpened {
 		t.Errorf("%s in stage %d, %d instances touched; want it to wait in stage 1 with 3", rep.Result, rep.Stages.State.Stage, n)
 	}
 	if _, errs, code := w.command("change", "abort", rep.Operation.ID); code != 0 {
@@ -178,25 +178,25 @@
 
 // Settings go by file and SIGHUP: the same processes run on. Settings that a sidecar
 // turns down fail with its reason, and leave all as it was.
-func TestSettingsInStages(t *testing.T) {
+func TestStagedSettingsReload(t *testing.T) {
 	t.Parallel()
 	w := stagedWorld(t, 1, 8)
 	base, pids := w.running(), make(map[string]int)
-	for _, i := range w.ready()[0].Instances {
+	for _, i := range w.waitReady()[0].Instances {
 		pids[i.Name] = i.PID
 	}
-	requests := w.load()
-	rep := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(`{"settings":{"classes":"none"}}`)}, quick...)...).report()
+	requests := w.startLoad()
+	rep := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(`{"settings":{"classes":"none"}}`)}, quickChange...)...).report()
 	if rep.Result != rollout.WentBack || !strings.Contains(rep.Why, "it kept its earlier configuration: ") {
 		t.Errorf("turned down: %s because %s", rep.Result, rep.Why)
 	}
-	w.asBefore(base)
-	rep = w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(`{"settings":{"caps":{"attemptsCap":4}}}`)}, quick...)...).report()
+	w.checkRelease(base)
+	rep = w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(`{"settings":{"caps":{"attemptsCap":4}}}`)}, quickChange...)...).report()
 	requests.stop()
 	if rep.Result != rollout.Succeeded {
 		t.Errorf("%s because %s", rep.Result, rep.Why)
 	}
-	for _, i := range w.ready()[0].Instances {
+	for _, i := range w.waitReady()[0].Instances {
 		if i.PID != pids[i.Name] || i.Running != rep.Operation.Release {
 			t.Errorf("%s: pid %d, was %d; runs %.12s", i.Name, i.PID, pids[i.Name], i.Running)
 		}
@@ -207,13 +207,13 @@
 }
 
 // Two operators: the second is told who holds the fleet, and nothing of its changes.
-func TestStagedTwoOperators(t *testing.T) {
+func TestSecondOperatorIsRejected(t *testing.T) {
 	t.Parallel()
 	w := stagedWorld(t, 1, 4)
 	overlay := w.overlay(`{"limits":{"memory_mb":96}}`)
-	c := w.change(append([]string{"start", "--stages", "1,100%", "--overlay", overlay}, quick...)...)
-	w.until("an open operation", func(r *client.Report) bool { return r.Result == api.OpOpened })
-	_, errs, code := w.command(append([]string{"change", "start", "--stages", "1,100%", "--overlay", overlay}, quick...)...)
+	c := w.change(append([]string{"start", "--stages", "1,100%", "--overlay", overlay}, quickChange...)...)
+	w.waitForReport("an open operation", func(r *client.Report) bool { return r.Result == api.OpOpened })
+	_, errs, code := w.command(append([]string{"change", "start", "--stages", "1,100%", "--overlay", overlay}, quickChange...)...)
 	if code != 1 || !strings.Contains(errs, "nothing was changed") || !strings.Contains(errs, "is held by") {
 		t.Errorf("the second operator: code %d, %s", code, errs)
 	}
@@ -226,19 +226,19 @@
 
 // Programs that may not stand side by side are refused before anything is touched; two
 // builds that may go through the stages beside each other.
-func TestMixedVersions(t *testing.T) {
-	long(t)
+func TestIncompatibleVersionsAreRejected(t *testing.T) {
+	skipShort(t)
 	t.Parallel()
 	w := stagedWorld(t, 1, 8)
 	base := w.running()
 	other := w.script("other", fmt.Sprintf("#!/bin/sh\ntest \"$1\" = versions && echo '{\"program\":\"sidecar\",\"hand_over\":99,\"agent\":1}' && exit\nexec %q \"$@\"\n", filepath.Join(w.bin, "sidecar")))
-	requests := w.load()
-	_, errs, code := w.command(append([]string{"change", "start", "--stages", "2,100%", "--binary", other}, quick...)...)
+	requests := w.startLoad()
+	_, errs, code := w.command(append([]string{"change", "start", "--stages", "2,100%", "--binary", other}, quickChange...)...)
 	if code != 1 || !strings.Contains(errs, "nothing was changed") || !strings.Contains(errs, "versions 1 and 99 of the hand-over") {
 		t.Errorf("code %d, %s", code, errs)
 	}
-	w.asBefore(base)
-	for _, i := range w.ready()[0].Instances {
+	w.checkRelease(base)
+	for _, i := range w.waitReady()[0].Instances {
 		if i.Generation != 1 || i.Operation != "" {
 			t.Errorf("%s was touched: %+v", i.Name, i)
 		}
@@ -247,7 +247,7 @@
 	if b, err := exec.Command("go", "build", "-tags", "record", "-o", second, "martendrum/cmd/sidecar").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, b)
 	}
-	rep := w.change(append([]string{"start", "--stages", "3,100%", "--binary", second}, quick...)...).report()
+	rep := w.change(append([]string{"start", "--stages", "3,100%", "--binary", second}, quickChange...)...).report()
 	requests.stop()
 	if rep.Result != rollout.Succeeded {
 		t.Errorf("%s because %s", rep.Result, rep.Why)
--- a/internal/fleet/e2e/staged_world_test.go
+++ b/internal/fleet/e2e/staged_world_test.go
@@ -21,11 +21,11 @@
 	"martendrum/internal/standin/shop"
 )
 
-// turns lets one such world at a time run: each has its clients, and the other tests are
+// worldTurn lets one such world at a time run: each has its clients, and the other tests are
 // held to times. With -short, as in CI, only some do; long skips the others.
-var turns = make(chan struct{}, 1)
+var worldTurn = make(chan struct{}, 1)
 
-func long(t *testing.T) {
+func skipShort(t *testing.T) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("without -short")
@@ -36,8 +36,8 @@
 // its sidecars to other servers than the world's own.
 func stagedWorld(t testing.TB, hosts, each int, discovery ...string) *world {
 	t.Helper()
-	turns <- struct{}{}
-	t.Cleanup(func() { <-turns })
+	worldTurn <- struct{}{}
+	t.Cleanup(func() { <-worldTurn })
 	w := newWorldOn(t, hosts, each, "[figures]\nslot = \"500ms\"\nkeep = \"5m\"\n")
 	for _, d := range discovery {
 		files, err := filepath.Glob(filepath.Join(w.dir, "h*", "h*.json"))
@@ -80,23 +80,23 @@
 
 // change is a running `martendrum change`, of which the agents' records are watched.
 type change struct {
-	w    *world
-	cmd  *exec.Cmd
-	out  strings.Builder
-	errs strings.Builder
-	done chan struct{}
-	id   string
+	world *world
+	cmd   *exec.Cmd
+	out   strings.Builder
+	errs  strings.Builder
+	done  chan struct{}
+	id    string
 }
 
-// quick is what a change in a test needs beside what it is about: stages that last
+// quickChange is what a change in a test needs beside what it is about: stages that last
 // seconds, and margins for some hundred requests.
-var quick = slices.Clip([]string{"--all", "--least", "2s", "--longest", "40s", "--past", "6", "--warm", "500ms", "--soak", "200ms", "--batch", "3", "--max-unavailable", "6",
+var quickChange = slices.Clip([]string{"--all", "--least", "2s", "--longest", "40s", "--past", "6", "--warm", "500ms", "--soak", "200ms", "--batch", "3", "--max-unavailable", "6",
 	"--lease", "3s", "--seed", "1", "--max-shop", "", "--margin", "unserved=0.03:0.3", "--margin", "worth=0.03:0.3", "--margin", "failed=0.03:0.3",
 	"--margin", "slow=0.3:0.9", "--margin", "attempts=0.1:0.6", "--margin", "declined=0.1:0.6", "--margin", "crashes=1:12", "--margin", "memory=off", "--margin", "files=off"})
 
 func (w *world) change(args ...string) *change {
 	w.t.Helper()
-	c := &change{w: w, done: make(chan struct{})}
+	c := &change{world: w, done: make(chan struct{})}
 	c.cmd = exec.Command(filepath.Join(w.bin, "martendrum"), append([]string{"--fleet", w.inv, "--json", "change"}, args...)...)
 	c.cmd.Stdout, c.cmd.Stderr = &c.out, &c.errs
 	if err := c.cmd.Start(); err != nil {
@@ -118,22 +118,22 @@
 
 // report waits for the command's end and reads what it printed.
 func (c *change) report() *client.Report {
-	c.w.t.Helper()
+	c.world.t.Helper()
 	select {
 	case <-c.done:
 	case <-time.After(90 * time.Second):
-		c.w.t.Fatal("the change has not come to its end")
+		c.world.t.Fatal("the change has not come to its end")
 	}
 	rep := &client.Report{}
 	if err := json.Unmarshal([]byte(c.out.String()), rep); err != nil {
-		c.w.t.Fatalf("report: %v: %s %s", err, c.out.String(), c.errs.String())
+		c.world.t.Fatalf("report: %v: %s %s", err, c.out.String(), c.errs.String())
 	}
 	c.id = rep.Operation.ID
 	return rep
 }
 
-// until watches the agents' records until a report of the change fits.
-func (w *world) until(what string, fits func(*client.Report) bool) *client.Report {
+// waitForReport watches the agents' records until a report of the change fits.
+func (w *world) waitForReport(what string, fits func(*client.Report) bool) *client.Report {
 	w.t.Helper()
 	var rep *client.Report
 	eventually(w.t, what, func() bool {
@@ -154,11 +154,11 @@
 	return rep
 }
 
-// load sends each instance a request each 40 ms or so, an activate in two.
-func (w *world) load() *clients { return w.traffic(40 * time.Millisecond) }
+// startLoad sends each instance a request each 40 ms or so, an activate in two.
+func (w *world) startLoad() *clients { return w.startTraffic(40 * time.Millisecond) }
 
-// touched is how many instances ever ran the operation's release.
-func touched(rep *client.Report) (n int) {
+// countChanged is how many instances ever ran the operation's release.
+func countChanged(rep *client.Report) (n int) {
 	for _, r := range rep.Rows {
 		for _, s := range r.Steps {
 			if s.Kind == api.Change {
@@ -169,10 +169,10 @@
 	return n
 }
 
-// asBefore says that every instance is ready and runs what it ran at first.
-func (w *world) asBefore(base string) {
+// checkRelease says that every instance is ready and runs what it ran at first.
+func (w *world) checkRelease(base string) {
 	w.t.Helper()
-	for _, h := range w.ready() {
+	for _, h := range w.waitReady() {
 		for _, i := range h.Instances {
 			if i.Running != base || i.Release != base {
 				w.t.Errorf("%s runs %.12s (wanted %.12s); it ran %.12s before", i.Name, i.Running, i.Release, base)
@@ -181,7 +181,7 @@
 	}
 }
 
-func (w *world) running() string { return w.ready()[0].Instances[0].Running }
+func (w *world) running() string { return w.waitReady()[0].Instances[0].Running }
 
 func (w *world) overlay(text string) string {
 	w.t.Helper()
--- a/internal/fleet/e2e/store_test.go
+++ b/internal/fleet/e2e/store_test.go
@@ -21,7 +21,7 @@
 
 // The record can't be written: a change is refused before anything is touched, the
 // list says why, and it goes on once there is room.
-func TestRecordFull(t *testing.T) {
+func TestFullStoreRejectsChange(t *testing.T) {
 	s := simulate(t, 1, 1, time.Millisecond, time.Millisecond, nil)
 	ctx, a := context.Background(), s.fleet.Agents[0]
 	op := s.op(api.ActRestart)
@@ -62,14 +62,14 @@
 }
 
 // The record is lost: sidecars go on, and the new record names what runs.
-func TestRecordLost(t *testing.T) {
+func TestLostStoreIsRebuilt(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 1, 2)
 	w.startAll()
 	if rep, err := w.fleet.Start(context.Background(), w.op(api.ActRestart, nil), options()); err != nil || !rep.OK() {
 		t.Fatal(rep, err)
 	}
-	before := w.ready()[0].Instances
+	before := w.waitReady()[0].Instances
 	h := w.hosts[0]
 	h.kill()
 	files, _ := filepath.Glob(filepath.Join(filepath.Dir(h.config), "s", "record.db*"))
@@ -82,8 +82,8 @@
 		}
 	}
 	h.start()
-	states := w.ready()
-	w.observed(states)
+	states := w.waitReady()
+	w.checkAgainstProcesses(states)
 	for n, i := range states[0].Instances {
 		if b := before[n]; i.PID != b.PID || i.Generation != b.Generation || i.Release != b.Release {
 			t.Errorf("before %+v\nafter  %+v", b, i)
@@ -93,7 +93,7 @@
 
 // An instance with a store of record: inspect shows how it does, list marks one that is
 // away. The sidecar starts without its database.
-func TestRecordIsShown(t *testing.T) {
+func TestIdempotencyStoreStateIsShown(t *testing.T) {
 	t.Parallel()
 	pg, err := pgserver.Start(pgserver.Config{})
 	if err != nil {
@@ -125,7 +125,7 @@
 	}
 	says("inspect h0-i0", "postgres; breaker=")
 	eventually(t, "an open breaker", func() bool {
-		req, err := http.NewRequest("POST", "http://"+h.listen["h0-i0"]+"/activate/1", strings.NewReader("x"))
+		req, err := http.NewRequest("POST", "http://"+h.listenAddress["h0-i0"]+"/activate/1", strings.NewReader("x"))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/e2e/traffic_test.go
+++ b/internal/fleet/e2e/traffic_test.go
@@ -22,16 +22,16 @@
 	lost   []string
 }
 
-// crossing is how long before a sidecar's end a request may be written that it
+// shutdownRace is how long before a sidecar's end a request may be written that it
 // did not take any more: it closes its listener 700 ms after SIGTERM, and whoever
 // connects at that moment is not served. All that came before SIGTERM is older.
-const crossing = 400 * time.Millisecond
+const shutdownRace = 400 * time.Millisecond
 
-func (w *world) traffic(each time.Duration) *clients {
+func (w *world) startTraffic(each time.Duration) *clients {
 	c := &clients{end: make(chan struct{}), kills: make(map[string][]time.Time)}
 	n := 0
 	for _, h := range w.hosts {
-		for name, addr := range h.listen {
+		for name, addr := range h.listenAddress {
 			n++
 			c.wg.Go(func() {
 				for id := 0; ; id++ {
@@ -40,7 +40,7 @@
 						return
 					case <-time.After(each/2 + rand.N(each)):
 					}
-					c.ask(name, addr, fmt.Sprintf("%s-%d", name, id), id%2 == 0)
+					c.send(name, addr, fmt.Sprintf("%s-%d", name, id), id%2 == 0)
 				}
 			})
 		}
@@ -48,7 +48,7 @@
 	return c
 }
 
-func (c *clients) ask(name, addr, id string, activate bool) {
+func (c *clients) send(name, addr, id string, activate bool) {
 	nc, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return // nobody there: nothing was taken
@@ -82,7 +82,7 @@
 				return // it was killed, which is no sidecar's fault
 			}
 		}
-		if got.Sub(wrote) > crossing {
+		if got.Sub(wrote) > shutdownRace {
 			c.lost = append(c.lost, fmt.Sprintf("%s: no answer %v after it was sent: %v", id, got.Sub(wrote), err))
 		}
 	}
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -20,11 +20,11 @@
 // Fifty sidecars under ten agents are upgraded while sidecars and agents are
 // killed by a seeded schedule and requests run. Every one is in the report once,
 // what is reported is what is, and no request that a living sidecar took is lost.
-func TestFiftyInstancesUpgrade(t *testing.T) {
+func TestUpgradeUnderKillsLosesNothing(t *testing.T) {
 	w := newWorld(t, 10, 5)
 	w.startAll()
 	hash := w.release(filepath.Join(w.bin, "sidecar"), `{"limits":{"memory_mb":96}}`)
-	requests := w.traffic(300 * time.Millisecond)
+	requests := w.startTraffic(300 * time.Millisecond)
 
 	rng := rand.New(rand.NewPCG(5, 1))
 	stop := make(chan struct{})
@@ -45,7 +45,7 @@
 				h.start()
 				continue
 			}
-			name := h.insts[rng.IntN(len(h.insts))]
+			name := h.instances[rng.IntN(len(h.instances))]
 			for _, f := range proc.Find(h.name + "/" + name + "/") {
 				requests.killed(name)
 				syscall.Kill(f.PID, syscall.SIGKILL)
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.ready()
+	w.waitReady()
 	time.Sleep(300 * time.Millisecond) // requests to what has just come back
 	requests.stop()
 	t.Logf("%s in %v: %d sidecars and %d agents were killed; %d requests, %d served, %d lost", rep.Result, took.Round(time.Millisecond), sidecars, agents, requests.sent, requests.served, len(requests.lost))
@@ -89,13 +89,13 @@
 		t.Errorf("%d of %d requests were served", requests.served, requests.sent)
 	}
 	// The report at the end, and the one from the records afterwards.
-	w.once(rep, op)
+	w.rowsByInstance(rep, op)
 	if rep, err = w.fleet.Report(context.Background(), op.ID); err != nil {
 		t.Fatal(err)
 	}
-	rows := w.once(rep, op)
-	states := w.ready()
-	w.observed(states)
+	rows := w.rowsByInstance(rep, op)
+	states := w.waitReady()
+	w.checkAgainstProcesses(states)
 	for _, hs := range states {
 		for _, i := range hs.Instances {
 			r := rows[i.Name]
@@ -119,11 +119,11 @@
 
 // A release that never becomes ready, and one that becomes ready and dies while it
 // is soaked: the rollout stops at its limit, takes back what it changed, and says so.
-func TestBadReleases(t *testing.T) {
+func TestFailingReleaseIsRolledBack(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 2, 2)
 	w.startAll()
-	first := w.ready()[0].Instances[0].Release
+	first := w.waitReady()[0].Instances[0].Release
 	for name, c := range map[string]struct{ script, why string }{
 		"never ready":   {"#!/bin/sh\nexec sleep 1000\n", "not ready within"},
 		"dies soaked":   {"#!/bin/sh\n" + filepath.Join(w.bin, "sidecar") + " &\nsleep 1\nkill -9 $!\nwait\nexit 3\n", "ended by itself"},
@@ -155,12 +155,12 @@
 			first = hash
 			continue
 		}
-		rows := w.once(rep, op)
+		rows := w.rowsByInstance(rep, op)
 		if rep.Result != rollout.WentBack || !strings.Contains(rep.Why, c.why) || rows["h0-i0"].Outcome != rollout.RolledBack {
 			t.Errorf("%s: %s because %s, %+v", name, rep.Result, rep.Why, rows["h0-i0"].Outcome)
 		}
-		states := w.ready()
-		w.observed(states)
+		states := w.waitReady()
+		w.checkAgainstProcesses(states)
 		for _, hs := range states {
 			for _, i := range hs.Instances {
 				if i.Running != first {
@@ -177,18 +177,18 @@
 // An upgrade starts each new process beside the old one: nobody who connects is kept
 // out for a moment, and the old process ends only when the new one serves. A release
 // that fails leaves the old process as it was.
-func TestUpgradeHandsOver(t *testing.T) {
+func TestUpgradeRefusesNoConnection(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 1, 2)
 	w.startAll()
 	pids := make(map[string]int)
-	for _, i := range w.ready()[0].Instances {
+	for _, i := range w.waitReady()[0].Instances {
 		pids[i.Name] = i.PID
 	}
-	requests := w.traffic(10 * time.Millisecond)
+	requests := w.startTraffic(10 * time.Millisecond)
 	stop := make(chan struct{})
 	var dials sync.WaitGroup
-	for name, addr := range w.hosts[0].listen {
+	for name, addr := range w.hosts[0].listenAddress {
 		dials.Go(func() {
 			for n := 0; ; n++ {
 				select {
@@ -199,7 +199,7 @@
 					return
 				default:
 				}
-				if _, err := proc.Health(context.Background(), addr, patience); err != nil {
+				if _, err := proc.Health(context.Background(), addr, eventuallyTimeout); err != nil {
 					t.Errorf("%s, call %d: %v", name, n, err)
 				}
 			}
@@ -217,13 +217,13 @@
 		if rep := upgrade(filepath.Join(w.bin, "sidecar"), fmt.Sprintf(`{"limits":{"memory_mb":%d}}`, 90+n)); !rep.OK() {
 			t.Errorf("%s %s", rep.Result, rep.Why)
 		}
-		for _, i := range w.ready()[0].Instances {
+		for _, i := range w.waitReady()[0].Instances {
 			if i.PID == pids[i.Name] {
 				t.Errorf("%s was not replaced", i.Name)
 			}
 			pids[i.Name] = i.PID
 		}
-		w.observed(w.ready())
+		w.checkAgainstProcesses(w.waitReady())
 	}
 	if rep := upgrade(w.script("bad", "#!/bin/sh\nexit 7\n"), ""); rep.OK() || !strings.Contains(rep.Why, "serves on: exit status 7") {
 		t.Errorf("%s %s", rep.Result, rep.Why)
@@ -234,7 +234,7 @@
 	if len(requests.lost) > 0 || requests.served != requests.sent {
 		t.Errorf("%d of %d requests served, lost: %v", requests.served, requests.sent, requests.lost)
 	}
-	for _, i := range w.ready()[0].Instances {
+	for _, i := range w.waitReady()[0].Instances {
 		if i.PID != pids[i.Name] || i.State != "ready" {
 			t.Errorf("after a bad release %s is %s, pid %d, was %d", i.Name, i.State, i.PID, pids[i.Name])
 		}
@@ -242,7 +242,7 @@
 	// What serves on is what is wanted: an agent that comes back leaves it alone.
 	w.hosts[0].kill()
 	w.hosts[0].start()
-	for _, i := range w.ready()[0].Instances {
+	for _, i := range w.waitReady()[0].Instances {
 		if i.PID != pids[i.Name] {
 			t.Errorf("the agent's restart replaced %s", i.Name)
 		}
@@ -251,11 +251,11 @@
 
 // An agent that is killed while two processes serve finds both when it comes back, and
 // brings the replacement to its end.
-func TestAgentKilledInOverlap(t *testing.T) {
+func TestAgentKilledDuringHandover(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 1, 1)
 	w.startAll()
-	name := w.hosts[0].insts[0]
+	name := w.hosts[0].instances[0]
 	for n, c := range []struct {
 		script string // what the new process is, before it serves
 		keeps  bool   // the old one is left
@@ -263,7 +263,7 @@
 		{"#!/bin/sh\nsleep 1\nexec " + filepath.Join(w.bin, "sidecar") + "\n", false},
 		{"#!/bin/sh\nsleep 1\nexit 7\n", true},
 	} {
-		old := w.ready()[0].Instances[0].PID
+		old := w.waitReady()[0].Instances[0].PID
 		hash := w.release(w.script(fmt.Sprint("slow", n), c.script), "")
 		done := make(chan *client.Report, 1)
 		op := w.op(api.ActUpgrade, func(o *api.Operation) { o.Release = hash })
@@ -280,13 +280,13 @@
 		var rep *client.Report
 		select {
 		case rep = <-done:
-		case <-time.After(2 * patience):
+		case <-time.After(2 * eventuallyTimeout):
 			t.Fatal("the upgrade did not end")
 		}
 		if rep == nil || rep.OK() == c.keeps {
 			t.Errorf("case %d: %+v", n, rep)
 		}
-		states := w.ready()
+		states := w.waitReady()
 		if i := states[0].Instances[0]; (i.PID == old) != c.keeps {
 			t.Errorf("case %d: pid %d, was %d", n, i.PID, old)
 		}
--- a/internal/fleet/e2e/verify_test.go
+++ b/internal/fleet/e2e/verify_test.go
@@ -12,10 +12,10 @@
 	"martendrum/internal/fleet/host/proc"
 )
 
-// observed compares what the agents report of each instance with what is seen on
+// checkAgainstProcesses compares what the agents report of each instance with what is seen on
 // sockets and in /proc: one process, alive, of that generation and release,
 // answering where it should.
-func (w *world) observed(states []client.HostState) {
+func (w *world) checkAgainstProcesses(states []client.HostState) {
 	w.t.Helper()
 	found := proc.Find(w.prefix)
 	for _, hs := range states {
@@ -57,8 +57,8 @@
 	}
 }
 
-// once says whether a report has each target exactly once.
-func (w *world) once(rep *client.Report, op api.Operation) map[string]client.InstanceResult {
+// rowsByInstance says whether a report has each target exactly once.
+func (w *world) rowsByInstance(rep *client.Report, op api.Operation) map[string]client.InstanceResult {
 	w.t.Helper()
 	rows := make(map[string]client.InstanceResult)
 	for _, r := range rep.Rows {
--- a/internal/fleet/e2e/world_test.go
+++ b/internal/fleet/e2e/world_test.go
@@ -36,11 +36,11 @@
 
 // host is one agent's.
 type host struct {
-	w      *world
-	name   string
-	config string
-	insts  []string
-	listen map[string]string
+	world         *world
+	name          string
+	config        string
+	instances     []string
+	listenAddress map[string]string
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
@@ -72,7 +72,7 @@
 	var inv strings.Builder
 	inv.WriteString("timeout = \"2s\"\n")
 	for h := range hosts {
-		x := &host{w: w, name: fmt.Sprintf("%s-h%d", w.prefix, h), listen: make(map[string]string)}
+		x := &host{world: w, name: fmt.Sprintf("%s-h%d", w.prefix, h), listenAddress: make(map[string]string)}
 		dir := filepath.Join(w.dir, fmt.Sprint("h", h))
 		if err := os.Mkdir(dir, 0o700); err != nil {
 			t.Fatal(err)
@@ -87,7 +87,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			x.insts, x.listen[name] = append(x.insts, name), listen
+			x.instances, x.listenAddress[name] = append(x.instances, name), listen
 			fmt.Fprintf(&c, "[[instance]]\nname = %q\nconfig = %q\nlabels = {half = \"%d\", zone = \"zone-%d\", shop = \"shop-%d\"}\n", name, path, i%2, i%2, i/2)
 		}
 		x.config = filepath.Join(dir, "agent.toml")
@@ -133,20 +133,20 @@
 func (h *host) start(env ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	cmd := exec.Command(filepath.Join(h.w.bin, "martendrum"), "agent", "--config", h.config)
+	cmd := exec.Command(filepath.Join(h.world.bin, "martendrum"), "agent", "--config", h.config)
 	if len(env) > 0 {
 		cmd = exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), env...)
 	}
 	log, err := os.OpenFile(h.config+".log", os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
-		h.w.t.Error(err)
+		h.world.t.Error(err)
 		return
 	}
 	defer log.Close()
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
-		h.w.t.Error(err)
+		h.world.t.Error(err)
 		return
 	}
 	end := make(chan struct{})
@@ -177,8 +177,8 @@
 	}
 }
 
-// ready waits until every instance of the fleet is ready, and what is wanted.
-func (w *world) ready() []client.HostState {
+// waitReady waits until every instance of the fleet is ready, and what is wanted.
+func (w *world) waitReady() []client.HostState {
 	w.t.Helper()
 	var states []client.HostState
 	defer func() {
@@ -211,7 +211,7 @@
 	for _, h := range w.hosts {
 		h.start()
 	}
-	w.ready()
+	w.waitReady()
 }
 
 // op is an operation on all instances.
@@ -223,8 +223,8 @@
 	}
 	for i := range 64 {
 		for _, h := range w.hosts {
-			if i < len(h.insts) {
-				o.Targets = append(o.Targets, api.Target{Host: h.name, Instance: h.insts[i]})
+			if i < len(h.instances) {
+				o.Targets = append(o.Targets, api.Target{Host: h.name, Instance: h.instances[i]})
 			}
 		}
 	}
