--- a/internal/fleet/e2e/agent_failure_test.go
+++ b/internal/fleet/e2e/agent_failure_test.go
@@ -21,12 +21,11 @@
 // state agree, and each instance was changed once.
 func TestAgentKilledAtEveryWrite(t *testing.T) {
 	t.Parallel()
-	for _, c := range [][2]string{{"sqlite", ""}, {"sqlite", "1"}, {"postgres", ""}, {"postgres", "1"}} {
-		after := c[1]
-		t.Run(c[0]+" after="+after, func(t *testing.T) {
+	for _, c := range []struct{ store, after string }{{"sqlite", ""}, {"sqlite", "1"}, {"postgres", ""}, {"postgres", "1"}} {
+		t.Run(c.store+" after="+c.after, func(t *testing.T) {
 			t.Parallel()
 			record := ""
-			if c[0] == "postgres" {
+			if c.store == "postgres" {
 				s, err := pgserver.Start(pgserver.Config{})
 				if err != nil {
 					t.Fatal(err)
@@ -35,78 +34,12 @@
 				record = fmt.Sprintf("[record]\nstore = \"postgres\"\nurl = %q\n", s.URL())
 			}
 			w := newWorldOn(t, 1, 2, record)
-			h := w.hosts[0]
 			died := true
 			for at := 1; died; at++ {
 				if at > 60 {
 					t.Fatal("the agent dies at write 60 and later: the operation needs no more than 20")
 				}
-				before := make(map[string]int64)
-				for _, hs := range w.fleet.List(context.Background(), &inventory.Select{}) {
-					for _, i := range hs.Instances {
-						before[i.Name] = i.Generation
-					}
-				}
-				h.kill()
-				h.start("E2E_AGENT="+h.config, fmt.Sprint("E2E_CRASH_AT=", at), "E2E_CRASH_AFTER="+after)
-				h.mu.Lock()
-				end := h.end
-				h.mu.Unlock()
-				restarted := make(chan bool, 1)
-				stop := make(chan struct{})
-				go func() {
-					select {
-					case <-end:
-						h.start()
-						restarted <- true
-					case <-stop:
-						restarted <- false
-					}
-				}()
-				op := w.op(api.ActRestart, func(o *api.Operation) { o.Soak = 50 * time.Millisecond })
-				var rep *client.Report
-				eventually(t, "an operation that begins", func() bool {
-					var err error
-					if rep, err = w.fleet.Start(context.Background(), op, options()); err != nil {
-						// It may have been opened before the agent died: then it is ended, and
-						// a new one begins.
-						w.fleet.Abort(context.Background(), op.ID)
-						op.ID += "x"
-					}
-					return err == nil
-				})
-				if rep.Result != rollout.Succeeded {
-					// The agent may have died at the operation's very end.
-					eventually(t, "a report", func() bool {
-						r, err := w.fleet.Report(context.Background(), op.ID)
-						if err == nil {
-							rep = r
-						}
-						return err == nil
-					})
-				}
-				states := w.waitReady()
-				w.checkAgainstProcesses(states)
-				for name, r := range w.rowsByInstance(rep, op) {
-					if r.Outcome != rollout.Changed {
-						t.Errorf("write %d: %s is reported %s: %s", at, name, r.Outcome, r.Reason)
-					}
-				}
-				for _, i := range states[0].Instances {
-					if g, known := before[i.Name]; known && i.Generation != g+1 {
-						t.Errorf("write %d: %s went from generation %d to %d", at, i.Name, g, i.Generation)
-					}
-				}
-				// What is open is ended, and nothing is in the way of the next.
-				w.fleet.Abort(context.Background(), op.ID)
-				eventually(t, "the end of the operation", func() bool {
-					var out api.OpOut
-					err := w.fleet.Agents[0].Call(context.Background(), api.OpStatus, &api.StatusIn{Op: op.ID}, &out)
-					return err == nil && out.State == api.OpClosed
-				})
-				// It answers, and writes no more: it has died by now or will not.
-				close(stop)
-				died = <-restarted
+				died = w.restartWithCrash(at, c.after)
 				if t.Failed() {
 					t.Fatalf("at write %d", at)
 				}
@@ -121,6 +54,96 @@
 	}
 }
 
+// restartWithCrash restarts all instances of the one host while its agent kills itself at a
+// write, checks that each was restarted once, and reports whether there was such a write.
+func (w *world) restartWithCrash(at int, after string) (died bool) {
+	w.t.Helper()
+	t, h := w.t, w.hosts[0]
+	before := make(map[string]int64)
+	for _, hs := range w.fleet.List(context.Background(), &inventory.Select{}) {
+		for _, i := range hs.Instances {
+			before[i.Name] = i.Generation
+		}
+	}
+	h.kill()
+	h.start("E2E_AGENT="+h.config, fmt.Sprint("E2E_CRASH_AT=", at), "E2E_CRASH_AFTER="+after)
+	stopWatching := h.startAgainAfterExit()
+	op, rep := w.startUntilAccepted()
+	states := w.waitReady()
+	w.checkAgainstProcesses(states)
+	for name, r := range w.rowsByInstance(rep, op) {
+		if r.Outcome != rollout.Changed {
+			t.Errorf("write %d: %s is reported %s: %s", at, name, r.Outcome, r.Reason)
+		}
+	}
+	for _, i := range states[0].Instances {
+		if g, known := before[i.Name]; known && i.Generation != g+1 {
+			t.Errorf("write %d: %s went from generation %d to %d", at, i.Name, g, i.Generation)
+		}
+	}
+	// An operation that is still open would stand in the way of the next one.
+	w.fleet.Abort(context.Background(), op.ID)
+	eventually(t, "the end of the operation", func() bool {
+		var out api.OpOut
+		err := w.fleet.Agents[0].Call(context.Background(), api.OpStatus, &api.StatusIn{Op: op.ID}, &out)
+		return err == nil && out.State == api.OpClosed
+	})
+	// The agent answers and has nothing left to write: it has died by now or will not.
+	return stopWatching()
+}
+
+// startAgainAfterExit starts the agent anew as soon as its process has ended. The returned
+// function ends the wait and reports whether that happened.
+func (h *host) startAgainAfterExit() (stop func() bool) {
+	h.mu.Lock()
+	exit := h.end
+	h.mu.Unlock()
+	restarted := make(chan bool, 1)
+	end := make(chan struct{})
+	go func() {
+		select {
+		case <-exit:
+			h.start()
+			restarted <- true
+		case <-end:
+			restarted <- false
+		}
+	}()
+	return func() bool {
+		close(end)
+		return <-restarted
+	}
+}
+
+// startUntilAccepted restarts all instances by an operation that an agent which dies may reject
+// at first, and returns it with its report.
+func (w *world) startUntilAccepted() (api.Operation, *client.Report) {
+	w.t.Helper()
+	op := w.op(api.ActRestart, func(o *api.Operation) { o.Soak = 50 * time.Millisecond })
+	var rep *client.Report
+	eventually(w.t, "an operation that begins", func() bool {
+		var err error
+		if rep, err = w.fleet.Start(context.Background(), op, options()); err != nil {
+			// It may have been opened before the agent died: then it is aborted, and
+			// a new one begins.
+			w.fleet.Abort(context.Background(), op.ID)
+			op.ID += "x"
+		}
+		return err == nil
+	})
+	if rep.Result != rollout.Succeeded {
+		// The agent may have died at the operation's very end.
+		eventually(w.t, "a report", func() bool {
+			r, err := w.fleet.Report(context.Background(), op.ID)
+			if err == nil {
+				rep = r
+			}
+			return err == nil
+		})
+	}
+	return op, rep
+}
+
 // An agent stops answering in the midst of a change: it hangs with its connections
 // open, or it dies. The change ends, and does not count what it can't see as done;
 // once the agent is back, its record puts the report right.
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -26,33 +26,7 @@
 	hash := w.release(filepath.Join(w.bin, "sidecar"), `{"limits":{"memory_mb":96}}`)
 	requests := w.startTraffic(300 * time.Millisecond)
 
-	rng := rand.New(rand.NewPCG(5, 1))
-	stop := make(chan struct{})
-	var chaos sync.WaitGroup
-	sidecars, agents := 0, 0
-	chaos.Go(func() {
-		for {
-			select {
-			case <-stop:
-				return
-			case <-time.After(time.Duration(300+rng.IntN(500)) * time.Millisecond):
-			}
-			h := w.hosts[rng.IntN(len(w.hosts))]
-			if rng.IntN(3) == 0 {
-				h.kill()
-				agents++
-				time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
-				h.start()
-				continue
-			}
-			name := h.instances[rng.IntN(len(h.instances))]
-			for _, f := range proc.Find(h.name + "/" + name + "/") {
-				requests.killed(name)
-				syscall.Kill(f.PID, syscall.SIGKILL)
-				sidecars++
-			}
-		}
-	})
+	kills := w.startKills(requests)
 	op := w.op(api.ActUpgrade, func(o *api.Operation) {
 		o.Release, o.Soak = hash, 500*time.Millisecond
 		o.Policy = api.Policy{Batch: 8, Canaries: 2, MaxUnavailable: 16, MaxFailures: 50, OnFailure: api.OnFailureStop}
@@ -67,19 +41,18 @@
 	}
 	rep, err := w.fleet.Start(context.Background(), op, opt)
 	took := time.Since(began)
-	close(stop)
-	chaos.Wait()
+	kills.stop()
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.waitReady()
 	time.Sleep(300 * time.Millisecond) // requests to what has just come back
 	requests.stop()
-	t.Logf("%s in %v: %d sidecars and %d agents were killed; %d requests, %d served, %d lost", rep.Result, took.Round(time.Millisecond), sidecars, agents, requests.sent, requests.served, len(requests.lost))
+	t.Logf("%s in %v: %d sidecars and %d agents were killed; %d requests, %d served, %d lost", rep.Result, took.Round(time.Millisecond), kills.sidecars, kills.agents, requests.sent, requests.served, len(requests.lost))
 	if t.Failed() || testing.Verbose() {
 		t.Log(strings.Join(events, "\n"))
 	}
-	if sidecars == 0 || agents == 0 {
+	if kills.sidecars == 0 || kills.agents == 0 {
 		t.Error("nothing was killed: the test shows nothing")
 	}
 	for _, l := range requests.lost {
@@ -93,7 +66,55 @@
 	if rep, err = w.fleet.Report(context.Background(), op.ID); err != nil {
 		t.Fatal(err)
 	}
-	rows := w.rowsByInstance(rep, op)
+	w.checkUpgradeReport(w.rowsByInstance(rep, op), hash)
+}
+
+// randomKills kills sidecars and agents by a seeded schedule until stop.
+type randomKills struct {
+	sidecars, agents int
+	end              chan struct{}
+	running          sync.WaitGroup
+}
+
+func (w *world) startKills(requests *clients) *randomKills {
+	kills := &randomKills{end: make(chan struct{})}
+	rng := rand.New(rand.NewPCG(5, 1))
+	kills.running.Go(func() {
+		for {
+			select {
+			case <-kills.end:
+				return
+			case <-time.After(time.Duration(300+rng.IntN(500)) * time.Millisecond):
+			}
+			h := w.hosts[rng.IntN(len(w.hosts))]
+			if rng.IntN(3) == 0 {
+				h.kill()
+				kills.agents++
+				time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
+				h.start()
+				continue
+			}
+			name := h.instances[rng.IntN(len(h.instances))]
+			for _, f := range proc.Find(h.name + "/" + name + "/") {
+				requests.killed(name)
+				syscall.Kill(f.PID, syscall.SIGKILL)
+				kills.sidecars++
+			}
+		}
+	})
+	return kills
+}
+
+func (k *randomKills) stop() {
+	close(k.end)
+	k.running.Wait()
+}
+
+// checkUpgradeReport compares the rows of an upgrade's report with what the agents list: each
+// instance was changed once, and its outcome agrees with the release that it runs.
+func (w *world) checkUpgradeReport(rows map[string]client.InstanceResult, hash string) {
+	w.t.Helper()
+	t := w.t
 	states := w.waitReady()
 	w.checkAgainstProcesses(states)
 	for _, hs := range states {
@@ -186,25 +207,7 @@
 		pids[i.Name] = i.PID
 	}
 	requests := w.startTraffic(10 * time.Millisecond)
-	stop := make(chan struct{})
-	var dials sync.WaitGroup
-	for name, addr := range w.hosts[0].listenAddress {
-		dials.Go(func() {
-			for n := 0; ; n++ {
-				select {
-				case <-stop:
-					if n == 0 {
-						t.Errorf("%s was not asked at all", name)
-					}
-					return
-				default:
-				}
-				if _, err := proc.Health(context.Background(), addr, eventuallyTimeout); err != nil {
-					t.Errorf("%s, call %d: %v", name, n, err)
-				}
-			}
-		})
-	}
+	stopHealthCalls := w.hosts[0].callHealth()
 	upgrade := func(binary, overlay string) *client.Report {
 		hash := w.release(binary, overlay)
 		rep, err := w.fleet.Start(context.Background(), w.op(api.ActUpgrade, func(o *api.Operation) { o.Release = hash }), options())
@@ -228,8 +231,7 @@
 	if rep := upgrade(w.script("bad", "#!/bin/sh\nexit 7\n"), ""); rep.OK() || !strings.Contains(rep.Why, "serves on: exit status 7") {
 		t.Errorf("%s %s", rep.Result, rep.Why)
 	}
-	close(stop)
-	dials.Wait()
+	stopHealthCalls()
 	requests.stop()
 	if len(requests.lost) > 0 || requests.served != requests.sent {
 		t.Errorf("%d of %d requests served, lost: %v", requests.served, requests.sent, requests.lost)
@@ -249,6 +251,34 @@
 	}
 }
 
+// callHealth makes health calls to each instance of a host, one after the other, each of which
+// must succeed, until the returned function is called.
+func (h *host) callHealth() (stop func()) {
+	t, end := h.world.t, make(chan struct{})
+	var calls sync.WaitGroup
+	for name, addr := range h.listenAddress {
+		calls.Go(func() {
+			for n := 0; ; n++ {
+				select {
+				case <-end:
+					if n == 0 {
+						t.Errorf("%s was not asked at all", name)
+					}
+					return
+				default:
+				}
+				if _, err := proc.Health(context.Background(), addr, eventuallyTimeout); err != nil {
+					t.Errorf("%s, call %d: %v", name, n, err)
+				}
+			}
+		})
+	}
+	return func() {
+		close(end)
+		calls.Wait()
+	}
+}
+
 // An agent that is killed while two processes serve finds both when it comes back, and
 // brings the replacement to its end.
 func TestAgentKilledDuringHandover(t *testing.T) {
