--- a/internal/fleet/e2e/agent_failure_test.go
+++ b/internal/fleet/e2e/agent_failure_test.go
@@ -158,25 +158,13 @@
 			op := w.op(api.ActRestart, func(o *api.Operation) { o.Policy.MaxFailures = 3; o.Policy.MaxUnavailable = 2 })
 			opt := options()
 			opt.GiveUp = 3 * time.Second
-			opt.Progress = func(e client.Event) {
-				if e.Kind == "begin" && e.Host == h.name {
-					for { // until the step is on record there
-						var out api.OpOut
-						if w.fleet.Agent(h.name).Call(context.Background(), api.OpStatus, &api.StatusIn{Op: op.ID}, &out); len(out.Steps) > 0 {
-							break
-						}
-						time.Sleep(5 * time.Millisecond)
-						if e.At.Before(time.Now().Add(-200 * time.Millisecond)) {
-							break // it is begun from where this is told: it may come later
-						}
-					}
-					if how == "hangs" {
-						h.signal(syscall.SIGSTOP)
-					} else {
-						h.kill()
-					}
+			opt.Progress = w.afterStepBegins(h, op.ID, func() {
+				if how == "hangs" {
+					h.signal(syscall.SIGSTOP)
+				} else {
+					h.kill()
 				}
-			}
+			})
 			rep, err := w.fleet.Start(context.Background(), op, opt)
 			if err != nil {
 				t.Fatal(err)
@@ -208,22 +196,7 @@
 				_, err := w.fleet.Resume(context.Background(), op.ID, options())
 				return err == nil
 			})
-			rep, err = w.fleet.Report(context.Background(), op.ID)
-			if err != nil {
-				t.Fatal(err)
-			}
-			states := w.waitReady()
-			w.checkAgainstProcesses(states)
-			for _, hs := range states {
-				i := hs.Instances[0]
-				r := w.rowsByInstance(rep, op)[i.Name]
-				if r.Unknown != "" || r.State == nil || r.State.PID != i.PID {
-					t.Errorf("%s: %+v", i.Name, r)
-				}
-				if (r.Outcome == rollout.Changed) != (i.Generation == 2) {
-					t.Errorf("%s is reported %s at generation %d", i.Name, r.Outcome, i.Generation)
-				}
-			}
+			w.checkReportAfterReturn(op)
 			if out, errs, code := w.command("restart", "--all", "--soak", "0s"); code != 0 {
 				t.Errorf("the next operation: %d\n%s%s", code, out, errs)
 			}
@@ -231,6 +204,49 @@
 	}
 }
 
+// afterStepBegins returns a progress function that calls act once the step of an operation on a
+// host's instance has begun.
+func (w *world) afterStepBegins(h *host, operation string, act func()) func(client.Event) {
+	return func(e client.Event) {
+		if e.Kind != "begin" || e.Host != h.name {
+			return
+		}
+		for { // until the agent has stored the step
+			var out api.OpOut
+			if w.fleet.Agent(h.name).Call(context.Background(), api.OpStatus, &api.StatusIn{Op: operation}, &out); len(out.Steps) > 0 {
+				break
+			}
+			time.Sleep(5 * time.Millisecond)
+			if e.At.Before(time.Now().Add(-200 * time.Millisecond)) {
+				break // the event precedes the call that begins the step
+			}
+		}
+		act()
+	}
+}
+
+// checkReportAfterReturn compares the report of an operation, once all agents answer again, with
+// what they list.
+func (w *world) checkReportAfterReturn(op api.Operation) {
+	w.t.Helper()
+	rep, err := w.fleet.Report(context.Background(), op.ID)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	states := w.waitReady()
+	w.checkAgainstProcesses(states)
+	for _, hs := range states {
+		i := hs.Instances[0]
+		r := w.rowsByInstance(rep, op)[i.Name]
+		if r.Unknown != "" || r.State == nil || r.State.PID != i.PID {
+			w.t.Errorf("%s: %+v", i.Name, r)
+		}
+		if (r.Outcome == rollout.Changed) != (i.Generation == 2) {
+			w.t.Errorf("%s is reported %s at generation %d", i.Name, r.Outcome, i.Generation)
+		}
+	}
+}
+
 // An agent that dies in the midst of a change and is back soon: the change waits
 // for it and succeeds.
 func TestChangeWaitsForRestartedAgent(t *testing.T) {
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -133,41 +133,11 @@
 	}
 }
 
-// Roles: who may only look changes nothing; without the fleet's certificate nobody
-// gets in; an agent that is not the one in the inventory is not talked to.
+// A viewer changes nothing, a client without a certificate of the fleet's CA is rejected, and an
+// agent whose certificate has another name than the inventory is not talked to.
 func TestRolesOverTLS(t *testing.T) {
-	dir := t.TempDir()
-	now := time.Now()
-	for _, err := range []error{
-		pki.Init(filepath.Join(dir, "ca"), now), pki.Agent(filepath.Join(dir, "ca"), "host", []string{"127.0.0.1"}, now),
-		pki.Operator(filepath.Join(dir, "ca"), "sari", api.Operate, now), pki.Operator(filepath.Join(dir, "ca"), "budi", api.View, now),
-		pki.Operator(filepath.Join(dir, "ca"), "nobody", "", now),
-		pki.Init(filepath.Join(dir, "foreign"), now), pki.Operator(filepath.Join(dir, "foreign"), "sari", api.Operate, now),
-	} {
-		if err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := pki.Init(filepath.Join(dir, "ca"), now); err == nil {
-		t.Error("a CA was overwritten")
-	}
-	os.WriteFile(filepath.Join(dir, "sidecar"), []byte("x"), 0o700)
-	os.WriteFile(filepath.Join(dir, "i.json"), []byte(`{"listen":"127.0.0.1:1"}`), 0o600)
-	file := filepath.Join(dir, "agent.toml")
-	os.WriteFile(file, []byte(`name = "host"
-state_dir = "s"
-[listen]
-tls = "127.0.0.1:0"
-[tls]
-ca = "ca/ca.crt"
-cert = "ca/host.crt"
-key = "ca/host.key"
-[sidecar]
-binary = "sidecar"
-[[instance]]
-name = "i"
-config = "i.json"
-`), 0o600)
+	dir, now := t.TempDir(), time.Now()
+	file := tlsAgentFiles(t, dir, now)
 	cfg, err := agent.LoadConfig(file)
 	if err != nil {
 		t.Fatal(err)
@@ -188,17 +158,7 @@
 		<-done
 	}()
 	at := <-addr
-	open := func(ca, who, name string) *client.Agent {
-		inv := &inventory.Inventory{Timeout: quantity.Duration(5 * time.Second), Hosts: []inventory.Host{{Name: name, Address: "tls:" + at}}}
-		inv.TLS.CA = filepath.Join(dir, "ca", "ca.crt")
-		inv.TLS.Cert, inv.TLS.Key = filepath.Join(dir, ca, who+".crt"), filepath.Join(dir, ca, who+".key")
-		f, err := client.New(inv, who)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(f.Close)
-		return f.Agents[0]
-	}
+	open := func(ca, who, name string) *client.Agent { return tlsClient(t, dir, at, ca, who, name) }
 	open1 := func(a *client.Agent) error {
 		return a.Call(ctx, api.OpAbort, &api.AbortIn{Op: "x"}, nil)
 	}
@@ -233,8 +193,61 @@
 	}
 }
 
-// The examples in deploy/ are read, and broken files get errors that name the place.
-func TestOperatorsFiles(t *testing.T) {
+// tlsAgentFiles makes a CA with an agent and three operators, a foreign CA with one operator, and
+// the configuration of an agent, whose path it returns.
+func tlsAgentFiles(t *testing.T, dir string, now time.Time) (file string) {
+	t.Helper()
+	for _, err := range []error{
+		pki.Init(filepath.Join(dir, "ca"), now), pki.Agent(filepath.Join(dir, "ca"), "host", []string{"127.0.0.1"}, now),
+		pki.Operator(filepath.Join(dir, "ca"), "sari", api.Operate, now), pki.Operator(filepath.Join(dir, "ca"), "budi", api.View, now),
+		pki.Operator(filepath.Join(dir, "ca"), "nobody", "", now),
+		pki.Init(filepath.Join(dir, "foreign"), now), pki.Operator(filepath.Join(dir, "foreign"), "sari", api.Operate, now),
+	} {
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := pki.Init(filepath.Join(dir, "ca"), now); err == nil {
+		t.Error("a CA was overwritten")
+	}
+	os.WriteFile(filepath.Join(dir, "sidecar"), []byte("x"), 0o700)
+	os.WriteFile(filepath.Join(dir, "i.json"), []byte(`{"listen":"127.0.0.1:1"}`), 0o600)
+	file = filepath.Join(dir, "agent.toml")
+	os.WriteFile(file, []byte(`name = "host"
+state_dir = "s"
+[listen]
+tls = "127.0.0.1:0"
+[tls]
+ca = "ca/ca.crt"
+cert = "ca/host.crt"
+key = "ca/host.key"
+[sidecar]
+binary = "sidecar"
+[[instance]]
+name = "i"
+config = "i.json"
+`), 0o600)
+	return file
+}
+
+// tlsClient returns an operator's view of the agent at an address, under the name that the
+// inventory gives it.
+func tlsClient(t *testing.T, dir, address, ca, who, name string) *client.Agent {
+	t.Helper()
+	inv := &inventory.Inventory{Timeout: quantity.Duration(5 * time.Second), Hosts: []inventory.Host{{Name: name, Address: "tls:" + address}}}
+	inv.TLS.CA = filepath.Join(dir, "ca", "ca.crt")
+	inv.TLS.Cert, inv.TLS.Key = filepath.Join(dir, ca, who+".crt"), filepath.Join(dir, ca, who+".key")
+	f, err := client.New(inv, who)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.Close)
+	return f.Agents[0]
+}
+
+// The examples in deploy/ are read, and a broken configuration of an agent gets an error that
+// names the place.
+func TestExampleFilesLoadAndBrokenAgentFileIsRejected(t *testing.T) {
 	if _, err := inventory.Load("../../../deploy/fleet.toml"); err != nil {
 		t.Error(err)
 	}
@@ -283,6 +296,11 @@
 			t.Errorf("%q in place of %q: %v; want it to say %q", c.new, c.old, err, c.want)
 		}
 	}
+}
+
+// A broken inventory gets an error that names the file and what is wrong in it.
+func TestBrokenInventoryIsRejected(t *testing.T) {
+	dir := t.TempDir()
 	for text, want := range map[string]string{
 		"": "no [[host]]", "[[host]]\nname = \"a\"\naddress = \"ftp:x\"\n": "want unix:PATH",
 		"[[host]]\nname = \"a\"\naddress = \"tls:h:1\"\n": "martendrum ca",
--- a/internal/fleet/e2e/command_test.go
+++ b/internal/fleet/e2e/command_test.go
@@ -23,28 +23,7 @@
 	w := newWorld(t, 2, 2)
 	w.startAll()
 	for kill := 1; kill <= 4; kill++ {
-		cmd := exec.Command(filepath.Join(w.bin, "martendrum"), "--fleet", w.inv, "restart", "--all", "--lease", "1s", "--soak", "100ms")
-		pipe, err := cmd.StderrPipe()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		id, begun := "", 0
-		for sc := bufio.NewScanner(pipe); begun < kill && sc.Scan(); {
-			if rest, ok := strings.CutPrefix(sc.Text(), "operation "); ok {
-				id, _, _ = strings.Cut(rest, ":")
-			}
-			if strings.Contains(sc.Text(), " begin ") {
-				begun++
-			}
-		}
-		cmd.Process.Kill()
-		cmd.Wait()
-		if begun < kill {
-			t.Fatalf("only %d were begun", begun)
-		}
+		id := w.killRestartAtBegin(kill)
 		if out, _, _ := w.command("operations"); !strings.Contains(out, id) {
 			t.Errorf("another operator doesn't see %s:\n%s", id, out)
 		}
@@ -72,7 +51,43 @@
 			}
 		}
 	}
-	// And abort: what was not begun stays as it is.
+	w.abortLeavesPendingAlone()
+}
+
+// killRestartAtBegin runs a restart of all instances, kills the command as it begins the n-th
+// one, and returns the operation's id.
+func (w *world) killRestartAtBegin(n int) (id string) {
+	w.t.Helper()
+	cmd := exec.Command(filepath.Join(w.bin, "martendrum"), "--fleet", w.inv, "restart", "--all", "--lease", "1s", "--soak", "100ms")
+	pipe, err := cmd.StderrPipe()
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		w.t.Fatal(err)
+	}
+	begun := 0
+	for sc := bufio.NewScanner(pipe); begun < n && sc.Scan(); {
+		if rest, ok := strings.CutPrefix(sc.Text(), "operation "); ok {
+			id, _, _ = strings.Cut(rest, ":")
+		}
+		if strings.Contains(sc.Text(), " begin ") {
+			begun++
+		}
+	}
+	cmd.Process.Kill()
+	cmd.Wait()
+	if begun < n {
+		w.t.Fatalf("only %d were begun", begun)
+	}
+	return id
+}
+
+// abortLeavesPendingAlone aborts a restart after its first instance: what was not begun stays as
+// it is, and the next operation gets all instances.
+func (w *world) abortLeavesPendingAlone() {
+	w.t.Helper()
+	t := w.t
 	ctx, cancel := context.WithCancel(context.Background())
 	op := w.op(api.ActRestart, nil)
 	opt := options()
@@ -157,6 +172,14 @@
 	for _, hs := range w.waitReady() {
 		w.checkAgainstProcesses([]client.HostState{hs})
 	}
+	w.commandsWithHostsUnavailable()
+}
+
+// commandsWithHostsUnavailable kills the two agents one after the other and checks what commands
+// say of it.
+func (w *world) commandsWithHostsUnavailable() {
+	w.t.Helper()
+	t := w.t
 	w.hosts[0].kill()
 	if _, errs, code := w.command("restart", "--all"); code != 3 || !strings.Contains(errs, "--skip-unreachable") {
 		t.Errorf("a change with a host away: %d %s", code, errs)
--- a/internal/fleet/e2e/lease_test.go
+++ b/internal/fleet/e2e/lease_test.go
@@ -110,22 +110,7 @@
 			}
 		}
 		before := len(s.hosts[0].Launches())
-		for _, target := range op.Targets {
-			for _, kind := range []string{api.Change, api.Rollback} {
-				err := a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: old.Token, Instance: target.Instance, Kind: kind}, nil)
-				if e, ok := errors.AsType[*api.Error](err); !ok || e.Code != api.Fenced {
-					t.Errorf("stalled at %d: a %s of %s: %v", stalls, kind, target.Instance, err)
-				}
-			}
-		}
-		for method, in := range map[string]any{
-			api.OpClose:  &api.CloseIn{Op: op.ID, Token: old.Token, Result: "mine"},
-			api.OpStatus: &api.StatusIn{Op: op.ID, Token: old.Token, TTL: time.Minute},
-		} {
-			if e, ok := errors.AsType[*api.Error](a.Call(ctx, method, in, nil)); !ok || e.Code != api.Fenced {
-				t.Errorf("stalled at %d: %s: %v", stalls, method, e)
-			}
-		}
+		checkFenced(t, a, op, old.Token, stalls)
 		if n := len(s.hosts[0].Launches()); n != before {
 			t.Errorf("stalled at %d: %d launches were caused", stalls, n-before)
 		}
@@ -134,3 +119,25 @@
 		}
 	}
 }
+
+// checkFenced checks that a stale token allows no step and no call of an operation.
+func checkFenced(t *testing.T, a *client.Agent, op api.Operation, token int64, stalls int) {
+	t.Helper()
+	ctx := context.Background()
+	for _, target := range op.Targets {
+		for _, kind := range []string{api.Change, api.Rollback} {
+			err := a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: token, Instance: target.Instance, Kind: kind}, nil)
+			if e, ok := errors.AsType[*api.Error](err); !ok || e.Code != api.Fenced {
+				t.Errorf("stalled at %d: a %s of %s: %v", stalls, kind, target.Instance, err)
+			}
+		}
+	}
+	for method, in := range map[string]any{
+		api.OpClose:  &api.CloseIn{Op: op.ID, Token: token, Result: "mine"},
+		api.OpStatus: &api.StatusIn{Op: op.ID, Token: token, TTL: time.Minute},
+	} {
+		if e, ok := errors.AsType[*api.Error](a.Call(ctx, method, in, nil)); !ok || e.Code != api.Fenced {
+			t.Errorf("stalled at %d: %s: %v", stalls, method, e)
+		}
+	}
+}
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -82,13 +82,7 @@
 		}
 	}
 	// A host that knows of the new epoch and reaches the old writer alone keeps what it has.
-	only := w.hosts[0]
-	w.setLinks([]*host{only}, others, drop)
-	link := w.link(only, old)
-	made := link.Made()
-	link.Set(faultnet.Fault{})
-	eventually(t, "a host that the old writer can't serve", func() bool { return link.Made() > made && link.Open() == 0 })
-	w.setLinks([]*host{only}, others, faultnet.Fault{})
+	w.reachOnly(w.hosts[0], old, others)
 	w.noneHoldsVoid(others, limit)
 
 	w.setLinks(others, []*host{old}, faultnet.Fault{})
@@ -101,6 +95,31 @@
 	}
 	w.noneHoldsVoid(w.relays, limit)
 
+	w.restartAll()
+	w.knowsWriter(next, epoch, w.relays...)
+	last := w.publish("limits/all", memoryLimit(80))
+	if last.Epoch != epoch || !last.After(change) {
+		t.Errorf("after a restart of all, revision %v follows %v", last, change)
+	}
+	w.inForceBy(next, last, 3)
+	w.noneHoldsVoid(w.relays, w.bodyLimit(w.hosts[0].instances[0]))
+}
+
+// reachOnly lets a host reach the old writer alone until that one could not serve it, and then
+// the others again.
+func (w *settingsWorld) reachOnly(h, old *host, others []*host) {
+	w.t.Helper()
+	w.setLinks([]*host{h}, others, faultnet.Fault{Drop: true})
+	link := w.link(h, old)
+	made := link.Made()
+	link.Set(faultnet.Fault{})
+	eventually(w.t, "a host that the old writer can't serve", func() bool { return link.Made() > made && link.Open() == 0 })
+	w.setLinks([]*host{h}, others, faultnet.Fault{})
+}
+
+// restartAll kills all relays and agents and starts them again.
+func (w *settingsWorld) restartAll() {
+	w.t.Helper()
 	all := slices.Concat(w.relays, w.hosts)
 	for _, agent := range all {
 		agent.kill()
@@ -109,13 +128,6 @@
 		agent.start()
 	}
 	w.waitReady()
-	w.knowsWriter(next, epoch, w.relays...)
-	last := w.publish("limits/all", memoryLimit(80))
-	if last.Epoch != epoch || !last.After(change) {
-		t.Errorf("after a restart of all, revision %v follows %v", last, change)
-	}
-	w.inForceBy(next, last, 3)
-	w.noneHoldsVoid(w.relays, w.bodyLimit(w.hosts[0].instances[0]))
 }
 
 // putAt asks one relay for a change, whoever writes.
--- a/internal/fleet/e2e/simulated_test.go
+++ b/internal/fleet/e2e/simulated_test.go
@@ -42,48 +42,12 @@
 	}
 	inv := &inventory.Inventory{Timeout: quantity.Duration(10 * time.Second)}
 	for h := range hosts {
-		name := fmt.Sprintf("sim-%d", h)
-		var text strings.Builder
-		fmt.Fprintf(&text, "name = %q\nstate_dir = %q\n[listen]\nplain = \"127.0.0.1:0\"\nplain_role = \"operate\"\n[sidecar]\nbinary = %q\n", name, name, binary)
-		for i := range each {
-			path := filepath.Join(dir, fmt.Sprintf("%s-%d.json", name, i))
-			if err := os.WriteFile(path, fmt.Appendf(nil, `{"listen":"127.0.0.1:%d"}`, 1+h*each+i), 0o600); err != nil {
-				t.Fatal(err)
-			}
-			fmt.Fprintf(&text, "[[instance]]\nname = \"%s-i%d\"\nconfig = %q\n", name, i, path)
-		}
-		file := filepath.Join(dir, name+".toml")
-		if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		cfg, err := agent.LoadConfig(file)
-		if err != nil {
-			t.Fatal(err)
-		}
+		cfg := simulatedConfig(t, dir, binary, h, each)
 		if edit != nil {
 			edit(cfg)
 		}
-		machine := simhost.New(ready, drain)
-		a, err := agent.New(cfg, machine, func(p string) (store.Store, error) {
-			st, err := sqlite.Open(p, int64(cfg.Limits.Record))
-			s.stores = append(s.stores, st)
-			return st, err
-		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		ctx, cancel := context.WithCancel(context.Background())
-		addr, done := make(chan net.Addr, 1), make(chan error, 1)
-		go func() { done <- a.Serve(ctx, func(as []net.Addr) { addr <- as[0] }) }()
-		t.Cleanup(func() {
-			cancel()
-			if err := <-done; err != nil {
-				t.Error(err)
-			}
-			a.Close()
-		})
-		inv.Hosts = append(inv.Hosts, inventory.Host{Name: name, Address: "tcp:" + (<-addr).String()})
-		s.hosts, s.agents, s.cfgs = append(s.hosts, machine), append(s.agents, a), append(s.cfgs, cfg)
+		address := s.serve(t, cfg, simhost.New(ready, drain))
+		inv.Hosts = append(inv.Hosts, inventory.Host{Name: cfg.Name, Address: "tcp:" + address})
 	}
 	for i := range each {
 		for h := range hosts {
@@ -111,6 +75,55 @@
 	return s
 }
 
+// simulatedConfig writes and loads the configuration of an agent with so many pretended sidecars.
+func simulatedConfig(t testing.TB, dir, binary string, h, each int) *agent.Config {
+	t.Helper()
+	name := fmt.Sprintf("sim-%d", h)
+	var text strings.Builder
+	fmt.Fprintf(&text, "name = %q\nstate_dir = %q\n[listen]\nplain = \"127.0.0.1:0\"\nplain_role = \"operate\"\n[sidecar]\nbinary = %q\n", name, name, binary)
+	for i := range each {
+		path := filepath.Join(dir, fmt.Sprintf("%s-%d.json", name, i))
+		if err := os.WriteFile(path, fmt.Appendf(nil, `{"listen":"127.0.0.1:%d"}`, 1+h*each+i), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&text, "[[instance]]\nname = \"%s-i%d\"\nconfig = %q\n", name, i, path)
+	}
+	file := filepath.Join(dir, name+".toml")
+	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cfg, err := agent.LoadConfig(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+// serve runs an agent on a pretended machine until the test ends, and returns its address.
+func (s *simulated) serve(t testing.TB, cfg *agent.Config, machine *simhost.Host) (address string) {
+	t.Helper()
+	a, err := agent.New(cfg, machine, func(p string) (store.Store, error) {
+		st, err := sqlite.Open(p, int64(cfg.Limits.Record))
+		s.stores = append(s.stores, st)
+		return st, err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	addr, done := make(chan net.Addr, 1), make(chan error, 1)
+	go func() { done <- a.Serve(ctx, func(as []net.Addr) { addr <- as[0] }) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+		a.Close()
+	})
+	s.hosts, s.agents, s.cfgs = append(s.hosts, machine), append(s.agents, a), append(s.cfgs, cfg)
+	return (<-addr).String()
+}
+
 func (s *simulated) op(action string) api.Operation {
 	o := s.ops
 	o.ID, o.Action, o.Created = fmt.Sprintf("op-%08x", rand.Uint32()), action, time.Now().UTC()
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -18,43 +18,47 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
+// worseReleases are releases that a canary analysis or a count of crashes has to stop, by what is
+// wrong with them.
+var worseReleases = map[string]struct {
+	overlay func(t *testing.T) string // "": the program is at fault
+	program string
+	by      string
+}{
+	"fails a third": {by: "judged worse: ", overlay: func(t *testing.T) string {
+		return servers(t, func(n int64, w http.ResponseWriter, _ *http.Request) bool {
+			if n%3 == 0 {
+				http.Error(w, "no", http.StatusInternalServerError)
+			}
+			return n%3 == 0
+		})
+	}},
+	"late for activate alone": {by: "judged worse: ", overlay: func(t *testing.T) string {
+		return servers(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
+			if r.Header.Get("Req-Kind") == "activate" && n%2 == 0 {
+				time.Sleep(2600 * time.Millisecond)
+			}
+			return false
+		})
+	}},
+	"bad in one zone alone": {by: "judged worse: ", overlay: func(t *testing.T) string {
+		return servers(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
+			// Ids begin with the instance, h0-i3: those with odd numbers are in zone-1.
+			bad := strings.Contains("13579", r.Header.Get("Req-Id")[4:5]) && n%3 != 0
+			if bad {
+				http.Error(w, "no", http.StatusInternalServerError)
+			}
+			return bad
+		})
+	}},
+	"crashes after a while": {by: "crash", program: "#!/bin/sh\n\"%s\" &\npid=$!\ntrap 'kill -TERM $pid; wait $pid; exit 0' TERM\n(sleep 3; kill -KILL $pid) &\nwait $pid\nexit 1\n"},
+}
+
 // A release that does worse is found in its first stage and taken back; nobody
 // beyond that stage is touched and no request is lost.
 func TestWorseReleaseStopsInFirstStage(t *testing.T) {
 	t.Parallel()
-	for name, c := range map[string]struct {
-		overlay func(t *testing.T) string // "": the program is at fault
-		program string
-		by      string
-	}{
-		"fails a third": {by: "judged worse: ", overlay: func(t *testing.T) string {
-			return servers(t, func(n int64, w http.ResponseWriter, _ *http.Request) bool {
-				if n%3 == 0 {
-					http.Error(w, "no", http.StatusInternalServerError)
-				}
-				return n%3 == 0
-			})
-		}},
-		"late for activate alone": {by: "judged worse: ", overlay: func(t *testing.T) string {
-			return servers(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
-				if r.Header.Get("Req-Kind") == "activate" && n%2 == 0 {
-					time.Sleep(2600 * time.Millisecond)
-				}
-				return false
-			})
-		}},
-		"bad in one zone alone": {by: "judged worse: ", overlay: func(t *testing.T) string {
-			return servers(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
-				// Ids begin with the instance, h0-i3: those with odd numbers are in zone-1.
-				bad := strings.Contains("13579", r.Header.Get("Req-Id")[4:5]) && n%3 != 0
-				if bad {
-					http.Error(w, "no", http.StatusInternalServerError)
-				}
-				return bad
-			})
-		}},
-		"crashes after a while": {by: "crash", program: "#!/bin/sh\n\"%s\" &\npid=$!\ntrap 'kill -TERM $pid; wait $pid; exit 0' TERM\n(sleep 3; kill -KILL $pid) &\nwait $pid\nexit 1\n"},
-	} {
+	for name, c := range worseReleases {
 		t.Run(name, func(t *testing.T) {
 			if name != "fails a third" {
 				skipShort(t)
