--- a/internal/fleet/e2e/agent_failure_test.go
+++ b/internal/fleet/e2e/agent_failure_test.go
@@ -16,9 +16,9 @@
 	"martendrum/internal/standin/pgserver"
 )
 
-// An agent is killed at each write of its record in turn, before and after it.
-// Once it is back and the operation has gone on, desired, actual and reported
-// state agree, and each instance was changed once.
+// An agent is killed before and after each write to its store in turn. After its restart and the
+// resumed operation, desired, actual and reported state agree, and each instance was changed
+// exactly once.
 func TestAgentKilledAtEveryWrite(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ store, after string }{{"sqlite", ""}, {"sqlite", "1"}, {"postgres", ""}, {"postgres", "1"}} {
@@ -144,9 +144,9 @@
 	return op, rep
 }
 
-// An agent stops answering in the midst of a change: it hangs with its connections
-// open, or it dies. The change ends, and does not count what it can't see as done;
-// once the agent is back, its record puts the report right.
+// An agent stops answering during a change: it hangs with open connections, or it dies. The change
+// ends and reports the unreachable instance as unknown, not as changed. Once the agent answers
+// again, its store completes the report.
 func TestUnreachableAgentIsReportedUnknown(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"hangs", "dies"} {
@@ -247,8 +247,7 @@
 	}
 }
 
-// An agent that dies in the midst of a change and is back soon: the change waits
-// for it and succeeds.
+// A change waits for an agent that dies and restarts soon, and succeeds.
 func TestChangeWaitsForRestartedAgent(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 2, 2)
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -33,7 +33,7 @@
 	return ""
 }
 
-// What an agent can't do is answered with an error that says so.
+// An agent answers a call that it can't serve with an error that names the cause.
 func TestErrorsOfTheAPI(t *testing.T) {
 	s := simulate(t, 1, 1, time.Millisecond, time.Millisecond, nil)
 	ctx, a := context.Background(), s.fleet.Agents[0]
@@ -81,7 +81,7 @@
 	if n := len(s.hosts[0].Launches()); n != 1 {
 		t.Errorf("%d launches", n)
 	}
-	// A release that was spoilt on its way is refused.
+	// A release that was corrupted in transit is rejected.
 	hash := strings.Repeat("ab", 32)
 	if err := a.Call(ctx, api.ReleaseWrite, &api.ChunkIn{Release: hash, File: "sidecar", Data: []byte("spoilt")}, nil); err != nil {
 		t.Fatal(err)
@@ -91,7 +91,8 @@
 	}
 }
 
-// The handshake comes first, and versions that don't meet are told so.
+// The handshake has to be the first call, and a client without a common version gets an error that
+// says so.
 func TestHandshake(t *testing.T) {
 	s := simulate(t, 1, 1, time.Millisecond, time.Millisecond, nil)
 	dial := func() *msgpackrpc.Client {
@@ -124,7 +125,7 @@
 	if err := c.Call(ctx, api.Hello, []any{api.HelloIn{Oldest: 1, Version: api.Version + 5, Client: "newer"}}, &out); err != nil || out.Version != api.Version {
 		t.Errorf("a newer client that still speaks ours: %+v %v", out, err)
 	}
-	// A field that only a newer client knows does no harm.
+	// An unknown field of a newer client is ignored.
 	if err := c.Call(ctx, api.List, []any{map[string]any{"later": 1}}, nil); err != nil {
 		t.Error(err)
 	}
--- a/internal/fleet/e2e/command_test.go
+++ b/internal/fleet/e2e/command_test.go
@@ -16,8 +16,8 @@
 	"martendrum/internal/fleet/host/proc"
 )
 
-// The command is killed as it begins its first, second, ... instance. The operation
-// is seen by others, goes on where it stood, and no instance is changed twice.
+// The command is killed as it begins its first, second, ... instance. Other operators see the
+// operation, a resume continues where it stopped, and no instance is changed twice.
 func TestResumeAfterCommandKilled(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 2, 2)
@@ -27,9 +27,9 @@
 		if out, _, _ := w.command("operations"); !strings.Contains(out, id) {
 			t.Errorf("another operator doesn't see %s:\n%s", id, out)
 		}
-		// Another's change of the same instances is told what is in the way, at each host
-		// once its lease has ended: a command renews each host's by itself, so that one may
-		// last longer than the other.
+		// Once the lease at a host has expired, another change of its instances is rejected with the
+		// operation to resume. A command renews its lease at each host independently, so one may
+		// outlast the other.
 		for _, host := range w.hosts {
 			eventually(t, "the end of the lease at "+host.name, func() bool {
 				_, errs, _ := w.command("restart", "--host", host.name, "--soak", "0s")
@@ -120,7 +120,7 @@
 	}
 }
 
-// What commands print and how they exit.
+// Each command prints what it should and exits with the documented code.
 func TestCommandOutputAndExitCodes(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 2, 1)
@@ -196,7 +196,7 @@
 	}
 }
 
-// dev runs as the first command on a checkout, and ends cleanly.
+// The dev command works on a fresh checkout and leaves nothing running.
 func TestDevStartsAndStopsCleanly(t *testing.T) {
 	t.Parallel()
 	cmd := exec.Command(filepath.Join(programs(t), "martendrum"), "dev")
--- a/internal/fleet/e2e/lease_test.go
+++ b/internal/fleet/e2e/lease_test.go
@@ -13,8 +13,8 @@
 	"martendrum/internal/fleet/control/client"
 )
 
-// Two operators want the same instances at once: one gets them, the other is told
-// who has them, and each instance is changed by one of them only.
+// Two operators start operations on the same instances at once: one gets the lease, the other an
+// error that names the lease holder, and each instance is changed by one of them only.
 func TestConcurrentOperatorsExcludeEachOther(t *testing.T) {
 	s := simulate(t, 3, 2, 5*time.Millisecond, 5*time.Millisecond, nil)
 	ctx := context.Background()
@@ -59,8 +59,8 @@
 	}
 }
 
-// A holder stalls past its lease at each step of its way; another takes over. What
-// the first one does when it wakes up changes nothing.
+// A lease holder stalls beyond its lease, at each stage of its operation in turn, and another one
+// takes over. The calls of the first one after that are fenced and change nothing.
 func TestStalledLeaseHolderIsFenced(t *testing.T) {
 	s := simulate(t, 1, 2, time.Millisecond, time.Millisecond, nil)
 	ctx, a := context.Background(), s.fleet.Agents[0]
--- a/internal/fleet/e2e/main_test.go
+++ b/internal/fleet/e2e/main_test.go
@@ -1,5 +1,5 @@
-// Package e2e tests the fleet as a whole: agents, records, processes and the
-// commands, over sockets of this machine.
+// Package e2e tests agents, their stores, sidecar processes and commands together, as real
+// processes on loopback and Unix sockets. It holds tests only.
 package e2e
 
 import (
@@ -23,10 +23,11 @@
 	"martendrum/internal/fleet/store"
 )
 
-// eventuallyTimeout is how long a test waits for what must come.
+// eventuallyTimeout bounds each wait for a condition that must become true.
 const eventuallyTimeout = 30 * time.Second
 
-// TestMain also plays an agent that kills itself at a write of its record.
+// TestMain also runs as the process of an agent that kills itself at a write to its store, and as
+// that of a sidecar that crashes by its configuration.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("E2E_AGENT"); path != "" {
 		at, _ := strconv.ParseInt(os.Getenv("E2E_CRASH_AT"), 10, 64)
@@ -51,14 +52,14 @@
 	os.Exit(code)
 }
 
-// crashPoint says at which write of its record an agent kills itself.
+// crashPoint is the write to its store at which an agent kills itself.
 type crashPoint struct {
 	write  int64  // the number of the write, counted from 1; 0: none
 	after  bool   // once the write is done, instead of before it
 	change string // once the first change of the settings of this name is written; "": none
 }
 
-// crashingStore is a store that kills its process at a write.
+// crashingStore is a store that kills its own process at a write.
 type crashingStore struct {
 	store.Store
 	point  crashPoint
@@ -82,7 +83,7 @@
 	select {}
 }
 
-// writesSettings says whether a write holds the settings of a name.
+// writesSettings reports whether a write holds the settings of a name.
 func writesSettings(c *store.Change, name string) bool {
 	return slices.ContainsFunc(c.Settings, func(row distribution.Entry) bool {
 		var resource distribution.Resource
@@ -114,7 +115,7 @@
 	built     string
 )
 
-// programs builds the sidecar and martendrum, once, and returns their folder.
+// programs builds the sidecar and martendrum once per test process, and returns their directory.
 func programs(t testing.TB) string {
 	t.Helper()
 	buildOnce.Do(func() {
--- a/internal/fleet/e2e/powerloss_clients_test.go
+++ b/internal/fleet/e2e/powerloss_clients_test.go
@@ -14,7 +14,8 @@
 	"martendrum/internal/fleet/control/client"
 )
 
-// retryingClients is what clients saw, who come again when they are told to, within their time.
+// retryingClients sends requests, retries them as Retry-After says until their deadline, and keeps
+// the outcomes.
 type retryingClients struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
@@ -38,7 +39,7 @@
 	limit        time.Duration
 }{{"status-check", 0.5, 1, 3 * time.Second}, {"id-register", 0.3, 3, 2500 * time.Millisecond}, {"activate", 0.2, 10, 2500 * time.Millisecond}}
 
-// startClients sends so many requests a second to each instance until stopAndWait.
+// startClients sends perSecond requests a second to each instance until stopAndWait.
 func (p *recoveryWorld) startClients(perSecond float64) *retryingClients {
 	v := &retryingClients{stop: make(chan struct{}), down: make(map[string][]time.Time), once: make(map[string]bool)}
 	for _, h := range p.hosts {
@@ -76,7 +77,7 @@
 	v.wg.Wait()
 }
 
-// client asks until it is served, or not to come again, or its time is over.
+// client retries one request until it is served, rejected for good, or past its deadline.
 func (v *retryingClients) client(name, addr string, n, class int) {
 	began := time.Now()
 	end := began.Add(requestClasses[class].limit)
@@ -98,7 +99,7 @@
 	v.all = append(v.all, clientRequest{began, class, good})
 }
 
-// attempt makes one request; 0 is for one that nobody took.
+// attempt sends a request once. A status of 0 means that no server accepted it.
 func (v *retryingClients) attempt(name, addr, id string, class int, end time.Time) (status int, after time.Duration) {
 	nc, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -152,7 +153,8 @@
 	}
 }
 
-// servedFraction is the share of the worth offered in a span that was served; of one class, or all.
+// servedFraction returns the fraction of the weight offered within a span that was served, of one
+// class or, below 0, of all.
 func (v *retryingClients) servedFraction(class int, from time.Time, span time.Duration) float64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -169,7 +171,8 @@
 	return served / max(offered, 1)
 }
 
-// checkRules checks the rules by what servers and clients counted.
+// checkRules checks by the records of servers and clients that no request was lost or ran twice,
+// and that no server in slow start was overloaded.
 func (p *recoveryWorld) checkRules(v *retryingClients) {
 	p.t.Helper()
 	v.stopAndWait()
@@ -186,8 +189,8 @@
 	}
 }
 
-// waitRecovered waits until nine tenths of the worth offered within two seconds are served, and
-// returns when that was.
+// waitRecovered waits until nine tenths of the weight offered within two seconds are served, and
+// returns how long after from that was.
 func (p *recoveryWorld) waitRecovered(v *retryingClients, from time.Time) time.Duration {
 	p.t.Helper()
 	const span = 2 * time.Second
@@ -203,7 +206,8 @@
 	return at.Sub(from)
 }
 
-// checkWaves checks that on each host every shop had one before any had two.
+// checkWaves checks that on each host the first instance of every shop was started before the
+// second one of any.
 func (p *recoveryWorld) checkWaves(states []client.HostState) {
 	p.t.Helper()
 	for _, h := range states {
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -20,8 +20,7 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// The whole fleet loses its power, servers too: everything comes back in drawn order while
-// clients come again at once.
+// All hosts and servers lose power and restart in random order while clients retry at once.
 func TestPowerLossWholeFleet(t *testing.T) {
 	hosts, each := sized("E2E_HOSTS", 3), sized("E2E_EACH", 4)
 	parts, ok := os.LookupEnv("E2E_PARTS")
@@ -60,8 +59,8 @@
 	}
 }
 
-// One sidecar that dies comes back alone: the others stayed up, and no agent takes it for
-// a loss. So does a zone that loses its power: the others tell.
+// A single sidecar that restarts learns from its peers that they stayed up, and its agent counts
+// no power loss. The sidecars of a zone that lost power learn the same; its agent counts one loss.
 func TestSingleRestartIsNoPowerLoss(t *testing.T) {
 	p := newRecoveryWorld(t, 3, 2, "return,peers")
 	p.startAll()
@@ -96,8 +95,8 @@
 	}
 }
 
-// A second loss in the midst of the return, and a host that never comes back: the rest
-// comes up all the same, and its agents back off.
+// Power is lost a second time during the recovery, and one host never returns: the others recover,
+// and their agents back off.
 func TestSecondLossMidRecovery(t *testing.T) {
 	if testing.Short() {
 		t.Skip("longer: not in CI")
@@ -156,8 +155,7 @@
 	p.checkRules(v)
 }
 
-// Peers that are not heard hold nothing up: the sidecar is ready in its usual time, serves,
-// and is careful.
+// Silent peers delay nothing: a sidecar becomes ready as usual, serves, and stays cautious.
 func TestPeersSilentAtStart(t *testing.T) {
 	p := newRecoveryWorld(t, 1, 3, "return,peers")
 	p.mesh.Set(faultnet.Fault{Drop: true}, func(int, int) bool { return true })
@@ -176,8 +174,8 @@
 	}
 }
 
-// An operation under way when the power goes holds: the run that had it gets nothing more
-// from that host, and a resume goes on without doing anything twice.
+// An operation is suspended by a power loss: its lease is void, and a resume continues without
+// repeating a step.
 func TestPowerLossMidChange(t *testing.T) {
 	if testing.Short() {
 		t.Skip("longer: not in CI")
@@ -223,8 +221,8 @@
 	}
 }
 
-// While one host comes back nothing is begun on any: not by its agent, and not by a command
-// for another host. It may be once all waves have begun.
+// While one host recovers, no operation begins on any host, neither at its agent nor by a command
+// for another host. It may begin once all waves have started.
 func TestDrainWaitsForRecovery(t *testing.T) {
 	p := newRecoveryWorldWithWave(t, 2, 4, "return", 2*time.Second)
 	p.startAll()
@@ -260,8 +258,8 @@
 	}
 }
 
-// The power goes again at each write of the record that an agent makes while its host
-// comes back, before and after it: the next start ends as if nothing had been.
+// Power is lost again before and after each write that an agent makes to its store during the
+// recovery: the next start recovers all the same.
 func TestPowerLossAtEveryWrite(t *testing.T) {
 	if testing.Short() {
 		t.Skip("longer: not in CI")
--- a/internal/fleet/e2e/powerloss_world_test.go
+++ b/internal/fleet/e2e/powerloss_world_test.go
@@ -21,8 +21,8 @@
 	"martendrum/internal/standin/shop"
 )
 
-// recoveryWorld is a fleet whose sidecars tell each other over a mesh, before servers that start
-// cold.
+// recoveryWorld is a fleet whose sidecars gossip over a mesh and whose servers begin in slow
+// start.
 type recoveryWorld struct {
 	*world
 	slowStart *shop.SlowStart
@@ -30,7 +30,7 @@
 	rank      map[string]int
 }
 
-// The scenarios' size and speed; larger by the environment, for the design note.
+// sized returns a scenario's size: the usual one, or a larger one from the environment.
 func sized(name string, usual int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
@@ -43,7 +43,7 @@
 	return newRecoveryWorldWithWave(t, hosts, each, parts, 100*time.Millisecond)
 }
 
-// newRecoveryWorldWithWave has so long between the waves of a return.
+// newRecoveryWorldWithWave is newRecoveryWorld with a time between the waves of restarts.
 func newRecoveryWorldWithWave(t *testing.T, hosts, each int, parts string, wave time.Duration) *recoveryWorld {
 	t.Helper()
 	p := &recoveryWorld{rank: make(map[string]int), slowStart: &shop.SlowStart{
@@ -121,8 +121,8 @@
 	}
 }
 
-// powerOff ends every process of hosts at one moment, as a loss of power does. v, if not nil,
-// is told before and after: what was under way then is nobody's fault.
+// powerOff kills every process of the hosts at once, as a power loss does. The clients v, if not
+// nil, are told before and after it, so that they count no request in flight as lost.
 func (p *recoveryWorld) powerOff(v *retryingClients, hosts ...*host) {
 	if v != nil {
 		v.markKilled(hosts...)
@@ -147,23 +147,23 @@
 	}
 }
 
-// powerOn starts hosts in a drawn order.
+// powerOn starts the hosts' agents in random order.
 func (p *recoveryWorld) powerOn(rng *rand.Rand, hosts ...*host) {
 	for _, i := range rng.Perm(len(hosts)) {
 		hosts[i].start()
 	}
 }
 
-// recoveryStartMark is what each sidecar that is careful after its start logs first.
+// recoveryStartMark is the first log line of a sidecar in its recovery phase.
 const recoveryStartMark = "phase asking"
 
-// log is what an instance's sidecars have written, from the last start on.
+// log returns what an instance's sidecars have logged since their last start.
 func (p *recoveryWorld) log(name string) string {
 	text := p.wholeLog(name)
 	return text[max(0, strings.LastIndex(text, recoveryStartMark)):]
 }
 
-// verdict is what a sidecar has decided about its start, "" if it has not.
+// verdict returns a sidecar's verdict on whether its peers stayed up, "" while it has none.
 func (p *recoveryWorld) verdict(name string) string {
 	text := strings.ReplaceAll(p.log(name), "verdict=open", "")
 	_, rest, _ := strings.Cut(text, "verdict=")
@@ -182,19 +182,19 @@
 	return count
 }
 
-// powerLosses is how many losses of power an agent has logged.
+// powerLosses returns how many power losses an agent has logged.
 func (p *recoveryWorld) powerLosses(h *host) (n int) {
 	text, _ := os.ReadFile(h.config + ".log")
 	return strings.Count(string(text), "the host lost its power")
 }
 
-// wholeLog is all that an instance's sidecars have written.
+// wholeLog returns all that an instance's sidecars have logged.
 func (p *recoveryWorld) wholeLog(name string) string {
 	text, _ := os.ReadFile(filepath.Join(filepath.Dir(p.hostOf(name).config), "s", "logs", name+".log"))
 	return string(text)
 }
 
-// waitWavesDone waits until no wave of the hosts is to come.
+// waitWavesDone waits until all waves of the hosts' restarts have begun.
 func (p *recoveryWorld) waitWavesDone(hosts ...*host) {
 	p.t.Helper()
 	eventually(p.t, "the end of the waves", func() bool {
@@ -209,7 +209,7 @@
 	})
 }
 
-// openOperation opens an operation at the one agent and returns its token.
+// openOperation opens an operation at the only agent and returns its fencing token.
 func (p *recoveryWorld) openOperation(op api.Operation, holder string) int64 {
 	p.t.Helper()
 	var out api.OpenOut
@@ -219,7 +219,7 @@
 	return out.Token
 }
 
-// waitExit waits for the agent's end, and says whether it came.
+// waitExit waits for the end of the agent's process and reports whether it came in time.
 func (h *host) waitExit(within time.Duration) bool {
 	h.mu.Lock()
 	end := h.end
--- a/internal/fleet/e2e/settings_crash_test.go
+++ b/internal/fleet/e2e/settings_crash_test.go
@@ -20,8 +20,8 @@
 // own program. A shell would do, but one that waits may miss a signal.
 const crashingEnv = "E2E_CRASHING_SIDECAR"
 
-// crashingSidecar runs a sidecar and passes signals on to it, but for a SIGHUP by which it
-// would take crashingLimit: that ends both.
+// crashingSidecar runs a sidecar and forwards signals to it, except a SIGHUP that would apply
+// crashingLimit: that ends both processes.
 func crashingSidecar(program string) error {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM)
@@ -47,8 +47,8 @@
 	}
 }
 
-// Settings that end the process which takes them are refused after the second time: the
-// processes started since run with the last accepted ones, and a later revision gets through.
+// Settings that crash the process which applies them are rejected after the second crash: later
+// processes run with the last accepted settings, and a later revision is applied.
 func TestCrashingSettingsAreRejected(t *testing.T) {
 	t.Parallel()
 	w := layOutSettings(t, settingsLayout{relays: 1, hosts: 2, each: 1})
@@ -85,5 +85,5 @@
 	w.inForce(w.publish("limits/crash", memoryLimit(80), "--scope", "host="+h.name), 2)
 }
 
-// crashesWanted is how many processes may end by the same settings.
+// crashesWanted is how many processes the same settings may crash before they are rejected.
 const crashesWanted = 2
--- a/internal/fleet/e2e/settings_observe_test.go
+++ b/internal/fleet/e2e/settings_observe_test.go
@@ -14,7 +14,7 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// metric asks a sidecar's own figures for one of them; false if it does not answer.
+// metric reads one metric from a sidecar's admin endpoint; false if it does not answer.
 func (w *settingsWorld) metric(instance, name string) (float64, bool) {
 	client := http.Client{Timeout: 2 * time.Second}
 	answer, err := client.Get("http://" + w.admin[instance] + "/api/telemetry")
@@ -35,14 +35,14 @@
 	return 0, false
 }
 
-// bodyLimit is the limit on bodies that a sidecar works with by its own figures. It follows
+// bodyLimit returns the limit on bodies that a sidecar has in force, from its metrics. It follows
 // from limits.memory_mb.
 func (w *settingsWorld) bodyLimit(instance string) float64 {
 	limit, _ := w.metric(instance, `edge_balancer_body_bytes{of="most"}`)
 	return limit
 }
 
-// inForce waits until a revision is in force at so many hosts by the writer's word.
+// inForce waits until the writer reports a revision in force at a number of hosts.
 func (w *settingsWorld) inForce(revision distribution.Revision, hosts int) distribution.Status {
 	w.t.Helper()
 	var status distribution.Status
@@ -63,8 +63,7 @@
 	return status
 }
 
-// limits waits until all the named sidecars have the limit on bodies of an instance that is
-// known to run the wanted settings.
+// limits waits until all named sidecars have a limit on bodies in force.
 func (w *settingsWorld) limits(want float64, names []string) {
 	w.t.Helper()
 	eventually(w.t, fmt.Sprintf("a limit of %v bytes at %v", want, names), func() bool {
@@ -77,7 +76,7 @@
 	})
 }
 
-// inspect asks the agent of a host about one of its instances.
+// inspect queries the agent of a host about one of its instances.
 func (w *settingsWorld) inspect(h *host, instance string) *api.InspectOut {
 	w.t.Helper()
 	out := &api.InspectOut{}
@@ -87,8 +86,8 @@
 	return out
 }
 
-// status asks a relay how far a revision is at its own subscribers, or at all hosts where it
-// is the writer. ok is false if it does not answer.
+// status queries a relay for a revision's progress among its own subscribers or, at the writer,
+// among all hosts. ok is false if it does not answer.
 func (w *settingsWorld) status(relay *host, revision distribution.Revision) (out api.SettingsStatusOut, ok bool) {
 	in := &api.SettingsStatusIn{Revision: revision, Limit: 10}
 	err := w.operator.Agent(relay.name).Call(context.Background(), api.SettingsStatus, in, &out)
@@ -118,7 +117,7 @@
 	}
 }
 
-// accepted is the revisions of the resources that an instance took last, by name.
+// accepted returns the revisions of the resources that an instance applied last, by name.
 func (w *settingsWorld) accepted(h *host, instance string) map[string]distribution.Revision {
 	w.t.Helper()
 	revisions := make(map[string]distribution.Revision)
--- a/internal/fleet/e2e/settings_operation_test.go
+++ b/internal/fleet/e2e/settings_operation_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// waitStep waits until the step on an instance has come to its end, and says how.
+// waitStep waits for the end of the step on an instance and returns its status.
 func (w *settingsWorld) waitStep(h *host, operation api.Operation, instance string) (status string) {
 	w.t.Helper()
 	eventually(w.t, "the end of the step on "+instance, func() bool {
@@ -63,8 +63,8 @@
 	return status
 }
 
-// A live lease holds distributed settings back from its instances and from no others; a restart
-// in the operation begins with what was accepted before, and what was held back follows when
+// A live lease defers distributed settings for its own instances only. A restart within the
+// operation starts with the settings accepted before it, and the deferred ones are applied when
 // the operation ends.
 func TestOperationAndDistribution(t *testing.T) {
 	t.Parallel()
@@ -93,7 +93,8 @@
 	w.inForce(later, 2)
 	w.limits(w.bodyLimit(free.instances[0]), []string{instance})
 
-	// A reload whose lease ends before its step does: the step goes first all the same.
+	// The step of a reload finishes before deferred settings are applied, also where its lease ends
+	// first.
 	operation, token = w.openOperation(held, api.ActReload, 0)
 	w.startStep(held, operation, token, instance)
 	last := w.publish("limits/all", memoryLimit(96))
@@ -111,7 +112,7 @@
 	w.drainAndUndrain(held, instance)
 }
 
-// checkHeldBack says whether an instance waits for an operation and has its earlier settings.
+// checkHeldBack checks that an instance waits for an operation and still has its earlier settings.
 func (w *settingsWorld) checkHeldBack(h *host, instance string, limit float64, why string) {
 	w.t.Helper()
 	settings := w.inspect(h, instance).Settings
--- a/internal/fleet/e2e/settings_rejected_test.go
+++ b/internal/fleet/e2e/settings_rejected_test.go
@@ -12,10 +12,11 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// memoryRejection is what a sidecar's parser says of a memory limit below its least.
+// memoryRejection is the error of a sidecar's parser for a memory limit below the minimum.
 const memoryRejection = "limits.memory_mb must be at least"
 
-// waitRejected waits until all instances of a host have refused a revision, and the writer knows.
+// waitRejected waits until all instances of a host have rejected a revision and the writer knows
+// of it.
 func (w *settingsWorld) waitRejected(revision distribution.Revision, h *host) {
 	w.t.Helper()
 	eventually(w.t, fmt.Sprintf("a refusal of revision %v by all of %s", revision, h.name), func() bool {
@@ -39,8 +40,8 @@
 	return string(text)
 }
 
-// What a sidecar refuses does not replace the last accepted settings, in the process or in its
-// file, keeps nothing else back, and is told with the sidecar's own reason.
+// Settings that a sidecar rejects replace the last accepted ones neither in the process nor in its
+// file, block no other resource, and are reported with the sidecar's own reason.
 func TestRejectedRevisionKeepsLastGood(t *testing.T) {
 	t.Parallel()
 	w := newSettingsWorld(t, 2, 2, 2)
@@ -51,7 +52,7 @@
 
 	refused := w.publish("limits/all", memoryLimit(1), "--scope", "host="+h.name)
 	w.waitRejected(refused, h)
-	// The other host has no limit of this name any more: its settings are taken back.
+	// The resource now has the scope of one host, so at the other host it is removed.
 	w.limits(good, h.instances)
 	for _, instance := range h.instances {
 		if rejected, _ := w.metric(instance, "edge_balancer_config_rejected"); rejected != 1 {
@@ -70,11 +71,11 @@
 		t.Errorf("list --settings: exit %d\n%s%s", code, out, errs)
 	}
 
-	// Another resource gets through.
+	// Another resource is still applied.
 	w.publish("limits/other", memoryLimit(80))
 	w.limits(narrow, all)
 
-	// A later revision of the refused resource ends the refusal.
+	// A later revision of the rejected resource replaces it.
 	w.inForce(w.publish("limits/all", memoryLimit(112), "--scope", "host="+h.name), 2)
 	w.limits(wider, h.instances) // the resource with the narrower scope is merged last
 	w.limits(narrow, w.hosts[0].instances)
@@ -83,8 +84,8 @@
 	}
 }
 
-// A refused and a good change that come together, between two attempts: the good one gets
-// through. A process that begins anew after that has it too.
+// Of a rejected and a valid change that arrive between two attempts, the valid one is applied, and
+// a process started later has it too.
 func TestRejectedRevisionDoesNotBlockOthers(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
@@ -93,7 +94,8 @@
 	limits := w.reference(1, "limits/all", 80, 96)
 	narrow := limits[0]
 
-	// While an operation holds the instances nothing is tried: all of it comes at once after.
+	// While an operation holds the instances, nothing is applied: both changes arrive together
+	// after it.
 	operation, token := w.openOperation(h, api.ActRestart, 0)
 	bad := w.publish("limits/bad", memoryLimit(2), "--scope", "service=even")
 	good := w.publish("limits/all", memoryLimit(80))
--- a/internal/fleet/e2e/settings_relays_test.go
+++ b/internal/fleet/e2e/settings_relays_test.go
@@ -9,7 +9,7 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// subscribed waits until each host asks the relay of its own region.
+// subscribed waits until each host polls the relay of its own region.
 func (w *settingsWorld) subscribed() {
 	w.t.Helper()
 	for n, h := range w.hosts {
@@ -20,15 +20,15 @@
 	}
 }
 
-// A relay is killed when it has a change and its hosts have not: they get it from others. One
-// that is killed before it got the change follows when it is back.
+// When a relay is killed after it copied a change and before its hosts received it, they get it
+// from other relays. A relay that is killed before it copied the change does so after its restart.
 func TestRelayKilledMidChange(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 3, 6)
 	w.subscribed()
 	before := w.reference(6, "limits/all", 80)[0]
 
-	// The first has copied the change; its answers to hosts are on their way.
+	// The first relay has copied the change; its answers to hosts are in flight.
 	answering := w.relays[1]
 	w.setLinks(w.hosts, []*host{answering}, faultnet.Fault{Stall: faultnet.Back})
 	change := w.publish("limits/all", memoryLimit(96))
@@ -42,7 +42,7 @@
 	}
 	w.limits(after, instances(w.hosts...))
 
-	// The second has not got the next change when it is killed.
+	// The second relay is killed before it copied the next change.
 	copying := w.relays[2]
 	w.setLinks([]*host{copying}, w.relays, faultnet.Fault{Stall: faultnet.Both})
 	change = w.publish("limits/all", memoryLimit(80))
@@ -59,8 +59,8 @@
 	w.copied(change, answering, copying)
 }
 
-// Half of the relays go, the hosts that asked them go on with the others; changes reach all,
-// and the relays catch up when they are back.
+// Half of the relays are killed and their hosts poll the others: changes reach all hosts, and the
+// killed relays catch up after their restart.
 func TestHalfTheRelaysUnavailable(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 4, 8)
@@ -87,7 +87,7 @@
 	w.limits(limits[1], instances(w.hosts...))
 }
 
-// between is the links from each asker to each relay.
+// between returns the links from each asker to each relay.
 func (w *settingsWorld) between(askers, relays []*host) (links []*faultnet.Link) {
 	for _, asker := range askers {
 		for _, relay := range relays {
@@ -99,7 +99,7 @@
 	return links
 }
 
-// connections is how many connections were made over links.
+// connections returns how many connections were made over links.
 func connections(links []*faultnet.Link) (made int) {
 	for _, link := range links {
 		made += link.Made()
@@ -107,8 +107,8 @@
 	return made
 }
 
-// cutOff stalls links until heal is called. With reset all connections are reset as well, the
-// new ones within a few milliseconds: a caller sees at once that it failed.
+// cutOff stalls links until heal is called. With reset all connections are reset as well, new ones
+// within a few milliseconds, so that a caller fails at once.
 func cutOff(links []*faultnet.Link, reset bool) (heal func()) {
 	for _, link := range links {
 		link.Set(faultnet.Fault{Stall: faultnet.Both})
@@ -140,8 +140,8 @@
 	})
 }
 
-// A region without the others, and hosts without any relay, serve on with the last accepted
-// settings, try again at a bounded rate, and catch up when the links are whole again.
+// A partitioned region, and hosts without any relay, continue with the last accepted settings,
+// retry at a bounded rate, and catch up once the partition heals.
 func TestRegionCutOffAndBack(t *testing.T) {
 	for name, reset := range map[string]bool{"stalled": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
@@ -151,22 +151,22 @@
 	}
 }
 
-// The same for a minute, in which waits that do not grow would show.
+// The same for a minute, which would expose a missing backoff.
 func TestRegionCutOffForLong(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
 	regionCutOff(t, true, time.Minute)
 }
 
-// Most connections of one agent while all that it asks fail: some at first, then so many a
-// second. A relay follows the writer, asks another relay who writes, and reports.
+// Bounds on the connections of one agent while all its calls fail: a few at first, then a rate per
+// second. A relay follows the writer, queries another relay for the writer, and reports.
 const (
 	retriesFirst       = 6
 	relayRetriesSecond = 3.5
 	hostRetriesSecond  = 0.7
 )
 
-// regionCutOff cuts the second of two regions off, and the hosts of a third from all relays.
+// regionCutOff partitions the second of two regions, and the hosts of a third from all relays.
 func regionCutOff(t *testing.T, reset bool, lasts time.Duration) {
 	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 6, each: 1, regions: 3})
 	w.startRelays()
@@ -218,7 +218,7 @@
 	w.copied(change, w.relays...)
 }
 
-// maxAt says whether so many connections are within a bound.
+// maxAt checks that a number of connections is within a bound.
 func maxAt(t *testing.T, whose string, made int, limit float64) {
 	t.Helper()
 	t.Logf("%s made %d connections", whose, made)
--- a/internal/fleet/e2e/settings_test.go
+++ b/internal/fleet/e2e/settings_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// What is published reaches the instances in its scope and no others, by their own figures,
-// and the writer knows when it is in force.
+// A published change reaches the instances in its scope and no others, as their metrics show, and
+// the writer knows when it is in force.
 func TestSettingsReachAll(t *testing.T) {
 	w := newSettingsWorld(t, 3, 4, 2)
 	before := w.bodyLimit("h0-i0")
--- a/internal/fleet/e2e/settings_tls_test.go
+++ b/internal/fleet/e2e/settings_tls_test.go
@@ -28,8 +28,8 @@
 	address string // of the relay
 }
 
-// newTLSWorld makes certificates and starts a relay "relay" and a subscriber "host", whose
-// sidecar is pretended.
+// newTLSWorld makes certificates and starts a relay "relay" and a subscriber "host" with a
+// simulated sidecar.
 func newTLSWorld(t *testing.T) *tlsWorld {
 	t.Helper()
 	w := &tlsWorld{t: t, dir: t.TempDir()}
@@ -45,13 +45,14 @@
 			t.Fatal(err)
 		}
 	}
-	// A relay does not dial itself: its own entry needs no true address.
+	// A relay does not dial itself, so its own entry needs no valid address.
 	w.address = w.serve("relay", "[relay]\n", "tls:127.0.0.1:1", "")
 	w.serve("host", "", w.address, "[[instance]]\nname = \"instance\"\nconfig = \"instance.json\"\n")
 	return w
 }
 
-// serve runs an agent that knows the relay by an address until the test ends, and returns its own.
+// serve runs an agent, which has the relay's address, until the test ends, and returns its own
+// address.
 func (w *tlsWorld) serve(name, relay, address, instance string) string {
 	w.t.Helper()
 	text := fmt.Sprintf(`name = %q
@@ -97,7 +98,7 @@
 	return "tls:" + <-listening
 }
 
-// as is the relay as the holder of a certificate sees it.
+// as returns a client of the relay that authenticates with a certificate.
 func (w *tlsWorld) as(certificate string) *client.Agent {
 	w.t.Helper()
 	inv := &inventory.Inventory{Timeout: quantity.Duration(5 * time.Second), Hosts: []inventory.Host{{Name: "relay", Address: w.address}}}
@@ -112,8 +113,8 @@
 	return fleet.Agents[0]
 }
 
-// Over mutual TLS a host follows a relay with its agent's certificate; nobody speaks for a host
-// or a relay but itself, and who may only look publishes and promotes nothing.
+// Over mutual TLS a host follows a relay with its agent's certificate. No other certificate may
+// act for a host or a relay, and a viewer can neither publish nor promote.
 func TestSettingsOverTLS(t *testing.T) {
 	w := newTLSWorld(t)
 	ctx := context.Background()
--- a/internal/fleet/e2e/settings_unavailable_test.go
+++ b/internal/fleet/e2e/settings_unavailable_test.go
@@ -8,8 +8,8 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// reference publishes memory limits to all hosts in turn and returns their revisions and what
-// the sidecars' figures show under each, so that a test can tell them apart later.
+// reference publishes memory limits to all hosts in turn and returns the limit on bodies that the
+// sidecars have in force under each, so that a test can tell them apart later.
 func (w *settingsWorld) reference(hosts int, name string, megabytes ...int) (limits []float64) {
 	w.t.Helper()
 	for _, each := range megabytes {
@@ -26,9 +26,9 @@
 	return limits
 }
 
-// A host whose agent was stopped, one whose agent was killed and one that runs for the first
-// time after the changes all end at the latest; the sidecars of the first two serve on meanwhile
-// with what they had.
+// A host whose agent was stopped, one whose agent was killed and one that starts only after the
+// changes all converge to the latest settings. Until then the sidecars of the first two keep the
+// ones they had.
 func TestUnavailableHostConverges(t *testing.T) {
 	t.Parallel()
 	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 4, each: 1})
@@ -65,8 +65,8 @@
 	}
 }
 
-// With all relays down, the agent killed and started again, and its sidecar killed: the last
-// accepted settings are in force from the new process's first moment.
+// With all relays down, a restarted agent starts a new sidecar process with the last accepted
+// settings.
 func TestAgentRestartsWithoutSource(t *testing.T) {
 	t.Parallel()
 	w := newSettingsWorld(t, 2, 1, 2)
@@ -85,7 +85,7 @@
 	}
 	w.waitReady()
 
-	// Once more, with a sidecar that ends while its agent is away.
+	// The same for a sidecar that ends while its agent is down.
 	pid := w.inspect(h, h.instances[0]).Instance.PID
 	h.kill()
 	if err := syscall.Kill(pid, syscall.SIGKILL); err != nil {
@@ -98,7 +98,7 @@
 		t.Errorf("without a relay the agent tells %+v", settings)
 	}
 
-	// The relays come back: what is published then arrives.
+	// After the relays' restart new changes arrive.
 	w.startRelays()
 	w.inForce(w.publish("limits/all", memoryLimit(80)), 1)
 	if limit := w.bodyLimit(h.instances[0]); limit == wide {
@@ -106,7 +106,7 @@
 	}
 }
 
-// startedWith says whether a sidecar has a limit that it did not get by a reload.
+// startedWith checks that a sidecar has had a limit since its start, not by a reload.
 func (w *settingsWorld) startedWith(instance string, want float64) {
 	w.t.Helper()
 	w.limits(want, []string{instance})
@@ -115,8 +115,8 @@
 	}
 }
 
-// Readers behind the history get a snapshot: a host and a relay that were away for more changes
-// than are kept end at the log's state, without what was removed meanwhile.
+// A reader behind the compacted history gets a snapshot: a host and a relay that missed more
+// changes than are retained end at the log's state, without resources removed meanwhile.
 func TestCompactedHistoryGivesSnapshot(t *testing.T) {
 	t.Parallel()
 	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 2, each: 1, relay: "history = 5\n"})
@@ -137,13 +137,13 @@
 	}
 	var last distribution.Revision
 	for n := range 12 {
-		// Each is changed several times; the last round leaves 80 MB.
+		// The resource changes several times; the last round leaves 80 MB.
 		last = w.publish("limits/all", memoryLimit(80+16*((11-n)%2)))
 	}
 	w.inForce(last, 1)
 	relay.start()
 	w.copied(last, relay)
-	// The host can ask the relay that was away alone: its snapshot is whole.
+	// The host can reach only the relay that was down, whose snapshot has to be complete.
 	w.link(away, w.writer()).Set(faultnet.Fault{Drop: true})
 	away.start()
 	w.inForce(last, 2)
--- a/internal/fleet/e2e/settings_writer_killed_test.go
+++ b/internal/fleet/e2e/settings_writer_killed_test.go
@@ -28,7 +28,7 @@
 	c.hashes[resource.Revision] = resource.Hash
 }
 
-// look takes what relays that answer hold.
+// look records the resources of the relays that answer.
 func (w *settingsWorld) look(seen *contents, relays []*host) {
 	w.t.Helper()
 	for _, relay := range relays {
@@ -42,10 +42,10 @@
 	}
 }
 
-// The writer's agent is killed before and after each of its writes, with changes asked for all
-// the while, and at last between the write of a named change and its answer: what it acknowledged
-// is there in the end, what it wrote without an answer keeps its revision and content, and no
-// revision has two contents at any relay or in any log at any time.
+// The writer's agent is killed before and after each of its writes while changes are published,
+// and at last between logging a change and acknowledging it. Acknowledged changes survive, the
+// logged one keeps its revision and content, and no revision ever has two contents at any relay or
+// in any log.
 func TestWriterKilledAtEveryWrite(t *testing.T) {
 	t.Parallel()
 	maxWrite := 5
@@ -74,7 +74,7 @@
 	t.Logf("%d changes asked for, %d acknowledged, %d revisions seen", run.published, run.acknowledged, len(run.seen.hashes))
 }
 
-// writerRun asks a writer that dies for changes.
+// writerRun publishes changes at a writer that crashes, and keeps what was acknowledged.
 type writerRun struct {
 	world                   *settingsWorld
 	seen                    *contents
@@ -82,7 +82,7 @@
 	published, acknowledged int
 }
 
-// killedAt starts the writer so that it dies at a write, and asks for changes until it does.
+// killedAt starts the writer with a crash at a write, and publishes changes until it crashes.
 func (r *writerRun) killedAt(at int, after string) {
 	r.world.t.Helper()
 	writer, follower := r.world.writer(), r.world.relays[1]
@@ -97,8 +97,8 @@
 	r.logged()
 }
 
-// killedBeforeAnswer has the writer die once a change of one name is in its log, before it is
-// answered, and returns the change as it stands in that log.
+// killedBeforeAnswer crashes the writer after it has logged a change and before it acknowledges
+// it, and returns the change from that log.
 func (r *writerRun) killedBeforeAnswer() distribution.Resource {
 	r.world.t.Helper()
 	const name = "notes/unanswered"
@@ -119,7 +119,7 @@
 	return distribution.Resource{}
 }
 
-// publishUntilExit asks again and again until the writer's process has ended.
+// publishUntilExit publishes repeatedly until the writer's process has ended.
 func (r *writerRun) publishUntilExit(where string, ask func()) {
 	r.world.t.Helper()
 	writer := r.world.writer()
@@ -137,7 +137,7 @@
 	r.world.t.Fatalf("the writer does not die %s", where)
 }
 
-// publish asks for one change of a name, each with a content of its own, and looks at both relays.
+// publish publishes one change of a name with new content, and reads what both relays hold.
 func (r *writerRun) publish(name string) {
 	r.published++
 	put := &distribution.Put{Name: name, Scope: distribution.Scope{Labels: map[string]string{"service": "none"}},
@@ -154,7 +154,7 @@
 	r.world.look(r.seen, r.world.relays)
 }
 
-// logged reads the log that a dead writer left on its disk.
+// logged reads the log that a crashed writer left on its disk.
 func (r *writerRun) logged() []distribution.Resource {
 	r.world.t.Helper()
 	config, err := agent.LoadConfig(r.world.writer().config)
@@ -181,8 +181,8 @@
 	return resources
 }
 
-// checkUnanswered says whether a change that was written and not answered is there as it was
-// written, at the writer and at each relay.
+// checkUnanswered checks that a logged change which was not acknowledged is at the writer and at
+// each relay as it was logged.
 func (r *writerRun) checkUnanswered(want distribution.Resource) {
 	r.world.t.Helper()
 	r.world.copied(want.Revision, r.world.relays...)
@@ -197,7 +197,7 @@
 	}
 }
 
-// check says whether all that was acknowledged is there, or what was asked for later.
+// check checks that each acknowledged change, or a later one of its name, is there.
 func (r *writerRun) check() {
 	r.world.t.Helper()
 	if r.acknowledged == 0 || r.acknowledged >= len(r.seen.hashes) {
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -23,7 +23,7 @@
 	return epoch
 }
 
-// knowsWriter waits until relays tell that another one writes in an epoch.
+// knowsWriter waits until relays report a writer and its epoch.
 func (w *settingsWorld) knowsWriter(writer *host, epoch int64, relays ...*host) {
 	w.t.Helper()
 	want := api.SettingsWriter{Writer: writer.name, Epoch: epoch}
@@ -35,7 +35,7 @@
 	}
 }
 
-// holds says whether a relay has a resource of a name.
+// holds reports whether a relay has a resource of a name.
 func (w *settingsWorld) holds(relay *host, name string) bool {
 	w.t.Helper()
 	var out api.SettingsGetOut
@@ -45,9 +45,9 @@
 	return len(out.Resources) > 0
 }
 
-// A writer that is cut off from all but an operator goes on acknowledging after another one was
-// promoted: none of that reaches anybody, it steps down when it is reached again, and all
-// remember the epoch after a restart.
+// A writer that is partitioned from everyone but an operator continues to acknowledge changes
+// after another relay was promoted. None of them reaches a host or relay, the old writer steps
+// down once the partition heals, and all agents keep the epoch over a restart.
 func TestOldWriterIsFenced(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 3, 3)
@@ -81,7 +81,7 @@
 			t.Errorf("the old writer acknowledges revision %v", void)
 		}
 	}
-	// A host that knows of the new epoch and reaches the old writer alone keeps what it has.
+	// A host that knows the new epoch and can reach only the old writer keeps its settings.
 	w.reachOnly(w.hosts[0], old, others)
 	w.noneHoldsVoid(others, limit)
 
@@ -130,13 +130,13 @@
 	w.waitReady()
 }
 
-// putAt asks one relay for a change, whoever writes.
+// putAt sends a change to one relay, whether it is the writer or not.
 func (w *settingsWorld) putAt(relay *host, name string) error {
 	put := &distribution.Put{Name: name, Content: []byte(`{}`)}
 	return w.operator.Agent(relay.name).Call(context.Background(), api.SettingsPut, put, nil)
 }
 
-// inForceBy waits until a revision is in force at so many hosts by the word of a writer.
+// inForceBy waits until a given writer reports a revision in force at a number of hosts.
 func (w *settingsWorld) inForceBy(writer *host, revision distribution.Revision, hosts int) {
 	w.t.Helper()
 	eventually(w.t, fmt.Sprintf("revision %v in force at %d hosts", revision, hosts), func() bool {
@@ -145,8 +145,7 @@
 	})
 }
 
-// noneHoldsVoid says whether the changes of a writer that was replaced have reached relays or
-// hosts.
+// noneHoldsVoid checks that no change of the fenced writer has reached a relay or host.
 func (w *settingsWorld) noneHoldsVoid(relays []*host, limit float64) {
 	w.t.Helper()
 	for _, relay := range relays {
@@ -162,8 +161,8 @@
 	w.limits(limit, instances(w.hosts...))
 }
 
-// Two relays are promoted that know nothing of each other: their epochs differ, the later one
-// stands, and no revision has two contents.
+// Two relays are promoted while partitioned from each other: their epochs differ, the later one
+// prevails, and no revision has two contents.
 func TestTwoRelaysPromotedApart(t *testing.T) {
 	t.Parallel()
 	w := layOutSettings(t, settingsLayout{relays: 3, hosts: 1, each: 1})
--- a/internal/fleet/e2e/simulated_test.go
+++ b/internal/fleet/e2e/simulated_test.go
@@ -21,7 +21,7 @@
 	"martendrum/internal/standin/simhost"
 )
 
-// simulated is agents in this process whose sidecars are only pretended.
+// simulated is a fleet of real agents in this process with simulated sidecars.
 type simulated struct {
 	fleet  *client.Fleet
 	hosts  []*simhost.Host
@@ -31,7 +31,7 @@
 	ops    api.Operation // targets of all instances
 }
 
-// simulate starts agents with so many pretended sidecars each, over loopback.
+// simulate starts agents on loopback with simulated sidecars, a number of them each.
 func simulate(t testing.TB, hosts, each int, ready, drain time.Duration, edit func(*agent.Config)) *simulated {
 	t.Helper()
 	s := &simulated{}
@@ -75,7 +75,7 @@
 	return s
 }
 
-// simulatedConfig writes and loads the configuration of an agent with so many pretended sidecars.
+// simulatedConfig writes and loads the configuration of an agent with simulated sidecars.
 func simulatedConfig(t testing.TB, dir, binary string, h, each int) *agent.Config {
 	t.Helper()
 	name := fmt.Sprintf("sim-%d", h)
@@ -99,7 +99,7 @@
 	return cfg
 }
 
-// serve runs an agent on a pretended machine until the test ends, and returns its address.
+// serve runs an agent on a simulated host until the test ends, and returns its address.
 func (s *simulated) serve(t testing.TB, cfg *agent.Config, machine *simhost.Host) (address string) {
 	t.Helper()
 	a, err := agent.New(cfg, machine, func(p string) (store.Store, error) {
--- a/internal/fleet/e2e/staged_faults_test.go
+++ b/internal/fleet/e2e/staged_faults_test.go
@@ -14,9 +14,8 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// A sound change passes all stages. Its command is killed in mid-stage and another
-// goes on: no instance is changed twice, and the time that nobody looked on does
-// not count.
+// A harmless change passes all stages although its command is killed during one and another
+// command resumes it: no instance is changed twice, and the unobserved time does not count.
 func TestStagedChangeResumesAfterCommandKilled(t *testing.T) {
 	t.Parallel()
 	w := stagedWorld(t, 2, 5)
@@ -55,9 +54,9 @@
 	}
 }
 
-// The command is cut off from one host in mid-stage, both ways, then one way only, and
-// then the host's agent is stopped: it waits for the evidence, changes nothing new, and
-// goes on once it is back.
+// During a stage the command is partitioned from one host in both directions, then in one, and
+// then the host's agent is stopped. Each time the change pauses for lack of evidence, changes no
+// further instance, and continues once the host answers.
 func TestPartitionedCommandPausesChange(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
@@ -100,8 +99,8 @@
 	}
 }
 
-// The command dies, and then the new version begins to crash: with nobody to direct
-// them the agents take back what plainly fails, and say so.
+// The command is killed and then the new version begins to crash: without a command the agents
+// roll back the failing instances and report the cause.
 func TestAgentsRollBackWithoutCommand(t *testing.T) {
 	t.Parallel()
 	w := stagedWorld(t, 2, 4)
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -54,8 +54,8 @@
 	"crashes after a while": {by: "crash", program: "#!/bin/sh\n\"%s\" &\npid=$!\ntrap 'kill -TERM $pid; wait $pid; exit 0' TERM\n(sleep 3; kill -KILL $pid) &\nwait $pid\nexit 1\n"},
 }
 
-// A release that does worse is found in its first stage and taken back; nobody
-// beyond that stage is touched and no request is lost.
+// A release that performs worse is detected in its first stage and rolled back; no instance beyond
+// that stage is changed and no request is lost.
 func TestWorseReleaseStopsInFirstStage(t *testing.T) {
 	t.Parallel()
 	for name, c := range worseReleases {
@@ -92,8 +92,8 @@
 	}
 }
 
-// While the servers are bad for all, a change waits: it is neither stopped nor goes
-// on. When they are well again, it passes.
+// While the servers fail for changed and unchanged instances alike, a change pauses: it is neither
+// rolled back nor continued. Once they recover, it succeeds.
 func TestFaultyServersPauseChange(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
@@ -125,13 +125,12 @@
 	}
 }
 
-// New ones that load the servers for all make the old ones as bad as themselves. That
-// can't be told from a bad day, so the change waits: it never goes on, and whoever
-// looks is told why.
+// Changed instances that overload the shared servers make the baseline fail like themselves. That
+// can't be told from an outage, so the change pauses, never continues, and reports why.
 func TestHarmToBaselinePausesChange(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
-	// The servers bear so many requests in half a second, whoever sends them.
+	// Capacity of the shared servers in requests per half second.
 	const bears = 100
 	var taken atomic.Int64
 	stop := make(chan struct{})
@@ -180,8 +179,8 @@
 	}
 }
 
-// Settings go by file and SIGHUP: the same processes run on. Settings that a sidecar
-// turns down fail with its reason, and leave all as it was.
+// Settings are applied by file and SIGHUP, in the same processes. Settings that a sidecar rejects
+// fail with its reason and are rolled back.
 func TestStagedSettingsReload(t *testing.T) {
 	t.Parallel()
 	w := stagedWorld(t, 1, 8)
@@ -210,7 +209,7 @@
 	}
 }
 
-// Two operators: the second is told who holds the fleet, and nothing of its changes.
+// A second operator gets an error that names the lease holder, and changes nothing.
 func TestSecondOperatorIsRejected(t *testing.T) {
 	t.Parallel()
 	w := stagedWorld(t, 1, 4)
@@ -228,8 +227,8 @@
 	}
 }
 
-// Programs that may not stand side by side are refused before anything is touched; two
-// builds that may go through the stages beside each other.
+// A program that is incompatible with the running one is rejected before any instance is changed;
+// a compatible build passes the stages.
 func TestIncompatibleVersionsAreRejected(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
--- a/internal/fleet/e2e/staged_world_test.go
+++ b/internal/fleet/e2e/staged_world_test.go
@@ -21,8 +21,8 @@
 	"martendrum/internal/standin/shop"
 )
 
-// worldTurn lets one such world at a time run: each has its clients, and the other tests are
-// held to times. With -short, as in CI, only some do; long skips the others.
+// worldTurn lets only one staged world run at a time: each has clients, and the load would break
+// the time bounds of other tests.
 var worldTurn = make(chan struct{}, 1)
 
 func skipShort(t *testing.T) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// stagedWorld is a fleet of which figures are taken each half second. discovery leads
-// its sidecars to other servers than the world's own.
+// stagedWorld starts a fleet whose agents collect metrics each half second. A discovery address,
+// if given, leads its sidecars to other servers than the world's own.
 func stagedWorld(t testing.TB, hosts, each int, discovery ...string) *world {
 	t.Helper()
 	worldTurn <- struct{}{}
@@ -58,7 +58,8 @@
 	return w
 }
 
-// servers are further ones, which a release's overlay leads its sidecars to.
+// servers starts further servers, for the overlay of a release, and returns their discovery
+// address.
 func servers(t testing.TB, serve func(n int64, w http.ResponseWriter, r *http.Request) (done bool)) string {
 	t.Helper()
 	var n atomic.Int64
@@ -78,7 +79,7 @@
 	return s.Discovery
 }
 
-// change is a running `martendrum change`, of which the agents' records are watched.
+// change is a running `martendrum change`.
 type change struct {
 	world *world
 	cmd   *exec.Cmd
@@ -88,8 +89,8 @@
 	id    string
 }
 
-// quickChange is what a change in a test needs beside what it is about: stages that last
-// seconds, and margins for some hundred requests.
+// quickChange holds the flags of a quick change: stages that last seconds, and margins that suit
+// some hundred requests.
 var quickChange = slices.Clip([]string{"--all", "--least", "2s", "--longest", "40s", "--past", "6", "--warm", "500ms", "--soak", "200ms", "--batch", "3", "--max-unavailable", "6",
 	"--lease", "3s", "--seed", "1", "--max-shop", "", "--margin", "unserved=0.03:0.3", "--margin", "worth=0.03:0.3", "--margin", "failed=0.03:0.3",
 	"--margin", "slow=0.3:0.9", "--margin", "attempts=0.1:0.6", "--margin", "declined=0.1:0.6", "--margin", "crashes=1:12", "--margin", "memory=off", "--margin", "files=off"})
@@ -132,7 +133,7 @@
 	return rep
 }
 
-// waitForReport watches the agents' records until a report of the change fits.
+// waitForReport polls the agents until the report of an operation fits, and returns it.
 func (w *world) waitForReport(what string, fits func(*client.Report) bool) *client.Report {
 	w.t.Helper()
 	var rep *client.Report
@@ -154,10 +155,10 @@
 	return rep
 }
 
-// startLoad sends each instance a request each 40 ms or so, an activate in two.
+// startLoad sends each instance a request about every 40 ms, every second one an activate.
 func (w *world) startLoad() *clients { return w.startTraffic(40 * time.Millisecond) }
 
-// countChanged is how many instances ever ran the operation's release.
+// countChanged returns how many instances have ever run the operation's release.
 func countChanged(rep *client.Report) (n int) {
 	for _, r := range rep.Rows {
 		for _, s := range r.Steps {
@@ -169,7 +170,7 @@
 	return n
 }
 
-// checkRelease says that every instance is ready and runs what it ran at first.
+// checkRelease checks that every instance is ready and runs the given release.
 func (w *world) checkRelease(base string) {
 	w.t.Helper()
 	for _, h := range w.waitReady() {
--- a/internal/fleet/e2e/store_test.go
+++ b/internal/fleet/e2e/store_test.go
@@ -19,8 +19,8 @@
 	"martendrum/internal/standin/pgserver"
 )
 
-// The record can't be written: a change is refused before anything is touched, the
-// list says why, and it goes on once there is room.
+// An agent with a full store rejects a change before it touches an instance, lists the reason, and
+// accepts the change once there is space.
 func TestFullStoreRejectsChange(t *testing.T) {
 	s := simulate(t, 1, 1, time.Millisecond, time.Millisecond, nil)
 	ctx, a := context.Background(), s.fleet.Agents[0]
@@ -61,7 +61,7 @@
 	}
 }
 
-// The record is lost: sidecars go on, and the new record names what runs.
+// An agent whose store was lost leaves its sidecars running and rebuilds the store from them.
 func TestLostStoreIsRebuilt(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 1, 2)
@@ -91,8 +91,8 @@
 	}
 }
 
-// An instance with a store of record: inspect shows how it does, list marks one that is
-// away. The sidecar starts without its database.
+// For an instance with an idempotency store, inspect shows the store's state and list marks an
+// unavailable one. The sidecar starts without its database.
 func TestIdempotencyStoreStateIsShown(t *testing.T) {
 	t.Parallel()
 	pg, err := pgserver.Start(pgserver.Config{})
--- a/internal/fleet/e2e/traffic_test.go
+++ b/internal/fleet/e2e/traffic_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// clients send requests to every instance until stop, one new connection each, and
-// tell which were lost.
+// clients sends requests to every instance until stop, each on a new connection, and keeps which
+// were lost.
 type clients struct {
 	wg     sync.WaitGroup
 	end    chan struct{}
@@ -22,9 +22,9 @@
 	lost   []string
 }
 
-// shutdownRace is how long before a sidecar's end a request may be written that it
-// did not take any more: it closes its listener 700 ms after SIGTERM, and whoever
-// connects at that moment is not served. All that came before SIGTERM is older.
+// shutdownRace is how long before a sidecar's end a request may be written that the sidecar no
+// longer accepts: it closes its listener 700 ms after SIGTERM, and a client that connects at that
+// moment is not served. Any request from before SIGTERM is older.
 const shutdownRace = 400 * time.Millisecond
 
 func (w *world) startTraffic(each time.Duration) *clients {
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -17,9 +17,9 @@
 	"martendrum/internal/fleet/host/proc"
 )
 
-// Fifty sidecars under ten agents are upgraded while sidecars and agents are
-// killed by a seeded schedule and requests run. Every one is in the report once,
-// what is reported is what is, and no request that a living sidecar took is lost.
+// Fifty sidecars under ten agents are upgraded under load while a seeded schedule kills sidecars
+// and agents. Each instance is in the report once, the report agrees with the processes, and no
+// request that a living sidecar accepted is lost.
 func TestUpgradeUnderKillsLosesNothing(t *testing.T) {
 	w := newWorld(t, 10, 5)
 	w.startAll()
@@ -61,7 +61,7 @@
 	if requests.served < requests.sent/2 || requests.served == 0 {
 		t.Errorf("%d of %d requests were served", requests.served, requests.sent)
 	}
-	// The report at the end, and the one from the records afterwards.
+	// The command's own report, and then the one from the agents' stores.
 	w.rowsByInstance(rep, op)
 	if rep, err = w.fleet.Report(context.Background(), op.ID); err != nil {
 		t.Fatal(err)
@@ -138,8 +138,8 @@
 	}
 }
 
-// A release that never becomes ready, and one that becomes ready and dies while it
-// is soaked: the rollout stops at its limit, takes back what it changed, and says so.
+// A release that does not start, never becomes ready, or dies during its soak time stops the
+// rollout at its limit of failures; what was changed is rolled back and reported.
 func TestFailingReleaseIsRolledBack(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 2, 2)
@@ -195,9 +195,8 @@
 	}
 }
 
-// An upgrade starts each new process beside the old one: nobody who connects is kept
-// out for a moment, and the old process ends only when the new one serves. A release
-// that fails leaves the old process as it was.
+// An upgrade runs the old and the new process side by side: no connection is refused, and the old
+// process ends only once the new one serves. A release that fails leaves the old process running.
 func TestUpgradeRefusesNoConnection(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 1, 2)
@@ -241,7 +240,7 @@
 			t.Errorf("after a bad release %s is %s, pid %d, was %d", i.Name, i.State, i.PID, pids[i.Name])
 		}
 	}
-	// What serves on is what is wanted: an agent that comes back leaves it alone.
+	// The process that stayed counts as the desired one: a restarted agent leaves it alone.
 	w.hosts[0].kill()
 	w.hosts[0].start()
 	for _, i := range w.waitReady()[0].Instances {
@@ -279,8 +278,8 @@
 	}
 }
 
-// An agent that is killed while two processes serve finds both when it comes back, and
-// brings the replacement to its end.
+// An agent that is killed during a hand-over finds both processes after its restart and completes
+// the replacement.
 func TestAgentKilledDuringHandover(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 1, 1)
--- a/internal/fleet/e2e/verify_test.go
+++ b/internal/fleet/e2e/verify_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// rowsByInstance says whether a report has each target exactly once.
+// rowsByInstance checks that a report has each target exactly once, and returns its rows by
+// instance.
 func (w *world) rowsByInstance(rep *client.Report, op api.Operation) map[string]client.InstanceResult {
 	w.t.Helper()
 	rows := make(map[string]client.InstanceResult)
--- a/internal/fleet/e2e/world_test.go
+++ b/internal/fleet/e2e/world_test.go
@@ -34,7 +34,7 @@
 	bin    string
 }
 
-// host is one agent's.
+// host is one agent with its instances.
 type host struct {
 	world         *world
 	name          string
@@ -49,19 +49,19 @@
 
 var addresses atomic.Int64
 
-// newWorld lays out hosts with so many sidecars each; no agent runs yet.
+// newWorld writes the configurations of hosts with a number of sidecars each; no agent runs yet.
 func newWorld(t testing.TB, hosts, each int) *world {
 	t.Helper()
 	return newWorldOn(t, hosts, each, "")
 }
 
-// newWorldOn has agents whose files hold a [record] table.
+// newWorldOn is newWorld with a [record] table in the agents' files.
 func newWorldOn(t testing.TB, hosts, each int, record string) *world {
 	t.Helper()
 	return newWorldBefore(t, hosts, each, record, func() (*shop.Shop, error) { return shop.New(4, 10*time.Millisecond) })
 }
 
-// newWorldBefore has servers of the test's.
+// newWorldBefore is newWorldOn in front of servers that the test opens.
 func newWorldBefore(t testing.TB, hosts, each int, record string, open func() (*shop.Shop, error)) *world {
 	t.Helper()
 	w := &world{t: t, dir: t.TempDir(), prefix: fmt.Sprintf("e2e%08x", rand.Uint32()), bin: programs(t)}
@@ -129,7 +129,8 @@
 	return f
 }
 
-// start starts the host's agent; env may make it one that crashes.
+// start starts the host's agent. With env, the test's own program plays the agent, so that it can
+// crash.
 func (h *host) start(env ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -177,7 +178,7 @@
 	}
 }
 
-// waitReady waits until every instance of the fleet is ready, and what is wanted.
+// waitReady waits until every instance that should run is ready in its desired generation.
 func (w *world) waitReady() []client.HostState {
 	w.t.Helper()
 	var states []client.HostState
@@ -214,7 +215,7 @@
 	w.waitReady()
 }
 
-// op is an operation on all instances.
+// op returns an operation on all instances.
 func (w *world) op(action string, edit func(*api.Operation)) api.Operation {
 	o := api.Operation{
 		ID: fmt.Sprintf("op-%08x", rand.Uint32()), Action: action, Ready: 20 * time.Second, Soak: 300 * time.Millisecond,
@@ -252,7 +253,7 @@
 	return o.String(), e.String(), code
 }
 
-// script writes a program of a shell's.
+// script writes an executable file.
 func (w *world) script(name, text string) (path string) {
 	w.t.Helper()
 	path = filepath.Join(w.dir, name)
@@ -262,7 +263,7 @@
 	return path
 }
 
-// release makes a release of the sidecar with an overlay and sends it to all agents.
+// release uploads a release of a program with an overlay to all agents, and returns its hash.
 func (w *world) release(binary, overlay string) string {
 	w.t.Helper()
 	path := ""
--- a/internal/hollow/cluster_test.go
+++ b/internal/hollow/cluster_test.go
@@ -21,8 +21,8 @@
 	"martendrum/internal/msgpackrpc"
 )
 
-// relayAddress is the loopback address of relays. It is another one than that from which
-// connections come, so that none of these takes the port of a relay that is away.
+// relayAddress is the loopback address of relays. Outgoing connections use another one, so that
+// none of them takes the port of a relay that is down.
 const relayAddress = "127.0.0.2"
 
 // Bounds of waits in a cluster.
@@ -75,14 +75,15 @@
 	<-p.end
 }
 
-// relay is one of the machines that serve settings.
+// relay is one host that serves settings.
 type relay struct {
 	distribution.Relay
 	config  string
 	process *process // nil: not running
 }
 
-// cluster is relays, the first of which writes, and an operator's connection to it.
+// cluster is a set of relays, the first of which is the writer, with an operator's connection to
+// it.
 type cluster struct {
 	t         testing.TB
 	folder    string
@@ -94,7 +95,7 @@
 	writer    connect.Caller
 }
 
-// newCluster lays relays out and starts them.
+// newCluster writes the relays' configurations and starts them.
 func newCluster(t testing.TB, relays, subscribers int, profiles string) *cluster {
 	t.Helper()
 	c := &cluster{t: t, folder: t.TempDir(), program: program(t), profiles: profiles}
@@ -105,7 +106,7 @@
 	c.must(err)
 	c.operator, err = pki.TLS(c.path("ca.crt"), c.path("operator.crt"), c.path("operator.key"))
 	c.must(err)
-	// The agents have no instances: the program that these would run is never started.
+	// The agents have no instances, so the sidecar's program is never started.
 	c.must(os.WriteFile(c.path("unused"), []byte("#!/bin/false\n"), 0o700))
 	c.layRelays(relays, subscribers)
 	t.Cleanup(c.close)
@@ -123,7 +124,7 @@
 
 func (c *cluster) path(name string) string { return filepath.Join(c.folder, name) }
 
-// addresses are those of the relays, as subscribers are told.
+// addresses returns the relays' addresses, as subscribers are configured with them.
 func (c *cluster) addresses() []distribution.Relay {
 	var addresses []distribution.Relay
 	for _, relay := range c.relays {
@@ -188,7 +189,7 @@
 	}
 }
 
-// stop ends relays, all at once.
+// stop ends relays concurrently.
 func (c *cluster) stop(how syscall.Signal, relays ...*relay) {
 	var all sync.WaitGroup
 	for _, relay := range relays {
@@ -227,7 +228,7 @@
 	}
 }
 
-// publish makes a change, and returns it and when it was acknowledged.
+// publish publishes a change, and returns it with the time of its acknowledgement.
 func (c *cluster) publish(put distribution.Put) (Change, time.Time) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), maxCall)
@@ -237,7 +238,7 @@
 	return Change{Name: put.Name, Revision: out.Resource.Revision}, time.Now()
 }
 
-// status asks the writer how far a revision is; zero is the latest.
+// status queries the writer for a revision's progress; the zero revision is the latest.
 func (c *cluster) status(revision distribution.Revision) distribution.Status {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), maxCall)
@@ -260,7 +261,7 @@
 	}
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds, and fails the test at the limit.
 func eventually(t testing.TB, limit time.Duration, what string, holds func() bool) {
 	t.Helper()
 	const pollInterval = 50 * time.Millisecond
--- a/internal/hollow/layout_test.go
+++ b/internal/hollow/layout_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The layout is what its comments say: the sizes of services are skewed, and every host is in
-// one part.
+// The layout agrees with its comments: the sizes of services are skewed, and every host is in one
+// part.
 func TestLayout(t *testing.T) {
 	const count = 21000
 	hosts := Layout(count)
--- a/internal/hollow/main_test.go
+++ b/internal/hollow/main_test.go
@@ -25,7 +25,7 @@
 	profileVariable = "HOLLOW_PROFILE" // the folder of profiles; "": none
 )
 
-// TestMain also plays workers and, where profiles are asked for, relays.
+// TestMain also runs as a worker's process and, with profiles, as a relay's.
 func TestMain(m *testing.M) {
 	role := ""
 	var run func(path string) error
@@ -49,7 +49,7 @@
 	os.Exit(code)
 }
 
-// profiled runs a role, with profiles of processor and memory if they are asked for.
+// profiled runs a role, with CPU and heap profiles if profileVariable is set.
 func profiled(path string, run func(path string) error) error {
 	folder := os.Getenv(profileVariable)
 	if folder == "" {
--- a/internal/hollow/results_test.go
+++ b/internal/hollow/results_test.go
@@ -25,7 +25,8 @@
 	unit   string
 }
 
-// newResults writes the lines that say where and when; in the file of the flag if there is one.
+// newResults writes the lines that describe the machine and the time, to the flag's file if it is
+// set.
 func newResults(t testing.TB, path string) *results {
 	t.Helper()
 	var out io.Writer = os.Stdout
@@ -43,7 +44,7 @@
 	return &results{out: out}
 }
 
-// load notes what else the machine was doing.
+// load notes the machine's load average.
 func (r *results) load() {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err == nil {
@@ -54,7 +55,7 @@
 // note writes a configuration line of words.
 func (r *results) note(key, words string) { fmt.Fprintf(r.out, "%s: %s\n", key, words) }
 
-// add writes one line of a case.
+// add writes one result line of a case.
 func (r *results) add(name string, values ...value) {
 	var line strings.Builder
 	fmt.Fprintf(&line, "BenchmarkDistribution/case=%s/subscribers=%d 1", name, r.subscribers)
@@ -64,7 +65,7 @@
 	fmt.Fprintln(r.out, line.String())
 }
 
-// Part of all subscribers that the aim is stated for, in thousandths.
+// Part of all subscribers for which the objective is stated, in thousandths.
 const maxOfThousand = 999
 
 // delays is how long after an event 999 in 1,000 of count and all of them had something in
@@ -79,7 +80,7 @@
 	return sorted[len(sorted)/2]
 }
 
-// largest is the greatest of at least one.
+// largest returns the greatest of at least one value.
 func largest[T cmp.Ordered](values []T) T { return slices.Max(values) }
 
 func seconds(duration time.Duration) float64 { return duration.Seconds() }
--- a/internal/hollow/scale_faults_test.go
+++ b/internal/hollow/scale_faults_test.go
@@ -8,7 +8,8 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// relaysKilled kills two relays, not the writer, while changes come at ten times the rate.
+// relaysKilled kills two relays, not the writer, while changes are published at ten times the
+// rate.
 func (s *scale) relaysKilled() {
 	s.t.Helper()
 	lost := s.cluster.relays[1:3]
@@ -23,8 +24,8 @@
 	s.cluster.startAll()
 }
 
-// relaysSilent stops two relays, not the writer, and makes a change: their connections stay
-// open and say nothing, as those of a machine that is lost.
+// relaysSilent stops two relays, not the writer, and publishes a change: their connections stay
+// open and silent, like those of a failed machine.
 func (s *scale) relaysSilent() {
 	s.t.Helper()
 	silent := s.cluster.relays[3:5] // not those of relaysKilled, whose subscribers are elsewhere yet
@@ -52,8 +53,8 @@
 	return made
 }
 
-// regionCut stops the processes of one region while a change is made, and tells how long
-// after their return they have it.
+// regionCut stops the processes of one region while a change is published, and measures how long
+// after they continue they have it.
 func (s *scale) regionCut() {
 	s.t.Helper()
 	var stopped []*workerHandle
@@ -78,8 +79,8 @@
 		value{float64(peak.stop()), "peak-descriptors/relay"})
 }
 
-// powerLoss ends everything, and starts relays and subscribers at once. The relays have what
-// they wrote; the subscribers, with copies in memory, have nothing.
+// powerLoss kills all processes, and starts relays and subscribers at once. The relays have their
+// logs; the subscribers, with copies in memory, have nothing.
 func (s *scale) powerLoss() {
 	s.t.Helper()
 	s.cluster.disconnect()
--- a/internal/hollow/scale_test.go
+++ b/internal/hollow/scale_test.go
@@ -32,13 +32,13 @@
 	tenfoldInterval  = ordinaryInterval / 10
 )
 
-// cutFor is how long a region is cut off.
+// cutFor is how long a region is stopped.
 const cutFor = 10 * time.Second
 
-// patience bounds the wait until all subscribers have something.
+// patience bounds the wait until all subscribers have a change.
 const patience = 60 * time.Second
 
-// scale is what one size is measured with.
+// scale holds the processes, and the results, of a measurement at one size.
 type scale struct {
 	t       testing.TB
 	cluster *cluster
@@ -86,13 +86,13 @@
 	}
 }
 
-// measured is a case of the scale test.
+// measured is one case of the scale test.
 type measured struct {
 	name string
 	run  func()
 }
 
-// cases are all that is measured after the start, in order.
+// cases returns the cases that are measured after the start, in order.
 func (s *scale) cases() []measured {
 	largestService := distribution.Scope{Labels: map[string]string{"service": ServiceName(0)}}
 	return []measured{
@@ -149,7 +149,7 @@
 	}
 }
 
-// change is a published change, and whom it concerns.
+// change is a published change with the subscribers in its scope.
 type change struct {
 	Change
 	acknowledged time.Time
@@ -162,7 +162,8 @@
 	return change{Change: made, acknowledged: at, concerned: s.workers.concerned(scope)}
 }
 
-// inForce waits until all whom changes concern have accepted them, and returns when each did.
+// inForce waits until all subscribers in the scope of changes have accepted them, and returns when
+// each did.
 func (s *scale) inForce(changes []change) [][]time.Time {
 	s.t.Helper()
 	asked := make([]Change, len(changes))
@@ -202,7 +203,7 @@
 	return time.Time{}
 }
 
-// relayUsage is the usage of each relay that runs.
+// relayUsage returns the usage of each running relay.
 func (s *scale) relayUsage() []Usage {
 	s.t.Helper()
 	var usages []Usage
@@ -217,7 +218,7 @@
 	return usages
 }
 
-// start starts all subscribers at once, and tells when they have the state.
+// start starts all subscribers at once, and measures when they have the state.
 func (s *scale) start(name string) {
 	s.t.Helper()
 	s.workers.launch()
@@ -256,7 +257,7 @@
 	s.addCost("rest", before)
 }
 
-// single publishes one change after the other, each once the one before is in force.
+// single publishes changes one at a time, each once the one before is in force.
 func (s *scale) single(name string, scope distribution.Scope, repeats int) {
 	s.t.Helper()
 	for range repeats {
@@ -269,7 +270,8 @@
 	}
 }
 
-// changes publishes at a rate for a time: one in ten concerns all, the others one service.
+// changes publishes at a rate for a time: one in ten has the scope of all hosts, the others that
+// of one service.
 func (s *scale) changes(each, span time.Duration) []change {
 	s.t.Helper()
 	var made []change
@@ -281,14 +283,14 @@
 			made = append(made, s.publish(fmt.Sprint("rate/all-", n), distribution.Scope{}))
 			continue
 		}
-		// Ranks all over the services, the largest among them.
+		// Ranks spread over all services, the largest among them.
 		service := ServiceName((n - 1) * 37 % s.services())
 		made = append(made, s.publish("rate/"+service, distribution.Scope{Labels: map[string]string{"service": service}}))
 	}
 	return made
 }
 
-// services is how many services have a subscriber.
+// services returns how many services have a subscriber.
 func (s *scale) services() int {
 	seen := make(map[string]bool)
 	for _, host := range s.workers.hosts {
--- a/internal/hollow/scale_usage_test.go
+++ b/internal/hollow/scale_usage_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// cost is what the workers and relays used over a time.
+// cost is what the workers and relays have used so far.
 type cost struct {
 	began   time.Time
 	workers Usage
@@ -52,13 +52,13 @@
 	return total
 }
 
-// descriptorPeak is the most descriptors that a relay had at once.
+// descriptorPeak is the maximum of descriptors that a relay had at once.
 type descriptorPeak struct {
 	done  chan struct{}
 	limit chan int
 }
 
-// watchDescriptors looks at the relays' descriptors until stop.
+// watchDescriptors samples the relays' descriptors until stop.
 func (s *scale) watchDescriptors() *descriptorPeak {
 	const lookInterval = 200 * time.Millisecond
 	peak := &descriptorPeak{done: make(chan struct{}), limit: make(chan int, 1)}
@@ -86,13 +86,13 @@
 	return peak
 }
 
-// stop ends the watch and returns the most.
+// stop ends the sampling and returns the maximum.
 func (p *descriptorPeak) stop() int {
 	close(p.done)
 	return <-p.limit
 }
 
-// heapProfiles asks relays and workers for a profile of their memory, if profiles are wanted.
+// heapProfiles signals relays and workers to write heap profiles, if profiles are enabled.
 func (s *scale) heapProfiles() {
 	if s.cluster.profiles == "" {
 		return
--- a/internal/hollow/worker_test.go
+++ b/internal/hollow/worker_test.go
@@ -12,7 +12,7 @@
 	"martendrum/internal/fleet/pki"
 )
 
-// A worker ends with its input, though no relay answers, and leaves nothing running.
+// A worker ends when its input does, also while no relay answers, and leaks no goroutine.
 func TestWorkerEndsWithInput(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	folder := t.TempDir()
--- a/internal/hollow/workers_test.go
+++ b/internal/hollow/workers_test.go
@@ -15,7 +15,7 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// workerSubscribers is how many subscribers one worker has at most.
+// workerSubscribers is the maximum of subscribers in one worker.
 const workerSubscribers = 1200
 
 // workerHandle is a process of hollow subscribers.
@@ -37,7 +37,7 @@
 	profiles string
 }
 
-// newWorkers lays out the workers of so many subscribers. They don't run yet.
+// newWorkers configures the workers for a number of subscribers. They don't run yet.
 func newWorkers(c *cluster, subscribers int, coalesce time.Duration) *workers {
 	c.t.Helper()
 	w := &workers{t: c.t, hosts: Layout(subscribers), profiles: c.profiles}
@@ -119,7 +119,7 @@
 	}
 }
 
-// ask asks all workers at once, and returns their replies in order.
+// ask sends a request to all workers concurrently, and returns their replies in order.
 func (w *workers) ask(request Request) []Reply {
 	w.t.Helper()
 	replies, failed := make([]Reply, len(w.handles)), make([]error, len(w.handles))
@@ -141,7 +141,7 @@
 	return replies
 }
 
-// usage is the sum over all workers.
+// usage returns the sum over all workers.
 func (w *workers) usage() Usage {
 	w.t.Helper()
 	var sum Usage
@@ -156,7 +156,7 @@
 		Resident: u.Resident + other.Resident, ResidentPeak: u.ResidentPeak + other.ResidentPeak, Descriptors: u.Descriptors + other.Descriptors}
 }
 
-// concerned is how many subscribers a scope holds.
+// concerned returns how many subscribers are in a scope.
 func (w *workers) concerned(scope distribution.Scope) int {
 	count := 0
 	for _, host := range w.hosts {
@@ -167,7 +167,7 @@
 	return count
 }
 
-// accepted is when subscribers took each change, in order.
+// accepted returns when subscribers accepted each change, in order.
 func (w *workers) accepted(changes ...Change) [][]time.Time {
 	w.t.Helper()
 	times := make([][]time.Time, len(changes))
@@ -182,7 +182,7 @@
 	return times
 }
 
-// settled is when subscribers had the whole state first, in order.
+// settled returns when subscribers first had the complete state, in order.
 func (w *workers) settled() []time.Time {
 	w.t.Helper()
 	var times []time.Time
