--- a/internal/fleet/e2e/settings_writer_killed_test.go
+++ b/internal/fleet/e2e/settings_writer_killed_test.go
@@ -19,7 +19,7 @@
 	hashes map[distribution.Revision]string
 }
 
-func (c *contents) saw(resource distribution.Resource) {
+func (c *contents) add(resource distribution.Resource) {
 	c.t.Helper()
 	have, there := c.hashes[resource.Revision]
 	if there && have != resource.Hash {
@@ -28,8 +28,8 @@
 	c.hashes[resource.Revision] = resource.Hash
 }
 
-// look records the resources of the relays that answer.
-func (w *settingsWorld) look(seen *contents, relays []*host) {
+// readRelays records the resources of the relays that answer.
+func (w *settingsWorld) readRelays(seen *contents, relays []*host) {
 	w.t.Helper()
 	for _, relay := range relays {
 		var out api.SettingsGetOut
@@ -37,7 +37,7 @@
 			continue
 		}
 		for _, resource := range out.Resources {
-			seen.saw(resource)
+			seen.add(resource)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 	run.checkUnanswered(unanswered)
 	last := w.publish("limits/all", memoryLimit(96))
 	w.copied(last, w.relays...)
-	w.look(run.seen, w.relays)
+	w.readRelays(run.seen, w.relays)
 	w.inForce(last, 1)
 	t.Logf("%d changes asked for, %d acknowledged, %d revisions seen", run.published, run.acknowledged, len(run.seen.hashes))
 }
@@ -93,7 +93,7 @@
 	}
 	writer.start("E2E_AGENT="+writer.config, fmt.Sprint("E2E_CRASH_AT=", at), "E2E_CRASH_AFTER="+after)
 	r.publishUntilExit(fmt.Sprintf("at write %d", at), func() { r.publish(fmt.Sprint("notes/", (r.published+1)%3)) })
-	r.world.look(r.seen, r.world.relays)
+	r.world.readRelays(r.seen, r.world.relays)
 	r.logged()
 }
 
@@ -149,9 +149,9 @@
 		return
 	}
 	r.acknowledged++
-	r.seen.saw(out.Resource)
+	r.seen.add(out.Resource)
 	r.latest[put.Name] = out.Resource
-	r.world.look(r.seen, r.world.relays)
+	r.world.readRelays(r.seen, r.world.relays)
 }
 
 // logged reads the log that a crashed writer left on its disk.
@@ -176,7 +176,7 @@
 	}
 	resources := state.Resources()
 	for _, resource := range resources {
-		r.seen.saw(resource)
+		r.seen.add(resource)
 	}
 	return resources
 }
@@ -209,7 +209,7 @@
 	}
 	have := make(map[string]distribution.Resource)
 	for _, resource := range resources {
-		r.seen.saw(resource)
+		r.seen.add(resource)
 		have[resource.Name] = resource
 	}
 	for name, want := range r.latest {
--- a/internal/hollow/layout_test.go
+++ b/internal/hollow/layout_test.go
@@ -7,9 +7,9 @@
 func TestLayout(t *testing.T) {
 	const count = 21000
 	hosts := Layout(count)
-	for _, c := range []struct{ rank, least, limit int }{{0, 1400, 1500}, {394, 11, 14}, {Services - 1, 6, 8}} {
-		if have := CountService(hosts, ServiceName(c.rank)); have < c.least || have > c.limit {
-			t.Errorf("service of rank %d: %d hosts; want %d to %d", c.rank, have, c.least, c.limit)
+	for _, c := range []struct{ rank, minimum, limit int }{{0, 1400, 1500}, {394, 11, 14}, {Services - 1, 6, 8}} {
+		if have := CountService(hosts, ServiceName(c.rank)); have < c.minimum || have > c.limit {
+			t.Errorf("service of rank %d: %d hosts; want %d to %d", c.rank, have, c.minimum, c.limit)
 		}
 	}
 	seen := make(map[string]bool)
--- a/internal/hollow/scale_test.go
+++ b/internal/hollow/scale_test.go
@@ -35,8 +35,8 @@
 // cutFor is how long a region is stopped.
 const cutFor = 10 * time.Second
 
-// patience bounds the wait until all subscribers have a change.
-const patience = 60 * time.Second
+// acceptTimeout bounds the wait until all subscribers have a change.
+const acceptTimeout = 60 * time.Second
 
 // scale holds the processes, and the results, of a measurement at one size.
 type scale struct {
@@ -173,7 +173,7 @@
 	const askInterval = 500 * time.Millisecond // an answer of all costs the workers time
 	var times [][]time.Time
 	missing := ""
-	for until := time.Now().Add(patience); ; time.Sleep(askInterval) {
+	for until := time.Now().Add(acceptTimeout); ; time.Sleep(askInterval) {
 		times, missing = s.workers.accepted(asked...), ""
 		for n, change := range changes {
 			if len(times[n]) < change.concerned {
@@ -184,7 +184,7 @@
 			return times
 		}
 		if time.Now().After(until) {
-			s.t.Fatalf("not in force after %v: %s", patience, missing)
+			s.t.Fatalf("not in force after %v: %s", acceptTimeout, missing)
 		}
 	}
 }
@@ -194,12 +194,12 @@
 	s.t.Helper()
 	const askInterval = 100 * time.Millisecond
 	var status distribution.Status
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(askInterval) {
+	for until := time.Now().Add(acceptTimeout); time.Now().Before(until); time.Sleep(askInterval) {
 		if status = s.cluster.status(revision); status.InForce == len(s.workers.hosts) {
 			return time.Now()
 		}
 	}
-	s.t.Fatalf("the writer does not know of %v after %v: %+v", revision, patience, status)
+	s.t.Fatalf("the writer does not know of %v after %v: %+v", revision, acceptTimeout, status)
 	return time.Time{}
 }
 
@@ -231,10 +231,10 @@
 func (s *scale) awaitState(name string, began time.Time, peak *descriptorPeak) {
 	s.t.Helper()
 	var settled []time.Time
-	until := time.Now().Add(patience)
+	until := time.Now().Add(acceptTimeout)
 	for settled = s.workers.settled(); len(settled) < len(s.workers.hosts); settled = s.workers.settled() {
 		if time.Now().After(until) {
-			s.t.Fatalf("%d of %d have the state after %v", len(settled), len(s.workers.hosts), patience)
+			s.t.Fatalf("%d of %d have the state after %v", len(settled), len(s.workers.hosts), acceptTimeout)
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
--- a/internal/hollow/workers_test.go
+++ b/internal/hollow/workers_test.go
@@ -79,14 +79,14 @@
 		handle.input, handle.output = input, output
 		handle.requests, handle.replies = json.NewEncoder(input), json.NewDecoder(output)
 	}
-	w.ask(Request{Command: Measure})
+	w.call(Request{Command: Measure})
 }
 
 // begin starts all subscribers at once.
 func (w *workers) begin() time.Time {
 	w.t.Helper()
 	began := time.Now()
-	w.ask(Request{Command: Start})
+	w.call(Request{Command: Start})
 	return began
 }
 
@@ -119,8 +119,8 @@
 	}
 }
 
-// ask sends a request to all workers concurrently, and returns their replies in order.
-func (w *workers) ask(request Request) []Reply {
+// call sends a request to all workers concurrently, and returns their replies in order.
+func (w *workers) call(request Request) []Reply {
 	w.t.Helper()
 	replies, failed := make([]Reply, len(w.handles)), make([]error, len(w.handles))
 	var all sync.WaitGroup
@@ -145,7 +145,7 @@
 func (w *workers) usage() Usage {
 	w.t.Helper()
 	var sum Usage
-	for _, reply := range w.ask(Request{Command: Measure}) {
+	for _, reply := range w.call(Request{Command: Measure}) {
 		sum = sum.plus(reply.Usage)
 	}
 	return sum
@@ -171,7 +171,7 @@
 func (w *workers) accepted(changes ...Change) [][]time.Time {
 	w.t.Helper()
 	times := make([][]time.Time, len(changes))
-	for _, reply := range w.ask(Request{Command: Collect, Changes: changes}) {
+	for _, reply := range w.call(Request{Command: Collect, Changes: changes}) {
 		for n, accepted := range reply.Accepted {
 			times[n] = append(times[n], moments(accepted)...)
 		}
@@ -186,7 +186,7 @@
 func (w *workers) settled() []time.Time {
 	w.t.Helper()
 	var times []time.Time
-	for _, reply := range w.ask(Request{Command: Collect}) {
+	for _, reply := range w.call(Request{Command: Collect}) {
 		times = append(times, moments(reply.Settled)...)
 	}
 	slices.SortFunc(times, time.Time.Compare)
