--- a/internal/standin/pgserver/execute.go
+++ b/internal/standin/pgserver/execute.go
@@ -90,51 +90,75 @@
 // maxRows is how many rows a statement may return.
 const maxRows = 20000
 
+// carryOut carries out a statement on SQLite, and returns its rows and its command tag.
 func (c *session) carryOut(ctx context.Context, p *portal) (rows [][]any, tag string, err error) {
 	switch p.kind {
 	case begin:
-		if c.status != 'I' {
-			c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25001", Message: "there is already a transaction in progress"})
-			return nil, "BEGIN", nil
-		}
-		if _, err := c.db.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
-			return nil, "", err
-		}
-		c.status = 'T'
-		return nil, "BEGIN", nil
+		tag, err = c.begin(ctx)
+		return nil, tag, err
 	case commit, rollback:
-		was := c.status
-		if was == 'I' {
-			c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25P01", Message: "there is no transaction in progress"})
-			return nil, strings.ToUpper(p.kind), nil
-		}
-		if was == 'E' || p.kind == rollback {
-			tag = "ROLLBACK"
-		} else {
-			tag = "COMMIT"
-		}
-		if _, err := c.db.ExecContext(context.WithoutCancel(ctx), tag); err != nil {
-			return nil, "", err
-		}
-		c.status = 'I'
-		return nil, tag, nil
+		tag, err = c.end(ctx, p.kind)
+		return nil, tag, err
 	}
 	if len(p.columns) == 0 {
-		r, err := c.db.ExecContext(ctx, p.sqlite, p.args...)
-		if err != nil {
-			return nil, "", err
-		}
-		n, err := r.RowsAffected()
-		switch p.kind {
-		case "insert":
-			tag = fmt.Sprintf("INSERT 0 %d", n)
-		case "update", "delete":
-			tag = fmt.Sprintf("%s %d", strings.ToUpper(p.kind), n)
-		default:
-			tag = strings.ToUpper(p.kind)
-		}
+		tag, err = c.exec(ctx, p)
 		return nil, tag, err
 	}
+	return c.query(ctx, p)
+}
+
+// begin begins a transaction, unless one is open.
+func (c *session) begin(ctx context.Context) (tag string, err error) {
+	if c.status != 'I' {
+		c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25001", Message: "there is already a transaction in progress"})
+		return "BEGIN", nil
+	}
+	if _, err := c.db.ExecContext(ctx, "BEGIN IMMEDIATE"); err != nil {
+		return "", err
+	}
+	c.status = 'T'
+	return "BEGIN", nil
+}
+
+// end commits a transaction or rolls it back; one that failed is always rolled back.
+func (c *session) end(ctx context.Context, kind string) (tag string, err error) {
+	was := c.status
+	if was == 'I' {
+		c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25P01", Message: "there is no transaction in progress"})
+		return strings.ToUpper(kind), nil
+	}
+	if was == 'E' || kind == rollback {
+		tag = "ROLLBACK"
+	} else {
+		tag = "COMMIT"
+	}
+	if _, err := c.db.ExecContext(context.WithoutCancel(ctx), tag); err != nil {
+		return "", err
+	}
+	c.status = 'I'
+	return tag, nil
+}
+
+// exec carries out a statement without results.
+func (c *session) exec(ctx context.Context, p *portal) (tag string, err error) {
+	r, err := c.db.ExecContext(ctx, p.sqlite, p.args...)
+	if err != nil {
+		return "", err
+	}
+	n, err := r.RowsAffected()
+	switch p.kind {
+	case "insert":
+		tag = fmt.Sprintf("INSERT 0 %d", n)
+	case "update", "delete":
+		tag = fmt.Sprintf("%s %d", strings.ToUpper(p.kind), n)
+	default:
+		tag = strings.ToUpper(p.kind)
+	}
+	return tag, err
+}
+
+// query carries out a statement with results.
+func (c *session) query(ctx context.Context, p *portal) (rows [][]any, tag string, err error) {
 	r, err := c.db.QueryContext(ctx, p.sqlite, p.args...)
 	if err != nil {
 		return nil, "", err
--- a/internal/standin/pgserver/pgserver_test.go
+++ b/internal/standin/pgserver/pgserver_test.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// Each fault does what it says, at its stage.
+// Each fault has its effect at its stage.
 func TestFaults(t *testing.T) {
 	s := serve(t, Config{MaxConns: 4})
 	look := connect(t, s.URL())
@@ -229,8 +229,32 @@
 		}
 		c.Close(ctx)
 	}
-	// A cancel request stops a statement, and the connection goes on.
 	c := connect(t, s.URL())
+	checkCancelStopsStatement(t, s, c)
+	s.Inject(nil)
+	s.SetReadOnly(true)
+	if _, err := c.Exec(ctx, "DELETE FROM t"); code(err) != "25006" {
+		t.Error(err)
+	}
+	if !exists("k2") {
+		t.Error("it can't be read")
+	}
+	s.SetReadOnly(false)
+	connect(t, s.URL())
+	connect(t, s.URL())
+	if _, err := pgx.Connect(ctx, s.URL()); code(err) != "53300" {
+		t.Error(err)
+	}
+	s.SetRejecting(true)
+	if _, err := pgx.Connect(ctx, s.URL()); code(err) != "57P03" {
+		t.Error(err)
+	}
+}
+
+// checkCancelStopsStatement checks that a cancel request stops a statement, and that its connection
+// can be used after it.
+func checkCancelStopsStatement(t *testing.T, s *Server, c *pgx.Conn) {
+	t.Helper()
 	s.Inject(func(e Event) Fault {
 		if strings.Contains(e.SQL, "slow") {
 			return Fault{Delay: time.Hour}
@@ -259,24 +283,6 @@
 		}
 		break
 	}
-	s.Inject(nil)
-	s.SetReadOnly(true)
-	if _, err := c.Exec(ctx, "DELETE FROM t"); code(err) != "25006" {
-		t.Error(err)
-	}
-	if !exists("k2") {
-		t.Error("it can't be read")
-	}
-	s.SetReadOnly(false)
-	connect(t, s.URL())
-	connect(t, s.URL())
-	if _, err := pgx.Connect(ctx, s.URL()); code(err) != "53300" {
-		t.Error(err)
-	}
-	s.SetRejecting(true)
-	if _, err := pgx.Connect(ctx, s.URL()); code(err) != "57P03" {
-		t.Error(err)
-	}
 }
 
 // message is one of the protocol's, raw.
--- a/internal/standin/pgserver/server.go
+++ b/internal/standin/pgserver/server.go
@@ -8,11 +8,9 @@
 package pgserver
 
 import (
-	"context"
 	"crypto/rand"
 	"crypto/tls"
 	"database/sql"
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -223,145 +221,6 @@
 	}
 }
 
-// maxStart bounds a connection's start-up.
-const maxStart = 10 * time.Second
-
-func (s *Server) serve(nc net.Conn) {
-	raw := nc
-	defer func() { nc.Close() }()
-	nc.SetDeadline(time.Now().Add(maxStart))
-	b := pgproto3.NewBackend(nc, nc)
-	var start *pgproto3.StartupMessage
-	for start == nil {
-		m, err := b.ReceiveStartupMessage()
-		if err != nil {
-			return
-		}
-		switch m := m.(type) {
-		case *pgproto3.SSLRequest:
-			if s.cfg.TLS == nil {
-				nc.Write([]byte("N"))
-				continue
-			}
-			nc.Write([]byte("S"))
-			tc := tls.Server(nc, s.cfg.TLS)
-			if tc.Handshake() != nil {
-				return
-			}
-			nc = tc
-			b = pgproto3.NewBackend(nc, nc)
-		case *pgproto3.GSSEncRequest:
-			nc.Write([]byte("N"))
-		case *pgproto3.CancelRequest:
-			s.cancel(m)
-			return
-		case *pgproto3.StartupMessage:
-			start = m
-		}
-	}
-	c := &session{srv: s, raw: raw, nc: nc, backend: b, eventCount: s.conns.Add(1), statements: make(map[string]*statement), portals: make(map[string]*portal)}
-	var key [8]byte
-	rand.Read(key[:])
-	c.pid, c.secret = uint32(c.eventCount), key[:4]
-	fatal := func(code, text string) {
-		b.Send(&pgproto3.ErrorResponse{Severity: "FATAL", SeverityUnlocalized: "FATAL", Code: code, Message: text})
-		b.Flush()
-	}
-	s.mu.Lock()
-	refuse, crowded := s.rejecting, len(s.open) >= s.cfg.MaxConns
-	if !refuse && !crowded {
-		s.open[c] = struct{}{}
-	}
-	s.mu.Unlock()
-	switch {
-	case refuse:
-		fatal("57P03", "the database system is starting up")
-		return
-	case crowded:
-		fatal("53300", "sorry, too many clients already")
-		return
-	}
-	defer func() {
-		s.mu.Lock()
-		delete(s.open, c)
-		s.mu.Unlock()
-	}()
-	if err := s.authenticate(b, start); err != nil {
-		fatal("28P01", fmt.Sprintf("password authentication failed for user %q", start.Parameters["user"]))
-		return
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), maxStart)
-	conn, err := s.db.Conn(ctx)
-	cancel()
-	if err != nil {
-		fatal("58000", err.Error())
-		return
-	}
-	defer conn.Close()
-	c.db = conn
-	if c.timeout, err = parseTimeout(start.Parameters["statement_timeout"]); err != nil {
-		fatal("22023", err.Error())
-		return
-	}
-	for name, value := range map[string]string{"server_version": "17.0 (stand-in)", "client_encoding": "UTF8", "standard_conforming_strings": "on",
-		"integer_datetimes": "on", "DateStyle": "ISO, MDY", "TimeZone": "UTC"} {
-		b.Send(&pgproto3.ParameterStatus{Name: name, Value: value})
-	}
-	b.Send(&pgproto3.BackendKeyData{ProcessID: c.pid, SecretKey: c.secret})
-	b.Send(&pgproto3.NoticeResponse{Severity: "NOTICE", SeverityUnlocalized: "NOTICE", Code: "00000", Message: "this is a stand-in"})
-	b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
-	if b.Flush() != nil {
-		return
-	}
-	nc.SetDeadline(time.Time{})
-	c.run()
-}
-
-// authenticate makes the SASL exchange of SCRAM-SHA-256, or lets the user in.
-func (s *Server) authenticate(b *pgproto3.Backend, start *pgproto3.StartupMessage) error {
-	if start.Parameters["user"] != s.cfg.User {
-		return errors.New("no such user")
-	}
-	if s.scram != nil {
-		b.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{"SCRAM-SHA-256"}})
-		if err := b.Flush(); err != nil {
-			return err
-		}
-		b.SetAuthType(pgproto3.AuthTypeSASL)
-		m, err := b.Receive()
-		if err != nil {
-			return err
-		}
-		first, ok := m.(*pgproto3.SASLInitialResponse)
-		if !ok || first.AuthMechanism != "SCRAM-SHA-256" {
-			return errors.New("no SASL response")
-		}
-		talk := s.scram.NewConversation()
-		say, err := talk.Step(string(first.Data))
-		if err != nil {
-			return err
-		}
-		b.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(say)})
-		if err := b.Flush(); err != nil {
-			return err
-		}
-		b.SetAuthType(pgproto3.AuthTypeSASLContinue)
-		if m, err = b.Receive(); err != nil {
-			return err
-		}
-		last, ok := m.(*pgproto3.SASLResponse)
-		if !ok {
-			return errors.New("no SASL response")
-		}
-		if say, err = talk.Step(string(last.Data)); err != nil || !talk.Valid() {
-			return errors.New("pgserver: wrong password")
-		}
-		b.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(say)})
-	}
-	b.Send(&pgproto3.AuthenticationOk{})
-	return nil
-}
-
 // cancel carries out a cancel request; the key identifies the session.
 func (s *Server) cancel(m *pgproto3.CancelRequest) {
 	s.mu.Lock()
--- a/internal/standin/pgserver/sql.go
+++ b/internal/standin/pgserver/sql.go
@@ -142,22 +142,51 @@
 	if len(tokens) == 0 {
 		return nil, &failure{"42601", "empty statement"}
 	}
-	q.kind = strings.ToLower(tokens[0].text)
-	switch q.kind {
-	case "start":
-		q.kind = begin
-	case "end":
-		q.kind = commit
-	case "abort":
-		q.kind = rollback
-	case "vacuum":
+	if q.kind, err = kindOf(tokens[0]); err != nil {
+		return nil, err
+	}
+	if q.kind == vacuum {
 		q.sqlite, q.writes = "VACUUM", true
 		return q, nil
-	case "select", "insert", "update", "delete", "create", "drop", "alter", begin, commit, rollback:
-	default:
-		return nil, &failure{"0A000", fmt.Sprintf("the stand-in does not know %s", strings.ToUpper(q.kind))}
 	}
 	q.writes = q.kind != "select" && q.kind != begin && q.kind != commit && q.kind != rollback
+	if q.sqlite, err = s.translate(q, tokens); err != nil {
+		return nil, err
+	}
+	for n := range q.params {
+		if q.params[n] == 0 && n < len(given) {
+			q.params[n] = given[n]
+		}
+		if q.params[n] == 0 {
+			return nil, &failure{"42P18", fmt.Sprintf("could not determine data type of parameter $%d", n+1)}
+		}
+	}
+	q.columns, err = s.results(tokens)
+	return q, err
+}
+
+// vacuum is a kind of statement beside those of transactions.
+const vacuum = "vacuum"
+
+// kindOf returns the kind of a statement by its first word.
+func kindOf(first token) (kind string, err error) {
+	kind = strings.ToLower(first.text)
+	switch kind {
+	case "start":
+		return begin, nil
+	case "end":
+		return commit, nil
+	case "abort":
+		return rollback, nil
+	case "select", "insert", "update", "delete", "create", "drop", "alter", begin, commit, rollback, vacuum:
+		return kind, nil
+	}
+	return "", &failure{"0A000", fmt.Sprintf("the stand-in does not know %s", strings.ToUpper(kind))}
+}
+
+// translate returns a statement as SQLite reads it, and notes the types of its parameters that
+// the text states.
+func (s *Server) translate(q *query, tokens []token) (sqlite string, err error) {
 	var b strings.Builder
 	for i := 0; i < len(tokens); i++ {
 		t := tokens[i]
@@ -168,7 +197,7 @@
 		case t.text[0] == '$':
 			n, err := strconv.Atoi(t.text[1:])
 			if err != nil || n < 1 || n > 100 {
-				return nil, &failure{"42601", fmt.Sprintf("syntax error at or near %q", t.text)}
+				return "", &failure{"42601", fmt.Sprintf("syntax error at or near %q", t.text)}
 			}
 			for len(q.params) < n {
 				q.params = append(q.params, 0)
@@ -176,7 +205,7 @@
 			if i+2 < len(tokens) && tokens[i+1].text == "::" {
 				oid := oids[strings.ToLower(tokens[i+2].text)]
 				if oid == 0 {
-					return nil, &failure{"42704", fmt.Sprintf("type %q does not exist in the stand-in", tokens[i+2].text)}
+					return "", &failure{"42704", fmt.Sprintf("type %q does not exist in the stand-in", tokens[i+2].text)}
 				}
 				q.params[n-1] = oid
 				i += 2
@@ -195,17 +224,7 @@
 			b.WriteString(t.text)
 		}
 	}
-	q.sqlite = b.String()
-	for n := range q.params {
-		if q.params[n] == 0 && n < len(given) {
-			q.params[n] = given[n]
-		}
-		if q.params[n] == 0 {
-			return nil, &failure{"42P18", fmt.Sprintf("could not determine data type of parameter $%d", n+1)}
-		}
-	}
-	q.columns, err = s.results(tokens)
-	return q, err
+	return b.String(), nil
 }
 
 // results returns the columns of a SELECT list or a RETURNING clause.
@@ -223,33 +242,7 @@
 	if from < 0 {
 		return nil, nil
 	}
-	depth, item := 0, from
-	table := ""
-	var items [][]token
-	n := from
-	for ; n < len(tokens); n++ {
-		t := tokens[n]
-		switch {
-		case t.text == "(":
-			depth++
-		case t.text == ")":
-			depth--
-		}
-		if depth == 0 && t.text == "," {
-			items = append(items, tokens[item:n])
-			item = n + 1
-		}
-		if depth == 0 && t.is("from") {
-			break
-		}
-	}
-	items = append(items, tokens[item:n])
-	for i, t := range tokens {
-		if (t.is("from") || t.is("into") || tokens[0].is("update") && i == 0) && i+1 < len(tokens) {
-			table = strings.ToLower(tokens[i+1].text)
-			break
-		}
-	}
+	items, table := resultItems(tokens, from), tableName(tokens)
 	var known map[string]uint32
 	for _, it := range items {
 		if len(it) == 0 {
@@ -287,6 +280,39 @@
 	return out, nil
 }
 
+// resultItems divides the list of results that begins at a token into its items.
+func resultItems(tokens []token, from int) (items [][]token) {
+	depth, item := 0, from
+	n := from
+	for ; n < len(tokens); n++ {
+		t := tokens[n]
+		switch {
+		case t.text == "(":
+			depth++
+		case t.text == ")":
+			depth--
+		}
+		if depth == 0 && t.text == "," {
+			items = append(items, tokens[item:n])
+			item = n + 1
+		}
+		if depth == 0 && t.is("from") {
+			break
+		}
+	}
+	return append(items, tokens[item:n])
+}
+
+// tableName returns the name of a statement's table, "" if it has none.
+func tableName(tokens []token) string {
+	for i, t := range tokens {
+		if (t.is("from") || t.is("into") || tokens[0].is("update") && i == 0) && i+1 < len(tokens) {
+			return strings.ToLower(tokens[i+1].text)
+		}
+	}
+	return ""
+}
+
 // catalogue is a table's columns and their types.
 func (s *Server) catalogue(table string) (map[string]uint32, error) {
 	rows, err := s.db.Query("SELECT name, lower(type) FROM pragma_table_info(?)", table)
