--- a/internal/capacity/collect/main.go
+++ b/internal/capacity/collect/main.go
@@ -23,8 +23,8 @@
 
 const (
 	folder = "internal/capacity/results"
-	// longest is how long one measurement may take.
-	longest = 2 * time.Hour
+	// measurementTimeout is how long one measurement may take.
+	measurementTimeout = 2 * time.Hour
 )
 
 func main() {
@@ -59,7 +59,7 @@
 
 // measure runs a benchmark and writes its results once it has ended well.
 func measure(ctx context.Context, measurement *capacity.Measurement, note string) error {
-	ctx, cancel := context.WithTimeout(ctx, longest)
+	ctx, cancel := context.WithTimeout(ctx, measurementTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, "go", measurement.Arguments()...)
 	cores := runtime.NumCPU()
--- a/internal/capacity/needs.go
+++ b/internal/capacity/needs.go
@@ -37,13 +37,13 @@
 	// and at most.
 	servicesCalled    = 5
 	maxServicesCalled = 20
-	// sidecarsUsual and maxSidecars are the sidecars of a host.
-	sidecarsUsual = 3
-	maxSidecars   = 10
+	// typicalSidecars and maxSidecars are the sidecars of a host.
+	typicalSidecars = 3
+	maxSidecars     = 10
 	// listChanges is how many changes of the list a restart makes: draining, removed, back.
 	listChanges = 3
-	// overloadMinute is how many times as many changes of settings as usual come in a bad minute.
-	overloadMinute = 10
+	// overloadFactor is how many times as many changes of settings as usual come in a bad minute.
+	overloadFactor = 10
 	// rackServers is the servers of a rack.
 	rackServers = 40
 	// controlMachineGigabytes is the memory of a machine that directs changes: that of the
@@ -53,8 +53,8 @@
 	// kept.
 	keyedFraction = 0.1
 	keyMinutes    = 10
-	// recordBytes is the bound of a sidecar's record of keys.
-	recordBytes = 64 << 20
+	// idempotencyStoreBytes is the bound of a sidecar's record of keys.
+	idempotencyStoreBytes = 64 << 20
 )
 
 // zoneServers is the mean number of servers of a zone.
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -173,7 +173,7 @@
 
 func agentEstimates(c *curves) []Estimate {
 	var estimates []Estimate
-	for _, sidecars := range []float64{1, sidecarsUsual, maxSidecars} {
+	for _, sidecars := range []float64{1, typicalSidecars, maxSidecars} {
 		estimates = append(estimates, Estimate{
 			fmt.Sprintf("at rest, sidecars on the host: %.0f: processor time", sidecars), "agent",
 			c.at(Agent, "processor time of the agent", sidecars), "% of a core", ControlCorePercent * sidecars,
@@ -185,7 +185,7 @@
 	ordinary := float64(ChangesPerDay) / minutesPerDay
 	return append(estimates,
 		Estimate{"one sidecar, 9 changes of settings a minute: processor time", "settings-change", c.at(SettingsChange, "processor time of the agent", ordinary), "% of a core", ControlCorePercent},
-		Estimate{"one sidecar, 90 changes a minute: processor time", "settings-change", c.at(SettingsChange, "processor time of the agent", overloadMinute*ordinary), "% of a core", ControlCorePercent},
+		Estimate{"one sidecar, 90 changes a minute: processor time", "settings-change", c.at(SettingsChange, "processor time of the agent", overloadFactor*ordinary), "% of a core", ControlCorePercent},
 		Estimate{"one sidecar, 9 changes a minute: resident memory", "settings-change", c.at(SettingsChange, "resident memory of the agent", ordinary), "MiB", controlMebibyte},
 		Estimate{"messages to each sidecar, on the host itself", "intervals in the code: health 1 s, metrics 10 s", exactly(1.1), "calls/s", 0},
 		Estimate{"10 sidecars: descriptors", "agent", c.at(Agent, "descriptors of the agent", maxSidecars), "descriptors", ProcessDescriptors})
@@ -210,7 +210,7 @@
 	commits := c.at(Keys, "one key's three commits", keys)
 	return []Estimate{
 		{"keys held by a sidecar", "assumed: one call in ten has a key, kept 10 minutes", exactly(keys), "keys", 0},
-		{"file", fmt.Sprintf("keys, %s keys; limit: 64 MiB, the bound assumed", formatNumber(keys)), c.at(Keys, "file bytes of a key", keys).times(keys / mebibyte), "MiB", recordBytes / mebibyte},
+		{"file", fmt.Sprintf("keys, %s keys; limit: 64 MiB, the bound assumed", formatNumber(keys)), c.at(Keys, "file bytes of a key", keys).times(keys / mebibyte), "MiB", idempotencyStoreBytes / mebibyte},
 		{"share of the time that the store is busy", "keys, one commit after the other", commits.times(keyed / milliseconds * 100), "%", 100},
 		{"time to open after a start", "keys", c.at(Keys, "time to open", keys), "ms", ConvergeSeconds * milliseconds},
 	}
@@ -250,7 +250,7 @@
 	return []Estimate{
 		{"processor time at rest", "sidecar-list, agent", rest, "% of a core", ControlCorePercent},
 		{"processor time, ordinary minute", "and 9 changes of settings that concern it, 5,400 restarts a day", rest.plus(settings(ordinary)).plus(listShare(ordinaryListChanges)), "% of a core", ControlCorePercent},
-		{"processor time, bad minute", "and 90 changes of settings, a zone lost", rest.plus(settings(overloadMinute * ordinary)).plus(listShare(badListChanges)), "% of a core", ControlCorePercent},
+		{"processor time, bad minute", "and 90 changes of settings, a zone lost", rest.plus(settings(overloadFactor * ordinary)).plus(listShare(badListChanges)), "% of a core", ControlCorePercent},
 		{"resident memory of both", "sidecar-list, settings-change", memory, "MiB", controlMebibyte},
 		{"bytes, ordinary minute, without settings", "list changes", changeBytes.times(ordinaryListChanges * share), "B/s", ControlBytesPerSecond},
 		{"the same with membership on", "its ceiling added", changeBytes.times(ordinaryListChanges * share).plus(exactly(membershipCeiling)), "B/s", ControlBytesPerSecond},
