--- a/internal/capacity/collect/main.go
+++ b/internal/capacity/collect/main.go
@@ -23,7 +23,7 @@
 
 const (
 	folder = "internal/capacity/results"
-	// measurementTimeout is how long one measurement may take.
+	// measurementTimeout bounds one measurement.
 	measurementTimeout = 2 * time.Hour
 )
 
--- a/internal/capacity/curves.go
+++ b/internal/capacity/curves.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// curves looks fits up by measurement and metric. It keeps the first error, so that a page
-// of figures can be worked out without a check at each.
+// curves looks fits up by measurement and metric. It keeps the first error, so that a page of
+// figures can be computed without a check at each.
 type curves struct {
 	results Results
 	fits    map[string]*Fit
@@ -14,7 +14,7 @@
 	return &curves{results: results, fits: make(map[string]*Fit)}
 }
 
-// metric is a metric of a measurement by its name.
+// metric returns a metric of a measurement by its name.
 func (m *Measurement) metric(name string) (Metric, bool) {
 	for _, metric := range m.Metrics {
 		if metric.Name == name {
@@ -24,7 +24,7 @@
 	return Metric{}, false
 }
 
-// fit is the curve through a metric.
+// fit returns the curve through a metric.
 func (c *curves) fit(measurement, metric string) (*Fit, error) {
 	key := measurement + ": " + metric
 	if fit := c.fits[key]; fit != nil {
@@ -50,7 +50,7 @@
 	return fit, nil
 }
 
-// at is a metric at a size.
+// at returns the estimate of a metric at a size.
 func (c *curves) at(measurement, metric string, size float64) Interval {
 	fit, err := c.fit(measurement, metric)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return fit.At(size)
 }
 
-// growth is how much a metric grows from nothing to a size: the fixed part is left out.
+// growth returns how much a metric grows from size 0 to a size, without its fixed part.
 func (c *curves) growth(measurement, metric string, size float64) Interval {
 	fit, err := c.fit(measurement, metric)
 	if err != nil {
--- a/internal/capacity/days.go
+++ b/internal/capacity/days.go
@@ -1,6 +1,6 @@
 package capacity
 
-// event is something that happens to the fleet on an ordinary or a bad day.
+// event is an event in the fleet on an ordinary or a bad day.
 type event struct {
 	name     string
 	servers  float64 // that are concerned
@@ -11,7 +11,7 @@
 	spreadBy string  // metric of MembershipChange for how soon it is known; "all": all start; "": none
 }
 
-// allStart marks an event after which nobody knows anybody.
+// allStart marks an event after which no member knows another one.
 const allStart = "all"
 
 var events = []event{
@@ -23,7 +23,7 @@
 	{name: "all 21,000 start together", servers: Servers, lists: 1, lasts: ConvergeSeconds, spreadBy: allStart},
 }
 
-// daysTable works out what each event costs a sidecar that calls 5 services.
+// daysTable computes what each event costs a sidecar that calls 5 services.
 func daysTable(c *curves) string {
 	var table markdown
 	table.head("event", "servers", "changes of its list", "bytes of its list", "B/s, over", "processor time of its list", "% of a core, over",
@@ -43,7 +43,7 @@
 	return table.text.String()
 }
 
-// known is how long it takes until nine in ten members know of the event.
+// known returns how long it takes until nine in ten members know of the event.
 func (e event) known(c *curves) string {
 	switch e.spreadBy {
 	case "":
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -22,7 +22,7 @@
 	Quadratic              // a + b n + c n²
 )
 
-// String returns the name of the curve.
+// String returns the name of the model.
 func (m Model) String() string {
 	return [...]string{"constant", "straight line", "logarithm", "n log n", "power", "quadratic"}[m]
 }
@@ -30,20 +30,20 @@
 const (
 	// confidence of all intervals.
 	confidence = 0.95
-	// A less simple model is taken only if it brings the residual below this share of the
-	// simpler one's.
+	// A more complex model is chosen only if its residual is below this fraction of the simpler
+	// one's.
 	worthwhile = 0.9
 )
 
 // Interval is a value between two bounds that hold it with the confidence of 95 %.
 type Interval struct{ Value, Low, High float64 }
 
-// times is the interval multiplied by a factor above 0.
+// times returns the interval multiplied by a factor above 0.
 func (i Interval) times(factor float64) Interval {
 	return Interval{i.Value * factor, i.Low * factor, i.High * factor}
 }
 
-// plus adds intervals by their bounds, which is on the safe side.
+// plus adds intervals by their bounds, which errs on the wide side.
 func (i Interval) plus(other Interval) Interval {
 	return Interval{i.Value + other.Value, i.Low + other.Low, i.High + other.High}
 }
@@ -71,7 +71,7 @@
 // Error implements error.
 func (e *FitError) Error() string { return fmt.Sprintf("capacity: no %v fits: %s", e.Model, e.What) }
 
-// terms are a model's columns at a size.
+// terms returns a model's columns at a size.
 func (m Model) terms(size float64) []float64 {
 	switch m {
 	case Constant:
@@ -118,8 +118,8 @@
 	return fit, nil
 }
 
-// solve works out the coefficients and their covariance. Columns are scaled to 1, since
-// sizes and their squares differ by many powers of ten.
+// solve computes the coefficients and their covariance. Columns are scaled to 1, since sizes and
+// their squares differ by many orders of magnitude.
 func (f *Fit) solve(design *mat.Dense, target *mat.VecDense) error {
 	rows, columns := design.Dims()
 	scale := make([]float64, columns)
@@ -167,13 +167,13 @@
 	return values
 }
 
-// quantile is Student's, for the fit's degrees of freedom.
+// quantile returns that of Student's t distribution for the fit's degrees of freedom.
 func (f *Fit) quantile() float64 {
 	freedom := float64(f.Points - len(f.values))
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile(1 - (1-confidence)/2)
 }
 
-// judge works out how well the curve fits, in the values' own unit for all models.
+// judge computes how well the curve fits, in the values' own unit for all models.
 func (f *Fit) judge(points []Point) {
 	estimates, values := make([]float64, len(points)), make([]float64, len(points))
 	sum := 0.0
@@ -185,7 +185,7 @@
 	f.RSquared = stat.RSquaredFrom(estimates, values, nil)
 }
 
-// at is the curve's value at a size.
+// at returns the curve's value at a size.
 func (f *Fit) at(size float64) float64 {
 	sum := 0.0
 	for i, term := range f.Model.terms(size) {
@@ -197,9 +197,8 @@
 	return sum
 }
 
-// At is the curve's value at a size and the interval of the curve there. The interval
-// tells how well the points determine the curve, not whether the model holds so far
-// outside of them.
+// At returns the curve's value at a size with its interval. The interval shows how well the points
+// determine the curve, not whether the model is valid so far outside of them.
 func (f *Fit) At(size float64) Interval {
 	terms := mat.NewVecDense(len(f.values), f.Model.terms(size))
 	spread := f.quantile() * math.Sqrt(max(0, mat.Inner(terms, f.covariance, terms)))
@@ -211,12 +210,12 @@
 	return interval
 }
 
-// slopeKnown says whether the last coefficient is above 0 for sure.
+// slopeKnown reports whether the interval of the last coefficient is above 0.
 func (f *Fit) slopeKnown() bool { return f.Coefficients[len(f.Coefficients)-1].Low > 0 }
 
-// Choose fits all models and returns the simplest that fits well: a less simple one is
-// taken if it brings the residual below nine tenths, and if its last coefficient is above 0
-// for sure. Where nothing grows for sure, it is a constant.
+// Choose fits all models and returns the simplest that fits well: a more complex one is chosen if
+// it brings the residual below nine tenths and the interval of its last coefficient is above 0.
+// Without significant growth the model is a constant.
 func Choose(points []Point) (*Fit, error) {
 	chosen, err := FitModel(Line, points)
 	if err != nil {
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -19,7 +19,7 @@
 	return points
 }
 
-// The model that points were made by is chosen, and its coefficients are found.
+// The model that generated the points is chosen, with its coefficients.
 func TestChooseFindsTheCurve(t *testing.T) {
 	for name, test := range map[string]struct {
 		curve        func(n float64) float64
@@ -88,7 +88,7 @@
 	}
 }
 
-// A curve that the points can't determine is refused.
+// A curve that the points can't determine is an error.
 func TestFitRefusesTooLittle(t *testing.T) {
 	for name, points := range map[string][]Point{
 		"none":       nil,
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// digits is how many digits of a figure are shown.
+// digits is how many significant digits of a figure are shown.
 const digits = 3
 
 // formatNumber shows three digits, with commas between thousands.
--- a/internal/capacity/measurement.go
+++ b/internal/capacity/measurement.go
@@ -41,7 +41,7 @@
 	return m.Shown
 }
 
-// fits says whether a sample has the metric's other parameters.
+// fits reports whether a sample has the metric's other parameters.
 func (m Metric) fits(sample Sample) bool {
 	for key, value := range m.Only {
 		if sample.Parameters[key] != value {
@@ -51,7 +51,7 @@
 	return true
 }
 
-// MeasurementByName is a measurement of the page, nil if there is none of that name.
+// MeasurementByName returns a measurement of the page, nil if there is none of that name.
 func MeasurementByName(name string) *Measurement {
 	for _, measurement := range Measurements {
 		if measurement.Name == name {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Arguments are those of the go command that runs the benchmark.
+// Arguments returns those of the go command that runs the benchmark.
 func (m *Measurement) Arguments() []string {
 	target := "."
 	if m.Package != "" {
@@ -71,7 +71,7 @@
 	return append(arguments, m.Flags...)
 }
 
-// Command is the command line that runs the benchmark.
+// Command returns the command line that runs the benchmark.
 func (m *Measurement) Command() string {
 	words := []string{"go"}
 	if m.Cores > 0 {
--- a/internal/capacity/mechanisms.go
+++ b/internal/capacity/mechanisms.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Mechanism is a need of the fleet and what carries it today.
+// Mechanism is a requirement of the fleet and what meets it today.
 type Mechanism struct {
 	Need    string
 	Needed  float64 // in Unit
@@ -17,17 +17,17 @@
 	Remark  string
 }
 
-// mechanism sets a need against what there is, where less is better.
+// mechanism returns the comparison of a requirement with what there is, where less is better.
 func mechanism(need string, needed float64, there Interval, unit, carrier, remark string) Mechanism {
 	return Mechanism{need, needed, there, unit, carrier, there.Value / needed, remark}
 }
 
-// missing is a need that nothing carries.
+// missing returns a requirement that nothing meets.
 func missing(need, remark string) Mechanism {
 	return Mechanism{Need: need, Factor: math.Inf(1), Remark: remark}
 }
 
-// mechanisms are all, the furthest from what is needed first.
+// mechanisms returns all, the furthest from its requirement first.
 func mechanisms(c *curves) []Mechanism {
 	sizes := ServiceSizes()
 	length := assumedLists()
--- a/internal/capacity/needs.go
+++ b/internal/capacity/needs.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// What the operators need, and the limits that they set.
+// The operators' requirements and limits.
 const (
 	Servers        = 21000
 	Services       = 790
@@ -31,36 +31,37 @@
 	controlMebibyte = ControlMegabytes * megabyte / mebibyte
 )
 
-// What is assumed, since the operators don't state it.
+// Assumptions, where the operators state nothing.
 const (
-	// servicesCalled and maxServicesCalled are how many services a sidecar calls, usually
-	// and at most.
+	// servicesCalled and maxServicesCalled are how many services a sidecar calls, typically and at
+	// most.
 	servicesCalled    = 5
 	maxServicesCalled = 20
-	// typicalSidecars and maxSidecars are the sidecars of a host.
+	// typicalSidecars and maxSidecars are how many sidecars a host has.
 	typicalSidecars = 3
 	maxSidecars     = 10
 	// listChanges is how many changes of the list a restart makes: draining, removed, back.
 	listChanges = 3
-	// overloadFactor is how many times as many changes of settings as usual come in a bad minute.
+	// overloadFactor is the rate of settings changes in a bad minute, as a multiple of the usual
+	// one.
 	overloadFactor = 10
-	// rackServers is the servers of a rack.
+	// rackServers is how many servers a rack has.
 	rackServers = 40
-	// controlMachineGigabytes is the memory of a machine that directs changes: that of the
-	// machine of these measurements.
+	// controlMachineGigabytes is the memory of a control machine: that of the machine of these
+	// measurements.
 	controlMachineGigabytes = 24
-	// keyedFraction is the share of calls that have a key, and keyMinutes how long keys are
-	// kept.
+	// keyedFraction is the fraction of calls with an idempotency key, and keyMinutes the retention
+	// of keys.
 	keyedFraction = 0.1
 	keyMinutes    = 10
-	// idempotencyStoreBytes is the bound of a sidecar's record of keys.
+	// idempotencyStoreBytes is the size limit of a sidecar's idempotency store.
 	idempotencyStoreBytes = 64 << 20
 )
 
 // zoneServers is the mean number of servers of a zone.
 const zoneServers = Servers / Zones
 
-// callsPerSidecar is how many calls a second one sidecar has.
+// callsPerSidecar is the calls per second of one sidecar.
 const callsPerSidecar = CallsPerSecond / Servers
 
 // ServiceSizes is the assumed distribution of servers over services, the largest first: the
@@ -97,8 +98,8 @@
 	return total
 }
 
-// calledServers is the mean number of servers of a service that is called, if services are
-// called in proportion to their sizes.
+// calledServers returns the mean number of servers of a called service, if services are called in
+// proportion to their sizes.
 func calledServers(sizes []int) float64 {
 	squares := 0.0
 	for _, size := range sizes {
@@ -107,12 +108,12 @@
 	return squares / Servers
 }
 
-// listOfServices is the mean length of the list of a sidecar that calls so many services.
+// listOfServices returns the mean length of the list of a sidecar that calls a number of services.
 func listOfServices(sizes []int, services int) float64 {
 	return min(Servers, float64(services)*calledServers(sizes))
 }
 
-// callersOfLargest is how many sidecars call the largest service, if each calls the usual
+// callersOfLargest returns how many sidecars call the largest service, if each calls the typical
 // number of services, drawn in proportion to their sizes.
 func callersOfLargest(sizes []int) float64 {
 	others := 1 - float64(sizes[0])/Servers
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -12,7 +12,7 @@
 	markerEnd      = "<!-- end table -->"
 )
 
-// PageError says where the page is not as it must be.
+// PageError is an error in the page, with its place.
 type PageError struct {
 	Line int // from 1; 0: the complete page
 	What string
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("capacity: the page, line %d: %s", e.Line, e.What)
 }
 
-// Advice says what a maintainer can do.
+// Advice returns what a maintainer can do.
 func (e *PageError) Advice() string {
 	return "write the tables with `go run ./internal/capacity/tables`, and change results only by measuring"
 }
@@ -66,7 +66,7 @@
 	return out.String(), allShown(shown)
 }
 
-// markedTable is the name of the table that a marker line begins.
+// markedTable returns the name of the table that a marker line begins.
 func markedTable(line string) (name string, begins bool) {
 	rest, begins := strings.CutPrefix(strings.TrimSpace(line), markerBegin)
 	if !begins {
@@ -75,7 +75,7 @@
 	return strings.CutSuffix(rest, markerBeginEnd)
 }
 
-// allShown says which measurement is missing on the page.
+// allShown returns an error if a measurement is missing on the page.
 func allShown(shown map[string]bool) error {
 	for _, measurement := range Measurements {
 		for _, kind := range []string{"raw ", "fits "} {
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// shows says whether the page shows a unit of a measurement.
+// shows reports whether the page shows a unit of a measurement.
 func shows(measurement *Measurement, unit string) bool {
 	for _, metric := range measurement.Metrics {
 		if metric.Unit == unit {
@@ -98,8 +98,7 @@
 	return digit
 }
 
-// Markers that are not whole, tables that are not known and measurements that are not shown
-// are refused.
+// Incomplete markers, unknown tables and measurements that are not shown are errors.
 func TestFillRefuses(t *testing.T) {
 	page := readPage(t)
 	_, tables := loadTables(t)
--- a/internal/capacity/results.go
+++ b/internal/capacity/results.go
@@ -36,7 +36,7 @@
 	Values     map[string]float64
 }
 
-// ResultError says what of a result file can't be used.
+// ResultError is a part of a result file that can't be used.
 type ResultError struct {
 	File string
 	What string
@@ -45,7 +45,7 @@
 // Error implements error.
 func (e *ResultError) Error() string { return fmt.Sprintf("capacity: %s: %s", e.File, e.What) }
 
-// Advice says what a maintainer can do.
+// Advice returns what a maintainer can do.
 func (e *ResultError) Advice() string {
 	return "measure again with `go run ./internal/capacity/collect`, which writes files in this form"
 }
@@ -126,8 +126,8 @@
 // Point is a metric's value at a size.
 type Point struct{ Size, Value float64 }
 
-// points are the samples of a metric. A sample without the metric, or with other
-// parameters than the metric's, is none of them.
+// points returns the samples of a metric. A sample without the metric, or with other parameters
+// than the metric's, is left out.
 func (m *Measured) points(metric Metric) ([]Point, error) {
 	var points []Point
 	for _, sample := range m.Samples {
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Estimate is a figure at the size that is needed.
+// Estimate is a figure at the required size.
 type Estimate struct {
 	Quantity string
 	From     string // how it is worked out
@@ -11,19 +11,19 @@
 	Limit    float64 // in the same unit; 0: none is set
 }
 
-// needed is how many times the figure goes beyond its limit.
+// needed returns the figure as a multiple of its limit.
 func (e Estimate) needed() float64 { return e.Value.Value / e.Limit }
 
-// exactly is a value that is no measurement: worked out from needs and assumptions alone.
+// exactly returns a value without an interval, computed from requirements and assumptions alone.
 func exactly(value float64) Interval { return Interval{value, value, value} }
 
-// Role is a part of the system and what it needs.
+// Role is a part of the system with its estimates.
 type Role struct {
 	Name      string
 	Estimates []Estimate
 }
 
-// lists are the lengths of server lists that the page works with.
+// lists are the lengths of server lists in the page's estimates.
 type lists struct {
 	usual, many, all float64 // of a sidecar that calls 5 services, 20 services, all
 }
@@ -33,7 +33,7 @@
 	return lists{usual: listOfServices(sizes, servicesCalled), many: listOfServices(sizes, maxServicesCalled), all: Servers}
 }
 
-// roles works out the figures of all roles.
+// roles computes the figures of all roles.
 func roles(c *curves) []Role {
 	return []Role{
 		{"path", pathEstimates(c)},
@@ -84,7 +84,7 @@
 		Estimate{"time until a change is known", "the bound of discovery's watch, in the code", exactly(6), "s", ConvergeSeconds})
 }
 
-// listEstimates are the figures of one length of the list.
+// listEstimates returns the figures for one length of the list.
 func listEstimates(c *curves, name string, length float64) []Estimate {
 	share := length / Servers
 	perServer := c.at(CompleteList, "bytes of a server on the wire", length)
@@ -130,7 +130,7 @@
 // membershipCeiling is the rate of internal/peers' default configuration, in bytes a second.
 const membershipCeiling = 600
 
-// Aims of the settings' distribution that are below the needs.
+// Objectives of the settings' distribution that are stricter than the requirements.
 const (
 	maxHostsSeconds   = 5   // a change is in force at 999 hosts in 1,000
 	restBytesASecond  = 300 // of a subscriber
@@ -227,8 +227,8 @@
 	}
 }
 
-// budgetEstimates add up what a sidecar and its agent take for control, for a host with
-// one sidecar: what others share is on the safe side.
+// budgetEstimates adds up what a sidecar and its agent use for control, for a host with one
+// sidecar. Hosts with more sidecars share the agent and so use less for each.
 func budgetEstimates(c *curves) []Estimate {
 	usual := assumedLists().usual
 	share := usual / Servers
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -19,7 +19,7 @@
 	return &Tables{results: results, curves: newCurves(results), made: make(map[string]string)}
 }
 
-// TableError says which table can't be made.
+// TableError is a table that can't be made.
 type TableError struct {
 	Table string
 	What  string
@@ -28,7 +28,7 @@
 // Error implements error.
 func (e *TableError) Error() string { return fmt.Sprintf("capacity: table %q: %s", e.Table, e.What) }
 
-// Advice says what a maintainer can do.
+// Advice returns what a maintainer can do.
 func (e *TableError) Advice() string {
 	return "name a table that internal/capacity/tables.go makes, or collect the results that it needs"
 }
@@ -132,7 +132,7 @@
 
 func count(n int) string { return formatCount(float64(n)) }
 
-// role is the table of a role's figures.
+// role returns the table of a role's figures.
 func (t *Tables) role(name string) (string, error) {
 	all := roles(t.curves)
 	at := slices.IndexFunc(all, func(role Role) bool { return role.Name == name })
@@ -151,10 +151,11 @@
 	return table.text.String(), t.curves.err
 }
 
-// descriptorUnit is of figures that are shown with all their digits: the limit is near.
+// descriptorUnit is the unit of figures that are shown with all their digits, since their limit is
+// near.
 const descriptorUnit = "descriptors"
 
-// shown is the estimate's value with its interval, if it has one.
+// shown returns the estimate's value with its interval, if it has one.
 func (e Estimate) shown() string {
 	switch {
 	case e.Unit == descriptorUnit:
@@ -166,7 +167,7 @@
 	}
 }
 
-// formatFactor shows how many times a limit is reached.
+// formatFactor formats a multiple of a limit.
 func formatFactor(factor float64) string {
 	if math.IsInf(factor, 1) {
 		return "no mechanism"
--- a/internal/capacity/tables_fits.go
+++ b/internal/capacity/tables_fits.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// fits is the curves through a measurement's metrics.
+// fits returns the table of the curves through a measurement's metrics.
 func (t *Tables) fits(name string) (string, error) {
 	planned := MeasurementByName(name)
 	if name == Distribution && t.results[name] == nil {
@@ -43,10 +43,10 @@
 	return table.text.String(), nil
 }
 
-// reachesServers names the sizes that reach 21,000 in the fleet.
+// reachesServers holds the sizes that reach 21,000 in the fleet.
 var reachesServers = map[string]bool{"subscribers": true, "servers": true, "size": true, "hosts": true}
 
-// line is the straight line through a metric, whatever fits best.
+// line returns the straight line through a metric, whichever model fits best.
 func (t *Tables) line(name string, metric Metric) (*Fit, error) {
 	measured, err := t.measured("fits", name)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return FitModel(Line, points)
 }
 
-// slope is what the curve says of growth, by its model's letters.
+// slope formats the growth of the curve, by its model's letters.
 func (f *Fit) slope() string {
 	switch f.Model {
 	case Constant:
@@ -77,7 +77,7 @@
 	}
 }
 
-// fixed is the part that does not grow; for Power the factor.
+// fixed returns the part that does not grow; for Power the factor.
 func (f *Fit) fixed() string {
 	if f.Model == Power {
 		return "factor " + formatInterval(f.Coefficients[0])
@@ -85,7 +85,7 @@
 	return formatInterval(f.Coefficients[0])
 }
 
-// goodness is R². A constant explains no growth and has none.
+// goodness returns R². A constant explains no growth and has none.
 func (f *Fit) goodness() string {
 	if f.Model == Constant {
 		return ""
--- a/internal/capacity/tables_raw.go
+++ b/internal/capacity/tables_raw.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// provenance says how a measurement was made.
+// provenance returns how a measurement was made.
 func provenance(measured *Measured) string {
 	text := fmt.Sprintf("`%s`\n\nMeasured %s; cores: %s; %s.", measured.Command, measured.Date, measured.Cores, measured.Go)
 	if measured.Note != "" {
@@ -24,7 +24,8 @@
 	return nil, &TableError{table + " " + name, "there is no result file of that name"}
 }
 
-// raw is the medians of a measurement's results by all parameters but the seed.
+// raw returns the table of the medians of a measurement's results by all parameters except the
+// seed.
 func (t *Tables) raw(name string) (string, error) {
 	if name == Distribution && t.results[name] == nil {
 		return "Not measured: there is no `internal/capacity/results/" + Distribution + ".txt` yet.\n", nil
@@ -50,7 +51,7 @@
 	return provenance(measured) + table.text.String(), nil
 }
 
-// columns are the units that a raw table shows: those of the planned metrics, or all.
+// columns returns the units that a raw table shows: those of the planned metrics, or all.
 func (m *Measured) columns() []Metric {
 	var columns []Metric
 	add := func(metric Metric) {
@@ -83,7 +84,7 @@
 	samples []Sample
 }
 
-// groups are the samples by their parameters, in the order of the file.
+// groups returns the samples by their parameters, in the order of the file.
 func (m *Measured) groups() []*group {
 	var groups []*group
 	for _, sample := range m.Samples {
@@ -111,7 +112,7 @@
 	return strings.Join(words, " ")
 }
 
-// median of a metric over the group, empty if no sample has it.
+// median returns that of a metric over the group, empty if no sample has it.
 func (g *group) median(metric Metric) string {
 	var values []float64
 	for _, sample := range g.samples {
