--- a/internal/fleet/e2e/agent_capacity_test.go
+++ b/internal/fleet/e2e/agent_capacity_test.go
@@ -62,8 +62,8 @@
 	return all
 }
 
-// reportShare reports the mean use of processes over a time, by their name.
-func reportShare(b *testing.B, name string, before, after []measure.Usage, over time.Duration) {
+// reportMeanUsage reports the mean use of processes over a time, by their name.
+func reportMeanUsage(b *testing.B, name string, before, after []measure.Usage, over time.Duration) {
 	b.Helper()
 	var processor time.Duration
 	var resident, descriptors int64
@@ -85,8 +85,8 @@
 	began := time.Now()
 	work()
 	over := time.Since(began)
-	reportShare(b, "agent", agentBefore, usages(b, p.agent), over)
-	reportShare(b, "sidecar", sidecarsBefore, usages(b, p.sidecars...), over)
+	reportMeanUsage(b, "agent", agentBefore, usages(b, p.agent), over)
+	reportMeanUsage(b, "sidecar", sidecarsBefore, usages(b, p.sidecars...), over)
 }
 
 // BenchmarkAgentCapacity measures a real agent and its real sidecars at rest, by their
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -37,7 +37,7 @@
 func TestErrorsOfTheAPI(t *testing.T) {
 	s := simulate(t, 1, 1, time.Millisecond, time.Millisecond, nil)
 	ctx, a := context.Background(), s.fleet.Agents[0]
-	inst := s.ops.Targets[0].Instance
+	inst := s.allInstances.Targets[0].Instance
 	op := s.op(api.ActRestart)
 	bad := op
 	bad.Action = "explode"
--- a/internal/fleet/e2e/chain_capacity_test.go
+++ b/internal/fleet/e2e/chain_capacity_test.go
@@ -43,9 +43,9 @@
 // discoveryStandIn lists servers and sends an empty line each second, as the platform's
 // discovery does, and changes of the list that a test asks for.
 type discoveryStandIn struct {
-	whole   []byte
-	changes chan []byte
-	end     chan struct{}
+	completeList []byte
+	changes      chan []byte
+	end          chan struct{}
 }
 
 // ServeHTTP implements http.Handler. Changes go to one watch.
@@ -53,7 +53,7 @@
 	flusher := w.(http.Flusher)
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
-	line := d.whole
+	line := d.completeList
 	for {
 		if _, err := w.Write(line); err != nil {
 			return
@@ -105,7 +105,7 @@
 			Name: fmt.Sprintf("server-%05d", i), Address: address, Zone: fmt.Sprintf("zone-%02d", i%27), Status: "up", Weight: 1,
 		})
 	}
-	discovery := &discoveryStandIn{whole: list.line(b), changes: make(chan []byte), end: make(chan struct{})}
+	discovery := &discoveryStandIn{completeList: list.line(b), changes: make(chan []byte), end: make(chan struct{})}
 	at := serveHTTP(b, discovery)
 	b.Cleanup(func() { close(discovery.end) }) // before the server's end, which waits for its calls
 	return discovery, at
@@ -333,7 +333,7 @@
 	for b.Loop() {
 		before, ranBefore := usages(b, c.pids...), c.ran[0].Load()
 		sidecars, without := c.both(rate, *chainWindow)
-		reportShare(b, "sidecar", before, usages(b, c.pids...), *chainWindow)
+		reportMeanUsage(b, "sidecar", before, usages(b, c.pids...), *chainWindow)
 		for _, way := range []*latencies{sidecars, without} {
 			if failed := len(way.failed); failed > 0 {
 				b.Fatalf("%d calls failed and %d did not, the first: %v", failed, len(way.took), way.failed[0])
@@ -366,7 +366,7 @@
 						discovery.changes <- changeOf(index, servers).line(b)
 					}
 					time.Sleep(time.Until(began.Add(*capacityWindow)))
-					reportShare(b, "sidecar", before, usages(b, pid), time.Since(began))
+					reportMeanUsage(b, "sidecar", before, usages(b, pid), time.Since(began))
 				}
 			})
 		}
--- a/internal/fleet/e2e/command_capacity_test.go
+++ b/internal/fleet/e2e/command_capacity_test.go
@@ -65,8 +65,8 @@
 	return sizes
 }
 
-// ownDescriptors counts the descriptors of this process.
-func ownDescriptors(b *testing.B) int64 {
+// descriptorsInUse counts the descriptors of this process.
+func descriptorsInUse(b *testing.B) int64 {
 	b.Helper()
 	usage, err := measure.Process(os.Getpid())
 	if err != nil {
@@ -81,10 +81,10 @@
 func BenchmarkReloadCapacity(b *testing.B) {
 	for _, hosts := range capacitySizes(b, *capacityHosts) {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
-			heapBefore, descriptorsBefore := measure.HeapInUse(), ownDescriptors(b)
+			heapBefore, descriptorsBefore := measure.HeapInUse(), descriptorsInUse(b)
 			fleet := simulate(b, hosts, 1, time.Millisecond, time.Millisecond, nil)
 			fleet.fleet.Close()
-			heap, descriptors := measure.HeapInUse()-heapBefore, ownDescriptors(b)-descriptorsBefore
+			heap, descriptors := measure.HeapInUse()-heapBefore, descriptorsInUse(b)-descriptorsBefore
 			file := inventoryFile(b, fleet)
 			for b.Loop() {
 				measureCommand(b, "--fleet", file, "reload", "--all", "--batch", "100%", "--soak", "0s")
--- a/internal/fleet/e2e/command_test.go
+++ b/internal/fleet/e2e/command_test.go
@@ -51,14 +51,14 @@
 			}
 		}
 	}
-	w.abortLeavesPendingAlone()
+	w.checkAbortKeepsPending()
 }
 
 // killRestartAtBegin runs a restart of all instances, kills the command as it begins the n-th
 // one, and returns the operation's id.
 func (w *world) killRestartAtBegin(n int) (id string) {
 	w.t.Helper()
-	cmd := exec.Command(filepath.Join(w.bin, "martendrum"), "--fleet", w.inv, "restart", "--all", "--lease", "1s", "--soak", "100ms")
+	cmd := exec.Command(filepath.Join(w.binaries, "martendrum"), "--fleet", w.inventoryPath, "restart", "--all", "--lease", "1s", "--soak", "100ms")
 	pipe, err := cmd.StderrPipe()
 	if err != nil {
 		w.t.Fatal(err)
@@ -83,9 +83,9 @@
 	return id
 }
 
-// abortLeavesPendingAlone aborts a restart after its first instance: what was not begun stays as
+// checkAbortKeepsPending aborts a restart after its first instance: what was not begun stays as
 // it is, and the next operation gets all instances.
-func (w *world) abortLeavesPendingAlone() {
+func (w *world) checkAbortKeepsPending() {
 	w.t.Helper()
 	t := w.t
 	ctx, cancel := context.WithCancel(context.Background())
@@ -144,7 +144,7 @@
 		{"restart --all --dry-run --batch 50%", 0, "nothing was changed"},
 		{"upgrade --all", 2, "binary"},
 		{"upgrade --all --binary /none", 2, "/none"},
-		{"upgrade --all --binary " + w.inv, 2, "no program"},
+		{"upgrade --all --binary " + w.inventoryPath, 2, "no program"},
 		{"inspect h0-i0", 0, "generation"},
 		{"inspect nobody", 2, "no host has"},
 		{"logs h0-i0", 0, "ready"},
@@ -215,7 +215,7 @@
 	for inv == "" && sc.Scan() {
 		_, inv, _ = strings.Cut(sc.Text(), "MARTENDRUM_FLEET=")
 	}
-	w := &world{t: t, bin: programs(t), inv: inv}
+	w := &world{t: t, binaries: programs(t), inventoryPath: inv}
 	eventually(t, "three ready sidecars", func() bool {
 		out, _, _ := w.command("list", "--state", "ready")
 		return strings.Count(out, "shop-") == 3
--- a/internal/fleet/e2e/powerloss_clients_test.go
+++ b/internal/fleet/e2e/powerloss_clients_test.go
@@ -43,7 +43,7 @@
 func (p *recoveryWorld) startClients(perSecond float64) *retryingClients {
 	v := &retryingClients{stop: make(chan struct{}), down: make(map[string][]time.Time), once: make(map[string]bool)}
 	for _, h := range p.hosts {
-		for name, addr := range h.listenAddress {
+		for name, addr := range h.listenAddresses {
 			v.wg.Go(func() {
 				rng := rand.New(rand.NewPCG(uint64(p.rank[name]), 5))
 				for n := 0; ; n++ {
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -21,7 +21,7 @@
 )
 
 // All hosts and servers lose power and restart in random order while clients retry at once.
-func TestPowerLossWholeFleet(t *testing.T) {
+func TestFleetRecoversFromPowerLoss(t *testing.T) {
 	hosts, each := sized("E2E_HOSTS", 3), sized("E2E_EACH", 4)
 	parts, ok := os.LookupEnv("E2E_PARTS")
 	if !ok {
@@ -75,7 +75,7 @@
 		t.Log("killed", launch)
 		syscall.Kill(f.PID, syscall.SIGKILL)
 	}
-	eventually(t, "a new process", func() bool { return strings.Count(p.wholeLog(name), recoveryStartMark) == 2 })
+	eventually(t, "a new process", func() bool { return strings.Count(p.allLogs(name), recoveryStartMark) == 2 })
 	if eventually(t, "a verdict", func() bool { return p.verdict(name) != "" }); p.verdict(name) != "alone" {
 		t.Errorf("one that came back alone says %s:\n%s", p.verdict(name), p.log(name))
 	}
@@ -163,7 +163,7 @@
 	for _, name := range p.hosts[0].instances {
 		v := &retryingClients{down: make(map[string][]time.Time), once: make(map[string]bool)}
 		for n := range 20 {
-			v.client(name, p.hosts[0].listenAddress[name], n, n%3)
+			v.client(name, p.hosts[0].listenAddresses[name], n, n%3)
 		}
 		if s := v.servedFraction(-1, time.Now().Add(-time.Hour), time.Hour); s < 1 {
 			t.Errorf("%s: %.2f of the worth served while nobody is heard", name, s)
--- a/internal/fleet/e2e/powerloss_world_test.go
+++ b/internal/fleet/e2e/powerloss_world_test.go
@@ -50,13 +50,13 @@
 		Workers: 4, Work: 40 * time.Millisecond, Queue: 20, From: 0.14, For: 6 * time.Second, Factor: 4, Window: time.Second,
 	}}
 	servers := max(4, hosts*each/5)
-	p.world = newWorldBefore(t, hosts, each, fmt.Sprintf("fleet = %q\n[recovery]\nwave_least = %q\n", parts, wave), func() (*shop.Shop, error) {
+	p.world = newWorldWithServers(t, hosts, each, fmt.Sprintf("fleet = %q\n[recovery]\nwave_least = %q\n", parts, wave), func() (*shop.Shop, error) {
 		return shop.NewWith(servers, p.slowStart.Serve)
 	})
 	var homes, names []string
 	for _, h := range p.hosts {
 		for _, name := range h.instances {
-			host, _, err := net.SplitHostPort(h.listenAddress[name])
+			host, _, err := net.SplitHostPort(h.listenAddresses[name])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -92,7 +92,7 @@
 
 func (p *recoveryWorld) hostOf(name string) *host {
 	for _, h := range p.hosts {
-		if h.listenAddress[name] != "" {
+		if h.listenAddresses[name] != "" {
 			return h
 		}
 	}
@@ -159,7 +159,7 @@
 
 // log returns what an instance's sidecars have logged since their last start.
 func (p *recoveryWorld) log(name string) string {
-	text := p.wholeLog(name)
+	text := p.allLogs(name)
 	return text[max(0, strings.LastIndex(text, recoveryStartMark)):]
 }
 
@@ -188,8 +188,8 @@
 	return strings.Count(string(text), "the host lost its power")
 }
 
-// wholeLog returns all that an instance's sidecars have logged.
-func (p *recoveryWorld) wholeLog(name string) string {
+// allLogs returns all that an instance's sidecars have logged.
+func (p *recoveryWorld) allLogs(name string) string {
 	text, _ := os.ReadFile(filepath.Join(filepath.Dir(p.hostOf(name).config), "s", "logs", name+".log"))
 	return string(text)
 }
--- a/internal/fleet/e2e/scale_test.go
+++ b/internal/fleet/e2e/scale_test.go
@@ -79,7 +79,7 @@
 			}
 			return n%10 == 0
 		})))
-		rep := w.change(append([]string{"start", "--stages", "6,50%,100%", "--binary", filepath.Join(w.bin, "sidecar"), "--overlay", overlay},
+		rep := w.change(append([]string{"start", "--stages", "6,50%,100%", "--binary", filepath.Join(w.binaries, "sidecar"), "--overlay", overlay},
 			append(quickChange, "--longest", "80s", "--batch", "6", "--margin", "unserved=0.02:0.08", "--margin", "worth=0.02:0.08", "--margin", "failed=0.02:0.08")...)...).report()
 		w.checkRelease(base)
 		requests.stop()
@@ -113,7 +113,7 @@
 }
 
 func agentAtRest(b *testing.B, slot string) {
-	w := newWorldOn(b, 1, 10, fmt.Sprintf("[figures]\nslot = %q\nkeep = \"30m\"\n", slot))
+	w := newWorldWithStore(b, 1, 10, fmt.Sprintf("[figures]\nslot = %q\nkeep = \"30m\"\n", slot))
 	h := w.hosts[0]
 	text, err := os.ReadFile(h.config)
 	if err == nil {
--- a/internal/fleet/e2e/settings_crash_test.go
+++ b/internal/fleet/e2e/settings_crash_test.go
@@ -51,14 +51,14 @@
 // processes run with the last accepted settings, and a later revision is applied.
 func TestCrashingSettingsAreRejected(t *testing.T) {
 	t.Parallel()
-	w := layOutSettings(t, settingsLayout{relays: 1, hosts: 2, each: 1})
+	w := layOutSettings(t, settingsLayout{relays: 1, hosts: 2, sidecarsPerHost: 1})
 	h := w.hosts[1]
 	text, err := os.ReadFile(h.config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	program := w.script("crashing", fmt.Sprintf("#!/bin/sh\n%s=%q exec %q\n", crashingEnv, filepath.Join(w.bin, "sidecar"), os.Args[0]))
-	changed := strings.Replace(string(text), fmt.Sprintf("binary = %q", filepath.Join(w.bin, "sidecar")), fmt.Sprintf("binary = %q", program), 1)
+	program := w.script("crashing", fmt.Sprintf("#!/bin/sh\n%s=%q exec %q\n", crashingEnv, filepath.Join(w.binaries, "sidecar"), os.Args[0]))
+	changed := strings.Replace(string(text), fmt.Sprintf("binary = %q", filepath.Join(w.binaries, "sidecar")), fmt.Sprintf("binary = %q", program), 1)
 	if changed == string(text) {
 		t.Fatal("the configuration names no program to replace")
 	}
--- a/internal/fleet/e2e/settings_relays_test.go
+++ b/internal/fleet/e2e/settings_relays_test.go
@@ -168,7 +168,7 @@
 
 // regionCutOff partitions the second of two regions, and the hosts of a third from all relays.
 func regionCutOff(t *testing.T, reset bool, lasts time.Duration) {
-	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 6, each: 1, regions: 3})
+	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 6, sidecarsPerHost: 1, regions: 3})
 	w.startRelays()
 	w.startAll()
 	joined := []*host{w.hosts[0], w.hosts[3]}
--- a/internal/fleet/e2e/settings_unavailable_test.go
+++ b/internal/fleet/e2e/settings_unavailable_test.go
@@ -31,7 +31,7 @@
 // ones they had.
 func TestUnavailableHostConverges(t *testing.T) {
 	t.Parallel()
-	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 4, each: 1})
+	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 4, sidecarsPerHost: 1})
 	w.startRelays()
 	there, stopped, killed, late := w.hosts[0], w.hosts[1], w.hosts[2], w.hosts[3]
 	for _, h := range w.hosts[:3] {
@@ -119,7 +119,7 @@
 // changes than are retained end at the log's state, without resources removed meanwhile.
 func TestCompactedHistoryGivesSnapshot(t *testing.T) {
 	t.Parallel()
-	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 2, each: 1, relay: "history = 5\n"})
+	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 2, sidecarsPerHost: 1, relay: "history = 5\n"})
 	w.startRelays()
 	w.startAll()
 	narrow := w.reference(2, "limits/all", 96, 80)[1]
--- a/internal/fleet/e2e/settings_world_test.go
+++ b/internal/fleet/e2e/settings_world_test.go
@@ -40,7 +40,7 @@
 
 // settingsLayout is the size of a settingsWorld and what its configurations say.
 type settingsLayout struct {
-	relays, hosts, each int
+	relays, hosts, sidecarsPerHost int
 	// regions, where above 0, puts relays and hosts into so many regions in turn: a host asks
 	// the relay of its own region as long as that one answers.
 	regions int
@@ -51,7 +51,7 @@
 // newSettingsWorld lays out relays and hosts with so many sidecars each, and starts them all.
 func newSettingsWorld(t testing.TB, relays, hosts, each int) *settingsWorld {
 	t.Helper()
-	w := layOutSettings(t, settingsLayout{relays: relays, hosts: hosts, each: each})
+	w := layOutSettings(t, settingsLayout{relays: relays, hosts: hosts, sidecarsPerHost: each})
 	w.startRelays()
 	w.startAll()
 	return w
@@ -60,7 +60,7 @@
 // newRegionalWorld has a region for each relay, with the hosts spread over them, and starts all.
 func newRegionalWorld(t testing.TB, relays, hosts int) *settingsWorld {
 	t.Helper()
-	w := layOutSettings(t, settingsLayout{relays: relays, hosts: hosts, each: 1, regions: relays})
+	w := layOutSettings(t, settingsLayout{relays: relays, hosts: hosts, sidecarsPerHost: 1, regions: relays})
 	w.startRelays()
 	w.startAll()
 	return w
@@ -70,7 +70,7 @@
 // Instances have the labels of world and the service "even" or "odd" by their host's number.
 func layOutSettings(t testing.TB, layout settingsLayout) *settingsWorld {
 	t.Helper()
-	w := &settingsWorld{world: newWorld(t, layout.hosts, layout.each), layout: layout, net: faultnet.New(1), links: make(map[string]*faultnet.Link)}
+	w := &settingsWorld{world: newWorld(t, layout.hosts, layout.sidecarsPerHost), layout: layout, net: faultnet.New(1), links: make(map[string]*faultnet.Link)}
 	t.Cleanup(w.net.Close)
 	for n := range layout.relays {
 		w.relays = append(w.relays, w.layRelay(n))
@@ -137,7 +137,7 @@
 	}
 	relay.config = filepath.Join(dir, "agent.toml")
 	text := fmt.Sprintf("name = %q\nstate_dir = \"s\"\n[listen]\nunix = \"a\"\n[sidecar]\nbinary = %q\n[figures]\nslot = \"0s\"\n",
-		relay.name, filepath.Join(w.bin, "sidecar"))
+		relay.name, filepath.Join(w.binaries, "sidecar"))
 	if err := os.WriteFile(relay.config, []byte(text), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 	for _, relay := range w.relays {
 		fmt.Fprintf(&text, "[[host]]\nname = %q\naddress = %q\nlabels = {relay = \"true\"}\n", relay.name, relay.socket())
 	}
-	appendFile(w.t, w.inv, text.String())
+	appendFile(w.t, w.inventoryPath, text.String())
 }
 
 func appendFile(t testing.TB, path, text string) {
--- a/internal/fleet/e2e/settings_writer_killed_test.go
+++ b/internal/fleet/e2e/settings_writer_killed_test.go
@@ -52,7 +52,7 @@
 	if !testing.Short() {
 		maxWrite = 20
 	}
-	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 1, each: 1})
+	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 1, sidecarsPerHost: 1})
 	w.startRelays()
 	w.startAll()
 	run := &writerRun{world: w, seen: &contents{t: t, hashes: make(map[distribution.Revision]string)}, latest: make(map[string]distribution.Resource)}
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -165,7 +165,7 @@
 // prevails, and no revision has two contents.
 func TestTwoRelaysPromotedApart(t *testing.T) {
 	t.Parallel()
-	w := layOutSettings(t, settingsLayout{relays: 3, hosts: 1, each: 1})
+	w := layOutSettings(t, settingsLayout{relays: 3, hosts: 1, sidecarsPerHost: 1})
 	w.startRelays()
 	w.startAll()
 	w.reference(1, "limits/all", 112)
--- a/internal/fleet/e2e/simulated_test.go
+++ b/internal/fleet/e2e/simulated_test.go
@@ -23,12 +23,12 @@
 
 // simulated is a fleet of real agents in this process with simulated sidecars.
 type simulated struct {
-	fleet  *client.Fleet
-	hosts  []*simhost.Host
-	agents []*agent.Agent
-	cfgs   []*agent.Config
-	stores []store.Store
-	ops    api.Operation // targets of all instances
+	fleet        *client.Fleet
+	hosts        []*simhost.Host
+	agents       []*agent.Agent
+	configs      []*agent.Config
+	stores       []store.Store
+	allInstances api.Operation // targets of all instances
 }
 
 // simulate starts agents on loopback with simulated sidecars, a number of them each.
@@ -51,11 +51,11 @@
 	}
 	for i := range each {
 		for h := range hosts {
-			s.ops.Targets = append(s.ops.Targets, api.Target{Host: fmt.Sprintf("sim-%d", h), Instance: fmt.Sprintf("sim-%d-i%d", h, i)})
+			s.allInstances.Targets = append(s.allInstances.Targets, api.Target{Host: fmt.Sprintf("sim-%d", h), Instance: fmt.Sprintf("sim-%d-i%d", h, i)})
 		}
 	}
-	s.ops.Ready, s.ops.Soak, s.ops.Operator = 10*time.Second, 0, "tester"
-	s.ops.Policy = api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop}
+	s.allInstances.Ready, s.allInstances.Soak, s.allInstances.Operator = 10*time.Second, 0, "tester"
+	s.allInstances.Policy = api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop}
 	f, err := client.New(inv, "tester")
 	if err != nil {
 		t.Fatal(err)
@@ -120,12 +120,12 @@
 		}
 		a.Close()
 	})
-	s.hosts, s.agents, s.cfgs = append(s.hosts, machine), append(s.agents, a), append(s.cfgs, cfg)
+	s.hosts, s.agents, s.configs = append(s.hosts, machine), append(s.agents, a), append(s.configs, cfg)
 	return (<-addr).String()
 }
 
 func (s *simulated) op(action string) api.Operation {
-	o := s.ops
+	o := s.allInstances
 	o.ID, o.Action, o.Created = fmt.Sprintf("op-%08x", rand.Uint32()), action, time.Now().UTC()
 	return o
 }
--- a/internal/fleet/e2e/staged_faults_test.go
+++ b/internal/fleet/e2e/staged_faults_test.go
@@ -20,7 +20,7 @@
 	t.Parallel()
 	w := stagedWorld(t, 2, 5)
 	requests := w.startLoad()
-	first := w.change(append([]string{"start", "--stages", "3,7,100%", "--binary", filepath.Join(w.bin, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
+	first := w.change(append([]string{"start", "--stages", "3,7,100%", "--binary", filepath.Join(w.binaries, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
 	rep := w.waitForReport("a first stage that runs", func(r *client.Report) bool {
 		return r.Stages != nil && r.Stages.State.Stage == 1 && countChanged(r) == 3
 	})
@@ -65,7 +65,7 @@
 	t.Cleanup(n.Close)
 	links := w.links(n)
 	requests := w.startLoad()
-	c := w.change(append([]string{"start", "--stages", "4,100%", "--give-up", "60s", "--binary", filepath.Join(w.bin, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
+	c := w.change(append([]string{"start", "--stages", "4,100%", "--give-up", "60s", "--binary", filepath.Join(w.binaries, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
 	w.waitForReport("a first stage that runs", func(r *client.Report) bool {
 		return r.Stages != nil && r.Stages.State.Stage == 1 && countChanged(r) == 4
 	})
@@ -106,7 +106,7 @@
 	w := stagedWorld(t, 2, 4)
 	base := w.running()
 	mark := filepath.Join(w.dir, "crash")
-	bad := w.script("bad", fmt.Sprintf("#!/bin/sh\ntest -e %[2]q && exit 1\n%[1]q &\npid=$!\ntrap 'kill -TERM $pid; wait $pid; exit 0' TERM\nwhile kill -0 $pid; do test -e %[2]q && kill -KILL $pid && exit 1; sleep 0.1; done\n", filepath.Join(w.bin, "sidecar"), mark))
+	bad := w.script("bad", fmt.Sprintf("#!/bin/sh\ntest -e %[2]q && exit 1\n%[1]q &\npid=$!\ntrap 'kill -TERM $pid; wait $pid; exit 0' TERM\nwhile kill -0 $pid; do test -e %[2]q && kill -KILL $pid && exit 1; sleep 0.1; done\n", filepath.Join(w.binaries, "sidecar"), mark))
 	c := w.change(append([]string{"start", "--stages", "3,100%", "--alone", "2s", "--binary", bad}, quickChange...)...)
 	w.waitForReport("a first stage that runs", func(r *client.Report) bool {
 		n := 0
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -68,9 +68,9 @@
 			base := w.running()
 			args := append([]string{"start", "--stages", "3,100%"}, quickChange...)
 			if c.overlay != nil {
-				args = append(args, "--overlay", w.overlay(fmt.Sprintf(`{"discovery": %q}`, c.overlay(t))), "--binary", filepath.Join(w.bin, "sidecar"))
+				args = append(args, "--overlay", w.overlay(fmt.Sprintf(`{"discovery": %q}`, c.overlay(t))), "--binary", filepath.Join(w.binaries, "sidecar"))
 			} else {
-				args = append(args, "--binary", w.script("bad", fmt.Sprintf(c.program, filepath.Join(w.bin, "sidecar"))))
+				args = append(args, "--binary", w.script("bad", fmt.Sprintf(c.program, filepath.Join(w.binaries, "sidecar"))))
 			}
 			requests := w.startLoad()
 			rep := w.change(args...).report()
@@ -234,7 +234,7 @@
 	t.Parallel()
 	w := stagedWorld(t, 1, 8)
 	base := w.running()
-	other := w.script("other", fmt.Sprintf("#!/bin/sh\ntest \"$1\" = versions && echo '{\"program\":\"sidecar\",\"hand_over\":99,\"agent\":1}' && exit\nexec %q \"$@\"\n", filepath.Join(w.bin, "sidecar")))
+	other := w.script("other", fmt.Sprintf("#!/bin/sh\ntest \"$1\" = versions && echo '{\"program\":\"sidecar\",\"hand_over\":99,\"agent\":1}' && exit\nexec %q \"$@\"\n", filepath.Join(w.binaries, "sidecar")))
 	requests := w.startLoad()
 	_, errs, code := w.command(append([]string{"change", "start", "--stages", "2,100%", "--binary", other}, quickChange...)...)
 	if code != 1 || !strings.Contains(errs, "nothing was changed") || !strings.Contains(errs, "versions 1 and 99 of the hand-over") {
--- a/internal/fleet/e2e/staged_world_test.go
+++ b/internal/fleet/e2e/staged_world_test.go
@@ -21,9 +21,9 @@
 	"martendrum/internal/standin/shop"
 )
 
-// worldTurn lets only one staged world run at a time: each has clients, and the load would break
+// stagedSlot lets only one staged world run at a time: each has clients, and the load would break
 // the time bounds of other tests.
-var worldTurn = make(chan struct{}, 1)
+var stagedSlot = make(chan struct{}, 1)
 
 func skipShort(t *testing.T) {
 	t.Helper()
@@ -36,9 +36,9 @@
 // if given, leads its sidecars to other servers than the world's own.
 func stagedWorld(t testing.TB, hosts, each int, discovery ...string) *world {
 	t.Helper()
-	worldTurn <- struct{}{}
-	t.Cleanup(func() { <-worldTurn })
-	w := newWorldOn(t, hosts, each, "[figures]\nslot = \"500ms\"\nkeep = \"5m\"\n")
+	stagedSlot <- struct{}{}
+	t.Cleanup(func() { <-stagedSlot })
+	w := newWorldWithStore(t, hosts, each, "[figures]\nslot = \"500ms\"\nkeep = \"5m\"\n")
 	for _, d := range discovery {
 		files, err := filepath.Glob(filepath.Join(w.dir, "h*", "h*.json"))
 		if err != nil || len(files) != hosts*each {
@@ -98,7 +98,7 @@
 func (w *world) change(args ...string) *change {
 	w.t.Helper()
 	c := &change{world: w, done: make(chan struct{})}
-	c.cmd = exec.Command(filepath.Join(w.bin, "martendrum"), append([]string{"--fleet", w.inv, "--json", "change"}, args...)...)
+	c.cmd = exec.Command(filepath.Join(w.binaries, "martendrum"), append([]string{"--fleet", w.inventoryPath, "--json", "change"}, args...)...)
 	c.cmd.Stdout, c.cmd.Stderr = &c.out, &c.errs
 	if err := c.cmd.Start(); err != nil {
 		w.t.Fatal(err)
@@ -206,8 +206,8 @@
 		fmt.Fprintf(&inv, "[[host]]\nname = %q\naddress = \"tcp:%s\"\n", h.name, l.Addr())
 		out = append(out, l)
 	}
-	w.inv = filepath.Join(w.dir, "linked.toml")
-	if err := os.WriteFile(w.inv, []byte(inv.String()), 0o600); err != nil {
+	w.inventoryPath = filepath.Join(w.dir, "linked.toml")
+	if err := os.WriteFile(w.inventoryPath, []byte(inv.String()), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 	return out
--- a/internal/fleet/e2e/store_test.go
+++ b/internal/fleet/e2e/store_test.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Replace(string(b), filepath.Join(w.bin, "sidecar"), sidecar, 1) + fmt.Sprintf("record = %q\n", file)
+	text := strings.Replace(string(b), filepath.Join(w.binaries, "sidecar"), sidecar, 1) + fmt.Sprintf("record = %q\n", file)
 	os.WriteFile(h.config, []byte(text), 0o600)
 	pg.SetRejecting(true)
 	w.startAll()
@@ -125,7 +125,7 @@
 	}
 	says("inspect h0-i0", "postgres; breaker=")
 	eventually(t, "an open breaker", func() bool {
-		req, err := http.NewRequest("POST", "http://"+h.listenAddress["h0-i0"]+"/activate/1", strings.NewReader("x"))
+		req, err := http.NewRequest("POST", "http://"+h.listenAddresses["h0-i0"]+"/activate/1", strings.NewReader("x"))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/e2e/traffic_test.go
+++ b/internal/fleet/e2e/traffic_test.go
@@ -31,7 +31,7 @@
 	c := &clients{end: make(chan struct{}), kills: make(map[string][]time.Time)}
 	n := 0
 	for _, h := range w.hosts {
-		for name, addr := range h.listenAddress {
+		for name, addr := range h.listenAddresses {
 			n++
 			c.wg.Go(func() {
 				for id := 0; ; id++ {
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -23,7 +23,7 @@
 func TestUpgradeUnderKillsLosesNothing(t *testing.T) {
 	w := newWorld(t, 10, 5)
 	w.startAll()
-	hash := w.release(filepath.Join(w.bin, "sidecar"), `{"limits":{"memory_mb":96}}`)
+	hash := w.release(filepath.Join(w.binaries, "sidecar"), `{"limits":{"memory_mb":96}}`)
 	requests := w.startTraffic(300 * time.Millisecond)
 
 	kills := w.startKills(requests)
@@ -73,13 +73,13 @@
 type randomKills struct {
 	sidecars, agents int
 	end              chan struct{}
-	running          sync.WaitGroup
+	wait             sync.WaitGroup
 }
 
 func (w *world) startKills(requests *clients) *randomKills {
 	kills := &randomKills{end: make(chan struct{})}
 	rng := rand.New(rand.NewPCG(5, 1))
-	kills.running.Go(func() {
+	kills.wait.Go(func() {
 		for {
 			select {
 			case <-kills.end:
@@ -107,7 +107,7 @@
 
 func (k *randomKills) stop() {
 	close(k.end)
-	k.running.Wait()
+	k.wait.Wait()
 }
 
 // checkUpgradeReport compares the rows of an upgrade's report with what the agents list: each
@@ -147,7 +147,7 @@
 	first := w.waitReady()[0].Instances[0].Release
 	for name, c := range map[string]struct{ script, why string }{
 		"never ready":   {"#!/bin/sh\nexec sleep 1000\n", "not ready within"},
-		"dies soaked":   {"#!/bin/sh\n" + filepath.Join(w.bin, "sidecar") + " &\nsleep 1\nkill -9 $!\nwait\nexit 3\n", "ended by itself"},
+		"dies soaked":   {"#!/bin/sh\n" + filepath.Join(w.binaries, "sidecar") + " &\nsleep 1\nkill -9 $!\nwait\nexit 3\n", "ended by itself"},
 		"can't start":   {"no program\n", "exec format error"},
 		"ends at once":  {"#!/bin/sh\nexit 7\n", "exit status 7"},
 		"good and well": {"", ""},
@@ -155,7 +155,7 @@
 		path := w.script("bad"+strings.ReplaceAll(name, " ", "-"), c.script)
 		overlay := ""
 		if c.script == "" {
-			path, overlay = filepath.Join(w.bin, "sidecar"), `{"limits":{"memory_mb":80}}`
+			path, overlay = filepath.Join(w.binaries, "sidecar"), `{"limits":{"memory_mb":80}}`
 		}
 		hash := w.release(path, overlay)
 		op := w.op(api.ActUpgrade, func(o *api.Operation) {
@@ -216,7 +216,7 @@
 		return rep
 	}
 	for n := range 2 {
-		if rep := upgrade(filepath.Join(w.bin, "sidecar"), fmt.Sprintf(`{"limits":{"memory_mb":%d}}`, 90+n)); !rep.OK() {
+		if rep := upgrade(filepath.Join(w.binaries, "sidecar"), fmt.Sprintf(`{"limits":{"memory_mb":%d}}`, 90+n)); !rep.OK() {
 			t.Errorf("%s %s", rep.Result, rep.Why)
 		}
 		for _, i := range w.waitReady()[0].Instances {
@@ -255,7 +255,7 @@
 func (h *host) callHealth() (stop func()) {
 	t, end := h.world.t, make(chan struct{})
 	var calls sync.WaitGroup
-	for name, addr := range h.listenAddress {
+	for name, addr := range h.listenAddresses {
 		calls.Go(func() {
 			for n := 0; ; n++ {
 				select {
@@ -289,7 +289,7 @@
 		script string // what the new process is, before it serves
 		keeps  bool   // the old one is left
 	}{
-		{"#!/bin/sh\nsleep 1\nexec " + filepath.Join(w.bin, "sidecar") + "\n", false},
+		{"#!/bin/sh\nsleep 1\nexec " + filepath.Join(w.binaries, "sidecar") + "\n", false},
 		{"#!/bin/sh\nsleep 1\nexit 7\n", true},
 	} {
 		old := w.waitReady()[0].Instances[0].PID
--- a/internal/fleet/e2e/world_test.go
+++ b/internal/fleet/e2e/world_test.go
@@ -24,23 +24,23 @@
 
 // world is a fleet of agents with their sidecars as processes of this machine.
 type world struct {
-	t      testing.TB
-	dir    string
-	prefix string // of the agents' names, this test's own
-	shop   *shop.Shop
-	hosts  []*host
-	fleet  *client.Fleet
-	inv    string // the inventory's path
-	bin    string
+	t             testing.TB
+	dir           string
+	prefix        string // of the agents' names, this test's own
+	shop          *shop.Shop
+	hosts         []*host
+	fleet         *client.Fleet
+	inventoryPath string // the inventory's path
+	binaries      string
 }
 
 // host is one agent with its instances.
 type host struct {
-	world         *world
-	name          string
-	config        string
-	instances     []string
-	listenAddress map[string]string
+	world           *world
+	name            string
+	config          string
+	instances       []string
+	listenAddresses map[string]string
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
@@ -52,19 +52,19 @@
 // newWorld writes the configurations of hosts with a number of sidecars each; no agent runs yet.
 func newWorld(t testing.TB, hosts, each int) *world {
 	t.Helper()
-	return newWorldOn(t, hosts, each, "")
+	return newWorldWithStore(t, hosts, each, "")
 }
 
-// newWorldOn is newWorld with a [record] table in the agents' files.
-func newWorldOn(t testing.TB, hosts, each int, record string) *world {
+// newWorldWithStore is newWorld with a [record] table in the agents' files.
+func newWorldWithStore(t testing.TB, hosts, each int, record string) *world {
 	t.Helper()
-	return newWorldBefore(t, hosts, each, record, func() (*shop.Shop, error) { return shop.New(4, 10*time.Millisecond) })
+	return newWorldWithServers(t, hosts, each, record, func() (*shop.Shop, error) { return shop.New(4, 10*time.Millisecond) })
 }
 
-// newWorldBefore is newWorldOn in front of servers that the test opens.
-func newWorldBefore(t testing.TB, hosts, each int, record string, open func() (*shop.Shop, error)) *world {
+// newWorldWithServers is newWorldWithStore in front of servers that the test opens.
+func newWorldWithServers(t testing.TB, hosts, each int, record string, open func() (*shop.Shop, error)) *world {
 	t.Helper()
-	w := &world{t: t, dir: t.TempDir(), prefix: fmt.Sprintf("e2e%08x", rand.Uint32()), bin: programs(t)}
+	w := &world{t: t, dir: t.TempDir(), prefix: fmt.Sprintf("e2e%08x", rand.Uint32()), binaries: programs(t)}
 	var err error
 	if w.shop, err = open(); err != nil {
 		t.Fatal(err)
@@ -72,13 +72,13 @@
 	var inv strings.Builder
 	inv.WriteString("timeout = \"2s\"\n")
 	for h := range hosts {
-		x := &host{world: w, name: fmt.Sprintf("%s-h%d", w.prefix, h), listenAddress: make(map[string]string)}
+		x := &host{world: w, name: fmt.Sprintf("%s-h%d", w.prefix, h), listenAddresses: make(map[string]string)}
 		dir := filepath.Join(w.dir, fmt.Sprint("h", h))
 		if err := os.Mkdir(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
 		var c strings.Builder
-		fmt.Fprintf(&c, "name = %q\nstate_dir = \"s\"\n[listen]\nunix = \"a\"\n[sidecar]\nbinary = %q\n", x.name, filepath.Join(w.bin, "sidecar"))
+		fmt.Fprintf(&c, "name = %q\nstate_dir = \"s\"\n[listen]\nunix = \"a\"\n[sidecar]\nbinary = %q\n", x.name, filepath.Join(w.binaries, "sidecar"))
 		c.WriteString(record)
 		c.WriteString("[limits]\nhealth_each = \"200ms\"\nbackoff_min = \"200ms\"\nbackoff_max = \"1s\"\ncrash_most = 20\n")
 		for i := range each {
@@ -87,7 +87,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			x.instances, x.listenAddress[name] = append(x.instances, name), listen
+			x.instances, x.listenAddresses[name] = append(x.instances, name), listen
 			fmt.Fprintf(&c, "[[instance]]\nname = %q\nconfig = %q\nlabels = {half = \"%d\", zone = \"zone-%d\", shop = \"shop-%d\"}\n", name, path, i%2, i%2, i/2)
 		}
 		x.config = filepath.Join(dir, "agent.toml")
@@ -97,8 +97,8 @@
 		fmt.Fprintf(&inv, "[[host]]\nname = %q\naddress = \"unix:%s\"\n", x.name, filepath.Join(dir, "a"))
 		w.hosts = append(w.hosts, x)
 	}
-	w.inv = filepath.Join(w.dir, "fleet.toml")
-	if err := os.WriteFile(w.inv, []byte(inv.String()), 0o600); err != nil {
+	w.inventoryPath = filepath.Join(w.dir, "fleet.toml")
+	if err := os.WriteFile(w.inventoryPath, []byte(inv.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	w.fleet = w.open("tester")
@@ -118,7 +118,7 @@
 
 // open returns another operator's view of the fleet.
 func (w *world) open(who string) *client.Fleet {
-	inv, err := inventory.Load(w.inv)
+	inv, err := inventory.Load(w.inventoryPath)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 func (h *host) start(env ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	cmd := exec.Command(filepath.Join(h.world.bin, "martendrum"), "agent", "--config", h.config)
+	cmd := exec.Command(filepath.Join(h.world.binaries, "martendrum"), "agent", "--config", h.config)
 	if len(env) > 0 {
 		cmd = exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), env...)
@@ -241,7 +241,7 @@
 
 // command runs martendrum and returns what it printed and its exit code.
 func (w *world) command(args ...string) (out, errs string, code int) {
-	cmd := exec.Command(filepath.Join(w.bin, "martendrum"), append([]string{"--fleet", w.inv}, args...)...)
+	cmd := exec.Command(filepath.Join(w.binaries, "martendrum"), append([]string{"--fleet", w.inventoryPath}, args...)...)
 	var o, e strings.Builder
 	cmd.Stdout, cmd.Stderr = &o, &e
 	err := cmd.Run()
