--- a/internal/fleet/e2e/lease_test.go
+++ b/internal/fleet/e2e/lease_test.go
@@ -43,7 +43,7 @@
 			}
 			e, ok := errors.AsType[*api.Error](errs[n])
 			if !ok || e.Code != api.LeaseHeld || !strings.Contains(e.Message, ops[1-n].ID) || !strings.Contains(e.Message, "operator-") && !strings.Contains(e.Message, "tester") {
-				t.Fatalf("round %d: operator %d was told: %v", round, n, errs[n])
+				t.Fatalf("round %d: operator %d got the error: %v", round, n, errs[n])
 			}
 		}
 		if won == 0 {
--- a/internal/fleet/e2e/main_test.go
+++ b/internal/fleet/e2e/main_test.go
@@ -136,7 +136,7 @@
 	t.Helper()
 	for until := time.Now().Add(eventuallyTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("it never came to: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
--- a/internal/fleet/e2e/powerloss_clients_test.go
+++ b/internal/fleet/e2e/powerloss_clients_test.go
@@ -185,7 +185,7 @@
 		}
 	}
 	if n := p.slowStart.Fallen(); n > 0 {
-		p.t.Errorf("%d cold servers fell", n)
+		p.t.Errorf("%d servers in slow start were overloaded", n)
 	}
 }
 
@@ -195,7 +195,7 @@
 	p.t.Helper()
 	const span = 2 * time.Second
 	at := from
-	eventually(p.t, "nine tenths of the worth", func() bool {
+	eventually(p.t, "nine tenths of the weight served", func() bool {
 		for ; time.Since(at) > span+3*time.Second; at = at.Add(500 * time.Millisecond) {
 			if v.servedFraction(-1, at, span) >= 0.9 {
 				return true
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -166,7 +166,7 @@
 			v.client(name, p.hosts[0].listenAddresses[name], n, n%3)
 		}
 		if s := v.servedFraction(-1, time.Now().Add(-time.Hour), time.Hour); s < 1 {
-			t.Errorf("%s: %.2f of the worth served while nobody is heard", name, s)
+			t.Errorf("%s: %.2f of the weight served while all peers are silent", name, s)
 		}
 	}
 	if c := p.verdicts(p.hosts...); c["unsure"] != 3 {
@@ -250,7 +250,7 @@
 	p.waitWavesDone(p.hosts[0])
 	p.checkWaves(states[:1]) // the other started as ever, all at once
 	if states[0].Epoch != 1 || states[1].Epoch != 0 {
-		t.Errorf("losses told: %d and %d", states[0].Epoch, states[1].Epoch)
+		t.Errorf("losses reported: %d and %d", states[0].Epoch, states[1].Epoch)
 	}
 	rep, err := p.fleet.Start(context.Background(), drain, options())
 	if err != nil || rep.Result != rollout.Succeeded {
@@ -295,7 +295,7 @@
 				t.Errorf("a step by a token of before the loss: %v", err)
 			}
 			if err := agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: opt.LeaseHolder, TTL: time.Minute}, nil); code(err) != api.LeaseHeld || !strings.Contains(err.Error(), "lost its power") {
-				t.Errorf("the run of before the loss asks again: %v", err)
+				t.Errorf("the run from before the loss opens its operation again: %v", err)
 			}
 			if !died {
 				return // there is no such write: all were tried
--- a/internal/fleet/e2e/settings_crash_test.go
+++ b/internal/fleet/e2e/settings_crash_test.go
@@ -75,7 +75,7 @@
 	w.waitReady()
 	w.limits(good, h.instances)
 	if refusals := w.inspect(h, h.instances[0]).Settings.Rejections; len(refusals) != 1 || !strings.Contains(refusals[0].Reason, "its process ended") {
-		t.Errorf("refusals %+v", refusals)
+		t.Errorf("rejections %+v", refusals)
 	}
 	launches := w.inspect(h, h.instances[0]).Instance.Restarts
 	if launches != crashesWanted {
--- a/internal/fleet/e2e/settings_operation_test.go
+++ b/internal/fleet/e2e/settings_operation_test.go
@@ -117,7 +117,7 @@
 	w.t.Helper()
 	settings := w.inspect(h, instance).Settings
 	if !strings.Contains(settings.Waiting, why) {
-		w.t.Errorf("%s tells that it waits for %q; want %q", instance, settings.Waiting, why)
+		w.t.Errorf("%s reports that it waits for %q; want %q", instance, settings.Waiting, why)
 	}
 	if have := w.bodyLimit(instance); have != limit {
 		w.t.Errorf("%s has a limit of %v while an operation holds it; it had %v", instance, have, limit)
--- a/internal/fleet/e2e/settings_rejected_test.go
+++ b/internal/fleet/e2e/settings_rejected_test.go
@@ -63,7 +63,7 @@
 		}
 		refusals := w.inspect(h, instance).Settings.Rejections
 		if len(refusals) != 1 || refusals[0].Revision != refused || !strings.Contains(refusals[0].Reason, memoryRejection) {
-			t.Errorf("%s tells the refusals %+v", instance, refusals)
+			t.Errorf("%s reports the rejections %+v", instance, refusals)
 		}
 	}
 	out, errs, code := w.command("list", "--settings", "--revision", refused.String())
--- a/internal/fleet/e2e/settings_unavailable_test.go
+++ b/internal/fleet/e2e/settings_unavailable_test.go
@@ -95,7 +95,7 @@
 	w.waitReady()
 	w.startedWith(h.instances[0], wide)
 	if settings := w.inspect(h, h.instances[0]).Settings; settings.Relay != "" || len(settings.Accepted) != 1 {
-		t.Errorf("without a relay the agent tells %+v", settings)
+		t.Errorf("without a relay the agent reports %+v", settings)
 	}
 
 	// After the relays' restart new changes arrive.
--- a/internal/fleet/e2e/settings_writer_killed_test.go
+++ b/internal/fleet/e2e/settings_writer_killed_test.go
@@ -71,7 +71,7 @@
 	w.copied(last, w.relays...)
 	w.readRelays(run.seen, w.relays)
 	w.inForce(last, 1)
-	t.Logf("%d changes asked for, %d acknowledged, %d revisions seen", run.published, run.acknowledged, len(run.seen.hashes))
+	t.Logf("%d changes published, %d acknowledged, %d revisions seen", run.published, run.acknowledged, len(run.seen.hashes))
 }
 
 // writerRun publishes changes at a writer that crashes, and keeps what was acknowledged.
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -91,7 +91,7 @@
 	w.knowsWriter(next, epoch, old)
 	w.copied(change, old)
 	if err := w.putAt(old, "limits/void"); code(err) != api.NotWriter || !strings.Contains(err.Error(), next.name) {
-		t.Errorf("the old writer, asked for a change: %v", err)
+		t.Errorf("the old writer, sent a change: %v", err)
 	}
 	w.noneHoldsVoid(w.relays, limit)
 
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -261,7 +261,7 @@
 				select {
 				case <-end:
 					if n == 0 {
-						t.Errorf("%s was not asked at all", name)
+						t.Errorf("%s got no health call", name)
 					}
 					return
 				default:
--- a/internal/standin/pgserver/pgserver_test.go
+++ b/internal/standin/pgserver/pgserver_test.go
@@ -363,7 +363,7 @@
 		io.WriteString(c, noise)
 		c.(*net.TCPConn).CloseWrite()
 		if got := kinds(t, c); strings.Contains(got, "Z") {
-			t.Errorf("%q was let in: %s", noise, got)
+			t.Errorf("%q was accepted: %s", noise, got)
 		}
 		c.Close()
 	}
--- a/internal/standin/pgserver/sql.go
+++ b/internal/standin/pgserver/sql.go
@@ -165,7 +165,7 @@
 	return q, err
 }
 
-// vacuum is a kind of statement beside those of transactions.
+// vacuum is the kind of a VACUUM statement, which SQLite runs as it is.
 const vacuum = "vacuum"
 
 // kindOf returns the kind of a statement by its first word.
