--- a/cmd/martendrum/judge.go
+++ b/cmd/martendrum/judge.go
@@ -14,6 +14,7 @@
 	"martendrum/internal/fleet/canary/simulation"
 )
 
+// judgeCommand returns the command that simulates the canary analysis.
 func judgeCommand(g *global) *cobra.Command {
 	c := &cobra.Command{Use: "judge", GroupID: "run", Short: "Try the judge of staged changes on made-up fleets",
 		Long: "The judge says whether sidecars that run a change do worse than those that don't.\nHow it is used: `martendrum change --help`."}
@@ -35,7 +36,7 @@
 		}
 		began := time.Now()
 		shown := time.Time{}
-		rows := simulation.Play(*sizes, *runs, *harmRuns, *seed, func(done, of int) {
+		rows := simulation.RunAll(*sizes, *runs, *harmRuns, *seed, func(done, of int) {
 			if time.Since(shown) > time.Second || done == of {
 				shown = time.Now()
 				fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, of)
--- /dev/null
+++ b/cmd/martendrum/list.go
@@ -0,0 +1,112 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/control/client"
+)
+
+// listCommand returns the command that lists instances, or with --settings the progress of
+// distributed settings.
+func listCommand(g *global) *cobra.Command {
+	list := &cobra.Command{
+		Use: "list", GroupID: "view", Short: "List instances and their states", Args: cobra.NoArgs,
+		Long: "List the instances of the fleet. Hosts that don't answer are listed too, and make the exit code 1\n(3 if none answers).",
+	}
+	selection := selectFlags(list)
+	settings := &settingsFlags{}
+	settings.add(list)
+	list.RunE = func(c *cobra.Command, _ []string) error {
+		f, err := g.openFleet()
+		if err == nil {
+			err = selection.Check()
+		}
+		if err != nil {
+			return err
+		}
+		defer f.Close()
+		if settings.enabled {
+			return settings.printProgress(c, g, f)
+		}
+		return printInstances(g, f.List(c.Context(), selection))
+	}
+	return list
+}
+
+// printInstances prints the instances of hosts. Its error has the exit code: hosts that don't
+// answer or can't write their record are failures.
+func printInstances(g *global, hosts []client.HostState) error {
+	if g.json {
+		if err := printJSON(hosts); err != nil {
+			return err
+		}
+	} else {
+		printInstanceTable(hosts)
+		printHostProblems(hosts)
+	}
+	silent := 0
+	for _, h := range hosts {
+		if h.Error != "" {
+			silent++
+		}
+	}
+	switch {
+	case silent > 0 && silent == len(hosts):
+		return &exitError{exitUnreachable, errors.New("no host answers")}
+	case silent > 0:
+		return &exitError{exitPartial, fmt.Errorf("%d of %d hosts don't answer", silent, len(hosts))}
+	case slices.ContainsFunc(hosts, func(h client.HostState) bool { return h.Unwritable != "" }):
+		return &exitError{exitPartial, nil}
+	}
+	return nil
+}
+
+func printInstanceTable(hosts []client.HostState) {
+	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "HOST\tINSTANCE\tDESIRED\tSTATE\tFOR\tRELEASE\tRESTARTS\tPID\tNOTE")
+	for _, h := range hosts {
+		for _, i := range h.Instances {
+			release := shortHash(i.Release)
+			if i.Running != "" && i.Running != i.Release {
+				release = shortHash(i.Running) + " -> " + release
+			}
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", h.Host.Name, i.Name, i.Desired, i.State, age(i.Since), release, i.Restarts, i.PID, instanceNote(&i))
+		}
+	}
+	w.Flush()
+}
+
+// instanceNote returns what an operator should know of an instance besides its state.
+func instanceNote(i *api.Instance) string {
+	note := i.Reason
+	if i.Operation != "" {
+		note = "operation " + i.Operation + " " + note
+	}
+	if strings.Contains(i.Record, "; breaker=") && !strings.Contains(i.Record, "; breaker=closed") {
+		note += " its store of record is away"
+	}
+	return note
+}
+
+// printHostProblems prints the problems of hosts to standard error.
+func printHostProblems(hosts []client.HostState) {
+	for _, h := range hosts {
+		if h.Error != "" {
+			fmt.Fprintf(os.Stderr, "%s: %s\n", h.Host.Name, h.Error)
+		}
+		if h.Returning != "" {
+			fmt.Fprintf(os.Stderr, "%s comes back from a power loss: %s\n", h.Host.Name, h.Returning)
+		}
+		if h.Unwritable != "" {
+			fmt.Fprintf(os.Stderr, "%s: its record can't be written: %s\n", h.Host.Name, h.Unwritable)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/martendrum/operations.go
@@ -0,0 +1,152 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"sort"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/control/client"
+)
+
+// opCommands returns the commands on operations.
+func opCommands(g *global) []*cobra.Command {
+	return []*cobra.Command{operationsCommand(g), reportCommand(g), resumeOperationCommand(g), abortCommand(g)}
+}
+
+// onOperation makes a command with an operation's ID as its argument.
+func (g *global) onOperation(c *cobra.Command, do func(c *cobra.Command, f *client.Fleet, id string) error) *cobra.Command {
+	c.GroupID, c.Args = "op", cobra.ExactArgs(1)
+	c.RunE = func(c *cobra.Command, args []string) error {
+		f, err := g.openFleet()
+		if err != nil {
+			return err
+		}
+		defer f.Close()
+		return do(c, f, args[0])
+	}
+	return c
+}
+
+func reportCommand(g *global) *cobra.Command {
+	report := &cobra.Command{Use: "report OPERATION", Short: "Tell what became of an operation, from the agents' records"}
+	return g.onOperation(report, func(c *cobra.Command, f *client.Fleet, id string) error {
+		report, err := f.Report(c.Context(), id)
+		if err != nil {
+			return err
+		}
+		return g.printReport(report)
+	})
+}
+
+func resumeOperationCommand(g *global) *cobra.Command {
+	run := &runFlags{}
+	resume := &cobra.Command{Use: "resume OPERATION", Short: "Go on with an operation where it stood",
+		Long: "Resume goes on with an operation whose command has died, was interrupted or has paused.\nWhat is done stays done: no instance is changed twice."}
+	run.add(resume)
+	return g.onOperation(resume, func(c *cobra.Command, f *client.Fleet, id string) error {
+		return g.resume(c.Context(), f, id, run.options(g))
+	})
+}
+
+func abortCommand(g *global) *cobra.Command {
+	abort := &cobra.Command{Use: "abort OPERATION", Short: "End an operation: what is under way is finished, nothing new begins"}
+	return g.onOperation(abort, func(c *cobra.Command, f *client.Fleet, id string) error {
+		failed, err := f.Abort(c.Context(), id)
+		if err != nil {
+			return err
+		}
+		for host, err := range failed {
+			fmt.Fprintf(os.Stderr, "%s: not ended there: %v\n", host, err)
+		}
+		if len(failed) > 0 {
+			return &exitError{exitPartial, errors.New("say it again once those hosts answer")}
+		}
+		fmt.Printf("operation %s ends; `martendrum report %s` tells how\n", id, id)
+		return nil
+	})
+}
+
+// listedOperation is an operation as it is printed.
+type listedOperation struct {
+	api.Operation
+	State       string   `json:"state"`
+	Result      string   `json:"result"`
+	LeaseHolder string   `json:"holder,omitempty"`
+	Hosts       []string `json:"hosts"`
+}
+
+func operationsCommand(g *global) *cobra.Command {
+	operations := &cobra.Command{Use: "operations", GroupID: "op", Short: "List operations, those that are open first", Args: cobra.NoArgs}
+	operations.RunE = func(c *cobra.Command, _ []string) error {
+		f, err := g.openFleet()
+		if err != nil {
+			return err
+		}
+		defer f.Close()
+		byAgent := make([]api.OpsOut, len(f.Agents))
+		errs := client.ForEach(f.Agents, func(n int, a *client.Agent) error {
+			return a.Call(c.Context(), api.OpList, api.Empty{}, &byAgent[n])
+		})
+		listed := mergeOperations(f, byAgent)
+		if g.json {
+			err = printJSON(listed)
+		} else {
+			err = printOperations(listed)
+		}
+		if err != nil {
+			return err
+		}
+		if silent := errors.Join(errs...); silent != nil {
+			return &exitError{exitPartial, silent}
+		}
+		return nil
+	}
+	return operations
+}
+
+// mergeOperations merges the operations of all agents. Open ones come first, then the latest. An
+// operation that is open at any agent is open.
+func mergeOperations(f *client.Fleet, byAgent []api.OpsOut) []*listedOperation {
+	byID := make(map[string]*listedOperation)
+	for n, out := range byAgent {
+		for _, o := range out.Ops {
+			listed := byID[o.Operation.ID]
+			if listed == nil {
+				listed = &listedOperation{Operation: o.Operation, State: o.State, Result: o.Result}
+				byID[o.Operation.ID] = listed
+			}
+			if o.State != api.OpClosed {
+				listed.State, listed.Result = o.State, ""
+			}
+			if o.LeaseHolder != "" {
+				listed.LeaseHolder = o.LeaseHolder
+			}
+			listed.Hosts = append(listed.Hosts, f.Agents[n].Host.Name)
+		}
+	}
+	var all []*listedOperation
+	for _, listed := range byID {
+		all = append(all, listed)
+	}
+	sort.Slice(all, func(a, b int) bool {
+		if x, y := all[a].State == api.OpClosed, all[b].State == api.OpClosed; x != y {
+			return y
+		}
+		return all[a].Created.After(all[b].Created)
+	})
+	return all
+}
+
+func printOperations(operations []*listedOperation) error {
+	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "OPERATION\tACTION\tBY\tSTATE\tRESULT\tHOSTS\tHELD BY")
+	for _, o := range operations {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", o.ID, o.Action, o.Operator, o.State, o.Result, len(o.Hosts), o.LeaseHolder)
+	}
+	return w.Flush()
+}
--- a/cmd/simulator/instance.go
+++ b/cmd/simulator/instance.go
@@ -9,55 +9,57 @@
 	"martendrum/internal/wire"
 )
 
-// instance is one balancer and its place on the wire; it is the balancer's
-// Host.
+// instance is one balancer and its ID on the wire. As the balancer's Host it writes
+// each action to the reply.
 type instance struct {
-	id    string
-	reply *wire.Reply
-	b     *martendrum.Balancer
-	set   *settings.Settings
+	id       string
+	reply    *wire.Reply
+	balancer *martendrum.Balancer
+	settings *settings.Settings
 }
 
-// event hands one event to the balancer.
-func (i *instance) event(e *wire.Event, a *adapter) error {
-	now, id := a.now, martendrum.RequestID(e.ID)
+// handle gives one event to the balancer.
+func (i *instance) handle(e *wire.Event, a *adapter) error {
+	now := a.now
+	id := martendrum.RequestID(e.ID)
 	switch e.Kind {
-	case wire.BackendsChanged:
-		switch how := string(e.How); how {
-		case "patch":
-			i.b.ServersChanged(now, a.lists[e.List])
-		case "whole", "stale_copy":
-			i.b.ServersListed(now, a.lists[e.List])
-		case "broken":
-			i.b.DiscoveryFailed(now)
+	case wire.ServersChanged:
+		switch change := string(e.Change); change {
+		case wire.ChangePartial:
+			i.balancer.ServersChanged(now, a.lists[e.ListNumber])
+		case wire.ChangeComplete, wire.ChangeStale:
+			i.balancer.ServersListed(now, a.lists[e.ListNumber])
+		case wire.ChangeFailed:
+			i.balancer.DiscoveryFailed(now)
 		default:
-			return fmt.Errorf("unknown kind of list %q", how)
+			return fmt.Errorf("unknown kind of list %q", change)
 		}
-	case wire.Knock:
-		i.b.Arrive(now, martendrum.Request{
+	case wire.RequestArrived:
+		i.balancer.Arrive(now, martendrum.Request{
 			ID:       id,
-			Class:    i.set.Class(e.Class),
-			Tenant:   i.set.Tenant(e.Tenant),
-			Deadline: micros(e.Deadline),
+			Class:    i.settings.Class(e.Class),
+			Tenant:   i.settings.Tenant(e.Tenant),
+			Deadline: micros(e.DeadlineMicros),
 		})
-	case wire.HeadReceived:
-		i.b.StreamStarted(now, id, e.Attempt)
-	case wire.Finished:
-		o, ok := outcomes[e.Ending]
+	case wire.StreamStarted:
+		i.balancer.StreamStarted(now, id, e.Attempt)
+	case wire.AttemptFinished:
+		outcome, ok := outcomes[e.OutcomeCode]
 		if !ok {
-			return fmt.Errorf("unknown ending %d", e.Ending)
+			return fmt.Errorf("unknown ending %d", e.OutcomeCode)
 		}
-		i.b.AttemptFinished(now, id, e.Attempt, o, e.Over, report(e.Load))
-	case wire.Checked:
-		i.b.ProbeAnswered(now, string(e.Server), report(e.Load))
-	case wire.TimedOutClient:
-		i.b.ClientDisconnected(now, id)
-	case wire.Wakeup:
-		i.b.TimerFired(now, e.Cookie)
+		i.balancer.AttemptFinished(now, id, e.Attempt, outcome, e.Finished, loadReport(e.Report))
+	case wire.ProbeAnswered:
+		i.balancer.ProbeAnswered(now, string(e.Server), loadReport(e.Report))
+	case wire.ClientDisconnected:
+		i.balancer.ClientDisconnected(now, id)
+	case wire.TimerFired:
+		i.balancer.TimerFired(now, e.Cookie)
 	}
 	return nil
 }
 
+// outcomes maps the codes on the wire.
 var outcomes = map[int]martendrum.Outcome{
 	200: martendrum.OK,
 	502: martendrum.ServerError,
@@ -69,27 +71,33 @@
 	409: martendrum.NotSent,
 }
 
-func report(l wire.Load) martendrum.LoadReport {
-	return martendrum.LoadReport{HasInFlight: l.HasBusyReqs, InFlight: l.BusyReqs, HasUtilization: l.HasCPUShare, Utilization: l.CPUShare}
+// loadReport converts a load report.
+func loadReport(r wire.LoadReport) martendrum.LoadReport {
+	return martendrum.LoadReport{
+		HasInFlight:    r.HasInFlight,
+		InFlight:       r.InFlight,
+		HasUtilization: r.HasUtilization,
+		Utilization:    r.Utilization,
+	}
 }
 
 // Send implements martendrum.Host.
 func (i *instance) Send(id martendrum.RequestID, server string, timeout, _ time.Duration) {
-	i.reply.Route(i.id, uint64(id), server, timeout.Microseconds())
+	i.reply.Send(i.id, uint64(id), server, timeout.Microseconds())
 }
 
 // Cancel implements martendrum.Host.
 func (i *instance) Cancel(id martendrum.RequestID, attempt int) {
-	i.reply.AbortAttempt(i.id, uint64(id), attempt)
+	i.reply.Cancel(i.id, uint64(id), attempt)
 }
 
 // Reject implements martendrum.Host.
 func (i *instance) Reject(id martendrum.RequestID, retryAfter time.Duration) {
-	i.reply.NotNow(i.id, uint64(id), retryAfter.Microseconds())
+	i.reply.Reject(i.id, uint64(id), retryAfter.Microseconds())
 }
 
 // Fail implements martendrum.Host.
-func (i *instance) Fail(id martendrum.RequestID) { i.reply.DropRequest(i.id, uint64(id)) }
+func (i *instance) Fail(id martendrum.RequestID) { i.reply.Fail(i.id, uint64(id)) }
 
 // SetTimer implements martendrum.Host.
 func (i *instance) SetTimer(cookie uint64, after time.Duration) {
@@ -97,7 +105,7 @@
 }
 
 // CloseIdle implements martendrum.Host.
-func (i *instance) CloseIdle(server string) { i.reply.DropConns(i.id, server) }
+func (i *instance) CloseIdle(server string) { i.reply.CloseIdle(i.id, server) }
 
 // Probe implements martendrum.Host.
 func (i *instance) Probe(server string) { i.reply.Probe(i.id, server) }
@@ -105,22 +113,23 @@
 // Subscribe implements martendrum.Host.
 func (i *instance) Subscribe() { i.reply.Subscribe(i.id) }
 
-func endpoints(hosts []wire.Host) []martendrum.Endpoint {
-	list := make([]martendrum.Endpoint, len(hosts))
-	for n, h := range hosts {
+// endpoints converts a server list.
+func endpoints(entries []wire.ListEntry) []martendrum.Endpoint {
+	list := make([]martendrum.Endpoint, len(entries))
+	for n, entry := range entries {
 		state := martendrum.Serving
-		switch h.Health {
-		case "DRAINING":
+		switch entry.Health {
+		case wire.HealthDraining:
 			state = martendrum.Draining
-		case "DELETED":
+		case wire.HealthRemoved:
 			state = martendrum.Removed
 		}
 		list[n] = martendrum.Endpoint{
-			Name:         h.Server,
-			Zone:         h.Zone,
-			Group:        h.Group,
-			CapacityHint: h.Hint,
-			Started:      micros(h.StartUs),
+			Name:         entry.Server,
+			Zone:         entry.Zone,
+			Group:        entry.Group,
+			CapacityHint: entry.CapacityHint,
+			Started:      micros(entry.StartedMicros),
 			State:        state,
 		}
 	}
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -1,8 +1,9 @@
-// Package checkpoint keeps what one sidecar has learned on a disk that lasts, for its next
-// life, also after a power loss. It owns one file: written whole by a rename after a sync,
-// with a version, a checksum and the sidecar's name. A file that is torn, empty, too old,
-// of another version or another sidecar is told for what it is and left aside; nothing
-// depends on one. What of it is still true is not decided here, see recovery.Kept.
+// Package checkpoint stores what a sidecar has learned on a durable disk, for its next
+// start, also after a power loss. It owns one file, which is replaced atomically: written,
+// synced and renamed, with a version, a checksum and the sidecar's name. A file that is
+// damaged, empty, too old, of another version or of another sidecar is reported and
+// ignored; nothing depends on one. What of it is still valid is decided by package
+// recovery, see recovery.Kept.
 package checkpoint
 
 import (
@@ -24,65 +25,69 @@
 const (
 	// Version changes with the meaning of any field.
 	Version = 1
-	// MaxSize is the longest file, in bytes.
-	MaxSize = handover.MaxSnapshotSize + 4<<10
-	// MaxAge is how old a file may be: past it a start from nothing knows as much.
+	// MaxFileSize is the longest file, in bytes: a snapshot and its envelope.
+	MaxFileSize = handover.MaxSnapshotSize + 4<<10
+	// MaxAge is how old a file may be; an older one is of no more use than none.
 	MaxAge = 24 * time.Hour
+
+	// maxClockError is how far in the future a file may be.
+	maxClockError   = time.Second
+	filePermissions = 0o600
 )
 
-// Checkpoint is what is kept.
+// Checkpoint is what is stored.
 type Checkpoint struct {
-	Name        string                  `json:"name"`   // of the sidecar, by its address
-	Saved       int64                   `json:"saved"`  // Unix time in ms
-	Incarnation uint64                  `json:"life"`   // its number among peers
-	Demand      float64                 `json:"demand"` // requests a second that usually come
+	Name        string                  `json:"name"`   // the sidecar's address
+	SavedAt     int64                   `json:"saved"`  // Unix time in ms
+	Incarnation uint64                  `json:"life"`   // its incarnation among peers
+	Demand      float64                 `json:"demand"` // usual requests a second
 	Learned     martendrum.LearnedState `json:"learned"`
 }
 
-// Why a file is not trusted.
-type Why string
+// Reason a file is not trusted.
+type Reason string
 
 // The reasons.
 const (
-	Empty   Why = "empty"
-	Torn    Why = "torn or damaged"
-	Old     Why = "too old, or of a time to come"
-	Foreign Why = "of another sidecar"
-	Other   Why = "of another version"
-	Unread  Why = "not readable"
+	Empty        Reason = "empty"
+	Damaged      Reason = "torn or damaged"
+	Expired      Reason = "too old, or of a time to come"
+	OtherSidecar Reason = "of another sidecar"
+	OtherVersion Reason = "of another version"
+	Unreadable   Reason = "not readable"
 )
 
-// NotTrustedError says why a file was left aside.
+// NotTrustedError says why a file was ignored.
 type NotTrustedError struct {
-	Path string
-	Why  Why
-	err  error
+	Path   string
+	Reason Reason
+	cause  error
 }
 
 // Error implements error.
 func (e *NotTrustedError) Error() string {
-	if e.err == nil {
-		return fmt.Sprintf("checkpoint %s: %s", e.Path, e.Why)
+	if e.cause == nil {
+		return fmt.Sprintf("checkpoint %s: %s", e.Path, e.Reason)
 	}
-	return fmt.Sprintf("checkpoint %s: %s: %v", e.Path, e.Why, e.err)
+	return fmt.Sprintf("checkpoint %s: %s: %v", e.Path, e.Reason, e.cause)
 }
 
 // Unwrap returns the cause, nil if there is none.
-func (e *NotTrustedError) Unwrap() error { return e.err }
+func (e *NotTrustedError) Unwrap() error { return e.cause }
 
 // Advice says what an operator can do.
 func (e *NotTrustedError) Advice() string {
-	switch e.Why {
-	case Foreign:
+	switch e.Reason {
+	case OtherSidecar:
 		return "give each sidecar a file of its own; this one starts from nothing and leaves the file as it is"
-	case Unread:
+	case Unreadable:
 		return "look at the file's owner and mode, and at the disk; the sidecar starts from nothing"
 	}
 	return "nothing: the sidecar starts from nothing and writes the file anew"
 }
 
-// file is the form on the disk. Sum is the CRC-32C of Body as it stands.
-type file struct {
+// envelope is the file's form. Sum is the CRC-32C of Body.
+type envelope struct {
 	Version int             `json:"version"`
 	Sum     uint32          `json:"sum"`
 	Body    json.RawMessage `json:"body"`
@@ -90,74 +95,87 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Save writes c in place of what was there, whole or not at all.
-func Save(path string, c Checkpoint) error {
-	body, err := json.Marshal(c)
+// Save replaces the file atomically.
+func Save(path string, checkpoint Checkpoint) error {
+	body, err := json.Marshal(checkpoint)
 	if err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
-	data, err := json.Marshal(file{Version, crc32.Checksum(body, castagnoli), body})
+	data, err := json.Marshal(envelope{Version, crc32.Checksum(body, castagnoli), body})
 	if err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
-	if len(data) > MaxSize {
-		return fmt.Errorf("checkpoint: %d bytes, %d at most", len(data), MaxSize)
+	if len(data) > MaxFileSize {
+		return fmt.Errorf("checkpoint: %d bytes, %d at most", len(data), MaxFileSize)
 	}
-	if err := renameio.WriteFile(path, data, 0o600); err != nil {
+	if err := renameio.WriteFile(path, data, filePermissions); err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
 	return nil
 }
 
-// Load reads the file of the sidecar of that name, and how old it is; nil if there is
-// none. Whatever can't be trusted is a *NotTrustedError.
+// Load reads the file of the sidecar of that name and returns its age; nil if there is
+// none. The error of a file that can't be trusted is a *NotTrustedError.
 func Load(path, name string, now time.Time) (*Checkpoint, time.Duration, error) {
-	f, err := os.Open(path)
+	data, err := read(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, 0, nil
 	}
-	not := func(why Why, err error) (*Checkpoint, time.Duration, error) {
-		return nil, 0, &NotTrustedError{path, why, err}
-	}
 	if err != nil {
-		return not(Unread, err)
+		return nil, 0, &NotTrustedError{path, Unreadable, err}
+	}
+	body, refused := open(data)
+	if refused != nil {
+		refused.Path = path
+		return nil, 0, refused
+	}
+	var checkpoint Checkpoint
+	if err := json.Unmarshal(body, &checkpoint); err != nil {
+		return nil, 0, &NotTrustedError{path, Damaged, err}
+	}
+	if checkpoint.Name != name {
+		return nil, 0, &NotTrustedError{path, OtherSidecar, fmt.Errorf("of %q", checkpoint.Name)}
 	}
-	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
+	// The file outlives the machine, so its age is by the wall clock. After a step of the
+	// clock, a file that seems too old or from the future is rejected; one that seems too
+	// young is accepted, as what it holds are hints.
+	age := now.Sub(time.UnixMilli(checkpoint.SavedAt))
+	if age < -maxClockError || age > MaxAge {
+		return nil, 0, &NotTrustedError{path, Expired, fmt.Errorf("saved %v ago", age.Round(time.Second))}
+	}
+	if !(checkpoint.Demand >= 0) { // also rejects NaN
+		return nil, 0, &NotTrustedError{path, Damaged, fmt.Errorf("a demand of %v", checkpoint.Demand)}
+	}
+	if err := handover.CheckLearned(&checkpoint.Learned); err != nil {
+		return nil, 0, &NotTrustedError{path, Damaged, err}
+	}
+	return &checkpoint, max(0, age), nil
+}
+
+// read reads a file up to one byte past MaxFileSize.
+func read(path string) ([]byte, error) {
+	file, err := os.Open(path)
 	if err != nil {
-		return not(Unread, err)
+		return nil, err
 	}
-	var in file
-	var c Checkpoint
+	defer file.Close()
+	return io.ReadAll(io.LimitReader(file, MaxFileSize+1))
+}
+
+// open checks the envelope and returns its body. The caller sets the path of the error.
+func open(data []byte) (json.RawMessage, *NotTrustedError) {
+	var in envelope
 	switch err := json.Unmarshal(data, &in); {
 	case len(data) == 0:
-		return not(Empty, nil)
-	case len(data) > MaxSize:
-		return not(Torn, fmt.Errorf("over %d bytes", MaxSize))
+		return nil, &NotTrustedError{Reason: Empty}
+	case len(data) > MaxFileSize:
+		return nil, &NotTrustedError{Reason: Damaged, cause: fmt.Errorf("over %d bytes", MaxFileSize)}
 	case err != nil:
-		return not(Torn, err)
+		return nil, &NotTrustedError{Reason: Damaged, cause: err}
 	case in.Version != Version:
-		return not(Other, fmt.Errorf("version %d, and this is %d", in.Version, Version))
+		return nil, &NotTrustedError{Reason: OtherVersion, cause: fmt.Errorf("version %d, and this is %d", in.Version, Version)}
 	case crc32.Checksum(in.Body, castagnoli) != in.Sum:
-		return not(Torn, errors.New("the checksum is wrong"))
-	}
-	if err := json.Unmarshal(in.Body, &c); err != nil {
-		return not(Torn, err)
-	}
-	if c.Name != name {
-		return not(Foreign, fmt.Errorf("of %q", c.Name))
-	}
-	// The file outlives the machine, so the age is by the wall clock. A step makes it wrong:
-	// too old or from the future is not taken; too young is taken, as the hint it is.
-	age := now.Sub(time.UnixMilli(c.Saved))
-	if age < -time.Second || age > MaxAge {
-		return not(Old, fmt.Errorf("saved %v ago", age.Round(time.Second)))
-	}
-	if !(c.Demand >= 0) {
-		return not(Torn, fmt.Errorf("a demand of %v", c.Demand))
-	}
-	if err := handover.Check(&c.Learned); err != nil {
-		return not(Torn, err)
+		return nil, &NotTrustedError{Reason: Damaged, cause: errors.New("the checksum is wrong")}
 	}
-	return &c, max(0, age), nil
+	return in.Body, nil
 }
--- /dev/null
+++ b/internal/fleet/api/staged.go
@@ -0,0 +1,51 @@
+package api
+
+import (
+	"time"
+
+	"martendrum/internal/fleet/canary"
+	"martendrum/internal/fleet/stage"
+)
+
+// Staged configures a change in stages; see packages stage and canary.
+type Staged struct {
+	Plan  stage.Plan    `msgpack:"plan" json:"plan"`
+	Judge canary.Config `msgpack:"judge" json:"judge"` // its Start is set when the first stage starts
+	Seed  uint64        `msgpack:"seed" json:"seed"`   // of the random order of the targets
+	// First is the boundary (Unix time over slot length) at which slot 0 begins.
+	First int64 `msgpack:"first" json:"first"`
+	// Alone is how long an agent waits after the last lease of the operation has expired before
+	// it rolls back those of its instances that fail the coarse rule. 0: never.
+	Alone time.Duration `msgpack:"alone" json:"alone"`
+}
+
+// Note is the progress of a staged change, as the holder of its leases last recorded it. Of two
+// notes, the one with the higher Number counts.
+type Note struct {
+	Number int64       `msgpack:"number" json:"number"`
+	At     time.Time   `msgpack:"at" json:"at"`
+	By     string      `msgpack:"by" json:"by"`
+	State  stage.State `msgpack:"state" json:"state"`
+	Start  int         `msgpack:"start" json:"start"` // slot at which the first stage started
+	Log    []Verdict   `msgpack:"log" json:"log"`     // the latest last, MaxVerdicts at most
+}
+
+// MaxVerdicts bounds the verdicts of a note.
+const MaxVerdicts = 64
+
+// Verdict is a change of the canary analysis's verdict, for the report.
+type Verdict struct {
+	At       time.Time `msgpack:"at" json:"at"`
+	Slot     int       `msgpack:"slot" json:"slot"`
+	Stage    int       `msgpack:"stage" json:"stage"`
+	Verdict  string    `msgpack:"verdict" json:"verdict"`
+	Text     string    `msgpack:"text" json:"text"`
+	Evidence []string  `msgpack:"evidence" json:"evidence,omitempty"`
+}
+
+// NoteIn records the progress of a staged change.
+type NoteIn struct {
+	Op    string `msgpack:"op"`
+	Token int64  `msgpack:"token"`
+	Note  Note   `msgpack:"note"`
+}
--- a/internal/fleet/control/client/client.go
+++ b/internal/fleet/control/client/client.go
@@ -1,11 +1,13 @@
-// Package client is the operators' side of the fleet: connections to agents, calls
-// to many at once, and the run of an operation over them. What an operation does
-// next is decided in package rollout.
+// Package client is the operators' side of the fleet: connections to agents, concurrent calls to
+// many of them, and the run of an operation on them. It holds the leases of the operations that it
+// runs and reports what the agents' records say.
+//
+// It does not decide what an operation does next: that is package rollout, for stages package
+// stage, and for the verdict on a stage package canary.
 package client
 
 import (
 	"context"
-	"crypto/tls"
 	"errors"
 	"fmt"
 	"sync"
@@ -14,136 +16,100 @@
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/connect"
 	"martendrum/internal/fleet/control/inventory"
-	"martendrum/internal/fleet/pki"
 	"martendrum/internal/msgpackrpc"
 )
 
-// UnreachableError is an agent without an answer. What was asked of it may have
-// been done; every method may be asked again.
+// UnreachableError reports an agent that did not answer. The call may have been carried out; every
+// method may be called again.
 type UnreachableError struct {
 	Host string
 	Err  error
 }
 
+// Error implements error.
 func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("host %s: no answer: %v", e.Host, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// Agent is a host's agent as seen from here. It connects when it is asked
-// something, and anew when a connection has ended.
+// Advice says what an operator can do.
+func (e *UnreachableError) Advice() string {
+	return "look whether the host's agent runs and whether its address in the inventory is right"
+}
+
+// Agent is the client of one host's agent. It connects at the first call, and again when its
+// connection has ended.
 type Agent struct {
-	Host    inventory.Host
-	fleet   *Fleet
-	mu      sync.Mutex
-	conn    *msgpackrpc.Client
-	dialing chan struct{} // held while connecting
+	Host     inventory.Host
+	fleet    *Fleet
+	mu       sync.Mutex
+	conn     *msgpackrpc.Client
+	dialSlot chan struct{} // holds one value while somebody connects
 
 	seenMu sync.Mutex
 	seen   time.Time
 }
 
-// Fleet is all hosts of an inventory.
-type Fleet struct {
-	Agents  []*Agent
-	Timeout time.Duration // of one call
-	Who     string        // for the audit logs
-
-	tls *tls.Config
-}
-
-// New returns a fleet; it opens no connection yet. Close ends those it opens.
-func New(v *inventory.Inventory, who string) (*Fleet, error) {
-	f := &Fleet{Timeout: time.Duration(v.Timeout), Who: who}
-	if v.TLS.Cert != "" {
-		var err error
-		if f.tls, err = pki.TLS(v.TLS.CA, v.TLS.Cert, v.TLS.Key); err != nil {
-			return nil, err
-		}
-	}
-	for _, h := range v.Hosts {
-		f.Agents = append(f.Agents, &Agent{Host: h, fleet: f, dialing: make(chan struct{}, 1)})
-	}
-	return f, nil
-}
-
-// Close closes all connections.
-func (f *Fleet) Close() {
-	for _, a := range f.Agents {
-		a.mu.Lock()
-		if a.conn != nil {
-			a.conn.Close()
-			a.conn = nil
-		}
-		a.mu.Unlock()
-	}
-}
-
-// Agent returns the agent of a host, nil if the inventory has none.
-func (f *Fleet) Agent(host string) *Agent {
-	for _, a := range f.Agents {
-		if a.Host.Name == host {
-			return a
-		}
-	}
-	return nil
-}
-
-// Seen is when the agent last answered this command; zero for never.
+// Seen returns when the agent last answered; zero is never.
 func (a *Agent) Seen() time.Time {
 	a.seenMu.Lock()
 	defer a.seenMu.Unlock()
 	return a.seen
 }
 
-// Call asks the agent. Errors are *api.Error where it said no, and
+// Call calls a method of the agent. An error is an *api.Error, which the agent returned, or an
 // *UnreachableError. A connection that turns out to be dead is replaced once.
 func (a *Agent) Call(ctx context.Context, method string, in, out any) error {
 	return a.CallFor(ctx, a.fleet.Timeout, method, in, out)
 }
 
-// CallFor is Call with a time of its own.
+// CallFor is Call with a timeout of its own.
 func (a *Agent) CallFor(ctx context.Context, limit time.Duration, method string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	for again := true; ; again = false {
+	for mayRetry := true; ; mayRetry = false {
 		conn, fresh, err := a.connect(ctx)
 		if err != nil {
-			return a.failed(err)
+			return a.callError(err)
 		}
 		err = conn.Call(ctx, method, []any{in}, out)
 		if err == nil {
-			a.heard()
+			a.markSeen()
 			return nil
 		}
-		if said, ok := errors.AsType[*msgpackrpc.RemoteError](err); ok {
-			a.heard()
-			if refusal, ok := errors.AsType[*api.Error](connect.RejectionReason(err)); ok {
-				return refusal
+		if remote, ok := errors.AsType[*msgpackrpc.RemoteError](err); ok {
+			a.markSeen()
+			if rejection, ok := errors.AsType[*api.Error](connect.RejectionReason(err)); ok {
+				return rejection
 			}
-			return api.Errorf(api.Internal, "host %s: %v", a.Host.Name, said)
+			return api.Errorf(api.Internal, "host %s: %v", a.Host.Name, remote)
 		}
-		a.drop(conn)
-		if fresh || !again || ctx.Err() != nil {
-			return a.failed(err)
+		a.dropConnection(conn)
+		if fresh || !mayRetry || ctx.Err() != nil {
+			return a.callError(err)
 		}
 	}
 }
 
-func (a *Agent) failed(err error) error {
+// callError returns the error of a call that got no answer.
+func (a *Agent) callError(err error) error {
 	if e, ok := errors.AsType[*api.Error](err); ok {
 		return e
 	}
 	return &UnreachableError{Host: a.Host.Name, Err: err}
 }
 
-func (a *Agent) heard() {
+// markSeen records that the agent has answered.
+func (a *Agent) markSeen() {
 	a.seenMu.Lock()
 	defer a.seenMu.Unlock()
 	a.seen = time.Now()
 }
 
-func (a *Agent) drop(conn *msgpackrpc.Client) {
+// dropConnection closes a connection and forgets it, unless it has been replaced.
+func (a *Agent) dropConnection(conn *msgpackrpc.Client) {
 	a.mu.Lock()
 	if a.conn == conn {
 		a.conn = nil
@@ -152,11 +118,14 @@
 	conn.Close()
 }
 
-// connect returns the open connection or makes one; fresh if it was made now.
+// maxMessage bounds a message of an agent, in bytes.
+const maxMessage = 4 << 20
+
+// connect returns the open connection or a new one. fresh says that it is new.
 func (a *Agent) connect(ctx context.Context) (conn *msgpackrpc.Client, fresh bool, err error) {
 	select {
-	case a.dialing <- struct{}{}:
-		defer func() { <-a.dialing }()
+	case a.dialSlot <- struct{}{}:
+		defer func() { <-a.dialSlot }()
 	case <-ctx.Done():
 		return nil, false, ctx.Err()
 	}
@@ -167,7 +136,7 @@
 		return conn, false, nil
 	}
 	target := connect.Target{Agent: a.Host.Name, Address: a.Host.Address, TLS: a.fleet.tls}
-	conn, err = connect.Dial(ctx, target, a.fleet.Who, msgpackrpc.Limits{Message: 4 << 20, Send: a.fleet.Timeout})
+	conn, err = connect.Dial(ctx, target, a.fleet.Who, msgpackrpc.Limits{Message: maxMessage, Send: a.fleet.Timeout})
 	if err != nil {
 		return nil, false, err
 	}
@@ -176,60 +145,3 @@
 	a.mu.Unlock()
 	return conn, true, nil
 }
-
-// parallel is how many agents are asked at once.
-const parallel = 64
-
-// ForInterval calls do for each agent, many at once, and returns the errors in order.
-func ForInterval(agents []*Agent, do func(n int, a *Agent) error) []error {
-	errs := make([]error, len(agents))
-	slots := make(chan struct{}, parallel)
-	var wg sync.WaitGroup
-	for n, a := range agents {
-		slots <- struct{}{}
-		wg.Go(func() {
-			defer func() { <-slots }()
-			errs[n] = do(n, a)
-		})
-	}
-	wg.Wait()
-	return errs
-}
-
-// HostState is a host as a list shows it.
-type HostState struct {
-	Host       inventory.Host `json:"host"`
-	Error      string         `json:"error,omitempty"` // it gave no answer
-	Unwritable string         `json:"unwritable,omitempty"`
-	Returning  string         `json:"returning,omitempty"` // from a power loss: how far it is
-	Epoch      int64          `json:"epoch,omitempty"`     // its last loss, of late
-	Instances  []api.Instance `json:"instances"`
-}
-
-// List asks all hosts that may have selected instances. Those that don't answer
-// are in the list, with an error.
-func (f *Fleet) List(ctx context.Context, sel *inventory.Select) []HostState {
-	var agents []*Agent
-	for _, a := range f.Agents {
-		if sel.Host(a.Host.Name) {
-			agents = append(agents, a)
-		}
-	}
-	out := make([]HostState, len(agents))
-	ForInterval(agents, func(n int, a *Agent) error {
-		out[n].Host = a.Host
-		var l api.ListOut
-		if err := a.Call(ctx, api.List, api.Empty{}, &l); err != nil {
-			out[n].Error = err.Error()
-			return err
-		}
-		out[n].Unwritable, out[n].Returning, out[n].Epoch = l.Unwritable, l.Returning, l.Epoch
-		for _, i := range l.Instances {
-			if sel.Fits(a.Host, &i) {
-				out[n].Instances = append(out[n].Instances, i)
-			}
-		}
-		return nil
-	})
-	return out
-}
--- a/internal/fleet/control/client/report.go
+++ b/internal/fleet/control/client/report.go
@@ -11,33 +11,34 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
-// InstanceResult is one instance in a report.
+// InstanceResult is the outcome for one instance.
 type InstanceResult struct {
 	Host     string        `json:"host"`
 	Instance string        `json:"instance"`
 	Outcome  rollout.State `json:"outcome"`
 	Reason   string        `json:"reason,omitempty"`
-	// What is known of the instance itself; if Unknown, as it was last seen.
-	Unknown  string        `json:"unknown,omitempty"` // since when and why it is not known now
+	// Unknown says since when and why the state of the instance is unknown, "" if it is known.
+	// The fields below are then as last seen.
+	Unknown  string        `json:"unknown,omitempty"`
 	LastSeen time.Time     `json:"last_seen,omitzero"`
 	State    *api.Instance `json:"state,omitempty"`
 	Steps    []api.Step    `json:"steps,omitempty"`
 }
 
-// Report is what became of an operation: each of its instances exactly once.
+// Report is the outcome of an operation. It has each of its instances exactly once.
 type Report struct {
 	Operation   api.Operation    `json:"operation"`
-	Result      string           `json:"result"` // as package rollout has them; "open" while it is
+	Result      string           `json:"result"` // one of package rollout; "open" while the operation is
 	Why         string           `json:"why,omitempty"`
 	LeaseHolder string           `json:"holder,omitempty"`
 	Rows        []InstanceResult `json:"rows"`
 	Notes       []string         `json:"notes,omitempty"`
-	// Of a staged change: where it stands, and what was last known of it.
+	// Stages is the progress of a staged change and Judgement its latest canary analysis.
 	Stages    *api.Note         `json:"stages,omitempty"`
 	Judgement *canary.Judgement `json:"judgement,omitempty"`
 }
 
-// OK says that all went as asked, and is known to have.
+// OK says that the operation succeeded and that the state of every instance is known.
 func (r *Report) OK() bool {
 	if r.Result != rollout.Succeeded {
 		return false
@@ -50,30 +51,30 @@
 	return true
 }
 
-// finish closes the operation where that can be done, and reports.
+// finish closes the operation at the hosts that answer, unless it has to stay open, and returns
+// the report.
 func (r *runner) finish(ctx context.Context) *Report {
-	result := r.m.Result()
-	if r.ended != "" {
-		result = r.ended
+	result := r.machine.Result()
+	if r.previousResult != "" {
+		result = r.previousResult
 	}
-	// The last word of each host, and the end of the operation there.
 	var agents []*Agent
-	for _, host := range r.order {
-		if r.parts[host].gaveUp || !r.parts[host].silent.IsZero() {
-			r.notes = append(r.notes, fmt.Sprintf("host %s: %s: the operation may still be open there; `martendrum report %s` tells once it answers, `martendrum resume %s` ends it", host, r.unknown(r.parts[host]), r.op.ID, r.op.ID))
+	for _, host := range r.hostNames {
+		if r.hostRuns[host].givenUp || !r.hostRuns[host].silentSince.IsZero() {
+			r.notes = append(r.notes, fmt.Sprintf("host %s: %s: the operation may still be open there; `martendrum report %s` tells once it answers, `martendrum resume %s` ends it", host, r.unknownSince(r.hostRuns[host]), r.operation.ID, r.operation.ID))
 			continue
 		}
-		agents = append(agents, r.parts[host].agent)
+		agents = append(agents, r.hostRuns[host].agent)
 	}
 	var mu sync.Mutex
-	ForInterval(agents, func(_ int, a *Agent) error {
-		p := r.parts[a.Host.Name]
+	ForEach(agents, func(_ int, a *Agent) error {
+		p := r.hostRuns[a.Host.Name]
 		out := &api.OpOut{}
 		var err error
-		if token := p.held(); token != 0 && result != "" && result != rollout.Paused {
-			err = a.Call(ctx, api.OpClose, &api.CloseIn{Op: r.op.ID, Token: token, Result: result}, out)
+		if token := p.leaseToken(); token != 0 && result != "" && result != rollout.Paused {
+			err = a.Call(ctx, api.OpClose, &api.CloseIn{Op: r.operation.ID, Token: token, Result: result}, out)
 		} else {
-			err = a.Call(ctx, api.OpStatus, &api.StatusIn{Op: r.op.ID}, out)
+			err = a.Call(ctx, api.OpStatus, &api.StatusIn{Op: r.operation.ID}, out)
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -81,46 +82,82 @@
 			r.notes = append(r.notes, fmt.Sprintf("host %s: not ended there: %v", a.Host.Name, err))
 			return err
 		}
-		r.take(p, out)
+		r.takeStatus(p, out)
 		return nil
 	})
-	rep := r.report()
-	rep.Result = result
+	report := r.report()
+	report.Result = result
 	if result == "" {
-		rep.Result = "interrupted"
-		rep.Notes = append(rep.Notes, fmt.Sprintf("the operation stays open: `martendrum resume %s` goes on with it, `martendrum abort %s` ends it", r.op.ID, r.op.ID))
+		report.Result = "interrupted"
+		report.Notes = append(report.Notes, fmt.Sprintf("the operation stays open: `martendrum resume %s` goes on with it, `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
 	}
 	if result == rollout.Paused {
-		rep.Notes = append(rep.Notes, fmt.Sprintf("`martendrum resume %s` goes on once the cause is mended, `martendrum abort %s` ends it", r.op.ID, r.op.ID))
+		report.Notes = append(report.Notes, fmt.Sprintf("`martendrum resume %s` goes on once the cause is mended, `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
 	}
-	return rep
+	return report
 }
 
-// report makes a report of what is known now.
+// report returns a report of the current state.
 func (r *runner) report() *Report {
-	rep := &Report{Operation: r.op, Result: r.m.Result(), Why: r.m.Why(), Notes: r.notes}
-	for _, t := range r.m.Targets() {
-		p := r.parts[t.Host]
+	report := &Report{Operation: r.operation, Result: r.machine.Result(), Why: r.machine.Why(), Notes: r.notes}
+	for _, t := range r.machine.Targets() {
+		p := r.hostRuns[t.Host]
 		row := InstanceResult{Host: t.Host, Instance: t.Instance, Outcome: t.State, Reason: t.Reason, LastSeen: p.agent.Seen()}
-		if !p.silent.IsZero() {
-			row.Unknown = r.unknown(p)
+		if !p.silentSince.IsZero() {
+			row.Unknown = r.unknownSince(p)
 		}
-		if p.last != nil {
-			for _, x := range p.last.Instances {
+		if p.status != nil {
+			for _, x := range p.status.Instances {
 				if x.Name == t.Instance {
 					row.State = &x
 				}
 			}
-			for _, s := range p.last.Steps {
+			for _, s := range p.status.Steps {
 				if s.Instance == t.Instance {
 					row.Steps = append(row.Steps, s)
 				}
 			}
 		}
-		rep.Rows = append(rep.Rows, row)
+		report.Rows = append(report.Rows, row)
 	}
 	if r.staged != nil {
-		rep.Stages, rep.Judgement = &r.staged.note, &r.staged.last
+		report.Stages, report.Judgement = &r.staged.note, &r.staged.judgement
 	}
-	return rep
+	return report
+}
+
+// Report returns the report of an operation from the agents' records, without changing it.
+func (f *Fleet) Report(ctx context.Context, id string) (*Report, error) {
+	operation, statuses, errs := f.find(ctx, id)
+	if len(statuses) == 0 {
+		return nil, notFound(id, errs)
+	}
+	r, err := f.newRunner(operation, Options{})
+	if err != nil {
+		return nil, err
+	}
+	result, holder := "", ""
+	for host, out := range statuses {
+		if p := r.hostRuns[host]; p != nil {
+			r.takeStatus(p, out)
+			if out.State != api.OpClosed {
+				result = out.State
+				if out.LeaseHolder != "" {
+					holder = out.LeaseHolder
+				}
+			} else if result == "" {
+				result = out.Result
+			}
+		}
+	}
+	for _, host := range r.hostNames {
+		if e := errs[host]; e != nil {
+			r.hostRuns[host].silentSince = time.Now()
+			r.machine.Silent(host, e.Error())
+		}
+	}
+	report := r.report()
+	report.Result, report.LeaseHolder, report.Why = result, holder, ""
+	report.Stages = latestNote(statuses)
+	return report, nil
 }
--- /dev/null
+++ b/internal/fleet/distribution/persistence.go
@@ -0,0 +1,77 @@
+package distribution
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Entry is a key and a value in a store.
+type Entry struct {
+	Key   string
+	Value []byte
+}
+
+// Batch is a set of entries to write and to delete in one transaction. It must be on disk before
+// the change that it belongs to takes effect.
+type Batch struct {
+	Put  []Entry
+	Drop []string // keys
+}
+
+// Prefixes of entry keys, and the key of the entry that holds the revision.
+const (
+	resourcePrefix = "resource/"
+	changePrefix   = "change/"
+	revisionKey    = "revision"
+)
+
+// stateHeader is the stored form of a State without its resources and history.
+type stateHeader struct {
+	Revision  Revision `json:"revision"`
+	Compacted Revision `json:"compacted"`
+}
+
+func changeKey(r Revision) string {
+	return fmt.Sprintf("%s%020d.%020d", changePrefix, r.Epoch, r.Number)
+}
+
+func newEntry(key string, value any) Entry {
+	data, err := json.Marshal(value)
+	if err != nil {
+		panic(err) // only types of this package are encoded
+	}
+	return Entry{Key: key, Value: data}
+}
+
+func resourceEntry(r *Resource) Entry { return newEntry(resourcePrefix+r.Name, r) }
+
+// Restore returns the State in the stored entries. Entries with unknown keys are ignored.
+func Restore(limits Limits, entries []Entry) (*State, error) {
+	s := NewState(limits)
+	for _, entry := range entries {
+		var err error
+		switch {
+		case strings.HasPrefix(entry.Key, resourcePrefix):
+			var resource Resource
+			if err = json.Unmarshal(entry.Value, &resource); err == nil {
+				err = resource.Check()
+			}
+			s.resources[resource.Name] = resource
+		case strings.HasPrefix(entry.Key, changePrefix):
+			var change Change
+			err = json.Unmarshal(entry.Value, &change)
+			s.history = append(s.history, change)
+		case entry.Key == revisionKey:
+			var header stateHeader
+			err = json.Unmarshal(entry.Value, &header)
+			s.revision, s.compacted = header.Revision, header.Compacted
+		}
+		if err != nil {
+			return nil, fmt.Errorf("settings: entry %q: %w", entry.Key, err)
+		}
+	}
+	slices.SortFunc(s.history, func(x, y Change) int { return x.Revision.Compare(y.Revision) })
+	return s, nil
+}
--- a/internal/fleet/distribution/reader_test.go
+++ b/internal/fleet/distribution/reader_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// pagesOf returns the pages of a whole snapshot, one resource each.
+// pagesOf returns the pages of a complete snapshot, one resource each.
 func pagesOf(t *testing.T, log *State, interest *Interest) []Update {
 	t.Helper()
 	reader := NewReader(testLimits())
@@ -18,10 +18,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept := page
-		kept.Resources = slices.Clone(page.Resources)
-		pages = append(pages, kept)
-		if whole, err := reader.Take(page); err != nil || whole != nil {
+		stored := page
+		stored.Resources = slices.Clone(page.Resources)
+		pages = append(pages, stored)
+		if complete, err := reader.Take(page); err != nil || complete != nil {
 			return pages
 		}
 	}
@@ -35,26 +35,26 @@
 	return log
 }
 
-// A page that comes late, after the reader began anew, is not taken for the next one.
+// A late page, received after the reader restarted, is not accepted as the next one.
 func TestReaderIgnoresPageThatSkips(t *testing.T) {
 	log := snapshotLog(t)
 	interest := interestIn("h", "x")
 	pages := pagesOf(t, log, &interest)
 	reader := NewReader(testLimits())
 	for _, n := range []int{0, 2} {
-		if whole, err := reader.Take(pages[n]); whole != nil || err != nil {
-			t.Fatalf("page %d: %v, %v", n, whole, err)
+		if complete, err := reader.Take(pages[n]); complete != nil || err != nil {
+			t.Fatalf("page %d: %v, %v", n, complete, err)
 		}
 	}
-	if whole, err := reader.Take(pages[3]); whole != nil || err != nil {
-		t.Fatalf("the last page: %+v, %v", whole, err)
+	if complete, err := reader.Take(pages[3]); complete != nil || err != nil {
+		t.Fatalf("the last page: %+v, %v", complete, err)
 	}
 	replica := NewReplica(interest)
-	whole := readWhole(t, log, reader, replica.Revision(), &interest, 1, nil)
-	if _, err := replica.Take(whole); err != nil {
+	complete := readComplete(t, log, reader, replica.Revision(), &interest, 1, nil)
+	if _, err := replica.Take(complete); err != nil {
 		t.Fatal(err)
 	}
-	requireCopy(t, log, replica, interest)
+	requireReplica(t, log, replica, interest)
 }
 
 // The last page of a snapshot alone is no snapshot.
@@ -62,16 +62,16 @@
 	log := snapshotLog(t)
 	pages := pagesOf(t, log, nil)
 	reader := NewReader(testLimits())
-	if whole, err := reader.Take(pages[len(pages)-1]); whole != nil || err != nil {
-		t.Fatalf("%+v, %v", whole, err)
+	if complete, err := reader.Take(pages[len(pages)-1]); complete != nil || err != nil {
+		t.Fatalf("%+v, %v", complete, err)
 	}
 }
 
-func TestReaderTakesRepeatedPages(t *testing.T) {
+func TestReaderAcceptsRepeatedPages(t *testing.T) {
 	log := snapshotLog(t)
 	interest := interestIn("h", "x")
 	reader, replica := NewReader(testLimits()), NewReplica(interest)
-	var whole *Update
+	var complete *Update
 	for _, page := range pagesOf(t, log, &interest) {
 		for range 2 {
 			page := page
@@ -80,21 +80,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got != nil && whole == nil {
-				whole = got
+			if got != nil && complete == nil {
+				complete = got
 			}
 		}
 	}
-	if whole == nil {
-		t.Fatal("the update never was whole")
+	if complete == nil {
+		t.Fatal("the update was never complete")
 	}
-	if _, err := replica.Take(*whole); err != nil {
+	if _, err := replica.Take(*complete); err != nil {
 		t.Fatal(err)
 	}
-	requireCopy(t, log, replica, interest)
+	requireReplica(t, log, replica, interest)
 }
 
-func TestReaderBoundsWhatItJoins(t *testing.T) {
+func TestReaderBoundsWhatItAssembles(t *testing.T) {
 	log := newLog(testLimits())
 	for n := range 9 {
 		publish(t, log, put(fmt.Sprintf("r%d", n), "x", content(n)))
@@ -121,27 +121,27 @@
 	}
 }
 
-func TestReaderBeginsAnewAfterCompaction(t *testing.T) {
+func TestReaderRestartsAfterCompaction(t *testing.T) {
 	log := newLog(Limits{Resources: 20, History: 4})
 	interest := interestIn("h", "x")
 	for n := range 8 {
 		publish(t, log, put(fmt.Sprintf("r%d", n), "x", content(n)))
 	}
 	replica, rounds := NewReplica(interest), 0
-	whole := readWhole(t, log, NewReader(testLimits()), Revision{}, &interest, 1, func() {
+	complete := readComplete(t, log, NewReader(testLimits()), Revision{}, &interest, 1, func() {
 		if rounds++; rounds <= 3 {
 			publish(t, log, remove(fmt.Sprintf("r%d", rounds)))
 			publish(t, log, put("r0", "x", content(10+rounds)))
 		}
 	})
-	if _, err := replica.Take(whole); err != nil {
+	if _, err := replica.Take(complete); err != nil {
 		t.Fatal(err)
 	}
-	requireCopy(t, log, replica, interest)
+	requireReplica(t, log, replica, interest)
 }
 
-// A history that is longer than the resources are many can hold more names than these.
-func TestReaderTakesAllNamesOfTheHistory(t *testing.T) {
+// A history longer than the number of resources can hold more names than there are resources.
+func TestReaderAcceptsAllNamesOfTheHistory(t *testing.T) {
 	limits := Limits{Resources: 2, History: 50}
 	log := newLog(limits)
 	publish(t, log, put("first", "x", content(1)))
@@ -152,9 +152,9 @@
 		publish(t, log, remove(name))
 	}
 	for _, bytes := range []int{0, 1} {
-		whole := readWhole(t, log, NewReader(limits), held, nil, bytes, nil)
-		if len(whole.Resources) != 20 || len(whole.Changes) != 40 {
-			t.Errorf("%d resources, %d changes", len(whole.Resources), len(whole.Changes))
+		complete := readComplete(t, log, NewReader(limits), held, nil, bytes, nil)
+		if len(complete.Resources) != 20 || len(complete.Changes) != 40 {
+			t.Errorf("%d resources, %d changes", len(complete.Resources), len(complete.Changes))
 		}
 	}
 }
--- a/internal/fleet/distribution/registry.go
+++ b/internal/fleet/distribution/registry.go
@@ -1,89 +1,48 @@
 package distribution
 
 import (
-	"cmp"
 	"maps"
-	"slices"
-	"strings"
 	"time"
 )
 
-// HostState is what a subscriber says of itself.
-type HostState struct {
-	Received Revision `msgpack:"received" json:"received"` // that its copy holds
-	// Settled says that all it holds is accepted or refused by its instances.
-	Settled bool `msgpack:"settled" json:"settled"`
-	// Applied is the last revision at which it was settled. It is zero again when its instances
-	// change or refusals are forgiven, until it is settled once more.
-	Applied    Revision        `msgpack:"applied" json:"applied"`
-	Rejections List[Rejection] `msgpack:"refused,omitempty" json:"refused,omitempty"`
-	Waiting    string          `msgpack:"waiting,omitempty" json:"waiting,omitempty"` // for what, where it is not settled
-}
-
-// maxRefusals is how many refusals of one host are passed on.
-const maxRefusals = 8
-
-// bounded is the state with no more of its texts and refusals than a Registry keeps.
-func (s HostState) bounded() HostState {
-	cut := func(text string) string { return text[:min(len(text), maxReason)] }
-	refused := s.Rejections[:min(len(s.Rejections), maxRefusals)]
-	s.Rejections = nil
-	for _, refusal := range refused {
-		refusal.Instance, refusal.Resource, refusal.Reason = cut(refusal.Instance), cut(refusal.Resource), cut(refusal.Reason)
-		s.Rejections = append(s.Rejections, refusal)
-	}
-	s.Waiting = cut(s.Waiting)
-	return s
-}
-
-// HostReport is what is known of a host where it subscribes.
-type HostReport struct {
-	Host string `msgpack:"host" json:"host"`
-	// Session is later the later the host connected, wherever that was.
-	Session int64     `msgpack:"session" json:"session"`
-	Present bool      `msgpack:"present" json:"present"`
-	Since   time.Time `msgpack:"since" json:"since"` // of Present
-	State   HostState `msgpack:"state" json:"state"`
-	Relay   string    `msgpack:"relay" json:"relay"`
-}
-
-// MaxHosts is how many hosts a Registry knows.
+// MaxHosts is the maximum number of hosts that a Registry knows.
 const MaxHosts = 1 << 16
 
-// forgetAfter is how long a host that is away is known.
-const forgetAfter = 24 * time.Hour
+// hostRetention is how long a disconnected host is remembered.
+const hostRetention = 24 * time.Hour
 
-// entry is a host in a Registry.
-type entry struct {
+// hostRecord is a host in a Registry.
+type hostRecord struct {
 	report HostReport
-	// Of a subscriber of this relay: what it wants, and the latest change that concerns it.
+	// Only of this relay's subscribers: the interest, and the latest change within it.
 	interest  Interest
 	concerned Revision
-	seen      time.Time // when it asked last
+	seen      time.Time // time of the last poll
 }
 
-// Registry knows how far each host is: a relay's own subscribers, and at the writer the hosts
-// of all relays.
+// Registry tracks the progress of hosts: a relay's own subscribers and, at the writer, the hosts of
+// all relays.
 type Registry struct {
-	relay     string // its own name
-	limit     int    // subscribers of its own
+	relay     string // name of this relay
+	limit     int    // maximum number of own subscribers
 	present   int
-	position  Revision            // of its own copy
-	reported  Revision            // position as Moved was last asked
+	position  Revision            // revision of the relay's own copy
+	reported  Revision            // position at the last call of Changed
 	positions map[string]Revision // of other relays
-	hosts     map[string]*entry
+	hosts     map[string]*hostRecord
 	dirty     map[string]bool // own subscribers whose report has changed
 }
 
-// NewRegistry returns an empty Registry of the named relay with room for so many subscribers.
+// NewRegistry returns an empty Registry of the named relay. limit is the maximum number of its
+// subscribers.
 func NewRegistry(relay string, limit int) *Registry {
 	return &Registry{relay: relay, limit: limit, positions: make(map[string]Revision),
-		hosts: make(map[string]*entry), dirty: make(map[string]bool)}
+		hosts: make(map[string]*hostRecord), dirty: make(map[string]bool)}
 }
 
-// Join takes a subscriber in, or one that was there under an earlier session. It counts as
-// behind until it holds the relay's position, or Told says that nothing it lacks concerns it.
-// Errors are of *FullError; of *InvalidError where the host is known by a later session.
+// Join adds a subscriber, or continues one under a new session. The subscriber counts as behind
+// until it holds the relay's position, or Acknowledged shows that nothing it lacks is in its
+// interest. Errors are *FullError, and *InvalidError if the host has a later session.
 func (g *Registry) Join(now time.Time, interest Interest, session int64, state HostState) error {
 	e := g.hosts[interest.Host]
 	if e != nil && e.report.Session > session {
@@ -97,7 +56,7 @@
 		g.present++
 	}
 	if e == nil {
-		e = &entry{}
+		e = &hostRecord{}
 		g.hosts[interest.Host] = e
 	}
 	e.interest, e.concerned, e.seen = interest, g.position, now
@@ -106,25 +65,25 @@
 	return nil
 }
 
-// Seen notes that a subscriber asks; false says that this session is none here.
+// Seen records a subscriber's poll. It returns false if the session is not open here.
 func (g *Registry) Seen(now time.Time, host string, session int64) bool {
-	e := g.own(host, session)
+	e := g.subscriber(host, session)
 	if e != nil {
 		e.seen = now
 	}
 	return e != nil
 }
 
-// Interest is what a subscriber that is present wants; false if that session is none here.
+// Interest returns the interest of a present subscriber, and false if the session is not open here.
 func (g *Registry) Interest(host string, session int64) (Interest, bool) {
-	if e := g.own(host, session); e != nil {
+	if e := g.subscriber(host, session); e != nil {
 		return e.interest, true
 	}
 	return Interest{}, false
 }
 
-// Sweep takes those for away that have not asked for so long: their machine is lost, or cut
-// off, and their connection never told.
+// Sweep marks subscribers as absent that have not polled for longer than silent: their machine is
+// lost or unreachable, and the connection did not report it.
 func (g *Registry) Sweep(now time.Time, silent time.Duration) {
 	for host, e := range g.hosts {
 		if e.report.Relay == g.relay && e.report.Present && now.Sub(e.seen) > silent {
@@ -133,20 +92,20 @@
 	}
 }
 
-// Acknowledged notes what was read for a subscriber: an update that it is sent, or an empty one, also
-// where its call goes on to wait instead of being answered with that.
+// Acknowledged records the update that was read for a subscriber. It is also called for an empty
+// update whose call continues to wait instead of returning it.
 func (g *Registry) Acknowledged(host string, session int64, update *Update) {
-	e := g.own(host, session)
+	e := g.subscriber(host, session)
 	if e == nil {
 		return
 	}
 	before := e.concerned
 	switch {
 	case before.After(update.Revision):
-		// A later change has come since the update was read.
+		// A later change has arrived since the update was read.
 	case update.Empty():
-		// Nothing after update.After concerns it. What concerned it before that stays: a
-		// subscriber goes on from an empty update without a word of having received it.
+		// Nothing after update.After is in its interest. An earlier change that is stays
+		// recorded, because a subscriber does not acknowledge an empty update.
 		if before.After(update.After) {
 			e.concerned = update.After
 		}
@@ -158,15 +117,15 @@
 	}
 }
 
-// Acknowledge takes what a subscriber says of itself.
+// Acknowledge records a subscriber's report on its own progress.
 func (g *Registry) Acknowledge(host string, session int64, state HostState) {
-	if e := g.own(host, session); e != nil {
+	if e := g.subscriber(host, session); e != nil {
 		g.setState(e, state)
 	}
 }
 
-// own is a present subscriber of this relay, nil if that session is none.
-func (g *Registry) own(host string, session int64) *entry {
+// subscriber returns a present subscriber of this relay, and nil if the session is not open here.
+func (g *Registry) subscriber(host string, session int64) *hostRecord {
 	e := g.hosts[host]
 	if e == nil || e.report.Session != session || e.report.Relay != g.relay || !e.report.Present {
 		return nil
@@ -174,28 +133,28 @@
 	return e
 }
 
-func (g *Registry) setState(e *entry, state HostState) {
+func (g *Registry) setState(e *hostRecord, state HostState) {
 	e.report.State = state.bounded()
 	g.dirty[e.report.Host] = true
 }
 
-// Leave notes that a subscriber's connection has ended.
+// Leave records that a subscriber's connection has ended.
 func (g *Registry) Leave(now time.Time, host string, session int64) {
-	e := g.own(host, session)
+	e := g.subscriber(host, session)
 	if e == nil {
 		return
 	}
-	e.report.State = g.effective(e)
+	e.report.State = g.effectiveState(e)
 	e.report.Present, e.report.Since = false, now.UTC()
 	g.present--
 	g.dirty[host] = true
 }
 
-// Subscribers is how many of its own are present.
+// Subscribers returns the number of this relay's present subscribers.
 func (g *Registry) Subscribers() int { return g.present }
 
-// Advance notes that the relay's own copy has moved on: who is not concerned by the changes
-// holds the new revision without being told.
+// Advance records the new revision of the relay's own copy. A subscriber without a change in its
+// interest holds that revision without receiving an update.
 func (g *Registry) Advance(state *State) {
 	before := g.position
 	g.position = state.Revision()
@@ -203,7 +162,7 @@
 		if e.report.Relay != g.relay || !e.report.Present {
 			continue
 		}
-		if !state.reaches(before) {
+		if !state.historyCovers(before) {
 			e.concerned = g.position
 			g.dirty[host] = true
 			continue
@@ -215,9 +174,10 @@
 	}
 }
 
-// effective is the state of one's own subscriber with what it need not be told: one that is
-// settled, and has received all that concerns it, is at the relay's position.
-func (g *Registry) effective(e *entry) HostState {
+// effectiveState returns the state of one of the relay's own subscribers. A settled subscriber that
+// has received every change in its interest counts as being at the relay's position, although it
+// has not received the changes outside its interest.
+func (g *Registry) effectiveState(e *hostRecord) HostState {
 	state := e.report.State
 	if state.Settled && !e.concerned.After(state.Received) {
 		if g.position.After(state.Received) {
@@ -229,8 +189,8 @@
 	return state
 }
 
-// Reports takes out up to most reports of one's own subscribers that have changed, and says
-// whether these were all.
+// Reports removes and returns up to limit changed reports of the relay's own subscribers, and
+// reports whether none are left.
 func (g *Registry) Reports(limit int) (reports []HostReport, all bool) {
 	for host := range g.dirty {
 		if len(reports) >= limit {
@@ -243,14 +203,15 @@
 		}
 		report := e.report
 		if report.Present {
-			report.State = g.effective(e)
+			report.State = g.effectiveState(e)
 		}
 		reports = append(reports, report)
 	}
 	return reports, true
 }
 
-// ReportAll lets Reports begin anew: who takes them has forgotten what it was told.
+// ReportAll makes Reports start again with all subscribers, because the receiver has lost the
+// earlier reports.
 func (g *Registry) ReportAll() {
 	for host, e := range g.hosts {
 		if e.report.Relay == g.relay {
@@ -259,20 +220,20 @@
 	}
 }
 
-// Changed says whether the position has changed since Moved was last asked.
+// Changed reports whether the position has changed since the previous call.
 func (g *Registry) Changed() bool {
 	moved := g.position != g.reported
 	g.reported = g.position
 	return moved
 }
 
-// Position is that of the relay's own copy.
+// Position returns the revision of the relay's own copy.
 func (g *Registry) Position() Revision { return g.position }
 
-// Merge takes what another relay reports; of two reports of a host the later session's
-// counts. position is the zero value while more reports follow. A relay that connects anew
-// reports all of its subscribers, after Lost was called for it: it may not know those that it
-// had before it was restarted.
+// Merge adds another relay's reports. Of two reports of a host the one of the later session wins.
+// position is zero while more reports follow. A relay that reconnects reports all of its
+// subscribers, and the caller calls Lost for it first: after a restart the relay may not know its
+// earlier subscribers.
 func (g *Registry) Merge(relay string, position Revision, reports []HostReport) {
 	if !position.IsZero() {
 		g.positions[relay] = position
@@ -286,32 +247,33 @@
 			if len(g.hosts) >= MaxHosts {
 				continue
 			}
-			e = &entry{}
+			e = &hostRecord{}
 			g.hosts[report.Host] = e
 		}
 		if e.report.Relay == g.relay && e.report.Present {
-			g.present-- // it went on to another relay
+			g.present-- // it has moved to another relay
 		}
 		report.Relay = relay
 		e.report, e.interest = report, Interest{}
 	}
 }
 
-// Lost notes that a relay reports no more: its hosts are away until they turn up elsewhere.
+// Lost records that a relay no longer reports. Its hosts count as absent until another relay
+// reports them.
 func (g *Registry) Lost(now time.Time, relay string) {
 	for _, e := range g.hosts {
 		if e.report.Relay == relay && e.report.Present {
-			e.report.State = g.stateOf(e)
+			e.report.State = g.reportedState(e)
 			e.report.Present, e.report.Since = false, now.UTC()
 		}
 	}
 	delete(g.positions, relay)
 }
 
-// Forget drops hosts that have been away for a day.
+// Forget drops hosts that have been absent for longer than hostRetention.
 func (g *Registry) Forget(now time.Time) {
-	maps.DeleteFunc(g.hosts, func(host string, e *entry) bool {
-		forgotten := !e.report.Present && now.Sub(e.report.Since) > forgetAfter
+	maps.DeleteFunc(g.hosts, func(host string, e *hostRecord) bool {
+		forgotten := !e.report.Present && now.Sub(e.report.Since) > hostRetention
 		if forgotten {
 			delete(g.dirty, host)
 		}
@@ -319,11 +281,12 @@
 	})
 }
 
-// stateOf is a host's state with what its relay's position tells.
-func (g *Registry) stateOf(e *entry) HostState {
+// reportedState returns a host's state, brought forward to its relay's position where it is
+// settled.
+func (g *Registry) reportedState(e *hostRecord) HostState {
 	if e.report.Relay == g.relay {
 		if e.report.Present {
-			return g.effective(e)
+			return g.effectiveState(e)
 		}
 		return e.report.State
 	}
@@ -334,108 +297,3 @@
 	}
 	return state
 }
-
-// Status says how far a revision is.
-type Status struct {
-	Revision    Revision `msgpack:"revision" json:"revision"` // asked for
-	Latest      Revision `msgpack:"latest" json:"latest"`     // of who answers
-	Hosts       int      `msgpack:"hosts" json:"hosts"`       // that are known
-	InForce     int      `msgpack:"in_force" json:"in_force"` // hold it in all instances that it concerns
-	Rejected    int      `msgpack:"refused" json:"refused"`   // by an instance; the last accepted settings are in force
-	Behind      int      `msgpack:"behind" json:"behind"`     // present, and not so far yet
-	Unavailable int      `msgpack:"away" json:"away"`         // not so far when they were last heard of
-	// Missing names some of the hosts where it is not in force, the refused first.
-	Missing []HostReport `msgpack:"missing,omitempty" json:"missing,omitempty"`
-}
-
-// Status counts the hosts by how far a revision is there; zero asks for the latest. It names
-// up to most hosts where that is not in force.
-func (g *Registry) Status(revision Revision, limit int) Status {
-	if revision.IsZero() {
-		revision = g.position
-	}
-	status := Status{Revision: revision, Latest: g.position}
-	var missing []missingHost
-	for _, e := range g.hosts {
-		state := g.stateOf(e)
-		status.Hosts++
-		switch standing(revision, e.report.Present, state) {
-		case inForce:
-			status.InForce++
-			continue
-		case refused:
-			status.Rejected++
-		case behind:
-			status.Behind++
-		case away:
-			status.Unavailable++
-		}
-		missing = append(missing, missingHost{entry: e, refused: len(state.Rejections)})
-	}
-	status.Missing = g.name(missing, limit)
-	return status
-}
-
-// missingHost is a host where a revision is not in force.
-type missingHost struct {
-	entry   *entry
-	refused int
-}
-
-// name returns the reports of up to most of the hosts, the refused first.
-func (g *Registry) name(missing []missingHost, limit int) []HostReport {
-	if limit <= 0 || len(missing) == 0 {
-		return nil
-	}
-	slices.SortFunc(missing, func(x, y missingHost) int {
-		return cmp.Or(y.refused-x.refused, strings.Compare(x.entry.report.Host, y.entry.report.Host))
-	})
-	var reports []HostReport
-	for _, host := range missing[:min(len(missing), limit)] {
-		report := host.entry.report
-		report.State = g.stateOf(host.entry)
-		reports = append(reports, report)
-	}
-	return reports
-}
-
-// How far a revision is at a host.
-type level int
-
-const (
-	inForce level = iota
-	refused
-	behind
-	away
-)
-
-func standing(revision Revision, present bool, state HostState) level {
-	if slices.ContainsFunc(state.Rejections, func(r Rejection) bool { return !r.Revision.After(revision) }) {
-		return refused
-	}
-	if !revision.After(state.Applied) {
-		return inForce
-	}
-	if present {
-		return behind
-	}
-	return away
-}
-
-// Add adds the counts of another relay's subscribers, of which most missing hosts are named.
-// A host that both know is counted twice.
-func (s *Status) Add(other Status, limit int) {
-	if other.Latest.After(s.Latest) {
-		s.Latest = other.Latest
-	}
-	if other.Revision.After(s.Revision) {
-		s.Revision = other.Revision
-	}
-	s.Hosts += other.Hosts
-	s.InForce += other.InForce
-	s.Rejected += other.Rejected
-	s.Behind += other.Behind
-	s.Unavailable += other.Unavailable
-	s.Missing = append(s.Missing, other.Missing...)
-	s.Missing = s.Missing[:min(len(s.Missing), limit)]
-}
--- a/internal/fleet/distribution/replica.go
+++ b/internal/fleet/distribution/replica.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// Replica is a subscriber's copy: the resources that concern its instances.
+// Replica is a subscriber's copy: the resources whose scope covers one of its instances.
 type Replica struct {
 	revision  Revision
-	epoch     int64  // the latest that is known; what is of an earlier one is void
-	interest  string // the interest that the copy was made for, by its hash
+	epoch     int64  // the highest that is known; updates of lower epochs are rejected
+	interest  string // hash of the interest that the copy was made for
 	resources map[string]Resource
 }
 
@@ -21,11 +21,11 @@
 	return &Replica{interest: interest.hash(), resources: make(map[string]Resource)}
 }
 
-// Revision is what the copy holds.
+// Revision returns the revision that the copy holds.
 func (r *Replica) Revision() Revision { return r.revision }
 
-// Take takes a whole update, and says whether it changed any resource. Errors are of
-// *InvalidError and *FencedError; the copy stays as it is.
+// Take applies a complete update and reports whether it changed any resource. Errors are
+// *InvalidError and *FencedError; the copy is then unchanged.
 func (r *Replica) Take(update Update) (changed bool, err error) {
 	if update.Revision.Epoch < r.epoch {
 		return false, &FencedError{Epoch: update.Revision.Epoch, Known: r.epoch}
@@ -39,7 +39,7 @@
 		for _, resource := range update.Resources {
 			r.resources[resource.Name] = resource
 		}
-		r.moveTo(update.Revision)
+		r.setRevision(update.Revision)
 		return !maps.EqualFunc(before, r.resources, sameRevision), nil
 	}
 	for _, resource := range update.Resources {
@@ -49,16 +49,15 @@
 			r.resources[resource.Name] = resource
 		}
 	}
-	r.moveTo(update.Revision)
+	r.setRevision(update.Revision)
 	return len(update.Resources) > 0, nil
 }
 
-func (r *Replica) moveTo(revision Revision) { r.revision, r.epoch = revision, revision.Epoch }
+func (r *Replica) setRevision(revision Revision) { r.revision, r.epoch = revision, revision.Epoch }
 
 func sameRevision(x, y Resource) bool { return x.Revision == y.Revision && x.Hash == y.Hash }
 
-// For returns the resources that concern an instance of the host, in the order in which they
-// are merged.
+// For returns the resources that apply to an instance of the host, in merge order.
 func (r *Replica) For(host string, labels map[string]string) []Resource {
 	var concerned []Resource
 	for _, resource := range r.resources {
@@ -70,7 +69,7 @@
 	return concerned
 }
 
-// hash tells interests apart.
+// hash returns a text that differs between interests.
 func (i Interest) hash() string {
 	text, err := json.Marshal(i)
 	if err != nil {
@@ -79,72 +78,72 @@
 	return string(text)
 }
 
-// Keys of a subscriber's rows.
+// Keys of a subscriber's stored entries.
 const (
 	replicaKey     = "replica"
 	replicaPrefix  = "replica/"
 	acceptedPrefix = "accepted/"
 )
 
-// replicaRow is the row that says where a Replica stands.
-type replicaRow struct {
+// replicaHeader is the stored form of a Replica without its resources.
+type replicaHeader struct {
 	Revision Revision `json:"revision"`
 	Epoch    int64    `json:"epoch"`
 	Interest string   `json:"interest"`
 }
 
-// Batch is the rows that keep the copy; before is what it was when it was kept last, nil for
-// not yet.
+// Batch returns the entries that store the copy. before is the copy as it was stored last, nil if
+// it has not been stored.
 func (r *Replica) Batch(before *Replica) Batch {
-	batch := Batch{Put: []Entry{row(replicaKey, replicaRow{Revision: r.revision, Epoch: r.epoch, Interest: r.interest})}}
+	batch := Batch{Put: []Entry{newEntry(replicaKey, replicaHeader{Revision: r.revision, Epoch: r.epoch, Interest: r.interest})}}
 	for name, resource := range r.resources {
 		if before == nil || !sameRevision(before.resources[name], resource) {
-			batch.Put = append(batch.Put, row(replicaPrefix+name, resource))
+			batch.Put = append(batch.Put, newEntry(replicaPrefix+name, resource))
 		}
 	}
 	if before == nil {
 		return batch
 	}
 	for name := range before.resources {
-		if _, there := r.resources[name]; !there {
+		if _, exists := r.resources[name]; !exists {
 			batch.Drop = append(batch.Drop, replicaPrefix+name)
 		}
 	}
 	return batch
 }
 
-// Clone returns a copy for Batch.
+// Clone returns a copy to pass to Batch later.
 func (r *Replica) Clone() *Replica {
 	return &Replica{revision: r.revision, epoch: r.epoch, interest: r.interest, resources: maps.Clone(r.resources)}
 }
 
-// RestoreReplica returns the copy that the rows hold. What was kept for another interest
-// counts as of no revision, so that the next update is a snapshot; its epoch is remembered.
-func RestoreReplica(interest Interest, rows []Entry) (*Replica, error) {
+// RestoreReplica returns the copy in the stored entries. A copy made for another interest has no
+// revision, so that the next update is a snapshot; its epoch is retained.
+func RestoreReplica(interest Interest, entries []Entry) (*Replica, error) {
 	r := NewReplica(interest)
-	for _, line := range rows {
+	for _, entry := range entries {
 		var err error
 		switch {
-		case line.Key == replicaKey:
-			var kept replicaRow
-			err = json.Unmarshal(line.Value, &kept)
-			r.epoch = kept.Epoch
-			if kept.Interest == r.interest {
-				r.revision = kept.Revision
+		case entry.Key == replicaKey:
+			var stored replicaHeader
+			err = json.Unmarshal(entry.Value, &stored)
+			r.epoch = stored.Epoch
+			if stored.Interest == r.interest {
+				r.revision = stored.Revision
 			}
-		case strings.HasPrefix(line.Key, replicaPrefix):
+		case strings.HasPrefix(entry.Key, replicaPrefix):
 			var resource Resource
-			if err = json.Unmarshal(line.Value, &resource); err == nil {
+			if err = json.Unmarshal(entry.Value, &resource); err == nil {
 				err = resource.Check()
 			}
 			r.resources[resource.Name] = resource
 		}
 		if err != nil {
-			return nil, fmt.Errorf("settings: row %q: %w", line.Key, err)
+			return nil, fmt.Errorf("settings: entry %q: %w", entry.Key, err)
 		}
 	}
 	return r, nil
 }
 
-// Names returns the names of the resources that the copy holds, in order.
+// Names returns the names of the copy's resources, sorted.
 func (r *Replica) Names() []string { return slices.Sorted(maps.Keys(r.resources)) }
--- a/internal/fleet/distribution/state.go
+++ b/internal/fleet/distribution/state.go
@@ -2,8 +2,6 @@
 
 import (
 	"cmp"
-	"encoding/json"
-	"fmt"
 	"maps"
 	"slices"
 	"strings"
@@ -11,62 +9,62 @@
 
 // Limits bound a State.
 type Limits struct {
-	Resources int // that are there at once
-	History   int // changes that are kept
+	Resources int // maximum number of resources
+	History   int // number of changes retained
 }
 
-// DefaultLimits are those of a fleet of tens of thousands of servers.
+// DefaultLimits returns the limits for a fleet of tens of thousands of servers.
 func DefaultLimits() Limits { return Limits{Resources: 20000, History: 20000} }
 
-// Change is a line of the history: which resource a revision concerns, and whom it concerned
-// before.
+// Change is an entry of the history: a resource that a revision changed, and its scope before and
+// after.
 type Change struct {
 	Revision Revision `msgpack:"revision" json:"revision"`
 	Name     string   `msgpack:"name" json:"name"`
 	Scope    Scope    `msgpack:"scope" json:"scope"`
-	Before   *Scope   `msgpack:"before,omitempty" json:"before,omitempty"` // nil: it was not there
+	Before   *Scope   `msgpack:"before,omitempty" json:"before,omitempty"` // nil: the resource did not exist
 	Removed  bool     `msgpack:"removed,omitempty" json:"removed,omitempty"`
 }
 
-// concerns says whether the change has to reach the interest.
+// concerns reports whether the interest must receive the change.
 func (c *Change) concerns(interest Interest) bool {
 	return !c.Removed && interest.Concerned(c.Name, c.Scope) || c.Before != nil && interest.Concerned(c.Name, *c.Before)
 }
 
-// Update is a part of a State, or what changed in it.
+// Update is a State's contents, or the changes since an earlier revision.
 type Update struct {
-	// After is the revision that a delta, or a page of a snapshot, goes on from. It is zero
-	// where a snapshot begins.
+	// After is the revision that a delta, or a page of a snapshot, continues from. It is zero
+	// on the first page of a snapshot.
 	After    Revision `msgpack:"after" json:"after"`
-	Revision Revision `msgpack:"revision" json:"revision"` // that the reader holds then
+	Revision Revision `msgpack:"revision" json:"revision"` // that the reader holds afterwards
 	Snapshot bool     `msgpack:"snapshot,omitempty" json:"snapshot,omitempty"`
-	// More says that the update goes on: the reader asks again with Query.After at Revision
-	// and, of a snapshot, with Query.Began.
+	// More reports that further pages follow. The reader requests the next page with
+	// Query.After at Revision and, for a snapshot, with Query.Began.
 	More bool `msgpack:"more,omitempty" json:"more,omitempty"`
-	// Began is the revision at which a snapshot that goes on was begun.
+	// Began is the revision at which a paged snapshot began.
 	Began     Revision       `msgpack:"began" json:"began"`
 	Resources List[Resource] `msgpack:"resources,omitempty" json:"resources,omitempty"` // by revision
 	Changes   List[Change]   `msgpack:"changes,omitempty" json:"changes,omitempty"`     // of a delta, for relays
 }
 
-// Empty says that an update brings nothing but its revision.
+// Empty reports whether an update brings nothing but its revision.
 func (u *Update) Empty() bool { return !u.Snapshot && len(u.Resources) == 0 && len(u.Changes) == 0 }
 
-// Query is what a reader asks a State for.
+// Query is a reader's request to a State.
 type Query struct {
-	After Revision // that the reader holds
-	Began Revision // of a snapshot that the reader goes on with; zero: none
-	Bytes int      // of one update, about; 0: no bound
-	// Interest narrows the answer down; nil is everything, with the history.
+	After Revision // revision that the reader holds
+	Began Revision // of the snapshot that the reader continues; zero: none
+	Bytes int      // approximate size of the update; 0: unlimited
+	// Interest restricts the update; nil requests everything, with the history.
 	Interest *Interest
 }
 
-// State is the settings of a fleet at a revision with the history before it: the writer's, or
-// a relay's copy.
+// State is the settings of a fleet at one revision, and the history before it. The writer holds the
+// authoritative one, each relay a copy.
 type State struct {
 	limits    Limits
 	revision  Revision
-	compacted Revision // the history holds what came after it
+	compacted Revision // the history holds all later changes
 	resources map[string]Resource
 	history   []Change // by revision
 }
@@ -76,16 +74,16 @@
 	return &State{limits: limits, resources: make(map[string]Resource)}
 }
 
-// Revision is that of the latest change.
+// Revision returns the revision of the latest change.
 func (s *State) Revision() Revision { return s.revision }
 
-// Resource returns a resource that is there.
+// Resource returns a resource, and false if it does not exist.
 func (s *State) Resource(name string) (Resource, bool) {
 	r, ok := s.resources[name]
 	return r, ok
 }
 
-// Resources returns all resources by name.
+// Resources returns all resources, ordered by name.
 func (s *State) Resources() []Resource {
 	return slices.SortedFunc(maps.Values(s.resources), compareNames)
 }
@@ -96,31 +94,31 @@
 	return cmp.Or(x.Revision.Compare(y.Revision), strings.Compare(x.Name, y.Name))
 }
 
-// Read answers a reader: with what changed after the revision that it holds or, where the
-// history does not hold that, with a snapshot. The error is of *AheadError where the reader
-// holds more than the State.
+// Read answers a query with the changes since the reader's revision or, where the history does not
+// reach back that far, with a snapshot. The error is an *AheadError if the reader holds a later
+// revision than the State.
 func (s *State) Read(query Query) (Update, error) {
-	for _, asked := range []Revision{query.After, query.Began} {
-		if asked.After(s.revision) {
-			return Update{}, &AheadError{Have: s.revision, Requested: asked}
+	for _, requested := range []Revision{query.After, query.Began} {
+		if requested.After(s.revision) {
+			return Update{}, &AheadError{Have: s.revision, Requested: requested}
 		}
 	}
-	if !query.Began.IsZero() && s.reaches(query.Began) {
+	if !query.Began.IsZero() && s.historyCovers(query.Began) {
 		return s.snapshot(query), nil
 	}
-	if query.Began.IsZero() && s.reaches(query.After) {
+	if query.Began.IsZero() && s.historyCovers(query.After) {
 		return s.delta(query), nil
 	}
 	query.After, query.Began = Revision{}, s.revision
 	return s.snapshot(query), nil
 }
 
-// reaches says whether the history holds all that came after a revision.
-func (s *State) reaches(after Revision) bool {
+// historyCovers reports whether the history holds all changes since a revision.
+func (s *State) historyCovers(after Revision) bool {
 	return after.Epoch == s.revision.Epoch && !s.compacted.After(after)
 }
 
-// changesAfter is the end of the history.
+// changesAfter returns the part of the history that follows a revision.
 func (s *State) changesAfter(after Revision) []Change {
 	first, _ := slices.BinarySearchFunc(s.history, after, func(c Change, after Revision) int {
 		if c.Revision.After(after) {
@@ -131,8 +129,8 @@
 	return s.history[first:]
 }
 
-// Concerned returns the revision of the latest change after the given one that concerns the
-// interest, and false if none does.
+// Concerned returns the revision of the latest change after the given one that the interest must
+// receive, and false if there is none.
 func (s *State) Concerned(after Revision, interest Interest) (Revision, bool) {
 	changes := s.changesAfter(after)
 	for n := len(changes) - 1; n >= 0; n-- {
@@ -146,33 +144,33 @@
 func (s *State) delta(query Query) Update {
 	changes := s.changesAfter(query.After)
 	update := Update{After: query.After, Revision: s.revision}
-	update.Resources = s.changed(changes, query.Interest)
+	update.Resources = s.changedResources(changes, query.Interest)
 	if query.Interest == nil {
 		update.Changes = slices.Clone(changes)
 	}
-	update.cut(query.Bytes)
+	update.truncate(query.Bytes)
 	return update
 }
 
-// changed returns the resources of the changes as they are now, each once, and marks those
-// that are there no more for the interest as removed.
-func (s *State) changed(changes []Change, interest *Interest) []Resource {
+// changedResources returns the current resources of the changes, each once. Those that the interest
+// no longer covers are marked as removed.
+func (s *State) changedResources(changes []Change, interest *Interest) []Resource {
 	latest := make(map[string]Resource)
 	for n := range changes {
 		change := &changes[n]
 		if interest == nil || change.concerns(*interest) {
-			latest[change.Name] = s.seenBy(interest, change)
+			latest[change.Name] = s.visibleTo(interest, change)
 		}
 	}
 	return slices.SortedFunc(maps.Values(latest), compareRevisions)
 }
 
-// seenBy is the resource of a change as the interest sees it now. Where it is there no more, it
-// has the revision of the change that took it away from the interest, the last that concerns
-// it: a page that ends between that and a later change must hold it.
-func (s *State) seenBy(interest *Interest, change *Change) Resource {
-	r, there := s.resources[change.Name]
-	if there && (interest == nil || interest.Concerned(r.Name, r.Scope)) {
+// visibleTo returns the resource of a change as the interest sees it now. A resource that was removed
+// has the revision of the change that removed it from the interest, which is the last that concerns
+// it: a page that ends between that change and a later one must hold it.
+func (s *State) visibleTo(interest *Interest, change *Change) Resource {
+	r, exists := s.resources[change.Name]
+	if exists && (interest == nil || interest.Concerned(r.Name, r.Scope)) {
 		return r
 	}
 	return removedResource(change.Name, change.Revision)
@@ -185,219 +183,13 @@
 			update.Resources = append(update.Resources, r)
 		}
 	}
-	// What the reader got before and is there no more.
-	for _, r := range s.changed(s.changesAfter(query.Began), query.Interest) {
+	// Resources of earlier pages that have been removed since.
+	for _, r := range s.changedResources(s.changesAfter(query.Began), query.Interest) {
 		if r.Removed && r.Revision.After(query.After) {
 			update.Resources = append(update.Resources, r)
 		}
 	}
 	slices.SortFunc(update.Resources, compareRevisions)
-	update.cut(query.Bytes)
+	update.truncate(query.Bytes)
 	return update
 }
-
-// About what a resource and a change take beside their texts, and a label, in bytes.
-const (
-	resourceOverhead = 300
-	changeOverhead   = 100
-	labelOverhead    = 6
-)
-
-func (s *Scope) size() int {
-	size := 0
-	for key, value := range s.Labels {
-		size += len(key) + len(value) + labelOverhead
-	}
-	return size
-}
-
-func (r *Resource) size() int {
-	return resourceOverhead + len(r.Content) + len(r.Author) + r.Scope.size()
-}
-
-func (c *Change) size() int {
-	size := changeOverhead + len(c.Name) + c.Scope.size()
-	if c.Before != nil {
-		size += c.Before.size()
-	}
-	return size
-}
-
-// cut ends an update that is longer than most bytes at an earlier revision. What belongs to
-// its first revision stays.
-func (u *Update) cut(limit int) {
-	if limit <= 0 {
-		return
-	}
-	var last Revision
-	bytes, resources, changes := 0, 0, 0
-	for resources < len(u.Resources) || changes < len(u.Changes) {
-		revision := u.firstRevision(resources, changes)
-		resourcesBefore, changesBefore := resources, changes
-		for ; resources < len(u.Resources) && !u.Resources[resources].Revision.After(revision); resources++ {
-			bytes += u.Resources[resources].size()
-		}
-		for ; changes < len(u.Changes) && !u.Changes[changes].Revision.After(revision); changes++ {
-			bytes += u.Changes[changes].size()
-		}
-		if bytes > limit && resourcesBefore+changesBefore > 0 {
-			u.Resources, u.Changes = u.Resources[:resourcesBefore], u.Changes[:changesBefore]
-			u.Revision, u.More = last, true
-			return
-		}
-		last = revision
-	}
-}
-
-// firstRevision is the earliest of the resources and changes from the given places on, at
-// least one of which is there.
-func (u *Update) firstRevision(resources, changes int) Revision {
-	if resources == len(u.Resources) {
-		return u.Changes[changes].Revision
-	}
-	revision := u.Resources[resources].Revision
-	if changes < len(u.Changes) && revision.After(u.Changes[changes].Revision) {
-		return u.Changes[changes].Revision
-	}
-	return revision
-}
-
-// Entry is a line of what a store keeps; Batch is rows to write and to delete in one
-// transaction.
-type Entry struct {
-	Key   string
-	Value []byte
-}
-
-// Batch is what must be on disk before the change that it comes with is acted on.
-type Batch struct {
-	Put  []Entry
-	Drop []string // keys
-}
-
-// Prefixes of the rows' keys, and the key of the row that holds the revision.
-const (
-	resourcePrefix = "resource/"
-	changePrefix   = "change/"
-	revisionKey    = "revision"
-)
-
-// place is the row that says where a State stands.
-type place struct {
-	Revision  Revision `json:"revision"`
-	Compacted Revision `json:"compacted"`
-}
-
-func changeKey(r Revision) string {
-	return fmt.Sprintf("%s%020d.%020d", changePrefix, r.Epoch, r.Number)
-}
-
-func row(key string, value any) Entry {
-	data, err := json.Marshal(value)
-	if err != nil {
-		panic(err) // types of this package's own
-	}
-	return Entry{Key: key, Value: data}
-}
-
-func resourceRow(r *Resource) Entry { return row(resourcePrefix+r.Name, r) }
-
-// Restore returns the State that the rows hold. Rows with other keys are left alone.
-func Restore(limits Limits, rows []Entry) (*State, error) {
-	s := NewState(limits)
-	for _, r := range rows {
-		var err error
-		switch {
-		case strings.HasPrefix(r.Key, resourcePrefix):
-			var resource Resource
-			if err = json.Unmarshal(r.Value, &resource); err == nil {
-				err = resource.Check()
-			}
-			s.resources[resource.Name] = resource
-		case strings.HasPrefix(r.Key, changePrefix):
-			var change Change
-			err = json.Unmarshal(r.Value, &change)
-			s.history = append(s.history, change)
-		case r.Key == revisionKey:
-			var at place
-			err = json.Unmarshal(r.Value, &at)
-			s.revision, s.compacted = at.Revision, at.Compacted
-		}
-		if err != nil {
-			return nil, fmt.Errorf("settings: row %q: %w", r.Key, err)
-		}
-	}
-	slices.SortFunc(s.history, func(x, y Change) int { return x.Revision.Compare(y.Revision) })
-	return s, nil
-}
-
-// step is a change of a State that was worked out and not made yet.
-type step struct {
-	batch     Batch
-	resources []Resource // removed ones are taken out
-	drop      []string   // resources that are there no more, beside those
-	changes   []Change
-	revision  Revision
-	compacted Revision
-	fresh     bool // a snapshot: the history begins anew
-}
-
-// prepare works out the rows of a step.
-func (s *State) prepare(next step) step {
-	for n := range next.resources {
-		r := &next.resources[n]
-		if r.Removed {
-			next.batch.Drop = append(next.batch.Drop, resourcePrefix+r.Name)
-		} else {
-			next.batch.Put = append(next.batch.Put, resourceRow(r))
-		}
-	}
-	for _, name := range next.drop {
-		next.batch.Drop = append(next.batch.Drop, resourcePrefix+name)
-	}
-	next.compacted = s.compacted
-	old := s.history
-	if next.fresh {
-		next.compacted = next.revision
-		for _, c := range old {
-			next.batch.Drop = append(next.batch.Drop, changeKey(c.Revision))
-		}
-		old = nil
-	}
-	over := max(len(old)+len(next.changes)-s.limits.History, 0)
-	for _, c := range old[:min(over, len(old))] {
-		next.compacted = c.Revision
-		next.batch.Drop = append(next.batch.Drop, changeKey(c.Revision))
-	}
-	if over > len(old) { // a long update: of its changes too only the last are kept
-		first := over - len(old)
-		next.compacted = next.changes[first-1].Revision
-		next.changes = next.changes[first:]
-	}
-	for _, c := range next.changes {
-		next.batch.Put = append(next.batch.Put, row(changeKey(c.Revision), c))
-	}
-	next.batch.Put = append(next.batch.Put, row(revisionKey, place{Revision: next.revision, Compacted: next.compacted}))
-	return next
-}
-
-// take makes a step that was prepared and is on disk.
-func (s *State) take(next step) {
-	for _, r := range next.resources {
-		if r.Removed {
-			delete(s.resources, r.Name)
-		} else {
-			s.resources[r.Name] = r
-		}
-	}
-	for _, name := range next.drop {
-		delete(s.resources, name)
-	}
-	if next.fresh {
-		s.history = nil
-	}
-	s.history = append(s.history, next.changes...)
-	s.revision, s.compacted = next.revision, next.compacted
-	first := len(s.history) - len(s.changesAfter(s.compacted))
-	s.history = slices.Delete(s.history, 0, first)
-}
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -76,7 +76,7 @@
 			rep := w.change(args...).report()
 			w.checkRelease(base)
 			requests.stop()
-			if rep.Result != rollout.WentBack || !strings.Contains(rep.Why, c.by) {
+			if rep.Result != rollout.AllRolledBack || !strings.Contains(rep.Why, c.by) {
 				t.Errorf("%s because %s; want it taken back by %q", rep.Result, rep.Why, c.by)
 			}
 			if n := countChanged(rep); n == 0 || n > 3 {
@@ -190,7 +190,7 @@
 	}
 	requests := w.startLoad()
 	rep := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(`{"settings":{"classes":"none"}}`)}, quickChange...)...).report()
-	if rep.Result != rollout.WentBack || !strings.Contains(rep.Why, "it kept its earlier configuration: ") {
+	if rep.Result != rollout.AllRolledBack || !strings.Contains(rep.Why, "it kept its earlier configuration: ") {
 		t.Errorf("turned down: %s because %s", rep.Result, rep.Why)
 	}
 	w.checkRelease(base)
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -177,7 +177,7 @@
 			continue
 		}
 		rows := w.rowsByInstance(rep, op)
-		if rep.Result != rollout.WentBack || !strings.Contains(rep.Why, c.why) || rows["h0-i0"].Outcome != rollout.RolledBack {
+		if rep.Result != rollout.AllRolledBack || !strings.Contains(rep.Why, c.why) || rows["h0-i0"].Outcome != rollout.RolledBack {
 			t.Errorf("%s: %s because %s, %+v", name, rep.Result, rep.Why, rows["h0-i0"].Outcome)
 		}
 		states := w.waitReady()
--- a/internal/fleet/host/agent/agent.go
+++ b/internal/fleet/host/agent/agent.go
@@ -1,174 +1,121 @@
-// Package agent looks after the sidecars of one host: it starts them, keeps them
-// running, changes them as operations ask, and answers for them over
-// MessagePack-RPC.
+// Package agent supervises the sidecars of one host: it starts them, keeps them running, changes
+// them as operations ask and serves the fleet's API over MessagePack-RPC.
 //
-// It writes down what it will do before it does it, and goes by levels: its record
-// says which launch (generation) of which release each instance should run, and
-// its runners bring that about. An agent that was killed at any point reads its
-// record, finds the processes again and goes on; sidecars outlive it. What should
-// be done next is decided in the packages life and lease; what an operation does
-// to which instance when, in rollout, by whoever runs the operation.
+// It owns the state folder and the host's record. The record holds the desired state: which
+// generation of which release each instance should run. One goroutine per instance compares
+// that with what runs and acts on the difference. Every change is in the record before it is
+// carried out, so an agent that was killed at any point reads its record, finds its processes
+// and continues. Sidecars outlive the agent.
+//
+// It does not decide on its own what an operation does to which instance and when: that is
+// package rollout, in the command that runs the operation. When to start, stop or retry a
+// process is decided by package supervisor, who may change an instance by package lease.
 package agent
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/hex"
-	"errors"
 	"fmt"
-	"log/slog"
 	"os"
-	"path/filepath"
 	"sync"
-	"syscall"
 	"time"
 
 	"martendrum/internal/filelock"
 	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/distribution"
 	"martendrum/internal/fleet/distribution/node"
-	"martendrum/internal/fleet/host/proc"
-	"martendrum/internal/fleet/host/scrape"
 	"martendrum/internal/fleet/lease"
 	"martendrum/internal/fleet/release"
 	"martendrum/internal/fleet/store"
 )
 
-// Machine is what instances run on. Processes is the real one.
-type Machine interface {
-	Start(s proc.Spec) (*Process, error)
-	Adopt(ctx context.Context, pid int, ticks uint64) (*Process, error)
-	Find(prefix string) map[string]proc.Found
-	Health(ctx context.Context, addr string, limit time.Duration) (proc.Healthy, error)
-	// Metrics asks a process's operators' door; of the sample, only the figures count.
-	Metrics(ctx context.Context, door string, pid int, limit time.Duration) (*api.Sample, error)
-	Boot() string
-}
-
-// Process is a running process of a Machine.
-type Process struct {
-	PID    int
-	Ticks  uint64
-	Done   <-chan struct{}
-	Exit   func() string // valid once Done is closed
-	Signal func(syscall.Signal) error
-}
-
-// Processes runs instances as processes of this machine.
-type Processes struct{}
-
-func wrap(p *proc.Proc, err error) (*Process, error) {
-	if err != nil {
-		return nil, err
-	}
-	return &Process{PID: p.PID, Ticks: p.Ticks, Done: p.Done, Exit: p.Exit, Signal: p.Signal}, nil
-}
-
-func (Processes) Start(s proc.Spec) (*Process, error) { return wrap(proc.Start(s)) }
-func (Processes) Adopt(ctx context.Context, pid int, ticks uint64) (*Process, error) {
-	return wrap(proc.Adopt(ctx, pid, ticks))
-}
-func (Processes) Find(prefix string) map[string]proc.Found { return proc.Find(prefix) }
-func (Processes) Boot() string                             { return proc.Boot() }
-func (Processes) Health(ctx context.Context, addr string, limit time.Duration) (proc.Healthy, error) {
-	return proc.Health(ctx, addr, limit)
-}
-
-func (Processes) Metrics(ctx context.Context, door string, pid int, limit time.Duration) (*api.Sample, error) {
-	s, err := scrape.Metrics(ctx, door, limit)
-	if err != nil {
-		return nil, err
-	}
-	s.Memory, s.Files, err = scrape.Usage(pid)
-	return s, err
-}
-
+// stepKey identifies a step: an operation has at most one of a kind on an instance.
 type stepKey struct{ op, instance, kind string }
 
-// Agent is a running agent. One lock guards all it knows; the record is written
-// under it, so that memory and record never tell different stories for long.
+// Agent is a running agent. One lock guards its state. The record is written under that lock,
+// so that memory and record change together.
 type Agent struct {
-	cfg      *Config
-	machine  Machine
-	releases *release.Dir
-	started  time.Time
-	flock    *os.File
-	rows     []distribution.Entry // of the record's settings, until the distribution has begun
-	id       string               // of the state folder, in the name of each launch
+	config         *Config
+	machine        Machine
+	releases       *release.Dir
+	started        time.Time
+	lockFile       *os.File
+	loadedSettings []distribution.Entry // from the record; nil once the distribution has started
+	stateID        string               // identifies the state folder in the name of each launch
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu         sync.Mutex
-	store      store.Store
-	inst       map[string]*instance
-	names      []string // of inst, in the file's order
-	ops        map[string]*store.Operation
-	steps      map[stepKey]*api.Step
-	hands      map[string]bool      // releases that said that they hand over
-	heldAt     map[string]time.Time // of open staged operations: when somebody last held them
-	boundary   int64                // up to which figures were taken
-	leases     lease.Table
-	back       *comeback     // of the instances after a power loss; nil: all may start
-	settings   *subscription // nil: the host does not follow relays
-	relay      *node.Relay   // nil: the agent is none; set before it serves
-	change     int64
-	changed    chan struct{} // closed at the next change
-	unwritable string        // why the last write of the record failed
-}
-
-// New opens the state folder, reads the record and begins to look after the
-// instances. open opens the record at a path. Close ends it.
-func New(cfg *Config, m Machine, open func(path string) (store.Store, error)) (*Agent, error) {
+	mu            sync.Mutex
+	store         store.Store
+	instances     map[string]*instance
+	instanceNames []string // in the order of the configuration
+	operations    map[string]*store.Operation
+	steps         map[stepKey]*api.Step
+	canHandover   map[string]bool      // by release: whether its process said that it supports handover
+	lastLeased    map[string]time.Time // by open staged operation: when its leases were last live
+	lastBoundary  int64                // the latest at which metrics were collected
+	leases        lease.Table
+	powerReturn   *powerReturn  // nil: no instance waits for its wave
+	settings      *subscription // nil: the host does not subscribe to relays
+	relay         *node.Relay   // nil: the agent is no relay; set before it serves
+	changeNumber  int64         // counts changes, for callers that wait for the next
+	changed       chan struct{} // closed and replaced at each change
+	unwritable    string        // why the last write of the record failed; "" if it did not
+}
+
+// New opens the state folder, reads the record and begins to supervise the instances. open
+// opens the record at a path. The caller ends the agent with Close.
+func New(config *Config, m Machine, open func(path string) (store.Store, error)) (*Agent, error) {
 	a := &Agent{
-		cfg: cfg, machine: m, started: time.Now(),
-		inst: make(map[string]*instance), ops: make(map[string]*store.Operation), steps: make(map[stepKey]*api.Step),
-		hands: make(map[string]bool), heldAt: make(map[string]time.Time),
-		changed: make(chan struct{}),
+		config:      config,
+		machine:     m,
+		started:     time.Now(),
+		instances:   make(map[string]*instance),
+		operations:  make(map[string]*store.Operation),
+		steps:       make(map[stepKey]*api.Step),
+		canHandover: make(map[string]bool),
+		lastLeased:  make(map[string]time.Time),
+		changed:     make(chan struct{}),
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
+	if err := a.start(open); err != nil {
+		a.abandonStart()
+		return nil, &StartError{Agent: config.Name, Err: err}
+	}
+	a.loadedSettings = nil
+	for _, name := range a.instanceNames {
+		i := a.instances[name]
+		a.wg.Go(func() { a.superviseInstance(i) })
+	}
+	a.wg.Go(a.runHousekeeping)
+	return a, nil
+}
+
+// start loads the state folder and begins to collect metrics and to distribute settings.
+func (a *Agent) start(open func(path string) (store.Store, error)) error {
 	if err := a.load(open); err != nil {
-		a.cancel()
-		if a.store != nil {
-			a.store.Close()
-		}
-		if a.flock != nil {
-			filelock.Release(a.flock)
-		}
-		return nil, fmt.Errorf("agent %s: %w", cfg.Name, err)
+		return err
 	}
-	if a.cfg.Metrics.Slot > 0 {
-		j, err := openJournal(a.figuresPath(), a.keepSlots()*max(1, len(a.names)), func(s api.Sample) {
-			if i := a.inst[s.Instance]; i != nil {
-				i.ring.add(s)
-			}
-		})
-		if err != nil {
-			a.cancel()
-			a.store.Close()
-			filelock.Release(a.flock)
-			return nil, fmt.Errorf("agent %s: figures: %w", cfg.Name, err)
-		}
-		a.wg.Go(func() { a.takeFigures(j) })
+	if err := a.startMetrics(); err != nil {
+		return fmt.Errorf("figures: %w", err)
 	}
-	if err := a.startDistribution(a.rows); err != nil {
-		a.cancel()
-		a.wg.Wait()
-		if a.relay != nil {
-			a.relay.Close()
-		}
+	return a.startDistribution(a.loadedSettings)
+}
+
+// abandonStart releases what a failed start holds.
+func (a *Agent) abandonStart() {
+	a.cancel()
+	a.wg.Wait()
+	if a.relay != nil {
+		a.relay.Close()
+	}
+	if a.store != nil {
 		a.store.Close()
-		filelock.Release(a.flock)
-		return nil, fmt.Errorf("agent %s: %w", cfg.Name, err)
 	}
-	a.rows = nil
-	for _, name := range a.names {
-		i := a.inst[name]
-		a.wg.Go(func() { a.run(i) })
+	if a.lockFile != nil {
+		filelock.Release(a.lockFile)
 	}
-	a.wg.Go(a.keep)
-	return a, nil
 }
 
 // Close ends the agent and leaves the sidecars running.
@@ -181,80 +128,31 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.store.Close()
-	filelock.Release(a.flock)
-}
-
-// bump tells those who wait that something has changed.
-func (a *Agent) bump() {
-	a.change++
-	close(a.changed)
-	a.changed = make(chan struct{})
-}
-
-// maxCommit is how long a write of the record may take.
-const maxCommit = 5 * time.Second
-
-// commit writes a change. On success it is for the caller to take it over into
-// memory, still under the lock.
-func (a *Agent) commit(c *store.Change) error {
-	if err := a.ctx.Err(); err != nil {
-		return api.Errorf(api.Unwritable, "agent %s is stopping", a.cfg.Name)
-	}
-	if len(c.Audit) > 0 {
-		c.AuditLimit = a.cfg.Limits.Audit
-	}
-	ctx, cancel := context.WithTimeout(a.ctx, maxCommit)
-	defer cancel()
-	if err := a.store.Commit(ctx, c); err != nil {
-		if a.unwritable == "" {
-			slog.Error("the record can't be written", "err", err)
-		}
-		a.unwritable = err.Error()
-		return api.Errorf(api.Unwritable, "agent %s: the record can't be written, so nothing was touched: %v", a.cfg.Name, err)
-	}
-	if a.unwritable != "" {
-		slog.Info("the record can be written again")
-	}
-	a.unwritable = ""
-	a.bump()
-	return nil
+	filelock.Release(a.lockFile)
 }
 
-// told writes down what has happened already. Where that fails it stays in memory
-// and is written with the next that can be: after a kill meanwhile, the processes
-// themselves tell.
-func (a *Agent) told(i *instance, s *api.Step) {
-	c := &store.Change{Instances: []store.Instance{i.row}}
-	if s != nil {
-		c.Steps = []api.Step{*s}
-	}
-	if a.commit(c) != nil {
-		i.dirty = true
-		a.bump()
-	}
-}
-
-// StopAll stops every instance for good and waits until none runs, or ctx ends.
+// StopAll sets the desired state of every instance to stopped and waits until none runs or ctx
+// ends.
 func (a *Agent) StopAll(ctx context.Context) error {
 	a.mu.Lock()
-	c := &store.Change{Audit: []api.AuditEntry{{At: time.Now(), Who: "agent", What: "stop all", Result: "ok"}}}
-	for _, i := range a.inst {
-		row := i.row
-		row.Desired = api.Stopped
-		c.Instances = append(c.Instances, row)
+	change := &store.Change{Audit: []api.AuditEntry{{At: time.Now(), Who: "agent", What: "stop all", Result: "ok"}}}
+	for _, i := range a.instances {
+		stored := i.stored
+		stored.Desired = api.Stopped
+		change.Instances = append(change.Instances, stored)
 	}
-	err := a.commit(c)
+	err := a.commit(change)
 	if err == nil {
-		for _, row := range c.Instances {
-			i := a.inst[row.Name]
-			i.row.Desired = api.Stopped
-			i.poke()
+		for _, stored := range change.Instances {
+			i := a.instances[stored.Name]
+			i.stored.Desired = api.Stopped
+			i.wakeUp()
 		}
 	}
 	for err == nil {
 		running := 0
-		for _, i := range a.inst {
-			if i.life.Process() != 0 {
+		for _, i := range a.instances {
+			if i.supervisor.Process() != 0 {
 				running++
 			}
 		}
@@ -274,42 +172,10 @@
 	return err
 }
 
-// keepSlots is how many slots' figures are kept of each instance.
-func (a *Agent) keepSlots() int {
-	if a.cfg.Metrics.Slot <= 0 {
+// retainedSlots returns how many samples are retained for each instance, one for each slot.
+func (a *Agent) retainedSlots() int {
+	if a.config.Metrics.Slot <= 0 {
 		return 1
 	}
-	return int(a.cfg.Metrics.Retention/a.cfg.Metrics.Slot) + 2
-}
-
-func (a *Agent) logPath(name string) string {
-	return filepath.Join(a.cfg.StateDir, "logs", name+".log")
-}
-
-// meetPath is the folder in which an old process and a new one find each other.
-func (a *Agent) meetPath() string { return filepath.Join(a.cfg.StateDir, "meet") }
-
-func (a *Agent) configPath(name string) string {
-	return filepath.Join(a.cfg.StateDir, "instances", name+".json")
-}
-
-// random is a new name for a launch, a seed or the like.
-func random() string {
-	var b [8]byte
-	rand.Read(b[:])
-	return hex.EncodeToString(b[:])
-}
-
-// writeFile replaces a file whole or not at all.
-func writeFile(path string, data []byte) error {
-	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
-	if err != nil {
-		return err
-	}
-	_, err = f.Write(data)
-	err = errors.Join(err, f.Sync(), f.Close())
-	if err != nil {
-		return err
-	}
-	return os.Rename(path+".new", path)
+	return int(a.config.Metrics.Retention/a.config.Metrics.Slot) + 2
 }
--- /dev/null
+++ b/internal/fleet/host/agent/metrics_journal.go
@@ -0,0 +1,98 @@
+package agent
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"log/slog"
+	"os"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"martendrum/internal/fleet/api"
+)
+
+// metricsJournal retains samples across restarts of the agent, in two files of which the older
+// is dropped when the newer is full. It is not synced and a torn tail is ignored: lost samples
+// are only missing evidence.
+type metricsJournal struct {
+	path    string
+	file    *os.File
+	samples int // in file
+	limit   int // samples in a file
+}
+
+// openMetricsJournal calls restore for each sample of the files at path, the earliest first, and
+// starts a new file: after a torn tail, nothing that is appended could be read.
+func openMetricsJournal(path string, limit int, restore func(api.Sample)) (*metricsJournal, error) {
+	j := &metricsJournal{path: path, limit: limit}
+	for _, p := range []string{path + ".1", path} {
+		if err := readSamples(p, restore); err != nil {
+			return nil, err
+		}
+	}
+	if err := j.rotate(); err != nil {
+		return nil, err
+	}
+	return j, nil
+}
+
+// readSamples calls restore for each sample of a file, up to the first that can't be read. A
+// file that does not exist has none.
+func readSamples(path string, restore func(api.Sample)) error {
+	f, err := os.Open(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	decoder := msgpack.NewDecoder(bufio.NewReader(f))
+	for n := 0; ; n++ {
+		var sample api.Sample
+		if err := decoder.Decode(&sample); err != nil {
+			if !errors.Is(err, io.EOF) {
+				slog.Warn("rest of a metrics journal ignored: it can't be read", "file", path, "after", n, "err", err)
+			}
+			return nil
+		}
+		restore(sample)
+	}
+}
+
+// rotate starts a new file and retains the one before it.
+func (j *metricsJournal) rotate() error {
+	if j.file != nil {
+		j.file.Close()
+		j.file = nil
+	}
+	if st, err := os.Stat(j.path); err == nil && st.Size() > 0 {
+		if err := os.Rename(j.path, j.path+".1"); err != nil {
+			return err
+		}
+	}
+	f, err := os.OpenFile(j.path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
+	j.file, j.samples = f, 0
+	return err
+}
+
+// write appends samples, to a new file if the current one is full.
+func (j *metricsJournal) write(samples []api.Sample) error {
+	if j.file == nil || j.samples+len(samples) > j.limit {
+		if err := j.rotate(); err != nil {
+			return err
+		}
+	}
+	var data []byte
+	for n := range samples {
+		encoded, err := msgpack.Marshal(&samples[n])
+		if err != nil {
+			return err
+		}
+		data = append(data, encoded...)
+	}
+	j.samples += len(samples)
+	_, err := j.file.Write(data)
+	return err
+}
--- a/internal/fleet/host/agent/step.go
+++ b/internal/fleet/host/agent/step.go
@@ -2,31 +2,28 @@
 
 import (
 	"context"
-	"fmt"
 	"strings"
 	"time"
 
 	"martendrum/internal/fleet/api"
-	"martendrum/internal/fleet/host/supervisor"
 	"martendrum/internal/fleet/store"
 )
 
-// stepStart begins a step of an operation on one instance, once: whoever asks
-// again is told how it stands. What is wanted of the instance and the step are
-// written in one change, before anything is done.
+// stepStart begins a step of an operation on one instance. A repeated call returns the step
+// that is under way or finished.
 func (a *Agent) stepStart(_ context.Context, c *caller, in *api.StepIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.op(in.Op)
+	o, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
-	i, err := a.named(in.Instance)
+	i, err := a.findInstance(in.Instance)
 	if err != nil {
 		return nil, err
 	}
 	switch {
-	case !a.targets(&o.Operation, in.Instance):
+	case !a.isTarget(&o.Operation, in.Instance):
 		return nil, api.Errorf(api.InvalidParams, "%s is no instance of operation %s", in.Instance, o.ID)
 	case in.Kind != api.Change && in.Kind != api.Rollback:
 		return nil, api.Errorf(api.InvalidParams, "kind %q; want %q or %q", in.Kind, api.Change, api.Rollback)
@@ -34,141 +31,40 @@
 	if err := a.fenced(a.leases.Check(time.Now(), o.ID, in.Token, in.Instance)); err != nil {
 		return nil, err
 	}
-	return a.begin(o, i, in.Kind, in.Token, c.who, "")
+	return a.beginStep(o, i, in.Kind, in.Token, c.who, "")
 }
 
-// begin begins a step; the lock is held. reason says why where the agent does so by
-// itself.
-func (a *Agent) begin(o *store.Operation, i *instance, kind string, token int64, who, reason string) (*api.Step, error) {
-	name, now := i.cfg.Name, time.Now()
+// beginStep begins a step, unless it has begun before. The desired state of the instance and
+// the step are written in one change before anything is done. reason is the cause of a step
+// that the agent begins on its own. The lock is held.
+func (a *Agent) beginStep(o *store.Operation, i *instance, kind string, token int64, who, reason string) (*api.Step, error) {
+	name, now := i.config.Name, time.Now()
 	if s := a.steps[stepKey{o.ID, name, kind}]; s != nil {
 		return s, nil
 	}
 	switch {
 	case o.State != api.OpOpened:
-		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.cfg.Name)
+		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.config.Name)
 	case i.step != nil:
 		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is under way on %s", i.step.Op, name)
 	}
 	s := &api.Step{Op: o.ID, Instance: name, Kind: kind, Action: o.Action, Status: api.StepRunning, Cause: reason,
-		From: i.row.Release, To: i.row.Release, Before: i.row.Previous, Ready: o.Ready, Soak: o.Soak, Started: now, Token: token}
-	row, verdict, ok := a.plan(i, o, s)
-	s.Generation = row.Generation
-	if verdict != "" || ok {
-		s.Status, s.Reason, s.Finished = api.StepOK, verdict, now
-		if !ok {
-			s.Status = api.StepFailed
-		}
+		From: i.stored.Release, To: i.stored.Release, Before: i.stored.Previous, Ready: o.Ready, Soak: o.Soak, Started: now, Token: token}
+	plan := a.planStep(i, o, s)
+	s.Generation = plan.stored.Generation
+	if plan.status != api.StepRunning {
+		s.Status, s.Reason, s.Finished = plan.status, plan.reason, now
 	}
-	if err := a.commit(&store.Change{Instances: []store.Instance{row}, Steps: []api.Step{*s},
+	if err := a.commit(&store.Change{Instances: []store.Instance{plan.stored}, Steps: []api.Step{*s},
 		Audit: []api.AuditEntry{{At: now, Who: who, What: o.Action + " " + kind, Target: name, Result: strings.TrimSuffix(s.Status+": "+reason, ": ")}}}); err != nil {
 		return nil, err
 	}
-	i.row = row
+	i.stored = plan.stored
 	a.steps[stepKey{o.ID, name, kind}] = s
 	if s.Status == api.StepRunning {
 		i.step = s
-		i.hupAt = time.Time{}
+		i.reloadSentAt = time.Time{}
 	}
-	i.poke()
+	i.wakeUp()
 	return s, nil
 }
-
-// plan is the instance's row as the step wants it. With ok or a verdict the step
-// has its outcome already.
-func (a *Agent) plan(i *instance, o *store.Operation, s *api.Step) (row store.Instance, verdict string, ok bool) {
-	row = i.row
-	running := row.Desired == api.Running
-	// again asks for a new process, where one is wanted at all.
-	again := func() (store.Instance, string, bool) {
-		if !running {
-			return row, fmt.Sprintf("left %s; it runs this at its next start", row.Desired), true
-		}
-		row.Generation++
-		return row, "", false
-	}
-	if s.Kind == api.Rollback {
-		change := a.steps[stepKey{o.ID, s.Instance, api.Change}]
-		switch {
-		case o.Action != api.ActUpgrade && o.Action != api.ActRollback && o.Action != api.ActSettings:
-			return row, fmt.Sprintf("a %s can't be taken back", o.Action), false
-		case change == nil:
-			return row, "it was not changed", true
-		}
-		row.Release, row.Previous, s.To = change.From, change.Before, change.From
-		if row.Release == i.row.Release {
-			return row, "it was not changed", true
-		}
-		if o.Action == api.ActSettings && running {
-			return row, "", false
-		}
-		return again()
-	}
-	switch o.Action {
-	case api.ActStart, api.ActUndrain:
-		switch {
-		case o.Action == api.ActStart && row.Desired == api.Drained:
-			return row, "it is drained: undrain it", false
-		case o.Action == api.ActUndrain && row.Desired != api.Drained:
-			return row, "it is not drained", true
-		case running && i.life.Phase() != supervisor.Crashloop && i.life.Phase() != supervisor.Backoff:
-			if i.life.Phase() == supervisor.Ready {
-				return row, "it was running", true
-			}
-			return row, "", false
-		}
-		row.Desired = api.Running
-		row.Generation++
-		return row, "", false
-	case api.ActStop, api.ActDrain:
-		row.Desired = api.Stopped
-		if o.Action == api.ActDrain {
-			row.Desired = api.Drained
-		}
-		return row, "", false
-	case api.ActRestart:
-		if !running {
-			return row, "left " + row.Desired, true
-		}
-		return again()
-	case api.ActReload:
-		if !running {
-			return row, "left " + row.Desired, true
-		}
-		return row, "", false
-	case api.ActUpgrade:
-		s.To = o.Release
-		if row.Release == o.Release && (!running || row.Running == o.Release && i.life.Phase() == supervisor.Ready) {
-			return row, "it has this release", true
-		}
-		if row.Release != o.Release {
-			row.Previous = row.Release
-		}
-		row.Release = o.Release
-		return again()
-	case api.ActSettings:
-		s.To = o.Release
-		if row.Release == o.Release && (!running || row.Running == o.Release) {
-			return row, "it has these settings", true
-		}
-		if same, err := a.releases.SameProgram(row.Release, o.Release); err != nil || !same {
-			return row, fmt.Sprintf("release %.12s has another program than %.12s, which it runs: that is an upgrade (%v)", o.Release, row.Release, err), false
-		}
-		if row.Release != o.Release {
-			row.Previous = row.Release
-		}
-		row.Release = o.Release
-		if !running {
-			return row, fmt.Sprintf("left %s; it runs this at its next start", row.Desired), true
-		}
-		return row, "", false
-	case api.ActRollback:
-		if row.Previous == "" {
-			return row, "there is no earlier release to go back to", false
-		}
-		row.Release, row.Previous = row.Previous, row.Release
-		s.To = row.Release
-		return again()
-	}
-	return row, fmt.Sprintf("unknown action %q", o.Action), false
-}
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -7,102 +7,109 @@
 	"time"
 )
 
-// Epoch is the Unix time at which a world begins: balancers and lists speak of Unix time.
+// Epoch is the Unix time at which a world begins: balancers and server lists use Unix time.
 const Epoch = 1_000_000 * time.Hour
 
-// SlowStart is how servers warm up, and what fells one that is cold.
+// SlowStart is how servers warm up, and which load crashes one that does.
 type SlowStart struct {
-	From   float64 // share of its capacity that a fresh one has
-	For    time.Duration
-	Factor float64 // it falls when sent more than this multiple of its capacity of the time
-	Window time.Duration
+	InitialFraction  float64       // fraction of its capacity that a server has when it starts
+	Duration         time.Duration // until it has its full capacity
+	OverloadFactor   float64       // multiple of its present capacity that crashes it
+	OverloadDuration time.Duration // if received for this long
 }
 
-// capacityFraction is the share of its capacity that a server of that age has.
-func (r SlowStart) capacityFraction(age time.Duration) float64 {
-	if age >= r.For || r.For <= 0 {
+// capacityFraction is the fraction of its capacity that a server of the age has.
+func (s SlowStart) capacityFraction(age time.Duration) float64 {
+	if age >= s.Duration || s.Duration <= 0 {
 		return 1
 	}
-	return r.From + (1-r.From)*float64(max(0, age))/float64(r.For)
+	return s.InitialFraction + (1-s.InitialFraction)*float64(max(0, age))/float64(s.Duration)
 }
 
-// Server is a server with a queue: workers that each take a request for a time drawn
-// about the mean, longer while it is cold.
+// Server is a Node that executes attempts: workers, each with one attempt at a time, and a
+// queue. Service times are exponentially distributed, and longer during slow start.
 type Server struct {
-	Ramp    SlowStart
-	Workers int
-	Work    time.Duration // mean, of a warm one
-	Queue   int           // requests that may wait
-	Even    bool          // each takes just the mean
-
-	Fallen int // how often it fell while cold
-	Ran    int // requests that it has carried out
-
-	up      bool
-	started time.Duration
-	rng     *rand.Rand
-	running []job
-	waiting []job
-	recent  []time.Duration // arrivals within the window, while cold
-	out     []Message
+	SlowStart   SlowStart
+	Workers     int
+	ServiceTime time.Duration // mean, at full capacity
+	QueueLimit  int           // attempts that may wait
+	UniformWork bool          // every attempt takes the mean
+
+	Crashes  int // from overload during slow start
+	Executed int // attempts
+
+	up             bool
+	started        time.Duration
+	rng            *rand.Rand
+	running        []job
+	waiting        []job
+	recentArrivals []time.Duration // within OverloadDuration, during slow start
+	outbox         []Message
 }
 
 // job is an attempt at a server.
 type job struct {
-	from int
-	try  try
-	ends time.Duration
+	from      int // place of its sidecar
+	attemptID attemptID
+	end       time.Duration // of its execution
 }
 
-// try is what goes to a server, and comes back.
-type try struct {
-	id      uint64
-	attempt int
+// attemptID identifies an attempt of one sidecar.
+type attemptID struct {
+	id      uint64 // of the request
+	attempt int    // index
 }
 
 // result is a server's answer.
 type result struct {
-	try
-	what outcome
+	attemptID
+	status status
 }
 
-type outcome uint8
+// status is what became of an attempt.
+type status uint8
 
 const (
-	served  outcome = iota
-	full            // turned away unseen
-	refused         // no connection
+	executed      status = iota
+	rejected             // without execution, because the queue was full
+	connectFailed        // the server is down
 )
 
-// Capacity is how many requests a second it can carry out when warm.
-func (s *Server) Capacity() float64 { return float64(s.Workers) / s.Work.Seconds() }
+// Capacity is how many attempts a second the server executes at full capacity.
+func (s *Server) Capacity() float64 { return float64(s.Workers) / s.ServiceTime.Seconds() }
 
-// Up starts it cold, Down ends it and all that it had.
-func (s *Server) Up(now time.Duration, rng *rand.Rand) {
-	s.up, s.started, s.rng = true, now, rng
-	s.recent = s.recent[:0]
+// Start starts the server, which begins its slow start.
+func (s *Server) Start(now time.Duration, rng *rand.Rand) {
+	s.up = true
+	s.started = now
+	s.rng = rng
+	s.recentArrivals = s.recentArrivals[:0]
 }
 
-// Down stops the server; requests that run or wait there are lost.
-func (s *Server) Down() { s.up, s.running, s.waiting = false, nil, nil }
+// Stop stops the server; attempts that run or wait there are lost.
+func (s *Server) Stop() {
+	s.up = false
+	s.running = nil
+	s.waiting = nil
+}
 
 // Due implements Node.
 func (s *Server) Due() time.Duration {
 	due := Never
 	for _, j := range s.running {
-		due = min(due, j.ends)
+		due = min(due, j.end)
 	}
 	return due
 }
 
-// Tick implements Node: what has been carried out is answered.
+// Tick implements Node: it answers what has been executed and begins what waits.
 func (s *Server) Tick(now time.Duration) {
 	s.running = slices.DeleteFunc(s.running, func(j job) bool {
-		if j.ends > now {
+		if j.end > now {
 			return false
 		}
-		s.Ran++
-		s.answer(j, served)
+		s.Executed++
+		s.answer(j, executed)
 		return true
 	})
 	for len(s.waiting) > 0 && len(s.running) < s.Workers {
@@ -111,62 +118,64 @@
 	}
 }
 
+// begin begins the execution of an attempt.
 func (s *Server) begin(now time.Duration, j job) {
-	took := float64(s.Work) / s.Ramp.capacityFraction(now-s.started)
-	if !s.Even {
-		took *= s.rng.ExpFloat64()
+	serviceTime := float64(s.ServiceTime) / s.SlowStart.capacityFraction(now-s.started)
+	if !s.UniformWork {
+		serviceTime *= s.rng.ExpFloat64()
 	}
-	j.ends = now + max(time.Microsecond, time.Duration(took))
+	j.end = now + max(time.Microsecond, time.Duration(serviceTime))
 	s.running = append(s.running, j)
 }
 
-func (s *Server) answer(j job, o outcome) {
-	s.out = append(s.out, Message{To: j.from, Body: result{j.try, o}})
+// answer sends the status of an attempt.
+func (s *Server) answer(j job, st status) {
+	s.outbox = append(s.outbox, Message{To: j.from, Body: result{j.attemptID, st}})
 }
 
 // Receive implements Node.
 func (s *Server) Receive(now time.Duration, from int, msg any) {
-	j := job{from: from, try: msg.(try)}
+	j := job{from: from, attemptID: msg.(attemptID)}
 	if !s.up {
-		s.answer(j, refused)
+		s.answer(j, connectFailed)
 		return
 	}
-	if s.strained(now) {
-		s.Fallen++
-		s.Down()
-		s.answer(j, refused)
+	if s.overloaded(now) {
+		s.Crashes++
+		s.Stop()
+		s.answer(j, connectFailed)
 		return
 	}
 	switch {
 	case len(s.running) < s.Workers:
 		s.begin(now, j)
-	case len(s.waiting) < s.Queue:
+	case len(s.waiting) < s.QueueLimit:
 		s.waiting = append(s.waiting, j)
 	default:
-		s.answer(j, full)
+		s.answer(j, rejected)
 	}
 }
 
-// strained counts an arrival and says whether it fells a cold server: more than N + 3
-// roots of N + 3 within the window, N being what it may get then.
-func (s *Server) strained(now time.Duration) bool {
+// overloaded counts an arrival and reports whether it crashes a server in slow start: more
+// than N + 3 sqrt(N) + 3 within OverloadDuration, where N is the number it can bear.
+func (s *Server) overloaded(now time.Duration) bool {
 	age := now - s.started
-	if age >= s.Ramp.For {
-		s.recent = nil
+	if age >= s.SlowStart.Duration {
+		s.recentArrivals = nil
 		return false
 	}
-	s.recent = append(s.recent, now)
-	for len(s.recent) > 0 && now-s.recent[0] > s.Ramp.Window {
-		s.recent = s.recent[1:]
+	s.recentArrivals = append(s.recentArrivals, now)
+	for len(s.recentArrivals) > 0 && now-s.recentArrivals[0] > s.SlowStart.OverloadDuration {
+		s.recentArrivals = s.recentArrivals[1:]
 	}
-	n := s.Ramp.Factor * s.Capacity() * s.Ramp.capacityFraction(age) * s.Ramp.Window.Seconds()
-	return float64(len(s.recent)) > n+3*math.Sqrt(n)+3
+	bearable := s.SlowStart.OverloadFactor * s.Capacity() * s.SlowStart.capacityFraction(age) * s.SlowStart.OverloadDuration.Seconds()
+	return float64(len(s.recentArrivals)) > bearable+3*math.Sqrt(bearable)+3
 }
 
 // Out implements Node.
 func (s *Server) Out(send func(Message)) {
-	for _, m := range s.out {
+	for _, m := range s.outbox {
 		send(m)
 	}
-	s.out = s.out[:0]
+	s.outbox = s.outbox[:0]
 }
--- a/internal/handover/compat_test.go
+++ b/internal/handover/compat_test.go
@@ -11,7 +11,7 @@
 	"martendrum/internal/goldentest"
 )
 
-// filled is a state with a value in every field, within what Check accepts.
+// filled is a state with a value in every field, within what CheckLearned accepts.
 func filled() martendrum.LearnedState {
 	var l martendrum.LearnedState
 	goldentest.Fill(&l)
@@ -20,44 +20,44 @@
 	return l
 }
 
-// A snapshot that an earlier build wrote is read as it was meant, and written again byte by
-// byte.
+// TestSnapshotOfEarlierBuild checks that an earlier build's snapshot is read with its values
+// and written again byte by byte.
 func TestSnapshotOfEarlierBuild(t *testing.T) {
 	const golden = "snapshot.bin"
 	goldentest.Compare(t, golden, encoded(t, filled()))
-	got, age, err := Decode(goldentest.Read(t, golden), "a:1", saved.Add(time.Second))
+	got, age, err := DecodeSnapshot(goldentest.Read(t, golden), "a:1", saved.Add(time.Second))
 	if err != nil || age != time.Second || !reflect.DeepEqual(got, filled()) {
 		t.Errorf("%+v, %v, %v; want %+v", got, age, err, filled())
 	}
 }
 
-// The messages of a hand-over have the form that an earlier build wrote: each step of one,
-// and one message with every field.
+// TestMessagesOfEarlierBuild checks that the messages of a hand-over, and one message with
+// every field, have the form that an earlier build wrote.
 func TestMessagesOfEarlierBuild(t *testing.T) {
 	const golden = "messages.jsonl"
 	full := Quota{Sockets: 100, MemoryMB: 64, InFlight: 50}
-	old := NewOld("a:1", full, func() []byte { return []byte("snapshot") })
-	old.OwnsRecord()
-	next := NewNew(full)
-	next.HasRecord()
+	old := NewPredecessor("a:1", full, func() []byte { return []byte("snapshot") })
+	old.SetOwnsStore()
+	next := NewSuccessor(full)
+	next.SetUsesStore()
 	var messages []Message
 	collect := func(actions []Action) {
 		for _, action := range actions {
-			if action.Do == Send || action.Do == SendListener {
+			if action.Type == SendMessage || action.Type == SendListener {
 				messages = append(messages, action.Message)
 			}
 		}
 	}
-	collect(next.Begin("a:1"))
-	collect(old.Came(1, messages[0]))
-	collect(old.Came(2, messages[0])) // refused: one new process at a time
-	if _, err := next.Came(messages[1]); err != nil {
+	collect(next.Hello("a:1"))
+	collect(old.Receive(1, messages[0]))
+	collect(old.Receive(2, messages[0])) // rejected: one successor at a time
+	if _, err := next.Receive(messages[1]); err != nil {
 		t.Fatal(err)
 	}
 	collect(next.Ready())
-	collect(old.Came(1, messages[len(messages)-1]))
-	collect(old.Leave())
-	collect(old.Needs(Quota{Sockets: 10, MemoryMB: 16, InFlight: 1}))
+	collect(old.Receive(1, messages[len(messages)-1]))
+	collect(old.Terminate())
+	collect(old.ReleaseUnused(Quota{Sockets: 10, MemoryMB: 16, InFlight: 1}))
 	var every Message
 	goldentest.Fill(&every)
 	messages = append(messages, every)
--- a/internal/hollow/cluster_test.go
+++ b/internal/hollow/cluster_test.go
@@ -104,7 +104,7 @@
 	var err error
 	c.authority, err = LoadAuthority(c.folder)
 	c.must(err)
-	c.operator, err = pki.TLS(c.path("ca.crt"), c.path("operator.crt"), c.path("operator.key"))
+	c.operator, err = pki.LoadTLS(c.path("ca.crt"), c.path("operator.crt"), c.path("operator.key"))
 	c.must(err)
 	// The agents have no instances, so the sidecar's program is never started.
 	c.must(os.WriteFile(c.path("unused"), []byte("#!/bin/false\n"), 0o700))
--- a/internal/idempotency/postgres/postgres_test.go
+++ b/internal/idempotency/postgres/postgres_test.go
@@ -22,7 +22,7 @@
 var ctx = context.Background()
 
 func config(u string) Config {
-	return Config{URL: u, Connections: 4, Statement: 5 * time.Second, Connect: 5 * time.Second}
+	return Config{URL: u, MaxConnections: 4, StatementTimeout: 5 * time.Second, ConnectTimeout: 5 * time.Second}
 }
 
 func serve(t *testing.T, cfg pgserver.Config) *pgserver.Server {
@@ -49,8 +49,8 @@
 	bt.Run(t, func(t *testing.T) idempotency.Backend { return mustOpen(t, config(serve(t, pgserver.Config{}).URL())) })
 }
 
-// The same against a real server, where an operator names one; each test gets a schema
-// of its own, which is dropped.
+// TestRealServer runs the same tests against a real server, where an operator names one.
+// Each test has a schema of its own, which is dropped.
 func TestRealServer(t *testing.T) {
 	at := os.Getenv("MARTENDRUM_TEST_POSTGRES")
 	if at == "" {
@@ -97,17 +97,17 @@
 	}
 	srv := serve(t, pgserver.Config{})
 	s := mustOpen(t, config(srv.URL()))
-	if err := s.ready(ctx); err != nil {
+	if err := s.awaitSchema(ctx); err != nil {
 		t.Fatal(err)
 	}
 	s.db.Pool.Exec(ctx, "INSERT INTO martendrum_schema (version) VALUES ($1::bigint)", int64(99))
-	if err := mustOpen(t, config(srv.URL())).ready(ctx); err == nil || !strings.Contains(err.Error(), "newer build") {
+	if err := mustOpen(t, config(srv.URL())).awaitSchema(ctx); err == nil || !strings.Contains(err.Error(), "newer build") {
 		t.Error(err)
 	}
 }
 
-// The connection is lost at COMMIT, before it took effect or after, or its reply is:
-// what became of it is asked, and each op is told the truth and carried out once.
+// TestAmbiguousCommit loses the connection at COMMIT, before or after it takes effect. Each
+// op must have its true result and be applied once.
 func TestAmbiguousCommit(t *testing.T) {
 	for _, stage := range []pgserver.Stage{pgserver.Before, pgserver.After} {
 		for _, fault := range []pgserver.Fault{{Reset: true}, {Code: "57P01"}, {Code: "40001"}} {
@@ -139,19 +139,19 @@
 	}
 }
 
-// Each bad day ends in an error that says what it is, in time, and the store goes on
-// when it is over.
-func TestBadDays(t *testing.T) {
+// TestDatabaseFaults checks that each fault is reported in time with what it is, and that
+// the store continues when it is over.
+func TestDatabaseFaults(t *testing.T) {
 	srv := serve(t, pgserver.Config{MaxConns: 3})
 	c := config(srv.URL())
-	c.Statement, c.Connect = 200*time.Millisecond, 200*time.Millisecond
+	c.StatementTimeout, c.ConnectTimeout = 200*time.Millisecond, 200*time.Millisecond
 	s := mustOpen(t, c)
 	bt.Expect(t, s, bt.Claim("warm", "w", time.Hour), idempotency.Granted)
 	always := func(f pgserver.Fault) func(pgserver.Event) pgserver.Fault {
 		return func(e pgserver.Event) pgserver.Fault { return f }
 	}
 	n := 0
-	for name, day := range map[string]struct {
+	for name, outage := range map[string]struct {
 		begin, end func()
 		want       string
 	}{
@@ -167,33 +167,10 @@
 		t.Run(name, func(t *testing.T) {
 			n++
 			key := fmt.Sprint("k", n)
-			day.begin()
-			began := time.Now()
-			short, cancel := context.WithTimeout(ctx, 2*time.Second)
-			err := s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
-			for range 3 { // a kept connection may fail otherwise first
-				if err != nil && !strings.Contains(err.Error(), day.want) {
-					err = s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
-				}
-			}
-			cancel()
-			if err == nil || !strings.Contains(err.Error(), day.want) || !strings.Contains(err.Error(), srv.Addr()) {
-				t.Errorf("%v; want it to say %q", err, day.want)
-			}
-			if took := time.Since(began); took > 10*time.Second {
-				t.Errorf("it took %v", took)
-			}
-			day.end()
-			deadline := time.Now().Add(20 * time.Second)
-			for {
-				op := bt.Claim(key, key, time.Hour)
-				if err = s.Apply(ctx, []*idempotency.Op{op}); err == nil && op.Result == idempotency.Granted {
-					return
-				}
-				if time.Now().After(deadline) {
-					t.Fatalf("it does not come back: %v %v", op.Result, err)
-				}
-			}
+			outage.begin()
+			checkReported(t, s, key, srv.Addr(), outage.want)
+			outage.end()
+			awaitClaim(t, s, key)
 		})
 	}
 	if err := s.Ping(ctx); err != nil {
@@ -205,13 +182,51 @@
 	}
 }
 
-// Connections are bounded, and a password is read from its file for each.
+// checkReported checks that a claim fails in time, with an error that names the server and
+// what is wrong.
+func checkReported(t *testing.T, s *Store, key, address, want string) {
+	t.Helper()
+	started := time.Now()
+	short, cancel := context.WithTimeout(ctx, 2*time.Second)
+	defer cancel()
+	err := s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
+	for range 3 { // a pooled connection may fail differently first
+		if err != nil && !strings.Contains(err.Error(), want) {
+			err = s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
+		}
+	}
+	if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), address) {
+		t.Errorf("%v; want it to say %q", err, want)
+	}
+	if elapsed := time.Since(started); elapsed > 10*time.Second {
+		t.Errorf("it took %v", elapsed)
+	}
+}
+
+// awaitClaim claims a key until that is granted.
+func awaitClaim(t *testing.T, s *Store, key string) {
+	t.Helper()
+	deadline := time.Now().Add(20 * time.Second)
+	for {
+		op := bt.Claim(key, key, time.Hour)
+		err := s.Apply(ctx, []*idempotency.Op{op})
+		if err == nil && op.Result == idempotency.Granted {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("it does not recover: %v %v", op.Result, err)
+		}
+	}
+}
+
+// TestPasswordAndBound checks that connections are bounded, and that the password is read
+// from its file for each.
 func TestPasswordAndBound(t *testing.T) {
 	srv := serve(t, pgserver.Config{User: "kasir", Password: "rahasia"})
 	file := filepath.Join(t.TempDir(), "password")
 	os.WriteFile(file, []byte("wrong\n"), 0o600)
 	c := config(srv.URL())
-	c.PasswordFile, c.Connections = file, 2
+	c.PasswordFile, c.MaxConnections = file, 2
 	s := mustOpen(t, c)
 	if err := s.Ping(ctx); err == nil || !strings.Contains(err.Error(), "password_file") {
 		t.Error(err)
@@ -235,7 +250,7 @@
 			t.Errorf("%d connections", n)
 		}
 	}
-	for want, c := range map[string]Config{"postgres.ca": {URL: srv.URL(), CA: file, Connections: 1}, "postgres.url": {URL: "postgres://%zz"}} {
+	for want, c := range map[string]Config{"postgres.ca": {URL: srv.URL(), CA: file, MaxConnections: 1}, "postgres.url": {URL: "postgres://%zz"}} {
 		if _, err := Open(c); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v; want it to say %q", err, want)
 		}
--- a/internal/msgpackrpc/client.go
+++ b/internal/msgpackrpc/client.go
@@ -10,28 +10,32 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrClosed ends the calls of a connection that was closed at this side.
+// ErrClosed is the cause of calls that ended because this side closed the connection.
 var ErrClosed = errors.New("msgpackrpc: connection closed")
 
-// CallError is a call without an answer. Sent tells whether the peer may have
-// carried it out.
+// CallError reports a call without a response. Sent shows whether the peer may have executed it.
 type CallError struct {
 	Method string
 	Sent   Sent
 	Err    error
 }
 
+// Error implements error.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("msgpackrpc: call %s: %s: %v", e.Method, e.Sent, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// RemoteError is an answer that carries an error: the peer took the call and said no.
+// RemoteError is a response that carries an error: the peer received the call and reported a
+// failure.
 type RemoteError struct {
 	Method string
 	Value  msgpack.RawMessage // as the peer sent it
 }
 
+// Error implements error.
 func (e *RemoteError) Error() string {
 	var v any
 	if err := msgpack.Unmarshal(e.Value, &v); err != nil {
@@ -40,68 +44,67 @@
 	return fmt.Sprintf("msgpackrpc: %s: %v", e.Method, v)
 }
 
-// call is a request that waits for its answer.
+// call is a request that waits for its response.
 type call struct {
-	it   *item
-	done chan struct{}
+	request *item
+	done    chan struct{}
 	// Set before done is closed.
-	err    error // the connection's end
-	answer message
+	err      error // why the connection ended; nil if there is a response
+	response message
 }
 
-// Client is the calling side of a connection. Its methods may be called from many
-// goroutines; answers come in any order.
+// Client is the calling side of a connection. Its methods are safe for concurrent use; responses
+// may arrive in any order.
 type Client struct {
-	nc      net.Conn
-	lim     Limits
-	w       *writer
+	conn    net.Conn
+	limits  Limits
+	writer  *writer
 	notify  func(method string, params msgpack.RawMessage)
-	slots   chan struct{} // one for each message id in use
-	done    chan struct{} // both goroutines have ended
-	written chan struct{} // the writing one has
+	slots   chan struct{} // an element for each message id in use
+	done    chan struct{} // closed when both goroutines have ended
+	written chan struct{} // closed when the writing goroutine has ended
 
-	mu      sync.Mutex
-	pending map[uint32]*call // nil values: given up, the answer may still come
-	next    uint32
-	err     error // the connection has ended
-	strays  int
+	mu          sync.Mutex
+	pending     map[uint32]*call // nil for abandoned calls whose response may still arrive
+	nextID      uint32
+	err         error // why the connection ended; nil while it is open
+	unsolicited int
 }
 
-// NewClient takes a connection over. notify, if not nil, gets the peer's
-// notifications, one at a time: while it runs, no answer is read. Close ends the
-// connection and both its goroutines.
-func NewClient(nc net.Conn, lim Limits, notify func(method string, params msgpack.RawMessage)) *Client {
-	lim = lim.filled()
+// NewClient takes ownership of a connection. notify, if not nil, receives the peer's notifications
+// one at a time; no response is read while it runs. Close ends the connection and its goroutines.
+func NewClient(conn net.Conn, limits Limits, notify func(method string, params msgpack.RawMessage)) *Client {
+	limits = limits.withDefaults()
 	c := &Client{
-		nc:      nc,
-		lim:     lim,
-		w:       newWriter(nc, lim),
+		conn:    conn,
+		limits:  limits,
+		writer:  newWriter(conn, limits),
 		notify:  notify,
-		slots:   make(chan struct{}, lim.Outstanding),
+		slots:   make(chan struct{}, limits.Outstanding),
 		done:    make(chan struct{}),
 		written: make(chan struct{}),
 		pending: make(map[uint32]*call),
 	}
-	var both sync.WaitGroup
-	both.Go(func() {
-		err := c.w.run()
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() {
+		err := c.writer.run()
 		close(c.written)
 		if err != nil {
-			c.end(err)
+			c.fail(err)
 		}
 	})
-	both.Go(c.read)
+	goroutines.Go(c.read)
 	go func() {
-		both.Wait()
+		goroutines.Wait()
 		close(c.done)
 	}()
 	return c
 }
 
-// Close ends the connection. Pending calls end with ErrClosed and tell whether
-// their requests were written. It returns when nothing of the client runs any more.
+// Close ends the connection. Pending calls end with ErrClosed and report whether their requests
+// were sent. Close returns after all goroutines of the client have ended.
 func (c *Client) Close() error {
-	c.end(ErrClosed)
+	c.fail(ErrClosed)
 	<-c.done
 	return nil
 }
@@ -109,23 +112,23 @@
 // Done is closed when the connection has ended.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
-// Err is why the connection ended; nil while it lives.
+// Err returns why the connection ended, and nil while it is open.
 func (c *Client) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// UnsolicitedResponses is how many answers came to calls that had been given up or that nobody
-// made. They reach no one.
+// UnsolicitedResponses returns the number of responses to calls that were abandoned or never made.
+// Such responses are dropped.
 func (c *Client) UnsolicitedResponses() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.strays
+	return c.unsolicited
 }
 
-// end closes the connection and ends all calls.
-func (c *Client) end(err error) {
+// fail closes the connection and ends all calls.
+func (c *Client) fail(err error) {
 	c.mu.Lock()
 	if c.err != nil {
 		c.mu.Unlock()
@@ -135,8 +138,8 @@
 	calls := c.pending
 	c.pending = nil
 	c.mu.Unlock()
-	c.nc.Close() // a write that is under way ends, and says how far it came
-	c.w.fail(err)
+	c.conn.Close() // ends a write in progress, which then returns the bytes written
+	c.writer.fail(err)
 	for _, call := range calls {
 		if call != nil {
 			call.err = err
@@ -145,118 +148,149 @@
 	}
 }
 
+// read receives messages until the connection ends.
 func (c *Client) read() {
-	r := newReader(c.nc, c.lim)
+	messages := newReader(c.conn, c.limits)
 	for {
-		m, err := r.next(0)
+		message, err := messages.next(0)
 		if err != nil {
-			c.end(err)
+			c.fail(err)
 			return
 		}
-		switch m.kind {
+		switch message.kind {
 		case kindNotify:
 			if c.notify != nil {
-				c.notify(m.method, m.a)
+				c.notify(message.method, message.paramsOrError)
 			}
 		case kindResponse:
-			c.mu.Lock()
-			call, known := c.pending[m.id]
-			delete(c.pending, m.id)
-			if call == nil {
-				c.strays++
-			}
-			c.mu.Unlock()
-			if known {
-				<-c.slots
-			}
-			if call != nil {
-				call.answer = m
-				close(call.done)
-			}
+			c.deliver(message)
 		default:
-			c.end(fmt.Errorf("%w: a request came to the calling side", ErrFormat))
+			c.fail(fmt.Errorf("%w: a request came to the calling side", ErrFormat))
 			return
 		}
 	}
 }
 
-// Call sends a request and waits for its answer, which it decodes into result
+// deliver passes a response to its call and releases the call's message id.
+func (c *Client) deliver(response message) {
+	c.mu.Lock()
+	call, known := c.pending[response.id]
+	delete(c.pending, response.id)
+	if call == nil {
+		c.unsolicited++
+	}
+	c.mu.Unlock()
+	if known {
+		<-c.slots
+	}
+	if call != nil {
+		call.response = response
+		close(call.done)
+	}
+}
+
+// Call sends a request, waits for its response and decodes the result into result
 // unless that is nil. params is the method's array of parameters; nil is none.
-// It ends with the context: the answer, if it still comes, is dropped, and the
-// message id stays taken until then. Errors are *RemoteError where the peer said
-// no, *CallError where there is no answer.
+// Call ends with the context: a response that arrives later is dropped, and the
+// message id stays in use until then. Errors are *RemoteError if the peer responded
+// with an error, and *CallError if there is no usable response.
 func (c *Client) Call(ctx context.Context, method string, params []any, result any) error {
-	data, err := encode(kindRequest, 0, method, params)
+	data, err := c.encodeBounded(kindRequest, method, params)
+	if err != nil {
+		return &CallError{Method: method, Err: err}
+	}
+	if err := c.acquireSlot(ctx); err != nil {
+		return &CallError{Method: method, Err: err}
+	}
+	call := &call{request: &item{data: data}, done: make(chan struct{})}
+	id, err := c.register(call)
 	if err != nil {
 		return &CallError{Method: method, Err: err}
 	}
-	if len(data) > c.lim.Message {
-		return &CallError{Method: method, Err: ErrTooLong}
+	copy(data, appendHeader(nil, kindRequest, id))
+
+	if err := c.writer.add(call.request); err != nil {
+		c.abandon(id, call)
+		return &CallError{Method: method, Err: err}
 	}
+	if err := c.await(ctx, id, call); err != nil {
+		return &CallError{Method: method, Sent: c.writer.sentState(call.request), Err: err}
+	}
+	return call.response.decodeResult(method, result)
+}
+
+// acquireSlot waits until fewer than Limits.Outstanding message ids are in use.
+func (c *Client) acquireSlot(ctx context.Context) error {
 	select {
 	case c.slots <- struct{}{}:
+		return nil
 	case <-ctx.Done():
-		return &CallError{Method: method, Err: ctx.Err()}
+		return ctx.Err()
 	case <-c.done:
-		return &CallError{Method: method, Err: c.Err()}
+		return c.Err()
 	}
-	call := &call{it: &item{data: data}, done: make(chan struct{})}
+}
+
+// register assigns a message id to a call that holds a slot. On an error the slot is
+// released.
+func (c *Client) register(call *call) (id uint32, err error) {
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	if c.err != nil {
-		err := c.err
-		c.mu.Unlock()
 		<-c.slots
-		return &CallError{Method: method, Err: err}
+		return 0, c.err
 	}
 	for {
-		c.next++
-		if _, taken := c.pending[c.next]; !taken {
+		c.nextID++
+		if _, inUse := c.pending[c.nextID]; !inUse {
 			break
 		}
 	}
-	id := c.next
-	c.pending[id] = call
-	c.mu.Unlock()
-	copy(data, appendHead(nil, kindRequest, id))
+	c.pending[c.nextID] = call
+	return c.nextID, nil
+}
 
-	if err := c.w.add(call.it); err != nil {
-		c.giveUp(id, call)
-		return &CallError{Method: method, Err: err}
-	}
+// await waits for the end of a call, and returns an error unless it has a response.
+func (c *Client) await(ctx context.Context, id uint32, call *call) error {
 	select {
 	case <-call.done:
 	case <-ctx.Done():
-		if answered := c.giveUp(id, call); !answered {
-			return &CallError{Method: method, Sent: c.w.state(call.it), Err: ctx.Err()}
+		if ended := c.abandon(id, call); !ended {
+			return ctx.Err()
 		}
 		<-call.done
 	}
 	if call.err != nil {
-		<-c.written // how far the last write came is known
-		return &CallError{Method: method, Sent: c.w.state(call.it), Err: call.err}
+		<-c.written // afterwards it is known how much of the request was sent
+		return call.err
 	}
-	if !isNil(call.answer.a) {
-		return &RemoteError{Method: method, Value: call.answer.a}
+	return nil
+}
+
+// decodeResult decodes a response, which may carry an error instead of a result.
+func (m *message) decodeResult(method string, result any) error {
+	if !isNil(m.paramsOrError) {
+		return &RemoteError{Method: method, Value: m.paramsOrError}
 	}
 	if result == nil {
 		return nil
 	}
-	if err := msgpack.Unmarshal(call.answer.b, result); err != nil {
+	if err := msgpack.Unmarshal(m.result, result); err != nil {
 		return &CallError{Method: method, Sent: SentCompletely, Err: fmt.Errorf("its result can't be read: %w", err)}
 	}
 	return nil
 }
 
-// giveUp forgets a call; true if its end has come already. Where its request
-// went out, its id and slot stay taken until the answer comes.
-func (c *Client) giveUp(id uint32, call *call) (ended bool) {
-	never := c.w.take(call.it)
+// abandon ends the wait for a call, and reports whether the call has ended already.
+// If its request was sent, its id and slot stay in use until the response arrives.
+func (c *Client) abandon(id uint32, call *call) (ended bool) {
+	withdrawn := c.writer.withdraw(call.request)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending[id] != call {
 		return true
 	}
-	if never {
+	if withdrawn {
 		delete(c.pending, id)
 		<-c.slots
 	} else {
@@ -265,14 +299,11 @@
 	return false
 }
 
-// Notify sends a notification, which has no answer.
+// Notify sends a notification, which has no response.
 func (c *Client) Notify(method string, params []any) error {
-	data, err := encode(kindNotify, 0, method, params)
-	if err == nil && len(data) > c.lim.Message {
-		err = ErrTooLong
-	}
+	data, err := c.encodeBounded(kindNotify, method, params)
 	if err == nil {
-		err = c.w.add(&item{data: data})
+		err = c.writer.add(&item{data: data})
 	}
 	if err != nil {
 		return &CallError{Method: method, Err: err}
@@ -280,9 +311,22 @@
 	return nil
 }
 
-// encode makes a request or a notification.
+// encodeBounded encodes a request, whose message id is set later, or a notification. It
+// returns ErrTooLong for a message over the limit.
+func (c *Client) encodeBounded(kind byte, method string, params []any) ([]byte, error) {
+	data, err := encode(kind, 0, method, params)
+	if err != nil {
+		return nil, err
+	}
+	if len(data) > c.limits.Message {
+		return nil, ErrTooLong
+	}
+	return data, nil
+}
+
+// encode encodes a request or a notification.
 func encode(kind byte, id uint32, method string, params []any) ([]byte, error) {
-	b := appendString(appendHead(make([]byte, 0, 128), kind, id), method)
+	b := appendString(appendHeader(make([]byte, 0, 128), kind, id), method)
 	if params == nil {
 		return append(b, 0x90), nil
 	}
--- /dev/null
+++ b/internal/msgpackrpc/object.go
@@ -0,0 +1,175 @@
+package msgpackrpc
+
+import (
+	"bufio"
+	"encoding/binary"
+	"fmt"
+	"io"
+)
+
+// bodyChunk is the number of bytes of a body that are allocated ahead of their arrival, so that a
+// claimed length alone costs no memory.
+const bodyChunk = 16 << 10
+
+// readObject reads one complete MessagePack object. It reuses buf if it is large enough.
+func readObject(buffered *bufio.Reader, limits Limits, buf []byte) ([]byte, error) {
+	buf = buf[:0]
+	open := make([]uint64, 1, 8) // number of objects still expected, by nesting level
+	open[0] = 1
+	for len(open) > 0 {
+		top := &open[len(open)-1]
+		if *top == 0 {
+			open = open[:len(open)-1]
+			continue
+		}
+		*top--
+		code, err := buffered.ReadByte()
+		if err != nil {
+			return nil, unexpected(err, len(buf))
+		}
+		buf = append(buf, code)
+		next, err := layoutOf(code)
+		if err != nil {
+			return nil, err
+		}
+		if next.lengthBytes > 0 {
+			at := len(buf)
+			if buf, err = readBody(buffered, buf, uint64(next.lengthBytes), limits.Message); err != nil {
+				return nil, err
+			}
+			next = layoutOfLength(code, decodeUint(buf[at:]))
+		}
+		if next.body > 0 {
+			if buf, err = readBody(buffered, buf, next.body, limits.Message); err != nil {
+				return nil, err
+			}
+		}
+		if next.children > 0 {
+			// Every child takes at least one byte.
+			if next.children > uint64(limits.Message) {
+				return nil, ErrTooLong
+			}
+			if len(open) >= limits.Depth {
+				return nil, ErrTooDeep
+			}
+			open = append(open, next.children)
+		}
+		if len(buf) > limits.Message {
+			return nil, ErrTooLong
+		}
+	}
+	return buf, nil
+}
+
+// unexpected converts an end of file after the first byte.
+func unexpected(err error, had int) error {
+	if err == io.EOF && had > 0 {
+		return io.ErrUnexpectedEOF
+	}
+	return err
+}
+
+// readBody appends n bytes to buf.
+func readBody(buffered *bufio.Reader, buf []byte, n uint64, limit int) ([]byte, error) {
+	if n > uint64(limit) || len(buf)+int(n) > limit {
+		return nil, ErrTooLong
+	}
+	for left := int(n); left > 0; {
+		part := min(left, bodyChunk)
+		at := len(buf)
+		buf = append(buf, make([]byte, part)...)
+		if _, err := io.ReadFull(buffered, buf[at:]); err != nil {
+			return nil, unexpected(err, 1)
+		}
+		left -= part
+	}
+	return buf, nil
+}
+
+// layout is what follows a type byte. If it has length bytes, the rest depends on them.
+type layout struct {
+	lengthBytes int    // big-endian length of the body or number of children
+	body        uint64 // bytes
+	children    uint64 // objects
+}
+
+// layoutOf returns what follows a type byte.
+func layoutOf(code byte) (layout, error) {
+	switch {
+	case code <= 0x7f, code >= 0xe0: // fixint
+		return layout{}, nil
+	case code <= 0x8f: // fixmap
+		return layout{children: 2 * uint64(code&0x0f)}, nil
+	case code <= 0x9f: // fixarray
+		return layout{children: uint64(code & 0x0f)}, nil
+	case code <= 0xbf: // fixstr
+		return layout{body: uint64(code & 0x1f)}, nil
+	case code == 0xc1:
+		return layout{}, fmt.Errorf("%w: type byte c1 is never used", ErrFormat)
+	case code <= 0xc3: // nil, false, true
+		return layout{}, nil
+	case code <= 0xc6: // bin
+		return layout{lengthBytes: 1 << (code - 0xc4)}, nil
+	case code <= 0xc9: // ext
+		return layout{lengthBytes: 1 << (code - 0xc7)}, nil
+	case code == 0xca: // float 32
+		return layout{body: 4}, nil
+	case code == 0xcb: // float 64
+		return layout{body: 8}, nil
+	case code <= 0xcf: // uint
+		return layout{body: 1 << (code - 0xcc)}, nil
+	case code <= 0xd3: // int
+		return layout{body: 1 << (code - 0xd0)}, nil
+	case code <= 0xd8: // fixext, with its type byte
+		return layout{body: 1 + 1<<(code-0xd4)}, nil
+	case code <= 0xdb: // str
+		return layout{lengthBytes: 1 << (code - 0xd9)}, nil
+	default: // array and map, 16 and 32
+		return layout{lengthBytes: 2 << (code & 1)}, nil
+	}
+}
+
+// layoutOfLength returns what follows the length bytes with value n.
+func layoutOfLength(code byte, n uint64) layout {
+	switch {
+	case code >= 0xde: // map
+		return layout{children: 2 * n}
+	case code >= 0xdc: // array
+		return layout{children: n}
+	case code >= 0xc7 && code <= 0xc9: // ext: a type byte and its data
+		return layout{body: n + 1}
+	}
+	return layout{body: n}
+}
+
+// decodeUint decodes a big-endian number of 1, 2, 4 or 8 bytes.
+func decodeUint(b []byte) uint64 {
+	switch len(b) {
+	case 1:
+		return uint64(b[0])
+	case 2:
+		return uint64(binary.BigEndian.Uint16(b))
+	case 4:
+		return uint64(binary.BigEndian.Uint32(b))
+	}
+	return binary.BigEndian.Uint64(b)
+}
+
+// objectLength returns the length of the first object in b, which must have been validated by
+// readObject.
+func objectLength(b []byte) int {
+	at := 0
+	for left := uint64(1); left > 0; left-- {
+		code := b[at]
+		at++
+		next, _ := layoutOf(code)
+		if next.lengthBytes > 0 {
+			length := decodeUint(b[at : at+next.lengthBytes])
+			at += next.lengthBytes
+			next = layoutOfLength(code, length)
+		}
+		at += int(next.body)
+		left += next.children
+	}
+	return at
+}
--- a/internal/msgpackrpc/writer.go
+++ b/internal/msgpackrpc/writer.go
@@ -6,61 +6,62 @@
 	"time"
 )
 
-// Sent tells how much of a message went out before its connection ended.
+// Sent is how much of a message was sent before its connection ended.
 type Sent int
 
 const (
-	SentNone       Sent = iota // not a byte: the peer can't have taken it
-	SentPart                   // some bytes, not the last: a peer that keeps to the specification has not taken it
-	SentCompletely             // all: it may have been carried out
+	SentNone       Sent = iota // no byte: the peer can't have executed it
+	SentPart                   // some bytes but not the last: a peer that follows the specification has not executed it
+	SentCompletely             // all bytes: the peer may have executed it
 )
 
+// String describes s in words.
 func (s Sent) String() string {
-	return [...]string{"never sent", "sent in part", "sent whole"}[s]
+	return [...]string{"never sent", "sent in part", "sent completely"}[s]
 }
 
-// item is a message on its way out. Its field sent is guarded by the writer's lock.
+// item is a message to write. Its fields sent and withdrawn are guarded by the writer's lock.
 type item struct {
-	data []byte
-	sent Sent
-	gone bool // taken back before a byte of it went out
+	data      []byte
+	sent      Sent
+	withdrawn bool // withdrawn before any byte was sent
 }
 
-// maxBatch is how many bytes are handed to the socket in one write.
-const maxBatch = 64 << 10
+// maxBatchBytes is the maximum number of bytes of several messages in one write.
+const maxBatchBytes = 64 << 10
 
-// writer writes queued messages in order, from one goroutine that ends with the
-// connection. Its queue is bounded in bytes: who adds to a full one waits.
+// writer writes queued messages in order, in one goroutine that ends with the connection. Its queue
+// is bounded in bytes; add blocks while it is full.
 type writer struct {
-	nc  net.Conn
-	lim Limits
-
-	mu     sync.Mutex
-	cond   sync.Cond // the queue, stop or err changed
-	queue  []*item
-	queued int // bytes, with those being written
-	stop   bool
-	err    error // why nothing more goes out
+	conn   net.Conn
+	limits Limits
+
+	mu       sync.Mutex
+	cond     sync.Cond // signals a change of queue, stopping or err
+	queue    []*item
+	queued   int // bytes in the queue and in the current write
+	stopping bool
+	err      error // why the writer has ended
 }
 
-func newWriter(nc net.Conn, lim Limits) *writer {
-	w := &writer{nc: nc, lim: lim}
+func newWriter(conn net.Conn, limits Limits) *writer {
+	w := &writer{conn: conn, limits: limits}
 	w.cond.L = &w.mu
 	return w
 }
 
-// add queues a message. It waits while the queue is full, which ends when the
-// peer takes what it is sent or, after Limits.Send, with the connection.
+// add queues a message. It blocks while the queue is full, until the peer reads or, after
+// Limits.Send, the connection ends.
 func (w *writer) add(it *item) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for w.err == nil && !w.stop && w.queued > 0 && w.queued+len(it.data) > w.lim.Queued {
+	for w.err == nil && !w.stopping && w.queued > 0 && w.queued+len(it.data) > w.limits.Queued {
 		w.cond.Wait()
 	}
 	if w.err != nil {
 		return w.err
 	}
-	if w.stop {
+	if w.stopping {
 		return net.ErrClosed
 	}
 	w.queue = append(w.queue, it)
@@ -69,23 +70,24 @@
 	return nil
 }
 
-// take takes a message back if not a byte of it has gone out.
-func (w *writer) take(it *item) bool {
+// withdraw keeps a message from being sent, and returns false if a byte of it may have been sent.
+func (w *writer) withdraw(it *item) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if it.sent == SentNone {
-		it.gone = true
+		it.withdrawn = true
 	}
-	return it.gone
+	return it.withdrawn
 }
 
-func (w *writer) state(it *item) Sent {
+// sentState returns how much of an item was sent.
+func (w *writer) sentState(it *item) Sent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return it.sent
 }
 
-// fail ends the writer at once.
+// fail ends the writer immediately.
 func (w *writer) fail(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,11 +97,11 @@
 	w.cond.Broadcast()
 }
 
-// finish ends the writer when all that is queued has gone out.
+// finish ends the writer once its queue is empty.
 func (w *writer) finish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.stop = true
+	w.stopping = true
 	w.cond.Broadcast()
 }
 
@@ -108,54 +110,17 @@
 	var batch []*item
 	for {
 		w.mu.Lock()
-		for len(w.queue) == 0 && w.err == nil && !w.stop {
-			w.cond.Wait()
-		}
-		if w.err != nil || len(w.queue) == 0 {
+		if !w.waitForItems() {
 			err := w.err
 			w.mu.Unlock()
 			return err
 		}
-		batch = batch[:0]
-		taken, bytes := 0, 0
-		for _, it := range w.queue {
-			if len(batch) > 0 && bytes+len(it.data) > maxBatch {
-				break
-			}
-			taken++
-			if it.gone {
-				w.queued -= len(it.data)
-				continue
-			}
-			// From here on all of it may be out; the write's end tells.
-			it.sent = SentCompletely
-			batch = append(batch, it)
-			bytes += len(it.data)
-		}
-		clear(w.queue[:taken])
-		w.queue = w.queue[taken:]
-		if len(w.queue) == 0 {
-			w.queue = nil
-		}
+		batch = w.takeBatch(batch[:0])
 		w.mu.Unlock()
 
-		n, err := 0, w.nc.SetWriteDeadline(time.Now().Add(w.lim.Send))
-		if err == nil && bytes > 0 {
-			n, err = w.nc.Write(joined(batch, bytes))
-		}
+		written, err := w.write(batch)
 		w.mu.Lock()
-		at := 0
-		for _, it := range batch {
-			switch at += len(it.data); {
-			case at <= n:
-			case at-len(it.data) >= n:
-				it.sent = SentNone
-			default:
-				it.sent = SentPart
-			}
-			w.queued -= len(it.data)
-			it.data = nil
-		}
+		w.recordSent(batch, written)
 		if err != nil && w.err == nil {
 			w.err = err
 		}
@@ -165,15 +130,83 @@
 	}
 }
 
-// joined is the bytes of a batch for one write. A buffer is made only for several messages,
-// and not kept: most connections are idle.
-func joined(batch []*item, bytes int) []byte {
+// waitForItems waits until the queue holds items. It returns false if the writer must end.
+// The caller holds mu.
+func (w *writer) waitForItems() bool {
+	for len(w.queue) == 0 && w.err == nil && !w.stopping {
+		w.cond.Wait()
+	}
+	return w.err == nil && len(w.queue) > 0
+}
+
+// takeBatch moves items from the queue to a batch of at most maxBatchBytes, or of one
+// longer item, and drops withdrawn ones. The caller holds mu.
+func (w *writer) takeBatch(batch []*item) []*item {
+	taken, bytes := 0, 0
+	for _, next := range w.queue {
+		if len(batch) > 0 && bytes+len(next.data) > maxBatchBytes {
+			break
+		}
+		taken++
+		if next.withdrawn {
+			w.queued -= len(next.data)
+			continue
+		}
+		// From here on all of it may be sent. recordSent corrects that after the write.
+		next.sent = SentCompletely
+		batch = append(batch, next)
+		bytes += len(next.data)
+	}
+	clear(w.queue[:taken])
+	w.queue = w.queue[taken:]
+	if len(w.queue) == 0 {
+		w.queue = nil
+	}
+	return batch
+}
+
+// write writes a batch, which may be empty, and returns the number of bytes written.
+func (w *writer) write(batch []*item) (int, error) {
+	if err := w.conn.SetWriteDeadline(time.Now().Add(w.limits.Send)); err != nil {
+		return 0, err
+	}
+	if len(batch) == 0 {
+		return 0, nil
+	}
+	return w.conn.Write(joinBatch(batch))
+}
+
+// recordSent records how much of each item of a batch was sent. The caller holds mu.
+func (w *writer) recordSent(batch []*item, written int) {
+	end := 0
+	for _, next := range batch {
+		begin := end
+		end += len(next.data)
+		switch {
+		case end <= written: // sent completely, as takeBatch has recorded
+		case begin >= written:
+			next.sent = SentNone
+		default:
+			next.sent = SentPart
+		}
+		w.queued -= len(next.data)
+		next.data = nil
+	}
+}
+
+// joinBatch returns the bytes of a batch for one write. A buffer is allocated only for several
+// items, and not retained, because most connections are idle.
+func joinBatch(batch []*item) []byte {
 	if len(batch) == 1 {
 		return batch[0].data
 	}
+	bytes := 0
+	for _, next := range batch {
+		bytes += len(next.data)
+	}
 	data := make([]byte, 0, bytes)
-	for _, it := range batch {
-		data = append(data, it.data...)
+	for _, next := range batch {
+		data = append(data, next.data...)
 	}
 	return data
 }
--- a/internal/standin/simhost/simhost.go
+++ b/internal/standin/simhost/simhost.go
@@ -1,11 +1,12 @@
-// Package simhost is a machine whose sidecars are only pretended: they become
-// ready and end after set times, in memory. It lets one test process hold agents
-// with hundreds of instances. Faults are set through its fields' methods.
+// Package simhost is a simulated machine for agents: its sidecars exist only in memory, become ready
+// and exit after configured times, and serve nothing. It lets one test process run agents with
+// hundreds of instances.
 package simhost
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"os"
 	"strings"
 	"sync"
@@ -17,38 +18,41 @@
 	"martendrum/internal/fleet/host/proc"
 )
 
-// Host is a pretended machine; it outlives the agents on it.
+// Host is a simulated machine. It outlives the agents that run on it.
 type Host struct {
-	Ready time.Duration // from a start to the first good health call
-	Drain time.Duration // from SIGTERM to the end
+	Ready time.Duration // from the start of a process to its first successful health check
+	Drain time.Duration // from SIGTERM to the exit
 
-	mu       sync.Mutex
-	last     int
-	procs    map[int]*process
-	launches []string
+	mu        sync.Mutex
+	lastPID   int
+	processes map[int]*process
+	launches  []string
 }
 
+// process is a simulated process.
 type process struct {
-	launch, addr string
-	ready        time.Time
-	done         chan struct{}
-	once         sync.Once
-	exit         string
+	launch  string
+	address string
+	ready   time.Time // when health checks start to succeed
+	done    chan struct{}
+	once    sync.Once
+	exit    string // valid once done is closed
 }
 
-func (p *process) end(how string) {
+// exitWith ends the process, once.
+func (p *process) exitWith(how string) {
 	p.once.Do(func() {
 		p.exit = how
 		close(p.done)
 	})
 }
 
-// New returns a machine on which nothing runs.
+// New returns a machine without processes.
 func New(ready, drain time.Duration) *Host {
-	return &Host{Ready: ready, Drain: drain, procs: make(map[int]*process)}
+	return &Host{Ready: ready, Drain: drain, processes: make(map[int]*process)}
 }
 
-// Launches is every launch so far, in order.
+// Launches returns the names of all launches so far, in order.
 func (h *Host) Launches() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,18 +63,19 @@
 func (h *Host) Start(s proc.Spec) (*agent.Process, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.last++
+	h.lastPID++
 	p := &process{launch: s.Launch, ready: time.Now().Add(h.Ready), done: make(chan struct{})}
 	for _, v := range s.Env {
-		if addr, ok := strings.CutPrefix(v, "BALANCER_LISTEN="); ok {
-			p.addr = addr
+		if address, ok := strings.CutPrefix(v, "BALANCER_LISTEN="); ok {
+			p.address = address
 		}
 	}
-	h.procs[h.last] = p
+	h.processes[h.lastPID] = p
 	h.launches = append(h.launches, s.Launch)
-	return h.handle(h.last, p), nil
+	return h.handle(h.lastPID, p), nil
 }
 
+// handle returns a process as an agent sees it.
 func (h *Host) handle(pid int, p *process) *agent.Process {
 	return &agent.Process{PID: pid, Ticks: 1, Done: p.done, Exit: func() string { return p.exit }, Signal: func(sig syscall.Signal) error {
 		select {
@@ -80,9 +85,9 @@
 		}
 		switch sig {
 		case syscall.SIGTERM:
-			time.AfterFunc(h.Drain, func() { p.end("exit status 0") })
+			time.AfterFunc(h.Drain, func() { p.exitWith("exit status 0") })
 		case syscall.SIGKILL:
-			p.end("signal: killed")
+			p.exitWith("signal: killed")
 		}
 		return nil
 	}}
@@ -92,14 +97,15 @@
 func (h *Host) Adopt(_ context.Context, pid int, _ uint64) (*agent.Process, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	p := h.procs[pid]
-	if p == nil || exited(p) {
+	p := h.processes[pid]
+	if p == nil || hasExited(p) {
 		return nil, os.ErrProcessDone
 	}
 	return h.handle(pid, p), nil
 }
 
-func exited(p *process) bool {
+// hasExited says whether a process has exited.
+func hasExited(p *process) bool {
 	select {
 	case <-p.done:
 		return true
@@ -113,8 +119,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := make(map[string]proc.Found)
-	for pid, p := range h.procs {
-		if strings.HasPrefix(p.launch, prefix) && !exited(p) {
+	for pid, p := range h.processes {
+		if strings.HasPrefix(p.launch, prefix) && !hasExited(p) {
 			out[p.launch] = proc.Found{PID: pid, Ticks: 1}
 		}
 	}
@@ -122,23 +128,23 @@
 }
 
 // Health implements agent.Machine.
-func (h *Host) Health(_ context.Context, addr string, _ time.Duration) (proc.Healthy, error) {
+func (h *Host) Health(_ context.Context, address string, _ time.Duration) (proc.Healthy, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, p := range h.procs {
-		if p.addr == addr && !exited(p) {
+	for _, p := range h.processes {
+		if p.address == address && !hasExited(p) {
 			if time.Now().Before(p.ready) {
 				return proc.Healthy{}, errors.New("health: answered 503")
 			}
 			return proc.Healthy{}, nil
 		}
 	}
-	return proc.Healthy{}, errors.New("connection refused")
+	return proc.Healthy{}, fmt.Errorf("health: dial %s: connection refused", address)
 }
 
-// Metrics implements agent.Machine: a pretended sidecar has no door.
+// Metrics implements agent.Machine. A simulated sidecar has no metrics.
 func (h *Host) Metrics(context.Context, string, int, time.Duration) (*api.Sample, error) {
-	return nil, errors.New("a pretended sidecar has no door")
+	return nil, errors.New("a simulated sidecar has no admin endpoint")
 }
 
 // Boot implements agent.Machine.
