--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Estimate is a figure at the size that is needed.
+// Estimate is a figure at the required size.
 type Estimate struct {
 	Quantity string
 	From     string // how it is worked out
@@ -11,19 +11,19 @@
 	Limit    float64 // in the same unit; 0: none is set
 }
 
-// needed is how many times the figure goes beyond its limit.
+// needed returns the figure as a multiple of its limit.
 func (e Estimate) needed() float64 { return e.Value.Value / e.Limit }
 
-// exactly is a value that is no measurement: worked out from needs and assumptions alone.
+// exactly returns a value without an interval, computed from requirements and assumptions alone.
 func exactly(value float64) Interval { return Interval{value, value, value} }
 
-// Role is a part of the system and what it needs.
+// Role is a part of the system with its estimates.
 type Role struct {
 	Name      string
 	Estimates []Estimate
 }
 
-// lists are the lengths of server lists that the page works with.
+// lists are the lengths of server lists in the page's estimates.
 type lists struct {
 	usual, many, all float64 // of a sidecar that calls 5 services, 20 services, all
 }
@@ -33,7 +33,7 @@
 	return lists{usual: listOfServices(sizes, servicesCalled), many: listOfServices(sizes, maxServicesCalled), all: Servers}
 }
 
-// roles works out the figures of all roles.
+// roles computes the figures of all roles.
 func roles(c *curves) []Role {
 	return []Role{
 		{"path", pathEstimates(c)},
@@ -84,7 +84,7 @@
 		Estimate{"time until a change is known", "the bound of discovery's watch, in the code", exactly(6), "s", ConvergeSeconds})
 }
 
-// listEstimates are the figures of one length of the list.
+// listEstimates returns the figures for one length of the list.
 func listEstimates(c *curves, name string, length float64) []Estimate {
 	share := length / Servers
 	perServer := c.at(CompleteList, "bytes of a server on the wire", length)
@@ -130,7 +130,7 @@
 // membershipCeiling is the rate of internal/peers' default configuration, in bytes a second.
 const membershipCeiling = 600
 
-// Aims of the settings' distribution that are below the needs.
+// Objectives of the settings' distribution that are stricter than the requirements.
 const (
 	maxHostsSeconds   = 5   // a change is in force at 999 hosts in 1,000
 	restBytesASecond  = 300 // of a subscriber
@@ -173,7 +173,7 @@
 
 func agentEstimates(c *curves) []Estimate {
 	var estimates []Estimate
-	for _, sidecars := range []float64{1, sidecarsUsual, maxSidecars} {
+	for _, sidecars := range []float64{1, typicalSidecars, maxSidecars} {
 		estimates = append(estimates, Estimate{
 			fmt.Sprintf("at rest, sidecars on the host: %.0f: processor time", sidecars), "agent",
 			c.at(Agent, "processor time of the agent", sidecars), "% of a core", ControlCorePercent * sidecars,
@@ -185,7 +185,7 @@
 	ordinary := float64(ChangesPerDay) / minutesPerDay
 	return append(estimates,
 		Estimate{"one sidecar, 9 changes of settings a minute: processor time", "settings-change", c.at(SettingsChange, "processor time of the agent", ordinary), "% of a core", ControlCorePercent},
-		Estimate{"one sidecar, 90 changes a minute: processor time", "settings-change", c.at(SettingsChange, "processor time of the agent", overloadMinute*ordinary), "% of a core", ControlCorePercent},
+		Estimate{"one sidecar, 90 changes a minute: processor time", "settings-change", c.at(SettingsChange, "processor time of the agent", overloadFactor*ordinary), "% of a core", ControlCorePercent},
 		Estimate{"one sidecar, 9 changes a minute: resident memory", "settings-change", c.at(SettingsChange, "resident memory of the agent", ordinary), "MiB", controlMebibyte},
 		Estimate{"messages to each sidecar, on the host itself", "intervals in the code: health 1 s, metrics 10 s", exactly(1.1), "calls/s", 0},
 		Estimate{"10 sidecars: descriptors", "agent", c.at(Agent, "descriptors of the agent", maxSidecars), "descriptors", ProcessDescriptors})
@@ -210,7 +210,7 @@
 	commits := c.at(Keys, "one key's three commits", keys)
 	return []Estimate{
 		{"keys held by a sidecar", "assumed: one call in ten has a key, kept 10 minutes", exactly(keys), "keys", 0},
-		{"file", fmt.Sprintf("keys, %s keys; limit: 64 MiB, the bound assumed", formatNumber(keys)), c.at(Keys, "file bytes of a key", keys).times(keys / mebibyte), "MiB", recordBytes / mebibyte},
+		{"file", fmt.Sprintf("keys, %s keys; limit: 64 MiB, the bound assumed", formatNumber(keys)), c.at(Keys, "file bytes of a key", keys).times(keys / mebibyte), "MiB", idempotencyStoreBytes / mebibyte},
 		{"share of the time that the store is busy", "keys, one commit after the other", commits.times(keyed / milliseconds * 100), "%", 100},
 		{"time to open after a start", "keys", c.at(Keys, "time to open", keys), "ms", ConvergeSeconds * milliseconds},
 	}
@@ -227,8 +227,8 @@
 	}
 }
 
-// budgetEstimates add up what a sidecar and its agent take for control, for a host with
-// one sidecar: what others share is on the safe side.
+// budgetEstimates adds up what a sidecar and its agent use for control, for a host with one
+// sidecar. Hosts with more sidecars share the agent and so use less for each.
 func budgetEstimates(c *curves) []Estimate {
 	usual := assumedLists().usual
 	share := usual / Servers
@@ -250,7 +250,7 @@
 	return []Estimate{
 		{"processor time at rest", "sidecar-list, agent", rest, "% of a core", ControlCorePercent},
 		{"processor time, ordinary minute", "and 9 changes of settings that concern it, 5,400 restarts a day", rest.plus(settings(ordinary)).plus(listShare(ordinaryListChanges)), "% of a core", ControlCorePercent},
-		{"processor time, bad minute", "and 90 changes of settings, a zone lost", rest.plus(settings(overloadMinute * ordinary)).plus(listShare(badListChanges)), "% of a core", ControlCorePercent},
+		{"processor time, bad minute", "and 90 changes of settings, a zone lost", rest.plus(settings(overloadFactor * ordinary)).plus(listShare(badListChanges)), "% of a core", ControlCorePercent},
 		{"resident memory of both", "sidecar-list, settings-change", memory, "MiB", controlMebibyte},
 		{"bytes, ordinary minute, without settings", "list changes", changeBytes.times(ordinaryListChanges * share), "B/s", ControlBytesPerSecond},
 		{"the same with membership on", "its ceiling added", changeBytes.times(ordinaryListChanges * share).plus(exactly(membershipCeiling)), "B/s", ControlBytesPerSecond},
--- a/internal/fleet/e2e/agent_capacity_test.go
+++ b/internal/fleet/e2e/agent_capacity_test.go
@@ -40,7 +40,7 @@
 	}
 	w.startAll()
 	processes := hostProcesses{agent: h.cmd.Process.Pid}
-	for _, host := range w.ready() {
+	for _, host := range w.waitReady() {
 		for _, instance := range host.Instances {
 			processes.sidecars = append(processes.sidecars, instance.PID)
 		}
@@ -62,8 +62,8 @@
 	return all
 }
 
-// reportShare reports the mean use of processes over a time, by their name.
-func reportShare(b *testing.B, name string, before, after []measure.Usage, over time.Duration) {
+// reportMeanUsage reports the mean use of processes over a time, by their name.
+func reportMeanUsage(b *testing.B, name string, before, after []measure.Usage, over time.Duration) {
 	b.Helper()
 	var processor time.Duration
 	var resident, descriptors int64
@@ -85,8 +85,8 @@
 	began := time.Now()
 	work()
 	over := time.Since(began)
-	reportShare(b, "agent", agentBefore, usages(b, p.agent), over)
-	reportShare(b, "sidecar", sidecarsBefore, usages(b, p.sidecars...), over)
+	reportMeanUsage(b, "agent", agentBefore, usages(b, p.agent), over)
+	reportMeanUsage(b, "sidecar", sidecarsBefore, usages(b, p.sidecars...), over)
 }
 
 // BenchmarkAgentCapacity measures a real agent and its real sidecars at rest, by their
@@ -125,7 +125,7 @@
 	for i := range times {
 		time.Sleep(time.Until(began.Add(time.Duration(i) * time.Minute / time.Duration(times))))
 		operation := w.op(api.ActReload, func(o *api.Operation) { o.Soak = 0 })
-		report, err := w.fleet.Start(context.Background(), operation, client.Options{LeaseHolder: operation.ID, TTL: 15 * time.Second, GiveUp: patience})
+		report, err := w.fleet.Start(context.Background(), operation, client.Options{LeaseHolder: operation.ID, TTL: 15 * time.Second, GiveUp: eventuallyTimeout})
 		if err != nil || !report.OK() {
 			b.Fatal(report, err)
 		}
--- a/internal/fleet/e2e/chain_capacity_test.go
+++ b/internal/fleet/e2e/chain_capacity_test.go
@@ -43,9 +43,9 @@
 // discoveryStandIn lists servers and sends an empty line each second, as the platform's
 // discovery does, and changes of the list that a test asks for.
 type discoveryStandIn struct {
-	whole   []byte
-	changes chan []byte
-	end     chan struct{}
+	completeList []byte
+	changes      chan []byte
+	end          chan struct{}
 }
 
 // ServeHTTP implements http.Handler. Changes go to one watch.
@@ -53,7 +53,7 @@
 	flusher := w.(http.Flusher)
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
-	line := d.whole
+	line := d.completeList
 	for {
 		if _, err := w.Write(line); err != nil {
 			return
@@ -105,7 +105,7 @@
 			Name: fmt.Sprintf("server-%05d", i), Address: address, Zone: fmt.Sprintf("zone-%02d", i%27), Status: "up", Weight: 1,
 		})
 	}
-	discovery := &discoveryStandIn{whole: list.line(b), changes: make(chan []byte), end: make(chan struct{})}
+	discovery := &discoveryStandIn{completeList: list.line(b), changes: make(chan []byte), end: make(chan struct{})}
 	at := serveHTTP(b, discovery)
 	b.Cleanup(func() { close(discovery.end) }) // before the server's end, which waits for its calls
 	return discovery, at
@@ -118,14 +118,14 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: patience, IdleTimeout: 2 * patience}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: eventuallyTimeout, IdleTimeout: 2 * eventuallyTimeout}
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
 		server.Serve(listener)
 	}()
 	b.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 		defer cancel()
 		if server.Shutdown(ctx) != nil {
 			server.Close()
@@ -162,7 +162,7 @@
 		command.Process.Kill()
 		command.Wait()
 	})
-	health := &http.Client{Timeout: patience}
+	health := &http.Client{Timeout: eventuallyTimeout}
 	defer health.CloseIdleConnections()
 	eventually(b, "a sidecar that is ready", func() bool {
 		response, err := health.Get("http://" + listen + "/_health")
@@ -190,7 +190,7 @@
 // each.
 func newChain(b *testing.B, depth, servers int) *chain {
 	b.Helper()
-	c := &chain{depth: depth, client: &http.Client{Timeout: patience, Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 3 * time.Second}}}
+	c := &chain{depth: depth, client: &http.Client{Timeout: eventuallyTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 3 * time.Second}}}
 	b.Cleanup(c.client.CloseIdleConnections)
 	c.apps, c.sidecars = make([]string, depth), make([]string, depth)
 	for level := range depth {
@@ -333,7 +333,7 @@
 	for b.Loop() {
 		before, ranBefore := usages(b, c.pids...), c.ran[0].Load()
 		sidecars, without := c.both(rate, *chainWindow)
-		reportShare(b, "sidecar", before, usages(b, c.pids...), *chainWindow)
+		reportMeanUsage(b, "sidecar", before, usages(b, c.pids...), *chainWindow)
 		for _, way := range []*latencies{sidecars, without} {
 			if failed := len(way.failed); failed > 0 {
 				b.Fatalf("%d calls failed and %d did not, the first: %v", failed, len(way.took), way.failed[0])
@@ -366,7 +366,7 @@
 						discovery.changes <- changeOf(index, servers).line(b)
 					}
 					time.Sleep(time.Until(began.Add(*capacityWindow)))
-					reportShare(b, "sidecar", before, usages(b, pid), time.Since(began))
+					reportMeanUsage(b, "sidecar", before, usages(b, pid), time.Since(began))
 				}
 			})
 		}
--- a/internal/fleet/e2e/settings_crash_test.go
+++ b/internal/fleet/e2e/settings_crash_test.go
@@ -20,8 +20,8 @@
 // own program. A shell would do, but one that waits may miss a signal.
 const crashingEnv = "E2E_CRASHING_SIDECAR"
 
-// crashingSidecar runs a sidecar and passes signals on to it, but for a SIGHUP by which it
-// would take crashingLimit: that ends both.
+// crashingSidecar runs a sidecar and forwards signals to it, except a SIGHUP that would apply
+// crashingLimit: that ends both processes.
 func crashingSidecar(program string) error {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM)
@@ -47,18 +47,18 @@
 	}
 }
 
-// Settings that end the process which takes them are refused after the second time: the
-// processes started since run with the last accepted ones, and a later revision gets through.
-func TestSettingsThatCrashAreRefused(t *testing.T) {
+// Settings that crash the process which applies them are rejected after the second crash: later
+// processes run with the last accepted settings, and a later revision is applied.
+func TestCrashingSettingsAreRejected(t *testing.T) {
 	t.Parallel()
-	w := layOutSettings(t, settingsLayout{relays: 1, hosts: 2, each: 1})
+	w := layOutSettings(t, settingsLayout{relays: 1, hosts: 2, sidecarsPerHost: 1})
 	h := w.hosts[1]
 	text, err := os.ReadFile(h.config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	program := w.script("crashing", fmt.Sprintf("#!/bin/sh\n%s=%q exec %q\n", crashingEnv, filepath.Join(w.bin, "sidecar"), os.Args[0]))
-	changed := strings.Replace(string(text), fmt.Sprintf("binary = %q", filepath.Join(w.bin, "sidecar")), fmt.Sprintf("binary = %q", program), 1)
+	program := w.script("crashing", fmt.Sprintf("#!/bin/sh\n%s=%q exec %q\n", crashingEnv, filepath.Join(w.binaries, "sidecar"), os.Args[0]))
+	changed := strings.Replace(string(text), fmt.Sprintf("binary = %q", filepath.Join(w.binaries, "sidecar")), fmt.Sprintf("binary = %q", program), 1)
 	if changed == string(text) {
 		t.Fatal("the configuration names no program to replace")
 	}
@@ -68,16 +68,16 @@
 	w.startRelays()
 	w.startAll()
 	w.inForce(w.publish("limits/all", memoryLimit(96)), 2)
-	good := w.bodyLimit(h.insts[0])
+	good := w.bodyLimit(h.instances[0])
 
 	crashing := w.publish("limits/crash", memoryLimit(crashingLimit), "--scope", "host="+h.name)
-	w.refusedBy(crashing, h)
-	w.ready()
-	w.limits(good, h.insts)
-	if refusals := w.inspect(h, h.insts[0]).Settings.Rejections; len(refusals) != 1 || !strings.Contains(refusals[0].Reason, "its process ended") {
-		t.Errorf("refusals %+v", refusals)
+	w.waitRejected(crashing, h)
+	w.waitReady()
+	w.limits(good, h.instances)
+	if refusals := w.inspect(h, h.instances[0]).Settings.Rejections; len(refusals) != 1 || !strings.Contains(refusals[0].Reason, "its process ended") {
+		t.Errorf("rejections %+v", refusals)
 	}
-	launches := w.inspect(h, h.insts[0]).Instance.Restarts
+	launches := w.inspect(h, h.instances[0]).Instance.Restarts
 	if launches != crashesWanted {
 		t.Errorf("%d restarts; the crashing settings were to be tried %d times", launches, crashesWanted)
 	}
@@ -85,5 +85,5 @@
 	w.inForce(w.publish("limits/crash", memoryLimit(80), "--scope", "host="+h.name), 2)
 }
 
-// crashesWanted is how many processes may end by the same settings.
+// crashesWanted is how many processes the same settings may crash before they are rejected.
 const crashesWanted = 2
--- a/internal/fleet/e2e/settings_operation_test.go
+++ b/internal/fleet/e2e/settings_operation_test.go
@@ -15,7 +15,7 @@
 	operation := w.op(action, func(o *api.Operation) {
 		o.Soak = soak
 		o.Targets = nil
-		for _, instance := range h.insts {
+		for _, instance := range h.instances {
 			o.Targets = append(o.Targets, api.Target{Host: h.name, Instance: instance})
 		}
 	})
@@ -45,8 +45,8 @@
 	}
 }
 
-// stepEnded waits until the step on an instance has come to its end, and says how.
-func (w *settingsWorld) stepEnded(h *host, operation api.Operation, instance string) (status string) {
+// waitStep waits for the end of the step on an instance and returns its status.
+func (w *settingsWorld) waitStep(h *host, operation api.Operation, instance string) (status string) {
 	w.t.Helper()
 	eventually(w.t, "the end of the step on "+instance, func() bool {
 		var out api.OpOut
@@ -63,41 +63,42 @@
 	return status
 }
 
-// A live lease holds distributed settings back from its instances and from no others; a restart
-// in the operation begins with what was accepted before, and what was held back follows when
+// A live lease defers distributed settings for its own instances only. A restart within the
+// operation starts with the settings accepted before it, and the deferred ones are applied when
 // the operation ends.
 func TestOperationAndDistribution(t *testing.T) {
 	t.Parallel()
 	w := newSettingsWorld(t, 2, 2, 1)
 	held, free := w.hosts[0], w.hosts[1]
-	instance := held.insts[0]
+	instance := held.instances[0]
 	accepted := w.reference(2, "limits/all", 96)[0]
 
 	operation, token := w.openOperation(held, api.ActRestart, 500*time.Millisecond)
 	later := w.publish("limits/all", memoryLimit(80))
 	w.inForce(later, 1)
 	w.received(later, held)
-	w.heldBack(held, instance, accepted, "operation "+operation.ID)
+	w.checkHeldBack(held, instance, accepted, "operation "+operation.ID)
 	if out, _, code := w.command("list", "--settings"); code != 1 || !strings.Contains(out, "operation "+operation.ID) {
 		t.Errorf("list --settings while the operation holds the instance: exit %d\n%s", code, out)
 	}
 
 	w.startStep(held, operation, token, instance)
-	if status := w.stepEnded(held, operation, instance); status != api.StepOK {
+	if status := w.waitStep(held, operation, instance); status != api.StepOK {
 		t.Errorf("the restart is %s", status)
 	}
 	w.startedWith(instance, accepted)
-	w.heldBack(held, instance, accepted, "operation "+operation.ID)
+	w.checkHeldBack(held, instance, accepted, "operation "+operation.ID)
 
 	w.closeOperation(held, operation, token)
 	w.inForce(later, 2)
-	w.limits(w.bodyLimit(free.insts[0]), []string{instance})
+	w.limits(w.bodyLimit(free.instances[0]), []string{instance})
 
-	// A reload whose lease ends before its step does: the step goes first all the same.
+	// The step of a reload finishes before deferred settings are applied, also where its lease ends
+	// first.
 	operation, token = w.openOperation(held, api.ActReload, 0)
 	w.startStep(held, operation, token, instance)
 	last := w.publish("limits/all", memoryLimit(96))
-	if status := w.stepEnded(held, operation, instance); status != api.StepOK {
+	if status := w.waitStep(held, operation, instance); status != api.StepOK {
 		t.Errorf("the reload is %s", status)
 	}
 	if limit := w.bodyLimit(instance); limit == accepted {
@@ -111,12 +112,12 @@
 	w.drainAndUndrain(held, instance)
 }
 
-// heldBack says whether an instance waits for an operation and has its earlier settings.
-func (w *settingsWorld) heldBack(h *host, instance string, limit float64, why string) {
+// checkHeldBack checks that an instance waits for an operation and still has its earlier settings.
+func (w *settingsWorld) checkHeldBack(h *host, instance string, limit float64, why string) {
 	w.t.Helper()
 	settings := w.inspect(h, instance).Settings
 	if !strings.Contains(settings.Waiting, why) {
-		w.t.Errorf("%s tells that it waits for %q; want %q", instance, settings.Waiting, why)
+		w.t.Errorf("%s reports that it waits for %q; want %q", instance, settings.Waiting, why)
 	}
 	if have := w.bodyLimit(instance); have != limit {
 		w.t.Errorf("%s has a limit of %v while an operation holds it; it had %v", instance, have, limit)
@@ -128,13 +129,13 @@
 	w.t.Helper()
 	operation, token := w.openOperation(h, api.ActDrain, 0)
 	w.startStep(h, operation, token, instance)
-	w.stepEnded(h, operation, instance)
+	w.waitStep(h, operation, instance)
 	w.closeOperation(h, operation, token)
 	last := w.publish("limits/all", memoryLimit(112))
 	w.inForce(last, len(w.hosts))
 	operation, token = w.openOperation(h, api.ActUndrain, 0)
 	w.startStep(h, operation, token, instance)
-	if status := w.stepEnded(h, operation, instance); status != api.StepOK {
+	if status := w.waitStep(h, operation, instance); status != api.StepOK {
 		w.t.Errorf("the undrain is %s", status)
 	}
 	// The process began with what was accepted before: it is behind, and must be known to be.
@@ -144,5 +145,5 @@
 	})
 	w.closeOperation(h, operation, token)
 	w.inForce(last, len(w.hosts))
-	w.limits(w.bodyLimit(w.hosts[1].insts[0]), []string{instance})
+	w.limits(w.bodyLimit(w.hosts[1].instances[0]), []string{instance})
 }
--- a/internal/fleet/e2e/settings_test.go
+++ b/internal/fleet/e2e/settings_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// What is published reaches the instances in its scope and no others, by their own figures,
-// and the writer knows when it is in force.
+// A published change reaches the instances in its scope and no others, as their metrics show, and
+// the writer knows when it is in force.
 func TestSettingsReachAll(t *testing.T) {
 	w := newSettingsWorld(t, 3, 4, 2)
 	before := w.bodyLimit("h0-i0")
@@ -23,7 +23,7 @@
 	w.limits(narrow, instances(w.hosts[1], w.hosts[3]))
 	w.limits(wide, instances(w.hosts[0], w.hosts[2]))
 	for _, name := range instances(w.hosts[0], w.hosts[2]) {
-		if taken, _ := w.figure(name, "edge_balancer_config_applied"); taken != 1 {
+		if taken, _ := w.metric(name, "edge_balancer_config_applied"); taken != 1 {
 			t.Errorf("%s took %v configurations over; what does not concern it is none of them", name, taken)
 		}
 	}
--- a/internal/fleet/e2e/settings_world_test.go
+++ b/internal/fleet/e2e/settings_world_test.go
@@ -1,22 +1,15 @@
 package e2e
 
 import (
-	"bytes"
-	"context"
 	"fmt"
-	"io"
-	"net/http"
 	"os"
 	"path/filepath"
 	"regexp"
 	"slices"
-	"strconv"
 	"strings"
 	"syscall"
 	"testing"
-	"time"
 
-	"martendrum/internal/fleet/api"
 	"martendrum/internal/fleet/control/client"
 	"martendrum/internal/fleet/distribution"
 	"martendrum/internal/standin/faultnet"
@@ -47,7 +40,7 @@
 
 // settingsLayout is the size of a settingsWorld and what its configurations say.
 type settingsLayout struct {
-	relays, hosts, each int
+	relays, hosts, sidecarsPerHost int
 	// regions, where above 0, puts relays and hosts into so many regions in turn: a host asks
 	// the relay of its own region as long as that one answers.
 	regions int
@@ -58,7 +51,7 @@
 // newSettingsWorld lays out relays and hosts with so many sidecars each, and starts them all.
 func newSettingsWorld(t testing.TB, relays, hosts, each int) *settingsWorld {
 	t.Helper()
-	w := layOutSettings(t, settingsLayout{relays: relays, hosts: hosts, each: each})
+	w := layOutSettings(t, settingsLayout{relays: relays, hosts: hosts, sidecarsPerHost: each})
 	w.startRelays()
 	w.startAll()
 	return w
@@ -67,7 +60,7 @@
 // newRegionalWorld has a region for each relay, with the hosts spread over them, and starts all.
 func newRegionalWorld(t testing.TB, relays, hosts int) *settingsWorld {
 	t.Helper()
-	w := layOutSettings(t, settingsLayout{relays: relays, hosts: hosts, each: 1, regions: relays})
+	w := layOutSettings(t, settingsLayout{relays: relays, hosts: hosts, sidecarsPerHost: 1, regions: relays})
 	w.startRelays()
 	w.startAll()
 	return w
@@ -77,7 +70,7 @@
 // Instances have the labels of world and the service "even" or "odd" by their host's number.
 func layOutSettings(t testing.TB, layout settingsLayout) *settingsWorld {
 	t.Helper()
-	w := &settingsWorld{world: newWorld(t, layout.hosts, layout.each), layout: layout, net: faultnet.New(1), links: make(map[string]*faultnet.Link)}
+	w := &settingsWorld{world: newWorld(t, layout.hosts, layout.sidecarsPerHost), layout: layout, net: faultnet.New(1), links: make(map[string]*faultnet.Link)}
 	t.Cleanup(w.net.Close)
 	for n := range layout.relays {
 		w.relays = append(w.relays, w.layRelay(n))
@@ -137,14 +130,14 @@
 // layRelay writes the beginning of a relay's configuration.
 func (w *settingsWorld) layRelay(n int) *host {
 	w.t.Helper()
-	relay := &host{w: w.world, name: fmt.Sprintf("%s-r%d", w.prefix, n)}
+	relay := &host{world: w.world, name: fmt.Sprintf("%s-r%d", w.prefix, n)}
 	dir := filepath.Join(w.dir, fmt.Sprint("r", n))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		w.t.Fatal(err)
 	}
 	relay.config = filepath.Join(dir, "agent.toml")
 	text := fmt.Sprintf("name = %q\nstate_dir = \"s\"\n[listen]\nunix = \"a\"\n[sidecar]\nbinary = %q\n[figures]\nslot = \"0s\"\n",
-		relay.name, filepath.Join(w.bin, "sidecar"))
+		relay.name, filepath.Join(w.binaries, "sidecar"))
 	if err := os.WriteFile(relay.config, []byte(text), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
@@ -197,7 +190,7 @@
 	for _, relay := range w.relays {
 		fmt.Fprintf(&text, "[[host]]\nname = %q\naddress = %q\nlabels = {relay = \"true\"}\n", relay.name, relay.socket())
 	}
-	appendFile(w.t, w.inv, text.String())
+	appendFile(w.t, w.inventoryPath, text.String())
 }
 
 func appendFile(t testing.TB, path, text string) {
@@ -227,7 +220,7 @@
 	w.t.Helper()
 	addresses := make(map[string]string)
 	for _, h := range w.hosts {
-		for _, name := range h.insts {
+		for _, name := range h.instances {
 			text, err := os.ReadFile(filepath.Join(filepath.Dir(h.config), name+".json"))
 			if err != nil {
 				w.t.Fatal(err)
@@ -238,42 +231,14 @@
 	return addresses
 }
 
-// figure asks a sidecar's own figures for one of them; false if it does not answer.
-func (w *settingsWorld) figure(instance, name string) (float64, bool) {
-	client := http.Client{Timeout: 2 * time.Second}
-	answer, err := client.Get("http://" + w.admin[instance] + "/api/telemetry")
-	if err != nil {
-		return 0, false
-	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
-	if err != nil {
-		return 0, false
-	}
-	for line := range bytes.Lines(text) {
-		if rest, ok := bytes.CutPrefix(line, []byte(name+" ")); ok {
-			value, err := strconv.ParseFloat(strings.TrimSpace(string(rest)), 64)
-			return value, err == nil
-		}
-	}
-	return 0, false
-}
-
 // memoryLimit returns an overlay that a sidecar takes over at SIGHUP, and bodyLimit what its own
 // figures show then.
 func memoryLimit(megabytes int) string { return fmt.Sprintf(`{"limits":{"memory_mb":%d}}`, megabytes) }
 
-// bodyLimit is the limit on bodies that a sidecar works with by its own figures. It follows
-// from limits.memory_mb.
-func (w *settingsWorld) bodyLimit(instance string) float64 {
-	limit, _ := w.figure(instance, `edge_balancer_body_bytes{of="most"}`)
-	return limit
-}
-
 // instances are all sidecars of the hosts.
 func instances(hosts ...*host) (names []string) {
 	for _, h := range hosts {
-		names = append(names, h.insts...)
+		names = append(names, h.instances...)
 	}
 	return names
 }
@@ -300,92 +265,6 @@
 	return parsed
 }
 
-// inForce waits until a revision is in force at so many hosts by the writer's word.
-func (w *settingsWorld) inForce(revision distribution.Revision, hosts int) distribution.Status {
-	w.t.Helper()
-	var status distribution.Status
-	var failed error
-	defer func() {
-		if w.t.Failed() {
-			w.t.Logf("status %+v, %v", status, failed)
-		}
-	}()
-	eventually(w.t, fmt.Sprintf("revision %v in force at %d hosts", revision, hosts), func() bool {
-		out, err := w.operator.InForce(context.Background(), "", revision, 10)
-		if failed = err; err != nil {
-			return false
-		}
-		status = out.Status
-		return out.Complete && status.InForce == hosts
-	})
-	return status
-}
-
-// limits waits until all the named sidecars have the limit on bodies of an instance that is
-// known to run the wanted settings.
-func (w *settingsWorld) limits(want float64, names []string) {
-	w.t.Helper()
-	eventually(w.t, fmt.Sprintf("a limit of %v bytes at %v", want, names), func() bool {
-		for _, name := range names {
-			if w.bodyLimit(name) != want {
-				return false
-			}
-		}
-		return true
-	})
-}
-
-// inspect asks the agent of a host about one of its instances.
-func (w *settingsWorld) inspect(h *host, instance string) *api.InspectOut {
-	w.t.Helper()
-	out := &api.InspectOut{}
-	if err := w.operator.Agent(h.name).Call(context.Background(), api.Inspect, &api.InstanceIn{Instance: instance}, out); err != nil {
-		w.t.Fatal(err)
-	}
-	return out
-}
-
-// status asks a relay how far a revision is at its own subscribers, or at all hosts where it
-// is the writer. ok is false if it does not answer.
-func (w *settingsWorld) status(relay *host, revision distribution.Revision) (out api.SettingsStatusOut, ok bool) {
-	in := &api.SettingsStatusIn{Revision: revision, Limit: 10}
-	err := w.operator.Agent(relay.name).Call(context.Background(), api.SettingsStatus, in, &out)
-	return out, err == nil
-}
-
-// copied waits until the relays hold a revision.
-func (w *settingsWorld) copied(revision distribution.Revision, relays ...*host) {
-	w.t.Helper()
-	eventually(w.t, fmt.Sprintf("copies of revision %v", revision), func() bool {
-		for _, relay := range relays {
-			if out, ok := w.status(relay, revision); !ok || revision.After(out.Status.Latest) {
-				return false
-			}
-		}
-		return true
-	})
-}
-
-// received waits until the copies of hosts are at a revision or after it.
-func (w *settingsWorld) received(revision distribution.Revision, hosts ...*host) {
-	w.t.Helper()
-	for _, h := range hosts {
-		eventually(w.t, fmt.Sprintf("revision %v at %s", revision, h.name), func() bool {
-			return !revision.After(w.inspect(h, h.insts[0]).Settings.Received)
-		})
-	}
-}
-
-// accepted is the revisions of the resources that an instance took last, by name.
-func (w *settingsWorld) accepted(h *host, instance string) map[string]distribution.Revision {
-	w.t.Helper()
-	revisions := make(map[string]distribution.Revision)
-	for _, accepted := range w.inspect(h, instance).Settings.Accepted {
-		revisions[accepted.Name] = accepted.Revision
-	}
-	return revisions
-}
-
 // setLinks sets a fault on the links from each asker to each relay.
 func (w *settingsWorld) setLinks(askers, relays []*host, fault faultnet.Fault) {
 	for _, asker := range askers {
--- /dev/null
+++ b/internal/fleet/e2e/world_test.go
@@ -0,0 +1,284 @@
+package e2e
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"martendrum/internal/fleet/api"
+	"martendrum/internal/fleet/control/client"
+	"martendrum/internal/fleet/control/inventory"
+	"martendrum/internal/fleet/host/proc"
+	"martendrum/internal/fleet/release"
+	"martendrum/internal/standin/shop"
+)
+
+// world is a fleet of agents with their sidecars as processes of this machine.
+type world struct {
+	t             testing.TB
+	dir           string
+	prefix        string // of the agents' names, this test's own
+	shop          *shop.Shop
+	hosts         []*host
+	fleet         *client.Fleet
+	inventoryPath string // the inventory's path
+	binaries      string
+}
+
+// host is one agent with its instances.
+type host struct {
+	world           *world
+	name            string
+	config          string
+	instances       []string
+	listenAddresses map[string]string
+
+	mu  sync.Mutex
+	cmd *exec.Cmd
+	end chan struct{}
+}
+
+var addresses atomic.Int64
+
+// newWorld writes the configurations of hosts with a number of sidecars each; no agent runs yet.
+func newWorld(t testing.TB, hosts, each int) *world {
+	t.Helper()
+	return newWorldWithStore(t, hosts, each, "")
+}
+
+// newWorldWithStore is newWorld with a [record] table in the agents' files.
+func newWorldWithStore(t testing.TB, hosts, each int, record string) *world {
+	t.Helper()
+	return newWorldWithServers(t, hosts, each, record, func() (*shop.Shop, error) { return shop.New(4, 10*time.Millisecond) })
+}
+
+// newWorldWithServers is newWorldWithStore in front of servers that the test opens.
+func newWorldWithServers(t testing.TB, hosts, each int, record string, open func() (*shop.Shop, error)) *world {
+	t.Helper()
+	w := &world{t: t, dir: t.TempDir(), prefix: fmt.Sprintf("e2e%08x", rand.Uint32()), binaries: programs(t)}
+	var err error
+	if w.shop, err = open(); err != nil {
+		t.Fatal(err)
+	}
+	var inv strings.Builder
+	inv.WriteString("timeout = \"2s\"\n")
+	for h := range hosts {
+		x := &host{world: w, name: fmt.Sprintf("%s-h%d", w.prefix, h), listenAddresses: make(map[string]string)}
+		dir := filepath.Join(w.dir, fmt.Sprint("h", h))
+		if err := os.Mkdir(dir, 0o700); err != nil {
+			t.Fatal(err)
+		}
+		var c strings.Builder
+		fmt.Fprintf(&c, "name = %q\nstate_dir = \"s\"\n[listen]\nunix = \"a\"\n[sidecar]\nbinary = %q\n", x.name, filepath.Join(w.binaries, "sidecar"))
+		c.WriteString(record)
+		c.WriteString("[limits]\nhealth_each = \"200ms\"\nbackoff_min = \"200ms\"\nbackoff_max = \"1s\"\ncrash_most = 20\n")
+		for i := range each {
+			name := fmt.Sprintf("h%d-i%d", h, i)
+			path, listen, err := w.shop.Config(dir, name, int(addresses.Add(1)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			x.instances, x.listenAddresses[name] = append(x.instances, name), listen
+			fmt.Fprintf(&c, "[[instance]]\nname = %q\nconfig = %q\nlabels = {half = \"%d\", zone = \"zone-%d\", shop = \"shop-%d\"}\n", name, path, i%2, i%2, i/2)
+		}
+		x.config = filepath.Join(dir, "agent.toml")
+		if err := os.WriteFile(x.config, []byte(c.String()), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&inv, "[[host]]\nname = %q\naddress = \"unix:%s\"\n", x.name, filepath.Join(dir, "a"))
+		w.hosts = append(w.hosts, x)
+	}
+	w.inventoryPath = filepath.Join(w.dir, "fleet.toml")
+	if err := os.WriteFile(w.inventoryPath, []byte(inv.String()), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	w.fleet = w.open("tester")
+	t.Cleanup(func() {
+		w.fleet.Close()
+		for _, h := range w.hosts {
+			h.kill()
+		}
+		for _, f := range proc.Find(w.prefix) {
+			syscall.Kill(f.PID, syscall.SIGKILL)
+		}
+		eventually(t, "the end of all sidecars", func() bool { return len(proc.Find(w.prefix)) == 0 })
+		w.shop.Close()
+	})
+	return w
+}
+
+// open returns another operator's view of the fleet.
+func (w *world) open(who string) *client.Fleet {
+	inv, err := inventory.Load(w.inventoryPath)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	f, err := client.New(inv, who)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	return f
+}
+
+// start starts the host's agent. With env, the test's own program plays the agent, so that it can
+// crash.
+func (h *host) start(env ...string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	cmd := exec.Command(filepath.Join(h.world.binaries, "martendrum"), "agent", "--config", h.config)
+	if len(env) > 0 {
+		cmd = exec.Command(os.Args[0])
+		cmd.Env = append(os.Environ(), env...)
+	}
+	log, err := os.OpenFile(h.config+".log", os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	if err != nil {
+		h.world.t.Error(err)
+		return
+	}
+	defer log.Close()
+	cmd.Stdout, cmd.Stderr = log, log
+	if err := cmd.Start(); err != nil {
+		h.world.t.Error(err)
+		return
+	}
+	end := make(chan struct{})
+	go func() {
+		cmd.Wait()
+		close(end)
+	}()
+	h.cmd, h.end = cmd, end
+}
+
+// signal signals the agent.
+func (h *host) signal(sig syscall.Signal) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.cmd != nil {
+		h.cmd.Process.Signal(sig)
+	}
+}
+
+// kill kills the agent and waits for its end.
+func (h *host) kill() {
+	h.signal(syscall.SIGKILL)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.cmd != nil {
+		<-h.end
+		h.cmd = nil
+	}
+}
+
+// waitReady waits until every instance that should run is ready in its desired generation.
+func (w *world) waitReady() []client.HostState {
+	w.t.Helper()
+	var states []client.HostState
+	defer func() {
+		if w.t.Failed() {
+			w.t.Logf("%+v", states)
+			for _, h := range w.hosts {
+				log, _ := os.ReadFile(h.config + ".log")
+				w.t.Logf("%s: %s", h.name, log[max(0, len(log)-2000):])
+			}
+		}
+	}()
+	eventually(w.t, "a fleet that is ready", func() bool {
+		states = w.fleet.List(context.Background(), &inventory.Select{})
+		for _, h := range states {
+			if h.Error != "" || len(h.Instances) == 0 {
+				return false
+			}
+			for _, i := range h.Instances {
+				if i.Desired == api.Running && (i.State != "ready" || i.Process != i.Generation) {
+					return false
+				}
+			}
+		}
+		return true
+	})
+	return states
+}
+
+func (w *world) startAll() {
+	for _, h := range w.hosts {
+		h.start()
+	}
+	w.waitReady()
+}
+
+// op returns an operation on all instances.
+func (w *world) op(action string, edit func(*api.Operation)) api.Operation {
+	o := api.Operation{
+		ID: fmt.Sprintf("op-%08x", rand.Uint32()), Action: action, Ready: 20 * time.Second, Soak: 300 * time.Millisecond,
+		Policy:   api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop},
+		Operator: "tester", Created: time.Now().UTC(),
+	}
+	for i := range 64 {
+		for _, h := range w.hosts {
+			if i < len(h.instances) {
+				o.Targets = append(o.Targets, api.Target{Host: h.name, Instance: h.instances[i]})
+			}
+		}
+	}
+	if edit != nil {
+		edit(&o)
+	}
+	return o
+}
+
+func options() client.Options {
+	return client.Options{LeaseHolder: fmt.Sprintf("run %08x", rand.Uint32()), TTL: 5 * time.Second, GiveUp: 30 * time.Second}
+}
+
+// command runs martendrum and returns what it printed and its exit code.
+func (w *world) command(args ...string) (out, errs string, code int) {
+	cmd := exec.Command(filepath.Join(w.binaries, "martendrum"), append([]string{"--fleet", w.inventoryPath}, args...)...)
+	var o, e strings.Builder
+	cmd.Stdout, cmd.Stderr = &o, &e
+	err := cmd.Run()
+	if x, ok := err.(*exec.ExitError); ok {
+		code = x.ExitCode()
+	} else if err != nil {
+		w.t.Fatal(err)
+	}
+	return o.String(), e.String(), code
+}
+
+// script writes an executable file.
+func (w *world) script(name, text string) (path string) {
+	w.t.Helper()
+	path = filepath.Join(w.dir, name)
+	if err := os.WriteFile(path, []byte(text), 0o700); err != nil {
+		w.t.Fatal(err)
+	}
+	return path
+}
+
+// release uploads a release of a program with an overlay to all agents, and returns its hash.
+func (w *world) release(binary, overlay string) string {
+	w.t.Helper()
+	path := ""
+	if overlay != "" {
+		path = filepath.Join(w.dir, fmt.Sprintf("overlay-%08x.json", rand.Uint32()))
+		if err := os.WriteFile(path, []byte(overlay), 0o600); err != nil {
+			w.t.Fatal(err)
+		}
+	}
+	hash, err := release.Hash(binary, path)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	if err := w.fleet.Upload(context.Background(), w.fleet.Agents, hash, binary, path, nil); err != nil {
+		w.t.Fatal(err)
+	}
+	return hash
+}
--- a/internal/hollow/workers_test.go
+++ b/internal/hollow/workers_test.go
@@ -15,7 +15,7 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// workerSubscribers is how many subscribers one worker has at most.
+// workerSubscribers is the maximum of subscribers in one worker.
 const workerSubscribers = 1200
 
 // workerHandle is a process of hollow subscribers.
@@ -37,7 +37,7 @@
 	profiles string
 }
 
-// newWorkers lays out the workers of so many subscribers. They don't run yet.
+// newWorkers configures the workers for a number of subscribers. They don't run yet.
 func newWorkers(c *cluster, subscribers int, coalesce time.Duration) *workers {
 	c.t.Helper()
 	w := &workers{t: c.t, hosts: Layout(subscribers), profiles: c.profiles}
@@ -79,14 +79,14 @@
 		handle.input, handle.output = input, output
 		handle.requests, handle.replies = json.NewEncoder(input), json.NewDecoder(output)
 	}
-	w.ask(Request{Command: Measure})
+	w.call(Request{Command: Measure})
 }
 
 // begin starts all subscribers at once.
 func (w *workers) begin() time.Time {
 	w.t.Helper()
 	began := time.Now()
-	w.ask(Request{Command: Start})
+	w.call(Request{Command: Start})
 	return began
 }
 
@@ -119,8 +119,8 @@
 	}
 }
 
-// ask asks all workers at once, and returns their replies in order.
-func (w *workers) ask(request Request) []Reply {
+// call sends a request to all workers concurrently, and returns their replies in order.
+func (w *workers) call(request Request) []Reply {
 	w.t.Helper()
 	replies, failed := make([]Reply, len(w.handles)), make([]error, len(w.handles))
 	var all sync.WaitGroup
@@ -141,11 +141,11 @@
 	return replies
 }
 
-// usage is the sum over all workers.
+// usage returns the sum over all workers.
 func (w *workers) usage() Usage {
 	w.t.Helper()
 	var sum Usage
-	for _, reply := range w.ask(Request{Command: Measure}) {
+	for _, reply := range w.call(Request{Command: Measure}) {
 		sum = sum.plus(reply.Usage)
 	}
 	return sum
@@ -156,7 +156,7 @@
 		Resident: u.Resident + other.Resident, ResidentPeak: u.ResidentPeak + other.ResidentPeak, Descriptors: u.Descriptors + other.Descriptors}
 }
 
-// concerned is how many subscribers a scope holds.
+// concerned returns how many subscribers are in a scope.
 func (w *workers) concerned(scope distribution.Scope) int {
 	count := 0
 	for _, host := range w.hosts {
@@ -167,11 +167,11 @@
 	return count
 }
 
-// accepted is when subscribers took each change, in order.
+// accepted returns when subscribers accepted each change, in order.
 func (w *workers) accepted(changes ...Change) [][]time.Time {
 	w.t.Helper()
 	times := make([][]time.Time, len(changes))
-	for _, reply := range w.ask(Request{Command: Collect, Changes: changes}) {
+	for _, reply := range w.call(Request{Command: Collect, Changes: changes}) {
 		for n, accepted := range reply.Accepted {
 			times[n] = append(times[n], moments(accepted)...)
 		}
@@ -182,11 +182,11 @@
 	return times
 }
 
-// settled is when subscribers had the whole state first, in order.
+// settled returns when subscribers first had the complete state, in order.
 func (w *workers) settled() []time.Time {
 	w.t.Helper()
 	var times []time.Time
-	for _, reply := range w.ask(Request{Command: Collect}) {
+	for _, reply := range w.call(Request{Command: Collect}) {
 		times = append(times, moments(reply.Settled)...)
 	}
 	slices.SortFunc(times, time.Time.Compare)
