--- /dev/null
+++ b/cmd/sidecar/checkpoint_test.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+)
+
+// Learned state is a hint for the next process; a file that is torn, empty or another
+// sidecar's is reported as such, and the sidecar serves all the same.
+func TestCheckpointsNotTrusted(t *testing.T) {
+	s := newShop(t, 256)
+	keep := filepath.Join(t.TempDir(), "checkpoint")
+	t.Setenv("MARTENDRUM_FLEET", "return")
+	t.Setenv("MARTENDRUM_CHECKPOINT", keep)
+	life := func(want string) {
+		t.Helper()
+		s.dir = t.TempDir() // nothing is left of the process before but the checkpoint
+		p := s.running()
+		if want != "" {
+			eventually(t, want, func() bool { return strings.Contains(p.log.String(), want) })
+		}
+		for range 5 {
+			if err := visit(http.DefaultClient, s.listen); err != nil {
+				t.Error(err)
+			}
+		}
+		eventually(t, "the end of its return", func() bool { return strings.Contains(p.log.String(), "phase serving") })
+		p.Process.Signal(syscall.SIGTERM)
+		p.ends(t)
+	}
+	life("")
+	good, err := os.ReadFile(keep)
+	if err != nil {
+		t.Fatal(err)
+	}
+	life("checkpoint restored as a hint")
+	for want, data := range map[string][]byte{"empty": nil, "torn or damaged": good[:len(good)/2]} {
+		if err := os.WriteFile(keep, data, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		life(want)
+		if now, _ := os.ReadFile(keep); len(now) < len(good)/2 {
+			t.Errorf("%s: the file was not written anew", want)
+		}
+	}
+	listen := s.listen
+	s.listen = freeAddr(t)
+	text := replace(t, s.text(t), listen, s.listen)
+	s.configure(t, text)
+	before, _ := os.ReadFile(keep)
+	life("of another sidecar")
+	if now, _ := os.ReadFile(keep); string(now) != string(before) {
+		t.Error("another's file was written over")
+	}
+}
--- /dev/null
+++ b/cmd/sidecar/discovery_test.go
@@ -0,0 +1,109 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// What the agent's list says counts from the first moment of a new process: a server that
+// `known` has as up and the list as draining, or no more, gets nothing.
+func TestDiscoveredListReplacesKnown(t *testing.T) {
+	for name, entry := range map[string]string{"draining": `{"name":"s0","address":%q,"status":"draining"},`, "gone": ""} {
+		t.Run(name, func(t *testing.T) {
+			var wrong atomic.Int64
+			old := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { wrong.Add(1) }))
+			t.Cleanup(old.Close)
+			good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") }))
+			t.Cleanup(good.Close)
+			at := old.Listener.Addr().String()
+			if entry != "" {
+				entry = fmt.Sprintf(entry, at)
+			}
+			agent := lists(t, fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s{"name":"s1","address":%q,"status":"up","weight":1}]}`, entry, good.Listener.Addr()))
+			s := newShop(t, 256)
+			text := replace(t, s.text(t), s.discovery, agent)
+			text = replace(t, text, `"seed"`, fmt.Sprintf(`"known":{"index":3,"snapshot":true,"endpoints":[{"name":"s0","address":%q,"status":"up","weight":1}]},"seed"`, at))
+			s.configure(t, text)
+			s.running()
+			for range 20 {
+				if got := sendRequest(t, s.listen, http.MethodGet, "/look"); got != http.StatusOK {
+					t.Errorf("answered %d", got)
+				}
+			}
+			if n := wrong.Load(); n > 0 {
+				t.Errorf("%d sends to a server that the list has as %s", n, name)
+			}
+		})
+	}
+}
+
+// Where discovery is polled, a new configuration that moves it is followed well within the 4 s
+// after which its list counts as notified, also while no watch is open.
+func TestEndpointChangeIsFollowedWithoutWatch(t *testing.T) {
+	s := newShop(t, 256)
+	asked := make(chan struct{}, 100)
+	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		asked <- struct{}{}
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}))
+	t.Cleanup(down.Close)
+	text := asking(t, s.text(t))
+	good, text := text, replace(t, text, s.discovery, down.Listener.Addr().String())
+	s.configure(t, text)
+	p := s.running()
+	select {
+	case <-asked: // and refused: the next call is seconds away
+	case <-time.After(patience):
+		t.Fatal("discovery was never asked")
+	}
+	p.retune(t, s, good)
+	began := time.Now()
+	eventually(t, "the new discovery's list", func() bool { return p.metric(t, "pool_size") == 1 })
+	if took := time.Since(began); took > 4*time.Second {
+		t.Errorf("after %v", took)
+	}
+}
+
+// Where discovery is polled, a call that it rejects, loses or leaves unanswered is followed by
+// the next one well before its changes count as notified, however often that happens.
+func TestFailedCallIsRetriedInTime(t *testing.T) {
+	for name, call := range map[string]func(w http.ResponseWriter, r *http.Request){
+		"refused": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+		"reset":   func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"silent":  func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			s := newShop(t, 256)
+			asked := make(chan time.Time, 100)
+			down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				asked <- time.Now()
+				call(w, r)
+			}))
+			t.Cleanup(down.Close)
+			text := asking(t, s.text(t))
+			text = replace(t, text, s.discovery, down.Listener.Addr().String())
+			s.configure(t, text)
+			last := time.Now()
+			s.running()
+			for n := range 6 {
+				select {
+				case at := <-asked:
+					if gap := at.Sub(last); gap > 5500*time.Millisecond-2*time.Second {
+						t.Errorf("call %d came %v after the one before, and it may wait for 2 s", n, gap)
+					} else if n > 0 && gap < 50*time.Millisecond {
+						t.Errorf("call %d came just %v after the one before", n, gap)
+					}
+					last = at
+				case <-time.After(patience):
+					t.Fatalf("no call %d", n)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/cmd/sidecar/ready_test.go
@@ -0,0 +1,39 @@
+package main
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// Processes that start together are ready in time, also where discovery never answers and
+// where a predecessor is stalled.
+func TestReadyWithoutDependencies(t *testing.T) {
+	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
+	t.Cleanup(silent.Close)
+	const maxReady = 10 * time.Second
+	var all sync.WaitGroup
+	for n := range 8 {
+		s := newShop(t, 256)
+		text := replace(t, s.text(t), s.discovery, silent.Listener.Addr().String())
+		if n%2 == 1 {
+			text = asking(t, text)
+		}
+		s.configure(t, text)
+		if n >= 4 {
+			old := s.running()
+			old.Process.Signal(syscall.SIGSTOP)
+		}
+		all.Go(func() {
+			began := time.Now()
+			s.running()
+			if took := time.Since(began); took > maxReady {
+				t.Errorf("process %d was ready after %v", n, took)
+			}
+		})
+	}
+	all.Wait()
+}
--- a/cmd/sidecar/retune_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -1,114 +1,19 @@
 package main
 
 import (
-	"bufio"
+	"crypto/sha256"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"os"
+	"path/filepath"
 	"strings"
-	"sync/atomic"
 	"syscall"
 	"testing"
-
-	"martendrum/internal/standin/tcp"
+	"time"
 )
 
-// metric is a figure by its full name, -1 if there is none.
-func (p *process) metric(t *testing.T, name string) float64 {
-	t.Helper()
-	resp, err := http.Get("http://" + p.mgmt + "/api/telemetry")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	for in := bufio.NewScanner(resp.Body); in.Scan(); {
-		if rest, ok := strings.CutPrefix(in.Text(), "edge_balancer_"+name+" "); ok {
-			var v float64
-			fmt.Sscan(rest, &v)
-			return v
-		}
-	}
-	return -1
-}
-
-// sendRequest makes one request on a connection of its own and returns the answer's status.
-func sendRequest(t *testing.T, addr, method, path string) int {
-	t.Helper()
-	return sendRequestAs(t, fmt.Sprint("r", requests.Add(1)), addr, method, path)
-}
-
-// sendRequestAs is ask under an id.
-func sendRequestAs(t *testing.T, id, addr, method, path string) int {
-	t.Helper()
-	r, err := http.NewRequest(method, "http://"+addr+path, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	r.Header.Set("Req-Id", id)
-	c := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := c.Do(r)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	io.Copy(io.Discard, resp.Body)
-	return resp.StatusCode
-}
-
-// configure writes the configuration's text.
-func (s *shop) configure(t *testing.T, text string) {
-	t.Helper()
-	if err := os.WriteFile(s.config, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-}
-
-func (s *shop) text(t *testing.T) string {
-	t.Helper()
-	text, err := os.ReadFile(s.config)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(text)
-}
-
-func (s *shop) getenv(name string) string {
-	return map[string]string{"BALANCER_CONFIG": s.config}[name]
-}
-
-// reset is a server that accepts requests, reports each, and breaks the connection once
-// released. It counts what it ran.
-func reset(t *testing.T, came chan<- struct{}, let <-chan struct{}) (addr string, ran *atomic.Int64) {
-	t.Helper()
-	ran = new(atomic.Int64)
-	return tcp.Requests(t, func(int, int, net.Conn, *http.Request) bool {
-		ran.Add(1)
-		came <- struct{}{}
-		<-let
-		return false
-	}), ran
-}
-
-// retune writes a new file and waits until the process has decided on it.
-func (p *process) retune(t *testing.T, s *shop, text string) {
-	t.Helper()
-	before := p.metric(t, "config_applied") + p.metric(t, "config_rejected")
-	s.configure(t, text)
-	p.Process.Signal(syscall.SIGHUP)
-	eventually(t, "a word on the file", func() bool { return p.metric(t, "config_applied")+p.metric(t, "config_rejected") == before+1 })
-}
-
-// replace is strings.Replace of something that is there.
-func replace(t *testing.T, text, old, by string) string {
-	t.Helper()
-	if !strings.Contains(text, old) {
-		t.Fatalf("no %q to replace", old)
-	}
-	return strings.Replace(text, old, by, 1)
-}
-
 // A request that is open when its class changes from unsafe to safe is not sent again
 // when its connection breaks, one that comes later is. Added classes are served,
 // dropped ones are not, and come back to their counts.
@@ -203,3 +108,126 @@
 		t.Errorf("%v files applied", n)
 	}
 }
+
+// A reload moves to the discovery that the file names now, though the environment
+// still names the old one, and no request is lost by it; a file that can't be read
+// changes nothing. A stop answers what was taken.
+func TestReloadAndStop(t *testing.T) {
+	came, hold := make(chan struct{}, 1), make(chan struct{})
+	first := registry(t, 50, "s1", backend(t, "one", came, hold))
+	second := registry(t, 3, "s2", backend(t, "two", came, hold))
+	path := filepath.Join(t.TempDir(), "config.json")
+	write := func(text string) {
+		t.Helper()
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	write(fmt.Sprintf(configForm, first))
+	t.Setenv("BALANCER_CONFIG", path)
+	t.Setenv("BALANCER_DISCOVERY", first)
+	t.Setenv("BALANCER_LISTEN", "")
+	c, err := load(os.Getenv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	term, hup, done := make(chan time.Time, 1), make(chan os.Signal, 1), make(chan error, 1)
+	r := &resources{config: c, listeners: []*net.TCPListener{ln.(*net.TCPListener)}}
+	r.Limit(c.fullQuota())
+	go func() { done <- run(c, r, nil, nil, signals{terminate: term, reload: hup}) }()
+
+	client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+	id := 0
+	ask := func(method, path string) (int, string) {
+		id++
+		var body io.Reader
+		if method == http.MethodPost {
+			body = strings.NewReader("card")
+		}
+		r, err := http.NewRequest(method, "http://"+ln.Addr().String()+path, body)
+		if err != nil {
+			return 0, err.Error()
+		}
+		r.Header.Set("Req-Id", fmt.Sprint(id))
+		resp, err := client.Do(r)
+		if err != nil {
+			return 0, err.Error()
+		}
+		defer resp.Body.Close()
+		b, _ := io.ReadAll(resp.Body)
+		return resp.StatusCode, string(b)
+	}
+	eventually(t, "ready", func() bool { s, _ := ask("GET", "/_health"); return s == http.StatusOK })
+	eventually(t, "an answer of the first server", func() bool { _, b := ask("GET", "/look"); return b == "one" })
+
+	// The health response names the file in force.
+	told := func() string {
+		r, err := client.Get("http://" + ln.Addr().String() + "/_health")
+		if err != nil {
+			return err.Error()
+		}
+		r.Body.Close()
+		return r.Header.Get(healthConfigHash)
+	}
+	sumOf := func(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
+	if got := told(); got != sumOf(fmt.Sprintf(configForm, first)) {
+		t.Errorf("the configuration in force is told to be %s", got)
+	}
+
+	write("{")
+	hup <- syscall.SIGHUP
+	eventually(t, "the reload of a bad file", func() bool { return len(hup) == 0 })
+	if s, b := ask("GET", "/look"); s != http.StatusOK || b != "one" {
+		t.Errorf("after a bad file: %d %q", s, b)
+	}
+	if got := told(); got != sumOf(fmt.Sprintf(configForm, first)) {
+		t.Errorf("after a bad file the configuration in force is told to be %s", got)
+	}
+
+	write(fmt.Sprintf(configForm, second))
+	hup <- syscall.SIGHUP
+	eventually(t, "an answer of the second server", func() bool {
+		s, b := ask("GET", "/look")
+		if s != http.StatusOK {
+			t.Errorf("a request failed at the reload: %d %q", s, b)
+		}
+		return b == "two"
+	})
+
+	if got := told(); got != sumOf(fmt.Sprintf(configForm, second)) {
+		t.Errorf("after the reload the configuration in force is told to be %s", got)
+	}
+
+	type answer struct {
+		status int
+		body   string
+	}
+	answers := make(chan answer, 1)
+	go func() {
+		s, b := ask("POST", "/pay")
+		answers <- answer{s, b}
+	}()
+	select {
+	case <-came:
+	case <-time.After(patience):
+		t.Fatal("the request never came to the server")
+	}
+	term <- time.Now()
+	eventually(t, "the stop", func() bool { return len(term) == 0 })
+	close(hold)
+	if a := <-answers; a != (answer{http.StatusOK, "two"}) {
+		t.Errorf("the request open at the stop was answered %v", a)
+	}
+	select {
+	case err := <-done:
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(patience):
+		t.Error("it did not end")
+	}
+}
--- /dev/null
+++ b/cmd/sidecar/warm_restart_test.go
@@ -0,0 +1,49 @@
+package main
+
+import (
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// A process that starts soon after a stop knows what the one before knew; a damaged
+// file is left aside.
+func TestWarmRestart(t *testing.T) {
+	s := newShop(t, 256)
+	first := s.start()
+	first.ready(t)
+	for range 10 {
+		if err := visit(http.DefaultClient, s.listen); err != nil {
+			t.Fatal(err)
+		}
+	}
+	first.Process.Signal(syscall.SIGTERM)
+	first.ends(t)
+	second := s.start()
+	second.ready(t)
+	if log := second.log.String(); !strings.Contains(log, "warm start") || !strings.Contains(log, "servers=1") {
+		t.Errorf("no warm start:\n%s", log)
+	}
+	second.Process.Kill()
+	second.ends(t)
+	names, _ := filepath.Glob(filepath.Join(s.dir, "sidecar-*.snap"))
+	if len(names) != 1 {
+		t.Fatal(names)
+	}
+	if err := os.WriteFile(names[0], []byte("what is this"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	third := s.start()
+	third.ready(t)
+	log := third.log.String()
+	for until := time.Now().Add(patience); !strings.Contains(log, "cold start") && time.Now().Before(until); log = third.log.String() {
+		time.Sleep(time.Millisecond) // what it wrote before it was ready may still be on its way
+	}
+	if !strings.Contains(log, "cold start") || !strings.Contains(log, "damaged") {
+		t.Errorf("no word on a damaged file:\n%s", log)
+	}
+}
