--- a/cmd/sidecar/bench_test.go
+++ b/cmd/sidecar/bench_test.go
@@ -17,17 +17,17 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// program builds the sidecar as operators run it: a test's own program would count
+// startProgram builds the sidecar as operators run it: a test's own program would count
 // its tests' memory. It starts it before one server, with little memory, and returns
 // its process id and where it listens.
-func program(b *testing.B, server string, memoryMB, sockets int) (pid int, addr string) {
+func startProgram(b *testing.B, server string, memoryMB, sockets int) (pid int, addr string) {
 	b.Helper()
 	dir := b.TempDir()
 	bin := filepath.Join(dir, "sidecar")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		b.Fatalf("%v\n%s", err, out)
 	}
-	config, addr, _ := configured(b, server, sockets,
+	config, addr, _ := writeTestConfig(b, server, sockets,
 		`"memory_mb":512`, fmt.Sprintf(`"memory_mb":%d`, memoryMB), `"mostHeld":100`, `"mostHeld":1000`)
 	cmd := exec.Command(bin)
 	cmd.Env = append(os.Environ(), "TMPDIR="+dir, "BALANCER_CONFIG="+config, "BALANCER_MGMT=", "BALANCER_LISTEN=", "BALANCER_DISCOVERY=")
@@ -49,8 +49,8 @@
 	return cmd.Process.Pid, addr
 }
 
-// memory is a figure of /proc/PID/status in MB.
-func memory(b *testing.B, pid int, name string) float64 {
+// processMemory is a figure of /proc/PID/status in MB.
+func processMemory(b *testing.B, pid int, name string) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -80,8 +80,8 @@
 		}
 		return nil
 	})
-	pid, addr := program(b, server, 32, 512)
-	rest := memory(b, pid, "VmRSS")
+	pid, addr := startProgram(b, server, 32, 512)
+	rest := processMemory(b, pid, "VmRSS")
 	id := 0
 	for b.Loop() {
 		var wait sync.WaitGroup
@@ -97,7 +97,7 @@
 		wait.Wait()
 	}
 	b.ReportMetric(rest, "MB-at-rest")
-	b.ReportMetric(memory(b, pid, "VmHWM"), "MB-peak")
+	b.ReportMetric(processMemory(b, pid, "VmHWM"), "MB-peak")
 	b.SetBytes(size * clients)
 }
 
@@ -108,7 +108,7 @@
 		_, err := io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes")
 		return err
 	})
-	pid, addr := program(b, server, 32, 1024)
+	pid, addr := startProgram(b, server, 32, 1024)
 	id := 0
 	for b.Loop() {
 		var open []net.Conn
@@ -125,12 +125,12 @@
 			}
 			open = append(open, c)
 		}
-		b.ReportMetric(memory(b, pid, "VmRSS"), "MB-with-400-idle")
+		b.ReportMetric(processMemory(b, pid, "VmRSS"), "MB-with-400-idle")
 		for _, c := range open {
 			c.Close()
 		}
 	}
-	b.ReportMetric(memory(b, pid, "VmHWM"), "MB-peak")
+	b.ReportMetric(processMemory(b, pid, "VmHWM"), "MB-peak")
 }
 
 // servedBy is a server that writes each answer by give.
--- a/cmd/sidecar/checkpoint_test.go
+++ b/cmd/sidecar/checkpoint_test.go
@@ -12,25 +12,25 @@
 // Learned state is a hint for the next process; a file that is torn, empty or another
 // sidecar's is reported as such, and the sidecar serves all the same.
 func TestCheckpointsNotTrusted(t *testing.T) {
-	s := newShop(t, 256)
+	s := newFixture(t, 256)
 	keep := filepath.Join(t.TempDir(), "checkpoint")
 	t.Setenv("MARTENDRUM_FLEET", "return")
 	t.Setenv("MARTENDRUM_CHECKPOINT", keep)
 	life := func(want string) {
 		t.Helper()
 		s.dir = t.TempDir() // nothing is left of the process before but the checkpoint
-		p := s.running()
+		p := s.startReadyProcess()
 		if want != "" {
 			eventually(t, want, func() bool { return strings.Contains(p.log.String(), want) })
 		}
 		for range 5 {
-			if err := visit(http.DefaultClient, s.listen); err != nil {
+			if err := sendAlternating(http.DefaultClient, s.listen); err != nil {
 				t.Error(err)
 			}
 		}
 		eventually(t, "the end of its return", func() bool { return strings.Contains(p.log.String(), "phase serving") })
 		p.Process.Signal(syscall.SIGTERM)
-		p.ends(t)
+		p.waitExit(t)
 	}
 	life("")
 	good, err := os.ReadFile(keep)
@@ -49,8 +49,8 @@
 	}
 	listen := s.listen
 	s.listen = freeAddr(t)
-	text := replace(t, s.text(t), listen, s.listen)
-	s.configure(t, text)
+	text := mustReplace(t, s.configText(t), listen, s.listen)
+	s.writeConfig(t, text)
 	before, _ := os.ReadFile(keep)
 	life("of another sidecar")
 	if now, _ := os.ReadFile(keep); string(now) != string(before) {
--- a/cmd/sidecar/clients_test.go
+++ b/cmd/sidecar/clients_test.go
@@ -16,17 +16,17 @@
 type clientGroup struct {
 	stop     chan struct{}
 	once     sync.Once
-	wait     sync.WaitGroup
-	good     atomic.Int64
+	running  sync.WaitGroup
+	served   atomic.Int64
 	failures sync.Map // what went wrong, with a count
 }
 
-var requests atomic.Int64
+var requestCount atomic.Int64
 
-// visit makes one request.
-func visit(c *http.Client, addr string) error {
+// sendAlternating makes one request.
+func sendAlternating(c *http.Client, addr string) error {
 	method, path := http.MethodGet, "/look"
-	n := requests.Add(1)
+	n := requestCount.Add(1)
 	var body io.Reader
 	if n%2 == 0 {
 		method, path, body = http.MethodPost, "/pay", strings.NewReader("card")
@@ -48,12 +48,12 @@
 	return nil
 }
 
-func flock(t *testing.T, addr string, clients, kept int) *clientGroup {
+func startClients(t *testing.T, addr string, clients, kept int) *clientGroup {
 	t.Helper()
 	c := &clientGroup{stop: make(chan struct{})}
-	t.Cleanup(c.halt)
+	t.Cleanup(c.stopAll)
 	for n := range clients {
-		c.wait.Go(func() {
+		c.running.Go(func() {
 			client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: n >= kept}}
 			defer client.CloseIdleConnections()
 			for {
@@ -62,10 +62,10 @@
 					return
 				default:
 				}
-				if err := visit(client, addr); err != nil {
+				if err := sendAlternating(client, addr); err != nil {
 					c.failures.Store(err.Error(), true)
 				} else {
-					c.good.Add(1)
+					c.served.Add(1)
 				}
 				time.Sleep(time.Millisecond)
 			}
@@ -74,34 +74,34 @@
 	return c
 }
 
-func (c *clientGroup) halt() {
+func (c *clientGroup) stopAll() {
 	c.once.Do(func() { close(c.stop) })
-	c.wait.Wait()
+	c.running.Wait()
 }
 
-func (c *clientGroup) end(t *testing.T) {
+func (c *clientGroup) checkServed(t *testing.T) {
 	t.Helper()
-	c.halt()
+	c.stopAll()
 	c.failures.Range(func(what, _ any) bool {
 		t.Errorf("a client met: %v", what)
 		return true
 	})
-	if c.good.Load() == 0 {
+	if c.served.Load() == 0 {
 		t.Error("nobody was served")
 	}
 }
 
-// more waits until as many more requests have been served.
-func (c *clientGroup) more(t *testing.T, n int64) {
+// waitServed waits until as many more requests have been served.
+func (c *clientGroup) waitServed(t *testing.T, n int64) {
 	t.Helper()
-	from := c.good.Load()
-	eventually(t, "requests to be served", func() bool { return c.good.Load() >= from+n })
+	from := c.served.Load()
+	eventually(t, "requests to be served", func() bool { return c.served.Load() >= from+n })
 }
 
 // sendRequest makes one request on a connection of its own and returns the answer's status.
 func sendRequest(t *testing.T, addr, method, path string) int {
 	t.Helper()
-	return sendRequestAs(t, fmt.Sprint("r", requests.Add(1)), addr, method, path)
+	return sendRequestAs(t, fmt.Sprint("r", requestCount.Add(1)), addr, method, path)
 }
 
 // sendRequestAs is ask under an id.
--- a/cmd/sidecar/compat_test.go
+++ b/cmd/sidecar/compat_test.go
@@ -12,8 +12,8 @@
 
 // The metrics have the names and labels of an earlier build.
 func TestMetricNamesOfEarlierBuild(t *testing.T) {
-	p := newShop(t, 128).running()
-	response, err := http.Get("http://" + p.mgmt + "/api/telemetry")
+	p := newFixture(t, 128).startReadyProcess()
+	response, err := http.Get("http://" + p.adminAddr + "/api/telemetry")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sidecar/eviction_test.go
+++ b/cmd/sidecar/eviction_test.go
@@ -19,7 +19,7 @@
 // back, servers are reached, and whoever comes with a request is answered.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	const sockets = 64
-	s := newShop(t, sockets)
+	s := newFixture(t, sockets)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") }))
 	t.Cleanup(server.Close)
 	list := func(index int, names ...string) string {
@@ -29,13 +29,13 @@
 		}
 		return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s]}`, index, strings.Join(entries, ","))
 	}
-	disco := new(changing)
+	disco := new(changingDiscovery)
 	disco.set(list(1, "s1"))
 	at := httptest.NewServer(disco)
 	t.Cleanup(func() { disco.set(""); at.Close() })
-	text := replace(t, s.text(t), s.discovery, at.Listener.Addr().String())
-	s.configure(t, text)
-	p := s.running()
+	text := mustReplace(t, s.configText(t), s.discoveryAddr, at.Listener.Addr().String())
+	s.writeConfig(t, text)
+	p := s.startReadyProcess()
 	if err := unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 			t.Errorf("request %d was answered %d", n, got)
 		}
 	}
-	if n := p.sockets(); n > sockets {
+	if n := p.openDescriptors(); n > sockets {
 		t.Errorf("%d descriptors are open, %d may be", n, sockets)
 	}
 }
--- a/cmd/sidecar/fixture_test.go
+++ b/cmd/sidecar/fixture_test.go
@@ -12,28 +12,28 @@
 	"testing"
 )
 
-// configured writes the configuration of a sidecar at a free address before one server,
+// writeTestConfig writes the configuration of a sidecar at a free address before one server,
 // with further changes to its text, each what is there and what comes in its place.
-func configured(t testing.TB, server string, sockets int, changes ...string) (path, listen, discovery string) {
+func writeTestConfig(t testing.TB, server string, sockets int, changes ...string) (path, listen, discovery string) {
 	t.Helper()
-	path, listen, discovery = filepath.Join(t.TempDir(), "config.json"), freeAddr(t), registry(t, 1, "s1", server)
+	path, listen, discovery = filepath.Join(t.TempDir(), "config.json"), freeAddr(t), oneServerDiscovery(t, 1, "s1", server)
 	changes = append(changes, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, listen), `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets))
-	text := strings.NewReplacer(changes...).Replace(fmt.Sprintf(configForm, discovery))
+	text := strings.NewReplacer(changes...).Replace(fmt.Sprintf(testConfigFormat, discovery))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path, listen, discovery
 }
 
-const configForm = `{"listen":"127.0.0.1:0","discovery":%q,"seed":"1f","limits":{"cores":4,"memory_mb":512,"sockets":256},
+const testConfigFormat = `{"listen":"127.0.0.1:0","discovery":%q,"seed":"1f","limits":{"cores":4,"memory_mb":512,"sockets":256},
 	"settings":{"replicasOfMe":1,"registryMode":"automatic",
 	"caps":{"attemptsCap":3,"connIdleUs":30000000,"dialTimeoutUs":5000000,"mostHeld":100},
 	"guarantees":{"drainGraceUs":2000000,"coldFrom":1},
 	"classes":[{"name":"look","promiseUs":20000000,"hardLimitUs":20000000,"effect":"repeatable"},
 	{"name":"pay","promiseUs":20000000,"hardLimitUs":20000000,"effect":"once"}]}}`
 
-// replace is strings.Replace of something that is there.
-func replace(t *testing.T, text, old, by string) string {
+// mustReplace is strings.Replace of something that is there.
+func mustReplace(t *testing.T, text, old, by string) string {
 	t.Helper()
 	if !strings.Contains(text, old) {
 		t.Fatalf("no %q to replace", old)
@@ -41,52 +41,52 @@
 	return strings.Replace(text, old, by, 1)
 }
 
-// asking returns a configuration with which discovery is polled.
-func asking(t *testing.T, text string) string {
+// withPolledDiscovery returns a configuration with which discovery is polled.
+func withPolledDiscovery(t *testing.T, text string) string {
 	t.Helper()
-	text = replace(t, text, `"registryMode":"automatic"`, `"registryMode":"subscribe"`)
-	return replace(t, text, `"drainGraceUs":2000000`, `"drainGraceUs":2000000,"askWithinUs":10000000`)
+	text = mustReplace(t, text, `"registryMode":"automatic"`, `"registryMode":"subscribe"`)
+	return mustReplace(t, text, `"drainGraceUs":2000000`, `"drainGraceUs":2000000,"askWithinUs":10000000`)
 }
 
-// shop is what the processes of one sidecar share.
-type shop struct {
-	t      *testing.T
-	dir    string // TMPDIR
-	config string
-	listen string
+// fixture is what the processes of one sidecar share.
+type fixture struct {
+	t          *testing.T
+	dir        string // TMPDIR
+	configPath string
+	listen     string
 
-	discovery string
+	discoveryAddr string
 }
 
-func newShop(t *testing.T, sockets int) *shop {
+func newFixture(t *testing.T, sockets int) *fixture {
 	t.Helper()
-	return newShopBefore(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") }, sockets)
+	return newFixtureWithServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") }, sockets)
 }
 
-// newShopBefore is newShop before a server of the test's, its configuration changed.
-func newShopBefore(t *testing.T, server http.HandlerFunc, sockets int, changes ...string) *shop {
+// newFixtureWithServer is newFixture before a server of the test's, its configuration changed.
+func newFixtureWithServer(t *testing.T, server http.HandlerFunc, sockets int, changes ...string) *fixture {
 	t.Helper()
 	at := httptest.NewServer(server)
 	t.Cleanup(at.Close)
-	s := &shop{t: t, dir: t.TempDir()}
-	s.config, s.listen, s.discovery = configured(t, at.Listener.Addr().String(), sockets, changes...)
+	s := &fixture{t: t, dir: t.TempDir()}
+	s.configPath, s.listen, s.discoveryAddr = writeTestConfig(t, at.Listener.Addr().String(), sockets, changes...)
 	return s
 }
 
-// start starts a process; its end is seen to.
-func (s *shop) start() *process {
+// startProcess starts a process; its end is seen to.
+func (s *fixture) startProcess() *process {
 	s.t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	p := &process{Cmd: exec.Command(self), mgmt: freeAddr(s.t), log: new(safeBuffer), done: make(chan error, 1)}
-	p.Env = append(os.Environ(), "MARTENDRUM_TEST_CHILD=1", "GORACE=atexit_sleep_ms=0", "TMPDIR="+s.dir, "BALANCER_CONFIG="+s.config, "BALANCER_MGMT="+p.mgmt, "BALANCER_LISTEN=", "BALANCER_DISCOVERY=")
+	p := &process{Cmd: exec.Command(self), adminAddr: freeAddr(s.t), log: new(synchronizedBuffer), exited: make(chan error, 1)}
+	p.Env = append(os.Environ(), "MARTENDRUM_TEST_CHILD=1", "GORACE=atexit_sleep_ms=0", "TMPDIR="+s.dir, "BALANCER_CONFIG="+s.configPath, "BALANCER_MGMT="+p.adminAddr, "BALANCER_LISTEN=", "BALANCER_DISCOVERY=")
 	p.Stderr = p.log
 	if err := p.Start(); err != nil {
 		s.t.Fatal(err)
 	}
-	go func() { p.done <- p.Wait() }()
+	go func() { p.exited <- p.Wait() }()
 	s.t.Cleanup(func() {
 		p.Process.Kill()
 		if s.t.Failed() {
@@ -96,31 +96,31 @@
 	return p
 }
 
-// running starts a process and waits until it takes clients.
-func (s *shop) running() *process {
+// startReadyProcess starts a process and waits until it takes clients.
+func (s *fixture) startReadyProcess() *process {
 	s.t.Helper()
-	p := s.start()
-	p.ready(s.t)
+	p := s.startProcess()
+	p.waitReady(s.t)
 	return p
 }
 
-// configure writes the configuration's text.
-func (s *shop) configure(t *testing.T, text string) {
+// writeConfig writes the configuration's text.
+func (s *fixture) writeConfig(t *testing.T, text string) {
 	t.Helper()
-	if err := os.WriteFile(s.config, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(s.configPath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (s *shop) text(t *testing.T) string {
+func (s *fixture) configText(t *testing.T) string {
 	t.Helper()
-	text, err := os.ReadFile(s.config)
+	text, err := os.ReadFile(s.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-func (s *shop) getenv(name string) string {
-	return map[string]string{"BALANCER_CONFIG": s.config}[name]
+func (s *fixture) getenv(name string) string {
+	return map[string]string{"BALANCER_CONFIG": s.configPath}[name]
 }
--- a/cmd/sidecar/generated_test.go
+++ b/cmd/sidecar/generated_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// kind is a class of generated settings, as a client needs to know it.
-type kind struct{ name, effect string }
+// generatedClass is a class of generated settings, as a client needs to know it.
+type generatedClass struct{ name, idempotency string }
 
 // generated draws the settings of an arbitrary customer: classes of any idempotency, tenants,
 // zones, limits and costs; optional keys are only certain to be there if complete is true.
-func generated(rng *rand.Rand, complete bool) (settings map[string]any, kinds []kind) {
+func generated(rng *rand.Rand, complete bool) (settings map[string]any, kinds []generatedClass) {
 	word := func() string {
 		b := make([]byte, 3+rng.IntN(12))
 		for i := range b {
@@ -36,9 +36,9 @@
 	}
 	var classes []any
 	for range 1 + rng.IntN(7) {
-		k := kind{word(), []string{"repeatable", "by_key", "once"}[rng.IntN(3)]}
+		k := generatedClass{word(), []string{"repeatable", "by_key", "once"}[rng.IntN(3)]}
 		limit := us(2*time.Second, 3*time.Second)
-		c := map[string]any{"name": k.name, "effect": k.effect, "hardLimitUs": limit, "promiseUs": 1 + rng.Int64N(limit)}
+		c := map[string]any{"name": k.name, "effect": k.idempotency, "hardLimitUs": limit, "promiseUs": 1 + rng.Int64N(limit)}
 		maybe(c, "worth", rng.Float64()*20)
 		maybe(c, "lateValue", rng.Float64())
 		maybe(c, "dedupScope", []string{"all", "zone", "cell"}[rng.IntN(3)])
@@ -80,10 +80,10 @@
 }
 
 // request is one of k, as the protocol has it.
-func (k kind) request(t *testing.T, addr, id, path string) *http.Request {
+func (k generatedClass) request(t *testing.T, addr, id, path string) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, io.Reader(strings.NewReader("body"))
-	if k.effect == "repeatable" {
+	if k.idempotency == "repeatable" {
 		method, body = http.MethodGet, nil
 	}
 	r, err := http.NewRequest(method, "http://"+addr+"/"+k.name+path, body)
@@ -93,7 +93,7 @@
 	r.GetBody = nil
 	r.Header.Set("Req-Id", id)
 	r.Header.Set("Req-Kind", k.name)
-	if k.effect == "by_key" {
+	if k.idempotency == "by_key" {
 		r.Header.Set("Idempotency-Key", "k"+id)
 	}
 	return r
@@ -108,7 +108,7 @@
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
 			came, hold := make(chan struct{}, 100), make(chan struct{})
-			s := newShopBefore(t, func(w http.ResponseWriter, r *http.Request) {
+			s := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 				if strings.HasSuffix(r.URL.Path, "/held") {
 					came <- struct{}{}
 					<-hold
@@ -120,7 +120,7 @@
 			first, kinds := generated(rng, false)
 			write := func(settings map[string]any) string {
 				var file map[string]any
-				if err := json.Unmarshal([]byte(s.text(t)), &file); err != nil {
+				if err := json.Unmarshal([]byte(s.configText(t)), &file); err != nil {
 					t.Fatal(err)
 				}
 				file["settings"] = settings
@@ -130,13 +130,13 @@
 				}
 				return string(text)
 			}
-			s.configure(t, write(first))
-			p := s.running()
+			s.writeConfig(t, write(first))
+			p := s.startReadyProcess()
 			eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
 			client := &http.Client{Timeout: patience}
 			defer client.CloseIdleConnections()
 			ids := 0
-			status := func(k kind, path string) int {
+			status := func(k generatedClass, path string) int {
 				ids++
 				resp, err := client.Do(k.request(t, s.listen, fmt.Sprint("g", ids), path))
 				if err != nil {
@@ -174,7 +174,7 @@
 					second[key] = first[key]
 				}
 			}
-			p.retune(t, s, write(second))
+			p.reloadConfig(t, s, write(second))
 			if n := p.metric(t, "config_applied"); n != 1 {
 				t.Fatalf("the second settings were turned down: %s", p.log)
 			}
@@ -191,7 +191,7 @@
 			release()
 			open.Wait()
 			p.Process.Signal(syscall.SIGTERM)
-			if err := p.ends(t); err != nil {
+			if err := p.waitExit(t); err != nil {
 				t.Error(err)
 			}
 		})
--- a/cmd/sidecar/kill_test.go
+++ b/cmd/sidecar/kill_test.go
@@ -27,8 +27,8 @@
 // 0.97 and 1.51 s after SIGTERM, each the first on a connection that had been accepted at the
 // signal and had sent nothing since.
 
-// finalAnswer sends one request on a connection and returns the status of its answer.
-func finalAnswer(c net.Conn, r *bufio.Reader, id, path string) (int, error) {
+// postAndRead sends one request on a connection and returns the status of its answer.
+func postAndRead(c net.Conn, r *bufio.Reader, id, path string) (int, error) {
 	if _, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nContent-Length: 4\r\n\r\ncard", path, id); err != nil {
 		return 0, err
 	}
@@ -55,7 +55,7 @@
 	var mu sync.Mutex
 	passedOn := make(map[string]bool)
 	let := make(chan struct{})
-	s := newShopBefore(t, func(_ http.ResponseWriter, r *http.Request) {
+	s := newFixtureWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		passedOn[r.Header.Get("Req-Id")] = true
 		mu.Unlock()
@@ -67,7 +67,7 @@
 		defer mu.Unlock()
 		return passedOn[id]
 	}
-	p := s.running()
+	p := s.startReadyProcess()
 	var clients sync.WaitGroup
 	client := func(name string) {
 		c, err := net.Dial("tcp", s.listen)
@@ -79,7 +79,7 @@
 		reader := bufio.NewReader(c)
 		for n := 0; ; n++ {
 			id := fmt.Sprint(name, "-", n)
-			if _, err := finalAnswer(c, reader, id, "/pay"); err != nil {
+			if _, err := postAndRead(c, reader, id, "/pay"); err != nil {
 				if wasPassedOn(id) {
 					t.Errorf("request %s was passed on and got no answer: %v", id, err)
 				}
@@ -102,8 +102,8 @@
 		clients.Go(func() { client(fmt.Sprint("after", n)) })
 	}
 	select {
-	case <-p.done:
-		p.done <- nil
+	case <-p.exited:
+		p.exited <- nil
 	case <-time.After(time.Until(stopAt.Add(soak.EarliestKill(longest)))):
 		t.Errorf("the process is still there %v after SIGTERM", time.Since(stopAt))
 		p.Process.Kill()
@@ -120,18 +120,18 @@
 func TestStopLimitsAccepting(t *testing.T) {
 	passedOn := make(chan string, 100)
 	let := make(chan struct{})
-	s := newShopBefore(t, func(_ http.ResponseWriter, r *http.Request) {
+	s := newFixtureWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		passedOn <- r.Header.Get("Req-Id")
 		<-let
 	}, 256, `"promiseUs":20000000,"hardLimitUs":20000000`, `"promiseUs":400000,"hardLimitUs":2800000`)
 	t.Cleanup(func() { close(let) })
-	p := s.running()
+	p := s.startReadyProcess()
 	busy, err := net.Dial("tcp", s.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer busy.Close()
-	go finalAnswer(busy, bufio.NewReader(busy), "busy", "/pay")
+	go postAndRead(busy, bufio.NewReader(busy), "busy", "/pay")
 	if id := <-passedOn; id != "busy" {
 		t.Fatal(id)
 	}
@@ -149,7 +149,7 @@
 		return err != nil
 	})
 	select {
-	case <-p.done:
+	case <-p.exited:
 		t.Fatal("the process ended with a request open: the test shows nothing")
 	default:
 	}
@@ -158,8 +158,8 @@
 	if _, err := reader.Peek(1); err != io.EOF {
 		t.Errorf("the silent connection did not end: %v", err)
 	}
-	finalAnswer(silent, reader, "late", "/pay")
-	if err := p.ends(t); err != nil {
+	postAndRead(silent, reader, "late", "/pay")
+	if err := p.waitExit(t); err != nil {
 		t.Error(err)
 	}
 	select {
--- a/cmd/sidecar/process_test.go
+++ b/cmd/sidecar/process_test.go
@@ -18,31 +18,31 @@
 // process is one sidecar process.
 type process struct {
 	*exec.Cmd
-	mgmt string
-	log  *safeBuffer
-	done chan error
+	adminAddr string
+	log       *synchronizedBuffer
+	exited    chan error
 }
 
-type safeBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+type synchronizedBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (s *safeBuffer) Write(p []byte) (int, error) {
+func (s *synchronizedBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.Write(p)
+	return s.buffer.Write(p)
 }
 
-func (s *safeBuffer) String() string {
+func (s *synchronizedBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.String()
+	return s.buffer.String()
 }
 
-func (p *process) status(path string) int {
+func (p *process) adminStatus(path string) int {
 	c := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := c.Get("http://" + p.mgmt + path)
+	resp, err := c.Get("http://" + p.adminAddr + path)
 	if err != nil {
 		return 0
 	}
@@ -50,10 +50,10 @@
 	return resp.StatusCode
 }
 
-// quota is how many descriptors the process may hold, by its own word.
-func (p *process) quota() (n int) {
+// socketQuota is how many descriptors the process may hold, by its own word.
+func (p *process) socketQuota() (n int) {
 	c := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := c.Get("http://" + p.mgmt + "/api/telemetry")
+	resp, err := c.Get("http://" + p.adminAddr + "/api/telemetry")
 	if err != nil {
 		return 0
 	}
@@ -65,22 +65,22 @@
 	return n
 }
 
-func (p *process) holds(t *testing.T, sockets int) {
+func (p *process) waitSocketQuota(t *testing.T, sockets int) {
 	t.Helper()
-	eventually(t, fmt.Sprint("a share of descriptors of ", sockets), func() bool { return p.quota() == sockets })
+	eventually(t, fmt.Sprint("a share of descriptors of ", sockets), func() bool { return p.socketQuota() == sockets })
 }
 
-func (p *process) ready(t *testing.T) {
+func (p *process) waitReady(t *testing.T) {
 	t.Helper()
-	eventually(t, "a process that takes clients", func() bool { return p.status("/api/ready") == http.StatusOK })
+	eventually(t, "a process that takes clients", func() bool { return p.adminStatus("/api/ready") == http.StatusOK })
 }
 
-// ends waits for the process's end.
-func (p *process) ends(t *testing.T) error {
+// waitExit waits for the process's end.
+func (p *process) waitExit(t *testing.T) error {
 	t.Helper()
 	select {
-	case err := <-p.done:
-		p.done <- err
+	case err := <-p.exited:
+		p.exited <- err
 		return err
 	case <-time.After(patience):
 		t.Fatal("the process did not end")
@@ -88,8 +88,8 @@
 	}
 }
 
-// sockets is how many descriptors are open, 0 after its end.
-func (p *process) sockets() int {
+// openDescriptors is how many descriptors are open, 0 after its end.
+func (p *process) openDescriptors() int {
 	names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	return len(names)
 }
@@ -97,7 +97,7 @@
 // metric is a figure by its full name, -1 if there is none.
 func (p *process) metric(t *testing.T, name string) float64 {
 	t.Helper()
-	resp, err := http.Get("http://" + p.mgmt + "/api/telemetry")
+	resp, err := http.Get("http://" + p.adminAddr + "/api/telemetry")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,11 +112,11 @@
 	return -1
 }
 
-// retune writes a new file and waits until the process has decided on it.
-func (p *process) retune(t *testing.T, s *shop, text string) {
+// reloadConfig writes a new file and waits until the process has decided on it.
+func (p *process) reloadConfig(t *testing.T, s *fixture, text string) {
 	t.Helper()
 	before := p.metric(t, "config_applied") + p.metric(t, "config_rejected")
-	s.configure(t, text)
+	s.writeConfig(t, text)
 	p.Process.Signal(syscall.SIGHUP)
 	eventually(t, "a word on the file", func() bool { return p.metric(t, "config_applied")+p.metric(t, "config_rejected") == before+1 })
 }
--- a/cmd/sidecar/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -17,19 +17,19 @@
 	const maxReady = 10 * time.Second
 	var all sync.WaitGroup
 	for n := range 8 {
-		s := newShop(t, 256)
-		text := replace(t, s.text(t), s.discovery, silent.Listener.Addr().String())
+		s := newFixture(t, 256)
+		text := mustReplace(t, s.configText(t), s.discoveryAddr, silent.Listener.Addr().String())
 		if n%2 == 1 {
-			text = asking(t, text)
+			text = withPolledDiscovery(t, text)
 		}
-		s.configure(t, text)
+		s.writeConfig(t, text)
 		if n >= 4 {
-			old := s.running()
+			old := s.startReadyProcess()
 			old.Process.Signal(syscall.SIGSTOP)
 		}
 		all.Go(func() {
 			began := time.Now()
-			s.running()
+			s.startReadyProcess()
 			if took := time.Since(began); took > maxReady {
 				t.Errorf("process %d was ready after %v", n, took)
 			}
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -18,17 +18,17 @@
 // when its connection breaks, one that comes later is. Added classes are served,
 // dropped ones are not, and come back to their counts.
 func TestReloadKeepsClassOfOpenRequests(t *testing.T) {
-	s := newShop(t, 256)
+	s := newFixture(t, 256)
 	came, let := make(chan struct{}, 100), make(chan struct{})
-	addr, ran := reset(t, came, let)
-	text := replace(t, s.text(t), s.discovery, registry(t, 9, "breaks", addr))
-	s.configure(t, text)
-	p := s.start()
-	p.ready(t)
+	addr, ran := resettingServer(t, came, let)
+	text := mustReplace(t, s.configText(t), s.discoveryAddr, oneServerDiscovery(t, 9, "breaks", addr))
+	s.writeConfig(t, text)
+	p := s.startProcess()
+	p.waitReady(t)
 	open := make(chan int, 1)
 	go func() { open <- sendRequest(t, s.listen, http.MethodPost, "/pay") }()
 	<-came
-	p.retune(t, s, replace(t, replace(t, text, `"once"`, `"repeatable"`), `"name":"look"`, `"name":"seen"`))
+	p.reloadConfig(t, s, mustReplace(t, mustReplace(t, text, `"once"`, `"repeatable"`), `"name":"look"`, `"name":"seen"`))
 	if n := p.metric(t, "config_applied"); n != 1 {
 		t.Fatalf("%v files applied", n)
 	}
@@ -45,7 +45,7 @@
 	if sendRequest(t, s.listen, http.MethodGet, "/seen"); ran.Load() < 2 {
 		t.Error("a new class was not sent")
 	}
-	p.retune(t, s, text)
+	p.reloadConfig(t, s, text)
 	if got := sendRequest(t, s.listen, http.MethodGet, "/seen"); got != http.StatusNotFound {
 		t.Errorf("a class dropped again: %d", got)
 	}
@@ -56,10 +56,10 @@
 
 // A broken file changes nothing, and the log names its place.
 func TestBrokenFileChangesNothing(t *testing.T) {
-	s := newShop(t, 256)
-	p := s.start()
-	p.ready(t)
-	good := s.text(t)
+	s := newFixture(t, 256)
+	p := s.startProcess()
+	p.waitReady(t)
+	good := s.configText(t)
 	force, err := load(s.getenv)
 	if err != nil {
 		t.Fatal(err)
@@ -69,28 +69,28 @@
 		{"", "JSON"},
 		{good[:len(good)/2], "JSON"},
 		{"[]", "JSON"},
-		{replace(t, good, `"seed":"1f",`, ""), "seed"},
-		{replace(t, good, `"seed":"1f",`, `"seed":"1f","known":5,`), "known"},
-		{replace(t, good, `"limits":{"cores":4,"memory_mb":512,"sockets":256},`, ""), "limits"},
-		{replace(t, good, `"sockets":256`, `"sockets":2`), "sockets"},
-		{replace(t, good, cap+",", ""), "attemptsCap"},
-		{replace(t, good, cap, `"attemptsCap":0`), "attemptsCap"},
-		{replace(t, good, cap, `"attemptsCap":-1`), "attemptsCap"},
-		{replace(t, good, cap, `"attemptsCap":2.5`), "attemptsCap"},
-		{replace(t, good, cap, `"attemptsCap":null`), "attemptsCap"},
-		{replace(t, good, cap, `"attemptsCap":"4"`), "attemptsCap"},
-		{replace(t, good, `"mostHeld":100`, `"mostheld_":100`), "mostHeld"},
-		{replace(t, good, deadline, `"effect":"once"`), "hardLimitUs"},
-		{replace(t, good, deadline, `"hardLimitUs":0,"effect":"once"`), "hardLimitUs"},
-		{replace(t, good, deadline, `"hardLimitUs":-5,"effect":"once"`), "hardLimitUs"},
-		{replace(t, good, deadline, `"hardLimitUs":"1s","effect":"once"`), "hardLimitUs"},
-		{replace(t, good, deadline, `"hardLimitUs":20000000`), "effect"},
-		{replace(t, good, `"effect":"once"`, `"effect":"twice"`), "effect"},
-		{replace(t, good, `"name":"pay"`, `"name":"look"`), "two classes"},
-		{replace(t, good, `"name":"pay"`, `"name":""`), "name"},
-		{replace(t, good, `"guarantees":{"drainGraceUs":2000000,"coldFrom":1},`, ""), "guarantees"},
+		{mustReplace(t, good, `"seed":"1f",`, ""), "seed"},
+		{mustReplace(t, good, `"seed":"1f",`, `"seed":"1f","known":5,`), "known"},
+		{mustReplace(t, good, `"limits":{"cores":4,"memory_mb":512,"sockets":256},`, ""), "limits"},
+		{mustReplace(t, good, `"sockets":256`, `"sockets":2`), "sockets"},
+		{mustReplace(t, good, cap+",", ""), "attemptsCap"},
+		{mustReplace(t, good, cap, `"attemptsCap":0`), "attemptsCap"},
+		{mustReplace(t, good, cap, `"attemptsCap":-1`), "attemptsCap"},
+		{mustReplace(t, good, cap, `"attemptsCap":2.5`), "attemptsCap"},
+		{mustReplace(t, good, cap, `"attemptsCap":null`), "attemptsCap"},
+		{mustReplace(t, good, cap, `"attemptsCap":"4"`), "attemptsCap"},
+		{mustReplace(t, good, `"mostHeld":100`, `"mostheld_":100`), "mostHeld"},
+		{mustReplace(t, good, deadline, `"effect":"once"`), "hardLimitUs"},
+		{mustReplace(t, good, deadline, `"hardLimitUs":0,"effect":"once"`), "hardLimitUs"},
+		{mustReplace(t, good, deadline, `"hardLimitUs":-5,"effect":"once"`), "hardLimitUs"},
+		{mustReplace(t, good, deadline, `"hardLimitUs":"1s","effect":"once"`), "hardLimitUs"},
+		{mustReplace(t, good, deadline, `"hardLimitUs":20000000`), "effect"},
+		{mustReplace(t, good, `"effect":"once"`, `"effect":"twice"`), "effect"},
+		{mustReplace(t, good, `"name":"pay"`, `"name":"look"`), "two classes"},
+		{mustReplace(t, good, `"name":"pay"`, `"name":""`), "name"},
+		{mustReplace(t, good, `"guarantees":{"drainGraceUs":2000000,"coldFrom":1},`, ""), "guarantees"},
 	} {
-		p.retune(t, s, c.text)
+		p.reloadConfig(t, s, c.text)
 		if got := p.metric(t, "config_rejected"); got != float64(n+1) {
 			t.Fatalf("case %d was taken: %s", n, c.text)
 		}
@@ -114,8 +114,8 @@
 // changes nothing. A stop answers what was taken.
 func TestReloadAndStop(t *testing.T) {
 	came, hold := make(chan struct{}, 1), make(chan struct{})
-	first := registry(t, 50, "s1", backend(t, "one", came, hold))
-	second := registry(t, 3, "s2", backend(t, "two", came, hold))
+	first := oneServerDiscovery(t, 50, "s1", backend(t, "one", came, hold))
+	second := oneServerDiscovery(t, 3, "s2", backend(t, "two", came, hold))
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		t.Helper()
@@ -123,7 +123,7 @@
 			t.Fatal(err)
 		}
 	}
-	write(fmt.Sprintf(configForm, first))
+	write(fmt.Sprintf(testConfigFormat, first))
 	t.Setenv("BALANCER_CONFIG", path)
 	t.Setenv("BALANCER_DISCOVERY", first)
 	t.Setenv("BALANCER_LISTEN", "")
@@ -174,7 +174,7 @@
 		return r.Header.Get(healthConfigHash)
 	}
 	sumOf := func(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
-	if got := told(); got != sumOf(fmt.Sprintf(configForm, first)) {
+	if got := told(); got != sumOf(fmt.Sprintf(testConfigFormat, first)) {
 		t.Errorf("the configuration in force is told to be %s", got)
 	}
 
@@ -184,11 +184,11 @@
 	if s, b := ask("GET", "/look"); s != http.StatusOK || b != "one" {
 		t.Errorf("after a bad file: %d %q", s, b)
 	}
-	if got := told(); got != sumOf(fmt.Sprintf(configForm, first)) {
+	if got := told(); got != sumOf(fmt.Sprintf(testConfigFormat, first)) {
 		t.Errorf("after a bad file the configuration in force is told to be %s", got)
 	}
 
-	write(fmt.Sprintf(configForm, second))
+	write(fmt.Sprintf(testConfigFormat, second))
 	hup <- syscall.SIGHUP
 	eventually(t, "an answer of the second server", func() bool {
 		s, b := ask("GET", "/look")
@@ -198,7 +198,7 @@
 		return b == "two"
 	})
 
-	if got := told(); got != sumOf(fmt.Sprintf(configForm, second)) {
+	if got := told(); got != sumOf(fmt.Sprintf(testConfigFormat, second)) {
 		t.Errorf("after the reload the configuration in force is told to be %s", got)
 	}
 
--- a/cmd/sidecar/standins_test.go
+++ b/cmd/sidecar/standins_test.go
@@ -27,8 +27,8 @@
 	return s.Listener.Addr().String()
 }
 
-// registry is a discovery that lists one server and keeps its watches open.
-func registry(t testing.TB, index int, name, addr string) string {
+// oneServerDiscovery is a discovery that lists one server and keeps its watches open.
+func oneServerDiscovery(t testing.TB, index int, name, addr string) string {
 	end := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, `{"index":%d,"snapshot":true,"endpoints":[{"name":%q,"address":%q,"status":"up","weight":1}]}`+"\n", index, name, addr)
@@ -51,9 +51,9 @@
 	return s.Listener.Addr().String()
 }
 
-// reset is a server that accepts requests, reports each, and breaks the connection once
+// resettingServer is a server that accepts requests, reports each, and breaks the connection once
 // released. It counts what it ran.
-func reset(t *testing.T, came chan<- struct{}, let <-chan struct{}) (addr string, ran *atomic.Int64) {
+func resettingServer(t *testing.T, came chan<- struct{}, let <-chan struct{}) (addr string, ran *atomic.Int64) {
 	t.Helper()
 	ran = new(atomic.Int64)
 	return tcp.Requests(t, func(int, int, net.Conn, *http.Request) bool {
@@ -64,8 +64,8 @@
 	}), ran
 }
 
-// lists is a discovery that writes one list to each watch and keeps it open.
-func lists(t *testing.T, list string) string {
+// staticDiscovery is a discovery that writes one list to each watch and keeps it open.
+func staticDiscovery(t *testing.T, list string) string {
 	t.Helper()
 	end := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -83,26 +83,26 @@
 	return s.Listener.Addr().String()
 }
 
-// changing is a discovery that can go away, its open watches with it, and come back with
+// changingDiscovery is a discovery that can go away, its open watches with it, and come back with
 // another list.
-type changing struct {
-	mu    sync.Mutex
-	list  string        // empty: it is away
-	ended chan struct{} // closed when the list changes
+type changingDiscovery struct {
+	mu      sync.Mutex
+	list    string        // empty: it is away
+	changed chan struct{} // closed when the list changes
 }
 
-func (c *changing) set(list string) {
+func (c *changingDiscovery) set(list string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended != nil {
-		close(c.ended)
+	if c.changed != nil {
+		close(c.changed)
 	}
-	c.list, c.ended = list, make(chan struct{})
+	c.list, c.changed = list, make(chan struct{})
 }
 
-func (c *changing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *changingDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
-	list, ended := c.list, c.ended
+	list, ended := c.list, c.changed
 	c.mu.Unlock()
 	if list == "" {
 		panic(http.ErrAbortHandler)
--- a/cmd/sidecar/stop_test.go
+++ b/cmd/sidecar/stop_test.go
@@ -19,11 +19,11 @@
 // anything of it was forwarded.
 func TestStopOnIdleConnections(t *testing.T) {
 	var ran sync.Map
-	s := newShopBefore(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 		ran.Store(r.Header.Get("Req-Id"), true)
 		io.WriteString(w, "one")
 	}, 256)
-	p := s.running()
+	p := s.startReadyProcess()
 	var wg sync.WaitGroup
 	var answered atomic.Int64
 	for n := range 8 {
@@ -58,7 +58,7 @@
 	before := answered.Load()
 	p.Process.Signal(syscall.SIGTERM)
 	wg.Wait()
-	if err := p.ends(t); err != nil {
+	if err := p.waitExit(t); err != nil {
 		t.Error(err)
 	}
 	if answered.Load() == before {
@@ -70,11 +70,11 @@
 // see a plain end, and what crosses is not run.
 func TestStopWithIdleClients(t *testing.T) {
 	var ran sync.Map
-	s := newShopBefore(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 		ran.Store(r.Header.Get("Req-Id"), true)
 		io.WriteString(w, "one")
 	}, 256)
-	p := s.running()
+	p := s.startReadyProcess()
 	var wg sync.WaitGroup
 	var ready sync.WaitGroup
 	var ended atomic.Int64
@@ -129,7 +129,7 @@
 	ready.Wait()
 	p.Process.Signal(syscall.SIGTERM)
 	wg.Wait()
-	if err := p.ends(t); err != nil {
+	if err := p.waitExit(t); err != nil {
 		t.Error(err)
 	}
 	if ended.Load() != clients {
@@ -143,10 +143,10 @@
 	const longest = time.Second
 	hung := make(chan struct{}, 100)
 	let := make(chan struct{})
-	s := newShopBefore(t, func(http.ResponseWriter, *http.Request) { hung <- struct{}{}; <-let }, 256,
+	s := newFixtureWithServer(t, func(http.ResponseWriter, *http.Request) { hung <- struct{}{}; <-let }, 256,
 		`"promiseUs":20000000,"hardLimitUs":20000000`, fmt.Sprintf(`"promiseUs":900000,"hardLimitUs":%d`, longest.Microseconds()))
 	t.Cleanup(func() { close(let) })
-	p := s.running()
+	p := s.startReadyProcess()
 	var wg sync.WaitGroup
 	const clients = 8
 	for n := range clients {
@@ -168,7 +168,7 @@
 		p.Process.Signal(sig)
 	}
 	wg.Wait()
-	if err := p.ends(t); err != nil {
+	if err := p.waitExit(t); err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(began); took > longest+700*time.Millisecond {
--- a/cmd/sidecar/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// succeed replaces old by a new process under load and terminates old. The new one has what the
+// upgradeUnderLoad replaces old by a new process under load and terminates old. The new one has what the
 // old one had learned, and the full limits in the end.
-func (s *shop) succeed(old *process, c *clientGroup) *process {
+func (s *fixture) upgradeUnderLoad(old *process, c *clientGroup) *process {
 	s.t.Helper()
-	c.more(s.t, 50)
-	next := s.running()
-	c.more(s.t, 50)
+	c.waitServed(s.t, 50)
+	next := s.startReadyProcess()
+	c.waitServed(s.t, 50)
 	old.Process.Signal(syscall.SIGTERM)
-	c.more(s.t, 50)
-	if err := old.ends(s.t); err != nil {
+	c.waitServed(s.t, 50)
+	if err := old.waitExit(s.t); err != nil {
 		s.t.Errorf("the old process ended with %v", err)
 	}
-	next.holds(s.t, 256)
+	next.waitSocketQuota(s.t, 256)
 	if !strings.Contains(next.log.String(), "warm start") {
 		s.t.Error("the new process knows nothing of the old one")
 	}
@@ -42,7 +42,7 @@
 	}{{8, 4, 100, 3, true}, {8, 8, 8, 20, true}, {24, 24, 8, 3, false}} {
 		t.Run(fmt.Sprintf("%d clients of %d", c.clients, c.limit), func(t *testing.T) {
 			var open, peak atomic.Int64
-			s := newShopBefore(t, func(w http.ResponseWriter, r *http.Request) {
+			s := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 				if r.Method == http.MethodPost { // these are not copied
 					if n := open.Add(1); n > peak.Load() {
 						peak.Store(n)
@@ -54,17 +54,17 @@
 				}
 				io.WriteString(w, "one")
 			}, 256, `"mostHeld":100`, fmt.Sprintf(`"mostHeld":%d`, c.limit))
-			p := s.running()
-			clients := flock(t, s.listen, c.clients, c.kept)
+			p := s.startReadyProcess()
+			clients := startClients(t, s.listen, c.clients, c.kept)
 			for range c.upgrades {
-				p = s.succeed(p, clients)
+				p = s.upgradeUnderLoad(p, clients)
 			}
-			clients.more(t, 50)
-			clients.halt()
+			clients.waitServed(t, 50)
+			clients.stopAll()
 			if !c.lossless {
 				clients.failures.Clear()
 			}
-			clients.end(t)
+			clients.checkServed(t)
 			if n := peak.Load(); n == 0 || n > int64(c.limit) {
 				t.Errorf("%d requests at the server at once, %d may be held", n, c.limit)
 			}
@@ -81,29 +81,29 @@
 		asleep bool // it gets SIGTERM before it runs again, as from an agent
 	}{{"asked when awake", false}, {"asked while stopped", true}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newShop(t, 256)
-			old := s.running()
-			clients := flock(t, s.listen, 8, 4)
-			clients.more(t, 50)
+			s := newFixture(t, 256)
+			old := s.startReadyProcess()
+			clients := startClients(t, s.listen, 8, 4)
+			clients.waitServed(t, 50)
 			old.Process.Signal(syscall.SIGSTOP)
-			next := s.running()
-			next.holds(t, 128)
+			next := s.startReadyProcess()
+			next.waitSocketQuota(t, 128)
 			if c.asleep {
 				old.Process.Signal(syscall.SIGTERM)
 			}
 			old.Process.Signal(syscall.SIGCONT)
 			eventually(t, "a hand-over after all", func() bool { return strings.Contains(next.log.String(), "runs again and hands over") })
 			if !c.asleep {
-				clients.more(t, 50)
+				clients.waitServed(t, 50)
 				old.Process.Signal(syscall.SIGTERM)
 			}
-			if err := old.ends(t); err != nil {
+			if err := old.waitExit(t); err != nil {
 				t.Errorf("the old process ended with %v", err)
 			}
-			next.holds(t, 256)
-			s.succeed(next, clients)
-			clients.more(t, 50)
-			clients.end(t)
+			next.waitSocketQuota(t, 256)
+			s.upgradeUnderLoad(next, clients)
+			clients.waitServed(t, 50)
+			clients.checkServed(t)
 			if log := old.log.String() + next.log.String(); strings.Contains(log, "ERROR") {
 				t.Error("a hand-over went wrong")
 			}
@@ -115,8 +115,8 @@
 // connect, and the new one gets the rest when the predecessor has exited.
 func TestUpgradeSharesLimits(t *testing.T) {
 	const sockets = 128
-	s := newShop(t, sockets)
-	old := s.running()
+	s := newFixture(t, sockets)
+	old := s.startReadyProcess()
 	var open []net.Conn
 	defer func() {
 		for _, c := range open {
@@ -132,22 +132,22 @@
 		}
 	}
 	crowded()
-	next := s.start()
-	next.ready(t)
+	next := s.startProcess()
+	next.waitReady(t)
 	for range 5 {
 		crowded()
-		if a, b := old.sockets(), next.sockets(); a+b > sockets {
+		if a, b := old.openDescriptors(), next.openDescriptors(); a+b > sockets {
 			t.Errorf("%d and %d descriptors of %d", a, b, sockets)
 		}
 	}
 	old.Process.Signal(syscall.SIGTERM)
-	old.ends(t)
-	next.holds(t, sockets)
+	old.waitExit(t)
+	next.waitSocketQuota(t, sockets)
 	for _, c := range open {
 		c.Close()
 	}
 	eventually(t, "room for clients", func() bool {
-		return visit(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, s.listen) == nil
+		return sendAlternating(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, s.listen) == nil
 	})
 }
 
@@ -156,14 +156,14 @@
 func TestUpgradeSharesIDs(t *testing.T) {
 	var came atomic.Int64
 	hold := make(chan struct{})
-	s := newShopBefore(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Req-Id") == "same" {
 			came.Add(1)
 			<-hold
 		}
 		io.WriteString(w, "one")
 	}, 256)
-	old := s.running()
+	old := s.startReadyProcess()
 	pay := func() int { return sendRequestAs(t, "same", s.listen, http.MethodPost, "/pay") }
 	turnedAway := func(when string) {
 		t.Helper()
@@ -176,22 +176,22 @@
 	owner := make(chan int, 1)
 	go func() { owner <- pay() }()
 	eventually(t, "the owner's request at the server", func() bool { return came.Load() == 1 })
-	next := s.running()
+	next := s.startReadyProcess()
 	turnedAway("while both serve")
 	old.Process.Signal(syscall.SIGTERM)
-	eventually(t, "the old process's leaving", func() bool { return old.status("/api/ready") != http.StatusOK })
+	eventually(t, "the old process's leaving", func() bool { return old.adminStatus("/api/ready") != http.StatusOK })
 	turnedAway("while the old one ends")
 	close(hold)
 	if got := <-owner; got != http.StatusOK {
 		t.Errorf("the owner was answered %d", got)
 	}
-	old.ends(t)
+	old.waitExit(t)
 	turnedAway("after the answer")
 	if n := came.Load(); n != 1 {
 		t.Errorf("%d requests under one id came to the server", n)
 	}
-	next.holds(t, 256)
-	if err := visit(http.DefaultClient, s.listen); err != nil {
+	next.waitSocketQuota(t, 256)
+	if err := sendAlternating(http.DefaultClient, s.listen); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/sidecar/warm_restart_test.go
+++ b/cmd/sidecar/warm_restart_test.go
@@ -13,23 +13,23 @@
 // A process that starts soon after a stop knows what the one before knew; a damaged
 // file is left aside.
 func TestWarmRestart(t *testing.T) {
-	s := newShop(t, 256)
-	first := s.start()
-	first.ready(t)
+	s := newFixture(t, 256)
+	first := s.startProcess()
+	first.waitReady(t)
 	for range 10 {
-		if err := visit(http.DefaultClient, s.listen); err != nil {
+		if err := sendAlternating(http.DefaultClient, s.listen); err != nil {
 			t.Fatal(err)
 		}
 	}
 	first.Process.Signal(syscall.SIGTERM)
-	first.ends(t)
-	second := s.start()
-	second.ready(t)
+	first.waitExit(t)
+	second := s.startProcess()
+	second.waitReady(t)
 	if log := second.log.String(); !strings.Contains(log, "warm start") || !strings.Contains(log, "servers=1") {
 		t.Errorf("no warm start:\n%s", log)
 	}
 	second.Process.Kill()
-	second.ends(t)
+	second.waitExit(t)
 	names, _ := filepath.Glob(filepath.Join(s.dir, "sidecar-*.snap"))
 	if len(names) != 1 {
 		t.Fatal(names)
@@ -37,8 +37,8 @@
 	if err := os.WriteFile(names[0], []byte("what is this"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	third := s.start()
-	third.ready(t)
+	third := s.startProcess()
+	third.waitReady(t)
 	log := third.log.String()
 	for until := time.Now().Add(patience); !strings.Contains(log, "cold start") && time.Now().Before(until); log = third.log.String() {
 		time.Sleep(time.Millisecond) // what it wrote before it was ready may still be on its way
