--- a/cmd/sidecar/checkpoint_test.go
+++ b/cmd/sidecar/checkpoint_test.go
@@ -12,19 +12,19 @@
 // Learned state is a hint for the next process; a file that is torn, empty or another
 // sidecar's is reported as such, and the sidecar serves all the same.
 func TestCheckpointsNotTrusted(t *testing.T) {
-	s := newFixture(t, 256)
+	f := newFixture(t, 256)
 	keep := filepath.Join(t.TempDir(), "checkpoint")
 	t.Setenv("MARTENDRUM_FLEET", "return")
 	t.Setenv("MARTENDRUM_CHECKPOINT", keep)
 	life := func(want string) {
 		t.Helper()
-		s.dir = t.TempDir() // nothing is left of the process before but the checkpoint
-		p := s.startReadyProcess()
+		f.dir = t.TempDir() // nothing is left of the process before but the checkpoint
+		p := f.startReadyProcess()
 		if want != "" {
 			eventually(t, want, func() bool { return strings.Contains(p.log.String(), want) })
 		}
 		for range 5 {
-			if err := sendAlternating(http.DefaultClient, s.listen); err != nil {
+			if err := sendAlternating(http.DefaultClient, f.listen); err != nil {
 				t.Error(err)
 			}
 		}
@@ -47,10 +47,10 @@
 			t.Errorf("%s: the file was not written anew", want)
 		}
 	}
-	listen := s.listen
-	s.listen = freeAddr(t)
-	text := mustReplace(t, s.configText(t), listen, s.listen)
-	s.writeConfig(t, text)
+	listen := f.listen
+	f.listen = freeAddr(t)
+	text := mustReplace(t, f.configText(t), listen, f.listen)
+	f.writeConfig(t, text)
 	before, _ := os.ReadFile(keep)
 	life("of another sidecar")
 	if now, _ := os.ReadFile(keep); string(now) != string(before) {
--- a/cmd/sidecar/discovery_test.go
+++ b/cmd/sidecar/discovery_test.go
@@ -25,13 +25,13 @@
 				entry = fmt.Sprintf(entry, at)
 			}
 			agent := staticDiscovery(t, fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s{"name":"s1","address":%q,"status":"up","weight":1}]}`, entry, good.Listener.Addr()))
-			s := newFixture(t, 256)
-			text := mustReplace(t, s.configText(t), s.discoveryAddr, agent)
+			f := newFixture(t, 256)
+			text := mustReplace(t, f.configText(t), f.discoveryAddr, agent)
 			text = mustReplace(t, text, `"seed"`, fmt.Sprintf(`"known":{"index":3,"snapshot":true,"endpoints":[{"name":"s0","address":%q,"status":"up","weight":1}]},"seed"`, at))
-			s.writeConfig(t, text)
-			s.startReadyProcess()
+			f.writeConfig(t, text)
+			f.startReadyProcess()
 			for range 20 {
-				if got := sendRequest(t, s.listen, http.MethodGet, "/look"); got != http.StatusOK {
+				if got := sendRequest(t, f.listen, http.MethodGet, "/look"); got != http.StatusOK {
 					t.Errorf("answered %d", got)
 				}
 			}
@@ -45,23 +45,23 @@
 // Where discovery is polled, a new configuration that moves it is followed well within the 4 s
 // after which its list counts as notified, also while no watch is open.
 func TestEndpointChangeIsFollowedWithoutWatch(t *testing.T) {
-	s := newFixture(t, 256)
+	f := newFixture(t, 256)
 	asked := make(chan struct{}, 100)
 	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		asked <- struct{}{}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	t.Cleanup(down.Close)
-	text := withPolledDiscovery(t, s.configText(t))
-	good, text := text, mustReplace(t, text, s.discoveryAddr, down.Listener.Addr().String())
-	s.writeConfig(t, text)
-	p := s.startReadyProcess()
+	text := withPolledDiscovery(t, f.configText(t))
+	good, text := text, mustReplace(t, text, f.discoveryAddr, down.Listener.Addr().String())
+	f.writeConfig(t, text)
+	p := f.startReadyProcess()
 	select {
 	case <-asked: // and refused: the next call is seconds away
 	case <-time.After(patience):
 		t.Fatal("discovery was never asked")
 	}
-	p.reloadConfig(t, s, good)
+	p.reloadConfig(t, f, good)
 	began := time.Now()
 	eventually(t, "the new discovery's list", func() bool { return p.metric(t, "pool_size") == 1 })
 	if took := time.Since(began); took > 4*time.Second {
@@ -79,18 +79,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newFixture(t, 256)
+			f := newFixture(t, 256)
 			asked := make(chan time.Time, 100)
 			down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				asked <- time.Now()
 				call(w, r)
 			}))
 			t.Cleanup(down.Close)
-			text := withPolledDiscovery(t, s.configText(t))
-			text = mustReplace(t, text, s.discoveryAddr, down.Listener.Addr().String())
-			s.writeConfig(t, text)
+			text := withPolledDiscovery(t, f.configText(t))
+			text = mustReplace(t, text, f.discoveryAddr, down.Listener.Addr().String())
+			f.writeConfig(t, text)
 			last := time.Now()
-			s.startReadyProcess()
+			f.startReadyProcess()
 			for n := range 6 {
 				select {
 				case at := <-asked:
--- a/cmd/sidecar/eviction_test.go
+++ b/cmd/sidecar/eviction_test.go
@@ -19,7 +19,7 @@
 // back, servers are reached, and whoever comes with a request is answered.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	const sockets = 64
-	s := newFixture(t, sockets)
+	f := newFixture(t, sockets)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") }))
 	t.Cleanup(server.Close)
 	list := func(index int, names ...string) string {
@@ -33,16 +33,16 @@
 	disco.set(list(1, "s1"))
 	at := httptest.NewServer(disco)
 	t.Cleanup(func() { disco.set(""); at.Close() })
-	text := mustReplace(t, s.configText(t), s.discoveryAddr, at.Listener.Addr().String())
-	s.writeConfig(t, text)
-	p := s.startReadyProcess()
+	text := mustReplace(t, f.configText(t), f.discoveryAddr, at.Listener.Addr().String())
+	f.writeConfig(t, text)
+	p := f.startReadyProcess()
 	if err := unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
 	disco.set("")
 	for n := range 200 {
-		c, err := net.Dial("tcp", s.listen)
+		c, err := net.Dial("tcp", f.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,7 +67,7 @@
 		t.Errorf("discovery was followed again after %v", took)
 	}
 	for n := range 20 {
-		if got := sendRequest(t, s.listen, http.MethodGet, "/look"); got != http.StatusOK {
+		if got := sendRequest(t, f.listen, http.MethodGet, "/look"); got != http.StatusOK {
 			t.Errorf("request %d was answered %d", n, got)
 		}
 	}
--- a/cmd/sidecar/fixture_test.go
+++ b/cmd/sidecar/fixture_test.go
@@ -68,59 +68,59 @@
 	t.Helper()
 	at := httptest.NewServer(server)
 	t.Cleanup(at.Close)
-	s := &fixture{t: t, dir: t.TempDir()}
-	s.configPath, s.listen, s.discoveryAddr = writeTestConfig(t, at.Listener.Addr().String(), sockets, changes...)
-	return s
+	f := &fixture{t: t, dir: t.TempDir()}
+	f.configPath, f.listen, f.discoveryAddr = writeTestConfig(t, at.Listener.Addr().String(), sockets, changes...)
+	return f
 }
 
 // startProcess starts a process; its end is seen to.
-func (s *fixture) startProcess() *process {
-	s.t.Helper()
+func (f *fixture) startProcess() *process {
+	f.t.Helper()
 	self, err := os.Executable()
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	p := &process{Cmd: exec.Command(self), adminAddr: freeAddr(s.t), log: new(synchronizedBuffer), exited: make(chan error, 1)}
-	p.Env = append(os.Environ(), "MARTENDRUM_TEST_CHILD=1", "GORACE=atexit_sleep_ms=0", "TMPDIR="+s.dir, "BALANCER_CONFIG="+s.configPath, "BALANCER_MGMT="+p.adminAddr, "BALANCER_LISTEN=", "BALANCER_DISCOVERY=")
+	p := &process{Cmd: exec.Command(self), adminAddr: freeAddr(f.t), log: new(synchronizedBuffer), exited: make(chan error, 1)}
+	p.Env = append(os.Environ(), "MARTENDRUM_TEST_CHILD=1", "GORACE=atexit_sleep_ms=0", "TMPDIR="+f.dir, "BALANCER_CONFIG="+f.configPath, "BALANCER_MGMT="+p.adminAddr, "BALANCER_LISTEN=", "BALANCER_DISCOVERY=")
 	p.Stderr = p.log
 	if err := p.Start(); err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	go func() { p.exited <- p.Wait() }()
-	s.t.Cleanup(func() {
+	f.t.Cleanup(func() {
 		p.Process.Kill()
-		if s.t.Failed() {
-			s.t.Logf("process %d:\n%s", p.Process.Pid, p.log)
+		if f.t.Failed() {
+			f.t.Logf("process %d:\n%s", p.Process.Pid, p.log)
 		}
 	})
 	return p
 }
 
 // startReadyProcess starts a process and waits until it takes clients.
-func (s *fixture) startReadyProcess() *process {
-	s.t.Helper()
-	p := s.startProcess()
-	p.waitReady(s.t)
+func (f *fixture) startReadyProcess() *process {
+	f.t.Helper()
+	p := f.startProcess()
+	p.waitReady(f.t)
 	return p
 }
 
 // writeConfig writes the configuration's text.
-func (s *fixture) writeConfig(t *testing.T, text string) {
+func (f *fixture) writeConfig(t *testing.T, text string) {
 	t.Helper()
-	if err := os.WriteFile(s.configPath, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(f.configPath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (s *fixture) configText(t *testing.T) string {
+func (f *fixture) configText(t *testing.T) string {
 	t.Helper()
-	text, err := os.ReadFile(s.configPath)
+	text, err := os.ReadFile(f.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-func (s *fixture) getenv(name string) string {
-	return map[string]string{"BALANCER_CONFIG": s.configPath}[name]
+func (f *fixture) getenv(name string) string {
+	return map[string]string{"BALANCER_CONFIG": f.configPath}[name]
 }
--- a/cmd/sidecar/generated_test.go
+++ b/cmd/sidecar/generated_test.go
@@ -108,7 +108,7 @@
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
 			came, hold := make(chan struct{}, 100), make(chan struct{})
-			s := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
+			f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 				if strings.HasSuffix(r.URL.Path, "/held") {
 					came <- struct{}{}
 					<-hold
@@ -120,7 +120,7 @@
 			first, kinds := generated(rng, false)
 			write := func(settings map[string]any) string {
 				var file map[string]any
-				if err := json.Unmarshal([]byte(s.configText(t)), &file); err != nil {
+				if err := json.Unmarshal([]byte(f.configText(t)), &file); err != nil {
 					t.Fatal(err)
 				}
 				file["settings"] = settings
@@ -130,15 +130,15 @@
 				}
 				return string(text)
 			}
-			s.writeConfig(t, write(first))
-			p := s.startReadyProcess()
+			f.writeConfig(t, write(first))
+			p := f.startReadyProcess()
 			eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
 			client := &http.Client{Timeout: patience}
 			defer client.CloseIdleConnections()
 			ids := 0
 			status := func(k generatedClass, path string) int {
 				ids++
-				resp, err := client.Do(k.request(t, s.listen, fmt.Sprint("g", ids), path))
+				resp, err := client.Do(k.request(t, f.listen, fmt.Sprint("g", ids), path))
 				if err != nil {
 					t.Errorf("%+v: %v", k, err)
 					return 0
@@ -154,7 +154,7 @@
 			}
 			var open sync.WaitGroup
 			for n, k := range kinds {
-				r := k.request(t, s.listen, fmt.Sprint("held", n), "/held")
+				r := k.request(t, f.listen, fmt.Sprint("held", n), "/held")
 				open.Go(func() {
 					resp, err := http.DefaultTransport.RoundTrip(r)
 					if err != nil {
@@ -174,7 +174,7 @@
 					second[key] = first[key]
 				}
 			}
-			p.reloadConfig(t, s, write(second))
+			p.reloadConfig(t, f, write(second))
 			if n := p.metric(t, "config_applied"); n != 1 {
 				t.Fatalf("the second settings were turned down: %s", p.log)
 			}
--- a/cmd/sidecar/kill_test.go
+++ b/cmd/sidecar/kill_test.go
@@ -55,7 +55,7 @@
 	var mu sync.Mutex
 	passedOn := make(map[string]bool)
 	let := make(chan struct{})
-	s := newFixtureWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	f := newFixtureWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		passedOn[r.Header.Get("Req-Id")] = true
 		mu.Unlock()
@@ -67,10 +67,10 @@
 		defer mu.Unlock()
 		return passedOn[id]
 	}
-	p := s.startReadyProcess()
+	p := f.startReadyProcess()
 	var clients sync.WaitGroup
 	client := func(name string) {
-		c, err := net.Dial("tcp", s.listen)
+		c, err := net.Dial("tcp", f.listen)
 		if err != nil {
 			return // nobody listens any more
 		}
@@ -120,13 +120,13 @@
 func TestStopLimitsAccepting(t *testing.T) {
 	passedOn := make(chan string, 100)
 	let := make(chan struct{})
-	s := newFixtureWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	f := newFixtureWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		passedOn <- r.Header.Get("Req-Id")
 		<-let
 	}, 256, `"promiseUs":20000000,"hardLimitUs":20000000`, `"promiseUs":400000,"hardLimitUs":2800000`)
 	t.Cleanup(func() { close(let) })
-	p := s.startReadyProcess()
-	busy, err := net.Dial("tcp", s.listen)
+	p := f.startReadyProcess()
+	busy, err := net.Dial("tcp", f.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,14 +135,14 @@
 	if id := <-passedOn; id != "busy" {
 		t.Fatal(id)
 	}
-	silent, err := net.Dial("tcp", s.listen)
+	silent, err := net.Dial("tcp", f.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
 	p.Process.Signal(syscall.SIGTERM)
 	eventually(t, "an end of accepting", func() bool {
-		c, err := net.Dial("tcp", s.listen)
+		c, err := net.Dial("tcp", f.listen)
 		if err == nil {
 			c.Close()
 		}
--- a/cmd/sidecar/process_test.go
+++ b/cmd/sidecar/process_test.go
@@ -113,10 +113,10 @@
 }
 
 // reloadConfig writes a new file and waits until the process has decided on it.
-func (p *process) reloadConfig(t *testing.T, s *fixture, text string) {
+func (p *process) reloadConfig(t *testing.T, f *fixture, text string) {
 	t.Helper()
 	before := p.metric(t, "config_applied") + p.metric(t, "config_rejected")
-	s.writeConfig(t, text)
+	f.writeConfig(t, text)
 	p.Process.Signal(syscall.SIGHUP)
 	eventually(t, "a word on the file", func() bool { return p.metric(t, "config_applied")+p.metric(t, "config_rejected") == before+1 })
 }
--- a/cmd/sidecar/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -17,19 +17,19 @@
 	const maxReady = 10 * time.Second
 	var all sync.WaitGroup
 	for n := range 8 {
-		s := newFixture(t, 256)
-		text := mustReplace(t, s.configText(t), s.discoveryAddr, silent.Listener.Addr().String())
+		f := newFixture(t, 256)
+		text := mustReplace(t, f.configText(t), f.discoveryAddr, silent.Listener.Addr().String())
 		if n%2 == 1 {
 			text = withPolledDiscovery(t, text)
 		}
-		s.writeConfig(t, text)
+		f.writeConfig(t, text)
 		if n >= 4 {
-			old := s.startReadyProcess()
+			old := f.startReadyProcess()
 			old.Process.Signal(syscall.SIGSTOP)
 		}
 		all.Go(func() {
 			began := time.Now()
-			s.startReadyProcess()
+			f.startReadyProcess()
 			if took := time.Since(began); took > maxReady {
 				t.Errorf("process %d was ready after %v", n, took)
 			}
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -18,17 +18,17 @@
 // when its connection breaks, one that comes later is. Added classes are served,
 // dropped ones are not, and come back to their counts.
 func TestReloadKeepsClassOfOpenRequests(t *testing.T) {
-	s := newFixture(t, 256)
+	f := newFixture(t, 256)
 	came, let := make(chan struct{}, 100), make(chan struct{})
 	addr, ran := resettingServer(t, came, let)
-	text := mustReplace(t, s.configText(t), s.discoveryAddr, oneServerDiscovery(t, 9, "breaks", addr))
-	s.writeConfig(t, text)
-	p := s.startProcess()
+	text := mustReplace(t, f.configText(t), f.discoveryAddr, oneServerDiscovery(t, 9, "breaks", addr))
+	f.writeConfig(t, text)
+	p := f.startProcess()
 	p.waitReady(t)
 	open := make(chan int, 1)
-	go func() { open <- sendRequest(t, s.listen, http.MethodPost, "/pay") }()
+	go func() { open <- sendRequest(t, f.listen, http.MethodPost, "/pay") }()
 	<-came
-	p.reloadConfig(t, s, mustReplace(t, mustReplace(t, text, `"once"`, `"repeatable"`), `"name":"look"`, `"name":"seen"`))
+	p.reloadConfig(t, f, mustReplace(t, mustReplace(t, text, `"once"`, `"repeatable"`), `"name":"look"`, `"name":"seen"`))
 	if n := p.metric(t, "config_applied"); n != 1 {
 		t.Fatalf("%v files applied", n)
 	}
@@ -36,17 +36,17 @@
 	if got := <-open; got != http.StatusBadGateway || ran.Load() != 1 {
 		t.Errorf("the open request was answered %d after %d runs", got, ran.Load())
 	}
-	if got := sendRequest(t, s.listen, http.MethodPost, "/pay"); got != http.StatusMethodNotAllowed {
+	if got := sendRequest(t, f.listen, http.MethodPost, "/pay"); got != http.StatusMethodNotAllowed {
 		t.Errorf("the old method of a changed class: %d", got)
 	}
-	if got := sendRequest(t, s.listen, http.MethodGet, "/look"); got != http.StatusNotFound {
+	if got := sendRequest(t, f.listen, http.MethodGet, "/look"); got != http.StatusNotFound {
 		t.Errorf("a dropped class: %d", got)
 	}
-	if sendRequest(t, s.listen, http.MethodGet, "/seen"); ran.Load() < 2 {
+	if sendRequest(t, f.listen, http.MethodGet, "/seen"); ran.Load() < 2 {
 		t.Error("a new class was not sent")
 	}
-	p.reloadConfig(t, s, text)
-	if got := sendRequest(t, s.listen, http.MethodGet, "/seen"); got != http.StatusNotFound {
+	p.reloadConfig(t, f, text)
+	if got := sendRequest(t, f.listen, http.MethodGet, "/seen"); got != http.StatusNotFound {
 		t.Errorf("a class dropped again: %d", got)
 	}
 	if n := p.metric(t, `responses{kind="pay",result="errors"}`); n != 1 {
@@ -56,11 +56,11 @@
 
 // A broken file changes nothing, and the log names its place.
 func TestBrokenFileChangesNothing(t *testing.T) {
-	s := newFixture(t, 256)
-	p := s.startProcess()
+	f := newFixture(t, 256)
+	p := f.startProcess()
 	p.waitReady(t)
-	good := s.configText(t)
-	force, err := load(s.getenv)
+	good := f.configText(t)
+	force, err := load(f.getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,16 +90,16 @@
 		{mustReplace(t, good, `"name":"pay"`, `"name":""`), "name"},
 		{mustReplace(t, good, `"guarantees":{"drainGraceUs":2000000,"coldFrom":1},`, ""), "guarantees"},
 	} {
-		p.reloadConfig(t, s, c.text)
+		p.reloadConfig(t, f, c.text)
 		if got := p.metric(t, "config_rejected"); got != float64(n+1) {
 			t.Fatalf("case %d was taken: %s", n, c.text)
 		}
-		if _, err := reload(s.getenv, force); err == nil || !strings.Contains(err.Error(), c.names) {
+		if _, err := reload(f.getenv, force); err == nil || !strings.Contains(err.Error(), c.names) {
 			t.Errorf("case %d: %v, want it to name %s", n, err, c.names)
 		}
 		for _, path := range []string{"/look", "/pay"} {
 			method := map[string]string{"/look": http.MethodGet, "/pay": http.MethodPost}[path]
-			if got := sendRequest(t, s.listen, method, path); got != http.StatusOK {
+			if got := sendRequest(t, f.listen, method, path); got != http.StatusOK {
 				t.Errorf("case %d: %s answered %d", n, path, got)
 			}
 		}
--- a/cmd/sidecar/stop_test.go
+++ b/cmd/sidecar/stop_test.go
@@ -19,11 +19,11 @@
 // anything of it was forwarded.
 func TestStopOnIdleConnections(t *testing.T) {
 	var ran sync.Map
-	s := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
+	f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 		ran.Store(r.Header.Get("Req-Id"), true)
 		io.WriteString(w, "one")
 	}, 256)
-	p := s.startReadyProcess()
+	p := f.startReadyProcess()
 	var wg sync.WaitGroup
 	var answered atomic.Int64
 	for n := range 8 {
@@ -32,7 +32,7 @@
 			defer c.CloseIdleConnections()
 			for i := 0; ; i++ {
 				id := fmt.Sprintf("k%d-%d", n, i)
-				r, err := http.NewRequest(http.MethodPost, "http://"+s.listen+"/pay", strings.NewReader("card"))
+				r, err := http.NewRequest(http.MethodPost, "http://"+f.listen+"/pay", strings.NewReader("card"))
 				if err != nil {
 					t.Error(err)
 					return
@@ -70,11 +70,11 @@
 // see a plain end, and what crosses is not run.
 func TestStopWithIdleClients(t *testing.T) {
 	var ran sync.Map
-	s := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
+	f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 		ran.Store(r.Header.Get("Req-Id"), true)
 		io.WriteString(w, "one")
 	}, 256)
-	p := s.startReadyProcess()
+	p := f.startReadyProcess()
 	var wg sync.WaitGroup
 	var ready sync.WaitGroup
 	var ended atomic.Int64
@@ -82,7 +82,7 @@
 	ready.Add(clients)
 	for n := range clients {
 		wg.Go(func() {
-			c, err := net.Dial("tcp", s.listen)
+			c, err := net.Dial("tcp", f.listen)
 			if err != nil {
 				t.Error(err)
 				ready.Done()
@@ -143,10 +143,10 @@
 	const longest = time.Second
 	hung := make(chan struct{}, 100)
 	let := make(chan struct{})
-	s := newFixtureWithServer(t, func(http.ResponseWriter, *http.Request) { hung <- struct{}{}; <-let }, 256,
+	f := newFixtureWithServer(t, func(http.ResponseWriter, *http.Request) { hung <- struct{}{}; <-let }, 256,
 		`"promiseUs":20000000,"hardLimitUs":20000000`, fmt.Sprintf(`"promiseUs":900000,"hardLimitUs":%d`, longest.Microseconds()))
 	t.Cleanup(func() { close(let) })
-	p := s.startReadyProcess()
+	p := f.startReadyProcess()
 	var wg sync.WaitGroup
 	const clients = 8
 	for n := range clients {
@@ -155,7 +155,7 @@
 			method, path = http.MethodPost, "/pay"
 		}
 		wg.Go(func() {
-			if got := sendRequest(t, s.listen, method, path); n%2 == 0 && got != http.StatusBadGateway || got < 500 {
+			if got := sendRequest(t, f.listen, method, path); n%2 == 0 && got != http.StatusBadGateway || got < 500 {
 				t.Errorf("%s was answered %d", path, got)
 			}
 		})
--- a/cmd/sidecar/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -14,19 +14,19 @@
 
 // upgradeUnderLoad replaces old by a new process under load and terminates old. The new one has what the
 // old one had learned, and the full limits in the end.
-func (s *fixture) upgradeUnderLoad(old *process, c *clientGroup) *process {
-	s.t.Helper()
-	c.waitServed(s.t, 50)
-	next := s.startReadyProcess()
-	c.waitServed(s.t, 50)
+func (f *fixture) upgradeUnderLoad(old *process, c *clientGroup) *process {
+	f.t.Helper()
+	c.waitServed(f.t, 50)
+	next := f.startReadyProcess()
+	c.waitServed(f.t, 50)
 	old.Process.Signal(syscall.SIGTERM)
-	c.waitServed(s.t, 50)
-	if err := old.waitExit(s.t); err != nil {
-		s.t.Errorf("the old process ended with %v", err)
+	c.waitServed(f.t, 50)
+	if err := old.waitExit(f.t); err != nil {
+		f.t.Errorf("the old process ended with %v", err)
 	}
-	next.waitSocketQuota(s.t, 256)
+	next.waitSocketQuota(f.t, 256)
 	if !strings.Contains(next.log.String(), "warm start") {
-		s.t.Error("the new process knows nothing of the old one")
+		f.t.Error("the new process knows nothing of the old one")
 	}
 	return next
 }
@@ -42,7 +42,7 @@
 	}{{8, 4, 100, 3, true}, {8, 8, 8, 20, true}, {24, 24, 8, 3, false}} {
 		t.Run(fmt.Sprintf("%d clients of %d", c.clients, c.limit), func(t *testing.T) {
 			var open, peak atomic.Int64
-			s := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
+			f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 				if r.Method == http.MethodPost { // these are not copied
 					if n := open.Add(1); n > peak.Load() {
 						peak.Store(n)
@@ -54,10 +54,10 @@
 				}
 				io.WriteString(w, "one")
 			}, 256, `"mostHeld":100`, fmt.Sprintf(`"mostHeld":%d`, c.limit))
-			p := s.startReadyProcess()
-			clients := startClients(t, s.listen, c.clients, c.kept)
+			p := f.startReadyProcess()
+			clients := startClients(t, f.listen, c.clients, c.kept)
 			for range c.upgrades {
-				p = s.upgradeUnderLoad(p, clients)
+				p = f.upgradeUnderLoad(p, clients)
 			}
 			clients.waitServed(t, 50)
 			clients.stopAll()
@@ -81,12 +81,12 @@
 		asleep bool // it gets SIGTERM before it runs again, as from an agent
 	}{{"asked when awake", false}, {"asked while stopped", true}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newFixture(t, 256)
-			old := s.startReadyProcess()
-			clients := startClients(t, s.listen, 8, 4)
+			f := newFixture(t, 256)
+			old := f.startReadyProcess()
+			clients := startClients(t, f.listen, 8, 4)
 			clients.waitServed(t, 50)
 			old.Process.Signal(syscall.SIGSTOP)
-			next := s.startReadyProcess()
+			next := f.startReadyProcess()
 			next.waitSocketQuota(t, 128)
 			if c.asleep {
 				old.Process.Signal(syscall.SIGTERM)
@@ -101,7 +101,7 @@
 				t.Errorf("the old process ended with %v", err)
 			}
 			next.waitSocketQuota(t, 256)
-			s.upgradeUnderLoad(next, clients)
+			f.upgradeUnderLoad(next, clients)
 			clients.waitServed(t, 50)
 			clients.checkServed(t)
 			if log := old.log.String() + next.log.String(); strings.Contains(log, "ERROR") {
@@ -115,8 +115,8 @@
 // connect, and the new one gets the rest when the predecessor has exited.
 func TestUpgradeSharesLimits(t *testing.T) {
 	const sockets = 128
-	s := newFixture(t, sockets)
-	old := s.startReadyProcess()
+	f := newFixture(t, sockets)
+	old := f.startReadyProcess()
 	var open []net.Conn
 	defer func() {
 		for _, c := range open {
@@ -125,14 +125,14 @@
 	}()
 	crowded := func() {
 		for range 100 {
-			if c, err := net.Dial("tcp", s.listen); err == nil {
+			if c, err := net.Dial("tcp", f.listen); err == nil {
 				fmt.Fprintf(c, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
 				open = append(open, c)
 			}
 		}
 	}
 	crowded()
-	next := s.startProcess()
+	next := f.startProcess()
 	next.waitReady(t)
 	for range 5 {
 		crowded()
@@ -147,7 +147,7 @@
 		c.Close()
 	}
 	eventually(t, "room for clients", func() bool {
-		return sendAlternating(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, s.listen) == nil
+		return sendAlternating(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, f.listen) == nil
 	})
 }
 
@@ -156,15 +156,15 @@
 func TestUpgradeSharesIDs(t *testing.T) {
 	var came atomic.Int64
 	hold := make(chan struct{})
-	s := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
+	f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Req-Id") == "same" {
 			came.Add(1)
 			<-hold
 		}
 		io.WriteString(w, "one")
 	}, 256)
-	old := s.startReadyProcess()
-	pay := func() int { return sendRequestAs(t, "same", s.listen, http.MethodPost, "/pay") }
+	old := f.startReadyProcess()
+	pay := func() int { return sendRequestAs(t, "same", f.listen, http.MethodPost, "/pay") }
 	turnedAway := func(when string) {
 		t.Helper()
 		for n := range 20 { // some come to each process
@@ -176,7 +176,7 @@
 	owner := make(chan int, 1)
 	go func() { owner <- pay() }()
 	eventually(t, "the owner's request at the server", func() bool { return came.Load() == 1 })
-	next := s.startReadyProcess()
+	next := f.startReadyProcess()
 	turnedAway("while both serve")
 	old.Process.Signal(syscall.SIGTERM)
 	eventually(t, "the old process's leaving", func() bool { return old.adminStatus("/api/ready") != http.StatusOK })
@@ -191,7 +191,7 @@
 		t.Errorf("%d requests under one id came to the server", n)
 	}
 	next.waitSocketQuota(t, 256)
-	if err := sendAlternating(http.DefaultClient, s.listen); err != nil {
+	if err := sendAlternating(http.DefaultClient, f.listen); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/sidecar/warm_restart_test.go
+++ b/cmd/sidecar/warm_restart_test.go
@@ -13,31 +13,31 @@
 // A process that starts soon after a stop knows what the one before knew; a damaged
 // file is left aside.
 func TestWarmRestart(t *testing.T) {
-	s := newFixture(t, 256)
-	first := s.startProcess()
+	f := newFixture(t, 256)
+	first := f.startProcess()
 	first.waitReady(t)
 	for range 10 {
-		if err := sendAlternating(http.DefaultClient, s.listen); err != nil {
+		if err := sendAlternating(http.DefaultClient, f.listen); err != nil {
 			t.Fatal(err)
 		}
 	}
 	first.Process.Signal(syscall.SIGTERM)
 	first.waitExit(t)
-	second := s.startProcess()
+	second := f.startProcess()
 	second.waitReady(t)
 	if log := second.log.String(); !strings.Contains(log, "warm start") || !strings.Contains(log, "servers=1") {
 		t.Errorf("no warm start:\n%s", log)
 	}
 	second.Process.Kill()
 	second.waitExit(t)
-	names, _ := filepath.Glob(filepath.Join(s.dir, "sidecar-*.snap"))
+	names, _ := filepath.Glob(filepath.Join(f.dir, "sidecar-*.snap"))
 	if len(names) != 1 {
 		t.Fatal(names)
 	}
 	if err := os.WriteFile(names[0], []byte("what is this"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	third := s.startProcess()
+	third := f.startProcess()
 	third.waitReady(t)
 	log := third.log.String()
 	for until := time.Now().Add(patience); !strings.Contains(log, "cold start") && time.Now().Before(until); log = third.log.String() {
