--- a/cmd/sidecar/kill_test.go
+++ b/cmd/sidecar/kill_test.go
@@ -27,9 +27,15 @@
 // 0.97 and 1.51 s after SIGTERM, each the first on a connection that had been accepted at the
 // signal and had sent nothing since.
 
+// writePost writes a small POST request.
+func writePost(w io.Writer, id, path string) error {
+	_, err := fmt.Fprintf(w, "POST %s HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nContent-Length: 4\r\n\r\ncard", path, id)
+	return err
+}
+
 // postAndRead sends one request on a connection and returns the status of its answer.
 func postAndRead(c net.Conn, r *bufio.Reader, id, path string) (int, error) {
-	if _, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nContent-Length: 4\r\n\r\ncard", path, id); err != nil {
+	if err := writePost(c, id, path); err != nil {
 		return 0, err
 	}
 	response, err := http.ReadResponse(r, nil)
@@ -40,6 +46,33 @@
 	return response.StatusCode, err
 }
 
+// hangingServer records the requests that reach it, and answers none before its release.
+type hangingServer struct {
+	release chan struct{}
+
+	mu        sync.Mutex
+	forwarded map[string]bool // by request id
+}
+
+func (s *hangingServer) serve(_ http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	s.forwarded[r.Header.Get("Req-Id")] = true
+	s.mu.Unlock()
+	<-s.release
+}
+
+func (s *hangingServer) received(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.forwarded[id]
+}
+
+func (s *hangingServer) count() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.forwarded)
+}
+
 // Servers hang throughout a shutdown, and the kill comes at its earliest: every forwarded
 // request has its answer by then, however long its class may wait.
 func TestEarliestKillFindsNothingOpen(t *testing.T) {
@@ -52,54 +85,21 @@
 }
 
 func testEarliestKill(t *testing.T, longest time.Duration) {
-	var mu sync.Mutex
-	passedOn := make(map[string]bool)
-	let := make(chan struct{})
-	f := newFixtureWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
-		mu.Lock()
-		passedOn[r.Header.Get("Req-Id")] = true
-		mu.Unlock()
-		<-let
-	}, 256, `"promiseUs":20000000,"hardLimitUs":20000000`, fmt.Sprintf(`"promiseUs":400000,"hardLimitUs":%d`, longest.Microseconds()))
-	t.Cleanup(func() { close(let) })
-	wasPassedOn := func(id string) bool {
-		mu.Lock()
-		defer mu.Unlock()
-		return passedOn[id]
-	}
+	server := &hangingServer{release: make(chan struct{}), forwarded: make(map[string]bool)}
+	f := newFixtureWithServer(t, server.serve, 256,
+		`"promiseUs":20000000,"hardLimitUs":20000000`, fmt.Sprintf(`"promiseUs":400000,"hardLimitUs":%d`, longest.Microseconds()))
+	t.Cleanup(func() { close(server.release) })
 	p := f.startReadyProcess()
 	var clients sync.WaitGroup
-	client := func(name string) {
-		c, err := net.Dial("tcp", f.listen)
-		if err != nil {
-			return // nobody listens any more
-		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
-		reader := bufio.NewReader(c)
-		for n := 0; ; n++ {
-			id := fmt.Sprint(name, "-", n)
-			if _, err := postAndRead(c, reader, id, "/pay"); err != nil {
-				if wasPassedOn(id) {
-					t.Errorf("request %s was passed on and got no answer: %v", id, err)
-				}
-				return
-			}
-		}
-	}
 	for n := range 6 {
-		clients.Go(func() { client(fmt.Sprint("before", n)) })
+		clients.Go(func() { sendUntilRefused(t, f.listen, fmt.Sprint("before", n), server) })
 	}
-	eventually(t, "requests at the server", func() bool {
-		mu.Lock()
-		defer mu.Unlock()
-		return len(passedOn) >= 6
-	})
+	eventually(t, "requests at the server", func() bool { return server.count() >= 6 })
 	stopAt := time.Now()
 	p.Process.Signal(syscall.SIGTERM)
 	for n := range 6 { // new connections go on coming for a while
 		time.Sleep(60 * time.Millisecond)
-		clients.Go(func() { client(fmt.Sprint("after", n)) })
+		clients.Go(func() { sendUntilRefused(t, f.listen, fmt.Sprint("after", n), server) })
 	}
 	select {
 	case <-p.exited:
@@ -110,7 +110,28 @@
 	}
 	clients.Wait()
 	if !strings.Contains(p.log.String(), "stopping") {
-		t.Error("the process was not told to end: the test shows nothing")
+		t.Error("the process did not log that it stops: the test shows nothing")
+	}
+}
+
+// sendUntilRefused sends requests on one connection until it breaks. A request that the server
+// received must have been answered.
+func sendUntilRefused(t *testing.T, addr, name string, server *hangingServer) {
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		return // the process has stopped accepting
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(patience))
+	reader := bufio.NewReader(c)
+	for n := 0; ; n++ {
+		id := fmt.Sprint(name, "-", n)
+		if _, err := postAndRead(c, reader, id, "/pay"); err != nil {
+			if server.received(id) {
+				t.Errorf("request %s was forwarded and got no answer: %v", id, err)
+			}
+			return
+		}
 	}
 }
 
--- a/cmd/sidecar/stop_test.go
+++ b/cmd/sidecar/stop_test.go
@@ -66,69 +66,38 @@
 	}
 }
 
-// Clients that rest until the sidecar ends them, with a request that crosses its closing,
-// see a plain end, and what crosses is not run.
+// Clients that rest until the sidecar closes their connection, with a request that crosses the
+// close, see a plain end of the connection, and what crosses is not executed.
 func TestStopWithIdleClients(t *testing.T) {
-	var ran sync.Map
+	var executed sync.Map
 	f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
-		ran.Store(r.Header.Get("Req-Id"), true)
+		executed.Store(r.Header.Get("Req-Id"), true)
 		io.WriteString(w, "one")
 	}, 256)
 	p := f.startReadyProcess()
-	var wg sync.WaitGroup
-	var ready sync.WaitGroup
-	var ended atomic.Int64
 	const clients = 20
-	ready.Add(clients)
+	var connected, finished sync.WaitGroup
+	var ended atomic.Int64
+	connected.Add(clients)
 	for n := range clients {
-		wg.Go(func() {
+		finished.Go(func() {
+			answered := sync.OnceFunc(connected.Done)
+			defer answered()
 			c, err := net.Dial("tcp", f.listen)
 			if err != nil {
 				t.Error(err)
-				ready.Done()
 				return
 			}
 			defer c.Close()
 			c.SetDeadline(time.Now().Add(patience))
-			br := bufio.NewReader(c)
-			first := true
-			for i := 0; ; i++ {
-				id := fmt.Sprintf("r%d-%d", n, i)
-				fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nContent-Length: 4\r\n\r\ncard", id)
-				resp, err := http.ReadResponse(br, nil)
-				if err == nil {
-					_, err = io.Copy(io.Discard, resp.Body)
-				}
-				if first {
-					first = false
-					ready.Done()
-				}
-				if err != nil { // the request crossed the closing
-					if _, did := ran.Load(id); did {
-						t.Errorf("%s has run and was not answered: %v", id, err)
-					}
-					break
-				}
-				if n%2 == 0 { // rests, and sends in the moment of the closing
-					if _, err := br.Peek(1); err != nil {
-						fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %s-late\r\nContent-Length: 4\r\n\r\ncard", id)
-						if err != io.EOF {
-							t.Errorf("%s: a resting connection ended with %v", id, err)
-						}
-						io.Copy(io.Discard, br)
-						if _, did := ran.Load(id + "-late"); did {
-							t.Errorf("%s was sent after the closing and has run", id)
-						}
-						break
-					}
-				}
-			}
+			client := &persistentClient{t: t, conn: c, reader: bufio.NewReader(c), executed: &executed}
+			client.sendUntilClosed(fmt.Sprint("r", n), n%2 == 0, answered)
 			ended.Add(1)
 		})
 	}
-	ready.Wait()
+	connected.Wait()
 	p.Process.Signal(syscall.SIGTERM)
-	wg.Wait()
+	finished.Wait()
 	if err := p.waitExit(t); err != nil {
 		t.Error(err)
 	}
@@ -137,6 +106,66 @@
 	}
 }
 
+// persistentClient sends all its requests on one connection.
+type persistentClient struct {
+	t        *testing.T
+	conn     net.Conn
+	reader   *bufio.Reader
+	executed *sync.Map // ids of the requests that reached the server
+}
+
+// sendUntilClosed sends requests until the sidecar closes the connection. answered is called
+// after each. A client that rests waits after its answer, and sends at the moment of the close.
+func (c *persistentClient) sendUntilClosed(name string, rests bool, answered func()) {
+	for n := 0; ; n++ {
+		id := fmt.Sprintf("%s-%d", name, n)
+		err := c.exchange(id)
+		answered()
+		if err != nil { // the request crossed the close
+			if c.wasExecuted(id) {
+				c.t.Errorf("%s has run and was not answered: %v", id, err)
+			}
+			return
+		}
+		if !rests {
+			continue
+		}
+		if _, err := c.reader.Peek(1); err != nil {
+			c.sendAfterClose(id, err)
+			return
+		}
+	}
+}
+
+// exchange sends a request and reads its answer. A failed write shows in the read.
+func (c *persistentClient) exchange(id string) error {
+	writePost(c.conn, id, "/pay")
+	response, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return err
+	}
+	_, err = io.Copy(io.Discard, response.Body)
+	return err
+}
+
+// sendAfterClose sends a request on a resting connection that has just ended with closeErr:
+// the request must not be executed.
+func (c *persistentClient) sendAfterClose(id string, closeErr error) {
+	writePost(c.conn, id+"-late", "/pay")
+	if closeErr != io.EOF {
+		c.t.Errorf("%s: a resting connection ended with %v", id, closeErr)
+	}
+	io.Copy(io.Discard, c.reader)
+	if c.wasExecuted(id + "-late") {
+		c.t.Errorf("%s was sent after the closing and has run", id)
+	}
+}
+
+func (c *persistentClient) wasExecuted(id string) bool {
+	_, executed := c.executed.Load(id)
+	return executed
+}
+
 // Servers hang while the sidecar gets two signals to terminate and a reload: every accepted
 // request is answered by its deadline, and the process exits before it would be killed.
 func TestStopWhileServersHang(t *testing.T) {
