--- a/cmd/sidecar/generated_test.go
+++ b/cmd/sidecar/generated_test.go
@@ -106,94 +106,121 @@
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			rng := rand.New(rand.NewPCG(seed, 3))
-			came, hold := make(chan struct{}, 100), make(chan struct{})
-			f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
-				if strings.HasSuffix(r.URL.Path, "/held") {
-					came <- struct{}{}
-					<-hold
-				}
-				io.WriteString(w, "one")
-			}, 256)
-			release := sync.OnceFunc(func() { close(hold) })
-			t.Cleanup(release)
-			first, kinds := generated(rng, false)
-			write := func(settings map[string]any) string {
-				var file map[string]any
-				if err := json.Unmarshal([]byte(f.configText(t)), &file); err != nil {
-					t.Fatal(err)
-				}
-				file["settings"] = settings
-				text, err := json.Marshal(file)
-				if err != nil {
-					t.Fatal(err)
-				}
-				return string(text)
-			}
-			f.writeConfig(t, write(first))
-			p := f.startReadyProcess()
-			eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
-			client := &http.Client{Timeout: patience}
-			defer client.CloseIdleConnections()
-			ids := 0
-			status := func(k generatedClass, path string) int {
-				ids++
-				resp, err := client.Do(k.request(t, f.listen, fmt.Sprint("g", ids), path))
-				if err != nil {
-					t.Errorf("%+v: %v", k, err)
-					return 0
-				}
-				defer resp.Body.Close()
-				io.Copy(io.Discard, resp.Body)
-				return resp.StatusCode
-			}
-			for _, k := range kinds {
-				if got := status(k, "/x"); got != http.StatusOK {
-					t.Errorf("%+v was answered %d", k, got)
-				}
-			}
-			var open sync.WaitGroup
-			for n, k := range kinds {
-				r := k.request(t, f.listen, fmt.Sprint("held", n), "/held")
-				open.Go(func() {
-					resp, err := http.DefaultTransport.RoundTrip(r)
-					if err != nil {
-						t.Errorf("held %+v: %v", k, err)
-						return
-					}
-					defer resp.Body.Close()
-					if resp.StatusCode != http.StatusOK {
-						t.Errorf("held %+v was answered %d", k, resp.StatusCode)
-					}
-				})
-				<-came
-			}
-			second, next := generated(rng, true)
-			for key := range first { // a file may not lack what the one in force has
-				if _, ok := second[key]; !ok {
-					second[key] = first[key]
-				}
-			}
-			p.reloadConfig(t, f, write(second))
-			if n := p.metric(t, "config_applied"); n != 1 {
-				t.Fatalf("the second settings were turned down: %s", p.log)
-			}
-			for _, k := range next {
-				if got := status(k, "/x"); got != http.StatusOK {
-					t.Errorf("new %+v was answered %d", k, got)
-				}
-			}
-			for _, k := range kinds {
-				if got := status(k, "/x"); got != http.StatusNotFound {
-					t.Errorf("old %+v was answered %d, want that there is none", k, got)
-				}
-			}
-			release()
-			open.Wait()
-			p.Process.Signal(syscall.SIGTERM)
-			if err := p.waitExit(t); err != nil {
-				t.Error(err)
-			}
+			testGeneratedSettings(t, rand.New(rand.NewPCG(seed, 3)))
 		})
 	}
 }
+
+func testGeneratedSettings(t *testing.T, rng *rand.Rand) {
+	arrived, hold := make(chan struct{}, 100), make(chan struct{})
+	f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
+		if strings.HasSuffix(r.URL.Path, "/held") {
+			arrived <- struct{}{}
+			<-hold
+		}
+		io.WriteString(w, "one")
+	}, 256)
+	release := sync.OnceFunc(func() { close(hold) })
+	t.Cleanup(release)
+	first, classes := generated(rng, false)
+	f.writeConfig(t, withSettings(t, f, first))
+	p := f.startReadyProcess()
+	eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
+	client := &classClient{t: t, addr: f.listen, client: &http.Client{Timeout: patience}}
+	defer client.client.CloseIdleConnections()
+	for _, class := range classes {
+		if got := client.status(class, "/x"); got != http.StatusOK {
+			t.Errorf("%+v was answered %d", class, got)
+		}
+	}
+	var open sync.WaitGroup
+	for n, class := range classes {
+		sendHeld(t, &open, f.listen, fmt.Sprint("held", n), class)
+		<-arrived
+	}
+	second, newClasses := generated(rng, true)
+	addMissingKeys(second, first)
+	p.reloadConfig(t, f, withSettings(t, f, second))
+	if n := p.metric(t, "config_applied"); n != 1 {
+		t.Fatalf("the second settings were rejected: %s", p.log)
+	}
+	for _, class := range newClasses {
+		if got := client.status(class, "/x"); got != http.StatusOK {
+			t.Errorf("new %+v was answered %d", class, got)
+		}
+	}
+	for _, class := range classes {
+		if got := client.status(class, "/x"); got != http.StatusNotFound {
+			t.Errorf("old %+v was answered %d, want that there is none", class, got)
+		}
+	}
+	release()
+	open.Wait()
+	p.Process.Signal(syscall.SIGTERM)
+	if err := p.waitExit(t); err != nil {
+		t.Error(err)
+	}
+}
+
+// withSettings returns the fixture's configuration with other settings.
+func withSettings(t *testing.T, f *fixture, settings map[string]any) string {
+	t.Helper()
+	var file map[string]any
+	if err := json.Unmarshal([]byte(f.configText(t)), &file); err != nil {
+		t.Fatal(err)
+	}
+	file["settings"] = settings
+	text, err := json.Marshal(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// addMissingKeys adds the keys that next lacks: a file may not lack a key of the one in force.
+func addMissingKeys(next, inForce map[string]any) {
+	for key := range inForce {
+		if _, ok := next[key]; !ok {
+			next[key] = inForce[key]
+		}
+	}
+}
+
+// classClient sends requests of generated classes, each with an id of its own.
+type classClient struct {
+	t      *testing.T
+	addr   string
+	client *http.Client
+	sent   int
+}
+
+// status sends a request and returns the status of its answer, 0 if there was none.
+func (c *classClient) status(class generatedClass, path string) int {
+	c.sent++
+	resp, err := c.client.Do(class.request(c.t, c.addr, fmt.Sprint("g", c.sent), path))
+	if err != nil {
+		c.t.Errorf("%+v: %v", class, err)
+		return 0
+	}
+	defer resp.Body.Close()
+	io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode
+}
+
+// sendHeld sends a request that the server holds, and checks in the background that it is
+// answered in the end. open counts it.
+func sendHeld(t *testing.T, open *sync.WaitGroup, addr, id string, class generatedClass) {
+	t.Helper()
+	request := class.request(t, addr, id, "/held")
+	open.Go(func() {
+		resp, err := http.DefaultTransport.RoundTrip(request)
+		if err != nil {
+			t.Errorf("held %+v: %v", class, err)
+			return
+		}
+		defer resp.Body.Close()
+		if resp.StatusCode != http.StatusOK {
+			t.Errorf("held %+v was answered %d", class, resp.StatusCode)
+		}
+	})
+}
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -1,15 +1,9 @@
 package main
 
 import (
-	"crypto/sha256"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 )
@@ -109,125 +103,74 @@
 	}
 }
 
-// A reload moves to the discovery that the file names now, though the environment
-// still names the old one, and no request is lost by it; a file that can't be read
-// changes nothing. A stop answers what was taken.
+// A reload follows the discovery that the file names now, though the environment still names
+// the old one, and loses no request. A file that can't be read changes nothing. A stop answers
+// the requests that are open.
 func TestReloadAndStop(t *testing.T) {
-	came, hold := make(chan struct{}, 1), make(chan struct{})
-	first := oneServerDiscovery(t, 50, "s1", backend(t, "one", came, hold))
-	second := oneServerDiscovery(t, 3, "s2", backend(t, "two", came, hold))
-	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(text string) {
-		t.Helper()
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(fmt.Sprintf(testConfigFormat, first))
-	t.Setenv("BALANCER_CONFIG", path)
-	t.Setenv("BALANCER_DISCOVERY", first)
-	t.Setenv("BALANCER_LISTEN", "")
-	c, err := load(os.Getenv)
-	if err != nil {
-		t.Fatal(err)
-	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	term, hup, done := make(chan time.Time, 1), make(chan os.Signal, 1), make(chan error, 1)
-	r := &resources{config: c, listeners: []*net.TCPListener{ln.(*net.TCPListener)}}
-	r.Limit(c.fullQuota())
-	go func() { done <- run(c, r, nil, nil, signals{terminate: term, reload: hup}) }()
-
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
-	id := 0
-	ask := func(method, path string) (int, string) {
-		id++
-		var body io.Reader
-		if method == http.MethodPost {
-			body = strings.NewReader("card")
-		}
-		r, err := http.NewRequest(method, "http://"+ln.Addr().String()+path, body)
-		if err != nil {
-			return 0, err.Error()
-		}
-		r.Header.Set("Req-Id", fmt.Sprint(id))
-		resp, err := client.Do(r)
-		if err != nil {
-			return 0, err.Error()
-		}
-		defer resp.Body.Close()
-		b, _ := io.ReadAll(resp.Body)
-		return resp.StatusCode, string(b)
+	arrived, hold := make(chan struct{}, 1), make(chan struct{})
+	first := oneServerDiscovery(t, 50, "s1", backend(t, "one", arrived, hold))
+	second := oneServerDiscovery(t, 3, "s2", backend(t, "two", arrived, hold))
+	s := startInProcess(t, fmt.Sprintf(testConfigFormat, first), first)
+	eventually(t, "ready", func() bool { status, _ := s.send("GET", "/_health"); return status == http.StatusOK })
+	eventually(t, "an answer of the first server", func() bool { _, body := s.send("GET", "/look"); return body == "one" })
+	if got := s.configHash(); got != sha256Hex(fmt.Sprintf(testConfigFormat, first)) {
+		t.Errorf("the health response reports the configuration %s", got)
 	}
-	eventually(t, "ready", func() bool { s, _ := ask("GET", "/_health"); return s == http.StatusOK })
-	eventually(t, "an answer of the first server", func() bool { _, b := ask("GET", "/look"); return b == "one" })
 
-	// The health response names the file in force.
-	told := func() string {
-		r, err := client.Get("http://" + ln.Addr().String() + "/_health")
-		if err != nil {
-			return err.Error()
-		}
-		r.Body.Close()
-		return r.Header.Get(healthConfigHash)
+	s.reload("{")
+	eventually(t, "the reload of a bad file", func() bool { return len(s.hangup) == 0 })
+	if status, body := s.send("GET", "/look"); status != http.StatusOK || body != "one" {
+		t.Errorf("after a bad file: %d %q", status, body)
 	}
-	sumOf := func(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
-	if got := told(); got != sumOf(fmt.Sprintf(testConfigFormat, first)) {
-		t.Errorf("the configuration in force is told to be %s", got)
+	if got := s.configHash(); got != sha256Hex(fmt.Sprintf(testConfigFormat, first)) {
+		t.Errorf("after a bad file the health response reports the configuration %s", got)
 	}
 
-	write("{")
-	hup <- syscall.SIGHUP
-	eventually(t, "the reload of a bad file", func() bool { return len(hup) == 0 })
-	if s, b := ask("GET", "/look"); s != http.StatusOK || b != "one" {
-		t.Errorf("after a bad file: %d %q", s, b)
-	}
-	if got := told(); got != sumOf(fmt.Sprintf(testConfigFormat, first)) {
-		t.Errorf("after a bad file the configuration in force is told to be %s", got)
-	}
-
-	write(fmt.Sprintf(testConfigFormat, second))
-	hup <- syscall.SIGHUP
+	s.reload(fmt.Sprintf(testConfigFormat, second))
 	eventually(t, "an answer of the second server", func() bool {
-		s, b := ask("GET", "/look")
-		if s != http.StatusOK {
-			t.Errorf("a request failed at the reload: %d %q", s, b)
+		status, body := s.send("GET", "/look")
+		if status != http.StatusOK {
+			t.Errorf("a request failed at the reload: %d %q", status, body)
 		}
-		return b == "two"
+		return body == "two"
 	})
-
-	if got := told(); got != sumOf(fmt.Sprintf(testConfigFormat, second)) {
-		t.Errorf("after the reload the configuration in force is told to be %s", got)
+	if got := s.configHash(); got != sha256Hex(fmt.Sprintf(testConfigFormat, second)) {
+		t.Errorf("after the reload the health response reports the configuration %s", got)
 	}
 
+	s.stopWithOpenRequest(arrived, hold)
+}
+
+// stopWithOpenRequest terminates the sidecar while a server holds a request, and checks that the
+// request is answered by the second server and that the sidecar ends.
+func (s *inProcessSidecar) stopWithOpenRequest(arrived <-chan struct{}, hold chan<- struct{}) {
+	s.t.Helper()
 	type answer struct {
 		status int
 		body   string
 	}
 	answers := make(chan answer, 1)
 	go func() {
-		s, b := ask("POST", "/pay")
-		answers <- answer{s, b}
+		status, body := s.send("POST", "/pay")
+		answers <- answer{status, body}
 	}()
 	select {
-	case <-came:
+	case <-arrived:
 	case <-time.After(patience):
-		t.Fatal("the request never came to the server")
+		s.t.Fatal("the request never came to the server")
 	}
-	term <- time.Now()
-	eventually(t, "the stop", func() bool { return len(term) == 0 })
+	s.terminate <- time.Now()
+	eventually(s.t, "the stop", func() bool { return len(s.terminate) == 0 })
 	close(hold)
-	if a := <-answers; a != (answer{http.StatusOK, "two"}) {
-		t.Errorf("the request open at the stop was answered %v", a)
+	if got := <-answers; got != (answer{http.StatusOK, "two"}) {
+		s.t.Errorf("the request open at the stop was answered %v", got)
 	}
 	select {
-	case err := <-done:
+	case err := <-s.ended:
 		if err != nil {
-			t.Error(err)
+			s.t.Error(err)
 		}
 	case <-time.After(patience):
-		t.Error("it did not end")
+		s.t.Error("it did not end")
 	}
 }
