--- a/cmd/sidecar/clients_test.go
+++ b/cmd/sidecar/clients_test.go
@@ -11,19 +11,21 @@
 	"time"
 )
 
-// clientGroup is clients that ask without a pause, some on connections that they keep, the
-// others on ever new ones.
+// clientGroup is a number of clients that send one request after another, some on a persistent
+// connection, the others on a new connection for each request.
 type clientGroup struct {
 	stop     chan struct{}
 	once     sync.Once
 	running  sync.WaitGroup
 	served   atomic.Int64
-	failures sync.Map // what went wrong, with a count
+	failures sync.Map // set of error texts
 }
 
+// requestCount numbers the requests of all clients, so that their ids are unique.
 var requestCount atomic.Int64
 
-// sendAlternating makes one request.
+// sendAlternating makes one request, an idempotent and a non-idempotent one in turn, and checks
+// its answer.
 func sendAlternating(c *http.Client, addr string) error {
 	method, path := http.MethodGet, "/look"
 	n := requestCount.Add(1)
@@ -35,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	r.GetBody = nil // nothing is sent again unseen
+	r.GetBody = nil // so that the client does not retry by itself
 	r.Header.Set("Req-Id", fmt.Sprint("u", n))
 	resp, err := c.Do(r)
 	if err != nil {
@@ -48,13 +50,14 @@
 	return nil
 }
 
-func startClients(t *testing.T, addr string, clients, kept int) *clientGroup {
+// startClients starts clients, the first of them on persistent connections.
+func startClients(t *testing.T, addr string, clients, persistent int) *clientGroup {
 	t.Helper()
 	c := &clientGroup{stop: make(chan struct{})}
 	t.Cleanup(c.stopAll)
 	for n := range clients {
 		c.running.Go(func() {
-			client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: n >= kept}}
+			client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: n >= persistent}}
 			defer client.CloseIdleConnections()
 			for {
 				select {
@@ -74,11 +77,13 @@
 	return c
 }
 
+// stopAll stops the clients and waits for their last answers.
 func (c *clientGroup) stopAll() {
 	c.once.Do(func() { close(c.stop) })
 	c.running.Wait()
 }
 
+// checkServed stops the clients and checks that requests were served and none failed.
 func (c *clientGroup) checkServed(t *testing.T) {
 	t.Helper()
 	c.stopAll()
@@ -104,7 +109,7 @@
 	return sendRequestAs(t, fmt.Sprint("r", requestCount.Add(1)), addr, method, path)
 }
 
-// sendRequestAs is ask under an id.
+// sendRequestAs is sendRequest with a given request id.
 func sendRequestAs(t *testing.T, id, addr, method, path string) int {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+addr+path, nil)
--- a/cmd/sidecar/eviction_test.go
+++ b/cmd/sidecar/eviction_test.go
@@ -14,9 +14,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clients that say nothing, or rest after a request, may take all descriptors that there
-// are for clients, also while discovery is away: it is followed again the moment it is
-// back, servers are reached, and whoever comes with a request is answered.
+// Clients that send nothing, or idle after a request, may take all descriptors that there are
+// for clients, also while discovery is unavailable. Its list is followed again as soon as it is
+// available, servers are reached, and a client with a request is answered.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	const sockets = 64
 	f := newFixture(t, sockets)
@@ -48,16 +48,16 @@
 		}
 		t.Cleanup(func() { c.Close() })
 		if n%2 == 0 {
-			continue // says nothing
+			continue // sends nothing
 		}
 		c.SetDeadline(time.Now().Add(patience))
 		fmt.Fprintf(c, "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: rest%d\r\n\r\n", n)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			t.Fatalf("client %d, which then rests: %v", n, err)
+			t.Fatalf("client %d, which then idles: %v", n, err)
 		}
 		if resp.StatusCode != http.StatusOK {
-			t.Errorf("client %d, which then rests: %s", n, resp.Status)
+			t.Errorf("client %d, which then idles: %s", n, resp.Status)
 		}
 	}
 	disco.set(list(2, "s1", "s2"))
--- a/cmd/sidecar/fixture_test.go
+++ b/cmd/sidecar/fixture_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// writeTestConfig writes the configuration of a sidecar at a free address before one server,
-// with further changes to its text, each what is there and what comes in its place.
+// writeTestConfig writes the configuration of a sidecar at a free address with one server. changes
+// are pairs of a text to replace in it and the replacement.
 func writeTestConfig(t testing.TB, server string, sockets int, changes ...string) (path, listen, discovery string) {
 	t.Helper()
 	path, listen, discovery = filepath.Join(t.TempDir(), "config.json"), freeAddr(t), oneServerDiscovery(t, 1, "s1", server)
@@ -25,6 +25,7 @@
 	return path, listen, discovery
 }
 
+// testConfigFormat is a configuration file; its argument is the address of discovery.
 const testConfigFormat = `{"listen":"127.0.0.1:0","discovery":%q,"seed":"1f","limits":{"cores":4,"memory_mb":512,"sockets":256},
 	"settings":{"replicasOfMe":1,"registryMode":"automatic",
 	"caps":{"attemptsCap":3,"connIdleUs":30000000,"dialTimeoutUs":5000000,"mostHeld":100},
@@ -32,7 +33,7 @@
 	"classes":[{"name":"look","promiseUs":20000000,"hardLimitUs":20000000,"effect":"repeatable"},
 	{"name":"pay","promiseUs":20000000,"hardLimitUs":20000000,"effect":"once"}]}}`
 
-// mustReplace is strings.Replace of something that is there.
+// mustReplace replaces the first occurrence of old, which must exist.
 func mustReplace(t *testing.T, text, old, by string) string {
 	t.Helper()
 	if !strings.Contains(text, old) {
@@ -41,14 +42,14 @@
 	return strings.Replace(text, old, by, 1)
 }
 
-// withPolledDiscovery returns a configuration with which discovery is polled.
+// withPolledDiscovery returns the configuration changed so that discovery is polled.
 func withPolledDiscovery(t *testing.T, text string) string {
 	t.Helper()
 	text = mustReplace(t, text, `"registryMode":"automatic"`, `"registryMode":"subscribe"`)
 	return mustReplace(t, text, `"drainGraceUs":2000000`, `"drainGraceUs":2000000,"askWithinUs":10000000`)
 }
 
-// fixture is what the processes of one sidecar share.
+// fixture is what the consecutive processes of one sidecar share.
 type fixture struct {
 	t          *testing.T
 	dir        string // TMPDIR
@@ -58,22 +59,24 @@
 	discoveryAddr string
 }
 
+// newFixture prepares a sidecar with one server that answers "one".
 func newFixture(t *testing.T, sockets int) *fixture {
 	t.Helper()
 	return newFixtureWithServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") }, sockets)
 }
 
-// newFixtureWithServer is newFixture before a server of the test's, its configuration changed.
+// newFixtureWithServer is newFixture with another server and changes to the configuration, as for
+// writeTestConfig.
 func newFixtureWithServer(t *testing.T, server http.HandlerFunc, sockets int, changes ...string) *fixture {
 	t.Helper()
-	at := httptest.NewServer(server)
-	t.Cleanup(at.Close)
+	s := httptest.NewServer(server)
+	t.Cleanup(s.Close)
 	f := &fixture{t: t, dir: t.TempDir()}
-	f.configPath, f.listen, f.discoveryAddr = writeTestConfig(t, at.Listener.Addr().String(), sockets, changes...)
+	f.configPath, f.listen, f.discoveryAddr = writeTestConfig(t, s.Listener.Addr().String(), sockets, changes...)
 	return f
 }
 
-// startProcess starts a process; its end is seen to.
+// startProcess starts a process, which is killed when the test ends.
 func (f *fixture) startProcess() *process {
 	f.t.Helper()
 	self, err := os.Executable()
@@ -96,7 +99,7 @@
 	return p
 }
 
-// startReadyProcess starts a process and waits until it takes clients.
+// startReadyProcess starts a process and waits until it accepts clients.
 func (f *fixture) startReadyProcess() *process {
 	f.t.Helper()
 	p := f.startProcess()
@@ -104,7 +107,7 @@
 	return p
 }
 
-// writeConfig writes the configuration's text.
+// writeConfig replaces the configuration file.
 func (f *fixture) writeConfig(t *testing.T, text string) {
 	t.Helper()
 	if err := os.WriteFile(f.configPath, []byte(text), 0o600); err != nil {
--- a/cmd/sidecar/generated_test.go
+++ b/cmd/sidecar/generated_test.go
@@ -16,9 +16,9 @@
 // generatedClass is a class of generated settings, as a client needs to know it.
 type generatedClass struct{ name, idempotency string }
 
-// generated draws the settings of an arbitrary customer: classes of any idempotency, tenants,
-// zones, limits and costs; optional keys are only certain to be there if complete is true.
-func generated(rng *rand.Rand, complete bool) (settings map[string]any, kinds []generatedClass) {
+// generateSettings draws the settings of an arbitrary customer: classes of any idempotency, tenants,
+// zones, limits and costs; optional keys may be absent unless complete is true.
+func generateSettings(rng *rand.Rand, complete bool) (settings map[string]any, kinds []generatedClass) {
 	word := func() string {
 		b := make([]byte, 3+rng.IntN(12))
 		for i := range b {
@@ -26,8 +26,8 @@
 		}
 		return string(b)
 	}
-	us := func(least, limit time.Duration) int64 {
-		return (least + time.Duration(rng.Float64()*float64(limit-least))).Microseconds()
+	us := func(from, to time.Duration) int64 {
+		return (from + time.Duration(rng.Float64()*float64(to-from))).Microseconds()
 	}
 	maybe := func(m map[string]any, key string, value any) {
 		if complete || rng.IntN(2) == 0 {
@@ -79,7 +79,7 @@
 	return settings, kinds
 }
 
-// request is one of k, as the protocol has it.
+// request returns a request of the class in the protocol's form.
 func (k generatedClass) request(t *testing.T, addr, id, path string) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, io.Reader(strings.NewReader("body"))
@@ -122,7 +122,7 @@
 	}, 256)
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release)
-	first, classes := generated(rng, false)
+	first, classes := generateSettings(rng, false)
 	f.writeConfig(t, withSettings(t, f, first))
 	p := f.startReadyProcess()
 	eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
@@ -138,7 +138,7 @@
 		sendHeld(t, &open, f.listen, fmt.Sprint("held", n), class)
 		<-arrived
 	}
-	second, newClasses := generated(rng, true)
+	second, newClasses := generateSettings(rng, true)
 	addMissingKeys(second, first)
 	p.reloadConfig(t, f, withSettings(t, f, second))
 	if n := p.metric(t, "config_applied"); n != 1 {
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestMain lets the test's program be a sidecar, so that processes can hand over.
+// TestMain lets the test binary run as a sidecar, so that a test can start several processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("MARTENDRUM_TEST_CHILD") != "" {
 		main()
@@ -21,8 +21,8 @@
 // freeAddrs counts the addresses given out.
 var freeAddrs atomic.Uint32
 
-// freeAddr is an address at which nobody listens, each time on an IP of its own: one that
-// is given out and not used yet is no other test's, and nobody's for a way out.
+// freeAddr returns an address at which no process listens. Each has an IP address of its own, so
+// that no other test's listener or outgoing connection can get its port before it is used.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	n := freeAddrs.Add(1)
@@ -34,14 +34,15 @@
 	return ln.Addr().String()
 }
 
-// patience is how long a test waits for what must come.
+// patience is how long a test waits for an expected event.
 const patience = 20 * time.Second
 
+// eventually waits until ok returns true.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for until := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("it never came to: " + what)
+			t.Fatal("waited in vain for " + what)
 		}
 	}
 }
--- a/cmd/sidecar/process_test.go
+++ b/cmd/sidecar/process_test.go
@@ -23,6 +23,7 @@
 	exited    chan error
 }
 
+// synchronizedBuffer is a bytes.Buffer for concurrent use.
 type synchronizedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -40,6 +41,7 @@
 	return s.buffer.String()
 }
 
+// adminStatus returns the status of the admin endpoint's answer, 0 if there is none.
 func (p *process) adminStatus(path string) int {
 	c := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Get("http://" + p.adminAddr + path)
@@ -50,7 +52,8 @@
 	return resp.StatusCode
 }
 
-// socketQuota is how many descriptors the process may hold, by its own word.
+// socketQuota returns how many descriptors the process may hold, by its own metric; 0 if it
+// does not answer.
 func (p *process) socketQuota() (n int) {
 	c := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Get("http://" + p.adminAddr + "/api/telemetry")
@@ -65,17 +68,19 @@
 	return n
 }
 
+// waitSocketQuota waits until the process may hold so many descriptors.
 func (p *process) waitSocketQuota(t *testing.T, sockets int) {
 	t.Helper()
-	eventually(t, fmt.Sprint("a share of descriptors of ", sockets), func() bool { return p.socketQuota() == sockets })
+	eventually(t, fmt.Sprint("a quota of descriptors of ", sockets), func() bool { return p.socketQuota() == sockets })
 }
 
+// waitReady waits until the process accepts clients.
 func (p *process) waitReady(t *testing.T) {
 	t.Helper()
 	eventually(t, "a process that takes clients", func() bool { return p.adminStatus("/api/ready") == http.StatusOK })
 }
 
-// waitExit waits for the process's end.
+// waitExit waits until the process has exited and returns its error.
 func (p *process) waitExit(t *testing.T) error {
 	t.Helper()
 	select {
@@ -88,13 +93,13 @@
 	}
 }
 
-// openDescriptors is how many descriptors are open, 0 after its end.
+// openDescriptors returns how many descriptors the process has open, 0 after its exit.
 func (p *process) openDescriptors() int {
 	names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	return len(names)
 }
 
-// metric is a figure by its full name, -1 if there is none.
+// metric returns the value of a metric by its full name, -1 if there is none.
 func (p *process) metric(t *testing.T, name string) float64 {
 	t.Helper()
 	resp, err := http.Get("http://" + p.adminAddr + "/api/telemetry")
@@ -112,11 +117,11 @@
 	return -1
 }
 
-// reloadConfig writes a new file and waits until the process has decided on it.
+// reloadConfig writes a new file and waits until the process has applied or rejected it.
 func (p *process) reloadConfig(t *testing.T, f *fixture, text string) {
 	t.Helper()
 	before := p.metric(t, "config_applied") + p.metric(t, "config_rejected")
 	f.writeConfig(t, text)
 	p.Process.Signal(syscall.SIGHUP)
-	eventually(t, "a word on the file", func() bool { return p.metric(t, "config_applied")+p.metric(t, "config_rejected") == before+1 })
+	eventually(t, "the file to be applied or rejected", func() bool { return p.metric(t, "config_applied")+p.metric(t, "config_rejected") == before+1 })
 }
--- a/cmd/sidecar/standins_test.go
+++ b/cmd/sidecar/standins_test.go
@@ -14,7 +14,8 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// backend answers with its name; a request to /pay waits for hold.
+// backend starts a server that answers with its name. It reports a request to /pay on came and
+// answers it once hold is closed.
 func backend(t *testing.T, name string, came chan<- struct{}, hold <-chan struct{}) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
@@ -27,7 +28,7 @@
 	return s.Listener.Addr().String()
 }
 
-// oneServerDiscovery is a discovery that lists one server and keeps its watches open.
+// oneServerDiscovery starts a discovery that lists one server and keeps its watches open.
 func oneServerDiscovery(t testing.TB, index int, name, addr string) string {
 	end := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -51,8 +52,8 @@
 	return s.Listener.Addr().String()
 }
 
-// resettingServer is a server that accepts requests, reports each, and breaks the connection once
-// released. It counts what it ran.
+// resettingServer starts a server that counts requests, reports each on came, and breaks its
+// connection once let is closed.
 func resettingServer(t *testing.T, came chan<- struct{}, let <-chan struct{}) (addr string, ran *atomic.Int64) {
 	t.Helper()
 	ran = new(atomic.Int64)
@@ -64,7 +65,7 @@
 	}), ran
 }
 
-// staticDiscovery is a discovery that writes one list to each watch and keeps it open.
+// staticDiscovery starts a discovery that writes one list to each watch and keeps it open.
 func staticDiscovery(t *testing.T, list string) string {
 	t.Helper()
 	end := make(chan struct{})
@@ -83,11 +84,11 @@
 	return s.Listener.Addr().String()
 }
 
-// changingDiscovery is a discovery that can go away, its open watches with it, and come back with
-// another list.
+// changingDiscovery is a discovery that can become unavailable, which ends its watches, and
+// available again with another list.
 type changingDiscovery struct {
 	mu      sync.Mutex
-	list    string        // empty: it is away
+	list    string        // empty: unavailable
 	changed chan struct{} // closed when the list changes
 }
 
--- a/cmd/sidecar/stop_test.go
+++ b/cmd/sidecar/stop_test.go
@@ -37,7 +37,7 @@
 					t.Error(err)
 					return
 				}
-				r.GetBody = nil // nothing is sent again unseen
+				r.GetBody = nil // so that the client does not retry by itself
 				r.Header.Set("Req-Id", id)
 				resp, err := c.Do(r)
 				if err == nil {
@@ -48,7 +48,7 @@
 					if _, did := ran.Load(id); did {
 						t.Errorf("%s has run and was not answered: %v", id, err)
 					}
-					return // the connection is closed, and nobody listens any more
+					return // the connection is closed, and no process listens any more
 				}
 				answered.Add(1)
 			}
--- a/cmd/sidecar/warm_restart_test.go
+++ b/cmd/sidecar/warm_restart_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A process that starts soon after a stop knows what the one before knew; a damaged
-// file is left aside.
+// A process that starts soon after a stop restores what the previous one had learned. It ignores
+// a damaged snapshot and logs that.
 func TestWarmRestart(t *testing.T) {
 	f := newFixture(t, 256)
 	first := f.startProcess()
@@ -44,6 +44,6 @@
 		time.Sleep(time.Millisecond) // what it wrote before it was ready may still be on its way
 	}
 	if !strings.Contains(log, "cold start") || !strings.Contains(log, "damaged") {
-		t.Errorf("no word on a damaged file:\n%s", log)
+		t.Errorf("the damaged file was not logged:\n%s", log)
 	}
 }
