--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -77,7 +77,7 @@
 	return tcp.Serve(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) })
 }
 
-func ask(t *testing.T, c net.Conn, br *bufio.Reader, head string) *http.Response {
+func sendAndRead(t *testing.T, c net.Conn, br *bufio.Reader, head string) *http.Response {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(patience))
 	io.WriteString(c, head+"\r\n\r\n")
@@ -105,7 +105,7 @@
 		if n%2 == 1 {
 			head = fmt.Sprintf("POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: p%d\r\nReq-Deadline-Ms: 30\r\nContent-Length: 0", n)
 		}
-		resp := ask(t, c, br, head)
+		resp := sendAndRead(t, c, br, head)
 		if n%2 == 1 && resp.StatusCode != http.StatusBadGateway || resp.StatusCode < 500 {
 			t.Errorf("request %d was answered %s", n, resp.Status)
 		}
@@ -156,7 +156,7 @@
 	}
 	defer c.Close()
 	began := time.Now()
-	resp := ask(t, c, bufio.NewReader(c), "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Deadline-Ms: 19000\r\nContent-Length: 0")
+	resp := sendAndRead(t, c, bufio.NewReader(c), "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Deadline-Ms: 19000\r\nContent-Length: 0")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("answered %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -13,10 +13,11 @@
 	"sync/atomic"
 	"testing"
 
+	"martendrum/internal/downstream"
 	"martendrum/internal/metrics"
 )
 
-// read is all metrics of a Host that start made, by full name.
+// read returns all metrics of a Host that start made, by full name.
 func read(t *testing.T, h *Host) map[string]float64 {
 	t.Helper()
 	var text bytes.Buffer
@@ -36,114 +37,147 @@
 	return got
 }
 
-// A scripted day: served, declined and tried again, failed, broken, refused at a
-// limit, abandoned, cancelled. Each metric agrees with what servers and clients counted.
+// Each metric agrees with what servers and clients counted: requests that are served, declined and
+// retried, failed, broken, rejected at a limit, abandoned and cancelled.
 func TestMetricsAgreeWithCounted(t *testing.T) {
-	var ran atomic.Int64 // requests that arrived completely at a server
-	declined := new(sync.Map)
-	hold := make(chan struct{})
-	act := func(c net.Conn, r *http.Request) bool {
-		if r.URL.Path == "/_load" {
-			return false
-		}
-		io.Copy(io.Discard, r.Body)
-		ran.Add(1)
-		what, _, _ := strings.Cut(r.Header.Get("Req-Id"), "-")
-		switch _, again := declined.LoadOrStore(r.Header.Get("Req-Id"), true); {
-		case what == "declined" && !again:
-			io.WriteString(c, "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
-			return true
-		case what == "error":
-			io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-			return true
-		case what == "reset":
-			return false
-		case what == "hold", what == "gone":
-			<-hold
-		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-		return true
-	}
-	h, srv, at := start(t, served(t, act), served(t, act), served(t, act))
-	counted := map[string]int{}
-	send := func(what, class string, n int) {
-		c := dialled(t, at)
-		head := map[string]string{
-			"look": "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: %s-%d\r\n\r\n",
-			"pay":  "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %s-%d\r\nContent-Length: 2\r\n\r\nab",
-		}[class]
-		fmt.Fprintf(c, head, what+"-"+class, n)
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		result := "errors"
-		switch resp.StatusCode {
-		case 200:
-			result = "ok"
-		case 503, 429:
-			result = "shed"
-		}
-		counted[fmt.Sprintf(`responses{kind=%q,result=%q}`, class, result)]++
-	}
+	server := &countingServer{release: make(chan struct{})}
+	h, srv, addr := start(t, served(t, server.act), served(t, server.act), served(t, server.act))
+	clients := &countingClients{t: t, addr: addr, responses: make(map[string]int)}
 	for n := range 30 {
 		for _, what := range []string{"fine", "declined", "error", "reset"} {
-			send(what, "look", n)
-			send(what, "pay", n)
+			clients.send(what, "look", n)
+			clients.send(what, "pay", n)
 		}
 	}
-	// Three are held, one of them is abandoned; a fourth is refused at the limit.
+	testHeldRequests(t, h, srv, server, clients)
+	got := read(t, h)
+	clients.checkResponses(got)
+	if got["tries"] != float64(server.received.Load()) {
+		t.Errorf("tries %v, servers counted %d", got["tries"], server.received.Load())
+	}
+	if got[`limited{reason="held"}`] != 1 || got[`attempts{outcome="declined"}`] < 1 || got[`attempts{outcome="reset"}`] < 30 || got[`attempts{outcome="error"}`] < 30 {
+		t.Errorf("causes: %v", got)
+	}
+	if ends := endedAttempts(got); ends != got["tries"] {
+		t.Errorf("%v attempts ended, %v were written", ends, got["tries"])
+	}
+	if listed, avoided := h.Servers(); listed != 3 || avoided > 1 {
+		t.Errorf("%d servers, %d avoided", listed, avoided)
+	}
+	if n := got["own_seconds_count"]; n < 200 {
+		t.Errorf("own time logged %v times", n)
+	}
+}
+
+// testHeldRequests has three requests held by a server, one of which its client abandons, and a
+// fourth rejected at the limit.
+func testHeldRequests(t *testing.T, h *Host, srv *downstream.Server, server *countingServer, clients *countingClients) {
+	t.Helper()
 	var open []net.Conn
 	for n, what := range []string{"hold", "hold", "gone"} {
-		c := dialled(t, at)
+		c := dialled(t, clients.addr)
 		fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %s-%d\r\nContent-Length: 0\r\n\r\n", what, 1000+n)
 		open = append(open, c)
 	}
-	wait(t, "three to be held", func() bool { return h.InFlight() == 3 && srv.Active() == 3 })
+	wait(t, "three requests in flight", func() bool { return h.InFlight() == 3 && srv.Active() == 3 })
 	h.Limit(3, 3)
-	send("fine", "pay", 9999)
+	clients.send("fine", "pay", 9999)
 	h.Limit(100, 100)
 	open[2].Close()
-	wait(t, "the abandoned one to go", func() bool { return srv.Active() == 2 })
-	close(hold)
+	wait(t, "the end of the abandoned one", func() bool { return srv.Active() == 2 })
+	close(server.release)
 	for _, c := range open[:2] {
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 			t.Fatal(resp, err)
 		}
-		counted[`responses{kind="pay",result="ok"}`]++
+		clients.responses[`responses{kind="pay",result="ok"}`]++
 	}
-	wait(t, "nothing held", func() bool { return h.InFlight() == 0 })
-	got := read(t, h)
+	wait(t, "no request in flight", func() bool { return h.InFlight() == 0 })
+}
+
+// countingServer counts the requests that arrive completely. It treats them by the first word of
+// their ids.
+type countingServer struct {
+	received atomic.Int64
+	seen     sync.Map      // ids
+	release  chan struct{} // closed: held requests are answered
+}
+
+func (s *countingServer) act(c net.Conn, r *http.Request) bool {
+	if r.URL.Path == "/_load" {
+		return false
+	}
+	io.Copy(io.Discard, r.Body)
+	s.received.Add(1)
+	what, _, _ := strings.Cut(r.Header.Get("Req-Id"), "-")
+	switch _, again := s.seen.LoadOrStore(r.Header.Get("Req-Id"), true); {
+	case what == "declined" && !again:
+		io.WriteString(c, "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
+		return true
+	case what == "error":
+		io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+		return true
+	case what == "reset":
+		return false
+	case what == "hold", what == "gone":
+		<-s.release
+	}
+	io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	return true
+}
+
+// countingClients counts responses as the metrics should.
+type countingClients struct {
+	t         *testing.T
+	addr      string
+	responses map[string]int // by the metric's full name
+}
+
+// send sends a request on a connection of its own and counts its response.
+func (clients *countingClients) send(what, class string, n int) {
+	clients.t.Helper()
+	c := dialled(clients.t, clients.addr)
+	head := map[string]string{
+		"look": "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: %s-%d\r\n\r\n",
+		"pay":  "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %s-%d\r\nContent-Length: 2\r\n\r\nab",
+	}[class]
+	fmt.Fprintf(c, head, what+"-"+class, n)
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		clients.t.Fatal(err)
+	}
+	result := "errors"
+	switch resp.StatusCode {
+	case 200:
+		result = "ok"
+	case 503, 429:
+		result = "shed"
+	}
+	clients.responses[fmt.Sprintf(`responses{kind=%q,result=%q}`, class, result)]++
+}
+
+// checkResponses compares the metrics of responses with the clients' counts.
+func (clients *countingClients) checkResponses(got map[string]float64) {
+	clients.t.Helper()
 	for _, class := range []string{"look", "pay"} {
 		for _, result := range []string{"ok", "shed", "errors"} {
 			name := fmt.Sprintf(`responses{kind=%q,result=%q}`, class, result)
-			if got[name] != float64(counted[name]) {
-				t.Errorf("%s %v, clients counted %d", name, got[name], counted[name])
+			if got[name] != float64(clients.responses[name]) {
+				clients.t.Errorf("%s %v, clients counted %d", name, got[name], clients.responses[name])
 			}
 		}
 	}
-	if counted[`responses{kind="pay",result="errors"}`] == 0 || counted[`responses{kind="pay",result="shed"}`] != 1 {
-		t.Errorf("the day did not go as meant: %v", counted)
-	}
-	if got["tries"] != float64(ran.Load()) {
-		t.Errorf("tries %v, servers counted %d", got["tries"], ran.Load())
+	if clients.responses[`responses{kind="pay",result="errors"}`] == 0 || clients.responses[`responses{kind="pay",result="shed"}`] != 1 {
+		clients.t.Errorf("the requests did not end as scripted: %v", clients.responses)
 	}
-	if got[`limited{reason="held"}`] != 1 || got[`attempts{outcome="declined"}`] < 1 || got[`attempts{outcome="reset"}`] < 30 || got[`attempts{outcome="error"}`] < 30 {
-		t.Errorf("causes: %v", got)
-	}
-	ends := 0.0
+}
+
+// endedAttempts sums up the attempts that ended after they had been written.
+func endedAttempts(got map[string]float64) (ends float64) {
 	for name, v := range got {
 		if strings.HasPrefix(name, "attempts{") && !strings.Contains(name, "connect") && !strings.Contains(name, "not_sent") {
 			ends += v
 		}
 	}
-	if ends != got["tries"] {
-		t.Errorf("%v attempts ended, %v were written", ends, got["tries"])
-	}
-	if listed, avoided := h.Servers(); listed != 3 || avoided > 1 {
-		t.Errorf("%d servers, %d avoided", listed, avoided)
-	}
-	if n := got["own_seconds_count"]; n < 200 {
-		t.Errorf("own time logged %v times", n)
-	}
+	return ends
 }
