--- a/internal/upstream/answer_test.go
+++ b/internal/upstream/answer_test.go
@@ -11,7 +11,7 @@
 	"martendrum"
 )
 
-// A spoilt answer is a failed attempt that may have run, and nothing of it is shown.
+// A malformed answer is a failed attempt that may have run, and nothing of it is forwarded.
 func TestMalformedAnswers(t *testing.T) {
 	for name, text := range map[string]string{
 		"noise":             "\x00\x01\x02\xff\xfe\r\n\r\n",
@@ -26,18 +26,18 @@
 		"3 GB":              "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nyes",
 		"chunks of no size": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
 		"protocol switch":   "HTTP/1.1 101 Switching Protocols\r\n\r\n",
-		"interim for ever":  strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 40) + good,
+		"interim for ever":  strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 40) + goodAnswer,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr := serve(t, func(_, _ int, c net.Conn) { io.WriteString(c, text) })
 			p := newPool(addr)
-			if e := ask(t, p); e.o != martendrum.Reset || e.ans != nil {
-				t.Errorf("outcome %v with %v, want a reset with nothing", e.o, e.ans)
+			if e := sendOne(t, p); e.outcome != martendrum.Reset || e.answer != nil {
+				t.Errorf("outcome %v with %v, want a reset with nothing", e.outcome, e.answer)
 			}
 			for n := 0; p.Conns() > 0; n++ {
 				if n > 2000 {
-					t.Fatal("the connection was kept")
+					t.Fatal("the connection stayed open")
 				}
 				time.Sleep(time.Millisecond)
 			}
@@ -45,8 +45,8 @@
 	}
 }
 
-// A reset is no end: an answer without a length that is reset on the way, before, in or
-// after its body, is a failed attempt that may have run.
+// A reset does not end an answer: one without a length whose connection is reset before, in or
+// after its body is a failed attempt that may have run.
 func TestResetIsNoEnd(t *testing.T) {
 	for _, body := range []string{"", "half", strings.Repeat("x", 8<<10)} {
 		addr := serve(t, func(_, _ int, c net.Conn) {
@@ -54,19 +54,19 @@
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		})
-		if e := ask(t, newPool(addr)); e.o != martendrum.Reset || e.ans != nil {
-			t.Errorf("%d bytes and a reset: outcome %v with %v", len(body), e.o, e.ans)
+		if e := sendOne(t, newPool(addr)); e.outcome != martendrum.Reset || e.answer != nil {
+			t.Errorf("%d bytes and a reset: outcome %v with %v", len(body), e.outcome, e.answer)
 		}
 	}
 }
 
-// A good answer counts whatever else comes with it, and what follows it is never
-// taken for the answer to the next request.
+// A valid answer counts whatever precedes or follows it, and what follows it is never taken for
+// the answer to the next request.
 func TestBytesBeyondTheAnswer(t *testing.T) {
 	for name, c := range map[string]struct{ ahead, behind string }{
-		"second copy": {"", good},
-		"noise":       {"", "\xff\xfe\x00noise"},
-		"interim":     {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", ""},
+		"duplicate": {"", goodAnswer},
+		"noise":     {"", "\xff\xfe\x00noise"},
+		"interim":   {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -78,30 +78,30 @@
 			p := newPool(addr)
 			seen := make(map[string]bool)
 			for n := range 20 {
-				e := ask(t, p)
-				if e.o != martendrum.OK || seen[string(e.ans.Body)] {
-					t.Fatalf("answer %d: %v %v, want one of its own", n, e.o, e.ans)
+				e := sendOne(t, p)
+				if e.outcome != martendrum.OK || seen[string(e.answer.Body)] {
+					t.Fatalf("answer %d: %v %v, want one of its own", n, e.outcome, e.answer)
 				}
-				seen[string(e.ans.Body)] = true
+				seen[string(e.answer.Body)] = true
 			}
 		})
 	}
 }
 
-// An answer that stops short fails while there is time to repeat it.
+// An answer that stalls fails while there is time left for a retry.
 func TestAnswerStopsShort(t *testing.T) {
 	hold := make(chan struct{})
 	addr := serve(t, func(_, _ int, c net.Conn) {
-		io.WriteString(c, good[:len(good)-1])
+		io.WriteString(c, goodAnswer[:len(goodAnswer)-1])
 		<-hold
 	})
 	defer close(hold)
-	if e := ask(t, newPool(addr)); e.o != martendrum.Reset || e.ans != nil {
-		t.Errorf("outcome %v with %v, want a reset", e.o, e.ans)
+	if e := sendOne(t, newPool(addr)); e.outcome != martendrum.Reset || e.answer != nil {
+		t.Errorf("outcome %v with %v, want a reset", e.outcome, e.answer)
 	}
 }
 
-// Load reports that are no numbers change nothing.
+// Values of a load report that are not valid loads are ignored.
 func TestParseLoad(t *testing.T) {
 	for text, want := range map[string]martendrum.LoadReport{
 		"inflight=7,queue=2,util=0.61":    {HasInFlight: true, InFlight: 7, HasUtilization: true, Utilization: 0.61},
@@ -117,19 +117,19 @@
 	}
 }
 
-// A long answer that nobody reads, as a probe's or one that comes after its request's
-// end, holds neither its goroutine nor its connection.
+// A long answer that is not read, such as a probe's or one that arrives after its request has
+// ended, blocks neither its goroutine nor its connection.
 func TestUnreadRestFreesConnection(t *testing.T) {
 	body := strings.Repeat("x", 1<<20)
 	p := newPool(serve(t, func(_, _ int, c net.Conn) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}))
-	if e := ask(t, p); e.o != martendrum.OK || e.ans.Rest == nil {
-		t.Fatalf("outcome %v with %v, want one that still comes", e.o, e.ans)
+	if e := sendOne(t, p); e.outcome != martendrum.OK || e.answer.Rest == nil {
+		t.Fatalf("outcome %v with %v, want an incomplete answer", e.outcome, e.answer)
 	}
 	for n := 0; p.Conns() > 0; n++ {
 		if n > 2000 {
-			t.Fatal("the connection was kept")
+			t.Fatal("the connection stayed open")
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -11,25 +11,27 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// patience is how long a test waits for what must come.
+// patience is how long a test waits for an expected event.
 const patience = 20 * time.Second
 
-type ending struct {
-	o   martendrum.Outcome
-	ans *Answer
-	rep martendrum.LoadReport
+// result is what an attempt reported to its Sink.
+type result struct {
+	outcome martendrum.Outcome
+	answer  *Answer
+	report  martendrum.LoadReport
 }
 
-type sink chan ending
+// resultSink takes the first result of an attempt.
+type resultSink chan result
 
-func (s sink) Done(o martendrum.Outcome, ans *Answer, rep martendrum.LoadReport) {
+func (s resultSink) Done(outcome martendrum.Outcome, answer *Answer, report martendrum.LoadReport) {
 	select {
-	case s <- ending{o, ans, rep}:
+	case s <- result{outcome, answer, report}:
 	default: // only the first counts
 	}
 }
 
-// serve answers the n-th request on any of its connections with what answer says.
+// serve starts a server; answer answers the n-th request on a connection.
 func serve(t *testing.T, answer func(conn, n int, c net.Conn)) string {
 	t.Helper()
 	return tcp.Requests(t, func(conn, n int, c net.Conn, r *http.Request) bool {
@@ -39,12 +41,14 @@
 	})
 }
 
+// newPool returns a pool with one server, "s".
 func newPool(addr string) *Pool {
 	p := New(Config{ConnIdle: time.Minute, DialTimeout: patience, DrainGrace: patience, MaxConns: 20})
 	p.Serve("s", addr, 0)
 	return p
 }
 
+// attemptOf returns an attempt to send a small GET request to the server.
 func attemptOf(s Sink) *Attempt {
 	return &Attempt{
 		Request:  &Request{Method: "GET", Head: []byte("GET / HTTP/1.1\r\nHost: a\r\n")},
@@ -54,11 +58,13 @@
 	}
 }
 
-func ask(t *testing.T, p *Pool) ending { return send(t, p, false) }
+// sendOne makes one attempt of an idempotent request and returns its result.
+func sendOne(t *testing.T, p *Pool) result { return sendAttempt(t, p, false) }
 
-func send(t *testing.T, p *Pool, once bool) ending {
+// sendAttempt makes one attempt and returns its result; once says that it must not be repeated.
+func sendAttempt(t *testing.T, p *Pool, once bool) result {
 	t.Helper()
-	s := make(sink, 1)
+	s := make(resultSink, 1)
 	a := attemptOf(s)
 	a.Once = once
 	p.Start(a)
@@ -68,23 +74,27 @@
 	case <-time.After(patience):
 		t.Fatal("no outcome")
 	}
-	return ending{}
+	return result{}
 }
 
-const good = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes"
+// goodAnswer is a complete answer.
+const goodAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes"
 
-func (p *Pool) idles(name string) int {
+// idleConns returns the number of idle connections to a server.
+func (p *Pool) idleConns(name string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.servers[name].idle)
 }
 
-func (p *Pool) share() float64 {
+// currentBrokenFraction returns the running share of reused connections that broke.
+func (p *Pool) currentBrokenFraction() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.brokenFraction
 }
 
+// eventually waits until ok returns true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for until := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -9,34 +9,34 @@
 	"martendrum"
 )
 
-// A server that is removed and comes back under its name, started anew at another address,
-// gets what is sent from then on; nothing goes on a connection to the one before.
+// A server that is removed and listed again under its name, restarted at another address, gets
+// all requests from then on. None goes on a connection to the previous process.
 func TestRestartUnderOneName(t *testing.T) {
-	old, anew := make(chan struct{}, 10), make(chan struct{}, 10)
-	tell := func(c chan struct{}) string {
+	old, restarted := make(chan struct{}, 10), make(chan struct{}, 10)
+	reporting := func(c chan struct{}) string {
 		return serve(t, func(_, _ int, nc net.Conn) {
 			c <- struct{}{}
-			io.WriteString(nc, good)
+			io.WriteString(nc, goodAnswer)
 		})
 	}
-	p := newPool(tell(old))
+	p := newPool(reporting(old))
 	p.minRest = 0
-	ask(t, p)
+	sendOne(t, p)
 	<-old
-	eventually(t, "a kept connection", func() bool { return p.idles("s") == 1 })
+	eventually(t, "an idle connection", func() bool { return p.idleConns("s") == 1 })
 	p.MarkDraining("s", true)
-	if e := ask(t, p); e.o != martendrum.ConnectFailed {
-		t.Errorf("with no server of that name: %v", e.o)
+	if e := sendOne(t, p); e.outcome != martendrum.ConnectFailed {
+		t.Errorf("with no server of that name: %v", e.outcome)
 	}
-	p.Serve("s", tell(anew), time.Second)
+	p.Serve("s", reporting(restarted), time.Second)
 	for range 3 {
-		if e := ask(t, p); e.o != martendrum.OK {
-			t.Errorf("outcome %v", e.o)
+		if e := sendOne(t, p); e.outcome != martendrum.OK {
+			t.Errorf("outcome %v", e.outcome)
 		}
-		<-anew
+		<-restarted
 	}
 	if len(old) > 0 {
-		t.Error("the process that has gone was asked")
+		t.Error("the previous process got a request")
 	}
 }
 
@@ -52,24 +52,24 @@
 				return
 			}
 			conns <- conn
-			io.WriteString(c, good)
+			io.WriteString(c, goodAnswer)
 		})
 		p := newPool(addr)
 		p.minRest = 0
 		until := time.Now().Add(patience)
-		for p.share() <= maxBrokenFraction && breaks || p.idles("s") == 0 {
+		for p.currentBrokenFraction() <= maxBrokenFraction && breaks || p.idleConns("s") == 0 {
 			if time.Now().After(until) {
-				t.Fatal("no break was noticed, or no connection kept")
+				t.Fatal("no break was noticed, or no connection is idle")
 			}
-			ask(t, p)
+			sendOne(t, p)
 			time.Sleep(time.Millisecond) // its connection goes idle after the outcome
 		}
 		last := -1
 		for len(conns) > 0 {
 			last = max(last, <-conns)
 		}
-		if e := send(t, p, true); e.o != martendrum.OK {
-			t.Fatalf("unrepeatable request: %v", e.o)
+		if e := sendAttempt(t, p, true); e.outcome != martendrum.OK {
+			t.Fatalf("unrepeatable request: %v", e.outcome)
 		}
 		if got := <-conns; got > last != breaks {
 			t.Errorf("breaks %v: went on connection %d of %d", breaks, got, last)
@@ -83,61 +83,61 @@
 	conns := make(chan int, 100)
 	p := newPool(serve(t, func(conn, _ int, c net.Conn) {
 		conns <- conn
-		io.WriteString(c, good)
+		io.WriteString(c, goodAnswer)
 	}))
 	p.minRest = 0
 	p.brokenFraction = 1
 	const rounds, limit = 10, 50
-	kept := 0
-	for n := 0; kept < rounds; n++ {
+	reusable := 0
+	for n := 0; reusable < rounds; n++ {
 		if n == limit {
-			t.Fatalf("of %d connections only %d were kept", limit, kept)
+			t.Fatalf("of %d connections only %d were reused", limit, reusable)
 		}
-		if e := send(t, p, true); e.o != martendrum.OK {
-			t.Fatalf("request %d: %v", n, e.o)
+		if e := sendAttempt(t, p, true); e.outcome != martendrum.OK {
+			t.Fatalf("request %d: %v", n, e.outcome)
 		}
 		if got := <-conns; got != n {
 			t.Errorf("request %d went on connection %d, want a new one", n, got)
 		}
 		// An answer that is read before the sender has recorded the end of its write is good, but its
 		// connection is not reused. Such a round shows nothing.
-		eventually(t, "a kept connection, or none", func() bool { return p.idles("s") == 1 || p.Conns() == 0 })
+		eventually(t, "an idle connection, or none", func() bool { return p.idleConns("s") == 1 || p.Conns() == 0 })
 		if p.Conns() == 0 {
 			continue
 		}
-		kept++
+		reusable++
 		if got := p.Conns(); got != 1 {
 			t.Fatalf("%d connections after request %d, want the last one's only", got, n)
 		}
 	}
 }
 
-// An attempt whose time to leave is over does not go out, on whatever connection.
+// An attempt that is past its latest time to be sent is not sent, on a new or a reused connection.
 func TestOverdueAttemptIsNotSent(t *testing.T) {
 	ran := make(chan struct{}, 10)
 	p := newPool(serve(t, func(_, _ int, c net.Conn) {
 		ran <- struct{}{}
-		io.WriteString(c, good)
+		io.WriteString(c, goodAnswer)
 	}))
 	p.minRest = 0
-	for _, kept := range []int{0, 1} {
-		eventually(t, "the connections", func() bool { return p.idles("s") == kept })
-		s := make(sink, 1)
+	for _, idle := range []int{0, 1} {
+		eventually(t, "the connections", func() bool { return p.idleConns("s") == idle })
+		s := make(resultSink, 1)
 		a := attemptOf(s)
 		a.Latest = time.Now()
 		p.Start(a)
 		select {
 		case e := <-s:
-			if e.o != martendrum.NotSent {
-				t.Errorf("%d kept: outcome %v", kept, e.o)
+			if e.outcome != martendrum.NotSent {
+				t.Errorf("%d idle connections: outcome %v", idle, e.outcome)
 			}
 		case <-time.After(patience):
 			t.Fatal("no outcome")
 		}
 		if len(ran) > 0 {
-			t.Errorf("%d kept: it was sent", kept)
+			t.Errorf("%d idle connections: it was sent", idle)
 		}
-		if ask(t, p).o != martendrum.OK { // leaves a reusable connection
+		if sendOne(t, p).outcome != martendrum.OK { // its connection can be reused
 			t.Error("a request in time failed")
 		}
 		<-ran
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -13,19 +13,19 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// A connection rests after an answer: what still follows it must not pass for the
-// next one. Once rested it is used again.
+// A connection rests after an answer, so that bytes that follow it are not taken for the next
+// answer. After its rest it is reused.
 func TestRest(t *testing.T) {
 	conns := make(chan int, 10)
 	addr := serve(t, func(conn, _ int, c net.Conn) {
 		conns <- conn
-		io.WriteString(c, good)
+		io.WriteString(c, goodAnswer)
 	})
 	p := newPool(addr)
 	p.minRest = time.Hour
 	for n := range 4 {
-		if e := ask(t, p); e.o != martendrum.OK {
-			t.Fatalf("request %d: %v", n, e.o)
+		if e := sendOne(t, p); e.outcome != martendrum.OK {
+			t.Fatalf("request %d: %v", n, e.outcome)
 		}
 		if got := <-conns; got != n {
 			t.Errorf("request %d went on connection %d, want a new one", n, got)
@@ -33,7 +33,7 @@
 	}
 	p.minRest = 0
 	for last, until := 4, time.Now().Add(patience); ; last++ {
-		ask(t, p)
+		sendOne(t, p)
 		if <-conns < last {
 			break
 		}
@@ -49,26 +49,26 @@
 func TestUnsolicitedAnswerIsDropped(t *testing.T) {
 	stray, wrote := make(chan struct{}), make(chan struct{})
 	addr := serve(t, func(conn, _ int, c net.Conn) {
-		io.WriteString(c, good)
+		io.WriteString(c, goodAnswer)
 		if conn == 0 {
 			<-stray
-			io.WriteString(c, strings.Replace(good, "yes", "no!", 1))
+			io.WriteString(c, strings.Replace(goodAnswer, "yes", "no!", 1))
 			close(wrote)
 		}
 	})
 	p := newPool(addr)
 	p.minRest = 0
-	if e := ask(t, p); e.o != martendrum.OK {
-		t.Fatal(e.o)
+	if e := sendOne(t, p); e.outcome != martendrum.OK {
+		t.Fatal(e.outcome)
 	}
-	eventually(t, "an idle connection", func() bool { return p.idles("s") == 1 })
+	eventually(t, "an idle connection", func() bool { return p.idleConns("s") == 1 })
 	p.mu.Lock()
 	c := p.servers["s"].idle[0]
 	close(stray)
 	<-wrote
 	eventually(t, "the stray answer to be read", func() bool { return tcp.Unread(t, c.Conn.(*net.TCPConn)) == 0 })
 	// The connection is taken for the next request while its goroutine waits for the lock.
-	s := make(sink, 1)
+	s := make(resultSink, 1)
 	a := attemptOf(s)
 	a.pool, a.server, a.reused, a.startedAt = p, p.servers["s"], true, time.Now()
 	p.servers["s"].idle = nil
@@ -80,8 +80,8 @@
 	p.Start(a)
 	select {
 	case e := <-s:
-		if e.o != martendrum.OK || string(e.ans.Body) != "yes" {
-			t.Errorf("outcome %v with %v, want an answer of its own", e.o, e.ans)
+		if e.outcome != martendrum.OK || string(e.answer.Body) != "yes" {
+			t.Errorf("outcome %v with %v, want an answer of its own", e.outcome, e.answer)
 		}
 	case <-time.After(patience):
 		t.Fatal("no outcome")
@@ -93,7 +93,7 @@
 	end := make(chan struct{})
 	defer close(end)
 	addr := tcp.Serve(t, func(_ int, c net.Conn) {
-		io.WriteString(c, strings.Replace(good, "yes", "no!", 1))
+		io.WriteString(c, strings.Replace(goodAnswer, "yes", "no!", 1))
 		<-end
 	})
 	nc, err := net.Dial("tcp", addr)
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	p := newPool(addr)
-	s := make(sink, 1)
+	s := make(resultSink, 1)
 	a := attemptOf(s)
 	a.pool, a.server, a.reused, a.startedAt = p, p.servers["s"], true, time.Now()
 	p.conns++
@@ -109,7 +109,7 @@
 	c.read(p) // finds the stray answer, and returns
 	if len(s) > 0 {
 		e := <-s
-		t.Errorf("outcome %v with %v for a request that was not sent", e.o, e.ans)
+		t.Errorf("outcome %v with %v for a request that was not sent", e.outcome, e.answer)
 	}
 	if a.send(c) {
 		t.Error("the request went out behind a stray answer")
@@ -131,24 +131,24 @@
 			p := newPool(serve(t, func(conn, n int, c net.Conn) {
 				conns.Store(int64(conn))
 				if conn > 0 || n > 0 {
-					io.WriteString(c, good)
+					io.WriteString(c, goodAnswer)
 				} else if late {
-					io.WriteString(c, good)
+					io.WriteString(c, goodAnswer)
 					<-stray
-					io.WriteString(c, good)
+					io.WriteString(c, goodAnswer)
 				} else {
-					io.WriteString(c, good+good)
+					io.WriteString(c, goodAnswer+goodAnswer)
 				}
 			}))
 			p.minRest, p.unsolicitedRest = 0, patience
-			ask(t, p)
+			sendOne(t, p)
 			close(stray)
 			eventually(t, "the end of the connection with the stray", func() bool { return p.Conns() == 0 })
 			for n := range 3 {
-				if e := ask(t, p); e.o != martendrum.OK {
-					t.Fatal(e.o)
+				if e := sendOne(t, p); e.outcome != martendrum.OK {
+					t.Fatal(e.outcome)
 				}
-				eventually(t, "idle connections", func() bool { return p.idles("s") == n+1 })
+				eventually(t, "idle connections", func() bool { return p.idleConns("s") == n+1 })
 			}
 			if n := conns.Load(); n != 3 {
 				t.Errorf("the third request behind the stray came on connection %d: one had not rested", n)
