--- a/cmd/sidecar/config.go
+++ b/cmd/sidecar/config.go
@@ -3,7 +3,6 @@
 import (
 	"crypto/sha256"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -15,7 +14,18 @@
 	"martendrum/internal/settings"
 )
 
-// With less than this, nothing could be served.
+// Environment variables of the configuration.
+const (
+	envConfig     = "BALANCER_CONFIG"       // path of the configuration file
+	envListen     = "BALANCER_LISTEN"       // replaces the file's listen
+	envDiscovery  = "BALANCER_DISCOVERY"    // replaces the file's discovery
+	envMgmt       = "BALANCER_MGMT"         // replaces the file's mgmt
+	envRecord     = "MARTENDRUM_RECORD"     // path of the idempotency store's file; unset: no store
+	envFeatures   = "MARTENDRUM_FLEET"      // features of coordinationConfig
+	envCheckpoint = "MARTENDRUM_CHECKPOINT" // path of the checkpoint; unset: none is written
+)
+
+// The lowest limits under which a sidecar can serve.
 const (
 	minMemoryMB = 32
 	minSockets  = 32
@@ -32,10 +42,10 @@
 	settings          *settings.Settings
 	pollsDiscovery    bool // lists are polled; else discovery pushes them
 	pace              discovery.Pace
-	record            *recordConfig      // of the store of record; nil: off
+	record            *recordConfig      // idempotency store; nil: off
 	coordination      coordinationConfig // what it does together with other sidecars
 	hash              string             // SHA-256 of the file
-	keys              any                // the keys that the file has, as a tree
+	keys              any                // the decoded file, of which only the keys are used
 }
 
 // configFile is the form of the configuration file.
@@ -55,20 +65,20 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// load reads the configuration from the environment and the file it names.
-// Errors name the field.
+// load reads the configuration from the environment and the file that it names. Errors name the
+// field.
 func load(getenv func(string) string) (*config, error) {
-	path := getenv("BALANCER_CONFIG")
+	path := getenv(envConfig)
 	if path == "" {
-		return nil, errors.New("BALANCER_CONFIG is not set")
+		return nil, &ConfigError{Field: envConfig, Problem: "is not set", Do: "set it to the path of the configuration file"}
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("BALANCER_CONFIG: %w", err)
+		return nil, &ConfigError{Field: envConfig, Cause: err, Do: "let it name a file that the sidecar may read"}
 	}
 	c, file, err := parseFile(data)
 	if err != nil {
-		return nil, fmt.Errorf("BALANCER_CONFIG: %w", err)
+		return nil, &ConfigError{Field: envConfig, Cause: err, Do: "correct the JSON of the file at the place named"}
 	}
 	c.overrideAddresses(getenv)
 	if err := c.parseFields(file); err != nil {
@@ -105,16 +115,16 @@
 	return c, &file, nil
 }
 
-// overrideAddresses takes the addresses that the environment sets.
+// overrideAddresses replaces addresses of the file by those that the environment sets.
 func (c *config) overrideAddresses(getenv func(string) string) {
 	override := func(address *string, name string) {
 		if value := getenv(name); value != "" {
 			*address = value
 		}
 	}
-	override(&c.listen, "BALANCER_LISTEN")
-	override(&c.discovery, "BALANCER_DISCOVERY")
-	override(&c.mgmt, "BALANCER_MGMT")
+	override(&c.listen, envListen)
+	override(&c.discovery, envDiscovery)
+	override(&c.mgmt, envMgmt)
 }
 
 // parseFields parses and checks the fields.
@@ -123,21 +133,21 @@
 		return err
 	}
 	if c.seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		return fmt.Errorf("seed: %w", err)
+		return &ConfigError{Field: "seed", Cause: err, Do: "give a hexadecimal number of up to 16 digits"}
 	}
 	if err := c.checkLimits(); err != nil {
 		return err
 	}
 	if len(file.Settings) == 0 {
-		return errors.New("settings is missing")
+		return &ConfigError{Field: "settings", Problem: "is missing", Do: "add the object settings to the file"}
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
 		if c.known, err = discovery.Parse(file.Known); err != nil {
-			return fmt.Errorf("known: %w", err)
+			return &ConfigError{Field: "known", Cause: err, Do: "give a list of servers as discovery sends it, or leave the key out"}
 		}
 	}
 	if c.settings, err = settings.Parse(file.Settings); err != nil {
-		return err
+		return &ConfigError{Cause: err, Do: "correct the settings at the place named"}
 	}
 	return checkSettings(c.settings)
 }
@@ -149,7 +159,7 @@
 			continue
 		}
 		if _, _, err := net.SplitHostPort(field.address); err != nil {
-			return fmt.Errorf("%s: %w", field.name, err)
+			return &ConfigError{Field: field.name, Cause: err, Do: "give an address as host:port"}
 		}
 	}
 	return nil
@@ -159,35 +169,45 @@
 func (c *config) checkLimits() error {
 	switch {
 	case !(c.cores > 0):
-		return errors.New("limits.cores must be above 0")
+		return invalidLimit("limits.cores", "must be above 0")
 	case c.memoryMB < minMemoryMB:
-		return fmt.Errorf("limits.memory_mb must be at least %d", minMemoryMB)
+		return invalidLimit("limits.memory_mb", fmt.Sprintf("must be at least %d", minMemoryMB))
 	case c.sockets < minSockets:
-		return fmt.Errorf("limits.sockets must be at least %d", minSockets)
+		return invalidLimit("limits.sockets", fmt.Sprintf("must be at least %d", minSockets))
 	}
 	return nil
 }
 
+// invalidLimit returns the error of a limit that is too low to serve.
+func invalidLimit(field, problem string) error {
+	return &ConfigError{Field: field, Problem: problem, Do: "raise the limit to what the sidecar may use"}
+}
+
 // checkSettings checks the settings that a sidecar on sockets needs.
 func checkSettings(s *settings.Settings) error {
 	for n, deadline := range s.Deadlines {
 		if deadline <= 0 {
-			return fmt.Errorf("settings.classes[%d].hardLimitUs must be above 0", n)
+			return invalidSetting(fmt.Sprintf("settings.classes[%d].hardLimitUs", n), "must be above 0")
 		}
 	}
 	switch {
 	case s.DialTimeout <= 0:
-		return errors.New("settings.caps.dialTimeoutUs must be above 0")
+		return invalidSetting("settings.caps.dialTimeoutUs", "must be above 0")
 	case s.ConnIdle <= 0:
-		return errors.New("settings.caps.connIdleUs must be above 0")
+		return invalidSetting("settings.caps.connIdleUs", "must be above 0")
 	case s.MaxInFlight < 0:
-		return errors.New("settings.caps.mostHeld must be 0 or more")
+		return invalidSetting("settings.caps.mostHeld", "must be 0 or more")
 	case s.DrainGrace < 0:
-		return errors.New("settings.guarantees.drainGraceUs must be 0 or more")
+		return invalidSetting("settings.guarantees.drainGraceUs", "must be 0 or more")
 	}
 	return nil
 }
 
+// invalidSetting returns the error of a setting with an impossible value.
+func invalidSetting(field, problem string) error {
+	return &ConfigError{Field: field, Problem: problem, Do: "correct the setting; durations are in microseconds"}
+}
+
 // setDiscoveryPace sets how discovery is polled or followed.
 func (c *config) setDiscoveryPace() {
 	s := c.settings
@@ -202,26 +222,26 @@
 	s.Config.RetryWithin = c.pace.MaxBackoff
 }
 
-// loadExtras loads what only the environment turns on: the store of record, the fleet
-// and the checkpoint.
+// loadExtras loads what only the environment turns on: the idempotency store, coordination with
+// other sidecars, and the checkpoint.
 func (c *config) loadExtras(getenv func(string) string, file *configFile) (err error) {
-	if path := getenv("MARTENDRUM_RECORD"); path != "" {
+	if path := getenv(envRecord); path != "" {
 		if c.record, err = loadRecord(path, c.settings, (c.sockets-reservedSockets)/4); err != nil {
-			return fmt.Errorf("MARTENDRUM_RECORD: %w", err)
+			return &ConfigError{Field: envRecord, Cause: err, Do: "correct the file that it names, or unset it"}
 		}
 	}
-	if c.coordination, err = loadCoordination(getenv("MARTENDRUM_FLEET"), c.settings, file.PeerListen, file.Peers); err != nil {
+	if c.coordination, err = loadCoordination(getenv(envFeatures), c.settings, file.PeerListen, file.Peers); err != nil {
 		return err
 	}
-	c.coordination.checkpointPath = getenv("MARTENDRUM_CHECKPOINT")
+	c.coordination.checkpointPath = getenv(envCheckpoint)
 	if c.coordination.checkpointPath != "" && !c.coordination.gradualReturn {
 		return &CoordinationError{"MARTENDRUM_CHECKPOINT is set, and nothing reads it", "add " + featureReturn + " to MARTENDRUM_FLEET, or unset the file"}
 	}
 	return nil
 }
 
-// logSettings logs what of the settings decides how long requests may take: an incident's
-// first question is what was in force.
+// logSettings logs the settings that decide how long requests may take, so that the log of an
+// incident shows what was in force.
 func (c *config) logSettings(event string) {
 	attributes := []any{"config", c.hash[:8], "discovery", c.discovery, "longest_deadline", c.longestDeadline(), "drain_grace", c.settings.DrainGrace}
 	for _, name := range c.settings.Names() {
--- a/cmd/sidecar/coordination_config.go
+++ b/cmd/sidecar/coordination_config.go
@@ -27,7 +27,7 @@
 type CoordinationError struct{ What, Do string }
 
 // Error implements error.
-func (e *CoordinationError) Error() string { return "MARTENDRUM_FLEET: " + e.What }
+func (e *CoordinationError) Error() string { return envFeatures + ": " + e.What }
 
 // Advice says what an operator can do.
 func (e *CoordinationError) Advice() string { return e.Do }
--- a/cmd/sidecar/reload.go
+++ b/cmd/sidecar/reload.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// reload reads the file again; inForce is the configuration before. The environment is
-// as it was at the start, so the address of discovery comes from the file alone.
+// reload reads the file again; inForce is the configuration in force. The environment cannot
+// change after the start, so the address of discovery is read from the file alone.
 func reload(getenv func(string) string, inForce *config) (*config, error) {
 	c, err := load(func(name string) string {
-		if name == "BALANCER_DISCOVERY" {
+		if name == envDiscovery {
 			return ""
 		}
 		return getenv(name)
@@ -20,7 +20,8 @@
 		return nil, err
 	}
 	if key := missingKey("", inForce.keys, c.keys); key != "" {
-		return nil, fmt.Errorf("config: %s is missing; the file in force has it", key)
+		missing := &ConfigError{Field: key, Problem: "is missing; the file in force has it", Do: "add the key, or start a new process if it is omitted on purpose"}
+		return nil, fmt.Errorf("config: %w", missing)
 	}
 	return c, nil
 }
--- a/cmd/sidecar/start.go
+++ b/cmd/sidecar/start.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
 	"os"
@@ -22,17 +21,18 @@
 
 // Header fields of health responses.
 const (
-	// healthConfigHash is the SHA-256 of the configuration file in force. An agent sees by it
+	// healthConfigHash is the SHA-256 of the configuration file in force. It shows an agent
 	// whether a reload was applied.
 	healthConfigHash = "Config-Sum"
-	// healthRecord is the state of the store of record, if there is one.
+	// healthRecord is the state of the idempotency store, if there is one.
 	healthRecord = "Record"
-	// healthLaunch identifies, where processes can hand over, which of two answers: the
-	// name that whoever started it gave it, or its process id.
+	// healthLaunch identifies which of two processes answers, where processes can hand over: by
+	// the name in MARTENDRUM_LAUNCH, or else by its process id.
 	healthLaunch = "Hands-Over"
 )
 
-// start serves alone or takes over from a predecessor, which it finds by TMPDIR.
+// start serves alone, or takes over from a predecessor if TMPDIR names the directory in which
+// processes of this sidecar find each other.
 func start(c *config, on signals) error {
 	r := &resources{config: c}
 	dir := os.Getenv("TMPDIR")
@@ -51,12 +51,12 @@
 	return run(c, r, place, predecessor, on)
 }
 
-// startAlone serves where processes don't hand over.
+// startAlone serves without hand-over.
 func startAlone(c *config, r *resources, on signals) error {
 	r.Limit(c.fullQuota())
 	listener, err := net.Listen("tcp", c.listen)
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return &ConfigError{Field: "listen", Cause: err, Do: "stop the process that has the address, or configure another one"}
 	}
 	defer listener.Close()
 	r.listeners = []*net.TCPListener{listener.(*net.TCPListener)}
@@ -96,7 +96,7 @@
 	return p.serve(on)
 }
 
-// createParts creates the watcher, and the parts that keep to the limits.
+// createParts creates the watcher and the parts that resources keeps within the limits.
 func (p *sidecarProcess) createParts() error {
 	c := p.config
 	p.watcher = &discovery.Watcher{Addr: c.discovery, Pace: c.pace}
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// openRecorder opens the store of record, if the configuration has one.
+// openRecorder opens the idempotency store, if the configuration has one.
 func (p *sidecarProcess) openRecorder() error {
 	var lock *os.File
 	if p.predecessor != nil {
@@ -138,8 +138,8 @@
 	p.addGauges()
 }
 
-// openAdmin opens the admin endpoint, if the configuration has one. If the predecessor
-// still has its address, that is done later. The function that it returns closes it.
+// openAdmin opens the admin endpoint, if the configuration has one. If the predecessor still has
+// its address, it is opened later, in the background. The returned function closes it.
 func (p *sidecarProcess) openAdmin() (closeAdmin func(), err error) {
 	address := p.config.mgmt
 	if address == "" {
@@ -161,11 +161,11 @@
 			server.Close()
 		}, nil
 	}
-	return nil, fmt.Errorf("mgmt: %w", err)
+	return nil, &ConfigError{Field: "mgmt", Cause: err, Do: "stop the process that has the address, or configure another one"}
 }
 
-// retryOpenAdmin opens the admin endpoint once its address is free, unless stop is closed
-// before.
+// retryOpenAdmin opens the admin endpoint once its address is free, or returns when stop is
+// closed.
 func retryOpenAdmin(address string, server *admin.Server, stop <-chan struct{}) {
 	retryUntil(stop, func() bool {
 		listener, err := net.Listen("tcp", address)
