--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"martendrum"
+	"martendrum/internal/protocol"
 	"martendrum/internal/settings"
 	"martendrum/internal/upstream"
 )
@@ -40,12 +41,12 @@
 // sets itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
-	"Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, "Req-Deadline-Ms": true,
+	"Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, protocol.RequestDeadline: true,
 }
 
 // singleValued are the header fields that identify a request: repeated, they are
 // ambiguous.
-var singleValued = []string{"Req-Id", "Req-Kind", "Req-Deadline-Ms", "Idempotency-Key"}
+var singleValued = []string{protocol.RequestID, protocol.RequestClass, protocol.RequestDeadline, protocol.IdempotencyKey}
 
 // parse takes over the head of a request; it returns the status to reject it with, or
 // statusNone. It rejects what is ambiguous: a class in the path and another in the
@@ -59,17 +60,17 @@
 	if status := checkMethod(r, x.Rules.Rules.Idempotency); status != statusNone {
 		return status
 	}
-	if x.id = strings.Clone(r.Header.Get("Req-Id")); x.id == "" || len(x.id) > maxIDLength {
+	if x.id = strings.Clone(r.Header.Get(protocol.RequestID)); x.id == "" || len(x.id) > maxIDLength {
 		return http.StatusBadRequest
 	}
-	hasKey := r.Header.Get("Idempotency-Key") != ""
+	hasKey := r.Header.Get(protocol.IdempotencyKey) != ""
 	if hasKey != (x.Rules.Rules.Idempotency == martendrum.IdempotencyKeyed) {
 		return http.StatusBadRequest
 	}
 	if status := x.parseDeadline(r.Header); status != statusNone {
 		return status
 	}
-	x.Tenant = r.Header.Get("Req-Owner")
+	x.Tenant = r.Header.Get(protocol.RequestTenant)
 	x.Request = upstream.Request{Method: r.Method, Head: requestHead(r)}
 	return statusNone
 }
@@ -82,7 +83,7 @@
 		}
 	}
 	x.Class, _, _ = strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	if kind := r.Header.Get("Req-Kind"); kind != "" && kind != x.Class {
+	if kind := r.Header.Get(protocol.RequestClass); kind != "" && kind != x.Class {
 		return http.StatusBadRequest
 	}
 	if x.Rules = handler.Class(x.Class); x.Rules == nil {
@@ -108,7 +109,7 @@
 
 // parseDeadline takes how long the client waits.
 func (x *Exchange) parseDeadline(header http.Header) (status int) {
-	value, ok := header["Req-Deadline-Ms"]
+	value, ok := header[protocol.RequestDeadline]
 	if !ok {
 		return statusNone
 	}
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"martendrum/internal/protocol"
 	"martendrum/internal/upstream"
 )
 
@@ -38,7 +39,7 @@
 // status that is neither success nor a plain refusal and, if above 0, the time to come
 // back. why is one line.
 func (x *Exchange) Deny(status int, why string, retryAfter time.Duration) {
-	x.answer(status, "Record-State: "+why+"\r\n"+retryAfterField(retryAfter), nil, nil)
+	x.answer(status, protocol.RecordState+": "+why+"\r\n"+retryAfterField(retryAfter), nil, nil)
 }
 
 // retryAfterField returns a Retry-After header line, empty for 0.
@@ -46,7 +47,7 @@
 	if retryAfter <= 0 {
 		return ""
 	}
-	return "Retry-After: " + strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64) + "\r\n"
+	return protocol.RetryAfter + ": " + strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64) + "\r\n"
 }
 
 // Serve passes on a server's response. If it is not complete yet, Serve returns when the
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -11,6 +11,7 @@
 
 	"martendrum"
 	"martendrum/internal/framing"
+	"martendrum/internal/protocol"
 )
 
 const (
@@ -94,7 +95,7 @@
 		return false
 	}
 	a.pool.noteReused(a, false)
-	report := ParseLoad(resp.Header.Get("Srv-Load"))
+	report := ParseLoad(resp.Header.Get(protocol.ServerLoad))
 	if resp.StatusCode == http.StatusOK && answer.Rest != nil {
 		rest := &answerRest{conn: c, from: answer.Rest, left: maxAnswer}
 		answer.Rest = rest
@@ -124,7 +125,7 @@
 // outcomeOf returns the outcome of an attempt answered with another status than 200.
 func outcomeOf(resp *http.Response) martendrum.Outcome {
 	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
-	if unavailable && resp.Header.Get("Srv-Declined") == "1" {
+	if unavailable && resp.Header.Get(protocol.ServerRejected) == protocol.ServerRejectedValue {
 		return martendrum.Rejected
 	}
 	return martendrum.ServerError
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"martendrum"
+	"martendrum/internal/protocol"
 )
 
 const (
@@ -69,7 +70,7 @@
 // appendHead appends the request's head, with the time left until the deadline.
 func (a *Attempt) appendHead(b []byte) []byte {
 	b = append(b, a.Request.Head...)
-	b = append(b, "Req-Deadline-Ms: "...)
+	b = append(b, protocol.RequestDeadline+": "...)
 	left := time.Until(a.Deadline)
 	if a.Patience > 0 {
 		left = min(left, a.Patience)
