--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -69,10 +69,10 @@
 	debug.SetMemoryLimit(memory * 6 / 10)
 	conns := max(2, quota.Sockets-c.reservedDescriptors())
 	upstreamConfig := upstream.Config{
-		ConnIdle:    c.settings.ConnIdle,
-		DialTimeout: c.settings.DialTimeout,
-		DrainGrace:  c.settings.DrainGrace,
-		MaxConns:    conns - conns/2,
+		ServerIdleTimeout: c.settings.ConnIdle,
+		DialTimeout:       c.settings.DialTimeout,
+		DrainGrace:        c.settings.DrainGrace,
+		MaxConns:          conns - conns/2,
 	}
 	downstreamConfig := downstream.Config{
 		MaxConns: conns / 2,
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -55,9 +55,9 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var passed [maxEvictionAttempts]*conn
+	var skipped [maxEvictionAttempts]*conn
 	for try := range maxEvictionAttempts {
-		c := s.evictionCandidate(now, passed[:try])
+		c := s.evictionCandidate(now, skipped[:try])
 		if c == nil {
 			return false
 		}
@@ -65,19 +65,19 @@
 			delete(s.conns, c)
 			return true
 		}
-		passed[try] = c
+		skipped[try] = c
 	}
 	return false
 }
 
 // evictionCandidate returns the next connection to evict, leaving out those passed
 // over; nil if there is none. The lock is held.
-func (s *Server) evictionCandidate(now time.Time, passed []*conn) (candidate *conn) {
+func (s *Server) evictionCandidate(now time.Time, skipped []*conn) (candidate *conn) {
 	highest := notEvictable
 	for c := range s.conns {
 		rank := c.evictionRank(now)
 		older := rank == highest && rank > notEvictable && c.stateSince.Before(candidate.stateSince)
-		if (rank > highest || older) && !slices.Contains(passed, c) {
+		if (rank > highest || older) && !slices.Contains(skipped, c) {
 			candidate, highest = c, rank
 		}
 	}
--- a/internal/downstream/fuzz_test.go
+++ b/internal/downstream/fuzz_test.go
@@ -102,12 +102,12 @@
 		if breaks {
 			rest = append(rest, iotest.ErrReader(io.ErrUnexpectedEOF))
 		}
-		ans := &upstream.Answer{Header: http.Header{}, Body: body[:first], Length: -1, Rest: io.MultiReader(rest...)}
+		answer := &upstream.Answer{Header: http.Header{}, Body: body[:first], Length: -1, Rest: io.MultiReader(rest...)}
 		if told {
-			ans.Length = int64(len(body))
+			answer.Length = int64(len(body))
 		}
 		go func() {
-			x.Serve(ans)
+			x.Serve(answer)
 			x.Release()
 			if breaks {
 				there.Close()
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -52,13 +52,13 @@
 
 // Serve passes on a server's response. If it is not complete yet, Serve returns when the
 // rest has been forwarded too, or can't be.
-func (x *Exchange) Serve(ans *upstream.Answer) {
-	if ans.Rest == nil {
-		x.answer(http.StatusOK, "", ans.Header, ans.Body)
+func (x *Exchange) Serve(answer *upstream.Answer) {
+	if answer.Rest == nil {
+		x.answer(http.StatusOK, "", answer.Header, answer.Body)
 		return
 	}
 	x.beginAnswer(http.StatusOK)
-	x.endAnswer(x.writeStream(ans))
+	x.endAnswer(x.writeStream(answer))
 }
 
 // answer writes a buffered response and prepares the connection for the next request. The
@@ -162,14 +162,14 @@
 
 // writeStream writes a response that is still arriving: each piece is forwarded as it
 // arrives, one at a time. A response that ends early ends without its last chunk or byte.
-func (x *Exchange) writeStream(ans *upstream.Answer) error {
+func (x *Exchange) writeStream(answer *upstream.Answer) error {
 	netConn := x.conn.netConn
-	if ans.Length < 0 && x.http10 {
+	if answer.Length < 0 && x.http10 {
 		x.keepAlive = false // its end is the connection's
 	}
-	chunked := ans.Length < 0 && !x.http10
-	b := x.appendStreamHead(make([]byte, 0, 512+len(ans.Body)), ans, chunked)
-	b = appendPiece(b, ans.Body, chunked)
+	chunked := answer.Length < 0 && !x.http10
+	b := x.appendStreamHead(make([]byte, 0, 512+len(answer.Body)), answer, chunked)
+	b = appendPiece(b, answer.Body, chunked)
 	buf := streamBuffers.Get().(*[]byte)
 	defer streamBuffers.Put(buf)
 	defer netConn.SetWriteDeadline(time.Time{})
@@ -178,7 +178,7 @@
 		if _, err := netConn.Write(b); err != nil || ended {
 			return err
 		}
-		n, err := ans.Rest.Read(*buf)
+		n, err := answer.Rest.Read(*buf)
 		b = appendPiece(b[:0], (*buf)[:n], chunked)
 		if err != nil && err != io.EOF {
 			return err
@@ -191,12 +191,12 @@
 }
 
 // appendStreamHead appends the head of a streamed response.
-func (x *Exchange) appendStreamHead(b []byte, ans *upstream.Answer, chunked bool) []byte {
-	b = x.appendHead(b, http.StatusOK, "", ans.Header)
+func (x *Exchange) appendStreamHead(b []byte, answer *upstream.Answer, chunked bool) []byte {
+	b = x.appendHead(b, http.StatusOK, "", answer.Header)
 	if chunked {
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
-	} else if ans.Length >= 0 {
-		b = appendLength(b, ans.Length)
+	} else if answer.Length >= 0 {
+		b = appendLength(b, answer.Length)
 	}
 	return append(b, "\r\n"...)
 }
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -164,9 +164,9 @@
 }
 
 // closeQuiet closes the connections that have been in a state for at least the given time.
-func (s *Server) closeQuiet(state connState, least time.Duration) {
+func (s *Server) closeQuiet(state connState, minDuration time.Duration) {
 	s.mu.Lock()
-	closed := s.markClosed(state, least)
+	closed := s.markClosed(state, minDuration)
 	s.mu.Unlock()
 	for _, c := range closed {
 		c.closeWrite()
@@ -177,9 +177,9 @@
 // as closed and returns them. A connection on which a request has arrived is not among
 // them: its goroutine needs the lock, which is held, to take the request, so exactly one
 // of the two wins.
-func (s *Server) markClosed(state connState, least time.Duration) (closed []*conn) {
+func (s *Server) markClosed(state connState, minDuration time.Duration) (closed []*conn) {
 	for c := range s.conns {
-		if c.state == state && time.Since(c.stateSince) >= least && c.input.Quiet() {
+		if c.state == state && time.Since(c.stateSince) >= minDuration && c.input.Quiet() {
 			c.enter(stateClosed)
 			closed = append(closed, c)
 		}
--- a/internal/idempotency/e2e/main_test.go
+++ b/internal/idempotency/e2e/main_test.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 300})
+	pool := upstream.New(upstream.Config{ServerIdleTimeout: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 300})
 	n := &node{}
 	if n.host, err = sidecar.New(set, 1, pool, new(discovery.Watcher)); err != nil {
 		return nil, err
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -53,17 +53,17 @@
 		hedged:  request.open > 0,
 	}
 	a.Attempt = upstream.Attempt{
-		Request:  &x.Request,
-		Server:   server,
-		Deadline: deadline,
-		Latest:   latest,
-		Sink:     a,
-		Once:     x.Rules.Rules.Idempotency == martendrum.NonIdempotent,
-		Left:     x.ClientLeft,
-		Wrote:    h.wrote,
+		Request:       &x.Request,
+		Server:        server,
+		Deadline:      deadline,
+		SendBefore:    latest,
+		Sink:          a,
+		NonRepeatable: x.Rules.Rules.Idempotency == martendrum.NonIdempotent,
+		ClientLeft:    x.ClientLeft,
+		OnWritten:     h.wrote,
 	}
 	if x.Request.Stream != nil {
-		a.Claimed, a.Wrote, a.Patience = a.claimed, a.uploaded, request.timeout
+		a.OnClaimed, a.OnWritten, a.Patience = a.claimed, a.uploaded, request.timeout
 	}
 	return a
 }
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 50})
+	pool := upstream.New(upstream.Config{ServerIdleTimeout: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 50})
 	h, err := New(set, 1, pool, new(discovery.Watcher))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -84,7 +84,7 @@
 		defer h.mu.Unlock()
 		for _, q := range h.requests {
 			if len(q.attempts) == 2 {
-				latest = q.attempts[1].Latest
+				latest = q.attempts[1].SendBefore
 			}
 		}
 		return !latest.IsZero()
--- a/internal/sidecar/list_capacity_test.go
+++ b/internal/sidecar/list_capacity_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 50})
+	pool := upstream.New(upstream.Config{ServerIdleTimeout: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 50})
 	host, err := New(set, 1, pool, new(discovery.Watcher))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -51,24 +51,24 @@
 
 // Attempt is one send of a request to one server.
 type Attempt struct {
-	Request  *Request
-	Server   string
-	Deadline time.Time // when the sidecar stops waiting
-	Latest   time.Time // when its last byte must have been sent, or it must not run; zero: Deadline
-	Sink     Sink
+	Request    *Request
+	Server     string
+	Deadline   time.Time // when the sidecar stops waiting
+	SendBefore time.Time // when its last byte must have been sent, or it must not run; zero: Deadline
+	Sink       Sink
 	// Patience bounds the time that is announced to the server; 0: the time until Deadline. A
 	// body that is still arriving has a later Deadline than its client waits from its end.
 	Patience time.Duration
-	// Once says that the request can't be repeated: it does not go out on a reused
+	// NonRepeatable says that the request can't be repeated: it does not go out on a reused
 	// connection while those break at their next request.
-	Once bool
-	// Left, if not nil, reports whether the client has left. It is called when the first byte
+	NonRepeatable bool
+	// ClientLeft, if not nil, reports whether the client has left. It is called when the first byte
 	// is about to be written, and must not block. If it has, nothing is sent, and the outcome
 	// is NotSent.
-	Left func() bool
-	// Wrote is called, if not nil, when the last byte has been written, Claimed when
+	ClientLeft func() bool
+	// OnWritten is called, if not nil, when the last byte has been written, Claimed when
 	// this attempt alone can send the body.
-	Wrote, Claimed func()
+	OnWritten, OnClaimed func()
 
 	pool        *Pool
 	server      *server
@@ -79,7 +79,7 @@
 	mu         sync.Mutex
 	conn       *conn
 	closed     bool // abandoned, or its connection is of no more use
-	began      bool // the first byte may have been written
+	sendBegun  bool // the first byte may have been written
 	written    bool // the last byte has been written
 	readFailed bool // the connection broke before the writing was over
 }
@@ -107,10 +107,10 @@
 func (a *Attempt) Withdraw() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.began {
+	if !a.sendBegun {
 		a.closed = true
 	}
-	return !a.began
+	return !a.sendBegun
 }
 
 // Abandon stops an attempt and returns whether it may have begun. Close closes its
@@ -119,7 +119,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.closed = true
-	return a.began
+	return a.sendBegun
 }
 
 // Close closes the connection of an abandoned attempt.
@@ -198,30 +198,30 @@
 // that reads from it: after a stall of the process, this one may run first.
 func (a *Attempt) begin(c *conn) bool {
 	pastGrace := a.pool.isDrainGraceOver(a.server) // the dial may have taken long
-	left := a.Left != nil && a.Left()
+	left := a.ClientLeft != nil && a.ClientLeft()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.closed || pastGrace || left || !time.Now().Before(a.latest()) {
+	if a.closed || pastGrace || left || !time.Now().Before(a.sendDeadline()) {
 		a.closed = true
 		return false
 	}
-	a.conn, a.began = c, true
+	a.conn, a.sendBegun = c, true
 	return true
 }
 
-// latest is when the last byte must have been sent.
-func (a *Attempt) latest() time.Time {
-	if a.Latest.IsZero() || a.Latest.After(a.Deadline) {
+// sendDeadline is when the last byte must have been sent.
+func (a *Attempt) sendDeadline() time.Time {
+	if a.SendBefore.IsZero() || a.SendBefore.After(a.Deadline) {
 		return a.Deadline
 	}
-	return a.Latest
+	return a.SendBefore
 }
 
-// hasStartedOn reports whether the attempt has begun on c: what arrives there is for it.
-func (a *Attempt) hasStartedOn(c *conn) bool {
+// hasBegunOn reports whether the attempt has begun on c: what arrives there is for it.
+func (a *Attempt) hasBegunOn(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.began && a.conn == c
+	return a.sendBegun && a.conn == c
 }
 
 // isWritten reports whether the request has been written completely and the attempt is open.
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -43,7 +43,7 @@
 
 // newPool returns a pool with one server, "s".
 func newPool(addr string) *Pool {
-	p := New(Config{ConnIdle: time.Minute, DialTimeout: patience, DrainGrace: patience, MaxConns: 20})
+	p := New(Config{ServerIdleTimeout: time.Minute, DialTimeout: patience, DrainGrace: patience, MaxConns: 20})
 	p.Serve("s", addr, 0)
 	return p
 }
@@ -66,7 +66,7 @@
 	t.Helper()
 	s := make(resultSink, 1)
 	a := attemptOf(s)
-	a.Once = once
+	a.NonRepeatable = once
 	p.Start(a)
 	select {
 	case e := <-s:
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -14,10 +14,10 @@
 
 // Config is the configuration of a Pool.
 type Config struct {
-	ConnIdle    time.Duration // servers close connections that have been idle for so long
-	DialTimeout time.Duration
-	DrainGrace  time.Duration // no attempt starts later than this after its server began to drain
-	MaxConns    int           // connections at once, those being dialled included
+	ServerIdleTimeout time.Duration // servers close connections that have been idle for so long
+	DialTimeout       time.Duration
+	DrainGrace        time.Duration // no attempt starts later than this after its server began to drain
+	MaxConns          int           // connections at once, those being dialled included
 }
 
 // Pool keeps the connections to all servers.
@@ -37,7 +37,7 @@
 type server struct {
 	name, addr    string
 	started       time.Duration
-	drainedAt     time.Time // when it was reported as draining or removed; zero: it serves
+	drainingSince time.Time // when it was reported as draining or removed; zero: it serves
 	unsolicitedAt time.Time // when it last sent bytes that belong to no request; zero: never
 	idle          []*conn
 }
@@ -71,7 +71,7 @@
 
 // idleTimeout is how long an idle connection stays open. Guards against a request that
 // races with the close by the server.
-func (p *Pool) idleTimeout() time.Duration { return p.config.ConnIdle * 6 / 10 }
+func (p *Pool) idleTimeout() time.Duration { return p.config.ServerIdleTimeout * 6 / 10 }
 
 const (
 	// maxBrokenFraction is the share of reused connections that may break at their next
@@ -86,8 +86,8 @@
 	breakWindow = 20 * time.Millisecond
 )
 
-// noteReused counts whether an attempt on a reused connection broke at once.
-func (p *Pool) noteReused(a *Attempt, broke bool) {
+// recordReuse counts whether an attempt on a reused connection broke at once.
+func (p *Pool) recordReuse(a *Attempt, broke bool) {
 	if !a.reused || broke && time.Since(a.startedAt) > breakWindow {
 		return
 	}
@@ -113,7 +113,7 @@
 	if s.addr != addr || s.started != started {
 		old = p.takeIdle(s)
 	}
-	s.addr, s.started, s.drainedAt = addr, started, time.Time{}
+	s.addr, s.started, s.drainingSince = addr, started, time.Time{}
 	p.mu.Unlock()
 	closeAll(old)
 }
@@ -124,8 +124,8 @@
 	var old []*conn
 	if s := p.servers[name]; s != nil {
 		old = p.takeIdle(s)
-		if s.drainedAt.IsZero() {
-			s.drainedAt = time.Now()
+		if s.drainingSince.IsZero() {
+			s.drainingSince = time.Now()
 		}
 		if gone {
 			delete(p.servers, name)
@@ -246,7 +246,7 @@
 		return nil, "", false // removed since the decision
 	}
 	a.server, a.dialTimeout = s, p.config.DialTimeout
-	needsNew := a.Once && p.brokenFraction > maxBrokenFraction
+	needsNew := a.NonRepeatable && p.brokenFraction > maxBrokenFraction
 	if !needsNew {
 		if c, expired = p.acquireIdle(s, now); c != nil {
 			c.owner, a.reused = a, true
@@ -314,7 +314,7 @@
 	c.input.Rest() // before the lock: a sender takes the two locks in that order
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.removed || c.addr != c.server.addr || !c.server.drainedAt.IsZero() {
+	if c.removed || c.addr != c.server.addr || !c.server.drainingSince.IsZero() {
 		return false
 	}
 	c.owner, c.idleSince = nil, time.Now()
@@ -341,5 +341,5 @@
 func (p *Pool) isDrainGraceOver(s *server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !s.drainedAt.IsZero() && time.Since(s.drainedAt) > p.config.DrainGrace
+	return !s.drainingSince.IsZero() && time.Since(s.drainingSince) > p.config.DrainGrace
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -124,7 +124,7 @@
 		eventually(t, "the connections", func() bool { return p.idleConns("s") == idle })
 		s := make(resultSink, 1)
 		a := attemptOf(s)
-		a.Latest = time.Now()
+		a.SendBefore = time.Now()
 		p.Start(a)
 		select {
 		case e := <-s:
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -46,7 +46,7 @@
 			p.remove(c)
 		}
 		p.mu.Unlock()
-		if a == nil || !a.hasStartedOn(c) {
+		if a == nil || !a.hasBegunOn(c) {
 			if err == nil {
 				p.recordUnsolicited(c.server)
 			}
@@ -68,7 +68,7 @@
 	written := a.written
 	a.readFailed = true
 	a.mu.Unlock()
-	a.pool.noteReused(a, true)
+	a.pool.recordReuse(a, true)
 	if written { // otherwise the writer knows best how far it came
 		a.done(martendrum.Reset)
 	}
@@ -94,7 +94,7 @@
 		a.done(martendrum.Reset)
 		return false
 	}
-	a.pool.noteReused(a, false)
+	a.pool.recordReuse(a, false)
 	report := ParseLoad(resp.Header.Get(protocol.ServerLoad))
 	if resp.StatusCode == http.StatusOK && answer.Rest != nil {
 		rest := &answerRest{conn: c, from: answer.Rest, left: maxAnswer}
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -86,7 +86,7 @@
 	if a.Request.Stream != nil {
 		err = a.sendStream(c, a.Request.Stream)
 	} else {
-		c.SetWriteDeadline(a.latest())
+		c.SetWriteDeadline(a.sendDeadline())
 		_, err = c.Write(a.Request.Body)
 	}
 	c.SetWriteDeadline(time.Time{})
@@ -110,8 +110,8 @@
 		return errClaimed
 	}
 	defer from.Close()
-	if a.Claimed != nil {
-		a.Claimed()
+	if a.OnClaimed != nil {
+		a.OnClaimed()
 	}
 	if err := sendStream(c, to, from); err != nil || chunks == nil {
 		return err
@@ -151,8 +151,8 @@
 	a.written = complete // before that, the reader lets this function report a break
 	readFailed := a.readFailed
 	a.mu.Unlock()
-	if complete && a.Wrote != nil {
-		a.Wrote()
+	if complete && a.OnWritten != nil {
+		a.OnWritten()
 	}
 	switch {
 	case !complete:
