--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -25,27 +25,27 @@
 type Stream interface {
 	// Claim returns true for the first caller only.
 	Claim() bool
-	// Read fails in bounded time if nothing arrives.
+	// Reader is the body; Read fails in bounded time if nothing arrives.
 	io.Reader
 	// Chunked reports that the length is not known.
 	Chunked() bool
-	// Close notes that the attempt that claimed it reads no more.
+	// Close ends the reading by the attempt that claimed it.
 	Close() error
 }
 
-// Answer is a server's response of status 200, complete or as far as it has arrived.
+// Answer is a server's response of status 200, complete or with its rest still arriving.
 type Answer struct {
 	Header http.Header
 	Body   []byte
-	Rest   io.Reader // of the body, to be read before Done returns; nil: Body is all
-	Length int64     // of the body with its rest, -1 if it is not known
+	Rest   io.Reader // the rest of the body, to be read before Sink.Done returns; nil: Body is complete
+	Length int64     // of the complete body; -1: unknown
 }
 
 // Sink takes the result of an attempt.
 type Sink interface {
-	// Done takes the outcome; answer is set for OK. Only the first call counts. The rest
-	// of an answer that is not complete can be read until Done returns; if it is not read
-	// to its end by then, the connection is closed.
+	// Done reports the outcome; answer is set for OK. Only the first call counts. The rest of
+	// an incomplete answer can be read until Done returns. If it has not been read to its end
+	// by then, the connection is closed.
 	Done(outcome martendrum.Outcome, answer *Answer, report martendrum.LoadReport)
 }
 
@@ -54,20 +54,20 @@
 	Request    *Request
 	Server     string
 	Deadline   time.Time // when the sidecar stops waiting
-	SendBefore time.Time // when its last byte must have been sent, or it must not run; zero: Deadline
+	SendBefore time.Time // when its last byte must have been sent; zero: Deadline
 	Sink       Sink
-	// Patience bounds the time that is announced to the server; 0: the time until Deadline. A
-	// body that is still arriving has a later Deadline than its client waits from its end.
+	// Patience bounds the deadline that is sent to the server; 0: the time until Deadline. It is
+	// used for a streamed body, whose Deadline includes the time of the upload.
 	Patience time.Duration
-	// NonRepeatable says that the request can't be repeated: it does not go out on a reused
-	// connection while those break at their next request.
+	// NonRepeatable says that the request must not be sent again. It gets a new connection while
+	// reused ones break at their next request.
 	NonRepeatable bool
-	// ClientLeft, if not nil, reports whether the client has left. It is called when the first byte
-	// is about to be written, and must not block. If it has, nothing is sent, and the outcome
-	// is NotSent.
+	// ClientLeft, if not nil, reports whether the client has disconnected. It is called before the
+	// first byte is written, and must not block. If it returns true, nothing is sent and the
+	// outcome is NotSent.
 	ClientLeft func() bool
-	// OnWritten is called, if not nil, when the last byte has been written, Claimed when
-	// this attempt alone can send the body.
+	// OnWritten, if not nil, is called when the last byte has been written; OnClaimed when this
+	// attempt has claimed the body's Stream, so that no other can send it.
 	OnWritten, OnClaimed func()
 
 	pool        *Pool
@@ -78,10 +78,10 @@
 
 	mu         sync.Mutex
 	conn       *conn
-	closed     bool // abandoned, or its connection is of no more use
+	closed     bool // abandoned or withdrawn, or it must not be sent any more
 	sendBegun  bool // the first byte may have been written
 	written    bool // the last byte has been written
-	readFailed bool // the connection broke before the writing was over
+	readFailed bool // the connection broke before the request was written
 }
 
 // Start makes the attempt. It does not wait for the server.
@@ -102,8 +102,8 @@
 	}
 }
 
-// Withdraw stops an attempt that has not begun and returns whether it did: it has not run
-// and will not. One that has begun goes on.
+// Withdraw stops an attempt of which no byte has been sent, and returns whether it did: the
+// request was not and will not be executed by it. Any other attempt continues.
 func (a *Attempt) Withdraw() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -113,8 +113,8 @@
 	return !a.sendBegun
 }
 
-// Abandon stops an attempt and returns whether it may have begun. Close closes its
-// connection afterwards, by which the server learns of it.
+// Abandon stops an attempt and returns whether a byte of it may have been sent. The caller then
+// calls Close, which closes the connection and thereby tells the server.
 func (a *Attempt) Abandon() (began bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -146,7 +146,7 @@
 	a.Sink.Done(outcome, nil, martendrum.LoadReport{})
 }
 
-// recoverPanic keeps a panic to the attempt that it came from. It is deferred.
+// recoverPanic limits a panic to the attempt in which it occurred. It is deferred.
 func (a *Attempt) recoverPanic() {
 	if p := recover(); p != nil {
 		slog.Error("panic in an attempt", "panic", p, "stack", string(debug.Stack()))
@@ -154,7 +154,7 @@
 	}
 }
 
-// dial opens a connection, sends on it and stays as its reader.
+// dial opens a connection, sends the request on it and continues as its reader.
 func (a *Attempt) dial(addr string) {
 	c := a.connect(addr)
 	if c == nil {
@@ -193,9 +193,9 @@
 	}
 }
 
-// begin notes that the first byte is about to be written to c; false if the attempt must
-// not be sent any more. The client's connection is looked at here, not only by the goroutine
-// that reads from it: after a stall of the process, this one may run first.
+// begin marks the attempt as begun on c, before its first byte is written. It returns false if the
+// attempt must not be sent any more. It checks the client's connection itself, because after a
+// stall of the process it may run before the goroutine that reads from that connection.
 func (a *Attempt) begin(c *conn) bool {
 	pastGrace := a.pool.isDrainGraceOver(a.server) // the dial may have taken long
 	left := a.ClientLeft != nil && a.ClientLeft()
@@ -209,7 +209,7 @@
 	return true
 }
 
-// sendDeadline is when the last byte must have been sent.
+// sendDeadline returns when the last byte must have been sent.
 func (a *Attempt) sendDeadline() time.Time {
 	if a.SendBefore.IsZero() || a.SendBefore.After(a.Deadline) {
 		return a.Deadline
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -7,11 +7,11 @@
 	"martendrum"
 )
 
-// maxLoad is more than the load of any server.
+// maxLoad exceeds the load of any server; higher values are invalid.
 const maxLoad = 1e6
 
-// ParseLoad reads a load report: name=value, separated by commas. A value that is no
-// load is ignored: one that is not a number would spoil every comparison.
+// ParseLoad parses a load report of comma-separated name=value pairs. It ignores values that are
+// not valid loads, in particular NaN, which would make every comparison false.
 func ParseLoad(text string) (report martendrum.LoadReport) {
 	for text != "" {
 		var field string
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,8 @@
-// Package upstream is the sidecar's side towards the servers: the connections
-// it keeps to them and single attempts on these, with their outcomes. It sends
-// nothing twice and chooses no server.
+// Package upstream is the server-facing side of the sidecar: it owns the connections to servers,
+// makes single attempts on them and reports their outcomes.
+//
+// It guarantees that an attempt is sent at most once and that its outcome says whether the server
+// may have executed it. It does not choose servers and does not retry: package martendrum does.
 package upstream
 
 import (
@@ -22,18 +24,18 @@
 
 // Pool keeps the connections to all servers.
 type Pool struct {
-	dial func(addr string, limit time.Duration) (net.Conn, error) // opens a connection; a test's may fail
+	dial func(addr string, limit time.Duration) (net.Conn, error) // opens a connection; replaced by tests
 
 	mu              sync.Mutex
 	config          Config
 	servers         map[string]*server
 	conns           int           // open or being dialled
-	minRest         time.Duration // a connection is not reused sooner
-	unsolicitedRest time.Duration // nor sooner than this, to a server that sent strays
+	minRest         time.Duration // least idle time of a connection before its next request
+	unsolicitedRest time.Duration // the same after the server has sent unsolicited bytes
 	brokenFraction  float64       // running share of reused connections that broke at their next request
 }
 
-// server is where a server is, and the idle connections to it, oldest first.
+// server is a listed server with the idle connections to it, oldest first.
 type server struct {
 	name, addr    string
 	started       time.Duration
@@ -42,9 +44,9 @@
 	idle          []*conn
 }
 
-// conn is one connection to a server. Its goroutine reads for as long as it is
-// open, also while it is idle: so a server that closes it is noticed before it
-// is used again, for an unsafe request that ends as a reset can't be saved.
+// conn is one connection to a server. Its goroutine reads as long as it is open, also while it is
+// idle, so that a close by the server is noticed before the connection is reused: a non-idempotent
+// request that ends in a reset can't be retried.
 type conn struct {
 	net.Conn
 	input  *netconn.Lazy
@@ -62,27 +64,27 @@
 	return &Pool{dial: dialTCP, config: config, servers: make(map[string]*server), minRest: defaultMinRest, unsolicitedRest: defaultUnsolicitedRest}
 }
 
-// Limit replaces the limits, for attempts still to come.
+// Limit replaces the configuration for later attempts.
 func (p *Pool) Limit(config Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.config = config
 }
 
-// idleTimeout is how long an idle connection stays open. Guards against a request that
-// races with the close by the server.
+// idleTimeout returns how long an idle connection stays open. It is well below the server's own
+// timeout, so that no request races with the server's close.
 func (p *Pool) idleTimeout() time.Duration { return p.config.ServerIdleTimeout * 6 / 10 }
 
 const (
-	// maxBrokenFraction is the share of reused connections that may break at their next
-	// request before requests that can't be repeated get new connections;
-	// brokenFractionWeight is the weight of one observation in its running mean. Guards
-	// against servers, or middleboxes, that drop connections silently: such a request
-	// fails for good, a new connection costs a handshake. Its cost: handshakes, where
-	// the breaks have another cause.
+	// maxBrokenFraction is the fraction of reused connections that may break at their next
+	// request before non-repeatable requests get new connections. Servers or middleboxes may
+	// drop idle connections silently, which fails such a request for good, while a new
+	// connection costs a handshake. brokenFractionWeight is the weight of one observation in
+	// the running mean.
 	maxBrokenFraction    = 0.01
 	brokenFractionWeight = 0.03
-	// breakWindow is how soon such a break shows. Later ones are the request's own.
+	// breakWindow is the time after the start of an attempt in which a break is attributed to
+	// the reuse. A later break is attributed to the request.
 	breakWindow = 20 * time.Millisecond
 )
 
@@ -91,17 +93,17 @@
 	if !a.reused || broke && time.Since(a.startedAt) > breakWindow {
 		return
 	}
-	share := 0.0
+	observed := 0.0
 	if broke {
-		share = 1
+		observed = 1
 	}
 	p.mu.Lock()
-	p.brokenFraction += brokenFractionWeight * (share - p.brokenFraction)
+	p.brokenFraction += brokenFractionWeight * (observed - p.brokenFraction)
 	p.mu.Unlock()
 }
 
-// Serve sets where a server is and when it last started. Idle connections to
-// another address or an earlier process are closed: they would end as resets.
+// Serve sets a server's address and the time of its last start. It closes idle connections to
+// another address or an earlier process, which would be reset at their next request.
 func (p *Pool) Serve(name, addr string, started time.Duration) {
 	p.mu.Lock()
 	s := p.servers[name]
@@ -119,7 +121,7 @@
 }
 
 // MarkDraining records that a server is draining or removed.
-func (p *Pool) MarkDraining(name string, gone bool) {
+func (p *Pool) MarkDraining(name string, removed bool) {
 	p.mu.Lock()
 	var old []*conn
 	if s := p.servers[name]; s != nil {
@@ -127,7 +129,7 @@
 		if s.drainingSince.IsZero() {
 			s.drainingSince = time.Now()
 		}
-		if gone {
+		if removed {
 			delete(p.servers, name)
 		}
 	}
@@ -135,17 +137,17 @@
 	closeAll(old)
 }
 
-// Retain forgets all servers but those listed.
+// Retain removes all servers that are not listed.
 func (p *Pool) Retain(listed map[string]bool) {
-	var gone []string
+	var unlisted []string
 	p.mu.Lock()
 	for name := range p.servers {
 		if !listed[name] {
-			gone = append(gone, name)
+			unlisted = append(unlisted, name)
 		}
 	}
 	p.mu.Unlock()
-	for _, name := range gone {
+	for _, name := range unlisted {
 		p.MarkDraining(name, true)
 	}
 }
@@ -175,7 +177,8 @@
 	closeAll(old)
 }
 
-// Trim closes idle connections, the longest idle first, until all keep to the limit.
+// Trim closes idle connections, the longest idle first, until the number of connections is within
+// the limit or none is idle.
 func (p *Pool) Trim() {
 	p.mu.Lock()
 	var old []*conn
@@ -198,7 +201,8 @@
 	return p.conns
 }
 
-// takeIdle empties a server's idle list. The caller closes what it returns.
+// takeIdle removes a server's idle connections from the pool and returns them; the caller closes
+// them. The lock is held.
 func (p *Pool) takeIdle(s *server) []*conn {
 	old := s.idle
 	for _, c := range old {
@@ -209,7 +213,7 @@
 	return old
 }
 
-// remove takes an open connection out of the pool. The caller closes it.
+// remove removes an open connection from the pool. The caller closes it. The lock is held.
 func (p *Pool) remove(c *conn) {
 	if c.removed {
 		return
@@ -224,15 +228,16 @@
 	}
 }
 
+// closeAll closes connections that have been removed from the pool.
 func closeAll(conns []*conn) {
 	for _, c := range conns {
 		c.Close()
 	}
 }
 
-// acquire gives a the newest idle connection to its server that is still good. With
-// none it reserves the slot of a new one, to addr; ok is false if there is no slot, or no
-// such server.
+// acquire returns the newest reusable connection to the attempt's server. If there is none, it
+// reserves the slot of a new connection and returns a nil conn and the address to dial. ok is
+// false if there is no slot or no such server.
 func (p *Pool) acquire(a *Attempt) (c *conn, addr string, ok bool) {
 	now := time.Now()
 	var expired []*conn
@@ -255,8 +260,8 @@
 	}
 	a.reused = false
 	if needsNew && len(s.idle) > 0 {
-		// The new connection replaces one that is not trusted: a server accepts only so
-		// many, and those left unused would keep the new ones out.
+		// The new connection replaces an idle one. A server accepts a limited number, and idle
+		// connections that are not reused would keep new ones out.
 		expired = append(expired, s.idle[0])
 		p.remove(s.idle[0])
 	}
@@ -273,10 +278,10 @@
 	return nil, s.addr, true
 }
 
-// acquireIdle takes the newest idle connection to s that has rested for long enough, nil if
-// there is none. It removes those that have been idle for too long, which the caller
-// closes. Whether anything has arrived on the connection since, its end included, is
-// found when it is used.
+// acquireIdle returns the newest idle connection to s that has rested for long enough, nil if there
+// is none. It also removes and returns connections that have been idle for too long, which the
+// caller closes. Whether the server has sent something or closed the connection meanwhile is
+// checked when the request is sent. The lock is held.
 func (p *Pool) acquireIdle(s *server, now time.Time) (c *conn, expired []*conn) {
 	rest := p.restOf(s, now)
 	for len(s.idle) > 0 {
@@ -299,7 +304,8 @@
 	return nil, expired
 }
 
-// longestIdle is the connection that has been idle for the longest, nil if none is.
+// longestIdle returns the connection that has been idle for the longest, nil if none is idle. The
+// lock is held.
 func (p *Pool) longestIdle() (oldest *conn) {
 	for _, s := range p.servers {
 		if len(s.idle) > 0 && (oldest == nil || s.idle[0].idleSince.Before(oldest.idleSince)) {
@@ -309,7 +315,7 @@
 	return oldest
 }
 
-// release puts a connection back after an attempt; false if it can't be reused.
+// release returns a connection to the pool after an attempt; false if it can't be reused.
 func (p *Pool) release(c *conn) bool {
 	c.input.Rest() // before the lock: a sender takes the two locks in that order
 	p.mu.Lock()
@@ -322,7 +328,7 @@
 	return true
 }
 
-// discard closes a connection for good.
+// discard removes a connection from the pool and closes it.
 func (p *Pool) discard(c *conn) {
 	p.mu.Lock()
 	p.remove(c)
@@ -330,14 +336,14 @@
 	c.Close()
 }
 
-// releaseSlot gives back the place of a connection that could not be opened.
+// releaseSlot releases the slot of a connection that could not be opened.
 func (p *Pool) releaseSlot() {
 	p.mu.Lock()
 	p.conns--
 	p.mu.Unlock()
 }
 
-// isDrainGraceOver reports whether the grace of a draining or removed server is over.
+// isDrainGraceOver reports whether s has been draining or removed for longer than DrainGrace.
 func (p *Pool) isDrainGraceOver(s *server) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -15,34 +15,31 @@
 )
 
 const (
-	// maxBufferedBody is the longest body of an answer that is buffered before it is
-	// forwarded. A longer one is streamed, and one of unknown length after
-	// maxBufferTime.
+	// maxBufferedBody is the longest body of an answer that is buffered before it is forwarded.
+	// A longer body is streamed, and one of unknown length is streamed after maxBufferTime.
 	maxBufferedBody = 64 << 10
 	maxBufferTime   = 100 * time.Millisecond
-	// firstRead is how much is read at once of a body that is streamed or of unknown
-	// length.
+	// firstRead is the buffer size for a body that is streamed or of unknown length.
 	firstRead = 4 << 10
-	// maxAnswer is the longest answer forwarded. Guards against one without end.
+	// maxAnswer is the longest answer that is forwarded; it bounds endless answers.
 	maxAnswer = 48 << 20
-	// stallTimeout is how long an answer may pause while it is buffered, headTimeout how
-	// long its head may take. Guards against answers that stop short: the time left can
-	// still serve a retry. Its cost: a server that pauses in the middle of an answer is
-	// given up.
+	// stallTimeout is how long an answer may pause while it is buffered, headTimeout how long
+	// its head may take from its first byte. They end a stalled answer while there is time left
+	// for a retry.
 	stallTimeout = 600 * time.Millisecond
 	headTimeout  = time.Second
 	// maxInterimAnswers is how many 1xx responses may precede an answer.
 	maxInterimAnswers = 16
 )
 
-// read is a connection's goroutine: it waits for answers, and for the end.
+// read is a connection's goroutine: it waits for answers and for the end of the connection.
 func (c *conn) read(p *Pool) {
 	defer p.discard(c)
 	for {
 		err := c.input.Wait()
 		p.mu.Lock()
 		a := c.owner
-		if a == nil { // it ended while idle, or something unexpected arrived
+		if a == nil { // closed while idle, or unsolicited bytes
 			p.remove(c)
 		}
 		p.mu.Unlock()
@@ -62,30 +59,29 @@
 	}
 }
 
-// connBroken takes a connection's end before any byte of an answer.
+// connBroken handles the end of a connection before any byte of an answer.
 func (a *Attempt) connBroken() {
 	a.mu.Lock()
 	written := a.written
 	a.readFailed = true
 	a.mu.Unlock()
 	a.pool.recordReuse(a, true)
-	if written { // otherwise the writer knows best how far it came
+	if written { // otherwise endWrite reports the outcome, which depends on how much was written
 		a.done(martendrum.Reset)
 	}
 }
 
-// receive reads one answer and reports it; it returns whether the connection can go on.
-// Whatever is not an answer of the protocol's form, complete and of a certain length, is
-// a failed attempt that may have run, and its connection is closed. Guards against
-// corrupted answers of any kind: noise, heads without end, two lengths, more than may be
-// forwarded, a break in the middle. What has been forwarded by then can't be taken back:
-// the client's connection is reset.
-func (a *Attempt) receive(c *conn) (goesOn bool) {
+// receive reads one answer and reports it. It returns whether the connection can be reused.
+//
+// An answer that is malformed, too long, incomplete or of ambiguous length is a failed attempt
+// that may have been executed, and its connection is closed. If a part of it has been forwarded
+// already, the client's connection is reset.
+func (a *Attempt) receive(c *conn) (reusable bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic in an answer", "panic", p, "stack", string(debug.Stack()))
 			a.done(martendrum.Reset)
-			goesOn = false
+			reusable = false
 		}
 	}()
 	resp, answer, err := c.readAnswer(a.Request.Method)
@@ -102,18 +98,18 @@
 		a.Sink.Done(martendrum.OK, answer, report)
 		return rest.complete && a.canReuse(c, resp)
 	}
-	// The next request must find nothing of this answer on the connection.
-	goesOn = answer.Rest == nil && a.canReuse(c, resp)
+	// Decided before the answer is reported: no byte of it may remain for the next request.
+	reusable = answer.Rest == nil && a.canReuse(c, resp)
 	if resp.StatusCode == http.StatusOK {
 		a.Sink.Done(martendrum.OK, answer, report)
 	} else {
 		a.Sink.Done(outcomeOf(resp), nil, report)
 	}
-	return goesOn
+	return reusable
 }
 
-// canReuse reports whether the connection can go on after an answer that has been read
-// to its end.
+// canReuse reports whether the connection can be reused after an answer that has been read to its
+// end.
 func (a *Attempt) canReuse(c *conn, resp *http.Response) bool {
 	if c.input.Buffered() > 0 {
 		a.pool.recordUnsolicited(c.server)
@@ -135,11 +131,11 @@
 type answerRest struct {
 	conn     *conn
 	from     io.Reader
-	left     int64 // bytes that may still come
+	left     int64 // bytes that may still be read
 	complete bool  // its end has been read
 }
 
-// errTooLong ends an answer that is longer than maxAnswer.
+// errTooLong reports an answer of more than maxAnswer bytes.
 var errTooLong = errors.New("upstream: an answer of too many bytes")
 
 // Read implements io.Reader.
@@ -156,7 +152,7 @@
 	return n, err
 }
 
-// readAnswer reads an answer, as far as it is buffered, and skips interim ones.
+// readAnswer reads an answer as far as it is buffered, and skips interim answers.
 func (c *conn) readAnswer(method string) (*http.Response, *Answer, error) {
 	for range maxInterimAnswers {
 		resp, err := c.readHead(method)
@@ -198,8 +194,8 @@
 	return resp, nil
 }
 
-// readBody reads an answer's body as far as it is buffered: completely, or the first
-// bytes of one that is longer or takes longer than that.
+// readBody reads an answer's body as far as it is buffered: completely, or its first bytes if it
+// is streamed.
 func (c *conn) readBody(resp *http.Response) (*Answer, error) {
 	answer := &Answer{Header: resp.Header, Length: resp.ContentLength}
 	switch {
@@ -213,7 +209,7 @@
 	return answer, c.readUnknownLength(resp, answer)
 }
 
-// readFirst reads the first bytes of a body that is streamed: they show that there is one.
+// readFirst reads the first bytes of a streamed body, which show that the server sends one.
 func (c *conn) readFirst(resp *http.Response, answer *Answer) error {
 	buf := make([]byte, firstRead)
 	c.SetReadDeadline(time.Now().Add(stallTimeout))
@@ -240,8 +236,8 @@
 
 // readUnknownLength reads a body of unknown length, as far as it is buffered.
 func (c *conn) readUnknownLength(resp *http.Response, answer *Answer) error {
-	// One that is not chunked ends with its connection. Noise can look like it, but does
-	// not end: so it must end, or be long, before any of it is forwarded.
+	// A body that is not chunked ends with its connection. A malformed answer can look like
+	// one, so nothing of it is forwarded before it has ended or filled the buffer.
 	endsWithConn := len(resp.TransferEncoding) == 0
 	began := time.Now()
 	for buf := make([]byte, firstRead); ; {
@@ -250,7 +246,7 @@
 		answer.Body = append(answer.Body, buf[:n]...)
 		switch {
 		case err == io.EOF && endsWithConn && len(answer.Body) == 0:
-			return io.ErrUnexpectedEOF // rather a break than an answer
+			return io.ErrUnexpectedEOF // taken as a broken connection
 		case err == io.EOF:
 			answer.Length = int64(len(answer.Body))
 			return nil
--- a/internal/upstream/rest.go
+++ b/internal/upstream/rest.go
@@ -5,17 +5,15 @@
 	"time"
 )
 
-// defaultMinRest is how long a connection rests before its next request. Guards against
-// bytes that follow an answer in a segment of their own: they would be taken for the next
-// request's answer. It also detects a server that closes right after its answer. Its
-// cost: some more connections are open, which matters to a server that has few.
+// defaultMinRest is how long a connection rests, that is stays idle, before its next request. Bytes
+// that follow an answer in a segment of their own arrive meanwhile and are not taken for the next
+// answer; a server that closes after its answer is noticed. More connections are open in return.
 const defaultMinRest = 3 * time.Millisecond
 
 const (
-	// defaultUnsolicitedRest is how long a connection rests before its next request after its
-	// server has sent an unsolicited response: bytes that arrived while no request was open,
-	// such as a duplicated answer. Only their arrival before the next request distinguishes
-	// them from its answer. Its cost: more connections to such a server.
+	// defaultUnsolicitedRest is how long connections rest after their server has sent unsolicited
+	// bytes, such as a duplicated answer. These are only distinguishable from the next request's
+	// answer if they arrive before that request is sent.
 	defaultUnsolicitedRest = 50 * time.Millisecond
 	// unsolicitedMemory is how long after an unsolicited response the longer rest applies.
 	unsolicitedMemory = 30 * time.Second
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxDirectWrite is what a connection's empty send buffer certainly takes at once.
-	// More is written by a goroutine of its own.
+	// maxDirectWrite is how many bytes certainly fit a connection's empty send buffer. Longer
+	// requests are written by a separate goroutine.
 	maxDirectWrite = 8 << 10
 	// streamTimeout is how long a streamed body or answer may pause.
 	streamTimeout = 10 * time.Second
@@ -27,13 +27,13 @@
 // streamBuffers are the read buffers of streamed bodies.
 var streamBuffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
-// errClaimed ends an attempt whose body another one sends.
+// errClaimed reports that another attempt sends the body.
 var errClaimed = errors.New("upstream: another attempt sends the body")
 
-// send writes the request, or the part that certainly fits the connection's send buffer:
-// a goroutine writes the rest, for the caller must not block. It returns false, and has
-// closed c, if anything had arrived on c before, its end included: that is no answer to
-// this request, which may be sent elsewhere.
+// send writes the request, or the part that certainly fits the connection's send buffer; a
+// goroutine writes the rest, because the caller must not block. If anything had arrived on c
+// before, including its end, send closes c and returns false: nothing was sent, and the request
+// can go on another connection.
 func (a *Attempt) send(c *conn) bool {
 	buf := buffers.Get().(*[]byte)
 	head := a.appendHead((*buf)[:0])
@@ -93,8 +93,8 @@
 	a.endWrite(c, err == nil, err)
 }
 
-// sendStream writes a body that is not buffered completely. Until the buffered part has
-// been written, another attempt can be made.
+// sendStream writes a body that is not buffered completely. It claims the stream once the buffered
+// part has been written; until then, another attempt can send the request.
 func (a *Attempt) sendStream(c *conn, from Stream) error {
 	c.SetWriteDeadline(time.Now().Add(streamTimeout))
 	var to io.Writer = c
@@ -144,11 +144,11 @@
 	}
 }
 
-// endWrite takes the end of the writing. A break before the last byte was written
-// proves that the request never ran; one after it proves nothing.
+// endWrite handles the end of the writing. A connection that breaks before the last byte was
+// written proves that the request was not executed; a later break proves nothing.
 func (a *Attempt) endWrite(c *conn, complete bool, err error) {
 	a.mu.Lock()
-	a.written = complete // before that, the reader lets this function report a break
+	a.written = complete // from now on, connBroken reports a broken connection
 	readFailed := a.readFailed
 	a.mu.Unlock()
 	if complete && a.OnWritten != nil {
