--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -9,18 +9,17 @@
 )
 
 const (
-	// maxBufferedBody is how much of a body is buffered, so that it can be sent again.
-	// The rest of a longer one is streamed.
+	// maxBufferedBody is how many bytes of a body are buffered for retries. The rest of a longer
+	// body is streamed.
 	maxBufferedBody = 64 << 10
-	// A body must arrive at minBodyRate bytes a second after bodyGrace, on average: a
-	// client may be slow, but not stall. Guards against half a request and silence,
-	// which ends after the grace, and against a trickle, which would occupy a server's
-	// connection. Its cost: a client below that rate is cut off.
+	// A body must arrive at an average of minBodyRate bytes a second, plus bodyGrace. A client
+	// that stalls is cut off after the grace, one that sends more slowly when it falls behind:
+	// it would occupy a connection to a server.
 	minBodyRate = 40 << 10
 	bodyGrace   = 2200 * time.Millisecond
 )
 
-// bodyTimeout returns how long so many bytes of a body may take.
+// bodyTimeout returns how long a body of the given length may take.
 func bodyTimeout(length int64) time.Duration {
 	return bodyGrace + time.Duration(length)*time.Second/minBodyRate
 }
@@ -33,8 +32,8 @@
 	received int64
 }
 
-// Read implements io.Reader. It fails if the connection was closed meanwhile: the
-// deadline that this set may have been overwritten by setDeadline.
+// Read implements io.Reader. It checks whether the connection was closed meanwhile, because
+// setDeadline may have overwritten the past deadline that stopReading had set.
 func (p *pacedReader) Read(b []byte) (int, error) {
 	p.setDeadline()
 	s := p.conn.server
@@ -52,7 +51,7 @@
 	p.conn.netConn.SetReadDeadline(p.began.Add(bodyTimeout(p.received)))
 }
 
-// read reads under the deadline set before.
+// read reads under the deadline that setDeadline has set.
 func (p *pacedReader) read(b []byte) (int, error) {
 	n, err := p.from.Read(b)
 	p.received += int64(n)
@@ -89,8 +88,8 @@
 	return true, statusNone
 }
 
-// discardBody reads a body that is not buffered, within bounds: the connection can go on
-// only if the body's end is reached.
+// discardBody reads and discards up to maxBufferedBody bytes of a body that is not buffered. The
+// connection can be reused only if the body's end is reached.
 func (x *Exchange) discardBody(from *pacedReader) (status int) {
 	_, err := io.Copy(io.Discard, io.LimitReader(from, maxBufferedBody+1))
 	switch {
@@ -103,8 +102,8 @@
 	return statusNone
 }
 
-// bufferBody reads the part of a body that is buffered; length is -1 if it is not known.
-// If there may be more, the rest becomes the upload of x.
+// bufferBody reads the part of a body that is buffered; length is -1 if unknown. If there may be
+// more, the rest becomes the upload of x.
 func (x *Exchange) bufferBody(length int64, from *pacedReader) ([]byte, error) {
 	switch {
 	case length > maxBufferedBody:
@@ -119,7 +118,7 @@
 		if _, err := io.ReadFull(from, body); err != nil {
 			return nil, err
 		}
-		_, err := io.Copy(io.Discard, from) // its end
+		_, err := io.Copy(io.Discard, from) // read up to the end of the body
 		return body, err
 	}
 	body, err := io.ReadAll(io.LimitReader(from, maxBufferedBody))
@@ -129,7 +128,7 @@
 	return body, err
 }
 
-// bodyStatus returns the status for a request whose body can't be read.
+// bodyStatus returns the status for a request whose body could not be read.
 func bodyStatus(err error) int {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return http.StatusRequestTimeout
--- a/internal/downstream/budget.go
+++ b/internal/downstream/budget.go
@@ -8,7 +8,7 @@
 	left int64
 }
 
-// take reserves n bytes; false if there are not so many.
+// take reserves n bytes; false if fewer are left.
 func (b *budget) take(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -15,19 +15,17 @@
 )
 
 const (
-	// A connection's first request must be complete within firstRequestTimeout of its
-	// acceptance, a later one within requestTimeout of its first byte. Guards against
-	// clients that connect and send nothing, or never finish: a total, not a limit for
-	// each read, so that a trickle ends too. Its cost: a client that takes longer for a
-	// head is cut off. Bodies have a minimum rate of their own, see pacedReader.
+	// The head of a connection's first request must be complete within firstRequestTimeout of
+	// the accept, that of a later one within requestTimeout of its first byte. They bound the
+	// total, not each read, so that a client that sends slowly is cut off too. Bodies have a
+	// minimum rate, see pacedReader.
 	firstRequestTimeout = 2600 * time.Millisecond
 	requestTimeout      = 2600 * time.Millisecond
-	// keepAliveTimeout is how long an idle connection stays open. Guards against clients
-	// that send one request and keep their connection for good. A client whose next
-	// request races with the close sends it again.
+	// keepAliveTimeout is how long an idle connection stays open. A client whose next request
+	// races with the close sends it again.
 	keepAliveTimeout = 5 * time.Second
-	// disconnectCheckInterval is how often a client whose body nobody reads yet is
-	// checked for having disconnected: no attempt must begin 0.1 s after that.
+	// disconnectCheckInterval is how often the sidecar checks whether a client has disconnected
+	// while its body is not being read. No attempt may begin 0.1 s after a disconnect.
 	disconnectCheckInterval = 40 * time.Millisecond
 )
 
@@ -39,18 +37,18 @@
 	stateReading                  // a request is being read
 	stateWaiting                  // a request waits for its response
 	stateIdle                     // between requests
-	stateClosed                   // closed by the sidecar, or about to be: it takes no request
+	stateClosed                   // closed by the sidecar, or about to be: no request is accepted
 )
 
-// conn is one client connection. Its goroutine reads; responses are written by
-// whoever has them.
+// conn is one client connection. Its goroutine reads; responses are written by the goroutine that
+// answers.
 type conn struct {
 	server   *Server
 	netConn  net.Conn
 	input    *netconn.Lazy
 	answered sync.Cond // signals that exchange became nil
 	accepted time.Time // when the connection was accepted
-	requests int       // registered so far; its goroutine's
+	requests int       // registered so far; used by the connection's goroutine only
 
 	// Guarded by the server's lock.
 	state      connState
@@ -61,8 +59,7 @@
 // enter changes the state. The server's lock is held.
 func (c *conn) enter(state connState) { c.state, c.stateSince = state, time.Now() }
 
-// isBusy reports whether a stopping sidecar waits for the connection. The server's lock
-// is held.
+// isBusy reports whether a shutdown waits for the connection. The server's lock is held.
 func (c *conn) isBusy() bool {
 	switch c.state {
 	case stateReading, stateWaiting, stateClosed:
@@ -73,8 +70,8 @@
 	return false
 }
 
-// serve is the connection's goroutine. On a crowded server it refuses the connection's
-// one request.
+// serve is the connection's goroutine. On a crowded server it rejects the connection's first
+// request.
 func (c *conn) serve(crowded bool) {
 	defer c.close()
 	defer c.recoverPanic()
@@ -82,7 +79,7 @@
 	}
 }
 
-// recoverPanic keeps a panic to its connection, whose request fails. It is deferred.
+// recoverPanic limits a panic to its connection, whose request fails. It is deferred.
 func (c *conn) recoverPanic() {
 	p := recover()
 	if p == nil {
@@ -130,10 +127,9 @@
 	return true
 }
 
-// register makes x the connection's open request. It returns the status to end the
-// connection with if the id of x is in use or the connection was closed meanwhile.
-// Guards against a response that goes to the wrong client, and a second send under the
-// same id. Its cost: a client that reuses ids, which the protocol forbids, is rejected.
+// register makes x the connection's open request. It returns the status to end the connection with
+// if the connection was closed meanwhile, or if the id of x is in use: a reused id, which the
+// protocol forbids, could send a response to the wrong client or a request twice.
 func (c *conn) register(x *Exchange) (status int) {
 	s := c.server
 	s.mu.Lock()
@@ -152,15 +148,15 @@
 	return statusNone
 }
 
-// logAcceptedDuringShutdown logs a request that is accepted during a shutdown: when, and on
-// which kind of connection.
+// logAcceptedDuringShutdown logs the time and the connection of a request that is accepted during
+// a shutdown.
 func (c *conn) logAcceptedDuringShutdown(x *Exchange) {
 	slog.Info("request accepted during shutdown", "class", x.Class, "after", time.Since(x.acceptedDuringShutdown),
 		"conn_age", time.Since(c.accepted), "first_on_conn", c.requests == 1)
 }
 
-// awaitUpload waits until nobody reads the body of x any more. Until somebody begins
-// to, it checks whether the client has disconnected, which an unread body hides.
+// awaitUpload waits until the body of x is not read any more. Until an attempt claims the body, it
+// polls whether the client has disconnected, which unread bytes would hide from a read.
 func (c *conn) awaitUpload(x *Exchange) {
 	check := time.NewTicker(disconnectCheckInterval)
 	defer check.Stop()
@@ -176,10 +172,9 @@
 	}
 }
 
-// awaitRequest waits for the next request's first byte, and for the response to the last
-// request; it returns false if the connection is over. A client that sends its next
-// request early, before the response, is rejected: the protocol does not say which of its
-// requests it would take a response for.
+// awaitRequest waits for the next request's first byte and for the response to the previous
+// request. It returns false if the connection has ended. A client that pipelines its next request
+// before the response is rejected, because the protocol does not define the order of responses.
 func (c *conn) awaitRequest() bool {
 	for {
 		err := c.input.Wait()
@@ -206,9 +201,9 @@
 	}
 }
 
-// cancelExchange reports to the handler that the client of the open request has left; it
-// returns false if the response is being written. The server's lock is held, but not
-// during the handler's call.
+// cancelExchange tells the handler that the client of the open request has disconnected. It returns
+// false if the response is being written. The server's lock is held, and released during the
+// handler's call.
 func (c *conn) cancelExchange() bool {
 	x := c.exchange
 	c.server.mu.Unlock()
@@ -216,7 +211,7 @@
 	return c.server.handler.ClientDisconnected(x)
 }
 
-// beginRequest notes that a request's first byte has arrived. The server's lock is held.
+// beginRequest records that a request's first byte has arrived. The server's lock is held.
 func (c *conn) beginRequest() {
 	if c.state != stateNew { // the first request's deadline counts from the accept
 		c.netConn.SetReadDeadline(time.Now().Add(requestTimeout))
@@ -224,10 +219,10 @@
 	c.enter(stateReading)
 }
 
-// endWait ends a connection on which no request is taken: the wait failed with err, the
-// client sent early, or the connection was closed meanwhile. It returns true if the wait
-// must be repeated, because bytes arrived just as it timed out. The server's lock is held
-// when it is called, and released.
+// endWait ends a connection on which no request is accepted: the wait failed with err, the client
+// pipelined a request, or the connection was closed meanwhile. It returns true if bytes arrived just
+// as the wait timed out, so that the wait must be repeated. It is called with the server's lock held
+// and releases it.
 func (c *conn) endWait(err error, early bool) (repeat bool) {
 	timedOut := c.state != stateClosed && errors.Is(err, os.ErrDeadlineExceeded)
 	if timedOut && c.input.Quiet() {
@@ -247,7 +242,7 @@
 	return false
 }
 
-// close ends the connection for good.
+// close unregisters the connection and closes it.
 func (c *conn) close() {
 	s := c.server
 	s.mu.Lock()
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// maxEvictionAttempts is how many connections one eviction examines: those on which
-	// bytes have just arrived are not closed.
+	// maxEvictionAttempts is how many connections one eviction examines. A connection on which
+	// bytes have just arrived is skipped.
 	maxEvictionAttempts = 8
-	// silentTimeout and stalledTimeout make a connection the first to be evicted: the
-	// former after its accept without a byte, the latter in the middle of a request.
+	// A connection is among the first to be evicted after silentTimeout without a byte since
+	// its accept, or after stalledTimeout in the middle of a request's head.
 	silentTimeout  = 150 * time.Millisecond
 	stalledTimeout = 600 * time.Millisecond
 )
 
-// evictionRank orders connections for eviction: the highest first. notEvictable ones
-// are never evicted.
+// evictionRank orders connections for eviction, the highest first. A notEvictable connection is
+// never evicted.
 type evictionRank int
 
 const (
@@ -27,10 +27,9 @@
 	rankUnproductive              // silent or stalled for too long
 )
 
-// evictionRank ranks a connection. Those that occupy a descriptor and never used it go
-// first. Guards the clients against hundreds of connections that send nothing. Its cost:
-// when the sidecar itself was stopped for longer than silentTimeout with the first bytes
-// of a connection unread, that connection may be closed; among equals the oldest goes.
+// evictionRank ranks a connection. Connections that have never sent anything rank highest, so that
+// hundreds of them do not keep other clients out. If the process was suspended for longer than
+// silentTimeout, this can hit a connection whose first bytes have not been read yet.
 func (c *conn) evictionRank(now time.Time) evictionRank {
 	age := now.Sub(c.stateSince)
 	unused := c.state == stateNew || c.state == stateClosed
@@ -49,8 +48,8 @@
 	return notEvictable
 }
 
-// evict closes the connection of the highest rank, the oldest among equals; it returns
-// false if all are in use. A connection with unread input is in use.
+// evict closes the connection of the highest rank, the oldest among equals. It returns false if all
+// connections are in use; one with unread input counts as in use.
 func (s *Server) evict() bool {
 	now := time.Now()
 	s.mu.Lock()
@@ -70,8 +69,8 @@
 	return false
 }
 
-// evictionCandidate returns the next connection to evict, leaving out those passed
-// over; nil if there is none. The lock is held.
+// evictionCandidate returns the next connection to evict that is not among the skipped ones; nil if
+// there is none. The lock is held.
 func (s *Server) evictionCandidate(now time.Time, skipped []*conn) (candidate *conn) {
 	highest := notEvictable
 	for c := range s.conns {
@@ -99,8 +98,8 @@
 	return true
 }
 
-// stopReading has the connection's goroutine end it: a request that has been read completely by
-// now is answered. The server's lock is held.
+// stopReading makes the connection's goroutine end the connection, by a read deadline in the past. A
+// request that has been read completely is still answered. The server's lock is held.
 func (c *conn) stopReading() {
 	c.enter(stateClosed)
 	c.netConn.SetReadDeadline(time.Unix(1, 0))
--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -17,7 +17,7 @@
 type Exchange struct {
 	Request  upstream.Request
 	Class    string
-	Rules    *settings.Class // as they were when the request was read
+	Rules    *settings.Class // of the settings in force when the request was read
 	Tenant   string
 	Wait     time.Duration // how long the client waits from Received on; 0: not stated
 	Received time.Time     // when the request was read
@@ -25,16 +25,16 @@
 
 	conn                   *conn
 	id                     string
-	reserved               int64 // bytes of the budget
-	keepAlive              bool  // the connection may go on
+	reserved               int64 // bytes reserved in the budget
+	keepAlive              bool  // the connection stays open after the response
 	http10                 bool
-	acceptedDuringShutdown time.Time // when the stop began in which it was taken; zero: none
+	acceptedDuringShutdown time.Time // start of the shutdown during which it was registered; zero: none
 	answering              bool      // the response is being written; guarded by the server's lock
 	upload                 *upload   // the part of the body that is not buffered; nil: none
 }
 
-// ClientLeft reports whether the client has closed its connection, or reset it, whether or
-// not that has been noticed yet. It does not block.
+// ClientLeft reports whether the client has closed or reset its connection, even if the
+// connection's goroutine has not noticed yet. It does not block.
 func (x *Exchange) ClientLeft() bool { return x.conn.input.Left() }
 
 // hopByHop are the header fields that belong to one connection, or that each attempt
@@ -48,11 +48,10 @@
 // ambiguous.
 var singleValued = []string{protocol.RequestID, protocol.RequestClass, protocol.RequestDeadline, protocol.IdempotencyKey}
 
-// parse takes over the head of a request; it returns the status to reject it with, or
-// statusNone. It rejects what is ambiguous: a class in the path and another in the
-// header, a method or key that the class does not have. Guards against an unsafe request
-// that is retried as a safe one. Its cost: an application that strays from the protocol's
-// forms is rejected.
+// parse parses and checks the head of a request. It returns the status to reject it with, or
+// statusNone. It rejects contradictions (another class in the path than in the header, a method or
+// key that does not suit the class), since a non-idempotent request must never be retried as an
+// idempotent one.
 func (x *Exchange) parse(r *http.Request, handler Handler) (status int) {
 	if status := x.parseClass(r, handler); status != statusNone {
 		return status
@@ -92,22 +91,23 @@
 	return statusNone
 }
 
-// checkMethod checks that a request's method, and whether it has a body, suit its effect.
-func checkMethod(r *http.Request, effect martendrum.Idempotency) (status int) {
+// checkMethod checks that a request's method, and whether it has a body, suit the idempotency of
+// its class.
+func checkMethod(r *http.Request, idempotency martendrum.Idempotency) (status int) {
 	method := http.MethodPost
-	if effect == martendrum.Idempotent {
+	if idempotency == martendrum.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
 		return http.StatusMethodNotAllowed
 	}
-	if effect == martendrum.Idempotent && r.ContentLength != 0 {
+	if idempotency == martendrum.Idempotent && r.ContentLength != 0 {
 		return http.StatusBadRequest
 	}
 	return statusNone
 }
 
-// parseDeadline takes how long the client waits.
+// parseDeadline parses how long the client waits, if the header states it.
 func (x *Exchange) parseDeadline(header http.Header) (status int) {
 	value, ok := header[protocol.RequestDeadline]
 	if !ok {
@@ -121,8 +121,8 @@
 	return statusNone
 }
 
-// requestHead returns the head of the request to servers, but for the fields that
-// describe its body and deadline.
+// requestHead returns the head of the request to servers, without the fields that describe its
+// body and deadline, and without the final empty line.
 func requestHead(r *http.Request) []byte {
 	uri := r.RequestURI
 	if !strings.HasPrefix(uri, "/") {
@@ -161,8 +161,8 @@
 	return append(b, "\r\n"...)
 }
 
-// Release gives the body's bytes back to the budget. The handler calls it when
-// no attempt needs the body any more.
+// Release returns the body's bytes to the budget. The handler calls it when no attempt needs the
+// body any more.
 func (x *Exchange) Release() {
 	x.conn.server.budget.give(x.reserved)
 	x.reserved = 0
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -12,26 +12,26 @@
 	"martendrum/internal/settings"
 )
 
-// Handler takes requests. Each Exchange that arrives is ended once, by one of
-// its own methods, or by ClientDisconnected, and released when its body is not needed.
+// Handler handles requests. Each Exchange that arrives ends exactly once, by one of its own methods
+// or by ClientDisconnected, and is released when its body is not needed any more.
 type Handler interface {
-	// Arrive takes a request that has been read.
+	// Arrive handles a request that has been read.
 	Arrive(x *Exchange)
-	// ClientDisconnected reports that the client has disconnected; it returns false if the
-	// response is being written.
+	// ClientDisconnected ends a request because its client has disconnected. It returns false if
+	// the response is being written.
 	ClientDisconnected(x *Exchange) bool
-	// Ready reports whether the sidecar takes clients.
+	// Ready reports whether the sidecar accepts clients.
 	Ready() bool
 	// Class returns the request class of a name, nil if there is none.
 	Class(name string) *settings.Class
 }
 
-// Meter counts what becomes of requests.
+// Meter counts the results of requests.
 type Meter interface {
 	// Answered counts a final response by its status; class is one of the settings.
 	Answered(class string, status int)
-	// Limited counts a request that the server itself refused.
-	Limited(why metrics.Reason)
+	// Limited counts a request that the server itself rejected at a limit.
+	Limited(reason metrics.Reason)
 }
 
 // unmetered is a Meter that counts nothing.
--- a/internal/downstream/ids.go
+++ b/internal/downstream/ids.go
@@ -15,14 +15,14 @@
 	maxIDLength = 128
 )
 
-// SharedIDs is a set of request ids shared with another process. Open adds the id of a
-// hash; it returns false if the id is in the set already. at is by clock.Boot.
+// SharedIDs is a set of request ids that is shared with another process.
 type SharedIDs interface {
+	// Open adds the id with the given hash at a time of clock.Boot. It returns false if the set
+	// already contains it.
 	Open(hash uint64, at time.Duration) bool
 }
 
-// ShareIDs shares the known ids with another process. A set shared before is not used
-// any more.
+// ShareIDs shares the known ids with another process. It replaces a set that was shared before.
 func (s *Server) ShareIDs(with SharedIDs) {
 	now := clock.Boot()
 	s.mu.Lock()
@@ -33,7 +33,7 @@
 	}
 }
 
-// UnshareIDs ends the sharing of a set: when it returns, the set is not used any more.
+// UnshareIDs ends the sharing of a set. When it returns, the set is not used any more.
 func (s *Server) UnshareIDs(with SharedIDs) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,10 +42,10 @@
 	}
 }
 
-// requestIDs knows the ids of open requests and of those answered last.
+// requestIDs is the set of ids of open requests and of the requests answered last.
 type requestIDs struct {
 	known  map[string]bool
-	shared SharedIDs         // nil: no other process takes clients
+	shared SharedIDs         // nil: no other process accepts clients
 	recent [recentIDs]string // circular buffer of answered ids
 	next   int               // index in recent
 }
@@ -59,7 +59,7 @@
 	return true
 }
 
-// close makes an open id a recent one; the oldest recent one is forgotten.
+// close makes an open id a recent one and forgets the oldest recent id.
 func (r *requestIDs) close(id string) {
 	delete(r.known, r.recent[r.next])
 	r.recent[r.next] = id
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// A connection that is closed after a response is first read off within these bounds:
-// closing it over unread bytes resets it, and the reset may destroy the response.
+// Bounds of a lingering close. Closing a connection with unread input resets it, and the reset may
+// discard the response before the client has read it. The sidecar therefore reads and discards what
+// the client still sends, within these bounds.
 const (
 	lingerTimeout = 300 * time.Millisecond
 	lingerBytes   = 256 << 10
 )
 
-// reject answers what is not a valid request and closes the connection, after reading
-// off some of what the client still sends.
+// reject answers an invalid request with a status and ends the connection by a lingering close.
 func (c *conn) reject(status int) {
 	x := &Exchange{conn: c}
 	c.write(x.appendResponse(nil, status, "", nil, nil))
 	c.server.mu.Lock()
-	evicted := c.state == stateClosed // another connection has its place already
+	evicted := c.state == stateClosed // another connection has its slot already
 	if !evicted {
 		c.enter(stateClosed)
 	}
@@ -25,16 +25,15 @@
 	}
 }
 
-// linger ends the connection gracefully, on its goroutine: nothing more is written, and
-// some of what the client still sends is read off.
+// linger makes a lingering close. It is called by the connection's goroutine.
 func (c *conn) linger() {
 	c.closeWrite()
 	c.discardInput()
 }
 
-// closeWrite closes the sending side: the client sees the end after its last response.
-// Whoever entered stateClosed calls it, once; the connection's goroutine reads off and
-// closes.
+// closeWrite closes the sending side, so that the client sees the end of the connection after its
+// last response. It is called once, by the goroutine that entered stateClosed; the connection's own
+// goroutine then discards input and closes.
 func (c *conn) closeWrite() {
 	if half, ok := c.netConn.(interface{ CloseWrite() error }); ok {
 		half.CloseWrite()
@@ -42,7 +41,7 @@
 	c.netConn.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// discardInput reads what the client still sends, within bounds, up to its end.
+// discardInput reads and discards what the client still sends, within the bounds.
 func (c *conn) discardInput() {
 	buf := buffers.Get().(*[]byte)
 	defer buffers.Put(buf)
@@ -54,8 +53,8 @@
 	}
 }
 
-// resetOnClose makes closing the connection a reset: a response that ends with its
-// connection would otherwise look complete.
+// resetOnClose makes the close of the connection a reset. A truncated response that ends with its
+// connection would look complete otherwise.
 func (c *conn) resetOnClose() {
 	if tcp, ok := c.netConn.(interface{ SetLinger(int) error }); ok {
 		tcp.SetLinger(0)
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -17,14 +17,17 @@
 // Results of reading a request other than the HTTP statuses to reject it with.
 const (
 	statusNone         = 0  // the request is not rejected
-	statusDisconnected = -1 // the client has left: nothing is written
+	statusDisconnected = -1 // the client has disconnected: nothing is written
 )
 
-// limitRetryAfter is when a client refused at a limit may come back.
+// healthPath is the path of health checks of the sidecar itself.
+const healthPath = "/_health"
+
+// limitRetryAfter is the Retry-After of a request that is rejected at a limit.
 const limitRetryAfter = 200 * time.Millisecond
 
-// readRequest reads one request. It returns an Exchange for the handler, or the status
-// to end the connection with, or neither if the request is answered already.
+// readRequest reads one request. It returns an Exchange for the handler, or the status to end the
+// connection with, or neither if the request has been answered.
 func (c *conn) readRequest(crowded bool) (*Exchange, int) {
 	r, err := c.readHead()
 	if err != nil {
@@ -71,7 +74,7 @@
 	return http.ReadRequest(c.input.Reader())
 }
 
-// statusOf returns the status for a request whose head can't be read.
+// statusOf returns the status for a request whose head could not be read.
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, framing.ErrLong):
@@ -89,7 +92,7 @@
 
 // isHealthCheck reports whether a request is a health check of the sidecar itself.
 func isHealthCheck(r *http.Request) bool {
-	return r.URL.Path == "/_health" && r.Method == http.MethodGet && r.Body == http.NoBody
+	return r.URL.Path == healthPath && r.Method == http.MethodGet && r.Body == http.NoBody
 }
 
 // answerHealth answers a health check.
@@ -102,9 +105,9 @@
 	x.answer(status, server.healthHeader(), nil, nil)
 }
 
-// rejectAtLimit refuses a request for which there is no connection (crowded) or no
-// buffer (it does not fit). It returns the status to end the connection with if the
-// client is still sending; otherwise the request is answered.
+// rejectAtLimit rejects a request because there are too many connections (crowded) or its body
+// does not fit the budget. If the client is still sending, it returns the status to end the
+// connection with; otherwise it answers the request.
 func (x *Exchange) rejectAtLimit(r *http.Request, crowded, fits bool) (status int) {
 	server := x.conn.server
 	slog.Warn("request rejected at a limit", "crowded", crowded, "conns", server.Conns())
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -12,10 +12,9 @@
 )
 
 const (
-	// writeTimeout is how long writing a buffered response may take: a client that
-	// takes nothing for so long hangs.
+	// writeTimeout bounds the writing of a buffered response to a client that does not read.
 	writeTimeout = 2 * time.Second
-	// streamWriteTimeout is how long writing a piece of a streamed response may take.
+	// streamWriteTimeout bounds the writing of one piece of a streamed response.
 	streamWriteTimeout = 10 * time.Second
 	// maxPooledBuffer is the largest response buffer that is pooled for reuse.
 	maxPooledBuffer = 80 << 10
@@ -27,7 +26,7 @@
 // buffers are the write buffers of buffered responses.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-// Reject answers that the request was not carried out and a retry is harmless.
+// Reject answers that the request was not executed and may be retried.
 func (x *Exchange) Reject(retryAfter time.Duration) {
 	x.answer(http.StatusServiceUnavailable, retryAfterField(retryAfter), nil, nil)
 }
@@ -35,9 +34,8 @@
 // Fail answers that the request failed.
 func (x *Exchange) Fail() { x.answer(http.StatusBadGateway, "", nil, nil) }
 
-// Deny answers, in a header field, why the request is not carried out: with a
-// status that is neither success nor a plain refusal and, if above 0, the time to come
-// back. why is one line.
+// Deny answers that the idempotency store does not let the request be executed: with a status, the
+// reason in a header field, and a Retry-After if retryAfter is above 0. why must be one line.
 func (x *Exchange) Deny(status int, why string, retryAfter time.Duration) {
 	x.answer(status, protocol.RecordState+": "+why+"\r\n"+retryAfterField(retryAfter), nil, nil)
 }
@@ -50,8 +48,8 @@
 	return protocol.RetryAfter + ": " + strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64) + "\r\n"
 }
 
-// Serve passes on a server's response. If it is not complete yet, Serve returns when the
-// rest has been forwarded too, or can't be.
+// Serve forwards a server's response. If the response is still arriving, Serve returns when the
+// rest has been forwarded or forwarding has failed.
 func (x *Exchange) Serve(answer *upstream.Answer) {
 	if answer.Rest == nil {
 		x.answer(http.StatusOK, "", answer.Header, answer.Body)
@@ -61,14 +59,14 @@
 	x.endAnswer(x.writeStream(answer))
 }
 
-// answer writes a buffered response and prepares the connection for the next request. The
-// answer to a request that the handler has does not wait for its client: whoever answers may
-// have others to answer next.
+// answer writes a buffered response and prepares the connection for the next request. If the
+// handler has the request, answer does not block on a slow client, because its caller may have
+// other requests to answer.
 func (x *Exchange) answer(status int, field string, header http.Header, body []byte) {
 	buf := buffers.Get().(*[]byte)
 	registered := x.beginAnswer(status)
 	*buf = x.appendResponse((*buf)[:0], status, field, header, body)
-	if !registered { // its connection's own goroutine answers
+	if !registered { // called by the connection's own goroutine, which may block
 		x.endAnswer(x.conn.write(*buf))
 		giveBuffer(buf)
 		return
@@ -82,23 +80,22 @@
 	go x.finishAnswer(buf, n)
 }
 
-// finishAnswer writes the rest of a response, from byte n on, for a client that is slow to
-// take it.
+// finishAnswer writes the rest of a response, from byte n on, to a slow client.
 func (x *Exchange) finishAnswer(buf *[]byte, n int) {
 	defer x.conn.recoverPanic()
 	x.endAnswer(x.conn.write((*buf)[n:]))
 	giveBuffer(buf)
 }
 
-// giveBuffer gives a buffer back for reuse.
+// giveBuffer returns a buffer to the pool.
 func giveBuffer(buf *[]byte) {
 	if cap(*buf) <= maxPooledBuffer {
 		buffers.Put(buf)
 	}
 }
 
-// beginAnswer marks that the response is being written, and returns whether the handler has
-// the request.
+// beginAnswer marks the response as being written. It returns whether the request has been
+// registered and handed to the handler.
 func (x *Exchange) beginAnswer(status int) (registered bool) {
 	s := x.conn.server
 	s.mu.Lock()
@@ -112,8 +109,8 @@
 	return registered
 }
 
-// endAnswer ends the exchange; err is from writing the response. If it could not be
-// written completely, the connection is reset, so that the client can tell.
+// endAnswer ends the exchange; err is the error of writing the response. If the response is
+// incomplete, the connection is reset, so that the client notices.
 func (x *Exchange) endAnswer(err error) {
 	c := x.conn
 	if err != nil {
@@ -137,7 +134,7 @@
 	switch {
 	case err != nil:
 		c.netConn.Close()
-	case keepAlive, uploading: // the connection's goroutine reads on, or reads off
+	case keepAlive, uploading: // the connection's goroutine continues to read
 	default:
 		c.closeWrite()
 	}
@@ -151,8 +148,8 @@
 	return append(b, body...)
 }
 
-// write writes to the client, for writeTimeout at most. No deadline is left behind: one that
-// has passed would make the next WriteNow fail.
+// write writes to the client within writeTimeout. It clears the deadline afterwards, because an
+// expired one would make the next WriteNow fail.
 func (c *conn) write(b []byte) error {
 	c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.netConn.Write(b)
@@ -160,12 +157,12 @@
 	return err
 }
 
-// writeStream writes a response that is still arriving: each piece is forwarded as it
-// arrives, one at a time. A response that ends early ends without its last chunk or byte.
+// writeStream writes a response that is still arriving, piece by piece. If the response ends
+// early, its last chunk or bytes are not written.
 func (x *Exchange) writeStream(answer *upstream.Answer) error {
 	netConn := x.conn.netConn
 	if answer.Length < 0 && x.http10 {
-		x.keepAlive = false // its end is the connection's
+		x.keepAlive = false // the close of the connection marks the end of the body
 	}
 	chunked := answer.Length < 0 && !x.http10
 	b := x.appendStreamHead(make([]byte, 0, 512+len(answer.Body)), answer, chunked)
@@ -212,7 +209,7 @@
 	return append(b, "\r\n"...)
 }
 
-// appendHead appends the head of a response but for its length and the empty line.
+// appendHead appends the head of a response without its length and the empty line.
 func (x *Exchange) appendHead(b []byte, status int, field string, header http.Header) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -10,7 +10,7 @@
 	"martendrum/internal/shutdown"
 )
 
-// Server serves the clients.
+// Server accepts and owns client connections.
 type Server struct {
 	config  Config
 	handler Handler
@@ -22,7 +22,7 @@
 	ids           requestIDs
 	drainingSince time.Time       // zero: not draining
 	health        string          // a header line of health responses
-	healthFuncs   []func() string // of further header lines
+	healthFuncs   []func() string // functions that return further header lines
 }
 
 // New returns a Server that hands requests to handler.
@@ -40,7 +40,7 @@
 // SetMeter sets the Server's Meter. It is called before Serve.
 func (s *Server) SetMeter(meter Meter) { s.meter = meter }
 
-// Limit replaces the limits, for connections and bodies still to come.
+// Limit replaces the limits for later connections and bodies.
 func (s *Server) Limit(config Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 	s.health = name + ": " + value + "\r\n"
 }
 
-// SetHealthFunc adds a header line whose value is read for each health response.
+// SetHealthFunc adds a header line whose value is computed for each health response.
 func (s *Server) SetHealthFunc(name string, value func() string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,17 +84,16 @@
 	}
 }
 
-// acceptFailed evicts a connection if an accept failed for a lack of descriptors. Connections
-// wait in the queue.
+// acceptFailed evicts a connection if an accept failed for lack of descriptors. The new connection
+// stays in the accept queue meanwhile.
 func (s *Server) acceptFailed(err error) {
 	if netconn.IsTableFull(err) {
 		s.evict()
 	}
 }
 
-// rejectionReserve is how many of the connections up to the limit are only used to tell
-// clients that they can't be served. Past the limit new connections are closed without
-// a response: descriptors are finite.
+// rejectionReserve returns how many connections below the limit are reserved for rejecting requests
+// with a response. Beyond the limit, new connections are closed without a response.
 func rejectionReserve(limit int) int { return limit / 8 }
 
 // add starts the goroutine of an accepted connection, or closes it if the limit is reached.
@@ -119,9 +118,9 @@
 	go c.serve(crowded)
 }
 
-// Drain prepares for the end: idle connections are closed, the others after their next
-// response. New connections are still served. With keepIdle, idle connections stay until
-// CloseIdle: closing one may race with its client's next request.
+// Drain begins a graceful shutdown: it closes idle connections, and the others after their next
+// response. New connections are still accepted. With keepIdle, idle connections stay open until
+// CloseIdle, because closing one may race with its client's next request.
 func (s *Server) Drain(keepIdle bool) {
 	s.mu.Lock()
 	s.drainingSince = time.Now()
@@ -144,15 +143,15 @@
 }
 
 // CloseSilent closes the connections on which no byte has arrived within
-// shutdown.MaxIdleConnection of their accept, since a first request could still arrive in the
-// process's last moment.
+// shutdown.MaxIdleConnection of their accept. Otherwise a first request could arrive just before
+// the process exits.
 func (s *Server) CloseSilent() {
 	s.closeQuiet(stateNew, shutdown.MaxIdleConnection)
 }
 
-// CloseUnfinished ends the connections on which a part of a request has arrived, since it
-// would not be answered any more. Their clients get an error. A request that has been read
-// completely by now is still answered.
+// CloseUnfinished ends the connections on which only a part of a request has arrived, because there
+// is no time left to answer it. Their clients get an error. A request that has been read completely
+// is still answered.
 func (s *Server) CloseUnfinished() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +162,8 @@
 	}
 }
 
-// closeQuiet closes the connections that have been in a state for at least the given time.
+// closeQuiet closes the connections without unread input that have been in a state for at least
+// minDuration.
 func (s *Server) closeQuiet(state connState, minDuration time.Duration) {
 	s.mu.Lock()
 	closed := s.markClosed(state, minDuration)
@@ -173,10 +173,9 @@
 	}
 }
 
-// markClosed marks the connections that have been in a state for at least the given time
-// as closed and returns them. A connection on which a request has arrived is not among
-// them: its goroutine needs the lock, which is held, to take the request, so exactly one
-// of the two wins.
+// markClosed marks the connections that have been in a state for at least minDuration as closed and
+// returns them. It skips connections with unread input. The lock is held; a connection's goroutine
+// needs it to begin a request, so either the request or the close wins.
 func (s *Server) markClosed(state connState, minDuration time.Duration) (closed []*conn) {
 	for c := range s.conns {
 		if c.state == state && time.Since(c.stateSince) >= minDuration && c.input.Quiet() {
@@ -187,7 +186,7 @@
 	return closed
 }
 
-// Active returns the number of requests that are not answered yet.
+// Active returns the number of requests that have not been answered.
 func (s *Server) Active() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,8 +198,8 @@
 	return n
 }
 
-// Busy returns the number of connections that have a request, may be about to send one,
-// or are being closed.
+// Busy returns the number of connections for which a shutdown waits: those that have a request, may
+// be about to send one, or are being closed.
 func (s *Server) Busy() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/upload.go
+++ b/internal/downstream/upload.go
@@ -8,26 +8,25 @@
 	"time"
 )
 
-// maxStreamedBody is the longest body accepted. Guards against clients that send without
-// end.
+// maxStreamedBody is the longest body accepted, in bytes.
 const maxStreamedBody = 33 << 20
 
-// upload is the part of a request's body that is not buffered. One attempt reads it.
+// upload is the part of a request's body that is not buffered. A single attempt reads it.
 type upload struct {
 	from   *pacedReader
 	length int64       // of the complete body; -1: not known
-	linger atomic.Bool // the connection must end: the body did not arrive completely
+	linger atomic.Bool // the body did not arrive completely: the connection must end
 
 	mu       sync.Mutex
 	claimed  bool // an attempt reads it, or has read it
-	stopped  bool // the request is over: nobody may claim it any more
+	stopped  bool // the request has ended: no attempt may claim the body
 	complete bool // its end has been read
-	closed   bool // the attempt that claimed it reads no more
+	closed   bool // the attempt that claimed it has stopped reading
 	once     sync.Once
-	done     chan struct{} // closed when nobody reads it any more
+	done     chan struct{} // closed when the body is not read any more
 }
 
-// stream makes what is left of the body the request's stream, and completes the head.
+// stream makes the rest of the body the request's stream, and completes the head.
 func (x *Exchange) stream(length int64, from *pacedReader) {
 	x.upload = &upload{from: from, length: length, done: make(chan struct{})}
 	x.Request.Stream = x.upload
@@ -64,8 +63,8 @@
 // Chunked implements upstream.Stream.
 func (u *upload) Chunked() bool { return u.length < 0 }
 
-// errStopped ends the reading of a body whose request is over.
-var errStopped = errors.New("front: the request is over")
+// errStopped reports that the request of a body has ended.
+var errStopped = errors.New("downstream: the request has ended")
 
 // Read implements upstream.Stream.
 func (u *upload) Read(b []byte) (int, error) {
@@ -89,9 +88,9 @@
 	return n, err
 }
 
-// Close implements upstream.Stream. The connection's goroutine may read again, but if the
-// body is not complete only after the response: what the client still sends of the body
-// would be taken for its next request.
+// Close implements upstream.Stream. Afterwards the connection's goroutine may read again. If the
+// body is incomplete it must wait for the response, because the rest of the body would be taken for
+// the next request.
 func (u *upload) Close() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -102,14 +101,14 @@
 	return nil
 }
 
-// unclaimed reports that no attempt has begun to read the body, and one still may.
+// unclaimed reports whether no attempt has claimed the body and one still may.
 func (u *upload) unclaimed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return !u.claimed && !u.stopped
 }
 
-// finish notes that nobody reads the body any more.
+// finish records that the body is not read any more.
 func (u *upload) finish() { u.once.Do(func() { close(u.done) }) }
 
 // isComplete reports whether the body has been read completely.
@@ -119,7 +118,7 @@
 	return u.complete
 }
 
-// stop notes that the request is over, which stops whoever reads the body. It returns
+// stop records that the request has ended and interrupts the attempt that reads the body. It returns
 // whether the body has been read completely.
 func (u *upload) stop() bool {
 	u.mu.Lock()
