--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// activeCall is a call that discovery has begun to answer. Its connection belongs to the Watcher until
+// activeCall is a call that discovery has begun to answer. The Watcher owns its connection until
 // release.
 type activeCall struct {
 	conn   net.Conn
 	stream *stream
 }
 
-// open calls discovery and returns once the first byte of the body has arrived, within limit.
-// It returns a *SilentError if nothing arrived in time.
+// open calls discovery and returns when the first byte of the body has arrived, within limit. It
+// returns a *SilentError if nothing arrived in time.
 func (w *Watcher) open(at watchTarget, limit time.Duration) (*activeCall, error) {
 	until := time.Now().Add(limit)
 	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
@@ -63,18 +63,18 @@
 
 // callResult is what a call to open returned.
 type callResult struct {
-	feed *activeCall
+	call *activeCall
 	err  error
 }
 
-// openEither is open, with a second call in parallel if the first one has brought
-// nothing after Pace.Again, whatever has become of it. The first to be answered is taken; the
-// other one is closed when its own deadline is over, at the latest.
+// openEither makes a call, and a second one in parallel if the first is unanswered after
+// Pace.SecondCallDelay, even if it has failed by then. It returns the first call that is answered;
+// the other one is closed when it returns, by its own deadline at the latest.
 func (w *Watcher) openEither(at watchTarget) (*activeCall, error) {
 	results := make(chan callResult, 2)
 	call := func(limit time.Duration) {
-		f, err := w.open(at, limit)
-		results <- callResult{f, err}
+		opened, err := w.open(at, limit)
+		results <- callResult{opened, err}
 	}
 	go call(at.pace.CallTimeout)
 	timer := time.NewTimer(at.pace.SecondCallDelay)
@@ -90,17 +90,17 @@
 			stale := errors.Is(result.err, net.ErrClosed) // by SetEndpoint or Close
 			if result.err == nil || stale || second && running == 0 {
 				go w.discard(results, running)
-				return result.feed, result.err
+				return result.call, result.err
 			}
 		}
 	}
 }
 
-// discard closes the connections of the calls that still run.
+// discard waits for the calls that still run and closes their connections.
 func (w *Watcher) discard(results <-chan callResult, running int) {
 	for range running {
-		if late := <-results; late.feed != nil {
-			w.release(late.feed.conn)
+		if late := <-results; late.call != nil {
+			w.release(late.call.conn)
 		}
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,8 +1,8 @@
 // Package discovery follows the list of servers.
 //
-// It owns the watch and its silence timeout: a watch on which nothing arrives counts as
-// broken and is opened again, well before the sidecar is held responsible for the changes
-// that it missed. It decides nothing about servers; the Listed callback does.
+// It owns the watch and its silence timeout. It guarantees that a watch on which nothing arrives is
+// reopened early enough for its missed changes to arrive before they count as notified. It decides
+// nothing about servers; the Listed callback does.
 package discovery
 
 import (
@@ -31,8 +31,8 @@
 
 // List is a complete list of servers, or the entries that changed.
 type List struct {
-	Index    int64 // the version of the list
-	Complete bool  // it names every server
+	Index    int64 // version of the list
+	Complete bool  // the list names every server; false: only changes
 	Entries  []Entry
 }
 
@@ -61,7 +61,7 @@
 	return l, nil
 }
 
-// states maps the status words of the wire.
+// states maps the status words of the protocol.
 var states = map[string]martendrum.EndpointState{"up": martendrum.Serving, "draining": martendrum.Draining, "removed": martendrum.Removed}
 
 func parseEntry(data []byte) (Entry, error) {
@@ -108,14 +108,14 @@
 // of Follow or Watch.
 type Watcher struct {
 	Addr   string
-	Index  int64       // the version of the list received last; 0: none
+	Index  int64       // version of the list received last; 0: none
 	Listed func(*List) // receives each list or change
 	Failed func(error) // is called when a call has failed or a watch has ended
 	Pace   Pace
 
 	mu              sync.Mutex
 	conns           map[net.Conn]struct{} // of the watch; two while a second call runs in parallel
-	watching        bool                  // in Watch
+	watching        bool                  // a call of Watch has not returned
 	closedByOwner   bool
 	endpointChanges int // how often SetEndpoint was called
 
@@ -199,10 +199,10 @@
 
 // adopt registers conn so that SetEndpoint and Close close it. It returns false if one of them was
 // called after the call began.
-func (w *Watcher) adopt(conn net.Conn, moves int) bool {
+func (w *Watcher) adopt(conn net.Conn, endpointChanges int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.closedByOwner || w.endpointChanges != moves {
+	if w.closedByOwner || w.endpointChanges != endpointChanges {
 		return false
 	}
 	if w.conns == nil {
@@ -274,19 +274,19 @@
 // watch makes one call and follows its lists. After a watch that fell silent, a second call
 // may run in parallel with the first.
 func (w *Watcher) watch(at watchTarget, silent bool) error {
-	var f *activeCall
+	var call *activeCall
 	var err error
 	if silent && at.pace.SecondCallDelay > 0 {
-		f, err = w.openEither(at)
+		call, err = w.openEither(at)
 	} else {
-		f, err = w.open(at, at.pace.CallTimeout)
+		call, err = w.open(at, at.pace.CallTimeout)
 	}
 	if err != nil {
 		return err
 	}
-	defer w.release(f.conn)
+	defer w.release(call.conn)
 	for {
-		list, err := f.stream.next()
+		list, err := call.stream.next()
 		if broken, ok := errors.AsType[*json.SyntaxError](err); ok {
 			w.resetIndex(at.endpointChanges)
 			return fmt.Errorf("discovery: the watch brought no valid JSON: %w", broken)
@@ -301,20 +301,20 @@
 }
 
 // resetIndex makes the next watch request the complete list.
-func (w *Watcher) resetIndex(moves int) {
+func (w *Watcher) resetIndex(endpointChanges int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.endpointChanges == moves {
+	if w.endpointChanges == endpointChanges {
 		w.Index = 0
 	}
 }
 
 // deliver passes a list to Listed. After one that is invalid or older than its predecessor, the
 // next watch requests the complete list, since later changes can't be applied to it.
-func (w *Watcher) deliver(list []byte, moves int) error {
+func (w *Watcher) deliver(list []byte, endpointChanges int) error {
 	l, err := Parse(list)
 	w.mu.Lock()
-	if w.endpointChanges != moves {
+	if w.endpointChanges != endpointChanges {
 		w.mu.Unlock()
 		return net.ErrClosed
 	}
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -57,27 +57,27 @@
 	body     io.Reader
 	deadline func(time.Time) error
 	onBytes  func() // is called when bytes arrive
-	dec      *json.Decoder
+	decoder  *json.Decoder
 	list     json.RawMessage
 
 	received bool      // something has arrived; until then the caller's deadline holds
 	began    time.Time // when the list being read began; zero: none has
-	read     int       // bytes of it, leading white space included
+	read     int       // bytes of the list being read, leading white space included
 }
 
-func newStream(body io.Reader, deadline func(time.Time) error, heard func()) *stream {
-	s := &stream{body: body, deadline: deadline, onBytes: heard}
-	s.dec = json.NewDecoder(s)
+func newStream(body io.Reader, deadline func(time.Time) error, onBytes func()) *stream {
+	s := &stream{body: body, deadline: deadline, onBytes: onBytes}
+	s.decoder = json.NewDecoder(s)
 	return s
 }
 
-// next returns the next list, which is good until the next call.
+// next returns the next list, which is valid until the next call.
 func (s *stream) next() ([]byte, error) {
-	if err := s.dec.Decode(&s.list); err != nil {
+	if err := s.decoder.Decode(&s.list); err != nil {
 		return nil, err
 	}
 	// What the decoder has buffered belongs to the next list.
-	rest, _ := io.ReadAll(s.dec.Buffered())
+	rest, _ := io.ReadAll(s.decoder.Buffered())
 	s.began, s.read = time.Time{}, 0
 	s.count(rest)
 	return s.list, nil
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -8,8 +8,7 @@
 	"martendrum/internal/upstream"
 )
 
-// attempt is one attempt of a request. Except for what upstream owns, it is guarded by the
-// Host's lock.
+// attempt is one attempt of a request. Its own fields are guarded by the Host's lock.
 type attempt struct {
 	upstream.Attempt
 	host    *Host
@@ -19,7 +18,7 @@
 	finished bool
 	hedged   bool // another attempt was open when it was sent
 	unsent   bool // cancelled before a byte was written
-	neverRan bool // certainly
+	neverRan bool // provably not executed
 }
 
 // Send implements martendrum.Host.
@@ -68,12 +67,12 @@
 	return a
 }
 
-// claimed notes that no other attempt can send the request's body any more.
+// claimed tells the Balancer that no other attempt can send the request's body.
 func (a *attempt) claimed() {
 	a.host.handle(func(now time.Duration) { a.host.balancer.StreamStarted(now, a.request.id, a.index) })
 }
 
-// uploaded notes that the request is complete: the client's time begins.
+// uploaded sets the final deadline of a streamed request, whose timeout begins after its upload.
 func (a *attempt) uploaded() {
 	h := a.host
 	h.wrote()
@@ -104,7 +103,7 @@
 func (h *Host) expireAttempt(now time.Duration, a *attempt) {
 	outcome := martendrum.TimedOut
 	if !a.Abandon() {
-		outcome = martendrum.ConnectFailed // not a byte of it was written
+		outcome = martendrum.ConnectFailed // nothing was sent
 	}
 	h.enqueue(a.Close)
 	h.endAttempt(now, a, outcome, nil, martendrum.LoadReport{})
@@ -115,7 +114,7 @@
 	a.host.handle(func(now time.Duration) { a.host.endAttempt(now, a, outcome, answer, report) })
 }
 
-// endAttempt takes an attempt's outcome, of which only the first counts.
+// endAttempt handles an attempt's outcome. Only the first outcome counts.
 func (h *Host) endAttempt(now time.Duration, a *attempt, outcome martendrum.Outcome, answer *upstream.Answer, report martendrum.LoadReport) {
 	if a.finished {
 		return
@@ -124,12 +123,12 @@
 	a.finished, a.neverRan = true, a.unsent || outcome.ProvablyNotExecuted()
 	request.open--
 	if answer != nil && answer.Rest != nil && request.entry != nil {
-		// The store would have to hold the complete answer, and serve it after Done.
+		// The idempotency store records complete answers only, and serves them after Done.
 		slog.Warn("an answer too long for the record", "server", a.Server)
 		outcome, answer = martendrum.Reset, nil
 	}
 	if outcome == martendrum.OK && answer == nil && !request.answered {
-		outcome = martendrum.Reset // there is nothing to answer with
+		outcome = martendrum.Reset // there is no answer to forward
 	}
 	success := outcome == martendrum.OK && answer != nil
 	served := success && !request.answered
@@ -138,11 +137,11 @@
 		h.markAnswered(request)
 		x := request.exchange
 		h.recordEnd(request, Served, answer, func() { x.Serve(answer) })
-	case success: // too late for the client, not for the record
+	case success: // too late for the client, but still recorded
 		h.recordEnd(request, Served, answer, nil)
 	}
 	h.meter.AttemptFinished(outcome, a.hedged, served)
-	if outcome == martendrum.NotSent && !request.answered && request.exchange.ClientLeft() { // its connection's goroutine has not noticed yet
+	if outcome == martendrum.NotSent && !request.answered && request.exchange.ClientLeft() { // the connection's goroutine may not have noticed yet
 		h.balancer.ClientDisconnected(now, request.id)
 		h.Fail(request.id)
 	}
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -1,6 +1,9 @@
-// Package sidecar hosts one Balancer on real sockets. It brings the events of
-// clients, servers and discovery to the Balancer and carries out its decisions;
-// it makes none itself, beyond enforcing its limits.
+// Package sidecar runs one Balancer on real sockets. It owns the requests in flight and their
+// deadlines, passes events of clients, servers and discovery to the Balancer, and carries out its
+// decisions.
+//
+// It guarantees one final response to each request by its deadline, whatever the Balancer decides.
+// It decides nothing itself but to enforce limits.
 package sidecar
 
 import (
@@ -17,20 +20,20 @@
 	"martendrum/internal/upstream"
 )
 
-// Host is the martendrum.Host of a real sidecar. One lock guards the Balancer and
-// all that belongs to it. The Balancer's decisions are queued under the lock and carried
-// out after it is released, by the goroutine that brought the event.
+// Host is the martendrum.Host of a sidecar. One lock guards the Balancer and its state. The Balancer's
+// decisions are queued under the lock and carried out after its release, by the goroutine that
+// passed the event.
 type Host struct {
 	pool    *upstream.Pool
 	watcher *discovery.Watcher
 	classes atomic.Pointer[map[string]*settings.Class] // by name, of the settings in force
 
-	recorder Recorder // nil: nothing is recorded
+	recorder Recorder // nil: no idempotency store
 	meter    Meter
-	wrote    func() // the meter's Wrote
+	wrote    func() // meter.AttemptWritten, bound once
 
 	started     time.Time
-	startedUnix time.Duration // started as Unix time, by a wall clock that may have been off
+	startedUnix time.Duration // started as Unix time by the wall clock, which may be wrong
 
 	// Guarded by mu.
 	mu       sync.Mutex
@@ -41,7 +44,7 @@
 	limits   inFlightLimits
 	timers   timerQueue
 	actions  []func()      // to be carried out once mu is released
-	stopAt   time.Duration // every request ends by then; 0: no stop is planned
+	stopAt   time.Duration // every request ends by then; 0: no shutdown is planned
 	ready    bool
 }
 
@@ -83,8 +86,8 @@
 	}
 }
 
-// decide runs event under the lock and returns the actions to carry out. It releases the
-// lock also if the Balancer panics: other requests go on.
+// decide runs event under the lock and returns the actions to carry out. It releases the lock even if
+// the Balancer panics, so that other requests are still served.
 func (h *Host) decide(event func(now time.Duration)) []func() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -105,7 +108,7 @@
 	return h.ready
 }
 
-// SetReady sets whether the sidecar takes clients.
+// SetReady sets whether the sidecar accepts clients.
 func (h *Host) SetReady(ready bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -117,8 +120,8 @@
 	return (*h.classes.Load())[name]
 }
 
-// Reconfigure replaces the settings, completely or not at all. Requests that have been read
-// keep the class that they were read under.
+// Reconfigure replaces the settings, completely or not at all. Requests that have been read keep the
+// class of the settings before.
 func (h *Host) Reconfigure(set *settings.Settings) (err error) {
 	h.handle(func(time.Duration) {
 		set.Follow(h.settings)
@@ -130,8 +133,7 @@
 	return err
 }
 
-// publishClasses makes the classes of the settings in force visible to Class, which
-// takes no lock.
+// publishClasses makes the classes of the settings in force visible to Class, which does not lock.
 func (h *Host) publishClasses() {
 	classes := make(map[string]*settings.Class)
 	for _, name := range h.settings.Names() {
@@ -147,14 +149,14 @@
 	return h.balancer.LearnedState(h.now())
 }
 
-// Learn takes over what another process's Balancer had learned by age ago. It is called
-// after the list of servers has arrived and before the first request.
+// Learn restores what another process's Balancer had learned; age is the age of that state. It is
+// called after the list of servers has arrived and before the first request.
 func (h *Host) Learn(learned martendrum.LearnedState, age time.Duration) {
 	h.handle(func(now time.Duration) { h.balancer.Restore(now, learned, age) })
 }
 
-// Steer lets steer read the Balancer and set its bounds; arrivals is how many requests
-// have arrived so far. steer must not block.
+// Steer calls steer under the lock, to read the Balancer and set its bounds; arrivals is the number
+// of requests that have arrived. steer must not block.
 func (h *Host) Steer(steer func(now time.Duration, arrivals uint64, b *martendrum.Balancer)) {
 	h.handle(func(now time.Duration) { steer(now, uint64(h.lastID), h.balancer) })
 }
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -4,8 +4,8 @@
 // Host's lock.
 type inFlightLimits struct {
 	local  int   // for this process alone
-	shared int   // for this process and the other one together, while there is a tally
-	tally  Tally // nil: no other process counts
+	shared int   // for both processes of a hand-over together, while there is a tally
+	tally  Tally // nil: this process is alone
 }
 
 // Tally is a count of the requests in flight that two processes share.
@@ -14,16 +14,16 @@
 	SetInFlight(n int) (others int)
 }
 
-// Limit replaces the limits on requests in flight, for those still to come: own for this
-// process alone, shared for two processes together while they share a Tally.
+// Limit replaces the limits on requests in flight for later requests: own for this process alone,
+// shared for two processes together while they share a Tally.
 func (h *Host) Limit(own, shared int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.limits.local, h.limits.shared = own, shared
 }
 
-// SetTally counts requests in flight in tally from now on, and limits the sum. A
-// tally set before is not used any more.
+// SetTally counts requests in flight in tally from now on, and limits the sum of both processes. It
+// replaces a tally that was set before.
 func (h *Host) SetTally(tally Tally) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -31,7 +31,7 @@
 	h.updateTally()
 }
 
-// RemoveTally ends the sharing: when it returns, tally is not used any more.
+// RemoveTally ends the sharing. When it returns, tally is not used any more.
 func (h *Host) RemoveTally(tally Tally) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -40,17 +40,17 @@
 	}
 }
 
-// InFlight returns the number of requests in flight: those that are not answered yet, or
-// still have an attempt open.
+// InFlight returns the number of requests in flight: those that have not been answered or still have
+// an open attempt.
 func (h *Host) InFlight() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.requests)
 }
 
-// reserveInFlight reports whether one more request may be in flight, and if so counts it in the
-// tally: two processes that ask at the same time don't both take the last place. The
-// lock is held.
+// reserveInFlight reports whether one more request may be in flight. It counts the request in the
+// tally before it compares, so that two processes at once do not both use the last slot. The lock
+// is held.
 func (h *Host) reserveInFlight() bool {
 	if h.limits.tally == nil {
 		return len(h.requests) < h.limits.local
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -7,18 +7,18 @@
 	"martendrum/internal/metrics"
 )
 
-// Meter counts what becomes of attempts. Its methods may be called from any
-// goroutine, some under the Host's lock: they must not wait.
+// Meter counts the results of attempts. Its methods may be called from any goroutine, some under
+// the Host's lock, and must not block.
 type Meter interface {
-	// Limited counts a request that the Host itself refused.
-	Limited(why metrics.Reason)
+	// Limited counts a request that the Host itself rejected at a limit.
+	Limited(reason metrics.Reason)
 	// ProcessingTime observes the time from a request's last byte to its first send.
 	ProcessingTime(took time.Duration)
 	// AttemptStarted counts an attempt that is sent.
 	AttemptStarted(hedged bool)
 	// AttemptWritten counts an attempt whose last byte has been written.
 	AttemptWritten()
-	// AttemptFinished counts the end of an attempt; served means that the client gets its answer.
+	// AttemptFinished counts the end of an attempt; served: the client gets its answer.
 	AttemptFinished(outcome martendrum.Outcome, hedged, served bool)
 }
 
--- a/internal/sidecar/recorder.go
+++ b/internal/sidecar/recorder.go
@@ -8,30 +8,30 @@
 	"martendrum/internal/upstream"
 )
 
-// Recorder stores what becomes of requests, so that it outlives this process, and
-// recognizes a repeated request by its key. A Host without one stores nothing, at no cost.
+// Recorder stores the results of requests durably and recognizes a repeated request by its idempotency
+// key. A Host without one stores nothing, at no cost.
 type Recorder interface {
-	// Begin takes a request that has arrived and whose client waits for left. It
-	// calls then once, from any goroutine and well within left.
+	// Begin looks up a request that has arrived and whose client waits for left. It calls then
+	// once, from any goroutine and well within left.
 	Begin(x *downstream.Exchange, left time.Duration, then func(Verdict))
 }
 
 // Verdict is a Recorder's decision about a request.
 type Verdict struct {
-	// Answer gives the client its recorded response; nil: there is none, go on.
+	// Answer sends the client the recorded response; nil: there is none, admit the request.
 	Answer func(x *downstream.Exchange)
-	Entry  Entry // of a request that goes on; nil: it is not recorded
+	Entry  Entry // of a request to be admitted; nil: it is not recorded
 }
 
-// Entry is a recorded request. Each then is called once, from any goroutine, within
-// the wait of the request's class.
+// Entry is a recorded request. Each callback named then is called once, from any goroutine, within
+// the longest wait of the request's class.
 type Entry interface {
-	// Sending records that attempt n is about to be sent to server. If it is not ok,
-	// not a byte may be sent.
+	// Sending records that attempt n is about to be sent to server. Nothing may be sent unless
+	// ok is true.
 	Sending(n int, server string, then func(ok bool))
-	// End records how the request ended; answer is set for Served. It may be called
-	// again when more is known. then is called when the client may be answered, which
-	// is within left: its time is over then.
+	// End records how the request ended; answer is set for Served. It may be called again when
+	// more is known. then is called when the client may be answered, within left, which is the
+	// time until the request's deadline.
 	End(end End, answer *upstream.Answer, left time.Duration, then func())
 }
 
@@ -40,19 +40,19 @@
 
 const (
 	endUnknown End = iota
-	Served         // it ran, and this is the answer
-	NeverRan       // certainly, no attempt of it ran
-	MayHaveRun     // an attempt may have run
+	Served         // it was executed, and its answer is known
+	NeverRan       // provably, no attempt of it was executed
+	MayHaveRun     // an attempt may have been executed
 )
 
 // SetRecorder sets the Host's Recorder. It is called before the first request.
 func (h *Host) SetRecorder(recorder Recorder) { h.recorder = recorder }
 
-// admitRecorded takes the recorder's verdict on a request.
+// admitRecorded answers or admits a request by the recorder's verdict.
 func (h *Host) admitRecorded(request *clientRequest, verdict Verdict) {
 	h.handle(func(now time.Duration) {
 		switch {
-		case request.exchange == nil: // its client has left, or its time is up
+		case request.exchange == nil: // its client has disconnected, or its deadline has passed
 			if verdict.Entry != nil {
 				h.enqueue(func() { verdict.Entry.End(NeverRan, nil, 0, func() {}) })
 			}
@@ -84,8 +84,7 @@
 	})
 }
 
-// endSoFar returns how a request without an answer has ended, as far as its attempts
-// have.
+// endSoFar returns how a request without an answer has ended, by the attempts made so far.
 func (r *clientRequest) endSoFar() End {
 	for _, a := range r.attempts {
 		if !a.finished || !a.neverRan {
@@ -95,7 +94,7 @@
 	return NeverRan
 }
 
-// recordEnd records how a request ended, if that is new, and then does then, if not nil.
+// recordEnd records how a request ended, if that is new, and then calls then, if not nil.
 func (h *Host) recordEnd(request *clientRequest, end End, answer *upstream.Answer, then func()) {
 	entry := request.entry
 	if entry == nil || request.recordedEnd == Served || request.recordedEnd == end {
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -9,8 +9,7 @@
 	"martendrum/internal/metrics"
 )
 
-// deadlineMargin is how much earlier than by the client's own clock a deadline is met:
-// the response has still to reach the client.
+// deadlineMargin is subtracted from the client's deadline for the way of the response.
 const deadlineMargin = 5 * time.Millisecond
 
 // clientRequest is a request that has no final response yet, or whose attempts are still open.
@@ -19,15 +18,15 @@
 	id       martendrum.RequestID
 	exchange *downstream.Exchange // nil: released
 	deadline time.Duration
-	timeout  time.Duration // from its last byte to its deadline
+	timeout  time.Duration // from the request's last byte to its deadline
 	timer    *timer        // at its deadline
 	attempts []*attempt
 	open     int  // attempts that have not ended
-	answered bool // it has its final response, or needs none any more
+	answered bool // it has its final response, or its client has disconnected
 
-	awaitsRecord bool  // the recorder has not admitted it yet: the Balancer does not know it
+	awaitsRecord bool  // the recorder's verdict is open: the Balancer does not know the request yet
 	entry        Entry // nil: it is not recorded
-	recordedEnd  End   // what the recorder was given
+	recordedEnd  End   // what the recorder was told last
 }
 
 // Arrive implements downstream.Handler.
@@ -59,20 +58,19 @@
 	h.enqueue(x.Release)
 }
 
-// limitRetryAfter returns when a client refused at a limit may come back. The lock is
-// held.
+// limitRetryAfter returns the Retry-After of a request rejected at a limit. The lock is held.
 func (h *Host) limitRetryAfter() time.Duration { return h.settings.Config.MaxRetryAfter / 10 }
 
 // newRequest registers the request of x, with its deadline.
 func (h *Host) newRequest(now time.Duration, x *downstream.Exchange) *clientRequest {
-	timeout := x.Rules.Wait // no client waits longer, whatever it says
+	timeout := x.Rules.Wait // the upper bound, whatever the client states
 	if x.Wait > 0 {
 		timeout = min(timeout, x.Wait)
 	}
 	timeout -= min(deadlineMargin, timeout/10)
 	deadline := now - time.Since(x.Received) + timeout
 	if x.Request.Stream != nil {
-		deadline += x.UploadTimeout() // the client's time begins with its last byte
+		deadline += x.UploadTimeout() // the timeout begins after the upload
 	}
 	h.lastID++
 	request := &clientRequest{id: h.lastID, exchange: x, deadline: h.beforeStop(deadline), timeout: timeout}
@@ -82,7 +80,7 @@
 	return request
 }
 
-// beforeStop limits a deadline to the planned stop, if there is one.
+// beforeStop limits a deadline to the planned shutdown, if there is one.
 func (h *Host) beforeStop(deadline time.Duration) time.Duration {
 	if h.stopAt > 0 {
 		return min(deadline, h.stopAt)
@@ -90,7 +88,7 @@
 	return deadline
 }
 
-// StopWithin sees to it that every request is answered by then.
+// StopWithin limits all deadlines so that every request is answered within limit from now.
 func (h *Host) StopWithin(limit time.Duration) {
 	h.handle(func(now time.Duration) {
 		h.stopAt = now + limit
@@ -102,13 +100,13 @@
 	})
 }
 
-// setDeadline changes a request's deadline, and its timer.
+// setDeadline changes a request's deadline and its timer.
 func (h *Host) setDeadline(request *clientRequest, deadline time.Duration) {
 	request.deadline = deadline
 	h.timers.reschedule(request.timer, deadline)
 }
 
-// admit brings a request to the Balancer.
+// admit passes a request to the Balancer.
 func (h *Host) admit(now time.Duration, request *clientRequest) {
 	x := request.exchange
 	h.balancer.Arrive(now, martendrum.Request{
@@ -122,25 +120,25 @@
 }
 
 // ClientDisconnected implements downstream.Handler.
-func (h *Host) ClientDisconnected(x *downstream.Exchange) (taken bool) {
+func (h *Host) ClientDisconnected(x *downstream.Exchange) (ended bool) {
 	h.handle(func(now time.Duration) {
 		request, _ := x.State.(*clientRequest)
 		if request == nil || request.answered {
 			return
 		}
-		taken = true
+		ended = true
 		attempts := len(request.attempts)
-		h.enqueue(func() { logLeft(x, attempts) })
+		h.enqueue(func() { logDisconnect(x, attempts) })
 		h.markAnswered(request)
 		h.balancer.ClientDisconnected(now, request.id)
 		h.releaseIfDone(request)
 	})
-	return taken
+	return ended
 }
 
-// logLeft logs that a request ended without an answer, because its client left: whether it
-// did so in its time, or because the answer was late, is the first question after an incident.
-func logLeft(x *downstream.Exchange, attempts int) {
+// logDisconnect logs that a request ended without an answer because its client disconnected. The times
+// show whether the client gave up early or the answer was late.
+func logDisconnect(x *downstream.Exchange, attempts int) {
 	slog.Info("client left before its answer", "class", x.Class, "after", time.Since(x.Received), "wait", x.Wait, "attempts", attempts)
 }
 
@@ -152,7 +150,7 @@
 // Fail implements martendrum.Host.
 func (h *Host) Fail(id martendrum.RequestID) { h.answer(id, (*downstream.Exchange).Fail) }
 
-// answer gives a request its final response, which is none of a server's, by respond.
+// answer calls respond to give a request a final response that is not a server's.
 func (h *Host) answer(id martendrum.RequestID, respond func(*downstream.Exchange)) {
 	request := h.requests[id]
 	if request == nil || request.answered {
@@ -164,9 +162,9 @@
 	h.releaseIfDone(request)
 }
 
-// markAnswered notes that a request has its final response, or needs none: attempts that
-// have not begun don't begin any more, whether or not the Balancer cancels them. Every
-// end of a request comes here.
+// markAnswered records that a request has its final response or needs none, and withdraws its
+// attempts that have not begun, whether or not the Balancer cancels them. Every request ends
+// through here.
 func (h *Host) markAnswered(request *clientRequest) {
 	request.answered = true
 	for _, a := range request.attempts {
@@ -177,7 +175,7 @@
 	}
 }
 
-// releaseIfDone forgets a request that is answered and has no attempt open.
+// releaseIfDone removes a request that is answered and has no open attempt.
 func (h *Host) releaseIfDone(request *clientRequest) {
 	if !request.answered || request.open > 0 || request.exchange == nil {
 		return
@@ -190,7 +188,7 @@
 	request.exchange, request.attempts = nil, nil
 }
 
-// expire ends a request's open attempts at its deadline, and the request.
+// expire ends a request and its open attempts at its deadline.
 func (h *Host) expire(now time.Duration, request *clientRequest) {
 	if h.requests[request.id] == nil {
 		return
@@ -204,7 +202,7 @@
 		h.Reject(request.id, h.limitRetryAfter())
 	}
 	if !request.answered {
-		// Guards the rule of one final response, whatever the Balancer makes of it.
+		// The Balancer should have answered; the client gets its one final response anyway.
 		slog.Error("request unanswered at its deadline", "class", request.exchange.Class)
 		h.balancer.ClientDisconnected(now, request.id)
 		h.Fail(request.id)
--- a/internal/sidecar/servers.go
+++ b/internal/sidecar/servers.go
@@ -16,17 +16,18 @@
 	return h.balancer.ServerCounts(h.now())
 }
 
-// Listed takes a list of servers, or the changes to it, from discovery.
-func (h *Host) Listed(list *discovery.List) { h.takeList(list, false) }
+// Listed applies a list of servers from discovery, or changes to it.
+func (h *Host) Listed(list *discovery.List) { h.applyList(list, false) }
 
-// Known takes the list of the configuration, before discovery has sent one.
-func (h *Host) Known(list *discovery.List) { h.takeList(list, true) }
+// Known applies the list of the configuration before discovery has sent one.
+func (h *Host) Known(list *discovery.List) { h.applyList(list, true) }
 
-func (h *Host) takeList(list *discovery.List, known bool) {
+// applyList passes a list to the pool and the Balancer; known: it is the configuration's.
+func (h *Host) applyList(list *discovery.List, known bool) {
 	endpoints := make([]martendrum.Endpoint, len(list.Entries))
 	h.handle(func(now time.Duration) {
-		// The pool is updated under the lock too: it must know of a server before an
-		// attempt goes there.
+		// The pool is updated under the lock too, because it must know a server before an
+		// attempt is sent to it.
 		listed := make(map[string]bool, len(list.Entries))
 		for n, entry := range list.Entries {
 			endpoints[n] = entry.Endpoint
@@ -47,7 +48,7 @@
 	})
 }
 
-// updatePool brings the state of a listed server to the pool.
+// updatePool passes the state of a listed server to the pool.
 func (h *Host) updatePool(entry discovery.Entry) {
 	if entry.State == martendrum.Serving {
 		h.pool.Serve(entry.Name, entry.Address, entry.Started)
@@ -56,7 +57,7 @@
 	}
 }
 
-// DiscoveryFailed takes a failed call to discovery, or the end of a watch.
+// DiscoveryFailed handles a failed call to discovery or the end of a watch.
 func (h *Host) DiscoveryFailed(err error) {
 	slog.Warn("discovery failed", "err", err)
 	h.handle(func(now time.Duration) { h.balancer.DiscoveryFailed(now) })
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// timerResolution is the least time between two runs of the due timers.
+// timerResolution is the minimum delay of the runtime timer, which bounds how often due timers run.
 const timerResolution = 2 * time.Millisecond
 
-// timer is a timer of the Balancer's, or a request's deadline.
+// timer is a timer of the Balancer or a request's deadline.
 type timer struct {
 	at      time.Duration
-	cookie  uint64         // the Balancer's
-	request *clientRequest // whose deadline it is; nil: it is the Balancer's
+	cookie  uint64         // of a timer of the Balancer
+	request *clientRequest // whose deadline it is; nil: a timer of the Balancer
 	index   int            // in the heap; -1: it has been removed
 }
 
@@ -104,7 +104,7 @@
 	}
 }
 
-// fireTimers brings the Balancer the timers that are due, and ends overdue requests.
+// fireTimers passes due timers to the Balancer and ends requests whose deadlines have passed.
 func (h *Host) fireTimers() {
 	defer func() {
 		if p := recover(); p != nil {
