--- a/cmd/sidecar/config.go
+++ b/cmd/sidecar/config.go
@@ -33,19 +33,19 @@
 
 // config is the configuration of a sidecar.
 type config struct {
-	listen, discovery string // addresses
-	mgmt              string // address of the admin endpoint; empty: none
-	seed              uint64
-	cores             float64
-	memoryMB, sockets int
-	known             *discovery.List // servers known before discovery answers; nil: none
-	settings          *settings.Settings
-	pollsDiscovery    bool // lists are polled; else discovery pushes them
-	pace              discovery.Pace
-	record            *recordConfig      // idempotency store; nil: off
-	coordination      coordinationConfig // what it does together with other sidecars
-	hash              string             // SHA-256 of the file
-	keys              any                // the decoded file, of which only the keys are used
+	listenAddr, discoveryAddr string // addresses
+	adminAddr                 string // address of the admin endpoint; empty: none
+	seed                      uint64
+	cores                     float64
+	memoryMB, sockets         int
+	knownServers              *discovery.List // servers known before discovery answers; nil: none
+	settings                  *settings.Settings
+	pollsDiscovery            bool // lists are polled; else discovery pushes them
+	pace                      discovery.Pace
+	record                    *recordConfig      // idempotency store; nil: off
+	coordination              coordinationConfig // what it does together with other sidecars
+	fileHash                  string             // SHA-256 of the file
+	fileKeys                  any                // the decoded file, of which only the keys are used
 }
 
 // configFile is the form of the configuration file.
@@ -65,9 +65,9 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// load reads the configuration from the environment and the file that it names. Errors name the
+// loadConfig reads the configuration from the environment and the file that it names. Errors name the
 // field.
-func load(getenv func(string) string) (*config, error) {
+func loadConfig(getenv func(string) string) (*config, error) {
 	path := getenv(envConfig)
 	if path == "" {
 		return nil, &ConfigError{Field: envConfig, Problem: "is not set", Do: "set it to the path of the configuration file"}
@@ -103,14 +103,14 @@
 	}
 	delete(keys, "known") // it may be long
 	c := &config{
-		listen:    file.Listen,
-		discovery: file.Discovery,
-		mgmt:      file.Mgmt,
-		cores:     file.Limits.Cores,
-		memoryMB:  int(file.Limits.MemoryMB),
-		sockets:   int(file.Limits.Sockets),
-		hash:      fmt.Sprintf("%x", sha256.Sum256(data)),
-		keys:      keys,
+		listenAddr:    file.Listen,
+		discoveryAddr: file.Discovery,
+		adminAddr:     file.Mgmt,
+		cores:         file.Limits.Cores,
+		memoryMB:      int(file.Limits.MemoryMB),
+		sockets:       int(file.Limits.Sockets),
+		fileHash:      fmt.Sprintf("%x", sha256.Sum256(data)),
+		fileKeys:      keys,
 	}
 	return c, &file, nil
 }
@@ -122,9 +122,9 @@
 			*address = value
 		}
 	}
-	override(&c.listen, envListen)
-	override(&c.discovery, envDiscovery)
-	override(&c.mgmt, envMgmt)
+	override(&c.listenAddr, envListen)
+	override(&c.discoveryAddr, envDiscovery)
+	override(&c.adminAddr, envMgmt)
 }
 
 // parseFields parses and checks the fields.
@@ -142,7 +142,7 @@
 		return &ConfigError{Field: "settings", Problem: "is missing", Do: "add the object settings to the file"}
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if c.known, err = discovery.Parse(file.Known); err != nil {
+		if c.knownServers, err = discovery.Parse(file.Known); err != nil {
 			return &ConfigError{Field: "known", Cause: err, Do: "give a list of servers as discovery sends it, or leave the key out"}
 		}
 	}
@@ -154,7 +154,7 @@
 
 // checkAddresses checks that the addresses have a host and a port.
 func (c *config) checkAddresses() error {
-	for _, field := range []struct{ name, address string }{{"listen", c.listen}, {"discovery", c.discovery}, {"mgmt", c.mgmt}} {
+	for _, field := range []struct{ name, address string }{{"listen", c.listenAddr}, {"discovery", c.discoveryAddr}, {"mgmt", c.adminAddr}} {
 		if field.name == "mgmt" && field.address == "" {
 			continue
 		}
@@ -243,7 +243,7 @@
 // logSettings logs the settings that decide how long requests may take, so that the log of an
 // incident shows what was in force.
 func (c *config) logSettings(event string) {
-	attributes := []any{"config", c.hash[:8], "discovery", c.discovery, "longest_deadline", c.longestDeadline(), "drain_grace", c.settings.DrainGrace}
+	attributes := []any{"config", c.fileHash[:8], "discovery", c.discoveryAddr, "longest_deadline", c.longestDeadline(), "drain_grace", c.settings.DrainGrace}
 	for _, name := range c.settings.Names() {
 		class := c.settings.ByName(name)
 		attributes = append(attributes, "class_"+name, fmt.Sprintf("%v/%v", class.Rules.Idempotency, class.Wait))
--- a/cmd/sidecar/config_error_test.go
+++ b/cmd/sidecar/config_error_test.go
@@ -23,7 +23,7 @@
 		`config: seed: strconv.ParseUint: parsing "x": invalid syntax`: mustReplace(t, good, `"seed":"1f"`, `"seed":"x"`),
 	} {
 		f.writeConfig(t, text)
-		_, err := load(f.getenv)
+		_, err := loadConfig(f.getenv)
 		checkConfigError(t, err, want)
 	}
 }
@@ -31,21 +31,21 @@
 // A file that omits a key of the one in force is reported with the key and advice.
 func TestReloadErrorNamesMissingKey(t *testing.T) {
 	f := newFixture(t, 256)
-	inForce, err := load(f.getenv)
+	inForce, err := loadConfig(f.getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.writeConfig(t, mustReplace(t, f.configText(t), `,"mostHeld":100`, ""))
-	_, err = reload(f.getenv, inForce)
+	_, err = reloadConfig(f.getenv, inForce)
 	checkConfigError(t, err, "config: settings.caps.mostHeld is missing; the file in force has it")
 }
 
 // Causes stay visible to errors.Is: a file that is not set or not there, an address in use.
 func TestConfigErrorWrapsCause(t *testing.T) {
-	_, err := load(func(string) string { return "" })
+	_, err := loadConfig(func(string) string { return "" })
 	checkConfigError(t, err, "BALANCER_CONFIG is not set")
 	path := filepath.Join(t.TempDir(), "absent")
-	_, err = load(func(name string) string { return map[string]string{envConfig: path}[name] })
+	_, err = loadConfig(func(name string) string { return map[string]string{envConfig: path}[name] })
 	checkConfigError(t, err, "BALANCER_CONFIG: open "+path+": no such file or directory")
 	if !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("%v does not wrap its cause", err)
@@ -56,13 +56,13 @@
 	}
 	defer listener.Close()
 	f := newFixture(t, 256)
-	c, err := load(f.getenv)
+	c, err := loadConfig(f.getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.listen = listener.Addr().String()
+	c.listenAddr = listener.Addr().String()
 	err = startAlone(c, &resources{config: c}, signals{})
-	checkConfigError(t, err, "listen: listen tcp "+c.listen+": bind: address already in use")
+	checkConfigError(t, err, "listen: listen tcp "+c.listenAddr+": bind: address already in use")
 }
 
 // checkConfigError checks an error's text, its type and that it has advice.
--- a/cmd/sidecar/coordination_config_test.go
+++ b/cmd/sidecar/coordination_config_test.go
@@ -9,7 +9,7 @@
 func TestCoordinationFeatures(t *testing.T) {
 	f := newFixture(t, 256)
 	for words, keep := range map[string]string{"retrun": "", "peers": "", "return, breakers": "", "": "somewhere"} {
-		_, err := load(func(name string) string {
+		_, err := loadConfig(func(name string) string {
 			return map[string]string{"BALANCER_CONFIG": f.configPath, "MARTENDRUM_FLEET": words, "MARTENDRUM_CHECKPOINT": keep}[name]
 		})
 		if e, ok := errors.AsType[*CoordinationError](err); !ok || e.Advice() == "" {
--- a/cmd/sidecar/coordinator.go
+++ b/cmd/sidecar/coordinator.go
@@ -38,7 +38,7 @@
 // predecessor serves at the same time and may still own the address of the peer socket.
 func startCoordinator(c *config, host *sidecar.Host, metricSet *metrics.Set, sharedWithPredecessor bool) (*coordinator, error) {
 	f := &coordinator{host: host, stop: make(chan struct{}), started: time.Now()}
-	f.checkpoint = checkpointFile{path: c.coordination.checkpointPath, name: c.listen, savedAt: f.started}
+	f.checkpoint = checkpointFile{path: c.coordination.checkpointPath, name: c.listenAddr, savedAt: f.started}
 	f.checkpoint.load(clock.Wall())
 	size := 1
 	if peersConfig := c.coordination.peers; peersConfig != nil {
--- a/cmd/sidecar/inprocess_test.go
+++ b/cmd/sidecar/inprocess_test.go
@@ -42,7 +42,7 @@
 	t.Setenv("BALANCER_CONFIG", s.configPath)
 	t.Setenv("BALANCER_DISCOVERY", discoveryAddr)
 	t.Setenv("BALANCER_LISTEN", "")
-	config, err := load(os.Getenv)
+	config, err := loadConfig(os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -31,7 +31,7 @@
 	}
 	slog.SetDefault(ratelimitlog.New(os.Stderr, slog.LevelInfo))
 	on := notifySignals()
-	c, err := load(os.Getenv)
+	c, err := loadConfig(os.Getenv)
 	if err == nil {
 		err = start(c, on)
 	}
--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -42,12 +42,12 @@
 	successor   *link.Old   // for the process that takes over from this one; nil until this one is alone
 
 	// Events of the predecessor; nil where there is none.
-	alone         <-chan struct{}
-	lateListeners <-chan []*net.TCPListener
-	failed        <-chan error
+	alone            <-chan struct{}
+	resumedListeners <-chan []*net.TCPListener
+	failed           <-chan error
 
 	inheritedIDs *link.IDs        // shared with the predecessor; nil: none
-	forgetIDs    <-chan time.Time // when inheritedIDs are not needed any more
+	idsExpired   <-chan time.Time // when inheritedIDs are not needed any more
 
 	listed      chan struct{} // discovery has sent a list
 	listTimeout *time.Timer
@@ -64,7 +64,7 @@
 		listed:      make(chan struct{}, 1),
 	}
 	if predecessor != nil {
-		p.alone, p.lateListeners, p.failed = predecessor.Alone(), predecessor.LateListeners(), predecessor.Failed()
+		p.alone, p.resumedListeners, p.failed = predecessor.Alone(), predecessor.LateListeners(), predecessor.Failed()
 	}
 	return p
 }
@@ -97,9 +97,9 @@
 			p.becomeReady()
 		case now := <-sweep.C:
 			p.resources.pool.Sweep(now)
-		case <-p.forgetIDs:
+		case <-p.idsExpired:
 			p.resources.UnshareIDs(p.inheritedIDs)
-		case listeners := <-p.lateListeners:
+		case listeners := <-p.resumedListeners:
 			p.takeOverListeners(listeners)
 		case <-p.alone:
 			p.continueAlone()
@@ -169,17 +169,17 @@
 func (p *sidecarProcess) continueAlone() {
 	p.alone = nil
 	select {
-	case listeners := <-p.lateListeners: // the predecessor ran again and has ended since
+	case listeners := <-p.resumedListeners: // the predecessor ran again and has ended since
 		p.takeOverListeners(listeners)
 	default:
 	}
 	r, c := p.resources, p.config
 	r.Limit(c.fullQuota())
 	if p.inheritedIDs != nil {
-		p.forgetIDs = time.After(idtable.EntryTTL)
+		p.idsExpired = time.After(idtable.EntryTTL)
 		r.host.RemoveTally(p.inheritedIDs) // the predecessor's requests have ended with it
 	}
-	listen, host := c.listen, r.host // p.config may change before the snapshot is taken
+	listen, host := c.listenAddr, r.host // p.config may change before the snapshot is taken
 	protocol := handover.NewOld(listen, c.fullQuota(), func() []byte { return snapshot(listen, host) })
 	p.successor = link.NewOld(p.place, r.listeners, protocol, r)
 	if p.recorder != nil && p.recorder.Lock() != nil {
@@ -229,7 +229,7 @@
 // reload applies the configuration file again, completely or not at all.
 func (p *sidecarProcess) reload() {
 	r := p.resources
-	next, err := reload(os.Getenv, p.config)
+	next, err := reloadConfig(os.Getenv, p.config)
 	if err == nil {
 		err = r.host.Reconfigure(next.settings)
 	}
@@ -249,8 +249,8 @@
 	default: // the predecessor decides about the quota
 		r.Limit(r.currentQuota())
 	}
-	r.server.SetHealth(healthConfigHash, next.hash)
-	p.watcher.SetEndpoint(next.discovery, next.pace)
+	r.server.SetHealth(healthConfigHash, next.fileHash)
+	p.watcher.SetEndpoint(next.discoveryAddr, next.pace)
 	if next.pollsDiscovery {
 		r.host.PollNow() // the new endpoint's list is needed soon, whether or not a watch is open
 	}
--- a/cmd/sidecar/reload.go
+++ b/cmd/sidecar/reload.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// reload reads the file again; inForce is the configuration in force. The environment cannot
+// reloadConfig reads the file again; inForce is the configuration in force. The environment cannot
 // change after the start, so the address of discovery is read from the file alone.
-func reload(getenv func(string) string, inForce *config) (*config, error) {
-	c, err := load(func(name string) string {
+func reloadConfig(getenv func(string) string, inForce *config) (*config, error) {
+	c, err := loadConfig(func(name string) string {
 		if name == envDiscovery {
 			return ""
 		}
@@ -19,7 +19,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if key := missingKey("", inForce.keys, c.keys); key != "" {
+	if key := missingKey("", inForce.fileKeys, c.fileKeys); key != "" {
 		missing := &ConfigError{Field: key, Problem: "is missing; the file in force has it", Do: "add the key, or start a new process if it is omitted on purpose"}
 		return nil, fmt.Errorf("config: %w", missing)
 	}
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -54,7 +54,7 @@
 	p := f.startProcess()
 	p.waitReady(t)
 	good := f.configText(t)
-	force, err := load(f.getenv)
+	force, err := loadConfig(f.getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 		if got := p.metric(t, "config_rejected"); got != float64(n+1) {
 			t.Fatalf("case %d was taken: %s", n, c.text)
 		}
-		if _, err := reload(f.getenv, force); err == nil || !strings.Contains(err.Error(), c.names) {
+		if _, err := reloadConfig(f.getenv, force); err == nil || !strings.Contains(err.Error(), c.names) {
 			t.Errorf("case %d: %v, want it to name %s", n, err, c.names)
 		}
 		for _, path := range []string{"/look", "/pay"} {
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -56,7 +56,7 @@
 // reservedDescriptors is the number of descriptors of a quota that clients and servers can't use.
 func (c *config) reservedDescriptors() int {
 	n := reservedSockets + c.record.Sockets()
-	if c.mgmt != "" {
+	if c.adminAddr != "" {
 		n += admin.MaxSockets
 	}
 	return n
--- a/cmd/sidecar/snapshot.go
+++ b/cmd/sidecar/snapshot.go
@@ -21,7 +21,7 @@
 
 // saveSnapshot stores what this process has learned, for one that starts later.
 func (p *sidecarProcess) saveSnapshot() {
-	if err := p.place.Save(snapshot(p.config.listen, p.resources.host)); err != nil {
+	if err := p.place.Save(snapshot(p.config.listenAddr, p.resources.host)); err != nil {
 		slog.Warn("learned state not stored", "err", err)
 	}
 }
@@ -41,7 +41,7 @@
 	if len(data) == 0 {
 		return false
 	}
-	learned, age, err := handover.Decode(data, p.config.listen, clock.Wall())
+	learned, age, err := handover.Decode(data, p.config.listenAddr, clock.Wall())
 	if err != nil {
 		slog.Warn("cold start", "err", err)
 		return false
--- a/cmd/sidecar/start.go
+++ b/cmd/sidecar/start.go
@@ -39,9 +39,9 @@
 	if dir == "" {
 		return startAlone(c, r, on)
 	}
-	place := link.At(dir, c.listen)
+	place := link.At(dir, c.listenAddr)
 	defer place.Close()
-	predecessor, err := link.Start(place, c.listen, c.fullQuota(), c.record != nil, r)
+	predecessor, err := link.Start(place, c.listenAddr, c.fullQuota(), c.record != nil, r)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 // startAlone serves without hand-over.
 func startAlone(c *config, r *resources, on signals) error {
 	r.Limit(c.fullQuota())
-	listener, err := net.Listen("tcp", c.listen)
+	listener, err := net.Listen("tcp", c.listenAddr)
 	if err != nil {
 		return &ConfigError{Field: "listen", Cause: err, Do: "stop the process that has the address, or configure another one"}
 	}
@@ -76,8 +76,8 @@
 		return err
 	}
 	defer p.closeRecorder()
-	if c.known != nil {
-		r.host.Known(c.known)
+	if c.knownServers != nil {
+		r.host.Known(c.knownServers)
 	}
 	p.exportMetrics()
 	closeAdmin, err := p.openAdmin()
@@ -99,10 +99,10 @@
 // createParts creates the watcher and the parts that resources keeps within the limits.
 func (p *sidecarProcess) createParts() error {
 	c := p.config
-	p.watcher = &discovery.Watcher{Addr: c.discovery, Pace: c.pace}
-	if c.known != nil {
-		c.known.Complete = true
-		p.watcher.Index = c.known.Index
+	p.watcher = &discovery.Watcher{Addr: c.discoveryAddr, Pace: c.pace}
+	if c.knownServers != nil {
+		c.knownServers.Complete = true
+		p.watcher.Index = c.knownServers.Index
 	}
 	if err := p.resources.createParts(p.watcher); err != nil {
 		return err
@@ -141,7 +141,7 @@
 // openAdmin opens the admin endpoint, if the configuration has one. If the predecessor still has
 // its address, it is opened later, in the background. The returned function closes it.
 func (p *sidecarProcess) openAdmin() (closeAdmin func(), err error) {
-	address := p.config.mgmt
+	address := p.config.adminAddr
 	if address == "" {
 		return func() {}, nil
 	}
@@ -179,7 +179,7 @@
 // setHealth sets the header fields of health responses.
 func (p *sidecarProcess) setHealth() {
 	server := p.resources.server
-	server.SetHealth(healthConfigHash, p.config.hash)
+	server.SetHealth(healthConfigHash, p.config.fileHash)
 	if p.recorder != nil {
 		server.SetHealthFunc(healthRecord, p.recorder.Status)
 	}
