--- a/cmd/sidecar/checkpoint.go
+++ b/cmd/sidecar/checkpoint.go
@@ -11,16 +11,16 @@
 // checkpointInterval is how often the checkpoint is written.
 const checkpointInterval = 10 * time.Second
 
-// checkpointFile is the file of a sidecar's checkpoint, and what it held at the start.
+// checkpointFile is the file of a sidecar's checkpoint, with its content at the start.
 type checkpointFile struct {
 	path     string                 // empty: there is none
 	name     string                 // of the sidecar
-	previous *checkpoint.Checkpoint // of the process before; nil: none
+	previous *checkpoint.Checkpoint // of the previous process; nil: none
 	age      time.Duration          // of previous
 	savedAt  time.Time
 }
 
-// load reads the checkpoint of the process before this one, if there is a file.
+// load reads the checkpoint of the previous process, if there is a file.
 func (f *checkpointFile) load(now time.Time) {
 	if f.path == "" {
 		return
--- a/cmd/sidecar/coordinator.go
+++ b/cmd/sidecar/coordinator.go
@@ -17,9 +17,8 @@
 	"martendrum/internal/sidecar"
 )
 
-// coordinator is the part of a sidecar that acts together with other sidecars. It passes what
-// peers publish and what the host knows to the state machines that decide, and carries out
-// their orders.
+// coordinator is the part of a sidecar that cooperates with other sidecars. It passes the state of
+// peers and of the host to the state machines that decide, and carries out their orders.
 type coordinator struct {
 	host    *sidecar.Host
 	stop    chan struct{} // closed by close
@@ -34,48 +33,48 @@
 	checkpoint checkpointFile
 }
 
-// startCoordinator starts what the configuration turns on. sharedWithPredecessor says that a
-// predecessor serves at the same time and may still own the address of the peer socket.
+// startCoordinator starts the features that the configuration turns on. sharedWithPredecessor means
+// that a predecessor serves at the same time and may still own the address of the peer socket.
 func startCoordinator(c *config, host *sidecar.Host, metricSet *metrics.Set, sharedWithPredecessor bool) (*coordinator, error) {
-	f := &coordinator{host: host, stop: make(chan struct{}), started: time.Now()}
-	f.checkpoint = checkpointFile{path: c.coordination.checkpointPath, name: c.listenAddr, savedAt: f.started}
-	f.checkpoint.load(clock.Wall())
+	created := &coordinator{host: host, stop: make(chan struct{}), started: time.Now()}
+	created.checkpoint = checkpointFile{path: c.coordination.checkpointPath, name: c.listenAddr, savedAt: created.started}
+	created.checkpoint.load(clock.Wall())
 	size := 1
 	if peersConfig := c.coordination.peers; peersConfig != nil {
 		size = len(peersConfig.Peers)
 		peersConfig.Seed = c.seed
-		if previous := f.checkpoint.previous; previous != nil { // whatever the clock says
-			peersConfig.Node.Incarnation = max(previous.Incarnation+1, uint64(max(1, f.started.UnixMilli())))
+		if previous := created.checkpoint.previous; previous != nil { // above the previous incarnation even if the clock was set back
+			peersConfig.Node.Incarnation = max(previous.Incarnation+1, uint64(max(1, created.started.UnixMilli())))
 		}
-		if err := f.openLink(*peersConfig, sharedWithPredecessor); err != nil {
+		if err := created.openLink(*peersConfig, sharedWithPredecessor); err != nil {
 			return nil, err
 		}
-		f.addPeerGauges(metricSet)
+		created.addPeerGauges(metricSet)
 	}
 	if c.coordination.gradualReturn {
-		f.startRecovery(size, metricSet)
+		created.startRecovery(size, metricSet)
 	}
-	return f, nil
+	return created, nil
 }
 
-// openLink opens the link to peers, or does so later if the predecessor still has its
-// address.
-func (f *coordinator) openLink(config link.Config, sharedWithPredecessor bool) error {
+// openLink opens the link to peers. If the predecessor still has its address, the link is opened
+// later, in the background.
+func (c *coordinator) openLink(config link.Config, sharedWithPredecessor bool) error {
 	opened, err := link.Open(config)
 	switch {
 	case err == nil:
-		f.link = opened
+		c.link = opened
 		return nil
 	case sharedWithPredecessor && errors.Is(err, syscall.EADDRINUSE):
-		f.running.Go(func() { f.retryOpenLink(config) })
+		c.running.Go(func() { c.retryOpenLink(config) })
 		return nil
 	}
 	return err
 }
 
 // retryOpenLink opens the link to peers once the predecessor has released its address.
-func (f *coordinator) retryOpenLink(config link.Config) {
-	retryUntil(f.stop, func() bool {
+func (c *coordinator) retryOpenLink(config link.Config) {
+	retryUntil(c.stop, func() bool {
 		opened, err := link.Open(config)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			return false
@@ -84,109 +83,109 @@
 			slog.Warn("no exchange with other sidecars", "err", err)
 			return true
 		}
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.link = opened
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.link = opened
 		return true
 	})
 }
 
 // startRecovery starts the gradual return to service; size is the number of peers.
-func (f *coordinator) startRecovery(size int, metricSet *metrics.Set) {
-	f.machine = recovery.New(recovery.Config{Size: size}, 0)
-	if previous := f.checkpoint.previous; previous != nil {
-		_, weight := recovery.Retained(previous.Learned, f.checkpoint.age, recovery.Undecided)
-		f.machine.SetUsualDemand(previous.Demand, weight)
+func (c *coordinator) startRecovery(size int, metricSet *metrics.Set) {
+	c.machine = recovery.New(recovery.Config{Size: size}, 0)
+	if previous := c.checkpoint.previous; previous != nil {
+		_, weight := recovery.Retained(previous.Learned, c.checkpoint.age, recovery.Undecided)
+		c.machine.SetUsualDemand(previous.Demand, weight)
 	}
-	metricSet.Gauge("phase", "", func() float64 { return float64(f.lastOrders().Phase) })
-	metricSet.Gauge("bound_shed", "", func() float64 { return f.lastOrders().Bounds.MinShedFraction })
-	f.running.Go(f.run)
+	metricSet.Gauge("phase", "", func() float64 { return float64(c.lastOrders().Phase) })
+	metricSet.Gauge("bound_shed", "", func() float64 { return c.lastOrders().Bounds.MinShedFraction })
+	c.running.Go(c.run)
 }
 
-// warmUp gives the host what is still valid of the checkpoint. It is called after the
-// list of servers has arrived and before the first request.
-func (f *coordinator) warmUp() {
-	previous, age := f.checkpoint.previous, f.checkpoint.age
+// warmUp restores what is still valid of the checkpoint. It is called after the list of servers has
+// arrived and before the first request.
+func (c *coordinator) warmUp() {
+	previous, age := c.checkpoint.previous, c.checkpoint.age
 	if previous == nil {
 		return
 	}
-	learned, weight := recovery.Retained(previous.Learned, age, f.lastOrders().Verdict)
-	f.host.Learn(learned, age)
+	learned, weight := recovery.Retained(previous.Learned, age, c.lastOrders().Verdict)
+	c.host.Learn(learned, age)
 	slog.Info("checkpoint restored as a hint", "age", age, "times", len(learned.Primary), "servers", len(learned.Servers), "demand", previous.Demand, "weight", weight)
 }
 
 // currentLink returns the link to peers, nil if there is none.
-func (f *coordinator) currentLink() *link.Link {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.link
+func (c *coordinator) currentLink() *link.Link {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.link
 }
 
 // withNode calls use with the peers.Node, if there is one.
-func (f *coordinator) withNode(use func(now time.Duration, node *peers.Node)) {
-	if l := f.currentLink(); l != nil {
+func (c *coordinator) withNode(use func(now time.Duration, node *peers.Node)) {
+	if l := c.currentLink(); l != nil {
 		l.Do(use)
 	}
 }
 
-// lastOrders returns what the recovery machine decided last.
-func (f *coordinator) lastOrders() recovery.Orders {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.orders
+// lastOrders returns the last orders of the recovery machine.
+func (c *coordinator) lastOrders() recovery.Orders {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.orders
 }
 
 // run steps the recovery machine whenever it is due, until close.
-func (f *coordinator) run() {
+func (c *coordinator) run() {
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for {
 		select {
-		case <-f.stop:
+		case <-c.stop:
 			return
 		case <-due.C:
 		}
-		f.stepRecovery()
-		if now := time.Now(); f.checkpoint.isDue(now) {
-			f.saveCheckpoint(now)
+		c.stepRecovery()
+		if now := time.Now(); c.checkpoint.isDue(now) {
+			c.saveCheckpoint(now)
 		}
-		due.Reset(max(f.machine.Due()-time.Since(f.started), time.Millisecond))
+		due.Reset(max(c.machine.Due()-time.Since(c.started), time.Millisecond))
 	}
 }
 
-// stepRecovery brings the recovery machine what is known, and carries out its orders.
-func (f *coordinator) stepRecovery() {
-	before := f.lastOrders()
+// stepRecovery passes the current state to the recovery machine and carries out its orders.
+func (c *coordinator) stepRecovery() {
+	before := c.lastOrders()
 	if before.Phase != recovery.Serving {
-		f.receivePeerPhases()
+		c.receivePeerPhases()
 	}
 	var orders recovery.Orders
-	f.host.Steer(func(now time.Duration, arrivals uint64, b *martendrum.Balancer) {
-		f.machine.SetArrivals(arrivals)
-		f.machine.SetCapacity(b.Capacity(now))
-		orders = f.machine.Tick(time.Since(f.started))
+	c.host.Steer(func(now time.Duration, arrivals uint64, b *martendrum.Balancer) {
+		c.machine.SetArrivals(arrivals)
+		c.machine.SetCapacity(b.Capacity(now))
+		orders = c.machine.Tick(time.Since(c.started))
 		b.SetBounds(orders.Bounds)
 	})
-	f.mu.Lock()
-	f.orders = orders
-	f.mu.Unlock()
-	f.withNode(func(now time.Duration, node *peers.Node) { node.SetPhase(now, uint8(orders.Phase)) })
-	f.logChange(before, orders)
+	c.mu.Lock()
+	c.orders = orders
+	c.mu.Unlock()
+	c.withNode(func(now time.Duration, node *peers.Node) { node.SetPhase(now, uint8(orders.Phase)) })
+	c.logChange(before, orders)
 }
 
-// receivePeerPhases brings the recovery machine the phases that peers publish.
-func (f *coordinator) receivePeerPhases() {
-	f.withNode(func(now time.Duration, node *peers.Node) {
+// receivePeerPhases passes the phases that peers publish to the recovery machine.
+func (c *coordinator) receivePeerPhases() {
+	c.withNode(func(now time.Duration, node *peers.Node) {
 		for member := range node.DirectMembers(now) {
-			f.machine.ReceiveReport(int(member.Rank), recovery.Report{Phase: recovery.Phase(member.Phase), Age: member.Age})
+			c.machine.ReceiveReport(int(member.Rank), recovery.Report{Phase: recovery.Phase(member.Phase), Age: member.Age})
 		}
 	})
 }
 
-// logChange logs how new orders differ from those before.
-func (f *coordinator) logChange(before, orders recovery.Orders) {
+// logChange logs how new orders differ from the previous ones.
+func (c *coordinator) logChange(before, orders recovery.Orders) {
 	if orders.Phase != before.Phase {
-		slog.Info("phase "+orders.Phase.String(), "verdict", orders.Verdict, "after", time.Since(f.started).Round(time.Millisecond), "shed", orders.Bounds.MinShedFraction)
+		slog.Info("phase "+orders.Phase.String(), "verdict", orders.Verdict, "after", time.Since(c.started).Round(time.Millisecond), "shed", orders.Bounds.MinShedFraction)
 		return
 	}
 	if sheds := orders.Bounds.MinShedFraction > 0; sheds != (before.Bounds.MinShedFraction > 0) {
@@ -194,23 +193,23 @@
 	}
 }
 
-// saveCheckpoint writes the checkpoint, if there is one and the sidecar serves as usual.
-func (f *coordinator) saveCheckpoint(now time.Time) {
-	if f.checkpoint.path == "" || f.machine == nil || f.lastOrders().Phase != recovery.Serving {
+// saveCheckpoint writes the checkpoint, if one is configured and the recovery phase is Serving.
+func (c *coordinator) saveCheckpoint(now time.Time) {
+	if c.checkpoint.path == "" || c.machine == nil || c.lastOrders().Phase != recovery.Serving {
 		return
 	}
-	c := checkpoint.Checkpoint{Saved: clock.Wall().UnixMilli(), Demand: f.machine.UsualDemand(), Learned: f.host.Learned()}
-	f.withNode(func(_ time.Duration, node *peers.Node) { c.Incarnation = node.Incarnation() })
-	f.checkpoint.save(now, c)
+	saved := checkpoint.Checkpoint{Saved: clock.Wall().UnixMilli(), Demand: c.machine.UsualDemand(), Learned: c.host.Learned()}
+	c.withNode(func(_ time.Duration, node *peers.Node) { saved.Incarnation = node.Incarnation() })
+	c.checkpoint.save(now, saved)
 }
 
-// close stops all of it after a last checkpoint, and informs the peers that this sidecar
+// close stops the coordinator, writes a last checkpoint and tells the peers that this sidecar
 // terminates.
-func (f *coordinator) close() {
-	close(f.stop)
-	f.running.Wait()
-	f.saveCheckpoint(time.Now())
-	if l := f.currentLink(); l != nil {
+func (c *coordinator) close() {
+	close(c.stop)
+	c.running.Wait()
+	c.saveCheckpoint(time.Now())
+	if l := c.currentLink(); l != nil {
 		l.Close()
 	}
 }
--- a/cmd/sidecar/gauges.go
+++ b/cmd/sidecar/gauges.go
@@ -8,7 +8,7 @@
 	"martendrum/internal/peers"
 )
 
-// addGauges adds the metrics whose values the parts of the process know.
+// addGauges adds the metrics that are read from the parts of the process.
 func (p *sidecarProcess) addGauges() {
 	set, r := p.metrics, p.resources
 	host, server, pool, watcher := r.host, r.server, r.pool, p.watcher
@@ -31,30 +31,30 @@
 	set.Gauge("share", `of="memory_mb"`, func() float64 { return float64(r.currentQuota().MemoryMB) })
 }
 
-// addPeerGauges adds the metrics of what is exchanged with peers.
-func (f *coordinator) addPeerGauges(metricSet *metrics.Set) {
-	ask := func(read func(now time.Duration, node *peers.Node) float64) func() float64 {
+// addPeerGauges adds the metrics of the exchange with peers. They are NaN while there is no link.
+func (c *coordinator) addPeerGauges(metricSet *metrics.Set) {
+	fromNode := func(read func(now time.Duration, node *peers.Node) float64) func() float64 {
 		return func() float64 {
 			v := math.NaN()
-			f.withNode(func(now time.Duration, node *peers.Node) { v = read(now, node) })
+			c.withNode(func(now time.Duration, node *peers.Node) { v = read(now, node) })
 			return v
 		}
 	}
 	count := func(name, labels string, of func(peers.Stats) uint64) {
-		metricSet.Gauge(name, labels, ask(func(_ time.Duration, node *peers.Node) float64 { return float64(of(node.Stats())) }))
+		metricSet.Gauge(name, labels, fromNode(func(_ time.Duration, node *peers.Node) float64 { return float64(of(node.Stats())) }))
 	}
-	metricSet.Gauge("peers", `state="living"`, ask(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Living) }))
-	metricSet.Gauge("peers", `state="known"`, ask(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Known) }))
-	metricSet.Gauge("peers", `state="all"`, ask(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Size) }))
-	metricSet.Gauge("peer_life", "", ask(func(_ time.Duration, node *peers.Node) float64 { return float64(node.Incarnation()) }))
-	metricSet.Gauge("peer_health", "", ask(func(_ time.Duration, node *peers.Node) float64 { return float64(node.Health()) }))
+	metricSet.Gauge("peers", `state="living"`, fromNode(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Living) }))
+	metricSet.Gauge("peers", `state="known"`, fromNode(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Known) }))
+	metricSet.Gauge("peers", `state="all"`, fromNode(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Size) }))
+	metricSet.Gauge("peer_life", "", fromNode(func(_ time.Duration, node *peers.Node) float64 { return float64(node.Incarnation()) }))
+	metricSet.Gauge("peer_health", "", fromNode(func(_ time.Duration, node *peers.Node) float64 { return float64(node.Health()) }))
 	count("peer_bytes", `way="out"`, func(s peers.Stats) uint64 { return s.SentBytes })
 	count("peer_bytes", `way="in"`, func(s peers.Stats) uint64 { return s.ReceivedBytes })
 	count("peer_dropped", `why="damaged"`, func(s peers.Stats) uint64 { return s.Damaged })
 	count("peer_dropped", `why="refused"`, func(s peers.Stats) uint64 { return s.Rejected })
 	count("peer_dropped", `why="ceiling"`, func(s peers.Stats) uint64 { return s.Withheld })
 	metricSet.Gauge("peer_dropped", `why="stranger"`, func() float64 {
-		if l := f.currentLink(); l != nil {
+		if l := c.currentLink(); l != nil {
 			return float64(l.Counts().UnknownSenders)
 		}
 		return math.NaN()
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -14,13 +14,13 @@
 	"martendrum/internal/ratelimitlog"
 )
 
-// agentVersion is the version of what this program and its agent exchange: the fields of
-// health responses, the admin endpoint's metrics, the environment it is started with.
+// agentVersion is the version of the interface between this program and its agent: the fields of
+// health responses, the metrics of the admin endpoint, and the environment at the start.
 const agentVersion = 1
 
-// signals are the signals that a running sidecar acts on.
+// signals are the signals that a running sidecar handles.
 type signals struct {
-	terminate <-chan time.Time // when SIGTERM or an interrupt came: stop
+	terminate <-chan time.Time // the arrival of SIGTERM or an interrupt: stop
 	reload    <-chan os.Signal // SIGHUP: read the configuration again
 }
 
@@ -41,9 +41,9 @@
 	}
 }
 
-// notifySignals subscribes to the signals that a sidecar acts on. The time of the first
-// signal to end is taken when it comes, not when it is acted on: the supervisor's clock runs
-// from then. The goroutine that takes it ends with the process.
+// notifySignals subscribes to the signals that a sidecar handles. The time of the first SIGTERM or
+// interrupt is recorded on its arrival, because the supervisor's timeout runs from then. The
+// goroutine that receives it lives as long as the process.
 func notifySignals() signals {
 	raw, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(raw, syscall.SIGTERM, os.Interrupt)
@@ -56,8 +56,8 @@
 	return signals{terminate: terminate, reload: reload}
 }
 
-// printVersions prints the versions of the protocols that this program speaks, for an
-// agent that may run it side by side with another version. The fields are those of
+// printVersions prints the versions of the protocols that this program speaks, for an agent that may
+// run it side by side with another version. The fields are those of
 // internal/fleet/host/compatibility, which this program does not link.
 func printVersions() {
 	fmt.Printf("{\"program\": \"sidecar\", \"hand_over\": %d, \"snapshot\": %d, \"record\": %d, \"agent\": %d}\n",
--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// listTimeout is how long a start waits at most for the list of servers: the one in
-	// its configuration may be old.
+	// listTimeout is how long a start waits at most for discovery's list of servers, since the
+	// list in its configuration may be outdated.
 	listTimeout = 250 * time.Millisecond
 	// sweepInterval is how often connections to servers that have been idle for too long
 	// are closed.
@@ -27,8 +27,8 @@
 	retryInterval = 100 * time.Millisecond
 )
 
-// sidecarProcess is a running sidecar: its parts, and its place between the process before it
-// and the one after. The goroutine of serve owns it.
+// sidecarProcess is a running sidecar: its parts, and its links to the previous and the next process
+// of the same sidecar. The goroutine of serve owns it.
 type sidecarProcess struct {
 	config      *config
 	resources   *resources
@@ -39,17 +39,18 @@
 
 	place       *link.Place // of the hand-over; nil: processes don't hand over
 	predecessor *link.New   // the process that this one takes over from; nil as place
-	successor   *link.Old   // for the process that takes over from this one; nil until this one is alone
+	successor   *link.Old   // offers the hand-over to the next process; nil until the predecessor has exited
 
-	// Events of the predecessor; nil where there is none.
+	// Events of the hand-over from the predecessor; nil without hand-over. alone is closed when no
+	// predecessor is left; resumedListeners brings the listeners of one that was suspended.
 	alone            <-chan struct{}
 	resumedListeners <-chan []*net.TCPListener
 	failed           <-chan error
 
 	inheritedIDs *link.IDs        // shared with the predecessor; nil: none
-	idsExpired   <-chan time.Time // when inheritedIDs are not needed any more
+	idsExpired   <-chan time.Time // fires when inheritedIDs are not needed any more
 
-	listed      chan struct{} // discovery has sent a list
+	listed      chan struct{} // signals that discovery has sent a list
 	listTimeout *time.Timer
 	acceptOnce  sync.Once
 }
@@ -74,12 +75,12 @@
 	return p.predecessor != nil && p.predecessor.Shared()
 }
 
-// serve accepts clients and acts on events until the process is to end.
+// serve accepts clients and handles events until the process ends.
 func (p *sidecarProcess) serve(on signals) error {
 	p.listTimeout = time.NewTimer(listTimeout)
 	defer p.listTimeout.Stop()
 	if !p.sharesWithPredecessor() {
-		p.accept() // no other process accepts, and clients would wait in the queue
+		p.accept() // no other process accepts: clients would wait in the accept queue
 	}
 	if p.config.pollsDiscovery {
 		p.becomeReady()
@@ -115,7 +116,7 @@
 	}
 }
 
-// accept starts to accept clients, once.
+// accept starts to accept clients. Only the first call has an effect.
 func (p *sidecarProcess) accept() {
 	p.acceptOnce.Do(func() { p.resources.accept(p.resources.listeners) })
 }
@@ -133,8 +134,8 @@
 	go p.watcher.Follow()
 }
 
-// becomeReady lets the process accept clients, after it has restored what an earlier process
-// had learned. Only the first call has an effect.
+// becomeReady restores what an earlier process had learned, and then makes this one accept clients.
+// Only the first call has an effect.
 func (p *sidecarProcess) becomeReady() {
 	host := p.resources.host
 	if host.Ready() {
@@ -152,8 +153,8 @@
 	}
 }
 
-// takeOverListeners takes listeners over from a predecessor that was stalled, so that this
-// process had opened a socket of its own, and that runs again now.
+// takeOverListeners takes over the listeners of a predecessor that was suspended when this process
+// started, so that this one has opened a listener of its own, and that has resumed.
 func (p *sidecarProcess) takeOverListeners(listeners []*net.TCPListener) {
 	p.resources.setListeners(slices.Concat(listeners, p.resources.listeners))
 	p.inheritIDs()
@@ -164,12 +165,12 @@
 	}
 }
 
-// continueAlone takes over the full limits after the predecessor's end, and prepares for a
-// successor.
+// continueAlone takes over the full limits after the predecessor's exit, and prepares the hand-over to
+// a successor.
 func (p *sidecarProcess) continueAlone() {
 	p.alone = nil
 	select {
-	case listeners := <-p.resumedListeners: // the predecessor ran again and has ended since
+	case listeners := <-p.resumedListeners: // the predecessor resumed, handed over and has exited
 		p.takeOverListeners(listeners)
 	default:
 	}
@@ -177,7 +178,7 @@
 	r.Limit(c.fullQuota())
 	if p.inheritedIDs != nil {
 		p.idsExpired = time.After(idtable.EntryTTL)
-		r.host.RemoveTally(p.inheritedIDs) // the predecessor's requests have ended with it
+		r.host.RemoveTally(p.inheritedIDs) // the predecessor has no requests in flight any more
 	}
 	listen, host := c.listenAddr, r.host // p.config may change before the snapshot is taken
 	protocol := handover.NewOld(listen, c.fullQuota(), func() []byte { return snapshot(listen, host) })
@@ -197,8 +198,8 @@
 	}
 }
 
-// inheritIDs shares the ids of open and recent requests with the predecessor, if there
-// is one. They stay known for idtable.EntryTTL after its end.
+// inheritIDs shares the ids of open and recent requests with the predecessor, if there is one. They
+// stay known for idtable.EntryTTL after its exit.
 func (p *sidecarProcess) inheritIDs() {
 	if p.predecessor == nil {
 		return
@@ -216,8 +217,8 @@
 	}
 }
 
-// reloadPending applies the file once more if a SIGHUP is pending, because the shutdown is
-// planned by the deadlines in force.
+// reloadPending applies the file if a SIGHUP is pending, because the shutdown is planned by the
+// deadlines in force.
 func (p *sidecarProcess) reloadPending(reload <-chan os.Signal) {
 	select {
 	case <-reload:
@@ -246,7 +247,7 @@
 		p.successor.Retuned(next.fullQuota())
 	case p.predecessor == nil:
 		r.Limit(next.fullQuota())
-	default: // the predecessor decides about the quota
+	default: // the predecessor still divides the limits
 		r.Limit(r.currentQuota())
 	}
 	r.server.SetHealth(healthConfigHash, next.fileHash)
@@ -257,8 +258,8 @@
 	next.logSettings("configuration applied")
 }
 
-// retryUntil calls done at each retryInterval until it returns true or stop is closed. It is
-// used for resources that a predecessor has to release first.
+// retryUntil calls done at each retryInterval until it returns true or stop is closed. It waits for
+// addresses that a predecessor has to release first.
 func retryUntil(stop <-chan struct{}, done func() bool) {
 	retry := time.NewTicker(retryInterval)
 	defer retry.Stop()
--- a/cmd/sidecar/record.go
+++ b/cmd/sidecar/record.go
@@ -18,6 +18,9 @@
 	"martendrum/internal/settings"
 )
 
+// recordOpenTimeout bounds the opening of the store at the start.
+const recordOpenTimeout = 30 * time.Second
+
 // recordPingTimeout bounds the check of the store at the start. The sidecar starts while the
 // store is unavailable, but not with one that is unusable.
 const recordPingTimeout = time.Second
@@ -29,7 +32,7 @@
 	recorder recorder.Config
 }
 
-// Sockets is how many descriptors the store takes at most.
+// Sockets returns how many descriptors the store uses at most.
 func (c *recordConfig) Sockets() int {
 	if c == nil {
 		return 0
@@ -37,37 +40,38 @@
 	return c.Config.Sockets()
 }
 
+// loadRecord reads the store's file; sockets is how many descriptors the store may use.
 func loadRecord(path string, set *settings.Settings, sockets int) (*recordConfig, error) {
 	c, err := storeconfig.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	k, err := c.Keeper(set, sockets)
-	return &recordConfig{c, k}, err
+	recorderConfig, err := c.Keeper(set, sockets)
+	return &recordConfig{c, recorderConfig}, err
 }
 
-// openRecord opens the idempotency store; nil if there is none. lock is its ownership, where
-// a predecessor passed that on.
+// openRecord opens the idempotency store; nil if there is none. lock is its ownership if a predecessor
+// has handed that over.
 func openRecord(c *config, lock *os.File) (requestRecorder, error) {
 	if c.record == nil {
 		return nil, nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), recordOpenTimeout)
 	defer cancel()
-	b, err := c.record.Open(ctx, true, lock)
+	store, err := c.record.Open(ctx, true, lock)
 	if err != nil {
 		return nil, fmt.Errorf("MARTENDRUM_RECORD: %w", err)
 	}
-	ask, cancelAsk := context.WithTimeout(ctx, recordPingTimeout)
-	defer cancelAsk()
-	switch err := b.Ping(ask); {
+	pingContext, cancelPing := context.WithTimeout(ctx, recordPingTimeout)
+	defer cancelPing()
+	switch err := store.Ping(pingContext); {
 	case errors.Is(err, idempotency.ErrUnusable), errors.Is(err, idempotency.ErrReadOnly):
-		b.Close()
+		store.Close()
 		return nil, fmt.Errorf("MARTENDRUM_RECORD: %w", err)
 	case err != nil:
 		slog.Warn("idempotency store unavailable at the start", "err", err)
 	}
-	return recorder.New(c.record.recorder, b), nil
+	return recorder.New(c.record.recorder, store), nil
 }
 
 // recordVersion is the schema version of the idempotency store that this build reads and
--- a/cmd/sidecar/recorder.go
+++ b/cmd/sidecar/recorder.go
@@ -9,18 +9,18 @@
 	"martendrum/internal/sidecar"
 )
 
-// recordFlushTimeout is how long the last ends of requests may take to be written: it
-// fits between the last response and SIGKILL.
+// recordFlushTimeout bounds the writing of the last results of requests. It fits between the last
+// response and SIGKILL.
 const recordFlushTimeout = 200 * time.Millisecond
 
 // requestRecorder is the idempotency store of a build that has one, see record.go.
 type requestRecorder interface {
 	sidecar.Recorder
-	// Status is the state of the store, for health responses.
+	// Status returns the state of the store, for health responses.
 	Status() string
-	// Lock is the ownership that a successor needs to use the store at the same time; nil: none.
+	// Lock returns the ownership that a successor needs to use the store at the same time; nil: none.
 	Lock() *os.File
-	// Close writes what is buffered, as long as ctx allows.
+	// Close writes buffered results until ctx ends, and closes the store.
 	Close(ctx context.Context) error
 }
 
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -23,12 +23,12 @@
 	// reservedSockets is the number of descriptors reserved for the listener, discovery,
 	// the runtime and the log.
 	reservedSockets = 24
-	// unknownResidentMB is assumed where the resident memory can't be read.
+	// unknownResidentMB is assumed if the resident memory can't be read.
 	unknownResidentMB = 1 << 10
 )
 
-// resources keeps the parts of a process within its quota of the limits, which two processes
-// divide during a hand-over. It implements link.Host.
+// resources keeps the parts of a process within its quota of the limits. Two processes divide the
+// limits during a hand-over. It implements link.Host.
 type resources struct {
 	mu     sync.Mutex
 	config *config
@@ -44,7 +44,7 @@
 	stopping  bool
 }
 
-// fullQuota is all that one sidecar may use by its configuration.
+// fullQuota returns all that the sidecar may use by its configuration.
 func (c *config) fullQuota() handover.Quota {
 	inFlight := c.settings.MaxInFlight
 	if inFlight == 0 {
@@ -53,7 +53,8 @@
 	return handover.Quota{Sockets: c.sockets, MemoryMB: c.memoryMB, InFlight: inFlight}
 }
 
-// reservedDescriptors is the number of descriptors of a quota that clients and servers can't use.
+// reservedDescriptors returns how many descriptors of a quota connections of clients and servers
+// can't use.
 func (c *config) reservedDescriptors() int {
 	n := reservedSockets + c.record.Sockets()
 	if c.adminAddr != "" {
@@ -62,7 +63,7 @@
 	return n
 }
 
-// applyQuota sets the limits of the runtime and returns those of the process's parts.
+// applyQuota sets the limits of the Go runtime and returns those of the process's parts.
 func (c *config) applyQuota(quota handover.Quota) (upstream.Config, downstream.Config) {
 	memory := int64(quota.MemoryMB) << 20
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.cores))))
@@ -81,7 +82,7 @@
 	return upstreamConfig, downstreamConfig
 }
 
-// createParts creates the parts, under the limits of the quota in force.
+// createParts creates the parts under the quota in force.
 func (r *resources) createParts(watcher *discovery.Watcher) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +110,7 @@
 		r.server.Limit(downstreamConfig)
 		r.host.Limit(quota.InFlight, r.config.fullQuota().InFlight)
 	}
-	if fewerSockets && r.pool != nil && !r.stopping { // a terminating process releases only what it does not use
+	if fewerSockets && r.pool != nil && !r.stopping { // a terminating process closes no connection for its quota
 		r.server.Trim()
 		r.pool.Trim()
 		debug.FreeOSMemory()
@@ -117,28 +118,28 @@
 	slog.Info("share of the limits", "sockets", quota.Sockets, "memory_mb", quota.MemoryMB, "held", quota.InFlight)
 }
 
-// currentQuota is the quota in force.
+// currentQuota returns the quota in force.
 func (r *resources) currentQuota() handover.Quota {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.quota
 }
 
-// setConfig replaces the configuration. Limit puts its limits in force.
+// setConfig replaces the configuration. Its limits come into force with the next call of Limit.
 func (r *resources) setConfig(c *config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.config = c
 }
 
-// setListeners sets where the process accepts.
+// setListeners sets the listeners of the process.
 func (r *resources) setListeners(listeners []*net.TCPListener) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listeners = listeners
 }
 
-// accept serves on listeners.
+// accept starts a goroutine that accepts clients for each listener.
 func (r *resources) accept(listeners []*net.TCPListener) {
 	for _, listener := range listeners {
 		r.accepting.Go(func() { r.server.Serve(listener) })
@@ -152,8 +153,8 @@
 	for _, listener := range r.listeners {
 		listener.Close()
 	}
-	// Accepted connections are registered with the server when this returns, so that the
-	// resources they need are not released.
+	// When this returns, every accepted connection is registered with the server and is counted
+	// by used.
 	r.accepting.Wait()
 }
 
@@ -171,25 +172,25 @@
 	r.host.RemoveTally(ids)
 }
 
-// setStopping notes that the process is about to end.
+// setStopping records that the process terminates.
 func (r *resources) setStopping() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stopping = true
 }
 
-// used is what the process still uses of its quota.
+// used returns what the process still uses of its quota.
 func (r *resources) used() handover.Quota {
 	return handover.Quota{
-		// Each request that may come on a client's connection needs one to a server.
+		// A request on a client's connection needs another connection, to a server.
 		Sockets:  r.config.reservedDescriptors() + 2*max(r.server.Conns(), r.pool.Conns()),
 		MemoryMB: residentMB(),
-		// The same for requests in flight, where no tally is shared.
+		// Each client connection may bring a request, which only a shared tally would count.
 		InFlight: max(r.host.InFlight(), r.server.Conns()),
 	}
 }
 
-// residentMB is the resident memory of the process, rounded up.
+// residentMB returns the resident memory of the process in MB, rounded up.
 func residentMB() int {
 	data, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/cmd/sidecar/seams_on.go
+++ b/cmd/sidecar/seams_on.go
@@ -14,22 +14,23 @@
 	"martendrum/internal/shutdown"
 )
 
-// A build with the tag seams breaks the rules that MARTENDRUM_SEAMS names, so that the
-// process tests can be shown to detect it. No release is built so.
+// A build with the tag seams breaks the rules that MARTENDRUM_SEAMS names, to show that the process
+// tests detect it. Releases are built without the tag.
 const (
-	seamLateShutdown = "late-stop"    // a shutdown is planned as if the deadlines were longer
-	seamDeafToDrain  = "deaf-drain"   // draining and removed servers stay on the list
-	seamDeadlines    = "no-deadlines" // the deadlines that clients state are ignored
+	seamDelayedShutdown = "late-stop"    // a shutdown is planned as if the deadlines were longer
+	seamDeafToDrain     = "deaf-drain"   // draining and removed servers stay on the list
+	seamDeadlines       = "no-deadlines" // the deadlines that clients state are ignored
 )
 
-// shutdownDelay is by how much seamLateShutdown delays the planned end of the process.
+// shutdownDelay is by how much seamDelayedShutdown delays the planned end of the process.
 const shutdownDelay = time.Hour
 
+// seam reports whether MARTENDRUM_SEAMS contains a name.
 func seam(name string) bool {
 	return slices.Contains(strings.Split(os.Getenv("MARTENDRUM_SEAMS"), ","), name)
 }
 
-// seamListed returns what takes lists of servers.
+// seamListed returns the callback for lists of servers, without draining entries if the seam is on.
 func seamListed(listed func(*discovery.List)) func(*discovery.List) {
 	if !seam(seamDeafToDrain) {
 		return listed
@@ -41,9 +42,9 @@
 	}
 }
 
-// seamPlan returns the plan of a shutdown.
+// seamPlan returns the plan of a shutdown, delayed if the seam is on.
 func seamPlan(plan shutdown.Plan) shutdown.Plan {
-	if seam(seamLateShutdown) {
+	if seam(seamDelayedShutdown) {
 		plan.AnswerAll, plan.End = plan.AnswerAll+shutdownDelay, plan.End+shutdownDelay
 	}
 	return plan
@@ -58,7 +59,7 @@
 	d.Handler.Arrive(x)
 }
 
-// seamHandler returns the handler of the clients' requests.
+// seamHandler returns the handler of clients' requests, without their deadlines if the seam is on.
 func seamHandler(handler downstream.Handler) downstream.Handler {
 	if seam(seamDeadlines) {
 		return deafHandler{handler}
--- a/cmd/sidecar/snapshot.go
+++ b/cmd/sidecar/snapshot.go
@@ -8,8 +8,8 @@
 	"martendrum/internal/sidecar"
 )
 
-// snapshot returns what this process has learned, for the next one; empty if it can't be
-// encoded.
+// snapshot returns what this process has learned in encoded form, for the next process; nil if it
+// can't be encoded.
 func snapshot(listen string, host *sidecar.Host) []byte {
 	data, err := handover.Encode(handover.Snapshot{Listen: listen, Saved: clock.Wall().UnixNano(), Learned: host.Learned()})
 	if err != nil {
@@ -19,15 +19,15 @@
 	return data
 }
 
-// saveSnapshot stores what this process has learned, for one that starts later.
+// saveSnapshot stores what this process has learned, for a process that starts later.
 func (p *sidecarProcess) saveSnapshot() {
 	if err := p.place.Save(snapshot(p.config.listenAddr, p.resources.host)); err != nil {
 		slog.Warn("learned state not stored", "err", err)
 	}
 }
 
-// warmUp takes over what the process before this one had learned, handed over or stored,
-// and reports whether there was any. Nothing depends on it: what is unusable is ignored.
+// warmUp restores what the previous process had learned, from its hand-over or from the stored file,
+// and reports whether there was any. An unusable snapshot is logged and ignored.
 func (p *sidecarProcess) warmUp() bool {
 	data, from := p.predecessor.Snapshot(), "the old process"
 	if len(data) == 0 && p.place.Locked() {
--- a/cmd/sidecar/stop.go
+++ b/cmd/sidecar/stop.go
@@ -11,19 +11,19 @@
 const (
 	// stopPollInterval is how often a stopping process checks what is still open.
 	stopPollInterval = 10 * time.Millisecond
-	// successorRounds is how many polls come between two questions to the successor.
+	// successorRounds is the number of polls between two queries of the successor.
 	successorRounds = 10
-	// While a successor serves, a client's connection is closed once it has been idle for
-	// idleBeforeClose: its client is not about to use it.
+	// idleBeforeClose is how long a connection must have been idle to be closed while a
+	// successor serves, so that its client is unlikely to be using it.
 	idleBeforeClose = 300 * time.Millisecond
-	// A process that was stopped by SIGSTOP may see SIGTERM and a successor at the same
-	// time. It waits for the successor for minSuccessorRounds polls before it closes idle
-	// connections under its clients, and for maxSuccessorRounds once one has connected.
+	// A process that resumes after SIGSTOP may see SIGTERM and a successor at the same time. It
+	// waits for a successor for minSuccessorRounds polls before it closes all idle connections,
+	// and for maxSuccessorRounds polls once a successor has connected.
 	minSuccessorRounds = 2
 	maxSuccessorRounds = 30
 )
 
-// stop serves until every request is answered; SIGTERM came at signalledAt. Unless a successor
+// stop serves until every request is answered; SIGTERM arrived at signalledAt. Unless a successor
 // serves, it then stores what this process has learned.
 func (p *sidecarProcess) stop(signalledAt time.Time) {
 	replaced := newShutdown(signalledAt, p.config, p.resources, p.successor).run()
@@ -32,11 +32,11 @@
 	}
 }
 
-// gracefulShutdown is a stop in progress.
+// gracefulShutdown is a shutdown in progress.
 type gracefulShutdown struct {
 	resources   *resources
 	successor   *link.Old // nil: no process can take over
-	signalledAt time.Time // when the signal came; the plan's spans count from it
+	signalledAt time.Time // when the signal arrived; the durations of plan count from it
 	plan        shutdown.Plan
 	replaced    bool // a successor serves
 	closed      bool // no connection is accepted any more
@@ -47,16 +47,16 @@
 	return &gracefulShutdown{resources: r, successor: successor, signalledAt: signalledAt, plan: seamPlan(shutdown.For(c.longestDeadline()))}
 }
 
-// run serves on as long as connections may come, and until every request is answered. If
-// a successor serves, no connection comes any more, and those that are open are closed
-// as their clients leave them idle. It returns whether a successor serves.
+// run continues to serve until the plan stops accepting and every request is answered. If a successor
+// serves, this process accepts no more connections and closes its own when they are idle. run
+// returns whether a successor serves.
 func (s *gracefulShutdown) run() (replaced bool) {
 	host, server := s.resources.host, s.resources.server
 	slog.Info("stopping", "held", host.InFlight(), "signal_ago", time.Since(s.signalledAt), "answer_all", s.plan.AnswerAll, "kill", s.plan.Kill)
 	host.StopWithin(time.Until(s.signalledAt.Add(s.plan.AnswerAll)))
 	s.resources.setStopping()
 	s.replaced = s.successor != nil && s.successor.Leave()
-	server.Drain(s.successor != nil) // one may be about to take over: idle connections stay for a moment
+	server.Drain(s.successor != nil) // if a successor may come, idle connections stay open at first
 	for round := 0; ; round++ {
 		switch s.next() {
 		case stepClose:
@@ -69,7 +69,7 @@
 		}
 		time.Sleep(stopPollInterval)
 		if s.successor != nil && round%successorRounds == 0 {
-			s.replaced = s.successor.Needs(s.resources.used()) // a late one may still take over
+			s.replaced = s.successor.Needs(s.resources.used()) // a successor may still take over
 		}
 		server.CloseIdle(s.idleTime(round))
 		server.CloseSilent()
@@ -84,12 +84,11 @@
 
 const (
 	stepWait  shutdownStep = iota
-	stepClose              // stop accepting: nobody may connect between the last check and the end
+	stepClose              // stop accepting, so that no client connects between the last check and the exit
 	stepEnd
 )
 
-// next decides the next step. Whoever connects before stepClose is among the connections
-// after it, and is waited for.
+// next decides the next step. Connections accepted before stepClose are waited for.
 func (s *gracefulShutdown) next() shutdownStep {
 	elapsed := time.Since(s.signalledAt)
 	accepts := !s.replaced && !s.closed
@@ -104,8 +103,7 @@
 	return stepEnd
 }
 
-// mayBeReplaced reports whether a process has come that may take over, which needs the
-// listeners.
+// mayBeReplaced reports whether a process has connected that may take over and needs the listeners.
 func (s *gracefulShutdown) mayBeReplaced() bool { return s.successor != nil && s.successor.Talking() }
 
 // busy reports whether there are connections to wait for.
