--- a/cmd/sidecar/generated_test.go
+++ b/cmd/sidecar/generated_test.go
@@ -135,7 +135,7 @@
 	}
 	var open sync.WaitGroup
 	for n, class := range classes {
-		sendHeld(t, &open, f.listen, fmt.Sprint("held", n), class)
+		sendBlocked(t, &open, f.listen, fmt.Sprint("held", n), class)
 		<-arrived
 	}
 	second, newClasses := generateSettings(rng, true)
@@ -207,9 +207,9 @@
 	return resp.StatusCode
 }
 
-// sendHeld sends a request that the server holds, and checks in the background that it is
+// sendBlocked sends a request that the server holds, and checks in the background that it is
 // answered in the end. open counts it.
-func sendHeld(t *testing.T, open *sync.WaitGroup, addr, id string, class generatedClass) {
+func sendBlocked(t *testing.T, open *sync.WaitGroup, addr, id string, class generatedClass) {
 	t.Helper()
 	request := class.request(t, addr, id, "/held")
 	open.Go(func() {
--- a/cmd/sidecar/inprocess_test.go
+++ b/cmd/sidecar/inprocess_test.go
@@ -21,7 +21,7 @@
 	listen     string
 	terminate  chan time.Time
 	hangup     chan os.Signal
-	ended      chan error // what run returned
+	exited     chan error // what run returned
 	client     *http.Client
 	sent       int
 }
@@ -35,7 +35,7 @@
 		configPath: filepath.Join(t.TempDir(), "config.json"),
 		terminate:  make(chan time.Time, 1),
 		hangup:     make(chan os.Signal, 1),
-		ended:      make(chan error, 1),
+		exited:     make(chan error, 1),
 		client:     &http.Client{Timeout: patience, Transport: &http.Transport{}},
 	}
 	s.writeConfig(text)
@@ -53,7 +53,7 @@
 	s.listen = listener.Addr().String()
 	r := &resources{config: config, listeners: []*net.TCPListener{listener.(*net.TCPListener)}}
 	r.Limit(config.fullQuota())
-	go func() { s.ended <- run(config, r, nil, nil, signals{terminate: s.terminate, reload: s.hangup}) }()
+	go func() { s.exited <- run(config, r, nil, nil, signals{terminate: s.terminate, reload: s.hangup}) }()
 	return s
 }
 
--- a/cmd/sidecar/kill_test.go
+++ b/cmd/sidecar/kill_test.go
@@ -92,14 +92,14 @@
 	p := f.startReadyProcess()
 	var clients sync.WaitGroup
 	for n := range 6 {
-		clients.Go(func() { sendUntilRefused(t, f.listen, fmt.Sprint("before", n), server) })
+		clients.Go(func() { sendUntilBroken(t, f.listen, fmt.Sprint("before", n), server) })
 	}
 	eventually(t, "requests at the server", func() bool { return server.count() >= 6 })
 	stopAt := time.Now()
 	p.Process.Signal(syscall.SIGTERM)
 	for n := range 6 { // new connections go on coming for a while
 		time.Sleep(60 * time.Millisecond)
-		clients.Go(func() { sendUntilRefused(t, f.listen, fmt.Sprint("after", n), server) })
+		clients.Go(func() { sendUntilBroken(t, f.listen, fmt.Sprint("after", n), server) })
 	}
 	select {
 	case <-p.exited:
@@ -114,9 +114,9 @@
 	}
 }
 
-// sendUntilRefused sends requests on one connection until it breaks. A request that the server
+// sendUntilBroken sends requests on one connection until it breaks. A request that the server
 // received must have been answered.
-func sendUntilRefused(t *testing.T, addr, name string, server *hangingServer) {
+func sendUntilBroken(t *testing.T, addr, name string, server *hangingServer) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return // the process has stopped accepting
@@ -185,7 +185,7 @@
 	}
 	select {
 	case id := <-passedOn:
-		t.Errorf("request %s was passed on", id)
+		t.Errorf("request %s was forwarded", id)
 	default:
 	}
 }
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -166,7 +166,7 @@
 		s.t.Errorf("the request open at the stop was answered %v", got)
 	}
 	select {
-	case err := <-s.ended:
+	case err := <-s.exited:
 		if err != nil {
 			s.t.Error(err)
 		}
--- a/cmd/sidecar/upgrade_failures_test.go
+++ b/cmd/sidecar/upgrade_failures_test.go
@@ -11,7 +11,7 @@
 
 // Whichever process fails at whichever step, clients are served.
 func TestUpgradeFailures(t *testing.T) {
-	t.Run("a killed process leaves its files", testKilledProcessLeavesFiles)
+	t.Run("files of a killed process", testFilesOfKilledProcess)
 	t.Run("the old process hangs", testOldProcessHangs)
 	t.Run("the old process is killed during the hand-over", testOldProcessKilledDuringHandover)
 	t.Run("the new process dies after it accepted", testNewProcessDiesAfterAccepting)
@@ -31,7 +31,7 @@
 	}
 }
 
-func testKilledProcessLeavesFiles(t *testing.T) {
+func testFilesOfKilledProcess(t *testing.T) {
 	f := newFixture(t, 256)
 	old := f.startReadyProcess()
 	old.Process.Kill()
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -54,6 +54,7 @@
 	return resp.StatusCode, string(body)
 }
 
+// Each path answers with its status and body, and the others with an error.
 func TestCalls(t *testing.T) {
 	var ready atomic.Bool
 	addr := start(t, &ready)
@@ -61,7 +62,7 @@
 		method, path string
 		ready        bool
 		status       int
-		says         string
+		body         string
 	}{
 		{"GET", "/api/ready", false, 503, "no"},
 		{"GET", "/api/ready", true, 200, "yes"},
@@ -71,9 +72,9 @@
 		{"GET", "/api/ready/", true, 404, "/api/ready"},
 	} {
 		ready.Store(c.ready)
-		status, says := call(t, addr, c.method+" "+c.path+" HTTP/1.1\r\nHost: a\r\n\r\n")
-		if status != c.status || !strings.Contains(says, c.says) {
-			t.Errorf("%s %s, ready %v: %d %q", c.method, c.path, c.ready, status, says)
+		status, body := call(t, addr, c.method+" "+c.path+" HTTP/1.1\r\nHost: a\r\n\r\n")
+		if status != c.status || !strings.Contains(body, c.body) {
+			t.Errorf("%s %s, ready %v: %d %q", c.method, c.path, c.ready, status, body)
 		}
 	}
 	if status, _ := call(t, addr, "GET /api/ready HTTP/1.1\r\nHost: a\r\nX: "+strings.Repeat("x", 64<<10)+"\r\n\r\n"); status != 431 {
@@ -81,8 +82,8 @@
 	}
 }
 
-// Callers that never finish a request, many more than may be connected, keep nobody
-// out, and the oldest is closed first.
+// Callers that never finish a request, many more than may be connected, do not keep others out; the
+// oldest is closed first.
 func TestAnswersUnderLoad(t *testing.T) {
 	var ready atomic.Bool
 	ready.Store(true)
@@ -100,7 +101,7 @@
 		silent = append(silent, c)
 		if n%5 == 0 {
 			if status, _ := call(t, addr, "GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
-				t.Fatalf("beside %d silent callers: %d", n+1, status)
+				t.Fatalf("with %d silent callers: %d", n+1, status)
 			}
 		}
 	}
@@ -108,7 +109,7 @@
 	first, last := silent[0], silent[len(silent)-1]
 	first.SetDeadline(time.Now().Add(patience))
 	if _, err := io.ReadAll(first); err != nil && strings.Contains(err.Error(), "timeout") {
-		t.Error("the longest-silent caller was kept")
+		t.Error("the connection that was silent for the longest is still open")
 	}
 	io.WriteString(last, "GET /api/telemetry HTTP/1.1\r\nHost: a\r\n\r\n")
 	last.SetDeadline(time.Now().Add(patience))
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -22,6 +22,7 @@
 	soon     = 5 * time.Second
 )
 
+// indented is a complete list of version 7 over several lines.
 const indented = `{
 	"index": 7,
 	"snapshot": true,
@@ -36,15 +37,16 @@
 }
 `
 
-// watched follows lists in the order in which they come.
+// watched is a Watcher that queues its lists and failures.
 type watched struct {
 	*Watcher
 	lists  chan *List
 	failed chan error
 }
 
-// follow runs a Watcher before a discovery that does with the n-th call what each says.
-func follow(t *testing.T, asks bool, each func(n int, c net.Conn, r *http.Request)) *watched {
+// follow runs a Watcher with a discovery whose n-th call is handled by each. If polled, it makes one
+// Watch; otherwise it follows the list.
+func follow(t *testing.T, polled bool, each func(n int, c net.Conn, r *http.Request)) *watched {
 	t.Helper()
 	addr := tcp.Requests(t, func(conn, _ int, c net.Conn, r *http.Request) bool {
 		each(conn, c, r)
@@ -53,7 +55,7 @@
 	w := &watched{lists: make(chan *List, 100), failed: make(chan error, 100)}
 	w.Watcher = &Watcher{Addr: addr, Pace: Pace{CallTimeout: patience, RetrySpread: time.Second, MaxBackoff: 500 * time.Millisecond}, Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
 	t.Cleanup(w.Close)
-	if asks {
+	if polled {
 		go func() { w.failed <- w.Watch() }()
 	} else {
 		go w.Follow()
@@ -61,6 +63,7 @@
 	return w
 }
 
+// next returns the next list, within a bound.
 func (w *watched) next(t *testing.T, within time.Duration) *List {
 	t.Helper()
 	select {
@@ -72,12 +75,13 @@
 	}
 }
 
-const answer = "HTTP/1.1 200 OK\r\n\r\n" // its body ends with the connection
+// answer is the head of an answer whose body ends with the connection.
+const answer = "HTTP/1.1 200 OK\r\n\r\n"
 
+// hold keeps a connection open until its client closes it.
 func hold(c net.Conn) { io.Copy(io.Discard, c) }
 
-// Lists are objects one behind the other, on as many lines and in as many pieces as
-// whoever writes them likes.
+// Lists are consecutive JSON objects, over any number of lines and in any number of pieces.
 func TestListsOverLines(t *testing.T) {
 	change := func(index int) string { return fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, index) }
 	for name, pieces := range map[string][]string{
@@ -118,17 +122,17 @@
 // the changes that it missed count as notified, polled or pushed, and continues from the last
 // version received.
 func TestSilentWatchIsReopened(t *testing.T) {
-	for _, asks := range []bool{false, true} {
+	for _, polled := range []bool{false, true} {
 		for name, then := range map[string]func(c net.Conn){
 			"nothing":               hold,
 			"half a list":           func(c net.Conn) { io.WriteString(c, indented[:40]); hold(c) },
 			"half, and empty lines": func(c net.Conn) { io.WriteString(c, "{\"index\":8,"); drip(c, "\n") },
 			"half, drop by drop":    func(c net.Conn) { io.WriteString(c, `{"index":8,"name":"`); drip(c, "x") },
 		} {
-			t.Run(fmt.Sprintf("%s, asks %v", name, asks), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, polled %v", name, polled), func(t *testing.T) {
 				t.Parallel()
 				after := make(chan string, 10)
-				w := follow(t, asks, func(n int, c net.Conn, r *http.Request) {
+				w := follow(t, polled, func(n int, c net.Conn, r *http.Request) {
 					after <- r.URL.Query().Get("after")
 					io.WriteString(c, answer)
 					if n == 0 {
@@ -141,13 +145,13 @@
 				})
 				w.next(t, patience)
 				if l := w.next(t, soon); l.Index != 9 {
-					t.Errorf("asked anew, it got %+v", l)
+					t.Errorf("after it was reopened, it got %+v", l)
 				}
 				if a, b := <-after, <-after; a != "" || b != "7" {
-					t.Errorf("asked after %q, then after %q", a, b)
+					t.Errorf("requested changes after %q, then after %q", a, b)
 				}
-				if asks && len(w.failed) > 0 {
-					t.Errorf("told of a failure: %v", <-w.failed)
+				if polled && len(w.failed) > 0 {
+					t.Errorf("a failure was reported: %v", <-w.failed)
 				}
 			})
 		}
@@ -157,7 +161,7 @@
 // A watch that is silent from its first byte, or after its head, is reopened in time.
 func TestSilentFromTheFirstByte(t *testing.T) {
 	for head, text := range map[string]string{"nothing": "", "a head": answer} {
-		for pace, p := range map[string]Pace{"asked": Polled(), "pushed": Pushed(2 * time.Second)} {
+		for pace, p := range map[string]Pace{"polled": Polled(), "pushed": Pushed(2 * time.Second)} {
 			t.Run(head+", "+pace, func(t *testing.T) {
 				t.Parallel()
 				addr := tcp.Requests(t, func(conn, _ int, c net.Conn, _ *http.Request) bool {
@@ -184,11 +188,11 @@
 // A silent watch and the lost call after it together cost less than the time after which
 // changes count as notified, also where the next response is slow.
 func TestSilentWatchAndLostCall(t *testing.T) {
-	const slow = 1200 * time.Millisecond // an answer of a discovery with much to do
+	const slow = 1200 * time.Millisecond // how long an overloaded discovery takes to answer
 	for name, lost := range map[string]func(c net.Conn){
-		"no answer":   hold,
-		"a head":      func(c net.Conn) { io.WriteString(c, answer); hold(c) },
-		"turned away": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n") },
+		"no answer": hold,
+		"a head":    func(c net.Conn) { io.WriteString(c, answer); hold(c) },
+		"rejected":  func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -218,18 +222,17 @@
 				t.Errorf("it got %+v", l)
 			}
 			if late := time.Since(since); late > maxNotificationDelay-notificationMargin {
-				t.Errorf("told %v after the watch fell silent", late)
+				t.Errorf("notified %v after the watch fell silent", late)
 			}
 		})
 	}
 }
 
-// A move that comes while a second call is awaited is followed at once, and Close ends
-// both calls.
+// An endpoint change during a second call is followed at once, and Close ends both calls.
 func TestEndpointChangeDuringSecondCall(t *testing.T) {
-	asked := make(chan int, 10)
+	calls := make(chan int, 10)
 	addr := tcp.Requests(t, func(conn, _ int, c net.Conn, _ *http.Request) bool {
-		asked <- conn
+		calls <- conn
 		if conn == 0 {
 			io.WriteString(c, answer+indented)
 		}
@@ -242,7 +245,7 @@
 	go func() { w.failed <- w.Watch() }()
 	w.next(t, patience)
 	for conn := range 3 {
-		if got := <-asked; got != conn {
+		if got := <-calls; got != conn {
 			t.Fatalf("call %d came as %d", conn, got)
 		}
 	}
@@ -261,7 +264,7 @@
 	}
 }
 
-// drip writes s ever again until the connection ends.
+// drip writes s again and again until the connection ends.
 func drip(c net.Conn, s string) {
 	for {
 		if _, err := io.WriteString(c, s); err != nil {
@@ -274,11 +277,11 @@
 // Invalid JSON, or a list without end, ends the watch; the next one requests the complete list.
 func TestInvalidListsResetTheIndex(t *testing.T) {
 	for name, text := range map[string]string{
-		"no JSON":     indented + "} {",
-		"no index":    indented + `{"endpoints":[]}`,
-		"gone back":   indented + `{"index":6,"snapshot":false,"endpoints":[]}`,
-		"no object":   indented + "[1, 2]",
-		"without end": indented + `{"index":8,"name":"` + strings.Repeat("x", maxList+1<<16),
+		"no JSON":       indented + "} {",
+		"no index":      indented + `{"endpoints":[]}`,
+		"older version": indented + `{"index":6,"snapshot":false,"endpoints":[]}`,
+		"no object":     indented + "[1, 2]",
+		"without end":   indented + `{"index":8,"name":"` + strings.Repeat("x", maxList+1<<16),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -294,34 +297,34 @@
 			}
 			want := ""
 			if name == "without end" {
-				want = "7" // what is held is sound
+				want = "7" // the list received before is valid
 			}
 			if _, again := <-after, <-after; again != want {
-				t.Errorf("asked again after %q, want %q", again, want)
+				t.Errorf("requested changes after %q, want %q", again, want)
 			}
 		})
 	}
 }
 
-// A second call does not open a second watch, and a move is followed by the one that is
-// open, also while it waits to ask again.
+// A second call does not open a second watch, and an endpoint change is followed by the open one,
+// also while it waits for its retry.
 func TestOneWatchFollowsEndpointChanges(t *testing.T) {
-	held := func(index int) func(int, net.Conn, *http.Request) {
+	holding := func(index int) func(int, net.Conn, *http.Request) {
 		return func(_ int, c net.Conn, _ *http.Request) {
 			io.WriteString(c, answer+strings.Replace(indented, "7", fmt.Sprint(index), 1))
 			hold(c)
 		}
 	}
-	w := follow(t, true, held(7))
+	w := follow(t, true, holding(7))
 	w.next(t, patience)
 	if err := w.Watch(); !errors.Is(err, ErrOpen) {
 		t.Errorf("a second watch: %v", err)
 	}
 	there := tcp.Requests(t, func(conn, _ int, c net.Conn, r *http.Request) bool {
 		if r.URL.Query().Get("after") != "" {
-			t.Error("versions of the old discovery mean nothing to the new one")
+			t.Error("the new discovery got a version of the old one")
 		}
-		held(3)(conn, c, r)
+		holding(3)(conn, c, r)
 		return false
 	})
 	w.SetEndpoint(there, w.Pace)
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -13,13 +13,13 @@
 // For all settings the waits of both paces add up to less than the time after which changes
 // count as notified.
 func TestWaitsAddUp(t *testing.T) {
-	asked := Polled()
-	if w := asked.WorstDelay(); w > maxNotificationDelay-notificationMargin {
-		t.Errorf("asked: %v in all", w)
+	polled := Polled()
+	if w := polled.WorstDelay(); w > maxNotificationDelay-notificationMargin {
+		t.Errorf("polled: %v in all", w)
 	}
-	for _, d := range []time.Duration{asked.CallTimeout, asked.RetrySpread, asked.MaxBackoff, asked.InitialDelay} {
+	for _, d := range []time.Duration{polled.CallTimeout, polled.RetrySpread, polled.MaxBackoff, polled.InitialDelay} {
 		if d < 100*time.Millisecond {
-			t.Errorf("asked: %+v leaves a part no time", asked)
+			t.Errorf("polled: %+v gives a part too little time", polled)
 		}
 	}
 	for grace := time.Duration(0); grace < time.Minute; grace += 10 * time.Millisecond {
@@ -28,7 +28,7 @@
 			t.Errorf("pushed, grace %v: %v in all", grace, w)
 		}
 		if p.CallTimeout < minPushedCallTimeout || p.MaxBackoff*2/3 < minBackoff {
-			t.Errorf("pushed, grace %v: %+v leaves a part no time", grace, p)
+			t.Errorf("pushed, grace %v: %+v gives a part too little time", grace, p)
 		}
 		if grace >= 2*minPushedCallTimeout && p.CallTimeout+p.MaxBackoff > grace*3/4 {
 			t.Errorf("pushed, grace %v: the next answer comes after %v", grace, p.CallTimeout+p.MaxBackoff)
@@ -36,22 +36,21 @@
 	}
 }
 
-// asker is one of many sidecars that ask the same discovery, its calls timed by its own
-// balancer.
-type asker struct {
-	w    *pollWorld
-	b    *martendrum.Balancer
-	told time.Duration // 0: not yet
+// pollingSidecar is one of many sidecars that poll the same discovery. Its Balancer decides when.
+type pollingSidecar struct {
+	world      *pollWorld
+	balancer   *martendrum.Balancer
+	notifiedAt time.Duration // when a list arrived; 0: not yet
 }
 
-// pollWorld is a discovery that works through calls in turn, each of which costs it the
-// same, and turns one away that has waited for two seconds. Given-up calls cost as much.
+// pollWorld simulates a discovery that serves calls one after another, each at the same cost, and
+// rejects a call that has waited for two seconds. An abandoned call costs as much as any other.
 type pollWorld struct {
-	now, back time.Duration // when it comes back
-	refuses   bool          // while it is down; else it says nothing
+	now, back time.Duration // back: when discovery is available again
+	rejects   bool          // calls while it is unavailable; false: it does not answer them
 	cost      time.Duration
-	free      time.Duration // when it has worked through what it has
-	calls     int           // after it is back
+	idleAt    time.Duration // when it has served all calls so far
+	calls     int           // since it is available again
 	queue     pollQueue
 }
 
@@ -73,22 +72,22 @@
 }
 func (w *pollWorld) at(t time.Duration, do func()) { heap.Push(&w.queue, pollEvent{t, do}) }
 
-func (a *asker) Send(martendrum.RequestID, string, time.Duration, time.Duration) {}
-func (a *asker) Cancel(martendrum.RequestID, int)                                {}
-func (a *asker) Reject(martendrum.RequestID, time.Duration)                      {}
-func (a *asker) Fail(martendrum.RequestID)                                       {}
-func (a *asker) CloseIdle(string)                                                {}
-func (a *asker) Probe(string)                                                    {}
-func (a *asker) SetTimer(cookie uint64, after time.Duration) {
-	a.w.at(a.w.now+after, func() { a.b.TimerFired(a.w.now, cookie) })
+func (a *pollingSidecar) Send(martendrum.RequestID, string, time.Duration, time.Duration) {}
+func (a *pollingSidecar) Cancel(martendrum.RequestID, int)                                {}
+func (a *pollingSidecar) Reject(martendrum.RequestID, time.Duration)                      {}
+func (a *pollingSidecar) Fail(martendrum.RequestID)                                       {}
+func (a *pollingSidecar) CloseIdle(string)                                                {}
+func (a *pollingSidecar) Probe(string)                                                    {}
+func (a *pollingSidecar) SetTimer(cookie uint64, after time.Duration) {
+	a.world.at(a.world.now+after, func() { a.balancer.TimerFired(a.world.now, cookie) })
 }
 
 // Subscribe is one call as a Watcher makes it.
-func (a *asker) Subscribe() {
-	w := a.w
-	failed := func() { a.b.DiscoveryFailed(w.now) }
+func (a *pollingSidecar) Subscribe() {
+	w := a.world
+	failed := func() { a.balancer.DiscoveryFailed(w.now) }
 	if w.now < w.back {
-		if w.refuses {
+		if w.rejects {
 			w.at(w.now, failed)
 		} else {
 			w.at(w.now+Polled().CallTimeout, failed)
@@ -96,18 +95,18 @@
 		return
 	}
 	w.calls++
-	begins := max(w.now, w.free)
+	begins := max(w.now, w.idleAt)
 	switch {
 	case begins-w.now > 2*time.Second:
 		w.at(w.now+min(2*time.Second, Polled().CallTimeout), failed)
 	case begins+w.cost-w.now > Polled().CallTimeout:
-		w.free = begins + w.cost
+		w.idleAt = begins + w.cost
 		w.at(w.now+Polled().CallTimeout, failed)
 	default:
-		w.free = begins + w.cost
-		w.at(w.free, func() {
-			if a.told == 0 {
-				a.told = w.now
+		w.idleAt = begins + w.cost
+		w.at(w.idleAt, func() {
+			if a.notifiedAt == 0 {
+				a.notifiedAt = w.now
 			}
 		})
 	}
@@ -118,19 +117,19 @@
 func TestDiscoveryReturnCausesNoCallStorm(t *testing.T) {
 	const count = 300
 	for _, cost := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
-		for _, refuses := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%v a call, refuses %v", cost, refuses), func(t *testing.T) {
+		for _, rejects := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%v a call, rejects %v", cost, rejects), func(t *testing.T) {
 				for seed := range uint64(5) {
 					rng := rand.New(rand.NewPCG(seed, 1))
-					w := &pollWorld{back: 20 * time.Second, refuses: refuses, cost: cost}
+					w := &pollWorld{back: 20 * time.Second, rejects: rejects, cost: cost}
 					p := Polled()
 					cfg := martendrum.Config{Instances: count, MaxAttempts: 1, Classes: []martendrum.Class{{LatencyObjective: time.Second}},
 						MaxListAge: p.InitialDelay * 5 / 4, RetryWithin: p.MaxBackoff}
-					var all []*asker
+					var all []*pollingSidecar
 					for range count {
-						a := &asker{w: w}
+						a := &pollingSidecar{world: w}
 						var err error
-						if a.b, err = martendrum.New(cfg, rng.Uint64(), a); err != nil {
+						if a.balancer, err = martendrum.New(cfg, rng.Uint64(), a); err != nil {
 							t.Fatal(err)
 						}
 						all = append(all, a)
@@ -142,16 +141,16 @@
 					}
 					worst := time.Duration(0)
 					for _, a := range all {
-						if a.told == 0 {
-							t.Fatalf("seed %d: one was never told", seed)
+						if a.notifiedAt == 0 {
+							t.Fatalf("seed %d: one was never notified", seed)
 						}
-						worst = max(worst, a.told-w.back)
+						worst = max(worst, a.notifiedAt-w.back)
 					}
 					if testing.Verbose() {
-						t.Logf("seed %d: the last told after %v, %d calls", seed, worst, w.calls)
+						t.Logf("seed %d: the last was notified after %v, %d calls", seed, worst, w.calls)
 					}
 					if worst > maxNotificationDelay-notificationMargin {
-						t.Errorf("seed %d: the last was told after %v", seed, worst)
+						t.Errorf("seed %d: the last was notified after %v", seed, worst)
 					}
 					if w.calls > 2*count {
 						t.Errorf("seed %d: %d calls of %d sidecars", seed, w.calls, count)
@@ -171,18 +170,18 @@
 	for _, cost := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
 		w := &pollWorld{cost: cost}
 		rng := rand.New(rand.NewPCG(1, 1))
-		told := make([]time.Duration, count)
+		notifiedAt := make([]time.Duration, count)
 		for i := range count {
 			call := func(lost bool, limit time.Duration) {
 				w.calls++
-				w.free = max(w.now, w.free) + w.cost
-				answered := w.free
+				w.idleAt = max(w.now, w.idleAt) + w.cost
+				answered := w.idleAt
 				if lost || answered-w.now > limit {
 					return
 				}
 				w.at(answered, func() {
-					if told[i] == 0 {
-						told[i] = w.now
+					if notifiedAt[i] == 0 {
+						notifiedAt[i] = w.now
 					}
 				})
 			}
@@ -190,7 +189,7 @@
 			lost := rng.IntN(10) == 0
 			w.at(first, func() { call(lost, pace.CallTimeout) })
 			w.at(first+pace.SecondCallDelay, func() {
-				if told[i] == 0 {
+				if notifiedAt[i] == 0 {
 					call(false, pace.secondCallTimeout())
 				}
 			})
@@ -201,15 +200,15 @@
 			e.do()
 		}
 		worst := time.Duration(0)
-		for i, at := range told {
+		for i, at := range notifiedAt {
 			if at == 0 {
-				t.Fatalf("%v a call: sidecar %d was never told", cost, i)
+				t.Fatalf("%v a call: sidecar %d was never notified", cost, i)
 			}
 			worst = max(worst, at)
 		}
-		t.Logf("%v a call: the last told after %v, %d calls", cost, worst, w.calls)
+		t.Logf("%v a call: the last was notified after %v, %d calls", cost, worst, w.calls)
 		if worst > maxNotificationDelay-notificationMargin {
-			t.Errorf("%v a call: the last was told after %v", cost, worst)
+			t.Errorf("%v a call: the last was notified after %v", cost, worst)
 		}
 		if w.calls > 2*count {
 			t.Errorf("%v a call: %d calls", cost, w.calls)
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -98,7 +98,7 @@
 		"the sidecar stops": func(s *Server) string { s.Drain(true); return "" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := &handler{arrived: make(chan *Exchange, 100), gone: make(chan *Exchange, 100)}
+			h := &handler{arrived: make(chan *Exchange, 100), disconnected: make(chan *Exchange, 100)}
 			s := New(Config{MaxConns: 10, MaxBody: 1 << 20}, h)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -187,11 +187,11 @@
 	c.Close()
 	eventually(t, "nothing left", func() bool { return s.Conns() == 0 })
 	if len(h.arrived) > 0 {
-		t.Error("a request read after the closing was passed on")
+		t.Error("a request read after the close was forwarded")
 	}
 }
 
-// A flood of half heads does not keep newcomers out: the oldest half gives way.
+// Many incomplete heads do not keep new clients out: the oldest connection is evicted.
 func TestIncompleteHeadsAreEvicted(t *testing.T) {
 	const limit = 16
 	s, h, addr := start(t, limit)
--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -16,18 +16,18 @@
 	"martendrum/internal/upstream"
 )
 
-// patience is how long a test waits for what must come.
+// patience is how long a test waits for an expected event.
 const patience = 20 * time.Second
 
 // handler holds what arrives until the test answers it.
 type handler struct {
-	arrived chan *Exchange
-	gone    chan *Exchange
+	arrived      chan *Exchange
+	disconnected chan *Exchange
 }
 
 func (h *handler) Arrive(x *Exchange) { h.arrived <- x }
 func (h *handler) ClientDisconnected(x *Exchange) bool {
-	h.gone <- x
+	h.disconnected <- x
 	return true
 }
 func (h *handler) Ready() bool { return true }
@@ -39,9 +39,10 @@
 	return &settings.Class{Name: name, Rules: &martendrum.Class{Idempotency: e}}
 }
 
+// start runs a Server with a connection limit, whose requests arrive at the returned handler.
 func start(t *testing.T, limit int) (*Server, *handler, string) {
 	t.Helper()
-	h := &handler{arrived: make(chan *Exchange, 100), gone: make(chan *Exchange, 100)}
+	h := &handler{arrived: make(chan *Exchange, 100), disconnected: make(chan *Exchange, 100)}
 	s := New(Config{MaxConns: limit, MaxBody: 1 << 20}, h)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,7 +65,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// status is that of the next answer, 0 for a close.
+// status returns the status of the next answer, 0 for the end of the connection.
 func status(t *testing.T, br *bufio.Reader) int {
 	t.Helper()
 	resp, err := http.ReadResponse(br, nil)
@@ -78,6 +79,7 @@
 	return resp.StatusCode
 }
 
+// receive returns the next value of c.
 func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
@@ -88,11 +90,12 @@
 	return v
 }
 
+// look returns an idempotent request.
 func look(id string) string {
 	return "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: look\r\nReq-Deadline-Ms: 500\r\n\r\n"
 }
 
-// What breaks the protocol ends with an error or a close and never arrives.
+// A request that violates the protocol ends with an error or a close, and never arrives.
 func TestMalformedRequests(t *testing.T) {
 	_, h, addr := start(t, 100)
 	post := "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n"
@@ -144,14 +147,14 @@
 	}
 }
 
-// A second request ahead of the first one's answer ends both with an error.
+// A second request before the answer to the first ends both with an error.
 func TestPipelinedRequests(t *testing.T) {
 	_, h, addr := start(t, 10)
 	c, br := dial(t, addr, look("1"))
 	x := receive(t, h.arrived)
 	io.WriteString(c, look("2"))
-	if got := receive(t, h.gone); got != x {
-		t.Error("another request has gone")
+	if got := receive(t, h.disconnected); got != x {
+		t.Error("another request was disconnected")
 	}
 	if got := status(t, br); got != http.StatusBadRequest {
 		t.Errorf("answered %d, want 400", got)
@@ -190,7 +193,7 @@
 	for n := range 3 * recentIDs {
 		id := fmt.Sprint(n)
 		if !i.open(id) {
-			t.Fatal("a new id passed for a known one")
+			t.Fatal("a new id was taken for a known one")
 		}
 		i.close(id)
 		if len(i.known) > recentIDs+1 {
@@ -202,7 +205,8 @@
 	}
 }
 
-// Silent connections give way to clients, and their number stays under the limit.
+// Silent connections are evicted for clients that send requests, and the number of connections stays
+// within the limit.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	const limit = 16
 	s, h, addr := start(t, limit)
@@ -219,7 +223,7 @@
 				t.Fatalf("request %d was answered %d", n, got)
 			}
 		case <-time.After(patience):
-			t.Fatal("a client was kept out")
+			t.Fatal("a client was not served")
 		}
 		if got := s.Conns(); got > limit {
 			t.Fatalf("%d connections, want at most %d", got, limit)
@@ -286,8 +290,8 @@
 			t.Errorf("after %d idle connections: answered %d", n+1, got)
 		}
 		c.Close()
-		if held := s.Conns(); held > limit {
-			t.Errorf("%d connections held of %d", held, limit)
+		if conns := s.Conns(); conns > limit {
+			t.Errorf("%d connections open, want at most %d", conns, limit)
 		}
 	}
 }
--- a/internal/downstream/fuzz_test.go
+++ b/internal/downstream/fuzz_test.go
@@ -29,7 +29,7 @@
 		if len(body) > 4<<10 || piece < 1 || length > 8<<10 {
 			t.Skip()
 		}
-		h := &handler{arrived: make(chan *Exchange, 4), gone: make(chan *Exchange, 4)}
+		h := &handler{arrived: make(chan *Exchange, 4), disconnected: make(chan *Exchange, 4)}
 		s := New(Config{MaxConns: 100, MaxBody: 1 << 20}, h)
 		here, there := net.Pipe()
 		s.add(here)
@@ -86,7 +86,7 @@
 		if len(body) > 64<<10 || piece < 1 {
 			t.Skip()
 		}
-		h := &handler{arrived: make(chan *Exchange, 1), gone: make(chan *Exchange, 4)}
+		h := &handler{arrived: make(chan *Exchange, 1), disconnected: make(chan *Exchange, 4)}
 		s := New(Config{MaxConns: 100, MaxBody: 1 << 20}, h)
 		here, there := net.Pipe()
 		defer there.Close()
@@ -123,7 +123,7 @@
 		got, err := io.ReadAll(resp.Body)
 		switch {
 		case breaks && err == nil && !(told && len(got) == len(body)):
-			t.Errorf("%q, broken off, passed for whole: %q", body, got)
+			t.Errorf("%q, broken off, was taken for complete: %q", body, got)
 		case !breaks && (err != nil || !bytes.Equal(got, body)):
 			t.Errorf("%q came as %q, %v", body, got, err)
 		}
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The parts of a plan add up for every deadline: what is done last is done before the
-// kill at its earliest, also by a process that is held up just then.
+// The parts of a plan add up for every deadline: the last of them is done before the earliest kill,
+// even if the process stalls for MaxStall just then.
 func TestPlansAddUp(t *testing.T) {
 	for longest := 50 * time.Millisecond; longest <= 20*time.Second; longest += 50 * time.Millisecond {
 		plan := For(longest)
@@ -25,9 +25,9 @@
 		if plan.StopAccepting < MaxAcceptPeriod {
 			t.Errorf("%v: clients connect up to %v, they are accepted up to %v", longest, MaxAcceptPeriod, plan.StopAccepting)
 		}
-		// A request that was taken at the signal has its whole time, but for what the kill takes.
-		if whole := min(longest, 3*time.Second); plan.AnswerAll < whole {
-			t.Errorf("%v: a request has %v of its %v", longest, plan.AnswerAll, whole)
+		// A request accepted at the signal has its full timeout, as far as the kill allows.
+		if timeout := min(longest, 3*time.Second); plan.AnswerAll < timeout {
+			t.Errorf("%v: a request has %v of its %v", longest, plan.AnswerAll, timeout)
 		}
 	}
 }
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -62,6 +62,7 @@
 	return h, srv, ln.Addr().String()
 }
 
+// listen opens a listener that is closed when the test ends.
 func listen(t testing.TB) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,11 +73,12 @@
 	return ln
 }
 
-// mute is a server that takes requests and never answers.
+// mute starts a server that accepts requests and never answers.
 func mute(t *testing.T) string {
 	return tcp.Serve(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) })
 }
 
+// sendAndRead sends a request on a connection and returns its answer, whose body has been read.
 func sendAndRead(t *testing.T, c net.Conn, br *bufio.Reader, head string) *http.Response {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(patience))
@@ -89,9 +91,8 @@
 	return resp
 }
 
-// Requests that nobody answers get their one answer by their deadlines, an unsafe
-// one never a refusal, and leave nothing behind. A deadline that the client sets
-// far off does not hold anything for long.
+// Requests that no server answers get one answer by their deadlines and leave no state behind. A
+// non-idempotent one is never rejected. A distant deadline of the client is bounded by the class.
 func TestNothingStaysBehind(t *testing.T) {
 	h, _, addr := start(t, mute(t), mute(t), mute(t))
 	c, err := net.Dial("tcp", addr)
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -49,7 +49,7 @@
 			clients.send(what, "pay", n)
 		}
 	}
-	testHeldRequests(t, h, srv, server, clients)
+	testRequestsInFlight(t, h, srv, server, clients)
 	got := read(t, h)
 	clients.checkResponses(got)
 	if got["tries"] != float64(server.received.Load()) {
@@ -58,7 +58,7 @@
 	if got[`limited{reason="held"}`] != 1 || got[`attempts{outcome="declined"}`] < 1 || got[`attempts{outcome="reset"}`] < 30 || got[`attempts{outcome="error"}`] < 30 {
 		t.Errorf("causes: %v", got)
 	}
-	if ends := endedAttempts(got); ends != got["tries"] {
+	if ends := finishedAttempts(got); ends != got["tries"] {
 		t.Errorf("%v attempts ended, %v were written", ends, got["tries"])
 	}
 	if listed, avoided := h.Servers(); listed != 3 || avoided > 1 {
@@ -69,9 +69,9 @@
 	}
 }
 
-// testHeldRequests has three requests held by a server, one of which its client abandons, and a
+// testRequestsInFlight has three requests held by a server, one of which its client abandons, and a
 // fourth rejected at the limit.
-func testHeldRequests(t *testing.T, h *Host, srv *downstream.Server, server *countingServer, clients *countingClients) {
+func testRequestsInFlight(t *testing.T, h *Host, srv *downstream.Server, server *countingServer, clients *countingClients) {
 	t.Helper()
 	var open []net.Conn
 	for n, what := range []string{"hold", "hold", "gone"} {
@@ -172,8 +172,8 @@
 	}
 }
 
-// endedAttempts sums up the attempts that ended after they had been written.
-func endedAttempts(got map[string]float64) (ends float64) {
+// finishedAttempts sums up the attempts that ended after they had been written.
+func finishedAttempts(got map[string]float64) (ends float64) {
 	for name, v := range got {
 		if strings.HasPrefix(name, "attempts{") && !strings.Contains(name, "connect") && !strings.Contains(name, "not_sent") {
 			ends += v
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -188,13 +188,13 @@
 		t.Fatal(err)
 	}
 	if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-		t.Errorf("%d bytes passed for a whole answer", n)
+		t.Errorf("%d bytes were taken for a complete answer", n)
 	}
 	wait(t, "nothing active", func() bool { return srv.Active() == 0 })
 }
 
-// What can still be sent again is: an attempt whose body has not left what is held.
-// One past it can't be, and its request is refused as long as it can't have run.
+// A request is retried as long as only the buffered part of its body has been sent. Beyond that it
+// can't be, and it is rejected if it was provably not executed.
 func TestStreamRetryBoundary(t *testing.T) {
 	var whole atomic.Int64
 	good := served(t, func(c net.Conn, r *http.Request) bool {
@@ -240,18 +240,18 @@
 	whole.Store(0)
 	_, _, at = start(t, breaks)
 	if got := send(at, "b", 28<<20); got != http.StatusServiceUnavailable && got != 0 {
-		t.Errorf("answered %d, want a refusal", got)
+		t.Errorf("answered %d, want a rejection", got)
 	}
 	// A client that disconnects during its upload leaves no state, and nothing runs.
 	h, srv, at := start(t, good)
 	c := dialled(t, at)
 	fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: gone\r\nContent-Length: 900000\r\n\r\n")
 	c.Write(block(200 << 10))
-	wait(t, "the request to be taken", func() bool { return h.InFlight() == 1 })
+	wait(t, "the request to be in flight", func() bool { return h.InFlight() == 1 })
 	c.Close()
-	wait(t, "nothing held", func() bool { return h.InFlight() == 0 && srv.Conns() == 0 })
+	wait(t, "no request in flight", func() bool { return h.InFlight() == 0 && srv.Conns() == 0 })
 	if whole.Load() != 0 {
-		t.Error("half a request ran")
+		t.Error("an incomplete request was executed")
 	}
 }
 
@@ -290,13 +290,12 @@
 	}
 }
 
-// A server of a request whose body was still arriving was given 4.4 s while its client would
-// wait for 0.5 s from the body's end: the time that the rest of the body might take had been
-// added. A server is given at most the time that the client waits.
+// The deadline that a server gets for a streamed request is at most the client's. It once included
+// the time that the rest of the body might take: 4.4 s, for a client that waits for 0.5 s.
 func TestStreamedRequestForwardsClientDeadline(t *testing.T) {
-	told := make(chan string, 1)
+	received := make(chan string, 1)
 	_, _, at := start(t, tcp.Requests(t, func(_, _ int, c net.Conn, r *http.Request) bool {
-		told <- r.Header.Get("Req-Deadline-Ms")
+		received <- r.Header.Get("Req-Deadline-Ms")
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes")
 		return true
@@ -305,12 +304,12 @@
 	const length = 200 << 10
 	fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Deadline-Ms: 500\r\nContent-Length: %d\r\n\r\n", length)
 	c.Write(block(length))
-	ms, err := strconv.Atoi(<-told)
+	ms, err := strconv.Atoi(<-received)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if ms > 500 {
-		t.Errorf("the server was told %d ms, the client waits for 500", ms)
+		t.Errorf("the server got a deadline of %d ms, the client waits for 500", ms)
 	}
 	if err := answered(bufio.NewReader(c)); err != nil {
 		t.Error(err)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -76,12 +76,12 @@
 	startedAt   time.Time     // when Start was called
 	dialTimeout time.Duration // for a new connection
 
-	mu         sync.Mutex
-	conn       *conn
-	closed     bool // abandoned or withdrawn, or it must not be sent any more
-	sendBegun  bool // the first byte may have been written
-	written    bool // the last byte has been written
-	readFailed bool // the connection broke before the request was written
+	mu          sync.Mutex
+	conn        *conn
+	closed      bool // abandoned or withdrawn, or it must not be sent any more
+	sendStarted bool // the first byte may have been written
+	written     bool // the last byte has been written
+	readFailed  bool // the connection broke before the request was written
 }
 
 // Start makes the attempt. It does not wait for the server.
@@ -107,10 +107,10 @@
 func (a *Attempt) Withdraw() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.sendBegun {
+	if !a.sendStarted {
 		a.closed = true
 	}
-	return !a.sendBegun
+	return !a.sendStarted
 }
 
 // Abandon stops an attempt and returns whether a byte of it may have been sent. The caller then
@@ -119,7 +119,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.closed = true
-	return a.sendBegun
+	return a.sendStarted
 }
 
 // Close closes the connection of an abandoned attempt.
@@ -205,7 +205,7 @@
 		a.closed = true
 		return false
 	}
-	a.conn, a.sendBegun = c, true
+	a.conn, a.sendStarted = c, true
 	return true
 }
 
@@ -217,11 +217,11 @@
 	return a.SendBefore
 }
 
-// hasBegunOn reports whether the attempt has begun on c: what arrives there is for it.
-func (a *Attempt) hasBegunOn(c *conn) bool {
+// hasStartedOn reports whether the attempt has begun on c: what arrives there is for it.
+func (a *Attempt) hasStartedOn(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.sendBegun && a.conn == c
+	return a.sendStarted && a.conn == c
 }
 
 // isWritten reports whether the request has been written completely and the attempt is open.
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -43,7 +43,7 @@
 			p.remove(c)
 		}
 		p.mu.Unlock()
-		if a == nil || !a.hasBegunOn(c) {
+		if a == nil || !a.hasStartedOn(c) {
 			if err == nil {
 				p.recordUnsolicited(c.server)
 			}
