--- a/cmd/sidecar/bench_test.go
+++ b/cmd/sidecar/bench_test.go
@@ -17,9 +17,8 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// startProgram builds the sidecar as operators run it: a test's own program would count
-// its tests' memory. It starts it before one server, with little memory, and returns
-// its process id and where it listens.
+// startProgram builds and starts the sidecar with one server and the given limits, and returns its
+// process id and its address. A test binary would count the memory of its tests too.
 func startProgram(b *testing.B, server string, memoryMB, sockets int) (pid int, addr string) {
 	b.Helper()
 	dir := b.TempDir()
@@ -49,7 +48,7 @@
 	return cmd.Process.Pid, addr
 }
 
-// processMemory is a figure of /proc/PID/status in MB.
+// processMemory returns a value of /proc/PID/status in MB.
 func processMemory(b *testing.B, pid int, name string) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -68,7 +67,7 @@
 // have 32 MB, and reports the peak of its resident memory. Each answer arrives completely.
 func BenchmarkLongAnswers(b *testing.B) {
 	const size, clients = 32 << 20, 100
-	server := servedBy(b, func(w io.Writer) error {
+	server := startServer(b, func(w io.Writer) error {
 		if _, err := fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size); err != nil {
 			return err
 		}
@@ -104,7 +103,7 @@
 // BenchmarkIdleConnections reports the resident memory with 400 clients that have sent one
 // request each and keep their connections open.
 func BenchmarkIdleConnections(b *testing.B) {
-	server := servedBy(b, func(w io.Writer) error {
+	server := startServer(b, func(w io.Writer) error {
 		_, err := io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes")
 		return err
 	})
@@ -133,8 +132,8 @@
 	b.ReportMetric(processMemory(b, pid, "VmHWM"), "MB-peak")
 }
 
-// servedBy is a server that writes each answer by give.
-func servedBy(b *testing.B, give func(io.Writer) error) string {
+// startServer starts a server that writes each answer by give.
+func startServer(b *testing.B, give func(io.Writer) error) string {
 	b.Helper()
 	return tcp.Requests(b, func(_, _ int, c net.Conn, _ *http.Request) bool { return give(c) == nil })
 }
--- a/cmd/sidecar/discovery_test.go
+++ b/cmd/sidecar/discovery_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// What the agent's list says counts from the first moment of a new process: a server that
-// `known` has as up and the list as draining, or no more, gets nothing.
+// A new process applies discovery's list from its first request on: a server that is up in `known`
+// but draining or missing in the list gets no request.
 func TestDiscoveredListReplacesKnown(t *testing.T) {
 	for name, entry := range map[string]string{"draining": `{"name":"s0","address":%q,"status":"draining"},`, "gone": ""} {
 		t.Run(name, func(t *testing.T) {
-			var wrong atomic.Int64
-			old := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { wrong.Add(1) }))
+			var misrouted atomic.Int64
+			old := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { misrouted.Add(1) }))
 			t.Cleanup(old.Close)
 			good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") }))
 			t.Cleanup(good.Close)
@@ -35,8 +35,8 @@
 					t.Errorf("answered %d", got)
 				}
 			}
-			if n := wrong.Load(); n > 0 {
-				t.Errorf("%d sends to a server that the list has as %s", n, name)
+			if n := misrouted.Load(); n > 0 {
+				t.Errorf("%d requests were sent to a server that the list has as %s", n, name)
 			}
 		})
 	}
@@ -46,9 +46,9 @@
 // after which its list counts as notified, also while no watch is open.
 func TestEndpointChangeIsFollowedWithoutWatch(t *testing.T) {
 	f := newFixture(t, 256)
-	asked := make(chan struct{}, 100)
+	called := make(chan struct{}, 100)
 	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked <- struct{}{}
+		called <- struct{}{}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	t.Cleanup(down.Close)
@@ -57,9 +57,9 @@
 	f.writeConfig(t, text)
 	p := f.startReadyProcess()
 	select {
-	case <-asked: // and refused: the next call is seconds away
+	case <-called: // and rejected: the next call is seconds away
 	case <-time.After(patience):
-		t.Fatal("discovery was never asked")
+		t.Fatal("discovery was never called")
 	}
 	p.reloadConfig(t, f, good)
 	began := time.Now()
@@ -80,9 +80,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFixture(t, 256)
-			asked := make(chan time.Time, 100)
+			called := make(chan time.Time, 100)
 			down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				asked <- time.Now()
+				called <- time.Now()
 				call(w, r)
 			}))
 			t.Cleanup(down.Close)
@@ -93,7 +93,7 @@
 			f.startReadyProcess()
 			for n := range 6 {
 				select {
-				case at := <-asked:
+				case at := <-called:
 					if gap := at.Sub(last); gap > 5500*time.Millisecond-2*time.Second {
 						t.Errorf("call %d came %v after the one before, and it may wait for 2 s", n, gap)
 					} else if n > 0 && gap < 50*time.Millisecond {
--- a/cmd/sidecar/errors_test.go
+++ b/cmd/sidecar/errors_test.go
@@ -31,7 +31,7 @@
 		"ReturningError":  &api.ReturningError{},
 	} {
 		if e.Advice() == "" {
-			t.Errorf("%s says not what to do", name)
+			t.Errorf("%s has no advice", name)
 		}
 		if !strings.Contains(string(page), "`"+name+"`") {
 			t.Errorf("%s is not on the operators' page", name)
--- a/cmd/sidecar/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Processes that start together are ready in time, also where discovery never answers and
-// where a predecessor is stalled.
+// Processes that start together are ready in time, even if discovery never answers or a predecessor
+// is suspended.
 func TestReadyWithoutDependencies(t *testing.T) {
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -108,8 +108,8 @@
 // the requests that are open.
 func TestReloadAndStop(t *testing.T) {
 	arrived, hold := make(chan struct{}, 1), make(chan struct{})
-	first := oneServerDiscovery(t, 50, "s1", backend(t, "one", arrived, hold))
-	second := oneServerDiscovery(t, 3, "s2", backend(t, "two", arrived, hold))
+	first := oneServerDiscovery(t, 50, "s1", startNamedServer(t, "one", arrived, hold))
+	second := oneServerDiscovery(t, 3, "s2", startNamedServer(t, "two", arrived, hold))
 	s := startInProcess(t, fmt.Sprintf(testConfigFormat, first), first)
 	eventually(t, "ready", func() bool { status, _ := s.send("GET", "/_health"); return status == http.StatusOK })
 	eventually(t, "an answer of the first server", func() bool { _, body := s.send("GET", "/look"); return body == "one" })
--- a/cmd/sidecar/standins_test.go
+++ b/cmd/sidecar/standins_test.go
@@ -14,9 +14,9 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// backend starts a server that answers with its name. It reports a request to /pay on came and
+// startNamedServer starts a server that answers with its name. It reports a request to /pay on came and
 // answers it once hold is closed.
-func backend(t *testing.T, name string, came chan<- struct{}, hold <-chan struct{}) string {
+func startNamedServer(t *testing.T, name string, came chan<- struct{}, hold <-chan struct{}) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			came <- struct{}{}
--- a/cmd/sidecar/start.go
+++ b/cmd/sidecar/start.go
@@ -19,6 +19,12 @@
 // requests are short-lived garbage over a small live heap.
 const gcPercent = 400
 
+// Environment variables of the start.
+const (
+	envTempDir = "TMPDIR"            // directory in which processes find each other; unset: no hand-over
+	envLaunch  = "MARTENDRUM_LAUNCH" // name of this process, given by the agent that starts it
+)
+
 // Header fields of health responses.
 const (
 	// healthConfigHash is the SHA-256 of the configuration file in force. It shows an agent
@@ -27,15 +33,15 @@
 	// healthRecord is the state of the idempotency store, if there is one.
 	healthRecord = "Record"
 	// healthLaunch identifies which of two processes answers, where processes can hand over: by
-	// the name in MARTENDRUM_LAUNCH, or else by its process id.
+	// the name in envLaunch, or else by its process id.
 	healthLaunch = "Hands-Over"
 )
 
-// start serves alone, or takes over from a predecessor if TMPDIR names the directory in which
-// processes of this sidecar find each other.
+// start serves alone, or takes over from a predecessor if envTempDir names the directory in
+// which processes of this sidecar find each other.
 func start(c *config, on signals) error {
 	r := &resources{config: c}
-	dir := os.Getenv("TMPDIR")
+	dir := os.Getenv(envTempDir)
 	if dir == "" {
 		return startAlone(c, r, on)
 	}
@@ -186,7 +192,7 @@
 	if p.place == nil {
 		return
 	}
-	name := os.Getenv("MARTENDRUM_LAUNCH")
+	name := os.Getenv(envLaunch)
 	if name == "" {
 		name = strconv.Itoa(os.Getpid())
 	}
--- a/cmd/sidecar/stop_test.go
+++ b/cmd/sidecar/stop_test.go
@@ -62,7 +62,7 @@
 		t.Error(err)
 	}
 	if answered.Load() == before {
-		t.Error("nobody was answered after SIGTERM: the test shows nothing")
+		t.Error("no request was answered after SIGTERM: the test shows nothing")
 	}
 }
 
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -18,7 +18,7 @@
 	"martendrum/internal/upstream"
 )
 
-// eventually waits for what must come.
+// eventually waits until ok returns true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for until := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
@@ -28,11 +28,11 @@
 	}
 }
 
-// stuck is the one connection of s, when its request has begun to come in: made to look as
-// if it had stood still for long.
-func stuck(t *testing.T, s *Server) (c *conn) {
+// stalledConn waits until the head of a request has begun to arrive on the one connection of s, sets
+// the connection's state back in time as if it had stalled, and returns it.
+func stalledConn(t *testing.T, s *Server) (c *conn) {
 	t.Helper()
-	eventually(t, "a request that comes in", func() bool {
+	eventually(t, "a part of a request", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for c = range s.conns {
@@ -46,20 +46,20 @@
 	return c
 }
 
-// hooked runs a hook after each answer's write, before the server does anything else.
-type hooked struct {
+// hookedConn runs a hook after each answer's write, before the server does anything else.
+type hookedConn struct {
 	*net.TCPConn
-	wrote func(c *net.TCPConn)
+	afterWrite func(c *net.TCPConn)
 }
 
-func (h *hooked) Write(b []byte) (int, error) {
+func (h *hookedConn) Write(b []byte) (int, error) {
 	n, err := h.TCPConn.Write(b)
-	h.wrote(h.TCPConn)
+	h.afterWrite(h.TCPConn)
 	return n, err
 }
 
-// SyscallConn hooks the writes that don't wait as well.
-func (h *hooked) SyscallConn() (syscall.RawConn, error) {
+// SyscallConn also hooks the writes that don't block.
+func (h *hookedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := h.TCPConn.SyscallConn()
 	return &hookedRaw{raw, h}, err
 }
@@ -67,19 +67,19 @@
 // hookedRaw runs the hook after each write.
 type hookedRaw struct {
 	syscall.RawConn
-	conn *hooked
+	conn *hookedConn
 }
 
 func (r *hookedRaw) Write(write func(fd uintptr) (done bool)) error {
 	err := r.RawConn.Write(write)
-	r.conn.wrote(r.conn.TCPConn)
+	r.conn.afterWrite(r.conn.TCPConn)
 	return err
 }
 
 // hookedListener hooks each connection that it accepts.
 type hookedListener struct {
 	net.Listener
-	wrote func(c *net.TCPConn)
+	afterWrite func(c *net.TCPConn)
 }
 
 func (l *hookedListener) Accept() (net.Conn, error) {
@@ -87,11 +87,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &hooked{c.(*net.TCPConn), l.wrote}, nil
+	return &hookedConn{c.(*net.TCPConn), l.afterWrite}, nil
 }
 
-// An answer after which the connection closes reaches its client, and the connection ends
-// without a reset, also where the client has sent more by then.
+// An answer after which the connection is closed reaches its client, and the connection ends without
+// a reset, even if the client has sent more by then.
 func TestAnswerSurvivesTrailingInput(t *testing.T) {
 	for name, prepare := range map[string]func(s *Server) string{
 		"the client closes": func(*Server) string { return "Connection: close\r\n" },
@@ -124,13 +124,13 @@
 				t.Errorf("the connection ended with %v, want a plain end", err)
 			}
 			c.Close()
-			eventually(t, "nothing left", func() bool { return s.Conns() == 0 })
+			eventually(t, "no connection", func() bool { return s.Conns() == 0 })
 		})
 	}
 }
 
-// A request that has been read before its idle connection is closed is answered: exactly
-// one of the two happens, whoever gets the lock first.
+// A request that has been read before its idle connection is closed is answered: either the request
+// or the close happens, depending on which goroutine gets the lock first.
 func TestRequestReadBeforeTheCloseIsServed(t *testing.T) {
 	for _, how := range []string{"quiet", "evict"} {
 		t.Run(how, func(t *testing.T) {
@@ -185,7 +185,7 @@
 		t.Errorf("the second request was answered %d", got)
 	}
 	c.Close()
-	eventually(t, "nothing left", func() bool { return s.Conns() == 0 })
+	eventually(t, "no connection", func() bool { return s.Conns() == 0 })
 	if len(h.arrived) > 0 {
 		t.Error("a request read after the close was forwarded")
 	}
@@ -198,7 +198,7 @@
 	for range limit {
 		dial(t, addr, "GET /look HTTP/1.1\r\n")
 	}
-	eventually(t, "half heads on all connections", func() bool {
+	eventually(t, "incomplete heads on all connections", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		n := 0
@@ -218,7 +218,7 @@
 		_, br := dial(t, addr, look(fmt.Sprint(n)))
 		receive(t, h.arrived).Reject(0)
 		if got := status(t, br); got != http.StatusServiceUnavailable {
-			t.Errorf("newcomer %d was answered %d", n, got)
+			t.Errorf("new client %d was answered %d", n, got)
 		}
 	}
 }
@@ -228,10 +228,10 @@
 func TestCompleteRequestIsAnsweredWhenReadingStops(t *testing.T) {
 	s, h, addr := start(t, 10)
 	c, br := dial(t, addr, "GET /look HTTP/1.1\r\n")
-	server := stuck(t, s)
+	server := stalledConn(t, s)
 	s.mu.Lock()
 	io.WriteString(c, strings.TrimPrefix(look("1"), "GET /look HTTP/1.1\r\n"))
-	// The reader takes the rest and waits for the lock to begin the request.
+	// The reader has read the rest and waits for the lock to begin the request.
 	eventually(t, "the rest to be read", func() bool { return tcp.Unread(t, server.netConn.(*net.TCPConn)) == 0 })
 	s.mu.Unlock()
 	evicted := s.evict()
@@ -266,28 +266,28 @@
 	}
 }
 
-// A connection that is given up while a body comes in slowly ends, however much more of it
-// the client sends.
+// A connection that is evicted while a body arrives slowly ends, however much more of it the client
+// sends.
 func TestAbandonedBodyEnds(t *testing.T) {
 	s, _, addr := start(t, 10)
 	c, _ := dial(t, addr, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nContent-Length: 60000\r\n\r\n")
-	server := stuck(t, s)
+	server := stalledConn(t, s)
 	if !s.evict() {
-		t.Fatal("nothing was given up")
+		t.Fatal("no connection was evicted")
 	}
-	// A read that had armed its own deadline before would go on with what comes.
+	// As if a read had set its own deadline just before the eviction.
 	server.netConn.SetReadDeadline(time.Now().Add(patience))
 	for range 500 { // far from the complete body and from its rate limit, which would end it too
 		if _, err := c.Write([]byte("x")); err != nil {
-			return // reset: it is closed
+			return // reset: the connection is closed
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Error("the connection goes on")
+	t.Error("the connection stays open")
 }
 
-// Clients that send much at once and go, and such that connect and go, leave nothing
-// behind, whatever they send on a connection at rest.
+// Clients that connect and disconnect, or send much at once or on an idle connection, leave no
+// connection, goroutine or buffered byte behind.
 func TestFloodsLeaveNothing(t *testing.T) {
 	s, h, addr := start(t, 20)
 	go func() {
@@ -310,10 +310,10 @@
 			defer c.Close()
 			c.SetDeadline(time.Now().Add(patience))
 			switch n % 3 {
-			case 0: // connects and goes
+			case 0: // connects and disconnects
 			case 1: // much at once
 				io.WriteString(c, look(fmt.Sprint("f", n))+junk)
-			case 2: // much on a connection at rest
+			case 2: // much on an idle connection
 				br := bufio.NewReader(c)
 				io.WriteString(c, look(fmt.Sprint("f", n)))
 				if resp, err := http.ReadResponse(br, nil); err == nil {
@@ -325,19 +325,18 @@
 	}
 	wg.Wait()
 	eventually(t, "no connection", func() bool { return s.Conns() == 0 })
-	eventually(t, "no goroutine more than before", func() bool { return runtime.NumGoroutine() <= before })
-	if held, _ := s.BodyBytes(); held != 0 {
-		t.Errorf("%d bytes are held", held)
+	eventually(t, "the goroutines of the connections to end", func() bool { return runtime.NumGoroutine() <= before })
+	if buffered, _ := s.BodyBytes(); buffered != 0 {
+		t.Errorf("%d bytes of bodies are buffered", buffered)
 	}
 	_, br := dial(t, addr, look("after"))
 	if got := status(t, br); got != http.StatusServiceUnavailable {
-		t.Errorf("who comes after was answered %d", got)
+		t.Errorf("a later client was answered %d", got)
 	}
 }
 
-// At the end of a process all open requests end in one moment, and one goroutine answered them
-// in turn. A client that read nothing blocked it for 2 s, by which all other answers behind it
-// were late. An answer must not wait for another client.
+// An answer does not wait for another client. At the end of a process one goroutine answers all open
+// requests; a client that read nothing once blocked it for 2 s and made all other answers late.
 func TestSlowClientDelaysNoOther(t *testing.T) {
 	_, h, addr := start(t, 100)
 	dial(t, addr, look("1")) // reads nothing
@@ -345,7 +344,7 @@
 	_, reader := dial(t, addr, look("2"))
 	other := receive(t, h.arrived)
 	began := time.Now()
-	const more = 32 << 20 // than both sockets hold
+	const more = 32 << 20 // exceeds the buffers of both sockets
 	slow.Serve(&upstream.Answer{Body: make([]byte, more), Length: more})
 	other.Reject(0)
 	if got := status(t, reader); got != http.StatusServiceUnavailable {
@@ -356,8 +355,8 @@
 	}
 }
 
-// A connection goes on after an answer that was taken slowly, also long after the time that
-// writing it might have taken.
+// A connection stays usable after an answer that its client read slowly, even long after the write
+// timeout of that answer.
 func TestConnectionGoesOnAfterASlowAnswer(t *testing.T) {
 	_, h, addr := start(t, 100)
 	c, reader := dial(t, addr, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\ncard")
--- a/internal/sidecar/clock_test.go
+++ b/internal/sidecar/clock_test.go
@@ -15,22 +15,22 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// The wall clock is stepped while requests are open and a server drains: deadlines, windows and
-// graces are spans of real time, and a start that is notified afterwards is a start.
+// A step of the wall clock changes no duration: the Balancer's time and the deadlines of open requests
+// are unaffected, and a server that is listed afterwards with a recent start is accepted.
 func TestWallClockStepsChangeNoSpan(t *testing.T) {
 	for _, by := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		t.Run(fmt.Sprint("step of ", by), func(t *testing.T) {
-			atStart := clock.Step(by) // the process starts while its clock is off
+			atStart := clock.Step(by) // the clock is wrong when the process starts
 			h, _, at := start(t, tcp.Serve(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) }))
 			atStart()
 			before := h.now()
 			began := time.Now()
-			c := dialled(t, at)
+			c := dialSidecar(t, at)
 			fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Deadline-Ms: 400\r\nContent-Length: 0\r\n\r\n")
-			back := clock.Step(-2 * by) // and the clock is stepped past the truth
+			back := clock.Step(-2 * by) // then it is wrong in the other direction
 			defer back()
 			if moved, passed := h.now()-before, time.Since(began); moved > passed+time.Second || moved < 0 {
-				t.Errorf("the balancer's time moved by %v", moved)
+				t.Errorf("the Balancer's time moved by %v", moved)
 			}
 			if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 				t.Error(err)
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -18,16 +18,17 @@
 	"martendrum/internal/upstream"
 )
 
-// patience is how long a test waits for what must come.
+// patience is how long a test waits for an expected event.
 const patience = 20 * time.Second
 
-// start returns a sidecar before servers at the addresses, and where it listens.
+// start starts a sidecar with servers at the addresses, and returns its address.
 func start(t testing.TB, addrs ...string) (*Host, *downstream.Server, string) {
 	t.Helper()
-	return startWith(t, usual, addrs...)
+	return startWith(t, usualSettings, addrs...)
 }
 
-const usual = `{"replicasOfMe":1,"registryMode":"automatic",
+// usualSettings has an idempotent, a non-idempotent and a keyed class.
+const usualSettings = `{"replicasOfMe":1,"registryMode":"automatic",
 		"caps":{"attemptsCap":3,"mayCancel":true,"secondCopies":true,"connIdleUs":30000000,"dialTimeoutUs":5000000,
 			"mostHeld":100,"retryAfter":true,"maxRetryAfterUs":2000000},
 		"guarantees":{"drainGraceUs":2000000,"coldFrom":1},
@@ -73,8 +74,8 @@
 	return ln
 }
 
-// mute starts a server that accepts requests and never answers.
-func mute(t *testing.T) string {
+// startSilentServer starts a server that accepts requests and never answers.
+func startSilentServer(t *testing.T) string {
 	return tcp.Serve(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) })
 }
 
@@ -94,7 +95,7 @@
 // Requests that no server answers get one answer by their deadlines and leave no state behind. A
 // non-idempotent one is never rejected. A distant deadline of the client is bounded by the class.
 func TestNothingStaysBehind(t *testing.T) {
-	h, _, addr := start(t, mute(t), mute(t), mute(t))
+	h, _, addr := start(t, startSilentServer(t), startSilentServer(t), startSilentServer(t))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -116,26 +117,27 @@
 		t.Fatal(err)
 	}
 	io.WriteString(far, "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: far\r\nReq-Deadline-Ms: 2000000000\r\n\r\n")
-	wait(t, "the request to be taken", func() bool { return h.InFlight() == 1 })
+	eventually(t, "the request to be in flight", func() bool { return h.InFlight() == 1 })
 	h.mu.Lock()
-	for _, q := range h.requests {
-		if left := q.deadline - h.now(); left > 20*time.Second {
-			t.Errorf("held for %v", left)
+	for _, request := range h.requests {
+		if left := request.deadline - h.now(); left > 20*time.Second {
+			t.Errorf("the request may stay in flight for %v", left)
 		}
 	}
 	h.mu.Unlock()
 	far.Close()
-	wait(t, "nothing held", func() bool { return h.InFlight() == 0 })
+	eventually(t, "no request in flight", func() bool { return h.InFlight() == 0 })
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range h.timers.heap {
 		if a.request != nil {
-			t.Error("a deadline outlived its request")
+			t.Error("the timer of an ended request is left")
 		}
 	}
 }
 
-func wait(t *testing.T, what string, ok func() bool) {
+// eventually waits until ok returns true.
+func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for until := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -144,8 +146,8 @@
 	}
 }
 
-// Where no server can be reached, the refusal comes at once and says when to come
-// back: it is not held back until the deadline.
+// If no server can be reached, the rejection is sent at once with a Retry-After, and not at the
+// deadline.
 func TestRejectionIsPrompt(t *testing.T) {
 	ln := listen(t)
 	addr := ln.Addr().String()
@@ -162,6 +164,6 @@
 		t.Errorf("answered %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
 	if took := time.Since(began); took > 10*time.Second {
-		t.Errorf("held back for %v", took)
+		t.Errorf("rejected only after %v", took)
 	}
 }
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -35,14 +35,14 @@
 					got.Add(n)
 					close(ended)
 				})
-				h, _, at := startWith(t, strings.Replace(usual, `"mayCancel":true`, `"mayCancel":`+may, 1), addr)
-				c := dialled(t, at)
+				h, _, at := startWith(t, strings.Replace(usualSettings, `"mayCancel":true`, `"mayCancel":`+may, 1), addr)
+				c := dialSidecar(t, at)
 				io.WriteString(c, request)
-				wait(t, "the request to be taken", func() bool { return h.InFlight() == 1 })
+				eventually(t, "the request to be in flight", func() bool { return h.InFlight() == 1 })
 				c.Close()
-				wait(t, "the client's leaving to be noticed", func() bool { return h.InFlight() == 0 })
+				eventually(t, "the disconnect to be noticed", func() bool { return h.InFlight() == 0 })
 				open()
-				wait(t, "the connection to come up and end", func() bool {
+				eventually(t, "the connection to come up and end", func() bool {
 					select {
 					case <-ended:
 						return true
@@ -51,21 +51,21 @@
 					}
 				})
 				if n := got.Load(); n > 0 {
-					t.Errorf("%d bytes were sent for a client that had left", n)
+					t.Errorf("%d bytes were sent for a client that had disconnected", n)
 				}
 			})
 		}
 	}
 }
 
-// A keyed request that may have run is not sent again when the connection for it comes up
-// after the time for which servers drop repeats.
+// A request with an idempotency key that may have been executed is not retried if the connection for
+// the retry is only established after the deduplication window.
 func TestRetryKeepsDedupWindowOverSlowDial(t *testing.T) {
 	first, breaks := make(chan struct{}), make(chan struct{})
 	breaker := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
 		close(first)
 		<-breaks
-		return false // it may have run
+		return false // it may have been executed
 	})
 	var got atomic.Int64
 	late, open := tcp.Delayed(t, func(_ int, c net.Conn) {
@@ -73,26 +73,26 @@
 		got.Add(n)
 	})
 	h, _, at := start(t, breaker)
-	c := dialled(t, at)
+	c := dialSidecar(t, at)
 	io.WriteString(c, "POST /book HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
 	<-first
 	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "late", CapacityHint: 1}, Address: late}}})
 	close(breaks)
 	var latest time.Time
-	wait(t, "the repeat", func() bool {
+	eventually(t, "the retry", func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		for _, q := range h.requests {
-			if len(q.attempts) == 2 {
-				latest = q.attempts[1].SendBefore
+		for _, request := range h.requests {
+			if len(request.attempts) == 2 {
+				latest = request.attempts[1].SendBefore
 			}
 		}
 		return !latest.IsZero()
 	})
 	if left := time.Until(latest); left > 400*time.Millisecond {
-		t.Errorf("the repeat may leave for another %v, longer than the window", left)
+		t.Errorf("the retry may be sent for another %v, longer than the window", left)
 	}
-	wait(t, "the window's end", func() bool { return time.Now().After(latest) })
+	eventually(t, "the window's end", func() bool { return time.Now().After(latest) })
 	open()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -102,7 +102,7 @@
 		t.Errorf("answered %s", resp.Status)
 	}
 	if n := got.Load(); n > 0 {
-		t.Errorf("%d bytes of the repeat were sent after the window", n)
+		t.Errorf("%d bytes of the retry were sent after the window", n)
 	}
 }
 
@@ -117,16 +117,15 @@
 	return u.Handler.ClientDisconnected(x)
 }
 
-// A stalled process had sent attempts 102 to 138 ms after their clients had closed their
-// connections: the close is noticed by the connection's own goroutine, and the goroutine that
-// starts an attempt may run before it. Whatever starts an attempt therefore checks the client's
-// connection itself. Here a retry follows a failed attempt while the close has not been noticed.
+// Before an attempt is sent, the client's connection is checked for a close that its own goroutine
+// has not noticed yet. A process that had stalled once sent attempts 102 to 138 ms after their clients
+// had closed. Here a retry follows a failed attempt while the close has not been noticed.
 func TestRetryChecksTheClientsConnection(t *testing.T) {
 	came, breaks := make(chan struct{}), make(chan struct{})
 	breaker := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
 		came <- struct{}{}
 		<-breaks
-		return false // it may have run; a safe request is tried again
+		return false // it may have been executed; an idempotent request is retried
 	})
 	var got atomic.Int64
 	other := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
@@ -138,15 +137,15 @@
 	server := downstream.New(downstream.Config{MaxConns: 100, MaxBody: 1 << 20}, delayedDisconnects{h, let})
 	ln := listen(t)
 	go server.Serve(ln)
-	c := dialled(t, ln.Addr().String())
+	c := dialSidecar(t, ln.Addr().String())
 	io.WriteString(c, "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n")
 	<-came
 	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "other", CapacityHint: 1}, Address: other}}})
 	c.Close()
 	close(breaks)
-	wait(t, "the request's end", func() bool { return h.InFlight() == 0 })
+	eventually(t, "the request's end", func() bool { return h.InFlight() == 0 })
 	close(let)
 	if n := got.Load(); n > 0 {
-		t.Errorf("%d attempts were sent for a client that had left", n)
+		t.Errorf("%d attempts were sent for a client that had disconnected", n)
 	}
 }
--- a/internal/sidecar/list_capacity_test.go
+++ b/internal/sidecar/list_capacity_test.go
@@ -53,7 +53,7 @@
 
 func capacityHost(b *testing.B) *Host {
 	b.Helper()
-	set, err := settings.Parse([]byte(usual))
+	set, err := settings.Parse([]byte(usualSettings))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -17,8 +17,8 @@
 	"martendrum/internal/metrics"
 )
 
-// read returns all metrics of a Host that start made, by full name.
-func read(t *testing.T, h *Host) map[string]float64 {
+// readMetrics returns all metrics of a Host that start made, by full name.
+func readMetrics(t *testing.T, h *Host) map[string]float64 {
 	t.Helper()
 	var text bytes.Buffer
 	h.meter.(*metrics.Set).Write(&text)
@@ -41,7 +41,7 @@
 // retried, failed, broken, rejected at a limit, abandoned and cancelled.
 func TestMetricsAgreeWithCounted(t *testing.T) {
 	server := &countingServer{release: make(chan struct{})}
-	h, srv, addr := start(t, served(t, server.act), served(t, server.act), served(t, server.act))
+	h, srv, addr := start(t, startServer(t, server.act), startServer(t, server.act), startServer(t, server.act))
 	clients := &countingClients{t: t, addr: addr, responses: make(map[string]int)}
 	for n := range 30 {
 		for _, what := range []string{"fine", "declined", "error", "reset"} {
@@ -50,7 +50,7 @@
 		}
 	}
 	testRequestsInFlight(t, h, srv, server, clients)
-	got := read(t, h)
+	got := readMetrics(t, h)
 	clients.checkResponses(got)
 	if got["tries"] != float64(server.received.Load()) {
 		t.Errorf("tries %v, servers counted %d", got["tries"], server.received.Load())
@@ -75,16 +75,16 @@
 	t.Helper()
 	var open []net.Conn
 	for n, what := range []string{"hold", "hold", "gone"} {
-		c := dialled(t, clients.addr)
+		c := dialSidecar(t, clients.addr)
 		fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %s-%d\r\nContent-Length: 0\r\n\r\n", what, 1000+n)
 		open = append(open, c)
 	}
-	wait(t, "three requests in flight", func() bool { return h.InFlight() == 3 && srv.Active() == 3 })
+	eventually(t, "three requests in flight", func() bool { return h.InFlight() == 3 && srv.Active() == 3 })
 	h.Limit(3, 3)
 	clients.send("fine", "pay", 9999)
 	h.Limit(100, 100)
 	open[2].Close()
-	wait(t, "the end of the abandoned one", func() bool { return srv.Active() == 2 })
+	eventually(t, "the end of the abandoned one", func() bool { return srv.Active() == 2 })
 	close(server.release)
 	for _, c := range open[:2] {
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
@@ -92,7 +92,7 @@
 		}
 		clients.responses[`responses{kind="pay",result="ok"}`]++
 	}
-	wait(t, "no request in flight", func() bool { return h.InFlight() == 0 })
+	eventually(t, "no request in flight", func() bool { return h.InFlight() == 0 })
 }
 
 // countingServer counts the requests that arrive completely. It treats them by the first word of
@@ -136,7 +136,7 @@
 // send sends a request on a connection of its own and counts its response.
 func (clients *countingClients) send(what, class string, n int) {
 	clients.t.Helper()
-	c := dialled(clients.t, clients.addr)
+	c := dialSidecar(clients.t, clients.addr)
 	head := map[string]string{
 		"look": "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: %s-%d\r\n\r\n",
 		"pay":  "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %s-%d\r\nContent-Length: 2\r\n\r\nab",
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -17,15 +17,15 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// served is a server that hands each connection's requests to answer, which returns
-// false to close it.
-func served(t *testing.T, answer func(c net.Conn, r *http.Request) bool) string {
+// startServer starts a server that passes each request to answer, which returns false to close the
+// connection.
+func startServer(t *testing.T, answer func(c net.Conn, r *http.Request) bool) string {
 	t.Helper()
 	return tcp.Requests(t, func(_, _ int, c net.Conn, r *http.Request) bool { return answer(c, r) })
 }
 
-// block is text that shows where it was cut or shifted.
-func block(n int) []byte {
+// numberedText returns n bytes of numbered lines, so that a cut or a shift shows.
+func numberedText(n int) []byte {
 	b := make([]byte, 0, n+16)
 	for i := 0; len(b) < n; i++ {
 		b = fmt.Appendf(b, "%011d\n", i)
@@ -33,8 +33,8 @@
 	return b[:n]
 }
 
-// dialled is a connection to the sidecar.
-func dialled(t *testing.T, addr string) net.Conn {
+// dialSidecar opens a connection to the sidecar.
+func dialSidecar(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -45,12 +45,13 @@
 	return c
 }
 
-const look = "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\n\r\n"
+// lookRequest is an idempotent request; its argument is the id.
+const lookRequest = "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\n\r\n"
 
-// An answer of any form, buffered or longer than the buffer, arrives at the client as it was
-// made, in whatever pieces it comes.
+// An answer of any form, buffered or longer than the buffer, arrives at the client unchanged, in
+// whatever pieces the server sends it.
 func TestPiecesEverywhere(t *testing.T) {
-	long := block(300 << 10)
+	long := numberedText(300 << 10)
 	chunked := func(body []byte, size int) string {
 		var b strings.Builder
 		b.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n")
@@ -61,29 +62,29 @@
 		}
 		return b.String() + "0\r\nX-Sum: 1\r\n\r\n"
 	}
-	small := block(700)
+	small := numberedText(700)
 	for name, c := range map[string]struct {
 		text   string
 		body   []byte
 		closes bool
 		piece  int
 	}{
-		"length, byte by byte":      {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 700\r\n\r\n%s", small), small, false, 1},
-		"chunks, byte by byte":      {chunked(small, 97), small, false, 1},
-		"interim, byte by byte":     {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + chunked(small, 350), small, false, 1},
-		"to the end":                {"HTTP/1.1 200 OK\r\n\r\n" + string(small), small, true, 100},
-		"to the end, HTTP/1.0":      {"HTTP/1.0 200 OK\r\n\r\n" + string(small), small, true, 100},
-		"long, with a length":       {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long), long, false, 7777},
-		"long, in chunks":           {chunked(long, 10007), long, false, 4099},
-		"long, to the end":          {"HTTP/1.1 200 OK\r\n\r\n" + string(long), long, true, 9999},
-		"exactly what is held":      {chunked(long[:64<<10], 1<<10), long[:64<<10], false, 1 << 14},
-		"one byte more than held":   {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 64<<10+1, long[:64<<10+1]), long[:64<<10+1], false, 1 << 14},
-		"empty, in chunks":          {chunked(nil, 1), nil, false, 1},
-		"long, one chunk, in bytes": {chunked(long[:80<<10], 80<<10), long[:80<<10], false, 512},
+		"length, byte by byte":          {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 700\r\n\r\n%s", small), small, false, 1},
+		"chunks, byte by byte":          {chunked(small, 97), small, false, 1},
+		"interim, byte by byte":         {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + chunked(small, 350), small, false, 1},
+		"to the end":                    {"HTTP/1.1 200 OK\r\n\r\n" + string(small), small, true, 100},
+		"to the end, HTTP/1.0":          {"HTTP/1.0 200 OK\r\n\r\n" + string(small), small, true, 100},
+		"long, with a length":           {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long), long, false, 7777},
+		"long, in chunks":               {chunked(long, 10007), long, false, 4099},
+		"long, to the end":              {"HTTP/1.1 200 OK\r\n\r\n" + string(long), long, true, 9999},
+		"exactly the buffer":            {chunked(long[:64<<10], 1<<10), long[:64<<10], false, 1 << 14},
+		"one byte more than the buffer": {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 64<<10+1, long[:64<<10+1]), long[:64<<10+1], false, 1 << 14},
+		"empty, in chunks":              {chunked(nil, 1), nil, false, 1},
+		"long, one chunk, in bytes":     {chunked(long[:80<<10], 80<<10), long[:80<<10], false, 512},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, _, at := start(t, served(t, func(conn net.Conn, _ *http.Request) bool {
+			_, _, at := start(t, startServer(t, func(conn net.Conn, _ *http.Request) bool {
 				for text := c.text; text != ""; {
 					n := min(c.piece, len(text))
 					if _, err := io.WriteString(conn, text[:n]); err != nil {
@@ -94,8 +95,8 @@
 				return !c.closes
 			}))
 			for n, version := range []string{"1.1", "1.0", "1.1"} {
-				conn := dialled(t, at)
-				io.WriteString(conn, strings.Replace(fmt.Sprintf(look, fmt.Sprint(name, n)), "1.1", version, 1))
+				conn := dialSidecar(t, at)
+				io.WriteString(conn, strings.Replace(fmt.Sprintf(lookRequest, fmt.Sprint(name, n)), "1.1", version, 1))
 				resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				if err != nil {
 					t.Fatal(err)
@@ -109,23 +110,22 @@
 	}
 }
 
-// Requests' bodies beyond what is held arrive as they were sent, byte by byte or at
-// once, with a length or in chunks.
+// Request bodies within and beyond the buffered part arrive unchanged, with a length or in chunks.
 func TestUploads(t *testing.T) {
-	_, _, at := start(t, served(t, func(c net.Conn, r *http.Request) bool {
+	_, _, at := start(t, startServer(t, func(c net.Conn, r *http.Request) bool {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return false
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n%9d", len(body))
-		return bytes.Equal(body, block(len(body)))
+		return bytes.Equal(body, numberedText(len(body)))
 	}))
 	for n, size := range []int{1, 64<<10 - 1, 64 << 10, 64<<10 + 1, 300 << 10, 2 << 20} {
 		for _, chunked := range []bool{false, true} {
-			c := dialled(t, at)
+			c := dialSidecar(t, at)
 			br := bufio.NewReader(c)
-			for again := range 2 { // the connection goes on
-				body := block(size)
+			for again := range 2 { // the connection is reused
+				body := numberedText(size)
 				go func() {
 					head := fmt.Sprintf("POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %d-%v-%d\r\n", n, chunked, again)
 					if !chunked {
@@ -154,34 +154,34 @@
 	}
 }
 
-// A client that reads nothing limits its server: of an answer without end the server can send
-// only what the sockets and one window hold.
+// A client that reads nothing limits its server: of a long answer the server can send only what the
+// buffers of the sockets and the sidecar take.
 func TestStreamBackPressure(t *testing.T) {
 	var sent atomic.Int64
 	blocked := make(chan struct{})
 	var once sync.Once
-	_, srv, at := start(t, served(t, func(c net.Conn, r *http.Request) bool {
+	_, srv, at := start(t, startServer(t, func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\n")
-		for piece := block(100000); sent.Load() < 40000000; {
+		for piece := numberedText(100000); sent.Load() < 40000000; {
 			c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
 			n, err := c.Write(piece)
 			sent.Add(int64(n))
 			if err != nil {
 				once.Do(func() { close(blocked) })
 				if sent.Load() > 30000000 {
-					t.Error("nothing held the server back")
+					t.Error("the server was not blocked")
 				}
 				return false
 			}
 		}
 		return false
 	}))
-	c := dialled(t, at)
-	fmt.Fprintf(c, look, "slow")
+	c := dialSidecar(t, at)
+	fmt.Fprintf(c, lookRequest, "slow")
 	select {
 	case <-blocked:
 	case <-time.After(patience):
-		t.Fatal("the server was never held back")
+		t.Fatal("the server was never blocked")
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -190,14 +190,14 @@
 	if n, err := io.Copy(io.Discard, resp.Body); err == nil {
 		t.Errorf("%d bytes were taken for a complete answer", n)
 	}
-	wait(t, "nothing active", func() bool { return srv.Active() == 0 })
+	eventually(t, "nothing active", func() bool { return srv.Active() == 0 })
 }
 
 // A request is retried as long as only the buffered part of its body has been sent. Beyond that it
 // can't be, and it is rejected if it was provably not executed.
 func TestStreamRetryBoundary(t *testing.T) {
 	var whole atomic.Int64
-	good := served(t, func(c net.Conn, r *http.Request) bool {
+	good := startServer(t, func(c net.Conn, r *http.Request) bool {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return false
 		}
@@ -211,7 +211,7 @@
 	_, _, at := start(t, nobody, good)
 	send := func(at, id string, size int) int {
 		body := bytes.Repeat([]byte("x"), size)
-		c := dialled(t, at)
+		c := dialSidecar(t, at)
 		go func() {
 			fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nContent-Length: %d\r\n\r\n", id, size)
 			c.Write(body)
@@ -232,7 +232,7 @@
 	}
 	// This one breaks in the streamed part, which is more than the sockets hold: the request was
 	// never written completely, so it never ran.
-	breaks := served(t, func(c net.Conn, r *http.Request) bool {
+	breaks := startServer(t, func(c net.Conn, r *http.Request) bool {
 		io.CopyN(io.Discard, r.Body, 100<<10)
 		c.(*net.TCPConn).SetLinger(0)
 		return false
@@ -244,12 +244,12 @@
 	}
 	// A client that disconnects during its upload leaves no state, and nothing runs.
 	h, srv, at := start(t, good)
-	c := dialled(t, at)
+	c := dialSidecar(t, at)
 	fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: gone\r\nContent-Length: 900000\r\n\r\n")
-	c.Write(block(200 << 10))
-	wait(t, "the request to be in flight", func() bool { return h.InFlight() == 1 })
+	c.Write(numberedText(200 << 10))
+	eventually(t, "the request to be in flight", func() bool { return h.InFlight() == 1 })
 	c.Close()
-	wait(t, "no request in flight", func() bool { return h.InFlight() == 0 && srv.Conns() == 0 })
+	eventually(t, "no request in flight", func() bool { return h.InFlight() == 0 && srv.Conns() == 0 })
 	if whole.Load() != 0 {
 		t.Error("an incomplete request was executed")
 	}
@@ -257,25 +257,25 @@
 
 // A client that uploads at 64 kB a second is served, one that stalls is not.
 func TestSlowUploadIsServed(t *testing.T) {
-	_, _, at := start(t, served(t, func(c net.Conn, r *http.Request) bool {
+	_, _, at := start(t, startServer(t, func(c net.Conn, r *http.Request) bool {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		return true
 	}))
-	slow, stands := dialled(t, at), dialled(t, at)
+	slow, stalled := dialSidecar(t, at), dialSidecar(t, at)
 	const size = 230 << 10 // 3.6 s at 64 kB a second: past the grace
-	for n, c := range []net.Conn{slow, stands} {
+	for n, c := range []net.Conn{slow, stalled} {
 		fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: s%d\r\nContent-Length: %d\r\n\r\n", n, size)
 	}
-	stands.Write(block(70 << 10))
+	stalled.Write(numberedText(70 << 10))
 	go func() {
-		for rest := block(size); len(rest) > 0; time.Sleep(100 * time.Millisecond) {
+		for rest := numberedText(size); len(rest) > 0; time.Sleep(100 * time.Millisecond) {
 			n := min(6400, len(rest))
 			slow.Write(rest[:n])
 			rest = rest[n:]
 		}
 	}()
-	for c, want := range map[net.Conn][]int{slow: {200}, stands: {0, 408, 502, 503}} {
+	for c, want := range map[net.Conn][]int{slow: {200}, stalled: {0, 408, 502, 503}} {
 		got := 0
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
 			got = resp.StatusCode
@@ -300,10 +300,10 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes")
 		return true
 	}))
-	c := dialled(t, at)
+	c := dialSidecar(t, at)
 	const length = 200 << 10
 	fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Deadline-Ms: 500\r\nContent-Length: %d\r\n\r\n", length)
-	c.Write(block(length))
+	c.Write(numberedText(length))
 	ms, err := strconv.Atoi(<-received)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/upstream/errno_test.go
+++ b/internal/upstream/errno_test.go
@@ -13,14 +13,14 @@
 	"martendrum"
 )
 
-// socketErrnos are what calls on a socket may fail with, whatever the call.
+// socketErrnos are the errors with which any call on a socket may fail.
 var socketErrnos = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTDOWN, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EACCES, syscall.EPERM, syscall.EPROTO, syscall.EIO, syscall.ENOTCONN, syscall.EINTR,
 }
 
-// scriptedConn is a connection whose calls fail as a test says.
+// scriptedConn is a connection whose calls fail by a test's script.
 type scriptedConn struct {
 	writeLimit    int    // bytes written before writes fail; below 0: no limit
 	writeErr      error  // what a write beyond writeLimit fails with, and the last write if failLastWrite
@@ -89,23 +89,23 @@
 func (*scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
 // What a failed call proves depends on the call and on how much of the request it accepted, not
-// on its errno: nothing ran if the server can't have the complete request, and it may have run
-// otherwise. There is one outcome, and no connection or slot is leaked.
+// on its errno: the request was not executed if the server can't have all of it, and it may have
+// been executed otherwise. There is one outcome, and no connection or slot is leaked.
 func TestOutcomesOfFailedCalls(t *testing.T) {
 	for name, test := range map[string]struct {
 		want   martendrum.Outcome
 		script func(s *scriptedConn, err error) (dialErr error)
 	}{
 		"dial": {martendrum.ConnectFailed, func(_ *scriptedConn, err error) error { return err }},
-		"write, nothing taken": {martendrum.ConnectFailed, func(s *scriptedConn, err error) error {
+		"write of nothing": {martendrum.ConnectFailed, func(s *scriptedConn, err error) error {
 			s.writeLimit, s.writeErr, s.readErr = 0, err, err
 			return nil
 		}},
-		"write, a part taken": {martendrum.ConnectFailed, func(s *scriptedConn, err error) error {
+		"write of a part": {martendrum.ConnectFailed, func(s *scriptedConn, err error) error {
 			s.writeLimit, s.writeErr, s.readErr = 20, err, err
 			return nil
 		}},
-		"write, all taken": {martendrum.Reset, func(s *scriptedConn, err error) error {
+		"write of the last byte": {martendrum.Reset, func(s *scriptedConn, err error) error {
 			s.failLastWrite, s.writeErr, s.readErr = true, err, err
 			return nil
 		}},
