--- a/cmd/sidecar/generated_test.go
+++ b/cmd/sidecar/generated_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// kind is a class of generated settings, as a client needs to know it.
-type kind struct{ name, effect string }
+// generatedClass is a class of generated settings, as a client needs to know it.
+type generatedClass struct{ name, idempotency string }
 
-// generated draws the settings of an arbitrary customer: classes of any idempotency, tenants,
-// zones, limits and costs; optional keys are only certain to be there if complete is true.
-func generated(rng *rand.Rand, complete bool) (settings map[string]any, kinds []kind) {
+// generateSettings draws the settings of an arbitrary customer: classes of any idempotency, tenants,
+// zones, limits and costs; optional keys may be absent unless complete is true.
+func generateSettings(rng *rand.Rand, complete bool) (settings map[string]any, kinds []generatedClass) {
 	word := func() string {
 		b := make([]byte, 3+rng.IntN(12))
 		for i := range b {
@@ -26,8 +26,8 @@
 		}
 		return string(b)
 	}
-	us := func(least, limit time.Duration) int64 {
-		return (least + time.Duration(rng.Float64()*float64(limit-least))).Microseconds()
+	us := func(from, to time.Duration) int64 {
+		return (from + time.Duration(rng.Float64()*float64(to-from))).Microseconds()
 	}
 	maybe := func(m map[string]any, key string, value any) {
 		if complete || rng.IntN(2) == 0 {
@@ -36,9 +36,9 @@
 	}
 	var classes []any
 	for range 1 + rng.IntN(7) {
-		k := kind{word(), []string{"repeatable", "by_key", "once"}[rng.IntN(3)]}
+		k := generatedClass{word(), []string{"repeatable", "by_key", "once"}[rng.IntN(3)]}
 		limit := us(2*time.Second, 3*time.Second)
-		c := map[string]any{"name": k.name, "effect": k.effect, "hardLimitUs": limit, "promiseUs": 1 + rng.Int64N(limit)}
+		c := map[string]any{"name": k.name, "effect": k.idempotency, "hardLimitUs": limit, "promiseUs": 1 + rng.Int64N(limit)}
 		maybe(c, "worth", rng.Float64()*20)
 		maybe(c, "lateValue", rng.Float64())
 		maybe(c, "dedupScope", []string{"all", "zone", "cell"}[rng.IntN(3)])
@@ -79,11 +79,11 @@
 	return settings, kinds
 }
 
-// request is one of k, as the protocol has it.
-func (k kind) request(t *testing.T, addr, id, path string) *http.Request {
+// request returns a request of the class in the protocol's form.
+func (k generatedClass) request(t *testing.T, addr, id, path string) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, io.Reader(strings.NewReader("body"))
-	if k.effect == "repeatable" {
+	if k.idempotency == "repeatable" {
 		method, body = http.MethodGet, nil
 	}
 	r, err := http.NewRequest(method, "http://"+addr+"/"+k.name+path, body)
@@ -93,7 +93,7 @@
 	r.GetBody = nil
 	r.Header.Set("Req-Id", id)
 	r.Header.Set("Req-Kind", k.name)
-	if k.effect == "by_key" {
+	if k.idempotency == "by_key" {
 		r.Header.Set("Idempotency-Key", "k"+id)
 	}
 	return r
@@ -106,94 +106,121 @@
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			rng := rand.New(rand.NewPCG(seed, 3))
-			came, hold := make(chan struct{}, 100), make(chan struct{})
-			s := newShopBefore(t, func(w http.ResponseWriter, r *http.Request) {
-				if strings.HasSuffix(r.URL.Path, "/held") {
-					came <- struct{}{}
-					<-hold
-				}
-				io.WriteString(w, "one")
-			}, 256)
-			release := sync.OnceFunc(func() { close(hold) })
-			t.Cleanup(release)
-			first, kinds := generated(rng, false)
-			write := func(settings map[string]any) string {
-				var file map[string]any
-				if err := json.Unmarshal([]byte(s.text(t)), &file); err != nil {
-					t.Fatal(err)
-				}
-				file["settings"] = settings
-				text, err := json.Marshal(file)
-				if err != nil {
-					t.Fatal(err)
-				}
-				return string(text)
-			}
-			s.configure(t, write(first))
-			p := s.running()
-			eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
-			client := &http.Client{Timeout: patience}
-			defer client.CloseIdleConnections()
-			ids := 0
-			status := func(k kind, path string) int {
-				ids++
-				resp, err := client.Do(k.request(t, s.listen, fmt.Sprint("g", ids), path))
-				if err != nil {
-					t.Errorf("%+v: %v", k, err)
-					return 0
-				}
-				defer resp.Body.Close()
-				io.Copy(io.Discard, resp.Body)
-				return resp.StatusCode
-			}
-			for _, k := range kinds {
-				if got := status(k, "/x"); got != http.StatusOK {
-					t.Errorf("%+v was answered %d", k, got)
-				}
-			}
-			var open sync.WaitGroup
-			for n, k := range kinds {
-				r := k.request(t, s.listen, fmt.Sprint("held", n), "/held")
-				open.Go(func() {
-					resp, err := http.DefaultTransport.RoundTrip(r)
-					if err != nil {
-						t.Errorf("held %+v: %v", k, err)
-						return
-					}
-					defer resp.Body.Close()
-					if resp.StatusCode != http.StatusOK {
-						t.Errorf("held %+v was answered %d", k, resp.StatusCode)
-					}
-				})
-				<-came
-			}
-			second, next := generated(rng, true)
-			for key := range first { // a file may not lack what the one in force has
-				if _, ok := second[key]; !ok {
-					second[key] = first[key]
-				}
-			}
-			p.retune(t, s, write(second))
-			if n := p.metric(t, "config_applied"); n != 1 {
-				t.Fatalf("the second settings were turned down: %s", p.log)
-			}
-			for _, k := range next {
-				if got := status(k, "/x"); got != http.StatusOK {
-					t.Errorf("new %+v was answered %d", k, got)
-				}
-			}
-			for _, k := range kinds {
-				if got := status(k, "/x"); got != http.StatusNotFound {
-					t.Errorf("old %+v was answered %d, want that there is none", k, got)
-				}
-			}
-			release()
-			open.Wait()
-			p.Process.Signal(syscall.SIGTERM)
-			if err := p.ends(t); err != nil {
-				t.Error(err)
-			}
+			testGeneratedSettings(t, rand.New(rand.NewPCG(seed, 3)))
 		})
 	}
 }
+
+func testGeneratedSettings(t *testing.T, rng *rand.Rand) {
+	arrived, hold := make(chan struct{}, 100), make(chan struct{})
+	f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
+		if strings.HasSuffix(r.URL.Path, "/held") {
+			arrived <- struct{}{}
+			<-hold
+		}
+		io.WriteString(w, "one")
+	}, 256)
+	release := sync.OnceFunc(func() { close(hold) })
+	t.Cleanup(release)
+	first, classes := generateSettings(rng, false)
+	f.writeConfig(t, withSettings(t, f, first))
+	p := f.startReadyProcess()
+	eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
+	client := &classClient{t: t, addr: f.listen, client: &http.Client{Timeout: patience}}
+	defer client.client.CloseIdleConnections()
+	for _, class := range classes {
+		if got := client.status(class, "/x"); got != http.StatusOK {
+			t.Errorf("%+v was answered %d", class, got)
+		}
+	}
+	var open sync.WaitGroup
+	for n, class := range classes {
+		sendBlocked(t, &open, f.listen, fmt.Sprint("held", n), class)
+		<-arrived
+	}
+	second, newClasses := generateSettings(rng, true)
+	addMissingKeys(second, first)
+	p.reloadConfig(t, f, withSettings(t, f, second))
+	if n := p.metric(t, "config_applied"); n != 1 {
+		t.Fatalf("the second settings were rejected: %s", p.log)
+	}
+	for _, class := range newClasses {
+		if got := client.status(class, "/x"); got != http.StatusOK {
+			t.Errorf("new %+v was answered %d", class, got)
+		}
+	}
+	for _, class := range classes {
+		if got := client.status(class, "/x"); got != http.StatusNotFound {
+			t.Errorf("old %+v was answered %d, want that there is none", class, got)
+		}
+	}
+	release()
+	open.Wait()
+	p.Process.Signal(syscall.SIGTERM)
+	if err := p.waitExit(t); err != nil {
+		t.Error(err)
+	}
+}
+
+// withSettings returns the fixture's configuration with other settings.
+func withSettings(t *testing.T, f *fixture, settings map[string]any) string {
+	t.Helper()
+	var file map[string]any
+	if err := json.Unmarshal([]byte(f.configText(t)), &file); err != nil {
+		t.Fatal(err)
+	}
+	file["settings"] = settings
+	text, err := json.Marshal(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// addMissingKeys adds the keys that next lacks: a file may not lack a key of the one in force.
+func addMissingKeys(next, inForce map[string]any) {
+	for key := range inForce {
+		if _, ok := next[key]; !ok {
+			next[key] = inForce[key]
+		}
+	}
+}
+
+// classClient sends requests of generated classes, each with an id of its own.
+type classClient struct {
+	t      *testing.T
+	addr   string
+	client *http.Client
+	sent   int
+}
+
+// status sends a request and returns the status of its answer, 0 if there was none.
+func (c *classClient) status(class generatedClass, path string) int {
+	c.sent++
+	resp, err := c.client.Do(class.request(c.t, c.addr, fmt.Sprint("g", c.sent), path))
+	if err != nil {
+		c.t.Errorf("%+v: %v", class, err)
+		return 0
+	}
+	defer resp.Body.Close()
+	io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode
+}
+
+// sendBlocked sends a request that the server holds, and checks in the background that it is
+// answered in the end. open counts it.
+func sendBlocked(t *testing.T, open *sync.WaitGroup, addr, id string, class generatedClass) {
+	t.Helper()
+	request := class.request(t, addr, id, "/held")
+	open.Go(func() {
+		resp, err := http.DefaultTransport.RoundTrip(request)
+		if err != nil {
+			t.Errorf("held %+v: %v", class, err)
+			return
+		}
+		defer resp.Body.Close()
+		if resp.StatusCode != http.StatusOK {
+			t.Errorf("held %+v was answered %d", class, resp.StatusCode)
+		}
+	})
+}
--- a/cmd/sidecar/kill_test.go
+++ b/cmd/sidecar/kill_test.go
@@ -27,9 +27,15 @@
 // 0.97 and 1.51 s after SIGTERM, each the first on a connection that had been accepted at the
 // signal and had sent nothing since.
 
-// finalAnswer sends one request on a connection and returns the status of its answer.
-func finalAnswer(c net.Conn, r *bufio.Reader, id, path string) (int, error) {
-	if _, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nContent-Length: 4\r\n\r\ncard", path, id); err != nil {
+// writePost writes a small POST request.
+func writePost(w io.Writer, id, path string) error {
+	_, err := fmt.Fprintf(w, "POST %s HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nContent-Length: 4\r\n\r\ncard", path, id)
+	return err
+}
+
+// postAndRead sends one request on a connection and returns the status of its answer.
+func postAndRead(c net.Conn, r *bufio.Reader, id, path string) (int, error) {
+	if err := writePost(c, id, path); err != nil {
 		return 0, err
 	}
 	response, err := http.ReadResponse(r, nil)
@@ -40,6 +46,33 @@
 	return response.StatusCode, err
 }
 
+// hangingServer records the requests that reach it, and answers none before its release.
+type hangingServer struct {
+	release chan struct{}
+
+	mu        sync.Mutex
+	forwarded map[string]bool // by request id
+}
+
+func (s *hangingServer) serve(_ http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	s.forwarded[r.Header.Get("Req-Id")] = true
+	s.mu.Unlock()
+	<-s.release
+}
+
+func (s *hangingServer) received(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.forwarded[id]
+}
+
+func (s *hangingServer) count() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.forwarded)
+}
+
 // Servers hang throughout a shutdown, and the kill comes at its earliest: every forwarded
 // request has its answer by then, however long its class may wait.
 func TestEarliestKillFindsNothingOpen(t *testing.T) {
@@ -52,65 +85,53 @@
 }
 
 func testEarliestKill(t *testing.T, longest time.Duration) {
-	var mu sync.Mutex
-	passedOn := make(map[string]bool)
-	let := make(chan struct{})
-	s := newShopBefore(t, func(_ http.ResponseWriter, r *http.Request) {
-		mu.Lock()
-		passedOn[r.Header.Get("Req-Id")] = true
-		mu.Unlock()
-		<-let
-	}, 256, `"promiseUs":20000000,"hardLimitUs":20000000`, fmt.Sprintf(`"promiseUs":400000,"hardLimitUs":%d`, longest.Microseconds()))
-	t.Cleanup(func() { close(let) })
-	wasPassedOn := func(id string) bool {
-		mu.Lock()
-		defer mu.Unlock()
-		return passedOn[id]
-	}
-	p := s.running()
+	server := &hangingServer{release: make(chan struct{}), forwarded: make(map[string]bool)}
+	f := newFixtureWithServer(t, server.serve, 256,
+		`"promiseUs":20000000,"hardLimitUs":20000000`, fmt.Sprintf(`"promiseUs":400000,"hardLimitUs":%d`, longest.Microseconds()))
+	t.Cleanup(func() { close(server.release) })
+	p := f.startReadyProcess()
 	var clients sync.WaitGroup
-	client := func(name string) {
-		c, err := net.Dial("tcp", s.listen)
-		if err != nil {
-			return // nobody listens any more
-		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
-		reader := bufio.NewReader(c)
-		for n := 0; ; n++ {
-			id := fmt.Sprint(name, "-", n)
-			if _, err := finalAnswer(c, reader, id, "/pay"); err != nil {
-				if wasPassedOn(id) {
-					t.Errorf("request %s was passed on and got no answer: %v", id, err)
-				}
-				return
-			}
-		}
-	}
 	for n := range 6 {
-		clients.Go(func() { client(fmt.Sprint("before", n)) })
+		clients.Go(func() { sendUntilBroken(t, f.listen, fmt.Sprint("before", n), server) })
 	}
-	eventually(t, "requests at the server", func() bool {
-		mu.Lock()
-		defer mu.Unlock()
-		return len(passedOn) >= 6
-	})
+	eventually(t, "requests at the server", func() bool { return server.count() >= 6 })
 	stopAt := time.Now()
 	p.Process.Signal(syscall.SIGTERM)
 	for n := range 6 { // new connections go on coming for a while
 		time.Sleep(60 * time.Millisecond)
-		clients.Go(func() { client(fmt.Sprint("after", n)) })
+		clients.Go(func() { sendUntilBroken(t, f.listen, fmt.Sprint("after", n), server) })
 	}
 	select {
-	case <-p.done:
-		p.done <- nil
+	case <-p.exited:
+		p.exited <- nil
 	case <-time.After(time.Until(stopAt.Add(soak.EarliestKill(longest)))):
 		t.Errorf("the process is still there %v after SIGTERM", time.Since(stopAt))
 		p.Process.Kill()
 	}
 	clients.Wait()
 	if !strings.Contains(p.log.String(), "stopping") {
-		t.Error("the process was not told to end: the test shows nothing")
+		t.Error("the process did not log that it stops: the test shows nothing")
+	}
+}
+
+// sendUntilBroken sends requests on one connection until it breaks. A request that the server
+// received must have been answered.
+func sendUntilBroken(t *testing.T, addr, name string, server *hangingServer) {
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		return // the process has stopped accepting
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(patience))
+	reader := bufio.NewReader(c)
+	for n := 0; ; n++ {
+		id := fmt.Sprint(name, "-", n)
+		if _, err := postAndRead(c, reader, id, "/pay"); err != nil {
+			if server.received(id) {
+				t.Errorf("request %s was forwarded and got no answer: %v", id, err)
+			}
+			return
+		}
 	}
 }
 
@@ -120,36 +141,36 @@
 func TestStopLimitsAccepting(t *testing.T) {
 	passedOn := make(chan string, 100)
 	let := make(chan struct{})
-	s := newShopBefore(t, func(_ http.ResponseWriter, r *http.Request) {
+	f := newFixtureWithServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		passedOn <- r.Header.Get("Req-Id")
 		<-let
 	}, 256, `"promiseUs":20000000,"hardLimitUs":20000000`, `"promiseUs":400000,"hardLimitUs":2800000`)
 	t.Cleanup(func() { close(let) })
-	p := s.running()
-	busy, err := net.Dial("tcp", s.listen)
+	p := f.startReadyProcess()
+	busy, err := net.Dial("tcp", f.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer busy.Close()
-	go finalAnswer(busy, bufio.NewReader(busy), "busy", "/pay")
+	go postAndRead(busy, bufio.NewReader(busy), "busy", "/pay")
 	if id := <-passedOn; id != "busy" {
 		t.Fatal(id)
 	}
-	silent, err := net.Dial("tcp", s.listen)
+	silent, err := net.Dial("tcp", f.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
 	p.Process.Signal(syscall.SIGTERM)
 	eventually(t, "an end of accepting", func() bool {
-		c, err := net.Dial("tcp", s.listen)
+		c, err := net.Dial("tcp", f.listen)
 		if err == nil {
 			c.Close()
 		}
 		return err != nil
 	})
 	select {
-	case <-p.done:
+	case <-p.exited:
 		t.Fatal("the process ended with a request open: the test shows nothing")
 	default:
 	}
@@ -158,13 +179,13 @@
 	if _, err := reader.Peek(1); err != io.EOF {
 		t.Errorf("the silent connection did not end: %v", err)
 	}
-	finalAnswer(silent, reader, "late", "/pay")
-	if err := p.ends(t); err != nil {
+	postAndRead(silent, reader, "late", "/pay")
+	if err := p.waitExit(t); err != nil {
 		t.Error(err)
 	}
 	select {
 	case id := <-passedOn:
-		t.Errorf("request %s was passed on", id)
+		t.Errorf("request %s was forwarded", id)
 	default:
 	}
 }
--- a/cmd/sidecar/reload.go
+++ b/cmd/sidecar/reload.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// reload reads the file again; inForce is the configuration before. The environment is
-// as it was at the start, so the address of discovery comes from the file alone.
-func reload(getenv func(string) string, inForce *config) (*config, error) {
-	c, err := load(func(name string) string {
-		if name == "BALANCER_DISCOVERY" {
+// reloadConfig reads the file again; inForce is the configuration in force. The environment cannot
+// change after the start, so the address of discovery is read from the file alone.
+func reloadConfig(getenv func(string) string, inForce *config) (*config, error) {
+	c, err := loadConfig(func(name string) string {
+		if name == envDiscovery {
 			return ""
 		}
 		return getenv(name)
@@ -19,8 +19,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if key := missingKey("", inForce.keys, c.keys); key != "" {
-		return nil, fmt.Errorf("config: %s is missing; the file in force has it", key)
+	if key := missingKey("", inForce.fileKeys, c.fileKeys); key != "" {
+		missing := &ConfigError{Field: key, Problem: "is missing; the file in force has it", Do: "add the key, or start a new process if it is omitted on purpose"}
+		return nil, fmt.Errorf("config: %w", missing)
 	}
 	return c, nil
 }
--- a/internal/idempotency/e2e/main_test.go
+++ b/internal/idempotency/e2e/main_test.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 300})
+	pool := upstream.New(upstream.Config{ServerIdleTimeout: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 300})
 	s := &testSidecar{}
 	if s.host, err = sidecar.New(set, 1, pool, new(discovery.Watcher)); err != nil {
 		return nil, err
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -18,16 +18,17 @@
 	"martendrum/internal/upstream"
 )
 
-// patience is how long a test waits for what must come.
+// patience is how long a test waits for an expected event.
 const patience = 20 * time.Second
 
-// start returns a sidecar before servers at the addresses, and where it listens.
+// start starts a sidecar with servers at the addresses, and returns its address.
 func start(t testing.TB, addrs ...string) (*Host, *downstream.Server, string) {
 	t.Helper()
-	return startWith(t, usual, addrs...)
+	return startWith(t, usualSettings, addrs...)
 }
 
-const usual = `{"replicasOfMe":1,"registryMode":"automatic",
+// usualSettings has an idempotent, a non-idempotent and a keyed class.
+const usualSettings = `{"replicasOfMe":1,"registryMode":"automatic",
 		"caps":{"attemptsCap":3,"mayCancel":true,"secondCopies":true,"connIdleUs":30000000,"dialTimeoutUs":5000000,
 			"mostHeld":100,"retryAfter":true,"maxRetryAfterUs":2000000},
 		"guarantees":{"drainGraceUs":2000000,"coldFrom":1},
@@ -42,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 50})
+	pool := upstream.New(upstream.Config{ServerIdleTimeout: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 50})
 	h, err := New(set, 1, pool, new(discovery.Watcher))
 	if err != nil {
 		t.Fatal(err)
@@ -62,6 +63,7 @@
 	return h, srv, ln.Addr().String()
 }
 
+// listen opens a listener that is closed when the test ends.
 func listen(t testing.TB) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,12 +74,13 @@
 	return ln
 }
 
-// mute is a server that takes requests and never answers.
-func mute(t *testing.T) string {
+// startSilentServer starts a server that accepts requests and never answers.
+func startSilentServer(t *testing.T) string {
 	return tcp.Serve(t, func(_ int, c net.Conn) { io.Copy(io.Discard, c) })
 }
 
-func ask(t *testing.T, c net.Conn, br *bufio.Reader, head string) *http.Response {
+// sendAndRead sends a request on a connection and returns its answer, whose body has been read.
+func sendAndRead(t *testing.T, c net.Conn, br *bufio.Reader, head string) *http.Response {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(patience))
 	io.WriteString(c, head+"\r\n\r\n")
@@ -89,11 +92,10 @@
 	return resp
 }
 
-// Requests that nobody answers get their one answer by their deadlines, an unsafe
-// one never a refusal, and leave nothing behind. A deadline that the client sets
-// far off does not hold anything for long.
+// Requests that no server answers get one answer by their deadlines and leave no state behind. A
+// non-idempotent one is never rejected. A distant deadline of the client is bounded by the class.
 func TestNothingStaysBehind(t *testing.T) {
-	h, _, addr := start(t, mute(t), mute(t), mute(t))
+	h, _, addr := start(t, startSilentServer(t), startSilentServer(t), startSilentServer(t))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +107,7 @@
 		if n%2 == 1 {
 			head = fmt.Sprintf("POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: p%d\r\nReq-Deadline-Ms: 30\r\nContent-Length: 0", n)
 		}
-		resp := ask(t, c, br, head)
+		resp := sendAndRead(t, c, br, head)
 		if n%2 == 1 && resp.StatusCode != http.StatusBadGateway || resp.StatusCode < 500 {
 			t.Errorf("request %d was answered %s", n, resp.Status)
 		}
@@ -115,26 +117,27 @@
 		t.Fatal(err)
 	}
 	io.WriteString(far, "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: far\r\nReq-Deadline-Ms: 2000000000\r\n\r\n")
-	wait(t, "the request to be taken", func() bool { return h.InFlight() == 1 })
+	eventually(t, "the request to be in flight", func() bool { return h.InFlight() == 1 })
 	h.mu.Lock()
-	for _, q := range h.requests {
-		if left := q.deadline - h.now(); left > 20*time.Second {
-			t.Errorf("held for %v", left)
+	for _, request := range h.requests {
+		if left := request.deadline - h.now(); left > 20*time.Second {
+			t.Errorf("the request may stay in flight for %v", left)
 		}
 	}
 	h.mu.Unlock()
 	far.Close()
-	wait(t, "nothing held", func() bool { return h.InFlight() == 0 })
+	eventually(t, "no request in flight", func() bool { return h.InFlight() == 0 })
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range h.timers.heap {
 		if a.request != nil {
-			t.Error("a deadline outlived its request")
+			t.Error("the timer of an ended request is left")
 		}
 	}
 }
 
-func wait(t *testing.T, what string, ok func() bool) {
+// eventually waits until ok returns true.
+func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for until := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
@@ -143,8 +146,8 @@
 	}
 }
 
-// Where no server can be reached, the refusal comes at once and says when to come
-// back: it is not held back until the deadline.
+// If no server can be reached, the rejection is sent at once with a Retry-After, and not at the
+// deadline.
 func TestRejectionIsPrompt(t *testing.T) {
 	ln := listen(t)
 	addr := ln.Addr().String()
@@ -156,11 +159,11 @@
 	}
 	defer c.Close()
 	began := time.Now()
-	resp := ask(t, c, bufio.NewReader(c), "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Deadline-Ms: 19000\r\nContent-Length: 0")
+	resp := sendAndRead(t, c, bufio.NewReader(c), "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nReq-Deadline-Ms: 19000\r\nContent-Length: 0")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("answered %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
 	if took := time.Since(began); took > 10*time.Second {
-		t.Errorf("held back for %v", took)
+		t.Errorf("rejected only after %v", took)
 	}
 }
--- a/internal/sidecar/list_capacity_test.go
+++ b/internal/sidecar/list_capacity_test.go
@@ -53,11 +53,11 @@
 
 func capacityHost(b *testing.B) *Host {
 	b.Helper()
-	set, err := settings.Parse([]byte(usual))
+	set, err := settings.Parse([]byte(usualSettings))
 	if err != nil {
 		b.Fatal(err)
 	}
-	pool := upstream.New(upstream.Config{ConnIdle: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 50})
+	pool := upstream.New(upstream.Config{ServerIdleTimeout: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 50})
 	host, err := New(set, 1, pool, new(discovery.Watcher))
 	if err != nil {
 		b.Fatal(err)
