--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -77,6 +77,29 @@
 	return result{}
 }
 
+// maxSendsForIdle bounds the requests that sendUntilIdle makes.
+const maxSendsForIdle = 50
+
+// sendUntilIdle makes requests until so many connections are idle, and returns their number. Each
+// has to be answered.
+//
+// One request is not always enough for one idle connection: an answer that is read before the
+// sender has recorded the end of its write is good, but its connection is not reused.
+func sendUntilIdle(t *testing.T, p *Pool, want int) (sent int) {
+	t.Helper()
+	for p.idleConns("s") < want {
+		if sent == maxSendsForIdle {
+			t.Fatalf("after %d requests %d connections are idle, want %d", sent, p.idleConns("s"), want)
+		}
+		sent++
+		if e := sendOne(t, p); e.outcome != martendrum.OK {
+			t.Fatalf("request %d: %v", sent, e.outcome)
+		}
+		eventually(t, "the connection to be idle or closed", func() bool { return p.idleConns("s") == p.Conns() })
+	}
+	return sent
+}
+
 // goodAnswer is a complete answer.
 const goodAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes"
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -21,9 +21,9 @@
 	}
 	p := newPool(reporting(old))
 	p.minRest = 0
-	sendOne(t, p)
-	<-old
-	eventually(t, "an idle connection", func() bool { return p.idleConns("s") == 1 })
+	for range sendUntilIdle(t, p, 1) {
+		<-old
+	}
 	p.MarkDraining("s", true)
 	if e := sendOne(t, p); e.outcome != martendrum.ConnectFailed {
 		t.Errorf("with no server of that name: %v", e.outcome)
@@ -121,7 +121,9 @@
 	}))
 	p.minRest = 0
 	for _, idle := range []int{0, 1} {
-		eventually(t, "the connections", func() bool { return p.idleConns("s") == idle })
+		for range sendUntilIdle(t, p, idle) {
+			<-ran
+		}
 		s := make(resultSink, 1)
 		a := attemptOf(s)
 		a.SendBefore = time.Now()
@@ -137,9 +139,10 @@
 		if len(ran) > 0 {
 			t.Errorf("%d idle connections: it was sent", idle)
 		}
-		if sendOne(t, p).outcome != martendrum.OK { // its connection can be reused
+		if sendOne(t, p).outcome != martendrum.OK {
 			t.Error("a request in time failed")
 		}
 		<-ran
+		eventually(t, "the connection to be idle or closed", func() bool { return p.idleConns("s") == p.Conns() })
 	}
 }
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -47,25 +47,20 @@
 // that request, also where the connection's goroutine has read them and not acted on them yet.
 // The request goes out completely on another connection.
 func TestUnsolicitedAnswerIsDropped(t *testing.T) {
-	stray, wrote := make(chan struct{}), make(chan struct{})
-	addr := serve(t, func(conn, _ int, c net.Conn) {
+	accepted := make(chan net.Conn, maxSendsForIdle+1)
+	addr := serve(t, func(_, _ int, c net.Conn) {
 		io.WriteString(c, goodAnswer)
-		if conn == 0 {
-			<-stray
-			io.WriteString(c, strings.Replace(goodAnswer, "yes", "no!", 1))
-			close(wrote)
-		}
+		accepted <- c
 	})
 	p := newPool(addr)
 	p.minRest = 0
-	if e := sendOne(t, p); e.outcome != martendrum.OK {
-		t.Fatal(e.outcome)
+	var serverSide net.Conn // of the idle connection, which is the last one
+	for range sendUntilIdle(t, p, 1) {
+		serverSide = <-accepted
 	}
-	eventually(t, "an idle connection", func() bool { return p.idleConns("s") == 1 })
 	p.mu.Lock()
 	c := p.servers["s"].idle[0]
-	close(stray)
-	<-wrote
+	io.WriteString(serverSide, strings.Replace(goodAnswer, "yes", "no!", 1))
 	eventually(t, "the stray answer to be read", func() bool { return tcp.Unread(t, c.Conn.(*net.TCPConn)) == 0 })
 	// The connection is taken for the next request while its goroutine waits for the lock.
 	s := make(resultSink, 1)
@@ -126,32 +121,32 @@
 func TestConnectionsRestLongerAfterUnsolicitedAnswer(t *testing.T) {
 	for name, late := range map[string]bool{"right behind its answer": false, "on an idle connection": true} {
 		t.Run(name, func(t *testing.T) {
-			stray := make(chan struct{})
-			var conns atomic.Int64
+			accepted := make(chan net.Conn, 2*maxSendsForIdle)
+			var lastConn atomic.Int64
 			p := newPool(serve(t, func(conn, n int, c net.Conn) {
-				conns.Store(int64(conn))
-				if conn > 0 || n > 0 {
-					io.WriteString(c, goodAnswer)
-				} else if late {
-					io.WriteString(c, goodAnswer)
-					<-stray
-					io.WriteString(c, goodAnswer)
-				} else {
+				lastConn.Store(int64(conn))
+				if conn == 0 && n == 0 && !late {
 					io.WriteString(c, goodAnswer+goodAnswer)
+				} else {
+					io.WriteString(c, goodAnswer)
 				}
+				accepted <- c
 			}))
 			p.minRest, p.unsolicitedRest = 0, patience
-			sendOne(t, p)
-			close(stray)
-			eventually(t, "the end of the connection with the stray", func() bool { return p.Conns() == 0 })
-			for n := range 3 {
-				if e := sendOne(t, p); e.outcome != martendrum.OK {
-					t.Fatal(e.outcome)
+			if late {
+				var serverSide net.Conn // of the idle connection, which is the last one
+				for range sendUntilIdle(t, p, 1) {
+					serverSide = <-accepted
 				}
-				eventually(t, "idle connections", func() bool { return p.idleConns("s") == n+1 })
+				io.WriteString(serverSide, goodAnswer)
+			} else {
+				sendOne(t, p)
 			}
-			if n := conns.Load(); n != 3 {
-				t.Errorf("the third request behind the stray came on connection %d: one had not rested", n)
+			eventually(t, "the end of the connection with the stray", func() bool { return p.Conns() == 0 })
+			connWithStray := lastConn.Load()
+			sent := sendUntilIdle(t, p, 3)
+			if n := lastConn.Load() - connWithStray; n != int64(sent) {
+				t.Errorf("%d requests behind the stray came on %d connections: one had not rested", sent, n)
 			}
 		})
 	}
