--- a/internal/fleet/e2e/powerloss_world_test.go
+++ b/internal/fleet/e2e/powerloss_world_test.go
@@ -185,7 +185,7 @@
 // powerLosses returns how many power losses an agent has logged.
 func (p *recoveryWorld) powerLosses(h *host) (n int) {
 	text, _ := os.ReadFile(h.config + ".log")
-	return strings.Count(string(text), "the host lost its power")
+	return strings.Count(string(text), "power loss detected, restarting instances in waves")
 }
 
 // allLogs returns all that an instance's sidecars have logged.
--- a/internal/fleet/host/agent/power_loss.go
+++ b/internal/fleet/host/agent/power_loss.go
@@ -50,7 +50,7 @@
 
 // powerLossMessage is logged once for each power loss. Operators and process tests look for this
 // text.
-const powerLossMessage = "the host lost its power: instances come back in waves"
+const powerLossMessage = "power loss detected, restarting instances in waves"
 
 // recoverFromPowerLoss checks for a power loss and prepares the return: all earlier leases are
 // void, whatever the clocks say, so that operations pause; lost processes do not count as
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -60,14 +60,13 @@
 
 // place is where a node runs, or none at the time.
 type place struct {
-	node        Node
-	incarnation int // number of nodes that have stopped here
-	rng         *rand.Rand
-	inbox       inbox
-	outbox      []envelope
-	sent        uint64 // messages
-	datagrams   uint64 // of the messages
-	bytes       uint64 // of the datagrams
+	node      Node
+	rng       *rand.Rand
+	inbox     inbox
+	outbox    []envelope
+	sent      uint64 // messages
+	datagrams uint64 // of the messages
+	bytes     uint64 // of the datagrams
 }
 
 // envelope is a message in transit.
@@ -128,7 +127,6 @@
 	p := &w.places[i]
 	p.node = nil
 	p.inbox = nil
-	p.incarnation++
 }
 
 // Node returns the node at a place, nil if there is none.
