--- a/cmd/martendrum/dev.go
+++ b/cmd/martendrum/dev.go
@@ -21,6 +21,7 @@
 
 	"martendrum/internal/fleet/host/agent"
 	"martendrum/internal/fleet/host/agentstore"
+	"martendrum/internal/protocol"
 	"martendrum/internal/standin/shop"
 )
 
@@ -210,8 +211,8 @@
 				if err != nil {
 					return
 				}
-				request.Header.Set("Req-Id", fmt.Sprintf("dev-%d-%d", n, id))
-				request.Header.Set("Req-Kind", "status-check")
+				request.Header.Set(protocol.RequestID, fmt.Sprintf("dev-%d-%d", n, id))
+				request.Header.Set(protocol.RequestClass, "status-check")
 				ok := succeeds(client, request)
 				mu.Lock()
 				if ok {
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -68,28 +68,29 @@
 // are the same in each run.
 func Fill(v any) { (&filler{}).fill(reflect.ValueOf(v).Elem()) }
 
-type filler struct{ n int }
+// filler counts the fields that it has set.
+type filler struct{ count int }
 
 var timeType = reflect.TypeFor[time.Time]()
 
 func (f *filler) fill(v reflect.Value) {
-	f.n++
+	f.count++
 	switch {
 	case v.Type() == timeType:
-		v.Set(reflect.ValueOf(time.Unix(1_800_000_000+int64(f.n), 0).UTC()))
+		v.Set(reflect.ValueOf(time.Unix(1_800_000_000+int64(f.count), 0).UTC()))
 		return
 	}
 	switch v.Kind() {
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(f.n % 100))
+		v.SetInt(int64(f.count % 100))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(f.n % 100))
+		v.SetUint(uint64(f.count % 100))
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(f.n) + 0.5)
+		v.SetFloat(float64(f.count) + 0.5)
 	case reflect.String:
-		v.SetString("text-" + string(rune('a'+f.n%26)))
+		v.SetString("text-" + string(rune('a'+f.count%26)))
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
 		f.fill(v.Elem())
--- a/internal/idempotency/key.go
+++ b/internal/idempotency/key.go
@@ -8,6 +8,8 @@
 	"strconv"
 	"strings"
 	"unicode/utf8"
+
+	"martendrum/internal/protocol"
 )
 
 // maxKeyBytes is the longest key, in bytes.
@@ -59,7 +61,7 @@
 	case jsonRule:
 		key, err = jsonValue(body, r.argument)
 	default:
-		key, err = Field(head, "Req-Id")
+		key, err = Field(head, protocol.RequestID)
 	}
 	switch {
 	case err != nil:
--- a/internal/idempotency/recorder/request.go
+++ b/internal/idempotency/recorder/request.go
@@ -10,6 +10,7 @@
 
 	"martendrum/internal/downstream"
 	"martendrum/internal/idempotency"
+	"martendrum/internal/protocol"
 	"martendrum/internal/sidecar"
 	"martendrum/internal/upstream"
 )
@@ -59,7 +60,7 @@
 }
 
 func (r *Recorder) newRequest(exchange *downstream.Exchange, class *Class, key string, left time.Duration) *recordedRequest {
-	requestID, _ := idempotency.Field(exchange.Request.Head, "Req-Id") // downstream has checked the head
+	requestID, _ := idempotency.Field(exchange.Request.Head, protocol.RequestID) // downstream has checked the head
 	return &recordedRequest{
 		recorder:    r,
 		class:       class,
