--- a/internal/standin/pgserver/execute.go
+++ b/internal/standin/pgserver/execute.go
@@ -43,7 +43,7 @@
 	for _, row := range rows {
 		var out [][]byte
 		for n, v := range row {
-			b, err := encode(p.columns[n].oid, format(p.formats, n), v)
+			b, err := encode(c.types, p.columns[n].oid, format(p.formats, n), v)
 			if err != nil {
 				return &failure{"XX000", fmt.Sprintf("column %s: %v", p.columns[n].name, err)}
 			}
--- a/internal/standin/pgserver/pgserver_test.go
+++ b/internal/standin/pgserver/pgserver_test.go
@@ -55,6 +55,41 @@
 
 const table = "CREATE TABLE t (k TEXT PRIMARY KEY, n BIGINT, b BYTEA, yes BOOLEAN)"
 
+// Sessions decode parameters and encode results at the same time; the race detector sees what they
+// share. It stands first, as a shared table of types would be written at its first uses only.
+func TestSessionsShareNoTypes(t *testing.T) {
+	const sessions = 8
+	s := serve(t, Config{})
+	if _, err := connect(t, s.URL()).Exec(ctx, table); err != nil {
+		t.Fatal(err)
+	}
+	start := make(chan struct{})
+	failed := make(chan error, sessions)
+	for n := range sessions {
+		c := connect(t, s.URL())
+		go func() {
+			<-start
+			var number int64
+			var yes bool
+			key := fmt.Sprint(n)
+			_, err := c.Exec(ctx, "INSERT INTO t (k, n, b, yes) VALUES ($1::text, $2::bigint, $3::bytea, $4::boolean) ON CONFLICT (k) DO NOTHING", key, int64(n), []byte{1}, true)
+			if err == nil {
+				err = c.QueryRow(ctx, "SELECT n, yes FROM t WHERE k = $1::text FOR UPDATE", key).Scan(&number, &yes)
+			}
+			if err == nil && (number != int64(n) || !yes) {
+				err = fmt.Errorf("session %d read %d, %v", n, number, yes)
+			}
+			failed <- err
+		}()
+	}
+	close(start)
+	for range sessions {
+		if err := <-failed; err != nil {
+			t.Error(err)
+		}
+	}
+}
+
 // pgx's ways to ask: prepared with binary formats, simple, and in batches.
 func TestQueries(t *testing.T) {
 	s := serve(t, Config{})
--- a/internal/standin/pgserver/session.go
+++ b/internal/standin/pgserver/session.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"github.com/jackc/pgx/v5/pgproto3"
+	"github.com/jackc/pgx/v5/pgtype"
 	driver "modernc.org/sqlite"
 	lib "modernc.org/sqlite/lib"
 )
@@ -22,6 +23,7 @@
 	raw, nc    net.Conn
 	backend    *pgproto3.Backend
 	db         *sql.Conn
+	types      *pgtype.Map // remembers its plans, so that sessions can't share one
 	eventCount int64
 	pid        uint32
 	secret     []byte
@@ -277,7 +279,7 @@
 	}
 	p := &portal{query: s.query, formats: append([]int16(nil), m.ResultFormatCodes...)}
 	for n, raw := range m.Parameters {
-		v, err := decode(s.params[n], format(m.ParameterFormatCodes, n), raw)
+		v, err := decode(c.types, s.params[n], format(m.ParameterFormatCodes, n), raw)
 		if err != nil {
 			return &failure{"22P02", fmt.Sprintf("parameter $%d: %v", n+1, err)}
 		}
--- a/internal/standin/pgserver/startup.go
+++ b/internal/standin/pgserver/startup.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/jackc/pgx/v5/pgproto3"
+	"github.com/jackc/pgx/v5/pgtype"
 )
 
 // maxStart bounds a connection's start-up.
@@ -23,7 +24,7 @@
 	if start == nil {
 		return
 	}
-	c := &session{srv: s, raw: raw, nc: nc, backend: b, eventCount: s.conns.Add(1), statements: make(map[string]*statement), portals: make(map[string]*portal)}
+	c := &session{srv: s, raw: raw, nc: nc, backend: b, types: pgtype.NewMap(), eventCount: s.conns.Add(1), statements: make(map[string]*statement), portals: make(map[string]*portal)}
 	var key [8]byte
 	rand.Read(key[:])
 	c.pid, c.secret = uint32(c.eventCount), key[:4]
--- a/internal/standin/pgserver/values.go
+++ b/internal/standin/pgserver/values.go
@@ -6,8 +6,6 @@
 	"github.com/jackc/pgx/v5/pgtype"
 )
 
-var types = pgtype.NewMap()
-
 // format is that of field n, by the rule of Bind: none, one for all, or one each.
 func format(formats []int16, n int) int16 {
 	switch {
@@ -19,7 +17,8 @@
 	return 0
 }
 
-func decode(oid uint32, format int16, raw []byte) (any, error) {
+// decode returns the value of a parameter in a format of the protocol.
+func decode(types *pgtype.Map, oid uint32, format int16, raw []byte) (any, error) {
 	if raw == nil {
 		return nil, nil
 	}
@@ -45,7 +44,8 @@
 	return nil, fmt.Errorf("the stand-in has no type of OID %d", oid)
 }
 
-func encode(oid uint32, format int16, v any) ([]byte, error) {
+// encode returns a result's value in a format of the protocol.
+func encode(types *pgtype.Map, oid uint32, format int16, v any) ([]byte, error) {
 	if v == nil {
 		return nil, nil
 	}
