--- a/internal/fleet/host/agent/agent.go
+++ b/internal/fleet/host/agent/agent.go
@@ -80,7 +80,7 @@
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	if err := a.start(open); err != nil {
-		a.abandonStart()
+		a.Close()
 		return nil, &StartError{Agent: config.Name, Err: err}
 	}
 	a.loadedSettings = nil
@@ -103,13 +103,15 @@
 	return a.startDistribution(a.loadedSettings)
 }
 
-// abandonStart releases what a failed start holds.
-func (a *Agent) abandonStart() {
+// Close ends the agent, also one whose start failed, and leaves the sidecars running.
+func (a *Agent) Close() {
 	a.cancel()
-	a.wg.Wait()
 	if a.relay != nil {
 		a.relay.Close()
 	}
+	a.wg.Wait()
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	if a.store != nil {
 		a.store.Close()
 	}
@@ -118,19 +120,6 @@
 	}
 }
 
-// Close ends the agent and leaves the sidecars running.
-func (a *Agent) Close() {
-	a.cancel()
-	if a.relay != nil {
-		a.relay.Close()
-	}
-	a.wg.Wait()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.store.Close()
-	filelock.Release(a.lockFile)
-}
-
 // StopAll sets the desired state of every instance to stopped and waits until none runs or ctx
 // ends.
 func (a *Agent) StopAll(ctx context.Context) error {
--- a/internal/fleet/store/sqlite/compat_test.go
+++ b/internal/fleet/store/sqlite/compat_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"database/sql"
 	"fmt"
-	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
@@ -84,20 +83,9 @@
 // TestRecordOfEarlierBuild checks that an earlier build's store is read with its values and
 // written again row by row.
 func TestRecordOfEarlierBuild(t *testing.T) {
-	const golden = "agent-record.db"
 	written := filepath.Join(t.TempDir(), "written.db")
 	writeStored(t, written)
-	if goldentest.Updating() {
-		data, err := os.ReadFile(written)
-		if err != nil {
-			t.Fatal(err)
-		}
-		goldentest.Write(t, golden, data)
-	}
-	earlier := filepath.Join(t.TempDir(), "earlier.db")
-	if err := os.WriteFile(earlier, goldentest.Read(t, golden), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	earlier := goldentest.CopyFile(t, "agent-record.db", written)
 	if got, want := dump(t, written), dump(t, earlier); !bytes.Equal(got, want) {
 		t.Errorf("rows\n%s\nwant\n%s", got, want)
 	}
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -17,9 +17,6 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// Updating reports whether the golden files are to be written anew.
-func Updating() bool { return *update }
-
 // Path returns the path of a golden file.
 func Path(name string) string { return filepath.Join("testdata", name) }
 
@@ -44,6 +41,24 @@
 	}
 }
 
+// CopyFile returns the path of a copy of a golden file, which the test may change. written is the
+// path of what the present build writes; with -update it becomes the golden file first.
+func CopyFile(t testing.TB, name, written string) string {
+	t.Helper()
+	if *update {
+		data, err := os.ReadFile(written)
+		if err != nil {
+			t.Fatal(err)
+		}
+		Write(t, name, data)
+	}
+	earlier := filepath.Join(t.TempDir(), name)
+	if err := os.WriteFile(earlier, Read(t, name), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return earlier
+}
+
 // Compare fails the test unless a golden file has exactly this content.
 func Compare(t testing.TB, name string, got []byte) {
 	t.Helper()
--- a/internal/idempotency/sqlite/compat_test.go
+++ b/internal/idempotency/sqlite/compat_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"os"
 	"path/filepath"
 	"testing"
 	"time"
@@ -45,20 +44,9 @@
 // TestRecordOfEarlierBuild checks that an earlier build's store is read with its values, key
 // by key, and that the same operations write the same entries.
 func TestRecordOfEarlierBuild(t *testing.T) {
-	const golden = "record.db"
 	written := filepath.Join(t.TempDir(), "written.db")
 	writeStored(t, written)
-	if goldentest.Updating() {
-		data, err := os.ReadFile(written)
-		if err != nil {
-			t.Fatal(err)
-		}
-		goldentest.Write(t, golden, data)
-	}
-	earlier := filepath.Join(t.TempDir(), "earlier.db")
-	if err := os.WriteFile(earlier, goldentest.Read(t, golden), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	earlier := goldentest.CopyFile(t, "record.db", written)
 	reader := func(path string) *Store {
 		c := cfg(path)
 		c.Owner = false
