--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -137,12 +137,6 @@
 	return w.places[i].datagrams, w.places[i].bytes
 }
 
-// SetNetwork replaces the network for messages that are sent from now on.
-func (w *World) SetNetwork(n Network) { w.network = n }
-
-// Network returns the network in force.
-func (w *World) Network() Network { return w.network }
-
 // nextEvent is the time of the next event at a place.
 func (p *place) nextEvent() time.Duration {
 	if p.node == nil {
--- a/internal/idempotency/key.go
+++ b/internal/idempotency/key.go
@@ -50,9 +50,6 @@
 	return r.kind + ":" + r.argument
 }
 
-// DetectsRetries says whether a client's retry has the same key.
-func (r KeyRule) DetectsRetries() bool { return r.kind != requestIDRule }
-
 // Key finds a request's key. head is its HTTP/1.1 head.
 func (r KeyRule) Key(head, body []byte) (key string, err error) {
 	switch r.kind {
