--- a/internal/idempotency/e2e/fixture_test.go
+++ b/internal/idempotency/e2e/fixture_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -159,6 +160,35 @@
 	return done
 }
 
+// sendUntilRun sends a request in the background until a server has run it, and returns
+// where the response to the last sending will be. A sending whose claim takes longer than
+// the wait for the store is rejected and did not run, so that the key may be sent again.
+func (f *fixture) sendUntilRun(t *testing.T, request clientRequest) <-chan clientResponse {
+	t.Helper()
+	var rejected clientResponse
+	done := f.sendInBackground(request)
+	for deadline := time.Now().Add(testTimeout); f.servers.runCount(request) == 0; {
+		if time.Now().After(deadline) {
+			t.Fatalf("no server ran %s %s within %v; last rejection: %+v", request.class, request.key, testTimeout, rejected)
+		}
+		select {
+		case response := <-done:
+			if f.servers.runCount(request) > 0 { // it ran and was answered since the check
+				answered := make(chan clientResponse, 1)
+				answered <- response
+				return answered
+			}
+			if response.status != http.StatusServiceUnavailable && response.status != http.StatusConflict {
+				t.Fatalf("%s %s: got %+v before a server ran it, want a rejection", request.class, request.key, response)
+			}
+			rejected = response
+			done = f.sendInBackground(request)
+		case <-time.After(pollInterval):
+		}
+	}
+	return done
+}
+
 // awaitEntry waits until a key's entry satisfies a condition.
 func (f *fixture) awaitEntry(t *testing.T, request clientRequest, condition func(idempotency.Entry) bool) idempotency.Entry {
 	t.Helper()
