--- a/attempt.go
+++ b/attempt.go
@@ -3,30 +3,32 @@
 import "time"
 
 const (
-	// A first attempt earns retryTokensPerRequest retries, of which maxRetryTokens accumulate.
+	// Each first attempt adds retryTokensPerRequest retries to the retry budget, which holds
+	// at most maxRetryTokens.
 	retryTokensPerRequest = 0.3
 	maxRetryTokens        = 10.0
-	// Requests of at least retryWeightFactor times the mean weight are retried without a token.
+	// A request of at least retryWeightFactor times the mean weight is retried even when the
+	// retry budget is empty.
 	retryWeightFactor = 2.0
 )
 
-// attempt is one send of a request.
+// attempt is one attempt of a request: a first attempt, a retry or a hedge.
 type attempt struct {
 	server      *server
 	sent        time.Duration
-	done        bool    // has an outcome
-	notExecuted bool    // the outcome proves that it was not executed
-	hedged      bool    // is a hedge
-	censored    bool    // did not answer: latency is a lower bound
-	queueDepth  float64 // of its server by load report, this attempt included
-	latency     float64 // in fractions of the latency objective, if recorded
+	done        bool // it has an outcome
+	notExecuted bool // the outcome proves that the server did not execute it
+	isHedge     bool
+	censored    bool    // it had no answer, so latency is only a lower bound
+	queueDepth  float64 // of the server by its load report when sent, this attempt included
+	latency     float64 // as a fraction of the latency objective, 0 if not recorded
 }
 
-// noAttempt is an index that no attempt has.
+// noAttempt is an index that no attempt has; see cancelOthers.
 const noAttempt = -1
 
-// firstPossiblyExecuted returns the first attempt that may have been executed, nil if
-// all are proved not to have been.
+// firstPossiblyExecuted returns the first attempt that a server may have executed, nil if all
+// attempts are known not to have been executed.
 func (r *openRequest) firstPossiblyExecuted() *attempt {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.done || !a.notExecuted {
@@ -36,10 +38,10 @@
 	return nil
 }
 
-// mayAttempt reports whether the request may have one more attempt. anchor is its first
-// attempt that may have been executed: from then on only idempotent requests, and keyed
-// ones within their deduplication window, may be sent again.
-func (b *Balancer) mayAttempt(request *openRequest, anchor *attempt, now time.Duration) bool {
+// mayAttempt reports whether the request may have one more attempt. firstExecuted is the
+// result of firstPossiblyExecuted. If it is not nil, only idempotent requests may be sent again,
+// and keyed ones within their deduplication window.
+func (b *Balancer) mayAttempt(request *openRequest, firstExecuted *attempt, now time.Duration) bool {
 	switch {
 	case request.finished,
 		request.streamed,
@@ -47,75 +49,78 @@
 		now >= request.Deadline,
 		request.pending > 0 && !b.config.AllowHedging:
 		return false
-	case request.class.Idempotency == Idempotent, anchor == nil:
+	case request.class.Idempotency == Idempotent, firstExecuted == nil:
 		return true
 	}
-	return request.class.Idempotency == IdempotencyKeyed && now-anchor.sent < request.class.DedupWindow
+	return request.class.Idempotency == IdempotencyKeyed && now-firstExecuted.sent < request.class.DedupWindow
 }
 
-// startAttempt sends the request's next attempt. It returns false if the request may not
-// have one or no server can take it.
+// startAttempt sends the request's next attempt. It returns false, and sends nothing, if the
+// request may have no more attempts, if no server is eligible, or if the answer is expected to
+// be too late.
 func (b *Balancer) startAttempt(request *openRequest, now time.Duration, isHedge bool) bool {
-	anchor := request.firstPossiblyExecuted()
-	if !b.mayAttempt(request, anchor, now) {
+	firstExecuted := request.firstPossiblyExecuted()
+	if !b.mayAttempt(request, firstExecuted, now) {
 		return false
 	}
-	s := b.pickServer(request, anchor, now)
+	s := b.pickServer(request, firstExecuted, now)
 	if s == nil {
 		return false
 	}
 	queueDepth := s.queueDepth(now)
-	if b.wouldEarnNothing(request, queueDepth, now) {
+	if b.isExpectedTooLate(request, queueDepth, now) {
 		return false
 	}
 	b.endpoints.recordSend(s, now)
-	request.attempts = append(request.attempts, attempt{server: s, sent: now, hedged: isHedge, queueDepth: queueDepth})
+	request.attempts = append(request.attempts, attempt{server: s, sent: now, isHedge: isHedge, queueDepth: queueDepth})
 	request.pending++
 	timeout := request.Deadline - now
 	sendWithin := timeout
-	if anchor != nil && request.class.Idempotency == IdempotencyKeyed {
-		sendWithin = min(sendWithin, anchor.sent+request.class.DedupWindow-now)
+	if firstExecuted != nil && request.class.Idempotency == IdempotencyKeyed {
+		sendWithin = min(sendWithin, firstExecuted.sent+request.class.DedupWindow-now)
 	}
 	b.host.Send(request.ID, s.name, timeout, sendWithin)
 	return true
 }
 
-// pickServer picks a server for the request's next attempt, nil if there is none. Servers
-// that fail the request's class are picked only if no other server is eligible.
-func (b *Balancer) pickServer(request *openRequest, anchor *attempt, now time.Duration) *server {
+// pickServer picks a server for the request's next attempt, nil if there is none. A server whose
+// error rate for the request's class is above maxErrorRate is picked only if no other server is
+// eligible.
+func (b *Balancer) pickServer(request *openRequest, firstExecuted *attempt, now time.Duration) *server {
 	s := b.endpoints.pick(now, func(s *server) bool {
-		return s.errorRate(request.Class, now) <= maxErrorRate && request.mayGoTo(s, anchor)
+		return s.errorRate(request.Class, now) <= maxErrorRate && request.mayGoTo(s, firstExecuted)
 	})
 	if s != nil {
 		return s
 	}
-	return b.endpoints.pick(now, func(s *server) bool { return request.mayGoTo(s, anchor) })
+	return b.endpoints.pick(now, func(s *server) bool { return request.mayGoTo(s, firstExecuted) })
 }
 
-// mayGoTo reports whether the next attempt may go to s: a server that has had no attempt of
-// the request and, for a keyed request that may have been executed, is in anchor's scope.
-func (r *openRequest) mayGoTo(s *server, anchor *attempt) bool {
+// mayGoTo reports whether the next attempt may go to s. The server must have had no attempt of
+// the request. If a keyed request may have been executed, s must also deduplicate together with
+// the server of firstExecuted.
+func (r *openRequest) mayGoTo(s *server, firstExecuted *attempt) bool {
 	for i := range r.attempts {
 		if r.attempts[i].server == s {
 			return false
 		}
 	}
-	if anchor == nil || r.class.Idempotency != IdempotencyKeyed {
+	if firstExecuted == nil || r.class.Idempotency != IdempotencyKeyed {
 		return true
 	}
 	switch r.class.DedupScope {
 	case DedupScopeAll:
 		return true
 	case DedupScopeZone:
-		return anchor.server.zone == s.zone
+		return firstExecuted.server.zone == s.zone
 	}
-	return anchor.server.zone == s.zone && anchor.server.group == s.group
+	return firstExecuted.server.zone == s.zone && firstExecuted.server.group == s.group
 }
 
-// wouldEarnNothing reports whether an answer from a server with the queue depth would
-// miss the latency objective and earn nothing, so that the attempt would only delay others.
-// It is known only where servers are probed.
-func (b *Balancer) wouldEarnNothing(request *openRequest, queueDepth float64, now time.Duration) bool {
+// isExpectedTooLate reports whether an answer from a server with the queue depth is expected after
+// the latency objective, in a class where a late answer has no value. Such an attempt would only
+// delay other requests. Only where servers are probed can this be known; elsewhere it is false.
+func (b *Balancer) isExpectedTooLate(request *openRequest, queueDepth float64, now time.Duration) bool {
 	if !b.config.Probes || request.class.LateWeight != 0 {
 		return false
 	}
@@ -123,11 +128,12 @@
 	return expected > float64(request.arrived+request.class.LatencyObjective-now)
 }
 
-// mayRetry reports whether the retry budget allows a retry after the outcome, and spends it.
-// The budget binds only retries of rejected attempts of ordinary weight: where all queues
-// are full, these only displace other requests.
+// mayRetry reports whether the request may be retried after the outcome. The retry budget limits only
+// retries after a rejection, each of which takes a token: where the queues of all servers are full,
+// such retries only displace other requests. If the budget is empty, only requests of high weight are
+// retried.
 func (b *Balancer) mayRetry(request *openRequest, outcome Outcome) bool {
-	if outcome != Rejected { // other failures say nothing about queues
+	if outcome != Rejected { // other failures do not mean that queues are full
 		return true
 	}
 	if b.retryTokens < 1 {
@@ -137,8 +143,8 @@
 	return true
 }
 
-// StreamStarted says that the body or the answer of the attempt streams: no other attempt
-// may follow.
+// StreamStarted records that the host has begun to stream the body or the answer of the attempt
+// at index. The request gets no further attempts, and its other attempts are cancelled.
 func (b *Balancer) StreamStarted(now time.Duration, id RequestID, index int) {
 	request := b.requests[id]
 	if request == nil || index < 0 || index >= len(request.attempts) {
@@ -148,7 +154,8 @@
 	b.cancelOthers(request, index)
 }
 
-// cancelOthers cancels the request's attempts in flight except the one at index.
+// cancelOthers cancels the request's attempts in flight except the one at index, or all of them
+// if index is noAttempt. It does nothing where Config.AllowCancellation is false.
 func (b *Balancer) cancelOthers(request *openRequest, index int) {
 	if !b.config.AllowCancellation || request.pending == 0 {
 		return
--- a/balancer.go
+++ b/balancer.go
@@ -1,19 +1,20 @@
 // Package martendrum makes the decisions of a client-side load balancer: which
 // server a request goes to, when it is hedged or retried, and when it is rejected.
 //
-// A Balancer owns the state behind these decisions: the server list, its working
-// set, each server's load and latency, the shed level, the hedging policy and the
-// requests that are open. It picks servers by two random choices over its own
-// in-flight requests and hedges by SingleR.
+// A Balancer owns the state that these decisions depend on: the server list, its
+// working set, each server's load and latency, the shed level, the hedging policy
+// and the open requests. It picks the better of two randomly chosen servers, first
+// by its own requests in flight, and hedges by the SingleR policy (see hedge.go).
 //
-// It promises one final answer for each request that arrives, at most
+// A Balancer guarantees one final answer for each request that arrives, at most
 // Config.MaxAttempts attempts for it, and no retry or hedge that could execute a
-// request more often than its class allows. The same seed and events give the
-// same actions.
+// request more often than its class allows. The same seed and the same events lead
+// to the same actions.
 //
-// It has no goroutines, clock or I/O and is not safe for concurrent use. The host
-// calls one method per event, from one goroutine at a time, with a time that never
-// decreases, and carries out the actions that arrive through Host.
+// A Balancer has no goroutines, clock or I/O and is not safe for concurrent use. Its
+// host calls one method per event, from one goroutine at a time, and carries out the
+// actions that the Balancer requests through the Host interface. The host passes the
+// current time to each method; that time must never decrease.
 package martendrum
 
 import (
@@ -22,34 +23,36 @@
 	"time"
 )
 
-// RequestID identifies a request for the life of a Balancer.
+// RequestID identifies a request; it is unique during the lifetime of a Balancer.
 type RequestID uint64
 
-// Host carries out a Balancer's decisions. Its methods are called from within
-// the Balancer's own and must not call back into it.
+// Host carries out a Balancer's decisions. The Balancer calls the methods of Host from
+// within its own methods; they must not call the Balancer.
 type Host interface {
 	// Send starts the request's next attempt; attempts are numbered from 0. The attempt
-	// times out after timeout. If its last byte has not been sent when sendWithin has
-	// passed, the attempt must not execute.
+	// times out after timeout. If the last byte of the request has not been sent within
+	// sendWithin, the host must abort the attempt so that the server cannot execute it.
 	Send(id RequestID, server string, timeout, sendWithin time.Duration)
-	// Cancel stops waiting for an attempt.
+	// Cancel cancels an attempt in flight.
 	Cancel(id RequestID, attempt int)
-	// Reject ends a request with an answer that says that a retry is harmless,
-	// preferably not before retryAfter.
+	// Reject answers a request with an error after which the client may safely retry,
+	// preferably not before retryAfter has passed.
 	Reject(id RequestID, retryAfter time.Duration)
-	// Fail ends a request without saying whether a retry is harmless.
+	// Fail answers a request with an error that does not tell whether a retry is safe.
 	Fail(id RequestID)
-	// SetTimer requests a call of Balancer.TimerFired with the cookie after a delay.
+	// SetTimer schedules a call of Balancer.TimerFired with the cookie after the delay.
 	SetTimer(cookie uint64, after time.Duration)
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(server string)
-	// Probe requests a load report from a server; see Balancer.ProbeAnswered.
+	// Probe requests a load report from a server; the host passes the answer to
+	// Balancer.ProbeAnswered.
 	Probe(server string)
-	// Subscribe polls discovery for the server list and its changes from now on.
+	// Subscribe asks discovery for the server list and for all later changes to it. The host
+	// reports a failure to Balancer.DiscoveryFailed.
 	Subscribe()
 }
 
-// Balancer makes the decisions of one client process.
+// Balancer makes the load-balancing decisions of one client process. Create it with New.
 type Balancer struct {
 	config      Config
 	host        Host
@@ -58,23 +61,24 @@
 	hedger      hedger
 	admission   admissionController
 	requests    map[RequestID]*openRequest
-	timers      map[uint64]*openRequest // by cookie
-	retryTokens float64                 // retries left in the budget
+	timers      map[uint64]*openRequest // requests by the cookie of their timer
+	retryTokens float64                 // retries left in the retry budget
 	bounds      Bounds
 
-	lastTimer   uint64        // the last cookie given out
-	pollTimer   uint64        // the cookie of the next poll of discovery, 0 if none is due
-	pollBackoff time.Duration // the mean delay before the next poll, less where RetryWithin bounds it
+	lastTimer   uint64        // cookie of the timer that was set last
+	pollTimer   uint64        // cookie of the timer for the next poll of discovery, 0 if none is set
+	pollBackoff time.Duration // mean delay before the next poll; Config.RetryWithin may shorten it
 }
 
 // rngStream is the second word of the random number generator's seed.
 const rngStream = 0x9e3779b97f4a7c15
 
-// firstPollSpread is the fraction of Config.MaxListAge over which first polls are spread.
+// firstPollSpread is the fraction of Config.MaxListAge over which the first polls of all
+// balancers are spread.
 const firstPollSpread = 0.8
 
-// New returns a Balancer for cfg that draws its random numbers from seed. It
-// returns an error where Reconfigure would.
+// New returns a Balancer with the configuration cfg whose random numbers are derived from
+// seed. It returns an error if cfg is invalid; see Reconfigure.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	b := &Balancer{
 		host:        host,
@@ -95,23 +99,27 @@
 		return nil, err
 	}
 	if cfg.MaxListAge > 0 {
-		// All balancers may start at once and discovery serves them in turn, so the
-		// first polls are spread over the time that this may take.
+		// All balancers may start at the same time, and discovery answers their polls one
+		// after another. The first polls are therefore spread at random over a fraction of
+		// MaxListAge.
 		b.pollBackoff = cfg.MaxListAge / 2
 		b.pollTimer = b.setTimer(time.Duration(b.rng.Float64() * firstPollSpread * float64(cfg.MaxListAge)))
 	}
 	return b, nil
 }
 
-// Reconfigure takes a new configuration for requests that arrive from now on; open requests
-// keep their class and number of attempts. Classes and tenants keep their indexes: new ones are
-// appended or replace dropped ones. Only what the Balancer relies on is checked here.
+// Reconfigure applies a new configuration to requests that arrive from now on. Open requests keep
+// their class, and a higher MaxAttempts does not apply to them; a lower one does. Classes and
+// tenants keep their indexes: a new one is appended or takes the index of one that is no longer
+// used. Reconfigure returns an error, and changes nothing, if Instances or MaxAttempts is below 1, if
+// there are no classes, or if there are fewer classes or tenants than before. It checks only these
+// conditions.
 func (b *Balancer) Reconfigure(cfg Config) error {
 	switch {
 	case cfg.Instances < 1 || len(cfg.Classes) == 0 || cfg.MaxAttempts < 1:
 		return errors.New("martendrum: config: Instances, Classes and MaxAttempts must be above 0")
 	case len(cfg.Classes) < len(b.config.Classes), len(cfg.TenantQuotas) < len(b.config.TenantQuotas):
-		return errors.New("martendrum: config: classes and tenants must keep their places")
+		return errors.New("martendrum: config: classes and tenants must keep their indexes; none can be removed")
 	}
 	b.config = cfg
 	b.config.Probes = cfg.Probes && probesPerRequest*cfg.ProbeCost <= maxProbeCost
--- a/bounds.go
+++ b/bounds.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Bounds is what a Balancer must keep to at the request of those who see more of the fleet
-// than it does. The zero value bounds nothing.
+// Bounds are limits that the host sets on a Balancer from information about the whole fleet,
+// which the Balancer does not have. The zero value sets no limits.
 type Bounds struct {
-	// MinShedFraction is the fraction of the traffic, lowest weight first, that is shed on
-	// arrival at least, because servers cannot take more.
+	// MinShedFraction is the least fraction of the traffic to shed on arrival, lowest weight
+	// first, because the servers cannot take more. More is shed if the shed level is higher.
 	MinShedFraction float64
-	// NominalRate is the sends a second that this balancer would make if servers accepted
-	// all. Servers in slow start are paced by it where it is above the recent rate. 0: unknown.
+	// NominalRate is the number of sends a second that this balancer would make if the servers
+	// accepted all of them. It sets the pace of sends to servers in slow start where it is above
+	// the recent rate of accepted sends. 0 means unknown.
 	NominalRate float64
-	// SuspendOptionalWork suspends hedges and probes before a send.
+	// SuspendOptionalWork turns off hedges, and probes before the first send of a request.
 	SuspendOptionalWork bool
 }
 
-// SetBounds sets the bounds in force from now on.
+// SetBounds replaces the bounds. They apply until the next call.
 func (b *Balancer) SetBounds(bounds Bounds) {
 	b.bounds = bounds
 	b.endpoints.nominalRate = bounds.NominalRate
 	b.admission.minShedFraction = bounds.MinShedFraction
 }
 
-// warmServerHeadroom is the multiple of its usual load that a server at full capacity is
-// taken to bear while others are in slow start. Where all are near their limits it is too
-// high; late answers then raise the shed level.
-const warmServerHeadroom = 1.5
+// fullCapacityHeadroom is the multiple of its usual load that a server at full capacity is
+// assumed to sustain while others are in slow start. Where all servers are near their limits,
+// the assumption is too high; late answers then raise the shed level.
+const fullCapacityHeadroom = 1.5
 
-// Capacity returns, for the working set, the mean slow-start factor and the fraction of the
-// usual load that it can bear now. Both are 1 where every server has its full capacity, and
-// where there is no server.
-func (b *Balancer) Capacity(now time.Duration) (slowStartFactor, bearable float64) {
+// Capacity returns two fractions for the working set: its mean slow-start factor, weighted by
+// capacity, and the part of its usual load that it can sustain now. Both are 1 if every server
+// has its full capacity or if there is no server.
+func (b *Balancer) Capacity(now time.Duration) (slowStartFactor, sustainableLoad float64) {
 	set := &b.endpoints
 	set.refresh(now)
 	nominal, present, withHeadroom := 0.0, 0.0, 0.0
@@ -39,7 +40,7 @@
 		factor := set.slowStartFactor(s, now)
 		present += s.capacityHint * factor
 		if factor == 1 {
-			factor = warmServerHeadroom
+			factor = fullCapacityHeadroom
 		}
 		withHeadroom += s.capacityHint * factor
 	}
--- a/config.go
+++ b/config.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Idempotency says whether a request may be executed more than once.
+// Idempotency tells whether a request may be executed more than once.
 type Idempotency int
 
 const (
 	// Idempotent requests may be executed any number of times.
 	Idempotent Idempotency = iota
-	// IdempotencyKeyed requests are deduplicated by a group of servers for a time.
+	// IdempotencyKeyed requests carry a key by which the servers of Class.DedupScope deduplicate
+	// them during Class.DedupWindow.
 	IdempotencyKeyed
 	// NonIdempotent requests must not be executed twice.
 	NonIdempotent
 )
 
-// String implements fmt.Stringer with the words of the settings.
+// String returns the name that the settings use: safe, keyed or unsafe.
 func (i Idempotency) String() string {
 	switch i {
 	case Idempotent:
@@ -25,7 +26,7 @@
 	return "unsafe"
 }
 
-// DedupScope is the group of servers that deduplicates an IdempotencyKeyed request.
+// DedupScope is the set of servers that deduplicate an IdempotencyKeyed request together.
 type DedupScope int
 
 const (
@@ -37,41 +38,44 @@
 	DedupScopeGroup
 )
 
-// Class describes one class of requests.
+// Class describes one class of requests. LatencyObjective must be above 0.
 type Class struct {
-	LatencyObjective time.Duration // an answer within it earns the full weight
-	LateWeight       float64       // fraction of the weight that a later answer earns
-	Weight           float64       // priority weight of a request
+	LatencyObjective time.Duration // from arrival to answer; an answer within it counts with the full weight
+	LateWeight       float64       // fraction of the weight with which a later answer counts
+	Weight           float64       // priority of a request relative to other classes
 	Idempotency      Idempotency
-	DedupScope       DedupScope    // for IdempotencyKeyed
-	DedupWindow      time.Duration // for IdempotencyKeyed: how long repeats are deduplicated
+	DedupScope       DedupScope    // only for IdempotencyKeyed
+	DedupWindow      time.Duration // only for IdempotencyKeyed: how long after the first attempt repeats are deduplicated
 }
 
-// Config is the configuration of a Balancer. Costs are in points of the score.
+// Config is the configuration of a Balancer. Costs are in points of the score by which the service
+// is judged; a cost of 0 means that the resource is free.
 type Config struct {
-	Instances         int // balancers in the tier, this one included
+	Instances         int // number of balancers that share the servers, this one included
 	Classes           []Class
-	TenantQuotas      []float64 // requests a second of all balancers together that are within the tenant's quota
-	OverQuotaWeight   float64   // fraction of its weight that a request above the quota has
-	Zone              string
-	MaxAttempts       int  // for one request, the first attempt and hedges included
-	AllowCancellation bool // attempts may be cancelled
-	AllowHedging      bool // two attempts of a request may be in flight together
-	MaxRetryAfter     time.Duration
-	CrossZoneCost     float64 // only whether it is above 0 matters
-	ConnectionCost    float64 // for 100 open connections per server
-	WastedWorkCost    float64 // for as much wasted work as was requested
-	Probes            bool    // servers report their load when probed, and only then
-	ProbeCost         float64 // for one probe per request
+	TenantQuotas      []float64     // by tenant, in requests a second over all balancers together
+	OverQuotaWeight   float64       // factor on the weight of a request above its tenant's quota
+	Zone              string        // zone of this balancer
+	MaxAttempts       int           // for one request, the first attempt and hedges included
+	AllowCancellation bool          // attempts may be cancelled
+	AllowHedging      bool          // two attempts of a request may be in flight at the same time
+	MaxRetryAfter     time.Duration // upper bound of the delay that a rejection suggests to the client
+	CrossZoneCost     float64       // of requests to other zones; only whether it is above 0 matters
+	ConnectionCost    float64       // of 100 open connections per server
+	WastedWorkCost    float64       // of as much wasted work as was requested
+	Probes            bool          // servers report their load only when probed
+	ProbeCost         float64       // of one probe per request
 
-	// MaxListAge, where above 0, says that discovery sends the server list only to
-	// subscribers, and treats a balancer that has not polled for so long as informed.
+	// MaxListAge above 0 means that discovery sends the server list only to subscribers, and that
+	// it treats a balancer that has not polled for MaxListAge as if it knew the list. The first
+	// poll is sent within that time. 0 means that the balancer never polls.
 	MaxListAge time.Duration
-	// RetryWithin bounds the delay before a failed poll is repeated; 0: MaxListAge bounds it.
+	// RetryWithin is the longest delay before a failed poll of discovery is repeated. 0 means that
+	// the delay is bounded by MaxListAge instead: its mean is at most twice MaxListAge.
 	RetryWithin time.Duration
 
-	SlowStartInitialFraction float64       // fraction of its capacity that a server has when it starts
-	SlowStartDuration        time.Duration // a server has its full capacity after this
-	OverloadFactor           float64       // multiple of its present capacity that crashes a server in slow start
-	OverloadDuration         time.Duration // if sent for this long
+	SlowStartInitialFraction float64       // fraction of its full capacity that a server has when it starts
+	SlowStartDuration        time.Duration // time from its start until a server has its full capacity
+	OverloadFactor           float64       // load that crashes a server in slow start, as a multiple of its present capacity
+	OverloadDuration         time.Duration // how long such a load must last to crash the server
 }
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -7,82 +7,84 @@
 	"time"
 )
 
-// localPreference multiplies the odds that a server of the balancer's own zone is in its
-// working set, where crossing zones has a price.
+// localPreference is the factor by which a server of the balancer's own zone is more likely to be
+// in the working set than one of another zone, where requests to other zones have a cost.
 const localPreference = 3.0
 
-// server is one entry of the server list with what this balancer has observed of it.
+// server is a server on the server list, with this balancer's observations of it.
 type server struct {
 	name, zone       string
 	group            int
-	capacityHint     float64       // from the server list, 1 where it gives none
-	weightCorrection float64       // observed capacity over the hint
-	started          time.Duration // its last start, as the server states it
-	slowStartBegan   time.Duration // when that start was, by the balancer's clock
-	slowStartEnds    time.Duration // from then on it has its full capacity
-	serving          bool          // listed as serving
+	capacityHint     float64       // from the server list, 1 if the list has none
+	weightCorrection float64       // observed capacity divided by capacityHint
+	started          time.Duration // time of its last start, by the server's clock
+	slowStartBegan   time.Duration // time of its last start, by the balancer's clock
+	slowStartEnds    time.Duration // when it has reached its full capacity, 0 if it did long ago
+	serving          bool          // in state Serving on the list
 	inWorkingSet     bool
-	inFlight         int // attempts of this balancer
+	inFlight         int // this balancer's attempts in flight
 
-	failures     int           // consecutive
-	ejections    int           // consecutive, for the backoff
-	ejectedUntil time.Duration // ejected as an outlier until then
+	failures     int           // consecutive failures
+	ejections    int           // consecutive ejections; they set the length of the next one
+	ejectedUntil time.Duration // end of the last ejection
 
-	latencySum, latencyWeight float64 // fading sum and weight of relative latencies
-	load                      float64 // from the last load report, in requests in flight
+	latencySum, latencyWeight float64 // decaying sum and count of latencies relative to meanLatency
+	load                      float64 // requests in flight at the server, by its last load report
 	latencyAt, loadAt         time.Duration
-	answeredAt                time.Duration       // last answer that was no error
-	errorRates                map[int]tokenBucket // by class: fading fraction of errors
+	answeredAt                time.Duration       // time of the last answer without an error, or of the last rejection
+	errorRates                map[int]tokenBucket // by class: the decaying fraction of errors, in tokens
 	weightCorrectedAt         time.Duration
-	priority                  float64     // order among members, lowest first
-	slowStartTokens           tokenBucket // sends that it may get during slow start
+	priority                  float64     // place in the order of members, lowest first
+	slowStartTokens           tokenBucket // sends that it may get from this balancer during slow start
 }
 
-// endpointSet is the servers on the list, the working set and the sampling table over it.
+// endpointSet holds the servers on the list, the working set, and the sampling weights of the
+// working set.
 type endpointSet struct {
 	config           *Config
 	random           func() float64
 	byName           map[string]*server
 	members          []*server     // serving servers, by priority
 	workingSet       []*server     // the servers that requests are sampled from
-	weights          []float64     // cumulative over workingSet
+	weights          []float64     // running sum of the sampling weights in workingSet
 	weightsAt        time.Duration // when weights were computed
-	dirty            bool          // membership or ejections have changed since
+	dirty            bool          // members or ejections have changed since then
 	ejected          []*server
-	listReceived     bool    // discovery has sent a list
-	sendCount        float64 // fading count of sends
+	listReceived     bool    // discovery has sent a list; see ServersRestored
+	sendCount        float64 // decaying count of sends
 	nominalRate      float64 // see Bounds.NominalRate
 	acceptedFraction float64 // running fraction of sends that were not rejected
 	sendCountAt      time.Duration
-	// latencyPerQueued is the running median of the latency per request in the queue,
-	// meanLatency the running mean, both in fractions of the latency objective.
+	// latencyPerQueued is the running median of the latency divided by the queue depth,
+	// meanLatency the running mean of the latency. Both are fractions of the latency objective,
+	// 0 until the first latency is recorded.
 	latencyPerQueued, meanLatency float64
 }
 
-// replaceAll takes a complete list: servers missing from it are removed.
+// replaceAll applies a complete server list: servers that are not on it are removed.
 func (set *endpointSet) replaceAll(list []Endpoint, now time.Duration) {
 	listed := make(map[string]bool, len(list))
 	for _, endpoint := range list {
 		listed[endpoint.Name] = true
 	}
-	for name := range set.byName { // the order does not matter: a removal does not change the others
+	for name := range set.byName { // in any order: the removal of one server does not change the others
 		if !listed[name] {
-			set.updateEndpoint(Endpoint{Name: name, State: Removed}, startReading{now: now})
+			set.updateEndpoint(Endpoint{Name: name, State: Removed}, startTimeConverter{now: now})
 		}
 	}
 	set.applyChanges(list, now)
 }
 
-// applyChanges takes changed entries of the list.
+// applyChanges applies changed entries of the server list.
 func (set *endpointSet) applyChanges(changed []Endpoint, now time.Duration) {
-	reading := set.readStarts(changed, now)
+	startTimes := set.newStartTimeConverter(changed, now)
 	for _, endpoint := range changed {
-		set.updateEndpoint(endpoint, reading)
+		set.updateEndpoint(endpoint, startTimes)
 	}
 }
 
-// updateEndpoint takes one entry of the list.
-func (set *endpointSet) updateEndpoint(endpoint Endpoint, reading startReading) {
+// updateEndpoint applies one entry of the server list: it adds, changes or removes the server.
+func (set *endpointSet) updateEndpoint(endpoint Endpoint, startTimes startTimeConverter) {
 	set.dirty = true
 	s := set.byName[endpoint.Name]
 	if s == nil {
@@ -93,20 +95,20 @@
 	}
 	set.setServing(s, endpoint.State == Serving)
 	if endpoint.State == Removed {
-		delete(set.byName, endpoint.Name) // attempts in flight keep their own pointer
+		delete(set.byName, endpoint.Name) // attempts in flight keep their own pointer to it
 		return
 	}
 	s.zone = endpoint.Zone
 	s.group = endpoint.Group
 	s.capacityHint = endpoint.CapacityHint
-	if !(s.capacityHint > 0) || math.IsInf(s.capacityHint, 0) { // NaN too
+	if !(s.capacityHint > 0) || math.IsInf(s.capacityHint, 0) { // this catches NaN too
 		s.capacityHint = 1
 	}
-	set.updateStart(s, endpoint.Started, reading)
+	set.updateStart(s, endpoint.Started, startTimes)
 }
 
-// addServer adds a server that has not been listed before. Its priority is random, so that
-// the order differs by balancer, and permanent, so that a working set changes little.
+// addServer adds a server that is new on the list. Its priority is random, so that each balancer
+// orders the servers differently, and permanent, so that the working set changes little.
 func (set *endpointSet) addServer(endpoint Endpoint) *server {
 	s := &server{
 		name:             endpoint.Name,
@@ -121,8 +123,9 @@
 	return s
 }
 
-// setServing adds s to the members or removes it. Members stay sorted: sorting a large list
-// for each of many small changes would cost more than the requests do.
+// setServing adds s to the members or removes it from them. It inserts at the sorted position,
+// because sorting a large list after each of many small changes would cost more than the requests
+// themselves.
 func (set *endpointSet) setServing(s *server, serving bool) {
 	if serving == s.serving {
 		return
@@ -138,10 +141,11 @@
 	}
 }
 
-// updateStart takes the time of a server's last start. A restarted process keeps neither the
-// failures nor the latencies of the one before. Any other start time counts as a restart,
-// since the server's clock may have been set back meanwhile.
-func (set *endpointSet) updateStart(s *server, started time.Duration, reading startReading) {
+// updateStart records the time of a server's last start, by the server's clock. If the time has
+// changed, the server has restarted: the failures and latencies of the previous process are
+// discarded and slow start begins. An earlier time counts as a restart too, because the server's
+// clock may have been set back meanwhile.
+func (set *endpointSet) updateStart(s *server, started time.Duration, startTimes startTimeConverter) {
 	if started != s.started && started > 0 {
 		s.failures = 0
 		s.ejections = 0
@@ -149,8 +153,8 @@
 		s.latencySum = 0
 		s.latencyWeight = 0
 		s.weightCorrection = 1
-		s.slowStartTokens = tokenBucket{set.random(), reading.now}
-		s.slowStartBegan = reading.countsFrom(started)
+		s.slowStartTokens = tokenBucket{set.random(), startTimes.now}
+		s.slowStartBegan = startTimes.toBalancerClock(started)
 	}
 	s.started = started
 	s.slowStartEnds = 0
--- a/example_test.go
+++ b/example_test.go
@@ -7,8 +7,8 @@
 	"martendrum"
 )
 
-// printer is a Host that prints the actions. A real one would carry them out and report each
-// outcome and each timer to the balancer.
+// printer is a Host that prints the actions. A real Host would carry them out and report each outcome
+// and each expired timer to the Balancer.
 type printer struct{ timers []uint64 }
 
 func (p *printer) Send(id martendrum.RequestID, server string, _, _ time.Duration) {
@@ -18,7 +18,7 @@
 	fmt.Printf("cancel attempt %d of request %d\n", attempt, id)
 }
 func (p *printer) Reject(id martendrum.RequestID, _ time.Duration) {
-	fmt.Printf("refuse request %d\n", id)
+	fmt.Printf("reject request %d\n", id)
 }
 func (p *printer) Fail(id martendrum.RequestID)            { fmt.Printf("fail request %d\n", id) }
 func (p *printer) SetTimer(cookie uint64, _ time.Duration) { p.timers = append(p.timers, cookie) }
@@ -26,8 +26,8 @@
 func (p *printer) Probe(string)                            {}
 func (p *printer) Subscribe()                              {}
 
-// A request is hedged and its slower attempt cancelled. A new balancer knows no latencies yet
-// and hedges one request in ten at once; this seed's first is one.
+// A request is hedged, and its slower attempt is cancelled. A new Balancer knows no latencies yet and
+// hedges one request in ten without a delay. With this seed the first request is hedged.
 func Example() {
 	host := new(printer)
 	b, err := martendrum.New(martendrum.Config{
--- a/hedge_delay.go
+++ b/hedge_delay.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// pairPrior is the weight, in complete pairs, of the unconditional estimate when it is
-	// mixed with the conditional one, which has few samples.
+	// pairPrior is the weight, in pairs, of the unconditional estimate of a hedge's latency in
+	// the mean with the conditional estimate, which has few samples.
 	pairPrior = 12.0
-	// minTailProbability keeps the hedge probability finite where no sample is above the delay.
+	// minTailProbability keeps the hedge probability finite if no sample is above the delay.
 	minTailProbability = 1e-9
 )
 
-// survival is a Kaplan-Meier estimate: tail[i] is Pr(T > times[i]).
+// survival is a Kaplan-Meier estimate of the distribution of a latency T: tail[i] is
+// Pr(T > times[i]).
 type survival struct {
 	times []float64 // ascending
 	tail  []float64
 }
 
-// estimate fits s to samples, some of them censored. Without censoring the tail is the
-// fraction of samples above each time. scratch is working memory.
+// estimate computes s from samples, of which some may be censored. If none is, the tail is the
+// fraction of samples above each time. scratch is working memory that later calls can reuse.
 func (s *survival) estimate(samples []sample, scratch *[]sample) {
 	sorted := append((*scratch)[:0], samples...)
 	*scratch = sorted
 	slices.SortFunc(sorted, func(a, b sample) int { return cmp.Compare(a.latency, b.latency) })
 	s.times = s.times[:0]
 	s.tail = s.tail[:0]
-	alive := 1.0
+	remaining := 1.0 // probability of a latency above the samples so far
 	for first := 0; first < len(sorted); {
 		latency := sorted[first].latency
 		answered := 0
@@ -39,15 +40,15 @@
 			}
 		}
 		if answered > 0 {
-			alive *= 1 - float64(answered)/float64(len(sorted)-first)
+			remaining *= 1 - float64(answered)/float64(len(sorted)-first)
 			s.times = append(s.times, latency)
-			s.tail = append(s.tail, alive)
+			s.tail = append(s.tail, remaining)
 		}
 		first = next
 	}
 }
 
-// tailProbability is Pr(T > latency).
+// tailProbability returns Pr(T > latency).
 func (s *survival) tailProbability(latency float64) float64 {
 	above := sort.Search(len(s.times), func(i int) bool { return s.times[i] > latency })
 	if above == 0 {
@@ -56,14 +57,16 @@
 	return s.tail[above-1]
 }
 
-// hedgeProbability is q: the probability of a hedge after the delay that spends the budget.
+// hedgeProbability returns q, the probability of a hedge after the delay with which the hedges use
+// up the budget.
 func (s *survival) hedgeProbability(delay, budget float64) float64 {
 	return min(1, budget/max(s.tailProbability(delay), minTailProbability))
 }
 
-// computeOptimalSingleR is the paper's search with correlation (its Figure 1 and section
-// 4.2): it walks the delay up and the target latency down over the sorted latencies and
-// returns the delay that brings the percentile lowest within the budget.
+// computeOptimalSingleR returns the delay that makes the percentile of the latencies lowest within
+// the budget. It is the paper's search with correlation (Figure 1 and section 4.2): it raises the
+// delay and lowers the target latency step by step over the sorted latencies. It returns 0 if there
+// are no samples.
 func computeOptimalSingleR(primary, hedge *survival, pairs []pair, percentile, budget float64) float64 {
 	if len(primary.times) == 0 {
 		return 0
@@ -80,22 +83,22 @@
 	return best
 }
 
-// successRate is the probability that a request is answered within the target latency
-// under SingleR with the delay.
+// successRate returns the probability that a request is answered within the target latency if it is
+// hedged after the delay.
 func successRate(primary, hedge *survival, pairs []pair, budget, target, delay float64) float64 {
 	late := primary.tailProbability(target)
 	probability := primary.hedgeProbability(delay, budget)
-	rescued := 1 - hedge.tailProbability(target-delay)
-	var latePairs, rescuedPairs float64
+	hedgeInTime := 1 - hedge.tailProbability(target-delay)
+	var latePairs, inTimePairs float64
 	for _, p := range pairs {
 		if p.primary <= target {
 			continue
 		}
 		latePairs++
 		if p.hedge <= target-delay {
-			rescuedPairs++
+			inTimePairs++
 		}
 	}
-	rescued = (rescuedPairs + pairPrior*rescued) / (latePairs + pairPrior)
-	return 1 - late + probability*late*rescued
+	hedgeInTime = (inTimePairs + pairPrior*hedgeInTime) / (latePairs + pairPrior)
+	return 1 - late + probability*late*hedgeInTime
 }
--- a/learned_state.go
+++ b/learned_state.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// LearnedState is what a Balancer has learned, for another one that takes its place. Times are
-// ages, so that the two clocks need not agree. Send rates are left out: each process paces
-// servers in slow start by its own, and two that count the same sends would spend twice.
+// LearnedState is what a Balancer has learned from its requests, for a successor that restores it.
+// Points in time are stored as ages, so that the clocks of the two need not agree. Send rates are
+// left out: each process limits its sends to servers in slow start by its own rate, and if two
+// processes counted the same sends, they would use the same budget twice.
 type LearnedState struct {
-	HedgeDelay       float64          `json:"Delay"` // d of SingleR, in fractions of the latency objective
+	HedgeDelay       float64          `json:"Delay"` // d of SingleR, as a fraction of the latency objective
 	HedgeProbability float64          `json:"Odds"`  // q of SingleR
-	LostFraction     float64          `json:"Lost"`  // running fraction of lost attempts other than hedges
+	LostFraction     float64          `json:"Lost"`  // running fraction of lost attempts among those that are not hedges
 	Primary          []LearnedLatency `json:"Primary"`
 	Hedges           []LearnedLatency `json:"Copies"`
-	Pairs            [][2]float64     `json:"Pairs"` // latencies of first attempt and hedge, as LearnedLatency.Latency
+	Pairs            [][2]float64     `json:"Pairs"` // latencies of a first attempt and its hedge, in the unit of LearnedLatency.Latency
 	ShedLevel        float64          `json:"Level"`
-	ShedLevelAge     time.Duration    `json:"LevelAge"` // since ShedLevel changed
+	ShedLevelAge     time.Duration    `json:"LevelAge"` // time since ShedLevel last changed
 	AcceptedFraction float64          `json:"Taken"`    // running fraction of sends that were not rejected
-	MeanLatency      float64          `json:"MeanTime"` // in fractions of the latency objective
+	MeanLatency      float64          `json:"MeanTime"` // running mean, as a fraction of the latency objective
 	Servers          []LearnedServer  `json:"Servers"`
 }
 
-// LearnedLatency is a recorded latency in fractions of the latency objective.
+// LearnedLatency is a recorded latency as a fraction of the latency objective.
 type LearnedLatency struct {
 	Latency  float64 `json:"At"`
-	Censored bool    `json:"Censored"` // without an answer: the latency would have been higher
+	Censored bool    `json:"Censored"` // there was no answer, so the latency is only a lower bound
 }
 
-// LearnedServer is what was learned of one server since its last start.
+// LearnedServer is what a Balancer has learned about one server since the server's last start.
 type LearnedServer struct {
 	Name              string        `json:"Name"`
-	Started           time.Duration `json:"Started"` // identifies the start; see Endpoint.Started
-	WeightCorrection  float64       `json:"Weight"`  // observed capacity over Endpoint.CapacityHint
-	LatencySum        float64       `json:"Sum"`     // of latencies relative to the mean, fading
-	LatencyWeight     float64       `json:"N"`       // the samples in LatencySum, fading
-	LatencyAge        time.Duration `json:"Age"`     // since the last of them
-	Failures          int           `json:"Failures"`
-	Ejections         int           `json:"Ejections"`
-	EjectionRemaining time.Duration `json:"EjectedAbout"` // how much longer it is ejected
+	Started           time.Duration `json:"Started"`      // identifies the server's last start; see Endpoint.Started
+	WeightCorrection  float64       `json:"Weight"`       // observed capacity divided by Endpoint.CapacityHint
+	LatencySum        float64       `json:"Sum"`          // decaying sum of latencies relative to the mean of all servers
+	LatencyWeight     float64       `json:"N"`            // decaying number of samples in LatencySum
+	LatencyAge        time.Duration `json:"Age"`          // time since the last sample in LatencySum
+	Failures          int           `json:"Failures"`     // consecutive failures
+	Ejections         int           `json:"Ejections"`    // consecutive ejections
+	EjectionRemaining time.Duration `json:"EjectedAbout"` // time until the end of the ejection, 0 if not ejected
 }
 
-// LearnedState returns what b has learned so far.
+// LearnedState returns what the Balancer has learned so far. It shares no memory with the Balancer.
 func (b *Balancer) LearnedState(now time.Duration) LearnedState {
 	h := &b.hedger
 	state := LearnedState{
@@ -74,7 +75,7 @@
 	return state
 }
 
-// learnedLatencies returns the samples as LearnedLatency values, nil for none.
+// learnedLatencies converts samples to LearnedLatency values; the result is nil if there are none.
 func learnedLatencies(samples []sample) []LearnedLatency {
 	var learned []LearnedLatency
 	for _, s := range samples {
@@ -83,15 +84,15 @@
 	return learned
 }
 
-// Restore takes over what another Balancer had learned age ago. It is called before the
-// first request and after the server list. The state of a server that is not serving, or has
-// restarted since, is left out.
+// Restore initializes the Balancer with the state that another Balancer had learned; age is the
+// time since then. Call it once, after the server list has been passed and before the first request.
+// The state of a server that is not serving, or that has restarted since, is ignored.
 func (b *Balancer) Restore(now time.Duration, state LearnedState, age time.Duration) {
 	h := &b.hedger
 	h.delay = state.HedgeDelay
 	h.probability = state.HedgeProbability
 	h.lostFraction = state.LostFraction
-	h.recordLoss(false, false) // sets the budget
+	h.recordLoss(false, false) // updates the hedge budget from lostFraction
 	for _, s := range state.Primary {
 		h.primary.add(sample{s.Latency, s.Censored}, primaryWindow)
 	}
@@ -111,7 +112,7 @@
 	b.endpoints.dirty = true
 }
 
-// restoreServer takes over what was learned of one server age ago.
+// restoreServer restores the state of one server that was learned age ago.
 func (set *endpointSet) restoreServer(learned LearnedServer, now, age time.Duration) {
 	s := set.byName[learned.Name]
 	if s == nil || !s.serving || s.started != learned.Started {
--- a/outlier.go
+++ b/outlier.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	errorRateStep   = 0.3         // of the fading fraction of errors
-	maxErrorRate    = 0.15        // a server above it is avoided for the class
-	errorRateMemory = time.Second // how fast the fraction fades
-	// ejectionThreshold consecutive failures eject a server for baseEjectionTime, doubled each
-	// time up to maxEjectionTime. A random factor between a half and three halves keeps
-	// balancers from returning together.
+	errorRateStep   = 0.3         // weight of one error in a server's error rate for a class
+	maxErrorRate    = 0.15        // a server with a higher error rate is avoided for the class
+	errorRateMemory = time.Second // time constant of the decay of the error rate
+	// ejectionThreshold consecutive failures eject a server for baseEjectionTime, which doubles
+	// with each ejection in a row, up to maxEjectionTime. The time is multiplied by a random
+	// factor between 1/2 and 3/2, so that balancers do not all return to the server at once.
 	ejectionThreshold   = 2
 	baseEjectionTime    = time.Second
 	maxEjectionTime     = 16 * time.Second
-	maxEjectionDoubling = 10 // keeps the shift from overflowing
-	// A server that answered within ejectionGrace is not ejected: where connections break at
-	// random, the remaining servers would be overloaded. This delays the ejection of a crashed
-	// process by as much.
+	maxEjectionDoubling = 10 // limits the shift by the number of ejections, which could overflow
+	// A server that has answered within the last ejectionGrace is not ejected. Where connections
+	// break at random, ejections would overload the remaining servers. The price is that a crashed
+	// server is ejected later by this time.
 	ejectionGrace = 100 * time.Millisecond
-	// maxEjectedFraction of the members are ejected at most: more failures than that are
-	// everyone's or this balancer's own.
+	// maxEjectedFraction is the largest fraction of the members that are ejected at the same
+	// time. If more of them fail, the cause affects all servers or lies with this balancer.
 	maxEjectedFraction = 0.4
 )
 
-// recordHealth records what an attempt's outcome says about the server's health.
+// recordHealth updates a server's failures and its error rate for the class with the outcome of an
+// attempt.
 func (set *endpointSet) recordHealth(s *server, class int, outcome Outcome, now time.Duration) {
 	switch outcome {
 	case OK:
@@ -40,13 +41,14 @@
 	}
 }
 
-// errorRate is a server's fading fraction of errors in a class. A server that fails one class
-// only, and serves the others well, is never ejected; it is avoided for that class instead.
+// errorRate returns a server's decaying fraction of errors in a class. A server that fails only one
+// class and answers the others is never ejected; it is avoided for the failing class instead.
 func (s *server) errorRate(class int, now time.Duration) float64 {
 	return s.errorRates[class].tokens * decay(now-s.errorRates[class].at, errorRateMemory)
 }
 
-// recordFailure counts a failure of a server and ejects it after enough consecutive ones.
+// recordFailure counts a failure of a server and ejects the server after ejectionThreshold
+// consecutive failures, unless it has just answered, is ejected already, or too many are ejected.
 func (set *endpointSet) recordFailure(s *server, now time.Duration) {
 	s.failures++
 	switch {
@@ -56,10 +58,10 @@
 		float64(len(set.ejected)+1) > maxEjectedFraction*float64(len(set.members)):
 		return
 	}
-	span := min(baseEjectionTime<<min(s.ejections, maxEjectionDoubling), maxEjectionTime)
+	ejectionTime := min(baseEjectionTime<<min(s.ejections, maxEjectionDoubling), maxEjectionTime)
 	s.ejections++
-	s.failures = ejectionThreshold - 1 // one more failure after its return ejects it again
-	s.ejectedUntil = now + span/2 + time.Duration(set.random()*float64(span))
+	s.failures = ejectionThreshold - 1 // one failure after the ejection ejects it again
+	s.ejectedUntil = now + ejectionTime/2 + time.Duration(set.random()*float64(ejectionTime))
 	set.ejected = append(set.ejected, s)
 	set.dirty = true
 }
--- a/pick.go
+++ b/pick.go
@@ -7,28 +7,33 @@
 )
 
 const (
-	// Of choices eligible servers, found in at most maxDraws draws, pick takes the cheapest.
+	// pick compares the costs of this many (choices) eligible servers, which it finds in at most
+	// maxDraws random draws.
 	choices  = 2
 	maxDraws = 8
-	// inFlightCost ranks one request in flight above all other terms of the cost.
+	// inFlightCost is the cost of one request in flight. It is larger than all other terms of
+	// the cost together.
 	inFlightCost = 1e4
 )
 
-// draw samples one server of the working set by weight, nil if none has any.
+// draw returns a random server of the working set, with probabilities proportional to the sampling
+// weights. It returns nil if all weights are 0.
 func (set *endpointSet) draw() *server {
 	n := len(set.weights)
 	if n == 0 || set.weights[n-1] <= 0 {
 		return nil
 	}
-	// The next larger float keeps a draw of 0 from hitting a server without weight.
+	// The next larger float is used because a target of 0 would select a first server of
+	// weight 0.
 	target := math.Nextafter(set.random()*set.weights[n-1], math.Inf(1))
 	i, _ := slices.BinarySearch(set.weights, target)
 	return set.workingSet[min(i, n-1)]
 }
 
-// pick picks by the power of two choices: of two random servers the one with the lower cost.
-// If it finds none that is not ejected, it takes any member. eligible restricts the choice to
-// servers that the request may go to; pick returns nil if there is none.
+// pick returns the server with the lower cost of two random ones (the power of two choices). If the
+// draws find no server, or only an ejected one, pick searches all members, first for one that is
+// not ejected. It considers only servers that eligible accepts and that have slow-start budget, and
+// returns nil if there is none.
 func (set *endpointSet) pick(now time.Duration, eligible func(*server) bool) *server {
 	set.refresh(now)
 	var best *server
@@ -46,7 +51,8 @@
 			best, bestCost = s, cost
 		}
 	}
-	// The search for any member starts at a random one, so that balancers do not herd.
+	// The search through all members starts at a random one, so that balancers do not all
+	// choose the same.
 	n := len(set.members)
 	start := int(set.random() * float64(n))
 	for i := 0; i < n && (best == nil || now < best.ejectedUntil); i++ {
@@ -58,8 +64,9 @@
 	return best
 }
 
-// cost ranks candidates by this balancer's requests in flight first. Quiet balancers mostly
-// tie there, and load report and latency decide.
+// cost returns a server's cost, by which pick compares candidates. This balancer's requests in
+// flight count most. A balancer with few requests mostly finds them equal; then the load report and
+// the latency decide.
 func (set *endpointSet) cost(s *server, now time.Duration) float64 {
 	return inFlightCost*float64(s.inFlight) + s.queueDepth(now)*s.latency(now)
 }
--- a/pick_capacity_test.go
+++ b/pick_capacity_test.go
@@ -9,13 +9,13 @@
 	"martendrum/internal/capacity/measure"
 )
 
-// capacityServers are the lengths of the server list of the capacity benchmarks.
-var capacityServers = []int{30, 300, 1000, 3000, 10000, 21000}
+// capacityListSizes are the lengths of the server list in the capacity benchmarks.
+var capacityListSizes = []int{30, 300, 1000, 3000, 10000, 21000}
 
-// callInterval is the time between two requests of a sidecar with 62 requests a second.
+// callInterval is the time between two requests of a sidecar that gets 62 requests a second.
 const callInterval = time.Second / 62
 
-// discardHost carries out nothing and keeps the cookie of the latest timer.
+// discardHost is a Host that carries out no action and keeps only the cookie of the last timer.
 type discardHost struct{ timer uint64 }
 
 func (h *discardHost) Send(RequestID, string, time.Duration, time.Duration) {}
@@ -27,7 +27,7 @@
 func (h *discardHost) Probe(string)                                         {}
 func (h *discardHost) Subscribe()                                           {}
 
-// capacityList is a server list of one service over the 27 zones.
+// capacityList returns a server list with size servers in 27 zones.
 func capacityList(size int) []Endpoint {
 	list := make([]Endpoint, size)
 	for i := range list {
@@ -36,6 +36,7 @@
 	return list
 }
 
+// capacityBalancer returns a Balancer for host without a server list.
 func capacityBalancer(b *testing.B, host Host) *Balancer {
 	b.Helper()
 	balancer, err := New(testConfig(), 1, host)
@@ -45,16 +46,17 @@
 	return balancer
 }
 
-// serveOne plays one request from its arrival to its good answer.
-func serveOne(balancer *Balancer, host *discardHost, now time.Duration, id RequestID) {
+// serveRequest passes the events of one request to the Balancer: its arrival, its answer without an error
+// and its timer.
+func serveRequest(balancer *Balancer, host *discardHost, now time.Duration, id RequestID) {
 	balancer.Arrive(now, Request{ID: id, Deadline: now + 300*ms})
 	balancer.AttemptFinished(now+ms, id, 0, OK, true, LoadReport{})
 	balancer.TimerFired(now+100*ms, host.timer)
 }
 
-// BenchmarkDecisionCapacity is all decisions about one request, at 62 requests a second.
+// BenchmarkDecisionCapacity measures all decisions about one request, at 62 requests a second.
 func BenchmarkDecisionCapacity(b *testing.B) {
-	for _, size := range capacityServers {
+	for _, size := range capacityListSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
 			host := new(discardHost)
 			balancer := capacityBalancer(b, host)
@@ -63,15 +65,16 @@
 			for b.Loop() {
 				now += callInterval
 				id++
-				serveOne(balancer, host, now, id)
+				serveRequest(balancer, host, now, id)
 			}
 		})
 	}
 }
 
-// BenchmarkServerListCapacity takes a complete server list into a new balancer.
+// BenchmarkServerListCapacity measures how a new Balancer applies a complete server list, and the
+// memory that it then takes.
 func BenchmarkServerListCapacity(b *testing.B) {
-	for _, size := range capacityServers {
+	for _, size := range capacityListSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
 			list := capacityList(size)
 			before := measure.HeapInUse()
@@ -87,10 +90,10 @@
 	}
 }
 
-// BenchmarkServerChangeCapacity takes the change of one server, which starts to drain or
-// serves again, and the next request, which recomputes the sampling table.
+// BenchmarkServerChangeCapacity measures a change of one server, which starts to drain or serves again,
+// and the next request, which recomputes the working set.
 func BenchmarkServerChangeCapacity(b *testing.B) {
-	for _, size := range capacityServers {
+	for _, size := range capacityListSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
 			host := new(discardHost)
 			balancer := capacityBalancer(b, host)
@@ -105,7 +108,7 @@
 					changed.State = Draining
 				}
 				balancer.ServersChanged(now, []Endpoint{changed})
-				serveOne(balancer, host, now, id)
+				serveRequest(balancer, host, now, id)
 			}
 		})
 	}
--- a/pick_test.go
+++ b/pick_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// servingEndpoints returns n serving servers with the names s000, s001 and so on, which started long ago.
 func servingEndpoints(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
@@ -14,54 +15,56 @@
 	return list
 }
 
-// Each request stays in flight, so that two choices must balance the servers.
+// The choice between two servers balances the requests in flight: here each request stays in flight.
 func TestTwoChoiceEvensInFlight(t *testing.T) {
-	b, r := newTest(t, testConfig(), servingEndpoints(minWorkingSet)...)
+	b, host := newTestBalancer(t, testConfig(), servingEndpoints(minWorkingSet)...)
 	b.disableHedging()
 	for id := RequestID(1); id <= 100; id++ {
 		b.Arrive(0, Request{ID: id, Deadline: 300 * ms})
 	}
-	count := map[string]int{}
-	for _, s := range r.servers {
-		count[s]++
+	inFlight := map[string]int{}
+	for _, s := range host.servers {
+		inFlight[s]++
 	}
-	for name, n := range count {
+	for name, n := range inFlight {
 		if n < 18 || n > 32 {
-			t.Errorf("%s holds %d of 100 over %d servers", name, n, minWorkingSet)
+			t.Errorf("server %s has %d of 100 requests in flight at %d servers, want 18 to 32", name, n, minWorkingSet)
 		}
 	}
 }
 
+// A request is rejected at once if there is no server for it, its deadline has passed or its class is
+// unknown.
 func TestRejectsWithoutServers(t *testing.T) {
 	for name, list := range map[string][]Endpoint{
-		"none":         nil,
+		"none listed":  nil,
 		"all draining": {{Name: "a", State: Draining}, {Name: "b", State: Draining}},
 		"all removed":  {{Name: "a", State: Removed}},
 	} {
-		b, r := newTest(t, testConfig(), list...)
+		b, host := newTestBalancer(t, testConfig(), list...)
 		for class := range 3 {
 			b.Arrive(0, Request{ID: RequestID(class + 1), Class: class, Deadline: 300 * ms})
 		}
-		if len(r.actions) != 3 || r.actions[0] != "refuse 1" || r.actions[1] != "refuse 2" || r.actions[2] != "refuse 3" {
-			t.Errorf("%s: %v, want three rejections", name, r.actions)
+		if len(host.actions) != 3 || host.actions[0] != "reject 1" || host.actions[1] != "reject 2" || host.actions[2] != "reject 3" {
+			t.Errorf("servers %s: actions = %v, want three rejections", name, host.actions)
 		}
 	}
-	b, r := newTest(t, testConfig(), servingEndpoints(2)...)
+	b, host := newTestBalancer(t, testConfig(), servingEndpoints(2)...)
 	b.Arrive(time.Second, Request{ID: 1, Deadline: time.Second})
 	b.Arrive(time.Second, Request{ID: 2, Class: 9, Deadline: 2 * time.Second})
-	if len(r.actions) != 2 || r.actions[0] != "refuse 1" || r.actions[1] != "refuse 2" {
-		t.Errorf("deadline past, no such class: %v, want two rejections", r.actions)
+	if len(host.actions) != 2 || host.actions[0] != "reject 1" || host.actions[1] != "reject 2" {
+		t.Errorf("actions with a deadline that has passed and with an unknown class = %v, want two rejections", host.actions)
 	}
 }
 
-// This balancer's requests in flight outweigh every other term of the cost: the server that has
-// one may be jammed without its earlier answers showing it.
+// This balancer's requests in flight outweigh every other term of the cost: a server that has one may
+// be overloaded although its earlier answers do not show it.
 func TestInFlightComesFirst(t *testing.T) {
-	b, _ := newTest(t, testConfig(), servingEndpoints(2)...)
+	b, _ := newTestBalancer(t, testConfig(), servingEndpoints(2)...)
 	busy, slow := b.endpoints.byName["s000"], b.endpoints.byName["s001"]
 	busy.inFlight = 1
 	slow.load, slow.latencySum, slow.latencyWeight = overloadedLoad, 40, 10
 	if b.endpoints.cost(busy, 0) <= b.endpoints.cost(slow, 0) {
-		t.Error("a server with a request in flight costs less than an idle one")
+		t.Error("a server with a request in flight does not cost more than a slow one without")
 	}
 }
--- a/request.go
+++ b/request.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Request is a client's request.
+// Request is a client's request as the host passes it to Balancer.Arrive.
 type Request struct {
 	ID             RequestID
-	Class          int    // index into Config.Classes
-	ClassAtArrival *Class // the class as it was when the request was read; nil: as it is now
-	Tenant         int    // index into Config.TenantQuotas, -1: none
-	Deadline       time.Duration
-	StreamedBody   bool // the body is forwarded as it arrives: no hedges, and its latency is not recorded
+	Class          int           // index into Config.Classes
+	ClassAtArrival *Class        // the class when the host read the request, nil if it has not changed since
+	Tenant         int           // index into Config.TenantQuotas, -1 if the request has no tenant
+	Deadline       time.Duration // point in time by which the final answer is due
+	StreamedBody   bool          // the body is forwarded as it arrives: no hedges, and the latency is not recorded
 }
 
-// openRequest is a request that has not been answered, or that has attempts in flight.
+// openRequest is a request that has no final answer yet, or that still has attempts in flight.
 type openRequest struct {
 	Request
 	class       *Class
-	shedRank    int           // see admissionController.recordArrival
-	maxAttempts int           // as configured when the request arrived
-	arrived     time.Duration // when the request arrived
+	shedRank    int           // its rank in the order of shedding; see admissionController
+	maxAttempts int           // Config.MaxAttempts when the request arrived
+	arrived     time.Duration // time of arrival
 	attempts    []attempt
-	pending     int // attempts without an outcome
+	pending     int // number of attempts without an outcome
 
-	samplePair bool // the slower attempt is not cancelled, so that both latencies are recorded
-	finished   bool // has its final answer
-	streamed   bool // an attempt streams its body or answer, which excludes all others
-	hedgeDue   bool // the timer is for the hedge, not for the latency objective
-	overdue    bool // counted as late when the latency objective passed
-	timer      uint64
+	samplePair bool   // the slower attempt is not cancelled, so that both latencies are recorded
+	finished   bool   // it has its final answer
+	streamed   bool   // an attempt streams its body or its answer, so there are no further attempts
+	hedgeDue   bool   // the timer is set for the hedge, not for the latency objective
+	overdue    bool   // it was unanswered at its latency objective and has been counted as late
+	timer      uint64 // cookie of the timer that was set last
 }
 
-// Arrive takes a client's request; the Balancer owes it one final answer. A request
-// of an unknown class is rejected, one whose ID is open is ignored.
+// Arrive passes a new request to the Balancer, which guarantees it exactly one final
+// answer: by Host.Reject, by Host.Fail, or from an attempt. A request of an unknown class is
+// rejected. A request with the ID of an open one is ignored.
 func (b *Balancer) Arrive(now time.Duration, r Request) {
 	if b.requests[r.ID] != nil {
 		return
@@ -61,7 +62,8 @@
 	}
 }
 
-// sendFirst makes the request's first attempt and plans its hedge.
+// sendFirst sends the request's first attempt and plans its hedge. It finishes the request if no
+// attempt is possible.
 func (b *Balancer) sendFirst(request *openRequest, now time.Duration) {
 	if !b.startAttempt(request, now, false) {
 		b.finish(request)
@@ -72,28 +74,31 @@
 	b.planHedge(request, now)
 }
 
-// ClientDisconnected says that the client has left; attempts in flight are still reported.
+// ClientDisconnected ends a request whose client has disconnected. The request gets no answer, and its
+// attempts in flight are cancelled where that is allowed. The host must still pass the outcomes of these
+// attempts to AttemptFinished.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	if request := b.requests[id]; request != nil && !request.finished {
 		b.closeRequest(request)
 	}
 }
 
-// finish gives the request its final answer: a rejection where a retry is harmless,
-// else a failure.
+// finish gives the request its final answer: Host.Reject if the client may safely retry, or else
+// Host.Fail.
 func (b *Balancer) finish(request *openRequest) {
 	b.closeRequest(request)
-	if !request.retryIsHarmless() {
+	if !request.clientMayRetry() {
 		b.host.Fail(request.ID)
 		return
 	}
-	// Clients that are rejected together must not return together.
+	// The delay is random, so that clients rejected at the same time do not retry at the same
+	// time.
 	fraction := 0.5 + b.rng.Float64()/2
 	b.host.Reject(request.ID, time.Duration(fraction*float64(b.config.MaxRetryAfter)))
 }
 
-// retryIsHarmless reports whether the client may send the request again, to any server.
-func (r *openRequest) retryIsHarmless() bool {
+// clientMayRetry reports whether the client may safely send the request again, to any server.
+func (r *openRequest) clientMayRetry() bool {
 	switch {
 	case r.class.Idempotency == Idempotent:
 		return true
@@ -111,7 +116,7 @@
 	b.forget(request)
 }
 
-// forget drops a request that is finished and has no attempt in flight.
+// forget deletes a request if it is finished and has no attempt in flight.
 func (b *Balancer) forget(request *openRequest) {
 	if request.finished && request.pending == 0 {
 		delete(b.requests, request.ID)
--- a/server_list_test.go
+++ b/server_list_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Each failed poll is repeated within Config.RetryWithin, however many fail.
+// A failed poll is repeated within Config.RetryWithin, however many polls have failed before it.
 func TestPollRetryDelayIsBounded(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxListAge, cfg.RetryWithin = time.Minute, 500*ms
-	r := new(recorder)
-	b, err := New(cfg, 1, r) // no list has been received
+	host := new(recorder)
+	b, err := New(cfg, 1, host) // no list has been received
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range 50 {
-		b.DiscoveryFailed(time.Duration(n) * time.Second)
-		if d := r.delays[len(r.delays)-1]; d > cfg.RetryWithin || d < cfg.RetryWithin/4 {
-			t.Errorf("after failure %d the next poll comes in %v", n, d)
+	for failures := range 50 {
+		b.DiscoveryFailed(time.Duration(failures) * time.Second)
+		if delay := host.delays[len(host.delays)-1]; delay > cfg.RetryWithin || delay < cfg.RetryWithin/4 {
+			t.Errorf("the next poll after %d earlier failures is delayed by %v, want %v to %v", failures, delay, cfg.RetryWithin/4, cfg.RetryWithin)
 		}
 	}
 }
--- a/slowstart.go
+++ b/slowstart.go
@@ -2,50 +2,54 @@
 
 import "time"
 
-// Endpoint.Started is wall time of the server's machine. This balancer's clock was set from
-// its own machine's wall clock when the process started, and either clock may have been
-// seconds or an hour off. Underestimating a server's age only slows its ramp for
-// SlowStartDuration; overestimating it overloads the server. The estimate therefore errs low
-// wherever the clocks are not known to agree:
+// Endpoint.Started is a wall-clock time of the server's machine. This balancer's clock was set
+// from its own machine's wall clock when the process started. Either clock may have been wrong
+// by seconds or by an hour. If a server's age is underestimated, it only gets its full share of
+// requests later, by SlowStartDuration at most; if its age is overestimated, it is overloaded.
+// Where the clocks may disagree, the balancer therefore uses the lower estimate:
 //
-//   - A start that arrives after the first list is new and counts from its arrival, later
-//     than the truth by the time that the list took.
-//   - The first list also carries older starts. No server on it is taken to be older than its
-//     distance to the newest start on that list, which does not depend on this balancer's
-//     clock, nor than that clock says.
+//   - A start time that arrives after the first list belongs to a new start. The balancer counts
+//     the server's age from the arrival, which is later than the start by the time that the list
+//     took to arrive.
+//   - The first list also contains older starts. The estimated age of a server on it is the
+//     smaller of two: the time from its start to the newest start on that list, which does not
+//     depend on this balancer's clock, and the time from its start to now by that clock.
 
 const (
-	// slowStartSafetyFactor is the fraction of a server's overload limit that is sent at
-	// most during slow start; the rest absorbs random bursts.
+	// slowStartSafetyFactor is the fraction of a server's overload limit that balancers use
+	// at most during slow start; the rest is left for random bursts.
 	slowStartSafetyFactor = 0.5
-	minOverloadDuration   = time.Millisecond // in place of a shorter Config.OverloadDuration
+	minOverloadDuration   = time.Millisecond // lower bound of Config.OverloadDuration
 )
 
-// startReading interprets the start times of one list.
-type startReading struct {
-	now    time.Duration
-	first  bool          // discovery has sent no list before
-	newest time.Duration // the newest start on the list
+// startTimeConverter converts the start times on one server list from the servers' clocks to the
+// balancer's clock.
+type startTimeConverter struct {
+	now         time.Duration // when the list arrived
+	isFirstList bool          // discovery has sent no list before
+	newest      time.Duration // the newest start time on the list
 }
 
-// readStarts returns the reading of a list that arrives now.
-func (set *endpointSet) readStarts(list []Endpoint, now time.Duration) startReading {
-	reading := startReading{now: now, first: !set.listReceived}
+// newStartTimeConverter returns a converter for a list that arrives now.
+func (set *endpointSet) newStartTimeConverter(list []Endpoint, now time.Duration) startTimeConverter {
+	converter := startTimeConverter{now: now, isFirstList: !set.listReceived}
 	for _, endpoint := range list {
-		reading.newest = max(reading.newest, endpoint.Started)
+		converter.newest = max(converter.newest, endpoint.Started)
 	}
-	return reading
+	return converter
 }
 
-// countsFrom returns the start on the balancer's clock.
-func (r startReading) countsFrom(started time.Duration) time.Duration {
-	if !r.first {
-		return r.now
+// toBalancerClock returns the estimated time of a start by the balancer's clock. The comment at the
+// top of this file gives the rules.
+func (c startTimeConverter) toBalancerClock(started time.Duration) time.Duration {
+	if !c.isFirstList {
+		return c.now
 	}
-	return r.now - max(0, min(r.now, r.newest)-started)
+	return c.now - max(0, min(c.now, c.newest)-started)
 }
 
-// slowStartFactor is the fraction of its full capacity that a server has by now at least.
+// slowStartFactor returns the fraction of its full capacity that a server has now, estimated low.
+// It rises linearly from Config.SlowStartInitialFraction to 1.
 func (set *endpointSet) slowStartFactor(s *server, now time.Duration) float64 {
 	if now >= s.slowStartEnds || set.config.SlowStartDuration <= 0 {
 		return 1
@@ -55,10 +59,12 @@
 	return initial + (1-initial)*float64(age)/float64(set.config.SlowStartDuration)
 }
 
-// hasSlowStartBudget reports whether a server may take one more send from here. A server in
-// slow start gets a multiple of what one at full capacity takes, by its slow-start factor. All
-// balancers compute it alike, so that their sum stays under the server's overload limit. Outside
-// the working set a server in slow start gets nothing: all balancers may fall back on it.
+// hasSlowStartBudget reports whether this balancer may make one more send to a server. A server
+// that is not in slow start has no limit. The budget of one in slow start is what a server at full
+// capacity takes from this balancer, multiplied by the slow-start factor, the overload factor and
+// slowStartSafetyFactor. All balancers compute it in the same way, so that their sends together
+// stay under the server's overload limit. Outside the working set a server in slow start has no
+// budget, because all balancers may fall back on it at once.
 func (set *endpointSet) hasSlowStartBudget(s *server, now time.Duration) bool {
 	if now >= s.slowStartEnds {
 		return true
@@ -66,19 +72,21 @@
 	if !s.inWorkingSet {
 		return false
 	}
-	span := max(set.config.OverloadDuration, minOverloadDuration)
-	part := 1 / float64(len(set.workingSet)) // of this balancer's sends
+	overloadDuration := max(set.config.OverloadDuration, minOverloadDuration)
+	share := 1 / float64(len(set.workingSet)) // fraction of this balancer's sends that a server gets
 	acceptedRate := max(set.acceptedFraction*set.rate(now), set.nominalRate)
-	rate := acceptedRate * part * slowStartSafetyFactor * set.config.OverloadFactor * set.slowStartFactor(s, now)
-	// Where nothing has been sent yet: one send in span from all balancers together.
-	idleRate := min(1, float64(len(set.members))*part/float64(set.config.Instances)) / span.Seconds()
+	rate := acceptedRate * share * slowStartSafetyFactor * set.config.OverloadFactor * set.slowStartFactor(s, now)
+	// Before any send the recent rate is 0. The least rate is one send in overloadDuration
+	// from all balancers together.
+	idleRate := min(1, float64(len(set.members))*share/float64(set.config.Instances)) / overloadDuration.Seconds()
 	rate = max(rate, idleRate)
-	perSpan := rate * span.Seconds()
-	// Many balancers with budgets of less than one send, each saved up to one send, would
-	// spend them together. Such a budget is drawn anew at random instead.
-	if perSpan < 1 && set.random() > decay(now-s.slowStartTokens.at, span) {
+	burst := rate * overloadDuration.Seconds()
+	// If many balancers have budgets of less than one send in overloadDuration, each would
+	// save its budget up to one send, and all could spend it at the same time. Such a budget
+	// is therefore replaced by a random one, once in overloadDuration on average.
+	if burst < 1 && set.random() > decay(now-s.slowStartTokens.at, overloadDuration) {
 		s.slowStartTokens.tokens = set.random()
 	}
-	s.slowStartTokens.refill(rate, perSpan, now)
+	s.slowStartTokens.refill(rate, burst, now)
 	return s.slowStartTokens.tokens >= 1
 }
--- a/slowstart_tier_test.go
+++ b/slowstart_tier_test.go
@@ -9,32 +9,35 @@
 	"time"
 )
 
-// tier is many balancers in front of the same servers on one simulated clock. The test counts
-// what a server in slow start is sent.
-type tier struct {
+// tierSimulation simulates a tier, which is all balancers that share the same servers, with one clock. It
+// counts the sends to servers in slow start.
+type tierSimulation struct {
 	now        time.Duration
-	queue      tierEvents
-	lastOrder  int
+	queue      tierEvents // future events
+	lastOrder  int        // order of the event that was added last
 	rng        *rand.Rand
-	sends      map[string][]time.Duration // by server that starts
-	inFlight   map[string]int             // requests by server
-	queueLimit int                        // requests that a server takes at once; it rejects the rest
-	unserved   int                        // requests without an answer
+	sends      map[string][]time.Duration // times of sends, by server that restarts
+	inFlight   map[string]int             // requests in flight, by server
+	queueLimit int                        // most requests in flight at a server; it rejects more
+	unserved   int                        // requests that were rejected or failed
 }
 
-type tierBalancer struct {
-	tier     *tier
+// tierHost is the Host of one Balancer in the simulation.
+type tierHost struct {
+	sim      *tierSimulation
 	balancer *Balancer
-	attempts map[RequestID]int // by request
-	lastID   RequestID
+	attempts map[RequestID]int // number of attempts, by request
+	lastID   RequestID         // ID of the last request that arrived
 }
 
+// tierEvent is an action at a time.
 type tierEvent struct {
-	at    time.Duration
-	order int
-	do    func()
+	at     time.Duration
+	order  int // order among events with the same time
+	action func()
 }
 
+// tierEvents is a heap of events by time; it implements heap.Interface.
 type tierEvents []tierEvent
 
 func (q tierEvents) Len() int { return len(q) }
@@ -50,79 +53,82 @@
 	return x
 }
 
-func (c *tier) at(t time.Duration, do func()) {
-	c.lastOrder++
-	heap.Push(&c.queue, tierEvent{t, c.lastOrder, do})
+// enqueue schedules an action at the time.
+func (sim *tierSimulation) enqueue(t time.Duration, action func()) {
+	sim.lastOrder++
+	heap.Push(&sim.queue, tierEvent{t, sim.lastOrder, action})
 }
 
-func (c *tier) run(until time.Duration) {
-	for len(c.queue) > 0 && c.queue[0].at <= until {
-		e := heap.Pop(&c.queue).(tierEvent)
-		c.now = e.at
-		e.do()
+// run runs all events until the time.
+func (sim *tierSimulation) run(until time.Duration) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		e := heap.Pop(&sim.queue).(tierEvent)
+		sim.now = e.at
+		e.action()
 	}
-	c.now = until
+	sim.now = until
 }
 
-func (n *tierBalancer) Send(id RequestID, server string, _, _ time.Duration) {
-	c, attempt := n.tier, n.attempts[id]
-	n.attempts[id]++
-	if sends, ok := c.sends[server]; ok {
-		c.sends[server] = append(sends, c.now)
+func (host *tierHost) Send(id RequestID, server string, _, _ time.Duration) {
+	sim, attempt := host.sim, host.attempts[id]
+	host.attempts[id]++
+	if sends, ok := sim.sends[server]; ok {
+		sim.sends[server] = append(sends, sim.now)
 	}
-	o, took := OK, time.Duration(c.rng.ExpFloat64()*float64(25*ms))
-	if c.inFlight[server] >= c.queueLimit {
-		o, took = Rejected, ms
+	outcome, latency := OK, time.Duration(sim.rng.ExpFloat64()*float64(25*ms))
+	if sim.inFlight[server] >= sim.queueLimit {
+		outcome, latency = Rejected, ms
 	} else {
-		c.inFlight[server]++
+		sim.inFlight[server]++
 	}
-	c.at(c.now+took, func() {
-		if o == OK {
-			c.inFlight[server]--
+	sim.enqueue(sim.now+latency, func() {
+		if outcome == OK {
+			sim.inFlight[server]--
 		}
-		n.balancer.AttemptFinished(c.now, id, attempt, o, o == OK, LoadReport{})
+		host.balancer.AttemptFinished(sim.now, id, attempt, outcome, outcome == OK, LoadReport{})
 	})
 }
-func (n *tierBalancer) Cancel(id RequestID, k int) {
-	n.tier.at(n.tier.now, func() { n.balancer.AttemptFinished(n.tier.now, id, k, Cancelled, true, LoadReport{}) })
+func (host *tierHost) Cancel(id RequestID, index int) {
+	host.sim.enqueue(host.sim.now, func() { host.balancer.AttemptFinished(host.sim.now, id, index, Cancelled, true, LoadReport{}) })
 }
-func (n *tierBalancer) Reject(RequestID, time.Duration) { n.tier.unserved++ }
-func (n *tierBalancer) Fail(RequestID)                  { n.tier.unserved++ }
-func (n *tierBalancer) CloseIdle(string)                {}
-func (n *tierBalancer) Probe(server string) {
-	n.tier.at(n.tier.now+ms, func() { n.balancer.ProbeAnswered(n.tier.now, server, LoadReport{HasInFlight: true, InFlight: 1}) })
+func (host *tierHost) Reject(RequestID, time.Duration) { host.sim.unserved++ }
+func (host *tierHost) Fail(RequestID)                  { host.sim.unserved++ }
+func (host *tierHost) CloseIdle(string)                {}
+func (host *tierHost) Probe(server string) {
+	host.sim.enqueue(host.sim.now+ms, func() { host.balancer.ProbeAnswered(host.sim.now, server, LoadReport{HasInFlight: true, InFlight: 1}) })
 }
-func (n *tierBalancer) Subscribe() {}
-func (n *tierBalancer) SetTimer(cookie uint64, after time.Duration) {
-	n.tier.at(n.tier.now+after, func() { n.balancer.TimerFired(n.tier.now, cookie) })
+func (host *tierHost) Subscribe() {}
+func (host *tierHost) SetTimer(cookie uint64, after time.Duration) {
+	host.sim.enqueue(host.sim.now+after, func() { host.balancer.TimerFired(host.sim.now, cookie) })
 }
 
-// arrive makes n's clients send at rate, half as much again within the burst, until end.
-func (n *tierBalancer) arrive(rate float64, burst, burstEnd, end time.Duration) {
-	now, more := n.tier.now, 1.0
-	if now >= burst && now < burstEnd {
-		more = 1.5
+// scheduleArrivals schedules the next request of the host's clients, and each later one, until end. The
+// clients send rate requests a second, 1.5 times as many from burstStart to burstEnd.
+func (host *tierHost) scheduleArrivals(rate float64, burstStart, burstEnd, end time.Duration) {
+	now, rateFactor := host.sim.now, 1.0
+	if now >= burstStart && now < burstEnd {
+		rateFactor = 1.5
 	}
-	n.tier.at(now+time.Duration(n.tier.rng.ExpFloat64()/(rate*more)*float64(time.Second)), func() {
-		if n.tier.now >= end {
+	host.sim.enqueue(now+time.Duration(host.sim.rng.ExpFloat64()/(rate*rateFactor)*float64(time.Second)), func() {
+		if host.sim.now >= end {
 			return
 		}
-		n.lastID++
-		n.balancer.Arrive(n.tier.now, Request{ID: n.lastID, Class: int(n.lastID) % 3, Tenant: -1, Deadline: n.tier.now + 2*time.Second})
-		n.arrive(rate, burst, burstEnd, end)
+		host.lastID++
+		host.balancer.Arrive(host.sim.now, Request{ID: host.lastID, Class: int(host.lastID) % 3, Tenant: -1, Deadline: host.sim.now + 2*time.Second})
+		host.scheduleArrivals(rate, burstStart, burstEnd, end)
 	})
 }
 
-// The parameters of TestSlowStartSumOverBalancers.
+// Parameters of TestSlowStartSumOverBalancers.
 const (
 	tierServers  = 12
 	tierCapacity = 20.0 // requests a second of a server at full capacity
-	tierLoad     = 0.7  // fraction of the capacity of all servers
+	tierLoad     = 0.7  // traffic as a fraction of the capacity of all servers
 	restartAt    = 30 * time.Second
 	tierEnd      = restartAt + 20*time.Second
 )
 
-// tierConfig is the configuration of each of count balancers.
+// tierConfig returns the configuration of each of count balancers.
 func tierConfig(count int) Config {
 	cfg := testConfig()
 	cfg.Instances = count
@@ -133,11 +139,11 @@
 	return cfg
 }
 
-// runTier runs balancers with the configuration in front of servers, some of which restart, and
-// returns the tier at its end.
-func runTier(t *testing.T, cfg Config, restarting int, seed uint64) *tier {
+// runTier simulates balancers with the configuration and tierServers servers, of which restarting ones
+// restart at restartAt. It returns the simulation at tierEnd.
+func runTier(t *testing.T, cfg Config, restarting int, seed uint64) *tierSimulation {
 	t.Helper()
-	c := &tier{
+	sim := &tierSimulation{
 		rng:        rand.New(rand.NewPCG(seed, 7)),
 		queueLimit: 3,
 		sends:      make(map[string][]time.Duration),
@@ -147,38 +153,38 @@
 	restarted := servingEndpoints(restarting)
 	for i := range restarted {
 		restarted[i].Started = restartAt
-		c.sends[restarted[i].Name] = nil
+		sim.sends[restarted[i].Name] = nil
 	}
 	weights, sum := make([]float64, cfg.Instances), 0.0
 	for i := range weights {
-		weights[i] = 1 / math.Sqrt(float64(i+1)) // some get several times the mean traffic
+		weights[i] = 1 / math.Sqrt(float64(i+1)) // some balancers get several times the mean traffic
 		sum += weights[i]
 	}
 	for i := range cfg.Instances {
-		n := &tierBalancer{tier: c, attempts: make(map[RequestID]int)}
+		host := &tierHost{sim: sim, attempts: make(map[RequestID]int)}
 		var err error
-		if n.balancer, err = New(cfg, c.rng.Uint64(), n); err != nil {
+		if host.balancer, err = New(cfg, sim.rng.Uint64(), host); err != nil {
 			t.Fatal(err)
 		}
-		n.balancer.ServersListed(0, list)
-		n.arrive(tierLoad*tierServers*tierCapacity*weights[i]/sum, restartAt+2*time.Second, restartAt+6*time.Second, tierEnd)
-		notifiedAt := restartAt + time.Duration(c.rng.Float64()*float64(100*ms))
+		host.balancer.ServersListed(0, list)
+		host.scheduleArrivals(tierLoad*tierServers*tierCapacity*weights[i]/sum, restartAt+2*time.Second, restartAt+6*time.Second, tierEnd)
+		notifiedAt := restartAt + time.Duration(sim.rng.Float64()*float64(100*ms))
 		if i%10 == 9 { // every tenth balancer learns of the restarts late
 			notifiedAt += 3 * time.Second
 		}
-		c.at(notifiedAt, func() { n.balancer.ServersChanged(c.now, restarted) })
+		sim.enqueue(notifiedAt, func() { host.balancer.ServersChanged(sim.now, restarted) })
 	}
-	c.run(tierEnd)
-	return c
+	sim.run(tierEnd)
+	return sim
 }
 
-// trueSlowStartFactor is the fraction of its capacity that a restarted server has.
+// trueSlowStartFactor returns the fraction of its capacity that a restarted server has at the time.
 func trueSlowStartFactor(cfg Config, at time.Duration) float64 {
 	return min(1, cfg.SlowStartInitialFraction+(1-cfg.SlowStartInitialFraction)*(at-restartAt).Seconds()/cfg.SlowStartDuration.Seconds())
 }
 
-// serviceable is the number of requests that a restarted server can serve until the end.
-func serviceable(cfg Config) float64 {
+// serviceableRequests returns the number of requests that a restarted server can serve until tierEnd.
+func serviceableRequests(cfg Config) float64 {
 	sum := 0.0
 	for at := restartAt; at < tierEnd; at += time.Second {
 		sum += tierCapacity * trueSlowStartFactor(cfg, at)
@@ -186,10 +192,11 @@
 	return sum
 }
 
-// worstWindow returns the highest number of sends to a restarted server within
-// OverloadDuration, as a multiple of the bound with its random margin, and counts all sends.
-func (c *tier) worstWindow(cfg Config) (worst float64, count int) {
-	for _, sends := range c.sends {
+// worstWindow returns the highest number of sends to a restarted server within OverloadDuration, as a
+// multiple of the bound, which is the overload limit with a margin for random variation. count is the number of all sends to
+// restarted servers since restartAt.
+func (sim *tierSimulation) worstWindow(cfg Config) (worst float64, count int) {
+	for _, sends := range sim.sends {
 		for first, from := range sends {
 			if from < restartAt {
 				continue
@@ -206,28 +213,28 @@
 	return worst, count
 }
 
-// The sends of all balancers together to a server in slow start stay under its overload limit,
-// however many balancers there are and however many servers start at once, with skewed traffic,
-// a burst, retries and hedges, while some balancers learn of the start late. The server gets a
-// fair part of what it can serve.
+// The sends of all balancers together to a server in slow start stay under its overload limit, however
+// many balancers there are and however many servers start at the same time. Traffic is uneven and has a
+// burst, there are retries and hedges, and some balancers learn of the start late. The server still gets
+// an eighth of the requests that it can serve.
 func TestSlowStartSumOverBalancers(t *testing.T) {
 	for _, count := range []int{1, 5, 30, 300} {
 		for _, restarting := range []int{1, 6, 12} {
 			t.Run(fmt.Sprintf("%d balancers, %d starting servers", count, restarting), func(t *testing.T) {
 				t.Parallel()
 				cfg := tierConfig(count)
-				could := serviceable(cfg)
+				serviceable := serviceableRequests(cfg)
 				for seed := range uint64(10) {
-					c := runTier(t, cfg, restarting, seed)
-					worst, sends := c.worstWindow(cfg)
+					sim := runTier(t, cfg, restarting, seed)
+					worst, sends := sim.worstWindow(cfg)
 					if testing.Verbose() {
-						t.Logf("seed %d: worst window %.2f of the bound, %d sends to a server in slow start of %.0f it could serve, %d not served", seed, worst, sends/restarting, could, c.unserved)
+						t.Logf("seed %d: highest number of sends within OverloadDuration = %.2f of the bound; %d sends to each starting server, which could serve %.0f; %d requests not served", seed, worst, sends/restarting, serviceable, sim.unserved)
 					}
 					if worst > 1 {
-						t.Errorf("seed %d: a server in slow start got %.2f times what may be sent in a window", seed, worst)
+						t.Errorf("seed %d: a server in slow start got %.2f times the bound of sends within OverloadDuration, want at most 1", seed, worst)
 					}
-					if float64(sends/restarting) < could/8 {
-						t.Errorf("seed %d: servers in slow start got %d sends each of %.0f that they could serve", seed, sends/restarting, could)
+					if float64(sends/restarting) < serviceable/8 {
+						t.Errorf("seed %d: servers in slow start got %d sends each, want at least an eighth of the %.0f that they could serve", seed, sends/restarting, serviceable)
 					}
 				}
 			})
--- a/timer.go
+++ b/timer.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// setTimer requests a timer from the host and returns its cookie.
+// setTimer sets a timer at the host and returns its cookie.
 func (b *Balancer) setTimer(after time.Duration) uint64 {
 	b.lastTimer++
 	b.host.SetTimer(b.lastTimer, after)
 	return b.lastTimer
 }
 
-// setRequestTimer sets the request's timer.
+// setRequestTimer sets a timer for the request and records its cookie in the request.
 func (b *Balancer) setRequestTimer(request *openRequest, after time.Duration) {
 	request.timer = b.setTimer(after)
 	b.timers[request.timer] = request
 }
 
-// TimerFired takes a timer that has expired. Stale ones are ignored.
+// TimerFired does what the expired timer with the cookie was set for. A timer that is no longer
+// needed is ignored.
 func (b *Balancer) TimerFired(now time.Duration, cookie uint64) {
 	if cookie == b.pollTimer && cookie != 0 {
 		b.pollTimer = 0
@@ -30,7 +31,7 @@
 	switch {
 	case len(request.attempts) == 0: // the wait for probes is over
 		b.sendFirst(request, now)
-	case request.StreamedBody: // its latency says nothing of the server
+	case request.StreamedBody: // its latency depends on the client, not only on the server
 	case request.hedgeDue:
 		request.hedgeDue = false
 		b.sendHedge(request, now)
@@ -40,15 +41,16 @@
 	}
 }
 
-// recordOverdue counts a request that is unanswered at its latency objective as late, and its
-// attempts as failures of servers that have answered nothing since. Their timeouts would tell
-// of a jammed, hung or unreachable server only much later. A slow server that gets less than
-// one request per latency objective may be counted wrongly.
+// recordOverdue counts a request that is unanswered at its latency objective as late. Unless this
+// balancer sheds load, it also counts each attempt in flight as a failure of its server, if the
+// server has answered nothing since the attempt was sent. A timeout would detect an overloaded, hung
+// or unreachable server much later. A slow server that gets less than one request in each latency
+// objective may be counted wrongly.
 func (b *Balancer) recordOverdue(request *openRequest, now time.Duration) {
 	request.overdue = true
-	calm := b.admission.decayedShedLevel(now) < shedTolerance
+	belowTolerance := b.admission.decayedShedLevel(now) < shedTolerance
 	b.admission.updateShedLevel(false, true, b.endpoints.rate(now), now)
-	if !calm {
+	if !belowTolerance {
 		return
 	}
 	for i := range request.attempts {
--- a/working_set.go
+++ b/working_set.go
@@ -7,19 +7,23 @@
 )
 
 const (
-	maxWeightsAge = 200 * time.Millisecond // sampling weights older than this are recomputed
-	// A balancer samples from a working set small enough to observe: serversPerRate servers
-	// for each send a second, at least minWorkingSet. Where open connections have a price,
-	// connectionCostBudget (in points) shrinks the set further, to minConnectedServers at least.
+	maxWeightsAge = 200 * time.Millisecond // age at which the sampling weights are recomputed
+	// A balancer normally sends only to its working set, which is small enough for it to observe
+	// the latency of each server. The working set has serversPerRate servers for each send a
+	// second, and at least minWorkingSet. Where open connections have a cost, the set is smaller,
+	// so that they cost about connectionCostBudget (in points) at most, but it has at least
+	// minConnectedServers.
 	serversPerRate       = 1.0
 	minWorkingSet        = 4
 	connectionCostBudget = 0.08
 	minConnectedServers  = 3
-	// connectionCostUnit is the number of connections that Config.ConnectionCost is for.
+	// connectionCostUnit is the number of connections per server that Config.ConnectionCost is
+	// the cost of.
 	connectionCostUnit = 100
 )
 
-// refresh recomputes the sampling table when it is old or the servers under it have changed.
+// refresh recomputes the working set and its sampling weights if the weights are old, or if members
+// or ejections have changed.
 func (set *endpointSet) refresh(now time.Duration) {
 	ejected := len(set.ejected)
 	set.ejected = slices.DeleteFunc(set.ejected, func(s *server) bool { return now >= s.ejectedUntil || !s.serving })
@@ -27,7 +31,8 @@
 	if !set.dirty && now-set.weightsAt < maxWeightsAge {
 		return
 	}
-	// The set shrinks only by more than a third, so that it changes little.
+	// The set shrinks only if it would lose more than a third of its servers, so that it
+	// changes seldom.
 	size := set.workingSetSize(now)
 	if set.dirty || size > len(set.workingSet) || size < len(set.workingSet)*2/3 {
 		set.chooseWorkingSet(size, now)
@@ -44,7 +49,7 @@
 	}
 }
 
-// workingSetSize is the number of servers that this balancer's traffic suffices to observe.
+// workingSetSize returns the number of servers that the working set should have.
 func (set *endpointSet) workingSetSize(now time.Duration) int {
 	members := len(set.members)
 	size := max(minWorkingSet, int(serversPerRate*set.rate(now)))
@@ -56,7 +61,8 @@
 	return min(size, members)
 }
 
-// chooseWorkingSet takes the first size members by priority, ejected ones last.
+// chooseWorkingSet sets the working set to the first size members in order of priority. Ejected
+// members are added only if there are too few others.
 func (set *endpointSet) chooseWorkingSet(size int, now time.Duration) {
 	for _, s := range set.workingSet {
 		s.inWorkingSet = false
