--- a/balancer_test.go
+++ b/balancer_test.go
@@ -11,10 +11,10 @@
 // recorder is a Host that records the actions that a Balancer requests and carries out none.
 type recorder struct {
 	actions     []string
-	servers     []string        // of each send
+	servers     []string        // server of each send
 	timers      []uint64        // cookie of each timer
-	delays      []time.Duration // of each timer
-	sendWithins []time.Duration // of each send
+	delays      []time.Duration // delay of each timer
+	sendWithins []time.Duration // sendWithin of each send
 }
 
 func (r *recorder) record(format string, args ...any) {
--- a/hedge_delay_test.go
+++ b/hedge_delay_test.go
@@ -21,6 +21,7 @@
 	return s
 }
 
+// The estimate of Pr(T > t) is right with ties and with censored samples before, at and after t.
 func TestSurvival(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -47,6 +48,8 @@
 	}
 }
 
+// The success rate combines the latencies of first attempts and hedges. Pairs lower it where late first
+// attempts have late hedges.
 func TestSuccessRate(t *testing.T) {
 	// Ten first attempts are answered at 1 to 10. At d = 6 four of them are unanswered, so a
 	// budget of 0.2 hedges half of them: q = 0.5. Two of ten are late at t = 8. Half of the
@@ -67,6 +70,7 @@
 	}
 }
 
+// The optimal delay is the one that leaves only the slow attempts to hedge.
 func TestComputeOptimalSingleR(t *testing.T) {
 	// 90 first attempts are answered at 1 and 10 at 100 or later; hedges are answered after 1.
 	// At d = 1 only the 10 slow attempts are unanswered, so B = 0.1 hedges all of them, and they
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -59,7 +59,7 @@
 		b, host := newTestBalancer(t, testConfig(), servingEndpoints(5)...)
 		b.disableHedging()
 		b.retryTokens = 0
-		now, step := time.Second, ms/4 // 300 steps end within ejectionGrace of answeredAt
+		now, step := time.Second, ms/4 // 300 such steps end within ejectionGrace of answeredAt, when no server can be ejected
 		if allBreak {
 			step = ms
 		}
@@ -74,7 +74,7 @@
 				if outcome := Reset; id%9 < 3 && !allBreak || allBreak && s == "s001" {
 					b.AttemptFinished(now, id, n, outcome, false, LoadReport{})
 					if sent := len(host.servers) - sends; sent != 2 {
-						t.Fatalf("request %d was sent %d times after its connection broke, want 2", id, sent)
+						t.Fatalf("request %d with a broken connection was sent %d times in all, want 2", id, sent)
 					}
 					b.AttemptFinished(now, id, n+1, OK, true, LoadReport{})
 				} else {
