--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -12,28 +12,28 @@
 	// maxBufferedBody is how many bytes of a body are buffered for retries. The rest of a longer
 	// body is streamed.
 	maxBufferedBody = 64 << 10
-	// A body must arrive at an average of minBodyRate bytes a second, plus bodyGrace. A client
-	// that stalls is cut off after the grace, one that sends more slowly when it falls behind:
-	// it would occupy a connection to a server.
+	// A body must arrive at an average of minBodyRate bytes a second, plus bodyGrace once. A
+	// client that sends nothing is disconnected after bodyGrace, and one that sends too slowly
+	// as soon as it falls behind, because it would occupy a connection to a server.
 	minBodyRate = 40 << 10
 	bodyGrace   = 2200 * time.Millisecond
 )
 
-// bodyTimeout returns how long a body of the given length may take.
+// bodyTimeout returns how long a body of the given length in bytes may take to arrive.
 func bodyTimeout(length int64) time.Duration {
 	return bodyGrace + time.Duration(length)*time.Second/minBodyRate
 }
 
-// pacedReader reads a body from a connection and enforces the minimum rate.
+// pacedReader reads a body from a connection and enforces minBodyRate.
 type pacedReader struct {
 	conn     *conn
 	from     io.Reader
 	began    time.Time
-	received int64
+	received int64 // bytes read
 }
 
-// Read implements io.Reader. It checks whether the connection was closed meanwhile, because
-// setDeadline may have overwritten the past deadline that stopReading had set.
+// Read implements io.Reader. After setting the deadline it checks whether the connection has been
+// closed, because setDeadline may have overwritten the past deadline set by stopReading.
 func (p *pacedReader) Read(b []byte) (int, error) {
 	p.setDeadline()
 	s := p.conn.server
@@ -46,21 +46,22 @@
 	return p.read(b)
 }
 
-// setDeadline sets the connection's deadline for the next bytes.
+// setDeadline sets the connection's read deadline from the number of bytes received.
 func (p *pacedReader) setDeadline() {
 	p.conn.netConn.SetReadDeadline(p.began.Add(bodyTimeout(p.received)))
 }
 
-// read reads under the deadline that setDeadline has set.
+// read reads with the deadline that setDeadline has set.
 func (p *pacedReader) read(b []byte) (int, error) {
 	n, err := p.from.Read(b)
 	p.received += int64(n)
 	return n, err
 }
 
-// readBody buffers the first part of a request's body under the byte budget, makes the
-// rest its upload, and completes the head. If the budget does not allow it, the body is
-// discarded and fits is false.
+// readBody buffers the first part of a request's body within the server's byte budget, makes the
+// rest the upload of x, and appends the field with the body's length or encoding to the head. If the
+// budget has too few bytes left, readBody discards the body and fits is false. It also returns the
+// status to reject the request with, or statusNone.
 func (x *Exchange) readBody(r *http.Request) (fits bool, status int) {
 	if r.Body == http.NoBody {
 		if r.Method != http.MethodGet {
@@ -70,10 +71,10 @@
 	}
 	from := &pacedReader{conn: x.conn, from: r.Body, began: time.Now()}
 	size := min(r.ContentLength, maxBufferedBody)
-	if size < 0 { // not known
+	if size < 0 { // unknown
 		size = maxBufferedBody
 	}
-	if !x.conn.server.budget.take(size) {
+	if !x.conn.server.budget.reserve(size) {
 		return false, x.discardBody(from)
 	}
 	x.reserved = size
@@ -94,7 +95,7 @@
 	_, err := io.Copy(io.Discard, io.LimitReader(from, maxBufferedBody+1))
 	switch {
 	case from.received > maxBufferedBody:
-		x.keepAlive = false // the rest is not read
+		x.keepAlive = false // the rest stays unread
 		return statusNone
 	case err != nil:
 		return bodyStatus(err)
@@ -102,8 +103,8 @@
 	return statusNone
 }
 
-// bufferBody reads the part of a body that is buffered; length is -1 if unknown. If there may be
-// more, the rest becomes the upload of x.
+// bufferBody reads up to maxBufferedBody bytes of a body; length is -1 if unknown. If the body may be
+// longer, the rest becomes the upload of x.
 func (x *Exchange) bufferBody(length int64, from *pacedReader) ([]byte, error) {
 	switch {
 	case length > maxBufferedBody:
--- a/internal/downstream/budget.go
+++ b/internal/downstream/budget.go
@@ -2,26 +2,27 @@
 
 import "sync"
 
-// budget is a number of bytes that concurrent requests share.
+// budget limits the bytes of request bodies that are buffered at once.
 type budget struct {
-	mu   sync.Mutex
-	left int64
+	mu        sync.Mutex
+	available int64 // bytes; below 0 after the limit was lowered below the bytes in use
 }
 
-// take reserves n bytes; false if fewer are left.
-func (b *budget) take(n int64) bool {
+// reserve reserves n bytes. It returns false and reserves nothing if fewer are available.
+func (b *budget) reserve(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < n {
+	if b.available < n {
 		return false
 	}
-	b.left -= n
+	b.available -= n
 	return true
 }
 
-// give returns n reserved bytes.
-func (b *budget) give(n int64) {
+// release returns n reserved bytes. A change of the limit is a release of the difference, which may
+// be negative.
+func (b *budget) release(n int64) {
 	b.mu.Lock()
-	b.left += n
+	b.available += n
 	b.mu.Unlock()
 }
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -16,16 +16,16 @@
 
 const (
 	// The head of a connection's first request must be complete within firstRequestTimeout of
-	// the accept, that of a later one within requestTimeout of its first byte. They bound the
-	// total, not each read, so that a client that sends slowly is cut off too. Bodies have a
-	// minimum rate, see pacedReader.
+	// the accept, the head of a later request within requestTimeout of its first byte. Both bound
+	// the whole head and not each read, so that a client that sends slowly is disconnected too.
+	// For bodies see minBodyRate.
 	firstRequestTimeout = 2600 * time.Millisecond
 	requestTimeout      = 2600 * time.Millisecond
 	// keepAliveTimeout is how long an idle connection stays open. A client whose next request
 	// races with the close sends it again.
 	keepAliveTimeout = 5 * time.Second
 	// disconnectCheckInterval is how often the sidecar checks whether a client has disconnected
-	// while its body is not being read. No attempt may begin 0.1 s after a disconnect.
+	// while its body is not being read. An attempt may begin at most 0.1 s after a disconnect.
 	disconnectCheckInterval = 40 * time.Millisecond
 )
 
@@ -36,19 +36,19 @@
 	stateNew     connState = iota // no byte has arrived yet
 	stateReading                  // a request is being read
 	stateWaiting                  // a request waits for its response
-	stateIdle                     // between requests
+	stateIdle                     // between a response and the next request
 	stateClosed                   // closed by the sidecar, or about to be: no request is accepted
 )
 
-// conn is one client connection. Its goroutine reads; responses are written by the goroutine that
-// answers.
+// conn is one client connection. The connection's own goroutine, serve, reads requests. Responses are
+// written by whichever goroutine answers the request.
 type conn struct {
 	server   *Server
 	netConn  net.Conn
 	input    *netconn.Lazy
 	answered sync.Cond // signals that exchange became nil
 	accepted time.Time // when the connection was accepted
-	requests int       // registered so far; used by the connection's goroutine only
+	requests int       // number of requests registered; used by the connection's goroutine only
 
 	// Guarded by the server's lock.
 	state      connState
@@ -56,7 +56,7 @@
 	exchange   *Exchange // the request that waits for its response; nil: none
 }
 
-// enter changes the state. The server's lock is held.
+// enter changes the connection's state. The server's lock is held.
 func (c *conn) enter(state connState) { c.state, c.stateSince = state, time.Now() }
 
 // isBusy reports whether a shutdown waits for the connection. The server's lock is held.
@@ -70,8 +70,8 @@
 	return false
 }
 
-// serve is the connection's goroutine. On a crowded server it rejects the connection's first
-// request.
+// serve reads and hands over requests until the connection ends. It runs in the connection's own
+// goroutine. If crowded, the server has too many connections, and the first request is rejected.
 func (c *conn) serve(crowded bool) {
 	defer c.close()
 	defer c.recoverPanic()
@@ -79,7 +79,8 @@
 	}
 }
 
-// recoverPanic limits a panic to its connection, whose request fails. It is deferred.
+// recoverPanic confines a panic to its connection: it logs the panic and fails the open request. It
+// must be called by defer.
 func (c *conn) recoverPanic() {
 	p := recover()
 	if p == nil {
@@ -94,8 +95,8 @@
 	}
 }
 
-// serveRequest reads one request and hands it to the handler. It returns false if the
-// connection is over.
+// serveRequest reads one request and hands it to the handler. It returns false if no further
+// request may be read from the connection.
 func (c *conn) serveRequest(crowded bool) bool {
 	x, status := c.readRequest(crowded)
 	switch {
@@ -104,7 +105,7 @@
 	case status != statusNone:
 		c.reject(status)
 		return false
-	case x == nil: // answered already
+	case x == nil: // the request has been answered
 		return true
 	}
 	if status := c.register(x); status != statusNone {
@@ -127,9 +128,10 @@
 	return true
 }
 
-// register makes x the connection's open request. It returns the status to end the connection with
-// if the connection was closed meanwhile, or if the id of x is in use: a reused id, which the
-// protocol forbids, could send a response to the wrong client or a request twice.
+// register makes x the connection's open request. It returns statusNone, or the status to end the
+// connection with: 503 if the connection has been closed meanwhile, 409 if the id of x is known. With
+// a reused id, which the protocol forbids, a response could reach the wrong client, or a request could
+// be sent twice.
 func (c *conn) register(x *Exchange) (status int) {
 	s := c.server
 	s.mu.Lock()
@@ -144,19 +146,20 @@
 	x.acceptedDuringShutdown = s.drainingSince
 	c.exchange = x
 	c.enter(stateWaiting)
-	c.netConn.SetReadDeadline(time.Time{}) // the reader notices a disconnect
+	c.netConn.SetReadDeadline(time.Time{}) // the next read waits for a disconnect
 	return statusNone
 }
 
-// logAcceptedDuringShutdown logs the time and the connection of a request that is accepted during
-// a shutdown.
+// logAcceptedDuringShutdown logs that a request was accepted during a shutdown, how long after its
+// start, and on what kind of connection.
 func (c *conn) logAcceptedDuringShutdown(x *Exchange) {
 	slog.Info("request accepted during shutdown", "class", x.Class, "after", time.Since(x.acceptedDuringShutdown),
 		"conn_age", time.Since(c.accepted), "first_on_conn", c.requests == 1)
 }
 
-// awaitUpload waits until the body of x is not read any more. Until an attempt claims the body, it
-// polls whether the client has disconnected, which unread bytes would hide from a read.
+// awaitUpload waits until the body of x will not be read any more. Until an attempt claims the body,
+// awaitUpload polls whether the client has disconnected: a read would return the unread bytes of the
+// body instead of the disconnect.
 func (c *conn) awaitUpload(x *Exchange) {
 	check := time.NewTicker(disconnectCheckInterval)
 	defer check.Stop()
@@ -172,15 +175,16 @@
 	}
 }
 
-// awaitRequest waits for the next request's first byte and for the response to the previous
-// request. It returns false if the connection has ended. A client that pipelines its next request
-// before the response is rejected, because the protocol does not define the order of responses.
+// awaitRequest waits for the first byte of the next request and for the end of the response to the
+// previous one. It returns false if the connection has ended. A client that sends a request before the
+// response to its previous one (pipelining) is rejected with 400, because the protocol does not
+// define the order of responses.
 func (c *conn) awaitRequest() bool {
 	for {
 		err := c.input.Wait()
 		c.server.mu.Lock()
-		early := c.exchange != nil && !c.exchange.answering
-		if early && c.cancelExchange() {
+		pipelined := c.exchange != nil && !c.exchange.answering
+		if pipelined && c.cancelExchange() {
 			c.server.mu.Unlock()
 			if err == nil {
 				c.reject(http.StatusBadRequest)
@@ -190,20 +194,20 @@
 		for c.exchange != nil {
 			c.answered.Wait()
 		}
-		if err == nil && !early && c.state != stateClosed {
+		if err == nil && !pipelined && c.state != stateClosed {
 			c.beginRequest()
 			c.server.mu.Unlock()
 			return true
 		}
-		if !c.endWait(err, early) {
+		if !c.endWait(err, pipelined) {
 			return false
 		}
 	}
 }
 
 // cancelExchange tells the handler that the client of the open request has disconnected. It returns
-// false if the response is being written. The server's lock is held, and released during the
-// handler's call.
+// false if the response is being written. The server's lock is held on entry and on return, but
+// released while the handler is called.
 func (c *conn) cancelExchange() bool {
 	x := c.exchange
 	c.server.mu.Unlock()
@@ -211,7 +215,8 @@
 	return c.server.handler.ClientDisconnected(x)
 }
 
-// beginRequest records that a request's first byte has arrived. The server's lock is held.
+// beginRequest records that the first byte of a request has arrived, and sets the deadline of its
+// head. The server's lock is held.
 func (c *conn) beginRequest() {
 	if c.state != stateNew { // the first request's deadline counts from the accept
 		c.netConn.SetReadDeadline(time.Now().Add(requestTimeout))
@@ -219,11 +224,11 @@
 	c.enter(stateReading)
 }
 
-// endWait ends a connection on which no request is accepted: the wait failed with err, the client
-// pipelined a request, or the connection was closed meanwhile. It returns true if bytes arrived just
-// as the wait timed out, so that the wait must be repeated. It is called with the server's lock held
-// and releases it.
-func (c *conn) endWait(err error, early bool) (repeat bool) {
+// endWait ends a connection on which awaitRequest accepts no request, because the wait failed with
+// err, the client pipelined a request, or the connection has been closed meanwhile. It returns true if
+// bytes arrived just as the wait timed out: then awaitRequest must wait again. It is called with the
+// server's lock held and releases it.
+func (c *conn) endWait(err error, pipelined bool) (repeat bool) {
 	timedOut := c.state != stateClosed && errors.Is(err, os.ErrDeadlineExceeded)
 	if timedOut && c.input.Quiet() {
 		c.enter(stateClosed)
@@ -234,7 +239,7 @@
 	case timedOut && !closed:
 		c.netConn.SetReadDeadline(time.Now().Add(requestTimeout))
 		return true
-	case timedOut, early && err == nil:
+	case timedOut, pipelined && err == nil:
 		c.linger()
 	case closed && err == nil:
 		c.discardInput()
@@ -242,7 +247,7 @@
 	return false
 }
 
-// close unregisters the connection and closes it.
+// close removes the connection and its open request from the server, and closes it.
 func (c *conn) close() {
 	s := c.server
 	s.mu.Lock()
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// maxEvictionAttempts is how many connections one eviction examines. A connection on which
-	// bytes have just arrived is skipped.
+	// maxEvictionAttempts is how many connections one eviction tries. It skips a connection on
+	// which bytes have just arrived.
 	maxEvictionAttempts = 8
-	// A connection is among the first to be evicted after silentTimeout without a byte since
-	// its accept, or after stalledTimeout in the middle of a request's head.
+	// A connection is among the first to be evicted if no byte has arrived within silentTimeout
+	// of its accept, or if a request on it is still incomplete after stalledTimeout.
 	silentTimeout  = 150 * time.Millisecond
 	stalledTimeout = 600 * time.Millisecond
 )
@@ -21,15 +21,16 @@
 
 const (
 	notEvictable     evictionRank = iota
-	rankReading                   // part of a head has arrived
-	rankNew                       // no byte yet, or being closed
-	rankIdle                      // between requests
+	rankReading                   // a part of a request has arrived
+	rankNew                       // no byte has arrived yet, or the connection is being closed
+	rankIdle                      // between a response and the next request
 	rankUnproductive              // silent or stalled for too long
 )
 
-// evictionRank ranks a connection. Connections that have never sent anything rank highest, so that
-// hundreds of them do not keep other clients out. If the process was suspended for longer than
-// silentTimeout, this can hit a connection whose first bytes have not been read yet.
+// evictionRank returns the rank of a connection. Connections on which nothing has ever arrived rank
+// highest after silentTimeout, so that hundreds of them do not keep other clients out. After the process
+// was suspended for longer than silentTimeout, this can include a connection whose first bytes have not
+// been read yet. The server's lock is held.
 func (c *conn) evictionRank(now time.Time) evictionRank {
 	age := now.Sub(c.stateSince)
 	unused := c.state == stateNew || c.state == stateClosed
@@ -48,15 +49,15 @@
 	return notEvictable
 }
 
-// evict closes the connection of the highest rank, the oldest among equals. It returns false if all
-// connections are in use; one with unread input counts as in use.
+// evict closes the connection with the highest rank; among equals, the one that has been in its state
+// for longest. It returns false if all connections are in use. A connection with unread input is in use.
 func (s *Server) evict() bool {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var skipped [maxEvictionAttempts]*conn
-	for try := range maxEvictionAttempts {
-		c := s.evictionCandidate(now, skipped[:try])
+	for attempt := range maxEvictionAttempts {
+		c := s.evictionCandidate(now, skipped[:attempt])
 		if c == nil {
 			return false
 		}
@@ -64,13 +65,13 @@
 			delete(s.conns, c)
 			return true
 		}
-		skipped[try] = c
+		skipped[attempt] = c
 	}
 	return false
 }
 
-// evictionCandidate returns the next connection to evict that is not among the skipped ones; nil if
-// there is none. The lock is held.
+// evictionCandidate returns the connection to evict next that is not in skipped, or nil if there is
+// none. The server's lock is held.
 func (s *Server) evictionCandidate(now time.Time, skipped []*conn) (candidate *conn) {
 	highest := notEvictable
 	for c := range s.conns {
@@ -83,8 +84,8 @@
 	return candidate
 }
 
-// closeForEviction closes a connection unless it has unread input; it returns whether it
-// did. The server's lock is held.
+// closeForEviction closes a connection, or makes its goroutine close it. It returns false if the
+// connection has unread input and therefore stays open. The server's lock is held.
 func (c *conn) closeForEviction() bool {
 	switch {
 	case c.state == stateReading || c.state == stateClosed:
@@ -98,14 +99,15 @@
 	return true
 }
 
-// stopReading makes the connection's goroutine end the connection, by a read deadline in the past. A
-// request that has been read completely is still answered. The server's lock is held.
+// stopReading sets a read deadline in the past, so that the connection's goroutine ends the connection.
+// A request that has been read completely is still answered. The server's lock is held.
 func (c *conn) stopReading() {
 	c.enter(stateClosed)
 	c.netConn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Trim evicts connections until their number is within the limit, or all are in use.
+// Trim evicts connections until their number is within Config.MaxConns or all that remain are in use.
+// It is called after Limit has lowered MaxConns.
 func (s *Server) Trim() {
 	for {
 		s.mu.Lock()
--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -12,23 +12,23 @@
 	"martendrum/internal/upstream"
 )
 
-// Exchange is one request and its response. Its answering methods may be called
-// from any goroutine, one of them once.
+// Exchange is one request and its response. At most one of Serve, Reject, Fail and Deny is called,
+// once and from any goroutine.
 type Exchange struct {
 	Request  upstream.Request
 	Class    string
-	Rules    *settings.Class // of the settings in force when the request was read
+	Rules    *settings.Class // from the settings in force when the request was read
 	Tenant   string
-	Wait     time.Duration // how long the client waits from Received on; 0: not stated
+	Wait     time.Duration // how long after Received the client gives up, as it stated; 0: not stated
 	Received time.Time     // when the request was read
-	State    any           // the handler's
+	State    any           // for the handler's use
 
 	conn                   *conn
-	id                     string
-	reserved               int64 // bytes reserved in the budget
-	keepAlive              bool  // the connection stays open after the response
-	http10                 bool
-	acceptedDuringShutdown time.Time // start of the shutdown during which it was registered; zero: none
+	id                     string    // request id; empty for a health check
+	reserved               int64     // bytes reserved in the budget
+	keepAlive              bool      // the connection stays open after the response
+	http10                 bool      // the client speaks HTTP/1.0
+	acceptedDuringShutdown time.Time // start of the shutdown during which the request was registered; zero: none
 	answering              bool      // the response is being written; guarded by the server's lock
 	upload                 *upload   // the part of the body that is not buffered; nil: none
 }
@@ -37,20 +37,20 @@
 // connection's goroutine has not noticed yet. It does not block.
 func (x *Exchange) ClientLeft() bool { return x.conn.input.Left() }
 
-// hopByHop are the header fields that belong to one connection, or that each attempt
-// sets itself.
+// hopByHop are the header fields that are not forwarded: they concern a single connection, or each
+// attempt sets its own.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, protocol.RequestDeadline: true,
 }
 
-// singleValued are the header fields that identify a request: repeated, they are
-// ambiguous.
+// singleValued are the header fields that identify a request. A request that repeats one of them
+// is ambiguous and is rejected.
 var singleValued = []string{protocol.RequestID, protocol.RequestClass, protocol.RequestDeadline, protocol.IdempotencyKey}
 
-// parse parses and checks the head of a request. It returns the status to reject it with, or
-// statusNone. It rejects contradictions (another class in the path than in the header, a method or
-// key that does not suit the class), since a non-idempotent request must never be retried as an
+// parse parses and checks the head of a request. It returns the status to reject the request with, or
+// statusNone. It rejects a request whose class in the header differs from that in the path, or whose
+// method or key does not suit its class, because a non-idempotent request must never be retried as an
 // idempotent one.
 func (x *Exchange) parse(r *http.Request, handler Handler) (status int) {
 	if status := x.parseClass(r, handler); status != statusNone {
@@ -74,7 +74,7 @@
 	return statusNone
 }
 
-// parseClass finds the class of a request.
+// parseClass sets the class of a request, which is the first segment of its path.
 func (x *Exchange) parseClass(r *http.Request, handler Handler) (status int) {
 	for _, name := range singleValued {
 		if len(r.Header[name]) > 1 {
@@ -91,8 +91,8 @@
 	return statusNone
 }
 
-// checkMethod checks that a request's method, and whether it has a body, suit the idempotency of
-// its class.
+// checkMethod checks the method for the idempotency of the request's class: GET without a body for an
+// idempotent class, POST for all others.
 func checkMethod(r *http.Request, idempotency martendrum.Idempotency) (status int) {
 	method := http.MethodPost
 	if idempotency == martendrum.Idempotent {
@@ -107,7 +107,7 @@
 	return statusNone
 }
 
-// parseDeadline parses how long the client waits, if the header states it.
+// parseDeadline sets Wait if the header states how long the client waits.
 func (x *Exchange) parseDeadline(header http.Header) (status int) {
 	value, ok := header[protocol.RequestDeadline]
 	if !ok {
@@ -121,8 +121,8 @@
 	return statusNone
 }
 
-// requestHead returns the head of the request to servers, without the fields that describe its
-// body and deadline, and without the final empty line.
+// requestHead returns the head of the request as it is sent to servers, without the fields that
+// describe its body and deadline, and without the empty line at its end.
 func requestHead(r *http.Request) []byte {
 	uri := r.RequestURI
 	if !strings.HasPrefix(uri, "/") {
@@ -138,7 +138,7 @@
 	return appendHeader(b, r.Header)
 }
 
-// appendHeader appends the end-to-end fields of a header.
+// appendHeader appends the fields of a header that are not hop-by-hop.
 func appendHeader(b []byte, header http.Header) []byte {
 	for name, values := range header {
 		if hopByHop[name] {
@@ -161,9 +161,9 @@
 	return append(b, "\r\n"...)
 }
 
-// Release returns the body's bytes to the budget. The handler calls it when no attempt needs the
-// body any more.
+// Release returns the bytes of the buffered body to the budget. The handler calls it when no attempt
+// needs the body any more.
 func (x *Exchange) Release() {
-	x.conn.server.budget.give(x.reserved)
+	x.conn.server.budget.release(x.reserved)
 	x.reserved = 0
 }
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -1,10 +1,10 @@
 // Package downstream is the client-facing side of the sidecar: it accepts connections, reads
 // requests, writes responses and notices clients that disconnect.
 //
-// A Server owns the connections and their limits, a conn is one connection, an Exchange
-// is one request with its response. It guarantees that each request read gets exactly one
-// final response or a closed connection. It does not decide how a request is answered: the
-// Handler does.
+// A Server owns the connections and their limits, a conn is one connection, and an Exchange is one
+// request with its response. The package guarantees that each request that was read gets exactly one
+// final response or a closed connection. It does not decide how a request is answered; the Handler
+// does.
 package downstream
 
 import (
@@ -12,25 +12,27 @@
 	"martendrum/internal/settings"
 )
 
-// Handler handles requests. Each Exchange that arrives ends exactly once, by one of its own methods
-// or by ClientDisconnected, and is released when its body is not needed any more.
+// Handler handles requests. It ends each Exchange exactly once, by one of the Exchange's answering
+// methods or by returning true from ClientDisconnected, and calls Release when the body is not needed
+// any more. Its methods may be called concurrently.
 type Handler interface {
-	// Arrive handles a request that has been read.
+	// Arrive handles a request that has been read. It should return without waiting for the
+	// response, because a disconnect of the client is noticed only afterwards.
 	Arrive(x *Exchange)
 	// ClientDisconnected ends a request because its client has disconnected. It returns false if
-	// the response is being written.
+	// the response is being written or has been.
 	ClientDisconnected(x *Exchange) bool
 	// Ready reports whether the sidecar accepts clients.
 	Ready() bool
-	// Class returns the request class of a name, nil if there is none.
+	// Class returns the request class with the given name, nil if there is none.
 	Class(name string) *settings.Class
 }
 
 // Meter counts the results of requests.
 type Meter interface {
-	// Answered counts a final response by its status; class is one of the settings.
+	// Answered counts a final response by its status; class is the name of a class of the settings.
 	Answered(class string, status int)
-	// Limited counts a request that the server itself rejected at a limit.
+	// Limited counts a request that the Server rejected at one of its own limits.
 	Limited(reason metrics.Reason)
 }
 
@@ -45,6 +47,6 @@
 
 // Config holds the limits of a Server.
 type Config struct {
-	MaxConns int   // client connections at once
-	MaxBody  int64 // bytes of buffered request bodies at once
+	MaxConns int   // limit of open client connections
+	MaxBody  int64 // limit of the bytes of request bodies buffered at once
 }
--- a/internal/downstream/fuzz_test.go
+++ b/internal/downstream/fuzz_test.go
@@ -16,9 +16,9 @@
 	"martendrum/internal/upstream"
 )
 
-// FuzzRequestBody sends a body, chunked or of a stated length, in pieces, and compares what
-// arrives with RFC 9112: what the strict grammar accepts arrives completely, and nothing arrives
-// that even a lenient reader would read otherwise.
+// FuzzRequestBody sends a body in pieces, chunked or with a stated length, and compares what reaches the
+// handler with RFC 9112. A body that the strict grammar accepts must arrive completely. No body may
+// arrive other than a lenient reader would read it.
 func FuzzRequestBody(f *testing.F) {
 	for _, seed := range framingtest.Seeds {
 		f.Add([]byte(seed), -1, 1)
@@ -31,30 +31,30 @@
 		}
 		h := &handler{arrived: make(chan *Exchange, 4), disconnected: make(chan *Exchange, 4)}
 		s := New(Config{MaxConns: 100, MaxBody: 1 << 20}, h)
-		here, there := net.Pipe()
-		s.add(here)
+		serverSide, clientSide := net.Pipe()
+		s.add(serverSide)
 		head := "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n"
 		if length < 0 {
 			head += "Transfer-Encoding: chunked\r\n\r\n"
 		} else {
 			head += "Content-Length: " + strconv.Itoa(length) + "\r\n\r\n"
 		}
-		there.SetDeadline(time.Now().Add(patience))
+		clientSide.SetDeadline(time.Now().Add(patience))
 		go func() {
-			if framingtest.Send(there, append([]byte(head), body...), piece) == nil { // else it was rejected
-				there.Close()
+			if framingtest.Send(clientSide, append([]byte(head), body...), piece) == nil { // an error: the request was rejected
+				clientSide.Close()
 			}
 		}()
-		answers := make(chan struct{})
-		go func() { // read off, or a rejection would block
-			defer close(answers)
-			io.Copy(io.Discard, there)
+		responsesRead := make(chan struct{})
+		go func() { // an unread response would block the server
+			defer close(responsesRead)
+			io.Copy(io.Discard, clientSide)
 		}()
 		strict, lenient := framingtest.Read(body, length)
-		<-answers
-		for until := time.Now().Add(patience); s.Conns() > 0; time.Sleep(50 * time.Microsecond) {
-			if time.Now().After(until) {
-				t.Fatal("the connection did not end")
+		<-responsesRead
+		for deadline := time.Now().Add(patience); s.Conns() > 0; time.Sleep(50 * time.Microsecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("the connection was not closed within %v", patience)
 			}
 		}
 		var got []byte
@@ -68,31 +68,32 @@
 			t.Error(err)
 		}
 		if arrived > 1 {
-			t.Error("a second request arrived")
+			t.Errorf("%d requests reached the handler, want at most 1", arrived)
 		}
-		if held, _ := s.BodyBytes(); held != 0 {
-			t.Errorf("%d bytes are held after the end", held)
+		if buffered, _ := s.BodyBytes(); buffered != 0 {
+			t.Errorf("%d bytes are still buffered after the connection was closed, want 0", buffered)
 		}
 	})
 }
 
-// FuzzPassedAnswer forwards an answer from pieces, chunked where its length is unknown, and
-// compares what a client reads with what went in.
+// FuzzPassedAnswer forwards a response that arrives in pieces, chunked if its length is unknown, and
+// compares what the client reads with the body that was sent. If the response breaks off, the client
+// must not take it for complete.
 func FuzzPassedAnswer(f *testing.F) {
 	f.Add([]byte("abc"), 1, true, false)
 	f.Add([]byte("0\r\n\r\n"), 2, false, true)
 	f.Add([]byte{}, 1, false, false)
-	f.Fuzz(func(t *testing.T, body []byte, piece int, told, breaks bool) {
+	f.Fuzz(func(t *testing.T, body []byte, piece int, knownLength, breaks bool) {
 		if len(body) > 64<<10 || piece < 1 {
 			t.Skip()
 		}
 		h := &handler{arrived: make(chan *Exchange, 1), disconnected: make(chan *Exchange, 4)}
 		s := New(Config{MaxConns: 100, MaxBody: 1 << 20}, h)
-		here, there := net.Pipe()
-		defer there.Close()
-		s.add(here)
-		there.SetDeadline(time.Now().Add(patience))
-		go io.WriteString(there, look("1"))
+		serverSide, clientSide := net.Pipe()
+		defer clientSide.Close()
+		s.add(serverSide)
+		clientSide.SetDeadline(time.Now().Add(patience))
+		go io.WriteString(clientSide, look("1"))
 		x := <-h.arrived
 		first := min(len(body), piece)
 		var rest []io.Reader
@@ -103,29 +104,29 @@
 			rest = append(rest, iotest.ErrReader(io.ErrUnexpectedEOF))
 		}
 		answer := &upstream.Answer{Header: http.Header{}, Body: body[:first], Length: -1, Rest: io.MultiReader(rest...)}
-		if told {
+		if knownLength {
 			answer.Length = int64(len(body))
 		}
 		go func() {
 			x.Serve(answer)
 			x.Release()
 			if breaks {
-				there.Close()
+				clientSide.Close()
 			}
 		}()
-		resp, err := http.ReadResponse(bufio.NewReader(there), nil)
+		resp, err := http.ReadResponse(bufio.NewReader(clientSide), nil)
 		if err != nil {
 			if !breaks {
-				t.Fatal(err)
+				t.Fatalf("reading the head of the response: %v", err)
 			}
 			return
 		}
 		got, err := io.ReadAll(resp.Body)
 		switch {
-		case breaks && err == nil && !(told && len(got) == len(body)):
-			t.Errorf("%q, broken off, was taken for complete: %q", body, got)
+		case breaks && err == nil && !(knownLength && len(got) == len(body)):
+			t.Errorf("body %q broke off: the client read %q without an error", body, got)
 		case !breaks && (err != nil || !bytes.Equal(got, body)):
-			t.Errorf("%q came as %q, %v", body, got, err)
+			t.Errorf("body %q: the client read %q, error %v", body, got, err)
 		}
 	})
 }
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Bounds of a lingering close. Closing a connection with unread input resets it, and the reset may
+// Bounds of a lingering close. To close a connection with unread input resets it, and the reset may
 // discard the response before the client has read it. The sidecar therefore reads and discards what
-// the client still sends, within these bounds.
+// the client still sends, for at most lingerTimeout and at most lingerBytes.
 const (
 	lingerTimeout = 300 * time.Millisecond
 	lingerBytes   = 256 << 10
 )
 
-// reject answers an invalid request with a status and ends the connection by a lingering close.
+// reject answers with a status and ends the connection by a lingering close. It is called by the
+// connection's goroutine.
 func (c *conn) reject(status int) {
 	x := &Exchange{conn: c}
 	c.write(x.appendResponse(nil, status, "", nil, nil))
 	c.server.mu.Lock()
-	evicted := c.state == stateClosed // another connection has its slot already
+	evicted := c.state == stateClosed // its slot may already belong to another connection
 	if !evicted {
 		c.enter(stateClosed)
 	}
@@ -25,15 +26,15 @@
 	}
 }
 
-// linger makes a lingering close. It is called by the connection's goroutine.
+// linger ends the connection by a lingering close. It is called by the connection's goroutine.
 func (c *conn) linger() {
 	c.closeWrite()
 	c.discardInput()
 }
 
 // closeWrite closes the sending side, so that the client sees the end of the connection after its
-// last response. It is called once, by the goroutine that entered stateClosed; the connection's own
-// goroutine then discards input and closes.
+// last response. It is called once, by the goroutine that changed the state to stateClosed. The
+// connection's own goroutine then discards the remaining input and closes the connection.
 func (c *conn) closeWrite() {
 	if half, ok := c.netConn.(interface{ CloseWrite() error }); ok {
 		half.CloseWrite()
@@ -41,7 +42,7 @@
 	c.netConn.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// discardInput reads and discards what the client still sends, within the bounds.
+// discardInput reads and discards what the client still sends, up to the read deadline and lingerBytes.
 func (c *conn) discardInput() {
 	buf := buffers.Get().(*[]byte)
 	defer buffers.Put(buf)
@@ -53,8 +54,8 @@
 	}
 }
 
-// resetOnClose makes the close of the connection a reset. A truncated response that ends with its
-// connection would look complete otherwise.
+// resetOnClose makes the next close of the connection a reset. With a normal close, the client could
+// take a truncated response whose end is the end of the connection for a complete one.
 func (c *conn) resetOnClose() {
 	if tcp, ok := c.netConn.(interface{ SetLinger(int) error }); ok {
 		tcp.SetLinger(0)
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -14,7 +14,7 @@
 	"martendrum/internal/metrics"
 )
 
-// Results of reading a request other than the HTTP statuses to reject it with.
+// Values that functions return in place of the HTTP status to reject a request with.
 const (
 	statusNone         = 0  // the request is not rejected
 	statusDisconnected = -1 // the client has disconnected: nothing is written
@@ -23,11 +23,12 @@
 // healthPath is the path of health checks of the sidecar itself.
 const healthPath = "/_health"
 
-// limitRetryAfter is the Retry-After of a request that is rejected at a limit.
+// limitRetryAfter is the value of Retry-After in the response to a request rejected at a limit.
 const limitRetryAfter = 200 * time.Millisecond
 
-// readRequest reads one request. It returns an Exchange for the handler, or the status to end the
-// connection with, or neither if the request has been answered.
+// readRequest reads one request. It returns the Exchange for the handler, or the status to end the
+// connection with, or nil and statusNone if it has answered the request itself. If crowded, it rejects
+// every request other than a health check.
 func (c *conn) readRequest(crowded bool) (*Exchange, int) {
 	r, err := c.readHead()
 	if err != nil {
@@ -49,7 +50,7 @@
 	}
 	fits, status := x.readBody(r)
 	if status == statusNone && fits && (x.upload == nil || crowded) && c.input.Buffered() > 0 {
-		status = http.StatusBadRequest // more than one request, or a wrong length
+		status = http.StatusBadRequest // a pipelined request, or a body longer than stated
 	}
 	if status != statusNone {
 		x.Release()
@@ -62,7 +63,7 @@
 	return x, statusNone
 }
 
-// readHead reads and checks a request's head.
+// readHead reads the head of a request and checks its framing.
 func (c *conn) readHead() (*http.Request, error) {
 	head, err := framing.Await(c.input.Reader())
 	if err != nil {
@@ -95,7 +96,7 @@
 	return r.URL.Path == healthPath && r.Method == http.MethodGet && r.Body == http.NoBody
 }
 
-// answerHealth answers a health check.
+// answerHealth answers a health check: 200 if the handler is ready, 503 otherwise.
 func (x *Exchange) answerHealth() {
 	server := x.conn.server
 	status := http.StatusOK
@@ -106,8 +107,8 @@
 }
 
 // rejectAtLimit rejects a request because there are too many connections (crowded) or its body
-// does not fit the budget. If the client is still sending, it returns the status to end the
-// connection with; otherwise it answers the request.
+// exceeds the byte budget (not fits). If the client may still be sending, it returns the status to end
+// the connection with. Otherwise it answers the request and returns statusNone.
 func (x *Exchange) rejectAtLimit(r *http.Request, crowded, fits bool) (status int) {
 	server := x.conn.server
 	slog.Warn("request rejected at a limit", "crowded", crowded, "conns", server.Conns())
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -12,35 +12,38 @@
 )
 
 const (
-	// writeTimeout bounds the writing of a buffered response to a client that does not read.
+	// writeTimeout bounds the writing of a buffered response to a client that reads slowly or not at all.
 	writeTimeout = 2 * time.Second
-	// streamWriteTimeout bounds the writing of one piece of a streamed response.
+	// streamWriteTimeout bounds each write of a streamed response.
 	streamWriteTimeout = 10 * time.Second
-	// maxPooledBuffer is the largest response buffer that is pooled for reuse.
+	// maxPooledBuffer is the capacity in bytes of the largest buffer that is returned to buffers.
 	maxPooledBuffer = 80 << 10
 )
 
 // streamBuffers are the read buffers of streamed responses.
 var streamBuffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
-// buffers are the write buffers of buffered responses.
+// buffers are the write buffers of buffered responses, also used to discard input.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-// Reject answers that the request was not executed and may be retried.
+// Reject answers 503: the request was not executed and may be retried. The response has a Retry-After
+// if retryAfter is above 0.
 func (x *Exchange) Reject(retryAfter time.Duration) {
 	x.answer(http.StatusServiceUnavailable, retryAfterField(retryAfter), nil, nil)
 }
 
-// Fail answers that the request failed.
+// Fail answers 502: the request failed. Unlike Reject, it does not promise that the request was not
+// executed.
 func (x *Exchange) Fail() { x.answer(http.StatusBadGateway, "", nil, nil) }
 
-// Deny answers that the idempotency store does not let the request be executed: with a status, the
-// reason in a header field, and a Retry-After if retryAfter is above 0. why must be one line.
-func (x *Exchange) Deny(status int, why string, retryAfter time.Duration) {
-	x.answer(status, protocol.RecordState+": "+why+"\r\n"+retryAfterField(retryAfter), nil, nil)
+// Deny answers that the idempotency store does not permit the request to be executed: with a status,
+// the reason in a header field, and a Retry-After if retryAfter is above 0. The reason must be a single
+// line.
+func (x *Exchange) Deny(status int, reason string, retryAfter time.Duration) {
+	x.answer(status, protocol.RecordState+": "+reason+"\r\n"+retryAfterField(retryAfter), nil, nil)
 }
 
-// retryAfterField returns a Retry-After header line, empty for 0.
+// retryAfterField returns a Retry-After header line in seconds, empty if retryAfter is not above 0.
 func retryAfterField(retryAfter time.Duration) string {
 	if retryAfter <= 0 {
 		return ""
@@ -48,8 +51,9 @@
 	return protocol.RetryAfter + ": " + strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64) + "\r\n"
 }
 
-// Serve forwards a server's response. If the response is still arriving, Serve returns when the
-// rest has been forwarded or forwarding has failed.
+// Serve forwards a server's response. If the rest of the response is still arriving, Serve returns when
+// it has been forwarded completely or forwarding has failed. Otherwise Serve does not wait for a slow
+// client.
 func (x *Exchange) Serve(answer *upstream.Answer) {
 	if answer.Rest == nil {
 		x.answer(http.StatusOK, "", answer.Header, answer.Body)
@@ -59,9 +63,9 @@
 	x.endAnswer(x.writeStream(answer))
 }
 
-// answer writes a buffered response and prepares the connection for the next request. If the
-// handler has the request, answer does not block on a slow client, because its caller may have
-// other requests to answer.
+// answer writes a buffered response and prepares the connection for the next request. Header lines in
+// field are written as they are. If the request was handed to the handler, answer does not block on a
+// slow client, because the caller may have other requests to answer.
 func (x *Exchange) answer(status int, field string, header http.Header, body []byte) {
 	buf := buffers.Get().(*[]byte)
 	registered := x.beginAnswer(status)
@@ -80,22 +84,22 @@
 	go x.finishAnswer(buf, n)
 }
 
-// finishAnswer writes the rest of a response, from byte n on, to a slow client.
+// finishAnswer writes the rest of a response, from byte n on, to a slow client, and ends the exchange.
 func (x *Exchange) finishAnswer(buf *[]byte, n int) {
 	defer x.conn.recoverPanic()
 	x.endAnswer(x.conn.write((*buf)[n:]))
 	giveBuffer(buf)
 }
 
-// giveBuffer returns a buffer to the pool.
+// giveBuffer returns a buffer to the pool, unless it is too large.
 func giveBuffer(buf *[]byte) {
 	if cap(*buf) <= maxPooledBuffer {
 		buffers.Put(buf)
 	}
 }
 
-// beginAnswer marks the response as being written. It returns whether the request has been
-// registered and handed to the handler.
+// beginAnswer records that the response is being written. It reports whether the request has been
+// registered, and so handed to the handler.
 func (x *Exchange) beginAnswer(status int) (registered bool) {
 	s := x.conn.server
 	s.mu.Lock()
@@ -109,15 +113,15 @@
 	return registered
 }
 
-// endAnswer ends the exchange; err is the error of writing the response. If the response is
-// incomplete, the connection is reset, so that the client notices.
+// endAnswer ends the exchange after its response has been written; err is the error of writing it. If
+// the response is incomplete, endAnswer resets the connection, so that the client notices.
 func (x *Exchange) endAnswer(err error) {
 	c := x.conn
 	if err != nil {
 		c.resetOnClose()
 	}
 	s := c.server
-	uploading := x.upload != nil && !x.upload.stop() // the client still sends
+	uploading := x.upload != nil && !x.upload.stop() // the rest of the body is unread
 	keepAlive := err == nil && x.keepAlive && !uploading
 	s.mu.Lock()
 	if c.exchange == x {
@@ -141,7 +145,7 @@
 	c.answered.Signal()
 }
 
-// appendResponse appends a buffered response.
+// appendResponse appends a complete response with its body.
 func (x *Exchange) appendResponse(b []byte, status int, field string, header http.Header, body []byte) []byte {
 	b = appendLength(x.appendHead(b, status, field, header), int64(len(body)))
 	b = append(b, "\r\n"...)
@@ -157,8 +161,9 @@
 	return err
 }
 
-// writeStream writes a response that is still arriving, piece by piece. If the response ends
-// early, its last chunk or bytes are not written.
+// writeStream writes a response that is still arriving, piece by piece. If reading the rest fails, it
+// returns the error and does not write the end of the response, so that the client can tell that it is
+// incomplete.
 func (x *Exchange) writeStream(answer *upstream.Answer) error {
 	netConn := x.conn.netConn
 	if answer.Length < 0 && x.http10 {
@@ -187,7 +192,7 @@
 	}
 }
 
-// appendStreamHead appends the head of a streamed response.
+// appendStreamHead appends the head of a streamed response, including the empty line at its end.
 func (x *Exchange) appendStreamHead(b []byte, answer *upstream.Answer, chunked bool) []byte {
 	b = x.appendHead(b, http.StatusOK, "", answer.Header)
 	if chunked {
@@ -198,7 +203,7 @@
 	return append(b, "\r\n"...)
 }
 
-// appendPiece appends a piece of a body, as a chunk if chunked.
+// appendPiece appends a piece of a body; if chunked, as a chunk of the chunked encoding.
 func appendPiece(b, piece []byte, chunked bool) []byte {
 	if !chunked || len(piece) == 0 {
 		return append(b, piece...)
@@ -209,7 +214,8 @@
 	return append(b, "\r\n"...)
 }
 
-// appendHead appends the head of a response without its length and the empty line.
+// appendHead appends the head of a response without the field for the length or encoding of its body
+// and without the empty line at its end.
 func (x *Exchange) appendHead(b []byte, status int, field string, header http.Header) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -10,7 +10,7 @@
 	"martendrum/internal/shutdown"
 )
 
-// Server accepts and owns client connections.
+// Server accepts and owns client connections. Its methods may be called concurrently.
 type Server struct {
 	config  Config
 	handler Handler
@@ -21,41 +21,42 @@
 	conns         map[*conn]struct{}
 	ids           requestIDs
 	drainingSince time.Time       // zero: not draining
-	health        string          // a header line of health responses
-	healthFuncs   []func() string // functions that return further header lines
+	health        string          // header line of health responses, set by SetHealth
+	healthFuncs   []func() string // functions that return further header lines of health responses
 }
 
-// New returns a Server that hands requests to handler.
+// New returns a Server that hands requests to handler. It accepts connections once Serve is called.
 func New(config Config, handler Handler) *Server {
 	return &Server{
 		config:  config,
 		handler: handler,
 		meter:   unmetered{},
-		budget:  budget{left: config.MaxBody},
+		budget:  budget{available: config.MaxBody},
 		conns:   make(map[*conn]struct{}),
 		ids:     requestIDs{known: make(map[string]bool)},
 	}
 }
 
-// SetMeter sets the Server's Meter. It is called before Serve.
+// SetMeter sets the Meter that counts the results of requests. It must be called before Serve.
 func (s *Server) SetMeter(meter Meter) { s.meter = meter }
 
-// Limit replaces the limits for later connections and bodies.
+// Limit replaces the limits. They apply to later connections and bodies; Trim closes connections beyond
+// the new limit.
 func (s *Server) Limit(config Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.give(config.MaxBody - s.config.MaxBody)
+	s.budget.release(config.MaxBody - s.config.MaxBody)
 	s.config = config
 }
 
-// SetHealth sets a header line that health responses carry.
+// SetHealth sets a header line of health responses, in place of the one set before.
 func (s *Server) SetHealth(name, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.health = name + ": " + value + "\r\n"
 }
 
-// SetHealthFunc adds a header line whose value is computed for each health response.
+// SetHealthFunc adds a header line to health responses; value is called for each response.
 func (s *Server) SetHealthFunc(name string, value func() string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,13 +68,13 @@
 	s.mu.Lock()
 	header, funcs := s.health, s.healthFuncs
 	s.mu.Unlock()
-	for _, line := range funcs {
-		header += line()
+	for _, headerLine := range funcs {
+		header += headerLine()
 	}
 	return header
 }
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections until the listener is closed, and returns its error.
 func (s *Server) Serve(listener net.Listener) error {
 	for {
 		netConn, err := netconn.Accept("clients", listener.Accept, s.acceptFailed)
@@ -84,19 +85,20 @@
 	}
 }
 
-// acceptFailed evicts a connection if an accept failed for lack of descriptors. The new connection
-// stays in the accept queue meanwhile.
+// acceptFailed evicts a connection if an accept failed because no file descriptor was left. The new
+// connection stays in the accept queue until the next accept.
 func (s *Server) acceptFailed(err error) {
 	if netconn.IsTableFull(err) {
 		s.evict()
 	}
 }
 
-// rejectionReserve returns how many connections below the limit are reserved for rejecting requests
-// with a response. Beyond the limit, new connections are closed without a response.
+// rejectionReserve returns how many of the connections below the limit are reserved for clients whose
+// request is rejected with a response. At the limit, new connections are closed without a response.
 func rejectionReserve(limit int) int { return limit / 8 }
 
-// add starts the goroutine of an accepted connection, or closes it if the limit is reached.
+// add registers an accepted connection and starts its goroutine. If the limit is reached and no other
+// connection can be evicted, it closes the new connection.
 func (s *Server) add(netConn net.Conn) {
 	now := time.Now()
 	c := &conn{server: s, netConn: netConn, accepted: now, stateSince: now}
@@ -106,7 +108,7 @@
 	s.mu.Unlock()
 	crowded := n >= limit-rejectionReserve(limit) && !s.evict()
 	if crowded && n >= limit {
-		slog.Warn("connection closed: no descriptor left for it", "conns", n)
+		slog.Warn("connection closed without a response: connection limit reached", "conns", n)
 		netConn.Close()
 		return
 	}
@@ -118,9 +120,9 @@
 	go c.serve(crowded)
 }
 
-// Drain begins a graceful shutdown: it closes idle connections, and the others after their next
+// Drain begins a graceful shutdown: idle connections are closed now, the others after their next
 // response. New connections are still accepted. With keepIdle, idle connections stay open until
-// CloseIdle, because closing one may race with its client's next request.
+// CloseIdle is called, because closing one may race with its client's next request.
 func (s *Server) Drain(keepIdle bool) {
 	s.mu.Lock()
 	s.drainingSince = time.Now()
@@ -143,15 +145,15 @@
 }
 
 // CloseSilent closes the connections on which no byte has arrived within
-// shutdown.MaxIdleConnection of their accept. Otherwise a first request could arrive just before
-// the process exits.
+// shutdown.MaxIdleConnection of their accept. If they stayed open, a first request could arrive just
+// before the process exits.
 func (s *Server) CloseSilent() {
 	s.closeQuiet(stateNew, shutdown.MaxIdleConnection)
 }
 
-// CloseUnfinished ends the connections on which only a part of a request has arrived, because there
-// is no time left to answer it. Their clients get an error. A request that has been read completely
-// is still answered.
+// CloseUnfinished ends the connections on which only a part of a request has arrived. Their clients
+// get an error. It is called when there is no time left to answer such a request. A request that has
+// been read completely is still answered.
 func (s *Server) CloseUnfinished() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,8 +176,8 @@
 }
 
 // markClosed marks the connections that have been in a state for at least minDuration as closed and
-// returns them. It skips connections with unread input. The lock is held; a connection's goroutine
-// needs it to begin a request, so either the request or the close wins.
+// returns them. It skips connections with unread input. The server's lock is held. A connection's
+// goroutine needs the lock to begin a request, so either the request begins or the close does.
 func (s *Server) markClosed(state connState, minDuration time.Duration) (closed []*conn) {
 	for c := range s.conns {
 		if c.state == state && time.Since(c.stateSince) >= minDuration && c.input.Quiet() {
@@ -186,7 +188,7 @@
 	return closed
 }
 
-// Active returns the number of requests that have not been answered.
+// Active returns the number of requests whose response has not been written completely.
 func (s *Server) Active() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,8 +200,8 @@
 	return n
 }
 
-// Busy returns the number of connections for which a shutdown waits: those that have a request, may
-// be about to send one, or are being closed.
+// Busy returns the number of connections that a shutdown waits for: those with a request, those so new
+// that a request may be about to arrive, and those being closed.
 func (s *Server) Busy() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,7 +213,7 @@
 	return n
 }
 
-// Conns returns the number of client connections.
+// Conns returns the number of open client connections.
 func (s *Server) Conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,5 +226,5 @@
 	defer s.mu.Unlock()
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
-	return s.config.MaxBody - s.budget.left, s.config.MaxBody
+	return s.config.MaxBody - s.budget.available, s.config.MaxBody
 }
--- a/internal/downstream/upload.go
+++ b/internal/downstream/upload.go
@@ -14,19 +14,20 @@
 // upload is the part of a request's body that is not buffered. A single attempt reads it.
 type upload struct {
 	from   *pacedReader
-	length int64       // of the complete body; -1: not known
-	linger atomic.Bool // the body did not arrive completely: the connection must end
+	length int64       // length of the complete body in bytes; -1: unknown
+	linger atomic.Bool // the body was not read to its end: the connection must be closed
 
 	mu       sync.Mutex
-	claimed  bool // an attempt reads it, or has read it
-	stopped  bool // the request has ended: no attempt may claim the body
-	complete bool // its end has been read
-	closed   bool // the attempt that claimed it has stopped reading
+	claimed  bool // an attempt reads the body, or has read it
+	stopped  bool // the request has ended: no attempt may claim the body any more
+	complete bool // the end of the body has been read
+	closed   bool // the attempt that claimed the body has stopped reading
 	once     sync.Once
-	done     chan struct{} // closed when the body is not read any more
+	done     chan struct{} // closed by finish
 }
 
-// stream makes the rest of the body the request's stream, and completes the head.
+// stream makes the unread rest of the body the upload of x, and appends the field with the body's
+// length or encoding to the head.
 func (x *Exchange) stream(length int64, from *pacedReader) {
 	x.upload = &upload{from: from, length: length, done: make(chan struct{})}
 	x.Request.Stream = x.upload
@@ -37,7 +38,7 @@
 	}
 }
 
-// UploadTimeout returns how long the rest of the body may take at most.
+// UploadTimeout returns how long the client may take to send the body; 0 if it is buffered completely.
 func (x *Exchange) UploadTimeout() time.Duration {
 	if x.upload == nil {
 		return 0
@@ -63,10 +64,10 @@
 // Chunked implements upstream.Stream.
 func (u *upload) Chunked() bool { return u.length < 0 }
 
-// errStopped reports that the request of a body has ended.
-var errStopped = errors.New("downstream: the request has ended")
+// errStopped is returned by Read after the request has ended.
+var errStopped = errors.New("downstream: the request ended before its body was read")
 
-// Read implements upstream.Stream.
+// Read implements upstream.Stream. It fails if the body is longer than maxStreamedBody.
 func (u *upload) Read(b []byte) (int, error) {
 	u.mu.Lock()
 	if u.stopped {
@@ -83,14 +84,14 @@
 		u.mu.Lock()
 		u.complete = true
 		u.mu.Unlock()
-		u.from.conn.netConn.SetReadDeadline(time.Time{}) // the connection's goroutine reads again
+		u.from.conn.netConn.SetReadDeadline(time.Time{}) // the connection's goroutine now waits for the next request
 	}
 	return n, err
 }
 
-// Close implements upstream.Stream. Afterwards the connection's goroutine may read again. If the
-// body is incomplete it must wait for the response, because the rest of the body would be taken for
-// the next request.
+// Close implements upstream.Stream. If the body has been read completely, the connection's goroutine may
+// read the next request. Otherwise it has to wait until the request ends, because it would take the
+// rest of the body for the next request.
 func (u *upload) Close() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -101,14 +102,14 @@
 	return nil
 }
 
-// unclaimed reports whether no attempt has claimed the body and one still may.
+// unclaimed reports whether no attempt has claimed the body yet, and an attempt still may.
 func (u *upload) unclaimed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return !u.claimed && !u.stopped
 }
 
-// finish records that the body is not read any more.
+// finish records that no attempt reads the body any more.
 func (u *upload) finish() { u.once.Do(func() { close(u.done) }) }
 
 // isComplete reports whether the body has been read completely.
@@ -118,7 +119,7 @@
 	return u.complete
 }
 
-// stop records that the request has ended and interrupts the attempt that reads the body. It returns
+// stop records that the request has ended, and interrupts the attempt that reads the body. It reports
 // whether the body has been read completely.
 func (u *upload) stop() bool {
 	u.mu.Lock()
@@ -126,7 +127,7 @@
 	u.stopped = true
 	u.linger.Store(!u.complete)
 	switch {
-	case u.complete: // finished, or about to be
+	case u.complete: // Close calls finish, or has called it
 	case u.claimed && !u.closed:
 		u.from.conn.netConn.SetReadDeadline(time.Unix(1, 0))
 	default:
