--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// activeCall is a call that discovery has begun to answer. The Watcher owns its connection until
-// release.
+// activeCall is a call of which the first byte of the response's body has arrived. Its connection
+// belongs to the Watcher until release.
 type activeCall struct {
 	conn   net.Conn
 	stream *stream
 }
 
-// open calls discovery and returns when the first byte of the body has arrived, within limit. It
-// returns a *SilentError if nothing arrived in time.
-func (w *Watcher) open(at watchTarget, limit time.Duration) (*activeCall, error) {
-	until := time.Now().Add(limit)
-	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
-	conn, err := dialer.Dial("tcp", at.addr)
+// open calls discovery and returns when the first byte of the response's body has arrived. It returns a
+// *SilentError if that takes longer than limit, and net.ErrClosed after SetEndpoint or Close.
+func (w *Watcher) open(target watchTarget, limit time.Duration) (*activeCall, error) {
+	deadline := time.Now().Add(limit)
+	dialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
+	conn, err := dialer.Dial("tcp", target.addr)
 	if err != nil {
-		return nil, asSilentError(err, at.addr, Connecting)
+		return nil, asSilentError(err, target.addr, Connecting)
 	}
-	if !w.adopt(conn, at.endpointChanges) {
+	if !w.adopt(conn, target.endpointChanges) {
 		conn.Close()
 		return nil, net.ErrClosed
 	}
-	stream, err := w.request(conn, at, until)
+	stream, err := w.request(conn, target, deadline)
 	if err != nil {
 		w.release(conn)
 		return nil, err
@@ -37,58 +37,59 @@
 	return &activeCall{conn: conn, stream: stream}, nil
 }
 
-// request sends the call and reads the response up to the first byte of its body.
-func (w *Watcher) request(conn net.Conn, at watchTarget, until time.Time) (*stream, error) {
+// request sends the request and reads the response up to the first byte of its body.
+func (w *Watcher) request(conn net.Conn, target watchTarget, deadline time.Time) (*stream, error) {
 	path := "/catalog/members?watch=1"
-	if at.index > 0 {
-		path += fmt.Sprintf("&after=%d", at.index)
+	if target.index > 0 {
+		path += fmt.Sprintf("&after=%d", target.index)
 	}
-	conn.SetDeadline(until)
+	conn.SetDeadline(deadline)
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: discovery\r\n\r\n", path); err != nil {
-		return nil, asSilentError(err, at.addr, AwaitingResponse)
+		return nil, asSilentError(err, target.addr, AwaitingResponse)
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return nil, asSilentError(err, at.addr, AwaitingResponse)
+		return nil, asSilentError(err, target.addr, AwaitingResponse)
 	}
-	if answer.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("discovery: answered %s", answer.Status)
+	if response.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("discovery: got status %s, want 200", response.Status)
 	}
-	body := bufio.NewReader(answer.Body)
+	body := bufio.NewReader(response.Body)
 	if _, err := body.Peek(1); err != nil {
-		return nil, asSilentError(err, at.addr, AwaitingResponse)
+		return nil, asSilentError(err, target.addr, AwaitingResponse)
 	}
 	return newStream(body, conn.SetDeadline, w.markReceived), nil
 }
 
-// callResult is what a call to open returned.
+// callResult holds the return values of a call to open.
 type callResult struct {
 	call *activeCall
 	err  error
 }
 
-// openEither makes a call, and a second one in parallel if the first is unanswered after
-// Pace.SecondCallDelay, even if it has failed by then. It returns the first call that is answered;
-// the other one is closed when it returns, by its own deadline at the latest.
-func (w *Watcher) openEither(at watchTarget) (*activeCall, error) {
+// openEither makes a call, and a second one in parallel if the first has not been answered after
+// Pace.SecondCallDelay. If the first call has failed by then, the second one starts no earlier.
+// openEither returns the call that is answered first. The other call ends by its own deadline, and its
+// connection is then closed.
+func (w *Watcher) openEither(target watchTarget) (*activeCall, error) {
 	results := make(chan callResult, 2)
 	call := func(limit time.Duration) {
-		opened, err := w.open(at, limit)
+		opened, err := w.open(target, limit)
 		results <- callResult{opened, err}
 	}
-	go call(at.pace.CallTimeout)
-	timer := time.NewTimer(at.pace.SecondCallDelay)
+	go call(target.pace.CallTimeout)
+	timer := time.NewTimer(target.pace.SecondCallDelay)
 	defer timer.Stop()
 	running, second := 1, false
 	for {
 		select {
 		case <-timer.C:
-			go call(at.pace.secondCallTimeout())
+			go call(target.pace.secondCallTimeout())
 			running, second = running+1, true
 		case result := <-results:
 			running--
-			stale := errors.Is(result.err, net.ErrClosed) // by SetEndpoint or Close
-			if result.err == nil || stale || second && running == 0 {
+			closed := errors.Is(result.err, net.ErrClosed) // after SetEndpoint or Close
+			if result.err == nil || closed || second && running == 0 {
 				go w.discard(results, running)
 				return result.call, result.err
 			}
@@ -96,7 +97,7 @@
 	}
 }
 
-// discard waits for the calls that still run and closes their connections.
+// discard waits for the given number of running calls and closes their connections.
 func (w *Watcher) discard(results <-chan callResult, running int) {
 	for range running {
 		if late := <-results; late.call != nil {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,7 +1,8 @@
-// Package discovery follows the list of servers.
+// Package discovery receives the list of servers from the discovery service and follows its changes.
 //
-// It owns the watch and its silence timeout. It guarantees that a watch on which nothing arrives is
-// reopened early enough for its missed changes to arrive before they count as notified. It decides
+// A watch is a call whose response stays open and carries lists as they change. The package owns the
+// watch and its timeouts. It guarantees that a watch on which nothing arrives is reopened so early that
+// the missed changes arrive before they count as notified (see maxNotificationDelay). It decides
 // nothing about servers; the Listed callback does.
 package discovery
 
@@ -20,23 +21,24 @@
 	"martendrum"
 )
 
-// minBackoff is the mean backoff after a first failure.
+// minBackoff is the mean backoff after the first failure.
 const minBackoff = 20 * time.Millisecond
 
-// Entry is one server on the list.
+// Entry is one server of a list.
 type Entry struct {
 	martendrum.Endpoint
 	Address string
 }
 
-// List is a complete list of servers, or the entries that changed.
+// List is a complete list of servers, or the entries that have changed since the previous List.
 type List struct {
 	Index    int64 // version of the list
-	Complete bool  // the list names every server; false: only changes
+	Complete bool  // the list contains every server; false: only the changes
 	Entries  []Entry
 }
 
-// Parse decodes a list in discovery's JSON form. Invalid entries are logged and skipped.
+// Parse decodes a list in the JSON of the discovery service. It logs and skips invalid entries, and
+// returns an error if the list itself is invalid.
 func Parse(data []byte) (*List, error) {
 	var raw struct {
 		Index     *int64            `json:"index"`
@@ -49,21 +51,22 @@
 	if raw.Index == nil {
 		return nil, errors.New("discovery: the list has no index")
 	}
-	l := &List{Index: *raw.Index, Complete: raw.Snapshot, Entries: make([]Entry, 0, len(raw.Endpoints))}
-	for _, r := range raw.Endpoints {
-		e, err := parseEntry(r)
+	list := &List{Index: *raw.Index, Complete: raw.Snapshot, Entries: make([]Entry, 0, len(raw.Endpoints))}
+	for _, rawEntry := range raw.Endpoints {
+		entry, err := parseEntry(rawEntry)
 		if err != nil {
-			slog.Warn("entry of the server list skipped", "entry", string(r[:min(len(r), 200)]), "err", err)
+			slog.Warn("entry of the server list skipped", "entry", string(rawEntry[:min(len(rawEntry), 200)]), "err", err)
 			continue
 		}
-		l.Entries = append(l.Entries, e)
+		list.Entries = append(list.Entries, entry)
 	}
-	return l, nil
+	return list, nil
 }
 
-// states maps the status words of the protocol.
+// states maps the values of an entry's status to endpoint states.
 var states = map[string]martendrum.EndpointState{"up": martendrum.Serving, "draining": martendrum.Draining, "removed": martendrum.Removed}
 
+// parseEntry decodes and checks one entry of a list. The entry of a removed server needs no address.
 func parseEntry(data []byte) (Entry, error) {
 	var raw struct {
 		Name    string  `json:"name"`
@@ -104,32 +107,32 @@
 	}, nil
 }
 
-// Watcher follows the list at an address. Its exported fields are set before the first call
-// of Follow or Watch.
+// Watcher follows the list of the discovery service at an address. Its exported fields are set before
+// the first call of Follow or Watch and not changed by the caller afterwards.
 type Watcher struct {
 	Addr   string
 	Index  int64       // version of the list received last; 0: none
-	Listed func(*List) // receives each list or change
-	Failed func(error) // is called when a call has failed or a watch has ended
+	Listed func(*List) // called by the watch with each list
+	Failed func(error) // called by Follow when a call has failed or a watch has ended
 	Pace   Pace
 
 	mu              sync.Mutex
-	conns           map[net.Conn]struct{} // of the watch; two while a second call runs in parallel
+	conns           map[net.Conn]struct{} // open connections; two while a second call runs in parallel
 	watching        bool                  // a call of Watch has not returned
-	closedByOwner   bool
-	endpointChanges int // how often SetEndpoint was called
+	closedByOwner   bool                  // Close was called
+	endpointChanges int                   // number of calls of SetEndpoint
 
 	lastReceived atomic.Pointer[time.Time] // when the last byte of a watch arrived; nil: none yet
 }
 
-// Age returns the time since discovery last sent anything, empty lines included; false if
-// it never did.
+// Age returns the time since discovery last sent anything, empty lines included. It returns false if
+// nothing has arrived yet.
 func (w *Watcher) Age() (time.Duration, bool) {
-	at := w.lastReceived.Load()
-	if at == nil {
+	received := w.lastReceived.Load()
+	if received == nil {
 		return 0, false
 	}
-	return time.Since(*at), true
+	return time.Since(*received), true
 }
 
 // markReceived records that bytes of a watch have arrived.
@@ -138,9 +141,9 @@
 	w.lastReceived.Store(&now)
 }
 
-// SetEndpoint follows the list at another address and pace from now on. The open watch ends,
-// and the next one requests the complete list, because versions at the new address are
-// unrelated to those at the old one.
+// SetEndpoint makes the Watcher follow the list at another address and with another pace from now on. It
+// ends the open watch. The next watch requests the complete list, because versions at the new
+// address are unrelated to those at the old one.
 func (w *Watcher) SetEndpoint(addr string, pace Pace) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,8 +152,8 @@
 	w.closeConns()
 }
 
-// watchTarget is what one watch follows: the address, the version to start from, and the number of
-// SetEndpoint calls that led there.
+// watchTarget is what one watch follows: the address and pace, the version to start from, and the number
+// of SetEndpoint calls until then, which tells whether the target is out of date.
 type watchTarget struct {
 	addr            string
 	index           int64
@@ -158,13 +161,15 @@
 	pace            Pace
 }
 
+// target returns what the next watch follows.
 func (w *Watcher) target() watchTarget {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return watchTarget{addr: w.Addr, index: w.Index, endpointChanges: w.endpointChanges, pace: w.Pace}
 }
 
-// Follow keeps a watch open until Close, and calls Failed at each break.
+// Follow keeps a watch open until Close. Whenever a watch has ended, Follow calls Failed and waits for a
+// random backoff, which grows up to Pace.MaxBackoff and starts over after a watch of more than a second.
 func (w *Watcher) Follow() {
 	backoff := minBackoff
 	for !w.closed() {
@@ -175,14 +180,14 @@
 		}
 		w.Failed(err)
 		if time.Since(began) > time.Second {
-			backoff = minBackoff // the watch had worked: retry without delay
+			backoff = minBackoff // the watch had worked: start over with the shortest backoff
 		}
 		time.Sleep(backoff/2 + rand.N(backoff))
 		backoff = min(2*backoff, w.target().pace.MaxBackoff*2/3)
 	}
 }
 
-// Close ends the watch.
+// Close ends the open watch. No watch can be opened afterwards.
 func (w *Watcher) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -197,8 +202,8 @@
 	}
 }
 
-// adopt registers conn so that SetEndpoint and Close close it. It returns false if one of them was
-// called after the call began.
+// adopt registers conn so that SetEndpoint and Close close it. It returns false if one of them has been
+// called since the call began.
 func (w *Watcher) adopt(conn net.Conn, endpointChanges int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -212,7 +217,7 @@
 	return true
 }
 
-// release closes a connection that is no longer read.
+// release unregisters and closes a connection that is no longer read.
 func (w *Watcher) release(conn net.Conn) {
 	w.mu.Lock()
 	delete(w.conns, conn)
@@ -220,6 +225,7 @@
 	conn.Close()
 }
 
+// closed reports whether Close was called.
 func (w *Watcher) closed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -227,13 +233,15 @@
 }
 
 // ErrOpen is returned by Watch while another call of Watch has not returned.
-var ErrOpen = errors.New("discovery: the watch is open")
+var ErrOpen = errors.New("discovery: a watch is already open")
 
-// Watch opens a watch and passes its lists to Listed until it ends. A watch ended by
-// SetEndpoint continues at the new address at once. One that fell silent is reopened after a
-// short random delay without the caller's backoff, since silence is no sign that discovery is
-// overloaded and the limit on how late a change may be notified keeps running. It returns
-// ErrOpen while another call of Watch has not returned.
+// Watch opens a watch, passes its lists to Listed, and returns the error that ended it. It returns
+// ErrOpen at once while another call of Watch has not returned.
+//
+// Two kinds of end do not make Watch return. After SetEndpoint, it opens a watch at the new address at
+// once. After a timeout, it opens a watch again after a short random delay, without the caller's
+// backoff: a timeout is no sign that discovery is overloaded, and the time after which missed changes
+// count as notified is running.
 func (w *Watcher) Watch() error {
 	w.mu.Lock()
 	if w.watching {
@@ -242,44 +250,44 @@
 	}
 	w.watching = true
 	w.mu.Unlock()
-	silent := false
+	afterSilence := false
 	for {
-		at := w.target()
-		err := w.watch(at, silent)
-		fell, ok := errors.AsType[*SilentError](err)
-		silent = ok && fell.During == Watching
+		target := w.target()
+		err := w.watch(target, afterSilence)
+		silentErr, timedOut := errors.AsType[*SilentError](err)
+		afterSilence = timedOut && silentErr.During == Watching
 		w.mu.Lock()
-		again := w.endpointChanges != at.endpointChanges && !w.closedByOwner
-		if w.closedByOwner || !again && !ok {
+		moved := w.endpointChanges != target.endpointChanges && !w.closedByOwner
+		if w.closedByOwner || !moved && !timedOut {
 			w.watching = false // under the same lock as the check, so that no SetEndpoint is missed
 			w.mu.Unlock()
 			return err
 		}
 		w.mu.Unlock()
-		if !again {
-			slog.Warn("discovery fell silent, polling again", "err", err, "advice", fell.Advice())
-			time.Sleep(rand.N(max(at.pace.RetrySpread, minBackoff)))
+		if !moved {
+			slog.Warn("discovery timed out, requesting the list again", "err", err, "advice", silentErr.Advice())
+			time.Sleep(rand.N(max(target.pace.RetrySpread, minBackoff)))
 		}
 	}
 }
 
-// asSilentError wraps err, as a *SilentError where it is a timeout.
+// asSilentError wraps err: a timeout as a *SilentError, any other error with the phase.
 func asSilentError(err error, addr string, during Phase) error {
-	if late, ok := errors.AsType[net.Error](err); ok && late.Timeout() {
+	if netErr, ok := errors.AsType[net.Error](err); ok && netErr.Timeout() {
 		return &SilentError{Addr: addr, During: during, err: err}
 	}
 	return fmt.Errorf("discovery: %s: %w", during, err)
 }
 
-// watch makes one call and follows its lists. After a watch that fell silent, a second call
-// may run in parallel with the first.
-func (w *Watcher) watch(at watchTarget, silent bool) error {
+// watch opens one watch and delivers its lists until the watch ends. If afterSilence, the previous watch
+// timed out, and a second call may run in parallel with the first.
+func (w *Watcher) watch(target watchTarget, afterSilence bool) error {
 	var call *activeCall
 	var err error
-	if silent && at.pace.SecondCallDelay > 0 {
-		call, err = w.openEither(at)
+	if afterSilence && target.pace.SecondCallDelay > 0 {
+		call, err = w.openEither(target)
 	} else {
-		call, err = w.open(at, at.pace.CallTimeout)
+		call, err = w.open(target, target.pace.CallTimeout)
 	}
 	if err != nil {
 		return err
@@ -287,20 +295,21 @@
 	defer w.release(call.conn)
 	for {
 		list, err := call.stream.next()
-		if broken, ok := errors.AsType[*json.SyntaxError](err); ok {
-			w.resetIndex(at.endpointChanges)
-			return fmt.Errorf("discovery: the watch brought no valid JSON: %w", broken)
+		if syntaxErr, ok := errors.AsType[*json.SyntaxError](err); ok {
+			w.resetIndex(target.endpointChanges)
+			return fmt.Errorf("discovery: invalid JSON on the watch: %w", syntaxErr)
 		}
 		if err != nil {
-			return asSilentError(err, at.addr, Watching)
+			return asSilentError(err, target.addr, Watching)
 		}
-		if err := w.deliver(list, at.endpointChanges); err != nil {
+		if err := w.deliver(list, target.endpointChanges); err != nil {
 			return err
 		}
 	}
 }
 
-// resetIndex makes the next watch request the complete list.
+// resetIndex makes the next watch request the complete list, unless SetEndpoint was called since the
+// given number of endpoint changes.
 func (w *Watcher) resetIndex(endpointChanges int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -309,26 +318,27 @@
 	}
 }
 
-// deliver passes a list to Listed. After one that is invalid or older than its predecessor, the
-// next watch requests the complete list, since later changes can't be applied to it.
-func (w *Watcher) deliver(list []byte, endpointChanges int) error {
-	l, err := Parse(list)
+// deliver passes a list to Listed. If the list is invalid, or contains changes of an older version than
+// the list before, deliver returns an error and the next watch requests the complete list, because
+// later changes could not be applied. After SetEndpoint it returns net.ErrClosed.
+func (w *Watcher) deliver(data []byte, endpointChanges int) error {
+	list, err := Parse(data)
 	w.mu.Lock()
 	if w.endpointChanges != endpointChanges {
 		w.mu.Unlock()
 		return net.ErrClosed
 	}
-	if err == nil && !l.Complete && l.Index < w.Index {
-		err = fmt.Errorf("discovery: changes of version %d after version %d", l.Index, w.Index)
+	if err == nil && !list.Complete && list.Index < w.Index {
+		err = fmt.Errorf("discovery: got changes of version %d after version %d", list.Index, w.Index)
 	}
 	if err == nil {
-		w.Index = l.Index
+		w.Index = list.Index
 	} else {
 		w.Index = 0
 	}
 	w.mu.Unlock()
 	if err == nil {
-		w.Listed(l)
+		w.Listed(list)
 	}
 	return err
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -15,14 +15,15 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// patience bounds the wait for an expected event; soon is well before the changes that a silent
-// watch missed count as notified.
 const (
+	// patience is how long a test waits for an expected event.
 	patience = 20 * time.Second
-	soon     = 5 * time.Second
+	// soon is how long a test waits for a list after a silent watch: the list must arrive well before
+	// the changes that the watch missed count as notified.
+	soon = 5 * time.Second
 )
 
-// indented is a complete list of version 7 over several lines.
+// indented is a complete list of version 7, written over several lines.
 const indented = `{
 	"index": 7,
 	"snapshot": true,
@@ -37,22 +38,22 @@
 }
 `
 
-// watched is a Watcher that queues its lists and failures.
-type watched struct {
+// testWatcher is a Watcher that passes its lists and errors to the test through channels.
+type testWatcher struct {
 	*Watcher
 	lists  chan *List
 	failed chan error
 }
 
-// follow runs a Watcher with a discovery whose n-th call is handled by each. If polled, it makes one
-// Watch; otherwise it follows the list.
-func follow(t *testing.T, polled bool, each func(n int, c net.Conn, r *http.Request)) *watched {
+// follow runs a Watcher with a stand-in for discovery, whose n-th connection is handled by each. If
+// polled, the Watcher makes one call of Watch, otherwise of Follow.
+func follow(t *testing.T, polled bool, each func(n int, c net.Conn, r *http.Request)) *testWatcher {
 	t.Helper()
 	addr := tcp.Requests(t, func(conn, _ int, c net.Conn, r *http.Request) bool {
 		each(conn, c, r)
 		return false
 	})
-	w := &watched{lists: make(chan *List, 100), failed: make(chan error, 100)}
+	w := &testWatcher{lists: make(chan *List, 100), failed: make(chan error, 100)}
 	w.Watcher = &Watcher{Addr: addr, Pace: Pace{CallTimeout: patience, RetrySpread: time.Second, MaxBackoff: 500 * time.Millisecond}, Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
 	t.Cleanup(w.Close)
 	if polled {
@@ -63,40 +64,41 @@
 	return w
 }
 
-// next returns the next list, within a bound.
-func (w *watched) next(t *testing.T, within time.Duration) *List {
+// next returns the next list, and fails the test if none arrives within the given time.
+func (w *testWatcher) next(t *testing.T, within time.Duration) *List {
 	t.Helper()
 	select {
 	case l := <-w.lists:
 		return l
 	case <-time.After(within):
-		t.Fatalf("no list within %v", within)
+		t.Fatalf("no list arrived within %v", within)
 		return nil
 	}
 }
 
-// answer is the head of an answer whose body ends with the connection.
-const answer = "HTTP/1.1 200 OK\r\n\r\n"
+// responseHead is the head of a response whose body ends with the connection.
+const responseHead = "HTTP/1.1 200 OK\r\n\r\n"
 
 // hold keeps a connection open until its client closes it.
 func hold(c net.Conn) { io.Copy(io.Discard, c) }
 
-// Lists are consecutive JSON objects, over any number of lines and in any number of pieces.
+// Lists are consecutive JSON objects, which may span any number of lines and arrive in any number of
+// pieces.
 func TestListsOverLines(t *testing.T) {
 	change := func(index int) string { return fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, index) }
 	for name, pieces := range map[string][]string{
-		"on one line each":     {strings.Join(strings.Fields(indented), "") + "\n" + change(8) + "\n\n" + change(9) + "\n"},
-		"indented":             {indented + "\n\n" + change(8) + "\n" + change(9) + "\n"},
-		"in pieces":            {indented[:20], indented[20:50], indented[50:] + change(8)[:9], change(8)[9:] + "\n" + change(9)},
-		"without a line's end": {indented + change(8) + change(9)},
-		"a list each":          {indented, "\n", change(8) + "\n", "\r\n", change(9) + "\n"},
+		"on one line each":       {strings.Join(strings.Fields(indented), "") + "\n" + change(8) + "\n\n" + change(9) + "\n"},
+		"indented":               {indented + "\n\n" + change(8) + "\n" + change(9) + "\n"},
+		"in pieces":              {indented[:20], indented[20:50], indented[50:] + change(8)[:9], change(8)[9:] + "\n" + change(9)},
+		"without line ends":      {indented + change(8) + change(9)},
+		"one list in each piece": {indented, "\n", change(8) + "\n", "\r\n", change(9) + "\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := follow(t, false, func(_ int, c net.Conn, _ *http.Request) {
-				io.WriteString(c, answer)
-				for _, p := range pieces {
-					io.WriteString(c, p)
+				io.WriteString(c, responseHead)
+				for _, piece := range pieces {
+					io.WriteString(c, piece)
 					time.Sleep(5 * time.Millisecond)
 				}
 				hold(c)
@@ -107,37 +109,37 @@
 				{martendrum.Endpoint{Name: "b", State: martendrum.Draining}, "127.0.0.1:2"},
 			}
 			if l.Index != 7 || !l.Complete || !reflect.DeepEqual(l.Entries, want) {
-				t.Errorf("the first list was read as %+v", l)
+				t.Errorf("first list: got %+v, want a complete list of version 7 with entries %+v", l, want)
 			}
 			for index := int64(8); index <= 9; index++ {
 				if l := w.next(t, patience); l.Index != index || l.Complete {
-					t.Errorf("list %d was read as %+v", index, l)
+					t.Errorf("got list %+v, want changes of version %d", l, index)
 				}
 			}
 		})
 	}
 }
 
-// A watch on which nothing arrives, or on which a list stops half way, is reopened well before
-// the changes that it missed count as notified, polled or pushed, and continues from the last
-// version received.
+// A watch on which nothing arrives any more, or on which a list stays incomplete, is reopened well before
+// the changes that it missed count as notified, and continues from the last version received. This
+// holds for one call of Watch (polled) and for Follow.
 func TestSilentWatchIsReopened(t *testing.T) {
 	for _, polled := range []bool{false, true} {
-		for name, then := range map[string]func(c net.Conn){
-			"nothing":               hold,
-			"half a list":           func(c net.Conn) { io.WriteString(c, indented[:40]); hold(c) },
-			"half, and empty lines": func(c net.Conn) { io.WriteString(c, "{\"index\":8,"); drip(c, "\n") },
-			"half, drop by drop":    func(c net.Conn) { io.WriteString(c, `{"index":8,"name":"`); drip(c, "x") },
+		for name, afterList := range map[string]func(c net.Conn){
+			"no bytes":                          hold,
+			"incomplete list":                   func(c net.Conn) { io.WriteString(c, indented[:40]); hold(c) },
+			"incomplete list, then empty lines": func(c net.Conn) { io.WriteString(c, "{\"index\":8,"); drip(c, "\n") },
+			"incomplete list, slowly":           func(c net.Conn) { io.WriteString(c, `{"index":8,"name":"`); drip(c, "x") },
 		} {
 			t.Run(fmt.Sprintf("%s, polled %v", name, polled), func(t *testing.T) {
 				t.Parallel()
-				after := make(chan string, 10)
+				requestedAfter := make(chan string, 10)
 				w := follow(t, polled, func(n int, c net.Conn, r *http.Request) {
-					after <- r.URL.Query().Get("after")
-					io.WriteString(c, answer)
+					requestedAfter <- r.URL.Query().Get("after")
+					io.WriteString(c, responseHead)
 					if n == 0 {
 						io.WriteString(c, indented)
-						then(c)
+						afterList(c)
 					} else {
 						io.WriteString(c, strings.Replace(indented, "7", "9", 1))
 						hold(c)
@@ -145,126 +147,127 @@
 				})
 				w.next(t, patience)
 				if l := w.next(t, soon); l.Index != 9 {
-					t.Errorf("after it was reopened, it got %+v", l)
+					t.Errorf("after the watch was reopened: got %+v, want version 9", l)
 				}
-				if a, b := <-after, <-after; a != "" || b != "7" {
-					t.Errorf("requested changes after %q, then after %q", a, b)
+				if first, second := <-requestedAfter, <-requestedAfter; first != "" || second != "7" {
+					t.Errorf("the calls requested changes after versions %q and %q, want \"\" and \"7\"", first, second)
 				}
 				if polled && len(w.failed) > 0 {
-					t.Errorf("a failure was reported: %v", <-w.failed)
+					t.Errorf("Watch returned %v, want it to reopen the watch itself", <-w.failed)
 				}
 			})
 		}
 	}
 }
 
-// A watch that is silent from its first byte, or after its head, is reopened in time.
+// A first call on which nothing arrives, or only the head of a response, is repeated in time.
 func TestSilentFromTheFirstByte(t *testing.T) {
-	for head, text := range map[string]string{"nothing": "", "a head": answer} {
-		for pace, p := range map[string]Pace{"polled": Polled(), "pushed": Pushed(2 * time.Second)} {
-			t.Run(head+", "+pace, func(t *testing.T) {
+	for received, text := range map[string]string{"no bytes": "", "a head": responseHead} {
+		for mode, pace := range map[string]Pace{"polled": Polled(), "pushed": Pushed(2 * time.Second)} {
+			t.Run(received+", "+mode, func(t *testing.T) {
 				t.Parallel()
 				addr := tcp.Requests(t, func(conn, _ int, c net.Conn, _ *http.Request) bool {
 					if conn == 0 {
 						io.WriteString(c, text)
 					} else {
-						io.WriteString(c, answer+indented)
+						io.WriteString(c, responseHead+indented)
 					}
 					hold(c)
 					return false
 				})
-				w := &watched{lists: make(chan *List, 100)}
-				w.Watcher = &Watcher{Addr: addr, Pace: p, Listed: func(l *List) { w.lists <- l }, Failed: func(error) {}}
+				w := &testWatcher{lists: make(chan *List, 100)}
+				w.Watcher = &Watcher{Addr: addr, Pace: pace, Listed: func(l *List) { w.lists <- l }, Failed: func(error) {}}
 				t.Cleanup(w.Close)
 				go w.Follow()
 				if l := w.next(t, soon); l.Index != 7 {
-					t.Errorf("it got %+v", l)
+					t.Errorf("got list %+v, want version 7", l)
 				}
 			})
 		}
 	}
 }
 
-// A silent watch and the lost call after it together cost less than the time after which
-// changes count as notified, also where the next response is slow.
+// If a watch falls silent, the call after it is lost and the next response is slow, the list still arrives
+// before missed changes count as notified.
 func TestSilentWatchAndLostCall(t *testing.T) {
-	const slow = 1200 * time.Millisecond // how long an overloaded discovery takes to answer
-	for name, lost := range map[string]func(c net.Conn){
-		"no answer": hold,
-		"a head":    func(c net.Conn) { io.WriteString(c, answer); hold(c) },
-		"rejected":  func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n") },
+	const responseTime = 1200 * time.Millisecond // of an overloaded discovery
+	for name, loseCall := range map[string]func(c net.Conn){
+		"no response": hold,
+		"a head":      func(c net.Conn) { io.WriteString(c, responseHead); hold(c) },
+		"rejected":    func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			silent := make(chan time.Time, 1)
+			fellSilent := make(chan time.Time, 1)
 			addr := tcp.Requests(t, func(conn, _ int, c net.Conn, _ *http.Request) bool {
 				switch conn {
 				case 0:
-					io.WriteString(c, answer+indented)
-					silent <- time.Now()
+					io.WriteString(c, responseHead+indented)
+					fellSilent <- time.Now()
 					hold(c)
 				case 1:
-					lost(c)
+					loseCall(c)
 				default:
-					time.Sleep(slow)
-					io.WriteString(c, answer+strings.Replace(indented, "7", "9", 1))
+					time.Sleep(responseTime)
+					io.WriteString(c, responseHead+strings.Replace(indented, "7", "9", 1))
 					hold(c)
 				}
 				return false
 			})
-			w := &watched{lists: make(chan *List, 100), failed: make(chan error, 100)}
+			w := &testWatcher{lists: make(chan *List, 100), failed: make(chan error, 100)}
 			w.Watcher = &Watcher{Addr: addr, Pace: Polled(), Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
 			t.Cleanup(w.Close)
 			go func() { w.failed <- w.Watch() }()
 			w.next(t, patience)
-			since := <-silent
+			silentSince := <-fellSilent
 			if l := w.next(t, patience); l.Index != 9 {
-				t.Errorf("it got %+v", l)
+				t.Errorf("got list %+v, want version 9", l)
 			}
-			if late := time.Since(since); late > maxNotificationDelay-notificationMargin {
-				t.Errorf("notified %v after the watch fell silent", late)
+			if delay := time.Since(silentSince); delay > maxNotificationDelay-notificationMargin {
+				t.Errorf("the list arrived %v after the last byte of the silent watch, want at most %v", delay, maxNotificationDelay-notificationMargin)
 			}
 		})
 	}
 }
 
-// An endpoint change during a second call is followed at once, and Close ends both calls.
+// An endpoint change while two calls run in parallel is followed at once. Close, which the test calls at
+// its end, closes the connections that are open then.
 func TestEndpointChangeDuringSecondCall(t *testing.T) {
 	calls := make(chan int, 10)
 	addr := tcp.Requests(t, func(conn, _ int, c net.Conn, _ *http.Request) bool {
 		calls <- conn
 		if conn == 0 {
-			io.WriteString(c, answer+indented)
+			io.WriteString(c, responseHead+indented)
 		}
 		hold(c)
 		return false
 	})
-	w := &watched{lists: make(chan *List, 100), failed: make(chan error, 100)}
+	w := &testWatcher{lists: make(chan *List, 100), failed: make(chan error, 100)}
 	w.Watcher = &Watcher{Addr: addr, Pace: Polled(), Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
 	t.Cleanup(w.Close)
 	go func() { w.failed <- w.Watch() }()
 	w.next(t, patience)
 	for conn := range 3 {
 		if got := <-calls; got != conn {
-			t.Fatalf("call %d came as %d", conn, got)
+			t.Fatalf("got a call on connection %d, want %d", got, conn)
 		}
 	}
-	there := tcp.Requests(t, func(_, _ int, c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, answer+strings.Replace(indented, "7", "3", 1))
+	newAddr := tcp.Requests(t, func(_, _ int, c net.Conn, _ *http.Request) bool {
+		io.WriteString(c, responseHead+strings.Replace(indented, "7", "3", 1))
 		hold(c)
 		return false
 	})
-	moved := time.Now()
-	w.SetEndpoint(there, w.Pace)
+	changedAt := time.Now()
+	w.SetEndpoint(newAddr, w.Pace)
 	if l := w.next(t, patience); l.Index != 3 {
-		t.Errorf("after the move: %+v", l)
+		t.Errorf("after SetEndpoint: got %+v, want version 3", l)
 	}
-	if took := time.Since(moved); took > Polled().SecondCallDelay {
-		t.Errorf("the move was followed after %v", took)
+	if took := time.Since(changedAt); took > Polled().SecondCallDelay {
+		t.Errorf("the list of the new endpoint arrived after %v, want at most %v", took, Polled().SecondCallDelay)
 	}
 }
 
-// drip writes s again and again until the connection ends.
+// drip writes s every 20 ms until the connection is closed.
 func drip(c net.Conn, s string) {
 	for {
 		if _, err := io.WriteString(c, s); err != nil {
@@ -274,61 +277,62 @@
 	}
 }
 
-// Invalid JSON, or a list without end, ends the watch; the next one requests the complete list.
+// An invalid list ends the watch, and the next one requests the complete list. After a list that is too
+// long, the next watch continues from the last version received.
 func TestInvalidListsResetTheIndex(t *testing.T) {
 	for name, text := range map[string]string{
-		"no JSON":       indented + "} {",
+		"invalid JSON":  indented + "} {",
 		"no index":      indented + `{"endpoints":[]}`,
 		"older version": indented + `{"index":6,"snapshot":false,"endpoints":[]}`,
-		"no object":     indented + "[1, 2]",
-		"without end":   indented + `{"index":8,"name":"` + strings.Repeat("x", maxList+1<<16),
+		"not an object": indented + "[1, 2]",
+		"too long":      indented + `{"index":8,"name":"` + strings.Repeat("x", maxList+1<<16),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			after := make(chan string, 100)
+			requestedAfter := make(chan string, 100)
 			w := follow(t, false, func(n int, c net.Conn, r *http.Request) {
-				after <- r.URL.Query().Get("after")
-				io.WriteString(c, answer+text)
+				requestedAfter <- r.URL.Query().Get("after")
+				io.WriteString(c, responseHead+text)
 				hold(c)
 			})
 			w.next(t, patience)
 			if err := <-w.failed; err == nil || errors.As(err, new(*SilentError)) {
-				t.Errorf("the watch ended with %v", err)
+				t.Errorf("the watch ended with %v, want an error that is not a SilentError", err)
 			}
 			want := ""
-			if name == "without end" {
-				want = "7" // the list received before is valid
+			if name == "too long" {
+				want = "7" // the version of the last valid list
 			}
-			if _, again := <-after, <-after; again != want {
-				t.Errorf("requested changes after %q, want %q", again, want)
+			if _, second := <-requestedAfter, <-requestedAfter; second != want {
+				t.Errorf("the second call requested changes after version %q, want %q", second, want)
 			}
 		})
 	}
 }
 
-// A second call does not open a second watch, and an endpoint change is followed by the open one,
-// also while it waits for its retry.
+// A second call of Watch returns ErrOpen and opens no second watch. The open watch follows an endpoint
+// change and requests the complete list there.
 func TestOneWatchFollowsEndpointChanges(t *testing.T) {
-	holding := func(index int) func(int, net.Conn, *http.Request) {
+	sendAndHold := func(index int) func(int, net.Conn, *http.Request) {
 		return func(_ int, c net.Conn, _ *http.Request) {
-			io.WriteString(c, answer+strings.Replace(indented, "7", fmt.Sprint(index), 1))
+			io.WriteString(c, responseHead+strings.Replace(indented, "7", fmt.Sprint(index), 1))
 			hold(c)
 		}
 	}
-	w := follow(t, true, holding(7))
+	w := follow(t, true, sendAndHold(7))
 	w.next(t, patience)
 	if err := w.Watch(); !errors.Is(err, ErrOpen) {
-		t.Errorf("a second watch: %v", err)
+		t.Errorf("second call of Watch: got %v, want ErrOpen", err)
 	}
-	there := tcp.Requests(t, func(conn, _ int, c net.Conn, r *http.Request) bool {
+	newAddr := tcp.Requests(t, func(conn, _ int, c net.Conn, r *http.Request) bool {
 		if r.URL.Query().Get("after") != "" {
-			t.Error("the new discovery got a version of the old one")
+			t.Error("the call to the new endpoint states a version of the old one, want none")
 		}
-		holding(3)(conn, c, r)
+		sendAndHold(3)(conn, c, r)
 		return false
 	})
-	w.SetEndpoint(there, w.Pace)
+	w.SetEndpoint(newAddr, w.Pace)
 	if l := w.next(t, soon); l.Index != 3 {
-		t.Errorf("after the move: %+v", l)
+		t.Errorf("after SetEndpoint: got %+v, want version 3", l)
 	}
 }
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// The platform counts a change as notified maxNotificationDelay after discovery had it and
-// could be reached, whether or not it has arrived here. The waits of a Watcher add up to
-// less than that by notificationMargin, which covers transmission and a busy process.
+// The platform counts a change as notified maxNotificationDelay after discovery had the change and could
+// be reached, whether or not the change has arrived here. The waits of a Watcher therefore add up to at
+// most maxNotificationDelay minus notificationMargin, which covers transmission and a busy process.
 const (
 	maxNotificationDelay = 6 * time.Second
 	notificationMargin   = 500 * time.Millisecond
 )
 
-// Pace bounds each wait while the list is followed.
+// Pace holds the upper bounds of a Watcher's waits.
 type Pace struct {
-	CallTimeout  time.Duration // connecting and waiting for the response, together
-	RetrySpread  time.Duration // random delay before a silent watch is reopened, at most
-	MaxBackoff   time.Duration // from a failed call to the next, at most
-	InitialDelay time.Duration // from a process's start to its first call, at most
-	// SecondCallDelay is how long the first call after a silent watch may go unanswered before
-	// a second one starts in parallel, so that one lost call does not use up the time left.
-	// 0: there is time for sequential calls.
+	CallTimeout  time.Duration // of connecting and waiting for the response together
+	RetrySpread  time.Duration // longest random delay before a watch is reopened after a timeout
+	MaxBackoff   time.Duration // longest wait between a failed call and the next
+	InitialDelay time.Duration // longest time between the start of a process and its first call
+	// SecondCallDelay is how long the first call after a silent watch may stay unanswered until
+	// a second call starts in parallel, so that one lost call does not use up the time left.
+	// 0: no second call, because there is time for one call after another.
 	SecondCallDelay time.Duration
 }
 
-// Polled returns the pace where discovery is one service that works through the calls of all
-// sidecars one by one. A call may wait as long as the other waits allow, since a call that
-// is abandoned has cost discovery its work all the same.
+// Polled returns the Pace for a single discovery service that serves the calls of all sidecars one
+// after another. CallTimeout is the time that the other waits leave, because an abandoned call costs
+// discovery as much work as an answered one.
 func Polled() Pace {
 	p := Pace{RetrySpread: 400 * time.Millisecond, MaxBackoff: 500 * time.Millisecond}
 	p.CallTimeout = maxNotificationDelay - notificationMargin - maxSilence - p.RetrySpread - p.MaxBackoff
@@ -33,11 +33,10 @@
 	return p
 }
 
-// Pushed returns the pace where lists are pushed by an agent on this machine, which responds
-// at once or, while discovery is down, not at all. A change counts as notified once the agent
-// has it, so a call that times out and the backoff behind it stay well within grace, the time
-// in which a draining server may still get attempts. No call is abandoned within
-// minPushedCallTimeout.
+// Pushed returns the Pace for an agent on this machine that pushes lists. The agent responds at once or,
+// while discovery is down, not at all. A change counts as notified once the agent has it. A call that
+// times out and the backoff after it therefore fit well within grace, the time in which a draining server
+// may still get attempts. No call times out before minPushedCallTimeout.
 func Pushed(grace time.Duration) Pace {
 	return Pace{
 		CallTimeout: min(max(grace/2, minPushedCallTimeout), time.Second),
@@ -45,21 +44,23 @@
 	}
 }
 
-// minPushedCallTimeout is the shortest time that a call is given.
+// minPushedCallTimeout is the shortest CallTimeout of Pushed.
 const minPushedCallTimeout = 100 * time.Millisecond
 
-// WorstDelay returns the longest time from a change that discovery can notify to its arrival,
-// without transmission: across a watch that fell silent just before it and one lost call, or
-// across a call that was lost at another time.
+// WorstDelay returns the longest time, without transmission, from the moment at which discovery can
+// notify a change until the change arrives. It is the longest of three cases: the watch fell silent just
+// before the change and the first call after it is lost, one call is lost at another time, or the first
+// call of the process fails at once.
 func (p Pace) WorstDelay() time.Duration {
-	silent := maxSilence + p.RetrySpread + p.CallTimeout + p.MaxBackoff + p.CallTimeout
+	afterSilence := maxSilence + p.RetrySpread + p.CallTimeout + p.MaxBackoff + p.CallTimeout
 	if p.SecondCallDelay > 0 {
-		silent = maxSilence + p.RetrySpread + p.SecondCallDelay + p.secondCallTimeout()
+		afterSilence = maxSilence + p.RetrySpread + p.SecondCallDelay + p.secondCallTimeout()
 	}
-	return max(silent, p.CallTimeout+p.MaxBackoff+p.CallTimeout, p.InitialDelay+p.MaxBackoff+p.CallTimeout)
+	return max(afterSilence, p.CallTimeout+p.MaxBackoff+p.CallTimeout, p.InitialDelay+p.MaxBackoff+p.CallTimeout)
 }
 
-// secondCallTimeout bounds the parallel second call.
+// secondCallTimeout returns the timeout of the second call: the time that is left until missed changes
+// count as notified.
 func (p Pace) secondCallTimeout() time.Duration {
 	return maxNotificationDelay - notificationMargin - maxSilence - p.RetrySpread - p.SecondCallDelay
 }
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -10,54 +10,58 @@
 	"martendrum"
 )
 
-// For all settings the waits of both paces add up to less than the time after which changes
-// count as notified.
+// The waits of both paces add up to less than the time after which changes count as notified, for every
+// grace from the settings.
 func TestWaitsAddUp(t *testing.T) {
 	polled := Polled()
-	if w := polled.WorstDelay(); w > maxNotificationDelay-notificationMargin {
-		t.Errorf("polled: %v in all", w)
+	if delay := polled.WorstDelay(); delay > maxNotificationDelay-notificationMargin {
+		t.Errorf("polled: WorstDelay() = %v, want at most %v", delay, maxNotificationDelay-notificationMargin)
 	}
-	for _, d := range []time.Duration{polled.CallTimeout, polled.RetrySpread, polled.MaxBackoff, polled.InitialDelay} {
-		if d < 100*time.Millisecond {
-			t.Errorf("polled: %+v gives a part too little time", polled)
+	for _, wait := range []time.Duration{polled.CallTimeout, polled.RetrySpread, polled.MaxBackoff, polled.InitialDelay} {
+		if wait < 100*time.Millisecond {
+			t.Errorf("polled: a wait of %+v is %v, want at least 100ms", polled, wait)
 		}
 	}
 	for grace := time.Duration(0); grace < time.Minute; grace += 10 * time.Millisecond {
-		p := Pushed(grace)
-		if w := p.WorstDelay(); w > maxNotificationDelay-notificationMargin {
-			t.Errorf("pushed, grace %v: %v in all", grace, w)
+		pushed := Pushed(grace)
+		if delay := pushed.WorstDelay(); delay > maxNotificationDelay-notificationMargin {
+			t.Errorf("pushed, grace %v: WorstDelay() = %v, want at most %v", grace, delay, maxNotificationDelay-notificationMargin)
 		}
-		if p.CallTimeout < minPushedCallTimeout || p.MaxBackoff*2/3 < minBackoff {
-			t.Errorf("pushed, grace %v: %+v gives a part too little time", grace, p)
+		if pushed.CallTimeout < minPushedCallTimeout || pushed.MaxBackoff*2/3 < minBackoff {
+			t.Errorf("pushed, grace %v: CallTimeout or MaxBackoff of %+v is too short", grace, pushed)
 		}
-		if grace >= 2*minPushedCallTimeout && p.CallTimeout+p.MaxBackoff > grace*3/4 {
-			t.Errorf("pushed, grace %v: the next answer comes after %v", grace, p.CallTimeout+p.MaxBackoff)
+		if grace >= 2*minPushedCallTimeout && pushed.CallTimeout+pushed.MaxBackoff > grace*3/4 {
+			t.Errorf("pushed, grace %v: a lost call and the backoff take %v, want at most %v", grace, pushed.CallTimeout+pushed.MaxBackoff, grace*3/4)
 		}
 	}
 }
 
-// pollingSidecar is one of many sidecars that poll the same discovery. Its Balancer decides when.
+// pollingSidecar is one of many simulated sidecars that poll the same discovery. Its Balancer decides
+// when it polls.
 type pollingSidecar struct {
-	world      *pollWorld
+	simulation *pollSimulation
 	balancer   *martendrum.Balancer
-	notifiedAt time.Duration // when a list arrived; 0: not yet
+	notifiedAt time.Duration // when the first list arrived; 0: not yet
 }
 
-// pollWorld simulates a discovery that serves calls one after another, each at the same cost, and
-// rejects a call that has waited for two seconds. An abandoned call costs as much as any other.
-type pollWorld struct {
-	now, back time.Duration // back: when discovery is available again
-	rejects   bool          // calls while it is unavailable; false: it does not answer them
-	cost      time.Duration
-	idleAt    time.Duration // when it has served all calls so far
-	calls     int           // since it is available again
-	queue     pollQueue
+// pollSimulation simulates a discovery that serves calls one after another, each in the same time, and
+// rejects a call that has waited for two seconds. An abandoned call takes as much time as any other.
+type pollSimulation struct {
+	now, availableAt time.Duration // availableAt: when discovery becomes available
+	rejects          bool          // while unavailable, discovery rejects calls; false: it does not answer
+	callTime         time.Duration // time to serve one call
+	idleAt           time.Duration // when discovery has served all calls so far
+	calls            int           // number of calls to the available discovery
+	queue            pollQueue
 }
 
+// pollEvent is a function that runs at a simulated time.
 type pollEvent struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
+
+// pollQueue is a heap of events by time.
 type pollQueue []pollEvent
 
 func (q pollQueue) Len() int           { return len(q) }
@@ -66,94 +70,98 @@
 func (q *pollQueue) Push(x any)        { *q = append(*q, x.(pollEvent)) }
 func (q *pollQueue) Pop() any {
 	old := *q
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	*q = old[:len(old)-1]
-	return x
+	return last
+}
+
+// schedule runs a function at a simulated time.
+func (s *pollSimulation) schedule(at time.Duration, run func()) {
+	heap.Push(&s.queue, pollEvent{at, run})
 }
-func (w *pollWorld) at(t time.Duration, do func()) { heap.Push(&w.queue, pollEvent{t, do}) }
 
-func (a *pollingSidecar) Send(martendrum.RequestID, string, time.Duration, time.Duration) {}
-func (a *pollingSidecar) Cancel(martendrum.RequestID, int)                                {}
-func (a *pollingSidecar) Reject(martendrum.RequestID, time.Duration)                      {}
-func (a *pollingSidecar) Fail(martendrum.RequestID)                                       {}
-func (a *pollingSidecar) CloseIdle(string)                                                {}
-func (a *pollingSidecar) Probe(string)                                                    {}
-func (a *pollingSidecar) SetTimer(cookie uint64, after time.Duration) {
-	a.world.at(a.world.now+after, func() { a.balancer.TimerFired(a.world.now, cookie) })
+func (s *pollingSidecar) Send(martendrum.RequestID, string, time.Duration, time.Duration) {}
+func (s *pollingSidecar) Cancel(martendrum.RequestID, int)                                {}
+func (s *pollingSidecar) Reject(martendrum.RequestID, time.Duration)                      {}
+func (s *pollingSidecar) Fail(martendrum.RequestID)                                       {}
+func (s *pollingSidecar) CloseIdle(string)                                                {}
+func (s *pollingSidecar) Probe(string)                                                    {}
+func (s *pollingSidecar) SetTimer(cookie uint64, after time.Duration) {
+	s.simulation.schedule(s.simulation.now+after, func() { s.balancer.TimerFired(s.simulation.now, cookie) })
 }
 
-// Subscribe is one call as a Watcher makes it.
-func (a *pollingSidecar) Subscribe() {
-	w := a.world
-	failed := func() { a.balancer.DiscoveryFailed(w.now) }
-	if w.now < w.back {
-		if w.rejects {
-			w.at(w.now, failed)
+// Subscribe simulates one call as a Watcher makes it.
+func (s *pollingSidecar) Subscribe() {
+	simulation := s.simulation
+	failed := func() { s.balancer.DiscoveryFailed(simulation.now) }
+	if simulation.now < simulation.availableAt {
+		if simulation.rejects {
+			simulation.schedule(simulation.now, failed)
 		} else {
-			w.at(w.now+Polled().CallTimeout, failed)
+			simulation.schedule(simulation.now+Polled().CallTimeout, failed)
 		}
 		return
 	}
-	w.calls++
-	begins := max(w.now, w.idleAt)
+	simulation.calls++
+	start := max(simulation.now, simulation.idleAt)
 	switch {
-	case begins-w.now > 2*time.Second:
-		w.at(w.now+min(2*time.Second, Polled().CallTimeout), failed)
-	case begins+w.cost-w.now > Polled().CallTimeout:
-		w.idleAt = begins + w.cost
-		w.at(w.now+Polled().CallTimeout, failed)
+	case start-simulation.now > 2*time.Second:
+		simulation.schedule(simulation.now+min(2*time.Second, Polled().CallTimeout), failed)
+	case start+simulation.callTime-simulation.now > Polled().CallTimeout:
+		simulation.idleAt = start + simulation.callTime
+		simulation.schedule(simulation.now+Polled().CallTimeout, failed)
 	default:
-		w.idleAt = begins + w.cost
-		w.at(w.idleAt, func() {
-			if a.notifiedAt == 0 {
-				a.notifiedAt = w.now
+		simulation.idleAt = start + simulation.callTime
+		simulation.schedule(simulation.idleAt, func() {
+			if s.notifiedAt == 0 {
+				s.notifiedAt = simulation.now
 			}
 		})
 	}
 }
 
-// Three hundred sidecars that wait for discovery to return are all notified well in time, and
-// their calls meanwhile are no storm.
+// When discovery becomes available again, 300 waiting sidecars are all notified in time, with at most two
+// calls each on average.
 func TestDiscoveryReturnCausesNoCallStorm(t *testing.T) {
 	const count = 300
-	for _, cost := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
+	for _, callTime := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
 		for _, rejects := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%v a call, rejects %v", cost, rejects), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%v per call, rejects %v", callTime, rejects), func(t *testing.T) {
 				for seed := range uint64(5) {
 					rng := rand.New(rand.NewPCG(seed, 1))
-					w := &pollWorld{back: 20 * time.Second, rejects: rejects, cost: cost}
-					p := Polled()
+					simulation := &pollSimulation{availableAt: 20 * time.Second, rejects: rejects, callTime: callTime}
+					pace := Polled()
 					cfg := martendrum.Config{Instances: count, MaxAttempts: 1, Classes: []martendrum.Class{{LatencyObjective: time.Second}},
-						MaxListAge: p.InitialDelay * 5 / 4, RetryWithin: p.MaxBackoff}
-					var all []*pollingSidecar
+						MaxListAge: pace.InitialDelay * 5 / 4, RetryWithin: pace.MaxBackoff}
+					var sidecars []*pollingSidecar
 					for range count {
-						a := &pollingSidecar{world: w}
+						sidecar := &pollingSidecar{simulation: simulation}
 						var err error
-						if a.balancer, err = martendrum.New(cfg, rng.Uint64(), a); err != nil {
-							t.Fatal(err)
+						if sidecar.balancer, err = martendrum.New(cfg, rng.Uint64(), sidecar); err != nil {
+							t.Fatalf("martendrum.New: %v", err)
 						}
-						all = append(all, a)
+						sidecars = append(sidecars, sidecar)
 					}
-					for len(w.queue) > 0 && w.queue[0].at < w.back+time.Minute {
-						e := heap.Pop(&w.queue).(pollEvent)
-						w.now = e.at
-						e.do()
+					for len(simulation.queue) > 0 && simulation.queue[0].at < simulation.availableAt+time.Minute {
+						event := heap.Pop(&simulation.queue).(pollEvent)
+						simulation.now = event.at
+						event.run()
 					}
 					worst := time.Duration(0)
-					for _, a := range all {
-						if a.notifiedAt == 0 {
-							t.Fatalf("seed %d: one was never notified", seed)
+					for _, sidecar := range sidecars {
+						if sidecar.notifiedAt == 0 {
+							t.Fatalf("seed %d: a sidecar was never notified", seed)
 						}
-						worst = max(worst, a.notifiedAt-w.back)
+						worst = max(worst, sidecar.notifiedAt-simulation.availableAt)
 					}
 					if testing.Verbose() {
-						t.Logf("seed %d: the last was notified after %v, %d calls", seed, worst, w.calls)
+						t.Logf("seed %d: the last sidecar was notified after %v, %d calls", seed, worst, simulation.calls)
 					}
 					if worst > maxNotificationDelay-notificationMargin {
-						t.Errorf("seed %d: the last was notified after %v", seed, worst)
+						t.Errorf("seed %d: the last sidecar was notified after %v, want at most %v", seed, worst, maxNotificationDelay-notificationMargin)
 					}
-					if w.calls > 2*count {
-						t.Errorf("seed %d: %d calls of %d sidecars", seed, w.calls, count)
+					if simulation.calls > 2*count {
+						t.Errorf("seed %d: %d sidecars made %d calls, want at most %d", seed, count, simulation.calls, 2*count)
 					}
 				}
 			})
@@ -161,57 +169,57 @@
 	}
 }
 
-// Three hundred watches that fall silent together poll again within RetrySpread, and a second
-// time where a slow discovery has not answered by then: all are notified in time, with two calls
-// each at most, also where the first call of every tenth is lost.
+// If 300 watches fall silent together, all are notified in time and with at most two calls each. Each
+// makes its first call within RetrySpread, and a second one if a slow discovery has not answered by
+// SecondCallDelay. The first call of one in ten is lost.
 func TestSecondCallsCauseNoStorm(t *testing.T) {
 	const count = 300
 	pace := Polled()
-	for _, cost := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
-		w := &pollWorld{cost: cost}
+	for _, callTime := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
+		simulation := &pollSimulation{callTime: callTime}
 		rng := rand.New(rand.NewPCG(1, 1))
 		notifiedAt := make([]time.Duration, count)
 		for i := range count {
-			call := func(lost bool, limit time.Duration) {
-				w.calls++
-				w.idleAt = max(w.now, w.idleAt) + w.cost
-				answered := w.idleAt
-				if lost || answered-w.now > limit {
+			call := func(lost bool, timeout time.Duration) {
+				simulation.calls++
+				simulation.idleAt = max(simulation.now, simulation.idleAt) + simulation.callTime
+				answeredAt := simulation.idleAt
+				if lost || answeredAt-simulation.now > timeout {
 					return
 				}
-				w.at(answered, func() {
+				simulation.schedule(answeredAt, func() {
 					if notifiedAt[i] == 0 {
-						notifiedAt[i] = w.now
+						notifiedAt[i] = simulation.now
 					}
 				})
 			}
-			first := maxSilence + time.Duration(rng.Int64N(int64(pace.RetrySpread)))
+			firstCallAt := maxSilence + time.Duration(rng.Int64N(int64(pace.RetrySpread)))
 			lost := rng.IntN(10) == 0
-			w.at(first, func() { call(lost, pace.CallTimeout) })
-			w.at(first+pace.SecondCallDelay, func() {
+			simulation.schedule(firstCallAt, func() { call(lost, pace.CallTimeout) })
+			simulation.schedule(firstCallAt+pace.SecondCallDelay, func() {
 				if notifiedAt[i] == 0 {
 					call(false, pace.secondCallTimeout())
 				}
 			})
 		}
-		for len(w.queue) > 0 {
-			e := heap.Pop(&w.queue).(pollEvent)
-			w.now = e.at
-			e.do()
+		for len(simulation.queue) > 0 {
+			event := heap.Pop(&simulation.queue).(pollEvent)
+			simulation.now = event.at
+			event.run()
 		}
 		worst := time.Duration(0)
 		for i, at := range notifiedAt {
 			if at == 0 {
-				t.Fatalf("%v a call: sidecar %d was never notified", cost, i)
+				t.Fatalf("%v per call: sidecar %d was never notified", callTime, i)
 			}
 			worst = max(worst, at)
 		}
-		t.Logf("%v a call: the last was notified after %v, %d calls", cost, worst, w.calls)
+		t.Logf("%v per call: the last sidecar was notified after %v, %d calls", callTime, worst, simulation.calls)
 		if worst > maxNotificationDelay-notificationMargin {
-			t.Errorf("%v a call: the last was notified after %v", cost, worst)
+			t.Errorf("%v per call: the last sidecar was notified after %v, want at most %v", callTime, worst, maxNotificationDelay-notificationMargin)
 		}
-		if w.calls > 2*count {
-			t.Errorf("%v a call: %d calls", cost, w.calls)
+		if simulation.calls > 2*count {
+			t.Errorf("%v per call: %d calls, want at most %d", callTime, simulation.calls, 2*count)
 		}
 	}
 }
