--- a/internal/ratelimitlog/ratelimitlog.go
+++ b/internal/ratelimitlog/ratelimitlog.go
@@ -1,5 +1,5 @@
-// Package ratelimitlog limits a log under load: of records with the same message it writes
-// one a second, with the number of records that were suppressed since the last one.
+// Package ratelimitlog limits a log under load: of records with the same message it writes at
+// most one a second, with the number of records suppressed since the previous one.
 package ratelimitlog
 
 import (
@@ -10,52 +10,53 @@
 	"time"
 )
 
-// interval is the least time between two records with the same message.
+// interval is the shortest time between two records with the same message.
 const interval = time.Second
 
-// New returns a logger that writes records of at least a level to w as text.
+// New returns a logger that writes records of the given level or above to w as text.
 func New(w io.Writer, level slog.Level) *slog.Logger {
 	return slog.New(&handler{
 		Handler: slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}),
-		history: &history{byMessage: make(map[string]*count)},
+		history: &history{byMessage: make(map[string]*messageState)},
 	})
 }
 
-// handler suppresses repeated messages. Messages are constants of the program, which bounds
-// the map of them.
+// handler suppresses repeated messages. It remembers every distinct message, so messages must be
+// constants of the program and not built at run time.
 type handler struct {
 	slog.Handler
 	history *history
 }
 
-// history is shared by a logger and those derived from it.
+// history holds the messages of a logger. Loggers derived from it by With and WithGroup share it.
 type history struct {
 	mu        sync.Mutex
-	byMessage map[string]*count
+	byMessage map[string]*messageState
 }
 
-type count struct {
-	last       time.Time // when a record was written
-	suppressed int       // since then
+// messageState is the state of one message.
+type messageState struct {
+	lastWritten time.Time // when a record was last written
+	suppressed  int       // number of records suppressed since then
 }
 
-// Handle implements slog.Handler.
+// Handle implements slog.Handler. It writes r or counts it as suppressed.
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
 	h.history.mu.Lock()
-	c := h.history.byMessage[r.Message]
-	if c == nil {
-		c = new(count)
-		h.history.byMessage[r.Message] = c
+	state := h.history.byMessage[r.Message]
+	if state == nil {
+		state = new(messageState)
+		h.history.byMessage[r.Message] = state
 	}
-	if r.Time.Sub(c.last) < interval {
-		c.suppressed++
+	if r.Time.Sub(state.lastWritten) < interval {
+		state.suppressed++
 		h.history.mu.Unlock()
 		return nil
 	}
-	if c.suppressed > 0 {
-		r.AddAttrs(slog.Int("left_out", c.suppressed))
+	if state.suppressed > 0 {
+		r.AddAttrs(slog.Int("left_out", state.suppressed))
 	}
-	c.last, c.suppressed = r.Time, 0
+	state.lastWritten, state.suppressed = r.Time, 0
 	h.history.mu.Unlock()
 	return h.Handler.Handle(ctx, r)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,9 @@
-// Package settings maps a deployment's settings to the terms of this code.
+// Package settings decodes and checks a deployment's settings, and converts them to a
+// martendrum.Config and the limits of a sidecar.
 //
 // It owns the JSON keys of the settings object (type document) and the checks of their
-// values; the sidecar and the simulator's adapter share it. It reads no file and keeps
-// nothing.
+// values. The sidecar and the simulator's adapter share it. It reads no file and has no
+// state of its own.
 package settings
 
 import (
@@ -16,57 +17,58 @@
 	"martendrum"
 )
 
-// minDial is the least timeout of a dial. A dial gets the settings' time, but at most a
-// quarter of the shortest latency objective: a dial that fails proves that nothing ran, and
-// the request should still be in time at another server.
-const minDial = 30 * time.Millisecond
+// minDialTimeout is the lowest value that Parse reduces the dial timeout to. The timeout is the
+// configured one, but at most a quarter of the shortest latency objective: a failed dial proves
+// that nothing ran, so the request can be sent to another server and should arrive there in time.
+const minDialTimeout = 30 * time.Millisecond
 
-// Settings are a deployment's settings in this code's terms.
+// Settings are the decoded settings of a deployment. They are not changed once they are in use.
 type Settings struct {
 	Config    martendrum.Config
-	Deadlines []time.Duration // by class: how long a client waits at most
+	Deadlines []time.Duration // by index of the class: the longest that a client waits
 
-	// Only for a host on real sockets.
-	ConnIdle    time.Duration // after which a server closes an idle connection
+	// The simulator does not use the following fields.
+	ConnIdle    time.Duration // idle time after which a server closes a connection
 	DialTimeout time.Duration
-	DrainGrace  time.Duration // attempts to a draining server must stop within it
-	MaxInFlight int           // requests in flight at once
-	Rank        int           // this sidecar's number among those of its tier
+	DrainGrace  time.Duration // attempts to a draining server must end within it
+	MaxInFlight int           // limit of requests in flight
+	Rank        int           // number of this sidecar among those of its tier
 	Peers       bool          // sidecars may exchange state
-	Cluster     string        // names the tier
+	Cluster     string        // identifies the tier
 
-	classes, tenants map[string]int
-	classNames       []string // of classes by place; empty: dropped
-	tenantNames      []string // of tenants by place
+	classes, tenants map[string]int // index by name
+	classNames       []string       // name by index of the class; empty: the index is unused
+	tenantNames      []string       // name by index of the tenant; empty: the index is unused
 }
 
-// Class is one class of these settings. A request keeps the one that it was read under.
+// Class is one request class of a Settings. A request keeps the Class that was in force when it
+// was read.
 type Class struct {
 	Name  string
-	Place int // in the balancer's configuration
+	Place int // index in Config.Classes
 	Rules *martendrum.Class
-	Wait  time.Duration // how long a client waits at most
+	Wait  time.Duration // the longest that a client waits
 }
 
-// Explain rewords an error of encoding/json with the JSON names of the fields.
+// Explain returns an error of encoding/json with the JSON names of the fields in place of Go's.
 func Explain(err error) error {
-	if syntax, ok := errors.AsType[*json.SyntaxError](err); ok {
-		return fmt.Errorf("no whole JSON: %w, at byte %d", err, syntax.Offset)
+	if syntaxErr, ok := errors.AsType[*json.SyntaxError](err); ok {
+		return fmt.Errorf("invalid JSON: %w, at byte %d", err, syntaxErr.Offset)
 	}
-	kind, ok := errors.AsType[*json.UnmarshalTypeError](err)
+	typeErr, ok := errors.AsType[*json.UnmarshalTypeError](err)
 	if !ok {
 		return err
 	}
-	parts := strings.Split(kind.Field, ".")
+	parts := strings.Split(typeErr.Field, ".")
 	for n, part := range parts {
 		if part != "" {
 			parts[n] = strings.ToLower(part[:1]) + part[1:]
 		}
 	}
-	return fmt.Errorf("JSON field %q can't be a %s; want %s", strings.Join(parts, "."), kind.Value, kind.Type.Kind())
+	return fmt.Errorf("JSON field %q can't be a %s; want %s", strings.Join(parts, "."), typeErr.Value, typeErr.Type.Kind())
 }
 
-// ByName returns the class of a name, nil if there is none.
+// ByName returns the class with the given name, nil if there is none.
 func (s *Settings) ByName(name string) *Class {
 	n, ok := s.classes[name]
 	if !ok {
@@ -75,53 +77,55 @@
 	return &Class{Name: name, Place: n, Rules: &s.Config.Classes[n], Wait: s.Deadlines[n]}
 }
 
-// Follow gives classes and tenants that the old settings had the same places again. New ones
-// take the places of dropped ones or are appended. A free place keeps its old values, and no
-// name refers to it.
+// Follow gives the classes and tenants that the old settings also have the same indexes as there.
+// New ones take the indexes of removed ones or are appended. An unused index keeps its old values,
+// and no name refers to it. Follow must be called before s is used.
 func (s *Settings) Follow(old *Settings) {
-	places := follow(old.classNames, s.classNames)
-	for n, at := range places {
-		s.classes[s.classNames[n]] = at
+	indexes := assignIndexes(old.classNames, s.classNames)
+	for n, index := range indexes {
+		s.classes[s.classNames[n]] = index
 	}
-	s.Config.Classes = placed(old.Config.Classes, s.Config.Classes, places)
-	s.Deadlines = placed(old.Deadlines, s.Deadlines, places)
-	s.classNames = placed(make([]string, len(old.classNames)), s.classNames, places)
-	places = follow(old.tenantNames, s.tenantNames)
-	for n, at := range places {
-		s.tenants[s.tenantNames[n]] = at
+	s.Config.Classes = mergeByIndex(old.Config.Classes, s.Config.Classes, indexes)
+	s.Deadlines = mergeByIndex(old.Deadlines, s.Deadlines, indexes)
+	s.classNames = mergeByIndex(make([]string, len(old.classNames)), s.classNames, indexes)
+	indexes = assignIndexes(old.tenantNames, s.tenantNames)
+	for n, index := range indexes {
+		s.tenants[s.tenantNames[n]] = index
 	}
-	s.Config.TenantQuotas = placed(old.Config.TenantQuotas, s.Config.TenantQuotas, places)
-	s.tenantNames = placed(make([]string, len(old.tenantNames)), s.tenantNames, places)
+	s.Config.TenantQuotas = mergeByIndex(old.Config.TenantQuotas, s.Config.TenantQuotas, indexes)
+	s.tenantNames = mergeByIndex(make([]string, len(old.tenantNames)), s.tenantNames, indexes)
 }
 
-// placed returns old with next's values at their places; places beyond old are appended.
-func placed[T any](old, next []T, places []int) []T {
-	list := slices.Clone(old)
-	for n, at := range places {
-		list = append(list, next[n])[:max(len(list), at+1)]
-		list[at] = next[n]
+// mergeByIndex returns a copy of old in which next[n] is at indexes[n]. Indexes beyond the end of
+// old are appended.
+func mergeByIndex[T any](old, next []T, indexes []int) []T {
+	merged := slices.Clone(old)
+	for n, index := range indexes {
+		merged = append(merged, next[n])[:max(len(merged), index+1)]
+		merged[index] = next[n]
 	}
-	return list
+	return merged
 }
 
-// follow returns the place of each name: where it was, else the first free place.
-func follow(old, names []string) []int {
-	places, taken := make([]int, len(names)), make([]bool, len(old)+len(names))
+// assignIndexes returns the index of each name: the one that it has in old, otherwise the lowest
+// unused one.
+func assignIndexes(old, names []string) []int {
+	indexes, taken := make([]int, len(names)), make([]bool, len(old)+len(names))
 	for n, name := range names {
-		if places[n] = slices.Index(old, name); places[n] >= 0 {
-			taken[places[n]] = true
+		if indexes[n] = slices.Index(old, name); indexes[n] >= 0 {
+			taken[indexes[n]] = true
 		}
 	}
-	for n := range places {
-		if places[n] < 0 {
-			places[n] = slices.Index(taken, false)
-			taken[places[n]] = true
+	for n := range indexes {
+		if indexes[n] < 0 {
+			indexes[n] = slices.Index(taken, false)
+			taken[indexes[n]] = true
 		}
 	}
-	return places
+	return indexes
 }
 
-// document is the settings object on the wire. Keys without a use here are skipped.
+// document is the settings object in JSON. Unknown keys are ignored.
 type document struct {
 	Caps struct {
 		MaxAttempts       int   `json:"attemptsCap"`
@@ -176,53 +180,54 @@
 	Zone          string   `json:"zone"`
 }
 
-// Parse decodes and checks the settings object. Errors name the field by its JSON key.
+// Parse decodes the settings object and checks its values. Errors name the field by its JSON key.
+// Classes and tenants get the indexes of their order in the object.
 func Parse(data []byte) (*Settings, error) {
-	var e document
-	if err := json.Unmarshal(data, &e); err != nil {
+	var doc document
+	if err := json.Unmarshal(data, &doc); err != nil {
 		return nil, fmt.Errorf("settings: %w", Explain(err))
 	}
-	if len(e.Classes) == 0 {
+	if len(doc.Classes) == 0 {
 		return nil, errors.New("settings: classes must be non-empty")
 	}
 	s := &Settings{
-		Config:      balancerConfig(&e),
-		ConnIdle:    microseconds(e.Caps.ConnIdleUs),
-		DialTimeout: microseconds(e.Caps.DialTimeoutUs),
-		DrainGrace:  microseconds(e.Guarantees.DrainGraceUs),
-		MaxInFlight: e.Caps.MaxInFlight,
-		Rank:        e.Rank,
-		Peers:       e.Caps.Peers,
-		Cluster:     fmt.Sprintf("%s/%d/%s", e.Family, e.Tier, strings.Join(e.Tiers, ",")),
+		Config:      balancerConfig(&doc),
+		ConnIdle:    microseconds(doc.Caps.ConnIdleUs),
+		DialTimeout: microseconds(doc.Caps.DialTimeoutUs),
+		DrainGrace:  microseconds(doc.Guarantees.DrainGraceUs),
+		MaxInFlight: doc.Caps.MaxInFlight,
+		Rank:        doc.Rank,
+		Peers:       doc.Caps.Peers,
+		Cluster:     fmt.Sprintf("%s/%d/%s", doc.Family, doc.Tier, strings.Join(doc.Tiers, ",")),
 		classes:     make(map[string]int),
 		tenants:     make(map[string]int),
 	}
-	if err := check(&s.Config, &e); err != nil {
+	if err := check(&s.Config, &doc); err != nil {
 		return nil, err
 	}
-	for n, c := range e.Classes {
+	for n, c := range doc.Classes {
 		if c.Name == "" {
 			return nil, fmt.Errorf("settings: classes[%d].name is missing", n)
 		}
 		if _, twice := s.classes[c.Name]; twice {
-			return nil, fmt.Errorf("settings: classes[%d].name: there are two classes %q", n, c.Name)
+			return nil, fmt.Errorf("settings: classes[%d].name: there are two classes named %q", n, c.Name)
 		}
 		s.classes[c.Name] = n
 		s.classNames = append(s.classNames, c.Name)
 		s.Deadlines = append(s.Deadlines, microseconds(c.DeadlineUs))
 	}
 	for _, c := range s.Config.Classes {
-		s.DialTimeout = min(s.DialTimeout, max(c.LatencyObjective/4, minDial))
+		s.DialTimeout = min(s.DialTimeout, max(c.LatencyObjective/4, minDialTimeout))
 	}
-	for n, t := range e.Tenants {
+	for n, t := range doc.Tenants {
 		s.tenants[t.Name] = n
 		s.tenantNames = append(s.tenantNames, t.Name)
 	}
 	return s, nil
 }
 
-// Class returns the place of a class, -1 if there is none of that name.
-func (s *Settings) Class(name []byte) int { return index(s.classes, name) }
+// Class returns the index of the class with the given name, -1 if there is none.
+func (s *Settings) Class(name []byte) int { return indexOf(s.classes, name) }
 
 // Names returns the names of the classes, sorted.
 func (s *Settings) Names() (names []string) {
@@ -233,79 +238,80 @@
 	return names
 }
 
-// Tenant returns the place of a tenant, -1 if there is none of that name.
-func (s *Settings) Tenant(name []byte) int { return index(s.tenants, name) }
+// Tenant returns the index of the tenant with the given name, -1 if there is none.
+func (s *Settings) Tenant(name []byte) int { return indexOf(s.tenants, name) }
 
-func index(places map[string]int, name []byte) int {
-	if n, ok := places[string(name)]; ok {
+// indexOf returns the index of a name, -1 if there is none.
+func indexOf(indexes map[string]int, name []byte) int {
+	if n, ok := indexes[string(name)]; ok {
 		return n
 	}
 	return -1
 }
 
-// The values of classes[].effect and classes[].dedupScope.
+// The valid values of classes[].effect and classes[].dedupScope.
 var (
 	effects = []string{"repeatable", "by_key", "once"}
 	scopes  = []string{"all", "zone", "cell"}
 )
 
-// check returns an error that names the first field out of its range.
-func check(c *martendrum.Config, e *document) error {
+// check returns an error that names the first field whose value is out of range.
+func check(c *martendrum.Config, doc *document) error {
 	var err error
-	need := func(ok bool, field, want string) {
+	require := func(ok bool, field, want string) {
 		if !ok && err == nil {
 			err = fmt.Errorf("settings: %s must be %s", field, want)
 		}
 	}
-	need(c.Instances >= 1, "replicasOfMe", "at least 1")
-	need(len(c.Classes) > 0, "classes", "non-empty")
-	need(c.MaxAttempts >= 1, "caps.attemptsCap", "at least 1")
-	need(c.MaxRetryAfter >= 0, "caps.maxRetryAfterUs", "0 or more")
-	need(c.SlowStartInitialFraction >= 0 && c.SlowStartInitialFraction <= 1, "guarantees.coldFrom", "within 0 and 1")
-	need(c.SlowStartDuration >= 0, "guarantees.coldUs", "0 or more")
-	need(c.OverloadDuration >= 0, "guarantees.overloadForUs", "0 or more")
-	need(c.OverloadFactor >= 0, "guarantees.overloadFactor", "0 or more")
-	need(c.MaxListAge >= 0, "guarantees.askWithinUs", "0 or more")
-	for n, k := range c.Classes {
-		raw := &e.Classes[n]
-		at := fmt.Sprintf("classes[%d] (%s).", n, raw.Name)
-		need(k.LatencyObjective > 0, at+"promiseUs", "above 0")
-		need(raw.DeadlineUs >= 0, at+"hardLimitUs", "0 or more")
-		need(slices.Contains(effects, raw.Idempotency), at+"effect", "one of "+strings.Join(effects, ", "))
-		need(raw.DedupScope == "" || slices.Contains(scopes, raw.DedupScope), at+"dedupScope", "one of "+strings.Join(scopes, ", "))
+	require(c.Instances >= 1, "replicasOfMe", "at least 1")
+	require(len(c.Classes) > 0, "classes", "non-empty")
+	require(c.MaxAttempts >= 1, "caps.attemptsCap", "at least 1")
+	require(c.MaxRetryAfter >= 0, "caps.maxRetryAfterUs", "0 or more")
+	require(c.SlowStartInitialFraction >= 0 && c.SlowStartInitialFraction <= 1, "guarantees.coldFrom", "between 0 and 1")
+	require(c.SlowStartDuration >= 0, "guarantees.coldUs", "0 or more")
+	require(c.OverloadDuration >= 0, "guarantees.overloadForUs", "0 or more")
+	require(c.OverloadFactor >= 0, "guarantees.overloadFactor", "0 or more")
+	require(c.MaxListAge >= 0, "guarantees.askWithinUs", "0 or more")
+	for n, class := range c.Classes {
+		raw := &doc.Classes[n]
+		prefix := fmt.Sprintf("classes[%d] (%s).", n, raw.Name)
+		require(class.LatencyObjective > 0, prefix+"promiseUs", "above 0")
+		require(raw.DeadlineUs >= 0, prefix+"hardLimitUs", "0 or more")
+		require(slices.Contains(effects, raw.Idempotency), prefix+"effect", "one of "+strings.Join(effects, ", "))
+		require(raw.DedupScope == "" || slices.Contains(scopes, raw.DedupScope), prefix+"dedupScope", "one of "+strings.Join(scopes, ", "))
 	}
 	return err
 }
 
-// balancerConfig maps the document to the decision module's configuration.
-func balancerConfig(e *document) martendrum.Config {
+// balancerConfig returns the balancer's configuration of a document.
+func balancerConfig(doc *document) martendrum.Config {
 	cfg := martendrum.Config{
-		Instances:                e.Instances,
-		Zone:                     e.Zone,
-		OverQuotaWeight:          e.OverQuotaWeight,
-		MaxAttempts:              e.Caps.MaxAttempts,
-		AllowCancellation:        e.Caps.AllowCancellation,
-		AllowHedging:             e.Caps.AllowHedging,
-		WastedWorkCost:           e.Costs.Waste,
-		Probes:                   e.Caps.Probes && e.Feedback.How == "probe",
-		ProbeCost:                e.Costs.Probe,
-		ConnectionCost:           e.Costs.Connection,
-		CrossZoneCost:            e.Costs.CrossZone,
-		SlowStartInitialFraction: e.Guarantees.SlowStartInitialFraction,
-		SlowStartDuration:        microseconds(e.Guarantees.SlowStartUs),
-		OverloadFactor:           e.Guarantees.OverloadFactor,
-		OverloadDuration:         microseconds(e.Guarantees.OverloadUs),
+		Instances:                doc.Instances,
+		Zone:                     doc.Zone,
+		OverQuotaWeight:          doc.OverQuotaWeight,
+		MaxAttempts:              doc.Caps.MaxAttempts,
+		AllowCancellation:        doc.Caps.AllowCancellation,
+		AllowHedging:             doc.Caps.AllowHedging,
+		WastedWorkCost:           doc.Costs.Waste,
+		Probes:                   doc.Caps.Probes && doc.Feedback.How == "probe",
+		ProbeCost:                doc.Costs.Probe,
+		ConnectionCost:           doc.Costs.Connection,
+		CrossZoneCost:            doc.Costs.CrossZone,
+		SlowStartInitialFraction: doc.Guarantees.SlowStartInitialFraction,
+		SlowStartDuration:        microseconds(doc.Guarantees.SlowStartUs),
+		OverloadFactor:           doc.Guarantees.OverloadFactor,
+		OverloadDuration:         microseconds(doc.Guarantees.OverloadUs),
 	}
-	if e.DiscoveryMode == "subscribe" {
-		cfg.MaxListAge = microseconds(e.Guarantees.MaxListAgeUs)
+	if doc.DiscoveryMode == "subscribe" {
+		cfg.MaxListAge = microseconds(doc.Guarantees.MaxListAgeUs)
 	}
-	if e.Caps.RetryAfter {
-		cfg.MaxRetryAfter = microseconds(e.Caps.MaxRetryAfterUs)
+	if doc.Caps.RetryAfter {
+		cfg.MaxRetryAfter = microseconds(doc.Caps.MaxRetryAfterUs)
 	}
-	for _, t := range e.Tenants {
+	for _, t := range doc.Tenants {
 		cfg.TenantQuotas = append(cfg.TenantQuotas, t.QuotaPerSecond)
 	}
-	for _, c := range e.Classes {
+	for _, c := range doc.Classes {
 		class := martendrum.Class{
 			LatencyObjective: microseconds(c.LatencyObjectiveUs),
 			LateWeight:       c.LateWeight,
@@ -329,4 +335,5 @@
 	return cfg
 }
 
+// microseconds converts a number of microseconds to a duration.
 func microseconds(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,67 +15,67 @@
 		"guarantees":{"drainGraceUs":2000000,"askWithinUs":5},
 		"classes":[{"name":"a","promiseUs":400000,"hardLimitUs":6,"effect":"by_key","dedupScope":"cell"},{"name":"b","promiseUs":900000,"effect":"once"}]}`))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Parse: %v", err)
 	}
 	c := s.Config
 	if c.Zone != "z" || c.OverQuotaWeight != 0.5 || c.Instances != 3 || len(c.TenantQuotas) != 1 || c.TenantQuotas[0] != 7.5 ||
 		c.MaxRetryAfter != 7*time.Microsecond || c.MaxListAge != 0 || len(c.Classes) != 2 ||
 		c.Classes[0].Idempotency != martendrum.IdempotencyKeyed || c.Classes[0].DedupScope != martendrum.DedupScopeGroup ||
 		c.Classes[1].Idempotency != martendrum.NonIdempotent || c.Classes[0].LatencyObjective != 400*time.Millisecond {
-		t.Errorf("config: %+v", c)
+		t.Errorf("Parse: Config = %+v, want the values of the JSON object", c)
 	}
 	if s.ConnIdle != 30*time.Second || s.DialTimeout != 100*time.Millisecond || s.DrainGrace != 2*time.Second ||
 		s.MaxInFlight != 9 || s.Deadlines[0] != 6*time.Microsecond {
-		t.Errorf("settings: %+v", s)
+		t.Errorf("Parse = %+v, want the durations and limits of the JSON object, and DialTimeout 100ms (a quarter of the shortest promiseUs)", s)
 	}
 	if s.Class([]byte("b")) != 1 || s.Class([]byte("c")) != -1 || s.Tenant([]byte("p")) != 0 || s.Tenant(nil) != -1 {
-		t.Error("places of names")
+		t.Error("Class and Tenant returned wrong indexes, want 1 for class b, 0 for tenant p and -1 for unknown names")
 	}
 	if _, err := Parse([]byte(`[]`)); err == nil {
-		t.Error("a list passed as settings")
+		t.Error("Parse of a JSON list: got no error")
 	}
 }
 
-// Names keep their places over any changes, new ones take those of dropped ones, and the values
-// at a name's place belong to it.
+// Classes keep their indexes over a series of reloads, new classes take the indexes of removed ones,
+// and the values at an index are those of the class that has it.
 func TestFollow(t *testing.T) {
-	parse := func(names ...string) *Settings {
+	parseClasses := func(names ...string) *Settings {
 		t.Helper()
-		text := `{"replicasOfMe":1,"caps":{"attemptsCap":1},"classes":[`
+		object := `{"replicasOfMe":1,"caps":{"attemptsCap":1},"classes":[`
 		for n, name := range names {
 			if n > 0 {
-				text += ","
+				object += ","
 			}
-			text += `{"name":"` + name + `","promiseUs":` + strconv.Itoa(int(name[0])) + `,"hardLimitUs":` + strconv.Itoa(int(name[0])) + `,"effect":"once"}`
+			object += `{"name":"` + name + `","promiseUs":` + strconv.Itoa(int(name[0])) + `,"hardLimitUs":` + strconv.Itoa(int(name[0])) + `,"effect":"once"}`
 		}
-		s, err := Parse([]byte(text + "]}"))
+		s, err := Parse([]byte(object + "]}"))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Parse with classes %v: %v", names, err)
 		}
 		return s
 	}
-	now := parse("a", "b", "c")
+	current := parseClasses("a", "b", "c")
 	for _, step := range []struct {
-		names  []string
-		places []int
+		names   []string
+		indexes []int
 	}{
 		{[]string{"c", "a"}, []int{2, 0}},
 		{[]string{"d", "c", "a", "e"}, []int{1, 2, 0, 3}},
 		{[]string{"f"}, []int{0}},
-		{[]string{"e", "a", "f"}, []int{1, 2, 0}}, // all of the others' places are free
+		{[]string{"e", "a", "f"}, []int{1, 2, 0}}, // the indexes of all removed classes are free
 	} {
-		next := parse(step.names...)
-		before := len(now.Config.Classes)
-		next.Follow(now)
+		next := parseClasses(step.names...)
+		before := len(current.Config.Classes)
+		next.Follow(current)
 		for n, name := range step.names {
 			c := next.ByName(name)
-			if c == nil || c.Place != step.places[n] || c.Rules.LatencyObjective != time.Duration(name[0])*time.Microsecond || c.Wait != c.Rules.LatencyObjective {
-				t.Errorf("%v: %s is %+v", step.names, name, c)
+			if c == nil || c.Place != step.indexes[n] || c.Rules.LatencyObjective != time.Duration(name[0])*time.Microsecond || c.Wait != c.Rules.LatencyObjective {
+				t.Errorf("after a reload to %v: ByName(%q) = %+v, want index %d and its own latency objective and deadline", step.names, name, c, step.indexes[n])
 			}
 		}
 		if len(next.Config.Classes) < before || len(next.Config.Classes) != len(next.Deadlines) || next.ByName("b") != nil {
-			t.Errorf("%v: %d places, %d deadlines", step.names, len(next.Config.Classes), len(next.Deadlines))
+			t.Errorf("after a reload to %v: %d classes and %d deadlines, want equal numbers, at least %d, and no class b", step.names, len(next.Config.Classes), len(next.Deadlines), before)
 		}
-		now = next
+		current = next
 	}
 }
