--- a/cmd/simulator/instance.go
+++ b/cmd/simulator/instance.go
@@ -9,8 +9,8 @@
 	"martendrum/internal/wire"
 )
 
-// instance is one balancer and its ID on the wire. As the balancer's Host it writes
-// each action to the reply.
+// instance is one balancer with its ID on the wire. It implements martendrum.Host for the balancer by
+// writing each action to the reply.
 type instance struct {
 	id       string
 	reply    *wire.Reply
@@ -18,7 +18,7 @@
 	settings *settings.Settings
 }
 
-// handle gives one event to the balancer.
+// handle passes one event to the balancer. It returns an error if the event is invalid.
 func (i *instance) handle(e *wire.Event, a *adapter) error {
 	now := a.now
 	id := martendrum.RequestID(e.ID)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// outcomes maps the codes on the wire.
+// outcomes maps the outcome codes on the wire to outcomes of an attempt.
 var outcomes = map[int]martendrum.Outcome{
 	200: martendrum.OK,
 	502: martendrum.ServerError,
@@ -71,7 +71,7 @@
 	409: martendrum.NotSent,
 }
 
-// loadReport converts a load report.
+// loadReport converts a load report from the form on the wire.
 func loadReport(r wire.LoadReport) martendrum.LoadReport {
 	return martendrum.LoadReport{
 		HasInFlight:    r.HasInFlight,
@@ -113,7 +113,7 @@
 // Subscribe implements martendrum.Host.
 func (i *instance) Subscribe() { i.reply.Subscribe(i.id) }
 
-// endpoints converts a server list.
+// endpoints converts a server list from the form on the wire.
 func endpoints(entries []wire.ListEntry) []martendrum.Endpoint {
 	list := make([]martendrum.Endpoint, len(entries))
 	for n, entry := range entries {
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -1,10 +1,10 @@
-// Command simulator runs the decision module on the simulator's wire: it reads batches
-// of events from standard input and writes the actions of its balancers to standard
-// output. It owns the instances and the server lists that they share, and decides
-// nothing itself.
+// Command simulator connects the decision module, package martendrum, to a simulator: it reads
+// batches of events from standard input and writes the actions of its balancers to standard output.
+// It owns the balancer instances and the server lists that they share, and decides nothing itself.
+// Package wire defines the form of events and actions.
 //
-// On input that it cannot read it exits with status 1 and one line on standard error,
-// which names the input line. A panic of the decision module is reported on the wire.
+// On invalid input it exits with status 1 and one line on standard error, which names the input line.
+// A panic of the decision module is reported as an action.
 package main
 
 import (
@@ -22,8 +22,8 @@
 )
 
 func main() {
-	// Requests are short-lived garbage over a small live heap: collecting less
-	// often saves CPU, and the limit bounds the memory of a large fleet.
+	// Requests are short-lived garbage on a small live heap. Collecting less often saves CPU,
+	// and the memory limit bounds the heap of a large fleet.
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(memoryLimit)
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -33,32 +33,32 @@
 }
 
 const (
-	gcPercent       = 400
+	gcPercent       = 400     // as GOGC
 	memoryLimit     = 4 << 30 // bytes
 	inputBufferSize = 1 << 16 // bytes
-	maxLists        = 16      // list numbers on the wire are below it
+	maxLists        = 16      // server lists are numbered from 0 to maxLists-1
 )
 
-// noBatch is the number of no batch.
+// noBatch is the batch number that stands for "between batches".
 const noBatch int64 = -1
 
-// adapter is the program's state: instances by ID, and the numbered server lists, which
+// adapter is the state of the program: the instances by ID, and the numbered server lists, which
 // all instances share.
 type adapter struct {
 	in        *bufio.Reader
 	out       io.Writer
-	longLine  []byte // holds a line longer than in's buffer
-	line      int    // number of the line read last
+	longLine  []byte // buffer for a line that is longer than the buffer of in
+	line      int    // number of the last line read, from 1
 	decoder   wire.Decoder
 	reply     wire.Reply
 	instances map[string]*instance
 	lists     [maxLists][]martendrum.Endpoint
-	listed    [maxLists]bool // which lists have been received
-	now       time.Duration
-	panicked  bool // a panic has been reported; no more events are handled
+	listed    [maxLists]bool // which of the lists have been received
+	now       time.Duration  // simulated time of the current batch
+	panicked  bool           // a panic has been reported; no more events are handled
 }
 
-// run answers batches until the input ends.
+// run reads and answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	a := &adapter{
 		in:        bufio.NewReaderSize(in, inputBufferSize),
@@ -76,8 +76,8 @@
 	}
 }
 
-// next reads a line and cuts off its end.
-func (a *adapter) next() ([]byte, error) {
+// readLine reads a line and returns it without its line end. The line is valid until the next call.
+func (a *adapter) readLine() ([]byte, error) {
 	line, err := a.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		a.longLine = append(a.longLine[:0], line...)
@@ -97,17 +97,17 @@
 	return line, nil
 }
 
-// batch reads and answers one batch. It returns false if the input has ended before it.
+// batch reads and answers one batch. It returns false if the input has ended before the batch.
 func (a *adapter) batch() (more bool, err error) {
 	var e wire.Event
 	batch := noBatch
 	for {
-		line, err := a.next()
+		line, err := a.readLine()
 		switch {
 		case err == io.EOF && batch < 0:
 			return false, nil
 		case err == io.EOF:
-			return false, fmt.Errorf("batch %d cut short", batch)
+			return false, fmt.Errorf("input ended within batch %d", batch)
 		case err != nil:
 			return false, err
 		case len(line) == 0:
@@ -122,7 +122,7 @@
 			a.now = micros(e.TimeMicros)
 			a.reply.Reset()
 		case e.Kind == wire.BatchStart || batch < 0:
-			return false, errors.New("message out of place: a batch runs from tick to end")
+			return false, errors.New("message out of order: a batch begins with tick and ends with end")
 		case e.Kind == wire.BatchEnd:
 			a.reply.EndBatch(batch)
 			_, err := a.out.Write(a.reply.Bytes())
@@ -135,7 +135,7 @@
 	}
 }
 
-// handle carries out one event or gives it to its instance.
+// handle handles one event, or passes it to its instance.
 func (a *adapter) handle(e *wire.Event) error {
 	if e.Kind == wire.ServerList || e.Kind == wire.ServersChanged {
 		if e.ListNumber < 0 || e.ListNumber >= maxLists {
@@ -150,22 +150,22 @@
 	case wire.InstanceStarted:
 		return a.start(e)
 	}
-	i := a.instances[string(e.Instance)]
-	if i == nil {
+	target := a.instances[string(e.Instance)]
+	if target == nil {
 		return fmt.Errorf("event for unknown instance %q", e.Instance)
 	}
 	if e.Kind == wire.InstanceStopped {
-		delete(a.instances, i.id)
+		delete(a.instances, target.id)
 		return nil
 	}
 	if e.Kind == wire.ServersChanged && string(e.Change) != wire.ChangeFailed && !a.listed[e.ListNumber] {
 		return fmt.Errorf("unknown ledger number %d", e.ListNumber)
 	}
-	return a.guard(i.id, func() error { return i.handle(e, a) })
+	return a.guard(target.id, func() error { return target.handle(e, a) })
 }
 
-// guard calls f and reports a panic of the decision module on the wire. After a panic it
-// calls nothing.
+// guard calls f, which calls the decision module for the instance id, and reports a panic of f in the
+// reply. After a panic has been reported, guard does nothing and returns nil.
 func (a *adapter) guard(id string, f func() error) (err error) {
 	if a.panicked {
 		return nil
@@ -179,19 +179,19 @@
 	return f()
 }
 
-// start starts an instance.
+// start creates an instance and its balancer from the event's settings and seed.
 func (a *adapter) start(e *wire.Event) error {
 	parsed, err := settings.Parse(e.Settings)
 	if err != nil {
 		return err
 	}
-	i := &instance{id: string(e.Instance), reply: &a.reply, settings: parsed}
-	return a.guard(i.id, func() error {
-		i.balancer, err = martendrum.New(parsed.Config, e.Seed, i)
-		a.instances[i.id] = i
+	created := &instance{id: string(e.Instance), reply: &a.reply, settings: parsed}
+	return a.guard(created.id, func() error {
+		created.balancer, err = martendrum.New(parsed.Config, e.Seed, created)
+		a.instances[created.id] = created
 		return err
 	})
 }
 
-// micros converts microseconds.
+// micros converts a number of microseconds to a duration.
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/cmd/simulator/main_test.go
+++ b/cmd/simulator/main_test.go
@@ -12,15 +12,15 @@
 	"testing"
 )
 
-// built is the path of the simulator's binary.
-var built string
+// binary is the path of the simulator's binary.
+var binary string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "simulator")
 	if err == nil {
-		built = filepath.Join(dir, "simulator")
+		binary = filepath.Join(dir, "simulator")
 		var out []byte
-		if out, err = exec.Command("go", "build", "-o", built, ".").CombinedOutput(); err != nil {
+		if out, err = exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
 			err = fmt.Errorf("%w: %s", err, out)
 		}
 	}
@@ -33,25 +33,27 @@
 	os.Exit(code)
 }
 
-func play(t *testing.T, input string) (stdout, stderr string, code int) {
+// runSimulator runs the simulator on the given input.
+func runSimulator(t *testing.T, input string) (stdout, stderr string, code int) {
 	t.Helper()
-	cmd := exec.Command(built)
+	cmd := exec.Command(binary)
 	cmd.Stdin = strings.NewReader(input)
 	var out, errs bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &errs
 	if err := cmd.Run(); err != nil && cmd.ProcessState == nil {
-		t.Fatal(err)
+		t.Fatalf("starting the simulator: %v", err)
 	}
 	return out.String(), errs.String(), cmd.ProcessState.ExitCode()
 }
 
-const env = `{"replicasOfMe":4,"zone":"z","registryMode":"subscribe","caps":{"attemptsCap":4,"mayCancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfterUs":1000000},` +
+// instanceSettings are the settings of all instances of the tests.
+const instanceSettings = `{"replicasOfMe":4,"zone":"z","registryMode":"subscribe","caps":{"attemptsCap":4,"mayCancel":true,"secondCopies":true,"retryAfter":true,"maxRetryAfterUs":1000000},` +
 	`"classes":[{"name":"a","effect":"repeatable","promiseUs":100000,"hardLimitUs":400000,"worth":1},{"name":"b","effect":"by_key","dedupScope":"zone","repeatWindowUs":200000,"promiseUs":100000,"worth":2},{"name":"c","effect":"once","promiseUs":100000,"worth":3}],` +
 	`"guarantees":{"askWithinUs":1000000,"coldFrom":0.2,"coldUs":1000000,"overloadFactor":3,"overloadForUs":1000000},"costs":{"waste":0.05}}`
 
-// script is a series of batches for n instances. Events of instances for which keep returns
-// false are left out, as if they were in another process.
-func script(n int, keep func(i int) bool) string {
+// script returns a series of batches for the instances from 0 to n-1. It omits the events of instances for
+// which keep returns false, as if these ran in another process.
+func script(n int, keep func(instance int) bool) string {
 	rng := rand.New(rand.NewPCG(5, 5))
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
@@ -59,7 +61,7 @@
 	line(`{"t":"ledger","list":0,"hosts":[{"health":"SERVING","powerHint":1,"server":"s1","az":"z"},{"health":"SERVING","powerHint":2,"server":"s2","az":"z"},{"health":"SERVING","powerHint":1,"server":"s3","az":"y"}]}`)
 	for i := range n {
 		if keep(i) {
-			line(`{"t":"powerOn","sidecarId":"i/%d","entropy":%d,"env":%s}`, i, i+1, env)
+			line(`{"t":"powerOn","sidecarId":"i/%d","entropy":%d,"env":%s}`, i, i+1, instanceSettings)
 			line(`{"t":"backendsChanged","sidecarId":"i/%d","how":"stale_copy","serial":1,"list":0}`, i)
 		}
 	}
@@ -82,16 +84,16 @@
 			if keep(i) {
 				line(`{"t":"knock","sidecarId":"i/%d","id":"%016x","cls":"%s","clientDeadlineUs":%d}`, i, turn*100+i, class, now+300000)
 			}
-			if keep(i) && turn%10 == 0 { // a client that disconnects at once: its attempt is cancelled
+			if keep(i) && turn%10 == 0 { // the client disconnects at once, so that its attempt is cancelled
 				line(`{"t":"timedOutClient","sidecarId":"i/%d","id":"%016x"}`, i, turn*100+i)
 			}
 			unanswered = append(unanswered, openRequest{i, turn*100 + i})
 		}
 		for len(unanswered) > 2*n {
-			request, ending := unanswered[0], []int{200, 429, 502, 521, 408, 520}[rng.IntN(6)]
+			request, outcome := unanswered[0], []int{200, 429, 502, 521, 408, 520}[rng.IntN(6)]
 			unanswered = unanswered[1:]
 			if keep(request.instance) {
-				line(`{"t":"finished","sidecarId":"i/%d","id":"%016x","copy":0,"noMore":%v,"ending":%d,"feedback":{"cpu_share":0.5}}`, request.instance, request.id, ending == 200, ending)
+				line(`{"t":"finished","sidecarId":"i/%d","id":"%016x","copy":0,"noMore":%v,"ending":%d,"feedback":{"cpu_share":0.5}}`, request.instance, request.id, outcome == 200, outcome)
 			}
 		}
 		line(`{"t":"end"}`)
@@ -99,82 +101,88 @@
 	return b.String()
 }
 
+// byInstance returns the actions in an output, sorted by instance and otherwise in their order.
 func byInstance(out string) []string {
 	var lines []string
-	for l := range strings.Lines(out) {
-		if !strings.HasPrefix(l, `{"t":"eor"`) {
-			lines = append(lines, l)
+	for line := range strings.Lines(out) {
+		if !strings.HasPrefix(line, `{"t":"eor"`) {
+			lines = append(lines, line)
 		}
 	}
 	slices.SortStableFunc(lines, func(a, b string) int { return strings.Compare(instanceOf(a), instanceOf(b)) })
 	return lines
 }
 
+// instanceOf returns the ID of the instance in an action.
 func instanceOf(line string) string {
 	_, rest, _ := strings.Cut(line, `"sidecarId":"`)
 	id, _, _ := strings.Cut(rest, `"`)
 	return id
 }
 
+// One process with all instances gives the same actions as two processes with half of them each, and a
+// second run gives the same actions again.
 func TestOneProcessActsLikeSeveral(t *testing.T) {
 	all := func(int) bool { return true }
-	whole, stderr, code := play(t, script(4, all))
+	single, stderr, code := runSimulator(t, script(4, all))
 	if code != 0 || stderr != "" {
-		t.Fatalf("exit %d: %s", code, stderr)
+		t.Fatalf("single process: got exit code %d and stderr %q, want 0 and none", code, stderr)
 	}
-	var parts string
-	for p := range 2 {
-		out, _, code := play(t, script(4, func(i int) bool { return i%2 == p }))
+	var split string
+	for remainder := range 2 {
+		out, _, code := runSimulator(t, script(4, func(i int) bool { return i%2 == remainder }))
 		if code != 0 {
-			t.Fatalf("part %d: exit %d", p, code)
+			t.Fatalf("process %d of 2: got exit code %d, want 0", remainder, code)
 		}
-		parts += out
+		split += out
 	}
-	a, b := byInstance(whole), byInstance(parts)
-	if !slices.Equal(a, b) {
-		t.Errorf("%d actions in one process, %d in two, or not the same ones", len(a), len(b))
+	singleActions, splitActions := byInstance(single), byInstance(split)
+	if !slices.Equal(singleActions, splitActions) {
+		t.Errorf("one process gave %d actions and two gave %d, want the same actions", len(singleActions), len(splitActions))
 	}
-	for _, word := range []string{"route", "notNow", "dropRequest", "abortAttempt", "setTimer", "keepInformed"} {
-		if !strings.Contains(whole, `"t":"`+word+`"`) {
-			t.Errorf("the script caused no %s", word)
+	for _, action := range []string{"route", "notNow", "dropRequest", "abortAttempt", "setTimer", "keepInformed"} {
+		if !strings.Contains(single, `"t":"`+action+`"`) {
+			t.Errorf("the script caused no action %s, want every kind", action)
 		}
 	}
-	if again, _, _ := play(t, script(4, all)); again != whole {
-		t.Error("a second run gave other actions")
+	if again, _, _ := runSimulator(t, script(4, all)); again != single {
+		t.Error("a second run with the same input gave other actions")
 	}
 }
 
+// Invalid input ends the simulator with a single line on standard error that names the place, and without
+// a reply to the batch.
 func TestInvalidInput(t *testing.T) {
 	const tick, end = `{"t":"tick","tsUs":1,"turn":7}` + "\n", `{"t":"end"}` + "\n"
-	for _, c := range []struct{ name, input, names string }{
+	for _, test := range []struct{ name, input, want string }{
 		{"not JSON", tick + "what\n" + end, "line 2"},
 		{"unknown type", tick + `{"t":"hail","sidecarId":"i"}` + "\n" + end, "line 2"},
 		{"unknown instance", tick + `{"t":"wakeup","sidecarId":"i","cookie":1}` + "\n" + end, `"i"`},
-		{"unknown ledger", tick + `{"t":"powerOn","sidecarId":"i","entropy":1,"env":` + env + "}\n" + `{"t":"backendsChanged","sidecarId":"i","how":"whole","list":5}` + "\n" + end, "ledger number 5"},
-		{"cut short", tick, "batch 7"},
+		{"unknown ledger", tick + `{"t":"powerOn","sidecarId":"i","entropy":1,"env":` + instanceSettings + "}\n" + `{"t":"backendsChanged","sidecarId":"i","how":"whole","list":5}` + "\n" + end, "ledger number 5"},
+		{"incomplete batch", tick, "batch 7"},
 		{"event outside a batch", end, "line 1"},
 		{"bad settings", tick + `{"t":"powerOn","sidecarId":"i","entropy":1,"env":{}}` + "\n" + end, "classes must"},
 	} {
-		stdout, stderr, code := play(t, c.input)
-		if code == 0 || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, c.names) {
-			t.Errorf("%s: exit %d, stderr %q", c.name, code, stderr)
+		stdout, stderr, code := runSimulator(t, test.input)
+		if code == 0 || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, test.want) {
+			t.Errorf("%s: got exit code %d and stderr %q, want a non-zero code and one line with %q", test.name, code, stderr, test.want)
 		}
 		if strings.Contains(stdout, "eor") {
-			t.Errorf("%s: answered %q", c.name, stdout)
+			t.Errorf("%s: got the reply %q, want none", test.name, stdout)
 		}
 	}
-	if out, stderr, code := play(t, tick+end); code != 0 || stderr != "" || out != `{"t":"eor","turn":7}`+"\n" {
-		t.Errorf("an empty batch: exit %d, %q, %q", code, out, stderr)
+	if out, stderr, code := runSimulator(t, tick+end); code != 0 || stderr != "" || out != `{"t":"eor","turn":7}`+"\n" {
+		t.Errorf("empty batch: got exit code %d, stdout %q and stderr %q, want 0 and an empty reply", code, out, stderr)
 	}
 }
 
-// A panic of the decision module is reported on the wire.
+// A panic of the decision module is reported as an action and not returned as an error.
 func TestPanicIsReported(t *testing.T) {
 	a := &adapter{}
 	if err := a.guard("i", func() error { panic("index out of range") }); err != nil {
-		t.Fatal(err)
+		t.Fatalf("guard: %v", err)
 	}
 	if want := `{"t":"bailOut","sidecarId":"i","reasonText":"index out of range"}` + "\n"; string(a.reply.Bytes()) != want {
-		t.Errorf("got %s", a.reply.Bytes())
+		t.Errorf("got reply %q, want %q", a.reply.Bytes(), want)
 	}
 }
