--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -142,8 +142,8 @@
 }
 
 // SetEndpoint makes the Watcher follow the list at another address and with another pace from now on. It
-// ends the open watch. The next watch requests the complete list, because versions at the new
-// address are unrelated to those at the old one.
+// ends the open watch. The next watch requests the complete list, because versions at the new address
+// are unrelated to those at the old one.
 func (w *Watcher) SetEndpoint(addr string, pace Pace) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -27,7 +27,7 @@
 // pacedReader reads a body from a connection and enforces minBodyRate.
 type pacedReader struct {
 	conn     *conn
-	from     io.Reader
+	source   io.Reader
 	began    time.Time
 	received int64 // bytes read
 }
@@ -53,7 +53,7 @@
 
 // read reads with the deadline that setDeadline has set.
 func (p *pacedReader) read(b []byte) (int, error) {
-	n, err := p.from.Read(b)
+	n, err := p.source.Read(b)
 	p.received += int64(n)
 	return n, err
 }
@@ -69,16 +69,16 @@
 		}
 		return true, statusNone
 	}
-	from := &pacedReader{conn: x.conn, from: r.Body, began: time.Now()}
+	reader := &pacedReader{conn: x.conn, source: r.Body, began: time.Now()}
 	size := min(r.ContentLength, maxBufferedBody)
 	if size < 0 { // unknown
 		size = maxBufferedBody
 	}
 	if !x.conn.server.budget.reserve(size) {
-		return false, x.discardBody(from)
+		return false, x.discardBody(reader)
 	}
 	x.reserved = size
-	body, err := x.bufferBody(r.ContentLength, from)
+	body, err := x.bufferBody(r.ContentLength, reader)
 	if err != nil {
 		return true, bodyStatus(err)
 	}
@@ -91,10 +91,10 @@
 
 // discardBody reads and discards up to maxBufferedBody bytes of a body that is not buffered. The
 // connection can be reused only if the body's end is reached.
-func (x *Exchange) discardBody(from *pacedReader) (status int) {
-	_, err := io.Copy(io.Discard, io.LimitReader(from, maxBufferedBody+1))
+func (x *Exchange) discardBody(reader *pacedReader) (status int) {
+	_, err := io.Copy(io.Discard, io.LimitReader(reader, maxBufferedBody+1))
 	switch {
-	case from.received > maxBufferedBody:
+	case reader.received > maxBufferedBody:
 		x.keepAlive = false // the rest stays unread
 		return statusNone
 	case err != nil:
@@ -105,26 +105,26 @@
 
 // bufferBody reads up to maxBufferedBody bytes of a body; length is -1 if unknown. If the body may be
 // longer, the rest becomes the upload of x.
-func (x *Exchange) bufferBody(length int64, from *pacedReader) ([]byte, error) {
+func (x *Exchange) bufferBody(length int64, reader *pacedReader) ([]byte, error) {
 	switch {
 	case length > maxBufferedBody:
 		body := make([]byte, maxBufferedBody)
-		if _, err := io.ReadFull(from, body); err != nil {
+		if _, err := io.ReadFull(reader, body); err != nil {
 			return nil, err
 		}
-		x.stream(length, from)
+		x.stream(length, reader)
 		return body, nil
 	case length > 0:
 		body := make([]byte, length)
-		if _, err := io.ReadFull(from, body); err != nil {
+		if _, err := io.ReadFull(reader, body); err != nil {
 			return nil, err
 		}
-		_, err := io.Copy(io.Discard, from) // read up to the end of the body
+		_, err := io.Copy(io.Discard, reader) // read up to the end of the body
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(from, maxBufferedBody))
+	body, err := io.ReadAll(io.LimitReader(reader, maxBufferedBody))
 	if err == nil && len(body) == maxBufferedBody {
-		x.stream(-1, from)
+		x.stream(-1, reader)
 	}
 	return body, err
 }
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -280,7 +280,9 @@
 	}
 	// Simulates a pacedReader that has overwritten the deadline of the eviction with its own.
 	server.netConn.SetReadDeadline(time.Now().Add(patience))
-	for range 500 { // too few bytes to complete the body, and too soon for minBodyRate, either of which would end the request
+	// 500 bytes neither complete the body nor take long enough to fall behind minBodyRate. Either would
+	// also end the request.
+	for range 500 {
 		if _, err := c.Write([]byte("x")); err != nil {
 			return // reset: the connection is closed
 		}
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -56,8 +56,8 @@
 	exchange   *Exchange // the request that waits for its response; nil: none
 }
 
-// enter changes the connection's state. The server's lock is held.
-func (c *conn) enter(state connState) { c.state, c.stateSince = state, time.Now() }
+// setState changes the connection's state. The server's lock is held.
+func (c *conn) setState(state connState) { c.state, c.stateSince = state, time.Now() }
 
 // isBusy reports whether a shutdown waits for the connection. The server's lock is held.
 func (c *conn) isBusy() bool {
@@ -145,7 +145,7 @@
 	c.requests++
 	x.acceptedDuringShutdown = s.drainingSince
 	c.exchange = x
-	c.enter(stateWaiting)
+	c.setState(stateWaiting)
 	c.netConn.SetReadDeadline(time.Time{}) // the next read waits for a disconnect
 	return statusNone
 }
@@ -221,7 +221,7 @@
 	if c.state != stateNew { // the first request's deadline counts from the accept
 		c.netConn.SetReadDeadline(time.Now().Add(requestTimeout))
 	}
-	c.enter(stateReading)
+	c.setState(stateReading)
 }
 
 // endWait ends a connection on which awaitRequest accepts no request, because the wait failed with
@@ -231,7 +231,7 @@
 func (c *conn) endWait(err error, pipelined bool) (repeat bool) {
 	timedOut := c.state != stateClosed && errors.Is(err, os.ErrDeadlineExceeded)
 	if timedOut && c.input.Quiet() {
-		c.enter(stateClosed)
+		c.setState(stateClosed)
 	}
 	closed := c.state == stateClosed
 	c.server.mu.Unlock()
@@ -255,7 +255,7 @@
 		s.ids.close(c.exchange.id)
 		c.exchange = nil
 	}
-	c.enter(stateClosed)
+	c.setState(stateClosed)
 	delete(s.conns, c)
 	s.mu.Unlock()
 	c.netConn.Close()
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -91,7 +91,7 @@
 	case c.state == stateReading || c.state == stateClosed:
 		c.stopReading()
 	case c.input.Quiet():
-		c.enter(stateClosed)
+		c.setState(stateClosed)
 		c.netConn.Close()
 	default:
 		return false
@@ -102,7 +102,7 @@
 // stopReading sets a read deadline in the past, so that the connection's goroutine ends the connection.
 // A request that has been read completely is still answered. The server's lock is held.
 func (c *conn) stopReading() {
-	c.enter(stateClosed)
+	c.setState(stateClosed)
 	c.netConn.SetReadDeadline(time.Unix(1, 0))
 }
 
--- a/internal/downstream/fuzz_test.go
+++ b/internal/downstream/fuzz_test.go
@@ -41,7 +41,7 @@
 		}
 		clientSide.SetDeadline(time.Now().Add(patience))
 		go func() {
-			if framingtest.Send(clientSide, append([]byte(head), body...), piece) == nil { // an error: the request was rejected
+			if framingtest.Send(clientSide, append([]byte(head), body...), piece) == nil { // an error means that the request was rejected
 				clientSide.Close()
 			}
 		}()
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -18,7 +18,7 @@
 	c.server.mu.Lock()
 	evicted := c.state == stateClosed // its slot may already belong to another connection
 	if !evicted {
-		c.enter(stateClosed)
+		c.setState(stateClosed)
 	}
 	c.server.mu.Unlock()
 	if !evicted {
@@ -44,8 +44,8 @@
 
 // discardInput reads and discards what the client still sends, up to the read deadline and lingerBytes.
 func (c *conn) discardInput() {
-	buf := buffers.Get().(*[]byte)
-	defer buffers.Put(buf)
+	buf := writeBuffers.Get().(*[]byte)
+	defer writeBuffers.Put(buf)
 	for left := lingerBytes; left > 0; {
 		n, err := c.netConn.Read((*buf)[:cap(*buf)])
 		if left -= n; err != nil {
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -16,15 +16,15 @@
 	writeTimeout = 2 * time.Second
 	// streamWriteTimeout bounds each write of a streamed response.
 	streamWriteTimeout = 10 * time.Second
-	// maxPooledBuffer is the capacity in bytes of the largest buffer that is returned to buffers.
+	// maxPooledBuffer is the capacity in bytes of the largest buffer that is returned to writeBuffers.
 	maxPooledBuffer = 80 << 10
 )
 
 // streamBuffers are the read buffers of streamed responses.
 var streamBuffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
-// buffers are the write buffers of buffered responses, also used to discard input.
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
+// writeBuffers are the write buffers of buffered responses, also used to discard input.
+var writeBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
 // Reject answers 503: the request was not executed and may be retried. The response has a Retry-After
 // if retryAfter is above 0.
@@ -63,22 +63,22 @@
 	x.endAnswer(x.writeStream(answer))
 }
 
-// answer writes a buffered response and prepares the connection for the next request. Header lines in
-// field are written as they are. If the request was handed to the handler, answer does not block on a
-// slow client, because the caller may have other requests to answer.
-func (x *Exchange) answer(status int, field string, header http.Header, body []byte) {
-	buf := buffers.Get().(*[]byte)
+// answer writes a buffered response and prepares the connection for the next request. The headerLines,
+// each with its line end, precede the fields of header. If the request was handed to the handler,
+// answer does not block on a slow client, because the caller may have other requests to answer.
+func (x *Exchange) answer(status int, headerLines string, header http.Header, body []byte) {
+	buf := writeBuffers.Get().(*[]byte)
 	registered := x.beginAnswer(status)
-	*buf = x.appendResponse((*buf)[:0], status, field, header, body)
+	*buf = x.appendResponse((*buf)[:0], status, headerLines, header, body)
 	if !registered { // called by the connection's own goroutine, which may block
 		x.endAnswer(x.conn.write(*buf))
-		giveBuffer(buf)
+		putBuffer(buf)
 		return
 	}
 	n, err := x.conn.input.WriteNow(*buf)
 	if err != nil || n == len(*buf) {
 		x.endAnswer(err)
-		giveBuffer(buf)
+		putBuffer(buf)
 		return
 	}
 	go x.finishAnswer(buf, n)
@@ -88,13 +88,13 @@
 func (x *Exchange) finishAnswer(buf *[]byte, n int) {
 	defer x.conn.recoverPanic()
 	x.endAnswer(x.conn.write((*buf)[n:]))
-	giveBuffer(buf)
+	putBuffer(buf)
 }
 
-// giveBuffer returns a buffer to the pool, unless it is too large.
-func giveBuffer(buf *[]byte) {
+// putBuffer returns a buffer to the pool, unless it is too large.
+func putBuffer(buf *[]byte) {
 	if cap(*buf) <= maxPooledBuffer {
-		buffers.Put(buf)
+		writeBuffers.Put(buf)
 	}
 }
 
@@ -129,10 +129,10 @@
 		c.exchange = nil
 	}
 	if keepAlive {
-		c.enter(stateIdle)
+		c.setState(stateIdle)
 		c.netConn.SetReadDeadline(time.Now().Add(keepAliveTimeout))
 	} else {
-		c.enter(stateClosed)
+		c.setState(stateClosed)
 	}
 	s.mu.Unlock()
 	switch {
@@ -146,8 +146,8 @@
 }
 
 // appendResponse appends a complete response with its body.
-func (x *Exchange) appendResponse(b []byte, status int, field string, header http.Header, body []byte) []byte {
-	b = appendLength(x.appendHead(b, status, field, header), int64(len(body)))
+func (x *Exchange) appendResponse(b []byte, status int, headerLines string, header http.Header, body []byte) []byte {
+	b = appendLength(x.appendHead(b, status, headerLines, header), int64(len(body)))
 	b = append(b, "\r\n"...)
 	return append(b, body...)
 }
@@ -216,13 +216,13 @@
 
 // appendHead appends the head of a response without the field for the length or encoding of its body
 // and without the empty line at its end.
-func (x *Exchange) appendHead(b []byte, status int, field string, header http.Header) []byte {
+func (x *Exchange) appendHead(b []byte, status int, headerLines string, header http.Header) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
 	b = append(b, http.StatusText(status)...)
 	b = append(b, "\r\n"...)
-	b = append(b, field...)
+	b = append(b, headerLines...)
 	b = appendHeader(b, header)
 	if !x.keepAlive {
 		b = append(b, "Connection: close\r\n"...)
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -181,7 +181,7 @@
 func (s *Server) markClosed(state connState, minDuration time.Duration) (closed []*conn) {
 	for c := range s.conns {
 		if c.state == state && time.Since(c.stateSince) >= minDuration && c.input.Quiet() {
-			c.enter(stateClosed)
+			c.setState(stateClosed)
 			closed = append(closed, c)
 		}
 	}
--- a/internal/downstream/upload.go
+++ b/internal/downstream/upload.go
@@ -13,7 +13,7 @@
 
 // upload is the part of a request's body that is not buffered. A single attempt reads it.
 type upload struct {
-	from   *pacedReader
+	reader *pacedReader
 	length int64       // length of the complete body in bytes; -1: unknown
 	linger atomic.Bool // the body was not read to its end: the connection must be closed
 
@@ -28,8 +28,8 @@
 
 // stream makes the unread rest of the body the upload of x, and appends the field with the body's
 // length or encoding to the head.
-func (x *Exchange) stream(length int64, from *pacedReader) {
-	x.upload = &upload{from: from, length: length, done: make(chan struct{})}
+func (x *Exchange) stream(length int64, reader *pacedReader) {
+	x.upload = &upload{reader: reader, length: length, done: make(chan struct{})}
 	x.Request.Stream = x.upload
 	if length >= 0 {
 		x.Request.Head = appendLength(x.Request.Head, length)
@@ -74,17 +74,17 @@
 		u.mu.Unlock()
 		return 0, errStopped
 	}
-	u.from.setDeadline()
+	u.reader.setDeadline()
 	u.mu.Unlock()
-	n, err := u.from.read(b)
-	if u.from.received > maxStreamedBody {
+	n, err := u.reader.read(b)
+	if u.reader.received > maxStreamedBody {
 		return 0, io.ErrShortBuffer
 	}
 	if err == io.EOF {
 		u.mu.Lock()
 		u.complete = true
 		u.mu.Unlock()
-		u.from.conn.netConn.SetReadDeadline(time.Time{}) // the connection's goroutine now waits for the next request
+		u.reader.conn.netConn.SetReadDeadline(time.Time{}) // the connection's goroutine now waits for the next request
 	}
 	return n, err
 }
@@ -129,7 +129,7 @@
 	switch {
 	case u.complete: // Close calls finish, or has called it
 	case u.claimed && !u.closed:
-		u.from.conn.netConn.SetReadDeadline(time.Unix(1, 0))
+		u.reader.conn.netConn.SetReadDeadline(time.Unix(1, 0))
 	default:
 		u.finish()
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -65,7 +65,7 @@
 		{[]string{"e", "a", "f"}, []int{1, 2, 0}}, // the indexes of all removed classes are free
 	} {
 		next := parseClasses(step.names...)
-		before := len(current.Config.Classes)
+		classesBefore := len(current.Config.Classes)
 		next.Follow(current)
 		for n, name := range step.names {
 			c := next.ByName(name)
@@ -73,8 +73,8 @@
 				t.Errorf("after a reload to %v: ByName(%q) = %+v, want index %d and its own latency objective and deadline", step.names, name, c, step.indexes[n])
 			}
 		}
-		if len(next.Config.Classes) < before || len(next.Config.Classes) != len(next.Deadlines) || next.ByName("b") != nil {
-			t.Errorf("after a reload to %v: %d classes and %d deadlines, want equal numbers, at least %d, and no class b", step.names, len(next.Config.Classes), len(next.Deadlines), before)
+		if len(next.Config.Classes) < classesBefore || len(next.Config.Classes) != len(next.Deadlines) || next.ByName("b") != nil {
+			t.Errorf("after a reload to %v: %d classes and %d deadlines, want equal numbers, at least %d, and no class b", step.names, len(next.Config.Classes), len(next.Deadlines), classesBefore)
 		}
 		current = next
 	}
