--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,5 +1,5 @@
-// Package framing reads complete heads of HTTP/1.1 messages and checks that the end of the
-// message is unambiguous. The client and the server side of the sidecar use it.
+// Package framing reads the head of an HTTP/1.1 message and checks that the length of the message is
+// unambiguous. It is used for messages from clients and from servers.
 package framing
 
 import (
@@ -8,28 +8,32 @@
 	"errors"
 )
 
-// Errors of a head that must not be parsed further.
+// Errors of messages that must be rejected.
 var (
-	ErrLong      = errors.New("framing: head too long")
-	ErrAmbiguous = errors.New("framing: more than one statement of the body's length")
+	// ErrLong reports a head that is longer than the reader's buffer.
+	ErrLong = errors.New("framing: head too long")
+	// ErrAmbiguous reports a head that states the length of the body more than once.
+	ErrAmbiguous = errors.New("framing: body length stated more than once")
+	// ErrMalformed reports a head that is malformed or that parsers may understand differently.
 	ErrMalformed = errors.New("framing: malformed head")
 )
 
-// MaxHead is the longest head read: the buffer that a connection's reader needs.
+// MaxHead is the maximum length of a head in bytes. Readers that are passed to Await have a buffer of this
+// size.
 const MaxHead = 8 << 10
 
-// Await waits until the complete head of the next message is in br's buffer, and returns it
-// without consuming it. The bytes are valid until br is read. A head that the buffer can't
-// hold is ErrLong, which bounds the memory of a head without end.
+// Await waits until the complete head of the next message is in br's buffer, and returns it with its final
+// empty line, without consuming it. The bytes are valid until the next read from br. If the head does not
+// fit the buffer, Await returns ErrLong, so that a head without an end uses bounded memory.
 func Await(br *bufio.Reader) ([]byte, error) {
 	for seen := 0; ; {
 		head, err := br.Peek(br.Buffered())
 		if err != nil {
 			return nil, err
 		}
-		from := max(0, seen-3)
-		if end := headEnd(head[from:]); end > 0 {
-			return head[:from+end], nil
+		unchecked := max(0, seen-3) // the empty line may begin in bytes that were seen before
+		if end := headEnd(head[unchecked:]); end > 0 {
+			return head[:unchecked+end], nil
 		}
 		if len(head) == br.Size() {
 			return nil, ErrLong
@@ -41,29 +45,29 @@
 	}
 }
 
-// headEnd is the place behind the first empty line of b, 0 if there is none.
+// headEnd returns the index after the first empty line of b, or 0 if there is none.
 func headEnd(b []byte) int {
-	for at := 0; ; {
-		n := bytes.IndexByte(b[at:], '\n')
+	for lineStart := 0; ; {
+		n := bytes.IndexByte(b[lineStart:], '\n')
 		if n < 0 {
 			return 0
 		}
-		at += n + 1
-		switch rest := b[at:]; {
+		lineStart += n + 1
+		switch rest := b[lineStart:]; {
 		case len(rest) > 0 && rest[0] == '\n':
-			return at + 1
+			return lineStart + 1
 		case len(rest) > 1 && rest[0] == '\r' && rest[1] == '\n':
-			return at + 2
+			return lineStart + 2
 		}
 	}
 }
 
-// Check looks for what two readers of the same head may understand differently.
-// It guards against a message that hides another in its body: both lengths
-// stated, or one of them twice. It also catches folded lines, control characters
-// inside values and names with blanks, with which a field could be slipped past
-// one reader. It may do harm to a peer that folds lines or repeats an equal
-// Content-Length, both of which HTTP/1.1 has given up.
+// Check rejects a head that two parsers may understand differently, to prevent request and response
+// smuggling. It returns ErrAmbiguous if Content-Length and Transfer-Encoding are both present or one of
+// them is repeated, because a message could then hide another one in its body. It returns ErrMalformed for
+// folded lines, control characters in values, and names with blanks, with which a field could be hidden
+// from one of the parsers. This also rejects peers that fold lines or repeat an equal Content-Length, both
+// of which are obsolete in HTTP/1.1.
 func Check(head []byte) error {
 	lengths, first := 0, true
 	for len(head) > 0 {
--- a/internal/framing/framingtest/dechunk.go
+++ b/internal/framing/framingtest/dechunk.go
@@ -1,6 +1,6 @@
-// Package framingtest reads bodies by the letter of RFC 9112, apart from the library
-// that the sidecar reads them with, so that fuzz targets of both sides can compare.
-// It is for tests only, and knows nothing of heads.
+// Package framingtest parses message bodies as RFC 9112 specifies, independently of the library
+// that the sidecar uses, so that the fuzz tests of package downstream and package upstream can
+// compare the results. It is for tests only, and does not parse heads.
 package framingtest
 
 import (
@@ -12,24 +12,25 @@
 	"strings"
 )
 
-// maxSize is how many digits of a chunk's size the strict reading takes: as many as 64
-// bits need. Longer ones may be refused (RFC 9112, section 7.1, on numerals too large).
-const maxSize = 16
+// maxSizeDigits is the maximum number of digits of a chunk size that strict parsing accepts: as
+// many as 64 bits need. Recipients may reject longer ones (RFC 9112, section 7.1, on numerals
+// that are too large).
+const maxSizeDigits = 16
 
-// Dechunk reads a chunked body. strict keeps to the grammar: each line ends with CRLF,
-// a size is hex digits alone or before an extension. Otherwise a line may end with a
-// bare LF and a size may have blanks behind it, as recipients are allowed to take it.
-// rest is what follows the body.
+// Dechunk parses a chunked body. If strict, it accepts only the grammar: each line ends with CRLF,
+// and a size consists of hexadecimal digits, which only an extension may follow. Otherwise a line
+// may also end with a bare LF, and blanks may follow a size, as recipients are allowed to accept.
+// rest is what follows the body. ok is false if the body is malformed or incomplete.
 func Dechunk(b []byte, strict bool) (body, rest []byte, ok bool) {
 	for {
-		line, after, ok := cutLine(b, strict)
+		line, after, ok := readLine(b, strict)
 		if !ok {
 			return nil, nil, false
 		}
-		size, ext, extended := strings.Cut(line, ";")
+		size, extension, hasExtension := strings.Cut(line, ";")
 		if !strict {
 			size = strings.TrimRight(size, " \t")
-		} else if len(size) > maxSize || extended && (ext == "" || !plain(ext)) {
+		} else if len(size) > maxSizeDigits || hasExtension && (extension == "" || !isPrintable(extension)) {
 			return nil, nil, false
 		}
 		n, err := strconv.ParseUint(size, 16, 31)
@@ -37,7 +38,7 @@
 			return nil, nil, false
 		}
 		if n == 0 {
-			rest, ok := trailers(after, strict)
+			rest, ok := skipTrailers(after, strict)
 			return body, rest, ok
 		}
 		if uint64(len(after)) < n {
@@ -50,26 +51,26 @@
 	}
 }
 
-// trailers reads off the fields behind the last chunk and their empty line.
-func trailers(b []byte, strict bool) (rest []byte, ok bool) {
+// skipTrailers skips the trailer fields after the last chunk and the empty line that ends them.
+func skipTrailers(b []byte, strict bool) (rest []byte, ok bool) {
 	for {
-		line, after, ok := cutLine(b, strict)
+		line, after, ok := readLine(b, strict)
 		if !ok {
 			return nil, false
 		}
 		if line == "" {
 			return after, true
 		}
-		name, _, field := strings.Cut(line, ":")
-		if strict && (!field || !token(name) || !plain(line)) {
+		name, _, hasColon := strings.Cut(line, ":")
+		if strict && (!hasColon || !isFieldName(name) || !isPrintable(line)) {
 			return nil, false
 		}
 		b = after
 	}
 }
 
-// cutLine cuts a line off, without its end.
-func cutLine(b []byte, strict bool) (line string, rest []byte, ok bool) {
+// readLine returns the first line of b, without its line end, and the bytes after it.
+func readLine(b []byte, strict bool) (line string, rest []byte, ok bool) {
 	before, rest, ok := bytes.Cut(b, []byte("\n"))
 	if !ok {
 		return "", nil, false
@@ -81,8 +82,8 @@
 	return line, rest, true
 }
 
-// plain says that s is visible ASCII and blanks.
-func plain(s string) bool {
+// isPrintable reports whether s consists of printable ASCII characters, including spaces.
+func isPrintable(s string) bool {
 	for _, c := range []byte(s) {
 		if c < ' ' || c > '~' {
 			return false
@@ -91,9 +92,9 @@
 	return true
 }
 
-// token says that s is a name of RFC 9110, section 5.6.2, written in letters, digits
-// and hyphens alone.
-func token(s string) bool {
+// isFieldName reports whether s is a token of RFC 9110, section 5.6.2, that consists of letters,
+// digits and hyphens only.
+func isFieldName(s string) bool {
 	for _, c := range []byte(s) {
 		if c != '-' && (c < '0' || c > '9') && (c|0x20 < 'a' || c|0x20 > 'z') {
 			return false
@@ -102,7 +103,7 @@
 	return s != ""
 }
 
-// Seeds are bodies for fuzz targets to begin with: good ones, and ones that readers differ on.
+// Seeds are the initial bodies for fuzz tests: valid ones, and ones on which parsers disagree.
 var Seeds = []string{
 	"0\r\n\r\n", "3\r\nabc\r\n0\r\n\r\n", "3;x=y\r\nabc\r\n0\r\nX: y\r\n\r\n",
 	"3 \r\nabc\r\n0\r\n\r\n", "3\nabc\r\n0\n\n", "3\r\nabcd\r\n0\r\n\r\n",
@@ -113,14 +114,14 @@
 	"yes",
 }
 
-// Reading is what a reader makes of bytes: a body and what follows it, if OK.
+// Reading is the result of parsing a body.
 type Reading struct {
-	Body, Rest []byte
-	OK         bool
+	Body, Rest []byte // the body and what follows it, if OK
+	OK         bool   // the body is valid and complete
 }
 
-// Read reads a body of a stated length, or a chunked one where length is below 0, both
-// strictly and leniently.
+// Read parses a body both strictly and leniently. length is its stated length; below 0, the body
+// is chunked.
 func Read(b []byte, length int) (strict, lenient Reading) {
 	if length < 0 {
 		strict.Body, strict.Rest, strict.OK = Dechunk(b, true)
@@ -132,27 +133,29 @@
 	return strict, lenient
 }
 
-// Check compares what a reader made of text, if it took it, with both readings; must says
-// that it had to take it. Nothing that even the lenient one reads otherwise may pass.
-func Check(text []byte, strict, lenient Reading, must, took bool, got []byte) error {
+// Check compares the result of the parser under test with both readings of text. accepted says whether that
+// parser accepted text, got is then the body that it read, and mustAccept says that it had to accept text.
+// Check returns an error if a text that must be accepted was rejected, or if a text was accepted that the
+// lenient reading rejects or reads differently.
+func Check(text []byte, strict, lenient Reading, mustAccept, accepted bool, got []byte) error {
 	switch {
-	case !took && must:
-		return fmt.Errorf("%q was not taken", text)
-	case !took:
+	case !accepted && mustAccept:
+		return fmt.Errorf("%q was rejected, want it accepted", text)
+	case !accepted:
 	case !lenient.OK:
-		return fmt.Errorf("%q passed for %q", text, got)
+		return fmt.Errorf("%q was accepted with body %q, want it rejected", text, got)
 	case !bytes.Equal(got, lenient.Body):
-		return fmt.Errorf("%q was read as %q, want %q", text, got, lenient.Body)
-	case must && !bytes.Equal(strict.Body, lenient.Body):
-		return fmt.Errorf("the two readings of %q differ: %q, %q", text, strict.Body, lenient.Body)
+		return fmt.Errorf("%q was parsed as body %q, want %q", text, got, lenient.Body)
+	case mustAccept && !bytes.Equal(strict.Body, lenient.Body):
+		return fmt.Errorf("strict and lenient parsing of %q differ: got bodies %q and %q", text, strict.Body, lenient.Body)
 	}
 	return nil
 }
 
-// Send writes text in pieces of that size, until one can't be written.
-func Send(w io.Writer, text []byte, piece int) error {
-	for part := range slices.Chunk(text, piece) {
-		if _, err := w.Write(part); err != nil {
+// Send writes text in pieces of pieceSize bytes. It returns the error of the first write that fails.
+func Send(w io.Writer, text []byte, pieceSize int) error {
+	for piece := range slices.Chunk(text, pieceSize) {
+		if _, err := w.Write(piece); err != nil {
 			return err
 		}
 	}
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -1,10 +1,10 @@
-// Package wire is the codec of the simulator's wire: JSON lines, events in and
-// actions out, in batches.
+// Package wire encodes and decodes the messages of the simulator: lines of JSON, which carry
+// batches of events from the simulator and the resulting actions to it.
 //
-// It owns the wire's message types, keys and values and maps them to the terms of
-// the decision module. Decode rejects a line that is no known message; keys that it
-// does not know are ignored, and missing ones are zero unless the message means
-// nothing without them. It does no I/O and does not check the order of messages.
+// It defines the message types, keys and values of that protocol and maps them to the terms of
+// package martendrum. Decode rejects a line that is not a known message. It ignores unknown keys
+// and takes missing ones as zero, unless the message has no meaning without them. The package
+// does no I/O and does not check the order of messages.
 package wire
 
 import (
@@ -19,35 +19,35 @@
 type Kind int
 
 const (
-	// BatchStart begins a batch of events that happen at one time.
+	// BatchStart begins a batch of events that occur at the same time.
 	BatchStart Kind = iota
 	// BatchEnd ends a batch; the simulator then waits for the reply.
 	BatchEnd
-	// InstanceStarted starts a balancer with its settings.
+	// InstanceStarted starts an instance of the balancer with its settings.
 	InstanceStarted
-	// InstanceStopped stops a balancer.
+	// InstanceStopped stops an instance.
 	InstanceStopped
-	// ServerList carries a numbered list of servers for all instances.
+	// ServerList defines a numbered list of servers, which ServersChanged refers to.
 	ServerList
-	// ServersChanged gives an instance one of the lists, or says that discovery failed.
+	// ServersChanged passes one of the lists to an instance, or says that discovery failed.
 	ServersChanged
-	// RequestArrived is a client's request.
+	// RequestArrived says that a client's request has arrived.
 	RequestArrived
-	// StreamStarted says that an attempt's answer streams.
+	// StreamStarted says that the request body or the answer of an attempt has begun to stream.
 	StreamStarted
-	// AttemptFinished is the outcome of an attempt.
+	// AttemptFinished reports the outcome of an attempt.
 	AttemptFinished
-	// ClientDisconnected says that the client has left.
+	// ClientDisconnected says that the client of a request has disconnected.
 	ClientDisconnected
 	// TimerFired says that a timer has expired.
 	TimerFired
-	// ProbeAnswered is a load report that answers a probe.
+	// ProbeAnswered reports the outcome of a probe, with the server's load report.
 	ProbeAnswered
-	// Message is a message from another instance; the program uses none.
+	// Message is a message from another instance. The program does not use such messages.
 	Message
 )
 
-// kindsByName maps the message types on the wire.
+// kindsByName maps the protocol's names of message types to kinds.
 var kindsByName = map[string]Kind{
 	"tick":            BatchStart,
 	"end":             BatchEnd,
@@ -68,11 +68,11 @@
 const (
 	ChangePartial  = "patch"      // the list holds changed entries
 	ChangeComplete = "whole"      // the list is complete
-	ChangeStale    = "stale_copy" // the list is complete and may be old
+	ChangeStale    = "stale_copy" // the list is complete, but may be outdated
 	ChangeFailed   = "broken"     // there is no list: discovery failed
 )
 
-// The values of ListEntry.Health other than that of a serving server.
+// Values of ListEntry.Health. Any other value stands for a server that serves.
 const (
 	HealthDraining = "DRAINING"
 	HealthRemoved  = "DELETED"
@@ -81,55 +81,56 @@
 // ListEntry is one entry of a server list.
 type ListEntry struct {
 	Server        string
-	Health        string
+	Health        string // HealthDraining, HealthRemoved, or another value if the server serves
 	Zone          string
 	CapacityHint  float64
-	StartedMicros int64 // time of its last start
+	StartedMicros int64 // time of the server's last start, in microseconds
 	Group         int
 }
 
-// LoadReport is a server's load report: the values it carried.
+// LoadReport is a server's load report. HasInFlight and HasUtilization say which values it has.
 type LoadReport struct {
 	InFlight, Utilization       float64
 	HasInFlight, HasUtilization bool
 }
 
-// Event is one message from the simulator. Only the fields of its kind are set. Its
-// byte slices, Settings excepted, are valid until the next Decode.
+// Event is one message from the simulator. Only the fields that belong to its kind are set. Its
+// byte slices, except Settings, are valid until the next Decode. Times are in microseconds.
 type Event struct {
 	Kind           Kind
-	Instance       []byte // of all kinds but BatchStart, BatchEnd and ServerList
+	Instance       []byte // all kinds except BatchStart, BatchEnd and ServerList
 	TimeMicros     int64  // BatchStart: the time of the batch
-	Batch          int64  // BatchStart: the batch's number
+	Batch          int64  // BatchStart: the number of the batch
 	Seed           uint64 // InstanceStarted
 	Settings       []byte // InstanceStarted: JSON
 	ListNumber     int    // ServerList, ServersChanged
 	Entries        []ListEntry
 	Change         []byte // ServersChanged: ChangePartial, ChangeComplete, ...
-	ID             uint64 // of the request
+	ID             uint64 // the request's ID, of all kinds about a request
 	Class          []byte
 	Key            []byte
 	Tenant         []byte
 	DeadlineMicros int64 // RequestArrived
 	Attempt        int   // index of the attempt
-	Finished       bool  // AttemptFinished: the request has its final answer
+	Finished       bool  // AttemptFinished: the request has its final response
 	OutcomeCode    int   // AttemptFinished, ProbeAnswered
 	Report         LoadReport
 	Cookie         uint64 // TimerFired
 	Server         []byte // ProbeAnswered
 }
 
-// Decoder reads messages; it reuses its memory from one to the next.
+// Decoder decodes messages. It reuses its memory for the next message. The zero Decoder is ready for
+// use, by one goroutine at a time.
 type Decoder struct{ parser fastjson.Parser }
 
-// Decode reads one line into e.
+// Decode decodes one line into e, whose previous content is lost. After an error, e is not valid.
 func (d *Decoder) Decode(line []byte, e *Event) error {
 	message, err := d.parser.ParseBytes(line)
 	if err != nil {
-		return fmt.Errorf("not JSON: %w", err)
+		return fmt.Errorf("message is not JSON: %w", err)
 	}
 	if message.Type() != fastjson.TypeObject {
-		return errors.New("not a JSON object")
+		return errors.New("message is not a JSON object")
 	}
 	name := message.GetStringBytes("t")
 	kind, ok := kindsByName[string(name)]
@@ -154,13 +155,13 @@
 func decodeInstanceEvent(message *fastjson.Value, e *Event) error {
 	e.Instance = message.GetStringBytes("sidecarId")
 	if len(e.Instance) == 0 {
-		return errors.New("no sidecarId")
+		return errors.New("message has no sidecarId")
 	}
 	switch e.Kind {
 	case InstanceStarted:
 		settings := message.Get("env")
 		if settings == nil {
-			return errors.New("powerOn without env")
+			return errors.New("powerOn message has no env")
 		}
 		e.Seed = message.GetUint64("entropy")
 		e.Settings = settings.MarshalTo(nil)
@@ -197,17 +198,17 @@
 	return nil
 }
 
-// decodeLoadReport decodes a load report; nil is one without values.
-func decodeLoadReport(v *fastjson.Value) LoadReport {
+// decodeLoadReport decodes a load report. For nil, it returns a report without values.
+func decodeLoadReport(value *fastjson.Value) LoadReport {
 	var report LoadReport
-	if v == nil {
+	if value == nil {
 		return report
 	}
-	if inFlight := v.Get("busy_reqs"); inFlight != nil {
+	if inFlight := value.Get("busy_reqs"); inFlight != nil {
 		report.InFlight = inFlight.GetFloat64()
 		report.HasInFlight = true
 	}
-	if utilization := v.Get("cpu_share"); utilization != nil {
+	if utilization := value.Get("cpu_share"); utilization != nil {
 		report.Utilization = utilization.GetFloat64()
 		report.HasUtilization = true
 	}
@@ -217,17 +218,17 @@
 // decodeServerList decodes a numbered server list.
 func decodeServerList(message *fastjson.Value, e *Event) error {
 	e.ListNumber = message.GetInt("list")
-	for _, v := range message.GetArray("hosts") {
+	for _, host := range message.GetArray("hosts") {
 		entry := ListEntry{
-			Server:        string(v.GetStringBytes("server")),
-			Health:        string(v.GetStringBytes("health")),
-			Zone:          string(v.GetStringBytes("az")),
-			StartedMicros: v.GetInt64("startTimeUs"),
-			Group:         v.GetInt("unitGroup"),
-			CapacityHint:  v.GetFloat64("powerHint"),
+			Server:        string(host.GetStringBytes("server")),
+			Health:        string(host.GetStringBytes("health")),
+			Zone:          string(host.GetStringBytes("az")),
+			StartedMicros: host.GetInt64("startTimeUs"),
+			Group:         host.GetInt("unitGroup"),
+			CapacityHint:  host.GetFloat64("powerHint"),
 		}
 		if entry.Server == "" {
-			return errors.New("ledger entry without server")
+			return errors.New("ledger entry has no server")
 		}
 		e.Entries = append(e.Entries, entry)
 	}
@@ -237,11 +238,11 @@
 // idLength is the number of hexadecimal digits of a request's ID.
 const idLength = 16
 
-// parseID parses a request's ID.
+// parseID parses a request's ID of idLength hexadecimal digits.
 func parseID(text []byte) (uint64, error) {
 	id, err := strconv.ParseUint(string(text), 16, 64)
 	if err != nil || len(text) != idLength {
-		return 0, fmt.Errorf("bad request id %q", text)
+		return 0, fmt.Errorf("invalid request ID %q: want 16 hexadecimal digits", text)
 	}
 	return id, nil
 }
