--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,14 +1,13 @@
-// Package admin is the admin endpoint of a sidecar: GET /api/ready and
-// GET /api/telemetry over HTTP/1.1, one request per connection, on a listener separate
-// from the clients'.
+// Package admin is the admin endpoint of a sidecar: it answers GET /api/ready and GET /api/telemetry over
+// HTTP/1.1, one request per connection, on a listener separate from that for clients.
 //
-// It owns its connections: at most MaxConns at once, each with a bounded lifetime. When
-// one more arrives, the oldest connection is closed, so that callers that only connect
-// can't keep the others out. The package takes no lock of the data path itself; the
-// functions given to New may. It decides nothing about client requests.
+// It owns its connections, of which at most MaxConns are open at once, each for a bounded time. When one
+// more arrives, the oldest connection is closed, so that callers that connect without sending a request
+// can't block others. The package itself takes no lock that client requests need, but the functions that
+// are passed to New may. It does not affect client requests.
 //
-// Requests are read as package front reads them (package framing, then net/http's
-// parser) and not with net/http's server, which alone cost an idle sidecar 1.2 MB.
+// Requests are read with package framing and the parser of net/http, as in package downstream, and not with
+// the server of net/http, which alone used 1.2 MB of memory in an idle sidecar.
 package admin
 
 import (
@@ -30,20 +29,20 @@
 )
 
 const (
-	// MaxConns is the maximum number of open connections. Their descriptors are
-	// reserved: clients and servers can't use them.
+	// MaxConns is the maximum number of open connections. Their file descriptors are reserved, and
+	// not available for connections to clients and servers.
 	MaxConns = 12
-	// MaxSockets is the maximum number of descriptors in use: MaxConns, the listener,
-	// and one connection accepted before another is closed.
+	// MaxSockets is the maximum number of file descriptors in use: those of MaxConns connections,
+	// of the listener, and of one connection that is accepted before another one is closed.
 	MaxSockets = MaxConns + 2
 
-	// readTimeout is the time from accepting a connection to the end of its request.
+	// readTimeout limits the time from accepting a connection to the end of its request.
 	readTimeout = 5 * time.Second
-	// writeTimeout is the time for writing the response.
+	// writeTimeout limits the time for writing the response.
 	writeTimeout = 6 * time.Second
-	// After the response, what the caller still sends is read and dropped within
-	// lingerTimeout and lingerBytes: closing over unread bytes would reset the
-	// connection and could lose the response.
+	// lingerTimeout and lingerBytes limit how much of what the caller still sends is read and
+	// discarded after the response. Closing a connection with unread bytes would reset it, and the
+	// caller might lose the response.
 	lingerTimeout = 200 * time.Millisecond
 	lingerBytes   = 256 << 10
 )
@@ -55,18 +54,19 @@
 
 	mu         sync.Mutex
 	listener   net.Listener
-	acceptedAt map[net.Conn]time.Time // of open connections
+	acceptedAt map[net.Conn]time.Time // the open connections and when each was accepted
 	closed     bool
 	handlers   sync.WaitGroup
 }
 
-// New returns a Server that answers /api/ready from ready and /api/telemetry from
-// writeMetrics.
+// New returns a Server that answers /api/ready with the result of ready, and /api/telemetry with what
+// writeMetrics writes. Both functions are called from several goroutines.
 func New(ready func() bool, writeMetrics func(io.Writer)) *Server {
 	return &Server{ready: ready, writeMetrics: writeMetrics, acceptedAt: make(map[net.Conn]time.Time)}
 }
 
-// Serve answers requests on listener until Close.
+// Serve answers requests on listener until Close is called. It closes the listener if Close was called
+// before.
 func (s *Server) Serve(listener net.Listener) {
 	s.mu.Lock()
 	s.listener = listener
@@ -86,8 +86,8 @@
 	}
 }
 
-// add registers a connection, and closes the oldest one if there are too many. It
-// returns false, with the connection closed, if the server is closed.
+// add registers a connection, and closes the oldest one if there are MaxConns already. If the server is
+// closed, it closes the connection and returns false.
 func (s *Server) add(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +126,7 @@
 	}()
 	conn.SetReadDeadline(time.Now().Add(readTimeout))
 	status, body := s.respond(conn)
-	if status == 0 { // no complete request
+	if status == 0 { // the caller has disconnected
 		return
 	}
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -136,7 +136,7 @@
 	linger(conn)
 }
 
-// remove closes a connection and forgets it.
+// remove closes a connection and unregisters it.
 func (s *Server) remove(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
@@ -144,7 +144,7 @@
 	delete(s.acceptedAt, conn)
 }
 
-// encode returns a response as it is sent.
+// encode returns a complete response, with its head.
 func encode(status int, body []byte) []byte {
 	response := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: text/plain; version=0.0.4; charset=utf-8\r\nContent-Length: %d\r\nConnection: close\r\n",
 		status, http.StatusText(status), len(body))
@@ -155,7 +155,8 @@
 	return append(response, body...)
 }
 
-// linger closes the sending side and drops what the caller still sends, within bounds.
+// linger closes the sending side, and discards what the caller still sends within lingerTimeout and
+// lingerBytes.
 func linger(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
@@ -164,7 +165,7 @@
 	io.Copy(io.Discard, io.LimitReader(conn, lingerBytes))
 }
 
-// readRequest reads a request's head and parses it.
+// readRequest reads a request's head, checks it and parses it.
 func readRequest(conn net.Conn) (*http.Request, error) {
 	reader := bufio.NewReaderSize(conn, framing.MaxHead)
 	head, err := framing.Await(reader)
@@ -177,26 +178,26 @@
 	return http.ReadRequest(reader)
 }
 
-// respond reads a request and returns the response; status is 0 if the caller has left.
+// respond reads a request and returns the response. status is 0 if the caller has disconnected.
 func (s *Server) respond(conn net.Conn) (status int, body []byte) {
 	request, err := readRequest(conn)
 	switch {
 	case errors.Is(err, framing.ErrLong):
-		return http.StatusRequestHeaderFieldsTooLarge, []byte("the call's head is too long\n")
+		return http.StatusRequestHeaderFieldsTooLarge, []byte("the head of the request is too long\n")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return http.StatusRequestTimeout, []byte("no whole call came\n")
+		return http.StatusRequestTimeout, []byte("timed out before the request was complete\n")
 	case errors.Is(err, io.EOF), errors.Is(err, net.ErrClosed):
 		return 0, nil
 	case err != nil:
-		return http.StatusBadRequest, []byte("no call of HTTP/1.1\n")
+		return http.StatusBadRequest, []byte("not a valid HTTP/1.1 request\n")
 	}
 	path := request.URL.Path
 	if path != "/api/ready" && path != "/api/telemetry" {
-		return http.StatusNotFound, []byte("no such call; there are GET /api/ready and GET /api/telemetry\n")
+		return http.StatusNotFound, []byte("no such path; use GET /api/ready or GET /api/telemetry\n")
 	}
 	switch {
 	case request.Method != http.MethodGet:
-		return http.StatusMethodNotAllowed, []byte(path + " takes GET only\n")
+		return http.StatusMethodNotAllowed, []byte(path + " allows GET only\n")
 	case path == "/api/telemetry":
 		var text bytes.Buffer
 		s.writeMetrics(&text)
@@ -204,10 +205,10 @@
 	case s.ready():
 		return http.StatusOK, []byte("yes\n")
 	}
-	return http.StatusServiceUnavailable, []byte("no: this process takes no clients\n")
+	return http.StatusServiceUnavailable, []byte("no: this process accepts no clients\n")
 }
 
-// Close closes the listener and all connections, and waits for their handlers.
+// Close closes the listener and all connections, and waits until their handlers have returned.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Boot goes on as the monotonic clock does, whatever Wall does; Wall is stepped.
-func TestBootIsNotStepped(t *testing.T) {
+// A step of the wall clock changes Wall. Boot advances like the monotonic clock nevertheless.
+func TestStepChangesWallButNotBoot(t *testing.T) {
 	for _, by := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
-		began, boot, wall := time.Now(), Boot(), Wall()
-		back := Step(by)
-		passed, took, stepped := time.Since(began), Boot()-boot, Wall().Sub(wall)
-		back()
-		if off := took - passed; off < -time.Second || off > time.Second {
-			t.Errorf("step %v: %v passed, %v on the boot clock", by, passed, took)
+		began, bootBefore, wallBefore := time.Now(), Boot(), Wall()
+		undo := Step(by)
+		passed, bootPassed, wallChange := time.Since(began), Boot()-bootBefore, Wall().Sub(wallBefore)
+		undo()
+		if off := bootPassed - passed; off < -time.Second || off > time.Second {
+			t.Errorf("step %v: Boot advanced by %v while %v passed", by, bootPassed, passed)
 		}
-		if off := stepped - by; off < 0 || off > time.Second {
-			t.Errorf("step %v: Wall moved by %v", by, stepped)
+		if off := wallChange - by; off < 0 || off > time.Second {
+			t.Errorf("step %v: Wall advanced by %v, want at most 1 s more than the step", by, wallChange)
 		}
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,10 +1,10 @@
 // Package metrics holds a sidecar's metrics, which its admin endpoint exports.
 //
-// It owns the counters of events: the ends of requests and attempts. What another package
-// already knows (open requests, servers, connections) is a gauge that reads it at each
-// export. docs/operate/metrics.md lists names and labels, which keep the operators' words;
-// the terms of the code are mapped to them here. Label values are bounded: a class of the
-// settings or a constant of this program.
+// It owns the counters of events, such as the ends of requests and attempts. For state that another
+// package holds (open requests, servers, connections) it has gauges, which read that state at each
+// export. docs/operate/metrics.md lists the names and labels. They differ from the terms of the code,
+// which are mapped to them here. The number of label values is bounded: each is a class of the settings
+// or a constant of this program.
 package metrics
 
 import (
@@ -19,9 +19,10 @@
 	"martendrum"
 )
 
+// prefix is the beginning of each metric's name.
 const prefix = "edge_balancer_"
 
-// outcomes are the label values of attempts' outcomes.
+// outcomes are the label values of the outcomes of attempts.
 var outcomes = [...]string{
 	martendrum.OK:            "ok",
 	martendrum.ServerError:   "error",
@@ -33,13 +34,13 @@
 	martendrum.NotSent:       "not_sent",
 }
 
-// processingTimeBuckets are the buckets of the time spent in the sidecar itself, in seconds.
+// processingTimeBuckets are the upper bounds of the buckets of the processing time, in seconds.
 var processingTimeBuckets = []float64{.0001, .0002, .0005, .001, .002, .005, .01, .02, .05, .1, .5}
 
-// Set is a sidecar's metrics. Its methods may be called from any goroutine.
+// Set is the set of a sidecar's metrics. Its methods may be called from any goroutine.
 type Set struct {
 	set             *metrics.Set
-	mu              sync.Mutex                        // of changes to classes
+	mu              sync.Mutex                        // held while classes is replaced
 	classes         atomic.Pointer[map[string]*class] // read without a lock
 	attemptsWritten *metrics.Counter
 	attemptOutcomes [len(outcomes)]*metrics.Counter
@@ -51,17 +52,17 @@
 	reasons         map[Reason]*metrics.Counter
 }
 
-// class is what is counted for one class of requests.
+// class has the counters of the responses to requests of one class, by their status.
 type class struct{ ok, shed, errors *metrics.Counter }
 
-// Reason is the limit by which the sidecar rejected a request before deciding on it.
+// Reason is the limit at which the sidecar rejected a request before the Balancer decided on it.
 type Reason string
 
-// The reasons.
+// The limits that a Reason can name.
 const (
 	ConnectionLimit Reason = "connections" // the limit on client connections
 	BodyBytesLimit  Reason = "bytes"       // the limit on buffered body bytes
-	InFlightLimit   Reason = "held"        // as many requests in flight as the settings allow
+	InFlightLimit   Reason = "held"        // the limit on requests in flight
 )
 
 // New returns a Set whose metrics are all 0.
@@ -72,8 +73,8 @@
 	for n, name := range outcomes {
 		s.attemptOutcomes[n] = s.set.NewCounter(prefix + label("attempts", "outcome", name))
 	}
-	for _, r := range []Reason{ConnectionLimit, BodyBytesLimit, InFlightLimit} {
-		s.reasons[r] = s.set.NewCounter(prefix + label("limited", "reason", string(r)))
+	for _, reason := range []Reason{ConnectionLimit, BodyBytesLimit, InFlightLimit} {
+		s.reasons[reason] = s.set.NewCounter(prefix + label("limited", "reason", string(reason)))
 	}
 	s.hedges = s.set.NewCounter(prefix + "copies")
 	s.hedgesWon = s.set.NewCounter(prefix + "copies_won")
@@ -83,12 +84,13 @@
 	return s
 }
 
+// label returns the name of a metric with one label.
 func label(name, key, value string) string {
 	return name + "{" + key + "=" + strconv.Quote(value) + "}"
 }
 
-// Gauge adds a gauge whose value read returns at each export. labels is in the text format,
-// or empty.
+// Gauge adds a gauge. At each export, its value is what read returns. labels are the labels in the
+// Prometheus text format, without braces, or empty. It panics if the gauge exists already.
 func (s *Set) Gauge(name, labels string, read func() float64) {
 	if labels != "" {
 		name += "{" + labels + "}"
@@ -96,8 +98,9 @@
 	s.set.NewGauge(prefix+name, read)
 }
 
-// Classes sets the classes that are counted. Earlier ones keep their counters, since requests
-// of a dropped class may be open and a counter must not decrease.
+// Classes adds counters for the named classes, for at most maxClasses classes in all. Classes that were
+// named before keep their counters, because requests of a removed class may still be open and a counter
+// must not decrease.
 func (s *Set) Classes(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,18 +112,19 @@
 		if next[name] != nil || len(next) >= maxClasses {
 			continue
 		}
-		count := func(result string) *metrics.Counter {
+		counterOf := func(result string) *metrics.Counter {
 			return s.set.GetOrCreateCounter(prefix + "responses{kind=" + strconv.Quote(name) + ",result=" + strconv.Quote(result) + "}")
 		}
-		next[name] = &class{ok: count("ok"), shed: count("shed"), errors: count("errors")}
+		next[name] = &class{ok: counterOf("ok"), shed: counterOf("shed"), errors: counterOf("errors")}
 	}
 	s.classes.Store(&next)
 }
 
-// maxClasses bounds the classes counted over all configurations of a process.
+// maxClasses is the maximum number of classes that a process counts, over all of its configurations.
 const maxClasses = 256
 
-// Answered counts a request's final response by its status.
+// Answered counts a request's final response by the request's class and the response's status. It ignores
+// classes that Classes has not added.
 func (s *Set) Answered(name string, status int) {
 	c := (*s.classes.Load())[name]
 	switch {
@@ -134,35 +138,35 @@
 	}
 }
 
-// Limited counts a request that was rejected by one of the sidecar's own limits.
-func (s *Set) Limited(r Reason) {
-	if c := s.reasons[r]; c != nil {
+// Limited counts a request that the sidecar rejected at one of its own limits.
+func (s *Set) Limited(reason Reason) {
+	if c := s.reasons[reason]; c != nil {
 		c.Inc()
 	}
 }
 
-// AttemptWritten counts an attempt written completely to a server.
+// AttemptWritten counts an attempt that was written completely to a server.
 func (s *Set) AttemptWritten() { s.attemptsWritten.Inc() }
 
-// AttemptStarted counts the start of an attempt; only hedged ones have a metric.
+// AttemptStarted counts the start of an attempt. Only hedged attempts have a metric.
 func (s *Set) AttemptStarted(hedged bool) {
 	if hedged {
 		s.hedges.Inc()
 	}
 }
 
-// AttemptFinished counts the end of an attempt. served reports whether the client got its response.
-func (s *Set) AttemptFinished(o martendrum.Outcome, hedged, served bool) {
-	if int(o) < len(s.attemptOutcomes) {
-		s.attemptOutcomes[o].Inc()
+// AttemptFinished counts the end of an attempt. served reports whether its answer is sent to the client.
+func (s *Set) AttemptFinished(outcome martendrum.Outcome, hedged, served bool) {
+	if int(outcome) < len(s.attemptOutcomes) {
+		s.attemptOutcomes[outcome].Inc()
 	}
 	if hedged && served {
 		s.hedgesWon.Inc()
 	}
 }
 
-// ProcessingTime observes the time that a request spent in the sidecar itself before its first
-// attempt or its response, whichever came first.
+// ProcessingTime observes the time from the receipt of a request to the start of its first attempt, which the
+// request spent in the sidecar itself.
 func (s *Set) ProcessingTime(took time.Duration) { s.processingTime.Update(took.Seconds()) }
 
 // Configured counts a configuration that was applied or rejected.
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// The parts of a plan add up for every deadline: the last of them is done before the earliest kill,
-// even if the process stalls for MaxStall just then.
+// For every deadline, each step of the plan ends before the earliest kill, even if the process stalls for
+// MaxStall during that step.
 func TestPlansAddUp(t *testing.T) {
 	for longest := 50 * time.Millisecond; longest <= 20*time.Second; longest += 50 * time.Millisecond {
 		plan := For(longest)
-		earliest := min(longest, 3*time.Second) + 700*time.Millisecond
-		if plan.Kill != earliest {
-			t.Errorf("%v: the kill is expected at %v, it may come at %v", longest, plan.Kill, earliest)
+		earliestKill := min(longest, 3*time.Second) + 700*time.Millisecond
+		if plan.Kill != earliestKill {
+			t.Errorf("longest deadline %v: Kill = %v, want %v", longest, plan.Kill, earliestKill)
 		}
-		for name, at := range map[string]time.Duration{"the last accept": plan.StopAccepting, "the last answer": plan.AnswerAll, "the end": plan.End} {
-			if at+MaxStall >= earliest {
-				t.Errorf("%v: %s at %v, and the kill at %v", longest, name, at, earliest)
+		for name, at := range map[string]time.Duration{"step StopAccepting": plan.StopAccepting, "step AnswerAll": plan.AnswerAll, "step End": plan.End} {
+			if at+MaxStall >= earliestKill {
+				t.Errorf("longest deadline %v: %s at %v, want more than %v before the kill at %v", longest, name, at, MaxStall, earliestKill)
 			}
 		}
 		if plan.AnswerAll >= plan.End {
-			t.Errorf("%v: all is answered at %v, and the end is at %v", longest, plan.AnswerAll, plan.End)
+			t.Errorf("longest deadline %v: AnswerAll = %v, want it before End = %v", longest, plan.AnswerAll, plan.End)
 		}
 		if plan.StopAccepting < MaxAcceptPeriod {
-			t.Errorf("%v: clients connect up to %v, they are accepted up to %v", longest, MaxAcceptPeriod, plan.StopAccepting)
+			t.Errorf("longest deadline %v: StopAccepting = %v, want at least %v, for which clients may connect", longest, plan.StopAccepting, MaxAcceptPeriod)
 		}
-		// A request accepted at the signal has its full timeout, as far as the kill allows.
+		// A request that arrives with the signal has its full timeout, up to MaxDeadline.
 		if timeout := min(longest, 3*time.Second); plan.AnswerAll < timeout {
-			t.Errorf("%v: a request has %v of its %v", longest, plan.AnswerAll, timeout)
+			t.Errorf("longest deadline %v: AnswerAll = %v, want at least the timeout of a request, %v", longest, plan.AnswerAll, timeout)
 		}
 	}
 }
