--- a/internal/netconn/accept_test.go
+++ b/internal/netconn/accept_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// acceptErrnos are what accept(2) documents, and what it hands on of the network.
+// acceptErrnos are the errors that accept(2) documents, including the network errors that it passes on.
 var acceptErrnos = []syscall.Errno{
 	syscall.EAGAIN, syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ESOCKTNOSUPPORT, syscall.EPROTONOSUPPORT,
 }
 
-// A loop that accepts outlives every error of the moment, and ends with its listener.
+// Accept retries after every temporary error, and returns an error only when its listener is closed.
 func TestAcceptOutlivesErrors(t *testing.T) {
 	for _, errno := range acceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -33,17 +33,17 @@
 			failed := func(err error) {
 				failures++
 				if full := IsTableFull(err); full != (errno == syscall.EMFILE || errno == syscall.ENFILE) {
-					t.Errorf("table full: %v", full)
+					t.Errorf("IsTableFull(%v) = %v, want %v", err, full, !full)
 				}
 			}
 			if conn, err := Accept("test", accept, failed); conn != 42 || err != nil {
-				t.Errorf("accepted %v, %v", conn, err)
+				t.Errorf("Accept() = %v, %v; want 42 and no error", conn, err)
 			}
 			if failures != 2 {
-				t.Errorf("%d failures were reported of 2", failures)
+				t.Errorf("%d failures were reported, want 2", failures)
 			}
 			if _, err := Accept("test", accept, nil); !errors.Is(err, net.ErrClosed) {
-				t.Errorf("a closed listener: %v", err)
+				t.Errorf("Accept() on a closed listener: got error %v, want %v", err, net.ErrClosed)
 			}
 		})
 	}
--- a/internal/netconn/lazy.go
+++ b/internal/netconn/lazy.go
@@ -1,6 +1,6 @@
-// Package netconn reads sockets with buffers that exist only while needed, and queries socket
-// state that the net package does not expose. The client and the server side of the sidecar
-// use it; it parses no messages.
+// Package netconn reads sockets through buffers that are held only while they are needed, and queries socket
+// state that package net does not expose. It is used for connections to clients and to servers, and parses
+// no messages.
 package netconn
 
 import (
@@ -16,36 +16,38 @@
 	"martendrum/internal/framing"
 )
 
-// Lazy reads a connection through a buffer that it holds only while bytes of the peer are
-// unread or being read, so that idle connections cost no buffer. Its methods are for one
-// reading goroutine at a time, except Quiet, IfQuiet, Rest and Left; the first three decide
-// together with the reader, under one lock, which of them acts first.
+// Lazy reads a connection through a pooled buffer, which it holds only while bytes of the peer are unread or
+// being read, so that idle connections need no buffer.
+//
+// Only one goroutine at a time, the reader, may call its methods, except Quiet, IfQuiet, MarkHandled, WriteNow
+// and Left, which any goroutine may call. One lock puts Quiet, IfQuiet and MarkHandled in order with the
+// reads of Wait.
 type Lazy struct {
-	nc  net.Conn
-	raw syscall.RawConn // nil: not a socket, read without polling
-	now *buffer         // nil: none held
+	conn net.Conn
+	raw  syscall.RawConn // nil: conn is not a socket and is read directly
+	held *buffer         // nil: no buffer is held
 
-	mu    sync.Mutex // held while bytes are read off the socket, and while that must not happen
-	found bool       // Wait has found something, and the reader may be about to act on it
+	mu    sync.Mutex // held while Wait reads from the socket, and to prevent that
+	found bool       // Wait has found bytes or an error that the reader may not have handled yet
 }
 
-// buffer is a pooled reader. Its source is a descriptor within a raw read, else the
-// connection.
+// buffer is a pooled buffered reader with its source.
 type buffer struct {
-	br  *bufio.Reader
-	src source
+	reader *bufio.Reader
+	source source
 }
 
+// source is what a buffer reads from: the descriptor fd during a raw read, otherwise conn.
 type source struct {
-	nc  net.Conn
-	fd  int
-	raw bool
+	conn net.Conn
+	fd   int
+	raw  bool
 }
 
-// Read implements io.Reader. On a descriptor it does not wait.
+// Read implements io.Reader. A raw read does not block, and returns EAGAIN if there is nothing to read.
 func (s *source) Read(p []byte) (int, error) {
 	if !s.raw {
-		return s.nc.Read(p)
+		return s.conn.Read(p)
 	}
 	for {
 		n, err := syscall.Read(s.fd, p)
@@ -61,146 +63,152 @@
 	}
 }
 
+// buffers holds unused buffers.
 var buffers = sync.Pool{New: func() any {
 	b := new(buffer)
-	b.br = bufio.NewReaderSize(&b.src, framing.MaxHead)
+	b.reader = bufio.NewReaderSize(&b.source, framing.MaxHead)
 	return b
 }}
 
-func take(src source) *buffer {
+// getBuffer returns an empty buffer that reads from src.
+func getBuffer(src source) *buffer {
 	b := buffers.Get().(*buffer)
-	b.src = src
-	b.br.Reset(&b.src)
+	b.source = src
+	b.reader.Reset(&b.source)
 	return b
 }
 
-// put gives b back. Nothing of the connection stays in it.
-func put(b *buffer) {
-	b.src = source{}
+// putBuffer returns b to the pool, without a reference to the connection.
+func putBuffer(b *buffer) {
+	b.source = source{}
 	buffers.Put(b)
 }
 
-// NewLazy returns a Lazy of nc. It holds nothing yet.
-func NewLazy(nc net.Conn) *Lazy {
-	l := &Lazy{nc: nc}
-	if sc, ok := nc.(syscall.Conn); ok {
-		if raw, err := sc.SyscallConn(); err == nil {
+// NewLazy returns a Lazy that reads conn. It holds no buffer yet.
+func NewLazy(conn net.Conn) *Lazy {
+	l := &Lazy{conn: conn}
+	if socket, ok := conn.(syscall.Conn); ok {
+		if raw, err := socket.SyscallConn(); err == nil {
 			l.raw = raw
 		}
 	}
 	return l
 }
 
-// Wait waits until there is a byte to read, under the connection's read deadline, and
-// gives the buffer back meanwhile. It takes no system call more than a plain read: the
-// buffer is taken when the socket is tried, and given back if there was nothing.
-// Errors are those of a read; io.EOF is the connection's end.
+// Wait waits until there is a byte to read, or until the connection's read deadline. It holds no buffer
+// meanwhile. It needs no more system calls than a plain read: it gets a buffer for each try to read the
+// socket, and returns it to the pool if there was nothing to read. Its errors are those of a read; io.EOF is
+// the end of the connection.
 func (l *Lazy) Wait() error {
-	if l.now != nil {
-		if l.now.br.Buffered() > 0 {
+	if l.held != nil {
+		if l.held.reader.Buffered() > 0 {
 			return nil
 		}
-		l.drop()
+		l.releaseBuffer()
 	}
-	l.Rest()
+	l.MarkHandled()
 	if l.raw == nil {
-		l.now = take(source{nc: l.nc})
+		l.held = getBuffer(source{conn: l.conn})
 		return l.peek()
 	}
 	var err error
-	if waited := l.raw.Read(func(fd uintptr) (done bool) {
+	if waitErr := l.raw.Read(func(fd uintptr) (done bool) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.now = take(source{fd: int(fd), raw: true})
+		l.held = getBuffer(source{fd: int(fd), raw: true})
 		if err = l.peek(); err == syscall.EAGAIN {
 			return false
 		}
 		l.found = true
 		return true
-	}); waited != nil {
-		l.drop()
-		return waited
+	}); waitErr != nil {
+		l.releaseBuffer()
+		return waitErr
 	}
 	if err != nil {
 		if _, ok := err.(syscall.Errno); ok {
-			err = &net.OpError{Op: "read", Net: "tcp", Source: l.nc.LocalAddr(), Addr: l.nc.RemoteAddr(), Err: err}
+			err = &net.OpError{Op: "read", Net: "tcp", Source: l.conn.LocalAddr(), Addr: l.conn.RemoteAddr(), Err: err}
 		}
 		return err
 	}
-	l.now.src = source{nc: l.nc}
+	l.held.source = source{conn: l.conn}
 	return nil
 }
 
-// peek fills the buffer by one read; without a byte it gives the buffer back.
+// peek fills the buffer with one read. If that returns no byte, the buffer is released.
 func (l *Lazy) peek() error {
-	_, err := l.now.br.Peek(1)
+	_, err := l.held.reader.Peek(1)
 	if err != nil {
-		l.drop()
+		l.releaseBuffer()
 	}
 	return err
 }
 
-func (l *Lazy) drop() {
-	if l.now != nil {
-		put(l.now)
-		l.now = nil
+// releaseBuffer returns the buffer to the pool, if one is held.
+func (l *Lazy) releaseBuffer() {
+	if l.held != nil {
+		putBuffer(l.held)
+		l.held = nil
 	}
 }
 
-// Rest says that what Wait found has been read: the reader owes it nothing more.
-func (l *Lazy) Rest() {
+// MarkHandled records that the reader has handled what Wait has found, so that the connection can be quiet
+// again.
+func (l *Lazy) MarkHandled() {
 	l.mu.Lock()
 	l.found = false
 	l.mu.Unlock()
 }
 
-// Quiet says that nothing has come that is not read yet, the connection's end included,
-// and that the reader has found nothing since it was at rest. It does not wait, takes
-// nothing, and may be called from any goroutine. What is no socket passes for quiet.
+// Quiet reports whether the connection is quiet: neither bytes nor the end of the connection are waiting in
+// the socket, and Wait has found nothing since the last MarkHandled. It does not block, consumes nothing, and
+// may be called from any goroutine. A connection that is not a socket always counts as quiet.
 func (l *Lazy) Quiet() bool { return l.IfQuiet(func() {}) }
 
-// IfQuiet calls f if the connection is quiet, and says whether it did. The reader takes
-// nothing off the socket meanwhile: what it finds later came after f had begun. f must
-// not wait.
+// IfQuiet calls f if the connection is quiet (see Quiet), and reports whether it did. While f runs, the reader
+// does not read from the socket, so that anything it finds later has arrived after the check. f must not
+// block. IfQuiet may be called from any goroutine.
 func (l *Lazy) IfQuiet(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.found || !l.empty() {
+	if l.found || !l.isSocketEmpty() {
 		return false
 	}
 	f()
 	return true
 }
 
-// empty says that the socket holds nothing unread.
-func (l *Lazy) empty() bool {
+// isSocketEmpty reports whether the socket holds neither unread bytes nor the end of the connection. It
+// returns true if the connection is not a socket.
+func (l *Lazy) isSocketEmpty() bool {
 	if l.raw == nil {
 		return true
 	}
-	var one [1]byte
-	still := false
+	var peeked [1]byte
+	empty := false
 	err := l.raw.Control(func(fd uintptr) {
 		err := syscall.EINTR
 		for err == syscall.EINTR {
-			_, _, e := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-			err, _ = e.(syscall.Errno)
+			_, _, recvErr := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+			err, _ = recvErr.(syscall.Errno)
 		}
-		still = err == syscall.EAGAIN
+		empty = err == syscall.EAGAIN
 	})
-	return err == nil && still
+	return err == nil && empty
 }
 
-// WriteNow writes what the socket takes at once, and returns how much that was: less than
-// all is no error. It may be called from any goroutine. What is no socket takes nothing.
+// WriteNow writes as much of b as the socket's send buffer accepts without blocking, and returns how many
+// bytes that was. It is not an error if that is less than all of b. It may be called from any goroutine. To a
+// connection that is not a socket, it writes nothing.
 func (l *Lazy) WriteNow(b []byte) (n int, err error) {
 	if l.raw == nil {
 		return 0, nil
 	}
-	failed := l.raw.Write(func(fd uintptr) (done bool) {
+	rawErr := l.raw.Write(func(fd uintptr) (done bool) {
 		for n < len(b) && err == nil {
-			var m int
-			if m, err = syscall.Write(int(fd), b[n:]); m > 0 {
-				n += m
+			var written int
+			if written, err = syscall.Write(int(fd), b[n:]); written > 0 {
+				n += written
 			}
 			if err == syscall.EINTR {
 				err = nil
@@ -211,35 +219,36 @@
 	if err == syscall.EAGAIN {
 		err = nil
 	}
-	return n, cmp.Or(failed, err)
+	return n, cmp.Or(rawErr, err)
 }
 
-// Left says that the peer has closed its side or reset the connection, also where bytes
-// lie unread before that. It does not wait, and may be called from any goroutine. Of what
-// is no socket nothing is known.
+// Left reports whether the peer has closed its side of the connection or reset it, even if bytes that arrived
+// before are still unread. It does not block, and may be called from any goroutine. It returns false if the
+// connection is not a socket.
 func (l *Lazy) Left() bool {
 	if l.raw == nil {
 		return false
 	}
-	left := false
+	closed := false
 	err := l.raw.Control(func(fd uintptr) {
-		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(p, 0)
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(fds, 0)
 		for err == unix.EINTR {
-			n, err = unix.Poll(p, 0)
+			n, err = unix.Poll(fds, 0)
 		}
-		left = err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		closed = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return err != nil || left
+	return err != nil || closed
 }
 
-// Reader is what Wait has found something in, good until the next Wait.
-func (l *Lazy) Reader() *bufio.Reader { return l.now.br }
+// Reader returns the reader of the connection, which holds what Wait has found. It is valid until the next
+// Wait. It must be called only after a Wait that returned no error.
+func (l *Lazy) Reader() *bufio.Reader { return l.held.reader }
 
-// Buffered is how many bytes have been read off the socket and not taken.
+// Buffered returns the number of bytes that have been read from the socket and not from Reader.
 func (l *Lazy) Buffered() int {
-	if l.now == nil {
+	if l.held == nil {
 		return 0
 	}
-	return l.now.br.Buffered()
+	return l.held.reader.Buffered()
 }
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -8,12 +8,13 @@
 	"martendrum/internal/upstream"
 )
 
-// attempt is one attempt of a request. Its own fields are guarded by the Host's lock.
+// attempt is one attempt of a client's request. The fields that it adds to upstream.Attempt are
+// guarded by the Host's lock.
 type attempt struct {
 	upstream.Attempt
 	host    *Host
 	request *clientRequest
-	index   int // among the request's attempts
+	index   int // position among the request's attempts, from 0
 
 	finished bool
 	hedged   bool // another attempt was open when it was sent
@@ -22,13 +23,13 @@
 }
 
 // Send implements martendrum.Host.
-func (h *Host) Send(id martendrum.RequestID, server string, timeout, within time.Duration) {
+func (h *Host) Send(id martendrum.RequestID, server string, timeout, sendWithin time.Duration) {
 	request := h.requests[id]
 	if request == nil {
 		return
 	}
 	now := time.Now()
-	a := h.newAttempt(request, server, now.Add(timeout), now.Add(within))
+	a := h.newAttempt(request, server, now.Add(timeout), now.Add(sendWithin))
 	if a.index == 0 {
 		h.meter.ProcessingTime(now.Sub(request.exchange.Received))
 	}
@@ -42,9 +43,10 @@
 	h.enqueue(func() { h.pool.Start(&a.Attempt) })
 }
 
-// newAttempt returns the next attempt of a request.
-func (h *Host) newAttempt(request *clientRequest, server string, deadline, latest time.Time) *attempt {
-	x := request.exchange
+// newAttempt returns the next attempt of a request. It expires at deadline, and its last byte must
+// have been sent by sendBefore.
+func (h *Host) newAttempt(request *clientRequest, server string, deadline, sendBefore time.Time) *attempt {
+	exchange := request.exchange
 	a := &attempt{
 		host:    h,
 		request: request,
@@ -52,30 +54,32 @@
 		hedged:  request.open > 0,
 	}
 	a.Attempt = upstream.Attempt{
-		Request:       &x.Request,
+		Request:       &exchange.Request,
 		Server:        server,
 		Deadline:      deadline,
-		SendBefore:    latest,
+		SendBefore:    sendBefore,
 		Sink:          a,
-		NonRepeatable: x.Rules.Rules.Idempotency == martendrum.NonIdempotent,
-		ClientLeft:    x.ClientLeft,
-		OnWritten:     h.wrote,
+		NonRepeatable: exchange.Rules.Rules.Idempotency == martendrum.NonIdempotent,
+		ClientLeft:    exchange.ClientLeft,
+		OnWritten:     h.onWritten,
 	}
-	if x.Request.Stream != nil {
-		a.OnClaimed, a.OnWritten, a.Patience = a.claimed, a.uploaded, request.timeout
+	if exchange.Request.Stream != nil {
+		a.OnClaimed, a.OnWritten, a.MaxSentTimeout = a.claimed, a.uploaded, request.timeout
 	}
 	return a
 }
 
-// claimed tells the Balancer that no other attempt can send the request's body.
+// claimed tells the Balancer that this attempt has claimed the streamed body, so that no other attempt
+// can send it.
 func (a *attempt) claimed() {
 	a.host.handle(func(now time.Duration) { a.host.balancer.StreamStarted(now, a.request.id, a.index) })
 }
 
-// uploaded sets the final deadline of a streamed request, whose timeout begins after its upload.
+// uploaded sets the final deadline of a streamed request, whose timeout begins when its body has been
+// uploaded.
 func (a *attempt) uploaded() {
 	h := a.host
-	h.wrote()
+	h.onWritten()
 	h.handle(func(now time.Duration) {
 		request := a.request
 		if request.exchange == nil || request.answered {
@@ -86,12 +90,12 @@
 }
 
 // Cancel implements martendrum.Host.
-func (h *Host) Cancel(id martendrum.RequestID, n int) {
+func (h *Host) Cancel(id martendrum.RequestID, index int) {
 	request := h.requests[id]
-	if request == nil || n >= len(request.attempts) {
+	if request == nil || index >= len(request.attempts) {
 		return
 	}
-	a := request.attempts[n]
+	a := request.attempts[index]
 	a.unsent = !a.Abandon()
 	h.enqueue(func() {
 		a.Close()
@@ -99,7 +103,7 @@
 	})
 }
 
-// expireAttempt ends an attempt at the deadline of its request.
+// expireAttempt ends an open attempt at the deadline of its request.
 func (h *Host) expireAttempt(now time.Duration, a *attempt) {
 	outcome := martendrum.TimedOut
 	if !a.Abandon() {
@@ -114,7 +118,7 @@
 	a.host.handle(func(now time.Duration) { a.host.endAttempt(now, a, outcome, answer, report) })
 }
 
-// endAttempt handles an attempt's outcome. Only the first outcome counts.
+// endAttempt handles the outcome of an attempt. Later outcomes of the same attempt are ignored.
 func (h *Host) endAttempt(now time.Duration, a *attempt, outcome martendrum.Outcome, answer *upstream.Answer, report martendrum.LoadReport) {
 	if a.finished {
 		return
@@ -123,25 +127,26 @@
 	a.finished, a.neverRan = true, a.unsent || outcome.ProvablyNotExecuted()
 	request.open--
 	if answer != nil && answer.Rest != nil && request.entry != nil {
-		// The idempotency store records complete answers only, and serves them after Done.
-		slog.Warn("an answer too long for the record", "server", a.Server)
+		// The idempotency store records only complete answers, and sends them to the client
+		// after Done has returned, when the rest can't be read any more.
+		slog.Warn("server's answer is too long for the idempotency store", "server", a.Server)
 		outcome, answer = martendrum.Reset, nil
 	}
 	if outcome == martendrum.OK && answer == nil && !request.answered {
-		outcome = martendrum.Reset // there is no answer to forward
+		outcome = martendrum.Reset // the server's answer is missing, so there is nothing to forward
 	}
 	success := outcome == martendrum.OK && answer != nil
 	served := success && !request.answered
 	switch {
 	case served:
 		h.markAnswered(request)
-		x := request.exchange
-		h.recordEnd(request, Served, answer, func() { x.Serve(answer) })
-	case success: // too late for the client, but still recorded
+		exchange := request.exchange
+		h.recordEnd(request, Served, answer, func() { exchange.Serve(answer) })
+	case success: // the client already has its response, but the answer is still recorded
 		h.recordEnd(request, Served, answer, nil)
 	}
 	h.meter.AttemptFinished(outcome, a.hedged, served)
-	if outcome == martendrum.NotSent && !request.answered && request.exchange.ClientLeft() { // the connection's goroutine may not have noticed yet
+	if outcome == martendrum.NotSent && !request.answered && request.exchange.ClientLeft() { // the goroutine of the client's connection may not have noticed the disconnect yet
 		h.balancer.ClientDisconnected(now, request.id)
 		h.Fail(request.id)
 	}
--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -13,9 +13,9 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// BenchmarkHotPath is one small request through the sidecar and back, one after the
-// other on one connection, on whatever cores -cpu gives. The client and the server
-// are as lean as they can be, and part of the figure.
+// BenchmarkHotPath sends small requests through the sidecar one after the other on one
+// connection, on as many cores as -cpu sets. The time of the client and the server, which do
+// as little as possible, is part of the result.
 func BenchmarkHotPath(b *testing.B) {
 	server := tcp.Serve(b, func(_ int, c net.Conn) {
 		buf := make([]byte, 8<<10)
@@ -33,7 +33,7 @@
 	_, _, at := start(b, server)
 	c, err := net.Dial("tcp", at)
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("connecting to the sidecar: %v", err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Minute))
@@ -47,19 +47,19 @@
 		request = strconv.AppendInt(request, int64(id), 10)
 		request = append(request, "\r\nReq-Kind: pay\r\nReq-Deadline-Ms: 5000\r\nContent-Length: 0\r\n\r\n"...)
 		if _, err := c.Write(request); err != nil {
-			b.Fatal(err)
+			b.Fatalf("writing request %d: %v", id, err)
 		}
-		if err := answered(br); err != nil {
-			b.Fatal(err)
+		if err := readOK(br); err != nil {
+			b.Fatalf("request %d: %v", id, err)
 		}
 	}
 }
 
-// answered reads an answer of 200 with three bytes.
-func answered(br *bufio.Reader) error {
+// readOK reads a response, which must have status 200 and a body of three bytes.
+func readOK(br *bufio.Reader) error {
 	line, err := br.ReadSlice('\n')
 	if err != nil || !bytes.HasPrefix(line, []byte("HTTP/1.1 200")) {
-		return fmt.Errorf("answered %q, %w", line, err)
+		return fmt.Errorf("got status line %q, want status 200 (read error: %w)", line, err)
 	}
 	for len(line) > 2 {
 		if line, err = br.ReadSlice('\n'); err != nil {
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -1,9 +1,9 @@
 // Package sidecar runs one Balancer on real sockets. It owns the requests in flight and their
-// deadlines, passes events of clients, servers and discovery to the Balancer, and carries out its
-// decisions.
+// deadlines, passes events from clients, servers and discovery to the Balancer, and carries out the
+// Balancer's decisions.
 //
 // It guarantees one final response to each request by its deadline, whatever the Balancer decides.
-// It decides nothing itself but to enforce limits.
+// It makes no decisions of its own, except that it enforces limits.
 package sidecar
 
 import (
@@ -26,14 +26,15 @@
 type Host struct {
 	pool    *upstream.Pool
 	watcher *discovery.Watcher
-	classes atomic.Pointer[map[string]*settings.Class] // by name, of the settings in force
+	classes atomic.Pointer[map[string]*settings.Class] // by name; the classes of the settings in force
 
 	recorder Recorder // nil: no idempotency store
 	meter    Meter
-	wrote    func() // meter.AttemptWritten, bound once
+	// onWritten is meter.AttemptWritten, stored so that its method value is created only once.
+	onWritten func()
 
 	started     time.Time
-	startedUnix time.Duration // started as Unix time by the wall clock, which may be wrong
+	startedUnix time.Duration // Unix time of started by the wall clock, which may be wrong
 
 	// Guarded by mu.
 	mu       sync.Mutex
@@ -43,13 +44,14 @@
 	lastID   martendrum.RequestID
 	limits   inFlightLimits
 	timers   timerQueue
-	actions  []func()      // to be carried out once mu is released
-	stopAt   time.Duration // every request ends by then; 0: no shutdown is planned
-	ready    bool
+	actions  []func()      // decisions to carry out once mu is released
+	stopAt   time.Duration // deadline of all requests; 0: no shutdown is planned
+	ready    bool          // the sidecar accepts clients
 }
 
-// New returns a Host of a new Balancer, to which the watcher reports the servers.
-func New(set *settings.Settings, seed uint64, pool *upstream.Pool, watcher *discovery.Watcher) (*Host, error) {
+// New returns a Host with a new Balancer. It sets the watcher's callbacks, so that the watcher reports
+// servers to the Host. The error is the Balancer's, for settings that it does not accept.
+func New(initial *settings.Settings, seed uint64, pool *upstream.Pool, watcher *discovery.Watcher) (*Host, error) {
 	started := time.Now()
 	h := &Host{
 		pool:        pool,
@@ -57,26 +59,26 @@
 		meter:       unmetered{},
 		started:     started,
 		startedUnix: time.Duration(clock.Wall().UnixNano()),
-		settings:    set,
+		settings:    initial,
 		requests:    make(map[martendrum.RequestID]*clientRequest),
 		limits: inFlightLimits{
-			local:  cmp.Or(set.MaxInFlight, math.MaxInt),
-			shared: cmp.Or(set.MaxInFlight, math.MaxInt),
+			local:  cmp.Or(initial.MaxInFlight, math.MaxInt),
+			shared: cmp.Or(initial.MaxInFlight, math.MaxInt),
 		},
 	}
 	watcher.Listed, watcher.Failed = h.Listed, h.DiscoveryFailed
-	h.wrote = h.meter.AttemptWritten
+	h.onWritten = h.meter.AttemptWritten
 	h.publishClasses()
 	h.timers.runtime = time.AfterFunc(time.Hour, h.fireTimers)
 	var err error
-	h.handle(func(time.Duration) { h.balancer, err = martendrum.New(set.Config, seed, h) })
+	h.handle(func(time.Duration) { h.balancer, err = martendrum.New(initial.Config, seed, h) })
 	return h, err
 }
 
 // now returns the Unix time of the process's start by the wall clock, advanced by the
-// monotonic clock, so that no clock step moves it. The Balancer allows for an error of the
-// wall clock (package martendrum, slowstart.go). now is called under the lock, so that the
-// Balancer's events are in the order of their times.
+// monotonic clock, so that steps of the wall clock do not change it. The Balancer allows for an
+// error of the wall clock (package martendrum, slowstart.go). now is called under the lock, so
+// that the Balancer gets its events in the order of their times.
 func (h *Host) now() time.Duration { return h.startedUnix + time.Since(h.started) }
 
 // handle passes an event to the Balancer and then carries out its decisions.
@@ -101,7 +103,7 @@
 // enqueue adds an action to be carried out once the lock is released. The lock is held.
 func (h *Host) enqueue(action func()) { h.actions = append(h.actions, action) }
 
-// Ready implements downstream.Handler.
+// Ready implements downstream.Handler. It returns what SetReady has set, at first false.
 func (h *Host) Ready() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,13 +122,13 @@
 	return (*h.classes.Load())[name]
 }
 
-// Reconfigure replaces the settings, completely or not at all. Requests that have been read keep the
-// class of the settings before.
-func (h *Host) Reconfigure(set *settings.Settings) (err error) {
+// Reconfigure replaces the settings. If it returns an error, the previous settings stay in force.
+// Requests that have been read keep their class of the previous settings.
+func (h *Host) Reconfigure(updated *settings.Settings) (err error) {
 	h.handle(func(time.Duration) {
-		set.Follow(h.settings)
-		if err = h.balancer.Reconfigure(set.Config); err == nil {
-			h.settings = set
+		updated.Follow(h.settings)
+		if err = h.balancer.Reconfigure(updated.Config); err == nil {
+			h.settings = updated
 			h.publishClasses()
 		}
 	})
@@ -142,21 +144,21 @@
 	h.classes.Store(&classes)
 }
 
-// Learned returns what the Balancer has learned.
+// Learned returns the state that the Balancer has learned, for Learn of another process.
 func (h *Host) Learned() martendrum.LearnedState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.balancer.LearnedState(h.now())
 }
 
-// Learn restores what another process's Balancer had learned; age is the age of that state. It is
-// called after the list of servers has arrived and before the first request.
+// Learn restores the state that another process's Balancer has learned; age is the time since that
+// state was saved. It is called after the list of servers has arrived and before the first request.
 func (h *Host) Learn(learned martendrum.LearnedState, age time.Duration) {
 	h.handle(func(now time.Duration) { h.balancer.Restore(now, learned, age) })
 }
 
-// Steer calls steer under the lock, to read the Balancer and set its bounds; arrivals is the number
-// of requests that have arrived. steer must not block.
+// Steer calls steer under the lock, to read the Balancer and set its bounds. arrivals is the number of
+// requests so far, without those rejected at the limit on requests in flight. steer must not block.
 func (h *Host) Steer(steer func(now time.Duration, arrivals uint64, b *martendrum.Balancer)) {
 	h.handle(func(now time.Duration) { steer(now, uint64(h.lastID), h.balancer) })
 }
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -17,32 +17,32 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// A client that disconnects while its request waits for a connection, or while its body is not
-// read yet, is noticed at once, and nothing is sent for it when the connection is up, whether or
-// not cancellation is announced to servers.
+// If a client disconnects while its request waits for a connection to a server, or before its body has
+// been read, the sidecar notices that at once and sends nothing once the connection is established,
+// whether or not the settings let it cancel attempts.
 func TestNoAttemptAfterDisconnect(t *testing.T) {
-	for _, may := range []string{"true", "false"} {
+	for _, mayCancel := range []string{"true", "false"} {
 		for name, request := range map[string]string{
 			"no body":   "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n",
 			"long body": "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nContent-Length: 1000000\r\n\r\n" + strings.Repeat("x", 80<<10),
 		} {
-			t.Run(fmt.Sprintf("%s, may cancel %s", name, may), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, mayCancel %s", name, mayCancel), func(t *testing.T) {
 				t.Parallel()
-				var got atomic.Int64
+				var receivedBytes atomic.Int64
 				ended := make(chan struct{})
-				addr, open := tcp.Delayed(t, func(_ int, c net.Conn) {
+				addr, acceptConns := tcp.Delayed(t, func(_ int, c net.Conn) {
 					n, _ := io.Copy(io.Discard, c)
-					got.Add(n)
+					receivedBytes.Add(n)
 					close(ended)
 				})
-				h, _, at := startWith(t, strings.Replace(usualSettings, `"mayCancel":true`, `"mayCancel":`+may, 1), addr)
+				h, _, at := startWith(t, strings.Replace(usualSettings, `"mayCancel":true`, `"mayCancel":`+mayCancel, 1), addr)
 				c := dialSidecar(t, at)
 				io.WriteString(c, request)
 				eventually(t, "the request to be in flight", func() bool { return h.InFlight() == 1 })
 				c.Close()
 				eventually(t, "the disconnect to be noticed", func() bool { return h.InFlight() == 0 })
-				open()
-				eventually(t, "the connection to come up and end", func() bool {
+				acceptConns()
+				eventually(t, "the connection to the server to open and close", func() bool {
 					select {
 					case <-ended:
 						return true
@@ -50,8 +50,8 @@
 						return false
 					}
 				})
-				if n := got.Load(); n > 0 {
-					t.Errorf("%d bytes were sent for a client that had disconnected", n)
+				if n := receivedBytes.Load(); n > 0 {
+					t.Errorf("the server received %d bytes for a client that had disconnected, want none", n)
 				}
 			})
 		}
@@ -59,93 +59,94 @@
 }
 
 // A request with an idempotency key that may have been executed is not retried if the connection for
-// the retry is only established after the deduplication window.
+// the retry is established only after the deduplication window has ended.
 func TestRetryKeepsDedupWindowOverSlowDial(t *testing.T) {
-	first, breaks := make(chan struct{}), make(chan struct{})
-	breaker := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
-		close(first)
-		<-breaks
-		return false // it may have been executed
+	firstReceived, breakConn := make(chan struct{}), make(chan struct{})
+	breakingServer := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
+		close(firstReceived)
+		<-breakConn
+		return false // the request may have been executed
 	})
-	var got atomic.Int64
-	late, open := tcp.Delayed(t, func(_ int, c net.Conn) {
+	var retriedBytes atomic.Int64
+	lateAddr, acceptConns := tcp.Delayed(t, func(_ int, c net.Conn) {
 		n, _ := io.Copy(io.Discard, c)
-		got.Add(n)
+		retriedBytes.Add(n)
 	})
-	h, _, at := start(t, breaker)
+	h, _, at := start(t, breakingServer)
 	c := dialSidecar(t, at)
 	io.WriteString(c, "POST /book HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
-	<-first
-	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "late", CapacityHint: 1}, Address: late}}})
-	close(breaks)
-	var latest time.Time
+	<-firstReceived
+	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "late", CapacityHint: 1}, Address: lateAddr}}})
+	close(breakConn)
+	var sendBefore time.Time
 	eventually(t, "the retry", func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		for _, request := range h.requests {
 			if len(request.attempts) == 2 {
-				latest = request.attempts[1].SendBefore
+				sendBefore = request.attempts[1].SendBefore
 			}
 		}
-		return !latest.IsZero()
+		return !sendBefore.IsZero()
 	})
-	if left := time.Until(latest); left > 400*time.Millisecond {
-		t.Errorf("the retry may be sent for another %v, longer than the window", left)
+	if left := time.Until(sendBefore); left > 400*time.Millisecond {
+		t.Errorf("the retry may be sent for another %v, want at most the window of 400 ms", left)
 	}
-	eventually(t, "the window's end", func() bool { return time.Now().After(latest) })
-	open()
+	eventually(t, "the end of the deduplication window", func() bool { return time.Now().After(sendBefore) })
+	acceptConns()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the response: %v", err)
 	}
 	if resp.StatusCode == http.StatusOK {
-		t.Errorf("answered %s", resp.Status)
+		t.Errorf("got status %s, want an error", resp.Status)
 	}
-	if n := got.Load(); n > 0 {
-		t.Errorf("%d bytes of the retry were sent after the window", n)
+	if n := retriedBytes.Load(); n > 0 {
+		t.Errorf("%d bytes of the retry were sent after the deduplication window, want none", n)
 	}
 }
 
-// delayedDisconnects is a Handler that is informed of disconnects only once it is released.
+// delayedDisconnects is a Handler that passes on disconnects only once released is closed.
 type delayedDisconnects struct {
 	downstream.Handler
 	released chan struct{}
 }
 
-func (u delayedDisconnects) ClientDisconnected(x *downstream.Exchange) bool {
-	<-u.released
-	return u.Handler.ClientDisconnected(x)
+func (d delayedDisconnects) ClientDisconnected(exchange *downstream.Exchange) bool {
+	<-d.released
+	return d.Handler.ClientDisconnected(exchange)
 }
 
-// Before an attempt is sent, the client's connection is checked for a close that its own goroutine
-// has not noticed yet. A process that had stalled once sent attempts 102 to 138 ms after their clients
-// had closed. Here a retry follows a failed attempt while the close has not been noticed.
+// Before an attempt is sent, the client's connection is checked for a close that the goroutine of that
+// connection has not noticed yet. Without the check, a process that had been stalled sent attempts 102
+// to 138 ms after their clients had disconnected. Here a retry follows a failed attempt before the
+// disconnect has been noticed.
 func TestRetryChecksTheClientsConnection(t *testing.T) {
-	came, breaks := make(chan struct{}), make(chan struct{})
-	breaker := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
-		came <- struct{}{}
-		<-breaks
-		return false // it may have been executed; an idempotent request is retried
+	firstReceived, breakConn := make(chan struct{}), make(chan struct{})
+	breakingServer := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
+		firstReceived <- struct{}{}
+		<-breakConn
+		return false // the request may have been executed; an idempotent one is retried
 	})
-	var got atomic.Int64
-	other := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
-		got.Add(1)
+	var retries atomic.Int64
+	otherAddr := tcp.Requests(t, func(_, _ int, _ net.Conn, _ *http.Request) bool {
+		retries.Add(1)
 		return true
 	})
-	h, _, _ := start(t, breaker)
-	let := make(chan struct{})
-	server := downstream.New(downstream.Config{MaxConns: 100, MaxBody: 1 << 20}, delayedDisconnects{h, let})
+	h, _, _ := start(t, breakingServer)
+	passDisconnects := make(chan struct{})
+	server := downstream.New(downstream.Config{MaxConns: 100, MaxBody: 1 << 20}, delayedDisconnects{h, passDisconnects})
 	ln := listen(t)
 	go server.Serve(ln)
 	c := dialSidecar(t, ln.Addr().String())
 	io.WriteString(c, "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n")
-	<-came
-	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "other", CapacityHint: 1}, Address: other}}})
+	<-firstReceived
+	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "other", CapacityHint: 1}, Address: otherAddr}}})
 	c.Close()
-	close(breaks)
-	eventually(t, "the request's end", func() bool { return h.InFlight() == 0 })
-	close(let)
-	if n := got.Load(); n > 0 {
-		t.Errorf("%d attempts were sent for a client that had disconnected", n)
+	close(breakConn)
+	eventually(t, "the end of the request", func() bool { return h.InFlight() == 0 })
+	close(passDisconnects)
+	if n := retries.Load(); n > 0 {
+		t.Errorf("%d attempts were sent for a client that had disconnected, want none", n)
 	}
 }
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -1,29 +1,30 @@
 package sidecar
 
-// inFlightLimits limits how many requests are in flight at once. It is guarded by the
-// Host's lock.
+// inFlightLimits are the limits on the number of requests in flight. They are guarded by the Host's
+// lock.
 type inFlightLimits struct {
-	local  int   // for this process alone
-	shared int   // for both processes of a hand-over together, while there is a tally
-	tally  Tally // nil: this process is alone
+	local  int   // for this process, while there is no tally
+	shared int   // for the sum of both processes of a hand-over, while there is a tally
+	tally  Tally // nil: no other process shares the limit
 }
 
-// Tally is a count of the requests in flight that two processes share.
+// Tally holds the numbers of requests in flight of the two processes of a hand-over.
 type Tally interface {
-	// SetInFlight sets the count of this process to n, and returns that of the other one.
+	// SetInFlight sets the number of this process to n, and returns that of the other process.
 	SetInFlight(n int) (others int)
 }
 
-// Limit replaces the limits on requests in flight for later requests: own for this process alone,
-// shared for two processes together while they share a Tally.
-func (h *Host) Limit(own, shared int) {
+// Limit replaces the limits on requests in flight: local holds for this process while it has no Tally,
+// shared for the sum of two processes while they share one. Requests that are in flight already are not
+// affected.
+func (h *Host) Limit(local, shared int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.limits.local, h.limits.shared = own, shared
+	h.limits.local, h.limits.shared = local, shared
 }
 
-// SetTally counts requests in flight in tally from now on, and limits the sum of both processes. It
-// replaces a tally that was set before.
+// SetTally makes the Host count its requests in flight in tally from now on, and limits the sum of both
+// processes. It replaces a tally that was set before.
 func (h *Host) SetTally(tally Tally) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -31,7 +32,8 @@
 	h.updateTally()
 }
 
-// RemoveTally ends the sharing. When it returns, tally is not used any more.
+// RemoveTally makes the Host stop using tally; it does nothing if another one has been set since. When it
+// returns, the Host does not use tally any more.
 func (h *Host) RemoveTally(tally Tally) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,7 +51,7 @@
 }
 
 // reserveInFlight reports whether one more request may be in flight. It counts the request in the
-// tally before it compares, so that two processes at once do not both use the last slot. The lock
+// tally before it compares the sum, so that two processes can't both take the last free slot. The lock
 // is held.
 func (h *Host) reserveInFlight() bool {
 	if h.limits.tally == nil {
--- a/internal/sidecar/list_capacity_test.go
+++ b/internal/sidecar/list_capacity_test.go
@@ -12,10 +12,10 @@
 	"martendrum/internal/upstream"
 )
 
-// capacityServers are the lengths of the server list of the capacity benchmarks.
-var capacityServers = []int{30, 300, 1000, 3000, 10000, 21000}
+// capacityListSizes are the lengths of the server lists of the capacity benchmarks.
+var capacityListSizes = []int{30, 300, 1000, 3000, 10000, 21000}
 
-// listedServer is an entry of the list in discovery's form.
+// listedServer is an entry of a serverList.
 type listedServer struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -26,15 +26,15 @@
 	Since   int64   `json:"since_ms"`
 }
 
-// serverList is a list in discovery's form.
+// serverList is a server list in the JSON format of the discovery service.
 type serverList struct {
 	Index     int            `json:"index"`
 	Snapshot  bool           `json:"snapshot"`
 	Endpoints []listedServer `json:"endpoints"`
 }
 
-// capacityLine returns a complete list of servers of one service over 27 zones, as discovery
-// writes it.
+// capacityLine returns a complete list of servers of one service in 27 zones, as the line of JSON that
+// the discovery service sends.
 func capacityLine(b *testing.B, size int) []byte {
 	b.Helper()
 	list := serverList{Index: 1, Snapshot: true}
@@ -46,48 +46,49 @@
 	}
 	line, err := json.Marshal(list)
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("encoding the list: %v", err)
 	}
 	return line
 }
 
+// capacityHost returns a new Host without servers.
 func capacityHost(b *testing.B) *Host {
 	b.Helper()
 	set, err := settings.Parse([]byte(usualSettings))
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("parsing the settings: %v", err)
 	}
 	pool := upstream.New(upstream.Config{ServerIdleTimeout: set.ConnIdle, DialTimeout: set.DialTimeout, DrainGrace: set.DrainGrace, MaxConns: 50})
 	host, err := New(set, 1, pool, new(discovery.Watcher))
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("creating the host: %v", err)
 	}
 	return host
 }
 
-// takeList reads a list and hands it to a host, as the watch does.
-func takeList(b *testing.B, host *Host, line []byte) {
+// applyLine parses a list and passes it to a host, as the watcher does.
+func applyLine(b *testing.B, host *Host, line []byte) {
 	b.Helper()
 	list, err := discovery.Parse(line)
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("parsing the list: %v", err)
 	}
 	host.Listed(list)
 }
 
-// BenchmarkWholeListCapacity reads a complete list into a new sidecar without connections:
-// decisions and connection pool.
+// BenchmarkWholeListCapacity applies a complete list to a new Host without connections, that is to its
+// Balancer and its connection pool.
 func BenchmarkWholeListCapacity(b *testing.B) {
-	for _, size := range capacityServers {
+	for _, size := range capacityListSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
 			line := capacityLine(b, size)
 			before := measure.HeapInUse()
 			host := capacityHost(b)
-			takeList(b, host, line)
+			applyLine(b, host, line)
 			heap := measure.HeapInUse() - before
 			runtime.KeepAlive(host)
 			for b.Loop() {
-				takeList(b, capacityHost(b), line)
+				applyLine(b, capacityHost(b), line)
 			}
 			b.ReportMetric(float64(len(line))/float64(size), "wire-B/server")
 			b.ReportMetric(float64(heap)/float64(size), "heap-B/server")
@@ -95,30 +96,30 @@
 	}
 }
 
-// BenchmarkRepeatedListCapacity reads the same complete list again: the cost for a sidecar of a
-// discovery that pushes the complete list at each change.
+// BenchmarkRepeatedListCapacity applies the same complete list again. This is the cost for a sidecar if
+// the discovery service sends the complete list at each change.
 func BenchmarkRepeatedListCapacity(b *testing.B) {
-	for _, size := range capacityServers {
+	for _, size := range capacityListSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
 			line := capacityLine(b, size)
 			host := capacityHost(b)
-			takeList(b, host, line)
+			applyLine(b, host, line)
 			for b.Loop() {
-				takeList(b, host, line)
+				applyLine(b, host, line)
 			}
 		})
 	}
 }
 
-// BenchmarkListChangeCapacity takes the change of one server.
+// BenchmarkListChangeCapacity applies a change of one server.
 func BenchmarkListChangeCapacity(b *testing.B) {
-	for _, size := range capacityServers {
+	for _, size := range capacityListSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
 			host := capacityHost(b)
-			takeList(b, host, capacityLine(b, size))
+			applyLine(b, host, capacityLine(b, size))
 			var change serverList
 			if err := json.Unmarshal(capacityLine(b, 1), &change); err != nil {
-				b.Fatal(err)
+				b.Fatalf("decoding the list: %v", err)
 			}
 			change.Snapshot = false
 			var lines [2][]byte
@@ -126,14 +127,14 @@
 				change.Endpoints[0].Status = status
 				line, err := json.Marshal(change)
 				if err != nil {
-					b.Fatal(err)
+					b.Fatalf("encoding the change: %v", err)
 				}
 				lines[i] = line
 			}
-			turn := 0
+			applied := 0
 			for b.Loop() {
-				takeList(b, host, lines[turn%2])
-				turn++
+				applyLine(b, host, lines[applied%2])
+				applied++
 			}
 			b.ReportMetric(float64(len(lines[0])), "wire-B/change")
 		})
--- a/internal/sidecar/meter.go
+++ b/internal/sidecar/meter.go
@@ -7,18 +7,21 @@
 	"martendrum/internal/metrics"
 )
 
-// Meter counts the results of attempts. Its methods may be called from any goroutine, some under
+// Meter counts attempts and their outcomes. Its methods may be called from any goroutine, some under
 // the Host's lock, and must not block.
 type Meter interface {
 	// Limited counts a request that the Host itself rejected at a limit.
 	Limited(reason metrics.Reason)
-	// ProcessingTime observes the time from a request's last byte to its first send.
+	// ProcessingTime observes the time from the receipt of a request to the start of its first
+	// attempt.
 	ProcessingTime(took time.Duration)
-	// AttemptStarted counts an attempt that is sent.
+	// AttemptStarted counts the start of an attempt; hedged reports whether another attempt of the
+	// request was open.
 	AttemptStarted(hedged bool)
 	// AttemptWritten counts an attempt whose last byte has been written.
 	AttemptWritten()
-	// AttemptFinished counts the end of an attempt; served: the client gets its answer.
+	// AttemptFinished counts the end of an attempt; served reports whether its answer is sent to the
+	// client.
 	AttemptFinished(outcome martendrum.Outcome, hedged, served bool)
 }
 
@@ -40,5 +43,5 @@
 // AttemptFinished implements Meter.
 func (unmetered) AttemptFinished(martendrum.Outcome, bool, bool) {}
 
-// SetMeter sets the Host's Meter. It is called before the first request.
-func (h *Host) SetMeter(meter Meter) { h.meter, h.wrote = meter, meter.AttemptWritten }
+// SetMeter sets the Host's Meter. It must be called before the first request.
+func (h *Host) SetMeter(meter Meter) { h.meter, h.onWritten = meter, meter.AttemptWritten }
--- a/internal/sidecar/probe.go
+++ b/internal/sidecar/probe.go
@@ -7,13 +7,13 @@
 	"martendrum/internal/upstream"
 )
 
-// probeTimeout is how long a probe may take.
+// probeTimeout is the time after which a probe is abandoned.
 const probeTimeout = 500 * time.Millisecond
 
-// probeRequest requests a server's load report.
+// probeRequest is the request for a server's load report.
 var probeRequest = &upstream.Request{Method: "GET", Head: []byte("GET /_load HTTP/1.1\r\nHost: server\r\n")}
 
-// probe is an attempt that requests a server's load report.
+// probe is an attempt that sends probeRequest to a server.
 type probe struct {
 	upstream.Attempt
 	host *Host
@@ -32,7 +32,8 @@
 	})
 }
 
-// Done implements upstream.Sink.
+// Done implements upstream.Sink. The load report is taken from the answer's header field, or else from
+// its body.
 func (p *probe) Done(outcome martendrum.Outcome, answer *upstream.Answer, report martendrum.LoadReport) {
 	if outcome != martendrum.OK || answer == nil {
 		return
--- a/internal/sidecar/recorder.go
+++ b/internal/sidecar/recorder.go
@@ -9,29 +9,30 @@
 )
 
 // Recorder stores the results of requests durably and recognizes a repeated request by its idempotency
-// key. A Host without one stores nothing, at no cost.
+// key. A Host without a Recorder stores no results.
 type Recorder interface {
-	// Begin looks up a request that has arrived and whose client waits for left. It calls then
-	// once, from any goroutine and well within left.
-	Begin(x *downstream.Exchange, left time.Duration, then func(Verdict))
+	// Begin looks up a request that has arrived; left is the time until its deadline. It calls
+	// then exactly once, from any goroutine and well before left has passed.
+	Begin(exchange *downstream.Exchange, left time.Duration, then func(Verdict))
 }
 
 // Verdict is a Recorder's decision about a request.
 type Verdict struct {
-	// Answer sends the client the recorded response; nil: there is none, admit the request.
-	Answer func(x *downstream.Exchange)
-	Entry  Entry // of a request to be admitted; nil: it is not recorded
+	// Answer sends the client the recorded response; nil: there is none, and the request is to be
+	// admitted.
+	Answer func(exchange *downstream.Exchange)
+	Entry  Entry // the entry of a request to be admitted; nil: the request is not recorded
 }
 
-// Entry is a recorded request. Each callback named then is called once, from any goroutine, within
-// the longest wait of the request's class.
+// Entry is a recorded request. Both methods call then exactly once, from any goroutine, within the
+// longest time that a client of the request's class waits.
 type Entry interface {
-	// Sending records that attempt n is about to be sent to server. Nothing may be sent unless
-	// ok is true.
-	Sending(n int, server string, then func(ok bool))
-	// End records how the request ended; answer is set for Served. It may be called again when
-	// more is known. then is called when the client may be answered, within left, which is the
-	// time until the request's deadline.
+	// Sending records that the attempt of the given index is about to be sent to server. The
+	// attempt may be sent only if ok is true.
+	Sending(index int, server string, then func(ok bool))
+	// End records how the request ended; answer is set only for Served. It may be called again when
+	// more is known. It calls then when the client may be answered, before left has passed, which
+	// is the time until the request's deadline.
 	End(end End, answer *upstream.Answer, left time.Duration, then func())
 }
 
@@ -40,26 +41,26 @@
 
 const (
 	endUnknown End = iota
-	Served         // it was executed, and its answer is known
-	NeverRan       // provably, no attempt of it was executed
-	MayHaveRun     // an attempt may have been executed
+	Served         // the request was executed, and its answer is known
+	NeverRan       // provably, no attempt of the request was executed
+	MayHaveRun     // an attempt of the request may have been executed
 )
 
-// SetRecorder sets the Host's Recorder. It is called before the first request.
+// SetRecorder sets the Host's Recorder. It must be called before the first request.
 func (h *Host) SetRecorder(recorder Recorder) { h.recorder = recorder }
 
-// admitRecorded answers or admits a request by the recorder's verdict.
+// admitRecorded admits a request or sends its recorded response, as the Recorder's verdict says.
 func (h *Host) admitRecorded(request *clientRequest, verdict Verdict) {
 	h.handle(func(now time.Duration) {
 		switch {
-		case request.exchange == nil: // its client has disconnected, or its deadline has passed
+		case request.exchange == nil: // the client has disconnected, or the deadline has passed
 			if verdict.Entry != nil {
 				h.enqueue(func() { verdict.Entry.End(NeverRan, nil, 0, func() {}) })
 			}
 		case verdict.Answer != nil:
 			h.markAnswered(request)
-			x := request.exchange
-			h.enqueue(func() { verdict.Answer(x) })
+			exchange := request.exchange
+			h.enqueue(func() { verdict.Answer(exchange) })
 			h.releaseIfDone(request)
 		default:
 			request.awaitsRecord, request.entry = false, verdict.Entry
@@ -68,7 +69,8 @@
 	})
 }
 
-// sendRecorded sends an attempt once it is recorded.
+// sendRecorded records an attempt and then sends it, unless it has ended meanwhile. If it can't be
+// recorded, it is not sent and ends with the outcome NotSent.
 func (h *Host) sendRecorded(entry Entry, a *attempt) {
 	entry.Sending(a.index, a.Server, func(ok bool) {
 		if !ok {
@@ -84,7 +86,8 @@
 	})
 }
 
-// endSoFar returns how a request without an answer has ended, by the attempts made so far.
+// endSoFar returns NeverRan if every attempt so far provably did not execute, else MayHaveRun. It is for
+// a request that no server has answered.
 func (r *clientRequest) endSoFar() End {
 	for _, a := range r.attempts {
 		if !a.finished || !a.neverRan {
@@ -94,7 +97,8 @@
 	return NeverRan
 }
 
-// recordEnd records how a request ended, if that is new, and then calls then, if not nil.
+// recordEnd records how a request ended and then calls then, if not nil. It records nothing if the
+// request has no entry, or if Served or the same end has been recorded already.
 func (h *Host) recordEnd(request *clientRequest, end End, answer *upstream.Answer, then func()) {
 	entry := request.entry
 	if entry == nil || request.recordedEnd == Served || request.recordedEnd == end {
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -9,34 +9,35 @@
 	"martendrum/internal/metrics"
 )
 
-// deadlineMargin is subtracted from the client's deadline for the way of the response.
+// deadlineMargin is subtracted from a request's timeout, so that the response reaches the client in
+// time. At most a tenth of the timeout is subtracted.
 const deadlineMargin = 5 * time.Millisecond
 
 // clientRequest is a request that has no final response yet, or whose attempts are still open.
 // It is guarded by the Host's lock.
 type clientRequest struct {
 	id       martendrum.RequestID
-	exchange *downstream.Exchange // nil: released
+	exchange *downstream.Exchange // nil once the request is released
 	deadline time.Duration
 	timeout  time.Duration // from the request's last byte to its deadline
-	timer    *timer        // at its deadline
+	timer    *timer        // fires at deadline
 	attempts []*attempt
-	open     int  // attempts that have not ended
-	answered bool // it has its final response, or its client has disconnected
+	open     int  // number of attempts that have not ended
+	answered bool // the final response is determined, or the client has disconnected
 
-	awaitsRecord bool  // the recorder's verdict is open: the Balancer does not know the request yet
-	entry        Entry // nil: it is not recorded
-	recordedEnd  End   // what the recorder was told last
+	awaitsRecord bool  // the Recorder's verdict is pending: the Balancer does not know the request yet
+	entry        Entry // nil: the request is not recorded
+	recordedEnd  End   // the End that was passed to entry last
 }
 
 // Arrive implements downstream.Handler.
-func (h *Host) Arrive(x *downstream.Exchange) {
+func (h *Host) Arrive(exchange *downstream.Exchange) {
 	h.handle(func(now time.Duration) {
 		if !h.reserveInFlight() {
-			h.rejectAtLimit(x)
+			h.rejectAtLimit(exchange)
 			return
 		}
-		request := h.newRequest(now, x)
+		request := h.newRequest(now, exchange)
 		if h.recorder == nil {
 			h.admit(now, request)
 			return
@@ -44,43 +45,43 @@
 		request.awaitsRecord = true
 		left := request.deadline - now
 		h.enqueue(func() {
-			h.recorder.Begin(x, left, func(verdict Verdict) { h.admitRecorded(request, verdict) })
+			h.recorder.Begin(exchange, left, func(verdict Verdict) { h.admitRecorded(request, verdict) })
 		})
 	})
 }
 
 // rejectAtLimit rejects a request because too many are in flight.
-func (h *Host) rejectAtLimit(x *downstream.Exchange) {
+func (h *Host) rejectAtLimit(exchange *downstream.Exchange) {
 	slog.Warn("request rejected: too many in flight", "in_flight", len(h.requests))
 	h.meter.Limited(metrics.InFlightLimit)
 	retryAfter := h.limitRetryAfter()
-	h.enqueue(func() { x.Reject(retryAfter) })
-	h.enqueue(x.Release)
+	h.enqueue(func() { exchange.Reject(retryAfter) })
+	h.enqueue(exchange.Release)
 }
 
-// limitRetryAfter returns the Retry-After of a request rejected at a limit. The lock is held.
+// limitRetryAfter returns the Retry-After of a request that the Host itself rejects. The lock is held.
 func (h *Host) limitRetryAfter() time.Duration { return h.settings.Config.MaxRetryAfter / 10 }
 
-// newRequest registers the request of x, with its deadline.
-func (h *Host) newRequest(now time.Duration, x *downstream.Exchange) *clientRequest {
-	timeout := x.Rules.Wait // the upper bound, whatever the client states
-	if x.Wait > 0 {
-		timeout = min(timeout, x.Wait)
+// newRequest registers the request of an exchange, with its deadline.
+func (h *Host) newRequest(now time.Duration, exchange *downstream.Exchange) *clientRequest {
+	timeout := exchange.Rules.Wait // the upper bound, even if the client states a longer one
+	if exchange.Wait > 0 {
+		timeout = min(timeout, exchange.Wait)
 	}
 	timeout -= min(deadlineMargin, timeout/10)
-	deadline := now - time.Since(x.Received) + timeout
-	if x.Request.Stream != nil {
-		deadline += x.UploadTimeout() // the timeout begins after the upload
+	deadline := now - time.Since(exchange.Received) + timeout
+	if exchange.Request.Stream != nil {
+		deadline += exchange.UploadTimeout() // the timeout begins after the upload
 	}
 	h.lastID++
-	request := &clientRequest{id: h.lastID, exchange: x, deadline: h.beforeStop(deadline), timeout: timeout}
-	x.State = request
+	request := &clientRequest{id: h.lastID, exchange: exchange, deadline: h.beforeStop(deadline), timeout: timeout}
+	exchange.State = request
 	h.requests[request.id] = request
 	request.timer = h.timers.add(&timer{at: request.deadline, request: request})
 	return request
 }
 
-// beforeStop limits a deadline to the planned shutdown, if there is one.
+// beforeStop returns deadline, or stopAt if a shutdown is planned and that is earlier.
 func (h *Host) beforeStop(deadline time.Duration) time.Duration {
 	if h.stopAt > 0 {
 		return min(deadline, h.stopAt)
@@ -88,7 +89,8 @@
 	return deadline
 }
 
-// StopWithin limits all deadlines so that every request is answered within limit from now.
+// StopWithin limits the deadlines of current and later requests, so that every request is answered
+// within limit from now.
 func (h *Host) StopWithin(limit time.Duration) {
 	h.handle(func(now time.Duration) {
 		h.stopAt = now + limit
@@ -100,7 +102,7 @@
 	})
 }
 
-// setDeadline changes a request's deadline and its timer.
+// setDeadline changes a request's deadline and reschedules its timer.
 func (h *Host) setDeadline(request *clientRequest, deadline time.Duration) {
 	request.deadline = deadline
 	h.timers.reschedule(request.timer, deadline)
@@ -108,27 +110,28 @@
 
 // admit passes a request to the Balancer.
 func (h *Host) admit(now time.Duration, request *clientRequest) {
-	x := request.exchange
+	exchange := request.exchange
 	h.balancer.Arrive(now, martendrum.Request{
 		ID:             request.id,
-		Class:          x.Rules.Place,
-		ClassAtArrival: x.Rules.Rules,
-		Tenant:         h.settings.Tenant([]byte(x.Tenant)),
+		Class:          exchange.Rules.Place,
+		ClassAtArrival: exchange.Rules.Rules,
+		Tenant:         h.settings.Tenant([]byte(exchange.Tenant)),
 		Deadline:       request.deadline,
-		StreamedBody:   x.Request.Stream != nil,
+		StreamedBody:   exchange.Request.Stream != nil,
 	})
 }
 
-// ClientDisconnected implements downstream.Handler.
-func (h *Host) ClientDisconnected(x *downstream.Exchange) (ended bool) {
+// ClientDisconnected implements downstream.Handler. It returns whether this ended the request: false if
+// the request is not registered or has its final response.
+func (h *Host) ClientDisconnected(exchange *downstream.Exchange) (ended bool) {
 	h.handle(func(now time.Duration) {
-		request, _ := x.State.(*clientRequest)
+		request, _ := exchange.State.(*clientRequest)
 		if request == nil || request.answered {
 			return
 		}
 		ended = true
 		attempts := len(request.attempts)
-		h.enqueue(func() { logDisconnect(x, attempts) })
+		h.enqueue(func() { logDisconnect(exchange, attempts) })
 		h.markAnswered(request)
 		h.balancer.ClientDisconnected(now, request.id)
 		h.releaseIfDone(request)
@@ -138,33 +141,34 @@
 
 // logDisconnect logs that a request ended without an answer because its client disconnected. The times
 // show whether the client gave up early or the answer was late.
-func logDisconnect(x *downstream.Exchange, attempts int) {
-	slog.Info("client left before its answer", "class", x.Class, "after", time.Since(x.Received), "wait", x.Wait, "attempts", attempts)
+func logDisconnect(exchange *downstream.Exchange, attempts int) {
+	slog.Info("client left before its answer", "class", exchange.Class, "after", time.Since(exchange.Received), "wait", exchange.Wait, "attempts", attempts)
 }
 
 // Reject implements martendrum.Host.
 func (h *Host) Reject(id martendrum.RequestID, retryAfter time.Duration) {
-	h.answer(id, func(x *downstream.Exchange) { x.Reject(retryAfter) })
+	h.answer(id, func(exchange *downstream.Exchange) { exchange.Reject(retryAfter) })
 }
 
 // Fail implements martendrum.Host.
 func (h *Host) Fail(id martendrum.RequestID) { h.answer(id, (*downstream.Exchange).Fail) }
 
-// answer calls respond to give a request a final response that is not a server's.
+// answer gives a request a final response that does not come from a server: it calls respond once the
+// end of the request is recorded.
 func (h *Host) answer(id martendrum.RequestID, respond func(*downstream.Exchange)) {
 	request := h.requests[id]
 	if request == nil || request.answered {
 		return
 	}
 	h.markAnswered(request)
-	x := request.exchange
-	h.recordEnd(request, request.endSoFar(), nil, func() { respond(x) })
+	exchange := request.exchange
+	h.recordEnd(request, request.endSoFar(), nil, func() { respond(exchange) })
 	h.releaseIfDone(request)
 }
 
-// markAnswered records that a request has its final response or needs none, and withdraws its
-// attempts that have not begun, whether or not the Balancer cancels them. Every request ends
-// through here.
+// markAnswered marks a request whose final response is determined or not needed any more, and withdraws
+// the attempts of which no byte has been sent, whether or not the Balancer cancels them. It is called
+// for every request.
 func (h *Host) markAnswered(request *clientRequest) {
 	request.answered = true
 	for _, a := range request.attempts {
@@ -175,7 +179,7 @@
 	}
 }
 
-// releaseIfDone removes a request that is answered and has no open attempt.
+// releaseIfDone removes a request that is answered and has no open attempt, and releases its exchange.
 func (h *Host) releaseIfDone(request *clientRequest) {
 	if !request.answered || request.open > 0 || request.exchange == nil {
 		return
@@ -198,11 +202,11 @@
 			h.expireAttempt(now, a)
 		}
 	}
-	if request.awaitsRecord { // nothing was sent
+	if request.awaitsRecord { // no attempt has been sent
 		h.Reject(request.id, h.limitRetryAfter())
 	}
 	if !request.answered {
-		// The Balancer should have answered; the client gets its one final response anyway.
+		// The Balancer should have decided on a response by now. The client gets one anyway.
 		slog.Error("request unanswered at its deadline", "class", request.exchange.Class)
 		h.balancer.ClientDisconnected(now, request.id)
 		h.Fail(request.id)
--- a/internal/sidecar/servers.go
+++ b/internal/sidecar/servers.go
@@ -9,28 +9,29 @@
 	"martendrum/internal/discovery"
 )
 
-// Servers returns how many servers are listed, and how many of them are avoided now.
+// Servers returns the number of listed servers, and the number of those that the Balancer avoids now.
 func (h *Host) Servers() (listed, avoided int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.balancer.ServerCounts(h.now())
 }
 
-// Listed applies a list of servers from discovery, or changes to it.
+// Listed applies a server list from discovery, which is complete or holds only changed entries.
 func (h *Host) Listed(list *discovery.List) { h.applyList(list, false) }
 
-// Known applies the list of the configuration before discovery has sent one.
+// Known applies the server list of the configuration file, for use until discovery sends one.
 func (h *Host) Known(list *discovery.List) { h.applyList(list, true) }
 
-// applyList passes a list to the pool and the Balancer; known: it is the configuration's.
-func (h *Host) applyList(list *discovery.List, known bool) {
+// applyList passes a server list to the pool and the Balancer. fromConfig says that it is the list of
+// the configuration file.
+func (h *Host) applyList(list *discovery.List, fromConfig bool) {
 	endpoints := make([]martendrum.Endpoint, len(list.Entries))
 	h.handle(func(now time.Duration) {
-		// The pool is updated under the lock too, because it must know a server before an
-		// attempt is sent to it.
+		// The pool is updated under the same lock as the Balancer, because it must know a
+		// server before an attempt is sent to it.
 		listed := make(map[string]bool, len(list.Entries))
-		for n, entry := range list.Entries {
-			endpoints[n] = entry.Endpoint
+		for i, entry := range list.Entries {
+			endpoints[i] = entry.Endpoint
 			listed[entry.Name] = true
 			h.updatePool(entry)
 		}
@@ -38,7 +39,7 @@
 			h.pool.Retain(listed)
 		}
 		switch {
-		case known:
+		case fromConfig:
 			h.balancer.ServersRestored(now, endpoints)
 		case list.Complete:
 			h.balancer.ServersListed(now, endpoints)
@@ -51,13 +52,13 @@
 // updatePool passes the state of a listed server to the pool.
 func (h *Host) updatePool(entry discovery.Entry) {
 	if entry.State == martendrum.Serving {
-		h.pool.Serve(entry.Name, entry.Address, entry.Started)
+		h.pool.SetServer(entry.Name, entry.Address, entry.Started)
 	} else {
 		h.pool.MarkDraining(entry.Name, entry.State == martendrum.Removed)
 	}
 }
 
-// DiscoveryFailed handles a failed call to discovery or the end of a watch.
+// DiscoveryFailed logs a failed call to discovery or the end of a watch, and informs the Balancer.
 func (h *Host) DiscoveryFailed(err error) {
 	slog.Warn("discovery failed", "err", err)
 	h.handle(func(now time.Duration) { h.balancer.DiscoveryFailed(now) })
@@ -66,7 +67,7 @@
 // Subscribe implements martendrum.Host.
 func (h *Host) Subscribe() { h.enqueue(h.PollNow) }
 
-// PollNow opens a watch at once, unless one is open.
+// PollNow opens a watch of discovery at once, unless one is open. It does not block.
 func (h *Host) PollNow() {
 	go func() {
 		if err := h.watcher.Watch(); !errors.Is(err, discovery.ErrOpen) {
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -17,14 +17,14 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// startServer starts a server that passes each request to answer, which returns false to close the
-// connection.
+// startServer starts a server and returns its address. It passes each request to answer, which writes the
+// response, and returns false to close the connection.
 func startServer(t *testing.T, answer func(c net.Conn, r *http.Request) bool) string {
 	t.Helper()
 	return tcp.Requests(t, func(_, _ int, c net.Conn, r *http.Request) bool { return answer(c, r) })
 }
 
-// numberedText returns n bytes of numbered lines, so that a cut or a shift shows.
+// numberedText returns n bytes of numbered lines, in which missing or shifted parts are detected.
 func numberedText(n int) []byte {
 	b := make([]byte, 0, n+16)
 	for i := 0; len(b) < n; i++ {
@@ -38,18 +38,18 @@
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("connecting to the sidecar: %v", err)
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(patience))
 	return c
 }
 
-// lookRequest is an idempotent request; its argument is the id.
+// lookRequest is the format of an idempotent request; its argument is the request's ID.
 const lookRequest = "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\n\r\n"
 
-// An answer of any form, buffered or longer than the buffer, arrives at the client unchanged, in
-// whatever pieces the server sends it.
+// An answer with any framing, whether it fits the buffer or is streamed, arrives at the client unchanged,
+// whatever the size of the pieces in which the server sends it.
 func TestPiecesEverywhere(t *testing.T) {
 	long := numberedText(300 << 10)
 	chunked := func(body []byte, size int) string {
@@ -63,20 +63,20 @@
 		return b.String() + "0\r\nX-Sum: 1\r\n\r\n"
 	}
 	small := numberedText(700)
-	for name, c := range map[string]struct {
-		text   string
-		body   []byte
-		closes bool
-		piece  int
+	for name, test := range map[string]struct {
+		text   string // what the server sends
+		body   []byte // the body that the client should get
+		closes bool   // the server closes the connection after the answer
+		piece  int    // how many bytes the server writes at once
 	}{
 		"length, byte by byte":          {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 700\r\n\r\n%s", small), small, false, 1},
 		"chunks, byte by byte":          {chunked(small, 97), small, false, 1},
 		"interim, byte by byte":         {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + chunked(small, 350), small, false, 1},
-		"to the end":                    {"HTTP/1.1 200 OK\r\n\r\n" + string(small), small, true, 100},
-		"to the end, HTTP/1.0":          {"HTTP/1.0 200 OK\r\n\r\n" + string(small), small, true, 100},
+		"until close":                   {"HTTP/1.1 200 OK\r\n\r\n" + string(small), small, true, 100},
+		"until close, HTTP/1.0":         {"HTTP/1.0 200 OK\r\n\r\n" + string(small), small, true, 100},
 		"long, with a length":           {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long), long, false, 7777},
 		"long, in chunks":               {chunked(long, 10007), long, false, 4099},
-		"long, to the end":              {"HTTP/1.1 200 OK\r\n\r\n" + string(long), long, true, 9999},
+		"long, until close":             {"HTTP/1.1 200 OK\r\n\r\n" + string(long), long, true, 9999},
 		"exactly the buffer":            {chunked(long[:64<<10], 1<<10), long[:64<<10], false, 1 << 14},
 		"one byte more than the buffer": {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 64<<10+1, long[:64<<10+1]), long[:64<<10+1], false, 1 << 14},
 		"empty, in chunks":              {chunked(nil, 1), nil, false, 1},
@@ -85,32 +85,33 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			_, _, at := start(t, startServer(t, func(conn net.Conn, _ *http.Request) bool {
-				for text := c.text; text != ""; {
-					n := min(c.piece, len(text))
+				for text := test.text; text != ""; {
+					n := min(test.piece, len(text))
 					if _, err := io.WriteString(conn, text[:n]); err != nil {
 						return false
 					}
 					text = text[n:]
 				}
-				return !c.closes
+				return !test.closes
 			}))
 			for n, version := range []string{"1.1", "1.0", "1.1"} {
 				conn := dialSidecar(t, at)
 				io.WriteString(conn, strings.Replace(fmt.Sprintf(lookRequest, fmt.Sprint(name, n)), "1.1", version, 1))
 				resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("reading the response: %v", err)
 				}
 				body, err := io.ReadAll(resp.Body)
-				if err != nil || resp.StatusCode != 200 || !bytes.Equal(body, c.body) {
-					t.Errorf("HTTP/%s: %s, %d bytes of %d, %v", version, resp.Status, len(body), len(c.body), err)
+				if err != nil || resp.StatusCode != 200 || !bytes.Equal(body, test.body) {
+					t.Errorf("HTTP/%s: got status %s and %d bytes (read error: %v), want 200 and the %d bytes that were sent", version, resp.Status, len(body), err, len(test.body))
 				}
 			}
 		})
 	}
 }
 
-// Request bodies within and beyond the buffered part arrive unchanged, with a length or in chunks.
+// Request bodies arrive at the server unchanged, whether they fit the buffer or are streamed, and whether
+// they have a stated length or are chunked.
 func TestUploads(t *testing.T) {
 	_, _, at := start(t, startServer(t, func(c net.Conn, r *http.Request) bool {
 		body, err := io.ReadAll(r.Body)
@@ -143,19 +144,19 @@
 				}()
 				resp, err := http.ReadResponse(br, nil)
 				if err != nil {
-					t.Fatal(size, chunked, again, err)
+					t.Fatalf("body of %d bytes, chunked %v, request %d on its connection: reading the response: %v", size, chunked, again, err)
 				}
 				got, _ := io.ReadAll(resp.Body)
 				if resp.StatusCode != 200 || strings.TrimSpace(string(got)) != fmt.Sprint(size) {
-					t.Errorf("%d bytes, chunked %v: %s %q", size, chunked, resp.Status, got)
+					t.Errorf("body of %d bytes, chunked %v: got status %s, body %q; want 200 and the size of the request's body", size, chunked, resp.Status, got)
 				}
 			}
 		}
 	}
 }
 
-// A client that reads nothing limits its server: of a long answer the server can send only what the
-// buffers of the sockets and the sidecar take.
+// A client that does not read blocks the server of a long answer: the server can send only as much as fits
+// the buffers of the sockets and the sidecar.
 func TestStreamBackPressure(t *testing.T) {
 	var sent atomic.Int64
 	blocked := make(chan struct{})
@@ -169,7 +170,7 @@
 			if err != nil {
 				once.Do(func() { close(blocked) })
 				if sent.Load() > 30000000 {
-					t.Error("the server was not blocked")
+					t.Errorf("the server sent %d bytes before it was blocked, want at most 30000000", sent.Load())
 				}
 				return false
 			}
@@ -181,34 +182,34 @@
 	select {
 	case <-blocked:
 	case <-time.After(patience):
-		t.Fatal("the server was never blocked")
+		t.Fatalf("the server was not blocked within %v", patience)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the response: %v", err)
 	}
 	if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-		t.Errorf("%d bytes were taken for a complete answer", n)
+		t.Errorf("reading the truncated answer: got %d bytes and no error, want an error", n)
 	}
-	eventually(t, "nothing active", func() bool { return srv.Active() == 0 })
+	eventually(t, "no active request", func() bool { return srv.Active() == 0 })
 }
 
-// A request is retried as long as only the buffered part of its body has been sent. Beyond that it
-// can't be, and it is rejected if it was provably not executed.
+// A request can be retried as long as only the buffered part of its body has been sent. Once an attempt has
+// sent more, the request can't be retried, and it is rejected if it was provably not executed.
 func TestStreamRetryBoundary(t *testing.T) {
-	var whole atomic.Int64
+	var executed atomic.Int64
 	good := startServer(t, func(c net.Conn, r *http.Request) bool {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return false
 		}
-		whole.Add(1)
+		executed.Add(1)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		return true
 	})
 	closed := listen(t)
-	nobody := closed.Addr().String()
+	refusing := closed.Addr().String()
 	closed.Close()
-	_, _, at := start(t, nobody, good)
+	_, _, at := start(t, refusing, good)
 	send := func(at, id string, size int) int {
 		body := bytes.Repeat([]byte("x"), size)
 		c := dialSidecar(t, at)
@@ -222,27 +223,27 @@
 		}
 		return resp.StatusCode
 	}
-	for n := range 8 { // some meet the server that refuses connections first
+	for n := range 8 { // for some of them, the first attempt goes to the server that refuses connections
 		if got := send(at, fmt.Sprint("r", n), 200<<10); got != 200 {
-			t.Errorf("answered %d", got)
+			t.Errorf("request %d: got status %d, want 200", n, got)
 		}
 	}
-	if whole.Load() != 8 {
-		t.Errorf("%d requests ran, want 8", whole.Load())
+	if executed.Load() != 8 {
+		t.Errorf("%d requests were executed, want 8", executed.Load())
 	}
-	// This one breaks in the streamed part, which is more than the sockets hold: the request was
-	// never written completely, so it never ran.
-	breaks := startServer(t, func(c net.Conn, r *http.Request) bool {
+	// This server resets the connection during the streamed part of the body, which is larger than the
+	// buffers of the sockets. The request was never written completely, so it was not executed.
+	resetting := startServer(t, func(c net.Conn, r *http.Request) bool {
 		io.CopyN(io.Discard, r.Body, 100<<10)
 		c.(*net.TCPConn).SetLinger(0)
 		return false
 	})
-	whole.Store(0)
-	_, _, at = start(t, breaks)
+	executed.Store(0)
+	_, _, at = start(t, resetting)
 	if got := send(at, "b", 28<<20); got != http.StatusServiceUnavailable && got != 0 {
-		t.Errorf("answered %d, want a rejection", got)
+		t.Errorf("request whose connection broke while its body was streamed: got status %d, want 503 or no response", got)
 	}
-	// A client that disconnects during its upload leaves no state, and nothing runs.
+	// If a client disconnects during its upload, the Host keeps no state and the request is not executed.
 	h, srv, at := start(t, good)
 	c := dialSidecar(t, at)
 	fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: gone\r\nContent-Length: 900000\r\n\r\n")
@@ -250,12 +251,12 @@
 	eventually(t, "the request to be in flight", func() bool { return h.InFlight() == 1 })
 	c.Close()
 	eventually(t, "no request in flight", func() bool { return h.InFlight() == 0 && srv.Conns() == 0 })
-	if whole.Load() != 0 {
-		t.Error("an incomplete request was executed")
+	if executed.Load() != 0 {
+		t.Error("the server executed an incomplete request")
 	}
 }
 
-// A client that uploads at 64 kB a second is served, one that stalls is not.
+// A client that uploads at 64 kB a second gets an answer. One that stops during its upload does not.
 func TestSlowUploadIsServed(t *testing.T) {
 	_, _, at := start(t, startServer(t, func(c net.Conn, r *http.Request) bool {
 		io.Copy(io.Discard, r.Body)
@@ -263,7 +264,7 @@
 		return true
 	}))
 	slow, stalled := dialSidecar(t, at), dialSidecar(t, at)
-	const size = 230 << 10 // 3.6 s at 64 kB a second: past the grace
+	const size = 230 << 10 // takes 3.6 s at 64 kB a second, longer than the initial grace
 	for n, c := range []net.Conn{slow, stalled} {
 		fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: s%d\r\nContent-Length: %d\r\n\r\n", n, size)
 	}
@@ -280,18 +281,18 @@
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
 			got = resp.StatusCode
 		}
-		ok := false
-		for _, w := range want {
-			ok = ok || got == w
+		allowed := false
+		for _, status := range want {
+			allowed = allowed || got == status
 		}
-		if !ok {
-			t.Errorf("answered %d, want one of %v", got, want)
+		if !allowed {
+			t.Errorf("client stalled: %v: got status %d, want one of %v (0: no response)", c == stalled, got, want)
 		}
 	}
 }
 
-// The deadline that a server gets for a streamed request is at most the client's. It once included
-// the time that the rest of the body might take: 4.4 s, for a client that waits for 0.5 s.
+// The deadline that a server gets for a streamed request is at most the client's. An earlier version added
+// the time allowed for the rest of the upload, and sent 4.4 s for a client that waited for 0.5 s.
 func TestStreamedRequestForwardsClientDeadline(t *testing.T) {
 	received := make(chan string, 1)
 	_, _, at := start(t, tcp.Requests(t, func(_, _ int, c net.Conn, r *http.Request) bool {
@@ -306,12 +307,12 @@
 	c.Write(numberedText(length))
 	ms, err := strconv.Atoi(<-received)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parsing the deadline that the server got: %v", err)
 	}
 	if ms > 500 {
-		t.Errorf("the server got a deadline of %d ms, the client waits for 500", ms)
+		t.Errorf("the server got a deadline of %d ms, want at most the client's 500 ms", ms)
 	}
-	if err := answered(bufio.NewReader(c)); err != nil {
-		t.Error(err)
+	if err := readOK(bufio.NewReader(c)); err != nil {
+		t.Errorf("reading the response: %v", err)
 	}
 }
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -7,23 +7,22 @@
 	"time"
 )
 
-// timerResolution is the minimum delay of the runtime timer, which bounds how often due timers run.
+// timerResolution is the minimum delay of the runtime timer. It limits how often fireTimers runs.
 const timerResolution = 2 * time.Millisecond
 
 // timer is a timer of the Balancer or a request's deadline.
 type timer struct {
-	at      time.Duration
-	cookie  uint64         // of a timer of the Balancer
-	request *clientRequest // whose deadline it is; nil: a timer of the Balancer
-	index   int            // in the heap; -1: it has been removed
+	at      time.Duration  // when it fires, in the time of Host.now
+	cookie  uint64         // identifies a timer of the Balancer
+	request *clientRequest // the request whose deadline it is; nil: a timer of the Balancer
+	index   int            // position in the heap; -1: it has been removed
 }
 
-// timerQueue is a set of timers that one runtime timer serves. It is guarded by the
-// Host's lock.
+// timerQueue is a set of timers that share one runtime timer. It is guarded by the Host's lock.
 type timerQueue struct {
 	heap    timerHeap
 	runtime *time.Timer
-	armedAt time.Duration // when runtime fires; 0: it is not armed
+	armedAt time.Duration // when the runtime timer fires; 0: it is not armed
 }
 
 // timerHeap is a heap of timers, the earliest first.
@@ -58,13 +57,13 @@
 	return last
 }
 
-// add adds a timer and returns it.
+// add adds t and returns it.
 func (q *timerQueue) add(t *timer) *timer {
 	heap.Push(&q.heap, t)
 	return t
 }
 
-// reschedule changes the time of a timer. One that has been removed stays so.
+// reschedule changes the time of a timer. It does not add a timer back that has been removed.
 func (q *timerQueue) reschedule(t *timer, at time.Duration) {
 	t.at = at
 	if t.index >= 0 {
@@ -79,7 +78,7 @@
 	}
 }
 
-// popDue removes the earliest timer if it is due; nil if none is.
+// popDue removes and returns the earliest timer if it is due; nil if no timer is due.
 func (q *timerQueue) popDue(now time.Duration) *timer {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return nil
@@ -92,7 +91,7 @@
 	h.timers.add(&timer{at: h.now() + max(after, 0), cookie: cookie})
 }
 
-// armTimer sets the runtime timer for the earliest timer. The lock is held.
+// armTimer arms the runtime timer for the earliest timer of the queue. The lock is held.
 func (h *Host) armTimer() {
 	q := &h.timers
 	if len(q.heap) == 0 {
@@ -108,12 +107,12 @@
 func (h *Host) fireTimers() {
 	defer func() {
 		if p := recover(); p != nil {
-			slog.Error("panic at a timer", "panic", p, "stack", string(debug.Stack()))
+			slog.Error("panic while handling due timers", "panic", p, "stack", string(debug.Stack()))
 		}
 	}()
 	h.handle(func(now time.Duration) {
 		h.timers.armedAt = 0
-		defer h.armTimer() // also if the Balancer panics: the next timers must fire
+		defer h.armTimer() // even if the Balancer panics, so that the next timers still fire
 		for due := h.timers.popDue(now); due != nil; due = h.timers.popDue(now) {
 			if due.request != nil {
 				h.expire(now, due.request)
--- a/internal/upstream/answer_test.go
+++ b/internal/upstream/answer_test.go
@@ -11,33 +11,34 @@
 	"martendrum"
 )
 
-// A malformed answer is a failed attempt that may have run, and nothing of it is forwarded.
+// An attempt with a malformed answer has failed and may have been executed (outcome Reset). Nothing of the
+// answer is forwarded, and the connection is closed.
 func TestMalformedAnswers(t *testing.T) {
 	for name, text := range map[string]string{
 		"noise":             "\x00\x01\x02\xff\xfe\r\n\r\n",
 		"no version":        "ICY 200 OK\r\nContent-Length: 3\r\n\r\nyes",
 		"version 2":         "HTTP/2.0 200 OK\r\nContent-Length: 3\r\n\r\nyes",
-		"status no number":  "HTTP/1.1 2x0 OK\r\nContent-Length: 3\r\n\r\nyes",
+		"status not number": "HTTP/1.1 2x0 OK\r\nContent-Length: 3\r\n\r\nyes",
 		"no colon":          "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 3\r\n\r\nyes",
-		"head without end":  "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", 1<<14),
+		"endless head":      "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", 1<<14),
 		"two lengths":       "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nyes",
-		"both lengths":      "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n\r\n",
+		"length and chunks": "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n\r\n",
 		"negative length":   "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nyes",
 		"3 GB":              "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nyes",
-		"chunks of no size": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
+		"bad chunk size":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
 		"protocol switch":   "HTTP/1.1 101 Switching Protocols\r\n\r\n",
-		"interim for ever":  strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 40) + goodAnswer,
+		"endless interim":   strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 40) + goodAnswer,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr := serve(t, func(_, _ int, c net.Conn) { io.WriteString(c, text) })
 			p := newPool(addr)
-			if e := sendOne(t, p); e.outcome != martendrum.Reset || e.answer != nil {
-				t.Errorf("outcome %v with %v, want a reset with nothing", e.outcome, e.answer)
+			if got := sendOne(t, p); got.outcome != martendrum.Reset || got.answer != nil {
+				t.Errorf("got outcome %v with answer %v, want outcome %v without an answer", got.outcome, got.answer, martendrum.Reset)
 			}
 			for n := 0; p.Conns() > 0; n++ {
 				if n > 2000 {
-					t.Fatal("the connection stayed open")
+					t.Fatalf("%d connections are still open, want 0", p.Conns())
 				}
 				time.Sleep(time.Millisecond)
 			}
@@ -45,59 +46,59 @@
 	}
 }
 
-// A reset does not end an answer: one without a length whose connection is reset before, in or
-// after its body is a failed attempt that may have run.
-func TestResetIsNoEnd(t *testing.T) {
+// A connection reset does not end an answer. If the connection is reset before, during or after the body of
+// an answer without a length, the attempt has failed and may have been executed.
+func TestResetDoesNotEndAnswer(t *testing.T) {
 	for _, body := range []string{"", "half", strings.Repeat("x", 8<<10)} {
 		addr := serve(t, func(_, _ int, c net.Conn) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+body)
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		})
-		if e := sendOne(t, newPool(addr)); e.outcome != martendrum.Reset || e.answer != nil {
-			t.Errorf("%d bytes and a reset: outcome %v with %v", len(body), e.outcome, e.answer)
+		if got := sendOne(t, newPool(addr)); got.outcome != martendrum.Reset || got.answer != nil {
+			t.Errorf("reset after %d bytes of the body: got outcome %v with answer %v, want outcome %v without an answer", len(body), got.outcome, got.answer, martendrum.Reset)
 		}
 	}
 }
 
-// A valid answer counts whatever precedes or follows it, and what follows it is never taken for
-// the answer to the next request.
+// A valid answer is accepted if interim answers precede it or other bytes follow it, and those bytes are
+// never taken for the answer to the next request.
 func TestBytesBeyondTheAnswer(t *testing.T) {
-	for name, c := range map[string]struct{ ahead, behind string }{
+	for name, extra := range map[string]struct{ before, after string }{
 		"duplicate": {"", goodAnswer},
 		"noise":     {"", "\xff\xfe\x00noise"},
 		"interim":   {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr := serve(t, func(conn, n int, nc net.Conn) {
-				body := fmt.Sprintf("%d.%d", conn, n)
-				text := fmt.Sprintf("%sHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", c.ahead, len(body), body)
-				io.WriteString(nc, text+c.behind)
+			addr := serve(t, func(connIndex, n int, c net.Conn) {
+				body := fmt.Sprintf("%d.%d", connIndex, n)
+				text := fmt.Sprintf("%sHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", extra.before, len(body), body)
+				io.WriteString(c, text+extra.after)
 			})
 			p := newPool(addr)
 			seen := make(map[string]bool)
 			for n := range 20 {
-				e := sendOne(t, p)
-				if e.outcome != martendrum.OK || seen[string(e.answer.Body)] {
-					t.Fatalf("answer %d: %v %v, want one of its own", n, e.outcome, e.answer)
+				got := sendOne(t, p)
+				if got.outcome != martendrum.OK || seen[string(got.answer.Body)] {
+					t.Fatalf("request %d: got outcome %v with answer %v, want outcome %v with an answer to no other request", n, got.outcome, got.answer, martendrum.OK)
 				}
-				seen[string(e.answer.Body)] = true
+				seen[string(got.answer.Body)] = true
 			}
 		})
 	}
 }
 
-// An answer that stalls fails while there is time left for a retry.
-func TestAnswerStopsShort(t *testing.T) {
-	hold := make(chan struct{})
+// If an answer stalls before its last byte, the attempt fails while there is time left for a retry.
+func TestStalledAnswerFails(t *testing.T) {
+	finish := make(chan struct{})
 	addr := serve(t, func(_, _ int, c net.Conn) {
 		io.WriteString(c, goodAnswer[:len(goodAnswer)-1])
-		<-hold
+		<-finish
 	})
-	defer close(hold)
-	if e := sendOne(t, newPool(addr)); e.outcome != martendrum.Reset || e.answer != nil {
-		t.Errorf("outcome %v with %v, want a reset", e.outcome, e.answer)
+	defer close(finish)
+	if got := sendOne(t, newPool(addr)); got.outcome != martendrum.Reset || got.answer != nil {
+		t.Errorf("got outcome %v with answer %v, want outcome %v without an answer", got.outcome, got.answer, martendrum.Reset)
 	}
 }
 
@@ -112,24 +113,24 @@
 		"\x00\xff,inflight=4, util =0.5,": {HasInFlight: true, InFlight: 4},
 	} {
 		if got := ParseLoad(text); got != want {
-			t.Errorf("%q: %+v, want %+v", text, got, want)
+			t.Errorf("ParseLoad(%q) = %+v, want %+v", text, got, want)
 		}
 	}
 }
 
-// A long answer that is not read, such as a probe's or one that arrives after its request has
-// ended, blocks neither its goroutine nor its connection.
+// If the rest of a long answer is not read, as with the answer to a probe or one that arrives after its
+// request has ended, the connection is closed and its goroutine ends.
 func TestUnreadRestFreesConnection(t *testing.T) {
 	body := strings.Repeat("x", 1<<20)
 	p := newPool(serve(t, func(_, _ int, c net.Conn) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}))
-	if e := sendOne(t, p); e.outcome != martendrum.OK || e.answer.Rest == nil {
-		t.Fatalf("outcome %v with %v, want an incomplete answer", e.outcome, e.answer)
+	if got := sendOne(t, p); got.outcome != martendrum.OK || got.answer.Rest == nil {
+		t.Fatalf("got outcome %v with answer %v, want outcome %v with an incomplete answer", got.outcome, got.answer, martendrum.OK)
 	}
 	for n := 0; p.Conns() > 0; n++ {
 		if n > 2000 {
-			t.Fatal("the connection stayed open")
+			t.Fatalf("%d connections are still open, want 0", p.Conns())
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -13,78 +13,80 @@
 	"martendrum/internal/netconn"
 )
 
-// Request is a client's request as each of its attempts sends it.
+// Request is a client's request in the form in which every attempt sends it.
 type Request struct {
 	Method string
-	Head   []byte // request line and header fields, but for the deadline and the empty line
-	Body   []byte
-	Stream Stream // what follows Body; nil: nothing
+	Head   []byte // request line and header fields, without the deadline field and the final empty line
+	Body   []byte // the complete body, or its buffered part if Stream is set
+	Stream Stream // the rest of the body; nil: Body is complete
 }
 
-// Stream is the part of a body that is not buffered: one attempt can send it, once.
+// Stream is the part of a body that is not buffered. Only one attempt can send it, and only once.
 type Stream interface {
-	// Claim returns true for the first caller only.
+	// Claim reserves the stream for the caller. It returns true for the first caller only.
 	Claim() bool
-	// Reader is the body; Read fails in bounded time if nothing arrives.
+	// Read returns an error within a bounded time if no more bytes of the body arrive.
 	io.Reader
-	// Chunked reports that the length is not known.
+	// Chunked reports whether the body is sent in chunks, because its length is unknown.
 	Chunked() bool
-	// Close ends the reading by the attempt that claimed it.
+	// Close is called by the attempt that has claimed the stream, when it stops reading.
 	Close() error
 }
 
-// Answer is a server's response of status 200, complete or with its rest still arriving.
+// Answer is a server's response with status 200, complete or with the rest of its body still to be read.
 type Answer struct {
 	Header http.Header
 	Body   []byte
 	Rest   io.Reader // the rest of the body, to be read before Sink.Done returns; nil: Body is complete
-	Length int64     // of the complete body; -1: unknown
+	Length int64     // length of the complete body; -1: unknown
 }
 
-// Sink takes the result of an attempt.
+// Sink receives the result of an attempt.
 type Sink interface {
-	// Done reports the outcome; answer is set for OK. Only the first call counts. The rest of
-	// an incomplete answer can be read until Done returns. If it has not been read to its end
-	// by then, the connection is closed.
+	// Done reports the outcome; answer is set only for OK. Done may be called more than once, and
+	// all calls but the first must be ignored. The rest of an incomplete answer can be read until
+	// Done returns. If it has not been read to its end by then, the connection is closed.
 	Done(outcome martendrum.Outcome, answer *Answer, report martendrum.LoadReport)
 }
 
-// Attempt is one send of a request to one server.
+// Attempt sends a request to one server once. Pool.Start starts it.
 type Attempt struct {
 	Request    *Request
 	Server     string
-	Deadline   time.Time // when the sidecar stops waiting
-	SendBefore time.Time // when its last byte must have been sent; zero: Deadline
+	Deadline   time.Time // when the sidecar stops waiting for the answer
+	SendBefore time.Time // when the last byte must have been sent; zero: Deadline
 	Sink       Sink
-	// Patience bounds the deadline that is sent to the server; 0: the time until Deadline. It is
-	// used for a streamed body, whose Deadline includes the time of the upload.
-	Patience time.Duration
-	// NonRepeatable says that the request must not be sent again. It gets a new connection while
-	// reused ones break at their next request.
+	// MaxSentTimeout limits the time until Deadline that is sent to the server; 0: no limit. It is
+	// set for a streamed body, whose Deadline includes the time of the upload.
+	MaxSentTimeout time.Duration
+	// NonRepeatable says that the request must not be sent again if its attempt fails. It gets a
+	// new connection while too many reused connections break at their next request.
 	NonRepeatable bool
 	// ClientLeft, if not nil, reports whether the client has disconnected. It is called before the
 	// first byte is written, and must not block. If it returns true, nothing is sent and the
 	// outcome is NotSent.
 	ClientLeft func() bool
-	// OnWritten, if not nil, is called when the last byte has been written; OnClaimed when this
-	// attempt has claimed the body's Stream, so that no other can send it.
+	// OnWritten, if not nil, is called when the last byte has been written. OnClaimed, if not nil,
+	// is called when this attempt has claimed the body's Stream, so that no other attempt can send
+	// it.
 	OnWritten, OnClaimed func()
 
 	pool        *Pool
 	server      *server
-	reused      bool          // the connection had been used before
+	reused      bool          // the connection has been used by an earlier attempt
 	startedAt   time.Time     // when Start was called
-	dialTimeout time.Duration // for a new connection
+	dialTimeout time.Duration // for opening a new connection
 
 	mu          sync.Mutex
 	conn        *conn
-	closed      bool // abandoned or withdrawn, or it must not be sent any more
+	closed      bool // the attempt is abandoned or withdrawn, or must not be sent any more
 	sendStarted bool // the first byte may have been written
 	written     bool // the last byte has been written
 	readFailed  bool // the connection broke before the request was written
 }
 
-// Start makes the attempt. It does not wait for the server.
+// Start starts an attempt, on an idle connection or a new one. It does not wait for the server. The
+// result is reported to the attempt's Sink, which may happen before Start returns.
 func (p *Pool) Start(a *Attempt) {
 	a.pool, a.startedAt = p, time.Now()
 	for {
@@ -102,8 +104,8 @@
 	}
 }
 
-// Withdraw stops an attempt of which no byte has been sent, and returns whether it did: the
-// request was not and will not be executed by it. Any other attempt continues.
+// Withdraw stops the attempt if no byte of it has been sent, and returns whether that is so: then the
+// attempt has not been and will not be executed. Otherwise the attempt continues.
 func (a *Attempt) Withdraw() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -113,9 +115,9 @@
 	return !a.sendStarted
 }
 
-// Abandon stops an attempt and returns whether a byte of it may have been sent. The caller then
-// calls Close, which closes the connection and thereby tells the server.
-func (a *Attempt) Abandon() (began bool) {
+// Abandon stops the attempt and returns whether a byte of it may have been sent. The caller must then
+// call Close, which closes the connection, so that the server notices the cancellation.
+func (a *Attempt) Abandon() (sendStarted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.closed = true
@@ -131,7 +133,7 @@
 		return
 	}
 	a.pool.mu.Lock()
-	owned := c.owner == a // otherwise another attempt has it
+	owned := c.owner == a // otherwise the connection is idle or used by another attempt
 	if owned {
 		a.pool.remove(c)
 	}
@@ -141,15 +143,15 @@
 	}
 }
 
-// done reports an outcome without an answer.
+// done reports an outcome other than OK, without an answer.
 func (a *Attempt) done(outcome martendrum.Outcome) {
 	a.Sink.Done(outcome, nil, martendrum.LoadReport{})
 }
 
-// recoverPanic limits a panic to the attempt in which it occurred. It is deferred.
+// recoverPanic limits the effect of a panic to the attempt in which it occurred. It must be deferred.
 func (a *Attempt) recoverPanic() {
 	if p := recover(); p != nil {
-		slog.Error("panic in an attempt", "panic", p, "stack", string(debug.Stack()))
+		slog.Error("panic while sending an attempt", "panic", p, "stack", string(debug.Stack()))
 		a.done(martendrum.Reset)
 	}
 }
@@ -165,17 +167,17 @@
 	c.read(a.pool)
 }
 
-// dialTCP opens a connection.
-func dialTCP(addr string, limit time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: limit, KeepAlive: -1}
+// dialTCP opens a TCP connection.
+func dialTCP(addr string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	return dialer.Dial("tcp", addr)
 }
 
-// connect opens a connection; nil if that fails.
+// connect opens a connection for the attempt. It returns nil if that fails.
 func (a *Attempt) connect(addr string) *conn {
 	netConn, err := a.pool.dial(addr, a.dialTimeout)
 	if err != nil {
-		slog.Debug("no connection", "server", a.Server, "err", err)
+		slog.Debug("cannot connect to the server", "server", a.Server, "err", err)
 		a.pool.releaseSlot()
 		return nil
 	}
@@ -185,7 +187,7 @@
 	}
 }
 
-// sendFirst sends the request on a new connection.
+// sendFirst sends the request as the first one on a new connection.
 func (a *Attempt) sendFirst(c *conn) {
 	defer a.recoverPanic()
 	if !a.send(c) {
@@ -194,14 +196,14 @@
 }
 
 // begin marks the attempt as begun on c, before its first byte is written. It returns false if the
-// attempt must not be sent any more. It checks the client's connection itself, because after a
-// stall of the process it may run before the goroutine that reads from that connection.
+// attempt must not be sent any more. It checks whether the client has disconnected, because after a
+// stall of the process it may run before the goroutine that reads from the client's connection.
 func (a *Attempt) begin(c *conn) bool {
-	pastGrace := a.pool.isDrainGraceOver(a.server) // the dial may have taken long
-	left := a.ClientLeft != nil && a.ClientLeft()
+	pastGrace := a.pool.isDrainGraceOver(a.server) // while the connection was dialled
+	clientLeft := a.ClientLeft != nil && a.ClientLeft()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.closed || pastGrace || left || !time.Now().Before(a.sendDeadline()) {
+	if a.closed || pastGrace || clientLeft || !time.Now().Before(a.sendDeadline()) {
 		a.closed = true
 		return false
 	}
@@ -217,14 +219,15 @@
 	return a.SendBefore
 }
 
-// hasStartedOn reports whether the attempt has begun on c: what arrives there is for it.
+// hasStartedOn reports whether the attempt has begun on c, so that bytes arriving there are its answer.
 func (a *Attempt) hasStartedOn(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.sendStarted && a.conn == c
 }
 
-// isWritten reports whether the request has been written completely and the attempt is open.
+// isWritten reports whether the request has been written completely and the attempt is neither
+// abandoned nor withdrawn.
 func (a *Attempt) isWritten() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/upstream/errno_test.go
+++ b/internal/upstream/errno_test.go
@@ -13,35 +13,36 @@
 	"martendrum"
 )
 
-// socketErrnos are the errors with which any call on a socket may fail.
+// socketErrnos are the errors that calls on a socket may return.
 var socketErrnos = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EHOSTDOWN, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EACCES, syscall.EPERM, syscall.EPROTO, syscall.EIO, syscall.ENOTCONN, syscall.EINTR,
 }
 
-// scriptedConn is a connection whose calls fail by a test's script.
+// scriptedConn is a connection whose calls fail as its fields say. Reads block until a write has ended.
 type scriptedConn struct {
-	writeLimit    int    // bytes written before writes fail; below 0: no limit
-	writeErr      error  // what a write beyond writeLimit fails with, and the last write if failLastWrite
-	failLastWrite bool   // the write of the last byte reports an error
+	writeLimit    int    // how many bytes of a write are accepted before it fails; below 0: all
+	writeErr      error  // the error of a write beyond writeLimit, or of every write if failLastWrite
+	failLastWrite bool   // a write of all bytes returns an error nevertheless
 	input         string // what reads return before they fail
-	readErr       error
+	readErr       error  // the error of reads once input has been read
 
-	mu      sync.Mutex
-	output  bytes.Buffer
-	written chan struct{} // closed when a write has ended
-	closed  chan struct{}
-	once    sync.Once
-	end     sync.Once
+	mu        sync.Mutex
+	output    bytes.Buffer  // what has been written
+	written   chan struct{} // closed when a write has ended
+	closed    chan struct{} // closed by Close
+	writeOnce sync.Once     // closes written
+	closeOnce sync.Once     // closes closed
 }
 
+// newScripted returns a connection whose writes succeed and whose reads return nothing.
 func newScripted() *scriptedConn {
 	return &scriptedConn{writeLimit: -1, written: make(chan struct{}), closed: make(chan struct{})}
 }
 
 func (s *scriptedConn) Write(p []byte) (int, error) {
-	defer s.once.Do(func() { close(s.written) })
+	defer s.writeOnce.Do(func() { close(s.written) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := len(p)
@@ -71,12 +72,12 @@
 }
 
 func (s *scriptedConn) Close() error {
-	s.end.Do(func() { close(s.closed) })
+	s.closeOnce.Do(func() { close(s.closed) })
 	return nil
 }
 
-// arrived reports whether the server has the complete request.
-func (s *scriptedConn) arrived() bool {
+// requestWritten reports whether the complete request has been written, so that the server has it.
+func (s *scriptedConn) requestWritten() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.HasSuffix(s.output.String(), "\r\n\r\n")
@@ -88,16 +89,16 @@
 func (*scriptedConn) SetReadDeadline(time.Time) error  { return nil }
 func (*scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// What a failed call proves depends on the call and on how much of the request it accepted, not
-// on its errno: the request was not executed if the server can't have all of it, and it may have
-// been executed otherwise. There is one outcome, and no connection or slot is leaked.
+// The outcome of an attempt with a failed system call depends on the call and on how much of the request
+// was written, not on the errno: the request was not executed if the server can't have all of it, and may
+// have been executed otherwise. No connection stays open or counted.
 func TestOutcomesOfFailedCalls(t *testing.T) {
 	for name, test := range map[string]struct {
 		want   martendrum.Outcome
 		script func(s *scriptedConn, err error) (dialErr error)
 	}{
 		"dial": {martendrum.ConnectFailed, func(_ *scriptedConn, err error) error { return err }},
-		"write of nothing": {martendrum.ConnectFailed, func(s *scriptedConn, err error) error {
+		"write of no byte": {martendrum.ConnectFailed, func(s *scriptedConn, err error) error {
 			s.writeLimit, s.writeErr, s.readErr = 0, err, err
 			return nil
 		}},
@@ -121,7 +122,7 @@
 			s.input, s.readErr = goodAnswer[:len(goodAnswer)-1], err
 			return nil
 		}},
-		"read behind an answer": {martendrum.OK, func(s *scriptedConn, err error) error {
+		"read after an answer": {martendrum.OK, func(s *scriptedConn, err error) error {
 			s.input, s.readErr = goodAnswer, err
 			return nil
 		}},
@@ -137,14 +138,14 @@
 					}
 					return s, nil
 				}
-				e := sendOne(t, p)
-				if e.outcome != test.want {
-					t.Errorf("%v: outcome %v, want %v", errno, e.outcome, test.want)
+				got := sendOne(t, p)
+				if got.outcome != test.want {
+					t.Errorf("%v: got outcome %v, want %v", errno, got.outcome, test.want)
 				}
-				if e.outcome.ProvablyNotExecuted() && s.arrived() {
-					t.Errorf("%v: outcome %v, and the server has the request", errno, e.outcome)
+				if got.outcome.ProvablyNotExecuted() && s.requestWritten() {
+					t.Errorf("%v: got outcome %v, which says that the request was not executed, but the server has all of it", errno, got.outcome)
 				}
-				eventually(t, "no connection", func() bool { return p.Conns() == 0 })
+				eventually(t, "no open connection", func() bool { return p.Conns() == 0 })
 			}
 		})
 	}
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -12,9 +12,10 @@
 	"martendrum/internal/netconn"
 )
 
-// FuzzAnswerBody reads a server's answer, chunked, of a stated length or delimited by the end of
-// its connection, in pieces, and compares it with RFC 9112: what the strict grammar accepts is an
-// answer, and nothing is that even a lenient reader would read otherwise.
+// FuzzAnswerBody reads a server's answer that arrives in pieces, and compares the result with the grammar of
+// RFC 9112. The body is chunked (length -1), has a stated length, or ends with the connection (length below
+// -1). An answer that a strict parser accepts must be accepted. An answer that even a lenient parser rejects
+// or reads differently must not be.
 func FuzzAnswerBody(f *testing.F) {
 	for _, seed := range framingtest.Seeds {
 		f.Add([]byte(seed), -1, 1, false)
@@ -26,9 +27,9 @@
 		if len(body) > 4<<10 || piece < 1 || length > 8<<10 {
 			t.Skip()
 		}
-		here, there := net.Pipe()
-		defer here.Close()
-		there.SetDeadline(time.Now().Add(patience))
+		local, remote := net.Pipe()
+		defer local.Close()
+		remote.SetDeadline(time.Now().Add(patience))
 		head := "HTTP/1.1 200 OK\r\nSrv-Load: inflight=1\r\n"
 		if interim {
 			head = "HTTP/1.1 103 Early Hints\r\n\r\n" + head
@@ -39,36 +40,36 @@
 			head += "Transfer-Encoding: chunked\r\n"
 		case length >= 0:
 			head += "Content-Length: " + strconv.Itoa(length) + "\r\n"
-		default: // to the connection's end
+		default: // until the end of the connection
 			strict = framingtest.Reading{Body: body, OK: len(body) > 0}
 			lenient = strict
 		}
 		go func() {
-			defer there.Close()
-			framingtest.Send(there, append([]byte(head+"\r\n"), body...), piece)
+			defer remote.Close()
+			framingtest.Send(remote, append([]byte(head+"\r\n"), body...), piece)
 		}()
-		c := &conn{Conn: here, input: netconn.NewLazy(here)}
-		resp, ans, err := c.readAnswer(http.MethodPost)
+		c := &conn{Conn: local, input: netconn.NewLazy(local)}
+		resp, answer, err := c.readAnswer(http.MethodPost)
 		var got []byte
 		if err == nil {
-			got = ans.Body
-			if ans.Rest != nil { // it took long to come
+			got = answer.Body
+			if answer.Rest != nil { // the body took longer than maxBufferTime
 				var more []byte
-				more, err = io.ReadAll(ans.Rest)
+				more, err = io.ReadAll(answer.Rest)
 				got = append(got, more...)
 			}
 		}
-		if differ := framingtest.Check(body, strict, lenient, strict.OK, err == nil, got); differ != nil {
-			t.Fatalf("length %d: %v (%v)", length, differ, err)
+		if mismatch := framingtest.Check(body, strict, lenient, strict.OK, err == nil, got); mismatch != nil {
+			t.Fatalf("body length %d: %v (read error: %v)", length, mismatch, err)
 		}
 		switch {
 		case err != nil:
 		case resp.StatusCode != http.StatusOK:
-			t.Errorf("answered %d", resp.StatusCode)
-		case ans.Rest == nil && ans.Length != int64(len(got)):
-			t.Errorf("%d bytes said to be %d", len(got), ans.Length)
+			t.Errorf("got status %d, want 200", resp.StatusCode)
+		case answer.Rest == nil && answer.Length != int64(len(got)):
+			t.Errorf("answer.Length = %d, want %d as the length of its body", answer.Length, len(got))
 		case c.input.Buffered() > len(lenient.Rest):
-			t.Errorf("%d bytes are left over, want at most %d", c.input.Buffered(), len(lenient.Rest))
+			t.Errorf("%d bytes are buffered after the answer, want at most %d", c.input.Buffered(), len(lenient.Rest))
 		}
 	})
 }
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -7,11 +7,11 @@
 	"martendrum"
 )
 
-// maxLoad exceeds the load of any server; higher values are invalid.
+// maxLoad is the highest valid load value, above the load of any real server.
 const maxLoad = 1e6
 
 // ParseLoad parses a load report of comma-separated name=value pairs. It ignores values that are
-// not valid loads, in particular NaN, which would make every comparison false.
+// not valid loads, in particular NaN, which would make every comparison false, and unknown names.
 func ParseLoad(text string) (report martendrum.LoadReport) {
 	for text != "" {
 		var field string
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,8 +1,8 @@
 // Package upstream is the server-facing side of the sidecar: it owns the connections to servers,
 // makes single attempts on them and reports their outcomes.
 //
-// It guarantees that an attempt is sent at most once and that its outcome says whether the server
-// may have executed it. It does not choose servers and does not retry: package martendrum does.
+// It guarantees that an attempt is sent at most once, and that its outcome says whether the server
+// may have executed it. It neither chooses servers nor retries; package martendrum decides on both.
 package upstream
 
 import (
@@ -16,31 +16,31 @@
 
 // Config is the configuration of a Pool.
 type Config struct {
-	ServerIdleTimeout time.Duration // servers close connections that have been idle for so long
-	DialTimeout       time.Duration
+	ServerIdleTimeout time.Duration // idle time after which servers close a connection
+	DialTimeout       time.Duration // limit on opening a connection
 	DrainGrace        time.Duration // no attempt starts later than this after its server began to drain
-	MaxConns          int           // connections at once, those being dialled included
+	MaxConns          int           // limit on connections, including those being dialled
 }
 
 // Pool keeps the connections to all servers.
 type Pool struct {
-	dial func(addr string, limit time.Duration) (net.Conn, error) // opens a connection; replaced by tests
+	dial func(addr string, timeout time.Duration) (net.Conn, error) // opens a connection; replaced by tests
 
-	mu              sync.Mutex
-	config          Config
-	servers         map[string]*server
-	conns           int           // open or being dialled
-	minRest         time.Duration // least idle time of a connection before its next request
-	unsolicitedRest time.Duration // the same after the server has sent unsolicited bytes
-	brokenFraction  float64       // running share of reused connections that broke at their next request
+	mu                  sync.Mutex
+	config              Config
+	servers             map[string]*server // by name
+	conns               int                // number of connections, open or being dialled
+	minIdleTime         time.Duration      // how long a connection stays idle before its next request
+	unsolicitedIdleTime time.Duration      // minIdleTime after the server has sent unsolicited bytes
+	brokenFraction      float64            // running mean of reused connections that broke at their next request
 }
 
 // server is a listed server with the idle connections to it, oldest first.
 type server struct {
 	name, addr    string
-	started       time.Duration
-	drainingSince time.Time // when it was reported as draining or removed; zero: it serves
-	unsolicitedAt time.Time // when it last sent bytes that belong to no request; zero: never
+	started       time.Duration // Unix time of its last start
+	drainingSince time.Time     // when it was reported as draining or removed; zero: it is neither
+	unsolicitedAt time.Time     // when it last sent bytes that belong to no request; zero: never
 	idle          []*conn
 }
 
@@ -56,39 +56,41 @@
 	// Guarded by the pool's lock.
 	idleSince time.Time
 	owner     *Attempt // nil while idle
-	removed   bool     // from the pool
+	removed   bool     // it has been removed from the pool
 }
 
 // New returns an empty Pool.
 func New(config Config) *Pool {
-	return &Pool{dial: dialTCP, config: config, servers: make(map[string]*server), minRest: defaultMinRest, unsolicitedRest: defaultUnsolicitedRest}
+	return &Pool{dial: dialTCP, config: config, servers: make(map[string]*server), minIdleTime: defaultMinIdleTime, unsolicitedIdleTime: defaultUnsolicitedIdleTime}
 }
 
-// Limit replaces the configuration for later attempts.
+// Limit replaces the configuration. It applies to later attempts; Trim closes connections that exceed a
+// lower MaxConns.
 func (p *Pool) Limit(config Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.config = config
 }
 
-// idleTimeout returns how long an idle connection stays open. It is well below the server's own
-// timeout, so that no request races with the server's close.
+// idleTimeout returns how long an idle connection stays open. It is well below ServerIdleTimeout, so that
+// a server does not close a connection just when a request is sent on it. The lock is held.
 func (p *Pool) idleTimeout() time.Duration { return p.config.ServerIdleTimeout * 6 / 10 }
 
 const (
 	// maxBrokenFraction is the fraction of reused connections that may break at their next
 	// request before non-repeatable requests get new connections. Servers or middleboxes may
-	// drop idle connections silently, which fails such a request for good, while a new
-	// connection costs a handshake. brokenFractionWeight is the weight of one observation in
-	// the running mean.
+	// drop idle connections silently. A non-repeatable request on such a connection fails and
+	// can't be retried, while a new connection costs only a handshake. brokenFractionWeight is
+	// the weight of one observation in the running mean.
 	maxBrokenFraction    = 0.01
 	brokenFractionWeight = 0.03
-	// breakWindow is the time after the start of an attempt in which a break is attributed to
-	// the reuse. A later break is attributed to the request.
+	// breakWindow is the time after the start of an attempt in which a broken connection is
+	// attributed to its reuse. A later break is attributed to the request.
 	breakWindow = 20 * time.Millisecond
 )
 
-// recordReuse counts whether an attempt on a reused connection broke at once.
+// recordReuse updates brokenFraction with whether the connection of an attempt broke within breakWindow.
+// It ignores attempts on new connections and later breaks.
 func (p *Pool) recordReuse(a *Attempt, broke bool) {
 	if !a.reused || broke && time.Since(a.startedAt) > breakWindow {
 		return
@@ -102,30 +104,32 @@
 	p.mu.Unlock()
 }
 
-// Serve sets a server's address and the time of its last start. It closes idle connections to
-// another address or an earlier process, which would be reset at their next request.
-func (p *Pool) Serve(name, addr string, started time.Duration) {
+// SetServer adds a server or updates its address and the time of its last start. The server is not
+// draining any more. If the address or the start has changed, idle connections to the server are closed,
+// because they would be reset at their next request.
+func (p *Pool) SetServer(name, addr string, started time.Duration) {
 	p.mu.Lock()
 	s := p.servers[name]
 	if s == nil {
 		s = &server{name: name}
 		p.servers[name] = s
 	}
-	var old []*conn
+	var toClose []*conn
 	if s.addr != addr || s.started != started {
-		old = p.takeIdle(s)
+		toClose = p.takeIdle(s)
 	}
 	s.addr, s.started, s.drainingSince = addr, started, time.Time{}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(toClose)
 }
 
-// MarkDraining records that a server is draining or removed.
+// MarkDraining records that a server is draining or removed, and closes its idle connections. No attempt
+// is sent to it once Config.DrainGrace has passed. New attempts on a removed server fail at once.
 func (p *Pool) MarkDraining(name string, removed bool) {
 	p.mu.Lock()
-	var old []*conn
+	var toClose []*conn
 	if s := p.servers[name]; s != nil {
-		old = p.takeIdle(s)
+		toClose = p.takeIdle(s)
 		if s.drainingSince.IsZero() {
 			s.drainingSince = time.Now()
 		}
@@ -134,7 +138,7 @@
 		}
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(toClose)
 }
 
 // Retain removes all servers that are not listed.
@@ -155,62 +159,63 @@
 // CloseIdle closes the idle connections to a server.
 func (p *Pool) CloseIdle(name string) {
 	p.mu.Lock()
-	var old []*conn
+	var toClose []*conn
 	if s := p.servers[name]; s != nil {
-		old = p.takeIdle(s)
+		toClose = p.takeIdle(s)
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(toClose)
 }
 
-// Sweep closes connections that have been idle for too long.
+// Sweep closes connections that have been idle for longer than the idle timeout. It is to be called
+// periodically.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
-	var old []*conn
+	var toClose []*conn
 	for _, s := range p.servers {
 		for len(s.idle) > 0 && now.Sub(s.idle[0].idleSince) > p.idleTimeout() {
-			old = append(old, s.idle[0])
+			toClose = append(toClose, s.idle[0])
 			p.remove(s.idle[0])
 		}
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(toClose)
 }
 
-// Trim closes idle connections, the longest idle first, until the number of connections is within
-// the limit or none is idle.
+// Trim closes idle connections, the one idle for longest first, until the number of connections is at most
+// MaxConns or none is idle.
 func (p *Pool) Trim() {
 	p.mu.Lock()
-	var old []*conn
+	var toClose []*conn
 	for p.conns > p.config.MaxConns {
 		c := p.longestIdle()
 		if c == nil {
 			break
 		}
-		old = append(old, c)
+		toClose = append(toClose, c)
 		p.remove(c)
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(toClose)
 }
 
-// Conns returns the number of connections, those being dialled included.
+// Conns returns the number of connections, including those being dialled.
 func (p *Pool) Conns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conns
 }
 
-// takeIdle removes a server's idle connections from the pool and returns them; the caller closes
-// them. The lock is held.
+// takeIdle removes a server's idle connections from the pool and returns them. The caller closes them. The
+// lock is held.
 func (p *Pool) takeIdle(s *server) []*conn {
-	old := s.idle
-	for _, c := range old {
+	taken := s.idle
+	for _, c := range taken {
 		c.removed = true
 	}
-	p.conns -= len(old)
+	p.conns -= len(taken)
 	s.idle = nil
-	return old
+	return taken
 }
 
 // remove removes an open connection from the pool. The caller closes it. The lock is held.
@@ -235,9 +240,9 @@
 	}
 }
 
-// acquire returns the newest reusable connection to the attempt's server. If there is none, it
-// reserves the slot of a new connection and returns a nil conn and the address to dial. ok is
-// false if there is no slot or no such server.
+// acquire returns the newest reusable connection to the attempt's server. If there is none, it counts a
+// new connection in conns and returns a nil conn and the address to dial. ok is false if the number of
+// connections has reached MaxConns and none is idle, or if the server is not known.
 func (p *Pool) acquire(a *Attempt) (c *conn, addr string, ok bool) {
 	now := time.Now()
 	var expired []*conn
@@ -248,7 +253,7 @@
 	}()
 	s := p.servers[a.Server]
 	if s == nil {
-		return nil, "", false // removed since the decision
+		return nil, "", false // the server was removed after the Balancer chose it
 	}
 	a.server, a.dialTimeout = s, p.config.DialTimeout
 	needsNew := a.NonRepeatable && p.brokenFraction > maxBrokenFraction
@@ -260,15 +265,15 @@
 	}
 	a.reused = false
 	if needsNew && len(s.idle) > 0 {
-		// The new connection replaces an idle one. A server accepts a limited number, and idle
-		// connections that are not reused would keep new ones out.
+		// The new connection replaces an idle one: a server accepts a limited number of
+		// connections, and idle ones that are not reused would use it up.
 		expired = append(expired, s.idle[0])
 		p.remove(s.idle[0])
 	}
 	if p.conns >= p.config.MaxConns {
 		oldest := p.longestIdle()
 		if oldest == nil {
-			slog.Warn("no descriptor left for a connection to a server", "conns", p.conns)
+			slog.Warn("no attempt sent: the limit on connections to servers is reached", "conns", p.conns)
 			return nil, "", false
 		}
 		expired = append(expired, oldest)
@@ -278,21 +283,21 @@
 	return nil, s.addr, true
 }
 
-// acquireIdle returns the newest idle connection to s that has rested for long enough, nil if there
-// is none. It also removes and returns connections that have been idle for too long, which the
-// caller closes. Whether the server has sent something or closed the connection meanwhile is
-// checked when the request is sent. The lock is held.
+// acquireIdle returns the newest idle connection to s that has been idle for at least the minimum time, nil
+// if there is none. It also removes and returns connections that have been idle for too long, which the
+// caller closes. Whether the server has sent bytes or closed the connection meanwhile is checked when the
+// request is sent. The lock is held.
 func (p *Pool) acquireIdle(s *server, now time.Time) (c *conn, expired []*conn) {
-	rest := p.restOf(s, now)
+	minIdle := p.minIdleTimeOf(s, now)
 	for len(s.idle) > 0 {
 		n := len(s.idle) - 1
-		for n > 0 && now.Sub(s.idle[n].idleSince) < rest {
+		for n > 0 && now.Sub(s.idle[n].idleSince) < minIdle {
 			n--
 		}
 		c := s.idle[n]
 		idleFor := now.Sub(c.idleSince)
 		switch {
-		case idleFor < rest:
+		case idleFor < minIdle:
 			return nil, expired
 		case idleFor <= p.idleTimeout():
 			s.idle = append(s.idle[:n], s.idle[n+1:]...)
@@ -304,8 +309,7 @@
 	return nil, expired
 }
 
-// longestIdle returns the connection that has been idle for the longest, nil if none is idle. The
-// lock is held.
+// longestIdle returns the connection that has been idle for longest, nil if none is idle. The lock is held.
 func (p *Pool) longestIdle() (oldest *conn) {
 	for _, s := range p.servers {
 		if len(s.idle) > 0 && (oldest == nil || s.idle[0].idleSince.Before(oldest.idleSince)) {
@@ -315,9 +319,10 @@
 	return oldest
 }
 
-// release returns a connection to the pool after an attempt; false if it can't be reused.
+// release makes a connection idle after an attempt. It returns false if the connection can't be reused,
+// because it was removed or its server is draining or has another address now.
 func (p *Pool) release(c *conn) bool {
-	c.input.Rest() // before the lock: a sender takes the two locks in that order
+	c.input.MarkHandled() // before p.mu: a sender locks the input first and then the pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.removed || c.addr != c.server.addr || !c.server.drainingSince.IsZero() {
@@ -336,7 +341,7 @@
 	c.Close()
 }
 
-// releaseSlot releases the slot of a connection that could not be opened.
+// releaseSlot subtracts a connection that could not be opened from conns.
 func (p *Pool) releaseSlot() {
 	p.mu.Lock()
 	p.conns--
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -9,140 +9,140 @@
 	"martendrum"
 )
 
-// A server that is removed and listed again under its name, restarted at another address, gets
-// all requests from then on. None goes on a connection to the previous process.
+// If a server is removed, restarted at another address and listed again under the same name, the new
+// process gets all requests from then on. None is sent on a connection to the previous process.
 func TestRestartUnderOneName(t *testing.T) {
-	old, restarted := make(chan struct{}, 10), make(chan struct{}, 10)
-	reporting := func(c chan struct{}) string {
-		return serve(t, func(_, _ int, nc net.Conn) {
-			c <- struct{}{}
-			io.WriteString(nc, goodAnswer)
+	oldRequests, newRequests := make(chan struct{}, 10), make(chan struct{}, 10)
+	startReporting := func(requests chan struct{}) string {
+		return serve(t, func(_, _ int, c net.Conn) {
+			requests <- struct{}{}
+			io.WriteString(c, goodAnswer)
 		})
 	}
-	p := newPool(reporting(old))
-	p.minRest = 0
+	p := newPool(startReporting(oldRequests))
+	p.minIdleTime = 0
 	for range sendUntilIdle(t, p, 1) {
-		<-old
+		<-oldRequests
 	}
 	p.MarkDraining("s", true)
-	if e := sendOne(t, p); e.outcome != martendrum.ConnectFailed {
-		t.Errorf("with no server of that name: %v", e.outcome)
+	if got := sendOne(t, p); got.outcome != martendrum.ConnectFailed {
+		t.Errorf("after the server's removal: got outcome %v, want %v", got.outcome, martendrum.ConnectFailed)
 	}
-	p.Serve("s", reporting(restarted), time.Second)
+	p.SetServer("s", startReporting(newRequests), time.Second)
 	for range 3 {
-		if e := sendOne(t, p); e.outcome != martendrum.OK {
-			t.Errorf("outcome %v", e.outcome)
+		if got := sendOne(t, p); got.outcome != martendrum.OK {
+			t.Errorf("after the restart: got outcome %v, want %v", got.outcome, martendrum.OK)
 		}
-		<-restarted
+		<-newRequests
 	}
-	if len(old) > 0 {
-		t.Error("the previous process got a request")
+	if len(oldRequests) > 0 {
+		t.Error("a request was sent to the previous process")
 	}
 }
 
-// Where reused connections break at their next request, a request that can't be repeated gets a
-// new one; where they hold, it does not.
+// If reused connections break at their next request, a non-repeatable request is sent on a new connection.
+// If they don't, it is sent on a reused one.
 func TestNonRepeatableUsesNewConnections(t *testing.T) {
 	for _, breaks := range []bool{true, false} {
 		conns := make(chan int, 10000)
-		addr := serve(t, func(conn, n int, c net.Conn) {
+		addr := serve(t, func(connIndex, n int, c net.Conn) {
 			if n > 0 && breaks {
 				c.(*net.TCPConn).SetLinger(0)
 				c.Close()
 				return
 			}
-			conns <- conn
+			conns <- connIndex
 			io.WriteString(c, goodAnswer)
 		})
 		p := newPool(addr)
-		p.minRest = 0
+		p.minIdleTime = 0
 		until := time.Now().Add(patience)
 		for p.currentBrokenFraction() <= maxBrokenFraction && breaks || p.idleConns("s") == 0 {
 			if time.Now().After(until) {
-				t.Fatal("no break was noticed, or no connection is idle")
+				t.Fatalf("after %v: fraction of broken connections %v, %d idle connections; want a fraction above %v if connections break, and an idle connection", patience, p.currentBrokenFraction(), p.idleConns("s"), maxBrokenFraction)
 			}
 			sendOne(t, p)
-			time.Sleep(time.Millisecond) // its connection goes idle after the outcome
+			time.Sleep(time.Millisecond) // the connection becomes idle only after the outcome is reported
 		}
 		last := -1
 		for len(conns) > 0 {
 			last = max(last, <-conns)
 		}
-		if e := sendAttempt(t, p, true); e.outcome != martendrum.OK {
-			t.Fatalf("unrepeatable request: %v", e.outcome)
+		if got := sendAttempt(t, p, true); got.outcome != martendrum.OK {
+			t.Fatalf("non-repeatable request: got outcome %v, want %v", got.outcome, martendrum.OK)
 		}
 		if got := <-conns; got > last != breaks {
-			t.Errorf("breaks %v: went on connection %d of %d", breaks, got, last)
+			t.Errorf("reused connections break: %v: the request was sent on connection %d, while the last one before it was %d", breaks, got, last)
 		}
 	}
 }
 
-// Where reused connections are not trusted, new ones for requests that can't be repeated replace
-// idle ones: a server accepts only so many, and idle ones would keep the new ones out.
-func TestNewConnectionsTakeIdlePlaces(t *testing.T) {
+// While reused connections break too often, each new connection for a non-repeatable request replaces an idle
+// one: a server accepts a limited number of connections, and idle ones would use it up.
+func TestNewConnectionsReplaceIdleOnes(t *testing.T) {
 	conns := make(chan int, 100)
-	p := newPool(serve(t, func(conn, _ int, c net.Conn) {
-		conns <- conn
+	p := newPool(serve(t, func(connIndex, _ int, c net.Conn) {
+		conns <- connIndex
 		io.WriteString(c, goodAnswer)
 	}))
-	p.minRest = 0
+	p.minIdleTime = 0
 	p.brokenFraction = 1
 	const rounds, limit = 10, 50
 	reusable := 0
 	for n := 0; reusable < rounds; n++ {
 		if n == limit {
-			t.Fatalf("of %d connections only %d were reused", limit, reusable)
+			t.Fatalf("%d of %d connections became idle, want %d", reusable, limit, rounds)
 		}
-		if e := sendAttempt(t, p, true); e.outcome != martendrum.OK {
-			t.Fatalf("request %d: %v", n, e.outcome)
+		if got := sendAttempt(t, p, true); got.outcome != martendrum.OK {
+			t.Fatalf("request %d: got outcome %v, want %v", n, got.outcome, martendrum.OK)
 		}
 		if got := <-conns; got != n {
-			t.Errorf("request %d went on connection %d, want a new one", n, got)
+			t.Errorf("request %d was sent on connection %d, want a new one", n, got)
 		}
-		// An answer that is read before the sender has recorded the end of its write is good, but its
-		// connection is not reused. Such a round shows nothing.
-		eventually(t, "an idle connection, or none", func() bool { return p.idleConns("s") == 1 || p.Conns() == 0 })
+		// If the answer is read before the sender has recorded the end of its write, the answer is
+		// valid, but the connection is not reused. Such a round is not counted.
+		eventually(t, "one idle connection or no connection", func() bool { return p.idleConns("s") == 1 || p.Conns() == 0 })
 		if p.Conns() == 0 {
 			continue
 		}
 		reusable++
 		if got := p.Conns(); got != 1 {
-			t.Fatalf("%d connections after request %d, want the last one's only", got, n)
+			t.Fatalf("%d connections are open after request %d, want only that of the request", got, n)
 		}
 	}
 }
 
-// An attempt that is past its latest time to be sent is not sent, on a new or a reused connection.
+// An attempt whose SendBefore has passed is not sent, neither on a new connection nor on a reused one.
 func TestOverdueAttemptIsNotSent(t *testing.T) {
-	ran := make(chan struct{}, 10)
+	executed := make(chan struct{}, 10)
 	p := newPool(serve(t, func(_, _ int, c net.Conn) {
-		ran <- struct{}{}
+		executed <- struct{}{}
 		io.WriteString(c, goodAnswer)
 	}))
-	p.minRest = 0
+	p.minIdleTime = 0
 	for _, idle := range []int{0, 1} {
 		for range sendUntilIdle(t, p, idle) {
-			<-ran
+			<-executed
 		}
-		s := make(resultSink, 1)
-		a := attemptOf(s)
+		sink := make(resultSink, 1)
+		a := newAttempt(sink)
 		a.SendBefore = time.Now()
 		p.Start(a)
 		select {
-		case e := <-s:
-			if e.outcome != martendrum.NotSent {
-				t.Errorf("%d idle connections: outcome %v", idle, e.outcome)
+		case got := <-sink:
+			if got.outcome != martendrum.NotSent {
+				t.Errorf("%d idle connections: got outcome %v, want %v", idle, got.outcome, martendrum.NotSent)
 			}
 		case <-time.After(patience):
-			t.Fatal("no outcome")
+			t.Fatalf("%d idle connections: the attempt reported no outcome within %v", idle, patience)
 		}
-		if len(ran) > 0 {
-			t.Errorf("%d idle connections: it was sent", idle)
+		if len(executed) > 0 {
+			t.Errorf("%d idle connections: the server got the overdue attempt", idle)
 		}
 		if sendOne(t, p).outcome != martendrum.OK {
-			t.Error("a request in time failed")
+			t.Errorf("%d idle connections: a request that was not overdue failed", idle)
 		}
-		<-ran
+		<-executed
 		eventually(t, "the connection to be idle or closed", func() bool { return p.idleConns("s") == p.Conns() })
 	}
 }
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -13,39 +13,39 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// A connection rests after an answer, so that bytes that follow it are not taken for the next
-// answer. After its rest it is reused.
-func TestRest(t *testing.T) {
+// A connection stays idle for a minimum time after an answer, so that bytes that follow the answer are not
+// taken for the next one. After that time it is reused.
+func TestConnectionIsIdleBeforeReuse(t *testing.T) {
 	conns := make(chan int, 10)
-	addr := serve(t, func(conn, _ int, c net.Conn) {
-		conns <- conn
+	addr := serve(t, func(connIndex, _ int, c net.Conn) {
+		conns <- connIndex
 		io.WriteString(c, goodAnswer)
 	})
 	p := newPool(addr)
-	p.minRest = time.Hour
+	p.minIdleTime = time.Hour
 	for n := range 4 {
-		if e := sendOne(t, p); e.outcome != martendrum.OK {
-			t.Fatalf("request %d: %v", n, e.outcome)
+		if got := sendOne(t, p); got.outcome != martendrum.OK {
+			t.Fatalf("request %d: got outcome %v, want %v", n, got.outcome, martendrum.OK)
 		}
 		if got := <-conns; got != n {
-			t.Errorf("request %d went on connection %d, want a new one", n, got)
+			t.Errorf("request %d was sent on connection %d, want a new one", n, got)
 		}
 	}
-	p.minRest = 0
+	p.minIdleTime = 0
 	for last, until := 4, time.Now().Add(patience); ; last++ {
 		sendOne(t, p)
 		if <-conns < last {
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatal("rested connections are not used again")
+			t.Fatalf("no connection was reused within %v", patience)
 		}
 	}
 }
 
-// Bytes that arrived on a reused connection before a request goes out on it are no answer to
-// that request, also where the connection's goroutine has read them and not acted on them yet.
-// The request goes out completely on another connection.
+// Bytes that arrived on a reused connection before a request is sent on it are not an answer to that
+// request, even if the connection's goroutine has read them and not yet handled them. The request is sent
+// on another connection.
 func TestUnsolicitedAnswerIsDropped(t *testing.T) {
 	accepted := make(chan net.Conn, maxSendsForIdle+1)
 	addr := serve(t, func(_, _ int, c net.Conn) {
@@ -53,87 +53,88 @@
 		accepted <- c
 	})
 	p := newPool(addr)
-	p.minRest = 0
+	p.minIdleTime = 0
 	var serverSide net.Conn // of the idle connection, which is the last one
 	for range sendUntilIdle(t, p, 1) {
 		serverSide = <-accepted
 	}
-	p.mu.Lock()
+	p.mu.Lock() // keeps the connection's goroutine from handling the bytes
 	c := p.servers["s"].idle[0]
 	io.WriteString(serverSide, strings.Replace(goodAnswer, "yes", "no!", 1))
-	eventually(t, "the stray answer to be read", func() bool { return tcp.Unread(t, c.Conn.(*net.TCPConn)) == 0 })
-	// The connection is taken for the next request while its goroutine waits for the lock.
-	s := make(resultSink, 1)
-	a := attemptOf(s)
+	eventually(t, "the unsolicited answer to be read", func() bool { return tcp.Unread(t, c.Conn.(*net.TCPConn)) == 0 })
+	// The next request acquires the connection while the connection's goroutine waits for the lock.
+	sink := make(resultSink, 1)
+	a := newAttempt(sink)
 	a.pool, a.server, a.reused, a.startedAt = p, p.servers["s"], true, time.Now()
 	p.servers["s"].idle = nil
 	c.owner = a
 	p.mu.Unlock()
 	if a.send(c) {
-		t.Error("the request went out behind a stray answer")
+		t.Error("send() = true on a connection with an unsolicited answer, want false")
 	}
 	p.Start(a)
 	select {
-	case e := <-s:
-		if e.outcome != martendrum.OK || string(e.answer.Body) != "yes" {
-			t.Errorf("outcome %v with %v, want an answer of its own", e.outcome, e.answer)
+	case got := <-sink:
+		if got.outcome != martendrum.OK || string(got.answer.Body) != "yes" {
+			t.Errorf("got outcome %v with answer %v, want outcome %v with the answer to the request", got.outcome, got.answer, martendrum.OK)
 		}
 	case <-time.After(patience):
-		t.Fatal("no outcome")
+		t.Fatalf("the attempt reported no outcome within %v", patience)
 	}
 }
 
-// The same where the connection's goroutine acts first.
+// Bytes that arrived on a reused connection before a request is sent on it are not an answer to that
+// request, even if the connection's goroutine handles them first.
 func TestUnsolicitedAnswerBeforeRequest(t *testing.T) {
-	end := make(chan struct{})
-	defer close(end)
+	endConn := make(chan struct{})
+	defer close(endConn)
 	addr := tcp.Serve(t, func(_ int, c net.Conn) {
 		io.WriteString(c, strings.Replace(goodAnswer, "yes", "no!", 1))
-		<-end
+		<-endConn
 	})
-	nc, err := net.Dial("tcp", addr)
+	netConn, err := net.Dial("tcp", addr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("connecting to the server: %v", err)
 	}
 	p := newPool(addr)
-	s := make(resultSink, 1)
-	a := attemptOf(s)
+	sink := make(resultSink, 1)
+	a := newAttempt(sink)
 	a.pool, a.server, a.reused, a.startedAt = p, p.servers["s"], true, time.Now()
 	p.conns++
-	c := &conn{Conn: nc, server: a.server, addr: addr, owner: a, input: netconn.NewLazy(nc)}
-	c.read(p) // finds the stray answer, and returns
-	if len(s) > 0 {
-		e := <-s
-		t.Errorf("outcome %v with %v for a request that was not sent", e.outcome, e.answer)
+	c := &conn{Conn: netConn, server: a.server, addr: addr, owner: a, input: netconn.NewLazy(netConn)}
+	c.read(p) // reads the unsolicited answer and returns
+	if len(sink) > 0 {
+		got := <-sink
+		t.Errorf("got outcome %v with answer %v for a request that was not sent, want none", got.outcome, got.answer)
 	}
 	if a.send(c) {
-		t.Error("the request went out behind a stray answer")
+		t.Error("send() = true on a connection with an unsolicited answer, want false")
 	}
 	if n := p.Conns(); n != 0 {
-		t.Errorf("%d connections are counted", n)
+		t.Errorf("Conns() = %d, want 0", n)
 	}
 }
 
-// A server answered some requests twice, the second time 4 ms later. Connections rested for 3 ms,
-// so that the duplicates were forwarded as the answers of the next requests, one after another,
-// though unsolicited bytes on idle connections had been seen. Once a server has sent unsolicited
-// bytes, its connections rest for longer than that.
+// Once a server has sent unsolicited bytes, its connections stay idle longer before their next request.
+// This guards against the following failure: a server answered some requests twice, the second time 4 ms
+// later. Connections stayed idle for 3 ms, so that each duplicate was forwarded as the answer to the next
+// request, although unsolicited bytes had been noticed on idle connections.
 func TestConnectionsRestLongerAfterUnsolicitedAnswer(t *testing.T) {
-	for name, late := range map[string]bool{"right behind its answer": false, "on an idle connection": true} {
+	for name, whileIdle := range map[string]bool{"right after the answer": false, "on an idle connection": true} {
 		t.Run(name, func(t *testing.T) {
 			accepted := make(chan net.Conn, 2*maxSendsForIdle)
 			var lastConn atomic.Int64
-			p := newPool(serve(t, func(conn, n int, c net.Conn) {
-				lastConn.Store(int64(conn))
-				if conn == 0 && n == 0 && !late {
+			p := newPool(serve(t, func(connIndex, n int, c net.Conn) {
+				lastConn.Store(int64(connIndex))
+				if connIndex == 0 && n == 0 && !whileIdle {
 					io.WriteString(c, goodAnswer+goodAnswer)
 				} else {
 					io.WriteString(c, goodAnswer)
 				}
 				accepted <- c
 			}))
-			p.minRest, p.unsolicitedRest = 0, patience
-			if late {
+			p.minIdleTime, p.unsolicitedIdleTime = 0, patience
+			if whileIdle {
 				var serverSide net.Conn // of the idle connection, which is the last one
 				for range sendUntilIdle(t, p, 1) {
 					serverSide = <-accepted
@@ -142,11 +143,11 @@
 			} else {
 				sendOne(t, p)
 			}
-			eventually(t, "the end of the connection with the stray", func() bool { return p.Conns() == 0 })
-			connWithStray := lastConn.Load()
+			eventually(t, "the end of the connection with the unsolicited answer", func() bool { return p.Conns() == 0 })
+			unsolicitedConn := lastConn.Load()
 			sent := sendUntilIdle(t, p, 3)
-			if n := lastConn.Load() - connWithStray; n != int64(sent) {
-				t.Errorf("%d requests behind the stray came on %d connections: one had not rested", sent, n)
+			if n := lastConn.Load() - unsolicitedConn; n != int64(sent) {
+				t.Errorf("%d requests after the unsolicited answer were sent on %d connections, want a new connection for each", sent, n)
 			}
 		})
 	}
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// maxDirectWrite is how many bytes certainly fit a connection's empty send buffer. Longer
-	// requests are written by a separate goroutine.
+	// maxDirectWrite is a number of bytes that always fits a connection's empty send buffer, so
+	// that writing them does not block. A separate goroutine writes the rest of longer requests.
 	maxDirectWrite = 8 << 10
-	// streamTimeout is how long a streamed body or answer may pause.
+	// streamTimeout is how long a streamed request body or answer may pause.
 	streamTimeout = 10 * time.Second
 )
 
-// buffers are the buffers of request heads.
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
+// headBuffers are the write buffers of request heads.
+var headBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-// streamBuffers are the read buffers of streamed bodies.
+// streamBuffers are the read buffers of streamed request bodies.
 var streamBuffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
-// errClaimed reports that another attempt sends the body.
-var errClaimed = errors.New("upstream: another attempt sends the body")
+// errClaimed reports that another attempt has claimed the streamed body.
+var errClaimed = errors.New("upstream: another attempt has claimed the body")
 
-// send writes the request, or the part that certainly fits the connection's send buffer; a
-// goroutine writes the rest, because the caller must not block. If anything had arrived on c
-// before, including its end, send closes c and returns false: nothing was sent, and the request
-// can go on another connection.
+// send writes the request, or only its head if more might not fit the connection's send buffer. A
+// goroutine then writes the body, because the caller must not block. If bytes or the end of the connection
+// have arrived on c already, send closes c and returns false: nothing was sent, and the request can be sent
+// on another connection. If it returns true, the attempt's outcome is reported to its Sink.
 func (a *Attempt) send(c *conn) bool {
-	buf := buffers.Get().(*[]byte)
+	buf := headBuffers.Get().(*[]byte)
 	head := a.appendHead((*buf)[:0])
 	small := a.Request.Stream == nil && len(head)+len(a.Request.Body) <= maxDirectWrite
 	if small {
@@ -51,7 +51,7 @@
 	})
 	complete := n == len(head)
 	*buf = head
-	buffers.Put(buf)
+	headBuffers.Put(buf)
 	switch {
 	case !quiet:
 		a.pool.discard(c)
@@ -67,19 +67,20 @@
 	return true
 }
 
-// appendHead appends the request's head, with the time left until the deadline.
+// appendHead appends the request's complete head, whose deadline field has the time left in milliseconds,
+// at least 1.
 func (a *Attempt) appendHead(b []byte) []byte {
 	b = append(b, a.Request.Head...)
 	b = append(b, protocol.RequestDeadline+": "...)
 	left := time.Until(a.Deadline)
-	if a.Patience > 0 {
-		left = min(left, a.Patience)
+	if a.MaxSentTimeout > 0 {
+		left = min(left, a.MaxSentTimeout)
 	}
 	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
 	return append(b, "\r\n\r\n"...)
 }
 
-// sendBody writes what follows the head.
+// sendBody writes the request's body.
 func (a *Attempt) sendBody(c *conn) {
 	defer a.recoverPanic()
 	var err error
@@ -93,27 +94,27 @@
 	a.endWrite(c, err == nil, err)
 }
 
-// sendStream writes a body that is not buffered completely. It claims the stream once the buffered
-// part has been written; until then, another attempt can send the request.
-func (a *Attempt) sendStream(c *conn, from Stream) error {
+// sendStream writes a body that is not buffered completely. It claims the stream once the buffered part has
+// been written. Until then, another attempt can send the request.
+func (a *Attempt) sendStream(c *conn, stream Stream) error {
 	c.SetWriteDeadline(time.Now().Add(streamTimeout))
-	var to io.Writer = c
+	var destination io.Writer = c
 	var chunks io.WriteCloser // nil: not chunked
-	if from.Chunked() {
+	if stream.Chunked() {
 		chunks = httputil.NewChunkedWriter(c)
-		to = chunks
+		destination = chunks
 	}
-	if _, err := to.Write(a.Request.Body); err != nil {
+	if _, err := destination.Write(a.Request.Body); err != nil {
 		return err
 	}
-	if !from.Claim() {
+	if !stream.Claim() {
 		return errClaimed
 	}
-	defer from.Close()
+	defer stream.Close()
 	if a.OnClaimed != nil {
 		a.OnClaimed()
 	}
-	if err := sendStream(c, to, from); err != nil || chunks == nil {
+	if err := copyStream(c, destination, stream); err != nil || chunks == nil {
 		return err
 	}
 	if err := chunks.Close(); err != nil {
@@ -123,15 +124,15 @@
 	return err
 }
 
-// sendStream copies from until its end to to, which writes to c.
-func sendStream(c *conn, to io.Writer, from Stream) error {
+// copyStream copies a stream to destination, which writes to c, until the stream ends.
+func copyStream(c *conn, destination io.Writer, stream Stream) error {
 	buf := streamBuffers.Get().(*[]byte)
 	defer streamBuffers.Put(buf)
 	for {
-		n, err := from.Read(*buf)
+		n, err := stream.Read(*buf)
 		if n > 0 {
 			c.SetWriteDeadline(time.Now().Add(streamTimeout))
-			if _, err := to.Write((*buf)[:n]); err != nil {
+			if _, err := destination.Write((*buf)[:n]); err != nil {
 				return err
 			}
 		}
@@ -144,8 +145,9 @@
 	}
 }
 
-// endWrite handles the end of the writing. A connection that breaks before the last byte was
-// written proves that the request was not executed; a later break proves nothing.
+// endWrite handles the end of writing the request; complete says that all of it was written. If the
+// connection broke before, the server can't have executed the request. If it breaks later, the server may
+// have executed it.
 func (a *Attempt) endWrite(c *conn, complete bool, err error) {
 	a.mu.Lock()
 	a.written = complete // from now on, connBroken reports a broken connection
@@ -156,7 +158,7 @@
 	}
 	switch {
 	case !complete:
-		slog.Debug("request not written", "server", a.Server, "err", err)
+		slog.Debug("cannot write the complete request to the server", "server", a.Server, "err", err)
 		a.pool.discard(c)
 		a.done(martendrum.ConnectFailed)
 	case readFailed:
