--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,44 +1,48 @@
-// Package handover is the protocol by which one process of a sidecar (the predecessor)
-// is replaced by another (the successor): the messages, their order, and how much of the
-// sidecar's limits each may use meanwhile. It does no I/O: package link delivers messages
-// and events and carries out the actions that the machines of this package return.
+// Package handover implements the protocol by which one process of a sidecar (the
+// predecessor) is replaced by another (the successor). It defines the messages, their order,
+// and how much of the sidecar's limits each process may use during the hand-over. It does no
+// I/O: package link delivers messages and events to the state machines of this package and
+// carries out the actions that they return.
 //
-// It promises, whichever process dies or hangs at any step:
-//   - Both together never use more than one sidecar may. The predecessor owns the limits
-//     and grants a quota of them; a quota returns to it only when the successor has ended.
-//   - Some process accepts from the listening socket as long as one of the two lives: the
-//     predecessor stops accepting only once the successor serves and is still there.
-//   - There is one successor at a time; another one is rejected.
-//   - A predecessor that hangs is not waited for. If it wakes up, the hand-over continues
-//     and the successor serves on the predecessor's socket and its own.
+// It guarantees, whichever process dies or hangs at any step:
+//   - Both processes together never use more than one sidecar may. The predecessor owns the
+//     limits and grants a quota of them to the successor. The predecessor gets a quota back
+//     only when the successor has ended.
+//   - At least one process accepts from the listening socket as long as one of the two lives:
+//     the predecessor stops accepting only when the successor is serving and still connected.
+//   - There is at most one successor at a time. The predecessor rejects any other one.
+//   - The successor does not wait for a predecessor that hangs. If the predecessor resumes,
+//     the hand-over continues, and the successor serves on the predecessor's socket and on its
+//     own.
 //
-// Where both processes support it, requests in flight are counted by both together in a
-// shared table. Quotas of a fixed size would be too small for one of them: a client whose
-// connection the predecessor closes reconnects to the successor at once. Quota.InFlight is
-// for a process that does not support the table.
+// Where both processes support it, they count their requests in flight in a shared table.
+// A quota of fixed size would be too small for one of them: a client whose connection the
+// predecessor closes reconnects to the successor at once. Quota.InFlight is for a process
+// that does not support the table.
 package handover
 
-// ActionType says what an Action is.
+// ActionType is the type of an Action.
 type ActionType int
 
-// The actions of the machines.
+// The actions that Predecessor and Successor return.
 const (
 	SendMessage   ActionType = iota
-	SendIDTable              // share a table of request ids with a peer, with the counts in flight if Message says so
-	SendListener             // SendMessage, with the listening sockets and the shared table
+	SendIDTable              // create a table of request ids for a peer, with counts of requests in flight if Message.InFlightCounts is set
+	SendListener             // send Message with the listening sockets and the shared table
 	Drop                     // close the connection to a peer
-	Limit                    // keep to Quota from now on
-	Unpublish                // let no new process find this one from now on
-	Publish                  // let new processes find this one
-	StopAccepting            // the other process accepts on the same socket
-	TakeListener             // serve on the sockets that came with the offer
-	OpenListener             // open a socket, which a predecessor may have open at the same address
+	Limit                    // use no more than Quota from now on
+	Unpublish                // stop being discoverable by new processes
+	Publish                  // become discoverable by new processes
+	StopAccepting            // close the listening sockets: the successor accepts on them
+	TakeListener             // accept on the sockets that came with the offer
+	OpenListener             // open a listening socket; a predecessor may have one at the same address
 )
 
-// Action is what a machine makes its host do. Actions are carried out in the order given.
+// Action is an instruction to the process that runs a Predecessor or a Successor. Actions are
+// carried out in the order in which they are returned.
 type Action struct {
 	Type    ActionType
-	To      int     // a peer, for SendMessage, SendIDTable, SendListener and Drop
+	To      int     // a peer's number, for SendMessage, SendIDTable, SendListener and Drop
 	Message Message // for SendMessage, SendIDTable and SendListener
 	Quota   Quota   // for Limit
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -7,122 +7,126 @@
 	"pgregory.net/rapid"
 )
 
-var full = Quota{Sockets: 200, MemoryMB: 64, InFlight: 101}
+var fullQuota = Quota{Sockets: 200, MemoryMB: 64, InFlight: 101}
 
+// hello returns a hello without any of the optional features.
 func hello() Message { return Message{Kind: Hello, Version: Version, Listen: "a:1"} }
 
-func newOld() *Predecessor {
-	return NewPredecessor("a:1", full, func() []byte { return []byte("learned") })
+// newPredecessor returns the predecessor at a:1, which owns fullQuota.
+func newPredecessor() *Predecessor {
+	return NewPredecessor("a:1", fullQuota, func() []byte { return []byte("learned") })
 }
 
-// trace is actions in one line.
-func trace(acts []Action) (s string) {
+// trace formats actions in one line: the type of each, with the receiver, the kind of message and
+// the sockets of the quota where it has them.
+func trace(actions []Action) (s string) {
 	names := [...]string{"send", "shareTable", "sendListener", "drop", "limit", "unpublish", "publish", "stopAccepting", "takeListener", "ownListener"}
-	for _, a := range acts {
-		s += names[a.Type]
-		switch a.Type {
+	for _, action := range actions {
+		s += names[action.Type]
+		switch action.Type {
 		case SendMessage, SendListener:
-			s += fmt.Sprintf("(%d %s %d)", a.To, a.Message.Kind, a.Message.Quota.Sockets)
+			s += fmt.Sprintf("(%d %s %d)", action.To, action.Message.Kind, action.Message.Quota.Sockets)
 		case Drop:
-			s += fmt.Sprintf("(%d)", a.To)
+			s += fmt.Sprintf("(%d)", action.To)
 		case Limit:
-			s += fmt.Sprintf("(%d)", a.Quota.Sockets)
+			s += fmt.Sprintf("(%d)", action.Quota.Sockets)
 		}
 		s += " "
 	}
 	return s
 }
 
-// TestPredecessorScript checks the predecessor's actions, step by step.
+// TestPredecessorScript checks the actions that the predecessor returns at each step of several
+// hand-overs: one successor ends before it serves, another one takes over and ends later.
 func TestPredecessorScript(t *testing.T) {
-	o := newOld()
+	predecessor := newPredecessor()
 	for n, step := range []struct {
 		do   func() []Action
 		want string
 	}{
-		{func() []Action { return o.Receive(1, Message{Kind: Serving, Version: Version}) }, "send(1 refuse 0) drop(1) "},
-		{func() []Action { return o.Receive(1, Message{Kind: Hello, Version: 9, Listen: "a:1"}) }, "send(1 refuse 0) drop(1) "},
-		{func() []Action { return o.Receive(1, Message{Kind: Hello, Version: Version, Listen: "b:1"}) }, "send(1 refuse 0) drop(1) "},
-		{func() []Action { return o.Receive(2, hello()) }, "limit(100) sendListener(2 offer 100) "},
-		{func() []Action { return o.Receive(3, hello()) }, "send(3 refuse 0) drop(3) "},
-		{func() []Action { return o.PeerLost(3) }, ""},
-		{func() []Action { return o.PeerLost(2) }, "limit(200) "}, // it ended before it served
-		{func() []Action { return o.Receive(4, hello()) }, "limit(100) sendListener(4 offer 100) "},
-		{func() []Action { return o.ReleaseUnused(Quota{Sockets: 10}) }, ""}, // not terminating
-		{func() []Action { return o.Terminate() }, ""},                       // the successor does not serve yet
-		{func() []Action { return o.Receive(4, Message{Kind: Serving, Version: Version}) }, "unpublish stopAccepting "},
-		{func() []Action { return o.ReleaseUnused(Quota{Sockets: 120, MemoryMB: 60}) }, "limit(100) send(4 grant 100) "}, // memory stays as it was, in-flight grows
-		{func() []Action { return o.ReleaseUnused(Quota{Sockets: 30, MemoryMB: 60}) }, "limit(30) send(4 grant 170) "},
-		{func() []Action { return o.ReleaseUnused(Quota{Sockets: 50, MemoryMB: 60}) }, ""}, // nothing is taken back
-		{func() []Action { return o.PeerLost(4) }, "limit(200) "},
-		{func() []Action { return o.Receive(5, NewSuccessor(full).Hello("a:1")[0].Message) }, "shareTable limit(100) sendListener(5 offer 100) "}, // the count is there before the limit
+		{func() []Action { return predecessor.Receive(1, Message{Kind: Serving, Version: Version}) }, "send(1 refuse 0) drop(1) "},
+		{func() []Action { return predecessor.Receive(1, Message{Kind: Hello, Version: 9, Listen: "a:1"}) }, "send(1 refuse 0) drop(1) "},
+		{func() []Action { return predecessor.Receive(1, Message{Kind: Hello, Version: Version, Listen: "b:1"}) }, "send(1 refuse 0) drop(1) "},
+		{func() []Action { return predecessor.Receive(2, hello()) }, "limit(100) sendListener(2 offer 100) "},
+		{func() []Action { return predecessor.Receive(3, hello()) }, "send(3 refuse 0) drop(3) "},
+		{func() []Action { return predecessor.PeerLost(3) }, ""},
+		{func() []Action { return predecessor.PeerLost(2) }, "limit(200) "}, // the successor ended before it served
+		{func() []Action { return predecessor.Receive(4, hello()) }, "limit(100) sendListener(4 offer 100) "},
+		{func() []Action { return predecessor.ReleaseUnused(Quota{Sockets: 10}) }, ""}, // not terminating
+		{func() []Action { return predecessor.Terminate() }, ""},                       // the successor does not serve yet
+		{func() []Action { return predecessor.Receive(4, Message{Kind: Serving, Version: Version}) }, "unpublish stopAccepting "},
+		{func() []Action { return predecessor.ReleaseUnused(Quota{Sockets: 120, MemoryMB: 60}) }, "limit(100) send(4 grant 100) "}, // the quota of memory stays, that of requests in flight grows
+		{func() []Action { return predecessor.ReleaseUnused(Quota{Sockets: 30, MemoryMB: 60}) }, "limit(30) send(4 grant 170) "},
+		{func() []Action { return predecessor.ReleaseUnused(Quota{Sockets: 50, MemoryMB: 60}) }, ""}, // a grant is never reduced
+		{func() []Action { return predecessor.PeerLost(4) }, "limit(200) "},
+		{func() []Action { return predecessor.Receive(5, NewSuccessor(fullQuota).Hello("a:1")[0].Message) }, "shareTable limit(100) sendListener(5 offer 100) "}, // the table is shared before the limit shrinks
 	} {
 		if got := trace(step.do()); got != step.want {
-			t.Fatalf("step %d: %q, want %q", n, got, step.want)
+			t.Fatalf("step %d: actions = %q, want %q", n, got, step.want)
 		}
 	}
 }
 
-// TestSuccessorScript checks the successor's actions: alone, sharing, beside a predecessor that
-// hangs and wakes up, rejected.
+// TestSuccessorScript checks the actions that the successor returns without a predecessor, with
+// one, beside one that hangs and then resumes, and after messages that it must reject.
 func TestSuccessorScript(t *testing.T) {
-	offer := Message{Kind: Offer, Version: Version, Listen: "a:1", Quota: full.half()}
-	n := NewSuccessor(full)
-	if got := trace(n.NoPredecessor()); got != "limit(200) ownListener publish " || !n.Alone() {
-		t.Error("alone:", got)
-	}
-	n = NewSuccessor(full)
-	n.Hello("a:1")
-	acts, err := n.Receive(offer)
-	if got := trace(acts); got != "limit(100) takeListener " || err != nil {
-		t.Error("offered:", got, err)
-	}
-	if got := trace(n.Ready()) + trace(n.Ready()); got != "send(0 serving 0) " {
-		t.Error("ready:", got)
-	}
-	acts, _ = n.Receive(Message{Kind: Grant, Version: Version, Quota: Quota{150, 40, 60}})
-	less, _ := n.Receive(Message{Kind: Grant, Version: Version, Quota: Quota{20, 4, 6}})
-	if got := trace(acts) + trace(less); got != "limit(150) " {
-		t.Error("granted:", got)
-	}
-	if got := trace(n.PredecessorLost()); got != "limit(200) publish " || !n.Alone() {
-		t.Error("lost:", got)
-	}
-	n = NewSuccessor(full)
-	if got := trace(n.PredecessorSilent()) + trace(n.Ready()) + trace(n.PredecessorLost()); got != "limit(100) ownListener limit(200) publish " {
-		t.Error("silent:", got)
-	}
-	n = NewSuccessor(full) // the predecessor wakes up
-	got := trace(n.PredecessorSilent()) + trace(n.Ready())
-	acts, err = n.Receive(offer)
-	if got += trace(acts) + trace(n.Ready()) + trace(n.PredecessorLost()); got != "limit(100) ownListener limit(100) takeListener send(0 serving 0) limit(200) publish " || err != nil {
-		t.Error("woken:", got, err)
-	}
-	many := offer
-	many.ListenerCount = MaxListeners + 1
-	for _, m := range []Message{many, {Kind: Reject, Reason: "no"}, {Kind: Reject, Retryable: true}, {Kind: Offer, Version: 7}, {Kind: Offer, Version: Version}, {Kind: "what", Version: Version}, {Kind: Grant, Version: Version, Quota: full}} {
-		if acts, err := NewSuccessor(full).Receive(m); err == nil || acts != nil {
-			t.Errorf("%+v was taken: %s", m, trace(acts))
+	offer := Message{Kind: Offer, Version: Version, Listen: "a:1", Quota: fullQuota.half()}
+	successor := NewSuccessor(fullQuota)
+	if got := trace(successor.NoPredecessor()); got != "limit(200) ownListener publish " || !successor.WithoutPredecessor() {
+		t.Errorf("NoPredecessor() = %q, WithoutPredecessor() = %v; want limit(200) ownListener publish, true", got, successor.WithoutPredecessor())
+	}
+	successor = NewSuccessor(fullQuota)
+	successor.Hello("a:1")
+	actions, err := successor.Receive(offer)
+	if got := trace(actions); got != "limit(100) takeListener " || err != nil {
+		t.Errorf("Receive(offer) = %q, %v; want limit(100) takeListener", got, err)
+	}
+	if got := trace(successor.Ready()) + trace(successor.Ready()); got != "send(0 serving 0) " {
+		t.Errorf("two calls of Ready() = %q, want one message serving", got)
+	}
+	actions, _ = successor.Receive(Message{Kind: Grant, Version: Version, Quota: Quota{150, 40, 60}})
+	afterLess, _ := successor.Receive(Message{Kind: Grant, Version: Version, Quota: Quota{20, 4, 6}})
+	if got := trace(actions) + trace(afterLess); got != "limit(150) " {
+		t.Errorf("a grant of 150 sockets, then one of 20 = %q, want limit(150) only", got)
+	}
+	if got := trace(successor.PredecessorLost()); got != "limit(200) publish " || !successor.WithoutPredecessor() {
+		t.Errorf("PredecessorLost() = %q, WithoutPredecessor() = %v; want limit(200) publish, true", got, successor.WithoutPredecessor())
+	}
+	successor = NewSuccessor(fullQuota)
+	if got := trace(successor.PredecessorSilent()) + trace(successor.Ready()) + trace(successor.PredecessorLost()); got != "limit(100) ownListener limit(200) publish " {
+		t.Errorf("a silent predecessor that ends: actions = %q, want limits of 100 and then 200 sockets on an own listener", got)
+	}
+	successor = NewSuccessor(fullQuota) // the predecessor resumes
+	got := trace(successor.PredecessorSilent()) + trace(successor.Ready())
+	actions, err = successor.Receive(offer)
+	if got += trace(actions) + trace(successor.Ready()) + trace(successor.PredecessorLost()); got != "limit(100) ownListener limit(100) takeListener send(0 serving 0) limit(200) publish " || err != nil {
+		t.Errorf("a silent predecessor that resumes: actions = %q, err = %v; want the hand-over to take place", got, err)
+	}
+	tooManyListeners := offer
+	tooManyListeners.ListenerCount = MaxListeners + 1
+	for _, message := range []Message{tooManyListeners, {Kind: Reject, Reason: "no"}, {Kind: Reject, Retryable: true}, {Kind: Offer, Version: 7}, {Kind: Offer, Version: Version}, {Kind: "what", Version: Version}, {Kind: Grant, Version: Version, Quota: fullQuota}} {
+		if actions, err := NewSuccessor(fullQuota).Receive(message); err == nil || actions != nil {
+			t.Errorf("Receive(%+v) = %q, nil; want an error and no action", message, trace(actions))
 		}
 	}
 }
 
-// limitsModel is a predecessor, its successors and what each may use.
+// limitsModel is a predecessor, its successors and the quotas that each was told to keep to.
 type limitsModel struct {
 	predecessor *Predecessor
-	local       Quota // of the predecessor, as it was told
-	granted     Quota // of the successor, as it was told
+	local       Quota // of the predecessor
+	granted     Quota // of the successor
 	successors  map[int]*Successor
 	serving     int // the successor that serves; 0: none
-	last        int
+	last        int // number of the latest successor
 }
 
-// TestLimitsAreNeverExceeded checks that, whatever happens in whatever order, both processes
-// together never may use more than one, and that one accepts: the predecessor stops only
-// while a successor serves.
+// TestLimitsAreNeverExceeded checks, for random sequences of events, that both processes together
+// may never use more than one process alone, and that one of them accepts: the predecessor stops
+// accepting only while a successor is serving.
 func TestLimitsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &limitsModel{predecessor: newOld(), local: full, successors: map[int]*Successor{}}
+		m := &limitsModel{predecessor: newPredecessor(), local: fullQuota, successors: map[int]*Successor{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"start": m.start,
 			"serve": m.serve,
@@ -136,14 +140,16 @@
 	})
 }
 
+// start starts a successor, which requests a hand-over.
 func (m *limitsModel) start(t *rapid.T) {
 	m.last++
-	m.successors[m.last] = NewSuccessor(full)
+	m.successors[m.last] = NewSuccessor(fullQuota)
 	for _, action := range m.successors[m.last].Hello("a:1") {
 		m.perform(t, m.predecessor.Receive(m.last, action.Message))
 	}
 }
 
+// serve makes the successor that has an offer accept clients.
 func (m *limitsModel) serve(t *rapid.T) {
 	for id, successor := range m.successors {
 		for _, action := range successor.Ready() {
@@ -175,7 +181,7 @@
 			m.local = action.Quota
 		case StopAccepting:
 			if m.serving == 0 {
-				t.Fatal("nobody accepts")
+				t.Fatal("the predecessor stops accepting, and no successor is serving")
 			}
 		case Drop:
 			delete(m.successors, action.To)
@@ -184,14 +190,14 @@
 				continue
 			}
 		}
-		if !m.local.fitsWithin(full) || m.local.Sockets+m.granted.Sockets > full.Sockets || m.local.MemoryMB+m.granted.MemoryMB > full.MemoryMB || m.local.InFlight+m.granted.InFlight > full.InFlight+1 {
-			t.Fatalf("old %+v, new %+v of %+v", m.local, m.granted, full)
+		if !m.local.fitsWithin(fullQuota) || m.local.Sockets+m.granted.Sockets > fullQuota.Sockets || m.local.MemoryMB+m.granted.MemoryMB > fullQuota.MemoryMB || m.local.InFlight+m.granted.InFlight > fullQuota.InFlight+1 {
+			t.Fatalf("the predecessor may use %+v and the successor %+v, together more than %+v", m.local, m.granted, fullQuota)
 		}
 	}
 }
 
-// deliver gives a message to its successor. It returns false if that has ended or ends by
-// it.
+// deliver delivers a message to a successor and updates its quota. It returns false if the
+// successor has ended or ends because of the message.
 func (m *limitsModel) deliver(t *rapid.T, action Action) bool {
 	successor := m.successors[action.To]
 	if successor == nil {
@@ -203,9 +209,9 @@
 		m.perform(t, m.predecessor.PeerLost(action.To))
 		return false
 	}
-	for _, caused := range actions {
-		if caused.Type == Limit {
-			m.granted = caused.Quota
+	for _, resulting := range actions {
+		if resulting.Type == Limit {
+			m.granted = resulting.Quota
 		}
 	}
 	return true
--- a/internal/handover/idtable/idtable_test.go
+++ b/internal/handover/idtable/idtable_test.go
@@ -13,11 +13,11 @@
 // t0 is a reading of a machine's boot clock.
 const t0 = 40 * 24 * time.Hour
 
-// TestAgainstAMap compares the table to a map with times: an id is known for EntryTTL, within
-// a tick, even in a full table.
+// TestAgainstAMap compares the table to a map of the times at which ids were opened: an id is
+// known for EntryTTL, to within a tick, even if the table has no space for other ids.
 func TestAgainstAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, plain, now := NewTable(make([]uint64, Slots)), make(map[uint64]time.Duration), time.Duration(t0)
+		table, openedAt, now := NewTable(make([]uint64, Slots)), make(map[uint64]time.Duration), time.Duration(t0)
 		ids := make([]uint64, 64)
 		for n := range ids {
 			// Hashes differ above the bits of the index; half of them share one index.
@@ -29,70 +29,71 @@
 		for range rapid.IntRange(1, 200).Draw(t, "openings") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
 			id := ids[rapid.IntRange(0, len(ids)-1).Draw(t, "which")]
-			at, was := plain[id]
+			at, opened := openedAt[id]
 			age := now - at
-			full := table.Overflowed()
+			overflowed := table.Overflowed()
 			switch ok := table.Open(id, now); {
-			case ok && was && age <= EntryTTL-tick && table.Overflowed() == full:
-				t.Fatalf("an id of %v ago is forgotten", age)
-			case !ok && (!was || age >= EntryTTL+tick):
-				t.Fatalf("a new id passes for a known one (%v, %v)", was, age)
-			case ok && table.Overflowed() == full:
-				plain[id] = now
+			case ok && opened && age <= EntryTTL-tick && table.Overflowed() == overflowed:
+				t.Fatalf("an id opened %v ago is not known", age)
+			case !ok && (!opened || age >= EntryTTL+tick):
+				t.Fatalf("Open() = false, want true: opened before = %v, age = %v", opened, age)
+			case ok && table.Overflowed() == overflowed:
+				openedAt[id] = now
 			}
 		}
 	})
 }
 
-// TestConcurrentOpens checks that of concurrent openings of an id at most one succeeds, and
-// that for nearly all ids one does.
+// TestConcurrentOpens checks that of concurrent calls of Open for an id at most one succeeds, and
+// that for at least nine in ten ids one does.
 func TestConcurrentOpens(t *testing.T) {
 	const ids, openers = 3000, 8
 	table := NewTable(make([]uint64, Slots))
-	var got [ids]atomic.Int32
+	var opened [ids]atomic.Int32
 	var wait sync.WaitGroup
-	hash := make([]uint64, ids)
-	for n := range hash {
-		hash[n] = rand.Uint64()
+	hashes := make([]uint64, ids)
+	for n := range hashes {
+		hashes[n] = rand.Uint64()
 	}
 	for range openers {
 		wait.Go(func() {
-			for n, h := range hash { // in the same order, so that they collide
-				if table.Open(h, t0) {
-					got[n].Add(1)
+			for n, hash := range hashes { // in the same order, so that they collide
+				if table.Open(hash, t0) {
+					opened[n].Add(1)
 				}
 			}
 		})
 	}
 	wait.Wait()
 	once := 0
-	for n := range got {
-		switch got[n].Load() {
+	for n := range opened {
+		switch opened[n].Load() {
 		case 0:
 		case 1:
 			once++
 		default:
-			t.Errorf("id %d was opened %d times", n, got[n].Load())
+			t.Errorf("id %d: %d calls of Open succeeded, want at most 1", n, opened[n].Load())
 		}
 	}
 	if table.Overflowed() > 0 || once < ids*9/10 {
-		t.Errorf("%d of %d opened, %d without an entry", once, ids, table.Overflowed())
+		t.Errorf("Open succeeded for %d of %d ids, %d without an entry; want at least nine in ten, all with an entry", once, ids, table.Overflowed())
 	}
-	if later := t0 + EntryTTL + tick; !table.Open(hash[0], later) || table.Open(hash[0], later) {
-		t.Error("after its TTL an id is not new, or not known again")
+	if later := t0 + EntryTTL + tick; !table.Open(hashes[0], later) || table.Open(hashes[0], later) {
+		t.Error("after EntryTTL, two calls of Open for an id did not return true and then false")
 	}
 }
 
-// TestClockSteps checks that after a clock has stepped back, words that lie too far ahead
-// are free.
+// TestClockSteps checks that after the clock has stepped back, words with a time too far ahead
+// count as free.
 func TestClockSteps(t *testing.T) {
 	table := NewTable(make([]uint64, Slots))
 	if !table.Open(7, t0) || !table.Open(7, t0-time.Hour) || table.Open(7, t0-time.Hour) {
-		t.Error("a word of an hour ahead counts as known")
+		t.Error("a word with a time one hour ahead does not count as free, or its id is not known after Open")
 	}
 }
 
-// BenchmarkOpen measures one opening at the rate of the platform's busiest day.
+// BenchmarkOpen measures one call of Open, with a new id each 800 µs of the clock: the rate of the
+// platform's busiest day.
 func BenchmarkOpen(b *testing.B) {
 	b.Run("table", func(b *testing.B) {
 		table, at := NewTable(make([]uint64, Slots)), time.Duration(t0)
@@ -101,8 +102,8 @@
 			table.Open(rand.Uint64(), at)
 		}
 	})
-	// For comparison, what processes could not share: a map under a lock, with a ring to
-	// forget the oldest.
+	// For comparison, a set that processes can't share: a map under a lock, with a ring buffer of
+	// the ids to remove the oldest.
 	b.Run("map", func(b *testing.B) {
 		var mu sync.Mutex
 		known, ring, next := make(map[uint64]bool), make([]uint64, 5000), 0
--- a/internal/handover/link/connection.go
+++ b/internal/handover/link/connection.go
@@ -14,31 +14,34 @@
 )
 
 const (
-	// maxMessageBytes is the longest message, which is an offer with a snapshot.
+	// maxMessageBytes is the maximum length of a message. The longest is an offer with a
+	// snapshot.
 	maxMessageBytes = 192 << 10
-	// sendTimeout bounds the sending of a message.
+	// sendTimeout is the maximum time for sending a message.
 	sendTimeout = 500 * time.Millisecond
-	// maxDescriptors is how many may come with a message: listeners, and the locks of the
-	// rendezvous and the idempotency store, and the shared table.
+	// maxDescriptors is the maximum number of file descriptors in a message: the listeners,
+	// the locks of the rendezvous and of the idempotency store, and the shared table.
 	maxDescriptors = handover.MaxListeners + 3
-	// descriptorBytes is the size of a descriptor in a control message.
+	// descriptorBytes is the size of a file descriptor in a control message.
 	descriptorBytes = 4
 )
 
-// connection is one end of a hand-over's Unix socket. Only one goroutine may receive.
+// connection is one end of the Unix socket of a hand-over. send is safe for concurrent use; only
+// one goroutine may call receive.
 type connection struct {
 	unix    *net.UnixConn
 	writeMu sync.Mutex
 }
 
-// send sends a message, and passes descriptors with it.
+// send sends a message and passes file descriptors with it. If the message is too long, it is
+// sent without its snapshot.
 func (c *connection) send(message handover.Message, descriptors ...int) error {
 	data, err := json.Marshal(message)
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
 	if len(data) > maxMessageBytes {
-		message.Snapshot = nil // the successor starts without it, which is only slower
+		message.Snapshot = nil // without it, the successor only starts more slowly
 		if data, err = json.Marshal(message); err != nil {
 			return fmt.Errorf("link: %w", err)
 		}
@@ -54,7 +57,8 @@
 	return err
 }
 
-// receive waits for a message. The caller closes the files that come with it.
+// receive waits for a message, which it reads into buffer. The caller closes the files that come
+// with it.
 func (c *connection) receive(buffer []byte) (message handover.Message, files []*os.File, err error) {
 	control := make([]byte, syscall.CmsgSpace(descriptorBytes*maxDescriptors))
 	n, controlBytes, flags, _, err := c.unix.ReadMsgUnix(buffer, control)
@@ -66,7 +70,7 @@
 	}
 	files = passedFiles(control[:controlBytes])
 	if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
-		err = errors.New("link: a message too long")
+		err = errors.New("link: message too long")
 	} else {
 		err = json.Unmarshal(buffer[:n], &message)
 	}
@@ -77,7 +81,7 @@
 	return message, files, err
 }
 
-// passedFiles are the files of the descriptors in a control message.
+// passedFiles returns the files of the descriptors in a control message.
 func passedFiles(control []byte) (files []*os.File) {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
@@ -89,7 +93,7 @@
 			continue
 		}
 		for _, descriptor := range descriptors {
-			files = append(files, os.NewFile(uintptr(descriptor), "handed over"))
+			files = append(files, os.NewFile(uintptr(descriptor), "received descriptor"))
 		}
 	}
 	return files
@@ -101,7 +105,7 @@
 	}
 }
 
-// isSameUser says whether the process at the other end is this user's.
+// isSameUser reports whether the process at the other end runs as the user of this process.
 func isSameUser(unix *net.UnixConn) bool {
 	raw, err := unix.SyscallConn()
 	if err != nil {
--- a/internal/handover/link/link.go
+++ b/internal/handover/link/link.go
@@ -1,11 +1,11 @@
-// Package link carries out a hand-over over a Unix socket in a directory that both
-// processes of a sidecar share. It delivers messages and events to the machines of package
-// handover and carries out their actions; it decides nothing itself.
+// Package link carries out a hand-over over a Unix socket in a directory that both processes of
+// a sidecar share. It delivers messages and events to the state machines of package handover and
+// carries out the actions that they return; it takes no decisions itself.
 //
 // A file in the directory is locked as long as any process serves at the address. The
-// lock is passed with the listening socket from the predecessor to the successor, so that
-// it is free only when both have ended, however they did: a socket file that a killed
-// process left is recognised by it.
+// predecessor passes the lock to the successor together with the listening socket, so the lock
+// is free only when both processes have ended, however they ended. A free lock therefore shows
+// that a socket file was left by a killed process.
 package link
 
 import (
@@ -17,8 +17,8 @@
 // soReusePort is SO_REUSEPORT on Linux, which package syscall lacks.
 const soReusePort = 0xf
 
-// Listen opens a socket to accept clients from, at an address where other processes of
-// the same user may listen too.
+// Listen opens a listening TCP socket at an address, where other processes of the same user may
+// listen too.
 func Listen(address string) (*net.TCPListener, error) {
 	config := net.ListenConfig{Control: setReusePort}
 	listener, err := config.Listen(context.Background(), "tcp", address)
--- a/internal/handover/link/offer.go
+++ b/internal/handover/link/offer.go
@@ -10,9 +10,9 @@
 	"martendrum/internal/handover"
 )
 
-// offeredFiles is what came with an offer: the listeners, the rendezvous' lock, the
-// shared table where there is one, and the idempotency store's lock where there is one, in
-// this order.
+// offeredFiles is what came with an offer. The files are passed in this order: the listeners,
+// the rendezvous' lock, the shared table if there is one, and the idempotency store's lock if
+// there is one.
 type offeredFiles struct {
 	listeners []*net.TCPListener
 	lock      *os.File
@@ -35,11 +35,11 @@
 	}
 }
 
-// open opens what came with an offer to a process that listens at an address. The caller
-// closes the files and, also after an error, o. lockPath names the lock.
+// open opens what came with an offer. listen is the address of this process, lockPath the path
+// of the rendezvous' lock. The caller closes the files and o, also after an error.
 func (o *offeredFiles) open(offer handover.Message, files []*os.File, listen, lockPath string) error {
-	listeners := max(1, offer.ListenerCount)
-	want := listeners + 1
+	listenerCount := max(1, offer.ListenerCount)
+	want := listenerCount + 1
 	if offer.IDTable {
 		want++
 	}
@@ -49,24 +49,25 @@
 	if len(files) != want || offer.Listen != listen {
 		return fmt.Errorf("%w: %d descriptors for %s, want %d for %s", handover.ErrInvalidOffer, len(files), offer.Listen, want, listen)
 	}
-	if err := o.openListeners(files[:listeners]); err != nil {
+	if err := o.openListeners(files[:listenerCount]); err != nil {
 		return err
 	}
 	var err error
-	if o.lock, err = duplicate(files[listeners], lockPath); err != nil {
+	if o.lock, err = duplicate(files[listenerCount], lockPath); err != nil {
 		return err
 	}
 	if offer.IdempotencyStore {
-		if o.storeLock, err = duplicate(files[want-1], "the record's lock"); err != nil {
+		if o.storeLock, err = duplicate(files[want-1], "idempotency store lock"); err != nil {
 			return err
 		}
 	}
 	if offer.IDTable {
-		return o.openTable(files[listeners+1], offer.InFlightCounts)
+		return o.openTable(files[listenerCount+1], offer.InFlightCounts)
 	}
 	return nil
 }
 
+// openListeners opens the listening sockets.
 func (o *offeredFiles) openListeners(files []*os.File) error {
 	for _, file := range files {
 		listener, err := net.FileListener(file)
@@ -76,25 +77,26 @@
 		tcpListener, ok := listener.(*net.TCPListener)
 		if !ok {
 			listener.Close()
-			return fmt.Errorf("%w: a socket at %s", handover.ErrInvalidOffer, listener.Addr())
+			return fmt.Errorf("%w: the socket at %s is not a TCP socket", handover.ErrInvalidOffer, listener.Addr())
 		}
 		o.listeners = append(o.listeners, tcpListener)
 	}
 	return nil
 }
 
-// openTable maps the shared table. Without counts the process can do without it; with
-// them, the predecessor limits the sum.
-func (o *offeredFiles) openTable(file *os.File, counted bool) (err error) {
-	o.table, err = mapSharedTable(file, counted, successorSide)
-	if err != nil && !counted {
-		slog.Warn("ids are not shared", "err", err)
+// openTable maps the shared table. A process can do without a table that has no counts, so an
+// error is only logged. It needs one with counts, because the predecessor limits the sum of both
+// processes' requests in flight.
+func (o *offeredFiles) openTable(file *os.File, withCounts bool) (err error) {
+	o.table, err = mapSharedTable(file, withCounts, successorSide)
+	if err != nil && !withCounts {
+		slog.Warn("request ids are not shared with the predecessor", "err", err)
 		return nil
 	}
 	return err
 }
 
-// duplicate is a file with a descriptor of its own.
+// duplicate returns the open file under a descriptor of its own.
 func duplicate(file *os.File, name string) (*os.File, error) {
 	descriptor, err := syscall.Dup(int(file.Fd()))
 	if err != nil {
--- a/internal/handover/link/predecessor.go
+++ b/internal/handover/link/predecessor.go
@@ -13,71 +13,73 @@
 )
 
 const (
-	// servingTimeout is how long a successor may take from its connection to serving.
+	// servingTimeout is the maximum time from the connection of a successor until it serves.
 	servingTimeout = 15 * time.Second
-	// maxPeers is how many processes may be connected to the predecessor.
+	// maxPeers is the maximum number of processes that are connected to the predecessor.
 	maxPeers = 4
-	// maxSuccessorMessage is the longest message of a successor, in bytes.
+	// maxSuccessorMessage is the maximum length of a successor's message, in bytes.
 	maxSuccessorMessage = 4 << 10
 )
 
-// Host is the process that hands over or takes over. Its methods are called by one
-// goroutine at a time and must not call back.
+// Host is the process that hands over or takes over. Its methods are called by one goroutine at
+// a time. They must not call methods of the PredecessorEnd or SuccessorEnd that calls them.
 type Host interface {
-	// Limit keeps this process to a quota from now on. It returns when it does, as far as
-	// it can without ending what has begun.
+	// Limit makes this process use no more than quota from now on. Before it returns, it
+	// releases what exceeds the quota, except for what requests in progress still use.
 	Limit(quota handover.Quota)
 	// StopAccepting closes this process's listening sockets.
 	StopAccepting()
-	// ShareTable makes the request ids of this process known to the other one by the
-	// table, and those of the other to this one; so with the requests in flight, where the
-	// table has counts. When it returns, a table shared before is not used any more.
+	// ShareTable makes the request ids of each process known to the other one through table,
+	// and so the numbers of requests in flight if the table has counts. When it returns, a
+	// table that was shared before is no longer in use.
 	ShareTable(table *SharedTable)
-	// UnshareTable ends that. When it returns, the table is not used any more.
+	// UnshareTable ends the use of a shared table. When it returns, the table is no longer in
+	// use.
 	UnshareTable(table *SharedTable)
 }
 
-// PredecessorEnd is the end of a hand-over at the process that serves: it lets successors
-// find this process and hands over to one of them.
+// PredecessorEnd is the predecessor's end of a hand-over: it lets successors find this process
+// and hands over to one of them. Its methods are safe for concurrent use unless they say
+// otherwise.
 type PredecessorEnd struct {
 	rendezvous *Rendezvous
 	listeners  []*net.TCPListener
 	host       Host
 
-	mu         sync.Mutex // guards the machine and all below
+	mu         sync.Mutex // guards the machine and all fields below
 	machine    *handover.Predecessor
 	listener   *net.UnixListener
-	peers      map[int]*peer
-	lastPeer   int
+	peers      map[int]*peer // by id
+	lastPeerID int
 	table      *SharedTable // shared with tablePeer; nil: none
-	tablePeer  int
-	tableFile  *os.File // of table, until it is sent
-	storeLock  *os.File // of this process's idempotency store; nil: none
+	tablePeer  int          // a peer's id
+	tableFile  *os.File     // of table, until it is sent
+	storeLock  *os.File     // of this process's idempotency store; nil: none
 	closed     bool
 	goroutines sync.WaitGroup
 }
 
-// peer is a process that is connected to this one.
+// peer is a connected process, which may become the successor.
 type peer struct {
 	connection
-	timer *time.Timer // fires if it does not serve in time
+	timer *time.Timer // fires at servingTimeout, unless the peer serves before
 }
 
-// NewPredecessorEnd returns the end of a process that serves on listeners and has the
-// rendezvous' lock.
+// NewPredecessorEnd returns the end of a process that serves on listeners and has the lock of the
+// rendezvous. Successors find the process after Publish.
 func NewPredecessorEnd(rendezvous *Rendezvous, listeners []*net.TCPListener, machine *handover.Predecessor, host Host) *PredecessorEnd {
 	return &PredecessorEnd{rendezvous: rendezvous, listeners: listeners, machine: machine, host: host, peers: make(map[int]*peer)}
 }
 
-// PassStoreLock lets a successor share the ownership of this process's idempotency store,
-// which is a lock on a file. It is called before Publish. The caller closes the file, after
-// Close.
+// PassStoreLock lets a successor share the ownership of this process's idempotency store, which
+// is a lock on a file. It must be called before Publish. The caller closes the file, and not
+// before it has called Close.
 func (p *PredecessorEnd) PassStoreLock(lock *os.File) {
 	p.storeLock = lock
 	p.machine.SetOwnsStore()
 }
 
-// Publish lets successors find this process. The socket of an ended process is replaced.
+// Publish lets successors find this process. It replaces the socket of a process that has ended.
 func (p *PredecessorEnd) Publish() error {
 	listener, err := p.publishSocket()
 	if err != nil {
@@ -94,7 +96,8 @@
 	return nil
 }
 
-// publishSocket listens on a new socket and renames it into place.
+// publishSocket listens on a new socket, and then renames its file to the name that successors
+// use.
 func (p *PredecessorEnd) publishSocket() (*net.UnixListener, error) {
 	address, done, err := p.rendezvous.socketAddress(newSocketSuffix)
 	if err != nil {
@@ -107,7 +110,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	listener.SetUnlinkOnClose(false) // by then the name may be another process's
+	listener.SetUnlinkOnClose(false) // at that time the file may be another process's
 	if err = os.Chmod(unpublished, filePermissions); err == nil {
 		err = os.Rename(unpublished, p.rendezvous.path(socketSuffix))
 	}
@@ -118,7 +121,7 @@
 	return listener, nil
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections of successors until the listener is closed.
 func (p *PredecessorEnd) accept(listener *net.UnixListener) {
 	for {
 		unix, err := netconn.Accept("hand-over", listener.AcceptUnix, nil)
@@ -131,16 +134,17 @@
 	}
 }
 
-// addPeer starts to read from a new peer. It returns false where there are too many.
+// addPeer starts to read from a new peer. It returns false if there are too many peers or p is
+// closed.
 func (p *PredecessorEnd) addPeer(unix *net.UnixConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || len(p.peers) >= maxPeers {
 		return false
 	}
-	p.lastPeer++
-	id, added := p.lastPeer, &peer{connection: connection{unix: unix}}
-	added.timer = time.AfterFunc(servingTimeout, func() { p.overdue(id) })
+	p.lastPeerID++
+	id, added := p.lastPeerID, &peer{connection: connection{unix: unix}}
+	added.timer = time.AfterFunc(servingTimeout, func() { p.rejectOverdue(id) })
 	p.peers[id] = added
 	p.goroutines.Go(func() { p.read(id, added) })
 	return true
@@ -169,17 +173,17 @@
 	}
 }
 
-// overdue rejects a successor that does not serve in time.
-func (p *PredecessorEnd) overdue(id int) {
+// rejectOverdue rejects a peer that does not serve within servingTimeout.
+func (p *PredecessorEnd) rejectOverdue(id int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if late := p.peers[id]; late != nil {
-		late.send(handover.Message{Kind: handover.Reject, Version: handover.Version, Reason: "it took too long to serve"})
+		late.send(handover.Message{Kind: handover.Reject, Version: handover.Version, Reason: "the successor did not serve in time"})
 		p.disconnect(id)
 	}
 }
 
-// disconnect closes the connection to a peer. The caller holds the lock.
+// disconnect closes the connection to a peer. The caller holds mu.
 func (p *PredecessorEnd) disconnect(id int) {
 	dropped := p.peers[id]
 	if dropped == nil {
@@ -191,13 +195,14 @@
 	if !p.closed {
 		p.perform(p.machine.PeerLost(id))
 	}
-	// After the limits have grown: without the counts, the smaller ones would apply alone.
+	// The table is unshared after PeerLost has restored the limits: without its counts, the
+	// smaller limits would apply meanwhile.
 	if p.tablePeer == id {
 		p.unshareTable()
 	}
 }
 
-// perform carries out the machine's actions. The caller holds the lock.
+// perform carries out actions of the machine. The caller holds mu.
 func (p *PredecessorEnd) perform(actions []handover.Action) {
 	for _, action := range actions {
 		switch action.Type {
@@ -236,27 +241,27 @@
 		listeners = listeners[:1]
 	}
 	offer.ListenerCount = len(listeners)
-	others := []int{int(p.rendezvous.lock.Fd())}
+	otherDescriptors := []int{int(p.rendezvous.lock.Fd())}
 	if p.tableFile != nil && p.tablePeer == action.To {
 		defer p.closeTableFile()
-		others = append(others, int(p.tableFile.Fd()))
+		otherDescriptors = append(otherDescriptors, int(p.tableFile.Fd()))
 	} else {
 		offer.IDTable, offer.InFlightCounts = false, false
 	}
 	if offer.IdempotencyStore {
-		others = append(others, int(p.storeLock.Fd()))
+		otherDescriptors = append(otherDescriptors, int(p.storeLock.Fd()))
 	}
 	err := withDescriptors(listeners, nil, func(descriptors []int) error {
-		return to.send(offer, append(descriptors, others...)...)
+		return to.send(offer, append(descriptors, otherDescriptors...)...)
 	})
 	if err != nil {
-		slog.Warn("the listener could not be handed over", "err", err)
+		slog.Warn("sending the offer to the successor failed", "err", err)
 	}
 	return err
 }
 
-// withDescriptors calls use with the descriptors of sockets, which stay open meanwhile.
-// TCPListener.File would make them blocking for both processes.
+// withDescriptors calls use with descriptors followed by those of the listeners, which stay open
+// meanwhile. TCPListener.File would make the sockets blocking for both processes.
 func withDescriptors(listeners []*net.TCPListener, descriptors []int, use func(descriptors []int) error) error {
 	if len(listeners) == 0 {
 		return use(descriptors)
@@ -273,19 +278,19 @@
 	return err
 }
 
-// shareTable makes a table and shares it with a peer. The caller holds the lock.
-func (p *PredecessorEnd) shareTable(with int, counted bool) {
+// shareTable creates a table and shares it with a peer. The caller holds mu.
+func (p *PredecessorEnd) shareTable(peerID int, withCounts bool) {
 	p.unshareTable()
-	table, file, err := newSharedTable(counted)
-	if err != nil { // each process knows its own ids then, and keeps to its quota
-		slog.Warn("ids are not shared", "err", err)
+	table, file, err := newSharedTable(withCounts)
+	if err != nil { // each process then knows only its own ids, and uses no more than its quota
+		slog.Warn("request ids are not shared with the successor", "err", err)
 		return
 	}
-	p.table, p.tablePeer, p.tableFile = table, with, file
+	p.table, p.tablePeer, p.tableFile = table, peerID, file
 	p.host.ShareTable(table)
 }
 
-// closeTableFile closes the table's file. The caller holds the lock.
+// closeTableFile closes the table's file. The caller holds mu.
 func (p *PredecessorEnd) closeTableFile() {
 	if p.tableFile != nil {
 		p.tableFile.Close()
@@ -293,7 +298,7 @@
 	}
 }
 
-// unshareTable ends the sharing of the table. The caller holds the lock.
+// unshareTable ends the sharing of the table. The caller holds mu.
 func (p *PredecessorEnd) unshareTable() {
 	p.closeTableFile()
 	if p.table != nil {
@@ -303,15 +308,15 @@
 	}
 }
 
-// SetLimits takes new limits of the settings.
+// SetLimits replaces the limits after a change of the settings.
 func (p *PredecessorEnd) SetLimits(limits handover.Quota) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.perform(p.machine.SetLimits(limits))
 }
 
-// Terminate says that this process ends once its requests are answered; true if a
-// successor serves.
+// Terminate starts the shutdown of this process, which ends once its requests are answered. It
+// reports whether a successor is serving.
 func (p *PredecessorEnd) Terminate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -319,7 +324,8 @@
 	return p.machine.SuccessorServing()
 }
 
-// ReleaseUnused takes what this process still uses; true if a successor serves.
+// ReleaseUnused grants the successor what a terminating process no longer uses; used is what it
+// still uses. It reports whether a successor is serving.
 func (p *PredecessorEnd) ReleaseUnused(used handover.Quota) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -327,14 +333,14 @@
 	return p.machine.SuccessorServing()
 }
 
-// HasPeers says whether a process is connected that may take over.
+// HasPeers reports whether a process is connected that may take over.
 func (p *PredecessorEnd) HasPeers() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.peers) > 0
 }
 
-// Close closes all connections, by which a successor learns that this process has ended.
+// Close closes all connections, which tells a successor that this process has ended.
 func (p *PredecessorEnd) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/handover/link/queue_test.go
+++ b/internal/handover/link/queue_test.go
@@ -10,31 +10,32 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// TestQueueOfAClosedSocket closes a socket with connections in its accept queue. With a
-// second socket under SO_REUSEPORT, those that the kernel gave the first one are reset; with
-// the passed socket, whose queue both processes have, none is lost. This is why a hand-over
-// passes the socket.
+// TestQueueOfAClosedSocket closes a socket with connections in its accept queue. If the successor
+// has a second socket under SO_REUSEPORT, the connections that the kernel assigned to the first
+// one are reset. If it has the passed socket, which shares the first one's queue, none is lost.
+// This is why a hand-over passes the socket.
 func TestQueueOfAClosedSocket(t *testing.T) {
 	const clients = 60
-	count := func(old, next *net.TCPListener) (served, lost int) {
+	// closeAndServe opens connections to old's address, closes old, and serves them on next.
+	closeAndServe := func(old, next *net.TCPListener) (served, lost int) {
 		t.Helper()
 		defer next.Close()
 		var open []net.Conn
 		for n := range clients {
-			c, err := net.Dial("tcp", old.Addr().String())
+			conn, err := net.Dial("tcp", old.Addr().String())
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("dial: %v", err)
 			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(20 * time.Second))
-			fmt.Fprintf(c, "%02d", n)
-			open = append(open, c)
+			defer conn.Close()
+			conn.SetDeadline(time.Now().Add(20 * time.Second))
+			fmt.Fprintf(conn, "%02d", n)
+			open = append(open, conn)
 		}
-		old.Close() // nothing of its queue was accepted
-		go tcp.Accept(next, func(_ int, c net.Conn) { io.CopyN(c, c, 2) })
-		for n, c := range open {
-			b := make([]byte, 2)
-			if _, err := io.ReadFull(c, b); err == nil && string(b) == fmt.Sprintf("%02d", n) {
+		old.Close() // it has accepted no connection of its queue
+		go tcp.Accept(next, func(_ int, conn net.Conn) { io.CopyN(conn, conn, 2) })
+		for n, conn := range open {
+			echo := make([]byte, 2)
+			if _, err := io.ReadFull(conn, echo); err == nil && string(echo) == fmt.Sprintf("%02d", n) {
 				served++
 			} else {
 				lost++
@@ -42,30 +43,30 @@
 		}
 		return served, lost
 	}
-	listen := func(addr string) *net.TCPListener {
-		ln, err := Listen(addr)
+	listen := func(address string) *net.TCPListener {
+		listener, err := Listen(address)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Listen(%q): %v", address, err)
 		}
-		return ln
+		return listener
 	}
 	first := listen("127.0.0.1:0")
-	file, err := first.File() // what SCM_RIGHTS gives: the same open socket
+	file, err := first.File() // the same open socket, as SCM_RIGHTS would pass it
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("File: %v", err)
 	}
 	passed, err := net.FileListener(file)
 	file.Close()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("FileListener: %v", err)
 	}
-	if served, lost := count(first, passed.(*net.TCPListener)); lost != 0 {
-		t.Errorf("the passed socket: %d served, %d lost", served, lost)
+	if served, lost := closeAndServe(first, passed.(*net.TCPListener)); lost != 0 {
+		t.Errorf("passed socket: %d connections served, %d lost, want none lost", served, lost)
 	}
 	second := listen("127.0.0.1:0")
-	served, lost := count(second, listen(second.Addr().String()))
-	t.Logf("a second socket: %d of %d connections lost", lost, clients)
+	served, lost := closeAndServe(second, listen(second.Addr().String()))
+	t.Logf("second socket: %d of %d connections lost", lost, clients)
 	if lost == 0 || served == 0 {
-		t.Errorf("a second socket: %d served, %d lost; the test shows nothing", served, lost)
+		t.Errorf("second socket: %d connections served, %d lost; want some of each, otherwise the test proves nothing", served, lost)
 	}
 }
--- a/internal/handover/link/rendezvous.go
+++ b/internal/handover/link/rendezvous.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// filePermissions are those of the lock, the socket and the snapshot.
+	// filePermissions are the permissions of the lock, the socket and the snapshot.
 	filePermissions = 0o600
-	// maxSocketPath is the longest path that is used for a socket as it is; sun_path holds
-	// 108 bytes.
+	// maxSocketPath is the maximum length of a path that is used as a socket's address
+	// unchanged. sun_path holds 108 bytes.
 	maxSocketPath = 99
 )
 
-// The suffixes of a rendezvous' files.
+// Suffixes of the files of a rendezvous.
 const (
 	lockSuffix        = ".lock"
 	socketSuffix      = ".sock"
@@ -30,8 +30,8 @@
 	newSnapshotSuffix = ".snap.new"
 )
 
-// Rendezvous is where the processes of one sidecar find each other: a lock, a socket and
-// a snapshot in a directory.
+// Rendezvous is where the processes of one sidecar find each other: a lock, a socket and a
+// snapshot in a directory. It is safe for concurrent use.
 type Rendezvous struct {
 	directory, name string
 
@@ -41,14 +41,15 @@
 
 // Errors of a rendezvous.
 var (
-	// ErrLocked says that a process serves already.
+	// ErrLocked reports that another process has the lock.
 	ErrLocked = errors.New("link: another process serves at this address")
-	// ErrForeign says that a file or process in the way is not this user's.
-	ErrForeign = errors.New("link: a file in the way")
+	// ErrForeign reports that the lock file can't be opened, or that a file or process of the
+	// rendezvous is not this user's.
+	ErrForeign = errors.New("link: rendezvous can't be used")
 )
 
-// NewRendezvous returns the rendezvous in a directory of the sidecar that listens at an
-// address.
+// NewRendezvous returns the rendezvous of the sidecar that listens at the address listen. Its
+// files are in directory.
 func NewRendezvous(directory, listen string) *Rendezvous {
 	hash := fnv.New64a()
 	hash.Write([]byte(listen))
@@ -57,7 +58,8 @@
 
 func (r *Rendezvous) path(suffix string) string { return filepath.Join(r.directory, r.name+suffix) }
 
-// Lock takes the rendezvous' lock; ErrLocked if another process has it.
+// Lock takes the lock of the rendezvous, unless this process has it already. It returns ErrLocked
+// if another process has it.
 func (r *Rendezvous) Lock() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// checkOwner says whether a file is a regular one of this user's.
+// checkOwner returns an error unless file is a regular file of this user.
 func checkOwner(path string, file *os.File) error {
 	info, err := file.Stat()
 	if err != nil {
@@ -92,19 +94,19 @@
 	}
 	status, ok := info.Sys().(*syscall.Stat_t)
 	if !ok || !info.Mode().IsRegular() || int(status.Uid) != os.Geteuid() {
-		return fmt.Errorf("%w: %s is not a file of this user's", ErrForeign, path)
+		return fmt.Errorf("%w: %s is not a regular file of this user", ErrForeign, path)
 	}
 	return nil
 }
 
-// Locked says whether this process has the lock.
+// Locked reports whether this process has the lock.
 func (r *Rendezvous) Locked() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lock != nil
 }
 
-// adoptLock takes over a lock that another process sent.
+// adoptLock replaces the lock by one that the predecessor has passed.
 func (r *Rendezvous) adoptLock(lock *os.File) {
 	r.Close()
 	r.mu.Lock()
@@ -112,8 +114,8 @@
 	r.lock = lock
 }
 
-// Close closes the lock. It stays locked while another process that it was passed to has
-// it.
+// Close closes the lock. The rendezvous stays locked as long as another process has the same
+// lock.
 func (r *Rendezvous) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,8 +125,8 @@
 	}
 }
 
-// socketAddress is the address of a socket, short enough for any directory. It is valid
-// until done is called.
+// socketAddress returns the address of the socket file with a suffix, in a form that is short
+// enough for any directory. It is valid until done is called.
 func (r *Rendezvous) socketAddress(suffix string) (address string, done func(), err error) {
 	address = r.path(suffix)
 	if len(address) <= maxSocketPath {
@@ -137,8 +139,8 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s%s", directory, r.name, suffix), func() { syscall.Close(directory) }, nil
 }
 
-// SaveSnapshot stores a snapshot for the next process. Only the process that has the lock
-// may.
+// SaveSnapshot stores a snapshot for the next process. It returns ErrLocked if this process does
+// not have the lock.
 func (r *Rendezvous) SaveSnapshot(data []byte) error {
 	if !r.Locked() {
 		return ErrLocked
@@ -163,8 +165,8 @@
 	return nil
 }
 
-// LoadSnapshot returns the snapshot that an earlier process stored; empty if there is
-// none.
+// LoadSnapshot returns the snapshot that an earlier process stored, or nil if there is none. It
+// reads at most one byte more than a valid snapshot may have.
 func (r *Rendezvous) LoadSnapshot() ([]byte, error) {
 	path := r.path(snapshotSuffix)
 	file, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
--- a/internal/handover/link/sharedtable_test.go
+++ b/internal/handover/link/sharedtable_test.go
@@ -6,61 +6,62 @@
 	"testing"
 )
 
-// TestInFlightOfTwoProcesses checks that two processes that each keep the sum within a limit
-// never exceed it together, and that none is rejected where both together need no more.
+// TestInFlightOfTwoProcesses checks that two processes that each keep the sum of the requests in
+// flight within a limit never exceed it together, and that no request is rejected if both
+// together never need more than the limit.
 func TestInFlightOfTwoProcesses(t *testing.T) {
-	for _, c := range []struct{ older, newer, limit int }{{4, 4, 8}, {8, 0, 8}, {6, 6, 8}, {1, 1, 1}} {
-		predecessor, f, err := newSharedTable(true)
+	for _, test := range []struct{ predecessorMax, successorMax, limit int }{{4, 4, 8}, {8, 0, 8}, {6, 6, 8}, {1, 1, 1}} {
+		predecessor, file, err := newSharedTable(true)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("newSharedTable: %v", err)
 		}
-		successor, err := mapSharedTable(f, true, successorSide)
+		successor, err := mapSharedTable(file, true, successorSide)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("mapSharedTable: %v", err)
 		}
-		f.Close()
-		var inFlight, over, rejected atomic.Int64
+		file.Close()
+		var inFlight, exceeded, rejected atomic.Int64
 		var wait sync.WaitGroup
-		for _, s := range []struct {
-			ids   *SharedTable
-			wants int
-		}{{predecessor, c.older}, {successor, c.newer}} {
+		for _, process := range []struct {
+			table       *SharedTable
+			maxInFlight int
+		}{{predecessor, test.predecessorMax}, {successor, test.successorMax}} {
 			wait.Go(func() {
 				own := 0
 				for n := range 20000 {
 					switch {
-					case own > 0 && (own == s.wants || n%3 == 0):
+					case own > 0 && (own == process.maxInFlight || n%3 == 0):
 						own--
 						inFlight.Add(-1)
-						s.ids.SetInFlight(own)
-					case own == s.wants: // it may have none
-					case own+1+s.ids.SetInFlight(own+1) > c.limit:
-						s.ids.SetInFlight(own)
+						process.table.SetInFlight(own)
+					case own == process.maxInFlight: // a process with a maximum of 0
+					case own+1+process.table.SetInFlight(own+1) > test.limit:
+						process.table.SetInFlight(own)
 						rejected.Add(1)
 					default:
-						if own++; inFlight.Add(1) > int64(c.limit) {
-							over.Add(1)
+						if own++; inFlight.Add(1) > int64(test.limit) {
+							exceeded.Add(1)
 						}
 					}
 				}
 				inFlight.Add(-int64(own))
-				s.ids.SetInFlight(0)
+				process.table.SetInFlight(0)
 			})
 		}
 		wait.Wait()
-		if over.Load() > 0 || c.older+c.newer <= c.limit && rejected.Load() > 0 {
-			t.Errorf("%+v: %d times over the limit, %d rejected", c, over.Load(), rejected.Load())
+		if exceeded.Load() > 0 || test.predecessorMax+test.successorMax <= test.limit && rejected.Load() > 0 {
+			t.Errorf("%+v: limit exceeded %d times, %d requests rejected", test, exceeded.Load(), rejected.Load())
 		}
 		predecessor.Close()
 		successor.Close()
 	}
-	plain, f, err := newSharedTable(false)
-	if err != nil || plain.CountsInFlight() {
-		t.Fatal("a table without a count:", err)
+	withoutCounts, file, err := newSharedTable(false)
+	if err != nil || withoutCounts.CountsInFlight() {
+		t.Fatalf("newSharedTable(false): error = %v, or the table has counts", err)
 	}
-	defer plain.Close()
-	defer f.Close()
-	if _, err := mapSharedTable(f, true, successorSide); err == nil {
-		t.Error("a table without a count was taken for one with it")
+	defer withoutCounts.Close()
+	defer file.Close()
+	if _, err := mapSharedTable(file, true, successorSide); err == nil {
+		t.Error("mapSharedTable accepted a table without counts as one with counts")
 	}
 }
--- a/internal/handover/link/successor.go
+++ b/internal/handover/link/successor.go
@@ -13,56 +13,58 @@
 	"martendrum/internal/handover"
 )
 
-// Bounds of a start that looks for a predecessor. Their sum stays well below the 6 s
-// within which a new process must serve.
+// Timeouts of Start. Their sum stays well below the 6 s within which a new process must serve.
 const (
-	offerTimeout  = 1200 * time.Millisecond // a predecessor that takes longer hangs
-	absentTimeout = 600 * time.Millisecond  // the lock is held, and its owner can't be found
-	busyTimeout   = 3 * time.Second         // another successor is taking over
+	offerTimeout  = 1200 * time.Millisecond // a predecessor that does not answer in time hangs
+	absentTimeout = 600 * time.Millisecond  // how long Start retries if the lock has an owner that can't be reached
+	busyTimeout   = 3 * time.Second         // how long Start retries if another successor is taking over
 	retryInterval = 20 * time.Millisecond
-	// lockPollInterval is how often the lock of a predecessor that ended is tried.
+	// lockPollInterval is the interval between attempts to take the lock of a predecessor that
+	// may have ended.
 	lockPollInterval = 5 * retryInterval
 )
 
-// Reasons for no hand-over.
+// Reasons why no hand-over takes place.
 var (
-	errAbsent = errors.New("link: the place is held, and its process can't be found")
-	errSilent = errors.New("link: the old process does not answer")
+	errAbsent = errors.New("link: the rendezvous is locked, but its owner can't be reached")
+	errSilent = errors.New("link: the predecessor does not answer")
 )
 
-// SuccessorEnd is the end of a hand-over at the process that starts.
+// SuccessorEnd is the successor's end of a hand-over. Its methods are safe for concurrent use.
 type SuccessorEnd struct {
 	rendezvous *Rendezvous
 	host       Host
 	listen     string
 	machine    *handover.Successor
 
-	mu            sync.Mutex  // guards the machine and all below
-	conn          *connection // to the predecessor; nil: none
-	passed        []*net.TCPListener
-	localListener *net.TCPListener
-	snapshot      []byte
-	table         *SharedTable // nil: none
-	storeLock     *os.File     // of the idempotency store, from the predecessor; nil: none
-	lateListeners chan []*net.TCPListener
-	alone         chan struct{}
-	failed        chan error
-	closed        bool
-	goroutines    sync.WaitGroup
+	mu              sync.Mutex         // guards the machine and all fields below
+	conn            *connection        // to the predecessor; nil: none
+	passedListeners []*net.TCPListener // from the predecessor
+	localListener   *net.TCPListener   // opened by this process; nil: none
+	snapshot        []byte             // from the predecessor
+	table           *SharedTable       // from the predecessor; nil: none
+	storeLock       *os.File           // of the idempotency store, from the predecessor; nil: none
+	lateListeners   chan []*net.TCPListener
+	predecessorGone chan struct{}
+	failed          chan error
+	closed          bool
+	goroutines      sync.WaitGroup
 }
 
-// Start looks for a predecessor and agrees with it on quotas. When it returns, the host
-// has its limits and Listeners returns where to accept; the caller accepts once it can
-// answer. usesStore says that this process uses an idempotency store.
+// Start looks for a predecessor, requests a hand-over and receives a quota. When it returns, it
+// has called host.Limit, and Listeners returns the sockets to accept from; the caller accepts
+// once it can answer clients, and then calls Ready. Without a predecessor, or with one that does
+// not take part, Start opens a socket of its own. limits are those of the sidecar; usesStore says
+// whether this process uses an idempotency store.
 func Start(rendezvous *Rendezvous, listen string, limits handover.Quota, usesStore bool, host Host) (*SuccessorEnd, error) {
 	s := &SuccessorEnd{
-		rendezvous:    rendezvous,
-		host:          host,
-		listen:        listen,
-		machine:       handover.NewSuccessor(limits),
-		lateListeners: make(chan []*net.TCPListener, 1),
-		alone:         make(chan struct{}),
-		failed:        make(chan error, 1),
+		rendezvous:      rendezvous,
+		host:            host,
+		listen:          listen,
+		machine:         handover.NewSuccessor(limits),
+		lateListeners:   make(chan []*net.TCPListener, 1),
+		predecessorGone: make(chan struct{}),
+		failed:          make(chan error, 1),
 	}
 	if usesStore {
 		s.machine.SetUsesStore()
@@ -76,7 +78,7 @@
 		case errors.Is(err, handover.ErrBusy) && elapsed < busyTimeout:
 		case errors.Is(err, errAbsent) && elapsed < absentTimeout:
 		case errors.Is(err, errAbsent), errors.Is(err, errSilent), errors.Is(err, handover.ErrRejected):
-			slog.Warn("no hand-over: this process opens a socket of its own beside the old one's", "err", err)
+			slog.Warn("no hand-over: this process opens a socket of its own at the predecessor's address", "err", err)
 			return s.startDespiteSilent()
 		case errors.Is(err, ErrForeign):
 			slog.Warn("no hand-over: this process is on its own", "err", err)
@@ -88,6 +90,7 @@
 	}
 }
 
+// startDespiteSilent starts beside a predecessor that does not take part in a hand-over.
 func (s *SuccessorEnd) startDespiteSilent() (*SuccessorEnd, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,6 +101,7 @@
 	return s, nil
 }
 
+// startIsolated starts where no hand-over is possible.
 func (s *SuccessorEnd) startIsolated() (*SuccessorEnd, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +111,8 @@
 	return s, nil
 }
 
-// attempt takes the lock, or requests a hand-over from its owner.
+// attempt takes the lock, or requests a hand-over from the owner of the lock and handles the
+// answer.
 func (s *SuccessorEnd) attempt() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +135,7 @@
 	s.conn.unix.SetReadDeadline(time.Time{})
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return errSilent // the connection stays open, as its end shows that the predecessor ended
+			return errSilent // the connection stays open: its end will show that the predecessor has ended
 		}
 		s.disconnect()
 		return fmt.Errorf("%w: %w", errAbsent, err)
@@ -153,7 +158,7 @@
 	dialer := net.Dialer{Timeout: offerTimeout}
 	dialed, err := dialer.Dial("unixpacket", address)
 	switch {
-	case errors.Is(err, syscall.EAGAIN): // its accept queue is full
+	case errors.Is(err, syscall.EAGAIN): // the predecessor's accept queue is full
 		return nil, errSilent
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", errAbsent, err)
@@ -166,7 +171,7 @@
 	return &connection{unix: unix}, nil
 }
 
-// disconnect closes the connection to the predecessor. The caller holds the lock.
+// disconnect closes the connection to the predecessor. The caller holds mu.
 func (s *SuccessorEnd) disconnect() {
 	if s.conn != nil {
 		s.conn.unix.Close()
@@ -174,7 +179,7 @@
 	}
 }
 
-// handle handles a message and the files that came with it. The caller holds the lock.
+// handle handles a message and the files that came with it, which it closes. The caller holds mu.
 func (s *SuccessorEnd) handle(message handover.Message, files []*os.File) error {
 	defer closeAll(files)
 	var offered offeredFiles
@@ -192,12 +197,12 @@
 	}
 	if message.Kind == handover.Offer {
 		s.rendezvous.adoptLock(offered.lock)
-		s.passed, s.snapshot, s.table, s.storeLock = offered.listeners, message.Snapshot, offered.table, offered.storeLock
+		s.passedListeners, s.snapshot, s.table, s.storeLock = offered.listeners, message.Snapshot, offered.table, offered.storeLock
 	}
 	return s.perform(actions)
 }
 
-// perform carries out the machine's actions. The caller holds the lock.
+// perform carries out actions of the machine. The caller holds mu.
 func (s *SuccessorEnd) perform(actions []handover.Action) error {
 	for _, action := range actions {
 		switch action.Type {
@@ -217,18 +222,18 @@
 			}
 			s.localListener = listener
 		case handover.TakeListener:
-			if s.localListener != nil { // a silent predecessor has woken up
-				s.lateListeners <- s.passed
+			if s.localListener != nil { // a silent predecessor has resumed
+				s.lateListeners <- s.passedListeners
 			}
 		case handover.Publish:
-			close(s.alone)
+			close(s.predecessorGone)
 		}
 	}
 	return nil
 }
 
-// followPredecessor handles the predecessor's messages until it has ended. The caller
-// holds the lock.
+// followPredecessor starts a goroutine that handles the predecessor's messages until the
+// predecessor has ended. The caller holds mu.
 func (s *SuccessorEnd) followPredecessor() {
 	conn := s.conn
 	s.goroutines.Go(func() {
@@ -252,8 +257,8 @@
 	})
 }
 
-// handleLater handles a message that follows the first. It returns false where the
-// connection is of no further use. The caller holds the lock.
+// handleLater handles a message after the first one. It returns false if the connection is of no
+// further use. The caller holds mu.
 func (s *SuccessorEnd) handleLater(message handover.Message, files []*os.File) bool {
 	err := s.handle(message, files)
 	if err != nil && !s.closed {
@@ -261,7 +266,7 @@
 	}
 	rejected, locked := errors.Is(err, handover.ErrRejected), s.rendezvous.Locked()
 	if rejected && locked {
-		// The predecessor lives and has taken its quota back: this process must end.
+		// The predecessor is alive and has taken the quota back: this process must end.
 		s.failed <- err
 		s.closed = true
 	}
@@ -269,7 +274,7 @@
 	return !rejected && !(offerFailed && !locked)
 }
 
-// awaitPredecessorExit waits until no predecessor has the lock, and takes it.
+// awaitPredecessorExit polls the lock until no predecessor has it, and takes it.
 func (s *SuccessorEnd) awaitPredecessorExit() {
 	for {
 		s.mu.Lock()
@@ -287,46 +292,48 @@
 	}
 }
 
-// Listeners are the sockets to accept from: those of a predecessor, this process's own,
-// or both.
+// Listeners returns the sockets to accept from: those of a predecessor, this process's own, or
+// both.
 func (s *SuccessorEnd) Listeners() (listeners []*net.TCPListener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	listeners = append(listeners, s.passed...)
+	listeners = append(listeners, s.passedListeners...)
 	if s.localListener != nil {
 		listeners = append(listeners, s.localListener)
 	}
 	return listeners
 }
 
-// LateListeners delivers the listeners of a silent predecessor that woke up and handed
-// over. Listeners and Table return them too by then. The caller accepts from them and
-// then calls Ready.
+// LateListeners delivers the listeners of a silent predecessor that has resumed and handed over.
+// From then on, Listeners returns them too, and Table returns the predecessor's table. The caller
+// accepts from the listeners and then calls Ready.
 func (s *SuccessorEnd) LateListeners() <-chan []*net.TCPListener { return s.lateListeners }
 
-// Snapshot is what the predecessor has learned, empty if it sent nothing.
+// Snapshot returns the encoded snapshot of what the predecessor has learned. It is empty if the
+// predecessor sent none.
 func (s *SuccessorEnd) Snapshot() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.snapshot
 }
 
-// Table is the table that the predecessor shares, nil for none. The caller closes it.
+// Table returns the table that the predecessor shares, or nil if it shares none. The caller closes
+// the table.
 func (s *SuccessorEnd) Table() *SharedTable {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table
 }
 
-// StoreLock is the lock of the idempotency store that the predecessor shares, nil for
-// none. The caller closes it.
+// StoreLock returns the lock of the idempotency store that the predecessor shares, or nil if it
+// shares none. The caller closes the lock.
 func (s *SuccessorEnd) StoreLock() *os.File {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.storeLock
 }
 
-// Ready says that this process accepts clients.
+// Ready tells the predecessor that this process accepts clients.
 func (s *SuccessorEnd) Ready() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -335,20 +342,23 @@
 	}
 }
 
-// HasPredecessor says whether there is, or was, a predecessor.
+// HasPredecessor reports whether there is a predecessor, or was one that handed over. It also returns
+// true after a start where no hand-over was possible.
 func (s *SuccessorEnd) HasPredecessor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.passed) > 0 || !s.machine.Alone()
+	return len(s.passedListeners) > 0 || !s.machine.WithoutPredecessor()
 }
 
-// Alone is closed when no predecessor is left and this process owns all limits.
-func (s *SuccessorEnd) Alone() <-chan struct{} { return s.alone }
+// Alone returns a channel that is closed when there is no predecessor any more, or there never was
+// one, and this process owns all limits.
+func (s *SuccessorEnd) Alone() <-chan struct{} { return s.predecessorGone }
 
-// Failed delivers the reason for which this process must end, if there is one.
+// Failed delivers an error after which this process must end: a predecessor that is alive has
+// taken back the quota.
 func (s *SuccessorEnd) Failed() <-chan error { return s.failed }
 
-// Close closes the connection and ends what Start began.
+// Close closes the connection to the predecessor and waits for the goroutines that Start began.
 func (s *SuccessorEnd) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -2,45 +2,48 @@
 
 import "fmt"
 
-// Predecessor is the machine of the process that serves and is to be replaced.
+// Predecessor is the state machine of the process that serves and is to be replaced. It is not
+// safe for concurrent use.
 type Predecessor struct {
 	limits           Quota
-	grantedQuota     Quota // to the successor
-	successor        int   // a peer; 0: none
+	grantedQuota     Quota // the successor's part of limits
+	successor        int   // the successor's number as a peer; 0: none
 	successorServing bool
-	terminating      bool // this process has received the signal to end
-	ownsStore        bool // it owns an idempotency store and can share that
+	terminating      bool // this process ends once its requests are answered
+	ownsStore        bool // this process owns an idempotency store and can share it
 	snapshot         func() []byte
 	listen           string
 }
 
-// NewPredecessor returns the machine of a process that serves at listen and owns limits.
-// snapshot returns what the process has learned, for an offer.
+// NewPredecessor returns the state machine of a process that serves at the address listen and
+// owns limits. snapshot is called for each offer; it returns the encoded Snapshot of what the
+// process has learned.
 func NewPredecessor(listen string, limits Quota, snapshot func() []byte) *Predecessor {
 	return &Predecessor{limits: limits, listen: listen, snapshot: snapshot}
 }
 
-// SetOwnsStore says that this process owns an idempotency store, which a successor may
-// share.
+// SetOwnsStore tells p that this process owns an idempotency store, which it may share with a
+// successor.
 func (p *Predecessor) SetOwnsStore() { p.ownsStore = true }
 
-// SuccessorServing says whether a successor accepts clients.
+// SuccessorServing reports whether a successor accepts clients.
 func (p *Predecessor) SuccessorServing() bool { return p.successor != 0 && p.successorServing }
 
-// LocalQuota is what this process may use itself.
+// LocalQuota returns the part of the limits that this process may use itself.
 func (p *Predecessor) LocalQuota() Quota { return p.limits.minus(p.grantedQuota) }
 
-// SetLimits takes new limits of the settings. What is granted stays granted.
+// SetLimits replaces the limits after a change of the settings. A granted quota stays granted,
+// so the limits do not fall below it.
 func (p *Predecessor) SetLimits(limits Quota) []Action {
 	p.limits = limits.max(p.grantedQuota)
 	return []Action{{Type: Limit, Quota: p.LocalQuota()}}
 }
 
-// Receive takes a message of a peer. The host numbers peers from 1.
+// Receive handles a message from a peer. The caller numbers peers from 1.
 func (p *Predecessor) Receive(peer int, message Message) []Action {
 	switch {
 	case message.Version != Version:
-		return p.reject(peer, fmt.Sprintf("this process speaks version %d of the hand-over", Version), false)
+		return p.reject(peer, fmt.Sprintf("this process supports version %d of the hand-over", Version), false)
 	case message.Kind == Hello && p.successor != 0:
 		return p.reject(peer, "another new process is taking over", true)
 	case message.Kind == Hello && message.Listen != p.listen:
@@ -48,7 +51,7 @@
 	case message.Kind == Hello:
 		return p.offer(peer, message)
 	case peer != p.successor:
-		return p.reject(peer, "no hand-over is under way with this process", false)
+		return p.reject(peer, "no hand-over to this peer is in progress", false)
 	case message.Kind == Serving:
 		p.successorServing = true
 		if p.terminating {
@@ -56,7 +59,7 @@
 		}
 		return nil
 	}
-	return p.reject(peer, fmt.Sprintf("a message %q was not expected", message.Kind), false)
+	return p.reject(peer, fmt.Sprintf("unexpected message %q", message.Kind), false)
 }
 
 // offer accepts a peer as the successor and grants it half of the limits.
@@ -74,15 +77,16 @@
 		IdempotencyStore:  p.ownsStore && hello.IdempotencyStore,
 	}
 	var actions []Action
-	// The table is shared first: with its counts, requests in flight are limited by their
-	// sum and not by a smaller quota.
+	// The table is shared before the limit shrinks: with its counts, the sum of both processes'
+	// requests in flight is limited, and the smaller quota does not apply.
 	if offer.IDTable {
 		actions = append(actions, Action{Type: SendIDTable, To: peer, Message: offer})
 	}
-	// The quota is released here before it is granted there.
+	// This process gives up the quota before the successor receives it.
 	return append(actions, Action{Type: Limit, Quota: p.LocalQuota()}, Action{Type: SendListener, To: peer, Message: offer})
 }
 
+// reject sends a peer a rejection and drops it. A retryable rejection lets the peer try again.
 func (p *Predecessor) reject(peer int, reason string, retryable bool) []Action {
 	rejection := Message{Kind: Reject, Version: Version, Reason: reason, Retryable: retryable}
 	actions := []Action{{Type: SendMessage, To: peer, Message: rejection}, {Type: Drop, To: peer}}
@@ -92,7 +96,8 @@
 	return actions
 }
 
-// PeerLost says that a peer has ended. What it was granted is this process's again.
+// PeerLost handles the end of a peer or of the connection to it. If the peer was the successor,
+// the quota that it was granted returns to this process.
 func (p *Predecessor) PeerLost(peer int) []Action {
 	if peer != p.successor || peer == 0 {
 		return nil
@@ -101,7 +106,8 @@
 	return []Action{{Type: Limit, Quota: p.LocalQuota()}}
 }
 
-// Terminate says that this process ends once its requests are answered.
+// Terminate starts the shutdown of this process, which ends once its requests are answered. It
+// stops accepting as soon as a successor is serving.
 func (p *Predecessor) Terminate() []Action {
 	p.terminating = true
 	if p.SuccessorServing() {
@@ -110,19 +116,20 @@
 	return nil
 }
 
-// ReleaseUnused takes what this process still uses while it terminates, and grants the
-// rest to the successor for good.
+// ReleaseUnused grants the successor all of the limits except used, which is what this process
+// still uses while it terminates. A grant is never reduced. ReleaseUnused does nothing unless
+// this process is terminating and a successor is serving.
 func (p *Predecessor) ReleaseUnused(used Quota) []Action {
 	if !p.terminating || !p.SuccessorServing() {
 		return nil
 	}
-	next := p.limits.minus(used).max(p.grantedQuota)
-	if next == p.grantedQuota || !next.fitsWithin(p.limits) {
+	newQuota := p.limits.minus(used).max(p.grantedQuota)
+	if newQuota == p.grantedQuota || !newQuota.fitsWithin(p.limits) {
 		return nil
 	}
-	p.grantedQuota = next
+	p.grantedQuota = newQuota
 	return []Action{
 		{Type: Limit, Quota: p.LocalQuota()},
-		{Type: SendMessage, To: p.successor, Message: Message{Kind: Grant, Version: Version, Quota: next}},
+		{Type: SendMessage, To: p.successor, Message: Message{Kind: Grant, Version: Version, Quota: newQuota}},
 	}
 }
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -14,44 +14,48 @@
 )
 
 const (
-	// SnapshotVersion changes with the meaning of any field. Snapshots of other versions
-	// are rejected.
+	// SnapshotVersion is the version of the encoding. It changes with the meaning of any
+	// field. Snapshots of other versions are rejected.
 	SnapshotVersion = 1
-	// MaxSnapshotSize is the longest snapshot, in bytes.
+	// MaxSnapshotSize is the maximum size of an encoded snapshot, in bytes.
 	MaxSnapshotSize = 128 << 10
-	// MaxSnapshotAge is how old a snapshot may be. The servers' state changes within seconds,
-	// so an older one is worse than none.
+	// MaxSnapshotAge is the maximum age of a snapshot. The servers' state changes within
+	// seconds, so an older snapshot is worse than none.
 	MaxSnapshotAge = 30 * time.Second
 
-	// maxClockError is how far in the future a snapshot may be.
+	// maxClockError is how far in the future the time of a snapshot may be.
 	maxClockError = time.Second
-	// headerSize is the version, 1 byte, and the checksum, 4 bytes, after the magic.
+	// headerSize is the size, in bytes, of what follows the magic: the version (1 byte) and
+	// the checksum (4 bytes).
 	headerSize = 5
 
+	// Bounds on learned values, see CheckLearned.
 	maxSamples          = 1024
 	maxServers          = 4096
 	maxWeightCorrection = 16
 	maxEjection         = time.Minute
 )
 
-// snapshotMagic begins a snapshot.
+// snapshotMagic is at the start of each encoded snapshot.
 var snapshotMagic = []byte("mtdsnap")
 
-// Errors of a snapshot, which is then ignored.
+// Errors of DecodeSnapshot. The caller ignores such a snapshot.
 var (
 	ErrDamaged = errors.New("handover: damaged snapshot")
 	ErrForeign = errors.New("handover: snapshot of another version or sidecar")
 	ErrStale   = errors.New("handover: snapshot too old")
 )
 
-// Snapshot is what a predecessor has learned, for its successor.
+// Snapshot is the state that a predecessor has learned, for its successor.
 type Snapshot struct {
 	Listen  string                  `json:"Listen"` // the sidecar's address
 	SavedAt int64                   `json:"Saved"`  // Unix time in ns
 	Learned martendrum.LearnedState `json:"Learned"`
 }
 
-// EncodeSnapshot encodes a snapshot: a magic, the version, a checksum (CRC-32C) and JSON.
+// EncodeSnapshot encodes a snapshot as a magic, the version, a checksum (CRC-32C) and JSON. It
+// returns an error for values that JSON lacks, such as NaN, and for a snapshot that is larger
+// than MaxSnapshotSize.
 func EncodeSnapshot(snapshot Snapshot) ([]byte, error) {
 	body, err := json.Marshal(snapshot)
 	if err != nil {
@@ -61,15 +65,16 @@
 	encoded = append(encoded, SnapshotVersion)
 	encoded = binary.BigEndian.AppendUint32(encoded, crc32.Checksum(body, castagnoli))
 	if encoded = append(encoded, body...); len(encoded) > MaxSnapshotSize {
-		return nil, fmt.Errorf("handover: snapshot of %d bytes", len(encoded))
+		return nil, fmt.Errorf("handover: snapshot is too large: %d bytes", len(encoded))
 	}
 	return encoded, nil
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// DecodeSnapshot decodes a snapshot for the sidecar at listen and returns its age. A value
-// that no Balancer could have learned makes it damaged.
+// DecodeSnapshot decodes a snapshot for the sidecar at the address listen and returns its age.
+// The error is ErrDamaged, ErrForeign or ErrStale. A snapshot with a value that no Balancer
+// could have learned is damaged.
 func DecodeSnapshot(data []byte, listen string, now time.Time) (learned martendrum.LearnedState, age time.Duration, err error) {
 	body, err := checkEnvelope(data)
 	if err != nil {
@@ -80,13 +85,13 @@
 		return learned, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if snapshot.Listen != listen {
-		return learned, 0, fmt.Errorf("%w: of %q", ErrForeign, snapshot.Listen)
+		return learned, 0, fmt.Errorf("%w: it is of the sidecar at %q", ErrForeign, snapshot.Listen)
 	}
-	// A step of the wall clock makes the age wrong. A snapshot that seems too old or from the
-	// future is rejected, which costs its hints; one that seems too young is accepted, and
-	// its hints are older by the length of the step.
+	// A step of the wall clock makes the age wrong. A snapshot that then appears too old or
+	// from the future is rejected, and its hints are lost. One that appears too young is
+	// accepted, and its hints are older than assumed by the length of the step.
 	if age = now.Sub(time.Unix(0, snapshot.SavedAt)); age < -maxClockError || age > MaxSnapshotAge {
-		return learned, 0, fmt.Errorf("%w: %v", ErrStale, age)
+		return learned, 0, fmt.Errorf("%w: its age is %v", ErrStale, age)
 	}
 	if err := CheckLearned(&snapshot.Learned); err != nil {
 		return learned, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
@@ -94,28 +99,30 @@
 	return snapshot.Learned, max(0, age), nil
 }
 
-// checkEnvelope checks the magic, the version and the checksum and returns the JSON.
+// checkEnvelope checks the size, the magic, the version and the checksum of an encoded snapshot
+// and returns its JSON.
 func checkEnvelope(data []byte) (body []byte, err error) {
 	rest, ok := bytes.CutPrefix(data, snapshotMagic)
 	if !ok || len(rest) < headerSize || len(data) > MaxSnapshotSize {
 		return nil, ErrDamaged
 	}
-	version, sum, body := rest[0], binary.BigEndian.Uint32(rest[1:headerSize]), rest[headerSize:]
+	version, checksum, body := rest[0], binary.BigEndian.Uint32(rest[1:headerSize]), rest[headerSize:]
 	if version != SnapshotVersion {
 		return nil, fmt.Errorf("%w: version %d", ErrForeign, version)
 	}
-	if crc32.Checksum(body, castagnoli) != sum {
+	if crc32.Checksum(body, castagnoli) != checksum {
 		return nil, ErrDamaged
 	}
 	return body, nil
 }
 
-// CheckLearned names the first value that no Balancer could have learned.
+// CheckLearned returns an error that names the first value that no Balancer could have learned,
+// and nil if there is none.
 func CheckLearned(learned *martendrum.LearnedState) error {
 	var err error
 	within := func(name string, value, lower, upper float64) {
 		if err == nil && !(value >= lower && value <= upper) { // also rejects NaN
-			err = fmt.Errorf("%s is %v", name, value)
+			err = fmt.Errorf("%s is %v, which is out of range", name, value)
 		}
 	}
 	within("Delay", learned.HedgeDelay, 0, math.MaxFloat32)
@@ -131,12 +138,12 @@
 	within("Servers", float64(len(learned.Servers)), 0, maxServers)
 	for _, list := range [][]martendrum.LearnedLatency{learned.Primary, learned.Hedges} {
 		for _, sample := range list {
-			within("a time", sample.Latency, 0, math.MaxFloat32)
+			within("a latency", sample.Latency, 0, math.MaxFloat32)
 		}
 	}
 	for _, pair := range learned.Pairs {
-		within("a pair", min(pair[0], pair[1]), 0, math.MaxFloat32)
-		within("a pair", max(pair[0], pair[1]), 0, math.MaxFloat32)
+		within("a latency of a pair", min(pair[0], pair[1]), 0, math.MaxFloat32)
+		within("a latency of a pair", max(pair[0], pair[1]), 0, math.MaxFloat32)
 	}
 	for i := range learned.Servers {
 		server := &learned.Servers[i]
