--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -1,9 +1,9 @@
-// Package checkpoint stores what a sidecar has learned on a durable disk, for its next
-// start, also after a power loss. It owns one file, which is replaced atomically: written,
-// synced and renamed, with a version, a checksum and the sidecar's name. A file that is
-// damaged, empty, too old, of another version or of another sidecar is reported and
-// ignored; nothing depends on one. What of it is still valid is decided by package
-// recovery, see recovery.Kept.
+// Package checkpoint stores what a sidecar has learned on a durable disk, for its next start, also
+// after a power loss. It owns one file, which it replaces atomically: the file is written, synced
+// and renamed, and has a version, a checksum and the sidecar's name. A file that is damaged, empty,
+// too old, of another version or of another sidecar is reported and ignored; no sidecar depends on
+// its checkpoint. Package recovery decides which parts of it are still valid, see
+// recovery.Retained.
 package checkpoint
 
 import (
@@ -23,41 +23,41 @@
 )
 
 const (
-	// Version changes with the meaning of any field.
+	// Version is the version of the file's format. It changes with the meaning of any field.
 	Version = 1
-	// MaxFileSize is the longest file, in bytes: a snapshot and its envelope.
+	// MaxFileSize is the maximum size of a file, in bytes: a snapshot and its envelope.
 	MaxFileSize = handover.MaxSnapshotSize + 4<<10
-	// MaxAge is how old a file may be; an older one is of no more use than none.
+	// MaxAge is the maximum age of a file; an older one is of no more use than none.
 	MaxAge = 24 * time.Hour
 
-	// maxClockError is how far in the future a file may be.
+	// maxClockError is how far in the future the time of a file may be.
 	maxClockError   = time.Second
 	filePermissions = 0o600
 )
 
-// Checkpoint is what is stored.
+// Checkpoint is the content of a file.
 type Checkpoint struct {
 	Name        string                  `json:"name"`   // the sidecar's address
 	SavedAt     int64                   `json:"saved"`  // Unix time in ms
-	Incarnation uint64                  `json:"life"`   // its incarnation among peers
-	Demand      float64                 `json:"demand"` // usual requests a second
+	Incarnation uint64                  `json:"life"`   // incarnation of the sidecar among its peers
+	Demand      float64                 `json:"demand"` // usual requests per second
 	Learned     martendrum.LearnedState `json:"learned"`
 }
 
-// Reason a file is not trusted.
+// Reason is the reason why a file is not trusted.
 type Reason string
 
-// The reasons.
+// The reasons of a NotTrustedError.
 const (
 	Empty        Reason = "empty"
 	Damaged      Reason = "torn or damaged"
-	Expired      Reason = "too old, or of a time to come"
+	Expired      Reason = "too old, or from the future"
 	OtherSidecar Reason = "of another sidecar"
 	OtherVersion Reason = "of another version"
 	Unreadable   Reason = "not readable"
 )
 
-// NotTrustedError says why a file was ignored.
+// NotTrustedError reports why a file was ignored.
 type NotTrustedError struct {
 	Path   string
 	Reason Reason
@@ -75,18 +75,18 @@
 // Unwrap returns the cause, nil if there is none.
 func (e *NotTrustedError) Unwrap() error { return e.cause }
 
-// Advice says what an operator can do.
+// Advice returns the operator's next step.
 func (e *NotTrustedError) Advice() string {
 	switch e.Reason {
 	case OtherSidecar:
-		return "give each sidecar a file of its own; this one starts from nothing and leaves the file as it is"
+		return "configure a separate file for each sidecar; this one starts without learned state and does not change the file"
 	case Unreadable:
-		return "look at the file's owner and mode, and at the disk; the sidecar starts from nothing"
+		return "check the file's owner and mode, and the disk; the sidecar starts without learned state"
 	}
-	return "nothing: the sidecar starts from nothing and writes the file anew"
+	return "none needed: the sidecar starts without learned state and replaces the file"
 }
 
-// envelope is the file's form. Sum is the CRC-32C of Body.
+// envelope is the format of the file. Sum is the CRC-32C of Body.
 type envelope struct {
 	Version int             `json:"version"`
 	Sum     uint32          `json:"sum"`
@@ -95,7 +95,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Save replaces the file atomically.
+// Save replaces the file at path atomically. It returns an error if the file would be larger than
+// MaxFileSize.
 func Save(path string, checkpoint Checkpoint) error {
 	body, err := json.Marshal(checkpoint)
 	if err != nil {
@@ -106,7 +107,7 @@
 		return fmt.Errorf("checkpoint: %w", err)
 	}
 	if len(data) > MaxFileSize {
-		return fmt.Errorf("checkpoint: %d bytes, %d at most", len(data), MaxFileSize)
+		return fmt.Errorf("checkpoint: file would have %d bytes, the maximum is %d", len(data), MaxFileSize)
 	}
 	if err := renameio.WriteFile(path, data, filePermissions); err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
@@ -114,8 +115,8 @@
 	return nil
 }
 
-// Load reads the file of the sidecar of that name and returns its age; nil if there is
-// none. The error of a file that can't be trusted is a *NotTrustedError.
+// Load reads the file of the sidecar with the given name, and returns its content and its age. If
+// there is no file, the Checkpoint and the error are nil. All errors are of type *NotTrustedError.
 func Load(path, name string, now time.Time) (*Checkpoint, time.Duration, error) {
 	data, err := read(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -124,27 +125,27 @@
 	if err != nil {
 		return nil, 0, &NotTrustedError{path, Unreadable, err}
 	}
-	body, refused := open(data)
-	if refused != nil {
-		refused.Path = path
-		return nil, 0, refused
+	body, notTrusted := open(data)
+	if notTrusted != nil {
+		notTrusted.Path = path
+		return nil, 0, notTrusted
 	}
 	var checkpoint Checkpoint
 	if err := json.Unmarshal(body, &checkpoint); err != nil {
 		return nil, 0, &NotTrustedError{path, Damaged, err}
 	}
 	if checkpoint.Name != name {
-		return nil, 0, &NotTrustedError{path, OtherSidecar, fmt.Errorf("of %q", checkpoint.Name)}
+		return nil, 0, &NotTrustedError{path, OtherSidecar, fmt.Errorf("it is named %q", checkpoint.Name)}
 	}
-	// The file outlives the machine, so its age is by the wall clock. After a step of the
-	// clock, a file that seems too old or from the future is rejected; one that seems too
-	// young is accepted, as what it holds are hints.
+	// The file outlives a boot of the machine, so its age is by the wall clock. After a step of
+	// the clock, a file that appears too old or from the future is rejected. One that appears
+	// too young is accepted, because it contains only hints.
 	age := now.Sub(time.UnixMilli(checkpoint.SavedAt))
 	if age < -maxClockError || age > MaxAge {
 		return nil, 0, &NotTrustedError{path, Expired, fmt.Errorf("saved %v ago", age.Round(time.Second))}
 	}
 	if !(checkpoint.Demand >= 0) { // also rejects NaN
-		return nil, 0, &NotTrustedError{path, Damaged, fmt.Errorf("a demand of %v", checkpoint.Demand)}
+		return nil, 0, &NotTrustedError{path, Damaged, fmt.Errorf("the demand is %v", checkpoint.Demand)}
 	}
 	if err := handover.CheckLearned(&checkpoint.Learned); err != nil {
 		return nil, 0, &NotTrustedError{path, Damaged, err}
@@ -152,7 +153,7 @@
 	return &checkpoint, max(0, age), nil
 }
 
-// read reads a file up to one byte past MaxFileSize.
+// read reads a file, but at most one byte more than MaxFileSize.
 func read(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -162,20 +163,21 @@
 	return io.ReadAll(io.LimitReader(file, MaxFileSize+1))
 }
 
-// open checks the envelope and returns its body. The caller sets the path of the error.
+// open checks the envelope of a file's data and returns its body. The caller sets the path in the
+// error.
 func open(data []byte) (json.RawMessage, *NotTrustedError) {
-	var in envelope
-	switch err := json.Unmarshal(data, &in); {
+	var decoded envelope
+	switch err := json.Unmarshal(data, &decoded); {
 	case len(data) == 0:
 		return nil, &NotTrustedError{Reason: Empty}
 	case len(data) > MaxFileSize:
-		return nil, &NotTrustedError{Reason: Damaged, cause: fmt.Errorf("over %d bytes", MaxFileSize)}
+		return nil, &NotTrustedError{Reason: Damaged, cause: fmt.Errorf("larger than %d bytes", MaxFileSize)}
 	case err != nil:
 		return nil, &NotTrustedError{Reason: Damaged, cause: err}
-	case in.Version != Version:
-		return nil, &NotTrustedError{Reason: OtherVersion, cause: fmt.Errorf("version %d, and this is %d", in.Version, Version)}
-	case crc32.Checksum(in.Body, castagnoli) != in.Sum:
+	case decoded.Version != Version:
+		return nil, &NotTrustedError{Reason: OtherVersion, cause: fmt.Errorf("it has version %d, this sidecar reads version %d", decoded.Version, Version)}
+	case crc32.Checksum(decoded.Body, castagnoli) != decoded.Sum:
 		return nil, &NotTrustedError{Reason: Damaged, cause: errors.New("the checksum is wrong")}
 	}
-	return in.Body, nil
+	return decoded.Body, nil
 }
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -12,8 +12,10 @@
 	"martendrum"
 )
 
+// now is the time at which tests load a checkpoint.
 var now = time.UnixMilli(1_800_000_000_000)
 
+// good returns a checkpoint that was saved a minute before now.
 func good() Checkpoint {
 	return Checkpoint{Name: "10.0.0.4:8081", SavedAt: now.Add(-time.Minute).UnixMilli(), Incarnation: 7, Demand: 4.5, Learned: martendrum.LearnedState{
 		HedgeDelay: 0.4, HedgeProbability: 0.2, AcceptedFraction: 1, Primary: []martendrum.LearnedLatency{{Latency: 0.3}},
@@ -21,11 +23,12 @@
 	}}
 }
 
-func saved(t *testing.T, c Checkpoint) (path string, data []byte) {
+// saved saves a checkpoint to a new file and returns its path and content.
+func saved(t *testing.T, checkpoint Checkpoint) (path string, data []byte) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "checkpoint")
-	if err := Save(path, c); err != nil {
-		t.Fatal(err)
+	if err := Save(path, checkpoint); err != nil {
+		t.Fatalf("Save: %v", err)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -36,69 +39,69 @@
 
 func TestSaveAndLoad(t *testing.T) {
 	path, _ := saved(t, good())
-	c, age, err := Load(path, good().Name, now)
-	if err != nil || age != time.Minute || !reflect.DeepEqual(*c, good()) {
-		t.Errorf("loaded %+v, %v, %v", c, age, err)
+	loaded, age, err := Load(path, good().Name, now)
+	if err != nil || age != time.Minute || !reflect.DeepEqual(*loaded, good()) {
+		t.Errorf("Load() = %+v, %v, %v; want %+v, 1m0s, nil", loaded, age, err, good())
 	}
-	if c, _, err := Load(path+"x", good().Name, now); c != nil || err != nil {
-		t.Errorf("no file: %+v, %v", c, err)
+	if loaded, _, err := Load(path+"x", good().Name, now); loaded != nil || err != nil {
+		t.Errorf("Load() of a missing file = %+v, %v; want nil, nil", loaded, err)
 	}
 }
 
-// TestNotTrusted checks that each fault of a file is reported with its reason and advice.
+// TestNotTrusted checks that each kind of unusable file is reported with its reason and with advice.
 func TestNotTrusted(t *testing.T) {
 	edit := func(f func(*Checkpoint)) Checkpoint {
 		c := good()
 		f(&c)
 		return c
 	}
-	for name, c := range map[string]struct {
-		saved Checkpoint
-		spoil func([]byte) []byte
-		want  Reason
+	for name, test := range map[string]struct {
+		saved   Checkpoint
+		corrupt func([]byte) []byte // nil: the file stays as it was saved
+		want    Reason
 	}{
-		"empty":         {good(), func([]byte) []byte { return nil }, Empty},
-		"no JSON":       {good(), func([]byte) []byte { return []byte("what is this") }, Damaged},
-		"too long":      {good(), func(b []byte) []byte { return append(b, bytes.Repeat([]byte(" "), MaxFileSize)...) }, Damaged},
-		"version":       {good(), func(b []byte) []byte { return bytes.Replace(b, []byte(`"version":1`), []byte(`"version":2`), 1) }, OtherVersion},
-		"another's":     {edit(func(c *Checkpoint) { c.Name = "10.0.0.5:8081" }), nil, OtherSidecar},
-		"days old":      {edit(func(c *Checkpoint) { c.SavedAt -= 48 * time.Hour.Milliseconds() }), nil, Expired},
-		"of tomorrow":   {edit(func(c *Checkpoint) { c.SavedAt += 24 * time.Hour.Milliseconds() }), nil, Expired},
-		"can't be true": {edit(func(c *Checkpoint) { c.Learned.HedgeProbability = 3 }), nil, Damaged},
-		"no demand":     {edit(func(c *Checkpoint) { c.Demand = -1 }), nil, Damaged},
+		"empty":          {good(), func([]byte) []byte { return nil }, Empty},
+		"not JSON":       {good(), func([]byte) []byte { return []byte("what is this") }, Damaged},
+		"too long":       {good(), func(b []byte) []byte { return append(b, bytes.Repeat([]byte(" "), MaxFileSize)...) }, Damaged},
+		"other version":  {good(), func(b []byte) []byte { return bytes.Replace(b, []byte(`"version":1`), []byte(`"version":2`), 1) }, OtherVersion},
+		"other sidecar":  {edit(func(c *Checkpoint) { c.Name = "10.0.0.5:8081" }), nil, OtherSidecar},
+		"days old":       {edit(func(c *Checkpoint) { c.SavedAt -= 48 * time.Hour.Milliseconds() }), nil, Expired},
+		"from tomorrow":  {edit(func(c *Checkpoint) { c.SavedAt += 24 * time.Hour.Milliseconds() }), nil, Expired},
+		"impossible":     {edit(func(c *Checkpoint) { c.Learned.HedgeProbability = 3 }), nil, Damaged},
+		"demand below 0": {edit(func(c *Checkpoint) { c.Demand = -1 }), nil, Damaged},
 	} {
 		t.Run(name, func(t *testing.T) {
-			path, data := saved(t, c.saved)
-			if c.spoil != nil {
-				if err := os.WriteFile(path, c.spoil(data), 0o600); err != nil {
+			path, data := saved(t, test.saved)
+			if test.corrupt != nil {
+				if err := os.WriteFile(path, test.corrupt(data), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
 			got, _, err := Load(path, good().Name, now)
-			if bad, ok := errors.AsType[*NotTrustedError](err); !ok || bad.Reason != c.want || bad.Advice() == "" || got != nil {
-				t.Errorf("%+v, %v; want it %s", got, err, c.want)
+			if notTrusted, ok := errors.AsType[*NotTrustedError](err); !ok || notTrusted.Reason != test.want || notTrusted.Advice() == "" || got != nil {
+				t.Errorf("Load() = %+v, %v; want nil and a NotTrustedError with reason %q and advice", got, err, test.want)
 			}
 		})
 	}
 }
 
-// TestEveryByte cuts the file off at each byte and spoils each byte: nothing may be read
-// but what was written.
+// TestEveryByte truncates the file at each byte and corrupts each byte: Load must return an error or
+// exactly what was saved.
 func TestEveryByte(t *testing.T) {
 	path, data := saved(t, good())
-	load := func(what string, at int, data []byte) {
+	load := func(change string, at int, data []byte) {
 		if err := os.WriteFile(path, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, _, err := Load(path, good().Name, now)
-		if err == nil && !reflect.DeepEqual(*c, good()) {
-			t.Fatalf("%s at %d was read as %+v", what, at, c)
+		loaded, _, err := Load(path, good().Name, now)
+		if err == nil && !reflect.DeepEqual(*loaded, good()) {
+			t.Fatalf("Load() of a file %s at byte %d = %+v, want an error", change, at, loaded)
 		}
 	}
 	for i := range data {
-		load("cut off", i, data[:i])
-		spoilt := bytes.Clone(data)
-		spoilt[i] ^= 1 << (i % 8)
-		load("spoilt", i, spoilt)
+		load("truncated", i, data[:i])
+		corrupt := bytes.Clone(data)
+		corrupt[i] ^= 1 << (i % 8)
+		load("corrupted", i, corrupt)
 	}
 }
--- a/internal/filelock/filelock.go
+++ b/internal/filelock/filelock.go
@@ -1,10 +1,10 @@
-// Package filelock acquires and releases advisory locks of files (flock), by which one
-// process at a time owns a resource.
+// Package filelock acquires and releases advisory locks on files (flock), which let one process at
+// a time own a resource.
 //
-// The kernel ties a lock to the open file, not to the process. A child process has a copy
-// of each open file from its fork until its exec, so closing the file does not free the
-// lock while a child is between the two. Release therefore unlocks the file first. A
-// process that was killed can't, so Acquire retries for a short time.
+// The kernel ties a lock to the open file, not to the process. From its fork until its exec, a child
+// process has a copy of each open file, so closing the file does not free the lock while a child is
+// between the two. Release therefore unlocks the file before closing it. A process that was killed
+// can't, so Acquire retries for a short time.
 package filelock
 
 import (
@@ -15,18 +15,18 @@
 )
 
 const (
-	// acquireTimeout is how long Acquire retries. A child takes microseconds from fork to
-	// exec, on a busy machine some milliseconds.
+	// acquireTimeout is how long Acquire retries. A child takes microseconds from its fork to
+	// its exec, on a busy machine some milliseconds.
 	acquireTimeout = 500 * time.Millisecond
 	retryInterval  = 5 * time.Millisecond
 )
 
-// ErrLocked says that another process, or another open file of this one, has the lock.
-var ErrLocked = errors.New("filelock: held by another")
+// ErrLocked reports that another process, or another open file of this process, has the lock.
+var ErrLocked = errors.New("filelock: the lock is held by another process or open file")
 
-// Acquire opens a file, creates it with permissions if there is none, and locks it. With
-// ErrLocked, it returns the open file too, for the caller to read what the owner of the
-// lock wrote and to close.
+// Acquire opens a file, which it creates with permissions if there is none, and locks it. It retries
+// for acquireTimeout while the lock is held, and then returns ErrLocked together with the open file:
+// the caller can read what the owner of the lock wrote, and closes the file.
 func Acquire(path string, permissions os.FileMode) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, permissions)
 	if err != nil {
@@ -47,10 +47,10 @@
 	}
 }
 
-// Release unlocks a file and closes it, so that another process can lock it at once, even
-// while a child has a copy of the file. A lock that another process shares must not be
-// released: closing the file leaves it to that process.
+// Release unlocks a file and closes it, so that another process can lock it at once, even while a
+// child has a copy of the open file. It must not be called for a lock that is shared with another
+// process: close the file instead, which leaves the lock to that process.
 func Release(file *os.File) error {
-	unlocked := os.NewSyscallError("flock", syscall.Flock(int(file.Fd()), syscall.LOCK_UN))
-	return errors.Join(unlocked, file.Close())
+	unlockErr := os.NewSyscallError("flock", syscall.Flock(int(file.Fd()), syscall.LOCK_UN))
+	return errors.Join(unlockErr, file.Close())
 }
--- a/internal/filelock/filelock_test.go
+++ b/internal/filelock/filelock_test.go
@@ -11,17 +11,18 @@
 	"time"
 )
 
+// acquire acquires the lock of a path, and fails the test if it can't.
 func acquire(t *testing.T, path string) *os.File {
 	t.Helper()
 	file, err := Acquire(path, 0o600)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Acquire: %v", err)
 	}
 	return file
 }
 
-// locked tries to lock a path once; nil if the lock was free.
-func locked(t *testing.T, path string) error {
+// tryLock tries once to lock a path. It returns nil if the lock was free, and leaves it free.
+func tryLock(t *testing.T, path string) error {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -31,28 +32,28 @@
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
 
-// TestReleaseFreesTheLockBeforeAChildsExec checks that Release frees the lock while a copy of
-// the open file exists, as in a child between its fork and its exec.
+// TestReleaseFreesTheLockBeforeAChildsExec checks that Release frees the lock even if a copy of the
+// open file exists, as in a child between its fork and its exec.
 func TestReleaseFreesTheLockBeforeAChildsExec(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "lock")
 	file := acquire(t, path)
 	copied, err := syscall.Dup(int(file.Fd()))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("dup: %v", err)
 	}
 	defer syscall.Close(copied)
 	if err := Release(file); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Release: %v", err)
 	}
-	if err := locked(t, path); err != nil {
+	if err := tryLock(t, path); err != nil {
 		t.Errorf("the lock is not free after Release: %v", err)
 	}
 }
 
-// TestLockIsReusedWhileProcessesStart acquires and releases the lock while processes are
-// started.
+// TestLockIsReusedWhileProcessesStart checks that a released lock is free at once, even if other
+// goroutines start processes, which have a copy of the open file from fork to exec.
 func TestLockIsReusedWhileProcessesStart(t *testing.T) {
-	const starters, turns = 4, 200
+	const starters, rounds = 4, 200
 	path := filepath.Join(t.TempDir(), "lock")
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -65,36 +66,36 @@
 				default:
 				}
 				if err := exec.Command("/bin/true").Run(); err != nil {
-					t.Error(err)
+					t.Errorf("run /bin/true: %v", err)
 					return
 				}
 			}
 		})
 	}
-	for range turns {
+	for range rounds {
 		file := acquire(t, path)
 		if err := Release(file); err != nil {
-			t.Error(err)
+			t.Errorf("Release: %v", err)
 		}
-		if err := locked(t, path); err != nil { // without Acquire's retries
-			t.Errorf("the lock was not free: %v", err)
+		if err := tryLock(t, path); err != nil { // without Acquire's retries
+			t.Errorf("the lock is not free after Release: %v", err)
 		}
 	}
 	close(done)
 	wg.Wait()
 }
 
-// TestAcquireRetries checks that Acquire gets a lock that is released soon, and returns an
-// error for one that is not.
+// TestAcquireRetries checks that Acquire returns ErrLocked if the lock stays held, and acquires a
+// lock that is released within acquireTimeout.
 func TestAcquireRetries(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "lock")
 	owner := acquire(t, path)
-	rejected, err := Acquire(path, 0o600)
+	lockedFile, err := Acquire(path, 0o600)
 	if !errors.Is(err, ErrLocked) {
-		t.Fatalf("a lock that is held: %v", err)
+		t.Fatalf("Acquire() of a held lock: error = %v, want ErrLocked", err)
 	}
-	rejected.Close()
-	waiting := make(chan error, 1)
+	lockedFile.Close()
+	acquired := make(chan error, 1)
 	began := make(chan struct{})
 	go func() {
 		close(began)
@@ -102,14 +103,14 @@
 		if err == nil {
 			defer file.Close()
 		}
-		waiting <- err
+		acquired <- err
 	}()
 	<-began
-	time.Sleep(2 * retryInterval) // it has found the lock held, in most runs
+	time.Sleep(2 * retryInterval) // in most runs Acquire has then found the lock held
 	if err := Release(owner); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Release: %v", err)
 	}
-	if err := <-waiting; err != nil {
-		t.Errorf("a lock that became free: %v", err)
+	if err := <-acquired; err != nil {
+		t.Errorf("Acquire() of a lock that was released: %v", err)
 	}
 }
