--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,19 +1,19 @@
-// Package recovery decides how one sidecar restarts: alone, or together with all
-// others after a power loss. It has no I/O, clock or goroutine.
+// Package recovery decides how one sidecar restarts: while the other sidecars of its fleet stayed
+// up, or together with them after a power loss. It has no I/O, clock or goroutine.
 //
-// A Machine takes other sidecars' reports on themselves, the number of requests that
-// arrived and the capacity of the servers. It says which phase this sidecar is in and which
-// bounds its Balancer must keep to. It promises:
+// The inputs of a Machine are the reports of other sidecars on themselves, the number of requests
+// that have arrived, and the capacity of the servers. It returns the phase that this sidecar is in
+// and the bounds that its Balancer must keep to. It guarantees:
 //
-//   - No request is delayed, and none is rejected while the servers have their full
-//     capacity. Otherwise it sheds, lowest weight first, what exceeds their capacity.
-//   - Whether the other sidecars stayed up is decided within MaxQueryTime. If it is unsure,
-//     the sidecar restarts as after a power loss.
-//   - Each phase has a longest time, and phases only advance within an incarnation.
-//   - It relies on no other sidecar's clock, and on no single other sidecar's report.
+//   - No request is delayed, and none is shed while the servers have their full capacity. While they
+//     have not, the load that exceeds their capacity is shed, lowest weight first.
+//   - Whether the other sidecars stayed up is decided within MaxQueryTime. If that is unsure, the
+//     sidecar restarts as after a power loss.
+//   - Each phase has a maximum duration, and phases only advance within an incarnation.
+//   - No decision depends on another sidecar's clock, or on the report of a single other sidecar.
 //
-// It does not know how servers warm up (Balancer.Capacity does), who the others are
-// (package peers does), or what is stored on a disk (package checkpoint does).
+// The package does not know how servers warm up (Balancer.Capacity does), who the other sidecars are
+// (package peers does), or what is stored on disk (package checkpoint does).
 package recovery
 
 import (
@@ -23,19 +23,20 @@
 	"martendrum"
 )
 
-// Phase is how far a sidecar's restart has come.
+// Phase is a phase of a sidecar's restart.
 type Phase uint8
 
 const (
-	// Querying lasts until it is decided whether the others stayed up.
+	// Querying lasts until the verdict on whether the other sidecars stayed up.
 	Querying Phase = iota + 1
-	// Returning is a restart together with the fleet, or one where that is unsure.
+	// Returning is the phase after the verdict. It ends at once if the other sidecars stayed
+	// up, otherwise when the servers have their full capacity or MaxReturnTime is over.
 	Returning
-	// Serving is the end of the restart.
+	// Serving is normal operation after the restart.
 	Serving
 )
 
-// String implements fmt.Stringer with the names that are logged and exported.
+// String implements fmt.Stringer. It returns the names that are logged and exported.
 func (p Phase) String() string {
 	if p < Querying || p > Serving {
 		return "unknown"
@@ -43,32 +44,32 @@
 	return [...]string{"asking", "returning", "serving"}[p-1]
 }
 
-// Verdict is the conclusion from the others' reports.
+// Verdict is the conclusion from the reports of the other sidecars.
 type Verdict uint8
 
 const (
 	// Undecided means that too few reports have arrived so far.
 	Undecided Verdict = iota
-	// Alone means that the others stayed up.
-	Alone
-	// Everybody means that the others restarted as this sidecar did.
-	Everybody
-	// Unsure means that too few reports arrived in time.
+	// OthersStayedUp means that only this sidecar restarted.
+	OthersStayedUp
+	// FleetRestarted means that the other sidecars restarted together with this one.
+	FleetRestarted
+	// Unsure means that too few reports arrived within MaxQueryTime.
 	Unsure
 )
 
-// String implements fmt.Stringer with the names that are logged and exported.
+// String implements fmt.Stringer. It returns the names that are logged and exported.
 func (v Verdict) String() string {
 	return [...]string{"open", "alone", "everybody", "unsure"}[v]
 }
 
-// Config is the configuration of a Machine. The zero value of a time means its default.
+// Config is the configuration of a Machine. A duration of zero means its default.
 type Config struct {
-	Size          int           // sidecars in the fleet, this one included
-	MaxQueryTime  time.Duration // the longest time in Querying
-	MaxReturnTime time.Duration // the longest time in Returning, from the start
-	Interval      time.Duration // between two calls of Tick during the restart or while bounds are in force
-	IdleInterval  time.Duration // between two calls of Tick otherwise
+	Size          int           // number of sidecars in the fleet, including this one
+	MaxQueryTime  time.Duration // maximum time in Querying
+	MaxReturnTime time.Duration // maximum time from the start to the end of Returning
+	Interval      time.Duration // between calls of Tick during the restart or while the servers have reduced capacity
+	IdleInterval  time.Duration // between calls of Tick otherwise
 }
 
 const (
@@ -76,33 +77,36 @@
 	defaultReturnTime   = time.Minute
 	defaultInterval     = 100 * time.Millisecond
 	defaultIdleInterval = 500 * time.Millisecond
-	// sufficientReports decide at once if they agree. A smaller fleet needs those of all
-	// others, so that one false report decides only where there is just one.
+	// sufficientReports is the number of reports that decide at once if they agree. A smaller
+	// fleet needs the reports of all others, so a single false report decides only if there is
+	// just one other sidecar.
 	sufficientReports = 3
-	// minReturnTime is the shortest time in Returning: by then the server list has come.
+	// minReturnTime is the minimum time from the start to the end of Returning, unless the other
+	// sidecars stayed up. By then the server list has arrived.
 	minReturnTime = time.Second
-	// minUptime is the age from which on a serving sidecar cannot have been part of the
-	// same power loss.
+	// minUptime is the age from which a serving sidecar can't have restarted in the same power
+	// loss.
 	minUptime = 5 * time.Second
-	// demandWindow is the time over which arrivals are averaged. The first ones are spread
-	// over all of it, because clients that waited arrive at once.
+	// demandWindow is the time over which arrivals are averaged. The arrivals after the start
+	// are averaged over the whole window too, because clients that waited arrive at once.
 	demandWindow = 3 * time.Second
-	// maxDemandFactor times the prior demand is the most that arrivals are taken to be.
+	// maxDemandFactor times the prior demand is the maximum of the estimate, as far as the prior
+	// demand has weight.
 	maxDemandFactor = 1.5
-	// usualDemandMemory is the time over which the usual demand is averaged.
+	// usualDemandMemory is the time constant of the average of the usual demand.
 	usualDemandMemory = time.Minute
-	// retryFraction is the assumed fraction of rejected clients who retry, and whose
-	// retries are not counted as demand.
+	// retryFraction is the assumed fraction of rejected clients that retry. Their retries are
+	// not counted as demand.
 	retryFraction = 0.7
-	// Bounds come into force when the mean slow-start factor is below
-	// reducedCapacityFactor and end at fullCapacityFactor. The gap avoids flapping.
+	// The servers count as having reduced capacity from a mean slow-start factor below
+	// reducedCapacityFactor until it reaches fullCapacityFactor. The gap avoids flapping.
 	fullCapacityFactor    = 0.98
 	reducedCapacityFactor = 0.9
-	// maxReports bounds the reports in memory; more would not change a verdict.
+	// maxReports is the maximum number of reports in memory; more would not change a verdict.
 	maxReports = 64
 )
 
-// Report is what another sidecar says of itself.
+// Report is the report of another sidecar on itself.
 type Report struct {
 	Phase Phase
 	Age   time.Duration // time since its start
@@ -111,40 +115,41 @@
 // stayedUp reports whether the sidecar was up before this one's restart.
 func (r Report) stayedUp() bool { return r.Phase >= Serving && r.Age >= minUptime }
 
-// Orders is what a Machine decides.
+// Orders are the results of a Tick: the phase of the restart, the verdict, and the bounds for the
+// Balancer.
 type Orders struct {
 	Phase   Phase
 	Verdict Verdict
 	Bounds  martendrum.Bounds
 }
 
-// Machine is one sidecar's restart. Its methods take the time since any fixed moment. It is
-// not safe for concurrent use.
+// Machine is the state machine of one sidecar's restart. Its methods take the current time as a
+// duration since a fixed, arbitrary time. It is not safe for concurrent use.
 type Machine struct {
 	config Config
-	began  time.Duration
-	due    time.Duration
+	began  time.Duration // when the sidecar started
+	due    time.Duration // when Tick is to be called next
 
 	reports map[int]Report // by rank
 	phase   Phase
 	verdict Verdict
 
-	constrained      bool    // the servers bear less than the usual load
-	slowStartFactor  float64 // mean of the servers, 0 to 1
-	capacityFraction float64 // of the usual load that the servers bear, 0 to 1
+	constrained      bool    // the servers have reduced capacity
+	slowStartFactor  float64 // mean of the servers, from 0 to 1
+	capacityFraction float64 // fraction of the usual load that the servers can serve, from 0 to 1
 
-	arrivals         uint64          // in all
-	measuredArrivals uint64          // of these, at the last Tick
+	arrivals         uint64          // total number of requests that have arrived
+	measuredArrivals uint64          // value of arrivals at the last Tick
 	samples          []arrivalSample // of the last demandWindow
 
-	priorDemand float64       // usual demand before this start, in requests a second; 0: unknown
+	priorDemand float64       // usual demand before this start, in requests per second; 0: unknown
 	priorWeight float64       // weight of priorDemand, 0 to 1
-	usualDemand float64       // usual demand since this start; 0: unknown
+	usualDemand float64       // usual demand since this start, in requests per second; 0: unknown
 	learnedAt   time.Duration // when usualDemand was last updated
 }
 
-// arrivalSample is the estimated number of requests, retries left out, since the sample
-// before.
+// arrivalSample is the estimated number of requests since the previous sample, not counting
+// retries.
 type arrivalSample struct {
 	at            time.Duration
 	firstArrivals float64
@@ -165,18 +170,18 @@
 		slowStartFactor:  1,
 		capacityFraction: 1,
 	}
-	if cfg.Size < 2 { // nobody to query
+	if cfg.Size < 2 { // there is no other sidecar to query
 		m.verdict = Unsure
 		m.phase = Returning
 	}
 	return m
 }
 
-// Due is when Tick is to be called next.
+// Due returns the time at which Tick is to be called next.
 func (m *Machine) Due() time.Duration { return m.due }
 
-// ReceiveReport takes what the sidecar of the rank says of itself. Reports on third parties
-// must not be given.
+// ReceiveReport handles the report of the sidecar with the given rank on itself. The caller must not
+// pass reports on one sidecar that come from another one.
 func (m *Machine) ReceiveReport(rank int, report Report) {
 	if m.phase == Serving || len(m.reports) >= maxReports && m.reports[rank].Phase == 0 {
 		return
@@ -184,27 +189,27 @@
 	m.reports[rank] = report
 }
 
-// SetArrivals takes the number of requests that have arrived in all.
+// SetArrivals sets the total number of requests that have arrived.
 func (m *Machine) SetArrivals(total uint64) { m.arrivals = total }
 
-// SetUsualDemand takes the usual demand before this start, in requests a second, and the
-// weight, from 0 to 1, that it still has.
+// SetUsualDemand sets the usual demand before this start, in requests per second, and its weight,
+// from 0 to 1.
 func (m *Machine) SetUsualDemand(perSecond, weight float64) {
 	m.priorDemand = perSecond
 	m.priorWeight = weight
 }
 
-// UsualDemand is the usual demand in requests a second, 0 until it is known.
+// UsualDemand returns the usual demand since this start in requests per second, 0 until it is known.
 func (m *Machine) UsualDemand() float64 { return m.usualDemand }
 
-// SetCapacity takes the servers' mean slow-start factor and the fraction of the usual load
-// that they bear, as Balancer.Capacity returns them.
-func (m *Machine) SetCapacity(slowStartFactor, bearable float64) {
+// SetCapacity sets the servers' mean slow-start factor and the fraction of the usual load that they
+// can serve, as Balancer.Capacity returns them.
+func (m *Machine) SetCapacity(slowStartFactor, capacityFraction float64) {
 	m.slowStartFactor = max(0, min(slowStartFactor, 1))
-	m.capacityFraction = max(0, min(bearable, 1))
+	m.capacityFraction = max(0, min(capacityFraction, 1))
 }
 
-// Tick decides.
+// Tick updates the verdict, the phase and the bounds. It must be called when Due has come.
 func (m *Machine) Tick(now time.Duration) Orders {
 	m.decideVerdict(now)
 	m.recordArrivals(now)
@@ -230,17 +235,17 @@
 	return m.orders()
 }
 
-// mayServe reports whether Returning ends.
+// mayServe reports whether Returning may end.
 func (m *Machine) mayServe(now time.Duration) bool {
 	age := now - m.began
 	switch {
-	case m.verdict == Alone, age >= m.config.MaxReturnTime:
+	case m.verdict == OthersStayedUp, age >= m.config.MaxReturnTime:
 		return true
 	}
 	return m.verdict != Undecided && !m.constrained && age >= minReturnTime
 }
 
-// orders returns the present phase, verdict and bounds.
+// orders returns the current phase, verdict and bounds.
 func (m *Machine) orders() Orders {
 	orders := Orders{Phase: m.phase, Verdict: m.verdict}
 	if m.constrained {
@@ -251,10 +256,10 @@
 	return orders
 }
 
-// decideVerdict decides as soon as sufficient reports agree, or when MaxQueryTime is over.
-// An unsure verdict is decided later if sufficient reports arrive.
+// decideVerdict decides the verdict as soon as sufficient reports agree, or when MaxQueryTime is
+// over. The verdict Unsure is replaced if sufficient reports arrive later.
 func (m *Machine) decideVerdict(now time.Duration) {
-	if m.verdict == Alone || m.verdict == Everybody || m.phase == Serving || m.config.Size < 2 {
+	if m.verdict == OthersStayedUp || m.verdict == FleetRestarted || m.phase == Serving || m.config.Size < 2 {
 		return
 	}
 	up, restarted := 0, 0
@@ -266,20 +271,20 @@
 		}
 	}
 	sufficient := min(sufficientReports, m.config.Size-1)
-	timeIsOver := now-m.began >= m.config.MaxQueryTime
+	timedOut := now-m.began >= m.config.MaxQueryTime
 	switch {
-	case up+restarted >= sufficient && (up == 0 || restarted == 0 || timeIsOver):
-		m.verdict = Everybody // on a tie too: it is the careful verdict
+	case up+restarted >= sufficient && (up == 0 || restarted == 0 || timedOut):
+		m.verdict = FleetRestarted // on a tie too: it is the more cautious verdict
 		if up > restarted {
-			m.verdict = Alone
+			m.verdict = OthersStayedUp
 		}
-	case timeIsOver:
+	case timedOut:
 		m.verdict = Unsure
 	}
 }
 
-// recordArrivals samples the requests that have arrived since the last call. Of the clients
-// that were shed, retryFraction is assumed to have come back.
+// recordArrivals adds a sample of the requests that have arrived since the last call. It assumes that
+// a fraction retryFraction of the rejected clients has retried.
 func (m *Machine) recordArrivals(now time.Duration) {
 	arrived := float64(m.arrivals - m.measuredArrivals)
 	m.samples = append(m.samples, arrivalSample{now, arrived * (1 - retryFraction*m.shedFraction())})
@@ -289,7 +294,7 @@
 	}
 }
 
-// shedFraction is the fraction of the load that the servers do not bear.
+// shedFraction returns the fraction of the load that exceeds the servers' capacity.
 func (m *Machine) shedFraction() float64 {
 	if !m.constrained {
 		return 0
@@ -297,18 +302,18 @@
 	return 1 - m.capacityFraction
 }
 
-// estimateDemand estimates the requests a second, retries left out. The prior demand bounds
-// the estimate by its weight.
+// estimateDemand estimates the requests per second, not counting retries. As far as the prior demand
+// has weight, it bounds the estimate.
 func (m *Machine) estimateDemand() float64 {
 	sum := 0.0
 	for _, sample := range m.samples {
 		sum += sample.firstArrivals
 	}
-	present := sum / demandWindow.Seconds()
+	measured := sum / demandWindow.Seconds()
 	if m.priorDemand > 0 {
-		return m.priorWeight*min(present, maxDemandFactor*m.priorDemand) + (1-m.priorWeight)*present
+		return m.priorWeight*min(measured, maxDemandFactor*m.priorDemand) + (1-m.priorWeight)*measured
 	}
-	return present
+	return measured
 }
 
 // learnUsualDemand updates the usual demand in normal operation.
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -16,135 +16,138 @@
 	youngReport = Report{Returning, 200 * ms}
 )
 
-// runMachine lets a Machine of a fleet look every 100 ms until the end, and returns its orders.
-// each brings it what it learns before each look.
-func runMachine(size int, end time.Duration, each func(now time.Duration, m *Machine)) (all []Orders) {
+// runMachine calls Tick of a Machine every 100 ms until the end, and returns the orders of each call.
+// beforeTick is called before each Tick and sets the Machine's inputs.
+func runMachine(size int, end time.Duration, beforeTick func(now time.Duration, m *Machine)) (all []Orders) {
 	m := New(Config{Size: size}, 0)
 	for now := time.Duration(0); now <= end; now += 100 * ms {
-		each(now, m)
+		beforeTick(now, m)
 		all = append(all, m.Tick(now))
 	}
 	return all
 }
 
-// The others' reports decide the verdict in time, and no single one does.
+// TestVerdicts checks that the reports of other sidecars decide the verdict in time, and that no single
+// report does in a fleet of more than two.
 func TestVerdicts(t *testing.T) {
-	for name, c := range map[string]struct {
-		size    int
-		reports map[int]Report // by rank
-		at      time.Duration
-		verdict Verdict
-		by      time.Duration // when it is decided
+	for name, test := range map[string]struct {
+		size       int
+		reports    map[int]Report // by rank
+		reportedAt time.Duration
+		verdict    Verdict
+		decidedBy  time.Duration
 	}{
-		"alone":                         {60, map[int]Report{1: upReport, 2: upReport, 3: upReport}, 0, Alone, 0},
-		"everybody":                     {60, map[int]Report{1: youngReport, 2: youngReport, 3: youngReport}, 0, Everybody, 0},
-		"one false report of uptime":    {60, map[int]Report{1: youngReport, 2: youngReport, 3: upReport}, 0, Everybody, 300 * ms},
-		"one false report of a restart": {60, map[int]Report{1: upReport, 2: upReport, 3: youngReport}, 0, Alone, 300 * ms},
+		"others stayed up":              {60, map[int]Report{1: upReport, 2: upReport, 3: upReport}, 0, OthersStayedUp, 0},
+		"all restarted":                 {60, map[int]Report{1: youngReport, 2: youngReport, 3: youngReport}, 0, FleetRestarted, 0},
+		"one false report of uptime":    {60, map[int]Report{1: youngReport, 2: youngReport, 3: upReport}, 0, FleetRestarted, 300 * ms},
+		"one false report of a restart": {60, map[int]Report{1: upReport, 2: upReport, 3: youngReport}, 0, OthersStayedUp, 300 * ms},
 		"one report is not enough":      {60, map[int]Report{1: upReport}, 0, Unsure, 300 * ms},
 		"no report":                     {60, nil, 0, Unsure, 300 * ms},
-		"late reports":                  {60, map[int]Report{1: upReport, 2: upReport, 3: upReport}, 500 * ms, Alone, 500 * ms},
-		"fleet of two":                  {2, map[int]Report{1: upReport}, 0, Alone, 0},
+		"late reports":                  {60, map[int]Report{1: upReport, 2: upReport, 3: upReport}, 500 * ms, OthersStayedUp, 500 * ms},
+		"fleet of two":                  {2, map[int]Report{1: upReport}, 0, OthersStayedUp, 0},
 		"fleet of one":                  {1, nil, 0, Unsure, 0},
-		"serving, but young":            {4, map[int]Report{1: {Serving, time.Second}, 2: youngReport, 3: youngReport}, 0, Everybody, 0},
-		"tie":                           {5, map[int]Report{1: upReport, 2: upReport, 3: youngReport, 4: youngReport}, 0, Everybody, 300 * ms},
+		"serving, but young":            {4, map[int]Report{1: {Serving, time.Second}, 2: youngReport, 3: youngReport}, 0, FleetRestarted, 0},
+		"tie":                           {5, map[int]Report{1: upReport, 2: upReport, 3: youngReport, 4: youngReport}, 0, FleetRestarted, 300 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
-			all := runMachine(c.size, 3*time.Second, func(now time.Duration, m *Machine) {
-				if now >= c.at {
-					for r, w := range c.reports {
-						m.ReceiveReport(r, w)
+			all := runMachine(test.size, 3*time.Second, func(now time.Duration, m *Machine) {
+				if now >= test.reportedAt {
+					for rank, report := range test.reports {
+						m.ReceiveReport(rank, report)
 					}
 				}
 			})
-			if o := all[c.by/(100*ms)]; o.Verdict != c.verdict {
-				t.Errorf("after %v the verdict is %v, want %v", c.by, o.Verdict, c.verdict)
+			if orders := all[test.decidedBy/(100*ms)]; orders.Verdict != test.verdict {
+				t.Errorf("verdict after %v = %v, want %v", test.decidedBy, orders.Verdict, test.verdict)
 			}
-			if o := all[3]; o.Verdict == Undecided || o.Phase == Querying {
-				t.Errorf("after 300 ms it is still querying: %+v", o)
+			if orders := all[3]; orders.Verdict == Undecided || orders.Phase == Querying {
+				t.Errorf("orders after 300 ms = %+v, want a verdict and a later phase than Querying", orders)
 			}
 		})
 	}
 }
 
-// While servers have their full capacity nothing is shed, whatever the verdict. While they have
-// not, the fraction of the load that they do not bear is.
+// TestBoundsFollowCapacity checks that nothing is shed while the servers have their full capacity, and
+// that otherwise the fraction of the load that exceeds their capacity is shed.
 func TestBoundsFollowCapacity(t *testing.T) {
 	warm := runMachine(60, 5*time.Second, func(now time.Duration, m *Machine) { m.SetArrivals(uint64(now / (200 * ms))) })
-	for i, o := range warm {
-		if o.Bounds.MinShedFraction != 0 || o.Bounds.NominalRate != 0 {
-			t.Fatalf("tick %d, servers at full capacity: %+v", i, o)
+	for i, orders := range warm {
+		if orders.Bounds.MinShedFraction != 0 || orders.Bounds.NominalRate != 0 {
+			t.Fatalf("tick %d with servers at full capacity: orders = %+v, want no shedding", i, orders)
 		}
 	}
-	ramp := func(now time.Duration) float64 { return min(1, 0.14+0.86*now.Seconds()/23) }
+	// capacityAt is the fraction of the load that the servers can serve: a slow start of 23 s.
+	capacityAt := func(now time.Duration) float64 { return min(1, 0.14+0.86*now.Seconds()/23) }
 	cold := runMachine(60, 40*time.Second, func(now time.Duration, m *Machine) {
-		m.SetArrivals(10 + uint64(now/(200*ms))) // five a second, and ten that waited before
-		m.SetCapacity(ramp(now), ramp(now))
+		m.SetArrivals(10 + uint64(now/(200*ms))) // five per second, and ten that waited before the start
+		m.SetCapacity(capacityAt(now), capacityAt(now))
 	})
-	for i, o := range cold {
+	for i, orders := range cold {
 		now := time.Duration(i) * 100 * ms
-		room := ramp(now)
+		capacity := capacityAt(now)
 		switch {
-		case room < reducedCapacityFactor && o.Bounds.MinShedFraction != 1-room:
-			t.Fatalf("at %v servers bear %.2f, and %.2f is shed", now, room, o.Bounds.MinShedFraction)
-		case room >= fullCapacityFactor && (o.Bounds != martendrum.Bounds{} || o.Phase != Serving):
-			t.Fatalf("at %v servers have their full capacity: %+v", now, o)
-		case room < reducedCapacityFactor && now > 4*time.Second && (o.Bounds.NominalRate < 1.5 || o.Bounds.NominalRate > 7):
-			t.Fatalf("at %v five a second arrive, the estimate is %.1f", now, o.Bounds.NominalRate)
-		case room < reducedCapacityFactor && o.Bounds.NominalRate > 9:
-			t.Fatalf("at %v those that waited count as %.1f a second", now, o.Bounds.NominalRate)
+		case capacity < reducedCapacityFactor && orders.Bounds.MinShedFraction != 1-capacity:
+			t.Fatalf("at %v with capacity for %.2f of the load: MinShedFraction = %.2f, want the rest", now, capacity, orders.Bounds.MinShedFraction)
+		case capacity >= fullCapacityFactor && (orders.Bounds != martendrum.Bounds{} || orders.Phase != Serving):
+			t.Fatalf("at %v with full capacity: orders = %+v, want no bounds and phase serving", now, orders)
+		case capacity < reducedCapacityFactor && now > 4*time.Second && (orders.Bounds.NominalRate < 1.5 || orders.Bounds.NominalRate > 7):
+			t.Fatalf("at %v with 5 requests per second: NominalRate = %.1f, want 1.5 to 7", now, orders.Bounds.NominalRate)
+		case capacity < reducedCapacityFactor && orders.Bounds.NominalRate > 9:
+			t.Fatalf("at %v with 5 requests per second and 10 that waited: NominalRate = %.1f, want at most 9", now, orders.Bounds.NominalRate)
 		}
 	}
 }
 
-// Retries of rejected clients do not raise the estimated demand: whether none or nine in ten
-// retry, it stays within a factor of two.
+// TestReturningClientsAreNotDemand checks that retries of rejected clients do not raise the estimated
+// demand: whether none or nine in ten of them retry, the estimate stays within a factor of two.
 func TestReturningClientsAreNotDemand(t *testing.T) {
-	for _, back := range []float64{0, 0.5, 0.9} {
-		total, due := 0.0, make([]float64, 1000)
+	for _, retrying := range []float64{0, 0.5, 0.9} {
+		total, retries := 0.0, make([]float64, 1000)
 		var last Orders
 		m := New(Config{Size: 1}, 0)
 		for i := range 300 {
-			come := 2 + due[i] // twenty a second, and the retries
-			total += come
-			due[i+15] += come * last.Bounds.MinShedFraction * back
+			arrived := 2 + retries[i] // 20 per second, and the retries
+			total += arrived
+			retries[i+15] += arrived * last.Bounds.MinShedFraction * retrying
 			m.SetArrivals(uint64(total))
 			m.SetCapacity(0.3, 0.3)
 			last = m.Tick(time.Duration(i) * 100 * ms)
 			if i > 60 && (last.Bounds.NominalRate < 10 || last.Bounds.NominalRate > 40) {
-				t.Fatalf("%.1f of rejected clients retry: tick %d estimates 20 a second as %.1f", back, i, last.Bounds.NominalRate)
+				t.Fatalf("with 20 new requests per second and %.1f of rejected clients retrying, tick %d: NominalRate = %.1f, want 10 to 40", retrying, i, last.Bounds.NominalRate)
 			}
 		}
 	}
 }
 
-// Whatever the input, phases only advance, each ends in time, and the bounds stay in their ranges.
+// TestMachineUnderRandomInput checks that with any input the phases only advance, each ends in time, and
+// the bounds stay in their ranges.
 func TestMachineUnderRandomInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 6).Draw(t, "size")
 		m := New(Config{Size: size}, 0)
 		phase, total := Querying, uint64(0)
 		for now := time.Duration(0); now < 70*time.Second; now += time.Duration(rapid.IntRange(50, 2000).Draw(t, "step")) * ms {
-			for range rapid.IntRange(0, 2).Draw(t, "words") {
+			for range rapid.IntRange(0, 2).Draw(t, "reports") {
 				m.ReceiveReport(rapid.IntRange(1, 100).Draw(t, "rank"), Report{Phase(rapid.IntRange(0, 9).Draw(t, "phase")), time.Duration(rapid.IntRange(0, 10).Draw(t, "age")) * time.Second})
 			}
-			total += rapid.Uint64Range(0, 50).Draw(t, "came")
+			total += rapid.Uint64Range(0, 50).Draw(t, "arrivals")
 			m.SetArrivals(total)
-			m.SetCapacity(rapid.Float64Range(-1, 2).Draw(t, "warmth"), rapid.Float64Range(-1, 2).Draw(t, "room"))
-			o := m.Tick(now)
+			m.SetCapacity(rapid.Float64Range(-1, 2).Draw(t, "slow start factor"), rapid.Float64Range(-1, 2).Draw(t, "capacity"))
+			orders := m.Tick(now)
 			switch {
-			case o.Phase < phase:
-				t.Fatalf("from %v back to %v", phase, o.Phase)
-			case o.Phase == Querying && now >= defaultQueryTime, o.Phase < Serving && now >= defaultReturnTime:
-				t.Fatalf("%v at %v", o.Phase, now)
-			case o.Bounds.MinShedFraction < 0 || o.Bounds.MinShedFraction > 1 || o.Bounds.NominalRate < 0:
-				t.Fatalf("bounds %+v", o.Bounds)
+			case orders.Phase < phase:
+				t.Fatalf("the phase went back from %v to %v", phase, orders.Phase)
+			case orders.Phase == Querying && now >= defaultQueryTime, orders.Phase < Serving && now >= defaultReturnTime:
+				t.Fatalf("phase %v has not ended at %v", orders.Phase, now)
+			case orders.Bounds.MinShedFraction < 0 || orders.Bounds.MinShedFraction > 1 || orders.Bounds.NominalRate < 0:
+				t.Fatalf("bounds out of range: %+v", orders.Bounds)
 			case m.Due() <= now:
-				t.Fatalf("due at %v, and it is %v", m.Due(), now)
+				t.Fatalf("Due() = %v, want a time after %v", m.Due(), now)
 			}
-			phase = o.Phase
+			phase = orders.Phase
 		}
 		if len(m.reports) > maxReports {
-			t.Fatalf("%d reports in memory", len(m.reports))
+			t.Fatalf("%d reports in memory, want at most %d", len(m.reports), maxReports)
 		}
 	})
 }
--- a/internal/recovery/trust.go
+++ b/internal/recovery/trust.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	latencyMemory = time.Hour     // how fast latencies from before the restart lose their weight
-	demandMemory  = 6 * time.Hour // how fast the usual demand loses its weight
+	latencyMemory = time.Hour     // time constant of the decay of latency samples from before the restart
+	demandMemory  = 6 * time.Hour // time constant of the decay of the usual demand's weight
 )
 
-// Retained returns what of a checkpoint of the given age is still used after the verdict: the
-// learned state that outlasts the moment, and the weight of the usual demand, from 0 to 1. What
-// was learned of single servers is retained only where the others stayed up.
+// Retained returns the parts of a checkpoint of the given age that are still valid after the verdict:
+// the learned state without its short-lived values, and the weight of the usual demand, from 0 to 1.
+// What was learned about single servers is retained only if the other sidecars stayed up.
 func Retained(learned martendrum.LearnedState, age time.Duration, verdict Verdict) (_ martendrum.LearnedState, demandWeight float64) {
 	retained := martendrum.LearnedState{
 		HedgeDelay:       learned.HedgeDelay,
@@ -24,7 +24,7 @@
 		Hedges:           latest(learned.Hedges, age),
 		Pairs:            latest(learned.Pairs, age),
 	}
-	if verdict == Alone {
+	if verdict == OthersStayedUp {
 		retained.MeanLatency = learned.MeanLatency
 		for _, server := range learned.Servers {
 			server.Failures = 0
@@ -36,7 +36,7 @@
 	return retained, math.Exp(-float64(age) / float64(demandMemory))
 }
 
-// latest returns the last part of the samples, a fraction that falls with their age.
+// latest returns the last samples: a fraction of all that falls exponentially with their age.
 func latest[T any](samples []T, age time.Duration) []T {
 	count := int(float64(len(samples)) * math.Exp(-float64(age)/float64(latencyMemory)))
 	return samples[len(samples)-count:]
--- a/internal/recovery/waves.go
+++ b/internal/recovery/waves.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Place is where an instance of a host belongs. An instance without a shop is a shop of its own.
+// Place is an instance's name, shop and zone. An instance without a shop counts as a shop of its own.
 type Place struct{ Name, Shop, Zone string }
 
-// startOrder is what the order of starts depends on.
+// startOrder is an instance with the numbers that determine the order of starts.
 type startOrder struct {
 	Place
-	wave   int // instances of its shop before it
-	inZone int // instances of its zone and wave before it
+	wave   int // number of instances of its shop before it
+	inZone int // number of instances of its zone and wave before it
 }
 
-// Waves orders a host's instances for their restart: every shop has one before any has two,
-// and within a wave zones take turns. No wave is larger than limit; a limit below 1 means no
-// bound.
+// Waves groups a host's instances into waves for their restart, and returns the names in each wave.
+// Every shop starts one instance before any shop starts two, and within a wave the zones take turns.
+// No wave has more than limit instances; a limit below 1 means no bound.
 func Waves(places []Place, limit int) [][]string {
 	var waves [][]string
-	last := -1
+	currentWave := -1
 	for _, instance := range inStartOrder(places) {
-		if instance.wave != last || limit > 0 && len(waves[len(waves)-1]) >= limit {
+		if instance.wave != currentWave || limit > 0 && len(waves[len(waves)-1]) >= limit {
 			waves = append(waves, nil)
-			last = instance.wave
+			currentWave = instance.wave
 		}
 		waves[len(waves)-1] = append(waves[len(waves)-1], instance.Name)
 	}
@@ -38,19 +38,19 @@
 		zone string
 		wave int
 	}
-	ofShop := make(map[string]int)
-	ofZoneWave := make(map[zoneWave]int)
+	countByShop := make(map[string]int)
+	countByZoneWave := make(map[zoneWave]int)
 	ordered := make([]startOrder, len(places))
 	for i, place := range places {
 		shop := place.Shop
 		if shop == "" {
-			shop = "\x00" + place.Name // its own; no shop has such a name
+			shop = "\x00" + place.Name // a shop of its own; no configured shop has such a name
 		}
-		wave := ofShop[shop]
-		ofShop[shop]++
-		zw := zoneWave{place.Zone, wave}
-		ordered[i] = startOrder{Place: place, wave: wave, inZone: ofZoneWave[zw]}
-		ofZoneWave[zw]++
+		wave := countByShop[shop]
+		countByShop[shop]++
+		key := zoneWave{place.Zone, wave}
+		ordered[i] = startOrder{Place: place, wave: wave, inZone: countByZoneWave[key]}
+		countByZoneWave[key]++
 	}
 	slices.SortStableFunc(ordered, func(a, b startOrder) int {
 		return cmp.Or(cmp.Compare(a.wave, b.wave), cmp.Compare(a.inZone, b.inZone), cmp.Compare(a.Zone, b.Zone))
@@ -58,33 +58,34 @@
 	return ordered
 }
 
-// PaceConfig says how the waves of a host follow each other.
+// PaceConfig configures the intervals between the waves of a host.
 type PaceConfig struct {
-	MinInterval time.Duration // from one wave to the next
-	MaxInterval time.Duration // from one wave to the next, also where some of a wave are not ready
-	// ConsecutiveLosses is the number of power losses in a row, this one included. Each more
-	// doubles MinInterval, up to maxIntervalFactor: flapping power must not cause start storms.
+	MinInterval time.Duration // minimum time from one wave to the next
+	MaxInterval time.Duration // maximum time from one wave to the next, even if instances of the wave are not done; at least the lengthened MinInterval
+	// ConsecutiveLosses is the number of power losses in a row, including this one. Each one
+	// after the first doubles MinInterval, up to a factor of 16 (maxIntervalFactor): repeated
+	// power losses must not cause repeated bursts of starts.
 	ConsecutiveLosses int
 }
 
 const (
 	maxIntervalFactor = 16
-	maxDoublings      = 10 // keeps the shift from overflowing
+	maxDoublings      = 10 // prevents an overflow of the shift
 )
 
-// Pace lets the instances of a host start in waves. A wave begins when all instances of the one
-// before are done, MinInterval after it at the earliest and MaxInterval at the latest. It is
-// not safe for concurrent use.
+// Pace lets the instances of a host start in waves. A wave begins when all instances of the previous
+// wave are done, at the earliest MinInterval and at the latest MaxInterval after that wave began. It
+// is not safe for concurrent use.
 type Pace struct {
 	config  PaceConfig
-	waveOf  map[string]int // by instance
-	pending []int          // instances that are not done, by wave
+	waveOf  map[string]int // by instance name
+	pending []int          // number of instances that are not done, by wave
 	done    map[string]bool
 	current int           // the wave that has begun
 	began   time.Duration // when it began
 }
 
-// NewPace returns the Pace of waves that begin at now.
+// NewPace returns the Pace of waves, of which the first begins at now.
 func NewPace(cfg PaceConfig, waves [][]string, now time.Duration) *Pace {
 	doublings := min(max(0, cfg.ConsecutiveLosses-1), maxDoublings)
 	cfg.MinInterval *= time.Duration(min(1<<doublings, maxIntervalFactor))
@@ -99,7 +100,7 @@
 	return p
 }
 
-// Done says that an instance is up, or is known not to come up for now.
+// Done marks an instance as done: it is up, or is known not to come up for now.
 func (p *Pace) Done(name string) {
 	wave, ok := p.waveOf[name]
 	if !ok || p.done[name] {
@@ -109,14 +110,16 @@
 	p.pending[wave]--
 }
 
-// MayStart reports whether an instance may start now. One that is in no wave may.
+// MayStart reports whether an instance may start now. An instance that is in no wave may always
+// start.
 func (p *Pace) MayStart(now time.Duration, name string) bool {
 	p.advance(now)
 	wave, ok := p.waveOf[name]
 	return !ok || wave <= p.current
 }
 
-// Finished reports whether every wave has begun and the last one is done or over.
+// Finished reports whether every wave has begun, and the instances of the last one are done or its
+// MaxInterval is over.
 func (p *Pace) Finished(now time.Duration) bool {
 	p.advance(now)
 	return p.current >= len(p.pending)
