--- a/internal/peers/compat_test.go
+++ b/internal/peers/compat_test.go
@@ -10,8 +10,8 @@
 	"martendrum/internal/goldentest"
 )
 
-// Datagrams of each kind are encoded as an earlier build encoded them, and decode to the same
-// messages.
+// TestDatagramsOfEarlierBuild checks that datagrams of each kind are encoded as by an earlier build, and
+// that its datagrams decode to the same messages.
 func TestDatagramsOfEarlierBuild(t *testing.T) {
 	const golden = "datagrams.hex"
 	const now = time.Hour
@@ -28,14 +28,14 @@
 		{kind: kindUpdate, seq: 6, self: self},
 	}
 	if len(messages) != int(kindCount) {
-		t.Fatalf("%d messages of %d kinds", len(messages), kindCount)
+		t.Fatalf("got %d messages, want one of each of the %d kinds", len(messages), kindCount)
 	}
 	var written []string
 	for _, m := range messages {
 		w := newWriter(now)
 		w.header(m)
 		if !w.addRecord(record) || !w.addEntry(entry) {
-			t.Fatal("the items do not fit")
+			t.Fatal("the record and the entry do not fit into a datagram")
 		}
 		written = append(written, hex.EncodeToString(w.finish(node)))
 	}
@@ -44,15 +44,15 @@
 	for n, line := range strings.Fields(string(goldentest.Read(t, golden))) {
 		data, err := hex.DecodeString(line)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("line %d of %s: %v", n, golden, err)
 		}
 		got, err := node.decode(now, data)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("decode datagram %d: %v", n, err)
 		}
 		want := &decoded{message: messages[n], records: []Record{record}, entries: []Entry{entry}}
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%+v; want %+v", got, want)
+			t.Errorf("decode(datagram %d) = %+v, want %+v", n, got, want)
 		}
 	}
 }
--- a/internal/peers/entry.go
+++ b/internal/peers/entry.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// Entry is a value that a member publishes about a subject. Its owner's latest one counts. A Value
-// of 0 withdraws the entry.
+// Entry is a value that a member, its owner, publishes about a subject. Only the owner's latest entry
+// of a kind on a subject is valid. A Value of 0 withdraws the entry.
 type Entry struct {
 	Owner       Rank
 	Kind        uint8
 	Subject     uint64 // a hash of its name
 	Incarnation uint64 // of the owner
-	Sequence    uint32 // of the owner's entries in this incarnation
+	Sequence    uint32 // increases with each entry of the owner in this incarnation
 	Value       uint32
 	CreatedAt   time.Duration // when it was first published, by the local clock
 	Direct      bool          // received from its owner; not transmitted
 }
 
+// entryKey identifies an entry: a later entry with the same key replaces it.
 type entryKey struct {
 	owner   Rank
 	kind    uint8
@@ -34,8 +35,8 @@
 	return cmp.Or(cmp.Compare(e.Incarnation, other.Incarnation), cmp.Compare(e.Sequence, other.Sequence), cmp.Compare(e.Value, other.Value))
 }
 
-// Join returns the least upper bound of two entries: the later one, or, if they are the same
-// version, that version with the earlier creation time.
+// Join returns the least upper bound of two entries with the same key: the later one or, if they are
+// the same version, that version with the earlier creation time.
 func (e Entry) Join(other Entry) Entry {
 	joined := e
 	switch c := e.compare(other); {
@@ -53,12 +54,12 @@
 	kind *Kind
 }
 
-// entryTable holds entries within bounds: maxEntries in all, maxEntriesPerOwner of each owner.
+// entryTable stores at most maxEntries entries, and at most maxEntriesPerOwner of each owner.
 type entryTable struct {
 	byKey   map[entryKey]*storedEntry
 	byOwner map[Rank]int
-	order   []entryKey // in order of arrival
-	sweptAt time.Duration
+	order   []entryKey    // in order of arrival
+	sweptAt time.Duration // time of the latest sweep
 }
 
 // drop deletes an entry.
@@ -102,17 +103,18 @@
 	}
 }
 
-// ensureCapacity frees a place for another entry of owner, and returns false if it can't. It evicts
-// the owner's own oldest entry if the owner has too many, otherwise the oldest entry of the lowest
-// weight.
+// ensureCapacity makes room for another entry of owner with the given weight, and returns false if it
+// can't. If the owner has maxEntriesPerOwner entries, it evicts the one of the lowest weight and of
+// these the oldest. Otherwise, if the table is full, it does so among all entries that have no higher
+// weight than the new one.
 func (t *entryTable) ensureCapacity(n *Node, owner Rank, weight int) bool {
-	full := t.byOwner[owner] >= maxEntriesPerOwner
-	if !full && len(t.byKey) < maxEntries {
+	ownerFull := t.byOwner[owner] >= maxEntriesPerOwner
+	if !ownerFull && len(t.byKey) < maxEntries {
 		return true
 	}
 	var victim *storedEntry
 	for _, stored := range t.byKey {
-		if full && stored.Owner != owner || !full && stored.kind.Weight > weight {
+		if ownerFull && stored.Owner != owner || !ownerFull && stored.kind.Weight > weight {
 			continue
 		}
 		if victim == nil || cmp.Or(cmp.Compare(stored.kind.Weight, victim.kind.Weight), cmp.Compare(stored.CreatedAt, victim.CreatedAt),
@@ -120,7 +122,7 @@
 			victim = stored
 		}
 	}
-	n.stats.Forgotten++
+	n.stats.Evicted++
 	if victim == nil {
 		return false
 	}
@@ -128,8 +130,8 @@
 	return true
 }
 
-// Publish publishes an entry of this member. Publishing the same value again renews the entry and
-// queues a new update. It returns false for a kind that is not configured.
+// Publish publishes an entry of this member. Publishing the same value again renews the entry's
+// creation time and queues a new update. Publish returns false for a kind that is not configured.
 func (n *Node) Publish(now time.Duration, kind uint8, subject uint64, value uint32) bool {
 	if n.kinds[kind] == nil {
 		return false
@@ -164,13 +166,13 @@
 	case now-entry.CreatedAt > kind.TTL:
 		return // expired: it is not stored again
 	case entry.Owner == n.config.Self:
-		// Only this member publishes its entries. One that is later than its own is forged.
+		// Only this member publishes its entries. An entry that is later than its own is forged.
 		if mine := n.localEntries[entry.key()]; entry.Incarnation == n.self.Incarnation && (mine == nil && entry.Sequence > n.sequence || mine != nil && mine.compare(entry) < 0) {
 			n.supersede(now, entry, mine)
 		}
 		return
 	case entry.Incarnation < known:
-		return // of an earlier incarnation
+		return // it belongs to an earlier incarnation
 	case known > 0 && entry.Incarnation > known+maxIncarnationJump && !entry.Direct:
 		n.stats.Rejected++
 		n.prioritizeProbe(entry.Owner)
@@ -249,7 +251,8 @@
 	}
 }
 
-// Pull requests an entry from its owner. Only direct entries count as votes.
+// Pull requests an entry from its owner: an entry that arrives from its owner is direct, and only
+// direct entries count as votes.
 func (n *Node) Pull(now time.Duration, owner Rank, kind uint8, subject uint64) {
 	if int(owner) < len(n.members) && owner != n.config.Self {
 		n.send(now, owner, message{kind: kindPull, pulled: entryKey{owner, kind, subject}}, false)
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -12,9 +12,9 @@
 	rank      Rank
 	entry     entryKey
 	isEntry   bool
-	hot       bool // waits for pushHot
+	hot       bool // to be sent by pushHot
 	weight    int
-	transmits int
+	transmits int // how often it has been sent
 }
 
 // sameSubject reports whether both are updates of the same record or entry.
@@ -26,7 +26,7 @@
 // pushHot for a hot one.
 func (n *Node) queueUpdate(now time.Duration, u update) {
 	n.updates = slices.DeleteFunc(n.updates, u.sameSubject)
-	if len(n.updates) >= maxUpdates { // drop the one of the lowest weight, and of these the one sent most often
+	if len(n.updates) >= maxUpdates { // drop the update of the lowest weight, and of these the one sent most often
 		lowest := 0
 		for i, other := range n.updates {
 			if o := n.updates[lowest]; cmp.Or(cmp.Compare(o.weight, other.weight), cmp.Compare(other.transmits, o.transmits)) > 0 {
@@ -83,8 +83,9 @@
 	return -1
 }
 
-// send adds a datagram to Out with as many updates as fit, if the rate limit allows. must allows a
-// debt of up to one burst; it is set for datagrams that the membership depends on.
+// send adds a datagram to Out with as many updates as fit, and returns false if the rate limit does not
+// allow it. must allows a debt of up to one burst; it is set for datagrams that the membership depends
+// on.
 func (n *Node) send(now time.Duration, to Rank, m message, must bool) bool {
 	n.tokens = min(n.config.Burst, n.tokens+n.config.Rate*(now-n.tokensUpdated).Seconds())
 	n.tokensUpdated = now
@@ -183,11 +184,11 @@
 
 // pushHot sends the hot updates immediately to a random sample of members.
 func (n *Node) pushHot(now time.Duration) {
-	waits := func(u update) bool {
+	waiting := func(u update) bool {
 		return u.hot && u.transmits < n.config.Fanout && (u.isEntry || n.tokens > n.config.Burst/2)
 	}
-	// One datagram may not hold all of them. Updates that the rate limit delays are sent with probes.
-	for round := 0; round < maxPushRounds && slices.ContainsFunc(n.updates, waits); round++ {
+	// One datagram may not have space for all of them. Updates that the rate limit delays are sent with probes.
+	for round := 0; round < maxPushRounds && slices.ContainsFunc(n.updates, waiting); round++ {
 		for _, r := range n.sample(n.config.Fanout, now, true) {
 			n.send(now, r, message{kind: kindUpdate}, false)
 		}
@@ -197,7 +198,8 @@
 	}
 }
 
-// Receive processes a datagram that arrived from a member's address.
+// Receive processes a datagram that arrived from the address of the member from. It returns a
+// *DecodeError if the datagram is dropped, and an error if from is this member or not in the fleet.
 func (n *Node) Receive(now time.Duration, from Rank, data []byte) error {
 	if int(from) >= len(n.members) || from == n.config.Self {
 		return errSelf
--- a/internal/peers/link/link.go
+++ b/internal/peers/link/link.go
@@ -1,6 +1,6 @@
 // Package link runs a peers.Node on a UDP socket. It owns the socket, the clock, the reading
-// goroutine and a timer. It takes no decisions. A datagram's address identifies its sender;
-// datagrams from addresses outside the fleet are counted and dropped.
+// goroutine and a timer, and leaves all decisions to the Node. A datagram's address identifies its
+// sender; datagrams from addresses outside the fleet are counted and dropped.
 package link
 
 import (
@@ -19,13 +19,13 @@
 
 // Config configures a Link.
 type Config struct {
-	Listen string   // where datagrams arrive, host:port
+	Listen string   // address to receive datagrams at, host:port
 	Peers  []string // addresses by rank, including this sidecar's own
 	Node   peers.Config
-	Seed   uint64
+	Seed   uint64 // of the Node's random numbers
 }
 
-// AddrError reports an unusable address.
+// AddrError reports an address in a field of the configuration that can't be used.
 type AddrError struct {
 	Field, Addr string
 	err         error
@@ -41,19 +41,19 @@
 
 // Advice returns the operator's next step.
 func (e *AddrError) Advice() string {
-	return "give " + e.Field + " as an IPv4 address and a port that no other process has; to serve without the others, leave MARTENDRUM_SHARE unset"
+	return "give " + e.Field + " as an IPv4 address and a port that no other process uses; to serve without peers, leave MARTENDRUM_SHARE unset"
 }
 
 // minTimerInterval is the minimum time between two timer events. Actions that are due within it are
 // performed together.
 const minTimerInterval = time.Millisecond
 
-// Link is a running Node.
+// Link is a running Node. It is safe for concurrent use.
 type Link struct {
 	conn  *net.UDPConn
 	addrs []netip.AddrPort
 	ranks map[netip.AddrPort]peers.Rank
-	start time.Time
+	start time.Time // the Node's time is the time since start
 
 	mu     sync.Mutex
 	node   *peers.Node
@@ -68,7 +68,8 @@
 }
 
 // Open starts a Link. The incarnation is the system clock's time in milliseconds unless it is
-// configured. If the clock went back, the Node rises above its earlier incarnation.
+// configured. If the clock went back, the Node rises above its earlier incarnation. The error is an
+// *AddrError or a *peers.ConfigError.
 func Open(config Config) (*Link, error) {
 	l := &Link{ranks: make(map[netip.AddrPort]peers.Rank), start: time.Now()}
 	for r, text := range config.Peers {
@@ -106,7 +107,8 @@
 	return l, nil
 }
 
-// Do calls f with the Node, and sends the resulting datagrams. f must not block.
+// Do calls f with the Node and its current time, and sends the resulting datagrams. f must not block or
+// call methods of l. After Close, Do does nothing.
 func (l *Link) Do(f func(now time.Duration, n *peers.Node)) {
 	l.mu.Lock()
 	if l.closed {
@@ -119,11 +121,12 @@
 	l.mu.Unlock()
 	for _, d := range out {
 		if _, err := l.conn.WriteToUDPAddrPort(d.Data, l.addrs[d.To]); err != nil {
-			l.unsent.Add(1) // equivalent to a lost datagram
+			l.unsent.Add(1) // has the same effect as a lost datagram
 		}
 	}
 }
 
+// tick calls the Node's Tick if it is due. The timer runs it.
 func (l *Link) tick() {
 	l.Do(func(now time.Duration, n *peers.Node) {
 		if now >= n.Due() {
@@ -132,7 +135,8 @@
 	})
 }
 
-// Counts counts datagrams that the socket did not exchange with the Node.
+// Counts counts datagrams that were dropped outside of the Node: those received from addresses outside
+// the fleet, and those that the socket rejected.
 type Counts struct{ UnknownSenders, Unsent uint64 }
 
 // Counts returns the counts so far.
@@ -153,9 +157,10 @@
 const (
 	readErrorDelay = 10 * time.Millisecond // delay after a failed read
 	logInterval    = time.Minute           // minimum interval between log lines about dropped datagrams
-	readBufferSize = peers.MaxDatagram + 1
+	readBufferSize = peers.MaxDatagram + 1 // shows that a datagram is too long
 )
 
+// read passes arriving datagrams to the Node until the socket is closed.
 func (l *Link) read() {
 	buf := make([]byte, readBufferSize)
 	for {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,23 +1,23 @@
 // Package peers is the gossip protocol between the sidecars of one fleet. It owns the membership
 // (state, incarnation and phase of each sidecar) and entries that each sidecar publishes about
-// itself. It is pure: it has no I/O, clock or goroutine.
+// itself. It has no I/O, clock or goroutine.
 //
-// A Node is one member. Its owner passes it the datagrams that arrive, calls Tick at the time
-// that Due returns, and sends the datagrams that Out returns. Datagrams may be lost, late,
-// duplicated and out of order, and hold at most 256 bytes. Promises:
+// A Node is one member. Its caller passes it the datagrams that arrive, calls Tick at the time that
+// Due returns, and sends the datagrams that Out returns. Datagrams may be lost, delayed, duplicated
+// and reordered, and have at most 256 bytes. The protocol guarantees:
 //
 //   - Records and entries merge as a join-semilattice (Record.Join, Entry.Join): members that
-//     received the same information hold the same state, whatever the order, loss or repetition.
+//     received the same information have the same state, whatever the order, loss or repetition.
 //   - No result depends on another member's wall clock: datagrams carry ages, and merging
-//     only ever makes information older.
+//     never makes information younger.
 //   - The bytes that a member sends per second have a limit that does not depend on the fleet's
 //     size.
 //   - Information received from its owner is distinguished from forwarded information
 //     (Entry.Direct): a member that lies has one vote, its own, in decisions that require direct
 //     entries.
 //
-// The package does not know servers, requests or the meaning of an entry, and it sends to no
-// server. Members' views may differ, and whatever uses them must be safe when they do.
+// The package does not know servers, requests or the meaning of an entry, and it sends nothing to
+// servers. Members' views may differ, and code that uses them must be safe when they do.
 package peers
 
 import (
@@ -67,7 +67,7 @@
 
 // Advice returns the operator's next step.
 func (e *ConfigError) Advice() string {
-	return "correct " + e.Field + " in the sidecar's configuration; without peers it serves on its own"
+	return "correct " + e.Field + " in the sidecar's configuration; without peers the sidecar serves without the others"
 }
 
 // Defaults of the tuning fields, and bounds that can't be configured.
@@ -79,17 +79,17 @@
 	defaultFanout  = 4
 
 	maxSize            = 1 << 16
-	maxIncarnation     = 1 << 52 // leaves values above any that is received
+	maxIncarnation     = 1 << 52 // leaves room above every incarnation that is accepted from others
 	maxEntries         = 2048
 	maxEntriesPerOwner = 64 // bounds the memory that one owner can claim
 	maxUpdates         = 512
 	startFanout        = 8 // members pinged in each round at the start
 	startRounds        = 3 // rounds, until half of startFanout members have answered
 	startInterval      = 90 * time.Millisecond
-	hotDelay           = 20 * time.Millisecond // collects hot entries that arrive together into one datagram
+	hotDelay           = 20 * time.Millisecond // maximum delay, during which hot entries are collected into one datagram
 	indirectProbes     = 3
 	suspicionFactor    = 4  // periods before a suspect counts as dead, times log10 of the fleet's size
-	maxHealth          = 8  // Lifeguard: maximum factor, less one, on this member's probe intervals
+	maxHealth          = 8  // Lifeguard: probe intervals are multiplied by Health plus 1, so by 9 at most
 	transmitFactor     = 3  // transmissions of an update, times log2 of the fleet's size
 	maxFillers         = 3  // known records and entries added to a datagram with free space
 	maxPriorityProbes  = 64 // members queued to be probed out of turn
@@ -106,21 +106,21 @@
 	self         Record
 	members      []member
 	entries      entryTable
-	localEntries map[entryKey]*Entry // of this incarnation
+	localEntries map[entryKey]*Entry // this member's entries in this incarnation
 	sequence     uint32              // of the latest local entry
 
 	updates       []update // to be sent
 	lastFiller    int      // position of the latest filler
 	out           []Datagram
-	tokens        float64
+	tokens        float64       // bytes that may be sent now; below 0: a debt
 	tokensUpdated time.Duration // time of the latest refill
 
 	probeOrder       []Rank // members still to probe in this round
 	priorityProbes   []Rank // probed before probeOrder
-	probe            *probe
+	probe            *probe // in progress; nil: none
 	relays           []relay
-	seq              uint32
-	health           int
+	seq              uint32 // of the latest ping
+	health           int    // see Health
 	claimed          incarnationClaim
 	probeDue         time.Duration // time of the next probe
 	startRoundsLeft  int           // rounds of pingAtStart left
@@ -142,21 +142,22 @@
 type Stats struct {
 	Sent, SentBytes         uint64
 	Received, ReceivedBytes uint64
-	Damaged                 uint64 // not decodable, or of another fleet
+	Damaged                 uint64 // datagrams that are not decodable, or of another fleet
 	Rejected                uint64 // invalid or implausible records and entries
 	Withheld                uint64 // datagrams not sent because of the rate limit
 	Refuted                 uint64 // suspicions of this member that it refuted
 	Suspected               uint64 // suspicions raised by this member
-	Forgotten               uint64 // entries evicted or dropped because of a bound
+	Evicted                 uint64 // entries evicted or dropped because of a bound
 }
 
-// New returns a Node that starts at now. Random choices are drawn from rng.
+// New returns a Node that starts at now. It draws random numbers from rng. The error of an invalid
+// configuration is a *ConfigError.
 func New(config Config, now time.Duration, rng *rand.Rand) (*Node, error) {
 	switch {
 	case config.Size < 1 || config.Size > maxSize:
 		return nil, &ConfigError{"peers", fmt.Sprintf("a list of 1 to %d addresses", maxSize)}
 	case int(config.Self) >= config.Size:
-		return nil, &ConfigError{"settings.rank", fmt.Sprintf("below the number of peers, which is %d", config.Size)}
+		return nil, &ConfigError{"settings.rank", fmt.Sprintf("less than the number of peers, which is %d", config.Size)}
 	case config.Incarnation == 0 || config.Incarnation >= maxIncarnation:
 		return nil, &ConfigError{"the incarnation", fmt.Sprintf("from 1 to %d", uint64(maxIncarnation-1))}
 	}
@@ -291,7 +292,7 @@
 	n.advance(now)
 }
 
-// Leave notifies some members that this one leaves, so that none has to suspect it.
+// Leave notifies some members that this one leaves, so that they do not suspect it.
 func (n *Node) Leave(now time.Duration) {
 	n.self.State = Left
 	n.advance(now)
@@ -320,5 +321,5 @@
 // adjustHealth changes Health within its bounds.
 func (n *Node) adjustHealth(by int) { n.health = max(0, min(n.health+by, maxHealth)) }
 
-// errSelf reports a datagram from this member's own address.
-var errSelf = errors.New("peers: a datagram from oneself")
+// errSelf reports a datagram from this member's own rank, or from one that is not in the fleet.
+var errSelf = errors.New("peers: datagram from this member's own address or an unknown rank")
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,6 +14,7 @@
 // Kinds of entries in tests.
 const hot, plain = 1, 2
 
+// testConfig returns the configuration of a member of a fleet of the given size.
 func testConfig(self Rank, size int) Config {
 	return Config{
 		Cluster: "test", Self: self, Size: size, Incarnation: 1000,
@@ -21,11 +22,12 @@
 	}
 }
 
+// newNode returns a Node that starts at 0 with a fixed seed.
 func newNode(t rapid.TB, config Config) *Node {
 	t.Helper()
 	n, err := New(config, 0, rand.New(rand.NewPCG(uint64(config.Self), 1)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	return n
 }
@@ -44,45 +46,49 @@
 	return w.finish(n)
 }
 
+// drawRecord draws a record of member 3.
 func drawRecord(t *rapid.T) Record {
 	return Record{
-		Rank: 3, Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life"), Heartbeat: rapid.Uint32Range(0, 2).Draw(t, "beat"),
+		Rank: 3, Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), Heartbeat: rapid.Uint32Range(0, 2).Draw(t, "heartbeat"),
 		State: State(rapid.IntRange(0, int(Left)).Draw(t, "state")), Phase: rapid.Uint8Range(0, 2).Draw(t, "phase"),
-		Traffic: rapid.Uint8Range(0, 2).Draw(t, "traffic"), StartedAt: time.Duration(rapid.IntRange(0, 3).Draw(t, "born")),
+		Traffic: rapid.Uint8Range(0, 2).Draw(t, "traffic"), StartedAt: time.Duration(rapid.IntRange(0, 3).Draw(t, "started at")),
 	}
 }
 
+// drawEntry draws an entry of one of the members 1 to 4.
 func drawEntry(t *rapid.T) Entry {
 	return Entry{
 		Owner: Rank(rapid.IntRange(1, 4).Draw(t, "owner")), Kind: rapid.Uint8Range(hot, plain).Draw(t, "kind"),
-		Subject: rapid.Uint64Range(1, 3).Draw(t, "subject"), Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life"),
-		Sequence: rapid.Uint32Range(1, 3).Draw(t, "count"), Value: rapid.Uint32Range(0, 2).Draw(t, "value"),
-		CreatedAt: time.Duration(rapid.IntRange(0, 20).Draw(t, "born")) * ageUnit,
+		Subject: rapid.Uint64Range(1, 3).Draw(t, "subject"), Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"),
+		Sequence: rapid.Uint32Range(1, 3).Draw(t, "sequence"), Value: rapid.Uint32Range(0, 2).Draw(t, "value"),
+		CreatedAt: time.Duration(rapid.IntRange(0, 20).Draw(t, "created at")) * ageUnit,
 	}
 }
 
-// laws checks that join is commutative, associative and idempotent.
-func laws[T comparable](t *rapid.T, join func(a, b T) T, a, b, c T) {
+// checkJoinLaws checks that join is commutative, associative and idempotent.
+func checkJoinLaws[T comparable](t *rapid.T, join func(a, b T) T, a, b, c T) {
 	switch {
 	case join(a, b) != join(b, a):
-		t.Errorf("order matters: %+v, %+v", join(a, b), join(b, a))
+		t.Errorf("join is not commutative: join(a, b) = %+v, join(b, a) = %+v", join(a, b), join(b, a))
 	case join(join(a, b), c) != join(a, join(b, c)):
-		t.Errorf("grouping matters: %+v, %+v", join(join(a, b), c), join(a, join(b, c)))
+		t.Errorf("join is not associative: %+v, %+v", join(join(a, b), c), join(a, join(b, c)))
 	case join(a, a) != a || join(join(a, b), b) != join(a, b):
-		t.Errorf("repetition matters: %+v", join(a, b))
+		t.Errorf("join is not idempotent: join(a, b) = %+v", join(a, b))
 	}
 }
 
+// TestJoinLaws checks that records and entries merge as join-semilattices.
 func TestJoinLaws(t *testing.T) {
-	t.Run("records", rapid.MakeCheck(func(t *rapid.T) { laws(t, Record.Join, drawRecord(t), drawRecord(t), drawRecord(t)) }))
+	t.Run("records", rapid.MakeCheck(func(t *rapid.T) { checkJoinLaws(t, Record.Join, drawRecord(t), drawRecord(t), drawRecord(t)) }))
 	t.Run("entries", rapid.MakeCheck(func(t *rapid.T) {
 		a, b, c := drawEntry(t), drawEntry(t), drawEntry(t)
 		b.Owner, b.Kind, b.Subject, c.Owner, c.Kind, c.Subject = a.Owner, a.Kind, a.Subject, a.Owner, a.Kind, a.Subject
-		laws(t, Entry.Join, a, b, c)
+		checkJoinLaws(t, Entry.Join, a, b, c)
 	}))
 }
 
-// state returns what a node holds, except whether it is direct.
+// state returns the records of the other members and the entries that a node stores, without whether
+// they are direct.
 func state(n *Node, now time.Duration) (records []Record, entries []Entry) {
 	for r := range n.members {
 		if Rank(r) != n.config.Self {
@@ -101,27 +107,27 @@
 	return records, entries
 }
 
-// Nodes that receive the same datadatagrams hold the same state, whatever the order and the repetition,
-// and nothing of an earlier incarnation.
+// TestStateIndependentOfOrderAndRepetition checks that nodes that receive the same datagrams have the same
+// state, whatever the order and the repetition, and store no entry of an earlier incarnation.
 func TestStateIndependentOfOrderAndRepetition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size, now = 6, 10 * time.Second
 		var datagrams [][]byte
 		var from []Rank
-		for range rapid.IntRange(1, 12).Draw(t, "datadatagrams") {
-			sender := Rank(rapid.IntRange(1, 5).Draw(t, "teller"))
+		for range rapid.IntRange(1, 12).Draw(t, "datagrams") {
+			sender := Rank(rapid.IntRange(1, 5).Draw(t, "sender"))
 			var records []Record
 			if r := drawRecord(t); r.Rank != sender {
 				records = append(records, r)
 			}
-			datagrams = append(datagrams, datagramFrom(sender, size, uint64(rapid.IntRange(1, 3).Draw(t, "own life")), now, records, []Entry{drawEntry(t), drawEntry(t)}))
+			datagrams = append(datagrams, datagramFrom(sender, size, uint64(rapid.IntRange(1, 3).Draw(t, "sender's incarnation")), now, records, []Entry{drawEntry(t), drawEntry(t)}))
 			from = append(from, sender)
 		}
 		receive := func(order []int) *Node {
 			n := newNode(t, testConfig(0, size))
 			for _, i := range order {
 				if err := n.Receive(now, from[i], datagrams[i]); err != nil {
-					t.Fatal(err)
+					t.Fatalf("Receive datagram %d: %v", i, err)
 				}
 			}
 			return n
@@ -130,40 +136,41 @@
 		for i := range order {
 			order[i] = i
 		}
-		other := rapid.Permutation(append(slices.Clone(order), order...)).Draw(t, "order")
-		ra, fa := state(receive(order), now)
-		rb, fb := state(receive(other), now)
-		if !slices.Equal(ra, rb) {
-			t.Errorf("records differ:\n%+v\n%+v", ra, rb)
+		otherOrder := rapid.Permutation(append(slices.Clone(order), order...)).Draw(t, "order")
+		records, entries := state(receive(order), now)
+		otherRecords, otherEntries := state(receive(otherOrder), now)
+		if !slices.Equal(records, otherRecords) {
+			t.Errorf("records differ after another order of datagrams:\n%+v\n%+v", records, otherRecords)
 		}
-		if !slices.Equal(fa, fb) {
-			t.Errorf("entries differ:\n%+v\n%+v", fa, fb)
+		if !slices.Equal(entries, otherEntries) {
+			t.Errorf("entries differ after another order of datagrams:\n%+v\n%+v", entries, otherEntries)
 		}
-		for _, entry := range fa {
-			if entry.Incarnation < ra[entry.Owner-1].Incarnation {
-				t.Errorf("an entry of an earlier incarnation: %+v, its owner's is %d", entry, ra[entry.Owner-1].Incarnation)
+		for _, entry := range entries {
+			if entry.Incarnation < records[entry.Owner-1].Incarnation {
+				t.Errorf("entry of an earlier incarnation is stored: %+v, its owner's incarnation is %d", entry, records[entry.Owner-1].Incarnation)
 			}
 		}
 	})
 }
 
-// A lying member can't raise others' incarnations or heartbeats out of their reach, can't send in
-// another's name, and entries that it forwards are not direct.
+// TestLiarCannotSpeakForOthers checks that a lying member can't raise the incarnations or heartbeats of
+// others beyond what they can exceed, can't send in another's name, and that entries that it forwards are
+// not direct.
 func TestLiarCannotSpeakForOthers(t *testing.T) {
 	const size, liar, victim, now = 5, 4, 2, 20 * time.Second
 	n := newNode(t, testConfig(0, size))
 	honest := newNode(t, testConfig(victim, size))
-	meet := func(to, by *Node, at time.Duration) {
-		by.send(at, to.config.Self, message{kind: kindUpdate}, true)
-		for _, d := range by.Out() {
-			if d.To == to.config.Self {
-				if err := to.Receive(at, by.config.Self, d.Data); err != nil {
-					t.Fatal(err)
+	sendUpdate := func(to, from *Node, at time.Duration) {
+		from.send(at, to.config.Self, message{kind: kindUpdate}, true)
+		for _, datagram := range from.Out() {
+			if datagram.To == to.config.Self {
+				if err := to.Receive(at, from.config.Self, datagram.Data); err != nil {
+					t.Fatalf("Receive from member %d: %v", from.config.Self, err)
 				}
 			}
 		}
 	}
-	meet(n, honest, now)
+	sendUpdate(n, honest, now)
 	lies := datagramFrom(liar, size, 1000, now, []Record{
 		{Rank: victim, Incarnation: maxIncarnation - 1},
 		{Rank: victim, Incarnation: 1000, Heartbeat: 1 << 30, State: Left},
@@ -178,14 +185,14 @@
 	})
 	for range 3 {
 		if err := n.Receive(now, liar, lies); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Receive from the lying member: %v", err)
 		}
 	}
 	if m := n.Member(victim, now); m.Incarnation != 1000 || m.State == Left || m.State == Dead || m.Age > now {
-		t.Errorf("the victim's record is %+v", m)
+		t.Errorf("the victim is seen as %+v; want incarnation 1000, not left or dead, and an age of at most %v", m, now)
 	}
 	if n.Incarnation() > 1001 {
-		t.Errorf("one member raised this one's incarnation to %d", n.Incarnation())
+		t.Errorf("a single lying member raised the incarnation to %d, want at most 1001", n.Incarnation())
 	}
 	direct := 0
 	for entry := range n.Entries(now, hot) {
@@ -197,39 +204,41 @@
 		}
 	}
 	if direct != 2 { // the liar's own, and this member's withdrawal of the forged one
-		t.Errorf("%d entries count as direct", direct)
+		t.Errorf("%d entries are direct, want 2", direct)
 	}
 	for step := range 4 { // the victim receives the claims, and refutes them
-		meet(honest, n, now+time.Duration(step)*time.Second)
-		meet(n, honest, now+time.Duration(step)*time.Second)
+		sendUpdate(honest, n, now+time.Duration(step)*time.Second)
+		sendUpdate(n, honest, now+time.Duration(step)*time.Second)
 	}
 	if m := n.Member(victim, now+4*time.Second); m.State != Alive {
-		t.Errorf("the victim refuted the claims; its state is %v", m.State)
+		t.Errorf("the victim's state after it refuted the claims = %v, want %v", m.State, Alive)
 	}
 }
 
-// An incarnation below the member's earlier one, after a clock went back by years, rises above that
-// once two members have reported it.
+// TestIncarnationRisesAboveEarlierOne checks a member that restarts with a lower incarnation than before,
+// because its clock went back by years: its incarnation rises above the earlier one once two members have
+// reported that.
 func TestIncarnationRisesAboveEarlierOne(t *testing.T) {
 	const size, far = 4, 50 * 365 * 24 * 3600_000
 	config := testConfig(1, size)
 	n := newNode(t, config)
-	for _, c := range []struct {
-		teller Rank
+	for _, test := range []struct {
+		sender Rank
 		want   uint64
 	}{{2, 1000}, {2, 1000}, {3, far + 1}} {
-		n.Receive(time.Second, c.teller, datagramFrom(c.teller, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far, Heartbeat: 7, Phase: 3}}, nil))
-		if n.Incarnation() != c.want {
-			t.Errorf("after a report of %d the incarnation is %d, want %d", c.teller, n.Incarnation(), c.want)
+		n.Receive(time.Second, test.sender, datagramFrom(test.sender, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far, Heartbeat: 7, Phase: 3}}, nil))
+		if n.Incarnation() != test.want {
+			t.Errorf("after a report of member %d: Incarnation() = %d, want %d", test.sender, n.Incarnation(), test.want)
 		}
 	}
 	n.Receive(time.Second, 2, datagramFrom(2, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far + 10}}, nil))
 	if n.Incarnation() != far+11 {
-		t.Errorf("an incarnation just ahead: the incarnation is %d", n.Incarnation())
+		t.Errorf("after a report of an incarnation that is only 9 higher: Incarnation() = %d, want %d", n.Incarnation(), uint64(far+11))
 	}
 }
 
-// Within an incarnation phases never decrease, whatever is set and received.
+// TestPhasesNeverDecrease checks that within an incarnation another member never sees a phase decrease,
+// whatever is set and received.
 func TestPhasesNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size = 3
@@ -237,7 +246,7 @@
 		seen := Record{}
 		for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now := time.Duration(i) * 100 * time.Millisecond
-			switch rapid.IntRange(0, 2).Draw(t, "what") {
+			switch rapid.IntRange(0, 2).Draw(t, "action") {
 			case 0:
 				n.SetPhase(now, rapid.Uint8Range(0, 5).Draw(t, "phase"))
 			case 1:
@@ -248,7 +257,7 @@
 				n.send(now, 0, message{kind: kindUpdate}, true)
 			}
 			datagrams := n.Out()
-			if len(datagrams) > 0 && rapid.Bool().Draw(t, "late") {
+			if len(datagrams) > 0 && rapid.Bool().Draw(t, "reordered") {
 				slices.Reverse(datagrams)
 			}
 			for _, d := range datagrams {
@@ -258,15 +267,15 @@
 			}
 			record := other.members[1].record
 			if record.Incarnation == seen.Incarnation && record.Phase < seen.Phase && record.Heartbeat <= seen.Heartbeat {
-				t.Fatalf("from %+v back to %+v", seen, record)
+				t.Fatalf("the phase decreased from record %+v to %+v", seen, record)
 			}
 			seen = record
 		}
 	})
 }
 
-// Under any load a datagram holds at most 256 bytes, and what is sent and stored stays within its
-// bounds.
+// TestBounds checks under a high load of entries that no datagram has more than 256 bytes, and that what a
+// node sends and stores stays within its bounds.
 func TestBounds(t *testing.T) {
 	const size = 400
 	n := newNode(t, testConfig(0, size))
@@ -286,24 +295,24 @@
 		}
 		for _, d := range n.Out() {
 			if len(d.Data) > MaxDatagram {
-				t.Fatalf("a datagram of %d bytes", len(d.Data))
+				t.Fatalf("datagram has %d bytes, want at most %d", len(d.Data), MaxDatagram)
 			}
 			sent += len(d.Data)
 		}
 	}
 	if limit := int(60*n.config.Rate + 2*n.config.Burst); sent > limit {
-		t.Errorf("%d bytes sent in a minute, the limit is %d", sent, limit)
+		t.Errorf("sent %d bytes in a minute, want at most %d", sent, limit)
 	}
 	switch {
 	case len(n.entries.byKey) > maxEntries, n.entries.byOwner[1] > maxEntriesPerOwner, n.entries.byOwner[0] > maxEntriesPerOwner:
-		t.Errorf("%d entries, %d of one owner, %d of its own", len(n.entries.byKey), n.entries.byOwner[1], n.entries.byOwner[0])
+		t.Errorf("too many entries: %d stored, %d of member 1, %d of this member", len(n.entries.byKey), n.entries.byOwner[1], n.entries.byOwner[0])
 	case len(n.entries.order) != len(n.entries.byKey), len(n.localEntries) > maxEntriesPerOwner, len(n.updates) > maxUpdates, len(n.priorityProbes) > maxPriorityProbes:
-		t.Errorf("%d in order of %d, %d own, %d updates, %d priority probes", len(n.entries.order), len(n.entries.byKey), len(n.localEntries), len(n.updates), len(n.priorityProbes))
+		t.Errorf("%d entries in the order of arrival for %d stored, %d local entries, %d updates, %d priority probes; want equal numbers of entries, and the others within their bounds", len(n.entries.order), len(n.entries.byKey), len(n.localEntries), len(n.updates), len(n.priorityProbes))
 	}
 }
 
-// A process that was suspended lowers its own health instead of suspecting the members whose
-// acknowledgements it missed.
+// TestHungProcessSuspectsItself checks that a process that was suspended rates its own health as worse
+// instead of suspecting the members whose acknowledgements it missed.
 func TestHungProcessSuspectsItself(t *testing.T) {
 	n := newNode(t, testConfig(0, 3))
 	n.Receive(0, 1, datagramFrom(1, 3, 5, 0, nil, nil))
@@ -312,11 +321,12 @@
 		n.Tick(now)
 	}
 	if n.Stats().Suspected > 0 || n.Health() == 0 {
-		t.Errorf("%d suspected by a suspended process, its health %d", n.Stats().Suspected, n.Health())
+		t.Errorf("after late ticks: Suspected = %d, Health() = %d; want 0 and more than 0", n.Stats().Suspected, n.Health())
 	}
 }
 
-// The errors of an invalid configuration and of an undecodable datagram have text and advice.
+// TestErrorsHaveAdvice checks that the errors of an invalid configuration and of an undecodable datagram
+// have a text and advice.
 func TestErrorsHaveAdvice(t *testing.T) {
 	type advised interface {
 		error
@@ -337,19 +347,21 @@
 		errs = append(errs, err)
 	}
 	for i, err := range errs {
-		var a advised
-		if !errors.As(err, &a) || a.Advice() == "" || a.Error() == "" {
-			t.Errorf("error %d, %v, has no advice", i, err)
+		var withAdvice advised
+		if !errors.As(err, &withAdvice) || withAdvice.Advice() == "" || withAdvice.Error() == "" {
+			t.Errorf("error %d has no text or no advice: %v", i, err)
 		}
 	}
 	if n.Stats().Damaged != 4 {
-		t.Errorf("%d counted as damaged", n.Stats().Damaged)
+		t.Errorf("Stats().Damaged = %d, want 4", n.Stats().Damaged)
 	}
 	if err := n.Receive(0, 0, good); !errors.Is(err, errSelf) {
-		t.Errorf("a datagram from oneself: %v", err)
+		t.Errorf("Receive from the node's own rank: error = %v, want errSelf", err)
 	}
 }
 
+// FuzzReceive checks that any body with a valid checksum is received without a panic, and that the
+// datagrams that a node then sends are within MaxDatagram and can be decoded.
 func FuzzReceive(f *testing.F) {
 	records, entries := []Record{{Rank: 2, Incarnation: 9, State: Suspect}}, []Entry{{Owner: 2, Kind: hot, Subject: 1, Incarnation: 9, Sequence: 1, Value: 1}}
 	f.Add(datagramFrom(1, 3, 5, 0, records, entries)[4:])
@@ -364,10 +376,10 @@
 		n.Tick(time.Second)
 		for _, d := range n.Out() {
 			if len(d.Data) > MaxDatagram {
-				t.Fatalf("%d bytes", len(d.Data))
+				t.Fatalf("datagram has %d bytes, want at most %d", len(d.Data), MaxDatagram)
 			}
 			if _, err := n.decode(time.Second, d.Data); err != nil {
-				t.Fatalf("a sent datagram can't be decoded: %v", err)
+				t.Fatalf("decode of a datagram that the node sent: %v", err)
 			}
 		}
 	})
--- a/internal/peers/probe.go
+++ b/internal/peers/probe.go
@@ -12,16 +12,16 @@
 	seq      uint32
 	next     time.Duration // when continueProbe is due
 	indirect bool
-	until    time.Duration
+	until    time.Duration // when the indirect probes time out
 }
 
-// relay is a probe on behalf of another member.
+// relay is a probe of target on behalf of another member.
 type relay struct {
 	requester    Rank
-	requesterSeq uint32
+	requesterSeq uint32 // of the requester's kindPingRequest
 	target       Rank
-	seq          uint32
-	until        time.Duration
+	seq          uint32        // of this member's ping of target
+	until        time.Duration // when the relay is dropped
 }
 
 // maxMissed returns the number of consecutive unacknowledged probes that raise a suspicion. It
@@ -86,7 +86,7 @@
 	m.missedProbes = min(m.missedProbes+1, n.maxMissed())
 	switch {
 	case m.record.Incarnation == 0:
-	case m.missedProbes < n.maxMissed(): // possibly a lost datagram
+	case m.missedProbes < n.maxMissed(): // the missed probe may be due to a lost datagram
 		n.prioritizeProbe(p.target)
 	case m.record.State == Alive:
 		n.stats.Suspected++
@@ -98,7 +98,7 @@
 	}
 }
 
-// receiveAck processes an acknowledgement.
+// receiveAck processes an acknowledgement of this member's own probe, or of one that it relays.
 func (n *Node) receiveAck(now time.Duration, from Rank, seq uint32) {
 	if p := n.probe; p != nil && p.target == from && p.seq == seq {
 		n.probe = nil
--- a/internal/peers/record.go
+++ b/internal/peers/record.go
@@ -13,10 +13,10 @@
 // The states. Records carry Alive, Suspect and Left. Each member concludes Unknown, Silent and
 // Dead on its own.
 const (
-	Alive   State = iota // sends datagrams, or is reported to
+	Alive   State = iota // sends datagrams, or is reported to do so
 	Suspect              // did not acknowledge another member's probes
 	Left                 // left deliberately
-	Unknown              // nothing is known of it
+	Unknown              // nothing is known about it
 	Dead                 // a suspect that did not refute the suspicion in time
 	Silent               // no record is known, and it did not acknowledge probes
 )
@@ -29,7 +29,7 @@
 // Record is what is published about one member.
 type Record struct {
 	Rank        Rank
-	Incarnation uint64 // 0: nothing is known
+	Incarnation uint64 // 0: nothing is known about the member
 	Heartbeat   uint32 // version of the record within the incarnation
 	State       State
 	Phase       uint8
@@ -44,8 +44,8 @@
 }
 
 // Join returns the least upper bound of two records: the later one, with the earlier start if both
-// are of one incarnation. Delay on the way makes an incarnation appear younger than it is, so the
-// earlier start is the more accurate one.
+// are of one incarnation. Network delay makes an incarnation appear younger than it is, so the earlier
+// start is the more accurate one.
 func (r Record) Join(other Record) Record {
 	joined := r
 	if r.compare(other) < 0 {
@@ -126,12 +126,12 @@
 		Age: max(0, now-m.record.StartedAt), Direct: r == n.config.Self || m.directIncarnation != 0 && m.directIncarnation == m.record.Incarnation,
 	}
 	if view.Direct && r != n.config.Self {
-		view.Age = max(0, now-m.directStartedAt) // others' records can't change it
+		view.Age = max(0, now-m.directStartedAt) // records that others forward can't change it
 	}
 	return view
 }
 
-// Members yields all members of which something is known, including this one, ordered by rank.
+// Members yields all members about which something is known, including this one, ordered by rank.
 func (n *Node) Members(now time.Duration) iter.Seq[Member] {
 	return func(yield func(Member) bool) {
 		for r := range n.members {
@@ -156,9 +156,9 @@
 
 // Count is the number of members by state.
 type Count struct {
-	Size   int // in the fleet
-	Known  int // of which something is known
-	Living int // of those known, including this one
+	Size   int // members in the fleet
+	Known  int // members about which something is known
+	Living int // known members that are alive or suspect, including this one
 }
 
 // Estimate extrapolates the number of living members from the known ones. If only this member is
@@ -195,7 +195,8 @@
 	maxHeartbeatJump   = 1 << 10
 )
 
-// receiveIndirectRecord processes a record of a third member in a datagram from a member.
+// receiveIndirectRecord processes a record in a datagram from the member from, which is not the record's
+// subject.
 func (n *Node) receiveIndirectRecord(now time.Duration, from Rank, r Record) {
 	if int(r.Rank) >= len(n.members) || r.Incarnation == 0 || r.Incarnation >= maxIncarnation || r.State > Left {
 		n.stats.Rejected++
@@ -257,7 +258,7 @@
 		m.record = Record{Rank: r.Rank} // known only from others, and too high for the sender to rise above
 	}
 	if r.Incarnation < m.record.Incarnation {
-		return // it is sent the higher incarnation, and rises above it
+		return // the sender is sent the higher incarnation, and rises above it
 	}
 	if m.directIncarnation != r.Incarnation {
 		m.directIncarnation, m.directStartedAt = r.Incarnation, r.StartedAt
@@ -272,7 +273,7 @@
 	from        Rank
 }
 
-// refute responds to what another member holds of this one: it refutes a suspicion, and rises above
+// refute responds to another member's record of this one: it refutes a suspicion, and rises above
 // an earlier incarnation whose number is not lower. An incarnation that is far ahead must be
 // reported by two members, unless the fleet has only two, so that a single lying member can't
 // exhaust the numbers.
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -43,13 +43,13 @@
 }
 
 const (
-	itemRecord  = 0
-	itemEntry   = 1
+	itemRecord  = 0 // followed by a rank and a record
+	itemEntry   = 1 // followed by an entry
 	ageUnit     = 100 * time.Millisecond
 	maxAgeUnits = 1 << 31 // in ageUnit: seven years
 )
 
-// DecodeError reports why a datagram was dropped.
+// DecodeError reports why a datagram was dropped. What completes the sentence "datagram dropped: ...".
 type DecodeError struct {
 	What string
 	err  error
@@ -68,7 +68,7 @@
 
 // Advice returns the operator's next step.
 func (e *DecodeError) Advice() string {
-	return "a few are caused by the network; if they continue, look for a sidecar of another release or another fleet at these peers' addresses"
+	return "occasional errors are caused by the network; if they continue, check whether a sidecar of another release or fleet runs at the peers' addresses"
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -85,6 +85,7 @@
 	now time.Duration
 }
 
+// newWriter returns a writer with space for the checksum. Ages are relative to now.
 func newWriter(now time.Duration) *writer {
 	w := &writer{now: now}
 	w.buf.Grow(MaxDatagram + 64)
@@ -94,16 +95,19 @@
 	return w
 }
 
-func (w *writer) uints(vs ...uint64) {
-	for _, v := range vs {
-		w.enc.EncodeUint(v)
+// uints encodes values in turn.
+func (w *writer) uints(values ...uint64) {
+	for _, value := range values {
+		w.enc.EncodeUint(value)
 	}
 }
 
-func (w *writer) age(born time.Duration) uint64 {
-	return uint64(min(max(0, w.now-born)/ageUnit, maxAgeUnits))
+// age returns the age of what was created at a time, in ageUnit.
+func (w *writer) age(createdAt time.Duration) uint64 {
+	return uint64(min(max(0, w.now-createdAt)/ageUnit, maxAgeUnits))
 }
 
+// record encodes a record without its rank.
 func (w *writer) record(r Record) {
 	w.uints(r.Incarnation, uint64(r.Heartbeat), uint64(r.State), uint64(r.Phase), uint64(r.Traffic), w.age(r.StartedAt))
 }
@@ -119,10 +123,12 @@
 // addEntry adds an entry, and returns false if it does not fit.
 func (w *writer) addEntry(entry Entry) bool { return w.item(itemEntry, func() { w.entry(entry) }) }
 
+// entry encodes an entry.
 func (w *writer) entry(entry Entry) {
 	w.uints(uint64(entry.Owner), uint64(entry.Kind), entry.Subject, entry.Incarnation, uint64(entry.Sequence), uint64(entry.Value), w.age(entry.CreatedAt))
 }
 
+// header encodes the version and a message, except for its items.
 func (w *writer) header(m message) {
 	w.uints(Version, uint64(m.kind), uint64(m.seq))
 	w.record(m.self)
@@ -146,10 +152,11 @@
 	return true
 }
 
+// finish sets the checksum and returns the datagram.
 func (w *writer) finish(n *Node) []byte {
-	b := w.buf.Bytes()
-	binary.BigEndian.PutUint32(b, n.checksum(b[4:]))
-	return b
+	data := w.buf.Bytes()
+	binary.BigEndian.PutUint32(data, n.checksum(data[4:]))
+	return data
 }
 
 // reader decodes one datagram. After the first error it returns zero values.
@@ -160,38 +167,42 @@
 	err error
 }
 
+// uint decodes a value of at most limit.
 func (r *reader) uint(limit uint64) uint64 {
 	if r.err != nil {
 		return 0
 	}
-	v, err := r.dec.DecodeUint64()
-	if err == nil && v > limit {
-		err = fmt.Errorf("%d exceeds %d", v, limit)
+	value, err := r.dec.DecodeUint64()
+	if err == nil && value > limit {
+		err = fmt.Errorf("value %d exceeds %d", value, limit)
 	}
 	if err != nil {
 		r.err = err
 		return 0
 	}
-	return v
+	return value
 }
 
-func (r *reader) born() time.Duration { return r.now - time.Duration(r.uint(maxAgeUnits))*ageUnit }
+// createdAt decodes an age and returns the time of creation.
+func (r *reader) createdAt() time.Duration { return r.now - time.Duration(r.uint(maxAgeUnits))*ageUnit }
 
+// record decodes a record without its rank.
 func (r *reader) record() Record {
 	return Record{
 		Incarnation: r.uint(maxIncarnation - 1), Heartbeat: uint32(r.uint(1<<32 - 1)), State: State(r.uint(uint64(Left))),
-		Phase: uint8(r.uint(255)), Traffic: uint8(r.uint(255)), StartedAt: r.born(),
+		Phase: uint8(r.uint(255)), Traffic: uint8(r.uint(255)), StartedAt: r.createdAt(),
 	}
 }
 
+// entry decodes an entry.
 func (r *reader) entry() Entry {
 	return Entry{
 		Owner: Rank(r.uint(1<<16 - 1)), Kind: uint8(r.uint(255)), Subject: r.uint(1<<64 - 1), Incarnation: r.uint(maxIncarnation - 1),
-		Sequence: uint32(r.uint(1<<32 - 1)), Value: uint32(r.uint(1<<32 - 1)), CreatedAt: r.born(),
+		Sequence: uint32(r.uint(1<<32 - 1)), Value: uint32(r.uint(1<<32 - 1)), CreatedAt: r.createdAt(),
 	}
 }
 
-// decoded is a complete datagram.
+// decoded is a decoded datagram: its header and its items.
 type decoded struct {
 	message
 	records []Record
@@ -201,15 +212,15 @@
 // decode decodes a datagram. An error in any part rejects all of it.
 func (n *Node) decode(now time.Duration, data []byte) (*decoded, error) {
 	if len(data) < 5 || len(data) > MaxDatagram {
-		return nil, &DecodeError{What: fmt.Sprintf("%d bytes long", len(data))}
+		return nil, &DecodeError{What: fmt.Sprintf("it has %d bytes", len(data))}
 	}
 	if binary.BigEndian.Uint32(data) != n.checksum(data[4:]) {
-		return nil, &DecodeError{What: "its checksum is wrong, or it is another fleet's"}
+		return nil, &DecodeError{What: "its checksum is wrong, or it is of another fleet"}
 	}
 	in := bytes.NewReader(data[4:])
 	r := &reader{dec: msgpack.NewDecoder(in), in: in, now: now}
 	if v := r.uint(1<<64 - 1); r.err == nil && v != Version {
-		return nil, &DecodeError{What: fmt.Sprintf("version %d, and this is %d", v, Version)}
+		return nil, &DecodeError{What: fmt.Sprintf("it has version %d, this sidecar reads version %d", v, Version)}
 	}
 	d := &decoded{}
 	d.kind = messageKind(r.uint(uint64(kindCount) - 1))
@@ -235,7 +246,7 @@
 		if errors.Is(r.err, io.EOF) {
 			r.err = io.ErrUnexpectedEOF
 		}
-		return nil, &DecodeError{What: "it can't be read", err: r.err}
+		return nil, &DecodeError{What: "it can't be decoded", err: r.err}
 	}
 	if d.self.Incarnation == 0 {
 		return nil, &DecodeError{What: "its sender has no incarnation"}
