--- a/internal/handover/link/offer.go
+++ b/internal/handover/link/offer.go
@@ -36,7 +36,7 @@
 }
 
 // open opens what came with an offer. listen is the address of this process, lockPath the path
-// of the rendezvous' lock. The caller closes the files and o, also after an error.
+// of the rendezvous' lock. The caller closes the files, and owns what o holds, also after an error.
 func (o *offeredFiles) open(offer handover.Message, files []*os.File, listen, lockPath string) error {
 	listenerCount := max(1, offer.ListenerCount)
 	want := listenerCount + 1
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -107,7 +107,7 @@
 }
 
 // Terminate starts the shutdown of this process, which ends once its requests are answered. It
-// stops accepting as soon as a successor is serving.
+// stops accepting when a successor is serving: at once, or as soon as one reports that it is.
 func (p *Predecessor) Terminate() []Action {
 	p.terminating = true
 	if p.SuccessorServing() {
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -10,7 +10,8 @@
 //   - Whether the other sidecars stayed up is decided within MaxQueryTime. If that is unsure, the
 //     sidecar restarts as after a power loss.
 //   - Each phase has a maximum duration, and phases only advance within an incarnation.
-//   - No decision depends on another sidecar's clock, or on the report of a single other sidecar.
+//   - No decision depends on another sidecar's clock or, in a fleet of more than two, on the report
+//     of a single other sidecar.
 //
 // The package does not know how servers warm up (Balancer.Capacity does), who the other sidecars are
 // (package peers does), or what is stored on disk (package checkpoint does).
