--- a/internal/peers/record.go
+++ b/internal/peers/record.go
@@ -242,7 +242,8 @@
 		m.missedProbes = 0
 		n.entries.dropEarlierIncarnations(n, r.Rank, m.record.Incarnation)
 	}
-	// A refuted suspicion and a new incarnation are sent immediately.
+	// A record that becomes Alive again is sent immediately: a refuted suspicion, or a new
+	// incarnation of a member that was a suspect or had left.
 	n.queueUpdate(now, update{rank: r.Rank, hot: before.Incarnation > 0 && before.State != Alive && m.record.State == Alive})
 }
 
