--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -205,7 +205,7 @@
 	case s.ready():
 		return http.StatusOK, []byte("yes\n")
 	}
-	return http.StatusServiceUnavailable, []byte("no: this process accepts no clients\n")
+	return http.StatusServiceUnavailable, []byte("no: this process takes no clients\n")
 }
 
 // Close closes the listener and all connections, and waits until their handlers have returned.
