--- a/cmd/sidecar/checkpoint_test.go
+++ b/cmd/sidecar/checkpoint_test.go
@@ -9,42 +9,44 @@
 	"testing"
 )
 
-// Learned state is a hint for the next process; a file that is torn, empty or another
-// sidecar's is reported as such, and the sidecar serves all the same.
+// TestCheckpointsNotTrusted checks that a sidecar logs why it ignores a checkpoint that is empty,
+// torn or written by another sidecar, and serves without it. It replaces such a file by its own
+// checkpoint, but not one of another sidecar. The learned state in a checkpoint is only a hint, so a
+// sidecar can start without it.
 func TestCheckpointsNotTrusted(t *testing.T) {
 	f := newFixture(t, 256)
 	path := filepath.Join(t.TempDir(), "checkpoint")
 	t.Setenv("MARTENDRUM_FLEET", "return")
 	t.Setenv("MARTENDRUM_CHECKPOINT", path)
-	runOnce := func(want string) {
+	runOnce := func(wantLog string) {
 		t.Helper()
-		f.dir = t.TempDir() // only the checkpoint is left of the previous process
+		f.dir = t.TempDir() // so that only the checkpoint is left of the previous process
 		p := f.startReadyProcess()
-		if want != "" {
-			eventually(t, want, func() bool { return strings.Contains(p.log.String(), want) })
+		if wantLog != "" {
+			eventually(t, "the log message "+wantLog, func() bool { return strings.Contains(p.log.String(), wantLog) })
 		}
 		for range 5 {
 			if err := sendAlternating(http.DefaultClient, f.listen); err != nil {
-				t.Error(err)
+				t.Errorf("request to a sidecar that logs %q: %v", wantLog, err)
 			}
 		}
-		eventually(t, "the phase serving", func() bool { return strings.Contains(p.log.String(), "phase serving") })
+		eventually(t, "the log message phase serving", func() bool { return strings.Contains(p.log.String(), "phase serving") })
 		p.Process.Signal(syscall.SIGTERM)
 		p.waitExit(t)
 	}
 	runOnce("")
 	good, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the checkpoint of the first process: %v", err)
 	}
 	runOnce("checkpoint restored as a hint")
-	for want, data := range map[string][]byte{"empty": nil, "torn or damaged": good[:len(good)/2]} {
+	for wantLog, data := range map[string][]byte{"empty": nil, "torn or damaged": good[:len(good)/2]} {
 		if err := os.WriteFile(path, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		runOnce(want)
+		runOnce(wantLog)
 		if now, _ := os.ReadFile(path); len(now) < len(good)/2 {
-			t.Errorf("%s: the file was not replaced", want)
+			t.Errorf("checkpoint reported as %q: got a file of %d bytes after the exit, want it replaced by at least %d", wantLog, len(now), len(good)/2)
 		}
 	}
 	listen := f.listen
@@ -54,6 +56,6 @@
 	before, _ := os.ReadFile(path)
 	runOnce("of another sidecar")
 	if now, _ := os.ReadFile(path); string(now) != string(before) {
-		t.Error("the file of another sidecar was overwritten")
+		t.Error("the checkpoint of another sidecar was overwritten")
 	}
 }
--- a/cmd/sidecar/clients_test.go
+++ b/cmd/sidecar/clients_test.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// clientGroup is a number of clients that send one request after another, some on a persistent
-// connection, the others on a new connection for each request.
+// clientGroup is a group of concurrent clients, each of which sends one request after another. Some
+// use a persistent connection, the others a new connection for each request.
 type clientGroup struct {
 	stop     chan struct{}
 	once     sync.Once
 	running  sync.WaitGroup
-	served   atomic.Int64
-	failures sync.Map // set of error texts
+	served   atomic.Int64 // number of requests with the expected answer
+	failures sync.Map     // set of error texts
 }
 
 // requestCount numbers the requests of all clients, so that their ids are unique.
 var requestCount atomic.Int64
 
-// sendAlternating makes one request, an idempotent and a non-idempotent one in turn, and checks
-// its answer.
+// sendAlternating sends one request to addr, in turn an idempotent GET and a non-idempotent POST, and
+// returns an error unless the answer is 200 with the body "one".
 func sendAlternating(c *http.Client, addr string) error {
 	method, path := http.MethodGet, "/look"
 	n := requestCount.Add(1)
@@ -45,19 +45,20 @@
 	}
 	defer resp.Body.Close()
 	if text, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(text) != "one" {
-		return fmt.Errorf("%s %s: %q, %v", method, resp.Status, text, err)
+		return fmt.Errorf("%s %s: got status %s, body %q, error %v; want 200 with body \"one\"", method, path, resp.Status, text, err)
 	}
 	return nil
 }
 
-// startClients starts clients, the first of them on persistent connections.
+// startClients starts the given number of clients. The first of them, as many as persistent says, use
+// persistent connections. All stop when the test ends.
 func startClients(t *testing.T, addr string, clients, persistent int) *clientGroup {
 	t.Helper()
 	c := &clientGroup{stop: make(chan struct{})}
 	t.Cleanup(c.stopAll)
 	for n := range clients {
 		c.running.Go(func() {
-			client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: n >= persistent}}
+			client := &http.Client{Timeout: eventTimeout, Transport: &http.Transport{DisableKeepAlives: n >= persistent}}
 			defer client.CloseIdleConnections()
 			for {
 				select {
@@ -77,7 +78,7 @@
 	return c
 }
 
-// stopAll stops the clients and waits for their last answers.
+// stopAll stops the clients and waits for their last answers. It may be called several times.
 func (c *clientGroup) stopAll() {
 	c.once.Do(func() { close(c.stop) })
 	c.running.Wait()
@@ -87,29 +88,30 @@
 func (c *clientGroup) checkServed(t *testing.T) {
 	t.Helper()
 	c.stopAll()
-	c.failures.Range(func(what, _ any) bool {
-		t.Errorf("a client met: %v", what)
+	c.failures.Range(func(failure, _ any) bool {
+		t.Errorf("request of a client failed: %v", failure)
 		return true
 	})
 	if c.served.Load() == 0 {
-		t.Error("nobody was served")
+		t.Error("the clients were not served: got 0 answers, want at least 1")
 	}
 }
 
-// waitServed waits until as many more requests have been served.
-func (c *clientGroup) waitServed(t *testing.T, n int64) {
+// waitServed waits until the given number of further requests has been served.
+func (c *clientGroup) waitServed(t *testing.T, more int64) {
 	t.Helper()
-	from := c.served.Load()
-	eventually(t, "requests to be served", func() bool { return c.served.Load() >= from+n })
+	before := c.served.Load()
+	eventually(t, "more requests to be served", func() bool { return c.served.Load() >= before+more })
 }
 
-// sendRequest makes one request on a connection of its own and returns the answer's status.
+// sendRequest sends one request without a body on a new connection and returns the status of the
+// answer.
 func sendRequest(t *testing.T, addr, method, path string) int {
 	t.Helper()
 	return sendRequestAs(t, fmt.Sprint("r", requestCount.Add(1)), addr, method, path)
 }
 
-// sendRequestAs is sendRequest with a given request id.
+// sendRequestAs is sendRequest with the given request id.
 func sendRequestAs(t *testing.T, id, addr, method, path string) int {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+addr+path, nil)
@@ -117,10 +119,10 @@
 		t.Fatal(err)
 	}
 	r.Header.Set("Req-Id", id)
-	c := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	c := &http.Client{Timeout: eventTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Do(r)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("%s %s with id %s: %v", method, path, id, err)
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
--- a/cmd/sidecar/compat_test.go
+++ b/cmd/sidecar/compat_test.go
@@ -10,7 +10,8 @@
 	"martendrum/internal/goldentest"
 )
 
-// The metrics have the names and labels of an earlier build.
+// TestMetricNamesOfEarlierBuild checks that the metrics have the names and labels of an earlier
+// build.
 func TestMetricNamesOfEarlierBuild(t *testing.T) {
 	p := newFixture(t, 128).startReadyProcess()
 	response, err := http.Get("http://" + p.adminAddr + "/api/telemetry")
@@ -24,14 +25,14 @@
 	}
 	var names []string
 	for line := range strings.Lines(string(text)) {
-		if at := strings.LastIndexByte(line, ' '); at > 0 && !strings.HasPrefix(line, "#") {
-			names = append(names, line[:at])
+		if blank := strings.LastIndexByte(line, ' '); blank > 0 && !strings.HasPrefix(line, "#") {
+			names = append(names, line[:blank])
 		}
 	}
 	slices.Sort(names)
 	names = slices.Compact(names)
 	if len(names) < 20 {
-		t.Fatalf("%d metrics: %q", len(names), text)
+		t.Fatalf("got %d names of metrics, want at least 20, in %q", len(names), text)
 	}
 	goldentest.Compare(t, "metric-names.txt", []byte(strings.Join(names, "\n")+"\n"))
 }
--- a/cmd/sidecar/config_error.go
+++ b/cmd/sidecar/config_error.go
@@ -1,15 +1,15 @@
 package main
 
-// ConfigError is an invalid or missing part of the configuration: of the file, the environment,
-// or an address in them that can't be listened on. It has a Problem or a Cause.
+// ConfigError is an invalid or missing part of the configuration: a field of the file, an environment
+// variable, or an address that can't be listened on. It has either a Problem or a Cause.
 type ConfigError struct {
-	Field   string // a path in the file or an environment variable; empty: the cause names it
+	Field   string // path in the file, or name of an environment variable; empty: the cause names it
 	Problem string // what is wrong with the field
-	Cause   error
-	Do      string // what an operator can do
+	Cause   error  // error of the call that failed on the field
+	Remedy  string // what an operator can do
 }
 
-// Error implements error.
+// Error returns the field and what is wrong with it.
 func (e *ConfigError) Error() string {
 	switch {
 	case e.Cause == nil:
@@ -20,8 +20,8 @@
 	return e.Field + ": " + e.Cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, nil if there is only a problem.
 func (e *ConfigError) Unwrap() error { return e.Cause }
 
-// Advice says what an operator can do.
-func (e *ConfigError) Advice() string { return e.Do }
+// Advice returns what an operator can do about the error.
+func (e *ConfigError) Advice() string { return e.Remedy }
--- a/cmd/sidecar/config_error_test.go
+++ b/cmd/sidecar/config_error_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// An invalid configuration is reported with the field, what is wrong, and advice.
+// TestConfigErrorsNameFieldAndAdvice checks that the error of an invalid configuration names the
+// field and what is wrong with it, and has advice.
 func TestConfigErrorsNameFieldAndAdvice(t *testing.T) {
 	f := newFixture(t, 256)
 	good := f.configText(t)
@@ -28,7 +29,8 @@
 	}
 }
 
-// A file that omits a key of the one in force is reported with the key and advice.
+// TestReloadErrorNamesMissingKey checks that the error of a new file that omits a key of the file
+// in force names the key and has advice.
 func TestReloadErrorNamesMissingKey(t *testing.T) {
 	f := newFixture(t, 256)
 	inForce, err := loadConfig(f.getenv)
@@ -40,7 +42,8 @@
 	checkConfigError(t, err, "config: settings.caps.mostHeld is missing; the file in force has it")
 }
 
-// Causes stay visible to errors.Is: a file that is not set or not there, an address in use.
+// TestConfigErrorWrapsCause checks the errors of a file that is not set, a file that does not
+// exist, and an address in use, and that errors.Is finds the cause of an error.
 func TestConfigErrorWrapsCause(t *testing.T) {
 	_, err := loadConfig(func(string) string { return "" })
 	checkConfigError(t, err, "BALANCER_CONFIG is not set")
@@ -48,7 +51,7 @@
 	_, err = loadConfig(func(name string) string { return map[string]string{envConfig: path}[name] })
 	checkConfigError(t, err, "BALANCER_CONFIG: open "+path+": no such file or directory")
 	if !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v does not wrap its cause", err)
+		t.Errorf("error %q: got errors.Is(err, os.ErrNotExist) = false, want true", err)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,17 +64,17 @@
 		t.Fatal(err)
 	}
 	c.listenAddr = listener.Addr().String()
-	err = startAlone(c, &resources{config: c}, signals{})
+	err = startWithoutHandover(c, &resources{config: c}, signalChannels{})
 	checkConfigError(t, err, "listen: listen tcp "+c.listenAddr+": bind: address already in use")
 }
 
-// checkConfigError checks an error's text, its type and that it has advice.
+// checkConfigError checks that err has the text want, contains a *ConfigError and has advice.
 func checkConfigError(t *testing.T, err error, want string) {
 	t.Helper()
 	if err == nil || err.Error() != want {
-		t.Errorf("error %v, want %s", err, want)
+		t.Errorf("got error %v, want %s", err, want)
 	}
 	if invalid, ok := errors.AsType[*ConfigError](err); !ok || invalid.Advice() == "" {
-		t.Errorf("%v has no advice", err)
+		t.Errorf("error %v: got no *ConfigError with advice, want one", err)
 	}
 }
--- a/cmd/sidecar/coordination_config.go
+++ b/cmd/sidecar/coordination_config.go
@@ -9,35 +9,37 @@
 	"martendrum/internal/settings"
 )
 
-// The features that MARTENDRUM_FLEET names.
+// Features that MARTENDRUM_FLEET may list.
 const (
-	featureReturn = "return" // admit gradually after a start while servers warm up
+	featureReturn = "return" // after a start, admit requests gradually while the servers warm up
 	featurePeers  = "peers"  // exchange state with the other sidecars of the tier
 )
 
-// coordinationConfig is what a sidecar does together with the others of its tier, by the
-// features of MARTENDRUM_FLEET. The zero value is none.
+// coordinationConfig configures how a sidecar cooperates with the other sidecars of its tier. The
+// features that MARTENDRUM_FLEET lists turn its parts on; the zero value is no cooperation.
 type coordinationConfig struct {
 	gradualReturn  bool         // featureReturn is set
 	peers          *link.Config // nil: featurePeers is not set
-	checkpointPath string       // empty: no checkpoint is written
+	checkpointPath string       // value of MARTENDRUM_CHECKPOINT; empty: no checkpoint is written
 }
 
-// CoordinationError is an invalid value of MARTENDRUM_FLEET, with what to do about it.
-type CoordinationError struct{ What, Do string }
+// CoordinationError is an invalid value of MARTENDRUM_FLEET, or a configuration that lacks what one
+// of its features needs. Problem is what is wrong, and Remedy what an operator can do.
+type CoordinationError struct{ Problem, Remedy string }
 
-// Error implements error.
-func (e *CoordinationError) Error() string { return envFeatures + ": " + e.What }
+// Error returns the problem after the name of the variable.
+func (e *CoordinationError) Error() string { return envFeatures + ": " + e.Problem }
 
-// Advice says what an operator can do.
-func (e *CoordinationError) Advice() string { return e.Do }
+// Advice returns what an operator can do about the error.
+func (e *CoordinationError) Advice() string { return e.Remedy }
 
-// loadCoordination parses the features of MARTENDRUM_FLEET. listen and addresses are those of this
-// sidecar's peer socket and of all peers.
-func loadCoordination(words string, s *settings.Settings, listen string, addresses []string) (coordinationConfig, error) {
+// loadCoordination parses the value of MARTENDRUM_FLEET, a list of features with commas or blanks
+// between them. listen is the address of this sidecar's peer socket; addresses are those of all
+// peers, this sidecar included. An error is a *CoordinationError.
+func loadCoordination(features string, s *settings.Settings, listen string, addresses []string) (coordinationConfig, error) {
 	var c coordinationConfig
-	for _, word := range strings.FieldsFunc(words, func(r rune) bool { return r == ',' || r == ' ' }) {
-		switch word {
+	for _, feature := range strings.FieldsFunc(features, func(r rune) bool { return r == ',' || r == ' ' }) {
+		switch feature {
 		case featureReturn:
 			c.gradualReturn = true
 		case featurePeers:
@@ -47,19 +49,19 @@
 			}
 			c.peers = peersConfig
 		default:
-			return c, &CoordinationError{fmt.Sprintf("unknown word %q", word), fmt.Sprintf("use %s, %s or both, with a comma between", featureReturn, featurePeers)}
+			return c, &CoordinationError{fmt.Sprintf("unknown feature %q", feature), fmt.Sprintf("use %s, %s or both, separated by a comma", featureReturn, featurePeers)}
 		}
 	}
 	return c, nil
 }
 
-// newPeersConfig returns the configuration of the link to peers.
+// newPeersConfig returns the configuration of the link to peers, or a *CoordinationError.
 func newPeersConfig(s *settings.Settings, listen string, addresses []string) (*link.Config, error) {
 	if !s.Peers || listen == "" || len(addresses) == 0 {
-		return nil, &CoordinationError{"peers: the configuration has no peers to tell anything", "give peers, peer_listen and settings.caps.peers, or leave the word out"}
+		return nil, &CoordinationError{"peers: the configuration lacks peers, peer_listen or settings.caps.peers", "set all three, or remove peers from MARTENDRUM_FLEET"}
 	}
 	if s.Rank < 0 || s.Rank >= len(addresses) {
-		return nil, &CoordinationError{fmt.Sprintf("peers: settings.rank is %d of %d peers", s.Rank, len(addresses)), "number the sidecars of the tier from 0 in settings.rank, in the order of peers"}
+		return nil, &CoordinationError{fmt.Sprintf("peers: settings.rank is %d, which is out of range for %d peers", s.Rank, len(addresses)), "set settings.rank to the index of this sidecar in peers, counted from 0"}
 	}
 	return &link.Config{Listen: listen, Peers: addresses, Node: peers.Config{Cluster: s.Cluster, Self: peers.Rank(s.Rank)}}, nil
 }
--- a/cmd/sidecar/coordination_config_test.go
+++ b/cmd/sidecar/coordination_config_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// An unknown feature of MARTENDRUM_FLEET and an invalid list of peers are reported with advice.
+// TestCoordinationFeatures checks that an unknown feature in MARTENDRUM_FLEET, a missing list of
+// peers, and a checkpoint without the feature that uses it are errors with advice.
 func TestCoordinationFeatures(t *testing.T) {
 	f := newFixture(t, 256)
-	for words, keep := range map[string]string{"retrun": "", "peers": "", "return, breakers": "", "": "somewhere"} {
+	for features, checkpointPath := range map[string]string{"retrun": "", "peers": "", "return, breakers": "", "": "somewhere"} {
 		_, err := loadConfig(func(name string) string {
-			return map[string]string{"BALANCER_CONFIG": f.configPath, "MARTENDRUM_FLEET": words, "MARTENDRUM_CHECKPOINT": keep}[name]
+			return map[string]string{"BALANCER_CONFIG": f.configPath, "MARTENDRUM_FLEET": features, "MARTENDRUM_CHECKPOINT": checkpointPath}[name]
 		})
 		if e, ok := errors.AsType[*CoordinationError](err); !ok || e.Advice() == "" {
-			t.Errorf("%q: %v", words, err)
+			t.Errorf("MARTENDRUM_FLEET=%q, MARTENDRUM_CHECKPOINT=%q: got error %v, want a *CoordinationError with advice", features, checkpointPath, err)
 		}
 	}
 }
--- a/cmd/sidecar/coordinator.go
+++ b/cmd/sidecar/coordinator.go
@@ -17,55 +17,57 @@
 	"martendrum/internal/sidecar"
 )
 
-// coordinator is the part of a sidecar that cooperates with other sidecars. It passes the state of
-// peers and of the host to the state machines that decide, and carries out their orders.
+// coordinator is the part of a sidecar that cooperates with other sidecars and returns gradually to
+// service after a start. It passes the state of the peers and of the host to the recovery machine,
+// applies the orders that the machine returns, and owns the checkpoint.
 type coordinator struct {
 	host    *sidecar.Host
 	stop    chan struct{} // closed by close
 	running sync.WaitGroup
 	started time.Time
-	machine *recovery.Machine // nil: off; owned by run
+	machine *recovery.Machine // nil: gradual return is off; only run uses it until close
 
-	mu     sync.Mutex
-	link   *link.Link // nil: off, or an old process still has its address
-	orders recovery.Orders
+	mu     sync.Mutex      // guards link and orders
+	link   *link.Link      // nil: off, or the predecessor still owns its address
+	orders recovery.Orders // the last ones of machine
 
 	checkpoint checkpointFile
 }
 
-// startCoordinator starts the features that the configuration turns on. sharedWithPredecessor means
-// that a predecessor serves at the same time and may still own the address of the peer socket.
-func startCoordinator(c *config, host *sidecar.Host, metricSet *metrics.Set, sharedWithPredecessor bool) (*coordinator, error) {
+// startCoordinator starts the features that the configuration turns on. hasPredecessor means that a
+// predecessor may still serve and own the address of the peer socket. The caller calls close at the
+// end.
+func startCoordinator(c *config, host *sidecar.Host, metricSet *metrics.Set, hasPredecessor bool) (*coordinator, error) {
 	created := &coordinator{host: host, stop: make(chan struct{}), started: time.Now()}
 	created.checkpoint = checkpointFile{path: c.coordination.checkpointPath, name: c.listenAddr, savedAt: created.started}
 	created.checkpoint.load(clock.Wall())
-	size := 1
+	tierSize := 1
 	if peersConfig := c.coordination.peers; peersConfig != nil {
-		size = len(peersConfig.Peers)
+		tierSize = len(peersConfig.Peers)
 		peersConfig.Seed = c.seed
-		if previous := created.checkpoint.previous; previous != nil { // above the previous incarnation even if the clock was set back
+		if previous := created.checkpoint.previous; previous != nil { // must exceed the previous incarnation even if the clock was set back
 			peersConfig.Node.Incarnation = max(previous.Incarnation+1, uint64(max(1, created.started.UnixMilli())))
 		}
-		if err := created.openLink(*peersConfig, sharedWithPredecessor); err != nil {
+		if err := created.openLink(*peersConfig, hasPredecessor); err != nil {
 			return nil, err
 		}
 		created.addPeerGauges(metricSet)
 	}
 	if c.coordination.gradualReturn {
-		created.startRecovery(size, metricSet)
+		created.startRecovery(tierSize, metricSet)
 	}
 	return created, nil
 }
 
-// openLink opens the link to peers. If the predecessor still has its address, the link is opened
-// later, in the background.
-func (c *coordinator) openLink(config link.Config, sharedWithPredecessor bool) error {
+// openLink opens the link to peers. If the predecessor still owns the address, a goroutine opens the
+// link once the address is free.
+func (c *coordinator) openLink(config link.Config, hasPredecessor bool) error {
 	opened, err := link.Open(config)
 	switch {
 	case err == nil:
 		c.link = opened
 		return nil
-	case sharedWithPredecessor && errors.Is(err, syscall.EADDRINUSE):
+	case hasPredecessor && errors.Is(err, syscall.EADDRINUSE):
 		c.running.Go(func() { c.retryOpenLink(config) })
 		return nil
 	}
@@ -80,7 +82,7 @@
 			return false
 		}
 		if err != nil {
-			slog.Warn("no exchange with other sidecars", "err", err)
+			slog.Warn("link to peers not opened, this sidecar serves without them", "err", err)
 			return true
 		}
 		c.mu.Lock()
@@ -90,9 +92,10 @@
 	})
 }
 
-// startRecovery starts the gradual return to service; size is the number of peers.
-func (c *coordinator) startRecovery(size int, metricSet *metrics.Set) {
-	c.machine = recovery.New(recovery.Config{Size: size}, 0)
+// startRecovery starts the gradual return to service. tierSize is the number of sidecars in the tier,
+// this one included.
+func (c *coordinator) startRecovery(tierSize int, metricSet *metrics.Set) {
+	c.machine = recovery.New(recovery.Config{Size: tierSize}, 0)
 	if previous := c.checkpoint.previous; previous != nil {
 		_, weight := recovery.Retained(previous.Learned, c.checkpoint.age, recovery.Undecided)
 		c.machine.SetUsualDemand(previous.Demand, weight)
@@ -102,9 +105,9 @@
 	c.running.Go(c.run)
 }
 
-// warmUp restores what is still valid of the checkpoint. It is called after the list of servers has
-// arrived and before the first request.
-func (c *coordinator) warmUp() {
+// restoreCheckpoint restores the part of the checkpoint's learned state that is still valid at its
+// age. It is called after the list of servers has arrived and before the first request.
+func (c *coordinator) restoreCheckpoint() {
 	previous, age := c.checkpoint.previous, c.checkpoint.age
 	if previous == nil {
 		return
@@ -121,21 +124,23 @@
 	return c.link
 }
 
-// withNode calls use with the peers.Node, if there is one.
+// withNode calls use with the link's time and its peers.Node, unless there is no link. use must not
+// block.
 func (c *coordinator) withNode(use func(now time.Duration, node *peers.Node)) {
 	if l := c.currentLink(); l != nil {
 		l.Do(use)
 	}
 }
 
-// lastOrders returns the last orders of the recovery machine.
+// lastOrders returns the last orders of the recovery machine, the zero value before its first step.
 func (c *coordinator) lastOrders() recovery.Orders {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.orders
 }
 
-// run steps the recovery machine whenever it is due, until close.
+// run steps the recovery machine whenever it is due, and saves the checkpoint at its interval, until
+// close is called.
 func (c *coordinator) run() {
 	due := time.NewTimer(0)
 	defer due.Stop()
@@ -153,10 +158,11 @@
 	}
 }
 
-// stepRecovery passes the current state to the recovery machine and carries out its orders.
+// stepRecovery passes the current state to the recovery machine and applies the orders that it
+// returns.
 func (c *coordinator) stepRecovery() {
-	before := c.lastOrders()
-	if before.Phase != recovery.Serving {
+	previous := c.lastOrders()
+	if previous.Phase != recovery.Serving {
 		c.receivePeerPhases()
 	}
 	var orders recovery.Orders
@@ -170,7 +176,7 @@
 	c.orders = orders
 	c.mu.Unlock()
 	c.withNode(func(now time.Duration, node *peers.Node) { node.SetPhase(now, uint8(orders.Phase)) })
-	c.logChange(before, orders)
+	c.logChange(previous, orders)
 }
 
 // receivePeerPhases passes the phases that peers publish to the recovery machine.
@@ -182,18 +188,19 @@
 	})
 }
 
-// logChange logs how new orders differ from the previous ones.
-func (c *coordinator) logChange(before, orders recovery.Orders) {
-	if orders.Phase != before.Phase {
+// logChange logs a change of the phase, or else of whether requests are shed, from the previous
+// orders to the new ones.
+func (c *coordinator) logChange(previous, orders recovery.Orders) {
+	if orders.Phase != previous.Phase {
 		slog.Info("phase "+orders.Phase.String(), "verdict", orders.Verdict, "after", time.Since(c.started).Round(time.Millisecond), "shed", orders.Bounds.MinShedFraction)
 		return
 	}
-	if sheds := orders.Bounds.MinShedFraction > 0; sheds != (before.Bounds.MinShedFraction > 0) {
+	if sheds := orders.Bounds.MinShedFraction > 0; sheds != (previous.Bounds.MinShedFraction > 0) {
 		slog.Info("servers warming up", "bounded", sheds, "shed", orders.Bounds.MinShedFraction, "demand", orders.Bounds.NominalRate)
 	}
 }
 
-// saveCheckpoint writes the checkpoint, if one is configured and the recovery phase is Serving.
+// saveCheckpoint writes the checkpoint if one is configured and the recovery phase is Serving.
 func (c *coordinator) saveCheckpoint(now time.Time) {
 	if c.checkpoint.path == "" || c.machine == nil || c.lastOrders().Phase != recovery.Serving {
 		return
@@ -203,8 +210,8 @@
 	c.checkpoint.save(now, saved)
 }
 
-// close stops the coordinator, writes a last checkpoint and tells the peers that this sidecar
-// terminates.
+// close stops the coordinator, writes a last checkpoint, and tells the peers that this sidecar
+// terminates. It is called once.
 func (c *coordinator) close() {
 	close(c.stop)
 	c.running.Wait()
--- a/cmd/sidecar/discovery_test.go
+++ b/cmd/sidecar/discovery_test.go
@@ -10,40 +10,43 @@
 	"time"
 )
 
-// A new process applies discovery's list from its first request on: a server that is up in `known`
-// but draining or missing in the list gets no request.
+// TestDiscoveredListReplacesKnown checks that a new process applies discovery's list from its first
+// request on: a server that is up in the known list of the configuration, but draining or missing
+// in discovery's list, receives no request.
 func TestDiscoveredListReplacesKnown(t *testing.T) {
-	for name, entry := range map[string]string{"draining": `{"name":"s0","address":%q,"status":"draining"},`, "gone": ""} {
-		t.Run(name, func(t *testing.T) {
+	for state, entry := range map[string]string{"draining": `{"name":"s0","address":%q,"status":"draining"},`, "gone": ""} {
+		t.Run(state, func(t *testing.T) {
 			var misrouted atomic.Int64
 			old := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { misrouted.Add(1) }))
 			t.Cleanup(old.Close)
 			good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") }))
 			t.Cleanup(good.Close)
-			at := old.Listener.Addr().String()
+			oldAddr := old.Listener.Addr().String()
 			if entry != "" {
-				entry = fmt.Sprintf(entry, at)
+				entry = fmt.Sprintf(entry, oldAddr)
 			}
-			agent := staticDiscovery(t, fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s{"name":"s1","address":%q,"status":"up","weight":1}]}`, entry, good.Listener.Addr()))
+			discoveryAddr := staticDiscovery(t, fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[%s{"name":"s1","address":%q,"status":"up","weight":1}]}`, entry, good.Listener.Addr()))
 			f := newFixture(t, 256)
-			text := mustReplace(t, f.configText(t), f.discoveryAddr, agent)
-			text = mustReplace(t, text, `"seed"`, fmt.Sprintf(`"known":{"index":3,"snapshot":true,"endpoints":[{"name":"s0","address":%q,"status":"up","weight":1}]},"seed"`, at))
+			text := mustReplace(t, f.configText(t), f.discoveryAddr, discoveryAddr)
+			text = mustReplace(t, text, `"seed"`, fmt.Sprintf(`"known":{"index":3,"snapshot":true,"endpoints":[{"name":"s0","address":%q,"status":"up","weight":1}]},"seed"`, oldAddr))
 			f.writeConfig(t, text)
 			f.startReadyProcess()
 			for range 20 {
 				if got := sendRequest(t, f.listen, http.MethodGet, "/look"); got != http.StatusOK {
-					t.Errorf("answered %d", got)
+					t.Errorf("GET /look: got status %d, want 200", got)
 				}
 			}
 			if n := misrouted.Load(); n > 0 {
-				t.Errorf("%d requests were sent to a server that the list has as %s", n, name)
+				t.Errorf("server that is %s in discovery's list: got %d requests, want 0", state, n)
 			}
 		})
 	}
 }
 
-// Where discovery is polled, a new configuration that moves it is followed well within the 4 s
-// after which its list counts as notified, also while no watch is open.
+// TestEndpointChangeIsFollowedWithoutWatch checks that, where discovery is polled, a new
+// configuration that changes the address of discovery is followed well within 4 s, after which the
+// sidecar counts as notified of the new list. At the change no watch is open, because the old
+// discovery rejects all calls.
 func TestEndpointChangeIsFollowedWithoutWatch(t *testing.T) {
 	f := newFixture(t, 256)
 	called := make(chan struct{}, 100)
@@ -57,33 +60,34 @@
 	f.writeConfig(t, text)
 	p := f.startReadyProcess()
 	select {
-	case <-called: // and rejected: the next call is seconds away
-	case <-time.After(patience):
+	case <-called: // the call is rejected, and the next one is seconds away
+	case <-time.After(eventTimeout):
 		t.Fatal("discovery was never called")
 	}
 	p.reloadConfig(t, f, good)
-	began := time.Now()
-	eventually(t, "the new discovery's list", func() bool { return p.metric(t, "pool_size") == 1 })
-	if took := time.Since(began); took > 4*time.Second {
-		t.Errorf("after %v", took)
+	reloaded := time.Now()
+	eventually(t, "the list of the new discovery", func() bool { return p.metric(t, "pool_size") == 1 })
+	if took := time.Since(reloaded); took > 4*time.Second {
+		t.Errorf("the list of the new discovery was applied %v after the reload, want at most 4s", took)
 	}
 }
 
-// Where discovery is polled, a call that it rejects, loses or leaves unanswered is followed by
-// the next one well before its changes count as notified, however often that happens.
+// TestFailedCallIsRetriedInTime checks that, where discovery is polled, a call that it rejects,
+// resets or leaves unanswered is followed by the next call well before the sidecar counts as
+// notified of discovery's changes, however often calls fail.
 func TestFailedCallIsRetriedInTime(t *testing.T) {
-	for name, call := range map[string]func(w http.ResponseWriter, r *http.Request){
-		"refused": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-		"reset":   func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"silent":  func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+	for failure, fail := range map[string]func(w http.ResponseWriter, r *http.Request){
+		"rejected": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+		"reset":    func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"silent":   func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 	} {
-		t.Run(name, func(t *testing.T) {
+		t.Run(failure, func(t *testing.T) {
 			t.Parallel()
 			f := newFixture(t, 256)
 			called := make(chan time.Time, 100)
 			down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				called <- time.Now()
-				call(w, r)
+				fail(w, r)
 			}))
 			t.Cleanup(down.Close)
 			text := withPolledDiscovery(t, f.configText(t))
@@ -95,13 +99,13 @@
 				select {
 				case at := <-called:
 					if gap := at.Sub(last); gap > 5500*time.Millisecond-2*time.Second {
-						t.Errorf("call %d came %v after the one before, and it may wait for 2 s", n, gap)
+						t.Errorf("call %d came %v after the previous one, want at most 3.5s: the change counts as notified after 5.5s, and the call may wait for 2s", n, gap)
 					} else if n > 0 && gap < 50*time.Millisecond {
-						t.Errorf("call %d came just %v after the one before", n, gap)
+						t.Errorf("call %d came %v after the previous one, want at least 50ms", n, gap)
 					}
 					last = at
-				case <-time.After(patience):
-					t.Fatalf("no call %d", n)
+				case <-time.After(eventTimeout):
+					t.Fatalf("discovery received no call %d within %v", n, eventTimeout)
 				}
 			}
 		})
--- a/cmd/sidecar/errors_test.go
+++ b/cmd/sidecar/errors_test.go
@@ -13,15 +13,15 @@
 	"martendrum/internal/peers/link"
 )
 
-// Each error that an operator may meet around a return from a power loss says what to do,
-// and is on the operators' page.
+// TestErrorsHaveAdvice checks that each error that an operator may see around the return from a
+// power loss has advice and is documented on the page docs/operate/power-loss.md.
 func TestErrorsHaveAdvice(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operate/power-loss.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, e := range map[string]interface{ Advice() string }{
-		"FleetError":      &CoordinationError{Do: "x"},
+		"FleetError":      &CoordinationError{Remedy: "x"},
 		"ConfigError":     &peers.ConfigError{Field: "x"},
 		"AddrError":       &link.AddrError{Field: "x"},
 		"DecodeError":     &peers.DecodeError{},
@@ -31,10 +31,10 @@
 		"ReturningError":  &api.ReturningError{},
 	} {
 		if e.Advice() == "" {
-			t.Errorf("%s has no advice", name)
+			t.Errorf("%s.Advice() is empty, want a text", name)
 		}
 		if !strings.Contains(string(page), "`"+name+"`") {
-			t.Errorf("%s is not on the operators' page", name)
+			t.Errorf("docs/operate/power-loss.md does not mention %s", name)
 		}
 	}
 }
--- a/cmd/sidecar/eviction_test.go
+++ b/cmd/sidecar/eviction_test.go
@@ -14,9 +14,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clients that send nothing, or idle after a request, may take all descriptors that there are
-// for clients, also while discovery is unavailable. Its list is followed again as soon as it is
-// available, servers are reached, and a client with a request is answered.
+// TestIdleClientsAreEvicted checks that clients that send nothing, or are idle after a request,
+// don't block the sidecar although they would use up all descriptors. They connect while discovery
+// is unavailable. As soon as discovery is available again, the sidecar must follow its list, and it
+// must still have descriptors to connect to servers and to accept and answer a client with a
+// request.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	const sockets = 64
 	f := newFixture(t, sockets)
@@ -29,18 +31,18 @@
 		}
 		return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s]}`, index, strings.Join(entries, ","))
 	}
-	disco := new(changingDiscovery)
-	disco.set(list(1, "s1"))
-	at := httptest.NewServer(disco)
-	t.Cleanup(func() { disco.set(""); at.Close() })
-	text := mustReplace(t, f.configText(t), f.discoveryAddr, at.Listener.Addr().String())
+	discovery := new(changingDiscovery)
+	discovery.set(list(1, "s1"))
+	discoveryServer := httptest.NewServer(discovery)
+	t.Cleanup(func() { discovery.set(""); discoveryServer.Close() })
+	text := mustReplace(t, f.configText(t), f.discoveryAddr, discoveryServer.Listener.Addr().String())
 	f.writeConfig(t, text)
 	p := f.startReadyProcess()
 	if err := unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil); err != nil {
-		t.Fatal(err)
+		t.Fatalf("limiting the descriptors of the process: %v", err)
 	}
-	eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
-	disco.set("")
+	eventually(t, "the first list", func() bool { return p.metric(t, "pool_size") == 1 })
+	discovery.set("")
 	for n := range 200 {
 		c, err := net.Dial("tcp", f.listen)
 		if err != nil {
@@ -48,30 +50,30 @@
 		}
 		t.Cleanup(func() { c.Close() })
 		if n%2 == 0 {
-			continue // sends nothing
+			continue // this client sends nothing
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(eventTimeout))
 		fmt.Fprintf(c, "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: rest%d\r\n\r\n", n)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			t.Fatalf("client %d, which then idles: %v", n, err)
+			t.Fatalf("client %d: reading the answer to its only request: %v", n, err)
 		}
 		if resp.StatusCode != http.StatusOK {
-			t.Errorf("client %d, which then idles: %s", n, resp.Status)
+			t.Errorf("client %d: got status %s for its only request, want 200", n, resp.Status)
 		}
 	}
-	disco.set(list(2, "s1", "s2"))
-	back := time.Now()
-	eventually(t, "the new list", func() bool { return p.metric(t, "pool_size") == 2 })
-	if took := time.Since(back); took > 2*time.Second {
-		t.Errorf("discovery was followed again after %v", took)
+	discovery.set(list(2, "s1", "s2"))
+	available := time.Now()
+	eventually(t, "the second list", func() bool { return p.metric(t, "pool_size") == 2 })
+	if took := time.Since(available); took > 2*time.Second {
+		t.Errorf("the list was applied %v after discovery was available again, want at most 2s", took)
 	}
 	for n := range 20 {
 		if got := sendRequest(t, f.listen, http.MethodGet, "/look"); got != http.StatusOK {
-			t.Errorf("request %d was answered %d", n, got)
+			t.Errorf("request %d beside idle clients: got status %d, want 200", n, got)
 		}
 	}
 	if n := p.openDescriptors(); n > sockets {
-		t.Errorf("%d descriptors are open, %d may be", n, sockets)
+		t.Errorf("the process has %d descriptors open, want at most %d", n, sockets)
 	}
 }
--- a/cmd/sidecar/fixture_test.go
+++ b/cmd/sidecar/fixture_test.go
@@ -12,8 +12,10 @@
 	"testing"
 )
 
-// writeTestConfig writes the configuration of a sidecar at a free address with one server. changes
-// are pairs of a text to replace in it and the replacement.
+// writeTestConfig writes the configuration file of a sidecar that listens on a free address, and
+// starts a discovery that lists one server. sockets is the limit of descriptors. changes are pairs
+// of a text in testConfigFormat and its replacement. The results are the path of the file and the
+// addresses of the sidecar and of discovery.
 func writeTestConfig(t testing.TB, server string, sockets int, changes ...string) (path, listen, discovery string) {
 	t.Helper()
 	path, listen, discovery = filepath.Join(t.TempDir(), "config.json"), freeAddr(t), oneServerDiscovery(t, 1, "s1", server)
@@ -25,7 +27,7 @@
 	return path, listen, discovery
 }
 
-// testConfigFormat is a configuration file; its argument is the address of discovery.
+// testConfigFormat is the text of a configuration file; its argument is the address of discovery.
 const testConfigFormat = `{"listen":"127.0.0.1:0","discovery":%q,"seed":"1f","limits":{"cores":4,"memory_mb":512,"sockets":256},
 	"settings":{"replicasOfMe":1,"registryMode":"automatic",
 	"caps":{"attemptsCap":3,"connIdleUs":30000000,"dialTimeoutUs":5000000,"mostHeld":100},
@@ -33,40 +35,42 @@
 	"classes":[{"name":"look","promiseUs":20000000,"hardLimitUs":20000000,"effect":"repeatable"},
 	{"name":"pay","promiseUs":20000000,"hardLimitUs":20000000,"effect":"once"}]}}`
 
-// mustReplace replaces the first occurrence of old, which must exist.
-func mustReplace(t *testing.T, text, old, by string) string {
+// mustReplace returns text with the first occurrence of old replaced by replacement. It fails the
+// test if text does not contain old.
+func mustReplace(t *testing.T, text, old, replacement string) string {
 	t.Helper()
 	if !strings.Contains(text, old) {
-		t.Fatalf("no %q to replace", old)
+		t.Fatalf("the text to change does not contain %q: %s", old, text)
 	}
-	return strings.Replace(text, old, by, 1)
+	return strings.Replace(text, old, replacement, 1)
 }
 
-// withPolledDiscovery returns the configuration changed so that discovery is polled.
+// withPolledDiscovery returns the configuration text changed so that the sidecar polls discovery.
 func withPolledDiscovery(t *testing.T, text string) string {
 	t.Helper()
 	text = mustReplace(t, text, `"registryMode":"automatic"`, `"registryMode":"subscribe"`)
 	return mustReplace(t, text, `"drainGraceUs":2000000`, `"drainGraceUs":2000000,"askWithinUs":10000000`)
 }
 
-// fixture is what the consecutive processes of one sidecar share.
+// fixture is the environment that consecutive processes of one sidecar share.
 type fixture struct {
 	t          *testing.T
-	dir        string // TMPDIR
+	dir        string // value of TMPDIR, where processes find each other
 	configPath string
-	listen     string
+	listen     string // address for clients
 
 	discoveryAddr string
 }
 
-// newFixture prepares a sidecar with one server that answers "one".
+// newFixture returns the fixture of a sidecar with one server, which answers "one". No process is
+// started.
 func newFixture(t *testing.T, sockets int) *fixture {
 	t.Helper()
 	return newFixtureWithServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "one") }, sockets)
 }
 
-// newFixtureWithServer is newFixture with another server and changes to the configuration, as for
-// writeTestConfig.
+// newFixtureWithServer is newFixture with the given server, and with changes to the configuration as
+// writeTestConfig has them.
 func newFixtureWithServer(t *testing.T, server http.HandlerFunc, sockets int, changes ...string) *fixture {
 	t.Helper()
 	s := httptest.NewServer(server)
@@ -76,7 +80,8 @@
 	return f
 }
 
-// startProcess starts a process, which is killed when the test ends.
+// startProcess starts a process of the sidecar and doesn't wait until it is ready. The process is
+// killed when the test ends; if the test has failed, its log is printed.
 func (f *fixture) startProcess() *process {
 	f.t.Helper()
 	self, err := os.Executable()
@@ -93,13 +98,13 @@
 	f.t.Cleanup(func() {
 		p.Process.Kill()
 		if f.t.Failed() {
-			f.t.Logf("process %d:\n%s", p.Process.Pid, p.log)
+			f.t.Logf("log of process %d:\n%s", p.Process.Pid, p.log)
 		}
 	})
 	return p
 }
 
-// startReadyProcess starts a process and waits until it accepts clients.
+// startReadyProcess starts a process of the sidecar and waits until it accepts clients.
 func (f *fixture) startReadyProcess() *process {
 	f.t.Helper()
 	p := f.startProcess()
@@ -115,6 +120,7 @@
 	}
 }
 
+// configText returns the text of the configuration file.
 func (f *fixture) configText(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(f.configPath)
@@ -124,6 +130,7 @@
 	return string(text)
 }
 
+// getenv is an environment for loadConfig in which only the path of the configuration file is set.
 func (f *fixture) getenv(name string) string {
 	return map[string]string{"BALANCER_CONFIG": f.configPath}[name]
 }
--- a/cmd/sidecar/gauges.go
+++ b/cmd/sidecar/gauges.go
@@ -8,7 +8,7 @@
 	"martendrum/internal/peers"
 )
 
-// addGauges adds the metrics that are read from the parts of the process.
+// addGauges adds the gauges whose values are read from the parts of the process.
 func (p *sidecarProcess) addGauges() {
 	set, r := p.metrics, p.resources
 	host, server, pool, watcher := r.host, r.server, r.pool, p.watcher
@@ -31,28 +31,28 @@
 	set.Gauge("share", `of="memory_mb"`, func() float64 { return float64(r.currentQuota().MemoryMB) })
 }
 
-// addPeerGauges adds the metrics of the exchange with peers. They are NaN while there is no link.
+// addPeerGauges adds the gauges of the link to peers. Their values are NaN while there is no link.
 func (c *coordinator) addPeerGauges(metricSet *metrics.Set) {
 	fromNode := func(read func(now time.Duration, node *peers.Node) float64) func() float64 {
 		return func() float64 {
-			v := math.NaN()
-			c.withNode(func(now time.Duration, node *peers.Node) { v = read(now, node) })
-			return v
+			value := math.NaN()
+			c.withNode(func(now time.Duration, node *peers.Node) { value = read(now, node) })
+			return value
 		}
 	}
-	count := func(name, labels string, of func(peers.Stats) uint64) {
-		metricSet.Gauge(name, labels, fromNode(func(_ time.Duration, node *peers.Node) float64 { return float64(of(node.Stats())) }))
+	addCount := func(name, labels string, count func(peers.Stats) uint64) {
+		metricSet.Gauge(name, labels, fromNode(func(_ time.Duration, node *peers.Node) float64 { return float64(count(node.Stats())) }))
 	}
 	metricSet.Gauge("peers", `state="living"`, fromNode(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Living) }))
 	metricSet.Gauge("peers", `state="known"`, fromNode(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Known) }))
 	metricSet.Gauge("peers", `state="all"`, fromNode(func(now time.Duration, node *peers.Node) float64 { return float64(node.Count(now).Size) }))
 	metricSet.Gauge("peer_life", "", fromNode(func(_ time.Duration, node *peers.Node) float64 { return float64(node.Incarnation()) }))
 	metricSet.Gauge("peer_health", "", fromNode(func(_ time.Duration, node *peers.Node) float64 { return float64(node.Health()) }))
-	count("peer_bytes", `way="out"`, func(s peers.Stats) uint64 { return s.SentBytes })
-	count("peer_bytes", `way="in"`, func(s peers.Stats) uint64 { return s.ReceivedBytes })
-	count("peer_dropped", `why="damaged"`, func(s peers.Stats) uint64 { return s.Damaged })
-	count("peer_dropped", `why="refused"`, func(s peers.Stats) uint64 { return s.Rejected })
-	count("peer_dropped", `why="ceiling"`, func(s peers.Stats) uint64 { return s.Withheld })
+	addCount("peer_bytes", `way="out"`, func(s peers.Stats) uint64 { return s.SentBytes })
+	addCount("peer_bytes", `way="in"`, func(s peers.Stats) uint64 { return s.ReceivedBytes })
+	addCount("peer_dropped", `why="damaged"`, func(s peers.Stats) uint64 { return s.Damaged })
+	addCount("peer_dropped", `why="refused"`, func(s peers.Stats) uint64 { return s.Rejected })
+	addCount("peer_dropped", `why="ceiling"`, func(s peers.Stats) uint64 { return s.Withheld })
 	metricSet.Gauge("peer_dropped", `why="stranger"`, func() float64 {
 		if l := c.currentLink(); l != nil {
 			return float64(l.Counts().UnknownSenders)
--- a/cmd/sidecar/inprocess_test.go
+++ b/cmd/sidecar/inprocess_test.go
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// inProcessSidecar is a sidecar that runs in the test's own process.
+// inProcessSidecar is a sidecar that runs in the process of the test.
 type inProcessSidecar struct {
 	t          *testing.T
 	configPath string
-	listen     string
-	terminate  chan time.Time
-	hangup     chan os.Signal
-	exited     chan error // what run returned
+	listen     string         // address for clients
+	terminate  chan time.Time // in place of SIGTERM
+	hangup     chan os.Signal // in place of SIGHUP
+	exited     chan error     // receives the result of run
 	client     *http.Client
-	sent       int
+	sent       int // number of requests
 }
 
-// startInProcess starts a sidecar by a configuration text, with the address of discovery in the
-// environment as well.
+// startInProcess starts a sidecar with the given configuration text. BALANCER_DISCOVERY has the
+// address of discovery, which overrides that of the text.
 func startInProcess(t *testing.T, text, discoveryAddr string) *inProcessSidecar {
 	t.Helper()
 	s := &inProcessSidecar{
@@ -36,7 +36,7 @@
 		terminate:  make(chan time.Time, 1),
 		hangup:     make(chan os.Signal, 1),
 		exited:     make(chan error, 1),
-		client:     &http.Client{Timeout: patience, Transport: &http.Transport{}},
+		client:     &http.Client{Timeout: eventTimeout, Transport: &http.Transport{}},
 	}
 	s.writeConfig(text)
 	t.Setenv("BALANCER_CONFIG", s.configPath)
@@ -44,7 +44,7 @@
 	t.Setenv("BALANCER_LISTEN", "")
 	config, err := loadConfig(os.Getenv)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("loading the configuration: %v", err)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,10 +53,11 @@
 	s.listen = listener.Addr().String()
 	r := &resources{config: config, listeners: []*net.TCPListener{listener.(*net.TCPListener)}}
 	r.Limit(config.fullQuota())
-	go func() { s.exited <- run(config, r, nil, nil, signals{terminate: s.terminate, reload: s.hangup}) }()
+	go func() { s.exited <- run(config, r, nil, nil, signalChannels{terminate: s.terminate, reload: s.hangup}) }()
 	return s
 }
 
+// writeConfig replaces the configuration file.
 func (s *inProcessSidecar) writeConfig(text string) {
 	s.t.Helper()
 	if err := os.WriteFile(s.configPath, []byte(text), 0o600); err != nil {
@@ -64,15 +65,15 @@
 	}
 }
 
-// reload writes another configuration and signals it.
+// reload writes another configuration file and signals the sidecar to reload it. It doesn't wait.
 func (s *inProcessSidecar) reload(text string) {
 	s.t.Helper()
 	s.writeConfig(text)
 	s.hangup <- syscall.SIGHUP
 }
 
-// send makes one request and returns the status and body of its answer, or 0 and the error's
-// text.
+// send sends one request and returns the status and the body of the answer, or 0 and the text of the
+// error.
 func (s *inProcessSidecar) send(method, path string) (status int, body string) {
 	s.sent++
 	var requestBody io.Reader
@@ -89,11 +90,12 @@
 		return 0, err.Error()
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(text)
+	answer, _ := io.ReadAll(resp.Body)
+	return resp.StatusCode, string(answer)
 }
 
-// configHash returns the hash of the configuration in force, as the health response has it.
+// configHash returns the hash of the configuration in force from the health response, or the text
+// of the error.
 func (s *inProcessSidecar) configHash() string {
 	resp, err := s.client.Get("http://" + s.listen + "/_health")
 	if err != nil {
@@ -103,4 +105,5 @@
 	return resp.Header.Get(healthConfigHash)
 }
 
+// sha256Hex returns the SHA-256 of text in hexadecimal, as configHash returns it.
 func sha256Hex(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text))) }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// TestMain lets the test binary run as a sidecar, so that a test can start several processes.
+// TestMain runs the test binary as a sidecar if MARTENDRUM_TEST_CHILD is set, so that a test can
+// start several processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("MARTENDRUM_TEST_CHILD") != "" {
 		main()
@@ -18,11 +19,11 @@
 	os.Exit(m.Run())
 }
 
-// freeAddrs counts the addresses given out.
+// freeAddrs counts the addresses that freeAddr has returned.
 var freeAddrs atomic.Uint32
 
-// freeAddr returns an address at which no process listens. Each has an IP address of its own, so
-// that no other test's listener or outgoing connection can get its port before it is used.
+// freeAddr returns an address on which no process listens. Each call returns another loopback IP
+// address, so that no other listener or outgoing connection can take its port before it is used.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	n := freeAddrs.Add(1)
@@ -34,15 +35,16 @@
 	return ln.Addr().String()
 }
 
-// patience is how long a test waits for an expected event.
-const patience = 20 * time.Second
+// eventTimeout is the longest time that a test waits for an expected event.
+const eventTimeout = 20 * time.Second
 
-// eventually waits until ok returns true.
+// eventually waits until ok returns true, and fails the test after eventTimeout. what names the
+// event in the message, after "waiting for".
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for until := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(eventTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("waited in vain for " + what)
+			t.Fatalf("timed out after %v waiting for %s", eventTimeout, what)
 		}
 	}
 }
--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -16,71 +16,74 @@
 )
 
 const (
-	// listTimeout is how long a start waits at most for discovery's list of servers, since the
-	// list in its configuration may be outdated.
+	// listTimeout is the longest wait of a new process for discovery's list of servers before it
+	// accepts clients. It waits at all because the list in its configuration may be outdated.
 	listTimeout = 250 * time.Millisecond
-	// sweepInterval is how often connections to servers that have been idle for too long
-	// are closed.
+	// sweepInterval is how often the process closes connections to servers that have been idle
+	// for too long.
 	sweepInterval = 2 * time.Second
-	// retryInterval is how often a new process checks whether the old one has released
-	// an address.
+	// retryInterval is how often a process checks whether its predecessor has released an
+	// address.
 	retryInterval = 100 * time.Millisecond
 )
 
-// sidecarProcess is a running sidecar: its parts, and its links to the previous and the next process
-// of the same sidecar. The goroutine of serve owns it.
+// sidecarProcess is a running process of a sidecar: its parts, and its links to the previous and the
+// next process of the same sidecar. The goroutine that runs serve owns its fields.
 type sidecarProcess struct {
 	config      *config
 	resources   *resources
 	watcher     *discovery.Watcher
-	recorder    requestRecorder // nil: there is none
+	recorder    requestRecorder // idempotency store; nil: none
 	metrics     *metrics.Set
 	coordinator *coordinator
 
-	place       *link.Rendezvous     // of the hand-over; nil: processes don't hand over
-	predecessor *link.SuccessorEnd   // the process that this one takes over from; nil as place
+	rendezvous  *link.Rendezvous     // where processes find each other; nil: they don't hand over
+	predecessor *link.SuccessorEnd   // link to the process that this one takes over from; nil if rendezvous is nil
 	successor   *link.PredecessorEnd // offers the hand-over to the next process; nil until the predecessor has exited
 
-	// Events of the hand-over from the predecessor; nil without hand-over. alone is closed when no
-	// predecessor is left; resumedListeners brings the listeners of one that was suspended.
-	alone            <-chan struct{}
+	// Events of the hand-over from the predecessor; nil without hand-over. noPredecessor is closed
+	// when no predecessor is left. resumedListeners delivers the listeners of a predecessor that was
+	// suspended and has resumed. handoverFailed delivers the error that makes this process exit.
+	noPredecessor    <-chan struct{}
 	resumedListeners <-chan []*net.TCPListener
-	failed           <-chan error
+	handoverFailed   <-chan error
 
-	inheritedIDs *link.SharedTable // shared with the predecessor; nil: none
-	idsExpired   <-chan time.Time  // fires when inheritedIDs are not needed any more
+	inheritedIDs *link.SharedTable // request ids shared with the predecessor; nil: none
+	idsExpired   <-chan time.Time  // fires when inheritedIDs are not needed any more; nil until the predecessor has exited
 
-	listed      chan struct{} // signals that discovery has sent a list
-	listTimeout *time.Timer
-	acceptOnce  sync.Once
+	listed     chan struct{} // signals that discovery has sent a list
+	listTimer  *time.Timer   // fires at listTimeout
+	acceptOnce sync.Once     // used by accept
 }
 
-// newProcess returns a sidecarProcess whose parts are not created yet.
-func newProcess(c *config, r *resources, place *link.Rendezvous, predecessor *link.SuccessorEnd) *sidecarProcess {
+// newProcess returns a sidecarProcess whose parts are not created yet. rendezvous and predecessor are
+// nil where processes don't hand over.
+func newProcess(c *config, r *resources, rendezvous *link.Rendezvous, predecessor *link.SuccessorEnd) *sidecarProcess {
 	p := &sidecarProcess{
 		config:      c,
 		resources:   r,
-		place:       place,
+		rendezvous:  rendezvous,
 		predecessor: predecessor,
 		listed:      make(chan struct{}, 1),
 	}
 	if predecessor != nil {
-		p.alone, p.resumedListeners, p.failed = predecessor.Alone(), predecessor.LateListeners(), predecessor.Failed()
+		p.noPredecessor, p.resumedListeners, p.handoverFailed = predecessor.Alone(), predecessor.LateListeners(), predecessor.Failed()
 	}
 	return p
 }
 
-// sharesWithPredecessor reports whether a predecessor serves at the same time.
-func (p *sidecarProcess) sharesWithPredecessor() bool {
+// hasPredecessor reports whether this process started beside a predecessor, which may still serve.
+func (p *sidecarProcess) hasPredecessor() bool {
 	return p.predecessor != nil && p.predecessor.HasPredecessor()
 }
 
-// serve accepts clients and handles events until the process ends.
-func (p *sidecarProcess) serve(on signals) error {
-	p.listTimeout = time.NewTimer(listTimeout)
-	defer p.listTimeout.Stop()
-	if !p.sharesWithPredecessor() {
-		p.accept() // no other process accepts: clients would wait in the accept queue
+// serve accepts clients and handles events until the process ends: after a graceful shutdown, or with
+// the error of a failed hand-over.
+func (p *sidecarProcess) serve(signals signalChannels) error {
+	p.listTimer = time.NewTimer(listTimeout)
+	defer p.listTimer.Stop()
+	if !p.hasPredecessor() {
+		p.accept() // no other process accepts, so clients would wait in the accept queue
 	}
 	if p.config.pollsDiscovery {
 		p.becomeReady()
@@ -94,7 +97,7 @@
 		select {
 		case <-p.listed:
 			p.becomeReady()
-		case <-p.listTimeout.C:
+		case <-p.listTimer.C:
 			p.becomeReady()
 		case now := <-sweep.C:
 			p.resources.pool.Sweep(now)
@@ -102,14 +105,14 @@
 			p.resources.UnshareTable(p.inheritedIDs)
 		case listeners := <-p.resumedListeners:
 			p.takeOverListeners(listeners)
-		case <-p.alone:
-			p.continueAlone()
-		case err := <-p.failed:
+		case <-p.noPredecessor:
+			p.continueWithoutPredecessor()
+		case err := <-p.handoverFailed:
 			return err
-		case <-on.reload:
+		case <-signals.reload:
 			p.reload()
-		case signalledAt := <-on.terminate:
-			p.reloadPending(on.reload)
+		case signalledAt := <-signals.terminate:
+			p.reloadIfPending(signals.reload)
 			p.stop(signalledAt)
 			return nil
 		}
@@ -121,11 +124,12 @@
 	p.acceptOnce.Do(func() { p.resources.accept(p.resources.listeners) })
 }
 
-// followDiscovery starts to follow discovery, and signals each list on p.listed.
+// followDiscovery starts to follow the lists that discovery pushes, and signals each of them on
+// p.listed.
 func (p *sidecarProcess) followDiscovery() {
-	takeList := p.watcher.Listed
+	applyList := p.watcher.Listed
 	p.watcher.Listed = func(list *discovery.List) {
-		takeList(list)
+		applyList(list)
 		select {
 		case p.listed <- struct{}{}:
 		default:
@@ -134,16 +138,16 @@
 	go p.watcher.Follow()
 }
 
-// becomeReady restores what an earlier process had learned, and then makes this one accept clients.
-// Only the first call has an effect.
+// becomeReady restores the learned state of an earlier process, starts to accept clients, and reports
+// the process as ready. Only the first call has an effect.
 func (p *sidecarProcess) becomeReady() {
 	host := p.resources.host
 	if host.Ready() {
 		return
 	}
-	p.listTimeout.Stop()
-	if p.predecessor == nil || !p.warmUp() {
-		p.coordinator.warmUp()
+	p.listTimer.Stop()
+	if p.predecessor == nil || !p.restoreSnapshot() {
+		p.coordinator.restoreCheckpoint()
 	}
 	p.accept()
 	host.SetReady(true)
@@ -154,7 +158,8 @@
 }
 
 // takeOverListeners takes over the listeners of a predecessor that was suspended when this process
-// started, so that this one has opened a listener of its own, and that has resumed.
+// started and has resumed. Because the predecessor was suspended, this process has opened a listener
+// of its own; it accepts from all of them.
 func (p *sidecarProcess) takeOverListeners(listeners []*net.TCPListener) {
 	p.resources.setListeners(slices.Concat(listeners, p.resources.listeners))
 	p.inheritIDs()
@@ -165,12 +170,12 @@
 	}
 }
 
-// continueAlone takes over the full limits after the predecessor's exit, and prepares the hand-over to
-// a successor.
-func (p *sidecarProcess) continueAlone() {
-	p.alone = nil
+// continueWithoutPredecessor takes over the full limits after the predecessor's exit, or at once if
+// there was none, and offers the hand-over to a successor.
+func (p *sidecarProcess) continueWithoutPredecessor() {
+	p.noPredecessor = nil
 	select {
-	case listeners := <-p.resumedListeners: // the predecessor resumed, handed over and has exited
+	case listeners := <-p.resumedListeners: // the predecessor has resumed, handed over and exited
 		p.takeOverListeners(listeners)
 	default:
 	}
@@ -182,7 +187,7 @@
 	}
 	listen, host := c.listenAddr, r.host // p.config may change before the snapshot is taken
 	protocol := handover.NewPredecessor(listen, c.fullQuota(), func() []byte { return snapshot(listen, host) })
-	p.successor = link.NewPredecessorEnd(p.place, r.listeners, protocol, r)
+	p.successor = link.NewPredecessorEnd(p.rendezvous, r.listeners, protocol, r)
 	if p.recorder != nil && p.recorder.Lock() != nil {
 		p.successor.PassStoreLock(p.recorder.Lock())
 	}
@@ -191,15 +196,15 @@
 	}
 }
 
-// closeSuccessor ends the offer to a successor.
+// closeSuccessor withdraws the offer of a hand-over to a successor.
 func (p *sidecarProcess) closeSuccessor() {
 	if p.successor != nil {
 		p.successor.Close()
 	}
 }
 
-// inheritIDs shares the ids of open and recent requests with the predecessor, if there is one. They
-// stay known for idtable.EntryTTL after its exit.
+// inheritIDs shares the ids of open and recent requests with the predecessor, if there is one. The
+// predecessor's ids stay known for idtable.EntryTTL after its exit.
 func (p *sidecarProcess) inheritIDs() {
 	if p.predecessor == nil {
 		return
@@ -217,9 +222,9 @@
 	}
 }
 
-// reloadPending applies the file if a SIGHUP is pending, because the shutdown is planned by the
-// deadlines in force.
-func (p *sidecarProcess) reloadPending(reload <-chan os.Signal) {
+// reloadIfPending reloads the configuration if a SIGHUP is pending. It is called before a shutdown,
+// which is planned from the deadlines in force.
+func (p *sidecarProcess) reloadIfPending(reload <-chan os.Signal) {
 	select {
 	case <-reload:
 		p.reload()
@@ -227,7 +232,8 @@
 	}
 }
 
-// reload applies the configuration file again, completely or not at all.
+// reload reads the configuration file again and applies it completely, or not at all if it is
+// invalid.
 func (p *sidecarProcess) reload() {
 	r := p.resources
 	next, err := reloadConfig(os.Getenv, p.config)
@@ -247,7 +253,7 @@
 		p.successor.SetLimits(next.fullQuota())
 	case p.predecessor == nil:
 		r.Limit(next.fullQuota())
-	default: // the predecessor still divides the limits
+	default: // the predecessor still decides how the limits are divided
 		r.Limit(r.currentQuota())
 	}
 	r.server.SetHealth(healthConfigHash, next.fileHash)
@@ -258,9 +264,9 @@
 	next.logSettings("configuration applied")
 }
 
-// retryUntil calls done at each retryInterval until it returns true or stop is closed. It waits for
-// addresses that a predecessor has to release first.
-func retryUntil(stop <-chan struct{}, done func() bool) {
+// retryUntil calls try at each retryInterval until it returns true or stop is closed. Its callers
+// wait for an address that the predecessor has to release first.
+func retryUntil(stop <-chan struct{}, try func() bool) {
 	retry := time.NewTicker(retryInterval)
 	defer retry.Stop()
 	for {
@@ -269,7 +275,7 @@
 			return
 		case <-retry.C:
 		}
-		if done() {
+		if try() {
 			return
 		}
 	}
--- a/cmd/sidecar/process_test.go
+++ b/cmd/sidecar/process_test.go
@@ -15,33 +15,36 @@
 	"time"
 )
 
-// process is one sidecar process.
+// process is a sidecar that runs in a process of its own.
 type process struct {
 	*exec.Cmd
 	adminAddr string
-	log       *synchronizedBuffer
-	exited    chan error
+	log       *synchronizedBuffer // standard error
+	exited    chan error          // receives the result of Wait; who reads it puts it back
 }
 
 // synchronizedBuffer is a bytes.Buffer for concurrent use.
 type synchronizedBuffer struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards buffer
 	buffer bytes.Buffer
 }
 
-func (s *synchronizedBuffer) Write(p []byte) (int, error) {
+// Write implements io.Writer.
+func (s *synchronizedBuffer) Write(data []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.buffer.Write(p)
+	return s.buffer.Write(data)
 }
 
+// String returns all that was written.
 func (s *synchronizedBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buffer.String()
 }
 
-// adminStatus returns the status of the admin endpoint's answer, 0 if there is none.
+// adminStatus requests a path of the admin endpoint and returns the status of the answer, 0 if
+// there is none.
 func (p *process) adminStatus(path string) int {
 	c := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Get("http://" + p.adminAddr + path)
@@ -52,8 +55,7 @@
 	return resp.StatusCode
 }
 
-// socketQuota returns how many descriptors the process may hold, by its own metric; 0 if it
-// does not answer.
+// socketQuota returns the process's quota of descriptors from its metrics, 0 if it does not answer.
 func (p *process) socketQuota() (n int) {
 	c := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Get("http://" + p.adminAddr + "/api/telemetry")
@@ -68,7 +70,7 @@
 	return n
 }
 
-// waitSocketQuota waits until the process may hold so many descriptors.
+// waitSocketQuota waits until the process's quota of descriptors is sockets.
 func (p *process) waitSocketQuota(t *testing.T, sockets int) {
 	t.Helper()
 	eventually(t, fmt.Sprint("a quota of descriptors of ", sockets), func() bool { return p.socketQuota() == sockets })
@@ -77,51 +79,53 @@
 // waitReady waits until the process accepts clients.
 func (p *process) waitReady(t *testing.T) {
 	t.Helper()
-	eventually(t, "a process that takes clients", func() bool { return p.adminStatus("/api/ready") == http.StatusOK })
+	eventually(t, "the process to accept clients", func() bool { return p.adminStatus("/api/ready") == http.StatusOK })
 }
 
-// waitExit waits until the process has exited and returns its error.
+// waitExit waits until the process has exited and returns the error of Wait, nil for status 0.
 func (p *process) waitExit(t *testing.T) error {
 	t.Helper()
 	select {
 	case err := <-p.exited:
 		p.exited <- err
 		return err
-	case <-time.After(patience):
-		t.Fatal("the process did not end")
+	case <-time.After(eventTimeout):
+		t.Fatalf("the process did not exit within %v", eventTimeout)
 		return nil
 	}
 }
 
-// openDescriptors returns how many descriptors the process has open, 0 after its exit.
+// openDescriptors returns the number of descriptors that the process has open, 0 after its exit.
 func (p *process) openDescriptors() int {
 	names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	return len(names)
 }
 
-// metric returns the value of a metric by its full name, -1 if there is none.
+// metric returns the value of a metric, -1 if there is none. name includes the labels, but not the
+// prefix edge_balancer_.
 func (p *process) metric(t *testing.T, name string) float64 {
 	t.Helper()
 	resp, err := http.Get("http://" + p.adminAddr + "/api/telemetry")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the metric %s: %v", name, err)
 	}
 	defer resp.Body.Close()
-	for in := bufio.NewScanner(resp.Body); in.Scan(); {
-		if rest, ok := strings.CutPrefix(in.Text(), "edge_balancer_"+name+" "); ok {
-			var v float64
-			fmt.Sscan(rest, &v)
-			return v
+	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
+		if rest, ok := strings.CutPrefix(lines.Text(), "edge_balancer_"+name+" "); ok {
+			var value float64
+			fmt.Sscan(rest, &value)
+			return value
 		}
 	}
 	return -1
 }
 
-// reloadConfig writes a new file and waits until the process has applied or rejected it.
+// reloadConfig writes a new configuration file, signals the process to reload it, and waits until the
+// process has applied or rejected it.
 func (p *process) reloadConfig(t *testing.T, f *fixture, text string) {
 	t.Helper()
 	before := p.metric(t, "config_applied") + p.metric(t, "config_rejected")
 	f.writeConfig(t, text)
 	p.Process.Signal(syscall.SIGHUP)
-	eventually(t, "the file to be applied or rejected", func() bool { return p.metric(t, "config_applied")+p.metric(t, "config_rejected") == before+1 })
+	eventually(t, "the new configuration file to be applied or rejected", func() bool { return p.metric(t, "config_applied")+p.metric(t, "config_rejected") == before+1 })
 }
--- a/cmd/sidecar/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Processes that start together are ready in time, even if discovery never answers or a predecessor
-// is suspended.
+// TestReadyWithoutDependencies checks that processes that start at the same time are ready in time
+// even if discovery never answers, and also if their predecessors are suspended.
 func TestReadyWithoutDependencies(t *testing.T) {
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(silent.Close)
-	const maxReady = 10 * time.Second
+	const maxStart = 10 * time.Second
 	var all sync.WaitGroup
 	for n := range 8 {
 		f := newFixture(t, 256)
@@ -24,14 +24,14 @@
 		}
 		f.writeConfig(t, text)
 		if n >= 4 {
-			old := f.startReadyProcess()
-			old.Process.Signal(syscall.SIGSTOP)
+			predecessor := f.startReadyProcess()
+			predecessor.Process.Signal(syscall.SIGSTOP)
 		}
 		all.Go(func() {
-			began := time.Now()
+			started := time.Now()
 			f.startReadyProcess()
-			if took := time.Since(began); took > maxReady {
-				t.Errorf("process %d was ready after %v", n, took)
+			if took := time.Since(started); took > maxStart {
+				t.Errorf("process %d was ready after %v, want at most %v", n, took, maxStart)
 			}
 		})
 	}
--- a/cmd/sidecar/record.go
+++ b/cmd/sidecar/record.go
@@ -18,21 +18,21 @@
 	"martendrum/internal/settings"
 )
 
-// recordOpenTimeout bounds the opening of the store at the start.
+// recordOpenTimeout is the longest time that the store may take to open at the start.
 const recordOpenTimeout = 30 * time.Second
 
-// recordPingTimeout bounds the check of the store at the start. The sidecar starts while the
-// store is unavailable, but not with one that is unusable.
+// recordPingTimeout is the longest time that the check of the store may take at the start. The
+// sidecar starts even if the store is unavailable, but not if it is unusable or read-only.
 const recordPingTimeout = time.Second
 
-// recordConfig is the operator's file of the idempotency store, with the recorder's configuration
-// for this sidecar.
+// recordConfig is the configuration of the idempotency store from the file that MARTENDRUM_RECORD
+// names, with the recorder's configuration for this sidecar.
 type recordConfig struct {
 	*storeconfig.Config
 	recorder recorder.Config
 }
 
-// Sockets returns how many descriptors the store uses at most.
+// Sockets returns the largest number of descriptors that the store uses, 0 without a store.
 func (c *recordConfig) Sockets() int {
 	if c == nil {
 		return 0
@@ -40,7 +40,8 @@
 	return c.Config.MaxDescriptors()
 }
 
-// loadRecord reads the store's file; sockets is how many descriptors the store may use.
+// loadRecord reads the store's configuration file; sockets is the number of descriptors that the
+// store may use.
 func loadRecord(path string, set *settings.Settings, sockets int) (*recordConfig, error) {
 	c, err := storeconfig.Load(path)
 	if err != nil {
@@ -50,8 +51,8 @@
 	return &recordConfig{c, recorderConfig}, err
 }
 
-// openRecord opens the idempotency store; nil if there is none. lock is its ownership if a predecessor
-// has handed that over.
+// openRecord opens the idempotency store. It returns nil if none is configured. lock is the open lock
+// file of the store if a predecessor has handed it over, else nil.
 func openRecord(c *config, lock *os.File) (requestRecorder, error) {
 	if c.record == nil {
 		return nil, nil
--- a/cmd/sidecar/recorder.go
+++ b/cmd/sidecar/recorder.go
@@ -9,16 +9,18 @@
 	"martendrum/internal/sidecar"
 )
 
-// recordFlushTimeout bounds the writing of the last results of requests. It fits between the last
-// response and SIGKILL.
+// recordFlushTimeout is the longest time that a stopping process spends on writing the last results
+// of requests. It fits between the last response and the supervisor's SIGKILL.
 const recordFlushTimeout = 200 * time.Millisecond
 
-// requestRecorder is the idempotency store of a build that has one, see record.go.
+// requestRecorder is the idempotency store of a build that has one. record.go implements openRecord,
+// which returns it.
 type requestRecorder interface {
 	sidecar.Recorder
 	// Status returns the state of the store, for health responses.
 	Status() string
-	// Lock returns the ownership that a successor needs to use the store at the same time; nil: none.
+	// Lock returns the open lock file that a successor needs to use the store at the same time; nil
+	// if the store needs no lock.
 	Lock() *os.File
 	// Close writes buffered results until ctx ends, and closes the store.
 	Close(ctx context.Context) error
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -8,58 +8,60 @@
 	"time"
 )
 
-// A request that is open when its class changes from unsafe to safe is not sent again
-// when its connection breaks, one that comes later is. Added classes are served,
-// dropped ones are not, and come back to their counts.
+// TestReloadKeepsClassOfOpenRequests checks that a request keeps the class that it had on its
+// arrival: if a reload changes the class from non-idempotent to idempotent, a request that is open
+// is not sent again when its connection breaks, while a later one is. Added classes are served and
+// dropped ones are not. A dropped class that a reload adds again continues its counters.
 func TestReloadKeepsClassOfOpenRequests(t *testing.T) {
 	f := newFixture(t, 256)
-	came, let := make(chan struct{}, 100), make(chan struct{})
-	addr, ran := resettingServer(t, came, let)
+	arrived, release := make(chan struct{}, 100), make(chan struct{})
+	addr, received := resettingServer(t, arrived, release)
 	text := mustReplace(t, f.configText(t), f.discoveryAddr, oneServerDiscovery(t, 9, "breaks", addr))
 	f.writeConfig(t, text)
 	p := f.startProcess()
 	p.waitReady(t)
-	open := make(chan int, 1)
-	go func() { open <- sendRequest(t, f.listen, http.MethodPost, "/pay") }()
-	<-came
+	status := make(chan int, 1)
+	go func() { status <- sendRequest(t, f.listen, http.MethodPost, "/pay") }()
+	<-arrived
 	p.reloadConfig(t, f, mustReplace(t, mustReplace(t, text, `"once"`, `"repeatable"`), `"name":"look"`, `"name":"seen"`))
 	if n := p.metric(t, "config_applied"); n != 1 {
-		t.Fatalf("%v files applied", n)
+		t.Fatalf("after the reload: got config_applied %v, want 1", n)
 	}
-	close(let)
-	if got := <-open; got != http.StatusBadGateway || ran.Load() != 1 {
-		t.Errorf("the open request was answered %d after %d runs", got, ran.Load())
+	close(release)
+	if got := <-status; got != http.StatusBadGateway || received.Load() != 1 {
+		t.Errorf("request open at the reload: got status %d after %d attempts, want 502 after 1", got, received.Load())
 	}
 	if got := sendRequest(t, f.listen, http.MethodPost, "/pay"); got != http.StatusMethodNotAllowed {
-		t.Errorf("the old method of a changed class: %d", got)
+		t.Errorf("POST to the class that now wants GET: got status %d, want 405", got)
 	}
 	if got := sendRequest(t, f.listen, http.MethodGet, "/look"); got != http.StatusNotFound {
-		t.Errorf("a dropped class: %d", got)
+		t.Errorf("request of a dropped class: got status %d, want 404", got)
 	}
-	if sendRequest(t, f.listen, http.MethodGet, "/seen"); ran.Load() < 2 {
-		t.Error("a new class was not sent")
+	if sendRequest(t, f.listen, http.MethodGet, "/seen"); received.Load() < 2 {
+		t.Error("request of an added class did not reach the server")
 	}
 	p.reloadConfig(t, f, text)
 	if got := sendRequest(t, f.listen, http.MethodGet, "/seen"); got != http.StatusNotFound {
-		t.Errorf("a class dropped again: %d", got)
+		t.Errorf("request of a class that was added and dropped: got status %d, want 404", got)
 	}
 	if n := p.metric(t, `responses{kind="pay",result="errors"}`); n != 1 {
-		t.Errorf("%v failures counted", n)
+		t.Errorf("got %v failed requests of the class pay in the metrics, want 1", n)
 	}
 }
 
-// A broken file changes nothing, and the log names its place.
+// TestBrokenFileChangesNothing checks that a reload rejects an invalid configuration file
+// completely: the error names the field that is wrong, and requests are served as before.
 func TestBrokenFileChangesNothing(t *testing.T) {
 	f := newFixture(t, 256)
 	p := f.startProcess()
 	p.waitReady(t)
 	good := f.configText(t)
-	force, err := loadConfig(f.getenv)
+	inForce, err := loadConfig(f.getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	deadline, cap := `"hardLimitUs":20000000,"effect":"once"`, `"attemptsCap":3`
-	for n, c := range []struct{ text, names string }{
+	deadline, attempts := `"hardLimitUs":20000000,"effect":"once"`, `"attemptsCap":3`
+	for n, invalid := range []struct{ text, wantError string }{
 		{"", "JSON"},
 		{good[:len(good)/2], "JSON"},
 		{"[]", "JSON"},
@@ -67,12 +69,12 @@
 		{mustReplace(t, good, `"seed":"1f",`, `"seed":"1f","known":5,`), "known"},
 		{mustReplace(t, good, `"limits":{"cores":4,"memory_mb":512,"sockets":256},`, ""), "limits"},
 		{mustReplace(t, good, `"sockets":256`, `"sockets":2`), "sockets"},
-		{mustReplace(t, good, cap+",", ""), "attemptsCap"},
-		{mustReplace(t, good, cap, `"attemptsCap":0`), "attemptsCap"},
-		{mustReplace(t, good, cap, `"attemptsCap":-1`), "attemptsCap"},
-		{mustReplace(t, good, cap, `"attemptsCap":2.5`), "attemptsCap"},
-		{mustReplace(t, good, cap, `"attemptsCap":null`), "attemptsCap"},
-		{mustReplace(t, good, cap, `"attemptsCap":"4"`), "attemptsCap"},
+		{mustReplace(t, good, attempts+",", ""), "attemptsCap"},
+		{mustReplace(t, good, attempts, `"attemptsCap":0`), "attemptsCap"},
+		{mustReplace(t, good, attempts, `"attemptsCap":-1`), "attemptsCap"},
+		{mustReplace(t, good, attempts, `"attemptsCap":2.5`), "attemptsCap"},
+		{mustReplace(t, good, attempts, `"attemptsCap":null`), "attemptsCap"},
+		{mustReplace(t, good, attempts, `"attemptsCap":"4"`), "attemptsCap"},
 		{mustReplace(t, good, `"mostHeld":100`, `"mostheld_":100`), "mostHeld"},
 		{mustReplace(t, good, deadline, `"effect":"once"`), "hardLimitUs"},
 		{mustReplace(t, good, deadline, `"hardLimitUs":0,"effect":"once"`), "hardLimitUs"},
@@ -84,65 +86,65 @@
 		{mustReplace(t, good, `"name":"pay"`, `"name":""`), "name"},
 		{mustReplace(t, good, `"guarantees":{"drainGraceUs":2000000,"coldFrom":1},`, ""), "guarantees"},
 	} {
-		p.reloadConfig(t, f, c.text)
+		p.reloadConfig(t, f, invalid.text)
 		if got := p.metric(t, "config_rejected"); got != float64(n+1) {
-			t.Fatalf("case %d was taken: %s", n, c.text)
+			t.Fatalf("case %d: got config_rejected %v after the reload, want %d; file: %s", n, got, n+1, invalid.text)
 		}
-		if _, err := reloadConfig(f.getenv, force); err == nil || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("case %d: %v, want it to name %s", n, err, c.names)
+		if _, err := reloadConfig(f.getenv, inForce); err == nil || !strings.Contains(err.Error(), invalid.wantError) {
+			t.Errorf("case %d: got error %v, want one that contains %q", n, err, invalid.wantError)
 		}
 		for _, path := range []string{"/look", "/pay"} {
 			method := map[string]string{"/look": http.MethodGet, "/pay": http.MethodPost}[path]
 			if got := sendRequest(t, f.listen, method, path); got != http.StatusOK {
-				t.Errorf("case %d: %s answered %d", n, path, got)
+				t.Errorf("case %d: %s %s after the rejected reload: got status %d, want 200", n, method, path, got)
 			}
 		}
 	}
 	if n := p.metric(t, "config_applied"); n != 0 {
-		t.Errorf("%v files applied", n)
+		t.Errorf("got config_applied %v after reloads of invalid files only, want 0", n)
 	}
 }
 
-// A reload follows the discovery that the file names now, though the environment still names
-// the old one, and loses no request. A file that can't be read changes nothing. A stop answers
-// the requests that are open.
+// TestReloadAndStop checks that a sidecar follows the discovery that a new file names, although the
+// environment still has the address of the old one, and that no request fails meanwhile. A file
+// that can't be parsed changes nothing. At a stop, requests that are open are answered.
 func TestReloadAndStop(t *testing.T) {
 	arrived, hold := make(chan struct{}, 1), make(chan struct{})
 	first := oneServerDiscovery(t, 50, "s1", startNamedServer(t, "one", arrived, hold))
 	second := oneServerDiscovery(t, 3, "s2", startNamedServer(t, "two", arrived, hold))
 	s := startInProcess(t, fmt.Sprintf(testConfigFormat, first), first)
-	eventually(t, "ready", func() bool { status, _ := s.send("GET", "/_health"); return status == http.StatusOK })
+	eventually(t, "the sidecar to be ready", func() bool { status, _ := s.send("GET", "/_health"); return status == http.StatusOK })
 	eventually(t, "an answer of the first server", func() bool { _, body := s.send("GET", "/look"); return body == "one" })
 	if got := s.configHash(); got != sha256Hex(fmt.Sprintf(testConfigFormat, first)) {
-		t.Errorf("the health response reports the configuration %s", got)
+		t.Errorf("hash of the configuration in the health response: got %s, want that of the first file", got)
 	}
 
 	s.reload("{")
-	eventually(t, "the reload of a bad file", func() bool { return len(s.hangup) == 0 })
+	eventually(t, "the reload of an invalid file to start", func() bool { return len(s.hangup) == 0 })
 	if status, body := s.send("GET", "/look"); status != http.StatusOK || body != "one" {
-		t.Errorf("after a bad file: %d %q", status, body)
+		t.Errorf("GET /look after the reload of an invalid file: got %d %q, want 200 \"one\"", status, body)
 	}
 	if got := s.configHash(); got != sha256Hex(fmt.Sprintf(testConfigFormat, first)) {
-		t.Errorf("after a bad file the health response reports the configuration %s", got)
+		t.Errorf("hash of the configuration after the reload of an invalid file: got %s, want that of the first file", got)
 	}
 
 	s.reload(fmt.Sprintf(testConfigFormat, second))
 	eventually(t, "an answer of the second server", func() bool {
 		status, body := s.send("GET", "/look")
 		if status != http.StatusOK {
-			t.Errorf("a request failed at the reload: %d %q", status, body)
+			t.Errorf("GET /look during the reload: got %d %q, want status 200", status, body)
 		}
 		return body == "two"
 	})
 	if got := s.configHash(); got != sha256Hex(fmt.Sprintf(testConfigFormat, second)) {
-		t.Errorf("after the reload the health response reports the configuration %s", got)
+		t.Errorf("hash of the configuration after the reload: got %s, want that of the second file", got)
 	}
 
 	s.stopWithOpenRequest(arrived, hold)
 }
 
-// stopWithOpenRequest terminates the sidecar while a server holds a request, and checks that the
-// request is answered by the second server and that the sidecar ends.
+// stopWithOpenRequest terminates the sidecar while the second server holds a request, and checks
+// that the request is answered and that the sidecar ends.
 func (s *inProcessSidecar) stopWithOpenRequest(arrived <-chan struct{}, hold chan<- struct{}) {
 	s.t.Helper()
 	type answer struct {
@@ -156,21 +158,21 @@
 	}()
 	select {
 	case <-arrived:
-	case <-time.After(patience):
-		s.t.Fatal("the request never came to the server")
+	case <-time.After(eventTimeout):
+		s.t.Fatalf("the request did not reach the server within %v", eventTimeout)
 	}
 	s.terminate <- time.Now()
-	eventually(s.t, "the stop", func() bool { return len(s.terminate) == 0 })
+	eventually(s.t, "the sidecar to start its shutdown", func() bool { return len(s.terminate) == 0 })
 	close(hold)
 	if got := <-answers; got != (answer{http.StatusOK, "two"}) {
-		s.t.Errorf("the request open at the stop was answered %v", got)
+		s.t.Errorf("request open at the stop: got %v, want status 200 and body \"two\"", got)
 	}
 	select {
 	case err := <-s.exited:
 		if err != nil {
-			s.t.Error(err)
+			s.t.Errorf("run returned %v, want nil", err)
 		}
-	case <-time.After(patience):
-		s.t.Error("it did not end")
+	case <-time.After(eventTimeout):
+		s.t.Errorf("the sidecar did not end within %v", eventTimeout)
 	}
 }
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// reservedSockets is the number of descriptors reserved for the listener, discovery,
+	// reservedSockets is the number of descriptors that are reserved for the listener, discovery,
 	// the runtime and the log.
 	reservedSockets = 24
-	// unknownResidentMB is assumed if the resident memory can't be read.
+	// unknownResidentMB is the resident memory that is assumed if it can't be read.
 	unknownResidentMB = 1 << 10
 )
 
-// resources keeps the parts of a process within its quota of the limits. Two processes divide the
-// limits during a hand-over. It implements link.Host.
+// resources keeps the parts of a process within its quota, the share of the configured limits that it
+// may use. Two processes divide the limits during a hand-over. It implements link.Host.
 type resources struct {
 	mu     sync.Mutex
 	config *config
-	quota  handover.Quota
+	quota  handover.Quota // in force
 
 	// Set once, by createParts; nil before.
 	pool   *upstream.Pool
@@ -41,10 +41,11 @@
 
 	listeners []*net.TCPListener
 	accepting sync.WaitGroup // the loops that accept from listeners
-	stopping  bool
+	stopping  bool           // set when the process terminates
 }
 
-// fullQuota returns all that the sidecar may use by its configuration.
+// fullQuota returns the quota of a process that has the configured limits to itself. The limit of
+// requests in flight is math.MaxInt32 if none is configured.
 func (c *config) fullQuota() handover.Quota {
 	inFlight := c.settings.MaxInFlight
 	if inFlight == 0 {
@@ -53,8 +54,8 @@
 	return handover.Quota{Sockets: c.sockets, MemoryMB: c.memoryMB, InFlight: inFlight}
 }
 
-// reservedDescriptors returns how many descriptors of a quota connections of clients and servers
-// can't use.
+// reservedDescriptors returns the number of descriptors of a quota that are not available to
+// connections from clients and to servers.
 func (c *config) reservedDescriptors() int {
 	n := reservedSockets + c.record.Sockets()
 	if c.adminAddr != "" {
@@ -63,7 +64,7 @@
 	return n
 }
 
-// applyQuota sets the limits of the Go runtime and returns those of the process's parts.
+// applyQuota sets the limits of the Go runtime and returns the limits of the process's parts.
 func (c *config) applyQuota(quota handover.Quota) (upstream.Config, downstream.Config) {
 	memory := int64(quota.MemoryMB) << 20
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.cores))))
@@ -82,7 +83,7 @@
 	return upstreamConfig, downstreamConfig
 }
 
-// createParts creates the parts under the quota in force.
+// createParts creates the pool, the server and the host under the quota in force.
 func (r *resources) createParts(watcher *discovery.Watcher) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +99,8 @@
 	return nil
 }
 
-// Limit implements link.Host.
+// Limit implements link.Host. If the quota has fewer descriptors than before, Limit closes surplus
+// connections that are not in use, unless the process terminates.
 func (r *resources) Limit(quota handover.Quota) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,12 +112,12 @@
 		r.server.Limit(downstreamConfig)
 		r.host.Limit(quota.InFlight, r.config.fullQuota().InFlight)
 	}
-	if fewerSockets && r.pool != nil && !r.stopping { // a terminating process closes no connection for its quota
+	if fewerSockets && r.pool != nil && !r.stopping { // a terminating process doesn't close connections to meet its quota
 		r.server.Trim()
 		r.pool.Trim()
 		debug.FreeOSMemory()
 	}
-	slog.Info("share of the limits", "sockets", quota.Sockets, "memory_mb", quota.MemoryMB, "held", quota.InFlight)
+	slog.Info("quota of the limits set", "sockets", quota.Sockets, "memory_mb", quota.MemoryMB, "held", quota.InFlight)
 }
 
 // currentQuota returns the quota in force.
@@ -125,7 +127,7 @@
 	return r.quota
 }
 
-// setConfig replaces the configuration. Its limits come into force with the next call of Limit.
+// setConfig replaces the configuration. The new limits come into force with the next call of Limit.
 func (r *resources) setConfig(c *config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,19 +148,21 @@
 	}
 }
 
-// StopAccepting implements link.Host.
+// StopAccepting implements link.Host. It closes the listeners and waits until the accept loops have
+// returned.
 func (r *resources) StopAccepting() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, listener := range r.listeners {
 		listener.Close()
 	}
-	// When this returns, every accepted connection is registered with the server and is counted
-	// by used.
+	// Once the loops have returned, every accepted connection is registered with the server, so that
+	// used counts it.
 	r.accepting.Wait()
 }
 
-// ShareTable implements link.Host.
+// ShareTable implements link.Host. It shares the ids of requests, and the number of requests in
+// flight if the table counts them.
 func (r *resources) ShareTable(ids *link.SharedTable) {
 	r.server.ShareIDs(ids)
 	if ids.CountsInFlight() {
@@ -179,18 +183,19 @@
 	r.stopping = true
 }
 
-// used returns what the process still uses of its quota.
+// used returns how much of its quota the process still uses.
 func (r *resources) used() handover.Quota {
 	return handover.Quota{
-		// A request on a client's connection needs another connection, to a server.
+		// A request on a client's connection needs a second connection, to a server.
 		Sockets:  r.config.reservedDescriptors() + 2*max(r.server.Conns(), r.pool.Conns()),
 		MemoryMB: residentMB(),
-		// Each client connection may bring a request, which only a shared tally would count.
+		// Each client connection may still send a request, which only a shared tally would count.
 		InFlight: max(r.host.InFlight(), r.server.Conns()),
 	}
 }
 
-// residentMB returns the resident memory of the process in MB, rounded up.
+// residentMB returns the resident memory of the process in MiB, rounded up, or unknownResidentMB if
+// it can't be read.
 func residentMB() int {
 	data, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/cmd/sidecar/seams_off.go
+++ b/cmd/sidecar/seams_off.go
@@ -8,8 +8,8 @@
 	"martendrum/internal/shutdown"
 )
 
-// Only a build with the tag seams can break a rule on purpose: here each seam is what it
-// gets.
+// A seam is a place where a build with the tag seams can break a rule on purpose, see seams_on.go. In
+// this build, each seam returns its argument unchanged.
 
 func seamHandler(handler downstream.Handler) downstream.Handler { return handler }
 
--- a/cmd/sidecar/seams_on.go
+++ b/cmd/sidecar/seams_on.go
@@ -14,25 +14,27 @@
 	"martendrum/internal/shutdown"
 )
 
-// A build with the tag seams breaks the rules that MARTENDRUM_SEAMS names, to show that the process
-// tests detect it. Releases are built without the tag.
+// Names of seams. A seam is a place where a build with the tag seams can break a rule on purpose.
+// It breaks the rules that MARTENDRUM_SEAMS lists, to show that the process tests detect it.
+// Releases are built without the tag.
 const (
-	seamDelayedShutdown = "late-stop"    // a shutdown is planned as if the deadlines were longer
-	seamDeafToDrain     = "deaf-drain"   // draining and removed servers stay on the list
-	seamDeadlines       = "no-deadlines" // the deadlines that clients state are ignored
+	seamDelayShutdown   = "late-stop"    // plan a shutdown as if the deadlines were longer
+	seamIgnoreDrain     = "deaf-drain"   // keep draining and removed servers on the list
+	seamIgnoreDeadlines = "no-deadlines" // ignore the deadlines that clients send
 )
 
-// shutdownDelay is by how much seamDelayedShutdown delays the planned end of the process.
+// shutdownDelay is how much later a shutdown is planned to end under seamDelayShutdown.
 const shutdownDelay = time.Hour
 
-// seam reports whether MARTENDRUM_SEAMS contains a name.
-func seam(name string) bool {
+// isSeamOn reports whether the comma-separated list in MARTENDRUM_SEAMS contains name.
+func isSeamOn(name string) bool {
 	return slices.Contains(strings.Split(os.Getenv("MARTENDRUM_SEAMS"), ","), name)
 }
 
-// seamListed returns the callback for lists of servers, without draining entries if the seam is on.
+// seamListed returns the callback for lists of servers. If seamIgnoreDrain is on, the callback drops
+// entries that are not serving and treats each list as incomplete, so that removed servers stay.
 func seamListed(listed func(*discovery.List)) func(*discovery.List) {
-	if !seam(seamDeafToDrain) {
+	if !isSeamOn(seamIgnoreDrain) {
 		return listed
 	}
 	return func(list *discovery.List) {
@@ -42,27 +44,28 @@
 	}
 }
 
-// seamPlan returns the plan of a shutdown, delayed if the seam is on.
+// seamPlan returns the plan of a shutdown, delayed if seamDelayShutdown is on.
 func seamPlan(plan shutdown.Plan) shutdown.Plan {
-	if seam(seamDelayedShutdown) {
+	if isSeamOn(seamDelayShutdown) {
 		plan.AnswerAll, plan.End = plan.AnswerAll+shutdownDelay, plan.End+shutdownDelay
 	}
 	return plan
 }
 
-// deafHandler ignores the deadlines of clients.
-type deafHandler struct{ downstream.Handler }
+// deadlineIgnorer is a handler that ignores the deadlines of clients.
+type deadlineIgnorer struct{ downstream.Handler }
 
-// Arrive implements downstream.Handler.
-func (d deafHandler) Arrive(x *downstream.Exchange) {
-	x.Wait = 0
-	d.Handler.Arrive(x)
+// Arrive implements downstream.Handler. It removes the deadline from the request.
+func (d deadlineIgnorer) Arrive(exchange *downstream.Exchange) {
+	exchange.Wait = 0
+	d.Handler.Arrive(exchange)
 }
 
-// seamHandler returns the handler of clients' requests, without their deadlines if the seam is on.
+// seamHandler returns the handler of clients' requests, which ignores their deadlines if
+// seamIgnoreDeadlines is on.
 func seamHandler(handler downstream.Handler) downstream.Handler {
-	if seam(seamDeadlines) {
-		return deafHandler{handler}
+	if isSeamOn(seamIgnoreDeadlines) {
+		return deadlineIgnorer{handler}
 	}
 	return handler
 }
--- a/cmd/sidecar/snapshot.go
+++ b/cmd/sidecar/snapshot.go
@@ -8,8 +8,8 @@
 	"martendrum/internal/sidecar"
 )
 
-// snapshot returns what this process has learned in encoded form, for the next process; nil if it
-// can't be encoded.
+// snapshot returns the learned state of host in encoded form, for the next process of the sidecar
+// at the address listen. If the state can't be encoded, snapshot logs that and returns nil.
 func snapshot(listen string, host *sidecar.Host) []byte {
 	data, err := handover.EncodeSnapshot(handover.Snapshot{Listen: listen, SavedAt: clock.Wall().UnixNano(), Learned: host.Learned()})
 	if err != nil {
@@ -19,24 +19,25 @@
 	return data
 }
 
-// saveSnapshot stores what this process has learned, for a process that starts later.
+// saveSnapshot stores the learned state of this process in a file, for a process that starts later.
 func (p *sidecarProcess) saveSnapshot() {
-	if err := p.place.SaveSnapshot(snapshot(p.config.listenAddr, p.resources.host)); err != nil {
+	if err := p.rendezvous.SaveSnapshot(snapshot(p.config.listenAddr, p.resources.host)); err != nil {
 		slog.Warn("learned state not stored", "err", err)
 	}
 }
 
-// warmUp restores what the previous process had learned, from its hand-over or from the stored file,
-// and reports whether there was any. An unusable snapshot is logged and ignored.
-func (p *sidecarProcess) warmUp() bool {
-	data, from := p.predecessor.Snapshot(), "the old process"
-	if len(data) == 0 && p.place.Locked() {
+// restoreSnapshot restores the learned state of the previous process, from its hand-over or else
+// from the stored file if this process holds the lock, and reports whether it restored any. An
+// unusable snapshot is logged and ignored.
+func (p *sidecarProcess) restoreSnapshot() bool {
+	data, from := p.predecessor.Snapshot(), "the running predecessor"
+	if len(data) == 0 && p.rendezvous.Locked() {
 		var err error
-		if data, err = p.place.LoadSnapshot(); err != nil {
+		if data, err = p.rendezvous.LoadSnapshot(); err != nil {
 			slog.Warn("cold start", "err", err)
 			return false
 		}
-		from = "a process that has ended"
+		from = "the stored snapshot"
 	}
 	if len(data) == 0 {
 		return false
--- a/cmd/sidecar/standins_test.go
+++ b/cmd/sidecar/standins_test.go
@@ -14,12 +14,12 @@
 	"martendrum/internal/standin/tcp"
 )
 
-// startNamedServer starts a server that answers with its name. It reports a request to /pay on came and
-// answers it once hold is closed.
-func startNamedServer(t *testing.T, name string, came chan<- struct{}, hold <-chan struct{}) string {
+// startNamedServer starts a server that answers with its name, and returns its address. The server
+// signals each request to /pay on arrived and answers it once hold is closed.
+func startNamedServer(t *testing.T, name string, arrived chan<- struct{}, hold <-chan struct{}) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
-			came <- struct{}{}
+			arrived <- struct{}{}
 			<-hold
 		}
 		io.WriteString(w, name)
@@ -28,7 +28,8 @@
 	return s.Listener.Addr().String()
 }
 
-// oneServerDiscovery starts a discovery that lists one server and keeps its watches open.
+// oneServerDiscovery starts a discovery that lists one server and keeps its watches open. index is
+// the index of the list. The function returns the address of discovery.
 func oneServerDiscovery(t testing.TB, index int, name, addr string) string {
 	end := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -52,20 +53,22 @@
 	return s.Listener.Addr().String()
 }
 
-// resettingServer starts a server that counts requests, reports each on came, and breaks its
-// connection once let is closed.
-func resettingServer(t *testing.T, came chan<- struct{}, let <-chan struct{}) (addr string, ran *atomic.Int64) {
+// resettingServer starts a server that counts requests, signals each on arrived, and breaks its
+// connection without an answer once release is closed. It returns the address of the server and the
+// count.
+func resettingServer(t *testing.T, arrived chan<- struct{}, release <-chan struct{}) (addr string, received *atomic.Int64) {
 	t.Helper()
-	ran = new(atomic.Int64)
+	received = new(atomic.Int64)
 	return tcp.Requests(t, func(int, int, net.Conn, *http.Request) bool {
-		ran.Add(1)
-		came <- struct{}{}
-		<-let
+		received.Add(1)
+		arrived <- struct{}{}
+		<-release
 		return false
-	}), ran
+	}), received
 }
 
-// staticDiscovery starts a discovery that writes one list to each watch and keeps it open.
+// staticDiscovery starts a discovery that writes one list to each watch and keeps the watch open
+// without writing again. It returns the address of discovery.
 func staticDiscovery(t *testing.T, list string) string {
 	t.Helper()
 	end := make(chan struct{})
@@ -84,14 +87,15 @@
 	return s.Listener.Addr().String()
 }
 
-// changingDiscovery is a discovery that can become unavailable, which ends its watches, and
-// available again with another list.
+// changingDiscovery is a discovery whose list can change and that can be unavailable. Each call of
+// set ends its open watches.
 type changingDiscovery struct {
-	mu      sync.Mutex
+	mu      sync.Mutex    // guards the fields below
 	list    string        // empty: unavailable
 	changed chan struct{} // closed when the list changes
 }
 
+// set replaces the list; an empty list makes discovery unavailable.
 func (c *changingDiscovery) set(list string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,9 +105,11 @@
 	c.list, c.changed = list, make(chan struct{})
 }
 
+// ServeHTTP implements http.Handler: it writes the list and keeps the watch open until the next
+// call of set, or resets the connection while discovery is unavailable.
 func (c *changingDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
-	list, ended := c.list, c.changed
+	list, changed := c.list, c.changed
 	c.mu.Unlock()
 	if list == "" {
 		panic(http.ErrAbortHandler)
@@ -111,7 +117,7 @@
 	io.WriteString(w, list+"\n")
 	w.(http.Flusher).Flush()
 	select {
-	case <-ended:
+	case <-changed:
 	case <-r.Context().Done():
 	}
 }
--- a/cmd/sidecar/start.go
+++ b/cmd/sidecar/start.go
@@ -15,66 +15,67 @@
 	"martendrum/internal/metrics"
 )
 
-// gcPercent makes the collector run less often, as far as the memory limit allows:
-// requests are short-lived garbage over a small live heap.
+// gcPercent lets the garbage collector run less often than by default, as far as the memory limit
+// allows: requests leave short-lived garbage, while the live heap stays small.
 const gcPercent = 400
 
 // Environment variables of the start.
 const (
-	envTempDir = "TMPDIR"            // directory in which processes find each other; unset: no hand-over
-	envLaunch  = "MARTENDRUM_LAUNCH" // name of this process, given by the agent that starts it
+	envTempDir = "TMPDIR"            // directory in which the processes of a sidecar find each other; unset: no hand-over
+	envLaunch  = "MARTENDRUM_LAUNCH" // name that the agent gives to the process that it starts
 )
 
 // Header fields of health responses.
 const (
-	// healthConfigHash is the SHA-256 of the configuration file in force. It shows an agent
+	// healthConfigHash is the SHA-256 of the configuration file in force. An agent reads from it
 	// whether a reload was applied.
 	healthConfigHash = "Config-Sum"
-	// healthRecord is the state of the idempotency store, if there is one.
+	// healthRecord is the state of the idempotency store. It is absent without a store.
 	healthRecord = "Record"
-	// healthLaunch identifies which of two processes answers, where processes can hand over: by
-	// the name in envLaunch, or else by its process id.
+	// healthLaunch identifies the process that answers, as two may serve during a hand-over: by the
+	// name in envLaunch, or else by the process id. It is empty if the process can't hand over.
 	healthLaunch = "Hands-Over"
 )
 
-// start serves alone, or takes over from a predecessor if envTempDir names the directory in
-// which processes of this sidecar find each other.
-func start(c *config, on signals) error {
+// start runs the sidecar until it ends. If envTempDir names a directory in which the processes of
+// this sidecar find each other, it takes over from a predecessor; else it serves without hand-over.
+func start(c *config, signals signalChannels) error {
 	r := &resources{config: c}
 	dir := os.Getenv(envTempDir)
 	if dir == "" {
-		return startAlone(c, r, on)
+		return startWithoutHandover(c, r, signals)
 	}
-	place := link.NewRendezvous(dir, c.listenAddr)
-	defer place.Close()
-	predecessor, err := link.Start(place, c.listenAddr, c.fullQuota(), c.record != nil, r)
+	rendezvous := link.NewRendezvous(dir, c.listenAddr)
+	defer rendezvous.Close()
+	predecessor, err := link.Start(rendezvous, c.listenAddr, c.fullQuota(), c.record != nil, r)
 	if err != nil {
 		return err
 	}
 	defer predecessor.Close()
 	r.listeners = predecessor.Listeners()
 	defer r.StopAccepting()
-	return run(c, r, place, predecessor, on)
+	return run(c, r, rendezvous, predecessor, signals)
 }
 
-// startAlone serves without hand-over.
-func startAlone(c *config, r *resources, on signals) error {
+// startWithoutHandover serves with the full limits. Another process of this sidecar can't take over.
+func startWithoutHandover(c *config, r *resources, signals signalChannels) error {
 	r.Limit(c.fullQuota())
 	listener, err := net.Listen("tcp", c.listenAddr)
 	if err != nil {
-		return &ConfigError{Field: "listen", Cause: err, Do: "stop the process that has the address, or configure another one"}
+		return &ConfigError{Field: "listen", Cause: err, Remedy: "stop the process that listens on the address, or configure another address"}
 	}
 	defer listener.Close()
 	r.listeners = []*net.TCPListener{listener.(*net.TCPListener)}
-	return run(c, r, nil, nil, on)
+	return run(c, r, nil, nil, signals)
 }
 
-// run serves until SIGTERM, and then until every request is answered. place
-// and predecessor are nil where processes don't hand over.
-func run(c *config, r *resources, place *link.Rendezvous, predecessor *link.SuccessorEnd, on signals) error {
+// run creates the parts of the process and serves until SIGTERM, and then until every request is
+// answered. r has its listeners and its quota. rendezvous and predecessor are nil where processes
+// don't hand over.
+func run(c *config, r *resources, rendezvous *link.Rendezvous, predecessor *link.SuccessorEnd, signals signalChannels) error {
 	debug.SetGCPercent(gcPercent)
 	c.logSettings("configuration in force")
-	p := newProcess(c, r, place, predecessor)
+	p := newProcess(c, r, rendezvous, predecessor)
 	if err := p.createParts(); err != nil {
 		return err
 	}
@@ -92,17 +93,17 @@
 	}
 	defer closeAdmin()
 	p.setHealth()
-	if p.coordinator, err = startCoordinator(c, r.host, p.metrics, p.sharesWithPredecessor()); err != nil {
+	if p.coordinator, err = startCoordinator(c, r.host, p.metrics, p.hasPredecessor()); err != nil {
 		return err
 	}
 	defer p.coordinator.close()
 	defer p.closeSuccessor()
 	defer p.closeInheritedIDs()
 	p.inheritIDs()
-	return p.serve(on)
+	return p.serve(signals)
 }
 
-// createParts creates the watcher and the parts that resources keeps within the limits.
+// createParts creates the watcher of discovery and the parts that resources keeps within the quota.
 func (p *sidecarProcess) createParts() error {
 	c := p.config
 	p.watcher = &discovery.Watcher{Addr: c.discoveryAddr, Pace: c.pace}
@@ -117,7 +118,8 @@
 	return nil
 }
 
-// openRecorder opens the idempotency store, if the configuration has one.
+// openRecorder opens the idempotency store if one is configured, with the lock that a predecessor has
+// passed on.
 func (p *sidecarProcess) openRecorder() error {
 	var lock *os.File
 	if p.predecessor != nil {
@@ -134,7 +136,8 @@
 	return nil
 }
 
-// exportMetrics creates the metrics and has the parts count in them.
+// exportMetrics creates the metrics, has the parts of the process record in them, and adds the
+// gauges.
 func (p *sidecarProcess) exportMetrics() {
 	r := p.resources
 	p.metrics = metrics.New()
@@ -144,8 +147,9 @@
 	p.addGauges()
 }
 
-// openAdmin opens the admin endpoint, if the configuration has one. If the predecessor still has
-// its address, it is opened later, in the background. The returned function closes it.
+// openAdmin opens the admin endpoint if one is configured. If the predecessor still owns the
+// address, a goroutine opens the endpoint once the address is free. The returned function closes
+// the endpoint.
 func (p *sidecarProcess) openAdmin() (closeAdmin func(), err error) {
 	address := p.config.adminAddr
 	if address == "" {
@@ -158,8 +162,8 @@
 	case err == nil:
 		go server.Serve(listener)
 		return server.Close, nil
-	case errors.Is(err, syscall.EADDRINUSE) && p.sharesWithPredecessor():
-		slog.Info("the predecessor owns the admin address, listening there after its end", "mgmt", address)
+	case errors.Is(err, syscall.EADDRINUSE) && p.hasPredecessor():
+		slog.Info("admin address still owned by the predecessor, listening on it after the predecessor's exit", "mgmt", address)
 		stop := make(chan struct{})
 		go retryOpenAdmin(address, server, stop)
 		return func() {
@@ -167,11 +171,11 @@
 			server.Close()
 		}, nil
 	}
-	return nil, &ConfigError{Field: "mgmt", Cause: err, Do: "stop the process that has the address, or configure another one"}
+	return nil, &ConfigError{Field: "mgmt", Cause: err, Remedy: "stop the process that listens on the address, or configure another address"}
 }
 
-// retryOpenAdmin opens the admin endpoint once its address is free, or returns when stop is
-// closed.
+// retryOpenAdmin serves the admin endpoint once its address is free. It returns when the endpoint or
+// stop is closed.
 func retryOpenAdmin(address string, server *admin.Server, stop <-chan struct{}) {
 	retryUntil(stop, func() bool {
 		listener, err := net.Listen("tcp", address)
@@ -189,7 +193,7 @@
 	if p.recorder != nil {
 		server.SetHealthFunc(healthRecord, p.recorder.Status)
 	}
-	if p.place == nil {
+	if p.rendezvous == nil {
 		return
 	}
 	name := os.Getenv(envLaunch)
@@ -197,7 +201,7 @@
 		name = strconv.Itoa(os.Getpid())
 	}
 	server.SetHealthFunc(healthLaunch, func() string {
-		if !p.place.Locked() { // it can't hand over
+		if !p.rendezvous.Locked() { // only the owner of the lock can hand over
 			return ""
 		}
 		return name
--- a/cmd/sidecar/stop.go
+++ b/cmd/sidecar/stop.go
@@ -11,52 +11,53 @@
 const (
 	// stopPollInterval is how often a stopping process checks what is still open.
 	stopPollInterval = 10 * time.Millisecond
-	// successorRounds is the number of polls between two queries of the successor.
-	successorRounds = 10
-	// idleBeforeClose is how long a connection must have been idle to be closed while a
-	// successor serves, so that its client is unlikely to be using it.
+	// roundsPerSuccessorQuery is the number of polls from one query of the successor to the next.
+	roundsPerSuccessorQuery = 10
+	// idleBeforeClose is how long a client connection must have been idle before it is closed while
+	// a successor serves or may come, so that its client is unlikely to be sending a request on it.
 	idleBeforeClose = 300 * time.Millisecond
-	// A process that resumes after SIGSTOP may see SIGTERM and a successor at the same time. It
-	// waits for a successor for minSuccessorRounds polls before it closes all idle connections,
-	// and for maxSuccessorRounds polls once a successor has connected.
+	// A process that resumes after SIGSTOP may receive SIGTERM and the connection of a successor at
+	// the same time. It waits for a successor for minSuccessorRounds polls before it closes all idle
+	// connections, and for maxSuccessorRounds polls if a successor has connected.
 	minSuccessorRounds = 2
 	maxSuccessorRounds = 30
 )
 
-// stop serves until every request is answered; SIGTERM arrived at signalledAt. Unless a successor
-// serves, it then stores what this process has learned.
+// stop serves until every request is answered or the time for it is up; SIGTERM arrived at
+// signalledAt. Unless a successor serves, it then stores the learned state of this process.
 func (p *sidecarProcess) stop(signalledAt time.Time) {
 	replaced := newShutdown(signalledAt, p.config, p.resources, p.successor).run()
-	if p.place != nil && p.place.Locked() && !replaced {
+	if p.rendezvous != nil && p.rendezvous.Locked() && !replaced {
 		p.saveSnapshot()
 	}
 }
 
-// gracefulShutdown is a shutdown in progress.
+// gracefulShutdown is the state of a graceful shutdown.
 type gracefulShutdown struct {
 	resources   *resources
-	successor   *link.PredecessorEnd // nil: no process can take over
-	signalledAt time.Time            // when the signal arrived; the durations of plan count from it
+	successor   *link.PredecessorEnd // link to a successor; nil: no process can take over
+	signalledAt time.Time            // when the signal arrived; the durations in plan count from then
 	plan        shutdown.Plan
 	replaced    bool // a successor serves
-	closed      bool // no connection is accepted any more
+	closed      bool // the listeners are closed
 }
 
-// newShutdown returns the graceful shutdown of a process that got its signal at signalledAt.
+// newShutdown returns the graceful shutdown of a process that received its signal at signalledAt. The
+// shutdown starts with run.
 func newShutdown(signalledAt time.Time, c *config, r *resources, successor *link.PredecessorEnd) *gracefulShutdown {
 	return &gracefulShutdown{resources: r, successor: successor, signalledAt: signalledAt, plan: seamPlan(shutdown.For(c.longestDeadline()))}
 }
 
-// run continues to serve until the plan stops accepting and every request is answered. If a successor
-// serves, this process accepts no more connections and closes its own when they are idle. run
-// returns whether a successor serves.
+// run continues to serve until the plan stops accepting and every request is answered, or until the
+// plan's end. If a successor serves, this process accepts no more connections and closes its own when
+// they are idle. run returns whether a successor serves.
 func (s *gracefulShutdown) run() (replaced bool) {
 	host, server := s.resources.host, s.resources.server
 	slog.Info("stopping", "held", host.InFlight(), "signal_ago", time.Since(s.signalledAt), "answer_all", s.plan.AnswerAll, "kill", s.plan.Kill)
 	host.StopWithin(time.Until(s.signalledAt.Add(s.plan.AnswerAll)))
 	s.resources.setStopping()
 	s.replaced = s.successor != nil && s.successor.Terminate()
-	server.Drain(s.successor != nil) // if a successor may come, idle connections stay open at first
+	server.Drain(s.successor != nil) // while a successor may come, idle connections stay open
 	for round := 0; ; round++ {
 		switch s.next() {
 		case stepClose:
@@ -68,8 +69,8 @@
 			return s.replaced
 		}
 		time.Sleep(stopPollInterval)
-		if s.successor != nil && round%successorRounds == 0 {
-			s.replaced = s.successor.ReleaseUnused(s.resources.used()) // a successor may still take over
+		if s.successor != nil && round%roundsPerSuccessorQuery == 0 {
+			s.replaced = s.successor.ReleaseUnused(s.resources.used()) // while this process stops, a successor may still take over
 		}
 		server.CloseIdle(s.idleTime(round))
 		server.CloseSilent()
@@ -79,16 +80,16 @@
 	}
 }
 
-// shutdownStep is what a shutdown does next.
+// shutdownStep is the next action of a shutdown.
 type shutdownStep int
 
 const (
-	stepWait  shutdownStep = iota
-	stepClose              // stop accepting, so that no client connects between the last check and the exit
-	stepEnd
+	stepWait  shutdownStep = iota // wait for stopPollInterval
+	stepClose                     // stop accepting, so that no client connects between the last check and the exit
+	stepEnd                       // exit
 )
 
-// next decides the next step. Connections accepted before stepClose are waited for.
+// next returns the next step. After stepClose, it still waits for the connections accepted before.
 func (s *gracefulShutdown) next() shutdownStep {
 	elapsed := time.Since(s.signalledAt)
 	accepts := !s.replaced && !s.closed
@@ -103,16 +104,19 @@
 	return stepEnd
 }
 
-// mayBeReplaced reports whether a process has connected that may take over and needs the listeners.
+// mayBeReplaced reports whether a process has connected that may still take over, for which the
+// listeners must stay open.
 func (s *gracefulShutdown) mayBeReplaced() bool { return s.successor != nil && s.successor.HasPeers() }
 
-// busy reports whether there are connections to wait for.
+// busy reports whether there are connections to wait for: those with a request, and all of them if a
+// successor serves.
 func (s *gracefulShutdown) busy() bool {
 	server := s.resources.server
 	return server.Busy() > 0 || s.replaced && server.Conns() > 0
 }
 
-// idleTime returns how long a connection must have been idle to be closed in a round.
+// idleTime returns how long a client connection must have been idle to be closed in the given round
+// of run.
 func (s *gracefulShutdown) idleTime(round int) time.Duration {
 	if s.successor == nil {
 		return 0
--- a/cmd/sidecar/stop_test.go
+++ b/cmd/sidecar/stop_test.go
@@ -14,21 +14,21 @@
 	"time"
 )
 
-// After SIGTERM clients continue to send on every open connection, and on new ones for longer
-// than the platform's clients do. Each request is answered, or its connection closes before
-// anything of it was forwarded.
+// TestStopOnIdleConnections checks that a stopping sidecar either answers a request or closes the
+// connection before any part of the request was forwarded. After SIGTERM, clients continue to send
+// on every open connection, and on new ones for longer than the platform's clients do.
 func TestStopOnIdleConnections(t *testing.T) {
-	var ran sync.Map
+	var executed sync.Map // ids of the requests that reached the server
 	f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
-		ran.Store(r.Header.Get("Req-Id"), true)
+		executed.Store(r.Header.Get("Req-Id"), true)
 		io.WriteString(w, "one")
 	}, 256)
 	p := f.startReadyProcess()
-	var wg sync.WaitGroup
+	var clients sync.WaitGroup
 	var answered atomic.Int64
 	for n := range 8 {
-		wg.Go(func() {
-			c := &http.Client{Timeout: patience, Transport: &http.Transport{MaxConnsPerHost: 1}}
+		clients.Go(func() {
+			c := &http.Client{Timeout: eventTimeout, Transport: &http.Transport{MaxConnsPerHost: 1}}
 			defer c.CloseIdleConnections()
 			for i := 0; ; i++ {
 				id := fmt.Sprintf("k%d-%d", n, i)
@@ -45,8 +45,8 @@
 					resp.Body.Close()
 				}
 				if err != nil {
-					if _, did := ran.Load(id); did {
-						t.Errorf("%s has run and was not answered: %v", id, err)
+					if _, reached := executed.Load(id); reached {
+						t.Errorf("request %s was executed and not answered: %v", id, err)
 					}
 					return // the connection is closed, and no process listens any more
 				}
@@ -54,20 +54,21 @@
 			}
 		})
 	}
-	eventually(t, "clients that are served", func() bool { return answered.Load() > 100 })
+	eventually(t, "more than 100 answers", func() bool { return answered.Load() > 100 })
 	before := answered.Load()
 	p.Process.Signal(syscall.SIGTERM)
-	wg.Wait()
+	clients.Wait()
 	if err := p.waitExit(t); err != nil {
-		t.Error(err)
+		t.Errorf("exit after SIGTERM: got %v, want status 0", err)
 	}
 	if answered.Load() == before {
-		t.Error("no request was answered after SIGTERM: the test shows nothing")
+		t.Error("got no answer after SIGTERM, want some: the test did not cover requests during the shutdown")
 	}
 }
 
-// Clients that rest until the sidecar closes their connection, with a request that crosses the
-// close, see a plain end of the connection, and what crosses is not executed.
+// TestStopWithIdleClients checks that clients that are idle when the sidecar closes their
+// connection see an end of file, not a reset. A request that a client sends while the sidecar
+// closes the connection is not executed.
 func TestStopWithIdleClients(t *testing.T) {
 	var executed sync.Map
 	f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -77,7 +78,7 @@
 	p := f.startReadyProcess()
 	const clients = 20
 	var connected, finished sync.WaitGroup
-	var ended atomic.Int64
+	var sawClose atomic.Int64
 	connected.Add(clients)
 	for n := range clients {
 		finished.Go(func() {
@@ -85,24 +86,24 @@
 			defer answered()
 			c, err := net.Dial("tcp", f.listen)
 			if err != nil {
-				t.Error(err)
+				t.Errorf("client %d: %v", n, err)
 				return
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(eventTimeout))
 			client := &persistentClient{t: t, conn: c, reader: bufio.NewReader(c), executed: &executed}
 			client.sendUntilClosed(fmt.Sprint("r", n), n%2 == 0, answered)
-			ended.Add(1)
+			sawClose.Add(1)
 		})
 	}
 	connected.Wait()
 	p.Process.Signal(syscall.SIGTERM)
 	finished.Wait()
 	if err := p.waitExit(t); err != nil {
-		t.Error(err)
+		t.Errorf("exit after SIGTERM: got %v, want status 0", err)
 	}
-	if ended.Load() != clients {
-		t.Errorf("%d clients of %d saw the end", ended.Load(), clients)
+	if sawClose.Load() != clients {
+		t.Errorf("%d of %d clients saw their connection close, want all", sawClose.Load(), clients)
 	}
 }
 
@@ -114,20 +115,21 @@
 	executed *sync.Map // ids of the requests that reached the server
 }
 
-// sendUntilClosed sends requests until the sidecar closes the connection. answered is called
-// after each. A client that rests waits after its answer, and sends at the moment of the close.
-func (c *persistentClient) sendUntilClosed(name string, rests bool, answered func()) {
+// sendUntilClosed sends requests until the sidecar closes the connection, and calls answered after
+// each. A client that idles waits after its first answer until the connection is closed, and then
+// sends one more request.
+func (c *persistentClient) sendUntilClosed(name string, idles bool, answered func()) {
 	for n := 0; ; n++ {
 		id := fmt.Sprintf("%s-%d", name, n)
 		err := c.exchange(id)
 		answered()
-		if err != nil { // the request crossed the close
+		if err != nil { // the sidecar closed the connection while the request was sent
 			if c.wasExecuted(id) {
-				c.t.Errorf("%s has run and was not answered: %v", id, err)
+				c.t.Errorf("request %s was executed and not answered: %v", id, err)
 			}
 			return
 		}
-		if !rests {
+		if !idles {
 			continue
 		}
 		if _, err := c.reader.Peek(1); err != nil {
@@ -137,7 +139,8 @@
 	}
 }
 
-// exchange sends a request and reads its answer. A failed write shows in the read.
+// exchange sends a request and reads its answer. It ignores an error of the write, because the read
+// then fails too.
 func (c *persistentClient) exchange(id string) error {
 	writePost(c.conn, id, "/pay")
 	response, err := http.ReadResponse(c.reader, nil)
@@ -148,59 +151,61 @@
 	return err
 }
 
-// sendAfterClose sends a request on a resting connection that has just ended with closeErr:
-// the request must not be executed.
+// sendAfterClose sends a request on an idle connection that has just ended with closeErr, and
+// checks that closeErr is io.EOF and that the request is not executed.
 func (c *persistentClient) sendAfterClose(id string, closeErr error) {
 	writePost(c.conn, id+"-late", "/pay")
 	if closeErr != io.EOF {
-		c.t.Errorf("%s: a resting connection ended with %v", id, closeErr)
+		c.t.Errorf("idle connection after request %s: got read error %v, want EOF", id, closeErr)
 	}
 	io.Copy(io.Discard, c.reader)
 	if c.wasExecuted(id + "-late") {
-		c.t.Errorf("%s was sent after the closing and has run", id)
+		c.t.Errorf("request %s-late was sent after the close of its connection and was executed", id)
 	}
 }
 
+// wasExecuted reports whether the request with the given id reached the server.
 func (c *persistentClient) wasExecuted(id string) bool {
 	_, executed := c.executed.Load(id)
 	return executed
 }
 
-// Servers hang while the sidecar gets two signals to terminate and a reload: every accepted
-// request is answered by its deadline, and the process exits before it would be killed.
+// TestStopWhileServersHang checks that every accepted request is answered by its deadline, and that
+// the process exits before it would be killed, although the server hangs and the process receives
+// SIGTERM twice and SIGHUP between.
 func TestStopWhileServersHang(t *testing.T) {
 	const longest = time.Second
-	hung := make(chan struct{}, 100)
-	let := make(chan struct{})
-	f := newFixtureWithServer(t, func(http.ResponseWriter, *http.Request) { hung <- struct{}{}; <-let }, 256,
+	arrived := make(chan struct{}, 100)
+	release := make(chan struct{})
+	f := newFixtureWithServer(t, func(http.ResponseWriter, *http.Request) { arrived <- struct{}{}; <-release }, 256,
 		`"promiseUs":20000000,"hardLimitUs":20000000`, fmt.Sprintf(`"promiseUs":900000,"hardLimitUs":%d`, longest.Microseconds()))
-	t.Cleanup(func() { close(let) })
+	t.Cleanup(func() { close(release) })
 	p := f.startReadyProcess()
-	var wg sync.WaitGroup
-	const clients = 8
-	for n := range clients {
+	var open sync.WaitGroup
+	const requests = 8
+	for n := range requests {
 		method, path := http.MethodGet, "/look"
 		if n%2 == 0 {
 			method, path = http.MethodPost, "/pay"
 		}
-		wg.Go(func() {
+		open.Go(func() {
 			if got := sendRequest(t, f.listen, method, path); n%2 == 0 && got != http.StatusBadGateway || got < 500 {
-				t.Errorf("%s was answered %d", path, got)
+				t.Errorf("%s %s: got status %d, want 502 for POST and at least 500 for GET", method, path, got)
 			}
 		})
 	}
-	for range clients {
-		<-hung
+	for range requests {
+		<-arrived
 	}
-	began := time.Now()
+	terminated := time.Now()
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		p.Process.Signal(sig)
 	}
-	wg.Wait()
+	open.Wait()
 	if err := p.waitExit(t); err != nil {
-		t.Error(err)
+		t.Errorf("exit after SIGTERM: got %v, want status 0", err)
 	}
-	if took := time.Since(began); took > longest+700*time.Millisecond {
-		t.Errorf("it ended after %v", took)
+	if took := time.Since(terminated); took > longest+700*time.Millisecond {
+		t.Errorf("the process exited %v after SIGTERM, want at most %v", took, longest+700*time.Millisecond)
 	}
 }
--- a/cmd/sidecar/upgrade_failures_test.go
+++ b/cmd/sidecar/upgrade_failures_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// Whichever process fails at whichever step, clients are served.
+// TestUpgradeFailures checks that clients are served whichever process fails at whichever step of a
+// hand-over.
 func TestUpgradeFailures(t *testing.T) {
 	t.Run("files of a killed process", testFilesOfKilledProcess)
 	t.Run("the old process hangs", testOldProcessHangs)
@@ -20,17 +21,19 @@
 	t.Run("a directory is in the place of the lock file", testDirectoryInPlaceOfLock)
 }
 
-// checkServed checks that requests on new connections are answered.
+// checkServed checks that 20 requests on new connections are answered.
 func (f *fixture) checkServed(t *testing.T) {
 	t.Helper()
 	for range 20 {
-		client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+		client := &http.Client{Timeout: eventTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 		if err := sendAlternating(client, f.listen); err != nil {
-			t.Errorf("not served: %v", err)
+			t.Errorf("request on a new connection: %v", err)
 		}
 	}
 }
 
+// testFilesOfKilledProcess checks that a process takes over the files that a killed process left
+// behind: it serves with the full limits and can hand over itself.
 func testFilesOfKilledProcess(t *testing.T) {
 	f := newFixture(t, 256)
 	old := f.startReadyProcess()
@@ -39,11 +42,13 @@
 	next := f.startReadyProcess()
 	f.checkServed(t)
 	next.waitSocketQuota(t, 256)
-	third := f.startProcess() // the process that found the files can hand over itself
+	third := f.startProcess() // the process that found the files hands over to it
 	third.waitReady(t)
 	third.waitSocketQuota(t, 128)
 }
 
+// testOldProcessHangs checks that a new process serves with half of the limits beside a suspended
+// one, and with all of them after that one's end.
 func testOldProcessHangs(t *testing.T) {
 	f := newFixture(t, 256)
 	old := f.startReadyProcess()
@@ -56,11 +61,13 @@
 	f.checkServed(t)
 }
 
+// testOldProcessKilledDuringHandover kills the old process after it has divided the limits, and
+// checks that the new one gets the full limits.
 func testOldProcessKilledDuringHandover(t *testing.T) {
 	f := newFixture(t, 256)
 	old := f.startReadyProcess()
 	next := f.startProcess()
-	eventually(t, "an offer", func() bool { return strings.Contains(next.log.String(), "sockets=128") })
+	eventually(t, "the new process to be offered half of the limits", func() bool { return strings.Contains(next.log.String(), "sockets=128") })
 	old.Process.Kill()
 	old.waitExit(t)
 	next.waitReady(t)
@@ -68,6 +75,7 @@
 	f.checkServed(t)
 }
 
+// testNewProcessDiesAfterAccepting checks that the old process gets back the full limits.
 func testNewProcessDiesAfterAccepting(t *testing.T) {
 	f := newFixture(t, 256)
 	old := f.startReadyProcess()
@@ -78,17 +86,21 @@
 	f.checkServed(t)
 }
 
+// testNewProcessHasBrokenConfig checks that the new process exits with an error and the old one
+// still serves.
 func testNewProcessHasBrokenConfig(t *testing.T) {
 	f := newFixture(t, 256)
 	f.startReadyProcess()
 	f.writeConfig(t, "{")
 	next := f.startProcess()
 	if next.waitExit(t) == nil {
-		t.Error("it started")
+		t.Error("the process with a broken configuration exited with status 0, want an error")
 	}
 	f.checkServed(t)
 }
 
+// testTwoNewProcesses checks that a second new process exits with an error while the first one
+// takes over.
 func testTwoNewProcesses(t *testing.T) {
 	f := newFixture(t, 256)
 	old := f.startReadyProcess()
@@ -96,7 +108,7 @@
 	first.waitReady(t)
 	second := f.startProcess()
 	if second.waitExit(t) == nil || !strings.Contains(second.log.String(), "another new process") {
-		t.Errorf("the second one: %s", second.log)
+		t.Errorf("second new process: got status 0 or a log without \"another new process\", want an error with it; log:\n%s", second.log)
 	}
 	f.checkServed(t)
 	old.Process.Signal(syscall.SIGTERM)
@@ -104,12 +116,14 @@
 	f.checkServed(t)
 }
 
+// testDirectoryInPlaceOfLock checks that a process that can't create its lock file serves without
+// hand-over and logs that.
 func testDirectoryInPlaceOfLock(t *testing.T) {
 	f := newFixture(t, 256)
 	old := f.startReadyProcess()
 	names, err := filepath.Glob(filepath.Join(f.dir, "sidecar-*.lock"))
 	if err != nil || len(names) != 1 {
-		t.Fatal(names, err)
+		t.Fatalf("lock files: got %q, error %v, want one file", names, err)
 	}
 	old.Process.Kill()
 	old.waitExit(t)
@@ -120,6 +134,6 @@
 	next := f.startReadyProcess()
 	f.checkServed(t)
 	if !strings.Contains(next.log.String(), "on its own") {
-		t.Error("nothing was said about it")
+		t.Errorf("log has no message that the process is on its own:\n%s", next.log)
 	}
 }
--- a/cmd/sidecar/warm_restart_test.go
+++ b/cmd/sidecar/warm_restart_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A process that starts soon after a stop restores what the previous one had learned. It ignores
-// a damaged snapshot and logs that.
+// TestWarmRestart checks that a process that starts soon after a stop restores the learned state of
+// the previous one, and that it ignores a damaged snapshot and logs that.
 func TestWarmRestart(t *testing.T) {
 	f := newFixture(t, 256)
 	first := f.startProcess()
@@ -26,24 +26,24 @@
 	second := f.startProcess()
 	second.waitReady(t)
 	if log := second.log.String(); !strings.Contains(log, "warm start") || !strings.Contains(log, "servers=1") {
-		t.Errorf("no warm start:\n%s", log)
+		t.Errorf("log has no message warm start with servers=1:\n%s", log)
 	}
 	second.Process.Kill()
 	second.waitExit(t)
 	names, _ := filepath.Glob(filepath.Join(f.dir, "sidecar-*.snap"))
 	if len(names) != 1 {
-		t.Fatal(names)
+		t.Fatalf("snapshot files: got %q, want one", names)
 	}
-	if err := os.WriteFile(names[0], []byte("what is this"), 0o600); err != nil {
+	if err := os.WriteFile(names[0], []byte("not a snapshot"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	third := f.startProcess()
 	third.waitReady(t)
 	log := third.log.String()
-	for until := time.Now().Add(patience); !strings.Contains(log, "cold start") && time.Now().Before(until); log = third.log.String() {
-		time.Sleep(time.Millisecond) // what it wrote before it was ready may still be on its way
+	for until := time.Now().Add(eventTimeout); !strings.Contains(log, "cold start") && time.Now().Before(until); log = third.log.String() {
+		time.Sleep(time.Millisecond) // a message logged before the process was ready may not have been read yet
 	}
 	if !strings.Contains(log, "cold start") || !strings.Contains(log, "damaged") {
-		t.Errorf("the damaged file was not logged:\n%s", log)
+		t.Errorf("log has no message cold start for the damaged snapshot:\n%s", log)
 	}
 }
