--- a/cmd/sidecar/bench_test.go
+++ b/cmd/sidecar/bench_test.go
@@ -49,8 +49,7 @@
 	return cmd.Process.Pid, addr
 }
 
-// processMemory returns the field name of /proc/PID/status in MiB. The field is in KiB, such as
-// VmRSS.
+// processMemory returns a field of /proc/PID/status, such as VmRSS, converted from KiB to MiB.
 func processMemory(b *testing.B, pid int, name string) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/cmd/sidecar/checkpoint_test.go
+++ b/cmd/sidecar/checkpoint_test.go
@@ -23,7 +23,7 @@
 		f.dir = t.TempDir() // so that only the checkpoint is left of the previous process
 		p := f.startReadyProcess()
 		if wantLog != "" {
-			eventually(t, "the log message "+wantLog, func() bool { return strings.Contains(p.log.String(), wantLog) })
+			eventually(t, wantLog, func() bool { return strings.Contains(p.log.String(), wantLog) })
 		}
 		for range 5 {
 			if err := sendAlternating(http.DefaultClient, f.listen); err != nil {
--- a/cmd/sidecar/clients_test.go
+++ b/cmd/sidecar/clients_test.go
@@ -45,7 +45,7 @@
 	}
 	defer resp.Body.Close()
 	if text, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(text) != "one" {
-		return fmt.Errorf("%s %s: got status %s, body %q, error %v; want 200 with body \"one\"", method, path, resp.Status, text, err)
+		return fmt.Errorf("%s: got status %s, body %q, error %v; want 200 with body \"one\"", method, resp.Status, text, err)
 	}
 	return nil
 }
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -10,8 +10,9 @@
 
 // TestReloadKeepsClassOfOpenRequests checks that a request keeps the class that it had on its
 // arrival: if a reload changes the class from non-idempotent to idempotent, a request that is open
-// is not sent again when its connection breaks, while a later one is. Added classes are served and
-// dropped ones are not. A dropped class that a reload adds again continues its counters.
+// is not sent again when its connection breaks. Later requests have the class of the new file. Added
+// classes are served and dropped ones are not. A class whose settings come back continues its
+// counters.
 func TestReloadKeepsClassOfOpenRequests(t *testing.T) {
 	f := newFixture(t, 256)
 	arrived, release := make(chan struct{}, 100), make(chan struct{})
--- a/cmd/sidecar/upgrade_failures_test.go
+++ b/cmd/sidecar/upgrade_failures_test.go
@@ -48,7 +48,7 @@
 }
 
 // testOldProcessHangs checks that a new process serves with half of the limits beside a suspended
-// one, and with all of them after that one's end.
+// old one, and with the full limits after the old one is killed.
 func testOldProcessHangs(t *testing.T) {
 	f := newFixture(t, 256)
 	old := f.startReadyProcess()
@@ -75,7 +75,8 @@
 	f.checkServed(t)
 }
 
-// testNewProcessDiesAfterAccepting checks that the old process gets back the full limits.
+// testNewProcessDiesAfterAccepting kills the new process after it has begun to accept clients, and
+// checks that the old one gets the full limits back.
 func testNewProcessDiesAfterAccepting(t *testing.T) {
 	f := newFixture(t, 256)
 	old := f.startReadyProcess()
