--- a/balancer.go
+++ b/balancer.go
@@ -67,7 +67,7 @@
 
 	lastTimer   uint64        // cookie of the timer that was set last
 	pollTimer   uint64        // cookie of the timer for the next poll of discovery, 0 if none is set
-	pollBackoff time.Duration // mean delay before the next poll; Config.RetryWithin may shorten it
+	pollBackoff time.Duration // mean delay before the next poll; Config.PollRetryWithin may shorten it
 }
 
 // rngStream is the second word of the random number generator's seed.
--- a/cmd/sidecar/config.go
+++ b/cmd/sidecar/config.go
@@ -96,7 +96,7 @@
 func parseFile(data []byte) (*config, *configFile, error) {
 	var file configFile
 	if err := json.Unmarshal(data, &file); err != nil {
-		return nil, nil, settings.Explain(err)
+		return nil, nil, settings.ExplainJSONError(err)
 	}
 	var keys map[string]any
 	if err := json.Unmarshal(data, &keys); err != nil {
@@ -216,14 +216,14 @@
 	s := c.settings
 	c.pollsDiscovery = s.Config.MaxListAge > 0
 	if !c.pollsDiscovery {
-		c.pace = discovery.Pushed(s.DrainGrace)
+		c.pace = discovery.PushedPace(s.DrainGrace)
 		return
 	}
-	c.pace = discovery.Polled()
+	c.pace = discovery.PolledPace()
 	// The Balancer makes its first call within four fifths of MaxListAge, so that this limit has it
 	// call within InitialDelay.
 	s.Config.MaxListAge = min(s.Config.MaxListAge, c.pace.InitialDelay*5/4)
-	s.Config.RetryWithin = c.pace.MaxBackoff
+	s.Config.PollRetryWithin = c.pace.MaxBackoff
 }
 
 // loadExtras loads the parts of the configuration that only environment variables turn on: the
@@ -249,9 +249,9 @@
 // that the log of an incident shows which of them were in force.
 func (c *config) logSettings(event string) {
 	attributes := []any{"config", c.fileHash[:8], "discovery", c.discoveryAddr, "longest_deadline", c.longestDeadline(), "drain_grace", c.settings.DrainGrace}
-	for _, name := range c.settings.Names() {
-		class := c.settings.ByName(name)
-		attributes = append(attributes, "class_"+name, fmt.Sprintf("%v/%v", class.Rules.Idempotency, class.Wait))
+	for _, name := range c.settings.ClassNames() {
+		class := c.settings.ClassByName(name)
+		attributes = append(attributes, "class_"+name, fmt.Sprintf("%v/%v", class.Rules.Idempotency, class.MaxWait))
 	}
 	slog.Info(event, attributes...)
 }
--- a/cmd/sidecar/coordinator.go
+++ b/cmd/sidecar/coordinator.go
@@ -113,7 +113,7 @@
 		return
 	}
 	learned, weight := recovery.Retained(previous.Learned, age, c.lastOrders().Verdict)
-	c.host.Learn(learned, age)
+	c.host.RestoreLearnedState(learned, age)
 	slog.Info("checkpoint restored as a hint", "age", age, "times", len(learned.Primary), "servers", len(learned.Servers), "demand", previous.Demand, "weight", weight)
 }
 
@@ -166,7 +166,7 @@
 		c.receivePeerPhases()
 	}
 	var orders recovery.Orders
-	c.host.Steer(func(now time.Duration, arrivals uint64, b *martendrum.Balancer) {
+	c.host.WithBalancer(func(now time.Duration, arrivals uint64, b *martendrum.Balancer) {
 		c.machine.SetArrivals(arrivals)
 		c.machine.SetCapacity(b.Capacity(now))
 		orders = c.machine.Tick(time.Since(c.started))
@@ -205,7 +205,7 @@
 	if c.checkpoint.path == "" || c.machine == nil || c.lastOrders().Phase != recovery.Serving {
 		return
 	}
-	saved := checkpoint.Checkpoint{SavedAt: clock.Wall().UnixMilli(), Demand: c.machine.UsualDemand(), Learned: c.host.Learned()}
+	saved := checkpoint.Checkpoint{SavedAt: clock.Wall().UnixMilli(), Demand: c.machine.UsualDemand(), Learned: c.host.LearnedState()}
 	c.withNode(func(_ time.Duration, node *peers.Node) { saved.Incarnation = node.Incarnation() })
 	c.checkpoint.save(now, saved)
 }
--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -67,7 +67,7 @@
 		listed:      make(chan struct{}, 1),
 	}
 	if predecessor != nil {
-		p.noPredecessor, p.resumedListeners, p.handoverFailed = predecessor.Alone(), predecessor.LateListeners(), predecessor.Failed()
+		p.noPredecessor, p.resumedListeners, p.handoverFailed = predecessor.NoPredecessor(), predecessor.ResumedListeners(), predecessor.Failed()
 	}
 	return p
 }
@@ -127,8 +127,8 @@
 // followDiscovery starts to follow the lists that discovery pushes, and signals each of them on
 // p.listed.
 func (p *sidecarProcess) followDiscovery() {
-	applyList := p.watcher.Listed
-	p.watcher.Listed = func(list *discovery.List) {
+	applyList := p.watcher.OnList
+	p.watcher.OnList = func(list *discovery.List) {
 		applyList(list)
 		select {
 		case p.listed <- struct{}{}:
@@ -240,13 +240,13 @@
 	if err == nil {
 		err = r.host.Reconfigure(next.settings)
 	}
-	p.metrics.Configured(err == nil)
+	p.metrics.CountReload(err == nil)
 	if err != nil {
 		slog.Error("configuration rejected, the previous one stays in force", "err", err)
 		return
 	}
 	p.config = next
-	p.metrics.Classes(next.settings.Names())
+	p.metrics.SetClasses(next.settings.ClassNames())
 	r.setConfig(next)
 	switch {
 	case p.successor != nil:
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	host.Limit(r.quota.InFlight, c.fullQuota().InFlight)
+	host.SetInFlightLimits(r.quota.InFlight, c.fullQuota().InFlight)
 	r.pool, r.server, r.host = pool, downstream.New(downstreamConfig, seamHandler(host)), host
 	return nil
 }
@@ -108,9 +108,9 @@
 	r.quota = quota
 	upstreamConfig, downstreamConfig := r.config.applyQuota(quota)
 	if r.pool != nil {
-		r.pool.Limit(upstreamConfig)
-		r.server.Limit(downstreamConfig)
-		r.host.Limit(quota.InFlight, r.config.fullQuota().InFlight)
+		r.pool.SetConfig(upstreamConfig)
+		r.server.SetLimits(downstreamConfig)
+		r.host.SetInFlightLimits(quota.InFlight, r.config.fullQuota().InFlight)
 	}
 	if fewerSockets && r.pool != nil && !r.stopping { // a terminating process doesn't close connections to meet its quota
 		r.server.Trim()
--- a/cmd/sidecar/snapshot.go
+++ b/cmd/sidecar/snapshot.go
@@ -11,7 +11,7 @@
 // snapshot returns the learned state of host in encoded form, for the next process of the sidecar
 // at the address listen. If the state can't be encoded, snapshot logs that and returns nil.
 func snapshot(listen string, host *sidecar.Host) []byte {
-	data, err := handover.EncodeSnapshot(handover.Snapshot{Listen: listen, SavedAt: clock.Wall().UnixNano(), Learned: host.Learned()})
+	data, err := handover.EncodeSnapshot(handover.Snapshot{Listen: listen, SavedAt: clock.Wall().UnixNano(), Learned: host.LearnedState()})
 	if err != nil {
 		slog.Warn("learned state not encoded", "err", err)
 		return nil
@@ -47,7 +47,7 @@
 		slog.Warn("cold start", "err", err)
 		return false
 	}
-	p.resources.host.Learn(learned, age)
+	p.resources.host.RestoreLearnedState(learned, age)
 	slog.Info("warm start", "from", from, "age", age, "servers", len(learned.Servers))
 	return true
 }
--- a/cmd/sidecar/start.go
+++ b/cmd/sidecar/start.go
@@ -84,7 +84,7 @@
 	}
 	defer p.closeRecorder()
 	if c.knownServers != nil {
-		r.host.Known(c.knownServers)
+		r.host.ApplyConfiguredServers(c.knownServers)
 	}
 	p.exportMetrics()
 	closeAdmin, err := p.openAdmin()
@@ -114,7 +114,7 @@
 	if err := p.resources.createParts(p.watcher); err != nil {
 		return err
 	}
-	p.watcher.Listed = seamListed(p.watcher.Listed)
+	p.watcher.OnList = seamListed(p.watcher.OnList)
 	return nil
 }
 
@@ -141,7 +141,7 @@
 func (p *sidecarProcess) exportMetrics() {
 	r := p.resources
 	p.metrics = metrics.New()
-	p.metrics.Classes(p.config.settings.Names())
+	p.metrics.SetClasses(p.config.settings.ClassNames())
 	r.host.SetMeter(p.metrics)
 	r.server.SetMeter(p.metrics)
 	p.addGauges()
--- a/cmd/sidecar/stop.go
+++ b/cmd/sidecar/stop.go
@@ -45,7 +45,7 @@
 // newShutdown returns the graceful shutdown of a process that received its signal at signalledAt. The
 // shutdown starts with run.
 func newShutdown(signalledAt time.Time, c *config, r *resources, successor *link.PredecessorEnd) *gracefulShutdown {
-	return &gracefulShutdown{resources: r, successor: successor, signalledAt: signalledAt, plan: seamPlan(shutdown.For(c.longestDeadline()))}
+	return &gracefulShutdown{resources: r, successor: successor, signalledAt: signalledAt, plan: seamPlan(shutdown.NewPlan(c.longestDeadline()))}
 }
 
 // run continues to serve until the plan stops accepting and every request is answered, or until the
@@ -106,7 +106,9 @@
 
 // mayBeReplaced reports whether a process has connected that may still take over, for which the
 // listeners must stay open.
-func (s *gracefulShutdown) mayBeReplaced() bool { return s.successor != nil && s.successor.HasPeers() }
+func (s *gracefulShutdown) mayBeReplaced() bool {
+	return s.successor != nil && s.successor.HasSuccessors()
+}
 
 // busy reports whether there are connections to wait for: those with a request, and all of them if a
 // successor serves.
--- a/cmd/simulator/instance.go
+++ b/cmd/simulator/instance.go
@@ -37,8 +37,8 @@
 	case wire.RequestArrived:
 		i.balancer.Arrive(now, martendrum.Request{
 			ID:       id,
-			Class:    i.settings.Class(e.Class),
-			Tenant:   i.settings.Tenant(e.Tenant),
+			Class:    i.settings.ClassIndex(e.Class),
+			Tenant:   i.settings.TenantIndex(e.Tenant),
 			Deadline: micros(e.DeadlineMicros),
 		})
 	case wire.StreamStarted:
--- a/config.go
+++ b/config.go
@@ -70,9 +70,9 @@
 	// it treats a balancer that has not polled for MaxListAge as if it knew the list. The first
 	// poll is sent within that time. 0 means that the balancer never polls.
 	MaxListAge time.Duration
-	// RetryWithin is the longest delay before a failed poll of discovery is repeated. 0 means that
+	// PollRetryWithin is the longest delay before a failed poll of discovery is repeated. 0 means that
 	// the delay is bounded by MaxListAge instead: its mean is at most twice MaxListAge.
-	RetryWithin time.Duration
+	PollRetryWithin time.Duration
 
 	SlowStartInitialFraction float64       // fraction of its full capacity that a server has when it starts
 	SlowStartDuration        time.Duration // time from its start until a server has its full capacity
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -50,7 +50,7 @@
 	weightsAt        time.Duration // when weights were computed
 	dirty            bool          // members or ejections have changed since then
 	ejected          []*server
-	listReceived     bool    // discovery has sent a list; see ServersRestored
+	listReceived     bool    // discovery has sent a list; see ServersPreloaded
 	sendCount        float64 // decaying count of sends
 	nominalRate      float64 // see Bounds.NominalRate
 	acceptedFraction float64 // running fraction of sends that were not rejected
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -16,10 +16,10 @@
 // started is the start time of this process, for machines without a boot clock.
 var started = time.Now()
 
-// Boot returns the time since the machine started, including the time that it was suspended. It is the same
+// SinceBoot returns the time since the machine started, including the time that it was suspended. It is the same
 // for all processes of a machine, and steps of the wall clock do not affect it. On a machine without a boot
 // clock, it returns the time since this process started.
-func Boot() time.Duration {
+func SinceBoot() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
 		return time.Since(started) // comparable only within this process: readings of other processes count as old
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,9 +8,9 @@
 // A step of the wall clock changes Wall. Boot advances like the monotonic clock nevertheless.
 func TestStepChangesWallButNotBoot(t *testing.T) {
 	for _, by := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
-		began, bootBefore, wallBefore := time.Now(), Boot(), Wall()
+		began, bootBefore, wallBefore := time.Now(), SinceBoot(), Wall()
 		undo := Step(by)
-		passed, bootPassed, wallChange := time.Since(began), Boot()-bootBefore, Wall().Sub(wallBefore)
+		passed, bootPassed, wallChange := time.Since(began), SinceBoot()-bootBefore, Wall().Sub(wallBefore)
 		undo()
 		if off := bootPassed - passed; off < -time.Second || off > time.Second {
 			t.Errorf("step %v: Boot advanced by %v while %v passed", by, bootPassed, passed)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -3,7 +3,7 @@
 // A watch is a call whose response stays open and carries lists as they change. The package owns the
 // watch and its timeouts. It guarantees that a watch on which nothing arrives is reopened so early that
 // the missed changes arrive before they count as notified (see maxNotificationDelay). It decides
-// nothing about servers; the Listed callback does.
+// nothing about servers; the OnList callback does.
 package discovery
 
 import (
@@ -110,11 +110,11 @@
 // Watcher follows the list of the discovery service at an address. Its exported fields are set before
 // the first call of Follow or Watch and not changed by the caller afterwards.
 type Watcher struct {
-	Addr   string
-	Index  int64       // version of the list received last; 0: none
-	Listed func(*List) // called by the watch with each list
-	Failed func(error) // called by Follow when a call has failed or a watch has ended
-	Pace   Pace
+	Addr      string
+	Index     int64       // version of the list received last; 0: none
+	OnList    func(*List) // called by the watch with each list
+	OnFailure func(error) // called by Follow when a call has failed or a watch has ended
+	Pace      Pace
 
 	mu              sync.Mutex
 	conns           map[net.Conn]struct{} // open connections; two while a second call runs in parallel
@@ -168,7 +168,7 @@
 	return watchTarget{addr: w.Addr, index: w.Index, endpointChanges: w.endpointChanges, pace: w.Pace}
 }
 
-// Follow keeps a watch open until Close. Whenever a watch has ended, Follow calls Failed and waits for a
+// Follow keeps a watch open until Close. Whenever a watch has ended, Follow calls OnFailure and waits for a
 // random backoff, which grows up to Pace.MaxBackoff and starts over after a watch of more than a second.
 func (w *Watcher) Follow() {
 	backoff := minBackoff
@@ -178,7 +178,7 @@
 		if w.closed() {
 			return
 		}
-		w.Failed(err)
+		w.OnFailure(err)
 		if time.Since(began) > time.Second {
 			backoff = minBackoff // the watch had worked: start over with the shortest backoff
 		}
@@ -235,7 +235,7 @@
 // ErrOpen is returned by Watch while another call of Watch has not returned.
 var ErrOpen = errors.New("discovery: a watch is already open")
 
-// Watch opens a watch, passes its lists to Listed, and returns the error that ended it. It returns
+// Watch opens a watch, passes its lists to OnList, and returns the error that ended it. It returns
 // ErrOpen at once while another call of Watch has not returned.
 //
 // Two kinds of end do not make Watch return. After SetEndpoint, it opens a watch at the new address at
@@ -318,7 +318,7 @@
 	}
 }
 
-// deliver passes a list to Listed. If the list is invalid, or contains changes of an older version than
+// deliver passes a list to OnList. If the list is invalid, or contains changes of an older version than
 // the list before, deliver returns an error and the next watch requests the complete list, because
 // later changes could not be applied. After SetEndpoint it returns net.ErrClosed.
 func (w *Watcher) deliver(data []byte, endpointChanges int) error {
@@ -338,7 +338,7 @@
 	}
 	w.mu.Unlock()
 	if err == nil {
-		w.Listed(list)
+		w.OnList(list)
 	}
 	return err
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -54,7 +54,7 @@
 		return false
 	})
 	w := &testWatcher{lists: make(chan *List, 100), failed: make(chan error, 100)}
-	w.Watcher = &Watcher{Addr: addr, Pace: Pace{CallTimeout: patience, RetrySpread: time.Second, MaxBackoff: 500 * time.Millisecond}, Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
+	w.Watcher = &Watcher{Addr: addr, Pace: Pace{CallTimeout: patience, RetrySpread: time.Second, MaxBackoff: 500 * time.Millisecond}, OnList: func(l *List) { w.lists <- l }, OnFailure: func(err error) { w.failed <- err }}
 	t.Cleanup(w.Close)
 	if polled {
 		go func() { w.failed <- w.Watch() }()
@@ -163,7 +163,7 @@
 // A first call on which nothing arrives, or only the head of a response, is repeated in time.
 func TestSilentFromTheFirstByte(t *testing.T) {
 	for received, text := range map[string]string{"no bytes": "", "a head": responseHead} {
-		for mode, pace := range map[string]Pace{"polled": Polled(), "pushed": Pushed(2 * time.Second)} {
+		for mode, pace := range map[string]Pace{"polled": PolledPace(), "pushed": PushedPace(2 * time.Second)} {
 			t.Run(received+", "+mode, func(t *testing.T) {
 				t.Parallel()
 				addr := tcp.Requests(t, func(conn, _ int, c net.Conn, _ *http.Request) bool {
@@ -176,7 +176,7 @@
 					return false
 				})
 				w := &testWatcher{lists: make(chan *List, 100)}
-				w.Watcher = &Watcher{Addr: addr, Pace: pace, Listed: func(l *List) { w.lists <- l }, Failed: func(error) {}}
+				w.Watcher = &Watcher{Addr: addr, Pace: pace, OnList: func(l *List) { w.lists <- l }, OnFailure: func(error) {}}
 				t.Cleanup(w.Close)
 				go w.Follow()
 				if l := w.next(t, soon); l.Index != 7 {
@@ -215,7 +215,7 @@
 				return false
 			})
 			w := &testWatcher{lists: make(chan *List, 100), failed: make(chan error, 100)}
-			w.Watcher = &Watcher{Addr: addr, Pace: Polled(), Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
+			w.Watcher = &Watcher{Addr: addr, Pace: PolledPace(), OnList: func(l *List) { w.lists <- l }, OnFailure: func(err error) { w.failed <- err }}
 			t.Cleanup(w.Close)
 			go func() { w.failed <- w.Watch() }()
 			w.next(t, patience)
@@ -243,7 +243,7 @@
 		return false
 	})
 	w := &testWatcher{lists: make(chan *List, 100), failed: make(chan error, 100)}
-	w.Watcher = &Watcher{Addr: addr, Pace: Polled(), Listed: func(l *List) { w.lists <- l }, Failed: func(err error) { w.failed <- err }}
+	w.Watcher = &Watcher{Addr: addr, Pace: PolledPace(), OnList: func(l *List) { w.lists <- l }, OnFailure: func(err error) { w.failed <- err }}
 	t.Cleanup(w.Close)
 	go func() { w.failed <- w.Watch() }()
 	w.next(t, patience)
@@ -262,8 +262,8 @@
 	if l := w.next(t, patience); l.Index != 3 {
 		t.Errorf("after SetEndpoint: got %+v, want version 3", l)
 	}
-	if took := time.Since(changedAt); took > Polled().SecondCallDelay {
-		t.Errorf("the list of the new endpoint arrived after %v, want at most %v", took, Polled().SecondCallDelay)
+	if took := time.Since(changedAt); took > PolledPace().SecondCallDelay {
+		t.Errorf("the list of the new endpoint arrived after %v, want at most %v", took, PolledPace().SecondCallDelay)
 	}
 }
 
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -22,10 +22,10 @@
 	SecondCallDelay time.Duration
 }
 
-// Polled returns the Pace for a single discovery service that serves the calls of all sidecars one
+// PolledPace returns the Pace for a single discovery service that serves the calls of all sidecars one
 // after another. CallTimeout is the time that the other waits leave, because an abandoned call costs
 // discovery as much work as an answered one.
-func Polled() Pace {
+func PolledPace() Pace {
 	p := Pace{RetrySpread: 400 * time.Millisecond, MaxBackoff: 500 * time.Millisecond}
 	p.CallTimeout = maxNotificationDelay - notificationMargin - maxSilence - p.RetrySpread - p.MaxBackoff
 	p.InitialDelay = maxNotificationDelay - notificationMargin - p.CallTimeout - p.MaxBackoff
@@ -33,18 +33,18 @@
 	return p
 }
 
-// Pushed returns the Pace for an agent on this machine that pushes lists. The agent responds at once or,
+// PushedPace returns the Pace for an agent on this machine that pushes lists. The agent responds at once or,
 // while discovery is down, not at all. A change counts as notified once the agent has it. A call that
 // times out and the backoff after it therefore fit well within grace, the time in which a draining server
 // may still get attempts. No call times out before minPushedCallTimeout.
-func Pushed(grace time.Duration) Pace {
+func PushedPace(grace time.Duration) Pace {
 	return Pace{
 		CallTimeout: min(max(grace/2, minPushedCallTimeout), time.Second),
 		MaxBackoff:  min(max(grace/4, minPushedCallTimeout/2), 500*time.Millisecond),
 	}
 }
 
-// minPushedCallTimeout is the shortest CallTimeout of Pushed.
+// minPushedCallTimeout is the shortest CallTimeout of PushedPace.
 const minPushedCallTimeout = 100 * time.Millisecond
 
 // WorstDelay returns the longest time, without transmission, from the moment at which discovery can
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -13,7 +13,7 @@
 // The waits of both paces add up to less than the time after which changes count as notified, for every
 // grace from the settings.
 func TestWaitsAddUp(t *testing.T) {
-	polled := Polled()
+	polled := PolledPace()
 	if delay := polled.WorstDelay(); delay > maxNotificationDelay-notificationMargin {
 		t.Errorf("polled: WorstDelay() = %v, want at most %v", delay, maxNotificationDelay-notificationMargin)
 	}
@@ -23,7 +23,7 @@
 		}
 	}
 	for grace := time.Duration(0); grace < time.Minute; grace += 10 * time.Millisecond {
-		pushed := Pushed(grace)
+		pushed := PushedPace(grace)
 		if delay := pushed.WorstDelay(); delay > maxNotificationDelay-notificationMargin {
 			t.Errorf("pushed, grace %v: WorstDelay() = %v, want at most %v", grace, delay, maxNotificationDelay-notificationMargin)
 		}
@@ -98,7 +98,7 @@
 		if simulation.rejects {
 			simulation.schedule(simulation.now, failed)
 		} else {
-			simulation.schedule(simulation.now+Polled().CallTimeout, failed)
+			simulation.schedule(simulation.now+PolledPace().CallTimeout, failed)
 		}
 		return
 	}
@@ -106,10 +106,10 @@
 	start := max(simulation.now, simulation.idleAt)
 	switch {
 	case start-simulation.now > 2*time.Second:
-		simulation.schedule(simulation.now+min(2*time.Second, Polled().CallTimeout), failed)
-	case start+simulation.callTime-simulation.now > Polled().CallTimeout:
+		simulation.schedule(simulation.now+min(2*time.Second, PolledPace().CallTimeout), failed)
+	case start+simulation.callTime-simulation.now > PolledPace().CallTimeout:
 		simulation.idleAt = start + simulation.callTime
-		simulation.schedule(simulation.now+Polled().CallTimeout, failed)
+		simulation.schedule(simulation.now+PolledPace().CallTimeout, failed)
 	default:
 		simulation.idleAt = start + simulation.callTime
 		simulation.schedule(simulation.idleAt, func() {
@@ -130,9 +130,9 @@
 				for seed := range uint64(5) {
 					rng := rand.New(rand.NewPCG(seed, 1))
 					simulation := &pollSimulation{availableAt: 20 * time.Second, rejects: rejects, callTime: callTime}
-					pace := Polled()
+					pace := PolledPace()
 					cfg := martendrum.Config{Instances: count, MaxAttempts: 1, Classes: []martendrum.Class{{LatencyObjective: time.Second}},
-						MaxListAge: pace.InitialDelay * 5 / 4, RetryWithin: pace.MaxBackoff}
+						MaxListAge: pace.InitialDelay * 5 / 4, PollRetryWithin: pace.MaxBackoff}
 					var sidecars []*pollingSidecar
 					for range count {
 						sidecar := &pollingSidecar{simulation: simulation}
@@ -174,7 +174,7 @@
 // SecondCallDelay. The first call of one in ten is lost.
 func TestSecondCallsCauseNoStorm(t *testing.T) {
 	const count = 300
-	pace := Polled()
+	pace := PolledPace()
 	for _, callTime := range []time.Duration{time.Millisecond, 5 * time.Millisecond} {
 		simulation := &pollSimulation{callTime: callTime}
 		rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -45,7 +45,7 @@
 type conn struct {
 	server   *Server
 	netConn  net.Conn
-	input    *netconn.Lazy
+	input    *netconn.LazyReader
 	answered sync.Cond // signals that exchange became nil
 	accepted time.Time // when the connection was accepted
 	requests int       // number of requests registered; used by the connection's goroutine only
@@ -168,7 +168,7 @@
 		case <-x.upload.done:
 			return
 		case <-check.C:
-			if x.upload.unclaimed() && c.input.Left() && c.server.handler.ClientDisconnected(x) {
+			if x.upload.unclaimed() && c.input.PeerClosed() && c.server.handler.ClientDisconnected(x) {
 				x.upload.stop()
 			}
 		}
--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -33,9 +33,9 @@
 	upload                 *upload   // the part of the body that is not buffered; nil: none
 }
 
-// ClientLeft reports whether the client has closed or reset its connection, even if the
+// ClientDisconnected reports whether the client has closed or reset its connection, even if the
 // connection's goroutine has not noticed yet. It does not block.
-func (x *Exchange) ClientLeft() bool { return x.conn.input.Left() }
+func (x *Exchange) ClientDisconnected() bool { return x.conn.input.PeerClosed() }
 
 // hopByHop are the header fields that are not forwarded: they concern a single connection, or each
 // attempt sets its own.
--- a/internal/downstream/ids.go
+++ b/internal/downstream/ids.go
@@ -17,7 +17,7 @@
 
 // SharedIDs is a set of request ids that is shared with another process.
 type SharedIDs interface {
-	// Open adds the id with the given hash; at is the current time of clock.Boot. It returns false
+	// Open adds the id with the given hash; at is the current time of clock.SinceBoot. It returns false
 	// if the set already contains the id.
 	Open(hash uint64, at time.Duration) bool
 }
@@ -26,7 +26,7 @@
 // to the set, and from then on accepts a new id only if it is not in the set. It replaces a set
 // that was shared before.
 func (s *Server) ShareIDs(shared SharedIDs) {
-	now := clock.Boot()
+	now := clock.SinceBoot()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ids.shared = shared
@@ -55,7 +55,7 @@
 
 // open adds the id of a new request. It returns false if the id is known here or in the shared set.
 func (r *requestIDs) open(id string) bool {
-	if r.known[id] || r.shared != nil && !r.shared.Open(xxhash.Sum64String(id), clock.Boot()) {
+	if r.known[id] || r.shared != nil && !r.shared.Open(xxhash.Sum64String(id), clock.SinceBoot()) {
 		return false
 	}
 	r.known[id] = true
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -40,9 +40,9 @@
 // SetMeter sets the Meter that counts the results of requests. It must be called before Serve.
 func (s *Server) SetMeter(meter Meter) { s.meter = meter }
 
-// Limit replaces the limits. They apply to later connections and bodies; Trim closes connections beyond
+// SetLimits replaces the limits. They apply to later connections and bodies; Trim closes connections beyond
 // the new limit.
-func (s *Server) Limit(config Config) {
+func (s *Server) SetLimits(config Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.release(config.MaxBody - s.config.MaxBody)
@@ -113,7 +113,7 @@
 		return
 	}
 	netConn.SetReadDeadline(now.Add(firstRequestTimeout))
-	c.input = netconn.NewLazy(netConn)
+	c.input = netconn.NewLazyReader(netConn)
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
--- a/internal/handover/idtable/idtable.go
+++ b/internal/handover/idtable/idtable.go
@@ -56,7 +56,7 @@
 }
 
 // Open enters the id with the given hash and returns true, or returns false if the id is known
-// already. at is the time of a clock that both processes share and nobody sets (clock.Boot): a
+// already. at is the time of a clock that both processes share and nobody sets (clock.SinceBoot): a
 // step of the wall clock would make both forget the ids that they know. Processes of versions
 // that used the wall clock share nothing with those of this version; each still knows its own
 // ids.
--- a/internal/handover/link/predecessor.go
+++ b/internal/handover/link/predecessor.go
@@ -333,8 +333,8 @@
 	return p.machine.SuccessorServing()
 }
 
-// HasPeers reports whether a process is connected that may take over.
-func (p *PredecessorEnd) HasPeers() bool {
+// HasSuccessors reports whether a process is connected that may take over.
+func (p *PredecessorEnd) HasSuccessors() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.peers) > 0
--- a/internal/handover/link/successor.go
+++ b/internal/handover/link/successor.go
@@ -304,10 +304,10 @@
 	return listeners
 }
 
-// LateListeners delivers the listeners of a silent predecessor that has resumed and handed over.
+// ResumedListeners delivers the listeners of a silent predecessor that has resumed and handed over.
 // From then on, Listeners returns them too, and Table returns the predecessor's table. The caller
 // accepts from the listeners and then calls Ready.
-func (s *SuccessorEnd) LateListeners() <-chan []*net.TCPListener { return s.lateListeners }
+func (s *SuccessorEnd) ResumedListeners() <-chan []*net.TCPListener { return s.lateListeners }
 
 // Snapshot returns the encoded snapshot of what the predecessor has learned. It is empty if the
 // predecessor sent none.
@@ -350,9 +350,9 @@
 	return len(s.passedListeners) > 0 || !s.machine.WithoutPredecessor()
 }
 
-// Alone returns a channel that is closed when there is no predecessor any more, or there never was
+// NoPredecessor returns a channel that is closed when there is no predecessor any more, or there never was
 // one, and this process owns all limits.
-func (s *SuccessorEnd) Alone() <-chan struct{} { return s.predecessorGone }
+func (s *SuccessorEnd) NoPredecessor() <-chan struct{} { return s.predecessorGone }
 
 // Failed delivers an error after which this process must end: a predecessor that is alive has
 // taken back the quota.
--- a/internal/idempotency/storeconfig/open.go
+++ b/internal/idempotency/storeconfig/open.go
@@ -60,7 +60,7 @@
 // recorderClass is the n-th class, with its bound on waiting for the store.
 func (c *Config) recorderClass(n int, set *settings.Settings) (recorder.Class, error) {
 	class := c.Classes[n]
-	index := set.Class([]byte(class.Name))
+	index := set.ClassIndex([]byte(class.Name))
 	if index < 0 {
 		return recorder.Class{}, fmt.Errorf("%s: class %s: the settings have no class of that name", c.path, class.Name)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -98,10 +98,10 @@
 	s.set.NewGauge(prefix+name, read)
 }
 
-// Classes adds counters for the named classes, for at most maxClasses classes in all. Classes that were
+// SetClasses adds counters for the named classes, for at most maxClasses classes in all. SetClasses that were
 // named before keep their counters, because requests of a removed class may still be open and a counter
 // must not decrease.
-func (s *Set) Classes(names []string) {
+func (s *Set) SetClasses(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := make(map[string]*class)
@@ -169,8 +169,8 @@
 // request spent in the sidecar itself.
 func (s *Set) ProcessingTime(took time.Duration) { s.processingTime.Update(took.Seconds()) }
 
-// Configured counts a configuration that was applied or rejected.
-func (s *Set) Configured(applied bool) {
+// CountReload counts a configuration that was applied or rejected.
+func (s *Set) CountReload(applied bool) {
 	if applied {
 		s.applied.Inc()
 	} else {
--- a/internal/netconn/lazy.go
+++ b/internal/netconn/lazy.go
@@ -16,13 +16,13 @@
 	"martendrum/internal/framing"
 )
 
-// Lazy reads a connection through a pooled buffer, which it holds only while bytes of the peer are unread or
+// LazyReader reads a connection through a pooled buffer, which it holds only while bytes of the peer are unread or
 // being read, so that idle connections need no buffer.
 //
 // Only one goroutine at a time, the reader, may call its methods, except Quiet, IfQuiet, MarkHandled, WriteNow
 // and Left, which any goroutine may call. One lock puts Quiet, IfQuiet and MarkHandled in order with the
 // reads of Wait.
-type Lazy struct {
+type LazyReader struct {
 	conn net.Conn
 	raw  syscall.RawConn // nil: conn is not a socket and is read directly
 	held *buffer         // nil: no buffer is held
@@ -84,9 +84,9 @@
 	buffers.Put(b)
 }
 
-// NewLazy returns a Lazy that reads conn. It holds no buffer yet.
-func NewLazy(conn net.Conn) *Lazy {
-	l := &Lazy{conn: conn}
+// NewLazyReader returns a LazyReader that reads conn. It holds no buffer yet.
+func NewLazyReader(conn net.Conn) *LazyReader {
+	l := &LazyReader{conn: conn}
 	if socket, ok := conn.(syscall.Conn); ok {
 		if raw, err := socket.SyscallConn(); err == nil {
 			l.raw = raw
@@ -99,7 +99,7 @@
 // meanwhile. It needs no more system calls than a plain read: it gets a buffer for each try to read the
 // socket, and returns it to the pool if there was nothing to read. Its errors are those of a read; io.EOF is
 // the end of the connection.
-func (l *Lazy) Wait() error {
+func (l *LazyReader) Wait() error {
 	if l.held != nil {
 		if l.held.reader.Buffered() > 0 {
 			return nil
@@ -136,7 +136,7 @@
 }
 
 // peek fills the buffer with one read. If that returns no byte, the buffer is released.
-func (l *Lazy) peek() error {
+func (l *LazyReader) peek() error {
 	_, err := l.held.reader.Peek(1)
 	if err != nil {
 		l.releaseBuffer()
@@ -145,7 +145,7 @@
 }
 
 // releaseBuffer returns the buffer to the pool, if one is held.
-func (l *Lazy) releaseBuffer() {
+func (l *LazyReader) releaseBuffer() {
 	if l.held != nil {
 		putBuffer(l.held)
 		l.held = nil
@@ -154,7 +154,7 @@
 
 // MarkHandled records that the reader has handled what Wait has found, so that the connection can be quiet
 // again.
-func (l *Lazy) MarkHandled() {
+func (l *LazyReader) MarkHandled() {
 	l.mu.Lock()
 	l.found = false
 	l.mu.Unlock()
@@ -163,12 +163,12 @@
 // Quiet reports whether the connection is quiet: neither bytes nor the end of the connection are waiting in
 // the socket, and Wait has found nothing since the last MarkHandled. It does not block, consumes nothing, and
 // may be called from any goroutine. A connection that is not a socket always counts as quiet.
-func (l *Lazy) Quiet() bool { return l.IfQuiet(func() {}) }
+func (l *LazyReader) Quiet() bool { return l.IfQuiet(func() {}) }
 
 // IfQuiet calls f if the connection is quiet (see Quiet), and reports whether it did. While f runs, the reader
 // does not read from the socket, so that anything it finds later has arrived after the check. f must not
 // block. IfQuiet may be called from any goroutine.
-func (l *Lazy) IfQuiet(f func()) bool {
+func (l *LazyReader) IfQuiet(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.found || !l.isSocketEmpty() {
@@ -180,7 +180,7 @@
 
 // isSocketEmpty reports whether the socket holds neither unread bytes nor the end of the connection. It
 // returns true if the connection is not a socket.
-func (l *Lazy) isSocketEmpty() bool {
+func (l *LazyReader) isSocketEmpty() bool {
 	if l.raw == nil {
 		return true
 	}
@@ -200,7 +200,7 @@
 // WriteNow writes as much of b as the socket's send buffer accepts without blocking, and returns how many
 // bytes that was. It is not an error if that is less than all of b. It may be called from any goroutine. To a
 // connection that is not a socket, it writes nothing.
-func (l *Lazy) WriteNow(b []byte) (n int, err error) {
+func (l *LazyReader) WriteNow(b []byte) (n int, err error) {
 	if l.raw == nil {
 		return 0, nil
 	}
@@ -222,10 +222,10 @@
 	return n, cmp.Or(rawErr, err)
 }
 
-// Left reports whether the peer has closed its side of the connection or reset it, even if bytes that arrived
+// PeerClosed reports whether the peer has closed its side of the connection or reset it, even if bytes that arrived
 // before are still unread. It does not block, and may be called from any goroutine. It returns false if the
 // connection is not a socket.
-func (l *Lazy) Left() bool {
+func (l *LazyReader) PeerClosed() bool {
 	if l.raw == nil {
 		return false
 	}
@@ -243,10 +243,10 @@
 
 // Reader returns the reader of the connection, which holds what Wait has found. It is valid until the next
 // Wait. It must be called only after a Wait that returned no error.
-func (l *Lazy) Reader() *bufio.Reader { return l.held.reader }
+func (l *LazyReader) Reader() *bufio.Reader { return l.held.reader }
 
 // Buffered returns the number of bytes that have been read from the socket and not from Reader.
-func (l *Lazy) Buffered() int {
+func (l *LazyReader) Buffered() int {
 	if l.held == nil {
 		return 0
 	}
--- a/internal/netconn/lazy_test.go
+++ b/internal/netconn/lazy_test.go
@@ -43,7 +43,7 @@
 	pipeLocal, pipeRemote := net.Pipe()
 	socketLocal, socketRemote := connPair(t)
 	for _, ends := range []struct{ local, remote net.Conn }{{socketLocal, socketRemote}, {pipeLocal, pipeRemote}} {
-		l := NewLazy(ends.local)
+		l := NewLazyReader(ends.local)
 		var sent bytes.Buffer
 		for n := range 40 {
 			fmt.Fprintf(&sent, "%06d%s", n*511, bytes.Repeat([]byte("x"), n*511)) // up to more than twice the buffer
@@ -77,7 +77,7 @@
 // closing of the connection or with a reset by the peer.
 func TestLazyHoldsNoBufferAfterFailedWait(t *testing.T) {
 	local, remote := connPair(t)
-	l := NewLazy(local)
+	l := NewLazyReader(local)
 	local.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 	if err := l.Wait(); !errors.Is(err, os.ErrDeadlineExceeded) || l.held != nil {
 		t.Errorf("Wait() past the read deadline: got error %v, buffer %v; want %v and no buffer", err, l.held, os.ErrDeadlineExceeded)
@@ -95,7 +95,7 @@
 		t.Errorf("Wait() on a connection that is closed: got error %v, buffer %v; want %v and no buffer", err, l.held, net.ErrClosed)
 	}
 	local, remote = connPair(t)
-	l = NewLazy(local)
+	l = NewLazyReader(local)
 	remote.(*net.TCPConn).SetLinger(0)
 	remote.Close()
 	var reset net.Error
@@ -118,7 +118,7 @@
 			local, remote := connPair(b)
 			locals, remotes = append(locals, local), append(remotes, remote)
 			local.SetDeadline(time.Time{})
-			go func() { ended <- NewLazy(local).Wait() }()
+			go func() { ended <- NewLazyReader(local).Wait() }()
 		}
 		runtime.GC()
 		runtime.GC() // only the second collection empties a sync.Pool
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -37,21 +37,21 @@
 	Cluster     string        // identifies the tier
 
 	classes, tenants map[string]int // index by name
-	classNames       []string       // name by index of the class; empty: the index is unused
+	nameByIndex      []string       // name by index of the class; empty: the index is unused
 	tenantNames      []string       // name by index of the tenant; empty: the index is unused
 }
 
 // Class is one request class of a Settings. A request keeps the Class that was in force when it
 // was read.
 type Class struct {
-	Name  string
-	Place int // index in Config.Classes
-	Rules *martendrum.Class
-	Wait  time.Duration // the longest that a client waits
+	Name    string
+	Index   int // index in Config.Classes
+	Rules   *martendrum.Class
+	MaxWait time.Duration // the longest that a client waits
 }
 
-// Explain returns an error of encoding/json with the JSON names of the fields in place of Go's.
-func Explain(err error) error {
+// ExplainJSONError returns an error of encoding/json with the JSON names of the fields in place of Go's.
+func ExplainJSONError(err error) error {
 	if syntaxErr, ok := errors.AsType[*json.SyntaxError](err); ok {
 		return fmt.Errorf("invalid JSON: %w, at byte %d", err, syntaxErr.Offset)
 	}
@@ -68,26 +68,26 @@
 	return fmt.Errorf("JSON field %q can't be a %s; want %s", strings.Join(parts, "."), typeErr.Value, typeErr.Type.Kind())
 }
 
-// ByName returns the class with the given name, nil if there is none.
-func (s *Settings) ByName(name string) *Class {
+// ClassByName returns the class with the given name, nil if there is none.
+func (s *Settings) ClassByName(name string) *Class {
 	n, ok := s.classes[name]
 	if !ok {
 		return nil
 	}
-	return &Class{Name: name, Place: n, Rules: &s.Config.Classes[n], Wait: s.Deadlines[n]}
+	return &Class{Name: name, Index: n, Rules: &s.Config.Classes[n], MaxWait: s.Deadlines[n]}
 }
 
-// Follow gives the classes and tenants that the old settings also have the same indexes as there.
+// KeepIndexes gives the classes and tenants that the old settings also have the same indexes as there.
 // New ones take the indexes of removed ones or are appended. An unused index keeps its old values,
-// and no name refers to it. Follow must be called before s is used.
-func (s *Settings) Follow(old *Settings) {
-	indexes := assignIndexes(old.classNames, s.classNames)
+// and no name refers to it. KeepIndexes must be called before s is used.
+func (s *Settings) KeepIndexes(old *Settings) {
+	indexes := assignIndexes(old.nameByIndex, s.nameByIndex)
 	for n, index := range indexes {
-		s.classes[s.classNames[n]] = index
+		s.classes[s.nameByIndex[n]] = index
 	}
 	s.Config.Classes = mergeByIndex(old.Config.Classes, s.Config.Classes, indexes)
 	s.Deadlines = mergeByIndex(old.Deadlines, s.Deadlines, indexes)
-	s.classNames = mergeByIndex(make([]string, len(old.classNames)), s.classNames, indexes)
+	s.nameByIndex = mergeByIndex(make([]string, len(old.nameByIndex)), s.nameByIndex, indexes)
 	indexes = assignIndexes(old.tenantNames, s.tenantNames)
 	for n, index := range indexes {
 		s.tenants[s.tenantNames[n]] = index
@@ -185,7 +185,7 @@
 func Parse(data []byte) (*Settings, error) {
 	var doc document
 	if err := json.Unmarshal(data, &doc); err != nil {
-		return nil, fmt.Errorf("settings: %w", Explain(err))
+		return nil, fmt.Errorf("settings: %w", ExplainJSONError(err))
 	}
 	if len(doc.Classes) == 0 {
 		return nil, errors.New("settings: classes must be non-empty")
@@ -213,7 +213,7 @@
 			return nil, fmt.Errorf("settings: classes[%d].name: there are two classes named %q", n, c.Name)
 		}
 		s.classes[c.Name] = n
-		s.classNames = append(s.classNames, c.Name)
+		s.nameByIndex = append(s.nameByIndex, c.Name)
 		s.Deadlines = append(s.Deadlines, microseconds(c.DeadlineUs))
 	}
 	for _, c := range s.Config.Classes {
@@ -226,11 +226,11 @@
 	return s, nil
 }
 
-// Class returns the index of the class with the given name, -1 if there is none.
-func (s *Settings) Class(name []byte) int { return indexOf(s.classes, name) }
+// ClassIndex returns the index of the class with the given name, -1 if there is none.
+func (s *Settings) ClassIndex(name []byte) int { return indexOf(s.classes, name) }
 
-// Names returns the names of the classes, sorted.
-func (s *Settings) Names() (names []string) {
+// ClassNames returns the names of the classes, sorted.
+func (s *Settings) ClassNames() (names []string) {
 	for name := range s.classes {
 		names = append(names, name)
 	}
@@ -238,8 +238,8 @@
 	return names
 }
 
-// Tenant returns the index of the tenant with the given name, -1 if there is none.
-func (s *Settings) Tenant(name []byte) int { return indexOf(s.tenants, name) }
+// TenantIndex returns the index of the tenant with the given name, -1 if there is none.
+func (s *Settings) TenantIndex(name []byte) int { return indexOf(s.tenants, name) }
 
 // indexOf returns the index of a name, -1 if there is none.
 func indexOf(indexes map[string]int, name []byte) int {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,7 +28,7 @@
 		s.MaxInFlight != 9 || s.Deadlines[0] != 6*time.Microsecond {
 		t.Errorf("Parse = %+v, want the durations and limits of the JSON object, and DialTimeout 100ms (a quarter of the shortest promiseUs)", s)
 	}
-	if s.Class([]byte("b")) != 1 || s.Class([]byte("c")) != -1 || s.Tenant([]byte("p")) != 0 || s.Tenant(nil) != -1 {
+	if s.ClassIndex([]byte("b")) != 1 || s.ClassIndex([]byte("c")) != -1 || s.TenantIndex([]byte("p")) != 0 || s.TenantIndex(nil) != -1 {
 		t.Error("Class and Tenant returned wrong indexes, want 1 for class b, 0 for tenant p and -1 for unknown names")
 	}
 	if _, err := Parse([]byte(`[]`)); err == nil {
@@ -66,14 +66,14 @@
 	} {
 		next := parseClasses(step.names...)
 		classesBefore := len(current.Config.Classes)
-		next.Follow(current)
+		next.KeepIndexes(current)
 		for n, name := range step.names {
-			c := next.ByName(name)
-			if c == nil || c.Place != step.indexes[n] || c.Rules.LatencyObjective != time.Duration(name[0])*time.Microsecond || c.Wait != c.Rules.LatencyObjective {
+			c := next.ClassByName(name)
+			if c == nil || c.Index != step.indexes[n] || c.Rules.LatencyObjective != time.Duration(name[0])*time.Microsecond || c.MaxWait != c.Rules.LatencyObjective {
 				t.Errorf("after a reload to %v: ByName(%q) = %+v, want index %d and its own latency objective and deadline", step.names, name, c, step.indexes[n])
 			}
 		}
-		if len(next.Config.Classes) < classesBefore || len(next.Config.Classes) != len(next.Deadlines) || next.ByName("b") != nil {
+		if len(next.Config.Classes) < classesBefore || len(next.Config.Classes) != len(next.Deadlines) || next.ClassByName("b") != nil {
 			t.Errorf("after a reload to %v: %d classes and %d deadlines, want equal numbers, at least %d, and no class b", step.names, len(next.Config.Classes), len(next.Deadlines), classesBefore)
 		}
 		current = next
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -41,8 +41,8 @@
 	End time.Duration
 }
 
-// For returns the plan for settings whose longest deadline of a class is longest.
-func For(longest time.Duration) Plan {
+// NewPlan returns the plan for settings whose longest deadline of a class is longest.
+func NewPlan(longest time.Duration) Plan {
 	kill := min(max(longest, 0), MaxDeadline) + KillGrace
 	return Plan{
 		Kill:          kill,
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -9,7 +9,7 @@
 // MaxStall during that step.
 func TestPlansAddUp(t *testing.T) {
 	for longest := 50 * time.Millisecond; longest <= 20*time.Second; longest += 50 * time.Millisecond {
-		plan := For(longest)
+		plan := NewPlan(longest)
 		earliestKill := min(longest, 3*time.Second) + 700*time.Millisecond
 		if plan.Kill != earliestKill {
 			t.Errorf("longest deadline %v: Kill = %v, want %v", longest, plan.Kill, earliestKill)
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -54,14 +54,14 @@
 		hedged:  request.open > 0,
 	}
 	a.Attempt = upstream.Attempt{
-		Request:       &exchange.Request,
-		Server:        server,
-		Deadline:      deadline,
-		SendBefore:    sendBefore,
-		Sink:          a,
-		NonRepeatable: exchange.Rules.Rules.Idempotency == martendrum.NonIdempotent,
-		ClientLeft:    exchange.ClientLeft,
-		OnWritten:     h.onWritten,
+		Request:            &exchange.Request,
+		Server:             server,
+		Deadline:           deadline,
+		SendBefore:         sendBefore,
+		Sink:               a,
+		NonRepeatable:      exchange.Rules.Rules.Idempotency == martendrum.NonIdempotent,
+		ClientDisconnected: exchange.ClientDisconnected,
+		OnWritten:          h.onWritten,
 	}
 	if exchange.Request.Stream != nil {
 		a.OnClaimed, a.OnWritten, a.MaxSentTimeout = a.claimed, a.uploaded, request.timeout
@@ -146,7 +146,7 @@
 		h.recordEnd(request, Served, answer, nil)
 	}
 	h.meter.AttemptFinished(outcome, a.hedged, served)
-	if outcome == martendrum.NotSent && !request.answered && request.exchange.ClientLeft() { // the goroutine of the client's connection may not have noticed the disconnect yet
+	if outcome == martendrum.NotSent && !request.answered && request.exchange.ClientDisconnected() { // the goroutine of the client's connection may not have noticed the disconnect yet
 		h.balancer.ClientDisconnected(now, request.id)
 		h.Fail(request.id)
 	}
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -66,7 +66,7 @@
 			shared: cmp.Or(initial.MaxInFlight, math.MaxInt),
 		},
 	}
-	watcher.Listed, watcher.Failed = h.Listed, h.DiscoveryFailed
+	watcher.OnList, watcher.OnFailure = h.Listed, h.DiscoveryFailed
 	h.onWritten = h.meter.AttemptWritten
 	h.publishClasses()
 	h.timers.runtime = time.AfterFunc(time.Hour, h.fireTimers)
@@ -126,7 +126,7 @@
 // Requests that have been read keep their class of the previous settings.
 func (h *Host) Reconfigure(updated *settings.Settings) (err error) {
 	h.handle(func(time.Duration) {
-		updated.Follow(h.settings)
+		updated.KeepIndexes(h.settings)
 		if err = h.balancer.Reconfigure(updated.Config); err == nil {
 			h.settings = updated
 			h.publishClasses()
@@ -138,27 +138,27 @@
 // publishClasses makes the classes of the settings in force visible to Class, which does not lock.
 func (h *Host) publishClasses() {
 	classes := make(map[string]*settings.Class)
-	for _, name := range h.settings.Names() {
-		classes[name] = h.settings.ByName(name)
+	for _, name := range h.settings.ClassNames() {
+		classes[name] = h.settings.ClassByName(name)
 	}
 	h.classes.Store(&classes)
 }
 
-// Learned returns the state that the Balancer has learned, for Learn of another process.
-func (h *Host) Learned() martendrum.LearnedState {
+// LearnedState returns the state that the Balancer has learned, for Learn of another process.
+func (h *Host) LearnedState() martendrum.LearnedState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.balancer.LearnedState(h.now())
 }
 
-// Learn restores the state that another process's Balancer has learned; age is the time since that
+// RestoreLearnedState restores the state that another process's Balancer has learned; age is the time since that
 // state was saved. It is called after the list of servers has arrived and before the first request.
-func (h *Host) Learn(learned martendrum.LearnedState, age time.Duration) {
+func (h *Host) RestoreLearnedState(learned martendrum.LearnedState, age time.Duration) {
 	h.handle(func(now time.Duration) { h.balancer.Restore(now, learned, age) })
 }
 
-// Steer calls steer under the lock, to read the Balancer and set its bounds. arrivals is the number of
+// WithBalancer calls steer under the lock, to read the Balancer and set its bounds. arrivals is the number of
 // requests so far, without those rejected at the limit on requests in flight. steer must not block.
-func (h *Host) Steer(steer func(now time.Duration, arrivals uint64, b *martendrum.Balancer)) {
+func (h *Host) WithBalancer(steer func(now time.Duration, arrivals uint64, b *martendrum.Balancer)) {
 	h.handle(func(now time.Duration) { steer(now, uint64(h.lastID), h.balancer) })
 }
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -56,7 +56,7 @@
 	h.Listed(list)
 	srv := downstream.New(downstream.Config{MaxConns: 100, MaxBody: 1 << 20}, h)
 	metricSet := metrics.New()
-	metricSet.Classes(set.Names())
+	metricSet.SetClasses(set.ClassNames())
 	h.SetMeter(metricSet)
 	srv.SetMeter(metricSet)
 	ln := listen(t)
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -14,10 +14,10 @@
 	SetInFlight(n int) (others int)
 }
 
-// Limit replaces the limits on requests in flight: local holds for this process while it has no Tally,
+// SetInFlightLimits replaces the limits on requests in flight: local holds for this process while it has no Tally,
 // shared for the sum of two processes while they share one. Requests that are in flight already are not
 // affected.
-func (h *Host) Limit(local, shared int) {
+func (h *Host) SetInFlightLimits(local, shared int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.limits.local, h.limits.shared = local, shared
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -82,9 +82,9 @@
 		open = append(open, c)
 	}
 	eventually(t, "three requests in flight", func() bool { return h.InFlight() == 3 && srv.Active() == 3 })
-	h.Limit(3, 3)
+	h.SetInFlightLimits(3, 3)
 	clients.send("fine", "pay", 9999)
-	h.Limit(100, 100)
+	h.SetInFlightLimits(100, 100)
 	open[2].Close()
 	eventually(t, "the end of the abandoned request", func() bool { return srv.Active() == 2 })
 	close(server.release)
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -64,7 +64,7 @@
 
 // newRequest registers the request of an exchange, with its deadline.
 func (h *Host) newRequest(now time.Duration, exchange *downstream.Exchange) *clientRequest {
-	timeout := exchange.Rules.Wait // the upper bound, even if the client states a longer one
+	timeout := exchange.Rules.MaxWait // the upper bound, even if the client states a longer one
 	if exchange.Wait > 0 {
 		timeout = min(timeout, exchange.Wait)
 	}
@@ -113,9 +113,9 @@
 	exchange := request.exchange
 	h.balancer.Arrive(now, martendrum.Request{
 		ID:             request.id,
-		Class:          exchange.Rules.Place,
+		Class:          exchange.Rules.Index,
 		ClassAtArrival: exchange.Rules.Rules,
-		Tenant:         h.settings.Tenant([]byte(exchange.Tenant)),
+		Tenant:         h.settings.TenantIndex([]byte(exchange.Tenant)),
 		Deadline:       request.deadline,
 		StreamedBody:   exchange.Request.Stream != nil,
 	})
--- a/internal/sidecar/servers.go
+++ b/internal/sidecar/servers.go
@@ -19,8 +19,8 @@
 // Listed applies a server list from discovery, which is complete or holds only changed entries.
 func (h *Host) Listed(list *discovery.List) { h.applyList(list, false) }
 
-// Known applies the server list of the configuration file, for use until discovery sends one.
-func (h *Host) Known(list *discovery.List) { h.applyList(list, true) }
+// ApplyConfiguredServers applies the server list of the configuration file, for use until discovery sends one.
+func (h *Host) ApplyConfiguredServers(list *discovery.List) { h.applyList(list, true) }
 
 // applyList passes a server list to the pool and the Balancer. fromConfig says that it is the list of
 // the configuration file.
@@ -40,7 +40,7 @@
 		}
 		switch {
 		case fromConfig:
-			h.balancer.ServersRestored(now, endpoints)
+			h.balancer.ServersPreloaded(now, endpoints)
 		case list.Complete:
 			h.balancer.ServersListed(now, endpoints)
 		default:
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -62,10 +62,10 @@
 	// NonRepeatable says that the request must not be sent again if its attempt fails. It gets a
 	// new connection while too many reused connections break at their next request.
 	NonRepeatable bool
-	// ClientLeft, if not nil, reports whether the client has disconnected. It is called before the
+	// ClientDisconnected, if not nil, reports whether the client has disconnected. It is called before the
 	// first byte is written, and must not block. If it returns true, nothing is sent and the
 	// outcome is NotSent.
-	ClientLeft func() bool
+	ClientDisconnected func() bool
 	// OnWritten, if not nil, is called when the last byte has been written. OnClaimed, if not nil,
 	// is called when this attempt has claimed the body's Stream, so that no other attempt can send
 	// it.
@@ -183,7 +183,7 @@
 	}
 	return &conn{
 		Conn: netConn, server: a.server, addr: addr, owner: a,
-		input: netconn.NewLazy(netConn),
+		input: netconn.NewLazyReader(netConn),
 	}
 }
 
@@ -200,7 +200,7 @@
 // stall of the process it may run before the goroutine that reads from the client's connection.
 func (a *Attempt) begin(c *conn) bool {
 	pastGrace := a.pool.isDrainGraceOver(a.server) // while the connection was dialled
-	clientLeft := a.ClientLeft != nil && a.ClientLeft()
+	clientLeft := a.ClientDisconnected != nil && a.ClientDisconnected()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed || pastGrace || clientLeft || !time.Now().Before(a.sendDeadline()) {
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -48,7 +48,7 @@
 			defer remote.Close()
 			framingtest.Send(remote, append([]byte(head+"\r\n"), body...), piece)
 		}()
-		c := &conn{Conn: local, input: netconn.NewLazy(local)}
+		c := &conn{Conn: local, input: netconn.NewLazyReader(local)}
 		resp, answer, err := c.readAnswer(http.MethodPost)
 		var got []byte
 		if err == nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -49,7 +49,7 @@
 // request that ends in a reset can't be retried.
 type conn struct {
 	net.Conn
-	input  *netconn.Lazy
+	input  *netconn.LazyReader
 	server *server
 	addr   string
 
@@ -64,9 +64,9 @@
 	return &Pool{dial: dialTCP, config: config, servers: make(map[string]*server), minIdleTime: defaultMinIdleTime, unsolicitedIdleTime: defaultUnsolicitedIdleTime}
 }
 
-// Limit replaces the configuration. It applies to later attempts; Trim closes connections that exceed a
+// SetConfig replaces the configuration. It applies to later attempts; Trim closes connections that exceed a
 // lower MaxConns.
-func (p *Pool) Limit(config Config) {
+func (p *Pool) SetConfig(config Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.config = config
--- a/server_list.go
+++ b/server_list.go
@@ -42,11 +42,11 @@
 	b.endpoints.listReceived = true
 }
 
-// ServersRestored applies a complete server list that does not come from discovery, such as one of
+// ServersPreloaded applies a complete server list that does not come from discovery, such as one of
 // the configuration or of an earlier process. Call it before discovery has sent a list. The list may
 // be old, so the next list from discovery still counts as the first one: the start times on both
 // lists may be of long ago and are not treated as new starts.
-func (b *Balancer) ServersRestored(now time.Duration, list []Endpoint) {
+func (b *Balancer) ServersPreloaded(now time.Duration, list []Endpoint) {
 	b.endpoints.replaceAll(list, now)
 }
 
@@ -69,9 +69,9 @@
 	if maxListAge == 0 {
 		return
 	}
-	// The delay is at most 3/2 of its mean, so a mean of 2/3 of RetryWithin keeps it within
-	// RetryWithin.
-	maxBackoff := cmp.Or(b.config.RetryWithin*2/3, 2*maxListAge)
+	// The delay is at most 3/2 of its mean, so a mean of 2/3 of PollRetryWithin keeps it within
+	// PollRetryWithin.
+	maxBackoff := cmp.Or(b.config.PollRetryWithin*2/3, 2*maxListAge)
 	backoff := min(b.pollBackoff, maxBackoff)
 	b.pollTimer = b.setTimer(backoff/2 + time.Duration(b.rng.Float64()*float64(backoff)))
 	b.pollBackoff = min(b.pollBackoff*2, 2*maxListAge)
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -59,7 +59,7 @@
 				t.Fatal(err)
 			}
 			balancerTime := serverTime + skew
-			b.ServersRestored(balancerTime, servingEndpoints(4)) // a list from before the starts
+			b.ServersPreloaded(balancerTime, servingEndpoints(4)) // a list from before the starts
 			b.ServersListed(balancerTime, list)
 			for n, age := range ages {
 				s := b.endpoints.byName[list[n].Name]
