--- a/internal/fleet/distribution/applier.go
+++ b/internal/fleet/distribution/applier.go
@@ -14,29 +14,30 @@
 	Instance string   `msgpack:"instance" json:"instance"`
 	Resource string   `msgpack:"resource" json:"resource"`
 	Revision Revision `msgpack:"revision" json:"revision"`
-	Reason   string   `msgpack:"reason" json:"reason"` // the instance's own, maxReasonBytes bytes
+	Reason   string   `msgpack:"reason" json:"reason"` // as given by the instance, cut to maxReasonBytes
 }
 
-// maxReasonBytes bounds the reason of a Rejection.
+// maxReasonBytes is the maximum length of a Rejection's reason.
 const maxReasonBytes = 300
 
 // Applier decides which settings an instance is given, and when. Changes that arrive within the
 // coalescing delay are tried in one attempt. If the instance rejects them they are retried one at a
-// time, so that a rejected revision neither replaces the last accepted one nor blocks the others.
+// time, so that a rejected revision neither replaces the last accepted one nor blocks the others. An
+// Applier is not safe for concurrent use.
 type Applier struct {
 	instance string
 	coalesce time.Duration
 
 	wanted       map[string]Resource
-	accepted     map[string]Resource  // in force: what the instance accepted last
-	rejected     map[string]Rejection // by resource; only of revisions that are still wanted
-	pendingSince time.Time            // arrival of the first pending change
-	oneByOne     bool                 // pending changes are tried one at a time, after a rejected batch
-	attempt      map[string]Resource  // what the running attempt changes; Removed to delete
+	accepted     map[string]Resource  // in force: the settings that the instance accepted last
+	rejected     map[string]Rejection // by resource; only for revisions that are still wanted
+	pendingSince time.Time            // arrival of the first pending change; zero if there is none
+	oneByOne     bool                 // after a rejected batch: pending changes are tried one at a time
+	attempt      map[string]Resource  // changes of the running attempt, by resource; nil if none is running
 }
 
-// NewApplier returns an Applier without settings. A change waits for others for the duration
-// coalesce.
+// NewApplier returns an Applier without settings for the named instance. coalesce is how long a
+// change waits for further changes before the attempt.
 func NewApplier(instance string, coalesce time.Duration) *Applier {
 	return &Applier{instance: instance, coalesce: coalesce, wanted: make(map[string]Resource),
 		accepted: make(map[string]Resource), rejected: make(map[string]Rejection)}
@@ -67,7 +68,7 @@
 	return Resource{Name: name, Removed: true}
 }
 
-// pending returns the changes that are neither accepted nor rejected, ordered by revision.
+// pending returns the wanted changes that are neither accepted nor rejected, ordered by revision.
 func (a *Applier) pending() []Resource {
 	var pending []Resource
 	for name, r := range a.wanted {
@@ -89,7 +90,8 @@
 // Pending reports whether changes wait for an attempt or are part of the running one.
 func (a *Applier) Pending() bool { return a.attempt != nil || len(a.pending()) > 0 }
 
-// Due returns the earliest time of the next attempt, and false if there is nothing to try.
+// Due returns the earliest time of the next attempt, and false if no change is pending or an attempt
+// is running.
 func (a *Applier) Due() (time.Time, bool) {
 	if a.attempt != nil || len(a.pending()) == 0 {
 		return time.Time{}, false
@@ -100,8 +102,8 @@
 	return a.pendingSince.Add(a.coalesce), true
 }
 
-// Begin starts an attempt and returns the settings to give the instance, in merge order. The caller
-// must end the attempt with Done or Abandon.
+// Begin starts an attempt and returns the settings to give to the instance, in merge order. The
+// caller must end the attempt with Done or Abandon before the next call.
 func (a *Applier) Begin() []Resource {
 	pending := a.pending()
 	if a.oneByOne && len(pending) > 1 {
@@ -120,12 +122,12 @@
 	return mergeOrdered(next)
 }
 
-// Abandon ends an attempt without an answer, because the instance exited or another operation took
-// it over. Its changes are retried later.
+// Abandon ends an attempt without the instance's answer, because the instance exited or another
+// operation took it over. The attempt's changes are retried later.
 func (a *Applier) Abandon() { a.attempt = nil }
 
-// Done ends an attempt with the instance's answer. The instance's settings file must then hold what
-// Accepted returns.
+// Done ends an attempt with the instance's answer. reason is why the instance rejected the settings.
+// The caller must then write what Accepted returns to the instance's settings file.
 func (a *Applier) Done(accepted bool, reason string) {
 	attempt := a.attempt
 	a.attempt = nil
@@ -148,11 +150,11 @@
 	}
 }
 
-// reject records a rejection, unless the wanted revision has changed since the attempt began. The
-// new revision is then tried like any other.
-func (a *Applier) reject(tried map[string]Resource, reason string) {
+// reject records a rejection, unless the wanted revision has changed since the attempt began: the new
+// revision is tried like any other.
+func (a *Applier) reject(attempted map[string]Resource, reason string) {
 	reason = strings.ToValidUTF8(reason[:min(len(reason), maxReasonBytes)], "")
-	for name, r := range tried {
+	for name, r := range attempted {
 		if a.wantedResource(name).Revision == r.Revision {
 			a.rejected[name] = Rejection{Instance: a.instance, Resource: name, Revision: r.Revision, Reason: reason}
 		}
@@ -171,9 +173,10 @@
 // Accepted returns the settings that the instance accepted last, in merge order.
 func (a *Applier) Accepted() []Resource { return mergeOrdered(a.accepted) }
 
+// mergeOrdered returns the resources in merge order.
 func mergeOrdered(resources map[string]Resource) []Resource {
 	ordered := slices.Collect(maps.Values(resources))
-	inMergeOrder(ordered)
+	sortInMergeOrder(ordered)
 	return ordered
 }
 
@@ -192,13 +195,14 @@
 	Rejections []Rejection `json:"refused,omitempty"`
 }
 
-// Entry returns the entry that stores what the instance accepted and rejected.
+// Entry returns the entry that stores the accepted settings and the rejections.
 func (a *Applier) Entry() Entry {
 	return newEntry(acceptedPrefix+a.instance, appliedEntry{Accepted: a.Accepted(), Rejections: a.Rejections()})
 }
 
-// Restore loads the instance's state from the stored entries. Until the first call of Want the
-// accepted settings are also the wanted ones, so that a restart takes nothing out of force.
+// Restore loads the instance's accepted settings and rejections from the stored entries. Until the
+// first call of Want the accepted settings are also the wanted ones, so that a restart removes no
+// settings from the instance.
 func (a *Applier) Restore(entries []Entry) error {
 	for _, entry := range entries {
 		if entry.Key != acceptedPrefix+a.instance {
--- a/internal/fleet/distribution/bench_test.go
+++ b/internal/fleet/distribution/bench_test.go
@@ -87,7 +87,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				state.Make(next)
+				state.Apply(next)
 				registry.Advance(state)
 			}
 		})
@@ -119,7 +119,7 @@
 				for n := relay; n < fleetHosts; n += fleetRelays {
 					reports = append(reports, HostReport{Host: hostName(n), Session: int64(n + 1), Present: true, State: reported})
 				}
-				writer.Merge(fmt.Sprintf("relay-%02d", relay), state.Revision(), reports)
+				writer.MergeReports(fmt.Sprintf("relay-%02d", relay), state.Revision(), reports)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -138,14 +138,14 @@
 			state, store := NewState(DefaultLimits()), newDisk()
 			promoted := state.Promote(1)
 			store.write(promoted.Batch())
-			state.Make(promoted)
+			state.Apply(promoted)
 			for n := range resources {
 				_, next, err := state.Propose(testTime, 1, put(serviceName(n), serviceName(n), content(n)))
 				if err != nil {
 					b.Fatal(err)
 				}
 				store.write(next.Batch())
-				state.Make(next)
+				state.Apply(next)
 			}
 			rows := store.all()
 			b.ReportAllocs()
--- a/internal/fleet/distribution/choose.go
+++ b/internal/fleet/distribution/choose.go
@@ -18,21 +18,23 @@
 }
 
 // Chooser decides which relay a host uses. Relays of the host's own zone come first, then those of
-// its region, then all others. The order among equals is drawn per host by rendezvous hashing. A
-// failed relay is avoided for a time, so that its hosts spread over all others.
+// its region, then all others. Relays at the same distance are ordered per host by rendezvous
+// hashing. A failed relay is avoided for some time, and its hosts spread over the other relays. A
+// Chooser is not safe for concurrent use.
 type Chooser struct {
-	order  []Relay
-	failed map[string]failure
-	wait   time.Duration // backoff before the next attempt; grows while no relay answers
+	order  []Relay            // in the host's order of preference
+	failed map[string]failure // by relay
+	wait   time.Duration      // backoff before the next attempt; grows while no relay answers
 }
 
+// failure records that a relay failed.
 type failure struct {
-	until time.Time
-	count int
+	until time.Time // end of the avoidance
+	count int       // consecutive failures
 }
 
-// Times of a Chooser. Waits are spread over half to one and a half times their nominal value, so
-// that hosts that lost the same relay do not return at the same moment.
+// Times of a Chooser. Retry delays are spread over half to one and a half times their nominal value,
+// so that hosts that lost the same relay do not reconnect all at once.
 const (
 	initialAvoidance  = 5 * time.Second
 	maxAvoidance      = time.Minute
@@ -58,10 +60,12 @@
 	return &Chooser{order: order, failed: make(map[string]failure)}
 }
 
+// weight returns a relay's weight for a host in rendezvous hashing.
 func weight(host, relay string) uint64 { return xxhash.Sum64String(host + "\x00" + relay) }
 
-// Next returns the relay to use next and how long to wait before connecting. draw returns a number
-// in [0, 1). If every relay is being avoided, Next returns the one whose avoidance ends first.
+// Next returns the relay to use next and how long to wait before connecting to it. draw returns a
+// random number in [0, 1). If every relay is being avoided, Next returns the one whose avoidance ends
+// first.
 func (c *Chooser) Next(now time.Time, draw func() float64) (Relay, time.Duration) {
 	spread := func(d time.Duration) time.Duration { return time.Duration(float64(d) * (0.5 + draw())) }
 	for _, r := range c.order {
@@ -85,14 +89,14 @@
 	c.wait = min(max(2*c.wait, initialRetryDelay), maxRetryDelay)
 }
 
-// Served records that a relay answered.
-func (c *Chooser) Served(relay string) {
+// Succeeded records that a relay answered.
+func (c *Chooser) Succeeded(relay string) {
 	delete(c.failed, relay)
 	c.wait = 0
 }
 
-// Better reports whether a relay that the host prefers to the one in use is available again.
-func (c *Chooser) Better(now time.Time, inUse string) bool {
+// HasBetter reports whether a relay that the host prefers to the one in use is not being avoided.
+func (c *Chooser) HasBetter(now time.Time, inUse string) bool {
 	for _, r := range c.order {
 		if r.Name == inUse {
 			return false
@@ -104,5 +108,5 @@
 	return false
 }
 
-// Preferred returns the host's first choice when all relays are available.
+// Preferred returns the relay that the host uses when all relays are available.
 func (c *Chooser) Preferred() Relay { return c.order[0] }
--- a/internal/fleet/distribution/choose_test.go
+++ b/internal/fleet/distribution/choose_test.go
@@ -49,7 +49,7 @@
 			relay, wait := chooser.Next(now, noSpread)
 			now = now.Add(min(wait, 100*time.Millisecond))
 			if !lost[relay.Name] {
-				chooser.Served(relay.Name)
+				chooser.Succeeded(relay.Name)
 				load[relay.Name]++
 				served = true
 				break
@@ -154,7 +154,7 @@
 	if next == preferred || wait != initialRetryDelay {
 		t.Fatalf("%v after %v", next, wait)
 	}
-	chooser.Served(next.Name)
+	chooser.Succeeded(next.Name)
 	if relay, wait := chooser.Next(now.Add(initialAvoidance-1), noSpread); relay != next || wait != 0 {
 		t.Errorf("before its time: %v after %v", relay, wait)
 	}
@@ -177,7 +177,7 @@
 			break
 		}
 	}
-	chooser.Served(preferred.Name)
+	chooser.Succeeded(preferred.Name)
 	if relay, wait := chooser.Next(now, noSpread); relay != preferred || wait != 0 {
 		t.Errorf("%v after %v", relay, wait)
 	}
--- a/internal/fleet/distribution/compat_test.go
+++ b/internal/fleet/distribution/compat_test.go
@@ -54,7 +54,7 @@
 			t.Fatal(next, err)
 		}
 		disk.write(next.Batch())
-		state.Make(next)
+		state.Apply(next)
 	}
 	propose := func(put Put) {
 		t.Helper()
--- a/internal/fleet/distribution/doc.go
+++ b/internal/fleet/distribution/doc.go
@@ -8,7 +8,7 @@
 // reader that was disconnected therefore converges by polling, and no list of pending
 // notifications exists.
 //
-// Promises:
+// Guarantees:
 //
 //   - All changes of a fleet have one total order (Revision): by the writer's epoch, then by number.
 //   - A change is served only after it has been written to the writer's disk.
@@ -17,6 +17,6 @@
 //   - A copy that can reach a relay converges to the log's state, whatever was lost or repeated.
 //   - An instance's last accepted settings stay in force until it has accepted others.
 //
-// Not promised: changes that existed only on the disk of a lost writer are lost, and a promoted
+// Not guaranteed: changes that existed only on the disk of a lost writer are lost, and a promoted
 // relay continues without them.
 package distribution
--- a/internal/fleet/distribution/errors.go
+++ b/internal/fleet/distribution/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// InvalidError reports a change with an invalid field.
+// InvalidError reports an invalid value in a change, an update or a subscriber's request.
 type InvalidError struct {
-	What   string // the field
-	Name   string // of the resource or the value
+	What   string // which value is invalid, such as "scope"
+	Name   string // the resource's name, or the value itself
 	Reason string
 }
 
@@ -40,12 +40,12 @@
 
 // Advice returns the operator's next step.
 func (e *ConflictError) Advice() string {
-	return "it was changed meanwhile: look at its current content, then publish against its revision"
+	return "the resource was changed in the meantime: read its current content, then publish based on its revision"
 }
 
 // LimitError reports that a limit would be exceeded.
 type LimitError struct {
-	What  string
+	What  string // what would exceed the limit
 	Limit int
 }
 
@@ -61,8 +61,8 @@
 
 // FencedError reports a writer or a copy whose epoch is lower than one that is known.
 type FencedError struct {
-	Epoch, Known int64
-	Writer       string // of the known epoch; "" if unknown
+	Epoch, Known int64  // the rejected epoch, and the highest known one
+	Writer       string // of the epoch Known; "" if unknown
 }
 
 // Error implements error.
@@ -77,8 +77,8 @@
 
 // NotWriterError reports that changes are accepted by another relay.
 type NotWriterError struct {
-	Here, Writer string
-	Epoch        int64
+	Here, Writer string // the relay that was called, and the writer that it knows
+	Epoch        int64  // of Writer
 }
 
 // Error implements error.
@@ -88,11 +88,11 @@
 
 // Advice returns the operator's next step.
 func (e *NotWriterError) Advice() string {
-	return fmt.Sprintf("publish at %q, or promote a relay if it is lost", e.Writer)
+	return fmt.Sprintf("publish at %q, or promote a relay if that writer is lost", e.Writer)
 }
 
 // AheadError reports that a reader holds a later revision than its relay: the relay has not caught
-// up, or the log was restored to an older state.
+// up, or the log was restored to an earlier state.
 type AheadError struct{ Have, Requested Revision }
 
 // Error implements error.
@@ -107,13 +107,13 @@
 
 // UnreachableError reports that no relay answers. The accepted settings stay in force.
 type UnreachableError struct {
-	Tried int
-	Last  error
+	Tried int   // number of failed relays
+	Last  error // of the relay that was tried last
 }
 
 // Error implements error.
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("settings: none of %d relays answers, the last: %v", e.Tried, e.Last)
+	return fmt.Sprintf("settings: none of %d relays answers; last error: %v", e.Tried, e.Last)
 }
 
 // Unwrap returns the last relay's error.
@@ -124,15 +124,15 @@
 	return "the last accepted settings stay in force; check that the relays run and are reachable from this host"
 }
 
-// FullError reports that a relay serves its maximum number of subscribers.
+// FullError reports that a relay already serves its maximum number of subscribers.
 type FullError struct{ Limit int }
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("settings: this relay serves its limit of %d subscribers", e.Limit)
+	return fmt.Sprintf("settings: this relay already serves its maximum of %d subscribers", e.Limit)
 }
 
 // Advice returns the operator's next step.
 func (e *FullError) Advice() string {
-	return "none needed, subscribers use the next relay; if all are full, add relays or raise relay.subscribers"
+	return "no action is needed, because subscribers use the next relay; if all relays are full, add relays or raise relay.subscribers"
 }
--- a/internal/fleet/distribution/fuzz_test.go
+++ b/internal/fleet/distribution/fuzz_test.go
@@ -92,7 +92,7 @@
 func checkFollow(t *testing.T, relay *State, update Update) {
 	before := relay.Revision()
 	store := newDisk()
-	next, err := relay.Follow(update)
+	next, err := relay.PrepareUpdate(update)
 	if err != nil || next == nil {
 		if relay.Revision() != before {
 			t.Fatalf("at %v after %v", relay.Revision(), err)
@@ -100,7 +100,7 @@
 		return
 	}
 	store.write(next.Batch())
-	relay.Make(next)
+	relay.Apply(next)
 	if before.After(relay.Revision()) {
 		t.Fatalf("from %v to %v", before, relay.Revision())
 	}
@@ -151,7 +151,7 @@
 			t.Fatalf("%q was stored as %q", content, resource.Content)
 		}
 		store.write(next.Batch())
-		log.Make(next)
+		log.Apply(next)
 		restored, err := Restore(testLimits(), store.all())
 		if err != nil {
 			t.Fatal(err)
@@ -170,10 +170,10 @@
 			t.Fatal(err)
 		}
 		relay := NewState(testLimits())
-		if next, err = relay.Follow(carried); err != nil {
+		if next, err = relay.PrepareUpdate(carried); err != nil {
 			t.Fatal(err)
 		}
-		relay.Make(next)
+		relay.Apply(next)
 		requireSameState(t, log, relay)
 	})
 }
--- a/internal/fleet/distribution/helpers_test.go
+++ b/internal/fleet/distribution/helpers_test.go
@@ -49,7 +49,7 @@
 // newLog returns a State promoted to epoch 1.
 func newLog(limits Limits) *State {
 	state := NewState(limits)
-	state.Make(state.Promote(1))
+	state.Apply(state.Promote(1))
 	return state
 }
 
@@ -61,7 +61,7 @@
 		t.Fatalf("%s: %v", put.Name, err)
 	}
 	if next != nil {
-		state.Make(next)
+		state.Apply(next)
 	}
 	return resource
 }
@@ -119,12 +119,12 @@
 func catchUp(t testing.TB, source, copied *State, bytes int) {
 	t.Helper()
 	update := readComplete(t, source, NewReader(testLimits()), copied.Revision(), nil, bytes, nil)
-	next, err := copied.Follow(update)
+	next, err := copied.PrepareUpdate(update)
 	if err != nil {
 		t.Fatalf("follow: %v", err)
 	}
 	if next != nil {
-		copied.Make(next)
+		copied.Apply(next)
 	}
 }
 
@@ -141,7 +141,7 @@
 func wanted(state *State, interest Interest) []string {
 	names := []string{}
 	for _, r := range state.Resources() {
-		if interest.Concerned(r.Name, r.Scope) {
+		if interest.Includes(r.Name, r.Scope) {
 			names = append(names, r.Name)
 		}
 	}
--- a/internal/fleet/distribution/list.go
+++ b/internal/fleet/distribution/list.go
@@ -2,14 +2,15 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// MaxList is the maximum number of elements of a List that comes from outside.
+// MaxList is the maximum number of elements in a decoded List.
 const MaxList = MaxHosts
 
-// List is a list with a bound on its decoded length. Memory is allocated as elements arrive,
-// because the codec would allocate at once whatever length a message claims.
+// List is a list with a bound on its decoded length. Memory is allocated as the elements are decoded,
+// because the codec itself would allocate the length that a message claims before it reads them.
 type List[T any] []T
 
-// DecodeMsgpack implements msgpack.CustomDecoder.
+// DecodeMsgpack implements msgpack.CustomDecoder. It returns a *LimitError for a list of more than
+// MaxList elements.
 func (l *List[T]) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	length, err := decoder.DecodeArrayLen()
 	if err != nil {
--- a/internal/fleet/distribution/log_test.go
+++ b/internal/fleet/distribution/log_test.go
@@ -83,7 +83,7 @@
 
 func TestProposeRejectsEarlierEpoch(t *testing.T) {
 	log := newLog(testLimits())
-	log.Make(log.Promote(3))
+	log.Apply(log.Promote(3))
 	_, next, err := log.Propose(testTime, 2, put("a", "x", content(1)))
 	if fenced, ok := errors.AsType[*FencedError](err); !ok || next != nil || fenced.Known != 3 {
 		t.Fatalf("step %v, error %v", next != nil, err)
@@ -172,7 +172,7 @@
 	catchUp(t, old, promoted, 0)
 	publish(t, old, put("b", "x", content(2)))
 	publish(t, old, put("c", "x", content(1)))
-	promoted.Make(promoted.Promote(2))
+	promoted.Apply(promoted.Promote(2))
 	return old, promoted
 }
 
@@ -200,7 +200,7 @@
 	if _, err := replica.Take(late); !isFenced(err) {
 		t.Errorf("subscriber: %v", err)
 	}
-	if _, err := relay.Follow(late); !isFenced(err) {
+	if _, err := relay.PrepareUpdate(late); !isFenced(err) {
 		t.Errorf("relay: %v", err)
 	}
 	requireReplica(t, promoted, replica, interest)
@@ -269,17 +269,17 @@
 		update := c.update
 		update.Resources, update.Changes = slices.Clone(update.Resources), slices.Clone(update.Changes)
 		c.spoil(&update)
-		if next, err := relay.Follow(update); !isInvalid(err) || next != nil {
+		if next, err := relay.PrepareUpdate(update); !isInvalid(err) || next != nil {
 			t.Errorf("%s: step %v, error %v", name, next != nil, err)
 		}
 	}
-	next, err := relay.Follow(delta)
+	next, err := relay.PrepareUpdate(delta)
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay.Make(next)
+	relay.Apply(next)
 	requireSameState(t, log, relay)
-	if next, err := relay.Follow(Update{After: relay.Revision(), Revision: relay.Revision()}); next != nil || err != nil {
+	if next, err := relay.PrepareUpdate(Update{After: relay.Revision(), Revision: relay.Revision()}); next != nil || err != nil {
 		t.Errorf("an empty update: %v, %v", next, err)
 	}
 }
--- a/internal/fleet/distribution/model_check_test.go
+++ b/internal/fleet/distribution/model_check_test.go
@@ -83,7 +83,7 @@
 // matching returns the resources that apply to an instance, in merge order.
 func matching(state *State, host string, labels map[string]string) []Resource {
 	matching := slices.DeleteFunc(state.Resources(), func(r Resource) bool { return !r.Scope.Matches(r.Name, host, labels) })
-	inMergeOrder(matching)
+	sortInMergeOrder(matching)
 	return matching
 }
 
--- a/internal/fleet/distribution/model_server_test.go
+++ b/internal/fleet/distribution/model_server_test.go
@@ -32,7 +32,7 @@
 		m.restart(s)
 		return
 	}
-	s.state.Make(next)
+	s.state.Apply(next)
 	s.registry.Advance(s.state)
 }
 
@@ -56,7 +56,7 @@
 		}
 	}
 	if s != m.servers[m.writer] {
-		m.servers[m.writer].registry.Lost(m.now, s.name)
+		m.servers[m.writer].registry.RelayLost(m.now, s.name)
 	}
 }
 
@@ -65,7 +65,7 @@
 	s.epoch = m.epoch
 	next := s.state.Promote(m.epoch)
 	s.write(next)
-	s.state.Make(next)
+	s.state.Apply(next)
 	s.registry.Advance(s.state)
 	m.writer = slices.Index(m.servers, s)
 }
--- a/internal/fleet/distribution/model_subscriber_test.go
+++ b/internal/fleet/distribution/model_subscriber_test.go
@@ -95,7 +95,7 @@
 	if !ok {
 		return
 	}
-	s.server.registry.Acknowledged(s.interest.Host, s.session, &page)
+	s.server.registry.RecordRead(s.interest.Host, s.session, &page)
 	complete := m.deliver(&s.link, page, faults)
 	if complete == nil {
 		return
--- a/internal/fleet/distribution/model_test.go
+++ b/internal/fleet/distribution/model_test.go
@@ -193,7 +193,7 @@
 	if complete == nil {
 		return
 	}
-	next, err := s.state.Follow(*complete)
+	next, err := s.state.PrepareUpdate(*complete)
 	switch {
 	case isFenced(err) || isInvalid(err):
 		// The update began with a late page. It is requested again.
@@ -203,7 +203,7 @@
 		m.make(s, next)
 	case next != nil:
 		s.write(next)
-		s.state.Make(next)
+		s.state.Apply(next)
 		s.registry.Advance(s.state)
 	}
 }
@@ -226,14 +226,14 @@
 	reports, all := s.registry.Reports(2)
 	if m.flip("lost") {
 		s.registry.ReportAll()
-		writer.registry.Lost(m.now, s.name)
+		writer.registry.RelayLost(m.now, s.name)
 		return
 	}
 	position := Revision{}
 	if all {
 		position = s.registry.Position()
 	}
-	writer.registry.Merge(s.name, position, reports)
+	writer.registry.MergeReports(s.name, position, reports)
 }
 
 // action is a kind of event, drawn with a probability proportional to its weight.
@@ -334,7 +334,7 @@
 	}
 	for _, s := range m.servers {
 		if s != writer {
-			writer.registry.Lost(m.now, s.name)
+			writer.registry.RelayLost(m.now, s.name)
 			s.registry.ReportAll()
 			forward(s.registry, writer.registry, 2)
 		}
--- a/internal/fleet/distribution/node/node.go
+++ b/internal/fleet/distribution/node/node.go
@@ -1,7 +1,7 @@
 // Package node runs the distribution of settings over connections. It owns a Relay, which serves
 // a copy of the log or, as the writer, the log itself, and a Subscriber, which polls a relay. A
-// change is served only after it was committed to the Store. It dials, waits, writes to disk
-// and reports back; decisions about the log and its copies belong to package distribution.
+// change is served only after it was committed to the Store. The package dials, waits, writes to the
+// Store and sends reports; decisions about the log and its copies belong to package distribution.
 package node
 
 import (
@@ -25,13 +25,13 @@
 // Dialer opens connections to relays.
 type Dialer func(ctx context.Context, relay distribution.Relay) (Conn, error)
 
-// Store stores entries; store.Store implements it.
+// Store stores the entries of a relay; store.Store implements it.
 type Store interface {
 	Load(ctx context.Context) (*store.Snapshot, error)
 	Commit(ctx context.Context, change *store.Change) error
 }
 
-// Timeouts and sizes that relays and subscribers share.
+// Timeouts and sizes of both relays and subscribers.
 const (
 	// watchWait is how long a poll waits for a change. It bounds the time until a silent relay is
 	// detected.
@@ -41,7 +41,7 @@
 	dialTimeout   = 3 * time.Second
 	callTimeout   = 3 * time.Second
 	commitTimeout = 5 * time.Second
-	// pageBytes is the approximate size of one response.
+	// pageBytes is the approximate maximum size of one response.
 	pageBytes = 512 << 10
 )
 
@@ -91,7 +91,8 @@
 	return ""
 }
 
-// RejectionReason converts an error to its form on the wire, which includes the advice.
+// RejectionReason converts an error of package distribution to its form on the wire, an *api.Error
+// with the advice in its message. It returns other errors unchanged.
 func RejectionReason(err error) error {
 	if err == nil {
 		return nil
@@ -100,8 +101,8 @@
 		error
 		Advice() string
 	}](err)
-	if name := errorCode(err); ok && name != "" {
-		return api.Errorf(name, "%v: %s", err, advised.Advice())
+	if code := errorCode(err); ok && code != "" {
+		return api.Errorf(code, "%v: %s", err, advised.Advice())
 	}
 	return err
 }
--- a/internal/fleet/distribution/node/relay.go
+++ b/internal/fleet/distribution/node/relay.go
@@ -17,7 +17,7 @@
 	Name        string // this relay's name, one of Relays
 	Relays      []distribution.Relay
 	Writer      string // name of the writer of the first epoch
-	Subscribers int    // maximum number at a time
+	Subscribers int    // maximum number of subscribers at a time
 	Limits      distribution.Limits
 	Dial        Dialer
 	Store       Store
@@ -26,8 +26,8 @@
 // writerKey is the key of the entry that holds the highest known epoch and its writer.
 const writerKey = "writer"
 
-// Relay serves a copy of the settings, and is the writer if the highest epoch that it knows names
-// it. Close stops it.
+// Relay serves a copy of the settings, and is the writer if it is named as the writer of the highest
+// epoch that it knows. Its methods are safe for concurrent use. Close stops it.
 type Relay struct {
 	config     RelayConfig
 	process    string // differs for each start of the process
@@ -44,18 +44,19 @@
 	state    *distribution.State
 	registry *distribution.Registry
 	writer   api.SettingsWriter
-	changed  chan struct{}            // closed at the next change of state or writer
-	reported map[string]relayReported // by relay; used by the writer only
-	notified map[string]bool          // relays that know this epoch; used by the writer only
+	changed  chan struct{}          // closed at the next change of state or writer
+	reported map[string]relayReport // by relay; used by the writer only
+	notified map[string]bool        // relays that know of the promotion; used by the writer only
 }
 
-// relayReported identifies the last report of a relay.
-type relayReported struct {
-	process string
+// relayReport identifies the last report of a relay.
+type relayReport struct {
+	process string // process of the relay that reported
 	at      time.Time
 }
 
-// NewRelay restores a relay from its stored entries and starts it.
+// NewRelay restores a relay from its stored entries and starts it. process must differ for each start
+// of the process.
 func NewRelay(config RelayConfig, process string, entries []distribution.Entry) (*Relay, error) {
 	state, err := distribution.Restore(config.Limits, entries)
 	if err != nil {
@@ -63,7 +64,7 @@
 	}
 	r := &Relay{config: config, process: process, state: state, registry: distribution.NewRegistry(config.Name, config.Subscribers),
 		writer: api.SettingsWriter{Writer: config.Writer, Epoch: 1}, changed: make(chan struct{}),
-		reported: make(map[string]relayReported), notified: make(map[string]bool)}
+		reported: make(map[string]relayReport), notified: make(map[string]bool)}
 	for _, entry := range entries {
 		if entry.Key != writerKey {
 			continue
@@ -94,6 +95,7 @@
 	return r.writer
 }
 
+// isWriter reports whether this relay is the writer as far as it knows.
 func (r *Relay) isWriter() bool { return r.Writer().Writer == r.config.Name }
 
 // relay returns a configured relay by name, and false if there is none.
@@ -112,15 +114,16 @@
 	r.changed = make(chan struct{})
 }
 
-// Learn receives another relay's knowledge of the writer, and returns the resulting knowledge of
-// this relay.
+// Learn receives the writer and epoch that another relay knows. If the epoch is higher than this
+// relay's it is stored and adopted; the error is a *distribution.InvalidError if the writer is not a
+// configured relay. Learn returns the writer and epoch that this relay then knows.
 func (r *Relay) Learn(received api.SettingsWriter) (*api.SettingsWriter, error) {
 	if received.Epoch <= r.Writer().Epoch {
 		known := r.Writer()
 		return &known, nil
 	}
 	if _, known := r.relay(received.Writer); !known {
-		return nil, &distribution.InvalidError{What: "writer", Name: received.Writer, Reason: "no relay of this configuration"}
+		return nil, &distribution.InvalidError{What: "writer", Name: received.Writer, Reason: "not a relay of this configuration"}
 	}
 	r.writing.Lock()
 	defer r.writing.Unlock()
--- a/internal/fleet/distribution/node/relay_log.go
+++ b/internal/fleet/distribution/node/relay_log.go
@@ -11,8 +11,8 @@
 	"martendrum/internal/fleet/store"
 )
 
-// commit writes entries to disk. After an error the store's contents are unknown. The caller holds
-// writing.
+// commit writes entries to the store. After an error the store's contents are unknown. The caller
+// holds writing.
 func (r *Relay) commit(batch distribution.Batch) error {
 	ctx, cancel := context.WithTimeout(r.ctx, commitTimeout)
 	defer cancel()
@@ -25,7 +25,8 @@
 }
 
 // reloadIfUncertain reads the store again after a write of unknown outcome, so that the stored and
-// the served settings agree: a revision never gets a second content. The caller holds writing.
+// the served settings agree, and no revision is used for two different contents. The caller holds
+// writing.
 func (r *Relay) reloadIfUncertain() error {
 	if !r.storeUncertain {
 		return nil
@@ -49,14 +50,14 @@
 	return nil
 }
 
-// apply writes a prepared step to disk and then applies it in memory. The caller holds writing.
+// apply writes a prepared step to the store and then applies it in memory. The caller holds writing.
 func (r *Relay) apply(step *distribution.Step) error {
 	if err := r.commit(step.Batch()); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state.Make(step)
+	r.state.Apply(step)
 	r.registry.Advance(r.state)
 	r.notifyWaiters()
 	return nil
@@ -91,8 +92,8 @@
 	return &api.SettingsPutOut{Resource: resource, Changed: true}, nil
 }
 
-// nextEpoch returns this relay's first epoch above the known one. Epochs above the first are
-// assigned to the relays in turn, in the order of their names, so that two relays promoted without
+// nextEpoch returns this relay's first epoch above the known one. Epochs above the first are assigned
+// to the relays in turn, in the order of their names, so that two relays that are promoted without
 // knowledge of each other never write in the same epoch.
 func (r *Relay) nextEpoch(known int64) int64 {
 	var position int64
@@ -101,13 +102,14 @@
 			position++
 		}
 	}
-	all := int64(len(r.config.Relays))
+	relays := int64(len(r.config.Relays))
 	next := known + 1
-	return next + (position-next%all+all)%all
+	return next + (position-next%relays+relays)%relays
 }
 
 // Promote makes this relay the writer, in an epoch above all that it knows. The log continues from
-// the relay's copy; changes that only the earlier writer holds are void.
+// the relay's copy; changes that only the earlier writer holds are void. The error is an *api.Error
+// with the code api.Unwritable if the store fails.
 func (r *Relay) Promote() (*api.SettingsWriter, error) {
 	r.writing.Lock()
 	defer r.writing.Unlock()
@@ -127,14 +129,15 @@
 	defer r.mu.Unlock()
 	r.writer = next
 	r.notified = make(map[string]bool)
-	r.reported = make(map[string]relayReported)
-	r.state.Make(step)
+	r.reported = make(map[string]relayReport)
+	r.state.Apply(step)
 	r.registry.Advance(r.state)
 	r.notifyWaiters()
 	slog.Warn("this relay is the settings' writer now", "relay", r.config.Name, "epoch", next.Epoch, "revision", r.state.Revision().String())
 	return &next, nil
 }
 
+// writerEntry returns the entry that stores the known writer and epoch.
 func writerEntry(writer api.SettingsWriter) distribution.Entry {
 	value, err := json.Marshal(writer)
 	if err != nil {
--- a/internal/fleet/distribution/node/relay_loops.go
+++ b/internal/fleet/distribution/node/relay_loops.go
@@ -11,12 +11,12 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// Times of a relay's loops.
+// Intervals, timeouts and sizes of a relay's loops.
 const (
 	// retryInterval is the mean interval between attempts to reach the writer.
 	retryInterval = time.Second
-	// reportInterval is the interval between reports of changes to the writer, and
-	// idleReportInterval the interval between heartbeats without changes.
+	// reportInterval is the interval at which changes are reported to the writer, and
+	// idleReportInterval the interval between reports without changes, which serve as heartbeats.
 	reportInterval     = 250 * time.Millisecond
 	idleReportInterval = 3 * time.Second
 	maxReportHosts     = 1000 // hosts in one message
@@ -48,6 +48,7 @@
 	}
 }
 
+// waitForChange waits until the state or the known writer changes, or the relay is closed.
 func (r *Relay) waitForChange() {
 	r.mu.Lock()
 	changed := r.changed
@@ -65,8 +66,8 @@
 	return r.config.Dial(ctx, relay)
 }
 
-// exchangeWriter sends this relay's knowledge of the writer to another relay and learns the
-// other's.
+// exchangeWriter sends the known writer and epoch to another relay, and learns those that the other
+// relay knows.
 func (r *Relay) exchangeWriter(conn Conn) error {
 	var received api.SettingsWriter
 	if err := call(r.ctx, conn, callTimeout, api.SettingsWriting, r.Writer(), &received); err != nil {
@@ -76,8 +77,8 @@
 	return err
 }
 
-// queryRandomRelay queries a relay drawn at random for the writer. The known writer may be lost,
-// and another relay may have been promoted while this one was disconnected.
+// queryRandomRelay asks a relay chosen at random for the current writer. The known writer may be
+// lost, and another relay may have been promoted while this one was disconnected.
 func (r *Relay) queryRandomRelay() {
 	other := r.config.Relays[rand.IntN(len(r.config.Relays))]
 	if other.Name == r.config.Name {
@@ -98,7 +99,7 @@
 	writer := r.Writer()
 	relay, ok := r.relay(writer.Writer)
 	if !ok {
-		return &distribution.InvalidError{What: "writer", Name: writer.Writer, Reason: "no relay of this configuration"}
+		return &distribution.InvalidError{What: "writer", Name: writer.Writer, Reason: "not a relay of this configuration"}
 	}
 	conn, err := r.dial(relay)
 	if err != nil {
@@ -117,6 +118,7 @@
 	return nil
 }
 
+// followOnce requests one page from the writer, and applies the update once it is complete.
 func (r *Relay) followOnce(conn Conn, reader *distribution.Reader, writer api.SettingsWriter) error {
 	r.mu.Lock()
 	query := reader.Query(r.state.Revision(), nil)
@@ -133,7 +135,8 @@
 	return r.applyUpdate(*complete)
 }
 
-// applyUpdate applies an update from the writer to the copy.
+// applyUpdate applies an update from the writer to the copy. The error for an update of an epoch below
+// the known one is a *distribution.FencedError.
 func (r *Relay) applyUpdate(update distribution.Update) error {
 	r.writing.Lock()
 	defer r.writing.Unlock()
@@ -145,7 +148,7 @@
 		r.mu.Unlock()
 		return &distribution.FencedError{Epoch: update.Revision.Epoch, Known: known.Epoch, Writer: known.Writer}
 	}
-	step, err := r.state.Follow(update)
+	step, err := r.state.PrepareUpdate(update)
 	r.mu.Unlock()
 	if err != nil || step == nil {
 		return err
@@ -156,20 +159,20 @@
 // reportUntilClosed reports this relay's subscribers to the writer until the relay is closed.
 func (r *Relay) reportUntilClosed() {
 	var conn Conn
-	var to api.SettingsWriter
-	var last time.Time
-	drop := func() {
+	var reportedTo api.SettingsWriter
+	var lastReport time.Time
+	disconnect := func() {
 		if conn != nil {
 			conn.Close()
 			conn = nil
 		}
 	}
-	defer drop()
+	defer disconnect()
 	for sleep(r.ctx, reportInterval) {
 		writer := r.Writer()
-		if writer.Writer == r.config.Name || writer != to {
-			drop()
-			to = writer
+		if writer.Writer == r.config.Name || writer != reportedTo {
+			disconnect()
+			reportedTo = writer
 		}
 		relay, ok := r.relay(writer.Writer)
 		if writer.Writer == r.config.Name || !ok {
@@ -184,32 +187,34 @@
 			}
 			r.reportAll()
 		}
-		if err := r.reportOnce(conn, writer, &last); err != nil {
-			slog.Debug("the settings' writer did not accept a report", "relay", r.config.Name, "err", err)
-			drop()
+		if err := r.reportOnce(conn, writer, &lastReport); err != nil {
+			slog.Debug("a report to the settings' writer failed", "relay", r.config.Name, "err", err)
+			disconnect()
 			sleep(r.ctx, jittered(retryInterval))
 		}
 	}
 }
 
+// reportAll makes the next report include all subscribers.
 func (r *Relay) reportAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.registry.ReportAll()
 }
 
-// reportOnce sends what has changed since the last report, in as many messages as needed.
-func (r *Relay) reportOnce(conn Conn, writer api.SettingsWriter, last *time.Time) error {
+// reportOnce sends the reports that have changed since the last call, in as many messages as needed,
+// and records the time in lastReport. Without changes it sends only the heartbeat, when it is due.
+func (r *Relay) reportOnce(conn Conn, writer api.SettingsWriter, lastReport *time.Time) error {
 	for all := false; !all; {
 		in := &api.SettingsReportIn{Relay: r.config.Name, Epoch: writer.Epoch, Process: r.process}
 		r.mu.Lock()
-		moved := r.registry.Changed()
+		positionChanged := r.registry.PositionChanged()
 		in.Hosts, all = r.registry.Reports(maxReportHosts)
 		if all {
 			in.Position = r.registry.Position()
 		}
 		r.mu.Unlock()
-		if len(in.Hosts) == 0 && !moved && time.Since(*last) < idleReportInterval {
+		if len(in.Hosts) == 0 && !positionChanged && time.Since(*lastReport) < idleReportInterval {
 			return nil
 		}
 		var out api.SettingsReportOut
@@ -217,7 +222,7 @@
 			r.reportAll()
 			return err
 		}
-		*last = time.Now()
+		*lastReport = time.Now()
 		if out.Again {
 			r.reportAll()
 			all = false
@@ -226,16 +231,17 @@
 	return nil
 }
 
-// runMaintenance expires silent subscribers and relays until the relay is closed.
+// runMaintenance expires silent subscribers and relays, and forgets hosts that have been absent for
+// long, until the relay is closed.
 func (r *Relay) runMaintenance() {
 	for sleep(r.ctx, maintenanceInterval) {
 		now := time.Now()
 		r.mu.Lock()
-		r.registry.Sweep(now, subscriberSilenceTimeout)
-		r.registry.Forget(now)
-		for name, reported := range r.reported {
-			if now.Sub(reported.at) > relaySilenceTimeout {
-				r.registry.Lost(now, name)
+		r.registry.ExpireSilent(now, subscriberSilenceTimeout)
+		r.registry.ForgetAbsent(now)
+		for name, report := range r.reported {
+			if now.Sub(report.at) > relaySilenceTimeout {
+				r.registry.RelayLost(now, name)
 				delete(r.reported, name)
 			}
 		}
@@ -243,15 +249,16 @@
 	}
 }
 
-// announceUntilClosed announces the writer to other relays until the relay is closed. It dials, so
-// it runs apart from runMaintenance, which must not be delayed.
+// announceUntilClosed announces the writer to other relays until the relay is closed. It runs apart
+// from runMaintenance, which must not be delayed by a slow dial.
 func (r *Relay) announceUntilClosed() {
 	for sleep(r.ctx, maintenanceInterval) {
 		r.announce()
 	}
 }
 
-// announce notifies each other relay once that this one is the writer, if it was promoted.
+// announce notifies each other relay once that this relay is the writer, if it became the writer by
+// promotion. Relays that can't be reached are notified by a later call.
 func (r *Relay) announce() {
 	for _, other := range r.config.Relays {
 		r.mu.Lock()
@@ -271,7 +278,7 @@
 			r.notified[other.Name] = true
 			r.mu.Unlock()
 		} else if !errors.Is(err, context.Canceled) {
-			slog.Warn("a relay did not accept the new writer", "relay", other.Name, "err", err)
+			slog.Warn("a relay could not be notified of the new writer", "relay", other.Name, "err", err)
 		}
 	}
 }
--- a/internal/fleet/distribution/node/relay_serve.go
+++ b/internal/fleet/distribution/node/relay_serve.go
@@ -10,7 +10,7 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// Get returns resources by prefix of their name, in pages.
+// Get returns the resources whose name has a prefix, in pages ordered by name.
 func (r *Relay) Get(in *api.SettingsGetIn) *api.SettingsGetOut {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,8 +33,8 @@
 // maxStatusHosts is the maximum number of hosts listed in one response.
 const maxStatusHosts = 500
 
-// Status counts hosts by their progress towards a revision: all hosts at the writer, the relay's
-// own subscribers elsewhere.
+// Status counts hosts by their progress towards a revision: all hosts at the writer, and the relay's
+// own subscribers at other relays.
 func (r *Relay) Status(in *api.SettingsStatusIn) *api.SettingsStatusOut {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +43,10 @@
 }
 
 // Watch responds to a subscriber's poll with the changes after its revision as soon as there are
-// any, or with an empty update once its wait has passed. ctx is that of the connection.
+// any, or with an empty update once its wait has passed. The first poll of a connection contains the
+// subscriber's interest and state, and opens its session, which ends with ctx, the context of the
+// connection. Errors are those of Registry.Join and State.Read, and *distribution.InvalidError if the
+// session is not open.
 func (r *Relay) Watch(ctx context.Context, in *api.SettingsWatchIn) (*api.SettingsWatchOut, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,23 +58,24 @@
 		context.AfterFunc(ctx, func() { r.leave(in.Host, in.Session) })
 	}
 	interest, ok := r.registry.Interest(in.Host, in.Session)
-	if !ok || !r.registry.Seen(now, in.Host, in.Session) {
-		return nil, &distribution.InvalidError{What: "session", Name: in.Host, Reason: "it is not open here; reconnect"}
+	if !ok || !r.registry.RecordPoll(now, in.Host, in.Session) {
+		return nil, &distribution.InvalidError{What: "session", Name: in.Host, Reason: "it is not open at this relay; reconnect"}
 	}
 	query := distribution.Query{After: in.After, Began: in.Began, Bytes: pageBytes, Interest: &interest}
 	if update, err := r.state.Read(query); err == nil {
-		r.registry.Acknowledged(in.Host, in.Session, &update) // also for an empty update, before the wait
+		r.registry.RecordRead(in.Host, in.Session, &update) // before the wait, also for an empty update
 	}
 	update, err := r.waitForUpdate(ctx, in.Wait, query)
 	if err != nil {
 		return nil, err
 	}
-	r.registry.Acknowledged(in.Host, in.Session, &update)
+	r.registry.RecordRead(in.Host, in.Session, &update)
 	return &api.SettingsWatchOut{Update: update, Writer: r.writer}, nil
 }
 
-// waitForUpdate waits until a query has an update that is not empty. The caller holds mu, which is
-// released while it waits.
+// waitForUpdate returns a query's update as soon as it is not empty, and otherwise the empty update
+// after the wait. Where the query is ahead of the relay's copy it waits for the copy to catch up. The
+// caller holds mu, which is released during the wait.
 func (r *Relay) waitForUpdate(ctx context.Context, wait time.Duration, query distribution.Query) (distribution.Update, error) {
 	timer := time.NewTimer(min(max(wait, 0), 2*watchWait))
 	defer timer.Stop()
@@ -99,6 +103,7 @@
 	}
 }
 
+// leave records that a subscriber's connection has ended.
 func (r *Relay) leave(host string, session int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,11 +114,12 @@
 func (r *Relay) Ack(in *api.SettingsAckIn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.registry.Seen(time.Now(), in.Host, in.Session)
+	r.registry.RecordPoll(time.Now(), in.Host, in.Session)
 	r.registry.Acknowledge(in.Host, in.Session, in.State)
 }
 
-// Follow responds to another relay that copies the log. Only the writer accepts it.
+// Follow responds to the poll of another relay that copies the log. Relays other than the writer
+// return a *distribution.NotWriterError.
 func (r *Relay) Follow(ctx context.Context, in *api.SettingsFollowIn) (*api.SettingsWatchOut, error) {
 	if _, err := r.Learn(api.SettingsWriter{Writer: in.Writer, Epoch: in.Epoch}); err != nil {
 		return nil, err
@@ -130,7 +136,9 @@
 	return &api.SettingsWatchOut{Update: update, Writer: r.writer}, nil
 }
 
-// Report receives another relay's reports on its subscribers. Only the writer accepts it.
+// Report receives another relay's reports on its subscribers. Relays other than the writer return a
+// *distribution.NotWriterError, and a writer of an earlier epoch than the caller knows returns a
+// *distribution.FencedError.
 func (r *Relay) Report(in *api.SettingsReportIn) (*api.SettingsReportOut, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,12 +149,12 @@
 		return nil, &distribution.FencedError{Epoch: r.writer.Epoch, Known: in.Epoch}
 	}
 	now := time.Now()
-	known, there := r.reported[in.Relay]
-	again := !there || known.process != in.Process
+	last, exists := r.reported[in.Relay]
+	again := !exists || last.process != in.Process
 	if again {
-		r.registry.Lost(now, in.Relay) // an earlier process's reports are obsolete
+		r.registry.RelayLost(now, in.Relay) // an earlier process's reports are obsolete
 	}
-	r.reported[in.Relay] = relayReported{process: in.Process, at: now}
-	r.registry.Merge(in.Relay, in.Position, in.Hosts)
+	r.reported[in.Relay] = relayReport{process: in.Process, at: now}
+	r.registry.MergeReports(in.Relay, in.Position, in.Hosts)
 	return &api.SettingsReportOut{Again: again}, nil
 }
--- a/internal/fleet/distribution/node/subscriber.go
+++ b/internal/fleet/distribution/node/subscriber.go
@@ -11,12 +11,12 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// Replica is a subscriber's copy and whatever acts on its changes. Its methods are safe for
-// concurrent use.
+// Replica is a subscriber's copy of the settings, together with the code that applies its changes to
+// the host's instances. Its methods must be safe for concurrent use.
 type Replica interface {
-	// Take applies and stores a complete update. An error leaves the copy unchanged.
+	// Take applies and stores a complete update. On an error the copy is unchanged.
 	Take(update distribution.Update) error
-	// State returns the host's progress.
+	// State returns the host's report on its progress.
 	State() distribution.HostState
 }
 
@@ -31,8 +31,8 @@
 	Replica  Replica
 }
 
-// Subscriber keeps a copy up to date. It polls one relay at a time, and changes to the next one
-// when that fails. Run is its loop.
+// Subscriber keeps a Replica up to date. It polls one relay at a time, and changes to the next relay
+// when a poll fails. Run is its loop; the other methods are safe for concurrent use.
 type Subscriber struct {
 	config  SubscriberConfig
 	chooser *distribution.Chooser
@@ -40,11 +40,11 @@
 	mu            sync.Mutex
 	session       int64  // of the latest connection
 	conn          Conn   // nil while not connected
-	relay         string // of conn
-	acknowledging bool
-	stale         bool // the state has changed since the last acknowledgement
-	lastErr       error
-	failed        int // consecutive failures of relays
+	relay         string // name of the relay of conn
+	acknowledging bool   // the goroutine of acknowledge is running
+	stale         bool   // the state has changed since the last acknowledgement
+	lastErr       error  // of the last failed relay; nil while a relay answers
+	failures      int    // consecutive failures of relays
 	goroutines    sync.WaitGroup
 }
 
@@ -52,12 +52,13 @@
 // available again. It is spread widely, so that subscribers do not return to a relay all at once.
 const preferenceInterval = 30 * time.Second
 
-// NewSubscriber returns a Subscriber, which starts with Run.
+// NewSubscriber returns a Subscriber. It does nothing until Run is called.
 func NewSubscriber(config SubscriberConfig) *Subscriber {
 	return &Subscriber{config: config, chooser: distribution.NewChooser(config.Interest.Host, config.Region, config.Zone, config.Relays)}
 }
 
-// Run polls relays until ctx ends. All of its goroutines have ended when it returns.
+// Run polls relays until ctx ends. It may be called once. When it returns, all goroutines of the
+// Subscriber have ended.
 func (s *Subscriber) Run(ctx context.Context) {
 	defer s.goroutines.Wait()
 	for ctx.Err() == nil {
@@ -67,7 +68,7 @@
 		}
 		err := s.followRelay(ctx, relay)
 		if err == nil || ctx.Err() != nil {
-			continue // a preferred relay is available again
+			continue // without an error: a preferred relay is available again
 		}
 		s.chooser.Failed(time.Now(), relay.Name)
 		s.recordFailure(err)
@@ -79,9 +80,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastErr = err
-	s.failed++
-	if s.failed == len(s.config.Relays) {
-		unreachable := &distribution.UnreachableError{Tried: s.failed, Last: err}
+	s.failures++
+	if s.failures == len(s.config.Relays) {
+		unreachable := &distribution.UnreachableError{Tried: s.failures, Last: err}
 		slog.Warn("no relay answers", "host", s.config.Interest.Host, "err", unreachable, "advice", unreachable.Advice())
 	}
 }
@@ -93,19 +94,19 @@
 	if s.lastErr == nil {
 		return nil
 	}
-	return &distribution.UnreachableError{Tried: s.failed, Last: s.lastErr}
+	return &distribution.UnreachableError{Tried: s.failures, Last: s.lastErr}
 }
 
-// Relay returns the name of the connected relay, "" if there is none.
+// Relay returns the name of the connected relay, or "" if there is none.
 func (s *Subscriber) Relay() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.relay
 }
 
-// nextSession returns a session above all earlier ones. Those of an earlier process of the host are
-// included, unless the clock was set back. The session begins with the copy's state as read after
-// this call.
+// nextSession returns a session number above all earlier ones of the host, including those of an
+// earlier process unless the clock was set back. The caller reads the state that begins the session
+// after this call, so that no later change of the state is missed.
 func (s *Subscriber) nextSession(now time.Time) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,60 +115,60 @@
 	return s.session
 }
 
-// followRelay connects to a relay and polls it until it fails. It returns nil when a preferred
+// followRelay connects to a relay and polls it until a call fails, or returns nil once a preferred
 // relay is available again.
 func (s *Subscriber) followRelay(ctx context.Context, relay distribution.Relay) error {
-	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
-	conn, err := s.config.Dial(dialing, relay)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
+	conn, err := s.config.Dial(dialCtx, relay)
 	cancel()
 	if err != nil {
 		return err
 	}
 	session := s.nextSession(time.Now())
 	defer func() {
-		s.connected(nil, "")
+		s.setConnection(nil, "")
 		conn.Close()
 	}()
 	reader := distribution.NewReader(s.config.Limits)
-	move := time.Now().Add(preferenceInterval/3 + rand.N(preferenceInterval))
+	nextCheck := time.Now().Add(preferenceInterval/3 + rand.N(preferenceInterval))
 	state := s.config.Replica.State()
 	// The first call of a connection does not wait, because acknowledgements are sent only
 	// after it has been answered.
 	in := &api.SettingsWatchIn{Host: s.config.Interest.Host, Session: session, Interest: &s.config.Interest, State: &state}
 	for {
-		if err := s.watch(ctx, conn, reader, in); err != nil {
+		if err := s.poll(ctx, conn, reader, in); err != nil {
 			return err
 		}
 		if in.Interest != nil {
 			in.Interest, in.State = nil, nil
-			s.chooser.Served(relay.Name)
-			s.connected(conn, relay.Name)
+			s.chooser.Succeeded(relay.Name)
+			s.setConnection(conn, relay.Name)
 		}
 		// Jitter keeps the waits of many hosts from ending together.
 		in.Wait = watchWait*3/4 + rand.N(watchWait/4)
-		if now := time.Now(); now.After(move) {
-			if s.chooser.Better(now, relay.Name) {
+		if now := time.Now(); now.After(nextCheck) {
+			if s.chooser.HasBetter(now, relay.Name) {
 				return nil
 			}
-			move = now.Add(preferenceInterval/3 + rand.N(preferenceInterval))
+			nextCheck = now.Add(preferenceInterval/3 + rand.N(preferenceInterval))
 		}
 	}
 }
 
-// connected records the connection in use, and sends an acknowledgement if the state has changed
-// since the session began.
-func (s *Subscriber) connected(conn Conn, relay string) {
+// setConnection records the connection in use, nil for none, and sends an acknowledgement if the state
+// has changed since the session began.
+func (s *Subscriber) setConnection(conn Conn, relay string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conn, s.relay = conn, relay
 	if conn != nil {
-		s.lastErr, s.failed = nil, 0
+		s.lastErr, s.failures = nil, 0
 		s.startAcknowledging()
 	}
 }
 
-// watch makes one poll and applies its update.
-func (s *Subscriber) watch(ctx context.Context, conn Conn, reader *distribution.Reader, in *api.SettingsWatchIn) error {
+// poll makes one poll and applies the update once it is complete.
+func (s *Subscriber) poll(ctx context.Context, conn Conn, reader *distribution.Reader, in *api.SettingsWatchIn) error {
 	query := reader.Query(s.config.Replica.State().Received, nil)
 	in.After, in.Began = query.After, query.Began
 	var out api.SettingsWatchOut
@@ -189,8 +190,8 @@
 	return nil
 }
 
-// Changed schedules an acknowledgement of the copy's changed state, on the next connection if there
-// is none now. It does not block.
+// Changed schedules an acknowledgement, because the state of the Replica has changed. Without a
+// connection the acknowledgement is sent on the next one. Changed does not block.
 func (s *Subscriber) Changed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,8 +209,9 @@
 	s.goroutines.Go(s.acknowledge)
 }
 
-// acknowledge sends the host's state to the relay in use until it is up to date. A failed call is
-// not retried: the connection is closed, and the next one begins with the current state.
+// acknowledge sends the host's state to the connected relay until no change is left to acknowledge. A
+// failed call is not retried: the connection is closed, and the next one begins with the current
+// state.
 func (s *Subscriber) acknowledge() {
 	for {
 		s.mu.Lock()
--- a/internal/fleet/distribution/page.go
+++ b/internal/fleet/distribution/page.go
@@ -7,6 +7,7 @@
 	labelOverhead    = 6
 )
 
+// size returns the approximate encoded size of the scope in bytes.
 func (s *Scope) size() int {
 	size := 0
 	for key, value := range s.Labels {
@@ -15,10 +16,12 @@
 	return size
 }
 
+// size returns the approximate encoded size of the resource in bytes.
 func (r *Resource) size() int {
 	return resourceOverhead + len(r.Content) + len(r.Author) + r.Scope.size()
 }
 
+// size returns the approximate encoded size of the change in bytes.
 func (c *Change) size() int {
 	size := changeOverhead + len(c.Name) + c.Scope.size()
 	if c.Before != nil {
@@ -27,8 +30,8 @@
 	return size
 }
 
-// truncate ends an update that exceeds limit bytes at an earlier revision. Its first revision is
-// always included.
+// truncate shortens an update that exceeds limit bytes, so that it ends at an earlier revision. The
+// first revision is always included. A limit of 0 means unlimited.
 func (u *Update) truncate(limit int) {
 	if limit <= 0 {
 		return
--- a/internal/fleet/distribution/persistence.go
+++ b/internal/fleet/distribution/persistence.go
@@ -33,21 +33,24 @@
 	Compacted Revision `json:"compacted"`
 }
 
+// changeKey returns the key of a change's entry. Keys have the order of the revisions.
 func changeKey(r Revision) string {
 	return fmt.Sprintf("%s%020d.%020d", changePrefix, r.Epoch, r.Number)
 }
 
+// newEntry returns the entry that stores a value as JSON.
 func newEntry(key string, value any) Entry {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // only types of this package are encoded
+		panic(err) // the types that this package stores always encode
 	}
 	return Entry{Key: key, Value: data}
 }
 
 func resourceEntry(r *Resource) Entry { return newEntry(resourcePrefix+r.Name, r) }
 
-// Restore returns the State in the stored entries. Entries with unknown keys are ignored.
+// Restore returns the State in the stored entries. Entries with unknown keys are ignored. An entry
+// that is not valid is an error.
 func Restore(limits Limits, entries []Entry) (*State, error) {
 	s := NewState(limits)
 	for _, entry := range entries {
--- a/internal/fleet/distribution/reader.go
+++ b/internal/fleet/distribution/reader.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// Reader assembles the pages of an update. It serves one copy, which accepts only complete updates.
+// Reader assembles the pages of updates for one copy, which accepts only complete updates. It is not
+// safe for concurrent use.
 type Reader struct {
 	limits   Limits
 	assembly *assembly // nil between two updates
 }
 
-// assembly is an update of which more pages follow.
+// assembly is an update with more pages to follow.
 type assembly struct {
 	update    Update
 	resources map[string]Resource
@@ -20,10 +21,10 @@
 // NewReader returns a Reader with limits on what it assembles.
 func NewReader(limits Limits) *Reader { return &Reader{limits: limits} }
 
-// Reset discards the pages received so far. It is called when another relay is used.
+// Reset discards the pages received so far. It is called when the reader changes to another relay.
 func (r *Reader) Reset() { r.assembly = nil }
 
-// Query returns the next query of a copy that holds the given revision.
+// Query returns the next query for a copy that holds the given revision.
 func (r *Reader) Query(held Revision, interest *Interest) Query {
 	query := Query{After: held, Interest: interest}
 	if r.assembly != nil {
@@ -43,9 +44,9 @@
 	default:
 		r.assembly = newAssembly(page)
 	}
-	j := r.assembly
-	j.add(&page)
-	if err := r.check(j); err != nil {
+	current := r.assembly
+	current.add(&page)
+	if err := r.checkLimits(current); err != nil {
 		r.assembly = nil
 		return nil, err
 	}
@@ -53,42 +54,46 @@
 		return nil, nil
 	}
 	r.assembly = nil
-	return j.complete(), nil
+	return current.complete(), nil
 }
 
-// check limits what is assembled to twice the contents and history of a State: once for the update,
-// and once for what changes while it is read.
-func (r *Reader) check(j *assembly) error {
-	if limit := 2 * (r.limits.Resources + r.limits.History); len(j.resources) > limit {
-		return &LimitError{What: "resources of one update", Limit: limit}
+// checkLimits returns a *LimitError if the assembly exceeds twice the contents and history of a
+// State: once for the update, and once for what changes while it is read.
+func (r *Reader) checkLimits(a *assembly) error {
+	if limit := 2 * (r.limits.Resources + r.limits.History); len(a.resources) > limit {
+		return &LimitError{What: "resources in one update", Limit: limit}
 	}
-	if limit := 2 * r.limits.History; len(j.update.Changes) > limit {
-		return &LimitError{What: "changes of one update", Limit: limit}
+	if limit := 2 * r.limits.History; len(a.update.Changes) > limit {
+		return &LimitError{What: "changes in one update", Limit: limit}
 	}
 	return nil
 }
 
+// newAssembly returns an assembly that begins with the page. The page's contents are not yet added.
 func newAssembly(page Update) *assembly {
 	page.Resources, page.Changes = nil, nil
 	return &assembly{update: page, resources: make(map[string]Resource)}
 }
 
-func (j *assembly) add(page *Update) {
+// add adds the contents of the next page.
+func (a *assembly) add(page *Update) {
 	for _, resource := range page.Resources {
-		j.resources[resource.Name] = resource
+		a.resources[resource.Name] = resource
 	}
-	j.update.Changes = append(j.update.Changes, page.Changes...)
-	j.update.Revision, j.update.More = page.Revision, page.More
+	a.update.Changes = append(a.update.Changes, page.Changes...)
+	a.update.Revision, a.update.More = page.Revision, page.More
 }
 
-func (j *assembly) complete() *Update {
-	resources := slices.SortedFunc(maps.Values(j.resources), compareRevisions)
-	j.update.Resources = withoutRemoved(j.update.Snapshot, resources)
-	return &j.update
+// complete returns the update, after its last page has been added.
+func (a *assembly) complete() *Update {
+	resources := slices.SortedFunc(maps.Values(a.resources), compareRevisions)
+	a.update.Resources = withoutRemoved(a.update.Snapshot, resources)
+	return &a.update
 }
 
-func (j *assembly) continuedBy(page *Update) bool {
-	return page.Snapshot == j.update.Snapshot && page.Began == j.update.Began && page.After == j.update.Revision
+// continuedBy reports whether the page is the next one of the update.
+func (a *assembly) continuedBy(page *Update) bool {
+	return page.Snapshot == a.update.Snapshot && page.Began == a.update.Began && page.After == a.update.Revision
 }
 
 // withoutRemoved drops from a snapshot the resources that were removed while it was read.
--- a/internal/fleet/distribution/registry_helpers_test.go
+++ b/internal/fleet/distribution/registry_helpers_test.go
@@ -45,7 +45,7 @@
 		if all {
 			position = from.Position()
 		}
-		to.Merge(from.relay, position, reports)
+		to.MergeReports(from.relay, position, reports)
 		if all {
 			return
 		}
@@ -66,6 +66,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	registry.Acknowledged(interest.Host, session, &update)
+	registry.RecordRead(interest.Host, session, &update)
 	return update
 }
--- a/internal/fleet/distribution/registry_test.go
+++ b/internal/fleet/distribution/registry_test.go
@@ -79,7 +79,7 @@
 	}
 	publish(t, log, put("a", "x", content(2)))
 	registry.Advance(log)
-	registry.Acknowledged("hx", 1, &update)
+	registry.RecordRead("hx", 1, &update)
 	registry.Acknowledge("hx", 1, settledAt(first.Revision))
 	requireCounts(t, registry, Revision{}, counts{hosts: 1, behind: 1})
 	requireCounts(t, registry, first.Revision, counts{hosts: 1, inForce: 1})
@@ -191,7 +191,7 @@
 	if len(reports) != 1 || !all || reports[0].Host != "hx" {
 		t.Errorf("%v, %v: only the one that is concerned has anything to report", reports, all)
 	}
-	writer.Merge("r1", relay.Position(), reports)
+	writer.MergeReports("r1", relay.Position(), reports)
 	requireCounts(t, writer, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
 }
 
@@ -204,7 +204,7 @@
 	forward(relay, writer, 10)
 	publish(t, log, put("a", "x", content(1)))
 	writer.Advance(log)
-	writer.Lost(testTime, "r1")
+	writer.RelayLost(testTime, "r1")
 	requireCounts(t, writer, Revision{}, counts{hosts: 2, unavailable: 2})
 	requireCounts(t, writer, Revision{1, 0}, counts{hosts: 2, inForce: 2})
 
@@ -213,10 +213,10 @@
 	forward(relay, writer, 1)
 	requireCounts(t, writer, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
 
-	writer.Lost(testTime, "r1")
-	writer.Forget(testTime.Add(hostRetention))
+	writer.RelayLost(testTime, "r1")
+	writer.ForgetAbsent(testTime.Add(hostRetention))
 	requireCounts(t, writer, Revision{}, counts{hosts: 2, inForce: 1, unavailable: 1})
-	writer.Forget(testTime.Add(hostRetention + 1))
+	writer.ForgetAbsent(testTime.Add(hostRetention + 1))
 	requireCounts(t, writer, Revision{}, counts{})
 }
 
@@ -231,7 +231,7 @@
 	publish(t, log, put("a", "y", content(2)))
 	registry.Advance(log)
 	requireCounts(t, registry, Revision{}, counts{hosts: 1, unavailable: 1})
-	registry.Forget(testTime.Add(hostRetention + 1))
+	registry.ForgetAbsent(testTime.Add(hostRetention + 1))
 	requireCounts(t, registry, Revision{}, counts{})
 	if reports, all := registry.Reports(1); len(reports) != 0 || !all {
 		t.Errorf("%v", reports)
@@ -269,7 +269,7 @@
 		for _, report := range reports {
 			seen = append(seen, report.Host)
 		}
-		writer.Merge("r1", Revision{}, reports)
+		writer.MergeReports("r1", Revision{}, reports)
 	}
 	slices.Sort(seen)
 	if len(slices.Compact(seen)) != 10 || writer.Status(Revision{}, 0).Hosts != 10 {
@@ -284,7 +284,7 @@
 	for n := range reports {
 		reports[n] = HostReport{Host: hostName(n), Session: 1, Present: true, Since: testTime}
 	}
-	registry.Merge("r1", Revision{1, 1}, reports)
+	registry.MergeReports("r1", Revision{1, 1}, reports)
 	if hosts := registry.Status(Revision{1, 1}, 0).Hosts; hosts != MaxHosts {
 		t.Errorf("%d hosts", hosts)
 	}
@@ -306,7 +306,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		state.Make(step)
+		state.Apply(step)
 		registry.Advance(state)
 		return resource.Revision
 	}
@@ -316,7 +316,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		registry.Acknowledged("host", 1, &update)
+		registry.RecordRead("host", 1, &update)
 		return update
 	}
 	first := put("limits", "one")
--- a/internal/fleet/distribution/replica.go
+++ b/internal/fleet/distribution/replica.go
@@ -8,17 +8,18 @@
 	"strings"
 )
 
-// Replica is a subscriber's copy: the resources whose scope covers one of its instances.
+// Replica is a subscriber's copy of the settings: the resources whose scope selects one of its
+// instances. A Replica is not safe for concurrent use.
 type Replica struct {
 	revision  Revision
-	epoch     int64  // the highest that is known; updates of lower epochs are rejected
-	interest  string // hash of the interest that the copy was made for
+	epoch     int64  // the highest known epoch; updates of lower epochs are rejected
+	interest  string // key of the interest that the copy was made for
 	resources map[string]Resource
 }
 
 // NewReplica returns an empty copy for an interest.
 func NewReplica(interest Interest) *Replica {
-	return &Replica{interest: interest.hash(), resources: make(map[string]Resource)}
+	return &Replica{interest: interest.key(), resources: make(map[string]Resource)}
 }
 
 // Revision returns the revision that the copy holds.
@@ -59,21 +60,21 @@
 
 // For returns the resources that apply to an instance of the host, in merge order.
 func (r *Replica) For(host string, labels map[string]string) []Resource {
-	var concerned []Resource
+	var matching []Resource
 	for _, resource := range r.resources {
 		if resource.Scope.Matches(resource.Name, host, labels) {
-			concerned = append(concerned, resource)
+			matching = append(matching, resource)
 		}
 	}
-	inMergeOrder(concerned)
-	return concerned
+	sortInMergeOrder(matching)
+	return matching
 }
 
-// hash returns a text that differs between interests.
-func (i Interest) hash() string {
+// key returns a text that is equal for equal interests only.
+func (i Interest) key() string {
 	text, err := json.Marshal(i)
 	if err != nil {
-		panic(err) // strings only
+		panic(err) // an interest contains only strings, which always encode
 	}
 	return string(text)
 }
@@ -92,7 +93,7 @@
 	Interest string   `json:"interest"`
 }
 
-// Batch returns the entries that store the copy. before is the copy as it was stored last, nil if
+// Batch returns the entries that store the copy. before is the copy as it was last stored, or nil if
 // it has not been stored.
 func (r *Replica) Batch(before *Replica) Batch {
 	batch := Batch{Put: []Entry{newEntry(replicaKey, replicaHeader{Revision: r.revision, Epoch: r.epoch, Interest: r.interest})}}
@@ -112,7 +113,7 @@
 	return batch
 }
 
-// Clone returns a copy to pass to Batch later.
+// Clone returns a copy of the replica, such as the one to pass to Batch later.
 func (r *Replica) Clone() *Replica {
 	return &Replica{revision: r.revision, epoch: r.epoch, interest: r.interest, resources: maps.Clone(r.resources)}
 }
--- a/internal/fleet/distribution/state.go
+++ b/internal/fleet/distribution/state.go
@@ -10,14 +10,14 @@
 // Limits bound a State.
 type Limits struct {
 	Resources int // maximum number of resources
-	History   int // number of changes retained
+	History   int // maximum number of changes retained
 }
 
 // DefaultLimits returns the limits for a fleet of tens of thousands of servers.
 func DefaultLimits() Limits { return Limits{Resources: 20000, History: 20000} }
 
-// Change is an entry of the history: a resource that a revision changed, and its scope before and
-// after.
+// Change is an entry of the history: the resource that a revision changed, with its scope before and
+// after the change.
 type Change struct {
 	Revision Revision `msgpack:"revision" json:"revision"`
 	Name     string   `msgpack:"name" json:"name"`
@@ -26,9 +26,10 @@
 	Removed  bool     `msgpack:"removed,omitempty" json:"removed,omitempty"`
 }
 
-// concerns reports whether the interest must receive the change.
-func (c *Change) concerns(interest Interest) bool {
-	return !c.Removed && interest.Concerned(c.Name, c.Scope) || c.Before != nil && interest.Concerned(c.Name, *c.Before)
+// affects reports whether a reader with the interest must receive the change: the resource was in
+// the interest before the change or is in it afterwards.
+func (c *Change) affects(interest Interest) bool {
+	return !c.Removed && interest.Includes(c.Name, c.Scope) || c.Before != nil && interest.Includes(c.Name, *c.Before)
 }
 
 // Update is a State's contents, or the changes since an earlier revision.
@@ -36,40 +37,41 @@
 	// After is the revision that a delta, or a page of a snapshot, continues from. It is zero
 	// on the first page of a snapshot.
 	After    Revision `msgpack:"after" json:"after"`
-	Revision Revision `msgpack:"revision" json:"revision"` // that the reader holds afterwards
+	Revision Revision `msgpack:"revision" json:"revision"` // the reader's revision after the update
 	Snapshot bool     `msgpack:"snapshot,omitempty" json:"snapshot,omitempty"`
 	// More reports that further pages follow. The reader requests the next page with
 	// Query.After at Revision and, for a snapshot, with Query.Began.
 	More bool `msgpack:"more,omitempty" json:"more,omitempty"`
 	// Began is the revision at which a paged snapshot began.
 	Began     Revision       `msgpack:"began" json:"began"`
-	Resources List[Resource] `msgpack:"resources,omitempty" json:"resources,omitempty"` // by revision
-	Changes   List[Change]   `msgpack:"changes,omitempty" json:"changes,omitempty"`     // of a delta, for relays
+	Resources List[Resource] `msgpack:"resources,omitempty" json:"resources,omitempty"` // ordered by revision
+	Changes   List[Change]   `msgpack:"changes,omitempty" json:"changes,omitempty"`     // only in a delta for a relay
 }
 
-// Empty reports whether an update brings nothing but its revision.
+// Empty reports whether an update contains only a revision.
 func (u *Update) Empty() bool { return !u.Snapshot && len(u.Resources) == 0 && len(u.Changes) == 0 }
 
 // Query is a reader's request to a State.
 type Query struct {
 	After Revision // revision that the reader holds
-	Began Revision // of the snapshot that the reader continues; zero: none
-	Bytes int      // approximate size of the update; 0: unlimited
-	// Interest restricts the update; nil requests everything, with the history.
+	Began Revision // Update.Began of the snapshot that the reader continues; zero if there is none
+	Bytes int      // approximate maximum size of the update; 0 means unlimited
+	// Interest restricts the update to the resources that it includes; nil requests all resources
+	// and, in a delta, the history.
 	Interest *Interest
 }
 
 // State is the settings of a fleet at one revision, and the history before it. The writer holds the
-// authoritative one, each relay a copy.
+// authoritative State, and each other relay a copy of it. A State is not safe for concurrent use.
 type State struct {
 	limits    Limits
 	revision  Revision
-	compacted Revision // the history holds all later changes
+	compacted Revision // the history holds all changes after this revision
 	resources map[string]Resource
-	history   []Change // by revision
+	history   []Change // ordered by revision
 }
 
-// NewState returns a State before the first change.
+// NewState returns an empty State, which is before the first change.
 func NewState(limits Limits) *State {
 	return &State{limits: limits, resources: make(map[string]Resource)}
 }
@@ -129,18 +131,19 @@
 	return s.history[first:]
 }
 
-// Concerned returns the revision of the latest change after the given one that the interest must
-// receive, and false if there is none.
-func (s *State) Concerned(after Revision, interest Interest) (Revision, bool) {
+// LatestChange returns the revision of the latest change after the given revision that a reader with
+// the interest must receive, and false if there is none.
+func (s *State) LatestChange(after Revision, interest Interest) (Revision, bool) {
 	changes := s.changesAfter(after)
 	for n := len(changes) - 1; n >= 0; n-- {
-		if changes[n].concerns(interest) {
+		if changes[n].affects(interest) {
 			return changes[n].Revision, true
 		}
 	}
 	return Revision{}, false
 }
 
+// delta returns the changes after query.After, which the history must cover.
 func (s *State) delta(query Query) Update {
 	changes := s.changesAfter(query.After)
 	update := Update{After: query.After, Revision: s.revision}
@@ -152,38 +155,40 @@
 	return update
 }
 
-// changedResources returns the current resources of the changes, each once. Those that the interest
-// no longer covers are marked as removed.
+// changedResources returns the current version of each resource that the changes affect. Resources
+// that the interest no longer includes are marked as removed.
 func (s *State) changedResources(changes []Change, interest *Interest) []Resource {
 	latest := make(map[string]Resource)
 	for n := range changes {
 		change := &changes[n]
-		if interest == nil || change.concerns(*interest) {
+		if interest == nil || change.affects(*interest) {
 			latest[change.Name] = s.visibleTo(interest, change)
 		}
 	}
 	return slices.SortedFunc(maps.Values(latest), compareRevisions)
 }
 
-// visibleTo returns the resource of a change as the interest sees it now. A resource that was removed
-// has the revision of the change that removed it from the interest, which is the last that concerns
-// it: a page that ends between that change and a later one must hold it.
+// visibleTo returns the changed resource as a reader with the interest sees it now. A tombstone has
+// the revision of the change that removed the resource from the interest, which is the last change
+// that affects the interest: a page that ends between that change and a later one must contain the
+// tombstone.
 func (s *State) visibleTo(interest *Interest, change *Change) Resource {
 	r, exists := s.resources[change.Name]
-	if exists && (interest == nil || interest.Concerned(r.Name, r.Scope)) {
+	if exists && (interest == nil || interest.Includes(r.Name, r.Scope)) {
 		return r
 	}
 	return removedResource(change.Name, change.Revision)
 }
 
+// snapshot returns a page of a snapshot that began at query.Began: the resources after query.After.
 func (s *State) snapshot(query Query) Update {
 	update := Update{Snapshot: true, After: query.After, Revision: s.revision, Began: query.Began}
 	for _, r := range s.resources {
-		if r.Revision.After(query.After) && (query.Interest == nil || query.Interest.Concerned(r.Name, r.Scope)) {
+		if r.Revision.After(query.After) && (query.Interest == nil || query.Interest.Includes(r.Name, r.Scope)) {
 			update.Resources = append(update.Resources, r)
 		}
 	}
-	// Resources of earlier pages that have been removed since.
+	// Resources of earlier pages may have been removed since; the reader needs their tombstones.
 	for _, r := range s.changedResources(s.changesAfter(query.Began), query.Interest) {
 		if r.Removed && r.Revision.After(query.After) {
 			update.Resources = append(update.Resources, r)
--- a/internal/fleet/distribution/state_test.go
+++ b/internal/fleet/distribution/state_test.go
@@ -111,12 +111,12 @@
 	for n := range 8 {
 		publish(t, log, put("b", "x", content(n)))
 	}
-	next, err := relay.Follow(readComplete(t, log, NewReader(testLimits()), relay.Revision(), nil, 0, nil))
+	next, err := relay.PrepareUpdate(readComplete(t, log, NewReader(testLimits()), relay.Revision(), nil, 0, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
 	store.write(next.Batch())
-	relay.Make(next)
+	relay.Apply(next)
 	if len(relay.history) != 3 {
 		t.Errorf("history of %d", len(relay.history))
 	}
@@ -167,11 +167,11 @@
 				}
 				requireReplica(t, log, replica, interest)
 				step = 0
-				next, err := relay.Follow(readComplete(t, log, NewReader(testLimits()), relay.Revision(), nil, bytes, between))
+				next, err := relay.PrepareUpdate(readComplete(t, log, NewReader(testLimits()), relay.Revision(), nil, bytes, between))
 				if err != nil {
 					t.Fatal(err)
 				}
-				relay.Make(next)
+				relay.Apply(next)
 				requireSameState(t, log, relay)
 			})
 		}
@@ -198,11 +198,11 @@
 		t.Errorf("a page of %d bytes, %d changes, more %v, %v; %d requested", len(data), len(page.Changes), page.More, err, bytes)
 	}
 	reader := NewReader(Limits{Resources: 10, History: 2000})
-	next, err := relay.Follow(readComplete(t, log, reader, relay.Revision(), nil, bytes, nil))
+	next, err := relay.PrepareUpdate(readComplete(t, log, reader, relay.Revision(), nil, bytes, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay.Make(next)
+	relay.Apply(next)
 	requireSameState(t, log, relay)
 	if len(relay.history) != len(log.history)-1 {
 		t.Errorf("history of %d; want %d", len(relay.history), len(log.history)-1)
@@ -244,11 +244,11 @@
 	publish(t, log, put("a", "x", content(1)))
 	left := publish(t, log, put("a", "y", content(1)))
 	publish(t, log, put("b", "y", content(1)))
-	revision, ok := log.Concerned(Revision{1, 0}, interestIn("h", "x"))
+	revision, ok := log.LatestChange(Revision{1, 0}, interestIn("h", "x"))
 	if !ok || revision != left.Revision {
 		t.Errorf("%v, %v", revision, ok)
 	}
-	if revision, ok := log.Concerned(left.Revision, interestIn("h", "x")); ok {
+	if revision, ok := log.LatestChange(left.Revision, interestIn("h", "x")); ok {
 		t.Errorf("%v", revision)
 	}
 }
@@ -269,7 +269,7 @@
 		}
 		requireSameState(t, log, before)
 		store.write(next.Batch())
-		log.Make(next)
+		log.Apply(next)
 		after, err := Restore(limits, store.all())
 		if err != nil {
 			t.Fatal(err)
@@ -293,20 +293,20 @@
 	propose(put("r1", "x", content(3)))
 
 	other := newLog(testLimits())
-	other.Make(other.Promote(3))
+	other.Apply(other.Promote(3))
 	publish(t, other, put("r2", "x", content(3)))
 	snapshot, err := other.Read(Query{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	do(log.Follow(snapshot))
+	do(log.PrepareUpdate(snapshot))
 	publish(t, other, remove("r2"))
 	publish(t, other, put("r3", "x", content(3)))
 	delta, err := other.Read(Query{After: log.Revision()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	do(log.Follow(delta))
+	do(log.PrepareUpdate(delta))
 	if keys := len(store.entries); keys != len(log.resources)+len(log.history)+1 {
 		t.Errorf("%d entries for %d resources and %d changes", keys, len(log.resources), len(log.history))
 	}
@@ -318,7 +318,7 @@
 	log, store := NewState(testLimits()), newDisk()
 	next := log.Promote(1)
 	store.write(next.Batch())
-	log.Make(next)
+	log.Apply(next)
 	_, next, err := log.Propose(testTime, 1, put("a", "x", content(1)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/distribution/status.go
+++ b/internal/fleet/distribution/status.go
@@ -8,29 +8,30 @@
 
 // Status counts the hosts by their progress towards a revision.
 type Status struct {
-	Revision    Revision `msgpack:"revision" json:"revision"` // as requested
-	Latest      Revision `msgpack:"latest" json:"latest"`     // known to the relay that answers
+	Revision    Revision `msgpack:"revision" json:"revision"` // as requested, or the latest
+	Latest      Revision `msgpack:"latest" json:"latest"`     // latest revision at the relay that answers
 	Hosts       int      `msgpack:"hosts" json:"hosts"`       // all known hosts
-	InForce     int      `msgpack:"in_force" json:"in_force"` // in force in all instances in its scope
-	Rejected    int      `msgpack:"refused" json:"refused"`   // rejected by an instance; its last accepted settings are in force
-	Behind      int      `msgpack:"behind" json:"behind"`     // present and not yet at the revision
-	Unavailable int      `msgpack:"away" json:"away"`         // absent, and not at the revision when last reported
-	// Missing lists some of the hosts where it is not in force, those with rejections first.
+	InForce     int      `msgpack:"in_force" json:"in_force"` // hosts where it is in force at all instances in its scope
+	Rejected    int      `msgpack:"refused" json:"refused"`   // an instance rejected a change; its last accepted settings are in force
+	Behind      int      `msgpack:"behind" json:"behind"`     // connected, and not yet at the revision
+	Unavailable int      `msgpack:"away" json:"away"`         // not connected, and not at the revision in the last report
+	// Missing lists some of the hosts where the revision is not in force, those with rejections
+	// first.
 	Missing []HostReport `msgpack:"missing,omitempty" json:"missing,omitempty"`
 }
 
-// Status counts the hosts by their progress towards a revision; zero means the latest. It lists up
-// to limit hosts where the revision is not in force.
+// Status counts the hosts by their progress towards a revision; the zero revision means the latest.
+// It lists up to limit hosts where the revision is not in force.
 func (g *Registry) Status(revision Revision, limit int) Status {
 	if revision.IsZero() {
 		revision = g.position
 	}
 	status := Status{Revision: revision, Latest: g.position}
 	var missing []missingHost
-	for _, e := range g.hosts {
-		state := g.reportedState(e)
+	for _, record := range g.hosts {
+		state := g.reportedState(record)
 		status.Hosts++
-		switch progressOf(revision, e.report.Present, state) {
+		switch progressOf(revision, record.report.Present, state) {
 		case inForce:
 			status.InForce++
 			continue
@@ -41,7 +42,7 @@
 		case unavailable:
 			status.Unavailable++
 		}
-		missing = append(missing, missingHost{record: e, rejections: len(state.Rejections)})
+		missing = append(missing, missingHost{record: record, rejections: len(state.Rejections)})
 	}
 	status.Missing = g.missingReports(missing, limit)
 	return status
@@ -50,7 +51,7 @@
 // missingHost is a host where a revision is not in force.
 type missingHost struct {
 	record     *hostRecord
-	rejections int
+	rejections int // number of the host's rejections
 }
 
 // missingReports returns up to limit of the hosts' reports, those with rejections first.
@@ -74,12 +75,14 @@
 type applyProgress int
 
 const (
-	inForce applyProgress = iota
-	rejected
-	behind
-	unavailable
+	inForce     applyProgress = iota // the revision is in force
+	rejected                         // an instance rejected a change up to the revision
+	behind                           // connected, and not yet at the revision
+	unavailable                      // not connected, and not known to be at the revision
 )
 
+// progressOf returns the progress of a host with the given state towards a revision. present reports
+// whether the host is connected.
 func progressOf(revision Revision, present bool, state HostState) applyProgress {
 	if slices.ContainsFunc(state.Rejections, func(r Rejection) bool { return !r.Revision.After(revision) }) {
 		return rejected
--- a/internal/fleet/distribution/step.go
+++ b/internal/fleet/distribution/step.go
@@ -12,10 +12,10 @@
 	changes      []Change
 	revision     Revision
 	compacted    Revision
-	resetHistory bool // the update is a snapshot: the history starts again
+	resetHistory bool // the earlier history is discarded: the step is a snapshot or begins an epoch
 }
 
-// prepare computes the Batch of a step.
+// prepare returns the step with its Batch and the revision up to which the history is compacted.
 func (s *State) prepare(next step) step {
 	for n := range next.resources {
 		r := &next.resources[n]
@@ -29,21 +29,21 @@
 		next.batch.Drop = append(next.batch.Drop, resourcePrefix+name)
 	}
 	next.compacted = s.compacted
-	old := s.history
+	earlier := s.history
 	if next.resetHistory {
 		next.compacted = next.revision
-		for _, c := range old {
+		for _, c := range earlier {
 			next.batch.Drop = append(next.batch.Drop, changeKey(c.Revision))
 		}
-		old = nil
+		earlier = nil
 	}
-	over := max(len(old)+len(next.changes)-s.limits.History, 0)
-	for _, c := range old[:min(over, len(old))] {
+	excess := max(len(earlier)+len(next.changes)-s.limits.History, 0)
+	for _, c := range earlier[:min(excess, len(earlier))] {
 		next.compacted = c.Revision
 		next.batch.Drop = append(next.batch.Drop, changeKey(c.Revision))
 	}
-	if over > len(old) { // only the last changes of a long update are retained
-		first := over - len(old)
+	if excess > len(earlier) { // only the last changes of a long update are retained
+		first := excess - len(earlier)
 		next.compacted = next.changes[first-1].Revision
 		next.changes = next.changes[first:]
 	}
