--- a/internal/fleet/distribution/applier_test.go
+++ b/internal/fleet/distribution/applier_test.go
@@ -11,77 +11,79 @@
 
 const testCoalesce = 2 * time.Second
 
-// version is a resource at a revision, with content of its own.
+// version returns a resource at revision 1.number, with content that no other number has.
 func version(name string, number int64) Resource {
 	r := Resource{Name: name, Content: []byte(content(int(number))), Revision: Revision{Epoch: 1, Number: number}}
 	r.Hash = hashOf(&r)
 	return r
 }
 
-// versions describes resources as "name@number".
+// versions returns the resources in the form "name@number", sorted.
 func versions(resources []Resource) []string {
-	var names []string
+	var texts []string
 	for _, r := range resources {
-		names = append(names, fmt.Sprintf("%s@%d", r.Name, r.Revision.Number))
+		texts = append(texts, fmt.Sprintf("%s@%d", r.Name, r.Revision.Number))
 	}
-	slices.Sort(names)
-	return names
+	slices.Sort(texts)
+	return texts
 }
 
-// settle makes attempts until none is due. The instance rejects the named versions.
-func settle(t testing.TB, applier *Applier, refuses ...string) (attempts int) {
+// settle makes attempts until none is due, and returns their number. The instance rejects the given
+// versions.
+func settle(t testing.TB, applier *Applier, rejects ...string) (attempts int) {
 	t.Helper()
 	for ; attempts < 1000; attempts++ {
 		if _, due := applier.Due(); !due {
 			return attempts
 		}
 		offered := versions(applier.Begin())
-		rejected := slices.ContainsFunc(offered, func(name string) bool { return slices.Contains(refuses, name) })
+		rejected := slices.ContainsFunc(offered, func(version string) bool { return slices.Contains(rejects, version) })
 		applier.Done(!rejected, "no such limit")
 	}
-	t.Fatal("the attempts do not end")
+	t.Fatal("an attempt is still due after 1000 attempts")
 	return attempts
 }
 
+// requireApplied requires that the instance accepted and rejected exactly these versions.
 func requireApplied(t testing.TB, applier *Applier, accepted, rejected []string) {
 	t.Helper()
 	if have := versions(applier.Accepted()); !slices.Equal(have, accepted) {
-		t.Errorf("accepted %v; want %v", have, accepted)
+		t.Errorf("accepted versions are %v, want %v", have, accepted)
 	}
-	var names []string
+	var have []string
 	for _, rejection := range applier.Rejections() {
-		names = append(names, fmt.Sprintf("%s@%d", rejection.Resource, rejection.Revision.Number))
+		have = append(have, fmt.Sprintf("%s@%d", rejection.Resource, rejection.Revision.Number))
 	}
-	if !slices.Equal(names, rejected) {
-		t.Errorf("rejected %v; want %v", names, rejected)
+	if !slices.Equal(have, rejected) {
+		t.Errorf("rejected versions are %v, want %v", have, rejected)
 	}
 }
 
 func TestApplierCoalesces(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
 	if _, due := applier.Due(); due || applier.Pending() {
-		t.Error("nothing is wanted")
+		t.Error("new applier has a pending change or an attempt that is due, want neither")
 	}
 	applier.Want(testTime, []Resource{version("a", 1)})
 	applier.Want(testTime.Add(time.Second), []Resource{version("a", 2), version("b", 3)})
 	at, due := applier.Due()
 	if !due || at != testTime.Add(testCoalesce) {
-		t.Fatalf("due %v at %v", due, at)
+		t.Fatalf("Due() = %v, %v; want the end of the coalescing delay after the first change", at, due)
 	}
 	if offered := versions(applier.Begin()); !slices.Equal(offered, []string{"a@2", "b@3"}) {
-		t.Errorf("offered %v", offered)
+		t.Errorf("Begin returned %v, want a@2 and b@3", offered)
 	}
 	if _, due := applier.Due(); due || !applier.Pending() {
-		t.Error("an attempt is under way")
+		t.Error("during an attempt another one is due, or its changes are not pending")
 	}
 	applier.Done(true, "")
 	requireApplied(t, applier, []string{"a@2", "b@3"}, nil)
 	if applier.Pending() {
-		t.Error("still pending")
+		t.Error("a change is pending after all were accepted")
 	}
 	applier.Want(testTime.Add(time.Hour), []Resource{version("a", 4), version("b", 3)})
 	if at, due := applier.Due(); !due || at != testTime.Add(time.Hour+testCoalesce) {
-		t.Errorf("due %v at %v", due, at)
+		t.Errorf("Due() after a later change = %v, %v; want the end of its coalescing delay", at, due)
 	}
 }
 
@@ -91,11 +93,11 @@
 	settle(t, applier)
 	applier.Want(testTime, []Resource{version("a", 2), version("b", 3), version("c", 4)})
 	if attempts := settle(t, applier, "b@3"); attempts != 4 {
-		t.Errorf("%d attempts", attempts)
+		t.Errorf("made %d attempts, want 4: the batch and each of its three changes", attempts)
 	}
 	requireApplied(t, applier, []string{"a@2", "b@1", "c@4"}, []string{"b@3"})
 	if rejection := applier.Rejections()[0]; rejection.Reason != "no such limit" || rejection.Instance != "i" {
-		t.Errorf("%+v", rejection)
+		t.Errorf("rejection is %+v, want instance i and the reason of the instance", rejection)
 	}
 
 	applier.Want(testTime, []Resource{version("a", 2), version("b", 5), version("c", 4)})
@@ -103,7 +105,8 @@
 	requireApplied(t, applier, []string{"a@2", "b@5", "c@4"}, nil)
 }
 
-// A later revision that arrives while an earlier one is being rejected is attempted.
+// A later revision that arrives during the attempt of an earlier one is attempted next, whether the
+// instance rejects or accepts the earlier one.
 func TestApplierAttemptsRevisionThatArrivedDuringAttempt(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
 	applier.Want(testTime, []Resource{version("a", 1)})
@@ -111,7 +114,7 @@
 	applier.Want(testTime, []Resource{version("a", 2)})
 	applier.Done(false, "no")
 	if !applier.Pending() {
-		t.Fatal("the later revision is not tried")
+		t.Fatal("later revision that arrived during the attempt is not pending")
 	}
 	settle(t, applier)
 	requireApplied(t, applier, []string{"a@2"}, nil)
@@ -125,7 +128,7 @@
 	requireApplied(t, applier, []string{"a@4"}, nil)
 }
 
-// A revision that is no longer wanted when it is rejected leaves no rejection behind.
+// No rejection is recorded for a revision that is no longer wanted when the instance rejects it.
 func TestApplierForgetsRejectionOfUnwanted(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
 	applier.Want(testTime, []Resource{version("a", 1)})
@@ -134,7 +137,7 @@
 	applier.Done(false, "no")
 	requireApplied(t, applier, nil, nil)
 	if applier.Pending() {
-		t.Error("still pending")
+		t.Error("a revision that is no longer wanted is pending")
 	}
 }
 
@@ -144,13 +147,13 @@
 	settle(t, applier)
 	applier.Want(testTime, []Resource{version("b", 2)})
 	if offered := versions(applier.Begin()); !slices.Equal(offered, []string{"b@2"}) {
-		t.Errorf("offered %v", offered)
+		t.Errorf("Begin after the removal of a returned %v, want b@2", offered)
 	}
 	applier.Done(false, "needs a")
 	requireApplied(t, applier, []string{"a@1", "b@2"}, []string{"a@0"})
 	applier.Want(testTime, []Resource{version("b", 2)})
 	if applier.Pending() {
-		t.Error("a rejected removal is retried")
+		t.Error("rejected removal is pending again")
 	}
 	applier.Forgive(testTime)
 	settle(t, applier)
@@ -164,7 +167,7 @@
 	applier.Abandon()
 	requireApplied(t, applier, nil, nil)
 	if _, due := applier.Due(); !due {
-		t.Error("an abandoned attempt is not retried")
+		t.Error("no attempt is due after an abandoned one")
 	}
 	settle(t, applier)
 	requireApplied(t, applier, []string{"a@1"}, nil)
@@ -178,7 +181,7 @@
 	later := testTime.Add(time.Hour)
 	applier.Forgive(later)
 	if at, due := applier.Due(); !due || at != later.Add(testCoalesce) {
-		t.Errorf("due %v at %v", due, at)
+		t.Errorf("Due() after Forgive = %v, %v; want the end of the coalescing delay", at, due)
 	}
 	settle(t, applier)
 	requireApplied(t, applier, []string{"a@1"}, nil)
@@ -190,17 +193,18 @@
 	applier.Begin()
 	applier.Done(false, "x"+strings.Repeat("ä", maxReasonBytes))
 	if reason := applier.Rejections()[0].Reason; len(reason) > maxReasonBytes || strings.ToValidUTF8(reason, "") != reason {
-		t.Errorf("a reason of %d bytes, or one cut within a letter: %q", len(reason), reason)
+		t.Errorf("reason of the rejection has %d bytes, want valid UTF-8 of at most %d bytes: %q", len(reason), maxReasonBytes, reason)
 	}
 }
 
-// restoreApplier returns an Applier restored from the applier's entry.
-func restoreApplier(t failer, applier *Applier) *Applier {
+// restoreApplier returns an Applier restored from the applier's entry. The entry of another instance is
+// present too.
+func restoreApplier(t testReporter, applier *Applier) *Applier {
 	t.Helper()
 	restored := NewApplier(applier.instance, applier.coalesce)
 	other := Entry{Key: acceptedPrefix + applier.instance + "2", Value: []byte("[]")}
 	if err := restored.Restore([]Entry{other, applier.Entry()}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Restore of instance %s: %v", applier.instance, err)
 	}
 	return restored
 }
@@ -218,26 +222,26 @@
 	restored := restoreApplier(t, applier)
 	requireApplied(t, restored, []string{"a@1", "b@2"}, []string{"a@3"})
 	if _, due := restored.Due(); due || restored.Pending() {
-		t.Error("accepted settings are removed before Want was called")
+		t.Error("restored applier has a pending change or an attempt that is due before Want was called")
 	}
 	restored.Want(testTime, second)
 	if restored.Pending() {
-		t.Error("a rejected revision is retried")
+		t.Error("revision that was rejected before the restart is pending again")
 	}
 	restored.Want(testTime, []Resource{version("a", 4)})
 	settle(t, restored)
 	requireApplied(t, restored, []string{"a@4"}, nil)
 
-	spoilt := applier.Entry()
+	corrupted := applier.Entry()
 	for _, value := range []string{"", "[]", `{"accepted":[{"name":"a"}]}`} {
-		spoilt.Value = []byte(value)
-		if err := NewApplier("i", 0).Restore([]Entry{spoilt}); err == nil {
-			t.Errorf("%q is taken", value)
+		corrupted.Value = []byte(value)
+		if err := NewApplier("i", 0).Restore([]Entry{corrupted}); err == nil {
+			t.Errorf("Restore with the entry value %q succeeded, want an error", value)
 		}
 	}
 }
 
-// After a stream of changes, some of them rejected, each resource has its last good revision.
+// After a stream of changes, some of them rejected, each resource is at its last accepted revision.
 func TestApplierUnderSteadyChanges(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
 	wanted := make(map[string]Resource)
--- a/internal/fleet/distribution/bench_test.go
+++ b/internal/fleet/distribution/bench_test.go
@@ -15,16 +15,20 @@
 	return state
 }
 
+// serviceName returns the name of the service with a number.
 func serviceName(n int) string { return fmt.Sprintf("service-%04d", n) }
 
-// benchInterest returns the interest of a host with an instance of one service and typical labels.
+// benchInterest returns the interest of the host with a number, which has an instance of one of the
+// services with the usual labels.
 func benchInterest(n, services int) Interest {
 	return Interest{Host: hostName(n), Instances: []map[string]string{{"service": serviceName(n % services),
 		"region": hostRegion(n), "zone": hostZone(n), "host": hostName(n)}}}
 }
 
+// benchResources are the numbers of resources of the benchmarked logs.
 var benchResources = []int{790, 5000}
 
+// BenchmarkReadDelta measures the read of one change by a subscriber.
 func BenchmarkReadDelta(b *testing.B) {
 	for _, resources := range benchResources {
 		b.Run(fmt.Sprintf("resources=%d", resources), func(b *testing.B) {
@@ -35,13 +39,14 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if update, err := state.Read(Query{After: before, Interest: &interest}); err != nil || len(update.Resources) != 1 {
-					b.Fatal(update, err)
+					b.Fatalf("Read = %+v, %v; want one resource", update, err)
 				}
 			}
 		})
 	}
 }
 
+// BenchmarkReadSnapshot measures the read of a subscriber that starts without a copy.
 func BenchmarkReadSnapshot(b *testing.B) {
 	for _, resources := range benchResources {
 		b.Run(fmt.Sprintf("resources=%d", resources), func(b *testing.B) {
@@ -50,7 +55,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if update, err := state.Read(Query{Interest: &interest}); err != nil || !update.Snapshot || len(update.Resources) != 1 {
-					b.Fatal(update, err)
+					b.Fatalf("Read = %+v, %v; want one resource", update, err)
 				}
 			}
 		})
@@ -65,15 +70,15 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if update, err := state.Read(Query{Bytes: 512 << 10}); err != nil || !update.Snapshot {
-					b.Fatal(update, err)
+					b.Fatalf("Read = %+v, %v; want a snapshot", update, err)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkAdvance measures one change at a relay that has its part of 21,000 subscribers when
-// all relays are alive, and when half of them are.
+// BenchmarkAdvance measures one change at a relay that serves its part of 21,000 subscribers, while
+// all relays are live and while half of them are.
 func BenchmarkAdvance(b *testing.B) {
 	for _, subscribers := range []int{fleetHosts/fleetRelays + 1, 2 * fleetHosts / fleetRelays} {
 		b.Run(fmt.Sprintf("subscribers=%d", subscribers), func(b *testing.B) {
@@ -94,6 +99,7 @@
 	}
 }
 
+// benchRegistry returns a registry of settled subscribers.
 func benchRegistry(b *testing.B, state *State, subscribers int) *Registry {
 	b.Helper()
 	registry := NewRegistry("relay", subscribers)
@@ -104,13 +110,14 @@
 	return registry
 }
 
+// BenchmarkStatus measures the writer's status of all hosts.
 func BenchmarkStatus(b *testing.B) {
-	for name, held := range map[string]bool{"in force": true, "behind": false} {
+	for name, settled := range map[string]bool{"in force": true, "behind": false} {
 		b.Run(fmt.Sprintf("hosts=%d/%s", fleetHosts, name), func(b *testing.B) {
 			state := benchState(b, 790)
 			writer := NewRegistry("writer", 1)
 			reported := settledAt(state.Revision())
-			if !held {
+			if !settled {
 				reported.Settled = false
 				reported.Applied.Number--
 			}
@@ -124,14 +131,15 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				status := writer.Status(state.Revision(), 20)
-				if status.Hosts != fleetHosts || (status.InForce == fleetHosts) != held {
-					b.Fatal(status)
+				if status.Hosts != fleetHosts || (status.InForce == fleetHosts) != settled {
+					b.Fatalf("Status = %+v, want %d hosts, and the revision in force at all of them: %v", status, fleetHosts, settled)
 				}
 			}
 		})
 	}
 }
 
+// BenchmarkRestore measures the restart of a relay from its stored entries.
 func BenchmarkRestore(b *testing.B) {
 	for _, resources := range benchResources {
 		b.Run(fmt.Sprintf("resources=%d", resources), func(b *testing.B) {
@@ -147,10 +155,10 @@
 				store.write(next.Batch())
 				state.Apply(next)
 			}
-			rows := store.all()
+			entries := store.all()
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := Restore(DefaultLimits(), rows); err != nil {
+				if _, err := Restore(DefaultLimits(), entries); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/fleet/distribution/choose_test.go
+++ b/internal/fleet/distribution/choose_test.go
@@ -7,20 +7,23 @@
 	"time"
 )
 
+// Sizes of the fleet that hosts and relays are drawn from.
 const (
 	fleetHosts  = 21_000
 	fleetRelays = 16
 	fleetZones  = 27
 )
 
-// testRegions is how many regions there are; each has three zones.
+// testRegions is the number of regions; each has three zones.
 const testRegions = 9
 
+// hostRegion returns the region of the host or relay with a number.
 func hostRegion(n int) string { return fmt.Sprintf("region-%d", n%testRegions) }
 
+// hostZone returns the zone of the host or relay with a number.
 func hostZone(n int) string { return fmt.Sprintf("zone-%d", n%fleetZones) }
 
-// testRelays are spread over regions and zones where these are given.
+// testRelays returns the fleet's relays, spread over regions and zones if withRegions is set.
 func testRelays(withRegions bool) []Relay {
 	relays := make([]Relay, fleetRelays)
 	for n := range relays {
@@ -32,10 +35,11 @@
 	return relays
 }
 
+// noSpread makes Chooser.Next return the nominal delay.
 func noSpread() float64 { return 0.5 }
 
-// loads counts the hosts of each relay while the lost relays do not answer.
-func loads(t testing.TB, relays []Relay, withRegions bool, lost map[string]bool) map[string]int {
+// hostsByRelay returns the number of hosts that use each relay while the lost relays do not answer.
+func hostsByRelay(t testing.TB, relays []Relay, withRegions bool, lost map[string]bool) map[string]int {
 	t.Helper()
 	load := make(map[string]int)
 	for n := range fleetHosts {
@@ -57,19 +61,20 @@
 			chooser.Failed(now, relay.Name)
 		}
 		if !served {
-			t.Fatalf("host %d found no relay", n)
+			t.Fatalf("host %d found no relay that answers", n)
 		}
 	}
 	return load
 }
 
-// fullest is how many times the mean the relay with the most hosts has.
-func fullest(load map[string]int, living int) float64 {
-	limit := 0
+// maxToMean returns the number of hosts of the relay with the most hosts, as a multiple of the mean
+// over the live relays.
+func maxToMean(load map[string]int, live int) float64 {
+	maxHosts := 0
 	for _, hosts := range load {
-		limit = max(limit, hosts)
+		maxHosts = max(maxHosts, hosts)
 	}
-	return float64(limit) * float64(living) / fleetHosts
+	return float64(maxHosts) * float64(live) / fleetHosts
 }
 
 func TestChooserSpreadsEvenly(t *testing.T) {
@@ -80,13 +85,13 @@
 		half[relays[n].Name] = true
 	}
 	one := map[string]bool{relays[3].Name: true}
-	for name, lost := range map[string]map[string]bool{"all live": nil, "one is lost": one, "half are lost": half} {
-		living := fleetRelays - len(lost)
-		load := loads(t, relays, false, lost)
-		ratio := fullest(load, living)
-		t.Logf("%s: the fullest of %d has %.3f times the mean", name, living, ratio)
-		if ratio > 1.1 || len(load) != living {
-			t.Errorf("%s: %v", name, load)
+	for name, lost := range map[string]map[string]bool{"all relays live": nil, "one relay lost": one, "half of the relays lost": half} {
+		live := fleetRelays - len(lost)
+		load := hostsByRelay(t, relays, false, lost)
+		ratio := maxToMean(load, live)
+		t.Logf("%s: the fullest of %d live relays has %.3f times the mean", name, live, ratio)
+		if ratio > 1.1 || len(load) != live {
+			t.Errorf("%s: hosts by relay are %v, want all %d live relays in use and the fullest with at most 1.1 times the mean", name, load, live)
 		}
 	}
 }
@@ -105,7 +110,7 @@
 				at = 1
 			}
 			if at < distance {
-				t.Fatalf("host %d: %v", n, chooser.order)
+				t.Fatalf("host %d: order of relays is %v, want its zone first, then its region", n, chooser.order)
 			}
 			distance = at
 		}
@@ -118,26 +123,26 @@
 	t.Parallel()
 	relays := testRelays(true)
 	cases := map[string]struct {
-		living []int
-		limit  float64 // times the mean, by the sizes of the regions and a tenth for the draw
+		live  []int
+		limit float64 // multiple of the mean: by the sizes of the regions, and a tenth more for the random draw
 	}{
-		"all live":                      {[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, 1.78 * 1.1},
-		"one in each of eight regions":  {[]int{0, 1, 2, 3, 4, 5, 6, 7}, 1.1},
-		"two in each of four regions":   {[]int{0, 1, 2, 3, 9, 10, 11, 12}, 1.1},
-		"both kinds in five of regions": {[]int{0, 1, 2, 9, 10, 11, 7, 8}, 1.34 * 1.1},
+		"all relays":                         {[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, 1.78 * 1.1},
+		"one in each of eight regions":       {[]int{0, 1, 2, 3, 4, 5, 6, 7}, 1.1},
+		"two in each of four regions":        {[]int{0, 1, 2, 3, 9, 10, 11, 12}, 1.1},
+		"one or two in each of five regions": {[]int{0, 1, 2, 9, 10, 11, 7, 8}, 1.34 * 1.1},
 	}
 	for name, c := range cases {
 		lost := make(map[string]bool)
 		for n := range relays {
-			if !slices.Contains(c.living, n) {
+			if !slices.Contains(c.live, n) {
 				lost[relays[n].Name] = true
 			}
 		}
-		load := loads(t, relays, true, lost)
-		ratio := fullest(load, len(c.living))
-		t.Logf("%s: the fullest of %d has %.3f times the mean", name, len(c.living), ratio)
-		if ratio > c.limit || len(load) != len(c.living) {
-			t.Errorf("%s: %v", name, load)
+		load := hostsByRelay(t, relays, true, lost)
+		ratio := maxToMean(load, len(c.live))
+		t.Logf("live relays are %s: the fullest of %d has %.3f times the mean", name, len(c.live), ratio)
+		if ratio > c.limit || len(load) != len(c.live) {
+			t.Errorf("live relays are %s: hosts by relay are %v, want all live relays in use and the fullest with at most %.3f times the mean", name, load, c.limit)
 		}
 	}
 }
@@ -147,31 +152,31 @@
 	preferred := chooser.Preferred()
 	now := testTime
 	if relay, wait := chooser.Next(now, noSpread); relay != preferred || wait != 0 {
-		t.Fatalf("%v after %v", relay, wait)
+		t.Fatalf("first Next = %v after %v, want the preferred relay %v without a wait", relay, wait, preferred)
 	}
 	chooser.Failed(now, preferred.Name)
 	next, wait := chooser.Next(now, noSpread)
 	if next == preferred || wait != initialRetryDelay {
-		t.Fatalf("%v after %v", next, wait)
+		t.Fatalf("Next after the preferred relay failed = %v after %v, want another relay after %v", next, wait, initialRetryDelay)
 	}
 	chooser.Succeeded(next.Name)
 	if relay, wait := chooser.Next(now.Add(initialAvoidance-1), noSpread); relay != next || wait != 0 {
-		t.Errorf("before its time: %v after %v", relay, wait)
+		t.Errorf("Next before the end of the avoidance = %v after %v, want %v without a wait", relay, wait, next)
 	}
 	if relay, _ := chooser.Next(now.Add(initialAvoidance), noSpread); relay != preferred {
-		t.Errorf("after its time: %v", relay)
+		t.Errorf("Next at the end of the avoidance = %v, want the preferred relay %v", relay, preferred)
 	}
 
-	// Repeated failures lengthen the avoidance up to a bound; one answer resets it.
+	// Repeated failures lengthen the avoidance up to maxAvoidance; one success resets it.
 	for n := range 20 {
 		now = now.Add(time.Hour)
 		chooser.Failed(now, preferred.Name)
 		avoid := min(initialAvoidance<<(n+1), maxAvoidance)
 		if relay, _ := chooser.Next(now.Add(avoid-1), noSpread); relay == preferred {
-			t.Errorf("failed %d times: used before %v", n+2, avoid)
+			t.Errorf("relay that failed %d times is used before %v, want it avoided", n+2, avoid)
 		}
 		if relay, _ := chooser.Next(now.Add(avoid), noSpread); relay != preferred {
-			t.Errorf("failed %d times: not used after %v", n+2, avoid)
+			t.Errorf("relay that failed %d times is not used after %v", n+2, avoid)
 		}
 		if avoid == maxAvoidance {
 			break
@@ -179,7 +184,7 @@
 	}
 	chooser.Succeeded(preferred.Name)
 	if relay, wait := chooser.Next(now, noSpread); relay != preferred || wait != 0 {
-		t.Errorf("%v after %v", relay, wait)
+		t.Errorf("Next after a success = %v after %v, want the preferred relay %v without a wait", relay, wait, preferred)
 	}
 }
 
@@ -191,19 +196,19 @@
 	for range 30 {
 		relay, wait := chooser.Next(now, noSpread)
 		if wait > maxRetryDelay {
-			t.Fatalf("a wait of %v", wait)
+			t.Fatalf("Next returned a wait of %v, want at most %v", wait, maxRetryDelay)
 		}
 		seen[relay.Name] = true
 		now = now.Add(wait)
 		chooser.Failed(now, relay.Name)
 	}
 	if len(seen) != len(relays) {
-		t.Errorf("only %v are used", seen)
+		t.Errorf("while all relays fail only %v were tried, want all %d", seen, len(relays))
 	}
 	for draw, want := range map[float64]time.Duration{0: maxRetryDelay / 2, 0.999: maxRetryDelay * 3 / 2} {
 		_, wait := chooser.Next(now, func() float64 { return draw })
 		if difference := wait - want; difference.Abs() > maxRetryDelay/100 {
-			t.Errorf("drawn %v: a wait of %v, not %v", draw, wait, want)
+			t.Errorf("Next with the random number %v: got a wait of %v, want %v", draw, wait, want)
 		}
 	}
 }
--- a/internal/fleet/distribution/compat_test.go
+++ b/internal/fleet/distribution/compat_test.go
@@ -9,20 +9,20 @@
 	"martendrum/internal/goldentest"
 )
 
-// storedEntry is an entry in a golden file.
+// storedEntry is an entry in a golden file, one per line.
 type storedEntry struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
 }
 
 // entryLines encodes entries in the form of a golden file.
-func entryLines(t *testing.T, rows []Entry) []byte {
+func entryLines(t *testing.T, entries []Entry) []byte {
 	t.Helper()
 	var lines bytes.Buffer
-	for _, r := range rows {
-		line, err := json.Marshal(storedEntry{Key: r.Key, Value: r.Value})
+	for _, entry := range entries {
+		line, err := json.Marshal(storedEntry{Key: entry.Key, Value: entry.Value})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encoding of the entry %s: %v", entry.Key, err)
 		}
 		lines.Write(append(line, '\n'))
 	}
@@ -32,42 +32,42 @@
 // goldenEntries returns the entries of a golden file.
 func goldenEntries(t *testing.T, name string) []Entry {
 	t.Helper()
-	var rows []Entry
+	var entries []Entry
 	for line := range bytes.Lines(goldentest.Read(t, name)) {
-		var r storedEntry
-		if err := json.Unmarshal(line, &r); err != nil {
-			t.Fatal(err)
+		var entry storedEntry
+		if err := json.Unmarshal(line, &entry); err != nil {
+			t.Fatalf("decoding of a line of %s: %v", name, err)
 		}
-		rows = append(rows, Entry{Key: r.Key, Value: r.Value})
+		entries = append(entries, Entry{Key: entry.Key, Value: entry.Value})
 	}
-	return rows
+	return entries
 }
 
 // A log stored by an earlier build is restored to the same state, and stored again with the
 // same bytes.
 func TestLogOfEarlierBuild(t *testing.T) {
 	const golden = "log.jsonl"
-	disk, state := newDisk(), NewState(testLimits())
-	make := func(next *Step, err error) {
+	store, state := newDisk(), NewState(testLimits())
+	apply := func(next *Step, err error) {
 		t.Helper()
 		if err != nil || next == nil {
-			t.Fatal(next, err)
+			t.Fatalf("preparing a step: got a step: %v, error %v; want a step", next != nil, err)
 		}
-		disk.write(next.Batch())
+		store.write(next.Batch())
 		state.Apply(next)
 	}
 	propose := func(put Put) {
 		t.Helper()
 		_, next, err := state.Propose(testTime, state.Revision().Epoch, put)
-		make(next, err)
+		apply(next, err)
 	}
-	make(state.Promote(3), nil)
+	apply(state.Promote(3), nil)
 	propose(put("limits/all", "sim", content(1)))
 	propose(put("limits/all", "sim", content(2)))
 	propose(Put{Name: "limits/share", Scope: Scope{Labels: map[string]string{"zone": "a"}, Fraction: 0.25}, Content: []byte(content(3)), Author: "sari"})
 	propose(put("limits/gone", "sim", content(4)))
 	propose(remove("limits/gone"))
-	goldentest.Compare(t, golden, entryLines(t, disk.all()))
+	goldentest.Compare(t, golden, entryLines(t, store.all()))
 
 	restored, err := Restore(testLimits(), goldenEntries(t, golden))
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	requireSameState(t, state, restored)
 	if !reflect.DeepEqual(restored.history, state.history) || restored.compacted != state.compacted {
-		t.Errorf("history %+v behind %v; want %+v behind %v", restored.history, restored.compacted, state.history, state.compacted)
+		t.Errorf("restored history is %+v, compacted up to %v; want %+v, compacted up to %v", restored.history, restored.compacted, state.history, state.compacted)
 	}
 }
 
@@ -88,33 +88,33 @@
 	replica := NewReplica(interest)
 	subscribe(t, source, replica, interest, 0)
 	applier := NewApplier("n1", 0)
-	try := func(accepted bool, reason string) {
+	attempt := func(accepted bool, reason string) {
 		t.Helper()
 		applier.Want(testTime, source.Resources())
 		applier.Begin()
 		applier.Done(accepted, reason)
 	}
-	try(true, "")
+	attempt(true, "")
 	publish(t, source, put("limits/more", "sim", content(2)))
-	try(false, "no such key")
-	disk := newDisk()
-	disk.write(replica.Batch(nil))
-	disk.write(Batch{Put: []Entry{applier.Entry()}})
-	goldentest.Compare(t, golden, entryLines(t, disk.all()))
+	attempt(false, "no such key")
+	store := newDisk()
+	store.write(replica.Batch(nil))
+	store.write(Batch{Put: []Entry{applier.Entry()}})
+	goldentest.Compare(t, golden, entryLines(t, store.all()))
 
-	rows := goldenEntries(t, golden)
-	restored, err := RestoreReplica(interest, rows)
+	entries := goldenEntries(t, golden)
+	restored, err := RestoreReplica(interest, entries)
 	if err != nil || !reflect.DeepEqual(restored, replica) {
-		t.Errorf("%+v, %v; want %+v", restored, err, replica)
+		t.Errorf("RestoreReplica = %+v, %v; want %+v", restored, err, replica)
 	}
-	again := NewApplier("n1", 0)
-	if err := again.Restore(rows); err != nil {
+	restoredApplier := NewApplier("n1", 0)
+	if err := restoredApplier.Restore(entries); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(again.accepted, applier.accepted) || !reflect.DeepEqual(again.rejected, applier.rejected) {
-		t.Errorf("accepted %+v, rejected %+v; want %+v, %+v", again.accepted, again.rejected, applier.accepted, applier.rejected)
+	if !reflect.DeepEqual(restoredApplier.accepted, applier.accepted) || !reflect.DeepEqual(restoredApplier.rejected, applier.rejected) {
+		t.Errorf("restored applier has accepted %+v and rejected %+v, want %+v and %+v", restoredApplier.accepted, restoredApplier.rejected, applier.accepted, applier.rejected)
 	}
 	if len(applier.rejected) != 1 || len(applier.accepted) != 1 {
-		t.Errorf("%d rejected, %d accepted: the entry shows little", len(applier.rejected), len(applier.accepted))
+		t.Errorf("golden file has %d rejected and %d accepted resources, want one of each", len(applier.rejected), len(applier.accepted))
 	}
 }
--- a/internal/fleet/distribution/fuzz_test.go
+++ b/internal/fleet/distribution/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// fuzzReplicas returns a relay's and a subscriber's copy at the same revision of a log, and the
-// log, which has advanced since.
+// fuzzReplicas returns a log, and the copies of a relay and a subscriber, which are both at the same
+// earlier revision of the log.
 func fuzzReplicas(t testing.TB) (log, relay *State, replica *Replica) {
 	log, relay, replica = newLog(testLimits()), NewState(testLimits()), NewReplica(interestIn("h", "x"))
 	publish(t, log, put("a", "x", content(1)))
@@ -23,7 +23,8 @@
 	return log, relay, replica
 }
 
-// FuzzUpdate decodes bytes from a relay: no input panics, and an error leaves the copy unchanged.
+// FuzzUpdate decodes bytes from a relay: no input may cause a panic, and a rejected update must leave
+// the copy unchanged.
 func FuzzUpdate(f *testing.F) {
 	log, relay, replica := fuzzReplicas(f)
 	interest := interestIn("h", "x")
@@ -39,15 +40,15 @@
 		}
 		f.Add(data)
 		f.Add(data[:len(data)/2])
-		far := update
-		far.Resources = append([]Resource(nil), update.Resources...)
-		far.Resources[0].At = testTime.AddDate(9000, 0, 0)
-		if data, err = msgpack.Marshal(&far); err != nil {
+		farFuture := update
+		farFuture.Resources = append([]Resource(nil), update.Resources...)
+		farFuture.Resources[0].At = testTime.AddDate(9000, 0, 0)
+		if data, err = msgpack.Marshal(&farFuture); err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
 	}
-	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff}) // a map of 4 billion
+	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff}) // the header of a map with 4 billion elements
 	f.Add(listMessage("resources", 1<<30, 3))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var update Update
@@ -56,99 +57,105 @@
 		}
 		_, relay, replica := fuzzReplicas(t)
 		checkTake(t, replica, update)
-		checkFollow(t, relay, update)
+		checkPrepareUpdate(t, relay, update)
 		checkReader(t, update)
 	})
 }
 
+// checkTake requires that an update which the replica rejects leaves it unchanged, and that an accepted
+// one does not take it back, is stored and restored, and leaves no removed resource.
 func checkTake(t *testing.T, replica *Replica, update Update) {
 	before := replica.Clone()
 	_, err := replica.Take(update)
 	if err != nil {
 		if before.revision != replica.revision || !maps.EqualFunc(before.resources, replica.resources, sameRevision) {
-			t.Fatalf("the copy has changed on %v", err)
+			t.Fatalf("replica has changed although Take returned the error %v", err)
 		}
 		return
 	}
 	if before.revision.After(replica.revision) {
-		t.Fatalf("from %v to %v", before.revision, replica.revision)
+		t.Fatalf("Take moved the replica back from %v to %v", before.revision, replica.revision)
 	}
 	store := newDisk()
 	store.write(replica.Batch(nil))
 	restored, err := RestoreReplica(interestIn("h", "x"), store.all())
 	if err != nil {
-		t.Fatalf("a copy that was taken is not restored: %v", err)
+		t.Fatalf("RestoreReplica after an accepted update: %v", err)
 	}
 	if restored.revision != replica.revision || !maps.EqualFunc(restored.resources, replica.resources, sameRevision) {
-		t.Fatal("another copy is restored")
+		t.Fatal("restored replica differs from the stored one")
 	}
 	for _, r := range replica.For("h", map[string]string{"service": "x"}) {
 		if r.Removed {
-			t.Fatalf("%s is removed, and there", r.Name)
+			t.Fatalf("For returned the removed resource %s", r.Name)
 		}
 	}
 }
 
-func checkFollow(t *testing.T, relay *State, update Update) {
+// checkPrepareUpdate requires that an update which the relay's copy rejects leaves it unchanged, and
+// that an accepted one does not take it back, keeps the history within its limit, and can be restored.
+func checkPrepareUpdate(t *testing.T, relay *State, update Update) {
 	before := relay.Revision()
 	store := newDisk()
 	next, err := relay.PrepareUpdate(update)
 	if err != nil || next == nil {
 		if relay.Revision() != before {
-			t.Fatalf("at %v after %v", relay.Revision(), err)
+			t.Fatalf("relay is at %v although PrepareUpdate returned no step and the error %v, want %v", relay.Revision(), err, before)
 		}
 		return
 	}
 	store.write(next.Batch())
 	relay.Apply(next)
 	if before.After(relay.Revision()) {
-		t.Fatalf("from %v to %v", before, relay.Revision())
+		t.Fatalf("update moved the relay back from %v to %v", before, relay.Revision())
 	}
 	if len(relay.history) > testLimits().History {
-		t.Fatalf("a history of %d", len(relay.history))
+		t.Fatalf("relay has a history of %d changes, want at most %d", len(relay.history), testLimits().History)
 	}
 	if update.Snapshot {
 		restored, err := Restore(testLimits(), store.all())
 		if err != nil {
-			t.Fatalf("a copy that was taken is not restored: %v", err)
+			t.Fatalf("Restore after an accepted snapshot: %v", err)
 		}
 		requireSameState(t, relay, restored)
 	}
 	if _, err := relay.Read(Query{After: before, Bytes: 1}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Read after the earlier revision %v: %v", before, err)
 	}
 }
 
+// checkReader requires a reader to keep its limits when it receives the same update three times.
 func checkReader(t *testing.T, update Update) {
 	limits := Limits{Resources: 2, History: 2}
 	reader := NewReader(limits)
 	for range 3 {
 		complete, err := reader.Take(update)
 		if complete != nil && (err != nil || len(complete.Resources) > 2*(limits.Resources+limits.History)) {
-			t.Fatalf("%d resources, %v", len(complete.Resources), err)
+			t.Fatalf("Take returned an update of %d resources with the error %v, want no error and at most %d resources", len(complete.Resources), err, 2*(limits.Resources+limits.History))
 		}
 		reader.Query(Revision{}, nil)
 	}
 }
 
-// FuzzPut proposes an operator's change: what a log accepts can be stored, restored and sent.
+// FuzzPut proposes an operator's change: a change that the log accepts can be stored, restored and sent
+// to a relay.
 func FuzzPut(f *testing.F) {
 	f.Add("a", "service", "x", 0.5, []byte(`{"limits":{"in_flight":1}}`), "author")
 	f.Add("a/b.c", "", "", 0.0, []byte(`{}`), "")
 	f.Add("a", "k", "\xff", 1.0, []byte(`{"Seed":1}`), "\xff")
 	f.Add("", "k", "v", -1.0, []byte(`[`), "")
-	f.Fuzz(func(t *testing.T, name, key, value string, share float64, content []byte, author string) {
-		scope := Scope{Labels: map[string]string{key: value}, Fraction: share}
+	f.Fuzz(func(t *testing.T, name, key, value string, fraction float64, content []byte, author string) {
+		scope := Scope{Labels: map[string]string{key: value}, Fraction: fraction}
 		log, store := newLog(testLimits()), newDisk()
 		resource, next, err := log.Propose(testTime, 1, Put{Name: name, Scope: scope, Content: content, Author: author})
 		if err != nil {
 			if !isInvalid(err) {
-				t.Fatalf("%T: %v", err, err)
+				t.Fatalf("Propose: got the error %v of type %T, want an InvalidError", err, err)
 			}
 			return
 		}
 		if !json.Valid(resource.Content) || !bytes.Equal(resource.Content, content) {
-			t.Fatalf("%q was stored as %q", content, resource.Content)
+			t.Fatalf("Propose changed the content %q to %q", content, resource.Content)
 		}
 		store.write(next.Batch())
 		log.Apply(next)
@@ -165,12 +172,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var carried Update
-		if err := msgpack.Unmarshal(data, &carried); err != nil {
+		var decoded Update
+		if err := msgpack.Unmarshal(data, &decoded); err != nil {
 			t.Fatal(err)
 		}
 		relay := NewState(testLimits())
-		if next, err = relay.PrepareUpdate(carried); err != nil {
+		if next, err = relay.PrepareUpdate(decoded); err != nil {
 			t.Fatal(err)
 		}
 		relay.Apply(next)
@@ -178,6 +185,7 @@
 	})
 }
 
+// FuzzParseRevision requires that only the form of Revision.String is parsed.
 func FuzzParseRevision(f *testing.F) {
 	for _, text := range []string{"1.42", "0.0", "", ".", "1", "1.", "-1.2", "1.-2", "+1.2", "01.2", "1.2.3",
 		"9223372036854775807.9223372036854775808"} {
@@ -187,12 +195,12 @@
 		revision, err := ParseRevision(text)
 		if err != nil {
 			if !isInvalid(err) || revision != (Revision{}) {
-				t.Fatalf("%v, %v", revision, err)
+				t.Fatalf("ParseRevision(%q) = %v, %v; want the zero revision and an InvalidError", text, revision, err)
 			}
 			return
 		}
 		if revision.String() != text || revision.Epoch < 0 || revision.Number < 0 {
-			t.Fatalf("%q is read as %v", text, revision)
+			t.Fatalf("ParseRevision(%q) = %v, want the same text and no negative number", text, revision)
 		}
 	})
 }
--- a/internal/fleet/distribution/helpers_test.go
+++ b/internal/fleet/distribution/helpers_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// testTime is the time of all events that do not set their own.
+// testTime is the time of all events in tests that do not need a time of their own.
 var testTime = time.Date(2030, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// failer is the common part of testing.TB and rapid.T.
-type failer interface {
+// testReporter is the common part of testing.TB and rapid.T.
+type testReporter interface {
 	Helper()
 	Errorf(format string, values ...any)
 	Fatalf(format string, values ...any)
 	Fatal(values ...any)
 }
 
-// disk is an in-memory store of Batches.
+// disk is an in-memory store of entries.
 type disk struct{ entries map[string][]byte }
 
 func newDisk() *disk { return &disk{entries: make(map[string][]byte)} }
@@ -29,21 +29,21 @@
 	for _, key := range batch.Drop {
 		delete(d.entries, key)
 	}
-	for _, r := range batch.Put {
-		d.entries[r.Key] = slices.Clone(r.Value)
+	for _, entry := range batch.Put {
+		d.entries[entry.Key] = slices.Clone(entry.Value)
 	}
 }
 
 // all returns the entries, ordered by key.
 func (d *disk) all() []Entry {
-	var rows []Entry
+	var entries []Entry
 	for _, key := range slices.Sorted(maps.Keys(d.entries)) {
-		rows = append(rows, Entry{Key: key, Value: d.entries[key]})
+		entries = append(entries, Entry{Key: key, Value: d.entries[key]})
 	}
-	return rows
+	return entries
 }
 
-// testLimits are wide enough for tests that are not about limits.
+// testLimits returns limits that no test reaches unless it tests limits.
 func testLimits() Limits { return Limits{Resources: 100, History: 100} }
 
 // newLog returns a State promoted to epoch 1.
@@ -53,12 +53,12 @@
 	return state
 }
 
-// publish makes a change in the state's own epoch.
+// publish proposes and applies a change in the state's own epoch.
 func publish(t testing.TB, state *State, put Put) Resource {
 	t.Helper()
 	resource, next, err := state.Propose(testTime, state.Revision().Epoch, put)
 	if err != nil {
-		t.Fatalf("%s: %v", put.Name, err)
+		t.Fatalf("Propose for resource %s: %v", put.Name, err)
 	}
 	if next != nil {
 		state.Apply(next)
@@ -66,13 +66,15 @@
 	return resource
 }
 
-// put is a change of a resource for the instances of a service.
+// put returns a change of a resource whose scope is the instances of a service.
 func put(name, service, content string) Put {
 	return Put{Name: name, Scope: serviceScope(service), Content: []byte(content), Author: "test"}
 }
 
+// remove returns a change that removes a resource.
 func remove(name string) Put { return Put{Name: name, Remove: true} }
 
+// serviceScope returns the scope of all instances of a service.
 func serviceScope(service string) Scope {
 	return Scope{Labels: map[string]string{"service": service}}
 }
@@ -86,11 +88,11 @@
 	return interest
 }
 
-// content returns settings that differ by number.
+// content returns settings that are different for each number.
 func content(number int) string { return fmt.Sprintf(`{"limits":{"in_flight":%d}}`, number) }
 
-// readComplete reads pages until the update is complete, and calls between, if given, after each
-// page.
+// readComplete reads pages of bytes until the update is complete. It calls between, unless nil, after
+// each page but the last.
 func readComplete(t testing.TB, state *State, reader *Reader, held Revision, interest *Interest, bytes int, between func()) Update {
 	t.Helper()
 	for range 10_000 {
@@ -98,11 +100,11 @@
 		query.Bytes = bytes
 		page, err := state.Read(query)
 		if err != nil {
-			t.Fatalf("read after %v: %v", query.After, err)
+			t.Fatalf("State.Read of the changes after %v: %v", query.After, err)
 		}
 		complete, err := reader.Take(page)
 		if err != nil {
-			t.Fatalf("page of %v: %v", page.Revision, err)
+			t.Fatalf("Reader.Take of the page up to %v: %v", page.Revision, err)
 		}
 		if complete != nil {
 			return *complete
@@ -111,34 +113,34 @@
 			between()
 		}
 	}
-	t.Fatal("the pages do not end")
+	t.Fatal("the update is not complete after 10,000 pages")
 	return Update{}
 }
 
-// catchUp brings a relay's copy to the state of its source.
-func catchUp(t testing.TB, source, copied *State, bytes int) {
+// catchUp brings a relay's copy to the state of its source, in pages of bytes.
+func catchUp(t testing.TB, source, relay *State, bytes int) {
 	t.Helper()
-	update := readComplete(t, source, NewReader(testLimits()), copied.Revision(), nil, bytes, nil)
-	next, err := copied.PrepareUpdate(update)
+	update := readComplete(t, source, NewReader(testLimits()), relay.Revision(), nil, bytes, nil)
+	next, err := relay.PrepareUpdate(update)
 	if err != nil {
-		t.Fatalf("follow: %v", err)
+		t.Fatalf("PrepareUpdate of the relay's copy: %v", err)
 	}
 	if next != nil {
-		copied.Apply(next)
+		relay.Apply(next)
 	}
 }
 
-// subscribe brings a subscriber's copy to the state of its relay.
+// subscribe brings a subscriber's copy to the state of its relay, in pages of bytes.
 func subscribe(t testing.TB, source *State, replica *Replica, interest Interest, bytes int) {
 	t.Helper()
 	update := readComplete(t, source, NewReader(testLimits()), replica.Revision(), &interest, bytes, nil)
 	if _, err := replica.Take(update); err != nil {
-		t.Fatalf("take: %v", err)
+		t.Fatalf("Replica.Take: %v", err)
 	}
 }
 
-// wanted returns the names of the resources of a state that concern an interest.
-func wanted(state *State, interest Interest) []string {
+// namesInInterest returns the names of a state's resources that an interest includes.
+func namesInInterest(state *State, interest Interest) []string {
 	names := []string{}
 	for _, r := range state.Resources() {
 		if interest.Includes(r.Name, r.Scope) {
@@ -148,34 +150,35 @@
 	return names
 }
 
-// requireSameState compares everything that two states hold.
-func requireSameState(t failer, want, have *State) {
+// requireSameState requires two states to have the same revision and resources.
+func requireSameState(t testReporter, want, have *State) {
 	t.Helper()
 	if want.revision != have.revision {
-		t.Fatalf("revision %v; want %v", have.revision, want.revision)
+		t.Fatalf("state at revision %v, want %v", have.revision, want.revision)
 	}
 	if !slices.EqualFunc(want.Resources(), have.Resources(), sameResource) {
-		t.Fatalf("resources\n%v\nwant\n%v", have.Resources(), want.Resources())
+		t.Fatalf("state with the resources\n%v\nwant\n%v", have.Resources(), want.Resources())
 	}
 }
 
-// sameResource compares what the hash covers, and the revision.
+// sameResource reports whether two resources have the same revision and hash, and the same name,
+// content and labels.
 func sameResource(x, y Resource) bool {
 	return x.Name == y.Name && x.Revision == y.Revision && x.Hash == y.Hash &&
 		string(x.Content) == string(y.Content) && maps.Equal(x.Scope.Labels, y.Scope.Labels)
 }
 
 // requireReplica requires that a replica holds exactly the resources in its interest.
-func requireReplica(t failer, state *State, replica *Replica, interest Interest) {
+func requireReplica(t testReporter, state *State, replica *Replica, interest Interest) {
 	t.Helper()
-	want := wanted(state, interest)
+	want := namesInInterest(state, interest)
 	if have := replica.Names(); !slices.Equal(want, have) {
-		t.Fatalf("at %v of %v the copy holds %v; want %v", replica.Revision(), state.Revision(), have, want)
+		t.Fatalf("replica at revision %v of a log at %v: Names() = %v, want %v", replica.Revision(), state.Revision(), have, want)
 	}
 	for _, name := range want {
 		resource, _ := state.Resource(name)
 		if !sameResource(resource, replica.resources[name]) {
-			t.Fatalf("the copy holds %+v; want %+v", replica.resources[name], resource)
+			t.Fatalf("replica holds the resource %+v, want %+v", replica.resources[name], resource)
 		}
 	}
 }
--- a/internal/fleet/distribution/list_test.go
+++ b/internal/fleet/distribution/list_test.go
@@ -27,7 +27,7 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// A message of 1 MiB, the maximum of a connection, does not cost hundreds of MiB.
+// Decoding a message of 1 MiB, the maximum of a connection, must not allocate hundreds of MiB.
 func TestListsAreDecodedWithABound(t *testing.T) {
 	const limit = 8 << 20
 	cases := map[string]struct {
@@ -35,15 +35,15 @@
 		into any
 	}{
 		"resources":           {listMessage("resources", 1<<20, 1<<20), &Update{}},
-		"resources cut off":   {listMessage("resources", 1<<20, 1), &Update{}},
+		"truncated resources": {listMessage("resources", 1<<20, 1), &Update{}},
 		"changes":             {listMessage("changes", 1<<20, 1<<20), &Update{}},
-		"refusals":            {listMessage("refused", 1<<20, 1<<20), &HostState{}},
-		"a map that is short": {[]byte{0xdf, 0x0f, 0xff, 0xff, 0xff}, &Update{}},
+		"rejections":          {listMessage("refused", 1<<20, 1<<20), &HostState{}},
+		"truncated map":       {[]byte{0xdf, 0x0f, 0xff, 0xff, 0xff}, &Update{}},
 	}
 	for name, c := range cases {
 		var err error
 		if bytes := allocated(func() { err = msgpack.Unmarshal(c.data, c.into) }); bytes > limit || err == nil {
-			t.Errorf("%s: %d bytes, error %v", name, bytes, err)
+			t.Errorf("decoding of %s: %d bytes allocated, error %v; want an error and at most %d bytes", name, bytes, err, limit)
 		}
 	}
 }
@@ -54,16 +54,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		carried := Update{Resources: []Resource{version("old", 1)}}
-		if err := msgpack.Unmarshal(data, &carried); err != nil {
+		decoded := Update{Resources: []Resource{version("old", 1)}}
+		if err := msgpack.Unmarshal(data, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		if len(update.Resources) > 0 && !slices.EqualFunc(carried.Resources, update.Resources, sameResource) {
-			t.Errorf("%v; want %v", carried.Resources, update.Resources)
+		if len(update.Resources) > 0 && !slices.EqualFunc(decoded.Resources, update.Resources, sameResource) {
+			t.Errorf("decoded resources %v, want %v", decoded.Resources, update.Resources)
 		}
 	}
 	var list List[int]
 	if err := msgpack.Unmarshal([]byte{0xc0}, &list); err != nil || list != nil {
-		t.Errorf("%v, %v", list, err)
+		t.Errorf("decoding of nil = %v, %v; want a nil list", list, err)
 	}
 }
--- a/internal/fleet/distribution/log_test.go
+++ b/internal/fleet/distribution/log_test.go
@@ -13,25 +13,25 @@
 	first := publish(t, log, put("a", "x", content(1)))
 	zero, other := Revision{}, Revision{Epoch: 1, Number: 77}
 
-	for name, condition := range map[string]*Revision{"must be new": &zero, "must be at another": &other} {
+	for name, condition := range map[string]*Revision{"resource must not exist": &zero, "resource must be at another revision": &other} {
 		change := put("a", "x", content(2))
 		change.If = condition
 		_, next, err := log.Propose(testTime, 1, change)
 		conflict, ok := errors.AsType[*ConflictError](err)
 		if !ok || next != nil || conflict.Current != first.Revision || conflict.Want != *condition {
-			t.Errorf("%s: step %v, error %v", name, next != nil, err)
+			t.Errorf("Propose with the condition that the %s: got a step: %v, error %v; want a ConflictError", name, next != nil, err)
 		}
 	}
 	change := put("a", "x", content(2))
 	change.If = &first.Revision
 	second := publish(t, log, change)
 	if !second.Revision.After(first.Revision) {
-		t.Errorf("revision %v is not after %v", second.Revision, first.Revision)
+		t.Errorf("second change has revision %v, want one after %v", second.Revision, first.Revision)
 	}
 	change = put("b", "x", content(2))
 	change.If = &other
 	if _, _, err := log.Propose(testTime, 1, change); err == nil {
-		t.Error("a resource that does not exist has no revision")
+		t.Error("Propose for a missing resource with the condition of a revision succeeded, want an error")
 	}
 	change.If = &zero
 	publish(t, log, change)
@@ -45,7 +45,7 @@
 	first := publish(t, log, change)
 	again, next, err := log.Propose(testTime.Add(time.Hour), 1, change)
 	if err != nil || next != nil || again.Revision != first.Revision {
-		t.Fatalf("%v, step %v, %v", again.Revision, next != nil, err)
+		t.Fatalf("repeated Propose: got revision %v, a step: %v, error %v; want revision %v without a step", again.Revision, next != nil, err, first.Revision)
 	}
 }
 
@@ -56,10 +56,10 @@
 	publish(t, log, put("b", "x", content(1)))
 	again, next, err := log.Propose(testTime, 1, remove("a"))
 	if err != nil || next != nil || again.Revision != first.Revision || !again.Removed {
-		t.Fatalf("%+v, step %v, %v", again, next != nil, err)
+		t.Fatalf("repeated removal: got %+v, a step: %v, error %v; want the tombstone of revision %v without a step", again, next != nil, err, first.Revision)
 	}
 	if err := again.Check(); err != nil {
-		t.Error(err)
+		t.Errorf("Check of the tombstone: %v", err)
 	}
 }
 
@@ -67,12 +67,12 @@
 	log := newLog(testLimits())
 	_, next, err := log.Propose(testTime, 1, remove("a"))
 	if invalid, ok := errors.AsType[*InvalidError](err); !ok || next != nil || invalid.What != "name" {
-		t.Fatalf("step %v, error %v", next != nil, err)
+		t.Fatalf("removal of a missing resource: got a step: %v, error %v; want an InvalidError about the name", next != nil, err)
 	}
 	change := remove("a")
 	change.If = &Revision{Epoch: 1, Number: 1}
 	if _, _, err = log.Propose(testTime, 1, change); !isConflict(err) {
-		t.Fatal(err)
+		t.Fatalf("removal of a missing resource with a condition: got error %v, want a ConflictError", err)
 	}
 }
 
@@ -86,7 +86,7 @@
 	log.Apply(log.Promote(3))
 	_, next, err := log.Propose(testTime, 2, put("a", "x", content(1)))
 	if fenced, ok := errors.AsType[*FencedError](err); !ok || next != nil || fenced.Known != 3 {
-		t.Fatalf("step %v, error %v", next != nil, err)
+		t.Fatalf("Propose in epoch 2 of a log in epoch 3: got a step: %v, error %v; want a FencedError", next != nil, err)
 	}
 }
 
@@ -95,7 +95,7 @@
 	publish(t, log, put("a", "x", content(1)))
 	_, _, err := log.Propose(testTime, 1, put("b", "x", content(1)))
 	if limit, ok := errors.AsType[*LimitError](err); !ok || limit.Limit != 1 {
-		t.Fatal(err)
+		t.Fatalf("Propose of a second resource: got error %v, want a LimitError with the limit 1", err)
 	}
 	publish(t, log, put("a", "x", content(2)))
 	publish(t, log, remove("a"))
@@ -103,36 +103,36 @@
 }
 
 func TestProposeChecksChange(t *testing.T) {
-	tooMany := make(map[string]string)
+	tooManyLabels := make(map[string]string)
 	for n := range maxLabels + 1 {
-		tooMany[strings.Repeat("k", n+1)] = ""
+		tooManyLabels[strings.Repeat("k", n+1)] = ""
 	}
 	cases := map[string]struct {
 		change Put
-		what   string
+		what   string // InvalidError.What
 	}{
-		"name":             {put("../a b", "x", "{}"), "name"},
-		"no name":          {put("", "x", "{}"), "name"},
-		"array":            {put("a", "x", "[]"), "content"},
-		"null":             {put("a", "x", "null"), "content"},
-		"cut off":          {put("a", "x", `{"limits":`), "content"},
-		"empty":            {put("a", "x", ""), "content"},
-		"of an instance":   {put("a", "x", `{"listen":"x"}`), "content"},
-		"other case":       {put("a", "x", `{"Seed":"1"}`), "content"},
-		"long":             {put("a", "x", `{"x":"`+strings.Repeat("x", MaxContent)+`"}`), "content"},
-		"share":            {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Fraction: 1.5}}, "scope"},
-		"negative share":   {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Fraction: -0.5}}, "scope"},
-		"labels":           {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Labels: tooMany}}, "scope"},
-		"label not UTF-8":  {put("a", "\xff", "{}"), "scope"},
-		"key not UTF-8":    {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Labels: map[string]string{"\xff": "x"}}}, "scope"},
-		"author":           {Put{Name: "a", Content: []byte("{}"), Author: strings.Repeat("x", maxAuthorBytes+1)}, "author"},
-		"author not UTF-8": {Put{Name: "a", Content: []byte("{}"), Author: "\xff"}, "author"},
+		"name":                       {put("../a b", "x", "{}"), "name"},
+		"no name":                    {put("", "x", "{}"), "name"},
+		"array":                      {put("a", "x", "[]"), "content"},
+		"null":                       {put("a", "x", "null"), "content"},
+		"incomplete JSON":            {put("a", "x", `{"limits":`), "content"},
+		"empty content":              {put("a", "x", ""), "content"},
+		"instance key":               {put("a", "x", `{"listen":"x"}`), "content"},
+		"instance key in other case": {put("a", "x", `{"Seed":"1"}`), "content"},
+		"content too long":           {put("a", "x", `{"x":"`+strings.Repeat("x", MaxContent)+`"}`), "content"},
+		"share too large":            {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Fraction: 1.5}}, "scope"},
+		"negative share":             {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Fraction: -0.5}}, "scope"},
+		"too many labels":            {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Labels: tooManyLabels}}, "scope"},
+		"label not UTF-8":            {put("a", "\xff", "{}"), "scope"},
+		"key not UTF-8":              {Put{Name: "a", Content: []byte("{}"), Scope: Scope{Labels: map[string]string{"\xff": "x"}}}, "scope"},
+		"author too long":            {Put{Name: "a", Content: []byte("{}"), Author: strings.Repeat("x", maxAuthorBytes+1)}, "author"},
+		"author not UTF-8":           {Put{Name: "a", Content: []byte("{}"), Author: "\xff"}, "author"},
 	}
 	for name, c := range cases {
 		log := newLog(testLimits())
 		_, next, err := log.Propose(testTime, 1, c.change)
 		if invalid, ok := errors.AsType[*InvalidError](err); !ok || invalid.What != c.what || next != nil {
-			t.Errorf("%s: step %v, error %v; want one of %s", name, next != nil, err, c.what)
+			t.Errorf("Propose with an invalid change (%s): got a step: %v, error %v; want an InvalidError about the %s", name, next != nil, err, c.what)
 		}
 	}
 }
@@ -144,27 +144,28 @@
 	change.Content[0], change.Scope.Labels["service"] = 'x', "y"
 	resource, _ := log.Resource("a")
 	if err := resource.Check(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Check after the caller changed its input: %v", err)
 	}
 }
 
 func TestErrorsHaveAdvice(t *testing.T) {
-	cause := errors.New("silent")
+	cause := errors.New("connection refused")
 	for _, err := range []interface {
 		error
 		Advice() string
 	}{&InvalidError{}, &ConflictError{}, &ConflictError{Want: Revision{1, 2}, Current: Revision{1, 3}}, &LimitError{},
 		&FencedError{}, &NotWriterError{}, &AheadError{}, &UnreachableError{Last: cause}, &FullError{}} {
 		if err.Error() == "" || err.Advice() == "" {
-			t.Errorf("%T: %q, %q", err, err.Error(), err.Advice())
+			t.Errorf("%T: Error() = %q, Advice() = %q, want two texts", err, err.Error(), err.Advice())
 		}
 	}
 	if !errors.Is(&UnreachableError{Last: cause}, cause) {
-		t.Error("the cause is not wrapped")
+		t.Error("UnreachableError does not wrap the last relay's error")
 	}
 }
 
-// promotedBehind returns an old log at 1.4 and a relay that was promoted at 1.2.
+// promotedBehind returns a log at revision 1.4, and a relay that was promoted when its copy was at
+// 1.2.
 func promotedBehind(t *testing.T) (old, promoted *State) {
 	old, promoted = newLog(testLimits()), NewState(testLimits())
 	publish(t, old, put("a", "x", content(1)))
@@ -185,7 +186,7 @@
 
 	page, err := promoted.Read(Query{After: replica.Revision(), Interest: &interest})
 	if err != nil || !page.Snapshot {
-		t.Fatalf("%+v, %v", page, err)
+		t.Fatalf("Read for a reader of the earlier epoch: got %+v, error %v; want a snapshot", page, err)
 	}
 	subscribe(t, promoted, replica, interest, 0)
 	requireReplica(t, promoted, replica, interest)
@@ -198,15 +199,15 @@
 		t.Fatal(err)
 	}
 	if _, err := replica.Take(late); !isFenced(err) {
-		t.Errorf("subscriber: %v", err)
+		t.Errorf("subscriber takes an update of the earlier epoch: got error %v, want a FencedError", err)
 	}
 	if _, err := relay.PrepareUpdate(late); !isFenced(err) {
-		t.Errorf("relay: %v", err)
+		t.Errorf("relay prepares an update of the earlier epoch: got error %v, want a FencedError", err)
 	}
 	requireReplica(t, promoted, replica, interest)
 	requireSameState(t, promoted, relay)
 	if _, err := old.Read(Query{After: relay.Revision()}); !isAhead(err) {
-		t.Errorf("old writer: %v", err)
+		t.Errorf("earlier writer reads for a reader of the later epoch: got error %v, want an AheadError", err)
 	}
 }
 
@@ -230,7 +231,7 @@
 	return ok
 }
 
-func TestFollowRejectsInvalidUpdates(t *testing.T) {
+func TestPrepareUpdateRejectsInvalidUpdates(t *testing.T) {
 	log, relay := newLog(testLimits()), NewState(testLimits())
 	publish(t, log, put("a", "x", content(1)))
 	catchUp(t, log, relay, 0)
@@ -238,39 +239,39 @@
 	publish(t, log, put("b", "x", content(2)))
 	delta, err := log.Read(Query{After: relay.Revision()})
 	if err != nil || delta.Snapshot {
-		t.Fatalf("%+v, %v", delta, err)
+		t.Fatalf("Read after the relay's revision: got %+v, error %v; want a delta", delta, err)
 	}
 	snapshot, _ := log.Read(Query{})
 	tombstone := Resource{Name: "c", Removed: true, Revision: log.Revision()}
 	tombstone.Hash = hashOf(&tombstone)
 
 	cases := map[string]struct {
-		update Update
-		spoil  func(*Update)
+		update  Update
+		corrupt func(*Update)
 	}{
-		"with a gap":             {delta, func(u *Update) { u.After.Number-- }},
-		"incomplete":             {delta, func(u *Update) { u.More = true }},
-		"back":                   {delta, func(u *Update) { u.Revision = Revision{1, 0} }},
-		"epoch without snapshot": {delta, func(u *Update) { u.Revision.Epoch = 2 }},
-		"twice":                  {delta, func(u *Update) { u.Resources = append(u.Resources, u.Resources[0]) }},
-		"later resource":         {delta, func(u *Update) { u.Resources[0].Revision.Number = 99 }},
-		"earlier resource":       {delta, func(u *Update) { u.Resources[0].Revision.Number = 1 }},
-		"other content":          {delta, func(u *Update) { u.Resources[0].Content = []byte("{}") }},
-		"later change":           {delta, func(u *Update) { u.Changes[0].Revision.Number = 99 }},
-		"earlier change":         {delta, func(u *Update) { u.Changes[0].Revision.Number = 1 }},
-		"changes out of order":   {delta, func(u *Update) { slices.Reverse(u.Changes) }},
-		"change of no name":      {delta, func(u *Update) { u.Changes[0].Name = "" }},
-		"change of a bad scope":  {delta, func(u *Update) { u.Changes[0].Scope.Fraction = 7 }},
-		"change of a bad before": {delta, func(u *Update) { u.Changes[0].Before = &Scope{Fraction: 7} }},
-		"far time":               {delta, func(u *Update) { u.Resources[0].At = testTime.AddDate(9000, 0, 0) }},
-		"removed in snapshot":    {snapshot, func(u *Update) { u.Resources = append(u.Resources, tombstone) }},
+		"gap before the update":             {delta, func(u *Update) { u.After.Number-- }},
+		"incomplete":                        {delta, func(u *Update) { u.More = true }},
+		"earlier revision":                  {delta, func(u *Update) { u.Revision = Revision{1, 0} }},
+		"epoch without snapshot":            {delta, func(u *Update) { u.Revision.Epoch = 2 }},
+		"duplicate resource":                {delta, func(u *Update) { u.Resources = append(u.Resources, u.Resources[0]) }},
+		"later resource":                    {delta, func(u *Update) { u.Resources[0].Revision.Number = 99 }},
+		"earlier resource":                  {delta, func(u *Update) { u.Resources[0].Revision.Number = 1 }},
+		"content does not match hash":       {delta, func(u *Update) { u.Resources[0].Content = []byte("{}") }},
+		"later change":                      {delta, func(u *Update) { u.Changes[0].Revision.Number = 99 }},
+		"earlier change":                    {delta, func(u *Update) { u.Changes[0].Revision.Number = 1 }},
+		"changes out of order":              {delta, func(u *Update) { slices.Reverse(u.Changes) }},
+		"change without a name":             {delta, func(u *Update) { u.Changes[0].Name = "" }},
+		"change with invalid scope":         {delta, func(u *Update) { u.Changes[0].Scope.Fraction = 7 }},
+		"change with invalid earlier scope": {delta, func(u *Update) { u.Changes[0].Before = &Scope{Fraction: 7} }},
+		"year too large":                    {delta, func(u *Update) { u.Resources[0].At = testTime.AddDate(9000, 0, 0) }},
+		"removed in snapshot":               {snapshot, func(u *Update) { u.Resources = append(u.Resources, tombstone) }},
 	}
 	for name, c := range cases {
 		update := c.update
 		update.Resources, update.Changes = slices.Clone(update.Resources), slices.Clone(update.Changes)
-		c.spoil(&update)
+		c.corrupt(&update)
 		if next, err := relay.PrepareUpdate(update); !isInvalid(err) || next != nil {
-			t.Errorf("%s: step %v, error %v", name, next != nil, err)
+			t.Errorf("PrepareUpdate of an invalid update (%s): got a step: %v, error %v; want an InvalidError", name, next != nil, err)
 		}
 	}
 	next, err := relay.PrepareUpdate(delta)
@@ -280,6 +281,6 @@
 	relay.Apply(next)
 	requireSameState(t, log, relay)
 	if next, err := relay.PrepareUpdate(Update{After: relay.Revision(), Revision: relay.Revision()}); next != nil || err != nil {
-		t.Errorf("an empty update: %v, %v", next, err)
+		t.Errorf("PrepareUpdate of an empty update = %v, %v; want no step", next, err)
 	}
 }
--- a/internal/fleet/distribution/model_check_test.go
+++ b/internal/fleet/distribution/model_check_test.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// check holds after each step.
+// check requires what must be true after each step.
 func (m *model) check() {
 	for _, s := range m.servers {
-		m.checkRevision(s.name, &s.floor, s.state.Revision())
+		m.checkRevision(s.name, &s.reached, s.state.Revision())
 		for _, r := range s.state.Resources() {
-			m.checkMade(s.name, r)
+			m.checkPublished(s.name, r)
 		}
 		if len(s.state.history) > m.limits.History {
-			m.t.Fatalf("%s has a history of %d", s.name, len(s.state.history))
+			m.t.Fatalf("%s has a history of %d changes, want at most %d", s.name, len(s.state.history), m.limits.History)
 		}
-		requireSum(m.t, s.registry.Status(Revision{}, 3))
+		requireEachHostCounted(m.t, s.registry.Status(Revision{}, 3))
 	}
 	for _, s := range m.subscribers {
-		m.checkRevision(s.interest.Host, &s.floor, s.replica.Revision())
+		m.checkRevision(s.interest.Host, &s.reached, s.replica.Revision())
 		if epoch := s.replica.Revision().Epoch; epoch > 0 && epoch < s.epoch {
-			m.t.Fatalf("%s goes back from epoch %d to %d", s.interest.Host, s.epoch, epoch)
+			m.t.Fatalf("subscriber %s went back from epoch %d to %d", s.interest.Host, s.epoch, epoch)
 		}
 		s.epoch = max(s.epoch, s.replica.Revision().Epoch)
 		for _, r := range s.replica.resources {
-			m.checkMade(s.interest.Host, r)
+			m.checkPublished(s.interest.Host, r)
 		}
 		for _, instance := range s.instances {
 			m.checkInstance(instance)
@@ -30,51 +30,54 @@
 	}
 }
 
-func (m *model) checkRevision(name string, floor *Revision, now Revision) {
-	if floor.After(now) {
-		m.t.Fatalf("%s goes back from %v to %v", name, *floor, now)
+// checkRevision requires that a copy did not go back to a revision before reached, and updates reached.
+func (m *model) checkRevision(name string, reached *Revision, now Revision) {
+	if reached.After(now) {
+		m.t.Fatalf("%s went back from revision %v to %v", name, *reached, now)
 	}
-	*floor = now
+	*reached = now
 }
 
-func (m *model) checkMade(name string, r Resource) {
-	if made, ok := m.made[r.Revision]; !ok || made.Hash != r.Hash || made.Name != r.Name {
-		m.t.Fatalf("%s holds %+v, which no log made; of that revision is %+v", name, r, made)
+// checkPublished requires that a log published a resource that is found in a copy.
+func (m *model) checkPublished(name string, r Resource) {
+	if published, ok := m.published[r.Revision]; !ok || published.Hash != r.Hash || published.Name != r.Name {
+		m.t.Fatalf("%s has the resource %+v, but the change published as that revision is %+v", name, r, published)
 	}
 }
 
-// checkInstance requires that the accepted settings are those the instance runs with, and that
-// it would not reject them.
+// checkInstance requires that the accepted settings are those that the instance runs with, and that it
+// does not reject them.
 func (m *model) checkInstance(instance *modelInstance) {
 	accepted := instance.applier.Accepted()
 	if !slices.EqualFunc(accepted, instance.inForce, sameResource) {
-		m.t.Fatalf("instance %d: accepted %v; it runs with %v", instance.number, versions(accepted), versions(instance.inForce))
+		m.t.Fatalf("instance %d has accepted %v according to its applier, but runs with %v", instance.number, versions(accepted), versions(instance.inForce))
 	}
 	for _, r := range accepted {
-		m.checkMade("an instance", r)
+		m.checkPublished("the applier of an instance", r)
 		if instance.rejects(r) {
-			m.t.Fatalf("instance %d: %v is accepted", instance.number, r)
+			m.t.Fatalf("instance %d has accepted %v according to its applier, but rejects it", instance.number, r)
 		}
 	}
 }
 
-// checkInForce requires that settings which the relay counts as in force at a host are.
+// checkInForce requires that the settings which a relay counts as in force at a subscriber's host are
+// those that the host's instances run with.
 func (m *model) checkInForce(s *modelSubscriber) {
 	if s.server == nil {
 		return
 	}
 	registry := s.server.registry
-	e := registry.hosts[s.interest.Host]
-	if progressOf(registry.position, e.report.Present, registry.reportedState(e)) != inForce {
+	record := registry.hosts[s.interest.Host]
+	if progressOf(registry.position, record.report.Present, registry.reportedState(record)) != inForce {
 		return
 	}
 	if registry.position.IsZero() || s.replica.Revision().After(registry.position) {
-		return // the relay knows of no change yet, or fewer than the subscriber
+		return // the relay has no change yet, or is behind the subscriber
 	}
 	for _, instance := range s.instances {
 		want := matching(s.server.state, s.interest.Host, instance.labels)
 		if have := instance.inForce; !slices.EqualFunc(want, have, sameResource) {
-			m.t.Fatalf("%s is said to be in force at %v with %v; it runs with %v",
+			m.t.Fatalf("relay counts subscriber %s as having revision %v in force, with the settings %v, but an instance runs with %v",
 				s.interest.Host, registry.position, versions(want), versions(have))
 		}
 	}
@@ -87,7 +90,8 @@
 	return matching
 }
 
-// checkConverged holds once all is healed.
+// checkConverged requires that all copies are at the writer's state, and that the writer's registry
+// counts the hosts accordingly.
 func (m *model) checkConverged() {
 	state := m.servers[m.writer].state
 	want := counts{hosts: len(m.subscribers)}
@@ -97,7 +101,7 @@
 		for _, instance := range s.instances {
 			wanted := matching(state, s.interest.Host, instance.labels)
 			if have := s.replica.For(s.interest.Host, instance.labels); !slices.EqualFunc(have, wanted, sameResource) {
-				m.t.Fatalf("%s has %v; want %v", s.interest.Host, versions(have), versions(wanted))
+				m.t.Fatalf("replica of subscriber %s has the resources %v for an instance, want %v", s.interest.Host, versions(have), versions(wanted))
 			}
 			rejected = m.checkSettled(instance, wanted) || rejected
 		}
@@ -126,20 +130,20 @@
 		names[r.Name] = true
 		revision, isRejected := rejections[r.Name]
 		if isRejected != instance.rejects(r) || isRejected && revision != r.Revision {
-			m.t.Fatalf("instance %d: %v of %v is rejected: %v", instance.number, r.Name, r.Revision, rejections)
+			m.t.Fatalf("instance %d: resource %v of revision %v must be among the rejections exactly if the instance rejects it; rejections are %v", instance.number, r.Name, r.Revision, rejections)
 		}
 		if !isRejected && !sameResource(accepted[r.Name], r) {
-			m.t.Fatalf("instance %d: has %v; want %v", instance.number, accepted[r.Name], r)
+			m.t.Fatalf("instance %d has accepted %v, want %v", instance.number, accepted[r.Name], r)
 		}
 	}
 	for name := range accepted {
 		if !names[name] {
-			m.t.Fatalf("instance %d: still has %s", instance.number, name)
+			m.t.Fatalf("instance %d still has the resource %s, which is not wanted", instance.number, name)
 		}
 	}
 	for name := range rejections {
 		if !names[name] {
-			m.t.Fatalf("instance %d: a rejection of %s, which is not wanted", instance.number, name)
+			m.t.Fatalf("instance %d has a rejection of the resource %s, which is not wanted", instance.number, name)
 		}
 	}
 	return len(rejections) > 0
--- a/internal/fleet/distribution/model_server_test.go
+++ b/internal/fleet/distribution/model_server_test.go
@@ -13,22 +13,22 @@
 	name     string
 	state    *State
 	disk     *disk
-	previous *disk // without the last batch
-	epoch    int64 // that it writes in; 0 if it was never the writer
+	previous *disk // the disk before the last batch
+	epoch    int64 // the epoch that the server writes in; 0 if it was never the writer
 	registry *Registry
-	floor    Revision
+	reached  Revision // the state must not go back before this revision
 }
 
-// make writes and applies a server's step, or restarts the server before or after the write.
-func (m *model) make(s *modelServer, next *Step) {
-	end := ""
-	if m.oneIn(10, "ends") {
-		end = rapid.SampledFrom([]string{"before the write", "after the write"}).Draw(m.t, "end")
+// applyOrRestart writes and applies a server's step, or restarts the server before or after the write.
+func (m *model) applyOrRestart(s *modelServer, next *Step) {
+	restart := ""
+	if m.oneIn(10, "restart") {
+		restart = rapid.SampledFrom([]string{"before the write", "after the write"}).Draw(m.t, "when")
 	}
-	if end != "before the write" {
+	if restart != "before the write" {
 		s.write(next)
 	}
-	if end != "" {
+	if restart != "" {
 		m.restart(s)
 		return
 	}
@@ -36,6 +36,7 @@
 	s.registry.Advance(s.state)
 }
 
+// write writes a step's batch to the server's disk.
 func (s *modelServer) write(next *Step) {
 	s.previous = &disk{entries: maps.Clone(s.disk.entries)}
 	s.disk.write(next.Batch())
@@ -45,9 +46,9 @@
 func (m *model) restart(s *modelServer) {
 	state, err := Restore(m.limits, s.disk.all())
 	if err != nil {
-		m.t.Fatalf("%s: %v", s.name, err)
+		m.t.Fatalf("Restore of %s: %v", s.name, err)
 	}
-	s.state, s.link, s.floor = state, newLink(m.limits), state.Revision()
+	s.state, s.link, s.reached = state, newLink(m.limits), state.Revision()
 	s.registry = NewRegistry(s.name, 100)
 	s.registry.Advance(state)
 	for _, subscriber := range m.subscribers {
@@ -60,7 +61,7 @@
 	}
 }
 
-// promote makes a server the writer.
+// promote makes a server the writer of the model's epoch.
 func (m *model) promote(s *modelServer) {
 	s.epoch = m.epoch
 	next := s.state.Promote(m.epoch)
--- a/internal/fleet/distribution/model_subscriber_test.go
+++ b/internal/fleet/distribution/model_subscriber_test.go
@@ -13,25 +13,26 @@
 	link
 	interest  Interest
 	replica   *Replica
-	stored    *Replica // as last written to disk
+	stored    *Replica // the replica as it was last written to disk
 	disk      *disk
-	previous  *disk
-	server    *modelServer // where it is connected, nil for none
+	previous  *disk        // the disk before the last batch
+	server    *modelServer // the server that the subscriber is connected to; nil if there is none
 	session   int64
-	applied   Revision
+	applied   Revision // HostState.Applied of the last report
 	instances []*modelInstance
-	floor     Revision
-	epoch     int64 // the latest that it has seen
+	reached   Revision // the replica must not go back before this revision
+	epoch     int64    // the highest epoch that the replica has had
 }
 
-// modelInstance is a sidecar. It rejects some contents.
+// modelInstance is a sidecar, which rejects some contents.
 type modelInstance struct {
 	number  int
 	labels  map[string]string
 	applier *Applier
-	inForce []Resource // the settings that it runs with
+	inForce []Resource // the settings that the sidecar runs with
 }
 
+// currentInterest returns the interest in the settings of the subscriber's current instances.
 func (s *modelSubscriber) currentInterest(host string) Interest {
 	interest := Interest{Host: host}
 	for _, instance := range s.instances {
@@ -46,7 +47,7 @@
 	return int(r.Content[len(r.Content)-3]-'0')%4 == i.number%4
 }
 
-// connect moves a subscriber to a server.
+// connect moves a subscriber to a server, unless it is connected to that server already.
 func (m *model) connect(s *modelSubscriber, server *modelServer) {
 	if s.server == server {
 		return
@@ -54,7 +55,7 @@
 	m.disconnect(s)
 	m.session++
 	if err := server.registry.Join(m.now, s.interest, m.session, s.status()); err != nil {
-		m.t.Fatal(err)
+		m.t.Fatalf("Join of subscriber %s: %v", s.interest.Host, err)
 	}
 	s.server, s.session = server, m.session
 	if m.flip("reset") {
@@ -62,6 +63,7 @@
 	}
 }
 
+// disconnect ends a subscriber's connection, if it has one.
 func (m *model) disconnect(s *modelSubscriber) {
 	if s.server != nil {
 		s.server.registry.Leave(m.now, s.interest.Host, s.session)
@@ -83,10 +85,11 @@
 	return status
 }
 
-// subscribe lets a subscriber acknowledge its state and poll its server.
+// subscribe makes a subscriber acknowledge its state, poll its server, and apply the update once it is
+// complete. With faults messages and the write of the replica may be lost.
 func (m *model) subscribe(s *modelSubscriber, faults bool) {
 	if s.server == nil {
-		m.connect(s, m.someServer())
+		m.connect(s, m.drawServer())
 	}
 	if !faults || !m.oneIn(5, "lost acknowledgement") {
 		s.server.registry.Acknowledge(s.interest.Host, s.session, s.status())
@@ -105,29 +108,31 @@
 	case isFenced(err) || isInvalid(err):
 		return
 	case err != nil:
-		m.t.Fatal(err)
+		m.t.Fatalf("Replica.Take at subscriber %s: %v", s.interest.Host, err)
 	case changed:
 		s.want(m.now)
 	}
-	if !faults || m.flip("keep") {
+	if !faults || m.flip("write") {
 		s.write()
 	}
 }
 
+// want sets the wanted settings of all instances to those of the replica.
 func (s *modelSubscriber) want(now time.Time) {
 	for _, instance := range s.instances {
 		instance.applier.Want(now, s.replica.For(s.interest.Host, instance.labels))
 	}
 }
 
+// write writes the replica to the subscriber's disk.
 func (s *modelSubscriber) write() {
 	s.previous = &disk{entries: maps.Clone(s.disk.entries)}
 	s.disk.write(s.replica.Batch(s.stored))
 	s.stored = s.replica.Clone()
 }
 
-// restartSubscriber restores an agent from its entries, possibly without the last batch. The
-// settings that its instances accepted are written on acceptance and never lost.
+// restartSubscriber restores an agent from its entries, possibly without the last batch. The settings
+// that its instances accepted are not lost, because they are written on acceptance.
 func (m *model) restartSubscriber(s *modelSubscriber) {
 	m.disconnect(s)
 	if m.flip("lose batch") {
@@ -135,9 +140,9 @@
 	}
 	replica, err := RestoreReplica(s.interest, s.disk.all())
 	if err != nil {
-		m.t.Fatal(err)
+		m.t.Fatalf("RestoreReplica of subscriber %s: %v", s.interest.Host, err)
 	}
-	s.replica, s.stored, s.link, s.floor = replica, replica.Clone(), newLink(m.limits), replica.Revision()
+	s.replica, s.stored, s.link, s.reached = replica, replica.Clone(), newLink(m.limits), replica.Revision()
 	s.applied, s.epoch = Revision{}, replica.epoch
 	for _, instance := range s.instances {
 		instance.applier = restoreApplier(m.t, instance.applier)
@@ -154,14 +159,14 @@
 	s.interest = s.currentInterest(s.interest.Host)
 	replica, err := RestoreReplica(s.interest, s.disk.all())
 	if err != nil {
-		m.t.Fatal(err)
+		m.t.Fatalf("RestoreReplica of subscriber %s: %v", s.interest.Host, err)
 	}
-	s.replica, s.stored, s.link, s.floor = replica, replica.Clone(), newLink(m.limits), replica.Revision()
+	s.replica, s.stored, s.link, s.reached = replica, replica.Clone(), newLink(m.limits), replica.Revision()
 	s.applied = Revision{}
 	s.want(m.now)
 }
 
-// retryRejected discards an instance's rejections.
+// retryRejected discards the rejections of a subscriber's first instance, so that they are retried.
 func (m *model) retryRejected(s *modelSubscriber) {
 	s.instances[0].applier.Forgive(m.now)
 	s.applied = Revision{}
@@ -170,7 +175,8 @@
 	}
 }
 
-// apply lets an instance answer one attempt, during which the wanted settings may change.
+// apply makes one attempt at an instance, if one is due. With faults the wanted settings may change
+// during the attempt, or it may end without an answer.
 func (m *model) apply(s *modelSubscriber, instance *modelInstance, faults bool) {
 	if _, due := instance.applier.Due(); !due {
 		return
@@ -180,11 +186,11 @@
 		instance.applier.Abandon()
 		return
 	}
-	if faults && m.flip("meanwhile") {
+	if faults && m.flip("update during the attempt") {
 		m.subscribe(s, true)
 	}
 	if slices.ContainsFunc(offered, instance.rejects) {
-		instance.applier.Done(false, "refused")
+		instance.applier.Done(false, "rejected")
 		return
 	}
 	instance.applier.Done(true, "")
--- a/internal/fleet/distribution/model_test.go
+++ b/internal/fleet/distribution/model_test.go
@@ -11,46 +11,48 @@
 	"pgregory.net/rapid"
 )
 
-// modelHistories are the history limits. The short one causes constant compaction.
+// modelHistories are the history limits to choose from. The short one causes compaction all the time.
 var modelHistories = []int{4, 15}
 
 // Sizes of the model.
 const (
 	modelServers     = 4 // the writer and three relays
 	modelSubscribers = 4
-	modelEpochs      = 4
-	modelInbox       = 4 // pages that may arrive late
+	modelEpochs      = 4 // promotions, with the first writer's
+	modelInbox       = 4 // number of earlier pages that may arrive late
 )
 
 var (
-	modelNames    = []string{"a", "b", "c", "d", "e", "f", "g"} // one more than the limit of resources
-	modelServices = []string{"x", "y", "z"}
-	modelShares   = []float64{0, 0.3, 0.7}
+	modelNames     = []string{"a", "b", "c", "d", "e", "f", "g"} // one more than the limit of resources
+	modelServices  = []string{"x", "y", "z"}
+	modelFractions = []float64{0, 0.3, 0.7}
 )
 
-// model is a small fleet together with the facts that its parts are checked against.
+// model is a small fleet, together with the history that its copies are checked against.
 type model struct {
 	t           *rapid.T
 	limits      Limits
 	now         time.Time
 	servers     []*modelServer
-	writer      int
-	epoch       int64
-	session     int64
+	writer      int   // index in servers
+	epoch       int64 // of the writer
+	session     int64 // the latest of all subscribers
 	subscribers []*modelSubscriber
-	made        map[Revision]Resource // every change of every log
+	published   map[Revision]Resource // every change of every log
 }
 
-// link carries pages to a copy: some are lost, repeated or late.
+// link delivers pages to a copy: some are lost, repeated or late.
 type link struct {
 	reader *Reader
-	inbox  []Update
+	inbox  []Update // the latest pages, which may be delivered again
 }
 
 func newLink(limits Limits) link { return link{reader: NewReader(limits)} }
 
+// newModel returns a fleet whose first server is the writer of epoch 1, and where no subscriber is
+// connected.
 func newModel(t *rapid.T) *model {
-	m := &model{t: t, now: testTime, made: make(map[Revision]Resource), epoch: 1}
+	m := &model{t: t, now: testTime, published: make(map[Revision]Resource), epoch: 1}
 	m.limits = Limits{Resources: len(modelNames) - 1, History: rapid.SampledFrom(modelHistories).Draw(t, "history")}
 	for n := range modelServers {
 		m.servers = append(m.servers, &modelServer{link: newLink(m.limits), name: fmt.Sprintf("s%d", n),
@@ -73,32 +75,35 @@
 	return m
 }
 
-func (m *model) someServer() *modelServer {
+// drawServer returns one of the servers.
+func (m *model) drawServer() *modelServer {
 	return m.servers[rapid.IntRange(0, len(m.servers)-1).Draw(m.t, "server")]
 }
 
-func (m *model) someSubscriber() *modelSubscriber {
+// drawSubscriber returns one of the subscribers.
+func (m *model) drawSubscriber() *modelSubscriber {
 	return m.subscribers[rapid.IntRange(0, len(m.subscribers)-1).Draw(m.t, "subscriber")]
 }
 
 // oneIn returns true once in n times on average.
 func (m *model) oneIn(n int, label string) bool { return rapid.IntRange(1, n).Draw(m.t, label) == n }
 
+// flip returns true or false at random.
 func (m *model) flip(label string) bool { return rapid.Bool().Draw(m.t, label) }
 
-// propose changes the writer's log, or that of a writer of an earlier epoch.
+// propose proposes a change at the writer, or at a writer of an earlier epoch.
 func (m *model) propose() {
 	s := m.servers[m.writer]
-	if old := m.someServer(); old.epoch > 0 && m.oneIn(4, "old writer") {
+	if old := m.drawServer(); old.epoch > 0 && m.oneIn(4, "earlier writer") {
 		s = old
 	}
 	change := Put{Name: rapid.SampledFrom(modelNames).Draw(m.t, "name"), Author: "test"}
 	if change.Remove = m.oneIn(5, "remove"); !change.Remove {
 		change.Content = []byte(content(rapid.IntRange(0, 9).Draw(m.t, "content")))
-		if m.oneIn(3, "of a share") {
-			change.Scope.Fraction = rapid.SampledFrom(modelShares).Draw(m.t, "share")
+		if m.oneIn(3, "scope with a fraction") {
+			change.Scope.Fraction = rapid.SampledFrom(modelFractions).Draw(m.t, "share")
 		}
-		if !m.oneIn(4, "of all") {
+		if !m.oneIn(4, "scope of all services") {
 			change.Scope.Labels = map[string]string{"service": rapid.SampledFrom(modelServices).Draw(m.t, "service")}
 		}
 	}
@@ -110,28 +115,28 @@
 	resource, next, err := s.state.Propose(m.now, s.epoch, change)
 	switch {
 	case fenced != isFenced(err):
-		m.t.Fatalf("%s writes in epoch %d at %v: %v", s.name, s.epoch, s.state.Revision(), err)
+		m.t.Fatalf("Propose at %s in epoch %d of a log at %v: got error %v, want a FencedError only after a later epoch", s.name, s.epoch, s.state.Revision(), err)
 	case fenced, isLimit(err) && len(s.state.resources) == m.limits.Resources && !exists:
 		return
 	case isInvalid(err) && change.Remove && !exists:
 		return
 	case err != nil:
-		m.t.Fatal(err)
+		m.t.Fatalf("Propose at %s: %v", s.name, err)
 	case next == nil:
 		return
 	}
 	before := s.state.Revision()
-	m.make(s, next)
+	m.applyOrRestart(s, next)
 	if s.state.Revision() == before {
-		return // it restarted before the write: the revision may be used again
+		return // the server restarted before the write, so the revision may be used again
 	}
-	if other, made := m.made[resource.Revision]; made {
-		m.t.Fatalf("revision %v has two contents: %v and %v", resource.Revision, other, resource)
+	if other, exists := m.published[resource.Revision]; exists {
+		m.t.Fatalf("revision %v was used for two changes: %v and %v", resource.Revision, other, resource)
 	}
-	m.made[resource.Revision] = resource
+	m.published[resource.Revision] = resource
 }
 
-// query reads a page for a copy from a server.
+// query reads a page for a copy from a server, and returns false if the server is behind the copy.
 func (m *model) query(l *link, s *modelServer, held Revision, interest *Interest) (Update, bool) {
 	query := l.reader.Query(held, interest)
 	query.Bytes = rapid.SampledFrom([]int{1, 700, 0}).Draw(m.t, "bytes")
@@ -143,25 +148,26 @@
 		return Update{}, false
 	}
 	if err != nil {
-		m.t.Fatal(err)
+		m.t.Fatalf("State.Read at %s: %v", s.name, err)
 	}
 	return page, true
 }
 
-// carried returns a page after encoding and decoding.
-func (m *model) carried(page Update) Update {
+// encodeAndDecode returns a page as it is after its transfer.
+func (m *model) encodeAndDecode(page Update) Update {
 	data, err := msgpack.Marshal(&page)
 	if err != nil {
-		m.t.Fatal(err)
+		m.t.Fatalf("encoding of a page: %v", err)
 	}
-	var copied Update
-	if err := msgpack.Unmarshal(data, &copied); err != nil {
-		m.t.Fatal(err)
+	var decoded Update
+	if err := msgpack.Unmarshal(data, &decoded); err != nil {
+		m.t.Fatalf("decoding of a page: %v", err)
 	}
-	return copied
+	return decoded
 }
 
-// deliver passes the page, an earlier one or none to a copy's reader.
+// deliver passes a page to a copy's reader, and returns the update once it is complete. With faults the
+// page may be lost, or an earlier one delivered instead.
 func (m *model) deliver(l *link, page Update, faults bool) *Update {
 	if faults {
 		l.inbox = append(l.inbox, page)
@@ -173,14 +179,15 @@
 			page = l.inbox[rapid.IntRange(0, len(l.inbox)-1).Draw(m.t, "which")]
 		}
 	}
-	complete, err := l.reader.Take(m.carried(page))
+	complete, err := l.reader.Take(m.encodeAndDecode(page))
 	if err != nil && !isLimit(err) {
-		m.t.Fatal(err)
+		m.t.Fatalf("Reader.Take: got error %v, want only a LimitError", err)
 	}
 	return complete
 }
 
-// follow lets a relay, or a writer of an earlier epoch, copy from another server.
+// follow makes a relay, or a writer of an earlier epoch, request a page from another server and apply
+// the update once it is complete.
 func (m *model) follow(s, source *modelServer, faults bool) {
 	if s == source || s == m.servers[m.writer] {
 		return
@@ -196,11 +203,11 @@
 	next, err := s.state.PrepareUpdate(*complete)
 	switch {
 	case isFenced(err) || isInvalid(err):
-		// The update began with a late page. It is requested again.
+		// The update began with a late page, and is requested again.
 	case err != nil:
-		m.t.Fatal(err)
+		m.t.Fatalf("PrepareUpdate at %s: %v", s.name, err)
 	case next != nil && faults:
-		m.make(s, next)
+		m.applyOrRestart(s, next)
 	case next != nil:
 		s.write(next)
 		s.state.Apply(next)
@@ -208,7 +215,7 @@
 	}
 }
 
-// loseBatch restarts a relay from a disk that lost its last batch.
+// loseBatch restarts a relay that was never the writer from a disk that lost its last batch.
 func (m *model) loseBatch(s *modelServer) {
 	if s.epoch > 0 {
 		return
@@ -217,7 +224,8 @@
 	m.restart(s)
 }
 
-// report sends a relay's reports on its subscribers to the writer.
+// report sends a relay's reports on its subscribers to the writer, or loses them together with the
+// connection.
 func (m *model) report(s *modelServer) {
 	writer := m.servers[m.writer]
 	if s == writer {
@@ -236,35 +244,36 @@
 	writer.registry.MergeReports(s.name, position, reports)
 }
 
-// action is a kind of event, drawn with a probability proportional to its weight.
+// action is a kind of event, which is drawn with a probability proportional to its weight.
 type action struct {
 	name   string
 	weight int
 	do     func()
 }
 
+// actions returns all kinds of events.
 func (m *model) actions() []action {
 	return []action{
 		{"propose", 8, m.propose},
-		{"subscribe", 8, func() { m.subscribe(m.someSubscriber(), true) }},
-		{"follow the writer", 6, func() { m.follow(m.someServer(), m.servers[m.writer], true) }},
-		{"follow to the end", 3, func() { m.followToEnd(m.someServer()) }},
-		{"subscribe to the end", 3, func() { m.subscribeToEnd(m.someSubscriber()) }},
+		{"subscribe", 8, func() { m.subscribe(m.drawSubscriber(), true) }},
+		{"follow the writer", 6, func() { m.follow(m.drawServer(), m.servers[m.writer], true) }},
+		{"follow to the end", 3, func() { m.followToEnd(m.drawServer()) }},
+		{"subscribe to the end", 3, func() { m.subscribeToEnd(m.drawSubscriber()) }},
 		{"apply", 6, m.applySome},
-		{"connect", 2, func() { m.connect(m.someSubscriber(), m.someServer()) }},
-		{"report", 2, func() { m.report(m.someServer()) }},
-		{"follow any", 1, func() { m.follow(m.someServer(), m.someServer(), true) }},
-		{"restart", 1, func() { m.restart(m.someServer()) }},
-		{"lose a batch", 1, func() { m.loseBatch(m.someServer()) }},
-		{"restart a subscriber", 1, func() { m.restartSubscriber(m.someSubscriber()) }},
-		{"replace an instance", 1, func() { m.replaceInstance(m.someSubscriber()) }},
-		{"disconnect", 1, func() { m.disconnect(m.someSubscriber()) }},
+		{"connect", 2, func() { m.connect(m.drawSubscriber(), m.drawServer()) }},
+		{"report", 2, func() { m.report(m.drawServer()) }},
+		{"follow any server", 1, func() { m.follow(m.drawServer(), m.drawServer(), true) }},
+		{"restart", 1, func() { m.restart(m.drawServer()) }},
+		{"lose a batch", 1, func() { m.loseBatch(m.drawServer()) }},
+		{"restart a subscriber", 1, func() { m.restartSubscriber(m.drawSubscriber()) }},
+		{"replace an instance", 1, func() { m.replaceInstance(m.drawSubscriber()) }},
+		{"disconnect", 1, func() { m.disconnect(m.drawSubscriber()) }},
 		{"promote", 1, m.promoteSome},
-		{"forgive", 1, func() { m.retryRejected(m.someSubscriber()) }},
+		{"retry rejected revisions", 1, func() { m.retryRejected(m.drawSubscriber()) }},
 	}
 }
 
-// step is one event in the fleet.
+// step makes one event happen in the fleet.
 func (m *model) step() {
 	m.now = m.now.Add(time.Second)
 	var drawn []string
@@ -276,13 +285,15 @@
 	byName[rapid.SampledFrom(drawn).Draw(m.t, "action")]()
 }
 
+// applySome makes an attempt at one of the instances.
 func (m *model) applySome() {
-	s := m.someSubscriber()
+	s := m.drawSubscriber()
 	m.apply(s, s.instances[rapid.IntRange(0, len(s.instances)-1).Draw(m.t, "instance")], true)
 }
 
+// promoteSome promotes one of the servers, unless it is the writer or modelEpochs is reached.
 func (m *model) promoteSome() {
-	s := m.someServer()
+	s := m.drawServer()
 	if m.epoch >= modelEpochs || s == m.servers[m.writer] {
 		return
 	}
@@ -299,7 +310,7 @@
 		}
 		m.follow(s, writer, false)
 	}
-	m.t.Fatalf("%s stays at %v of %v", s.name, s.state.Revision(), writer.state.Revision())
+	m.t.Fatalf("%s is at revision %v after 50 requests, want the writer's %v", s.name, s.state.Revision(), writer.state.Revision())
 }
 
 // subscribeToEnd brings a subscriber up to its server's state, unless the subscriber holds more or
@@ -312,11 +323,12 @@
 		}
 		m.subscribe(s, false)
 	}
-	m.t.Fatalf("%s stays at %v of %v", s.interest.Host, s.replica.Revision(), s.server.state.Revision())
+	m.t.Fatalf("subscriber %s is at revision %v after 50 polls, want its server's %v", s.interest.Host, s.replica.Revision(), s.server.state.Revision())
 }
 
-// heal connects every subscriber to a relay that reaches the writer, without faults.
-func (m *model) heal() {
+// converge runs the fleet without further faults: every server catches up with the writer, every
+// subscriber with a server, and every relay reports to the writer.
+func (m *model) converge() {
 	writer := m.servers[m.writer]
 	for _, s := range m.servers {
 		if s != writer {
@@ -325,7 +337,7 @@
 		}
 	}
 	for _, s := range m.subscribers {
-		m.connect(s, m.someServer())
+		m.connect(s, m.drawServer())
 		m.subscribeToEnd(s)
 		for _, instance := range s.instances {
 			m.settle(s, instance)
@@ -341,6 +353,7 @@
 	}
 }
 
+// settle makes attempts at an instance until no change is pending.
 func (m *model) settle(s *modelSubscriber, instance *modelInstance) {
 	for range 50 {
 		if !instance.applier.Pending() {
@@ -348,12 +361,13 @@
 		}
 		m.apply(s, instance, false)
 	}
-	m.t.Fatalf("instance %d does not settle", instance.number)
+	m.t.Fatalf("instance %d has pending changes after 50 attempts", instance.number)
 }
 
-// TestFleetConverges checks the package's promises: whatever is lost, repeated, late, restarted or
-// promoted, copies never go back and never hold what no log wrote, and every copy that reaches
-// the writer through a relay converges to its state.
+// TestFleetConverges checks the package's guarantees: whatever messages are lost, repeated or late, and
+// whichever servers are restarted or promoted, a copy never goes back to an earlier revision, never
+// contains a change that no log wrote, and converges to the writer's state once it reaches the writer
+// through a relay.
 func TestFleetConverges(t *testing.T) {
 	t.Parallel()
 	limit := 200
@@ -366,7 +380,7 @@
 			m.step()
 			m.check()
 		}
-		m.heal()
+		m.converge()
 		m.check()
 		m.checkConverged()
 	})
--- a/internal/fleet/distribution/node/subscriber_test.go
+++ b/internal/fleet/distribution/node/subscriber_test.go
@@ -10,18 +10,18 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// scriptedConn is a connection whose polls and acknowledgements the test answers.
+// scriptedConn is a connection where the test receives each poll and acknowledgement, and answers it.
 type scriptedConn struct {
-	watches chan *api.SettingsWatchIn // each poll as it is made
-	answers chan error                // responses to polls
-	acks    chan *api.SettingsAckIn
-	ackErr  chan error // responses to acknowledgements
+	polls   chan *api.SettingsWatchIn // each poll as it is made
+	answers chan error                // responses to polls; nil for an empty update
+	acks    chan *api.SettingsAckIn   // each acknowledgement as it is made
+	ackErr  chan error                // responses to acknowledgements
 	closed  chan struct{}
 	once    sync.Once
 }
 
 func newScriptedConn() *scriptedConn {
-	return &scriptedConn{watches: make(chan *api.SettingsWatchIn), answers: make(chan error),
+	return &scriptedConn{polls: make(chan *api.SettingsWatchIn), answers: make(chan error),
 		acks: make(chan *api.SettingsAckIn), ackErr: make(chan error), closed: make(chan struct{})}
 }
 
@@ -31,7 +31,7 @@
 	case *api.SettingsWatchIn:
 		copied := *request
 		select {
-		case c.watches <- &copied:
+		case c.polls <- &copied:
 			answered = c.answers
 		case <-ctx.Done():
 			sent = false
@@ -60,28 +60,29 @@
 	return nil
 }
 
-// settlingReplica is a copy whose state the test sets.
+// settlingReplica is a Replica that the test makes settled. It ignores updates.
 type settlingReplica struct {
 	mu    sync.Mutex
 	state distribution.HostState
 }
 
-func (c *settlingReplica) Take(distribution.Update) error { return nil }
+func (r *settlingReplica) Take(distribution.Update) error { return nil }
 
-func (c *settlingReplica) State() distribution.HostState {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.state
+func (r *settlingReplica) State() distribution.HostState {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.state
 }
 
-func (c *settlingReplica) settle() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.state.Settled = true
+func (r *settlingReplica) settle() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.state.Settled = true
 }
 
-// runSubscriber runs a subscriber of one relay over the given connections, in order.
-func runSubscriber(t *testing.T, copied Replica, conns ...*scriptedConn) *Subscriber {
+// runSubscriber runs a subscriber of one relay until the end of the test. Its dials return the given
+// connections, in order.
+func runSubscriber(t *testing.T, replica Replica, conns ...*scriptedConn) *Subscriber {
 	t.Helper()
 	dialed := make(chan *scriptedConn, len(conns))
 	for _, conn := range conns {
@@ -89,7 +90,7 @@
 	}
 	s := NewSubscriber(SubscriberConfig{
 		Interest: distribution.Interest{Host: "host"}, Relays: []distribution.Relay{{Name: "relay"}},
-		Limits: distribution.DefaultLimits(), Replica: copied,
+		Limits: distribution.DefaultLimits(), Replica: replica,
 		Dial: func(ctx context.Context, _ distribution.Relay) (Conn, error) {
 			select {
 			case conn := <-dialed:
@@ -100,72 +101,72 @@
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	returned := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(returned)
 		s.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-returned
 	})
 	return s
 }
 
 // receive returns the next value, or fails the test after ten seconds.
-func receive[T any](t *testing.T, what string, from <-chan T) T {
+func receive[T any](t *testing.T, what string, values <-chan T) T {
 	t.Helper()
 	select {
-	case value := <-from:
+	case value := <-values:
 		return value
 	case <-time.After(10 * time.Second):
-		t.Fatalf("%s did not come", what)
+		t.Fatalf("%s was not received within 10 seconds", what)
 		panic("not reached")
 	}
 }
 
-// A state that changes while the first call of a connection is open is acknowledged once the call
-// has been answered, and that call does not wait for changes.
+// A state that changes while the first poll of a connection is open is acknowledged once the poll has
+// been answered, and that poll does not wait for changes.
 func TestChangeBeforeConnectionAnswersIsAcknowledged(t *testing.T) {
-	copied, conn := &settlingReplica{}, newScriptedConn()
-	s := runSubscriber(t, copied, conn)
-	first := receive(t, "the first watch", conn.watches)
+	replica, conn := &settlingReplica{}, newScriptedConn()
+	s := runSubscriber(t, replica, conn)
+	first := receive(t, "the first poll", conn.polls)
 	if first.State == nil || first.State.Settled {
-		t.Fatalf("the connection begins with the state %+v", first.State)
+		t.Fatalf("first poll has the state %+v, want one that is not settled", first.State)
 	}
 	if first.Wait != 0 {
-		t.Errorf("the first watch waits %v", first.Wait)
+		t.Errorf("first poll has a wait of %v, want 0", first.Wait)
 	}
-	copied.settle()
+	replica.settle()
 	s.Changed()
 	conn.answers <- nil
 	if acked := receive(t, "the acknowledgement", conn.acks); !acked.State.Settled {
-		t.Errorf("acknowledged %+v", acked.State)
+		t.Errorf("acknowledged state is %+v, want a settled one", acked.State)
 	}
 	conn.ackErr <- nil
-	if next := receive(t, "the second watch", conn.watches); next.Wait == 0 {
-		t.Error("the second watch does not wait")
+	if next := receive(t, "the second poll", conn.polls); next.Wait == 0 {
+		t.Error("second poll has no wait, want one")
 	}
 }
 
 // A state that changes while an acknowledgement on an earlier connection is open is acknowledged on
 // the next connection.
 func TestChangeDuringLostAcknowledgementIsAcknowledged(t *testing.T) {
-	copied, first, second := &settlingReplica{}, newScriptedConn(), newScriptedConn()
-	s := runSubscriber(t, copied, first, second)
-	receive(t, "the first watch", first.watches)
+	replica, first, second := &settlingReplica{}, newScriptedConn(), newScriptedConn()
+	s := runSubscriber(t, replica, first, second)
+	receive(t, "the first poll", first.polls)
 	first.answers <- nil
-	receive(t, "the second watch", first.watches)
+	receive(t, "the second poll", first.polls)
 	s.Changed()
 	receive(t, "the first acknowledgement", first.acks)
 	first.answers <- context.DeadlineExceeded
-	receive(t, "the next connection's watch", second.watches)
-	copied.settle()
+	receive(t, "the first poll of the next connection", second.polls)
+	replica.settle()
 	s.Changed()
 	second.answers <- nil
 	first.ackErr <- context.DeadlineExceeded
 	if acked := receive(t, "the acknowledgement", second.acks); !acked.State.Settled {
-		t.Errorf("acknowledged %+v", acked.State)
+		t.Errorf("acknowledged state is %+v, want a settled one", acked.State)
 	}
 	second.ackErr <- nil
 }
--- a/internal/fleet/distribution/reader_test.go
+++ b/internal/fleet/distribution/reader_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// pagesOf returns the pages of a complete snapshot, one resource each.
+// pagesOf returns the pages of a complete snapshot, with one resource each.
 func pagesOf(t *testing.T, log *State, interest *Interest) []Update {
 	t.Helper()
 	reader := NewReader(testLimits())
@@ -16,17 +16,18 @@
 		query.Bytes = 1
 		page, err := log.Read(query)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("State.Read of a page: %v", err)
 		}
-		stored := page
-		stored.Resources = slices.Clone(page.Resources)
-		pages = append(pages, stored)
+		copied := page
+		copied.Resources = slices.Clone(page.Resources)
+		pages = append(pages, copied)
 		if complete, err := reader.Take(page); err != nil || complete != nil {
 			return pages
 		}
 	}
 }
 
+// snapshotLog returns a log with four resources of the service x.
 func snapshotLog(t *testing.T) *State {
 	log := newLog(testLimits())
 	for n := range 4 {
@@ -35,19 +36,20 @@
 	return log
 }
 
-// A late page, received after the reader restarted, is not accepted as the next one.
-func TestReaderIgnoresPageThatSkips(t *testing.T) {
+// A page that does not follow the previous one is ignored, such as a late page that is received after
+// the reader started again.
+func TestReaderIgnoresPageAfterGap(t *testing.T) {
 	log := snapshotLog(t)
 	interest := interestIn("h", "x")
 	pages := pagesOf(t, log, &interest)
 	reader := NewReader(testLimits())
 	for _, n := range []int{0, 2} {
 		if complete, err := reader.Take(pages[n]); complete != nil || err != nil {
-			t.Fatalf("page %d: %v, %v", n, complete, err)
+			t.Fatalf("Take of page %d = %v, %v; want no update yet", n, complete, err)
 		}
 	}
 	if complete, err := reader.Take(pages[3]); complete != nil || err != nil {
-		t.Fatalf("the last page: %+v, %v", complete, err)
+		t.Fatalf("Take of the last page after a gap = %+v, %v; want no update", complete, err)
 	}
 	replica := NewReplica(interest)
 	complete := readComplete(t, log, reader, replica.Revision(), &interest, 1, nil)
@@ -57,13 +59,13 @@
 	requireReplica(t, log, replica, interest)
 }
 
-// The last page of a snapshot alone is no snapshot.
+// The last page of a snapshot is not accepted without the pages before it.
 func TestReaderIgnoresLastPageAfterReset(t *testing.T) {
 	log := snapshotLog(t)
 	pages := pagesOf(t, log, nil)
 	reader := NewReader(testLimits())
 	if complete, err := reader.Take(pages[len(pages)-1]); complete != nil || err != nil {
-		t.Fatalf("%+v, %v", complete, err)
+		t.Fatalf("Take of only the last page = %+v, %v; want no update", complete, err)
 	}
 }
 
@@ -78,7 +80,7 @@
 			page.Resources = slices.Clone(page.Resources)
 			got, err := reader.Take(page)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("Take of a repeated page: %v", err)
 			}
 			if got != nil && complete == nil {
 				complete = got
@@ -86,7 +88,7 @@
 		}
 	}
 	if complete == nil {
-		t.Fatal("the update was never complete")
+		t.Fatal("update is not complete after all pages")
 	}
 	if _, err := replica.Take(*complete); err != nil {
 		t.Fatal(err)
@@ -113,10 +115,10 @@
 			_, err = reader.Take(page)
 		}
 		if !isLimit(err) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Take of more resources than the limits allow (%s): got error %v, want a LimitError", name, err)
 		}
 		if query := reader.Query(Revision{}, nil); !query.Began.IsZero() || !query.After.IsZero() {
-			t.Errorf("%s: the pages are not forgotten: %+v", name, query)
+			t.Errorf("next query after a LimitError (%s) = %+v, want the start of a new update", name, query)
 		}
 	}
 }
@@ -127,11 +129,11 @@
 	for n := range 8 {
 		publish(t, log, put(fmt.Sprintf("r%d", n), "x", content(n)))
 	}
-	replica, rounds := NewReplica(interest), 0
+	replica, pages := NewReplica(interest), 0
 	complete := readComplete(t, log, NewReader(testLimits()), Revision{}, &interest, 1, func() {
-		if rounds++; rounds <= 3 {
-			publish(t, log, remove(fmt.Sprintf("r%d", rounds)))
-			publish(t, log, put("r0", "x", content(10+rounds)))
+		if pages++; pages <= 3 {
+			publish(t, log, remove(fmt.Sprintf("r%d", pages)))
+			publish(t, log, put("r0", "x", content(10+pages)))
 		}
 	})
 	if _, err := replica.Take(complete); err != nil {
@@ -140,7 +142,8 @@
 	requireReplica(t, log, replica, interest)
 }
 
-// A history longer than the number of resources can hold more names than there are resources.
+// A delta can contain more resource names than the limit of resources, because resources that were
+// added and removed since are in it too.
 func TestReaderAcceptsAllNamesOfTheHistory(t *testing.T) {
 	limits := Limits{Resources: 2, History: 50}
 	log := newLog(limits)
@@ -154,7 +157,7 @@
 	for _, bytes := range []int{0, 1} {
 		complete := readComplete(t, log, NewReader(limits), held, nil, bytes, nil)
 		if len(complete.Resources) != 20 || len(complete.Changes) != 40 {
-			t.Errorf("%d resources, %d changes", len(complete.Resources), len(complete.Changes))
+			t.Errorf("update has %d resources and %d changes, want 20 and 40", len(complete.Resources), len(complete.Changes))
 		}
 	}
 }
--- a/internal/fleet/distribution/registry_test.go
+++ b/internal/fleet/distribution/registry_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-func TestRegistryFollowsChangesOfConcern(t *testing.T) {
+func TestRegistryTracksChangesInInterest(t *testing.T) {
 	log, registry := newLog(testLimits()), NewRegistry("r1", 10)
 	registry.Advance(log)
-	x, y := interestIn("hx", "x"), interestIn("hy", "y")
-	mustJoin(t, registry, x, 1, settledAt(log.Revision()))
-	mustJoin(t, registry, y, 2, settledAt(log.Revision()))
+	interestX, interestY := interestIn("hx", "x"), interestIn("hy", "y")
+	mustJoin(t, registry, interestX, 1, settledAt(log.Revision()))
+	mustJoin(t, registry, interestY, 2, settledAt(log.Revision()))
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 2})
 
 	resource := publish(t, log, put("a", "x", content(1)))
 	registry.Advance(log)
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
-	sendUpdate(t, registry, log, x, 1, Revision{1, 0})
+	sendUpdate(t, registry, log, interestX, 1, Revision{1, 0})
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
 	registry.Acknowledge("hx", 1, HostState{Received: resource.Revision, Applied: Revision{1, 0}, Waiting: "an operation"})
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
@@ -35,7 +35,7 @@
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 1, rejected: 1})
 	requireCounts(t, registry, resource.Revision, counts{hosts: 2, inForce: 2})
 	if status := registry.Status(Revision{}, 0); len(status.Missing) != 0 {
-		t.Errorf("none is to be named: %v", status.Missing)
+		t.Errorf("Status with the limit 0 lists the hosts %v, want none", status.Missing)
 	}
 }
 
@@ -46,34 +46,34 @@
 	before := log.Revision()
 	publish(t, log, put("a", "x", content(1)))
 	registry.Advance(log)
-	x, y := interestIn("hx", "x"), interestIn("hy", "y")
-	mustJoin(t, registry, x, 1, settledAt(before))
-	mustJoin(t, registry, y, 2, settledAt(before))
+	interestX, interestY := interestIn("hx", "x"), interestIn("hy", "y")
+	mustJoin(t, registry, interestX, 1, settledAt(before))
+	mustJoin(t, registry, interestY, 2, settledAt(before))
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, behind: 2})
 	writer := NewRegistry("writer", 10)
 	forward(registry, writer, 1)
 	requireCounts(t, writer, log.Revision(), counts{hosts: 2, behind: 2})
 
-	if update := sendUpdate(t, registry, log, y, 2, before); !update.Empty() {
-		t.Fatalf("%+v", update)
+	if update := sendUpdate(t, registry, log, interestY, 2, before); !update.Empty() {
+		t.Fatalf("update for the host without a change in its interest is %+v, want an empty one", update)
 	}
-	if update := sendUpdate(t, registry, log, x, 1, before); update.Empty() {
-		t.Fatalf("%+v", update)
+	if update := sendUpdate(t, registry, log, interestX, 1, before); update.Empty() {
+		t.Fatalf("update for the host with a change in its interest is %+v, want the change", update)
 	}
 	requireCounts(t, registry, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
 	forward(registry, writer, 1)
 	requireCounts(t, writer, log.Revision(), counts{hosts: 2, inForce: 1, behind: 1})
 }
 
-// An update read before a change and sent after it does not cover the change.
+// An update that was read before a change and recorded after it does not include the change.
 func TestRegistryUpdateReadBeforeAChange(t *testing.T) {
 	log, registry := newLog(testLimits()), NewRegistry("r1", 10)
 	registry.Advance(log)
-	x := interestIn("hx", "x")
-	mustJoin(t, registry, x, 1, settledAt(log.Revision()))
+	interest := interestIn("hx", "x")
+	mustJoin(t, registry, interest, 1, settledAt(log.Revision()))
 	first := publish(t, log, put("a", "x", content(1)))
 	registry.Advance(log)
-	update, err := log.Read(Query{After: Revision{1, 0}, Interest: &x})
+	update, err := log.Read(Query{After: Revision{1, 0}, Interest: &interest})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,8 +90,8 @@
 	registry := NewRegistry("r1", 10)
 	catchUp(t, log, relay, 0)
 	registry.Advance(relay)
-	y := interestIn("hy", "y")
-	mustJoin(t, registry, y, 1, settledAt(relay.Revision()))
+	interest := interestIn("hy", "y")
+	mustJoin(t, registry, interest, 1, settledAt(relay.Revision()))
 	for n := range 5 {
 		publish(t, log, put("a", "x", content(n)))
 	}
@@ -109,19 +109,19 @@
 	mustJoin(t, registry, interestIn("h2", "x"), 3, HostState{})
 	err := registry.Join(testTime, interestIn("h3", "x"), 4, HostState{})
 	if full, ok := errors.AsType[*FullError](err); !ok || full.Limit != 2 {
-		t.Errorf("%v", err)
+		t.Errorf("Join of a third subscriber: got error %v, want a FullError with the limit 2", err)
 	}
 	if err := registry.Join(testTime, interestIn("h2", "x"), 2, HostState{}); !isInvalid(err) {
-		t.Errorf("an earlier session: %v", err)
+		t.Errorf("Join with an earlier session: got error %v, want an InvalidError", err)
 	}
 	registry.Leave(testTime, "h2", 2)
 	if registry.Subscribers() != 2 {
-		t.Errorf("an earlier session ends: %d subscribers", registry.Subscribers())
+		t.Errorf("%d subscribers after the end of an earlier session, want 2", registry.Subscribers())
 	}
 	registry.Leave(testTime, "h2", 3)
 	registry.Leave(testTime, "h2", 3)
 	if registry.Subscribers() != 1 {
-		t.Errorf("%d subscribers", registry.Subscribers())
+		t.Errorf("%d subscribers after one of two left, want 1", registry.Subscribers())
 	}
 	mustJoin(t, registry, interestIn("h3", "x"), 5, HostState{})
 }
@@ -132,7 +132,7 @@
 	mustJoin(t, registry, interestIn("h1", "x"), 1, state)
 	reports, _ := registry.Reports(1)
 	if len(reports[0].State.Rejections) != maxRejections {
-		t.Errorf("%d rejections", len(reports[0].State.Rejections))
+		t.Errorf("report has %d rejections, want %d", len(reports[0].State.Rejections), maxRejections)
 	}
 }
 
@@ -143,35 +143,36 @@
 	for _, registry := range []*Registry{writer, near, far} {
 		registry.Advance(log)
 	}
-	x := interestIn("h", "x")
-	mustJoin(t, near, x, 1, settledAt(log.Revision()))
+	interest := interestIn("h", "x")
+	mustJoin(t, near, interest, 1, settledAt(log.Revision()))
 	forward(near, writer, 1)
 	requireCounts(t, writer, Revision{}, counts{hosts: 1, inForce: 1})
 
-	// It moves, and the first relay's report that it is absent arrives last.
-	mustJoin(t, far, x, 2, rejectedAt(log.Revision()))
+	// The host moves to another relay, and the first relay's report that the host is absent arrives
+	// last.
+	mustJoin(t, far, interest, 2, rejectedAt(log.Revision()))
 	forward(far, writer, 1)
 	requireCounts(t, writer, Revision{}, counts{hosts: 1, rejected: 1})
 	near.Leave(testTime, "h", 1)
 	forward(near, writer, 1)
 	requireCounts(t, writer, Revision{}, counts{hosts: 1, rejected: 1})
 
-	// It moves to the writer itself and back.
-	mustJoin(t, writer, x, 3, settledAt(log.Revision()))
+	// The host moves to the writer itself and back.
+	mustJoin(t, writer, interest, 3, settledAt(log.Revision()))
 	far.Leave(testTime, "h", 2)
 	forward(far, writer, 1)
 	requireCounts(t, writer, Revision{}, counts{hosts: 1, inForce: 1})
-	mustJoin(t, near, x, 4, settledAt(log.Revision()))
+	mustJoin(t, near, interest, 4, settledAt(log.Revision()))
 	forward(near, writer, 1)
 	if writer.Subscribers() != 0 {
-		t.Errorf("%d subscribers of the writer", writer.Subscribers())
+		t.Errorf("writer has %d subscribers after the host moved away, want 0", writer.Subscribers())
 	}
 	writer.Leave(testTime, "h", 3)
 	if writer.Subscribers() != 0 {
-		t.Errorf("%d subscribers of the writer", writer.Subscribers())
+		t.Errorf("writer has %d subscribers after the end of the earlier session, want 0", writer.Subscribers())
 	}
 	if reports, all := writer.Reports(10); len(reports) != 0 || !all {
-		t.Errorf("the writer reports another's subscriber: %v", reports)
+		t.Errorf("writer reports %v, want no reports on a subscriber of another relay", reports)
 	}
 	requireCounts(t, writer, Revision{}, counts{hosts: 1, inForce: 1})
 }
@@ -189,7 +190,7 @@
 	relay.Advance(log)
 	reports, all := relay.Reports(10)
 	if len(reports) != 1 || !all || reports[0].Host != "hx" {
-		t.Errorf("%v, %v: only the one that is concerned has anything to report", reports, all)
+		t.Errorf("Reports = %v, %v; want the only report on hx, whose interest the change affects", reports, all)
 	}
 	writer.MergeReports("r1", relay.Position(), reports)
 	requireCounts(t, writer, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
@@ -234,7 +235,7 @@
 	registry.ForgetAbsent(testTime.Add(hostRetention + 1))
 	requireCounts(t, registry, Revision{}, counts{})
 	if reports, all := registry.Reports(1); len(reports) != 0 || !all {
-		t.Errorf("%v", reports)
+		t.Errorf("Reports after the host was forgotten = %v, %v; want none", reports, all)
 	}
 }
 
@@ -251,7 +252,7 @@
 	}
 	status := registry.Status(Revision{}, 2)
 	if len(status.Missing) != 2 || status.Missing[0].Host != "h7" || status.Missing[1].Host != "h0" {
-		t.Errorf("%v", status.Missing)
+		t.Errorf("Status lists the missing hosts %v, want h7, which has a rejection, and then h0", status.Missing)
 	}
 }
 
@@ -264,7 +265,7 @@
 	for all := false; !all; {
 		var reports []HostReport
 		if reports, all = registry.Reports(3); len(reports) > 3 {
-			t.Errorf("%d reports", len(reports))
+			t.Errorf("Reports(3) returned %d reports", len(reports))
 		}
 		for _, report := range reports {
 			seen = append(seen, report.Host)
@@ -273,7 +274,7 @@
 	}
 	slices.Sort(seen)
 	if len(slices.Compact(seen)) != 10 || writer.Status(Revision{}, 0).Hosts != 10 {
-		t.Errorf("%v", seen)
+		t.Errorf("reported hosts are %v, and the writer knows %d; want 10", seen, writer.Status(Revision{}, 0).Hosts)
 	}
 }
 
@@ -286,21 +287,21 @@
 	}
 	registry.MergeReports("r1", Revision{1, 1}, reports)
 	if hosts := registry.Status(Revision{1, 1}, 0).Hosts; hosts != MaxHosts {
-		t.Errorf("%d hosts", hosts)
+		t.Errorf("registry has %d hosts, want the maximum of %d", hosts, MaxHosts)
 	}
 	if err := registry.Join(testTime.Add(time.Hour), interestIn("new", "x"), 1, HostState{}); err == nil {
-		t.Error("one more joins")
+		t.Error("Join succeeded with the maximum number of hosts, want an error")
 	}
 }
 
-// A host that continues from empty updates, which it does not acknowledge, stays settled: it
-// holds every change that it was sent.
+// A host that receives only empty updates, which it does not acknowledge, stays settled: it has every
+// change that it was sent.
 func TestRegistryKeepsHostSettledOverEmptyUpdates(t *testing.T) {
 	state := NewState(DefaultLimits())
 	registry := NewRegistry("relay", 10)
 	interest := Interest{Host: "host", Instances: []map[string]string{{"service": "one"}}}
 	now := time.Unix(1789000000, 0)
-	put := func(name, service string) Revision {
+	publishChange := func(name, service string) Revision {
 		t.Helper()
 		resource, step, err := state.Propose(now, 1, Put{Name: name, Scope: Scope{Labels: map[string]string{"service": service}}, Content: []byte(`{"a":1}`)})
 		if err != nil {
@@ -310,7 +311,7 @@
 		registry.Advance(state)
 		return resource.Revision
 	}
-	ask := func(after Revision) Update {
+	poll := func(after Revision) Update {
 		t.Helper()
 		update, err := state.Read(Query{After: after, Interest: &interest})
 		if err != nil {
@@ -319,24 +320,24 @@
 		registry.RecordRead("host", 1, &update)
 		return update
 	}
-	first := put("limits", "one")
+	first := publishChange("limits", "one")
 	if err := registry.Join(now, interest, 1, HostState{Received: first, Settled: true, Applied: first}); err != nil {
 		t.Fatal(err)
 	}
-	ask(first)
+	poll(first)
 	for n := range 3 {
-		latest := put("other", []string{"two", "three"}[n%2])
-		update := ask(first)
+		latest := publishChange("other", []string{"two", "three"}[n%2])
+		update := poll(first)
 		if !update.Empty() {
-			t.Fatalf("a change of another service is sent: %+v", update)
+			t.Fatalf("update after a change of another service is %+v, want an empty one", update)
 		}
-		// It asks from there on, and has acknowledged nothing since.
-		ask(update.Revision)
+		// The next poll continues from the empty update, without an acknowledgement.
+		poll(update.Revision)
 		if status := registry.Status(latest, 1); status.InForce != 1 {
-			t.Errorf("after %d changes of other services: %+v", n+1, status)
+			t.Errorf("status after %d changes of other services is %+v, want the host in force", n+1, status)
 		}
 	}
-	if latest := put("limits/more", "one"); registry.Status(latest, 1).Behind != 1 {
-		t.Error("a change in its interest is in force before it was sent")
+	if latest := publishChange("limits/more", "one"); registry.Status(latest, 1).Behind != 1 {
+		t.Error("host is not behind although a change in its interest was not sent yet")
 	}
 }
--- a/internal/fleet/distribution/replica_test.go
+++ b/internal/fleet/distribution/replica_test.go
@@ -12,21 +12,21 @@
 	publish(t, log, put("a", "x", content(1)))
 	snapshot, _ := log.Read(Query{Interest: &interest})
 	if changed, err := replica.Take(snapshot); !changed || err != nil {
-		t.Fatalf("%v, %v", changed, err)
+		t.Fatalf("Take of a first snapshot = %v, %v; want a change", changed, err)
 	}
 	if changed, err := replica.Take(snapshot); changed || err != nil {
-		t.Errorf("the same once more: %v, %v", changed, err)
+		t.Errorf("Take of the same snapshot again = %v, %v; want no change", changed, err)
 	}
 	publish(t, log, put("b", "y", content(1)))
 	delta, _ := log.Read(Query{After: replica.Revision(), Interest: &interest})
 	if changed, err := replica.Take(delta); changed || err != nil || replica.Revision() != log.Revision() {
-		t.Errorf("one that does not concern it: %v, %v, at %v", changed, err, replica.Revision())
+		t.Errorf("Take of a delta without resources in the interest = %v, %v, now at %v; want no change, at %v", changed, err, replica.Revision(), log.Revision())
 	}
 	if _, err := replica.Take(delta); !isInvalid(err) {
-		t.Errorf("a repeated delta: %v", err)
+		t.Errorf("Take of a repeated delta: got error %v, want an InvalidError", err)
 	}
 	if _, err := replica.Take(snapshot); !isInvalid(err) {
-		t.Errorf("an earlier snapshot: %v", err)
+		t.Errorf("Take of an earlier snapshot: got error %v, want an InvalidError", err)
 	}
 	requireReplica(t, log, replica, interest)
 }
@@ -47,10 +47,10 @@
 		}
 		update.Resources[len(update.Resources)-1].Content = []byte("{}")
 		if changed, err := replica.Take(update); changed || !isInvalid(err) {
-			t.Errorf("%v, %v", changed, err)
+			t.Errorf("Take of an update with a wrong hash = %v, %v; want an InvalidError", changed, err)
 		}
 		if replica.Revision() != before.Revision() || !slices.Equal(replica.Names(), before.Names()) {
-			t.Errorf("the copy is at %v with %v", replica.Revision(), replica.Names())
+			t.Errorf("after a rejected update the replica is at %v with the resources %v, want %v with %v", replica.Revision(), replica.Names(), before.Revision(), before.Names())
 		}
 	}
 }
@@ -71,26 +71,26 @@
 		names = append(names, r.Name)
 	}
 	if !slices.Equal(names, []string{"d", "b", "c", "a"}) {
-		t.Errorf("%v", names)
+		t.Errorf("For returned the resources %v, want d, b, c, a", names)
 	}
 }
 
 func TestLargerFractionContainsSmaller(t *testing.T) {
 	const hosts = 10_000
-	for _, share := range []float64{0.01, 0.1, 0.5, 0.9} {
-		held := 0
+	for _, fraction := range []float64{0.01, 0.1, 0.5, 0.9} {
+		selected := 0
 		for n := range hosts {
 			host := hostName(n)
-			if !(Scope{Fraction: share}).Matches("a", host, nil) {
+			if !(Scope{Fraction: fraction}).Matches("a", host, nil) {
 				continue
 			}
-			held++
-			if !(Scope{Fraction: min(share*1.5, 1)}).Matches("a", host, nil) {
-				t.Fatalf("%s is in a fraction of %v, and not in a larger one", host, share)
+			selected++
+			if !(Scope{Fraction: min(fraction*1.5, 1)}).Matches("a", host, nil) {
+				t.Fatalf("%s is in a fraction of %v, but not in a larger one", host, fraction)
 			}
 		}
-		if drawn := float64(held) / hosts; drawn < share-0.02 || drawn > share+0.02 {
-			t.Errorf("a fraction of %v holds %v", share, drawn)
+		if measured := float64(selected) / hosts; measured < fraction-0.02 || measured > fraction+0.02 {
+			t.Errorf("a fraction of %v selects %v of the hosts, want a difference of at most 0.02", fraction, measured)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	store.write(replica.Batch(before))
 	restored, err := RestoreReplica(interest, store.all())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("RestoreReplica: %v", err)
 	}
 	return restored
 }
@@ -114,7 +114,7 @@
 	for n, change := range []Put{put("a", "x", content(1)), put("b", "x", content(2)), put("a", "x", content(3)),
 		put("b", "y", content(4)), put("c", "x", content(5)), remove("a")} {
 		publish(t, log, change)
-		lost, err := RestoreReplica(interest, store.all())
+		outdated, err := RestoreReplica(interest, store.all())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,59 +122,59 @@
 		requireReplica(t, log, storeAndRestore(t, store, replica, before, interest), interest)
 		before = replica.Clone()
 
-		// The one before, whose batch was lost, gets there as well.
-		subscribe(t, log, lost, interest, 0)
-		requireReplica(t, log, lost, interest)
+		// A replica whose last batch was lost reaches the same state.
+		subscribe(t, log, outdated, interest, 0)
+		requireReplica(t, log, outdated, interest)
 		if n == 0 && len(store.entries) != 2 {
-			t.Errorf("%d entries", len(store.entries))
+			t.Errorf("store has %d entries after the first change, want 2", len(store.entries))
 		}
 	}
 	for key, value := range map[string]string{replicaKey: "[]", replicaPrefix + "c": `{"name":"c"}`, replicaPrefix + "d": ""} {
-		rows := append(store.all(), Entry{Key: key, Value: []byte(value)})
-		if _, err := RestoreReplica(interest, rows); err == nil {
-			t.Errorf("%s = %q is taken", key, value)
+		entries := append(store.all(), Entry{Key: key, Value: []byte(value)})
+		if _, err := RestoreReplica(interest, entries); err == nil {
+			t.Errorf("RestoreReplica with the entry %s = %q succeeded, want an error", key, value)
 		}
 	}
 }
 
-// A replica restored for another interest gets a snapshot and holds nothing else afterwards.
-// The stored resources serve until then, and the known epoch is retained.
+// A replica restored for another interest gets a snapshot, and afterwards contains only the snapshot's
+// resources. Until then it returns the stored resources, and it retains the known epoch.
 func TestReplicaWithOtherInterestGetsSnapshot(t *testing.T) {
 	log, store := newLog(testLimits()), newDisk()
-	x, y := interestIn("h", "x"), interestIn("h", "x", "y")
-	replica := NewReplica(y)
+	interestX, interestXY := interestIn("h", "x"), interestIn("h", "x", "y")
+	replica := NewReplica(interestXY)
 	publish(t, log, put("a", "x", content(1)))
 	publish(t, log, put("b", "y", content(1)))
-	subscribe(t, log, replica, y, 0)
-	restored := storeAndRestore(t, store, replica, nil, x)
+	subscribe(t, log, replica, interestXY, 0)
+	restored := storeAndRestore(t, store, replica, nil, interestX)
 	if names := restored.Names(); !slices.Equal(names, []string{"a", "b"}) {
-		t.Errorf("stored %v", names)
+		t.Errorf("restored replica has the resources %v, want a and b", names)
 	}
-	update, err := log.Read(NewReader(testLimits()).Query(restored.Revision(), &x))
+	update, err := log.Read(NewReader(testLimits()).Query(restored.Revision(), &interestX))
 	if err != nil || !update.Snapshot {
-		t.Errorf("snapshot %v, %v", update.Snapshot, err)
+		t.Errorf("Read for the restored replica: snapshot = %v, error %v; want a snapshot", update.Snapshot, err)
 	}
-	subscribe(t, log, restored, x, 0)
-	requireReplica(t, log, restored, x)
+	subscribe(t, log, restored, interestX, 0)
+	requireReplica(t, log, restored, interestX)
 }
 
 func TestReplicaWithOtherInterestRemembersEpoch(t *testing.T) {
 	old, promoted := promotedBehind(t)
 	store := newDisk()
-	x, y := interestIn("h", "x"), interestIn("h", "x", "y")
-	replica := NewReplica(x)
-	subscribe(t, promoted, replica, x, 0)
-	restored := storeAndRestore(t, store, replica, nil, y)
-	again := storeAndRestore(t, store, restored, replica, y)
-	late, err := old.Read(Query{Interest: &y})
+	interestX, interestXY := interestIn("h", "x"), interestIn("h", "x", "y")
+	replica := NewReplica(interestX)
+	subscribe(t, promoted, replica, interestX, 0)
+	restored := storeAndRestore(t, store, replica, nil, interestXY)
+	again := storeAndRestore(t, store, restored, replica, interestXY)
+	late, err := old.Read(Query{Interest: &interestXY})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range []*Replica{restored, again} {
 		if _, err := r.Take(late); !isFenced(err) {
-			t.Errorf("%v", err)
+			t.Errorf("Take of an update of the earlier epoch: got error %v, want a FencedError", err)
 		}
-		subscribe(t, promoted, r, y, 0)
-		requireReplica(t, promoted, r, y)
+		subscribe(t, promoted, r, interestXY, 0)
+		requireReplica(t, promoted, r, interestXY)
 	}
 }
--- a/internal/fleet/distribution/state_test.go
+++ b/internal/fleet/distribution/state_test.go
@@ -11,24 +11,24 @@
 
 func TestReadGivesTombstoneAfterRescoping(t *testing.T) {
 	log := newLog(testLimits())
-	x, y := interestIn("hx", "x"), interestIn("hy", "y")
-	atX, atY := NewReplica(x), NewReplica(y)
+	interestX, interestY := interestIn("hx", "x"), interestIn("hy", "y")
+	replicaX, replicaY := NewReplica(interestX), NewReplica(interestY)
 	publish(t, log, put("a", "x", content(1)))
-	subscribe(t, log, atX, x, 0)
-	subscribe(t, log, atY, y, 0)
+	subscribe(t, log, replicaX, interestX, 0)
+	subscribe(t, log, replicaY, interestY, 0)
 
 	publish(t, log, put("a", "y", content(1)))
-	update, err := log.Read(Query{After: atX.Revision(), Interest: &x})
+	update, err := log.Read(Query{After: replicaX.Revision(), Interest: &interestX})
 	if err != nil || update.Snapshot || len(update.Resources) != 1 || !update.Resources[0].Removed {
-		t.Fatalf("%+v, %v", update, err)
+		t.Fatalf("Read after the rescoping = %+v, %v; want a delta with one tombstone", update, err)
 	}
 	if len(update.Resources[0].Content) > 0 || len(update.Resources[0].Scope.Labels) > 0 {
-		t.Errorf("the tombstone holds what does not concern the reader: %+v", update.Resources[0])
+		t.Errorf("tombstone contains settings or labels of another service: %+v", update.Resources[0])
 	}
-	subscribe(t, log, atX, x, 0)
-	subscribe(t, log, atY, y, 0)
-	requireReplica(t, log, atX, x)
-	requireReplica(t, log, atY, y)
+	subscribe(t, log, replicaX, interestX, 0)
+	subscribe(t, log, replicaY, interestY, 0)
+	requireReplica(t, log, replicaX, interestX)
+	requireReplica(t, log, replicaY, interestY)
 }
 
 func TestRescopedWhileMovingBetweenRelays(t *testing.T) {
@@ -45,7 +45,7 @@
 	subscribe(t, far, replica, interest, 0)
 	requireReplica(t, far, replica, interest)
 	if _, err := near.Read(Query{After: replica.Revision(), Interest: &interest}); !isAhead(err) {
-		t.Errorf("a relay behind: %v", err)
+		t.Errorf("Read at a relay that is behind the reader: got error %v, want an AheadError", err)
 	}
 	catchUp(t, log, near, 0)
 	publish(t, log, put("a", "x", content(1)))
@@ -83,12 +83,12 @@
 		publish(t, log, put("c", "x", content(n)))
 	}
 	if len(log.history) != 3 {
-		t.Errorf("history of %d", len(log.history))
+		t.Errorf("log has a history of %d changes, want 3", len(log.history))
 	}
 	for _, interest := range []*Interest{nil, &interest} {
 		update, err := log.Read(Query{After: replica.Revision(), Interest: interest})
 		if err != nil || !update.Snapshot {
-			t.Errorf("%+v, %v", update, err)
+			t.Errorf("Read of a compacted revision = %+v, %v; want a snapshot", update, err)
 		}
 	}
 	subscribe(t, log, replica, interest, 0)
@@ -99,11 +99,11 @@
 	publish(t, log, remove("b"))
 	update, err := log.Read(Query{After: replica.Revision(), Interest: &interest})
 	if err != nil || update.Snapshot {
-		t.Errorf("within the history: %+v, %v", update, err)
+		t.Errorf("Read of a revision within the history = %+v, %v; want a delta", update, err)
 	}
 }
 
-func TestHistoryStaysBoundedWhereUpdateIsLonger(t *testing.T) {
+func TestHistoryStaysBoundedAfterLongUpdate(t *testing.T) {
 	log, relay := newLog(testLimits()), NewState(Limits{Resources: 10, History: 3})
 	publish(t, log, put("a", "x", content(1)))
 	catchUp(t, log, relay, 0)
@@ -118,7 +118,7 @@
 	store.write(next.Batch())
 	relay.Apply(next)
 	if len(relay.history) != 3 {
-		t.Errorf("history of %d", len(relay.history))
+		t.Errorf("relay has a history of %d changes, want 3", len(relay.history))
 	}
 	changes := 0
 	for key := range store.entries {
@@ -127,7 +127,7 @@
 		}
 	}
 	if changes != 3 {
-		t.Errorf("%d changes on disk", changes)
+		t.Errorf("relay has %d changes on disk, want 3", changes)
 	}
 	requireSameState(t, log, relay)
 }
@@ -195,7 +195,7 @@
 	}
 	data, err := msgpack.Marshal(&page)
 	if err != nil || len(data) > 2*bytes || !page.More {
-		t.Errorf("a page of %d bytes, %d changes, more %v, %v; %d requested", len(data), len(page.Changes), page.More, err, bytes)
+		t.Errorf("page of %d bytes and %d changes, More = %v, error %v; want at most twice the %d bytes of the query, and more pages", len(data), len(page.Changes), page.More, err, bytes)
 	}
 	reader := NewReader(Limits{Resources: 10, History: 2000})
 	next, err := relay.PrepareUpdate(readComplete(t, log, reader, relay.Revision(), nil, bytes, nil))
@@ -205,11 +205,11 @@
 	relay.Apply(next)
 	requireSameState(t, log, relay)
 	if len(relay.history) != len(log.history)-1 {
-		t.Errorf("history of %d; want %d", len(relay.history), len(log.history)-1)
+		t.Errorf("relay has a history of %d changes, want %d", len(relay.history), len(log.history)-1)
 	}
 }
 
-// A relay that is behind the beginning of a snapshot can't continue it.
+// A relay whose copy is behind the start of a paged snapshot can't continue the snapshot.
 func TestSnapshotDoesNotContinueAtRelayBehind(t *testing.T) {
 	log, behindRelay := newLog(testLimits()), NewState(testLimits())
 	for n := range 4 {
@@ -222,43 +222,43 @@
 	query.Bytes = 1
 	page, err := log.Read(query)
 	if err != nil || !page.More {
-		t.Fatalf("%+v, %v", page, err)
+		t.Fatalf("Read of the first page = %+v, %v; want more pages", page, err)
 	}
 	if _, err := reader.Take(page); err != nil {
 		t.Fatal(err)
 	}
 	if page, err := behindRelay.Read(reader.Query(Revision{}, &interest)); !isAhead(err) {
-		t.Errorf("%+v, %v", page, err)
+		t.Errorf("Read at the relay that is behind = %+v, %v; want an AheadError", page, err)
 	}
 }
 
 func TestReadAheadOfState(t *testing.T) {
 	log := newLog(testLimits())
 	if _, err := log.Read(Query{After: Revision{1, 1}}); !isAhead(err) {
-		t.Error(err)
+		t.Errorf("Read after a revision that the log does not have: got error %v, want an AheadError", err)
 	}
 }
 
-func TestConcernedFindsLatest(t *testing.T) {
+func TestLatestChange(t *testing.T) {
 	log := newLog(testLimits())
 	publish(t, log, put("a", "x", content(1)))
-	left := publish(t, log, put("a", "y", content(1)))
+	rescoped := publish(t, log, put("a", "y", content(1)))
 	publish(t, log, put("b", "y", content(1)))
 	revision, ok := log.LatestChange(Revision{1, 0}, interestIn("h", "x"))
-	if !ok || revision != left.Revision {
-		t.Errorf("%v, %v", revision, ok)
+	if !ok || revision != rescoped.Revision {
+		t.Errorf("LatestChange = %v, %v; want %v, the change that removed the resource from the interest", revision, ok, rescoped.Revision)
 	}
-	if revision, ok := log.LatestChange(left.Revision, interestIn("h", "x")); ok {
-		t.Errorf("%v", revision)
+	if revision, ok := log.LatestChange(rescoped.Revision, interestIn("h", "x")); ok {
+		t.Errorf("LatestChange after the last change in the interest = %v, want none", revision)
 	}
 }
 
-// Every state can be restored from its batches, and losing the last batch is equivalent to not
-// making its step.
+// Every state can be restored from its batches, and the loss of the last batch restores the state
+// before its step.
 func TestRestoreAfterEveryBatch(t *testing.T) {
 	limits := Limits{Resources: 10, History: 4}
 	log, store := NewState(limits), newDisk()
-	do := func(next *Step, err error) {
+	apply := func(next *Step, err error) {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
@@ -276,39 +276,39 @@
 		}
 		requireSameState(t, log, after)
 		if log.compacted != after.compacted || !slices.EqualFunc(log.history, after.history, sameChange) {
-			t.Fatalf("history\n%v\nwant\n%v", after.history, log.history)
+			t.Fatalf("restored history\n%v\nwant\n%v", after.history, log.history)
 		}
 	}
 	propose := func(change Put) {
 		t.Helper()
 		_, next, err := log.Propose(testTime, log.Revision().Epoch, change)
-		do(next, err)
+		apply(next, err)
 	}
-	do(log.Promote(1), nil)
+	apply(log.Promote(1), nil)
 	for n := range 6 {
 		propose(put(fmt.Sprintf("r%d", n%3), []string{"x", "y"}[n%2], content(n)))
 	}
 	propose(remove("r1"))
-	do(log.Promote(2), nil)
+	apply(log.Promote(2), nil)
 	propose(put("r1", "x", content(3)))
 
-	other := newLog(testLimits())
-	other.Apply(other.Promote(3))
-	publish(t, other, put("r2", "x", content(3)))
-	snapshot, err := other.Read(Query{})
+	otherLog := newLog(testLimits())
+	otherLog.Apply(otherLog.Promote(3))
+	publish(t, otherLog, put("r2", "x", content(3)))
+	snapshot, err := otherLog.Read(Query{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	do(log.PrepareUpdate(snapshot))
-	publish(t, other, remove("r2"))
-	publish(t, other, put("r3", "x", content(3)))
-	delta, err := other.Read(Query{After: log.Revision()})
+	apply(log.PrepareUpdate(snapshot))
+	publish(t, otherLog, remove("r2"))
+	publish(t, otherLog, put("r3", "x", content(3)))
+	delta, err := otherLog.Read(Query{After: log.Revision()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	do(log.PrepareUpdate(delta))
+	apply(log.PrepareUpdate(delta))
 	if keys := len(store.entries); keys != len(log.resources)+len(log.history)+1 {
-		t.Errorf("%d entries for %d resources and %d changes", keys, len(log.resources), len(log.history))
+		t.Errorf("store has %d entries for %d resources and %d changes, want one more than both", keys, len(log.resources), len(log.history))
 	}
 }
 
@@ -327,20 +327,20 @@
 	for key := range store.entries {
 		for _, value := range []string{"", "[]", `{"name":"b"}`} {
 			if key == revisionKey && value != "" && value != "[]" || strings.HasPrefix(key, changePrefix) && value == `{"name":"b"}` {
-				continue // it is a row of that kind
+				continue // the value is a valid entry of this kind
 			}
-			rows := store.all()
-			for n := range rows {
-				if rows[n].Key == key {
-					rows[n].Value = []byte(value)
+			entries := store.all()
+			for n := range entries {
+				if entries[n].Key == key {
+					entries[n].Value = []byte(value)
 				}
 			}
-			if _, err := Restore(testLimits(), rows); err == nil || !strings.Contains(err.Error(), key) {
-				t.Errorf("%s=%q: %v", key, value, err)
+			if _, err := Restore(testLimits(), entries); err == nil || !strings.Contains(err.Error(), key) {
+				t.Errorf("Restore with the entry %s = %q: got error %v, want one that names the key", key, value, err)
 			}
 		}
 	}
 	if _, err := Restore(testLimits(), append(store.all(), Entry{Key: "other", Value: nil})); err != nil {
-		t.Errorf("an entry with an unknown key: %v", err)
+		t.Errorf("Restore with an entry of an unknown key: %v", err)
 	}
 }
