--- a/internal/fleet/distribution/applier_test.go
+++ b/internal/fleet/distribution/applier_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// testCoalesce is the coalescing delay of the tested appliers.
 const testCoalesce = 2 * time.Second
 
 // version returns a resource at revision 1.number, with content that no other number has.
--- a/internal/fleet/distribution/choose_test.go
+++ b/internal/fleet/distribution/choose_test.go
@@ -100,19 +100,19 @@
 	relays := testRelays(true)
 	for n := range 500 {
 		chooser := NewChooser(hostName(n), hostRegion(n), hostZone(n), relays)
-		distance := 0
+		previousDistance := 0
 		for _, relay := range chooser.order {
-			at := 2
+			distance := 2 // neither in the host's region nor in its zone
 			switch {
 			case relay.Zone == hostZone(n):
-				at = 0
+				distance = 0
 			case relay.Region == hostRegion(n):
-				at = 1
+				distance = 1
 			}
-			if at < distance {
+			if distance < previousDistance {
 				t.Fatalf("host %d: order of relays is %v, want its zone first, then its region", n, chooser.order)
 			}
-			distance = at
+			previousDistance = distance
 		}
 	}
 }
--- a/internal/fleet/distribution/errors.go
+++ b/internal/fleet/distribution/errors.go
@@ -59,7 +59,7 @@
 	return "remove resources that are no longer needed, or merge small ones"
 }
 
-// FencedError reports a writer or a copy whose epoch is lower than one that is known.
+// FencedError reports that a writer's epoch, or that of an update, is lower than the highest known one.
 type FencedError struct {
 	Epoch, Known int64  // the rejected epoch, and the highest known one
 	Writer       string // of the epoch Known; "" if unknown
--- a/internal/fleet/distribution/fuzz_test.go
+++ b/internal/fleet/distribution/fuzz_test.go
@@ -129,9 +129,9 @@
 	limits := Limits{Resources: 2, History: 2}
 	reader := NewReader(limits)
 	for range 3 {
-		complete, err := reader.Take(update)
+		complete, err := reader.AddPage(update)
 		if complete != nil && (err != nil || len(complete.Resources) > 2*(limits.Resources+limits.History)) {
-			t.Fatalf("Take returned an update of %d resources with the error %v, want no error and at most %d resources", len(complete.Resources), err, 2*(limits.Resources+limits.History))
+			t.Fatalf("AddPage returned an update of %d resources with the error %v, want no error and at most %d resources", len(complete.Resources), err, 2*(limits.Resources+limits.History))
 		}
 		reader.Query(Revision{}, nil)
 	}
--- a/internal/fleet/distribution/helpers_test.go
+++ b/internal/fleet/distribution/helpers_test.go
@@ -102,9 +102,9 @@
 		if err != nil {
 			t.Fatalf("State.Read of the changes after %v: %v", query.After, err)
 		}
-		complete, err := reader.Take(page)
+		complete, err := reader.AddPage(page)
 		if err != nil {
-			t.Fatalf("Reader.Take of the page up to %v: %v", page.Revision, err)
+			t.Fatalf("Reader.AddPage of the page up to %v: %v", page.Revision, err)
 		}
 		if complete != nil {
 			return *complete
--- a/internal/fleet/distribution/model_check_test.go
+++ b/internal/fleet/distribution/model_check_test.go
@@ -85,9 +85,9 @@
 
 // matching returns the resources that apply to an instance, in merge order.
 func matching(state *State, host string, labels map[string]string) []Resource {
-	matching := slices.DeleteFunc(state.Resources(), func(r Resource) bool { return !r.Scope.Matches(r.Name, host, labels) })
-	sortInMergeOrder(matching)
-	return matching
+	resources := slices.DeleteFunc(state.Resources(), func(r Resource) bool { return !r.Scope.Matches(r.Name, host, labels) })
+	sortInMergeOrder(resources)
+	return resources
 }
 
 // checkConverged requires that all copies are at the writer's state, and that the writer's registry
@@ -97,15 +97,15 @@
 	want := counts{hosts: len(m.subscribers)}
 	for _, s := range m.subscribers {
 		requireReplica(m.t, state, s.replica, s.interest)
-		rejected := false
+		anyRejected := false
 		for _, instance := range s.instances {
 			wanted := matching(state, s.interest.Host, instance.labels)
 			if have := s.replica.For(s.interest.Host, instance.labels); !slices.EqualFunc(have, wanted, sameResource) {
 				m.t.Fatalf("replica of subscriber %s has the resources %v for an instance, want %v", s.interest.Host, versions(have), versions(wanted))
 			}
-			rejected = m.checkSettled(instance, wanted) || rejected
+			anyRejected = m.checkSettled(instance, wanted) || anyRejected
 		}
-		if rejected {
+		if anyRejected {
 			want.rejected++
 		} else {
 			want.inForce++
--- a/internal/fleet/distribution/model_server_test.go
+++ b/internal/fleet/distribution/model_server_test.go
@@ -16,7 +16,7 @@
 	previous *disk // the disk before the last batch
 	epoch    int64 // the epoch that the server writes in; 0 if it was never the writer
 	registry *Registry
-	reached  Revision // the state must not go back before this revision
+	reached  Revision // latest revision since the last restart; the state must not go back before it
 }
 
 // applyOrRestart writes and applies a server's step, or restarts the server before or after the write.
--- a/internal/fleet/distribution/model_subscriber_test.go
+++ b/internal/fleet/distribution/model_subscriber_test.go
@@ -20,7 +20,7 @@
 	session   int64
 	applied   Revision // HostState.Applied of the last report
 	instances []*modelInstance
-	reached   Revision // the replica must not go back before this revision
+	reached   Revision // latest revision since the last restart; the replica must not go back before it
 	epoch     int64    // the highest epoch that the replica has had
 }
 
--- a/internal/fleet/distribution/model_test.go
+++ b/internal/fleet/distribution/model_test.go
@@ -18,7 +18,7 @@
 const (
 	modelServers     = 4 // the writer and three relays
 	modelSubscribers = 4
-	modelEpochs      = 4 // promotions, with the first writer's
+	modelEpochs      = 4 // the highest epoch; epoch 1 is that of the first writer
 	modelInbox       = 4 // number of earlier pages that may arrive late
 )
 
@@ -38,7 +38,7 @@
 	epoch       int64 // of the writer
 	session     int64 // the latest of all subscribers
 	subscribers []*modelSubscriber
-	published   map[Revision]Resource // every change of every log
+	published   map[Revision]Resource // every change of every log, by its revision
 }
 
 // link delivers pages to a copy: some are lost, repeated or late.
@@ -115,7 +115,7 @@
 	resource, next, err := s.state.Propose(m.now, s.epoch, change)
 	switch {
 	case fenced != isFenced(err):
-		m.t.Fatalf("Propose at %s in epoch %d of a log at %v: got error %v, want a FencedError only after a later epoch", s.name, s.epoch, s.state.Revision(), err)
+		m.t.Fatalf("Propose at %s in epoch %d of a log at %v: got error %v, want a FencedError exactly if the log is in a later epoch", s.name, s.epoch, s.state.Revision(), err)
 	case fenced, isLimit(err) && len(s.state.resources) == m.limits.Resources && !exists:
 		return
 	case isInvalid(err) && change.Remove && !exists:
@@ -179,9 +179,9 @@
 			page = l.inbox[rapid.IntRange(0, len(l.inbox)-1).Draw(m.t, "which")]
 		}
 	}
-	complete, err := l.reader.Take(m.encodeAndDecode(page))
+	complete, err := l.reader.AddPage(m.encodeAndDecode(page))
 	if err != nil && !isLimit(err) {
-		m.t.Fatalf("Reader.Take: got error %v, want only a LimitError", err)
+		m.t.Fatalf("Reader.AddPage: got error %v, want only a LimitError", err)
 	}
 	return complete
 }
@@ -365,9 +365,9 @@
 }
 
 // TestFleetConverges checks the package's guarantees: whatever messages are lost, repeated or late, and
-// whichever servers are restarted or promoted, a copy never goes back to an earlier revision, never
-// contains a change that no log wrote, and converges to the writer's state once it reaches the writer
-// through a relay.
+// whichever servers are restarted or promoted, a copy never goes back to an earlier revision while it
+// runs, never contains a change that no log wrote, and converges to the writer's state once it reaches
+// the writer through a relay.
 func TestFleetConverges(t *testing.T) {
 	t.Parallel()
 	limit := 200
--- a/internal/fleet/distribution/node/relay_loops.go
+++ b/internal/fleet/distribution/node/relay_loops.go
@@ -128,7 +128,7 @@
 	if err := call(r.ctx, conn, watchWait+watchSlack, api.SettingsFollow, in, &out); err != nil {
 		return err
 	}
-	complete, err := reader.Take(out.Update)
+	complete, err := reader.AddPage(out.Update)
 	if err != nil || complete == nil {
 		return err
 	}
--- a/internal/fleet/distribution/node/subscriber.go
+++ b/internal/fleet/distribution/node/subscriber.go
@@ -68,14 +68,15 @@
 		}
 		err := s.followRelay(ctx, relay)
 		if err == nil || ctx.Err() != nil {
-			continue // without an error: a preferred relay is available again
+			continue // a nil error means that a preferred relay is available again
 		}
 		s.chooser.Failed(time.Now(), relay.Name)
 		s.recordFailure(err)
 	}
 }
 
-// recordFailure records a failed relay, and logs when all relays have failed in a row.
+// recordFailure records a failed relay. It logs once when there were as many consecutive failures as
+// there are relays.
 func (s *Subscriber) recordFailure(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +176,7 @@
 	if err := call(ctx, conn, watchWait+watchSlack, api.SettingsWatch, in, &out); err != nil {
 		return err
 	}
-	complete, err := reader.Take(out.Update)
+	complete, err := reader.AddPage(out.Update)
 	if err != nil || complete == nil {
 		return err
 	}
--- a/internal/fleet/distribution/persistence.go
+++ b/internal/fleet/distribution/persistence.go
@@ -47,6 +47,7 @@
 	return Entry{Key: key, Value: data}
 }
 
+// resourceEntry returns the entry that stores a resource.
 func resourceEntry(r *Resource) Entry { return newEntry(resourcePrefix+r.Name, r) }
 
 // Restore returns the State in the stored entries. Entries with unknown keys are ignored. An entry
--- a/internal/fleet/distribution/reader.go
+++ b/internal/fleet/distribution/reader.go
@@ -21,7 +21,8 @@
 // NewReader returns a Reader with limits on what it assembles.
 func NewReader(limits Limits) *Reader { return &Reader{limits: limits} }
 
-// Reset discards the pages received so far. It is called when the reader changes to another relay.
+// Reset discards the pages received so far, so that the next query requests a new update. Without it
+// a snapshot that was begun at one relay is continued at the next one.
 func (r *Reader) Reset() { r.assembly = nil }
 
 // Query returns the next query for a copy that holds the given revision.
@@ -33,10 +34,10 @@
 	return query
 }
 
-// Take adds a page, and returns the update once it is complete. A page of a snapshot that is not
+// AddPage adds a page, and returns the update once it is complete. A page of a snapshot that is not
 // the expected one arrived late: it is ignored, and the expected page is requested again. The error
 // is a *LimitError and discards the pages received so far.
-func (r *Reader) Take(page Update) (complete *Update, err error) {
+func (r *Reader) AddPage(page Update) (complete *Update, err error) {
 	switch {
 	case r.assembly != nil && r.assembly.continuedBy(&page):
 	case page.Snapshot && !page.After.IsZero():
--- a/internal/fleet/distribution/reader_test.go
+++ b/internal/fleet/distribution/reader_test.go
@@ -21,7 +21,7 @@
 		copied := page
 		copied.Resources = slices.Clone(page.Resources)
 		pages = append(pages, copied)
-		if complete, err := reader.Take(page); err != nil || complete != nil {
+		if complete, err := reader.AddPage(page); err != nil || complete != nil {
 			return pages
 		}
 	}
@@ -44,12 +44,12 @@
 	pages := pagesOf(t, log, &interest)
 	reader := NewReader(testLimits())
 	for _, n := range []int{0, 2} {
-		if complete, err := reader.Take(pages[n]); complete != nil || err != nil {
-			t.Fatalf("Take of page %d = %v, %v; want no update yet", n, complete, err)
+		if complete, err := reader.AddPage(pages[n]); complete != nil || err != nil {
+			t.Fatalf("AddPage of page %d = %v, %v; want no update yet", n, complete, err)
 		}
 	}
-	if complete, err := reader.Take(pages[3]); complete != nil || err != nil {
-		t.Fatalf("Take of the last page after a gap = %+v, %v; want no update", complete, err)
+	if complete, err := reader.AddPage(pages[3]); complete != nil || err != nil {
+		t.Fatalf("AddPage of the last page after a gap = %+v, %v; want no update", complete, err)
 	}
 	replica := NewReplica(interest)
 	complete := readComplete(t, log, reader, replica.Revision(), &interest, 1, nil)
@@ -64,8 +64,8 @@
 	log := snapshotLog(t)
 	pages := pagesOf(t, log, nil)
 	reader := NewReader(testLimits())
-	if complete, err := reader.Take(pages[len(pages)-1]); complete != nil || err != nil {
-		t.Fatalf("Take of only the last page = %+v, %v; want no update", complete, err)
+	if complete, err := reader.AddPage(pages[len(pages)-1]); complete != nil || err != nil {
+		t.Fatalf("AddPage of only the last page = %+v, %v; want no update", complete, err)
 	}
 }
 
@@ -78,9 +78,9 @@
 		for range 2 {
 			page := page
 			page.Resources = slices.Clone(page.Resources)
-			got, err := reader.Take(page)
+			got, err := reader.AddPage(page)
 			if err != nil {
-				t.Fatalf("Take of a repeated page: %v", err)
+				t.Fatalf("AddPage of a repeated page: %v", err)
 			}
 			if got != nil && complete == nil {
 				complete = got
@@ -112,10 +112,10 @@
 			if readErr != nil {
 				t.Fatal(readErr)
 			}
-			_, err = reader.Take(page)
+			_, err = reader.AddPage(page)
 		}
 		if !isLimit(err) {
-			t.Errorf("Take of more resources than the limits allow (%s): got error %v, want a LimitError", name, err)
+			t.Errorf("AddPage of more resources than the limits allow (%s): got error %v, want a LimitError", name, err)
 		}
 		if query := reader.Query(Revision{}, nil); !query.Began.IsZero() || !query.After.IsZero() {
 			t.Errorf("next query after a LimitError (%s) = %+v, want the start of a new update", name, query)
--- a/internal/fleet/distribution/registry.go
+++ b/internal/fleet/distribution/registry.go
@@ -23,14 +23,14 @@
 // Registry tracks the progress of hosts: a relay's own subscribers and, at the writer, the hosts of
 // all relays. A Registry is not safe for concurrent use.
 type Registry struct {
-	relay     string              // name of this relay
-	limit     int                 // maximum number of own subscribers
-	present   int                 // number of own subscribers that are present
-	position  Revision            // revision of the relay's own copy
-	reported  Revision            // position at the last call of PositionChanged
-	positions map[string]Revision // of other relays
-	hosts     map[string]*hostRecord
-	dirty     map[string]bool // own subscribers whose report has changed since Reports returned it
+	relay     string                 // name of this relay
+	limit     int                    // maximum number of own subscribers
+	present   int                    // number of own subscribers that are present
+	position  Revision               // revision of the relay's own copy
+	reported  Revision               // position at the last call of PositionChanged
+	positions map[string]Revision    // of other relays, by relay name
+	hosts     map[string]*hostRecord // by host name
+	dirty     map[string]bool        // own subscribers whose report has changed since Reports returned it
 }
 
 // NewRegistry returns an empty Registry of the named relay. limit is the maximum number of its
--- a/internal/fleet/distribution/revision_test.go
+++ b/internal/fleet/distribution/revision_test.go
@@ -14,7 +14,7 @@
 		t.Errorf("revisions sorted by Compare: %v, want %v", have, want)
 	}
 	if !want[4].After(want[3]) || want[3].After(want[3]) || !want[0].IsZero() || want[1].IsZero() {
-		t.Error("After or IsZero is wrong for one of the revisions 2.3, 1.9, 1.0 and 0.0")
+		t.Error("After or IsZero is wrong for one of the revisions 2.3, 1.9, 0.7 and 0.0")
 	}
 }
 
--- a/internal/fleet/distribution/state.go
+++ b/internal/fleet/distribution/state.go
@@ -90,8 +90,10 @@
 	return slices.SortedFunc(maps.Values(s.resources), compareNames)
 }
 
+// compareNames orders resources by name.
 func compareNames(x, y Resource) int { return strings.Compare(x.Name, y.Name) }
 
+// compareRevisions orders resources by revision, then by name.
 func compareRevisions(x, y Resource) int {
 	return cmp.Or(x.Revision.Compare(y.Revision), strings.Compare(x.Name, y.Name))
 }
--- a/internal/fleet/distribution/state_test.go
+++ b/internal/fleet/distribution/state_test.go
@@ -224,7 +224,7 @@
 	if err != nil || !page.More {
 		t.Fatalf("Read of the first page = %+v, %v; want more pages", page, err)
 	}
-	if _, err := reader.Take(page); err != nil {
+	if _, err := reader.AddPage(page); err != nil {
 		t.Fatal(err)
 	}
 	if page, err := behindRelay.Read(reader.Query(Revision{}, &interest)); !isAhead(err) {
@@ -261,7 +261,7 @@
 	apply := func(next *Step, err error) {
 		t.Helper()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("preparing a step: %v", err)
 		}
 		before, err := Restore(limits, store.all())
 		if err != nil {
--- a/internal/fleet/distribution/status.go
+++ b/internal/fleet/distribution/status.go
@@ -11,10 +11,10 @@
 	Revision    Revision `msgpack:"revision" json:"revision"` // as requested, or the latest
 	Latest      Revision `msgpack:"latest" json:"latest"`     // latest revision at the relay that answers
 	Hosts       int      `msgpack:"hosts" json:"hosts"`       // all known hosts
-	InForce     int      `msgpack:"in_force" json:"in_force"` // hosts where it is in force at all instances in its scope
+	InForce     int      `msgpack:"in_force" json:"in_force"` // hosts with the revision in force at all of their instances in its scope
 	Rejected    int      `msgpack:"refused" json:"refused"`   // an instance rejected a change; its last accepted settings are in force
 	Behind      int      `msgpack:"behind" json:"behind"`     // connected, and not yet at the revision
-	Unavailable int      `msgpack:"away" json:"away"`         // not connected, and not at the revision in the last report
+	Unavailable int      `msgpack:"away" json:"away"`         // not connected, and not at the revision according to the last report
 	// Missing lists some of the hosts where the revision is not in force, those with rejections
 	// first.
 	Missing []HostReport `msgpack:"missing,omitempty" json:"missing,omitempty"`
