--- a/internal/fleet/distribution/model_server_test.go
+++ b/internal/fleet/distribution/model_server_test.go
@@ -13,29 +13,30 @@
 	name     string
 	state    *State
 	disk     *disk
-	previous *disk // without the last batch
-	epoch    int64 // that it writes in; 0 if it was never the writer
+	previous *disk // the disk before the last batch
+	epoch    int64 // the epoch that the server writes in; 0 if it was never the writer
 	registry *Registry
-	floor    Revision
+	reached  Revision // latest revision since the last restart; the state must not go back before it
 }
 
-// make writes and applies a server's step, or restarts the server before or after the write.
-func (m *model) make(s *modelServer, next *Step) {
-	end := ""
-	if m.oneIn(10, "ends") {
-		end = rapid.SampledFrom([]string{"before the write", "after the write"}).Draw(m.t, "end")
+// applyOrRestart writes and applies a server's step, or restarts the server before or after the write.
+func (m *model) applyOrRestart(s *modelServer, next *Step) {
+	restart := ""
+	if m.oneIn(10, "restart") {
+		restart = rapid.SampledFrom([]string{"before the write", "after the write"}).Draw(m.t, "when")
 	}
-	if end != "before the write" {
+	if restart != "before the write" {
 		s.write(next)
 	}
-	if end != "" {
+	if restart != "" {
 		m.restart(s)
 		return
 	}
-	s.state.Make(next)
+	s.state.Apply(next)
 	s.registry.Advance(s.state)
 }
 
+// write writes a step's batch to the server's disk.
 func (s *modelServer) write(next *Step) {
 	s.previous = &disk{entries: maps.Clone(s.disk.entries)}
 	s.disk.write(next.Batch())
@@ -45,9 +46,9 @@
 func (m *model) restart(s *modelServer) {
 	state, err := Restore(m.limits, s.disk.all())
 	if err != nil {
-		m.t.Fatalf("%s: %v", s.name, err)
+		m.t.Fatalf("Restore of %s: %v", s.name, err)
 	}
-	s.state, s.link, s.floor = state, newLink(m.limits), state.Revision()
+	s.state, s.link, s.reached = state, newLink(m.limits), state.Revision()
 	s.registry = NewRegistry(s.name, 100)
 	s.registry.Advance(state)
 	for _, subscriber := range m.subscribers {
@@ -56,16 +57,16 @@
 		}
 	}
 	if s != m.servers[m.writer] {
-		m.servers[m.writer].registry.Lost(m.now, s.name)
+		m.servers[m.writer].registry.RelayLost(m.now, s.name)
 	}
 }
 
-// promote makes a server the writer.
+// promote makes a server the writer of the model's epoch.
 func (m *model) promote(s *modelServer) {
 	s.epoch = m.epoch
 	next := s.state.Promote(m.epoch)
 	s.write(next)
-	s.state.Make(next)
+	s.state.Apply(next)
 	s.registry.Advance(s.state)
 	m.writer = slices.Index(m.servers, s)
 }
