--- a/internal/fleet/canary/aggregate.go
+++ b/internal/fleet/canary/aggregate.go
@@ -1,9 +1,10 @@
 package canary
 
-// The phases of a change: the slots before Config.Start, and those from it on.
+// The phases of a change, as indices. A rate of the history phase is what is usual for an
+// instance; a rate of the present phase is compared with it.
 const (
-	history = iota
-	present
+	history = iota // slots before Config.Start
+	present        // slots from Config.Start on
 	phases
 )
 
@@ -11,29 +12,29 @@
 type arm uint8
 
 const (
-	armUnknown   arm = iota // no window of it has come
-	armUnchanged            // it has not run the change so far
-	armChanged              // it has run the change since one of its windows
-	armReverted             // it ran the change and runs the base release again: on neither side
+	armUnknown   arm = iota // no window of the instance has been added up
+	armUnchanged            // the instance has not run the change so far
+	armChanged              // the instance runs the change
+	armReverted             // the instance ran the change and runs the base release again: it is on neither side
 )
 
-// totals are the sums of one instance in one cell, by phase: its events and exposure,
-// the sum of the squared weights in the exposure, and the events expected by the rate
-// of the unchanged instances of its zone in the same slots.
+// totals are the sums of one instance in one cell, by phase: the events and the exposure of
+// the instance, the sum of the squared weights in the exposure, and the number of events
+// expected from the rate of the unchanged instances of the same zone in the same slots.
 type totals struct{ events, exposure, squares, expected [phases]float64 }
 
-// historyPriorEvents is the number of events, at the rate of the instances of its zone, that
-// are added to an instance's past. An instance with few events of its own thereby counts
-// as similar to the others.
+// historyPriorEvents is the number of events, at the rate of the zone, that are added to the
+// history of each instance as a prior. An instance with few events of its own is thereby
+// assumed to be similar to the other instances of its zone.
 const historyPriorEvents = 3.0
 
-// priorEvents is historyPriorEvents in units of the weighted exposure.
+// priorEvents is historyPriorEvents in weighted events, as the totals count them.
 func (s *totals) priorEvents() float64 {
 	return historyPriorEvents * s.squares[history] / s.exposure[history]
 }
 
-// historyFactor is the instance's rate in the past as a multiple of the rate of the unchanged
-// instances of its zone.
+// historyFactor is the rate of the instance in its history, as a multiple of the rate of the
+// unchanged instances of its zone; 1 if the instance has no history.
 func (s *totals) historyFactor() float64 {
 	if s.exposure[history] <= 0 {
 		return 1
@@ -41,7 +42,7 @@
 	return (s.events[history] + s.priorEvents()) / (s.expected[history] + s.priorEvents())
 }
 
-// merged is the totals with both phases counted as the past.
+// merged returns the totals with both phases counted as history.
 func (s *totals) merged() totals {
 	return totals{
 		events:   [phases]float64{s.events[history] + s.events[present]},
@@ -51,11 +52,11 @@
 	}
 }
 
-// noise compares the variance of the unchanged instances' windows with the variance that
-// chance alone causes.
+// noise holds the squared deviations of the unchanged instances' windows from their expected
+// values, and the sum of the variances that chance alone would cause.
 type noise struct{ observed, byChance float64 }
 
-// factor is the observed variance as a multiple of that by chance, at least 1.
+// factor is the observed variance as a multiple of the variance by chance, at least 1.
 func (o noise) factor() float64 {
 	if o.byChance <= 0 {
 		return 1
@@ -63,7 +64,8 @@
 	return max(1, o.observed/o.byChance)
 }
 
-// aggregate adds up all slots before the given one.
+// aggregate adds the slots before the given one to the sums, each slot once and in
+// ascending order.
 func (j *Judge) aggregate(before int) {
 	for ; j.aggregatedSlots < min(before, len(j.slots)); j.aggregatedSlots++ {
 		slot, phase := j.slots[j.aggregatedSlots], history
@@ -78,8 +80,8 @@
 	}
 }
 
-// assignArms updates the arm of each instance with a window in the slot, and adds the
-// values of its gauges.
+// assignArms updates the arm of each instance that has a window in the slot, and adds the
+// gauges of the window.
 func (j *Judge) assignArms(slot []*storedWindow, phase int) {
 	unchangedInZone := make([]int, len(j.zoneNames))
 	for i, stored := range slot {
@@ -101,7 +103,8 @@
 	}
 }
 
-// assignArm updates an instance's arm by the release of a window of it.
+// assignArm updates the arm of an instance after its next window. isChange reports whether
+// the instance ran the change in that window.
 func (j *Judge) assignArm(i int, isChange bool) {
 	switch {
 	case isChange && j.arms[i] != armReverted:
@@ -116,8 +119,9 @@
 	}
 }
 
-// markChanged moves an instance to the changed arm: all that it has counted so far becomes
-// its past. Its totals as an unchanged instance remain in evidence.
+// markChanged prepares the totals of an instance for the changed arm: all that the instance
+// has counted so far becomes its history. The totals from its time as an unchanged instance
+// are kept, since they remain part of the evidence.
 func (j *Judge) markChanged(i int) {
 	for k := range j.cells {
 		s := &j.totals[k][i]
@@ -126,8 +130,8 @@
 	}
 }
 
-// addGauges adds the gauges of a window. Those of an unchanged instance count in the
-// present only, and those of a young process do not count.
+// addGauges adds the gauges of a window. The gauges of an unchanged instance count in the
+// present phase only; the gauges of a process younger than Config.Settle do not count.
 func (j *Judge) addGauges(i int, stored *storedWindow, phase int) {
 	w := &stored.window
 	side := unchangedSide
@@ -141,17 +145,17 @@
 	}
 }
 
-// The sides of the comparison, as indices.
+// The two sides of the comparison, as indices.
 const (
 	unchangedSide = iota
 	changedSide
 	sides
 )
 
-// bytesPerMiB converts resident memory to the unit of its margin.
+// bytesPerMiB converts resident memory to MiB, the unit of the margin of Memory.
 const bytesPerMiB = 1 << 20
 
-// addSlot adds a slot to the totals of one cell.
+// addSlot adds the windows of a slot to the totals and the noise of cell k.
 func (j *Judge) addSlot(k int, slot []*storedWindow, phase int) {
 	c := &j.cells[k]
 	pools := j.poolUnchanged(k, slot, phase)
@@ -179,8 +183,8 @@
 	}
 }
 
-// poolUnchanged adds up the unchanged instances of a slot by zone, and adds their rate to
-// the baseline level of the cell.
+// poolUnchanged adds up the unchanged instances of a slot by zone. It also adds their rate,
+// over all zones, to the baseline level of cell k.
 func (j *Judge) poolUnchanged(k int, slot []*storedWindow, phase int) []pool {
 	c, pools := &j.cells[k], make([]pool, len(j.zoneNames))
 	var events, exposure float64
@@ -203,8 +207,8 @@
 }
 
 // add compares a window of an unchanged instance with the other unchanged instances of its
-// zone. The window itself is left out of their rate, since its events would otherwise
-// hide in it. factor is the instance's usual factor.
+// zone, whose sums are p. The window itself is subtracted from p, since it would otherwise
+// be compared with itself in part. factor is the usual factor of the instance.
 func (o *noise) add(c *cell, r reading, p *pool, factor float64) {
 	rest := p.weightedExposure - r.exposure*factor
 	if rest <= 0 {
--- a/internal/fleet/canary/baseline.go
+++ b/internal/fleet/canary/baseline.go
@@ -1,16 +1,16 @@
 package canary
 
-// pool is the sums of the unchanged instances of a zone in a slot.
+// pool holds the sums of the unchanged instances of one zone in one slot.
 type pool struct {
 	events, exposure, squares float64
-	weightedExposure          float64 // exposure, each instance's multiplied by its usual factor
+	weightedExposure          float64 // sum of each instance's exposure times its usual factor
 }
 
-// freezeBaseline fixes, at the first slot of the present, each instance's usual factor:
-// its rate so far as a multiple of the rate of its zone. From then on the rate of the
-// unchanged instances is corrected by the factors of those that remain unchanged.
-// Otherwise a zone would look better merely because its worst instances are changed
-// first.
+// freezeBaseline fixes the usual factor of each instance: its rate so far as a multiple of
+// the rate of its zone. The first call, before the first slot of the present phase, sets the
+// factors; later calls do nothing. From then on the rate of the unchanged instances is
+// corrected by the factors of the instances that remain unchanged. Otherwise a zone would
+// look better merely because its worst instances are changed first.
 func (j *Judge) freezeBaseline() {
 	if j.usualFactor != nil {
 		return
@@ -20,7 +20,8 @@
 		j.baseRate[k] = j.historyRateByZone(k)
 		j.usualFactor[k] = make([]float64, len(j.zoneOf))
 		for i := range j.usualFactor[k] {
-			// Without prior events: over a zone, the factors must add up to its events.
+			// No prior events are added here: the expected events of a zone, multiplied by
+			// the factors, must add up to the observed events of the zone.
 			j.usualFactor[k][i] = 1
 			if s := &j.totals[k][i]; s.expected[history] > 0 {
 				j.usualFactor[k][i] = s.events[history] / s.expected[history]
@@ -29,8 +30,8 @@
 	}
 }
 
-// historyRateByZone is the rate of all instances of each zone in the past, 0 where there was
-// no exposure.
+// historyRateByZone returns, by zone, the rate of all instances in the history phase, 0 where
+// there was no exposure.
 func (j *Judge) historyRateByZone(k int) []float64 {
 	rate := make([]float64, len(j.zoneNames))
 	exposure := make([]float64, len(j.zoneNames))
@@ -46,16 +47,17 @@
 	return rate
 }
 
-// slotPriorEvents is the number of events, at the zone's past rate, that are added to those
-// of a zone's slot.
+// slotPriorEvents is the number of events, at the history rate of the zone, that are added
+// as a prior to the events of a zone in one slot.
 const slotPriorEvents = 0.5
 
-// expectedRate is the rate that the unchanged instances of a zone lead one to expect of an
-// instance with a usual factor of 1 in the same slot. In the present it is the zone's
-// past rate, scaled by how many times as many events the slot has as expected; with few
-// events the scale stays near 1. A zone without any event in its past gives no scale:
-// there the expected rate is 0 and changed and unchanged instances are compared as they
-// are.
+// expectedRate is the rate expected of an instance with a usual factor of 1, given the
+// unchanged instances of the same zone and slot, whose sums are p. In the history phase it
+// is their rate. In the present phase it is the history rate of the zone times a scale: the
+// events of the slot divided by the events expected from the history rate. With few events
+// the scale stays near 1. For a zone without any event in its history there is no scale:
+// the expected rate is 0, and the rates of changed and unchanged instances are compared
+// directly.
 func (j *Judge) expectedRate(cell, zone int, p *pool) float64 {
 	if j.usualFactor == nil {
 		return p.events / p.exposure
@@ -64,7 +66,7 @@
 	return base * (p.events + prior) / (p.weightedExposure*base + prior)
 }
 
-// factorOf is an instance's usual factor in a cell, 1 in the past.
+// factorOf is the usual factor of an instance in a cell; 1 in the history phase.
 func (j *Judge) factorOf(cell, instance int) float64 {
 	if j.usualFactor == nil {
 		return 1
--- a/internal/fleet/canary/cell.go
+++ b/internal/fleet/canary/cell.go
@@ -1,22 +1,23 @@
 package canary
 
-// cell is a measure of a class of requests that is counted for each instance as events
-// and exposure.
+// cell is one measure of one class of requests. For each instance it is counted as events
+// and exposure, such as failed requests and all requests; its rate is events divided by
+// exposure.
 type cell struct {
 	measure Measure
 	class   int  // allClasses, or an index into Config.Classes
-	poisson bool // events per unit of exposure, rather than a fraction of it
+	poisson bool // true: events are a Poisson count and may exceed the exposure; false: a fraction of it
 	read    func(w *Window) reading
 }
 
 // allClasses is the class of a cell that counts the requests of all classes.
 const allClasses = -1
 
-// reading is what a cell reads from a window.
+// reading is the events and the exposure that a cell reads from a window.
 type reading struct {
 	events, exposure float64
-	// squares is the sum of the squared weights in the exposure: the exposure itself
-	// where each unit has weight 1.
+	// squares is the sum of the squared weights of the units of exposure. It equals the
+	// exposure if each unit has weight 1.
 	squares float64
 }
 
@@ -25,8 +26,8 @@
 	return reading{events: events, exposure: exposure, squares: exposure}
 }
 
-// variance is the variance of the number of events at the given rate, by chance alone.
-// squares is that of the exposure (see reading).
+// variance is the variance that chance alone causes in the number of events at the given
+// rate. squares is the sum of the squared weights of the exposure (see reading).
 func (c *cell) variance(rate, squares float64) float64 {
 	if c.poisson {
 		return max(rate, 0) * squares
@@ -38,16 +39,17 @@
 // allZones is the zone of a test over all zones.
 const allZones = -1
 
-// Test is one comparison: a measure of a class, over all zones or in one zone.
+// Test is one comparison of changed with unchanged instances: a measure of one class or of
+// all classes, in one zone or over all zones.
 type Test struct {
 	Measure Measure `json:"measure"`
-	Class   string  `json:"class,omitempty"`
-	Zone    string  `json:"zone,omitempty"` // "": all
-	cell    int     // index of the cell or, from len(Judge.cells) on, of the gauge
+	Class   string  `json:"class,omitempty"` // "": all
+	Zone    string  `json:"zone,omitempty"`  // "": all
+	cell    int     // index of a cell; len(Judge.cells) plus the index of a gauge for a gauge
 	zone    int     // allZones, or an index into Judge.zoneNames
 }
 
-// String names the test as in "unserved of status in zone-1".
+// String returns the name of the test, such as "unserved of status in zone-1".
 func (t Test) String() string {
 	s := string(t.Measure)
 	if t.Class != "" {
@@ -59,10 +61,10 @@
 	return s
 }
 
-// gauges are the measures that are judged by their growth.
+// gauges are the measures of which the growth is judged.
 var gauges = [...]Measure{Memory, Files}
 
-// buildCells makes the cells and tests of the measures that have a margin.
+// buildCells creates the cells and tests of the measures that have a margin.
 func (j *Judge) buildCells() {
 	for class, name := range j.cfg.Classes {
 		j.addCell(unservedOf(class), name, true)
@@ -105,8 +107,8 @@
 	}}
 }
 
-// weightedLoss counts the requests that were rejected or failed by the weight of their
-// class.
+// weightedLoss counts the requests of all classes that were rejected or failed, each with
+// the weight of its class.
 func weightedLoss(weights []float64) cell {
 	return cell{WeightedLoss, allClasses, false, func(w *Window) (r reading) {
 		for class, counts := range w.Classes {
@@ -119,7 +121,8 @@
 	}}
 }
 
-// addCell adds a cell and its tests, if its measure has a margin.
+// addCell adds a cell and its tests, if its measure has a margin. class is the name of the
+// class, "" for all classes; byZone is as in addTests.
 func (j *Judge) addCell(c cell, class string, byZone bool) {
 	if _, ok := j.cfg.Margins[c.measure]; !ok {
 		return
@@ -128,8 +131,8 @@
 	j.addTests(c.measure, class, len(j.cells)-1, byZone)
 }
 
-// addTests adds the test of a cell or gauge over all zones and, with byZone, one in each
-// zone.
+// addTests adds the test of a cell or gauge over all zones. If byZone is true and there is
+// more than one zone, it also adds a test for each zone.
 func (j *Judge) addTests(m Measure, class string, cell int, byZone bool) {
 	j.tests = append(j.tests, Test{m, class, "", cell, allZones})
 	if byZone && len(j.zoneNames) > 1 {
--- a/internal/fleet/canary/coarse.go
+++ b/internal/fleet/canary/coarse.go
@@ -1,25 +1,26 @@
 package canary
 
-// LocalHealth is what an agent knows of one of its instances without comparing it with
-// others.
+// LocalHealth is what an agent knows about one of its own instances without comparing it
+// with other instances.
 type LocalHealth struct {
-	Crashing bool // in a crash loop, or exited and not relaunched
-	Unready  bool // it runs and its health call fails
-	// Windows are those of the current process, the latest last.
+	Crashing bool // the instance is in a crash loop, or has exited and is not yet relaunched
+	Unready  bool // the instance runs and its health call fails
+	// Windows are the windows of the current process, the latest last.
 	Windows []Window
 	Limit   uint64 // memory limit in bytes; 0: none
 }
 
-// The limits of the coarse rule.
+// The limits that Coarse applies.
 const (
-	coarseSlots          = 3    // windows that are needed
-	minCoarseRequests    = 5    // requests below which serving none proves nothing
-	coarseMemoryFraction = 0.95 // of the memory limit
+	coarseSlots          = 3    // number of latest windows that are examined; with fewer, only Crashing and Unready count
+	minCoarseRequests    = 5    // with fewer requests, serving none of them is no proof of harm
+	coarseMemoryFraction = 0.95 // fraction of the memory limit above which memory counts as used up
 )
 
-// Coarse is the rule by which an agent that no command directs judges a changed instance.
-// It returns "" if the change may stay, and otherwise the reason against it. It finds
-// only harm that needs no comparison: a crash loop, no service at all, no memory left.
+// Coarse judges a changed instance from its local health alone. An agent uses it while no
+// command holds the lease of the operation. Coarse returns "" if the change may stay, and
+// otherwise the reason for rolling it back. It finds only harm that needs no comparison: a
+// crash loop, a failing health call, no request served, or nearly no memory left.
 func Coarse(health LocalHealth) string {
 	switch {
 	case health.Crashing:
@@ -39,10 +40,10 @@
 		}
 	}
 	if requests >= minCoarseRequests && served == 0 {
-		return "it serves nothing"
+		return "it serves no request"
 	}
 	if m := windows[len(windows)-1].Memory; health.Limit > 0 && float64(m) > coarseMemoryFraction*float64(health.Limit) {
-		return "its memory is used up"
+		return "its memory limit is nearly used up"
 	}
 	return ""
 }
--- a/internal/fleet/canary/config.go
+++ b/internal/fleet/canary/config.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Measure is a quantity that is compared.
+// Measure is a quantity that is compared between changed and unchanged instances.
 type Measure string
 
-// The measures.
+// The measures. The texts are stored and shown to operators.
 const (
 	Unserved     Measure = "unserved" // fraction of a class's requests that were rejected or failed
 	Failed       Measure = "failed"   // fraction of a class's requests that failed and may have been executed
-	WeightedLoss Measure = "worth"    // fraction of the requests, by weight, that were rejected or failed
+	WeightedLoss Measure = "worth"    // fraction of the requests of all classes, by weight, that were rejected or failed
 	Attempts     Measure = "attempts" // attempts per request
 	Rejections   Measure = "declined" // fraction of the attempts that servers rejected
-	Slow         Measure = "slow"     // fraction of the requests that were in the sidecar for too long
-	Crashes      Measure = "crashes"  // per minute
-	Memory       Measure = "memory"   // growth, MiB per minute
+	Slow         Measure = "slow"     // fraction of the measured requests that spent too much time in the sidecar
+	Crashes      Measure = "crashes"  // crashes per minute
+	Memory       Measure = "memory"   // growth of resident memory, in MiB per minute
 	Files        Measure = "files"    // growth of open descriptors, per minute
 )
 
-// Margin is by how much a measure may be worse, in the measure's unit.
+// Margin is by how much a measure may be worse at changed instances, in the measure's unit.
 type Margin struct {
-	// Tolerate is the tolerated excess: a smaller estimate never stops a change.
+	// Tolerate is the tolerated excess: an estimate below it never stops a change.
 	Tolerate float64 `msgpack:"Tolerate" json:"Tolerate"`
-	// Exclude is the excess that must be ruled out before the verdict is "not worse".
+	// Exclude is the excess that must be ruled out for the verdict to be "not worse".
 	Exclude float64 `msgpack:"Exclude" json:"Exclude"`
 }
 
-// Margins are the default margins. docs/design/staged-change.md gives the reason for each.
+// Margins returns the default margins. docs/design/staged-change.md gives the reason for each.
 func Margins() map[Measure]Margin {
 	return map[Measure]Margin{
 		Unserved:     {0.01, 0.05},
@@ -44,48 +44,52 @@
 	}
 }
 
-// Config is the configuration of a judge.
+// Config is the configuration of a Judge.
 type Config struct {
 	Classes []string  `msgpack:"Classes" json:"Classes"`
-	Weights []float64 `msgpack:"Worth" json:"Worth"` // of a request, by class
-	// Zones is the zone of each instance, "" where it has none.
+	Weights []float64 `msgpack:"Worth" json:"Worth"` // weight of a request, by class
+	// Zones has one element for each instance: its zone, "" if it has none.
 	Zones   []string           `msgpack:"Zones" json:"Zones"`
 	Margins map[Measure]Margin `msgpack:"Margins" json:"Margins"`
-	// Base and Change are the compared releases. Windows of others are excluded.
+	// Base and Change are the releases before and after the change. Windows of any other
+	// release are excluded.
 	Base   string `msgpack:"Base" json:"Base"`
 	Change string `msgpack:"Change" json:"Change"`
-	// Start is the first slot in which the change is made to any instance.
+	// Start is the first slot in which any instance is changed.
 	Start int `msgpack:"Start" json:"Start"`
 	// Slot is the length of a slot.
 	Slot time.Duration `msgpack:"Slot" json:"Slot"`
-	// Warm is the minimum age of a process at the beginning of a window.
+	// Warm is the warm-up time: a window that begins when its process is younger is excluded,
+	// unless it reports a crash.
 	Warm time.Duration `msgpack:"Warm" json:"Warm"`
-	// Settle is the minimum age for memory and descriptors, which grow at first.
+	// Settle is the minimum age of a process whose memory and descriptors are compared, since
+	// both grow in every new process.
 	Settle time.Duration `msgpack:"Settle" json:"Settle"`
-	// FalseStops is the probability that a change that is no worse is ever judged worse,
-	// over all measures, classes, zones and looks together.
+	// FalseStops is the highest acceptable probability that a harmless change is ever judged
+	// worse, over all measures, classes, zones and evaluations together.
 	FalseStops float64 `msgpack:"FalseStops" json:"FalseStops"`
-	// MaxSlots bounds the stored windows: those of later slots are excluded.
+	// MaxSlots bounds the stored windows: windows of slot MaxSlots and later are excluded.
 	MaxSlots int `msgpack:"SlotsMost" json:"SlotsMost"`
 }
 
-// Check returns an error that names the invalid values of a configuration.
+// Check returns an error that names the first invalid value of the configuration, nil if all
+// values are valid.
 func (c *Config) Check() error {
 	switch {
 	case len(c.Zones) == 0:
-		return fmt.Errorf("judge: no instance to judge")
+		return fmt.Errorf("canary analysis: no instances to compare")
 	case len(c.Classes) == 0 || len(c.Classes) != len(c.Weights):
-		return fmt.Errorf("judge: %d classes and the worth of %d; want one worth a class, and a class at least", len(c.Classes), len(c.Weights))
+		return fmt.Errorf("canary analysis: %d classes and %d weights; want at least one class, and one weight for each", len(c.Classes), len(c.Weights))
 	case c.Base == c.Change:
-		return fmt.Errorf("judge: old and new are both release %.12s: there is nothing to compare", c.Base)
+		return fmt.Errorf("canary analysis: base and change are both release %.12s; want two different releases", c.Base)
 	case c.Slot <= 0 || c.Warm < 0 || c.Settle < 0 || c.MaxSlots < 1 || c.Start < 0:
-		return fmt.Errorf("judge: slot %v, warm %v, settle %v, %d slots, start %d; want a slot above 0, 1 slot or more, the others 0 or more", c.Slot, c.Warm, c.Settle, c.MaxSlots, c.Start)
+		return fmt.Errorf("canary analysis: slot length %v, warm-up %v, settling time %v, at most %d slots, start at slot %d; want a slot length above 0, at least 1 slot, and nothing negative", c.Slot, c.Warm, c.Settle, c.MaxSlots, c.Start)
 	case !(c.FalseStops > 0 && c.FalseStops < 0.5):
-		return fmt.Errorf("judge: rate of false stops is %v; want above 0 and under 0.5", c.FalseStops)
+		return fmt.Errorf("canary analysis: rate of false stops is %v; want above 0 and below 0.5", c.FalseStops)
 	}
 	for m, g := range c.Margins {
 		if !(g.Tolerate > 0 && g.Exclude > g.Tolerate) {
-			return fmt.Errorf("judge: margin of %s: tolerate %v, exclude %v; want 0 < tolerate < exclude", m, g.Tolerate, g.Exclude)
+			return fmt.Errorf("canary analysis: margin of %s: tolerate %v, exclude %v; want 0 < tolerate < exclude", m, g.Tolerate, g.Exclude)
 		}
 	}
 	return nil
--- a/internal/fleet/canary/degradation.go
+++ b/internal/fleet/canary/degradation.go
@@ -4,26 +4,27 @@
 	"math"
 )
 
-// Degradation is a measure in which the unchanged instances have become worse than in
-// their own past. Either the change causes it, by way of the servers, or something else
-// does; the two cannot be distinguished.
+// Degradation is a measure in which the unchanged instances have become worse than before
+// the change started. The cause may be the change, through its effect on the servers, or
+// something else; the two cannot be distinguished.
 type Degradation struct {
 	Measure Measure `json:"measure"`
-	Class   string  `json:"class,omitempty"`
-	Usual   float64 `json:"past"`
-	Now     float64 `json:"now"`
-	Limit   float64 `json:"limit"` // the highest acceptable value of Now
+	Class   string  `json:"class,omitempty"` // "": all classes
+	Usual   float64 `json:"past"`            // mean rate before Config.Start
+	Now     float64 `json:"now"`             // mean rate of the recent slots
+	Limit   float64 `json:"limit"`           // the highest acceptable value of Now
 }
 
-// degradationSigma is by how many standard deviations of its past a rate may rise.
+// degradationSigma is by how many standard deviations, estimated from the history, a rate may
+// rise before it counts as a degradation.
 const degradationSigma = 4
 
-// minDegradationSlots is the number of past slots from which the usual rate is known.
+// minDegradationSlots is the minimum number of history slots for estimating the usual rate.
 const minDegradationSlots = 6
 
-// degradations compares the unchanged instances' recent slots with their own past. The
-// result is a reason to wait, not to stop: it is no bound that holds under repeated
-// looks.
+// degradations compares the recent slots of the unchanged instances with their history. The
+// result is a reason to wait, not to stop, because this comparison does not bound the
+// probability of a false alarm over repeated evaluations.
 func (j *Judge) degradations() (out []Degradation) {
 	for k, c := range j.cells {
 		l := &j.baselineLevels[k]
--- a/internal/fleet/canary/differ.go
+++ b/internal/fleet/canary/differ.go
@@ -2,29 +2,32 @@
 
 import "time"
 
-// Sample is the figures of an instance at one time: counters since its process began, and
-// gauges. A counter that the instance does not report is 0 in all windows.
+// Sample holds the metrics of an instance at one time: counters since its process started,
+// and gauges. A counter that the instance does not report is 0.
 type Sample struct {
-	At      time.Time // when it was read, by its agent's clock
-	Process string    // identifies the process, whose counters begin at 0
+	At      time.Time // when the metrics were read, by the clock of the instance's agent
+	Process string    // identifies the process; the counters of each process start at 0
 	Started time.Time // start of the process, by the same clock
-	Window            // the counters since the process began, and Instance
+	// Window holds the counters since the process started, the gauges, Instance and Release.
+	// Its Slot and Age are not used.
+	Window
 }
 
-// Differ makes windows from the samples of one instance, in the order of their time. It
-// excludes and counts the slots for which it cannot make a window.
+// Differ computes windows from the differences between successive samples of one instance.
+// It counts the slots for which it cannot compute a window. It is not safe for concurrent
+// use.
 type Differ struct {
-	Slot time.Duration // windows begin and end at its multiples
-	// MaxOffset is how far from a boundary a sample may be taken.
+	Slot time.Duration // length of a slot; slot boundaries are the multiples of it since the Unix epoch
+	// MaxOffset is the longest time between a sample and the nearest slot boundary.
 	MaxOffset time.Duration
-	Excluded  map[Reason]int // slots without a window, by reason
-	last      Sample
-	lastSlot  int64 // number of the boundary of last
+	Excluded  map[Reason]int // number of slots without a window, by reason
+	last      Sample         // the sample before, if hasLast
+	lastSlot  int64          // number of the boundary nearest to last
 	hasLast   bool
 }
 
-// Boundary returns the number n of the multiple of slot that is nearest to at, and how far
-// it is from at.
+// Boundary returns the number n of the slot boundary that is nearest to at, and the absolute
+// time off between the two. Boundary n is n times slot after the Unix epoch.
 func Boundary(at time.Time, slot time.Duration) (n int64, off time.Duration) {
 	t := at.UnixNano() + int64(slot)/2
 	n = t / int64(slot)
@@ -38,17 +41,18 @@
 	d.Excluded[r] += slots
 }
 
-// Next takes the next sample and returns the window between it and the one before, if
-// there is one. first is the number of the boundary at which slot 0 begins.
+// Next takes the next sample, in the order of time, and returns the window between the sample
+// before and this one. ok is false if there is no such window. first is the number of the
+// boundary at which slot 0 begins.
 func (d *Differ) Next(s Sample, first int64) (w Window, ok bool) {
 	n, off := Boundary(s.At, d.Slot)
 	if off > d.MaxOffset {
 		d.exclude(OffBoundary, 1)
-		return Window{}, false // the next window spans two slots and is excluded for that
+		return Window{}, false // the next window would span two slots and is excluded as MissingSample
 	}
 	last, slot, hasLast := d.last, d.lastSlot, d.hasLast
 	if hasLast && n <= slot {
-		return Window{}, false // a repetition
+		return Window{}, false // a repeated or older sample
 	}
 	d.last, d.lastSlot, d.hasLast = s, n, true
 	switch {
@@ -77,15 +81,16 @@
 	return w, true
 }
 
-// crashWindow is the window after a crash. The count of crashes outlives the process, and
-// is all that the window holds: what the process had counted was lost with it.
+// crashWindow is the window after a crash. It holds only the number of crashes, which is
+// counted outside of the process; the other counters since the last sample were lost with
+// the process.
 func crashWindow(s, last Sample, slot int) Window {
 	return Window{Instance: s.Instance, Slot: slot, Release: s.Release, Age: s.At.Sub(s.Started),
 		Classes: make([]Counts, len(s.Classes)), Crashes: s.Crashes - last.Crashes}
 }
 
-// difference is the window between two samples of one process. It reports false if a
-// counter has decreased.
+// difference returns the window between two samples of one process. ok is false if a counter
+// has decreased.
 func difference(s, last Sample, slot int) (w Window, ok bool) {
 	ok = true
 	subtract := func(now, before uint32) uint32 {
--- a/internal/fleet/canary/estimate.go
+++ b/internal/fleet/canary/estimate.go
@@ -4,20 +4,22 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// instanceEstimate is what one instance contributes to a test: by how much the measure is
-// higher than its past and the unchanged instances of its zone lead one to expect.
+// instanceEstimate is what one instance contributes to a test: by how much its rate in the
+// present phase exceeds the rate expected from its own history and from the unchanged
+// instances of its zone. For a gauge it is the growth per minute.
 type instanceEstimate struct {
 	zone           int
 	isChanged      bool
 	estimate       float64
-	variance       float64 // of estimate, by chance
-	exposure       float64 // in the present
-	expectedEvents float64 // in the present, at the boundary of the null hypothesis
-	seenEvents     float64 // in the present
+	variance       float64 // of estimate, by chance alone
+	exposure       float64 // in the present phase; for a gauge: the number of its values
+	expectedEvents float64 // in the present phase, if the excess were exactly Margin.Tolerate
+	seenEvents     float64 // in the present phase
 }
 
 // contrast compares the estimates of changed instances with those of unchanged ones.
-// driftVariance is the variance of instances that drift by themselves.
+// driftVariance is the variance of the drift (see drift), which is added to that of each
+// estimate. The result has no Test, Margin or Verdict yet.
 func contrast(estimates []instanceEstimate, driftVariance float64) (e Evidence) {
 	var sum, weight [sides]float64
 	for _, x := range estimates {
@@ -44,22 +46,24 @@
 	return e
 }
 
-// driftConfidence is the confidence with which the estimate of drift is not too small.
+// driftConfidence is the probability that the estimated drift is not smaller than the actual
+// drift.
 const driftConfidence = 0.99
 
-// minDriftInstances is the number of unchanged instances needed to estimate drift.
+// minDriftInstances is the minimum number of unchanged instances for estimating drift.
 const minDriftInstances = 3
 
-// drift is the variance by which instances differ from their past beyond chance. It is
-// known only with minDriftInstances unchanged instances.
+// drift is how much instances change relative to their own history by themselves: the
+// variance of their estimates beyond chance. It is known only if there are at least
+// minDriftInstances unchanged instances.
 type drift struct {
 	variance float64
 	known    bool
 }
 
-// estimateDrift estimates drift from the unchanged instances (DerSimonian and Laird's
-// estimate of a random effect, Controlled Clinical Trials 7, 1986). With few instances
-// the estimate is raised.
+// estimateDrift estimates the drift from the unchanged instances with DerSimonian and Laird's
+// estimator of a random effect (Controlled Clinical Trials 7, 1986). The fewer instances
+// there are, the more the estimate is raised (see driftConfidence).
 func estimateDrift(estimates []instanceEstimate) drift {
 	var count, weights, weightSquares, mean float64
 	for _, x := range estimates {
@@ -81,7 +85,8 @@
 			q += (x.estimate - mean) * (x.estimate - mean) / x.variance
 		}
 	}
-	// A sum of squares that is small by chance does not prove that drift is small.
+	// The sum of squares may be small by chance although the drift is not; it is divided by
+	// a low quantile of its distribution without drift.
 	q *= (count - 1) / distuv.ChiSquared{K: count - 1}.Quantile(1-driftConfidence)
 	return drift{variance: max(0, q-(count-1)) / (weights - weightSquares/weights), known: true}
 }
--- a/internal/fleet/canary/evaluate.go
+++ b/internal/fleet/canary/evaluate.go
@@ -6,8 +6,9 @@
 	"sort"
 )
 
-// Evaluate judges the evidence of all slots before the given one. It may be called any
-// number of times.
+// Evaluate judges all windows of the slots before the given one. It may be called any number
+// of times: the bounds hold over all evaluations together. The slot must not be lower than in an
+// earlier call, since slots that were evaluated once may remain included.
 func (j *Judge) Evaluate(before int) Judgement {
 	j.aggregate(before)
 	out := Judgement{Verdict: NotWorse, Excluded: j.Excluded(), Slots: max(0, j.aggregatedSlots-j.cfg.Start)}
@@ -50,7 +51,8 @@
 	return e
 }
 
-// rank is the place of the evidence in a judgement: what decides it comes first.
+// rank is the sort key of the evidence in a judgement: the evidence that decides the verdict
+// comes first.
 func (e *Evidence) rank() int {
 	switch {
 	case e.Advisory:
@@ -63,12 +65,13 @@
 	return 2
 }
 
-// minorClassFraction is the fraction of all requests below which a class is minor.
+// minorClassFraction is the fraction of the unchanged instances' requests below which a class
+// counts as minor.
 const minorClassFraction = 0.02
 
 // decisive reports whether an inconclusive test makes the judgement inconclusive. A test of
-// one zone or of a minor class does not: it stops a change that is worse there, but there
-// is rarely enough traffic to rule harm out, so it would hold every change.
+// one zone or of a minor class does not: it can stop a change that is worse there, but it
+// rarely has enough traffic to rule harm out, and would therefore hold up every change.
 func (j *Judge) decisive(e *Evidence) bool {
 	if e.zone != allZones {
 		return false
@@ -79,8 +82,9 @@
 	return j.baselineLevels[e.cell].exposure >= minorClassFraction*j.baselineRequests
 }
 
-// estimates are the estimates of the instances in a cell or, from len(Judge.cells) on, of
-// a gauge. A changed instance has two: as an unchanged one before, and as a changed one.
+// estimates returns the estimates of the instances in cell k or, from k = len(Judge.cells)
+// on, of gauge k - len(Judge.cells). A changed instance has up to two: one from the time
+// before it was changed, as an unchanged instance, and one from the time since.
 func (j *Judge) estimates(k int) (out []instanceEstimate) {
 	if g := k - len(j.cells); g >= 0 {
 		return j.gaugeEstimates(g)
@@ -105,11 +109,12 @@
 	return out
 }
 
-// gaugeFloors are the smallest standard deviations assumed for a value of each gauge, since
-// a page of memory (in MiB) or a few descriptors come and go.
+// gaugeFloors are the smallest standard deviations assumed for a value of each gauge, in MiB
+// and in descriptors, since a process always allocates and frees a few pages and descriptors.
 var gaugeFloors = [len(gauges)]float64{0.25, 2}
 
-// gaugeEstimates are the growths of a gauge at each instance and side.
+// gaugeEstimates returns the growth of gauge g at each instance and side that has enough
+// values. Instances that were reverted are left out.
 func (j *Judge) gaugeEstimates(g int) (out []instanceEstimate) {
 	for i, z := range j.zoneOf {
 		for side := range j.gaugeLines[g] {
@@ -123,16 +128,18 @@
 	return out
 }
 
-// cellEstimate compares an instance's present with the rate expected of it: that of the
-// unchanged instances in the same slots, multiplied by the instance's factor in the past.
-// On a bad day, an instance that always fails twice as often is expected to do so too.
+// cellEstimate compares the rate of an instance in the present phase with the rate expected
+// of it: that of the unchanged instances in the same slots, multiplied by the history factor
+// of the instance. An instance that has always failed twice as often as the others is
+// thereby expected to fail twice as often when all instances fail more.
 func (j *Judge) cellEstimate(k, i int, s *totals, isChanged bool) instanceEstimate {
 	c, l := &j.cells[k], &j.baselineLevels[k]
 	tolerate, excess := j.cfg.Margins[c.measure].Tolerate, j.noise[k].factor()
 	prior, factor := s.priorEvents(), s.historyFactor()
 	rate := s.expected[present] / s.exposure[present]
-	// The variances are those at the boundary of the null hypothesis, for the windows that
-	// there were, and never 0: events that have not been seen may still come.
+	// The variances are those at the boundary of the null hypothesis (an excess of exactly
+	// Margin.Tolerate), given the exposure of the windows. They are never 0, since events
+	// that have not occurred so far may still occur.
 	nowRate := max(factor*rate, l.events/l.exposure) + tolerate
 	pastRate := (s.events[history] + prior/historyPriorEvents) / s.exposure[history]
 	return instanceEstimate{
@@ -146,26 +153,28 @@
 	}
 }
 
-// worseBoundFraction is the fraction of the tolerated margin that the lower bound must
-// exceed before a change is judged worse. It makes up for what the bound does not cover:
-// rates of few events are skewed, and instances drift more on a bad day.
+// worseBoundFraction is the fraction of Margin.Tolerate that the lower bound must exceed for
+// a change to be judged worse. It makes up for what the bound does not cover: the
+// distribution of few events is skewed, and instances drift more while all do worse than
+// usual.
 const worseBoundFraction = 0.5
 
-// decide sets the verdict of a test's evidence. driftKnown says whether there are enough
-// unchanged instances to estimate drift.
+// decide sets the verdict and the bounds of a test's evidence, and if it is inconclusive, Why
+// and Needs. driftKnown says whether there are enough unchanged instances to estimate drift.
 func (j *Judge) decide(e *Evidence, driftKnown bool) {
 	e.Verdict = Inconclusive
 	switch {
 	case e.Changed == 0:
-		e.Why = "no changed instance has both a past and a present beside unchanged ones"
+		e.Why = "no changed instance has both windows from before and windows from after its change that can be compared with unchanged instances"
 	case e.Unchanged == 0 || !driftKnown:
-		e.Why = fmt.Sprintf("%d unchanged instances; %d at least tell how much instances drift by themselves", e.Unchanged, minDriftInstances)
-	case e.Measure == Crashes && rareLog(e.seenEvents, e.expectedEvents) > -math.Log(j.alpha()):
-		// Few crashes are enough here: they are more than the usual rate and the tolerated
-		// margin explain.
+		e.Why = fmt.Sprintf("%d unchanged instances; at least %d are needed to estimate how much instances drift by themselves", e.Unchanged, minDriftInstances)
+	case e.Measure == Crashes && rareEventLogEvidence(e.seenEvents, e.expectedEvents) > -math.Log(j.alpha()):
+		// The crashes may be few, but they are more than the usual rate and the tolerated
+		// margin explain. There is no upper bound.
 		e.Verdict, e.Low, e.High = Worse, e.Estimate-e.Margin.Tolerate, math.MaxFloat64
 	case e.Measure == Crashes && e.expectedEvents < minEvents && e.seenEvents <= e.expectedEvents:
-		// Crashes are rare: no more of them than expected is all that can be shown.
+		// Crashes are too rare for a bound of their rate. That there were no more of them
+		// than expected is enough.
 		e.Verdict, e.Low, e.High = NotWorse, -math.MaxFloat64, e.Margin.Exclude
 	case e.expectedEvents < minEvents:
 		e.Why, e.Needs = "too few requests", minEvents/max(e.expectedEvents, minNeedsEvents)
@@ -174,10 +183,10 @@
 	}
 }
 
-// minNeedsEvents keeps Evidence.Needs finite where no event is expected.
+// minNeedsEvents keeps Evidence.Needs finite if no event is expected.
 const minNeedsEvents = 1e-3
 
-// decideByBounds sets the verdict by the bounds of the estimate.
+// decideByBounds sets the bounds of the estimate, and the verdict that follows from them.
 func (j *Judge) decideByBounds(e *Evidence) {
 	r := radius(e.variance, e.Margin.Tolerate, j.alpha())
 	e.Low, e.High = e.Estimate-r, e.Estimate+r
@@ -187,11 +196,11 @@
 	case e.High < e.Margin.Exclude:
 		e.Verdict = NotWorse
 	case e.Estimate >= e.Margin.Exclude:
-		e.Why = "it looks worse, and chance is not ruled out"
+		e.Why = "it looks worse, but chance is not ruled out yet"
 	default:
 		need := informationFor(e.Margin.Exclude-max(0, e.Estimate), e.Margin.Tolerate, j.alpha())
 		if best := 1 / max(e.driftFloor, 1e-300); e.driftFloor > 0 && need > best {
-			e.Why = fmt.Sprintf("instances drift by themselves: %d changed ones are too few, however long", e.Changed)
+			e.Why = fmt.Sprintf("instances drift by themselves: %d changed instances are too few, however long the stage lasts", e.Changed)
 		} else {
 			e.Why, e.Needs = "too little traffic", max(1, need*e.variance)
 		}
--- a/internal/fleet/canary/export_test.go
+++ b/internal/fleet/canary/export_test.go
@@ -1,6 +1,6 @@
 package canary
 
-// For the tests outside.
+// Unexported functions for the tests in package canary_test.
 var (
 	Radius         = radius
 	InformationFor = informationFor
--- a/internal/fleet/canary/judge.go
+++ b/internal/fleet/canary/judge.go
@@ -1,21 +1,24 @@
-// Package canary judges whether sidecars that run a change serve worse than those that
-// do not, from what both counted over the same time (canary analysis, as in Kayenta). It
-// is pure: it does no I/O and reads no clock; windows of counts come in, verdicts with
-// their evidence go out.
+// Package canary judges whether sidecars that run a change serve requests worse than
+// sidecars that do not, from what both counted over the same time (canary analysis, as in
+// Kayenta). The package does no I/O and reads no clock: its input is windows of counts, its
+// output verdicts with their evidence.
 //
-// Each instance is compared with the unchanged instances of its zone in the same slots of
-// time, as a multiple that is known from its past. The excess of the changed instances is
-// then tested against that of the unchanged ones. Neither a bad minute at the servers nor
-// an instance that was always worse therefore looks like an effect of the change. The
-// bounds hold under repeated looks (see bound.go), over all measures together.
+// Time is divided into slots, and a window holds the counts of one instance in one slot. The
+// rate of each instance is compared with the rate of the unchanged instances of its zone in
+// the same slots, after multiplying the latter by a factor: how many times as high the
+// instance's rate was before the change started. The excess of the changed instances is then
+// tested against the excess of the unchanged ones. Neither a bad minute at the servers nor an
+// instance that was always worse therefore looks like an effect of the change. The bounds
+// hold under repeated evaluation (see bound.go), over all measures together.
 //
-// It promises: the order in which windows are added does not matter; a window that is
-// added twice counts once; windows that cannot be compared are excluded and counted by
-// reason, never estimated. It does not promise to find harm that affects changed and
-// unchanged instances alike: that is reported as a Degradation, a reason to wait.
+// Guarantees: the order in which windows are added does not matter; a window that is added
+// twice counts once; windows that cannot be compared are excluded and counted by reason,
+// never estimated. Harm that affects changed and unchanged instances alike is not guaranteed
+// to be found: it is reported as a Degradation, which is a reason to wait.
 package canary
 
-// Judge holds the windows of one change: at most Config.MaxSlots for each instance.
+// Judge holds the windows of one change, at most Config.MaxSlots for each instance, and
+// evaluates them. It is not safe for concurrent use.
 type Judge struct {
 	cfg                Config
 	cells              []cell
@@ -24,27 +27,27 @@
 	zoneOf             []int                      // of each instance, an index into zoneNames
 	slots              [][]*storedWindow          // by slot and instance; nil: no window
 	arms               []arm                      // of each instance
-	excluded           map[Reason]int             // by Add
-	unpairedWindows    int                        // windows of changed instances in a zone and slot without an unchanged one
-	aggregatedSlots    int                        // the fields below are the sums of the slots before this one
+	excluded           map[Reason]int             // by Add and Exclude
+	unpairedWindows    int                        // windows of changed instances for which their zone and slot have no window of an unchanged one
+	aggregatedSlots    int                        // the fields below, and unpairedWindows, hold the sums of the slots before this one
 	totals             [][]totals                 // by cell and instance
 	noise              []noise                    // by cell
 	usualFactor        [][]float64                // by cell and instance: its rate before Start as a multiple of its zone's
 	baseRate           [][]float64                // by cell and zone: the rate of all instances before Start
-	totalsBeforeChange [][]totals                 // of changed instances: the totals from when they were unchanged
+	totalsBeforeChange [][]totals                 // by cell and instance: of a changed instance, the totals from before its change
 	gaugeLines         [len(gauges)][sides][]line // by gauge, side and instance
 	baselineLevels     []level                    // by cell: the rate of the unchanged instances
-	baselineRequests   float64                    // requests of the unchanged instances
+	baselineRequests   float64                    // number of requests of the unchanged instances
 }
 
 // storedWindow is a window that was not excluded.
 type storedWindow struct {
 	window   Window
-	isChange bool // whether the instance ran Config.Change
+	isChange bool // the instance ran Config.Change, not Config.Base
 }
 
-// New returns a judge without evidence. Without margins in the configuration it uses
-// those of Margins.
+// New returns a Judge without windows. If c.Margins is nil, the default margins (see Margins)
+// are used. It returns an error if the configuration is invalid.
 func New(c Config) (*Judge, error) {
 	if c.Margins == nil {
 		c.Margins = Margins()
@@ -53,20 +56,20 @@
 		return nil, err
 	}
 	j := &Judge{cfg: c, excluded: make(map[Reason]int)}
-	place := make(map[string]int)
+	zoneIndex := make(map[string]int)
 	for _, z := range c.Zones {
-		if _, ok := place[z]; !ok {
-			place[z] = len(j.zoneNames)
+		if _, ok := zoneIndex[z]; !ok {
+			zoneIndex[z] = len(j.zoneNames)
 			j.zoneNames = append(j.zoneNames, z)
 		}
-		j.zoneOf = append(j.zoneOf, place[z])
+		j.zoneOf = append(j.zoneOf, zoneIndex[z])
 	}
 	j.buildCells()
 	j.reset()
 	return j, nil
 }
 
-// reset discards the sums, not the windows.
+// reset discards the sums, so that aggregate starts again from the windows.
 func (j *Judge) reset() {
 	j.aggregatedSlots, j.unpairedWindows, j.baselineRequests = 0, 0, 0
 	j.totals, j.totalsBeforeChange = make([][]totals, len(j.cells)), make([][]totals, len(j.cells))
@@ -81,7 +84,8 @@
 	}
 }
 
-// Add adds a window. Windows may come late, in any order, and repeatedly.
+// Add adds a window, or excludes and counts it. Windows may be added late, in any order, and
+// repeatedly.
 func (j *Judge) Add(w Window) {
 	switch {
 	case w.Instance < 0 || w.Instance >= len(j.zoneOf) || len(w.Classes) != len(j.cfg.Classes) || w.Slot < 0:
@@ -95,7 +99,7 @@
 		j.slots = append(j.slots, make([]*storedWindow, len(j.zoneOf)))
 	}
 	if j.slots[w.Slot][w.Instance] != nil {
-		return // a repetition
+		return // a repeated window
 	}
 	switch {
 	case w.Release != j.cfg.Base && w.Release != j.cfg.Change:
@@ -107,23 +111,24 @@
 	}
 	j.slots[w.Slot][w.Instance] = &storedWindow{w, w.Release == j.cfg.Change}
 	if w.Slot < j.aggregatedSlots {
-		j.reset() // all slots are added up again, in order
+		j.reset() // the next evaluation adds up all slots again, in ascending order
 	}
 }
 
-// Begin sets Config.Start, the first slot in which the change is made.
+// Begin sets Config.Start, the first slot in which any instance is changed. Windows that were
+// added before are kept.
 func (j *Judge) Begin(slot int) {
 	j.cfg.Start = slot
 	j.reset()
 }
 
-// CompleteSlots is how many slots before the given one have windows of at least half of
-// the instances.
+// CompleteSlots returns the number of slots before the given one that have windows of at
+// least half of the instances.
 func (j *Judge) CompleteSlots(before int) (n int) {
 	for _, slot := range j.slots[:min(max(before, 0), len(j.slots))] {
 		windows := 0
-		for _, g := range slot {
-			if g != nil {
+		for _, stored := range slot {
+			if stored != nil {
 				windows++
 			}
 		}
@@ -134,10 +139,10 @@
 	return n
 }
 
-// Exclude counts windows that the caller excluded.
+// Exclude counts windows that the caller excluded for reason r.
 func (j *Judge) Exclude(r Reason, windows int) { j.excluded[r] += windows }
 
-// Excluded is the number of excluded windows by reason.
+// Excluded returns the number of excluded windows by reason. The map is a copy.
 func (j *Judge) Excluded() map[Reason]int {
 	out := make(map[Reason]int)
 	for r, n := range j.excluded {
@@ -149,8 +154,9 @@
 	return out
 }
 
-// Tests are the comparisons that the judge makes.
+// Tests returns the comparisons that the judge makes.
 func (j *Judge) Tests() []Test { return j.tests }
 
-// alpha is the probability of a false stop allowed to one test, equal for all tests.
+// alpha is the highest acceptable probability that a single test causes a false stop. It is
+// equal for all tests, so that all together keep Config.FalseStops (Bonferroni correction).
 func (j *Judge) alpha() float64 { return j.cfg.FalseStops / float64(len(j.tests)) }
--- a/internal/fleet/canary/window.go
+++ b/internal/fleet/canary/window.go
@@ -4,35 +4,35 @@
 	"time"
 )
 
-// Counts are the requests of one class in a window, by outcome.
+// Counts are the numbers of requests of one class in a window, by outcome.
 type Counts struct {
 	Served   uint32 `msgpack:"Served" json:"Served"`
 	Rejected uint32 `msgpack:"Refused" json:"Refused"`
 	Failed   uint32 `msgpack:"Failed" json:"Failed"`
 }
 
-// Total is the number of requests.
+// Total returns the number of requests of all outcomes.
 func (c Counts) Total() float64 { return float64(c.Served) + float64(c.Rejected) + float64(c.Failed) }
 
-// Window is the counts of one process in one slot of time.
+// Window holds the counts of one process in one slot of time.
 type Window struct {
 	Instance int // index into Config.Zones
-	// Slot is the number of the slot, which begins at the same time on all hosts.
+	// Slot is the number of the slot. A slot begins at the same time on all hosts.
 	Slot int
-	// Release is the hash of the program and configuration that ran. No window spans a
-	// change of it (see Differ).
+	// Release is the hash of the program and the configuration that the process ran. No
+	// window spans a change of Release (see Differ).
 	Release string
 	Age     time.Duration // of the process, at the end of the window
 	Classes []Counts      // by class, in the order of Config.Classes
-	// Attempts are attempts written to servers, Finished all that finished, and Rejected
-	// those of them that a server rejected.
+	// Attempts is the number of attempts written to servers, Finished the number of attempts
+	// that finished, and Rejected the number of finished attempts that a server rejected.
 	Attempts, Finished, Rejected uint32
-	// Sampled are requests whose time in the sidecar was measured, Slow those of them that
-	// were in it for too long (package scrape sets the limit).
+	// Sampled is the number of requests whose time in the sidecar was measured, Slow the
+	// number of those that spent too much time in it (package scrape sets the limit).
 	Sampled, Slow uint32
-	Crashes       uint32 // unexpected exits of a process since the window before
-	Memory        uint64 // resident, in bytes, at the end of the window; 0: unknown
-	Files         uint32 // open descriptors at the end of the window; 0: unknown
+	Crashes       uint32 // unexpected exits of a process of the instance since the window before
+	Memory        uint64 // resident memory in bytes at the end of the window; 0: unknown
+	Files         uint32 // open file descriptors at the end of the window; 0: unknown
 }
 
 // requests is the number of requests of all classes.
@@ -43,11 +43,11 @@
 	return n
 }
 
-// Reason is why a window was excluded.
+// Reason is why a window was excluded, or why there is none for a slot.
 type Reason string
 
-// The reasons. The first five are those of a Differ or its caller, the others those of a
-// Judge, which shares Unrecognized with Differ.
+// The reasons. The first four are set by a Differ and ClockSkew by its caller; the others are
+// set by a Judge. A Differ also sets Unrecognized. The texts are keys of the JSON output.
 const (
 	Restarted        Reason = "process started anew"
 	MissingSample    Reason = "no figures at a boundary"
