--- a/internal/fleet/canary/simulation/compat_test.go
+++ b/internal/fleet/canary/simulation/compat_test.go
@@ -7,13 +7,14 @@
 	"martendrum/internal/goldentest"
 )
 
-// A row of a trial, with a value in every field, has the JSON form of an earlier build.
+// A Result with a value in every field has the same JSON form as in an earlier build.
+// `martendrum judge trial` prints Results as JSON.
 func TestRowOfEarlierBuild(t *testing.T) {
 	var row Result
 	goldentest.Fill(&row)
 	text, err := json.Marshal(row)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Marshal: %v", err)
 	}
 	goldentest.Compare(t, "row.json", text)
 }
--- a/internal/fleet/canary/simulation/harm.go
+++ b/internal/fleet/canary/simulation/harm.go
@@ -1,27 +1,29 @@
 package simulation
 
-// Harm is what a changed instance does worse.
+// Harm is what an instance does worse once it is changed.
 type Harm struct {
-	Name string
-	// Lost is the fraction of requests that it additionally fails to serve, of Class
-	// (anyClass: of all), in Zone (anyZone: in all).
+	Name string // shown to users, who select a harm by it
+	// Lost is the fraction of the otherwise served requests that is lost, of those of Class
+	// (an index; anyClass: all classes) at the instances in Zone (an index; anyZone: all
+	// zones).
 	Lost          float64
 	Class, Zone   int
 	ExtraAttempts float64 // additional attempts per request
-	Leak          float64 // MiB per minute
+	Leak          float64 // growth of resident memory in MiB per minute
 }
 
+// The values of Harm.Class and Harm.Zone that do not limit the loss.
 const (
 	anyClass = -1
 	anyZone  = -1
 )
 
-// affects reports whether the harm applies to requests of a class in a zone.
+// affects reports whether the loss affects requests of a class at instances in a zone.
 func (h *Harm) affects(class, zone int) bool {
 	return (h.Class < 0 || h.Class == class) && (h.Zone < 0 || h.Zone == zone)
 }
 
-// Harms are the harms that are simulated, of which the first is none.
+// Harms returns the simulated harms. The first one is no harm.
 func Harms() []Harm {
 	return []Harm{
 		{Name: "none", Class: anyClass, Zone: anyZone},
--- a/internal/fleet/canary/simulation/plot.go
+++ b/internal/fleet/canary/simulation/plot.go
@@ -10,16 +10,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot draws the fraction of runs that were stopped over the time since the change
-// started, for fleets of one size: a line for each method, solid without harm and dashed
-// with it. The extension of path selects the format: .svg, .png or .pdf.
+// Plot draws the fraction of runs that were stopped, over the time since the change started,
+// for the fleets of one size: for each method a solid line without harm and a dashed line with
+// the named harm. It writes the file path, whose extension selects the format: .svg, .png or
+// .pdf. It returns an error if rows has no result of this size.
 func Plot(rows []Result, size int, harm, path string) error {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%d instances: share of changes stopped", size)
-	p.X.Label.Text, p.Y.Label.Text = "seconds since the change began", "share of runs"
+	p.Title.Text = fmt.Sprintf("%d instances: fraction of changes stopped", size)
+	p.X.Label.Text, p.Y.Label.Text = "seconds since the change started", "fraction of runs"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Top, p.Legend.Left = false, false
-	end := float64(slotsPlayed-historySlots) * slotLength.Seconds()
+	end := float64(slotsPerRun-historySlots) * slotLength.Seconds()
 	drawn := 0
 	for m, method := range Methods {
 		for _, r := range rows {
@@ -27,14 +28,14 @@
 				continue
 			}
 			pts := plotter.XYs{{X: 0, Y: 0}}
-			for n, t := range r.Times {
+			for n, seconds := range r.Times {
 				y := float64(n) / float64(r.Runs)
-				pts = append(pts, plotter.XY{X: t, Y: y}, plotter.XY{X: t, Y: y + 1/float64(r.Runs)})
+				pts = append(pts, plotter.XY{X: seconds, Y: y}, plotter.XY{X: seconds, Y: y + 1/float64(r.Runs)})
 			}
 			pts = append(pts, plotter.XY{X: end, Y: math.Min(1, r.StopRate())})
 			l, err := plotter.NewLine(pts)
 			if err != nil {
-				return fmt.Errorf("plot of %s: %w", method, err)
+				return fmt.Errorf("plot the runs of method %q: %w", method, err)
 			}
 			l.Color = plotutil.Color(m)
 			if r.Harm == harm {
@@ -46,7 +47,7 @@
 		}
 	}
 	if drawn == 0 {
-		return fmt.Errorf("plot: no run of %d instances with harm %q", size, harm)
+		return fmt.Errorf("plot: there are no runs of %d instances without harm or with the harm %q", size, harm)
 	}
 	if err := p.Save(22*vg.Centimeter, 14*vg.Centimeter, path); err != nil {
 		return fmt.Errorf("plot %s: %w", path, err)
--- a/internal/fleet/canary/simulation/simulation.go
+++ b/internal/fleet/canary/simulation/simulation.go
@@ -1,11 +1,12 @@
-// Package simulation runs canary analysis on synthetic fleets, next to two simpler
-// methods of judging a change. It reports how often each method stops a change that does
-// no harm, and how soon it stops one that does. It is a checking tool: no part of a
-// sidecar, an agent or a change uses it. The same seed gives the same runs.
+// Package simulation runs the canary analysis of package canary on synthetic fleets, and two
+// simpler methods of judging a change for comparison. It reports how often each method stops a
+// harmless change, and how soon it stops a harmful one. It is a tool for checking the analysis
+// and is used by no sidecar, agent or change. The same seed gives the same runs.
 //
-// The instances of a fleet differ by more than an order of magnitude in traffic and by a
-// constant factor in their losses; losses also change with the fleet, with the zone, in
-// bursts, and independently at each instance.
+// The instances of a simulated fleet differ by more than an order of magnitude in traffic, and
+// each has its own usual loss: the fraction of its requests that is rejected or fails. Losses
+// also vary over time: in the whole fleet, in each zone, at each instance, and in bursts of a
+// single window.
 package simulation
 
 import (
@@ -19,22 +20,23 @@
 	"martendrum/internal/fleet/canary"
 )
 
-// StopSlots is when each method stopped the change of one run, in slots since its start,
-// or neverStopped.
+// StopSlots is when each method stopped the change of one run: the number of slots since the
+// change started, or neverStopped.
 type StopSlots map[Method]int
 
+// neverStopped means that a method did not stop the change.
 const neverStopped = -1
 
-// Run simulates one fleet.
+// Run simulates the change of one fleet of size instances.
 func Run(size int, harm Harm, seed uint64) StopSlots {
 	w := newWorld(size, harm, seed)
 	judge, err := canary.New(config(size))
 	if err != nil {
-		panic(err) // the constants of this package are invalid
+		panic(err) // only if constants of this package are invalid
 	}
 	out := StopSlots{Sequential: neverStopped, Threshold: neverStopped, TTest: neverStopped}
 	var history lossHistory
-	for slot := range slotsPlayed {
+	for slot := range slotsPerRun {
 		windows := w.step(slot)
 		for _, window := range windows {
 			judge.Add(window)
@@ -48,10 +50,10 @@
 			out[Sequential] = since
 		}
 		for class := range classes {
-			if out[Threshold] < 0 && history.exceedsThreshold(class) {
+			if out[Threshold] < 0 && history.thresholdStops(class) {
 				out[Threshold] = since
 			}
-			if out[TTest] < 0 && history.failsTTest(class) {
+			if out[TTest] < 0 && history.tTestStops(class) {
 				out[TTest] = since
 			}
 		}
@@ -59,26 +61,28 @@
 	return out
 }
 
-// Result summarizes all runs of one size and harm under one method.
+// Result summarizes all runs with one fleet size and one harm, as judged by one method.
 type Result struct {
 	Instances int     `json:"instances"`
 	Harm      string  `json:"harm"`
 	Method    Method  `json:"method"`
 	Runs      int     `json:"runs"`
 	Stopped   int     `json:"stopped"`
-	Median    float64 `json:"median_seconds,omitempty"` // to the stop, of the runs that stopped
-	Slowest   float64 `json:"p90_seconds,omitempty"`
-	Touched   float64 `json:"touched"` // mean fraction of the fleet that ran the change by then
-	// Times are the times to the stop in seconds, in ascending order.
+	Median    float64 `json:"median_seconds,omitempty"` // of Times
+	Slowest   float64 `json:"p90_seconds,omitempty"`    // 90th percentile of Times
+	Touched   float64 `json:"touched"`                  // mean fraction of the fleet that ran the change when it was stopped or the run ended
+	// Times are the times in seconds from the start of the change to the stop, in ascending
+	// order, of the runs that were stopped.
 	Times []float64 `json:"-"`
 }
 
-// StopRate is the fraction of the runs that were stopped.
+// StopRate returns the fraction of the runs that were stopped, NaN without runs.
 func (r Result) StopRate() float64 { return float64(r.Stopped) / float64(r.Runs) }
 
-// RunAll simulates fleets of each size with each harm, runs times without harm and harmRuns
-// times with each other, on all cores. The results are in the order of sizes, Harms and
-// Methods. progress may be nil; it is called by one goroutine at a time.
+// RunAll simulates fleets of each size with each of Harms, on all cores: runs times without
+// harm and harmRuns times with each other harm. The results are in the order of sizes, then
+// Harms, then Methods. progress, if not nil, is called after each run, by one goroutine at a
+// time.
 func RunAll(sizes []int, runs, harmRuns int, seed uint64, progress func(done, of int)) []Result {
 	harms := Harms()
 	jobs := listJobs(len(sizes), len(harms), runs, harmRuns)
@@ -104,10 +108,10 @@
 	return results
 }
 
-// job is one run. size and harm are indices.
+// job is one run. size and harm are indices into RunAll's sizes and Harms.
 type job struct{ size, harm, run int }
 
-// listJobs lists the runs of all sizes and harms, of which the first is none.
+// listJobs lists the runs for the given numbers of sizes and harms. Harm 0 is no harm.
 func listJobs(sizes, harms, runs, harmRuns int) (jobs []job) {
 	for s := range sizes {
 		for h := range harms {
@@ -123,7 +127,7 @@
 	return jobs
 }
 
-// runJobs runs the jobs on all cores and returns the outcome of each.
+// runJobs runs the jobs on all cores and returns the outcome of each, in the order of jobs.
 func runJobs(jobs []job, progress func(done, of int), run func(job) StopSlots) []StopSlots {
 	stops := make([]StopSlots, len(jobs))
 	next, done := make(chan int), 0
@@ -149,7 +153,7 @@
 	return stops
 }
 
-// summarize adds up the outcomes of the runs under the result's method.
+// summarize computes the numbers of the result from the outcomes of all runs.
 func (r *Result) summarize(runs []StopSlots) {
 	for _, stops := range runs {
 		at := stops[r.Method]
@@ -169,8 +173,8 @@
 	}
 }
 
-// changedFraction is the fraction of the fleet that ran the change when it was stopped at
-// a slot since its start, or that ran it in the end if it never was.
+// changedFraction is the fraction of the fleet that ran the change when it was stopped, stop
+// slots after its start. If it was neverStopped, it is the fraction at the end of the run.
 func changedFraction(stop int) float64 {
 	fraction := Stages[len(Stages)-1].Fraction
 	if stop >= 0 {
