--- a/internal/fleetsim/clients.go
+++ b/internal/fleetsim/clients.go
@@ -6,35 +6,38 @@
 	"martendrum"
 )
 
-// Clients describes the requests that come to one sidecar.
+// Clients describes the clients of one sidecar.
 type Clients struct {
-	Rate           float64   // requests a second, retries by clients left out
-	ClassFractions []float64 // fractions of the classes
-	Burst          float64   // how many seconds of requests wait when the sidecar starts
-	RetryFraction  float64   // fraction of rejected clients who retry after Retry-After, within their limit
-	AcceptLate     bool      // an answer after the latency objective counts as served in time
+	Rate           float64   // requests per second, without retries by clients
+	ClassFractions []float64 // fraction of the requests by class; the sum is 1
+	Burst          float64   // requests that wait when the sidecar starts, in seconds of Rate
+	RetryFraction  float64   // fraction of the rejected requests that a client retries after Retry-After, if its deadline allows
+	AcceptLate     bool      // an answer after the latency objective also counts as served in time
 }
 
-// clientRequest is a request of a client, or its retry of one.
+// clientRequest is a client's first request, or a retry after a rejection.
 type clientRequest struct {
 	id           martendrum.RequestID
 	class        int
 	firstArrived time.Duration // when the client's first request arrived
 	deadline     time.Duration
-	attemptsDone []bool // by index
-	inFlight     int    // attempts
-	finished     bool   // answered or given up
+	attemptsDone []bool // by index of the attempt
+	inFlight     int    // number of attempts in flight
+	finished     bool   // served, rejected, failed or expired: the client expects no further answer
 }
 
-// Tally counts what became of requests, by class and then second of the client's first one.
+// Tally counts the requests of a sidecar by outcome. Offered and Served are indexed by class, and
+// then by the second in which the client sent its first request.
 type Tally struct {
-	Offered, Served [][]float64 // all first requests; those that were served in time
-	LateAnswers     int
+	// Offered counts clients' first requests. Served counts the requests that were served in
+	// time, at the first request or at a retry.
+	Offered, Served [][]float64
+	LateAnswers     int // answers after the latency objective, unless Clients.AcceptLate
 	Expired         int // requests without an answer at their deadline
-	Sends           int // attempts
+	Sends           int // attempts sent to servers
 }
 
-// count adds one to a list of counts by class and second.
+// count adds one to the count of a class and of the second that contains at.
 func count(list *[][]float64, class int, at time.Duration) {
 	for len(*list) <= class {
 		*list = append(*list, nil)
@@ -47,7 +50,8 @@
 	(*counts)[second]++
 }
 
-// arrive gives a client's request to the Balancer. firstArrived is now unless it is a retry.
+// arrive passes a client's request to the Balancer. firstArrived is when the client's first
+// request arrived: s.now, unless this one is a retry.
 func (s *Sidecar) arrive(class int, firstArrived time.Duration) {
 	if firstArrived == s.now {
 		count(&s.Tally.Offered, class, firstArrived)
@@ -69,7 +73,8 @@
 	})
 }
 
-// nextClient schedules the next client's request, and so on.
+// nextClient schedules the first request of the next client, which schedules the one after it.
+// The times between requests are exponentially distributed.
 func (s *Sidecar) nextClient() {
 	wait := time.Duration(s.rng.ExpFloat64() / s.clients.Rate * float64(time.Second))
 	s.timers.set(s.now+wait, func() {
@@ -78,18 +83,18 @@
 	})
 }
 
-// drawClass draws the class of a request.
+// drawClass draws the class of a request from ClassFractions.
 func (s *Sidecar) drawClass() int {
-	x := s.rng.Float64()
+	remainder := s.rng.Float64()
 	for class, fraction := range s.clients.ClassFractions {
-		if x -= fraction; x < 0 {
+		if remainder -= fraction; remainder < 0 {
 			return class
 		}
 	}
 	return 0
 }
 
-// expire ends a request at its deadline.
+// expire ends a request at its deadline, unless it has ended before.
 func (s *Sidecar) expire(request *clientRequest) {
 	if s.requests[request.id] == nil {
 		return
@@ -105,7 +110,8 @@
 	}
 }
 
-// finishAttempt reports the outcome of an attempt to the Balancer and counts the answer.
+// finishAttempt reports the outcome of an attempt to the Balancer, and counts the first answer
+// to the request. It does nothing if the attempt has finished before.
 func (s *Sidecar) finishAttempt(request *clientRequest, index int, outcome martendrum.Outcome) {
 	if request.attemptsDone[index] {
 		return
--- a/internal/fleetsim/guide.go
+++ b/internal/fleetsim/guide.go
@@ -7,27 +7,29 @@
 	"martendrum/internal/recovery"
 )
 
-// Guide gives a sidecar the bounds that its Balancer must keep to.
-type Guide interface {
-	// Due is when Tick is to be called.
+// BoundsController decides, over time, which bounds the Balancer of a sidecar must keep to.
+type BoundsController interface {
+	// Due returns when Tick is to be called next.
 	Due() time.Duration
-	// Tick sets the sidecar's bounds.
+	// Tick sets the bounds of the sidecar.
 	Tick(now time.Duration, s *Sidecar)
 }
 
-// Recovery is a Guide that restarts a sidecar as package recovery decides.
+// Recovery is a BoundsController that sets the bounds that package recovery decides on
+// while the sidecar restarts.
 type Recovery struct {
 	*recovery.Machine
-	peer *peers.Node // nil: there is nobody to query
-	Last recovery.Orders
+	peer *peers.Node     // gossip node of the sidecar; nil: no reports of other sidecars are known
+	Last recovery.Orders // result of the last Tick
 }
 
-// NewRecovery returns the Guide of a sidecar that starts at now.
+// NewRecovery returns the Recovery of a sidecar that starts at now, in a fleet of size sidecars.
+// peer may be nil.
 func NewRecovery(now time.Duration, size int, peer *peers.Node) *Recovery {
 	return &Recovery{Machine: recovery.New(recovery.Config{Size: size}, now), peer: peer}
 }
 
-// Tick implements Guide.
+// Tick implements BoundsController.
 func (r *Recovery) Tick(now time.Duration, s *Sidecar) {
 	if r.peer != nil && r.Last.Phase != recovery.Serving {
 		for m := range r.peer.DirectMembers(now) {
--- a/internal/fleetsim/powerloss.go
+++ b/internal/fleetsim/powerloss.go
@@ -8,32 +8,33 @@
 	"martendrum/internal/peers"
 )
 
-// PowerLoss is an experiment: the restart of the fleet after a power loss.
+// PowerLoss is an experiment: the restart of all servers and sidecars after a power loss.
 type PowerLoss struct {
 	Sidecars, Servers int
-	Zones             int           // at most len(zoneNames)
+	Zones             int           // number of zones, at most len(zoneNames)
 	Queue             int           // Server.QueueLimit
-	Load              float64       // demand over the full capacity of all servers
-	Spread            time.Duration // over which servers restart, and then sidecars
+	Load              float64       // ratio of the demand to the full capacity of all servers
+	Spread            time.Duration // servers restart within this time, sidecars within the same time after it
 	SlowStart         SlowStart
 	UniformWork       bool    // Server.UniformWork
-	Clients           Clients // of each sidecar
+	Clients           Clients // clients of each sidecar
 	EnableGossip      bool    // sidecars gossip
-	UseRecovery       bool    // sidecars restart as package recovery decides
+	UseRecovery       bool    // sidecars keep to the bounds of package recovery
 	Network           Network
 	Seed              uint64
-	Workers           int // goroutines of the run
-	Until             time.Duration
+	Workers           int           // number of goroutines of the run
+	Until             time.Duration // length of the run
 }
 
-// serverWorkers is Server.Workers.
+// serverWorkers is the value of Server.Workers.
 const serverWorkers = 4
 
-// zoneNames are the names of the zones.
+// zoneNames lists the names of the zones.
 var zoneNames = []string{"a", "b", "c", "d", "e", "f"}
 
-// SiteConfig is the configuration of the model's Balancers, with an idempotent, a keyed and a
-// non-idempotent class in the order of their weights, and how long clients of each class wait.
+// SiteConfig returns the configuration of the model's Balancers for a fleet of instances
+// sidecars. It has an idempotent, a keyed and a non-idempotent class, in ascending order of
+// weight. limits is how long a client waits, by class, with its retries.
 func SiteConfig(instances int, slowStart SlowStart) (cfg martendrum.Config, limits []time.Duration) {
 	cfg = martendrum.Config{
 		Instances: instances,
@@ -56,14 +57,14 @@
 	return cfg, []time.Duration{3 * time.Second, 2500 * time.Millisecond, 2500 * time.Millisecond}
 }
 
-// PowerLossResult is how a fleet recovered.
+// PowerLossResult describes how a fleet recovered.
 type PowerLossResult struct {
 	PowerLoss
-	Offered, Served [][]float64 // by class, then second, over all sidecars; see Tally
+	Offered, Served [][]float64 // by class, then second; sums over all sidecars (see Tally)
 	Weights         []float64   // by class
-	Crashes         int         // of servers in slow start
-	Sends           int
-	BytesPerSecond  float64 // of datagrams, per sidecar
+	Crashes         int         // number of servers that crashed from overload in slow start
+	Sends           int         // attempts sent to servers
+	BytesPerSecond  float64     // sent in datagrams, mean of all sidecars
 }
 
 // powerLossRun is the state of a run of the experiment.
@@ -74,12 +75,13 @@
 	limits  []time.Duration // by class
 	zones   []string
 	servers []*Server
-	list    []martendrum.Endpoint
-	places  []int // of the servers on the list
+	list    []martendrum.Endpoint // server list that every sidecar receives
+	places  []int                 // places of the servers on list
 }
 
-// Run runs the experiment from the return of power: servers restart within Spread, all in slow
-// start, and sidecars within the next Spread, all with clients that have waited.
+// Run runs the experiment from the return of power: all servers restart within Spread, in slow
+// start, and all sidecars within the next Spread, each with requests that wait (see
+// Clients.Burst).
 func (l PowerLoss) Run() PowerLossResult {
 	run := &powerLossRun{
 		PowerLoss: l,
@@ -93,7 +95,7 @@
 	return run.result()
 }
 
-// startServers starts the servers; sidecars are at the places before them.
+// startServers starts the servers at the places after those of the sidecars.
 func (r *powerLossRun) startServers() {
 	capacityPerRate := r.Load / r.Clients.Rate
 	serviceTime := time.Duration(serverWorkers * float64(time.Second) * capacityPerRate * float64(r.Servers) / float64(r.Sidecars))
@@ -120,10 +122,10 @@
 	}
 }
 
-// startStep is the resolution of the sidecars' starts.
+// startStep is the time step at which sidecars are started.
 const startStep = 50 * time.Millisecond
 
-// startSidecars runs the world until all sidecars have started.
+// startSidecars starts each sidecar at a random time, and runs the world until all have started.
 func (r *powerLossRun) startSidecars() {
 	starts := make([]time.Duration, r.Sidecars)
 	for i := range starts {
@@ -139,10 +141,10 @@
 	}
 }
 
-// maxListDelay is the longest delay of a sidecar's first server list.
+// maxListDelay is the longest time from the start of a sidecar until it receives the server list.
 const maxListDelay = 100 * time.Millisecond
 
-// startSidecar starts a sidecar.
+// startSidecar starts the sidecar at place i.
 func (r *powerLossRun) startSidecar(i int) {
 	cfg := r.config
 	cfg.Zone = r.zones[i%len(r.zones)]
@@ -151,26 +153,26 @@
 	if r.EnableGossip {
 		peer = r.newPeer(i, rng)
 	}
-	var guide Guide
+	var controller BoundsController
 	if r.UseRecovery {
-		guide = NewRecovery(r.world.Now, r.Sidecars, peer)
+		controller = NewRecovery(r.world.Now, r.Sidecars, peer)
 	}
-	s := NewSidecar(r.world.Now, cfg, r.limits, r.Clients, rng, peer, guide)
+	s := NewSidecar(r.world.Now, cfg, r.limits, r.Clients, rng, peer, controller)
 	s.ReceiveList(time.Duration(rng.Float64()*float64(maxListDelay)), r.list, r.places)
 	r.world.Start(i, s)
 }
 
-// newPeer returns the gossip node of a sidecar.
+// newPeer returns the gossip node of the sidecar at place i.
 func (r *powerLossRun) newPeer(i int, rng *rand.Rand) *peers.Node {
 	cfg := peers.Config{Cluster: "model", Self: peers.Rank(i), Size: r.Sidecars, Incarnation: 1}
 	peer, err := peers.New(cfg, r.world.Now, rng)
 	if err != nil {
-		panic(err) // the configuration is this package's own
+		panic(err) // only if the configuration above is invalid
 	}
 	return peer
 }
 
-// result sums up what all nodes have counted.
+// result adds up what all nodes have counted.
 func (r *powerLossRun) result() PowerLossResult {
 	result := PowerLossResult{PowerLoss: r.PowerLoss}
 	for _, class := range r.config.Classes {
@@ -192,7 +194,7 @@
 	return result
 }
 
-// addCounts adds counts by class and second to a sum, which it returns.
+// addCounts adds counts by class and second to sum and returns it, extended where needed.
 func addCounts(sum, counts [][]float64) [][]float64 {
 	for class := range counts {
 		for len(sum) <= class {
@@ -208,7 +210,7 @@
 	return sum
 }
 
-// countAt returns the count of a class and second, 0 where there is none.
+// countAt returns the count of a class and second, 0 if there is none.
 func countAt(counts [][]float64, class, second int) float64 {
 	if class >= len(counts) || second >= len(counts[class]) {
 		return 0
@@ -216,11 +218,12 @@
 	return counts[class][second]
 }
 
-// AllClasses means all classes in PowerLossResult's methods.
+// AllClasses stands for all classes in the methods of PowerLossResult.
 const AllClasses = -1
 
-// ServedFraction is the fraction, by weight, of the requests offered in some seconds that were
-// served in time.
+// ServedFraction returns the fraction, by weight, of requests that were served in time, of those
+// of a class (or AllClasses) that were first sent in the given number of seconds from firstSecond
+// on. It is 0 if there were none.
 func (r PowerLossResult) ServedFraction(class, firstSecond, seconds int) float64 {
 	offered, served := 0.0, 0.0
 	for second := firstSecond; second < firstSecond+seconds; second++ {
@@ -237,15 +240,17 @@
 	return served / offered
 }
 
-// The served fraction of recoveryWindow seconds decides when a fleet has recovered. Seconds
-// whose requests may still be open at the end of the run are left out.
 const (
-	recoveryWindow   = 3
+	// recoveryWindow is the number of seconds whose served fraction decides whether a fleet has
+	// recovered.
+	recoveryWindow = 3
+	// secondsBeforeEnd is the number of seconds at the end of a run that are left out, because
+	// their requests may still be open.
 	secondsBeforeEnd = 5
 )
 
-// RecoveredAt is the first second from which on, for recoveryWindow seconds, the served
-// fraction is at least minFraction; -1 if there is none.
+// RecoveredAt returns the first second that begins a window of recoveryWindow seconds with a
+// served fraction of at least minFraction; -1 if there is none.
 func (r PowerLossResult) RecoveredAt(class int, minFraction float64) int {
 	for second := 0; time.Duration(second+secondsBeforeEnd)*time.Second < r.Until; second++ {
 		if r.ServedFraction(class, second, recoveryWindow) >= minFraction {
--- a/internal/fleetsim/return_capacity_test.go
+++ b/internal/fleetsim/return_capacity_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-// sidecarsPerServer is the number of sidecars for each server of the power loss.
+// sidecarsPerServer is the number of sidecars for each server in BenchmarkReturnCapacity.
 const sidecarsPerServer = 5
 
-// BenchmarkReturnCapacity runs a power loss of the fleet at several sizes: all sidecars start
-// within two seconds and all servers are in slow start. It measures the simulated time until
-// nine tenths of the offered weight are served again, without and with gossip between sidecars.
-// Run it with -benchtime=1x.
+// BenchmarkReturnCapacity simulates a power loss at several fleet sizes: all sidecars start within
+// two seconds while all servers are in slow start. It measures the simulated time until nine
+// tenths of the offered weight are served again, without and with gossip between sidecars. Run it
+// with -benchtime=1x.
 func BenchmarkReturnCapacity(b *testing.B) {
-	for _, size := range capacityFleets(b) {
-		for _, share := range []bool{false, true} {
+	for _, size := range fleetSizes(b) {
+		for _, enableGossip := range []bool{false, true} {
 			for seed := 1; seed <= *capacitySeeds; seed++ {
-				b.Run(fmt.Sprintf("size=%d/share=%v/seed=%d", size, share, seed), func(b *testing.B) {
+				b.Run(fmt.Sprintf("size=%d/share=%v/seed=%d", size, enableGossip, seed), func(b *testing.B) {
 					for b.Loop() {
-						loss := platformLoss(size, size/sidecarsPerServer, uint64(seed)).guided()
-						loss.EnableGossip, loss.Workers = share, capacityWorkers
+						loss := platformPowerLoss(size, size/sidecarsPerServer, uint64(seed)).withRecovery()
+						loss.EnableGossip, loss.Workers = enableGossip, capacityWorkers
 						returned := loss.Run()
 						seconds := returned.RecoveredAt(-1, 0.9)
 						if seconds < 0 {
-							b.Fatalf("nine tenths are not served after %v", loss.Until)
+							b.Fatalf("nine tenths of the offered weight are not served within %v", loss.Until)
 						}
 						b.ReportMetric(float64(seconds), "s-to-nine-tenths")
 						b.ReportMetric(returned.BytesPerSecond, "sent-B/s")
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// Epoch is the Unix time at which a world begins: balancers and server lists use Unix time.
+// Epoch is the time at which a world begins, since the Unix epoch. Balancers and server lists use
+// Unix time; all other times of this package count from the beginning of the world.
 const Epoch = 1_000_000 * time.Hour
 
-// SlowStart is how servers warm up, and which load crashes one that does.
+// SlowStart describes how a server warms up after its start, and which load crashes it meanwhile.
 type SlowStart struct {
 	InitialFraction  float64       // fraction of its capacity that a server has when it starts
-	Duration         time.Duration // until it has its full capacity
-	OverloadFactor   float64       // multiple of its present capacity that crashes it
-	OverloadDuration time.Duration // if received for this long
+	Duration         time.Duration // time until the server has its full capacity
+	OverloadFactor   float64       // load, as a multiple of the present capacity, that crashes the server
+	OverloadDuration time.Duration // if the server receives that load for this long
 }
 
-// capacityFraction is the fraction of its capacity that a server of the age has.
+// capacityFraction returns the fraction of its full capacity that a server of the given age has.
 func (s SlowStart) capacityFraction(age time.Duration) float64 {
 	if age >= s.Duration || s.Duration <= 0 {
 		return 1
@@ -26,59 +27,60 @@
 	return s.InitialFraction + (1-s.InitialFraction)*float64(max(0, age))/float64(s.Duration)
 }
 
-// Server is a Node that executes attempts: workers, each with one attempt at a time, and a
-// queue. Service times are exponentially distributed, and longer during slow start.
+// Server is a Node that executes attempts. It has workers, each of which executes one attempt at
+// a time, and a queue. Service times are exponentially distributed unless UniformWork is set, and
+// longer during slow start.
 type Server struct {
 	SlowStart   SlowStart
 	Workers     int
-	ServiceTime time.Duration // mean, at full capacity
-	QueueLimit  int           // attempts that may wait
-	UniformWork bool          // every attempt takes the mean
+	ServiceTime time.Duration // mean time to execute an attempt at full capacity
+	QueueLimit  int           // number of attempts that may wait
+	UniformWork bool          // every attempt takes the mean time
 
-	Crashes  int // from overload during slow start
-	Executed int // attempts
+	Crashes  int // number of crashes from overload during slow start
+	Executed int // number of executed attempts
 
 	up             bool
 	started        time.Duration
 	rng            *rand.Rand
 	running        []job
 	waiting        []job
-	recentArrivals []time.Duration // within OverloadDuration, during slow start
+	recentArrivals []time.Duration // during slow start: arrival times within the last OverloadDuration
 	outbox         []Message
 }
 
 // job is an attempt at a server.
 type job struct {
-	from      int // place of its sidecar
+	from      int // place of the sidecar that sent it
 	attemptID attemptID
-	end       time.Duration // of its execution
+	end       time.Duration // when its execution ends
 }
 
-// attemptID identifies an attempt of one sidecar.
+// attemptID identifies an attempt among those of one sidecar.
 type attemptID struct {
-	id      uint64 // of the request
-	attempt int    // index
+	id      uint64 // ID of the request
+	attempt int    // index of the attempt within the request
 }
 
-// result is a server's answer.
+// result is a server's answer to an attempt.
 type result struct {
 	attemptID
 	status status
 }
 
-// status is what became of an attempt.
+// status is the outcome of an attempt.
 type status uint8
 
 const (
 	executed      status = iota
-	rejected             // without execution, because the queue was full
-	connectFailed        // the server is down
+	rejected             // not executed, because the queue was full
+	connectFailed        // not executed, because the server is down
 )
 
-// Capacity is how many attempts a second the server executes at full capacity.
+// Capacity returns how many attempts per second the server executes at full capacity.
 func (s *Server) Capacity() float64 { return float64(s.Workers) / s.ServiceTime.Seconds() }
 
-// Start starts the server, which begins its slow start.
+// Start starts the server; its slow start begins at now.
 func (s *Server) Start(now time.Duration, rng *rand.Rand) {
 	s.up = true
 	s.started = now
@@ -86,7 +88,7 @@
 	s.recentArrivals = s.recentArrivals[:0]
 }
 
-// Stop stops the server; attempts that run or wait there are lost.
+// Stop stops the server. Running and waiting attempts are lost without an answer.
 func (s *Server) Stop() {
 	s.up = false
 	s.running = nil
@@ -102,7 +104,7 @@
 	return due
 }
 
-// Tick implements Node: it answers what has been executed and begins what waits.
+// Tick implements Node: it answers executed attempts and begins waiting ones.
 func (s *Server) Tick(now time.Duration) {
 	s.running = slices.DeleteFunc(s.running, func(j job) bool {
 		if j.end > now {
@@ -118,7 +120,7 @@
 	}
 }
 
-// begin begins the execution of an attempt.
+// begin begins to execute an attempt.
 func (s *Server) begin(now time.Duration, j job) {
 	serviceTime := float64(s.ServiceTime) / s.SlowStart.capacityFraction(now-s.started)
 	if !s.UniformWork {
@@ -128,7 +130,7 @@
 	s.running = append(s.running, j)
 }
 
-// answer sends the status of an attempt.
+// answer sends the status of an attempt to its sidecar.
 func (s *Server) answer(j job, st status) {
 	s.outbox = append(s.outbox, Message{To: j.from, Body: result{j.attemptID, st}})
 }
@@ -156,8 +158,9 @@
 	}
 }
 
-// overloaded counts an arrival and reports whether it crashes a server in slow start: more
-// than N + 3 sqrt(N) + 3 within OverloadDuration, where N is the number it can bear.
+// overloaded records an arrival and reports whether it crashes the server. A server in slow start
+// crashes if more than N + 3 sqrt(N) + 3 attempts arrive within OverloadDuration, where N is the
+// number that it can bear in that time.
 func (s *Server) overloaded(now time.Duration) bool {
 	age := now - s.started
 	if age >= s.SlowStart.Duration {
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -11,47 +11,48 @@
 	"martendrum/internal/peers"
 )
 
-// Sidecar is a Node with a real Balancer, whose Host it is, its clients, and a real peers.Node
-// if it has one.
+// Sidecar is a Node that models a sidecar. It has a real Balancer, for which it implements
+// martendrum.Host; simulated clients; and optionally a real peers.Node for gossip.
 type Sidecar struct {
 	Tally Tally
 
-	config   martendrum.Config
-	limits   []time.Duration // by class: how long a client waits, retries included
-	clients  Clients
-	balancer *martendrum.Balancer
-	peer     *peers.Node // nil: no gossip
-	guide    Guide       // nil: no bounds
-	rng      *rand.Rand
+	config     martendrum.Config
+	limits     []time.Duration // by class: how long a client waits, with its retries
+	clients    Clients
+	balancer   *martendrum.Balancer
+	peer       *peers.Node      // nil: no gossip
+	controller BoundsController // nil: no bounds
+	rng        *rand.Rand
 
 	now      time.Duration
 	requests map[martendrum.RequestID]*clientRequest
 	lastID   martendrum.RequestID
 	timers   timerQueue
-	deferred []func() // calls of the Balancer that must not be made from within Host's methods
+	deferred []func() // calls to the Balancer, which must not be called from within methods of martendrum.Host
 	outbox   []Message
-	servers  map[string]int // places by name
+	servers  map[string]int // places of servers by name
 }
 
-// burstSpread is the time over which the requests that waited for a sidecar's start arrive.
+// burstSpread is the time from a sidecar's start within which the waiting requests arrive.
 const burstSpread = 200 * time.Millisecond
 
-// NewSidecar returns a sidecar that starts at now. limits are by class.
-func NewSidecar(now time.Duration, cfg martendrum.Config, limits []time.Duration, clients Clients, rng *rand.Rand, peer *peers.Node, guide Guide) *Sidecar {
+// NewSidecar returns a sidecar that starts at now. limits is how long a client waits, by class,
+// with its retries. peer and controller may be nil.
+func NewSidecar(now time.Duration, cfg martendrum.Config, limits []time.Duration, clients Clients, rng *rand.Rand, peer *peers.Node, controller BoundsController) *Sidecar {
 	s := &Sidecar{
-		config:   cfg,
-		limits:   limits,
-		clients:  clients,
-		peer:     peer,
-		guide:    guide,
-		rng:      rng,
-		now:      now,
-		requests: make(map[martendrum.RequestID]*clientRequest),
-		servers:  make(map[string]int),
+		config:     cfg,
+		limits:     limits,
+		clients:    clients,
+		peer:       peer,
+		controller: controller,
+		rng:        rng,
+		now:        now,
+		requests:   make(map[martendrum.RequestID]*clientRequest),
+		servers:    make(map[string]int),
 	}
 	var err error
 	if s.balancer, err = martendrum.New(cfg, rng.Uint64(), s); err != nil {
-		panic(err) // the configuration is this package's own
+		panic(err) // only if the caller's configuration is invalid
 	}
 	for range int(clients.Burst * clients.Rate) {
 		at := now + time.Duration(rng.Float64()*float64(burstSpread))
@@ -64,17 +65,17 @@
 // Peer returns the sidecar's peers.Node, nil if it has none.
 func (s *Sidecar) Peer() *peers.Node { return s.peer }
 
-// SetBounds sets the Balancer's bounds.
+// SetBounds sets the bounds that the Balancer must keep to.
 func (s *Sidecar) SetBounds(bounds martendrum.Bounds) { s.balancer.SetBounds(bounds) }
 
-// Arrivals is how many requests have arrived so far, clients' retries included.
+// Arrivals returns how many requests have arrived so far, including retries by clients.
 func (s *Sidecar) Arrivals() uint64 { return uint64(s.lastID) }
 
-// serverName is the name of the server at a place.
+// serverName returns the name of the server at a place.
 func serverName(place int) string { return "s" + strconv.Itoa(place) }
 
-// ReceiveList gives the sidecar a complete server list, each server with its place, after a
-// delay.
+// ReceiveList passes a complete server list to the sidecar after a delay. places holds the place
+// of each server on the list.
 func (s *Sidecar) ReceiveList(after time.Duration, list []martendrum.Endpoint, places []int) {
 	s.timers.set(s.now+after, func() {
 		for i, endpoint := range list {
@@ -90,8 +91,8 @@
 	if s.peer != nil {
 		due = min(due, s.peer.Due())
 	}
-	if s.guide != nil {
-		due = min(due, s.guide.Due())
+	if s.controller != nil {
+		due = min(due, s.controller.Due())
 	}
 	return due
 }
@@ -102,8 +103,8 @@
 	if s.peer != nil && now >= s.peer.Due() {
 		s.peer.Tick(now)
 	}
-	if s.guide != nil && now >= s.guide.Due() {
-		s.guide.Tick(now, s)
+	if s.controller != nil && now >= s.controller.Due() {
+		s.controller.Tick(now, s)
 	}
 	for s.timers.Len() > 0 && s.timers.due() <= now {
 		heap.Pop(&s.timers).(timer).run()
@@ -111,7 +112,7 @@
 	}
 }
 
-// runDeferred makes the deferred calls of the Balancer.
+// runDeferred makes the deferred calls to the Balancer, and those that are deferred meanwhile.
 func (s *Sidecar) runDeferred() {
 	for len(s.deferred) > 0 {
 		run := s.deferred[0]
@@ -120,7 +121,7 @@
 	}
 }
 
-// outcomes are the outcomes of attempts by status.
+// outcomes maps the status of an attempt to the outcome that is reported to the Balancer.
 var outcomes = [...]martendrum.Outcome{
 	executed:      martendrum.OK,
 	rejected:      martendrum.Rejected,
@@ -143,7 +144,7 @@
 		s.finishAttempt(request, m.attempt, outcomes[m.status])
 		s.runDeferred()
 	default:
-		panic(fmt.Sprintf("fleetsim: a sidecar received a %T", msg))
+		panic(fmt.Sprintf("fleetsim: a sidecar received a message of type %T", msg))
 	}
 }
 
@@ -168,15 +169,16 @@
 	request.inFlight++
 }
 
-// Cancel implements martendrum.Host. The server executes the attempt all the same, which is
-// the worse case.
+// Cancel implements martendrum.Host. The server still executes the attempt, which is the worse
+// case.
 func (s *Sidecar) Cancel(id martendrum.RequestID, index int) {
 	if request := s.requests[id]; request != nil && index < len(request.attemptsDone) {
 		s.deferred = append(s.deferred, func() { s.finishAttempt(request, index, martendrum.Cancelled) })
 	}
 }
 
-// Reject implements martendrum.Host: the client may retry.
+// Reject implements martendrum.Host. The client retries with the probability
+// Clients.RetryFraction, if its deadline allows.
 func (s *Sidecar) Reject(id martendrum.RequestID, retryAfter time.Duration) {
 	request := s.requests[id]
 	if request == nil || request.finished {
@@ -203,11 +205,12 @@
 	s.timers.set(s.now+max(after, time.Microsecond), func() { s.balancer.TimerFired(Epoch+s.now, cookie) })
 }
 
-// CloseIdle implements martendrum.Host; the model has no connections.
+// CloseIdle implements martendrum.Host. It does nothing: the model has no connections.
 func (*Sidecar) CloseIdle(string) {}
 
-// Probe implements martendrum.Host; the model has no probes.
+// Probe implements martendrum.Host. It does nothing: the model has no probes.
 func (*Sidecar) Probe(string) {}
 
-// Subscribe implements martendrum.Host; the model pushes lists.
+// Subscribe implements martendrum.Host. It does nothing: ReceiveList passes the server list to
+// the sidecar without a subscription.
 func (*Sidecar) Subscribe() {}
--- a/internal/fleetsim/timers.go
+++ b/internal/fleetsim/timers.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// timer is a function that is due at a time.
+// timer is a function that is to be called at a time.
 type timer struct {
 	at  time.Duration
-	seq int
+	seq int // position in the order in which timers were set
 	run func()
 }
 
-// timerQueue is a heap of timers by time, in the order of their setting where times are equal.
+// timerQueue is a heap of timers, ordered by time; timers of equal times are in the order in which
+// they were set.
 type timerQueue struct {
 	list    []timer
 	lastSeq int
@@ -24,7 +25,7 @@
 	heap.Push(q, timer{at, q.lastSeq, run})
 }
 
-// due is the time of the next timer, Never if there is none.
+// due returns the time of the next timer, Never if there is none.
 func (q *timerQueue) due() time.Duration {
 	if len(q.list) == 0 {
 		return Never
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -1,11 +1,13 @@
-// Package fleetsim is a model of the fleet: the real state machines of many sidecars in
-// simulated time, with a network between them that loses, delays, duplicates and cuts.
+// Package fleetsim simulates a fleet: it runs the real state machines of many sidecars in
+// simulated time, with a simulated network between them that delays, loses and duplicates
+// messages and can be partitioned.
 //
-// It owns the clock, the order of events and all randomness, which each node draws from a
-// seed of its own: the same seed gives the same run, whatever the number of workers. Nodes
-// run in parallel within windows as short as the network's shortest delay, in which none can
-// receive what another sends. It opens no socket and reads no clock. What is recorded of a
-// run is up to the experiment, such as PowerLoss.
+// A World controls the time, the order of events and all randomness. Each node has a random
+// number generator with a seed of its own, so the same seed gives the same run with any number
+// of workers. Nodes run in parallel within time windows no longer than the network's minimum
+// delay, since no message that is sent in such a window can arrive within it. The package opens
+// no socket and reads no clock. Experiments, such as PowerLoss, decide what is recorded of a
+// run.
 package fleetsim
 
 import (
@@ -20,64 +22,64 @@
 // Never is the time of an event that does not happen.
 const Never = time.Duration(math.MaxInt64)
 
-// Node is a state machine that the world drives. All its methods are called by one
-// goroutine at a time.
+// Node is a state machine that a World runs. Its methods are called by one goroutine at a time.
+// All times count from the beginning of the world.
 type Node interface {
-	// Due is when Tick is to be called, Never if not.
+	// Due returns when Tick is to be called next, Never if it need not be called.
 	Due() time.Duration
-	// Tick carries out what is due.
+	// Tick carries out what is due at now.
 	Tick(now time.Duration)
-	// Receive takes the body of a message.
+	// Receive handles the body msg of a message from the node at place from.
 	Receive(now time.Duration, from int, msg any)
-	// Out hands over the messages that are to be sent.
+	// Out passes the messages that the node has to send to send, each once.
 	Out(send func(Message))
 }
 
-// Message is what a node sends.
+// Message is a message from one node to another.
 type Message struct {
-	To   int // place
-	Body any // immutable once sent
-	Size int // of the datagram, in bytes; 0: sent over a connection, and not lost
+	To   int // place of the receiver
+	Body any // must not be changed once it is sent
+	Size int // size of the datagram in bytes; 0: sent over a connection, where Loss and Duplication don't apply
 }
 
 // Network describes the network between the nodes.
 type Network struct {
-	MinDelay, MaxDelay time.Duration // of a message; MinDelay must be above 0
-	Loss, Duplication  float64       // fractions of datagrams
-	// Cut reports whether messages between two places are lost now; nil: none are. It is
-	// called by several goroutines at once.
+	MinDelay, MaxDelay time.Duration // bounds of a message's delay; MinDelay must be above 0
+	Loss, Duplication  float64       // fractions of the datagrams that are lost or duplicated
+	// Cut reports whether all messages that are sent now from one place to another are lost.
+	// nil means that none are. Several goroutines call Cut at the same time.
 	Cut func(now time.Duration, from, to int) bool
 }
 
-// World is the nodes at their places and the network between them. It is not safe for
-// concurrent use.
+// World holds nodes and the network between them. A place is the address of a node: a number
+// from 0 on, at which at most one node runs at a time. A World is not safe for concurrent use.
 type World struct {
-	Now     time.Duration
+	Now     time.Duration // time since the beginning of the world
 	network Network
 	places  []place
 	workers int
 }
 
-// place is where a node runs, or none at the time.
+// place is the state of one place, at which a node may run.
 type place struct {
-	node      Node
-	rng       *rand.Rand
+	node      Node       // nil: no node runs here
+	rng       *rand.Rand // randomness of the network for messages from here, and seeds of the nodes
 	inbox     inbox
-	outbox    []envelope
-	sent      uint64 // messages
-	datagrams uint64 // of the messages
-	bytes     uint64 // of the datagrams
+	outbox    []envelope // sent in the present window
+	sent      uint64     // number of messages sent
+	datagrams uint64     // number of those that were datagrams
+	bytes     uint64     // size of the datagrams
 }
 
 // envelope is a message in transit.
 type envelope struct {
-	at       time.Duration
-	from, to int
-	seq      uint64
+	at       time.Duration // when it arrives
+	from, to int           // places
+	seq      uint64        // number of the message among those of the sender
 	body     any
 }
 
-// inbox is a heap of envelopes by the time at which they arrive.
+// inbox is a heap of envelopes, ordered by arrival time, then sender, then number.
 type inbox []envelope
 
 // Len implements heap.Interface.
@@ -103,8 +105,8 @@
 	return x
 }
 
-// New returns a world of size places at which no node runs. workers bounds the goroutines of
-// a run.
+// New returns a world with size places, at none of which a node runs. workers is the maximum
+// number of goroutines of a run.
 func New(size int, seed uint64, net Network, workers int) *World {
 	w := &World{network: net, places: make([]place, size), workers: max(1, workers)}
 	for i := range w.places {
@@ -113,31 +115,32 @@
 	return w
 }
 
-// Rand returns a new source of random numbers for the node that starts at a place.
+// Rand returns a new source of random numbers for a node that starts at place i.
 func (w *World) Rand(i int) *rand.Rand {
 	return rand.New(rand.NewPCG(w.places[i].rng.Uint64(), w.places[i].rng.Uint64()))
 }
 
-// Start puts a node at a place.
+// Start starts a node at place i, in place of one that may run there.
 func (w *World) Start(i int, n Node) { w.places[i].node = n }
 
-// Stop ends the node of a place as a kill does: what it has not sent and what is in transit to
-// it is lost.
+// Stop ends the node at place i as if its process were killed: the messages that it has not sent
+// and those in transit to it are lost.
 func (w *World) Stop(i int) {
 	p := &w.places[i]
 	p.node = nil
 	p.inbox = nil
 }
 
-// Node returns the node at a place, nil if there is none.
+// Node returns the node at place i, nil if none runs there.
 func (w *World) Node(i int) Node { return w.places[i].node }
 
-// Sent returns how many datagrams and bytes a place has sent so far.
+// Sent returns the number and the total size in bytes of the datagrams that nodes at place i have
+// sent so far.
 func (w *World) Sent(i int) (datagrams, bytes uint64) {
 	return w.places[i].datagrams, w.places[i].bytes
 }
 
-// nextEvent is the time of the next event at a place.
+// nextEvent returns the time of the next event at the place, Never if there is none.
 func (p *place) nextEvent() time.Duration {
 	if p.node == nil {
 		return Never
@@ -149,8 +152,8 @@
 	return at
 }
 
-// Run runs the world until the given time, or until done, called after each window of events,
-// returns true.
+// Run runs the world until the given time, or until done returns true. done may be nil; it is
+// called after each window of events.
 func (w *World) Run(until time.Duration, done func() bool) {
 	for {
 		first := Never
@@ -171,15 +174,16 @@
 	}
 }
 
-// runWindow runs all events before end and delivers what was sent.
+// runWindow runs all events before end, and then puts the sent messages into the inboxes of their
+// receivers. Messages to places without a node are lost.
 func (w *World) runWindow(end time.Duration) {
 	var wg sync.WaitGroup
 	perWorker := (len(w.places) + w.workers - 1) / w.workers
 	for from := 0; from < len(w.places); from += perWorker {
-		part := w.places[from:min(from+perWorker, len(w.places))]
+		chunk := w.places[from:min(from+perWorker, len(w.places))]
 		work := func() {
-			for i := range part {
-				w.runPlace(&part[i], from+i, end)
+			for i := range chunk {
+				w.runPlace(&chunk[i], from+i, end)
 			}
 		}
 		if w.workers == 1 {
@@ -200,7 +204,7 @@
 	}
 }
 
-// runPlace runs the events of a place before end, in order.
+// runPlace runs the events before end of the place p with the number at, in order of time.
 func (w *World) runPlace(p *place, at int, end time.Duration) {
 	for {
 		now := p.nextEvent()
@@ -218,7 +222,8 @@
 	}
 }
 
-// send puts a message in transit, unless the network loses it.
+// send puts a message from the place p with the number at in transit, unless the network loses
+// it.
 func (w *World) send(p *place, at int, now time.Duration, m Message) {
 	p.sent++
 	deliveries := 1
