--- a/internal/fleet/canary/aggregate.go
+++ b/internal/fleet/canary/aggregate.go
@@ -1,7 +1,7 @@
 package canary
 
-// The phases of a change, as indices. A rate of the history phase is what is usual for an
-// instance; a rate of the present phase is compared with it.
+// The phases of a change, as indices. The rate of an instance in the history phase is its
+// usual rate, with which its rate in the present phase is compared.
 const (
 	history = iota // slots before Config.Start
 	present        // slots from Config.Start on
@@ -168,15 +168,15 @@
 		if r.exposure == 0 || pool.exposure == 0 {
 			continue
 		}
-		at := phase
+		countedPhase := phase
 		if stored.isChange {
-			at = present
+			countedPhase = present
 		}
 		s := &j.totals[k][i]
-		s.events[at] += r.events
-		s.exposure[at] += r.exposure
-		s.squares[at] += r.squares
-		s.expected[at] += r.exposure * j.expectedRate(k, j.zoneOf[i], pool)
+		s.events[countedPhase] += r.events
+		s.exposure[countedPhase] += r.exposure
+		s.squares[countedPhase] += r.squares
+		s.expected[countedPhase] += r.exposure * j.expectedRate(k, j.zoneOf[i], pool)
 		if !stored.isChange {
 			j.noise[k].add(c, r, pool, j.factorOf(k, i))
 		}
--- a/internal/fleet/canary/cell.go
+++ b/internal/fleet/canary/cell.go
@@ -1,12 +1,12 @@
 package canary
 
-// cell is one measure of one class of requests. For each instance it is counted as events
-// and exposure, such as failed requests and all requests; its rate is events divided by
+// cell is one measure of one class of requests, or of all classes. For each instance it is
+// counted as events and exposure, such as failed requests and all requests; its rate is events divided by
 // exposure.
 type cell struct {
 	measure Measure
 	class   int  // allClasses, or an index into Config.Classes
-	poisson bool // true: events are a Poisson count and may exceed the exposure; false: a fraction of it
+	poisson bool // true: events are a Poisson count; false: each unit of exposure is an event or not
 	read    func(w *Window) reading
 }
 
--- a/internal/fleet/canary/degradation.go
+++ b/internal/fleet/canary/degradation.go
@@ -22,9 +22,9 @@
 // minDegradationSlots is the minimum number of history slots for estimating the usual rate.
 const minDegradationSlots = 6
 
-// degradations compares the recent slots of the unchanged instances with their history. The
-// result is a reason to wait, not to stop, because this comparison does not bound the
-// probability of a false alarm over repeated evaluations.
+// degradations compares the recent slots of the unchanged instances with their history, for
+// the measures Unserved and Rejections. The result is a reason to wait, not to stop, because
+// this comparison does not bound the probability of a false alarm over repeated evaluations.
 func (j *Judge) degradations() (out []Degradation) {
 	for k, c := range j.cells {
 		l := &j.baselineLevels[k]
--- a/internal/fleet/canary/differ.go
+++ b/internal/fleet/canary/differ.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Sample holds the metrics of an instance at one time: counters since its process started,
-// and gauges. A counter that the instance does not report is 0.
+// and gauges. A counter that the instance does not report is 0, and thus 0 in all windows.
 type Sample struct {
 	At      time.Time // when the metrics were read, by the clock of the instance's agent
 	Process string    // identifies the process; the counters of each process start at 0
--- a/internal/fleet/canary/judge.go
+++ b/internal/fleet/canary/judge.go
@@ -6,7 +6,7 @@
 // Time is divided into slots, and a window holds the counts of one instance in one slot. The
 // rate of each instance is compared with the rate of the unchanged instances of its zone in
 // the same slots, after multiplying the latter by a factor: how many times as high the
-// instance's rate was before the change started. The excess of the changed instances is then
+// instance's rate was before the change. The excess of the changed instances is then
 // tested against the excess of the unchanged ones. Neither a bad minute at the servers nor an
 // instance that was always worse therefore looks like an effect of the change. The bounds
 // hold under repeated evaluation (see bound.go), over all measures together.
@@ -28,7 +28,7 @@
 	slots              [][]*storedWindow          // by slot and instance; nil: no window
 	arms               []arm                      // of each instance
 	excluded           map[Reason]int             // by Add and Exclude
-	unpairedWindows    int                        // windows of changed instances for which their zone and slot have no window of an unchanged one
+	unpairedWindows    int                        // windows of changed instances without a window of an unchanged one in the same zone and slot
 	aggregatedSlots    int                        // the fields below, and unpairedWindows, hold the sums of the slots before this one
 	totals             [][]totals                 // by cell and instance
 	noise              []noise                    // by cell
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -204,8 +204,9 @@
 	}
 }
 
-// runPlace runs the events before end of the place p with the number at, in order of time.
-func (w *World) runPlace(p *place, at int, end time.Duration) {
+// runPlace runs the events before end at the place p, in order of time. index is the number of
+// the place.
+func (w *World) runPlace(p *place, index int, end time.Duration) {
 	for {
 		now := p.nextEvent()
 		if now >= end || p.node == nil {
@@ -218,13 +219,13 @@
 		} else {
 			p.node.Tick(now)
 		}
-		p.node.Out(func(m Message) { w.send(p, at, now, m) })
+		p.node.Out(func(m Message) { w.send(p, index, now, m) })
 	}
 }
 
-// send puts a message from the place p with the number at in transit, unless the network loses
-// it.
-func (w *World) send(p *place, at int, now time.Duration, m Message) {
+// send puts a message from the place p in transit, unless the network loses it. from is the
+// number of the place.
+func (w *World) send(p *place, from int, now time.Duration, m Message) {
 	p.sent++
 	deliveries := 1
 	loss := 0.0
@@ -239,9 +240,9 @@
 	for range deliveries {
 		delay := w.network.MinDelay + time.Duration(p.rng.Float64()*float64(w.network.MaxDelay-w.network.MinDelay))
 		lost := loss > 0 && p.rng.Float64() < loss
-		if lost || w.network.Cut != nil && w.network.Cut(now, at, m.To) {
+		if lost || w.network.Cut != nil && w.network.Cut(now, from, m.To) {
 			continue
 		}
-		p.outbox = append(p.outbox, envelope{at: now + delay, from: at, to: m.To, seq: p.sent, body: m.Body})
+		p.outbox = append(p.outbox, envelope{at: now + delay, from: from, to: m.To, seq: p.sent, body: m.Body})
 	}
 }
