--- a/cmd/sidecar/process_test.go
+++ b/cmd/sidecar/process_test.go
@@ -70,6 +70,15 @@
 	return n
 }
 
+// awaitLog waits until the process's log contains all of the texts. A message that the process
+// logged before it became ready may be read from it only later.
+func (p *process) awaitLog(t *testing.T, texts ...string) {
+	t.Helper()
+	for _, text := range texts {
+		eventually(t, fmt.Sprintf("the log message %q", text), func() bool { return strings.Contains(p.log.String(), text) })
+	}
+}
+
 // waitSocketQuota waits until the process's quota of descriptors is sockets.
 func (p *process) waitSocketQuota(t *testing.T, sockets int) {
 	t.Helper()
--- a/cmd/sidecar/upgrade_failures_test.go
+++ b/cmd/sidecar/upgrade_failures_test.go
@@ -134,7 +134,5 @@
 	}
 	next := f.startReadyProcess()
 	f.checkServed(t)
-	if !strings.Contains(next.log.String(), "on its own") {
-		t.Errorf("log has no message that the process is on its own:\n%s", next.log)
-	}
+	next.awaitLog(t, "on its own")
 }
--- a/cmd/sidecar/upgrade_test.go
+++ b/cmd/sidecar/upgrade_test.go
@@ -26,9 +26,7 @@
 		f.t.Errorf("exit of the old process after SIGTERM: got %v, want status 0", err)
 	}
 	next.waitSocketQuota(f.t, 256)
-	if !strings.Contains(next.log.String(), "warm start") {
-		f.t.Errorf("log of the new process has no message warm start:\n%s", next.log)
-	}
+	next.awaitLog(f.t, "warm start")
 	return next
 }
 
--- a/cmd/sidecar/warm_restart_test.go
+++ b/cmd/sidecar/warm_restart_test.go
@@ -4,10 +4,8 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"strings"
 	"syscall"
 	"testing"
-	"time"
 )
 
 // TestWarmRestart checks that a process that starts soon after a stop restores the learned state of
@@ -25,9 +23,7 @@
 	first.waitExit(t)
 	second := f.startProcess()
 	second.waitReady(t)
-	if log := second.log.String(); !strings.Contains(log, "warm start") || !strings.Contains(log, "servers=1") {
-		t.Errorf("log has no message warm start with servers=1:\n%s", log)
-	}
+	second.awaitLog(t, "warm start", "servers=1")
 	second.Process.Kill()
 	second.waitExit(t)
 	names, _ := filepath.Glob(filepath.Join(f.dir, "sidecar-*.snap"))
@@ -39,11 +35,5 @@
 	}
 	third := f.startProcess()
 	third.waitReady(t)
-	log := third.log.String()
-	for until := time.Now().Add(eventTimeout); !strings.Contains(log, "cold start") && time.Now().Before(until); log = third.log.String() {
-		time.Sleep(time.Millisecond) // a message logged before the process was ready may not have been read yet
-	}
-	if !strings.Contains(log, "cold start") || !strings.Contains(log, "damaged") {
-		t.Errorf("log has no message cold start for the damaged snapshot:\n%s", log)
-	}
+	third.awaitLog(t, "cold start", "damaged")
 }
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -107,7 +107,7 @@
 }
 
 // Trim evicts connections until their number is within Config.MaxConns or all that remain are in use.
-// It is called after Limit has lowered MaxConns.
+// It is called after SetLimits has lowered MaxConns.
 func (s *Server) Trim() {
 	for {
 		s.mu.Lock()
