--- a/internal/idempotency/backend.go
+++ b/internal/idempotency/backend.go
@@ -5,48 +5,53 @@
 	"errors"
 )
 
-// Backend stores entries. Its methods may be called from several goroutines. Errors
-// wrap one of those below where a caller branches on it.
+// Backend stores entries. Its methods may be called concurrently. An error wraps ErrFull,
+// ErrReadOnly or ErrUnusable where one of them applies.
 type Backend interface {
-	// Apply applies ops in order, in one transaction that is durable when Apply returns
-	// nil; each op has its Result then. After an error the outcome is unknown unless it is
-	// ErrFull or ErrReadOnly; the ops may be applied again.
+	// Apply applies ops in order, in one transaction. When Apply returns nil, the transaction
+	// is durable and each op has its Result and Entry. After ErrFull or ErrReadOnly nothing
+	// was stored. After any other error the transaction may have been committed or not; the
+	// same ops may be applied again.
 	Apply(ctx context.Context, ops []*Op) error
-	// Get returns a key's stored entry; its State is Unknown if there is none.
+	// Get returns the entry of a key. If there is none, it returns an entry whose State is
+	// Unknown and no error.
 	Get(ctx context.Context, class, key string) (Entry, error)
-	// List returns up to filter.Limit entries in the order of their keys. The bodies of
-	// answers are left out.
+	// List returns up to filter.Limit entries, ordered by class and key. Answer, the body of
+	// the answer, is empty in each of them.
 	List(ctx context.Context, filter Filter) ([]Entry, error)
-	// Sweep lapses entries of dead owners and drops those past their retention, up to
-	// limit in all; it returns how many it changed.
+	// Sweep ends the claims whose lease has expired, see Entry.Lapse, and deletes the entries
+	// whose retention is over. It changes up to limit entries and returns their number.
 	Sweep(ctx context.Context, retention Retention, limit int) (int, error)
-	// Gap stores that requests of a class continued without the store.
-	Gap(ctx context.Context, gap Gap) error
-	// Gaps returns the latest gaps.
+	// WriteGap stores a Gap.
+	WriteGap(ctx context.Context, gap Gap) error
+	// Gaps returns up to limit gaps, the latest first.
 	Gaps(ctx context.Context, limit int) ([]Gap, error)
-	// Stats counts entries by state, and the bytes used.
+	// Stats returns the number of entries in each state and the bytes used.
 	Stats(ctx context.Context) (Stats, error)
-	// Check looks for damage and for invalid entries; nil if there are none.
+	// Check returns one line for each damaged part or invalid entry that it finds. The error
+	// says that the check could not be completed.
 	Check(ctx context.Context) ([]string, error)
-	// Compact returns unused space to the file system.
+	// Compact releases unused space.
 	Compact(ctx context.Context) error
-	// Ping checks that the store accepts writes.
+	// Ping returns an error if the store does not accept writes.
 	Ping(ctx context.Context) error
+	// Close closes the store, which can't be used afterwards.
 	Close() error
 }
 
-// Filter says what to list.
+// Filter selects the entries that Backend.List returns.
 type Filter struct {
-	State        State // Unknown: all
-	Class        string
-	AfterClass   string // with AfterKey: only entries after this key
+	State        State  // Unknown: every state
+	Class        string // "": every class
+	AfterClass   string // with AfterKey: only entries that are ordered after this class and key
 	AfterKey     string
-	Limit        int
-	ChangedSince int64 // in the store's microseconds
+	Limit        int   // the most entries that are returned
+	ChangedSince int64 // only entries changed at this time or later, see Entry for its unit
 }
 
-// Gap is a time in which requests of a class continued without the store. From and
-// Until are Unix times in microseconds, by the sidecar's clock.
+// Gap is a period in which requests of a class were forwarded without being recorded, as
+// the store was unavailable. From and Until, the times of the first and the last of these
+// requests, are Unix times in microseconds by the sidecar's clock.
 type Gap struct {
 	Owner    string `json:"Owner"`
 	Class    string `json:"Class"`
@@ -56,17 +61,17 @@
 	Cause    string `json:"Cause"`
 }
 
-// Stats is what a store holds.
+// Stats describes the content of a store.
 type Stats struct {
-	Rows     map[State]int64
-	Bytes    int64
-	MaxBytes int64 // 0: the store has no bound of its own
+	Rows     map[State]int64 // the number of entries in each state
+	Bytes    int64           // SQLite: the used pages of the file; PostgreSQL: the stored answers
+	MaxBytes int64           // 0: the store does not limit its size
 }
 
-// Errors of a store that can be reached.
+// Errors of a store that replied to the call.
 var (
 	ErrFull     = errors.New("the store is full")
 	ErrReadOnly = errors.New("the store is read-only")
-	// ErrUnusable: retrying does not help.
+	// ErrUnusable means that retrying does not help, for example after a wrong password.
 	ErrUnusable = errors.New("the store can't be used")
 )
--- a/internal/idempotency/backendtest/backendtest.go
+++ b/internal/idempotency/backendtest/backendtest.go
@@ -1,5 +1,5 @@
-// Package backendtest is what each idempotency.Backend must do, as tests that the
-// backends' own packages run.
+// Package backendtest has tests that each implementation of idempotency.Backend must pass, and
+// helpers for further tests of the implementations.
 package backendtest
 
 import (
@@ -15,10 +15,10 @@
 	"martendrum/internal/idempotency"
 )
 
-// Retention is the retention of the tests' stores.
+// Retention is the retention that the tests use.
 var Retention = idempotency.Retention{Answered: time.Hour, NeverRan: time.Minute, Unsettled: 24 * time.Hour}
 
-// ctx is a context that bounds a call to 30 s.
+// ctx returns a context that limits a call to 30 s.
 func ctx(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -26,30 +26,32 @@
 	return ctx
 }
 
-// Claim is an op that claims a key.
+// Claim returns an op that claims a key of the class "activate". Its owner is "o-" and the
+// token; its fingerprint is the same for all keys.
 func Claim(key, token string, lease time.Duration) *idempotency.Op {
 	return &idempotency.Op{Kind: idempotency.Claim, Class: "activate", Key: key, Token: token, Owner: "o-" + token, Fingerprint: bytes.Repeat([]byte{7}, 32), RequestID: "r1", Lease: lease}
 }
 
-// Send is an op that sends an attempt.
-func Send(key, token string, n int) *idempotency.Op {
-	return &idempotency.Op{Kind: idempotency.Send, Class: "activate", Key: key, Token: token, Attempt: n, Server: fmt.Sprint("s", n), Lease: time.Hour}
+// Send returns an op that records an attempt, which counts from 0, at the server "s" and the
+// attempt's number.
+func Send(key, token string, attempt int) *idempotency.Op {
+	return &idempotency.Op{Kind: idempotency.Send, Class: "activate", Key: key, Token: token, Attempt: attempt, Server: fmt.Sprint("s", attempt), Lease: time.Hour}
 }
 
-// End is an op that ends a request.
-func End(key, token string, to idempotency.State) *idempotency.Op {
-	op := &idempotency.Op{Kind: idempotency.End, Class: "activate", Key: key, Token: token, Outcome: to}
-	if to == idempotency.Answered {
+// End returns an op that ends a request with an outcome. For Answered it has an answer.
+func End(key, token string, outcome idempotency.State) *idempotency.Op {
+	op := &idempotency.Op{Kind: idempotency.End, Class: "activate", Key: key, Token: token, Outcome: outcome}
+	if outcome == idempotency.Answered {
 		op.Status, op.Header, op.Answer = 200, []byte("Content-Type: text/plain\r\n"), []byte("yes\x00\xff")
 	}
 	return op
 }
 
-// Apply applies ops and returns their results.
+// Apply applies ops in one call and returns their results.
 func Apply(t *testing.T, backend idempotency.Backend, ops ...*idempotency.Op) (results []idempotency.Result) {
 	t.Helper()
 	if err := backend.Apply(ctx(t), ops); err != nil {
-		t.Fatal(err)
+		t.Fatalf("apply %d ops: %v", len(ops), err)
 	}
 	for _, op := range ops {
 		results = append(results, op.Result)
@@ -57,47 +59,48 @@
 	return results
 }
 
-// Expect applies one op and compares its result.
+// Expect applies one op and fails the test unless its result is want.
 func Expect(t *testing.T, backend idempotency.Backend, op *idempotency.Op, want idempotency.Result) {
 	t.Helper()
 	if got := Apply(t, backend, op)[0]; got != want {
-		t.Fatalf("%+v: %v, want %v (entry %+v)", op, got, want, op.Entry)
+		t.Fatalf("apply the op %+v: got result %v, want %v; the entry is %+v", op, got, want, op.Entry)
 	}
 }
 
-// Run runs the tests, each on a store of its own that open opens.
+// Run runs the tests. Each calls open for a new, empty store.
 func Run(t *testing.T, open func(t *testing.T) idempotency.Backend) {
 	for _, test := range []struct {
 		name string
 		run  func(*testing.T, idempotency.Backend)
 	}{
-		{"claimed, sent and answered", testLifecycle},
-		{"ops of one batch in order", testBatch},
-		{"leases of dead owners expire", testDeadOwners},
-		{"settled by hand", testSettle},
-		{"lists by state and key", testList},
-		{"sweeps by lease and retention", testSweep},
-		{"stores gaps", testGaps},
-		{"one of many claims is granted", testConcurrentClaims},
-		{"compacts and pings", testCompactAndPing},
+		{"claim, send and answer", testLifecycle},
+		{"apply the ops of a batch in order", testBatch},
+		{"end claims whose lease has expired", testDeadOwners},
+		{"settle keys", testSettle},
+		{"list entries", testList},
+		{"sweep by lease and retention", testSweep},
+		{"store gaps", testGaps},
+		{"grant one of concurrent claims", testConcurrentClaims},
+		{"compact and ping", testCompactAndPing},
 	} {
 		t.Run(test.name, func(t *testing.T) { test.run(t, open(t)) })
 	}
 }
 
-// testLifecycle checks a key from its claim to its answer, and what others learn of it.
+// testLifecycle checks a key from its claim to its answer, and the results of other claims
+// meanwhile.
 func testLifecycle(t *testing.T, backend idempotency.Backend) {
 	Expect(t, backend, Claim("k", "a", time.Hour), idempotency.Granted)
-	Expect(t, backend, Claim("k", "a", time.Hour), idempotency.Granted) // the same op again
+	Expect(t, backend, Claim("k", "a", time.Hour), idempotency.Granted) // the op may be applied again
 	Expect(t, backend, Claim("k", "b", time.Hour), idempotency.Busy)
 	Expect(t, backend, Send("k", "b", 0), idempotency.Fenced)
 	for range 2 {
 		Expect(t, backend, Send("k", "a", 0), idempotency.Granted)
 		Expect(t, backend, Send("k", "a", 1), idempotency.Granted)
 	}
-	row, err := backend.Get(ctx(t), "activate", "k")
-	if err != nil || row.Attempts != 2 || row.Servers != "s0,s1" || row.State != idempotency.InFlight || row.Owner != "o-a" || row.RequestID != "r1" {
-		t.Fatalf("%+v %v", row, err)
+	entry, err := backend.Get(ctx(t), "activate", "k")
+	if err != nil || entry.Attempts != 2 || entry.Servers != "s0,s1" || entry.State != idempotency.InFlight || entry.Owner != "o-a" || entry.RequestID != "r1" {
+		t.Fatalf("Get() after two attempts = %+v, %v; want 2 attempts at s0 and s1, the state %q, the owner o-a and the request ID r1", entry, err, idempotency.InFlight)
 	}
 	for range 2 {
 		Expect(t, backend, End("k", "a", idempotency.Answered), idempotency.Granted)
@@ -106,27 +109,28 @@
 	op := Claim("k", "c", time.Hour)
 	Expect(t, backend, op, idempotency.AlreadyAnswered)
 	if string(op.Entry.Answer) != "yes\x00\xff" || string(op.Entry.Header) != "Content-Type: text/plain\r\n" || op.Entry.Status != 200 {
-		t.Errorf("the answer came back as %+v", op.Entry)
+		t.Errorf("entry of the repeated request = %+v; want the stored status, header and answer", op.Entry)
 	}
-	other := Claim("k", "d", time.Hour)
-	other.Fingerprint = bytes.Repeat([]byte{8}, 32)
-	Expect(t, backend, other, idempotency.KeyReused)
+	different := Claim("k", "d", time.Hour)
+	different.Fingerprint = bytes.Repeat([]byte{8}, 32)
+	Expect(t, backend, different, idempotency.KeyReused)
 	if found, err := backend.Check(ctx(t)); err != nil || len(found) > 0 {
-		t.Error(found, err)
+		t.Errorf("Check() = %q, %v; want no damage and no error", found, err)
 	}
 }
 
-// testBatch checks that ops of one batch are applied in order, also to one key.
+// testBatch checks that the ops of one batch are applied in order, also those on one key.
 func testBatch(t *testing.T, backend idempotency.Backend) {
 	got := Apply(t, backend, Claim("k", "a", time.Hour), Claim("k", "b", time.Hour), Send("k", "a", 0), Claim("j", "c", time.Hour),
 		End("k", "a", idempotency.NeverRan), Claim("k", "d", time.Hour), Send("k", "a", 1), End("none", "x", idempotency.NeverRan))
 	want := []idempotency.Result{idempotency.Granted, idempotency.Busy, idempotency.Granted, idempotency.Granted, idempotency.Granted, idempotency.Granted, idempotency.Fenced, idempotency.Granted}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("results of the batch = %v, want %v", got, want)
 	}
 }
 
-// testDeadOwners checks what claims find whose owner's lease is over, and that a late outcome counts.
+// testDeadOwners checks the results of claims of keys whose owner's lease has expired, and
+// that a late outcome of such an owner is stored.
 func testDeadOwners(t *testing.T, backend idempotency.Backend) {
 	Expect(t, backend, Claim("sent", "a", -time.Second), idempotency.Granted)
 	op := Send("sent", "a", 0)
@@ -135,20 +139,20 @@
 	Expect(t, backend, Claim("unsent", "b", -time.Second), idempotency.Granted)
 	Expect(t, backend, Claim("sent", "c", time.Hour), idempotency.Unsettled)
 	Expect(t, backend, Claim("unsent", "d", time.Hour), idempotency.Granted)
-	Expect(t, backend, Send("unsent", "b", 0), idempotency.Fenced) // its owner resumes after the lease
+	Expect(t, backend, Send("unsent", "b", 0), idempotency.Fenced) // the owner resumes after its lease has expired
 	Expect(t, backend, Send("sent", "a", 1), idempotency.Fenced)
-	Expect(t, backend, End("sent", "a", idempotency.Answered), idempotency.Granted) // a late outcome still counts
+	Expect(t, backend, End("sent", "a", idempotency.Answered), idempotency.Granted) // the late outcome is stored
 	Expect(t, backend, Claim("sent", "e", time.Hour), idempotency.AlreadyAnswered)
 }
 
-// testSettle checks that only keys that may have run are settled.
+// testSettle checks that a key can be settled only if its request may have run.
 func testSettle(t *testing.T, backend idempotency.Backend) {
 	for _, key := range []string{"ran", "not", "flying"} {
 		Apply(t, backend, Claim(key, key, time.Hour), Send(key, key, 0))
 	}
 	Apply(t, backend, End("ran", "ran", idempotency.MayHaveRun), End("not", "not", idempotency.MayHaveRun))
-	settle := func(key string, to idempotency.State) *idempotency.Op {
-		return &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: key, Outcome: to, SettledBy: "sari", Note: "asked the network"}
+	settle := func(key string, outcome idempotency.State) *idempotency.Op {
+		return &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: key, Outcome: outcome, SettledBy: "sari", Note: "asked the network"}
 	}
 	Expect(t, backend, settle("ran", idempotency.Answered), idempotency.Granted)
 	Expect(t, backend, settle("ran", idempotency.NeverRan), idempotency.Fenced)
@@ -158,45 +162,46 @@
 	op := Claim("ran", "x", time.Hour)
 	Expect(t, backend, op, idempotency.AlreadyAnswered)
 	if op.Entry.SettledBy != "sari" || op.Entry.Note != "asked the network" {
-		t.Errorf("%+v", op.Entry)
+		t.Errorf("entry of the settled key = %+v; want SettledBy %q and Note %q", op.Entry, "sari", "asked the network")
 	}
 	Expect(t, backend, Claim("not", "y", time.Hour), idempotency.Granted)
 }
 
-// testList checks filters, paging and counts.
+// testList checks the filters and the paging of List, and the counts of Stats.
 func testList(t *testing.T, backend idempotency.Backend) {
 	for n := range 25 {
 		key := fmt.Sprintf("k%02d'\"", n)
 		Apply(t, backend, Claim(key, key, time.Hour), Send(key, key, 0), End(key, key, []idempotency.State{idempotency.Answered, idempotency.MayHaveRun}[n%2]))
 	}
-	var got []string
-	f := idempotency.Filter{State: idempotency.MayHaveRun, Limit: 5}
+	var keys []string
+	filter := idempotency.Filter{State: idempotency.MayHaveRun, Limit: 5}
 	for {
-		rows, err := backend.List(ctx(t), f)
+		page, err := backend.List(ctx(t), filter)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("list the entries after %q: %v", filter.AfterKey, err)
 		}
-		for _, r := range rows {
-			got = append(got, r.Key)
+		for _, entry := range page {
+			keys = append(keys, entry.Key)
 		}
-		if len(rows) < f.Limit {
+		if len(page) < filter.Limit {
 			break
 		}
-		f.AfterClass, f.AfterKey = rows[len(rows)-1].Class, rows[len(rows)-1].Key
+		filter.AfterClass, filter.AfterKey = page[len(page)-1].Class, page[len(page)-1].Key
 	}
-	if len(got) != 12 || got[0] != "k01'\"" || got[11] != "k23'\"" {
-		t.Errorf("%d keys: %v", len(got), got)
+	if len(keys) != 12 || keys[0] != "k01'\"" || keys[11] != "k23'\"" {
+		t.Errorf("List() returned %d keys of the state %q: %q; want 12, from k01'\" to k23'\"", len(keys), filter.State, keys)
 	}
-	if rows, err := backend.List(ctx(t), idempotency.Filter{Class: "other", Limit: 5}); err != nil || len(rows) > 0 {
-		t.Error(rows, err)
+	if entries, err := backend.List(ctx(t), idempotency.Filter{Class: "other", Limit: 5}); err != nil || len(entries) > 0 {
+		t.Errorf("List() of a class without entries = %+v, %v; want none", entries, err)
 	}
-	st, err := backend.Stats(ctx(t))
-	if err != nil || st.Rows[idempotency.Answered] != 13 || st.Rows[idempotency.MayHaveRun] != 12 || st.Bytes <= 0 {
-		t.Errorf("%+v %v", st, err)
+	stats, err := backend.Stats(ctx(t))
+	if err != nil || stats.Rows[idempotency.Answered] != 13 || stats.Rows[idempotency.MayHaveRun] != 12 || stats.Bytes <= 0 {
+		t.Errorf("Stats() = %+v, %v; want 13 entries of the state %q, 12 of %q, and Bytes above 0", stats, err, idempotency.Answered, idempotency.MayHaveRun)
 	}
 }
 
-// testSweep checks that a sweep lapses dead owners' entries and drops old ones, up to its limit.
+// testSweep checks that Sweep ends the claims whose lease has expired, deletes entries whose
+// retention is over, and changes no more entries than its limit.
 func testSweep(t *testing.T, backend idempotency.Backend) {
 	for n := range 10 {
 		key := fmt.Sprint("a", n)
@@ -206,44 +211,44 @@
 	sent := Send("dead", "d", 0)
 	sent.Lease = -time.Second
 	Apply(t, backend, dead, sent, Claim("unsent", "u", -time.Second), Claim("alive", "l", time.Hour))
-	n, err := backend.Sweep(ctx(t), Retention, 100)
-	if err != nil || n != 2 {
-		t.Fatal(n, err)
+	swept, err := backend.Sweep(ctx(t), Retention, 100)
+	if err != nil || swept != 2 {
+		t.Fatalf("Sweep() of two expired claims = %d, %v; want 2", swept, err)
 	}
 	for key, want := range map[string]idempotency.State{"dead": idempotency.MayHaveRun, "unsent": idempotency.NeverRan, "alive": idempotency.InFlight, "a3": idempotency.Answered} {
-		if row, err := backend.Get(ctx(t), "activate", key); err != nil || row.State != want {
-			t.Errorf("%s: %q %v, want %q", key, row.State, err, want)
+		if entry, err := backend.Get(ctx(t), "activate", key); err != nil || entry.State != want {
+			t.Errorf("state of the key %s after Sweep: got %q, error %v; want %q", key, entry.State, err, want)
 		}
 	}
 	time.Sleep(2 * time.Millisecond)
 	short := idempotency.Retention{Answered: time.Millisecond, NeverRan: time.Hour, Unsettled: time.Hour}
 	total := 0
-	for n := 4; n == 4; total += n {
-		if n, err = backend.Sweep(ctx(t), short, 4); err != nil || n > 4 {
-			t.Fatal(n, err)
+	for swept := 4; swept == 4; total += swept {
+		if swept, err = backend.Sweep(ctx(t), short, 4); err != nil || swept > 4 {
+			t.Fatalf("Sweep() with a limit of 4 = %d, %v; want at most 4", swept, err)
 		}
 	}
-	if st, _ := backend.Stats(ctx(t)); total != 10 || st.Rows[idempotency.Answered] != 0 || st.Rows[idempotency.InFlight] != 1 {
-		t.Errorf("%d swept; left %+v", total, st)
+	if stats, _ := backend.Stats(ctx(t)); total != 10 || stats.Rows[idempotency.Answered] != 0 || stats.Rows[idempotency.InFlight] != 1 {
+		t.Errorf("Sweep() deleted %d entries and left %+v; want 10 deleted, no answered entry left and 1 in flight", total, stats)
 	}
 }
 
 // testGaps checks that a gap is read as it was written.
 func testGaps(t *testing.T, backend idempotency.Backend) {
-	g := idempotency.Gap{Owner: "o", Class: "id-register", From: 5, Until: 9, Requests: 3, Cause: "away"}
-	if err := backend.Gap(ctx(t), g); err != nil {
-		t.Fatal(err)
+	gap := idempotency.Gap{Owner: "o", Class: "id-register", From: 5, Until: 9, Requests: 3, Cause: "away"}
+	if err := backend.WriteGap(ctx(t), gap); err != nil {
+		t.Fatalf("write a gap: %v", err)
 	}
-	if got, err := backend.Gaps(ctx(t), 10); err != nil || !reflect.DeepEqual(got, []idempotency.Gap{g}) {
-		t.Error(got, err)
+	if got, err := backend.Gaps(ctx(t), 10); err != nil || !reflect.DeepEqual(got, []idempotency.Gap{gap}) {
+		t.Errorf("Gaps() = %+v, %v; want the written gap %+v", got, err, gap)
 	}
 }
 
-// testConcurrentClaims checks that of concurrent claims of one key, one is granted.
+// testConcurrentClaims checks that one of 24 concurrent claims of a key is granted.
 func testConcurrentClaims(t *testing.T, backend idempotency.Backend) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	got := make(map[idempotency.Result]int)
+	results := make(map[idempotency.Result]int) // of the claims of the one key
 	for n := range 24 {
 		wg.Go(func() {
 			ops := []*idempotency.Op{Claim("k", fmt.Sprint(n), time.Hour), Claim(fmt.Sprint("own", n), fmt.Sprint(n), time.Hour)}
@@ -251,20 +256,20 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				t.Error(err)
+				t.Errorf("claim %d: %v", n, err)
 			}
-			got[ops[0].Result]++
+			results[ops[0].Result]++
 		})
 	}
 	wg.Wait()
-	if got[idempotency.Granted] != 1 || got[idempotency.Busy] != 23 {
-		t.Error(got)
+	if results[idempotency.Granted] != 1 || results[idempotency.Busy] != 23 {
+		t.Errorf("results of 24 concurrent claims = %v; want 1 %v and 23 %v", results, idempotency.Granted, idempotency.Busy)
 	}
 }
 
-// testCompactAndPing checks that a store replies before and after it is compacted.
+// testCompactAndPing checks that Ping succeeds before and after Compact.
 func testCompactAndPing(t *testing.T, backend idempotency.Backend) {
 	if err := errors.Join(backend.Ping(ctx(t)), backend.Compact(ctx(t)), backend.Ping(ctx(t))); err != nil {
-		t.Error(err)
+		t.Errorf("Ping, Compact and Ping: %v", err)
 	}
 }
--- a/internal/idempotency/breaker.go
+++ b/internal/idempotency/breaker.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Breaker is a circuit breaker for the store. It opens after consecutive failures, lets
-// one probe through after each backoff, and closes at the first success. Backoffs double
-// up to a bound. Times are durations since a start of the caller's choice.
+// Breaker is a circuit breaker for the store. It opens after a number of consecutive
+// failures, allows one probe after each backoff, and closes at the first success. Backoffs
+// double up to a maximum. Times are durations since a start that the caller chooses. A
+// Breaker must not be used concurrently.
 type Breaker struct {
 	failureThreshold int
 	minBackoff       time.Duration
@@ -12,8 +13,8 @@
 	failures         int
 	open             bool
 	backoff          time.Duration
-	retryAt          time.Duration
-	probing          bool
+	retryAt          time.Duration // when the next probe is allowed
+	probing          bool          // a probe was allowed and has not been reported yet
 	lastError        string
 }
 
@@ -23,8 +24,8 @@
 	return Breaker{failureThreshold: failureThreshold, minBackoff: minBackoff, maxBackoff: maxBackoff}
 }
 
-// Allow says whether the store may be called at now. While the breaker is open, one
-// probe for each backoff is allowed.
+// Allow reports whether the store may be called at now. While the breaker is open, it
+// allows one probe after each backoff, whose result the caller must report.
 func (b *Breaker) Allow(now time.Duration) bool {
 	switch {
 	case !b.open:
@@ -36,13 +37,13 @@
 	return true
 }
 
-// Succeeded reports a call that succeeded.
+// Succeeded records a successful call and closes the breaker.
 func (b *Breaker) Succeeded() {
 	b.failures, b.open, b.probing, b.backoff = 0, false, false, 0
 }
 
-// Failed reports a call that failed. jitter within 0 and 1 lengthens the next backoff by
-// up to half.
+// Failed records a failed call; cause is what Open returns. jitter, between 0 and 1,
+// lengthens the next backoff by up to half.
 func (b *Breaker) Failed(now time.Duration, cause string, jitter float64) {
 	b.failures++
 	b.lastError = cause
@@ -54,12 +55,13 @@
 	b.retryAt = now + b.backoff + time.Duration(jitter/2*float64(b.backoff))
 }
 
-// Open says whether the breaker is open, until when at least, and why.
+// Open reports whether the breaker is open, the time before which no probe is allowed, and
+// the cause of the last failure.
 func (b *Breaker) Open() (open bool, until time.Duration, cause string) {
 	return b.open, b.retryAt, b.lastError
 }
 
-// State is the breaker's state: "closed", "half-open" or "open".
+// State returns "closed", "open" or, while a probe is being made, "half-open".
 func (b *Breaker) State() string {
 	switch {
 	case !b.open:
--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -1,79 +1,80 @@
-// Package idempotency defines the idempotency store and its decisions: what is known of
-// a request's key, and how an event changes it. It has no I/O, clock or goroutine. The
-// entries are stored by internal/idempotency/sqlite and postgres; a sidecar's requests
-// reach them through internal/idempotency/recorder. docs/design/record.md lists the
-// promises.
+// Package idempotency defines the entries of the idempotency store and their state
+// machine: what is known about the idempotency key of a request, and how each event changes
+// it. The package does no I/O, reads no clock and starts no goroutine. The packages sqlite
+// and postgres store the entries, and the package recorder connects a sidecar's requests
+// to a store. docs/design/record.md lists the guarantees.
 //
 // For each request that has a key, the store holds:
 //
-//   - A claim, written before the request may be forwarded or rejected. It excludes
-//     other requests with the key at every sidecar that shares the store. A claim alone
-//     means that nothing was sent.
-//   - Each attempt with its server, durable before its first byte is sent.
-//   - The outcome, durable before the client has its answer unless the store takes
-//     longer than a request waits. An answer whose outcome was not written leaves its key
-//     in flight, which never permits another request.
+//   - A claim, written before the sidecar forwards or rejects the request. It excludes
+//     other requests with the same key at every sidecar that shares the store. A claim
+//     without an attempt means that nothing was sent.
+//   - Each attempt with its server, durable before the first byte of the attempt is sent.
+//   - The outcome, durable before the client receives its answer, unless the store takes
+//     longer than a request may wait. If the outcome is not written, the key stays in flight
+//     until its lease expires and may have run afterwards; neither state permits another
+//     request.
 //
-// The store only adds knowledge: a key whose request may have run is never sent again by
-// another request. Whether the request that holds a claim is retried is decided by the
-// decision module.
+// After an attempt of a request was sent, no other request with the key is sent, unless it
+// is known that the first one did not run. The decision module decides whether the request
+// that holds a claim is retried.
 package idempotency
 
-// State is what is known of a key. The zero State is an unknown key.
+// State is what is known about a key.
 type State string
 
-// The states of a key. They are stored.
+// The states of a key. The texts are stored.
 const (
-	Unknown    State = ""
-	InFlight   State = "in-flight"    // claimed; sent if Attempts > 0
-	Answered   State = "answered"     // it ran; the answer is stored, omitted or settled by hand
-	NeverRan   State = "never-ran"    // provably not executed: another request with the key may run
-	MayHaveRun State = "may-have-run" // to be settled by hand, or by a late report of its owner
+	Unknown    State = ""             // there is no entry for the key
+	InFlight   State = "in-flight"    // claimed; an attempt may have been sent if Attempts > 0
+	Answered   State = "answered"     // the request ran; its answer is stored, too large to be stored, or unknown as an operator settled the key
+	NeverRan   State = "never-ran"    // the request certainly did not run: another one with the key may run
+	MayHaveRun State = "may-have-run" // unknown until an operator settles the key or its owner reports the outcome late
 )
 
-// States are all that a stored entry can have.
+// States are the states that a stored entry can have: all but Unknown.
 var States = []State{InFlight, Answered, NeverRan, MayHaveRun}
 
-// Entry is what is stored of a key. Times are in microseconds since 1970 by the store's
-// clock: for SQLite see Clock, for PostgreSQL the server's.
+// Entry is what is stored about a key. Its times are Unix times in microseconds by the
+// store's clock, which is a Clock for SQLite and the server's clock for PostgreSQL.
 type Entry struct {
 	Class, Key   string
 	State        State
 	Fingerprint  []byte // SHA-256 of the request, see Fingerprint
-	Owner        string // ID of the sidecar's run that claimed it
-	Token        string // fencing token of a claim, never used twice
-	RequestID    string // its Req-Id
-	Attempts     int64  // that may have been sent
-	Servers      string // of the attempts, separated by commas
-	StartedAt    int64
-	ChangedAt    int64
-	LeaseExpires int64 // when an owner in flight counts as dead
+	Owner        string // ID of the sidecar process that claimed the key
+	Token        string // fencing token of the claim, different for each claim
+	RequestID    string // value of the request's Req-Id field
+	Attempts     int64  // number of attempts that may have been sent
+	Servers      string // servers of the attempts, separated by commas
+	StartedAt    int64  // time of the claim
+	ChangedAt    int64  // time of the last change
+	LeaseExpires int64  // while in flight: when the owner counts as dead
 
-	Status        int64  // of the answer
-	Header        []byte // its fields, HTTP/1.1
-	Answer        []byte
-	AnswerOmitted bool   // the answer was too large to be stored
-	SettledBy     string // who settled it by hand
-	Note          string
-	Version       int64 // counts the changes, for optimistic concurrency
+	Status        int64  // HTTP status of the answer
+	Header        []byte // stored header fields of the answer, as HTTP/1.1 text
+	Answer        []byte // body of the answer
+	AnswerOmitted bool   // the body was too large to be stored
+	SettledBy     string // operator who settled the key; "": nobody
+	Note          string // the operator's remark
+	Version       int64  // number of changes, for optimistic concurrency control
 }
 
-// Columns are the names of the stored columns, in the order of Fields and Values.
+// Columns are the names of the stored columns, in the order of ScanTargets and Values.
 const Columns = "class, key, state, body, owner, token, request, attempts, servers, began, changed, expires, status, header, answer, cut, settled, note, version"
 
-// Fields returns pointers to e's fields, to scan into.
-func (e *Entry) Fields() []any {
+// ScanTargets returns pointers to the fields of e, for reading a row of Columns.
+func (e *Entry) ScanTargets() []any {
 	return []any{&e.Class, &e.Key, &e.State, &e.Fingerprint, &e.Owner, &e.Token, &e.RequestID, &e.Attempts, &e.Servers, &e.StartedAt, &e.ChangedAt, &e.LeaseExpires,
 		&e.Status, &e.Header, &e.Answer, &e.AnswerOmitted, &e.SettledBy, &e.Note, &e.Version}
 }
 
-// Values returns e's fields, to store.
+// Values returns the fields of e, for writing a row of Columns.
 func (e *Entry) Values() []any {
 	return []any{e.Class, e.Key, string(e.State), nonNil(e.Fingerprint), e.Owner, e.Token, e.RequestID, e.Attempts, e.Servers, e.StartedAt, e.ChangedAt, e.LeaseExpires,
 		e.Status, nonNil(e.Header), nonNil(e.Answer), e.AnswerOmitted, e.SettledBy, e.Note, e.Version}
 }
 
-// nonNil makes a nil slice an empty one, as the columns are NOT NULL.
+// nonNil returns an empty slice for a nil one, as the columns are NOT NULL.
 func nonNil(data []byte) []byte {
 	if data == nil {
 		return []byte{}
@@ -81,11 +82,12 @@
 	return data
 }
 
-// Expired says whether an entry in flight has outlived its owner's lease.
+// Expired reports whether the entry is in flight and its lease is over at now.
 func (e *Entry) Expired(now int64) bool { return e.State == InFlight && now >= e.LeaseExpires }
 
-// Lapse replaces the state of an entry in flight whose owner is dead. Without an attempt
-// nothing was sent, and nothing will be, as the claim is void from now on.
+// Lapse ends the claim of an entry in flight whose owner is dead. The entry becomes NeverRan
+// if no attempt was recorded, as nothing was sent and the owner can't record an attempt
+// after this change. Otherwise it becomes MayHaveRun.
 func (e *Entry) Lapse(now int64) {
 	if e.Attempts == 0 {
 		e.State = NeverRan
@@ -96,16 +98,16 @@
 	e.Version++
 }
 
-// setState sets the state and counts the change.
+// setState sets the state, the time of the change and the version.
 func (e *Entry) setState(state State, now int64) {
 	e.State, e.ChangedAt = state, now
 	e.Version++
 }
 
-// SQL for many entries at once.
+// SQL that handles many entries in one statement.
 const (
-	// LapseAssignments are Lapse's assignments, except for the time.
+	// LapseAssignments are the assignments of Entry.Lapse, except for the time of the change.
 	LapseAssignments = "state = CASE WHEN attempts = 0 THEN 'never-ran' ELSE 'may-have-run' END, version = version + 1"
-	// InvalidRowCondition holds for rows that no Op writes.
+	// InvalidRowCondition is true for rows that no Op can produce.
 	InvalidRowCondition = "(state NOT IN ('in-flight', 'answered', 'never-ran', 'may-have-run') OR length(body) <> 32 OR token = '' OR state = 'answered' AND status = 0 AND settled = '')"
 )
--- a/internal/idempotency/fingerprint.go
+++ b/internal/idempotency/fingerprint.go
@@ -6,8 +6,9 @@
 	"encoding/binary"
 )
 
-// Fingerprint distinguishes requests that have the same key: it is the SHA-256 of the
-// request line, the tenant and the body, each with its length.
+// Fingerprint returns a hash that distinguishes different requests with the same key: the
+// SHA-256 of the request line, the tenant and the body, each preceded by its length. head
+// is the HTTP/1.1 request line and header.
 func Fingerprint(head []byte, tenant string, body []byte) []byte {
 	requestLine, _, _ := bytes.Cut(head, []byte("\r\n"))
 	hash := sha256.New()
--- a/internal/idempotency/key.go
+++ b/internal/idempotency/key.go
@@ -12,7 +12,7 @@
 	"martendrum/internal/protocol"
 )
 
-// maxKeyBytes is the longest key, in bytes.
+// maxKeyBytes is the maximum length of a key, in bytes.
 const maxKeyBytes = 256
 
 // The kinds of key rules.
@@ -22,14 +22,15 @@
 	requestIDRule = "request-id"
 )
 
-// KeyRule says where a class's keys come from: "header:NAME", "json:/POINTER" (RFC
-// 6901, into the body) or "request-id". With the last, retries by the client are not
-// recognised, as it gives each a new ID.
+// KeyRule says where the requests of a class carry their idempotency key: "header:NAME"
+// names a header field, "json:/POINTER" a value of the JSON body (RFC 6901), and
+// "request-id" means the Req-Id field. With "request-id" a client's retries are not
+// recognised, as the client gives each a new ID.
 type KeyRule struct {
 	kind, argument string
 }
 
-// ParseKeyRule reads a rule.
+// ParseKeyRule parses the text of a KeyRule.
 func ParseKeyRule(text string) (KeyRule, error) {
 	kind, argument, _ := strings.Cut(text, ":")
 	switch {
@@ -37,12 +38,12 @@
 	case kind == jsonRule && strings.HasPrefix(argument, "/"):
 	case text == requestIDRule:
 	default:
-		return KeyRule{}, fmt.Errorf(`%q is no rule for keys; want "header:NAME", "json:/path/in/body" or "request-id"`, text)
+		return KeyRule{}, fmt.Errorf(`%q is not a key rule; want "header:NAME", "json:/path/in/body" or "request-id"`, text)
 	}
 	return KeyRule{kind, argument}, nil
 }
 
-// String is the rule as ParseKeyRule reads it.
+// String returns the rule in the form that ParseKeyRule accepts.
 func (r KeyRule) String() string {
 	if r.argument == "" {
 		return r.kind
@@ -50,15 +51,17 @@
 	return r.kind + ":" + r.argument
 }
 
-// Key finds a request's key. head is its HTTP/1.1 head.
+// Key returns the key of a request. head is its HTTP/1.1 request line and header. It is an
+// error if the key is missing, empty, longer than maxKeyBytes, not UTF-8 or contains NUL.
+// The text of the error is sent to the client.
 func (r KeyRule) Key(head, body []byte) (key string, err error) {
 	switch r.kind {
 	case headerRule:
-		key, err = Field(head, r.argument)
+		key, err = HeaderField(head, r.argument)
 	case jsonRule:
 		key, err = jsonValue(body, r.argument)
 	default:
-		key, err = Field(head, protocol.RequestID)
+		key, err = HeaderField(head, protocol.RequestID)
 	}
 	switch {
 	case err != nil:
@@ -73,9 +76,10 @@
 	return key, nil
 }
 
-// Field is the value of a head's field, "" if there is none. A field that occurs twice
-// is an error.
-func Field(head []byte, name string) (value string, err error) {
+// HeaderField returns the value of the field with a name, which is not case-sensitive, or
+// "" if there is none. head is a request line and header. A field that occurs twice is an
+// error.
+func HeaderField(head []byte, name string) (value string, err error) {
 	found := false
 	for line := range bytes.SplitSeq(head, []byte("\r\n")) {
 		lineName, lineValue, ok := bytes.Cut(line, []byte(":"))
@@ -90,16 +94,17 @@
 	return value, nil
 }
 
-// pointerEscapes are the escapes of a JSON pointer's step (RFC 6901).
+// pointerEscapes decodes the escapes in a reference token of a JSON pointer (RFC 6901).
 var pointerEscapes = strings.NewReplacer("~1", "/", "~0", "~")
 
-// jsonValue finds a string or number in a JSON body by its pointer; "" if there is none.
+// jsonValue returns the string or number at a pointer of a JSON body, or "" if there is no
+// value or null. Any other value is an error.
 func jsonValue(body []byte, pointer string) (string, error) {
 	document, err := decodeSingle(body)
 	if err != nil {
 		return "", err
 	}
-	switch value := resolve(document, pointer).(type) {
+	switch value := resolvePointer(document, pointer).(type) {
 	case string:
 		return value, nil
 	case json.Number:
@@ -110,7 +115,7 @@
 	return "", fmt.Errorf("what stands at %s is neither a string nor a number", pointer)
 }
 
-// decodeSingle decodes a body that must be one JSON value.
+// decodeSingle decodes a body that must consist of one JSON value. Numbers keep their text.
 func decodeSingle(body []byte) (document any, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
@@ -123,15 +128,15 @@
 	return document, nil
 }
 
-// resolve is the value at a JSON pointer, nil if there is none.
-func resolve(value any, pointer string) any {
-	for _, step := range strings.Split(pointer, "/")[1:] {
-		step = pointerEscapes.Replace(step)
+// resolvePointer returns the value at a JSON pointer, or nil if there is none.
+func resolvePointer(value any, pointer string) any {
+	for _, token := range strings.Split(pointer, "/")[1:] {
+		token = pointerEscapes.Replace(token)
 		switch container := value.(type) {
 		case map[string]any:
-			value = container[step]
+			value = container[token]
 		case []any:
-			index, err := strconv.Atoi(step)
+			index, err := strconv.Atoi(token)
 			if err != nil || index < 0 || index >= len(container) {
 				return nil
 			}
--- a/internal/idempotency/op.go
+++ b/internal/idempotency/op.go
@@ -6,63 +6,63 @@
 	"time"
 )
 
-// OpKind is what an Op does.
+// OpKind is the kind of an Op.
 type OpKind int
 
 // The kinds of ops.
 const (
-	Claim  OpKind = iota // requests the key
-	Send                 // attempt Attempt is about to be sent to Server
-	End                  // the outcome of the request
-	Settle               // the outcome by hand, for a key whose request may have run
+	Claim  OpKind = iota // a request asks for the key
+	Send                 // the request's attempt Attempt is about to be sent to Server
+	End                  // the request ended with Outcome
+	Settle               // an operator sets the outcome of a key whose request may have run
 )
 
-// Op is one event of one key. The caller sets the first fields, the store Result and
-// Entry. Applying an op again has no further effect, so that a commit of unknown outcome
-// is resolved by repeating it.
+// Op is one event that changes the entry of one key. The store sets Result and Entry, the
+// caller sets the other fields. An op may be applied again without a further effect, so
+// that a caller repeats a transaction if it does not know whether it was committed.
 type Op struct {
 	Kind            OpKind
 	Class, Key      string
 	Token           string
-	Owner           string        // Claim, and End of a key whose claim was not written
+	Owner           string        // for Claim, and for End of a request that was sent without a claim
 	Fingerprint     []byte        // as Owner
 	RequestID       string        // as Owner
-	Lease           time.Duration // Claim, Send: how long the owner counts as alive from now on
-	Attempt         int           // Send: counts from 0
-	Server          string        // Send
-	Outcome         State         // End, Settle: Answered, NeverRan or MayHaveRun
-	Status          int64         // End: of the answer
-	Header          []byte        // End
-	Answer          []byte        // End
-	AnswerOmitted   bool          // End
-	SettledBy, Note string        // Settle
+	Lease           time.Duration // for Claim and Send: how long the owner counts as alive from now on; for End as Owner
+	Attempt         int           // for Send: counts from 0
+	Server          string        // for Send
+	Outcome         State         // for End: Answered, NeverRan or MayHaveRun; for Settle: Answered or NeverRan
+	Status          int64         // for End with Answered: HTTP status of the answer
+	Header          []byte        // for End with Answered: header fields of the answer to store
+	Answer          []byte        // for End with Answered: body of the answer
+	AnswerOmitted   bool          // for End with Answered: the body is too large to be stored
+	SettledBy, Note string        // for Settle: the operator and a remark
 
 	Result Result
-	Entry  Entry // after the op
+	Entry  Entry // the entry after the op
 }
 
-// Result is the store's reply to an Op.
+// Result is the result of an Op.
 type Result int
 
 // The results of an op.
 const (
-	NotApplied      Result = iota
-	Granted                // the key is the caller's, the attempt may be sent, the outcome is stored
-	Busy                   // claimed by a request that may still be answered
-	AlreadyAnswered        // the entry has the answer, unless it is omitted or settled
-	Unsettled              // it may have run
-	KeyReused              // the key belongs to a request with another fingerprint
-	Fenced                 // the claim is not the caller's any more, or there is nothing to settle
+	NotApplied      Result = iota // the op was not applied
+	Granted                       // Claim: the caller owns the key; Send: the attempt may be sent; End, Settle: the outcome is stored
+	Busy                          // Claim: another request with the key is in flight
+	AlreadyAnswered               // Claim: the request ran; Entry has its answer unless it was omitted or an operator settled the key
+	Unsettled                     // Claim: an earlier request with the key may have run
+	KeyReused                     // Claim: an earlier request with the key has another fingerprint
+	Fenced                        // Send, End: the claim is no longer the caller's; Settle: there is nothing to settle
 )
 
-// String is the result's name, which metrics and health responses show.
+// String returns the result's name, which health responses show.
 func (r Result) String() string {
 	return [...]string{"none", "granted", "busy", "known", "unsettled", "mismatched", "fenced"}[r]
 }
 
-// Apply applies op to its key's entry, which is the zero Entry if there is none. It
-// changes the entry and sets op.Result and op.Entry; changed says whether the entry must
-// be written.
+// Apply applies op to the entry of its key, which is the zero Entry if the key is unknown.
+// now is the time by the store's clock, in microseconds. Apply changes the entry and sets
+// op.Result and op.Entry. changed reports whether the entry must be written.
 func Apply(entry *Entry, now int64, op *Op) (changed bool) {
 	before := entry.Version
 	switch op.Kind {
@@ -79,9 +79,10 @@
 	return entry.Version != before
 }
 
+// claim applies an op of the kind Claim.
 func claim(entry *Entry, now int64, op *Op) Result {
 	if entry.Token == op.Token && entry.State == InFlight {
-		return Granted // the same op again
+		return Granted // this op was applied before
 	}
 	if entry.Expired(now) {
 		entry.Lapse(now)
@@ -102,7 +103,7 @@
 	return Granted
 }
 
-// startClaim replaces the entry by that of a new claim.
+// startClaim replaces the entry with that of a new claim. Only the version continues.
 func startClaim(entry *Entry, now int64, op *Op) {
 	*entry = Entry{
 		Class:        op.Class,
@@ -117,13 +118,14 @@
 	}
 }
 
+// send applies an op of the kind Send.
 func send(entry *Entry, now int64, op *Op) Result {
 	if entry.Token != op.Token || entry.State != InFlight {
 		return Fenced
 	}
 	attempts := int64(op.Attempt) + 1
 	if attempts <= entry.Attempts {
-		return Granted // the same op again
+		return Granted // this op was applied before
 	}
 	entry.Attempts = attempts
 	if entry.Servers != "" {
@@ -135,9 +137,9 @@
 	return Granted
 }
 
-// mayReplace says which outcomes of its own claim an owner may replace: a later one may
-// only add knowledge. NeverRan is reported once all attempts have ended and so replaces
-// MayHaveRun; Answered is final.
+// mayReplace reports whether the owner of a claim may replace the state from with the
+// outcome to, which must be based on later knowledge. An owner reports NeverRan once all
+// attempts have ended, so that it replaces MayHaveRun. Answered is final.
 func mayReplace(from, to State) bool {
 	switch from {
 	case InFlight:
@@ -150,13 +152,14 @@
 	return false
 }
 
+// end applies an op of the kind End.
 func end(entry *Entry, now int64, op *Op) Result {
 	if entry.State == Unknown && op.Outcome != NeverRan && op.Owner != "" {
-		startClaim(entry, now, op) // sent while the store was unavailable
+		startClaim(entry, now, op) // the request was sent while the store was unavailable
 	}
 	if entry.Token != op.Token {
 		if entry.State == Unknown {
-			return Granted // an unknown key and one that never ran permit the same
+			return Granted // an unknown key permits the same requests as one that never ran
 		}
 		return Fenced
 	}
@@ -167,7 +170,7 @@
 		return Fenced
 	}
 	if entry.SettledBy != "" {
-		entry.Note = fmt.Sprintf("%s; settled as %s by %s, then the owner said %s", entry.Note, entry.State, entry.SettledBy, op.Outcome)
+		entry.Note = fmt.Sprintf("%s; settled as %s by %s, then the owner reported %s", entry.Note, entry.State, entry.SettledBy, op.Outcome)
 		entry.SettledBy = ""
 	}
 	if op.Outcome == Answered {
@@ -177,6 +180,7 @@
 	return Granted
 }
 
+// settle applies an op of the kind Settle.
 func settle(entry *Entry, now int64, op *Op) Result {
 	if entry.Expired(now) {
 		entry.Lapse(now)
--- a/internal/idempotency/postgres/maintenance.go
+++ b/internal/idempotency/postgres/maintenance.go
@@ -10,7 +10,7 @@
 
 // Sweep implements idempotency.Backend.
 func (s *Store) Sweep(ctx context.Context, retention idempotency.Retention, limit int) (int, error) {
-	if err := s.awaitSchema(ctx); err != nil {
+	if err := s.ensureSchema(ctx); err != nil {
 		return 0, err
 	}
 	var now int64
@@ -24,7 +24,7 @@
 	}
 	swept := int(lapsed.RowsAffected())
 	for _, state := range idempotency.States {
-		period := retention.For(state)
+		period := retention.Period(state)
 		if period <= 0 || swept >= limit {
 			continue
 		}
@@ -39,9 +39,9 @@
 	return swept, nil
 }
 
-// Gap implements idempotency.Backend.
-func (s *Store) Gap(ctx context.Context, gap idempotency.Gap) error {
-	if err := s.awaitSchema(ctx); err != nil {
+// WriteGap implements idempotency.Backend.
+func (s *Store) WriteGap(ctx context.Context, gap idempotency.Gap) error {
+	if err := s.ensureSchema(ctx); err != nil {
 		return err
 	}
 	if _, err := s.db.Pool.Exec(ctx, `INSERT INTO martendrum_gaps (owner, class, since, until, requests, cause)
@@ -55,7 +55,7 @@
 
 // Check implements idempotency.Backend.
 func (s *Store) Check(ctx context.Context) (found []string, err error) {
-	invalid, err := collect(ctx, s, (*idempotency.Entry).Fields, "SELECT "+strings.Replace(idempotency.Columns, "answer,", "CAST('' AS bytea),", 1)+` FROM martendrum_record
+	invalid, err := collect(ctx, s, (*idempotency.Entry).ScanTargets, "SELECT "+strings.Replace(idempotency.Columns, "answer,", "CAST('' AS bytea),", 1)+` FROM martendrum_record
 		WHERE `+idempotency.InvalidRowCondition+` ORDER BY class, key LIMIT 20`)
 	for _, entry := range invalid {
 		found = append(found, fmt.Sprintf("row %s %q: state %q, fingerprint of %d bytes, status %d", entry.Class, entry.Key, entry.State, len(entry.Fingerprint), entry.Status))
@@ -63,17 +63,17 @@
 	return found, err
 }
 
-// Compact implements idempotency.Backend.
+// Compact implements idempotency.Backend. It makes the space of deleted rows available for
+// new ones.
 func (s *Store) Compact(ctx context.Context) error {
-	if err := s.awaitSchema(ctx); err != nil {
+	if err := s.ensureSchema(ctx); err != nil {
 		return err
 	}
 	_, err := s.db.Pool.Exec(ctx, "VACUUM martendrum_record")
 	return s.explain(err)
 }
 
-// Ping implements idempotency.Backend. It migrates the schema at the first call and
-// checks that the server accepts writes.
+// Ping implements idempotency.Backend. It also migrates the schema if no earlier call has.
 func (s *Store) Ping(ctx context.Context) error {
 	return asStoreError(s.db.CheckWritable(ctx))
 }
--- a/internal/idempotency/postgres/postgres.go
+++ b/internal/idempotency/postgres/postgres.go
@@ -1,9 +1,9 @@
-// Package postgres is an idempotency store that many sidecars share in one PostgreSQL
-// database, so that each recognises the others' keys. Times are the database's. A key
-// belongs to the claim whose token its row holds. Each write requires the version of the
-// row that was read, and ops with another token are fenced. A transaction whose outcome is
-// unknown, as after a connection lost in COMMIT, is repeated. What an op does to an entry
-// is decided by package idempotency.
+// Package postgres stores idempotency entries in a PostgreSQL database that many sidecars
+// share, so that each recognises the keys of the others. All times are those of the
+// database server. A key belongs to the claim whose token is in the key's row, and ops with
+// another token are fenced. Each write requires that the row still has the version that was
+// read. A transaction whose outcome is unknown, for example because the connection was lost
+// during COMMIT, is repeated. Package idempotency decides how an op changes an entry.
 package postgres
 
 import (
@@ -32,32 +32,33 @@
 var Version = len(schema.Migrations)
 
 const (
-	// maxGaps is how many gaps are stored; older ones are dropped.
+	// maxGaps is the maximum number of gaps that are stored; older ones are deleted.
 	maxGaps = 1000
-	// maxRetries is how often a transaction that may be repeated is.
+	// maxRetries is how often Apply repeats a transaction that may be repeated.
 	maxRetries = 8
-	// maxBackoffDoublings bounds the pause before a retry to 32 ms.
+	// maxBackoffDoublings limits the backoff before a retry to 32 ms.
 	maxBackoffDoublings = 5
-	// nowMicros is SQL for the database's time in microseconds since 1970.
+	// nowMicros is the SQL expression for the database's time as a Unix time in microseconds.
 	nowMicros = "CAST(date_part('epoch', clock_timestamp()) * 1000000 AS bigint)"
-	// keyColumns is the number of columns of the primary key, which are the first.
+	// keyColumns is the number of columns of the primary key, which come first in
+	// idempotency.Columns.
 	keyColumns = 2
 )
 
-// Config says which database, and how it is used.
+// Config says which database is opened and how it is used.
 type Config = pg.Config
 
-// Store is an idempotency store in a database.
+// Store is an idempotency store in a database. It implements idempotency.Backend.
 type Store struct {
 	db      *pg.DB
-	columns []string
-	insert  string
-	update  string
+	columns []string // idempotency.Columns, split
+	insert  string   // statement that inserts an entry unless its key has a row
+	update  string   // statement that updates an entry that still has a version
 }
 
-// Open returns the Store. It does not connect, so that a sidecar starts without the
-// database. A schema that is newer than this build's, or a database that can't be used, is
-// an error of the first call.
+// Open returns a Store. It checks config but does not connect, so that a sidecar can start
+// while the database is unavailable. If the database can't be used or has a newer schema
+// than this build, each method returns an error.
 func Open(config Config) (*Store, error) {
 	db, err := pg.Open(config, schema)
 	if err != nil {
@@ -68,13 +69,13 @@
 	return s, nil
 }
 
-// columnTypes are those of the columns that are not text.
+// columnTypes are the types of the columns that are not text.
 var columnTypes = map[string]string{
 	"body": "bytea", "header": "bytea", "answer": "bytea", "cut": "boolean", "attempts": "bigint", "began": "bigint",
 	"changed": "bigint", "expires": "bigint", "status": "bigint", "version": "bigint",
 }
 
-// buildStatements builds the statements that write all columns.
+// buildStatements sets the statements insert and update.
 func (s *Store) buildStatements() {
 	var parameters, assignments []string
 	for n, column := range s.columns {
@@ -93,17 +94,18 @@
 		fmt.Sprintf(" WHERE class = $1::text AND key = $2::text AND version = $%d::bigint", len(s.columns)+1)
 }
 
-// Close closes the connections.
+// Close implements idempotency.Backend. It closes the connections to the database.
 func (s *Store) Close() error {
 	s.db.Close()
 	return nil
 }
 
-// explain names the database and adds what an operator can do.
+// explain adds to an error of the database the database's name, what an operator can do and
+// the error of package idempotency that applies; nil stays nil.
 func (s *Store) explain(err error) error { return asStoreError(s.db.Explain(err)) }
 
-// asStoreError adds to an error of the database the one that callers of
-// idempotency.Backend branch on.
+// asStoreError adds to an error of package pg the error of package idempotency that has the
+// same meaning, if there is one; nil stays nil.
 func asStoreError(err error) error {
 	for databaseError, storeError := range map[error]error{pg.ErrFull: idempotency.ErrFull, pg.ErrReadOnly: idempotency.ErrReadOnly, pg.ErrUnusable: idempotency.ErrUnusable} {
 		if errors.Is(err, databaseError) {
@@ -116,7 +118,7 @@
 	return err
 }
 
-// awaitSchema connects and migrates the schema at the first call.
-func (s *Store) awaitSchema(ctx context.Context) error {
+// ensureSchema connects to the database and migrates its schema, unless an earlier call has.
+func (s *Store) ensureSchema(ctx context.Context) error {
 	return asStoreError(s.db.Ready(ctx))
 }
--- a/internal/idempotency/postgres/postgres_test.go
+++ b/internal/idempotency/postgres/postgres_test.go
@@ -21,238 +21,248 @@
 
 var ctx = context.Background()
 
-func config(u string) Config {
-	return Config{URL: u, MaxConnections: 4, StatementTimeout: 5 * time.Second, ConnectTimeout: 5 * time.Second}
+// testConfig returns a configuration for the database at a URL.
+func testConfig(databaseURL string) Config {
+	return Config{URL: databaseURL, MaxConnections: 4, StatementTimeout: 5 * time.Second, ConnectTimeout: 5 * time.Second}
 }
 
-func serve(t *testing.T, cfg pgserver.Config) *pgserver.Server {
+// startServer starts a stand-in for a PostgreSQL server that is stopped when the test ends.
+func startServer(t *testing.T, config pgserver.Config) *pgserver.Server {
 	t.Helper()
-	s, err := pgserver.Start(cfg)
+	server, err := pgserver.Start(config)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("start the stand-in for PostgreSQL: %v", err)
 	}
-	t.Cleanup(func() { s.Close() })
-	return s
+	t.Cleanup(func() { server.Close() })
+	return server
 }
 
-func mustOpen(t *testing.T, c Config) *Store {
+// mustOpen opens a store that is closed when the test ends.
+func mustOpen(t *testing.T, config Config) *Store {
 	t.Helper()
-	s, err := Open(c)
+	store, err := Open(config)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the store: %v", err)
 	}
-	t.Cleanup(func() { s.Close() })
-	return s
+	t.Cleanup(func() { store.Close() })
+	return store
 }
 
+// TestBackend runs the tests of all backends.
 func TestBackend(t *testing.T) {
-	bt.Run(t, func(t *testing.T) idempotency.Backend { return mustOpen(t, config(serve(t, pgserver.Config{}).URL())) })
+	bt.Run(t, func(t *testing.T) idempotency.Backend {
+		return mustOpen(t, testConfig(startServer(t, pgserver.Config{}).URL()))
+	})
 }
 
-// TestRealServer runs the same tests against a real server, where an operator names one.
-// Each test has a schema of its own, which is dropped.
+// TestRealServer runs the tests of all backends against the PostgreSQL server whose URL is in
+// the environment variable MARTENDRUM_TEST_POSTGRES. Each test creates a schema and drops it
+// at its end.
 func TestRealServer(t *testing.T) {
-	at := os.Getenv("MARTENDRUM_TEST_POSTGRES")
-	if at == "" {
-		t.Skip("MARTENDRUM_TEST_POSTGRES names no server")
+	serverURL := os.Getenv("MARTENDRUM_TEST_POSTGRES")
+	if serverURL == "" {
+		t.Skip("MARTENDRUM_TEST_POSTGRES is not set to the URL of a PostgreSQL server")
 	}
-	n := 0
+	schemas := 0
 	bt.Run(t, func(t *testing.T) idempotency.Backend {
-		n++
-		schema := fmt.Sprintf("martendrum_test_%d_%d", os.Getpid(), n)
-		conn, err := pgx.Connect(ctx, at)
+		schemas++
+		schema := fmt.Sprintf("martendrum_test_%d_%d", os.Getpid(), schemas)
+		conn, err := pgx.Connect(ctx, serverURL)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("connect to the server: %v", err)
 		}
 		if _, err := conn.Exec(ctx, "CREATE SCHEMA "+schema); err != nil {
-			t.Fatal(err)
+			t.Fatalf("create the schema %s: %v", schema, err)
 		}
 		t.Cleanup(func() {
 			conn.Exec(ctx, "DROP SCHEMA "+schema+" CASCADE")
 			conn.Close(ctx)
 		})
-		u, err := url.Parse(at)
+		schemaURL, err := url.Parse(serverURL)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse the URL in MARTENDRUM_TEST_POSTGRES: %v", err)
 		}
-		q := u.Query()
-		q.Set("search_path", schema)
-		u.RawQuery = q.Encode()
-		return mustOpen(t, config(u.String()))
+		query := schemaURL.Query()
+		query.Set("search_path", schema)
+		schemaURL.RawQuery = query.Encode()
+		return mustOpen(t, testConfig(schemaURL.String()))
 	})
 }
 
+// TestMigrations checks that a database of each earlier schema version is migrated, and that
+// one of a later version is rejected.
 func TestMigrations(t *testing.T) {
 	for from := range Version {
-		srv := serve(t, pgserver.Config{})
-		old := mustOpen(t, config(srv.URL()))
-		if err := old.db.Migrate(ctx, from); err != nil {
-			t.Fatal(err)
+		server := startServer(t, pgserver.Config{})
+		older := mustOpen(t, testConfig(server.URL()))
+		if err := older.db.Migrate(ctx, from); err != nil {
+			t.Fatalf("create a database with schema version %d: %v", from, err)
 		}
-		s := mustOpen(t, config(srv.URL()))
-		bt.Expect(t, s, bt.Claim("k", "a", time.Hour), idempotency.Granted)
-		if err := s.Gap(ctx, idempotency.Gap{Class: "x"}); err != nil {
-			t.Error(from, err)
+		store := mustOpen(t, testConfig(server.URL()))
+		bt.Expect(t, store, bt.Claim("k", "a", time.Hour), idempotency.Granted)
+		if err := store.WriteGap(ctx, idempotency.Gap{Class: "x"}); err != nil {
+			t.Errorf("write a gap to a database migrated from schema version %d: %v", from, err)
 		}
 	}
-	srv := serve(t, pgserver.Config{})
-	s := mustOpen(t, config(srv.URL()))
-	if err := s.awaitSchema(ctx); err != nil {
-		t.Fatal(err)
+	server := startServer(t, pgserver.Config{})
+	store := mustOpen(t, testConfig(server.URL()))
+	if err := store.ensureSchema(ctx); err != nil {
+		t.Fatalf("migrate an empty database: %v", err)
 	}
-	s.db.Pool.Exec(ctx, "INSERT INTO martendrum_schema (version) VALUES ($1::bigint)", int64(99))
-	if err := mustOpen(t, config(srv.URL())).awaitSchema(ctx); err == nil || !strings.Contains(err.Error(), "newer build") {
-		t.Error(err)
+	store.db.Pool.Exec(ctx, "INSERT INTO martendrum_schema (version) VALUES ($1::bigint)", int64(99))
+	if err := mustOpen(t, testConfig(server.URL())).ensureSchema(ctx); err == nil || !strings.Contains(err.Error(), "newer build") {
+		t.Errorf("use a database with schema version 99: got error %v, want one containing \"newer build\"", err)
 	}
 }
 
-// TestAmbiguousCommit loses the connection at COMMIT, before or after it takes effect. Each
-// op must have its true result and be applied once.
+// TestAmbiguousCommit checks transactions whose COMMIT fails twice before or after it takes
+// effect, so that the store does not know whether they were committed. Each op must be
+// applied once and return its true result.
 func TestAmbiguousCommit(t *testing.T) {
 	for _, stage := range []pgserver.Stage{pgserver.Before, pgserver.After} {
 		for _, fault := range []pgserver.Fault{{Reset: true}, {Code: "57P01"}, {Code: "40001"}} {
 			t.Run(fmt.Sprintf("%s %v %s", stage, fault.Reset, fault.Code), func(t *testing.T) {
-				srv := serve(t, pgserver.Config{})
-				s := mustOpen(t, config(srv.URL()))
-				bt.Expect(t, s, bt.Claim("warm", "w", time.Hour), idempotency.Granted)
-				var left, hit atomic.Int64
-				srv.Inject(func(e pgserver.Event) pgserver.Fault {
-					if e.Stage == stage && strings.EqualFold(e.SQL, "commit") && left.Add(-1) >= 0 {
-						hit.Add(1)
+				server := startServer(t, pgserver.Config{})
+				store := mustOpen(t, testConfig(server.URL()))
+				bt.Expect(t, store, bt.Claim("warm", "w", time.Hour), idempotency.Granted)
+				var faultsLeft, faults atomic.Int64
+				server.Inject(func(event pgserver.Event) pgserver.Fault {
+					if event.Stage == stage && strings.EqualFold(event.SQL, "commit") && faultsLeft.Add(-1) >= 0 {
+						faults.Add(1)
 						return fault
 					}
 					return pgserver.Fault{}
 				})
 				for n, op := range []*idempotency.Op{bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0), bt.Send("k", "a", 1), bt.End("k", "a", idempotency.Answered)} {
-					left.Store(2) // and the first try to resolve it, too
-					bt.Expect(t, s, op, idempotency.Granted)
-					if hit.Load() != int64(2*n+2) {
-						t.Fatalf("op %d: %d faults", n, hit.Load())
+					faultsLeft.Store(2) // the COMMIT and that of the first retry
+					bt.Expect(t, store, op, idempotency.Granted)
+					if faults.Load() != int64(2*n+2) {
+						t.Fatalf("after op %d: the server has injected %d faults, want %d", n, faults.Load(), 2*n+2)
 					}
 				}
-				row, err := s.Get(ctx, "activate", "k")
-				if err != nil || row.Attempts != 2 || row.Servers != "s0,s1" || row.State != idempotency.Answered || row.Version != 4 {
-					t.Errorf("%+v %v", row, err)
+				entry, err := store.Get(ctx, "activate", "k")
+				if err != nil || entry.Attempts != 2 || entry.Servers != "s0,s1" || entry.State != idempotency.Answered || entry.Version != 4 {
+					t.Errorf("Get() = %+v, %v; want 2 attempts at s0 and s1, the state %q and version 4", entry, err, idempotency.Answered)
 				}
 			})
 		}
 	}
 }
 
-// TestDatabaseFaults checks that each fault is reported in time with what it is, and that
-// the store continues when it is over.
+// TestDatabaseFaults checks that the store reports each fault of the server in time with its
+// cause, and works again after the fault.
 func TestDatabaseFaults(t *testing.T) {
-	srv := serve(t, pgserver.Config{MaxConns: 3})
-	c := config(srv.URL())
-	c.StatementTimeout, c.ConnectTimeout = 200*time.Millisecond, 200*time.Millisecond
-	s := mustOpen(t, c)
-	bt.Expect(t, s, bt.Claim("warm", "w", time.Hour), idempotency.Granted)
-	always := func(f pgserver.Fault) func(pgserver.Event) pgserver.Fault {
-		return func(e pgserver.Event) pgserver.Fault { return f }
+	server := startServer(t, pgserver.Config{MaxConns: 3})
+	config := testConfig(server.URL())
+	config.StatementTimeout, config.ConnectTimeout = 200*time.Millisecond, 200*time.Millisecond
+	store := mustOpen(t, config)
+	bt.Expect(t, store, bt.Claim("warm", "w", time.Hour), idempotency.Granted)
+	always := func(fault pgserver.Fault) func(pgserver.Event) pgserver.Fault {
+		return func(event pgserver.Event) pgserver.Fault { return fault }
 	}
-	n := 0
+	outages := 0
 	for name, outage := range map[string]struct {
 		begin, end func()
-		want       string
+		want       string // in the error
 	}{
-		"slow":          {func() { srv.Inject(always(pgserver.Fault{Delay: time.Hour})) }, func() { srv.Inject(nil) }, "57014"},
-		"hung":          {func() { srv.Inject(always(pgserver.Fault{Stall: true})) }, func() { srv.Inject(nil) }, "57014"},
-		"reset":         {func() { srv.Inject(always(pgserver.Fault{Reset: true})) }, func() { srv.Inject(nil) }, ""},
-		"going down":    {func() { srv.Inject(always(pgserver.Fault{Code: "57P01"})) }, func() { srv.Inject(nil) }, "57P01"},
-		"serialization": {func() { srv.Inject(always(pgserver.Fault{Code: "40001"})) }, func() { srv.Inject(nil) }, "40001"},
-		"no room":       {func() { srv.Inject(always(pgserver.Fault{Code: "53100"})) }, func() { srv.Inject(nil) }, "full"},
-		"read-only":     {func() { srv.SetReadOnly(true) }, func() { srv.SetReadOnly(false) }, "name the primary"},
-		"starting up":   {func() { srv.SetRejecting(true); srv.ResetAll() }, func() { srv.SetRejecting(false) }, "57P03"},
+		"slow":              {func() { server.Inject(always(pgserver.Fault{Delay: time.Hour})) }, func() { server.Inject(nil) }, "57014"},
+		"hung":              {func() { server.Inject(always(pgserver.Fault{Stall: true})) }, func() { server.Inject(nil) }, "57014"},
+		"reset":             {func() { server.Inject(always(pgserver.Fault{Reset: true})) }, func() { server.Inject(nil) }, ""},
+		"shutting down":     {func() { server.Inject(always(pgserver.Fault{Code: "57P01"})) }, func() { server.Inject(nil) }, "57P01"},
+		"serialization":     {func() { server.Inject(always(pgserver.Fault{Code: "40001"})) }, func() { server.Inject(nil) }, "40001"},
+		"out of disk space": {func() { server.Inject(always(pgserver.Fault{Code: "53100"})) }, func() { server.Inject(nil) }, "full"},
+		"read-only":         {func() { server.SetReadOnly(true) }, func() { server.SetReadOnly(false) }, "name the primary"},
+		"starting up":       {func() { server.SetRejecting(true); server.ResetAll() }, func() { server.SetRejecting(false) }, "57P03"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n++
-			key := fmt.Sprint("k", n)
+			outages++
+			key := fmt.Sprint("k", outages)
 			outage.begin()
-			checkReported(t, s, key, srv.Addr(), outage.want)
+			expectClaimError(t, store, key, server.Addr(), outage.want)
 			outage.end()
-			awaitClaim(t, s, key)
+			awaitClaim(t, store, key)
 		})
 	}
-	if err := s.Ping(ctx); err != nil {
-		t.Error(err)
+	if err := store.Ping(ctx); err != nil {
+		t.Errorf("Ping() after the faults = %v, want no error", err)
 	}
-	srv.SetReadOnly(true)
-	if err := s.Ping(ctx); !errors.Is(err, idempotency.ErrReadOnly) {
-		t.Error(err)
+	server.SetReadOnly(true)
+	if err := store.Ping(ctx); !errors.Is(err, idempotency.ErrReadOnly) {
+		t.Errorf("Ping() of a read-only server = %v, want ErrReadOnly", err)
 	}
 }
 
-// checkReported checks that a claim fails in time, with an error that names the server and
-// what is wrong.
-func checkReported(t *testing.T, s *Store, key, address, want string) {
+// expectClaimError checks that a claim fails within 10 s, with an error that contains the
+// server's address and want.
+func expectClaimError(t *testing.T, store *Store, key, address, want string) {
 	t.Helper()
 	started := time.Now()
-	short, cancel := context.WithTimeout(ctx, 2*time.Second)
+	claimCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	err := s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
-	for range 3 { // a pooled connection may fail differently first
+	err := store.Apply(claimCtx, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
+	for range 3 { // a connection that is open in the pool may first fail with another error
 		if err != nil && !strings.Contains(err.Error(), want) {
-			err = s.Apply(short, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
+			err = store.Apply(claimCtx, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
 		}
 	}
 	if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), address) {
-		t.Errorf("%v; want it to say %q", err, want)
+		t.Errorf("claim during the fault: got error %v, want one containing %q and the address %s", err, want, address)
 	}
 	if elapsed := time.Since(started); elapsed > 10*time.Second {
-		t.Errorf("it took %v", elapsed)
+		t.Errorf("the claim took %v to fail, want at most 10s", elapsed)
 	}
 }
 
-// awaitClaim claims a key until that is granted.
-func awaitClaim(t *testing.T, s *Store, key string) {
+// awaitClaim claims a key until the claim is granted, for up to 20 s.
+func awaitClaim(t *testing.T, store *Store, key string) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
 	for {
 		op := bt.Claim(key, key, time.Hour)
-		err := s.Apply(ctx, []*idempotency.Op{op})
+		err := store.Apply(ctx, []*idempotency.Op{op})
 		if err == nil && op.Result == idempotency.Granted {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("it does not recover: %v %v", op.Result, err)
+			t.Fatalf("claim after the fault was not granted within 20s: result %v, error %v", op.Result, err)
 		}
 	}
 }
 
-// TestPasswordAndBound checks that connections are bounded, and that the password is read
-// from its file for each.
+// TestPasswordAndBound checks that the password is read from its file for each connection,
+// that the number of connections is limited, and that Open rejects an invalid CA and URL.
 func TestPasswordAndBound(t *testing.T) {
-	srv := serve(t, pgserver.Config{User: "kasir", Password: "rahasia"})
+	server := startServer(t, pgserver.Config{User: "kasir", Password: "rahasia"})
 	file := filepath.Join(t.TempDir(), "password")
 	os.WriteFile(file, []byte("wrong\n"), 0o600)
-	c := config(srv.URL())
-	c.PasswordFile, c.MaxConnections = file, 2
-	s := mustOpen(t, c)
-	if err := s.Ping(ctx); err == nil || !strings.Contains(err.Error(), "password_file") {
-		t.Error(err)
+	config := testConfig(server.URL())
+	config.PasswordFile, config.MaxConnections = file, 2
+	store := mustOpen(t, config)
+	if err := store.Ping(ctx); err == nil || !strings.Contains(err.Error(), "password_file") {
+		t.Errorf("Ping() with a wrong password = %v, want an error containing \"password_file\"", err)
 	}
 	os.WriteFile(file, []byte("rahasia\n"), 0o600)
-	if err := s.Ping(ctx); err != nil {
-		t.Fatal(err)
+	if err := store.Ping(ctx); err != nil {
+		t.Fatalf("Ping() after the password file was corrected: %v", err)
 	}
-	done := make(chan error)
+	results := make(chan error)
 	for n := range 10 {
 		go func() {
 			key := fmt.Sprint(n)
-			done <- s.Apply(ctx, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
+			results <- store.Apply(ctx, []*idempotency.Op{bt.Claim(key, key, time.Hour)})
 		}()
 	}
 	for range 10 {
-		if err := <-done; err != nil {
-			t.Error(err)
+		if err := <-results; err != nil {
+			t.Errorf("concurrent claim: %v", err)
 		}
-		if n := srv.Conns(); n > 2 {
-			t.Errorf("%d connections", n)
+		if open := server.Conns(); open > 2 {
+			t.Errorf("the store has %d open connections, want at most 2", open)
 		}
 	}
-	for want, c := range map[string]Config{"postgres.ca": {URL: srv.URL(), CA: file, MaxConnections: 1}, "postgres.url": {URL: "postgres://%zz"}} {
-		if _, err := Open(c); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v; want it to say %q", err, want)
+	for want, config := range map[string]Config{"postgres.ca": {URL: server.URL(), CA: file, MaxConnections: 1}, "postgres.url": {URL: "postgres://%zz"}} {
+		if _, err := Open(config); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("Open(%+v): got error %v, want one containing %q", config, err, want)
 		}
 	}
 }
--- a/internal/idempotency/recorder/committer.go
+++ b/internal/idempotency/recorder/committer.go
@@ -13,30 +13,32 @@
 	"martendrum/internal/idempotency"
 )
 
-// ErrUnavailable says that the store was not called: it does not reply, or too many ops
-// are queued for it.
-var ErrUnavailable = errors.New("the store is away")
+// ErrUnavailable means that the store did not reply in time, or that an op was not queued
+// as the breaker is open, the queue is full or the sidecar is stopping.
+var ErrUnavailable = errors.New("the idempotency store is unavailable")
 
-// drainPollInterval is how often close looks whether the queue is empty.
+// drainPollInterval is the interval at which close checks whether the queue is empty.
 const drainPollInterval = time.Millisecond
 
 // job is one op that waits to be written.
 type job struct {
 	op           *idempotency.Op
-	deadline     time.Time // the op is dropped after it
-	retryOnError bool      // retried after an error, until deadline
-	size         int       // bytes of the answer in op
-	done         func(error)
-
-	// A job that failed in a batch of its own may be one that the store never accepts.
-	// It is retried alone, after a backoff, and alternates with batches of others.
-	alone     bool
-	notBefore time.Time
-	attempts  int
+	deadline     time.Time   // the op is dropped if it was not written by then
+	retryOnError bool        // the op is written again after an error, until deadline
+	size         int         // bytes of the answer and its header in op
+	done         func(error) // called once with the result
+
+	// The store may never accept a job that failed as the only one of its batch. Such a
+	// job is isolated: it is retried in a batch of its own after a backoff, and between two
+	// such batches the worker writes other jobs.
+	isolated  bool
+	notBefore time.Time // the end of the backoff
+	attempts  int       // failed writes as the only job of a batch
 }
 
-// committer writes ops to the backend, those that wait together in one transaction.
-// Ops of one key stay in order: each key has its shard, and each shard its worker.
+// committer writes ops to the backend. Ops that wait at the same time are written in one
+// transaction, a batch. The ops of one key keep their order, as each key belongs to one
+// shard and each shard has one worker.
 type committer struct {
 	config  *Config
 	backend idempotency.Backend
@@ -52,9 +54,9 @@
 	breaker     idempotency.Breaker
 	queued      int
 	queuedBytes int
-	lost        int64 // outcomes that were never written
-	batches     int64
-	ops         int64
+	lost        int64 // outcomes that were given up without being written
+	batches     int64 // transactions that were written
+	ops         int64 // ops in these transactions
 	closing     bool
 }
 
@@ -76,11 +78,11 @@
 	return c
 }
 
-// now is the time on the breaker's scale.
+// now returns the time since the committer's start, which the breaker uses as its clock.
 func (c *committer) now() time.Duration { return time.Since(c.start) }
 
-// submit queues a job. Its done is called once, from any goroutine, and at once if the
-// breaker is open or the queue is full.
+// submit queues a job. The job's done is called once, from any goroutine; if the job is not
+// queued, it is called before submit returns.
 func (c *committer) submit(j *job) {
 	c.mu.Lock()
 	if err := c.rejection(j); err != nil {
@@ -96,31 +98,32 @@
 	s.notify()
 }
 
-// rejection says why a job is not queued; nil if it may be. The caller holds the lock.
+// rejection returns the reason why a job can't be queued, or nil. The caller holds c.mu.
 func (c *committer) rejection(j *job) error {
 	open, _, cause := c.breaker.Open()
 	switch {
 	case c.closing:
-		return fmt.Errorf("%w: the sidecar stops", ErrUnavailable)
+		return fmt.Errorf("%w: the sidecar is stopping", ErrUnavailable)
 	case open && !j.retryOnError:
 		return fmt.Errorf("%w: %s", ErrUnavailable, cause)
 	case c.queued >= c.config.MaxQueuedOps || c.queuedBytes+j.size > c.config.MaxQueuedBytes:
 		if j.retryOnError {
 			c.lost++
 		}
-		return fmt.Errorf("%w: %d ops of %d bytes wait for it already", ErrUnavailable, c.queued, c.queuedBytes)
+		return fmt.Errorf("%w: its queue is full with %d ops and %d bytes of answers", ErrUnavailable, c.queued, c.queuedBytes)
 	}
 	return nil
 }
 
-// reportResult reports a call's result to the breaker. A call that took longer than any
-// request waits for it counts as a failure.
+// reportResult reports the result of a call of the backend to the breaker. A call that took
+// longer than the longest MaxWait counts as a failure, as no request waits for it. ErrFull
+// counts as a success, as a full store replies.
 func (c *committer) reportResult(err error, elapsed time.Duration) {
 	if err == nil && elapsed > c.config.slowCommit {
-		err = fmt.Errorf("a commit took %v", elapsed.Round(time.Millisecond))
+		err = fmt.Errorf("a transaction took %v, longer than any request waits", elapsed.Round(time.Millisecond))
 	}
 	if errors.Is(err, idempotency.ErrFull) {
-		err = nil // a full store still replies
+		err = nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,7 +141,7 @@
 	}
 }
 
-// finish takes a job out of the queue's counts and calls its done.
+// finish subtracts a job from the counts of queued jobs and calls its done.
 func (c *committer) finish(j *job, err error) {
 	c.mu.Lock()
 	c.queued--
@@ -147,8 +150,8 @@
 	j.done(err)
 }
 
-// close writes what is queued, as long as ctx allows, and ends the workers. Jobs that
-// are left fail.
+// close waits until the queued jobs are written or ctx is done, and ends the workers. The
+// jobs that are left then fail with ErrUnavailable.
 func (c *committer) close(ctx context.Context) {
 	c.drain(ctx)
 	c.mu.Lock()
@@ -158,7 +161,7 @@
 	close(c.stop)
 	c.workers.Wait()
 	for _, j := range c.abandonQueues() {
-		j.done(fmt.Errorf("%w: the sidecar stops", ErrUnavailable))
+		j.done(fmt.Errorf("%w: the sidecar is stopping", ErrUnavailable))
 	}
 }
 
@@ -180,19 +183,19 @@
 	}
 }
 
-// abandonQueues empties all queues and returns the jobs that were left.
-func (c *committer) abandonQueues() (left []*job) {
+// abandonQueues empties all queues and returns the jobs that were in them.
+func (c *committer) abandonQueues() (abandoned []*job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.shards {
-		left = append(left, s.queue...)
+		abandoned = append(abandoned, s.queue...)
 		s.queue = nil
 	}
 	c.queued, c.queuedBytes = 0, 0
-	for _, j := range left {
+	for _, j := range abandoned {
 		if j.retryOnError {
 			c.lost++
 		}
 	}
-	return left
+	return abandoned
 }
--- a/internal/idempotency/recorder/header.go
+++ b/internal/idempotency/recorder/header.go
@@ -5,14 +5,15 @@
 	"net/http"
 )
 
-// retainedHeaders are the fields of an answer that are stored: those that describe its
-// body.
+// retainedHeaders are the names of the header fields of an answer that are stored: those
+// that describe its body.
 var retainedHeaders = []string{"Content-Type", "Content-Encoding", "Content-Language", "Etag", "Last-Modified", "Location"}
 
-// maxHeaderBytes bounds the stored fields; those past it are omitted.
+// maxHeaderBytes is the maximum size of the stored header fields of an answer. A field that
+// would exceed it is omitted.
 const maxHeaderBytes = 2 << 10
 
-// encodeHeader writes the retained fields as HTTP/1.1 does.
+// encodeHeader returns the retained fields as the lines of an HTTP/1.1 header.
 func encodeHeader(header http.Header) []byte {
 	var encoded []byte
 	for _, name := range retainedHeaders {
@@ -25,6 +26,7 @@
 	return encoded
 }
 
+// decodeHeader parses the result of encodeHeader.
 func decodeHeader(encoded []byte) http.Header {
 	header := make(http.Header)
 	for line := range bytes.SplitSeq(encoded, []byte("\r\n")) {
--- a/internal/idempotency/recorder/maintenance.go
+++ b/internal/idempotency/recorder/maintenance.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	// maxSweptRows bounds one transaction of a sweep, so that requests are written in
-	// between.
+	// maxSweptRows is the maximum number of rows that one transaction of a sweep changes, so
+	// that it delays the ops of requests only shortly.
 	maxSweptRows = 256
-	// sweepYield separates two transactions of a sweep, for requests to be written.
+	// sweepYield is the pause between two transactions of a sweep, in which the ops of
+	// requests are written.
 	sweepYield = 5 * time.Millisecond
 )
 
-// sweep periodically writes gaps and drops entries past their retention, until Close.
+// sweep periodically writes the gaps and sweeps the store, until Close. It does neither
+// while the breaker is open.
 func (r *Recorder) sweep() {
 	ticker := time.NewTicker(r.config.SweepInterval)
 	defer ticker.Stop()
@@ -36,15 +38,15 @@
 	}
 }
 
-// sweepAll sweeps until nothing is left to drop or the store fails. It returns false
-// once the Recorder is closed.
+// sweepAll calls Sweep until nothing is left to sweep or the store fails. It returns false
+// if the Recorder is closed meanwhile.
 func (r *Recorder) sweepAll() bool {
 	for {
 		ctx, cancel := context.WithTimeout(r.committer.ctx, r.config.StatementTimeout)
 		swept, err := r.backend.Sweep(ctx, r.config.Retention, maxSweptRows)
 		cancel()
 		if err != nil {
-			slog.Warn("idempotency store not swept", "err", err)
+			slog.Warn("could not sweep the idempotency store", "err", err)
 		}
 		if err != nil || swept < maxSweptRows {
 			return true
@@ -57,7 +59,8 @@
 	}
 }
 
-// extendGap counts a request that continues without the store.
+// extendGap counts a request that continues without the store in the gap of its class, and
+// begins a gap with cause if there is none.
 func (r *Recorder) extendGap(class string, cause error) {
 	now := time.Now().UnixMicro()
 	r.mu.Lock()
@@ -72,26 +75,27 @@
 	gap.Requests++
 }
 
-// WriteGaps writes to the store which requests continued without it. Gaps that can't be
-// written are retained for the next call.
-func (r *Recorder) WriteGaps(within context.Context) {
+// WriteGaps writes the gaps since the last call to the store. A gap that can't be written
+// is kept for the next call. It may be called concurrently.
+func (r *Recorder) WriteGaps(parent context.Context) {
 	r.mu.Lock()
 	gaps := r.unwrittenGaps
 	r.unwrittenGaps = make(map[string]*idempotency.Gap)
 	r.mu.Unlock()
 	for class, gap := range gaps {
-		ctx, cancel := context.WithTimeout(within, r.config.StatementTimeout)
-		err := r.backend.Gap(ctx, *gap)
+		ctx, cancel := context.WithTimeout(parent, r.config.StatementTimeout)
+		err := r.backend.WriteGap(ctx, *gap)
 		cancel()
 		if err == nil {
 			continue
 		}
-		slog.Warn("gap not written to the idempotency store", "class", class, "requests", gap.Requests, "err", err)
+		slog.Warn("could not write a gap to the idempotency store", "class", class, "requests", gap.Requests, "err", err)
 		r.restoreGap(class, gap)
 	}
 }
 
-// restoreGap puts back a gap that was not written, merged with one that began meanwhile.
+// restoreGap puts back a gap that could not be written. If another gap of the class has
+// begun meanwhile, it merges the two.
 func (r *Recorder) restoreGap(class string, gap *idempotency.Gap) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/idempotency/recorder/recorder.go
+++ b/internal/idempotency/recorder/recorder.go
@@ -1,10 +1,12 @@
-// Package recorder connects a sidecar's requests to its idempotency store. It claims
-// each key before the request is forwarded, writes each attempt before its first byte
-// and each outcome before the answer. No request waits for the store longer than its
-// class's MaxWait; a class that fails open continues without the store.
+// Package recorder connects a sidecar's requests to its idempotency store. It claims the
+// key of each request before the request is forwarded, writes each attempt before its first
+// byte is sent, and writes the outcome before the client receives the answer. No request
+// waits longer than its class's MaxWait for a reply of the store. While the store is
+// unavailable, requests of a class that fails open continue without it, and those of the
+// other classes are rejected.
 //
-// What is known of a key is decided by internal/idempotency, and whether a request is
-// retried by the decision module.
+// Package idempotency decides what each event means for a key, and the decision module
+// decides whether a request is retried.
 package recorder
 
 import (
@@ -23,57 +25,59 @@
 	"martendrum/internal/sidecar"
 )
 
-// Class is a class of requests that is recorded.
+// Class is a class of requests whose keys are recorded.
 type Class struct {
-	Name     string
-	KeyRule  idempotency.KeyRule
-	FailOpen bool          // continues while the store is unavailable; otherwise rejected
-	MaxWait  time.Duration // for each reply of the store
+	Name    string
+	KeyRule idempotency.KeyRule
+	// FailOpen lets requests continue without the store while it is unavailable. Without
+	// FailOpen they are rejected.
+	FailOpen bool
+	MaxWait  time.Duration // maximum wait of a request for each reply of the store
 }
 
-// Config says how a store is used. All of it must be set.
+// Config says how a store is used. All exported fields must be set.
 type Config struct {
 	StoreName        string // shown to operators
 	Classes          []Class
-	Writers          int           // concurrent transactions
-	MaxBatch         int           // ops in one transaction
-	MaxQueuedOps     int           // ops that wait to be written
-	MaxQueuedBytes   int           // bytes of answers among them
-	StatementTimeout time.Duration // of a transaction
-	EndRetryDuration time.Duration // for which an outcome that failed to be written is retried
-	LeaseMargin      time.Duration // for which a claim's owner counts as alive after its deadline
-	MaxAnswerBytes   int           // bytes of an answer's body that are stored
+	Writers          int           // maximum number of concurrent transactions
+	MaxBatch         int           // maximum number of ops in one transaction
+	MaxQueuedOps     int           // maximum number of ops that wait to be written
+	MaxQueuedBytes   int           // maximum size of the answers in these ops
+	StatementTimeout time.Duration // timeout of each call of the store
+	EndRetryDuration time.Duration // how long an outcome that can't be written is retried
+	LeaseMargin      time.Duration // how long the owner of a claim counts as alive after the request's deadline
+	MaxAnswerBytes   int           // maximum size of an answer's body that is stored; a larger one is omitted
 	Retention        idempotency.Retention
-	SweepInterval    time.Duration
-	BreakerThreshold int // consecutive failures that open the breaker
-	MinBackoff       time.Duration
+	SweepInterval    time.Duration // time between two sweeps of the store
+	BreakerThreshold int           // consecutive failures that open the breaker
+	MinBackoff       time.Duration // of the breaker, and of ops that the store does not accept
 	MaxBackoff       time.Duration
 
-	slowCommit time.Duration // the longest MaxWait: a slower commit counts as a failure
+	slowCommit time.Duration // the longest MaxWait; a transaction that takes longer counts as a failure
 }
 
-// ownerIDBytes is the length of the random ID of a sidecar's run, in bytes.
+// ownerIDBytes is the length of the random ID of a sidecar process, in bytes.
 const ownerIDBytes = 12
 
-// Recorder is a sidecar.Recorder.
+// Recorder implements sidecar.Recorder with an idempotency store.
 type Recorder struct {
 	config    Config
 	backend   idempotency.Backend
 	committer *committer
-	owner     string
-	tokens    atomic.Uint64
-	classes   map[string]*Class
+	owner     string            // random ID of this process
+	tokens    atomic.Uint64     // number of tokens that were assigned
+	classes   map[string]*Class // by name
 	stop      chan struct{}
 	workers   sync.WaitGroup
 
 	mu            sync.Mutex
 	unwrittenGaps map[string]*idempotency.Gap // by class
-	counts        map[string]int64
+	counts        map[string]int64            // events by the name that Status shows
 }
 
 var _ sidecar.Recorder = (*Recorder)(nil)
 
-// New returns a Recorder over backend, which Close closes.
+// New returns a Recorder that stores entries in backend. Close closes the backend.
 func New(config Config, backend idempotency.Backend) *Recorder {
 	var id [ownerIDBytes]byte
 	rand.Read(id[:])
@@ -96,7 +100,8 @@
 	return r
 }
 
-// Close writes what is queued, as long as ctx allows, and closes the store.
+// Close waits until the queued ops and the gaps are written or ctx is done, and closes the
+// store. Requests must not use the Recorder afterwards. It must be called once.
 func (r *Recorder) Close(ctx context.Context) error {
 	close(r.stop)
 	r.committer.close(ctx)
@@ -105,8 +110,8 @@
 	return r.backend.Close()
 }
 
-// Lock is the lock that owns the store, which can be passed to the process that
-// replaces this one; nil if the store has none.
+// Lock returns the lock of the store's file, which this process passes to its successor, or
+// nil if the store has no lock.
 func (r *Recorder) Lock() *os.File {
 	if locked, ok := r.backend.(interface{ Lock() *os.File }); ok {
 		return locked.Lock()
@@ -114,28 +119,31 @@
 	return nil
 }
 
+// count counts an event for Status.
 func (r *Recorder) count(event string) {
 	r.mu.Lock()
 	r.counts[event]++
 	r.mu.Unlock()
 }
 
-// submission is an op for the store and what to do with its result.
+// submission is an op for the store and the functions that receive its result.
 type submission struct {
 	op *idempotency.Op
-	// maxWait is the class's bound. The store is blamed for a timeout only if wait, which
-	// may be cut short by the request's deadline, is as long.
+	// maxWait is the MaxWait of the class. wait is how long done waits for the store; it may
+	// be shorter because of the request's deadline. A timeout counts as a failure of the store
+	// only if wait is not shorter than maxWait.
 	maxWait, wait time.Duration
-	// retryOnError keeps the op queued after an error, for EndRetryDuration.
+	// retryOnError retries the op after an error, for up to EndRetryDuration.
 	retryOnError bool
-	// done is called once: with the store's result or, once wait has passed, with
+	// done is called once, with the result of the store or, when wait has passed, with
 	// ErrUnavailable.
 	done func(error)
-	// doneAfterTimeout, where set, is called for a success that follows a timeout.
+	// doneAfterTimeout, if set, is called if the op succeeds after done was called with
+	// ErrUnavailable.
 	doneAfterTimeout func()
 }
 
-// submit queues a submission's op. It does not block.
+// submit queues the op of a submission. It does not block.
 func (r *Recorder) submit(s submission) {
 	queued := &job{
 		op:           s.op,
@@ -149,8 +157,9 @@
 	var once sync.Once
 	timeout := time.AfterFunc(s.wait, func() {
 		once.Do(func() {
-			err := fmt.Errorf("%w: no word within %v", ErrUnavailable, s.wait)
-			// Reported before a hanging call ends: otherwise each request waits for it.
+			err := fmt.Errorf("%w: no reply within %v", ErrUnavailable, s.wait)
+			// The failure is reported before the call of the store ends. Otherwise, while the
+			// call hangs, each further request would wait for it.
 			if s.wait >= s.maxWait {
 				r.count("waited in vain")
 				r.committer.reportResult(err, 0)
@@ -172,7 +181,7 @@
 	r.committer.submit(queued)
 }
 
-// unavailable says whether the breaker is open.
+// unavailable reports whether the breaker is open.
 func (r *Recorder) unavailable() bool {
 	r.committer.mu.Lock()
 	defer r.committer.mu.Unlock()
@@ -180,8 +189,9 @@
 	return open
 }
 
-// Status is one line for health responses: the breaker's state, the queue's length, and
-// the counts since the start.
+// Status returns one line for health responses: the store's name, the breaker's state, the
+// number of queued ops and of lost outcomes, the counts of events since the start and, while
+// the breaker is open, the cause.
 func (r *Recorder) Status() string {
 	r.committer.mu.Lock()
 	line := fmt.Sprintf("%s; breaker=%s; queued=%d; lost=%d", r.config.StoreName, r.committer.breaker.State(), r.committer.queued, r.committer.lost)
@@ -203,19 +213,21 @@
 	return line
 }
 
-// Batches is the number of transactions written, and of the ops in them.
+// Batches returns the number of transactions written since the start, and the number of ops
+// in them.
 func (r *Recorder) Batches() (batches, ops int64) {
 	r.committer.mu.Lock()
 	defer r.committer.mu.Unlock()
 	return r.committer.batches, r.committer.ops
 }
 
-// storableText replaces what a database does not store as text: invalid UTF-8 and NUL.
+// storableText replaces invalid UTF-8 and NUL, which PostgreSQL does not store as text, with
+// question marks.
 func storableText(text string) string {
 	return strings.ReplaceAll(strings.ToValidUTF8(text, "?"), "\x00", "?")
 }
 
-// printable maps what is not printable ASCII to a question mark.
+// printable returns a question mark for a character that is not printable ASCII.
 func printable(char rune) rune {
 	if char < ' ' || char > '~' {
 		return '?'
--- a/internal/idempotency/recorder/request.go
+++ b/internal/idempotency/recorder/request.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// unavailableRetry is the Retry-After of a request that was rejected because the
-	// store is unavailable.
+	// unavailableRetry is the Retry-After of a request that is rejected as the store is
+	// unavailable.
 	unavailableRetry = 500 * time.Millisecond
-	// busyRetry is the Retry-After of a request whose key is in flight.
+	// busyRetry is the Retry-After of a request while another request with its key is in
+	// flight.
 	busyRetry = 500 * time.Millisecond
-	// maxWaitPart divides the time left to a request into the part that its claim may
-	// wait for the store.
-	maxWaitPart = 4
+	// claimWaitDivisor divides the time until a request's deadline into the longest time that
+	// the request waits for its claim.
+	claimWaitDivisor = 4
 )
 
-// recordedRequest is a request whose key is claimed, or that failed open. It implements
-// sidecar.Entry.
+// recordedRequest is a request of a recorded class. It implements sidecar.Entry.
 type recordedRequest struct {
 	recorder    *Recorder
 	class       *Class
@@ -38,13 +38,13 @@
 	lease       time.Duration
 
 	mu          sync.Mutex
-	storeFailed bool // attempts are not written any more
-	fenced      bool // another request owns the key: nothing may be sent
-	inGap       bool // counted in a gap
+	storeFailed bool // the store failed: further attempts are not written
+	fenced      bool // the claim is no longer this request's: nothing may be sent
+	inGap       bool // the request was counted in a gap
 }
 
 // Begin implements sidecar.Recorder.
-func (r *Recorder) Begin(exchange *downstream.Exchange, left time.Duration, then func(sidecar.Verdict)) {
+func (r *Recorder) Begin(exchange *downstream.Exchange, remaining time.Duration, then func(sidecar.Verdict)) {
 	class := r.classes[exchange.Class]
 	if class == nil {
 		then(sidecar.Verdict{})
@@ -56,27 +56,29 @@
 		then(deny(http.StatusBadRequest, strings.Map(printable, err.Error()), 0))
 		return
 	}
-	r.claim(r.newRequest(exchange, class, key, left), min(class.MaxWait, left/maxWaitPart), then)
+	r.claim(r.newRequest(exchange, class, key, remaining), min(class.MaxWait, remaining/claimWaitDivisor), then)
 }
 
-func (r *Recorder) newRequest(exchange *downstream.Exchange, class *Class, key string, left time.Duration) *recordedRequest {
-	requestID, _ := idempotency.Field(exchange.Request.Head, protocol.RequestID) // downstream has checked the head
+// newRequest returns a request that ends within remaining, with a new token.
+func (r *Recorder) newRequest(exchange *downstream.Exchange, class *Class, key string, remaining time.Duration) *recordedRequest {
+	requestID, _ := idempotency.HeaderField(exchange.Request.Head, protocol.RequestID) // no error: package downstream has checked the header
 	return &recordedRequest{
 		recorder:    r,
 		class:       class,
 		key:         key,
-		lease:       left + r.config.LeaseMargin,
+		lease:       remaining + r.config.LeaseMargin,
 		token:       fmt.Sprintf("%s-%d", r.owner, r.tokens.Add(1)),
 		fingerprint: idempotency.Fingerprint(exchange.Request.Head, exchange.Tenant, exchange.Request.Body),
 		requestID:   storableText(requestID),
 	}
 }
 
-// claim claims the request's key and calls then with what to do with the request.
+// claim claims the key of a request, waits up to wait for the store, and calls then with the
+// verdict.
 func (r *Recorder) claim(request *recordedRequest, wait time.Duration, then func(sidecar.Verdict)) {
 	class := request.class
 	op := request.op(idempotency.Claim)
-	// A claim that succeeds after its client was rejected is released.
+	// release gives a key back that was claimed after its request was rejected.
 	release := func() {
 		if op.Result == idempotency.Granted && !class.FailOpen {
 			r.submit(submission{op: request.endOp(idempotency.NeverRan), maxWait: class.MaxWait, wait: class.MaxWait, retryOnError: true, done: func(error) {}})
@@ -91,7 +93,7 @@
 			then(sidecar.Verdict{Entry: request})
 		default:
 			r.count("refused")
-			if !errors.Is(err, ErrUnavailable) { // the claim may have been written
+			if !errors.Is(err, ErrUnavailable) { // the store failed; it may have written the claim
 				op.Result = idempotency.Granted
 				release()
 			}
@@ -101,12 +103,13 @@
 	r.submit(submission{op: op, maxWait: class.MaxWait, wait: wait, done: done, doneAfterTimeout: release})
 }
 
-// deny is a verdict that answers the request with a status and a reason.
+// deny returns a verdict that answers a request with a status, a reason and, unless it is 0,
+// a Retry-After.
 func deny(status int, reason string, retryAfter time.Duration) sidecar.Verdict {
 	return sidecar.Verdict{Answer: func(exchange *downstream.Exchange) { exchange.Deny(status, reason, retryAfter) }}
 }
 
-// verdict says what the result of a claim means for its request.
+// verdict returns the verdict about a request whose claim had the result op.Result.
 func (r *Recorder) verdict(request *recordedRequest, op *idempotency.Op) sidecar.Verdict {
 	r.count("claims " + op.Result.String())
 	stored := &op.Entry
@@ -127,6 +130,7 @@
 	return deny(http.StatusConflict, "may-have-run; it is not sent again, the shop's staff must settle it", 0)
 }
 
+// op returns an op of the request.
 func (e *recordedRequest) op(kind idempotency.OpKind) *idempotency.Op {
 	return &idempotency.Op{
 		Kind:        kind,
@@ -140,14 +144,15 @@
 	}
 }
 
+// endOp returns an op that ends the request with an outcome.
 func (e *recordedRequest) endOp(outcome idempotency.State) *idempotency.Op {
 	op := e.op(idempotency.End)
 	op.Outcome = outcome
 	return op
 }
 
-// failOpen notes that the request continues without the store, and counts it in the
-// gap of its class.
+// failOpen marks that the request continues without the store, and counts it once in the gap
+// of its class.
 func (e *recordedRequest) failOpen(cause error) {
 	e.mu.Lock()
 	counted := e.inGap
@@ -178,7 +183,7 @@
 			e.mu.Lock()
 			e.fenced = true
 			e.mu.Unlock()
-			then(false) // another request may use the key; this one stops even if its class fails open
+			then(false) // another request may own the key: this one must not be sent, even if its class fails open
 		case e.class.FailOpen:
 			e.failOpen(err)
 			then(true)
@@ -192,7 +197,7 @@
 	e.recorder.submit(submission{op: op, maxWait: e.class.MaxWait, wait: e.class.MaxWait, done: done})
 }
 
-// stateOfEnd maps the sidecar's outcomes to the store's.
+// stateOfEnd maps the outcomes of package sidecar to those of the store.
 var stateOfEnd = map[sidecar.End]idempotency.State{
 	sidecar.Served:     idempotency.Answered,
 	sidecar.NeverRan:   idempotency.NeverRan,
@@ -200,7 +205,7 @@
 }
 
 // End implements sidecar.Entry.
-func (e *recordedRequest) End(end sidecar.End, answer *upstream.Answer, left time.Duration, then func()) {
+func (e *recordedRequest) End(end sidecar.End, answer *upstream.Answer, remaining time.Duration, then func()) {
 	op := e.endOp(stateOfEnd[end])
 	if answer != nil {
 		op.Status, op.Header = http.StatusOK, encodeHeader(answer.Header)
@@ -210,6 +215,6 @@
 			op.AnswerOmitted = true
 		}
 	}
-	wait := max(0, min(e.class.MaxWait, left))
+	wait := max(0, min(e.class.MaxWait, remaining))
 	e.recorder.submit(submission{op: op, maxWait: e.class.MaxWait, wait: wait, retryOnError: true, done: func(error) { then() }})
 }
--- a/internal/idempotency/recorder/shard.go
+++ b/internal/idempotency/recorder/shard.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// idleInterval bounds how long a worker waits with nothing to write.
+	// idleInterval is the longest time that a worker waits while it has nothing to write.
 	idleInterval = time.Minute
-	// minPollInterval bounds from below how soon a worker looks again.
+	// minPollInterval is the shortest time that a worker waits for a backoff to end.
 	minPollInterval = time.Millisecond
-	// maxBackoffDoublings keeps the backoff of a job that is retried alone in range.
+	// maxBackoffDoublings keeps the shift that computes the backoff of an isolated job from
+	// overflowing.
 	maxBackoffDoublings = 10
 )
 
-// shard is one queue and its worker.
+// shard is one queue of jobs and its worker.
 type shard struct {
 	committer *committer
-	wake      chan struct{} // signalled when the queue or the breaker changed
+	wake      chan struct{} // signalled when the queue or the breaker has changed
 
-	// Guarded by the committer's lock but for soloRemaining, which is the worker's.
-	queue         []*job
-	soloRemaining int  // ops still to be written one by one, after a batch that failed
-	lastWasSolo   bool // the last batch was one job that is retried alone
+	// Guarded by committer.mu, except for singleOpBatches, which only the worker uses.
+	queue           []*job
+	singleOpBatches int  // how many of the next batches have only one op, after a batch that failed
+	lastWasIsolated bool // the last batch was an isolated job
 }
 
-// notify wakes the worker.
+// notify wakes the worker. It does not block.
 func (s *shard) notify() {
 	select {
 	case s.wake <- struct{}{}:
@@ -37,14 +38,14 @@
 	}
 }
 
-// run is the worker. It ends when the committer is closed.
+// run is the worker: it writes the queued jobs until the committer is closed.
 func (s *shard) run() {
-	// The breaker is waited for even with nothing to write: while it is open, nothing is
-	// queued that could close it.
+	// The worker waits for an open breaker even if it has nothing to write: while the breaker
+	// is open, jobs without retryOnError are not queued, so that only a probe can close it.
 	for s.awaitStore() {
 		batch, expired, wait := s.nextBatch()
 		for _, j := range expired {
-			s.committer.finish(j, fmt.Errorf("%w: it took too long", ErrUnavailable))
+			s.committer.finish(j, fmt.Errorf("%w: the op was not written before its deadline", ErrUnavailable))
 		}
 		switch {
 		case len(batch) > 0:
@@ -62,8 +63,8 @@
 	}
 }
 
-// idle waits until the worker is woken or wait has passed (0: idleInterval). It returns
-// false once the committer is closed.
+// idle waits until the worker is notified or wait has passed; 0 means idleInterval. It
+// returns false if the committer is closed.
 func (s *shard) idle(wait time.Duration) bool {
 	if wait == 0 {
 		wait = idleInterval
@@ -79,20 +80,20 @@
 	return true
 }
 
-// nextBatch removes from the queue the next batch and the jobs whose deadline is over.
-// A key may occur more than once in a batch: its ops are applied in order. wait, where
-// above 0, is the time until a job that is retried alone is due.
+// nextBatch removes the next batch and the jobs whose deadline is over from the queue. A
+// batch may have several ops of one key, which are applied in order. wait, if it is not 0,
+// is the time until the backoff of an isolated job ends.
 func (s *shard) nextBatch() (batch, expired []*job, wait time.Duration) {
 	c := s.committer
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	limit := c.config.MaxBatch
-	if s.soloRemaining > 0 {
-		limit, s.soloRemaining = 1, s.soloRemaining-1
+	if s.singleOpBatches > 0 {
+		limit, s.singleOpBatches = 1, s.singleOpBatches-1
 	}
 	now := time.Now()
-	var alone *job
-	left := s.queue[:0]
+	var isolated *job
+	remaining := s.queue[:0]
 	for _, j := range s.queue {
 		switch {
 		case now.After(j.deadline):
@@ -100,60 +101,61 @@
 			if j.retryOnError {
 				c.lost++
 			}
-		case j.alone && alone == nil && !s.lastWasSolo && !now.Before(j.notBefore):
-			alone = j
-		case j.alone:
+		case j.isolated && isolated == nil && !s.lastWasIsolated && !now.Before(j.notBefore):
+			isolated = j
+		case j.isolated:
 			if due := max(j.notBefore.Sub(now), minPollInterval); wait == 0 || due < wait {
 				wait = due
 			}
-			left = append(left, j)
+			remaining = append(remaining, j)
 		case len(batch) < limit:
 			batch = append(batch, j)
 		default:
-			left = append(left, j)
+			remaining = append(remaining, j)
 		}
 	}
-	clear(s.queue[len(left):])
-	s.queue = left
-	s.lastWasSolo = alone != nil
-	if alone != nil {
+	clear(s.queue[len(remaining):])
+	s.queue = remaining
+	s.lastWasIsolated = isolated != nil
+	if isolated != nil {
 		s.queue = append(batch[:len(batch):len(batch)], s.queue...)
-		batch = []*job{alone}
+		batch = []*job{isolated}
 	}
 	return batch, expired, wait
 }
 
-// requeue puts jobs at the head of the queue.
+// requeue puts jobs at the front of the queue.
 func (s *shard) requeue(jobs []*job) {
 	s.committer.mu.Lock()
 	s.queue = append(jobs[:len(jobs):len(jobs)], s.queue...)
 	s.committer.mu.Unlock()
 }
 
-// requeueAlone puts back a job that failed in a batch of its own, to be retried alone.
-// Ops of the same key that overtake it find the key in flight.
-func (s *shard) requeueAlone(j *job) {
+// requeueIsolated puts back a job that failed as the only one of its batch, as an isolated
+// job. Later ops of the same key may be applied before it. They find the key in flight, as
+// only an outcome is retried.
+func (s *shard) requeueIsolated(j *job) {
 	config := s.committer.config
 	s.committer.mu.Lock()
 	j.notBefore = time.Now().Add(min(config.MinBackoff<<min(j.attempts, maxBackoffDoublings), config.MaxBackoff))
-	j.alone = true
+	j.isolated = true
 	j.attempts++
 	s.queue = append(s.queue, j)
 	s.committer.mu.Unlock()
 }
 
-// rejoinBatches lets jobs that are retried alone join batches again: they may have
-// failed because the store was unavailable.
+// rejoinBatches ends the isolation of jobs, which may have failed only because the store was
+// unavailable.
 func (s *shard) rejoinBatches() {
 	s.committer.mu.Lock()
 	for _, j := range s.queue {
-		j.alone = false
+		j.isolated = false
 	}
 	s.committer.mu.Unlock()
 }
 
-// awaitStore waits, while the breaker is open, until a probe is due and succeeds. It
-// returns false once the committer is closed.
+// awaitStore returns true when the breaker is closed. While it is open, awaitStore probes the
+// store after each backoff. It returns false if the committer is closed.
 func (s *shard) awaitStore() bool {
 	c := s.committer
 	for {
@@ -181,7 +183,8 @@
 	}
 }
 
-// probe pings the store, reports the result to the breaker and says whether it replied.
+// probe pings the store, reports the result to the breaker, and returns whether the ping
+// succeeded.
 func (s *shard) probe() bool {
 	c := s.committer
 	ctx, cancel := context.WithTimeout(c.ctx, c.config.StatementTimeout)
@@ -198,7 +201,8 @@
 	return true
 }
 
-// commit writes a batch in one transaction.
+// commit writes a batch in one transaction. The failure of an isolated job is not reported to
+// the breaker, as the fault may lie in the job.
 func (s *shard) commit(batch []*job) {
 	c := s.committer
 	ops := make([]*idempotency.Op, len(batch))
@@ -209,7 +213,7 @@
 	started := time.Now()
 	err := c.backend.Apply(ctx, ops)
 	cancel()
-	if !batch[0].alone || err == nil {
+	if !batch[0].isolated || err == nil {
 		c.reportResult(err, time.Since(started))
 	}
 	if err != nil {
@@ -225,9 +229,10 @@
 	}
 }
 
-// commitFailed puts back the jobs that are retried and fails the others.
+// commitFailed puts the jobs of a failed batch that are retried back into the queue, and
+// finishes the others with err.
 func (s *shard) commitFailed(batch []*job, err error) {
-	slog.Warn("idempotency entries not written", "ops", len(batch), "err", err)
+	slog.Warn("could not write to the idempotency store", "ops", len(batch), "err", err)
 	var retried []*job
 	for _, j := range batch {
 		if j.retryOnError {
@@ -236,12 +241,13 @@
 	}
 	switch {
 	case len(batch) > 1:
-		// Requeued in order, before the failed jobs' callers can submit ops that depend on
-		// these. They are written one by one, as the store may reject only one of them.
+		// The jobs are requeued in order, before the callers of the other jobs learn of the
+		// failure and submit ops that must follow these. They are written in batches of one
+		// job, as the store may reject only one of them.
 		s.requeue(retried)
-		s.soloRemaining = len(retried)
+		s.singleOpBatches = len(retried)
 	case len(retried) == 1:
-		s.requeueAlone(retried[0])
+		s.requeueIsolated(retried[0])
 	}
 	for _, j := range batch {
 		if !j.retryOnError {
--- a/internal/idempotency/sqlite/apply.go
+++ b/internal/idempotency/sqlite/apply.go
@@ -10,15 +10,16 @@
 	"martendrum/internal/idempotency"
 )
 
-// transact runs do in a transaction, one at a time.
-func (s *Store) transact(ctx context.Context, do func(tx *sql.Tx) error) error {
+// transact runs apply in a transaction and commits it, unless apply fails. Transactions of
+// one Store run one after the other.
+func (s *Store) transact(ctx context.Context, apply func(tx *sql.Tx) error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
 		return withAdvice(err)
 	}
-	if err := do(tx); err != nil {
+	if err := apply(tx); err != nil {
 		tx.Rollback()
 		return withAdvice(err)
 	}
@@ -37,7 +38,8 @@
 	return nil
 }
 
-// applyAll applies ops in order. It fails at the first claim if the file is nearly full.
+// applyAll applies ops in order. If more than maxClaimUsage of the file is used, it fails at
+// the first claim.
 func (s *Store) applyAll(ctx context.Context, tx *sql.Tx, ops []*idempotency.Op) error {
 	get, put := tx.StmtContext(ctx, s.getEntry), tx.StmtContext(ctx, s.putEntry)
 	now := s.clock.Time(time.Now())
@@ -45,10 +47,10 @@
 	if err := tx.StmtContext(ctx, s.countPages).QueryRowContext(ctx).Scan(&used); err != nil {
 		return err
 	}
-	full := float64(used) > maxClaimUsage*float64(s.maxPages)
+	nearlyFull := float64(used) > maxClaimUsage*float64(s.maxPages)
 	for _, op := range ops {
-		if full && op.Kind == idempotency.Claim {
-			return fmt.Errorf("%w: %d of %d pages are used; raise its bound, or settle and drop", idempotency.ErrFull, used, s.maxPages)
+		if nearlyFull && op.Kind == idempotency.Claim {
+			return fmt.Errorf("%w: %d of %d pages are used; raise sqlite.most, settle keys or shorten the retention", idempotency.ErrFull, used, s.maxPages)
 		}
 		entry, err := scanEntry(get.QueryRowContext(ctx, op.Class, op.Key))
 		if err != nil {
@@ -64,9 +66,9 @@
 	return nil
 }
 
-// scanEntry reads an entry, the zero Entry if there is none.
+// scanEntry reads the entry of a row, or returns the zero Entry if there is no row.
 func scanEntry(row *sql.Row) (entry idempotency.Entry, err error) {
-	if err = row.Scan(entry.Fields()...); errors.Is(err, sql.ErrNoRows) {
+	if err = row.Scan(entry.ScanTargets()...); errors.Is(err, sql.ErrNoRows) {
 		return idempotency.Entry{}, nil
 	}
 	return entry, err
--- a/internal/idempotency/sqlite/errors.go
+++ b/internal/idempotency/sqlite/errors.go
@@ -13,12 +13,12 @@
 
 // FileError is a problem of a store's file that an operator can solve.
 type FileError struct {
-	Problem error  // nil where the next step says it
-	Next    string // the next step
-	Cause   error  // of the system; may be nil
+	Problem error  // nil if Next describes the problem
+	Next    string // what the operator can do
+	Cause   error  // error of SQLite or the operating system; may be nil
 }
 
-// Error joins the problem, the next step and the cause.
+// Error joins the problem, the operator's next step and the cause.
 func (e *FileError) Error() string {
 	var parts []string
 	if e.Problem != nil {
@@ -31,8 +31,8 @@
 	return strings.Join(parts, ": ")
 }
 
-// Unwrap returns the problem, which may be idempotency.ErrFull or ErrReadOnly, and the
-// cause.
+// Unwrap returns the problem, which may be idempotency.ErrFull or idempotency.ErrReadOnly,
+// and the cause.
 func (e *FileError) Unwrap() []error {
 	var wrapped []error
 	for _, err := range []error{e.Problem, e.Cause} {
@@ -43,26 +43,26 @@
 	return wrapped
 }
 
-// Advice is the next step.
+// Advice returns what the operator can do.
 func (e *FileError) Advice() string { return e.Next }
 
-// UnreadableError says that a file could not be read and may be damaged.
+// UnreadableError means that a file could not be read and may be damaged.
 type UnreadableError struct{ Cause error }
 
-// Error has the cause and the next step.
+// Error joins the cause and the operator's next step.
 func (e *UnreadableError) Error() string {
-	return fmt.Sprintf("it can't be read (%v): %s", e.Cause, e.Advice())
+	return fmt.Sprintf("the file can't be read (%v): %s", e.Cause, e.Advice())
 }
 
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
-// Advice is the next step.
+// Advice returns what the operator can do.
 func (e *UnreadableError) Advice() string {
-	return "if it is damaged, keep it with its -wal and -shm files for `martendrum record export`, move them aside and start again; keys that it held are then unknown"
+	return "if it is damaged, keep it and its -wal and -shm files for `martendrum record export`, move them aside and start the sidecar again; the keys in the file are then unknown"
 }
 
-// resultCode is SQLite's primary result code of an error, 0 if it has none.
+// resultCode returns the primary result code of an error of SQLite, or 0 for any other error.
 func resultCode(err error) int {
 	if e, ok := errors.AsType[*driver.Error](err); ok {
 		return e.Code() & 0xff
@@ -70,23 +70,24 @@
 	return 0
 }
 
-// withAdvice adds to an error of SQLite what an operator can do about it.
+// withAdvice returns a *FileError for an error of SQLite that an operator can solve, and
+// any other error unchanged.
 func withAdvice(err error) error {
 	switch resultCode(err) {
 	case lib.SQLITE_FULL:
-		return &FileError{Problem: idempotency.ErrFull, Next: "raise its bound, or free space on the disk", Cause: err}
+		return &FileError{Problem: idempotency.ErrFull, Next: "raise sqlite.most, or free space on the disk", Cause: err}
 	case lib.SQLITE_READONLY, lib.SQLITE_PERM, lib.SQLITE_CANTOPEN:
-		return &FileError{Problem: idempotency.ErrReadOnly, Next: "the sidecar's user must be able to write the file and its folder", Cause: err}
+		return &FileError{Problem: idempotency.ErrReadOnly, Next: "allow the sidecar's user to write the file and its folder", Cause: err}
 	case lib.SQLITE_BUSY, lib.SQLITE_LOCKED:
-		return &FileError{Problem: errors.New("locked by another program for longer than 3 s"), Next: "end what has it open", Cause: err}
+		return &FileError{Problem: errors.New("another program has locked the file for longer than 3 s"), Next: "end the program that has the file open", Cause: err}
 	case lib.SQLITE_CORRUPT, lib.SQLITE_NOTADB:
-		return &FileError{Problem: errors.New("the file is damaged"), Next: "`martendrum record check` tells more", Cause: err}
+		return &FileError{Problem: errors.New("the file is damaged"), Next: "run `martendrum record check` for details", Cause: err}
 	}
 	return err
 }
 
-// unreadable is the error of a file that failed its first read.
-func unreadable(err error) error {
+// firstReadError returns the error for a file whose first read failed with err.
+func firstReadError(err error) error {
 	if code := resultCode(err); code == lib.SQLITE_BUSY || code == lib.SQLITE_LOCKED {
 		return withAdvice(err)
 	}
--- a/internal/idempotency/sqlite/keys_capacity_test.go
+++ b/internal/idempotency/sqlite/keys_capacity_test.go
@@ -12,83 +12,84 @@
 	bt "martendrum/internal/idempotency/backendtest"
 )
 
-// maxCapacityRecord is the bound of the record's file in the capacity benchmark.
-const maxCapacityRecord = 256 << 20
+// capacityMaxBytes is the maximum size of the store's file in the capacity benchmark.
+const capacityMaxBytes = 256 << 20
 
-// capacityAnswer is the length of the answers that are kept, in bytes.
-const capacityAnswer = 512
+// capacityAnswerBytes is the length of the answers that are stored, in bytes.
+const capacityAnswerBytes = 512
 
-// capacityCommit is how many keys share a commit while the record is filled.
-const capacityCommit = 100
+// keysPerCommit is how many keys are written in one commit while the store is filled.
+const keysPerCommit = 100
 
-// BenchmarkKeysCapacity measures a record by the number of its keys: bytes of its file for
-// each, one further key from its claim to its answer in three commits, and the start on the
-// file. Run it with -benchtime=200x.
+// BenchmarkKeysCapacity measures stores with different numbers of keys: the size of the file
+// per key, the time to open the file, and the time to write a further key in three commits
+// from its claim to its answer. Run it with -benchtime=200x.
 func BenchmarkKeysCapacity(b *testing.B) {
 	for _, keys := range []int{1000, 3000, 10000, 30000, 100000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
-			config := cfg(filepath.Join(b.TempDir(), "record.db"))
-			config.MaxBytes = maxCapacityRecord
-			fillRecord(b, config, keys)
+			config := testConfig(filepath.Join(b.TempDir(), "record.db"))
+			config.MaxBytes = capacityMaxBytes
+			fillStore(b, config, keys)
 			file, err := os.Stat(config.Path)
 			if err != nil {
-				b.Fatal(err)
+				b.Fatalf("read the size of the store's file: %v", err)
 			}
-			began := time.Now()
+			started := time.Now()
 			store, err := Open(ctx, config)
 			if err != nil {
-				b.Fatal(err)
+				b.Fatalf("open the filled store: %v", err)
 			}
-			opened := time.Since(began)
+			openDuration := time.Since(started)
 			defer store.Close()
 			key := 0
 			for b.Loop() {
-				for _, operation := range opsOfKey(fmt.Sprint("further-", key)) {
-					applyAll(b, store, operation)
+				for _, op := range opsOfKey(fmt.Sprint("further-", key)) {
+					applyAll(b, store, op)
 				}
 				key++
 			}
 			b.ReportMetric(float64(file.Size())/float64(keys), "file-B/key")
-			b.ReportMetric(opened.Seconds()*1000, "ms-to-open")
+			b.ReportMetric(openDuration.Seconds()*1000, "ms-to-open")
 		})
 	}
 }
 
-// opsOfKey is what a request with a key brings to the record.
+// opsOfKey returns the ops of a request with a key, from its claim to its answer.
 func opsOfKey(key string) []*idempotency.Op {
 	end := bt.End(key, key, idempotency.Answered)
-	end.Answer = bytes.Repeat([]byte{'a'}, capacityAnswer)
+	end.Answer = bytes.Repeat([]byte{'a'}, capacityAnswerBytes)
 	return []*idempotency.Op{bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), end}
 }
 
-func applyAll(b *testing.B, store *Store, operations ...*idempotency.Op) {
+// applyAll applies ops in one transaction. The benchmark fails unless each is granted.
+func applyAll(b *testing.B, store *Store, ops ...*idempotency.Op) {
 	b.Helper()
-	if err := store.Apply(ctx, operations); err != nil {
-		b.Fatal(err)
+	if err := store.Apply(ctx, ops); err != nil {
+		b.Fatalf("apply %d ops: %v", len(ops), err)
 	}
-	for _, operation := range operations {
-		if operation.Result != idempotency.Granted {
-			b.Fatalf("%s: %v", operation.Key, operation.Result)
+	for _, op := range ops {
+		if op.Result != idempotency.Granted {
+			b.Fatalf("op on the key %s: got result %v, want %v", op.Key, op.Result, idempotency.Granted)
 		}
 	}
 }
 
-// fillRecord makes a record with so many answered keys.
-func fillRecord(b *testing.B, config Config, keys int) {
+// fillStore creates a store with a number of answered keys.
+func fillStore(b *testing.B, config Config, keys int) {
 	b.Helper()
 	store, err := Open(ctx, config)
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("create the store: %v", err)
 	}
-	var operations []*idempotency.Op
+	var ops []*idempotency.Op
 	for key := range keys {
-		operations = append(operations, opsOfKey(fmt.Sprint("key-", key))...)
-		if (key+1)%capacityCommit == 0 || key+1 == keys {
-			applyAll(b, store, operations...)
-			operations = nil
+		ops = append(ops, opsOfKey(fmt.Sprint("key-", key))...)
+		if (key+1)%keysPerCommit == 0 || key+1 == keys {
+			applyAll(b, store, ops...)
+			ops = nil
 		}
 	}
 	if err := store.Close(); err != nil {
-		b.Fatal(err)
+		b.Fatalf("close the filled store: %v", err)
 	}
 }
--- a/internal/idempotency/sqlite/maintenance.go
+++ b/internal/idempotency/sqlite/maintenance.go
@@ -10,27 +10,27 @@
 )
 
 // Sweep implements idempotency.Backend.
-func (s *Store) Sweep(ctx context.Context, retention idempotency.Retention, limit int) (n int, err error) {
+func (s *Store) Sweep(ctx context.Context, retention idempotency.Retention, limit int) (swept int, err error) {
 	err = s.transact(ctx, func(tx *sql.Tx) error {
-		n = 0
+		swept = 0
 		now := s.clock.Time(time.Now())
 		lapsed, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.LapseAssignments+`, changed = ?1 WHERE (class, key) IN
 			(SELECT class, key FROM record WHERE state = 'in-flight' AND expires <= ?1 LIMIT ?2)`, now, limit)
 		if err != nil {
 			return err
 		}
-		n += affected(lapsed)
+		swept += affected(lapsed)
 		for _, state := range idempotency.States {
-			period := retention.For(state)
-			if period <= 0 || n >= limit {
+			period := retention.Period(state)
+			if period <= 0 || swept >= limit {
 				continue
 			}
 			dropped, err := tx.ExecContext(ctx, `DELETE FROM record WHERE (class, key) IN
-				(SELECT class, key FROM record WHERE state = ? AND changed < ? LIMIT ?)`, string(state), now-period.Microseconds(), limit-n)
+				(SELECT class, key FROM record WHERE state = ? AND changed < ? LIMIT ?)`, string(state), now-period.Microseconds(), limit-swept)
 			if err != nil {
 				return err
 			}
-			n += affected(dropped)
+			swept += affected(dropped)
 		}
 		return s.saveClock(ctx, tx, now)
 	})
@@ -39,17 +39,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return n, s.query(ctx, fmt.Sprintf("PRAGMA incremental_vacuum(%d)", maxSweptPages), func(*sql.Rows) error { return nil })
+	return swept, s.query(ctx, fmt.Sprintf("PRAGMA incremental_vacuum(%d)", maxSweptPages), func(*sql.Rows) error { return nil })
 }
 
-// affected is the number of rows that a statement changed.
+// affected returns the number of rows that a statement changed.
 func affected(result sql.Result) int {
-	n, _ := result.RowsAffected() // this driver never fails
+	n, _ := result.RowsAffected() // this driver returns no error
 	return int(n)
 }
 
-// Gap implements idempotency.Backend.
-func (s *Store) Gap(ctx context.Context, gap idempotency.Gap) error {
+// WriteGap implements idempotency.Backend.
+func (s *Store) WriteGap(ctx context.Context, gap idempotency.Gap) error {
 	return s.transact(ctx, func(tx *sql.Tx) error {
 		if _, err := tx.ExecContext(ctx, "INSERT INTO gaps (owner, class, since, until, requests, cause) VALUES (?,?,?,?,?,?)",
 			gap.Owner, gap.Class, gap.From, gap.Until, gap.Requests, gap.Cause); err != nil {
@@ -88,8 +88,8 @@
 	return found, nil
 }
 
-// Compact implements idempotency.Backend. It rewrites the file, which no other
-// process may have open.
+// Compact implements idempotency.Backend. It rewrites the file and returns unused space to
+// the file system. No other process may have the file open.
 func (s *Store) Compact(ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// Ping implements idempotency.Backend. It writes, as a read-only disk is of
-// no use.
+// Ping implements idempotency.Backend. It writes to the file, so that it fails if the file
+// or the disk is read-only.
 func (s *Store) Ping(ctx context.Context) error {
 	return s.transact(ctx, func(tx *sql.Tx) error { return s.saveClock(ctx, tx, s.clock.Time(time.Now())) })
 }
--- a/internal/idempotency/sqlite/ownership.go
+++ b/internal/idempotency/sqlite/ownership.go
@@ -12,11 +12,13 @@
 const (
 	lockSuffix      = ".lock"
 	lockPermissions = 0o600
-	// maxProcessIDText bounds what is read of a lock file: the process ID of its holder.
+	// maxProcessIDText is the maximum number of bytes that are read from a lock file, which
+	// contains the process ID of its holder.
 	maxProcessIDText = 32
 )
 
-// acquireLock takes the lock file, which the kernel releases when the process ends.
+// acquireLock locks the lock file and writes this process's ID to it. The kernel releases
+// the lock when the process ends.
 func (s *Store) acquireLock() error {
 	file, err := filelock.Acquire(s.config.Path+lockSuffix, lockPermissions)
 	if errors.Is(err, filelock.ErrLocked) {
@@ -25,11 +27,11 @@
 		file.Close()
 		return &FileError{
 			Problem: fmt.Errorf("locked by process %s", strings.TrimSpace(string(holder[:n]))),
-			Next:    "one sidecar owns a file; give this one a file of its own",
+			Next:    "only one sidecar can own a file; give this one a file of its own",
 		}
 	}
 	if err != nil {
-		return &FileError{Next: "the folder must be there and be writable", Cause: err}
+		return &FileError{Next: "the folder must exist and be writable", Cause: err}
 	}
 	s.lock = file
 	file.Truncate(0)
@@ -37,28 +39,28 @@
 	return nil
 }
 
-// adoptLock checks a lock that another process passed to this one: it must be this
-// file's. It writes this process's ID into it.
+// adoptLock checks that the lock that another process passed to this one belongs to this
+// store's file, and writes this process's ID to the lock file.
 func (s *Store) adoptLock() error {
-	got, err := s.lock.Stat()
+	passed, err := s.lock.Stat()
 	if err != nil {
 		return err
 	}
-	want, err := os.Stat(s.config.Path + lockSuffix)
+	lockFile, err := os.Stat(s.config.Path + lockSuffix)
 	if err != nil {
 		return err
 	}
-	if !os.SameFile(got, want) {
-		return &FileError{Problem: errors.New("the old process owns another file"), Next: "end it before this one starts"}
+	if !os.SameFile(passed, lockFile) {
+		return &FileError{Problem: errors.New("the predecessor owns another file"), Next: "end the predecessor before this process starts"}
 	}
 	s.lock.Truncate(0)
 	_, err = s.lock.WriteAt(fmt.Appendln(nil, os.Getpid()), 0)
 	return err
 }
 
-// Lock is the file's lock, to be passed to the process that replaces this one; nil if
-// this Store does not own the file. The kernel releases it when the last process that
-// has it ends.
+// Lock returns the file's lock, which this process passes to its successor, or nil if this
+// Store does not own the file. From this call on, Close does not release the lock. The
+// kernel releases it when the last process that has it ends.
 func (s *Store) Lock() *os.File {
 	s.shared.Store(true)
 	return s.lock
--- a/internal/idempotency/sqlite/schema.go
+++ b/internal/idempotency/sqlite/schema.go
@@ -12,8 +12,8 @@
 	"martendrum/internal/sqlitefile"
 )
 
-// migrations[n] brings a file from schema version n to n+1. Released ones are never
-// changed: a file may have any version.
+// migrations[n] are the statements that bring a file from schema version n to n+1. A
+// migration is not changed once it is released, as there may be files of every version.
 var migrations = []string{
 	`CREATE TABLE record (
 		class TEXT NOT NULL, key TEXT NOT NULL, state TEXT NOT NULL, body BLOB NOT NULL, owner TEXT NOT NULL, token TEXT NOT NULL,
@@ -29,30 +29,33 @@
 // Version is the schema version that this build reads and writes.
 var Version = len(migrations)
 
-// migrate checks the file and, for its sole owner, brings the schema to a version.
+// migrate checks the file and, if this process is its only owner, brings its schema to the
+// version to.
 func (s *Store) migrate(ctx context.Context, to int) error {
 	if s.config.Owner && s.config.Lock == nil {
 		if err := sqlitefile.CheckIntegrity(ctx, s.db); err != nil {
-			return unreadable(err)
+			return firstReadError(err)
 		}
 		return withAdvice(sqlitefile.Migrate(ctx, s.db, migrations, to))
 	}
-	// A reader may open a damaged file to save what is left. Only the sole owner migrates.
-	var have int
-	if err := s.db.QueryRowContext(ctx, "PRAGMA user_version").Scan(&have); err != nil {
-		return unreadable(err)
+	// The integrity is not checked, as an operator may open a damaged file to export what can
+	// be read.
+	var current int
+	if err := s.db.QueryRowContext(ctx, "PRAGMA user_version").Scan(&current); err != nil {
+		return firstReadError(err)
 	}
-	if have < to {
+	if current < to {
 		return &FileError{
-			Problem: fmt.Errorf("its schema is version %d, this build's %d", have, Version),
-			Next:    "start the sidecar first, which brings it up to date",
+			Problem: fmt.Errorf("the file has schema version %d, and this build needs version %d", current, Version),
+			Next:    "start the sidecar first, which migrates the file",
 		}
 	}
-	return sqlitefile.CheckVersion(have, Version)
+	return sqlitefile.CheckVersion(current, Version)
 }
 
-// prepare sets the clock and the prepared statements and, for a sole owner, settles what
-// the previous owner left in flight.
+// prepare sets the clock and the prepared statements. If this process is the file's only
+// owner, it also ends the claims that the previous owner left in flight, as Entry.Lapse
+// does for one.
 func (s *Store) prepare(ctx context.Context) error {
 	var saved int64
 	if err := s.db.QueryRowContext(ctx, "SELECT value FROM meta WHERE name = 'clock'").Scan(&saved); err != nil && !errors.Is(err, sql.ErrNoRows) {
@@ -63,8 +66,7 @@
 	if err := s.prepareStatements(ctx); err != nil || !s.config.Owner || s.config.Lock != nil {
 		return err
 	}
-	// The previous owner has ended, as its lock was free: its entries in flight lapse, as
-	// Entry.Lapse does for one.
+	// The previous owner has ended, as its lock was free.
 	now := s.clock.Time(wall)
 	return s.transact(ctx, func(tx *sql.Tx) error {
 		if _, err := tx.ExecContext(ctx, `UPDATE record SET `+idempotency.LapseAssignments+`, changed = ? WHERE state = 'in-flight'`, now); err != nil {
@@ -74,6 +76,7 @@
 	})
 }
 
+// prepareStatements prepares the statements that are used for each op.
 func (s *Store) prepareStatements(ctx context.Context) (err error) {
 	prepare := func(query string) (statement *sql.Stmt) {
 		if err == nil {
@@ -87,7 +90,7 @@
 	return err
 }
 
-// saveClock stores the clock, which continues from there after a restart.
+// saveClock stores the clock's time, from which it continues after a restart.
 func (s *Store) saveClock(ctx context.Context, tx *sql.Tx, now int64) error {
 	_, err := tx.ExecContext(ctx, "INSERT OR REPLACE INTO meta (name, value) VALUES ('clock', ?)", now)
 	return err
--- a/internal/idempotency/sqlite/sqlite.go
+++ b/internal/idempotency/sqlite/sqlite.go
@@ -1,8 +1,8 @@
-// Package sqlite is an idempotency store in a SQLite file of bounded size, with a
-// write-ahead log that is synced at each commit. One sidecar owns a file;
-// `martendrum record` may read it and settle entries meanwhile. Each Apply is one
-// transaction and one sync, which the ops of a batch share. What an op does to an entry
-// is decided by package idempotency.
+// Package sqlite stores idempotency entries in a SQLite file of limited size. Its
+// write-ahead log is synced at each commit. One sidecar owns a file; meanwhile the commands
+// of `martendrum record` may read the file and settle entries. Each Apply is one
+// transaction with one sync for all its ops. Package idempotency decides how an op changes
+// an entry.
 package sqlite
 
 import (
@@ -20,56 +20,58 @@
 )
 
 const (
-	pageSize = 4096
-	// minPages is the smallest bound: an empty schema and a few entries.
+	pageSize = 4096 // bytes
+	// minPages is the smallest maximum size of a file: an empty schema and a few entries.
 	minPages = 64
-	// maxClaimUsage is the used fraction of the bound above which claims are rejected, so
-	// that requests in flight can still be completed.
+	// maxClaimUsage is the fraction of the maximum size above which claims are rejected, so
+	// that the outcomes of requests in flight can still be written.
 	maxClaimUsage = 0.9
-	// maxGaps is how many gaps are stored; older ones are dropped.
+	// maxGaps is the maximum number of gaps that are stored; older ones are deleted.
 	maxGaps = 1000
-	// maxSweptPages are returned to the file system by one Sweep.
+	// maxSweptPages is the number of free pages that one Sweep returns to the file system.
 	maxSweptPages = 64
 	openTimeout   = 30 * time.Second
-	// maxConnections allows one writer and one reader.
+	// maxConnections is enough for one writer and one reader.
 	maxConnections = 2
 )
 
-// Config says which file, and how it is used.
+// Config says which file is opened and how it is used.
 type Config struct {
 	Path      string
-	MaxBytes  int64
+	MaxBytes  int64 // maximum size of the file; a value below minPages pages counts as minPages pages
 	Retention idempotency.Retention
-	// Owner opens the file for one sidecar and settles what a previous owner left in
-	// flight. Without it the file must exist.
+	// Owner opens the file for a sidecar that owns it alone. Open creates the file if it does
+	// not exist, and ends the claims that a previous owner left in flight. If neither Owner
+	// nor Lock is set, the file must exist.
 	Owner bool
-	// Lock, where set, is the file's lock as a live process passed it on (Store.Lock). Both
-	// processes own the file then: what the other has in flight stays, and the schema is not
-	// changed. The Store closes the lock.
+	// Lock, if set, is the file's lock that a running process obtained from Store.Lock and
+	// passed to this one. Both processes then own the file: the other's claims stay in
+	// flight, and the schema is not migrated. The Store closes Lock.
 	Lock *os.File
 }
 
-// Store is an idempotency store in a file.
+// Store is an idempotency store in a file. It implements idempotency.Backend.
 type Store struct {
 	config Config
 	db     *sql.DB
 	lock   *os.File
-	// shared is set once another process may own the file together with this one.
+	// shared is set when another process may own the file together with this one.
 	shared   atomic.Bool
 	clock    idempotency.Clock
 	maxPages int64
 
-	mu         sync.Mutex // serialises writers and guards the prepared statements
+	mu         sync.Mutex // held by each writer
 	getEntry   *sql.Stmt
 	putEntry   *sql.Stmt
 	countPages *sql.Stmt
 }
 
-// Open opens the file, creates it if there is none, and migrates its schema. Errors
-// name the file and the next step.
+// Open opens a store's file. An owner also creates the file if there is none, and migrates
+// its schema. Errors name the file and what the operator can do.
 func Open(ctx context.Context, config Config) (*Store, error) { return open(ctx, config, Version) }
 
-// open opens a file at a schema version; below Version, only the schema is written.
+// open opens a file and migrates its schema to a version. A Store of an older version than
+// Version can only be closed.
 func open(ctx context.Context, config Config, version int) (_ *Store, err error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
@@ -101,7 +103,8 @@
 	return s, nil
 }
 
-// claimFile takes or adopts the file's lock, or checks that the file exists.
+// claimFile acquires or adopts the file's lock. If this process is not to own the file,
+// claimFile only checks that the file exists.
 func (s *Store) claimFile() error {
 	switch {
 	case s.config.Lock != nil:
@@ -112,12 +115,12 @@
 		return s.acquireLock()
 	}
 	if _, err := os.Stat(s.config.Path); err != nil {
-		return &FileError{Next: "there is no such file; a sidecar makes it at its first start", Cause: err}
+		return &FileError{Next: "there is no such file; a sidecar creates it at its first start", Cause: err}
 	}
 	return nil
 }
 
-// Close closes the file and releases its lock, unless another process has it too.
+// Close closes the file and releases its lock, unless another process may have the lock too.
 func (s *Store) Close() (err error) {
 	if s.db != nil {
 		err = s.db.Close()
@@ -125,7 +128,7 @@
 	switch {
 	case s.lock == nil:
 	case s.shared.Load():
-		s.lock.Close() // the other process keeps it
+		s.lock.Close() // the other process keeps the lock
 	default:
 		filelock.Release(s.lock)
 	}
--- a/internal/idempotency/sqlite/sqlite_test.go
+++ b/internal/idempotency/sqlite/sqlite_test.go
@@ -17,199 +17,209 @@
 
 var ctx = context.Background()
 
-func cfg(path string) Config {
+// testConfig returns the configuration of a file's owner, with a maximum size of 16 MiB.
+func testConfig(path string) Config {
 	return Config{Path: path, MaxBytes: 16 << 20, Retention: bt.Retention, Owner: true}
 }
 
-func mustOpen(t *testing.T, c Config) *Store {
+// mustOpen opens a store that is closed when the test ends.
+func mustOpen(t *testing.T, config Config) *Store {
 	t.Helper()
-	s, err := Open(ctx, c)
+	store, err := Open(ctx, config)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the store %s: %v", config.Path, err)
 	}
-	t.Cleanup(func() { s.Close() })
-	return s
+	t.Cleanup(func() { store.Close() })
+	return store
 }
 
+// TestBackend runs the tests of all backends. The file's name has characters that are
+// special in a URL, as the driver is given one.
 func TestBackend(t *testing.T) {
 	bt.Run(t, func(t *testing.T) idempotency.Backend {
-		return mustOpen(t, cfg(filepath.Join(t.TempDir(), "a b?#%.db")))
+		return mustOpen(t, testConfig(filepath.Join(t.TempDir(), "a b?#%.db")))
 	})
 }
 
+// TestPragmas checks the pragmas that durability and the maximum size rely on.
 func TestPragmas(t *testing.T) {
-	s := mustOpen(t, cfg(filepath.Join(t.TempDir(), "r.db")))
+	store := mustOpen(t, testConfig(filepath.Join(t.TempDir(), "r.db")))
 	for pragma, want := range map[string]string{"journal_mode": "wal", "synchronous": "2", "auto_vacuum": "2", "max_page_count": "4096"} {
 		var got string
-		if s.db.QueryRow("PRAGMA " + pragma).Scan(&got); got != want {
-			t.Errorf("%s is %s, want %s", pragma, got, want)
+		if store.db.QueryRow("PRAGMA " + pragma).Scan(&got); got != want {
+			t.Errorf("PRAGMA %s = %s, want %s", pragma, got, want)
 		}
 	}
 }
 
-// TestRestart checks that what a dead owner left in flight is settled at the next start,
-// whatever the clock says.
+// TestRestart checks that the next owner of a file ends the claims that the previous owner
+// left in flight, although their leases have not expired.
 func TestRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.db")
-	s := mustOpen(t, cfg(path))
-	bt.Apply(t, s, bt.Claim("sent", "a", time.Hour), bt.Send("sent", "a", 0), bt.Claim("unsent", "b", time.Hour),
+	store := mustOpen(t, testConfig(path))
+	bt.Apply(t, store, bt.Claim("sent", "a", time.Hour), bt.Send("sent", "a", 0), bt.Claim("unsent", "b", time.Hour),
 		bt.Claim("done", "c", time.Hour), bt.Send("done", "c", 0), bt.End("done", "c", idempotency.Answered))
-	s.Close()
-	s = mustOpen(t, cfg(path))
-	bt.Expect(t, s, bt.Claim("sent", "x", time.Hour), idempotency.Unsettled)
-	bt.Expect(t, s, bt.Claim("unsent", "x", time.Hour), idempotency.Granted)
-	bt.Expect(t, s, bt.Claim("done", "x", time.Hour), idempotency.AlreadyAnswered)
+	store.Close()
+	store = mustOpen(t, testConfig(path))
+	bt.Expect(t, store, bt.Claim("sent", "x", time.Hour), idempotency.Unsettled)
+	bt.Expect(t, store, bt.Claim("unsent", "x", time.Hour), idempotency.Granted)
+	bt.Expect(t, store, bt.Claim("done", "x", time.Hour), idempotency.AlreadyAnswered)
 }
 
-// TestSharedOwnership checks that of two processes that share a file's ownership, what each
-// has in flight stays as long as either lives, that no third one opens the file, and that
-// the next sole owner settles what both left.
+// TestSharedOwnership checks a file that two processes own during a hand-over: the claims of
+// each stay in flight while either has the file open, no third process can own the file, and
+// the next owner after both ends the claims that they left.
 func TestSharedOwnership(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.db")
-	old := mustOpen(t, cfg(path))
-	bt.Apply(t, old, bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0))
-	passed, err := syscall.Dup(int(old.Lock().Fd()))
+	predecessor := mustOpen(t, testConfig(path))
+	bt.Apply(t, predecessor, bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0))
+	descriptor, err := syscall.Dup(int(predecessor.Lock().Fd()))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("duplicate the lock's file descriptor: %v", err)
 	}
-	c := cfg(path)
-	c.Lock = os.NewFile(uintptr(passed), "passed")
-	next := mustOpen(t, c)
-	bt.Expect(t, next, bt.Claim("k", "b", time.Hour), idempotency.Busy)
-	bt.Apply(t, next, bt.Claim("n", "b", time.Hour), bt.Send("n", "b", 0))
-	bt.Apply(t, old, bt.End("k", "a", idempotency.Answered))
-	bt.Expect(t, next, bt.Claim("k", "c", time.Hour), idempotency.AlreadyAnswered)
-	old.Close()
-	if s, err := Open(ctx, cfg(path)); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("locked by process %d", os.Getpid())) {
-		t.Errorf("a third owner: %v %v", s, err)
+	config := testConfig(path)
+	config.Lock = os.NewFile(uintptr(descriptor), "passed")
+	successor := mustOpen(t, config)
+	bt.Expect(t, successor, bt.Claim("k", "b", time.Hour), idempotency.Busy)
+	bt.Apply(t, successor, bt.Claim("n", "b", time.Hour), bt.Send("n", "b", 0))
+	bt.Apply(t, predecessor, bt.End("k", "a", idempotency.Answered))
+	bt.Expect(t, successor, bt.Claim("k", "c", time.Hour), idempotency.AlreadyAnswered)
+	predecessor.Close()
+	if third, err := Open(ctx, testConfig(path)); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("locked by process %d", os.Getpid())) {
+		t.Errorf("a third owner opens the file: got %v, error %v; want an error containing \"locked by process %d\"", third, err, os.Getpid())
 	}
-	bt.Expect(t, next, bt.Claim("n", "c", time.Hour), idempotency.Busy)
-	next.Close()
-	last := mustOpen(t, cfg(path))
+	bt.Expect(t, successor, bt.Claim("n", "c", time.Hour), idempotency.Busy)
+	successor.Close()
+	last := mustOpen(t, testConfig(path))
 	bt.Expect(t, last, bt.Claim("n", "d", time.Hour), idempotency.Unsettled)
-	// The lock of another file is rejected, and closed.
-	other := cfg(filepath.Join(t.TempDir(), "other.db"))
+	// Open rejects and closes the lock of another file.
+	other := testConfig(filepath.Join(t.TempDir(), "other.db"))
 	mustOpen(t, other).Close()
-	if passed, err = syscall.Dup(int(last.Lock().Fd())); err != nil {
-		t.Fatal(err)
+	if descriptor, err = syscall.Dup(int(last.Lock().Fd())); err != nil {
+		t.Fatalf("duplicate the lock's file descriptor: %v", err)
 	}
-	other.Lock = os.NewFile(uintptr(passed), "passed")
+	other.Lock = os.NewFile(uintptr(descriptor), "passed")
 	if _, err := Open(ctx, other); err == nil || !strings.Contains(err.Error(), "owns another file") {
-		t.Errorf("another file's ownership: %v", err)
+		t.Errorf("open with the lock of another file: got error %v, want one containing \"owns another file\"", err)
 	}
 }
 
+// TestMigrations checks that a file of each earlier schema version is migrated.
 func TestMigrations(t *testing.T) {
 	for from := range Version {
 		path := filepath.Join(t.TempDir(), "r.db")
-		old, err := open(ctx, cfg(path), from)
+		older, err := open(ctx, testConfig(path), from)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("create a file with schema version %d: %v", from, err)
 		}
-		old.Close()
-		s := mustOpen(t, cfg(path))
-		bt.Expect(t, s, bt.Claim("k", "a", time.Hour), idempotency.Granted)
-		if err := s.Gap(ctx, idempotency.Gap{Class: "x"}); err != nil {
-			t.Error(from, err)
+		older.Close()
+		store := mustOpen(t, testConfig(path))
+		bt.Expect(t, store, bt.Claim("k", "a", time.Hour), idempotency.Granted)
+		if err := store.WriteGap(ctx, idempotency.Gap{Class: "x"}); err != nil {
+			t.Errorf("write a gap to a file migrated from schema version %d: %v", from, err)
 		}
 	}
 }
 
-// fill writes keys until the store is full and returns how many it has written.
-func fill(t *testing.T, s *Store) (n int, err error) {
+// fill writes up to 5000 answered keys until the store returns an error. It returns the
+// number of written keys and the error.
+func fill(t *testing.T, store *Store) (written int, err error) {
 	t.Helper()
-	for ; n < 5000; n++ {
-		key := fmt.Sprint("fill", n)
+	for ; written < 5000; written++ {
+		key := fmt.Sprint("fill", written)
 		end := bt.End(key, key, idempotency.Answered)
 		end.Answer = make([]byte, 20000)
-		if err = s.Apply(ctx, []*idempotency.Op{bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), end}); err != nil {
+		if err = store.Apply(ctx, []*idempotency.Op{bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), end}); err != nil {
 			break
 		}
 	}
-	return n, err
+	return written, err
 }
 
-// TestFull checks that a full store rejects new keys, stores the outcomes of those in
-// flight, loses nothing, and accepts keys again when it has space.
+// TestFull checks that a full store rejects new keys, stores the outcomes of requests in
+// flight, loses no entry, does not exceed its maximum size, and accepts keys again once
+// there is space.
 func TestFull(t *testing.T) {
-	c := cfg(filepath.Join(t.TempDir(), "r.db"))
-	c.MaxBytes = 1 << 20
-	s := mustOpen(t, c)
-	bt.Apply(t, s, bt.Claim("flying", "f", time.Hour), bt.Send("flying", "f", 0))
-	n, err := fill(t, s)
-	if !errors.Is(err, idempotency.ErrFull) || !strings.Contains(err.Error(), c.Path) {
-		t.Fatalf("after %d: %v", n, err)
+	config := testConfig(filepath.Join(t.TempDir(), "r.db"))
+	config.MaxBytes = 1 << 20
+	store := mustOpen(t, config)
+	bt.Apply(t, store, bt.Claim("flying", "f", time.Hour), bt.Send("flying", "f", 0))
+	written, err := fill(t, store)
+	if !errors.Is(err, idempotency.ErrFull) || !strings.Contains(err.Error(), config.Path) {
+		t.Fatalf("after %d written keys: got error %v, want ErrFull with the path %s", written, err, config.Path)
 	}
-	bt.Expect(t, s, bt.End("flying", "f", idempotency.Answered), idempotency.Granted)
-	for k := range n {
-		if row, err := s.Get(ctx, "activate", fmt.Sprint("fill", k)); err != nil || row.State != idempotency.Answered {
-			t.Fatalf("%d of %d: %+v %v", k, n, row.State, err)
+	bt.Expect(t, store, bt.End("flying", "f", idempotency.Answered), idempotency.Granted)
+	for n := range written {
+		if entry, err := store.Get(ctx, "activate", fmt.Sprint("fill", n)); err != nil || entry.State != idempotency.Answered {
+			t.Fatalf("key %d of %d in the full store: got state %q, error %v; want %q", n, written, entry.State, err, idempotency.Answered)
 		}
 	}
 	time.Sleep(2 * time.Millisecond)
-	if n, err := s.Sweep(ctx, idempotency.Retention{Answered: time.Millisecond, NeverRan: time.Hour, Unsettled: time.Hour}, 10000); err != nil || n == 0 {
-		t.Fatal(n, err)
+	if swept, err := store.Sweep(ctx, idempotency.Retention{Answered: time.Millisecond, NeverRan: time.Hour, Unsettled: time.Hour}, 10000); err != nil || swept == 0 {
+		t.Fatalf("Sweep() of the full store = %d, %v; want deleted entries", swept, err)
 	}
-	bt.Expect(t, s, bt.Claim("new", "n", time.Hour), idempotency.Granted)
-	if st, err := os.Stat(c.Path); err != nil || st.Size() > 1<<20 {
-		t.Error(st.Size(), err)
+	bt.Expect(t, store, bt.Claim("new", "n", time.Hour), idempotency.Granted)
+	if file, err := os.Stat(config.Path); err != nil || file.Size() > 1<<20 {
+		t.Errorf("size of the file: got %d bytes, error %v; want at most %d bytes", file.Size(), err, 1<<20)
 	}
 }
 
-// TestUnusableFile checks that files that can't be used are reported at start, with the
-// next step, and left as they are.
+// TestUnusableFile checks that Open of a file that can't be used returns an error with the
+// path and the operator's next step, and does not change the file.
 func TestUnusableFile(t *testing.T) {
 	directory := t.TempDir()
 	path := func(name string) string { return filepath.Join(directory, name) }
 	noise := []byte(strings.Repeat("this is no database ", 1000))
 	os.WriteFile(path("noise"), noise, 0o600)
-	newer := mustOpen(t, cfg(path("newer")))
+	newer := mustOpen(t, testConfig(path("newer")))
 	newer.db.Exec("PRAGMA user_version = 99")
 	newer.Close()
-	held := mustOpen(t, cfg(path("held")))
+	held := mustOpen(t, testConfig(path("held")))
 	for name, want := range map[string]string{"noise": "move them aside", "newer": "run the newer build", "held": fmt.Sprint("locked by process ", os.Getpid()), "none/x": "folder"} {
-		s, err := Open(ctx, cfg(path(name)))
+		store, err := Open(ctx, testConfig(path(name)))
 		if err == nil {
-			s.Close()
+			store.Close()
 		}
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path(name)) {
-			t.Errorf("%s: %v; want it to say %q", name, err, want)
+			t.Errorf("open the file %s: got error %v, want one containing %q and the path %s", name, err, want, path(name))
 		}
 	}
 	if got, _ := os.ReadFile(path("noise")); string(got) != string(noise) {
-		t.Error("the damaged file was changed")
+		t.Error("Open changed the content of the file that is no database")
 	}
 	bt.Expect(t, held, bt.Claim("k", "a", time.Hour), idempotency.Granted)
 }
 
-// batches is how many batches are written to a file that is damaged later.
+// batches is the number of batches that are written to a file before it is damaged.
 const batches = 12
 
+// batchKey returns the key of a batch.
 func batchKey(n int) string { return fmt.Sprintf("k%02d", n) }
 
-// writeBatches writes one answered key in each batch and returns the log's length after
-// each.
-func writeBatches(t *testing.T, s *Store, path string) (ends [batches]int64) {
+// writeBatches writes one answered key in each batch. It returns the length of the
+// write-ahead log after each batch.
+func writeBatches(t *testing.T, store *Store, path string) (logSizes [batches]int64) {
 	t.Helper()
 	for n := range batches {
 		key := batchKey(n)
-		bt.Apply(t, s, bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), bt.End(key, key, idempotency.Answered))
+		bt.Apply(t, store, bt.Claim(key, key, time.Hour), bt.Send(key, key, 0), bt.End(key, key, idempotency.Answered))
 		log, err := os.Stat(path + "-wal")
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("read the size of the write-ahead log: %v", err)
 		}
-		ends[n] = log.Size()
+		logSizes[n] = log.Size()
 	}
-	return ends
+	return logSizes
 }
 
-// TestTornLog checks that a log that is cut at each of many places holds the first
-// batches, all complete, or is reported as damaged. Nothing is made up.
+// TestTornLog checks a store whose write-ahead log was cut at one of many places, as after a
+// power loss, with and without a damaged byte near its end. Open must either fail with an
+// error that names the file, or return a store that has the first batches and nothing else.
 func TestTornLog(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "live")
-	live := mustOpen(t, cfg(path))
-	ends := writeBatches(t, live, path)
-	main, _ := os.ReadFile(path)
+	path := filepath.Join(t.TempDir(), "intact")
+	store := mustOpen(t, testConfig(path))
+	logSizes := writeBatches(t, store, path)
+	content, _ := os.ReadFile(path)
 	wal, _ := os.ReadFile(path + "-wal")
 	opened := 0
 	for cut := 0; cut <= len(wal); cut += 1013 {
@@ -219,88 +229,89 @@
 				torn[cut-20] ^= 0x55
 			}
 			damaged := filepath.Join(t.TempDir(), "torn")
-			os.WriteFile(damaged, main, 0o600)
+			os.WriteFile(damaged, content, 0o600)
 			os.WriteFile(damaged+"-wal", torn, 0o600)
-			s, err := Open(ctx, cfg(damaged))
+			tornStore, err := Open(ctx, testConfig(damaged))
 			if err != nil {
 				if !strings.Contains(err.Error(), damaged) {
-					t.Fatal(err)
+					t.Fatalf("open the store with a log cut at %d: got error %v, want one with the path %s", cut, err, damaged)
 				}
 				continue
 			}
 			opened++
-			checkFirstBatches(t, s, ends, cut, flip)
-			s.Close()
+			checkFirstBatches(t, tornStore, logSizes, cut, flip)
+			tornStore.Close()
 		}
 	}
-	t.Logf("%d torn logs opened", opened)
+	t.Logf("%d stores with a torn log could be opened", opened)
 }
 
-// checkFirstBatches checks that a store with a log that was cut holds the first batches
-// and no later one; without a flipped byte, those that end before the cut.
-func checkFirstBatches(t *testing.T, s *Store, ends [batches]int64, cut int, flipped bool) {
+// checkFirstBatches checks that a store whose log was cut has the first batches without a gap
+// between them. If no byte was flipped, it must have all batches that ended before the cut.
+func checkFirstBatches(t *testing.T, store *Store, logSizes [batches]int64, cut int, flipped bool) {
 	t.Helper()
 	missing := false
 	for n := range batches {
-		entry, err := s.Get(ctx, "activate", batchKey(n))
+		entry, err := store.Get(ctx, "activate", batchKey(n))
 		if err != nil || entry.State != idempotency.Unknown && entry.State != idempotency.Answered {
-			t.Fatalf("cut at %d: key %d is %+v %v", cut, n, entry, err)
+			t.Fatalf("log cut at %d: Get of key %d = %+v, %v; want a complete entry or none", cut, n, entry, err)
 		}
 		if entry.State == idempotency.Unknown {
 			missing = true
 		} else if missing {
-			t.Fatalf("cut at %d: key %d is there and one before it is not", cut, n)
+			t.Fatalf("log cut at %d: the store has key %d but not an earlier one", cut, n)
 		}
-		if !flipped && entry.State == idempotency.Unknown && ends[n] <= int64(cut) {
-			t.Fatalf("cut at %d: key %d was complete and is missing", cut, n)
+		if !flipped && entry.State == idempotency.Unknown && logSizes[n] <= int64(cut) {
+			t.Fatalf("log cut at %d: key %d is missing although its batch ended at %d", cut, n, logSizes[n])
 		}
 	}
 }
 
-// TestDamagedPages checks that damage within the file is found at start or by Check.
+// TestDamagedPages damages each page of a file after the first and checks that Open or Check
+// finds damage for at least one of them.
 func TestDamagedPages(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "live")
-	live := mustOpen(t, cfg(path))
-	writeBatches(t, live, path)
-	live.Close()
+	path := filepath.Join(t.TempDir(), "intact")
+	store := mustOpen(t, testConfig(path))
+	writeBatches(t, store, path)
+	store.Close()
 	intact, _ := os.ReadFile(path)
 	found := 0
 	for page := pageSize; page < len(intact); page += pageSize {
-		damaged := filepath.Join(t.TempDir(), "hurt")
+		damaged := filepath.Join(t.TempDir(), "damaged")
 		content := append([]byte(nil), intact...)
 		for i := page; i < page+64; i++ {
 			content[i] ^= 0xa5
 		}
 		os.WriteFile(damaged, content, 0o600)
-		s, err := Open(ctx, cfg(damaged))
+		damagedStore, err := Open(ctx, testConfig(damaged))
 		if err != nil {
 			found++
 			continue
 		}
-		problems, err := s.Check(ctx)
+		problems, err := damagedStore.Check(ctx)
 		if err != nil || len(problems) > 0 {
 			found++
 		}
-		s.Close()
+		damagedStore.Close()
 	}
 	if found == 0 {
-		t.Error("no damage was found")
+		t.Error("neither Open nor Check found damage in any file with a damaged page")
 	}
-	t.Logf("damage found in %d of %d pages", found, len(intact)/pageSize-1)
+	t.Logf("damage was found in %d of %d pages", found, len(intact)/pageSize-1)
 }
 
-// TestReaderBesideOwner checks that a reader beside the owner can settle a key, and needs
-// an existing file.
+// TestReaderBesideOwner checks that a process that does not own the file can settle a key
+// while the owner runs, and that it does not create a file.
 func TestReaderBesideOwner(t *testing.T) {
-	c := cfg(filepath.Join(t.TempDir(), "r.db"))
-	owner := mustOpen(t, c)
+	config := testConfig(filepath.Join(t.TempDir(), "r.db"))
+	owner := mustOpen(t, config)
 	bt.Apply(t, owner, bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0), bt.End("k", "a", idempotency.MayHaveRun))
-	c.Owner = false
-	staff := mustOpen(t, c)
-	bt.Expect(t, staff, &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: "k", Outcome: idempotency.NeverRan, SettledBy: "sari"}, idempotency.Granted)
+	config.Owner = false
+	reader := mustOpen(t, config)
+	bt.Expect(t, reader, &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: "k", Outcome: idempotency.NeverRan, SettledBy: "sari"}, idempotency.Granted)
 	bt.Expect(t, owner, bt.Claim("k", "b", time.Hour), idempotency.Granted)
-	c.Path += "x"
-	if _, err := Open(ctx, c); err == nil || !strings.Contains(err.Error(), "no such file") {
-		t.Error(err)
+	config.Path += "x"
+	if _, err := Open(ctx, config); err == nil || !strings.Contains(err.Error(), "no such file") {
+		t.Errorf("open a file that does not exist: got error %v, want one containing \"no such file\"", err)
 	}
 }
--- a/internal/idempotency/storeconfig/config.go
+++ b/internal/idempotency/storeconfig/config.go
@@ -1,6 +1,5 @@
-// Package storeconfig reads the operator's file for the idempotency store,
-// deploy/record.toml, checks it and opens the store that it names. How a store is used is
-// the recorder's and the stores' own.
+// Package storeconfig loads and checks the operator's configuration file of the idempotency
+// store, such as deploy/record.toml, and opens the store that it names.
 package storeconfig
 
 import (
@@ -11,19 +10,21 @@
 	"martendrum/internal/quantity"
 )
 
-// The values of the key "store".
+// The values of the setting "store".
 const (
 	storeSQLite   = "sqlite"
 	storePostgres = "postgres"
 )
 
-// The values of a class's key "away".
+// The values of a class's setting "away", which says what happens to its requests while the
+// store is unavailable.
 const (
 	rejectRequests = "refuse"
-	failOpen       = "pass"
+	failOpen       = "pass" // requests continue without the store
 )
 
-// Config is the file. Relative paths in it are relative to its folder.
+// Config is the content of the file. Package recorder and the stores describe the settings.
+// Relative paths are relative to the file's folder.
 type Config struct {
 	Store  string `toml:"store"`
 	SQLite struct {
@@ -66,14 +67,15 @@
 	rules []idempotency.KeyRule // of Classes, in their order
 }
 
-// Class is one class that is recorded.
+// Class is the settings of one class whose requests are recorded.
 type Class struct {
 	Name          string `toml:"name"`
-	Key           string `toml:"key"`
-	OnUnavailable string `toml:"away"` // "refuse" or "pass"
+	Key           string `toml:"key"`  // text of an idempotency.KeyRule
+	OnUnavailable string `toml:"away"` // "refuse", which is the default, or "pass"
 }
 
-// Load reads and checks a file. Errors name the file and the place.
+// Load reads and checks the file at path. Settings that the file does not contain have their
+// defaults. Errors name the file and the line or the setting.
 func Load(path string) (*Config, error) {
 	c := defaults()
 	c.path = path
@@ -89,7 +91,7 @@
 	return c, nil
 }
 
-// defaults are the settings that a file need not set.
+// defaults returns a Config with the default values.
 func defaults() *Config {
 	c := &Config{}
 	c.SQLite.Path = "record.db"
@@ -114,7 +116,7 @@
 	return c
 }
 
-// RetentionPeriods is how long entries are stored.
+// RetentionPeriods returns how long entries are stored.
 func (c *Config) RetentionPeriods() idempotency.Retention {
 	return idempotency.Retention{
 		Answered:  time.Duration(c.Retention.Answered),
--- a/internal/idempotency/storeconfig/open.go
+++ b/internal/idempotency/storeconfig/open.go
@@ -15,16 +15,18 @@
 )
 
 const (
-	// sqliteDescriptors are the file, its log, its index and its lock, twice for a reader.
+	// sqliteDescriptors is the number of file descriptors of a SQLite store: the file, its
+	// write-ahead log, the log's index and the lock, and further ones for the second
+	// connection.
 	sqliteDescriptors = 6
-	// maxDeadlineFraction is the fraction of a class's deadline that a request may wait for
-	// the store, as its reciprocal.
-	maxDeadlineFraction = 8
-	minWait             = time.Millisecond
+	// deadlineDivisor divides the deadline of a class into the longest time that a request
+	// may wait for the store.
+	deadlineDivisor = 8
+	minWait         = time.Millisecond
 )
 
-// RecorderConfig checks the file against a deployment's settings and says how the
-// recorder uses the store. maxSockets bounds the store's connections.
+// RecorderConfig returns the configuration of the recorder. It returns an error if c does not
+// fit the deployment's settings, or if the store needs more than maxSockets connections.
 func (c *Config) RecorderConfig(set *settings.Settings, maxSockets int) (recorder.Config, error) {
 	config := recorder.Config{
 		StoreName:        c.Store,
@@ -44,7 +46,7 @@
 	}
 	if c.Store == storePostgres {
 		if config.Writers = c.Postgres.Connections; config.Writers > maxSockets {
-			return config, fmt.Errorf("%s: postgres.connections: %d; the sidecar's limits.sockets leave %d", c.path, config.Writers, maxSockets)
+			return config, fmt.Errorf("%s: postgres.connections: %d; the sidecar's limits.sockets leaves only %d", c.path, config.Writers, maxSockets)
 		}
 	}
 	for n := range c.Classes {
@@ -57,7 +59,7 @@
 	return config, nil
 }
 
-// recorderClass is the n-th class, with its bound on waiting for the store.
+// recorderClass returns the recorder's configuration of Classes[n].
 func (c *Config) recorderClass(n int, set *settings.Settings) (recorder.Class, error) {
 	class := c.Classes[n]
 	index := set.Class([]byte(class.Name))
@@ -66,9 +68,9 @@
 	}
 	policy := set.Config.Classes[index]
 	if class.OnUnavailable == failOpen && policy.Idempotency == martendrum.NonIdempotent {
-		return recorder.Class{}, fmt.Errorf("%s: class %s: away: its requests must not run twice, so that they can't go on without a record; want %q", c.path, class.Name, rejectRequests)
+		return recorder.Class{}, fmt.Errorf("%s: class %s: away: its requests must not run twice, so that they can't continue without the store; want %q", c.path, class.Name, rejectRequests)
 	}
-	wait := min(time.Duration(c.Wait.Fraction*float64(policy.LatencyObjective)), set.Deadlines[index]/maxDeadlineFraction)
+	wait := min(time.Duration(c.Wait.Fraction*float64(policy.LatencyObjective)), set.Deadlines[index]/deadlineDivisor)
 	return recorder.Class{
 		Name:     class.Name,
 		KeyRule:  c.rules[n],
@@ -77,7 +79,8 @@
 	}, nil
 }
 
-// MaxDescriptors is how many file descriptors the store takes of a sidecar.
+// MaxDescriptors returns the maximum number of file descriptors that the store uses in a
+// sidecar.
 func (c *Config) MaxDescriptors() int {
 	if c.Store == storePostgres {
 		return c.Postgres.Connections
@@ -85,9 +88,10 @@
 	return sqliteDescriptors
 }
 
-// Open opens the store. owner opens it for a sidecar, which owns a SQLite file alone, or
-// together with the process that passed lock on (nil: none did). A PostgreSQL database
-// that is unavailable is no error.
+// Open opens the store. owner and lock apply to SQLite only. owner opens the file for a
+// sidecar that owns it; without owner, the file is opened beside its owner. lock, if not
+// nil, is the file's lock that the predecessor passed to this process, so that both own the
+// file. If a PostgreSQL database is unavailable, Open still succeeds.
 func (c *Config) Open(ctx context.Context, owner bool, lock *os.File) (idempotency.Backend, error) {
 	if c.Store == storeSQLite {
 		return sqlite.Open(ctx, sqlite.Config{
--- a/internal/pg/errors.go
+++ b/internal/pg/errors.go
@@ -8,15 +8,15 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// Errors of a database that can be reached.
+// Errors of a database server that replied.
 var (
-	ErrFull     = errors.New("the server has no room")
-	ErrReadOnly = errors.New("the server is a standby or read-only by its settings; name the primary")
-	// ErrUnusable: retrying does not help.
+	ErrFull     = errors.New("the server is out of disk space or memory")
+	ErrReadOnly = errors.New("the server is a standby or is configured to be read-only; name the primary")
+	// ErrUnusable means that retrying does not help, for example after a wrong password.
 	ErrUnusable = errors.New("the database can't be used")
 )
 
-// The SQLSTATEs that are distinguished.
+// The SQLSTATE codes that the package handles.
 const (
 	stateDiskFull             = "53100"
 	stateOutOfMemory          = "53200"
@@ -28,17 +28,18 @@
 	stateSerializationFailure = "40001"
 	stateDeadlock             = "40P01"
 	stateLockNotAvailable     = "55P03"
-	// classOperatorIntervention is the prefix of the states of a server that shuts down.
+	// classOperatorIntervention is the prefix of the codes of a server that is shutting down,
+	// has crashed or is starting.
 	classOperatorIntervention = "57P"
 )
 
 // DatabaseError is an error of a database that an operator can solve.
 type DatabaseError struct {
-	Database string
+	Database string // host, port and name
 	Kind     error  // ErrFull, ErrReadOnly, ErrUnusable or nil
-	Detail   string // of the problem; may be empty
-	Next     string // the next step
-	Cause    error
+	Detail   string // further description of the problem; may be empty
+	Next     string // what the operator can do
+	Cause    error  // error of the server
 }
 
 // Error joins the database, the kind, the detail and the cause.
@@ -61,10 +62,11 @@
 	return []error{e.Kind, e.Cause}
 }
 
-// Advice is the next step.
+// Advice returns what the operator can do.
 func (e *DatabaseError) Advice() string { return e.Next }
 
-// SQLState is an error's SQLSTATE, "" if it is none of the server's.
+// SQLState returns the SQLSTATE code of an error that the server reported, or "" for any
+// other error.
 func SQLState(err error) string {
 	if e, ok := errors.AsType[*pgconn.PgError](err); ok {
 		return e.Code
@@ -72,7 +74,8 @@
 	return ""
 }
 
-// Explain adds to an error the database and what an operator can do.
+// Explain adds the database's name to an error. If an operator can solve the problem, the
+// result is a *DatabaseError. nil stays nil.
 func (db *DB) Explain(err error) error {
 	if err == nil {
 		return nil
@@ -87,23 +90,23 @@
 		explained.Next = "name the primary in the connection's URL"
 	case stateInvalidPassword, stateInvalidAuthorization:
 		explained.Kind = ErrUnusable
-		explained.Detail = "the server does not let this user in; see password_file"
+		explained.Detail = "the server rejected the user or the password; see password_file"
 		explained.Next = "check the user and password_file"
 	case stateTooManyConnections:
-		explained.Detail = "the server has no connection left; lower connections or raise its max_connections"
+		explained.Detail = "the server has no free connection; lower connections or raise the server's max_connections"
 		explained.Next = "lower connections or raise the server's max_connections"
 	case stateInsufficientRights:
 		explained.Kind = ErrUnusable
-		explained.Detail = "this user may not; it needs to read and write the tables martendrum_*, and at first to create them"
-		explained.Next = "grant this user the tables martendrum_*, and the creation of tables for the first start"
+		explained.Detail = "the user lacks a privilege; it must be allowed to read and write the tables martendrum_* and, for the first start, to create them"
+		explained.Next = "grant the user access to the tables martendrum_* and, for the first start, the creation of tables"
 	default:
 		return fmt.Errorf("%s: %w", db.displayName, err)
 	}
 	return explained
 }
 
-// RolledBack says whether a transaction that failed with err was certainly rolled back in
-// favour of another one.
+// RolledBack reports whether a transaction that failed with err was certainly rolled back
+// because of a conflict with another transaction, so that it may be repeated.
 func RolledBack(err error) bool {
 	switch SQLState(err) {
 	case stateSerializationFailure, stateDeadlock, stateLockNotAvailable:
@@ -112,8 +115,8 @@
 	return false
 }
 
-// OutcomeUnknown says whether a COMMIT that failed with err may have taken effect: the
-// connection was lost, or the server shut down.
+// OutcomeUnknown reports whether a COMMIT that failed with err may have taken effect, as the
+// connection was lost or the server was shutting down.
 func OutcomeUnknown(err error) bool {
 	state := SQLState(err)
 	return err != nil && (state == "" || strings.HasPrefix(state, classOperatorIntervention))
--- a/internal/pg/pg.go
+++ b/internal/pg/pg.go
@@ -1,8 +1,8 @@
-// Package pg is what stores in a PostgreSQL database share: a bounded pool of connections,
-// encrypted as configured, with a password from a file; migrations by one program at a
-// time; transactions; errors that say what an operator can do, and which of them leave a
-// transaction's outcome unknown. Schemas and queries are the stores' own, and so is
-// whether a transaction is repeated.
+// Package pg has what the stores in PostgreSQL databases have in common: a pool with a
+// limited number of connections, TLS and passwords as configured, schema migrations that run
+// in one program at a time, transactions, and errors that say what an operator can do and
+// whether a transaction may have been committed. The stores have their own schemas and
+// queries, and decide whether a transaction is repeated.
 package pg
 
 import (
@@ -22,33 +22,34 @@
 )
 
 const (
-	// maxConnectionIdle is how long an unused connection stays open.
+	// maxConnectionIdle is how long an idle connection stays open.
 	maxConnectionIdle = 5 * time.Minute
 	rollbackTimeout   = time.Second
 )
 
-// Config says which database, and how it is used.
+// Config says which database is opened and how it is used.
 type Config struct {
-	// URL is a connection string of PostgreSQL's, without a password.
+	// URL is a PostgreSQL connection string. It must not contain a password if PasswordFile is
+	// set.
 	URL              string
-	PasswordFile     string // "": none; read for each new connection
-	CA               string // PEM file; "": as the URL says
+	PasswordFile     string // file that is read for each new connection; "": none
+	CA               string // PEM file that verifies the server's certificate; "": the URL decides about TLS
 	MaxConnections   int
-	StatementTimeout time.Duration
+	StatementTimeout time.Duration // enforced by the server, in milliseconds
 	ConnectTimeout   time.Duration
 }
 
-// DB is a database with one Schema.
+// DB is a database with one Schema. Its methods, except Close, may be called concurrently.
 type DB struct {
 	Pool        *pgxpool.Pool
 	schema      Schema
-	displayName string // in errors
+	displayName string // name in errors: host, port and database
 
-	mu       sync.Mutex
-	migrated bool // the schema is this build's
+	mu       sync.Mutex // guards migrated; held during a migration
+	migrated bool       // the database has this build's schema version
 }
 
-// Open returns the DB. It does not connect: Ready does.
+// Open checks config and returns a DB. It does not connect: the first call of Ready does.
 func Open(config Config, schema Schema) (*DB, error) {
 	poolConfig, err := pgxpool.ParseConfig(config.URL)
 	if err != nil {
@@ -56,13 +57,13 @@
 	}
 	connConfig := poolConfig.ConnConfig
 	if connConfig.Password != "" && config.PasswordFile != "" {
-		return nil, errors.New("postgres.url holds a password and password_file is set: keep the file")
+		return nil, errors.New("postgres.url contains a password and password_file is set; remove the password from postgres.url")
 	}
 	connConfig.ConnectTimeout = config.ConnectTimeout
 	connConfig.RuntimeParams["statement_timeout"] = strconv.FormatInt(config.StatementTimeout.Milliseconds(), 10)
 	connConfig.RuntimeParams["application_name"] = "martendrum"
 	if config.CA != "" {
-		if err := verifyServerWith(connConfig, config.CA); err != nil {
+		if err := setServerCA(connConfig, config.CA); err != nil {
 			return nil, err
 		}
 	}
@@ -80,7 +81,8 @@
 	return db, nil
 }
 
-// readPassword sets a connection's password to that in a file.
+// readPassword sets the password of a connection to the content of a file, without the
+// line break at its end.
 func readPassword(connConfig *pgx.ConnConfig, path string) error {
 	password, err := os.ReadFile(path)
 	if err != nil {
@@ -90,45 +92,47 @@
 	return nil
 }
 
-// verifyServerWith makes connections verify the server's certificate and name by the CA in
-// a file.
-func verifyServerWith(connConfig *pgx.ConnConfig, path string) error {
+// setServerCA makes connections use TLS and verify the server's certificate and host name
+// with the CA certificates in a file.
+func setServerCA(connConfig *pgx.ConnConfig, path string) error {
 	pem, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("postgres.ca: %w", err)
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return fmt.Errorf("postgres.ca: %s holds no certificate in PEM form", path)
+		return fmt.Errorf("postgres.ca: %s contains no certificate in PEM format", path)
 	}
 	connConfig.TLSConfig = &tls.Config{RootCAs: roots, ServerName: connConfig.Host, MinVersion: tls.VersionTLS12}
-	connConfig.Fallbacks = nil // never without TLS
+	connConfig.Fallbacks = nil // never connect without TLS
 	return nil
 }
 
 // Close closes the connections.
 func (db *DB) Close() { db.Pool.Close() }
 
-// Tx runs a transaction; committing says that an error is that of its COMMIT.
-func (db *DB) Tx(ctx context.Context, do func(pgx.Tx) error) (committing bool, err error) {
+// Tx runs apply in a transaction and commits it, unless apply returns an error. committing
+// reports whether err is the error of the COMMIT. Errors are not explained, see Explain.
+func (db *DB) Tx(ctx context.Context, apply func(pgx.Tx) error) (committing bool, err error) {
 	tx, err := db.Pool.BeginTx(ctx, pgx.TxOptions{IsoLevel: pgx.ReadCommitted})
 	if err != nil {
 		return false, err
 	}
-	if err = do(tx); err == nil {
+	if err = apply(tx); err == nil {
 		committing, err = true, tx.Commit(ctx)
 	}
 	if err != nil {
-		// With a context of its own, as ctx may be done: a connection that is left in a
-		// transaction is closed.
-		rollback, cancel := context.WithTimeout(context.Background(), rollbackTimeout)
-		tx.Rollback(rollback)
+		// The rollback has its own context, as ctx may be done. Without a rollback, the pool
+		// would close the connection.
+		rollbackCtx, cancel := context.WithTimeout(context.Background(), rollbackTimeout)
+		tx.Rollback(rollbackCtx)
 		cancel()
 	}
 	return committing, err
 }
 
-// CheckWritable checks that the server accepts writes.
+// CheckWritable migrates the schema as Ready does, and returns an error that wraps
+// ErrReadOnly if the server does not accept writes.
 func (db *DB) CheckWritable(ctx context.Context) error {
 	if err := db.Ready(ctx); err != nil {
 		return err
--- a/internal/pg/schema.go
+++ b/internal/pg/schema.go
@@ -8,19 +8,20 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// migrationTimeout bounds a migration, with the wait for another program's.
+// migrationTimeout limits a migration, including the wait for one by another program.
 const migrationTimeout = 20 * time.Second
 
-// Schema is a set of tables that has a version.
+// Schema is a set of tables with a version. The version of an empty database is 0.
 type Schema struct {
-	Name string // of the table that holds the version
-	Lock int64  // the advisory lock of migrations
-	// Migrations[n] are the statements that bring it from version n to n+1. Released ones
-	// are never changed.
+	Name string // name of the table that contains the version
+	Lock int64  // key of the advisory lock that a migration holds
+	// Migrations[n] are the statements that bring the tables from version n to n+1. They are
+	// not changed once they are released.
 	Migrations [][]string
 }
 
-// Ready migrates the schema at the first call, or says why the database can't be used.
+// Ready connects to the database and migrates its schema to the latest version, unless an
+// earlier call has. It returns an error if the database can't be reached or used.
 func (db *DB) Ready(ctx context.Context) error {
 	db.mu.Lock()
 	defer db.mu.Unlock()
@@ -34,14 +35,16 @@
 	return nil
 }
 
-// Migrate brings the schema to a version. Of programs that start together one migrates,
-// and the others wait for it.
+// Migrate brings the schema to the version to in one transaction. If several programs call it
+// at the same time, one migrates and the others wait. It returns an error that wraps
+// ErrUnusable if a newer build has migrated the schema.
 func (db *DB) Migrate(ctx context.Context, to int) error {
 	ctx, cancel := context.WithTimeout(ctx, migrationTimeout)
 	defer cancel()
 	return pgx.BeginFunc(ctx, db.Pool, func(tx pgx.Tx) error { return db.migrate(ctx, tx, to) })
 }
 
+// migrate runs the statements of Migrate in a transaction.
 func (db *DB) migrate(ctx context.Context, tx pgx.Tx, to int) error {
 	execute := func(statement string, args ...any) error {
 		_, err := tx.Exec(ctx, statement, args...)
@@ -58,12 +61,12 @@
 		return err
 	}
 	if version > len(db.schema.Migrations) {
-		return fmt.Errorf("%w: its schema is version %d and this build knows up to %d: run the newer build that wrote it", ErrUnusable, version, len(db.schema.Migrations))
+		return fmt.Errorf("%w: its schema version is %d, and this build supports versions up to %d: run the newer build that migrated it", ErrUnusable, version, len(db.schema.Migrations))
 	}
 	for n := version; n < to; n++ {
 		for _, statement := range db.schema.Migrations[n] {
 			if err := execute(statement); err != nil {
-				return fmt.Errorf("to schema version %d: %w", n+1, err)
+				return fmt.Errorf("migrate to schema version %d: %w", n+1, err)
 			}
 		}
 		if err := execute("INSERT INTO "+db.schema.Name+" (version) VALUES ($1::bigint)", int64(n+1)); err != nil {
--- a/internal/sqlitefile/sqlitefile.go
+++ b/internal/sqlitefile/sqlitefile.go
@@ -1,6 +1,6 @@
-// Package sqlitefile is what stores in SQLite files share: opening a file with its
-// pragmas, checking its integrity, migrating its schema and reading rows. Schemas and
-// transactions are the stores' own.
+// Package sqlitefile has what the stores in SQLite files have in common: opening a file with
+// pragmas, checking its integrity, migrating its schema and reading rows. The stores have
+// their own schemas and transactions.
 package sqlitefile
 
 import (
@@ -13,14 +13,16 @@
 	_ "modernc.org/sqlite" // the driver
 )
 
-// Open returns the database in a file. Each connection begins with the pragmas, and each
-// transaction takes the writer's lock when it begins.
+// Open returns the database in the file at path. Each connection executes the pragmas, such
+// as "journal_mode(WAL)", when it is opened, and each transaction takes the write lock when
+// it begins. Open does not access the file: the first query does.
 func Open(path string, pragmas ...string) (*sql.DB, error) {
 	query := url.Values{"_pragma": pragmas, "_txlock": {"immediate"}}
 	return sql.Open("sqlite", "file:"+(&url.URL{Path: path}).EscapedPath()+"?"+query.Encode())
 }
 
-// CheckIntegrity checks the file for damage. It takes time in proportion to its size.
+// CheckIntegrity returns an error if the file is damaged. It reads the whole file, so that
+// it takes time in proportion to its size.
 func CheckIntegrity(ctx context.Context, db *sql.DB) error {
 	var result string
 	err := db.QueryRowContext(ctx, "PRAGMA quick_check(1)").Scan(&result)
@@ -30,19 +32,20 @@
 	return err
 }
 
-// NewerSchemaError says that a newer build wrote the schema.
+// NewerSchemaError means that a newer build has migrated the file. Version is the file's
+// schema version, Known the latest that this build supports.
 type NewerSchemaError struct{ Version, Known int }
 
-// Error has the versions and the next step.
+// Error joins the versions and the operator's next step.
 func (e *NewerSchemaError) Error() string {
-	return fmt.Sprintf("its schema is version %d and this build knows up to %d: %s", e.Version, e.Known, e.Advice())
+	return fmt.Sprintf("its schema version is %d, and this build supports versions up to %d: %s", e.Version, e.Known, e.Advice())
 }
 
-// Advice is the next step.
-func (e *NewerSchemaError) Advice() string { return "run the newer build that wrote it" }
+// Advice returns what the operator can do.
+func (e *NewerSchemaError) Advice() string { return "run the newer build that migrated it" }
 
-// CheckVersion returns a *NewerSchemaError if a schema's version is above the one that
-// this build knows.
+// CheckVersion returns a *NewerSchemaError if version, a file's schema version, is above
+// known, the latest that this build supports.
 func CheckVersion(version, known int) error {
 	if version <= known {
 		return nil
@@ -50,12 +53,14 @@
 	return &NewerSchemaError{Version: version, Known: known}
 }
 
-// Migrate brings the schema to a version in one transaction. migrations[n] brings it from
-// version n to n+1.
+// Migrate brings a file's schema to the version to in one transaction; migrations[n] are the
+// statements that bring it from version n to n+1. A file that has the version or a later one
+// is not changed. If its version is above len(migrations), the error is a
+// *NewerSchemaError.
 func Migrate(ctx context.Context, db *sql.DB, migrations []string, to int) error {
 	tx, err := db.BeginTx(ctx, nil)
 	if err != nil {
-		return fmt.Errorf("it can't be written: %w", err)
+		return fmt.Errorf("the file can't be written: %w", err)
 	}
 	defer tx.Rollback()
 	var version int
@@ -70,7 +75,7 @@
 	}
 	for n := version; n < to; n++ {
 		if _, err := tx.ExecContext(ctx, migrations[n]); err != nil {
-			return fmt.Errorf("to schema version %d: %w", n+1, err)
+			return fmt.Errorf("migrate to schema version %d: %w", n+1, err)
 		}
 	}
 	if _, err := tx.ExecContext(ctx, fmt.Sprintf("PRAGMA user_version = %d", to)); err != nil {
@@ -79,7 +84,8 @@
 	return tx.Commit()
 }
 
-// ForEachRow calls scan for each row of a query, until it fails.
+// ForEachRow runs a query and calls scan for each row of its result. It stops at the first
+// error of scan and returns it.
 func ForEachRow(ctx context.Context, db *sql.DB, query string, scan func(*sql.Rows) error, args ...any) error {
 	rows, err := db.QueryContext(ctx, query, args...)
 	if err != nil {
