--- a/internal/idempotency/entry.go
+++ b/internal/idempotency/entry.go
@@ -12,12 +12,12 @@
 //   - Each attempt with its server, durable before the first byte of the attempt is sent.
 //   - The outcome, durable before the client receives its answer, unless the store takes
 //     longer than a request may wait. If the outcome is not written, the key stays in flight
-//     until its lease expires and may have run afterwards; neither state permits another
+//     until its lease expires and then becomes MayHaveRun; neither state permits another
 //     request.
 //
 // After an attempt of a request was sent, no other request with the key is sent, unless it
-// is known that the first one did not run. The decision module decides whether the request
-// that holds a claim is retried.
+// is known that the first one did not run. The decision module, package martendrum, decides
+// whether the request that holds a claim is retried.
 package idempotency
 
 // State is what is known about a key.
@@ -59,7 +59,9 @@
 	Version       int64  // number of changes, for optimistic concurrency control
 }
 
-// Columns are the names of the stored columns, in the order of ScanTargets and Values.
+// Columns are the names of the stored columns, in the order of ScanTargets and Values. Some
+// differ from the fields: body is Fingerprint, request RequestID, began StartedAt, changed
+// ChangedAt, expires LeaseExpires, cut AnswerOmitted and settled SettledBy.
 const Columns = "class, key, state, body, owner, token, request, attempts, servers, began, changed, expires, status, header, answer, cut, settled, note, version"
 
 // ScanTargets returns pointers to the fields of e, for reading a row of Columns.
@@ -82,7 +84,8 @@
 	return data
 }
 
-// Expired reports whether the entry is in flight and its lease is over at now.
+// Expired reports whether the entry is in flight and its lease is over at now, a time by the
+// store's clock.
 func (e *Entry) Expired(now int64) bool { return e.State == InFlight && now >= e.LeaseExpires }
 
 // Lapse ends the claim of an entry in flight whose owner is dead. The entry becomes NeverRan
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// send asks for the permission to send the next attempt of a claim. The sidecar may not
-// receive the store's reply and then does not send the attempt.
+// send asks for the permission to send the next attempt of a claim. If the sidecar does not
+// receive the store's reply, it does not send the attempt.
 func (m *model) send(t *rapid.T) {
 	c := m.pickClaim(t)
 	if c.ended {
@@ -193,7 +193,7 @@
 			once, again := entry, op
 			again.Result = NotApplied
 			Apply(&entry, 6, &again)
-			if op.Kind == Settle { // its result tells whether it settled the key, so that the second one is Fenced
+			if op.Kind == Settle { // its result says whether it settled the key, so that the second one is Fenced
 				continue
 			}
 			if op.Result != again.Result || entry.Version != once.Version || entry.State != once.State || entry.Attempts != once.Attempts {
@@ -269,7 +269,7 @@
 	} {
 		for n, fingerprint := range fingerprints {
 			if bytes.Equal(fingerprint, original) != same {
-				t.Errorf("fingerprint %d of the requests that are the same = %v: equal to the original = %v", n, same, !same)
+				t.Errorf("request %d: fingerprint equal to that of the original request = %v, want %v", n, !same, same)
 			}
 		}
 	}
--- a/internal/idempotency/op.go
+++ b/internal/idempotency/op.go
@@ -12,7 +12,7 @@
 // The kinds of ops.
 const (
 	Claim  OpKind = iota // a request asks for the key
-	Send                 // the request's attempt Attempt is about to be sent to Server
+	Send                 // an attempt of the request is about to be sent
 	End                  // the request ended with Outcome
 	Settle               // an operator sets the outcome of a key whose request may have run
 )
--- a/internal/idempotency/postgres/postgres.go
+++ b/internal/idempotency/postgres/postgres.go
@@ -16,6 +16,7 @@
 	"martendrum/internal/pg"
 )
 
+// schema has the tables of the store, see idempotency.Columns for the columns of an entry.
 var schema = pg.Schema{Name: "martendrum_schema", Lock: 0x6d6172746e, Migrations: [][]string{
 	{`CREATE TABLE martendrum_record (
 		class TEXT NOT NULL, key TEXT NOT NULL, state TEXT NOT NULL, body BYTEA NOT NULL, owner TEXT NOT NULL, token TEXT NOT NULL,
--- a/internal/idempotency/recorder/committer.go
+++ b/internal/idempotency/recorder/committer.go
@@ -38,7 +38,7 @@
 
 // committer writes ops to the backend. Ops that wait at the same time are written in one
 // transaction, a batch. The ops of one key keep their order, as each key belongs to one
-// shard and each shard has one worker.
+// shard and each shard has one worker; requeueIsolated describes the exception.
 type committer struct {
 	config  *Config
 	backend idempotency.Backend
--- a/internal/idempotency/recorder/maintenance.go
+++ b/internal/idempotency/recorder/maintenance.go
@@ -10,7 +10,7 @@
 
 const (
 	// maxSweptRows is the maximum number of rows that one transaction of a sweep changes, so
-	// that it delays the ops of requests only shortly.
+	// that it delays the ops of requests only briefly.
 	maxSweptRows = 256
 	// sweepYield is the pause between two transactions of a sweep, in which the ops of
 	// requests are written.
--- a/internal/idempotency/recorder/recorder.go
+++ b/internal/idempotency/recorder/recorder.go
@@ -5,8 +5,8 @@
 // unavailable, requests of a class that fails open continue without it, and those of the
 // other classes are rejected.
 //
-// Package idempotency decides what each event means for a key, and the decision module
-// decides whether a request is retried.
+// Package idempotency decides what each event means for a key. The decision module, package
+// martendrum, decides whether a request is retried.
 package recorder
 
 import (
--- a/internal/idempotency/recorder/request.go
+++ b/internal/idempotency/recorder/request.go
@@ -27,7 +27,8 @@
 	claimWaitDivisor = 4
 )
 
-// recordedRequest is a request of a recorded class. It implements sidecar.Entry.
+// recordedRequest is a request of a class whose keys are recorded. It implements
+// sidecar.Entry.
 type recordedRequest struct {
 	recorder    *Recorder
 	class       *Class
@@ -78,7 +79,7 @@
 func (r *Recorder) claim(request *recordedRequest, wait time.Duration, then func(sidecar.Verdict)) {
 	class := request.class
 	op := request.op(idempotency.Claim)
-	// release gives a key back that was claimed after its request was rejected.
+	// release ends a claim that was granted after its request had been rejected.
 	release := func() {
 		if op.Result == idempotency.Granted && !class.FailOpen {
 			r.submit(submission{op: request.endOp(idempotency.NeverRan), maxWait: class.MaxWait, wait: class.MaxWait, retryOnError: true, done: func(error) {}})
--- a/internal/idempotency/sqlite/sqlite.go
+++ b/internal/idempotency/sqlite/sqlite.go
@@ -21,7 +21,8 @@
 
 const (
 	pageSize = 4096 // bytes
-	// minPages is the smallest maximum size of a file: an empty schema and a few entries.
+	// minPages is the lowest limit of a file's size. It is enough for an empty schema and a few
+	// entries.
 	minPages = 64
 	// maxClaimUsage is the fraction of the maximum size above which claims are rejected, so
 	// that the outcomes of requests in flight can still be written.
--- a/internal/pg/pg.go
+++ b/internal/pg/pg.go
@@ -35,13 +35,13 @@
 	PasswordFile     string // file that is read for each new connection; "": none
 	CA               string // PEM file that verifies the server's certificate; "": the URL decides about TLS
 	MaxConnections   int
-	StatementTimeout time.Duration // enforced by the server, in milliseconds
+	StatementTimeout time.Duration // enforced by the server, which is given whole milliseconds
 	ConnectTimeout   time.Duration
 }
 
 // DB is a database with one Schema. Its methods, except Close, may be called concurrently.
 type DB struct {
-	Pool        *pgxpool.Pool
+	Pool        *pgxpool.Pool // for queries of the store, once Ready has returned nil
 	schema      Schema
 	displayName string // name in errors: host, port and database
 
