--- a/internal/fleet/host/agent/agent.go
+++ b/internal/fleet/host/agent/agent.go
@@ -1,15 +1,15 @@
 // Package agent supervises the sidecars of one host: it starts them, keeps them running, changes
-// them as operations ask and serves the fleet's API over MessagePack-RPC.
+// them as the operators' operations request and serves the fleet's API over MessagePack-RPC.
 //
-// It owns the state folder and the host's record. The record holds the desired state: which
-// generation of which release each instance should run. One goroutine per instance compares
-// that with what runs and acts on the difference. Every change is in the record before it is
-// carried out, so an agent that was killed at any point reads its record, finds its processes
-// and continues. Sidecars outlive the agent.
+// The agent owns the state folder and the record, a database. The record holds the desired
+// state: the generation and the release that each instance should run. One goroutine per instance
+// compares the desired state with the running processes and acts on the difference. Every change
+// is written to the record before it is carried out, so an agent that was killed at any point
+// reads its record, finds its processes and continues. Sidecars outlive the agent.
 //
-// It does not decide on its own what an operation does to which instance and when: that is
-// package rollout, in the command that runs the operation. When to start, stop or retry a
-// process is decided by package supervisor, who may change an instance by package lease.
+// Three decisions are made elsewhere. Package rollout, in the command that runs an operation,
+// decides which instances the operation changes and when. Package supervisor decides when to
+// start, stop or retry a process. Package lease decides which operation may change an instance.
 package agent
 
 import (
@@ -28,19 +28,19 @@
 	"martendrum/internal/fleet/store"
 )
 
-// stepKey identifies a step: an operation has at most one of a kind on an instance.
+// stepKey identifies a step. An operation has at most one step of each kind on an instance.
 type stepKey struct{ op, instance, kind string }
 
-// Agent is a running agent. One lock guards its state. The record is written under that lock,
-// so that memory and record change together.
+// Agent is a running agent. mu guards the fields below it. The record is written while mu is
+// held, so that memory and record change together.
 type Agent struct {
 	config         *Config
 	machine        Machine
 	releases       *release.Dir
 	started        time.Time
 	lockFile       *os.File
-	loadedSettings []distribution.Entry // from the record; nil once the distribution has started
-	stateID        string               // identifies the state folder in the name of each launch
+	loadedSettings []distribution.Entry // from the record; nil once the distribution of settings has started
+	stateID        string               // identifies the state folder; part of each launch ID
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -49,23 +49,24 @@
 	mu            sync.Mutex
 	store         store.Store
 	instances     map[string]*instance
-	instanceNames []string // in the order of the configuration
+	instanceNames []string // in the order of the configuration file
 	operations    map[string]*store.Operation
 	steps         map[stepKey]*api.Step
-	canHandover   map[string]bool      // by release: whether its process said that it supports handover
-	lastLeased    map[string]time.Time // by open staged operation: when its leases were last live
-	lastBoundary  int64                // the latest at which metrics were collected
+	canHandover   map[string]bool      // by release: whether its processes report support for the hand-over
+	lastLeased    map[string]time.Time // by ID of an open staged operation: when one of its leases was last live
+	lastBoundary  int64                // number of the latest slot boundary at which metrics were collected
 	leases        lease.Table
-	powerReturn   *powerReturn  // nil: no instance waits for its wave
+	powerReturn   *powerReturn  // nil: no recent power loss
 	settings      *subscription // nil: the host does not subscribe to relays
-	relay         *node.Relay   // nil: the agent is no relay; set before it serves
-	changeNumber  int64         // counts changes, for callers that wait for the next
+	relay         *node.Relay   // nil: the agent is not a relay; set before the agent serves calls
+	changeNumber  int64         // number of changes so far, for callers that wait for the next one
 	changed       chan struct{} // closed and replaced at each change
-	unwritable    string        // why the last write of the record failed; "" if it did not
+	unwritable    string        // error of the last write of the record; "": it succeeded
 }
 
-// New opens the state folder, reads the record and begins to supervise the instances. open
-// opens the record at a path. The caller ends the agent with Close.
+// New opens the state folder, reads the record and begins to supervise the instances. open is
+// called with the path at which a store in a file is placed, and returns the opened record. Errors
+// are of type *StartError. The caller must call Close on the returned agent.
 func New(config *Config, m Machine, open func(path string) (store.Store, error)) (*Agent, error) {
 	a := &Agent{
 		config:      config,
@@ -98,12 +99,13 @@
 		return err
 	}
 	if err := a.startMetrics(); err != nil {
-		return fmt.Errorf("figures: %w", err)
+		return fmt.Errorf("metrics journal: %w", err)
 	}
 	return a.startDistribution(a.loadedSettings)
 }
 
-// Close ends the agent, also one whose start failed, and leaves the sidecars running.
+// Close stops the agent and leaves the sidecars running. It returns when the agent's goroutines
+// have ended. It also works on an agent whose start failed.
 func (a *Agent) Close() {
 	a.cancel()
 	if a.relay != nil {
@@ -120,8 +122,8 @@
 	}
 }
 
-// StopAll sets the desired state of every instance to stopped and waits until none runs or ctx
-// ends.
+// StopAll sets the desired state of every instance to stopped and waits until no sidecar runs.
+// It returns an error if the record can't be written or ctx ends first.
 func (a *Agent) StopAll(ctx context.Context) error {
 	a.mu.Lock()
 	change := &store.Change{Audit: []api.AuditEntry{{At: time.Now(), Who: "agent", What: "stop all", Result: "ok"}}}
@@ -161,7 +163,7 @@
 	return err
 }
 
-// retainedSlots returns how many samples are retained for each instance, one for each slot.
+// retainedSlots returns how many samples are retained for each instance, at one sample a slot.
 func (a *Agent) retainedSlots() int {
 	if a.config.Metrics.Slot <= 0 {
 		return 1
--- a/internal/fleet/host/agent/config.go
+++ b/internal/fleet/host/agent/config.go
@@ -36,62 +36,63 @@
 	Sidecar struct {
 		Binary  string `toml:"binary"`
 		Overlay string `toml:"overlay"`
-		// HandOver lets an upgrade start the new process while the old one still serves.
+		// HandOver lets an upgrade start the new process while the previous one still serves.
 		HandOver bool `toml:"hand_over"`
-		// Fleet names the features that sidecars share, as MARTENDRUM_FLEET does.
+		// Fleet lists the features in which sidecars cooperate. It becomes the sidecars'
+		// environment variable MARTENDRUM_FLEET.
 		Fleet string `toml:"fleet"`
 	} `toml:"sidecar"`
-	// Recovery paces the start of instances after a power loss.
+	// Recovery configures the waves in which instances start after a power loss.
 	Recovery struct {
-		MinWave     quantity.Duration `toml:"wave_least"`
-		WaveLongest quantity.Duration `toml:"wave_longest"`
-		MaxWave     int               `toml:"wave_most"` // instances in a wave; 0: no limit
-		Shop        string            `toml:"shop"`      // the label that names an instance's shop
-		Zone        string            `toml:"zone"`      // the label that names its zone
+		MinWaveInterval quantity.Duration `toml:"wave_least"`   // from one wave to the next
+		MaxWaveInterval quantity.Duration `toml:"wave_longest"` // then the next wave starts even if instances are not ready
+		MaxWaveSize     int               `toml:"wave_most"`    // instances in a wave; 0: no limit
+		Shop            string            `toml:"shop"`         // the label that names an instance's shop
+		Zone            string            `toml:"zone"`         // the label that names an instance's zone
 		// Checkpoint lets each sidecar write its learned state to a file in state_dir.
 		Checkpoint bool `toml:"checkpoint"`
 	} `toml:"recovery"`
-	// Metrics are collected from each instance that has an admin address, at multiples of Slot.
+	// Metrics are collected from each instance that has an admin address, at each multiple of Slot.
 	Metrics struct {
-		Slot      quantity.Duration `toml:"slot"` // 0: never
+		Slot      quantity.Duration `toml:"slot"` // 0: metrics are off
 		Retention quantity.Duration `toml:"keep"`
 	} `toml:"figures"`
 	Distribution Distribution `toml:"distribution"`
 	// Relay, if set, makes the agent a relay, which serves settings to other hosts.
 	Relay  *RelayConfig `toml:"relay"`
 	Limits struct {
-		KillAfter      quantity.Duration `toml:"kill_after"`
-		HealthInterval quantity.Duration `toml:"health_each"`
-		BackoffMin     quantity.Duration `toml:"backoff_min"`
-		BackoffMax     quantity.Duration `toml:"backoff_max"`
-		MaxCrash       int               `toml:"crash_most"`
+		KillAfter      quantity.Duration `toml:"kill_after"`  // from SIGTERM to SIGKILL
+		HealthInterval quantity.Duration `toml:"health_each"` // between the health checks of an instance
+		BackoffMin     quantity.Duration `toml:"backoff_min"` // before the restart after a first crash; doubled after each further one
+		BackoffMax     quantity.Duration `toml:"backoff_max"` // upper limit of that delay
+		MaxCrashes     int               `toml:"crash_most"`  // this many crashes within CrashWithin end the restarts
 		CrashWithin    quantity.Duration `toml:"crash_within"`
-		Log            quantity.Bytes    `toml:"log"`
-		Record         quantity.Bytes    `toml:"record"`
-		Operations     int               `toml:"operations"`
-		Audit          int               `toml:"audit"`
-		Releases       int               `toml:"releases"`
+		Log            quantity.Bytes    `toml:"log"`        // of an instance's log, including the rotated file
+		Record         quantity.Bytes    `toml:"record"`     // of the record, if it is a file
+		Operations     int               `toml:"operations"` // closed operations that are retained
+		Audit          int               `toml:"audit"`      // entries of the audit log that are retained
+		Releases       int               `toml:"releases"`   // releases that are retained besides those in use
 	} `toml:"limits"`
 	Instances []InstanceConfig `toml:"instance"`
 }
 
-// Distribution configures how settings reach the host; see package distribution. Without relays
-// no settings are distributed.
+// Distribution configures how settings are distributed to the host; see package distribution.
+// Without relays no settings are distributed.
 type Distribution struct {
-	// Subscribe applies the relays' settings to the host's instances.
+	// Subscribe makes the host apply the relays' settings to its instances.
 	Subscribe bool                 `toml:"subscribe"`
 	Region    string               `toml:"region"` // of this host, as the relays' entries name them
 	Zone      string               `toml:"zone"`
 	Coalesce  quantity.Duration    `toml:"coalesce"` // changes within this time are applied together
-	Writer    string               `toml:"writer"`   // the relay that writes until an operator promotes another
+	Writer    string               `toml:"writer"`   // name of the relay that writes until an operator promotes another
 	Relays    []distribution.Relay `toml:"relay"`
 }
 
-// RelayConfig limits what a relay serves.
+// RelayConfig limits what a relay serves. A zero means the default.
 type RelayConfig struct {
-	Subscribers int `toml:"subscribers"`
-	Resources   int `toml:"resources"`
-	History     int `toml:"history"` // changes that a relay retains
+	Subscribers int `toml:"subscribers"` // hosts connected at the same time
+	Resources   int `toml:"resources"`   // settings resources that are published
+	History     int `toml:"history"`     // changes that the relay retains
 }
 
 // maxSubscribers bounds a relay's subscribers: each takes a file descriptor.
@@ -100,29 +101,31 @@
 // InstanceConfig configures one sidecar of the host.
 type InstanceConfig struct {
 	Name   string            `toml:"name"`
-	Config string            `toml:"config"` // the sidecar's configuration, JSON, as BALANCER_CONFIG names it
-	Record string            `toml:"record"` // the file of its idempotency store; "": none
+	Config string            `toml:"config"` // path of the sidecar's configuration, in JSON
+	Record string            `toml:"record"` // path of the configuration of its idempotency store; "": none
 	Labels map[string]string `toml:"labels"`
-	Stop   bool              `toml:"stopped"` // initially; later the agent's record holds the desired state
+	// Stopped is the desired state until the agent's record holds one.
+	Stopped bool `toml:"stopped"`
 
 	listen        string
-	adminAddress  string // of its admin endpoint; "": none
+	adminAddress  string // address of its admin endpoint; "": none
 	memoryLimitMB int    // 0: none
 }
 
-// Stores of an agent's record.
+// The stores that can hold an agent's record.
 const (
-	SQLite   = "sqlite" // a file in state_dir
+	SQLite   = "sqlite" // a file in the state folder
 	Postgres = "postgres"
 )
 
-// maxRetainedSlots bounds the slots whose metrics are retained.
+// maxRetainedSlots bounds the number of slots whose metrics are retained.
 const maxRetainedSlots = 2000
 
-// MaxInstances bounds the sidecars of one agent.
+// MaxInstances is the maximum number of sidecars of one agent.
 const MaxInstances = 256
 
-// LoadConfig reads and checks a configuration. Errors name the file and the place.
+// LoadConfig reads and checks the configuration file at path. Errors name the file and the line
+// or the key; an invalid value is reported as a *ConfigError.
 func LoadConfig(path string) (*Config, error) {
 	c := defaultConfig()
 	if err := quantity.Load(path, c); err != nil {
@@ -140,7 +143,7 @@
 	return c, nil
 }
 
-// defaultConfig returns what applies to keys that the file leaves out.
+// defaultConfig returns the defaults for keys that the file does not set.
 func defaultConfig() *Config {
 	c := &Config{}
 	c.Listen.PlainRole = api.View
@@ -149,8 +152,8 @@
 	c.Record.Connect = quantity.Duration(2 * time.Second)
 	c.Sidecar.HandOver = true
 
-	c.Recovery.MinWave = quantity.Duration(300 * time.Millisecond)
-	c.Recovery.WaveLongest = quantity.Duration(10 * time.Second)
+	c.Recovery.MinWaveInterval = quantity.Duration(300 * time.Millisecond)
+	c.Recovery.MaxWaveInterval = quantity.Duration(10 * time.Second)
 	c.Recovery.Shop = "shop"
 	c.Recovery.Zone = "zone"
 
@@ -163,7 +166,7 @@
 	limits.HealthInterval = quantity.Duration(time.Second)
 	limits.BackoffMin = quantity.Duration(500 * time.Millisecond)
 	limits.BackoffMax = quantity.Duration(30 * time.Second)
-	limits.MaxCrash = 5
+	limits.MaxCrashes = 5
 	limits.CrashWithin = quantity.Duration(time.Minute)
 	limits.Log = 8 << 20
 	limits.Record = 64 << 20
@@ -173,7 +176,7 @@
 	return c
 }
 
-// resolvePaths makes relative paths relative to the folder of the configuration.
+// resolvePaths resolves relative paths against the folder of the configuration file.
 func (c *Config) resolvePaths(path string) error {
 	paths := []*string{
 		&c.StateDir, &c.Listen.Unix, &c.TLS.CA, &c.TLS.Cert, &c.TLS.Key,
@@ -185,7 +188,7 @@
 	return quantity.ResolvePaths(path, paths...)
 }
 
-// setDefaults sets what a [relay] section leaves out.
+// setDefaults sets the defaults for keys that the section [relay] does not set.
 func (c *RelayConfig) setDefaults() {
 	limits := distribution.DefaultLimits()
 	c.Subscribers = cmp.Or(c.Subscribers, 4000)
--- a/internal/fleet/host/agent/config_check.go
+++ b/internal/fleet/host/agent/config_check.go
@@ -14,9 +14,10 @@
 	"martendrum/internal/quantity"
 )
 
+// namePattern matches valid names of agents, instances and relays.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// check returns the first error of the configuration, in the order of the file's sections.
+// check returns the first error that it finds in the configuration, or nil.
 func (c *Config) check() error {
 	checks := []func() error{
 		c.checkIdentity, c.checkRecord, c.checkSidecar, c.checkListen, c.checkLimits, c.checkMetrics, c.checkRecovery,
@@ -36,7 +37,7 @@
 	case !namePattern.MatchString(c.Name):
 		return fmt.Errorf("name: %q; want letters, digits, '.', '_' or '-', 63 at most", c.Name)
 	case c.StateDir == "":
-		return fmt.Errorf("state_dir is missing: a folder that outlives restarts")
+		return fmt.Errorf("state_dir is missing: want a folder whose files survive restarts of the machine")
 	}
 	return nil
 }
@@ -60,7 +61,7 @@
 func (c *Config) checkSidecar() error {
 	switch {
 	case c.Sidecar.Binary == "":
-		return fmt.Errorf("sidecar.binary is missing: the program that instances begin with")
+		return fmt.Errorf("sidecar.binary is missing: want the path of the program that new instances start with")
 	}
 	return nil
 }
@@ -83,17 +84,17 @@
 	limits := &c.Limits
 	switch {
 	case time.Duration(limits.KillAfter) < supervisor.MinKillDelay:
-		return fmt.Errorf("limits.kill_after: %v; a sidecar may need %v from SIGTERM to its last answer", time.Duration(limits.KillAfter), supervisor.MinKillDelay)
+		return fmt.Errorf("limits.kill_after: %v; want %v at least, because a sidecar may need that long from SIGTERM to its last response", time.Duration(limits.KillAfter), supervisor.MinKillDelay)
 	case limits.HealthInterval < quantity.Duration(50*time.Millisecond):
-		return fmt.Errorf("limits.health_each: %v; 50ms at least", time.Duration(limits.HealthInterval))
+		return fmt.Errorf("limits.health_each: %v; want 50ms at least", time.Duration(limits.HealthInterval))
 	case limits.BackoffMin <= 0 || limits.BackoffMax < limits.BackoffMin:
 		return fmt.Errorf("limits.backoff_min and backoff_max: %v and %v; want 0 < min <= max", time.Duration(limits.BackoffMin), time.Duration(limits.BackoffMax))
-	case limits.MaxCrash < 1 || limits.CrashWithin <= 0:
+	case limits.MaxCrashes < 1 || limits.CrashWithin <= 0:
 		return fmt.Errorf("limits.crash_most and crash_within must be above 0")
 	case limits.Log < 64<<10:
-		return fmt.Errorf("limits.log: 64KiB at least")
+		return fmt.Errorf("limits.log: want 64KiB at least")
 	case limits.Operations < 1 || limits.Audit < 1 || limits.Releases < 0:
-		return fmt.Errorf("limits.operations and audit must be 1 at least, releases 0")
+		return fmt.Errorf("limits.operations and limits.audit must be 1 at least, limits.releases 0 at least")
 	}
 	return nil
 }
@@ -102,7 +103,7 @@
 func (c *Config) checkMetrics() error {
 	switch {
 	case c.Metrics.Slot < 0 || c.Metrics.Slot > 0 && c.Metrics.Slot < quantity.Duration(200*time.Millisecond):
-		return fmt.Errorf("figures.slot: %v; 200ms at least, or 0s for none", time.Duration(c.Metrics.Slot))
+		return fmt.Errorf("figures.slot: %v; want 200ms at least, or 0s to turn metrics off", time.Duration(c.Metrics.Slot))
 	case c.Metrics.Slot > 0 && (c.Metrics.Retention < c.Metrics.Slot || c.Metrics.Retention/c.Metrics.Slot > maxRetainedSlots):
 		return fmt.Errorf("figures.keep: %v; want 1 to %d slots of %v", time.Duration(c.Metrics.Retention), maxRetainedSlots, time.Duration(c.Metrics.Slot))
 	}
@@ -112,12 +113,12 @@
 // checkRecovery checks the section [recovery].
 func (c *Config) checkRecovery() error {
 	switch {
-	case c.Recovery.MinWave < 0 || c.Recovery.WaveLongest < c.Recovery.MinWave || c.Recovery.WaveLongest > quantity.Duration(time.Hour):
-		return fmt.Errorf("recovery.wave_least and wave_longest: %v and %v; want 0 <= least <= longest <= 1h", time.Duration(c.Recovery.MinWave), time.Duration(c.Recovery.WaveLongest))
+	case c.Recovery.MinWaveInterval < 0 || c.Recovery.MaxWaveInterval < c.Recovery.MinWaveInterval || c.Recovery.MaxWaveInterval > quantity.Duration(time.Hour):
+		return fmt.Errorf("recovery.wave_least and wave_longest: %v and %v; want 0 <= wave_least <= wave_longest <= 1h", time.Duration(c.Recovery.MinWaveInterval), time.Duration(c.Recovery.MaxWaveInterval))
 	case c.Recovery.Checkpoint && !strings.Contains(c.Sidecar.Fleet, "return"):
-		return fmt.Errorf("recovery.checkpoint: only a sidecar that comes back by rules reads one: add \"return\" to sidecar.fleet, or leave it out")
-	case c.Recovery.MaxWave < 0:
-		return fmt.Errorf("recovery.wave_most: %d; want 0 (no bound) or more", c.Recovery.MaxWave)
+		return fmt.Errorf("recovery.checkpoint: a sidecar reads checkpoints only with the feature \"return\": add that to sidecar.fleet, or remove recovery.checkpoint")
+	case c.Recovery.MaxWaveSize < 0:
+		return fmt.Errorf("recovery.wave_most: %d; want 0 (no limit) or more", c.Recovery.MaxWaveSize)
 	}
 	return nil
 }
@@ -125,7 +126,7 @@
 // checkInstanceCount bounds the number of instances.
 func (c *Config) checkInstanceCount() error {
 	if len(c.Instances) > MaxInstances {
-		return fmt.Errorf("instance: %d of them; an agent looks after %d at most", len(c.Instances), MaxInstances)
+		return fmt.Errorf("instance: %d sections; an agent supervises %d instances at most", len(c.Instances), MaxInstances)
 	}
 	return nil
 }
@@ -141,13 +142,13 @@
 	case d.Coalesce < 0 || d.Coalesce > quantity.Duration(10*time.Second):
 		return fmt.Errorf("distribution.coalesce: %v; want 0s to 10s", time.Duration(d.Coalesce))
 	case d.Subscribe && len(d.Relays) == 0:
-		return fmt.Errorf("distribution.subscribe: no [[distribution.relay]] is there to ask")
+		return fmt.Errorf("distribution.subscribe: no [[distribution.relay]] is configured")
 	case len(d.Relays) > 0 && !names[d.Writer]:
-		return fmt.Errorf("distribution.writer: %q is none of the relays", d.Writer)
+		return fmt.Errorf("distribution.writer: no [[distribution.relay]] has the name %q", d.Writer)
 	case c.Relay == nil:
 		return nil
 	case !names[c.Name]:
-		return fmt.Errorf("relay: this agent, %s, is none of [[distribution.relay]]", c.Name)
+		return fmt.Errorf("relay: no [[distribution.relay]] has the name of this agent, %s", c.Name)
 	case c.Relay.Subscribers < 1 || c.Relay.Subscribers > maxSubscribers:
 		return fmt.Errorf("relay.subscribers: %d; want 1 to %d", c.Relay.Subscribers, maxSubscribers)
 	case c.Relay.Resources < 1 || c.Relay.History < 1:
@@ -163,18 +164,18 @@
 		kind, rest, _ := strings.Cut(relay.Address, ":")
 		switch {
 		case !namePattern.MatchString(relay.Name) || names[relay.Name]:
-			return nil, fmt.Errorf("distribution.relay %d: its name %q is missing or there twice", n+1, relay.Name)
+			return nil, fmt.Errorf("distribution.relay %d: name %q is missing, invalid or used twice", n+1, relay.Name)
 		case rest == "" || kind != "tls" && kind != "tcp" && kind != "unix":
 			return nil, fmt.Errorf("distribution.relay %s: address %q; want tls:HOST:PORT, unix:PATH or tcp:HOST:PORT", relay.Name, relay.Address)
 		case kind == "tls" && (c.TLS.CA == "" || c.TLS.Cert == "" || c.TLS.Key == ""):
-			return nil, fmt.Errorf("distribution.relay %s: tls.ca, tls.cert and tls.key are needed for it; `martendrum ca` makes them", relay.Name)
+			return nil, fmt.Errorf("distribution.relay %s: tls.ca, tls.cert and tls.key are needed for a TLS address; `martendrum ca` makes them", relay.Name)
 		}
 		names[relay.Name] = true
 	}
 	return names, nil
 }
 
-// checkPlainAddress requires a loopback address where connections have no TLS.
+// checkPlainAddress checks that the listener without TLS has a loopback address.
 func (c *Config) checkPlainAddress() error {
 	if c.Listen.Plain == "" {
 		return nil
@@ -189,7 +190,7 @@
 	return nil
 }
 
-// checkInstances checks each instance and reads what the agent needs from its configuration.
+// checkInstances checks the instances and reads what the agent needs from their configurations.
 // Names and listening addresses must be unique.
 func (c *Config) checkInstances() error {
 	seen, nameByAddress := make(map[string]bool), make(map[string]string)
@@ -199,7 +200,7 @@
 		case !namePattern.MatchString(i.Name):
 			return fmt.Errorf("instance %d: name %q; want letters, digits, '.', '_' or '-', 63 at most", n+1, i.Name)
 		case seen[i.Name]:
-			return fmt.Errorf("instance %s is there twice", i.Name)
+			return fmt.Errorf("instance %s is configured twice", i.Name)
 		}
 		seen[i.Name] = true
 		if err := i.readConfig(); err != nil {
@@ -214,7 +215,7 @@
 }
 
 // readConfig reads the sidecar's addresses and its memory limit from its configuration, and
-// checks that its record's file exists.
+// checks that the file of its idempotency store exists.
 func (i *InstanceConfig) readConfig() error {
 	data, err := os.ReadFile(i.Config)
 	if err != nil {
--- a/internal/fleet/host/agent/connections.go
+++ b/internal/fleet/host/agent/connections.go
@@ -15,7 +15,7 @@
 	"martendrum/internal/msgpackrpc"
 )
 
-// caller is the peer of a connection.
+// caller is the client at the other end of a connection.
 type caller struct {
 	role      string // api.View, api.Operate or "" for none
 	id        string // the certificate's name, the user's ID or the address
@@ -23,8 +23,8 @@
 	who       string // for the audit log; "" until hello. The agent's lock guards it.
 }
 
-// connectionLimits are those of a connection to an agent. A chunk of a release fits into a
-// message.
+// connectionLimits are the limits of a connection to an agent. Message, in bytes, leaves room for
+// a chunk of a release.
 var connectionLimits = msgpackrpc.Limits{
 	Message:     2 << 20,
 	Depth:       16,
@@ -35,8 +35,9 @@
 	Idle:        5 * time.Minute,
 }
 
-// Serve opens the configured listeners and answers until ctx ends, the agent is closed or a
-// listener fails. ready, if not nil, is called with the addresses once all listen.
+// Serve opens the configured listeners and answers calls until ctx ends, the agent is closed or a
+// listener fails. An error means that a listener could not be opened or has failed. ready, if not
+// nil, is called with the listeners' addresses once all of them are open.
 func (a *Agent) Serve(ctx context.Context, ready func(addrs []net.Addr)) error {
 	limit := maxConnections
 	if a.config.Relay != nil {
@@ -70,8 +71,8 @@
 	return err
 }
 
-// openListeners opens the configured listeners: the Unix socket, the plain one, the one with
-// TLS. If one can't be opened, none stays open.
+// openListeners opens the configured listeners: on a Unix socket, on TCP without TLS and on TCP
+// with TLS. If one of them can't be opened, it closes the others.
 func (a *Agent) openListeners() (listeners []net.Listener, err error) {
 	defer func() {
 		if err != nil {
@@ -113,7 +114,7 @@
 	return listeners, nil
 }
 
-// socketMode lets the socket's group connect; welcome decides its members' role.
+// socketMode lets members of the socket's group connect; welcome determines their role.
 const socketMode = 0o660
 
 func (a *Agent) openListener(network, address string) (net.Listener, error) {
@@ -132,8 +133,8 @@
 	}
 }
 
-// ServerTLS returns the agent's side of mutual TLS. Callers need a certificate of the fleet's CA;
-// its organisational unit is their role.
+// ServerTLS returns the server's configuration for mutual TLS from PEM files. Clients need a
+// certificate that the fleet's CA has signed; the certificate's organisational unit is their role.
 func ServerTLS(ca, cert, key string) (*tls.Config, error) {
 	c, err := pki.LoadTLS(ca, cert, key)
 	if err != nil {
@@ -144,15 +145,15 @@
 }
 
 // welcome determines the caller of a new connection and its role: from the certificate under TLS,
-// from the user on the Unix socket, from the configuration otherwise.
-func (a *Agent) welcome(p *msgpackrpc.Peer) error {
-	c := &caller{role: a.config.Listen.PlainRole, id: p.Conn.RemoteAddr().String()}
-	switch nc := p.Conn.(type) {
+// from the user ID on the Unix socket, from the configuration otherwise.
+func (a *Agent) welcome(peer *msgpackrpc.Peer) error {
+	c := &caller{role: a.config.Listen.PlainRole, id: peer.Conn.RemoteAddr().String()}
+	switch conn := peer.Conn.(type) {
 	case *tls.Conn:
-		if err := nc.Handshake(); err != nil {
+		if err := conn.Handshake(); err != nil {
 			return err
 		}
-		cert := nc.ConnectionState().PeerCertificates[0]
+		cert := conn.ConnectionState().PeerCertificates[0]
 		c.id, c.role, c.certified = cert.Subject.CommonName, "", true
 		for _, role := range []string{api.View, api.Operate} {
 			if slices.Contains(cert.Subject.OrganizationalUnit, role) {
@@ -160,8 +161,8 @@
 			}
 		}
 	case *net.UnixConn:
-		// Everyone who may open the socket may view; the agent's own user and root may operate.
-		uid, err := peerUID(nc)
+		// Every user who may open the socket may view; the agent's own user and root may operate.
+		uid, err := peerUID(conn)
 		if err != nil {
 			return err
 		}
@@ -170,21 +171,21 @@
 			c.role = api.Operate
 		}
 	}
-	p.State = c
+	peer.State = c
 	return nil
 }
 
-// peerUID returns the user at the other end of a Unix socket.
-func peerUID(nc *net.UnixConn) (uid int, err error) {
-	raw, err := nc.SyscallConn()
+// peerUID returns the user ID of the process at the other end of a Unix socket.
+func peerUID(conn *net.UnixConn) (uid int, err error) {
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	var cred *syscall.Ucred
-	if e := raw.Control(func(fd uintptr) {
+	if controlErr := raw.Control(func(fd uintptr) {
 		cred, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
-	}); e != nil {
-		return 0, e
+	}); controlErr != nil {
+		return 0, controlErr
 	}
 	if err != nil {
 		return 0, err
--- a/internal/fleet/host/agent/errors.go
+++ b/internal/fleet/host/agent/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// ConfigError reports a configuration that was read and is not valid.
+// ConfigError reports a configuration file that could be read but has an invalid value.
 type ConfigError struct {
-	Path string // of the configuration
+	Path string // of the configuration file
 	Err  error  // names the key or the instance
 }
 
@@ -16,12 +16,12 @@
 
 // Advice says what an operator can do.
 func (e *ConfigError) Advice() string {
-	return fmt.Sprintf("correct the key that is named, then run `martendrum agent --check --config %s`", e.Path)
+	return fmt.Sprintf("correct the named key, then run `martendrum agent --check --config %s`", e.Path)
 }
 
 // StartError reports an agent that could not start. The sidecars of the host are untouched.
 type StartError struct {
-	Agent string
+	Agent string // name of the agent
 	Err   error
 }
 
@@ -33,12 +33,12 @@
 
 // Advice says what an operator can do.
 func (e *StartError) Advice() string {
-	return "remove the cause and start the agent again; running sidecars serve on and are found again"
+	return "fix the cause and start the agent again; running sidecars continue to serve, and the agent adopts them"
 }
 
 // StateDirInUseError reports a state folder that another agent has locked.
 type StateDirInUseError struct {
-	Lock string // the lock's path
+	Lock string // path of the lock file
 	Err  error
 }
 
@@ -64,18 +64,18 @@
 
 // Error implements error.
 func (e *RemovedInstanceError) Error() string {
-	return fmt.Sprintf("instance %s is not in the configuration any more and its process %d runs: stop it before it is taken out", e.Instance, e.PID)
+	return fmt.Sprintf("instance %s was removed from the configuration, but its process %d still runs: stop an instance before you remove it", e.Instance, e.PID)
 }
 
 // Advice says what an operator can do.
 func (e *RemovedInstanceError) Advice() string {
-	return fmt.Sprintf("put the instance back, run `martendrum stop --instance %s`, then remove it", e.Instance)
+	return fmt.Sprintf("put the instance back, run `martendrum stop --instance %s`, then remove it again", e.Instance)
 }
 
 // ListenError reports an address at which the agent can't listen.
 type ListenError struct {
-	Agent string
-	Err   error // names the address
+	Agent string // name of the agent
+	Err   error  // names the address
 }
 
 // Error implements error.
@@ -86,5 +86,5 @@
 
 // Advice says what an operator can do.
 func (e *ListenError) Advice() string {
-	return "look at what listens there and at the rights to the address, or change it in [listen]"
+	return "check whether another process listens at the address and whether the agent may use it, or change the address in [listen]"
 }
--- a/internal/fleet/host/agent/files.go
+++ b/internal/fleet/host/agent/files.go
@@ -16,11 +16,11 @@
 	return filepath.Join(a.config.StateDir, "logs", name+".log")
 }
 
-// handoverPath returns the folder of the sockets over which an old process hands over to a
+// handoverPath returns the folder of the sockets for the hand-over from a previous process to a
 // new one.
 func (a *Agent) handoverPath() string { return filepath.Join(a.config.StateDir, "meet") }
 
-// configPath returns the path of the configuration that is rendered for an instance.
+// configPath returns the path of the configuration that the agent renders for an instance.
 func (a *Agent) configPath(name string) string {
 	return filepath.Join(a.config.StateDir, "instances", name+".json")
 }
@@ -28,13 +28,13 @@
 // metricsPath returns the path of the metrics journal.
 func (a *Agent) metricsPath() string { return filepath.Join(a.config.StateDir, "figures") }
 
-// lossesPath returns the path of the counter of power losses.
+// lossesPath returns the path of the file that counts power losses.
 func (a *Agent) lossesPath() string { return filepath.Join(a.config.StateDir, "losses.json") }
 
-// identity returns the random identity of the state folder and creates it at the first start.
-// It distinguishes this agent's processes from those of another agent with the same name on this
-// machine.
-func identity(path string) (string, error) {
+// loadStateID returns the random ID of the state folder from the file at path, and creates it at
+// the first start. The ID distinguishes this agent's processes from those of another agent with
+// the same name on this machine.
+func loadStateID(path string) (string, error) {
 	b, err := os.ReadFile(path)
 	if err == nil && len(b) > 0 {
 		return string(b), nil
@@ -42,18 +42,18 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return "", err
 	}
-	id := random()
+	id := randomID()
 	return id, writeFile(path, []byte(id))
 }
 
-// random returns a random identifier, such as of a launch or a seed.
-func random() string {
+// randomID returns 8 random bytes in hex, for a launch ID, a state folder's ID or a seed.
+func randomID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// writeFile replaces a file atomically.
+// writeFile replaces a file atomically. The data is synced before the file is replaced.
 func writeFile(path string, data []byte) error {
 	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
 	if err != nil {
@@ -68,7 +68,8 @@
 }
 
 // readTail reads up to limit bytes of a file from an offset on; a negative offset counts from
-// its end. It returns the offset behind what it read. A file that does not exist is empty.
+// the end of the file. It also returns the offset after the last byte that it read. A file that
+// does not exist counts as empty.
 func readTail(path string, offset int64, limit int) ([]byte, int64, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -96,12 +97,13 @@
 	return buf[:n], offset + int64(n), nil
 }
 
-// logTail is how much of a log is searched, in bytes.
-const logTail = 16 << 10
+// searchedLogBytes is the size of the part of a log that lastLogProblem searches.
+const searchedLogBytes = 16 << 10
 
-// lastLogProblem returns the last warning or error in the tail of a log.
+// lastLogProblem returns the last line in the tail of a log that is a warning or an error, or a
+// hint to the log if there is none.
 func lastLogProblem(path string) string {
-	b, _, err := readTail(path, -logTail, logTail)
+	b, _, err := readTail(path, -searchedLogBytes, searchedLogBytes)
 	if err == nil {
 		lines := strings.Split(string(b), "\n")
 		for _, line := range slices.Backward(lines) {
@@ -110,5 +112,5 @@
 			}
 		}
 	}
-	return "its log tells why"
+	return "see the instance's log for the reason"
 }
--- a/internal/fleet/host/agent/housekeeping.go
+++ b/internal/fleet/host/agent/housekeeping.go
@@ -12,13 +12,15 @@
 
 const (
 	housekeepingInterval = time.Second
-	// Rounds of housekeeping between two prunings of releases and two rotations of logs.
+	// Releases are pruned every pruneRounds rounds of housekeeping, and logs are rotated every
+	// rotateRounds rounds.
 	pruneRounds  = 30
 	rotateRounds = 5
 )
 
-// runHousekeeping retries failed writes, closes aborted operations and keeps releases and logs
-// within their limits, until the agent ends.
+// runHousekeeping periodically retries failed writes, closes aborted operations, rolls back
+// failing instances of unattended operations and keeps releases and logs within their limits,
+// until the agent ends.
 func (a *Agent) runHousekeeping() {
 	ticker := time.NewTicker(housekeepingInterval)
 	defer ticker.Stop()
@@ -28,7 +30,7 @@
 			return
 		case <-ticker.C:
 		}
-		used := a.tidyState()
+		used := a.maintainState()
 		if round%pruneRounds == 0 {
 			if err := a.releases.Prune(used, a.config.Limits.Releases); err != nil {
 				slog.Warn("old releases not removed", "err", err)
@@ -40,14 +42,15 @@
 	}
 }
 
-// tidyState does the housekeeping that needs the lock, and returns the releases in use.
-func (a *Agent) tidyState() (used []string) {
+// maintainState does the housekeeping that needs a.mu, and returns the releases in use, some of
+// them repeatedly.
+func (a *Agent) maintainState() (used []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.persistDirty()
 	a.endAborted()
 	a.rollBackUnattended(time.Now())
-	a.settlePowerReturn(time.Since(a.started))
+	a.updatePowerReturn(time.Since(a.started))
 	for _, i := range a.instances {
 		used = append(used, i.stored.Release, i.stored.Previous, i.stored.Running, i.storedPrevious.Running)
 	}
@@ -60,6 +63,7 @@
 	return used
 }
 
+// rotateLogs keeps the instances' logs within their limit.
 func (a *Agent) rotateLogs() {
 	for _, name := range a.instanceNames {
 		if err := proc.Rotate(a.logPath(name), int64(a.config.Limits.Log)); err != nil {
--- a/internal/fleet/host/agent/instance.go
+++ b/internal/fleet/host/agent/instance.go
@@ -12,40 +12,42 @@
 const (
 	// healthTimeout bounds a health check.
 	healthTimeout = 800 * time.Millisecond
-	// activeInterval is the period of an instance's loop while it starts or changes.
+	// activeInterval is the maximum period of an instance's loop while the instance starts or
+	// changes.
 	activeInterval = 50 * time.Millisecond
 	// retryInterval is the delay before a launch that could not be recorded is retried.
 	retryInterval = time.Second
-	// minReloadAge is the minimum age of a process that gets SIGHUP. A sidecar that has just
-	// started may not handle the signal yet, and would end.
+	// minReloadAge is the minimum age of a process that is sent SIGHUP. The signal would end a
+	// sidecar that has just started and does not handle it yet.
 	minReloadAge = 1200 * time.Millisecond
-	// reloadTimeout is how soon a sidecar must report that it runs a new configuration.
+	// reloadTimeout is how soon after SIGHUP a sidecar must report that it runs a new
+	// configuration.
 	reloadTimeout = 5 * time.Second
 )
 
-// instance is one sidecar. Only its own goroutine, superviseInstance, changes supervisor and
-// process; it does so under the agent's lock, which guards all fields for readers.
+// instance is one sidecar of the host. The agent's mu guards all fields. Only the instance's own
+// goroutine, superviseInstance, changes supervisor and process.
 type instance struct {
 	config InstanceConfig
-	wake   chan struct{} // starts the next round of its loop
+	wake   chan struct{} // a value starts the next round of its loop
 
 	stored        store.Instance // as in the record
 	dirty         bool           // the last write of the instance or its steps failed
 	supervisor    *supervisor.Supervisor
 	process       *Process      // nil: none runs
-	reported      processReport // by process
-	abandonReason string        // why a new process that runs side by side must end; "": none
+	reported      processReport // from process
+	abandonReason string        // why a new process next to the previous one must end; "": it need not
 	launchRetryAt time.Time     // no launch before this time
 	history       sampleHistory
-	// exitedGeneration is the latest generation whose process exited unasked.
+	// exitedGeneration is the latest generation whose process exited unexpectedly; 0: none.
 	exitedGeneration int64
 
-	previous       *Process       // that is being replaced; nil: none
+	previous       *Process       // the process that is being replaced; nil: none
 	storedPrevious store.Instance // as in the record when previous was the instance's process
 
-	step              *api.Step // that is running; nil: none
+	step              *api.Step // the running step; nil: none
 	reloadSentAt      time.Time // when the step's SIGHUP was sent; zero: not yet
-	writtenConfigHash string    // of the configuration last written for the process
+	writtenConfigHash string    // of the configuration that was last written for the instance
 
 	settings settingsState
 }
@@ -53,11 +55,11 @@
 // processReport is what a process reports about itself in its health checks.
 type processReport struct {
 	configHash  string // of the configuration that it runs; "": unknown
-	recordState string // of its idempotency store
-	canHandover bool   // it supports handover
+	recordState string // state of its idempotency store
+	canHandover bool   // it supports the hand-over
 }
 
-// wakeUp starts the next round of the instance's loop.
+// wakeUp starts the next round of the instance's loop without delay. It never blocks.
 func (i *instance) wakeUp() {
 	select {
 	case i.wake <- struct{}{}:
@@ -65,7 +67,7 @@
 	}
 }
 
-// instanceStatus returns the instance as the API shows it. The lock is held.
+// instanceStatus returns an instance's status for the API. The caller holds a.mu.
 func (a *Agent) instanceStatus(i *instance) api.Instance {
 	out := api.Instance{
 		Name: i.config.Name, Host: a.config.Name, Labels: maps.Clone(i.config.Labels), Listen: i.config.listen,
--- a/internal/fleet/host/agent/instance_config.go
+++ b/internal/fleet/host/agent/instance_config.go
@@ -13,25 +13,25 @@
 
 // configure writes an instance's configuration with the overlay of a release and the distributed
 // settings that the instance accepted last.
-func (a *Agent) configure(i *instance, hash, seed string) error {
+func (a *Agent) configure(i *instance, releaseHash, seed string) error {
 	a.mu.Lock()
 	var settings []distribution.Resource
 	if i.settings.applier != nil {
 		settings = i.settings.applier.Accepted()
 	}
 	a.mu.Unlock()
-	_, err := a.configureWith(i, hash, settings, seed)
+	_, err := a.configureWith(i, releaseHash, settings, seed)
 	return err
 }
 
 // configureWith writes an instance's configuration with the given distributed settings and
 // returns its SHA-256 hash in hex.
-func (a *Agent) configureWith(i *instance, hash string, settings []distribution.Resource, seed string) (configHash string, err error) {
+func (a *Agent) configureWith(i *instance, releaseHash string, settings []distribution.Resource, seed string) (configHash string, err error) {
 	base, err := os.ReadFile(i.config.Config)
 	if err != nil {
 		return "", err
 	}
-	overlay, err := os.ReadFile(a.releases.Path(hash, release.Overlay))
+	overlay, err := os.ReadFile(a.releases.Path(releaseHash, release.Overlay))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return "", err
 	}
@@ -48,8 +48,8 @@
 	return i.writtenConfigHash, nil
 }
 
-// render makes an instance's configuration: its own file, with the release's overlay merged
-// into it (RFC 7396), then the distributed settings in their order, then the seed.
+// render returns an instance's configuration: its base configuration, with the release's overlay
+// merged into it (RFC 7396), then the distributed settings in their order, then the seed.
 func render(base, overlay []byte, settings []distribution.Resource, seed string) ([]byte, error) {
 	var config map[string]any
 	if err := json.Unmarshal(base, &config); err != nil {
@@ -69,7 +69,7 @@
 	return json.MarshalIndent(config, "", " ")
 }
 
-// mergeJSON applies a JSON merge patch (RFC 7396) to a configuration.
+// mergeJSON applies an encoded JSON merge patch (RFC 7396) to a decoded configuration.
 func mergeJSON(into map[string]any, patch []byte) error {
 	var from map[string]any
 	if err := json.Unmarshal(patch, &from); err != nil {
@@ -79,29 +79,30 @@
 	return nil
 }
 
-// merge applies a decoded merge patch: null deletes a key, objects merge, other values replace.
+// merge applies a decoded merge patch: null deletes a key, objects are merged, and other values
+// replace the old value.
 func merge(into, from map[string]any) {
-	for k, v := range from {
-		if v == nil {
-			delete(into, k)
+	for key, value := range from {
+		if value == nil {
+			delete(into, key)
 			continue
 		}
-		sub, ok := v.(map[string]any)
+		patch, ok := value.(map[string]any)
 		if !ok {
-			into[k] = v
+			into[key] = value
 			continue
 		}
-		have, ok := into[k].(map[string]any)
+		object, ok := into[key].(map[string]any)
 		if !ok {
-			have = make(map[string]any)
-			into[k] = have
+			object = make(map[string]any)
+			into[key] = object
 		}
-		merge(have, sub)
+		merge(object, patch)
 	}
 }
 
-// adminEndpoint reads a sidecar's admin address, "" for none, and its memory limit in MiB from
-// its configuration.
+// adminEndpoint reads a sidecar's admin address and its memory limit in MiB from the sidecar's
+// configuration. They are "" and 0 if they are not set or the configuration is not valid JSON.
 func adminEndpoint(config []byte) (address string, memoryLimitMB int) {
 	var sidecar struct {
 		Mgmt   string `json:"mgmt"`
--- a/internal/fleet/host/agent/instance_loop.go
+++ b/internal/fleet/host/agent/instance_loop.go
@@ -11,16 +11,16 @@
 // maxIdleWait is how long an instance's loop waits when nothing is due.
 const maxIdleWait = time.Hour
 
-// instanceRound is what a round of an instance's loop found.
+// instanceRound is the state of an instance at the end of a round of its loop.
 type instanceRound struct {
 	process       *Process  // nil: none runs
-	supervisorDue time.Time // when the supervisor wants to act; zero: at the next event
+	supervisorDue time.Time // when the supervisor must be called again; zero: at the next event
 	settingsDue   time.Time // when settings should be applied; zero: at the next event
 	active        bool      // the instance starts, changes or waits for its wave
 }
 
 // superviseInstance brings one instance to its desired state and keeps it there until the
-// agent ends. It alone changes the instance's supervisor and processes.
+// agent ends. No other goroutine changes the instance's supervisor and processes.
 func (a *Agent) superviseInstance(i *instance) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -58,14 +58,14 @@
 	}
 }
 
-// dueActions returns what the supervisor wants done now, and whether the instance has to wait
-// for its wave after a power loss.
+// dueActions returns the supervisor's actions for now, and whether the instance has to wait for
+// its wave after a power loss. first is set in the first round of the loop.
 func (a *Agent) dueActions(i *instance, first bool) (actions []supervisor.Action, mustWait bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
 	if first && i.exitedWhileAgentWasDown() {
-		// Counts as a crash like any other.
+		// This counts as a crash, like an exit that the agent sees.
 		i.supervisor.Want(now, true, i.stored.Generation)
 		i.supervisor.Adopt(now, i.exitedGeneration)
 		i.supervisor.Exited(now, i.stored.LastExit)
@@ -78,18 +78,19 @@
 	}
 	mustWait = a.powerReturn.mustWait(now.Sub(a.started), i)
 	if now.Before(i.launchRetryAt) || mustWait {
-		actions = withoutLaunch(actions) // the supervisor returns it again in a later round
+		actions = withoutLaunch(actions) // the supervisor returns the launch again in a later round
 	}
 	return actions, mustWait
 }
 
-// exitedWhileAgentWasDown says whether the wanted process ended before the agent started.
+// exitedWhileAgentWasDown reports whether the process of the desired generation exited while no
+// agent was running.
 func (i *instance) exitedWhileAgentWasDown() bool {
 	return i.exitedGeneration != 0 && i.process == nil &&
 		i.stored.Desired == api.Running && i.exitedGeneration == i.stored.Generation
 }
 
-// endRound reads what decides how long the loop waits.
+// endRound returns the state that determines how long the loop waits.
 func (a *Agent) endRound(i *instance, mustWait bool) instanceRound {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,8 +101,8 @@
 	}
 }
 
-// healthDelay returns the time until the next health check. It varies by a tenth, so that the
-// checks of many agents' instances spread out.
+// healthDelay returns the time until the next health check. It varies by a tenth in both
+// directions, so that the checks of many agents' instances are spread over time.
 func (a *Agent) healthDelay(active bool) time.Duration {
 	delay := time.Duration(a.config.Limits.HealthInterval)
 	delay = delay*9/10 + rand.N(delay/5)
--- a/internal/fleet/host/agent/instance_process.go
+++ b/internal/fleet/host/agent/instance_process.go
@@ -17,7 +17,7 @@
 	"martendrum/internal/fleet/store"
 )
 
-// carryOut carries out the supervisor's actions and those that follow from them.
+// carryOut carries out the supervisor's actions, and the actions that result from a launch.
 func (a *Agent) carryOut(i *instance, actions []supervisor.Action) {
 	for len(actions) > 0 {
 		action := actions[0]
@@ -37,7 +37,8 @@
 	}
 }
 
-// signal sends a signal to a process; one that has exited is no error.
+// signal sends a signal to one of an instance's processes. It is not an error if the process has
+// exited. A signal that can't be sent is only logged.
 func (a *Agent) signal(i *instance, p *Process, sig syscall.Signal) {
 	if err := p.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		slog.Error("signal failed", "instance", i.config.Name, "signal", sig, "err", err)
@@ -47,23 +48,23 @@
 	a.mu.Unlock()
 }
 
-// sideBySide says whether a new generation may start while the current process still serves.
-// An upgrade may if the current process supports handover: whether the new release does too
-// shows when it starts. A rollback may only if its release is known to support handover. The
-// lock is held.
+// sideBySide reports whether a new generation may start while the current process still serves.
+// The current process must support the hand-over. For an upgrade that is enough: whether the new
+// release supports it too is known only after its start. For a rollback, the release must also be
+// known to support it. The caller holds a.mu.
 func (a *Agent) sideBySide(i *instance) bool {
-	s := i.step
-	if !a.config.Sidecar.HandOver || !i.reported.canHandover || s == nil {
+	step := i.step
+	if !a.config.Sidecar.HandOver || !i.reported.canHandover || step == nil {
 		return false
 	}
-	if s.Action == api.ActUpgrade && s.Kind == api.Change {
+	if step.Action == api.ActUpgrade && step.Kind == api.Change {
 		return true
 	}
-	return (s.Action == api.ActUpgrade || s.Action == api.ActRollback) && a.canHandover[i.stored.Release]
+	return (step.Action == api.ActUpgrade || step.Action == api.ActRollback) && a.canHandover[i.stored.Release]
 }
 
 // restorePrevious makes the process that was being replaced the instance's process again. The
-// lock is held.
+// caller holds the agent's mu.
 func (i *instance) restorePrevious() {
 	stored, previous := &i.stored, &i.storedPrevious
 	stored.Launch, stored.Process, stored.Running = previous.Launch, previous.Process, previous.Running
@@ -72,8 +73,7 @@
 	i.process, i.previous, i.storedPrevious = i.previous, nil, store.Instance{}
 }
 
-// launch starts a process of the wanted generation and returns what the supervisor wants done
-// next.
+// launch starts a process of the desired generation and returns the supervisor's next actions.
 func (a *Agent) launch(i *instance) []supervisor.Action {
 	stored, ok := a.recordLaunch(i)
 	if !ok {
@@ -95,17 +95,18 @@
 	return actions
 }
 
-// recordLaunch writes the launch to the record before it happens. The launch's name, which the
-// process carries, identifies the process if its PID can't be written afterwards.
+// recordLaunch writes a launch to the record before the process is started. The launch ID, which
+// the process has in its environment, identifies the process if its PID can't be written
+// afterwards. If ok is false, no process must be started now.
 func (a *Agent) recordLaunch(i *instance) (stored store.Instance, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	stored = i.stored
 	if stored.Generation != i.supervisor.Generation() || stored.Desired != api.Running {
-		i.wakeUp() // the desired state has changed since: the next round acts on it
+		i.wakeUp() // the desired state has changed since: the next round will handle it
 		return stored, false
 	}
-	stored.Launch = fmt.Sprintf("%s/%s/%d/%s.%s", a.config.Name, stored.Name, stored.Generation, a.stateID, random())
+	stored.Launch = fmt.Sprintf("%s/%s/%d/%s.%s", a.config.Name, stored.Name, stored.Generation, a.stateID, randomID())
 	if i.exitedGeneration == stored.Generation {
 		stored.Restarts++
 	}
@@ -115,14 +116,15 @@
 		i.launchRetryAt = time.Now().Add(retryInterval)
 		return stored, false
 	}
-	if i.process != nil { // the new process runs side by side with it
+	if i.process != nil { // the new process will run next to this one
 		i.previous, i.storedPrevious = i.process, i.stored
 	}
 	i.stored = stored
 	return stored, true
 }
 
-// launchFailed takes a process that could not be started. The lock is held.
+// launchFailed records that a process could not be started, and returns the supervisor's next
+// actions. The caller holds a.mu.
 func (a *Agent) launchFailed(i *instance, generation int64, err error, now time.Time) []supervisor.Action {
 	i.stored.Launch, i.stored.Process, i.stored.Running = "", 0, ""
 	i.stored.LastExit = err.Error()
@@ -136,12 +138,12 @@
 	return actions
 }
 
-// startProcess checks the release, writes the configuration and starts the process.
+// startProcess verifies the release, writes the configuration and starts the process.
 func (a *Agent) startProcess(i *instance, stored store.Instance) (*Process, error) {
 	if err := a.releases.Verify(stored.Release); err != nil {
 		return nil, err
 	}
-	if err := a.configure(i, stored.Release, random()); err != nil {
+	if err := a.configure(i, stored.Release, randomID()); err != nil {
 		return nil, err
 	}
 	return a.machine.Start(proc.Spec{
@@ -154,7 +156,7 @@
 }
 
 // environment returns the environment of an instance's process. Variables without a value are
-// set all the same, so that the process does not inherit the agent's own.
+// set to "", so that the process does not inherit the agent's values.
 func (a *Agent) environment(i *instance, name string) []string {
 	env := append(os.Environ(),
 		"BALANCER_NAME="+name,
@@ -172,7 +174,8 @@
 	return append(env, "MARTENDRUM_CHECKPOINT="+checkpoint)
 }
 
-// processExited takes the exit of an instance's process and returns what to do at once.
+// processExited records the exit of an instance's process and returns the actions that are due
+// at once.
 func (a *Agent) processExited(i *instance, p *Process) []supervisor.Action {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -200,7 +203,8 @@
 	return i.afterExit(actions)
 }
 
-// previousExited takes the exit of a process that was being replaced.
+// previousExited records the exit of a process that was being replaced, and returns the actions
+// that are due at once.
 func (a *Agent) previousExited(i *instance, p *Process) []supervisor.Action {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -214,18 +218,20 @@
 	return i.afterExit(actions)
 }
 
-// afterExit returns what to do at once after an exit: all actions but launches. The next round
-// decides on a launch, by the desired state at that time.
+// afterExit returns the actions that are due at once after an exit: all of them except launches.
+// The next round of the instance's loop decides on a launch, by the desired state at that time.
 func (i *instance) afterExit(actions []supervisor.Action) []supervisor.Action {
 	i.wakeUp()
 	return withoutLaunch(actions)
 }
 
+// withoutLaunch removes launches from actions.
 func withoutLaunch(actions []supervisor.Action) []supervisor.Action {
 	return slices.DeleteFunc(actions, func(action supervisor.Action) bool { return action == supervisor.Launch })
 }
 
-// checkHealth makes a health check and takes what the process reports about itself.
+// checkHealth makes a health check, tells the supervisor the result and stores what the process
+// reports about itself.
 func (a *Agent) checkHealth(i *instance, p *Process) {
 	health, err := a.machine.Health(a.ctx, i.config.listen, healthTimeout)
 	reason := ""
@@ -243,7 +249,7 @@
 		return
 	}
 	if err == nil && i.previous != nil && health.Launch != i.stored.Launch {
-		return // the previous process answered: both accept connections during a handover
+		return // the previous process answered: both accept connections during a hand-over
 	}
 	before := i.supervisor.Phase()
 	i.supervisor.Health(time.Now(), err == nil, reason)
--- a/internal/fleet/host/agent/load.go
+++ b/internal/fleet/host/agent/load.go
@@ -17,8 +17,8 @@
 	"martendrum/internal/fleet/store"
 )
 
-// load opens the state folder and the record, finds the instances' processes and records what
-// has changed while no agent ran.
+// load opens the state folder and the record, finds the instances' processes and writes to the
+// record what has changed while no agent was running.
 func (a *Agent) load(open func(path string) (store.Store, error)) error {
 	if err := a.openFolder(); err != nil {
 		return err
@@ -27,15 +27,15 @@
 	if err != nil {
 		return err
 	}
-	first, err := a.releases.Import(a.config.Sidecar.Binary, a.config.Sidecar.Overlay)
+	initialRelease, err := a.releases.Import(a.config.Sidecar.Binary, a.config.Sidecar.Overlay)
 	if err != nil {
 		return fmt.Errorf("sidecar: %w", err)
 	}
-	if a.stateID, err = identity(filepath.Join(a.config.StateDir, "agent.id")); err != nil {
+	if a.stateID, err = loadStateID(filepath.Join(a.config.StateDir, "agent.id")); err != nil {
 		return err
 	}
 	change, detector, now := &store.Change{}, &lossDetector{}, time.Now()
-	if err := a.loadInstances(snapshot.Instances, first, change, detector, now); err != nil {
+	if err := a.loadInstances(snapshot.Instances, initialRelease, change, detector, now); err != nil {
 		return err
 	}
 	a.resumeSteps(change, now)
@@ -46,7 +46,8 @@
 	return a.store.Commit(a.ctx, change)
 }
 
-// openFolder creates the state folder, locks it and opens its releases.
+// openFolder creates the state folder if it is missing, locks it and opens the releases in it.
+// The error is a *StateDirInUseError if another agent has the lock.
 func (a *Agent) openFolder() (err error) {
 	for _, sub := range []string{"", "instances", "logs"} {
 		if err := os.MkdirAll(filepath.Join(a.config.StateDir, sub), 0o750); err != nil {
@@ -68,8 +69,8 @@
 	return err
 }
 
-// openRecord opens the record and loads it, except for the instances, which the caller takes from
-// the snapshot.
+// openRecord opens the record and loads the settings, operations, steps and leases from it. The
+// caller loads the instances from the returned snapshot.
 func (a *Agent) openRecord(open func(path string) (store.Store, error)) (snapshot *store.Snapshot, err error) {
 	if a.store, err = open(filepath.Join(a.config.StateDir, "record.db")); err != nil {
 		return nil, err
@@ -88,20 +89,20 @@
 	return snapshot, nil
 }
 
-// loadInstances sets up the configured instances from the record and the processes that run.
-// Instances that the record does not have start with the release first. What has changed is
-// added to change.
-func (a *Agent) loadInstances(known []store.Instance, first string, change *store.Change, detector *lossDetector, now time.Time) error {
+// loadInstances sets up the configured instances from the recorded ones and the running
+// processes. An instance that is not in the record gets initialRelease. Differences from the
+// record are added to change, and each instance is passed to detector.
+func (a *Agent) loadInstances(recorded []store.Instance, initialRelease string, change *store.Change, detector *lossDetector, now time.Time) error {
 	storedByName := make(map[string]store.Instance)
-	for _, stored := range known {
+	for _, stored := range recorded {
 		storedByName[stored.Name] = stored
 	}
 	found := a.findProcesses()
 	boot := a.machine.Boot()
 	for _, config := range a.config.Instances {
-		stored, known := storedByName[config.Name]
-		if !known {
-			stored = a.newInstance(config, first, found, boot)
+		stored, isRecorded := storedByName[config.Name]
+		if !isRecorded {
+			stored = a.newInstance(config, initialRelease, found, boot)
 			change.Instances = append(change.Instances, stored)
 		}
 		delete(storedByName, config.Name)
@@ -126,7 +127,8 @@
 	return dropRemoved(storedByName, found, boot, change)
 }
 
-// findProcesses returns this agent's running processes by the name of their launch.
+// findProcesses returns this agent's running processes by launch ID. The processes of another
+// agent with the same name are left out: their launch IDs contain another state folder's ID.
 func (a *Agent) findProcesses() map[string]proc.Found {
 	found := a.machine.Find(a.config.Name + "/")
 	maps.DeleteFunc(found, func(launch string, _ proc.Found) bool {
@@ -135,29 +137,31 @@
 	return found
 }
 
+// supervisorConfig returns the limits for the supervisors of the instances.
 func (a *Agent) supervisorConfig() supervisor.Config {
 	limits := &a.config.Limits
 	return supervisor.Config{
 		KillAfter:   time.Duration(limits.KillAfter),
 		BackoffMin:  time.Duration(limits.BackoffMin),
 		BackoffMax:  time.Duration(limits.BackoffMax),
-		MaxCrashes:  limits.MaxCrash,
+		MaxCrashes:  limits.MaxCrashes,
 		CrashWithin: time.Duration(limits.CrashWithin),
 	}
 }
 
-// newInstance returns the first state of an instance that the record does not have.
+// newInstance returns the initial state of an instance that is not in the record.
 func (a *Agent) newInstance(config InstanceConfig, release string, found map[string]proc.Found, boot string) store.Instance {
 	stored := store.Instance{Name: config.Name, Desired: api.Running, Generation: 1, Release: release}
-	if config.Stop {
+	if config.Stopped {
 		stored.Desired = api.Stopped
 	}
 	a.recoverInstance(&stored, found, boot)
 	return stored
 }
 
-// dropRemoved drops the instances that the configuration no longer has. One whose process runs
-// is an error: nobody would supervise the process.
+// dropRemoved adds the removal of instances that are no longer configured to change. It returns
+// a *RemovedInstanceError if the process of such an instance still runs, because nothing would
+// supervise that process.
 func dropRemoved(removed map[string]store.Instance, found map[string]proc.Found, boot string, change *store.Change) error {
 	for name, stored := range removed {
 		if stored.Launch != "" && (proc.Alive(stored.PID, stored.Ticks) && stored.Boot == boot || found[stored.Launch].PID != 0) {
@@ -168,7 +172,7 @@
 	return nil
 }
 
-// resumeSteps assigns running steps to their instances and fails those whose instance is no
+// resumeSteps assigns each running step to its instance. A step fails if its instance is no
 // longer configured.
 func (a *Agent) resumeSteps(change *store.Change, now time.Time) {
 	for _, s := range a.steps {
@@ -179,7 +183,7 @@
 			i.step = s
 			continue
 		}
-		s.Status, s.Reason, s.Finished = api.StepFailed, "the instance was taken out of the agent's configuration", now
+		s.Status, s.Reason, s.Finished = api.StepFailed, "the instance was removed from the agent's configuration", now
 		change.Steps = append(change.Steps, *s)
 	}
 }
--- a/internal/fleet/host/agent/load_processes.go
+++ b/internal/fleet/host/agent/load_processes.go
@@ -13,12 +13,13 @@
 	"martendrum/internal/fleet/store"
 )
 
-// recoverInstance adopts the running process of an instance that the record does not have: the
-// record was lost. Its release becomes the desired one if it is in the state folder.
+// recoverInstance sets the recorded state of an instance from its running process. It is called
+// for an instance that is not in the record; such an instance has a process only if the record was
+// lost. The process's release becomes the desired one if the state folder has it.
 func (a *Agent) recoverInstance(stored *store.Instance, found map[string]proc.Found, boot string) {
 	for launch, process := range found {
-		generation, ok := a.generation(launch, stored.Name)
-		if !ok || generation < stored.Process { // of two processes the later one counts; findPreviousProcess adopts the other
+		generation, ok := a.launchGeneration(launch, stored.Name)
+		if !ok || generation < stored.Process { // the later of two processes is used; findPreviousProcess adopts the other
 			continue
 		}
 		stored.Desired, stored.Generation = api.Running, generation
@@ -26,19 +27,21 @@
 		if stored.Running != "" && a.releases.Verify(stored.Running) == nil {
 			stored.Release = stored.Running
 		}
-		slog.Warn("running instance found that the record does not have", "instance", stored.Name, "pid", process.PID, "generation", generation)
+		slog.Warn("found a running process of an instance that is not in the record", "instance", stored.Name, "pid", process.PID, "generation", generation)
 	}
 }
 
-// generation returns the generation in the name of a launch, if it is one of this instance.
-func (a *Agent) generation(launch, name string) (generation int64, ok bool) {
+// launchGeneration returns the generation in a launch ID. ok is false if the launch ID is not one
+// of the instance with this name.
+func (a *Agent) launchGeneration(launch, name string) (generation int64, ok bool) {
 	rest, ok := strings.CutPrefix(launch, a.config.Name+"/"+name+"/")
 	text, _, _ := strings.Cut(rest, "/")
 	generation, err := strconv.ParseInt(text, 10, 64)
 	return generation, ok && err == nil && generation >= 1
 }
 
-// setRunning records a process that was found as the instance's process.
+// setRunning makes a process that was found the instance's process in stored. The folder of the
+// process's program is named after the release.
 func setRunning(stored *store.Instance, launch string, generation int64, process proc.Found, boot string) {
 	stored.Launch, stored.Process, stored.PID, stored.Ticks, stored.Boot, stored.Running = launch, generation, process.PID, process.Ticks, boot, ""
 	if hash := filepath.Base(filepath.Dir(process.Exe)); release.Valid(hash) {
@@ -46,12 +49,12 @@
 	}
 }
 
-// findPreviousProcess adopts a process that was being replaced when the agent ended: its launch is
-// not the recorded one. If the new process does not run, the previous one is the instance's
-// process again. It says whether i.stored has changed.
+// findPreviousProcess adopts a process that was being replaced when the agent ended: a process of
+// the instance whose launch ID is not launch, the recorded one. If the new process does not run,
+// the previous one becomes the instance's process again. It reports whether i.stored has changed.
 func (a *Agent) findPreviousProcess(i *instance, launch string, found map[string]proc.Found, boot string, now time.Time) bool {
 	for other, process := range found {
-		generation, ok := a.generation(other, i.config.Name)
+		generation, ok := a.launchGeneration(other, i.config.Name)
 		if !ok || other == launch {
 			continue
 		}
@@ -59,7 +62,7 @@
 		if err != nil {
 			continue
 		}
-		slog.Info("process found that was being replaced", "instance", i.config.Name, "pid", process.PID, "launch", other)
+		slog.Info("found a process that was being replaced", "instance", i.config.Name, "pid", process.PID, "launch", other)
 		replaced := i.stored
 		setRunning(&replaced, other, generation, process, boot)
 		if i.process != nil {
@@ -78,8 +81,8 @@
 	return false
 }
 
-// findProcess adopts the process that the record names, or records its end. It says whether
-// i.stored has changed.
+// findProcess adopts the process that is in the record, or sets i.stored to having none. It
+// reports whether i.stored has changed.
 func (a *Agent) findProcess(i *instance, found map[string]proc.Found, boot string, now time.Time) bool {
 	stored := &i.stored
 	if stored.Launch == "" {
@@ -87,7 +90,8 @@
 	}
 	pid, ticks := stored.PID, stored.Ticks
 	if pid == 0 || stored.Boot != boot {
-		// The launch was recorded; whether the process was started is not known.
+		// The record shows that a launch was due, but not whether the process runs: the PID was not
+		// written, or belongs to an earlier boot.
 		pid, ticks = found[stored.Launch].PID, found[stored.Launch].Ticks
 	}
 	if pid != 0 {
@@ -100,8 +104,8 @@
 		}
 	}
 	if stored.PID != 0 {
-		// It ran, and exited while no agent ran.
-		stored.LastExit = "ended while the agent was away"
+		// The process was started, and exited while no agent was running.
+		stored.LastExit = "exited while no agent was running; its exit status is not known"
 		i.exitedGeneration = stored.Process
 	}
 	stored.Launch, stored.PID, stored.Process, stored.Running = "", 0, 0, ""
--- a/internal/fleet/host/agent/machine.go
+++ b/internal/fleet/host/agent/machine.go
@@ -10,33 +10,36 @@
 	"martendrum/internal/fleet/host/scrape"
 )
 
-// Machine is what instances run on. Processes is the real one; tests have others.
+// Machine starts and observes the processes of instances. Processes implements it for this
+// machine; tests have other implementations. Its methods may be called concurrently.
 type Machine interface {
-	// Start starts a process.
+	// Start starts a process and returns without waiting until it is ready.
 	Start(s proc.Spec) (*Process, error)
-	// Adopt returns the running process with this PID and start time.
+	// Adopt returns the running process with this PID and start time, or an error if there is none.
+	// Cancelling ctx ends the observation of the process, not the process.
 	Adopt(ctx context.Context, pid int, ticks uint64) (*Process, error)
-	// Find returns the running processes by the name of their launch, which has the prefix.
+	// Find returns the running processes whose launch ID begins with prefix, by launch ID.
 	Find(prefix string) map[string]proc.Found
-	// Health makes a health check at a sidecar's address.
+	// Health makes a health check at a sidecar's address, within limit.
 	Health(ctx context.Context, addr string, limit time.Duration) (proc.Healthy, error)
-	// Metrics scrapes a process's admin endpoint and reads its use of memory and files. Of the
-	// sample, only the values are set.
+	// Metrics scrapes a process's admin endpoint, within limit, and reads the process's memory use
+	// and number of open files. The sample's fields for the instance and the time are not set.
 	Metrics(ctx context.Context, adminAddress string, pid int, limit time.Duration) (*api.Sample, error)
-	// Boot identifies the current boot of the machine.
+	// Boot returns the ID of the machine's current boot.
 	Boot() string
 }
 
 // Process is a running process of a Machine.
 type Process struct {
-	PID    int
-	Ticks  uint64          // start time; with PID and boot it identifies the process
-	Done   <-chan struct{} // closed when the process has exited
-	Exit   func() string   // how it exited; valid once Done is closed
+	PID   int
+	Ticks uint64          // start time in clock ticks since boot; with PID and boot ID it identifies the process
+	Done  <-chan struct{} // closed when the process has exited
+	Exit  func() string   // how the process exited; valid once Done is closed
+	// Signal sends a signal; the error is os.ErrProcessDone if the process has exited.
 	Signal func(syscall.Signal) error
 }
 
-// done returns Done, or for no process a nil channel, which blocks forever.
+// done returns Done or, if there is no process, a nil channel, which blocks forever.
 func (p *Process) done() <-chan struct{} {
 	if p == nil {
 		return nil
@@ -44,7 +47,7 @@
 	return p.Done
 }
 
-// Processes runs instances as processes of this machine.
+// Processes implements Machine with the processes of this machine.
 type Processes struct{}
 
 // Start implements Machine.
@@ -76,6 +79,7 @@
 	return s, err
 }
 
+// newProcess wraps the result of proc.Start or proc.Adopt.
 func newProcess(p *proc.Proc, err error) (*Process, error) {
 	if err != nil {
 		return nil, err
--- a/internal/fleet/host/agent/metrics.go
+++ b/internal/fleet/host/agent/metrics.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// maxScrapeDuration bounds a scrape, with a quarter of a slot as the other bound.
+	// maxScrapeDuration limits a scrape, which is also limited to a quarter of a slot.
 	maxScrapeDuration = 2 * time.Second
-	// maxConcurrentScrapes bounds the scrapes in flight.
+	// maxConcurrentScrapes limits the scrapes in flight.
 	maxConcurrentScrapes = 16
-	// maxMetricsSamples bounds the samples in one answer.
+	// maxMetricsSamples limits the samples in one response.
 	maxMetricsSamples = 4000
-	// rateSlots is the number of slots over which the rate of an instance is computed.
+	// rateSlots is the number of slots over which an instance's request rate is computed.
 	rateSlots = 6
 )
 
-// startMetrics restores the samples from before the agent's restart and begins to collect,
-// unless the configuration turns metrics off.
+// startMetrics restores the samples from before the agent's restart and begins to collect new
+// ones, unless the configuration turns metrics off.
 func (a *Agent) startMetrics() error {
 	if a.config.Metrics.Slot <= 0 {
 		return nil
@@ -41,9 +41,10 @@
 	return nil
 }
 
-// collectMetrics samples all instances at each boundary of a slot, until the agent ends.
-func (a *Agent) collectMetrics(j *metricsJournal) {
-	defer j.file.Close()
+// collectMetrics samples all instances at each slot boundary, until the agent ends. Boundary n is
+// n slots after the Unix epoch, so that all hosts sample at the same times.
+func (a *Agent) collectMetrics(journal *metricsJournal) {
+	defer journal.file.Close()
 	slot := time.Duration(a.config.Metrics.Slot)
 	for {
 		next := time.Unix(0, (time.Now().UnixNano()/int64(slot)+1)*int64(slot))
@@ -62,49 +63,49 @@
 		}
 		a.lastBoundary = boundary
 		a.mu.Unlock()
-		if err := j.write(samples); err != nil {
+		if err := journal.write(samples); err != nil {
 			slog.Warn("metrics not written to the journal", "err", err)
 		}
 	}
 }
 
-// scrapeTarget is a process to sample.
+// scrapeTarget is a process to scrape.
 type scrapeTarget struct {
-	sample       api.Sample // what the agent knows of the process
+	sample       api.Sample // the fields that the agent knows without a scrape
 	adminAddress string
 	pid          int
 }
 
-// scrapeAll samples all instances concurrently. An instance whose scrape fails has a gap, which
-// the canary analysis counts.
+// scrapeAll samples all instances concurrently, each within limit. An instance whose scrape fails
+// has no sample at this boundary; the canary analysis counts such gaps.
 func (a *Agent) scrapeAll(boundary int64, limit time.Duration) []api.Sample {
 	targets := a.scrapeTargets()
 	var mu sync.Mutex
-	var out []api.Sample
+	var samples []api.Sample
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, maxConcurrentScrapes)
-	for _, s := range targets {
-		slots <- struct{}{}
+	inFlight := make(chan struct{}, maxConcurrentScrapes)
+	for _, target := range targets {
+		inFlight <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-slots }()
-			got, err := a.machine.Metrics(a.ctx, s.adminAddress, s.pid, limit)
+			defer func() { <-inFlight }()
+			sample, err := a.machine.Metrics(a.ctx, target.adminAddress, target.pid, limit)
 			if err != nil {
 				return
 			}
-			got.At, got.Boundary = time.Now(), boundary
-			got.Instance, got.Process, got.Release = s.sample.Instance, s.sample.Process, s.sample.Release
-			got.Started, got.Crashes = s.sample.Started, s.sample.Crashes
+			sample.At, sample.Boundary = time.Now(), boundary
+			sample.Instance, sample.Process, sample.Release = target.sample.Instance, target.sample.Process, target.sample.Release
+			sample.Started, sample.Crashes = target.sample.Started, target.sample.Crashes
 			mu.Lock()
 			defer mu.Unlock()
-			out = append(out, *got)
+			samples = append(samples, *sample)
 		})
 	}
 	wg.Wait()
-	return out
+	return samples
 }
 
-// scrapeTargets returns the processes to sample. An instance that is being replaced is left out:
-// either of its processes may answer.
+// scrapeTargets returns the processes to scrape. An instance whose process is being replaced is
+// left out, because either of its two processes may answer.
 func (a *Agent) scrapeTargets() []scrapeTarget {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -126,8 +127,9 @@
 	return targets
 }
 
-// metrics returns the samples after a boundary, the earliest first. An answer that reaches its
-// limit ends with a complete boundary, so that the next call continues after it.
+// metrics returns the samples after the boundary in.After, the earliest first. A response that
+// reaches its limit ends with all samples of a boundary, so that the caller can continue after
+// that boundary.
 func (a *Agent) metrics(_ context.Context, _ *caller, in *api.MetricsIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -143,9 +145,9 @@
 		limit = min(limit, in.Limit)
 	}
 	if len(out.Samples) > limit {
-		cut := out.Samples[limit].Boundary
+		incomplete := out.Samples[limit].Boundary
 		n := limit
-		for n > 0 && out.Samples[n-1].Boundary == cut {
+		for n > 0 && out.Samples[n-1].Boundary == incomplete {
 			n--
 		}
 		if n > 0 {
--- a/internal/fleet/host/agent/metrics_history.go
+++ b/internal/fleet/host/agent/metrics_history.go
@@ -9,13 +9,13 @@
 )
 
 // sampleHistory retains an instance's latest samples, in order of their boundaries. The agent's
-// lock guards it.
+// mu guards it.
 type sampleHistory struct {
 	samples []api.Sample
-	limit   int // samples retained at least; twice as many at most
+	limit   int // number of samples retained at least; at most twice as many are
 }
 
-// add appends a sample; one that is not later than the latest is ignored.
+// add appends a sample. A sample whose boundary is not after the latest one is ignored.
 func (h *sampleHistory) add(s api.Sample) {
 	if n := len(h.samples); n > 0 && h.samples[n-1].Boundary >= s.Boundary {
 		return
@@ -26,8 +26,8 @@
 	h.samples = append(h.samples, s)
 }
 
-// rate returns the requests per second over the latest slots, 0 if unknown. A new process starts
-// a new measurement.
+// rate returns the requests per second over the latest rateSlots slots. It is 0 if there are too
+// few samples or the process was replaced in that time, as each process counts from 0.
 func (h *sampleHistory) rate() float64 {
 	recent := h.samples[max(0, len(h.samples)-rateSlots-1):]
 	if len(recent) < 2 {
@@ -46,9 +46,10 @@
 	return max(0, requests/seconds)
 }
 
-// windows returns the differences between the latest samples, as the canary analysis reads them,
-// back to the start of the release that runs.
-func (h *sampleHistory) windows(slot time.Duration) (out []canary.Window) {
+// windows returns the differences between consecutive samples of the latest slots, for the canary
+// analysis. Only the differences since the running release started are returned. slot is the
+// interval of the samples.
+func (h *sampleHistory) windows(slot time.Duration) (windows []canary.Window) {
 	differ := canary.Differ{Slot: slot, MaxOffset: slot / 4}
 	for _, s := range h.samples[max(0, len(h.samples)-rateSlots-1):] {
 		names := make([]string, 0, len(s.Classes))
@@ -56,13 +57,13 @@
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		if w, ok := differ.Next(s.CanarySample(0, names), 0); ok {
-			out = append(out, w)
+		if window, ok := differ.Next(s.CanarySample(0, names), 0); ok {
+			windows = append(windows, window)
 		}
 	}
-	n := len(out)
-	for n > 0 && out[n-1].Release == out[len(out)-1].Release {
+	n := len(windows)
+	for n > 0 && windows[n-1].Release == windows[len(windows)-1].Release {
 		n--
 	}
-	return out[n:]
+	return windows[n:]
 }
--- a/internal/fleet/host/agent/metrics_journal.go
+++ b/internal/fleet/host/agent/metrics_journal.go
@@ -12,9 +12,9 @@
 	"martendrum/internal/fleet/api"
 )
 
-// metricsJournal retains samples across restarts of the agent, in two files of which the older
-// is dropped when the newer is full. It is not synced and a torn tail is ignored: lost samples
-// are only missing evidence.
+// metricsJournal retains samples across restarts of the agent, in two files. When the newer file
+// is full, it replaces the older one. Writes are not synced, and a torn record at the end of a
+// file is ignored: the loss of samples only leaves the canary analysis with less evidence.
 type metricsJournal struct {
 	path    string
 	file    *os.File
@@ -22,8 +22,9 @@
 	limit   int // samples in a file
 }
 
-// openMetricsJournal calls restore for each sample of the files at path, the earliest first, and
-// starts a new file: after a torn tail, nothing that is appended could be read.
+// openMetricsJournal calls restore for each sample in the journal at path, the earliest first. It
+// then starts a new file, because samples appended after a torn record could not be read. limit is
+// the number of samples in a file.
 func openMetricsJournal(path string, limit int, restore func(api.Sample)) (*metricsJournal, error) {
 	j := &metricsJournal{path: path, limit: limit}
 	for _, p := range []string{path + ".1", path} {
@@ -37,8 +38,8 @@
 	return j, nil
 }
 
-// readSamples calls restore for each sample of a file, up to the first that can't be read. A
-// file that does not exist has none.
+// readSamples calls restore for each sample of a file, up to the first one that can't be read. A
+// file that does not exist counts as empty.
 func readSamples(path string, restore func(api.Sample)) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -53,7 +54,7 @@
 		var sample api.Sample
 		if err := decoder.Decode(&sample); err != nil {
 			if !errors.Is(err, io.EOF) {
-				slog.Warn("rest of a metrics journal ignored: it can't be read", "file", path, "after", n, "err", err)
+				slog.Warn("ignored the rest of a metrics journal that can't be read", "file", path, "after", n, "err", err)
 			}
 			return nil
 		}
@@ -61,7 +62,7 @@
 	}
 }
 
-// rotate starts a new file and retains the one before it.
+// rotate starts a new file and retains the previous one with the suffix .1.
 func (j *metricsJournal) rotate() error {
 	if j.file != nil {
 		j.file.Close()
@@ -77,7 +78,7 @@
 	return err
 }
 
-// write appends samples, to a new file if the current one is full.
+// write appends samples, to a new file if they don't fit into the current one.
 func (j *metricsJournal) write(samples []api.Sample) error {
 	if j.file == nil || j.samples+len(samples) > j.limit {
 		if err := j.rotate(); err != nil {
--- a/internal/fleet/host/agent/operations.go
+++ b/internal/fleet/host/agent/operations.go
@@ -10,7 +10,8 @@
 	"martendrum/internal/fleet/store"
 )
 
-// localTargets returns the names of an operation's instances at this agent. The lock is held.
+// localTargets returns the names of an operation's targets at this agent. It is an error if the
+// operation has none here or one of them is not configured. The caller holds a.mu.
 func (a *Agent) localTargets(o *api.Operation) (out []string, err error) {
 	for _, t := range o.Targets {
 		if t.Host == a.config.Name {
@@ -26,7 +27,7 @@
 	return out, nil
 }
 
-// isTarget says whether an operation has an instance of this agent among its targets.
+// isTarget reports whether an instance of this agent is a target of an operation.
 func (a *Agent) isTarget(o *api.Operation, instance string) bool {
 	for _, t := range o.Targets {
 		if t.Host == a.config.Name && t.Instance == instance {
@@ -36,12 +37,13 @@
 	return false
 }
 
-// checkCompatibility checks that the operation's release may run side by side with the releases of
-// its instances here. It starts both programs to query their versions, without the lock.
+// checkCompatibility checks that an operation's release may run next to the current releases of
+// its targets here. It runs both programs to query their versions, and does not hold a.mu
+// meanwhile.
 func (a *Agent) checkCompatibility(o *api.Operation) error {
 	a.mu.Lock()
-	_, known := a.operations[o.ID]
-	uses := make(map[string]compatibility.Use) // by the current release
+	_, opened := a.operations[o.ID]
+	uses := make(map[string]compatibility.Use) // by current release
 	for _, t := range o.Targets {
 		if i := a.instances[t.Instance]; t.Host == a.config.Name && i != nil && i.stored.Release != o.Release {
 			use := uses[i.stored.Release]
@@ -52,36 +54,37 @@
 		}
 	}
 	a.mu.Unlock()
-	if known {
+	if opened {
 		return nil // checked when the operation was opened
 	}
 	for current, use := range uses {
 		old := compatibility.Query(a.ctx, a.releases.Path(current, release.Sidecar))
 		next := compatibility.Query(a.ctx, a.releases.Path(o.Release, release.Sidecar))
 		if err := compatibility.Check(old, next, use); err != nil {
-			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run beside %.12s: %v", a.config.Name, o.Release, current, err)
+			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run next to release %.12s: %v", a.config.Name, o.Release, current, err)
 		}
 	}
 	return nil
 }
 
-// findOperation returns the operation of an ID. The lock is held.
+// findOperation returns the operation with an ID. The caller holds a.mu.
 func (a *Agent) findOperation(id string) (*store.Operation, error) {
 	if o := a.operations[id]; o != nil {
 		return o, nil
 	}
-	return nil, api.Errorf(api.NoOperation, "agent %s knows no operation %q", a.config.Name, id)
+	return nil, api.Errorf(api.NoOperation, "agent %s has no operation %q", a.config.Name, id)
 }
 
-// fenced makes an API error of the error of a lease check.
-func (a *Agent) fenced(err error) error {
+// fencedError returns the API error for the error of a lease check, nil for nil.
+func (a *Agent) fencedError(err error) error {
 	if err == nil {
 		return nil
 	}
 	return api.Errorf(api.Fenced, "agent %s: %v", a.config.Name, err)
 }
 
-// isLeased says whether somebody holds a live lease for an operation. The lock is held.
+// isLeased reports whether any instance here has a live lease for an operation. The caller holds
+// a.mu.
 func (a *Agent) isLeased(op string, now time.Time) bool {
 	for _, l := range a.leases.ByInstance {
 		if l.Op == op && l.Live(now) {
@@ -91,7 +94,7 @@
 	return false
 }
 
-// hasRunningStep says whether a step of an operation is running here. The lock is held.
+// hasRunningStep reports whether a step of an operation is running here. The caller holds a.mu.
 func (a *Agent) hasRunningStep(op string) bool {
 	for _, i := range a.instances {
 		if i.step != nil && i.step.Op == op {
@@ -102,39 +105,39 @@
 }
 
 // closeOperation closes an operation, ends its leases here and drops the oldest closed operations
-// beyond the limit. The lock is held.
+// beyond the configured limit. The caller holds a.mu.
 func (a *Agent) closeOperation(o *store.Operation, result, who string) error {
 	now := time.Now()
 	next := *o
 	next.State, next.Result, next.Closed = api.OpClosed, result, now
-	c := &store.Change{Operations: []store.Operation{next}, Audit: []api.AuditEntry{{At: now, Who: who, What: "op.close", Target: o.ID, Result: result}}}
+	change := &store.Change{Operations: []store.Operation{next}, Audit: []api.AuditEntry{{At: now, Who: who, What: "op.close", Target: o.ID, Result: result}}}
 	for _, l := range a.leases.ByInstance {
 		if l.Op == o.ID && l.Live(now) {
 			l.Expires = now
-			c.Leases = append(c.Leases, l)
+			change.Leases = append(change.Leases, l)
 		}
 	}
 	var closed []*store.Operation
-	for _, x := range a.operations {
-		if x.State == api.OpClosed {
-			closed = append(closed, x)
+	for _, other := range a.operations {
+		if other.State == api.OpClosed {
+			closed = append(closed, other)
 		}
 	}
 	slices.SortFunc(closed, func(x, y *store.Operation) int { return x.Closed.Compare(y.Closed) })
 	for len(closed) >= a.config.Limits.Operations {
-		c.DropOperations = append(c.DropOperations, closed[0].ID)
+		change.DropOperations = append(change.DropOperations, closed[0].ID)
 		closed = closed[1:]
 	}
-	if err := a.commit(c); err != nil {
+	if err := a.commit(change); err != nil {
 		return err
 	}
 	*o = next
-	a.leases.Put(c.Leases)
-	for _, id := range c.DropOperations {
+	a.leases.Put(change.Leases)
+	for _, id := range change.DropOperations {
 		delete(a.operations, id)
-		for k := range a.steps {
-			if k.op == id {
-				delete(a.steps, k)
+		for key := range a.steps {
+			if key.op == id {
+				delete(a.steps, key)
 			}
 		}
 	}
--- a/internal/fleet/host/agent/power_loss.go
+++ b/internal/fleet/host/agent/power_loss.go
@@ -11,73 +11,74 @@
 	"martendrum/internal/recovery"
 )
 
-// lossDetector finds out at the agent's start whether the host lost its power.
+// lossDetector determines at the agent's start whether the host lost power.
 type lossDetector struct {
-	lost     []*instance // ran according to the record and have no process
-	alive    int         // instances that have a process
-	rebooted bool        // a lost process ran in an earlier boot
+	lost     []*instance // instances that ran according to the record and have no process
+	alive    int         // number of instances that have a process
+	rebooted bool        // a lost instance's process ran in an earlier boot
 }
 
-// observe takes an instance: ran says that a process of it ran according to the record, and
-// sameBoot that it ran in the current boot.
-func (l *lossDetector) observe(i *instance, ran, sameBoot bool) {
+// observe adds an instance, whose process has been looked for. ran means that it should run and
+// had a process according to the record, and sameBoot that it was started in the current boot.
+func (d *lossDetector) observe(i *instance, ran, sameBoot bool) {
 	switch {
 	case i.process != nil:
-		l.alive++
+		d.alive++
 	case ran:
-		l.lost = append(l.lost, i)
-		l.rebooted = l.rebooted || !sameBoot
+		d.lost = append(d.lost, i)
+		d.rebooted = d.rebooted || !sameBoot
 	}
 }
 
-// powerLost says whether the host lost its power, or all its sidecars at once, which is the same
-// to the fleet: no process is left, and more happened than one crash. returning says that the
-// previous agent had not finished the return from an earlier loss.
-func (l *lossDetector) powerLost(returning bool) bool {
-	return l.alive == 0 && (returning || len(l.lost) > 0 && (l.rebooted || len(l.lost) > 1))
+// powerLost reports whether the host lost power, or lost all its sidecars at once, which has the
+// same effect on the fleet. That is the case if no process is left and the cause can't be the crash
+// of one sidecar: the host was rebooted, several sidecars are lost, or returning is set, which
+// means that a previous agent had not yet started all waves after an earlier loss.
+func (d *lossDetector) powerLost(returning bool) bool {
+	return d.alive == 0 && (returning || len(d.lost) > 0 && (d.rebooted || len(d.lost) > 1))
 }
 
-// stableDelay is how long an agent must run until losses before it no longer count as recent.
-// Recent losses slow the waves.
+// stableDelay is how long an agent must run until earlier power losses no longer count as recent.
+// Recent losses increase the time between waves.
 const stableDelay = 10 * time.Minute
 
-// powerReturn is the return of a host's instances after a power loss. The agent's lock guards
-// it.
+// powerReturn is the return of a host after a power loss, in which its instances start in waves.
+// The agent's mu guards it.
 type powerReturn struct {
 	pace  *recovery.Pace // nil: all waves have started
-	epoch int64          // of the loss
+	epoch int64          // number of the loss, counted over the host's life
 }
 
 // powerLossMessage is logged once for each power loss. Operators and process tests look for this
 // text.
 const powerLossMessage = "power loss detected, restarting instances in waves"
 
-// recoverFromPowerLoss checks for a power loss and prepares the return: all earlier leases are
-// void, whatever the clocks say, so that operations pause; lost processes do not count as
-// crashed; and the instances start in waves. begin is written to the record before any instance
-// starts. An agent that is killed before that detects the same loss again; one that is killed
-// later continues with the waves.
-func (a *Agent) recoverFromPowerLoss(l *lossDetector, begin *store.Change, now time.Time) {
-	n := a.readLosses()
-	if !l.powerLost(n.Returning) {
-		if n.Returning {
-			a.startWaves(n)
+// recoverFromPowerLoss checks for a power loss and prepares the return. All earlier leases are
+// revoked even if they have not expired by the clock, which may be wrong, so that operations pause.
+// Lost processes do not count as crashed, and the instances start in waves. The caller writes change
+// to the record before any instance starts. If the agent is killed before that, the next one
+// detects the same loss again; if it is killed later, the next one continues with the waves.
+func (a *Agent) recoverFromPowerLoss(detector *lossDetector, change *store.Change, now time.Time) {
+	losses := a.readLosses()
+	if !detector.powerLost(losses.Returning) {
+		if losses.Returning {
+			a.startWaves(losses)
 		}
 		return
 	}
-	n.Epoch++
-	n.Recent++
-	n.Returning = true
-	a.writeLosses(n)
-	begin.Leases = a.leases.RevokeAll()
-	a.leases.Put(begin.Leases)
-	for _, i := range l.lost {
+	losses.Epoch++
+	losses.Recent++
+	losses.Returning = true
+	a.writeLosses(losses)
+	change.Leases = a.leases.RevokeAll()
+	a.leases.Put(change.Leases)
+	for _, i := range detector.lost {
 		i.exitedGeneration = 0
-		i.stored.LastExit = "lost with the host's power"
+		i.stored.LastExit = "ended when the host lost power"
 	}
-	for k := range begin.Instances {
-		if i := a.instances[begin.Instances[k].Name]; i != nil {
-			begin.Instances[k] = i.stored
+	for n := range change.Instances {
+		if i := a.instances[change.Instances[n].Name]; i != nil {
+			change.Instances[n] = i.stored
 		}
 	}
 	paused := 0
@@ -86,45 +87,47 @@
 			paused++
 		}
 	}
-	begin.Audit = append(begin.Audit, api.AuditEntry{At: now, Who: "agent", What: "power loss", Target: a.config.Name,
-		Result: fmt.Sprintf("epoch %d: %d instances lost, %d leases void, %d operations hold", n.Epoch, len(l.lost), len(begin.Leases), paused)})
-	slog.Warn(powerLossMessage, "epoch", n.Epoch, "recent", n.Recent, "lost", len(l.lost), "operations_held", paused)
-	a.startWaves(n)
+	change.Audit = append(change.Audit, api.AuditEntry{At: now, Who: "agent", What: "power loss", Target: a.config.Name,
+		Result: fmt.Sprintf("epoch %d: %d instances lost, %d leases revoked, %d operations paused", losses.Epoch, len(detector.lost), len(change.Leases), paused)})
+	slog.Warn(powerLossMessage, "epoch", losses.Epoch, "recent", losses.Recent, "lost", len(detector.lost), "operations_held", paused)
+	a.startWaves(losses)
 }
 
-// startWaves assigns the instances that should run to waves.
-func (a *Agent) startWaves(n lossCounter) {
+// startWaves begins the return: it assigns the instances that should run to waves.
+func (a *Agent) startWaves(losses lossCounter) {
 	var places []recovery.Place
 	for _, name := range a.instanceNames {
 		if i := a.instances[name]; i.stored.Desired == api.Running {
 			places = append(places, recovery.Place{Name: name, Shop: i.config.Labels[a.config.Recovery.Shop], Zone: i.config.Labels[a.config.Recovery.Zone]})
 		}
 	}
-	waves := recovery.Waves(places, a.config.Recovery.MaxWave)
-	a.powerReturn = &powerReturn{epoch: n.Epoch, pace: recovery.NewPace(recovery.PaceConfig{
-		MinInterval: time.Duration(a.config.Recovery.MinWave), MaxInterval: time.Duration(a.config.Recovery.WaveLongest), ConsecutiveLosses: n.Recent,
+	waves := recovery.Waves(places, a.config.Recovery.MaxWaveSize)
+	a.powerReturn = &powerReturn{epoch: losses.Epoch, pace: recovery.NewPace(recovery.PaceConfig{
+		MinInterval: time.Duration(a.config.Recovery.MinWaveInterval), MaxInterval: time.Duration(a.config.Recovery.MaxWaveInterval), ConsecutiveLosses: losses.Recent,
 	}, waves, 0)}
 }
 
-// mustWait says whether an instance has to wait for its wave, and lets the pace know of an
-// instance that no longer starts. Without a return (nil) no instance waits.
-func (b *powerReturn) mustWait(now time.Duration, i *instance) bool {
-	if b == nil || b.pace == nil {
+// mustWait reports whether an instance has to wait for its wave at now, the time since the agent's
+// start. It also tells the pace if the instance is no longer starting, because the next wave may
+// depend on that. If r is nil, there is no return and no instance waits. The caller holds the
+// agent's mu.
+func (r *powerReturn) mustWait(now time.Duration, i *instance) bool {
+	if r == nil || r.pace == nil {
 		return false
 	}
 	switch i.supervisor.Phase() {
 	case supervisor.Ready, supervisor.Unready, supervisor.Backoff, supervisor.Crashloop, supervisor.Draining:
-		b.pace.Done(i.config.Name)
+		r.pace.Done(i.config.Name)
 	case supervisor.Stopped:
 		if i.stored.Desired != api.Running {
-			b.pace.Done(i.config.Name)
+			r.pace.Done(i.config.Name)
 		}
 	}
-	return !b.pace.MayStart(now, i.config.Name)
+	return !r.pace.MayStart(now, i.config.Name)
 }
 
-// returnProgress describes the progress of a return, "" if none is going on, and returns the
-// epoch of the latest loss. The lock is held.
+// returnProgress describes the progress of the return, "" if none is in progress, and returns the
+// number of the latest recent power loss, 0 for none. The caller holds a.mu.
 func (a *Agent) returnProgress() (how string, epoch int64) {
 	if a.powerReturn == nil {
 		return "", 0
@@ -141,26 +144,26 @@
 			}
 		}
 	}
-	return fmt.Sprintf("loss %d, %d of %d instances are ready", a.powerReturn.epoch, ready, wanted), a.powerReturn.epoch
+	return fmt.Sprintf("loss %d: %d of %d instances are ready", a.powerReturn.epoch, ready, wanted), a.powerReturn.epoch
 }
 
-// settlePowerReturn ends the return once all waves have started, and resets the count of recent
-// losses after stableDelay. up is how long the agent has run. The lock is held.
-func (a *Agent) settlePowerReturn(up time.Duration) {
+// updatePowerReturn ends the return once all waves have started, and resets the count of recent
+// losses after stableDelay. up is how long the agent has run. The caller holds a.mu.
+func (a *Agent) updatePowerReturn(up time.Duration) {
 	if a.powerReturn == nil {
 		return
 	}
 	if a.powerReturn.pace != nil && a.powerReturn.pace.Finished(up) {
 		a.powerReturn.pace = nil
-		n := a.readLosses()
-		n.Returning = false
-		a.writeLosses(n)
-		slog.Info("all waves started", "epoch", a.powerReturn.epoch, "after", up.Round(time.Millisecond))
+		losses := a.readLosses()
+		losses.Returning = false
+		a.writeLosses(losses)
+		slog.Info("all waves after the power loss have started", "epoch", a.powerReturn.epoch, "after", up.Round(time.Millisecond))
 	}
 	if up >= stableDelay {
-		n := a.readLosses()
-		n.Recent = 0
-		a.writeLosses(n)
+		losses := a.readLosses()
+		losses.Recent = 0
+		a.writeLosses(losses)
 		a.powerReturn = nil
 	}
 }
--- a/internal/fleet/host/agent/power_loss_count.go
+++ b/internal/fleet/host/agent/power_loss_count.go
@@ -12,37 +12,37 @@
 // lossCounter is the content of the file that counts the host's power losses. It holds no time:
 // the clock may be wrong after a power loss.
 type lossCounter struct {
-	Version int   `json:"version"`
-	Epoch   int64 `json:"epoch"`  // all losses of the host
-	Recent  int   `json:"recent"` // losses since the host was last stable
-	// Returning says that not all waves after the latest loss have started.
+	Version int   `json:"version"` // of the file's format
+	Epoch   int64 `json:"epoch"`   // all losses of the host
+	Recent  int   `json:"recent"`  // losses since the host was last stable
+	// Returning is set until all waves after the latest loss have started.
 	Returning bool `json:"returning"`
 }
 
-// readLosses reads the counter. A file that can't be read counts as one recent loss, which only
-// slows the waves of a later one.
+// readLosses reads the counter. If the file can't be read or is invalid, the result is one recent
+// loss, whose only effect is more time between the waves after a later loss.
 func (a *Agent) readLosses() lossCounter {
 	data, err := os.ReadFile(a.lossesPath())
 	if errors.Is(err, fs.ErrNotExist) {
 		return lossCounter{Version: 1}
 	}
-	var l lossCounter
+	var losses lossCounter
 	if err == nil {
-		err = json.Unmarshal(data, &l)
+		err = json.Unmarshal(data, &losses)
 	}
-	if err == nil && (l.Version != 1 || l.Epoch < 0 || l.Recent < 0) {
-		err = fmt.Errorf("version %d, epoch %d, recent %d", l.Version, l.Epoch, l.Recent)
+	if err == nil && (losses.Version != 1 || losses.Epoch < 0 || losses.Recent < 0) {
+		err = fmt.Errorf("invalid counter: version %d, epoch %d, recent %d", losses.Version, losses.Epoch, losses.Recent)
 	}
 	if err != nil {
-		slog.Warn("power loss counter not trusted", "file", a.lossesPath(), "err", err, "advice", "nothing: it is written anew; tokens in the record fence by themselves")
+		slog.Warn("power loss counter ignored: it can't be read or is invalid", "file", a.lossesPath(), "err", err, "advice", "none needed: the agent rewrites the file, and the lease tokens in the record still fence stale holders")
 		return lossCounter{Version: 1, Recent: 1}
 	}
-	return l
+	return losses
 }
 
-// writeLosses writes the counter. A failed write is only logged: the agent serves on.
-func (a *Agent) writeLosses(l lossCounter) {
-	data, err := json.Marshal(l)
+// writeLosses writes the counter. A failed write is only logged, and the agent continues.
+func (a *Agent) writeLosses(losses lossCounter) {
+	data, err := json.Marshal(losses)
 	if err == nil {
 		err = writeFile(a.lossesPath(), data)
 	}
--- a/internal/fleet/host/agent/serve.go
+++ b/internal/fleet/host/agent/serve.go
@@ -11,31 +11,32 @@
 	"martendrum/internal/msgpackrpc"
 )
 
-// method is a method of the API and the role that its callers need; "" is none.
+// method is a method of the API and the role that its callers need; with the role "", every caller
+// may call it.
 type method struct {
 	role string
 	call func(a *Agent, ctx context.Context, c *caller, params msgpack.RawMessage) (any, error)
 }
 
-// typed returns a method that decodes its only parameter, a map, for f. A call without parameters
-// gets the zero value.
-func typed[In any](role string, f func(a *Agent, ctx context.Context, c *caller, in *In) (any, error)) method {
+// typed returns a method that decodes the call's only parameter, a map, and passes it to serve. For
+// a call without parameters, serve gets the zero value.
+func typed[In any](role string, serve func(a *Agent, ctx context.Context, c *caller, in *In) (any, error)) method {
 	return method{role, func(a *Agent, ctx context.Context, c *caller, params msgpack.RawMessage) (any, error) {
 		var in In
 		var list []msgpack.RawMessage
 		if err := msgpack.Unmarshal(params, &list); err != nil || len(list) > 1 {
-			return nil, api.Errorf(api.InvalidParams, "%d parameters; want one, a map", len(list))
+			return nil, api.Errorf(api.InvalidParams, "got %d parameters; want one, a map", len(list))
 		}
 		if len(list) == 1 {
 			if err := msgpack.Unmarshal(list[0], &in); err != nil {
 				return nil, api.Errorf(api.InvalidParams, "parameter of %s: %v", reflect.TypeFor[In]().Name(), err)
 			}
 		}
-		return f(a, ctx, c, &in)
+		return serve(a, ctx, c, &in)
 	}}
 }
 
-// methods are those of the API by name.
+// methods holds the methods of the API by name.
 var methods map[string]method
 
 func init() {
@@ -71,7 +72,7 @@
 	}
 }
 
-// handle answers a call. Every error that it returns is an api.Error.
+// handle serves a call. Every error that it returns is an *api.Error.
 func (a *Agent) handle(ctx context.Context, r *msgpackrpc.Request) (any, error) {
 	c := r.Peer.State.(*caller)
 	m, ok := methods[r.Method]
@@ -82,11 +83,11 @@
 	case r.Notify:
 		return nil, nil // the API has no notifications
 	case !ok:
-		return nil, api.Errorf(api.NoMethod, "agent %s has no method %q; it speaks version %d", a.config.Name, r.Method, api.Version)
+		return nil, api.Errorf(api.NoMethod, "agent %s has no method %q; it supports version %d of the API", a.config.Name, r.Method, api.Version)
 	case who == "" && r.Method != api.Hello:
-		return nil, api.Errorf(api.NotWelcomed, "%s before %s: say which versions you speak first", r.Method, api.Hello)
+		return nil, api.Errorf(api.NotWelcomed, "%s was called before %s, which must be the first call of a connection", r.Method, api.Hello)
 	case m.role == api.Operate && c.role != api.Operate, m.role == api.View && c.role == "":
-		return nil, api.Errorf(api.Forbidden, "%s needs the role %q; %s has %q at agent %s", r.Method, m.role, c.id, c.role, a.config.Name)
+		return nil, api.Errorf(api.Forbidden, "%s needs the role %q; %s has the role %q at agent %s", r.Method, m.role, c.id, c.role, a.config.Name)
 	}
 	out, err := m.call(a, ctx, c, r.Params)
 	if err == nil {
--- a/internal/fleet/host/agent/serve_operations.go
+++ b/internal/fleet/host/agent/serve_operations.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	maxStatusWait  = 10 * time.Second // of op.status
+	maxStatusWait  = 10 * time.Second // of a call of op.status for a change
 	maxStepWait    = time.Hour        // of a step, for readiness and for the soak
 	maxOperationID = 64               // bytes
 	maxLeaseHolder = 200              // bytes
 	maxTargets     = 10000            // of an operation
-	maxLogs        = 256 << 10        // bytes of one answer
-	maxConnections = 128              // without those of a relay's subscribers
+	maxLogs        = 256 << 10        // bytes of a log or a configuration in one response
+	maxConnections = 128              // besides those of a relay's subscribers and other relays
 )
 
-// operationActions are those that an operation may have.
+// operationActions are the valid actions of an operation.
 var operationActions = []string{
 	api.ActStart, api.ActStop, api.ActDrain, api.ActUndrain, api.ActRestart, api.ActReload,
 	api.ActUpgrade, api.ActRollback, api.ActSettings,
 }
 
-// opOpen opens an operation on its instances here and acquires their leases. A repeated call
-// of the same operation acquires the leases again; the operation stays as it was first opened.
+// opOpen opens an operation on its targets here and acquires their leases. A repeated call for the
+// same operation acquires the leases again; the operation stays as it was first opened.
 func (a *Agent) opOpen(_ context.Context, c *caller, in *api.OpenIn) (any, error) {
 	o := &in.Operation
 	if err := a.checkOpen(in); err != nil {
@@ -47,16 +47,16 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if how, _ := a.returnProgress(); how != "" {
-		e := &api.ReturningError{Host: a.config.Name, How: how}
-		return nil, api.Errorf(api.LeaseHeld, "%v: %s", e, e.Advice())
+	if progress, _ := a.returnProgress(); progress != "" {
+		err := &api.ReturningError{Host: a.config.Name, How: progress}
+		return nil, api.Errorf(api.LeaseHeld, "%v: %s", err, err.Advice())
 	}
 	existing := a.operations[o.ID]
 	if existing != nil {
 		if existing.State != api.OpOpened {
 			return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s: %s", o.ID, existing.State, a.config.Name, existing.Result)
 		}
-		o = &existing.Operation // as stored, whatever this call says
+		o = &existing.Operation // as stored; the operation in this call is ignored
 	}
 	now := time.Now()
 	leases, err := a.acquireLeases(o, in, now)
@@ -83,13 +83,13 @@
 	o := &in.Operation
 	switch {
 	case o.ID == "" || len(o.ID) > maxOperationID || in.LeaseHolder == "" || len(in.LeaseHolder) > maxLeaseHolder:
-		return api.Errorf(api.InvalidParams, "operation and holder need names")
+		return api.Errorf(api.InvalidParams, "the operation's ID or the lease holder's name is empty or too long")
 	case !slices.Contains(operationActions, o.Action):
 		return api.Errorf(api.InvalidParams, "unknown action %q", o.Action)
 	case len(o.Targets) > maxTargets:
-		return api.Errorf(api.InvalidParams, "%d targets; %d at most", len(o.Targets), maxTargets)
+		return api.Errorf(api.InvalidParams, "%d targets; want %d at most", len(o.Targets), maxTargets)
 	case o.Ready <= 0 || o.Soak < 0 || o.Ready > maxStepWait || o.Soak > maxStepWait:
-		return api.Errorf(api.InvalidParams, "ready %v, soak %v; want above 0, 0 or more, and an hour at most", o.Ready, o.Soak)
+		return api.Errorf(api.InvalidParams, "ready %v, soak %v; want ready above 0, soak 0 or more, and both an hour at most", o.Ready, o.Soak)
 	}
 	if err := o.Policy.Check(len(o.Targets)); err != nil {
 		return api.Errorf(api.InvalidParams, "%v", err)
@@ -98,13 +98,13 @@
 		return err
 	}
 	if len(o.Places) != 0 && len(o.Places) != len(o.Targets) {
-		return api.Errorf(api.InvalidParams, "%d places of %d targets", len(o.Places), len(o.Targets))
+		return api.Errorf(api.InvalidParams, "%d places for %d targets; want one place for each target, or none", len(o.Places), len(o.Targets))
 	}
 	return nil
 }
 
-// checkStaged checks the plan of a staged change and that its canary analysis samples at this
-// agent's interval.
+// checkStaged checks the plan of a staged change, and that its canary analysis expects samples at
+// this agent's interval.
 func (a *Agent) checkStaged(o *api.Operation) error {
 	staged := o.Staged
 	if staged == nil {
@@ -114,14 +114,14 @@
 		return api.Errorf(api.InvalidParams, "%v", err)
 	}
 	if slot := time.Duration(a.config.Metrics.Slot); staged.Judge.Slot != slot {
-		return api.Errorf(api.InvalidParams, "agent %s takes figures each %v and operation %s is judged each %v: set figures.slot alike at all hosts", a.config.Name, slot, o.ID, staged.Judge.Slot)
+		return api.Errorf(api.InvalidParams, "agent %s collects metrics every %v, but operation %s needs them every %v: set the same figures.slot at all hosts", a.config.Name, slot, o.ID, staged.Judge.Slot)
 	}
 	return nil
 }
 
-// acquireLeases returns the leases of an operation's instances here; the caller stores them.
-// An open operation blocks others on its instances even when nobody holds its leases. The
-// lock is held.
+// acquireLeases returns new leases of an operation's targets here; the caller stores them. An open
+// operation blocks other operations on its targets even when its leases have expired. The caller
+// holds a.mu.
 func (a *Agent) acquireLeases(o *api.Operation, in *api.OpenIn, now time.Time) ([]lease.Lease, error) {
 	names, err := a.localTargets(o)
 	if err != nil {
@@ -148,7 +148,8 @@
 	return leases, nil
 }
 
-// opClose closes an operation for the holder of its leases. A closed one is returned as it is.
+// opClose closes an operation for the holder of its leases. An operation that is already closed is
+// returned unchanged.
 func (a *Agent) opClose(_ context.Context, c *caller, in *api.CloseIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -164,12 +165,12 @@
 		return nil, err
 	}
 	for _, name := range names {
-		if err := a.fenced(a.leases.Check(time.Now(), o.ID, in.Token, name)); err != nil {
+		if err := a.fencedError(a.leases.Check(time.Now(), o.ID, in.Token, name)); err != nil {
 			return nil, err
 		}
 	}
 	if a.hasRunningStep(o.ID) {
-		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is under way at agent %s", o.ID, a.config.Name)
+		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is still running at agent %s", o.ID, a.config.Name)
 	}
 	if err := a.closeOperation(o, in.Result, c.who); err != nil {
 		return nil, err
@@ -177,7 +178,8 @@
 	return a.operationStatus(o), nil
 }
 
-// opAbort lets an operation begin no more steps. It needs no lease, so that anyone may stop one.
+// opAbort makes an operation begin no further steps. It needs no lease, so that every operator can
+// stop an operation.
 func (a *Agent) opAbort(_ context.Context, c *caller, in *api.AbortIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -198,22 +200,23 @@
 	return a.operationStatus(o), nil
 }
 
-// opList returns all operations without their targets and instances.
+// opList returns the status of all operations, without targets and instances.
 func (a *Agent) opList(_ context.Context, _ *caller, _ *api.Empty) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := &api.OpsOut{}
 	for _, o := range a.operations {
-		x := a.operationStatus(o)
-		x.Instances = nil
-		x.Operation.Targets = nil
-		out.Ops = append(out.Ops, *x)
+		status := a.operationStatus(o)
+		status.Instances = nil
+		status.Operation.Targets = nil
+		out.Ops = append(out.Ops, *status)
 	}
 	return out, nil
 }
 
-// opStatus returns an operation, and waits for a change if the caller wants that. With a token
-// it renews the caller's leases.
+// opStatus returns the status of an operation. If in.Wait is not 0, it first waits up to that time
+// until the agent's change number exceeds in.After. If in.Token is not 0, it renews the caller's
+// leases.
 func (a *Agent) opStatus(ctx context.Context, _ *caller, in *api.StatusIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -236,8 +239,8 @@
 	return a.operationStatus(o), nil
 }
 
-// awaitChange waits for the next change and says whether one came before the timeout, the end of
-// ctx or that of the agent. The lock is held, and released while it waits.
+// awaitChange waits for the next change. It reports whether there was one before the timeout, the
+// end of ctx or the end of the agent. The caller holds a.mu, which is released during the wait.
 func (a *Agent) awaitChange(ctx context.Context, timeout <-chan time.Time) bool {
 	changed := a.changed
 	a.mu.Unlock()
@@ -252,17 +255,17 @@
 	return false
 }
 
-// renew extends the caller's leases. The record is written only once a third of their time has
-// passed. The lock is held.
+// renew checks the caller's leases and extends them. To save writes of the record, it extends them
+// only once a third of their time has passed. The caller holds a.mu.
 func (a *Agent) renew(o *store.Operation, in *api.StatusIn) error {
 	names, err := a.localTargets(&o.Operation)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	ls, err := a.leases.Renew(now, o.ID, in.Token, names, in.TTL)
+	leases, err := a.leases.Renew(now, o.ID, in.Token, names, in.TTL)
 	if _, ok := errors.AsType[*lease.FencedError](err); ok {
-		return a.fenced(err)
+		return a.fencedError(err)
 	}
 	if err != nil {
 		return api.Errorf(api.InvalidParams, "%v", err)
@@ -270,14 +273,15 @@
 	if a.leases.ByInstance[names[0]].Expires.Sub(now) > in.TTL*2/3 {
 		return nil
 	}
-	if err := a.commit(&store.Change{Leases: ls}); err != nil {
+	if err := a.commit(&store.Change{Leases: leases}); err != nil {
 		return err
 	}
-	a.leases.Put(ls)
+	a.leases.Put(leases)
 	return nil
 }
 
-// opNote records the progress of a staged change. A note that is not newer is ignored.
+// opNote records the progress of a staged change. A note is ignored if its number is not higher
+// than that of the recorded one.
 func (a *Agent) opNote(_ context.Context, c *caller, in *api.NoteIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -289,14 +293,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := a.fenced(a.leases.Check(time.Now(), o.ID, in.Token, names[0])); err != nil {
+	if err := a.fencedError(a.leases.Check(time.Now(), o.ID, in.Token, names[0])); err != nil {
 		return nil, err
 	}
 	switch {
 	case o.State != api.OpOpened:
 		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.config.Name)
 	case len(in.Note.Log) > api.MaxVerdicts:
-		return nil, api.Errorf(api.InvalidParams, "%d verdicts in a note; %d at most", len(in.Note.Log), api.MaxVerdicts)
+		return nil, api.Errorf(api.InvalidParams, "%d verdicts in a note; want %d at most", len(in.Note.Log), api.MaxVerdicts)
 	case o.Note != nil && o.Note.Number >= in.Note.Number:
 		return a.operationStatus(o), nil
 	}
--- a/internal/fleet/host/agent/serve_settings.go
+++ b/internal/fleet/host/agent/serve_settings.go
@@ -11,33 +11,35 @@
 	"martendrum/internal/fleet/store"
 )
 
-// servedRelay returns the agent's relay, or an error if it is none.
+// servedRelay returns the agent's relay, or an error if the agent is not a relay.
 func (a *Agent) servedRelay() (*node.Relay, error) {
 	if a.relay == nil {
-		return nil, api.Errorf(api.NotRelay, "agent %s is no relay: its configuration has no [relay]", a.config.Name)
+		return nil, api.Errorf(api.NotRelay, "agent %s is not a relay: its configuration has no section [relay]", a.config.Name)
 	}
 	return a.relay, nil
 }
 
-// speaksFor checks that a caller may act for a host. Over TLS it needs the host's certificate.
-func (a *Agent) speaksFor(c *caller, name string) error {
+// checkActsForHost checks that a caller may act for a host. Over TLS the caller needs the host's
+// certificate.
+func (a *Agent) checkActsForHost(c *caller, name string) error {
 	if !c.certified || c.id == name {
 		return nil
 	}
-	return api.Errorf(api.Forbidden, "%s may not speak for %s at agent %s", c.id, name, a.config.Name)
+	return api.Errorf(api.Forbidden, "%s may not act for %s at agent %s", c.id, name, a.config.Name)
 }
 
-// speaksForRelay checks that a caller may act for one of the configured relays.
-func (a *Agent) speaksForRelay(c *caller, name string) error {
+// checkActsForRelay checks that a name is that of a configured relay and that a caller may act for
+// that relay.
+func (a *Agent) checkActsForRelay(c *caller, name string) error {
 	for _, relay := range a.config.Distribution.Relays {
 		if relay.Name == name {
-			return a.speaksFor(c, name)
+			return a.checkActsForHost(c, name)
 		}
 	}
-	return api.Errorf(api.Forbidden, "%s is none of the relays of agent %s", name, a.config.Name)
+	return api.Errorf(api.Forbidden, "%s is not a relay in the configuration of agent %s", name, a.config.Name)
 }
 
-// settingsPut publishes a settings resource.
+// settingsPut publishes a settings resource through the relay.
 func (a *Agent) settingsPut(_ context.Context, c *caller, in *distribution.Put) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -54,7 +56,7 @@
 	return out, nil
 }
 
-// settingsPromote makes this relay the writer.
+// settingsPromote makes the agent's relay the writer.
 func (a *Agent) settingsPromote(_ context.Context, c *caller, _ *api.Empty) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -68,15 +70,15 @@
 	return out, nil
 }
 
-// auditSettings adds an entry to the audit log. The change has been made: an entry that can't be
-// written is only logged.
+// auditSettings adds an entry to the audit log for a change of settings that has been made. An
+// entry that can't be written is only logged.
 func (a *Agent) auditSettings(c *caller, what, target, result string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.commit(&store.Change{Audit: []api.AuditEntry{{At: time.Now(), Who: c.who, What: what, Target: target, Result: result}}})
 }
 
-// settingsGet returns settings resources.
+// settingsGet returns the settings resources that the caller selects.
 func (a *Agent) settingsGet(_ context.Context, _ *caller, in *api.SettingsGetIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -85,7 +87,7 @@
 	return relay.Get(in), nil
 }
 
-// settingsStatus returns the relay's state and that of its hosts.
+// settingsStatus returns the state of the relay and of the hosts.
 func (a *Agent) settingsStatus(_ context.Context, _ *caller, in *api.SettingsStatusIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
@@ -94,18 +96,18 @@
 	return relay.Status(in), nil
 }
 
-// settingsWatch waits for the next update of a host.
+// settingsWatch waits for the next update for a host that subscribes, and returns it.
 func (a *Agent) settingsWatch(ctx context.Context, c *caller, in *api.SettingsWatchIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
-	if err := a.speaksFor(c, in.Host); err != nil {
+	if err := a.checkActsForHost(c, in.Host); err != nil {
 		return nil, err
 	}
 	if in.Interest != nil {
 		if in.Interest.Host != in.Host {
-			return nil, api.Errorf(api.InvalidParams, "an interest of host %q for %q", in.Interest.Host, in.Host)
+			return nil, api.Errorf(api.InvalidParams, "the interest is that of host %q; want host %q", in.Interest.Host, in.Host)
 		}
 		if err := in.Interest.Check(); err != nil {
 			return nil, node.RejectionReason(err)
@@ -115,53 +117,54 @@
 	return out, node.RejectionReason(err)
 }
 
-// settingsAck takes a host's state.
+// settingsAck stores the state that a host reports.
 func (a *Agent) settingsAck(_ context.Context, c *caller, in *api.SettingsAckIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
-	if err := a.speaksFor(c, in.Host); err != nil {
+	if err := a.checkActsForHost(c, in.Host); err != nil {
 		return nil, err
 	}
 	relay.Ack(in)
 	return &api.Empty{}, nil
 }
 
-// settingsFollow waits for the next entries of the log, for another relay.
+// settingsFollow waits for the next entries of the log of changes, for another relay, and returns
+// them.
 func (a *Agent) settingsFollow(ctx context.Context, c *caller, in *api.SettingsFollowIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
-	if err := a.speaksForRelay(c, in.Relay); err != nil {
+	if err := a.checkActsForRelay(c, in.Relay); err != nil {
 		return nil, err
 	}
 	out, err := relay.Follow(ctx, in)
 	return out, node.RejectionReason(err)
 }
 
-// settingsReport takes the state of another relay's hosts.
+// settingsReport stores the state of another relay's hosts, which that relay reports.
 func (a *Agent) settingsReport(_ context.Context, c *caller, in *api.SettingsReportIn) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
-	if err := a.speaksForRelay(c, in.Relay); err != nil {
+	if err := a.checkActsForRelay(c, in.Relay); err != nil {
 		return nil, err
 	}
 	out, err := relay.Report(in)
 	return out, node.RejectionReason(err)
 }
 
-// settingsWriting takes who the writer is.
+// settingsWriting stores which relay is the writer, as another relay reports it.
 func (a *Agent) settingsWriting(_ context.Context, c *caller, in *api.SettingsWriter) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
 	}
 	if c.certified {
-		if err := a.speaksForRelay(c, c.id); err != nil {
+		if err := a.checkActsForRelay(c, c.id); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/fleet/host/agent/serve_view.go
+++ b/internal/fleet/host/agent/serve_view.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	maxInspectSteps = 20
-	inspectLog      = 4096 // bytes
-	maxAuditEntries = 1000
+	maxInspectSteps = 20   // in a response of inspect
+	inspectLog      = 4096 // bytes of the log in a response of inspect
+	maxAuditEntries = 1000 // in a response of audit
 )
 
-// hello negotiates the version and names the caller.
+// hello negotiates the version of the API and stores the caller's name for the audit log.
 func (a *Agent) hello(_ context.Context, c *caller, in *api.HelloIn) (any, error) {
 	if in.Oldest > api.Version || in.Version < api.Oldest {
-		return nil, api.Errorf(api.UnsupportedVersion, "agent %s speaks versions %d to %d and you %d to %d: use a martendrum of its age, or upgrade the agent",
+		return nil, api.Errorf(api.UnsupportedVersion, "agent %s supports versions %d to %d of the API, and the client %d to %d: use a martendrum of the agent's release, or upgrade the agent",
 			a.config.Name, api.Oldest, api.Version, in.Oldest, in.Version)
 	}
 	a.mu.Lock()
@@ -29,7 +29,7 @@
 	return &api.HelloOut{Version: min(in.Version, api.Version), Agent: a.config.Name, Role: c.role, Started: a.started}, nil
 }
 
-// list returns all instances.
+// list returns the status of all instances of the host.
 func (a *Agent) list(_ context.Context, _ *caller, _ *api.Empty) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -41,7 +41,7 @@
 	return out, nil
 }
 
-// findInstance returns the instance of a name. The lock is held.
+// findInstance returns the instance with a name. The caller holds a.mu.
 func (a *Agent) findInstance(name string) (*instance, error) {
 	if i := a.instances[name]; i != nil {
 		return i, nil
@@ -49,7 +49,8 @@
 	return nil, api.Errorf(api.NoInstance, "agent %s has no instance %q; it has %s", a.config.Name, name, strings.Join(a.instanceNames, ", "))
 }
 
-// inspect returns an instance with its latest steps, its configuration and the end of its log.
+// inspect returns the status of an instance with its latest steps, its configuration and the end of
+// its log.
 func (a *Agent) inspect(_ context.Context, _ *caller, in *api.InstanceIn) (any, error) {
 	a.mu.Lock()
 	i, err := a.findInstance(in.Instance)
@@ -74,7 +75,8 @@
 	return out, err
 }
 
-// logs returns a part of an instance's log.
+// logs returns a part of an instance's log from an offset, and the offset after it. A negative
+// offset counts from the end of the log.
 func (a *Agent) logs(_ context.Context, _ *caller, in *api.LogsIn) (any, error) {
 	a.mu.Lock()
 	_, err := a.findInstance(in.Instance)
@@ -91,6 +93,6 @@
 
 // audit returns the latest entries of the audit log.
 func (a *Agent) audit(ctx context.Context, _ *caller, in *api.AuditIn) (any, error) {
-	es, err := a.store.Audit(ctx, max(1, min(in.Limit, maxAuditEntries)))
-	return &api.AuditOut{Entries: es}, err
+	entries, err := a.store.Audit(ctx, max(1, min(in.Limit, maxAuditEntries)))
+	return &api.AuditOut{Entries: entries}, err
 }
--- a/internal/fleet/host/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -15,16 +15,16 @@
 	"martendrum/internal/msgpackrpc"
 )
 
-// subscription is the host's replica of the settings that its instances use. The agent's lock
-// guards it.
+// subscription is the host's subscription to the relays' settings. The agent's mu guards its
+// replica.
 type subscription struct {
-	interest   distribution.Interest
-	replica    *distribution.Replica
+	interest   distribution.Interest // which settings the host receives
+	replica    *distribution.Replica // of the settings that the host's instances use
 	subscriber *node.Subscriber
 }
 
-// startDistribution starts the relay and the subscriber that are configured, from the
-// settings in the record.
+// startDistribution starts the relay and the subscriber, those of them that are configured, with
+// the settings entries from the record.
 func (a *Agent) startDistribution(stored []distribution.Entry) error {
 	if a.config.Relay != nil {
 		if err := a.startRelay(stored); err != nil {
@@ -37,7 +37,7 @@
 	return a.startSubscriber(stored)
 }
 
-// startRelay starts to serve settings.
+// startRelay starts the relay, which serves settings to other hosts.
 func (a *Agent) startRelay(stored []distribution.Entry) error {
 	dial, err := a.relayDialer()
 	if err != nil {
@@ -48,11 +48,11 @@
 		Subscribers: a.config.Relay.Subscribers,
 		Limits:      distribution.Limits{Resources: a.config.Relay.Resources, History: a.config.Relay.History},
 		Dial:        dial, Store: a.store,
-	}, random(), stored)
+	}, randomID(), stored)
 	return err
 }
 
-// startSubscriber starts to follow the relays.
+// startSubscriber starts to receive settings from the relays and restores the instances' settings.
 func (a *Agent) startSubscriber(stored []distribution.Entry) error {
 	interest := a.interest()
 	replica, err := distribution.RestoreReplica(interest, stored)
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// interest returns what the host subscribes to: the settings for any of its instances.
+// interest returns what the host subscribes to: the settings that apply to at least one of its
+// instances.
 func (a *Agent) interest() distribution.Interest {
 	interest := distribution.Interest{Host: a.config.Name}
 	for _, name := range a.instanceNames {
@@ -89,8 +90,8 @@
 	return interest
 }
 
-// settingsLabels returns the labels that a scope matches: those of the host, overridden by the
-// instance's own.
+// settingsLabels returns the labels of an instance against which the scopes of settings are
+// matched: those of the host, overridden by the instance's own.
 func (a *Agent) settingsLabels(i *instance) map[string]string {
 	labels := map[string]string{"host": a.config.Name, "instance": i.config.Name}
 	if a.config.Distribution.Region != "" {
@@ -103,12 +104,12 @@
 	return labels
 }
 
-// relayDialer returns a dialer that uses the agent's own certificate.
+// relayDialer returns a dialer that uses the agent's own certificate, if it has one.
 func (a *Agent) relayDialer() (node.Dialer, error) {
 	var config *tls.Config
-	if t := &a.config.TLS; t.Cert != "" {
+	if files := &a.config.TLS; files.Cert != "" {
 		var err error
-		if config, err = pki.LoadTLS(t.CA, t.Cert, t.Key); err != nil {
+		if config, err = pki.LoadTLS(files.CA, files.Cert, files.Key); err != nil {
 			return nil, err
 		}
 	}
@@ -122,12 +123,12 @@
 	}, nil
 }
 
-// hostReplica implements node.Copy for the agent's subscriber.
+// hostReplica implements node.Replica for the agent's subscriber.
 type hostReplica struct{ agent *Agent }
 
-// Take implements node.Copy. The update is in the record before any instance gets it.
-func (c hostReplica) Take(update distribution.Update) error {
-	a := c.agent
+// Take implements node.Replica. The update is written to the record before any instance gets it.
+func (r hostReplica) Take(update distribution.Update) error {
+	a := r.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.settings
@@ -137,7 +138,7 @@
 		return err
 	}
 	if !changed && before.Revision().Epoch == s.replica.Revision().Epoch {
-		return nil // not worth a write: after a restart the same update is requested again
+		return nil // needs no write: after a restart the same update is requested again
 	}
 	batch := s.replica.Batch(before)
 	if err := a.commit(&store.Change{Settings: batch.Put, DropSettings: batch.Drop}); err != nil {
@@ -148,17 +149,18 @@
 	return nil
 }
 
-// State implements node.Copy.
-func (c hostReplica) State() distribution.HostState {
-	c.agent.mu.Lock()
-	defer c.agent.mu.Unlock()
-	return c.agent.hostState()
+// State implements node.Replica.
+func (r hostReplica) State() distribution.HostState {
+	r.agent.mu.Lock()
+	defer r.agent.mu.Unlock()
+	return r.agent.hostState()
 }
 
-// wantSettings passes to each instance's applier the settings for it. The lock is held.
+// wantSettings passes the settings that apply to each instance to its applier. The caller holds
+// a.mu.
 func (a *Agent) wantSettings(now time.Time) {
 	if a.settings.replica.Revision().IsZero() {
-		return // no update has arrived yet: the accepted settings stay
+		return // no update has arrived yet: the accepted settings stay in force
 	}
 	for _, i := range a.instances {
 		i.settings.applier.Want(now, a.settings.replica.For(a.config.Name, a.settingsLabels(i)))
@@ -166,8 +168,8 @@
 	}
 }
 
-// hostState returns the host's progress. An instance that should not run does not hold it back,
-// but counts again once it should run. The lock is held.
+// hostState returns how far the host has applied the settings that it received. Pending settings
+// of an instance do not count while the instance should not run. The caller holds a.mu.
 func (a *Agent) hostState() distribution.HostState {
 	received := a.settings.replica.Revision()
 	state := distribution.HostState{Received: received, Applied: received, Settled: true}
@@ -191,7 +193,8 @@
 	return state
 }
 
-// settingsEntries returns the instance's entries of the record's settings. The lock is held.
+// settingsEntries returns the instance's settings entries for the record. The caller holds the
+// agent's mu.
 func (i *instance) settingsEntries() []distribution.Entry {
 	if i.settings.applier == nil {
 		return nil
@@ -200,7 +203,7 @@
 }
 
 // instanceSettings returns the state of an instance's distributed settings for inspect, nil if the
-// host does not subscribe. The lock is held.
+// host does not subscribe. The caller holds a.mu.
 func (a *Agent) instanceSettings(i *instance) *api.InstanceSettings {
 	if i.settings.applier == nil {
 		return nil
@@ -212,7 +215,7 @@
 	if i.settings.applier.Pending() {
 		out.Waiting = a.settingsWait(i, time.Now())
 		if out.Waiting == "" {
-			out.Waiting = "changes are gathered"
+			out.Waiting = "further changes may arrive within the coalescing delay"
 		}
 	}
 	return out
--- a/internal/fleet/host/agent/settings_apply.go
+++ b/internal/fleet/host/agent/settings_apply.go
@@ -12,8 +12,8 @@
 	"martendrum/internal/fleet/store"
 )
 
-// settingsAttempt is an attempt to apply distributed settings: the configuration is written, the
-// process has been sent SIGHUP and its answer is pending.
+// settingsAttempt is an attempt to apply distributed settings: the configuration has been written,
+// the process has been sent SIGHUP, and it has not yet reported which configuration it runs.
 type settingsAttempt struct {
 	process    *Process
 	configHash string    // of the configuration that was written
@@ -23,47 +23,48 @@
 // settingsState is the state of an instance's distributed settings.
 type settingsState struct {
 	applier *distribution.Applier // nil: the host does not subscribe
-	attempt *settingsAttempt      // nil: none
-	// attemptCrashes counts the processes that exited during an attempt since the last answer.
+	attempt *settingsAttempt      // the attempt in progress; nil: none
+	// attemptCrashes counts the attempts during which the process exited, since settings were last
+	// accepted or rejected.
 	attemptCrashes int
 	program        string // the release of the latest process; "": unknown
-	// settledAt is the latest revision at which no settings were pending.
+	// settledAt is the latest revision at which no settings were pending for the instance.
 	settledAt distribution.Revision
-	// pendingReported says that the relay was notified of pending settings.
+	// pendingReported means that the relay was notified of pending settings.
 	pendingReported bool
 }
 
-// maxCrashes is the number of processes that exit during an attempt with the same settings until
-// these count as rejected: the first exit may have had another cause.
-const maxCrashes = 2
+// maxAttemptCrashes is how many times the process must exit during an attempt until the settings
+// count as rejected. The first exit may have had another cause.
+const maxAttemptCrashes = 2
 
-// unconfirmedDelay is the time until settings count as accepted by a program that does not report
-// which configuration it runs.
+// unconfirmedDelay is the time from SIGHUP until a configuration counts as accepted by a program
+// that does not report which configuration it runs.
 const unconfirmedDelay = time.Second
 
 // settingsWait returns why settings can't be applied to an instance now, "" if they can. An
-// operation that holds a live lease or has a running step takes precedence; distributed settings
-// follow when it ends. The lock is held.
+// operation that holds a live lease or has a running step takes precedence: distributed settings
+// are applied when it ends. The caller holds a.mu.
 func (a *Agent) settingsWait(i *instance, now time.Time) string {
 	switch lease := a.leases.ByInstance[i.config.Name]; {
 	case i.step != nil:
-		return "operation " + i.step.Op + " changes it"
+		return "operation " + i.step.Op + " is changing the instance"
 	case lease.Live(now):
-		return "operation " + lease.Op + " holds it"
+		return "operation " + lease.Op + " holds its lease"
 	case i.process == nil || i.supervisor.Phase() != supervisor.Ready:
-		return fmt.Sprintf("it is %s", i.supervisor.Phase())
+		return fmt.Sprintf("the instance is %s", i.supervisor.Phase())
 	case i.previous != nil:
-		return "a new process takes over"
+		return "a new process is replacing the previous one"
 	case now.Sub(i.stored.Launched) < minReloadAge:
-		return "its process has just begun"
+		return "its process has just started"
 	case i.settings.attempt != nil:
-		return "its answer is awaited"
+		return "the process has not yet confirmed the settings"
 	}
 	return ""
 }
 
-// applySettings advances the attempt to apply distributed settings, or starts one. It returns when
-// it should be called again; zero means at the next event.
+// applySettings advances the attempt to apply distributed settings, or starts one if settings are
+// pending. It returns when it should be called again; the zero time means at the next event.
 func (a *Agent) applySettings(i *instance) time.Time {
 	a.mu.Lock()
 	if i.settings.applier == nil {
@@ -73,11 +74,11 @@
 	now := time.Now()
 	a.reportPending(i)
 	if i.settings.attempt != nil {
-		process, hash := i.settings.attempt.process, i.stored.Running
+		process, releaseHash := i.settings.attempt.process, i.stored.Running
 		rejected := a.settleAttempt(i, now)
 		a.mu.Unlock()
 		if rejected {
-			a.restoreSettings(i, process, hash)
+			a.restoreSettings(i, process, releaseHash)
 		}
 		return time.Time{}
 	}
@@ -94,9 +95,9 @@
 		a.mu.Unlock()
 		return now.Add(activeInterval)
 	}
-	settings, process, hash := i.settings.applier.Begin(), i.process, i.stored.Running
+	settings, process, releaseHash := i.settings.applier.Begin(), i.process, i.stored.Running
 	a.mu.Unlock()
-	configHash, err := a.configureWith(i, hash, settings, random())
+	configHash, err := a.configureWith(i, releaseHash, settings, randomID())
 	if err == nil {
 		err = process.Signal(syscall.SIGHUP)
 	}
@@ -110,9 +111,9 @@
 	return now.Add(activeInterval)
 }
 
-// reportPending notifies the relay when settings become pending for an instance or cease to be.
-// That can happen without an update or an attempt, for example when an operation starts the
-// instance. The lock is held.
+// reportPending notifies the relay when settings become pending for an instance and when they no
+// longer are. That can happen without an update or an attempt, for example when an operation starts
+// the instance. The caller holds a.mu.
 func (a *Agent) reportPending(i *instance) {
 	pending := i.stored.Desired == api.Running && i.settings.applier.Pending()
 	if pending == i.settings.pendingReported {
@@ -122,8 +123,8 @@
 	a.settings.subscriber.Changed()
 }
 
-// settleAttempt ends an attempt that has an outcome. It says whether a process that still runs
-// has rejected the settings. The lock is held.
+// settleAttempt ends the attempt if it has an outcome. It reports whether the settings were
+// rejected by a process that still runs. The caller holds a.mu.
 func (a *Agent) settleAttempt(i *instance, now time.Time) (rejected bool) {
 	waited := now.Sub(i.settings.attempt.sent)
 	switch {
@@ -131,7 +132,7 @@
 		i.settings.attempt = nil
 		i.settings.applier.Abandon()
 	case i.process != i.settings.attempt.process:
-		a.crashedAttempt(i)
+		a.endCrashedAttempt(i)
 	case i.reported.configHash == i.settings.attempt.configHash, i.reported.configHash == "" && waited > unconfirmedDelay:
 		a.endAttempt(i, true, "")
 	case waited > reloadTimeout:
@@ -141,19 +142,21 @@
 	return false
 }
 
-// crashedAttempt takes the exit of a process during an attempt. The next process starts with the
-// last accepted settings. The lock is held.
-func (a *Agent) crashedAttempt(i *instance) {
+// endCrashedAttempt ends an attempt during which the process exited. The settings stay pending until
+// maxAttemptCrashes is reached. The next process starts with the last accepted settings. The caller
+// holds a.mu.
+func (a *Agent) endCrashedAttempt(i *instance) {
 	i.settings.attemptCrashes++
-	if i.settings.attemptCrashes < maxCrashes {
+	if i.settings.attemptCrashes < maxAttemptCrashes {
 		i.settings.attempt = nil
 		i.settings.applier.Abandon()
 		return
 	}
-	a.endAttempt(i, false, "its process ended while it took them: "+i.stored.LastExit)
+	a.endAttempt(i, false, "its process ended while it applied them: "+i.stored.LastExit)
 }
 
-// endAttempt ends an attempt with the instance's answer. The lock is held.
+// endAttempt ends an attempt whose settings were accepted, or rejected with a reason. The caller
+// holds a.mu.
 func (a *Agent) endAttempt(i *instance, accepted bool, reason string) {
 	i.settings.attempt, i.settings.attemptCrashes = nil, 0
 	i.settings.applier.Done(accepted, reason)
@@ -163,20 +166,22 @@
 	a.settings.subscriber.Changed()
 }
 
-// restoreSettings writes the last accepted settings to an instance that has rejected others, and
-// makes it reload: a process that was only late may have applied the others by now.
-func (a *Agent) restoreSettings(i *instance, process *Process, hash string) {
-	err := a.configure(i, hash, random())
+// restoreSettings writes a configuration with the last accepted settings for an instance that has
+// rejected others, and makes the process reload it, because a process that was only slow to respond
+// may have applied the rejected settings by now.
+func (a *Agent) restoreSettings(i *instance, process *Process, releaseHash string) {
+	err := a.configure(i, releaseHash, randomID())
 	if err == nil {
 		err = process.Signal(syscall.SIGHUP)
 	}
 	if err != nil {
-		slog.Warn("configuration file may contain rejected settings", "instance", i.config.Name, "err", err)
+		slog.Warn("configuration file may still contain rejected settings", "instance", i.config.Name, "err", err)
 	}
 }
 
-// programStarted lets settings that another program rejected be tried again, after the start of
-// a process. Until then the instance counts as having no settings. The lock is held.
+// programStarted is called after the start of a process of a release. If the previous process was
+// of another release, settings that it rejected are tried again. Until then the instance counts as
+// having applied no settings. The caller holds the agent's mu.
 func (i *instance) programStarted(release string, now time.Time) {
 	before := i.settings.program
 	i.settings.program = release
--- a/internal/fleet/host/agent/settings_subscriber_test.go
+++ b/internal/fleet/host/agent/settings_subscriber_test.go
@@ -12,34 +12,34 @@
 	"martendrum/internal/fleet/distribution/node"
 )
 
-// hostCopy is a replica whose state a test sets.
-type hostCopy struct {
+// fakeReplica is a host's replica whose state a test sets. It ignores updates.
+type fakeReplica struct {
 	mu    sync.Mutex
 	state distribution.HostState
 }
 
-func (c *hostCopy) Take(distribution.Update) error { return nil }
+func (c *fakeReplica) Take(distribution.Update) error { return nil }
 
-func (c *hostCopy) State() distribution.HostState {
+func (c *fakeReplica) State() distribution.HostState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state
 }
 
-func (c *hostCopy) settle() {
+func (c *fakeReplica) settle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.Settled = true
 }
 
-// relayConn is a connection to a simulated relay: calls wait until the test answers.
+// relayConn is a connection to a simulated relay. A call waits until the test answers it.
 type relayConn struct {
 	calls  chan relayCall
 	closed chan struct{}
 	once   sync.Once
 }
 
-// relayCall is a call in flight; a value sent to answer ends it.
+// relayCall is a call in flight. The value sent to answer is the call's result.
 type relayCall struct {
 	method string
 	in     any
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// next returns the next call of a method; those of other methods are answered.
-func (c *relayConn) next(t *testing.T, method string) relayCall {
+// nextCall returns the next call of a method, and answers the calls of other methods before it.
+func (c *relayConn) nextCall(t *testing.T, method string) relayCall {
 	t.Helper()
 	timeout := time.After(10 * time.Second)
 	for {
@@ -88,24 +88,25 @@
 			}
 			call.answer <- nil
 		case <-timeout:
-			t.Fatalf("no call of %s", method)
+			t.Fatalf("no call of %s within 10 s", method)
 		}
 	}
 }
 
-// subscribe runs a subscriber of one relay whose connections are conns, in turn.
-func subscribe(t *testing.T, held *hostCopy, conns ...*relayConn) *node.Subscriber {
+// startSubscriber runs a subscriber of one relay until the end of the test. Each dial returns the
+// next of conns.
+func startSubscriber(t *testing.T, replica *fakeReplica, conns ...*relayConn) *node.Subscriber {
 	t.Helper()
-	dialled := make(chan *relayConn, len(conns))
+	undialled := make(chan *relayConn, len(conns))
 	for _, conn := range conns {
-		dialled <- conn
+		undialled <- conn
 	}
 	subscriber := node.NewSubscriber(node.SubscriberConfig{
 		Interest: distribution.Interest{Host: "host"}, Relays: []distribution.Relay{{Name: "relay"}},
-		Limits: distribution.DefaultLimits(), Replica: held,
+		Limits: distribution.DefaultLimits(), Replica: replica,
 		Dial: func(ctx context.Context, _ distribution.Relay) (node.Conn, error) {
 			select {
-			case conn := <-dialled:
+			case conn := <-undialled:
 				return conn, nil
 			case <-ctx.Done():
 				return nil, ctx.Err()
@@ -122,11 +123,11 @@
 	return subscriber
 }
 
-// settledAck waits for an acknowledgement of a settled host.
-func settledAck(t *testing.T, conn *relayConn) {
+// waitForSettledAck waits until the host acknowledges that it is settled.
+func waitForSettledAck(t *testing.T, conn *relayConn) {
 	t.Helper()
 	for {
-		call := conn.next(t, api.SettingsAck)
+		call := conn.nextCall(t, api.SettingsAck)
 		call.answer <- nil
 		if call.in.(*api.SettingsAckIn).State.Settled {
 			return
@@ -134,34 +135,34 @@
 	}
 }
 
-// A state that changes during the first call of a connection is acknowledged once the relay has
-// answered: that call carried the earlier state.
+// If the host's state changes during the first call of a connection, the new state is acknowledged
+// once the relay has answered, because that call carried the earlier state.
 func TestChangeDuringFirstWatchIsAcknowledged(t *testing.T) {
-	held, conn := &hostCopy{}, newRelayConn()
-	subscriber := subscribe(t, held, conn)
-	first := conn.next(t, api.SettingsWatch)
+	replica, conn := &fakeReplica{}, newRelayConn()
+	subscriber := startSubscriber(t, replica, conn)
+	first := conn.nextCall(t, api.SettingsWatch)
 	if state := first.in.(*api.SettingsWatchIn).State; state == nil || state.Settled {
-		t.Fatalf("the connection begins with the state %+v", state)
+		t.Fatalf("first call of the connection has the state %+v, want one that is not settled", state)
 	}
-	held.settle()
+	replica.settle()
 	subscriber.Changed()
 	first.answer <- nil
-	settledAck(t, conn)
+	waitForSettledAck(t, conn)
 }
 
-// A state that changes while an acknowledgement is lost with its connection is acknowledged on the
-// next connection.
+// If the host's state changes while an acknowledgement is lost with its connection, the new state is
+// acknowledged on the next connection.
 func TestChangeDuringLostAckIsAcknowledged(t *testing.T) {
-	held, lost, next := &hostCopy{}, newRelayConn(), newRelayConn()
-	subscriber := subscribe(t, held, lost, next)
-	lost.next(t, api.SettingsWatch).answer <- nil
+	replica, lost, next := &fakeReplica{}, newRelayConn(), newRelayConn()
+	subscriber := startSubscriber(t, replica, lost, next)
+	lost.nextCall(t, api.SettingsWatch).answer <- nil
 	subscriber.Changed()
-	ack := lost.next(t, api.SettingsAck)
+	ack := lost.nextCall(t, api.SettingsAck)
 	lost.Close() // ends the call; the subscriber dials again
-	first := next.next(t, api.SettingsWatch)
-	held.settle()
+	first := next.nextCall(t, api.SettingsWatch)
+	replica.settle()
 	subscriber.Changed()
 	ack.answer <- nil
 	first.answer <- nil
-	settledAck(t, next)
+	waitForSettledAck(t, next)
 }
--- a/internal/fleet/host/agent/step_progress.go
+++ b/internal/fleet/host/agent/step_progress.go
@@ -10,7 +10,8 @@
 	"martendrum/internal/fleet/host/supervisor"
 )
 
-// checkStep ends the instance's running step if it has an outcome, and advances a reload.
+// checkStep ends the instance's running step if the step has an outcome, and advances a reload. It
+// does nothing until the supervisor has been told the desired state.
 func (a *Agent) checkStep(i *instance) {
 	a.mu.Lock()
 	s := i.step
@@ -27,10 +28,11 @@
 	a.evaluateStep(i, s, time.Now())
 }
 
-// startMargin is added to a step's own times before a process that does not start fails it.
+// startMargin is added to the times that a step allows for stopping, readiness and soak. After that,
+// a step whose process could not be started fails.
 const startMargin = 10 * time.Second
 
-// evaluateStep ends a step that needs no reload if it has an outcome. The lock is held.
+// evaluateStep ends a step that needs no reload, if the step has an outcome. The caller holds a.mu.
 func (a *Agent) evaluateStep(i *instance, s *api.Step, now time.Time) {
 	supervised := i.supervisor
 	if i.stored.Desired != api.Running {
@@ -39,7 +41,7 @@
 		}
 		return
 	}
-	// Time during which no agent ran does not count against the instance.
+	// Time during which no agent was running does not count against the instance.
 	begun := later(s.Started, a.started)
 	launched := later(i.stored.Launched, a.started)
 	failed, how := supervised.Failed()
@@ -51,8 +53,8 @@
 			i.wakeUp()
 		}
 	case supervised.Process() != 0 && supervised.Previous() == 0 && failed == s.Generation && failed != supervised.Process():
-		// The previous process becomes the desired one, so that an agent that restarts does not
-		// try again.
+		// The previous process gets the desired generation, so that an agent that restarts does not
+		// launch the failed one again.
 		supervised.AcceptServing()
 		i.stored.Process, i.stored.Release, i.stored.Previous = i.stored.Generation, s.From, s.Before
 		a.endStep(i, s, false, "the new process failed and the one before it serves on: "+how)
@@ -63,7 +65,7 @@
 	case i.exitedGeneration >= s.Generation && supervised.Process() == 0:
 		a.endStep(i, s, false, "it ended by itself: "+i.stored.LastExit)
 	case supervised.Process() == s.Generation && supervised.Phase() == supervisor.Unready:
-		a.endStep(i, s, false, "it became unready while it was soaked: "+supervised.Reason())
+		a.endStep(i, s, false, "it became unready during its soak time: "+supervised.Reason())
 	case supervised.Process() == s.Generation && now.Sub(launched) > s.Ready:
 		a.endStep(i, s, false, fmt.Sprintf("not ready within %v: %s", s.Ready, supervised.Reason()))
 	case now.Sub(begun) > time.Duration(a.config.Limits.KillAfter)+s.Ready+s.Soak+startMargin:
@@ -79,7 +81,7 @@
 	return y
 }
 
-// endStep ends a step with its outcome. The lock is held.
+// endStep ends a step with its outcome. The caller holds a.mu.
 func (a *Agent) endStep(i *instance, s *api.Step, ok bool, reason string) {
 	next := *s
 	next.Status, next.Reason, next.Finished = api.StepFailed, reason, time.Now()
@@ -94,9 +96,9 @@
 	a.persistOrMarkDirty(i, &next)
 }
 
-// recordSettingsStep records the outcome of a change of settings: the release that runs if they
-// were accepted; otherwise the desired release and the configuration are as before. The lock is
-// held.
+// recordSettingsStep records the outcome of a step that changes settings. If they were accepted, the
+// instance now runs the step's release. Otherwise the desired release and the configuration file are
+// reset to what they were before. The caller holds a.mu.
 func (a *Agent) recordSettingsStep(i *instance, s *api.Step, ok bool) {
 	if ok {
 		if i.process != nil {
@@ -105,16 +107,16 @@
 		return
 	}
 	i.stored.Release, i.stored.Previous = s.From, s.Before
-	a.wg.Go(func() { // configure takes the lock
-		if err := a.configure(i, s.From, random()); err != nil {
+	a.wg.Go(func() { // configure locks a.mu
+		if err := a.configure(i, s.From, randomID()); err != nil {
 			slog.Error("configuration file contains rejected settings", "instance", i.config.Name, "err", err)
 		}
 	})
 }
 
-// reload advances a reload: it writes the configuration, sends SIGHUP and waits until the sidecar
-// reports that it runs the configuration. Doing that again after a restart of the agent is
-// harmless.
+// reload advances a reload. Its first call writes the configuration and sends SIGHUP; later calls
+// end the step once the sidecar reports that it runs the configuration, or has not done so in time.
+// A restarted agent begins again, which is harmless.
 func (a *Agent) reload(i *instance, s *api.Step) {
 	a.mu.Lock()
 	now := time.Now()
@@ -126,11 +128,11 @@
 		a.mu.Unlock()
 		return
 	case process == nil || i.supervisor.Phase() != supervisor.Ready:
-		a.endStep(i, s, false, fmt.Sprintf("it is %s: %s", i.supervisor.Phase(), i.supervisor.Reason()))
+		a.endStep(i, s, false, fmt.Sprintf("the instance is %s: %s", i.supervisor.Phase(), i.supervisor.Reason()))
 		a.mu.Unlock()
 		return
 	case !sentAt.IsZero() && i.reported.configHash == "" && now.Sub(sentAt) > unconfirmedDelay:
-		a.endStep(i, s, true, "not confirmed: this release does not tell which configuration it runs")
+		a.endStep(i, s, true, "not confirmed: this release does not report which configuration it runs")
 		a.mu.Unlock()
 		return
 	case !sentAt.IsZero() && i.reported.configHash == i.writtenConfigHash:
@@ -144,12 +146,12 @@
 		a.mu.Unlock()
 		return
 	}
-	hash := i.stored.Running
+	releaseHash := i.stored.Running
 	if s.Action == api.ActSettings {
-		hash = s.To
+		releaseHash = s.To
 	}
 	a.mu.Unlock()
-	err := a.configure(i, hash, random())
+	err := a.configure(i, releaseHash, randomID())
 	if err == nil {
 		err = process.Signal(syscall.SIGHUP)
 	}
--- a/internal/fleet/host/agent/unattended_rollback.go
+++ b/internal/fleet/host/agent/unattended_rollback.go
@@ -11,11 +11,11 @@
 	"martendrum/internal/fleet/store"
 )
 
-// maxUnreadyDuration is how long an instance's health check may fail before it counts as harm.
+// maxUnreadyDuration is how long an instance may be unready before it counts as failing.
 const maxUnreadyDuration = 5 * time.Second
 
-// rollBackUnattended rolls back the failing instances of staged operations whose leases nobody
-// has held for longer than the operation allows. The lock is held.
+// rollBackUnattended rolls back failing instances of unattended staged operations: those that have
+// had no live lease here for longer than the operation allows. The caller holds a.mu.
 func (a *Agent) rollBackUnattended(now time.Time) {
 	for id := range a.lastLeased {
 		if o := a.operations[id]; o == nil || o.State == api.OpClosed {
@@ -38,8 +38,8 @@
 	}
 }
 
-// rollBackIfFailing rolls an instance back if the operation changed it and it fails the coarse
-// rule, which needs no baseline. The lock is held.
+// rollBackIfFailing rolls an instance back if the operation changed it and it fails canary.Coarse,
+// a check that needs no other instances to compare with. The caller holds a.mu.
 func (a *Agent) rollBackIfFailing(o *store.Operation, i *instance, unattended time.Duration, now time.Time) {
 	name := i.config.Name
 	change := a.steps[stepKey{o.ID, name, api.Change}]
@@ -59,10 +59,10 @@
 	if harm == "" {
 		return
 	}
-	if i.step != nil { // the change is still running and won't succeed
+	if i.step != nil { // the step of the change still runs and won't succeed
 		a.endStep(i, i.step, false, harm)
 	}
-	reason := fmt.Sprintf("taken back by agent %s alone: nobody held the operation for %v, and %s", a.config.Name, unattended.Round(time.Second), harm)
+	reason := fmt.Sprintf("rolled back by agent %s alone: the operation had no live lease for %v, and %s", a.config.Name, unattended.Round(time.Second), harm)
 	if _, err := a.beginStep(o, i, api.Rollback, 0, "agent "+a.config.Name+" alone", reason); err != nil {
 		slog.Warn("instance not rolled back", "instance", name, "why", harm, "err", err)
 		return
--- a/internal/fleet/host/agentstore/open.go
+++ b/internal/fleet/host/agentstore/open.go
@@ -1,5 +1,5 @@
-// Package agentstore opens an agent's store where the agent's configuration says. What is
-// stored is the agent's own, and how, the stores'.
+// Package agentstore opens the store of an agent's record, in SQLite or in PostgreSQL as the agent's
+// configuration selects.
 package agentstore
 
 import (
@@ -13,10 +13,12 @@
 	"martendrum/internal/pg"
 )
 
-// maxConnections is for an agent that makes one change at a time and reads its audit log.
+// maxConnections to PostgreSQL is enough for an agent, which makes one change at a time and may read
+// its audit log meanwhile.
 const maxConnections = 2
 
-// Record returns the function that opens an agent's store. path is where a file is.
+// Record returns a function, for agent.New, that opens the store of the configured agent's record.
+// SQLite uses the file at path; PostgreSQL ignores path.
 func Record(config *agent.Config) func(path string) (store.Store, error) {
 	return func(path string) (store.Store, error) {
 		record := &config.Record
