--- a/internal/fleet/host/agent/instance_loop.go
+++ b/internal/fleet/host/agent/instance_loop.go
@@ -66,14 +66,14 @@
 	now := time.Now()
 	if first && i.exitedWhileAgentWasDown() {
 		// This counts as a crash, like an exit that the agent sees.
-		i.supervisor.Want(now, true, i.stored.Generation)
+		i.supervisor.SetDesired(now, true, i.stored.Generation)
 		i.supervisor.Adopt(now, i.exitedGeneration)
 		i.supervisor.Exited(now, i.stored.LastExit)
 	}
 	i.supervisor.SetSideBySide(a.sideBySide(i))
-	actions = i.supervisor.Want(now, i.stored.Desired == api.Running, i.stored.Generation)
+	actions = i.supervisor.SetDesired(now, i.stored.Desired == api.Running, i.stored.Generation)
 	if i.abandonReason != "" {
-		actions = append(actions, i.supervisor.GiveUp(now, i.abandonReason)...)
+		actions = append(actions, i.supervisor.Abandon(now, i.abandonReason)...)
 		i.abandonReason = ""
 	}
 	mustWait = a.powerReturn.mustWait(now.Sub(a.started), i)
--- a/internal/fleet/host/agent/instance_process.go
+++ b/internal/fleet/host/agent/instance_process.go
@@ -254,7 +254,7 @@
 	before := i.supervisor.Phase()
 	i.supervisor.Health(time.Now(), err == nil, reason)
 	if err == nil {
-		i.reported = processReport{configHash: health.ConfigSum, recordState: health.Record, canHandover: health.Launch != ""}
+		i.reported = processReport{configHash: health.ConfigHash, recordState: health.Record, canHandover: health.Launch != ""}
 		a.canHandover[i.stored.Running] = i.reported.canHandover
 	}
 	if i.supervisor.Phase() != before {
--- a/internal/fleet/host/agent/step_progress.go
+++ b/internal/fleet/host/agent/step_progress.go
@@ -15,7 +15,7 @@
 func (a *Agent) checkStep(i *instance) {
 	a.mu.Lock()
 	s := i.step
-	if s == nil || i.supervisor.Generation() != i.stored.Generation || i.supervisor.Wanted() != (i.stored.Desired == api.Running) {
+	if s == nil || i.supervisor.Generation() != i.stored.Generation || i.supervisor.Desired() != (i.stored.Desired == api.Running) {
 		a.mu.Unlock()
 		return
 	}
--- a/internal/fleet/host/proc/proc.go
+++ b/internal/fleet/host/proc/proc.go
@@ -1,6 +1,7 @@
-// Package proc runs sidecars as local processes, each in a session of its own so that it
-// outlives the agent that started it, and finds them again after a restart of the agent. It
-// does not decide when a process starts or ends. Linux only: it reads /proc.
+// Package proc runs sidecars as local processes and finds them again after a restart of the
+// agent. Each process is in a session of its own, so that it outlives the agent that started
+// it. The package does not decide when a process is started or stopped. It works on Linux only,
+// because it reads /proc.
 package proc
 
 import (
@@ -21,43 +22,44 @@
 	"time"
 )
 
-// Marker is the environment variable that holds a sidecar's launch ID, by which a process
-// is found even if its PID was never recorded.
-const Marker = "MARTENDRUM_LAUNCH"
+// LaunchVariable is the environment variable that holds a sidecar's launch ID. A process can be
+// found by its launch ID even if its PID was never recorded.
+const LaunchVariable = "MARTENDRUM_LAUNCH"
 
-// Spec is the process to start.
+// Spec describes a process to start.
 type Spec struct {
-	Launch string // unique ID, passed in Marker
-	Path   string
-	Dir    string
-	Env    []string // without Marker
-	Log    string   // file to which output is appended
+	Launch string   // unique launch ID, passed in LaunchVariable
+	Path   string   // of the program
+	Dir    string   // working directory
+	Env    []string // without LaunchVariable
+	Log    string   // file to which the process's output is appended
 }
 
-// Proc is a process. Done is closed when it has exited.
+// Proc is a process that was started or adopted. Done is closed when it has exited.
 type Proc struct {
 	PID   int
-	Ticks uint64 // its start time in clock ticks since boot
+	Ticks uint64 // start time in clock ticks since boot
 	Done  <-chan struct{}
 
 	process *os.Process
-	exit    string
+	exit    string // set before Done is closed
 }
 
-// Exit is how the process exited. It is valid once Done is closed.
+// Exit returns how the process exited. It must not be called before Done is closed.
 func (p *Proc) Exit() string { return p.exit }
 
-// Signal sends a signal to the process, never to another one that has reused its PID.
+// Signal sends a signal to the process, never to another process that has reused its PID. The
+// error is os.ErrProcessDone if the process has exited.
 func (p *Proc) Signal(sig syscall.Signal) error { return p.process.Signal(sig) }
 
-// Boot returns the ID of the machine's current boot, within which PID and start time
-// identify a process.
+// Boot returns the ID of the machine's current boot, "" if it can't be read. Within one boot,
+// PID and start time identify a process.
 func Boot() string {
 	b, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	return strings.TrimSpace(string(b))
 }
 
-// Start starts a process. A goroutine waits for its exit.
+// Start starts a process. The caller need not wait for its exit: a goroutine does.
 func Start(s Spec) (*Proc, error) {
 	log, err := os.OpenFile(s.Log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o640)
 	if err != nil {
@@ -66,13 +68,13 @@
 	defer log.Close()
 	cmd := exec.Command(s.Path)
 	cmd.Dir = s.Dir
-	cmd.Env = append(append([]string{}, s.Env...), Marker+"="+s.Launch)
+	cmd.Env = append(append([]string{}, s.Env...), LaunchVariable+"="+s.Launch)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("proc: %w", err)
 	}
-	started, err := readStat(cmd.Process.Pid) // not reaped yet, so it exists
+	started, err := readStat(cmd.Process.Pid) // the process was not waited for yet, so its entry in /proc exists
 	if err != nil {
 		cmd.Process.Kill()
 		cmd.Wait()
@@ -91,28 +93,30 @@
 	return p, nil
 }
 
-// adoptedPollInterval is how often a process that is not a child is checked for its exit.
+// adoptedPollInterval is the time between checks whether an adopted process has exited. It is not a
+// child, so its exit can't be waited for.
 const adoptedPollInterval = 200 * time.Millisecond
 
-// Adopt returns a process that an earlier agent started, or os.ErrProcessDone if it no
-// longer runs. Cancelling ctx ends the wait for its exit, not the process.
+// Adopt returns the process with this PID and start time, which an earlier agent started, or
+// os.ErrProcessDone if it no longer runs. Cancelling ctx ends the wait for the process's exit,
+// not the process.
 func Adopt(ctx context.Context, pid int, ticks uint64) (*Proc, error) {
-	op, err := os.FindProcess(pid) // refers to this process, not its PID, where the kernel supports it
+	process, err := os.FindProcess(pid) // where the kernel supports it, this is a handle that stays valid if the PID is reused
 	if err != nil {
 		return nil, err
 	}
 	if !Alive(pid, ticks) {
-		op.Release()
+		process.Release()
 		return nil, os.ErrProcessDone
 	}
 	done := make(chan struct{})
-	p := &Proc{PID: pid, Ticks: ticks, Done: done, process: op, exit: "ended; how is not known, as an earlier agent had started it"}
+	p := &Proc{PID: pid, Ticks: ticks, Done: done, process: process, exit: "exited; the exit status is not known, because an earlier agent started the process"}
 	go func() {
-		t := time.NewTicker(adoptedPollInterval)
-		defer t.Stop()
+		ticker := time.NewTicker(adoptedPollInterval)
+		defer ticker.Stop()
 		for Alive(pid, ticks) {
 			select {
-			case <-t.C:
+			case <-ticker.C:
 			case <-ctx.Done():
 				return
 			}
@@ -122,11 +126,11 @@
 	return p, nil
 }
 
-// Alive reports whether the process with this PID and start time runs. A process that has
-// exited and was not waited for yet does not.
+// Alive reports whether the process with this PID and start time runs. A zombie, which has
+// exited but was not waited for yet, does not run.
 func Alive(pid int, ticks uint64) bool {
-	s, err := readStat(pid)
-	return err == nil && s.ticks == ticks && s.state != stateZombie && s.state != stateDead
+	stat, err := readStat(pid)
+	return err == nil && stat.ticks == ticks && stat.state != stateZombie && stat.state != stateDead
 }
 
 // The states of a process that has exited, see proc(5).
@@ -137,26 +141,26 @@
 
 // processStat is the start time and state of a process.
 type processStat struct {
-	ticks uint64
+	ticks uint64 // start time in clock ticks since boot
 	state byte
 }
 
-// The fields of /proc/PID/stat, counted after the program's name.
+// Indexes of fields of /proc/PID/stat, counted from the field after the program's name.
 const (
 	stateField     = 0
 	startTimeField = 19
 )
 
-// readStat reads /proc/PID/stat, see proc(5).
+// readStat reads the start time and state of a process from /proc/PID/stat, see proc(5).
 func readStat(pid int) (processStat, error) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		return processStat{}, err
 	}
-	// The program's name, in parentheses, may contain any character.
+	// The program's name is in parentheses and may itself contain parentheses and blanks.
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 	if len(fields) <= startTimeField {
-		return processStat{}, errors.New("proc: /proc/PID/stat is not understood")
+		return processStat{}, errors.New("proc: /proc/PID/stat has too few fields")
 	}
 	ticks, err := strconv.ParseUint(string(fields[startTimeField]), 10, 64)
 	return processStat{ticks: ticks, state: fields[stateField][0]}, err
@@ -166,10 +170,11 @@
 type Found struct {
 	PID   int
 	Ticks uint64
-	Exe   string // path of its program, "" if unknown
+	Exe   string // path of its program, "" if it can't be read
 }
 
-// Find returns the running processes whose launch ID begins with prefix, by launch ID.
+// Find returns the running processes whose launch ID begins with prefix, by launch ID. It leaves
+// out processes whose environment this user may not read.
 func Find(prefix string) map[string]Found {
 	out := make(map[string]Found)
 	dirs, _ := filepath.Glob("/proc/[0-9]*")
@@ -180,54 +185,57 @@
 		}
 		env, err := os.ReadFile(dir + "/environ")
 		if err != nil {
-			continue // it belongs to another user, or has exited
+			continue // the process belongs to another user, or has exited
 		}
-		for _, v := range bytes.Split(env, []byte{0}) {
-			launch, ok := bytes.CutPrefix(v, []byte(Marker+"="))
+		for _, variable := range bytes.Split(env, []byte{0}) {
+			launch, ok := bytes.CutPrefix(variable, []byte(LaunchVariable+"="))
 			if !ok || !bytes.HasPrefix(launch, []byte(prefix)) {
 				continue
 			}
-			if s, err := readStat(pid); err == nil && s.state != stateZombie {
+			if stat, err := readStat(pid); err == nil && stat.state != stateZombie {
 				exe, _ := os.Readlink(dir + "/exe")
-				out[string(launch)] = Found{PID: pid, Ticks: s.ticks, Exe: exe}
+				out[string(launch)] = Found{PID: pid, Ticks: stat.ticks, Exe: exe}
 			}
 		}
 	}
 	return out
 }
 
-// Healthy is what a sidecar reports in its health call; "" for what it does not report.
+// Healthy is what a sidecar reports in its response to a health check. Each field is "" if the
+// sidecar does not report it.
 type Healthy struct {
-	ConfigSum string // hash of the configuration in force
-	Record    string // state of its idempotency store
-	Launch    string // launch ID of the process that answered, if it can hand over
+	ConfigHash string // SHA-256 in hex of the configuration that it runs
+	Record     string // state of its idempotency store
+	Launch     string // launch ID of the process that answered, if it supports the hand-over
 }
 
-// Health makes the health call, within limit.
-func Health(ctx context.Context, addr string, limit time.Duration) (h Healthy, err error) {
-	d := net.Dialer{Timeout: limit, KeepAlive: -1}
-	conn, err := d.DialContext(ctx, "tcp", addr)
+// Health makes a health check at a sidecar's address, within limit. The error is nil only if the
+// sidecar answers with status 200.
+func Health(ctx context.Context, addr string, limit time.Duration) (health Healthy, err error) {
+	dialer := net.Dialer{Timeout: limit, KeepAlive: -1}
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return h, err
+		return health, err
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(limit))
 	if _, err := io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: agent\r\nConnection: close\r\n\r\n"); err != nil {
-		return h, err
+		return health, err
 	}
 	resp, err := http.ReadResponse(bufio.NewReaderSize(conn, 4096), nil)
 	if err != nil {
-		return h, fmt.Errorf("health: %w", err)
+		return health, fmt.Errorf("health: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return h, fmt.Errorf("health: answered %s", resp.Status)
+		return health, fmt.Errorf("health: answered %s", resp.Status)
 	}
 	return Healthy{resp.Header.Get("Config-Sum"), resp.Header.Get("Record"), resp.Header.Get("Hands-Over")}, nil
 }
 
-// Rotate keeps a log within limit bytes: once it is larger than half of that, its content is
-// moved to the file with the suffix .1 and it is truncated. The writer continues with the
-// same open file; lines written during the rotation may be lost.
+// Rotate keeps a log, with its rotated part, within limit bytes. If the log is larger than half
+// the limit, Rotate copies the last limit/2 bytes of it to the file with the suffix .1, which it
+// replaces, and truncates the log. The process that writes the log keeps it open; lines that it
+// writes during the rotation may be lost. A log that does not exist is not an error.
 func Rotate(path string, limit int64) error {
 	info, err := os.Stat(path)
 	if err != nil || info.Size() <= limit/2 {
@@ -246,8 +254,8 @@
 		return err
 	}
 	_, err = io.Copy(out, io.LimitReader(in, limit/2))
-	if e := out.Close(); err == nil {
-		err = e
+	if closeErr := out.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
--- a/internal/fleet/host/proc/proc_test.go
+++ b/internal/fleet/host/proc/proc_test.go
@@ -12,87 +12,91 @@
 	"time"
 )
 
-// start starts a process that exits at once, since its standard input is empty.
-func start(t *testing.T, launch string) *Proc {
+// startCat starts cat, which exits at once, since its standard input is empty.
+func startCat(t *testing.T, launch string) *Proc {
 	t.Helper()
 	p, err := Start(Spec{Launch: launch, Path: "/bin/cat", Dir: "/", Log: filepath.Join(t.TempDir(), "log")})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Start of /bin/cat: %v", err)
 	}
 	return p
 }
 
-// A process is identified by PID and start time. One that has exited is not reported as
-// alive, and no other process is mistaken for it.
+// A process is identified by its PID and start time: it can be found by its launch ID and adopted,
+// another start time is not adopted, and a process that has exited is neither alive nor found.
 func TestFindAndAdopt(t *testing.T) {
 	script := filepath.Join(t.TempDir(), "wait")
 	os.WriteFile(script, []byte("#!/bin/sh\nexec sleep 1000\n"), 0o700)
 	launch := "proctest-" + filepath.Base(t.TempDir()) + t.Name() + time.Now().String()
 	p, err := Start(Spec{Launch: launch + "/a", Path: script, Dir: "/", Env: os.Environ(), Log: filepath.Join(t.TempDir(), "log")})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Start of the script: %v", err)
 	}
 	defer p.Signal(syscall.SIGKILL)
 	var found map[string]Found
-	for until := time.Now().Add(20 * time.Second); len(found) == 0 && time.Now().Before(until); { // it has no launch ID between fork and exec
+	for deadline := time.Now().Add(20 * time.Second); len(found) == 0 && time.Now().Before(deadline); { // between fork and exec the process has no launch ID
 		found = Find(launch)
 	}
 	if f := found[launch+"/a"]; f.PID != p.PID || f.Ticks != p.Ticks || len(found) != 1 {
-		t.Fatalf("found %v; it is %d of %d", found, p.PID, p.Ticks)
+		t.Fatalf("Find() = %v, want only PID %d with start time %d", found, p.PID, p.Ticks)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if _, err := Adopt(ctx, p.PID, p.Ticks+1); !errors.Is(err, os.ErrProcessDone) {
-		t.Errorf("one of another start time was adopted: %v", err)
+		t.Errorf("Adopt with a different start time: got error %v, want %v", err, os.ErrProcessDone)
 	}
-	a, err := Adopt(ctx, p.PID, p.Ticks)
+	adopted, err := Adopt(ctx, p.PID, p.Ticks)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Adopt: %v", err)
 	}
-	if err := a.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+	if err := adopted.Signal(syscall.SIGTERM); err != nil {
+		t.Fatalf("SIGTERM to the adopted process: %v", err)
 	}
-	for _, done := range []<-chan struct{}{a.Done, p.Done} {
+	for _, done := range []<-chan struct{}{adopted.Done, p.Done} {
 		select {
 		case <-done:
 		case <-time.After(20 * time.Second):
-			t.Fatal("its exit was not seen")
+			t.Fatal("Done was not closed within 20 s after SIGTERM")
 		}
 	}
 	if !strings.Contains(p.Exit(), "terminated") {
-		t.Error(p.Exit())
+		t.Errorf("Exit() = %q, want it to contain \"terminated\"", p.Exit())
 	}
 	if Alive(p.PID, p.Ticks) || len(Find(launch)) > 0 {
-		t.Error("it is still alive")
+		t.Error("the process is still alive or found after its exit")
 	}
 }
 
+// Start returns an error if the program or the folder of the log does not exist. The exit of a
+// process that succeeds is reported.
 func TestStartFails(t *testing.T) {
 	if _, err := Start(Spec{Path: "/none/such", Dir: "/", Log: filepath.Join(t.TempDir(), "log")}); err == nil {
-		t.Error("no error")
+		t.Error("Start of a program that does not exist: got no error")
 	}
 	if _, err := Start(Spec{Path: "/bin/cat", Dir: "/", Log: "/none/log"}); err == nil || !strings.Contains(err.Error(), "log") {
-		t.Error(err)
+		t.Errorf("Start with a log in a folder that does not exist: got error %v, want one that mentions the log", err)
 	}
-	p := start(t, "x")
+	p := startCat(t, "x")
 	<-p.Done // its standard input is empty
 	if p.Exit() != "exit status 0" {
-		t.Error(p.Exit())
+		t.Errorf("Exit() = %q, want \"exit status 0\"", p.Exit())
 	}
 }
 
+// A log that grows and is rotated often stays, with its rotated part, within the limit of 2000 bytes
+// plus one line of 100 bytes.
 func TestRotate(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	f, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("creating the log: %v", err)
 	}
-	defer f.Close()
+	defer log.Close()
 	line := bytes.Repeat([]byte("x"), 99)
 	for range 1000 {
-		f.Write(append(line, '\n'))
+		log.Write(append(line, '\n'))
 		if err := Rotate(path, 2000); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Rotate: %v", err)
 		}
 		total := int64(0)
 		for _, p := range []string{path, path + ".1"} {
@@ -101,7 +105,7 @@
 			}
 		}
 		if total > 2000+100 {
-			t.Fatalf("%d bytes", total)
+			t.Fatalf("the log and its rotated part have %d bytes, want 2100 at most", total)
 		}
 	}
 }
--- a/internal/fleet/host/scrape/scrape.go
+++ b/internal/fleet/host/scrape/scrape.go
@@ -1,6 +1,6 @@
-// Package scrape reads a sidecar's metrics from its admin endpoint, and its process's
-// resource usage from /proc. It opens one connection per call and keeps no state. It does
-// not decide when to read, and does not judge what it reads. Linux only.
+// Package scrape reads a sidecar's metrics from its admin endpoint, and the resource usage of
+// its process from /proc. It opens one connection per call and keeps no state. It does not
+// decide when to read, and does not evaluate what it reads. It works on Linux only.
 package scrape
 
 import (
@@ -27,24 +27,25 @@
 // maxResponse is the maximum size of a response in bytes, enough for several hundred classes.
 const maxResponse = 1 << 20
 
-// slowOver is the bucket of edge_balancer_own_seconds above which a request counts as slow
-// in the sidecar, in seconds.
-const slowOver = "0.005"
+// slowThreshold is the label, in seconds, of the bucket of edge_balancer_own_seconds up to which
+// a request does not count as slow. The metric is the time that a request spends in the sidecar.
+const slowThreshold = "0.005"
 
-// slowOverScientific is the same bucket as a sidecar may also write it.
-const slowOverScientific = "5e-03"
+// slowThresholdScientific is another notation of the same label that a sidecar may use.
+const slowThresholdScientific = "5e-03"
 
-// Metrics reads the metrics of the admin endpoint at addr, within timeout.
+// Metrics reads the metrics of the admin endpoint at addr, within timeout. Only the fields of the
+// sample that Read sets are set.
 func Metrics(ctx context.Context, addr string, timeout time.Duration) (*api.Sample, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/api/telemetry", nil)
+	request, err := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/api/telemetry", nil)
 	if err != nil {
 		return nil, fmt.Errorf("scrape: admin endpoint %s: %w", addr, err)
 	}
-	r.Close = true
+	request.Close = true
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{KeepAlive: -1}).DialContext}}
-	resp, err := client.Do(r)
+	resp, err := client.Do(request)
 	if err != nil {
 		return nil, fmt.Errorf("scrape: admin endpoint %s: %w", addr, err)
 	}
@@ -52,15 +53,15 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("scrape: admin endpoint %s answered %s", addr, resp.Status)
 	}
-	s, err := Read(io.LimitReader(resp.Body, maxResponse))
+	sample, err := Read(io.LimitReader(resp.Body, maxResponse))
 	if err != nil {
 		return nil, fmt.Errorf("scrape: admin endpoint %s: %w", addr, err)
 	}
-	return s, nil
+	return sample, nil
 }
 
-// Read parses a sidecar's metrics in the Prometheus text format. The sample has no time, no
-// instance and no resource usage.
+// Read parses a sidecar's metrics in the Prometheus text format. The sample's time, instance,
+// process and resource usage are not set. It is an error if the text is not a sidecar's metrics.
 func Read(in io.Reader) (*api.Sample, error) {
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(in)
@@ -68,12 +69,12 @@
 		return nil, fmt.Errorf("metrics: %w", err)
 	}
 	if families["edge_balancer_tries"] == nil {
-		return nil, errors.New("metrics: no edge_balancer_tries among them: not a sidecar's admin endpoint")
+		return nil, errors.New("metrics: edge_balancer_tries is missing: not a sidecar's admin endpoint")
 	}
-	s := &api.Sample{Classes: make(map[string]canary.Counts)}
+	sample := &api.Sample{Classes: make(map[string]canary.Counts)}
 	each := func(name string, do func(l labels, v uint32)) { eachMetric(families["edge_balancer_"+name], do) }
 	each("responses", func(l labels, v uint32) {
-		counts := s.Classes[l.get("kind")]
+		counts := sample.Classes[l.get("kind")]
 		switch l.get("result") {
 		case "ok":
 			counts.Served = v
@@ -82,30 +83,30 @@
 		default:
 			counts.Failed += v
 		}
-		s.Classes[l.get("kind")] = counts
+		sample.Classes[l.get("kind")] = counts
 	})
-	each("tries", func(_ labels, v uint32) { s.Attempts = v })
+	each("tries", func(_ labels, v uint32) { sample.Attempts = v })
 	each("attempts", func(l labels, v uint32) {
-		s.Finished += v
+		sample.Finished += v
 		if l.get("outcome") == "declined" {
-			s.Rejected = v
+			sample.Rejected = v
 		}
 	})
-	each("own_seconds_count", func(_ labels, v uint32) { s.Timed = v })
-	within := uint32(0)
+	each("own_seconds_count", func(_ labels, v uint32) { sample.Timed = v })
+	withinThreshold := uint32(0)
 	each("own_seconds_bucket", func(l labels, v uint32) {
-		if le := l.get("le"); le == slowOver || le == slowOverScientific {
-			within = v
+		if le := l.get("le"); le == slowThreshold || le == slowThresholdScientific {
+			withinThreshold = v
 		}
 	})
-	s.Slow = s.Timed - min(within, s.Timed)
-	return s, nil
+	sample.Slow = sample.Timed - min(withinThreshold, sample.Timed)
+	return sample, nil
 }
 
-// labels are the labels of a metric.
+// labels holds the labels of a metric.
 type labels []*dto.LabelPair
 
-// get returns the value of a label, "" if there is none of that name.
+// get returns the value of the label with a name, "" if there is none.
 func (l labels) get(name string) string {
 	for _, pair := range l {
 		if pair.GetName() == name {
@@ -115,18 +116,19 @@
 	return ""
 }
 
-// eachMetric calls do for each metric of a family, which may be nil.
+// eachMetric calls do with the labels and the value of each metric of a family, which may be nil.
 func eachMetric(family *dto.MetricFamily, do func(l labels, v uint32)) {
 	if family == nil {
 		return
 	}
-	for _, m := range family.Metric {
-		do(m.Label, completeCount(m))
+	for _, metric := range family.Metric {
+		do(metric.Label, countOf(metric))
 	}
 }
 
-// completeCount returns a metric's value as a count, 0 if it is not one.
-func completeCount(m *dto.Metric) uint32 {
+// countOf returns a metric's value as a count: 0 if it is negative, not a number or of a type that
+// has no single value, and at most the largest uint32.
+func countOf(m *dto.Metric) uint32 {
 	var v float64
 	switch {
 	case m.Untyped != nil:
@@ -142,7 +144,7 @@
 	return uint32(min(v, math.MaxUint32))
 }
 
-// Usage returns a process's resident memory in bytes and its number of open descriptors.
+// Usage returns a process's resident memory in bytes and its number of open file descriptors.
 func Usage(pid int) (memory uint64, files uint32, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -150,7 +152,7 @@
 	}
 	fields := strings.Fields(string(text))
 	if len(fields) < 2 {
-		return 0, 0, fmt.Errorf("scrape: /proc/%d/statm is %q", pid, text)
+		return 0, 0, fmt.Errorf("scrape: /proc/%d/statm has too few fields: %q", pid, text)
 	}
 	pages, err := strconv.ParseUint(fields[1], 10, 64)
 	if err != nil {
--- a/internal/fleet/host/supervisor/supervisor.go
+++ b/internal/fleet/host/supervisor/supervisor.go
@@ -1,16 +1,18 @@
-// Package supervisor decides what happens to one sidecar's process: when to launch
-// it, to terminate or kill it, to relaunch it after a crash, and when to stop trying.
-// It is pure: events and the time come in, actions go out, in the order in which the
-// caller must carry them out. It starts no process and sends no signal.
+// Package supervisor decides when the process of one sidecar is launched, terminated or
+// killed, when it is relaunched after a crash, and when relaunches end. It is a state
+// machine without side effects: the caller reports events with their time, and each
+// method returns the actions that the caller must carry out, in their order. The package
+// starts no process and sends no signal.
 //
-// The wanted state is a level, not a command: whether a process should run, and of
-// which generation. A process of another generation is drained and replaced. A caller
-// that lost its memory therefore resumes by calling Adopt and Want.
+// The caller sets a desired state: whether a process should run, and of which generation.
+// A process of another generation is drained and replaced. A restarted caller therefore
+// needs no stored state of a Supervisor: it calls Adopt for the process that it finds, and
+// SetDesired.
 //
-// Where sidecars can hand over, a process of a new generation starts next to the
+// Where sidecars support the hand-over, a process of a new generation starts next to the
 // serving one, which is terminated only once the new one is ready. If the new process
-// exits before that, or is given up, the previous one continues to serve, and the
-// failed generation is not tried again: a later one must be wanted.
+// exits before that, or is abandoned, the previous one continues to serve. The failed
+// generation is not launched again; the caller must set a later one.
 package supervisor
 
 import (
@@ -26,99 +28,102 @@
 // The phases.
 const (
 	Stopped   Phase = "stopped"
-	Starting  Phase = "starting"  // it runs and has not been ready yet
-	Ready     Phase = "ready"     // its health call answers 200
-	Unready   Phase = "unready"   // it was ready and its health call fails
-	Draining  Phase = "draining"  // it was sent SIGTERM
-	Backoff   Phase = "backoff"   // it crashed and is relaunched after a delay
-	Crashloop Phase = "crashloop" // it crashed too often and is not relaunched
+	Starting  Phase = "starting"  // the process runs and has not been ready yet
+	Ready     Phase = "ready"     // health checks are answered with status 200
+	Unready   Phase = "unready"   // the process was ready, and health checks fail
+	Draining  Phase = "draining"  // the process was sent SIGTERM or SIGKILL
+	Backoff   Phase = "backoff"   // the process crashed and is relaunched after a delay
+	Crashloop Phase = "crashloop" // the process crashed too often and is not relaunched
 )
 
-// Config is the limits of an instance.
+// Config holds the limits of an instance.
 type Config struct {
 	KillAfter   time.Duration // from SIGTERM to SIGKILL
-	BackoffMin  time.Duration // after a first crash; doubled after each further one
-	BackoffMax  time.Duration
-	MaxCrashes  int // this many crashes within CrashWithin are a crash loop
+	BackoffMin  time.Duration // delay of the relaunch after a first crash; doubled after each further one
+	BackoffMax  time.Duration // upper limit of that delay
+	MaxCrashes  int           // this many crashes within CrashWithin are a crash loop
 	CrashWithin time.Duration
 }
 
-// MinKillDelay is the smallest valid KillAfter. By the protocol, SIGKILL follows SIGTERM
-// no sooner than the longest deadline of a request plus a grace period.
+// MinKillDelay is the smallest valid KillAfter. The shutdown protocol promises a sidecar that
+// SIGKILL follows SIGTERM no sooner than the longest deadline of a request plus a grace period.
 const MinKillDelay = shutdown.MaxDeadline + shutdown.KillGrace
 
-// Action is an order to the caller.
+// Action is what the caller must do. The caller reports the result with the method for that event,
+// such as Launched or Exited.
 type Action string
 
 // The actions.
 const (
-	Launch    Action = "launch" // start a process of the wanted generation
-	Terminate Action = "term"   // SIGTERM
-	Kill      Action = "kill"   // SIGKILL
-	// The same signals to the process that is being replaced:
+	Launch    Action = "launch" // start a process of the desired generation
+	Terminate Action = "term"   // send SIGTERM to the process
+	Kill      Action = "kill"   // send SIGKILL to the process
+	// The same signals for the process that is being replaced:
 	TerminatePrevious Action = "term-old"
 	KillPrevious      Action = "kill-old"
 )
 
-// Supervisor is the state of an instance.
+// Supervisor is the state machine of an instance. It is not safe for concurrent use.
 type Supervisor struct {
 	config Config
 
-	wanted     bool  // whether a process should run
-	generation int64 // the wanted generation
+	desired    bool  // whether a process should run
+	generation int64 // the desired generation
 	sideBySide bool  // a new generation starts next to the serving process
 
 	phase              Phase
-	since              time.Time
-	reason             string
-	process            int64 // generation of the process, 0: none
-	killAt             time.Time
-	killed             bool
-	wakeAt             time.Time // the end of a backoff
-	crashes            []time.Time
-	healthFailures     int // health calls failed in a row
-	consecutiveCrashes int // crashes in a row
+	since              time.Time   // when the phase began
+	reason             string      // why the instance is in the phase
+	process            int64       // generation of the process, 0: none
+	killAt             time.Time   // when a draining process is sent SIGKILL
+	killed             bool        // the process was sent SIGKILL
+	relaunchAt         time.Time   // the end of a backoff
+	crashes            []time.Time // the recent ones, at most CrashWithin old
+	healthFailures     int         // consecutive failed health checks
+	consecutiveCrashes int         // crashes since a process was last ready for CrashWithin
 
 	previous       int64     // generation of the process being replaced, 0: none
-	previousKillAt time.Time // zero: it was not sent SIGTERM yet
-	previousKilled bool
-	failed         int64 // the latest generation that failed to replace the previous one, 0: none
-	failure        string
+	previousKillAt time.Time // when that process is sent SIGKILL; zero: it was not sent SIGTERM yet
+	previousKilled bool      // that process was sent SIGKILL
+	failed         int64     // the latest generation that failed to replace the previous one, 0: none
+	failure        string    // how it failed
 }
 
-// maxHealthFailures is how many consecutive health calls must fail before a ready
+// maxHealthFailures is how many consecutive health checks must fail before a ready
 // sidecar counts as unready. A single one may fail on a busy machine.
 const maxHealthFailures = 3
 
-// New returns the state of an instance that has no process and wants none.
+// New returns the state of an instance that has no process and should have none.
 func New(cfg Config, now time.Time) *Supervisor {
 	return &Supervisor{config: cfg, phase: Stopped, since: now}
 }
 
-// Phase is the instance's phase.
+// Phase returns the instance's phase.
 func (s *Supervisor) Phase() Phase { return s.phase }
 
-// Since is when the phase began.
+// Since returns when the phase began.
 func (s *Supervisor) Since() time.Time { return s.since }
 
-// Reason is why the instance is in its phase, "" if there is nothing to say.
+// Reason returns why the instance is in its phase, "" if there is no particular reason.
 func (s *Supervisor) Reason() string { return s.reason }
 
-// Process is the generation of the process, 0 for none.
+// Process returns the generation of the process, 0 for none. During a replacement that is the new
+// process.
 func (s *Supervisor) Process() int64 { return s.process }
 
-// Generation is the wanted generation.
+// Generation returns the desired generation.
 func (s *Supervisor) Generation() int64 { return s.generation }
 
-// Wanted reports whether a process should run.
-func (s *Supervisor) Wanted() bool { return s.wanted }
+// Desired reports whether a process should run.
+func (s *Supervisor) Desired() bool { return s.desired }
 
-// Settled reports whether no process runs that is not wanted or of another generation.
+// Settled reports whether no process needs to be stopped or replaced. It is also true while a
+// process has yet to be launched.
 func (s *Supervisor) Settled() bool {
-	return s.previous == 0 && (s.process == 0 || s.process == s.generation && s.wanted)
+	return s.previous == 0 && (s.process == 0 || s.process == s.generation && s.desired)
 }
 
-// Next is the time by which Tick must be called; zero if no time is due.
+// Next returns the time at which Tick or SetDesired must be called; zero if no action is scheduled.
 func (s *Supervisor) Next() (t time.Time) {
 	switch {
 	case s.terminatingPrevious() && !s.previousKilled:
@@ -126,35 +131,37 @@
 	case s.phase == Draining && !s.killed:
 		return s.killAt
 	case s.phase == Backoff:
-		return s.wakeAt
+		return s.relaunchAt
 	}
 	return time.Time{}
 }
 
 // enter sets the phase and its reason.
-func (s *Supervisor) enter(now time.Time, p Phase, reason string) {
-	if s.phase != p {
+func (s *Supervisor) enter(now time.Time, phase Phase, reason string) {
+	if s.phase != phase {
 		s.since = now
 	}
-	s.phase, s.reason = p, reason
+	s.phase, s.reason = phase, reason
 }
 
-// Adopt reports a process that was found running when the caller started.
+// Adopt reports that a process of a generation was found running when the caller started.
 func (s *Supervisor) Adopt(now time.Time, generation int64) {
 	s.process = generation
 	s.enter(now, Starting, "found running")
 }
 
-// Want sets the wanted state. A new generation clears the record of crashes.
-func (s *Supervisor) Want(now time.Time, run bool, generation int64) []Action {
+// SetDesired sets the desired state: whether a process should run, and of which generation. A new
+// generation resets the count of crashes. Repeated calls with the same values have the effect of
+// Tick.
+func (s *Supervisor) SetDesired(now time.Time, run bool, generation int64) []Action {
 	if generation != s.generation {
 		s.crashes, s.consecutiveCrashes = nil, 0
 	}
-	s.wanted, s.generation = run, generation
+	s.desired, s.generation = run, generation
 	return s.step(now)
 }
 
-// step returns the actions that bring the actual state closer to the wanted one.
+// step returns the actions that bring the actual state closer to the desired one.
 func (s *Supervisor) step(now time.Time) []Action {
 	if s.previous != 0 {
 		return s.stepReplacement(now)
@@ -165,20 +172,20 @@
 	return s.stepStopped(now)
 }
 
-// stepRunning is step while one process runs.
+// stepRunning is step while exactly one process runs.
 func (s *Supervisor) stepRunning(now time.Time) []Action {
 	if s.phase == Draining {
 		if !s.killed && !now.Before(s.killAt) {
 			s.killed = true
-			s.reason = fmt.Sprintf("killed: it had not ended %v after SIGTERM", s.config.KillAfter)
+			s.reason = fmt.Sprintf("killed: it was still running %v after SIGTERM", s.config.KillAfter)
 			return []Action{Kill}
 		}
 		return nil
 	}
 	switch {
-	case s.wanted && s.process == s.generation, s.wanted && s.failed == s.generation:
+	case s.desired && s.process == s.generation, s.desired && s.failed == s.generation:
 		return nil
-	case s.wanted && s.sideBySide && s.phase == Ready:
+	case s.desired && s.sideBySide && s.phase == Ready:
 		return []Action{Launch}
 	}
 	return []Action{s.terminate(now)}
@@ -187,30 +194,30 @@
 // stepStopped is step while no process runs.
 func (s *Supervisor) stepStopped(now time.Time) []Action {
 	switch {
-	case !s.wanted:
+	case !s.desired:
 		s.enter(now, Stopped, s.reason)
 		return nil
 	case s.phase == Crashloop && len(s.crashes) > 0:
 		return nil
-	case s.phase == Backoff && len(s.crashes) > 0 && now.Before(s.wakeAt):
+	case s.phase == Backoff && len(s.crashes) > 0 && now.Before(s.relaunchAt):
 		return nil
 	}
 	return []Action{Launch}
 }
 
-// terminate begins to drain the process.
+// terminate begins to drain the process and returns the action for that.
 func (s *Supervisor) terminate(now time.Time) Action {
 	s.killAt, s.killed = now.Add(s.config.KillAfter), false
 	s.enter(now, Draining, "")
 	return Terminate
 }
 
-// Launched reports that a process of the wanted generation was started.
+// Launched reports that a process of the desired generation was started.
 func (s *Supervisor) Launched(now time.Time) []Action {
 	if s.process != 0 {
 		s.setPrevious(s.process)
 	} else {
-		s.failed = 0 // no process continues to serve
+		s.failed = 0 // there is no previous process that continues to serve
 	}
 	s.process, s.healthFailures = s.generation, 0
 	s.enter(now, Starting, "")
@@ -218,57 +225,59 @@
 	return s.step(now)
 }
 
-// LaunchFailed reports that the process could not be started. It counts as a crash or,
-// where another process serves, as a failure of the wanted generation.
-func (s *Supervisor) LaunchFailed(now time.Time, why string) []Action {
+// LaunchFailed reports that a process of the desired generation could not be started, and why. If
+// another process serves, that process continues and the generation has failed; otherwise it counts
+// as a crash.
+func (s *Supervisor) LaunchFailed(now time.Time, reason string) []Action {
 	if s.process != 0 {
-		s.failed, s.failure = s.generation, "can't be started: "+why
+		s.failed, s.failure = s.generation, "can't be started: "+reason
 		s.reason = s.serveReason()
 		return nil
 	}
-	return s.recordCrash(now, "can't be started: "+why)
+	return s.recordCrash(now, "can't be started: "+reason)
 }
 
-// Exited reports that the process has exited, and how.
+// Exited reports that the process has exited, and how. During a replacement that is the new
+// process.
 func (s *Supervisor) Exited(now time.Time, how string) []Action {
-	ended := s.process
+	exitedGeneration := s.process
 	if s.previous != 0 {
-		return s.restorePrevious(now, ended, how)
+		return s.restorePrevious(now, exitedGeneration, how)
 	}
 	s.process = 0
-	if s.phase == Draining || !s.wanted || ended != s.generation {
+	if s.phase == Draining || !s.desired || exitedGeneration != s.generation {
 		s.enter(now, Stopped, how)
 		return s.step(now)
 	}
 	return s.recordCrash(now, how)
 }
 
-// recordCrash counts a crash and enters a backoff or a crash loop.
+// recordCrash counts a crash and enters the phase Backoff or Crashloop.
 func (s *Supervisor) recordCrash(now time.Time, how string) []Action {
 	recent := s.crashes[:0]
-	for _, t := range s.crashes {
-		if now.Sub(t) < s.config.CrashWithin {
-			recent = append(recent, t)
+	for _, crashedAt := range s.crashes {
+		if now.Sub(crashedAt) < s.config.CrashWithin {
+			recent = append(recent, crashedAt)
 		}
 	}
 	s.crashes = append(recent, now)
 	s.consecutiveCrashes++
 	if len(s.crashes) >= s.config.MaxCrashes {
-		s.enter(now, Crashloop, fmt.Sprintf("%d crashes in %v, the last: %s", len(s.crashes), s.config.CrashWithin, how))
+		s.enter(now, Crashloop, fmt.Sprintf("%d crashes in %v, the last one: %s", len(s.crashes), s.config.CrashWithin, how))
 		return nil
 	}
-	wait := s.config.BackoffMin
-	for i := 1; i < s.consecutiveCrashes && wait < s.config.BackoffMax; i++ {
-		wait *= 2
+	delay := s.config.BackoffMin
+	for i := 1; i < s.consecutiveCrashes && delay < s.config.BackoffMax; i++ {
+		delay *= 2
 	}
-	wait = min(wait, s.config.BackoffMax)
-	s.wakeAt = now.Add(wait)
-	s.enter(now, Backoff, fmt.Sprintf("%s; next try in %v", how, wait))
+	delay = min(delay, s.config.BackoffMax)
+	s.relaunchAt = now.Add(delay)
+	s.enter(now, Backoff, fmt.Sprintf("%s; next launch in %v", how, delay))
 	return nil
 }
 
-// Health reports the result of a health call.
-func (s *Supervisor) Health(now time.Time, ok bool, why string) {
+// Health reports the result of a health check, and the reason if it failed.
+func (s *Supervisor) Health(now time.Time, ok bool, reason string) {
 	switch {
 	case s.process == 0 || s.phase == Draining:
 	case ok:
@@ -280,12 +289,12 @@
 	default:
 		s.healthFailures++
 		if s.phase == Ready && s.healthFailures >= maxHealthFailures || s.phase == Unready {
-			s.enter(now, Unready, why)
+			s.enter(now, Unready, reason)
 		} else if s.phase == Starting {
-			s.reason = why
+			s.reason = reason
 		}
 	}
 }
 
-// Tick reports that time has passed.
+// Tick reports that time has passed, and returns the actions that are due.
 func (s *Supervisor) Tick(now time.Time) []Action { return s.step(now) }
