--- a/internal/fleet/host/agent/agent.go
+++ b/internal/fleet/host/agent/agent.go
@@ -64,9 +64,9 @@
 	unwritable    string        // error of the last write of the record; "": it succeeded
 }
 
-// New opens the state folder, reads the record and begins to supervise the instances. open is
-// called with the path at which a store in a file is placed, and returns the opened record. Errors
-// are of type *StartError. The caller must call Close on the returned agent.
+// New opens the state folder, reads the record and begins to supervise the instances. open opens
+// the record's store; its argument is the path to use if that store is a file. Errors are of type
+// *StartError. The caller must call Close on the returned agent.
 func New(config *Config, m Machine, open func(path string) (store.Store, error)) (*Agent, error) {
 	a := &Agent{
 		config:      config,
@@ -86,8 +86,8 @@
 	}
 	a.loadedSettings = nil
 	for _, name := range a.instanceNames {
-		i := a.instances[name]
-		a.wg.Go(func() { a.superviseInstance(i) })
+		inst := a.instances[name]
+		a.wg.Go(func() { a.superviseInstance(inst) })
 	}
 	a.wg.Go(a.runHousekeeping)
 	return a, nil
@@ -127,23 +127,23 @@
 func (a *Agent) StopAll(ctx context.Context) error {
 	a.mu.Lock()
 	change := &store.Change{Audit: []api.AuditEntry{{At: time.Now(), Who: "agent", What: "stop all", Result: "ok"}}}
-	for _, i := range a.instances {
-		stored := i.stored
+	for _, inst := range a.instances {
+		stored := inst.stored
 		stored.Desired = api.Stopped
 		change.Instances = append(change.Instances, stored)
 	}
 	err := a.commit(change)
 	if err == nil {
 		for _, stored := range change.Instances {
-			i := a.instances[stored.Name]
-			i.stored.Desired = api.Stopped
-			i.wakeUp()
+			inst := a.instances[stored.Name]
+			inst.stored.Desired = api.Stopped
+			inst.wakeUp()
 		}
 	}
 	for err == nil {
 		running := 0
-		for _, i := range a.instances {
-			if i.supervisor.Process() != 0 {
+		for _, inst := range a.instances {
+			if inst.supervisor.Process() != 0 {
 				running++
 			}
 		}
--- a/internal/fleet/host/agent/config.go
+++ b/internal/fleet/host/agent/config.go
@@ -12,30 +12,34 @@
 // Config is an agent's configuration; deploy/agent.toml is an annotated example. Relative paths
 // are relative to the file's folder.
 type Config struct {
-	Name     string `toml:"name"`
-	StateDir string `toml:"state_dir"`
-	Listen   struct {
-		Unix      string `toml:"unix"`
-		TLS       string `toml:"tls"`
-		Plain     string `toml:"plain"`
-		PlainRole string `toml:"plain_role"`
+	Name     string `toml:"name"`      // as the fleet's inventory names the host
+	StateDir string `toml:"state_dir"` // path of the state folder
+	// Listen holds the agent's addresses; "" for none. At least one is needed.
+	Listen struct {
+		Unix      string `toml:"unix"`       // path of a Unix socket
+		TLS       string `toml:"tls"`        // host and port, with mutual TLS
+		Plain     string `toml:"plain"`      // loopback address and port, without TLS
+		PlainRole string `toml:"plain_role"` // role of all callers at Plain
 	} `toml:"listen"`
+	// TLS holds the paths of the agent's certificates, in PEM.
 	TLS struct {
 		CA   string `toml:"ca"`
 		Cert string `toml:"cert"`
 		Key  string `toml:"key"`
 	} `toml:"tls"`
+	// Record configures the store of the agent's record. All fields but Store are for Postgres.
 	Record struct {
-		Store        string            `toml:"store"`
-		URL          string            `toml:"url"`
+		Store        string            `toml:"store"` // SQLite or Postgres
+		URL          string            `toml:"url"`   // of the database, without a password
 		PasswordFile string            `toml:"password_file"`
-		CA           string            `toml:"ca"`
-		Statement    quantity.Duration `toml:"statement"`
-		Connect      quantity.Duration `toml:"connect"`
+		CA           string            `toml:"ca"`        // path of the CA certificate that verifies the server
+		Statement    quantity.Duration `toml:"statement"` // timeout of a statement
+		Connect      quantity.Duration `toml:"connect"`   // timeout of a connection attempt
 	} `toml:"record"`
+	// Sidecar configures the program of the instances.
 	Sidecar struct {
-		Binary  string `toml:"binary"`
-		Overlay string `toml:"overlay"`
+		Binary  string `toml:"binary"`  // path of the program of the first release
+		Overlay string `toml:"overlay"` // path of a JSON merge patch for the instances' configurations; "": none
 		// HandOver lets an upgrade start the new process while the previous one still serves.
 		HandOver bool `toml:"hand_over"`
 		// Fleet lists the features in which sidecars cooperate. It becomes the sidecars'
@@ -55,7 +59,7 @@
 	// Metrics are collected from each instance that has an admin address, at each multiple of Slot.
 	Metrics struct {
 		Slot      quantity.Duration `toml:"slot"` // 0: metrics are off
-		Retention quantity.Duration `toml:"keep"`
+		Retention quantity.Duration `toml:"keep"` // how long samples are retained
 	} `toml:"figures"`
 	Distribution Distribution `toml:"distribution"`
 	// Relay, if set, makes the agent a relay, which serves settings to other hosts.
@@ -81,8 +85,8 @@
 type Distribution struct {
 	// Subscribe makes the host apply the relays' settings to its instances.
 	Subscribe bool                 `toml:"subscribe"`
-	Region    string               `toml:"region"` // of this host, as the relays' entries name them
-	Zone      string               `toml:"zone"`
+	Region    string               `toml:"region"`   // of this host; Relays use the same names of regions and zones
+	Zone      string               `toml:"zone"`     // of this host
 	Coalesce  quantity.Duration    `toml:"coalesce"` // changes within this time are applied together
 	Writer    string               `toml:"writer"`   // name of the relay that writes until an operator promotes another
 	Relays    []distribution.Relay `toml:"relay"`
@@ -95,7 +99,8 @@
 	History     int `toml:"history"`     // changes that the relay retains
 }
 
-// maxSubscribers bounds a relay's subscribers: each takes a file descriptor.
+// maxSubscribers is the maximum of RelayConfig.Subscribers: each subscriber takes a file
+// descriptor.
 const maxSubscribers = 16000
 
 // InstanceConfig configures one sidecar of the host.
@@ -118,7 +123,7 @@
 	Postgres = "postgres"
 )
 
-// maxRetainedSlots bounds the number of slots whose metrics are retained.
+// maxRetainedSlots is the maximum number of slots whose metrics are retained.
 const maxRetainedSlots = 2000
 
 // MaxInstances is the maximum number of sidecars of one agent.
--- a/internal/fleet/host/agent/config_check.go
+++ b/internal/fleet/host/agent/config_check.go
@@ -48,9 +48,9 @@
 	case c.Record.Store != SQLite && c.Record.Store != Postgres:
 		return fmt.Errorf("record.store: %q; want %q or %q", c.Record.Store, SQLite, Postgres)
 	case c.Record.Store == Postgres && c.Record.URL == "":
-		return fmt.Errorf("record.url is missing, as in \"postgres://user@host/database\"")
+		return fmt.Errorf("record.url is missing: want a URL such as \"postgres://user@host/database\"")
 	case c.Record.Store == SQLite && (c.Record.URL != "" || c.Record.PasswordFile != "" || c.Record.CA != ""):
-		return fmt.Errorf("record: url, password_file and ca go with store = %q", Postgres)
+		return fmt.Errorf("record: url, password_file and ca are valid only with store = %q", Postgres)
 	case c.Record.Statement <= 0 || c.Record.Connect <= 0:
 		return fmt.Errorf("record.statement and record.connect must be above 0")
 	}
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// checkInstanceCount bounds the number of instances.
+// checkInstanceCount checks the number of instances.
 func (c *Config) checkInstanceCount() error {
 	if len(c.Instances) > MaxInstances {
 		return fmt.Errorf("instance: %d sections; an agent supervises %d instances at most", len(c.Instances), MaxInstances)
@@ -195,47 +195,47 @@
 func (c *Config) checkInstances() error {
 	seen, nameByAddress := make(map[string]bool), make(map[string]string)
 	for n := range c.Instances {
-		i := &c.Instances[n]
+		inst := &c.Instances[n]
 		switch {
-		case !namePattern.MatchString(i.Name):
-			return fmt.Errorf("instance %d: name %q; want letters, digits, '.', '_' or '-', 63 at most", n+1, i.Name)
-		case seen[i.Name]:
-			return fmt.Errorf("instance %s is configured twice", i.Name)
+		case !namePattern.MatchString(inst.Name):
+			return fmt.Errorf("instance %d: name %q; want letters, digits, '.', '_' or '-', 63 at most", n+1, inst.Name)
+		case seen[inst.Name]:
+			return fmt.Errorf("instance %s is configured twice", inst.Name)
 		}
-		seen[i.Name] = true
-		if err := i.readConfig(); err != nil {
+		seen[inst.Name] = true
+		if err := inst.readConfig(); err != nil {
 			return err
 		}
-		if other := nameByAddress[i.listen]; other != "" {
-			return fmt.Errorf("instances %s and %s both listen on %s", other, i.Name, i.listen)
+		if other := nameByAddress[inst.listen]; other != "" {
+			return fmt.Errorf("instances %s and %s both listen on %s", other, inst.Name, inst.listen)
 		}
-		nameByAddress[i.listen] = i.Name
+		nameByAddress[inst.listen] = inst.Name
 	}
 	return nil
 }
 
 // readConfig reads the sidecar's addresses and its memory limit from its configuration, and
 // checks that the file of its idempotency store exists.
-func (i *InstanceConfig) readConfig() error {
-	data, err := os.ReadFile(i.Config)
+func (inst *InstanceConfig) readConfig() error {
+	data, err := os.ReadFile(inst.Config)
 	if err != nil {
-		return fmt.Errorf("instance %s: config: %w", i.Name, err)
+		return fmt.Errorf("instance %s: config: %w", inst.Name, err)
 	}
-	if i.Record != "" {
-		if _, err := os.Stat(i.Record); err != nil {
-			return fmt.Errorf("instance %s: record: %w", i.Name, err)
+	if inst.Record != "" {
+		if _, err := os.Stat(inst.Record); err != nil {
+			return fmt.Errorf("instance %s: record: %w", inst.Name, err)
 		}
 	}
 	var base struct {
 		Listen string `json:"listen"`
 	}
 	if err := json.Unmarshal(data, &base); err != nil {
-		return fmt.Errorf("instance %s: config %s: %w", i.Name, i.Config, err)
+		return fmt.Errorf("instance %s: config %s: %w", inst.Name, inst.Config, err)
 	}
 	if _, _, err := net.SplitHostPort(base.Listen); err != nil {
-		return fmt.Errorf("instance %s: config %s: listen: %w", i.Name, i.Config, err)
+		return fmt.Errorf("instance %s: config %s: listen: %w", inst.Name, inst.Config, err)
 	}
-	i.listen = base.Listen
-	i.adminAddress, i.memoryLimitMB = adminEndpoint(data)
+	inst.listen = base.Listen
+	inst.adminAddress, inst.memoryLimitMB = adminEndpoint(data)
 	return nil
 }
--- a/internal/fleet/host/agent/connections.go
+++ b/internal/fleet/host/agent/connections.go
@@ -20,7 +20,7 @@
 	role      string // api.View, api.Operate or "" for none
 	id        string // the certificate's name, the user's ID or the address
 	certified bool   // id is the name in a certificate of the fleet's CA
-	who       string // for the audit log; "" until hello. The agent's lock guards it.
+	who       string // for the audit log; "" until hello. The agent's mu guards it.
 }
 
 // connectionLimits are the limits of a connection to an agent. Message, in bytes, leaves room for
--- a/internal/fleet/host/agent/housekeeping.go
+++ b/internal/fleet/host/agent/housekeeping.go
@@ -51,12 +51,12 @@
 	a.endAborted()
 	a.rollBackUnattended(time.Now())
 	a.updatePowerReturn(time.Since(a.started))
-	for _, i := range a.instances {
-		used = append(used, i.stored.Release, i.stored.Previous, i.stored.Running, i.storedPrevious.Running)
+	for _, inst := range a.instances {
+		used = append(used, inst.stored.Release, inst.stored.Previous, inst.stored.Running, inst.storedPrevious.Running)
 	}
-	for _, o := range a.operations {
-		if o.State != api.OpClosed {
-			used = append(used, o.Release)
+	for _, operation := range a.operations {
+		if operation.State != api.OpClosed {
+			used = append(used, operation.Release)
 		}
 	}
 	maps.DeleteFunc(a.canHandover, func(release string, _ bool) bool { return !slices.Contains(used, release) })
--- a/internal/fleet/host/agent/instance.go
+++ b/internal/fleet/host/agent/instance.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// healthTimeout bounds a health check.
+	// healthTimeout limits a health check.
 	healthTimeout = 800 * time.Millisecond
-	// activeInterval is the maximum period of an instance's loop while the instance starts or
+	// activeInterval is the longest wait of an instance's loop while the instance starts or
 	// changes.
 	activeInterval = 50 * time.Millisecond
 	// retryInterval is the delay before a launch that could not be recorded is retried.
@@ -31,7 +31,7 @@
 	config InstanceConfig
 	wake   chan struct{} // a value starts the next round of its loop
 
-	stored        store.Instance // as in the record
+	stored        store.Instance // as in the record, unless dirty is set
 	dirty         bool           // the last write of the instance or its steps failed
 	supervisor    *supervisor.Supervisor
 	process       *Process      // nil: none runs
@@ -60,29 +60,29 @@
 }
 
 // wakeUp starts the next round of the instance's loop without delay. It never blocks.
-func (i *instance) wakeUp() {
+func (inst *instance) wakeUp() {
 	select {
-	case i.wake <- struct{}{}:
+	case inst.wake <- struct{}{}:
 	default:
 	}
 }
 
 // instanceStatus returns an instance's status for the API. The caller holds a.mu.
-func (a *Agent) instanceStatus(i *instance) api.Instance {
+func (a *Agent) instanceStatus(inst *instance) api.Instance {
 	out := api.Instance{
-		Name: i.config.Name, Host: a.config.Name, Labels: maps.Clone(i.config.Labels), Listen: i.config.listen,
-		Desired: i.stored.Desired, State: string(i.supervisor.Phase()), Reason: i.supervisor.Reason(),
-		Release: i.stored.Release, Running: i.stored.Running, Previous: i.stored.Previous,
-		Generation: i.stored.Generation, Process: i.stored.Process, PID: i.stored.PID,
-		Launched: i.stored.Launched, Since: i.supervisor.Since(), Restarts: i.stored.Restarts, LastExit: i.stored.LastExit,
-		Record: i.reported.recordState, AdminAddress: i.config.adminAddress, Rate: i.history.rate(),
+		Name: inst.config.Name, Host: a.config.Name, Labels: maps.Clone(inst.config.Labels), Listen: inst.config.listen,
+		Desired: inst.stored.Desired, State: string(inst.supervisor.Phase()), Reason: inst.supervisor.Reason(),
+		Release: inst.stored.Release, Running: inst.stored.Running, Previous: inst.stored.Previous,
+		Generation: inst.stored.Generation, Process: inst.stored.Process, PID: inst.stored.PID,
+		Launched: inst.stored.Launched, Since: inst.supervisor.Since(), Restarts: inst.stored.Restarts, LastExit: inst.stored.LastExit,
+		Record: inst.reported.recordState, AdminAddress: inst.config.adminAddress, Rate: inst.history.rate(),
 	}
-	if l := a.leases.ByInstance[i.config.Name]; l.Live(time.Now()) {
+	if l := a.leases.ByInstance[inst.config.Name]; l.Live(time.Now()) {
 		out.LeaseHolder = l.Holder
 	}
-	for _, o := range a.operations {
-		if o.State != api.OpClosed && a.isTarget(&o.Operation, i.config.Name) {
-			out.Operation = o.ID
+	for _, operation := range a.operations {
+		if operation.State != api.OpClosed && a.isTarget(&operation.Operation, inst.config.Name) {
+			out.Operation = operation.ID
 		}
 	}
 	return out
--- a/internal/fleet/host/agent/instance_config.go
+++ b/internal/fleet/host/agent/instance_config.go
@@ -13,21 +13,21 @@
 
 // configure writes an instance's configuration with the overlay of a release and the distributed
 // settings that the instance accepted last.
-func (a *Agent) configure(i *instance, releaseHash, seed string) error {
+func (a *Agent) configure(inst *instance, releaseHash, seed string) error {
 	a.mu.Lock()
 	var settings []distribution.Resource
-	if i.settings.applier != nil {
-		settings = i.settings.applier.Accepted()
+	if inst.settings.applier != nil {
+		settings = inst.settings.applier.Accepted()
 	}
 	a.mu.Unlock()
-	_, err := a.configureWith(i, releaseHash, settings, seed)
+	_, err := a.configureWith(inst, releaseHash, settings, seed)
 	return err
 }
 
 // configureWith writes an instance's configuration with the given distributed settings and
 // returns its SHA-256 hash in hex.
-func (a *Agent) configureWith(i *instance, releaseHash string, settings []distribution.Resource, seed string) (configHash string, err error) {
-	base, err := os.ReadFile(i.config.Config)
+func (a *Agent) configureWith(inst *instance, releaseHash string, settings []distribution.Resource, seed string) (configHash string, err error) {
+	base, err := os.ReadFile(inst.config.Config)
 	if err != nil {
 		return "", err
 	}
@@ -39,17 +39,18 @@
 	if err != nil {
 		return "", err
 	}
-	if err := writeFile(a.configPath(i.config.Name), data); err != nil {
+	if err := writeFile(a.configPath(inst.config.Name), data); err != nil {
 		return "", err
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	i.writtenConfigHash = fmt.Sprintf("%x", sha256.Sum256(data))
-	return i.writtenConfigHash, nil
+	inst.writtenConfigHash = fmt.Sprintf("%x", sha256.Sum256(data))
+	return inst.writtenConfigHash, nil
 }
 
 // render returns an instance's configuration: its base configuration, with the release's overlay
-// merged into it (RFC 7396), then the distributed settings in their order, then the seed.
+// merged into it (RFC 7396), then the distributed settings in their order, then the seed of the
+// sidecar's random choices.
 func render(base, overlay []byte, settings []distribution.Resource, seed string) ([]byte, error) {
 	var config map[string]any
 	if err := json.Unmarshal(base, &config); err != nil {
--- a/internal/fleet/host/agent/instance_loop.go
+++ b/internal/fleet/host/agent/instance_loop.go
@@ -21,63 +21,63 @@
 
 // superviseInstance brings one instance to its desired state and keeps it there until the
 // agent ends. No other goroutine changes the instance's supervisor and processes.
-func (a *Agent) superviseInstance(i *instance) {
+func (a *Agent) superviseInstance(inst *instance) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var healthAt time.Time
 	for first := true; ; first = false {
-		actions, mustWait := a.dueActions(i, first)
-		a.carryOut(i, actions)
-		a.checkStep(i)
-		settingsDue := a.applySettings(i)
+		actions, mustWait := a.dueActions(inst, first)
+		a.carryOut(inst, actions)
+		a.checkStep(inst)
+		settingsDue := a.applySettings(inst)
 
-		round := a.endRound(i, mustWait)
+		round := a.endRound(inst, mustWait)
 		round.settingsDue = settingsDue
 		if round.process != nil && !time.Now().Before(healthAt) {
-			a.checkHealth(i, round.process)
+			a.checkHealth(inst, round.process)
 			healthAt = time.Now().Add(a.healthDelay(round.active))
-			a.checkStep(i)
-			round.settingsDue = a.applySettings(i)
+			a.checkStep(inst)
+			round.settingsDue = a.applySettings(inst)
 		}
-		timer.Reset(i.waitAfter(round, healthAt))
+		timer.Reset(inst.waitAfter(round, healthAt))
 		a.mu.Lock()
-		previous := i.previous
+		previous := inst.previous
 		a.mu.Unlock()
 		select {
 		case <-a.ctx.Done():
 			return
-		case <-i.wake:
+		case <-inst.wake:
 			healthAt = time.Time{}
 		case <-timer.C:
 		case <-round.process.done():
-			a.carryOut(i, a.processExited(i, round.process))
+			a.carryOut(inst, a.processExited(inst, round.process))
 			healthAt = time.Time{}
 		case <-previous.done():
-			a.carryOut(i, a.previousExited(i, previous))
+			a.carryOut(inst, a.previousExited(inst, previous))
 		}
 	}
 }
 
 // dueActions returns the supervisor's actions for now, and whether the instance has to wait for
 // its wave after a power loss. first is set in the first round of the loop.
-func (a *Agent) dueActions(i *instance, first bool) (actions []supervisor.Action, mustWait bool) {
+func (a *Agent) dueActions(inst *instance, first bool) (actions []supervisor.Action, mustWait bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	if first && i.exitedWhileAgentWasDown() {
+	if first && inst.exitedWhileAgentWasDown() {
 		// This counts as a crash, like an exit that the agent sees.
-		i.supervisor.SetDesired(now, true, i.stored.Generation)
-		i.supervisor.Adopt(now, i.exitedGeneration)
-		i.supervisor.Exited(now, i.stored.LastExit)
+		inst.supervisor.SetDesired(now, true, inst.stored.Generation)
+		inst.supervisor.Adopt(now, inst.exitedGeneration)
+		inst.supervisor.Exited(now, inst.stored.LastExit)
 	}
-	i.supervisor.SetSideBySide(a.sideBySide(i))
-	actions = i.supervisor.SetDesired(now, i.stored.Desired == api.Running, i.stored.Generation)
-	if i.abandonReason != "" {
-		actions = append(actions, i.supervisor.Abandon(now, i.abandonReason)...)
-		i.abandonReason = ""
+	inst.supervisor.SetSideBySide(a.sideBySide(inst))
+	actions = inst.supervisor.SetDesired(now, inst.stored.Desired == api.Running, inst.stored.Generation)
+	if inst.abandonReason != "" {
+		actions = append(actions, inst.supervisor.Abandon(now, inst.abandonReason)...)
+		inst.abandonReason = ""
 	}
-	mustWait = a.powerReturn.mustWait(now.Sub(a.started), i)
-	if now.Before(i.launchRetryAt) || mustWait {
+	mustWait = a.powerReturn.mustWait(now.Sub(a.started), inst)
+	if now.Before(inst.launchRetryAt) || mustWait {
 		actions = withoutLaunch(actions) // the supervisor returns the launch again in a later round
 	}
 	return actions, mustWait
@@ -85,19 +85,19 @@
 
 // exitedWhileAgentWasDown reports whether the process of the desired generation exited while no
 // agent was running.
-func (i *instance) exitedWhileAgentWasDown() bool {
-	return i.exitedGeneration != 0 && i.process == nil &&
-		i.stored.Desired == api.Running && i.exitedGeneration == i.stored.Generation
+func (inst *instance) exitedWhileAgentWasDown() bool {
+	return inst.exitedGeneration != 0 && inst.process == nil &&
+		inst.stored.Desired == api.Running && inst.exitedGeneration == inst.stored.Generation
 }
 
 // endRound returns the state that determines how long the loop waits.
-func (a *Agent) endRound(i *instance, mustWait bool) instanceRound {
+func (a *Agent) endRound(inst *instance, mustWait bool) instanceRound {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return instanceRound{
-		process:       i.process,
-		supervisorDue: i.supervisor.Next(),
-		active:        mustWait || i.step != nil || i.settings.attempt != nil || i.supervisor.Phase() == supervisor.Starting,
+		process:       inst.process,
+		supervisorDue: inst.supervisor.Next(),
+		active:        mustWait || inst.step != nil || inst.settings.attempt != nil || inst.supervisor.Phase() == supervisor.Starting,
 	}
 }
 
@@ -113,7 +113,7 @@
 }
 
 // waitAfter returns how long the loop waits for an event after a round.
-func (i *instance) waitAfter(round instanceRound, healthAt time.Time) time.Duration {
+func (inst *instance) waitAfter(round instanceRound, healthAt time.Time) time.Duration {
 	wait := maxIdleWait
 	until := func(t time.Time) {
 		if !t.IsZero() {
@@ -128,8 +128,8 @@
 	if round.active {
 		wait = min(wait, activeInterval)
 	}
-	if time.Now().Before(i.launchRetryAt) {
-		until(i.launchRetryAt)
+	if time.Now().Before(inst.launchRetryAt) {
+		until(inst.launchRetryAt)
 	}
 	return wait
 }
--- a/internal/fleet/host/agent/load.go
+++ b/internal/fleet/host/agent/load.go
@@ -79,11 +79,11 @@
 		return nil, err
 	}
 	a.loadedSettings = snapshot.Settings
-	for _, o := range snapshot.Operations {
-		a.operations[o.ID] = &o
+	for _, operation := range snapshot.Operations {
+		a.operations[operation.ID] = &operation
 	}
-	for _, s := range snapshot.Steps {
-		a.steps[stepKey{s.Op, s.Instance, s.Kind}] = &s
+	for _, step := range snapshot.Steps {
+		a.steps[stepKey{step.Op, step.Instance, step.Kind}] = &step
 	}
 	a.leases.Put(snapshot.Leases)
 	return snapshot, nil
@@ -108,21 +108,21 @@
 		delete(storedByName, config.Name)
 		ran := stored.Launch != "" && stored.PID != 0 && stored.Desired == api.Running
 		sameBoot := stored.Boot == boot
-		i := &instance{
+		inst := &instance{
 			config: config, stored: stored,
 			settings:   settingsState{program: stored.Running},
 			supervisor: supervisor.New(a.supervisorConfig(), now),
 			wake:       make(chan struct{}, 1),
 			history:    sampleHistory{limit: a.retainedSlots()},
 		}
-		a.instances[config.Name] = i
+		a.instances[config.Name] = inst
 		a.instanceNames = append(a.instanceNames, config.Name)
-		launch := i.stored.Launch
-		changed := a.findProcess(i, found, boot, now)
-		if a.findPreviousProcess(i, launch, found, boot, now) || changed {
-			change.Instances = append(change.Instances, i.stored)
+		launch := inst.stored.Launch
+		changed := a.findProcess(inst, found, boot, now)
+		if a.findPreviousProcess(inst, launch, found, boot, now) || changed {
+			change.Instances = append(change.Instances, inst.stored)
 		}
-		detector.observe(i, ran, sameBoot)
+		detector.observe(inst, ran, sameBoot)
 	}
 	return dropRemoved(storedByName, found, boot, change)
 }
@@ -159,9 +159,9 @@
 	return stored
 }
 
-// dropRemoved adds the removal of instances that are no longer configured to change. It returns
-// a *RemovedInstanceError if the process of such an instance still runs, because nothing would
-// supervise that process.
+// dropRemoved adds to change the removal of the instances in removed, which are in the record but
+// no longer configured. It returns a *RemovedInstanceError if the process of such an instance still
+// runs, because nothing would supervise that process.
 func dropRemoved(removed map[string]store.Instance, found map[string]proc.Found, boot string, change *store.Change) error {
 	for name, stored := range removed {
 		if stored.Launch != "" && (proc.Alive(stored.PID, stored.Ticks) && stored.Boot == boot || found[stored.Launch].PID != 0) {
@@ -175,15 +175,15 @@
 // resumeSteps assigns each running step to its instance. A step fails if its instance is no
 // longer configured.
 func (a *Agent) resumeSteps(change *store.Change, now time.Time) {
-	for _, s := range a.steps {
-		if s.Status != api.StepRunning {
+	for _, step := range a.steps {
+		if step.Status != api.StepRunning {
 			continue
 		}
-		if i := a.instances[s.Instance]; i != nil {
-			i.step = s
+		if inst := a.instances[step.Instance]; inst != nil {
+			inst.step = step
 			continue
 		}
-		s.Status, s.Reason, s.Finished = api.StepFailed, "the instance was removed from the agent's configuration", now
-		change.Steps = append(change.Steps, *s)
+		step.Status, step.Reason, step.Finished = api.StepFailed, "the instance was removed from the agent's configuration", now
+		change.Steps = append(change.Steps, *step)
 	}
 }
--- a/internal/fleet/host/agent/load_processes.go
+++ b/internal/fleet/host/agent/load_processes.go
@@ -51,10 +51,10 @@
 
 // findPreviousProcess adopts a process that was being replaced when the agent ended: a process of
 // the instance whose launch ID is not launch, the recorded one. If the new process does not run,
-// the previous one becomes the instance's process again. It reports whether i.stored has changed.
-func (a *Agent) findPreviousProcess(i *instance, launch string, found map[string]proc.Found, boot string, now time.Time) bool {
+// the previous one becomes the instance's process again. It reports whether inst.stored has changed.
+func (a *Agent) findPreviousProcess(inst *instance, launch string, found map[string]proc.Found, boot string, now time.Time) bool {
 	for other, process := range found {
-		generation, ok := a.launchGeneration(other, i.config.Name)
+		generation, ok := a.launchGeneration(other, inst.config.Name)
 		if !ok || other == launch {
 			continue
 		}
@@ -62,42 +62,42 @@
 		if err != nil {
 			continue
 		}
-		slog.Info("found a process that was being replaced", "instance", i.config.Name, "pid", process.PID, "launch", other)
-		replaced := i.stored
+		slog.Info("found a process that was being replaced", "instance", inst.config.Name, "pid", process.PID, "launch", other)
+		replaced := inst.stored
 		setRunning(&replaced, other, generation, process, boot)
-		if i.process != nil {
-			i.previous, i.storedPrevious = p, replaced
-			i.supervisor.AdoptPrevious(generation)
+		if inst.process != nil {
+			inst.previous, inst.storedPrevious = p, replaced
+			inst.supervisor.AdoptPrevious(generation)
 			return false
 		}
-		i.process, i.stored = p, replaced
-		i.supervisor.Adopt(now, generation)
-		if i.exitedGeneration != 0 {
-			i.supervisor.AdoptFailed(i.exitedGeneration, i.stored.LastExit)
-			i.exitedGeneration = 0
+		inst.process, inst.stored = p, replaced
+		inst.supervisor.Adopt(now, generation)
+		if inst.exitedGeneration != 0 {
+			inst.supervisor.AdoptFailed(inst.exitedGeneration, inst.stored.LastExit)
+			inst.exitedGeneration = 0
 		}
 		return true
 	}
 	return false
 }
 
-// findProcess adopts the process that is in the record, or sets i.stored to having none. It
-// reports whether i.stored has changed.
-func (a *Agent) findProcess(i *instance, found map[string]proc.Found, boot string, now time.Time) bool {
-	stored := &i.stored
+// findProcess adopts the process that is in the record, or sets inst.stored to having none. It
+// reports whether inst.stored has changed.
+func (a *Agent) findProcess(inst *instance, found map[string]proc.Found, boot string, now time.Time) bool {
+	stored := &inst.stored
 	if stored.Launch == "" {
 		return false
 	}
 	pid, ticks := stored.PID, stored.Ticks
 	if pid == 0 || stored.Boot != boot {
-		// The record shows that a launch was due, but not whether the process runs: the PID was not
-		// written, or belongs to an earlier boot.
+		// The record holds the launch, but no PID of this boot: the PID was not written, or is from
+		// an earlier boot. The process, if it was started, can be found by the launch ID.
 		pid, ticks = found[stored.Launch].PID, found[stored.Launch].Ticks
 	}
 	if pid != 0 {
 		if p, err := a.machine.Adopt(a.ctx, pid, ticks); err == nil {
-			i.process = p
-			i.supervisor.Adopt(now, stored.Process)
+			inst.process = p
+			inst.supervisor.Adopt(now, stored.Process)
 			changed := stored.PID != pid
 			stored.PID, stored.Ticks, stored.Boot = pid, ticks, boot
 			return changed
@@ -106,7 +106,7 @@
 	if stored.PID != 0 {
 		// The process was started, and exited while no agent was running.
 		stored.LastExit = "exited while no agent was running; its exit status is not known"
-		i.exitedGeneration = stored.Process
+		inst.exitedGeneration = stored.Process
 	}
 	stored.Launch, stored.PID, stored.Process, stored.Running = "", 0, 0, ""
 	return true
--- a/internal/fleet/host/agent/metrics.go
+++ b/internal/fleet/host/agent/metrics.go
@@ -29,8 +29,8 @@
 		return nil
 	}
 	restore := func(s api.Sample) {
-		if i := a.instances[s.Instance]; i != nil {
-			i.history.add(s)
+		if inst := a.instances[s.Instance]; inst != nil {
+			inst.history.add(s)
 		}
 	}
 	journal, err := openMetricsJournal(a.metricsPath(), a.retainedSlots()*max(1, len(a.instanceNames)), restore)
@@ -111,17 +111,17 @@
 	defer a.mu.Unlock()
 	var targets []scrapeTarget
 	for _, name := range a.instanceNames {
-		i := a.instances[name]
-		if i.config.adminAddress == "" || i.process == nil || i.previous != nil || i.stored.Launch == "" {
+		inst := a.instances[name]
+		if inst.config.adminAddress == "" || inst.process == nil || inst.previous != nil || inst.stored.Launch == "" {
 			continue
 		}
 		targets = append(targets, scrapeTarget{
 			sample: api.Sample{
-				Instance: name, Process: i.stored.Launch, Release: i.stored.Running,
-				Started: i.stored.Launched, Crashes: uint32(max(0, i.stored.Restarts)),
+				Instance: name, Process: inst.stored.Launch, Release: inst.stored.Running,
+				Started: inst.stored.Launched, Crashes: uint32(max(0, inst.stored.Restarts)),
 			},
-			adminAddress: i.config.adminAddress,
-			pid:          i.stored.PID,
+			adminAddress: inst.config.adminAddress,
+			pid:          inst.stored.PID,
 		})
 	}
 	return targets
--- a/internal/fleet/host/agent/operations.go
+++ b/internal/fleet/host/agent/operations.go
@@ -12,8 +12,8 @@
 
 // localTargets returns the names of an operation's targets at this agent. It is an error if the
 // operation has none here or one of them is not configured. The caller holds a.mu.
-func (a *Agent) localTargets(o *api.Operation) (out []string, err error) {
-	for _, t := range o.Targets {
+func (a *Agent) localTargets(operation *api.Operation) (out []string, err error) {
+	for _, t := range operation.Targets {
 		if t.Host == a.config.Name {
 			if _, err := a.findInstance(t.Instance); err != nil {
 				return nil, err
@@ -22,14 +22,14 @@
 		}
 	}
 	if len(out) == 0 {
-		return nil, api.Errorf(api.InvalidParams, "operation %s has no instance at agent %s", o.ID, a.config.Name)
+		return nil, api.Errorf(api.InvalidParams, "operation %s has no instance at agent %s", operation.ID, a.config.Name)
 	}
 	return out, nil
 }
 
 // isTarget reports whether an instance of this agent is a target of an operation.
-func (a *Agent) isTarget(o *api.Operation, instance string) bool {
-	for _, t := range o.Targets {
+func (a *Agent) isTarget(operation *api.Operation, instance string) bool {
+	for _, t := range operation.Targets {
 		if t.Host == a.config.Name && t.Instance == instance {
 			return true
 		}
@@ -40,17 +40,17 @@
 // checkCompatibility checks that an operation's release may run next to the current releases of
 // its targets here. It runs both programs to query their versions, and does not hold a.mu
 // meanwhile.
-func (a *Agent) checkCompatibility(o *api.Operation) error {
+func (a *Agent) checkCompatibility(operation *api.Operation) error {
 	a.mu.Lock()
-	_, opened := a.operations[o.ID]
+	_, opened := a.operations[operation.ID]
 	uses := make(map[string]compatibility.Use) // by current release
-	for _, t := range o.Targets {
-		if i := a.instances[t.Instance]; t.Host == a.config.Name && i != nil && i.stored.Release != o.Release {
-			use := uses[i.stored.Release]
-			use.HandOver = a.config.Sidecar.HandOver && o.Action == api.ActUpgrade
-			use.MayRollBack = o.Policy.OnFailure == api.OnFailureRollback || o.Policy.OnFailure == api.OnFailureRollbackStage
-			use.Record = use.Record || i.config.Record != ""
-			uses[i.stored.Release] = use
+	for _, t := range operation.Targets {
+		if inst := a.instances[t.Instance]; t.Host == a.config.Name && inst != nil && inst.stored.Release != operation.Release {
+			use := uses[inst.stored.Release]
+			use.HandOver = a.config.Sidecar.HandOver && operation.Action == api.ActUpgrade
+			use.MayRollBack = operation.Policy.OnFailure == api.OnFailureRollback || operation.Policy.OnFailure == api.OnFailureRollbackStage
+			use.Record = use.Record || inst.config.Record != ""
+			uses[inst.stored.Release] = use
 		}
 	}
 	a.mu.Unlock()
@@ -59,9 +59,9 @@
 	}
 	for current, use := range uses {
 		old := compatibility.Query(a.ctx, a.releases.Path(current, release.Sidecar))
-		next := compatibility.Query(a.ctx, a.releases.Path(o.Release, release.Sidecar))
+		next := compatibility.Query(a.ctx, a.releases.Path(operation.Release, release.Sidecar))
 		if err := compatibility.Check(old, next, use); err != nil {
-			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run next to release %.12s: %v", a.config.Name, o.Release, current, err)
+			return api.Errorf(api.InvalidRelease, "agent %s: release %.12s may not run next to release %.12s: %v", a.config.Name, operation.Release, current, err)
 		}
 	}
 	return nil
@@ -69,8 +69,8 @@
 
 // findOperation returns the operation with an ID. The caller holds a.mu.
 func (a *Agent) findOperation(id string) (*store.Operation, error) {
-	if o := a.operations[id]; o != nil {
-		return o, nil
+	if operation := a.operations[id]; operation != nil {
+		return operation, nil
 	}
 	return nil, api.Errorf(api.NoOperation, "agent %s has no operation %q", a.config.Name, id)
 }
@@ -96,8 +96,8 @@
 
 // hasRunningStep reports whether a step of an operation is running here. The caller holds a.mu.
 func (a *Agent) hasRunningStep(op string) bool {
-	for _, i := range a.instances {
-		if i.step != nil && i.step.Op == op {
+	for _, inst := range a.instances {
+		if inst.step != nil && inst.step.Op == op {
 			return true
 		}
 	}
@@ -106,13 +106,13 @@
 
 // closeOperation closes an operation, ends its leases here and drops the oldest closed operations
 // beyond the configured limit. The caller holds a.mu.
-func (a *Agent) closeOperation(o *store.Operation, result, who string) error {
+func (a *Agent) closeOperation(operation *store.Operation, result, who string) error {
 	now := time.Now()
-	next := *o
+	next := *operation
 	next.State, next.Result, next.Closed = api.OpClosed, result, now
-	change := &store.Change{Operations: []store.Operation{next}, Audit: []api.AuditEntry{{At: now, Who: who, What: "op.close", Target: o.ID, Result: result}}}
+	change := &store.Change{Operations: []store.Operation{next}, Audit: []api.AuditEntry{{At: now, Who: who, What: "op.close", Target: operation.ID, Result: result}}}
 	for _, l := range a.leases.ByInstance {
-		if l.Op == o.ID && l.Live(now) {
+		if l.Op == operation.ID && l.Live(now) {
 			l.Expires = now
 			change.Leases = append(change.Leases, l)
 		}
@@ -131,7 +131,7 @@
 	if err := a.commit(change); err != nil {
 		return err
 	}
-	*o = next
+	*operation = next
 	a.leases.Put(change.Leases)
 	for _, id := range change.DropOperations {
 		delete(a.operations, id)
@@ -144,35 +144,35 @@
 	return nil
 }
 
-// endAborted closes aborting operations that have no running step and no live lease. The lock is
-// held.
+// endAborted closes aborting operations that have no running step and no live lease. The caller
+// holds a.mu.
 func (a *Agent) endAborted() {
-	for _, o := range a.operations {
-		if o.State == api.OpAborting && !a.isLeased(o.ID, time.Now()) && !a.hasRunningStep(o.ID) {
-			if err := a.closeOperation(o, "aborted", "agent"); err != nil {
+	for _, operation := range a.operations {
+		if operation.State == api.OpAborting && !a.isLeased(operation.ID, time.Now()) && !a.hasRunningStep(operation.ID) {
+			if err := a.closeOperation(operation, "aborted", "agent"); err != nil {
 				return
 			}
 		}
 	}
 }
 
-// operationStatus returns an operation as the API shows it. The lock is held.
-func (a *Agent) operationStatus(o *store.Operation) *api.OpOut {
+// operationStatus returns an operation's status for the API. The caller holds a.mu.
+func (a *Agent) operationStatus(operation *store.Operation) *api.OpOut {
 	now := time.Now()
-	out := &api.OpOut{Operation: o.Operation, State: o.State, Result: o.Result, Change: a.changeNumber, Now: now}
+	out := &api.OpOut{Operation: operation.Operation, State: operation.State, Result: operation.Result, Change: a.changeNumber, Now: now}
 	for _, l := range a.leases.ByInstance {
-		if l.Op == o.ID && l.Live(now) {
+		if l.Op == operation.ID && l.Live(now) {
 			out.LeaseHolder, out.Expires = l.Holder, l.Expires
 		}
 	}
 	for _, name := range a.instanceNames {
-		if a.isTarget(&o.Operation, name) {
+		if a.isTarget(&operation.Operation, name) {
 			out.Instances = append(out.Instances, a.instanceStatus(a.instances[name]))
 		}
 	}
-	for k, s := range a.steps {
-		if k.op == o.ID {
-			out.Steps = append(out.Steps, *s)
+	for key, step := range a.steps {
+		if key.op == operation.ID {
+			out.Steps = append(out.Steps, *step)
 		}
 	}
 	slices.SortFunc(out.Steps, func(x, y api.Step) int { return x.Started.Compare(y.Started) })
--- a/internal/fleet/host/agent/persist.go
+++ b/internal/fleet/host/agent/persist.go
@@ -49,13 +49,13 @@
 // if step is not nil. If the write fails, the instance is marked dirty and housekeeping writes it
 // later. If the agent is killed before that, the next agent learns the state from the processes.
 // The caller holds a.mu.
-func (a *Agent) persistOrMarkDirty(i *instance, step *api.Step) {
-	change := &store.Change{Instances: []store.Instance{i.stored}}
+func (a *Agent) persistOrMarkDirty(inst *instance, step *api.Step) {
+	change := &store.Change{Instances: []store.Instance{inst.stored}}
 	if step != nil {
 		change.Steps = []api.Step{*step}
 	}
 	if a.commit(change) != nil {
-		i.dirty = true
+		inst.dirty = true
 		a.notifyChanged()
 	}
 }
@@ -65,12 +65,12 @@
 // whether the record is writable again. The caller holds a.mu.
 func (a *Agent) persistDirty() {
 	change := &store.Change{}
-	for _, i := range a.instances {
-		if i.dirty {
-			change.Instances = append(change.Instances, i.stored)
-			change.Settings = append(change.Settings, i.settingsEntries()...)
+	for _, inst := range a.instances {
+		if inst.dirty {
+			change.Instances = append(change.Instances, inst.stored)
+			change.Settings = append(change.Settings, inst.settingsEntries()...)
 			for _, step := range a.steps {
-				if step.Instance == i.config.Name {
+				if step.Instance == inst.config.Name {
 					change.Steps = append(change.Steps, *step)
 				}
 			}
@@ -83,8 +83,8 @@
 		change.Instances = append(change.Instances, a.instances[a.instanceNames[0]].stored)
 	}
 	if a.commit(change) == nil {
-		for _, i := range a.instances {
-			i.dirty = false
+		for _, inst := range a.instances {
+			inst.dirty = false
 		}
 	}
 }
--- a/internal/fleet/host/agent/power_loss.go
+++ b/internal/fleet/host/agent/power_loss.go
@@ -20,12 +20,12 @@
 
 // observe adds an instance, whose process has been looked for. ran means that it should run and
 // had a process according to the record, and sameBoot that it was started in the current boot.
-func (d *lossDetector) observe(i *instance, ran, sameBoot bool) {
+func (d *lossDetector) observe(inst *instance, ran, sameBoot bool) {
 	switch {
-	case i.process != nil:
+	case inst.process != nil:
 		d.alive++
 	case ran:
-		d.lost = append(d.lost, i)
+		d.lost = append(d.lost, inst)
 		d.rebooted = d.rebooted || !sameBoot
 	}
 }
@@ -72,18 +72,18 @@
 	a.writeLosses(losses)
 	change.Leases = a.leases.RevokeAll()
 	a.leases.Put(change.Leases)
-	for _, i := range detector.lost {
-		i.exitedGeneration = 0
-		i.stored.LastExit = "ended when the host lost power"
+	for _, inst := range detector.lost {
+		inst.exitedGeneration = 0
+		inst.stored.LastExit = "ended when the host lost power"
 	}
 	for n := range change.Instances {
-		if i := a.instances[change.Instances[n].Name]; i != nil {
-			change.Instances[n] = i.stored
+		if inst := a.instances[change.Instances[n].Name]; inst != nil {
+			change.Instances[n] = inst.stored
 		}
 	}
 	paused := 0
-	for _, o := range a.operations {
-		if o.State == api.OpOpened {
+	for _, operation := range a.operations {
+		if operation.State == api.OpOpened {
 			paused++
 		}
 	}
@@ -97,8 +97,8 @@
 func (a *Agent) startWaves(losses lossCounter) {
 	var places []recovery.Place
 	for _, name := range a.instanceNames {
-		if i := a.instances[name]; i.stored.Desired == api.Running {
-			places = append(places, recovery.Place{Name: name, Shop: i.config.Labels[a.config.Recovery.Shop], Zone: i.config.Labels[a.config.Recovery.Zone]})
+		if inst := a.instances[name]; inst.stored.Desired == api.Running {
+			places = append(places, recovery.Place{Name: name, Shop: inst.config.Labels[a.config.Recovery.Shop], Zone: inst.config.Labels[a.config.Recovery.Zone]})
 		}
 	}
 	waves := recovery.Waves(places, a.config.Recovery.MaxWaveSize)
@@ -111,19 +111,19 @@
 // start. It also tells the pace if the instance is no longer starting, because the next wave may
 // depend on that. If r is nil, there is no return and no instance waits. The caller holds the
 // agent's mu.
-func (r *powerReturn) mustWait(now time.Duration, i *instance) bool {
+func (r *powerReturn) mustWait(now time.Duration, inst *instance) bool {
 	if r == nil || r.pace == nil {
 		return false
 	}
-	switch i.supervisor.Phase() {
+	switch inst.supervisor.Phase() {
 	case supervisor.Ready, supervisor.Unready, supervisor.Backoff, supervisor.Crashloop, supervisor.Draining:
-		r.pace.Done(i.config.Name)
+		r.pace.Done(inst.config.Name)
 	case supervisor.Stopped:
-		if i.stored.Desired != api.Running {
-			r.pace.Done(i.config.Name)
+		if inst.stored.Desired != api.Running {
+			r.pace.Done(inst.config.Name)
 		}
 	}
-	return !r.pace.MayStart(now, i.config.Name)
+	return !r.pace.MayStart(now, inst.config.Name)
 }
 
 // returnProgress describes the progress of the return, "" if none is in progress, and returns the
@@ -135,16 +135,16 @@
 	if a.powerReturn.pace == nil || a.powerReturn.pace.Finished(time.Since(a.started)) {
 		return "", a.powerReturn.epoch
 	}
-	ready, wanted := 0, 0
-	for _, i := range a.instances {
-		if i.stored.Desired == api.Running {
-			wanted++
-			if i.supervisor.Phase() == supervisor.Ready {
+	ready, desired := 0, 0
+	for _, inst := range a.instances {
+		if inst.stored.Desired == api.Running {
+			desired++
+			if inst.supervisor.Phase() == supervisor.Ready {
 				ready++
 			}
 		}
 	}
-	return fmt.Sprintf("loss %d: %d of %d instances are ready", a.powerReturn.epoch, ready, wanted), a.powerReturn.epoch
+	return fmt.Sprintf("loss %d: %d of %d instances are ready", a.powerReturn.epoch, ready, desired), a.powerReturn.epoch
 }
 
 // updatePowerReturn ends the return once all waves have started, and resets the count of recent
--- a/internal/fleet/host/agent/serve_operations.go
+++ b/internal/fleet/host/agent/serve_operations.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxStatusWait  = 10 * time.Second // of a call of op.status for a change
-	maxStepWait    = time.Hour        // of a step, for readiness and for the soak
+	maxStatusWait  = 10 * time.Second // for a change, in a call of op.status
+	maxStepWait    = time.Hour        // in a step: for readiness, and again for the soak
 	maxOperationID = 64               // bytes
 	maxLeaseHolder = 200              // bytes
 	maxTargets     = 10000            // of an operation
@@ -31,17 +31,17 @@
 // opOpen opens an operation on its targets here and acquires their leases. A repeated call for the
 // same operation acquires the leases again; the operation stays as it was first opened.
 func (a *Agent) opOpen(_ context.Context, c *caller, in *api.OpenIn) (any, error) {
-	o := &in.Operation
+	operation := &in.Operation
 	if err := a.checkOpen(in); err != nil {
 		return nil, err
 	}
-	if o.Action == api.ActUpgrade || o.Action == api.ActSettings {
-		if err := a.releases.Verify(o.Release); err != nil {
+	if operation.Action == api.ActUpgrade || operation.Action == api.ActSettings {
+		if err := a.releases.Verify(operation.Release); err != nil {
 			return nil, api.Errorf(api.NoRelease, "agent %s: %v", a.config.Name, err)
 		}
 	}
-	if o.Staged != nil {
-		if err := a.checkCompatibility(o); err != nil {
+	if operation.Staged != nil {
+		if err := a.checkCompatibility(operation); err != nil {
 			return nil, err
 		}
 	}
@@ -51,28 +51,28 @@
 		err := &api.ReturningError{Host: a.config.Name, How: progress}
 		return nil, api.Errorf(api.LeaseHeld, "%v: %s", err, err.Advice())
 	}
-	existing := a.operations[o.ID]
+	existing := a.operations[operation.ID]
 	if existing != nil {
 		if existing.State != api.OpOpened {
-			return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s: %s", o.ID, existing.State, a.config.Name, existing.Result)
+			return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s: %s", operation.ID, existing.State, a.config.Name, existing.Result)
 		}
-		o = &existing.Operation // as stored; the operation in this call is ignored
+		operation = &existing.Operation // as stored; the operation in this call is ignored
 	}
 	now := time.Now()
-	leases, err := a.acquireLeases(o, in, now)
+	leases, err := a.acquireLeases(operation, in, now)
 	if err != nil {
 		return nil, err
 	}
-	next := store.Operation{Operation: *o, State: api.OpOpened}
+	next := store.Operation{Operation: *operation, State: api.OpOpened}
 	token := leases[0].Token
 	if err := a.commit(&store.Change{
 		Operations: []store.Operation{next}, Leases: leases,
-		Audit: []api.AuditEntry{{At: now, Who: c.who, What: "op.open " + o.Action, Target: o.ID, Result: fmt.Sprintf("token %d for %s", token, in.LeaseHolder)}},
+		Audit: []api.AuditEntry{{At: now, Who: c.who, What: "op.open " + operation.Action, Target: operation.ID, Result: fmt.Sprintf("token %d for %s", token, in.LeaseHolder)}},
 	}); err != nil {
 		return nil, err
 	}
 	if existing == nil {
-		a.operations[o.ID] = &next
+		a.operations[operation.ID] = &next
 	}
 	a.leases.Put(leases)
 	return &api.OpenOut{Token: token, Expires: leases[0].Expires}, nil
@@ -80,41 +80,41 @@
 
 // checkOpen checks the parameters of opOpen.
 func (a *Agent) checkOpen(in *api.OpenIn) error {
-	o := &in.Operation
+	operation := &in.Operation
 	switch {
-	case o.ID == "" || len(o.ID) > maxOperationID || in.LeaseHolder == "" || len(in.LeaseHolder) > maxLeaseHolder:
+	case operation.ID == "" || len(operation.ID) > maxOperationID || in.LeaseHolder == "" || len(in.LeaseHolder) > maxLeaseHolder:
 		return api.Errorf(api.InvalidParams, "the operation's ID or the lease holder's name is empty or too long")
-	case !slices.Contains(operationActions, o.Action):
-		return api.Errorf(api.InvalidParams, "unknown action %q", o.Action)
-	case len(o.Targets) > maxTargets:
-		return api.Errorf(api.InvalidParams, "%d targets; want %d at most", len(o.Targets), maxTargets)
-	case o.Ready <= 0 || o.Soak < 0 || o.Ready > maxStepWait || o.Soak > maxStepWait:
-		return api.Errorf(api.InvalidParams, "ready %v, soak %v; want ready above 0, soak 0 or more, and both an hour at most", o.Ready, o.Soak)
-	}
-	if err := o.Policy.Check(len(o.Targets)); err != nil {
+	case !slices.Contains(operationActions, operation.Action):
+		return api.Errorf(api.InvalidParams, "unknown action %q", operation.Action)
+	case len(operation.Targets) > maxTargets:
+		return api.Errorf(api.InvalidParams, "%d targets; want %d at most", len(operation.Targets), maxTargets)
+	case operation.Ready <= 0 || operation.Soak < 0 || operation.Ready > maxStepWait || operation.Soak > maxStepWait:
+		return api.Errorf(api.InvalidParams, "ready %v, soak %v; want ready above 0, soak 0 or more, and both an hour at most", operation.Ready, operation.Soak)
+	}
+	if err := operation.Policy.Check(len(operation.Targets)); err != nil {
 		return api.Errorf(api.InvalidParams, "%v", err)
 	}
-	if err := a.checkStaged(o); err != nil {
+	if err := a.checkStaged(operation); err != nil {
 		return err
 	}
-	if len(o.Places) != 0 && len(o.Places) != len(o.Targets) {
-		return api.Errorf(api.InvalidParams, "%d places for %d targets; want one place for each target, or none", len(o.Places), len(o.Targets))
+	if len(operation.Places) != 0 && len(operation.Places) != len(operation.Targets) {
+		return api.Errorf(api.InvalidParams, "%d places for %d targets; want one place for each target, or none", len(operation.Places), len(operation.Targets))
 	}
 	return nil
 }
 
 // checkStaged checks the plan of a staged change, and that its canary analysis expects samples at
 // this agent's interval.
-func (a *Agent) checkStaged(o *api.Operation) error {
-	staged := o.Staged
+func (a *Agent) checkStaged(operation *api.Operation) error {
+	staged := operation.Staged
 	if staged == nil {
 		return nil
 	}
-	if err := errors.Join(staged.Plan.Check(len(o.Targets)), staged.Judge.Check()); err != nil {
+	if err := errors.Join(staged.Plan.Check(len(operation.Targets)), staged.Judge.Check()); err != nil {
 		return api.Errorf(api.InvalidParams, "%v", err)
 	}
 	if slot := time.Duration(a.config.Metrics.Slot); staged.Judge.Slot != slot {
-		return api.Errorf(api.InvalidParams, "agent %s collects metrics every %v, but operation %s needs them every %v: set the same figures.slot at all hosts", a.config.Name, slot, o.ID, staged.Judge.Slot)
+		return api.Errorf(api.InvalidParams, "agent %s collects metrics every %v, but operation %s needs them every %v: set the same figures.slot at all hosts", a.config.Name, slot, operation.ID, staged.Judge.Slot)
 	}
 	return nil
 }
@@ -122,20 +122,20 @@
 // acquireLeases returns new leases of an operation's targets here; the caller stores them. An open
 // operation blocks other operations on its targets even when its leases have expired. The caller
 // holds a.mu.
-func (a *Agent) acquireLeases(o *api.Operation, in *api.OpenIn, now time.Time) ([]lease.Lease, error) {
-	names, err := a.localTargets(o)
+func (a *Agent) acquireLeases(operation *api.Operation, in *api.OpenIn, now time.Time) ([]lease.Lease, error) {
+	names, err := a.localTargets(operation)
 	if err != nil {
 		return nil, err
 	}
 	blocked := func(name string) string {
 		for _, other := range a.operations {
-			if other.ID != o.ID && other.State != api.OpClosed && a.isTarget(&other.Operation, name) {
-				return fmt.Sprintf("operation %s (%s by %s) is %s on it; `martendrum resume %s` or `martendrum abort %s` first", other.ID, other.Action, other.Operator, other.State, other.ID, other.ID)
+			if other.ID != operation.ID && other.State != api.OpClosed && a.isTarget(&other.Operation, name) {
+				return fmt.Sprintf("operation %s (%s by %s) is %s on it: run `martendrum resume %s` or `martendrum abort %s` first", other.ID, other.Action, other.Operator, other.State, other.ID, other.ID)
 			}
 		}
 		return ""
 	}
-	leases, err := a.leases.Acquire(now, o.ID, in.LeaseHolder, names, in.TTL, blocked)
+	leases, err := a.leases.Acquire(now, operation.ID, in.LeaseHolder, names, in.TTL, blocked)
 	if lost, ok := errors.AsType[*lease.LostError](err); ok {
 		return nil, api.Errorf(api.LeaseHeld, "agent %s: %v: %s", a.config.Name, lost, lost.Advice())
 	}
@@ -153,29 +153,29 @@
 func (a *Agent) opClose(_ context.Context, c *caller, in *api.CloseIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.findOperation(in.Op)
+	operation, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
-	if o.State == api.OpClosed {
-		return a.operationStatus(o), nil
+	if operation.State == api.OpClosed {
+		return a.operationStatus(operation), nil
 	}
-	names, err := a.localTargets(&o.Operation)
+	names, err := a.localTargets(&operation.Operation)
 	if err != nil {
 		return nil, err
 	}
 	for _, name := range names {
-		if err := a.fencedError(a.leases.Check(time.Now(), o.ID, in.Token, name)); err != nil {
+		if err := a.fencedError(a.leases.Check(time.Now(), operation.ID, in.Token, name)); err != nil {
 			return nil, err
 		}
 	}
-	if a.hasRunningStep(o.ID) {
-		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is still running at agent %s", o.ID, a.config.Name)
+	if a.hasRunningStep(operation.ID) {
+		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is still running at agent %s", operation.ID, a.config.Name)
 	}
-	if err := a.closeOperation(o, in.Result, c.who); err != nil {
+	if err := a.closeOperation(operation, in.Result, c.who); err != nil {
 		return nil, err
 	}
-	return a.operationStatus(o), nil
+	return a.operationStatus(operation), nil
 }
 
 // opAbort makes an operation begin no further steps. It needs no lease, so that every operator can
@@ -183,21 +183,21 @@
 func (a *Agent) opAbort(_ context.Context, c *caller, in *api.AbortIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.findOperation(in.Op)
+	operation, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
-	if o.State == api.OpOpened {
-		next := *o
+	if operation.State == api.OpOpened {
+		next := *operation
 		next.State = api.OpAborting
 		if err := a.commit(&store.Change{Operations: []store.Operation{next},
-			Audit: []api.AuditEntry{{At: time.Now(), Who: c.who, What: "op.abort", Target: o.ID, Result: "ok"}}}); err != nil {
+			Audit: []api.AuditEntry{{At: time.Now(), Who: c.who, What: "op.abort", Target: operation.ID, Result: "ok"}}}); err != nil {
 			return nil, err
 		}
-		*o = next
+		*operation = next
 	}
 	a.endAborted()
-	return a.operationStatus(o), nil
+	return a.operationStatus(operation), nil
 }
 
 // opList returns the status of all operations, without targets and instances.
@@ -205,8 +205,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := &api.OpsOut{}
-	for _, o := range a.operations {
-		status := a.operationStatus(o)
+	for _, operation := range a.operations {
+		status := a.operationStatus(operation)
 		status.Instances = nil
 		status.Operation.Targets = nil
 		out.Ops = append(out.Ops, *status)
@@ -220,12 +220,12 @@
 func (a *Agent) opStatus(ctx context.Context, _ *caller, in *api.StatusIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.findOperation(in.Op)
+	operation, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
-	if in.Token != 0 && o.State != api.OpClosed {
-		if err := a.renew(o, in); err != nil {
+	if in.Token != 0 && operation.State != api.OpClosed {
+		if err := a.renew(operation, in); err != nil {
 			return nil, err
 		}
 	}
@@ -236,7 +236,7 @@
 			break
 		}
 	}
-	return a.operationStatus(o), nil
+	return a.operationStatus(operation), nil
 }
 
 // awaitChange waits for the next change. It reports whether there was one before the timeout, the
@@ -257,13 +257,13 @@
 
 // renew checks the caller's leases and extends them. To save writes of the record, it extends them
 // only once a third of their time has passed. The caller holds a.mu.
-func (a *Agent) renew(o *store.Operation, in *api.StatusIn) error {
-	names, err := a.localTargets(&o.Operation)
+func (a *Agent) renew(operation *store.Operation, in *api.StatusIn) error {
+	names, err := a.localTargets(&operation.Operation)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	leases, err := a.leases.Renew(now, o.ID, in.Token, names, in.TTL)
+	leases, err := a.leases.Renew(now, operation.ID, in.Token, names, in.TTL)
 	if _, ok := errors.AsType[*lease.FencedError](err); ok {
 		return a.fencedError(err)
 	}
@@ -285,30 +285,30 @@
 func (a *Agent) opNote(_ context.Context, c *caller, in *api.NoteIn) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, err := a.findOperation(in.Op)
+	operation, err := a.findOperation(in.Op)
 	if err != nil {
 		return nil, err
 	}
-	names, err := a.localTargets(&o.Operation)
+	names, err := a.localTargets(&operation.Operation)
 	if err != nil {
 		return nil, err
 	}
-	if err := a.fencedError(a.leases.Check(time.Now(), o.ID, in.Token, names[0])); err != nil {
+	if err := a.fencedError(a.leases.Check(time.Now(), operation.ID, in.Token, names[0])); err != nil {
 		return nil, err
 	}
 	switch {
-	case o.State != api.OpOpened:
-		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", o.ID, o.State, a.config.Name)
+	case operation.State != api.OpOpened:
+		return nil, api.Errorf(api.Closed, "operation %s is %s at agent %s", operation.ID, operation.State, a.config.Name)
 	case len(in.Note.Log) > api.MaxVerdicts:
 		return nil, api.Errorf(api.InvalidParams, "%d verdicts in a note; want %d at most", len(in.Note.Log), api.MaxVerdicts)
-	case o.Note != nil && o.Note.Number >= in.Note.Number:
-		return a.operationStatus(o), nil
+	case operation.Note != nil && operation.Note.Number >= in.Note.Number:
+		return a.operationStatus(operation), nil
 	}
-	next := *o
+	next := *operation
 	next.Note = &in.Note
 	if err := a.commit(&store.Change{Operations: []store.Operation{next}}); err != nil {
 		return nil, err
 	}
-	*o = next
-	return a.operationStatus(o), nil
+	*operation = next
+	return a.operationStatus(operation), nil
 }
--- a/internal/fleet/host/agent/serve_view.go
+++ b/internal/fleet/host/agent/serve_view.go
@@ -43,8 +43,8 @@
 
 // findInstance returns the instance with a name. The caller holds a.mu.
 func (a *Agent) findInstance(name string) (*instance, error) {
-	if i := a.instances[name]; i != nil {
-		return i, nil
+	if inst := a.instances[name]; inst != nil {
+		return inst, nil
 	}
 	return nil, api.Errorf(api.NoInstance, "agent %s has no instance %q; it has %s", a.config.Name, name, strings.Join(a.instanceNames, ", "))
 }
@@ -53,15 +53,15 @@
 // its log.
 func (a *Agent) inspect(_ context.Context, _ *caller, in *api.InstanceIn) (any, error) {
 	a.mu.Lock()
-	i, err := a.findInstance(in.Instance)
+	inst, err := a.findInstance(in.Instance)
 	if err != nil {
 		a.mu.Unlock()
 		return nil, err
 	}
-	out := &api.InspectOut{Instance: a.instanceStatus(i), Settings: a.instanceSettings(i)}
-	for _, s := range a.steps {
-		if s.Instance == in.Instance {
-			out.Steps = append(out.Steps, *s)
+	out := &api.InspectOut{Instance: a.instanceStatus(inst), Settings: a.instanceSettings(inst)}
+	for _, step := range a.steps {
+		if step.Instance == in.Instance {
+			out.Steps = append(out.Steps, *step)
 		}
 	}
 	a.mu.Unlock()
--- a/internal/fleet/host/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -59,9 +59,9 @@
 	if err != nil {
 		return err
 	}
-	for _, i := range a.instances {
-		i.settings.applier = distribution.NewApplier(i.config.Name, time.Duration(a.config.Distribution.Coalesce))
-		if err := i.settings.applier.Restore(stored); err != nil {
+	for _, inst := range a.instances {
+		inst.settings.applier = distribution.NewApplier(inst.config.Name, time.Duration(a.config.Distribution.Coalesce))
+		if err := inst.settings.applier.Restore(stored); err != nil {
 			return err
 		}
 	}
@@ -92,15 +92,15 @@
 
 // settingsLabels returns the labels of an instance against which the scopes of settings are
 // matched: those of the host, overridden by the instance's own.
-func (a *Agent) settingsLabels(i *instance) map[string]string {
-	labels := map[string]string{"host": a.config.Name, "instance": i.config.Name}
+func (a *Agent) settingsLabels(inst *instance) map[string]string {
+	labels := map[string]string{"host": a.config.Name, "instance": inst.config.Name}
 	if a.config.Distribution.Region != "" {
 		labels["region"] = a.config.Distribution.Region
 	}
 	if a.config.Distribution.Zone != "" {
 		labels["zone"] = a.config.Distribution.Zone
 	}
-	maps.Copy(labels, i.config.Labels)
+	maps.Copy(labels, inst.config.Labels)
 	return labels
 }
 
@@ -162,9 +162,9 @@
 	if a.settings.replica.Revision().IsZero() {
 		return // no update has arrived yet: the accepted settings stay in force
 	}
-	for _, i := range a.instances {
-		i.settings.applier.Want(now, a.settings.replica.For(a.config.Name, a.settingsLabels(i)))
-		i.wakeUp()
+	for _, inst := range a.instances {
+		inst.settings.applier.Want(now, a.settings.replica.For(a.config.Name, a.settingsLabels(inst)))
+		inst.wakeUp()
 	}
 }
 
@@ -174,20 +174,20 @@
 	received := a.settings.replica.Revision()
 	state := distribution.HostState{Received: received, Applied: received, Settled: true}
 	for _, name := range a.instanceNames {
-		i := a.instances[name]
-		state.Rejections = append(state.Rejections, i.settings.applier.Rejections()...)
-		if !i.settings.applier.Pending() {
-			i.settings.settledAt = received
+		inst := a.instances[name]
+		state.Rejections = append(state.Rejections, inst.settings.applier.Rejections()...)
+		if !inst.settings.applier.Pending() {
+			inst.settings.settledAt = received
 		}
-		if i.stored.Desired != api.Running || !i.settings.applier.Pending() {
+		if inst.stored.Desired != api.Running || !inst.settings.applier.Pending() {
 			continue
 		}
 		if state.Settled {
-			state.Waiting = name + ": " + a.settingsWait(i, time.Now())
+			state.Waiting = name + ": " + a.settingsWait(inst, time.Now())
 		}
 		state.Settled = false
-		if state.Applied.After(i.settings.settledAt) {
-			state.Applied = i.settings.settledAt
+		if state.Applied.After(inst.settings.settledAt) {
+			state.Applied = inst.settings.settledAt
 		}
 	}
 	return state
@@ -195,25 +195,25 @@
 
 // settingsEntries returns the instance's settings entries for the record. The caller holds the
 // agent's mu.
-func (i *instance) settingsEntries() []distribution.Entry {
-	if i.settings.applier == nil {
+func (inst *instance) settingsEntries() []distribution.Entry {
+	if inst.settings.applier == nil {
 		return nil
 	}
-	return []distribution.Entry{i.settings.applier.Entry()}
+	return []distribution.Entry{inst.settings.applier.Entry()}
 }
 
 // instanceSettings returns the state of an instance's distributed settings for inspect, nil if the
 // host does not subscribe. The caller holds a.mu.
-func (a *Agent) instanceSettings(i *instance) *api.InstanceSettings {
-	if i.settings.applier == nil {
+func (a *Agent) instanceSettings(inst *instance) *api.InstanceSettings {
+	if inst.settings.applier == nil {
 		return nil
 	}
-	out := &api.InstanceSettings{Received: a.settings.replica.Revision(), Relay: a.settings.subscriber.Relay(), Rejections: i.settings.applier.Rejections()}
-	for _, resource := range i.settings.applier.Accepted() {
+	out := &api.InstanceSettings{Received: a.settings.replica.Revision(), Relay: a.settings.subscriber.Relay(), Rejections: inst.settings.applier.Rejections()}
+	for _, resource := range inst.settings.applier.Accepted() {
 		out.Accepted = append(out.Accepted, api.AcceptedSettings{Name: resource.Name, Revision: resource.Revision})
 	}
-	if i.settings.applier.Pending() {
-		out.Waiting = a.settingsWait(i, time.Now())
+	if inst.settings.applier.Pending() {
+		out.Waiting = a.settingsWait(inst, time.Now())
 		if out.Waiting == "" {
 			out.Waiting = "further changes may arrive within the coalescing delay"
 		}
--- a/internal/fleet/host/agent/settings_apply.go
+++ b/internal/fleet/host/agent/settings_apply.go
@@ -45,19 +45,19 @@
 // settingsWait returns why settings can't be applied to an instance now, "" if they can. An
 // operation that holds a live lease or has a running step takes precedence: distributed settings
 // are applied when it ends. The caller holds a.mu.
-func (a *Agent) settingsWait(i *instance, now time.Time) string {
-	switch lease := a.leases.ByInstance[i.config.Name]; {
-	case i.step != nil:
-		return "operation " + i.step.Op + " is changing the instance"
+func (a *Agent) settingsWait(inst *instance, now time.Time) string {
+	switch lease := a.leases.ByInstance[inst.config.Name]; {
+	case inst.step != nil:
+		return "operation " + inst.step.Op + " is changing the instance"
 	case lease.Live(now):
 		return "operation " + lease.Op + " holds its lease"
-	case i.process == nil || i.supervisor.Phase() != supervisor.Ready:
-		return fmt.Sprintf("the instance is %s", i.supervisor.Phase())
-	case i.previous != nil:
+	case inst.process == nil || inst.supervisor.Phase() != supervisor.Ready:
+		return fmt.Sprintf("the instance is %s", inst.supervisor.Phase())
+	case inst.previous != nil:
 		return "a new process is replacing the previous one"
-	case now.Sub(i.stored.Launched) < minReloadAge:
+	case now.Sub(inst.stored.Launched) < minReloadAge:
 		return "its process has just started"
-	case i.settings.attempt != nil:
+	case inst.settings.attempt != nil:
 		return "the process has not yet confirmed the settings"
 	}
 	return ""
@@ -65,24 +65,24 @@
 
 // applySettings advances the attempt to apply distributed settings, or starts one if settings are
 // pending. It returns when it should be called again; the zero time means at the next event.
-func (a *Agent) applySettings(i *instance) time.Time {
+func (a *Agent) applySettings(inst *instance) time.Time {
 	a.mu.Lock()
-	if i.settings.applier == nil {
+	if inst.settings.applier == nil {
 		a.mu.Unlock()
 		return time.Time{}
 	}
 	now := time.Now()
-	a.reportPending(i)
-	if i.settings.attempt != nil {
-		process, releaseHash := i.settings.attempt.process, i.stored.Running
-		rejected := a.settleAttempt(i, now)
+	a.reportPending(inst)
+	if inst.settings.attempt != nil {
+		process, releaseHash := inst.settings.attempt.process, inst.stored.Running
+		rejected := a.settleAttempt(inst, now)
 		a.mu.Unlock()
 		if rejected {
-			a.restoreSettings(i, process, releaseHash)
+			a.restoreSettings(inst, process, releaseHash)
 		}
 		return time.Time{}
 	}
-	due, pending := i.settings.applier.Due()
+	due, pending := inst.settings.applier.Due()
 	if !pending {
 		a.mu.Unlock()
 		return time.Time{}
@@ -91,22 +91,22 @@
 		a.mu.Unlock()
 		return due
 	}
-	if a.settingsWait(i, now) != "" {
+	if a.settingsWait(inst, now) != "" {
 		a.mu.Unlock()
 		return now.Add(activeInterval)
 	}
-	settings, process, releaseHash := i.settings.applier.Begin(), i.process, i.stored.Running
+	settings, process, releaseHash := inst.settings.applier.Begin(), inst.process, inst.stored.Running
 	a.mu.Unlock()
-	configHash, err := a.configureWith(i, releaseHash, settings, randomID())
+	configHash, err := a.configureWith(inst, releaseHash, settings, randomID())
 	if err == nil {
 		err = process.Signal(syscall.SIGHUP)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
-		i.settings.applier.Abandon()
+		inst.settings.applier.Abandon()
 	} else {
-		i.settings.attempt = &settingsAttempt{process: process, configHash: configHash, sent: now}
+		inst.settings.attempt = &settingsAttempt{process: process, configHash: configHash, sent: now}
 	}
 	return now.Add(activeInterval)
 }
@@ -114,29 +114,29 @@
 // reportPending notifies the relay when settings become pending for an instance and when they no
 // longer are. That can happen without an update or an attempt, for example when an operation starts
 // the instance. The caller holds a.mu.
-func (a *Agent) reportPending(i *instance) {
-	pending := i.stored.Desired == api.Running && i.settings.applier.Pending()
-	if pending == i.settings.pendingReported {
+func (a *Agent) reportPending(inst *instance) {
+	pending := inst.stored.Desired == api.Running && inst.settings.applier.Pending()
+	if pending == inst.settings.pendingReported {
 		return
 	}
-	i.settings.pendingReported = pending
+	inst.settings.pendingReported = pending
 	a.settings.subscriber.Changed()
 }
 
 // settleAttempt ends the attempt if it has an outcome. It reports whether the settings were
 // rejected by a process that still runs. The caller holds a.mu.
-func (a *Agent) settleAttempt(i *instance, now time.Time) (rejected bool) {
-	waited := now.Sub(i.settings.attempt.sent)
+func (a *Agent) settleAttempt(inst *instance, now time.Time) (rejected bool) {
+	waited := now.Sub(inst.settings.attempt.sent)
 	switch {
-	case i.step != nil:
-		i.settings.attempt = nil
-		i.settings.applier.Abandon()
-	case i.process != i.settings.attempt.process:
-		a.endCrashedAttempt(i)
-	case i.reported.configHash == i.settings.attempt.configHash, i.reported.configHash == "" && waited > unconfirmedDelay:
-		a.endAttempt(i, true, "")
+	case inst.step != nil:
+		inst.settings.attempt = nil
+		inst.settings.applier.Abandon()
+	case inst.process != inst.settings.attempt.process:
+		a.endCrashedAttempt(inst)
+	case inst.reported.configHash == inst.settings.attempt.configHash, inst.reported.configHash == "" && waited > unconfirmedDelay:
+		a.endAttempt(inst, true, "")
 	case waited > reloadTimeout:
-		a.endAttempt(i, false, lastLogProblem(a.logPath(i.config.Name)))
+		a.endAttempt(inst, false, lastLogProblem(a.logPath(inst.config.Name)))
 		return true
 	}
 	return false
@@ -145,23 +145,23 @@
 // endCrashedAttempt ends an attempt during which the process exited. The settings stay pending until
 // maxAttemptCrashes is reached. The next process starts with the last accepted settings. The caller
 // holds a.mu.
-func (a *Agent) endCrashedAttempt(i *instance) {
-	i.settings.attemptCrashes++
-	if i.settings.attemptCrashes < maxAttemptCrashes {
-		i.settings.attempt = nil
-		i.settings.applier.Abandon()
+func (a *Agent) endCrashedAttempt(inst *instance) {
+	inst.settings.attemptCrashes++
+	if inst.settings.attemptCrashes < maxAttemptCrashes {
+		inst.settings.attempt = nil
+		inst.settings.applier.Abandon()
 		return
 	}
-	a.endAttempt(i, false, "its process ended while it applied them: "+i.stored.LastExit)
+	a.endAttempt(inst, false, "its process ended while it applied them: "+inst.stored.LastExit)
 }
 
 // endAttempt ends an attempt whose settings were accepted, or rejected with a reason. The caller
 // holds a.mu.
-func (a *Agent) endAttempt(i *instance, accepted bool, reason string) {
-	i.settings.attempt, i.settings.attemptCrashes = nil, 0
-	i.settings.applier.Done(accepted, reason)
-	if a.commit(&store.Change{Settings: []distribution.Entry{i.settings.applier.Entry()}}) != nil {
-		i.dirty = true // written again with the instance
+func (a *Agent) endAttempt(inst *instance, accepted bool, reason string) {
+	inst.settings.attempt, inst.settings.attemptCrashes = nil, 0
+	inst.settings.applier.Done(accepted, reason)
+	if a.commit(&store.Change{Settings: []distribution.Entry{inst.settings.applier.Entry()}}) != nil {
+		inst.dirty = true // written again with the instance
 	}
 	a.settings.subscriber.Changed()
 }
@@ -169,25 +169,25 @@
 // restoreSettings writes a configuration with the last accepted settings for an instance that has
 // rejected others, and makes the process reload it, because a process that was only slow to respond
 // may have applied the rejected settings by now.
-func (a *Agent) restoreSettings(i *instance, process *Process, releaseHash string) {
-	err := a.configure(i, releaseHash, randomID())
+func (a *Agent) restoreSettings(inst *instance, process *Process, releaseHash string) {
+	err := a.configure(inst, releaseHash, randomID())
 	if err == nil {
 		err = process.Signal(syscall.SIGHUP)
 	}
 	if err != nil {
-		slog.Warn("configuration file may still contain rejected settings", "instance", i.config.Name, "err", err)
+		slog.Warn("configuration file may still contain rejected settings", "instance", inst.config.Name, "err", err)
 	}
 }
 
 // programStarted is called after the start of a process of a release. If the previous process was
 // of another release, settings that it rejected are tried again. Until then the instance counts as
 // having applied no settings. The caller holds the agent's mu.
-func (i *instance) programStarted(release string, now time.Time) {
-	before := i.settings.program
-	i.settings.program = release
-	if i.settings.applier == nil || before == "" || before == release || len(i.settings.applier.Rejections()) == 0 {
+func (inst *instance) programStarted(release string, now time.Time) {
+	before := inst.settings.program
+	inst.settings.program = release
+	if inst.settings.applier == nil || before == "" || before == release || len(inst.settings.applier.Rejections()) == 0 {
 		return
 	}
-	i.settings.applier.Forgive(now)
-	i.settings.settledAt = distribution.Revision{}
+	inst.settings.applier.Forgive(now)
+	inst.settings.settledAt = distribution.Revision{}
 }
--- a/internal/fleet/host/agent/step_plan.go
+++ b/internal/fleet/host/agent/step_plan.go
@@ -16,17 +16,18 @@
 	reason string         // of the outcome
 }
 
-// planRunning returns a plan whose outcome depends on the instance.
+// planRunning returns the plan of a step that has work to do. Its outcome is not known yet.
 func planRunning(stored store.Instance) stepPlan {
 	return stepPlan{stored: stored, status: api.StepRunning}
 }
 
-// planDone returns a plan that needs no work and succeeds.
+// planDone returns the plan of a step that needs no work, or whose change takes effect later. The
+// step succeeds.
 func planDone(stored store.Instance, reason string) stepPlan {
 	return stepPlan{stored: stored, status: api.StepOK, reason: reason}
 }
 
-// planFailed returns a plan that can't be carried out.
+// planFailed returns the plan of a step that can't be carried out.
 func planFailed(stored store.Instance, reason string) stepPlan {
 	return stepPlan{stored: stored, status: api.StepFailed, reason: reason}
 }
@@ -46,19 +47,19 @@
 	return planDone(stored, fmt.Sprintf("the instance is left %s; the change takes effect at its next start", stored.Desired))
 }
 
-// planStep plans a step of an operation and sets s.To, the release to which the step leads. The
+// planStep plans a step of an operation and sets step.To, the release to which the step leads. The
 // caller holds a.mu.
-func (a *Agent) planStep(i *instance, o *store.Operation, s *api.Step) stepPlan {
-	if s.Kind == api.Rollback {
-		return a.planRollback(i, o, s)
+func (a *Agent) planStep(inst *instance, operation *store.Operation, step *api.Step) stepPlan {
+	if step.Kind == api.Rollback {
+		return a.planRollback(inst, operation, step)
 	}
-	stored := i.stored
+	stored := inst.stored
 	running := stored.Desired == api.Running
-	switch o.Action {
+	switch operation.Action {
 	case api.ActStart:
-		return planStart(i)
+		return planStart(inst)
 	case api.ActUndrain:
-		return planUndrain(i)
+		return planUndrain(inst)
 	case api.ActStop:
 		stored.Desired = api.Stopped
 		return planRunning(stored)
@@ -76,60 +77,60 @@
 		}
 		return planRunning(stored)
 	case api.ActUpgrade:
-		return planUpgrade(i, o, s)
+		return planUpgrade(inst, operation, step)
 	case api.ActSettings:
-		return a.planSettings(i, o, s)
+		return a.planSettings(inst, operation, step)
 	case api.ActRollback:
 		if stored.Previous == "" {
 			return planFailed(stored, "there is no earlier release to roll back to")
 		}
 		stored.Release, stored.Previous = stored.Previous, stored.Release
-		s.To = stored.Release
+		step.To = stored.Release
 		return planNewProcess(stored)
 	}
-	return planFailed(stored, fmt.Sprintf("unknown action %q", o.Action))
+	return planFailed(stored, fmt.Sprintf("unknown action %q", operation.Action))
 }
 
 // planRollback plans to undo what the operation changed at an instance.
-func (a *Agent) planRollback(i *instance, o *store.Operation, s *api.Step) stepPlan {
-	stored := i.stored
-	change := a.steps[stepKey{o.ID, s.Instance, api.Change}]
+func (a *Agent) planRollback(inst *instance, operation *store.Operation, step *api.Step) stepPlan {
+	stored := inst.stored
+	change := a.steps[stepKey{operation.ID, step.Instance, api.Change}]
 	switch {
-	case o.Action != api.ActUpgrade && o.Action != api.ActRollback && o.Action != api.ActSettings:
-		return planFailed(stored, fmt.Sprintf("a %s can't be rolled back", o.Action))
+	case operation.Action != api.ActUpgrade && operation.Action != api.ActRollback && operation.Action != api.ActSettings:
+		return planFailed(stored, fmt.Sprintf("a %s can't be rolled back", operation.Action))
 	case change == nil:
 		return planDone(stored, "the instance was not changed")
 	}
-	stored.Release, stored.Previous, s.To = change.From, change.Before, change.From
+	stored.Release, stored.Previous, step.To = change.From, change.Before, change.From
 	switch {
-	case stored.Release == i.stored.Release:
+	case stored.Release == inst.stored.Release:
 		return planDone(stored, "the instance was not changed")
-	case o.Action == api.ActSettings && stored.Desired == api.Running:
+	case operation.Action == api.ActSettings && stored.Desired == api.Running:
 		return planRunning(stored)
 	}
 	return planNewProcess(stored)
 }
 
 // planStart plans to start an instance that is not drained.
-func planStart(i *instance) stepPlan {
-	if i.stored.Desired == api.Drained {
-		return planFailed(i.stored, "the instance is drained: undrain it instead")
+func planStart(inst *instance) stepPlan {
+	if inst.stored.Desired == api.Drained {
+		return planFailed(inst.stored, "the instance is drained: undrain it instead")
 	}
-	return planDesiredRunning(i)
+	return planDesiredRunning(inst)
 }
 
 // planUndrain plans to start an instance that is drained.
-func planUndrain(i *instance) stepPlan {
-	if i.stored.Desired != api.Drained {
-		return planDone(i.stored, "the instance is not drained")
+func planUndrain(inst *instance) stepPlan {
+	if inst.stored.Desired != api.Drained {
+		return planDone(inst.stored, "the instance is not drained")
 	}
-	return planDesiredRunning(i)
+	return planDesiredRunning(inst)
 }
 
 // planDesiredRunning plans to have an instance run. An instance that waits after crashes gets a new
 // generation, whose process is launched at once.
-func planDesiredRunning(i *instance) stepPlan {
-	stored, phase := i.stored, i.supervisor.Phase()
+func planDesiredRunning(inst *instance) stepPlan {
+	stored, phase := inst.stored, inst.supervisor.Phase()
 	if stored.Desired == api.Running && phase != supervisor.Crashloop && phase != supervisor.Backoff {
 		if phase == supervisor.Ready {
 			return planDone(stored, "the instance was running")
@@ -142,30 +143,30 @@
 }
 
 // planUpgrade plans to have an instance run the operation's release.
-func planUpgrade(i *instance, o *store.Operation, s *api.Step) stepPlan {
-	stored := i.stored
+func planUpgrade(inst *instance, operation *store.Operation, step *api.Step) stepPlan {
+	stored := inst.stored
 	running := stored.Desired == api.Running
-	s.To = o.Release
-	if stored.Release == o.Release && (!running || stored.Running == o.Release && i.supervisor.Phase() == supervisor.Ready) {
+	step.To = operation.Release
+	if stored.Release == operation.Release && (!running || stored.Running == operation.Release && inst.supervisor.Phase() == supervisor.Ready) {
 		return planDone(stored, "the instance has this release")
 	}
-	setRelease(&stored, o.Release)
+	setRelease(&stored, operation.Release)
 	return planNewProcess(stored)
 }
 
 // planSettings plans to have an instance read the overlay of the operation's release. The process
 // continues to run, so the release must have the same program.
-func (a *Agent) planSettings(i *instance, o *store.Operation, s *api.Step) stepPlan {
-	stored := i.stored
+func (a *Agent) planSettings(inst *instance, operation *store.Operation, step *api.Step) stepPlan {
+	stored := inst.stored
 	running := stored.Desired == api.Running
-	s.To = o.Release
-	if stored.Release == o.Release && (!running || stored.Running == o.Release) {
+	step.To = operation.Release
+	if stored.Release == operation.Release && (!running || stored.Running == operation.Release) {
 		return planDone(stored, "the instance has these settings")
 	}
-	if same, err := a.releases.SameProgram(stored.Release, o.Release); err != nil || !same {
-		return planFailed(stored, fmt.Sprintf("release %.12s has a different program from release %.12s, which the instance runs: use an upgrade instead (%v)", o.Release, stored.Release, err))
+	if same, err := a.releases.SameProgram(stored.Release, operation.Release); err != nil || !same {
+		return planFailed(stored, fmt.Sprintf("release %.12s has a different program from release %.12s, which the instance runs: use an upgrade instead (%v)", operation.Release, stored.Release, err))
 	}
-	setRelease(&stored, o.Release)
+	setRelease(&stored, operation.Release)
 	if !running {
 		return planNextStart(stored)
 	}
--- a/internal/fleet/host/agent/unattended_rollback.go
+++ b/internal/fleet/host/agent/unattended_rollback.go
@@ -18,21 +18,21 @@
 // had no live lease here for longer than the operation allows. The caller holds a.mu.
 func (a *Agent) rollBackUnattended(now time.Time) {
 	for id := range a.lastLeased {
-		if o := a.operations[id]; o == nil || o.State == api.OpClosed {
+		if operation := a.operations[id]; operation == nil || operation.State == api.OpClosed {
 			delete(a.lastLeased, id)
 		}
 	}
-	for _, o := range a.operations {
-		if o.State != api.OpOpened || o.Staged == nil || o.Staged.Alone <= 0 {
+	for _, operation := range a.operations {
+		if operation.State != api.OpOpened || operation.Staged == nil || operation.Staged.Alone <= 0 {
 			continue
 		}
-		if a.lastLeased[o.ID].IsZero() || a.isLeased(o.ID, now) {
-			a.lastLeased[o.ID] = now
+		if a.lastLeased[operation.ID].IsZero() || a.isLeased(operation.ID, now) {
+			a.lastLeased[operation.ID] = now
 			continue
 		}
-		if unattended := now.Sub(a.lastLeased[o.ID]); unattended > o.Staged.Alone {
+		if unattended := now.Sub(a.lastLeased[operation.ID]); unattended > operation.Staged.Alone {
 			for _, name := range a.instanceNames {
-				a.rollBackIfFailing(o, a.instances[name], unattended, now)
+				a.rollBackIfFailing(operation, a.instances[name], unattended, now)
 			}
 		}
 	}
@@ -40,32 +40,32 @@
 
 // rollBackIfFailing rolls an instance back if the operation changed it and it fails canary.Coarse,
 // a check that needs no other instances to compare with. The caller holds a.mu.
-func (a *Agent) rollBackIfFailing(o *store.Operation, i *instance, unattended time.Duration, now time.Time) {
-	name := i.config.Name
-	change := a.steps[stepKey{o.ID, name, api.Change}]
-	if change == nil || i.step != nil && i.step.Kind == api.Rollback || a.steps[stepKey{o.ID, name, api.Rollback}] != nil {
+func (a *Agent) rollBackIfFailing(operation *store.Operation, inst *instance, unattended time.Duration, now time.Time) {
+	name := inst.config.Name
+	change := a.steps[stepKey{operation.ID, name, api.Change}]
+	if change == nil || inst.step != nil && inst.step.Kind == api.Rollback || a.steps[stepKey{operation.ID, name, api.Rollback}] != nil {
 		return
 	}
-	phase := i.supervisor.Phase()
+	phase := inst.supervisor.Phase()
 	health := canary.LocalHealth{
 		Crashing: phase == supervisor.Crashloop || phase == supervisor.Backoff,
-		Unready:  phase == supervisor.Unready && now.Sub(i.supervisor.Since()) > maxUnreadyDuration,
-		Limit:    uint64(i.config.memoryLimitMB) << 20,
+		Unready:  phase == supervisor.Unready && now.Sub(inst.supervisor.Since()) > maxUnreadyDuration,
+		Limit:    uint64(inst.config.memoryLimitMB) << 20,
 	}
-	if i.stored.Running == change.To {
-		health.Windows = i.history.windows(time.Duration(a.config.Metrics.Slot))
+	if inst.stored.Running == change.To {
+		health.Windows = inst.history.windows(time.Duration(a.config.Metrics.Slot))
 	}
 	harm := canary.Coarse(health)
 	if harm == "" {
 		return
 	}
-	if i.step != nil { // the step of the change still runs and won't succeed
-		a.endStep(i, i.step, false, harm)
+	if inst.step != nil { // the step of the change still runs and won't succeed
+		a.endStep(inst, inst.step, false, harm)
 	}
 	reason := fmt.Sprintf("rolled back by agent %s alone: the operation had no live lease for %v, and %s", a.config.Name, unattended.Round(time.Second), harm)
-	if _, err := a.beginStep(o, i, api.Rollback, 0, "agent "+a.config.Name+" alone", reason); err != nil {
+	if _, err := a.beginStep(operation, inst, api.Rollback, 0, "agent "+a.config.Name+" alone", reason); err != nil {
 		slog.Warn("instance not rolled back", "instance", name, "why", harm, "err", err)
 		return
 	}
-	slog.Warn("instance rolled back", "instance", name, "operation", o.ID, "reason", reason)
+	slog.Warn("instance rolled back", "instance", name, "operation", operation.ID, "reason", reason)
 }
