--- a/internal/fleet/host/agent/machine.go
+++ b/internal/fleet/host/agent/machine.go
@@ -80,7 +80,7 @@
 }
 
 // newProcess wraps the result of proc.Start or proc.Adopt.
-func newProcess(p *proc.Proc, err error) (*Process, error) {
+func newProcess(p *proc.Process, err error) (*Process, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/host/agent/power_loss.go
+++ b/internal/fleet/host/agent/power_loss.go
@@ -116,7 +116,7 @@
 		return false
 	}
 	switch inst.supervisor.Phase() {
-	case supervisor.Ready, supervisor.Unready, supervisor.Backoff, supervisor.Crashloop, supervisor.Draining:
+	case supervisor.Ready, supervisor.Unready, supervisor.Backoff, supervisor.CrashLoop, supervisor.Draining:
 		r.pace.Done(inst.config.Name)
 	case supervisor.Stopped:
 		if inst.stored.Desired != api.Running {
--- a/internal/fleet/host/agent/step_plan.go
+++ b/internal/fleet/host/agent/step_plan.go
@@ -131,7 +131,7 @@
 // generation, whose process is launched at once.
 func planDesiredRunning(inst *instance) stepPlan {
 	stored, phase := inst.stored, inst.supervisor.Phase()
-	if stored.Desired == api.Running && phase != supervisor.Crashloop && phase != supervisor.Backoff {
+	if stored.Desired == api.Running && phase != supervisor.CrashLoop && phase != supervisor.Backoff {
 		if phase == supervisor.Ready {
 			return planDone(stored, "the instance was running")
 		}
--- a/internal/fleet/host/agent/unattended_rollback.go
+++ b/internal/fleet/host/agent/unattended_rollback.go
@@ -48,7 +48,7 @@
 	}
 	phase := inst.supervisor.Phase()
 	health := canary.LocalHealth{
-		Crashing: phase == supervisor.Crashloop || phase == supervisor.Backoff,
+		Crashing: phase == supervisor.CrashLoop || phase == supervisor.Backoff,
 		Unready:  phase == supervisor.Unready && now.Sub(inst.supervisor.Since()) > maxUnreadyDuration,
 		Limit:    uint64(inst.config.memoryLimitMB) << 20,
 	}
--- a/internal/fleet/host/compatibility/compatibility.go
+++ b/internal/fleet/host/compatibility/compatibility.go
@@ -36,9 +36,9 @@
 	Agent int `json:"agent"`
 }
 
-// First holds the versions of a program that does not report them: the first of each, and no
+// FirstVersions holds the versions of a program that does not report them: the first of each, and no
 // support for an idempotency store.
-var First = Versions{HandOver: 1, Snapshot: 1, Agent: 1}
+var FirstVersions = Versions{HandOver: 1, Snapshot: 1, Agent: 1}
 
 // AgentOldest and AgentLatest are the range of Versions.Agent that this build's agent
 // supports.
@@ -98,7 +98,7 @@
 // maxOutput is the number of bytes of the output that are parsed.
 const maxOutput = 4096
 
-// Query runs the program at path to learn its versions. It returns First if the program can't
+// Query runs the program at path to learn its versions. It returns FirstVersions if the program can't
 // be run, fails, or prints no valid versions in time. It kills all processes that the program
 // started.
 func Query(ctx context.Context, path string) Versions {
@@ -115,7 +115,7 @@
 	}
 	var versions Versions
 	if err != nil || json.NewDecoder(strings.NewReader(string(out[:min(len(out), maxOutput)]))).Decode(&versions) != nil || versions.Program == "" {
-		return First
+		return FirstVersions
 	}
 	if versions.Program == formerName {
 		versions.Program = currentName
--- a/internal/fleet/host/compatibility/compatibility_test.go
+++ b/internal/fleet/host/compatibility/compatibility_test.go
@@ -18,7 +18,7 @@
 		want           string // part of the error; "" for none
 	}{
 		"the same versions":                                         {base, base, allUses, ""},
-		"a program that does not report versions":                   {First, base, Use{HandOver: true, MayRollBack: true}, ""},
+		"a program that does not report versions":                   {FirstVersions, base, Use{HandOver: true, MayRollBack: true}, ""},
 		"a different snapshot format":                               {base, with(func(v *Versions) { v.Snapshot = 2 }), allUses, ""},
 		"a different hand-over protocol":                            {base, with(func(v *Versions) { v.HandOver = 2 }), allUses, "versions 1 and 2 of the hand-over"},
 		"a different hand-over protocol that is not used":           {base, with(func(v *Versions) { v.HandOver = 2 }), Use{Record: true}, ""},
@@ -42,9 +42,9 @@
 	for command, want := range map[string]Versions{
 		"echo '{\"program\":\"x\",\"hand_over\":7,\"agent\":1}'":        {Program: "x", HandOver: 7, Agent: 1},
 		"echo '{\"program\":\"fawnrock\",\"hand_over\":1,\"agent\":1}'": {Program: "sidecar", HandOver: 1, Agent: 1},
-		"exit 1":       First,
-		"echo nothing": First,
-		"sleep 60":     First,
+		"exit 1":       FirstVersions,
+		"echo nothing": FirstVersions,
+		"sleep 60":     FirstVersions,
 	} {
 		path := filepath.Join(t.TempDir(), "program")
 		if err := os.WriteFile(path, []byte("#!/bin/sh\nPATH=/bin:/usr/bin\n"+command+"\n"), 0o700); err != nil {
--- a/internal/fleet/host/proc/proc.go
+++ b/internal/fleet/host/proc/proc.go
@@ -35,8 +35,8 @@
 	Log    string   // file to which the process's output is appended
 }
 
-// Proc is a process that was started or adopted. Done is closed when it has exited.
-type Proc struct {
+// Process is a process that was started or adopted. Done is closed when it has exited.
+type Process struct {
 	PID   int
 	Ticks uint64 // start time in clock ticks since boot
 	Done  <-chan struct{}
@@ -46,11 +46,11 @@
 }
 
 // Exit returns how the process exited. It must not be called before Done is closed.
-func (p *Proc) Exit() string { return p.exit }
+func (p *Process) Exit() string { return p.exit }
 
 // Signal sends a signal to the process, never to another process that has reused its PID. The
 // error is os.ErrProcessDone if the process has exited.
-func (p *Proc) Signal(sig syscall.Signal) error { return p.process.Signal(sig) }
+func (p *Process) Signal(sig syscall.Signal) error { return p.process.Signal(sig) }
 
 // Boot returns the ID of the machine's current boot, "" if it can't be read. Within one boot,
 // PID and start time identify a process.
@@ -60,7 +60,7 @@
 }
 
 // Start starts a process. The caller need not wait for its exit: a goroutine does.
-func Start(s Spec) (*Proc, error) {
+func Start(s Spec) (*Process, error) {
 	log, err := os.OpenFile(s.Log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o640)
 	if err != nil {
 		return nil, fmt.Errorf("proc: log: %w", err)
@@ -81,7 +81,7 @@
 		return nil, fmt.Errorf("proc: %w", err)
 	}
 	done := make(chan struct{})
-	p := &Proc{PID: cmd.Process.Pid, Ticks: started.ticks, Done: done, process: cmd.Process}
+	p := &Process{PID: cmd.Process.Pid, Ticks: started.ticks, Done: done, process: cmd.Process}
 	go func() {
 		defer close(done)
 		err := cmd.Wait()
@@ -100,7 +100,7 @@
 // Adopt returns the process with this PID and start time, which an earlier agent started, or
 // os.ErrProcessDone if it no longer runs. Cancelling ctx ends the wait for the process's exit,
 // not the process.
-func Adopt(ctx context.Context, pid int, ticks uint64) (*Proc, error) {
+func Adopt(ctx context.Context, pid int, ticks uint64) (*Process, error) {
 	process, err := os.FindProcess(pid) // where the kernel supports it, this is a handle that stays valid if the PID is reused
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 		return nil, os.ErrProcessDone
 	}
 	done := make(chan struct{})
-	p := &Proc{PID: pid, Ticks: ticks, Done: done, process: process, exit: "exited; the exit status is not known, because an earlier agent started the process"}
+	p := &Process{PID: pid, Ticks: ticks, Done: done, process: process, exit: "exited; the exit status is not known, because an earlier agent started the process"}
 	go func() {
 		ticker := time.NewTicker(adoptedPollInterval)
 		defer ticker.Stop()
--- a/internal/fleet/host/proc/proc_test.go
+++ b/internal/fleet/host/proc/proc_test.go
@@ -13,7 +13,7 @@
 )
 
 // startCat starts cat, which exits at once, since its standard input is empty.
-func startCat(t *testing.T, launch string) *Proc {
+func startCat(t *testing.T, launch string) *Process {
 	t.Helper()
 	p, err := Start(Spec{Launch: launch, Path: "/bin/cat", Dir: "/", Log: filepath.Join(t.TempDir(), "log")})
 	if err != nil {
--- a/internal/fleet/host/scrape/scrape.go
+++ b/internal/fleet/host/scrape/scrape.go
@@ -35,7 +35,7 @@
 const slowThresholdScientific = "5e-03"
 
 // Metrics reads the metrics of the admin endpoint at addr, within timeout. Only the fields of the
-// sample that Read sets are set.
+// sample that Parse sets are set.
 func Metrics(ctx context.Context, addr string, timeout time.Duration) (*api.Sample, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -53,16 +53,16 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("scrape: admin endpoint %s answered %s", addr, resp.Status)
 	}
-	sample, err := Read(io.LimitReader(resp.Body, maxResponse))
+	sample, err := Parse(io.LimitReader(resp.Body, maxResponse))
 	if err != nil {
 		return nil, fmt.Errorf("scrape: admin endpoint %s: %w", addr, err)
 	}
 	return sample, nil
 }
 
-// Read parses a sidecar's metrics in the Prometheus text format. The sample's time, instance,
+// Parse parses a sidecar's metrics in the Prometheus text format. The sample's time, instance,
 // process and resource usage are not set. It is an error if the text is not a sidecar's metrics.
-func Read(in io.Reader) (*api.Sample, error) {
+func Parse(in io.Reader) (*api.Sample, error) {
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(in)
 	if err != nil {
--- a/internal/fleet/host/supervisor/supervisor.go
+++ b/internal/fleet/host/supervisor/supervisor.go
@@ -33,7 +33,7 @@
 	Unready   Phase = "unready"   // the process was ready, and health checks fail
 	Draining  Phase = "draining"  // the process was sent SIGTERM or SIGKILL
 	Backoff   Phase = "backoff"   // the process crashed and is relaunched after a delay
-	Crashloop Phase = "crashloop" // the process crashed too often and is not relaunched
+	CrashLoop Phase = "crashloop" // the process crashed too often and is not relaunched
 )
 
 // Config holds the limits of an instance.
@@ -197,7 +197,7 @@
 	case !s.desired:
 		s.enter(now, Stopped, s.reason)
 		return nil
-	case s.phase == Crashloop && len(s.crashes) > 0:
+	case s.phase == CrashLoop && len(s.crashes) > 0:
 		return nil
 	case s.phase == Backoff && len(s.crashes) > 0 && now.Before(s.relaunchAt):
 		return nil
@@ -252,7 +252,7 @@
 	return s.recordCrash(now, how)
 }
 
-// recordCrash counts a crash and enters the phase Backoff or Crashloop.
+// recordCrash counts a crash and enters the phase Backoff or CrashLoop.
 func (s *Supervisor) recordCrash(now time.Time, how string) []Action {
 	recent := s.crashes[:0]
 	for _, crashedAt := range s.crashes {
@@ -263,7 +263,7 @@
 	s.crashes = append(recent, now)
 	s.consecutiveCrashes++
 	if len(s.crashes) >= s.config.MaxCrashes {
-		s.enter(now, Crashloop, fmt.Sprintf("%d crashes in %v, the last one: %s", len(s.crashes), s.config.CrashWithin, how))
+		s.enter(now, CrashLoop, fmt.Sprintf("%d crashes in %v, the last one: %s", len(s.crashes), s.config.CrashWithin, how))
 		return nil
 	}
 	delay := s.config.BackoffMin
--- a/internal/fleet/host/supervisor/supervisor_test.go
+++ b/internal/fleet/host/supervisor/supervisor_test.go
@@ -54,9 +54,9 @@
 		now += delay
 		expect(t, s, s.Tick(at(now)), Backoff, Launch)
 	}
-	expect(t, s, s.LaunchFailed(at(now), "no such file"), Crashloop)
-	expect(t, s, s.Tick(at(1000)), Crashloop)
-	expect(t, s, s.SetDesired(at(1000), true, 2), Crashloop, Launch) // an operator has the instance started again
+	expect(t, s, s.LaunchFailed(at(now), "no such file"), CrashLoop)
+	expect(t, s, s.Tick(at(1000)), CrashLoop)
+	expect(t, s, s.SetDesired(at(1000), true, 2), CrashLoop, Launch) // an operator has the instance started again
 }
 
 // A ready instance becomes unready only after three consecutive failed health checks, and ready again
