--- a/internal/fleet/host/agent/housekeeping.go
+++ b/internal/fleet/host/agent/housekeeping.go
@@ -19,8 +19,8 @@
 )
 
 // runHousekeeping periodically retries failed writes, closes aborted operations, rolls back
-// failing instances of unattended operations and keeps releases and logs within their limits,
-// until the agent ends.
+// failing instances of unattended operations, ends the return from a power loss and keeps
+// releases and logs within their limits, until the agent ends.
 func (a *Agent) runHousekeeping() {
 	ticker := time.NewTicker(housekeepingInterval)
 	defer ticker.Stop()
