--- a/internal/fleet/host/agent/load_processes.go
+++ b/internal/fleet/host/agent/load_processes.go
@@ -13,12 +13,13 @@
 	"martendrum/internal/fleet/store"
 )
 
-// recoverInstance adopts the running process of an instance that the record does not have: the
-// record was lost. Its release becomes the desired one if it is in the state folder.
+// recoverInstance sets the recorded state of an instance from its running process. It is called
+// for an instance that is not in the record; such an instance has a process only if the record was
+// lost. The process's release becomes the desired one if the state folder has it.
 func (a *Agent) recoverInstance(stored *store.Instance, found map[string]proc.Found, boot string) {
 	for launch, process := range found {
-		generation, ok := a.generation(launch, stored.Name)
-		if !ok || generation < stored.Process { // of two processes the later one counts; findPreviousProcess adopts the other
+		generation, ok := a.launchGeneration(launch, stored.Name)
+		if !ok || generation < stored.Process { // the later of two processes is used; findPreviousProcess adopts the other
 			continue
 		}
 		stored.Desired, stored.Generation = api.Running, generation
@@ -26,19 +27,21 @@
 		if stored.Running != "" && a.releases.Verify(stored.Running) == nil {
 			stored.Release = stored.Running
 		}
-		slog.Warn("running instance found that the record does not have", "instance", stored.Name, "pid", process.PID, "generation", generation)
+		slog.Warn("found a running process of an instance that is not in the record", "instance", stored.Name, "pid", process.PID, "generation", generation)
 	}
 }
 
-// generation returns the generation in the name of a launch, if it is one of this instance.
-func (a *Agent) generation(launch, name string) (generation int64, ok bool) {
+// launchGeneration returns the generation in a launch ID. ok is false if the launch ID is not one
+// of the instance with this name.
+func (a *Agent) launchGeneration(launch, name string) (generation int64, ok bool) {
 	rest, ok := strings.CutPrefix(launch, a.config.Name+"/"+name+"/")
 	text, _, _ := strings.Cut(rest, "/")
 	generation, err := strconv.ParseInt(text, 10, 64)
 	return generation, ok && err == nil && generation >= 1
 }
 
-// setRunning records a process that was found as the instance's process.
+// setRunning makes a process that was found the instance's process in stored. The folder of the
+// process's program is named after the release.
 func setRunning(stored *store.Instance, launch string, generation int64, process proc.Found, boot string) {
 	stored.Launch, stored.Process, stored.PID, stored.Ticks, stored.Boot, stored.Running = launch, generation, process.PID, process.Ticks, boot, ""
 	if hash := filepath.Base(filepath.Dir(process.Exe)); release.Valid(hash) {
@@ -46,12 +49,12 @@
 	}
 }
 
-// findPreviousProcess adopts a process that was being replaced when the agent ended: its launch is
-// not the recorded one. If the new process does not run, the previous one is the instance's
-// process again. It says whether i.stored has changed.
-func (a *Agent) findPreviousProcess(i *instance, launch string, found map[string]proc.Found, boot string, now time.Time) bool {
+// findPreviousProcess adopts a process that was being replaced when the agent ended: a process of
+// the instance whose launch ID is not launch, the recorded one. If the new process does not run,
+// the previous one becomes the instance's process again. It reports whether inst.stored has changed.
+func (a *Agent) findPreviousProcess(inst *instance, launch string, found map[string]proc.Found, boot string, now time.Time) bool {
 	for other, process := range found {
-		generation, ok := a.generation(other, i.config.Name)
+		generation, ok := a.launchGeneration(other, inst.config.Name)
 		if !ok || other == launch {
 			continue
 		}
@@ -59,50 +62,51 @@
 		if err != nil {
 			continue
 		}
-		slog.Info("process found that was being replaced", "instance", i.config.Name, "pid", process.PID, "launch", other)
-		replaced := i.stored
+		slog.Info("found a process that was being replaced", "instance", inst.config.Name, "pid", process.PID, "launch", other)
+		replaced := inst.stored
 		setRunning(&replaced, other, generation, process, boot)
-		if i.process != nil {
-			i.previous, i.storedPrevious = p, replaced
-			i.supervisor.AdoptPrevious(generation)
+		if inst.process != nil {
+			inst.previous, inst.storedPrevious = p, replaced
+			inst.supervisor.AdoptPrevious(generation)
 			return false
 		}
-		i.process, i.stored = p, replaced
-		i.supervisor.Adopt(now, generation)
-		if i.exitedGeneration != 0 {
-			i.supervisor.AdoptFailed(i.exitedGeneration, i.stored.LastExit)
-			i.exitedGeneration = 0
+		inst.process, inst.stored = p, replaced
+		inst.supervisor.Adopt(now, generation)
+		if inst.exitedGeneration != 0 {
+			inst.supervisor.AdoptFailed(inst.exitedGeneration, inst.stored.LastExit)
+			inst.exitedGeneration = 0
 		}
 		return true
 	}
 	return false
 }
 
-// findProcess adopts the process that the record names, or records its end. It says whether
-// i.stored has changed.
-func (a *Agent) findProcess(i *instance, found map[string]proc.Found, boot string, now time.Time) bool {
-	stored := &i.stored
+// findProcess adopts the process that is in the record, or sets inst.stored to having none. It
+// reports whether inst.stored has changed.
+func (a *Agent) findProcess(inst *instance, found map[string]proc.Found, boot string, now time.Time) bool {
+	stored := &inst.stored
 	if stored.Launch == "" {
 		return false
 	}
 	pid, ticks := stored.PID, stored.Ticks
 	if pid == 0 || stored.Boot != boot {
-		// The launch was recorded; whether the process was started is not known.
+		// The record holds the launch, but no PID of this boot: the PID was not written, or is from
+		// an earlier boot. The process, if it was started, can be found by the launch ID.
 		pid, ticks = found[stored.Launch].PID, found[stored.Launch].Ticks
 	}
 	if pid != 0 {
 		if p, err := a.machine.Adopt(a.ctx, pid, ticks); err == nil {
-			i.process = p
-			i.supervisor.Adopt(now, stored.Process)
+			inst.process = p
+			inst.supervisor.Adopt(now, stored.Process)
 			changed := stored.PID != pid
 			stored.PID, stored.Ticks, stored.Boot = pid, ticks, boot
 			return changed
 		}
 	}
 	if stored.PID != 0 {
-		// It ran, and exited while no agent ran.
-		stored.LastExit = "ended while the agent was away"
-		i.exitedGeneration = stored.Process
+		// The process was started, and exited while no agent was running.
+		stored.LastExit = "exited while no agent was running; its exit status is not known"
+		inst.exitedGeneration = stored.Process
 	}
 	stored.Launch, stored.PID, stored.Process, stored.Running = "", 0, 0, ""
 	return true
--- a/internal/fleet/host/agent/settings_apply.go
+++ b/internal/fleet/host/agent/settings_apply.go
@@ -12,8 +12,8 @@
 	"martendrum/internal/fleet/store"
 )
 
-// settingsAttempt is an attempt to apply distributed settings: the configuration is written, the
-// process has been sent SIGHUP and its answer is pending.
+// settingsAttempt is an attempt to apply distributed settings: the configuration has been written,
+// the process has been sent SIGHUP, and it has not yet reported which configuration it runs.
 type settingsAttempt struct {
 	process    *Process
 	configHash string    // of the configuration that was written
@@ -23,65 +23,66 @@
 // settingsState is the state of an instance's distributed settings.
 type settingsState struct {
 	applier *distribution.Applier // nil: the host does not subscribe
-	attempt *settingsAttempt      // nil: none
-	// attemptCrashes counts the processes that exited during an attempt since the last answer.
+	attempt *settingsAttempt      // the attempt in progress; nil: none
+	// attemptCrashes counts the attempts during which the process exited, since settings were last
+	// accepted or rejected.
 	attemptCrashes int
 	program        string // the release of the latest process; "": unknown
-	// settledAt is the latest revision at which no settings were pending.
+	// settledAt is the latest revision at which no settings were pending for the instance.
 	settledAt distribution.Revision
-	// pendingReported says that the relay was notified of pending settings.
+	// pendingReported means that the relay was notified of pending settings.
 	pendingReported bool
 }
 
-// maxCrashes is the number of processes that exit during an attempt with the same settings until
-// these count as rejected: the first exit may have had another cause.
-const maxCrashes = 2
+// maxAttemptCrashes is how many times the process must exit during an attempt until the settings
+// count as rejected. The first exit may have had another cause.
+const maxAttemptCrashes = 2
 
-// unconfirmedDelay is the time until settings count as accepted by a program that does not report
-// which configuration it runs.
+// unconfirmedDelay is the time from SIGHUP until a configuration counts as accepted by a program
+// that does not report which configuration it runs.
 const unconfirmedDelay = time.Second
 
 // settingsWait returns why settings can't be applied to an instance now, "" if they can. An
-// operation that holds a live lease or has a running step takes precedence; distributed settings
-// follow when it ends. The lock is held.
-func (a *Agent) settingsWait(i *instance, now time.Time) string {
-	switch lease := a.leases.ByInstance[i.config.Name]; {
-	case i.step != nil:
-		return "operation " + i.step.Op + " changes it"
+// operation that holds a live lease or has a running step takes precedence: distributed settings
+// are applied when it ends. The caller holds a.mu.
+func (a *Agent) settingsWait(inst *instance, now time.Time) string {
+	switch lease := a.leases.ByInstance[inst.config.Name]; {
+	case inst.step != nil:
+		return "operation " + inst.step.Op + " is changing the instance"
 	case lease.Live(now):
-		return "operation " + lease.Op + " holds it"
-	case i.process == nil || i.supervisor.Phase() != supervisor.Ready:
-		return fmt.Sprintf("it is %s", i.supervisor.Phase())
-	case i.previous != nil:
-		return "a new process takes over"
-	case now.Sub(i.stored.Launched) < minReloadAge:
-		return "its process has just begun"
-	case i.settings.attempt != nil:
-		return "its answer is awaited"
+		return "operation " + lease.Op + " holds its lease"
+	case inst.process == nil || inst.supervisor.Phase() != supervisor.Ready:
+		return fmt.Sprintf("the instance is %s", inst.supervisor.Phase())
+	case inst.previous != nil:
+		return "a new process is replacing the previous one"
+	case now.Sub(inst.stored.Launched) < minReloadAge:
+		return "its process has just started"
+	case inst.settings.attempt != nil:
+		return "the process has not yet confirmed the settings"
 	}
 	return ""
 }
 
-// applySettings advances the attempt to apply distributed settings, or starts one. It returns when
-// it should be called again; zero means at the next event.
-func (a *Agent) applySettings(i *instance) time.Time {
+// applySettings advances the attempt to apply distributed settings, or starts one if settings are
+// pending. It returns when it should be called again; the zero time means at the next event.
+func (a *Agent) applySettings(inst *instance) time.Time {
 	a.mu.Lock()
-	if i.settings.applier == nil {
+	if inst.settings.applier == nil {
 		a.mu.Unlock()
 		return time.Time{}
 	}
 	now := time.Now()
-	a.reportPending(i)
-	if i.settings.attempt != nil {
-		process, hash := i.settings.attempt.process, i.stored.Running
-		rejected := a.settleAttempt(i, now)
+	a.reportPending(inst)
+	if inst.settings.attempt != nil {
+		process, releaseHash := inst.settings.attempt.process, inst.stored.Running
+		rejected := a.settleAttempt(inst, now)
 		a.mu.Unlock()
 		if rejected {
-			a.restoreSettings(i, process, hash)
+			a.restoreSettings(inst, process, releaseHash)
 		}
 		return time.Time{}
 	}
-	due, pending := i.settings.applier.Due()
+	due, pending := inst.settings.applier.Due()
 	if !pending {
 		a.mu.Unlock()
 		return time.Time{}
@@ -90,99 +91,103 @@
 		a.mu.Unlock()
 		return due
 	}
-	if a.settingsWait(i, now) != "" {
+	if a.settingsWait(inst, now) != "" {
 		a.mu.Unlock()
 		return now.Add(activeInterval)
 	}
-	settings, process, hash := i.settings.applier.Begin(), i.process, i.stored.Running
+	settings, process, releaseHash := inst.settings.applier.Begin(), inst.process, inst.stored.Running
 	a.mu.Unlock()
-	configHash, err := a.configureWith(i, hash, settings, random())
+	configHash, err := a.configureWith(inst, releaseHash, settings, randomID())
 	if err == nil {
 		err = process.Signal(syscall.SIGHUP)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
-		i.settings.applier.Abandon()
+		inst.settings.applier.Abandon()
 	} else {
-		i.settings.attempt = &settingsAttempt{process: process, configHash: configHash, sent: now}
+		inst.settings.attempt = &settingsAttempt{process: process, configHash: configHash, sent: now}
 	}
 	return now.Add(activeInterval)
 }
 
-// reportPending notifies the relay when settings become pending for an instance or cease to be.
-// That can happen without an update or an attempt, for example when an operation starts the
-// instance. The lock is held.
-func (a *Agent) reportPending(i *instance) {
-	pending := i.stored.Desired == api.Running && i.settings.applier.Pending()
-	if pending == i.settings.pendingReported {
+// reportPending notifies the relay when settings become pending for an instance and when they no
+// longer are. That can happen without an update or an attempt, for example when an operation starts
+// the instance. The caller holds a.mu.
+func (a *Agent) reportPending(inst *instance) {
+	pending := inst.stored.Desired == api.Running && inst.settings.applier.Pending()
+	if pending == inst.settings.pendingReported {
 		return
 	}
-	i.settings.pendingReported = pending
+	inst.settings.pendingReported = pending
 	a.settings.subscriber.Changed()
 }
 
-// settleAttempt ends an attempt that has an outcome. It says whether a process that still runs
-// has rejected the settings. The lock is held.
-func (a *Agent) settleAttempt(i *instance, now time.Time) (rejected bool) {
-	waited := now.Sub(i.settings.attempt.sent)
+// settleAttempt ends the attempt if it has an outcome. It reports whether the settings were
+// rejected by a process that still runs. The caller holds a.mu.
+func (a *Agent) settleAttempt(inst *instance, now time.Time) (rejected bool) {
+	waited := now.Sub(inst.settings.attempt.sent)
 	switch {
-	case i.step != nil:
-		i.settings.attempt = nil
-		i.settings.applier.Abandon()
-	case i.process != i.settings.attempt.process:
-		a.crashedAttempt(i)
-	case i.reported.configHash == i.settings.attempt.configHash, i.reported.configHash == "" && waited > unconfirmedDelay:
-		a.endAttempt(i, true, "")
+	case inst.step != nil:
+		inst.settings.attempt = nil
+		inst.settings.applier.Abandon()
+	case inst.process != inst.settings.attempt.process:
+		a.endCrashedAttempt(inst)
+	case inst.reported.configHash == inst.settings.attempt.configHash, inst.reported.configHash == "" && waited > unconfirmedDelay:
+		a.endAttempt(inst, true, "")
 	case waited > reloadTimeout:
-		a.endAttempt(i, false, lastLogProblem(a.logPath(i.config.Name)))
+		a.endAttempt(inst, false, lastLogProblem(a.logPath(inst.config.Name)))
 		return true
 	}
 	return false
 }
 
-// crashedAttempt takes the exit of a process during an attempt. The next process starts with the
-// last accepted settings. The lock is held.
-func (a *Agent) crashedAttempt(i *instance) {
-	i.settings.attemptCrashes++
-	if i.settings.attemptCrashes < maxCrashes {
-		i.settings.attempt = nil
-		i.settings.applier.Abandon()
+// endCrashedAttempt ends an attempt during which the process exited. The settings stay pending until
+// maxAttemptCrashes is reached. The next process starts with the last accepted settings. The caller
+// holds a.mu.
+func (a *Agent) endCrashedAttempt(inst *instance) {
+	inst.settings.attemptCrashes++
+	if inst.settings.attemptCrashes < maxAttemptCrashes {
+		inst.settings.attempt = nil
+		inst.settings.applier.Abandon()
 		return
 	}
-	a.endAttempt(i, false, "its process ended while it took them: "+i.stored.LastExit)
+	a.endAttempt(inst, false, "its process ended while it applied them: "+inst.stored.LastExit)
 }
 
-// endAttempt ends an attempt with the instance's answer. The lock is held.
-func (a *Agent) endAttempt(i *instance, accepted bool, reason string) {
-	i.settings.attempt, i.settings.attemptCrashes = nil, 0
-	i.settings.applier.Done(accepted, reason)
-	if a.commit(&store.Change{Settings: []distribution.Entry{i.settings.applier.Entry()}}) != nil {
-		i.dirty = true // written again with the instance
+// endAttempt ends an attempt whose settings were accepted, or rejected with a reason. The caller
+// holds a.mu.
+func (a *Agent) endAttempt(inst *instance, accepted bool, reason string) {
+	inst.settings.attempt, inst.settings.attemptCrashes = nil, 0
+	inst.settings.applier.Done(accepted, reason)
+	if a.commit(&store.Change{Settings: []distribution.Entry{inst.settings.applier.Entry()}}) != nil {
+		inst.dirty = true // written again with the instance
 	}
 	a.settings.subscriber.Changed()
 }
 
-// restoreSettings writes the last accepted settings to an instance that has rejected others, and
-// makes it reload: a process that was only late may have applied the others by now.
-func (a *Agent) restoreSettings(i *instance, process *Process, hash string) {
-	err := a.configure(i, hash, random())
+// restoreSettings writes a configuration with the last accepted settings for an instance that has
+// rejected others, and makes the process reload it, because a process that was only slow to respond
+// may have applied the rejected settings by now.
+func (a *Agent) restoreSettings(inst *instance, process *Process, releaseHash string) {
+	err := a.configure(inst, releaseHash, randomID())
 	if err == nil {
 		err = process.Signal(syscall.SIGHUP)
 	}
 	if err != nil {
-		slog.Warn("configuration file may contain rejected settings", "instance", i.config.Name, "err", err)
+		slog.Warn("configuration file may still contain rejected settings", "instance", inst.config.Name, "err", err)
 	}
 }
 
-// programStarted lets settings that another program rejected be tried again, after the start of
-// a process. Until then the instance counts as having no settings. The lock is held.
-func (i *instance) programStarted(release string, now time.Time) {
-	before := i.settings.program
-	i.settings.program = release
-	if i.settings.applier == nil || before == "" || before == release || len(i.settings.applier.Rejections()) == 0 {
+// programStarted is called after the start of a process of a release. If the previous process was
+// of another release, settings that it rejected are tried again. Until then the instance counts as
+// having applied no settings. The caller holds the agent's mu.
+func (inst *instance) programStarted(release string, now time.Time) {
+	before := inst.settings.program
+	inst.settings.program = release
+	if inst.settings.applier == nil || before == "" || before == release || len(inst.settings.applier.Rejections()) == 0 {
 		return
 	}
-	i.settings.applier.Forgive(now)
-	i.settings.settledAt = distribution.Revision{}
+	inst.settings.applier.Forgive(now)
+	inst.settings.settledAt = distribution.Revision{}
 }
