--- a/internal/fleet/control/client/client.go
+++ b/internal/fleet/control/client/client.go
@@ -1,9 +1,9 @@
-// Package client is the operators' side of the fleet: connections to agents, concurrent calls to
-// many of them, and the run of an operation on them. It holds the leases of the operations that it
-// runs and reports what the agents' records say.
+// Package client lets an operator's command control a fleet: it connects to agents, calls many of
+// them concurrently, and runs operations on them. While it runs an operation it holds the
+// operation's leases. Its reports are built from what the agents have recorded.
 //
-// It does not decide what an operation does next: that is package rollout, for stages package
-// stage, and for the verdict on a stage package canary.
+// It does not decide what an operation does next. Package rollout decides on the steps, package
+// stage on the stages of a staged change, and package canary gives the verdict on a stage.
 package client
 
 import (
@@ -19,8 +19,8 @@
 	"martendrum/internal/msgpackrpc"
 )
 
-// UnreachableError reports an agent that did not answer. The call may have been carried out; every
-// method may be called again.
+// UnreachableError reports an agent that did not answer. The call may have been carried out. All
+// methods are idempotent, so the caller may repeat it.
 type UnreachableError struct {
 	Host string
 	Err  error
@@ -36,38 +36,39 @@
 
 // Advice says what an operator can do.
 func (e *UnreachableError) Advice() string {
-	return "look whether the host's agent runs and whether its address in the inventory is right"
+	return "check that the host's agent is running and that its address in the inventory is correct"
 }
 
-// Agent is the client of one host's agent. It connects at the first call, and again when its
-// connection has ended.
+// Agent is the client of one host's agent. It connects on the first call and reconnects on the
+// first call after its connection has ended. Its methods may be called concurrently.
 type Agent struct {
 	Host     inventory.Host
 	fleet    *Fleet
 	mu       sync.Mutex
 	conn     *msgpackrpc.Client
-	dialSlot chan struct{} // holds one value while somebody connects
+	dialSlot chan struct{} // holds one value while a goroutine connects
 
 	seenMu sync.Mutex
 	seen   time.Time
 }
 
-// Seen returns when the agent last answered; zero is never.
+// Seen returns when the agent last answered, or the zero time if it never has.
 func (a *Agent) Seen() time.Time {
 	a.seenMu.Lock()
 	defer a.seenMu.Unlock()
 	return a.seen
 }
 
-// Call calls a method of the agent. An error is an *api.Error, which the agent returned, or an
-// *UnreachableError. A connection that turns out to be dead is replaced once.
+// Call calls a method of the agent with the timeout of the fleet. An error is an *api.Error, which
+// the agent returned, or an *UnreachableError. If an existing connection turns out to be dead, Call
+// repeats the call once on a new connection.
 func (a *Agent) Call(ctx context.Context, method string, in, out any) error {
 	return a.CallFor(ctx, a.fleet.Timeout, method, in, out)
 }
 
-// CallFor is Call with a timeout of its own.
-func (a *Agent) CallFor(ctx context.Context, limit time.Duration, method string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// CallFor is like Call, but with the given timeout in place of the fleet's.
+func (a *Agent) CallFor(ctx context.Context, timeout time.Duration, method string, in, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for mayRetry := true; ; mayRetry = false {
 		conn, fresh, err := a.connect(ctx)
@@ -93,7 +94,8 @@
 	}
 }
 
-// callError returns the error of a call that got no answer.
+// callError returns the error for a call that got no answer: the agent's own error if it rejected
+// the hello, and otherwise an *UnreachableError.
 func (a *Agent) callError(err error) error {
 	if e, ok := errors.AsType[*api.Error](err); ok {
 		return e
@@ -108,7 +110,8 @@
 	a.seen = time.Now()
 }
 
-// dropConnection closes a connection and forgets it, unless it has been replaced.
+// dropConnection closes a connection. If it is still the agent's current one, the next call opens a
+// new one.
 func (a *Agent) dropConnection(conn *msgpackrpc.Client) {
 	a.mu.Lock()
 	if a.conn == conn {
@@ -118,10 +121,11 @@
 	conn.Close()
 }
 
-// maxMessage bounds a message of an agent, in bytes.
-const maxMessage = 4 << 20
+// maxMessageBytes bounds the size of a message from an agent.
+const maxMessageBytes = 4 << 20
 
-// connect returns the open connection or a new one. fresh says that it is new.
+// connect returns the open connection, or opens a new one if there is none. fresh reports whether the
+// connection is new.
 func (a *Agent) connect(ctx context.Context) (conn *msgpackrpc.Client, fresh bool, err error) {
 	select {
 	case a.dialSlot <- struct{}{}:
@@ -136,7 +140,7 @@
 		return conn, false, nil
 	}
 	target := connect.Target{Agent: a.Host.Name, Address: a.Host.Address, TLS: a.fleet.tls}
-	conn, err = connect.Dial(ctx, target, a.fleet.Who, msgpackrpc.Limits{Message: maxMessage, Send: a.fleet.Timeout})
+	conn, err = connect.Dial(ctx, target, a.fleet.Who, msgpackrpc.Limits{Message: maxMessageBytes, Send: a.fleet.Timeout})
 	if err != nil {
 		return nil, false, err
 	}
--- a/internal/fleet/control/client/compat_test.go
+++ b/internal/fleet/control/client/compat_test.go
@@ -8,13 +8,14 @@
 	"martendrum/internal/goldentest"
 )
 
-// What commands print as JSON, with a value in every field, has the form of an earlier build.
+// TestReportsOfEarlierBuild checks that what the commands print as JSON, with a value in every field,
+// has the same form as in an earlier build.
 func TestReportsOfEarlierBuild(t *testing.T) {
 	var lines bytes.Buffer
-	for _, v := range []any{&Report{}, &HostState{}, &Event{}} {
-		goldentest.Fill(v)
-		if err := json.NewEncoder(&lines).Encode(v); err != nil {
-			t.Fatal(err)
+	for _, report := range []any{&Report{}, &HostState{}, &Event{}} {
+		goldentest.Fill(report)
+		if err := json.NewEncoder(&lines).Encode(report); err != nil {
+			t.Fatalf("encoding %T: %v", report, err)
 		}
 	}
 	goldentest.Compare(t, "reports.jsonl", lines.Bytes())
--- a/internal/fleet/control/client/errors.go
+++ b/internal/fleet/control/client/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// UnknownHostError reports a host that the inventory does not have.
+// UnknownHostError reports a host that is not in the inventory.
 type UnknownHostError struct {
 	Host      string
-	Operation string // that has targets on the host; "": none
+	Operation string // the operation with targets on the host; "" if the caller named the host itself
 }
 
 // Error implements error.
@@ -21,7 +21,7 @@
 	return "add the host to the inventory, or name the right inventory with --fleet"
 }
 
-// OperationEndedError reports an operation that can't be resumed because it is closed everywhere.
+// OperationEndedError reports an operation that can't be resumed because it is closed at all hosts.
 type OperationEndedError struct {
 	Operation string
 	Result    string
@@ -29,12 +29,12 @@
 
 // Error implements error.
 func (e *OperationEndedError) Error() string {
-	return fmt.Sprintf("operation %s has ended everywhere: %s; see `martendrum report %s`", e.Operation, e.Result, e.Operation)
+	return fmt.Sprintf("operation %s has ended at all hosts: %s; see `martendrum report %s`", e.Operation, e.Result, e.Operation)
 }
 
 // Advice says what an operator can do.
 func (e *OperationEndedError) Advice() string {
-	return "look at its report, and start a new operation for what is left"
+	return "read its report, and start a new operation for the instances that are left"
 }
 
 // OperationAbortingError reports an operation that can't be resumed because a host is aborting it.
@@ -50,5 +50,5 @@
 
 // Advice says what an operator can do.
 func (e *OperationAbortingError) Advice() string {
-	return "wait until its running steps are finished, then look at its report"
+	return "wait until its running steps have finished, then read its report"
 }
--- a/internal/fleet/control/client/events.go
+++ b/internal/fleet/control/client/events.go
@@ -6,24 +6,25 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
-// Kinds of events.
+// Kinds of events. See Event.Kind.
 const (
 	EventBegin   = "begin"   // a step starts
 	EventOK      = "ok"      // an instance was changed or rolled back
 	EventFailed  = "failed"  // a step failed
-	EventSilent  = "silent"  // a host does not answer
+	EventSilent  = "silent"  // a host has stopped answering
 	EventAnswers = "answers" // a silent host answers again
 	EventNote    = "note"    // a message in Text
 
-	// Of staged changes.
+	// Kinds that only staged changes have.
 	EventStage   = "stage"   // a stage starts or the last one has passed
-	EventVerdict = "verdict" // the verdict of the canary analysis has changed
+	EventVerdict = "verdict" // the canary analysis has a new verdict
 	EventWait    = "wait"    // the change waits for evidence
 	EventHold    = "hold"    // the change waits for an operator
-	EventWorse   = "worse"   // the change does harm and is rolled back
+	EventWorse   = "worse"   // the change was judged worse and the rollout stops
 )
 
-// Event is a change that an operator may want to see while an operation runs.
+// Event reports something that happened during the run of an operation, for the operator to follow
+// the progress.
 type Event struct {
 	At       time.Time `json:"at"`
 	Kind     string    `json:"kind"` // one of the Event constants
@@ -31,16 +32,16 @@
 	Instance string    `json:"instance,omitempty"`
 	Step     string    `json:"step,omitempty"`
 	Text     string    `json:"text,omitempty"`
-	Done     int       `json:"done"` // targets that are finished
-	Of       int       `json:"of"`   // all targets
+	Done     int       `json:"done"` // number of targets that have an outcome
+	Of       int       `json:"of"`   // number of targets
 }
 
-// notify completes an event and passes it to the caller of the run.
+// notify fills in the time and the counts of an event and passes it to Options.Progress, if set.
 func (r *runner) notify(e Event) {
 	if r.options.Progress == nil {
 		return
 	}
-	e.At, e.Of = time.Now(), len(r.shownStates)
+	e.At, e.Of = time.Now(), len(r.reportedStates)
 	for _, t := range r.machine.Targets() {
 		if t.State != rollout.Pending && t.State != rollout.Changing && t.State != rollout.Unknown && t.State != rollout.RollingBack {
 			e.Done++
@@ -49,13 +50,14 @@
 	r.options.Progress(e)
 }
 
-// notifyChanges reports the targets whose state has changed.
+// notifyChanges sends an event for each target that has succeeded or failed since the last call. A
+// change of any target's state also restarts the time after which the run gives up.
 func (r *runner) notifyChanges() {
 	for i, t := range r.machine.Targets() {
-		if r.shownStates[i] == t.State {
+		if r.reportedStates[i] == t.State {
 			continue
 		}
-		r.shownStates[i], r.lastChange = t.State, time.Now()
+		r.reportedStates[i], r.lastChange = t.State, time.Now()
 		kind := ""
 		switch t.State {
 		case rollout.Changed, rollout.RolledBack:
--- a/internal/fleet/control/client/find.go
+++ b/internal/fleet/control/client/find.go
@@ -10,8 +10,9 @@
 	"martendrum/internal/fleet/api"
 )
 
-// find looks for an operation at all hosts. It returns the operation, its status by host, and the
-// errors of the hosts that have none to show.
+// find asks all hosts for an operation. It returns the operation as one of the hosts has it, its
+// status by host, and, also by host, the errors of the calls that failed. A host that does not know
+// the operation fails with api.NoOperation.
 func (f *Fleet) find(ctx context.Context, id string) (operation api.Operation, statuses map[string]*api.OpOut, errs map[string]error) {
 	statuses, errs = make(map[string]*api.OpOut), make(map[string]error)
 	var mu sync.Mutex
@@ -30,7 +31,7 @@
 	return operation, statuses, errs
 }
 
-// notFound returns the error for an operation that no host has.
+// notFound returns the error for an operation for which no host has returned a status.
 func notFound(id string, errs map[string]error) error {
 	for _, err := range errs {
 		if errors.As(err, new(*UnreachableError)) {
@@ -53,8 +54,9 @@
 	return out
 }
 
-// Abort stops an operation at every host that has it: running steps finish and no new ones start.
-// It returns the errors by host.
+// Abort aborts an operation at every host that has it: running steps finish and no new ones start.
+// It returns by host the errors of those that could not abort it, or an error if no host has
+// returned the operation.
 func (f *Fleet) Abort(ctx context.Context, id string) (map[string]error, error) {
 	operation, statuses, errs := f.find(ctx, id)
 	if len(statuses) == 0 {
--- a/internal/fleet/control/client/fleet.go
+++ b/internal/fleet/control/client/fleet.go
@@ -11,16 +11,17 @@
 	"martendrum/internal/fleet/pki"
 )
 
-// Fleet is the agents of all hosts of an inventory.
+// Fleet is a client of the agents of all hosts of an inventory.
 type Fleet struct {
 	Agents  []*Agent
-	Timeout time.Duration // of one call
+	Timeout time.Duration // of one call to an agent
 	Who     string        // the operator, for the audit logs
 
 	tls *tls.Config
 }
 
-// New returns a fleet, without connecting. The caller ends its connections with Close.
+// New returns a fleet without connecting to it. who is the operator's name for the agents' audit
+// logs. An error means that the TLS files can't be loaded. The caller must call Close in the end.
 func New(hosts *inventory.Inventory, who string) (*Fleet, error) {
 	f := &Fleet{Timeout: time.Duration(hosts.Timeout), Who: who}
 	if hosts.TLS.Cert != "" {
@@ -47,7 +48,7 @@
 	}
 }
 
-// Agent returns the agent of a host, nil if the inventory has none.
+// Agent returns the agent of a host, or nil if the inventory does not have the host.
 func (f *Fleet) Agent(host string) *Agent {
 	for _, a := range f.Agents {
 		if a.Host.Name == host {
@@ -57,18 +58,18 @@
 	return nil
 }
 
-// HostState is a host and its selected instances.
+// HostState is the state of a host and of its selected instances.
 type HostState struct {
 	Host       inventory.Host `json:"host"`
-	Error      string         `json:"error,omitempty"` // why it did not answer
-	Unwritable string         `json:"unwritable,omitempty"`
-	Returning  string         `json:"returning,omitempty"` // progress of a return from a power loss
-	Epoch      int64          `json:"epoch,omitempty"`     // of its latest power loss, if recent
+	Error      string         `json:"error,omitempty"`      // why it did not answer; "" if it did
+	Unwritable string         `json:"unwritable,omitempty"` // why its record can't be written; "" if it can
+	Returning  string         `json:"returning,omitempty"`  // progress of its return from a power loss; "" if it is not returning
+	Epoch      int64          `json:"epoch,omitempty"`      // number of its latest power loss while that is recent, otherwise 0
 	Instances  []api.Instance `json:"instances"`
 }
 
-// List returns the state of all hosts that may have selected instances. Hosts that don't answer
-// are in the list, with an error.
+// List returns the state of all hosts that may have selected instances. For a host that does not
+// answer, HostState.Error is set.
 func (f *Fleet) List(ctx context.Context, sel *inventory.Select) []HostState {
 	var agents []*Agent
 	for _, a := range f.Agents {
@@ -86,7 +87,7 @@
 		}
 		out[n].Unwritable, out[n].Returning, out[n].Epoch = list.Unwritable, list.Returning, list.Epoch
 		for _, i := range list.Instances {
-			if sel.Fits(a.Host, &i) {
+			if sel.Selects(a.Host, &i) {
 				out[n].Instances = append(out[n].Instances, i)
 			}
 		}
@@ -95,7 +96,8 @@
 	return out
 }
 
-// ForEach calls do for each agent concurrently and returns the errors in the order of the agents.
+// ForEach calls do for each agent concurrently, waits for all calls, and returns their errors in the
+// order of the agents, nil for success. n is the index of the agent.
 func ForEach(agents []*Agent, do func(n int, a *Agent) error) []error {
 	errs := make([]error, len(agents))
 	slots := make(chan struct{}, maxConcurrentCalls)
@@ -111,5 +113,5 @@
 	return errs
 }
 
-// maxConcurrentCalls bounds the agents that ForEach calls at a time.
+// maxConcurrentCalls is the number of calls that ForEach has open at a time.
 const maxConcurrentCalls = 64
--- a/internal/fleet/control/client/replay.go
+++ b/internal/fleet/control/client/replay.go
@@ -8,13 +8,14 @@
 	"martendrum/internal/fleet/canary"
 )
 
-// Replay repeats the canary analysis of a staged change, slot by slot up to its note, from the
-// metrics that its agents still retain. Hosts that don't answer are left out and returned as
-// missing.
+// Replay repeats the canary analysis of a staged change from the metrics that its agents still
+// retain. It returns the judgement for each slot from the start of the first stage to the last slot
+// that the change's latest note covers. Hosts that don't answer, or are not in the inventory, are
+// left out and returned in missing. It returns an error if no stage has started.
 func (f *Fleet) Replay(ctx context.Context, report *Report) (series []canary.Judgement, missing []string, err error) {
 	spec, note := report.Operation.Staged, report.Stages
 	if spec == nil || note == nil || note.State.Stage == 0 {
-		return nil, nil, fmt.Errorf("operation %s has no stage that was judged", report.Operation.ID)
+		return nil, nil, fmt.Errorf("operation %s can't be replayed: none of its stages has been judged", report.Operation.ID)
 	}
 	e, err := newEvidence(&report.Operation, note.Start)
 	if err != nil {
--- a/internal/fleet/control/client/report.go
+++ b/internal/fleet/control/client/report.go
@@ -17,19 +17,23 @@
 	Instance string        `json:"instance"`
 	Outcome  rollout.State `json:"outcome"`
 	Reason   string        `json:"reason,omitempty"`
-	// Unknown says since when and why the state of the instance is unknown, "" if it is known.
-	// The fields below are then as last seen.
+	// Unknown says since when the state of the instance is unknown, and when its agent was last seen.
+	// It is "" if the state is known; otherwise the fields below are as last seen.
 	Unknown  string        `json:"unknown,omitempty"`
 	LastSeen time.Time     `json:"last_seen,omitzero"`
 	State    *api.Instance `json:"state,omitempty"`
 	Steps    []api.Step    `json:"steps,omitempty"`
 }
 
-// Report is the outcome of an operation. It has each of its instances exactly once.
+// Report is the outcome of an operation. Rows contains each target of the operation exactly once, in
+// the order of the targets.
 type Report struct {
-	Operation   api.Operation    `json:"operation"`
-	Result      string           `json:"result"` // one of package rollout; "open" while the operation is
-	Why         string           `json:"why,omitempty"`
+	Operation api.Operation `json:"operation"`
+	// Result is one of the results in package rollout, "interrupted" if the run ended before the
+	// operation, or, in a report by Fleet.Report, the state of an operation that is not closed, such
+	// as "open".
+	Result      string           `json:"result"`
+	Why         string           `json:"why,omitempty"` // why no further change was started
 	LeaseHolder string           `json:"holder,omitempty"`
 	Rows        []InstanceResult `json:"rows"`
 	Notes       []string         `json:"notes,omitempty"`
@@ -38,7 +42,7 @@
 	Judgement *canary.Judgement `json:"judgement,omitempty"`
 }
 
-// OK says that the operation succeeded and that the state of every instance is known.
+// OK reports whether the operation succeeded and the state of every instance is known.
 func (r *Report) OK() bool {
 	if r.Result != rollout.Succeeded {
 		return false
@@ -51,8 +55,8 @@
 	return true
 }
 
-// finish closes the operation at the hosts that answer, unless it has to stay open, and returns
-// the report.
+// finish closes the operation at the hosts that answer and returns the report. An operation that has
+// no result yet or is paused stays open.
 func (r *runner) finish(ctx context.Context) *Report {
 	result := r.machine.Result()
 	if r.previousResult != "" {
@@ -61,17 +65,17 @@
 	var agents []*Agent
 	for _, host := range r.hostNames {
 		if r.hostRuns[host].givenUp || !r.hostRuns[host].silentSince.IsZero() {
-			r.notes = append(r.notes, fmt.Sprintf("host %s: %s: the operation may still be open there; `martendrum report %s` tells once it answers, `martendrum resume %s` ends it", host, r.unknownSince(r.hostRuns[host]), r.operation.ID, r.operation.ID))
+			r.notes = append(r.notes, fmt.Sprintf("host %s: %s: the operation may still be open there; once the host answers, `martendrum report %s` shows the state and `martendrum resume %s` ends the operation", host, r.unknownSince(r.hostRuns[host]), r.operation.ID, r.operation.ID))
 			continue
 		}
 		agents = append(agents, r.hostRuns[host].agent)
 	}
 	var mu sync.Mutex
 	ForEach(agents, func(_ int, a *Agent) error {
-		p := r.hostRuns[a.Host.Name]
+		hr := r.hostRuns[a.Host.Name]
 		out := &api.OpOut{}
 		var err error
-		if token := p.leaseToken(); token != 0 && result != "" && result != rollout.Paused {
+		if token := hr.leaseToken(); token != 0 && result != "" && result != rollout.Paused {
 			err = a.Call(ctx, api.OpClose, &api.CloseIn{Op: r.operation.ID, Token: token, Result: result}, out)
 		} else {
 			err = a.Call(ctx, api.OpStatus, &api.StatusIn{Op: r.operation.ID}, out)
@@ -79,42 +83,42 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			r.notes = append(r.notes, fmt.Sprintf("host %s: not ended there: %v", a.Host.Name, err))
+			r.notes = append(r.notes, fmt.Sprintf("host %s: the operation could not be closed, or its status not be read: %v", a.Host.Name, err))
 			return err
 		}
-		r.takeStatus(p, out)
+		r.applyStatus(hr, out)
 		return nil
 	})
 	report := r.report()
 	report.Result = result
 	if result == "" {
 		report.Result = "interrupted"
-		report.Notes = append(report.Notes, fmt.Sprintf("the operation stays open: `martendrum resume %s` goes on with it, `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
+		report.Notes = append(report.Notes, fmt.Sprintf("the operation stays open: `martendrum resume %s` continues it, `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
 	}
 	if result == rollout.Paused {
-		report.Notes = append(report.Notes, fmt.Sprintf("`martendrum resume %s` goes on once the cause is mended, `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
+		report.Notes = append(report.Notes, fmt.Sprintf("once the cause is fixed, `martendrum resume %s` continues the operation; `martendrum abort %s` ends it", r.operation.ID, r.operation.ID))
 	}
 	return report
 }
 
-// report returns a report of the current state.
+// report returns a report of the rollout's current state.
 func (r *runner) report() *Report {
 	report := &Report{Operation: r.operation, Result: r.machine.Result(), Why: r.machine.Why(), Notes: r.notes}
 	for _, t := range r.machine.Targets() {
-		p := r.hostRuns[t.Host]
-		row := InstanceResult{Host: t.Host, Instance: t.Instance, Outcome: t.State, Reason: t.Reason, LastSeen: p.agent.Seen()}
-		if !p.silentSince.IsZero() {
-			row.Unknown = r.unknownSince(p)
+		hr := r.hostRuns[t.Host]
+		row := InstanceResult{Host: t.Host, Instance: t.Instance, Outcome: t.State, Reason: t.Reason, LastSeen: hr.agent.Seen()}
+		if !hr.silentSince.IsZero() {
+			row.Unknown = r.unknownSince(hr)
 		}
-		if p.status != nil {
-			for _, x := range p.status.Instances {
-				if x.Name == t.Instance {
-					row.State = &x
+		if hr.status != nil {
+			for _, instance := range hr.status.Instances {
+				if instance.Name == t.Instance {
+					row.State = &instance
 				}
 			}
-			for _, s := range p.status.Steps {
-				if s.Instance == t.Instance {
-					row.Steps = append(row.Steps, s)
+			for _, step := range hr.status.Steps {
+				if step.Instance == t.Instance {
+					row.Steps = append(row.Steps, step)
 				}
 			}
 		}
@@ -126,7 +130,9 @@
 	return report
 }
 
-// Report returns the report of an operation from the agents' records, without changing it.
+// Report returns the report of an operation from the agents' records. It does not change the
+// operation. It returns an error if no host has returned the operation, or if one of its hosts is not
+// in the inventory.
 func (f *Fleet) Report(ctx context.Context, id string) (*Report, error) {
 	operation, statuses, errs := f.find(ctx, id)
 	if len(statuses) == 0 {
@@ -137,16 +143,16 @@
 		return nil, err
 	}
 	result, holder := "", ""
-	for host, out := range statuses {
-		if p := r.hostRuns[host]; p != nil {
-			r.takeStatus(p, out)
-			if out.State != api.OpClosed {
-				result = out.State
-				if out.LeaseHolder != "" {
-					holder = out.LeaseHolder
+	for host, status := range statuses {
+		if hr := r.hostRuns[host]; hr != nil {
+			r.applyStatus(hr, status)
+			if status.State != api.OpClosed {
+				result = status.State
+				if status.LeaseHolder != "" {
+					holder = status.LeaseHolder
 				}
 			} else if result == "" {
-				result = out.Result
+				result = status.Result
 			}
 		}
 	}
--- a/internal/fleet/control/client/resume.go
+++ b/internal/fleet/control/client/resume.go
@@ -8,15 +8,17 @@
 	"martendrum/internal/fleet/api"
 )
 
-// Resume continues an operation from what the agents have recorded. The targets of hosts that
-// don't answer are unknown until they do.
+// Resume continues an operation from what the agents have recorded, and returns its report when the
+// run has ended. The state of targets whose hosts don't answer is unknown until they answer. An error
+// means that nothing was continued, for example an *OperationEndedError or an
+// *OperationAbortingError.
 func (f *Fleet) Resume(ctx context.Context, id string, options Options) (*Report, error) {
 	operation, statuses, errs := f.find(ctx, id)
 	if len(statuses) == 0 {
 		return nil, notFound(id, errs)
 	}
 	if operation.Policy.OnFailure == api.OnFailurePause {
-		forgiveFailures(&operation, statuses)
+		acceptFailures(&operation, statuses)
 	}
 	r, err := f.newRunner(operation, options)
 	if err != nil {
@@ -26,12 +28,12 @@
 		return nil, err
 	}
 	for host, status := range statuses {
-		if p := r.hostRuns[host]; p != nil {
-			r.takeStatus(p, status)
+		if hr := r.hostRuns[host]; hr != nil {
+			r.applyStatus(hr, status)
 		}
 	}
 	if r.previousResult != "" {
-		r.machine.Abort("it had ended: " + r.previousResult)
+		r.machine.Abort("the operation has already ended at another host: " + r.previousResult)
 	}
 	if err := r.resumeStages(statuses); err != nil {
 		return nil, err
@@ -39,28 +41,30 @@
 	return r.run(ctx)
 }
 
-// forgiveFailures allows the failures that a paused operation already has: whoever resumes it
-// accepts them. Its canaries have served their purpose.
-func forgiveFailures(operation *api.Operation, statuses map[string]*api.OpOut) {
+// acceptFailures raises the limit on failures by those that a paused operation already has, because
+// the operator who resumes the operation accepts them. It also sets Canaries to 0: the canaries have
+// already run, and a failed one would stop the rollout again.
+func acceptFailures(operation *api.Operation, statuses map[string]*api.OpOut) {
 	operation.Policy.Canaries = 0
 	for _, status := range statuses {
-		for _, s := range status.Steps {
-			if s.Status == api.StepFailed {
+		for _, step := range status.Steps {
+			if step.Status == api.StepFailed {
 				operation.Policy.MaxFailures++
 			}
 		}
 	}
 }
 
-// reopen opens the operation at every host where it is not closed. Hosts that don't answer are
-// left to follow.
+// reopen opens the operation at every host where it is not closed. At a host that does not answer,
+// follow opens it later. It returns an error if a host rejects the operation or is aborting it, or if
+// the operation is closed at all hosts.
 func (r *runner) reopen(ctx context.Context, statuses map[string]*api.OpOut, errs map[string]error) error {
 	id := r.operation.ID
 	open := 0
 	for _, host := range r.hostNames {
-		p, status := r.hostRuns[host], statuses[host]
+		hr, status := r.hostRuns[host], statuses[host]
 		if status != nil && status.State == api.OpClosed {
-			p.status = status
+			hr.status = status
 			r.previousResult = status.Result
 			continue
 		}
@@ -71,7 +75,7 @@
 			return &OperationAbortingError{Operation: id, Host: host}
 		}
 		open++
-		if err := r.open(ctx, p); err != nil && !errors.As(err, new(*UnreachableError)) {
+		if err := r.open(ctx, hr); err != nil && !errors.As(err, new(*UnreachableError)) {
 			return err
 		}
 	}
@@ -81,8 +85,8 @@
 	return nil
 }
 
-// resumeStages continues a staged change from its latest note, and releases its hold if the
-// operator asks for that.
+// resumeStages continues a staged change from its latest note, and with Options.Release releases it
+// from its hold. It does nothing for an operation without stages.
 func (r *runner) resumeStages(statuses map[string]*api.OpOut) error {
 	if r.operation.Staged == nil {
 		return nil
@@ -92,7 +96,7 @@
 	}
 	if r.options.Release {
 		if err := r.staged.release(); err != nil {
-			return fmt.Errorf("operation %s can't go on: %w", r.operation.ID, err)
+			return fmt.Errorf("operation %s can't continue with its next stage: %w", r.operation.ID, err)
 		}
 	}
 	return nil
--- a/internal/fleet/control/client/run.go
+++ b/internal/fleet/control/client/run.go
@@ -11,18 +11,19 @@
 
 // Options configure a run of an operation.
 type Options struct {
-	LeaseHolder string        // identifies this run; unique
+	LeaseHolder string        // identifies this run; must be unique
 	TTL         time.Duration // of the leases
-	// GiveUp is how long the run waits for a silent agent until its steps count as failed, and
-	// for any change until a rollout that can't continue ends.
+	// GiveUp is how long the run waits for a silent agent before the agent's running steps count as
+	// failed. A rollout in which no step runs and nothing has changed for as long is ended.
 	GiveUp   time.Duration
 	Progress func(Event) // may be nil; called from one goroutine
 	// Release lets a staged change that is on hold continue with its next stage.
 	Release bool
 }
 
-// runner runs one operation. Its fields belong to the goroutine of run, but for ctx and what it
-// shares by channels; goroutines of hosts report to it.
+// runner runs one operation. A goroutine for each host follows the host's status and sends it to the
+// goroutine of run through the channels. Fields that change during the run belong to the goroutine of
+// run.
 type runner struct {
 	fleet          *Fleet
 	operation      api.Operation
@@ -31,38 +32,39 @@
 	hostRuns       map[string]*hostRun
 	hostNames      []string // sorted
 	targetIndex    map[api.Target]int
-	shownStates    []rollout.State // by target, as last reported in an event
+	reportedStates []rollout.State // by target index: the state after the latest event
 	events         chan hostEvent
 	wg             sync.WaitGroup
-	ctx            context.Context // of the goroutines of hosts
+	ctx            context.Context // of the hosts' goroutines; ends with the run
 	notes          []string        // for the report
 	lastChange     time.Time
-	previousResult string // at a host where the operation is already closed; "": none
+	previousResult string // result at a host where the operation was already closed; "" if there is none
 
-	staged       *staged // nil: not a staged change
+	staged       *staged // nil if the operation is not a staged change
 	metrics      chan metricsAnswer
-	notesWritten chan int // the number of hosts that have the latest note
+	notesWritten chan int // number of hosts that have stored the latest note
 }
 
-// newRunner returns a runner of an operation that has not started.
+// newRunner returns a runner for an operation. It returns an error if the operation's policy or
+// targets are invalid, or if a host is not in the inventory.
 func (f *Fleet) newRunner(operation api.Operation, options Options) (*runner, error) {
 	machine, err := rollout.New(operation.Policy, operation.Targets, operation.Places...)
 	if err != nil {
 		return nil, err
 	}
 	r := &runner{
-		fleet:        f,
-		operation:    operation,
-		options:      options,
-		machine:      machine,
-		hostRuns:     make(map[string]*hostRun),
-		hostNames:    targetHosts(&operation),
-		targetIndex:  make(map[api.Target]int),
-		shownStates:  make([]rollout.State, len(operation.Targets)),
-		events:       make(chan hostEvent),
-		lastChange:   time.Now(),
-		metrics:      make(chan metricsAnswer),
-		notesWritten: make(chan int),
+		fleet:          f,
+		operation:      operation,
+		options:        options,
+		machine:        machine,
+		hostRuns:       make(map[string]*hostRun),
+		hostNames:      targetHosts(&operation),
+		targetIndex:    make(map[api.Target]int),
+		reportedStates: make([]rollout.State, len(operation.Targets)),
+		events:         make(chan hostEvent),
+		lastChange:     time.Now(),
+		metrics:        make(chan metricsAnswer),
+		notesWritten:   make(chan int),
 	}
 	for _, host := range r.hostNames {
 		agent := f.Agent(host)
@@ -77,10 +79,11 @@
 	return r, nil
 }
 
-// tickInterval is the period in which a run looks at what changes with time alone.
+// tickInterval is how often a run checks what depends on the time: evidence and silent hosts.
 const tickInterval = 200 * time.Millisecond
 
-// run carries the operation out, or leaves it open when ctx ends.
+// run carries out the operation and returns its report. If ctx ends first, the operation stays open
+// and can be resumed.
 func (r *runner) run(ctx context.Context) (*Report, error) {
 	var cancel context.CancelFunc
 	r.ctx, cancel = context.WithCancel(ctx)
@@ -102,7 +105,7 @@
 		case e := <-r.events:
 			r.handleEvent(e)
 		case answer := <-r.metrics:
-			r.staged.takeMetrics(answer)
+			r.staged.addMetrics(answer)
 		case hosts := <-r.notesWritten:
 			r.staged.noteWritten(hosts)
 		case <-tick.C:
@@ -110,25 +113,25 @@
 		}
 	}
 	cancel()
-	r.drain()
+	r.waitForHosts()
 	return r.finish(context.WithoutCancel(ctx)), nil
 }
 
 // followHosts starts the goroutines of the hosts where the operation is not closed.
 func (r *runner) followHosts() {
 	for _, host := range r.hostNames {
-		p := r.hostRuns[host]
-		if p.status != nil && p.status.State == api.OpClosed {
+		hr := r.hostRuns[host]
+		if hr.status != nil && hr.status.State == api.OpClosed {
 			continue
 		}
-		r.wg.Go(func() { r.follow(p) })
+		r.wg.Go(func() { r.follow(hr) })
 		if r.staged != nil {
-			r.wg.Go(func() { r.staged.collectMetrics(p) })
+			r.wg.Go(func() { r.staged.collectMetrics(hr) })
 		}
 	}
 }
 
-// tick does what depends on the time.
+// tick evaluates new evidence of a staged change and gives up silent hosts.
 func (r *runner) tick() {
 	if r.staged != nil {
 		r.staged.evaluate()
@@ -136,11 +139,11 @@
 			r.lastChange = time.Now() // the rollout waits for evidence, not for instances
 		}
 	}
-	r.giveUpSilent()
+	r.giveUpWaiting()
 }
 
-// drain waits for the goroutines of the hosts and discards what they report.
-func (r *runner) drain() {
+// waitForHosts waits until the goroutines of the hosts have ended, and discards what they send.
+func (r *runner) waitForHosts() {
 	done := make(chan struct{})
 	go func() {
 		r.wg.Wait()
--- a/internal/fleet/control/client/run_events.go
+++ b/internal/fleet/control/client/run_events.go
@@ -9,124 +9,127 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
-// handleEvent takes the answer of a host.
+// handleEvent applies the result of a call to a host to the rollout.
 func (r *runner) handleEvent(e hostEvent) {
-	p := r.hostRuns[e.host]
+	hr := r.hostRuns[e.host]
 	apiErr, answered := errors.AsType[*api.Error](e.err)
 	if e.isStep {
-		delete(p.stepCalls, e.target)
+		delete(hr.stepCalls, e.target)
 	}
 	switch {
 	case e.isStep && e.err == nil:
-		if p.pendingSteps[e.target] != e.kind {
-			return // a later status of the host has already brought the outcome
+		if hr.pendingSteps[e.target] != e.kind {
+			return // a status of the host has already reported the outcome
 		}
-		delete(p.pendingSteps, e.target)
-		r.machine.Recall(e.target, e.kind, e.result.Status, e.result.Reason)
+		delete(hr.pendingSteps, e.target)
+		r.machine.ApplyStep(e.target, e.kind, e.result.Status, e.result.Reason)
 	case e.isStep && !answered:
-		// The step may have started: the host's next status shows it, or the call is repeated.
+		// The step may have started: the host's next status shows that, or the call is repeated.
 	case e.isStep && apiErr.Code == api.Fenced:
-		// follow acquires the leases again, or finds out who holds them.
+		// follow acquires the leases again, or reports who holds them.
 	case e.isStep && apiErr.Code == api.Closed:
 		r.machine.Abort(apiErr.Message)
-		delete(p.pendingSteps, e.target)
+		delete(hr.pendingSteps, e.target)
 		r.machine.Done(e.target, e.kind, false, apiErr.Message)
 	case e.isStep:
-		delete(p.pendingSteps, e.target)
+		delete(hr.pendingSteps, e.target)
 		r.machine.Done(e.target, e.kind, false, apiErr.Message)
 	case e.err == nil:
-		r.handleStatus(p, e.status)
+		r.handleStatus(hr, e.status)
 	case answered:
-		// Somebody else holds the leases, or the operation is closed.
-		r.loseHost(p, apiErr)
-	case p.silentSince.IsZero():
-		p.silentSince = time.Now()
-		r.machine.Silent(e.host, r.unknownSince(p))
+		// Another run holds the leases, or the operation is closed.
+		r.handleLeaseLoss(hr, apiErr)
+	case hr.silentSince.IsZero():
+		hr.silentSince = time.Now()
+		r.machine.Silent(e.host, r.unknownSince(hr))
 		r.notify(Event{Kind: EventSilent, Host: e.host, Text: e.err.Error()})
 	}
 }
 
-// loseHost ends the run at a host whose leases this run can't hold any more, and with it the run.
-func (r *runner) loseHost(p *hostRun, e *api.Error) {
+// handleLeaseLoss aborts the run because it can no longer hold the leases at one host. Steps at that
+// host that have no outcome count as failed. An error because the host's record can't be written is
+// ignored.
+func (r *runner) handleLeaseLoss(hr *hostRun, e *api.Error) {
 	if e.Code == api.Unwritable {
 		return // the host answers; its steps report that its record can't be written
 	}
 	r.machine.Abort(e.Message)
-	for i, kind := range p.pendingSteps {
-		delete(p.pendingSteps, i)
+	for i, kind := range hr.pendingSteps {
+		delete(hr.pendingSteps, i)
 		r.machine.Done(i, kind, false, e.Message)
 	}
-	// Its state is no longer followed, as if it did not answer.
-	if p.silentSince.IsZero() {
-		p.silentSince = time.Now()
-		r.machine.Silent(p.agent.Host.Name, e.Message)
+	// The run no longer follows the host's status, so the host counts as silent.
+	if hr.silentSince.IsZero() {
+		hr.silentSince = time.Now()
+		r.machine.Silent(hr.agent.Host.Name, e.Message)
 	}
-	r.machine.GiveUp(p.agent.Host.Name)
-	p.givenUp = true
+	r.machine.GiveUp(hr.agent.Host.Name)
+	hr.givenUp = true
 }
 
-// unknownSince says since when the state of a host is unknown.
-func (r *runner) unknownSince(p *hostRun) string {
+// unknownSince says since when the state of a silent host is unknown, and when it was last seen.
+func (r *runner) unknownSince(hr *hostRun) string {
 	seen := "never seen"
-	if t := p.agent.Seen(); !t.IsZero() {
+	if t := hr.agent.Seen(); !t.IsZero() {
 		seen = "last seen " + t.Format(time.RFC3339)
 	}
-	return fmt.Sprintf("unknown since %s, %s", p.silentSince.Format(time.RFC3339), seen)
+	return fmt.Sprintf("unknown since %s, %s", hr.silentSince.Format(time.RFC3339), seen)
 }
 
-// handleStatus takes the status of a host that answers.
-func (r *runner) handleStatus(p *hostRun, out *api.OpOut) {
-	host := p.agent.Host.Name
-	if !p.silentSince.IsZero() {
-		p.silentSince, p.givenUp = time.Time{}, false
+// handleStatus applies the status of a host that answers. It aborts the rollout if the operation is
+// no longer open at the host.
+func (r *runner) handleStatus(hr *hostRun, status *api.OpOut) {
+	host := hr.agent.Host.Name
+	if !hr.silentSince.IsZero() {
+		hr.silentSince, hr.givenUp = time.Time{}, false
 		r.machine.Answers(host)
 		r.notify(Event{Kind: EventAnswers, Host: host})
 	}
-	r.takeStatus(p, out)
-	if out.State != api.OpOpened {
-		r.machine.Abort(fmt.Sprintf("operation %s is %s at host %s", r.operation.ID, out.State, host))
+	r.applyStatus(hr, status)
+	if status.State != api.OpOpened {
+		r.machine.Abort(fmt.Sprintf("operation %s is %s at host %s", r.operation.ID, status.State, host))
 	}
-	// Steps that were called for and are not in the record never started.
-	for i, kind := range p.pendingSteps {
-		if out.State == api.OpOpened {
+	// Steps that were requested and are missing in the status have not started.
+	for i, kind := range hr.pendingSteps {
+		if status.State == api.OpOpened {
 			r.startStep(rollout.Action{Target: i, Kind: kind})
 		} else {
-			delete(p.pendingSteps, i)
-			r.machine.Done(i, kind, false, "not begun: the operation was aborted")
+			delete(hr.pendingSteps, i)
+			r.machine.Done(i, kind, false, "not started: the operation was aborted")
 		}
 	}
 }
 
-// takeStatus applies a host's steps and the states of its instances to the rollout.
-func (r *runner) takeStatus(p *hostRun, out *api.OpOut) {
-	p.status = out
-	host := p.agent.Host.Name
+// applyStatus applies a host's steps and the states of its instances to the rollout.
+func (r *runner) applyStatus(hr *hostRun, status *api.OpOut) {
+	hr.status = status
+	host := hr.agent.Host.Name
 	for _, kind := range []string{api.Change, api.Rollback} {
-		for _, s := range out.Steps {
-			if i, ok := r.targetIndex[api.Target{Host: host, Instance: s.Instance}]; ok && s.Kind == kind {
-				if p.pendingSteps[i] == kind {
-					delete(p.pendingSteps, i)
+		for _, step := range status.Steps {
+			if i, ok := r.targetIndex[api.Target{Host: host, Instance: step.Instance}]; ok && step.Kind == kind {
+				if hr.pendingSteps[i] == kind {
+					delete(hr.pendingSteps, i)
 				}
-				r.machine.Recall(i, kind, s.Status, s.Reason)
+				r.machine.ApplyStep(i, kind, step.Status, step.Reason)
 			}
 		}
 	}
-	for _, x := range out.Instances {
-		if i, ok := r.targetIndex[api.Target{Host: host, Instance: x.Name}]; ok {
-			r.machine.Down(i, x.Desired == api.Running && x.State != "ready")
+	for _, instance := range status.Instances {
+		if i, ok := r.targetIndex[api.Target{Host: host, Instance: instance.Name}]; ok {
+			r.machine.Down(i, instance.Desired == api.Running && instance.State != "ready")
 		}
 	}
 }
 
-// giveUpSilent gives up hosts that have been silent for longer than Options.GiveUp, and a rollout
-// in which nothing has changed for as long.
-func (r *runner) giveUpSilent() {
+// giveUpWaiting stops waiting for hosts that have been silent for longer than Options.GiveUp, and
+// for a rollout in which nothing has changed for as long.
+func (r *runner) giveUpWaiting() {
 	for _, host := range r.hostNames {
-		p := r.hostRuns[host]
-		if !p.silentSince.IsZero() && !p.givenUp && time.Since(p.silentSince) > r.options.GiveUp {
-			p.givenUp, r.lastChange = true, time.Now() // other targets may start now
+		hr := r.hostRuns[host]
+		if !hr.silentSince.IsZero() && !hr.givenUp && time.Since(hr.silentSince) > r.options.GiveUp {
+			hr.givenUp, r.lastChange = true, time.Now() // other targets may start now
 			r.machine.GiveUp(host)
-			r.notify(Event{Kind: EventNote, Host: host, Text: "waited for no longer: " + r.unknownSince(p)})
+			r.notify(Event{Kind: EventNote, Host: host, Text: "no longer waited for: " + r.unknownSince(hr)})
 		}
 	}
 	if time.Since(r.lastChange) > r.options.GiveUp {
--- a/internal/fleet/control/client/settings.go
+++ b/internal/fleet/control/client/settings.go
@@ -9,10 +9,11 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// RelayLabel is the label, with the value "true", of the inventory's hosts that are relays.
+// RelayLabel is the key of the label that marks a host of the inventory as a relay. Its value must be
+// "true".
 const RelayLabel = "relay"
 
-// NoRelayError reports an inventory without a relay.
+// NoRelayError reports an inventory in which no host is labeled as a relay.
 type NoRelayError struct{}
 
 // Error implements error.
@@ -23,7 +24,8 @@
 	return `name one with --relay, or give the relays' hosts the label relay = "true"`
 }
 
-// relays returns the agent of the named host, or for "" those that the inventory labels as relays.
+// relays returns the agent of the named host or, if name is "", the agents of all hosts that the
+// inventory labels as relays. It returns an error if there is none.
 func (f *Fleet) relays(name string) ([]*Agent, error) {
 	if name != "" {
 		agent := f.Agent(name)
@@ -45,18 +47,19 @@
 	return relays, nil
 }
 
-// writer returns the writer of the settings with the highest epoch that the relays know.
+// writer asks the named relay, or all relays if relay is "", for the writer of the settings, and
+// returns the agent of the writer with the highest epoch.
 func (f *Fleet) writer(ctx context.Context, relay string) (*Agent, error) {
 	relays, err := f.relays(relay)
 	if err != nil {
 		return nil, err
 	}
 	var known api.SettingsWriter
-	var failed error
+	var lastErr error
 	for _, agent := range relays {
 		var out api.SettingsStatusOut
 		if err := agent.Call(ctx, api.SettingsStatus, &api.SettingsStatusIn{}, &out); err != nil {
-			failed = err
+			lastErr = err
 			continue
 		}
 		if out.Writer.Epoch > known.Epoch {
@@ -64,16 +67,17 @@
 		}
 	}
 	if known.Writer == "" {
-		return nil, failed
+		return nil, lastErr
 	}
 	if agent := f.Agent(known.Writer); agent != nil {
 		return agent, nil
 	}
-	return nil, fmt.Errorf("the settings' writer is %s, which is not in the inventory", known.Writer)
+	return nil, fmt.Errorf("the writer of the settings is %s, which is not in the inventory", known.Writer)
 }
 
-// Publish changes the distributed settings. relay names the relay that knows the writer, "" for any.
-// It is idempotent: a change that may have been made can be published again.
+// Publish changes the distributed settings at their writer. relay names the relay that is asked for
+// the writer; "" asks all. Publish is idempotent: if it is unknown whether a change was made, the
+// caller may publish the change again.
 func (f *Fleet) Publish(ctx context.Context, relay string, put distribution.Put) (*api.SettingsPutOut, error) {
 	writer, err := f.writer(ctx, relay)
 	if err != nil {
@@ -86,7 +90,7 @@
 	return out, nil
 }
 
-// Promote makes a relay the writer.
+// Promote makes the relay on a host the writer of the settings and returns the new writer and epoch.
 func (f *Fleet) Promote(ctx context.Context, host string) (*api.SettingsWriter, error) {
 	agent := f.Agent(host)
 	if agent == nil {
@@ -99,7 +103,8 @@
 	return out, nil
 }
 
-// Resources returns the writer's revision and its resources whose names start with a prefix.
+// Resources returns the writer's revision and all its resources whose names start with a prefix. relay
+// names the relay that is asked for the writer; "" asks all.
 func (f *Fleet) Resources(ctx context.Context, relay, prefix string) (distribution.Revision, []distribution.Resource, error) {
 	writer, err := f.writer(ctx, relay)
 	if err != nil {
@@ -120,10 +125,11 @@
 	}
 }
 
-// InForce returns the progress of a revision, zero for the latest, as the writer knows it. A relay
-// that is named answers for its own subscribers instead. If the writer does not answer, the
-// result is the sum over the relays that do, and Complete is false: the hosts of the other relays
-// are unknown.
+// InForce returns how far a revision has been applied; the zero revision stands for the latest. limit
+// bounds the hosts that are listed by name. If relay is "", the writer answers for all hosts; if the
+// writer does not answer, the result is the sum over the relays that do, and Complete is false because
+// the hosts of the other relays are unknown. If relay names a relay, that relay answers, for its own
+// subscribers only.
 func (f *Fleet) InForce(ctx context.Context, relay string, revision distribution.Revision, limit int) (*api.SettingsStatusOut, error) {
 	in := &api.SettingsStatusIn{Revision: revision, Limit: limit}
 	relays, err := f.relays(relay)
@@ -132,20 +138,20 @@
 	}
 	if relay == "" {
 		out := &api.SettingsStatusOut{}
-		writer, failed := f.writer(ctx, "")
-		if failed == nil {
-			failed = writer.Call(ctx, api.SettingsStatus, in, out)
+		writer, callErr := f.writer(ctx, "")
+		if callErr == nil {
+			callErr = writer.Call(ctx, api.SettingsStatus, in, out)
 		}
-		if failed == nil {
+		if callErr == nil {
 			return out, nil
 		}
-		err = failed
+		err = callErr
 	}
 	var sum *api.SettingsStatusOut
 	for _, agent := range relays {
 		var out api.SettingsStatusOut
-		if failed := agent.Call(ctx, api.SettingsStatus, in, &out); failed != nil {
-			err = errors.Join(err, failed)
+		if callErr := agent.Call(ctx, api.SettingsStatus, in, &out); callErr != nil {
+			err = errors.Join(err, callErr)
 			continue
 		}
 		if sum == nil {
--- a/internal/fleet/control/client/staged.go
+++ b/internal/fleet/control/client/staged.go
@@ -8,25 +8,26 @@
 	"martendrum/internal/fleet/stage"
 )
 
-// staged runs a staged change: it collects the metrics of all hosts, evaluates them, and opens the
-// targets of the next stage once a stage has passed. Decisions are recorded at the agents before
-// they take effect.
+// staged runs a staged change: it collects the metrics of all hosts, evaluates them, and lets the
+// rollout change the targets of the next stage once a stage has passed. Each decision is stored at an
+// agent, in a note, before it takes effect.
 type staged struct {
 	*evidence
 	runner          *runner
 	machine         *stage.Machine
-	judgement       canary.Judgement // the latest
-	sources         map[string]*source
+	judgement       canary.Judgement   // the latest
+	sources         map[string]*source // by host
 	note            api.Note
-	notePending     bool   // the note must be recorded before its decisions take effect
-	noteInFlight    bool   // the note is being written
-	notifiedVerdict string // of the latest event
+	notePending     bool   // the note must be stored before its decisions take effect
+	noteInFlight    bool   // writeNote's calls are open
+	notifiedVerdict string // verdict of the latest EventVerdict
 }
 
-// setUpStages prepares a staged change. It continues from a note; nil is the start.
+// setUpStages prepares a staged change. The change continues from note, the latest that the agents
+// have, or begins if note is nil.
 func (r *runner) setUpStages(note *api.Note) error {
 	spec := r.operation.Staged
-	start := spec.Judge.MaxSlots // until the first stage starts, all slots are before it
+	start := spec.Judge.MaxSlots // until the first stage starts, all slots count as history
 	s := &staged{runner: r, sources: make(map[string]*source)}
 	if note != nil {
 		s.note = *note
@@ -49,8 +50,8 @@
 	return nil
 }
 
-// openTargets opens the targets that the stages allow to the rollout, and rolls back a change that
-// does harm.
+// openTargets lets the rollout change the targets of the stages so far, and stops the rollout if the
+// change was judged worse.
 func (s *staged) openTargets() {
 	state := s.machine.State()
 	s.runner.machine.Open(s.machine.Open(), state.From, !state.Done)
@@ -59,7 +60,8 @@
 	}
 }
 
-// evaluate evaluates the slots that have passed since the last evaluation.
+// evaluate runs the canary analysis up to the latest slot, if that slot is new, and advances the
+// stages accordingly. While a note is pending, it does nothing but write the note again.
 func (s *staged) evaluate() {
 	slot := s.latestSlot()
 	if s.runner.machine.Why() != "" {
--- a/internal/fleet/control/client/staged_evidence.go
+++ b/internal/fleet/control/client/staged_evidence.go
@@ -9,22 +9,23 @@
 	"martendrum/internal/fleet/canary"
 )
 
-// source is the state of one host's metrics.
+// source is what is known about the metrics of one host.
 type source struct {
-	lastBoundary int64     // the latest that was received
+	lastBoundary int64     // latest boundary for which metrics were received
 	lastMetrics  time.Time // when current metrics were last received
-	problem      string    // why they are not; "": unknown or none
+	problem      string    // why current metrics are missing, as far as known
 }
 
-// evidence turns the samples of the hosts' agents into windows for the canary analysis.
+// evidence turns the samples of the hosts' agents into windows and passes these to the canary
+// analysis.
 type evidence struct {
 	spec        *api.Staged
 	judge       *canary.Judge
 	targetIndex map[api.Target]int
-	differs     []canary.Differ // by place
+	differs     []canary.Differ // by target index
 }
 
-// newEvidence returns empty evidence for an operation whose first stage started at a slot.
+// newEvidence returns empty evidence for an operation whose first stage started at slot start.
 func newEvidence(op *api.Operation, start int) (*evidence, error) {
 	cfg := op.Staged.Judge
 	cfg.Start = start
@@ -39,38 +40,40 @@
 	return e, nil
 }
 
-// add adds a host's samples, which are in order of time. Duplicates are ignored.
+// add adds a host's samples, which must be in order of time. Duplicates, and samples of instances that
+// are not targets, are ignored.
 func (e *evidence) add(host string, samples []api.Sample) {
 	for n := range samples {
-		x := &samples[n]
-		i, ok := e.targetIndex[api.Target{Host: host, Instance: x.Instance}]
+		sample := &samples[n]
+		i, ok := e.targetIndex[api.Target{Host: host, Instance: sample.Instance}]
 		if !ok {
 			continue
 		}
-		if w, ok := e.differs[i].Next(x.CanarySample(i, e.spec.Judge.Classes), e.spec.First); ok {
-			e.judge.Add(w)
+		if window, ok := e.differs[i].Next(sample.CanarySample(i, e.spec.Judge.Classes), e.spec.First); ok {
+			e.judge.Add(window)
 		}
 	}
 }
 
-// metricsAnswer is a host's answer to a call for its metrics.
+// metricsAnswer is the result of a call for a host's metrics.
 type metricsAnswer struct {
 	host    string
 	metrics *api.MetricsOut
 	err     error
-	sent    time.Time
+	sent    time.Time // when the call was sent, by the local clock
 }
 
-// collectMetrics polls one host for its metrics until the run ends.
-func (s *staged) collectMetrics(p *hostRun) {
+// collectMetrics polls one host for its metrics, twice in each slot, and sends the results to
+// r.metrics until the run ends. It runs in a goroutine for each host.
+func (s *staged) collectMetrics(hr *hostRun) {
 	r, slot := s.runner, s.spec.Judge.Slot
 	after := s.spec.First - 1
 	for r.ctx.Err() == nil {
 		out := &api.MetricsOut{}
 		sent := time.Now()
-		err := p.agent.Call(r.ctx, api.Metrics, &api.MetricsIn{After: after}, out)
+		err := hr.agent.Call(r.ctx, api.Metrics, &api.MetricsIn{After: after}, out)
 		select {
-		case r.metrics <- metricsAnswer{p.agent.Host.Name, out, err, sent}:
+		case r.metrics <- metricsAnswer{hr.agent.Host.Name, out, err, sent}:
 		case <-r.ctx.Done():
 			return
 		}
@@ -91,71 +94,72 @@
 	}
 }
 
-// takeMetrics adds a host's samples to the evidence. Samples by a clock that is off by more than a
-// quarter of a slot are left out.
-func (s *staged) takeMetrics(g metricsAnswer) {
-	h, slot := s.sources[g.host], s.spec.Judge.Slot
-	if g.err != nil {
-		h.problem = g.err.Error()
+// addMetrics adds a host's samples to the evidence. If the host's clock differs from the local clock by
+// more than a quarter of a slot, its samples are left out and counted as excluded.
+func (s *staged) addMetrics(answer metricsAnswer) {
+	src, slot := s.sources[answer.host], s.spec.Judge.Slot
+	if answer.err != nil {
+		src.problem = answer.err.Error()
 		return
 	}
-	// The host's time must lie between the call and now; the rest is the offset of its clock.
+	// The host's time must lie between the sending of the call and now; what it is off by is the offset of its clock.
 	now, off := time.Now(), time.Duration(0)
-	if g.metrics.Now.Before(g.sent) {
-		off = g.metrics.Now.Sub(g.sent)
-	} else if g.metrics.Now.After(now) {
-		off = g.metrics.Now.Sub(now)
+	if answer.metrics.Now.Before(answer.sent) {
+		off = answer.metrics.Now.Sub(answer.sent)
+	} else if answer.metrics.Now.After(now) {
+		off = answer.metrics.Now.Sub(now)
 	}
 	clockOff := off.Abs() > slot/4
 	if !clockOff {
-		s.add(g.host, g.metrics.Samples)
+		s.add(answer.host, answer.metrics.Samples)
 	}
-	for _, x := range g.metrics.Samples {
-		if _, ok := s.targetIndex[api.Target{Host: g.host, Instance: x.Instance}]; ok && clockOff && x.Boundary > h.lastBoundary {
+	for _, sample := range answer.metrics.Samples {
+		if _, ok := s.targetIndex[api.Target{Host: answer.host, Instance: sample.Instance}]; ok && clockOff && sample.Boundary > src.lastBoundary {
 			s.judge.Exclude(canary.ClockSkew, 1)
 		}
 	}
-	h.lastBoundary = max(h.lastBoundary, g.metrics.Last)
-	h.problem = ""
+	src.lastBoundary = max(src.lastBoundary, answer.metrics.Last)
+	src.problem = ""
 	switch {
 	case clockOff:
-		h.problem = fmt.Sprintf("its clock is %v off this one's", off.Round(time.Millisecond))
-	case g.metrics.Slot != slot:
-		h.problem = fmt.Sprintf("it takes figures each %v, not each %v", g.metrics.Slot, slot)
-	case h.lastBoundary >= s.boundary()-maxSilentSlots:
-		h.lastMetrics = now
+		src.problem = fmt.Sprintf("its clock differs by %v from the local clock", off.Round(time.Millisecond))
+	case answer.metrics.Slot != slot:
+		src.problem = fmt.Sprintf("its agent collects metrics every %v instead of every %v", answer.metrics.Slot, slot)
+	case src.lastBoundary >= s.boundary()-maxSilentSlots:
+		src.lastMetrics = now
 	}
 }
 
-// boundary returns the latest boundary by the local clock.
+// boundary returns the number of the latest slot boundary by the local clock.
 func (s *staged) boundary() int64 { return time.Now().UnixNano() / int64(s.spec.Judge.Slot) }
 
-// latestSlot returns the latest slot whose metrics should have arrived by now.
+// latestSlot returns the latest slot whose metrics should have arrived by now: one that ended at least
+// one and a half slots ago. It is negative if there is none.
 func (s *staged) latestSlot() int {
 	t := time.Now().Add(-s.spec.Judge.Slot * 3 / 2).UnixNano()
 	return int(t/int64(s.spec.Judge.Slot)-s.spec.First) - 1
 }
 
-// missingEvidence names a host without current metrics, "" if there is none.
+// missingEvidence names a host without current metrics and the reason. It returns "" if there is none.
 func (s *staged) missingEvidence() string {
-	var silent []string
-	for host, h := range s.sources {
-		if time.Since(h.lastMetrics) <= maxSilentSlots*s.spec.Judge.Slot {
+	var gaps []string
+	for host, src := range s.sources {
+		if time.Since(src.lastMetrics) <= maxSilentSlots*s.spec.Judge.Slot {
 			continue
 		}
-		why := h.problem
-		if why == "" {
-			why = "no figures"
+		reason := src.problem
+		if reason == "" {
+			reason = "no metrics received"
 		}
-		silent = append(silent, fmt.Sprintf("no evidence of host %s since %s: %s", host, h.lastMetrics.Format(time.TimeOnly), why))
+		gaps = append(gaps, fmt.Sprintf("no evidence of host %s since %s: %s", host, src.lastMetrics.Format(time.TimeOnly), reason))
 	}
-	sort.Strings(silent)
-	if len(silent) > 0 {
-		return silent[0]
+	sort.Strings(gaps)
+	if len(gaps) > 0 {
+		return gaps[0]
 	}
 	return ""
 }
 
-// maxSilentSlots is the number of slots after which a host without metrics counts as missing
-// evidence.
+// maxSilentSlots is the number of slots after which the evidence of a host without new metrics counts
+// as missing.
 const maxSilentSlots = 4
--- a/internal/fleet/control/client/staged_notes.go
+++ b/internal/fleet/control/client/staged_notes.go
@@ -10,21 +10,22 @@
 	"martendrum/internal/fleet/stage"
 )
 
-// noteSlots is the number of slots after which a note is written if nothing but time has passed.
+// noteSlots is the number of slots of evidence after which a note is written although no decision was made.
 const noteSlots = 6
 
-// release lets a change that is on hold continue, once the note with that decision is recorded.
+// release moves a change that is on hold to its next stage, once the note with that decision is stored.
+// It returns an error if the change is not on hold or was judged worse.
 func (s *staged) release() error {
 	before := s.machine.State()
 	if err := s.machine.Release(); err != nil {
 		return err
 	}
 	s.note.State, s.notePending = s.machine.State(), true
-	s.addVerdict(api.Verdict{Stage: before.Stage, Text: "let go on by " + s.runner.options.LeaseHolder + ", which held: " + before.HoldReason})
+	s.addVerdict(api.Verdict{Stage: before.Stage, Text: "released by " + s.runner.options.LeaseHolder + " from its hold: " + before.HoldReason})
 	return nil
 }
 
-// addVerdict adds a verdict to the note, which retains the latest MaxVerdicts.
+// addVerdict adds a verdict to the note, which retains the latest api.MaxVerdicts.
 func (s *staged) addVerdict(v api.Verdict) {
 	v.At = time.Now().UTC()
 	s.note.Log = append(s.note.Log, v)
@@ -34,7 +35,8 @@
 // maxEvidence bounds the lines of evidence in a verdict.
 const maxEvidence = 4
 
-// notify reports a change of the stages' state as an event, and adds it to the note.
+// notify sends an event for a change of the stages' state and adds the change to the note. If the state
+// is unchanged, it sends an event for a new verdict of the canary analysis.
 func (s *staged) notify(slot int, before, now stage.State) {
 	kind, text := "", ""
 	switch {
@@ -50,9 +52,9 @@
 		kind, text = EventWait, now.PauseReason
 	}
 	if kind == "" {
-		if line := string(s.judgement.Verdict); now.Stage > 0 && line != s.notifiedVerdict {
-			s.notifiedVerdict = line
-			s.runner.notify(Event{Kind: EventVerdict, Text: line})
+		if verdict := string(s.judgement.Verdict); now.Stage > 0 && verdict != s.notifiedVerdict {
+			s.notifiedVerdict = verdict
+			s.runner.notify(Event{Kind: EventVerdict, Text: verdict})
 		}
 		return
 	}
@@ -67,7 +69,8 @@
 	s.runner.notify(Event{Kind: kind, Text: text})
 }
 
-// writeNote writes the note at all hosts concurrently. One that has it is enough.
+// writeNote starts storing the note at all hosts concurrently and does not wait for them. It is enough
+// that one host stores it; the number of hosts that did arrives in r.notesWritten.
 func (s *staged) writeNote() {
 	s.noteInFlight = true
 	s.note.Number++
@@ -85,7 +88,7 @@
 			defer cancel()
 			token := r.hostRuns[a.Host.Name].leaseToken()
 			if token == 0 {
-				return fmt.Errorf("host %s: note not written: no lease is held", a.Host.Name)
+				return fmt.Errorf("host %s: the note was not written because no lease is held", a.Host.Name)
 			}
 			return a.Call(ctx, api.OpNote, &api.NoteIn{Op: r.operation.ID, Token: token, Note: note}, nil)
 		})
@@ -102,8 +105,8 @@
 	})
 }
 
-// noteWritten opens the targets that the note allows once a host has it. Otherwise the next
-// evaluation writes it again.
+// noteWritten ends the writing of a note that the given number of hosts have stored. If at least one
+// has, the note's decisions take effect; otherwise the next evaluation writes the note again.
 func (s *staged) noteWritten(hosts int) {
 	s.noteInFlight = false
 	if hosts == 0 {
@@ -113,10 +116,10 @@
 	s.openTargets()
 }
 
-// latestNote returns the note with the highest number, nil if no host has one.
-func latestNote(outs map[string]*api.OpOut) (note *api.Note) {
-	for _, out := range outs {
-		if n := out.Operation.Note; n != nil && (note == nil || n.Number > note.Number) {
+// latestNote returns the note with the highest number among the statuses of the hosts, or nil if there is none.
+func latestNote(statuses map[string]*api.OpOut) (note *api.Note) {
+	for _, status := range statuses {
+		if n := status.Operation.Note; n != nil && (note == nil || n.Number > note.Number) {
 			note = n
 		}
 	}
--- a/internal/fleet/control/client/start.go
+++ b/internal/fleet/control/client/start.go
@@ -10,9 +10,8 @@
 	"martendrum/internal/fleet/control/inventory"
 )
 
-// Start starts an operation: it acquires the leases at every host, all or none, and runs the
-// operation to its end. An error means that nothing was changed; what fails later is in the
-// report.
+// Start starts an operation: it acquires the leases at all hosts, or at none, and runs the operation to
+// its end. An error means that no instance was changed; what fails later is in the report.
 func (f *Fleet) Start(ctx context.Context, operation api.Operation, options Options) (*Report, error) {
 	r, err := f.newRunner(operation, options)
 	if err != nil {
@@ -23,10 +22,10 @@
 			return nil, fmt.Errorf("nothing was changed: %w", err)
 		}
 	}
-	if err := f.checkReturned(ctx); err != nil {
+	if err := f.checkNoneReturning(ctx); err != nil {
 		return nil, fmt.Errorf("nothing was changed: %w", err)
 	}
-	// Every run acquires in the same order, so that one of two that compete gets the first host.
+	// Every run acquires leases in the same order of hosts, so that one of two competing runs gets them all.
 	for n, host := range r.hostNames {
 		if err := r.open(ctx, r.hostRuns[host]); err != nil {
 			r.releaseLeases(ctx, r.hostNames[:n])
@@ -39,46 +38,49 @@
 	return r.run(ctx)
 }
 
-// open opens the operation at a host before the run has started.
-func (r *runner) open(ctx context.Context, p *hostRun) error {
+// open opens the operation at a host before the run has started, and stores the token of the leases
+// that the host grants.
+func (r *runner) open(ctx context.Context, hr *hostRun) error {
 	var out api.OpenOut
 	in := &api.OpenIn{Operation: r.operation, LeaseHolder: r.options.LeaseHolder, TTL: r.options.TTL}
-	if err := p.agent.Call(ctx, api.OpOpen, in, &out); err != nil {
+	if err := hr.agent.Call(ctx, api.OpOpen, in, &out); err != nil {
 		return err
 	}
-	p.token = out.Token
+	hr.token = out.Token
 	return nil
 }
 
-// releaseLeases closes the operation at hosts that it was opened at, even if ctx has ended.
+// releaseLeases closes the operation at hosts where it was opened, even if ctx has ended. Errors are
+// ignored: the leases expire.
 func (r *runner) releaseLeases(ctx context.Context, hosts []string) {
 	for _, host := range hosts {
-		p := r.hostRuns[host]
+		hr := r.hostRuns[host]
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.fleet.Timeout)
-		p.agent.Call(callCtx, api.OpClose, &api.CloseIn{Op: r.operation.ID, Token: p.token, Result: "not begun"}, nil)
+		hr.agent.Call(callCtx, api.OpClose, &api.CloseIn{Op: r.operation.ID, Token: hr.token, Result: "not begun"}, nil)
 		cancel()
 	}
 }
 
-// abortAt aborts the operation at a host, even if ctx has ended.
+// abortAt aborts the operation at a host, even if ctx has ended. An error is ignored: the lease
+// expires.
 func (r *runner) abortAt(ctx context.Context, host string) {
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.fleet.Timeout)
 	defer cancel()
 	r.hostRuns[host].agent.Call(callCtx, api.OpAbort, &api.AbortIn{Op: r.operation.ID}, nil)
 }
 
-// returnCheckTimeout bounds the check for hosts that return from a power loss. A host that does
-// not answer in that time is down, which is not a return.
+// returnCheckTimeout bounds the check for hosts that are returning from a power loss. A host that does
+// not answer in that time counts as down, not as returning.
 const returnCheckTimeout = time.Second
 
-// checkReturned returns an error if a host of the fleet is returning from a power loss, even one
-// that the operation does not touch.
-func (f *Fleet) checkReturned(ctx context.Context) error {
+// checkNoneReturning returns an error if a host of the fleet is returning from a power loss, even one
+// that has no target of the operation.
+func (f *Fleet) checkNoneReturning(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, returnCheckTimeout)
 	defer cancel()
-	for _, h := range f.List(ctx, &inventory.Select{}) {
-		if h.Returning != "" {
-			e := &api.ReturningError{Host: h.Host.Name, How: h.Returning}
+	for _, state := range f.List(ctx, &inventory.Select{}) {
+		if state.Returning != "" {
+			e := &api.ReturningError{Host: state.Host.Name, How: state.Returning}
 			return fmt.Errorf("%w; %s", e, e.Advice())
 		}
 	}
--- a/internal/fleet/control/client/upload.go
+++ b/internal/fleet/control/client/upload.go
@@ -11,11 +11,13 @@
 	"martendrum/internal/fleet/release"
 )
 
-// uploadChunk bounds the bytes of a release in one call.
-const uploadChunk = 512 << 10
+// uploadChunkBytes is the maximum number of bytes of a release that one call carries.
+const uploadChunkBytes = 512 << 10
 
-// Upload sends a release to agents concurrently and continues where an earlier attempt stopped.
-// sent, if not nil, is called for each agent that has the complete release.
+// Upload sends a release to agents concurrently and continues where an earlier attempt stopped. hash is
+// the release's hash; sidecar and overlay are the paths of its files, and overlay may be "". sent, if
+// not nil, is called for each agent once it has the complete release, possibly concurrently. The error
+// joins those of all agents.
 func (f *Fleet) Upload(ctx context.Context, agents []*Agent, hash, sidecar, overlay string, sent func(host string)) error {
 	return errors.Join(ForEach(agents, func(_ int, a *Agent) error {
 		if err := a.upload(ctx, hash, sidecar, overlay); err != nil {
@@ -39,33 +41,33 @@
 	}
 	for _, file := range []struct {
 		name, path string
-		at         int64
+		offset     int64 // bytes that the agent already has
 	}{{release.Sidecar, sidecar, have.Sidecar}, {release.Overlay, overlay, have.Overlay}} {
 		if file.path == "" {
 			continue
 		}
-		if err := a.uploadFile(ctx, hash, file.name, file.path, file.at); err != nil {
+		if err := a.uploadFile(ctx, hash, file.name, file.path, file.offset); err != nil {
 			return err
 		}
 	}
 	return a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, &have)
 }
 
-// uploadFile sends a file from an offset on.
-func (a *Agent) uploadFile(ctx context.Context, hash, name, path string, at int64) error {
+// uploadFile sends the file at path, from an offset to its end, as the release's file of that name.
+func (a *Agent) uploadFile(ctx context.Context, hash, name, path string, offset int64) error {
 	in, err := os.Open(path)
 	if err != nil {
 		return err
 	}
 	defer in.Close()
-	buf := make([]byte, uploadChunk)
+	buf := make([]byte, uploadChunkBytes)
 	for {
-		n, err := in.ReadAt(buf, at)
+		n, err := in.ReadAt(buf, offset)
 		if n > 0 {
-			if err := a.Call(ctx, api.ReleaseWrite, &api.ChunkIn{Release: hash, File: name, Offset: at, Data: buf[:n]}, nil); err != nil {
+			if err := a.Call(ctx, api.ReleaseWrite, &api.ChunkIn{Release: hash, File: name, Offset: offset, Data: buf[:n]}, nil); err != nil {
 				return err
 			}
-			at += int64(n)
+			offset += int64(n)
 		}
 		if err == io.EOF {
 			return nil
--- a/internal/fleet/control/inventory/inventory.go
+++ b/internal/fleet/control/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory reads the operator's list of hosts and selects instances on them. It reads one
-// file and opens no connection.
+// Package inventory reads the operator's list of hosts from a file and selects instances on these
+// hosts. It opens no connection.
 package inventory
 
 import (
@@ -14,7 +14,7 @@
 	"martendrum/internal/quantity"
 )
 
-// Inventory is the content of the file; deploy/fleet.toml is an annotated example.
+// Inventory is the content of an inventory file; deploy/fleet.toml is an annotated example.
 type Inventory struct {
 	TLS struct {
 		CA   string `toml:"ca"`
@@ -33,7 +33,7 @@
 	Labels  map[string]string `toml:"labels" json:"labels,omitempty"`
 }
 
-// InvalidError reports an inventory that was read and is not valid.
+// InvalidError reports an inventory file that could be read but has invalid content.
 type InvalidError struct {
 	File string
 	Err  error // names the host or the key
@@ -50,50 +50,54 @@
 	return "correct the inventory, or name another one with --fleet or MARTENDRUM_FLEET"
 }
 
-// defaultTimeout bounds a call to an agent.
+// defaultTimeout bounds a call to an agent if the inventory sets no timeout.
 const defaultTimeout = 5 * time.Second
 
-// Load reads and checks an inventory. Relative paths are relative to the file's folder.
+// Load reads and checks an inventory. Relative paths in it are relative to the file's folder. Invalid
+// content is reported as an *InvalidError.
 func Load(file string) (*Inventory, error) {
-	v := &Inventory{Timeout: quantity.Duration(defaultTimeout)}
-	if err := quantity.Load(file, v); err != nil {
+	inv := &Inventory{Timeout: quantity.Duration(defaultTimeout)}
+	if err := quantity.Load(file, inv); err != nil {
 		return nil, err
 	}
-	if err := quantity.ResolvePaths(file, &v.TLS.CA, &v.TLS.Cert, &v.TLS.Key); err != nil {
+	if err := quantity.ResolvePaths(file, &inv.TLS.CA, &inv.TLS.Cert, &inv.TLS.Key); err != nil {
 		return nil, err
 	}
-	if err := v.check(); err != nil {
+	if err := inv.check(); err != nil {
 		return nil, &InvalidError{File: file, Err: err}
 	}
-	for n := range v.Hosts {
-		if err := v.Hosts[n].resolveSocket(file); err != nil {
+	for n := range inv.Hosts {
+		if err := inv.Hosts[n].resolveSocket(file); err != nil {
 			return nil, err
 		}
 	}
-	return v, nil
+	return inv, nil
 }
 
-func (v *Inventory) check() error {
-	if v.Timeout <= 0 {
+// check returns an error for the first invalid value.
+func (inv *Inventory) check() error {
+	if inv.Timeout <= 0 {
 		return fmt.Errorf("timeout must be above 0")
 	}
-	if len(v.Hosts) == 0 {
+	if len(inv.Hosts) == 0 {
 		return fmt.Errorf("no [[host]]")
 	}
 	seen := make(map[string]bool)
-	for n, h := range v.Hosts {
+	for n, h := range inv.Hosts {
 		if h.Name == "" || seen[h.Name] {
-			return fmt.Errorf("host %d: its name %q is missing or there twice", n+1, h.Name)
+			return fmt.Errorf("host %d: the name %q is empty or used twice", n+1, h.Name)
 		}
 		seen[h.Name] = true
-		if err := v.checkAddress(h); err != nil {
+		if err := inv.checkAddress(h); err != nil {
 			return fmt.Errorf("host %s: %w", h.Name, err)
 		}
 	}
 	return nil
 }
 
-func (v *Inventory) checkAddress(h Host) error {
+// checkAddress returns an error if the host's address is malformed, or needs TLS files that the
+// inventory does not name.
+func (inv *Inventory) checkAddress(h Host) error {
 	kind, rest, _ := strings.Cut(h.Address, ":")
 	switch kind {
 	case "unix":
@@ -104,8 +108,8 @@
 		if _, _, err := net.SplitHostPort(rest); err != nil {
 			return fmt.Errorf("address: %w", err)
 		}
-		if kind == "tls" && (v.TLS.CA == "" || v.TLS.Cert == "" || v.TLS.Key == "") {
-			return fmt.Errorf("tls.ca, tls.cert and tls.key are needed for it; `martendrum ca` makes them")
+		if kind == "tls" && (inv.TLS.CA == "" || inv.TLS.Cert == "" || inv.TLS.Key == "") {
+			return fmt.Errorf("a tls: address needs tls.ca, tls.cert and tls.key; `martendrum ca` creates these files")
 		}
 	default:
 		return fmt.Errorf("address %q; want unix:PATH, tls:HOST:PORT or tcp:HOST:PORT", h.Address)
@@ -113,7 +117,7 @@
 	return nil
 }
 
-// resolveSocket makes the path of a Unix socket relative to the file's folder.
+// resolveSocket resolves the path of a Unix socket relative to the folder of the inventory file.
 func (h *Host) resolveSocket(file string) error {
 	path, ok := strings.CutPrefix(h.Address, "unix:")
 	if !ok {
@@ -126,8 +130,8 @@
 	return nil
 }
 
-// Select selects the instances that match every field that is set. Within a field one match is
-// enough; names may contain the wildcards * and ?.
+// Select is a filter for instances. An instance is selected if it matches every field that is set. It
+// matches a field if it matches one of the field's values. Names may contain the wildcards * and ?.
 type Select struct {
 	Hosts     []string
 	Labels    []string // KEY=VALUE, of the instance or its host
@@ -136,12 +140,12 @@
 	States    []string // desired or actual
 }
 
-// Empty says that no field is set.
+// Empty reports whether no field is set, which selects all instances.
 func (s *Select) Empty() bool {
 	return len(s.Hosts)+len(s.Labels)+len(s.Instances)+len(s.Releases)+len(s.States) == 0
 }
 
-// Check returns the first error of a selection.
+// Check returns an error if a label or a pattern is malformed, or a release has fewer than 4 digits.
 func (s *Select) Check() error {
 	for _, l := range s.Labels {
 		if k, _, ok := strings.Cut(l, "="); !ok || k == "" {
@@ -155,33 +159,34 @@
 	}
 	for _, r := range s.Releases {
 		if len(r) < 4 {
-			return fmt.Errorf("--release %q; give 4 digits of its hash at least", r)
+			return fmt.Errorf("--release %q; give at least 4 digits of its hash", r)
 		}
 	}
 	return nil
 }
 
-// Host says whether a host may have selected instances.
+// Host reports whether a host's name is selected, so that it may have selected instances.
 func (s *Select) Host(name string) bool { return len(s.Hosts) == 0 || matches(s.Hosts, name) }
 
-// Fits says whether an instance is selected.
-func (s *Select) Fits(h Host, i *api.Instance) bool {
+// Selects reports whether an instance on host h is selected.
+func (s *Select) Selects(h Host, i *api.Instance) bool {
 	return s.Host(h.Name) &&
 		(len(s.Instances) == 0 || matches(s.Instances, i.Name)) &&
 		(len(s.States) == 0 || slices.Contains(s.States, i.State) || slices.Contains(s.States, i.Desired)) &&
-		(len(s.Releases) == 0 || s.fitsRelease(i)) &&
-		(len(s.Labels) == 0 || s.fitsLabel(h, i))
+		(len(s.Releases) == 0 || s.matchesRelease(i)) &&
+		(len(s.Labels) == 0 || s.matchesLabel(h, i))
 }
 
-func (s *Select) fitsRelease(i *api.Instance) bool {
+// matchesRelease reports whether the instance's desired or running release is selected.
+func (s *Select) matchesRelease(i *api.Instance) bool {
 	return slices.ContainsFunc(s.Releases, func(prefix string) bool {
 		return strings.HasPrefix(i.Release, prefix) || strings.HasPrefix(i.Running, prefix)
 	})
 }
 
-// fitsLabel says whether an instance has one of the labels. Its own take precedence over those of
-// its host.
-func (s *Select) fitsLabel(h Host, i *api.Instance) bool {
+// matchesLabel reports whether an instance has one of the labels. Its own labels take precedence over
+// those of its host.
+func (s *Select) matchesLabel(h Host, i *api.Instance) bool {
 	return slices.ContainsFunc(s.Labels, func(label string) bool {
 		key, want, _ := strings.Cut(label, "=")
 		value, ok := i.Labels[key]
@@ -192,7 +197,7 @@
 	})
 }
 
-// matches says whether a name matches one of the patterns.
+// matches reports whether a name matches one of the patterns.
 func matches(patterns []string, name string) bool {
 	return slices.ContainsFunc(patterns, func(pattern string) bool {
 		ok, _ := path.Match(pattern, name)
--- a/internal/fleet/control/rollout/batches.go
+++ b/internal/fleet/control/rollout/batches.go
@@ -2,20 +2,20 @@
 
 import "martendrum/internal/fleet/api"
 
-// Batches divides n targets into batches of indices: the canaries first, if any, then
-// batches of the policy's size.
+// Batches divides the indices of n targets into batches, in order: the first batch has
+// the policy's number of canaries, if any, and the others have the policy's batch size.
 func Batches(p api.Policy, n int) [][]int {
 	var out [][]int
 	size := p.Batch
 	if p.Canaries > 0 {
 		size = p.Canaries
 	}
-	for at := 0; at < n; size = p.Batch {
-		var b []int
-		for ; at < n && len(b) < size; at++ {
-			b = append(b, at)
+	for next := 0; next < n; size = p.Batch {
+		var batch []int
+		for ; next < n && len(batch) < size; next++ {
+			batch = append(batch, next)
 		}
-		out = append(out, b)
+		out = append(out, batch)
 	}
 	return out
 }
--- a/internal/fleet/control/rollout/next.go
+++ b/internal/fleet/control/rollout/next.go
@@ -2,8 +2,9 @@
 
 import "martendrum/internal/fleet/api"
 
-// Next returns the steps to begin now, or a single Action without a Kind once the
-// rollout has ended. It returns nothing while it waits.
+// Next returns the steps to begin now, which then count as running. It returns nothing
+// while the rollout waits. When the rollout ends, it returns a single Action without a
+// Kind, and after that nothing.
 func (m *Machine) Next() []Action {
 	if m.result != "" {
 		return nil
@@ -27,11 +28,12 @@
 // stepPlanner collects the steps of one call of Next within the policy's limits.
 type stepPlanner struct {
 	machine     *Machine
-	unavailable int           // targets, with those that the collected steps take down
-	inGroup     map[group]int // the same by group with a limit
+	unavailable int           // number of unavailable targets, including those that the collected steps take down
+	inGroup     map[group]int // the same number for each group that has a limit
 	actions     []Action
 }
 
+// newStepPlanner returns a planner that has counted the unavailable targets.
 func (m *Machine) newStepPlanner() *stepPlanner {
 	p := &stepPlanner{machine: m, inGroup: make(map[group]int)}
 	for i := range m.targets {
@@ -68,8 +70,8 @@
 	return wait
 }
 
-// planRollbacks begins rollbacks, first those of unavailable targets, which cost no
-// capacity. It reports whether a target is still to be rolled back.
+// planRollbacks begins rollbacks. Those of unavailable targets come first, because they
+// take no capacity away. It reports whether a target is still to be rolled back.
 func (p *stepPlanner) planRollbacks() (wait bool) {
 	m := p.machine
 	for _, down := range []bool{true, false} {
@@ -86,7 +88,8 @@
 	return wait
 }
 
-// begin adds a step unless it would make more targets unavailable than allowed.
+// begin adds a step for the target with index i, unless the step would make more targets
+// unavailable than allowed.
 func (p *stepPlanner) begin(i int, kind string) {
 	m := p.machine
 	t := &m.targets[i]
@@ -130,9 +133,9 @@
 	return out
 }
 
-// group is a host, a zone or a shop with a limit on its unavailable targets.
+// group is a host, a zone or a shop, with a limit on its unavailable targets.
 type group struct {
-	kind, name string
+	kind, name string // kind is "host", "zone" or "shop"
 	limit      int
 }
 
@@ -148,7 +151,7 @@
 	return n
 }
 
-// unavailable reports whether a target counts against MaxUnavailable.
+// unavailable reports whether a target counts against the policy's MaxUnavailable.
 func (m *Machine) unavailable(t *Target) bool {
 	return t.down || m.silent[t.Host] || t.State == Changing || t.State == RollingBack || t.State == Unknown
 }
@@ -166,7 +169,8 @@
 	return 0
 }
 
-// changing counts running changes. Rollbacks begin only after they have ended.
+// changing counts running changes, including those of silent hosts that the rollout still
+// waits for. Rollbacks begin only after all changes have ended.
 func (m *Machine) changing() (n int) {
 	for i := range m.targets {
 		if t := &m.targets[i]; t.State == Changing || t.State == Unknown && !t.rollbackStarted && !m.gaveUp[t.Host] {
@@ -176,22 +180,22 @@
 	return n
 }
 
-// end returns the result of a rollout that waits for nothing.
+// end returns the result of a rollout in which no step runs and none can begin.
 func (m *Machine) end() string {
-	n, forward := make(map[State]int), 0
+	counts, notRolledBack := make(map[State]int), 0
 	for i := range m.targets {
 		s := m.targets[i].State
-		n[s]++
+		counts[s]++
 		if i >= m.rollbackStart() && (s == Changed || s == Failed || s == Unknown) {
-			forward++
+			notRolledBack++
 		}
 	}
 	switch {
 	case m.aborted:
 		return Aborted
-	case n[Changed] == len(m.targets):
+	case counts[Changed] == len(m.targets):
 		return Succeeded
-	case n[RollbackFailed] > 0, m.stopReason != "" && m.rollsBack() && forward > 0:
+	case counts[RollbackFailed] > 0, m.stopReason != "" && m.rollsBack() && notRolledBack > 0:
 		return RollbackIncomplete
 	case m.stopReason != "" && m.rollsBack():
 		return AllRolledBack
@@ -199,7 +203,7 @@
 		return Paused
 	case m.stopReason != "":
 		return Stopped
-	case n[Pending]+n[Unknown] > 0:
+	case counts[Pending]+counts[Unknown] > 0:
 		return Incomplete
 	}
 	return SomeFailed
--- a/internal/fleet/control/rollout/rollout.go
+++ b/internal/fleet/control/rollout/rollout.go
@@ -1,16 +1,16 @@
 // Package rollout decides how a change proceeds through a set of instances: which
-// are changed next, when to wait, stop or roll back, and the state of each. It is
-// pure: it does no I/O and reads no clock. Its driver reports events and carries
-// out the steps that Next returns, in order.
+// instances are changed next, and when to wait, stop or roll back. It also tracks the
+// state of each instance. It is pure: it does no I/O and reads no clock. Its caller, the
+// driver, reports events and carries out the steps that Next returns, in order.
 //
 // It promises, for every sequence of events: Next returns no step twice; it returns
 // no step that takes an available instance down while that would make more than
 // MaxUnavailable of the targets unavailable; and once the driver stops waiting
 // (GiveUp, Stuck), the rollout ends.
 //
-// It does not judge whether the change is worse than what it replaces (package
-// canary does) and does not decide which targets a stage may change (package stage
-// does): Trip and Open carry their decisions in.
+// It does not judge whether the change is worse than what it replaces, and it does not
+// decide which targets a stage may change. Packages canary and stage make these decisions,
+// and the driver passes them in through Trip and Open.
 package rollout
 
 import (
@@ -27,7 +27,7 @@
 	Changing       State = "changing"        // the change is running
 	Changed        State = "changed"         // the change succeeded
 	Failed         State = "failed"          // the change failed
-	Unknown        State = "unknown"         // the agent went silent during a step
+	Unknown        State = "unknown"         // the agent stopped answering during a step
 	RollingBack    State = "rolling back"    // the rollback is running
 	RolledBack     State = "rolled back"     // the rollback succeeded
 	RollbackFailed State = "rollback failed" // the rollback failed
@@ -49,17 +49,17 @@
 type Target struct {
 	api.Target
 	State           State
-	Reason          string
-	Batch           int
-	Place           api.Place // for the policy's limits by host, zone and shop
+	Reason          string    // why the step failed or its outcome is unknown
+	Batch           int       // index of its batch; see Batches
+	Place           api.Place // for the policy's limits by zone and shop
 	down            bool      // observed to be unavailable while no step runs
-	rollbackStarted bool      // Next returned its rollback
+	rollbackStarted bool      // Next has returned its rollback, or an agent's record has it
 }
 
 // Action is a step to begin. Kind is api.Change or api.Rollback; "" marks the end of
 // the rollout.
 type Action struct {
-	Target int
+	Target int // index of the target
 	Kind   string
 }
 
@@ -67,38 +67,39 @@
 type Machine struct {
 	policy      api.Policy
 	targets     []Target
-	silent      map[string]bool
-	gaveUp      map[string]bool
-	openTargets int    // only the targets before this index may be changed
-	moreStages  bool   // further stages will open, so the rollout does not end yet
-	stageStart  int    // index of the first target of the current stage
-	stopReason  string // why no further change begins, "" if changes go on
+	silent      map[string]bool // by host: its agent does not answer
+	gaveUp      map[string]bool // by host: the driver no longer waits for its agent
+	openTargets int             // only the targets before this index may be changed
+	moreStages  bool            // further stages will be opened, so the rollout does not end yet
+	stageStart  int             // index of the first target of the current stage
+	stopReason  string          // why no further change begins; "" if changes continue
 	aborted     bool
-	stuck       bool
-	result      string
+	stuck       bool   // Stuck has ended the waiting
+	result      string // "" until the rollout has ended
 }
 
-// New returns a machine with all targets pending. places is empty or holds the place
-// of each target, in the same order.
+// New returns a machine with all targets pending. places is empty or contains the place
+// of each target, in the same order. It returns an error if the policy is invalid, if a
+// target is listed twice, or if the number of places does not match.
 func New(p api.Policy, targets []api.Target, places ...api.Place) (*Machine, error) {
 	if err := p.Check(len(targets)); err != nil {
 		return nil, fmt.Errorf("rollout: %w", err)
 	}
 	if len(places) != 0 && len(places) != len(targets) {
-		return nil, fmt.Errorf("rollout: %d places of %d targets", len(places), len(targets))
+		return nil, fmt.Errorf("rollout: %d places for %d targets", len(places), len(targets))
 	}
 	m := &Machine{policy: p, silent: make(map[string]bool), gaveUp: make(map[string]bool), openTargets: len(targets)}
 	seen := make(map[api.Target]bool)
 	for _, t := range targets {
 		if seen[t] {
-			return nil, fmt.Errorf("rollout: %s on %s is there twice", t.Instance, t.Host)
+			return nil, fmt.Errorf("rollout: target %s on host %s is listed twice", t.Instance, t.Host)
 		}
 		seen[t] = true
-		x := Target{Target: t, State: Pending}
+		target := Target{Target: t, State: Pending}
 		if len(places) > 0 {
-			x.Place = places[len(m.targets)]
+			target.Place = places[len(m.targets)]
 		}
-		m.targets = append(m.targets, x)
+		m.targets = append(m.targets, target)
 	}
 	for n, b := range Batches(p, len(targets)) {
 		for _, i := range b {
@@ -108,13 +109,14 @@
 	return m, nil
 }
 
-// Open allows changes to the first n targets. The current stage begins at the target
-// with index from. With more, the rollout does not end after these targets.
+// Open allows changes to the first n targets, of which those from index from on belong to
+// the current stage. If more is set, the rollout does not end after these targets.
 func (m *Machine) Open(n, from int, more bool) {
 	m.openTargets, m.stageStart, m.moreStages = n, from, more
 }
 
-// Settled reports whether no target that may be changed is still waited for.
+// Settled reports whether each target that may be changed has an outcome or is no longer
+// waited for.
 func (m *Machine) Settled() bool {
 	for i := range m.targets[:m.openTargets] {
 		if m.unfinished(&m.targets[i]) {
@@ -124,7 +126,7 @@
 	return true
 }
 
-// unfinished reports whether the rollout still waits for a target's change.
+// unfinished reports whether the rollout still waits for the outcome of a target's change.
 func (m *Machine) unfinished(t *Target) bool {
 	return t.State == Pending && !m.gaveUp[t.Host] || t.State == Changing || t.State == Unknown && !m.gaveUp[t.Host]
 }
@@ -140,47 +142,50 @@
 // Targets returns the state of each target, in order. The caller must not modify it.
 func (m *Machine) Targets() []Target { return m.targets }
 
-// Result is the result of the rollout, "" until it has ended.
+// Result returns the result of the rollout, "" until it has ended.
 func (m *Machine) Result() string { return m.result }
 
-// Why is the reason for which no further change begins, "" if there is none.
+// Why returns the reason why no further change begins, "" if there is none.
 func (m *Machine) Why() string { return m.stopReason }
 
-// Recall takes over the state of a target's step from an agent's record, before the
-// first Next or later. status is that of api.Step.
-func (m *Machine) Recall(i int, kind, status, reason string) {
+// ApplyStep applies the state of a step as an agent has recorded it. kind and status are
+// those of api.Step. It may be called before the first Next, when an operation is resumed,
+// or later.
+func (m *Machine) ApplyStep(i int, kind, status, reason string) {
 	t := &m.targets[i]
 	if kind == api.Rollback {
 		t.rollbackStarted = true
 		if m.stopReason == "" {
-			m.stopReason = "the rollback had begun"
+			m.stopReason = "a rollback had already begun"
 		}
 	} else if t.rollbackStarted {
 		return // the change preceded the rollback
 	}
-	m.record(t, kind, status, reason)
+	m.setState(t, kind, status, reason)
 	if m.result == "" {
 		m.countFailures(t)
 	}
 }
 
-func (m *Machine) record(t *Target, kind, status, reason string) {
+// setState sets the state of a target from that of its latest step.
+func (m *Machine) setState(t *Target, kind, status, reason string) {
 	t.Reason, t.down = reason, false
-	states := map[string]State{api.StepRunning: Changing, api.StepOK: Changed, api.StepFailed: Failed}
+	stateByStatus := map[string]State{api.StepRunning: Changing, api.StepOK: Changed, api.StepFailed: Failed}
 	if kind == api.Rollback {
-		states = map[string]State{api.StepRunning: RollingBack, api.StepOK: RolledBack, api.StepFailed: RollbackFailed}
+		stateByStatus = map[string]State{api.StepRunning: RollingBack, api.StepOK: RolledBack, api.StepFailed: RollbackFailed}
 	}
-	t.State = states[status]
+	t.State = stateByStatus[status]
 	if status == api.StepFailed {
-		t.down = true // until Down reports otherwise
+		t.down = true // until a call of Down says otherwise
 	}
 	if status == api.StepRunning && m.silent[t.Host] {
 		t.State = Unknown
 	}
 }
 
-// countFailures stops the rollout once more targets failed than the policy allows. A
-// failed canary always stops it.
+// countFailures stops the rollout if t is a failed canary, or if more targets have failed
+// than the policy allows. A target with an unknown outcome counts as failed once the
+// driver has given up its host.
 func (m *Machine) countFailures(t *Target) {
 	if m.stopReason != "" {
 		return
@@ -191,31 +196,32 @@
 	}
 	failed, last := 0, ""
 	for i := range m.targets {
-		x := &m.targets[i]
-		if x.State == Failed || x.State == Unknown && m.gaveUp[x.Host] {
+		target := &m.targets[i]
+		if target.State == Failed || target.State == Unknown && m.gaveUp[target.Host] {
 			failed++
-			last = fmt.Sprintf("%s %s: %s", x.Instance, x.State, x.Reason)
+			last = fmt.Sprintf("%s %s: %s", target.Instance, target.State, target.Reason)
 		}
 	}
 	if failed > m.policy.MaxFailures {
-		m.stopReason = fmt.Sprintf("%d failed and %d may (%s)", failed, m.policy.MaxFailures, last)
+		m.stopReason = fmt.Sprintf("%d targets failed, %d may fail (%s)", failed, m.policy.MaxFailures, last)
 	}
 }
 
-// Done reports the outcome of a step that Next returned.
+// Done tells the machine the outcome of a step that Next has returned.
 func (m *Machine) Done(i int, kind string, ok bool, reason string) {
 	status := api.StepFailed
 	if ok {
 		status = api.StepOK
 	}
-	m.Recall(i, kind, status, reason)
+	m.ApplyStep(i, kind, status, reason)
 }
 
-// Down reports whether a target was observed to be unavailable while no step runs.
+// Down tells the machine whether a target was observed to be unavailable while no step of
+// it runs.
 func (m *Machine) Down(i int, down bool) { m.targets[i].down = down }
 
-// Silent reports that a host's agent does not answer. The outcome of its running steps
-// is unknown, and all its instances count as unavailable.
+// Silent tells the machine that a host's agent does not answer. The outcome of the host's
+// running steps is then unknown, and all its targets count as unavailable.
 func (m *Machine) Silent(host, reason string) {
 	m.silent[host] = true
 	for i := range m.targets {
@@ -225,8 +231,8 @@
 	}
 }
 
-// Answers reports that a host's agent answers again. Steps with an unknown outcome
-// count as running until Recall or Done reports otherwise.
+// Answers tells the machine that a host's agent answers again. The host's steps with an
+// unknown outcome count as running until ApplyStep or Done says otherwise.
 func (m *Machine) Answers(host string) {
 	delete(m.silent, host)
 	delete(m.gaveUp, host)
@@ -254,8 +260,8 @@
 	}
 }
 
-// Stuck reports that nothing has changed for as long as the driver waits, while no step ran
-// and Next could begin none. It stops the rollout.
+// Stuck tells the machine that nothing has changed for as long as the driver is willing to
+// wait. If no step is running, the rollout then ends.
 func (m *Machine) Stuck() {
 	if m.running() == 0 {
 		m.stuck = true
@@ -265,7 +271,8 @@
 	}
 }
 
-// Abort lets no further step begin. The rollout ends once running steps have ended.
+// Abort stops the rollout: no further step begins, and the rollout ends once running steps
+// have ended.
 func (m *Machine) Abort(reason string) {
 	m.aborted = true
 	if m.stopReason == "" {
--- a/internal/fleet/control/rollout/rollout_test.go
+++ b/internal/fleet/control/rollout/rollout_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// targets returns hosts*each targets.
+// targets returns the targets of hosts h0, h1, ... with each targets on every host.
 func targets(hosts, each int) (out []api.Target) {
 	for h := range hosts {
 		for i := range each {
@@ -19,7 +19,11 @@
 	return out
 }
 
-// play runs a script of events and returns the steps that each of them led to.
+// play runs a script of events on the machine and returns, line by line, each event and the
+// steps that Next returned after it. An event is a word and mostly an argument, the index
+// of a target or a host: next does nothing; ok and bad end a target's change; backok and
+// backbad end its rollback; down and up report whether it is unavailable; silent, answers
+// and giveup report on a host; abort and stuck call Abort and Stuck.
 func play(t *testing.T, m *Machine, script string) string {
 	t.Helper()
 	var out strings.Builder
@@ -27,38 +31,38 @@
 		var i int
 		var host string
 		line = strings.TrimSpace(line)
-		switch f := strings.Fields(line); f[0] {
+		switch fields := strings.Fields(line); fields[0] {
 		case "next":
 		case "ok", "bad", "backok", "backbad", "down", "up":
-			fmt.Sscan(f[1], &i)
-			switch f[0] {
+			fmt.Sscan(fields[1], &i)
+			switch fields[0] {
 			case "ok", "bad":
-				m.Done(i, api.Change, f[0] == "ok", "reported")
+				m.Done(i, api.Change, fields[0] == "ok", "reported")
 			case "backok", "backbad":
-				m.Done(i, api.Rollback, f[0] == "backok", "reported")
+				m.Done(i, api.Rollback, fields[0] == "backok", "reported")
 			default:
-				m.Down(i, f[0] == "down")
+				m.Down(i, fields[0] == "down")
 			}
 		case "silent":
-			host = f[1]
+			host = fields[1]
 			m.Silent(host, "no answer")
 		case "answers":
-			m.Answers(f[1])
+			m.Answers(fields[1])
 		case "giveup":
-			m.GiveUp(f[1])
+			m.GiveUp(fields[1])
 		case "abort":
 			m.Abort("asked for")
 		case "stuck":
 			m.Stuck()
 		default:
-			t.Fatal("script:", line)
+			t.Fatalf("unknown event in script line %q", line)
 		}
 		fmt.Fprintf(&out, "%s:", line)
-		for _, a := range m.Next() {
-			if a.Kind == "" {
+		for _, action := range m.Next() {
+			if action.Kind == "" {
 				fmt.Fprintf(&out, " end %s", m.Result())
 			} else {
-				fmt.Fprintf(&out, " %s %d", a.Kind, a.Target)
+				fmt.Fprintf(&out, " %s %d", action.Kind, action.Target)
 			}
 		}
 		out.WriteString("\n")
@@ -66,9 +70,11 @@
 	return out.String()
 }
 
+// TestTraces plays scripts on two hosts with two targets each (0 and 1 on h0, 2 and 3 on h1)
+// and compares the steps that Next returns after each event.
 func TestTraces(t *testing.T) {
 	policy := api.Policy{Batch: 2, Canaries: 1, MaxUnavailable: 2, MaxFailures: 1, OnFailure: api.OnFailureRollback}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		edit func(*api.Policy)
 		want string
 	}{
@@ -140,25 +146,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := policy
-			if c.edit != nil {
-				c.edit(&p)
+			if test.edit != nil {
+				test.edit(&p)
 			}
 			m, err := New(p, targets(2, 2))
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("New: %v", err)
 			}
-			want := strings.ReplaceAll(strings.TrimSpace(c.want), "\t", "") + "\n"
+			want := strings.ReplaceAll(strings.TrimSpace(test.want), "\t", "") + "\n"
 			var script strings.Builder
 			for _, l := range strings.Split(strings.TrimSpace(want), "\n") {
 				script.WriteString(l[:strings.IndexByte(l, ':')] + "\n")
 			}
 			if got := play(t, m, script.String()); got != want {
-				t.Errorf("got\n%swant\n%s", got, want)
+				t.Errorf("the trace differs; got\n%swant\n%s", got, want)
 			}
 		})
 	}
 }
 
+// TestCheck checks that New returns an error for each invalid policy and list of targets.
 func TestCheck(t *testing.T) {
 	good := api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop}
 	for _, edit := range []func(*api.Policy){
@@ -169,21 +176,21 @@
 		p := good
 		edit(&p)
 		if _, err := New(p, targets(1, 1)); err == nil {
-			t.Errorf("%+v was accepted", p)
+			t.Errorf("New accepted the invalid policy %+v", p)
 		}
 	}
 	if _, err := New(good, nil); err == nil {
-		t.Error("no targets were accepted")
+		t.Error("New accepted an empty list of targets")
 	}
 	if _, err := New(good, append(targets(1, 1), targets(1, 1)...)); err == nil {
-		t.Error("a duplicate target was accepted")
+		t.Error("New accepted a duplicate target")
 	}
 }
 
-// For every policy and every sequence of events, the steps that begin never make more
-// targets unavailable than allowed, no step begins twice, an instance has at most one
-// step at a time, and the rollout ends. A second machine that recalls the agents'
-// records where the first one stopped repeats no step.
+// TestProperties checks for random policies and sequences of events that the steps that
+// begin never make more targets unavailable than allowed, that no step begins twice, that
+// an instance has at most one step at a time, and that the rollout ends. It also checks
+// that a second machine, which resumes from the agents' records, repeats no step.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := api.Policy{
@@ -193,41 +200,41 @@
 			MaxFailures:    rapid.IntRange(0, 4).Draw(t, "failures"),
 			OnFailure:      rapid.SampledFrom([]string{api.OnFailureStop, api.OnFailureRollback, api.OnFailurePause}).Draw(t, "on"),
 		}
-		f := newFleetModel(t, policy, targets(rapid.IntRange(1, 4).Draw(t, "hosts"), rapid.IntRange(1, 4).Draw(t, "each")))
-		takenOver := 0 // the round in which another command resumed last
+		model := newFleetModel(t, policy, targets(rapid.IntRange(1, 4).Draw(t, "hosts"), rapid.IntRange(1, 4).Draw(t, "each")))
+		lastResume := 0 // the round in which another machine last took over
 		for round := 0; ; round++ {
-			if round > 40*len(f.targets)+200 {
-				t.Fatal("the rollout does not end")
+			if round > 40*len(model.targets)+200 {
+				t.Fatalf("the rollout has not ended after %d rounds", round)
 			}
 			began := 0
-			for _, action := range f.machine.Next() {
+			for _, action := range model.machine.Next() {
 				if action.Kind == "" {
-					f.checkEnd(t)
+					model.checkEnd(t)
 					return
 				}
 				began++
-				f.begin(t, action)
+				model.begin(t, action)
 			}
-			live := f.live()
+			live := model.live()
 			switch event := rapid.IntRange(0, 9).Draw(t, "event"); {
 			case event < 6 && len(live) > 0:
-				f.finish(rapid.SampledFrom(live).Draw(t, "which"), rapid.IntRange(0, 3).Draw(t, "ok") > 0)
+				model.finish(rapid.SampledFrom(live).Draw(t, "which"), rapid.IntRange(0, 3).Draw(t, "ok") > 0)
 			case event == 6:
-				host := rapid.SampledFrom(f.targets).Draw(t, "host").Host
-				f.silent[host] = true
-				f.machine.Silent(host, "")
+				host := rapid.SampledFrom(model.targets).Draw(t, "host").Host
+				model.silent[host] = true
+				model.machine.Silent(host, "")
 			case event == 7:
-				host := rapid.SampledFrom(f.targets).Draw(t, "host").Host
-				if f.silent[host] {
-					delete(f.silent, host)
-					f.machine.Answers(host)
+				host := rapid.SampledFrom(model.targets).Draw(t, "host").Host
+				if model.silent[host] {
+					delete(model.silent, host)
+					model.machine.Answers(host)
 				}
-			case event == 8 && round > takenOver+10:
-				takenOver = round
-				f.resume(t)
+			case event == 8 && round > lastResume+10:
+				lastResume = round
+				model.resume(t)
 			default:
 				if began == 0 && len(live) == 0 {
-					f.stopWaiting(t)
+					model.stopWaiting(t)
 				}
 			}
 		}
@@ -240,62 +247,63 @@
 	kind   string
 }
 
-// fleetModel is the instances and agents that a rollout acts on. It checks each step and
-// the end.
+// fleetModel simulates the instances and agents that a rollout acts on. It checks each step
+// that begins, and the end of the rollout.
 type fleetModel struct {
 	machine *Machine
 	policy  api.Policy
 	targets []api.Target
-	records map[step]string // of the agents
-	running map[int]step    // by target
-	silent  map[string]bool // hosts
-	down    map[int]bool    // targets
+	records map[step]string // status of each step that has begun, as the agents record it
+	running map[int]step    // by target index
+	silent  map[string]bool // by host: its agent does not answer
+	down    map[int]bool    // by target index: unavailable while no step of it runs
 }
 
 func newFleetModel(t *rapid.T, policy api.Policy, targets []api.Target) *fleetModel {
 	t.Helper()
 	machine, err := New(policy, targets)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	return &fleetModel{machine: machine, policy: policy, targets: targets, records: make(map[step]string),
 		running: make(map[int]step), silent: make(map[string]bool), down: make(map[int]bool)}
 }
 
-// checkEnd checks that nothing runs where it can be seen, and that the result is true.
+// checkEnd checks that no step runs at a host that answers, and that the result agrees with
+// the agents' records.
 func (f *fleetModel) checkEnd(t *rapid.T) {
 	t.Helper()
 	if len(f.running) > 0 {
 		for i := range f.running {
 			if !f.silent[f.targets[i].Host] {
-				t.Fatalf("ended as %s while a step runs", f.machine.Result())
+				t.Fatalf("the rollout ended as %q while a step of target %d runs", f.machine.Result(), i)
 			}
 		}
 	}
 	if f.machine.Result() == "" || f.machine.Next() != nil {
-		t.Fatal("the end has no result, or a step follows it")
+		t.Fatalf("after the end the result is %q; want a result, and want Next to return nil", f.machine.Result())
 	}
 	if f.machine.Result() == Succeeded {
 		for i := range f.targets {
 			if f.records[step{i, api.Change}] != api.StepOK {
-				t.Fatalf("succeeded, and %d is %q", i, f.records[step{i, api.Change}])
+				t.Fatalf("the rollout ended as succeeded, but the change of target %d has status %q, want %q", i, f.records[step{i, api.Change}], api.StepOK)
 			}
 		}
 	}
 }
 
-// begin begins a step, and checks that it may.
+// begin checks that a step may begin, and begins it.
 func (f *fleetModel) begin(t *rapid.T, action Action) {
 	t.Helper()
 	s := step{action.Target, action.Kind}
-	if _, twice := f.records[s]; twice {
-		t.Fatalf("%v twice", s)
+	if _, repeated := f.records[s]; repeated {
+		t.Fatalf("step %+v began twice", s)
 	}
 	if other, busy := f.running[action.Target]; busy {
-		t.Fatalf("%v while %v runs", s, other)
+		t.Fatalf("step %+v began while step %+v of the same target runs", s, other)
 	}
 	if action.Kind == api.Rollback && f.policy.OnFailure != api.OnFailureRollback {
-		t.Fatal("a rollback that the policy does not allow")
+		t.Fatalf("rollback of target %d began, but the policy is %q on failure", action.Target, f.policy.OnFailure)
 	}
 	unavailable := 0
 	for i, target := range f.targets {
@@ -305,13 +313,13 @@
 		}
 	}
 	if !f.down[action.Target] && unavailable+1 > f.policy.MaxUnavailable {
-		t.Fatalf("%v makes %d unavailable", s, unavailable+1)
+		t.Fatalf("step %+v makes %d targets unavailable, want at most %d", s, unavailable+1, f.policy.MaxUnavailable)
 	}
 	f.records[s], f.running[action.Target] = api.StepRunning, s
 	delete(f.down, action.Target)
 }
 
-// live is the targets with a running step whose host answers.
+// live returns the targets that have a running step and whose host answers.
 func (f *fleetModel) live() (out []int) {
 	for i := range f.targets {
 		if _, ok := f.running[i]; ok && !f.silent[f.targets[i].Host] {
@@ -321,7 +329,7 @@
 	return out
 }
 
-// finish ends a target's step.
+// finish ends the running step of the target with index i.
 func (f *fleetModel) finish(i int, ok bool) {
 	s := f.running[i]
 	delete(f.running, i)
@@ -332,12 +340,13 @@
 	f.machine.Done(i, s.kind, ok, "")
 }
 
-// resume replaces the machine by that of another command, which recalls the agents' records.
+// resume replaces the machine by a new one that takes over from the agents' records, as
+// another command that resumes the operation does.
 func (f *fleetModel) resume(t *rapid.T) {
 	t.Helper()
 	var err error
 	if f.machine, err = New(f.policy, f.targets); err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	for host := range f.silent {
 		f.machine.Silent(host, "")
@@ -345,7 +354,7 @@
 	for _, kind := range []string{api.Change, api.Rollback} {
 		for i := range f.targets {
 			if status, ok := f.records[step{i, kind}]; ok {
-				f.machine.Recall(i, kind, status, "")
+				f.machine.ApplyStep(i, kind, status, "")
 			}
 		}
 	}
@@ -354,7 +363,8 @@
 	}
 }
 
-// stopWaiting gives up silent hosts and, if nothing runs, reports the rollout as stuck.
+// stopWaiting gives up the silent hosts. It also reports the rollout as stuck, always if no
+// step runs and at random otherwise.
 func (f *fleetModel) stopWaiting(t *rapid.T) {
 	for host := range f.silent {
 		f.machine.GiveUp(host)
