--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -8,68 +8,74 @@
 	"pgregory.net/rapid"
 )
 
+// t0 is the time at which the tests start.
 var t0 = time.Date(2026, 3, 18, 20, 0, 0, 0, time.UTC)
 
-func free(string) string { return "" }
+// notBusy reports no conflict on any instance.
+func notBusy(string) string { return "" }
 
+// TestAllOrNone checks that Acquire grants nothing if one of the instances is leased, if an
+// instance is busy, or if the duration is out of range.
 func TestAllOrNone(t *testing.T) {
-	var tab Table
-	ls, err := tab.Acquire(t0, "op1", "sari", []string{"a", "b"}, time.Minute, free)
-	if err != nil || len(ls) != 2 || ls[0].Token != 1 {
-		t.Fatal(ls, err)
+	var table Table
+	leases, err := table.Acquire(t0, "op1", "sari", []string{"a", "b"}, time.Minute, notBusy)
+	if err != nil || len(leases) != 2 || leases[0].Token != 1 {
+		t.Fatalf("Acquire of two free instances = %+v, %v; want 2 leases with token 1", leases, err)
 	}
-	tab.Put(ls)
-	_, err = tab.Acquire(t0, "op2", "budi", []string{"c", "b"}, time.Minute, free)
+	table.Put(leases)
+	_, err = table.Acquire(t0, "op2", "budi", []string{"c", "b"}, time.Minute, notBusy)
 	held, ok := errors.AsType[*HeldError](err)
 	if !ok || held.Holder != "sari" || held.Op != "op1" || !held.Expires.Equal(t0.Add(time.Minute)) {
-		t.Fatal(err)
+		t.Fatalf("Acquire of a leased instance: got error %v, want a HeldError with sari's lease", err)
 	}
-	if err := tab.Check(t0, "op2", 2, "c"); err == nil {
-		t.Error("one of two was granted")
+	if err := table.Check(t0, "op2", 2, "c"); err == nil {
+		t.Error("after a failed Acquire of c and b, token 2 allows changes to c")
 	}
-	_, err = tab.Acquire(t0, "op2", "budi", []string{"c"}, time.Minute, func(string) string { return "a step is under way" })
+	_, err = table.Acquire(t0, "op2", "budi", []string{"c"}, time.Minute, func(string) string { return "a step is running" })
 	if _, ok := errors.AsType[*HeldError](err); !ok {
-		t.Error("busy, but granted:", err)
+		t.Errorf("Acquire of a busy instance: got error %v, want a HeldError", err)
 	}
 	for _, ttl := range []time.Duration{0, -1, MaxTTL + 1} {
-		if _, err := tab.Acquire(t0, "op2", "budi", []string{"c"}, ttl, free); err == nil {
-			t.Error("granted for", ttl)
+		if _, err := table.Acquire(t0, "op2", "budi", []string{"c"}, ttl, notBusy); err == nil {
+			t.Errorf("Acquire granted a lease for the invalid duration %v", ttl)
 		}
 	}
 }
 
+// TestEndAndClockGoingBack checks that a lease ends at its expiry, and when the clock is set
+// back to before its grant, and that its token stays fenced after the next grant.
 func TestEndAndClockGoingBack(t *testing.T) {
-	var tab Table
-	ls, _ := tab.Acquire(t0, "op1", "sari", []string{"a"}, time.Minute, free)
-	tab.Put(ls)
+	var table Table
+	leases, _ := table.Acquire(t0, "op1", "sari", []string{"a"}, time.Minute, notBusy)
+	table.Put(leases)
 	end := t0.Add(time.Minute)
-	if err := tab.Check(end.Add(-1), "op1", 1, "a"); err != nil {
-		t.Error(err)
+	if err := table.Check(end.Add(-1), "op1", 1, "a"); err != nil {
+		t.Errorf("Check 1ns before the expiry: %v", err)
 	}
 	for _, now := range []time.Time{end, t0.Add(-time.Hour)} {
-		if err := tab.Check(now, "op1", 1, "a"); err == nil {
-			t.Error("allowed at", now)
+		if err := table.Check(now, "op1", 1, "a"); err == nil {
+			t.Errorf("the token allows changes at %v, outside of its lease", now)
 		}
-		if _, err := tab.Renew(now, "op1", 1, []string{"a"}, time.Minute); err == nil {
-			t.Error("renewed at", now)
+		if _, err := table.Renew(now, "op1", 1, []string{"a"}, time.Minute); err == nil {
+			t.Errorf("the lease was renewed at %v, outside of its time", now)
 		}
 	}
-	ls, err := tab.Acquire(end, "op2", "budi", []string{"a"}, time.Minute, free)
-	if err != nil || ls[0].Token != 2 {
-		t.Fatal(ls, err)
+	leases, err := table.Acquire(end, "op2", "budi", []string{"a"}, time.Minute, notBusy)
+	if err != nil || leases[0].Token != 2 {
+		t.Fatalf("Acquire after the expiry = %+v, %v; want a lease with token 2", leases, err)
 	}
-	tab.Put(ls)
-	if err := tab.Check(end, "op1", 1, "a"); err == nil {
-		t.Error("the earlier token is still allowed")
+	table.Put(leases)
+	if err := table.Check(end, "op1", 1, "a"); err == nil {
+		t.Error("the earlier token still allows changes after the next grant")
 	}
 }
 
-// For every sequence of calls and every movement of the clock, at most one token allows
-// changes to an instance at any time, and a token that a later one replaced never does
-// again.
+// TestOneHolder checks for random sequences of calls and random jumps of the clock that at
+// most one token allows changes to an instance at any time, and that a token never does
+// again after a later one was granted.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var tab Table
+		var table Table
 		now := t0
 		type grant struct {
 			op     string
@@ -77,34 +83,34 @@
 			fenced bool
 		}
 		var grants []*grant
-		inst := []string{"a"}
+		instances := []string{"a"}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(-20, 40).Draw(t, "seconds")) * time.Second)
 			op := rapid.SampledFrom([]string{"op1", "op2"}).Draw(t, "op")
 			who := rapid.SampledFrom([]string{"sari", "budi"}).Draw(t, "who")
 			if rapid.Bool().Draw(t, "renew") && len(grants) > 0 {
 				g := rapid.SampledFrom(grants).Draw(t, "grant")
-				if ls, err := tab.Renew(now, g.op, g.token, inst, 30*time.Second); err == nil {
-					tab.Put(ls)
+				if leases, err := table.Renew(now, g.op, g.token, instances, 30*time.Second); err == nil {
+					table.Put(leases)
 				}
-			} else if ls, err := tab.Acquire(now, op, who, inst, 30*time.Second, free); err == nil {
+			} else if leases, err := table.Acquire(now, op, who, instances, 30*time.Second, notBusy); err == nil {
 				for _, g := range grants {
 					g.fenced = true
 				}
-				tab.Put(ls)
-				grants = append(grants, &grant{op: op, token: ls[0].Token})
+				table.Put(leases)
+				grants = append(grants, &grant{op: op, token: leases[0].Token})
 			}
 			allowed := 0
 			for _, g := range grants {
-				if tab.Check(now, g.op, g.token, "a") == nil {
+				if table.Check(now, g.op, g.token, "a") == nil {
 					allowed++
 					if g.fenced {
-						t.Fatalf("token %d is allowed after a later one was granted", g.token)
+						t.Fatalf("token %d allows changes after a later one was granted", g.token)
 					}
 				}
 			}
 			if allowed > 1 {
-				t.Fatalf("%d tokens are allowed at once", allowed)
+				t.Fatalf("%d tokens allow changes to the instance at once, want at most 1", allowed)
 			}
 		}
 	})
--- a/internal/fleet/stage/stage_test.go
+++ b/internal/fleet/stage/stage_test.go
@@ -14,6 +14,9 @@
 	"martendrum/internal/fleet/canary"
 )
 
+// TestDraw checks for random members that Draw returns each of them once, that the order does
+// not depend on the order of the argument, and that every prefix takes from each zone in
+// proportion to its size.
 func TestDraw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 120).Draw(t, "n")
@@ -27,32 +30,33 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		order := Draw(members, seed)
 		if sorted := slices.Sorted(slices.Values(order)); len(sorted) != n || sorted[0] != 0 || sorted[n-1] != n-1 || len(slices.Compact(sorted)) != n {
-			t.Fatalf("not each member once: %v", order)
+			t.Fatalf("Draw of %d members does not contain each index once: %v", n, order)
 		}
 		if again := Draw(members, seed); !slices.Equal(order, again) {
-			t.Fatal("the same seed gave another order")
+			t.Fatalf("seed %d gave the order %v, then %v", seed, order, again)
 		}
 		// The same members in another order give the same order of instances.
-		turned := slices.Clone(members)
-		slices.Reverse(turned)
-		for k, i := range Draw(turned, seed) {
-			if turned[i] != members[order[k]] {
-				t.Fatal("the caller's order matters")
+		reversed := slices.Clone(members)
+		slices.Reverse(reversed)
+		for k, i := range Draw(reversed, seed) {
+			if reversed[i] != members[order[k]] {
+				t.Fatalf("after reversing the members, place %d has %+v, want %+v", k, reversed[i], members[order[k]])
 			}
 		}
-		taken := make(map[string]int)
+		drawn := make(map[string]int)
 		for k, i := range order {
-			taken[members[i].Zone]++
-			for z, all := range zones {
-				if fair := float64((k+1)*all) / float64(n); math.Abs(float64(taken[z])-fair) > float64(len(zones)) {
-					t.Fatalf("after %d, zone %s has %d of its %.1f", k+1, z, taken[z], fair)
+			drawn[members[i].Zone]++
+			for zone, size := range zones {
+				if share := float64((k+1)*size) / float64(n); math.Abs(float64(drawn[zone])-share) > float64(len(zones)) {
+					t.Fatalf("after %d draws, zone %s has %d members; want %.1f within %d", k+1, zone, drawn[zone], share, len(zones))
 				}
 			}
 		}
 	})
 }
 
-// Half of a fleet carries about half of the traffic and half of each host's members.
+// TestDrawSpreads checks that the first half of the order has about half of the traffic and
+// about half of each host's members.
 func TestDrawSpreads(t *testing.T) {
 	var members []Member
 	for i := range 120 {
@@ -68,11 +72,11 @@
 			}
 		}
 		if sum < 0.4*all || sum > 0.6*all {
-			t.Errorf("seed %d: half of the fleet has %.2f of the traffic", seed, sum/all)
+			t.Errorf("seed %d: the first half of the order has %.2f of the traffic, want 0.4 to 0.6", seed, sum/all)
 		}
 		for h, n := range hosts {
 			if n < 4 || n > 8 {
-				t.Errorf("seed %d: %d of the 12 of host %s are in the first half", seed, n, h)
+				t.Errorf("seed %d: %d of the 12 members of host %s are in the first half, want 4 to 8", seed, n, h)
 			}
 		}
 	}
@@ -84,24 +88,25 @@
 		"100%":              "[60] <nil>",
 		"1,60":              "[1 60] <nil>",
 		"5,99.9%,100%":      "[5 59 60] <nil>",
-		"10%,50%":           `[] the last of the stages 10%,50% holds 30 of 60 instances; end them with 100%`,
+		"10%,50%":           `[] the last of the stages 10%,50% includes 30 of 60 instances; end the stages with 100%`,
 		"50%,10%,100%":      `[] stage "10%" is smaller than the one before it`,
-		"0":                 `[] stage "0" is no number of 1 or more and no percentage`,
-		"101%":              `[] stage "101%" is no percentage above 0 and up to 100`,
+		"0":                 `[] stage "0" is neither a number of at least 1 nor a percentage`,
+		"101%":              `[] stage "101%" is not a percentage above 0 and up to 100`,
 	} {
 		got, err := Sizes(text, 60)
-		if s := fmt.Sprint(got, " ", err); s != want {
-			t.Errorf("%s: %s; want %s", text, s, want)
+		if result := fmt.Sprint(got, " ", err); result != want {
+			t.Errorf("Sizes(%q, 60) = %s, want %s", text, result, want)
 		}
 	}
 }
 
-// A script of observations, and the state after each: stage, open targets, and whether it
-// pauses (?) or holds (!).
+// TestStages plays scripts of observations, which are named in the map below, and compares the
+// state after each: the stage, the number of open targets, and ? for a pause or ! for a hold.
+// In a script, "same" observes slot 2 again and "release" is an operator's order.
 func TestStages(t *testing.T) {
 	bad := canary.Judgement{Verdict: canary.Worse, Evidence: []canary.Evidence{{Test: canary.Test{Measure: canary.WeightedLoss}, Verdict: canary.Worse}}}
 	unclear := canary.Judgement{Verdict: canary.Inconclusive, Evidence: []canary.Evidence{{Verdict: canary.Inconclusive, Why: "too little traffic"}}}
-	looks := map[string]Observation{
+	observations := map[string]Observation{
 		"young":   {HistorySlots: 2, Settled: true},
 		"good":    {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}},
 		"moving":  {HistorySlots: 9, Judgement: canary.Judgement{Verdict: canary.NotWorse}},
@@ -111,7 +116,7 @@
 		"bad day": {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse, Degradations: []canary.Degradation{{Measure: canary.Rejections}}}},
 	}
 	plan := Plan{Upto: []int{1, 5, 10}, MinDuration: 2 * time.Second, MaxDuration: 4 * time.Second, Slot: time.Second, HistorySlots: 3, OnInconclusive: Hold}
-	for name, c := range map[string]struct{ script, want string }{
+	for name, test := range map[string]struct{ script, want string }{
 		"passes":                              {"young good good good good good good good", "0:0 1:1 1:1 2:5 2:5 3:10 3:10 done"},
 		"worse stops":                         {"good good worse good", "1:1 1:1 worse worse"},
 		"waits until all targets are changed": {"good moving moving good good", "1:1 1:1 1:1 1:1 2:5"},
@@ -125,21 +130,21 @@
 		t.Run(name, func(t *testing.T) {
 			m, err := New(plan, State{}, 10)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("New with the zero state: %v", err)
 			}
-			var out []string
-			for n, what := range strings.Fields(c.script) {
-				l := looks[strings.ReplaceAll(what, ".", " ")]
-				l.Slot = n + 1
-				switch what {
+			var states []string
+			for n, word := range strings.Fields(test.script) {
+				observation := observations[strings.ReplaceAll(word, ".", " ")]
+				observation.Slot = n + 1
+				switch word {
 				case "release":
 					if err := m.Release(); err != nil {
-						t.Error(err)
+						t.Errorf("Release: %v", err)
 					}
 				case "same":
 					m.Observe(Observation{Slot: 2, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}})
 				default:
-					m.Observe(l)
+					m.Observe(observation)
 				}
 				s := m.State()
 				text := fmt.Sprintf("%d:%d", s.Stage, m.Open())
@@ -150,22 +155,22 @@
 					text = "done"
 				case s.HoldReason != "":
 					text += "!"
-				case s.PauseReason != "" && what != "young":
+				case s.PauseReason != "" && word != "young":
 					text += "?"
 				}
-				out = append(out, text)
+				states = append(states, text)
 				// A machine that resumes from the stored state is in the same state.
 				if m, err = New(plan, s, 10); err != nil {
-					t.Fatal(err)
+					t.Fatalf("New with the stored state %+v: %v", s, err)
 				}
 			}
-			if got := strings.Join(out, " "); got != c.want {
-				t.Errorf("\n got %s\nwant %s", got, c.want)
+			if got := strings.Join(states, " "); got != test.want {
+				t.Errorf("states after each observation:\n got %s\nwant %s", got, test.want)
 			}
 		})
 	}
 	m, _ := New(plan, State{Stage: 1, Worse: "it is"}, 10)
 	if err := m.Release(); err == nil || !reflect.DeepEqual(m.State(), State{Stage: 1, Worse: "it is"}) {
-		t.Errorf("judged worse and released: %v %+v", err, m.State())
+		t.Errorf("Release of a change that was judged worse: got error %v and state %+v; want an error and no change of the state", err, m.State())
 	}
 }
