--- a/internal/fleet/api/compat_test.go
+++ b/internal/fleet/api/compat_test.go
@@ -14,7 +14,8 @@
 	"martendrum/internal/goldentest"
 )
 
-// isReported says whether a message is also written as JSON: all of its fields name their keys.
+// isReported reports whether a message is also written as JSON, which it is if each of its fields has a
+// json tag. message is a pointer to a struct.
 func isReported(message any) bool {
 	fields := reflect.TypeOf(message).Elem()
 	for n := range fields.NumField() {
@@ -25,9 +26,9 @@
 	return true
 }
 
-// Every message of the protocol between agents and commands, with a value in every field, has
-// the form that an earlier build wrote, in MessagePack and in the JSON of reports, and is read
-// as it was meant.
+// TestMessagesOfEarlierBuild checks that every message of the protocol between agents and commands, with
+// a value in every field, is encoded as an earlier build encoded it, in MessagePack and in the JSON of
+// reports, and that decoding loses nothing.
 func TestMessagesOfEarlierBuild(t *testing.T) {
 	var lines bytes.Buffer
 	for _, message := range []any{
@@ -40,22 +41,22 @@
 		goldentest.Fill(message)
 		packed, err := msgpack.Marshal(message)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encoding %T as MessagePack: %v", message, err)
 		}
 		fmt.Fprintln(&lines, hex.EncodeToString(packed))
 		if isReported(message) {
 			text, err := json.Marshal(message)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("encoding %T as JSON: %v", message, err)
 			}
 			fmt.Fprintf(&lines, "%s\n", text)
 		}
-		again := reflect.New(reflect.TypeOf(message).Elem()).Interface()
-		if err := msgpack.Unmarshal(packed, again); err != nil {
-			t.Errorf("%T: %v", message, err)
+		decoded := reflect.New(reflect.TypeOf(message).Elem()).Interface()
+		if err := msgpack.Unmarshal(packed, decoded); err != nil {
+			t.Errorf("decoding %T: %v", message, err)
 		}
-		if repacked, err := msgpack.Marshal(again); err != nil || !bytes.Equal(repacked, packed) {
-			t.Errorf("%T: read and written again it is %x, %v; want %x", message, repacked, err, packed)
+		if repacked, err := msgpack.Marshal(decoded); err != nil || !bytes.Equal(repacked, packed) {
+			t.Errorf("%T decoded and encoded again = %x, %v; want %x", message, repacked, err, packed)
 		}
 	}
 	goldentest.Compare(t, "messages.txt", lines.Bytes())
--- a/internal/fleet/api/errors.go
+++ b/internal/fleet/api/errors.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// Error codes.
+// Error codes of all methods; those of the settings are in distribution.go.
 const (
 	InvalidParams      = "bad_params"
 	UnsupportedVersion = "bad_version"
@@ -14,15 +14,15 @@
 	NoRelease          = "no_such_release"
 	InvalidRelease     = "bad_release"
 	Forbidden          = "forbidden"
-	LeaseHeld          = "held"       // another holds the lease, or another operation is open on the instance
+	LeaseHeld          = "held"       // another run holds the lease, or another operation is open on the instance
 	Fenced             = "fenced"     // the caller's token is not, or no longer, that of the lease
 	Closed             = "closed"     // the operation is closed or aborting
-	Unwritable         = "unwritable" // the record can't be written; nothing was changed
+	Unwritable         = "unwritable" // the agent's record can't be written; nothing was changed
 	Internal           = "internal"
-	NotWelcomed        = "hello_first"
+	NotWelcomed        = "hello_first" // a method was called before Hello
 )
 
-// Error is an error as it is sent.
+// Error is the error of a call as it is sent to the caller. Message is meant for people.
 type Error struct {
 	Code    string `msgpack:"code" json:"code"`
 	Message string `msgpack:"message" json:"message"`
@@ -31,7 +31,7 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Message }
 
-// ErrorValue implements msgpackrpc.ErrorValuer.
+// ErrorValue implements msgpackrpc.ErrorValuer: the error is sent as a map.
 func (e *Error) ErrorValue() any { return e }
 
 // Errorf returns an error with a code and a formatted message.
@@ -39,16 +39,16 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, a...)}
 }
 
-// ReturningError reports a host that is returning from a power loss. No operation starts until
-// the capacity of the fleet is complete again.
+// ReturningError reports a host that is returning from a power loss. No operation starts until the host
+// has returned and the capacity of the fleet is complete again. How is the progress of the return.
 type ReturningError struct{ Host, How string }
 
 // Error implements error.
 func (e *ReturningError) Error() string {
-	return fmt.Sprintf("host %s comes back from a power loss: %s", e.Host, e.How)
+	return fmt.Sprintf("host %s is returning from a power loss: %s", e.Host, e.How)
 }
 
 // Advice says what an operator can do.
 func (e *ReturningError) Advice() string {
-	return "wait until all its waves have begun, see `martendrum list`, and say it again"
+	return "wait until all waves of instances on the host have begun (see `martendrum list`), then run the command again"
 }
--- a/internal/fleet/api/instances.go
+++ b/internal/fleet/api/instances.go
@@ -8,10 +8,10 @@
 const (
 	Running = "running"
 	Stopped = "stopped"
-	Drained = "drained" // stopped by an operator who will undrain it; start leaves it alone
+	Drained = "drained" // stopped by an operator until undrain; start does not start it
 )
 
-// Instance is the state of one sidecar as its agent sees it.
+// Instance is the state of one instance of the sidecar, as its agent sees it.
 type Instance struct {
 	Name    string            `msgpack:"name" json:"name"`
 	Host    string            `msgpack:"host" json:"host"`
@@ -20,32 +20,32 @@
 	Desired string            `msgpack:"desired" json:"desired"`
 	State   string            `msgpack:"state" json:"state"` // a supervisor.Phase
 	Reason  string            `msgpack:"reason" json:"reason,omitempty"`
-	Release string            `msgpack:"release" json:"release"`           // desired
-	Running string            `msgpack:"running" json:"running,omitempty"` // of the process
-	// Generation is the desired launch, Process that of the running process.
+	Release string            `msgpack:"release" json:"release"`           // desired release
+	Running string            `msgpack:"running" json:"running,omitempty"` // release of the process
+	// Generation is the number of the desired launch, Process that of the running process.
 	Generation   int64     `msgpack:"generation" json:"generation"`
 	Process      int64     `msgpack:"process" json:"process,omitempty"`
-	Previous     string    `msgpack:"previous" json:"previous,omitempty"`
+	Previous     string    `msgpack:"previous" json:"previous,omitempty"` // release that a rollback leads to
 	PID          int       `msgpack:"pid" json:"pid,omitempty"`
 	Launched     time.Time `msgpack:"launched" json:"launched,omitzero"`
-	Since        time.Time `msgpack:"since" json:"since"` // of State
+	Since        time.Time `msgpack:"since" json:"since"` // when State began
 	Restarts     int64     `msgpack:"restarts" json:"restarts"`
 	LastExit     string    `msgpack:"last_exit" json:"last_exit,omitempty"`
-	Record       string    `msgpack:"record,omitempty" json:"record,omitempty"` // of its idempotency store, as the process reports it
-	AdminAddress string    `msgpack:"door,omitempty" json:"door,omitempty"`     // of its admin endpoint; "": none
-	Rate         float64   `msgpack:"rate,omitempty" json:"rate,omitempty"`     // requests per second over the latest slots
-	Operation    string    `msgpack:"operation" json:"operation,omitempty"`     // that is open on the instance
-	LeaseHolder  string    `msgpack:"holder" json:"holder,omitempty"`           // of a live lease
+	Record       string    `msgpack:"record,omitempty" json:"record,omitempty"` // state of its idempotency store, as the process reports it
+	AdminAddress string    `msgpack:"door,omitempty" json:"door,omitempty"`     // address of its admin endpoint; "" if it has none
+	Rate         float64   `msgpack:"rate,omitempty" json:"rate,omitempty"`     // recent requests per second, over the latest slots
+	Operation    string    `msgpack:"operation" json:"operation,omitempty"`     // ID of the operation that is open on the instance
+	LeaseHolder  string    `msgpack:"holder" json:"holder,omitempty"`           // holder of the live lease on the instance
 }
 
 // ListOut is the state of an agent and of all its instances.
 type ListOut struct {
 	Agent      string     `msgpack:"agent"`
 	Now        time.Time  `msgpack:"now"`
-	Unwritable string     `msgpack:"unwritable"` // why the record can't be written
+	Unwritable string     `msgpack:"unwritable"` // why the agent's record can't be written; "" if it can
 	Instances  []Instance `msgpack:"instances"`
-	// Returning is the progress of a return from a power loss; "": none is going on. Epoch is
-	// the number of the host's latest loss while it is recent, otherwise 0.
+	// Returning is the progress of the host's return from a power loss, "" if it is not returning. Epoch
+	// is the number of the host's latest power loss while that is recent, otherwise 0.
 	Returning string `msgpack:"returning,omitempty"`
 	Epoch     int64  `msgpack:"epoch,omitempty"`
 }
@@ -55,10 +55,10 @@
 	Instance string `msgpack:"instance"`
 }
 
-// InspectOut is an instance with its latest steps, its configuration and the end of its log.
+// InspectOut is the state of an instance, its latest steps, its configuration and the end of its log.
 type InspectOut struct {
 	Instance Instance `msgpack:"instance" json:"instance"`
-	Steps    []Step   `msgpack:"steps" json:"steps"` // the latest first
+	Steps    []Step   `msgpack:"steps" json:"steps"` // latest first
 	Config   string   `msgpack:"config" json:"config"`
 	Log      string   `msgpack:"log" json:"log"`
 	// Settings is nil if the host subscribes to no relays.
@@ -69,7 +69,7 @@
 type LogsIn struct {
 	Instance string `msgpack:"instance"`
 	Offset   int64  `msgpack:"offset"` // bytes; a negative one counts from the end
-	Limit    int    `msgpack:"most"`
+	Limit    int    `msgpack:"most"`   // bytes
 }
 
 // LogsOut is a part of a log; Next is the offset after it.
@@ -80,10 +80,10 @@
 
 // AuditIn requests the latest entries of the audit log.
 type AuditIn struct {
-	Limit int `msgpack:"most"`
+	Limit int `msgpack:"most"` // entries
 }
 
-// AuditEntry is who did what to which target, and the result.
+// AuditEntry records who did what to which target, and the result.
 type AuditEntry struct {
 	At     time.Time `msgpack:"at" json:"at"`
 	Who    string    `msgpack:"who" json:"who"`
@@ -92,7 +92,7 @@
 	Result string    `msgpack:"result" json:"result"`
 }
 
-// AuditOut holds entries of the audit log.
+// AuditOut contains entries of the audit log, latest first.
 type AuditOut struct {
 	Entries []AuditEntry `msgpack:"entries"`
 }
--- a/internal/fleet/api/methods.go
+++ b/internal/fleet/api/methods.go
@@ -4,17 +4,17 @@
 	"time"
 )
 
-// The protocol versions that this build speaks. A new field does not need a new version; a changed
-// meaning does.
+// The latest and the oldest protocol version that this build speaks. A new field does not need a new
+// version; a field or method that changes its meaning does.
 const (
 	Version = 1
 	Oldest  = 1
 )
 
-// Methods. All are idempotent: one whose answer was lost may be called again and returns the
-// current state.
+// Methods. Each comment names the type of the parameter and that of the result. All methods are
+// idempotent: a call whose answer was lost may be repeated and then returns the current state.
 const (
-	Hello        = "hello"         // HelloIn, HelloOut; first on each connection
+	Hello        = "hello"         // HelloIn, HelloOut; the first call on each connection
 	List         = "list"          // Empty, ListOut
 	Inspect      = "inspect"       // InstanceIn, InspectOut
 	Logs         = "logs"          // LogsIn, LogsOut
@@ -33,7 +33,7 @@
 	Metrics      = "figures"       // MetricsIn, MetricsOut
 )
 
-// Roles of a caller. Operate includes View.
+// Roles of a caller. Operate includes the rights of View.
 const (
 	View    = "view"
 	Operate = "operate"
@@ -42,17 +42,17 @@
 // Empty is the parameter or the result of a method that has none.
 type Empty struct{}
 
-// HelloIn offers the versions from Oldest to Version.
+// HelloIn offers the protocol versions from Oldest to Version.
 type HelloIn struct {
 	Oldest  int    `msgpack:"oldest"`
 	Version int    `msgpack:"version"`
-	Client  string `msgpack:"client"` // the caller, for the audit log
+	Client  string `msgpack:"client"` // name of the caller, for the audit log
 }
 
-// HelloOut is the agent's choice of a version and the caller's role.
+// HelloOut is the protocol version that the agent has chosen, and the caller's role.
 type HelloOut struct {
-	Version int       `msgpack:"version"` // of this connection from now on
+	Version int       `msgpack:"version"` // of this connection
 	Agent   string    `msgpack:"agent"`
 	Role    string    `msgpack:"role"`
-	Started time.Time `msgpack:"started"`
+	Started time.Time `msgpack:"started"` // when the agent was started
 }
--- a/internal/fleet/api/metrics.go
+++ b/internal/fleet/api/metrics.go
@@ -6,22 +6,23 @@
 	"martendrum/internal/fleet/canary"
 )
 
-// MetricsIn requests the samples of an agent's instances after a boundary, the earliest first. The
+// MetricsIn requests the samples of an agent's instances after a slot boundary, earliest first. The
 // number of a boundary is its Unix time divided by the length of the agent's slots.
 type MetricsIn struct {
 	After int64 `msgpack:"after"`
-	Limit int   `msgpack:"most"` // samples; 0: as many as fit into a message
+	Limit int   `msgpack:"most"` // maximum number of samples; 0: as many as fit into a message
 }
 
-// MetricsOut holds samples of an agent's instances.
+// MetricsOut contains samples of an agent's instances.
 type MetricsOut struct {
-	Slot    time.Duration `msgpack:"slot"` // 0: the agent collects no metrics
-	Now     time.Time     `msgpack:"now"`
-	Last    int64         `msgpack:"last"` // the latest boundary that is complete
+	Slot    time.Duration `msgpack:"slot"` // length of a slot; 0 if the agent collects no metrics
+	Now     time.Time     `msgpack:"now"`  // by the agent's clock
+	Last    int64         `msgpack:"last"` // number of the latest boundary for which all samples are included
 	Samples []Sample      `msgpack:"samples"`
 }
 
-// Sample is the state of an instance's metrics at a boundary; see canary.Sample.
+// Sample contains the metrics of an instance at a slot boundary. canary.Sample and canary.Window describe
+// the fields; Timed is Window.Sampled.
 type Sample struct {
 	Instance string                   `msgpack:"i"`
 	Boundary int64                    `msgpack:"b"`
@@ -40,8 +41,8 @@
 	Files    uint32                   `msgpack:"f"`
 }
 
-// CanarySample returns the sample for the canary analysis: instance is the instance's index, and
-// classes is the order of the classes.
+// CanarySample returns the sample in the form of the canary analysis. instance is the index of the
+// instance there, and classes names the classes in the order of canary.Config.Classes.
 func (s *Sample) CanarySample(instance int, classes []string) canary.Sample {
 	window := canary.Window{Instance: instance, Release: s.Release, Attempts: s.Attempts, Finished: s.Finished, Rejected: s.Rejected,
 		Sampled: s.Timed, Slow: s.Slow, Crashes: s.Crashes, Memory: s.Memory, Files: s.Files, Classes: make([]canary.Counts, len(classes))}
--- a/internal/fleet/api/operations.go
+++ b/internal/fleet/api/operations.go
@@ -23,7 +23,7 @@
 	Rollback = "rollback"
 )
 
-// Outcomes of a step.
+// States of a step. See Step.Status.
 const (
 	StepRunning = "running"
 	StepOK      = "ok"
@@ -37,7 +37,7 @@
 	OpClosed   = "closed"
 )
 
-// Target is one instance of an operation.
+// Target is an instance that an operation changes.
 type Target struct {
 	Host     string `msgpack:"host" json:"host"`
 	Instance string `msgpack:"instance" json:"instance"`
@@ -49,22 +49,22 @@
 	Shop string `msgpack:"shop,omitempty" json:"shop,omitempty"`
 }
 
-// Operation is a change to a set of instances. Every agent of one of them stores the complete
-// operation, so that any operator can resume it from any of the agents.
+// Operation is a change to a set of instances. Each agent that has one of these instances stores the
+// complete operation, so that any operator can resume it from any of the agents.
 type Operation struct {
 	ID       string        `msgpack:"id" json:"id"`
 	Action   string        `msgpack:"action" json:"action"`
-	Release  string        `msgpack:"release" json:"release,omitempty"` // of an upgrade
-	Targets  []Target      `msgpack:"targets" json:"targets"`           // in the order of the change
+	Release  string        `msgpack:"release" json:"release,omitempty"` // hash of the release that an upgrade installs
+	Targets  []Target      `msgpack:"targets" json:"targets"`           // in the order in which they are changed
 	Policy   Policy        `msgpack:"policy" json:"policy"`
-	Ready    time.Duration `msgpack:"ready" json:"ready"` // the time in which an instance must become ready
-	Soak     time.Duration `msgpack:"soak" json:"soak"`   // the time for which it must then stay ready
+	Ready    time.Duration `msgpack:"ready" json:"ready"` // time within which a changed instance must become ready
+	Soak     time.Duration `msgpack:"soak" json:"soak"`   // time for which it must then stay ready
 	Operator string        `msgpack:"operator" json:"operator"`
 	Created  time.Time     `msgpack:"created" json:"created"`
 
-	Staged *Staged `msgpack:"staged,omitempty" json:"staged,omitempty"` // nil: a rolling change in batches
-	Places []Place `msgpack:"places,omitempty" json:"places,omitempty"` // of Targets; empty: unknown
-	Note   *Note   `msgpack:"note,omitempty" json:"note,omitempty"`     // the latest at this agent; nil: none
+	Staged *Staged `msgpack:"staged,omitempty" json:"staged,omitempty"` // nil for a rolling change in batches
+	Places []Place `msgpack:"places,omitempty" json:"places,omitempty"` // of Targets, in the same order; empty if unknown
+	Note   *Note   `msgpack:"note,omitempty" json:"note,omitempty"`     // the latest at this agent; nil if there is none
 }
 
 // OpenIn opens or resumes an operation and acquires the leases of its instances at this agent.
@@ -74,13 +74,14 @@
 	TTL         time.Duration `msgpack:"ttl"`
 }
 
-// OpenOut is the fencing token of the acquired leases and their end.
+// OpenOut is the fencing token of the acquired leases and the time at which they expire.
 type OpenOut struct {
 	Token   int64     `msgpack:"token"`
 	Expires time.Time `msgpack:"expires"`
 }
 
-// StepIn starts a step of an operation on one instance.
+// StepIn starts a step of an operation on one instance. Token is that of OpenOut, Kind is Change or
+// Rollback.
 type StepIn struct {
 	Op       string `msgpack:"op"`
 	Token    int64  `msgpack:"token"`
@@ -88,7 +89,7 @@
 	Kind     string `msgpack:"kind"`
 }
 
-// Step is what an agent did to one instance for one operation.
+// Step is what an agent does, or has done, to one instance for one operation.
 type Step struct {
 	Op         string        `msgpack:"op" json:"op"`
 	Instance   string        `msgpack:"instance" json:"instance"`
@@ -96,11 +97,11 @@
 	Action     string        `msgpack:"action" json:"action"`
 	Status     string        `msgpack:"status" json:"status"`
 	Reason     string        `msgpack:"reason" json:"reason,omitempty"`
-	Cause      string        `msgpack:"cause,omitempty" json:"cause,omitempty"` // why the agent started it on its own
+	Cause      string        `msgpack:"cause,omitempty" json:"cause,omitempty"` // why the agent started the step without a command; "" if a command did
 	Generation int64         `msgpack:"generation" json:"generation"`
-	From       string        `msgpack:"from" json:"from,omitempty"`     // the release before
-	To         string        `msgpack:"to" json:"to,omitempty"`         // the release after
-	Before     string        `msgpack:"before" json:"before,omitempty"` // the release that a rollback would have led to before
+	From       string        `msgpack:"from" json:"from,omitempty"`     // release of the instance before the step
+	To         string        `msgpack:"to" json:"to,omitempty"`         // release of the instance after the step
+	Before     string        `msgpack:"before" json:"before,omitempty"` // the instance's previous release (Instance.Previous) before the step
 	Ready      time.Duration `msgpack:"ready" json:"ready"`
 	Soak       time.Duration `msgpack:"soak" json:"soak"`
 	Started    time.Time     `msgpack:"started" json:"started"`
@@ -108,20 +109,21 @@
 	Token      int64         `msgpack:"token" json:"token"`
 }
 
-// CloseIn closes an operation with a result.
+// CloseIn closes an operation with a result, which ends its leases at this agent.
 type CloseIn struct {
 	Op     string `msgpack:"op"`
 	Token  int64  `msgpack:"token"`
 	Result string `msgpack:"result"`
 }
 
-// AbortIn aborts an operation.
+// AbortIn aborts an operation: running steps finish and no new one starts.
 type AbortIn struct {
 	Op string `msgpack:"op"`
 }
 
-// StatusIn requests the state of an operation at this agent. With a Token it renews the leases for
-// TTL. With Wait the answer is delayed, for that long at most, until a change after After.
+// StatusIn requests the state of an operation at this agent. If Token is set, the call also renews the
+// leases for TTL. If Wait is set, the answer is delayed until the agent's change number exceeds After, for
+// Wait at most.
 type StatusIn struct {
 	Op    string        `msgpack:"op"`
 	Token int64         `msgpack:"token"`
@@ -130,16 +132,16 @@
 	Wait  time.Duration `msgpack:"wait"`
 }
 
-// OpOut is an operation as one agent has it.
+// OpOut is the state of an operation at one agent.
 type OpOut struct {
 	Operation   Operation  `msgpack:"operation"`
 	State       string     `msgpack:"state"`
 	Result      string     `msgpack:"result"`
 	LeaseHolder string     `msgpack:"holder"`
-	Expires     time.Time  `msgpack:"expires"`
+	Expires     time.Time  `msgpack:"expires"` // when the leases expire
 	Steps       []Step     `msgpack:"steps"`
-	Instances   []Instance `msgpack:"instances"` // the operation's, of this agent
-	Change      int64      `msgpack:"change"`    // for StatusIn.After
+	Instances   []Instance `msgpack:"instances"` // those of the operation that this agent has
+	Change      int64      `msgpack:"change"`    // the agent's change number, for StatusIn.After
 	Now         time.Time  `msgpack:"now"`
 }
 
--- a/internal/fleet/api/releases.go
+++ b/internal/fleet/api/releases.go
@@ -26,9 +26,10 @@
 	Size int64  `msgpack:"size"` // of the complete file
 }
 
-// ReleaseOut says whether an agent has a release, and how much of one that is being written.
+// ReleaseOut reports whether an agent has a complete release and, if it has not, how much of the release
+// it has received so far.
 type ReleaseOut struct {
 	Have    bool  `msgpack:"have"`
-	Sidecar int64 `msgpack:"sidecar"` // bytes received so far
-	Overlay int64 `msgpack:"overlay"`
+	Sidecar int64 `msgpack:"sidecar"` // bytes received of the program
+	Overlay int64 `msgpack:"overlay"` // bytes received of the overlay
 }
--- a/internal/fleet/api/staged.go
+++ b/internal/fleet/api/staged.go
@@ -10,30 +10,31 @@
 // Staged configures a change in stages; see packages stage and canary.
 type Staged struct {
 	Plan  stage.Plan    `msgpack:"plan" json:"plan"`
-	Judge canary.Config `msgpack:"judge" json:"judge"` // its Start is set when the first stage starts
-	Seed  uint64        `msgpack:"seed" json:"seed"`   // of the random order of the targets
+	Judge canary.Config `msgpack:"judge" json:"judge"` // except for Start, which is set when the first stage starts
+	Seed  uint64        `msgpack:"seed" json:"seed"`   // of the order of the targets; see stage.Draw
 	// First is the boundary (Unix time over slot length) at which slot 0 begins.
 	First int64 `msgpack:"first" json:"first"`
-	// Alone is how long an agent waits after the last lease of the operation has expired before
-	// it rolls back those of its instances that fail the coarse rule. 0: never.
+	// Alone is how long an agent waits after the last lease of the operation has expired before it rolls
+	// back those of its instances that fail canary.Coarse. 0: it never does.
 	Alone time.Duration `msgpack:"alone" json:"alone"`
 }
 
-// Note is the progress of a staged change, as the holder of its leases last recorded it. Of two
-// notes, the one with the higher Number counts.
+// Note is the progress of a staged change, as the holder of its leases last recorded it. If agents have
+// different notes, the one with the highest Number is valid.
 type Note struct {
 	Number int64       `msgpack:"number" json:"number"`
 	At     time.Time   `msgpack:"at" json:"at"`
-	By     string      `msgpack:"by" json:"by"`
+	By     string      `msgpack:"by" json:"by"` // holder of the leases
 	State  stage.State `msgpack:"state" json:"state"`
 	Start  int         `msgpack:"start" json:"start"` // slot at which the first stage started
-	Log    []Verdict   `msgpack:"log" json:"log"`     // the latest last, MaxVerdicts at most
+	Log    []Verdict   `msgpack:"log" json:"log"`     // latest last, at most MaxVerdicts
 }
 
-// MaxVerdicts bounds the verdicts of a note.
+// MaxVerdicts is the maximum number of verdicts in a note.
 const MaxVerdicts = 64
 
-// Verdict is a change of the canary analysis's verdict, for the report.
+// Verdict is a decision on a staged change, with the verdict and evidence of the canary analysis behind
+// it, for the report.
 type Verdict struct {
 	At       time.Time `msgpack:"at" json:"at"`
 	Slot     int       `msgpack:"slot" json:"slot"`
--- a/internal/fleet/release/content.go
+++ b/internal/fleet/release/content.go
@@ -16,8 +16,8 @@
 // Valid reports whether a string has the form of a release's hash.
 func Valid(hash string) bool { return hashPattern.MatchString(hash) }
 
-// Hash returns the hash of the release that consists of the files with these paths. overlay
-// may be "".
+// Hash returns the hash of the release that consists of the program and the overlay at these
+// paths. If overlay is "", the release has the same hash as with an empty overlay.
 func Hash(sidecar, overlay string) (string, error) {
 	h := sha256.New()
 	fmt.Fprintln(h, "martendrum release 1")
@@ -48,14 +48,14 @@
 	return h.Sum(nil), nil
 }
 
-// CheckOverlay returns an error if data is not a valid overlay: a JSON object without keys
-// that differ between instances, or empty for none.
+// CheckOverlay returns an error if data is not a valid overlay. A valid one is empty, or a JSON
+// object of at most MaxOverlay bytes without the keys that differ between instances.
 func CheckOverlay(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
 	if len(data) > MaxOverlay {
-		return fmt.Errorf("overlay: %d bytes; %d at most", len(data), MaxOverlay)
+		return fmt.Errorf("overlay: it has %d bytes; at most %d are allowed", len(data), MaxOverlay)
 	}
 	var object map[string]any
 	if err := json.Unmarshal(data, &object); err != nil {
@@ -63,7 +63,7 @@
 	}
 	for _, key := range []string{"listen", "name", "seed"} {
 		if _, ok := object[key]; ok {
-			return fmt.Errorf("overlay: %q differs from instance to instance and can't be part of a release", key)
+			return fmt.Errorf("overlay: the key %q differs between instances and can't be part of a release", key)
 		}
 	}
 	return nil
--- a/internal/fleet/release/release.go
+++ b/internal/fleet/release/release.go
@@ -1,10 +1,10 @@
-// Package release stores releases by content hash: a sidecar's program, and an overlay for
-// its configuration. The files stored under a hash are complete: they are received in a
-// separate folder, checked, synced and only then renamed to their hash, and they are
-// checked again each time before the program is started.
+// Package release stores releases by content hash. A release is a sidecar's program and an
+// overlay for its configuration. The files stored under a hash are complete: they are
+// received in a separate folder, checked and synced, and only then the folder is renamed to
+// the hash. They are checked again each time before the program is started.
 //
-// A Dir has one owner at a time, the agent. The package does not decide which releases are
-// in use: Prune's caller does.
+// A Dir must have only one user at a time, the agent. The package does not decide which
+// releases are in use: the caller of Prune does.
 package release
 
 import (
@@ -23,8 +23,8 @@
 	Overlay = "overlay.json"
 )
 
-// maxIncoming is the maximum number of releases being received at once. A further one
-// discards the oldest, which its sender must begin again.
+// maxIncoming is the maximum number of releases that are received at the same time. A further
+// one discards the oldest, which must then be sent again from the start.
 const maxIncoming = 4
 
 // MaxSize is the maximum size of a program and MaxOverlay that of an overlay, in bytes.
@@ -33,14 +33,14 @@
 	MaxOverlay = 1 << 20
 )
 
-// ErrNotFound is returned for a release that is not stored.
+// ErrNotFound is wrapped by the error of Verify and Commit for a release that is not there.
 var ErrNotFound = errors.New("release: not there")
 
 // Dir is a folder of releases.
 type Dir struct{ path string }
 
-// Open creates the folder if it does not exist, and removes releases that were not received
-// completely.
+// Open opens the folder at path and creates it if it does not exist. It removes releases that
+// were not received completely.
 func Open(path string) (*Dir, error) {
 	if err := os.RemoveAll(filepath.Join(path, "incoming")); err != nil {
 		return nil, fmt.Errorf("release: %w", err)
@@ -54,17 +54,17 @@
 // incoming returns the folder in which a release is received.
 func (d *Dir) incoming(hash string) string { return filepath.Join(d.path, "incoming", hash) }
 
-// Path returns the path of a release's file.
+// Path returns the path of a file, Sidecar or Overlay, of a stored release.
 func (d *Dir) Path(hash, file string) string { return filepath.Join(d.path, hash, file) }
 
 // Status is how much of a release is stored.
 type Status struct {
-	Complete bool
-	// The bytes received of each file, while the release is not complete.
+	Complete bool // the release is stored
+	// Bytes received of each file, as long as the release is not complete.
 	Sidecar, Overlay int64
 }
 
-// Status returns how much of a release is stored.
+// Status returns whether a release is stored, and otherwise how much of it was received.
 func (d *Dir) Status(hash string) Status {
 	if _, err := os.Stat(filepath.Join(d.path, hash)); err == nil {
 		return Status{Complete: true}
@@ -78,33 +78,35 @@
 	return Status{Sidecar: size(Sidecar), Overlay: size(Overlay)}
 }
 
-// SameProgram reports whether two releases have the same program.
-func (d *Dir) SameProgram(x, y string) (bool, error) {
-	one, err := fileSum(d.Path(x, Sidecar))
+// SameProgram reports whether two stored releases, named by their hashes, have the same
+// program.
+func (d *Dir) SameProgram(hash, otherHash string) (bool, error) {
+	digest, err := fileSum(d.Path(hash, Sidecar))
 	if err != nil {
 		return false, fmt.Errorf("release: %w", err)
 	}
-	other, err := fileSum(d.Path(y, Sidecar))
+	otherDigest, err := fileSum(d.Path(otherHash, Sidecar))
 	if err != nil {
 		return false, fmt.Errorf("release: %w", err)
 	}
-	return bytes.Equal(one, other), nil
+	return bytes.Equal(digest, otherDigest), nil
 }
 
-// Write writes bytes at an offset, which must not be beyond the end of what was received
-// of the file. Bytes that were received before may be written again.
+// Write writes data at an offset of a file, Sidecar or Overlay, of a release that is being
+// received. Bytes may be written again. Write returns an error if the offset is beyond the end
+// of what was received so far, or if the file would exceed its maximum size.
 func (d *Dir) Write(hash, file string, offset int64, data []byte) error {
 	limit := int64(MaxSize)
 	switch {
 	case !Valid(hash):
-		return fmt.Errorf("release: %q is no release's hash", hash)
+		return fmt.Errorf("release: %q is not the hash of a release", hash)
 	case file == Overlay:
 		limit = MaxOverlay
 	case file != Sidecar:
-		return fmt.Errorf("release: a file %q; it has %s and %s", file, Sidecar, Overlay)
+		return fmt.Errorf("release: unknown file %q; a release has the files %s and %s", file, Sidecar, Overlay)
 	}
 	if offset < 0 || offset+int64(len(data)) > limit {
-		return fmt.Errorf("release: %s over %d bytes", file, limit)
+		return fmt.Errorf("release: offset or size of %s is outside of its maximum of %d bytes", file, limit)
 	}
 	if err := d.makeIncoming(hash); err != nil {
 		return err
@@ -119,7 +121,7 @@
 		return fmt.Errorf("release: %w", err)
 	}
 	if offset > info.Size() {
-		return fmt.Errorf("release: %s has %d bytes and more came at %d", file, info.Size(), offset)
+		return fmt.Errorf("release: %s has %d bytes so far, but the new ones start at %d", file, info.Size(), offset)
 	}
 	if _, err := f.WriteAt(data, offset); err != nil {
 		return fmt.Errorf("release: %w", err)
@@ -127,8 +129,8 @@
 	return nil
 }
 
-// makeIncoming creates the folder in which a release is received, and discards the oldest
-// if there are too many.
+// makeIncoming creates the folder in which a release is received. If that is one folder too
+// many, it discards the oldest.
 func (d *Dir) makeIncoming(hash string) error {
 	if _, err := os.Stat(d.incoming(hash)); errors.Is(err, os.ErrNotExist) {
 		if err := prune(filepath.Join(d.path, "incoming"), nil, maxIncoming-1); err != nil {
@@ -142,7 +144,8 @@
 }
 
 // Commit checks a received release and stores it under its hash. A release that fails the
-// check is discarded and must be sent again. Committing a stored release verifies it.
+// check is discarded and must be sent again. For a release that is already stored, Commit does
+// the same as Verify.
 func (d *Dir) Commit(hash string) error {
 	if d.Status(hash).Complete {
 		return d.Verify(hash)
@@ -184,16 +187,17 @@
 	return f.Sync()
 }
 
-// Verify returns nil if the release is stored and its files have its hash. If it is not
-// stored, the error wraps ErrNotFound.
+// Verify checks the files of a stored release against its hash. If the release is not stored,
+// the error wraps ErrNotFound.
 func (d *Dir) Verify(hash string) error {
 	if !Valid(hash) {
-		return fmt.Errorf("release: %q is no release's hash", hash)
+		return fmt.Errorf("release: %q is not the hash of a release", hash)
 	}
 	return verify(filepath.Join(d.path, hash), hash)
 }
 
-// verify checks the files in a folder against a hash.
+// verify checks the files in a folder against a hash. If the program is missing, the error
+// wraps ErrNotFound.
 func verify(dir, hash string) error {
 	overlay := filepath.Join(dir, Overlay)
 	if _, err := os.Stat(overlay); err != nil {
@@ -207,12 +211,13 @@
 		return fmt.Errorf("release: %w", err)
 	}
 	if got != hash {
-		return fmt.Errorf("release: the files of %.12s have the hash %.12s: they are damaged or not whole; send the release again", hash, got)
+		return fmt.Errorf("release: the files of %.12s have the hash %.12s: they are damaged or incomplete; send the release again", hash, got)
 	}
 	return nil
 }
 
-// Import stores a release from local files and returns its hash.
+// Import stores a release from local files and returns its hash. overlay may be "". A stored
+// release whose files are damaged is replaced.
 func (d *Dir) Import(sidecar, overlay string) (string, error) {
 	hash, err := Hash(sidecar, overlay)
 	if err != nil {
@@ -241,14 +246,14 @@
 		return fmt.Errorf("release: %w", err)
 	}
 	defer in.Close()
-	buf := make([]byte, importChunk)
-	for at := int64(0); ; {
+	buf := make([]byte, importChunkBytes)
+	for offset := int64(0); ; {
 		n, err := in.Read(buf)
 		if n > 0 {
-			if err := d.Write(hash, file, at, buf[:n]); err != nil {
+			if err := d.Write(hash, file, offset, buf[:n]); err != nil {
 				return err
 			}
-			at += int64(n)
+			offset += int64(n)
 		}
 		if err == io.EOF {
 			return nil
@@ -259,13 +264,15 @@
 	}
 }
 
-// importChunk is the number of bytes that importFile reads at once.
-const importChunk = 256 << 10
+// importChunkBytes is the number of bytes that importFile reads at once.
+const importChunkBytes = 256 << 10
 
-// Prune removes all releases except those used and the latest spare others.
+// Prune removes stored releases. It retains those whose hashes are in used, and of the others
+// the spare most recent ones.
 func (d *Dir) Prune(used []string, spare int) error { return prune(d.path, used, spare) }
 
-// prune removes all folders named by a hash except those used and the latest spare others.
+// prune removes folders in path that are named by a hash. It retains those in used, and of the
+// others the spare most recent ones.
 func prune(path string, used []string, spare int) error {
 	entries, err := os.ReadDir(path)
 	if err != nil {
--- a/internal/fleet/release/release_test.go
+++ b/internal/fleet/release/release_test.go
@@ -8,72 +8,76 @@
 	"testing"
 )
 
-// files creates a program file and an empty folder of releases.
-func files(t *testing.T, program string) (dir *Dir, root, path string) {
+// newDir returns an empty folder of releases, the temporary folder that contains it, and the
+// path of a program file with the given content.
+func newDir(t *testing.T, program string) (dir *Dir, root, path string) {
 	t.Helper()
 	root = t.TempDir()
 	path = filepath.Join(root, "program")
 	if err := os.WriteFile(path, []byte(program), 0o700); err != nil {
-		t.Fatal(err)
+		t.Fatalf("creating the program file: %v", err)
 	}
 	dir, err := Open(filepath.Join(root, "releases"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open: %v", err)
 	}
 	return dir, root, path
 }
 
-// A release that was not received completely can never be started, wherever it was cut off,
-// and is removed by a new owner.
+// TestIncompleteRelease checks that a release that was not received completely can't be
+// started, however much of it was received, and that Open removes it. It also checks that
+// damage to a stored release is found and that Import repairs it.
 func TestIncompleteRelease(t *testing.T) {
-	d, root, path := files(t, "0123456789")
+	d, root, path := newDir(t, "0123456789")
 	hash, err := Hash(path, "")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Hash: %v", err)
 	}
 	for n := range 10 {
 		if err := d.Write(hash, Sidecar, int64(n), []byte("0123456789")[n:n+1]); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing byte %d: %v", n, err)
 		}
 		if got := d.Status(hash); got.Complete || got.Sidecar != int64(n+1) {
-			t.Fatalf("after %d bytes: %+v", n+1, got)
+			t.Fatalf("status after %d bytes = %+v, want an incomplete release with as many bytes", n+1, got)
 		}
 		if err := d.Verify(hash); !errors.Is(err, ErrNotFound) {
-			t.Fatalf("after %d bytes it can be started: %v", n+1, err)
+			t.Fatalf("Verify after %d bytes: got error %v, want ErrNotFound", n+1, err)
 		}
 	}
 	if d, err = Open(filepath.Join(root, "releases")); err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the folder again: %v", err)
 	}
 	if got := d.Status(hash).Sidecar; got != 0 {
-		t.Errorf("%d bytes of an incomplete release remain", got)
+		t.Errorf("after Open, %d bytes of an incomplete release remain, want 0", got)
 	}
 	d.Write(hash, Sidecar, 0, []byte("012345678"))
 	if err := d.Commit(hash); err == nil {
-		t.Error("a release that lacks its last byte was accepted")
+		t.Error("Commit accepted a release without its last byte")
 	}
 	if err := d.Write(hash, Sidecar, 0, []byte("0123456789")); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the complete program: %v", err)
 	}
-	for range 2 { // repeating it is harmless
+	for range 2 { // Commit can be repeated
 		if err := d.Commit(hash); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Commit of the complete release: %v", err)
 		}
 	}
 	if err := d.Verify(hash); err != nil {
-		t.Error(err)
+		t.Errorf("Verify of the stored release: %v", err)
 	}
 	os.WriteFile(d.Path(hash, Sidecar), []byte("0123456780"), 0o700)
 	if err := d.Verify(hash); err == nil || !strings.Contains(err.Error(), "damaged") {
-		t.Errorf("a program changed on the disk: %v", err)
+		t.Errorf("Verify after the program changed on disk: got error %v, want one that says damaged", err)
 	}
-	if again, err := d.Import(path, ""); err != nil || again != hash || d.Verify(hash) != nil {
-		t.Errorf("import does not repair it: %v", err)
+	if imported, err := d.Import(path, ""); err != nil || imported != hash || d.Verify(hash) != nil {
+		t.Errorf("Import over the damaged release = %q, %v; want %q and files that Verify accepts", imported, err, hash)
 	}
 }
 
+// TestOverlays checks which overlays are accepted, and that a release with an invalid one is
+// not stored.
 func TestOverlays(t *testing.T) {
-	d, root, path := files(t, "x")
+	d, root, path := newDir(t, "x")
 	overlay := filepath.Join(root, "o.json")
 	for text, want := range map[string]string{
 		"{": "JSON", "[]": "object", `{"listen":"x"}`: "listen", `{"seed":"x"}`: "seed", `{"limits":{}}`: "", "": "",
@@ -81,49 +85,52 @@
 		os.WriteFile(overlay, []byte(text), 0o600)
 		hash, err := d.Import(path, overlay)
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v; want %q", text, err, want)
+			t.Errorf("Import with overlay %q: got error %v, want one that contains %q, or none if that is empty", text, err, want)
 		}
 		if complete := d.Status(hash).Complete; complete != (want == "") && hash != "" {
-			t.Errorf("%q: complete %v", text, complete)
+			t.Errorf("after Import with overlay %q: complete = %v, want %v", text, complete, want == "")
 		}
 	}
 }
 
-// Releases that are never received completely do not accumulate.
+// TestIncomingIsBounded checks that releases that are never received completely do not
+// accumulate.
 func TestIncomingIsBounded(t *testing.T) {
-	d, root, _ := files(t, "x")
+	d, root, _ := newDir(t, "x")
 	for n := range 20 {
 		if err := d.Write(strings.Repeat(string("0123456789abcdef0123"[n]), 63)+"0", Sidecar, 0, []byte("x")); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing to release %d: %v", n, err)
 		}
 	}
-	if e, err := os.ReadDir(filepath.Join(root, "releases", "incoming")); err != nil || len(e) > maxIncoming {
-		t.Errorf("%d are being received, %v", len(e), err)
+	if entries, err := os.ReadDir(filepath.Join(root, "releases", "incoming")); err != nil || len(entries) > maxIncoming {
+		t.Errorf("%d releases are being received (error %v), want at most %d", len(entries), err, maxIncoming)
 	}
 }
 
+// TestPruneKeepsUsedAndSpare checks that Prune retains the releases in use and the given
+// number of others.
 func TestPruneKeepsUsedAndSpare(t *testing.T) {
-	d, root, _ := files(t, "x")
+	d, root, _ := newDir(t, "x")
 	var hashes []string
 	for _, text := range []string{"a", "b", "c", "d"} {
 		path := filepath.Join(root, text)
 		os.WriteFile(path, []byte(text), 0o700)
-		h, err := d.Import(path, "")
+		hash, err := d.Import(path, "")
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Import of program %q: %v", text, err)
 		}
-		hashes = append(hashes, h)
+		hashes = append(hashes, hash)
 	}
 	if err := d.Prune(hashes[:1], 1); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Prune: %v", err)
 	}
 	left := 0
-	for _, h := range hashes[1:] {
-		if d.Verify(h) == nil {
+	for _, hash := range hashes[1:] {
+		if d.Verify(hash) == nil {
 			left++
 		}
 	}
 	if d.Verify(hashes[0]) != nil || left != 1 {
-		t.Errorf("the one in use: %v; %d of three others are left", d.Verify(hashes[0]), left)
+		t.Errorf("after Prune: Verify of the release in use = %v, want nil; %d of 3 others remain, want 1", d.Verify(hashes[0]), left)
 	}
 }
--- a/internal/fleet/store/postgres/commit.go
+++ b/internal/fleet/store/postgres/commit.go
@@ -13,14 +13,14 @@
 	"martendrum/internal/pg"
 )
 
-// numericColumns are stored as bigint; the others are text.
+// numericColumns are the columns of type bigint; the others have type text.
 var numericColumns = map[string]bool{
 	"generation": true, "process": true, "pid": true, "ticks": true, "launched": true, "restarts": true, "closed": true,
 	"token": true, "granted": true, "expires": true,
 }
 
-// upsert is a statement that writes a row of an agent. The agent's name and the first
-// keyColumns of the columns are the primary key.
+// upsert returns the statement that inserts or replaces an agent's row. The primary key is the
+// agent's name and the first keyColumns of the columns.
 func upsert(table string, keyColumns int, columns string) string {
 	names := strings.Split("agent, "+columns, ", ")
 	var parameters, assignments []string
@@ -48,7 +48,8 @@
 			(SELECT coalesce(max(n), 0) + 1 FROM martendrum_audit WHERE agent = $1::text), $2::bigint, $3::text, $4::text, $5::text, $6::text)`
 )
 
-// Commit implements store.Store.
+// Commit implements store.Store. Because each change has a random ID that is stored with it, a
+// COMMIT whose outcome is unknown can be repeated without writing the change twice.
 func (s *Store) Commit(ctx context.Context, change *store.Change) error {
 	var random [changeIDBytes]byte
 	rand.Read(random[:])
@@ -65,7 +66,8 @@
 	}
 }
 
-// commit runs one transaction; committing says that an error is that of its COMMIT.
+// commit writes a change in one transaction. committing reports whether the error is that of
+// the COMMIT, whose outcome may be unknown.
 func (s *Store) commit(ctx context.Context, change *store.Change, changeID string) (committing bool, err error) {
 	batch, err := s.newBatch(change, changeID)
 	if err != nil {
@@ -81,26 +83,27 @@
 		switch {
 		case epoch != s.epoch:
 			return ErrSuperseded
-		case last == changeID: // an earlier attempt took effect
+		case last == changeID: // an earlier attempt has taken effect
 			alreadyWritten = true
 			return nil
 		}
 		return tx.SendBatch(ctx, batch).Close()
 	})
-	if alreadyWritten { // the outcome of a transaction that only read does not matter
+	if alreadyWritten { // the transaction has only read, so its outcome does not matter
 		return false, nil
 	}
 	return committing, err
 }
 
-// changeBatch is the statements of a change. The first parameter of each is the agent.
+// changeBatch collects the statements of a change. The first parameter of each is the agent's
+// name.
 type changeBatch struct {
 	agent string
 	batch *pgx.Batch
-	err   error // the first of a row's values
+	err   error // the first error in the values of a row
 }
 
-// newBatch is the statements of a change, the last of which stores its ID.
+// newBatch returns the statements of a change, the last of which stores the change's ID.
 func (s *Store) newBatch(change *store.Change, changeID string) (*pgx.Batch, error) {
 	b := &changeBatch{agent: s.agent, batch: &pgx.Batch{}}
 	b.putAll(change)
@@ -109,11 +112,13 @@
 	return b.batch, b.err
 }
 
+// queue adds a statement. args are its parameters after the agent's name.
 func (b *changeBatch) queue(statement string, args ...any) {
 	b.batch.Queue(statement, append([]any{b.agent}, args...)...)
 }
 
-// put queues a row's statement. err is that of its values.
+// put adds a row's statement. values and err are the results of the function that returns the
+// row's values.
 func (b *changeBatch) put(statement string, values []any, err error) {
 	if b.err == nil {
 		b.err = err
@@ -121,7 +126,7 @@
 	b.queue(statement, values...)
 }
 
-// putAll queues a change's rows.
+// putAll adds the statements for the rows that a change writes.
 func (b *changeBatch) putAll(change *store.Change) {
 	for _, instance := range change.Instances {
 		b.put(putInstance, instance.Values(), nil)
@@ -145,7 +150,8 @@
 	}
 }
 
-// dropAll queues the deletion of a change's rows, and of audit entries past the limit.
+// dropAll adds the statements for the rows that a change deletes, including audit entries over
+// its limit.
 func (b *changeBatch) dropAll(change *store.Change) {
 	for _, key := range change.DropSettings {
 		b.queue("DELETE FROM martendrum_settings WHERE agent = $1::text AND key = $2::text", key)
--- a/internal/fleet/store/postgres/postgres.go
+++ b/internal/fleet/store/postgres/postgres.go
@@ -1,7 +1,8 @@
 // Package postgres is an agent's store in a PostgreSQL database that many agents share,
-// each under its name. The agent that opened a store last owns it: each change requires the
-// epoch that opening raises, so that two agents of one name can't both write. A COMMIT of
-// unknown outcome is resolved by reading the ID of the last change.
+// each under its name. The agent that opened a store last owns it: opening increments the
+// store's epoch, and each change requires the current epoch, so that two agents with the same
+// name can't both write. If the outcome of a COMMIT is unknown, the ID of the last change shows
+// whether it took effect.
 package postgres
 
 import (
@@ -34,8 +35,8 @@
 var Version = len(schema.Migrations)
 
 const (
-	openTimeout = 30 * time.Second
-	// maxRetries is how often a transaction that may be repeated is.
+	openTimeout = 30 * time.Second // for Open, with the migration of the schema
+	// maxRetries is the maximum number of times that Commit repeats a failed transaction.
 	maxRetries = 5
 	// changeIDBytes is the length of a change's random ID, in bytes.
 	changeIDBytes = 12
@@ -48,24 +49,26 @@
 	epoch int64
 }
 
-// SupersededError says that another agent of the same name owns the store now.
+// SupersededError reports that another agent with the same name has opened the store since and
+// now owns it.
 type SupersededError struct{}
 
-// Error has the problem and the next step.
+// Error implements error. The text includes the advice.
 func (e SupersededError) Error() string {
-	return "another agent of this name has taken the record over: " + e.Advice()
+	return "another agent with this name has taken over the record: " + e.Advice()
 }
 
-// Advice is the next step.
+// Advice says what an operator can do.
 func (SupersededError) Advice() string {
-	return "give each host's agent a name of its own, and end one of them"
+	return "give the agent of each host a unique name, and stop one of the two agents"
 }
 
-// ErrSuperseded is the SupersededError.
+// ErrSuperseded is the only value of SupersededError, for errors.Is.
 var ErrSuperseded error = SupersededError{}
 
-// Open opens an agent's store, creates it if there is none, and owns it from then on. It
-// needs the database.
+// Open opens an agent's store and takes it over from any agent that opened it before. It creates
+// the store if there is none, and migrates the schema. It returns an error if the database can't
+// be reached.
 func Open(ctx context.Context, config pg.Config, agent string) (*Store, error) {
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
@@ -85,13 +88,14 @@
 	return s, nil
 }
 
-// Close closes the connections.
+// Close closes the connections to the database.
 func (s *Store) Close() error {
 	s.db.Close()
 	return nil
 }
 
-// read calls scan for each row of a query whose first parameter is the agent.
+// read calls scan for each row of a query. The query's first parameter is the agent's name, and
+// args are the others.
 func (s *Store) read(ctx context.Context, query string, scan func(store.Scanner) error, args ...any) error {
 	rows, err := s.db.Pool.Query(ctx, query, append([]any{s.agent}, args...)...)
 	if err != nil {
--- a/internal/fleet/store/postgres/postgres_test.go
+++ b/internal/fleet/store/postgres/postgres_test.go
@@ -18,137 +18,143 @@
 
 var ctx = context.Background()
 
-func serve(t *testing.T) (*pgserver.Server, pg.Config) {
+// startServer starts an empty stand-in for a PostgreSQL server, and returns it with the
+// configuration to connect to it.
+func startServer(t *testing.T) (*pgserver.Server, pg.Config) {
 	t.Helper()
 	s, err := pgserver.Start(pgserver.Config{})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("starting the stand-in server: %v", err)
 	}
 	t.Cleanup(func() { s.Close() })
 	return s, pg.Config{URL: s.URL(), MaxConnections: 2, StatementTimeout: 5 * time.Second, ConnectTimeout: 5 * time.Second}
 }
 
+// mustOpen opens an agent's store until the end of the test.
 func mustOpen(t *testing.T, cfg pg.Config, agent string) *Store {
 	t.Helper()
 	s, err := Open(ctx, cfg, agent)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the store of %s: %v", agent, err)
 	}
 	t.Cleanup(func() { s.Close() })
 	return s
 }
 
+// TestStore runs the tests of package storetest, and checks that they do not change the store of
+// another agent in the same database.
 func TestStore(t *testing.T) {
-	_, cfg := serve(t)
+	_, cfg := startServer(t)
 	other := mustOpen(t, cfg, "host-b")
 	if err := other.Commit(ctx, storetest.Full()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Commit to the store of host-b: %v", err)
 	}
 	storetest.Run(t, func() store.Store { return mustOpen(t, cfg, "host-a") })
 	if got, err := other.Load(ctx); err != nil || len(got.Instances) != 1 || len(got.Leases) != 1 {
-		t.Errorf("the other agent's record: %+v %v", got, err)
+		t.Errorf("Load from the store of host-b = %+v, %v; want its 1 instance and 1 lease", got, err)
 	}
 }
 
-// TestSuperseded checks that the agent that opened the store last owns it, and that the one
-// before can't write any more.
+// TestSuperseded checks that the agent that opened the store last can write, and that the agent
+// that opened it before can't.
 func TestSuperseded(t *testing.T) {
-	_, cfg := serve(t)
+	_, cfg := startServer(t)
 	first := mustOpen(t, cfg, "host-a")
 	if err := first.Commit(ctx, storetest.Full()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Commit by the first agent: %v", err)
 	}
 	second := mustOpen(t, cfg, "host-a")
 	if err := first.Commit(ctx, &store.Change{DropInstances: []string{"n1"}}); !errors.Is(err, ErrSuperseded) {
-		t.Error(err)
+		t.Errorf("Commit by the superseded agent: got error %v, want ErrSuperseded", err)
 	}
 	if got, err := second.Load(ctx); err != nil || len(got.Instances) != 1 {
-		t.Errorf("%+v %v", got, err)
+		t.Errorf("Load by the second agent = %+v, %v; want the 1 instance of the first", got, err)
 	}
 	if err := second.Commit(ctx, storetest.Full()); err != nil {
-		t.Error(err)
+		t.Errorf("Commit by the second agent: %v", err)
 	}
 }
 
-// TestAmbiguousCommit loses the connection at COMMIT, before or after it takes effect: the
-// change and its audit entry must be written once.
+// TestAmbiguousCommit injects faults at COMMIT, before or after it takes effect, so that its
+// outcome is unknown. The change and its audit entry must be written once.
 func TestAmbiguousCommit(t *testing.T) {
 	for _, stage := range []pgserver.Stage{pgserver.Before, pgserver.After} {
 		for _, fault := range []pgserver.Fault{{Reset: true}, {Code: "57P01"}, {Code: "40001"}} {
 			t.Run(fmt.Sprint(stage, fault.Reset, fault.Code), func(t *testing.T) {
-				srv, cfg := serve(t)
+				server, cfg := startServer(t)
 				s := mustOpen(t, cfg, "host-a")
-				var left, hit atomic.Int64
-				srv.Inject(func(e pgserver.Event) pgserver.Fault {
-					if e.Stage == stage && strings.EqualFold(e.SQL, "commit") && left.Add(-1) >= 0 {
-						hit.Add(1)
+				var remaining, injected atomic.Int64 // faults
+				server.Inject(func(e pgserver.Event) pgserver.Fault {
+					if e.Stage == stage && strings.EqualFold(e.SQL, "commit") && remaining.Add(-1) >= 0 {
+						injected.Add(1)
 						return fault
 					}
 					return pgserver.Fault{}
 				})
 				for n := range 3 {
-					left.Store(2)
+					remaining.Store(2)
 					if err := s.Commit(ctx, &store.Change{Audit: []api.AuditEntry{{What: fmt.Sprint(n)}}}); err != nil {
-						t.Fatal(err)
+						t.Fatalf("Commit of change %d: %v", n, err)
 					}
 				}
-				a, err := s.Audit(ctx, 10)
-				if err != nil || len(a) != 3 || a[0].What != "2" || hit.Load() < 3 {
-					t.Errorf("%+v %v, %d faults", a, err, hit.Load())
+				entries, err := s.Audit(ctx, 10)
+				if err != nil || len(entries) != 3 || entries[0].What != "2" || injected.Load() < 3 {
+					t.Errorf("Audit = %+v, %v after %d faults; want 3 entries, the latest with What 2, after at least 3 faults", entries, err, injected.Load())
 				}
 			})
 		}
 	}
 }
 
-// TestDatabaseUnavailable checks that a commit fails without the database, and that the
-// store is unchanged.
+// TestDatabaseUnavailable checks for several kinds of outages that a commit fails with an error
+// that names the server, that the store is unchanged, and that it can be used afterwards.
 func TestDatabaseUnavailable(t *testing.T) {
-	srv, cfg := serve(t)
+	server, cfg := startServer(t)
 	cfg.StatementTimeout, cfg.ConnectTimeout = 200*time.Millisecond, 200*time.Millisecond
 	s := mustOpen(t, cfg, "host-a")
 	for name, outage := range map[string]func(){
-		"hangs":       func() { srv.Inject(func(pgserver.Event) pgserver.Fault { return pgserver.Fault{Stall: true} }) },
-		"unreachable": func() { srv.SetRejecting(true); srv.ResetAll() },
-		"read-only":   func() { srv.SetReadOnly(true) },
+		"hangs":       func() { server.Inject(func(pgserver.Event) pgserver.Fault { return pgserver.Fault{Stall: true} }) },
+		"unreachable": func() { server.SetRejecting(true); server.ResetAll() },
+		"read-only":   func() { server.SetReadOnly(true) },
 	} {
 		outage()
 		short, cancel := context.WithTimeout(ctx, 2*time.Second)
-		if err := s.Commit(short, storetest.Full()); err == nil || !strings.Contains(err.Error(), srv.Addr()) {
-			t.Errorf("%s: %v", name, err)
+		if err := s.Commit(short, storetest.Full()); err == nil || !strings.Contains(err.Error(), server.Addr()) {
+			t.Errorf("%s: Commit: got error %v, want one that names %s", name, err, server.Addr())
 		}
 		if name == "unreachable" {
 			if s, err := Open(short, cfg, "host-b"); err == nil {
 				s.Close()
-				t.Error("opened")
+				t.Error("Open succeeded although the database is unreachable")
 			}
 		}
 		cancel()
-		srv.Inject(nil)
-		srv.SetRejecting(false)
-		srv.SetReadOnly(false)
+		server.Inject(nil)
+		server.SetRejecting(false)
+		server.SetReadOnly(false)
 		if got, err := s.Load(ctx); err != nil || len(got.Instances) != 0 {
-			t.Errorf("%s: %+v %v", name, got, err)
+			t.Errorf("%s: Load after the outage = %+v, %v; want no instances", name, got, err)
 		}
 	}
 	if err := s.Commit(ctx, storetest.Full()); err != nil {
-		t.Error(err)
+		t.Errorf("Commit after the outages: %v", err)
 	}
 }
 
+// TestMigrations checks that a store of each older schema version can be opened and written.
 func TestMigrations(t *testing.T) {
 	for from := range Version {
-		_, cfg := serve(t)
+		_, cfg := startServer(t)
 		db, err := pg.Open(cfg, schema)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("opening the database: %v", err)
 		}
 		if err := db.Migrate(ctx, from); err != nil {
-			t.Fatal(err)
+			t.Fatalf("creating schema version %d: %v", from, err)
 		}
 		db.Close()
 		if err := mustOpen(t, cfg, "host-a").Commit(ctx, storetest.Full()); err != nil {
-			t.Error(from, err)
+			t.Errorf("Commit after a migration from schema version %d: %v", from, err)
 		}
 	}
 }
--- a/internal/fleet/store/rows.go
+++ b/internal/fleet/store/rows.go
@@ -9,12 +9,12 @@
 	"martendrum/internal/fleet/lease"
 )
 
-// Scanner is a row of either database's driver.
+// Scanner is a row of a query result. The drivers of both databases implement it.
 type Scanner interface {
 	Scan(to ...any) error
 }
 
-// The columns of each table, in the order in which they are written and read.
+// The columns of each table, in the order in which the functions below write and read them.
 const (
 	InstanceColumns = "name, desired, generation, release, previous, launch, process, running, pid, ticks, boot, launched, restarts, last_exit"
 	// OperationColumns and StepColumns hold a complete operation or step in body; the other
@@ -26,7 +26,7 @@
 	AuditColumns     = "at, who, what, target, result"
 )
 
-// toUnixNanos is a time as it is stored: in nanoseconds since 1970, 0 for the zero time.
+// toUnixNanos returns a time as it is stored: in nanoseconds since 1970, 0 for the zero time.
 func toUnixNanos(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -34,6 +34,7 @@
 	return t.UnixNano()
 }
 
+// fromUnixNanos returns the time of a stored value; see toUnixNanos.
 func fromUnixNanos(nanos int64) time.Time {
 	if nanos == 0 {
 		return time.Time{}
@@ -41,13 +42,13 @@
 	return time.Unix(0, nanos)
 }
 
-// Values returns the instance's columns.
+// Values returns the values of InstanceColumns.
 func (i *Instance) Values() []any {
 	return []any{i.Name, i.Desired, i.Generation, i.Release, i.Previous, i.Launch, i.Process, i.Running, int64(i.PID), int64(i.Ticks), i.Boot,
 		toUnixNanos(i.Launched), i.Restarts, i.LastExit}
 }
 
-// ReadInstance adds an instance to the snapshot.
+// ReadInstance adds the instance in a row of InstanceColumns to the snapshot.
 func (s *Snapshot) ReadInstance(row Scanner) error {
 	var instance Instance
 	var launched, ticks int64
@@ -58,13 +59,14 @@
 	return err
 }
 
-// Values returns the operation's columns.
+// Values returns the values of OperationColumns. It returns an error if the operation can't be
+// encoded as JSON.
 func (o *Operation) Values() ([]any, error) {
 	body, err := json.Marshal(o.Operation)
 	return []any{o.ID, string(body), o.State, o.Result, toUnixNanos(o.Closed)}, err
 }
 
-// ReadOperation adds an operation to the snapshot.
+// ReadOperation adds the operation in a row of OperationColumns to the snapshot.
 func (s *Snapshot) ReadOperation(row Scanner) error {
 	var operation Operation
 	var id, body string
@@ -78,13 +80,14 @@
 	return err
 }
 
-// StepValues returns a step's columns.
+// StepValues returns the values of StepColumns. It returns an error if the step can't be
+// encoded as JSON.
 func StepValues(step *api.Step) ([]any, error) {
 	body, err := json.Marshal(step)
 	return []any{step.Op, step.Instance, step.Kind, step.Status, string(body)}, err
 }
 
-// ReadStep adds a step to the snapshot.
+// ReadStep adds the step in a row of StepColumns to the snapshot.
 func (s *Snapshot) ReadStep(row Scanner) error {
 	var op, instance, kind, status, body string
 	var step api.Step
@@ -96,27 +99,27 @@
 	return err
 }
 
-// LeaseValues returns a lease's columns.
+// LeaseValues returns the values of LeaseColumns.
 func LeaseValues(l *lease.Lease) []any {
 	return []any{l.Instance, l.Op, l.Holder, l.Token, toUnixNanos(l.Granted), toUnixNanos(l.Expires)}
 }
 
-// ReadLease adds a lease to the snapshot.
+// ReadLease adds the lease in a row of LeaseColumns to the snapshot.
 func (s *Snapshot) ReadLease(row Scanner) error {
-	var read lease.Lease
+	var l lease.Lease
 	var granted, expires int64
-	err := row.Scan(&read.Instance, &read.Op, &read.Holder, &read.Token, &granted, &expires)
-	read.Granted, read.Expires = fromUnixNanos(granted), fromUnixNanos(expires)
-	s.Leases = append(s.Leases, read)
+	err := row.Scan(&l.Instance, &l.Op, &l.Holder, &l.Token, &granted, &expires)
+	l.Granted, l.Expires = fromUnixNanos(granted), fromUnixNanos(expires)
+	s.Leases = append(s.Leases, l)
 	return err
 }
 
-// SettingsValues returns the columns of an entry of the settings' distribution.
+// SettingsValues returns the values of SettingsColumns for an entry of the distributed settings.
 func SettingsValues(entry *distribution.Entry) []any {
 	return []any{entry.Key, string(entry.Value)}
 }
 
-// ReadSettings adds an entry of the settings' distribution to the snapshot.
+// ReadSettings adds the entry in a row of SettingsColumns to the snapshot.
 func (s *Snapshot) ReadSettings(row Scanner) error {
 	var key, body string
 	err := row.Scan(&key, &body)
@@ -124,12 +127,12 @@
 	return err
 }
 
-// AuditValues returns an audit entry's columns.
+// AuditValues returns the values of AuditColumns.
 func AuditValues(entry *api.AuditEntry) []any {
 	return []any{toUnixNanos(entry.At), entry.Who, entry.What, entry.Target, entry.Result}
 }
 
-// ReadAudit reads an audit entry.
+// ReadAudit returns the audit entry in a row of AuditColumns.
 func ReadAudit(row Scanner) (entry api.AuditEntry, err error) {
 	var at int64
 	err = row.Scan(&at, &entry.Who, &entry.What, &entry.Target, &entry.Result)
--- a/internal/fleet/store/sqlite/compat_test.go
+++ b/internal/fleet/store/sqlite/compat_test.go
@@ -15,39 +15,40 @@
 	"martendrum/internal/goldentest"
 )
 
-// stored is a change with a row of each kind, one operation with a value in every field.
-func stored() *store.Change {
-	c := storetest.Full()
+// goldenChange returns the content of the golden file: a row of each kind, and an operation and a
+// step with a value in every field.
+func goldenChange() *store.Change {
+	change := storetest.Full()
 	operation := store.Operation{State: api.OpClosed, Result: "succeeded", Closed: time.Unix(1_789_000_100, 0)}
 	goldentest.Fill(&operation.Operation)
 	var step api.Step
 	goldentest.Fill(&step)
-	c.Operations = append(c.Operations, operation)
-	c.Steps = append(c.Steps, step)
-	return c
+	change.Operations = append(change.Operations, operation)
+	change.Steps = append(change.Steps, step)
+	return change
 }
 
-// writeStored creates a store at path that holds stored.
-func writeStored(t *testing.T, path string) {
+// writeGolden creates a store at path and commits goldenChange to it.
+func writeGolden(t *testing.T, path string) {
 	t.Helper()
 	s, err := Open(path, maxBytes)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening %s: %v", path, err)
 	}
-	if err := s.Commit(ctx, stored()); err != nil {
-		t.Fatal(err)
+	if err := s.Commit(ctx, goldenChange()); err != nil {
+		t.Fatalf("Commit to %s: %v", path, err)
 	}
 	if err := s.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("closing %s: %v", path, err)
 	}
 }
 
-// dump returns the schema and all rows of a store.
+// dump returns the schema and all rows of the store at path as text.
 func dump(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := sql.Open("sqlite", path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening %s: %v", path, err)
 	}
 	defer db.Close()
 	var out bytes.Buffer
@@ -57,11 +58,11 @@
 	} {
 		rows, err := db.Query(query)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: %v", query, err)
 		}
 		columns, err := rows.Columns()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: columns: %v", query, err)
 		}
 		for rows.Next() {
 			values, pointers := make([]any, len(columns)), make([]any, len(columns))
@@ -69,37 +70,37 @@
 				pointers[n] = &values[n]
 			}
 			if err := rows.Scan(pointers...); err != nil {
-				t.Fatal(err)
+				t.Fatalf("%s: scanning a row: %v", query, err)
 			}
 			fmt.Fprintf(&out, "%v %q\n", columns, fmt.Sprint(values...))
 		}
 		if err := rows.Err(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: reading the rows: %v", query, err)
 		}
 	}
 	return out.Bytes()
 }
 
-// TestRecordOfEarlierBuild checks that an earlier build's store is read with its values and
-// written again row by row.
+// TestRecordOfEarlierBuild checks that a store that an earlier build wrote is read with all its
+// values, and that this build writes the same schema and rows.
 func TestRecordOfEarlierBuild(t *testing.T) {
 	written := filepath.Join(t.TempDir(), "written.db")
-	writeStored(t, written)
+	writeGolden(t, written)
 	earlier := goldentest.CopyFile(t, "agent-record.db", written)
 	if got, want := dump(t, written), dump(t, earlier); !bytes.Equal(got, want) {
-		t.Errorf("rows\n%s\nwant\n%s", got, want)
+		t.Errorf("this build writes the schema and rows\n%s\nwant, as the earlier build\n%s", got, want)
 	}
 	s, err := Open(earlier, maxBytes)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the earlier build's store: %v", err)
 	}
 	defer s.Close()
 	got, err := s.Load(ctx)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Load from the earlier build's store: %v", err)
 	}
-	c := stored()
-	want := &store.Snapshot{Instances: c.Instances, Operations: c.Operations, Steps: c.Steps, Leases: c.Leases, Settings: c.Settings}
+	change := goldenChange()
+	want := &store.Snapshot{Instances: change.Instances, Operations: change.Operations, Steps: change.Steps, Leases: change.Leases, Settings: change.Settings}
 	byID := func(operations []store.Operation) map[string]store.Operation {
 		found := make(map[string]store.Operation)
 		for _, operation := range operations {
@@ -108,20 +109,20 @@
 		return found
 	}
 	if !reflect.DeepEqual(byID(got.Operations), byID(want.Operations)) {
-		t.Errorf("operations %+v; want %+v", got.Operations, want.Operations)
+		t.Errorf("Load: operations = %+v, want %+v", got.Operations, want.Operations)
 	}
-	byInstance := func(steps []api.Step) map[string]api.Step {
+	byKey := func(steps []api.Step) map[string]api.Step {
 		found := make(map[string]api.Step)
 		for _, step := range steps {
 			found[step.Op+" "+step.Instance+" "+step.Kind] = step
 		}
 		return found
 	}
-	if !reflect.DeepEqual(byInstance(got.Steps), byInstance(want.Steps)) {
-		t.Errorf("steps %+v; want %+v", got.Steps, want.Steps)
+	if !reflect.DeepEqual(byKey(got.Steps), byKey(want.Steps)) {
+		t.Errorf("Load: steps = %+v, want %+v", got.Steps, want.Steps)
 	}
 	got.Operations, want.Operations, got.Steps, want.Steps = nil, nil, nil, nil
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got  %+v\nwant %+v", got, want)
+		t.Errorf("Load, without operations and steps:\ngot  %+v\nwant %+v", got, want)
 	}
 }
--- a/internal/fleet/store/sqlite/sqlite.go
+++ b/internal/fleet/store/sqlite/sqlite.go
@@ -1,7 +1,7 @@
 // Package sqlite is an agent's store in a SQLite file of bounded size, with a write-ahead
 // log that is synced at each commit. The schema has a version; an older one is migrated in
-// one transaction when the file is opened. One agent at a time may use a file; that is the
-// agent's to ensure.
+// one transaction when the file is opened. Only one agent may use a file at a time, which the
+// agent must ensure.
 package sqlite
 
 import (
@@ -16,8 +16,8 @@
 	"martendrum/internal/sqlitefile"
 )
 
-// migrations[n] brings a file from schema version n to n+1. Released ones are never
-// changed: a file may have any version.
+// migrations[n] migrates a file from schema version n to n+1. A released migration must never be
+// changed, because a file may have any version.
 var migrations = []string{
 	// 1: desired and actual state, operations, steps, leases.
 	`CREATE TABLE instances (
@@ -32,11 +32,11 @@
 	// 2: the audit log.
 	`CREATE TABLE audit (n INTEGER PRIMARY KEY AUTOINCREMENT, at INTEGER NOT NULL, who TEXT NOT NULL, what TEXT NOT NULL,
 		target TEXT NOT NULL, result TEXT NOT NULL);`,
-	// 3: the release to roll back to, and the exits of processes.
+	// 3: the release that a rollback leads to, and the restarts and exits of processes.
 	`ALTER TABLE instances ADD COLUMN previous TEXT NOT NULL DEFAULT '';
 	ALTER TABLE instances ADD COLUMN restarts INTEGER NOT NULL DEFAULT 0;
 	ALTER TABLE instances ADD COLUMN last_exit TEXT NOT NULL DEFAULT '';`,
-	// 4: the settings' distribution.
+	// 4: the distributed settings.
 	`CREATE TABLE settings (key TEXT PRIMARY KEY, body TEXT NOT NULL) WITHOUT ROWID;`,
 }
 
@@ -45,9 +45,9 @@
 
 const (
 	pageSize = 4096 // bytes
-	// minPages is the smallest bound of a file.
+	// minPages is the smallest limit on the pages of a file.
 	minPages         = 64
-	migrationTimeout = 30 * time.Second
+	migrationTimeout = 30 * time.Second // for the integrity check and the migration of a file
 )
 
 // Store is an agent's store in a file.
@@ -56,28 +56,30 @@
 	path string
 }
 
-// UnreadableError says that a file could not be read and may be damaged.
+// UnreadableError reports that a file could not be read and may be damaged.
 type UnreadableError struct{ Cause error }
 
-// Error has the cause and the next step.
+// Error implements error. The text includes the advice.
 func (e *UnreadableError) Error() string {
-	return fmt.Sprintf("it can't be read (%v): %s", e.Cause, e.Advice())
+	return fmt.Sprintf("the file can't be read (%v): %s", e.Cause, e.Advice())
 }
 
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
-// Advice is the next step.
+// Advice says what an operator can do.
 func (e *UnreadableError) Advice() string {
-	return "if it is damaged, move it and its -wal and -shm files aside; the agent then finds its sidecars by their environment and begins a new record"
+	return "if it is damaged, move it and its -wal and -shm files aside; the agent then finds its sidecars by their environment and starts a new record"
 }
 
-// Open opens the file, creates it if there is none, and migrates its schema. maxBytes
-// bounds its size. Errors name the file and the next step.
+// Open opens the file, creates it if there is none, and migrates its schema. maxBytes bounds the
+// size of the file, but never to less than 64 pages. Errors name the file and the next step; that
+// of a damaged file is an *UnreadableError.
 func Open(path string, maxBytes int64) (*Store, error) {
 	return open(path, maxBytes, Version)
 }
 
+// open is Open with a schema version other than the latest, for tests of the migrations.
 func open(path string, maxBytes int64, version int) (*Store, error) {
 	db, err := sqlitefile.Open(path, "busy_timeout(2000)", "journal_mode(WAL)", "synchronous(FULL)", "foreign_keys(ON)", "cache_size(-256)",
 		"wal_autocheckpoint(256)", "journal_size_limit(1048576)", fmt.Sprintf("max_page_count(%d)", max(maxBytes/pageSize, minPages)))
@@ -93,7 +95,7 @@
 	return s, nil
 }
 
-// migrate checks the file and brings its schema to a version.
+// migrate checks the integrity of the file and migrates its schema to a version.
 func (s *Store) migrate(to int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), migrationTimeout)
 	defer cancel()
@@ -103,7 +105,7 @@
 	return sqlitefile.Migrate(ctx, s.db, migrations, to)
 }
 
-// Close closes the file.
+// Close implements store.Store.
 func (s *Store) Close() error { return s.db.Close() }
 
 // Commit implements store.Store.
@@ -114,6 +116,7 @@
 	return nil
 }
 
+// commit writes a change in one transaction.
 func (s *Store) commit(ctx context.Context, change *store.Change) error {
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
@@ -136,13 +139,15 @@
 	err error
 }
 
+// execute executes a statement unless an earlier one has failed.
 func (w *writer) execute(statement string, args ...any) {
 	if w.err == nil {
 		_, w.err = w.tx.ExecContext(w.ctx, statement, args...)
 	}
 }
 
-// put replaces a row. err is that of its values.
+// put inserts or replaces a row. values and err are the results of the function that returns the
+// row's values.
 func (w *writer) put(table, columns string, values []any, err error) {
 	if w.err == nil {
 		w.err = err
@@ -150,7 +155,7 @@
 	w.execute("INSERT OR REPLACE INTO "+table+" ("+columns+") VALUES (?"+strings.Repeat(",?", len(values)-1)+")", values...)
 }
 
-// putAll writes a change's rows.
+// putAll writes the rows of a change.
 func (w *writer) putAll(change *store.Change) {
 	for _, instance := range change.Instances {
 		w.put("instances", store.InstanceColumns, instance.Values(), nil)
@@ -174,7 +179,7 @@
 	}
 }
 
-// dropAll deletes a change's rows, and audit entries past the limit.
+// dropAll deletes the rows that a change drops, including audit entries over its limit.
 func (w *writer) dropAll(change *store.Change) {
 	for _, key := range change.DropSettings {
 		w.execute(`DELETE FROM settings WHERE key = ?`, key)
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,12 +1,13 @@
-// Package store is the interface of an agent's store: what an agent must know after it
-// was killed. The agent holds all of it in memory, reads the store once at its start, and
-// writes each change before it acts on it.
+// Package store is the interface of an agent's store, which contains what an agent needs to
+// know after it was killed and restarted. The agent keeps all of it in memory, reads the store
+// once at its start, and writes each change to the store before it acts on the change.
 //
-// A Store promises that a Change is written atomically, in the order of the calls, and
-// durably before Commit returns nil. After an error of Commit the change may have been
-// written or not: the caller commits it again, which has no further effect, or ends. It
-// does not promise to serve several agents: one agent uses a store at a time, under a file
-// lock or the database's epoch.
+// A Store promises that each Change is written atomically, in the order of the calls of
+// Commit, and durably before Commit returns nil. If Commit returns an error, the change may or
+// may not have been written. The caller must then commit it again or end; a second commit
+// changes nothing except that it may add the audit entries again. A Store does not promise to
+// serve several agents: only one agent may use it at a time, which a file lock or the epoch in
+// the database ensures.
 package store
 
 import (
@@ -22,19 +23,19 @@
 type Instance struct {
 	Name       string
 	Desired    string // api.Running, ...
-	Generation int64  // desired; each launch that an operator requests has a new one
-	Release    string // desired
-	Previous   string // the release to roll back to
+	Generation int64  // number of the desired launch; each launch that an operator requests has a new one
+	Release    string // desired release
+	Previous   string // release that a rollback leads to
 
-	Launch   string    // token of the launch, in the process's environment; "": none
-	Process  int64     // its generation
-	Running  string    // its release
-	PID      int       // 0: the process has not been started yet
-	Ticks    uint64    // its start time, in clock ticks since Boot
-	Boot     string    // ID of the machine's boot
-	Launched time.Time // wall clock
-	Restarts int64
-	LastExit string
+	Launch   string    // token of the launch, in the process's environment; "" if there is none
+	Process  int64     // generation of the process
+	Running  string    // release of the process
+	PID      int       // 0 if the process has not been started yet
+	Ticks    uint64    // start time of the process, in clock ticks since the boot
+	Boot     string    // ID of the machine's boot in which the process was started
+	Launched time.Time // time of the launch, by the wall clock
+	Restarts int64     // number of restarts
+	LastExit string    // how a process last exited
 }
 
 // Operation is an operation as this agent knows it.
@@ -45,7 +46,8 @@
 	Closed time.Time
 }
 
-// Change is what to write and to delete. What is written replaces what has the same key.
+// Change lists what to write and what to delete. A written row replaces the one with the same
+// key; audit entries are added.
 type Change struct {
 	Instances  []Instance
 	Operations []Operation
@@ -53,16 +55,16 @@
 	Leases     []lease.Lease
 	Audit      []api.AuditEntry
 
-	// Settings are entries of the settings' distribution; see distribution.Batch.
+	// Settings are entries of the distributed settings; see distribution.Batch.
 	Settings     []distribution.Entry
-	DropSettings []string // keys
+	DropSettings []string // keys of entries to delete
 
-	DropOperations []string // with their steps
-	DropInstances  []string
-	AuditLimit     int // if above 0: how many of the latest audit entries are retained
+	DropOperations []string // IDs of operations to delete, with their steps
+	DropInstances  []string // names of instances to delete, with their leases
+	AuditLimit     int      // if above 0, only this many of the latest audit entries are retained
 }
 
-// Snapshot is all that a store holds, except for the audit log.
+// Snapshot is the content of a store, except for the audit log.
 type Snapshot struct {
 	Instances  []Instance
 	Operations []Operation
@@ -71,13 +73,14 @@
 	Settings   []distribution.Entry
 }
 
-// Store stores what an agent must know after it was killed.
+// Store is an agent's store; see the package comment for what it promises.
 type Store interface {
-	// Load reads the store.
+	// Load returns the content of the store.
 	Load(ctx context.Context) (*Snapshot, error)
-	// Commit writes a change durably.
+	// Commit writes a change atomically and durably.
 	Commit(ctx context.Context, change *Change) error
-	// Audit returns the latest audit entries, the latest first.
+	// Audit returns at most limit audit entries, the latest first.
 	Audit(ctx context.Context, limit int) ([]api.AuditEntry, error)
+	// Close releases the file or the connections.
 	Close() error
 }
--- a/internal/fleet/store/storetest/storetest.go
+++ b/internal/fleet/store/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest is what each store.Store must do, as a test that the stores' packages
-// run.
+// Package storetest tests what each implementation of store.Store must do. The packages of the
+// implementations run it in their tests.
 package storetest
 
 import (
@@ -14,7 +14,7 @@
 	"martendrum/internal/fleet/store"
 )
 
-// Full is a change with a row of each kind.
+// Full returns a change that writes at least one row of each kind.
 func Full() *store.Change {
 	at := time.Unix(1789000000, 5)
 	return &store.Change{
@@ -32,44 +32,44 @@
 	}
 }
 
-// Run checks that what is written is read again after a restart, and that what is dropped
-// is deleted. open opens the same store each time.
+// Run checks that what was committed is loaded after a restart, and that what was dropped is
+// deleted. open must open the same, at first empty, store each time.
 func Run(t *testing.T, open func() store.Store) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	s := open()
-	c := Full()
-	for range 2 { // committing again has no further effect
-		if err := s.Commit(ctx, c); err != nil {
-			t.Fatal(err)
+	change := Full()
+	for range 2 { // the second commit only adds the audit entries again
+		if err := s.Commit(ctx, change); err != nil {
+			t.Fatalf("Commit of a row of each kind: %v", err)
 		}
 	}
 	s.Close()
 	s = open()
 	defer s.Close()
 	got, err := s.Load(ctx)
-	want := &store.Snapshot{Instances: c.Instances, Operations: c.Operations, Steps: c.Steps, Leases: c.Leases, Settings: c.Settings}
+	want := &store.Snapshot{Instances: change.Instances, Operations: change.Operations, Steps: change.Steps, Leases: change.Leases, Settings: change.Settings}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("got  %+v %v\nwant %+v", got, err, want)
+		t.Errorf("Load after a restart:\ngot  %+v, error %v\nwant %+v", got, err, want)
 	}
-	if a, err := s.Audit(ctx, 10); err != nil || len(a) != 2 || a[0] != c.Audit[0] {
-		t.Error(a, err)
+	if entries, err := s.Audit(ctx, 10); err != nil || len(entries) != 2 || entries[0] != change.Audit[0] {
+		t.Errorf("Audit after two commits = %+v, %v; want the entry twice", entries, err)
 	}
-	kept := c.Settings[1:]
-	if err := s.Commit(ctx, &store.Change{DropSettings: []string{c.Settings[0].Key}}); err != nil {
-		t.Fatal(err)
+	kept := change.Settings[1:]
+	if err := s.Commit(ctx, &store.Change{DropSettings: []string{change.Settings[0].Key}}); err != nil {
+		t.Fatalf("Commit that drops an entry of the settings: %v", err)
 	}
 	if got, err := s.Load(ctx); err != nil || !reflect.DeepEqual(got.Settings, kept) {
-		t.Errorf("after a row was dropped: %+v %v", got.Settings, err)
+		t.Errorf("after an entry was dropped, Load returns the settings %+v, error %v; want %+v", got.Settings, err, kept)
 	}
 	if err := s.Commit(ctx, &store.Change{DropOperations: []string{"op1"}, DropInstances: []string{"n1"}, DropSettings: []string{kept[0].Key}, AuditLimit: 1}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Commit that drops all rows: %v", err)
 	}
 	if got, _ := s.Load(ctx); !reflect.DeepEqual(got, &store.Snapshot{}) {
-		t.Errorf("after the drop: %+v", got)
+		t.Errorf("after all rows were dropped, Load = %+v; want an empty snapshot", got)
 	}
-	if a, err := s.Audit(ctx, 10); err != nil || len(a) != 1 {
-		t.Error(a, err)
+	if entries, err := s.Audit(ctx, 10); err != nil || len(entries) != 1 {
+		t.Errorf("Audit with a limit of 1 = %+v, %v; want 1 entry", entries, err)
 	}
 }
