--- a/internal/fleet/api/staged.go
+++ b/internal/fleet/api/staged.go
@@ -15,7 +15,7 @@
 	// First is the boundary (Unix time over slot length) at which slot 0 begins.
 	First int64 `msgpack:"first" json:"first"`
 	// Alone is how long an agent waits after the last lease of the operation has expired before it rolls
-	// back those of its instances that fail canary.Coarse. 0: it never does.
+	// back those of its instances that canary.Coarse finds harmed. 0: it never does.
 	Alone time.Duration `msgpack:"alone" json:"alone"`
 }
 
--- a/internal/fleet/control/client/host_run.go
+++ b/internal/fleet/control/client/host_run.go
@@ -9,8 +9,8 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
-// hostRun is the state of a run at one host. mu guards token; the other fields belong to the
-// goroutine of runner.run.
+// hostRun is the state of a run at one host. mu guards token during the run; the other fields belong
+// to the goroutine of runner.run.
 type hostRun struct {
 	agent        *Agent
 	mu           sync.Mutex
@@ -45,7 +45,7 @@
 const (
 	maxStatusWait = 2 * time.Second       // how long an agent may delay a status that has not changed
 	minRetryDelay = 50 * time.Millisecond // after the first failed status call; doubles with each further one
-	maxRetryDelay = time.Second
+	maxRetryDelay = time.Second           // between failed status calls
 )
 
 // follow renews the leases of one host and sends the host's status to r.events whenever it changes,
--- a/internal/fleet/control/client/report.go
+++ b/internal/fleet/control/client/report.go
@@ -29,9 +29,9 @@
 // the order of the targets.
 type Report struct {
 	Operation api.Operation `json:"operation"`
-	// Result is one of the results in package rollout, "interrupted" if the run ended before the
-	// operation, or, in a report by Fleet.Report, the state of an operation that is not closed, such
-	// as "open".
+	// Result is one of the results in package rollout, or "interrupted" if the run ended before the
+	// operation. In a report by Fleet.Report it may also be the state of an operation that is not
+	// closed, such as "open", or "not begun" if Fleet.Start could not acquire all leases.
 	Result      string           `json:"result"`
 	Why         string           `json:"why,omitempty"` // why no further change was started
 	LeaseHolder string           `json:"holder,omitempty"`
--- a/internal/fleet/control/client/resume.go
+++ b/internal/fleet/control/client/resume.go
@@ -10,8 +10,7 @@
 
 // Resume continues an operation from what the agents have recorded, and returns its report when the
 // run has ended. The state of targets whose hosts don't answer is unknown until they answer. An error
-// means that nothing was continued, for example an *OperationEndedError or an
-// *OperationAbortingError.
+// means that no step was started, for example an *OperationEndedError or an *OperationAbortingError.
 func (f *Fleet) Resume(ctx context.Context, id string, options Options) (*Report, error) {
 	operation, statuses, errs := f.find(ctx, id)
 	if len(statuses) == 0 {
--- a/internal/fleet/control/client/staged_evidence.go
+++ b/internal/fleet/control/client/staged_evidence.go
@@ -102,7 +102,8 @@
 		src.problem = answer.err.Error()
 		return
 	}
-	// The host's time must lie between the sending of the call and now; what it is off by is the offset of its clock.
+	// A correct clock shows a time between the sending of the call and now; the clock is off by the
+	// distance from that interval.
 	now, off := time.Now(), time.Duration(0)
 	if answer.metrics.Now.Before(answer.sent) {
 		off = answer.metrics.Now.Sub(answer.sent)
--- a/internal/fleet/control/client/staged_notes.go
+++ b/internal/fleet/control/client/staged_notes.go
@@ -10,7 +10,8 @@
 	"martendrum/internal/fleet/stage"
 )
 
-// noteSlots is the number of slots of evidence after which a note is written although no decision was made.
+// noteSlots is the number of slots of evidence after which a note is written although no decision was
+// made.
 const noteSlots = 6
 
 // release moves a change that is on hold to its next stage, once the note with that decision is stored.
@@ -116,7 +117,8 @@
 	s.openTargets()
 }
 
-// latestNote returns the note with the highest number among the statuses of the hosts, or nil if there is none.
+// latestNote returns the note with the highest number among the statuses of the hosts, or nil if there
+// is none.
 func latestNote(statuses map[string]*api.OpOut) (note *api.Note) {
 	for _, status := range statuses {
 		if n := status.Operation.Note; n != nil && (note == nil || n.Number > note.Number) {
