--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -98,7 +98,7 @@
 // Acquire returns leases on all of the instances, with one new token, or an error if any
 // of them can't be granted: a *HeldError or, after a power loss, a *LostError. busy returns
 // any other conflict with the operation on an instance, "" for none. Expired leases of
-// others are replaced, and a holder that acquires again gets a new token. ttl is above 0
+// others are replaced, and a holder that acquires again gets a new token. ttl must be above 0
 // and at most MaxTTL. Acquire does not change the table: the caller stores the leases and
 // then calls Put.
 func (t *Table) Acquire(now time.Time, op, holder string, instances []string, ttl time.Duration, busy func(instance string) string) ([]Lease, error) {
--- a/internal/fleet/release/release.go
+++ b/internal/fleet/release/release.go
@@ -106,7 +106,7 @@
 		return fmt.Errorf("release: unknown file %q; a release has the files %s and %s", file, Sidecar, Overlay)
 	}
 	if offset < 0 || offset+int64(len(data)) > limit {
-		return fmt.Errorf("release: offset or size of %s is outside of its maximum of %d bytes", file, limit)
+		return fmt.Errorf("release: invalid offset, or %s would have more than the maximum of %d bytes", file, limit)
 	}
 	if err := d.makeIncoming(hash); err != nil {
 		return err
--- a/internal/fleet/stage/draw.go
+++ b/internal/fleet/stage/draw.go
@@ -42,7 +42,8 @@
 )
 
 // Draw returns the indices of the members in the order in which they are changed. The order
-// of instances depends on the members and on seed, but not on the order of members.
+// of instances depends on the members and on seed, but not on the order in which members
+// lists them.
 func Draw(members []Member, seed uint64) []int {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	d := newDrawing(members, rng)
@@ -85,7 +86,7 @@
 
 // newDrawing groups the members by zone and traffic band, and counts them by host and shop.
 // It draws one random number for each member, in an order that does not depend on the order
-// of members.
+// in which members lists them.
 func newDrawing(members []Member, rng *rand.Rand) *drawing {
 	d := &drawing{members: members, random: make([]float64, len(members)), hosts: make(map[string]drawnCount), shops: make(map[string]drawnCount)}
 	sorted := sortedByZoneAndRate(members)
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -4,10 +4,10 @@
 //
 // A Store promises that each Change is written atomically, in the order of the calls of
 // Commit, and durably before Commit returns nil. If Commit returns an error, the change may or
-// may not have been written. The caller must then commit it again or end; a second commit
-// changes nothing except that it may add the audit entries again. A Store does not promise to
-// serve several agents: only one agent may use it at a time, which a file lock or the epoch in
-// the database ensures.
+// may not have been written. The caller must then commit it again or exit; a second commit has
+// no further effect, except that it may add the audit entries again. A Store does not promise
+// to serve several agents: only one agent may use it at a time, which a file lock or the epoch
+// in the database ensures.
 package store
 
 import (
