--- a/cmd/martendrum/agent.go
+++ b/cmd/martendrum/agent.go
@@ -12,7 +12,7 @@
 	"martendrum/internal/fleet/host/agentstore"
 )
 
-// agentGCPercent is the agent's GOGC.
+// agentGCPercent is the garbage collector's target percentage (GOGC) in the agent process.
 const agentGCPercent = 50
 
 // agentCommand returns the command that runs a host's agent.
@@ -30,17 +30,18 @@
 			return err
 		}
 		if *check {
-			fmt.Printf("%s: good: agent %s, %d instances\n", *path, config.Name, len(config.Instances))
+			fmt.Printf("%s is valid: agent %s, %d instances\n", *path, config.Name, len(config.Instances))
 			return nil
 		}
-		// Trades garbage collection for memory, of which little is long-lived.
+		// More frequent collections keep the agent's memory small. They cost little, because few of
+		// its objects are long-lived.
 		debug.SetGCPercent(agentGCPercent)
 		a, err := agent.New(config, agent.Processes{}, agentstore.Record(config))
 		if err != nil {
 			return &exitError{exitPartial, err}
 		}
 		defer a.Close()
-		return a.Serve(c.Context(), func(addrs []net.Addr) { slog.Info("agent listens", "name", config.Name, "at", fmt.Sprint(addrs)) })
+		return a.Serve(c.Context(), func(addrs []net.Addr) { slog.Info("agent is listening", "name", config.Name, "at", fmt.Sprint(addrs)) })
 	}
 	return c
 }
--- a/cmd/martendrum/audit.go
+++ b/cmd/martendrum/audit.go
@@ -12,7 +12,7 @@
 )
 
 // auditCommand returns the command that prints the audit log of a host's agent.
-func auditCommand(g *global) *cobra.Command {
+func auditCommand(g *globalFlags) *cobra.Command {
 	audit := &cobra.Command{
 		Use: "audit HOST", GroupID: "view", Short: "Print who asked a host's agent for what", Args: cobra.ExactArgs(1),
 	}
@@ -25,7 +25,7 @@
 		defer f.Close()
 		a := f.Agent(args[0])
 		if a == nil {
-			return fmt.Errorf("host %s is not in %s", args[0], g.inventoryPath)
+			return fmt.Errorf("host %s is not in the inventory %s", args[0], g.inventoryPath)
 		}
 		var out api.AuditOut
 		if err := a.Call(c.Context(), api.Audit, &api.AuditIn{Limit: *limit}, &out); err != nil {
--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -16,18 +16,18 @@
 	"martendrum/internal/fleet/release"
 )
 
-// rollingFlags are the flags of a rolling change.
+// rollingFlags holds the flags of a command that starts a rolling change.
 type rollingFlags struct {
 	selection                    *inventory.Select
 	all, dryRun, skipUnreachable bool
-	batch, maxUnavailable        string // numbers or percentages
+	batch, maxUnavailable        string // numbers of instances, or percentages of the targets
 	policy                       api.Policy
 	ready, soak                  time.Duration
 	run                          runFlags
-	binary, overlay              string // paths
+	binary, overlay              string // paths of the files of a release
 }
 
-// changes are the actions that have a command of their own.
+// changes lists the actions of a rolling change. Each has a command of its own.
 var changes = []struct{ action, short, long string }{
 	{api.ActDrain, "Take instances out of service until undrain", "Drain: SIGTERM, and SIGKILL once the longest deadline has passed. A drained instance\nstays down, also over restarts of its agent, until it is undrained."},
 	{api.ActUndrain, "Bring drained instances back", ""},
@@ -39,8 +39,8 @@
 	{api.ActRollback, "Change instances back to the release they ran before", ""},
 }
 
-// changeCommands returns a command for each action.
-func changeCommands(g *global) (out []*cobra.Command) {
+// changeCommands returns a command for each action in changes.
+func changeCommands(g *globalFlags) (out []*cobra.Command) {
 	for _, change := range changes {
 		r := &rollingFlags{}
 		c := &cobra.Command{Use: change.action + " [INSTANCE...]", GroupID: "change", Short: change.short, Long: change.long}
@@ -51,6 +51,7 @@
 	return out
 }
 
+// add defines the flags of an action on its command.
 func (r *rollingFlags) add(c *cobra.Command, action string) {
 	f := c.Flags()
 	onFailure, onFailureHelp := api.OnFailureStop, "after too many failures: stop, pause (to be resumed)"
@@ -76,16 +77,17 @@
 	r.run.add(c)
 }
 
-// selectInstances adds the arguments to the selection and checks it.
+// selectInstances adds the instance names in args to the selection. It returns an error if the
+// selection is invalid, and if there is either no selection and no --all, or both.
 func (r *rollingFlags) selectInstances(args []string) error {
 	r.selection.Instances = append(r.selection.Instances, args...)
 	if r.selection.Empty() == !r.all {
-		return fmt.Errorf("say which instances: their names, --host, --label, --release, --state, or --all alone for every one")
+		return fmt.Errorf("say which instances: by name, --host, --label, --release or --state, or with only --all for every instance")
 	}
 	return r.selection.Check()
 }
 
-// newOperation returns an operation without targets.
+// newOperation returns an operation without targets. Its ID has the current time and random digits.
 func newOperation(action string, r *rollingFlags) api.Operation {
 	created := time.Now().UTC().Truncate(time.Millisecond)
 	return api.Operation{
@@ -94,8 +96,8 @@
 	}
 }
 
-// startChange starts a rolling change and follows it to its end.
-func (g *global) startChange(ctx context.Context, action string, r *rollingFlags, args []string) error {
+// startChange starts a rolling change, waits until it has ended and prints its report.
+func (g *globalFlags) startChange(ctx context.Context, action string, r *rollingFlags, args []string) error {
 	if err := r.selectInstances(args); err != nil {
 		return err
 	}
@@ -110,7 +112,7 @@
 			return err
 		}
 	} else if r.policy.OnFailure == api.OnFailureRollback {
-		return fmt.Errorf("--on-failure rollback goes with upgrade; a %s can't be taken back", action)
+		return fmt.Errorf("--on-failure rollback goes with upgrade only: a %s can't be rolled back", action)
 	}
 	hosts, agents, err := r.targets(ctx, f, &operation)
 	if err != nil {
@@ -139,7 +141,8 @@
 	return g.printReport(report)
 }
 
-// completePolicy returns the policy of the flags for a number of targets, checked.
+// completePolicy returns the policy that the flags describe for a number of targets. It returns an
+// error if the policy is invalid.
 func (r *rollingFlags) completePolicy(targets int) (api.Policy, error) {
 	policy := r.policy
 	var err error
@@ -155,10 +158,10 @@
 	return policy, policy.Check(targets)
 }
 
-// upload sends the release to the agents and reports each that has it.
+// upload sends the release to the agents and prints each host that has received it.
 func (r *rollingFlags) upload(ctx context.Context, f *client.Fleet, agents []*client.Agent, hash string) error {
 	err := f.Upload(ctx, agents, hash, r.binary, r.overlay, func(host string) {
-		fmt.Fprintf(os.Stderr, "release %s is at %s\n", shortHash(hash), host)
+		fmt.Fprintf(os.Stderr, "release %s is on host %s\n", shortHash(hash), host)
 	})
 	if err != nil {
 		return &exitError{exitPartial, fmt.Errorf("nothing was changed: %w", err)}
@@ -166,16 +169,17 @@
 	return nil
 }
 
-// targets adds the selected instances to an operation. It returns the hosts, and the agents of those
-// that have targets.
+// targets adds the selected instances to an operation's targets. It returns the hosts that may
+// have selected instances, and the agents of those that have targets. A host that doesn't answer is
+// an error, or is left out with --skip-unreachable. It is also an error if there are no targets.
 func (r *rollingFlags) targets(ctx context.Context, f *client.Fleet, operation *api.Operation) (hosts []client.HostState, agents []*client.Agent, err error) {
 	hosts = f.List(ctx, r.selection)
 	for _, h := range hosts {
 		if h.Error != "" {
 			if !r.skipUnreachable {
-				return nil, nil, &exitError{exitUnreachable, fmt.Errorf("nothing was changed: %s; --skip-unreachable leaves such hosts out", h.Error)}
+				return nil, nil, &exitError{exitUnreachable, fmt.Errorf("nothing was changed: %s; use --skip-unreachable to leave out such hosts", h.Error)}
 			}
-			fmt.Fprintf(os.Stderr, "left out: %s\n", h.Error)
+			fmt.Fprintf(os.Stderr, "host left out: %s\n", h.Error)
 			continue
 		}
 		for _, i := range h.Instances {
@@ -186,12 +190,13 @@
 		}
 	}
 	if len(operation.Targets) == 0 {
-		return nil, nil, &exitError{exitPartial, errors.New("nothing was changed: no instance fits")}
+		return nil, nil, &exitError{exitPartial, errors.New("nothing was changed: no instance fits the selection")}
 	}
 	return hosts, agents, nil
 }
 
-// hashRelease checks the files of a release on this machine and returns its hash.
+// hashRelease checks the files that --binary and --overlay name, and returns the hash of their
+// release.
 func hashRelease(r *rollingFlags) (string, error) {
 	if r.overlay != "" {
 		b, err := os.ReadFile(r.overlay)
@@ -202,9 +207,9 @@
 			return "", fmt.Errorf("--overlay %s: %w", r.overlay, err)
 		}
 	}
-	st, err := os.Stat(r.binary)
-	if err == nil && (!st.Mode().IsRegular() || st.Mode()&0o111 == 0) {
-		err = fmt.Errorf("%s is no program", r.binary)
+	info, err := os.Stat(r.binary)
+	if err == nil && (!info.Mode().IsRegular() || info.Mode()&0o111 == 0) {
+		err = fmt.Errorf("%s is no program: want an executable regular file", r.binary)
 	}
 	if err != nil {
 		return "", fmt.Errorf("--binary: %w", err)
@@ -212,13 +217,14 @@
 	return release.Hash(r.binary, r.overlay)
 }
 
-// spreadOverHosts orders targets by turns over their hosts, so that a batch takes few from each.
+// spreadOverHosts reorders targets so that they alternate between hosts, and a batch has few
+// instances of each host.
 func spreadOverHosts(targets []api.Target) {
-	turn := make(map[api.Target]int)
-	seen := make(map[string]int)
+	position := make(map[api.Target]int) // of a target among those of its host
+	count := make(map[string]int)        // of targets so far, by host
 	for _, t := range targets {
-		turn[t] = seen[t.Host]
-		seen[t.Host]++
+		position[t] = count[t.Host]
+		count[t.Host]++
 	}
-	sort.SliceStable(targets, func(a, b int) bool { return turn[targets[a]] < turn[targets[b]] })
+	sort.SliceStable(targets, func(a, b int) bool { return position[targets[a]] < position[targets[b]] })
 }
--- a/cmd/martendrum/change_plan.go
+++ b/cmd/martendrum/change_plan.go
@@ -10,15 +10,15 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
-// plannedChange is the change of an instance as it is printed.
+// plannedChange is one instance of a rolling change, as a dry run prints it.
 type plannedChange struct {
 	Batch    int          `json:"batch"`
 	Host     string       `json:"host"`
 	Instance api.Instance `json:"instance"`
 }
 
-// printPlan prints what a rolling change would do.
-func (g *global) printPlan(operation *api.Operation, hosts []client.HostState) error {
+// printPlan prints the batches of a rolling change, for --dry-run.
+func (g *globalFlags) printPlan(operation *api.Operation, hosts []client.HostState) error {
 	instances := make(map[api.Target]api.Instance)
 	for _, h := range hosts {
 		for _, i := range h.Instances {
@@ -40,12 +40,12 @@
 		operation.Action, len(operation.Targets), policy.Canaries, policy.Batch, policy.MaxUnavailable, policy.MaxFailures, policy.OnFailure, operation.Soak)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "BATCH\tHOST\tINSTANCE\tSTATE\tRELEASE")
-	for _, p := range plan {
-		release := shortHash(p.Instance.Release)
+	for _, change := range plan {
+		release := shortHash(change.Instance.Release)
 		if operation.Release != "" {
 			release += " -> " + shortHash(operation.Release)
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", p.Batch, p.Host, p.Instance.Name, p.Instance.State, release)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", change.Batch, change.Host, change.Instance.Name, change.Instance.State, release)
 	}
 	w.Flush()
 	fmt.Println("dry run: nothing was changed")
--- a/cmd/martendrum/compat_test.go
+++ b/cmd/martendrum/compat_test.go
@@ -9,7 +9,8 @@
 	"martendrum/internal/goldentest"
 )
 
-// The commands, their flags and their help are those of an earlier build.
+// TestHelpOfEarlierBuild compares the names, flags and help texts of all commands with those of an
+// earlier build.
 func TestHelpOfEarlierBuild(t *testing.T) {
 	t.Setenv("MARTENDRUM_FLEET", "")
 	var out bytes.Buffer
@@ -19,7 +20,7 @@
 		c.SetOut(&out)
 		out.WriteString("=== " + c.CommandPath() + "\n")
 		if err := c.Help(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Help() of %s: %v", c.CommandPath(), err)
 		}
 		for _, sub := range c.Commands() {
 			visit(sub)
--- a/cmd/martendrum/dev.go
+++ b/cmd/martendrum/dev.go
@@ -25,7 +25,7 @@
 	"martendrum/internal/standin/shop"
 )
 
-// devCommand returns the command that runs a fleet for a first try.
+// devCommand returns the command that runs a small fleet on this machine, for first steps.
 func devCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "dev", GroupID: "run", Short: "Run a small fleet on this machine, with nothing installed", Args: cobra.NoArgs,
@@ -33,34 +33,34 @@
 and some traffic, all on loopback, until Ctrl-C. It prints what to try in another terminal.`,
 	}
 	sidecar := c.Flags().String("sidecar", "", "the sidecar's program (default: beside this program, else built from source)")
-	many := c.Flags().Int("sidecars", 3, "how many, 1 to 50")
+	sidecars := c.Flags().Int("sidecars", 3, "how many, 1 to 50")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if *many < 1 || *many > 50 {
+		if *sidecars < 1 || *sidecars > 50 {
 			return errors.New("--sidecars: want 1 to 50")
 		}
-		return runDev(c.Context(), *sidecar, *many, os.Stdout)
+		return runDev(c.Context(), *sidecar, *sidecars, os.Stdout)
 	}
 	return c
 }
 
-// devFleet is the files and addresses of a development fleet.
+// devFleet holds the paths of a development fleet's files and the addresses of its sidecars.
 type devFleet struct {
 	agentConfig string
 	inventory   string
-	overlay     string // an example for upgrade
-	addresses   []string
+	overlay     string   // an example for the commands that take --overlay
+	addresses   []string // where the sidecars listen, as HOST:PORT
 }
 
 const (
-	devServers     = 4
-	devServerDelay = 20 * time.Millisecond
-	devStopTimeout = 20 * time.Second
-	devReportEvery = 10 * time.Second
+	devServers        = 4
+	devServerDelay    = 20 * time.Millisecond
+	devStopTimeout    = 20 * time.Second
+	devReportInterval = 10 * time.Second
 )
 
-// runDev runs a fleet on this machine until ctx ends.
+// runDev runs a fleet on this machine until ctx ends, then stops its sidecars and removes its files.
 func runDev(ctx context.Context, sidecar string, sidecars int, out io.Writer) (err error) {
-	// A closed output must not end the program before the sidecars.
+	// A write to a closed output must not end this program, which has to stop the sidecars first.
 	signal.Ignore(syscall.SIGPIPE)
 	dir, err := os.MkdirTemp("", "martendrum-dev-")
 	if err != nil {
@@ -90,19 +90,19 @@
 	defer a.Close()
 	defer func() {
 		fmt.Fprintln(out, "stopping the sidecars")
-		stop, cancel := context.WithTimeout(context.Background(), devStopTimeout)
+		stopContext, cancel := context.WithTimeout(context.Background(), devStopTimeout)
 		defer cancel()
-		if e := a.StopAll(stop); err == nil {
-			err = e
+		if stopErr := a.StopAll(stopContext); err == nil {
+			err = stopErr
 		}
 	}()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	run, cancel := context.WithCancel(ctx)
+	runContext, cancel := context.WithCancel(ctx)
 	defer cancel()
-	served := sendTraffic(run, &wg, fleet.addresses)
-	wg.Go(func() { reportTraffic(run, served, out) })
-	return a.Serve(run, func([]net.Addr) { printDevHelp(out, sidecars, sidecar, fleet) })
+	counts := sendTraffic(runContext, &wg, fleet.addresses)
+	wg.Go(func() { reportTraffic(runContext, counts, out) })
+	return a.Serve(runContext, func([]net.Addr) { printDevHelp(out, sidecars, sidecar, fleet) })
 }
 
 // writeDevFleet writes the configuration of the agent, its sidecars and the inventory to a folder.
@@ -135,17 +135,17 @@
 	return fleet, nil
 }
 
-// reportTraffic prints the counts of requests until ctx ends.
-func reportTraffic(ctx context.Context, served func() (good, bad int), out io.Writer) {
-	ticker := time.NewTicker(devReportEvery)
+// reportTraffic prints the counts of requests every devReportInterval until ctx ends.
+func reportTraffic(ctx context.Context, counts func() (served, failed int), out io.Writer) {
+	ticker := time.NewTicker(devReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			good, bad := served()
-			fmt.Fprintf(out, "traffic: %d served, %d not\n", good, bad)
+			served, failed := counts()
+			fmt.Fprintf(out, "traffic: %d requests served, %d failed\n", served, failed)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 			self = "go run ./cmd/martendrum"
 		}
 	}
-	fmt.Fprintf(out, `A fleet of %d sidecars runs. In another terminal:
+	fmt.Fprintf(out, `A fleet of %d sidecars is running. To try in another terminal:
 
   export MARTENDRUM_FLEET=%s
   %[3]s list
@@ -166,37 +166,37 @@
   %[3]s upgrade --binary %[4]s --overlay %[5]s --canaries 1 --all
   %[3]s rollback --all
   %[3]s change start --overlay %[5]s --stages 1,100%% --least 20s --longest 2m --past 6 --warm 2s --all
-  kill -9 PID, with one off the list; then list again and watch it come back
+  kill -9 PID, with a PID from the list; then list again: the agent has restarted the sidecar
 
-Ctrl-C ends all of it.
+Ctrl-C stops the whole fleet.
 `, sidecars, fleet.inventory, self, sidecar, fleet.overlay)
 }
 
-// findSidecar returns the path of the sidecar's program: the given one, the one in the folder of
-// this program, or one that is built from the source in the current folder.
+// findSidecar returns the path of the sidecar's program: the given one if it is not empty, the one
+// in the folder of this program, or one that is built to dir from the source in the current folder.
 func findSidecar(ctx context.Context, given, dir string, out io.Writer) (string, error) {
 	if given != "" {
 		return filepath.Abs(given)
 	}
 	if executable, err := os.Executable(); err == nil {
 		sibling := filepath.Join(filepath.Dir(executable), "sidecar")
-		if st, err := os.Stat(sibling); err == nil && st.Mode()&0o111 != 0 {
+		if info, err := os.Stat(sibling); err == nil && info.Mode()&0o111 != 0 {
 			return sibling, nil
 		}
 	}
 	fmt.Fprintln(out, "building the sidecar")
 	path := filepath.Join(dir, "sidecar")
 	if b, err := exec.CommandContext(ctx, "go", "build", "-o", path, "martendrum/cmd/sidecar").CombinedOutput(); err != nil {
-		return "", fmt.Errorf("no sidecar: name its program with --sidecar, or run this in the source folder (%w: %s)", err, b)
+		return "", fmt.Errorf("building the sidecar failed: name its program with --sidecar, or run this in the source folder (%w: %s)", err, b)
 	}
 	return path, nil
 }
 
-// sendTraffic sends each sidecar a few requests per second until ctx ends. The returned function
-// returns the counts so far.
-func sendTraffic(ctx context.Context, wg *sync.WaitGroup, addresses []string) func() (good, bad int) {
+// sendTraffic sends each sidecar a few requests per second, in goroutines of wg that end with ctx.
+// The returned function returns the counts of requests so far.
+func sendTraffic(ctx context.Context, wg *sync.WaitGroup, addresses []string) func() (served, failed int) {
 	var mu sync.Mutex
-	var good, bad int
+	var served, failed int
 	for n, address := range addresses {
 		wg.Go(func() {
 			client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{}}
@@ -216,9 +216,9 @@
 				ok := succeeds(client, request)
 				mu.Lock()
 				if ok {
-					good++
+					served++
 				} else {
-					bad++
+					failed++
 				}
 				mu.Unlock()
 			}
@@ -227,11 +227,11 @@
 	return func() (int, int) {
 		mu.Lock()
 		defer mu.Unlock()
-		return good, bad
+		return served, failed
 	}
 }
 
-// succeeds sends a request, reads the answer and says whether its status is 200.
+// succeeds sends a request, reads the response and reports whether its status is 200.
 func succeeds(client *http.Client, request *http.Request) bool {
 	response, err := client.Do(request)
 	if err != nil {
--- a/cmd/martendrum/inspect.go
+++ b/cmd/martendrum/inspect.go
@@ -12,8 +12,8 @@
 	"martendrum/internal/fleet/control/client"
 )
 
-// inspectCommand returns the command that shows one instance.
-func inspectCommand(g *global) *cobra.Command {
+// inspectCommand returns the command that shows all details of one instance.
+func inspectCommand(g *globalFlags) *cobra.Command {
 	inspect := &cobra.Command{
 		Use: "inspect INSTANCE", GroupID: "view", Short: "Show all that is known of one instance", Args: cobra.ExactArgs(1),
 	}
@@ -33,36 +33,38 @@
 	return inspect
 }
 
+// printInspection prints the details of an instance, the latest steps of operations on it and the
+// end of its log.
 func printInspection(out *api.InspectOut) {
-	i := &out.Instance
+	instance := &out.Instance
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	for _, line := range [][2]string{
-		{"instance", i.Name},
-		{"host", i.Host},
-		{"labels", fmt.Sprint(i.Labels)},
-		{"listen", i.Listen},
-		{"desired", i.Desired},
-		{"state", i.State + " for " + age(i.Since)},
-		{"reason", i.Reason},
-		{"release", i.Release},
-		{"running", i.Running},
-		{"previous", i.Previous},
-		{"generation", fmt.Sprintf("%d, of the process %d", i.Generation, i.Process)},
-		{"pid", fmt.Sprint(i.PID)},
-		{"launched", age(i.Launched) + " ago"},
-		{"restarts", fmt.Sprint(i.Restarts)},
-		{"last exit", i.LastExit},
-		{"record", i.Record},
-		{"operation", i.Operation},
-		{"held by", i.LeaseHolder},
+		{"instance", instance.Name},
+		{"host", instance.Host},
+		{"labels", fmt.Sprint(instance.Labels)},
+		{"listen", instance.Listen},
+		{"desired", instance.Desired},
+		{"state", instance.State + " for " + age(instance.Since)},
+		{"reason", instance.Reason},
+		{"release", instance.Release},
+		{"running", instance.Running},
+		{"previous", instance.Previous},
+		{"generation", fmt.Sprintf("%d, of the running process: %d", instance.Generation, instance.Process)},
+		{"pid", fmt.Sprint(instance.PID)},
+		{"launched", age(instance.Launched) + " ago"},
+		{"restarts", fmt.Sprint(instance.Restarts)},
+		{"last exit", instance.LastExit},
+		{"record", instance.Record},
+		{"operation", instance.Operation},
+		{"held by", instance.LeaseHolder},
 	} {
 		fmt.Fprintf(w, "%s\t%s\n", line[0], line[1])
 	}
 	w.Flush()
 	printInstanceSettings(out.Settings)
-	fmt.Println("\nlatest steps:")
-	for _, s := range out.Steps {
-		fmt.Printf("  %s  %s %s: %s %s\n", s.Started.Format(time.RFC3339), s.Action, s.Kind, s.Status, s.Reason)
+	fmt.Println("\nlatest steps of operations:")
+	for _, step := range out.Steps {
+		fmt.Printf("  %s  %s %s: %s %s\n", step.Started.Format(time.RFC3339), step.Action, step.Kind, step.Status, step.Reason)
 	}
-	fmt.Printf("\nend of its log:\n%s", out.Log)
+	fmt.Printf("\nend of the log:\n%s", out.Log)
 }
--- a/cmd/martendrum/list.go
+++ b/cmd/martendrum/list.go
@@ -14,9 +14,9 @@
 	"martendrum/internal/fleet/control/client"
 )
 
-// listCommand returns the command that lists instances, or with --settings the progress of
-// distributed settings.
-func listCommand(g *global) *cobra.Command {
+// listCommand returns the command that lists instances, or with --settings the hosts where a
+// revision of the distributed settings is in force.
+func listCommand(g *globalFlags) *cobra.Command {
 	list := &cobra.Command{
 		Use: "list", GroupID: "view", Short: "List instances and their states", Args: cobra.NoArgs,
 		Long: "List the instances of the fleet. Hosts that don't answer are listed too, and make the exit code 1\n(3 if none answers).",
@@ -41,9 +41,10 @@
 	return list
 }
 
-// printInstances prints the instances of hosts. Its error has the exit code: hosts that don't
-// answer or can't write their record are failures.
-func printInstances(g *global, hosts []client.HostState) error {
+// printInstances prints the instances of hosts. It returns an error with the exit code
+// exitUnreachable if no host answered, and with exitPartial if some didn't or can't write their
+// record.
+func printInstances(g *globalFlags, hosts []client.HostState) error {
 	if g.json {
 		if err := printJSON(hosts); err != nil {
 			return err
@@ -52,23 +53,24 @@
 		printInstanceTable(hosts)
 		printHostProblems(hosts)
 	}
-	silent := 0
+	unreachable := 0
 	for _, h := range hosts {
 		if h.Error != "" {
-			silent++
+			unreachable++
 		}
 	}
 	switch {
-	case silent > 0 && silent == len(hosts):
-		return &exitError{exitUnreachable, errors.New("no host answers")}
-	case silent > 0:
-		return &exitError{exitPartial, fmt.Errorf("%d of %d hosts don't answer", silent, len(hosts))}
+	case unreachable > 0 && unreachable == len(hosts):
+		return &exitError{exitUnreachable, errors.New("none of the hosts answers")}
+	case unreachable > 0:
+		return &exitError{exitPartial, fmt.Errorf("%d of %d hosts don't answer", unreachable, len(hosts))}
 	case slices.ContainsFunc(hosts, func(h client.HostState) bool { return h.Unwritable != "" }):
 		return &exitError{exitPartial, nil}
 	}
 	return nil
 }
 
+// printInstanceTable prints the instances of hosts as a table.
 func printInstanceTable(hosts []client.HostState) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "HOST\tINSTANCE\tDESIRED\tSTATE\tFOR\tRELEASE\tRESTARTS\tPID\tNOTE")
@@ -84,7 +86,8 @@
 	w.Flush()
 }
 
-// instanceNote returns what an operator should know of an instance besides its state.
+// instanceNote returns the note on an instance: the reason for its state, the operation that holds
+// it, and whether its store of record is unavailable.
 func instanceNote(i *api.Instance) string {
 	note := i.Reason
 	if i.Operation != "" {
--- a/cmd/martendrum/logs.go
+++ b/cmd/martendrum/logs.go
@@ -11,11 +11,11 @@
 	"martendrum/internal/fleet/control/client"
 )
 
-// logPollInterval is the period in which --follow looks for new output.
+// logPollInterval is the interval at which --follow polls the agent for new output.
 const logPollInterval = 500 * time.Millisecond
 
 // logsCommand returns the command that prints an instance's log.
-func logsCommand(g *global) *cobra.Command {
+func logsCommand(g *globalFlags) *cobra.Command {
 	logs := &cobra.Command{
 		Use: "logs INSTANCE", GroupID: "view", Short: "Print an instance's log", Args: cobra.ExactArgs(1),
 	}
@@ -29,7 +29,8 @@
 	return logs
 }
 
-// printLog prints the last tail bytes of a log; with follow it goes on until ctx ends.
+// printLog prints the last tail bytes of an instance's log. With follow it continues with new output
+// until ctx ends.
 func printLog(ctx context.Context, a *client.Agent, instance string, tail int64, follow bool) error {
 	for offset := -tail; ; {
 		var out api.LogsOut
--- a/cmd/martendrum/main.go
+++ b/cmd/martendrum/main.go
@@ -17,17 +17,17 @@
 	"martendrum/internal/fleet/control/inventory"
 )
 
-// Exit codes.
+// Exit codes other than 0.
 const (
 	exitPartial     = 1 // some of the work failed; the output says which
-	exitUse         = 2 // bad use
-	exitUnreachable = 3 // something that is needed could not be reached
+	exitUse         = 2 // wrong usage, or an error that has no exit code of its own
+	exitUnreachable = 3 // a host, relay or store that the command needs is unreachable
 )
 
-// exitError is an error with the program's exit code.
+// exitError is an error that sets the program's exit code.
 type exitError struct {
 	code int
-	err  error // nil: already printed
+	err  error // nil if the output already shows the failure
 }
 
 // Error implements error.
@@ -42,7 +42,7 @@
 	os.Exit(run(ctx, os.Args[1:]))
 }
 
-// run runs a command line and returns its exit code.
+// run executes a command line, prints its error to standard error and returns the exit code.
 func run(ctx context.Context, args []string) int {
 	root := newRoot()
 	root.SetArgs(args)
@@ -51,9 +51,9 @@
 		return 0
 	}
 	code := exitUse
-	if e, ok := errors.AsType[*exitError](err); ok {
-		code = e.code
-		if e.err == nil {
+	if exit, ok := errors.AsType[*exitError](err); ok {
+		code = exit.code
+		if exit.err == nil {
 			return code
 		}
 	} else if errors.As(err, new(*client.UnreachableError)) {
@@ -63,15 +63,15 @@
 	return code
 }
 
-// global are the flags of all commands that call agents.
-type global struct {
-	inventoryPath string
-	json          bool
+// globalFlags holds the flags that all commands have.
+type globalFlags struct {
+	inventoryPath string // the file that lists the hosts
+	json          bool   // print JSON instead of text
 }
 
-// newRoot returns the command line.
+// newRoot returns the root command with all of its subcommands.
 func newRoot() *cobra.Command {
-	g := &global{}
+	g := &globalFlags{}
 	root := &cobra.Command{
 		Use:   "martendrum",
 		Short: "Manage many sidecars at once",
@@ -103,8 +103,9 @@
 	return root
 }
 
-// openFleet reads the inventory and returns the fleet, without connecting.
-func (g *global) openFleet() (*client.Fleet, error) {
+// openFleet reads the inventory and returns the fleet, without connecting to any agent. The caller
+// closes it.
+func (g *globalFlags) openFleet() (*client.Fleet, error) {
 	hosts, err := inventory.Load(g.inventoryPath)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) {
--- a/cmd/martendrum/operations.go
+++ b/cmd/martendrum/operations.go
@@ -13,13 +13,14 @@
 	"martendrum/internal/fleet/control/client"
 )
 
-// opCommands returns the commands on operations.
-func opCommands(g *global) []*cobra.Command {
+// opCommands returns the commands that list, report, resume and abort operations.
+func opCommands(g *globalFlags) []*cobra.Command {
 	return []*cobra.Command{operationsCommand(g), reportCommand(g), resumeOperationCommand(g), abortCommand(g)}
 }
 
-// onOperation makes a command with an operation's ID as its argument.
-func (g *global) onOperation(c *cobra.Command, do func(c *cobra.Command, f *client.Fleet, id string) error) *cobra.Command {
+// onOperation completes a command whose only argument is the ID of an operation: it opens the fleet
+// and calls do.
+func (g *globalFlags) onOperation(c *cobra.Command, do func(c *cobra.Command, f *client.Fleet, id string) error) *cobra.Command {
 	c.GroupID, c.Args = "op", cobra.ExactArgs(1)
 	c.RunE = func(c *cobra.Command, args []string) error {
 		f, err := g.openFleet()
@@ -32,7 +33,8 @@
 	return c
 }
 
-func reportCommand(g *global) *cobra.Command {
+// reportCommand returns the command that prints the report of an operation.
+func reportCommand(g *globalFlags) *cobra.Command {
 	report := &cobra.Command{Use: "report OPERATION", Short: "Tell what became of an operation, from the agents' records"}
 	return g.onOperation(report, func(c *cobra.Command, f *client.Fleet, id string) error {
 		report, err := f.Report(c.Context(), id)
@@ -43,7 +45,8 @@
 	})
 }
 
-func resumeOperationCommand(g *global) *cobra.Command {
+// resumeOperationCommand returns the command that resumes an operation.
+func resumeOperationCommand(g *globalFlags) *cobra.Command {
 	run := &runFlags{}
 	resume := &cobra.Command{Use: "resume OPERATION", Short: "Go on with an operation where it stood",
 		Long: "Resume goes on with an operation whose command has died, was interrupted or has paused.\nWhat is done stays done: no instance is changed twice."}
@@ -53,7 +56,8 @@
 	})
 }
 
-func abortCommand(g *global) *cobra.Command {
+// abortCommand returns the command that aborts an operation.
+func abortCommand(g *globalFlags) *cobra.Command {
 	abort := &cobra.Command{Use: "abort OPERATION", Short: "End an operation: what is under way is finished, nothing new begins"}
 	return g.onOperation(abort, func(c *cobra.Command, f *client.Fleet, id string) error {
 		failed, err := f.Abort(c.Context(), id)
@@ -61,17 +65,17 @@
 			return err
 		}
 		for host, err := range failed {
-			fmt.Fprintf(os.Stderr, "%s: not ended there: %v\n", host, err)
+			fmt.Fprintf(os.Stderr, "%s: the operation was not aborted on this host: %v\n", host, err)
 		}
 		if len(failed) > 0 {
-			return &exitError{exitPartial, errors.New("say it again once those hosts answer")}
+			return &exitError{exitPartial, errors.New("abort again once those hosts answer")}
 		}
-		fmt.Printf("operation %s ends; `martendrum report %s` tells how\n", id, id)
+		fmt.Printf("operation %s is being aborted; `martendrum report %s` shows the outcome\n", id, id)
 		return nil
 	})
 }
 
-// listedOperation is an operation as it is printed.
+// listedOperation is an operation as operationsCommand prints it.
 type listedOperation struct {
 	api.Operation
 	State       string   `json:"state"`
@@ -80,7 +84,8 @@
 	Hosts       []string `json:"hosts"`
 }
 
-func operationsCommand(g *global) *cobra.Command {
+// operationsCommand returns the command that lists the operations of all hosts.
+func operationsCommand(g *globalFlags) *cobra.Command {
 	operations := &cobra.Command{Use: "operations", GroupID: "op", Short: "List operations, those that are open first", Args: cobra.NoArgs}
 	operations.RunE = func(c *cobra.Command, _ []string) error {
 		f, err := g.openFleet()
@@ -101,16 +106,16 @@
 		if err != nil {
 			return err
 		}
-		if silent := errors.Join(errs...); silent != nil {
-			return &exitError{exitPartial, silent}
+		if unanswered := errors.Join(errs...); unanswered != nil {
+			return &exitError{exitPartial, unanswered}
 		}
 		return nil
 	}
 	return operations
 }
 
-// mergeOperations merges the operations of all agents. Open ones come first, then the latest. An
-// operation that is open at any agent is open.
+// mergeOperations merges the operations that each agent of the fleet has returned. An operation that
+// is open at any agent is open. Open operations come first, and within each group the newest.
 func mergeOperations(f *client.Fleet, byAgent []api.OpsOut) []*listedOperation {
 	byID := make(map[string]*listedOperation)
 	for n, out := range byAgent {
@@ -134,8 +139,8 @@
 		all = append(all, listed)
 	}
 	sort.Slice(all, func(a, b int) bool {
-		if x, y := all[a].State == api.OpClosed, all[b].State == api.OpClosed; x != y {
-			return y
+		if aClosed, bClosed := all[a].State == api.OpClosed, all[b].State == api.OpClosed; aClosed != bClosed {
+			return bClosed
 		}
 		return all[a].Created.After(all[b].Created)
 	})
--- a/cmd/martendrum/output.go
+++ b/cmd/martendrum/output.go
@@ -13,15 +13,15 @@
 // barWidth is the width of the progress bar in characters.
 const barWidth = 24
 
-// progress returns what prints events to standard error: as JSON lines, as a progress bar on a
-// terminal, and otherwise as one line each.
-func progress(g *global) func(client.Event) {
-	st, err := os.Stderr.Stat()
-	terminal := err == nil && st.Mode()&os.ModeCharDevice != 0 && !g.json
-	lines := json.NewEncoder(os.Stderr)
+// progress returns a function that prints the events of an operation to standard error: as JSON
+// lines with --json, as a progress bar on a terminal, and otherwise as one line each.
+func progress(g *globalFlags) func(client.Event) {
+	info, err := os.Stderr.Stat()
+	terminal := err == nil && info.Mode()&os.ModeCharDevice != 0 && !g.json
+	encoder := json.NewEncoder(os.Stderr)
 	return func(e client.Event) {
 		if g.json {
-			lines.Encode(e)
+			encoder.Encode(e)
 			return
 		}
 		text := strings.TrimSpace(strings.Join([]string{e.Kind, e.Host, e.Instance, e.Step, e.Text}, " "))
@@ -40,14 +40,14 @@
 	}
 }
 
-// printJSON prints a value as indented JSON.
+// printJSON prints a value to standard output as indented JSON.
 func printJSON(v any) error {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(v)
 }
 
-// shortHash returns the start of a release's hash.
+// shortHash returns the first 12 characters of a release's hash, or all of a shorter one.
 func shortHash(hash string) string { return hash[:min(12, len(hash))] }
 
 // age returns the time since t in whole seconds, "-" for the zero time.
--- a/cmd/martendrum/plot.go
+++ b/cmd/martendrum/plot.go
@@ -19,23 +19,23 @@
 	plotHeight = 12 * vg.Centimeter
 )
 
-// evidenceSeries is the evidence of one test over the time of a change.
+// evidenceSeries is the evidence of one test of the canary analysis over the time of a change.
 type evidenceSeries struct {
-	first                *canary.Evidence // where the test was first seen
-	estimates, low, high plotter.XYs
+	first                *canary.Evidence // the earliest, for the test's name and margins
+	estimates, low, high plotter.XYs      // the estimated differences and their bounds, by seconds
 }
 
-// plotEvidence draws one test over the time of a change: the estimated difference between changed
-// and unchanged instances, its bounds and the margins. test is a test's name or its start, slot
-// the length of a slot in seconds.
+// plotEvidence draws one test over the time of a change to the file at path: the estimated difference
+// between changed and unchanged instances, its bounds and the margins. test is the name of the test
+// or a prefix of it, and slot the length of a slot in seconds. The file's suffix selects the format.
 func plotEvidence(series []canary.Judgement, slot float64, test, path string) error {
 	evidence, err := evidenceOf(series, slot, test)
 	if err != nil {
 		return err
 	}
 	p := plot.New()
-	p.Title.Text = evidence.first.Test.String() + ": changed less unchanged"
-	p.X.Label.Text, p.Y.Label.Text = "seconds since the first stage began", "more of it, in its unit"
+	p.Title.Text = evidence.first.Test.String() + ": changed minus unchanged instances"
+	p.X.Label.Text, p.Y.Label.Text = "seconds since the first stage began", "difference, in the unit of the measure"
 	if err := evidence.draw(p); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
@@ -50,16 +50,16 @@
 	return nil
 }
 
-// evidenceOf collects the evidence of the first test whose name has a prefix. Slots without finite
-// bounds are left out.
+// evidenceOf collects the evidence of the first test whose name has a prefix. It leaves out slots
+// whose bounds are infinite or equal. Without such a test or slot it returns an error.
 func evidenceOf(series []canary.Judgement, slot float64, prefix string) (*evidenceSeries, error) {
 	s := &evidenceSeries{}
-	var known []string
+	var names []string // of the tests in the latest judgement
 	for n, judgement := range series {
 		for _, e := range judgement.Evidence {
 			name := e.Test.String()
 			if n == len(series)-1 {
-				known = append(known, name)
+				names = append(names, name)
 			}
 			if s.first == nil && strings.HasPrefix(name, prefix) {
 				s.first = &e
@@ -74,7 +74,7 @@
 		}
 	}
 	if s.first == nil {
-		return nil, fmt.Errorf("no test %q; there are: %s", prefix, strings.Join(known, "; "))
+		return nil, fmt.Errorf("no test has the name or prefix %q; the tests are: %s", prefix, strings.Join(names, "; "))
 	}
 	if len(s.estimates) == 0 {
 		return nil, fmt.Errorf("test %q was never judged: %s", s.first.Test, s.first.Why)
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// drawMargins draws the tolerated harm and the harm that must be excluded.
+// drawMargins draws a line for the harm that is tolerated, and one for the harm that must be ruled out.
 func (s *evidenceSeries) drawMargins(p *plot.Plot) error {
 	for n, margin := range []struct {
 		at   float64
@@ -122,12 +122,12 @@
 	return nil
 }
 
-// setRange sets the vertical range by the later half: the first bounds are wide and would hide the
-// rest.
+// setRange derives the vertical range from the later half of the estimates: the earliest bounds are
+// so wide that they would hide the rest.
 func (s *evidenceSeries) setRange(p *plot.Plot) {
-	reach := 3 * s.first.Margin.Exclude
+	limit := 3 * s.first.Margin.Exclude
 	for _, estimate := range s.estimates[len(s.estimates)/2:] {
-		reach = max(reach, 1.5*math.Abs(estimate.Y))
+		limit = max(limit, 1.5*math.Abs(estimate.Y))
 	}
-	p.Y.Min, p.Y.Max = -reach, reach
+	p.Y.Min, p.Y.Max = -limit, limit
 }
--- a/cmd/martendrum/record.go
+++ b/cmd/martendrum/record.go
@@ -14,26 +14,27 @@
 	"martendrum/internal/idempotency/storeconfig"
 )
 
-// recordFlags are the flags that the commands on a store share.
+// recordFlags holds the flags that the commands on a store share.
 type recordFlags struct {
-	*global
-	config  string
-	timeout time.Duration
+	*globalFlags
+	configPath string        // the file that describes the store
+	timeout    time.Duration // of the whole command
 }
 
-// withStore opens the store, calls do and closes the store, all within the timeout. owner opens it
-// for exclusive use.
-func (r *recordFlags) withStore(c *cobra.Command, owner bool, do func(ctx context.Context, store idempotency.Backend) error) error {
-	config, err := storeconfig.Load(r.config)
+// withStore opens the store, calls do and closes the store, all within the timeout. With exclusive, no
+// other process may have a SQLite file open. An error without an exit code gets exitUnreachable,
+// unless it is one of the store's configuration.
+func (r *recordFlags) withStore(c *cobra.Command, exclusive bool, do func(ctx context.Context, store idempotency.Backend) error) error {
+	config, err := storeconfig.Load(r.configPath)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) {
-			err = fmt.Errorf("%w: name the sidecar's file with --config", err)
+			err = fmt.Errorf("%w: name the sidecar's file for its store with --config", err)
 		}
 		return err
 	}
 	ctx, cancel := context.WithTimeout(c.Context(), r.timeout)
 	defer cancel()
-	store, err := config.Open(ctx, owner, nil)
+	store, err := config.Open(ctx, exclusive, nil)
 	if err != nil {
 		return &exitError{exitUnreachable, err}
 	}
@@ -45,9 +46,9 @@
 	return err
 }
 
-// recordCommand returns the commands on a store of record.
-func recordCommand(g *global) *cobra.Command {
-	r := &recordFlags{global: g}
+// recordCommand returns the command with the subcommands on a store of record.
+func recordCommand(g *globalFlags) *cobra.Command {
+	r := &recordFlags{globalFlags: g}
 	root := &cobra.Command{
 		Use: "record", GroupID: "view", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 		Short: "Look into a store of record, and settle what may have run",
@@ -62,7 +63,7 @@
   martendrum record look activate 8962100012345678901
   martendrum record settle activate 8962100012345678901 --never-ran --note "not at the registry, ticket 771"`,
 	}
-	root.PersistentFlags().StringVar(&r.config, "config", "deploy/record.toml", "the store's file, as MARTENDRUM_RECORD names it to the sidecar")
+	root.PersistentFlags().StringVar(&r.configPath, "config", "deploy/record.toml", "the store's file, as MARTENDRUM_RECORD names it to the sidecar")
 	root.PersistentFlags().DurationVar(&r.timeout, "timeout", 5*time.Minute, "give up after")
 
 	root.AddCommand(recordLookCommand(r), recordListCommand(r), recordExportCommand(r), recordSettleCommand(r),
@@ -70,7 +71,7 @@
 	return root
 }
 
-// recordLookCommand returns the command that shows one key.
+// recordLookCommand returns the command that shows the entry of one key.
 func recordLookCommand(r *recordFlags) *cobra.Command {
 	look := &cobra.Command{Use: "look CLASS KEY", Short: "Show what is known of a key", Args: cobra.ExactArgs(2),
 		Long: "Show what is known of a key. Exit code 1 if nothing is."}
@@ -81,7 +82,7 @@
 				return err
 			}
 			if entry.State == idempotency.Unknown {
-				return &exitError{exitPartial, fmt.Errorf("class %s has no key %q in the record: it was never sent, or what was known is no longer kept", args[0], args[1])}
+				return &exitError{exitPartial, fmt.Errorf("class %s has no key %q in the record: it was never sent, or its entry is no longer kept", args[0], args[1])}
 			}
 			return r.printEntry(newRecordEntry(&entry))
 		})
@@ -89,7 +90,7 @@
 	return look
 }
 
-// printEntry prints all that is known of a key.
+// printEntry prints all fields of an entry.
 func (r *recordFlags) printEntry(entry recordEntry) error {
 	if r.json {
 		return printJSON(entry)
@@ -113,33 +114,33 @@
 	return w.Flush()
 }
 
-// recordCheckCommand returns the command that looks for damage.
+// recordCheckCommand returns the command that checks the store for damage.
 func recordCheckCommand(r *recordFlags) *cobra.Command {
 	check := &cobra.Command{Use: "check", Short: "Check the file and the store for damage", Args: cobra.NoArgs}
 	check.RunE = func(c *cobra.Command, _ []string) error {
 		return r.withStore(c, false, func(ctx context.Context, store idempotency.Backend) error {
-			found, err := store.Check(ctx)
+			damage, err := store.Check(ctx)
 			if err != nil {
 				return err
 			}
-			return r.printDamage(found)
+			return r.printDamage(damage)
 		})
 	}
 	return check
 }
 
-// printDamage prints what a check has found, as an error if there is any.
-func (r *recordFlags) printDamage(found []string) error {
+// printDamage prints the damage that a check has found, and returns an error if there is any.
+func (r *recordFlags) printDamage(damage []string) error {
 	if r.json {
-		if err := printJSON(append([]string{}, found...)); err != nil {
+		if err := printJSON(append([]string{}, damage...)); err != nil {
 			return err
 		}
 	} else {
-		for _, line := range found {
+		for _, line := range damage {
 			fmt.Println(line)
 		}
 	}
-	if len(found) > 0 {
+	if len(damage) > 0 {
 		return &exitError{exitPartial, errors.New("the record is damaged: export what can be read, move the file aside, and settle by hand what is missing")}
 	}
 	if !r.json {
--- a/cmd/martendrum/record_entry.go
+++ b/cmd/martendrum/record_entry.go
@@ -7,12 +7,12 @@
 	"martendrum/internal/idempotency"
 )
 
-// recordEntry is an entry of the store as it is printed.
+// recordEntry is an entry of the store as the commands print it.
 type recordEntry struct {
 	Class         string    `json:"class"`
 	Key           string    `json:"key"`
 	State         string    `json:"state"`
-	Request       string    `json:"request,omitempty"` // its Req-Id
+	Request       string    `json:"request,omitempty"` // the request's Req-Id header
 	Attempts      int64     `json:"attempts"`
 	Servers       string    `json:"servers,omitempty"`
 	Owner         string    `json:"owner,omitempty"`
@@ -26,6 +26,7 @@
 	Note          string    `json:"note,omitempty"`
 }
 
+// newRecordEntry converts an entry of the store for printing.
 func newRecordEntry(e *idempotency.Entry) recordEntry {
 	return recordEntry{
 		Class:         e.Class,
@@ -46,7 +47,8 @@
 	}
 }
 
-// describeAnswer returns an entry's answer as text, "" if there is none.
+// describeAnswer returns an entry's answer as text: its status, and up to 200 characters of its body.
+// It returns "" if there is no answer.
 func describeAnswer(e *recordEntry) string {
 	switch {
 	case e.Status == 0:
--- a/cmd/martendrum/record_list.go
+++ b/cmd/martendrum/record_list.go
@@ -17,18 +17,19 @@
 )
 
 const (
-	// maxPage bounds the entries that are read from the store in one call.
-	maxPage = 500
-	// exportProgress is the number of entries between two lines of progress.
-	exportProgress = 10000
+	// pageEntries bounds the entries that are read from the store in one call.
+	pageEntries = 500
+	// exportProgressEntries is the number of entries after which an export prints its progress.
+	exportProgressEntries = 10000
 )
 
-// recordFilter are the flags that select entries.
+// recordFilter holds the flags that select entries.
 type recordFilter struct {
 	filter idempotency.Filter
 	since  time.Duration
 }
 
+// add defines the flags on a command.
 func (f *recordFilter) add(c *cobra.Command) {
 	c.Flags().StringVar((*string)(&f.filter.State), "state", "", "only in this state: in-flight, answered, never-ran or may-have-run")
 	c.Flags().StringVar(&f.filter.Class, "class", "", "only of this class")
@@ -36,7 +37,8 @@
 	c.RegisterFlagCompletionFunc("state", cobra.FixedCompletions([]cobra.Completion{"in-flight", "answered", "never-ran", "may-have-run"}, cobra.ShellCompDirectiveNoFileComp))
 }
 
-// forEach calls do for each selected entry, limit at most, and says whether there are more.
+// forEach calls do for up to limit selected entries, without their answers, and reports whether there
+// are more.
 func (f *recordFilter) forEach(ctx context.Context, store idempotency.Backend, limit int, do func(*idempotency.Entry) error) (more bool, err error) {
 	filter := f.filter
 	if filter.State != idempotency.Unknown && !strings.Contains(" in-flight answered never-ran may-have-run ", " "+string(filter.State)+" ") {
@@ -45,7 +47,7 @@
 	if f.since > 0 {
 		filter.ChangedSince = time.Now().Add(-f.since).UnixMicro()
 	}
-	filter.Limit = maxPage
+	filter.Limit = pageEntries
 	for n := 0; ; {
 		page, err := store.List(ctx, filter)
 		if err != nil {
@@ -67,7 +69,7 @@
 	}
 }
 
-// recordListCommand returns the command that lists keys.
+// recordListCommand returns the command that lists the entries of keys.
 func recordListCommand(r *recordFlags) *cobra.Command {
 	list := &cobra.Command{Use: "list", Short: "List keys", Args: cobra.NoArgs}
 	filter := &recordFilter{}
@@ -84,7 +86,7 @@
 				return err
 			}
 			if more {
-				fmt.Fprintf(os.Stderr, "martendrum: there are more than %d; see --most, --state and --class, or export\n", *limit)
+				fmt.Fprintf(os.Stderr, "martendrum: there are more than %d entries; raise --most, select with --state or --class, or use export\n", *limit)
 			}
 			return r.printEntries(entries)
 		})
@@ -92,6 +94,7 @@
 	return list
 }
 
+// printEntries prints a list of entries without their answers.
 func (r *recordFlags) printEntries(entries []recordEntry) error {
 	if r.json {
 		return printJSON(entries)
@@ -115,12 +118,12 @@
 			encoder := json.NewEncoder(out)
 			n := 0
 			_, err := filter.forEach(ctx, store, math.MaxInt, func(listed *idempotency.Entry) error {
-				entry, err := store.Get(ctx, listed.Class, listed.Key) // a list has no answers
+				entry, err := store.Get(ctx, listed.Class, listed.Key) // List returns entries without their answers
 				if err != nil || entry.State == idempotency.Unknown {
 					return err
 				}
-				if n++; n%exportProgress == 0 {
-					fmt.Fprintf(os.Stderr, "%d rows\n", n)
+				if n++; n%exportProgressEntries == 0 {
+					fmt.Fprintf(os.Stderr, "%d entries exported\n", n)
 				}
 				return encoder.Encode(newRecordEntry(&entry))
 			})
--- a/cmd/martendrum/record_settle.go
+++ b/cmd/martendrum/record_settle.go
@@ -11,7 +11,7 @@
 	"martendrum/internal/idempotency"
 )
 
-// settleFlags are the flags of `record settle`.
+// settleFlags holds the flags of `record settle`.
 type settleFlags struct {
 	neverRan bool
 	by, note string
@@ -25,7 +25,7 @@
 		Long: `Say what became of a key that may have run. --ran: a repeat is told that it ran.
 --never-ran: a repeat goes through; be sure, and be sure that no server still has it.`}
 	f := settle.Flags()
-	f.Bool("ran", false, "it ran") // required without --never-ran, whose value decides
+	f.Bool("ran", false, "it ran") // one of --ran and --never-ran is required; only the value of --never-ran is read
 	f.BoolVar(&s.neverRan, "never-ran", false, "it did not run, and will not")
 	f.StringVar(&s.by, "who", operatorName(), "who says so")
 	f.StringVar(&s.note, "note", "", "how it is known")
@@ -44,7 +44,8 @@
 	return settle
 }
 
-// settle settles a key, or with dryRun only computes the result.
+// settle settles a key, and returns its new entry. With dryRun it returns the entry without storing
+// it. It returns an error if the state of the key is not may-have-run.
 func (s *settleFlags) settle(ctx context.Context, store idempotency.Backend, class, key string) (*idempotency.Entry, error) {
 	state := idempotency.Answered
 	if s.neverRan {
@@ -70,10 +71,10 @@
 	return &op.Entry, nil
 }
 
-// printSettled prints an entry that was settled, or would be.
+// printSettled prints the entry of a key that was settled, or with dryRun would be.
 func (r *recordFlags) printSettled(entry recordEntry, dryRun bool) error {
 	if dryRun {
-		fmt.Fprintln(os.Stderr, "nothing was changed; it would become:")
+		fmt.Fprintln(os.Stderr, "nothing was changed; the entry would become:")
 	}
 	if r.json {
 		return printJSON(entry)
--- a/cmd/martendrum/record_stats.go
+++ b/cmd/martendrum/record_stats.go
@@ -10,24 +10,25 @@
 	"martendrum/internal/idempotency"
 )
 
-// maxGaps bounds the gaps that are shown.
+// maxGaps bounds the number of gaps that are printed.
 const maxGaps = 100
 
-// recordStats is the state of a store as it is printed.
+// recordStats is the state of a store as `record stats` prints it.
 type recordStats struct {
-	Entries  map[idempotency.State]int64 `json:"rows"`
+	Entries  map[idempotency.State]int64 `json:"rows"` // number by state
 	Bytes    int64                       `json:"bytes"`
 	MaxBytes int64                       `json:"most,omitempty"`
 	Gaps     []idempotency.Gap           `json:"gaps"`
 }
 
-// recordStatsCommand returns the command that counts entries and shows gaps.
+// recordStatsCommand returns the command that counts entries and shows gaps, the times in which
+// requests were sent without a record.
 func recordStatsCommand(r *recordFlags) *cobra.Command {
 	stats := &cobra.Command{Use: "stats", Short: "Count rows by state, and show the gaps", Args: cobra.NoArgs,
 		Long: "Count rows by state, show the bytes used and the times in which requests went on without\na record. Exit code 1 if any key may have run."}
 	stats.RunE = func(c *cobra.Command, _ []string) error {
 		return r.withStore(c, false, func(ctx context.Context, store idempotency.Backend) error {
-			st, err := store.Stats(ctx)
+			counts, err := store.Stats(ctx)
 			if err != nil {
 				return err
 			}
@@ -35,7 +36,7 @@
 			if err != nil {
 				return err
 			}
-			stats := &recordStats{st.Rows, st.Bytes, st.MaxBytes, gaps}
+			stats := &recordStats{counts.Rows, counts.Bytes, counts.MaxBytes, gaps}
 			if r.json {
 				if err := printJSON(stats); err != nil {
 					return err
@@ -52,6 +53,7 @@
 	return stats
 }
 
+// print prints the counts and the gaps as text.
 func (s *recordStats) print() {
 	for _, state := range idempotency.States {
 		fmt.Printf("%-14s %d\n", state, s.Entries[state])
--- a/cmd/martendrum/report.go
+++ b/cmd/martendrum/report.go
@@ -12,9 +12,9 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
-// printReport prints the report of an operation. One that did not succeed is an error with the
-// exit code for that.
-func (g *global) printReport(report *client.Report) error {
+// printReport prints the report of an operation. It returns an error with the exit code exitPartial if
+// the operation did not succeed.
+func (g *globalFlags) printReport(report *client.Report) error {
 	if g.json {
 		if err := printJSON(report); err != nil {
 			return err
@@ -30,6 +30,7 @@
 	return nil
 }
 
+// printResults prints the result of each instance as a table.
 func printResults(results []client.InstanceResult) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "HOST\tINSTANCE\tOUTCOME\tNOW\tRELEASE\tPID\tREASON")
@@ -46,6 +47,7 @@
 	w.Flush()
 }
 
+// printSummary prints the result of an operation, its progress if it is staged, and its notes.
 func printSummary(report *client.Report) {
 	operation := &report.Operation
 	fmt.Printf("operation %s (%s by %s): %s\n", operation.ID, operation.Action, operation.Operator, report.Result)
@@ -64,7 +66,7 @@
 }
 
 // resume resumes an operation and prints its report.
-func (g *global) resume(ctx context.Context, f *client.Fleet, id string, options client.Options) error {
+func (g *globalFlags) resume(ctx context.Context, f *client.Fleet, id string, options client.Options) error {
 	report, err := f.Resume(ctx, id, options)
 	if err != nil {
 		if rejection, ok := errors.AsType[*api.Error](err); ok {
--- a/cmd/martendrum/settings.go
+++ b/cmd/martendrum/settings.go
@@ -14,16 +14,16 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// publishFlags are the flags of `change publish`.
+// publishFlags holds the flags of `change publish`.
 type publishFlags struct {
-	file, relay, onlyIf string
-	scope               []string
-	fraction            float64
+	file, relay, onlyIf string   // onlyIf: the revision that the resource must be at
+	scope               []string // labels as KEY=VALUE
+	fraction            float64  // of the hosts, 0 to 1
 	onlyNew, remove     bool
 }
 
 // publishCommand returns the command that publishes settings.
-func publishCommand(g *global) *cobra.Command {
+func publishCommand(g *globalFlags) *cobra.Command {
 	p := &publishFlags{}
 	c := &cobra.Command{Use: "publish NAME", Short: "Publish settings for the hosts that follow the relays", Args: cobra.ExactArgs(1),
 		Long: `A resource is an overlay (a JSON merge patch) for the configuration of all instances in its
@@ -63,17 +63,17 @@
 			return printJSON(out)
 		}
 		if !out.Changed {
-			fmt.Printf("%s is so already, since revision %v\n", out.Resource.Name, out.Resource.Revision)
+			fmt.Printf("%s is already as requested, since revision %v\n", out.Resource.Name, out.Resource.Revision)
 			return nil
 		}
-		fmt.Printf("%s is at revision %v; `martendrum list --settings --revision %v` tells where it is in force\n",
+		fmt.Printf("%s is at revision %v; `martendrum list --settings --revision %v` shows where it is in force\n",
 			out.Resource.Name, out.Resource.Revision, out.Resource.Revision)
 		return nil
 	}
 	return c
 }
 
-// change returns the change of a resource by the flags.
+// change returns the change of the resource called name that the flags describe.
 func (p *publishFlags) change(name string) (distribution.Put, error) {
 	put := distribution.Put{Name: name, Remove: p.remove}
 	if p.fraction != 1 {
@@ -82,7 +82,7 @@
 	for _, label := range p.scope {
 		key, value, ok := strings.Cut(label, "=")
 		if !ok || key == "" {
-			return put, fmt.Errorf("--scope %q; want KEY=VALUE", label)
+			return put, fmt.Errorf("--scope %q: want KEY=VALUE", label)
 		}
 		if put.Scope.Labels == nil {
 			put.Scope.Labels = make(map[string]string)
@@ -109,8 +109,9 @@
 	return put, nil
 }
 
-// settingsError gives an error of a relay its exit code: 1 for one that the relay returned, except
-// that invalid settings are a bad use. An unreachable relay keeps its own code.
+// settingsError adds the exit code exitPartial (1) to an error that a relay returned, unless it says that
+// the settings are invalid, which is wrong usage. Other errors, such as that of an unreachable relay,
+// are returned as they are.
 func settingsError(err error) error {
 	if rejection, ok := errors.AsType[*api.Error](err); ok && rejection.Code != api.SettingsInvalid {
 		return &exitError{exitPartial, err}
@@ -119,7 +120,7 @@
 }
 
 // promoteCommand returns the command that makes a relay the writer.
-func promoteCommand(g *global) *cobra.Command {
+func promoteCommand(g *globalFlags) *cobra.Command {
 	return &cobra.Command{Use: "promote HOST", Short: "Make a relay the writer of the distributed settings", Args: cobra.ExactArgs(1),
 		Long: `Promote a relay when the writer is lost. The epoch rises; what the earlier writer says
 after that is void, and changes that no relay had copied from it are lost: publish them again.
@@ -142,36 +143,38 @@
 		}}
 }
 
-// settingsFlags are the flags of `list --settings`.
+// settingsFlags holds the flags of `list --settings`.
 type settingsFlags struct {
 	enabled, resources bool
 	revision, relay    string
-	limit              int
+	limit              int // maximum number of hosts that are listed
 }
 
-func (v *settingsFlags) add(c *cobra.Command) {
+// add defines the flags on a command.
+func (s *settingsFlags) add(c *cobra.Command) {
 	f := c.Flags()
-	f.BoolVar(&v.enabled, "settings", false, "tell where a revision of the distributed settings is in force, and where not")
-	f.StringVar(&v.revision, "revision", "", "with --settings: this revision (default: the latest)")
-	f.BoolVar(&v.resources, "resources", false, "with --settings: the wanted resources instead")
-	f.StringVar(&v.relay, "relay", "", "with --settings: ask this relay")
-	f.IntVar(&v.limit, "most", 20, "with --settings: name so many hosts where it is not in force")
+	f.BoolVar(&s.enabled, "settings", false, "tell where a revision of the distributed settings is in force, and where not")
+	f.StringVar(&s.revision, "revision", "", "with --settings: this revision (default: the latest)")
+	f.BoolVar(&s.resources, "resources", false, "with --settings: the wanted resources instead")
+	f.StringVar(&s.relay, "relay", "", "with --settings: ask this relay")
+	f.IntVar(&s.limit, "most", 20, "with --settings: name so many hosts where it is not in force")
 }
 
-// printProgress prints the progress of a revision. The exit code is 1 if the revision is not in force
-// everywhere.
-func (v *settingsFlags) printProgress(c *cobra.Command, g *global, f *client.Fleet) error {
-	if v.resources {
-		return v.printResources(c, g, f)
+// printProgress prints on which hosts a revision is in force, or with --resources the resources. It
+// returns an error with the exit code exitPartial unless the revision is known to be in force on all
+// hosts.
+func (s *settingsFlags) printProgress(c *cobra.Command, g *globalFlags, f *client.Fleet) error {
+	if s.resources {
+		return s.printResources(c, g, f)
 	}
 	var revision distribution.Revision
-	if v.revision != "" {
+	if s.revision != "" {
 		var err error
-		if revision, err = distribution.ParseRevision(v.revision); err != nil {
+		if revision, err = distribution.ParseRevision(s.revision); err != nil {
 			return err
 		}
 	}
-	out, err := f.InForce(c.Context(), v.relay, revision, v.limit)
+	out, err := f.InForce(c.Context(), s.relay, revision, s.limit)
 	if err != nil {
 		return settingsError(err)
 	}
@@ -188,36 +191,36 @@
 	return nil
 }
 
-// printInForce prints where a revision is in force and which hosts lack it.
+// printInForce prints on how many hosts a revision is in force, and lists some of the others.
 func printInForce(out *api.SettingsStatusOut) {
-	s := &out.Status
-	fmt.Printf("revision %v (latest %v), writer %s in epoch %d\n", s.Revision, s.Latest, out.Writer.Writer, out.Writer.Epoch)
-	fmt.Printf("in force at %d of %d hosts; refused at %d, behind at %d, away at %d\n", s.InForce, s.Hosts, s.Rejected, s.Behind, s.Unavailable)
+	status := &out.Status
+	fmt.Printf("revision %v (latest %v), writer %s in epoch %d\n", status.Revision, status.Latest, out.Writer.Writer, out.Writer.Epoch)
+	fmt.Printf("in force on %d of %d hosts; rejected on %d, not applied yet on %d, unavailable: %d\n", status.InForce, status.Hosts, status.Rejected, status.Behind, status.Unavailable)
 	if !out.Complete {
-		fmt.Println("the writer does not answer: these are the hosts of the relays that do")
+		fmt.Println("the writer does not answer: the counts cover only the hosts of the relays that do")
 	}
-	if len(s.Missing) == 0 {
+	if len(status.Missing) == 0 {
 		return
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "HOST\tRELAY\tIN FORCE\tRECEIVED\tPRESENT\tNOTE")
-	for _, host := range s.Missing {
+	for _, host := range status.Missing {
 		note := host.State.Waiting
 		for _, rejection := range host.State.Rejections {
-			note = fmt.Sprintf("%s refused %s of revision %v: %s", rejection.Instance, rejection.Resource, rejection.Revision, rejection.Reason)
+			note = fmt.Sprintf("%s rejected %s of revision %v: %s", rejection.Instance, rejection.Resource, rejection.Revision, rejection.Reason)
 		}
 		present := "yes, for " + age(host.Since)
 		if !host.Present {
-			present = "away for " + age(host.Since)
+			present = "no, for " + age(host.Since)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%s\n", host.Host, host.Relay, host.State.Applied, host.State.Received, present, note)
 	}
 	w.Flush()
 }
 
-// printResources prints the desired resources.
-func (v *settingsFlags) printResources(c *cobra.Command, g *global, f *client.Fleet) error {
-	revision, resources, err := f.Resources(c.Context(), v.relay, "")
+// printResources prints the resources that are published, whether or not hosts have applied them.
+func (s *settingsFlags) printResources(c *cobra.Command, g *globalFlags, f *client.Fleet) error {
+	revision, resources, err := f.Resources(c.Context(), s.relay, "")
 	if err != nil {
 		return settingsError(err)
 	}
@@ -237,7 +240,8 @@
 	return w.Flush()
 }
 
-// printInstanceSettings prints an instance's distributed settings, for inspect.
+// printInstanceSettings prints the state of an instance's distributed settings for inspect, and
+// nothing if s is nil.
 func printInstanceSettings(s *api.InstanceSettings) {
 	if s == nil {
 		return
@@ -246,14 +250,14 @@
 	if relay == "" {
 		relay = "none answers"
 	}
-	fmt.Printf("\ndistributed settings: revision %v received, relay %s\n", s.Received, relay)
+	fmt.Printf("\ndistributed settings: revision %v received, relay: %s\n", s.Received, relay)
 	for _, accepted := range s.Accepted {
 		fmt.Printf("  %s of revision %v is in force\n", accepted.Name, accepted.Revision)
 	}
 	for _, rejection := range s.Rejections {
-		fmt.Printf("  %s of revision %v was refused: %s\n", rejection.Resource, rejection.Revision, rejection.Reason)
+		fmt.Printf("  %s of revision %v was rejected: %s\n", rejection.Resource, rejection.Revision, rejection.Reason)
 	}
 	if s.Waiting != "" {
-		fmt.Printf("  changes wait: %s\n", s.Waiting)
+		fmt.Printf("  changes are waiting: %s\n", s.Waiting)
 	}
 }
--- a/cmd/martendrum/staged.go
+++ b/cmd/martendrum/staged.go
@@ -4,7 +4,9 @@
 	"github.com/spf13/cobra"
 )
 
-func stagedCommand(g *global) *cobra.Command {
+// stagedCommand returns the command `change`, with the subcommands of staged changes and of distributed
+// settings.
+func stagedCommand(g *globalFlags) *cobra.Command {
 	c := &cobra.Command{Use: "change", GroupID: "change", Short: "Change the program or its settings in stages, and stop by itself when a stage does worse",
 		Long: `A change goes through the fleet in stages, new and old sidecars side by side. After each
 stage the new ones are compared with the old ones over the same time, and each with its
--- a/cmd/martendrum/staged_complete.go
+++ b/cmd/martendrum/staged_complete.go
@@ -13,15 +13,16 @@
 	"martendrum/internal/fleet/stage"
 )
 
-// completeOperation draws the stages and completes the operation, the plan and the canary analysis
-// from the state of the fleet. first is an agent of one of the targets.
+// completeOperation assigns the targets to stages at random, and completes the operation, the plan and
+// the configuration of the canary analysis from the state of the fleet. first is the agent of one of
+// the targets.
 func (r *stagedFlags) completeOperation(ctx context.Context, f *client.Fleet, first *client.Agent, operation *api.Operation, instances map[api.Target]*api.Instance) error {
 	var metrics api.MetricsOut
 	if err := first.Call(ctx, api.Metrics, &api.MetricsIn{Limit: 1}, &metrics); err != nil {
 		return err
 	}
 	if metrics.Slot == 0 {
-		return fmt.Errorf("agent %s takes no figures: set figures.slot in its file", first.Host.Name)
+		return fmt.Errorf("agent %s records no metrics: set figures.slot in its configuration", first.Host.Name)
 	}
 	r.analysis.Slot = metrics.Slot
 	members, base, err := stageMembers(operation.Targets, instances)
@@ -46,29 +47,32 @@
 	return nil
 }
 
-// stageMembers returns the targets as the stages draw them, and the release that all of them run.
+// stageMembers returns the targets as members that can be assigned to stages, and the release that
+// all of them run. It returns an error if an instance has no admin address, or if the instances run
+// different releases or an unknown one.
 func stageMembers(targets []api.Target, instances map[api.Target]*api.Instance) (members []stage.Member, base string, err error) {
 	running := make(map[string]int)
 	for _, t := range targets {
-		i := instances[t]
-		if i.AdminAddress == "" {
-			return nil, "", fmt.Errorf("instance %s on %s has no door, so nobody could judge it: set mgmt in its configuration, or leave it out", t.Instance, t.Host)
+		instance := instances[t]
+		if instance.AdminAddress == "" {
+			return nil, "", fmt.Errorf("instance %s on %s has no admin address, so it could not be judged: set mgmt in its configuration, or leave it out", t.Instance, t.Host)
 		}
-		running[i.Running]++
-		base = i.Running
-		members = append(members, stage.Member{Host: t.Host, Instance: t.Instance, Zone: i.Labels["zone"], Shop: i.Labels["shop"], Rate: i.Rate})
+		running[instance.Running]++
+		base = instance.Running
+		members = append(members, stage.Member{Host: t.Host, Instance: t.Instance, Zone: instance.Labels["zone"], Shop: instance.Labels["shop"], Rate: instance.Rate})
 	}
 	if len(running) != 1 || running[""] > 0 {
-		var list []string
+		var counts []string // of the instances that run each release
 		for _, release := range slices.Sorted(maps.Keys(running)) {
-			list = append(list, fmt.Sprintf("%d run %s", running[release], shortHash(release)))
+			counts = append(counts, fmt.Sprintf("%d run %s", running[release], shortHash(release)))
 		}
-		return nil, "", fmt.Errorf("old and new can only be compared if all run one release now; of these, %s: choose with --release, or bring them to one first", strings.Join(list, ", "))
+		return nil, "", fmt.Errorf("old and new instances can only be compared if all targets run the same release now, but %s: select with --release, or change all to one release first", strings.Join(counts, ", "))
 	}
 	return members, base, nil
 }
 
-// readClasses reads the classes of requests and their weights from a target's configuration.
+// readClasses reads the classes of requests and their weights from a target's configuration. A
+// negative weight counts as 0.
 func (r *stagedFlags) readClasses(ctx context.Context, f *client.Fleet, target api.Target) error {
 	var inspect api.InspectOut
 	if err := f.Agent(target.Host).Call(ctx, api.Inspect, &api.InstanceIn{Instance: target.Instance}, &inspect); err != nil {
@@ -94,14 +98,15 @@
 
 // seedOf derives a seed from an operation's ID.
 func seedOf(id string) (seed uint64) {
-	const prime = 1099511628211 // of FNV
+	const prime = 1099511628211 // of the 64-bit FNV hash
 	for _, b := range []byte(id) {
 		seed = seed*prime + uint64(b)
 	}
 	return seed
 }
 
-// drawOrder orders the targets randomly, as the stages take them.
+// drawOrder puts the targets into the random order in which the stages take them, and records their
+// zones and shops in that order.
 func (r *stagedFlags) drawOrder(operation *api.Operation, members []stage.Member) {
 	targets := operation.Targets
 	operation.Targets = nil
@@ -112,11 +117,11 @@
 	}
 }
 
-// parseLimits reads the flags that limit the change, for a number of targets.
+// parseLimits parses the flags that limit how many instances change at once, for a number of targets.
 func (r *stagedFlags) parseLimits(targets int) (err error) {
 	for _, limit := range []struct {
-		flag, text string
-		to         *int
+		flag, text  string
+		destination *int
 	}{
 		{"batch", r.batch, &r.policy.Batch},
 		{"max-unavailable", r.maxUnavailable, &r.policy.MaxUnavailable},
@@ -127,7 +132,7 @@
 		if limit.text == "" {
 			continue
 		}
-		if *limit.to, err = parseCount(limit.text, targets); err != nil {
+		if *limit.destination, err = parseCount(limit.text, targets); err != nil {
 			return fmt.Errorf("--%s: %w", limit.flag, err)
 		}
 	}
--- a/cmd/martendrum/staged_follow.go
+++ b/cmd/martendrum/staged_follow.go
@@ -17,7 +17,7 @@
 )
 
 // resumeCommand returns the command that resumes a staged change.
-func resumeCommand(g *global) *cobra.Command {
+func resumeCommand(g *globalFlags) *cobra.Command {
 	run := &runFlags{}
 	c := &cobra.Command{Use: "resume OPERATION", Short: "Go on with a change where it stood", Args: cobra.ExactArgs(1),
 		Long: "Resume goes on with a change whose command has died or that holds. Evidence that the\nagents have gathered meanwhile counts; time in which nobody looked does not."}
@@ -36,16 +36,16 @@
 	return c
 }
 
-// minWatchInterval bounds how often the agents are polled.
+// minWatchInterval is the shortest interval at which `change watch` polls the agents.
 const minWatchInterval = 100 * time.Millisecond
 
-// watchCommand returns the command that follows a change without taking part in it.
-func watchCommand(g *global) *cobra.Command {
+// watchCommand returns the command that prints the progress of a change, which another command runs.
+func watchCommand(g *globalFlags) *cobra.Command {
 	c := &cobra.Command{Use: "watch OPERATION", Short: "Follow a change, from the agents' records", Args: cobra.ExactArgs(1)}
 	interval := c.Flags().Duration("each", 2*time.Second, "look so often")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		if *interval < minWatchInterval {
-			return fmt.Errorf("--each %v; 100ms at least", *interval)
+			return fmt.Errorf("--each %v: want at least 100ms", *interval)
 		}
 		f, err := g.openFleet()
 		if err != nil {
@@ -57,11 +57,12 @@
 	return c
 }
 
-// watch prints a change at each interval until it ends, or until ctx does.
-func (g *global) watch(ctx context.Context, f *client.Fleet, id string, interval time.Duration) error {
-	st, err := os.Stdout.Stat()
-	terminal := err == nil && st.Mode()&os.ModeCharDevice != 0 && !g.json
-	shown := ""
+// watch prints the progress of an operation at each interval until the operation or ctx ends. It
+// returns an error with the exit code exitPartial if the operation did not succeed.
+func (g *globalFlags) watch(ctx context.Context, f *client.Fleet, id string, interval time.Duration) error {
+	info, err := os.Stdout.Stat()
+	terminal := err == nil && info.Mode()&os.ModeCharDevice != 0 && !g.json
+	lastText := ""
 	for {
 		report, err := f.Report(ctx, id)
 		if err != nil {
@@ -74,10 +75,10 @@
 			}
 		} else if terminal {
 			fmt.Printf("%s%s", clearScreen, text)
-		} else if text != shown { // without a terminal, only what has changed
+		} else if text != lastText { // without a terminal, unchanged text is not repeated
 			fmt.Print(text)
 		}
-		shown = text
+		lastText = text
 		if report.Result != api.OpOpened && report.Result != api.OpAborting {
 			if report.Result != rollout.Succeeded {
 				return &exitError{exitPartial, nil}
@@ -92,11 +93,11 @@
 	}
 }
 
-// clearScreen moves a terminal's cursor to the top and clears the screen.
+// clearScreen is the control sequence that moves a terminal's cursor to the top and clears the screen.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// evidenceCommand returns the command that reports a change with its evidence.
-func evidenceCommand(g *global) *cobra.Command {
+// evidenceCommand returns the command that prints the report of a staged change with its evidence.
+func evidenceCommand(g *globalFlags) *cobra.Command {
 	c := &cobra.Command{Use: "report OPERATION", Short: "Tell what became of a change, and on what evidence", Args: cobra.ExactArgs(1),
 		Long:    "Report tells what became of a change and how it came there, from the agents' records.\nWith --plot it judges again, from the figures that the agents still keep, and draws one test.",
 		Example: "  martendrum change report 20261201-201500-5f2c1a --plot worth.svg --test worth"}
@@ -122,15 +123,15 @@
 	return c
 }
 
-// plotReport repeats the canary analysis of a change, draws one test of it to a file and puts the
-// latest result into the report.
+// plotReport repeats the canary analysis of a change, draws one test of it to the file at path, and
+// sets the report's judgement to the latest of the repeated ones.
 func plotReport(ctx context.Context, f *client.Fleet, report *client.Report, test, path string) error {
 	series, missing, err := f.Replay(ctx, report)
 	if err != nil {
 		return err
 	}
 	if len(missing) > 0 {
-		fmt.Fprintf(os.Stderr, "without the figures of %s, which don't answer\n", strings.Join(missing, ", "))
+		fmt.Fprintf(os.Stderr, "the plot lacks the metrics of %s, which don't answer\n", strings.Join(missing, ", "))
 	}
 	if len(series) > 0 {
 		report.Judgement = &series[len(series)-1]
@@ -138,11 +139,11 @@
 	if err := plotEvidence(series, report.Operation.Staged.Plan.Slot.Seconds(), test, path); err != nil {
 		return err
 	}
-	fmt.Fprintln(os.Stderr, "drawn to", path)
+	fmt.Fprintln(os.Stderr, "plot written to", path)
 	return nil
 }
 
-// describeChange returns the state of a change as text.
+// describeChange returns the progress of an operation and the number of instances by outcome as text.
 func describeChange(report *client.Report) string {
 	var b strings.Builder
 	outcomes := make(map[rollout.State]int)
@@ -151,35 +152,36 @@
 	}
 	fmt.Fprintf(&b, "operation %s (%s by %s): %s", report.Operation.ID, report.Operation.Action, report.Operation.Operator, report.Result)
 	if report.LeaseHolder == "" && report.Result == api.OpOpened {
-		b.WriteString(", held by nobody: `martendrum change resume` goes on")
+		b.WriteString(", and no command runs it: `martendrum change resume` continues it")
 	}
 	b.WriteString("\n")
-	for _, s := range slices.Sorted(maps.Keys(outcomes)) {
-		fmt.Fprintf(&b, "  %d %s", outcomes[s], s)
+	for _, outcome := range slices.Sorted(maps.Keys(outcomes)) {
+		fmt.Fprintf(&b, "  %d %s", outcomes[outcome], outcome)
 	}
 	b.WriteString("\n" + describeNote(report.Stages, report.Operation.Staged))
 	return b.String()
 }
 
-// describeNote returns the progress of a staged change and its latest verdicts as text.
-func describeNote(n *api.Note, s *api.Staged) string {
-	if s == nil {
-		return "no change in stages\n"
+// describeNote returns the progress of a staged change and its latest verdicts as text. note is nil
+// before the first stage, and staged for an operation without stages.
+func describeNote(note *api.Note, staged *api.Staged) string {
+	if staged == nil {
+		return "not a staged change\n"
 	}
-	if n == nil {
+	if note == nil {
 		return "no stage has begun\n"
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "stage %d of %d, %v of evidence in it, as of %s\n", n.State.Stage, len(s.Plan.Upto), time.Duration(n.State.Slots)*s.Plan.Slot, n.At.Format(time.RFC3339))
-	for _, x := range []struct{ what, text string }{{"holds", n.State.HoldReason}, {"waits", n.State.PauseReason}, {"judged worse", n.State.Worse}} {
-		if x.text != "" {
-			fmt.Fprintf(&b, "%s: %s\n", x.what, x.text)
+	fmt.Fprintf(&b, "stage %d of %d, %v of evidence in it, as of %s\n", note.State.Stage, len(staged.Plan.Upto), time.Duration(note.State.Slots)*staged.Plan.Slot, note.At.Format(time.RFC3339))
+	for _, condition := range []struct{ name, reason string }{{"holds", note.State.HoldReason}, {"waits", note.State.PauseReason}, {"judged worse", note.State.Worse}} {
+		if condition.reason != "" {
+			fmt.Fprintf(&b, "%s: %s\n", condition.name, condition.reason)
 		}
 	}
-	for _, v := range n.Log {
-		fmt.Fprintf(&b, "  %s  stage %d: %s\n", v.At.Format(time.TimeOnly), v.Stage, v.Text)
-		for _, e := range v.Evidence {
-			fmt.Fprintf(&b, "            %s\n", e)
+	for _, verdict := range note.Log {
+		fmt.Fprintf(&b, "  %s  stage %d: %s\n", verdict.At.Format(time.TimeOnly), verdict.Stage, verdict.Text)
+		for _, evidence := range verdict.Evidence {
+			fmt.Fprintf(&b, "            %s\n", evidence)
 		}
 	}
 	return b.String()
--- a/cmd/martendrum/staged_start.go
+++ b/cmd/martendrum/staged_start.go
@@ -22,7 +22,7 @@
 	"martendrum/internal/fleet/stage"
 )
 
-// stagedFlags are the flags of a staged change.
+// stagedFlags holds the flags of a staged change.
 type stagedFlags struct {
 	rollingFlags
 	stages, maxHost, maxZone, maxShop string
@@ -30,11 +30,11 @@
 	analysis                          canary.Config
 	margins                           []string
 	seed                              uint64
-	unattended                        time.Duration
+	unattended                        time.Duration // until agents without a command take back a change that plainly fails; 0: never
 }
 
 // startCommand returns the command that starts a staged change.
-func startCommand(g *global) *cobra.Command {
+func startCommand(g *globalFlags) *cobra.Command {
 	r := &stagedFlags{}
 	c := &cobra.Command{Use: "start [INSTANCE...]", Short: "Begin a change in stages",
 		Long: "With --binary the program changes (and its overlay with it), without only the settings.\nThe command stays until the change has passed or was stopped. If it dies, the change\nholds, and `martendrum change resume` goes on with it: no time or evidence is skipped."}
@@ -70,27 +70,27 @@
 	return c
 }
 
-// parseMargins reads --margin flags over the default margins.
+// parseMargins returns the default margins as changed by --margin flags.
 func parseMargins(texts []string) (map[canary.Measure]canary.Margin, error) {
-	out := canary.Margins()
-	for _, t := range texts {
-		name, rest, ok := strings.Cut(t, "=")
-		low, high, ok2 := strings.Cut(rest, ":")
-		tolerate, err1 := strconv.ParseFloat(low, 64)
-		exclude, err2 := strconv.ParseFloat(high, 64)
-		if _, known := out[canary.Measure(name)]; !known {
-			return nil, fmt.Errorf("--margin %q: measures are %s", t, join(slices.Sorted(maps.Keys(out))))
+	margins := canary.Margins()
+	for _, text := range texts {
+		name, bounds, hasBounds := strings.Cut(text, "=")
+		tolerateText, excludeText, hasBoth := strings.Cut(bounds, ":")
+		tolerate, tolerateErr := strconv.ParseFloat(tolerateText, 64)
+		exclude, excludeErr := strconv.ParseFloat(excludeText, 64)
+		if _, known := margins[canary.Measure(name)]; !known {
+			return nil, fmt.Errorf("--margin %q: want one of the measures %s", text, join(slices.Sorted(maps.Keys(margins))))
 		}
-		if rest == "off" {
-			delete(out, canary.Measure(name))
+		if bounds == "off" {
+			delete(margins, canary.Measure(name))
 			continue
 		}
-		if !ok || !ok2 || err1 != nil || err2 != nil {
-			return nil, fmt.Errorf("--margin %q; want MEASURE=TOLERATE:EXCLUDE, as in unserved=0.01:0.05, or MEASURE=off", t)
+		if !hasBounds || !hasBoth || tolerateErr != nil || excludeErr != nil {
+			return nil, fmt.Errorf("--margin %q: want MEASURE=TOLERATE:EXCLUDE, as in unserved=0.01:0.05, or MEASURE=off", text)
 		}
-		out[canary.Measure(name)] = canary.Margin{Tolerate: tolerate, Exclude: exclude}
+		margins[canary.Measure(name)] = canary.Margin{Tolerate: tolerate, Exclude: exclude}
 	}
-	return out, nil
+	return margins, nil
 }
 
 // join joins strings of any type with commas.
@@ -102,8 +102,8 @@
 	return strings.Join(out, ", ")
 }
 
-// startStaged starts a staged change and follows it to its end.
-func (g *global) startStaged(ctx context.Context, r *stagedFlags, args []string) (err error) {
+// startStaged starts a staged change, follows it until it ends and prints its report.
+func (g *globalFlags) startStaged(ctx context.Context, r *stagedFlags, args []string) (err error) {
 	if err := r.check(args); err != nil {
 		return err
 	}
@@ -158,23 +158,23 @@
 	return g.printReport(report)
 }
 
-// check checks the flags that need no agent.
+// check checks the flags that can be checked without an agent, and parses the margins.
 func (r *stagedFlags) check(args []string) (err error) {
 	if err := r.selectInstances(args); err != nil {
 		return err
 	}
 	if r.binary == "" && r.overlay == "" {
-		return fmt.Errorf("say what changes: --binary for the program, --overlay for its settings, or both")
+		return fmt.Errorf("say what to change: --binary for the program, --overlay for its settings, or both")
 	}
 	r.analysis.Margins, err = parseMargins(r.margins)
 	return err
 }
 
-// minHistorySlots is the least number of slots before the change whose metrics are used.
+// minHistorySlots is the smallest number of slots before the change whose metrics are used.
 const minHistorySlots = 60
 
-// staged returns the configuration of the stages and of the canary analysis. Slot 0 lies before the
-// change, so that the history of the instances counts.
+// staged returns the configuration of the stages and of the canary analysis for a change to a release.
+// Its slot 0 is before the change, so that the analysis uses the history of the instances too.
 func (r *stagedFlags) staged(release string) *api.Staged {
 	r.analysis.Change = release
 	r.plan.Slot = r.analysis.Slot
@@ -185,49 +185,50 @@
 	return staged
 }
 
-// instancesByTarget returns the instances of hosts, with the labels of their hosts added.
+// instancesByTarget returns the instances of hosts by target. It adds the labels of the host to each
+// instance that has no label with the same key.
 func instancesByTarget(hosts []client.HostState) map[api.Target]*api.Instance {
 	instances := make(map[api.Target]*api.Instance)
 	for h := range hosts {
 		host := &hosts[h]
 		for n := range host.Instances {
-			i := &host.Instances[n]
+			instance := &host.Instances[n]
 			for key, value := range host.Host.Labels {
-				if _, own := i.Labels[key]; own {
+				if _, own := instance.Labels[key]; own {
 					continue
 				}
-				if i.Labels == nil {
-					i.Labels = make(map[string]string)
+				if instance.Labels == nil {
+					instance.Labels = make(map[string]string)
 				}
-				i.Labels[key] = value
+				instance.Labels[key] = value
 			}
-			instances[api.Target{Host: host.Host.Name, Instance: i.Name}] = i
+			instances[api.Target{Host: host.Host.Name, Instance: instance.Name}] = instance
 		}
 	}
 	return instances
 }
 
-// fetchProgram downloads the program of a release from an agent. The agents check later that the
-// new release has the same program.
-func fetchProgram(ctx context.Context, a *client.Agent, hash, to string) error {
-	f, err := os.OpenFile(to, os.O_CREATE|os.O_WRONLY, 0o700)
+// fetchProgram downloads the program of a release from an agent to the file at path. It doesn't check
+// the program: the agents check later that the new release has the same one.
+func fetchProgram(ctx context.Context, a *client.Agent, hash, path string) error {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o700)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	for at := int64(0); ; {
+	defer file.Close()
+	for offset := int64(0); ; {
 		var out api.ReadOut
-		if err := a.Call(ctx, api.ReleaseRead, &api.ReadIn{Release: hash, File: release.Sidecar, Offset: at}, &out); err != nil {
-			return fmt.Errorf("the program that runs now, release %s: %w", shortHash(hash), err)
+		if err := a.Call(ctx, api.ReleaseRead, &api.ReadIn{Release: hash, File: release.Sidecar, Offset: offset}, &out); err != nil {
+			return fmt.Errorf("downloading the current program, release %s: %w", shortHash(hash), err)
 		}
-		if _, err := f.Write(out.Data); err != nil {
+		if _, err := file.Write(out.Data); err != nil {
 			return err
 		}
-		if at += int64(len(out.Data)); at >= out.Size {
-			return f.Close()
+		if offset += int64(len(out.Data)); offset >= out.Size {
+			return file.Close()
 		}
 		if len(out.Data) == 0 {
-			return fmt.Errorf("the program that runs now, release %s: %w", shortHash(hash), io.ErrUnexpectedEOF)
+			return fmt.Errorf("downloading the current program, release %s: %w", shortHash(hash), io.ErrUnexpectedEOF)
 		}
 	}
 }
