--- a/internal/msgpackrpc/bench_test.go
+++ b/internal/msgpackrpc/bench_test.go
@@ -21,19 +21,19 @@
 		}}
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			b.Fatal(err)
+			b.Fatal("Listen:", err)
 		}
-		served := make(chan error, 1)
-		go func() { served <- server.Serve(listener) }()
+		serveResult := make(chan error, 1)
+		go func() { serveResult <- server.Serve(listener) }()
 		clients := make([]*Client, connections)
 		for n := range clients {
 			conn, err := net.Dial("tcp", listener.Addr().String())
 			if err != nil {
-				b.Fatal(err)
+				b.Fatal("Dial:", err)
 			}
 			clients[n] = NewClient(conn, Limits{}, nil)
 			if err := clients[n].Call(b.Context(), "any", nil, nil); err != nil {
-				b.Fatal(err)
+				b.Fatal("Call:", err)
 			}
 		}
 		b.ReportMetric(float64(memoryInUse()-before)/connections, "B/connection")
@@ -41,13 +41,13 @@
 			client.Close()
 		}
 		server.Close()
-		if err := <-served; err != nil {
-			b.Fatal(err)
+		if err := <-serveResult; err != nil {
+			b.Fatal("Serve:", err)
 		}
 	}
 }
 
-// memoryInUse returns the size of the heap and the stacks after a collection, in bytes.
+// memoryInUse returns the size of the heap and the stacks after a garbage collection, in bytes.
 func memoryInUse() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -55,21 +55,22 @@
 	return int64(stats.HeapInuse + stats.StackInuse)
 }
 
+// BenchmarkCall measures calls on one connection, with several numbers of calls at the same time.
 func BenchmarkCall(b *testing.B) {
-	for _, many := range []int{1, 64, 256} {
-		b.Run(fmt.Sprintf("outstanding=%d", many), func(b *testing.B) {
-			c := client(b, serve(b, &Server{Handler: func(context.Context, *Request) (any, error) { return 1, nil }}), Limits{})
+	for _, outstanding := range []int{1, 64, 256} {
+		b.Run(fmt.Sprintf("outstanding=%d", outstanding), func(b *testing.B) {
+			c := dialClient(b, serve(b, &Server{Handler: func(context.Context, *Request) (any, error) { return 1, nil }}), Limits{})
 			b.ReportAllocs()
-			var left atomic.Int64
-			left.Store(int64(b.N))
+			var remaining atomic.Int64
+			remaining.Store(int64(b.N))
 			ctx := context.Background()
 			var wg sync.WaitGroup
 			b.ResetTimer()
-			for range many {
+			for range outstanding {
 				wg.Go(func() {
-					for left.Add(-1) >= 0 {
+					for remaining.Add(-1) >= 0 {
 						if err := c.Call(ctx, "m", []any{1}, nil); err != nil {
-							b.Error(err)
+							b.Error("Call:", err)
 							return
 						}
 					}
--- a/internal/msgpackrpc/client.go
+++ b/internal/msgpackrpc/client.go
@@ -10,10 +10,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrClosed is the cause of calls that ended because this side closed the connection.
+// ErrClosed is the cause of calls that ended because Client.Close closed the connection, and the error
+// of Server.Serve on a closed server.
 var ErrClosed = errors.New("msgpackrpc: connection closed")
 
-// CallError reports a call without a response. Sent shows whether the peer may have executed it.
+// CallError reports a call without a usable response, or a notification that was not queued. Sent
+// shows whether the peer may have executed the call.
 type CallError struct {
 	Method string
 	Sent   Sent
@@ -32,16 +34,16 @@
 // failure.
 type RemoteError struct {
 	Method string
-	Value  msgpack.RawMessage // as the peer sent it
+	Value  msgpack.RawMessage // MessagePack object that the peer sent as the error
 }
 
 // Error implements error.
 func (e *RemoteError) Error() string {
-	var v any
-	if err := msgpack.Unmarshal(e.Value, &v); err != nil {
-		return fmt.Sprintf("msgpackrpc: %s: an error that can't be read: %v", e.Method, err)
+	var value any
+	if err := msgpack.Unmarshal(e.Value, &value); err != nil {
+		return fmt.Sprintf("msgpackrpc: %s: error value can't be decoded: %v", e.Method, err)
 	}
-	return fmt.Sprintf("msgpackrpc: %s: %v", e.Method, v)
+	return fmt.Sprintf("msgpackrpc: %s: %v", e.Method, value)
 }
 
 // call is a request that waits for its response.
@@ -65,14 +67,15 @@
 	written chan struct{} // closed when the writing goroutine has ended
 
 	mu          sync.Mutex
-	pending     map[uint32]*call // nil for abandoned calls whose response may still arrive
-	nextID      uint32
-	err         error // why the connection ended; nil while it is open
-	unsolicited int
+	pending     map[uint32]*call // by message id; nil for abandoned calls whose response may still arrive
+	lastID      uint32           // message id that was assigned last
+	err         error            // why the connection ended; nil while it is open
+	unsolicited int              // number of responses without a call
 }
 
-// NewClient takes ownership of a connection. notify, if not nil, receives the peer's notifications
-// one at a time; no response is read while it runs. Close ends the connection and its goroutines.
+// NewClient returns a client on a connection, which it takes over. notify, if not nil, is called with
+// the peer's notifications one at a time; no response is read while it runs. Close ends the
+// connection and the client's goroutines.
 func NewClient(conn net.Conn, limits Limits, notify func(method string, params msgpack.RawMessage)) *Client {
 	limits = limits.withDefaults()
 	c := &Client{
@@ -109,7 +112,7 @@
 	return nil
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
 // Err returns why the connection ended, and nil while it is open.
@@ -127,7 +130,7 @@
 	return c.unsolicited
 }
 
-// fail closes the connection and ends all calls.
+// fail closes the connection and ends all calls with an error. Later calls of fail do nothing.
 func (c *Client) fail(err error) {
 	c.mu.Lock()
 	if c.err != nil {
@@ -148,7 +151,7 @@
 	}
 }
 
-// read receives messages until the connection ends.
+// read receives messages and passes them on until the connection ends.
 func (c *Client) read() {
 	messages := newReader(c.conn, c.limits)
 	for {
@@ -165,7 +168,7 @@
 		case kindResponse:
 			c.deliver(message)
 		default:
-			c.fail(fmt.Errorf("%w: a request came to the calling side", ErrFormat))
+			c.fail(fmt.Errorf("%w: client received a request", ErrFormat))
 			return
 		}
 	}
@@ -190,7 +193,7 @@
 }
 
 // Call sends a request, waits for its response and decodes the result into result
-// unless that is nil. params is the method's array of parameters; nil is none.
+// unless that is nil. params is the method's array of parameters; nil means none.
 // Call ends with the context: a response that arrives later is dropped, and the
 // message id stays in use until then. Errors are *RemoteError if the peer responded
 // with an error, and *CallError if there is no usable response.
@@ -241,16 +244,16 @@
 		return 0, c.err
 	}
 	for {
-		c.nextID++
-		if _, inUse := c.pending[c.nextID]; !inUse {
+		c.lastID++
+		if _, inUse := c.pending[c.lastID]; !inUse {
 			break
 		}
 	}
-	c.pending[c.nextID] = call
-	return c.nextID, nil
+	c.pending[c.lastID] = call
+	return c.lastID, nil
 }
 
-// await waits for the end of a call, and returns an error unless it has a response.
+// await waits until a call or ctx ends. It returns an error unless the call has a response.
 func (c *Client) await(ctx context.Context, id uint32, call *call) error {
 	select {
 	case <-call.done:
@@ -261,13 +264,14 @@
 		<-call.done
 	}
 	if call.err != nil {
-		<-c.written // afterwards it is known how much of the request was sent
+		<-c.written // only then is it certain how much of the request was sent
 		return call.err
 	}
 	return nil
 }
 
-// decodeResult decodes a response, which may carry an error instead of a result.
+// decodeResult decodes the result of a response into result unless that is nil. It returns a
+// *RemoteError if the response carries an error instead.
 func (m *message) decodeResult(method string, result any) error {
 	if !isNil(m.paramsOrError) {
 		return &RemoteError{Method: method, Value: m.paramsOrError}
@@ -276,12 +280,12 @@
 		return nil
 	}
 	if err := msgpack.Unmarshal(m.result, result); err != nil {
-		return &CallError{Method: method, Sent: SentCompletely, Err: fmt.Errorf("its result can't be read: %w", err)}
+		return &CallError{Method: method, Sent: SentCompletely, Err: fmt.Errorf("result can't be decoded: %w", err)}
 	}
 	return nil
 }
 
-// abandon ends the wait for a call, and reports whether the call has ended already.
+// abandon stops waiting for a call, and reports whether the call has ended already.
 // If its request was sent, its id and slot stay in use until the response arrives.
 func (c *Client) abandon(id uint32, call *call) (ended bool) {
 	withdrawn := c.writer.withdraw(call.request)
@@ -299,7 +303,8 @@
 	return false
 }
 
-// Notify sends a notification, which has no response.
+// Notify queues a notification, which has no response. It blocks while the queue is full. An error is
+// a *CallError and means that the notification was not queued.
 func (c *Client) Notify(method string, params []any) error {
 	data, err := c.encodeBounded(kindNotify, method, params)
 	if err == nil {
@@ -324,15 +329,15 @@
 	return data, nil
 }
 
-// encode encodes a request or a notification.
+// encode encodes a request or a notification. Nil params are encoded as an empty array.
 func encode(kind byte, id uint32, method string, params []any) ([]byte, error) {
 	b := appendString(appendHeader(make([]byte, 0, 128), kind, id), method)
 	if params == nil {
 		return append(b, 0x90), nil
 	}
-	p, err := msgpack.Marshal(params)
+	encoded, err := msgpack.Marshal(params)
 	if err != nil {
 		return nil, fmt.Errorf("params can't be encoded: %w", err)
 	}
-	return append(b, p...), nil
+	return append(b, encoded...), nil
 }
--- a/internal/msgpackrpc/doc.go
+++ b/internal/msgpackrpc/doc.go
@@ -3,8 +3,8 @@
 // [0, msgid, method, params], a response [1, msgid, error, result] and a
 // notification [2, method, params]. Messages follow each other without separators.
 //
-// The package owns connections and the message ids on them. It promises that each
-// call ends, that a response reaches its own call and no other, and that bytes
-// from outside cost bounded memory and never cause a panic. It does not define
-// methods, authorize callers or retry calls.
+// The package owns connections and the message ids on them. It guarantees that each
+// call ends with its context or its connection at the latest, that a response reaches
+// its own call and no other, and that whatever a peer sends takes bounded memory and
+// never causes a panic. It does not define methods, authorize callers or retry calls.
 package msgpackrpc
--- a/internal/msgpackrpc/failure_test.go
+++ b/internal/msgpackrpc/failure_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// A response that arrives after its call ended is dropped, and its id is not used again
-// before that.
+// A response that arrives after its call has ended is dropped, and the call's message id is not used
+// again before that.
 func TestResponseToAbandonedCall(t *testing.T) {
 	release := make(chan struct{})
 	addr := serve(t, &Server{Handler: func(ctx context.Context, r *Request) (any, error) {
@@ -23,164 +23,165 @@
 		}
 		return r.Method, nil
 	}})
-	c := client(t, addr, Limits{Outstanding: 2})
+	c := dialClient(t, addr, Limits{Outstanding: 2})
 	ctx, cancel := context.WithCancel(context.Background())
 	slow := make(chan error, 1)
 	go func() { slow <- c.Call(ctx, "slow", nil, nil) }()
-	for c.lastID() == 0 {
+	for c.lastMessageID() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	var got string
-	if err := c.Call(testContext(t), "first", nil, &got); err != nil || got != "first" { // the slow request was written before
-		t.Fatal(got, err)
+	if err := c.Call(testContext(t), "first", nil, &got); err != nil || got != "first" { // its response shows that the slow request was written before
+		t.Fatalf("call of first: got %q, %v; want %q, nil", got, err, "first")
 	}
 	cancel()
 	err := <-slow
-	if ce, ok := errors.AsType[*CallError](err); !ok || ce.Sent != SentCompletely || !errors.Is(err, context.Canceled) {
-		t.Errorf("the abandoned call: %v", err)
+	if callErr, ok := errors.AsType[*CallError](err); !ok || callErr.Sent != SentCompletely || !errors.Is(err, context.Canceled) {
+		t.Errorf("abandoned call: got error %v, want a CallError with context.Canceled and %q", err, SentCompletely)
 	}
 	c.mu.Lock()
-	c.nextID = 0 // the ids start again, as after 2^32 calls: 1 is still in use
+	c.lastID = 0 // ids start again, as after 2^32 calls, while id 1 is still in use
 	c.mu.Unlock()
 	for i := range 3 {
 		method := fmt.Sprint("m", i)
 		if err := c.Call(testContext(t), method, nil, &got); err != nil || got != method {
-			t.Fatalf("%s: %q %v", method, got, err)
+			t.Fatalf("call of %s: got %q, %v; want %q, nil", method, got, err, method)
 		}
 	}
 	close(release)
 	for deadline := time.Now().Add(testTimeout); c.UnsolicitedResponses() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the late response was never counted")
+			t.Fatal("UnsolicitedResponses() = 0, want the late response to be counted")
 		}
 	}
 	if n := len(c.slots); n != 0 {
-		t.Errorf("%d slots are still in use", n)
+		t.Errorf("%d slots in use after all responses, want 0", n)
 	}
 }
 
-func (c *Client) lastID() uint32 {
+// lastMessageID returns the message id that was assigned last, 0 before the first.
+func (c *Client) lastMessageID() uint32 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.nextID
+	return c.lastID
 }
 
-// cuttingConn is a connection that writes a limited number of bytes and then fails.
-type cuttingConn struct {
+// limitedConn is a connection whose writes fail after a number of bytes.
+type limitedConn struct {
 	net.Conn
-	mu   sync.Mutex
-	left int
-	full chan struct{} // closed when the first write failed
-	once sync.Once
+	mu        sync.Mutex
+	remaining int           // bytes that can still be written
+	failed    chan struct{} // closed when the first write has failed
+	once      sync.Once
 }
 
-func (g *cuttingConn) Write(b []byte) (int, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	n := min(len(b), g.left)
-	g.left -= n
+func (c *limitedConn) Write(b []byte) (int, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := min(len(b), c.remaining)
+	c.remaining -= n
 	var err error
 	if n > 0 {
-		n, err = g.Conn.Write(b[:n])
+		n, err = c.Conn.Write(b[:n])
 	}
 	if err == nil && n < len(b) {
 		err = io.ErrClosedPipe
-		g.once.Do(func() { close(g.full) })
+		c.once.Do(func() { close(c.failed) })
 	}
 	return n, err
 }
 
-// A connection breaks after each possible number of bytes. Each call reports how much of it was
-// sent, in agreement with what the peer received.
+// A connection breaks after each possible number of bytes of three calls. Each call reports how much of
+// its request was sent, in agreement with what the peer received.
 func TestBrokenConnectionReportsWhatWasSent(t *testing.T) {
-	one, _ := encode(kindRequest, 1, "m", []any{1})
-	size := len(one)
+	request, _ := encode(kindRequest, 1, "m", []any{1})
+	size := len(request)
 	for cut := range 3*size + 1 {
-		near, far := net.Pipe()
-		got := make(chan int, 1)
+		local, peer := net.Pipe()
+		received := make(chan int, 1) // number of bytes
 		go func() {
-			n, _ := io.CopyN(io.Discard, far, int64(cut))
-			if cut == 3*size { // no write fails: the peer closes
-				far.Close()
+			n, _ := io.CopyN(io.Discard, peer, int64(cut))
+			if cut == 3*size { // no write fails, so the peer closes the connection
+				peer.Close()
 			}
-			got <- int(n)
+			received <- int(n)
 		}()
-		g := &cuttingConn{Conn: near, left: cut, full: make(chan struct{})}
-		c := NewClient(g, Limits{}, nil)
-		states := map[Sent]int{}
+		conn := &limitedConn{Conn: local, remaining: cut, failed: make(chan struct{})}
+		c := NewClient(conn, Limits{}, nil)
+		calls := map[Sent]int{} // number by what was sent
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		for range 3 {
 			wg.Go(func() {
 				err := c.Call(testContext(t), "m", []any{1}, nil)
-				ce, ok := errors.AsType[*CallError](err)
+				callErr, ok := errors.AsType[*CallError](err)
 				if !ok {
-					t.Errorf("cut %d: %v", cut, err)
+					t.Errorf("connection cut after %d bytes: call got error %v, want a CallError", cut, err)
 					return
 				}
 				mu.Lock()
-				states[ce.Sent]++
+				calls[callErr.Sent]++
 				mu.Unlock()
 			})
 		}
 		wg.Wait()
 		c.Close()
-		far.Close()
-		n := <-got
+		peer.Close()
+		n := <-received
 		if n != cut {
-			t.Errorf("cut %d: the peer received %d bytes", cut, n)
+			t.Errorf("connection cut after %d bytes: the peer received %d", cut, n)
 		}
 		complete, part := n/size, min(1, n%size)
-		if states[SentCompletely] != complete || states[SentPart] != part || states[SentNone] != 3-complete-part {
-			t.Errorf("cut at %d of %d: %v", cut, 3*size, states)
+		if calls[SentCompletely] != complete || calls[SentPart] != part || calls[SentNone] != 3-complete-part {
+			t.Errorf("connection cut after %d of %d bytes: calls by what was sent = %v, want %d complete, %d in part, %d not sent", cut, 3*size, calls, complete, part, 3-complete-part)
 		}
 	}
 }
 
-// Close ends pending calls, and the contexts of their handlers on the server.
+// Client.Close ends pending calls, and cancels the contexts of their handlers on the server.
 func TestCloseEndsCallsAndHandlers(t *testing.T) {
-	began, ended := make(chan struct{}), make(chan struct{})
+	started, ended := make(chan struct{}), make(chan struct{})
 	addr := serve(t, &Server{Handler: func(ctx context.Context, r *Request) (any, error) {
-		close(began)
+		close(started)
 		<-ctx.Done()
 		close(ended)
 		return nil, ctx.Err()
 	}})
-	c := client(t, addr, Limits{})
-	res := make(chan error, 1)
-	go func() { res <- c.Call(testContext(t), "m", nil, nil) }()
-	<-began
+	c := dialClient(t, addr, Limits{})
+	result := make(chan error, 1)
+	go func() { result <- c.Call(testContext(t), "m", nil, nil) }()
+	<-started
 	c.Close()
-	err := <-res
-	if ce, ok := errors.AsType[*CallError](err); !ok || ce.Sent != SentCompletely || !errors.Is(err, ErrClosed) {
-		t.Error(err)
+	err := <-result
+	if callErr, ok := errors.AsType[*CallError](err); !ok || callErr.Sent != SentCompletely || !errors.Is(err, ErrClosed) {
+		t.Errorf("pending call: got error %v, want a CallError with ErrClosed and %q", err, SentCompletely)
 	}
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		t.Error("the handler's context did not end with its connection")
+		t.Error("the handler's context was not cancelled when the client closed the connection")
 	}
-	if ce, ok := errors.AsType[*CallError](c.Call(testContext(t), "m", nil, nil)); !ok || ce.Sent != SentNone {
-		t.Error("a call after Close:", ce)
+	if callErr, ok := errors.AsType[*CallError](c.Call(testContext(t), "m", nil, nil)); !ok || callErr.Sent != SentNone {
+		t.Errorf("call after Close: got error %v, want a CallError with %q", callErr, SentNone)
 	}
 }
 
-// A peer that sends requests and never reads responses is disconnected. Its cost is bounded:
-// no requests are read while the queue of responses is full.
+// A peer that sends requests and never reads responses is disconnected. Until then it takes bounded
+// memory, because no requests are read while the queue of responses is full.
 func TestPeerThatNeverReads(t *testing.T) {
 	var calls atomic.Int32
-	big := strings.Repeat("x", 64<<10)
-	closed := make(chan struct{})
+	largeResult := strings.Repeat("x", 64<<10)
+	disconnected := make(chan struct{})
 	s := &Server{
 		Limits: Limits{Outstanding: 8, Queued: 256 << 10, Send: 300 * time.Millisecond},
 		Handler: func(ctx context.Context, r *Request) (any, error) {
 			if calls.Add(1) == 1 {
 				go func() {
 					<-ctx.Done()
-					close(closed)
+					close(disconnected)
 				}()
 			}
-			return big, nil
+			return largeResult, nil
 		}}
 	addr := serve(t, s)
 	conn := dial(t, addr)
@@ -196,12 +197,12 @@
 		}
 	}()
 	select {
-	case <-closed:
+	case <-disconnected:
 	case <-time.After(testTimeout):
-		t.Fatal("the peer was never disconnected")
+		t.Fatal("the peer that never reads was not disconnected")
 	}
 	if n := calls.Load(); n > 1000 {
-		t.Errorf("%d calls were executed for a peer that never reads", n)
+		t.Errorf("%d calls were executed for a peer that never reads, want at most 1000", n)
 	}
 	conn.Close()
 }
--- a/internal/msgpackrpc/frame.go
+++ b/internal/msgpackrpc/frame.go
@@ -11,50 +11,51 @@
 // codeNil is the encoding of nil.
 const codeNil = 0xc0
 
-// Kinds of messages.
+// Kinds of messages, with the numbers that the specification calls their type.
 const (
 	kindRequest  = 0
 	kindResponse = 1
 	kindNotify   = 2
 )
 
-// message is a decoded message. Its slices refer to the bytes read.
+// message is a decoded message. Its slices refer to the bytes that it was decoded from.
 type message struct {
 	kind          uint64
-	id            uint32
-	method        string
+	id            uint32             // msgid of a request or response
+	method        string             // of a request or notification
 	paramsOrError msgpack.RawMessage // params of a request or notification; error of a response
 	result        msgpack.RawMessage // of a response
 }
 
-// parse decodes a message from a complete object.
+// parse decodes a message from a complete MessagePack object, as readObject returns it. The error
+// wraps ErrFormat if the object is not a valid message.
 func parse(raw []byte) (m message, err error) {
-	n, at := parseArrayHeader(raw)
+	n, offset := parseArrayHeader(raw)
 	if n != 3 && n != 4 {
-		return m, fmt.Errorf("%w: no array of three or four", ErrFormat)
+		return m, fmt.Errorf("%w: want an array of three or four elements", ErrFormat)
 	}
 	var parts [4][]byte
 	for i := range n {
-		size := objectLength(raw[at:])
-		parts[i] = raw[at : at+size]
-		at += size
+		size := objectLength(raw[offset:])
+		parts[i] = raw[offset : offset+size]
+		offset += size
 	}
 	kind, ok := parseUint(parts[0])
 	if !ok {
-		return m, fmt.Errorf("%w: its type is no integer", ErrFormat)
+		return m, fmt.Errorf("%w: type is not a non-negative integer", ErrFormat)
 	}
 	m.kind = kind
-	want := 4
+	wantElements := 4
 	if kind == kindNotify {
-		want = 3
+		wantElements = 3
 	}
-	if kind > kindNotify || n != want {
-		return m, fmt.Errorf("%w: type %d in an array of %d", ErrFormat, kind, n)
+	if kind > kindNotify || n != wantElements {
+		return m, fmt.Errorf("%w: type %d in an array of %d elements", ErrFormat, kind, n)
 	}
 	if kind != kindNotify {
 		id, ok := parseUint(parts[1])
 		if !ok || id > math.MaxUint32 {
-			return m, fmt.Errorf("%w: its msgid is no number of 32 bits", ErrFormat)
+			return m, fmt.Errorf("%w: msgid is not an unsigned integer of 32 bits", ErrFormat)
 		}
 		m.id = uint32(id)
 	}
@@ -64,18 +65,18 @@
 	}
 	method, ok := parseString(parts[n-2])
 	if !ok {
-		return m, fmt.Errorf("%w: its method is no string", ErrFormat)
+		return m, fmt.Errorf("%w: method is not a string", ErrFormat)
 	}
 	m.method, m.paramsOrError = method, parts[n-1]
-	if k, _ := parseArrayHeader(m.paramsOrError); k < 0 {
-		return m, fmt.Errorf("%w: its params are no array", ErrFormat)
+	if count, _ := parseArrayHeader(m.paramsOrError); count < 0 {
+		return m, fmt.Errorf("%w: params are not an array", ErrFormat)
 	}
 	return m, nil
 }
 
-// parseArrayHeader returns the number of elements and the offset of the first one, and -1 if b
-// holds no array.
-func parseArrayHeader(b []byte) (n, at int) {
+// parseArrayHeader returns the number of elements of the array in b and the offset of the first one.
+// The number is -1 if b is not an array.
+func parseArrayHeader(b []byte) (n, offset int) {
 	switch code := b[0]; {
 	case code >= 0x90 && code <= 0x9f:
 		return int(code & 0x0f), 1
@@ -87,7 +88,7 @@
 	return -1, 0
 }
 
-// parseUint decodes a non-negative integer of any encoding.
+// parseUint decodes a non-negative integer of any encoding. It returns false for other objects.
 func parseUint(b []byte) (uint64, bool) {
 	switch code := b[0]; {
 	case code <= 0x7f:
@@ -100,7 +101,8 @@
 	return 0, false
 }
 
-// parseString decodes a string, including the raw bytes that old clients send instead.
+// parseString decodes a string, or the bin object that old clients send instead. It returns false for
+// other objects.
 func parseString(b []byte) (string, bool) {
 	code := b[0]
 	if code >= 0xa0 && code <= 0xbf {
@@ -115,6 +117,7 @@
 	return "", false
 }
 
+// isNil reports whether b is an encoded nil.
 func isNil(b []byte) bool { return len(b) == 1 && b[0] == codeNil }
 
 // appendHeader appends the beginning of a message: array header, type and, except for
--- a/internal/msgpackrpc/limits.go
+++ b/internal/msgpackrpc/limits.go
@@ -7,12 +7,12 @@
 
 // Limits bound the resources of one connection. Zero fields take the default.
 type Limits struct {
-	Message     int           // maximum bytes of one message; default 1 MiB
+	Message     int           // maximum length of one message, in bytes; default 1 MiB
 	Depth       int           // maximum nesting of arrays and maps in one message; default 32
 	Outstanding int           // maximum number of open requests; default 1,024
 	Queued      int           // maximum bytes waiting to be written; default 4 MiB
-	Receive     time.Duration // timeout of a message, from its first byte to its last; default 10 s
-	Send        time.Duration // timeout of a write, after which the peer is considered hung; default 10 s
+	Receive     time.Duration // timeout of receiving a message, from its first byte to its last; default 10 s
+	Send        time.Duration // timeout of a write, after which the peer counts as hung and the connection ends; default 10 s
 	Idle        time.Duration // timeout between messages while no request is open; 0: none
 }
 
@@ -39,10 +39,11 @@
 	return l
 }
 
-// Errors of an invalid message. Each ends the connection, because the position of the next
-// message is unknown or can't be trusted.
+// Errors of an invalid message. When one is received, the connection ends, because the position of
+// the next message is unknown or can't be trusted. ErrTooLong is also the error of a message of this
+// side that is over the limit and therefore not sent.
 var (
 	ErrTooLong = errors.New("msgpackrpc: message over the limit of bytes")
-	ErrTooDeep = errors.New("msgpackrpc: message nested over the limit")
+	ErrTooDeep = errors.New("msgpackrpc: message nested deeper than the limit")
 	ErrFormat  = errors.New("msgpackrpc: not a MessagePack-RPC message")
 )
--- a/internal/msgpackrpc/object.go
+++ b/internal/msgpackrpc/object.go
@@ -7,25 +7,27 @@
 	"io"
 )
 
-// bodyChunk is the number of bytes of a body that are allocated ahead of their arrival, so that a
-// claimed length alone costs no memory.
+// bodyChunk is the maximum number of bytes of a body that are allocated before they arrive. A message
+// that only claims a large length therefore takes little memory.
 const bodyChunk = 16 << 10
 
-// readObject reads one complete MessagePack object. It reuses buf if it is large enough.
+// readObject reads one complete MessagePack object and returns its bytes. It reuses buf if it is large
+// enough. Besides errors of the reader, it returns ErrTooLong or ErrTooDeep for an object over the
+// limits, and an error that wraps ErrFormat for an invalid type byte.
 func readObject(buffered *bufio.Reader, limits Limits, buf []byte) ([]byte, error) {
 	buf = buf[:0]
-	open := make([]uint64, 1, 8) // number of objects still expected, by nesting level
-	open[0] = 1
-	for len(open) > 0 {
-		top := &open[len(open)-1]
-		if *top == 0 {
-			open = open[:len(open)-1]
+	expected := make([]uint64, 1, 8) // number of objects still to read, by nesting level
+	expected[0] = 1
+	for len(expected) > 0 {
+		innermost := &expected[len(expected)-1]
+		if *innermost == 0 {
+			expected = expected[:len(expected)-1]
 			continue
 		}
-		*top--
+		*innermost--
 		code, err := buffered.ReadByte()
 		if err != nil {
-			return nil, unexpected(err, len(buf))
+			return nil, unexpectedEOF(err, len(buf))
 		}
 		buf = append(buf, code)
 		next, err := layoutOf(code)
@@ -33,11 +35,11 @@
 			return nil, err
 		}
 		if next.lengthBytes > 0 {
-			at := len(buf)
+			lengthOffset := len(buf)
 			if buf, err = readBody(buffered, buf, uint64(next.lengthBytes), limits.Message); err != nil {
 				return nil, err
 			}
-			next = layoutOfLength(code, decodeUint(buf[at:]))
+			next = layoutOfLength(code, decodeUint(buf[lengthOffset:]))
 		}
 		if next.body > 0 {
 			if buf, err = readBody(buffered, buf, next.body, limits.Message); err != nil {
@@ -49,10 +51,10 @@
 			if next.children > uint64(limits.Message) {
 				return nil, ErrTooLong
 			}
-			if len(open) >= limits.Depth {
+			if len(expected) >= limits.Depth {
 				return nil, ErrTooDeep
 			}
-			open = append(open, next.children)
+			expected = append(expected, next.children)
 		}
 		if len(buf) > limits.Message {
 			return nil, ErrTooLong
@@ -61,39 +63,42 @@
 	return buf, nil
 }
 
-// unexpected converts an end of file after the first byte.
-func unexpected(err error, had int) error {
-	if err == io.EOF && had > 0 {
+// unexpectedEOF returns io.ErrUnexpectedEOF in place of io.EOF if part of the object has been read,
+// and other errors as they are.
+func unexpectedEOF(err error, bytesRead int) error {
+	if err == io.EOF && bytesRead > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// readBody appends n bytes to buf.
+// readBody reads n bytes and appends them to buf. It returns ErrTooLong if buf would then be longer
+// than limit.
 func readBody(buffered *bufio.Reader, buf []byte, n uint64, limit int) ([]byte, error) {
 	if n > uint64(limit) || len(buf)+int(n) > limit {
 		return nil, ErrTooLong
 	}
 	for left := int(n); left > 0; {
-		part := min(left, bodyChunk)
-		at := len(buf)
-		buf = append(buf, make([]byte, part)...)
-		if _, err := io.ReadFull(buffered, buf[at:]); err != nil {
-			return nil, unexpected(err, 1)
+		chunk := min(left, bodyChunk)
+		offset := len(buf)
+		buf = append(buf, make([]byte, chunk)...)
+		if _, err := io.ReadFull(buffered, buf[offset:]); err != nil {
+			return nil, unexpectedEOF(err, 1)
 		}
-		left -= part
+		left -= chunk
 	}
 	return buf, nil
 }
 
-// layout is what follows a type byte. If it has length bytes, the rest depends on them.
+// layout describes what follows a type byte. If lengthBytes is not 0, the other fields depend on the
+// length, and layoutOfLength returns them.
 type layout struct {
-	lengthBytes int    // big-endian length of the body or number of children
-	body        uint64 // bytes
-	children    uint64 // objects
+	lengthBytes int    // size of the big-endian length of the body or number of elements
+	body        uint64 // number of bytes of data
+	children    uint64 // number of nested objects; a map has two for each entry
 }
 
-// layoutOf returns what follows a type byte.
+// layoutOf returns the layout of objects with a type byte.
 func layoutOf(code byte) (layout, error) {
 	switch {
 	case code <= 0x7f, code >= 0xe0: // fixint
@@ -129,7 +134,7 @@
 	}
 }
 
-// layoutOfLength returns what follows the length bytes with value n.
+// layoutOfLength returns what follows a length of n, for a type byte whose layout has length bytes.
 func layoutOfLength(code byte, n uint64) layout {
 	switch {
 	case code >= 0xde: // map
@@ -158,18 +163,18 @@
 // objectLength returns the length of the first object in b, which must have been validated by
 // readObject.
 func objectLength(b []byte) int {
-	at := 0
+	offset := 0
 	for left := uint64(1); left > 0; left-- {
-		code := b[at]
-		at++
+		code := b[offset]
+		offset++
 		next, _ := layoutOf(code)
 		if next.lengthBytes > 0 {
-			length := decodeUint(b[at : at+next.lengthBytes])
-			at += next.lengthBytes
+			length := decodeUint(b[offset : offset+next.lengthBytes])
+			offset += next.lengthBytes
 			next = layoutOfLength(code, length)
 		}
-		at += int(next.body)
+		offset += int(next.body)
 		left += next.children
 	}
-	return at
+	return offset
 }
--- a/internal/msgpackrpc/rpc_test.go
+++ b/internal/msgpackrpc/rpc_test.go
@@ -15,46 +15,46 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// All 256 requests are open before the first is answered, and they are answered in reverse
-// order: each caller receives its own response.
+// Each caller receives its own response, also when all 256 requests are open before the first is
+// answered and they are answered in reverse order.
 func TestInterleavedResponses(t *testing.T) {
-	const n = 256
+	const requests = 256
 	var mu sync.Mutex
-	turn := sync.NewCond(&mu)
-	came, next := 0, n-1
+	changed := sync.NewCond(&mu) // signals a change of arrived or next
+	arrived, next := 0, requests-1
 	addr := serve(t, &Server{Handler: func(_ context.Context, r *Request) (any, error) {
-		var p []int
-		if err := msgpack.Unmarshal(r.Params, &p); err != nil {
+		var params []int
+		if err := msgpack.Unmarshal(r.Params, &params); err != nil {
 			return nil, err
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		came++
-		turn.Broadcast()
-		for came < n || next != p[0] {
-			turn.Wait()
+		arrived++
+		changed.Broadcast()
+		for arrived < requests || next != params[0] {
+			changed.Wait()
 		}
 		next--
-		turn.Broadcast()
-		return p[0] * p[0], nil
+		changed.Broadcast()
+		return params[0] * params[0], nil
 	}})
-	c := client(t, addr, Limits{})
+	c := dialClient(t, addr, Limits{})
 	var wg sync.WaitGroup
-	for i := range n {
+	for i := range requests {
 		wg.Go(func() {
 			var got int
 			if err := c.Call(testContext(t), "square", []any{i}, &got); err != nil || got != i*i {
-				t.Errorf("square of %d: %d, %v", i, got, err)
+				t.Errorf("square of %d: got %d, %v; want %d, nil", i, got, err, i*i)
 			}
 		})
 	}
 	wg.Wait()
 	if c.UnsolicitedResponses() != 0 {
-		t.Errorf("%d unsolicited responses", c.UnsolicitedResponses())
+		t.Errorf("UnsolicitedResponses() = %d, want 0", c.UnsolicitedResponses())
 	}
 }
 
-// The requests use encodings of the specification that this implementation does not write itself.
+// A server accepts encodings that the specification allows and that this package does not write itself.
 func TestEncodingsOfTheSpecification(t *testing.T) {
 	addr := serve(t, &Server{Handler: echo})
 	for name, in := range map[string]string{
@@ -66,19 +66,19 @@
 		io.WriteString(conn, in)
 		raw, err := readObject(bufio.NewReader(conn), Limits{}.withDefaults(), nil)
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: reading the response: %v", name, err)
 		}
 		var got []any
 		if err := msgpack.Unmarshal(raw, &got); err != nil || fmt.Sprint(got) != "[1 7 <nil> [1]]" {
-			t.Errorf("%s: %v %v", name, got, err)
+			t.Errorf("%s: got response %v, error %v; want [1 7 <nil> [1]]", name, got, err)
 		}
 	}
 }
 
-// Bytes that are not MessagePack-RPC end their connection and no other.
+// A message that is invalid or over a limit ends its own connection and no other.
 func TestInvalidBytesCloseConnection(t *testing.T) {
 	addr := serve(t, &Server{Handler: echo, Limits: Limits{Message: 4096, Depth: 8, Receive: 200 * time.Millisecond}})
-	good := client(t, addr, Limits{})
+	other := dialClient(t, addr, Limits{})
 	for name, in := range map[string]string{
 		"never used type":       "\xc1",
 		"a map":                 "\x81\x01\x02",
@@ -103,15 +103,17 @@
 			continue // see TestDuplicateOpenID
 		}
 		if b, err := io.ReadAll(conn); len(b) > 0 || errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("%s: answered %q, %v; want a close", name, b, err)
+			t.Errorf("%s: got response %q, error %v; want the connection closed without a response", name, b, err)
 		}
 		var got []int
-		if err := good.Call(testContext(t), "echo", []any{7}, &got); err != nil || got[0] != 7 {
-			t.Fatalf("after %s another connection: %v %v", name, got, err)
+		if err := other.Call(testContext(t), "echo", []any{7}, &got); err != nil || got[0] != 7 {
+			t.Fatalf("echo on another connection after %s: got %v, %v; want [7], nil", name, got, err)
 		}
 	}
 }
 
+// A second request with the message id of an open one ends the connection, and neither is answered: the
+// peer could confuse the two responses.
 func TestDuplicateOpenID(t *testing.T) {
 	var ended atomic.Int32
 	addr := serve(t, &Server{Handler: func(ctx context.Context, r *Request) (any, error) {
@@ -122,20 +124,23 @@
 	conn := dial(t, addr)
 	io.WriteString(conn, "\x94\x00\x01\xa4wait\x90\x94\x00\x01\xa4wait\x90")
 	if b, _ := io.ReadAll(conn); len(b) > 0 {
-		t.Errorf("answered %q; want no response to either", b)
+		t.Errorf("got response %q, want none to either request", b)
 	}
 }
 
-type coded struct{ Code string }
+// codedError is an error that is sent as a map with its code.
+type codedError struct{ Code string }
 
-func (e *coded) Error() string   { return e.Code }
-func (e *coded) ErrorValue() any { return map[string]string{"code": e.Code} }
+func (e *codedError) Error() string   { return e.Code }
+func (e *codedError) ErrorValue() any { return map[string]string{"code": e.Code} }
 
+// Errors and panics of a handler, and results that can't be sent, are reported to the caller as
+// RemoteError. A request over the limit and a result of an unexpected type are errors of the call.
 func TestErrorsAndPanics(t *testing.T) {
 	addr := serve(t, &Server{Limits: Limits{Message: 1000}, Handler: func(_ context.Context, r *Request) (any, error) {
 		switch r.Method {
 		case "coded":
-			return nil, fmt.Errorf("wrapped: %w", &coded{"no_such"})
+			return nil, fmt.Errorf("wrapped: %w", &codedError{"no_such"})
 		case "panic":
 			panic("at the handler")
 		case "large":
@@ -145,48 +150,49 @@
 		}
 		return nil, errors.New("plain")
 	}})
-	c := client(t, addr, Limits{})
+	c := dialClient(t, addr, Limits{})
 	for method, want := range map[string]string{
 		"coded": "map[code:no_such]", "panic": "internal error", "large": "over the limit",
 		"unsendable": "unsupported", "other": "plain",
 	} {
 		err := c.Call(testContext(t), method, nil, nil)
 		if _, ok := errors.AsType[*RemoteError](err); !ok || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v; want %q", method, err, want)
+			t.Errorf("call of %s: got error %v, want a RemoteError with %q", method, err, want)
 		}
 	}
 	err := c.Call(testContext(t), "echo", []any{strings.Repeat("x", 2<<20)}, nil)
-	if ce, ok := errors.AsType[*CallError](err); !ok || ce.Sent != SentNone || !errors.Is(err, ErrTooLong) {
-		t.Errorf("a call over the limit: %v", err)
+	if callErr, ok := errors.AsType[*CallError](err); !ok || callErr.Sent != SentNone || !errors.Is(err, ErrTooLong) {
+		t.Errorf("call over the limit: got error %v, want a CallError with ErrTooLong and %q", err, SentNone)
 	}
-	// A result of another type than the caller expects is an error of that call alone.
+	// A result of another type than the caller expects is an error of that call only.
 	var n int
 	if err := c.Call(testContext(t), "other", nil, &n); err == nil {
-		t.Error("no error")
+		t.Error("call whose result has another type than expected: got no error")
 	}
 }
 
+// A connection over Server.Conns is not served. A notification reaches the handler.
 func TestConnLimitAndNotify(t *testing.T) {
-	got := make(chan string, 1)
+	notified := make(chan string, 1)
 	s := &Server{Conns: 1, Handler: func(_ context.Context, r *Request) (any, error) {
 		if r.Notify {
-			got <- r.Method
+			notified <- r.Method
 		}
 		return nil, nil
 	}}
 	addr := serve(t, s)
-	c := client(t, addr, Limits{})
+	c := dialClient(t, addr, Limits{})
 	if err := c.Call(testContext(t), "m", nil, nil); err != nil {
-		t.Fatal(err)
+		t.Fatal("Call:", err)
 	}
-	second := client(t, addr, Limits{})
+	second := dialClient(t, addr, Limits{})
 	if err := second.Call(testContext(t), "m", nil, nil); err == nil {
-		t.Error("a connection over the limit was served")
+		t.Error("call on a connection over Server.Conns: got no error")
 	}
 	if err := c.Notify("told", nil); err != nil {
-		t.Fatal(err)
+		t.Fatal("Notify:", err)
 	}
-	if m := <-got; m != "told" {
-		t.Error(m)
+	if m := <-notified; m != "told" {
+		t.Errorf("handler got notification %q, want %q", m, "told")
 	}
 }
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -15,27 +15,29 @@
 // Request is a received request or notification.
 type Request struct {
 	Method string
-	Params msgpack.RawMessage // an array
-	Notify bool               // a notification, which has no response
+	Params msgpack.RawMessage // MessagePack array
+	Notify bool               // whether it is a notification, which has no response
 	Peer   *Peer
 }
 
 // Peer is the connection that a request was received on.
 type Peer struct {
 	Conn net.Conn
-	// State belongs to the handler. Server.Welcome may set it.
+	// State is for the use of the handler; this package does not access it. Server.Welcome may
+	// set it.
 	State any
 }
 
-// Handler executes requests, each in its own goroutine. ctx ends with the connection and with the
-// server. An error is sent as the response's error: as the value of its ErrorValue method if it has
-// one, otherwise as its text.
+// Handler executes requests, each in its own goroutine. ctx is cancelled when the connection or the
+// server ends. An error is sent as the response's error: as the value of its ErrorValue method if it
+// has one, otherwise as its text. The result and the error of a notification are ignored.
 type Handler func(ctx context.Context, r *Request) (result any, err error)
 
-// ErrorValuer is an error with its own value on the wire.
+// ErrorValuer is an error that is sent to the peer as the value that ErrorValue returns, instead of as
+// its text.
 type ErrorValuer interface{ ErrorValue() any }
 
-// Server is the responding side. Close ends it.
+// Server is the responding side of connections. Close ends it.
 type Server struct {
 	Handler Handler
 	Limits  Limits
@@ -51,7 +53,9 @@
 	goroutines sync.WaitGroup
 }
 
-// Serve accepts connections until the listener or the server is closed. It returns nil after Close.
+// Serve accepts connections until the listener or the server is closed, and closes the listener.
+// Connections over the maximum are closed at once. Serve returns nil if Close ended it, and ErrClosed
+// if the server was closed before.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	if s.closed {
@@ -81,7 +85,8 @@
 	}
 }
 
-// startConn serves a connection unless the server is closed or at its maximum.
+// startConn serves a connection in a new goroutine. It returns false if the server is closed or at its
+// maximum of connections.
 func (s *Server) startConn(conn net.Conn) bool {
 	limit := s.Conns
 	if limit <= 0 {
@@ -100,7 +105,7 @@
 		delete(s.conns, conn)
 		s.mu.Unlock()
 		if errors.Is(err, ErrFormat) || errors.Is(err, ErrTooDeep) || errors.Is(err, ErrTooLong) {
-			slog.Warn("msgpackrpc: connection closed", "from", conn.RemoteAddr(), "err", err)
+			slog.Warn("msgpackrpc: connection closed after an invalid message", "from", conn.RemoteAddr(), "err", err)
 		}
 	})
 	return true
--- a/internal/msgpackrpc/server_conn.go
+++ b/internal/msgpackrpc/server_conn.go
@@ -21,7 +21,7 @@
 	limits   Limits
 	writer   *writer
 	handlers sync.WaitGroup
-	slots    chan struct{} // one for each running handler
+	slots    chan struct{} // an element for each running handler
 
 	mu   sync.Mutex
 	open map[uint32]struct{} // message ids of requests without a queued response
@@ -47,7 +47,7 @@
 	return c.run()
 }
 
-// welcome calls Welcome with a deadline on the connection.
+// welcome calls Server.Welcome, if set, with a deadline of Limits.Receive on the connection.
 func (s *Server) welcome(peer *Peer, limits Limits) error {
 	if s.Welcome == nil {
 		return nil
@@ -71,7 +71,8 @@
 	})
 	err := c.readRequests(ctx)
 	// The peer can't receive the remaining responses, or has violated the protocol. The
-	// connection is closed before handlers are cancelled, so that their responses are not sent.
+	// connection is closed before handlers are cancelled, so that the errors with which
+	// cancelled handlers return are not sent.
 	c.conn.Close()
 	c.writer.fail(err)
 	cancel()
@@ -82,7 +83,7 @@
 }
 
 // readRequests starts a handler for each request until the connection ends. It stops
-// reading while Limits.Outstanding handlers run: that slows the peer down instead of
+// reading while Limits.Outstanding handlers run, which slows the peer down instead of
 // filling memory.
 func (c *serverConn) readRequests(ctx context.Context) error {
 	messages := newReader(c.conn, c.limits)
@@ -95,13 +96,13 @@
 			return err
 		}
 		if message.kind == kindResponse {
-			return fmt.Errorf("%w: a response came to the answering side", ErrFormat)
+			return fmt.Errorf("%w: server received a response", ErrFormat)
 		}
 		id := message.id
 		request := &Request{Method: message.method, Params: message.paramsOrError, Notify: message.kind == kindNotify, Peer: c.peer}
 		if !request.Notify && !c.begin(id) {
-			// Two responses with one id could be confused: neither is sent.
-			return fmt.Errorf("%w: msgid %d used again while open", ErrFormat, id)
+			// The peer could confuse two responses with one id, so neither is sent.
+			return fmt.Errorf("%w: msgid %d of an open request was used again", ErrFormat, id)
 		}
 		c.slots <- struct{}{} // released by handlers, which end with ctx
 		c.handlers.Go(func() {
@@ -120,7 +121,7 @@
 	return !duplicate
 }
 
-// respond runs the handler and queues its response.
+// respond runs the handler and, unless the request is a notification, queues its response.
 func (c *serverConn) respond(ctx context.Context, request *Request, id uint32) {
 	result, err := c.server.callHandler(ctx, request)
 	if request.Notify {
@@ -154,7 +155,8 @@
 	return append(append(head, encoded...), codeNil)
 }
 
-// errorValue returns an error's value on the wire.
+// errorValue returns the value that is sent for an error: that of ErrorValue if the error or one that
+// it wraps is an ErrorValuer, otherwise the text.
 func errorValue(err error) any {
 	if valuer, ok := errors.AsType[interface {
 		error
@@ -165,8 +167,8 @@
 	return err.Error()
 }
 
-// callHandler calls the handler and converts a panic to an error, so that it does not end
-// the other requests.
+// callHandler calls the handler and converts a panic to an error, so that the process and the
+// other requests continue.
 func (s *Server) callHandler(ctx context.Context, request *Request) (result any, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/msgpackrpc/writer.go
+++ b/internal/msgpackrpc/writer.go
@@ -15,7 +15,7 @@
 	SentCompletely             // all bytes: the peer may have executed it
 )
 
-// String describes s in words.
+// String returns s as text for error messages.
 func (s Sent) String() string {
 	return [...]string{"never sent", "sent in part", "sent completely"}[s]
 }
@@ -41,7 +41,7 @@
 	queue    []*item
 	queued   int // bytes in the queue and in the current write
 	stopping bool
-	err      error // why the writer has ended
+	err      error // why the writer ended; nil while it runs
 }
 
 func newWriter(conn net.Conn, limits Limits) *writer {
@@ -51,7 +51,8 @@
 }
 
 // add queues a message. It blocks while the queue is full, until the peer reads or, after
-// Limits.Send, the connection ends.
+// Limits.Send, the connection ends. It returns an error if the message was not queued because the
+// writer has ended.
 func (w *writer) add(it *item) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// withdraw keeps a message from being sent, and returns false if a byte of it may have been sent.
+// withdraw keeps a message from being sent. It returns false if a byte of it may have been sent already.
 func (w *writer) withdraw(it *item) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,7 +88,7 @@
 	return it.sent
 }
 
-// fail ends the writer immediately.
+// fail ends the writer with an error. Queued messages are not sent. A later error is ignored.
 func (w *writer) fail(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -97,7 +98,7 @@
 	w.cond.Broadcast()
 }
 
-// finish ends the writer once its queue is empty.
+// finish ends the writer without an error once its queue is empty.
 func (w *writer) finish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,7 +106,8 @@
 	w.cond.Broadcast()
 }
 
-// run writes until fail, finish or an error of the connection.
+// run writes queued messages until fail, finish or an error of the connection. It returns nil after
+// finish, and otherwise the error.
 func (w *writer) run() error {
 	var batch []*item
 	for {
@@ -152,7 +154,7 @@
 			w.queued -= len(next.data)
 			continue
 		}
-		// From here on all of it may be sent. recordSent corrects that after the write.
+		// From now on all bytes may be sent. After the write, recordSent sets what was sent.
 		next.sent = SentCompletely
 		batch = append(batch, next)
 		bytes += len(next.data)
@@ -165,7 +167,7 @@
 	return batch
 }
 
-// write writes a batch, which may be empty, and returns the number of bytes written.
+// write writes a batch, which may be empty, within Limits.Send and returns the number of bytes written.
 func (w *writer) write(batch []*item) (int, error) {
 	if err := w.conn.SetWriteDeadline(time.Now().Add(w.limits.Send)); err != nil {
 		return 0, err
