--- a/cmd/martendrum/audit.go
+++ b/cmd/martendrum/audit.go
@@ -18,12 +18,12 @@
 	}
 	limit := audit.Flags().Int("most", 50, "so many of the latest entries, 1000 at most")
 	audit.RunE = func(c *cobra.Command, args []string) error {
-		f, err := g.openFleet()
+		fleet, err := g.openFleet()
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		a := f.Agent(args[0])
+		defer fleet.Close()
+		a := fleet.Agent(args[0])
 		if a == nil {
 			return fmt.Errorf("host %s is not in the inventory %s", args[0], g.inventoryPath)
 		}
--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -101,11 +101,11 @@
 	if err := r.selectInstances(args); err != nil {
 		return err
 	}
-	f, err := g.openFleet()
+	fleet, err := g.openFleet()
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer fleet.Close()
 	operation := newOperation(action, r)
 	if action == api.ActUpgrade {
 		if operation.Release, err = hashRelease(r); err != nil {
@@ -114,7 +114,7 @@
 	} else if r.policy.OnFailure == api.OnFailureRollback {
 		return fmt.Errorf("--on-failure rollback goes with upgrade only: a %s can't be rolled back", action)
 	}
-	hosts, agents, err := r.targets(ctx, f, &operation)
+	hosts, agents, err := r.targets(ctx, fleet, &operation)
 	if err != nil {
 		return err
 	}
@@ -126,12 +126,12 @@
 		return g.printPlan(&operation, hosts)
 	}
 	if action == api.ActUpgrade {
-		if err := r.upload(ctx, f, agents, operation.Release); err != nil {
+		if err := r.upload(ctx, fleet, agents, operation.Release); err != nil {
 			return err
 		}
 	}
 	fmt.Fprintf(os.Stderr, "operation %s: %s of %d instances\n", operation.ID, action, len(operation.Targets))
-	report, err := f.Start(ctx, operation, r.run.options(g))
+	report, err := fleet.Start(ctx, operation, r.run.options(g))
 	if err != nil {
 		if rejection, ok := errors.AsType[*api.Error](err); ok {
 			return &exitError{exitPartial, rejection}
@@ -159,8 +159,8 @@
 }
 
 // upload sends the release to the agents and prints each host that has received it.
-func (r *rollingFlags) upload(ctx context.Context, f *client.Fleet, agents []*client.Agent, hash string) error {
-	err := f.Upload(ctx, agents, hash, r.binary, r.overlay, func(host string) {
+func (r *rollingFlags) upload(ctx context.Context, fleet *client.Fleet, agents []*client.Agent, hash string) error {
+	err := fleet.Upload(ctx, agents, hash, r.binary, r.overlay, func(host string) {
 		fmt.Fprintf(os.Stderr, "release %s is on host %s\n", shortHash(hash), host)
 	})
 	if err != nil {
@@ -172,8 +172,8 @@
 // targets adds the selected instances to an operation's targets. It returns the hosts that may
 // have selected instances, and the agents of those that have targets. A host that doesn't answer is
 // an error, or is left out with --skip-unreachable. It is also an error if there are no targets.
-func (r *rollingFlags) targets(ctx context.Context, f *client.Fleet, operation *api.Operation) (hosts []client.HostState, agents []*client.Agent, err error) {
-	hosts = f.List(ctx, r.selection)
+func (r *rollingFlags) targets(ctx context.Context, fleet *client.Fleet, operation *api.Operation) (hosts []client.HostState, agents []*client.Agent, err error) {
+	hosts = fleet.List(ctx, r.selection)
 	for _, h := range hosts {
 		if h.Error != "" {
 			if !r.skipUnreachable {
@@ -186,7 +186,7 @@
 			operation.Targets = append(operation.Targets, api.Target{Host: h.Host.Name, Instance: i.Name})
 		}
 		if len(h.Instances) > 0 {
-			agents = append(agents, f.Agent(h.Host.Name))
+			agents = append(agents, fleet.Agent(h.Host.Name))
 		}
 	}
 	if len(operation.Targets) == 0 {
--- a/cmd/martendrum/inspect.go
+++ b/cmd/martendrum/inspect.go
@@ -33,8 +33,7 @@
 	return inspect
 }
 
-// printInspection prints the details of an instance, the latest steps of operations on it and the
-// end of its log.
+// printInspection prints the details of an instance, its latest steps and the end of its log.
 func printInspection(out *api.InspectOut) {
 	instance := &out.Instance
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -62,9 +61,9 @@
 	}
 	w.Flush()
 	printInstanceSettings(out.Settings)
-	fmt.Println("\nlatest steps of operations:")
+	fmt.Println("\nlatest steps:")
 	for _, step := range out.Steps {
 		fmt.Printf("  %s  %s %s: %s %s\n", step.Started.Format(time.RFC3339), step.Action, step.Kind, step.Status, step.Reason)
 	}
-	fmt.Printf("\nend of the log:\n%s", out.Log)
+	fmt.Printf("\nend of its log:\n%s", out.Log)
 }
--- a/cmd/martendrum/list.go
+++ b/cmd/martendrum/list.go
@@ -25,18 +25,18 @@
 	settings := &settingsFlags{}
 	settings.add(list)
 	list.RunE = func(c *cobra.Command, _ []string) error {
-		f, err := g.openFleet()
+		fleet, err := g.openFleet()
 		if err == nil {
 			err = selection.Check()
 		}
 		if err != nil {
 			return err
 		}
-		defer f.Close()
+		defer fleet.Close()
 		if settings.enabled {
-			return settings.printProgress(c, g, f)
+			return settings.printProgress(c, g, fleet)
 		}
-		return printInstances(g, f.List(c.Context(), selection))
+		return printInstances(g, fleet.List(c.Context(), selection))
 	}
 	return list
 }
--- a/cmd/martendrum/main.go
+++ b/cmd/martendrum/main.go
@@ -20,7 +20,7 @@
 // Exit codes other than 0.
 const (
 	exitPartial     = 1 // some of the work failed; the output says which
-	exitUse         = 2 // wrong usage, or an error that has no exit code of its own
+	exitUsage       = 2 // wrong usage, or an error that has no exit code of its own
 	exitUnreachable = 3 // a host, relay or store that the command needs is unreachable
 )
 
@@ -50,7 +50,7 @@
 	if err == nil {
 		return 0
 	}
-	code := exitUse
+	code := exitUsage
 	if exit, ok := errors.AsType[*exitError](err); ok {
 		code = exit.code
 		if exit.err == nil {
--- a/cmd/martendrum/operations.go
+++ b/cmd/martendrum/operations.go
@@ -20,15 +20,15 @@
 
 // onOperation completes a command whose only argument is the ID of an operation: it opens the fleet
 // and calls do.
-func (g *globalFlags) onOperation(c *cobra.Command, do func(c *cobra.Command, f *client.Fleet, id string) error) *cobra.Command {
+func (g *globalFlags) onOperation(c *cobra.Command, do func(c *cobra.Command, fleet *client.Fleet, id string) error) *cobra.Command {
 	c.GroupID, c.Args = "op", cobra.ExactArgs(1)
 	c.RunE = func(c *cobra.Command, args []string) error {
-		f, err := g.openFleet()
+		fleet, err := g.openFleet()
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		return do(c, f, args[0])
+		defer fleet.Close()
+		return do(c, fleet, args[0])
 	}
 	return c
 }
@@ -36,8 +36,8 @@
 // reportCommand returns the command that prints the report of an operation.
 func reportCommand(g *globalFlags) *cobra.Command {
 	report := &cobra.Command{Use: "report OPERATION", Short: "Tell what became of an operation, from the agents' records"}
-	return g.onOperation(report, func(c *cobra.Command, f *client.Fleet, id string) error {
-		report, err := f.Report(c.Context(), id)
+	return g.onOperation(report, func(c *cobra.Command, fleet *client.Fleet, id string) error {
+		report, err := fleet.Report(c.Context(), id)
 		if err != nil {
 			return err
 		}
@@ -51,16 +51,16 @@
 	resume := &cobra.Command{Use: "resume OPERATION", Short: "Go on with an operation where it stood",
 		Long: "Resume goes on with an operation whose command has died, was interrupted or has paused.\nWhat is done stays done: no instance is changed twice."}
 	run.add(resume)
-	return g.onOperation(resume, func(c *cobra.Command, f *client.Fleet, id string) error {
-		return g.resume(c.Context(), f, id, run.options(g))
+	return g.onOperation(resume, func(c *cobra.Command, fleet *client.Fleet, id string) error {
+		return g.resume(c.Context(), fleet, id, run.options(g))
 	})
 }
 
 // abortCommand returns the command that aborts an operation.
 func abortCommand(g *globalFlags) *cobra.Command {
 	abort := &cobra.Command{Use: "abort OPERATION", Short: "End an operation: what is under way is finished, nothing new begins"}
-	return g.onOperation(abort, func(c *cobra.Command, f *client.Fleet, id string) error {
-		failed, err := f.Abort(c.Context(), id)
+	return g.onOperation(abort, func(c *cobra.Command, fleet *client.Fleet, id string) error {
+		failed, err := fleet.Abort(c.Context(), id)
 		if err != nil {
 			return err
 		}
@@ -88,16 +88,16 @@
 func operationsCommand(g *globalFlags) *cobra.Command {
 	operations := &cobra.Command{Use: "operations", GroupID: "op", Short: "List operations, those that are open first", Args: cobra.NoArgs}
 	operations.RunE = func(c *cobra.Command, _ []string) error {
-		f, err := g.openFleet()
+		fleet, err := g.openFleet()
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		byAgent := make([]api.OpsOut, len(f.Agents))
-		errs := client.ForEach(f.Agents, func(n int, a *client.Agent) error {
+		defer fleet.Close()
+		byAgent := make([]api.OpsOut, len(fleet.Agents))
+		errs := client.ForEach(fleet.Agents, func(n int, a *client.Agent) error {
 			return a.Call(c.Context(), api.OpList, api.Empty{}, &byAgent[n])
 		})
-		listed := mergeOperations(f, byAgent)
+		listed := mergeOperations(fleet, byAgent)
 		if g.json {
 			err = printJSON(listed)
 		} else {
@@ -116,7 +116,7 @@
 
 // mergeOperations merges the operations that each agent of the fleet has returned. An operation that
 // is open at any agent is open. Open operations come first, and within each group the newest.
-func mergeOperations(f *client.Fleet, byAgent []api.OpsOut) []*listedOperation {
+func mergeOperations(fleet *client.Fleet, byAgent []api.OpsOut) []*listedOperation {
 	byID := make(map[string]*listedOperation)
 	for n, out := range byAgent {
 		for _, o := range out.Ops {
@@ -131,7 +131,7 @@
 			if o.LeaseHolder != "" {
 				listed.LeaseHolder = o.LeaseHolder
 			}
-			listed.Hosts = append(listed.Hosts, f.Agents[n].Host.Name)
+			listed.Hosts = append(listed.Hosts, fleet.Agents[n].Host.Name)
 		}
 	}
 	var all []*listedOperation
@@ -147,6 +147,7 @@
 	return all
 }
 
+// printOperations prints operations as a table.
 func printOperations(operations []*listedOperation) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "OPERATION\tACTION\tBY\tSTATE\tRESULT\tHOSTS\tHELD BY")
--- a/cmd/martendrum/record_list.go
+++ b/cmd/martendrum/record_list.go
@@ -42,7 +42,7 @@
 func (f *recordFilter) forEach(ctx context.Context, store idempotency.Backend, limit int, do func(*idempotency.Entry) error) (more bool, err error) {
 	filter := f.filter
 	if filter.State != idempotency.Unknown && !strings.Contains(" in-flight answered never-ran may-have-run ", " "+string(filter.State)+" ") {
-		return false, &exitError{exitUse, fmt.Errorf("--state %s: want in-flight, answered, never-ran or may-have-run", filter.State)}
+		return false, &exitError{exitUsage, fmt.Errorf("--state %s: want in-flight, answered, never-ran or may-have-run", filter.State)}
 	}
 	if f.since > 0 {
 		filter.ChangedSince = time.Now().Add(-f.since).UnixMicro()
--- a/cmd/martendrum/report.go
+++ b/cmd/martendrum/report.go
@@ -66,8 +66,8 @@
 }
 
 // resume resumes an operation and prints its report.
-func (g *globalFlags) resume(ctx context.Context, f *client.Fleet, id string, options client.Options) error {
-	report, err := f.Resume(ctx, id, options)
+func (g *globalFlags) resume(ctx context.Context, fleet *client.Fleet, id string, options client.Options) error {
+	report, err := fleet.Resume(ctx, id, options)
 	if err != nil {
 		if rejection, ok := errors.AsType[*api.Error](err); ok {
 			return &exitError{exitPartial, rejection}
--- a/cmd/martendrum/settings.go
+++ b/cmd/martendrum/settings.go
@@ -50,12 +50,12 @@
 		if err != nil {
 			return err
 		}
-		f, err := g.openFleet()
+		fleet, err := g.openFleet()
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		out, err := f.Publish(c.Context(), p.relay, put)
+		defer fleet.Close()
+		out, err := fleet.Publish(c.Context(), p.relay, put)
 		if err != nil {
 			return settingsError(err)
 		}
@@ -126,12 +126,12 @@
 after that is void, and changes that no relay had copied from it are lost: publish them again.
 Promote the relay that has the latest revision (martendrum list --settings --relay HOST).`,
 		RunE: func(c *cobra.Command, args []string) error {
-			f, err := g.openFleet()
+			fleet, err := g.openFleet()
 			if err != nil {
 				return err
 			}
-			defer f.Close()
-			out, err := f.Promote(c.Context(), args[0])
+			defer fleet.Close()
+			out, err := fleet.Promote(c.Context(), args[0])
 			if err != nil {
 				return settingsError(err)
 			}
@@ -163,9 +163,9 @@
 // printProgress prints on which hosts a revision is in force, or with --resources the resources. It
 // returns an error with the exit code exitPartial unless the revision is known to be in force on all
 // hosts.
-func (s *settingsFlags) printProgress(c *cobra.Command, g *globalFlags, f *client.Fleet) error {
+func (s *settingsFlags) printProgress(c *cobra.Command, g *globalFlags, fleet *client.Fleet) error {
 	if s.resources {
-		return s.printResources(c, g, f)
+		return s.printResources(c, g, fleet)
 	}
 	var revision distribution.Revision
 	if s.revision != "" {
@@ -174,7 +174,7 @@
 			return err
 		}
 	}
-	out, err := f.InForce(c.Context(), s.relay, revision, s.limit)
+	out, err := fleet.InForce(c.Context(), s.relay, revision, s.limit)
 	if err != nil {
 		return settingsError(err)
 	}
@@ -219,8 +219,8 @@
 }
 
 // printResources prints the resources that are published, whether or not hosts have applied them.
-func (s *settingsFlags) printResources(c *cobra.Command, g *globalFlags, f *client.Fleet) error {
-	revision, resources, err := f.Resources(c.Context(), s.relay, "")
+func (s *settingsFlags) printResources(c *cobra.Command, g *globalFlags, fleet *client.Fleet) error {
+	revision, resources, err := fleet.Resources(c.Context(), s.relay, "")
 	if err != nil {
 		return settingsError(err)
 	}
--- a/cmd/martendrum/staged_complete.go
+++ b/cmd/martendrum/staged_complete.go
@@ -16,7 +16,7 @@
 // completeOperation assigns the targets to stages at random, and completes the operation, the plan and
 // the configuration of the canary analysis from the state of the fleet. first is the agent of one of
 // the targets.
-func (r *stagedFlags) completeOperation(ctx context.Context, f *client.Fleet, first *client.Agent, operation *api.Operation, instances map[api.Target]*api.Instance) error {
+func (r *stagedFlags) completeOperation(ctx context.Context, fleet *client.Fleet, first *client.Agent, operation *api.Operation, instances map[api.Target]*api.Instance) error {
 	var metrics api.MetricsOut
 	if err := first.Call(ctx, api.Metrics, &api.MetricsIn{Limit: 1}, &metrics); err != nil {
 		return err
@@ -30,7 +30,7 @@
 		return err
 	}
 	r.analysis.Base = base
-	if err := r.readClasses(ctx, f, operation.Targets[0]); err != nil {
+	if err := r.readClasses(ctx, fleet, operation.Targets[0]); err != nil {
 		return err
 	}
 	if r.seed == 0 {
@@ -73,9 +73,9 @@
 
 // readClasses reads the classes of requests and their weights from a target's configuration. A
 // negative weight counts as 0.
-func (r *stagedFlags) readClasses(ctx context.Context, f *client.Fleet, target api.Target) error {
+func (r *stagedFlags) readClasses(ctx context.Context, fleet *client.Fleet, target api.Target) error {
 	var inspect api.InspectOut
-	if err := f.Agent(target.Host).Call(ctx, api.Inspect, &api.InstanceIn{Instance: target.Instance}, &inspect); err != nil {
+	if err := fleet.Agent(target.Host).Call(ctx, api.Inspect, &api.InstanceIn{Instance: target.Instance}, &inspect); err != nil {
 		return err
 	}
 	var config struct {
--- a/cmd/martendrum/staged_follow.go
+++ b/cmd/martendrum/staged_follow.go
@@ -24,14 +24,14 @@
 	goOn := c.Flags().Bool("go-on", false, "let a change that holds go on to its next stage, though it can't be told whether it does worse")
 	run.add(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
-		f, err := g.openFleet()
+		fleet, err := g.openFleet()
 		if err != nil {
 			return err
 		}
-		defer f.Close()
+		defer fleet.Close()
 		options := run.options(g)
 		options.Release = *goOn
-		return g.resume(c.Context(), f, args[0], options)
+		return g.resume(c.Context(), fleet, args[0], options)
 	}
 	return c
 }
@@ -47,24 +47,24 @@
 		if *interval < minWatchInterval {
 			return fmt.Errorf("--each %v: want at least 100ms", *interval)
 		}
-		f, err := g.openFleet()
+		fleet, err := g.openFleet()
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		return g.watch(c.Context(), f, args[0], *interval)
+		defer fleet.Close()
+		return g.watch(c.Context(), fleet, args[0], *interval)
 	}
 	return c
 }
 
 // watch prints the progress of an operation at each interval until the operation or ctx ends. It
 // returns an error with the exit code exitPartial if the operation did not succeed.
-func (g *globalFlags) watch(ctx context.Context, f *client.Fleet, id string, interval time.Duration) error {
+func (g *globalFlags) watch(ctx context.Context, fleet *client.Fleet, id string, interval time.Duration) error {
 	info, err := os.Stdout.Stat()
 	terminal := err == nil && info.Mode()&os.ModeCharDevice != 0 && !g.json
 	lastText := ""
 	for {
-		report, err := f.Report(ctx, id)
+		report, err := fleet.Report(ctx, id)
 		if err != nil {
 			return err
 		}
@@ -104,17 +104,17 @@
 	path := c.Flags().String("plot", "", "draw to this file (.svg, .png or .pdf)")
 	test := c.Flags().String("test", "worth", "which test is drawn, as its evidence names it")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		f, err := g.openFleet()
+		fleet, err := g.openFleet()
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		report, err := f.Report(c.Context(), args[0])
+		defer fleet.Close()
+		report, err := fleet.Report(c.Context(), args[0])
 		if err != nil {
 			return err
 		}
 		if *path != "" {
-			if err := plotReport(c.Context(), f, report, *test, *path); err != nil {
+			if err := plotReport(c.Context(), fleet, report, *test, *path); err != nil {
 				return err
 			}
 		}
@@ -125,8 +125,8 @@
 
 // plotReport repeats the canary analysis of a change, draws one test of it to the file at path, and
 // sets the report's judgement to the latest of the repeated ones.
-func plotReport(ctx context.Context, f *client.Fleet, report *client.Report, test, path string) error {
-	series, missing, err := f.Replay(ctx, report)
+func plotReport(ctx context.Context, fleet *client.Fleet, report *client.Report, test, path string) error {
+	series, missing, err := fleet.Replay(ctx, report)
 	if err != nil {
 		return err
 	}
--- a/cmd/martendrum/staged_start.go
+++ b/cmd/martendrum/staged_start.go
@@ -107,18 +107,18 @@
 	if err := r.check(args); err != nil {
 		return err
 	}
-	f, err := g.openFleet()
+	fleet, err := g.openFleet()
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer fleet.Close()
 	operation := newOperation(api.ActUpgrade, &r.rollingFlags)
-	hosts, agents, err := r.targets(ctx, f, &operation)
+	hosts, agents, err := r.targets(ctx, fleet, &operation)
 	if err != nil {
 		return err
 	}
 	instances := instancesByTarget(hosts)
-	if err := r.completeOperation(ctx, f, agents[0], &operation, instances); err != nil {
+	if err := r.completeOperation(ctx, fleet, agents[0], &operation, instances); err != nil {
 		return err
 	}
 	if r.binary == "" {
@@ -144,11 +144,11 @@
 	if r.dryRun {
 		return g.printStagePlan(&operation, instances)
 	}
-	if err := r.upload(ctx, f, agents, operation.Release); err != nil {
+	if err := r.upload(ctx, fleet, agents, operation.Release); err != nil {
 		return err
 	}
 	fmt.Fprintf(os.Stderr, "operation %s: %s of %d instances in %d stages\n", operation.ID, operation.Action, len(operation.Targets), len(staged.Plan.Upto))
-	report, err := f.Start(ctx, operation, r.run.options(g))
+	report, err := fleet.Start(ctx, operation, r.run.options(g))
 	if err != nil {
 		if _, ok := errors.AsType[*api.Error](err); ok {
 			return &exitError{exitPartial, err}
--- a/cmd/martendrum/view.go
+++ b/cmd/martendrum/view.go
@@ -20,14 +20,14 @@
 // error if no host or several hosts have one, with the exit code exitUnreachable if a host that
 // doesn't answer may have it.
 func (g *globalFlags) onInstance(ctx context.Context, name string, do func(a *client.Agent) error) error {
-	f, err := g.openFleet()
+	fleet, err := g.openFleet()
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer fleet.Close()
 	var hosts []string
 	var unreachable error // of one of the hosts that don't answer
-	for _, h := range f.List(ctx, &inventory.Select{Instances: []string{name}}) {
+	for _, h := range fleet.List(ctx, &inventory.Select{Instances: []string{name}}) {
 		if len(h.Instances) > 0 {
 			hosts = append(hosts, h.Host.Name)
 		}
@@ -37,7 +37,7 @@
 	}
 	switch {
 	case len(hosts) == 1:
-		return do(f.Agent(hosts[0]))
+		return do(fleet.Agent(hosts[0]))
 	case len(hosts) > 1:
 		return fmt.Errorf("instance %s is on several hosts, %v: give each instance a name of its own", name, hosts)
 	case unreachable != nil:
