--- a/cmd/martendrum/staged_plan.go
+++ b/cmd/martendrum/staged_plan.go
@@ -46,7 +46,7 @@
 	fmt.Printf("%s of %d instances in %d stages, seed %d; each lasts %v to %v; if worse: %s; if inconclusive: %s\n",
 		operation.Action, len(operation.Targets), len(stages), staged.Seed, staged.Plan.MinDuration, staged.Plan.MaxDuration, operation.Policy.OnFailure, staged.Plan.OnInconclusive)
 	printStageTable(stages)
-	fmt.Println("drift between instances and bursts of traffic raise the harm that can be noticed; the last stage leaves no unchanged instances to compare with\ndry run: nothing was changed")
+	fmt.Println("drift between instances and bursts of traffic raise the smallest harm that can be noticed; the last stage leaves no unchanged instances to compare with\ndry run: nothing was changed")
 	return nil
 }
 
