--- a/internal/capacity/curves.go
+++ b/internal/capacity/curves.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// curves looks fits up by measurement and metric. It keeps the first error, so that a page of
-// figures can be computed without a check at each.
+// curves fits metrics on demand and caches the fits. It keeps the first error, so that many
+// figures can be computed in a row and err be checked once at the end.
 type curves struct {
 	results Results
-	fits    map[string]*Fit
-	err     error
+	fits    map[string]*Fit // by "MEASUREMENT: METRIC"
+	err     error           // the first error of at and growth; their results are unusable then
 }
 
 func newCurves(results Results) *curves {
 	return &curves{results: results, fits: make(map[string]*Fit)}
 }
 
-// metric returns a metric of a measurement by its name.
+// metric returns the metric with this name, false if the measurement has none.
 func (m *Measurement) metric(name string) (Metric, bool) {
 	for _, metric := range m.Metrics {
 		if metric.Name == name {
@@ -24,21 +24,22 @@
 	return Metric{}, false
 }
 
-// fit returns the curve through a metric.
+// fit returns the fit that Choose selects for a metric. It fails if the measurement, its results or
+// the metric are unknown, and if no curve can be fitted.
 func (c *curves) fit(measurement, metric string) (*Fit, error) {
 	key := measurement + ": " + metric
 	if fit := c.fits[key]; fit != nil {
 		return fit, nil
 	}
-	planned, measured := MeasurementByName(measurement), c.results[measurement]
-	if planned == nil || measured == nil {
-		return nil, &ResultError{measurement, "there is no such measurement"}
+	definition, resultFile := MeasurementByName(measurement), c.results[measurement]
+	if definition == nil || resultFile == nil {
+		return nil, &ResultError{measurement, "unknown measurement, or no results for it"}
 	}
-	wanted, there := planned.metric(metric)
-	if !there {
-		return nil, &ResultError{measurement, "it has no metric " + metric}
+	wanted, found := definition.metric(metric)
+	if !found {
+		return nil, &ResultError{measurement, "the measurement has no metric " + metric}
 	}
-	points, err := measured.points(wanted)
+	points, err := resultFile.points(wanted)
 	if err != nil {
 		return nil, err
 	}
@@ -50,7 +51,8 @@
 	return fit, nil
 }
 
-// at returns the estimate of a metric at a size.
+// at returns the value of a metric's curve at a size. After an error it returns a zero Interval and
+// sets c.err.
 func (c *curves) at(measurement, metric string, size float64) Interval {
 	fit, err := c.fit(measurement, metric)
 	if err != nil {
@@ -62,7 +64,8 @@
 	return fit.At(size)
 }
 
-// growth returns how much a metric grows from size 0 to a size, without its fixed part.
+// growth returns how much a metric's curve grows from size 0 to a size: its value without the fixed
+// part. After an error it returns a zero Interval and sets c.err.
 func (c *curves) growth(measurement, metric string, size float64) Interval {
 	fit, err := c.fit(measurement, metric)
 	if err != nil {
@@ -74,6 +77,6 @@
 	if fit.Model == Constant {
 		return Interval{}
 	}
-	there, none := fit.At(size), fit.At(0).Value
-	return Interval{there.Value - none, there.Low - none, there.High - none}
+	total, fixed := fit.At(size), fit.At(0).Value
+	return Interval{total.Value - fixed, total.Low - fixed, total.High - fixed}
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -9,10 +9,11 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Model is the form of a curve.
+// Model is the formula of a curve over the size n.
 type Model int
 
-// The models, in the order in which they are preferred where they fit equally well.
+// The models, in the order in which Choose prefers them where they fit about equally well. The letters
+// of a formula are its coefficients, in the order of Fit.Coefficients.
 const (
 	Constant  Model = iota // a
 	Line                   // a + b n
@@ -22,56 +23,60 @@
 	Quadratic              // a + b n + c n²
 )
 
-// String returns the name of the model.
+// String returns the model's name as the page shows it.
 func (m Model) String() string {
 	return [...]string{"constant", "straight line", "logarithm", "n log n", "power", "quadratic"}[m]
 }
 
 const (
-	// confidence of all intervals.
+	// confidence is the confidence level of all intervals.
 	confidence = 0.95
-	// A more complex model is chosen only if its residual is below this fraction of the simpler
-	// one's.
-	worthwhile = 0.9
+	// maxResidualRatio is the fraction of the simpler model's residual below which the residual of a
+	// more complex one has to be for Choose to prefer it.
+	maxResidualRatio = 0.9
 )
 
-// Interval is a value between two bounds that hold it with the confidence of 95 %.
+// Interval is an estimated value with the bounds of its confidence interval of 95 %.
 type Interval struct{ Value, Low, High float64 }
 
-// times returns the interval multiplied by a factor above 0.
+// times returns the interval multiplied by a factor, which must be above 0 to keep Low below High.
 func (i Interval) times(factor float64) Interval {
 	return Interval{i.Value * factor, i.Low * factor, i.High * factor}
 }
 
-// plus adds intervals by their bounds, which errs on the wide side.
+// plus returns the sum of two intervals. It adds the bounds, which gives an interval that is rather
+// too wide than too narrow.
 func (i Interval) plus(other Interval) Interval {
 	return Interval{i.Value + other.Value, i.Low + other.Low, i.High + other.High}
 }
 
-// Fit is a curve through points.
+// Fit is a curve fitted to points by least squares. FitModel and Choose make one.
 type Fit struct {
 	Model        Model
-	Coefficients []Interval // in the order of the model's letters
+	Coefficients []Interval // in the order of the letters in the model's formula
 	RSquared     float64
-	Residual     float64 // standard error of the points around the curve
-	Points       int
-	Smallest     float64 // size
-	Largest      float64 // size
+	Residual     float64 // standard error of the points around the curve, in their unit
+	Points       int     // number of fitted points
+	Smallest     float64 // smallest size of a point
+	Largest      float64 // largest size of a point
 
-	values     []float64  // of the coefficients; of ln a for Power
-	covariance *mat.Dense // of values
+	values     []float64  // the coefficients as solved; for Power the first one is ln a
+	covariance *mat.Dense // covariance matrix of values
 }
 
-// FitError says why no curve goes through points.
+// FitError is the reason why a model cannot be fitted to points.
 type FitError struct {
-	Model Model
-	What  string
+	Model  Model
+	Reason string
 }
 
 // Error implements error.
-func (e *FitError) Error() string { return fmt.Sprintf("capacity: no %v fits: %s", e.Model, e.What) }
+func (e *FitError) Error() string {
+	return fmt.Sprintf("capacity: cannot fit a %v curve: %s", e.Model, e.Reason)
+}
 
-// terms returns a model's columns at a size.
+// terms returns the factors of the model's coefficients at a size: one row of the design matrix. For
+// Power they belong to the logarithm of the curve. Sizes below 1 count as 1 in Logarithm and NLogN.
 func (m Model) terms(size float64) []float64 {
 	switch m {
 	case Constant:
@@ -89,11 +94,13 @@
 	}
 }
 
-// FitModel fits one model by least squares.
+// FitModel fits one model by least squares. It returns a *FitError if there are not more points than
+// coefficients, if the sizes are too few or too close to determine them, and for Power also if a value
+// is not above 0.
 func FitModel(model Model, points []Point) (*Fit, error) {
 	columns := len(model.terms(1))
 	if len(points) <= columns {
-		return nil, &FitError{model, fmt.Sprintf("%d points for %d coefficients", len(points), columns)}
+		return nil, &FitError{model, fmt.Sprintf("%d points do not determine %d coefficients", len(points), columns)}
 	}
 	design, target := mat.NewDense(len(points), columns, nil), mat.NewVecDense(len(points), nil)
 	for row, point := range points {
@@ -101,7 +108,7 @@
 		value := point.Value
 		if model == Power {
 			if value <= 0 {
-				return nil, &FitError{model, "a value that is not above 0"}
+				return nil, &FitError{model, "a point has a value that is not above 0"}
 			}
 			value = math.Log(value)
 		}
@@ -114,17 +121,18 @@
 	if err := fit.solve(design, target); err != nil {
 		return nil, err
 	}
-	fit.judge(points)
+	fit.assess(points)
 	return fit, nil
 }
 
-// solve computes the coefficients and their covariance. Columns are scaled to 1, since sizes and
-// their squares differ by many orders of magnitude.
+// solve computes the coefficients, their covariance and their intervals. It scales the largest absolute
+// value of each column to 1, since sizes and their squares differ by many orders of magnitude. It
+// overwrites design.
 func (f *Fit) solve(design *mat.Dense, target *mat.VecDense) error {
 	rows, columns := design.Dims()
 	scale := make([]float64, columns)
 	for column := range columns {
-		scale[column] = mat.Max(absolute(design.ColView(column)))
+		scale[column] = mat.Max(absoluteValues(design.ColView(column)))
 		for row := range rows {
 			design.Set(row, column, design.At(row, column)/scale[column])
 		}
@@ -132,7 +140,7 @@
 	var product, inverse mat.Dense
 	product.Mul(design.T(), design)
 	if err := inverse.Inverse(&product); err != nil {
-		return &FitError{f.Model, "the sizes don't tell its terms apart"}
+		return &FitError{f.Model, "the sizes are too few or too close to determine its coefficients"}
 	}
 	var projected, solution, estimate mat.VecDense
 	projected.MulVec(design.T(), target)
@@ -149,8 +157,8 @@
 	}
 	quantile := f.quantile()
 	for i, value := range f.values {
-		spread := quantile * math.Sqrt(max(0, f.covariance.At(i, i)))
-		f.Coefficients = append(f.Coefficients, Interval{value, value - spread, value + spread})
+		halfWidth := quantile * math.Sqrt(max(0, f.covariance.At(i, i)))
+		f.Coefficients = append(f.Coefficients, Interval{value, value - halfWidth, value + halfWidth})
 	}
 	if f.Model == Power {
 		a := &f.Coefficients[0]
@@ -159,7 +167,8 @@
 	return nil
 }
 
-func absolute(column mat.Vector) *mat.VecDense {
+// absoluteValues returns a vector of the absolute values of a column.
+func absoluteValues(column mat.Vector) *mat.VecDense {
 	values := mat.NewVecDense(column.Len(), nil)
 	for i := range column.Len() {
 		values.SetVec(i, math.Abs(column.AtVec(i)))
@@ -167,14 +176,16 @@
 	return values
 }
 
-// quantile returns that of Student's t distribution for the fit's degrees of freedom.
+// quantile returns the factor from a standard error to half the width of its confidence interval: a
+// quantile of Student's t distribution for the fit's degrees of freedom.
 func (f *Fit) quantile() float64 {
-	freedom := float64(f.Points - len(f.values))
-	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile(1 - (1-confidence)/2)
+	degreesOfFreedom := float64(f.Points - len(f.values))
+	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile(1 - (1-confidence)/2)
 }
 
-// judge computes how well the curve fits, in the values' own unit for all models.
-func (f *Fit) judge(points []Point) {
+// assess sets Residual and RSquared. Both are computed on the values themselves for all models, also
+// for Power, which is fitted to logarithms.
+func (f *Fit) assess(points []Point) {
 	estimates, values := make([]float64, len(points)), make([]float64, len(points))
 	sum := 0.0
 	for i, point := range points {
@@ -185,7 +196,7 @@
 	f.RSquared = stat.RSquaredFrom(estimates, values, nil)
 }
 
-// at returns the curve's value at a size.
+// at returns the curve's value at a size, without an interval.
 func (f *Fit) at(size float64) float64 {
 	sum := 0.0
 	for i, term := range f.Model.terms(size) {
@@ -197,25 +208,27 @@
 	return sum
 }
 
-// At returns the curve's value at a size with its interval. The interval shows how well the points
-// determine the curve, not whether the model is valid so far outside of them.
+// At returns the curve's value at a size with its confidence interval. The interval shows how well the
+// points determine the curve. It does not show whether the model is still valid at a size that lies far
+// outside of them.
 func (f *Fit) At(size float64) Interval {
 	terms := mat.NewVecDense(len(f.values), f.Model.terms(size))
-	spread := f.quantile() * math.Sqrt(max(0, mat.Inner(terms, f.covariance, terms)))
-	middle := mat.Dot(terms, mat.NewVecDense(len(f.values), f.values))
-	interval := Interval{middle, middle - spread, middle + spread}
+	halfWidth := f.quantile() * math.Sqrt(max(0, mat.Inner(terms, f.covariance, terms)))
+	value := mat.Dot(terms, mat.NewVecDense(len(f.values), f.values))
+	interval := Interval{value, value - halfWidth, value + halfWidth}
 	if f.Model == Power {
 		interval = Interval{math.Exp(interval.Value), math.Exp(interval.Low), math.Exp(interval.High)}
 	}
 	return interval
 }
 
-// slopeKnown reports whether the interval of the last coefficient is above 0.
-func (f *Fit) slopeKnown() bool { return f.Coefficients[len(f.Coefficients)-1].Low > 0 }
+// growthIsSignificant reports whether the whole interval of the last coefficient is above 0.
+func (f *Fit) growthIsSignificant() bool { return f.Coefficients[len(f.Coefficients)-1].Low > 0 }
 
-// Choose fits all models and returns the simplest that fits well: a more complex one is chosen if
-// it brings the residual below nine tenths and the interval of its last coefficient is above 0.
-// Without significant growth the model is a constant.
+// Choose fits all models to the points and returns the fit of the simplest one that fits well. It prefers
+// a more complex model only if the residual is below nine tenths of the simpler one's and the interval of
+// its last coefficient is above 0. If no growth is significant, it returns a constant. It returns a
+// *FitError if no straight line can be fitted.
 func Choose(points []Point) (*Fit, error) {
 	chosen, err := FitModel(Line, points)
 	if err != nil {
@@ -223,11 +236,11 @@
 	}
 	for _, model := range []Model{Logarithm, NLogN, Power, Quadratic} {
 		fit, err := FitModel(model, points)
-		if err == nil && fit.slopeKnown() && fit.Residual < worthwhile*chosen.Residual {
+		if err == nil && fit.growthIsSignificant() && fit.Residual < maxResidualRatio*chosen.Residual {
 			chosen = fit
 		}
 	}
-	if !chosen.slopeKnown() {
+	if !chosen.growthIsSignificant() {
 		return FitModel(Constant, points)
 	}
 	return chosen, nil
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// sample takes points of a curve, three at each size, with noise of a relative size.
-func sample(curve func(size float64) float64, noise float64) []Point {
+// samplePoints returns points of a curve, three at each size, with normally distributed noise. The noise
+// is relative: a standard deviation as a fraction of the value.
+func samplePoints(curve func(size float64) float64, noise float64) []Point {
 	random := rand.New(rand.NewPCG(1, 2))
 	var points []Point
 	for _, size := range []float64{50, 100, 200, 400, 800, 1600} {
@@ -19,13 +20,13 @@
 	return points
 }
 
-// The model that generated the points is chosen, with its coefficients.
+// Choose returns the model that generated the points, with its coefficients.
 func TestChooseFindsTheCurve(t *testing.T) {
 	for name, test := range map[string]struct {
 		curve        func(n float64) float64
 		model        Model
 		coefficients []float64
-		at           float64 // at 21,000
+		valueAt21000 float64
 	}{
 		"constant":  {func(float64) float64 { return 7 }, Constant, []float64{7}, 7},
 		"line":      {func(n float64) float64 { return 9 + 0.5*n }, Line, []float64{9, 0.5}, 10509},
@@ -35,34 +36,34 @@
 		"quadratic": {func(n float64) float64 { return 2000 + n + 0.01*n*n }, Quadratic, []float64{2000, 1, 0.01}, 2000 + 21000 + 0.01*21000*21000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fit, err := Choose(sample(test.curve, 1e-4))
+			fit, err := Choose(samplePoints(test.curve, 1e-4))
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("Choose: %v", err)
 			}
 			if fit.Model != test.model {
-				t.Fatalf("a %v was chosen, want a %v", fit.Model, test.model)
+				t.Fatalf("Choose returned the model %v, want %v", fit.Model, test.model)
 			}
 			for i, want := range test.coefficients {
 				if got := fit.Coefficients[i]; math.Abs(got.Value-want) > 0.02*want || got.Low > got.Value || got.High < got.Value {
-					t.Errorf("coefficient %d is %+v, want %v", i, got, want)
+					t.Errorf("coefficient %d = %+v, want %v within 2 %% and within its own interval", i, got, want)
 				}
 			}
-			if got := fit.At(21000).Value; math.Abs(got-test.at) > 0.02*test.at {
-				t.Errorf("at 21,000: %v, want %v", got, test.at)
+			if got := fit.At(21000).Value; math.Abs(got-test.valueAt21000) > 0.02*test.valueAt21000 {
+				t.Errorf("value at 21,000 = %v, want %v within 2 %%", got, test.valueAt21000)
 			}
 			if test.model != Constant && fit.RSquared < 0.999 {
-				t.Errorf("R² is %v", fit.RSquared)
+				t.Errorf("R² = %v, want at least 0.999", fit.RSquared)
 			}
 		})
 	}
 }
 
-// Of many noisy samples, about 95 in 100 have the true slope, and the true value far
-// outside, in their intervals.
-func TestIntervalsHoldTheTruth(t *testing.T) {
+// Of many fits to noisy points, about 95 in 100 have an interval that contains the true slope, and about
+// 95 in 100 one that contains the true value at 21,000, far outside of the points.
+func TestIntervalsCoverTrueValues(t *testing.T) {
 	const trials = 400
 	random := rand.New(rand.NewPCG(3, 4))
-	slopes, values := 0, 0
+	slopesCovered, valuesCovered := 0, 0
 	for range trials {
 		var points []Point
 		for _, size := range []float64{50, 100, 200, 400, 800} {
@@ -72,35 +73,35 @@
 		}
 		fit, err := FitModel(Line, points)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("FitModel: %v", err)
 		}
 		if slope := fit.Coefficients[1]; slope.Low <= 0.1 && 0.1 <= slope.High {
-			slopes++
+			slopesCovered++
 		}
-		if at := fit.At(21000); at.Low <= 2110 && 2110 <= at.High {
-			values++
+		if value := fit.At(21000); value.Low <= 2110 && 2110 <= value.High {
+			valuesCovered++
 		}
 	}
-	for what, held := range map[string]int{"slope": slopes, "value at 21,000": values} {
-		if share := float64(held) / trials; share < 0.92 || share > 0.98 {
-			t.Errorf("the %s lies in %.3f of its intervals, want 0.95", what, share)
+	for quantity, covered := range map[string]int{"slope": slopesCovered, "value at 21,000": valuesCovered} {
+		if share := float64(covered) / trials; share < 0.92 || share > 0.98 {
+			t.Errorf("the true %s lies in %.3f of its intervals, want between 0.92 and 0.98", quantity, share)
 		}
 	}
 }
 
-// A curve that the points can't determine is an error.
-func TestFitRefusesTooLittle(t *testing.T) {
+// FitModel fails if the points can't determine the curve.
+func TestFitModelRejectsTooFewPoints(t *testing.T) {
 	for name, points := range map[string][]Point{
-		"none":       nil,
-		"two":        {{1, 1}, {2, 2}},
-		"one size":   {{5, 1}, {5, 2}, {5, 3}},
-		"two points": {{5, 1}, {5, 2}},
+		"no points":                nil,
+		"two points of a line":     {{1, 1}, {2, 2}},
+		"three points of one size": {{5, 1}, {5, 2}, {5, 3}},
+		"two points of one size":   {{5, 1}, {5, 2}},
 	} {
 		if _, err := FitModel(Line, points); !errors.As(err, new(*FitError)) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("FitModel(Line) with %s: got error %v, want a *FitError", name, err)
 		}
 	}
 	if _, err := FitModel(Power, []Point{{1, 1}, {2, 0}, {3, 2}}); !errors.As(err, new(*FitError)) {
-		t.Errorf("a value of 0 for a power: %v", err)
+		t.Errorf("FitModel(Power) with a value of 0: got error %v, want a *FitError", err)
 	}
 }
--- a/internal/capacity/needs_test.go
+++ b/internal/capacity/needs_test.go
@@ -5,27 +5,29 @@
 	"testing"
 )
 
-// The assumed services are 790, hold 21,000 servers, and are ordered by size.
+// There are 790 assumed services with 21,000 servers in all, each with at least one, in descending order
+// of size.
 func TestServiceSizes(t *testing.T) {
 	sizes := ServiceSizes()
 	if len(sizes) != Services || sum(sizes) != Servers {
-		t.Errorf("%d services with %d servers", len(sizes), sum(sizes))
+		t.Errorf("ServiceSizes() returned %d services with %d servers, want %d services with %d servers", len(sizes), sum(sizes), Services, Servers)
 	}
 	if slices.Min(sizes) < 1 || !slices.IsSortedFunc(sizes, func(a, b int) int { return b - a }) {
-		t.Errorf("from %d to %d servers", sizes[0], sizes[len(sizes)-1])
+		t.Errorf("ServiceSizes() starts with %d and ends with %d, want sizes of at least 1 in descending order", sizes[0], sizes[len(sizes)-1])
 	}
 }
 
+// The means and sums that follow from the assumed service sizes lie within their natural bounds.
 func TestAssumedShares(t *testing.T) {
 	sizes := ServiceSizes()
-	if called := calledServers(sizes); called < float64(Servers/Services) || called > float64(sizes[0]) {
-		t.Errorf("a called service has %v servers", called)
+	if called := meanCalledServers(sizes); called < float64(Servers/Services) || called > float64(sizes[0]) {
+		t.Errorf("meanCalledServers() = %v, want at least the mean of all services, %d, and at most the largest, %d", called, Servers/Services, sizes[0])
 	}
 	if callers := callersOfLargest(sizes); callers <= float64(sizes[0]) || callers >= Servers {
-		t.Errorf("%v sidecars call the largest service", callers)
+		t.Errorf("callersOfLargest() = %v, want more than the largest service's %d servers and fewer than %d", callers, sizes[0], Servers)
 	}
-	if long := listOfServices(sizes, Services); long != Servers {
-		t.Errorf("all services have %v servers", long)
+	if length := meanListLength(sizes, Services); length != Servers {
+		t.Errorf("meanListLength() for all services = %v, want %d", length, Servers)
 	}
 }
 
@@ -35,7 +37,7 @@
 		3.355e-6: "3.36e-06", -1234.5: "-1,230", 1e13: "1.00e+13", 2100000: "2,100,000",
 	} {
 		if got := formatNumber(value); got != want {
-			t.Errorf("%v is shown as %q, want %q", value, got, want)
+			t.Errorf("formatNumber(%v) = %q, want %q", value, got, want)
 		}
 	}
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -5,69 +5,71 @@
 	"strings"
 )
 
-// The markers around a table of the page.
+// The markers in the page that surround a table. The name of the table stands between markerBegin and
+// markerBeginEnd.
 const (
 	markerBegin    = "<!-- table: "
 	markerBeginEnd = " -->"
 	markerEnd      = "<!-- end table -->"
 )
 
-// PageError is an error in the page, with its place.
+// PageError is an error in the page, with its line.
 type PageError struct {
-	Line int // from 1; 0: the complete page
-	What string
+	Line   int // counted from 1; 0: the page as a whole
+	Reason string
 }
 
 // Error implements error.
 func (e *PageError) Error() string {
 	if e.Line == 0 {
-		return "capacity: the page: " + e.What
+		return "capacity: page: " + e.Reason
 	}
-	return fmt.Sprintf("capacity: the page, line %d: %s", e.Line, e.What)
+	return fmt.Sprintf("capacity: page, line %d: %s", e.Line, e.Reason)
 }
 
-// Advice returns what a maintainer can do.
+// Advice returns what a maintainer can do about the error.
 func (e *PageError) Advice() string {
 	return "write the tables with `go run ./internal/capacity/tables`, and change results only by measuring"
 }
 
-// Fill writes the tables into a page, between their markers. It fails where a marker has no
-// table, and where a measurement has none on the page.
+// Fill returns the page with the current tables between their markers. It returns a *PageError if the
+// markers don't match or if the page lacks a table of a measurement, and the error of Tables.Make if a
+// table can't be made.
 func Fill(page string, tables *Tables) (string, error) {
 	var out strings.Builder
 	shown := make(map[string]bool)
-	inside, number := 0, 0 // the line of the marker whose table is being replaced; the line
+	openMarkerLine, lineNumber := 0, 0 // openMarkerLine: the marker whose table is being replaced; 0: none
 	for line := range strings.Lines(page) {
-		number++
-		name, begins := markedTable(line)
+		lineNumber++
+		name, begins := tableName(line)
 		ends := strings.TrimSpace(line) == markerEnd
 		switch {
-		case begins && inside > 0:
-			return "", &PageError{number, fmt.Sprintf("a table begins within that of line %d", inside)}
-		case ends && inside == 0:
-			return "", &PageError{number, "a table ends that has not begun"}
+		case begins && openMarkerLine > 0:
+			return "", &PageError{lineNumber, fmt.Sprintf("a table begins inside the table of line %d", openMarkerLine)}
+		case ends && openMarkerLine == 0:
+			return "", &PageError{lineNumber, "an end marker without a begin marker"}
 		case begins:
 			table, err := tables.Make(name)
 			if err != nil {
 				return "", err
 			}
-			inside, shown[name] = number, true
+			openMarkerLine, shown[name] = lineNumber, true
 			out.WriteString(line + "\n" + table + "\n")
 		case ends:
-			inside = 0
+			openMarkerLine = 0
 			out.WriteString(line)
-		case inside == 0:
+		case openMarkerLine == 0:
 			out.WriteString(line)
 		}
 	}
-	if inside > 0 {
-		return "", &PageError{inside, "a table without end"}
+	if openMarkerLine > 0 {
+		return "", &PageError{openMarkerLine, "the table has no end marker"}
 	}
-	return out.String(), allShown(shown)
+	return out.String(), checkAllShown(shown)
 }
 
-// markedTable returns the name of the table that a marker line begins.
-func markedTable(line string) (name string, begins bool) {
+// tableName returns the name in a marker that begins a table, and whether the line is such a marker.
+func tableName(line string) (name string, begins bool) {
 	rest, begins := strings.CutPrefix(strings.TrimSpace(line), markerBegin)
 	if !begins {
 		return "", false
@@ -75,19 +77,20 @@
 	return strings.CutSuffix(rest, markerBeginEnd)
 }
 
-// allShown returns an error if a measurement is missing on the page.
-func allShown(shown map[string]bool) error {
+// checkAllShown returns a *PageError if the page does not show both tables of each measurement.
+func checkAllShown(shown map[string]bool) error {
 	for _, measurement := range Measurements {
 		for _, kind := range []string{"raw ", "fits "} {
 			if !shown[kind+measurement.Name] {
-				return &PageError{0, fmt.Sprintf("it lacks the table %q", kind+measurement.Name)}
+				return &PageError{0, fmt.Sprintf("the table %q is missing", kind+measurement.Name)}
 			}
 		}
 	}
 	return nil
 }
 
-// Check fails if the page's tables are not those of the results.
+// Check returns a *PageError with the first line at which the page differs from the tables of the
+// results, and any error of Fill.
 func Check(page string, tables *Tables) error {
 	filled, err := Fill(page, tables)
 	if err != nil {
@@ -96,11 +99,11 @@
 	if filled == page {
 		return nil
 	}
-	is, should := strings.Split(page, "\n"), strings.Split(filled, "\n")
-	for number := range is {
-		if number >= len(should) || is[number] != should[number] {
-			return &PageError{number + 1, fmt.Sprintf("it differs from the data: %q", is[number])}
+	current, expected := strings.Split(page, "\n"), strings.Split(filled, "\n")
+	for index := range current {
+		if index >= len(expected) || current[index] != expected[index] {
+			return &PageError{index + 1, fmt.Sprintf("the line differs from the data: %q", current[index])}
 		}
 	}
-	return &PageError{len(is), "it ends before its tables do"}
+	return &PageError{len(current), "the page ends before its last table is complete"}
 }
--- a/internal/capacity/results.go
+++ b/internal/capacity/results.go
@@ -15,44 +15,46 @@
 //go:embed results/*.txt
 var resultFiles embed.FS
 
-// Results are the raw results of all measurements, by the names of their files without
-// ending.
-type Results map[string]*Measured
+// Results are the raw results of all measurements, by the names of the measurements: the names of their
+// files without .txt.
+type Results map[string]*ResultFile
 
-// Measured is the raw results of one measurement.
-type Measured struct {
+// ResultFile is the content of one result file: the raw results of one measurement.
+type ResultFile struct {
 	Name    string
-	Command string // that measured them
-	Date    string
-	Cores   string
-	Go      string
-	Note    string // further remarks for the reader
+	Command string // the command line that produced the results
+	Date    string // the day of the measurement, as 2006-01-02
+	Cores   string // cores of the machine and of the benchmark's process, in words
+	Go      string // Go version; empty if the file has none
+	Note    string // further remarks for the reader; empty if the file has none
 	Samples []Sample
 }
 
 // Sample is one line of a benchmark's results.
 type Sample struct {
-	Parameters map[string]string // of the benchmark's name, as size=300
-	Values     map[string]float64
+	Parameters map[string]string  // parts of the benchmark's name of the form size=300
+	Values     map[string]float64 // by unit
 }
 
-// ResultError is a part of a result file that can't be used.
+// ResultError says why results are missing or can't be used.
 type ResultError struct {
-	File string
-	What string
+	File   string // path of the result file, or the name of the measurement
+	Reason string
 }
 
 // Error implements error.
-func (e *ResultError) Error() string { return fmt.Sprintf("capacity: %s: %s", e.File, e.What) }
+func (e *ResultError) Error() string { return fmt.Sprintf("capacity: %s: %s", e.File, e.Reason) }
 
-// Advice returns what a maintainer can do.
+// Advice returns what a maintainer can do about the error.
 func (e *ResultError) Advice() string {
-	return "measure again with `go run ./internal/capacity/collect`, which writes files in this form"
+	return "measure again with `go run ./internal/capacity/collect`, which writes files in the expected format"
 }
 
-// LoadResults reads the raw results that this package holds.
+// LoadResults parses the result files that are embedded in this package. It returns a *ResultError if a
+// file is not in the expected format.
 func LoadResults() (Results, error) { return loadResults(resultFiles) }
 
+// loadResults parses the files results/*.txt of a file system.
 func loadResults(files fs.FS) (Results, error) {
 	names, err := fs.Glob(files, "results/*.txt")
 	if err != nil {
@@ -64,25 +66,25 @@
 		if err != nil {
 			return nil, fmt.Errorf("capacity: %w", err)
 		}
-		measured, err := readResults(file, name)
+		resultFile, err := readResults(file, name)
 		file.Close()
 		if err != nil {
 			return nil, err
 		}
-		results[measured.Name] = measured
+		results[resultFile.Name] = resultFile
 	}
 	return results, nil
 }
 
-// readResults reads one result file.
-func readResults(in io.Reader, name string) (*Measured, error) {
-	measured := &Measured{Name: strings.TrimSuffix(path.Base(name), ".txt")}
+// readResults parses one result file. The name is its path.
+func readResults(in io.Reader, name string) (*ResultFile, error) {
+	resultFile := &ResultFile{Name: strings.TrimSuffix(path.Base(name), ".txt")}
 	reader := benchfmt.NewReader(in, name)
 	for reader.Scan() {
 		switch record := reader.Result().(type) {
 		case *benchfmt.Result:
-			measured.configure(record)
-			measured.Samples = append(measured.Samples, sampleOf(record))
+			resultFile.setConfiguration(record)
+			resultFile.Samples = append(resultFile.Samples, newSample(record))
 		case *benchfmt.SyntaxError:
 			return nil, &ResultError{name, record.Error()}
 		}
@@ -90,26 +92,28 @@
 	if err := reader.Err(); err != nil {
 		return nil, fmt.Errorf("capacity: %s: %w", name, err)
 	}
-	if len(measured.Samples) == 0 {
-		return nil, &ResultError{name, "no benchmark result"}
+	if len(resultFile.Samples) == 0 {
+		return nil, &ResultError{name, "it has no benchmark result"}
 	}
-	for field, value := range map[string]string{"command": measured.Command, "date": measured.Date, "cores": measured.Cores} {
+	for field, value := range map[string]string{"command": resultFile.Command, "date": resultFile.Date, "cores": resultFile.Cores} {
 		if value == "" {
-			return nil, &ResultError{name, "no line " + field + ": ..."}
+			return nil, &ResultError{name, "it has no line \"" + field + ": ...\""}
 		}
 	}
-	return measured, nil
+	return resultFile, nil
 }
 
-func (m *Measured) configure(result *benchfmt.Result) {
-	m.Command = result.GetConfig("command")
-	m.Date = result.GetConfig("date")
-	m.Cores = result.GetConfig("cores")
-	m.Go = result.GetConfig("go")
-	m.Note = result.GetConfig("note")
+// setConfiguration copies the configuration lines that apply to a result.
+func (f *ResultFile) setConfiguration(result *benchfmt.Result) {
+	f.Command = result.GetConfig("command")
+	f.Date = result.GetConfig("date")
+	f.Cores = result.GetConfig("cores")
+	f.Go = result.GetConfig("go")
+	f.Note = result.GetConfig("note")
 }
 
-func sampleOf(result *benchfmt.Result) Sample {
+// newSample converts a benchmark result.
+func newSample(result *benchfmt.Result) Sample {
 	sample := Sample{Parameters: make(map[string]string), Values: make(map[string]float64)}
 	_, parts := result.Name.Parts()
 	for _, part := range parts {
@@ -123,29 +127,30 @@
 	return sample
 }
 
-// Point is a metric's value at a size.
+// Point is the value of a metric at a size, in the unit of the page.
 type Point struct{ Size, Value float64 }
 
-// points returns the samples of a metric. A sample without the metric, or with other parameters
-// than the metric's, is left out.
-func (m *Measured) points(metric Metric) ([]Point, error) {
+// points returns the samples of a metric as points. It leaves out samples that don't have the metric's
+// unit, its parameters or its smallest size. It returns a *ResultError if no sample is left, or if a
+// sample has no numeric size.
+func (f *ResultFile) points(metric Metric) ([]Point, error) {
 	var points []Point
-	for _, sample := range m.Samples {
-		value, there := sample.Values[metric.Unit]
-		if !there || !metric.fits(sample) {
+	for _, sample := range f.Samples {
+		value, found := sample.Values[metric.Unit]
+		if !found || !metric.matches(sample) {
 			continue
 		}
-		size, err := strconv.ParseFloat(sample.Parameters[metric.Size], 64)
+		size, err := strconv.ParseFloat(sample.Parameters[metric.SizeParameter], 64)
 		if err != nil {
-			return nil, &ResultError{m.Name, fmt.Sprintf("a result without a number %s=", metric.Size)}
+			return nil, &ResultError{f.Name, fmt.Sprintf("a result has no number in the parameter %s=", metric.SizeParameter)}
 		}
-		if size < metric.From {
+		if size < metric.MinSize {
 			continue
 		}
 		points = append(points, Point{size, value * metric.scale()})
 	}
 	if len(points) == 0 {
-		return nil, &ResultError{m.Name, "no result in " + metric.Unit}
+		return nil, &ResultError{f.Name, "it has no matching result in " + metric.Unit}
 	}
 	return points, nil
 }
--- a/internal/capacity/results_test.go
+++ b/internal/capacity/results_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-const goodResults = `command: go test
+// validResults is a valid result file with three samples of two parameters.
+const validResults = `command: go test
 date: 2026-01-02
 cores: 8
 goos: linux
@@ -16,71 +17,76 @@
 BenchmarkListed/servers=300/changing=false-3	1	7000 ns/op	14.5 MiB
 `
 
+// readResults parses the configuration lines and all samples, and points selects and scales the samples of
+// a metric.
 func TestReadResults(t *testing.T) {
-	measured, err := readResults(strings.NewReader(goodResults), "results/listed.txt")
+	resultFile, err := readResults(strings.NewReader(validResults), "results/listed.txt")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("readResults: %v", err)
 	}
-	if measured.Name != "listed" || measured.Command != "go test" || measured.Date != "2026-01-02" || len(measured.Samples) != 3 {
-		t.Fatalf("%+v", measured)
+	if resultFile.Name != "listed" || resultFile.Command != "go test" || resultFile.Date != "2026-01-02" || len(resultFile.Samples) != 3 {
+		t.Fatalf("readResults() = %+v, want the name listed, the command go test, the date 2026-01-02 and 3 samples", resultFile)
 	}
-	points, err := measured.points(Metric{Unit: "MiB", Size: "servers", Only: notChanging, Factor: 2})
+	points, err := resultFile.points(Metric{Unit: "MiB", SizeParameter: "servers", Parameters: unchangedList, Factor: 2})
 	if err != nil || len(points) != 2 || points[0] != (Point{30, 25}) || points[1] != (Point{300, 29}) {
-		t.Errorf("%v, %v", points, err)
+		t.Errorf("points without list changes, times 2 = %v, %v, want {30 25} and {300 29}", points, err)
 	}
-	points, err = measured.points(Metric{Unit: "MiB", Size: "servers", From: 100})
+	points, err = resultFile.points(Metric{Unit: "MiB", SizeParameter: "servers", MinSize: 100})
 	if err != nil || len(points) != 1 || points[0] != (Point{300, 14.5}) {
-		t.Errorf("%v, %v", points, err)
+		t.Errorf("points from size 100 = %v, %v, want {300 14.5}", points, err)
 	}
 }
 
-func TestReadResultsRefuses(t *testing.T) {
+// readResults fails on incomplete or malformed files, and points fails on a unit or a size parameter that no
+// sample has.
+func TestReadResultsRejectsBrokenFiles(t *testing.T) {
 	for name, text := range map[string]string{
-		"no result":    "command: go test\ndate: 2026-01-02\ncores: 8\n",
-		"no command":   strings.Replace(goodResults, "command:", "comment:", 1),
-		"no date":      strings.Replace(goodResults, "date:", "day:", 1),
-		"no cores":     strings.Replace(goodResults, "cores:", "machine:", 1),
-		"broken lines": strings.Replace(goodResults, "5000 ns/op", "fast ns/op", 1),
+		"no result":        "command: go test\ndate: 2026-01-02\ncores: 8\n",
+		"no command":       strings.Replace(validResults, "command:", "comment:", 1),
+		"no date":          strings.Replace(validResults, "date:", "day:", 1),
+		"no cores":         strings.Replace(validResults, "cores:", "machine:", 1),
+		"a malformed line": strings.Replace(validResults, "5000 ns/op", "fast ns/op", 1),
 	} {
 		if _, err := readResults(strings.NewReader(text), "x.txt"); !errors.As(err, new(*ResultError)) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("readResults with %s: got error %v, want a *ResultError", name, err)
 		}
 	}
-	measured, err := readResults(strings.NewReader(goodResults), "results/listed.txt")
+	resultFile, err := readResults(strings.NewReader(validResults), "results/listed.txt")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("readResults: %v", err)
 	}
 	for name, metric := range map[string]Metric{
-		"a unit that isn't there": {Unit: "bytes", Size: "servers"},
-		"a size that isn't there": {Unit: "MiB", Size: "hosts"},
+		"a missing unit":           {Unit: "bytes", SizeParameter: "servers"},
+		"a missing size parameter": {Unit: "MiB", SizeParameter: "hosts"},
 	} {
-		if _, err := measured.points(metric); !errors.As(err, new(*ResultError)) {
-			t.Errorf("%s: %v", name, err)
+		if _, err := resultFile.points(metric); !errors.As(err, new(*ResultError)) {
+			t.Errorf("points with %s: got error %v, want a *ResultError", name, err)
 		}
 	}
 }
 
-// Each result file belongs to a measurement and was made by its command, so that the
-// command beside a figure repeats it.
+// Each result file belongs to a measurement and was produced by its command, so that the command that the
+// page shows for a figure repeats its measurement. The results of the distribution come from a scale test
+// with a command of its own.
 func TestResultsAreOfTheirMeasurements(t *testing.T) {
 	results, err := LoadResults()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("LoadResults: %v", err)
 	}
-	for name, measured := range results {
+	for name, resultFile := range results {
 		if name == Distribution {
 			continue
 		}
-		planned := MeasurementByName(name)
-		if planned == nil {
+		definition := MeasurementByName(name)
+		if definition == nil {
 			t.Errorf("results/%s.txt belongs to no measurement", name)
-		} else if measured.Command != planned.Command() {
-			t.Errorf("results/%s.txt was made by\n%s\nnot by\n%s", name, measured.Command, planned.Command())
+		} else if resultFile.Command != definition.Command() {
+			t.Errorf("results/%s.txt: got the command\n%s\nwant\n%s", name, resultFile.Command, definition.Command())
 		}
 	}
-	for _, planned := range Measurements {
-		if results[planned.Name] == nil {
-			t.Errorf("there is no results/%s.txt", planned.Name)
+	for _, definition := range Measurements {
+		if results[definition.Name] == nil {
+			t.Errorf("results/%s.txt is missing", definition.Name)
 		}
 	}
 }
--- a/internal/capacity/tables_fits.go
+++ b/internal/capacity/tables_fits.go
@@ -5,62 +5,62 @@
 	"strconv"
 )
 
-// fits returns the table of the curves through a measurement's metrics.
+// fits returns the table of the fits for a measurement's metrics.
 func (t *Tables) fits(name string) (string, error) {
-	planned := MeasurementByName(name)
+	definition := MeasurementByName(name)
 	if name == Distribution && t.results[name] == nil {
 		return "No fits: not measured yet.\n", nil
 	}
-	if planned == nil {
-		return "", &TableError{"fits " + name, "there is no such measurement"}
+	if definition == nil {
+		return "", &TableError{"fits " + name, "unknown measurement"}
 	}
 	var table markdown
 	table.head("metric", "unit", "by", "sizes", "curve", "slope (95 %)", "fixed part (95 %)", "R²", "at 21,000 (95 %)", "as a straight line")
-	for _, metric := range planned.Metrics {
-		if metric.NoFit != "" {
-			table.addLine(metric.Name, metric.unit(), metric.Size, "", "no curve: "+metric.NoFit, "", "", "", "", "")
+	for _, metric := range definition.Metrics {
+		if metric.NoFitReason != "" {
+			table.addLine(metric.Name, metric.pageUnit(), metric.SizeParameter, "", "no curve: "+metric.NoFitReason, "", "", "", "", "")
 			continue
 		}
 		fit, err := t.curves.fit(name, metric.Name)
 		if err != nil {
 			return "", err
 		}
-		line, err := t.line(name, metric)
+		line, err := t.straightLine(name, metric)
 		if err != nil {
 			return "", err
 		}
-		at := ""
-		if reachesServers[metric.Size] {
-			at = formatInterval(fit.At(Servers))
+		atFleetSize := ""
+		if fleetSizeParameters[metric.SizeParameter] {
+			atFleetSize = formatInterval(fit.At(Servers))
 		}
-		straight := ""
-		if at != "" && fit.Model != Line && fit.Model != Constant {
-			straight = formatNumber(line.At(Servers).Value)
+		lineAtFleetSize := ""
+		if atFleetSize != "" && fit.Model != Line && fit.Model != Constant {
+			lineAtFleetSize = formatNumber(line.At(Servers).Value)
 		}
 		sizes := fmt.Sprintf("%s to %s, %d points", formatNumber(fit.Smallest), formatNumber(fit.Largest), fit.Points)
-		table.addLine(metric.Name, metric.unit(), metric.Size, sizes, fit.Model.String(), fit.slope(), fit.fixed(), fit.goodness(), at, straight)
+		table.addLine(metric.Name, metric.pageUnit(), metric.SizeParameter, sizes, fit.Model.String(), fit.formatSlope(), fit.formatFixedPart(), fit.formatRSquared(), atFleetSize, lineAtFleetSize)
 	}
 	return table.text.String(), nil
 }
 
-// reachesServers holds the sizes that reach 21,000 in the fleet.
-var reachesServers = map[string]bool{"subscribers": true, "servers": true, "size": true, "hosts": true}
+// fleetSizeParameters are the size parameters whose value in the fleet is Servers, 21,000.
+var fleetSizeParameters = map[string]bool{"subscribers": true, "servers": true, "size": true, "hosts": true}
 
-// line returns the straight line through a metric, whichever model fits best.
-func (t *Tables) line(name string, metric Metric) (*Fit, error) {
-	measured, err := t.measured("fits", name)
+// straightLine returns the fit of a straight line to a metric, whichever model fits best.
+func (t *Tables) straightLine(name string, metric Metric) (*Fit, error) {
+	resultFile, err := t.resultFile("fits", name)
 	if err != nil {
 		return nil, err
 	}
-	points, err := measured.points(metric)
+	points, err := resultFile.points(metric)
 	if err != nil {
 		return nil, err
 	}
 	return FitModel(Line, points)
 }
 
-// slope formats the growth of the curve, by its model's letters.
-func (f *Fit) slope() string {
+// formatSlope formats the part of the curve that grows with the size n.
+func (f *Fit) formatSlope() string {
 	switch f.Model {
 	case Constant:
 		return "none found"
@@ -77,16 +77,16 @@
 	}
 }
 
-// fixed returns the part that does not grow; for Power the factor.
-func (f *Fit) fixed() string {
+// formatFixedPart formats the part of the curve that does not grow; for Power its factor.
+func (f *Fit) formatFixedPart() string {
 	if f.Model == Power {
 		return "factor " + formatInterval(f.Coefficients[0])
 	}
 	return formatInterval(f.Coefficients[0])
 }
 
-// goodness returns R². A constant explains no growth and has none.
-func (f *Fit) goodness() string {
+// formatRSquared formats R². It returns an empty string for a constant, which explains no growth.
+func (f *Fit) formatRSquared() string {
 	if f.Model == Constant {
 		return ""
 	}
--- a/internal/capacity/tables_raw.go
+++ b/internal/capacity/tables_raw.go
@@ -7,69 +7,71 @@
 	"strings"
 )
 
-// provenance returns how a measurement was made.
-func provenance(measured *Measured) string {
-	text := fmt.Sprintf("`%s`\n\nMeasured %s; cores: %s; %s.", measured.Command, measured.Date, measured.Cores, measured.Go)
-	if measured.Note != "" {
-		text += " " + measured.Note
+// provenance returns the text above a raw table: how the results were measured.
+func provenance(resultFile *ResultFile) string {
+	text := fmt.Sprintf("`%s`\n\nMeasured %s; cores: %s; %s.", resultFile.Command, resultFile.Date, resultFile.Cores, resultFile.Go)
+	if resultFile.Note != "" {
+		text += " " + resultFile.Note
 	}
 	return text + "\n\n"
 }
 
-// measured returns the results of a measurement.
-func (t *Tables) measured(table, name string) (*Measured, error) {
-	if measured := t.results[name]; measured != nil {
-		return measured, nil
+// resultFile returns the results of a measurement. If there are none, it returns a *TableError that names
+// the table, which is the kind followed by the name.
+func (t *Tables) resultFile(kind, name string) (*ResultFile, error) {
+	if resultFile := t.results[name]; resultFile != nil {
+		return resultFile, nil
 	}
-	return nil, &TableError{table + " " + name, "there is no result file of that name"}
+	return nil, &TableError{kind + " " + name, "there is no result file for the measurement"}
 }
 
-// raw returns the table of the medians of a measurement's results by all parameters except the
-// seed.
+// raw returns the provenance of a measurement's results and a table of their medians. It has one row for
+// each set of parameters; samples that differ only in the seed share a row.
 func (t *Tables) raw(name string) (string, error) {
 	if name == Distribution && t.results[name] == nil {
 		return "Not measured: there is no `internal/capacity/results/" + Distribution + ".txt` yet.\n", nil
 	}
-	measured, err := t.measured("raw", name)
+	resultFile, err := t.resultFile("raw", name)
 	if err != nil {
 		return "", err
 	}
-	columns := measured.columns()
+	columns := resultFile.columns()
 	var table markdown
 	head := []string{"parameters", "samples"}
 	for _, column := range columns {
-		head = append(head, "median "+column.unit())
+		head = append(head, "median "+column.pageUnit())
 	}
 	table.head(head...)
-	for _, group := range measured.groups() {
-		cells := []string{group.name, count(len(group.samples))}
+	for _, group := range resultFile.groups() {
+		cells := []string{group.name, formatInt(len(group.samples))}
 		for _, column := range columns {
 			cells = append(cells, group.median(column))
 		}
 		table.addLine(cells...)
 	}
-	return provenance(measured) + table.text.String(), nil
+	return provenance(resultFile) + table.text.String(), nil
 }
 
-// columns returns the units that a raw table shows: those of the planned metrics, or all.
-func (m *Measured) columns() []Metric {
+// columns returns a metric for each column of a raw table. A column stands for a unit. If the measurement
+// has metrics, the columns are their units, otherwise all units of the samples.
+func (f *ResultFile) columns() []Metric {
 	var columns []Metric
 	add := func(metric Metric) {
 		if !slices.ContainsFunc(columns, func(column Metric) bool { return column.Unit == metric.Unit }) {
-			columns = append(columns, Metric{Unit: metric.Unit, Factor: metric.Factor, Shown: metric.Shown})
+			columns = append(columns, Metric{Unit: metric.Unit, Factor: metric.Factor, PageUnit: metric.PageUnit})
 		}
 	}
-	if planned := MeasurementByName(m.Name); planned != nil {
-		for _, metric := range planned.Metrics {
+	if definition := MeasurementByName(f.Name); definition != nil {
+		for _, metric := range definition.Metrics {
 			shown := metric
 			if metric.Factor == 0 {
-				shown.Shown = ""
+				shown.PageUnit = ""
 			}
 			add(shown)
 		}
 	}
 	if len(columns) == 0 {
-		for _, sample := range m.Samples {
+		for _, sample := range f.Samples {
 			for _, unit := range slices.Sorted(maps.Keys(sample.Values)) {
 				add(Metric{Unit: unit})
 			}
@@ -78,31 +80,34 @@
 	return columns
 }
 
-// group is samples with the same parameters.
+// group is the samples with the same parameters, apart from the seed.
 type group struct {
 	name    string
 	samples []Sample
 }
 
-// groups returns the samples by their parameters, in the order of the file.
-func (m *Measured) groups() []*group {
+// groups returns the samples grouped by their parameters, in the order in which each group first occurs in
+// the file.
+func (f *ResultFile) groups() []*group {
 	var groups []*group
-	for _, sample := range m.Samples {
-		name := parameterName(sample.Parameters)
-		at := slices.IndexFunc(groups, func(g *group) bool { return g.name == name })
-		if at < 0 {
-			at = len(groups)
+	for _, sample := range f.Samples {
+		name := formatParameters(sample.Parameters)
+		index := slices.IndexFunc(groups, func(g *group) bool { return g.name == name })
+		if index < 0 {
+			index = len(groups)
 			groups = append(groups, &group{name: name})
 		}
-		groups[at].samples = append(groups[at].samples, sample)
+		groups[index].samples = append(groups[index].samples, sample)
 	}
 	return groups
 }
 
-// seedParameter distinguishes repeated samples of the model.
+// seedParameter is the parameter that tells apart samples of the same simulation with different random
+// numbers.
 const seedParameter = "seed"
 
-func parameterName(parameters map[string]string) string {
+// formatParameters returns the parameters except the seed as "key=value key=value", sorted by key.
+func formatParameters(parameters map[string]string) string {
 	var words []string
 	for _, key := range slices.Sorted(maps.Keys(parameters)) {
 		if key != seedParameter {
@@ -112,11 +117,11 @@
 	return strings.Join(words, " ")
 }
 
-// median returns that of a metric over the group, empty if no sample has it.
+// median returns the formatted median of a metric over the group, empty if no sample has the metric.
 func (g *group) median(metric Metric) string {
 	var values []float64
 	for _, sample := range g.samples {
-		if value, there := sample.Values[metric.Unit]; there {
+		if value, found := sample.Values[metric.Unit]; found {
 			values = append(values, value*metric.scale())
 		}
 	}
