--- a/internal/capacity/collect/main.go
+++ b/internal/capacity/collect/main.go
@@ -1,5 +1,6 @@
 // Command collect runs measurements of docs/CAPACITY.md and writes their raw results to
-// internal/capacity/results. Without a name it lists them.
+// internal/capacity/results. Without a name it lists the measurements. Run it from the root of the
+// module.
 //
 //	go run ./internal/capacity/collect [-note TEXT] NAME...
 package main
@@ -22,15 +23,15 @@
 )
 
 const (
-	folder = "internal/capacity/results"
-	// measurementTimeout bounds one measurement.
+	resultsFolder = "internal/capacity/results"
+	// measurementTimeout is how long one measurement may run before it is stopped and fails.
 	measurementTimeout = 2 * time.Hour
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	note := flag.String("note", "", "what a reader has to know of this run, such as what ran beside it")
+	note := flag.String("note", "", "remark for readers of the results, such as what else ran on the machine")
 	flag.Parse()
 	if err := collect(ctx, flag.Args(), *note); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -38,6 +39,8 @@
 	}
 }
 
+// collect runs the named measurements one after the other, up to the first that fails. Without
+// names it lists all.
 func collect(ctx context.Context, names []string, note string) error {
 	if len(names) == 0 {
 		for _, measurement := range capacity.Measurements {
@@ -48,7 +51,7 @@
 	for _, name := range names {
 		measurement := capacity.MeasurementByName(name)
 		if measurement == nil {
-			return fmt.Errorf("collect: there is no measurement %q; without a name this command lists them", name)
+			return fmt.Errorf("collect: unknown measurement %q; run collect without a name to list them", name)
 		}
 		if err := measure(ctx, measurement, note); err != nil {
 			return err
@@ -57,7 +60,7 @@
 	return nil
 }
 
-// measure runs a benchmark and writes its results once it has ended well.
+// measure runs the benchmark of a measurement and, if it succeeds, replaces the result file.
 func measure(ctx context.Context, measurement *capacity.Measurement, note string) error {
 	ctx, cancel := context.WithTimeout(ctx, measurementTimeout)
 	defer cancel()
@@ -87,9 +90,9 @@
 			text.WriteString(line)
 		}
 	}
-	path := filepath.Join(folder, measurement.Name+".txt")
+	path := filepath.Join(resultsFolder, measurement.Name+".txt")
 	if err := os.WriteFile(path, []byte(text.String()), 0o644); err != nil {
-		return fmt.Errorf("collect: %w", err)
+		return fmt.Errorf("collect: write the results: %w", err)
 	}
 	return nil
 }
--- a/internal/capacity/days.go
+++ b/internal/capacity/days.go
@@ -8,8 +8,9 @@
 	completeLists      float64 // number of complete server lists that a sidecar receives
 	durationSeconds    float64
 	unreachableSeconds float64 // how long commands cannot reach the affected servers
-	// spreadMetric is the metric of MembershipChange that gives the time until the membership knows of
-	// the event. It is allStart if all members start together, and empty if no metric covers the event.
+	// spreadMetric is the metric of MembershipChange that gives the time until the membership knows
+	// of the event. It is allStart if all members start together, and empty if no metric covers the
+	// event.
 	spreadMetric string
 }
 
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -12,8 +12,8 @@
 // Model is the formula of a curve over the size n.
 type Model int
 
-// The models, in the order in which Choose prefers them where they fit about equally well. The letters
-// of a formula are its coefficients, in the order of Fit.Coefficients.
+// The models, in the order in which Choose prefers them where they fit about equally well. The
+// letters of a formula are its coefficients, in the order of Fit.Coefficients.
 const (
 	Constant  Model = iota // a
 	Line                   // a + b n
@@ -94,9 +94,9 @@
 	}
 }
 
-// FitModel fits one model by least squares. It returns a *FitError if there are not more points than
-// coefficients, if the sizes are too few or too close to determine them, and for Power also if a value
-// is not above 0.
+// FitModel fits one model by least squares. It returns a *FitError if there are not more points
+// than coefficients, if the sizes are too few or too close to determine them, and for Power also if
+// a value is not above 0.
 func FitModel(model Model, points []Point) (*Fit, error) {
 	columns := len(model.terms(1))
 	if len(points) <= columns {
@@ -125,9 +125,9 @@
 	return fit, nil
 }
 
-// solve computes the coefficients, their covariance and their intervals. It scales the largest absolute
-// value of each column to 1, since sizes and their squares differ by many orders of magnitude. It
-// overwrites design.
+// solve computes the coefficients, their covariance and their intervals. It scales the largest
+// absolute value of each column to 1, since sizes and their squares differ by many orders of
+// magnitude. It overwrites design.
 func (f *Fit) solve(design *mat.Dense, target *mat.VecDense) error {
 	rows, columns := design.Dims()
 	scale := make([]float64, columns)
@@ -208,9 +208,9 @@
 	return sum
 }
 
-// At returns the curve's value at a size with its confidence interval. The interval shows how well the
-// points determine the curve. It does not show whether the model is still valid at a size that lies far
-// outside of them.
+// At returns the curve's value at a size with its confidence interval. The interval shows how well
+// the points determine the curve. It does not show whether the model is still valid at a size that
+// lies far outside of them.
 func (f *Fit) At(size float64) Interval {
 	terms := mat.NewVecDense(len(f.values), f.Model.terms(size))
 	halfWidth := f.quantile() * math.Sqrt(max(0, mat.Inner(terms, f.covariance, terms)))
@@ -225,10 +225,10 @@
 // growthIsSignificant reports whether the whole interval of the last coefficient is above 0.
 func (f *Fit) growthIsSignificant() bool { return f.Coefficients[len(f.Coefficients)-1].Low > 0 }
 
-// Choose fits all models to the points and returns the fit of the simplest one that fits well. It prefers
-// a more complex model only if the residual is below nine tenths of the simpler one's and the interval of
-// its last coefficient is above 0. If no growth is significant, it returns a constant. It returns a
-// *FitError if no straight line can be fitted.
+// Choose fits all models to the points and returns the fit of the simplest one that fits well. It
+// prefers a more complex model only if the residual is below nine tenths of the simpler one's and
+// the interval of its last coefficient is above 0. If no growth is significant, it returns a
+// constant. It returns a *FitError if no straight line can be fitted.
 func Choose(points []Point) (*Fit, error) {
 	chosen, err := FitModel(Line, points)
 	if err != nil {
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// samplePoints returns points of a curve, three at each size, with normally distributed noise. The noise
-// is relative: a standard deviation as a fraction of the value.
+// samplePoints returns points of a curve, three at each size, with normally distributed noise. The
+// noise is relative: a standard deviation as a fraction of the value.
 func samplePoints(curve func(size float64) float64, noise float64) []Point {
 	random := rand.New(rand.NewPCG(1, 2))
 	var points []Point
@@ -58,8 +58,8 @@
 	}
 }
 
-// Of many fits to noisy points, about 95 in 100 have an interval that contains the true slope, and about
-// 95 in 100 one that contains the true value at 21,000, far outside of the points.
+// Of many fits to noisy points, about 95 in 100 have an interval that contains the true slope, and
+// about 95 in 100 one that contains the true value at 21,000, far outside of the points.
 func TestIntervalsCoverTrueValues(t *testing.T) {
 	const trials = 400
 	random := rand.New(rand.NewPCG(3, 4))
--- a/internal/capacity/measure/measure.go
+++ b/internal/capacity/measure/measure.go
@@ -1,5 +1,6 @@
-// Package measure reads what a process has used: processor time, memory, descriptors. It
-// is for the benchmarks whose results stand in docs/CAPACITY.md, and needs Linux's /proc.
+// Package measure reads the resource usage of a process: processor time, memory and file
+// descriptors. It serves the benchmarks whose results docs/CAPACITY.md shows. It reads /proc and so
+// runs on Linux only.
 package measure
 
 import (
@@ -15,45 +16,47 @@
 	"time"
 )
 
-// Sizes reads a comma separated list of sizes, as a test's flag has it.
+// Sizes parses a comma-separated list of sizes, the value of a benchmark's flag. It returns an
+// error if an element is not an integer above 0.
 func Sizes(list string) ([]int, error) {
 	var sizes []int
 	for field := range strings.SplitSeq(list, ",") {
 		size, err := strconv.Atoi(strings.TrimSpace(field))
 		if err != nil || size < 1 {
-			return nil, fmt.Errorf("measure: size %q: want a number above 0", field)
+			return nil, fmt.Errorf("measure: size %q: want an integer above 0", field)
 		}
 		sizes = append(sizes, size)
 	}
 	return sizes, nil
 }
 
-// HeapInUse is this process's live heap, in bytes, after a collection.
+// HeapInUse collects garbage and returns the size of this process's live heap, in bytes.
 func HeapInUse() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
-	runtime.GC() // the first run does not free what finalizers and pools still reference
+	runtime.GC() // the first collection does not free what finalizers and pools still reference
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc
 }
 
-// Usage is what a process has used so far.
+// Usage is the resource usage of a process at one moment.
 type Usage struct {
-	Processor    time.Duration // of all its threads that still live
-	Resident     int64         // bytes
-	PeakResident int64         // bytes
-	Descriptors  int64
+	Processor    time.Duration // consumed so far by the threads that have not ended
+	Resident     int64         // resident memory, in bytes
+	PeakResident int64         // largest resident memory so far, in bytes
+	Descriptors  int64         // open file descriptors
 }
 
-// Process reads the usage of a process. A process that has ended is an error.
+// Process returns the resource usage of a running process. It returns an error if the process has
+// ended.
 func Process(pid int) (Usage, error) {
 	directory := fmt.Sprintf("/proc/%d", pid)
 	var usage Usage
 	var err error
-	if usage.Processor, err = processor(directory); err != nil {
+	if usage.Processor, err = processorTime(directory); err != nil {
 		return Usage{}, fmt.Errorf("measure: processor time of process %d: %w", pid, err)
 	}
-	if usage.Resident, usage.PeakResident, err = resident(directory); err != nil {
+	if usage.Resident, usage.PeakResident, err = residentMemory(directory); err != nil {
 		return Usage{}, fmt.Errorf("measure: memory of process %d: %w", pid, err)
 	}
 	descriptors, err := os.ReadDir(filepath.Join(directory, "fd"))
@@ -64,9 +67,9 @@
 	return usage, nil
 }
 
-// processor adds up the time of a process's threads. /proc/PID/stat counts in ticks of
-// 10 ms, which is too coarse for a process that is nearly at rest.
-func processor(directory string) (time.Duration, error) {
+// processorTime adds up the processor time of a process's running threads, from the schedstat file
+// of each. The ticks of 10 ms in /proc/PID/stat are too coarse for a process that is nearly idle.
+func processorTime(directory string) (time.Duration, error) {
 	threads, err := os.ReadDir(filepath.Join(directory, "task"))
 	if err != nil {
 		return 0, err
@@ -80,33 +83,34 @@
 		if err != nil {
 			return 0, err
 		}
-		var running int64
-		if _, err := fmt.Sscan(string(text), &running); err != nil {
+		var nanoseconds int64 // the first field: time on a processor
+		if _, err := fmt.Sscan(string(text), &nanoseconds); err != nil {
 			return 0, err
 		}
-		total += time.Duration(running)
+		total += time.Duration(nanoseconds)
 	}
 	return total, nil
 }
 
-// resident reads VmRSS and VmHWM. The kernel's ru_maxrss is of no use for a child process:
-// it begins with the parent's.
-func resident(directory string) (now, peak int64, err error) {
+// residentMemory returns the resident memory (VmRSS) and its peak (VmHWM), in bytes. ru_maxrss
+// can't be used for the peak of a child process: it starts at the value of the parent.
+func residentMemory(directory string) (current, peak int64, err error) {
 	text, err := os.ReadFile(filepath.Join(directory, "status"))
 	if err != nil {
 		return 0, 0, err
 	}
-	if now, err = kilobytes(string(text), "VmRSS:"); err != nil {
+	if current, err = statusBytes(string(text), "VmRSS:"); err != nil {
 		return 0, 0, err
 	}
-	peak, err = kilobytes(string(text), "VmHWM:")
-	return now, peak, err
+	peak, err = statusBytes(string(text), "VmHWM:")
+	return current, peak, err
 }
 
-func kilobytes(status, name string) (bytes int64, err error) {
+// statusBytes returns a field of /proc/PID/status that is given in kB, in bytes.
+func statusBytes(status, name string) (bytes int64, err error) {
 	_, after, found := strings.Cut(status, name)
 	if !found {
-		return 0, fmt.Errorf("no %s", name)
+		return 0, fmt.Errorf("/proc/PID/status has no field %s", name)
 	}
 	if _, err := fmt.Sscan(after, &bytes); err != nil {
 		return 0, err
@@ -114,64 +118,68 @@
 	return bytes << 10, nil
 }
 
-// samplingEvery is how often Command looks at its process.
-const samplingEvery = 2 * time.Millisecond
+// samplingInterval is the time between two samples of the process that Command runs.
+const samplingInterval = 2 * time.Millisecond
 
-// Cost is what one run of a command took.
+// Cost is the resource usage of one run of a command.
 type Cost struct {
 	Elapsed      time.Duration
 	Processor    time.Duration
-	PeakResident int64 // bytes
-	Descriptors  int64 // open at once, at most
+	PeakResident int64 // largest resident memory, in bytes
+	Descriptors  int64 // largest number of file descriptors that were open at once
 }
 
-// Command runs a command to its end and measures its process. It is killed after limit.
+// Command runs a command, waits for its end and returns what its process used. The peaks are
+// sampled, so that Command can miss short ones. It replaces the command's Stdout and Stderr, kills
+// the process after limit, and returns an error with the end of the output if the process is killed
+// or fails.
 func Command(command *exec.Cmd, limit time.Duration) (Cost, error) {
 	var output strings.Builder
 	command.Stdout, command.Stderr = &output, &output
-	began := time.Now()
+	start := time.Now()
 	if err := command.Start(); err != nil {
 		return Cost{}, fmt.Errorf("measure: %w", err)
 	}
 	timer := time.AfterFunc(limit, func() { command.Process.Kill() })
 	defer timer.Stop()
-	ended, peak := make(chan struct{}), make(chan Usage, 1)
-	go func() { peak <- follow(command.Process.Pid, ended) }()
+	ended, peaks := make(chan struct{}), make(chan Usage, 1)
+	go func() { peaks <- samplePeaks(command.Process.Pid, ended) }()
 	err := command.Wait()
-	elapsed := time.Since(began)
+	elapsed := time.Since(start)
 	close(ended)
-	most := <-peak
+	peak := <-peaks
 	if err != nil {
 		text := output.String()
-		return Cost{}, fmt.Errorf("measure: %s: %w: %s", command, err, text[max(0, len(text)-outputShown):])
+		return Cost{}, fmt.Errorf("measure: %s: %w: %s", command, err, text[max(0, len(text)-maxOutputBytes):])
 	}
 	return Cost{
 		Elapsed:      elapsed,
 		Processor:    command.ProcessState.UserTime() + command.ProcessState.SystemTime(),
-		PeakResident: most.PeakResident,
-		Descriptors:  most.Descriptors,
+		PeakResident: peak.PeakResident,
+		Descriptors:  peak.Descriptors,
 	}, nil
 }
 
-// outputShown is how much of a failed command's output is shown, in bytes.
-const outputShown = 2000
+// maxOutputBytes is how much of a failed command's output its error contains.
+const maxOutputBytes = 2000
 
-// follow samples a process until ended is closed, and returns the most of each.
-func follow(pid int, ended <-chan struct{}) Usage {
-	ticker := time.NewTicker(samplingEvery)
+// samplePeaks samples a process until ended is closed. It returns the largest PeakResident and the
+// largest Descriptors of all samples; the other fields of the usage are 0.
+func samplePeaks(pid int, ended <-chan struct{}) Usage {
+	ticker := time.NewTicker(samplingInterval)
 	defer ticker.Stop()
-	var limit Usage
+	var peak Usage
 	for {
 		select {
 		case <-ended:
-			return limit
+			return peak
 		case <-ticker.C:
 		}
 		usage, err := Process(pid)
 		if err != nil {
-			continue // it has just ended
+			continue // the process has just ended
 		}
-		limit.Descriptors = max(limit.Descriptors, usage.Descriptors)
-		limit.PeakResident = max(limit.PeakResident, usage.PeakResident)
+		peak.Descriptors = max(peak.Descriptors, usage.Descriptors)
+		peak.PeakResident = max(peak.PeakResident, usage.PeakResident)
 	}
 }
--- a/internal/capacity/measure/measure_test.go
+++ b/internal/capacity/measure/measure_test.go
@@ -11,49 +11,51 @@
 func TestSizes(t *testing.T) {
 	sizes, err := Sizes("30, 300,3000")
 	if err != nil || !slices.Equal(sizes, []int{30, 300, 3000}) {
-		t.Errorf("%v, %v", sizes, err)
+		t.Errorf("Sizes(\"30, 300,3000\") = %v, %v, want [30 300 3000]", sizes, err)
 	}
 	for _, bad := range []string{"", "1,", "x", "0", "-3"} {
 		if _, err := Sizes(bad); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("Sizes(%q) succeeded, want an error", bad)
 		}
 	}
 }
 
-// What this process uses shows in its usage.
+// Process reports the processor time, the memory and the descriptor that this process uses between
+// two calls.
 func TestProcess(t *testing.T) {
 	before, err := Process(os.Getpid())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Process before the use: %v", err)
 	}
-	opened, err := os.Open(os.DevNull)
+	file, err := os.Open(os.DevNull)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer opened.Close()
-	for began := time.Now(); time.Since(began) < 50*time.Millisecond; {
+	defer file.Close()
+	for start := time.Now(); time.Since(start) < 50*time.Millisecond; {
 	}
 	after, err := Process(os.Getpid())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Process after the use: %v", err)
 	}
 	if after.Processor <= before.Processor || after.Resident <= 0 || after.PeakResident < after.Resident {
-		t.Errorf("before %+v, after %+v", before, after)
+		t.Errorf("usage before %+v, after %+v; want more processor time, and a peak of at least the resident memory", before, after)
 	}
 	if after.Descriptors != before.Descriptors+1 {
-		t.Errorf("%d descriptors, one more than %d expected", after.Descriptors, before.Descriptors)
+		t.Errorf("got %d descriptors, want %d, one more than before", after.Descriptors, before.Descriptors+1)
 	}
 }
 
+// Command reports the cost of a command that succeeds, and an error for one that it kills.
 func TestCommand(t *testing.T) {
 	cost, err := Command(exec.Command("sleep", "0.1"), time.Minute)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Command with sleep 0.1: %v", err)
 	}
 	if cost.Elapsed < 100*time.Millisecond || cost.PeakResident == 0 || cost.Descriptors == 0 {
-		t.Errorf("%+v", cost)
+		t.Errorf("Command with sleep 0.1 = %+v, want at least 100ms elapsed, and memory and descriptors above 0", cost)
 	}
 	if _, err := Command(exec.Command("sleep", "60"), time.Millisecond); err == nil {
-		t.Error("a command that was killed counts as a success")
+		t.Error("Command with a killed process succeeded, want an error")
 	}
 }
--- a/internal/capacity/measurement.go
+++ b/internal/capacity/measurement.go
@@ -88,8 +88,8 @@
 	return strings.Join(words, " ")
 }
 
-// measurementCores is the GOMAXPROCS of most measurements. It leaves cores for other work that runs at
-// the same time.
+// measurementCores is the GOMAXPROCS of most measurements. It leaves cores for other work that runs
+// at the same time.
 const measurementCores = 3
 
 // The names of the measurements. They are also the names of the result files, without .txt.
@@ -122,8 +122,8 @@
 	mebibytesPerByte      = 1.0 / (1 << 20)
 )
 
-// The values of the parameter "changing" of BenchmarkSidecarListCapacity: whether the server list changes
-// during the measurement.
+// The values of the parameter "changing" of BenchmarkSidecarListCapacity: whether the server list
+// changes during the measurement.
 var (
 	unchangedList = map[string]string{"changing": "false"}
 	changingList  = map[string]string{"changing": "true"}
@@ -326,5 +326,6 @@
 	},
 }
 
-// caseParameter returns the parameters of the samples of one case of the scale test of the distribution.
+// caseParameter returns the parameters of the samples of one case of the scale test of the
+// distribution.
 func caseParameter(name string) map[string]string { return map[string]string{"case": name} }
--- a/internal/capacity/mechanisms.go
+++ b/internal/capacity/mechanisms.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Mechanism compares a requirement of the fleet with what the system achieves today. Less is better for
-// all of them.
+// Mechanism compares a requirement of the fleet with what the system achieves today. Less is better
+// for all of them.
 type Mechanism struct {
 	Need      string
 	Required  float64  // the most that the requirement allows, in Unit
--- a/internal/capacity/needs.go
+++ b/internal/capacity/needs.go
@@ -42,15 +42,16 @@
 	// on a host.
 	typicalSidecarsPerHost = 3
 	maxSidecarsPerHost     = 10
-	// listChangesPerRestart is the number of server list changes that a restart causes: the server is
-	// draining, is removed, and is back.
+	// listChangesPerRestart is the number of server list changes that a restart causes: the server
+	// is draining, is removed, and is back.
 	listChangesPerRestart = 3
-	// badMinuteFactor is the rate of settings changes in a bad minute, as a multiple of the mean rate.
+	// badMinuteFactor is the rate of settings changes in a bad minute, as a multiple of the mean
+	// rate.
 	badMinuteFactor = 10
 	// serversPerRack is the number of servers in a rack.
 	serversPerRack = 40
-	// controlMachineGibibytes is the memory of a control machine. It is assumed to have as much as the
-	// machine on which the measurements ran.
+	// controlMachineGibibytes is the memory of a control machine. It is assumed to have as much as
+	// the machine on which the measurements ran.
 	controlMachineGibibytes = 24
 	// keyedFraction is the fraction of calls that have an idempotency key.
 	keyedFraction = 0.1
@@ -67,8 +68,8 @@
 const callsPerSidecar = CallsPerSecond / Servers
 
 // ServiceSizes returns the assumed number of servers of each service, the largest service first. By
-// Zipf's law the k-th largest service has 1/k of the servers of the largest one, rounded. The largest
-// service gets the number of servers with which all sizes add up to Servers.
+// Zipf's law the k-th largest service has 1/k of the servers of the largest one, rounded. The
+// largest service gets the number of servers with which all sizes add up to Servers.
 func ServiceSizes() []int {
 	low, high := 1, Servers
 	for high-low > 1 { // binary search: the sum grows with the size of the largest service
@@ -101,8 +102,8 @@
 	return total
 }
 
-// meanCalledServers returns the mean number of servers of a called service. It assumes that services are
-// called in proportion to their sizes.
+// meanCalledServers returns the mean number of servers of a called service. It assumes that
+// services are called in proportion to their sizes.
 func meanCalledServers(sizes []int) float64 {
 	squares := 0.0
 	for _, size := range sizes {
@@ -111,14 +112,15 @@
 	return squares / Servers
 }
 
-// meanListLength returns the mean number of servers on the list of a sidecar that calls the given number
-// of services.
+// meanListLength returns the mean number of servers on the list of a sidecar that calls the given
+// number of services.
 func meanListLength(sizes []int, services int) float64 {
 	return min(Servers, float64(services)*meanCalledServers(sizes))
 }
 
-// callersOfLargest returns the expected number of sidecars that call the largest service. It assumes that
-// each sidecar calls the typical number of services, drawn in proportion to their sizes.
+// callersOfLargest returns the expected number of sidecars that call the largest service. It
+// assumes that each sidecar calls the typical number of services, drawn in proportion to their
+// sizes.
 func callersOfLargest(sizes []int) float64 {
 	otherServicesShare := 1 - float64(sizes[0])/Servers
 	return Servers * (1 - math.Pow(otherServicesShare, servicesCalled))
--- a/internal/capacity/needs_test.go
+++ b/internal/capacity/needs_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// There are 790 assumed services with 21,000 servers in all, each with at least one, in descending order
-// of size.
+// There are 790 assumed services with 21,000 servers in all, each with at least one, in descending
+// order of size.
 func TestServiceSizes(t *testing.T) {
 	sizes := ServiceSizes()
 	if len(sizes) != Services || sum(sizes) != Servers {
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// The markers in the page that surround a table. The name of the table stands between markerBegin and
-// markerBeginEnd.
+// The markers in the page that surround a table. The name of the table stands between markerBegin
+// and markerBeginEnd.
 const (
 	markerBegin    = "<!-- table: "
 	markerBeginEnd = " -->"
@@ -32,9 +32,9 @@
 	return "write the tables with `go run ./internal/capacity/tables`, and change results only by measuring"
 }
 
-// Fill returns the page with the current tables between their markers. It returns a *PageError if the
-// markers don't match or if the page lacks a table of a measurement, and the error of Tables.Make if a
-// table can't be made.
+// Fill returns the page with the current tables between their markers. It returns a *PageError if
+// the markers don't match or if the page lacks a table of a measurement, and the error of
+// Tables.Make if a table can't be made.
 func Fill(page string, tables *Tables) (string, error) {
 	var out strings.Builder
 	shown := make(map[string]bool)
--- a/internal/capacity/results.go
+++ b/internal/capacity/results.go
@@ -15,8 +15,8 @@
 //go:embed results/*.txt
 var resultFiles embed.FS
 
-// Results are the raw results of all measurements, by the names of the measurements: the names of their
-// files without .txt.
+// Results are the raw results of all measurements, by the names of the measurements: the names of
+// their files without .txt.
 type Results map[string]*ResultFile
 
 // ResultFile is the content of one result file: the raw results of one measurement.
@@ -50,8 +50,8 @@
 	return "measure again with `go run ./internal/capacity/collect`, which writes files in the expected format"
 }
 
-// LoadResults parses the result files that are embedded in this package. It returns a *ResultError if a
-// file is not in the expected format.
+// LoadResults parses the result files that are embedded in this package. It returns a *ResultError
+// if a file is not in the expected format.
 func LoadResults() (Results, error) { return loadResults(resultFiles) }
 
 // loadResults parses the files results/*.txt of a file system.
@@ -130,9 +130,9 @@
 // Point is the value of a metric at a size, in the unit of the page.
 type Point struct{ Size, Value float64 }
 
-// points returns the samples of a metric as points. It leaves out samples that don't have the metric's
-// unit, its parameters or its smallest size. It returns a *ResultError if no sample is left, or if a
-// sample has no numeric size.
+// points returns the samples of a metric as points. It leaves out samples that don't have the
+// metric's unit, its parameters or its smallest size. It returns a *ResultError if no sample is
+// left, or if a sample has no numeric size.
 func (f *ResultFile) points(metric Metric) ([]Point, error) {
 	var points []Point
 	for _, sample := range f.Samples {
--- a/internal/capacity/results_test.go
+++ b/internal/capacity/results_test.go
@@ -17,8 +17,8 @@
 BenchmarkListed/servers=300/changing=false-3	1	7000 ns/op	14.5 MiB
 `
 
-// readResults parses the configuration lines and all samples, and points selects and scales the samples of
-// a metric.
+// readResults parses the configuration lines and all samples, and points selects and scales the
+// samples of a metric.
 func TestReadResults(t *testing.T) {
 	resultFile, err := readResults(strings.NewReader(validResults), "results/listed.txt")
 	if err != nil {
@@ -37,8 +37,8 @@
 	}
 }
 
-// readResults fails on incomplete or malformed files, and points fails on a unit or a size parameter that no
-// sample has.
+// readResults fails on incomplete or malformed files, and points fails on a unit or a size
+// parameter that no sample has.
 func TestReadResultsRejectsBrokenFiles(t *testing.T) {
 	for name, text := range map[string]string{
 		"no result":        "command: go test\ndate: 2026-01-02\ncores: 8\n",
@@ -65,9 +65,9 @@
 	}
 }
 
-// Each result file belongs to a measurement and was produced by its command, so that the command that the
-// page shows for a figure repeats its measurement. The results of the distribution come from a scale test
-// with a command of its own.
+// Each result file belongs to a measurement and was produced by its command, so that the command
+// that the page shows for a figure repeats its measurement. The results of the distribution come
+// from a scale test with a command of its own.
 func TestResultsAreOfTheirMeasurements(t *testing.T) {
 	results, err := LoadResults()
 	if err != nil {
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -14,7 +14,8 @@
 // limitRatio returns the value divided by its limit. The limit must be above 0.
 func (e Estimate) limitRatio() float64 { return e.Value.Value / e.Limit }
 
-// exact returns an interval of width 0, for a value that follows from requirements and assumptions alone.
+// exact returns an interval of width 0, for a value that follows from requirements and assumptions
+// alone.
 func exact(value float64) Interval { return Interval{value, value, value} }
 
 // Role is a part of the system with the estimates for it. Its name selects the table "role NAME".
@@ -87,8 +88,8 @@
 		Estimate{"time until a change is known", "the bound of discovery's watch, in the code", exact(6), "s", ConvergeSeconds})
 }
 
-// listEstimates returns the estimates for a server list of the given length. The name begins the quantity of
-// each.
+// listEstimates returns the estimates for a server list of the given length. The name begins the
+// quantity of each.
 func listEstimates(c *curves, name string, length float64) []Estimate {
 	share := length / Servers
 	bytesPerServer := c.at(CompleteList, "bytes of a server on the wire", length)
@@ -144,7 +145,8 @@
 	subscribersWithHalfTheRelays = Servers / (ControlMachines / 2) // mean, for each relay that is left
 )
 
-// distributionEstimates returns the estimates for the distribution of settings by a writer and relays.
+// distributionEstimates returns the estimates for the distribution of settings by a writer and
+// relays.
 func distributionEstimates(c *curves) []Estimate {
 	at := func(metric string) Interval { return c.at(Distribution, metric, Servers) }
 	restBytes := at("received by a subscriber at rest").plus(at("sent by a subscriber at rest"))
@@ -180,7 +182,8 @@
 	}
 }
 
-// agentEstimates returns the estimates for an agent, by the number of sidecars on its host and the rate of settings changes.
+// agentEstimates returns the estimates for an agent, by the number of sidecars on its host and the
+// rate of settings changes.
 func agentEstimates(c *curves) []Estimate {
 	var estimates []Estimate
 	for _, sidecars := range []float64{1, typicalSidecarsPerHost, maxSidecarsPerHost} {
@@ -240,8 +243,9 @@
 	}
 }
 
-// budgetEstimates adds up the resources that a sidecar and its agent use for control on a host with one
-// sidecar. If a host has more sidecars, they share the agent, and each accounts for a smaller part of its use.
+// budgetEstimates adds up the resources that a sidecar and its agent use for control on a host with
+// one sidecar. If a host has more sidecars, they share the agent, and each accounts for a smaller
+// part of its use.
 func budgetEstimates(c *curves) []Estimate {
 	listLength := assumedListLengths().typical
 	share := listLength / Servers
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -14,7 +14,8 @@
 	cache   map[string]string // tables that have been made, by their names
 }
 
-// NewTables returns a maker of the tables of these results. No table is made before Make asks for it.
+// NewTables returns a maker of the tables of these results. No table is made before Make asks for
+// it.
 func NewTables(results Results) *Tables {
 	return &Tables{results: results, curves: newCurves(results), cache: make(map[string]string)}
 }
@@ -33,9 +34,9 @@
 	return "use a table name that internal/capacity/tables.go knows, or collect the missing results"
 }
 
-// Make returns the table with a name, in Markdown. The name is "needs", "services", "days", "mechanisms",
-// "role NAME", "raw MEASUREMENT" or "fits MEASUREMENT". Make returns an error if the name is unknown, or if
-// results that the table needs are missing or can't be fitted.
+// Make returns the table with a name, in Markdown. The name is "needs", "services", "days",
+// "mechanisms", "role NAME", "raw MEASUREMENT" or "fits MEASUREMENT". Make returns an error if the
+// name is unknown, or if results that the table needs are missing or can't be fitted.
 func (t *Tables) Make(name string) (string, error) {
 	if table, cached := t.cache[name]; cached {
 		return table, nil
@@ -156,12 +157,12 @@
 	return table.text.String(), t.curves.err
 }
 
-// descriptorUnit is the unit of figures that are formatted with all their digits, since they are close to
-// their limit.
+// descriptorUnit is the unit of figures that are formatted with all their digits, since they are
+// close to their limit.
 const descriptorUnit = "descriptors"
 
-// formatValue formats the value of the estimate, with its interval if it has one. Descriptors are formatted
-// without an interval.
+// formatValue formats the value of the estimate, with its interval if it has one. Descriptors are
+// formatted without an interval.
 func (e Estimate) formatValue() string {
 	switch {
 	case e.Unit == descriptorUnit:
@@ -173,8 +174,8 @@
 	}
 }
 
-// formatRatio formats the ratio of a value to its limit. An infinite ratio stands for a requirement that no
-// component meets.
+// formatRatio formats the ratio of a value to its limit. An infinite ratio stands for a requirement
+// that no component meets.
 func formatRatio(ratio float64) string {
 	if math.IsInf(ratio, 1) {
 		return "no mechanism"
--- a/internal/capacity/tables/main.go
+++ b/internal/capacity/tables/main.go
@@ -1,6 +1,6 @@
 // Command tables writes the tables of docs/CAPACITY.md from the raw results in
-// internal/capacity/results. With -check it writes nothing and fails where the page and the
-// results differ.
+// internal/capacity/results. With -check it writes nothing and fails if the page and the
+// results differ. Run it from the root of the module, or name the page.
 //
 //	go run ./internal/capacity/tables [-check] [-page FILE]
 package main
@@ -15,21 +15,22 @@
 )
 
 func main() {
-	check := flag.Bool("check", false, "only compare the page with the results")
-	page := flag.String("page", "docs/CAPACITY.md", "the page")
+	check := flag.Bool("check", false, "compare the page with the results instead of writing it")
+	page := flag.String("page", "docs/CAPACITY.md", "path of the page")
 	flag.Parse()
 	if err := run(*page, *check); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		if advised, ok := errors.AsType[interface {
+		if adviser, ok := errors.AsType[interface {
 			error
 			Advice() string
 		}](err); ok {
-			fmt.Fprintln(os.Stderr, advised.Advice())
+			fmt.Fprintln(os.Stderr, adviser.Advice())
 		}
 		os.Exit(1)
 	}
 }
 
+// run checks the page at a path, or writes the current tables into it.
 func run(path string, check bool) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/capacity/tables_raw.go
+++ b/internal/capacity/tables_raw.go
@@ -16,8 +16,8 @@
 	return text + "\n\n"
 }
 
-// resultFile returns the results of a measurement. If there are none, it returns a *TableError that names
-// the table, which is the kind followed by the name.
+// resultFile returns the results of a measurement. If there are none, it returns a *TableError that
+// names the table, which is the kind followed by the name.
 func (t *Tables) resultFile(kind, name string) (*ResultFile, error) {
 	if resultFile := t.results[name]; resultFile != nil {
 		return resultFile, nil
@@ -25,8 +25,8 @@
 	return nil, &TableError{kind + " " + name, "there is no result file for the measurement"}
 }
 
-// raw returns the provenance of a measurement's results and a table of their medians. It has one row for
-// each set of parameters; samples that differ only in the seed share a row.
+// raw returns the provenance of a measurement's results and a table of their medians. It has one
+// row for each set of parameters; samples that differ only in the seed share a row.
 func (t *Tables) raw(name string) (string, error) {
 	if name == Distribution && t.results[name] == nil {
 		return "Not measured: there is no `internal/capacity/results/" + Distribution + ".txt` yet.\n", nil
@@ -52,8 +52,8 @@
 	return provenance(resultFile) + table.text.String(), nil
 }
 
-// columns returns a metric for each column of a raw table. A column stands for a unit. If the measurement
-// has metrics, the columns are their units, otherwise all units of the samples.
+// columns returns a metric for each column of a raw table. A column stands for a unit. If the
+// measurement has metrics, the columns are their units, otherwise all units of the samples.
 func (f *ResultFile) columns() []Metric {
 	var columns []Metric
 	add := func(metric Metric) {
@@ -86,8 +86,8 @@
 	samples []Sample
 }
 
-// groups returns the samples grouped by their parameters, in the order in which each group first occurs in
-// the file.
+// groups returns the samples grouped by their parameters, in the order in which each group first
+// occurs in the file.
 func (f *ResultFile) groups() []*group {
 	var groups []*group
 	for _, sample := range f.Samples {
@@ -102,8 +102,8 @@
 	return groups
 }
 
-// seedParameter is the parameter that tells apart samples of the same simulation with different random
-// numbers.
+// seedParameter is the parameter that tells apart samples of the same simulation with different
+// random numbers.
 const seedParameter = "seed"
 
 // formatParameters returns the parameters except the seed as "key=value key=value", sorted by key.
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -1,11 +1,12 @@
-// Command knownred runs the tests but for those that KNOWN-RED.txt names: tests that fail
-// for a real fault which is not mended yet. These it runs apart, prints how they went, and
-// lets fail. It owns that file's form, and refuses a file that is not in it:
+// Command knownred runs go test and tolerates the failure of the tests that KNOWN-RED.txt names:
+// tests that fail because of a real fault that has not been fixed yet. It runs these tests
+// separately and prints their results; only the failure of another test makes the command fail. It
+// rejects a KNOWN-RED.txt that is not in this format:
 //
 //	PACKAGE TEST: cause; issue N
 //
-// Each line names a test of its own, maxRed lines at most; empty lines don't count. A file
-// that is not there names none.
+// Each line names a different test. There are at most maxKnownFailures lines, not counting empty
+// ones. If the file does not exist, there are no known failures.
 //
 //	go run ./internal/ci/knownred [flags of go test] PACKAGES
 package main
@@ -23,135 +24,142 @@
 )
 
 const (
-	file   = "KNOWN-RED.txt"
-	maxRed = 3
+	fileName         = "KNOWN-RED.txt"
+	maxKnownFailures = 3
 )
 
-// red is one test that is known to fail.
-type red struct{ pkg, test, cause, issue string }
+// knownFailure is a test that is known to fail: one line of KNOWN-RED.txt.
+type knownFailure struct{ pkg, test, cause, issue string }
 
-// FormError says that the file is not in its form.
-type FormError struct {
-	Line int // from 1; 0: the complete file
-	What string
+// FormatError says why KNOWN-RED.txt is invalid.
+type FormatError struct {
+	Line   int // counted from 1; 0: the file as a whole
+	Reason string
 }
 
 // Error implements error.
-func (e *FormError) Error() string {
+func (e *FormatError) Error() string {
 	if e.Line == 0 {
-		return fmt.Sprintf("%s: %s", file, e.What)
+		return fmt.Sprintf("%s: %s", fileName, e.Reason)
 	}
-	return fmt.Sprintf("%s:%d: %s", file, e.Line, e.What)
+	return fmt.Sprintf("%s:%d: %s", fileName, e.Line, e.Reason)
 }
 
-// Advice says what to do.
-func (e *FormError) Advice() string {
-	return fmt.Sprintf("write each line as «PACKAGE TEST: cause; issue N», %d lines at most, or mend the test and drop its line", maxRed)
+// Advice returns what a maintainer can do about the error.
+func (e *FormatError) Advice() string {
+	return fmt.Sprintf("write each line as «PACKAGE TEST: cause; issue N», at most %d lines, or fix the test and remove its line", maxKnownFailures)
 }
 
-var form = regexp.MustCompile(`^(\S+) (Test[A-Z0-9_]\w*): (\S.*); issue (\d+)$`)
+// linePattern matches a line of KNOWN-RED.txt: package, test, cause and issue.
+var linePattern = regexp.MustCompile(`^(\S+) (Test[A-Z0-9_]\w*): (\S.*); issue (\d+)$`)
 
-// parse reads the file's text.
-func parse(text string) (list []red, err error) {
-	for n, line := range strings.Split(text, "\n") {
+// parse returns the known failures of KNOWN-RED.txt, given its text. It returns a *FormatError if
+// the text is invalid.
+func parse(text string) (failures []knownFailure, err error) {
+	for index, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		m := form.FindStringSubmatch(line)
-		if m == nil {
-			return nil, &FormError{n + 1, "not «PACKAGE TEST: cause; issue N»"}
+		match := linePattern.FindStringSubmatch(line)
+		if match == nil {
+			return nil, &FormatError{index + 1, "the line is not of the form «PACKAGE TEST: cause; issue N»"}
 		}
-		r := red{m[1], m[2], m[3], m[4]}
-		if slices.ContainsFunc(list, func(o red) bool { return o.pkg == r.pkg && o.test == r.test }) {
-			return nil, &FormError{n + 1, r.test + " is named twice"}
+		failure := knownFailure{match[1], match[2], match[3], match[4]}
+		if slices.ContainsFunc(failures, func(other knownFailure) bool { return other.pkg == failure.pkg && other.test == failure.test }) {
+			return nil, &FormatError{index + 1, failure.test + " is named twice"}
 		}
-		list = append(list, r)
+		failures = append(failures, failure)
 	}
-	if len(list) > maxRed {
-		return nil, &FormError{0, fmt.Sprintf("%d tests are known red; %d at most may be", len(list), maxRed)}
+	if len(failures) > maxKnownFailures {
+		return nil, &FormatError{0, fmt.Sprintf("it names %d tests, at most %d are allowed", len(failures), maxKnownFailures)}
 	}
-	return list, nil
+	return failures, nil
 }
 
-// tool runs the go command: its output goes to out, nil for what a person should see.
-type tool func(out *strings.Builder, args ...string) error
+// goCommand runs the go command with arguments. Its standard output goes to out, or to the terminal
+// if out is nil.
+type goCommand func(out *strings.Builder, args ...string) error
 
-// run runs the tests of args, flags and then packages, but for the red ones, then those
-// apart. The error is about the others only.
-func run(text string, args []string, do tool, w io.Writer) error {
-	list, err := parse(text)
+// run tests the packages in args, which are flags of go test followed by packages. It leaves out
+// the known failures in text, the content of KNOWN-RED.txt, then runs each of them separately and
+// reports its result to w. It returns a *FormatError if text is invalid or names a package or test
+// that does not exist, and otherwise an error only if another test fails or if the go command
+// cannot list packages or tests.
+func run(text string, args []string, runGo goCommand, w io.Writer) error {
+	failures, err := parse(text)
 	if err != nil {
 		return err
 	}
-	at := slices.IndexFunc(args, func(a string) bool { return !strings.HasPrefix(a, "-") })
-	if at < 0 {
-		return errors.New("knownred: no packages are named")
+	firstPackage := slices.IndexFunc(args, func(arg string) bool { return !strings.HasPrefix(arg, "-") })
+	if firstPackage < 0 {
+		return errors.New("knownred: no packages given; name them after the flags")
 	}
-	flags := args[:at]
+	flags := args[:firstPackage]
 	var out strings.Builder
-	if err := do(&out, append([]string{"list"}, args[at:]...)...); err != nil {
+	if err := runGo(&out, append([]string{"list"}, args[firstPackage:]...)...); err != nil {
 		return fmt.Errorf("knownred: go list: %w", err)
 	}
 	packages := strings.Fields(out.String())
-	skip := make(map[string][]string)
-	for _, r := range list {
-		if !slices.Contains(packages, r.pkg) {
-			return &FormError{0, "there is no package " + r.pkg}
+	skippedTests := make(map[string][]string) // by package
+	for _, failure := range failures {
+		if !slices.Contains(packages, failure.pkg) {
+			return &FormatError{0, "no package under test is named " + failure.pkg}
 		}
 		out.Reset()
-		if err := do(&out, "test", "-list", "^"+r.test+"$", r.pkg); err != nil {
+		if err := runGo(&out, "test", "-list", "^"+failure.test+"$", failure.pkg); err != nil {
 			return fmt.Errorf("knownred: go test -list: %w", err)
 		}
-		if !slices.Contains(strings.Fields(out.String()), r.test) {
-			return &FormError{0, fmt.Sprintf("%s has no test %s", r.pkg, r.test)}
+		if !slices.Contains(strings.Fields(out.String()), failure.test) {
+			return &FormatError{0, fmt.Sprintf("%s has no test %s", failure.pkg, failure.test)}
 		}
-		skip[r.pkg] = append(skip[r.pkg], r.test)
+		skippedTests[failure.pkg] = append(skippedTests[failure.pkg], failure.test)
 	}
-	test := func(more ...string) error {
-		return do(nil, slices.Concat([]string{"test"}, flags, more)...)
+	goTest := func(more ...string) error {
+		return runGo(nil, slices.Concat([]string{"test"}, flags, more)...)
 	}
-	others := slices.DeleteFunc(packages, func(p string) bool { return skip[p] != nil })
-	var failed []error
-	if len(others) > 0 {
-		failed = append(failed, test(others...))
+	otherPackages := slices.DeleteFunc(packages, func(pkg string) bool { return skippedTests[pkg] != nil })
+	var testErrors []error
+	if len(otherPackages) > 0 {
+		testErrors = append(testErrors, goTest(otherPackages...))
 	}
-	for pkg, tests := range skip {
-		failed = append(failed, test("-skip", "^("+strings.Join(tests, "|")+")$", pkg))
+	for pkg, tests := range skippedTests {
+		testErrors = append(testErrors, goTest("-skip", "^("+strings.Join(tests, "|")+")$", pkg))
 	}
-	for _, r := range list {
-		fmt.Fprintf(w, "known red: %s %s: %s (issue %s)\n", r.pkg, r.test, r.cause, r.issue)
-		if err := test("-run", "^"+r.test+"$", r.pkg); err != nil {
-			fmt.Fprintf(w, "known red: %s fails still\n", r.test)
+	for _, failure := range failures {
+		fmt.Fprintf(w, "known failure: %s %s: %s (issue %s)\n", failure.pkg, failure.test, failure.cause, failure.issue)
+		if err := goTest("-run", "^"+failure.test+"$", failure.pkg); err != nil {
+			fmt.Fprintf(w, "known failure: %s still fails\n", failure.test)
 		} else {
-			fmt.Fprintf(w, "known red: %s PASSES: see that it does so for good, and drop its line\n", r.test)
+			fmt.Fprintf(w, "known failure: %s PASSES: make sure that it does so reliably, then remove its line from KNOWN-RED.txt\n", failure.test)
 		}
 	}
-	return errors.Join(failed...)
+	return errors.Join(testErrors...)
 }
 
 func main() {
-	text, err := os.ReadFile(file)
+	text, err := os.ReadFile(fileName)
 	if errors.Is(err, fs.ErrNotExist) {
 		err = nil
 	}
 	if err == nil {
-		err = run(string(text), os.Args[1:], goTool, os.Stdout)
+		err = run(string(text), os.Args[1:], runGoTool, os.Stdout)
 	}
 	if err == nil {
 		return
 	}
 	fmt.Fprintln(os.Stderr, err)
-	if form, ok := errors.AsType[*FormError](err); ok {
-		fmt.Fprintln(os.Stderr, form.Advice())
+	if formatError, ok := errors.AsType[*FormatError](err); ok {
+		fmt.Fprintln(os.Stderr, formatError.Advice())
 	}
 	os.Exit(1)
 }
 
-func goTool(out *strings.Builder, args ...string) error {
-	c := exec.Command("go", args...)
-	c.Stdout, c.Stderr = os.Stdout, os.Stderr
+// runGoTool is the goCommand that runs the installed go command.
+func runGoTool(out *strings.Builder, args ...string) error {
+	command := exec.Command("go", args...)
+	command.Stdout, command.Stderr = os.Stdout, os.Stderr
 	if out != nil {
-		c.Stdout = out
+		command.Stdout = out
 	}
-	return c.Run()
+	return command.Run()
 }
--- a/internal/ci/layout/layout_test.go
+++ b/internal/ci/layout/layout_test.go
@@ -1,5 +1,5 @@
-// Package layout checks that the pages for newcomers name what exists, and that the layers of
-// the tree import each other in one direction only.
+// Package layout checks the layout of the source tree: that the introductory pages name only paths
+// that exist, and that certain packages do not import each other, or packages that do I/O.
 package layout
 
 import (
@@ -14,75 +14,80 @@
 	"testing"
 )
 
+// root is the root of the module, relative to this package's folder.
 const root = "../../.."
 
-// quotedPath is a path below the module's root in backquotes.
+// quotedPath matches a path in backquotes below one of the module's main folders.
 var quotedPath = regexp.MustCompile("`((?:cmd|internal|docs|deploy)/[A-Za-z0-9_./-]+)`")
 
+// Each path that the introductory pages name in backquotes exists.
 func TestPagesNameExistingPaths(t *testing.T) {
 	for _, page := range []string{"docs/ARCHITECTURE.md", "docs/GLOSSARY.md", "README.md"} {
 		t.Run(page, func(t *testing.T) {
 			text, err := os.ReadFile(filepath.Join(root, page))
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("read the page: %v", err)
 			}
-			found := quotedPath.FindAllStringSubmatch(string(text), -1)
-			if len(found) == 0 {
-				t.Error("the page names no path")
+			matches := quotedPath.FindAllStringSubmatch(string(text), -1)
+			if len(matches) == 0 {
+				t.Error("the page names no path, want at least one")
 			}
-			for _, match := range found {
+			for _, match := range matches {
 				if _, err := os.Stat(filepath.Join(root, match[1])); err != nil {
-					t.Errorf("%s does not exist", match[1])
+					t.Errorf("the page names %s: %v", match[1], err)
 				}
 			}
 		})
 	}
 }
 
-func TestStoreysDoNotImportEachOther(t *testing.T) {
+// The code of the control side and the code of the host side of the fleet do not import each other.
+func TestControlAndHostDoNotImportEachOther(t *testing.T) {
 	const control, host = "internal/fleet/control", "internal/fleet/host"
 	for from, to := range map[string]string{control: host, host: control} {
 		t.Run(from, func(t *testing.T) {
-			checked := 0
-			for file, imports := range sources(t, from) {
-				checked++
+			fileCount := 0
+			for file, imports := range importsBelow(t, from) {
+				fileCount++
 				for _, path := range imports {
 					if path == "martendrum/"+to || strings.HasPrefix(path, "martendrum/"+to+"/") {
-						t.Errorf("%s imports %s", file, path)
+						t.Errorf("%s imports %s, which packages below %s must not import", file, path, from)
 					}
 				}
 			}
-			if checked == 0 {
-				t.Errorf("there are no sources in %s", from)
+			if fileCount == 0 {
+				t.Errorf("found no Go files below %s", from)
 			}
 		})
 	}
 }
 
-// Pure packages decide without I/O.
+// The packages of pure logic do no I/O of their own: their sources, apart from tests and
+// subfolders, import no package for network, files, processes or databases.
 func TestPurePackagesHaveNoIO(t *testing.T) {
 	forbidden := map[string]bool{"net": true, "net/http": true, "os": true, "os/exec": true, "database/sql": true, "syscall": true}
 	for _, dir := range []string{
 		"internal/handover/idtable", "internal/fleet/canary", "internal/fleet/control/rollout", "internal/fleet/distribution",
 		"internal/fleet/lease", "internal/fleet/stage", "internal/peers", "internal/recovery", "internal/shutdown",
 	} {
-		for file, imports := range sources(t, dir) {
+		for file, imports := range importsBelow(t, dir) {
 			if filepath.Dir(file) != filepath.FromSlash(dir) || strings.HasSuffix(file, "_test.go") {
 				continue
 			}
 			for _, path := range imports {
 				if forbidden[path] {
-					t.Errorf("%s imports %s", file, path)
+					t.Errorf("%s imports %s, which does I/O", file, path)
 				}
 			}
 		}
 	}
 }
 
-// sources returns the imports of each Go file below a folder, by the file's path from the root.
-func sources(t *testing.T, dir string) map[string][]string {
+// importsBelow returns the imported paths of each Go file below a folder of the module. The keys
+// are the paths of the files, relative to the root.
+func importsBelow(t *testing.T, dir string) map[string][]string {
 	t.Helper()
-	found := make(map[string][]string)
+	importsByFile := make(map[string][]string)
 	err := filepath.WalkDir(filepath.Join(root, dir), func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") {
 			return err
@@ -95,18 +100,18 @@
 		if err != nil {
 			return err
 		}
-		found[name] = nil
+		importsByFile[name] = nil
 		for _, spec := range file.Imports {
 			imported, err := strconv.Unquote(spec.Path.Value)
 			if err != nil {
 				return err
 			}
-			found[name] = append(found[name], imported)
+			importsByFile[name] = append(importsByFile[name], imported)
 		}
 		return nil
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the imports below %s: %v", dir, err)
 	}
-	return found
+	return importsByFile
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,8 +1,8 @@
-// Package goldentest compares what a test produces with files that an earlier build wrote.
+// Package goldentest compares what a test produces with golden files, which an earlier build wrote.
 //
-// The files lie in the testdata folder of the package under test. They pin forms that leave
-// the process: stored data, messages and the output of commands. A test run with -update
-// writes them anew; that is right only where such a form is meant to change.
+// The golden files are in the testdata folder of the package under test. They guard the formats of
+// data that leaves the process against unintended changes: stored data, messages and the output of
+// commands. A test run with -update rewrites them; use it only if a format is meant to change.
 package goldentest
 
 import (
@@ -17,49 +17,51 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// Path returns the path of a golden file.
+// Path returns the path of a golden file, relative to the folder of the package under test.
 func Path(name string) string { return filepath.Join("testdata", name) }
 
-// Read returns the content of a golden file.
+// Read returns the content of a golden file. If the file can't be read, the test ends as failed.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(Path(name))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the golden file: %v", err)
 	}
 	return data
 }
 
-// Write replaces a golden file.
+// Write creates or replaces a golden file. If it can't be written, the test ends as failed.
 func Write(t testing.TB, name string, data []byte) {
 	t.Helper()
 	if err := os.MkdirAll("testdata", 0o755); err != nil {
-		t.Fatal(err)
+		t.Fatalf("create the folder for golden files: %v", err)
 	}
 	if err := os.WriteFile(Path(name), data, 0o644); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write the golden file: %v", err)
 	}
 }
 
-// CopyFile returns the path of a copy of a golden file, which the test may change. written is the
-// path of what the present build writes; with -update it becomes the golden file first.
+// CopyFile copies a golden file to a temporary folder and returns the path of the copy, which the
+// test may change. written is the path of a file that the current build wrote; with -update
+// CopyFile first replaces the golden file by it.
 func CopyFile(t testing.TB, name, written string) string {
 	t.Helper()
 	if *update {
 		data, err := os.ReadFile(written)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("read the new content of the golden file: %v", err)
 		}
 		Write(t, name, data)
 	}
-	earlier := filepath.Join(t.TempDir(), name)
-	if err := os.WriteFile(earlier, Read(t, name), 0o600); err != nil {
-		t.Fatal(err)
+	copyPath := filepath.Join(t.TempDir(), name)
+	if err := os.WriteFile(copyPath, Read(t, name), 0o600); err != nil {
+		t.Fatalf("write the copy of the golden file: %v", err)
 	}
-	return earlier
+	return copyPath
 }
 
-// Compare fails the test unless a golden file has exactly this content.
+// Compare fails the test unless the content of a golden file equals got. With -update it writes got
+// to the file instead.
 func Compare(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if *update {
@@ -70,62 +72,65 @@
 	if bytes.Equal(got, want) {
 		return
 	}
-	at := 0
-	for at < min(len(got), len(want)) && got[at] == want[at] {
-		at++
+	offset := 0
+	for offset < min(len(got), len(want)) && got[offset] == want[offset] {
+		offset++
 	}
-	t.Errorf("%s: %d bytes, want %d; from byte %d on got\n%q\nwant\n%q", name, len(got), len(want), at,
-		got[max(0, at-60):min(len(got), at+200)], want[max(0, at-60):min(len(want), at+200)])
+	t.Errorf("%s: got %d bytes, want %d; they differ from offset %d on: got\n%q\nwant\n%q", name, len(got), len(want), offset,
+		got[max(0, offset-60):min(len(got), offset+200)], want[max(0, offset-60):min(len(want), offset+200)])
 }
 
-// Fill sets every exported field below the value that v points to, so that no field is left
-// out of an encoding. Slices and maps get one element. Values differ from field to field and
-// are the same in each run.
-func Fill(v any) { (&filler{}).fill(reflect.ValueOf(v).Elem()) }
+// Fill sets every exported field, at any depth, of the value that target points to, so that an
+// encoding leaves no field out as empty. Slices and maps get one element. Numbers, strings and
+// times differ between neighbouring fields, booleans are true. The values are the same in each run.
+// Fill panics if target is not a pointer.
+func Fill(target any) { (&filler{}).fill(reflect.ValueOf(target).Elem()) }
 
-// filler counts the fields that it has set.
+// filler sets values. It derives them from the number of values that it has visited.
 type filler struct{ count int }
 
 var timeType = reflect.TypeFor[time.Time]()
 
-func (f *filler) fill(v reflect.Value) {
+// fill sets a value and everything below it. It leaves interfaces, functions and channels as they
+// are.
+func (f *filler) fill(target reflect.Value) {
 	f.count++
 	switch {
-	case v.Type() == timeType:
-		v.Set(reflect.ValueOf(time.Unix(1_800_000_000+int64(f.count), 0).UTC()))
+	case target.Type() == timeType:
+		target.Set(reflect.ValueOf(time.Unix(1_800_000_000+int64(f.count), 0).UTC()))
 		return
 	}
-	switch v.Kind() {
+	switch target.Kind() {
 	case reflect.Bool:
-		v.SetBool(true)
+		target.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(f.count % 100))
+		target.SetInt(int64(f.count % 100))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(f.count % 100))
+		target.SetUint(uint64(f.count % 100))
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(f.count) + 0.5)
+		target.SetFloat(float64(f.count) + 0.5)
 	case reflect.String:
-		v.SetString("text-" + string(rune('a'+f.count%26)))
+		target.SetString("text-" + string(rune('a'+f.count%26)))
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		f.fill(v.Elem())
+		target.Set(reflect.New(target.Type().Elem()))
+		f.fill(target.Elem())
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		f.fill(v.Index(0))
+		target.Set(reflect.MakeSlice(target.Type(), 1, 1))
+		f.fill(target.Index(0))
 	case reflect.Array:
-		for i := range v.Len() {
-			f.fill(v.Index(i))
+		for i := range target.Len() {
+			f.fill(target.Index(i))
 		}
 	case reflect.Map:
-		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		key, value := reflect.New(target.Type().Key()).Elem(), reflect.New(target.Type().Elem()).Elem()
 		f.fill(key)
 		f.fill(value)
-		v.Set(reflect.MakeMap(v.Type()))
-		v.SetMapIndex(key, value)
+		target.Set(reflect.MakeMap(target.Type()))
+		target.SetMapIndex(key, value)
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				f.fill(v.Field(i))
+		for i := range target.NumField() {
+			if target.Type().Field(i).IsExported() {
+				f.fill(target.Field(i))
 			}
 		}
 	}
