--- a/internal/capacity/measurement.go
+++ b/internal/capacity/measurement.go
@@ -122,8 +122,8 @@
 	mebibytesPerByte      = 1.0 / (1 << 20)
 )
 
-// The values of the parameter "changing" of BenchmarkSidecarListCapacity: whether the server list
-// changes during the measurement.
+// The parameters of the samples in which the server list does not change, or changes, during the
+// measurement.
 var (
 	unchangedList = map[string]string{"changing": "false"}
 	changingList  = map[string]string{"changing": "true"}
--- a/internal/capacity/results.go
+++ b/internal/capacity/results.go
@@ -130,9 +130,9 @@
 // Point is the value of a metric at a size, in the unit of the page.
 type Point struct{ Size, Value float64 }
 
-// points returns the samples of a metric as points. It leaves out samples that don't have the
-// metric's unit, its parameters or its smallest size. It returns a *ResultError if no sample is
-// left, or if a sample has no numeric size.
+// points returns the samples of a metric as points. It leaves out samples without the metric's
+// unit, with other parameters, or with a size below its MinSize. It returns a *ResultError if no
+// sample is left, or if a sample has no numeric size.
 func (f *ResultFile) points(metric Metric) ([]Point, error) {
 	var points []Point
 	for _, sample := range f.Samples {
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -14,8 +14,7 @@
 	cache   map[string]string // tables that have been made, by their names
 }
 
-// NewTables returns a maker of the tables of these results. No table is made before Make asks for
-// it.
+// NewTables returns the tables of these results. Make makes a table when it is first asked for it.
 func NewTables(results Results) *Tables {
 	return &Tables{results: results, curves: newCurves(results), cache: make(map[string]string)}
 }
