--- a/internal/msgpackrpc/rpc_test.go
+++ b/internal/msgpackrpc/rpc_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -102,7 +103,7 @@
 		if name == "id twice while open" {
 			continue // see TestDuplicateOpenID
 		}
-		if b, err := io.ReadAll(conn); len(b) > 0 || errors.Is(err, context.DeadlineExceeded) {
+		if b, err := io.ReadAll(conn); len(b) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: got response %q, error %v; want the connection closed without a response", name, b, err)
 		}
 		var got []int
