--- a/internal/standin/faultnet/faultnet.go
+++ b/internal/standin/faultnet/faultnet.go
@@ -1,12 +1,13 @@
-// Package faultnet is a relay between named processes, for tests: it drops, stalls
-// (open, silent), passes one way only, delays, resets, cuts in mid-message and
-// heals, over TCP and UDP, on loopback and without privileges.
+// Package faultnet relays TCP connections and UDP datagrams on loopback and injects network
+// faults, for tests. It needs no privileges. It can refuse and reset connections, stall them in one
+// or both directions while they stay open, delay data, cut a connection in the middle of a
+// message, lose and duplicate datagrams, and remove the faults again.
 //
-// It owns its listeners and connections and ends them all in Close. Faults come by
-// hand (Link.Set) or from a script whose steps are set off by marks that the test
-// makes, or by what a link has carried: by events and counts, never by a clock of
-// its own. What chance decides (a datagram lost, a delay's length) it draws from
-// one seed. It does not look into what it carries.
+// A Net owns its listeners and connections and closes them all in Close. A test sets faults
+// directly (Link.Set) or by a script. A script's steps are triggered by events that the test reports
+// (Net.Mark) or by the number of connections made over a link, never by a clock. All random
+// decisions (which datagram is lost, how long a delay is) are drawn from one seed. The relay does
+// not interpret the data that it relays.
 package faultnet
 
 import (
@@ -17,62 +18,70 @@
 	"time"
 )
 
-// Way is a direction on a link, from who connects to who listens or back.
+// Way is a direction of a link, or both directions.
 type Way uint8
 
-// The directions.
+// Directions of a link.
 const (
-	There Way = 1 << iota
-	Back
-	Both = There | Back
+	There Way = 1 << iota // from the process that connects to the one that listens
+	Back                  // from the process that listens to the one that connects
+	Both  = There | Back
 )
 
-// Fault is what a link does wrong; the zero value is a sound one.
+// Fault is the set of faults of a link, or of one direction between two members of a Mesh. The
+// zero Fault has none.
 type Fault struct {
 	// Drop refuses new connections and resets those that are open; datagrams are lost.
 	Drop bool
-	// Stall keeps connections open and passes nothing these ways. What was sent
-	// meanwhile arrives once it ends; datagrams are lost.
+	// Stall keeps connections open and relays nothing in these directions. Data that is sent
+	// during the stall arrives after its end; datagrams are lost. In a Mesh any direction stalls.
 	Stall Way
-	// Delay holds back each piece for so long, and up to Jitter more. The order is preserved.
+	// Delay delays each piece of data that is read from a connection, and each datagram, by this
+	// time plus a random time of up to Jitter. The order is preserved within a connection;
+	// datagrams may overtake each other.
 	Delay, Jitter time.Duration
-	// Loss is the share of datagrams lost, Double of those that come twice.
+	// Loss is the share of datagrams that are lost, from 0 to 1, and Double the share of the others
+	// that arrive twice.
 	Loss, Double float64
 }
 
-// Step is one step of a script: once its event has come, its fault is set.
+// Step is one step of a script. Each step is performed once, when its trigger occurs: it sets Fault
+// or, with Cut, calls Link.Cut; after that, with Reset, it calls Link.Reset.
 type Step struct {
-	On    string // a mark, as often as Times says (0: once)
-	Times int
-	// Conns, in place of On: so many connections were made over the link.
+	On    string // the event that triggers the step, see Net.Mark
+	Times int    // how many times the event must have been reported; 0: once
+	// Conns triggers the step, in place of On, once this many connections were made over the link
+	// or, if Link is empty, over any one link.
 	Conns int
-	Link  string // "": every link
+	Link  string // the name of the link that the step applies to; "": every link
 	Fault Fault
-	Cut   bool // in mid-message: half of the next piece passes, then a reset
-	Reset bool // all that is open on the link
+	Cut   bool // cut a connection in the middle of a message, in place of setting Fault
+	Reset bool // reset all connections that are open on the link
 }
 
-// Net is a set of links.
+// Net is a set of links and meshes with one script and one source of random numbers. Its methods may be
+// called from several goroutines.
 type Net struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
-	links  map[string]*Link
+	links  map[string]*Link // by name
 	meshes []*Mesh
-	script []Step
-	marks  map[string]int
+	script []Step         // the steps that have not been performed
+	marks  map[string]int // how many times each event was reported
 	wg     sync.WaitGroup
 	closed bool
 }
 
-// New returns a net without links.
+// New returns a Net without links.
 func New(seed uint64, script ...Step) *Net {
 	return &Net{rng: rand.New(rand.NewPCG(seed, 2)), links: make(map[string]*Link), script: script, marks: make(map[string]int)}
 }
 
-// maxDial is how long a connection to the address behind a link may take.
-const maxDial = 5 * time.Second
+// dialTimeout bounds the time to connect to the address that a link relays to.
+const dialTimeout = 5 * time.Second
 
-// TCP makes a link to an address: host:port, or unix:path.
+// TCP makes a link that relays connections to an address, host:port or unix:path. It returns an
+// error if the name is in use or the Net is closed.
 func (n *Net) TCP(name, to string) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,12 +92,13 @@
 		ln.Close()
 		return nil, err
 	}
-	l.ln, l.addr = ln, ln.Addr().String()
-	n.wg.Go(l.accept)
+	l.listener, l.addr = ln, ln.Addr().String()
+	n.wg.Go(l.acceptConns)
 	return l, nil
 }
 
-// UDP makes a link to an address for datagrams.
+// UDP makes a link that relays datagrams to an address, host:port. It returns an error if the name
+// is in use or the Net is closed.
 func (n *Net) UDP(name, to string) (*Link, error) {
 	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -99,27 +109,28 @@
 		pc.Close()
 		return nil, err
 	}
-	l.pc, l.addr, l.peers = pc, pc.LocalAddr().String(), make(map[string]net.Conn)
-	n.wg.Go(l.datagrams)
+	l.packetConn, l.addr, l.peers = pc, pc.LocalAddr().String(), make(map[string]net.Conn)
+	n.wg.Go(l.relayDatagrams)
 	return l, nil
 }
 
+// add makes a link that connects to the address to in a network, without a listener.
 func (n *Net) add(name, to, network string) (*Link, error) {
 	if len(to) > 5 && to[:5] == "unix:" {
 		network, to = "unix", to[5:]
 	}
-	l := &Link{net: n, name: name, change: make(chan struct{}), conns: make(map[*pair]bool)}
-	l.dial = func() (net.Conn, error) { return net.DialTimeout(network, to, maxDial) }
+	l := &Link{net: n, name: name, faultChanged: make(chan struct{}), conns: make(map[*connPair]bool)}
+	l.dial = func() (net.Conn, error) { return net.DialTimeout(network, to, dialTimeout) }
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed || n.links[name] != nil {
-		return nil, fmt.Errorf("faultnet: link %s: the net is closed, or the name is taken", name)
+		return nil, fmt.Errorf("faultnet: link %s: the net is closed, or the name is in use", name)
 	}
 	n.links[name] = l
 	return l, nil
 }
 
-// Close ends all links and connections, and returns once nothing runs.
+// Close closes all links, meshes and connections, and returns once all their goroutines have ended.
 func (n *Net) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -129,12 +140,12 @@
 		m.close()
 	}
 	for _, l := range links {
-		if l.ln != nil {
-			l.ln.Close()
+		if l.listener != nil {
+			l.listener.Close()
 		} else {
-			l.pc.Close()
+			l.packetConn.Close()
 		}
-		l.reset(nil)
+		l.resetConns(nil)
 		l.mu.Lock()
 		for _, c := range l.peers {
 			c.Close()
@@ -144,33 +155,35 @@
 	n.wg.Wait()
 }
 
-// Mark notifies the script of an event.
+// Mark reports an event to the script. It performs the steps that the event triggers before it
+// returns.
 func (n *Net) Mark(event string) {
 	n.mu.Lock()
 	n.marks[event]++
 	n.mu.Unlock()
-	n.play(func(s *Step) bool { return s.On == event && n.marks[event] >= max(1, s.Times) })
+	n.performDue(func(s *Step) bool { return s.On == event && n.marks[event] >= max(1, s.Times) })
 }
 
-// play sets off the steps whose event has come, each once.
-func (n *Net) play(due func(s *Step) bool) {
+// performDue performs the steps that are due and removes them from the script. due is called with n.mu
+// held.
+func (n *Net) performDue(due func(s *Step) bool) {
 	n.mu.Lock()
-	var now []Step
-	rest := n.script[:0:0]
+	var dueSteps []Step
+	remaining := n.script[:0:0]
 	for _, s := range n.script {
 		if due(&s) {
-			now = append(now, s)
+			dueSteps = append(dueSteps, s)
 		} else {
-			rest = append(rest, s)
+			remaining = append(remaining, s)
 		}
 	}
-	n.script = rest
+	n.script = remaining
 	links := make([]*Link, 0, len(n.links))
 	for _, l := range n.links {
 		links = append(links, l)
 	}
 	n.mu.Unlock()
-	for _, s := range now {
+	for _, s := range dueSteps {
 		for _, l := range links {
 			if s.Link == "" || s.Link == l.name {
 				if s.Cut {
@@ -186,7 +199,8 @@
 	}
 }
 
-func (n *Net) chance() float64 {
+// randomFloat returns a random number in [0, 1) from the Net's seed.
+func (n *Net) randomFloat() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64()
--- a/internal/standin/faultnet/faultnet_test.go
+++ b/internal/standin/faultnet/faultnet_test.go
@@ -13,8 +13,9 @@
 	"go.uber.org/goleak"
 )
 
-// echo answers what it is sent, over TCP and UDP, until the test ends.
-func echo(t *testing.T) (tcp, udp string) {
+// startEcho starts servers that send back what they receive, over TCP and UDP, until the test ends. It
+// returns their addresses.
+func startEcho(t *testing.T) (tcp, udp string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -49,27 +50,32 @@
 	return ln.Addr().String(), pc.LocalAddr().String()
 }
 
-// say sends a word and reads so much of its echo as comes within a time.
-func say(t *testing.T, c net.Conn, word string, limit time.Duration) (string, error) {
+// exchange sends a word and returns as much of its echo as arrives before the timeout. If that is
+// not the complete word, the error says why.
+func exchange(t *testing.T, c net.Conn, word string, timeout time.Duration) (string, error) {
 	t.Helper()
 	if _, err := io.WriteString(c, word); err != nil {
 		return "", err
 	}
-	c.SetReadDeadline(time.Now().Add(limit))
+	c.SetReadDeadline(time.Now().Add(timeout))
 	buf := make([]byte, len(word))
 	n, err := io.ReadFull(c, buf)
 	return string(buf[:n]), err
 }
 
 const (
-	soon  = 10 * time.Second
-	never = 150 * time.Millisecond
+	// longTimeout bounds the wait for data that must arrive.
+	longTimeout = 10 * time.Second
+	// shortTimeout is the wait for data that must not arrive, and the delay and jitter of the test
+	// of delays.
+	shortTimeout = 150 * time.Millisecond
 )
 
+// TestFaultnet checks each fault of a TCP link in turn on one link, with a script.
 func TestFaultnet(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("all", func(t *testing.T) {
-		to, _ := echo(t)
+		to, _ := startEcho(t)
 		n := New(1, Step{On: "stage", Times: 2, Link: "a", Fault: Fault{Stall: Both}}, Step{Conns: 3, Link: "a", Reset: true}, Step{On: "healed", Link: "a"})
 		defer n.Close()
 		l, err := n.TCP("a", to)
@@ -77,7 +83,7 @@
 			t.Fatal(err)
 		}
 		if _, err := n.TCP("a", to); err == nil {
-			t.Error("two links of one name")
+			t.Error("a second link with the same name was made, want an error")
 		}
 		dial := func() net.Conn {
 			c, err := net.Dial("tcp", l.Addr())
@@ -87,81 +93,84 @@
 			t.Cleanup(func() { c.Close() })
 			return c
 		}
-		timeout := func(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
-		broken := func(err error) bool { return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) }
+		isTimeout := func(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+		isReset := func(err error) bool { return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) }
 
 		c := dial()
-		if got, err := say(t, c, "hello", soon); got != "hello" || err != nil {
-			t.Fatal(got, err)
+		if got, err := exchange(t, c, "hello", longTimeout); got != "hello" || err != nil {
+			t.Fatalf("without a fault: got %q, %v; want %q", got, err, "hello")
 		}
-		// Stalled on the second mark: open and silent, and nothing is lost by it.
+		// The second report of the event stalls the link: the connection stays open, and no data is lost.
 		n.Mark("stage")
-		if got, _ := say(t, c, "once", soon); got != "once" {
-			t.Error("stalled on the first of two marks")
+		if got, _ := exchange(t, c, "once", longTimeout); got != "once" {
+			t.Error("the link is stalled after the first of two reports of the event")
 		}
 		n.Mark("stage")
-		if got, err := say(t, c, "twice", never); got != "" || !timeout(err) {
-			t.Errorf("stalled: %q %v", got, err)
+		if got, err := exchange(t, c, "twice", shortTimeout); got != "" || !isTimeout(err) {
+			t.Errorf("stalled link: got %q, %v; want no data and a timeout", got, err)
 		}
 		n.Mark("healed")
-		c.SetReadDeadline(time.Now().Add(soon))
+		c.SetReadDeadline(time.Now().Add(longTimeout))
 		buf := make([]byte, 5)
 		if _, err := io.ReadFull(c, buf); string(buf) != "twice" {
-			t.Errorf("after the stall: %q %v", buf, err)
+			t.Errorf("after the stall: got %q, %v; want %q", buf, err, "twice")
 		}
-		// One way only: it arrives there, and no answer comes.
+		// A stall of the direction Back only: the data arrives at the target, and no answer arrives.
 		there, back := l.Carried()
 		l.Set(Fault{Stall: Back})
-		if _, err := say(t, c, "way", never); !timeout(err) {
-			t.Error("one way:", err)
+		if _, err := exchange(t, c, "way", shortTimeout); !isTimeout(err) {
+			t.Errorf("link stalled in the direction Back: got error %v, want a timeout", err)
 		}
-		if th, ba := l.Carried(); th != there+3 || ba != back {
-			t.Errorf("carried %d and %d more; want 3 and 0", th-there, ba-back)
+		if newThere, newBack := l.Carried(); newThere != there+3 || newBack != back {
+			t.Errorf("link stalled in the direction Back: relayed %d bytes There and %d Back, want 3 and 0", newThere-there, newBack-back)
 		}
 		l.Set(Fault{})
-		c.SetReadDeadline(time.Now().Add(soon))
+		c.SetReadDeadline(time.Now().Add(longTimeout))
 		io.ReadFull(c, buf[:3])
-		l.Set(Fault{Delay: never, Jitter: never})
+		l.Set(Fault{Delay: shortTimeout, Jitter: shortTimeout})
 		began := time.Now()
-		if got, err := say(t, c, "late", soon); got != "late" || time.Since(began) < 2*never {
-			t.Errorf("delayed both ways: %q %v after %v", got, err, time.Since(began))
+		if got, err := exchange(t, c, "late", longTimeout); got != "late" || time.Since(began) < 2*shortTimeout {
+			t.Errorf("link with a delay: got %q, %v after %v; want %q after at least %v", got, err, time.Since(began), "late", 2*shortTimeout)
 		}
 		l.Set(Fault{})
-		// Cut in mid-message.
+		// A cut in the middle of a message.
 		l.Cut()
-		if got, err := say(t, c, "halfhalf", soon); len(got) >= 8 || !broken(err) && err != io.ErrUnexpectedEOF && err != io.EOF {
-			t.Errorf("cut: %q %v", got, err)
+		if got, err := exchange(t, c, "halfhalf", longTimeout); len(got) >= 8 || !isReset(err) && err != io.ErrUnexpectedEOF && err != io.EOF {
+			t.Errorf("cut connection: got %q, %v; want less than 8 bytes and a closed connection", got, err)
 		}
-		// The third connection resets all.
+		// The script resets all connections when the third one is made.
 		second := dial()
-		say(t, second, "x", soon)
+		exchange(t, second, "x", longTimeout)
 		third := dial()
-		third.SetReadDeadline(time.Now().Add(soon))
-		if _, err := third.Read(buf); !broken(err) && err != io.EOF {
-			t.Error("the third connection:", err)
+		third.SetReadDeadline(time.Now().Add(longTimeout))
+		if _, err := third.Read(buf); !isReset(err) && err != io.EOF {
+			t.Errorf("third connection: got error %v, want a reset or the end of the data", err)
 		}
-		// Dropped: refused after the connect, and sound again once healed.
+		// With Drop, a new connection is reset right after it is accepted. Without it, data is relayed again.
 		l.Set(Fault{Drop: true})
 		if d, err := net.Dial("tcp", l.Addr()); err == nil {
-			d.SetReadDeadline(time.Now().Add(soon))
-			if _, err := d.Read(buf); !broken(err) {
-				t.Error("dropped:", err)
+			d.SetReadDeadline(time.Now().Add(longTimeout))
+			if _, err := d.Read(buf); !isReset(err) {
+				t.Errorf("link with Drop: got error %v, want a reset", err)
 			}
 			d.Close()
 		}
 		l.Set(Fault{})
-		if got, err := say(t, dial(), "again", soon); got != "again" {
-			t.Error("healed:", got, err)
+		if got, err := exchange(t, dial(), "again", longTimeout); got != "again" {
+			t.Errorf("after Drop: got %q, %v; want %q", got, err, "again")
 		}
 	})
 }
 
-// Datagrams: the same seed loses the same ones, and answers find their way back.
+// TestFaultnetDatagrams checks that the same seed loses the same datagrams, that another seed loses
+// others, and that answers are relayed back to the sender.
 func TestFaultnetDatagrams(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("all", func(t *testing.T) {
-		_, to := echo(t)
-		lost := func(seed uint64) (out string) {
+		_, to := startEcho(t)
+		// losses returns a character for each of 30 datagrams: "." if it was answered, ">" if it was
+		// lost on its way to the target and "<" if its answer was lost.
+		losses := func(seed uint64) (out string) {
 			n := New(seed)
 			defer n.Close()
 			l, err := n.UDP("u", to)
@@ -179,7 +188,7 @@
 				before := l.carried
 				l.mu.Unlock()
 				fmt.Fprint(c, i)
-				c.SetReadDeadline(time.Now().Add(never))
+				c.SetReadDeadline(time.Now().Add(shortTimeout))
 				buf := make([]byte, 16)
 				if _, err := c.Read(buf); err == nil {
 					out += "."
@@ -191,9 +200,9 @@
 			}
 			return out
 		}
-		a, b := lost(7), lost(7)
-		if a != b || a == lost(8) {
-			t.Errorf("lost %s and %s", a, b)
+		first, second := losses(7), losses(7)
+		if first != second || first == losses(8) {
+			t.Errorf("losses with seed 7 are %s and %s; want them equal, and other losses with seed 8", first, second)
 		}
 	})
 }
--- a/internal/standin/faultnet/link.go
+++ b/internal/standin/faultnet/link.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// Link is a relay to one address.
+// Link relays connections or datagrams to one address. Its methods may be called from several
+// goroutines.
 type Link struct {
-	net  *Net
-	name string
-	addr string
-	dial func() (net.Conn, error)
-	ln   net.Listener   // of TCP
-	pc   net.PacketConn // of UDP
-
-	mu      sync.Mutex
-	fault   Fault
-	change  chan struct{} // closed at the next change of fault
-	cut     bool
-	conns   map[*pair]bool
-	made    int
-	carried [2]int64 // bytes, There and Back
-	peers   map[string]net.Conn
-	order   []string // of peers, the oldest first
+	net        *Net
+	name       string
+	addr       string
+	dial       func() (net.Conn, error) // connects to the address that the link relays to
+	listener   net.Listener             // nil for UDP
+	packetConn net.PacketConn           // nil for TCP
+
+	mu           sync.Mutex
+	fault        Fault
+	faultChanged chan struct{} // closed at the next change of fault
+	cut          bool          // the next piece of data is cut, see Cut
+	conns        map[*connPair]bool
+	made         int
+	carried      [2]int64            // bytes relayed There and Back
+	peers        map[string]net.Conn // for UDP, the socket of each sender by the sender's address
+	order        []string            // the addresses in peers, the oldest first
 }
 
-// pair is a relayed connection: from who connected, and to who listens.
-type pair struct {
+// connPair is a relayed connection: from the process that connected, and to the one that listens.
+type connPair struct {
 	from, to net.Conn
 	once     sync.Once
-	done     chan struct{}
+	done     chan struct{} // closed when both are closed
 }
 
-// end closes both sides, by a reset if requested.
-func (p *pair) end(reset bool) {
+// close closes both connections, by a reset if requested.
+func (p *connPair) close(reset bool) {
 	p.once.Do(func() {
 		for _, c := range []net.Conn{p.from, p.to} {
 			if tc, ok := c.(*net.TCPConn); ok && reset {
@@ -47,33 +48,33 @@
 	})
 }
 
-// Addr is where to connect in place of the address behind the link.
+// Addr returns the link's own address, host:port, to which the relayed process connects or sends.
 func (l *Link) Addr() string { return l.addr }
 
-// Set sets a fault in place of the one before; the zero Fault heals.
+// Set replaces the link's fault; the zero Fault removes it. Drop resets the open connections at once.
 func (l *Link) Set(f Fault) {
 	l.mu.Lock()
 	l.fault = f
-	close(l.change)
-	l.change = make(chan struct{})
+	close(l.faultChanged)
+	l.faultChanged = make(chan struct{})
 	l.mu.Unlock()
 	if f.Drop {
-		l.reset(nil)
+		l.resetConns(nil)
 	}
 }
 
-// Reset breaks all connections that are open now.
-func (l *Link) Reset() { l.reset(nil) }
+// Reset resets all connections that are open now.
+func (l *Link) Reset() { l.resetConns(nil) }
 
-// Cut lets half of the next piece pass, in either way, and resets its connection.
+// Cut makes the link relay only half of the next piece of data that it reads, in either direction, and
+// then reset that connection.
 func (l *Link) Cut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = true
 }
 
-// Made is how many connections were made, Open how many of them are, Carried how
-// many bytes have passed.
+// Made returns the number of connections made so far.
 func (l *Link) Made() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,16 +88,18 @@
 	return len(l.conns)
 }
 
-// Carried returns the bytes relayed so far in each direction.
+// Carried returns the number of bytes relayed so far in each direction. A datagram that is duplicated
+// counts once.
 func (l *Link) Carried() (there, back int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.carried[0], l.carried[1]
 }
 
-func (l *Link) reset(only *pair) {
+// resetConns resets one connection, or all if only is nil.
+func (l *Link) resetConns(only *connPair) {
 	l.mu.Lock()
-	var ps []*pair
+	var ps []*connPair
 	for p := range l.conns {
 		if only == nil || p == only {
 			ps = append(ps, p)
@@ -104,13 +107,14 @@
 	}
 	l.mu.Unlock()
 	for _, p := range ps {
-		p.end(true)
+		p.close(true)
 	}
 }
 
-func (l *Link) accept() {
+// acceptConns accepts connections until the listener is closed.
+func (l *Link) acceptConns() {
 	for {
-		from, err := l.ln.Accept()
+		from, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -126,6 +130,7 @@
 	}
 }
 
+// relay connects to the link's target and relays between it and from until both directions have ended.
 func (l *Link) relay(from net.Conn) {
 	to, err := l.dial()
 	if err != nil {
@@ -133,40 +138,41 @@
 		from.Close()
 		return
 	}
-	p := &pair{from: from, to: to, done: make(chan struct{})}
+	p := &connPair{from: from, to: to, done: make(chan struct{})}
 	l.mu.Lock()
 	l.conns[p] = true
 	l.made++
 	made := l.made
 	l.mu.Unlock()
-	l.net.play(func(s *Step) bool { return s.Conns > 0 && s.Conns <= made && (s.Link == "" || s.Link == l.name) })
+	l.net.performDue(func(s *Step) bool { return s.Conns > 0 && s.Conns <= made && (s.Link == "" || s.Link == l.name) })
 	l.net.mu.Lock()
 	closed := l.net.closed
 	l.net.mu.Unlock()
 	if closed {
-		p.end(true)
+		p.close(true)
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { l.pump(p, There) })
-	wg.Go(func() { l.pump(p, Back) })
+	wg.Go(func() { l.copyData(p, There) })
+	wg.Go(func() { l.copyData(p, Back) })
 	wg.Wait()
-	p.end(false)
+	p.close(false)
 	l.mu.Lock()
 	delete(l.conns, p)
 	l.mu.Unlock()
 }
 
-// wait returns once a piece may pass this way; false if the connection ended before.
-func (l *Link) wait(w Way, done <-chan struct{}) bool {
+// waitToRelay waits until a piece of data may be relayed in a direction. It returns false if the
+// connection was closed before.
+func (l *Link) waitToRelay(direction Way, done <-chan struct{}) bool {
 	for {
 		l.mu.Lock()
-		f, change := l.fault, l.change
+		f, faultChanged := l.fault, l.faultChanged
 		l.mu.Unlock()
-		if f.Stall&w == 0 {
+		if f.Stall&direction == 0 {
 			if f.Delay == 0 && f.Jitter == 0 {
 				return true
 			}
-			t := time.NewTimer(f.Delay + time.Duration(float64(f.Jitter)*l.net.chance()))
+			t := time.NewTimer(f.Delay + time.Duration(float64(f.Jitter)*l.net.randomFloat()))
 			defer t.Stop()
 			select {
 			case <-t.C:
@@ -176,23 +182,24 @@
 			}
 		}
 		select {
-		case <-change:
+		case <-faultChanged:
 		case <-done:
 			return false
 		}
 	}
 }
 
-func (l *Link) pump(p *pair, w Way) {
-	from, to, at := p.from, p.to, 0
-	if w == Back {
-		from, to, at = p.to, p.from, 1
+// copyData relays data in one direction of a connection until that direction has ended.
+func (l *Link) copyData(p *connPair, direction Way) {
+	from, to, carriedIndex := p.from, p.to, 0
+	if direction == Back {
+		from, to, carriedIndex = p.to, p.from, 1
 	}
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !l.wait(w, p.done) {
+			if !l.waitToRelay(direction, p.done) {
 				return
 			}
 			l.mu.Lock()
@@ -201,24 +208,25 @@
 			if cut {
 				n /= 2
 			}
-			l.carried[at] += int64(n)
+			l.carried[carriedIndex] += int64(n)
 			l.mu.Unlock()
-			if _, e := to.Write(buf[:n]); e != nil {
-				p.end(false)
+			if _, writeErr := to.Write(buf[:n]); writeErr != nil {
+				p.close(false)
 				return
 			}
 			if cut {
-				p.end(true)
+				p.close(true)
 				return
 			}
 		}
 		if err != nil {
-			// An end passes on as an end, after a stall too; a break as a break.
-			if half, ok := to.(interface{ CloseWrite() error }); ok && !errors.Is(err, net.ErrClosed) && l.wait(w, p.done) && isEOF(err) {
-				half.CloseWrite()
+			// The end of the data is relayed as such, after a stall if there is one. Any other error is
+			// relayed as a reset.
+			if writeSide, ok := to.(interface{ CloseWrite() error }); ok && !errors.Is(err, net.ErrClosed) && l.waitToRelay(direction, p.done) && isEOF(err) {
+				writeSide.CloseWrite()
 				return
 			}
-			p.end(!isEOF(err))
+			p.close(!isEOF(err))
 			return
 		}
 	}
--- a/internal/standin/faultnet/mesh.go
+++ b/internal/standin/faultnet/mesh.go
@@ -6,59 +6,61 @@
 	"net/netip"
 )
 
-// Mesh carries datagrams between named members, each of which has one public address in
-// it: what is sent there arrives at the member's own, from the sender's public address.
-// Faults are set for each ordered pair.
+// Mesh relays datagrams between members, which are numbered from 0. Each member has its own address
+// and a public address in the mesh. A datagram that a member sends from its own address to
+// another's public address arrives at the other's own address, with the sender's public address as
+// its source. Faults are set for each ordered pair of members.
 type Mesh struct {
 	net     *Net
-	ports   []*net.UDPConn // by member, its public address
-	homes   []netip.AddrPort
-	members map[netip.AddrPort]int
+	sockets []*net.UDPConn         // by member, bound to its public address
+	own     []netip.AddrPort       // by member, its own address
+	members map[netip.AddrPort]int // the member by its own address
 
-	faults  [][]Fault // from, to; guarded by the net's lock
-	carried []int64   // bytes from each, as sent; guarded by the net's lock
+	faults  [][]Fault // by sender and receiver; guarded by net.mu
+	carried []int64   // by sender, the bytes sent, including those lost; guarded by net.mu
 }
 
-// Mesh makes a mesh of members whose own addresses are given.
-func (n *Net) Mesh(homes []string) (*Mesh, error) {
-	m := &Mesh{net: n, members: make(map[netip.AddrPort]int), carried: make([]int64, len(homes))}
-	for i, text := range homes {
-		home, err := netip.ParseAddrPort(text)
+// Mesh makes a mesh of members with the given own addresses, each IP:port.
+func (n *Net) Mesh(ownAddrs []string) (*Mesh, error) {
+	m := &Mesh{net: n, members: make(map[netip.AddrPort]int), carried: make([]int64, len(ownAddrs))}
+	for i, text := range ownAddrs {
+		own, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("faultnet: mesh: member %d: %w", i, err)
 		}
-		m.homes = append(m.homes, home)
-		m.members[home] = i
-		m.faults = append(m.faults, make([]Fault, len(homes)))
+		m.own = append(m.own, own)
+		m.members[own] = i
+		m.faults = append(m.faults, make([]Fault, len(ownAddrs)))
 	}
-	for i := range homes {
+	for i := range ownAddrs {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
-			for _, p := range m.ports {
+			for _, p := range m.sockets {
 				p.Close()
 			}
 			return nil, fmt.Errorf("faultnet: mesh: member %d: %w", i, err)
 		}
-		m.ports = append(m.ports, c)
+		m.sockets = append(m.sockets, c)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.meshes = append(n.meshes, m)
-	for i := range m.ports {
-		n.wg.Go(func() { m.carry(i) })
+	for i := range m.sockets {
+		n.wg.Go(func() { m.relay(i) })
 	}
 	return m, nil
 }
 
-// Addrs are the members' public addresses.
+// Addrs returns the members' public addresses, by member.
 func (m *Mesh) Addrs() (addrs []string) {
-	for _, p := range m.ports {
+	for _, p := range m.sockets {
 		addrs = append(addrs, p.LocalAddr().String())
 	}
 	return addrs
 }
 
-// Set sets a fault on the ways from one member to another for which pick says so.
+// Set sets a fault for the ordered pairs of members for which pick returns true. It replaces
+// their earlier fault.
 func (m *Mesh) Set(f Fault, pick func(from, to int) bool) {
 	m.net.mu.Lock()
 	defer m.net.mu.Unlock()
@@ -71,7 +73,7 @@
 	}
 }
 
-// Carried is how many bytes a member has sent.
+// Carried returns the number of bytes that a member has sent to others, including those lost.
 func (m *Mesh) Carried(from int) int64 {
 	m.net.mu.Lock()
 	defer m.net.mu.Unlock()
@@ -79,16 +81,17 @@
 }
 
 func (m *Mesh) close() {
-	for _, p := range m.ports {
+	for _, p := range m.sockets {
 		p.Close()
 	}
 }
 
-// carry passes on what comes for one member.
-func (m *Mesh) carry(to int) {
+// relay relays the datagrams that are sent to one member's public address, until the mesh is closed.
+// It ignores datagrams from other addresses than the members'.
+func (m *Mesh) relay(to int) {
 	buf := make([]byte, 64<<10)
 	for {
-		n, addr, err := m.ports[to].ReadFromUDPAddrPort(buf)
+		n, addr, err := m.sockets[to].ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
@@ -100,7 +103,7 @@
 		f := m.faults[from][to]
 		m.carried[from] += int64(n)
 		m.net.mu.Unlock()
-		copies, wait := m.net.fate(f, Both)
-		m.net.later(buf[:n], copies, wait, func(b []byte) { m.ports[from].WriteToUDPAddrPort(b, m.homes[to]) })
+		copies, delay := m.net.drawDelivery(f, Both)
+		m.net.sendCopies(buf[:n], copies, delay, func(b []byte) { m.sockets[from].WriteToUDPAddrPort(b, m.own[to]) })
 	}
 }
--- a/internal/standin/faultnet/udp.go
+++ b/internal/standin/faultnet/udp.go
@@ -8,34 +8,36 @@
 	"time"
 )
 
+// isEOF reports whether err is the regular end of the data.
 func isEOF(err error) bool { return errors.Is(err, io.EOF) }
 
-// maxPeers is how many senders a UDP link answers; one more, and who has been
-// there for longest is forgotten.
+// maxPeers is the number of senders whose answers a UDP link can relay. A further sender replaces
+// the one that was added first.
 const maxPeers = 256
 
-// datagrams relays from any sender to the address behind, and its answers back.
-func (l *Link) datagrams() {
+// relayDatagrams relays datagrams from any sender to the link's target until the link is closed. Each
+// sender gets a socket, by which the target's answers are relayed back.
+func (l *Link) relayDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := l.pc.ReadFrom(buf)
+		n, from, err := l.packetConn.ReadFrom(buf)
 		if err != nil {
 			return
 		}
-		l.carry(There, buf[:n], func(b []byte) {
-			if to, err := l.peer(from); err == nil {
+		l.relayDatagram(There, buf[:n], func(b []byte) {
+			if to, err := l.socketFor(from); err == nil {
 				to.Write(b)
 			}
 		})
 	}
 }
 
-// fate draws what becomes of a datagram: how many copies arrive, and how late. Jitter may
-// change their order, as on a real network.
-func (n *Net) fate(f Fault, w Way) (copies int, wait time.Duration) {
+// drawDelivery draws how many copies of a datagram are delivered, 0 if it is lost, and after which delay.
+// Jitter may change the order of datagrams, as on a real network.
+func (n *Net) drawDelivery(f Fault, direction Way) (copies int, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if f.Drop || f.Stall&w != 0 || f.Loss > 0 && n.rng.Float64() < f.Loss {
+	if f.Drop || f.Stall&direction != 0 || f.Loss > 0 && n.rng.Float64() < f.Loss {
 		return 0, 0
 	}
 	copies = 1
@@ -45,38 +47,41 @@
 	return copies, f.Delay + time.Duration(float64(f.Jitter)*n.rng.Float64())
 }
 
-// later sends copies of a datagram after a wait.
-func (n *Net) later(b []byte, copies int, wait time.Duration, send func([]byte)) {
+// sendCopies sends copies of a datagram after a delay. It does not wait for the delay, and may be called
+// with a buffer that is reused.
+func (n *Net) sendCopies(b []byte, copies int, delay time.Duration, send func([]byte)) {
 	b = append([]byte(nil), b...)
 	for range copies {
-		if wait == 0 {
+		if delay == 0 {
 			send(b)
 			continue
 		}
 		n.wg.Go(func() {
-			time.Sleep(wait)
-			send(b) // to a socket that may be closed by now: then it is lost
+			time.Sleep(delay)
+			send(b) // the datagram is lost if the socket has been closed meanwhile
 		})
 	}
 }
 
-// carry sends a datagram on as the link's fault has it, and counts it if it is carried.
-func (l *Link) carry(w Way, b []byte, send func([]byte)) {
+// relayDatagram sends a datagram as the link's fault determines, and counts its bytes unless it is
+// lost.
+func (l *Link) relayDatagram(direction Way, b []byte, send func([]byte)) {
 	l.mu.Lock()
 	f := l.fault
 	l.mu.Unlock()
-	copies, wait := l.net.fate(f, w)
+	copies, delay := l.net.drawDelivery(f, direction)
 	if copies == 0 {
 		return
 	}
 	l.mu.Lock()
-	l.carried[w>>1] += int64(len(b))
+	l.carried[direction>>1] += int64(len(b))
 	l.mu.Unlock()
-	l.net.later(b, copies, wait, send)
+	l.net.sendCopies(b, copies, delay, send)
 }
 
-// peer is the socket that speaks for one sender.
-func (l *Link) peer(from net.Addr) (net.Conn, error) {
+// socketFor returns the socket that relays a sender's datagrams to the link's target. It makes one at
+// the first datagram of a sender.
+func (l *Link) socketFor(from net.Addr) (net.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c := l.peers[from.String()]; c != nil {
@@ -104,11 +109,11 @@
 		buf := make([]byte, 64<<10)
 		for {
 			n, err := c.Read(buf)
-			if err != nil && !errors.Is(err, syscall.ECONNREFUSED) { // nobody there so far
+			if err != nil && !errors.Is(err, syscall.ECONNREFUSED) { // no process listens at the target yet
 				return
 			}
 			if err == nil {
-				l.carry(Back, buf[:n], func(b []byte) { l.pc.WriteTo(b, from) })
+				l.relayDatagram(Back, buf[:n], func(b []byte) { l.packetConn.WriteTo(b, from) })
 			}
 		}
 	})
--- a/internal/standin/pgserver/execute.go
+++ b/internal/standin/pgserver/execute.go
@@ -9,7 +9,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// execute carries a statement out and sends its rows.
+// execute executes a statement, with the faults injected before and after it, and sends its rows and
+// its command tag.
 func (c *session) execute(p *portal) error {
 	if c.status == 'E' && p.kind != rollback && p.kind != commit {
 		return &failure{"25P02", "current transaction is aborted, commands ignored until end of transaction block"}
@@ -27,23 +28,23 @@
 		c.cancel = nil
 		c.mu.Unlock()
 	}()
-	if err := c.suffer(ctx, Before, p.text); err != nil {
+	if err := c.injectFault(ctx, Before, p.text); err != nil {
 		return err
 	}
 	if p.writes && c.srv.isReadOnly() {
 		return &failure{"25006", "cannot execute " + strings.ToUpper(p.kind) + " in a read-only transaction"}
 	}
-	rows, tag, err := c.carryOut(ctx, p)
+	rows, tag, err := c.executeOnSQLite(ctx, p)
 	if err != nil {
 		return err
 	}
-	if err := c.suffer(ctx, After, p.text); err != nil {
+	if err := c.injectFault(ctx, After, p.text); err != nil {
 		return err
 	}
 	for _, row := range rows {
 		var out [][]byte
 		for n, v := range row {
-			b, err := encode(c.types, p.columns[n].oid, format(p.formats, n), v)
+			b, err := encode(c.types, p.columns[n].oid, formatOf(p.formats, n), v)
 			if err != nil {
 				return &failure{"XX000", fmt.Sprintf("column %s: %v", p.columns[n].name, err)}
 			}
@@ -55,27 +56,28 @@
 	return nil
 }
 
-// suffer does what the fault of a statement's stage says.
-func (c *session) suffer(ctx context.Context, stage Stage, text string) error {
+// injectFault injects the fault, if any, of a statement's stage. It returns the error of the statement,
+// or errClosed if the connection is to be closed.
+func (c *session) injectFault(ctx context.Context, stage Stage, text string) error {
 	f := c.srv.fault(c, stage, text)
 	if f.Delay > 0 {
-		t := time.NewTimer(f.Delay)
-		defer t.Stop()
+		timer := time.NewTimer(f.Delay)
+		defer timer.Stop()
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-c.srv.end:
+		case <-c.srv.closing:
 			return errClosed
 		}
 	}
 	switch {
 	case f.Stall:
-		// What is written already is held back too: a hung server says nothing.
+		// Replies that are buffered are not flushed either: a server that hangs sends nothing.
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-c.srv.end:
+		case <-c.srv.closing:
 		}
 		return errClosed
 	case f.Reset:
@@ -87,11 +89,11 @@
 	return nil
 }
 
-// maxRows is how many rows a statement may return.
+// maxRows is the maximum number of rows that a statement may return.
 const maxRows = 20000
 
-// carryOut carries out a statement on SQLite, and returns its rows and its command tag.
-func (c *session) carryOut(ctx context.Context, p *portal) (rows [][]any, tag string, err error) {
+// executeOnSQLite executes a statement on SQLite and returns its rows and its command tag.
+func (c *session) executeOnSQLite(ctx context.Context, p *portal) (rows [][]any, tag string, err error) {
 	switch p.kind {
 	case begin:
 		tag, err = c.begin(ctx)
@@ -107,7 +109,7 @@
 	return c.query(ctx, p)
 }
 
-// begin begins a transaction, unless one is open.
+// begin begins a transaction; if one is open, it sends a warning, as PostgreSQL does.
 func (c *session) begin(ctx context.Context) (tag string, err error) {
 	if c.status != 'I' {
 		c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25001", Message: "there is already a transaction in progress"})
@@ -120,14 +122,15 @@
 	return "BEGIN", nil
 }
 
-// end commits a transaction or rolls it back; one that failed is always rolled back.
+// end commits a transaction or rolls it back, by kind; a failed transaction is always rolled back. If
+// none is open, it sends a warning, as PostgreSQL does.
 func (c *session) end(ctx context.Context, kind string) (tag string, err error) {
-	was := c.status
-	if was == 'I' {
+	status := c.status
+	if status == 'I' {
 		c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "25P01", Message: "there is no transaction in progress"})
 		return strings.ToUpper(kind), nil
 	}
-	if was == 'E' || kind == rollback {
+	if status == 'E' || kind == rollback {
 		tag = "ROLLBACK"
 	} else {
 		tag = "COMMIT"
@@ -139,13 +142,13 @@
 	return tag, nil
 }
 
-// exec carries out a statement without results.
+// exec executes a statement that returns no rows.
 func (c *session) exec(ctx context.Context, p *portal) (tag string, err error) {
-	r, err := c.db.ExecContext(ctx, p.sqlite, p.args...)
+	result, err := c.db.ExecContext(ctx, p.sqlite, p.args...)
 	if err != nil {
 		return "", err
 	}
-	n, err := r.RowsAffected()
+	n, err := result.RowsAffected()
 	switch p.kind {
 	case "insert":
 		tag = fmt.Sprintf("INSERT 0 %d", n)
@@ -157,7 +160,7 @@
 	return tag, err
 }
 
-// query carries out a statement with results.
+// query executes a statement that returns rows.
 func (c *session) query(ctx context.Context, p *portal) (rows [][]any, tag string, err error) {
 	r, err := c.db.QueryContext(ctx, p.sqlite, p.args...)
 	if err != nil {
@@ -166,11 +169,11 @@
 	defer r.Close()
 	for r.Next() {
 		row := make([]any, len(p.columns))
-		to := make([]any, len(row))
+		targets := make([]any, len(row))
 		for n := range row {
-			to[n] = &row[n]
+			targets[n] = &row[n]
 		}
-		if err := r.Scan(to...); err != nil {
+		if err := r.Scan(targets...); err != nil {
 			return nil, "", err
 		}
 		if rows = append(rows, row); len(rows) > maxRows {
--- a/internal/standin/pgserver/session.go
+++ b/internal/standin/pgserver/session.go
@@ -17,37 +17,38 @@
 	lib "modernc.org/sqlite/lib"
 )
 
-// session is one connection, served by one goroutine.
+// session is one client's session. One goroutine serves it; reset and interrupt may be called from
+// others.
 type session struct {
-	srv        *Server
-	raw, nc    net.Conn
-	backend    *pgproto3.Backend
-	db         *sql.Conn
-	types      *pgtype.Map // remembers its plans, so that sessions can't share one
-	eventCount int64
-	pid        uint32
-	secret     []byte
-	timeout    time.Duration // of a statement; 0: none
+	srv     *Server
+	raw, nc net.Conn // the TCP connection, and the same or the TLS connection over it
+	backend *pgproto3.Backend
+	db      *sql.Conn
+	types   *pgtype.Map   // caches encoding plans without a lock, so sessions can't share one
+	number  int64         // of the connection, from 1
+	pid     uint32        // the process ID that cancel requests contain
+	secret  []byte        // the key that cancel requests contain
+	timeout time.Duration // of a statement; 0: none
 
-	statements map[string]*statement
-	portals    map[string]*portal
-	status     byte // I: idle, T: in a transaction, E: in one that failed
-	skipping   bool // after an error, until Sync
+	statements map[string]*statement // by name
+	portals    map[string]*portal    // by name
+	status     byte                  // as in ReadyForQuery; I: idle, T: in a transaction, E: in a failed transaction
+	skipping   bool                  // after an error in the extended protocol, messages are ignored until Sync
 
 	mu     sync.Mutex
-	cancel context.CancelFunc // of the statement under way; nil: none
+	cancel context.CancelFunc // cancels the statement that is being executed; nil: none is
 }
 
-// statement is one that was prepared.
+// statement is a prepared statement.
 type statement struct {
 	*query
 }
 
-// portal is a statement with its parameters.
+// portal is a statement with the values of its parameters.
 type portal struct {
 	*query
 	args    []any
-	formats []int16 // of the results
+	formats []int16 // format codes of the result's columns, see formatOf
 }
 
 // failure is an error with its SQLSTATE.
@@ -58,9 +59,10 @@
 // Error implements error.
 func (f *failure) Error() string { return f.code + ": " + f.text }
 
-// errClosed ends a session.
-var errClosed = errors.New("pgserver: the connection is over")
+// errClosed is returned by the handler of a message to end the session without a reply.
+var errClosed = errors.New("pgserver: the connection is closed")
 
+// parseTimeout parses the client's statement_timeout, in milliseconds; "" and 0: no timeout.
 func parseTimeout(ms string) (time.Duration, error) {
 	if ms == "" {
 		return 0, nil
@@ -72,15 +74,16 @@
 	return time.Duration(n) * time.Millisecond, nil
 }
 
+// reset resets the connection and cancels the statement that is being executed.
 func (c *session) reset() {
-	if t, ok := c.raw.(*net.TCPConn); ok {
-		t.SetLinger(0)
+	if tcpConn, ok := c.raw.(*net.TCPConn); ok {
+		tcpConn.SetLinger(0)
 	}
 	c.raw.Close()
 	c.interrupt()
 }
 
-// interrupt cancels the statement under way.
+// interrupt cancels the statement that is being executed, if any.
 func (c *session) interrupt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,11 +92,13 @@
 	}
 }
 
+// run handles the client's messages until the session ends, and rolls back a transaction that is open
+// then.
 func (c *session) run() {
 	c.status = 'I'
 	defer func() {
-		if c.status != 'I' { // its connection is closed: roll back what it had begun
-			ctx, cancel := context.WithTimeout(context.Background(), maxStart)
+		if c.status != 'I' { // the session ended within a transaction
+			ctx, cancel := context.WithTimeout(context.Background(), startupTimeout)
 			c.db.ExecContext(ctx, "ROLLBACK")
 			cancel()
 		}
@@ -103,22 +108,22 @@
 		if err != nil {
 			return
 		}
-		if _, sync := m.(*pgproto3.Sync); c.skipping && !sync {
-			if _, over := m.(*pgproto3.Terminate); over {
+		if _, isSync := m.(*pgproto3.Sync); c.skipping && !isSync {
+			if _, isTerminate := m.(*pgproto3.Terminate); isTerminate {
 				return
 			}
 			continue
 		}
-		err = c.handle(m)
+		err = c.handleMessage(m)
 		if errors.Is(err, errClosed) {
 			return
 		}
 		if err != nil {
-			if !c.fail(err) {
+			if !c.sendError(err) {
 				return
 			}
-			if _, simple := m.(*pgproto3.Query); simple {
-				c.ready()
+			if _, isQuery := m.(*pgproto3.Query); isQuery {
+				c.sendReadyForQuery()
 			} else {
 				c.skipping = true
 			}
@@ -132,11 +137,13 @@
 	}
 }
 
-func (c *session) ready() { c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.status}) }
+// sendReadyForQuery sends ReadyForQuery with the transaction status.
+func (c *session) sendReadyForQuery() { c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.status}) }
 
-// fail sends an error; false if it ends the session.
-func (c *session) fail(err error) (goesOn bool) {
-	f := failed(err)
+// sendError sends an error and makes an open transaction fail. It returns false if the error ends the
+// session.
+func (c *session) sendError(err error) (continues bool) {
+	f := failureOf(err)
 	severity := "ERROR"
 	if strings.HasPrefix(f.code, "57P") {
 		severity = "FATAL"
@@ -152,8 +159,8 @@
 	return true
 }
 
-// failed gives an error its SQLSTATE.
-func failed(err error) *failure {
+// failureOf returns err as a failure, with the SQLSTATE that PostgreSQL would send.
+func failureOf(err error) *failure {
 	if f, ok := errors.AsType[*failure](err); ok {
 		return f
 	}
@@ -178,10 +185,11 @@
 	return &failure{code, err.Error()}
 }
 
-func (c *session) handle(m pgproto3.FrontendMessage) error {
+// handleMessage handles one message of the client.
+func (c *session) handleMessage(m pgproto3.FrontendMessage) error {
 	switch m := m.(type) {
 	case *pgproto3.Query:
-		return c.simple(m.String)
+		return c.runSimpleQuery(m.String)
 	case *pgproto3.Parse:
 		q, err := c.srv.parse(m.Query, m.ParameterOIDs)
 		if err != nil {
@@ -209,7 +217,7 @@
 	case *pgproto3.Sync:
 		c.skipping = false
 		clear(c.portals)
-		c.ready()
+		c.sendReadyForQuery()
 	case *pgproto3.Flush:
 	case *pgproto3.Terminate:
 		return errClosed
@@ -219,9 +227,9 @@
 	return nil
 }
 
-// simple is a query of the simple protocol: one statement or several.
-func (c *session) simple(text string) error {
-	parts := split(text)
+// runSimpleQuery executes a Query message, which contains any number of statements.
+func (c *session) runSimpleQuery(text string) error {
+	parts := splitStatements(text)
 	if len(parts) == 0 {
 		c.backend.Send(&pgproto3.EmptyQueryResponse{})
 	}
@@ -240,10 +248,12 @@
 			return err
 		}
 	}
-	c.ready()
+	c.sendReadyForQuery()
 	return nil
 }
 
+// describe handles a Describe message: it sends the types of a statement's parameters and the columns of
+// a statement's or portal's result.
 func (c *session) describe(m *pgproto3.Describe) error {
 	var q *query
 	var formats []int16
@@ -269,6 +279,7 @@
 	return nil
 }
 
+// bind handles a Bind message: it makes a portal of a prepared statement and its parameters.
 func (c *session) bind(m *pgproto3.Bind) error {
 	s := c.statements[m.PreparedStatement]
 	if s == nil {
@@ -279,7 +290,7 @@
 	}
 	p := &portal{query: s.query, formats: append([]int16(nil), m.ResultFormatCodes...)}
 	for n, raw := range m.Parameters {
-		v, err := decode(c.types, s.params[n], format(m.ParameterFormatCodes, n), raw)
+		v, err := decode(c.types, s.params[n], formatOf(m.ParameterFormatCodes, n), raw)
 		if err != nil {
 			return &failure{"22P02", fmt.Sprintf("parameter $%d: %v", n+1, err)}
 		}
--- a/internal/standin/pgserver/sql.go
+++ b/internal/standin/pgserver/sql.go
@@ -12,31 +12,34 @@
 	"modernc.org/sqlite"
 )
 
-// Kinds of statements that the session itself heeds. Others go by their first word.
+// Kinds of statements that the session handles itself. The kind of another statement is its first word
+// in lower case.
 const (
 	begin    = "begin"
 	commit   = "commit"
 	rollback = "rollback"
 )
 
+// voidOID is the OID of PostgreSQL's type void.
 const voidOID = 2278
 
-// column is one of a result.
+// column is a column of a result.
 type column struct {
 	name string
-	oid  uint32
+	oid  uint32 // of its type
 }
 
-// query is a statement as PostgreSQL would have it and as SQLite has it.
+// query is a statement as the client sent it and as SQLite runs it.
 type query struct {
 	text    string
 	sqlite  string
 	kind    string
-	writes  bool
-	params  []uint32 // their types
-	columns []column // of the result; none: there is none
+	writes  bool     // the statement is rejected while the server is read-only
+	params  []uint32 // OIDs of the parameters' types
+	columns []column // of the result; empty: the statement returns no rows
 }
 
+// description returns the description of the result's columns, for the given format codes.
 func (q *query) description(formats []int16) *pgproto3.RowDescription {
 	d := &pgproto3.RowDescription{}
 	for n, c := range q.columns {
@@ -44,24 +47,26 @@
 		if size == 0 {
 			size = -1
 		}
-		d.Fields = append(d.Fields, pgproto3.FieldDescription{Name: []byte(c.name), DataTypeOID: c.oid, DataTypeSize: size, TypeModifier: -1, Format: format(formats, n)})
+		d.Fields = append(d.Fields, pgproto3.FieldDescription{Name: []byte(c.name), DataTypeOID: c.oid, DataTypeSize: size, TypeModifier: -1, Format: formatOf(formats, n)})
 	}
 	return d
 }
 
-// oids of the type names that are used.
-var oids = map[string]uint32{"text": pgtype.TextOID, "bigint": pgtype.Int8OID, "int8": pgtype.Int8OID, "bytea": pgtype.ByteaOID,
+// typeOIDs contains the OIDs of the types that the stand-in supports, by their names.
+var typeOIDs = map[string]uint32{"text": pgtype.TextOID, "bigint": pgtype.Int8OID, "int8": pgtype.Int8OID, "bytea": pgtype.ByteaOID,
 	"boolean": pgtype.BoolOID, "bool": pgtype.BoolOID, "float8": pgtype.Float8OID}
 
-// token is a piece of SQL: a word, a number, a quoted text, a parameter or one sign.
+// token is a token of SQL: a word, a number, a quoted text, a parameter or an operator.
 type token struct {
 	text  string
-	space bool // before it
+	space bool // there is white space before the token
 }
 
+// is reports whether the token is a keyword or name, in upper or lower case.
 func (t token) is(word string) bool { return strings.EqualFold(t.text, word) }
 
-func scan(text string) (out []token, err error) {
+// tokenize splits SQL into tokens. It returns an error for a quoted text without an end.
+func tokenize(text string) (out []token, err error) {
 	space := false
 	for i := 0; i < len(text); {
 		c := text[i]
@@ -101,13 +106,15 @@
 	return out, nil
 }
 
+// isIdentifier reports whether an identifier can contain the byte.
 func isIdentifier(c byte) bool {
 	return c == '_' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
 }
 
-// split parts a simple query at its semicolons.
-func split(text string) (parts []string) {
-	tokens, err := scan(text)
+// splitStatements splits the text of a simple query into statements at its semicolons. Text that can't
+// be split into tokens is returned whole.
+func splitStatements(text string) (parts []string) {
+	tokens, err := tokenize(text)
 	if err != nil {
 		return []string{text}
 	}
@@ -132,9 +139,11 @@
 	return parts
 }
 
-// parse makes a statement SQLite's, and finds the types of parameters and results.
-func (s *Server) parse(text string, given []uint32) (*query, error) {
-	tokens, err := scan(text)
+// parse translates a statement for SQLite, and determines the types of its parameters and result
+// columns. paramTypes are the OIDs that the client states, which apply to parameters without a cast;
+// 0 is an unknown type.
+func (s *Server) parse(text string, paramTypes []uint32) (*query, error) {
+	tokens, err := tokenize(text)
 	if err != nil {
 		return nil, err
 	}
@@ -154,21 +163,23 @@
 		return nil, err
 	}
 	for n := range q.params {
-		if q.params[n] == 0 && n < len(given) {
-			q.params[n] = given[n]
+		if q.params[n] == 0 && n < len(paramTypes) {
+			q.params[n] = paramTypes[n]
 		}
 		if q.params[n] == 0 {
 			return nil, &failure{"42P18", fmt.Sprintf("could not determine data type of parameter $%d", n+1)}
 		}
 	}
-	q.columns, err = s.results(tokens)
+	q.columns, err = s.resultColumns(tokens)
 	return q, err
 }
 
-// vacuum is the kind of a VACUUM statement, which SQLite runs as it is.
+// vacuum is the kind of a VACUUM statement, which SQLite runs on the complete database: a table name or
+// options are ignored.
 const vacuum = "vacuum"
 
-// kindOf returns the kind of a statement by its first word.
+// kindOf returns the kind of a statement from its first word, or an error if the stand-in does not
+// support it.
 func kindOf(first token) (kind string, err error) {
 	kind = strings.ToLower(first.text)
 	switch kind {
@@ -184,8 +195,8 @@
 	return "", &failure{"0A000", fmt.Sprintf("the stand-in does not know %s", strings.ToUpper(kind))}
 }
 
-// translate returns a statement as SQLite reads it, and notes the types of its parameters that
-// the text states.
+// translate returns a statement in SQLite's syntax, and sets the types of those parameters of q that
+// have a cast ($1::type).
 func (s *Server) translate(q *query, tokens []token) (sqlite string, err error) {
 	var b strings.Builder
 	for i := 0; i < len(tokens); i++ {
@@ -203,7 +214,7 @@
 				q.params = append(q.params, 0)
 			}
 			if i+2 < len(tokens) && tokens[i+1].text == "::" {
-				oid := oids[strings.ToLower(tokens[i+2].text)]
+				oid := typeOIDs[strings.ToLower(tokens[i+2].text)]
 				if oid == 0 {
 					return "", &failure{"42704", fmt.Sprintf("type %q does not exist in the stand-in", tokens[i+2].text)}
 				}
@@ -212,9 +223,9 @@
 			}
 			fmt.Fprintf(&b, "?%d", n)
 		case t.is("bytea") && i > 0 && tokens[i-1].is("as"):
-			b.WriteString("blob") // CAST: SQLite takes an unknown name for a number's
+			b.WriteString("blob") // in a CAST, SQLite takes an unknown type name for a numeric type
 		case t.is("for") && i+1 < len(tokens) && tokens[i+1].is("update"):
-			i++ // a transaction locks the complete file
+			i++ // FOR UPDATE is left out: a transaction locks the complete database
 		case (t.is("clock_timestamp") || t.is("current_setting")) && i+1 < len(tokens) && tokens[i+1].text == "(":
 			fmt.Fprintf(&b, "%s(%d", strings.ToLower(t.text), s.id)
 			if i++; tokens[i+1].text != ")" {
@@ -227,8 +238,9 @@
 	return b.String(), nil
 }
 
-// results returns the columns of a SELECT list or a RETURNING clause.
-func (s *Server) results(tokens []token) (out []column, err error) {
+// resultColumns returns the columns of a SELECT list or a RETURNING clause, nil if the statement has
+// neither.
+func (s *Server) resultColumns(tokens []token) (out []column, err error) {
 	from := -1
 	if tokens[0].is("select") {
 		from = 1
@@ -243,7 +255,7 @@
 		return nil, nil
 	}
 	items, table := resultItems(tokens, from), tableName(tokens)
-	var known map[string]uint32
+	var tableTypes map[string]uint32
 	for _, it := range items {
 		if len(it) == 0 {
 			return nil, &failure{"42601", "syntax error in the list of results"}
@@ -252,7 +264,7 @@
 		c := column{name: "?column?"}
 		switch {
 		case first.is("cast") && last.text == ")" && len(it) >= 5:
-			c.oid = oids[strings.ToLower(it[len(it)-2].text)]
+			c.oid = typeOIDs[strings.ToLower(it[len(it)-2].text)]
 			c.name = "cast"
 		case first.text[0] == '\'':
 			c.oid = pgtype.TextOID
@@ -261,13 +273,13 @@
 		case first.is("pg_advisory_xact_lock"):
 			c.name, c.oid = "pg_advisory_xact_lock", voidOID
 		case len(it) == 1:
-			if known == nil {
-				if known, err = s.catalogue(table); err != nil {
+			if tableTypes == nil {
+				if tableTypes, err = s.columnTypes(table); err != nil {
 					return nil, err
 				}
 			}
 			c.name = strings.ToLower(first.text)
-			c.oid = known[c.name]
+			c.oid = tableTypes[c.name]
 			if c.oid == 0 {
 				return nil, &failure{"42703", fmt.Sprintf("column %q does not exist", c.name)}
 			}
@@ -280,9 +292,9 @@
 	return out, nil
 }
 
-// resultItems divides the list of results that begins at a token into its items.
+// resultItems splits the list of results that begins at the token with index from into its items.
 func resultItems(tokens []token, from int) (items [][]token) {
-	depth, item := 0, from
+	depth, itemStart := 0, from
 	n := from
 	for ; n < len(tokens); n++ {
 		t := tokens[n]
@@ -293,17 +305,17 @@
 			depth--
 		}
 		if depth == 0 && t.text == "," {
-			items = append(items, tokens[item:n])
-			item = n + 1
+			items = append(items, tokens[itemStart:n])
+			itemStart = n + 1
 		}
 		if depth == 0 && t.is("from") {
 			break
 		}
 	}
-	return append(items, tokens[item:n])
+	return append(items, tokens[itemStart:n])
 }
 
-// tableName returns the name of a statement's table, "" if it has none.
+// tableName returns the name of a statement's table in lower case, "" if it has none.
 func tableName(tokens []token) string {
 	for i, t := range tokens {
 		if (t.is("from") || t.is("into") || tokens[0].is("update") && i == 0) && i+1 < len(tokens) {
@@ -313,34 +325,35 @@
 	return ""
 }
 
-// catalogue is a table's columns and their types.
-func (s *Server) catalogue(table string) (map[string]uint32, error) {
+// columnTypes returns the OIDs of the types of a table's columns, by column name; 0 is a type that the
+// stand-in does not support.
+func (s *Server) columnTypes(table string) (map[string]uint32, error) {
 	rows, err := s.db.Query("SELECT name, lower(type) FROM pragma_table_info(?)", table)
 	if err != nil {
 		return nil, err
 	}
 	defer rows.Close()
-	out := make(map[string]uint32)
+	types := make(map[string]uint32)
 	for rows.Next() {
-		var name, kind string
-		if err := rows.Scan(&name, &kind); err != nil {
+		var name, typeName string
+		if err := rows.Scan(&name, &typeName); err != nil {
 			return nil, err
 		}
-		out[strings.ToLower(name)] = oids[kind]
+		types[strings.ToLower(name)] = typeOIDs[typeName]
 	}
 	if err := rows.Err(); err != nil {
 		return nil, err
 	}
-	if len(out) == 0 {
+	if len(types) == 0 {
 		return nil, &failure{"42P01", fmt.Sprintf("relation %q does not exist", table)}
 	}
-	return out, nil
+	return types, nil
 }
 
-// functions gives SQLite those of PostgreSQL that are used. The first argument of two
-// of them, which parse puts there, is the server's id.
-var functions = sync.OnceValue(func() error {
-	server := func(args []driver.Value) (*Server, error) {
+// registerFunctions registers, once, the PostgreSQL functions that this repository uses with SQLite. The
+// first argument of clock_timestamp and current_setting is the server's id, which translate adds.
+var registerFunctions = sync.OnceValue(func() error {
+	serverOf := func(args []driver.Value) (*Server, error) {
 		id, _ := args[0].(int64)
 		s, ok := servers.Load(id)
 		if !ok {
@@ -350,12 +363,12 @@
 	}
 	type scalar = func(*sqlite.FunctionContext, []driver.Value) (driver.Value, error)
 	for _, f := range []struct {
-		name string
-		args int32
-		do   scalar
+		name     string
+		argCount int32
+		call     scalar
 	}{
 		{"clock_timestamp", 1, func(_ *sqlite.FunctionContext, args []driver.Value) (driver.Value, error) {
-			s, err := server(args)
+			s, err := serverOf(args)
 			if err != nil {
 				return nil, err
 			}
@@ -368,10 +381,10 @@
 			return args[1], nil
 		}},
 		{"pg_advisory_xact_lock", 1, func(_ *sqlite.FunctionContext, args []driver.Value) (driver.Value, error) {
-			return "", nil // BEGIN took the one lock there is
+			return "", nil // BEGIN IMMEDIATE has locked the database already
 		}},
 		{"current_setting", 2, func(_ *sqlite.FunctionContext, args []driver.Value) (driver.Value, error) {
-			s, err := server(args)
+			s, err := serverOf(args)
 			if err != nil {
 				return nil, err
 			}
@@ -384,7 +397,7 @@
 			return "off", nil
 		}},
 	} {
-		if err := sqlite.RegisterScalarFunction(f.name, f.args, f.do); err != nil {
+		if err := sqlite.RegisterScalarFunction(f.name, f.argCount, f.call); err != nil {
 			return err
 		}
 	}
--- a/internal/standin/pgserver/startup.go
+++ b/internal/standin/pgserver/startup.go
@@ -13,27 +13,28 @@
 	"github.com/jackc/pgx/v5/pgtype"
 )
 
-// maxStart bounds a connection's start-up.
-const maxStart = 10 * time.Second
+// startupTimeout bounds a connection's start-up, and the rollback at its end.
+const startupTimeout = 10 * time.Second
 
+// serve handles a connection, from its start-up to its end, and closes it.
 func (s *Server) serve(nc net.Conn) {
 	raw := nc
 	defer func() { nc.Close() }()
-	nc.SetDeadline(time.Now().Add(maxStart))
+	nc.SetDeadline(time.Now().Add(startupTimeout))
 	nc, b, start := s.receiveStartup(nc)
 	if start == nil {
 		return
 	}
-	c := &session{srv: s, raw: raw, nc: nc, backend: b, types: pgtype.NewMap(), eventCount: s.conns.Add(1), statements: make(map[string]*statement), portals: make(map[string]*portal)}
+	c := &session{srv: s, raw: raw, nc: nc, backend: b, types: pgtype.NewMap(), number: s.conns.Add(1), statements: make(map[string]*statement), portals: make(map[string]*portal)}
 	var key [8]byte
 	rand.Read(key[:])
-	c.pid, c.secret = uint32(c.eventCount), key[:4]
+	c.pid, c.secret = uint32(c.number), key[:4]
 	fatal := func(code, text string) {
 		b.Send(&pgproto3.ErrorResponse{Severity: "FATAL", SeverityUnlocalized: "FATAL", Code: code, Message: text})
 		b.Flush()
 	}
-	if refusal := s.register(c); refusal != nil {
-		fatal(refusal.code, refusal.text)
+	if rejection := s.register(c); rejection != nil {
+		fatal(rejection.code, rejection.text)
 		return
 	}
 	defer func() {
@@ -45,7 +46,7 @@
 		fatal("28P01", fmt.Sprintf("password authentication failed for user %q", start.Parameters["user"]))
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), maxStart)
+	ctx, cancel := context.WithTimeout(context.Background(), startupTimeout)
 	conn, err := s.db.Conn(ctx)
 	cancel()
 	if err != nil {
@@ -58,16 +59,16 @@
 		fatal("22023", err.Error())
 		return
 	}
-	if c.sendReady() != nil {
+	if c.finishStartup() != nil {
 		return
 	}
 	nc.SetDeadline(time.Time{})
 	c.run()
 }
 
-// receiveStartup answers requests for encryption until the client begins a session. It returns
-// the connection, encrypted if that was agreed, with its backend; start is nil if the connection
-// is over, as after a request to cancel a statement.
+// receiveStartup answers requests for encryption until the client sends its start-up message. It returns
+// the connection, encrypted if that was negotiated, with its backend. start is nil if the
+// connection is to be closed, as after a cancel request.
 func (s *Server) receiveStartup(nc net.Conn) (conn net.Conn, b *pgproto3.Backend, start *pgproto3.StartupMessage) {
 	b = pgproto3.NewBackend(nc, nc)
 	for {
@@ -82,11 +83,11 @@
 				continue
 			}
 			nc.Write([]byte("S"))
-			tc := tls.Server(nc, s.cfg.TLS)
-			if tc.Handshake() != nil {
+			tlsConn := tls.Server(nc, s.cfg.TLS)
+			if tlsConn.Handshake() != nil {
 				return nc, b, nil
 			}
-			nc = tc
+			nc = tlsConn
 			b = pgproto3.NewBackend(nc, nc)
 		case *pgproto3.GSSEncRequest:
 			nc.Write([]byte("N"))
@@ -99,7 +100,8 @@
 	}
 }
 
-// register adds a session to the open ones, or returns the failure that its client gets instead.
+// register adds a session to the open ones, or returns the failure to send to the client if the server
+// accepts no further session.
 func (s *Server) register(c *session) *failure {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,8 +115,9 @@
 	return nil
 }
 
-// sendReady sends the messages that end a session's start-up.
-func (c *session) sendReady() error {
+// finishStartup sends the messages at the end of a session's start-up, the last of which is
+// ReadyForQuery.
+func (c *session) finishStartup() error {
 	for name, value := range map[string]string{"server_version": "17.0 (stand-in)", "client_encoding": "UTF8", "standard_conforming_strings": "on",
 		"integer_datetimes": "on", "DateStyle": "ISO, MDY", "TimeZone": "UTC"} {
 		c.backend.Send(&pgproto3.ParameterStatus{Name: name, Value: value})
@@ -125,7 +128,8 @@
 	return c.backend.Flush()
 }
 
-// authenticate makes the SASL exchange of SCRAM-SHA-256, or lets the user in.
+// authenticate checks the user name and, if the server has a password, authenticates the client with
+// SCRAM-SHA-256. The caller reports an error to the client.
 func (s *Server) authenticate(b *pgproto3.Backend, start *pgproto3.StartupMessage) error {
 	if start.Parameters["user"] != s.cfg.User {
 		return errors.New("no such user")
@@ -144,12 +148,12 @@
 		if !ok || first.AuthMechanism != "SCRAM-SHA-256" {
 			return errors.New("no SASL response")
 		}
-		talk := s.scram.NewConversation()
-		say, err := talk.Step(string(first.Data))
+		conversation := s.scram.NewConversation()
+		reply, err := conversation.Step(string(first.Data))
 		if err != nil {
 			return err
 		}
-		b.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(say)})
+		b.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(reply)})
 		if err := b.Flush(); err != nil {
 			return err
 		}
@@ -161,10 +165,10 @@
 		if !ok {
 			return errors.New("no SASL response")
 		}
-		if say, err = talk.Step(string(last.Data)); err != nil || !talk.Valid() {
+		if reply, err = conversation.Step(string(last.Data)); err != nil || !conversation.Valid() {
 			return errors.New("pgserver: wrong password")
 		}
-		b.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(say)})
+		b.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(reply)})
 	}
 	b.Send(&pgproto3.AuthenticationOk{})
 	return nil
--- a/internal/standin/pgserver/values.go
+++ b/internal/standin/pgserver/values.go
@@ -6,8 +6,9 @@
 	"github.com/jackc/pgx/v5/pgtype"
 )
 
-// format is that of field n, by the rule of Bind: none, one for all, or one each.
-func format(formats []int16, n int) int16 {
+// formatOf returns the format code (0: text, 1: binary) of field n from the codes of a Bind message, which
+// has no code (all fields are text), one code for all fields, or one for each field.
+func formatOf(formats []int16, n int) int16 {
 	switch {
 	case len(formats) == 1:
 		return formats[0]
@@ -17,7 +18,7 @@
 	return 0
 }
 
-// decode returns the value of a parameter in a format of the protocol.
+// decode decodes the value of a parameter from a format of the protocol. nil is NULL.
 func decode(types *pgtype.Map, oid uint32, format int16, raw []byte) (any, error) {
 	if raw == nil {
 		return nil, nil
@@ -44,7 +45,7 @@
 	return nil, fmt.Errorf("the stand-in has no type of OID %d", oid)
 }
 
-// encode returns a result's value in a format of the protocol.
+// encode encodes a value of a result in a format of the protocol. nil is NULL.
 func encode(types *pgtype.Map, oid uint32, format int16, v any) ([]byte, error) {
 	if v == nil {
 		return nil, nil
--- a/internal/standin/shop/shop.go
+++ b/internal/standin/shop/shop.go
@@ -1,6 +1,6 @@
-// Package shop is stand-ins for what surrounds a sidecar, on loopback: activation
-// servers that count what they run, and a discovery that lists them and keeps
-// watches open. For tests and `martendrum dev`. It injects no faults of its own.
+// Package shop provides stand-ins for the servers and the discovery that a sidecar uses, on
+// loopback, for tests and `martendrum dev`. The activation servers count the requests that they
+// run; the discovery lists the servers and supports watches. The package injects no faults.
 package shop
 
 import (
@@ -17,22 +17,24 @@
 	"time"
 )
 
-// Shop is servers and their discovery.
+// Shop is a group of servers and the discovery that lists them. Its methods may be called from several
+// goroutines, except for Close, which may be called once.
 type Shop struct {
-	Discovery string // its address
+	Discovery string // the discovery's address, host:port
 
 	mu          sync.Mutex
 	runs        map[string]int // executions by Req-Id
 	list        []endpoint
-	index       int
+	index       int           // of the current version of the list
 	listChanged chan struct{} // closed at the next change of the list
 	srvs        []*http.Server
 	addrs       []string
-	end         chan struct{}
+	end         chan struct{} // closed by Close
 	wg          sync.WaitGroup
 }
 
-// New starts n servers and a discovery. Each request takes the servers work.
+// New starts n servers and a discovery. The servers handle each request for the duration work and
+// answer with its Req-Id and their name.
 func New(n int, work time.Duration) (*Shop, error) {
 	return NewWith(n, func(s *Shop, name string, w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Req-Id")
@@ -43,7 +45,7 @@
 	})
 }
 
-// endpoint is a server on the list.
+// endpoint is a server in the discovery's list.
 type endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -53,18 +55,20 @@
 	Since   int64   `json:"since_ms"`
 }
 
-// completeList returns the list as a line, and a channel that is closed when it changes.
+// completeList returns the complete list as a line of JSON, and a channel that is closed when the list
+// changes.
 func (s *Shop) completeList() ([]byte, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	line, err := json.Marshal(map[string]any{"index": s.index, "snapshot": true, "endpoints": s.list})
 	if err != nil {
-		panic(err) // of this package's own making
+		panic(err) // can't happen: the values are this package's own
 	}
 	return append(line, '\n'), s.listChanged
 }
 
-// Started notifies all watchers that every server has restarted at the time.
+// Started sets the time at which all servers were started, and sends the changed list to the watchers.
+// It does not restart the servers.
 func (s *Shop) Started(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,18 +80,19 @@
 	s.listChanged = make(chan struct{})
 }
 
-// Ran counts an execution.
+// Ran counts an execution of the request with an ID.
 func (s *Shop) Ran(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[id]++
 }
 
-// Addrs are the servers' addresses.
+// Addrs returns the servers' addresses, host:port.
 func (s *Shop) Addrs() []string { return s.addrs }
 
-// NewWith starts n servers that do with each request what serve says, which counts by
-// Ran what it carries out.
+// NewWith starts n servers that handle each request by calling serve with the server's name, and a
+// discovery. serve calls Ran for each request that it executes. Requests without a Req-Id
+// header are answered with status 404 and not passed to serve.
 func NewWith(n int, serve func(s *Shop, name string, w http.ResponseWriter, r *http.Request)) (*Shop, error) {
 	s := &Shop{runs: make(map[string]int), end: make(chan struct{}), index: 1, listChanged: make(chan struct{})}
 	for i := range n {
@@ -108,20 +113,20 @@
 	}
 	var err error
 	s.Discovery, err = s.serve(func(w http.ResponseWriter, r *http.Request) {
-		line, moved := s.completeList()
+		line, changed := s.completeList()
 		w.Write(line)
 		if r.URL.Query().Get("watch") != "1" {
 			return
 		}
-		t := time.NewTicker(time.Second)
-		defer t.Stop()
+		ticker := time.NewTicker(time.Second)
+		defer ticker.Stop()
 		for {
 			w.(http.Flusher).Flush()
 			select {
-			case <-t.C:
+			case <-ticker.C:
 				io.WriteString(w, "\n")
-			case <-moved:
-				line, moved = s.completeList()
+			case <-changed:
+				line, changed = s.completeList()
 				w.Write(line)
 			case <-r.Context().Done():
 				return
@@ -137,6 +142,7 @@
 	return s, nil
 }
 
+// serve starts an HTTP server on a free port and returns its address. Close stops the server.
 func (s *Shop) serve(h http.HandlerFunc) (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -148,7 +154,7 @@
 	return ln.Addr().String(), nil
 }
 
-// Runs is how often each request was carried out, by its id.
+// Runs returns the number of executions of each request, by its Req-Id.
 func (s *Shop) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +165,8 @@
 	return out
 }
 
-// Close ends all of it.
+// Close stops the servers and the discovery. It waits up to a second for each of them to complete its
+// requests, and then closes its connections.
 func (s *Shop) Close() {
 	close(s.end)
 	for _, srv := range s.srvs {
@@ -172,9 +179,9 @@
 	s.wg.Wait()
 }
 
-// FreeAddr returns an address for a sidecar to listen at: a free port of a loopback address
-// that only this caller's n uses, so that no connection of
-// others takes it meanwhile. n is 0 to 65,000.
+// FreeAddr returns a loopback address, host:port, at which a sidecar can listen. The port is free now.
+// The IP address is derived from n and the process ID, so that it is used only by the caller with
+// this n, and no connection of others takes the port before the sidecar listens. n is 0 to 65,000.
 func FreeAddr(n int) (string, error) {
 	pid := os.Getpid()
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+n/250%128, 1+pid%250, 1+n%250))
@@ -185,23 +192,25 @@
 	return ln.Addr().String(), nil
 }
 
-// Config writes a sidecar's configuration to a folder and returns its path and
-// where the sidecar will listen.
+// Config writes a sidecar's configuration to the file name.json in a folder. It returns the file's path
+// and the address at which the sidecar will listen, which FreeAddr derives from n.
 func (s *Shop) Config(dir, name string, n int) (path, listen string, err error) {
 	if listen, err = FreeAddr(n); err != nil {
 		return "", "", err
 	}
-	door := listen
-	for door == listen { // a second port on the same address
-		if door, err = FreeAddr(n); err != nil {
+	adminAddr := listen
+	for adminAddr == listen { // a second port on the same IP address
+		if adminAddr, err = FreeAddr(n); err != nil {
 			return "", "", err
 		}
 	}
 	path = filepath.Join(dir, name+".json")
-	return path, listen, os.WriteFile(path, fmt.Appendf(nil, form, name, listen, door, s.Discovery), 0o600)
+	return path, listen, os.WriteFile(path, fmt.Appendf(nil, configTemplate, name, listen, adminAddr, s.Discovery), 0o600)
 }
 
-const form = `{
+// configTemplate is a sidecar's configuration; the values to fill in are the sidecar's name, its address,
+// the address of its admin endpoint and the discovery's address.
+const configTemplate = `{
  "name": %q, "listen": %q, "mgmt": %q, "discovery": %q, "seed": "1f",
  "limits": {"cores": 1, "memory_mb": 64, "sockets": 128},
  "settings": {
--- a/internal/standin/shop/slowstart.go
+++ b/internal/standin/shop/slowstart.go
@@ -9,51 +9,55 @@
 	"time"
 )
 
-// SlowStart configures servers with slow start, for NewWith: a few workers, a short queue. A
-// server that gets more than the overload rule allows fails for good.
+// SlowStart simulates servers with slow start; its method Serve is an argument of NewWith. Each server
+// has a few workers and a short queue, and its capacity grows linearly after a start. A server
+// that receives more than the overload rule allows during slow start fails permanently: it rejects
+// all requests until Restart. The rule: within Window, a server may receive Factor times the
+// number of requests that it can handle at its current capacity, plus a tolerance for chance.
 type SlowStart struct {
-	Workers int
-	Work    time.Duration // of a request at a warm server
-	Queue   int
-	From    float64 // share of its capacity that a fresh one has
-	For     time.Duration
-	Factor  float64 // sent more than this multiple of its capacity of the time ...
-	Window  time.Duration
+	Workers int           // requests that a server handles at the same time
+	Work    time.Duration // time to handle a request at full capacity
+	Queue   int           // requests that wait for a worker; others are rejected
+	From    float64       // share of the full capacity at the start, above 0 and at most 1
+	For     time.Duration // time from the start to full capacity
+	Factor  float64       // of the overload rule
+	Window  time.Duration // of the overload rule
 
 	mu      sync.Mutex
-	started time.Time // zero: warm
-	servers map[string]*slowStartServer
+	started time.Time                   // zero: all servers have full capacity
+	servers map[string]*slowStartServer // by name
 }
 
+// slowStartServer is the state of one server, guarded by SlowStart.mu.
 type slowStartServer struct {
-	slots    chan struct{}
-	inFlight int
-	recent   []time.Time
-	fell     bool
+	slots    chan struct{} // holds a value for each busy worker
+	inFlight int           // requests that are queued or being handled
+	recent   []time.Time   // arrivals within the window, during slow start
+	failed   bool
 }
 
-// Restart starts all servers anew, in slow start.
+// Restart simulates a restart of all servers at a time: they are in slow start, and none has failed.
 func (r *SlowStart) Restart(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.started, r.servers = at, nil
 }
 
-// Fallen is how many servers fell.
+// Fallen returns the number of servers that have failed since the last Restart.
 func (r *SlowStart) Fallen() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
-		if s.fell {
+		if s.failed {
 			n++
 		}
 	}
 	return n
 }
 
-// take admits a request to a server and says how long it works on it; ok is false if it
-// is rejected unseen.
-func (r *SlowStart) take(name string, now time.Time) (s *slowStartServer, work time.Duration, ok bool) {
+// admit admits a request to a server and returns the time that the server takes to handle it; ok is
+// false if the server rejects it without handling it.
+func (r *SlowStart) admit(name string, now time.Time) (s *slowStartServer, work time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s = r.servers[name]; s == nil {
@@ -63,39 +67,39 @@
 		s = &slowStartServer{slots: make(chan struct{}, r.Workers)}
 		r.servers[name] = s
 	}
-	warmth, age := 1.0, now.Sub(r.started)
-	if cold := !r.started.IsZero() && age < r.For; cold {
-		warmth = r.From + (1-r.From)*float64(age)/float64(r.For)
+	capacityShare, age := 1.0, now.Sub(r.started)
+	if inSlowStart := !r.started.IsZero() && age < r.For; inSlowStart {
+		capacityShare = r.From + (1-r.From)*float64(age)/float64(r.For)
 		s.recent = append(s.recent, now)
 		for now.Sub(s.recent[0]) > r.Window {
 			s.recent = s.recent[1:]
 		}
-		n := r.Factor * float64(r.Workers) / r.Work.Seconds() * warmth * r.Window.Seconds()
-		s.fell = s.fell || float64(len(s.recent)) > n+3*math.Sqrt(n)+3
+		allowed := r.Factor * float64(r.Workers) / r.Work.Seconds() * capacityShare * r.Window.Seconds()
+		s.failed = s.failed || float64(len(s.recent)) > allowed+3*math.Sqrt(allowed)+3
 	}
-	if s.fell || s.inFlight >= r.Workers+r.Queue {
+	if s.failed || s.inFlight >= r.Workers+r.Queue {
 		return s, 0, false
 	}
 	s.inFlight++
-	return s, time.Duration(float64(r.Work) / warmth), true
+	return s, time.Duration(float64(r.Work) / capacityShare), true
 }
 
-// Serve is for NewWith.
-func (r *SlowStart) Serve(s *Shop, name string, w http.ResponseWriter, q *http.Request) {
-	id := q.Header.Get("Req-Id")
-	io.Copy(io.Discard, q.Body)
-	at, work, ok := r.take(name, time.Now())
+// Serve handles a request to the server with a name. It is an argument of NewWith.
+func (r *SlowStart) Serve(s *Shop, name string, w http.ResponseWriter, request *http.Request) {
+	id := request.Header.Get("Req-Id")
+	io.Copy(io.Discard, request.Body)
+	server, work, ok := r.admit(name, time.Now())
 	if !ok {
 		w.Header().Set("Srv-Declined", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	at.slots <- struct{}{}
+	server.slots <- struct{}{}
 	s.Ran(id)
 	time.Sleep(work)
-	<-at.slots
+	<-server.slots
 	r.mu.Lock()
-	at.inFlight--
+	server.inFlight--
 	r.mu.Unlock()
 	fmt.Fprintf(w, "%s by %s", id, name)
 }
--- a/internal/standin/simhost/simhost.go
+++ b/internal/standin/simhost/simhost.go
@@ -1,6 +1,6 @@
-// Package simhost is a simulated machine for agents: its sidecars exist only in memory, become ready
-// and exit after configured times, and serve nothing. It lets one test process run agents with
-// hundreds of instances.
+// Package simhost provides a simulated machine for agents. Its sidecars exist only in memory, become
+// ready and exit after configured times, and accept no connections. It lets one test process run
+// agents with hundreds of instances.
 package simhost
 
 import (
@@ -18,41 +18,44 @@
 	"martendrum/internal/fleet/host/proc"
 )
 
-// Host is a simulated machine. It outlives the agents that run on it.
+// Host is a simulated machine. It implements agent.Machine. Its processes continue when the agent
+// that started them stops, so that another agent can adopt them.
 type Host struct {
 	Ready time.Duration // from the start of a process to its first successful health check
 	Drain time.Duration // from SIGTERM to the exit
 
 	mu        sync.Mutex
 	lastPID   int
-	processes map[int]*process
+	processes map[int]*process // by process ID, including those that have exited
 	launches  []string
 }
 
 // process is a simulated process.
 type process struct {
-	launch  string
-	address string
+	launch  string    // unique ID of the launch
+	address string    // where a real sidecar would listen
 	ready   time.Time // when health checks start to succeed
 	done    chan struct{}
 	once    sync.Once
-	exit    string // valid once done is closed
+	exit    string // how the process exited; valid once done is closed
 }
 
-// exitWith ends the process, once.
-func (p *process) exitWith(how string) {
+// exitWith ends the process with an exit status in the form of os.ProcessState.String. It has no effect
+// on a process that has exited.
+func (p *process) exitWith(status string) {
 	p.once.Do(func() {
-		p.exit = how
+		p.exit = status
 		close(p.done)
 	})
 }
 
-// New returns a machine without processes.
+// New returns a machine without processes. ready is the time from the start of a process to its first
+// successful health check, and drain the time from SIGTERM to its exit.
 func New(ready, drain time.Duration) *Host {
 	return &Host{Ready: ready, Drain: drain, processes: make(map[int]*process)}
 }
 
-// Launches returns the names of all launches so far, in order.
+// Launches returns the IDs of all launches so far, in order.
 func (h *Host) Launches() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -65,8 +68,8 @@
 	defer h.mu.Unlock()
 	h.lastPID++
 	p := &process{launch: s.Launch, ready: time.Now().Add(h.Ready), done: make(chan struct{})}
-	for _, v := range s.Env {
-		if address, ok := strings.CutPrefix(v, "BALANCER_LISTEN="); ok {
+	for _, variable := range s.Env {
+		if address, ok := strings.CutPrefix(variable, "BALANCER_LISTEN="); ok {
 			p.address = address
 		}
 	}
@@ -75,7 +78,7 @@
 	return h.handle(h.lastPID, p), nil
 }
 
-// handle returns a process as an agent sees it.
+// handle returns an agent's handle of a process.
 func (h *Host) handle(pid int, p *process) *agent.Process {
 	return &agent.Process{PID: pid, Ticks: 1, Done: p.done, Exit: func() string { return p.exit }, Signal: func(sig syscall.Signal) error {
 		select {
@@ -104,7 +107,7 @@
 	return h.handle(pid, p), nil
 }
 
-// hasExited says whether a process has exited.
+// hasExited reports whether a process has exited.
 func hasExited(p *process) bool {
 	select {
 	case <-p.done:
@@ -118,13 +121,13 @@
 func (h *Host) Find(prefix string) map[string]proc.Found {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make(map[string]proc.Found)
+	found := make(map[string]proc.Found)
 	for pid, p := range h.processes {
 		if strings.HasPrefix(p.launch, prefix) && !hasExited(p) {
-			out[p.launch] = proc.Found{PID: pid, Ticks: 1}
+			found[p.launch] = proc.Found{PID: pid, Ticks: 1}
 		}
 	}
-	return out
+	return found
 }
 
 // Health implements agent.Machine.
--- a/internal/standin/tcp/tcp.go
+++ b/internal/standin/tcp/tcp.go
@@ -1,5 +1,5 @@
-// Package tcp is the accept loop of stand-in servers that speak for themselves: a test
-// says what becomes of each connection.
+// Package tcp provides accept loops for stand-in servers, on loopback: a test passes a function that
+// handles each connection or request.
 package tcp
 
 import (
@@ -15,37 +15,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// Serve listens on a loopback address of its own until the test ends, and returns it.
-// Each connection, numbered from 0 in the order of acceptance, is each's in a goroutine
-// of its own, and closed when that returns.
-func Serve(t testing.TB, each func(n int, c net.Conn)) (addr string) {
+// Serve listens on a free loopback port until the test ends, and returns its address, host:port. It
+// calls handle in a new goroutine for each connection, numbered from 0 in the order of acceptance,
+// and closes the connection when handle returns.
+func Serve(t testing.TB, handle func(n int, c net.Conn)) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	go Accept(ln, each)
+	go Accept(ln, handle)
 	return ln.Addr().String()
 }
 
-// Requests is Serve for HTTP/1.1: each takes the n-th request, from 0, of the conn-th
-// connection, writes its answer, and returns false to close the connection.
-func Requests(t testing.TB, each func(conn, n int, c net.Conn, r *http.Request) bool) (addr string) {
+// Requests is Serve for HTTP/1.1. It calls handle for the n-th request of connection conn, both from 0.
+// handle writes the response to c, and returns false to close the connection. The request's body is
+// not read ahead.
+func Requests(t testing.TB, handle func(conn, n int, c net.Conn, r *http.Request) bool) (addr string) {
 	t.Helper()
 	return Serve(t, func(conn int, c net.Conn) {
 		br := bufio.NewReader(c)
 		for n := 0; ; n++ {
-			if r, err := http.ReadRequest(br); err != nil || !each(conn, n, c, r) {
+			if r, err := http.ReadRequest(br); err != nil || !handle(conn, n, c, r) {
 				return
 			}
 		}
 	})
 }
 
-// Delayed is Serve behind a full queue: connections to addr come up only after open has been
-// called, up to a second or two later, when the system tries again.
-func Delayed(t testing.TB, each func(n int, c net.Conn)) (addr string, open func()) {
+// Delayed is Serve with a full accept queue: connections to addr are established only after open has
+// been called, up to a second or two later, when the system sends the SYN again. open may be
+// called several times.
+func Delayed(t testing.TB, handle func(n int, c net.Conn)) (addr string, open func()) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -65,31 +67,31 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	addr = ln.Addr().String()
-	var fill []net.Conn
+	var queued []net.Conn
 	for {
 		c, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err != nil {
-			break // the queue is full
+			break // the accept queue is full
 		}
-		if fill = append(fill, c); len(fill) > 10 {
-			t.Fatal("the queue does not fill")
+		if queued = append(queued, c); len(queued) > 10 {
+			t.Fatal("the accept queue is not full after more than 10 connections")
 		}
 	}
 	return addr, sync.OnceFunc(func() {
-		for _, c := range fill {
-			taken, err := ln.Accept()
+		for _, c := range queued {
+			accepted, err := ln.Accept()
 			if err != nil {
-				t.Error(err)
+				t.Error("accepting a connection of the full queue: ", err)
 				return
 			}
-			taken.Close()
+			accepted.Close()
 			c.Close()
 		}
-		go Accept(ln, each)
+		go Accept(ln, handle)
 	})
 }
 
-// Unread is how many bytes lie in a socket that its process has not read.
+// Unread returns the number of bytes that a socket has received and its process has not read.
 func Unread(t testing.TB, c syscall.Conn) (n int) {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -97,13 +99,13 @@
 		err = raw.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.SIOCINQ) })
 	}
 	if err != nil {
-		t.Fatal(err)
+		t.Fatal("reading the number of unread bytes: ", err)
 	}
 	return n
 }
 
-// Accept is the loop of Serve on a listener of the caller's, until that is closed.
-func Accept(ln net.Listener, each func(n int, c net.Conn)) {
+// Accept is the accept loop of Serve on the caller's listener. It returns when the listener is closed.
+func Accept(ln net.Listener, handle func(n int, c net.Conn)) {
 	for n := 0; ; n++ {
 		c, err := ln.Accept()
 		if err != nil {
@@ -111,7 +113,7 @@
 		}
 		go func() {
 			defer c.Close()
-			each(n, c)
+			handle(n, c)
 		}()
 	}
 }
