--- a/internal/idempotency/e2e/main_test.go
+++ b/internal/idempotency/e2e/main_test.go
@@ -59,7 +59,7 @@
 	CrashAt  int64    // number of the crash point, from 1, at which the process kills itself; 0: none
 
 	MaxWait          time.Duration // longest wait of a request for the store; 0: 10 s
-	LeaseMargin      time.Duration // 0: 5 s
+	LeaseMargin      time.Duration // how long a lease outlasts its request's deadline; 0: 5 s
 	MaxAnswerBytes   int           // longest answer that is stored; 0: 64 KiB
 	LatencyObjective string        // of all classes, in µs; "": 20 s
 	SweepAtOnce      bool          // delete answered entries after 1 ms, with a sweep every 10 ms
--- a/internal/idempotency/e2e/program_test.go
+++ b/internal/idempotency/e2e/program_test.go
@@ -232,7 +232,7 @@
 	f.testSettle(t, listen, request)
 	second.Process.Signal(os.Interrupt)
 	if err := second.Wait(); err != nil {
-		t.Errorf("the sidecar's exit after an interrupt: %v, log %s", err, log)
+		t.Errorf("exit of the sidecar after an interrupt: %v, log %s; want exit code 0", err, log)
 	}
 	f.expectRecord(t, 0, "", "compact")
 	f.testDamagedFile(t, config)
--- a/internal/standin/faultnet/faultnet.go
+++ b/internal/standin/faultnet/faultnet.go
@@ -6,8 +6,8 @@
 // A Net owns its listeners and connections and closes them all in Close. A test sets faults
 // directly (Link.Set) or by a script. A script's steps are triggered by events that the test reports
 // (Net.Mark) or by the number of connections made over a link, never by a clock. All random
-// decisions (which datagram is lost, how long a delay is) are drawn from one seed. The relay does
-// not interpret the data that it relays.
+// decisions (such as which datagram is lost and how long a delay is) are drawn from one seed. The
+// relay does not interpret the data that it relays.
 package faultnet
 
 import (
@@ -114,7 +114,8 @@
 	return l, nil
 }
 
-// add makes a link that connects to the address to in a network, without a listener.
+// add adds a link that relays to an address in a network. It sets no listener; a prefix unix: of the
+// address replaces the network.
 func (n *Net) add(name, to, network string) (*Link, error) {
 	if len(to) > 5 && to[:5] == "unix:" {
 		network, to = "unix", to[5:]
--- a/internal/standin/pgserver/server.go
+++ b/internal/standin/pgserver/server.go
@@ -55,7 +55,7 @@
 // fields are set, Delay comes first, and then the first of the others.
 type Fault struct {
 	Delay time.Duration // the stage takes this time longer
-	Stall bool          // the server sends nothing until the statement is canceled or times out, ResetAll or Close
+	Stall bool          // nothing more is sent until the statement is canceled or times out, or the server resets the connection
 	Reset bool          // the connection is reset
 	Code  string        // SQLSTATE of the error that the statement returns; class 57P also ends the connection
 }
@@ -159,7 +159,7 @@
 
 // Inject sets a function that is called at each event and returns the fault to inject; nil: no faults.
 // The function is called from the connections' goroutines, several at the same time. Statements
-// that wait by an earlier fault continue to wait.
+// that wait because of an earlier fault continue to wait.
 func (s *Server) Inject(f func(Event) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
