--- a/internal/standin/pgserver/sql.go
+++ b/internal/standin/pgserver/sql.go
@@ -66,7 +66,7 @@
 func (t token) is(word string) bool { return strings.EqualFold(t.text, word) }
 
 // tokenize splits SQL into tokens. It returns an error for a quoted text without an end.
-func tokenize(text string) (out []token, err error) {
+func tokenize(text string) (tokens []token, err error) {
 	space := false
 	for i := 0; i < len(text); {
 		c := text[i]
@@ -99,11 +99,11 @@
 		case strings.HasPrefix(text[i:], "<>"), strings.HasPrefix(text[i:], "<="), strings.HasPrefix(text[i:], ">="), strings.HasPrefix(text[i:], "||"):
 			j++
 		}
-		out = append(out, token{text[i:j], space})
+		tokens = append(tokens, token{text[i:j], space})
 		space = false
 		i = j
 	}
-	return out, nil
+	return tokens, nil
 }
 
 // isIdentifier reports whether an identifier can contain the byte.
@@ -240,7 +240,7 @@
 
 // resultColumns returns the columns of a SELECT list or a RETURNING clause, nil if the statement has
 // neither.
-func (s *Server) resultColumns(tokens []token) (out []column, err error) {
+func (s *Server) resultColumns(tokens []token) (columns []column, err error) {
 	from := -1
 	if tokens[0].is("select") {
 		from = 1
@@ -256,15 +256,15 @@
 	}
 	items, table := resultItems(tokens, from), tableName(tokens)
 	var tableTypes map[string]uint32
-	for _, it := range items {
-		if len(it) == 0 {
+	for _, item := range items {
+		if len(item) == 0 {
 			return nil, &failure{"42601", "syntax error in the list of results"}
 		}
-		first, last := it[0], it[len(it)-1]
+		first, last := item[0], item[len(item)-1]
 		c := column{name: "?column?"}
 		switch {
-		case first.is("cast") && last.text == ")" && len(it) >= 5:
-			c.oid = typeOIDs[strings.ToLower(it[len(it)-2].text)]
+		case first.is("cast") && last.text == ")" && len(item) >= 5:
+			c.oid = typeOIDs[strings.ToLower(item[len(item)-2].text)]
 			c.name = "cast"
 		case first.text[0] == '\'':
 			c.oid = pgtype.TextOID
@@ -272,7 +272,7 @@
 			c.name, c.oid = "current_setting", pgtype.TextOID
 		case first.is("pg_advisory_xact_lock"):
 			c.name, c.oid = "pg_advisory_xact_lock", voidOID
-		case len(it) == 1:
+		case len(item) == 1:
 			if tableTypes == nil {
 				if tableTypes, err = s.columnTypes(table); err != nil {
 					return nil, err
@@ -287,9 +287,9 @@
 		if c.oid == 0 {
 			return nil, &failure{"0A000", fmt.Sprintf("the stand-in can't tell the type of a result that begins with %q: CAST it", first.text)}
 		}
-		out = append(out, c)
+		columns = append(columns, c)
 	}
-	return out, nil
+	return columns, nil
 }
 
 // resultItems splits the list of results that begins at the token with index from into its items.
