--- a/internal/fleet/e2e/agent_capacity_test.go
+++ b/internal/fleet/e2e/agent_capacity_test.go
@@ -15,17 +15,18 @@
 )
 
 var (
-	capacityWindow  = flag.Duration("capacity-window", 20*time.Second, "how long a capacity benchmark watches processes")
-	capacitySettled = flag.Duration("capacity-settled", 5*time.Second, "how long a capacity benchmark lets processes come to rest before")
+	capacityWindow  = flag.Duration("capacity-window", 20*time.Second, "how long a capacity benchmark measures processes")
+	capacitySettled = flag.Duration("capacity-settled", 5*time.Second, "how long a capacity benchmark waits for processes to become idle before it measures them")
 )
 
-// hostProcesses is a host's agent and its sidecars, as process ids.
+// hostProcesses holds the process ids of an agent and its sidecars.
 type hostProcesses struct {
 	agent    int
 	sidecars []int
 }
 
-// restingHost starts an agent with real sidecars, with the intervals of its defaults.
+// restingHost starts an agent with real sidecars and the default interval of health calls, and
+// waits until they are ready.
 func restingHost(b *testing.B, sidecars int) (*world, hostProcesses) {
 	b.Helper()
 	w := newWorld(b, 1, sidecars)
@@ -34,8 +35,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	usual := strings.Replace(string(text), "health_each = \"200ms\"", "health_each = \"1s\"", 1)
-	if err := os.WriteFile(h.config, []byte(usual), 0o600); err != nil {
+	withDefaults := strings.Replace(string(text), "health_each = \"200ms\"", "health_each = \"1s\"", 1)
+	if err := os.WriteFile(h.config, []byte(withDefaults), 0o600); err != nil {
 		b.Fatal(err)
 	}
 	w.startAll()
@@ -48,21 +49,22 @@
 	return w, processes
 }
 
-// usages reads the usage of several processes.
+// usages reads the resource usage of several processes.
 func usages(b *testing.B, pids ...int) []measure.Usage {
 	b.Helper()
 	all := make([]measure.Usage, len(pids))
 	for i, pid := range pids {
 		usage, err := measure.Process(pid)
 		if err != nil {
-			b.Fatal(err)
+			b.Fatalf("reading the usage of process %d: %v", pid, err)
 		}
 		all[i] = usage
 	}
 	return all
 }
 
-// reportMeanUsage reports the mean use of processes over a time, by their name.
+// reportMeanUsage reports the mean usage of processes as metrics that begin with name. CPU usage is
+// averaged over the time between the two readings, before and after; the rest is as read after it.
 func reportMeanUsage(b *testing.B, name string, before, after []measure.Usage, over time.Duration) {
 	b.Helper()
 	var processor time.Duration
@@ -78,7 +80,7 @@
 	b.ReportMetric(float64(descriptors)/count, name+"-descriptors")
 }
 
-// watch measures a host's processes while work runs.
+// watch reports the usage of a host's processes while work runs.
 func (p hostProcesses) watch(b *testing.B, work func()) {
 	b.Helper()
 	agentBefore, sidecarsBefore := usages(b, p.agent), usages(b, p.sidecars...)
@@ -89,8 +91,8 @@
 	reportMeanUsage(b, "sidecar", sidecarsBefore, usages(b, p.sidecars...), over)
 }
 
-// BenchmarkAgentCapacity measures a real agent and its real sidecars at rest, by their
-// number. Run it with -benchtime=1x.
+// BenchmarkAgentCapacity measures an idle agent and its idle sidecars, all real processes, for
+// different numbers of sidecars. Run it with -benchtime=1x.
 func BenchmarkAgentCapacity(b *testing.B) {
 	for _, sidecars := range []int{1, 2, 5, 10} {
 		b.Run(fmt.Sprintf("sidecars=%d", sidecars), func(b *testing.B) {
@@ -105,7 +107,7 @@
 }
 
 // BenchmarkSettingsChangeCapacity measures an agent with one sidecar while an operator's
-// command reloads it so many times a minute. Run it with -benchtime=1x.
+// client reloads the sidecar at different rates per minute. Run it with -benchtime=1x.
 func BenchmarkSettingsChangeCapacity(b *testing.B) {
 	for _, perMinute := range []int{0, 5, 10, 20} {
 		b.Run(fmt.Sprintf("changes=%d", perMinute), func(b *testing.B) {
@@ -118,7 +120,7 @@
 	}
 }
 
-// reloadEvenly reloads all instances so many times, spread over a minute.
+// reloadEvenly reloads all instances the given number of times, spread over a minute.
 func reloadEvenly(b *testing.B, w *world, times int) {
 	b.Helper()
 	began := time.Now()
@@ -127,7 +129,7 @@
 		operation := w.op(api.ActReload, func(o *api.Operation) { o.Soak = 0 })
 		report, err := w.fleet.Start(context.Background(), operation, client.Options{LeaseHolder: operation.ID, TTL: 15 * time.Second, GiveUp: eventuallyTimeout})
 		if err != nil || !report.OK() {
-			b.Fatal(report, err)
+			b.Fatalf("reload %d: report %+v, error %v; want it to succeed", i, report, err)
 		}
 	}
 	time.Sleep(time.Until(began.Add(time.Minute)))
--- a/internal/fleet/e2e/agent_failure_test.go
+++ b/internal/fleet/e2e/agent_failure_test.go
@@ -16,9 +16,9 @@
 	"martendrum/internal/standin/pgserver"
 )
 
-// An agent is killed before and after each write to its store in turn. After its restart and the
-// resumed operation, desired, actual and reported state agree, and each instance was changed
-// exactly once.
+// An agent is killed before and after each write to its store in turn. After the agent has
+// restarted and the operation has continued, desired, actual and reported state agree, and each
+// instance was changed exactly once.
 func TestAgentKilledAtEveryWrite(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ store, after string }{{"sqlite", ""}, {"sqlite", "1"}, {"postgres", ""}, {"postgres", "1"}} {
@@ -28,7 +28,7 @@
 			if c.store == "postgres" {
 				s, err := pgserver.Start(pgserver.Config{})
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("starting the PostgreSQL stand-in: %v", err)
 				}
 				t.Cleanup(func() { s.Close() })
 				record = fmt.Sprintf("[record]\nstore = \"postgres\"\nurl = %q\n", s.URL())
@@ -37,16 +37,16 @@
 			died := true
 			for at := 1; died; at++ {
 				if at > 60 {
-					t.Fatal("the agent dies at write 60 and later: the operation needs no more than 20")
+					t.Fatal("the agent still reaches its crash point at write 60; an operation should need at most 20 writes")
 				}
 				died = w.restartWithCrash(at, c.after)
 				if t.Failed() {
-					t.Fatalf("at write %d", at)
+					t.Fatalf("a check failed after the agent was to crash at write %d", at)
 				}
 				if !died {
 					t.Logf("the agent was killed at each of %d writes", at-1)
 					if at < 8 {
-						t.Errorf("only %d writes: the test shows little", at-1)
+						t.Errorf("the agent made %d writes, want at least 7", at-1)
 					}
 				}
 			}
@@ -54,8 +54,9 @@
 	}
 }
 
-// restartWithCrash restarts all instances of the one host while its agent kills itself at a
-// write, checks that each was restarted once, and reports whether there was such a write.
+// restartWithCrash restarts all instances of the only host while its agent kills itself before the
+// write with number at or, if after isn't "", after that write. It checks that each instance was
+// restarted once, and reports whether the agent reached that write.
 func (w *world) restartWithCrash(at int, after string) (died bool) {
 	w.t.Helper()
 	t, h := w.t, w.hosts[0]
@@ -73,27 +74,28 @@
 	w.checkAgainstProcesses(states)
 	for name, r := range w.rowsByInstance(rep, op) {
 		if r.Outcome != rollout.Changed {
-			t.Errorf("write %d: %s is reported %s: %s", at, name, r.Outcome, r.Reason)
+			t.Errorf("crash at write %d: report of %s: outcome %s, reason %q, want outcome %s", at, name, r.Outcome, r.Reason, rollout.Changed)
 		}
 	}
 	for _, i := range states[0].Instances {
 		if g, known := before[i.Name]; known && i.Generation != g+1 {
-			t.Errorf("write %d: %s went from generation %d to %d", at, i.Name, g, i.Generation)
+			t.Errorf("crash at write %d: %s is at generation %d, want %d", at, i.Name, i.Generation, g+1)
 		}
 	}
-	// An operation that is still open would stand in the way of the next one.
+	// An operation that is still open would block the next one.
 	w.fleet.Abort(context.Background(), op.ID)
-	eventually(t, "the end of the operation", func() bool {
+	eventually(t, "the operation to be closed", func() bool {
 		var out api.OpOut
 		err := w.fleet.Agents[0].Call(context.Background(), api.OpStatus, &api.StatusIn{Op: op.ID}, &out)
 		return err == nil && out.State == api.OpClosed
 	})
-	// The agent answers and has nothing left to write: it has died by now or will not.
+	// The operation is closed, so the agent has nothing left to write: it has reached its crash
+	// point by now or never will.
 	return stopWatching()
 }
 
-// startAgainAfterExit starts the agent anew as soon as its process has ended. The returned
-// function ends the wait and reports whether that happened.
+// startAgainAfterExit restarts the agent as soon as its process has ended. The returned function
+// stops waiting for that and reports whether the agent was restarted.
 func (h *host) startAgainAfterExit() (stop func() bool) {
 	h.mu.Lock()
 	exit := h.end
@@ -115,25 +117,26 @@
 	}
 }
 
-// startUntilAccepted restarts all instances by an operation that an agent which dies may reject
-// at first, and returns it with its report.
+// startUntilAccepted starts an operation that restarts all instances, and tries again with a new
+// operation while the start fails, as it does when the agent crashes. It returns the operation
+// that began, and its report.
 func (w *world) startUntilAccepted() (api.Operation, *client.Report) {
 	w.t.Helper()
 	op := w.op(api.ActRestart, func(o *api.Operation) { o.Soak = 50 * time.Millisecond })
 	var rep *client.Report
-	eventually(w.t, "an operation that begins", func() bool {
+	eventually(w.t, "an operation to begin", func() bool {
 		var err error
 		if rep, err = w.fleet.Start(context.Background(), op, options()); err != nil {
-			// It may have been opened before the agent died: then it is aborted, and
-			// a new one begins.
+			// The agent may have opened the operation before it crashed, so the
+			// operation is aborted before a new one begins.
 			w.fleet.Abort(context.Background(), op.ID)
 			op.ID += "x"
 		}
 		return err == nil
 	})
 	if rep.Result != rollout.Succeeded {
-		// The agent may have died at the operation's very end.
-		eventually(w.t, "a report", func() bool {
+		// The agent may have crashed as the operation ended.
+		eventually(w.t, "a report of operation "+op.ID, func() bool {
 			r, err := w.fleet.Report(context.Background(), op.ID)
 			if err == nil {
 				rep = r
@@ -144,9 +147,9 @@
 	return op, rep
 }
 
-// An agent stops answering during a change: it hangs with open connections, or it dies. The change
-// ends and reports the unreachable instance as unknown, not as changed. Once the agent answers
-// again, its store completes the report.
+// An agent stops responding during an operation: it hangs with open connections, or it is killed.
+// The operation ends and reports the unreachable instance as unknown, not as changed. Once the
+// agent responds again, the report is complete from its store.
 func TestUnreachableAgentIsReportedUnknown(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"hangs", "dies"} {
@@ -171,20 +174,20 @@
 			}
 			rows := w.rowsByInstance(rep, op)
 			if rep.OK() || rep.Result == rollout.Succeeded {
-				t.Errorf("the result is %s", rep.Result)
+				t.Errorf("restart with an unreachable agent: result %s, want it not to succeed", rep.Result)
 			}
 			r := rows["h1-i0"]
 			if r.Outcome == rollout.Changed || !strings.Contains(r.Unknown, "unknown since") || !strings.Contains(r.Unknown, "last seen") {
-				t.Errorf("what can't be seen is reported %s, %q", r.Outcome, r.Unknown)
+				t.Errorf("report of the unreachable h1-i0: outcome %s, unknown %q, want it unknown since a time, with when it was last seen", r.Outcome, r.Unknown)
 			}
 			for _, name := range []string{"h0-i0", "h2-i0"} {
 				if rows[name].Outcome != rollout.Changed {
-					t.Errorf("%s is reported %s: %s", name, rows[name].Outcome, rows[name].Reason)
+					t.Errorf("report of %s: outcome %s, reason %q, want outcome %s", name, rows[name].Outcome, rows[name].Reason, rollout.Changed)
 				}
 			}
 			out, _, code := w.command("report", op.ID)
 			if code != 1 || !strings.Contains(out, "unknown since") {
-				t.Errorf("report: %d\n%s", code, out)
+				t.Errorf("martendrum report: exit code %d, want 1 and %q:\n%s", code, "unknown since", out)
 			}
 			if how == "hangs" {
 				h.signal(syscall.SIGCONT)
@@ -192,20 +195,20 @@
 				h.start()
 			}
 			w.waitReady()
-			eventually(t, "a resume, once the lease of before has ended", func() bool {
+			eventually(t, "a resume to succeed, once the earlier lease has expired", func() bool {
 				_, err := w.fleet.Resume(context.Background(), op.ID, options())
 				return err == nil
 			})
 			w.checkReportAfterReturn(op)
 			if out, errs, code := w.command("restart", "--all", "--soak", "0s"); code != 0 {
-				t.Errorf("the next operation: %d\n%s%s", code, out, errs)
+				t.Errorf("next operation: exit code %d, want 0\n%s%s", code, out, errs)
 			}
 		})
 	}
 }
 
-// afterStepBegins returns a progress function that calls act once the step of an operation on a
-// host's instance has begun.
+// afterStepBegins returns a progress callback that calls act once the operation has begun a step on
+// an instance of the host and the agent has stored it, or after 200 ms.
 func (w *world) afterStepBegins(h *host, operation string, act func()) func(client.Event) {
 	return func(e client.Event) {
 		if e.Kind != "begin" || e.Host != h.name {
@@ -218,15 +221,15 @@
 			}
 			time.Sleep(5 * time.Millisecond)
 			if e.At.Before(time.Now().Add(-200 * time.Millisecond)) {
-				break // the event precedes the call that begins the step
+				break // the event comes before the call that begins the step, which may still be under way
 			}
 		}
 		act()
 	}
 }
 
-// checkReportAfterReturn compares the report of an operation, once all agents answer again, with
-// what they list.
+// checkReportAfterReturn compares the report of an operation with the states that the agents list,
+// once all agents respond again.
 func (w *world) checkReportAfterReturn(op api.Operation) {
 	w.t.Helper()
 	rep, err := w.fleet.Report(context.Background(), op.ID)
@@ -239,20 +242,20 @@
 		i := hs.Instances[0]
 		r := w.rowsByInstance(rep, op)[i.Name]
 		if r.Unknown != "" || r.State == nil || r.State.PID != i.PID {
-			w.t.Errorf("%s: %+v", i.Name, r)
+			w.t.Errorf("report of %s: %+v, want a known state with pid %d", i.Name, r, i.PID)
 		}
 		if (r.Outcome == rollout.Changed) != (i.Generation == 2) {
-			w.t.Errorf("%s is reported %s at generation %d", i.Name, r.Outcome, i.Generation)
+			w.t.Errorf("report of %s: outcome %s, but it is at generation %d; want %s exactly at generation 2", i.Name, r.Outcome, i.Generation, rollout.Changed)
 		}
 	}
 }
 
-// A change waits for an agent that dies and restarts soon, and succeeds.
+// An operation waits for an agent that was killed and restarts 500 ms later, and succeeds.
 func TestChangeWaitsForRestartedAgent(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 2, 2)
 	w.startAll()
-	var back sync.WaitGroup
+	var agentRestart sync.WaitGroup
 	killed := false
 	opt := options()
 	opt.Progress = func(e client.Event) {
@@ -261,23 +264,23 @@
 			for _, h := range w.hosts {
 				if h.name == e.Host {
 					h.kill()
-					back.Go(func() { time.Sleep(500 * time.Millisecond); h.start() })
+					agentRestart.Go(func() { time.Sleep(500 * time.Millisecond); h.start() })
 				}
 			}
 		}
 	}
 	op := w.op(api.ActRestart, nil)
 	rep, err := w.fleet.Start(context.Background(), op, opt)
-	back.Wait()
+	agentRestart.Wait()
 	if err != nil || !rep.OK() {
-		t.Fatalf("%+v %v", rep, err)
+		t.Fatalf("restart while an agent restarts: report %+v, error %v, want success", rep, err)
 	}
 	states := w.waitReady()
 	w.checkAgainstProcesses(states)
 	for _, hs := range states {
 		for _, i := range hs.Instances {
 			if i.Generation != 2 {
-				t.Errorf("%s is at generation %d", i.Name, i.Generation)
+				t.Errorf("%s is at generation %d, want 2", i.Name, i.Generation)
 			}
 		}
 	}
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -26,73 +26,74 @@
 	"martendrum/internal/standin/simhost"
 )
 
-func code(err error) string {
+// errorCode returns the code of an error of the agent API, "" for any other error.
+func errorCode(err error) string {
 	if e, ok := errors.AsType[*api.Error](err); ok {
 		return e.Code
 	}
 	return ""
 }
 
-// An agent answers a call that it can't serve with an error that names the cause.
+// An agent answers an invalid call with an error that has the right code and names the cause.
 func TestErrorsOfTheAPI(t *testing.T) {
 	s := simulate(t, 1, 1, time.Millisecond, time.Millisecond, nil)
 	ctx, a := context.Background(), s.fleet.Agents[0]
 	inst := s.allInstances.Targets[0].Instance
 	op := s.op(api.ActRestart)
-	bad := op
-	bad.Action = "explode"
-	unready := op
-	unready.Ready = 0
-	elsewhere := op
-	elsewhere.Targets = []api.Target{{Host: "sim-9", Instance: "x"}}
-	none := op
-	none.Targets = []api.Target{{Host: "sim-0", Instance: "x"}}
+	unknownAction := op
+	unknownAction.Action = "explode"
+	noReadyTime := op
+	noReadyTime.Ready = 0
+	otherHost := op
+	otherHost.Targets = []api.Target{{Host: "sim-9", Instance: "x"}}
+	unknownTarget := op
+	unknownTarget.Targets = []api.Target{{Host: "sim-0", Instance: "x"}}
 	upgrade := op
 	upgrade.Action, upgrade.Release = api.ActUpgrade, strings.Repeat("ab", 32)
 	for name, c := range map[string]struct {
-		method string
-		in     any
-		code   string
-		says   string
+		method      string
+		in          any
+		wantCode    string
+		wantMessage string // part of the error's message
 	}{
-		"unknown method":    {"explode", api.Empty{}, api.NoMethod, "explode"},
-		"unknown instance":  {api.Inspect, &api.InstanceIn{Instance: "x"}, api.NoInstance, inst},
-		"unknown operation": {api.OpStatus, &api.StatusIn{Op: "x"}, api.NoOperation, "x"},
-		"wrong type":        {api.Inspect, map[string]any{"instance": 7}, api.InvalidParams, "InstanceIn"},
-		"no map":            {api.Inspect, "x", api.InvalidParams, "InstanceIn"},
-		"unknown action":    {api.OpOpen, &api.OpenIn{Operation: bad, LeaseHolder: "me", TTL: time.Second}, api.InvalidParams, "explode"},
-		"no time":           {api.OpOpen, &api.OpenIn{Operation: unready, LeaseHolder: "me", TTL: time.Second}, api.InvalidParams, "ready"},
-		"no holder":         {api.OpOpen, &api.OpenIn{Operation: op, TTL: time.Second}, api.InvalidParams, "holder"},
-		"long lease":        {api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: "me", TTL: time.Hour}, api.InvalidParams, "lease"},
-		"another's":         {api.OpOpen, &api.OpenIn{Operation: elsewhere, LeaseHolder: "me", TTL: time.Second}, api.InvalidParams, "no instance"},
-		"no such instance":  {api.OpOpen, &api.OpenIn{Operation: none, LeaseHolder: "me", TTL: time.Second}, api.NoInstance, "x"},
-		"no such release":   {api.OpOpen, &api.OpenIn{Operation: upgrade, LeaseHolder: "me", TTL: time.Second}, api.NoRelease, "abab"},
-		"no hash":           {api.ReleaseStat, &api.ReleaseIn{Release: "../../etc"}, api.InvalidParams, "hash"},
-		"a path as hash":    {api.ReleaseWrite, &api.ChunkIn{Release: "../../etc", File: "sidecar"}, api.InvalidRelease, "hash"},
-		"another file":      {api.ReleaseWrite, &api.ChunkIn{Release: strings.Repeat("ab", 32), File: "../x"}, api.InvalidRelease, "../x"},
-		"a gap":             {api.ReleaseWrite, &api.ChunkIn{Release: strings.Repeat("ab", 32), File: "sidecar", Offset: 9}, api.InvalidRelease, "at 9"},
-		"not whole":         {api.ReleaseDone, &api.ReleaseIn{Release: strings.Repeat("cd", 32)}, api.InvalidRelease, "not there"},
+		"unknown method":                  {"explode", api.Empty{}, api.NoMethod, "explode"},
+		"unknown instance":                {api.Inspect, &api.InstanceIn{Instance: "x"}, api.NoInstance, inst},
+		"unknown operation":               {api.OpStatus, &api.StatusIn{Op: "x"}, api.NoOperation, "x"},
+		"parameter of a wrong type":       {api.Inspect, map[string]any{"instance": 7}, api.InvalidParams, "InstanceIn"},
+		"parameters that are no map":      {api.Inspect, "x", api.InvalidParams, "InstanceIn"},
+		"unknown action":                  {api.OpOpen, &api.OpenIn{Operation: unknownAction, LeaseHolder: "me", TTL: time.Second}, api.InvalidParams, "explode"},
+		"no time to become ready":         {api.OpOpen, &api.OpenIn{Operation: noReadyTime, LeaseHolder: "me", TTL: time.Second}, api.InvalidParams, "ready"},
+		"no lease holder":                 {api.OpOpen, &api.OpenIn{Operation: op, TTL: time.Second}, api.InvalidParams, "holder"},
+		"lease that is too long":          {api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: "me", TTL: time.Hour}, api.InvalidParams, "lease"},
+		"target on another host":          {api.OpOpen, &api.OpenIn{Operation: otherHost, LeaseHolder: "me", TTL: time.Second}, api.InvalidParams, "no instance"},
+		"target that does not exist":      {api.OpOpen, &api.OpenIn{Operation: unknownTarget, LeaseHolder: "me", TTL: time.Second}, api.NoInstance, "x"},
+		"unknown release":                 {api.OpOpen, &api.OpenIn{Operation: upgrade, LeaseHolder: "me", TTL: time.Second}, api.NoRelease, "abab"},
+		"status of an invalid hash":       {api.ReleaseStat, &api.ReleaseIn{Release: "../../etc"}, api.InvalidParams, "hash"},
+		"upload with a path as hash":      {api.ReleaseWrite, &api.ChunkIn{Release: "../../etc", File: "sidecar"}, api.InvalidRelease, "hash"},
+		"upload of a file with a path":    {api.ReleaseWrite, &api.ChunkIn{Release: strings.Repeat("ab", 32), File: "../x"}, api.InvalidRelease, "../x"},
+		"upload that leaves a gap":        {api.ReleaseWrite, &api.ChunkIn{Release: strings.Repeat("ab", 32), File: "sidecar", Offset: 9}, api.InvalidRelease, "at 9"},
+		"release completed before upload": {api.ReleaseDone, &api.ReleaseIn{Release: strings.Repeat("cd", 32)}, api.InvalidRelease, "not there"},
 	} {
 		err := a.Call(ctx, c.method, c.in, nil)
-		if code(err) != c.code || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v (%s); want %s that says %q", name, err, code(err), c.code, c.says)
+		if errorCode(err) != c.wantCode || !strings.Contains(err.Error(), c.wantMessage) {
+			t.Errorf("%s: got error %v with code %q, want code %q and a message that contains %q", name, err, errorCode(err), c.wantCode, c.wantMessage)
 		}
 	}
 	if n := len(s.hosts[0].Launches()); n != 1 {
-		t.Errorf("%d launches", n)
+		t.Errorf("%d launches after the invalid calls, want 1: the initial one", n)
 	}
 	// A release that was corrupted in transit is rejected.
 	hash := strings.Repeat("ab", 32)
 	if err := a.Call(ctx, api.ReleaseWrite, &api.ChunkIn{Release: hash, File: "sidecar", Data: []byte("spoilt")}, nil); err != nil {
-		t.Fatal(err)
+		t.Fatalf("uploading a chunk of a release: %v", err)
 	}
-	if err := a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, nil); code(err) != api.InvalidRelease || !strings.Contains(err.Error(), "damaged") {
-		t.Error(err)
+	if err := a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, nil); errorCode(err) != api.InvalidRelease || !strings.Contains(err.Error(), "damaged") {
+		t.Errorf("completing a release with another hash: got error %v, want code %s and \"damaged\"", err, api.InvalidRelease)
 	}
 }
 
-// The handshake has to be the first call, and a client without a common version gets an error that
-// says so.
+// An agent rejects any call before the handshake, and answers a client without a common version of
+// the API with an error about the versions.
 func TestHandshake(t *testing.T) {
 	s := simulate(t, 1, 1, time.Millisecond, time.Millisecond, nil)
 	dial := func() *msgpackrpc.Client {
@@ -106,42 +107,42 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 	defer cancel()
-	said := func(err error) (e api.Error) {
+	remoteError := func(err error) (e api.Error) {
 		if r, ok := errors.AsType[*msgpackrpc.RemoteError](err); ok {
 			msgpack.Unmarshal(r.Value, &e)
 		}
 		return e
 	}
 	c := dial()
-	if e := said(c.Call(ctx, api.List, []any{api.Empty{}}, nil)); e.Code != api.NotWelcomed {
-		t.Errorf("list before hello: %+v", e)
+	if e := remoteError(c.Call(ctx, api.List, []any{api.Empty{}}, nil)); e.Code != api.NotWelcomed {
+		t.Errorf("list before hello: got error %+v, want code %s", e, api.NotWelcomed)
 	}
 	for _, v := range []api.HelloIn{{Oldest: api.Version + 1, Version: api.Version + 3}, {Oldest: 0, Version: api.Oldest - 1}} {
-		if e := said(c.Call(ctx, api.Hello, []any{v}, nil)); e.Code != api.UnsupportedVersion || !strings.Contains(e.Message, "versions") {
-			t.Errorf("%+v: %+v", v, e)
+		if e := remoteError(c.Call(ctx, api.Hello, []any{v}, nil)); e.Code != api.UnsupportedVersion || !strings.Contains(e.Message, "versions") {
+			t.Errorf("hello with %+v: got error %+v, want code %s and \"versions\"", v, e, api.UnsupportedVersion)
 		}
 	}
 	var out api.HelloOut
 	if err := c.Call(ctx, api.Hello, []any{api.HelloIn{Oldest: 1, Version: api.Version + 5, Client: "newer"}}, &out); err != nil || out.Version != api.Version {
-		t.Errorf("a newer client that still speaks ours: %+v %v", out, err)
+		t.Errorf("hello of a newer client that supports the agent's version: got %+v, error %v, want version %d", out, err, api.Version)
 	}
 	// An unknown field of a newer client is ignored.
 	if err := c.Call(ctx, api.List, []any{map[string]any{"later": 1}}, nil); err != nil {
-		t.Error(err)
+		t.Errorf("list with an unknown field: %v", err)
 	}
-	if e := said(c.Call(ctx, api.List, []any{1, 2}, nil)); e.Code != api.InvalidParams {
-		t.Errorf("two parameters: %+v", e)
+	if e := remoteError(c.Call(ctx, api.List, []any{1, 2}, nil)); e.Code != api.InvalidParams {
+		t.Errorf("list with two parameters: got error %+v, want code %s", e, api.InvalidParams)
 	}
 }
 
-// A viewer changes nothing, a client without a certificate of the fleet's CA is rejected, and an
-// agent whose certificate has another name than the inventory is not talked to.
+// A viewer may not change anything, a client without a certificate of the fleet's CA is rejected,
+// and a client rejects an agent whose certificate has another name than the inventory gives.
 func TestRolesOverTLS(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	file := tlsAgentFiles(t, dir, now)
 	cfg, err := agent.LoadConfig(file)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("loading the agent's configuration: %v", err)
 	}
 	a, err := agent.New(cfg, simhost.New(0, 0), func(p string) (store.Store, error) { return sqlite.Open(p, 1<<20) })
 	if err != nil {
@@ -149,7 +150,7 @@
 	}
 	defer a.Close()
 	if _, err := agent.New(cfg, simhost.New(0, 0), func(p string) (store.Store, error) { return sqlite.Open(p, 1<<20) }); err == nil || !strings.Contains(err.Error(), "another agent") {
-		t.Errorf("a second agent on the same folder: %v", err)
+		t.Errorf("second agent on the same state directory: got error %v, want one that contains \"another agent\"", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	addr, done := make(chan string, 1), make(chan error, 1)
@@ -158,44 +159,44 @@
 		cancel()
 		<-done
 	}()
-	at := <-addr
-	open := func(ca, who, name string) *client.Agent { return tlsClient(t, dir, at, ca, who, name) }
-	open1 := func(a *client.Agent) error {
+	address := <-addr
+	dial := func(ca, operator, name string) *client.Agent { return tlsClient(t, dir, address, ca, operator, name) }
+	abortUnknown := func(a *client.Agent) error {
 		return a.Call(ctx, api.OpAbort, &api.AbortIn{Op: "x"}, nil)
 	}
-	if err := open1(open("ca", "sari", "host")); code(err) != api.NoOperation {
-		t.Errorf("an operator: %v", err)
+	if err := abortUnknown(dial("ca", "sari", "host")); errorCode(err) != api.NoOperation {
+		t.Errorf("abort by an operator: got error %v, want code %s", err, api.NoOperation)
 	}
-	view := open("ca", "budi", "host")
-	if err := open1(view); code(err) != api.Forbidden || !strings.Contains(err.Error(), "operate") {
-		t.Errorf("a viewer who changes: %v", err)
+	viewer := dial("ca", "budi", "host")
+	if err := abortUnknown(viewer); errorCode(err) != api.Forbidden || !strings.Contains(err.Error(), "operate") {
+		t.Errorf("abort by a viewer: got error %v, want code %s and the role \"operate\"", err, api.Forbidden)
 	}
-	if err := view.Call(ctx, api.List, api.Empty{}, nil); err != nil {
-		t.Errorf("a viewer who looks: %v", err)
+	if err := viewer.Call(ctx, api.List, api.Empty{}, nil); err != nil {
+		t.Errorf("list by a viewer: %v", err)
 	}
-	if err := open("ca", "nobody", "host").Call(ctx, api.List, api.Empty{}, nil); code(err) != api.Forbidden {
-		t.Errorf("a certificate without a role: %v", err)
+	if err := dial("ca", "nobody", "host").Call(ctx, api.List, api.Empty{}, nil); errorCode(err) != api.Forbidden {
+		t.Errorf("list with a certificate without a role: got error %v, want code %s", err, api.Forbidden)
 	}
-	if err := open("foreign", "sari", "host").Call(ctx, api.List, api.Empty{}, nil); !errors.As(err, new(*client.UnreachableError)) {
-		t.Errorf("another CA's certificate: %v", err)
+	if err := dial("foreign", "sari", "host").Call(ctx, api.List, api.Empty{}, nil); !errors.As(err, new(*client.UnreachableError)) {
+		t.Errorf("list with a certificate of another CA: got error %v, want an UnreachableError", err)
 	}
-	if err := open("ca", "sari", "other").Call(ctx, api.List, api.Empty{}, nil); err == nil || !strings.Contains(err.Error(), "inventory is wrong") {
-		t.Errorf("another host's agent: %v", err)
+	if err := dial("ca", "sari", "other").Call(ctx, api.List, api.Empty{}, nil); err == nil || !strings.Contains(err.Error(), "inventory is wrong") {
+		t.Errorf("list from an agent under another host's name: got error %v, want one that contains \"inventory is wrong\"", err)
 	}
 	pem, _ := os.ReadFile(filepath.Join(dir, "ca", "ca.crt"))
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(pem)
-	if nc, err := tls.Dial("tcp", at, &tls.Config{RootCAs: pool}); err == nil {
+	if nc, err := tls.Dial("tcp", address, &tls.Config{RootCAs: pool}); err == nil {
 		nc.SetDeadline(now.Add(eventuallyTimeout))
 		if _, err := nc.Read(make([]byte, 1)); err == nil {
-			t.Error("no certificate, and answered")
+			t.Error("the agent answered a client without a certificate")
 		}
 		nc.Close()
 	}
 }
 
-// tlsAgentFiles makes a CA with an agent and three operators, a foreign CA with one operator, and
-// the configuration of an agent, whose path it returns.
+// tlsAgentFiles writes a CA with certificates of an agent and three operators, a foreign CA with one
+// operator, and the configuration of the agent. It returns the path of that configuration.
 func tlsAgentFiles(t *testing.T, dir string, now time.Time) (file string) {
 	t.Helper()
 	for _, err := range []error{
@@ -205,11 +206,11 @@
 		pki.Init(filepath.Join(dir, "foreign"), now), pki.Operator(filepath.Join(dir, "foreign"), "sari", api.Operate, now),
 	} {
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing certificates: %v", err)
 		}
 	}
 	if err := pki.Init(filepath.Join(dir, "ca"), now); err == nil {
-		t.Error("a CA was overwritten")
+		t.Error("pki.Init in the folder of a CA succeeded, want an error")
 	}
 	os.WriteFile(filepath.Join(dir, "sidecar"), []byte("x"), 0o700)
 	os.WriteFile(filepath.Join(dir, "i.json"), []byte(`{"listen":"127.0.0.1:1"}`), 0o600)
@@ -231,14 +232,14 @@
 	return file
 }
 
-// tlsClient returns an operator's view of the agent at an address, under the name that the
-// inventory gives it.
-func tlsClient(t *testing.T, dir, address, ca, who, name string) *client.Agent {
+// tlsClient returns an operator's client of the agent at an address. name is the agent's name in
+// the client's inventory; ca is the folder of the CA that issued the operator's certificate.
+func tlsClient(t *testing.T, dir, address, ca, operator, name string) *client.Agent {
 	t.Helper()
 	inv := &inventory.Inventory{Timeout: quantity.Duration(5 * time.Second), Hosts: []inventory.Host{{Name: name, Address: "tls:" + address}}}
 	inv.TLS.CA = filepath.Join(dir, "ca", "ca.crt")
-	inv.TLS.Cert, inv.TLS.Key = filepath.Join(dir, ca, who+".crt"), filepath.Join(dir, ca, who+".key")
-	f, err := client.New(inv, who)
+	inv.TLS.Cert, inv.TLS.Key = filepath.Join(dir, ca, operator+".crt"), filepath.Join(dir, ca, operator+".key")
+	f, err := client.New(inv, operator)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -246,11 +247,11 @@
 	return f.Agents[0]
 }
 
-// The examples in deploy/ are read, and a broken configuration of an agent gets an error that
-// names the place.
+// The example files in deploy/ load without an error, and an invalid agent configuration gives an
+// error that names the file and the invalid setting.
 func TestExampleFilesLoadAndBrokenAgentFileIsRejected(t *testing.T) {
 	if _, err := inventory.Load("../../../deploy/fleet.toml"); err != nil {
-		t.Error(err)
+		t.Errorf("loading deploy/fleet.toml: %v", err)
 	}
 	text, err := os.ReadFile("../../../deploy/agent.toml")
 	if err != nil {
@@ -268,9 +269,9 @@
 		os.MkdirAll(filepath.Join(dir, "instances"), 0o700)
 		os.WriteFile(filepath.Join(dir, "instances", n+".json"), []byte(`{"listen":"127.0.0.1:80`+n[1:]+`"}`), 0o600)
 	}
-	good := string(text)
-	if err := load(good); err != nil {
-		t.Fatal(err)
+	example := string(text)
+	if err := load(example); err != nil {
+		t.Fatalf("loading deploy/agent.toml: %v", err)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{`kill_after = "5s"`, `kill_after = 5`, "kill_after"},
@@ -289,17 +290,17 @@
 		{`unix = `, "plain_role = \"root\"\nunix = ", "plain_role"},
 		{`[limits]`, `[limits`, ":"},
 	} {
-		if !strings.Contains(good, c.old) {
-			t.Fatalf("deploy/agent.toml has no %q", c.old)
+		if !strings.Contains(example, c.old) {
+			t.Fatalf("deploy/agent.toml does not contain %q", c.old)
 		}
-		err := load(strings.Replace(good, c.old, c.new, 1))
+		err := load(strings.Replace(example, c.old, c.new, 1))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "agent.toml") {
-			t.Errorf("%q in place of %q: %v; want it to say %q", c.new, c.old, err, c.want)
+			t.Errorf("agent.toml with %q in place of %q: got error %v, want one that contains %q and \"agent.toml\"", c.new, c.old, err, c.want)
 		}
 	}
 }
 
-// A broken inventory gets an error that names the file and what is wrong in it.
+// An invalid inventory gives an error that names the file and the fault.
 func TestBrokenInventoryIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	for text, want := range map[string]string{
@@ -312,7 +313,7 @@
 		file := filepath.Join(dir, "fleet.toml")
 		os.WriteFile(file, []byte(text), 0o600)
 		if _, err := inventory.Load(file); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), file) {
-			t.Errorf("%q: %v; want it to say %q", text, err, want)
+			t.Errorf("loading the inventory %q: got error %v, want one that contains %q and the file's path", text, err, want)
 		}
 	}
 }
--- a/internal/fleet/e2e/command_capacity_test.go
+++ b/internal/fleet/e2e/command_capacity_test.go
@@ -15,19 +15,20 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-var capacityHosts = flag.String("capacity-hosts", "50,100,200,400", "numbers of hosts of the capacity benchmarks of one command")
+var capacityHosts = flag.String("capacity-hosts", "50,100,200,400", "numbers of hosts, separated by commas, for the capacity benchmarks of one command")
 
-// commandTimeout ends a command of a capacity benchmark that hangs.
+// commandTimeout is how long a command of a capacity benchmark may run.
 const commandTimeout = 5 * time.Minute
 
-// inventoryFile writes the inventory of a simulated fleet for commands that run as
-// processes of their own.
+// inventoryFile writes the inventory of a simulated fleet, for commands that run as separate
+// processes, and returns its path.
 func inventoryFile(b *testing.B, fleet *simulated) string {
 	b.Helper()
 	return inventoryOf(b, fleet, func(host inventory.Host) string { return host.Address })
 }
 
-// inventoryOf writes an inventory in which each host is reached at the address given.
+// inventoryOf writes an inventory with the address that the function returns for each host, and
+// returns its path.
 func inventoryOf(b *testing.B, fleet *simulated, address func(inventory.Host) string) string {
 	b.Helper()
 	var text strings.Builder
@@ -42,12 +43,13 @@
 	return path
 }
 
-// measureCommand runs the operators' command and reports what its process took.
+// measureCommand runs martendrum and reports its elapsed time, CPU time, peak memory and file
+// descriptors.
 func measureCommand(b *testing.B, arguments ...string) {
 	b.Helper()
 	cost, err := measure.Command(exec.Command(filepath.Join(programs(b), "martendrum"), arguments...), commandTimeout)
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("running martendrum %v: %v", arguments, err)
 	}
 	b.ReportMetric(cost.Elapsed.Seconds(), "s-elapsed")
 	b.ReportMetric(cost.Processor.Seconds(), "s-cpu")
@@ -55,17 +57,17 @@
 	b.ReportMetric(float64(cost.Descriptors), "descriptors")
 }
 
-// capacitySizes reads a flag that holds a list of sizes.
+// capacitySizes parses the value of a flag that holds a list of sizes.
 func capacitySizes(b *testing.B, list string) []int {
 	b.Helper()
 	sizes, err := measure.Sizes(list)
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("parsing the sizes %q: %v", list, err)
 	}
 	return sizes
 }
 
-// descriptorsInUse counts the descriptors of this process.
+// descriptorsInUse returns the number of open file descriptors of this process.
 func descriptorsInUse(b *testing.B) int64 {
 	b.Helper()
 	usage, err := measure.Process(os.Getpid())
@@ -75,9 +77,9 @@
 	return usage.Descriptors
 }
 
-// BenchmarkReloadCapacity lets one command reload all instances of a fleet at once, one
-// pretended instance on each host, and measures the command's process. Run it with
-// -benchtime=1x and -count for more samples.
+// BenchmarkReloadCapacity measures the process of one command that reloads all instances of a fleet
+// at once, with one simulated instance on each host. It also reports the heap and the descriptors
+// that each simulated agent takes. Run it with -benchtime=1x, and with -count for more samples.
 func BenchmarkReloadCapacity(b *testing.B) {
 	for _, hosts := range capacitySizes(b, *capacityHosts) {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
@@ -95,7 +97,8 @@
 	}
 }
 
-// BenchmarkListCapacity is the same for a command that only asks all agents.
+// BenchmarkListCapacity measures the process of one command that only lists all instances of such a
+// fleet.
 func BenchmarkListCapacity(b *testing.B) {
 	for _, hosts := range capacitySizes(b, *capacityHosts) {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
@@ -109,8 +112,8 @@
 	}
 }
 
-// BenchmarkReloadBytesCapacity counts what one reload command sends to each host and gets
-// from it, over TCP without TLS: a relay stands before each agent. Run it with
+// BenchmarkReloadBytesCapacity counts the bytes that one reload command sends to each host and
+// receives from it, over TCP without TLS. A proxy in front of each agent counts them. Run it with
 // -benchtime=1x.
 func BenchmarkReloadBytesCapacity(b *testing.B) {
 	for _, hosts := range capacitySizes(b, *capacityHosts) {
@@ -123,7 +126,7 @@
 			file := inventoryOf(b, fleet, func(host inventory.Host) string {
 				link, err := network.TCP(host.Name, strings.TrimPrefix(host.Address, "tcp:"))
 				if err != nil {
-					b.Fatal(err)
+					b.Fatalf("starting the proxy of host %s: %v", host.Name, err)
 				}
 				links = append(links, link)
 				return "tcp:" + link.Addr()
--- a/internal/fleet/e2e/lease_test.go
+++ b/internal/fleet/e2e/lease_test.go
@@ -13,8 +13,9 @@
 	"martendrum/internal/fleet/control/client"
 )
 
-// Two operators start operations on the same instances at once: one gets the lease, the other an
-// error that names the lease holder, and each instance is changed by one of them only.
+// Two operators start operations on the same instances at the same time: one gets the lease, the
+// other gets an error that names the lease holder, and each instance is changed by one of them
+// only.
 func TestConcurrentOperatorsExcludeEachOther(t *testing.T) {
 	s := simulate(t, 3, 2, 5*time.Millisecond, 5*time.Millisecond, nil)
 	ctx := context.Background()
@@ -37,90 +38,93 @@
 			if errs[n] == nil {
 				won++
 				if !reps[n].OK() {
-					t.Fatalf("round %d: %s %s", round, reps[n].Result, reps[n].Why)
+					t.Fatalf("round %d: operation of operator-%d ended %s because %s, want success", round, n, reps[n].Result, reps[n].Why)
 				}
 				continue
 			}
 			e, ok := errors.AsType[*api.Error](errs[n])
 			if !ok || e.Code != api.LeaseHeld || !strings.Contains(e.Message, ops[1-n].ID) || !strings.Contains(e.Message, "operator-") && !strings.Contains(e.Message, "tester") {
-				t.Fatalf("round %d: operator %d got the error: %v", round, n, errs[n])
+				t.Fatalf("round %d: operator-%d got error %v, want code %s with the other operation's id and its lease holder", round, n, errs[n], api.LeaseHeld)
 			}
 		}
 		if won == 0 {
-			t.Fatalf("round %d: neither got them: %v", round, errs)
+			t.Fatalf("round %d: neither operator got the leases: %v", round, errs)
 		}
 	}
 	for _, h := range s.hosts {
 		for launch, n := range launches(h) {
 			if n != 1 {
-				t.Errorf("%s was launched %d times", launch, n)
+				t.Errorf("%s was launched %d times, want 1", launch, n)
 			}
 		}
 	}
 }
 
-// A lease holder stalls beyond its lease, at each stage of its operation in turn, and another one
-// takes over. The calls of the first one after that are fenced and change nothing.
+// A lease holder stalls until its lease has expired, at each stage of its operation in turn, and
+// another one takes over. After that the calls of the first one are fenced and change nothing.
 func TestStalledLeaseHolderIsFenced(t *testing.T) {
 	s := simulate(t, 1, 2, time.Millisecond, time.Millisecond, nil)
 	ctx, a := context.Background(), s.fleet.Agents[0]
 	wait := func(op string, ok func(out *api.OpOut) bool) {
-		eventually(t, "the operation's state", func() bool {
+		eventually(t, "the expected state of operation "+op, func() bool {
 			var out api.OpOut
 			err := a.Call(ctx, api.OpStatus, &api.StatusIn{Op: op}, &out)
 			return err == nil && ok(&out)
 		})
 	}
-	for stalls := range 4 { // before its first step, after it, after its second, before its end
+	// The lease holder stalls before its first step, after it, after its second one, and before its
+	// operation's end.
+	for stalls := range 4 {
 		op := s.op(api.ActRestart)
 		open := func(o api.Operation, who string, ttl time.Duration) (out api.OpenOut) {
 			if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: o, LeaseHolder: who, TTL: ttl}, &out); err != nil {
-				t.Fatal(err)
+				t.Fatalf("opening operation %s: %v", o.ID, err)
 			}
 			return out
 		}
-		old := open(op, "stalled", 300*time.Millisecond)
+		stalled := open(op, "stalled", 300*time.Millisecond)
 		for n := range min(stalls, 2) {
-			if err := a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: old.Token, Instance: op.Targets[n].Instance, Kind: api.Change}, nil); err != nil {
-				t.Fatal(err)
+			if err := a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: stalled.Token, Instance: op.Targets[n].Instance, Kind: api.Change}, nil); err != nil {
+				t.Fatalf("starting step %d: %v", n, err)
 			}
 			wait(op.ID, func(out *api.OpOut) bool {
 				return out.Steps[len(out.Steps)-1].Status == api.StepOK && len(out.Steps) == n+1
 			})
 		}
-		wait(op.ID, func(out *api.OpOut) bool { return out.LeaseHolder == "" }) // its lease has ended
-		var fresh api.OpenOut
-		if stalls%2 == 0 { // another resumes it, or ends it and begins one of its own
-			fresh = open(op, "other", time.Minute)
+		wait(op.ID, func(out *api.OpOut) bool { return out.LeaseHolder == "" }) // the lease has expired
+		var current api.OpenOut
+		if stalls%2 == 0 { // another lease holder resumes the operation, or aborts it and opens its own
+			current = open(op, "other", time.Minute)
 		} else {
 			if err := a.Call(ctx, api.OpAbort, &api.AbortIn{Op: op.ID}, nil); err != nil {
-				t.Fatal(err)
+				t.Fatalf("aborting operation %s: %v", op.ID, err)
 			}
 			wait(op.ID, func(out *api.OpOut) bool { return out.State == api.OpClosed })
 			other := s.op(api.ActDrain)
-			fresh = open(other, "other", time.Minute)
-			op.ID, other.ID = other.ID, op.ID // below, op is the one that is open
+			current = open(other, "other", time.Minute)
+			op.ID, other.ID = other.ID, op.ID // from here on op.ID is the open operation
 			for _, id := range []string{other.ID, op.ID} {
 				for _, target := range op.Targets {
-					err := a.Call(ctx, api.StepStart, &api.StepIn{Op: id, Token: old.Token, Instance: target.Instance, Kind: api.Change}, nil)
+					err := a.Call(ctx, api.StepStart, &api.StepIn{Op: id, Token: stalled.Token, Instance: target.Instance, Kind: api.Change}, nil)
 					if e, ok := errors.AsType[*api.Error](err); !ok || e.Code != api.Fenced && e.Code != api.Closed {
-						t.Errorf("stalled at %d: a step of %s: %v", stalls, id, err)
+						t.Errorf("stalled at stage %d: step of %s with the expired token: got error %v, want code %s or %s", stalls, id, err, api.Fenced, api.Closed)
 					}
 				}
 			}
 		}
 		before := len(s.hosts[0].Launches())
-		checkFenced(t, a, op, old.Token, stalls)
+		checkFenced(t, a, op, stalled.Token, stalls)
 		if n := len(s.hosts[0].Launches()); n != before {
-			t.Errorf("stalled at %d: %d launches were caused", stalls, n-before)
+			t.Errorf("stalled at stage %d: calls with the expired token caused %d launches, want 0", stalls, n-before)
 		}
-		if err := a.Call(ctx, api.OpClose, &api.CloseIn{Op: op.ID, Token: fresh.Token, Result: "done"}, nil); err != nil {
-			t.Fatal(err)
+		if err := a.Call(ctx, api.OpClose, &api.CloseIn{Op: op.ID, Token: current.Token, Result: "done"}, nil); err != nil {
+			t.Fatalf("closing operation %s: %v", op.ID, err)
 		}
 	}
 }
 
-// checkFenced checks that a stale token allows no step and no call of an operation.
+// checkFenced checks that the agent rejects the steps of an operation, and its other calls, with an
+// expired token.
 func checkFenced(t *testing.T, a *client.Agent, op api.Operation, token int64, stalls int) {
 	t.Helper()
 	ctx := context.Background()
@@ -128,7 +132,7 @@
 		for _, kind := range []string{api.Change, api.Rollback} {
 			err := a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: token, Instance: target.Instance, Kind: kind}, nil)
 			if e, ok := errors.AsType[*api.Error](err); !ok || e.Code != api.Fenced {
-				t.Errorf("stalled at %d: a %s of %s: %v", stalls, kind, target.Instance, err)
+				t.Errorf("stalled at stage %d: %s step on %s: got error %v, want code %s", stalls, kind, target.Instance, err, api.Fenced)
 			}
 		}
 	}
@@ -137,7 +141,7 @@
 		api.OpStatus: &api.StatusIn{Op: op.ID, Token: token, TTL: time.Minute},
 	} {
 		if e, ok := errors.AsType[*api.Error](a.Call(ctx, method, in, nil)); !ok || e.Code != api.Fenced {
-			t.Errorf("stalled at %d: %s: %v", stalls, method, e)
+			t.Errorf("stalled at stage %d: call of %s: got error %v, want code %s", stalls, method, e, api.Fenced)
 		}
 	}
 }
--- a/internal/fleet/e2e/main_test.go
+++ b/internal/fleet/e2e/main_test.go
@@ -1,5 +1,5 @@
-// Package e2e tests agents, their stores, sidecar processes and commands together, as real
-// processes on loopback and Unix sockets. It holds tests only.
+// Package e2e tests agents, their stores, sidecars and operators' commands together: most tests
+// run them as real processes, over loopback and Unix sockets. It holds tests only.
 package e2e
 
 import (
@@ -23,11 +23,12 @@
 	"martendrum/internal/fleet/store"
 )
 
-// eventuallyTimeout bounds each wait for a condition that must become true.
+// eventuallyTimeout is how long a test waits for a condition before it fails.
 const eventuallyTimeout = 30 * time.Second
 
-// TestMain also runs as the process of an agent that kills itself at a write to its store, and as
-// that of a sidecar that crashes by its configuration.
+// TestMain runs the tests. With E2E_AGENT set, this program is instead an agent that kills itself
+// at a write to its store. With E2E_CRASHING_SIDECAR set, it is a sidecar that crashes when it
+// would apply a certain configuration.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("E2E_AGENT"); path != "" {
 		at, _ := strconv.ParseInt(os.Getenv("E2E_CRASH_AT"), 10, 64)
@@ -52,20 +53,21 @@
 	os.Exit(code)
 }
 
-// crashPoint is the write to its store at which an agent kills itself.
+// crashPoint says at which write to its store an agent kills itself.
 type crashPoint struct {
-	write  int64  // the number of the write, counted from 1; 0: none
-	after  bool   // once the write is done, instead of before it
-	change string // once the first change of the settings of this name is written; "": none
+	write  int64  // number of the write, counted from 1; 0 means none
+	after  bool   // crash after that write instead of before it
+	change string // crash after the first write of settings with this name; "" means none
 }
 
-// crashingStore is a store that kills its own process at a write.
+// crashingStore is a store that kills its own process at its crash point.
 type crashingStore struct {
 	store.Store
 	point  crashPoint
 	writes atomic.Int64
 }
 
+// Commit writes a change to the store, and kills the process if the crash point is reached.
 func (s *crashingStore) Commit(ctx context.Context, c *store.Change) error {
 	last := s.writes.Add(1) == s.point.write
 	if last && !s.point.after {
@@ -78,12 +80,13 @@
 	return err
 }
 
+// killSelf ends this process by SIGKILL and does not return.
 func killSelf() {
 	syscall.Kill(os.Getpid(), syscall.SIGKILL)
 	select {}
 }
 
-// writesSettings reports whether a write holds the settings of a name.
+// writesSettings reports whether a write contains settings with the given name.
 func writesSettings(c *store.Change, name string) bool {
 	return slices.ContainsFunc(c.Settings, func(row distribution.Entry) bool {
 		var resource distribution.Resource
@@ -91,6 +94,7 @@
 	})
 }
 
+// crashingAgent runs the agent with the configuration at path until SIGTERM or its crash point.
 func crashingAgent(path string, death crashPoint) error {
 	cfg, err := agent.LoadConfig(path)
 	if err != nil {
@@ -127,11 +131,13 @@
 		}
 	})
 	if buildErr != nil {
-		t.Fatal(buildErr)
+		t.Fatalf("building the sidecar and martendrum: %v", buildErr)
 	}
 	return built
 }
 
+// eventually waits until ok returns true. It ends the test after eventuallyTimeout with a message
+// that contains what, the description of the condition.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for until := time.Now().Add(eventuallyTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -243,7 +243,7 @@
 	own := p.op(api.ActRestart, func(o *api.Operation) {
 		o.Targets = []api.Target{{Host: p.hosts[0].name, Instance: p.hosts[0].instances[0]}}
 	})
-	if err := p.fleet.Agents[0].Call(context.Background(), api.OpOpen, &api.OpenIn{Operation: own, LeaseHolder: "me", TTL: time.Second}, nil); code(err) != api.LeaseHeld || !strings.Contains(err.Error(), "power loss") {
+	if err := p.fleet.Agents[0].Call(context.Background(), api.OpOpen, &api.OpenIn{Operation: own, LeaseHolder: "me", TTL: time.Second}, nil); errorCode(err) != api.LeaseHeld || !strings.Contains(err.Error(), "power loss") {
 		t.Errorf("an operation there: %v", err)
 	}
 	states := p.waitReady()
@@ -291,10 +291,10 @@
 			}
 			p.waitWavesDone(h)
 			agent, ctx := p.fleet.Agents[0], context.Background()
-			if err := agent.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: token, Instance: h.instances[0], Kind: api.Change}, nil); code(err) != api.Fenced {
+			if err := agent.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: token, Instance: h.instances[0], Kind: api.Change}, nil); errorCode(err) != api.Fenced {
 				t.Errorf("a step by a token of before the loss: %v", err)
 			}
-			if err := agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: opt.LeaseHolder, TTL: time.Minute}, nil); code(err) != api.LeaseHeld || !strings.Contains(err.Error(), "lost its power") {
+			if err := agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: opt.LeaseHolder, TTL: time.Minute}, nil); errorCode(err) != api.LeaseHeld || !strings.Contains(err.Error(), "lost its power") {
 				t.Errorf("the run from before the loss opens its operation again: %v", err)
 			}
 			if !died {
--- a/internal/fleet/e2e/settings_tls_test.go
+++ b/internal/fleet/e2e/settings_tls_test.go
@@ -155,12 +155,12 @@
 		{"a host that is no relay", other, api.SettingsWriting, writer},
 		{"an operator", operator, api.SettingsWriting, writer},
 	} {
-		if err := attempt.by.Call(ctx, attempt.method, attempt.in, nil); code(err) != api.Forbidden {
+		if err := attempt.by.Call(ctx, attempt.method, attempt.in, nil); errorCode(err) != api.Forbidden {
 			t.Errorf("%s calls %s: %v; want %s", attempt.who, attempt.method, err, api.Forbidden)
 		}
 	}
 	misled := &api.SettingsWatchIn{Host: "other", Session: watch.Session, Interest: interest, State: watch.State}
-	if err := other.Call(ctx, api.SettingsWatch, misled, nil); code(err) != api.InvalidParams {
+	if err := other.Call(ctx, api.SettingsWatch, misled, nil); errorCode(err) != api.InvalidParams {
 		t.Errorf("a host with the interest of another: %v", err)
 	}
 	var out api.SettingsStatusOut
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -90,7 +90,7 @@
 	w.setLinks(w.hosts, []*host{old}, faultnet.Fault{})
 	w.knowsWriter(next, epoch, old)
 	w.copied(change, old)
-	if err := w.putAt(old, "limits/void"); code(err) != api.NotWriter || !strings.Contains(err.Error(), next.name) {
+	if err := w.putAt(old, "limits/void"); errorCode(err) != api.NotWriter || !strings.Contains(err.Error(), next.name) {
 		t.Errorf("the old writer, sent a change: %v", err)
 	}
 	w.noneHoldsVoid(w.relays, limit)
--- a/internal/fleet/e2e/world_test.go
+++ b/internal/fleet/e2e/world_test.go
@@ -22,52 +22,56 @@
 	"martendrum/internal/standin/shop"
 )
 
-// world is a fleet of agents with their sidecars as processes of this machine.
+// world is a fleet of agents and sidecars, each a process on this machine.
 type world struct {
 	t             testing.TB
 	dir           string
-	prefix        string // of the agents' names, this test's own
+	prefix        string // prefix of the agents' names, unique to the test
 	shop          *shop.Shop
 	hosts         []*host
 	fleet         *client.Fleet
-	inventoryPath string // the inventory's path
+	inventoryPath string // inventory file of the operators' commands
 	binaries      string
 }
 
-// host is one agent with its instances.
+// host is one agent and its instances.
 type host struct {
 	world           *world
 	name            string
-	config          string
-	instances       []string
-	listenAddresses map[string]string
+	config          string            // path of the agent's configuration file
+	instances       []string          // names
+	listenAddresses map[string]string // by instance
 
 	mu  sync.Mutex
-	cmd *exec.Cmd
-	end chan struct{}
+	cmd *exec.Cmd     // the agent's process, nil before the first start and after kill
+	end chan struct{} // closed when that process has ended
 }
 
+// addresses counts the numbers given out, each for a loopback address or a file name that no other
+// test of this process uses.
 var addresses atomic.Int64
 
-// newWorld writes the configurations of hosts with a number of sidecars each; no agent runs yet.
+// newWorld writes the configurations of hosts, with the same number of sidecars on each host. It
+// starts no agent. At the end of the test all agents and sidecars are killed.
 func newWorld(t testing.TB, hosts, each int) *world {
 	t.Helper()
 	return newWorldWithStore(t, hosts, each, "")
 }
 
-// newWorldWithStore is newWorld with a [record] table in the agents' files.
+// newWorldWithStore is newWorld with extra lines for the [sidecar] table of the agents'
+// configurations and for tables after it, such as [record].
 func newWorldWithStore(t testing.TB, hosts, each int, record string) *world {
 	t.Helper()
 	return newWorldWithServers(t, hosts, each, record, func() (*shop.Shop, error) { return shop.New(4, 10*time.Millisecond) })
 }
 
-// newWorldWithServers is newWorldWithStore in front of servers that the test opens.
+// newWorldWithServers is newWorldWithStore with application servers that open starts.
 func newWorldWithServers(t testing.TB, hosts, each int, record string, open func() (*shop.Shop, error)) *world {
 	t.Helper()
 	w := &world{t: t, dir: t.TempDir(), prefix: fmt.Sprintf("e2e%08x", rand.Uint32()), binaries: programs(t)}
 	var err error
 	if w.shop, err = open(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("starting the application servers: %v", err)
 	}
 	var inv strings.Builder
 	inv.WriteString("timeout = \"2s\"\n")
@@ -110,13 +114,13 @@
 		for _, f := range proc.Find(w.prefix) {
 			syscall.Kill(f.PID, syscall.SIGKILL)
 		}
-		eventually(t, "the end of all sidecars", func() bool { return len(proc.Find(w.prefix)) == 0 })
+		eventually(t, "all sidecars to end", func() bool { return len(proc.Find(w.prefix)) == 0 })
 		w.shop.Close()
 	})
 	return w
 }
 
-// open returns another operator's view of the fleet.
+// open returns a client of all agents of the inventory for the operator named who.
 func (w *world) open(who string) *client.Fleet {
 	inv, err := inventory.Load(w.inventoryPath)
 	if err != nil {
@@ -129,8 +133,8 @@
 	return f
 }
 
-// start starts the host's agent. With env, the test's own program plays the agent, so that it can
-// crash.
+// start starts the host's agent. With env, the agent runs in the test's own program, which can
+// crash at a write to the agent's store (see TestMain).
 func (h *host) start(env ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -141,13 +145,13 @@
 	}
 	log, err := os.OpenFile(h.config+".log", os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
-		h.world.t.Error(err)
+		h.world.t.Errorf("opening the log of agent %s: %v", h.name, err)
 		return
 	}
 	defer log.Close()
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
-		h.world.t.Error(err)
+		h.world.t.Errorf("starting agent %s: %v", h.name, err)
 		return
 	}
 	end := make(chan struct{})
@@ -158,7 +162,7 @@
 	h.cmd, h.end = cmd, end
 }
 
-// signal signals the agent.
+// signal sends a signal to the agent, if it runs.
 func (h *host) signal(sig syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -178,20 +182,21 @@
 	}
 }
 
-// waitReady waits until every instance that should run is ready in its desired generation.
+// waitReady waits until every instance that should run is ready in its desired generation, and
+// returns the states of all hosts.
 func (w *world) waitReady() []client.HostState {
 	w.t.Helper()
 	var states []client.HostState
 	defer func() {
 		if w.t.Failed() {
-			w.t.Logf("%+v", states)
+			w.t.Logf("host states: %+v", states)
 			for _, h := range w.hosts {
 				log, _ := os.ReadFile(h.config + ".log")
-				w.t.Logf("%s: %s", h.name, log[max(0, len(log)-2000):])
+				w.t.Logf("end of the log of %s: %s", h.name, log[max(0, len(log)-2000):])
 			}
 		}
 	}()
-	eventually(w.t, "a fleet that is ready", func() bool {
+	eventually(w.t, "all instances to be ready", func() bool {
 		states = w.fleet.List(context.Background(), &inventory.Select{})
 		for _, h := range states {
 			if h.Error != "" || len(h.Instances) == 0 {
@@ -208,6 +213,7 @@
 	return states
 }
 
+// startAll starts all agents and waits until their instances are ready.
 func (w *world) startAll() {
 	for _, h := range w.hosts {
 		h.start()
@@ -215,7 +221,7 @@
 	w.waitReady()
 }
 
-// op returns an operation on all instances.
+// op returns an operation on all instances, one at a time, as changed by edit.
 func (w *world) op(action string, edit func(*api.Operation)) api.Operation {
 	o := api.Operation{
 		ID: fmt.Sprintf("op-%08x", rand.Uint32()), Action: action, Ready: 20 * time.Second, Soak: 300 * time.Millisecond,
@@ -235,11 +241,12 @@
 	return o
 }
 
+// options returns the options of a command's run, with a lease holder of its own.
 func options() client.Options {
 	return client.Options{LeaseHolder: fmt.Sprintf("run %08x", rand.Uint32()), TTL: 5 * time.Second, GiveUp: 30 * time.Second}
 }
 
-// command runs martendrum and returns what it printed and its exit code.
+// command runs martendrum and returns its standard output, its standard error and its exit code.
 func (w *world) command(args ...string) (out, errs string, code int) {
 	cmd := exec.Command(filepath.Join(w.binaries, "martendrum"), append([]string{"--fleet", w.inventoryPath}, args...)...)
 	var o, e strings.Builder
@@ -248,12 +255,12 @@
 	if x, ok := err.(*exec.ExitError); ok {
 		code = x.ExitCode()
 	} else if err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("running martendrum: %v", err)
 	}
 	return o.String(), e.String(), code
 }
 
-// script writes an executable file.
+// script writes an executable file into the test's folder and returns its path.
 func (w *world) script(name, text string) (path string) {
 	w.t.Helper()
 	path = filepath.Join(w.dir, name)
@@ -263,7 +270,8 @@
 	return path
 }
 
-// release uploads a release of a program with an overlay to all agents, and returns its hash.
+// release uploads a release to all agents and returns its hash. The release consists of a program
+// and, unless overlay is "", an overlay of its configuration.
 func (w *world) release(binary, overlay string) string {
 	w.t.Helper()
 	path := ""
