--- a/internal/fleet/e2e/chain_capacity_test.go
+++ b/internal/fleet/e2e/chain_capacity_test.go
@@ -23,32 +23,33 @@
 )
 
 var (
-	chainRate    = flag.Float64("chain-rate", 62, "calls a second that BenchmarkChainCapacity sends through each chain")
-	chainWindow  = flag.Duration("chain-window", 60*time.Second, "how long BenchmarkChainCapacity measures")
-	chainServers = flag.String("chain-servers", "30,300,3000", "lengths of the server lists of BenchmarkChainCapacity")
+	chainRate    = flag.Float64("chain-rate", 62, "calls per second that BenchmarkChainCapacity sends through each chain")
+	chainWindow  = flag.Duration("chain-window", 60*time.Second, "how long BenchmarkChainCapacity and BenchmarkCallRateCapacity measure")
+	chainServers = flag.String("chain-servers", "30,300,3000", "lengths of the server lists of BenchmarkChainCapacity, separated by commas")
 )
 
-// chainDepth is how deep the calls of the fleet go.
+// chainDepth is the number of applications in the chain of BenchmarkChainCapacity: the depth of the
+// calls of the fleet.
 const chainDepth = 7
 
-// chainWarm is how long calls run before they are measured: connections are opened.
-const chainWarm = 5 * time.Second
+// chainWarmup is how long calls run before they are measured, so that connections are open.
+const chainWarmup = 5 * time.Second
 
-// The two ways through a chain, as a request's path. It begins with the class.
+// The two ways through a chain, as paths of requests. A path begins with the request's class.
 const (
 	throughSidecars = "/status-check/sidecars"
 	direct          = "/status-check/direct"
 )
 
-// discoveryStandIn lists servers and sends an empty line each second, as the platform's
-// discovery does, and changes of the list that a test asks for.
+// discoveryStandIn is a discovery service for tests. It sends a list of servers, then an empty line
+// each second, as the platform's discovery does, and the changes of the list that a test passes.
 type discoveryStandIn struct {
 	completeList []byte
 	changes      chan []byte
-	end          chan struct{}
+	end          chan struct{} // closed to end all watches
 }
 
-// ServeHTTP implements http.Handler. Changes go to one watch.
+// ServeHTTP implements http.Handler. Each change goes to one watch only.
 func (d *discoveryStandIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	flusher := w.(http.Flusher)
 	ticker := time.NewTicker(time.Second)
@@ -71,7 +72,7 @@
 	}
 }
 
-// chainEntry is a server in discovery's form.
+// chainEntry is a server in discovery's JSON format.
 type chainEntry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -80,13 +81,14 @@
 	Weight  float64 `json:"weight"`
 }
 
-// chainList is a list, or a change of it, in discovery's form.
+// chainList is a list of servers, or a change of one, in discovery's JSON format.
 type chainList struct {
 	Index     int          `json:"index"`
 	Snapshot  bool         `json:"snapshot"`
 	Endpoints []chainEntry `json:"endpoints"`
 }
 
+// line returns the list as a line of JSON.
 func (l chainList) line(b *testing.B) []byte {
 	b.Helper()
 	line, err := json.Marshal(l)
@@ -96,8 +98,9 @@
 	return append(line, '\n')
 }
 
-// listServers starts a discovery that lists one address under so many names.
-func listServers(b *testing.B, servers int, address string) (*discoveryStandIn, string) {
+// startDiscovery starts a discovery service that lists one address under many server names. It
+// returns the service and its own address.
+func startDiscovery(b *testing.B, servers int, address string) (*discoveryStandIn, string) {
 	b.Helper()
 	list := chainList{Index: 1, Snapshot: true}
 	for i := range servers {
@@ -106,12 +109,12 @@
 		})
 	}
 	discovery := &discoveryStandIn{completeList: list.line(b), changes: make(chan []byte), end: make(chan struct{})}
-	at := serveHTTP(b, discovery)
-	b.Cleanup(func() { close(discovery.end) }) // before the server's end, which waits for its calls
-	return discovery, at
+	discoveryAddress := serveHTTP(b, discovery)
+	b.Cleanup(func() { close(discovery.end) }) // runs before the server's shutdown, which waits for open watches
+	return discovery, discoveryAddress
 }
 
-// serveHTTP serves on a port of loopback until the benchmark ends.
+// serveHTTP serves HTTP on a loopback port until the benchmark ends, and returns the address.
 func serveHTTP(b *testing.B, handler http.Handler) (address string) {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -135,8 +138,8 @@
 	return listener.Addr().String()
 }
 
-// startSidecar starts a sidecar of its own process and waits until it is ready. It has
-// room for a connection to each server of its working set.
+// startSidecar starts a sidecar process and waits until it is ready. The sidecar may open enough
+// sockets for a connection to each server of its working set.
 func startSidecar(b *testing.B, name, discovery string) (pid int, listen string) {
 	b.Helper()
 	dir := b.TempDir()
@@ -148,15 +151,15 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	roomy := strings.Replace(string(text), `"sockets": 128`, `"sockets": 512`, 1)
-	if err := os.WriteFile(path, []byte(roomy), 0o600); err != nil {
+	moreSockets := strings.Replace(string(text), `"sockets": 128`, `"sockets": 512`, 1)
+	if err := os.WriteFile(path, []byte(moreSockets), 0o600); err != nil {
 		b.Fatal(err)
 	}
 	command := exec.Command(filepath.Join(programs(b), "sidecar"))
 	command.Env = append(os.Environ(), "TMPDIR="+dir, "BALANCER_CONFIG="+path, "BALANCER_DISCOVERY="+discovery,
 		"BALANCER_LISTEN=", "BALANCER_MGMT=", "MARTENDRUM_FLEET=return")
 	if err := command.Start(); err != nil {
-		b.Fatal(err)
+		b.Fatalf("starting sidecar %s: %v", name, err)
 	}
 	b.Cleanup(func() {
 		command.Process.Kill()
@@ -164,7 +167,7 @@
 	})
 	health := &http.Client{Timeout: eventuallyTimeout}
 	defer health.CloseIdleConnections()
-	eventually(b, "a sidecar that is ready", func() bool {
+	eventually(b, "sidecar "+name+" to be ready", func() bool {
 		response, err := health.Get("http://" + listen + "/_health")
 		if err != nil {
 			return false
@@ -175,19 +178,20 @@
 	return command.Process.Pid, listen
 }
 
-// chain is applications that call each other, each through its own sidecar or directly.
+// chain is a sequence of applications. Each one calls the next, through the next one's sidecar or
+// directly.
 type chain struct {
 	depth    int
 	client   *http.Client
-	sidecars []string // where each application's sidecar listens
-	apps     []string // where each application listens
-	pids     []int
+	sidecars []string // address of each application's sidecar
+	apps     []string // address of each application
+	pids     []int    // process ids of the sidecars
 	lastID   atomic.Int64
-	ran      [2]atomic.Int64 // calls that the last application answered: through sidecars, direct
+	ran      [2]atomic.Int64 // calls that the last application has answered: through sidecars, direct
 }
 
-// newChain starts applications in this process, so many deep, and a sidecar process before
-// each.
+// newChain starts depth applications in this process and a sidecar process in front of each. The
+// server list of each sidecar names its application the given number of times.
 func newChain(b *testing.B, depth, servers int) *chain {
 	b.Helper()
 	c := &chain{depth: depth, client: &http.Client{Timeout: eventuallyTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 3 * time.Second}}}
@@ -197,7 +201,7 @@
 		c.apps[level] = serveHTTP(b, c.application(level))
 	}
 	for level := range depth {
-		_, discovery := listServers(b, servers, c.apps[level])
+		_, discovery := startDiscovery(b, servers, c.apps[level])
 		pid, listen := startSidecar(b, fmt.Sprint("level-", level), discovery)
 		c.pids = append(c.pids, pid)
 		c.sidecars[level] = listen
@@ -205,7 +209,8 @@
 	return c
 }
 
-// application answers a call once it has called the next application.
+// application returns the handler of the application at a level. It calls the next application, if
+// any, before it answers.
 func (c *chain) application(level int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if level+1 < c.depth {
@@ -222,7 +227,7 @@
 	})
 }
 
-// call calls the application at a level, the way that the path says.
+// call calls the application at a level, through its sidecar or directly as the path says.
 func (c *chain) call(path string, level int) error {
 	address := c.apps[level]
 	if path == throughSidecars {
@@ -243,15 +248,15 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s at level %d: %s", path, level, response.Status)
+		return fmt.Errorf("call of %s at level %d: got status %s, want 200", path, level, response.Status)
 	}
 	return nil
 }
 
-// latencies are the times of one way's calls.
+// latencies holds the results of calls through a chain, all the same way.
 type latencies struct {
 	mu     sync.Mutex
-	took   []time.Duration
+	took   []time.Duration // latencies of the successful calls
 	failed []error
 }
 
@@ -265,17 +270,19 @@
 	l.took = append(l.took, took)
 }
 
-// quantile is in milliseconds.
+// quantile returns a quantile of the latencies in milliseconds; 0.99 is the 99th percentile. It
+// sorts the latencies, so it may run only after the last add.
 func (l *latencies) quantile(q float64) float64 {
 	slices.Sort(l.took)
 	return l.took[int(q*float64(len(l.took)-1))].Seconds() * 1000
 }
 
-// load sends calls at random moments for a time, whether or not those before have ended.
-func (c *chain) load(path string, rate float64, last time.Duration) *latencies {
+// load sends calls for the given duration, rate calls per second on average. Calls begin at random
+// times, whether or not earlier calls have ended.
+func (c *chain) load(path string, rate float64, duration time.Duration) *latencies {
 	measured := &latencies{}
 	var calls sync.WaitGroup
-	next, end := time.Now(), time.Now().Add(last)
+	next, end := time.Now(), time.Now().Add(duration)
 	for {
 		next = next.Add(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
 		if next.After(end) {
@@ -292,18 +299,19 @@
 	return measured
 }
 
-// both loads both ways at the same time, so that the machine is as busy for each.
-func (c *chain) both(rate float64, last time.Duration) (sidecars, without *latencies) {
+// loadBothWays sends calls through the sidecars and directly at the same time, so that the machine
+// is equally busy for both.
+func (c *chain) loadBothWays(rate float64, duration time.Duration) (sidecars, withoutSidecars *latencies) {
 	var ways sync.WaitGroup
-	ways.Go(func() { sidecars = c.load(throughSidecars, rate, last) })
-	ways.Go(func() { without = c.load(direct, rate, last) })
+	ways.Go(func() { sidecars = c.load(throughSidecars, rate, duration) })
+	ways.Go(func() { withoutSidecars = c.load(direct, rate, duration) })
 	ways.Wait()
-	return sidecars, without
+	return sidecars, withoutSidecars
 }
 
-// BenchmarkChainCapacity sends calls through a chain of seven sidecars, a process each, and
-// through the same applications without them, by the length of the sidecars' server lists.
-// Run it with -benchtime=1x.
+// BenchmarkChainCapacity sends calls through a chain of seven applications, once with a sidecar
+// process in front of each and once without, for server lists of different lengths. Run it with
+// -benchtime=1x.
 func BenchmarkChainCapacity(b *testing.B) {
 	for _, servers := range capacitySizes(b, *chainServers) {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -315,8 +323,9 @@
 // connectionServers is the length of the server list of BenchmarkCallRateCapacity.
 const connectionServers = 300
 
-// BenchmarkCallRateCapacity sends calls through one sidecar with a list of 300 servers, by
-// calls a second: its connections, processor time and memory. Run it with -benchtime=1x.
+// BenchmarkCallRateCapacity sends calls through one sidecar with a list of 300 servers at different
+// rates per second. It measures the sidecar's connections, CPU time and memory. Run it with
+// -benchtime=1x.
 func BenchmarkCallRateCapacity(b *testing.B) {
 	for _, rate := range []int{15, 31, 62, 124, 248} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
@@ -325,39 +334,39 @@
 	}
 }
 
-// measureChain loads a chain that has warmed up, and reports the times of its calls and
-// what its sidecars use.
+// measureChain warms up a chain, sends calls through it, and reports their latencies and the
+// resource usage of the sidecars.
 func measureChain(b *testing.B, c *chain, rate float64) {
 	b.Helper()
-	c.both(rate, chainWarm)
+	c.loadBothWays(rate, chainWarmup)
 	for b.Loop() {
 		before, ranBefore := usages(b, c.pids...), c.ran[0].Load()
-		sidecars, without := c.both(rate, *chainWindow)
+		sidecars, withoutSidecars := c.loadBothWays(rate, *chainWindow)
 		reportMeanUsage(b, "sidecar", before, usages(b, c.pids...), *chainWindow)
-		for _, way := range []*latencies{sidecars, without} {
+		for _, way := range []*latencies{sidecars, withoutSidecars} {
 			if failed := len(way.failed); failed > 0 {
-				b.Fatalf("%d calls failed and %d did not, the first: %v", failed, len(way.took), way.failed[0])
+				b.Fatalf("%d calls failed and %d succeeded, want no failure; the first error: %v", failed, len(way.took), way.failed[0])
 			}
 		}
 		b.ReportMetric(sidecars.quantile(0.5), "sidecars-p50-ms")
 		b.ReportMetric(sidecars.quantile(0.99), "sidecars-p99-ms")
-		b.ReportMetric(without.quantile(0.5), "direct-p50-ms")
-		b.ReportMetric(without.quantile(0.99), "direct-p99-ms")
-		b.ReportMetric(sidecars.quantile(0.99)-without.quantile(0.99), "added-p99-ms")
+		b.ReportMetric(withoutSidecars.quantile(0.5), "direct-p50-ms")
+		b.ReportMetric(withoutSidecars.quantile(0.99), "direct-p99-ms")
+		b.ReportMetric(sidecars.quantile(0.99)-withoutSidecars.quantile(0.99), "added-p99-ms")
 		b.ReportMetric(float64(c.ran[0].Load()-ranBefore)/float64(len(sidecars.took)), "runs/call")
 	}
 }
 
-// BenchmarkSidecarListCapacity measures one sidecar without traffic, by the length of its
-// server list: at rest, and while one server a tenth of a second starts to drain or comes
-// back. Run it with -benchtime=1x.
+// BenchmarkSidecarListCapacity measures one sidecar without traffic for server lists of different
+// lengths: with a constant list, and while a server starts to drain or becomes available again
+// every tenth of a second. Run it with -benchtime=1x.
 func BenchmarkSidecarListCapacity(b *testing.B) {
 	const changeEvery = 100 * time.Millisecond
 	for _, servers := range []int{30, 300, 3000, 21000} {
 		for _, changing := range []bool{false, true} {
 			b.Run(fmt.Sprintf("servers=%d/changing=%v", servers, changing), func(b *testing.B) {
-				discovery, at := listServers(b, servers, "127.0.0.1:9")
-				pid, _ := startSidecar(b, "listed", at)
+				discovery, discoveryAddress := startDiscovery(b, servers, "127.0.0.1:9")
+				pid, _ := startSidecar(b, "listed", discoveryAddress)
 				for b.Loop() {
 					time.Sleep(*capacitySettled)
 					before, began := usages(b, pid), time.Now()
@@ -373,7 +382,8 @@
 	}
 }
 
-// changeOf is the change with an index: a server starts to drain, and comes back next.
+// changeOf returns the change of the list with an index. A server starts to drain at an even index
+// and is up again at the next one.
 func changeOf(index, servers int) chainList {
 	status := "draining"
 	if index%2 == 1 {
