--- a/internal/fleet/e2e/powerloss_clients_test.go
+++ b/internal/fleet/e2e/powerloss_clients_test.go
@@ -14,41 +14,45 @@
 	"martendrum/internal/fleet/control/client"
 )
 
-// retryingClients sends requests, retries them as Retry-After says until their deadline, and keeps
-// the outcomes.
+// retryingClients sends requests, retries each until its deadline with the delays of the
+// Retry-After header, and records the outcomes.
 type retryingClients struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
 
-	mu   sync.Mutex
-	all  []clientRequest
-	lost []string
-	down map[string][]time.Time // when an instance was killed
-	once map[string]bool        // ids of requests that must not run twice
+	mu            sync.Mutex
+	requests      []clientRequest        // requests that have ended
+	lost          []string               // attempts without a response whose instance was not killed
+	killed        map[string][]time.Time // times at which an instance was killed, by its name
+	notIdempotent map[string]bool        // ids of attempts that must not run twice
 }
 
+// clientRequest is the outcome of one request, with all its attempts.
 type clientRequest struct {
-	at    time.Time
-	class int
-	good  bool
+	began  time.Time
+	class  int // index into requestClasses
+	served bool
 }
 
+// requestClasses are the classes of the clients' requests.
 var requestClasses = []struct {
-	path         string
-	share, worth float64
-	limit        time.Duration
+	name    string
+	share   float64       // fraction of all requests
+	weight  float64       // weight of a request in servedFraction
+	timeout time.Duration // from the first attempt
 }{{"status-check", 0.5, 1, 3 * time.Second}, {"id-register", 0.3, 3, 2500 * time.Millisecond}, {"activate", 0.2, 10, 2500 * time.Millisecond}}
 
-// startClients sends perSecond requests a second to each instance until stopAndWait.
-func (p *recoveryWorld) startClients(perSecond float64) *retryingClients {
-	v := &retryingClients{stop: make(chan struct{}), down: make(map[string][]time.Time), once: make(map[string]bool)}
-	for _, h := range p.hosts {
+// startClients starts clients that send requests to each instance, perSecond per second on average,
+// until stopAndWait.
+func (w *recoveryWorld) startClients(perSecond float64) *retryingClients {
+	clients := &retryingClients{stop: make(chan struct{}), killed: make(map[string][]time.Time), notIdempotent: make(map[string]bool)}
+	for _, h := range w.hosts {
 		for name, addr := range h.listenAddresses {
-			v.wg.Go(func() {
-				rng := rand.New(rand.NewPCG(uint64(p.rank[name]), 5))
+			clients.wg.Go(func() {
+				rng := rand.New(rand.NewPCG(uint64(w.rank[name]), 5))
 				for n := 0; ; n++ {
 					select {
-					case <-v.stop:
+					case <-clients.stop:
 						return
 					case <-time.After(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))):
 					}
@@ -57,58 +61,62 @@
 						x -= requestClasses[class].share
 						class++
 					}
-					v.wg.Go(func() { v.client(name, addr, n, class) })
+					clients.wg.Go(func() { clients.sendUntilServed(name, addr, n, class) })
 				}
 			})
 		}
 	}
-	p.t.Cleanup(v.stopAndWait)
-	return v
+	w.t.Cleanup(clients.stopAndWait)
+	return clients
 }
 
-func (v *retryingClients) stopAndWait() {
-	v.mu.Lock()
+// stopAndWait stops the clients and waits for their requests to end. It may be called repeatedly.
+func (r *retryingClients) stopAndWait() {
+	r.mu.Lock()
 	select {
-	case <-v.stop:
+	case <-r.stop:
 	default:
-		close(v.stop)
+		close(r.stop)
 	}
-	v.mu.Unlock()
-	v.wg.Wait()
+	r.mu.Unlock()
+	r.wg.Wait()
 }
 
-// client retries one request until it is served, rejected for good, or past its deadline.
-func (v *retryingClients) client(name, addr string, n, class int) {
+// sendUntilServed sends request n to an instance. It retries while no instance accepts the request
+// or the status is 503, until the request's deadline.
+func (r *retryingClients) sendUntilServed(name, addr string, n, class int) {
 	began := time.Now()
-	end := began.Add(requestClasses[class].limit)
-	good := false
+	end := began.Add(requestClasses[class].timeout)
+	served := false
 	for try := 0; ; try++ {
 		id := fmt.Sprintf("%s-%d-%d", name, n, try)
-		status, after := v.attempt(name, addr, id, class, end)
-		good = status == http.StatusOK
-		if good || status != http.StatusServiceUnavailable && status != 0 {
+		status, after := r.attempt(name, addr, id, class, end)
+		served = status == http.StatusOK
+		if served || status != http.StatusServiceUnavailable && status != 0 {
 			break
 		}
 		if time.Now().Add(after).After(end) {
 			break
 		}
-		time.Sleep(max(after, 50*time.Millisecond)) // who found nobody there comes back at once
+		time.Sleep(max(after, 50*time.Millisecond)) // a client that could not connect retries at once
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.all = append(v.all, clientRequest{began, class, good})
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.requests = append(r.requests, clientRequest{began, class, served})
 }
 
-// attempt sends a request once. A status of 0 means that no server accepted it.
-func (v *retryingClients) attempt(name, addr, id string, class int, end time.Time) (status int, after time.Duration) {
+// attempt sends a request once and returns the status and the Retry-After time of the response. A
+// status of 0 means that the instance did not accept the request, and 502 that the connection ended
+// without a response.
+func (r *retryingClients) attempt(name, addr, id string, class int, end time.Time) (status int, after time.Duration) {
 	nc, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return 0, 0
 	}
 	defer nc.Close()
 	nc.SetDeadline(end.Add(3 * time.Second))
-	c := requestClasses[class]
-	head := fmt.Sprintf("Host: app\r\nReq-Kind: %s\r\nConnection: close\r\nReq-Id: %s\r\nReq-Deadline-Ms: %d\r\n", c.path, id, max(1, time.Until(end).Milliseconds()))
+	requestClass := requestClasses[class]
+	head := fmt.Sprintf("Host: app\r\nReq-Kind: %s\r\nConnection: close\r\nReq-Id: %s\r\nReq-Deadline-Ms: %d\r\n", requestClass.name, id, max(1, time.Until(end).Milliseconds()))
 	switch class {
 	case 0:
 		head = "GET /status-check HTTP/1.1\r\n" + head + "\r\n"
@@ -116,9 +124,9 @@
 		head = "POST /id-register HTTP/1.1\r\n" + head + "Idempotency-Key: " + id + "\r\nContent-Length: 4\r\n\r\ncard"
 	default:
 		head = "POST /activate HTTP/1.1\r\n" + head + "Content-Length: 4\r\n\r\ncard"
-		v.mu.Lock()
-		v.once[id] = true
-		v.mu.Unlock()
+		r.mu.Lock()
+		r.notIdempotent[id] = true
+		r.mu.Unlock()
 	}
 	if _, err := io.WriteString(nc, head); err != nil {
 		return 0, 0
@@ -129,75 +137,77 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
 	if err != nil {
-		v.mu.Lock()
-		defer v.mu.Unlock()
-		for _, k := range v.down[name] {
-			if k.After(wrote.Add(-time.Second)) && k.Before(time.Now().Add(time.Second)) {
-				return http.StatusBadGateway, 0 // it was killed: nobody can say what became of it
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		for _, killed := range r.killed[name] {
+			if killed.After(wrote.Add(-time.Second)) && killed.Before(time.Now().Add(time.Second)) {
+				return http.StatusBadGateway, 0 // the instance was killed: the request may have run or not
 			}
 		}
-		v.lost = append(v.lost, fmt.Sprintf("%s: %v", id, err))
+		r.lost = append(r.lost, fmt.Sprintf("%s: %v", id, err))
 		return http.StatusBadGateway, 0
 	}
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	return resp.StatusCode, time.Duration(seconds * float64(time.Second))
 }
 
-func (v *retryingClients) markKilled(hosts ...*host) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+// markKilled records that all instances of the hosts are being killed now.
+func (r *retryingClients) markKilled(hosts ...*host) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, h := range hosts {
 		for _, name := range h.instances {
-			v.down[name] = append(v.down[name], time.Now())
+			r.killed[name] = append(r.killed[name], time.Now())
 		}
 	}
 }
 
-// servedFraction returns the fraction of the weight offered within a span that was served, of one
-// class or, below 0, of all.
-func (v *retryingClients) servedFraction(class int, from time.Time, span time.Duration) float64 {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+// servedFraction returns the fraction of the requests that was served, by weight, among those that
+// began within the span after from. It counts one class or, if class is below 0, all.
+func (r *retryingClients) servedFraction(class int, from time.Time, span time.Duration) float64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	offered, served := 0.0, 0.0
-	for _, x := range v.all {
-		if x.at.Before(from) || !x.at.Before(from.Add(span)) || class >= 0 && x.class != class {
+	for _, request := range r.requests {
+		if request.began.Before(from) || !request.began.Before(from.Add(span)) || class >= 0 && request.class != class {
 			continue
 		}
-		offered += requestClasses[x.class].worth
-		if x.good {
-			served += requestClasses[x.class].worth
+		offered += requestClasses[request.class].weight
+		if request.served {
+			served += requestClasses[request.class].weight
 		}
 	}
 	return served / max(offered, 1)
 }
 
-// checkRules checks by the records of servers and clients that no request was lost or ran twice,
-// and that no server in slow start was overloaded.
-func (p *recoveryWorld) checkRules(v *retryingClients) {
-	p.t.Helper()
-	v.stopAndWait()
-	if len(v.lost) > 0 {
-		p.t.Errorf("%d requests lost, as %s", len(v.lost), v.lost[0])
+// checkNoHarm stops the clients and checks, by the records of servers and clients, that no request
+// was lost or ran twice and that no server in slow start was overloaded.
+func (w *recoveryWorld) checkNoHarm(clients *retryingClients) {
+	w.t.Helper()
+	clients.stopAndWait()
+	if len(clients.lost) > 0 {
+		w.t.Errorf("%d requests were lost, want 0; the first: %s", len(clients.lost), clients.lost[0])
 	}
-	for id, n := range p.shop.Runs() {
-		if v.once[id] && n > 1 {
-			p.t.Errorf("%s ran %d times", id, n)
+	for id, n := range w.shop.Runs() {
+		if clients.notIdempotent[id] && n > 1 {
+			w.t.Errorf("request %s, which is not idempotent, ran %d times, want at most 1", id, n)
 		}
 	}
-	if n := p.slowStart.Fallen(); n > 0 {
-		p.t.Errorf("%d servers in slow start were overloaded", n)
+	if n := w.slowStart.Fallen(); n > 0 {
+		w.t.Errorf("%d servers in slow start were overloaded, want 0", n)
 	}
 }
 
-// waitRecovered waits until nine tenths of the weight offered within two seconds are served, and
-// returns how long after from that was.
-func (p *recoveryWorld) waitRecovered(v *retryingClients, from time.Time) time.Duration {
-	p.t.Helper()
+// waitRecovered waits for the first span of two seconds, tried each half second after from, in which
+// nine tenths of the requests, by weight, are served. It returns how long after from that span
+// begins.
+func (w *recoveryWorld) waitRecovered(clients *retryingClients, from time.Time) time.Duration {
+	w.t.Helper()
 	const span = 2 * time.Second
 	at := from
-	eventually(p.t, "nine tenths of the weight served", func() bool {
+	eventually(w.t, "nine tenths of the requests, by weight, to be served", func() bool {
 		for ; time.Since(at) > span+3*time.Second; at = at.Add(500 * time.Millisecond) {
-			if v.servedFraction(-1, at, span) >= 0.9 {
+			if clients.servedFraction(-1, at, span) >= 0.9 {
 				return true
 			}
 		}
@@ -206,27 +216,27 @@
 	return at.Sub(from)
 }
 
-// checkWaves checks that on each host the first instance of every shop was started before the
-// second one of any.
-func (p *recoveryWorld) checkWaves(states []client.HostState) {
-	p.t.Helper()
+// checkWaves checks the order in which instances were restarted: on each host the first instance of
+// every shop was started before the second instance of any shop.
+func (w *recoveryWorld) checkWaves(states []client.HostState) {
+	w.t.Helper()
 	for _, h := range states {
 		first, second := make(map[string]time.Time), make(map[string]time.Time)
 		for _, i := range h.Instances {
-			s := i.Labels["shop"]
-			switch at, there := first[s]; {
-			case !there:
-				first[s] = i.Launched
-			case i.Launched.Before(at):
-				first[s], second[s] = i.Launched, at
+			shop := i.Labels["shop"]
+			switch launched, found := first[shop]; {
+			case !found:
+				first[shop] = i.Launched
+			case i.Launched.Before(launched):
+				first[shop], second[shop] = i.Launched, launched
 			default:
-				second[s] = i.Launched
+				second[shop] = i.Launched
 			}
 		}
-		for a, late := range first {
-			for b, early := range second {
-				if early.Before(late) {
-					p.t.Errorf("%s: %s had two before %s had one", h.Host.Name, b, a)
+		for shop, firstLaunch := range first {
+			for other, secondLaunch := range second {
+				if secondLaunch.Before(firstLaunch) {
+					w.t.Errorf("%s: the second instance of %s was started before the first one of %s", h.Host.Name, other, shop)
 				}
 			}
 		}
--- a/internal/fleet/e2e/staged_world_test.go
+++ b/internal/fleet/e2e/staged_world_test.go
@@ -156,7 +156,7 @@
 }
 
 // startLoad sends each instance a request about every 40 ms, every second one an activate.
-func (w *world) startLoad() *clients { return w.startTraffic(40 * time.Millisecond) }
+func (w *world) startLoad() *trafficClients { return w.startTraffic(40 * time.Millisecond) }
 
 // countChanged returns how many instances have ever run the operation's release.
 func countChanged(rep *client.Report) (n int) {
--- a/internal/fleet/e2e/traffic_test.go
+++ b/internal/fleet/e2e/traffic_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// clients sends requests to every instance until stop, each on a new connection, and keeps which
+// trafficClients sends requests to every instance until stop, each on a new connection, and keeps which
 // were lost.
-type clients struct {
+type trafficClients struct {
 	wg     sync.WaitGroup
 	end    chan struct{}
 	mu     sync.Mutex
@@ -27,8 +27,8 @@
 // moment is not served. Any request from before SIGTERM is older.
 const shutdownRace = 400 * time.Millisecond
 
-func (w *world) startTraffic(each time.Duration) *clients {
-	c := &clients{end: make(chan struct{}), kills: make(map[string][]time.Time)}
+func (w *world) startTraffic(each time.Duration) *trafficClients {
+	c := &trafficClients{end: make(chan struct{}), kills: make(map[string][]time.Time)}
 	n := 0
 	for _, h := range w.hosts {
 		for name, addr := range h.listenAddresses {
@@ -48,7 +48,7 @@
 	return c
 }
 
-func (c *clients) send(name, addr, id string, activate bool) {
+func (c *trafficClients) send(name, addr, id string, activate bool) {
 	nc, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return // nobody there: nothing was taken
@@ -88,13 +88,13 @@
 	}
 }
 
-func (c *clients) killed(name string) {
+func (c *trafficClients) killed(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.kills[name] = append(c.kills[name], time.Now())
 }
 
-func (c *clients) stop() {
+func (c *trafficClients) stop() {
 	close(c.end)
 	c.wg.Wait()
 }
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -76,7 +76,7 @@
 	wait             sync.WaitGroup
 }
 
-func (w *world) startKills(requests *clients) *randomKills {
+func (w *world) startKills(requests *trafficClients) *randomKills {
 	kills := &randomKills{end: make(chan struct{})}
 	rng := rand.New(rand.NewPCG(5, 1))
 	kills.wait.Go(func() {
