--- a/internal/fleet/e2e/scale_test.go
+++ b/internal/fleet/e2e/scale_test.go
@@ -17,21 +17,23 @@
 	"martendrum/internal/fleet/control/rollout"
 )
 
-// Times of the pretended sidecars and the gates of BenchmarkRollingRestart200.
+// Parameters of BenchmarkRollingRestart200.
 const (
-	simReady = 200 * time.Millisecond
-	simDrain = 700 * time.Millisecond
+	simReady = 200 * time.Millisecond // from the start of a simulated sidecar until it is ready
+	simDrain = 700 * time.Millisecond // from the stop of a simulated sidecar to its end
 	simSoak  = 2 * time.Second
 	simBatch = 20
 )
 
-func memory(b *testing.B) {
+// reportMemory reports the memory that this process, which runs all agents and the client, has
+// from the operating system.
+func reportMemory(b *testing.B) {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	b.ReportMetric(float64(m.Sys)/(1<<20), "MiB-all-agents-and-client")
 }
 
-// BenchmarkList200 lists 200 pretended instances on 20 agents, over TCP.
+// BenchmarkList200 lists 200 simulated instances on 20 agents over TCP.
 func BenchmarkList200(b *testing.B) {
 	s := simulate(b, 20, 10, time.Millisecond, time.Millisecond, nil)
 	for b.Loop() {
@@ -40,14 +42,15 @@
 			n += len(h.Instances)
 		}
 		if n != 200 {
-			b.Fatal(n)
+			b.Fatalf("listed %d instances, want 200", n)
 		}
 	}
-	memory(b)
+	reportMemory(b)
 }
 
-// BenchmarkRollingRestart200 restarts them in batches of 20 and tells how much
-// longer that takes than drains, starts and soaks alone.
+// BenchmarkRollingRestart200 restarts 200 simulated instances on 20 agents in batches of 20. It
+// reports by how many percent that takes longer than the sum of the batches' drains, starts and
+// soak times.
 func BenchmarkRollingRestart200(b *testing.B) {
 	s := simulate(b, 20, 10, simReady, simDrain, nil)
 	gates := time.Duration(200/simBatch) * (simDrain + simReady + simSoak)
@@ -58,16 +61,16 @@
 		began := time.Now()
 		rep, err := s.fleet.Start(context.Background(), op, options())
 		if err != nil || !rep.OK() {
-			b.Fatal(rep, err)
+			b.Fatalf("restart: report %+v, error %v, want success", rep, err)
 		}
 		b.ReportMetric(100*(float64(time.Since(began))/float64(gates)-1), "%-on-top-of-gates")
 	}
-	memory(b)
+	reportMemory(b)
 }
 
-// BenchmarkHarmTakenBack60 takes a version that fails a tenth of its requests into 60
-// real sidecars on 6 agents, and tells how long it is from the first that runs it to the
-// last that is back, and how many ran it.
+// BenchmarkHarmTakenBack60 upgrades 60 real sidecars on 6 agents in stages to a release that fails
+// a tenth of its requests, which is rolled back. It reports the time from the first upgrade to the
+// end of the last rollback, and how many instances ran the release.
 func BenchmarkHarmTakenBack60(b *testing.B) {
 	for b.Loop() {
 		w := stagedWorld(b, 6, 10)
@@ -84,7 +87,7 @@
 		w.checkRelease(base)
 		requests.stop()
 		if rep.Result != rollout.AllRolledBack || len(requests.lost) > 0 {
-			b.Fatalf("%s because %s; lost: %v", rep.Result, rep.Why, requests.lost)
+			b.Fatalf("upgrade: result %s because %s, lost requests %v; want result %s and no lost request", rep.Result, rep.Why, requests.lost, rollout.AllRolledBack)
 		}
 		var first, last time.Time
 		for _, r := range rep.Rows {
@@ -97,21 +100,22 @@
 				}
 			}
 		}
-		b.Logf("%s; %d requests, %d served", rep.Why, requests.sent, requests.served)
+		b.Logf("rolled back because %s; %d requests, %d served", rep.Why, requests.sent, requests.served)
 		b.ReportMetric(last.Sub(first).Seconds(), "s-to-all-back")
 		b.ReportMetric(float64(countChanged(rep)), "instances-touched")
 	}
 }
 
-// BenchmarkAgentAtRest runs a real agent with ten real sidecars, at its default
-// health interval, for 20 s, and tells its resident memory and its CPU time: with
-// figures each 10 s as by default, each second, and without.
+// BenchmarkAgentAtRest runs a real agent with ten real sidecars, at its default interval of health
+// calls, for 20 s and reports its resident memory and its CPU usage: with metrics collected every
+// 10 s, the default, every second, and not at all.
 func BenchmarkAgentAtRest(b *testing.B) {
 	for _, slot := range []string{"10s", "1s", "0s"} {
 		b.Run("figures="+slot, func(b *testing.B) { agentAtRest(b, slot) })
 	}
 }
 
+// agentAtRest measures an idle agent that collects metrics at the interval slot; "0s" means never.
 func agentAtRest(b *testing.B, slot string) {
 	w := newWorldWithStore(b, 1, 10, fmt.Sprintf("[figures]\nslot = %q\nkeep = \"30m\"\n", slot))
 	h := w.hosts[0]
@@ -120,7 +124,7 @@
 		err = os.WriteFile(h.config, []byte(strings.Replace(string(text), "health_each = \"200ms\"", "health_each = \"1s\"", 1)), 0o600)
 	}
 	if err != nil {
-		b.Fatal(err)
+		b.Fatalf("editing the agent's configuration: %v", err)
 	}
 	w.startAll()
 	w.fleet.Close()
@@ -136,11 +140,11 @@
 		return time.Duration(user+system) * 10 * time.Millisecond // a tick is 10 ms on Linux
 	}
 	for b.Loop() {
-		time.Sleep(2 * time.Second) // the start is over
-		const rest = 20 * time.Second
+		time.Sleep(2 * time.Second) // until the agent's start is over
+		const measured = 20 * time.Second
 		before := cpu()
-		time.Sleep(rest)
-		b.ReportMetric(100*float64(cpu()-before)/float64(rest), "%-of-a-core")
+		time.Sleep(measured)
+		b.ReportMetric(100*float64(cpu()-before)/float64(measured), "%-of-a-core")
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 		if err != nil {
 			b.Fatal(err)
--- a/internal/fleet/e2e/settings_bench_test.go
+++ b/internal/fleet/e2e/settings_bench_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// BenchmarkSettingsInForce publishes changes for eight real sidecars on eight hosts behind two
-// relays, which gather changes for 0.2 s, and tells how long it is from the acknowledgement
-// until all work with the new settings by their own figures.
+// BenchmarkSettingsInForce publishes changes for eight real sidecars on eight hosts with two relays,
+// which coalesce changes for 0.2 s. It reports the time from the acknowledgement of a change until
+// the metrics of all sidecars show that the new settings are in force.
 func BenchmarkSettingsInForce(b *testing.B) {
 	w := newSettingsWorld(b, 2, 8, 1)
 	names := instances(w.hosts...)
@@ -17,14 +17,14 @@
 		w.inForce(w.publish("limits/all", memoryLimit(megabytes)), len(w.hosts))
 		limits[n] = w.bodyLimit(names[0])
 	}
-	total, changes := time.Duration(0), 0
+	elapsed, changes := time.Duration(0), 0
 	for b.Loop() {
 		next := changes % len(sizes)
 		w.publish("limits/all", memoryLimit(sizes[next]))
 		published := time.Now()
 		w.limits(limits[next], names)
-		total += time.Since(published)
+		elapsed += time.Since(published)
 		changes++
 	}
-	b.ReportMetric(total.Seconds()/float64(changes), "s-in-force")
+	b.ReportMetric(elapsed.Seconds()/float64(changes), "s-in-force")
 }
--- a/internal/fleet/e2e/settings_crash_test.go
+++ b/internal/fleet/e2e/settings_crash_test.go
@@ -13,15 +13,16 @@
 	"testing"
 )
 
-// crashingLimit is the memory limit at which crashingSidecar ends.
+// crashingLimit is the memory limit in MB at which crashingSidecar ends.
 const crashingLimit = 77
 
-// crashingEnv names the program that crashingSidecar runs, in the environment of this test's
-// own program. A shell would do, but one that waits may miss a signal.
+// crashingEnv is the environment variable that makes this test's program run crashingSidecar, with
+// the path of the sidecar's program. It replaces a shell script, which may miss a signal while it
+// waits.
 const crashingEnv = "E2E_CRASHING_SIDECAR"
 
-// crashingSidecar runs a sidecar and forwards signals to it, except a SIGHUP that would apply
-// crashingLimit: that ends both processes.
+// crashingSidecar runs a sidecar and forwards signals to it. A SIGHUP that would apply a
+// configuration with crashingLimit is not forwarded but ends both processes.
 func crashingSidecar(program string) error {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM)
@@ -40,7 +41,7 @@
 			text, err := os.ReadFile(os.Getenv("BALANCER_CONFIG"))
 			if got == syscall.SIGHUP && (err != nil || bytes.Contains(text, fmt.Appendf(nil, `"memory_mb": %d`, crashingLimit))) {
 				sidecar.Process.Kill()
-				return errors.Join(errors.New("ended by its configuration"), err)
+				return errors.Join(errors.New("the sidecar crashes with this configuration"), err)
 			}
 			sidecar.Process.Signal(got)
 		}
@@ -60,7 +61,7 @@
 	program := w.script("crashing", fmt.Sprintf("#!/bin/sh\n%s=%q exec %q\n", crashingEnv, filepath.Join(w.binaries, "sidecar"), os.Args[0]))
 	changed := strings.Replace(string(text), fmt.Sprintf("binary = %q", filepath.Join(w.binaries, "sidecar")), fmt.Sprintf("binary = %q", program), 1)
 	if changed == string(text) {
-		t.Fatal("the configuration names no program to replace")
+		t.Fatal("the agent's configuration does not contain the path of the sidecar")
 	}
 	if err := os.WriteFile(h.config, []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
@@ -68,22 +69,22 @@
 	w.startRelays()
 	w.startAll()
 	w.inForce(w.publish("limits/all", memoryLimit(96)), 2)
-	good := w.bodyLimit(h.instances[0])
+	lastGood := w.bodyLimit(h.instances[0])
 
 	crashing := w.publish("limits/crash", memoryLimit(crashingLimit), "--scope", "host="+h.name)
 	w.waitRejected(crashing, h)
 	w.waitReady()
-	w.limits(good, h.instances)
-	if refusals := w.inspect(h, h.instances[0]).Settings.Rejections; len(refusals) != 1 || !strings.Contains(refusals[0].Reason, "its process ended") {
-		t.Errorf("rejections %+v", refusals)
+	w.limits(lastGood, h.instances)
+	if rejections := w.inspect(h, h.instances[0]).Settings.Rejections; len(rejections) != 1 || !strings.Contains(rejections[0].Reason, "its process ended") {
+		t.Errorf("rejections = %+v, want 1 with a reason that contains \"its process ended\"", rejections)
 	}
-	launches := w.inspect(h, h.instances[0]).Instance.Restarts
-	if launches != crashesWanted {
-		t.Errorf("%d restarts; the crashing settings were to be tried %d times", launches, crashesWanted)
+	restarts := w.inspect(h, h.instances[0]).Instance.Restarts
+	if restarts != crashesWanted {
+		t.Errorf("%s was restarted %d times, want %d: once for each try of the crashing settings", h.instances[0], restarts, crashesWanted)
 	}
 
 	w.inForce(w.publish("limits/crash", memoryLimit(80), "--scope", "host="+h.name), 2)
 }
 
-// crashesWanted is how many processes the same settings may crash before they are rejected.
+// crashesWanted is the number of crashes after which settings are rejected.
 const crashesWanted = 2
--- a/internal/fleet/e2e/settings_operation_test.go
+++ b/internal/fleet/e2e/settings_operation_test.go
@@ -9,7 +9,8 @@
 	"martendrum/internal/fleet/api"
 )
 
-// openOperation opens an operation at a host with a lease that lives until it is closed.
+// openOperation opens an operation on all instances of a host and returns it with its fencing
+// token. The lease of one minute outlasts the operation.
 func (w *settingsWorld) openOperation(h *host, action string, soak time.Duration) (api.Operation, int64) {
 	w.t.Helper()
 	operation := w.op(action, func(o *api.Operation) {
@@ -22,33 +23,33 @@
 	var out api.OpenOut
 	in := &api.OpenIn{Operation: operation, LeaseHolder: "tester", TTL: time.Minute}
 	if err := w.operator.Agent(h.name).Call(context.Background(), api.OpOpen, in, &out); err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("opening a %s operation at %s: %v", action, h.name, err)
 	}
 	return operation, out.Token
 }
 
-// closeOperation ends an operation, and its lease with it.
+// closeOperation closes an operation, which also ends its lease.
 func (w *settingsWorld) closeOperation(h *host, operation api.Operation, token int64) {
 	w.t.Helper()
 	in := &api.CloseIn{Op: operation.ID, Token: token, Result: "done"}
 	if err := w.operator.Agent(h.name).Call(context.Background(), api.OpClose, in, nil); err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("closing the %s operation at %s: %v", operation.Action, h.name, err)
 	}
 }
 
-// startStep begins the step of an operation on an instance.
+// startStep begins an operation's step on an instance.
 func (w *settingsWorld) startStep(h *host, operation api.Operation, token int64, instance string) {
 	w.t.Helper()
 	in := &api.StepIn{Op: operation.ID, Token: token, Instance: instance, Kind: api.Change}
 	if err := w.operator.Agent(h.name).Call(context.Background(), api.StepStart, in, nil); err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("starting the %s step on %s: %v", operation.Action, instance, err)
 	}
 }
 
-// waitStep waits for the end of the step on an instance and returns its status.
+// waitStep waits until an operation's step on an instance has ended, and returns its status.
 func (w *settingsWorld) waitStep(h *host, operation api.Operation, instance string) (status string) {
 	w.t.Helper()
-	eventually(w.t, "the end of the step on "+instance, func() bool {
+	eventually(w.t, "the step on "+instance+" to end", func() bool {
 		var out api.OpOut
 		if err := w.operator.Agent(h.name).Call(context.Background(), api.OpStatus, &api.StatusIn{Op: operation.ID}, &out); err != nil {
 			return false
@@ -63,9 +64,9 @@
 	return status
 }
 
-// A live lease defers distributed settings for its own instances only. A restart within the
-// operation starts with the settings accepted before it, and the deferred ones are applied when
-// the operation ends.
+// While an operation holds the lease of instances, distributed settings are deferred for these
+// instances only. An instance that the operation restarts starts with the settings accepted before,
+// and the deferred settings are applied when the operation ends.
 func TestOperationAndDistribution(t *testing.T) {
 	t.Parallel()
 	w := newSettingsWorld(t, 2, 2, 1)
@@ -79,12 +80,12 @@
 	w.received(later, held)
 	w.checkHeldBack(held, instance, accepted, "operation "+operation.ID)
 	if out, _, code := w.command("list", "--settings"); code != 1 || !strings.Contains(out, "operation "+operation.ID) {
-		t.Errorf("list --settings while the operation holds the instance: exit %d\n%s", code, out)
+		t.Errorf("martendrum list --settings during the operation: exit code %d, want 1 and the operation's id:\n%s", code, out)
 	}
 
 	w.startStep(held, operation, token, instance)
 	if status := w.waitStep(held, operation, instance); status != api.StepOK {
-		t.Errorf("the restart is %s", status)
+		t.Errorf("restart step: status %s, want %s", status, api.StepOK)
 	}
 	w.startedWith(instance, accepted)
 	w.checkHeldBack(held, instance, accepted, "operation "+operation.ID)
@@ -93,38 +94,40 @@
 	w.inForce(later, 2)
 	w.limits(w.bodyLimit(free.instances[0]), []string{instance})
 
-	// The step of a reload finishes before deferred settings are applied, also where its lease ends
-	// first.
+	// A reload step finishes before deferred settings are applied, even if the lease expires before
+	// the step ends.
 	operation, token = w.openOperation(held, api.ActReload, 0)
 	w.startStep(held, operation, token, instance)
 	last := w.publish("limits/all", memoryLimit(96))
 	if status := w.waitStep(held, operation, instance); status != api.StepOK {
-		t.Errorf("the reload is %s", status)
+		t.Errorf("reload step: status %s, want %s", status, api.StepOK)
 	}
 	if limit := w.bodyLimit(instance); limit == accepted {
-		t.Error("the reload took over settings that were to wait for its operation's end")
+		t.Error("the reload applied settings that should wait for the operation's end")
 	}
 	w.closeOperation(held, operation, token)
 	w.inForce(last, 2)
 	w.limits(accepted, instances(held, free))
 
-	// Settings and drained instances: what changed meanwhile is in force after the start.
+	// Settings that change while an instance is drained are in force after its start.
 	w.drainAndUndrain(held, instance)
 }
 
-// checkHeldBack checks that an instance waits for an operation and still has its earlier settings.
+// checkHeldBack checks that an instance reports what its new settings wait for, and that its earlier
+// body limit is still in force.
 func (w *settingsWorld) checkHeldBack(h *host, instance string, limit float64, why string) {
 	w.t.Helper()
 	settings := w.inspect(h, instance).Settings
 	if !strings.Contains(settings.Waiting, why) {
-		w.t.Errorf("%s reports that it waits for %q; want %q", instance, settings.Waiting, why)
+		w.t.Errorf("settings of %s wait for %q, want a text that contains %q", instance, settings.Waiting, why)
 	}
 	if have := w.bodyLimit(instance); have != limit {
-		w.t.Errorf("%s has a limit of %v while an operation holds it; it had %v", instance, have, limit)
+		w.t.Errorf("body limit of %s during the operation = %v, want %v as before it", instance, have, limit)
 	}
 }
 
-// drainAndUndrain changes the settings of an instance that does not run.
+// drainAndUndrain publishes a change while an instance is drained, and checks that it is in force
+// after the instance is undrained.
 func (w *settingsWorld) drainAndUndrain(h *host, instance string) {
 	w.t.Helper()
 	operation, token := w.openOperation(h, api.ActDrain, 0)
@@ -136,10 +139,11 @@
 	operation, token = w.openOperation(h, api.ActUndrain, 0)
 	w.startStep(h, operation, token, instance)
 	if status := w.waitStep(h, operation, instance); status != api.StepOK {
-		w.t.Errorf("the undrain is %s", status)
+		w.t.Errorf("undrain step: status %s, want %s", status, api.StepOK)
 	}
-	// The process began with what was accepted before: it is behind, and must be known to be.
-	eventually(w.t, "a status that knows of the earlier settings", func() bool {
+	// The new process starts with the settings accepted before, so the status must not count its
+	// host.
+	eventually(w.t, "a status that does not count "+h.name+" as up to date", func() bool {
 		out, ok := w.status(w.writer(), last)
 		return ok && out.Status.InForce == len(w.hosts)-1
 	})
--- a/internal/fleet/e2e/settings_relays_test.go
+++ b/internal/fleet/e2e/settings_relays_test.go
@@ -9,76 +9,77 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// subscribed waits until each host polls the relay of its own region.
+// subscribed waits until each host's agent polls the relay of its own region.
 func (w *settingsWorld) subscribed() {
 	w.t.Helper()
 	for n, h := range w.hosts {
 		want := w.relays[n%len(w.relays)].name
-		eventually(w.t, h.name+" asks "+want, func() bool {
+		eventually(w.t, h.name+" to poll "+want, func() bool {
 			return w.inspect(h, h.instances[0]).Settings.Relay == want
 		})
 	}
 }
 
-// When a relay is killed after it copied a change and before its hosts received it, they get it
-// from other relays. A relay that is killed before it copied the change does so after its restart.
+// When a relay is killed after it has copied a change and before its hosts have received the change,
+// they receive it from other relays. A relay that is killed before it has copied a change copies it
+// after its restart.
 func TestRelayKilledMidChange(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 3, 6)
 	w.subscribed()
 	before := w.reference(6, "limits/all", 80)[0]
 
-	// The first relay has copied the change; its answers to hosts are in flight.
-	answering := w.relays[1]
-	w.setLinks(w.hosts, []*host{answering}, faultnet.Fault{Stall: faultnet.Back})
+	// One relay has copied the change, but its answers to hosts are stalled on the links.
+	copiedRelay := w.relays[1]
+	w.setLinks(w.hosts, []*host{copiedRelay}, faultnet.Fault{Stall: faultnet.Back})
 	change := w.publish("limits/all", memoryLimit(96))
 	w.copied(change, w.relays...)
-	answering.kill()
-	w.setLinks(w.hosts, []*host{answering}, faultnet.Fault{})
+	copiedRelay.kill()
+	w.setLinks(w.hosts, []*host{copiedRelay}, faultnet.Fault{})
 	w.inForce(change, 6)
 	after := w.bodyLimit(w.hosts[0].instances[0])
 	if after == before {
-		t.Fatal("the figure does not tell the settings apart")
+		t.Fatalf("body limit = %v under both settings, want it to differ", after)
 	}
 	w.limits(after, instances(w.hosts...))
 
-	// The second relay is killed before it copied the next change.
-	copying := w.relays[2]
-	w.setLinks([]*host{copying}, w.relays, faultnet.Fault{Stall: faultnet.Both})
+	// Another relay is killed before it has copied the next change.
+	laggingRelay := w.relays[2]
+	w.setLinks([]*host{laggingRelay}, w.relays, faultnet.Fault{Stall: faultnet.Both})
 	change = w.publish("limits/all", memoryLimit(80))
-	if out, ok := w.status(copying, change); !ok || !change.After(out.Status.Latest) {
-		t.Errorf("relay %s has the change that its link keeps back: %+v", copying.name, out)
+	if out, ok := w.status(laggingRelay, change); !ok || !change.After(out.Status.Latest) {
+		t.Errorf("status of relay %s behind a stalled link = %+v, want an answer with a revision before %v", laggingRelay.name, out, change)
 	}
-	copying.kill()
-	w.setLinks([]*host{copying}, w.relays, faultnet.Fault{})
+	laggingRelay.kill()
+	w.setLinks([]*host{laggingRelay}, w.relays, faultnet.Fault{})
 	w.inForce(change, 6)
 	w.limits(before, instances(w.hosts...))
 
-	answering.start()
-	copying.start()
-	w.copied(change, answering, copying)
+	copiedRelay.start()
+	laggingRelay.start()
+	w.copied(change, copiedRelay, laggingRelay)
 }
 
-// Half of the relays are killed and their hosts poll the others: changes reach all hosts, and the
-// killed relays catch up after their restart.
+// Half of the relays are killed, so their hosts poll the other relays. Changes reach all hosts, and
+// the killed relays catch up after their restart.
 func TestHalfTheRelaysUnavailable(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 4, 8)
 	w.subscribed()
 	limits := w.reference(8, "limits/all", 80, 96)
-	gone := w.relays[2:]
-	for _, relay := range gone {
+	killed := w.relays[2:]
+	for _, relay := range killed {
 		relay.kill()
 	}
 	for n, megabytes := range []int{80, 96, 80} {
 		change := w.publish("limits/all", memoryLimit(megabytes))
 		status := w.inForce(change, 8)
 		if status.Hosts != 8 {
-			t.Errorf("change %d: %d hosts are known, want 8", n, status.Hosts)
+			t.Errorf("change %d: the writer knows %d hosts, want 8", n, status.Hosts)
 		}
 		w.limits(limits[n%2], instances(w.hosts...))
 	}
-	for _, relay := range gone {
+	for _, relay := range killed {
 		relay.start()
 	}
 	change := w.publish("limits/all", memoryLimit(96))
@@ -87,19 +88,19 @@
 	w.limits(limits[1], instances(w.hosts...))
 }
 
-// between returns the links from each asker to each relay.
-func (w *settingsWorld) between(askers, relays []*host) (links []*faultnet.Link) {
-	for _, asker := range askers {
+// between returns the links from each of the agents to each other relay.
+func (w *settingsWorld) between(agents, relays []*host) (links []*faultnet.Link) {
+	for _, from := range agents {
 		for _, relay := range relays {
-			if asker != relay {
-				links = append(links, w.link(asker, relay))
+			if from != relay {
+				links = append(links, w.link(from, relay))
 			}
 		}
 	}
 	return links
 }
 
-// connections returns how many connections were made over links.
+// connections returns how many connections have been made over the links.
 func connections(links []*faultnet.Link) (made int) {
 	for _, link := range links {
 		made += link.Made()
@@ -107,8 +108,8 @@
 	return made
 }
 
-// cutOff stalls links until heal is called. With reset all connections are reset as well, new ones
-// within a few milliseconds, so that a caller fails at once.
+// cutOff stalls the links until heal is called. With reset it also resets all their connections every
+// 5 ms, so that calls fail at once instead of hanging.
 func cutOff(links []*faultnet.Link, reset bool) (heal func()) {
 	for _, link := range links {
 		link.Set(faultnet.Fault{Stall: faultnet.Both})
@@ -116,13 +117,13 @@
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
-		each := time.NewTicker(5 * time.Millisecond)
-		defer each.Stop()
+		ticker := time.NewTicker(5 * time.Millisecond)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-stop:
 				return
-			case <-each.C:
+			case <-ticker.C:
 			}
 			for _, link := range links {
 				if reset {
@@ -140,8 +141,8 @@
 	})
 }
 
-// A partitioned region, and hosts without any relay, continue with the last accepted settings,
-// retry at a bounded rate, and catch up once the partition heals.
+// The hosts of a partitioned region, and hosts that can reach no relay, continue with the last
+// accepted settings. Their agents retry at a bounded rate, and catch up once the partition heals.
 func TestRegionCutOffAndBack(t *testing.T) {
 	for name, reset := range map[string]bool{"stalled": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
@@ -151,66 +152,68 @@
 	}
 }
 
-// The same for a minute, which would expose a missing backoff.
+// The same partition for a minute, long enough to expose a missing backoff.
 func TestRegionCutOffForLong(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
 	regionCutOff(t, true, time.Minute)
 }
 
-// Bounds on the connections of one agent while all its calls fail: a few at first, then a rate per
-// second. A relay follows the writer, queries another relay for the writer, and reports.
+// Bounds on the connections that one agent makes while all its calls fail: a number of initial
+// connections, and a rate per second after them. The rate of a relay is higher since it makes three
+// calls: it follows the writer, asks another relay who the writer is, and reports.
 const (
-	retriesFirst       = 6
-	relayRetriesSecond = 3.5
-	hostRetriesSecond  = 0.7
+	initialConnections        = 6
+	relayConnectionsPerSecond = 3.5
+	hostConnectionsPerSecond  = 0.7
 )
 
-// regionCutOff partitions the second of two regions, and the hosts of a third from all relays.
-func regionCutOff(t *testing.T, reset bool, lasts time.Duration) {
+// regionCutOff partitions the second of two regions with a relay from the first one, and the hosts
+// of a third region from all relays, for a duration.
+func regionCutOff(t *testing.T, reset bool, duration time.Duration) {
 	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 6, sidecarsPerHost: 1, regions: 3})
 	w.startRelays()
 	w.startAll()
-	joined := []*host{w.hosts[0], w.hosts[3]}
-	apart := []*host{w.hosts[1], w.hosts[4]}
-	alone := []*host{w.hosts[2], w.hosts[5]}
-	writer, regional := w.relays[:1], w.relays[1:]
+	inWriterRegion := []*host{w.hosts[0], w.hosts[3]}
+	inCutOffRegion := []*host{w.hosts[1], w.hosts[4]}
+	withoutRelay := []*host{w.hosts[2], w.hosts[5]}
+	writer, regionRelay := w.relays[:1], w.relays[1:]
 	before := w.reference(6, "limits/all", 96)[0]
-	for _, h := range apart {
-		eventually(t, h.name+" asks the relay of its region", func() bool {
-			return w.inspect(h, h.instances[0]).Settings.Relay == regional[0].name
+	for _, h := range inCutOffRegion {
+		eventually(t, h.name+" to poll the relay of its region", func() bool {
+			return w.inspect(h, h.instances[0]).Settings.Relay == regionRelay[0].name
 		})
 	}
 
-	toWriter, toAny := w.between(regional, writer), w.between(alone, w.relays)
-	across := slices.Concat(w.between(writer, regional), w.between(apart, writer), w.between(joined, regional))
+	toWriter, toAny := w.between(regionRelay, writer), w.between(withoutRelay, w.relays)
+	across := slices.Concat(w.between(writer, regionRelay), w.between(inCutOffRegion, writer), w.between(inWriterRegion, regionRelay))
 	heal := cutOff(slices.Concat(toWriter, toAny, across), reset)
 	defer heal()
-	relayMade, hostsMade, acrossMade := connections(toWriter), connections(toAny), connections(across)
+	relayBefore, hostsBefore, acrossBefore := connections(toWriter), connections(toAny), connections(across)
 	began := time.Now()
 	change := w.publish("limits/all", memoryLimit(80))
-	w.inForce(change, len(joined))
-	after := w.bodyLimit(joined[0].instances[0])
+	w.inForce(change, len(inWriterRegion))
+	after := w.bodyLimit(inWriterRegion[0].instances[0])
 	if after == before {
-		t.Fatal("the figure does not tell the settings apart")
+		t.Fatalf("body limit = %v under both settings, want it to differ", after)
 	}
-	for time.Since(began) < lasts {
-		for _, name := range instances(slices.Concat(apart, alone)...) {
+	for time.Since(began) < duration {
+		for _, name := range instances(slices.Concat(inCutOffRegion, withoutRelay)...) {
 			if limit := w.bodyLimit(name); limit != before {
-				t.Fatalf("%s has a limit of %v while it is cut off; it had %v", name, limit, before)
+				t.Fatalf("body limit of %s during the partition = %v, want %v as before", name, limit, before)
 			}
 		}
-		time.Sleep(lasts / 20)
+		time.Sleep(duration / 20)
 	}
-	for _, h := range apart {
-		if relay := w.inspect(h, h.instances[0]).Settings.Relay; relay != regional[0].name {
-			t.Errorf("%s asks %q; the relay of its region serves on", h.name, relay)
+	for _, h := range inCutOffRegion {
+		if relay := w.inspect(h, h.instances[0]).Settings.Relay; relay != regionRelay[0].name {
+			t.Errorf("%s polls relay %q, want %q: the relay of its region still answers", h.name, relay, regionRelay[0].name)
 		}
 	}
 	took := time.Since(began)
-	maxAt(t, "the region's relay", connections(toWriter)-relayMade, retriesFirst+relayRetriesSecond*took.Seconds())
-	maxAt(t, "hosts without a relay", connections(toAny)-hostsMade, float64(len(alone))*(retriesFirst+hostRetriesSecond*took.Seconds()))
-	maxAt(t, "agents that have a relay of their region", connections(across)-acrossMade, 0)
+	checkConnections(t, "the relay of the partitioned region", connections(toWriter)-relayBefore, initialConnections+relayConnectionsPerSecond*took.Seconds())
+	checkConnections(t, "the hosts that can reach no relay", connections(toAny)-hostsBefore, float64(len(withoutRelay))*(initialConnections+hostConnectionsPerSecond*took.Seconds()))
+	checkConnections(t, "the agents that can reach the relay of their region", connections(across)-acrossBefore, 0)
 
 	heal()
 	w.inForce(change, 6)
@@ -218,11 +221,12 @@
 	w.copied(change, w.relays...)
 }
 
-// maxAt checks that a number of connections is within a bound.
-func maxAt(t *testing.T, whose string, made int, limit float64) {
+// checkConnections checks that the number of connections made by agents during a partition is within
+// a bound.
+func checkConnections(t *testing.T, agents string, made int, limit float64) {
 	t.Helper()
-	t.Logf("%s made %d connections", whose, made)
+	t.Logf("%s made %d connections during the partition", agents, made)
 	if float64(made) > limit {
-		t.Errorf("%s made %d connections while cut off; %.1f at most", whose, made, limit)
+		t.Errorf("%s made %d connections during the partition, want at most %.1f", agents, made, limit)
 	}
 }
--- a/internal/fleet/e2e/settings_tls_test.go
+++ b/internal/fleet/e2e/settings_tls_test.go
@@ -21,15 +21,15 @@
 	"martendrum/internal/standin/simhost"
 )
 
-// tlsWorld is a relay and a host in this process that speak mutual TLS.
+// tlsWorld is a relay and a host that communicate over mutual TLS. Both agents run in this process.
 type tlsWorld struct {
 	t       *testing.T
 	dir     string
-	address string // of the relay
+	address string // address of the relay
 }
 
-// newTLSWorld makes certificates and starts a relay "relay" and a subscriber "host" with a
-// simulated sidecar.
+// newTLSWorld writes certificates and starts two agents: a relay named "relay", and a subscriber
+// named "host" with a simulated sidecar.
 func newTLSWorld(t *testing.T) *tlsWorld {
 	t.Helper()
 	w := &tlsWorld{t: t, dir: t.TempDir()}
@@ -42,17 +42,17 @@
 		os.WriteFile(filepath.Join(w.dir, "instance.json"), []byte(`{"listen":"127.0.0.1:1"}`), 0o600),
 	} {
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing the files of the test: %v", err)
 		}
 	}
-	// A relay does not dial itself, so its own entry needs no valid address.
+	// A relay does not connect to itself, so its own entry needs no valid address.
 	w.address = w.serve("relay", "[relay]\n", "tls:127.0.0.1:1", "")
 	w.serve("host", "", w.address, "[[instance]]\nname = \"instance\"\nconfig = \"instance.json\"\n")
 	return w
 }
 
-// serve runs an agent, which has the relay's address, until the test ends, and returns its own
-// address.
+// serve runs an agent until the test ends and returns the agent's address. The arguments are parts of
+// its configuration: the [relay] section, "" for a subscriber; the relay's address; and the instances.
 func (w *tlsWorld) serve(name, relay, address, instance string) string {
 	w.t.Helper()
 	text := fmt.Sprintf(`name = %q
@@ -79,11 +79,11 @@
 	}
 	cfg, err := agent.LoadConfig(file)
 	if err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("loading the configuration of agent %s: %v", name, err)
 	}
 	served, err := agent.New(cfg, simhost.New(0, 0), func(path string) (store.Store, error) { return sqlite.Open(path, 1<<20) })
 	if err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("creating agent %s: %v", name, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	listening, ended := make(chan string, 1), make(chan error, 1)
@@ -91,15 +91,15 @@
 	w.t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
-			w.t.Error(err)
+			w.t.Errorf("agent %s ended with error: %v", name, err)
 		}
 		served.Close()
 	})
 	return "tls:" + <-listening
 }
 
-// as returns a client of the relay that authenticates with a certificate.
-func (w *tlsWorld) as(certificate string) *client.Agent {
+// clientAs returns a client of the relay that authenticates with the named certificate.
+func (w *tlsWorld) clientAs(certificate string) *client.Agent {
 	w.t.Helper()
 	inv := &inventory.Inventory{Timeout: quantity.Duration(5 * time.Second), Hosts: []inventory.Host{{Name: "relay", Address: w.address}}}
 	inv.TLS.CA = filepath.Join(w.dir, "ca", "ca.crt")
@@ -113,20 +113,20 @@
 	return fleet.Agents[0]
 }
 
-// Over mutual TLS a host follows a relay with its agent's certificate. No other certificate may
-// act for a host or a relay, and a viewer can neither publish nor promote.
+// Over mutual TLS a host subscribes to a relay with its agent's certificate. No other certificate may
+// act as that host or as a relay, and a viewer can neither publish a change nor promote a relay.
 func TestSettingsOverTLS(t *testing.T) {
 	w := newTLSWorld(t)
 	ctx := context.Background()
-	operator, viewer, other := w.as("operator"), w.as("viewer"), w.as("other")
+	operator, viewer, other := w.clientAs("operator"), w.clientAs("viewer"), w.clientAs("other")
 	put := &distribution.Put{Name: "limits/all", Content: []byte(memoryLimit(80))}
-	var made api.SettingsPutOut
-	if err := operator.Call(ctx, api.SettingsPut, put, &made); err != nil {
-		t.Fatal(err)
+	var published api.SettingsPutOut
+	if err := operator.Call(ctx, api.SettingsPut, put, &published); err != nil {
+		t.Fatalf("publishing a change as an operator: %v", err)
 	}
-	eventually(t, "the change in force, as a viewer sees it", func() bool {
+	eventually(t, "the change to be in force, in the status that a viewer reads", func() bool {
 		var out api.SettingsStatusOut
-		err := viewer.Call(ctx, api.SettingsStatus, &api.SettingsStatusIn{Revision: made.Resource.Revision}, &out)
+		err := viewer.Call(ctx, api.SettingsStatus, &api.SettingsStatusIn{Revision: published.Resource.Revision}, &out)
 		return err == nil && out.Complete && out.Status.Hosts == 1 && out.Status.InForce == 1
 	})
 
@@ -135,8 +135,8 @@
 	watch := &api.SettingsWatchIn{Host: "host", Session: time.Now().UnixMicro(), Interest: interest, State: &distribution.HostState{}}
 	ack := &api.SettingsAckIn{Host: "host", State: distribution.HostState{Settled: true}}
 	for _, attempt := range []struct {
-		who    string
-		by     *client.Agent
+		caller string
+		client *client.Agent
 		method string
 		in     any
 	}{
@@ -147,24 +147,24 @@
 		{"a host", other, api.SettingsGet, &api.SettingsGetIn{}},
 		{"another host", other, api.SettingsWatch, watch},
 		{"another host", other, api.SettingsAck, ack},
-		{"an operator for a host", operator, api.SettingsWatch, watch},
-		{"an operator for a host", operator, api.SettingsAck, ack},
-		{"a host for a relay", other, api.SettingsFollow, &api.SettingsFollowIn{Relay: "relay", Writer: "relay", Epoch: 1}},
-		{"a host for a relay", other, api.SettingsReport, &api.SettingsReportIn{Relay: "relay", Epoch: 1}},
+		{"an operator that acts as a host", operator, api.SettingsWatch, watch},
+		{"an operator that acts as a host", operator, api.SettingsAck, ack},
+		{"a host that acts as a relay", other, api.SettingsFollow, &api.SettingsFollowIn{Relay: "relay", Writer: "relay", Epoch: 1}},
+		{"a host that acts as a relay", other, api.SettingsReport, &api.SettingsReportIn{Relay: "relay", Epoch: 1}},
 		{"a host that is no relay", other, api.SettingsFollow, &api.SettingsFollowIn{Relay: "other", Writer: "relay", Epoch: 1}},
 		{"a host that is no relay", other, api.SettingsWriting, writer},
 		{"an operator", operator, api.SettingsWriting, writer},
 	} {
-		if err := attempt.by.Call(ctx, attempt.method, attempt.in, nil); errorCode(err) != api.Forbidden {
-			t.Errorf("%s calls %s: %v; want %s", attempt.who, attempt.method, err, api.Forbidden)
+		if err := attempt.client.Call(ctx, attempt.method, attempt.in, nil); errorCode(err) != api.Forbidden {
+			t.Errorf("call by %s of %s: got error %v, want code %s", attempt.caller, attempt.method, err, api.Forbidden)
 		}
 	}
-	misled := &api.SettingsWatchIn{Host: "other", Session: watch.Session, Interest: interest, State: watch.State}
-	if err := other.Call(ctx, api.SettingsWatch, misled, nil); errorCode(err) != api.InvalidParams {
-		t.Errorf("a host with the interest of another: %v", err)
+	otherInterest := &api.SettingsWatchIn{Host: "other", Session: watch.Session, Interest: interest, State: watch.State}
+	if err := other.Call(ctx, api.SettingsWatch, otherInterest, nil); errorCode(err) != api.InvalidParams {
+		t.Errorf("watch by a host with the interest of another host: got error %v, want code %s", err, api.InvalidParams)
 	}
 	var out api.SettingsStatusOut
 	if err := viewer.Call(ctx, api.SettingsStatus, &api.SettingsStatusIn{}, &out); err != nil || out.Writer.Epoch != 1 || out.Status.Hosts != 1 {
-		t.Errorf("after that: %+v, %v", out, err)
+		t.Errorf("status after the rejected calls = %+v, error %v; want epoch 1 and 1 host", out, err)
 	}
 }
--- a/internal/fleet/e2e/settings_unavailable_test.go
+++ b/internal/fleet/e2e/settings_unavailable_test.go
@@ -8,37 +8,38 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// reference publishes memory limits to all hosts in turn and returns the limit on bodies that the
-// sidecars have in force under each, so that a test can tell them apart later.
+// reference publishes several memory limits in turn, as changes of the resource name to all hosts. It
+// returns the limit on bodies that the sidecars have in force under each, which differ, so that a test
+// can tell later which memory limit is in force.
 func (w *settingsWorld) reference(hosts int, name string, megabytes ...int) (limits []float64) {
 	w.t.Helper()
-	for _, each := range megabytes {
-		w.inForce(w.publish(name, memoryLimit(each)), hosts)
+	for _, size := range megabytes {
+		w.inForce(w.publish(name, memoryLimit(size)), hosts)
 		limits = append(limits, w.bodyLimit(w.hosts[0].instances[0]))
 	}
 	for n := range limits {
 		for other := range n {
 			if limits[n] == limits[other] {
-				w.t.Fatalf("the figure does not tell %d and %d MB apart", megabytes[n], megabytes[other])
+				w.t.Fatalf("body limit = %v under memory limits of both %d and %d MB, want it to differ", limits[n], megabytes[n], megabytes[other])
 			}
 		}
 	}
 	return limits
 }
 
-// A host whose agent was stopped, one whose agent was killed and one that starts only after the
-// changes all converge to the latest settings. Until then the sidecars of the first two keep the
-// ones they had.
+// Three hosts miss changes: the agent of one is stopped by SIGSTOP, that of another is killed, and
+// that of the third starts only after the changes. All of them converge to the latest settings. Until
+// then the sidecars of the first two keep their previous settings.
 func TestUnavailableHostConverges(t *testing.T) {
 	t.Parallel()
 	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 4, sidecarsPerHost: 1})
 	w.startRelays()
-	there, stopped, killed, late := w.hosts[0], w.hosts[1], w.hosts[2], w.hosts[3]
+	available, stopped, killed, late := w.hosts[0], w.hosts[1], w.hosts[2], w.hosts[3]
 	for _, h := range w.hosts[:3] {
 		h.start()
 	}
 	w.serving(w.hosts[:3]...)
-	wide := w.reference(3, "limits/all", 112)[0]
+	previous := w.reference(3, "limits/all", 112)[0]
 
 	stopped.signal(syscall.SIGSTOP)
 	killed.kill()
@@ -46,11 +47,11 @@
 	last := w.publish("limits/all", memoryLimit(96))
 	status := w.inForce(last, 1)
 	if status.Hosts != 3 || status.Behind+status.Unavailable != 2 {
-		t.Errorf("with two hosts away: %+v", status)
+		t.Errorf("status with two unavailable hosts = %+v, want 3 hosts, of them 2 behind or unavailable", status)
 	}
 	for _, name := range instances(stopped, killed) {
-		if limit := w.bodyLimit(name); limit != wide {
-			t.Errorf("%s: a limit of %v while its agent is away; it had %v", name, limit, wide)
+		if limit := w.bodyLimit(name); limit != previous {
+			t.Errorf("body limit of %s while its agent is unavailable = %v, want %v as before", name, limit, previous)
 		}
 	}
 
@@ -58,10 +59,10 @@
 	killed.start()
 	late.start()
 	w.inForce(last, 4)
-	w.limits(w.bodyLimit(there.instances[0]), instances(there, killed))
+	w.limits(w.bodyLimit(available.instances[0]), instances(available, killed))
 	w.limits(w.bodyLimit(stopped.instances[0]), instances(stopped, late))
-	if even, odd := w.bodyLimit(there.instances[0]), w.bodyLimit(stopped.instances[0]); even == odd || odd == wide {
-		t.Errorf("limits of %v and %v after %v", even, odd, wide)
+	if even, odd := w.bodyLimit(available.instances[0]), w.bodyLimit(stopped.instances[0]); even == odd || odd == previous {
+		t.Errorf("body limits = %v of service even and %v of service odd, want them to differ, and the latter to differ from the previous %v", even, odd, previous)
 	}
 }
 
@@ -71,21 +72,21 @@
 	t.Parallel()
 	w := newSettingsWorld(t, 2, 1, 2)
 	h := w.hosts[0]
-	wide := w.reference(1, "limits/all", 80, 96)[1]
+	limit96 := w.reference(1, "limits/all", 80, 96)[1]
 	for _, relay := range w.relays {
 		relay.kill()
 	}
 	h.kill()
 	h.start()
 	w.waitReady()
-	w.limits(wide, h.instances)
+	w.limits(limit96, h.instances)
 	for _, instance := range h.instances {
 		w.killSidecar(h, instance)
-		w.startedWith(instance, wide)
+		w.startedWith(instance, limit96)
 	}
 	w.waitReady()
 
-	// The same for a sidecar that ends while its agent is down.
+	// The same holds for a sidecar that ends while its agent is down.
 	pid := w.inspect(h, h.instances[0]).Instance.PID
 	h.kill()
 	if err := syscall.Kill(pid, syscall.SIGKILL); err != nil {
@@ -93,62 +94,63 @@
 	}
 	h.start()
 	w.waitReady()
-	w.startedWith(h.instances[0], wide)
+	w.startedWith(h.instances[0], limit96)
 	if settings := w.inspect(h, h.instances[0]).Settings; settings.Relay != "" || len(settings.Accepted) != 1 {
-		t.Errorf("without a relay the agent reports %+v", settings)
+		t.Errorf("settings that the agent reports without a relay = %+v, want no relay and 1 accepted resource", settings)
 	}
 
-	// After the relays' restart new changes arrive.
+	// New changes arrive after the relays' restart.
 	w.startRelays()
 	w.inForce(w.publish("limits/all", memoryLimit(80)), 1)
-	if limit := w.bodyLimit(h.instances[0]); limit == wide {
-		t.Errorf("the limit is still %v", limit)
+	if limit := w.bodyLimit(h.instances[0]); limit == limit96 {
+		t.Errorf("body limit after a new change = %v, want it to differ from the earlier one", limit)
 	}
 }
 
-// startedWith checks that a sidecar has had a limit since its start, not by a reload.
+// startedWith checks that a sidecar has a body limit in force since its start, without a reload.
 func (w *settingsWorld) startedWith(instance string, want float64) {
 	w.t.Helper()
 	w.limits(want, []string{instance})
-	if taken, ok := w.metric(instance, "edge_balancer_config_applied"); !ok || taken != 0 {
-		w.t.Errorf("%s took over %v configurations (%v); want it to begin with the accepted one", instance, taken, ok)
+	if applied, ok := w.metric(instance, "edge_balancer_config_applied"); !ok || applied != 0 {
+		w.t.Errorf("%s applied %v configurations since its start (metric found: %v), want 0: it should start with the accepted one", instance, applied, ok)
 	}
 }
 
-// A reader behind the compacted history gets a snapshot: a host and a relay that missed more
-// changes than are retained end at the log's state, without resources removed meanwhile.
+// Hosts and relays that missed more changes than the writer retains receive a snapshot. They end in
+// the state of the writer's log, without the resource that was removed meanwhile.
 func TestCompactedHistoryGivesSnapshot(t *testing.T) {
 	t.Parallel()
 	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 2, sidecarsPerHost: 1, relay: "history = 5\n"})
 	w.startRelays()
 	w.startAll()
-	narrow := w.reference(2, "limits/all", 96, 80)[1]
+	limit80 := w.reference(2, "limits/all", 96, 80)[1]
 	removed := w.publish("limits/removed", memoryLimit(112))
 	w.inForce(removed, 2)
-	wide := w.bodyLimit(w.hosts[0].instances[0])
-	if wide == narrow {
-		t.Fatal("the resource that is removed later does not show")
+	limit112 := w.bodyLimit(w.hosts[0].instances[0])
+	if limit112 == limit80 {
+		t.Fatalf("body limit = %v with and without limits/removed, want it to differ", limit80)
 	}
-	away, relay := w.hosts[1], w.relays[1]
-	away.kill()
+	unavailable, relay := w.hosts[1], w.relays[1]
+	unavailable.kill()
 	relay.kill()
 	if _, errs, code := w.command("change", "publish", "limits/removed", "--remove"); code != 0 {
-		t.Fatalf("exit %d: %s", code, errs)
+		t.Fatalf("martendrum change publish limits/removed --remove: exit code %d, want 0\n%s", code, errs)
 	}
 	var last distribution.Revision
 	for n := range 12 {
-		// The resource changes several times; the last round leaves 80 MB.
+		// The limit alternates between 96 and 80 MB; the last change sets 80 MB.
 		last = w.publish("limits/all", memoryLimit(80+16*((11-n)%2)))
 	}
 	w.inForce(last, 1)
 	relay.start()
 	w.copied(last, relay)
-	// The host can reach only the relay that was down, whose snapshot has to be complete.
-	w.link(away, w.writer()).Set(faultnet.Fault{Drop: true})
-	away.start()
+	// The host can reach only the relay that was down, whose copy came from a snapshot and has to be
+	// complete.
+	w.link(unavailable, w.writer()).Set(faultnet.Fault{Drop: true})
+	unavailable.start()
 	w.inForce(last, 2)
-	w.limits(narrow, instances(w.hosts...))
-	if accepted := w.accepted(away, away.instances[0]); len(accepted) != 1 || accepted["limits/all"] != last {
-		t.Errorf("the host that was away holds %v; want limits/all of %v alone", accepted, last)
+	w.limits(limit80, instances(w.hosts...))
+	if accepted := w.accepted(unavailable, unavailable.instances[0]); len(accepted) != 1 || accepted["limits/all"] != last {
+		t.Errorf("accepted resources of the host that missed changes = %v, want only limits/all of revision %v", accepted, last)
 	}
 }
