--- a/internal/fleet/e2e/command_capacity_test.go
+++ b/internal/fleet/e2e/command_capacity_test.go
@@ -22,14 +22,14 @@
 
 // inventoryFile writes the inventory of a simulated fleet, for commands that run as separate
 // processes, and returns its path.
-func inventoryFile(b *testing.B, fleet *simulated) string {
+func inventoryFile(b *testing.B, fleet *simulatedFleet) string {
 	b.Helper()
 	return inventoryOf(b, fleet, func(host inventory.Host) string { return host.Address })
 }
 
 // inventoryOf writes an inventory with the address that the function returns for each host, and
 // returns its path.
-func inventoryOf(b *testing.B, fleet *simulated, address func(inventory.Host) string) string {
+func inventoryOf(b *testing.B, fleet *simulatedFleet, address func(inventory.Host) string) string {
 	b.Helper()
 	var text strings.Builder
 	text.WriteString("timeout = \"10s\"\n")
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -74,7 +74,7 @@
 	time.Sleep(6 * time.Second) // a peer's answer that it stayed up counts once the peer is 5 s old
 	name := w.hosts[0].instances[0]
 	for launch, f := range proc.Find(w.hosts[0].name + "/" + name + "/") {
-		t.Logf("killed the process with launch id %s", launch)
+		t.Logf("killed the process of launch %s", launch)
 		syscall.Kill(f.PID, syscall.SIGKILL)
 	}
 	eventually(t, "a new process of "+name, func() bool { return strings.Count(w.allLogs(name), recoveryStartMark) == 2 })
--- a/internal/fleet/e2e/settings_crash_test.go
+++ b/internal/fleet/e2e/settings_crash_test.go
@@ -52,7 +52,7 @@
 // processes run with the last accepted settings, and a later revision is applied.
 func TestCrashingSettingsAreRejected(t *testing.T) {
 	t.Parallel()
-	w := layOutSettings(t, settingsLayout{relays: 1, hosts: 2, sidecarsPerHost: 1})
+	w := configureSettings(t, settingsLayout{relays: 1, hosts: 2, sidecarsPerHost: 1})
 	h := w.hosts[1]
 	text, err := os.ReadFile(h.config)
 	if err != nil {
--- a/internal/fleet/e2e/settings_relays_test.go
+++ b/internal/fleet/e2e/settings_relays_test.go
@@ -171,7 +171,7 @@
 // regionCutOff partitions the second of two regions with a relay from the first one, and the hosts
 // of a third region from all relays, for a duration.
 func regionCutOff(t *testing.T, reset bool, duration time.Duration) {
-	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 6, sidecarsPerHost: 1, regions: 3})
+	w := configureSettings(t, settingsLayout{relays: 2, hosts: 6, sidecarsPerHost: 1, regions: 3})
 	w.startRelays()
 	w.startAll()
 	inWriterRegion := []*host{w.hosts[0], w.hosts[3]}
--- a/internal/fleet/e2e/settings_unavailable_test.go
+++ b/internal/fleet/e2e/settings_unavailable_test.go
@@ -32,7 +32,7 @@
 // then the sidecars of the first two keep their previous settings.
 func TestUnavailableHostConverges(t *testing.T) {
 	t.Parallel()
-	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 4, sidecarsPerHost: 1})
+	w := configureSettings(t, settingsLayout{relays: 2, hosts: 4, sidecarsPerHost: 1})
 	w.startRelays()
 	available, stopped, killed, late := w.hosts[0], w.hosts[1], w.hosts[2], w.hosts[3]
 	for _, h := range w.hosts[:3] {
@@ -120,7 +120,7 @@
 // the state of the writer's log, without the resource that was removed meanwhile.
 func TestCompactedHistoryGivesSnapshot(t *testing.T) {
 	t.Parallel()
-	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 2, sidecarsPerHost: 1, relay: "history = 5\n"})
+	w := configureSettings(t, settingsLayout{relays: 2, hosts: 2, sidecarsPerHost: 1, relay: "history = 5\n"})
 	w.startRelays()
 	w.startAll()
 	limit80 := w.reference(2, "limits/all", 96, 80)[1]
--- a/internal/fleet/e2e/settings_world_test.go
+++ b/internal/fleet/e2e/settings_world_test.go
@@ -15,74 +15,78 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// settingsWorld is a fleet whose hosts follow relays: each relay is an agent of its own
-// without sidecars, and each way between two agents is a link that a test can break.
+// settingsWorld is a fleet whose hosts receive distributed settings from relays. Each relay is a
+// separate agent without sidecars. Each agent reaches each relay through a link of its own, on which
+// a test can set faults.
 type settingsWorld struct {
 	*world
 	layout settingsLayout
 	relays []*host
 	net    *faultnet.Net
-	links  map[string]*faultnet.Link // "ASKER to RELAY", by the names of linkName
-	admin  map[string]string         // of each sidecar, where its figures are asked for
-	// operator sees the relays too; fleet, of world, sees the hosts with sidecars alone.
+	links  map[string]*faultnet.Link // by linkName
+	admin  map[string]string         // address of each sidecar's admin endpoint, by instance
+	// operator is a client of all agents with the relays; world.fleet has only those with sidecars.
 	operator *client.Fleet
 }
 
-// writer is the first relay, which writes in the first epoch.
+// writer returns the first relay, which is the writer in the first epoch.
 func (w *settingsWorld) writer() *host { return w.relays[0] }
 
-func linkName(asker, relay *host) string { return asker.name + " to " + relay.name }
+func linkName(from, relay *host) string { return from.name + " to " + relay.name }
 
-// link is the way from an agent to a relay.
-func (w *settingsWorld) link(asker, relay *host) *faultnet.Link {
-	return w.links[linkName(asker, relay)]
+// link returns the link through which an agent reaches a relay.
+func (w *settingsWorld) link(from, relay *host) *faultnet.Link {
+	return w.links[linkName(from, relay)]
 }
 
-// settingsLayout is the size of a settingsWorld and what its configurations say.
+// settingsLayout holds the size and the configuration of a settingsWorld.
 type settingsLayout struct {
 	relays, hosts, sidecarsPerHost int
-	// regions, where above 0, puts relays and hosts into so many regions in turn: a host asks
-	// the relay of its own region as long as that one answers.
+	// regions, if above 0, is the number of regions, to which relays and hosts are assigned in
+	// turn. A host polls the relay of its own region as long as that relay answers.
 	regions int
-	// relay is further lines of the [relay] sections.
+	// relay holds additional lines for the [relay] section of each relay.
 	relay string
 }
 
-// newSettingsWorld lays out relays and hosts with so many sidecars each, and starts them all.
-func newSettingsWorld(t testing.TB, relays, hosts, each int) *settingsWorld {
+// newSettingsWorld configures and starts relays and hosts, with the same number of sidecars on each
+// host.
+func newSettingsWorld(t testing.TB, relays, hosts, sidecarsPerHost int) *settingsWorld {
 	t.Helper()
-	w := layOutSettings(t, settingsLayout{relays: relays, hosts: hosts, sidecarsPerHost: each})
+	w := configureSettings(t, settingsLayout{relays: relays, hosts: hosts, sidecarsPerHost: sidecarsPerHost})
 	w.startRelays()
 	w.startAll()
 	return w
 }
 
-// newRegionalWorld has a region for each relay, with the hosts spread over them, and starts all.
+// newRegionalWorld configures and starts relays, each in a region of its own, and hosts with one
+// sidecar each, which are spread over the regions.
 func newRegionalWorld(t testing.TB, relays, hosts int) *settingsWorld {
 	t.Helper()
-	w := layOutSettings(t, settingsLayout{relays: relays, hosts: hosts, sidecarsPerHost: 1, regions: relays})
+	w := configureSettings(t, settingsLayout{relays: relays, hosts: hosts, sidecarsPerHost: 1, regions: relays})
 	w.startRelays()
 	w.startAll()
 	return w
 }
 
-// layOutSettings writes the configurations of relays and hosts; none of them runs yet.
-// Instances have the labels of world and the service "even" or "odd" by their host's number.
-func layOutSettings(t testing.TB, layout settingsLayout) *settingsWorld {
+// configureSettings writes the configurations of relays and hosts and starts none of them. Instances
+// have the labels that newWorld gives them, and the label service "even" or "odd" by the number of
+// their host.
+func configureSettings(t testing.TB, layout settingsLayout) *settingsWorld {
 	t.Helper()
 	w := &settingsWorld{world: newWorld(t, layout.hosts, layout.sidecarsPerHost), layout: layout, net: faultnet.New(1), links: make(map[string]*faultnet.Link)}
 	t.Cleanup(w.net.Close)
 	for n := range layout.relays {
-		w.relays = append(w.relays, w.layRelay(n))
+		w.relays = append(w.relays, w.configureRelay(n))
 	}
 	for n, relay := range w.relays {
-		w.follow(relay, n, "[relay]\nsubscribers = 50\n"+layout.relay)
+		w.configureDistribution(relay, n, "[relay]\nsubscribers = 50\n"+layout.relay)
 	}
 	for n, h := range w.hosts {
-		w.label(h, n)
-		w.follow(h, n, "")
+		w.labelService(h, n)
+		w.configureDistribution(h, n, "")
 	}
-	w.listRelays()
+	w.addRelaysToInventory()
 	w.operator = w.open("operator")
 	t.Cleanup(w.operator.Close)
 	w.admin = w.adminAddresses()
@@ -91,7 +95,7 @@
 			relay.kill()
 		}
 		if t.Failed() {
-			w.logs()
+			w.logAgentLogs()
 		}
 	})
 	return w
@@ -106,10 +110,10 @@
 	w.copied(distribution.Revision{}, w.relays...)
 }
 
-// serving waits until a host's sidecars answer with their figures.
+// serving waits until the sidecars of the hosts answer with their metrics.
 func (w *settingsWorld) serving(hosts ...*host) {
 	w.t.Helper()
-	eventually(w.t, "sidecars that answer", func() bool {
+	eventually(w.t, "the metrics of all sidecars", func() bool {
 		for _, name := range instances(hosts...) {
 			if w.bodyLimit(name) == 0 {
 				return false
@@ -119,7 +123,7 @@
 	})
 }
 
-// region is that of the n-th relay or host, "" where there are none.
+// region returns the region of the n-th relay or host, "" if the layout has no regions.
 func (w *settingsWorld) region(n int) string {
 	if w.layout.regions == 0 {
 		return ""
@@ -127,8 +131,9 @@
 	return fmt.Sprintf("region-%d", n%w.layout.regions)
 }
 
-// layRelay writes the beginning of a relay's configuration.
-func (w *settingsWorld) layRelay(n int) *host {
+// configureRelay writes the configuration of the n-th relay without its [relay] and [distribution]
+// sections, which configureDistribution appends.
+func (w *settingsWorld) configureRelay(n int) *host {
 	w.t.Helper()
 	relay := &host{world: w.world, name: fmt.Sprintf("%s-r%d", w.prefix, n)}
 	dir := filepath.Join(w.dir, fmt.Sprint("r", n))
@@ -144,22 +149,23 @@
 	return relay
 }
 
-// socket is where an agent listens.
+// socket returns the address of the agent's Unix socket.
 func (h *host) socket() string { return "unix:" + filepath.Join(filepath.Dir(h.config), "a") }
 
-// follow appends the distribution to the configuration of the n-th relay or host, with a link
-// to each relay. more is the [relay] section, "" for a host that subscribes.
-func (w *settingsWorld) follow(h *host, n int, more string) {
+// configureDistribution appends the [distribution] section to the configuration of the n-th relay or
+// host, with the address of a new link to each relay. relaySection is the [relay] section, "" for a
+// host, which subscribes.
+func (w *settingsWorld) configureDistribution(h *host, n int, relaySection string) {
 	w.t.Helper()
 	var text strings.Builder
-	text.WriteString(more)
-	fmt.Fprintf(&text, "[distribution]\nsubscribe = %v\nwriter = %q\ncoalesce = \"200ms\"\nregion = %q\n", more == "", w.writer().name, w.region(n))
+	text.WriteString(relaySection)
+	fmt.Fprintf(&text, "[distribution]\nsubscribe = %v\nwriter = %q\ncoalesce = \"200ms\"\nregion = %q\n", relaySection == "", w.writer().name, w.region(n))
 	for r, relay := range w.relays {
 		address := relay.socket()
 		if relay != h {
 			link, err := w.net.TCP(linkName(h, relay), relay.socket())
 			if err != nil {
-				w.t.Fatal(err)
+				w.t.Fatalf("creating the link %s: %v", linkName(h, relay), err)
 			}
 			w.links[linkName(h, relay)] = link
 			address = "tcp:" + link.Addr()
@@ -169,8 +175,8 @@
 	appendFile(w.t, h.config, text.String())
 }
 
-// label gives a host's instances a service.
-func (w *settingsWorld) label(h *host, n int) {
+// labelService gives the instances of the n-th host the label service "even" or "odd".
+func (w *settingsWorld) labelService(h *host, n int) {
 	w.t.Helper()
 	text, err := os.ReadFile(h.config)
 	if err != nil {
@@ -183,8 +189,8 @@
 	}
 }
 
-// listRelays adds the relays to the inventory.
-func (w *settingsWorld) listRelays() {
+// addRelaysToInventory appends the relays to the inventory file.
+func (w *settingsWorld) addRelaysToInventory() {
 	w.t.Helper()
 	var text strings.Builder
 	for _, relay := range w.relays {
@@ -193,6 +199,7 @@
 	appendFile(w.t, w.inventoryPath, text.String())
 }
 
+// appendFile appends text to an existing file.
 func appendFile(t testing.TB, path, text string) {
 	t.Helper()
 	f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
@@ -201,21 +208,22 @@
 	}
 	defer f.Close()
 	if _, err := f.WriteString(text); err != nil {
-		t.Fatal(err)
+		t.Fatalf("appending to %s: %v", path, err)
 	}
 }
 
-// logs prints the end of each agent's log.
-func (w *settingsWorld) logs() {
+// logAgentLogs prints the end of each agent's log.
+func (w *settingsWorld) logAgentLogs() {
 	for _, h := range slices.Concat(w.relays, w.hosts) {
 		log, _ := os.ReadFile(h.config + ".log")
-		w.t.Logf("%s: %s", h.name, log[max(0, len(log)-2000):])
+		w.t.Logf("end of the log of %s: %s", h.name, log[max(0, len(log)-2000):])
 	}
 }
 
-var adminForm = regexp.MustCompile(`"mgmt": "([^"]+)"`)
+// adminPattern matches the address of the admin endpoint in a sidecar's configuration.
+var adminPattern = regexp.MustCompile(`"mgmt": "([^"]+)"`)
 
-// adminAddresses reads where each sidecar's figures are from its configuration.
+// adminAddresses reads the address of each sidecar's admin endpoint from its configuration.
 func (w *settingsWorld) adminAddresses() map[string]string {
 	w.t.Helper()
 	addresses := make(map[string]string)
@@ -225,17 +233,17 @@
 			if err != nil {
 				w.t.Fatal(err)
 			}
-			addresses[name] = string(adminForm.FindSubmatch(text)[1])
+			addresses[name] = string(adminPattern.FindSubmatch(text)[1])
 		}
 	}
 	return addresses
 }
 
-// memoryLimit returns an overlay that a sidecar takes over at SIGHUP, and bodyLimit what its own
-// figures show then.
+// memoryLimit returns an overlay that sets a sidecar's memory limit. A sidecar applies it at SIGHUP,
+// and bodyLimit then returns another value.
 func memoryLimit(megabytes int) string { return fmt.Sprintf(`{"limits":{"memory_mb":%d}}`, megabytes) }
 
-// instances are all sidecars of the hosts.
+// instances returns the names of all instances of the hosts.
 func instances(hosts ...*host) (names []string) {
 	for _, h := range hosts {
 		names = append(names, h.instances...)
@@ -243,47 +251,49 @@
 	return names
 }
 
-// publish makes a change by the command, and returns its revision.
-func (w *settingsWorld) publish(name, content string, more ...string) distribution.Revision {
+// publish publishes a change of a resource by martendrum change publish, with additional arguments of
+// the command, and returns its revision.
+func (w *settingsWorld) publish(name, content string, arguments ...string) distribution.Revision {
 	w.t.Helper()
 	file := filepath.Join(w.t.(interface{ TempDir() string }).TempDir(), "overlay.json")
 	if err := os.WriteFile(file, []byte(content), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
-	out, errs, code := w.command(append([]string{"change", "publish", name, "--file", file}, more...)...)
+	out, errs, code := w.command(append([]string{"change", "publish", name, "--file", file}, arguments...)...)
 	if code != 0 {
-		w.t.Fatalf("publish %s: exit %d: %s%s", name, code, out, errs)
+		w.t.Fatalf("martendrum change publish %s: exit code %d, want 0\n%s%s", name, code, out, errs)
 	}
 	var revision string
 	if _, err := fmt.Sscanf(out, name+" is at revision %s", &revision); err != nil {
-		w.t.Fatalf("publish %s: %s", name, out)
+		w.t.Fatalf("martendrum change publish %s printed %q, want the new revision: %v", name, out, err)
 	}
 	parsed, err := distribution.ParseRevision(strings.TrimSuffix(revision, ";"))
 	if err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("martendrum change publish %s: parsing the revision %q: %v", name, revision, err)
 	}
 	return parsed
 }
 
-// setLinks sets a fault on the links from each asker to each relay.
-func (w *settingsWorld) setLinks(askers, relays []*host, fault faultnet.Fault) {
-	for _, asker := range askers {
+// setLinks sets a fault on the links from each of the agents to each other relay. An empty fault
+// heals them.
+func (w *settingsWorld) setLinks(agents, relays []*host, fault faultnet.Fault) {
+	for _, from := range agents {
 		for _, relay := range relays {
-			if asker != relay {
-				w.link(asker, relay).Set(fault)
+			if from != relay {
+				w.link(from, relay).Set(fault)
 			}
 		}
 	}
 }
 
-// killSidecar kills the process of an instance and waits until another one runs.
+// killSidecar kills the process of an instance and waits until a new one is ready.
 func (w *settingsWorld) killSidecar(h *host, instance string) {
 	w.t.Helper()
 	before := w.inspect(h, instance).Instance.PID
 	if err := syscall.Kill(before, syscall.SIGKILL); err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("killing process %d of %s: %v", before, instance, err)
 	}
-	eventually(w.t, "another process of "+instance, func() bool {
+	eventually(w.t, "a new process of "+instance+" to be ready", func() bool {
 		now := w.inspect(h, instance).Instance
 		return now.PID != 0 && now.PID != before && now.State == "ready"
 	})
--- a/internal/fleet/e2e/settings_writer_killed_test.go
+++ b/internal/fleet/e2e/settings_writer_killed_test.go
@@ -13,22 +13,25 @@
 	"martendrum/internal/fleet/host/agentstore"
 )
 
-// contents collects which content each revision was seen with, at any relay and in any answer.
+// contents records the hash of the content with which each revision was seen, at any relay, in any
+// log and in any response.
 type contents struct {
 	t      testing.TB
 	hashes map[distribution.Revision]string
 }
 
+// add records a resource's revision and content. It fails the test if the revision was seen before
+// with other content.
 func (c *contents) add(resource distribution.Resource) {
 	c.t.Helper()
-	have, there := c.hashes[resource.Revision]
-	if there && have != resource.Hash {
-		c.t.Errorf("revision %v has two contents, %s and %s", resource.Revision, have, resource.Hash)
+	known, found := c.hashes[resource.Revision]
+	if found && known != resource.Hash {
+		c.t.Errorf("revision %v was seen with two contents, of hash %s and %s, want one", resource.Revision, known, resource.Hash)
 	}
 	c.hashes[resource.Revision] = resource.Hash
 }
 
-// readRelays records the resources of the relays that answer.
+// readRelays records the resources of all relays that answer within a second.
 func (w *settingsWorld) readRelays(seen *contents, relays []*host) {
 	w.t.Helper()
 	for _, relay := range relays {
@@ -42,17 +45,17 @@
 	}
 }
 
-// The writer's agent is killed before and after each of its writes while changes are published,
-// and at last between logging a change and acknowledging it. Acknowledged changes survive, the
-// logged one keeps its revision and content, and no revision ever has two contents at any relay or
-// in any log.
+// The writer's agent is killed before and after each of its first writes to its store while changes
+// are published, and finally after it has logged a change and before it acknowledges it.
+// Acknowledged changes survive, the unacknowledged one keeps its revision and content, and no
+// revision ever has two contents at any relay or in any log.
 func TestWriterKilledAtEveryWrite(t *testing.T) {
 	t.Parallel()
 	maxWrite := 5
 	if !testing.Short() {
 		maxWrite = 20
 	}
-	w := layOutSettings(t, settingsLayout{relays: 2, hosts: 1, sidecarsPerHost: 1})
+	w := configureSettings(t, settingsLayout{relays: 2, hosts: 1, sidecarsPerHost: 1})
 	w.startRelays()
 	w.startAll()
 	run := &writerRun{world: w, seen: &contents{t: t, hashes: make(map[distribution.Revision]string)}, latest: make(map[string]distribution.Resource)}
@@ -71,18 +74,20 @@
 	w.copied(last, w.relays...)
 	w.readRelays(run.seen, w.relays)
 	w.inForce(last, 1)
-	t.Logf("%d changes published, %d acknowledged, %d revisions seen", run.published, run.acknowledged, len(run.seen.hashes))
+	t.Logf("%d changes were published, %d were acknowledged, %d revisions were seen", run.published, run.acknowledged, len(run.seen.hashes))
 }
 
-// writerRun publishes changes at a writer that crashes, and keeps what was acknowledged.
+// writerRun publishes changes to a writer that crashes, and records the acknowledged ones.
 type writerRun struct {
 	world                   *settingsWorld
 	seen                    *contents
-	latest                  map[string]distribution.Resource // that were acknowledged, by name
-	published, acknowledged int
+	latest                  map[string]distribution.Resource // latest acknowledged change of each resource name
+	published, acknowledged int                              // numbers of changes
 }
 
-// killedAt starts the writer with a crash at a write, and publishes changes until it crashes.
+// killedAt restarts the writer so that it crashes before the write with number at or, if after isn't
+// "", after that write. It publishes changes until the writer crashes, and records what all relays
+// and the writer's log hold. For a crash before a write, it also restarts the other relay first.
 func (r *writerRun) killedAt(at int, after string) {
 	r.world.t.Helper()
 	writer, follower := r.world.writer(), r.world.relays[1]
@@ -92,13 +97,13 @@
 		follower.start()
 	}
 	writer.start("E2E_AGENT="+writer.config, fmt.Sprint("E2E_CRASH_AT=", at), "E2E_CRASH_AFTER="+after)
-	r.publishUntilExit(fmt.Sprintf("at write %d", at), func() { r.publish(fmt.Sprint("notes/", (r.published+1)%3)) })
+	r.publishUntilExit(fmt.Sprintf("crash at write %d", at), func() { r.publish(fmt.Sprint("notes/", (r.published+1)%3)) })
 	r.world.readRelays(r.seen, r.world.relays)
 	r.logged()
 }
 
-// killedBeforeAnswer crashes the writer after it has logged a change and before it acknowledges
-// it, and returns the change from that log.
+// killedBeforeAnswer crashes the writer after it has logged a change and before it acknowledges it.
+// It returns the change from the writer's log.
 func (r *writerRun) killedBeforeAnswer() distribution.Resource {
 	r.world.t.Helper()
 	const name = "notes/unanswered"
@@ -106,21 +111,22 @@
 	writer.kill()
 	acknowledged := r.acknowledged
 	writer.start("E2E_AGENT="+writer.config, "E2E_CRASH_AFTER_CHANGE="+name)
-	r.publishUntilExit("behind the write of "+name, func() { r.publish(name) })
+	r.publishUntilExit("crash after the write of "+name, func() { r.publish(name) })
 	if r.acknowledged != acknowledged {
-		r.world.t.Errorf("%s was acknowledged: the writer did not die between its write and its answer", name)
+		r.world.t.Errorf("change of %s was acknowledged; want the writer to crash between the write and the acknowledgement", name)
 	}
 	for _, resource := range r.logged() {
 		if resource.Name == name {
 			return resource
 		}
 	}
-	r.world.t.Fatalf("%s is not in the writer's log: the writer died before its write", name)
+	r.world.t.Fatalf("change of %s is not in the writer's log; want the writer to crash after that write", name)
 	return distribution.Resource{}
 }
 
-// publishUntilExit publishes repeatedly until the writer's process has ended.
-func (r *writerRun) publishUntilExit(where string, ask func()) {
+// publishUntilExit calls publish repeatedly until the writer's process has ended. crash describes the
+// crash that ends it.
+func (r *writerRun) publishUntilExit(crash string, publish func()) {
 	r.world.t.Helper()
 	writer := r.world.writer()
 	writer.mu.Lock()
@@ -132,12 +138,13 @@
 			return
 		default:
 		}
-		ask()
+		publish()
 	}
-	r.world.t.Fatalf("the writer does not die %s", where)
+	r.world.t.Fatalf("the writer still runs after %v; want a %s", eventuallyTimeout, crash)
 }
 
-// publish publishes one change of a name with new content, and reads what both relays hold.
+// publish publishes one change of a resource with new content and, if it is acknowledged, records it
+// and what both relays hold.
 func (r *writerRun) publish(name string) {
 	r.published++
 	put := &distribution.Put{Name: name, Scope: distribution.Scope{Labels: map[string]string{"service": "none"}},
@@ -145,7 +152,7 @@
 	var out api.SettingsPutOut
 	err := r.world.operator.Agent(r.world.writer().name).CallFor(context.Background(), 2*time.Second, api.SettingsPut, put, &out)
 	if err != nil {
-		time.Sleep(10 * time.Millisecond) // it begins, or has just died
+		time.Sleep(10 * time.Millisecond) // the writer is starting or has just crashed
 		return
 	}
 	r.acknowledged++
@@ -154,25 +161,25 @@
 	r.world.readRelays(r.seen, r.world.relays)
 }
 
-// logged reads the log that a crashed writer left on its disk.
+// logged returns the resources of the log that the crashed writer left on disk, and records them.
 func (r *writerRun) logged() []distribution.Resource {
 	r.world.t.Helper()
 	config, err := agent.LoadConfig(r.world.writer().config)
 	if err != nil {
-		r.world.t.Fatal(err)
+		r.world.t.Fatalf("loading the writer's configuration: %v", err)
 	}
 	record, err := agentstore.Record(config)(filepath.Join(config.StateDir, "record.db"))
 	if err != nil {
-		r.world.t.Fatal(err)
+		r.world.t.Fatalf("opening the writer's store: %v", err)
 	}
 	defer record.Close()
 	snapshot, err := record.Load(context.Background())
 	if err != nil {
-		r.world.t.Fatal(err)
+		r.world.t.Fatalf("loading the writer's store: %v", err)
 	}
 	state, err := distribution.Restore(distribution.DefaultLimits(), snapshot.Settings)
 	if err != nil {
-		r.world.t.Fatal(err)
+		r.world.t.Fatalf("restoring the writer's log: %v", err)
 	}
 	resources := state.Resources()
 	for _, resource := range resources {
@@ -181,41 +188,42 @@
 	return resources
 }
 
-// checkUnanswered checks that a logged change which was not acknowledged is at the writer and at
-// each relay as it was logged.
+// checkUnanswered checks that the writer and each other relay hold a change that was logged but not
+// acknowledged, with the revision and the content from the log.
 func (r *writerRun) checkUnanswered(want distribution.Resource) {
 	r.world.t.Helper()
 	r.world.copied(want.Revision, r.world.relays...)
 	for _, relay := range r.world.relays {
 		var out api.SettingsGetOut
 		if err := r.world.operator.Agent(relay.name).Call(context.Background(), api.SettingsGet, &api.SettingsGetIn{Prefix: want.Name}, &out); err != nil {
-			r.world.t.Fatal(err)
+			r.world.t.Fatalf("reading the resources of relay %s: %v", relay.name, err)
 		}
 		if len(out.Resources) != 1 || out.Resources[0].Revision != want.Revision || out.Resources[0].Hash != want.Hash {
-			r.world.t.Errorf("%s holds %+v; the writer's log had revision %v of hash %s", relay.name, out.Resources, want.Revision, want.Hash)
+			r.world.t.Errorf("resources of relay %s = %+v, want revision %v with hash %s as in the writer's log", relay.name, out.Resources, want.Revision, want.Hash)
 		}
 	}
 }
 
-// check checks that each acknowledged change, or a later one of its name, is there.
+// check checks that the writer holds each acknowledged change or a later one of the same resource,
+// and that at least one change was logged without being acknowledged.
 func (r *writerRun) check() {
 	r.world.t.Helper()
 	if r.acknowledged == 0 || r.acknowledged >= len(r.seen.hashes) {
-		r.world.t.Errorf("%d changes were acknowledged, %d revisions seen: the writer did not die between its write and its answer", r.acknowledged, len(r.seen.hashes))
+		r.world.t.Errorf("%d changes were acknowledged and %d revisions were seen; want at least 1 acknowledged and more revisions than that, from a crash between the write and the acknowledgement", r.acknowledged, len(r.seen.hashes))
 	}
 	_, resources, err := r.world.operator.Resources(context.Background(), "", "notes/")
 	if err != nil {
-		r.world.t.Fatal(err)
+		r.world.t.Fatalf("reading the resources of the writer: %v", err)
 	}
-	have := make(map[string]distribution.Resource)
+	current := make(map[string]distribution.Resource)
 	for _, resource := range resources {
 		r.seen.add(resource)
-		have[resource.Name] = resource
+		current[resource.Name] = resource
 	}
 	for name, want := range r.latest {
-		got := have[name]
+		got := current[name]
 		if want.Revision.After(got.Revision) || want.Revision == got.Revision && want.Hash != got.Hash {
-			r.world.t.Errorf("%s is of revision %v; revision %v was acknowledged", name, got.Revision, want.Revision)
+			r.world.t.Errorf("%s is at revision %v with hash %s, want the acknowledged revision %v with hash %s, or a later one", name, got.Revision, got.Hash, want.Revision, want.Hash)
 		}
 	}
 }
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -12,112 +12,113 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// promote makes a relay the writer by the command, and returns its epoch.
+// promote makes a relay the writer by martendrum change promote, and returns its epoch.
 func (w *settingsWorld) promote(relay *host) int64 {
 	w.t.Helper()
 	out, errs, code := w.command("change", "promote", relay.name)
 	var epoch int64
 	if _, err := fmt.Sscanf(out, relay.name+" writes since epoch %d", &epoch); code != 0 || err != nil {
-		w.t.Fatalf("promote %s: exit %d, %v: %s%s", relay.name, code, err, out, errs)
+		w.t.Fatalf("martendrum change promote %s: exit code %d, parsing the epoch: %v, want 0 and the new epoch\n%s%s", relay.name, code, err, out, errs)
 	}
 	return epoch
 }
 
-// knowsWriter waits until relays report a writer and its epoch.
+// knowsWriter waits until the relays report the given writer and its epoch.
 func (w *settingsWorld) knowsWriter(writer *host, epoch int64, relays ...*host) {
 	w.t.Helper()
 	want := api.SettingsWriter{Writer: writer.name, Epoch: epoch}
 	for _, relay := range relays {
-		eventually(w.t, fmt.Sprintf("%s knows of %+v", relay.name, want), func() bool {
+		eventually(w.t, fmt.Sprintf("relay %s to report the writer %+v", relay.name, want), func() bool {
 			out, ok := w.status(relay, distribution.Revision{})
 			return ok && out.Writer == want
 		})
 	}
 }
 
-// holds reports whether a relay has a resource of a name.
+// holds reports whether a relay holds a resource whose name begins with the given one.
 func (w *settingsWorld) holds(relay *host, name string) bool {
 	w.t.Helper()
 	var out api.SettingsGetOut
 	if err := w.operator.Agent(relay.name).Call(context.Background(), api.SettingsGet, &api.SettingsGetIn{Prefix: name}, &out); err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("reading the resources of relay %s: %v", relay.name, err)
 	}
 	return len(out.Resources) > 0
 }
 
-// A writer that is partitioned from everyone but an operator continues to acknowledge changes
-// after another relay was promoted. None of them reaches a host or relay, the old writer steps
-// down once the partition heals, and all agents keep the epoch over a restart.
+// A writer that only an operator can reach continues to acknowledge changes after another relay was
+// promoted. None of these changes reaches a host or another relay, the old writer steps down once the
+// partition heals, and all agents keep the new epoch across a restart.
 func TestOldWriterIsFenced(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 3, 3)
 	w.subscribed()
-	old, next := w.relays[0], w.relays[1]
+	oldWriter, newWriter := w.relays[0], w.relays[1]
 	w.reference(3, "limits/all", 112)
 	others := w.relays[1:]
 	w.copied(w.publish("limits/before", memoryLimit(112)), others...)
 
 	drop := faultnet.Fault{Drop: true}
-	w.setLinks(others, []*host{old}, drop)
-	w.setLinks([]*host{old}, others, drop)
-	w.setLinks(w.hosts, []*host{old}, drop)
-	epoch := w.promote(next)
+	w.setLinks(others, []*host{oldWriter}, drop)
+	w.setLinks([]*host{oldWriter}, others, drop)
+	w.setLinks(w.hosts, []*host{oldWriter}, drop)
+	epoch := w.promote(newWriter)
 	if epoch < 2 {
-		t.Errorf("promoted in epoch %d", epoch)
+		t.Errorf("epoch of the promoted writer = %d, want at least 2", epoch)
 	}
-	w.knowsWriter(next, epoch, others...)
+	w.knowsWriter(newWriter, epoch, others...)
 	change := w.publish("limits/all", memoryLimit(96))
 	if change.Epoch != epoch {
-		t.Errorf("the new writer acknowledges revision %v in epoch %d", change, epoch)
+		t.Errorf("new writer acknowledged revision %v, want one of epoch %d", change, epoch)
 	}
-	w.inForceBy(next, change, 3)
+	w.inForceBy(newWriter, change, 3)
 	limit := w.bodyLimit(w.hosts[0].instances[0])
 	w.limits(limit, instances(w.hosts...))
 
-	// The old writer acknowledges changes, many enough that its numbers pass the new one's.
+	// The old writer acknowledges enough changes that the numbers of its revisions exceed those of the
+	// new writer.
 	for n := range 4 {
-		void := w.publish("limits/void", memoryLimit(64+16*n), "--relay", old.name)
-		if void.Epoch != 1 {
-			t.Errorf("the old writer acknowledges revision %v", void)
+		fenced := w.publish("limits/void", memoryLimit(64+16*n), "--relay", oldWriter.name)
+		if fenced.Epoch != 1 {
+			t.Errorf("old writer acknowledged revision %v, want one of epoch 1", fenced)
 		}
 	}
 	// A host that knows the new epoch and can reach only the old writer keeps its settings.
-	w.reachOnly(w.hosts[0], old, others)
-	w.noneHoldsVoid(others, limit)
+	w.reachOnly(w.hosts[0], oldWriter, others)
+	w.checkNoFencedChange(others, limit)
 
-	w.setLinks(others, []*host{old}, faultnet.Fault{})
-	w.setLinks([]*host{old}, others, faultnet.Fault{})
-	w.setLinks(w.hosts, []*host{old}, faultnet.Fault{})
-	w.knowsWriter(next, epoch, old)
-	w.copied(change, old)
-	if err := w.putAt(old, "limits/void"); errorCode(err) != api.NotWriter || !strings.Contains(err.Error(), next.name) {
-		t.Errorf("the old writer, sent a change: %v", err)
+	w.setLinks(others, []*host{oldWriter}, faultnet.Fault{})
+	w.setLinks([]*host{oldWriter}, others, faultnet.Fault{})
+	w.setLinks(w.hosts, []*host{oldWriter}, faultnet.Fault{})
+	w.knowsWriter(newWriter, epoch, oldWriter)
+	w.copied(change, oldWriter)
+	if err := w.putAt(oldWriter, "limits/void"); errorCode(err) != api.NotWriter || !strings.Contains(err.Error(), newWriter.name) {
+		t.Errorf("change sent to the old writer: got error %v, want code %s and the name %s of the new writer", err, api.NotWriter, newWriter.name)
 	}
-	w.noneHoldsVoid(w.relays, limit)
+	w.checkNoFencedChange(w.relays, limit)
 
 	w.restartAll()
-	w.knowsWriter(next, epoch, w.relays...)
+	w.knowsWriter(newWriter, epoch, w.relays...)
 	last := w.publish("limits/all", memoryLimit(80))
 	if last.Epoch != epoch || !last.After(change) {
-		t.Errorf("after a restart of all, revision %v follows %v", last, change)
+		t.Errorf("revision after a restart of all agents = %v, want one of epoch %d after %v", last, epoch, change)
 	}
-	w.inForceBy(next, last, 3)
-	w.noneHoldsVoid(w.relays, w.bodyLimit(w.hosts[0].instances[0]))
+	w.inForceBy(newWriter, last, 3)
+	w.checkNoFencedChange(w.relays, w.bodyLimit(w.hosts[0].instances[0]))
 }
 
-// reachOnly lets a host reach the old writer alone until that one could not serve it, and then
-// the others again.
-func (w *settingsWorld) reachOnly(h, old *host, others []*host) {
+// reachOnly lets a host reach only the old writer until the host has connected to it and no connection
+// is left, and then the other relays again.
+func (w *settingsWorld) reachOnly(h, oldWriter *host, others []*host) {
 	w.t.Helper()
 	w.setLinks([]*host{h}, others, faultnet.Fault{Drop: true})
-	link := w.link(h, old)
+	link := w.link(h, oldWriter)
 	made := link.Made()
 	link.Set(faultnet.Fault{})
-	eventually(w.t, "a host that the old writer can't serve", func() bool { return link.Made() > made && link.Open() == 0 })
+	eventually(w.t, "the connection of "+h.name+" to the old writer to be closed", func() bool { return link.Made() > made && link.Open() == 0 })
 	w.setLinks([]*host{h}, others, faultnet.Fault{})
 }
 
-// restartAll kills all relays and agents and starts them again.
+// restartAll kills the agents of all relays and hosts and starts them again.
 func (w *settingsWorld) restartAll() {
 	w.t.Helper()
 	all := slices.Concat(w.relays, w.hosts)
@@ -130,42 +131,45 @@
 	w.waitReady()
 }
 
-// putAt sends a change to one relay, whether it is the writer or not.
+// putAt sends a change to a relay, whether it is the writer or not, and returns the error.
 func (w *settingsWorld) putAt(relay *host, name string) error {
 	put := &distribution.Put{Name: name, Content: []byte(`{}`)}
 	return w.operator.Agent(relay.name).Call(context.Background(), api.SettingsPut, put, nil)
 }
 
-// inForceBy waits until a given writer reports a revision in force at a number of hosts.
+// inForceBy waits until the given writer reports a revision in force at exactly the given number of
+// hosts.
 func (w *settingsWorld) inForceBy(writer *host, revision distribution.Revision, hosts int) {
 	w.t.Helper()
-	eventually(w.t, fmt.Sprintf("revision %v in force at %d hosts", revision, hosts), func() bool {
+	eventually(w.t, fmt.Sprintf("revision %v to be in force at %d hosts", revision, hosts), func() bool {
 		out, ok := w.status(writer, revision)
 		return ok && out.Complete && out.Status.InForce == hosts
 	})
 }
 
-// noneHoldsVoid checks that no change of the fenced writer has reached a relay or host.
-func (w *settingsWorld) noneHoldsVoid(relays []*host, limit float64) {
+// checkNoFencedChange checks that no change of the fenced writer, all of limits/void, has reached one
+// of the relays or a host, and waits until all sidecars have the given body limit.
+func (w *settingsWorld) checkNoFencedChange(relays []*host, limit float64) {
 	w.t.Helper()
 	for _, relay := range relays {
 		if w.holds(relay, "limits/void") {
-			w.t.Errorf("%s holds what the old writer acknowledged", relay.name)
+			w.t.Errorf("relay %s holds limits/void, a change that only the fenced writer acknowledged", relay.name)
 		}
 	}
 	for _, h := range w.hosts {
-		if revision, there := w.accepted(h, h.instances[0])["limits/void"]; there {
-			w.t.Errorf("%s accepted revision %v of the old writer", h.name, revision)
+		if revision, found := w.accepted(h, h.instances[0])["limits/void"]; found {
+			w.t.Errorf("%s accepted revision %v of limits/void from the fenced writer", h.name, revision)
 		}
 	}
 	w.limits(limit, instances(w.hosts...))
 }
 
-// Two relays are promoted while partitioned from each other: their epochs differ, the later one
-// prevails, and no revision has two contents.
+// Two relays are promoted while they are partitioned from each other. Their epochs differ, and so do
+// the revisions that they acknowledge, so no revision has two contents. The writer with the later
+// epoch prevails once the partition heals.
 func TestTwoRelaysPromotedApart(t *testing.T) {
 	t.Parallel()
-	w := layOutSettings(t, settingsLayout{relays: 3, hosts: 1, sidecarsPerHost: 1})
+	w := configureSettings(t, settingsLayout{relays: 3, hosts: 1, sidecarsPerHost: 1})
 	w.startRelays()
 	w.startAll()
 	w.reference(1, "limits/all", 112)
@@ -181,22 +185,22 @@
 		var out api.SettingsPutOut
 		put := &distribution.Put{Name: fmt.Sprint("limits/", n), Content: []byte(memoryLimit(80 + 16*n))}
 		if err := w.operator.Agent(relay.name).Call(context.Background(), api.SettingsPut, put, &out); err != nil {
-			t.Fatal(err)
+			t.Fatalf("publishing a change to relay %s: %v", relay.name, err)
 		}
 		revisions = append(revisions, out.Resource.Revision)
 	}
 	if epochs[0] == epochs[1] || revisions[0] == revisions[1] {
-		t.Errorf("two writers of epochs %v acknowledge revisions %v", epochs, revisions)
+		t.Errorf("two writers have epochs %v and acknowledged revisions %v, want them to differ", epochs, revisions)
 	}
 	for _, relay := range w.relays {
 		w.setLinks([]*host{relay}, w.relays, faultnet.Fault{})
 	}
-	stands, epoch := first, epochs[0]
+	prevailing, epoch := first, epochs[0]
 	if epochs[1] > epoch {
-		stands, epoch = second, epochs[1]
+		prevailing, epoch = second, epochs[1]
 	}
-	w.knowsWriter(stands, epoch, w.relays...)
+	w.knowsWriter(prevailing, epoch, w.relays...)
 	last := w.publish("limits/all", memoryLimit(80))
 	w.copied(last, w.relays...)
-	w.inForceBy(stands, last, 1)
+	w.inForceBy(prevailing, last, 1)
 }
--- a/internal/fleet/e2e/simulated_test.go
+++ b/internal/fleet/e2e/simulated_test.go
@@ -21,20 +21,23 @@
 	"martendrum/internal/standin/simhost"
 )
 
-// simulated is a fleet of real agents in this process with simulated sidecars.
-type simulated struct {
+// simulatedFleet is a fleet of real agents, which run in this process, with simulated sidecars. The
+// slices have an element for each agent.
+type simulatedFleet struct {
 	fleet        *client.Fleet
 	hosts        []*simhost.Host
 	agents       []*agent.Agent
 	configs      []*agent.Config
 	stores       []store.Store
-	allInstances api.Operation // targets of all instances
+	allInstances api.Operation // template of an operation on all instances
 }
 
-// simulate starts agents on loopback with simulated sidecars, a number of them each.
-func simulate(t testing.TB, hosts, each int, ready, drain time.Duration, edit func(*agent.Config)) *simulated {
+// simulate starts agents on loopback, with the same number of simulated sidecars each, and waits until
+// the sidecars are ready. A simulated sidecar becomes ready after the time ready and ends after the
+// time drain; edit may change an agent's configuration.
+func simulate(t testing.TB, hosts, each int, ready, drain time.Duration, edit func(*agent.Config)) *simulatedFleet {
 	t.Helper()
-	s := &simulated{}
+	s := &simulatedFleet{}
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "sidecar")
 	if err := os.WriteFile(binary, []byte("#!/bin/false\n"), 0o700); err != nil {
@@ -58,11 +61,11 @@
 	s.allInstances.Policy = api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop}
 	f, err := client.New(inv, "tester")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("creating the fleet's client: %v", err)
 	}
 	s.fleet = f
 	t.Cleanup(f.Close)
-	eventually(t, "all ready", func() bool {
+	eventually(t, "all simulated sidecars to be ready", func() bool {
 		for _, h := range f.List(context.Background(), &inventory.Select{}) {
 			for _, i := range h.Instances {
 				if i.State != "ready" {
@@ -75,7 +78,8 @@
 	return s
 }
 
-// simulatedConfig writes and loads the configuration of an agent with simulated sidecars.
+// simulatedConfig writes the configuration of the agent of host h, with simulated sidecars, and loads
+// it.
 func simulatedConfig(t testing.TB, dir, binary string, h, each int) *agent.Config {
 	t.Helper()
 	name := fmt.Sprintf("sim-%d", h)
@@ -94,13 +98,13 @@
 	}
 	cfg, err := agent.LoadConfig(file)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("loading the configuration of agent %s: %v", name, err)
 	}
 	return cfg
 }
 
-// serve runs an agent on a simulated host until the test ends, and returns its address.
-func (s *simulated) serve(t testing.TB, cfg *agent.Config, machine *simhost.Host) (address string) {
+// serve runs an agent on a simulated host until the test ends, and returns the agent's address.
+func (s *simulatedFleet) serve(t testing.TB, cfg *agent.Config, machine *simhost.Host) (address string) {
 	t.Helper()
 	a, err := agent.New(cfg, machine, func(p string) (store.Store, error) {
 		st, err := sqlite.Open(p, int64(cfg.Limits.Record))
@@ -108,7 +112,7 @@
 		return st, err
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("creating agent %s: %v", cfg.Name, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	addr, done := make(chan net.Addr, 1), make(chan error, 1)
@@ -116,7 +120,7 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
-			t.Error(err)
+			t.Errorf("agent %s ended with error: %v", cfg.Name, err)
 		}
 		a.Close()
 	})
@@ -124,17 +128,19 @@
 	return (<-addr).String()
 }
 
-func (s *simulated) op(action string) api.Operation {
+// op returns an operation on all instances, one at a time.
+func (s *simulatedFleet) op(action string) api.Operation {
 	o := s.allInstances
 	o.ID, o.Action, o.Created = fmt.Sprintf("op-%08x", rand.Uint32()), action, time.Now().UTC()
 	return o
 }
 
-// launches counts the launches of an instance by generation.
+// launches counts the launches on a host by instance and generation. Its keys are the names of the
+// launches without their last, random part: HOST/INSTANCE/GENERATION.
 func launches(h *simhost.Host) map[string]int {
-	out := make(map[string]int)
-	for _, l := range h.Launches() {
-		out[l[:strings.LastIndexByte(l, '/')]]++
+	counts := make(map[string]int)
+	for _, launch := range h.Launches() {
+		counts[launch[:strings.LastIndexByte(launch, '/')]]++
 	}
-	return out
+	return counts
 }
--- a/internal/fleet/e2e/staged_faults_test.go
+++ b/internal/fleet/e2e/staged_faults_test.go
@@ -14,101 +14,103 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// A harmless change passes all stages although its command is killed during one and another
-// command resumes it: no instance is changed twice, and the unobserved time does not count.
+// The command of a harmless change is killed during the first stage and another command resumes the
+// change. It passes all stages, no instance is changed twice, and the time without a command does not
+// count as observed.
 func TestStagedChangeResumesAfterCommandKilled(t *testing.T) {
 	t.Parallel()
 	w := stagedWorld(t, 2, 5)
 	requests := w.startLoad()
 	first := w.change(append([]string{"start", "--stages", "3,7,100%", "--binary", filepath.Join(w.binaries, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
-	rep := w.waitForReport("a first stage that runs", func(r *client.Report) bool {
+	rep := w.waitForReport("all instances of the first stage to be changed", func(r *client.Report) bool {
 		return r.Stages != nil && r.Stages.State.Stage == 1 && countChanged(r) == 3
 	})
 	first.cmd.Process.Kill()
 	<-first.done
-	begun := rep.Stages.Number
-	w.waitForReport("a lease that has run out", func(r *client.Report) bool { return r.LeaseHolder == "" })
+	noteBefore := rep.Stages.Number
+	w.waitForReport("the lease to expire", func(r *client.Report) bool { return r.LeaseHolder == "" })
 	rep = w.change("resume", rep.Operation.ID, "--lease", "3s").report()
 	requests.stop()
-	if rep.Result != rollout.Succeeded || rep.Stages.Number <= begun || !rep.Stages.State.Done {
-		t.Errorf("%s because %s, stages %+v", rep.Result, rep.Why, rep.Stages)
+	if rep.Result != rollout.Succeeded || rep.Stages.Number <= noteBefore || !rep.Stages.State.Done {
+		t.Errorf("resumed change: result %s because %s, stages %+v; want result %s, all stages done and a note number above %d", rep.Result, rep.Why, rep.Stages, rollout.Succeeded, noteBefore)
 	}
-	var seen []string
-	for _, v := range rep.Stages.Log {
-		seen = append(seen, v.Text)
+	var log []string
+	for _, entry := range rep.Stages.Log {
+		log = append(log, entry.Text)
 	}
 	for n := range 3 {
-		if want := fmt.Sprintf("stage %d of 3 begins", n+1); strings.Count(strings.Join(seen, "\n"), want) != 1 {
-			t.Errorf("%q is not once in %q", want, seen)
+		if want := fmt.Sprintf("stage %d of 3 begins", n+1); strings.Count(strings.Join(log, "\n"), want) != 1 {
+			t.Errorf("log of the change = %q, want %q in it exactly once", log, want)
 		}
 	}
 	for _, h := range w.waitReady() {
 		for _, i := range h.Instances {
 			if i.Generation != 2 || i.Running != rep.Operation.Release {
-				t.Errorf("%s is at generation %d and runs %.12s", i.Name, i.Generation, i.Running)
+				t.Errorf("%s is at generation %d and runs release %.12s, want generation 2 and release %.12s", i.Name, i.Generation, i.Running, rep.Operation.Release)
 			}
 		}
 	}
-	for _, l := range requests.lost {
-		t.Error("lost:", l)
+	for _, lost := range requests.lost {
+		t.Errorf("lost request %s", lost)
 	}
 }
 
-// During a stage the command is partitioned from one host in both directions, then in one, and
-// then the host's agent is stopped. Each time the change pauses for lack of evidence, changes no
-// further instance, and continues once the host answers.
+// During a stage the command is partitioned from one host in both directions, then only the host's
+// answers are stalled, and then the host's agent is stopped by SIGSTOP. Each time the change pauses
+// because the metrics of that host are missing, changes no further instance, and continues once the
+// host answers.
 func TestPartitionedCommandPausesChange(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
 	w := stagedWorld(t, 2, 5)
-	n := faultnet.New(1)
-	t.Cleanup(n.Close)
-	links := w.links(n)
+	network := faultnet.New(1)
+	t.Cleanup(network.Close)
+	links := w.links(network)
 	requests := w.startLoad()
 	c := w.change(append([]string{"start", "--stages", "4,100%", "--give-up", "60s", "--binary", filepath.Join(w.binaries, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
-	w.waitForReport("a first stage that runs", func(r *client.Report) bool {
+	w.waitForReport("all instances of the first stage to be changed", func(r *client.Report) bool {
 		return r.Stages != nil && r.Stages.State.Stage == 1 && countChanged(r) == 4
 	})
 	stall := func(ways faultnet.Way) func(bool) {
 		return func(bad bool) { links[1].Set(map[bool]faultnet.Fault{true: {Stall: ways}}[bad]) }
 	}
-	for n, set := range []func(bad bool){stall(faultnet.Both), stall(faultnet.Back), func(bad bool) {
+	for fault, set := range []func(bad bool){stall(faultnet.Both), stall(faultnet.Back), func(bad bool) {
 		w.hosts[1].signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[bad])
 	}} {
 		set(true)
-		rep := w.waitForReport("a change that waits for evidence", func(r *client.Report) bool {
+		rep := w.waitForReport("the change to pause for lack of evidence", func(r *client.Report) bool {
 			return strings.Contains(r.Stages.State.PauseReason, "no evidence of host "+w.hosts[1].name)
 		})
-		if got := countChanged(rep); got > 4 { // those of a stopped agent can't be seen
-			t.Errorf("fault %d: %d instances were touched; the stage has 4", n, got)
+		if got := countChanged(rep); got > 4 { // steps on the host of a stopped agent are not in the report
+			t.Errorf("fault %d: %d instances were changed, want at most 4, the size of the stage", fault, got)
 		}
 		set(false)
-		w.waitForReport("a change that waits no more", func(r *client.Report) bool { return r.Stages.State.PauseReason == "" })
+		w.waitForReport("the change to continue", func(r *client.Report) bool { return r.Stages.State.PauseReason == "" })
 	}
 	rep := c.report()
 	requests.stop()
 	if rep.Result != rollout.Succeeded {
-		t.Errorf("%s because %s", rep.Result, rep.Why)
+		t.Errorf("change after the faults: result %s because %s, want %s", rep.Result, rep.Why, rollout.Succeeded)
 	}
 	for _, h := range w.waitReady() {
 		for _, i := range h.Instances {
 			if i.Generation != 2 {
-				t.Errorf("%s is at generation %d: it was changed %d times", i.Name, i.Generation, i.Generation-1)
+				t.Errorf("%s is at generation %d, want 2: it was changed %d times", i.Name, i.Generation, i.Generation-1)
 			}
 		}
 	}
 }
 
-// The command is killed and then the new version begins to crash: without a command the agents
+// The command is killed, and after that the new release begins to crash. Without a command the agents
 // roll back the failing instances and report the cause.
 func TestAgentsRollBackWithoutCommand(t *testing.T) {
 	t.Parallel()
 	w := stagedWorld(t, 2, 4)
 	base := w.running()
-	mark := filepath.Join(w.dir, "crash")
-	bad := w.script("bad", fmt.Sprintf("#!/bin/sh\ntest -e %[2]q && exit 1\n%[1]q &\npid=$!\ntrap 'kill -TERM $pid; wait $pid; exit 0' TERM\nwhile kill -0 $pid; do test -e %[2]q && kill -KILL $pid && exit 1; sleep 0.1; done\n", filepath.Join(w.binaries, "sidecar"), mark))
-	c := w.change(append([]string{"start", "--stages", "3,100%", "--alone", "2s", "--binary", bad}, quickChange...)...)
-	w.waitForReport("a first stage that runs", func(r *client.Report) bool {
+	crashFile := filepath.Join(w.dir, "crash") // the new release crashes once this file exists
+	crashing := w.script("bad", fmt.Sprintf("#!/bin/sh\ntest -e %[2]q && exit 1\n%[1]q &\npid=$!\ntrap 'kill -TERM $pid; wait $pid; exit 0' TERM\nwhile kill -0 $pid; do test -e %[2]q && kill -KILL $pid && exit 1; sleep 0.1; done\n", filepath.Join(w.binaries, "sidecar"), crashFile))
+	c := w.change(append([]string{"start", "--stages", "3,100%", "--alone", "2s", "--binary", crashing}, quickChange...)...)
+	w.waitForReport("all instances of the first stage to be changed", func(r *client.Report) bool {
 		n := 0
 		for _, row := range r.Rows {
 			if row.Outcome == rollout.Changed {
@@ -119,10 +121,10 @@
 	})
 	c.cmd.Process.Signal(syscall.SIGKILL)
 	<-c.done
-	if err := os.WriteFile(mark, nil, 0o600); err != nil {
+	if err := os.WriteFile(crashFile, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	rep := w.waitForReport("three that their agents took back", func(r *client.Report) bool {
+	rep := w.waitForReport("three instances to be rolled back by their agents", func(r *client.Report) bool {
 		n := 0
 		for _, row := range r.Rows {
 			if row.Outcome == rollout.RolledBack {
@@ -135,11 +137,11 @@
 	for _, row := range rep.Rows {
 		for _, s := range row.Steps {
 			if s.Kind == api.Rollback && !strings.Contains(s.Cause, "alone") {
-				t.Errorf("%s was taken back because of %q", row.Instance, s.Cause)
+				t.Errorf("cause of the rollback of %s = %q, want a text that contains \"alone\"", row.Instance, s.Cause)
 			}
 		}
 	}
 	if n := countChanged(rep); n != 3 {
-		t.Errorf("%d instances were touched; the stage has 3", n)
+		t.Errorf("%d instances were changed, want 3, the size of the stage", n)
 	}
 }
--- a/internal/fleet/e2e/staged_world_test.go
+++ b/internal/fleet/e2e/staged_world_test.go
@@ -21,19 +21,20 @@
 	"martendrum/internal/standin/shop"
 )
 
-// stagedSlot lets only one staged world run at a time: each has clients, and the load would break
-// the time bounds of other tests.
+// stagedSlot lets only one world of stagedWorld run at a time. Each has clients, and the load of
+// several would break the time bounds of other tests.
 var stagedSlot = make(chan struct{}, 1)
 
+// skipShort skips a test that takes too long for -short.
 func skipShort(t *testing.T) {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("without -short")
+		t.Skip("takes too long for -short")
 	}
 }
 
-// stagedWorld starts a fleet whose agents collect metrics each half second. A discovery address,
-// if given, leads its sidecars to other servers than the world's own.
+// stagedWorld starts a fleet whose agents collect metrics every half second. With the address of a
+// discovery service, its sidecars use the servers of that service instead of the world's own.
 func stagedWorld(t testing.TB, hosts, each int, discovery ...string) *world {
 	t.Helper()
 	stagedSlot <- struct{}{}
@@ -42,7 +43,7 @@
 	for _, d := range discovery {
 		files, err := filepath.Glob(filepath.Join(w.dir, "h*", "h*.json"))
 		if err != nil || len(files) != hosts*each {
-			t.Fatal(files, err)
+			t.Fatalf("found the sidecars' configurations %v, error %v; want %d files", files, err, hosts*each)
 		}
 		for _, f := range files {
 			text, err := os.ReadFile(f)
@@ -50,7 +51,7 @@
 				err = os.WriteFile(f, []byte(strings.ReplaceAll(string(text), w.shop.Discovery, d)), 0o600)
 			}
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("editing the configuration %s: %v", f, err)
 			}
 		}
 	}
@@ -58,8 +59,9 @@
 	return w
 }
 
-// servers starts further servers, for the overlay of a release, and returns their discovery
-// address.
+// servers starts additional application servers and returns the address of their discovery service,
+// for a release's overlay or for stagedWorld. serve may answer a request, whose number it gets, and
+// return true; otherwise the server answers it as usual.
 func servers(t testing.TB, serve func(n int64, w http.ResponseWriter, r *http.Request) (done bool)) string {
 	t.Helper()
 	var n atomic.Int64
@@ -79,29 +81,30 @@
 	return s.Discovery
 }
 
-// change is a running `martendrum change`.
+// change is a running command martendrum change.
 type change struct {
 	world *world
 	cmd   *exec.Cmd
-	out   strings.Builder
-	errs  strings.Builder
-	done  chan struct{}
-	id    string
+	out   strings.Builder // standard output; complete once done is closed
+	errs  strings.Builder // standard error, likewise
+	done  chan struct{}   // closed when the command has ended
+	id    string          // of the operation, set by report
 }
 
-// quickChange holds the flags of a quick change: stages that last seconds, and margins that suit
-// some hundred requests.
+// quickChange holds the flags of a change with stages of a few seconds, and with margins for the
+// comparison of a few hundred requests.
 var quickChange = slices.Clip([]string{"--all", "--least", "2s", "--longest", "40s", "--past", "6", "--warm", "500ms", "--soak", "200ms", "--batch", "3", "--max-unavailable", "6",
 	"--lease", "3s", "--seed", "1", "--max-shop", "", "--margin", "unserved=0.03:0.3", "--margin", "worth=0.03:0.3", "--margin", "failed=0.03:0.3",
 	"--margin", "slow=0.3:0.9", "--margin", "attempts=0.1:0.6", "--margin", "declined=0.1:0.6", "--margin", "crashes=1:12", "--margin", "memory=off", "--margin", "files=off"})
 
+// change starts martendrum change with the arguments. The command is killed at the end of the test.
 func (w *world) change(args ...string) *change {
 	w.t.Helper()
 	c := &change{world: w, done: make(chan struct{})}
 	c.cmd = exec.Command(filepath.Join(w.binaries, "martendrum"), append([]string{"--fleet", w.inventoryPath, "--json", "change"}, args...)...)
 	c.cmd.Stdout, c.cmd.Stderr = &c.out, &c.errs
 	if err := c.cmd.Start(); err != nil {
-		w.t.Fatal(err)
+		w.t.Fatalf("starting martendrum change: %v", err)
 	}
 	go func() {
 		c.cmd.Wait()
@@ -111,29 +114,30 @@
 		c.cmd.Process.Kill()
 		<-c.done
 		if w.t.Failed() {
-			w.t.Logf("martendrum change: %s\n%.100s", c.errs.String(), c.out.String())
+			w.t.Logf("martendrum change printed the errors %s\nand the output %.100s", c.errs.String(), c.out.String())
 		}
 	})
 	return c
 }
 
-// report waits for the command's end and reads what it printed.
+// report waits until the command has ended, for 90 s at most, and parses the report that it printed.
 func (c *change) report() *client.Report {
 	c.world.t.Helper()
 	select {
 	case <-c.done:
 	case <-time.After(90 * time.Second):
-		c.world.t.Fatal("the change has not come to its end")
+		c.world.t.Fatal("martendrum change has not ended after 90 s")
 	}
 	rep := &client.Report{}
 	if err := json.Unmarshal([]byte(c.out.String()), rep); err != nil {
-		c.world.t.Fatalf("report: %v: %s %s", err, c.out.String(), c.errs.String())
+		c.world.t.Fatalf("parsing the report of martendrum change: %v\noutput: %s\nerrors: %s", err, c.out.String(), c.errs.String())
 	}
 	c.id = rep.Operation.ID
 	return rep
 }
 
-// waitForReport polls the agents until the report of an operation fits, and returns it.
+// waitForReport polls the agents until the report of one of their operations fulfils fits, and returns
+// it. what describes that condition.
 func (w *world) waitForReport(what string, fits func(*client.Report) bool) *client.Report {
 	w.t.Helper()
 	var rep *client.Report
@@ -155,10 +159,12 @@
 	return rep
 }
 
-// startLoad sends each instance a request about every 40 ms, every second one an activate.
+// startLoad starts clients that send each instance a request about every 40 ms. Every second request
+// is an activate.
 func (w *world) startLoad() *trafficClients { return w.startTraffic(40 * time.Millisecond) }
 
-// countChanged returns how many instances have ever run the operation's release.
+// countChanged returns how many instances the operation has begun to change, whether or not they were
+// rolled back later.
 func countChanged(rep *client.Report) (n int) {
 	for _, r := range rep.Rows {
 		for _, s := range r.Steps {
@@ -170,20 +176,22 @@
 	return n
 }
 
-// checkRelease checks that every instance is ready and runs the given release.
+// checkRelease waits until every instance is ready and checks that it runs the release base.
 func (w *world) checkRelease(base string) {
 	w.t.Helper()
 	for _, h := range w.waitReady() {
 		for _, i := range h.Instances {
 			if i.Running != base || i.Release != base {
-				w.t.Errorf("%s runs %.12s (wanted %.12s); it ran %.12s before", i.Name, i.Running, i.Release, base)
+				w.t.Errorf("%s runs release %.12s and is desired to run %.12s, want %.12s", i.Name, i.Running, i.Release, base)
 			}
 		}
 	}
 }
 
+// running returns the release that the first instance of the fleet runs.
 func (w *world) running() string { return w.waitReady()[0].Instances[0].Running }
 
+// overlay writes an overlay file and returns its path.
 func (w *world) overlay(text string) string {
 	w.t.Helper()
 	path := filepath.Join(w.dir, fmt.Sprintf("overlay-%d.json", addresses.Add(1)))
@@ -193,22 +201,23 @@
 	return path
 }
 
-// links puts a relay between the fleet's commands and each agent.
-func (w *world) links(n *faultnet.Net) (out []*faultnet.Link) {
+// links creates a link to each agent, in the order of the hosts, and an inventory with which later
+// commands reach the agents through these links.
+func (w *world) links(network *faultnet.Net) (links []*faultnet.Link) {
 	w.t.Helper()
 	var inv strings.Builder
 	inv.WriteString("timeout = \"1s\"\n")
 	for _, h := range w.hosts {
-		l, err := n.TCP(h.name, "unix:"+filepath.Join(filepath.Dir(h.config), "a"))
+		link, err := network.TCP(h.name, "unix:"+filepath.Join(filepath.Dir(h.config), "a"))
 		if err != nil {
-			w.t.Fatal(err)
+			w.t.Fatalf("creating the link to %s: %v", h.name, err)
 		}
-		fmt.Fprintf(&inv, "[[host]]\nname = %q\naddress = \"tcp:%s\"\n", h.name, l.Addr())
-		out = append(out, l)
+		fmt.Fprintf(&inv, "[[host]]\nname = %q\naddress = \"tcp:%s\"\n", h.name, link.Addr())
+		links = append(links, link)
 	}
 	w.inventoryPath = filepath.Join(w.dir, "linked.toml")
 	if err := os.WriteFile(w.inventoryPath, []byte(inv.String()), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
-	return out
+	return links
 }
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -17,9 +17,9 @@
 	"martendrum/internal/fleet/host/proc"
 )
 
-// Fifty sidecars under ten agents are upgraded under load while a seeded schedule kills sidecars
-// and agents. Each instance is in the report once, the report agrees with the processes, and no
-// request that a living sidecar accepted is lost.
+// Fifty sidecars of ten agents are upgraded under load while a seeded schedule kills sidecars and
+// agents. Each instance is in the report once, the report agrees with the processes, and no request is
+// lost that a sidecar accepted which was not killed.
 func TestUpgradeUnderKillsLosesNothing(t *testing.T) {
 	w := newWorld(t, 10, 5)
 	w.startAll()
@@ -43,25 +43,25 @@
 	took := time.Since(began)
 	kills.stop()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("upgrading the fleet: %v", err)
 	}
 	w.waitReady()
-	time.Sleep(300 * time.Millisecond) // requests to what has just come back
+	time.Sleep(300 * time.Millisecond) // let clients send requests to the instances that restarted last
 	requests.stop()
-	t.Logf("%s in %v: %d sidecars and %d agents were killed; %d requests, %d served, %d lost", rep.Result, took.Round(time.Millisecond), kills.sidecars, kills.agents, requests.sent, requests.served, len(requests.lost))
+	t.Logf("upgrade ended with result %s after %v: %d sidecars and %d agents were killed; %d requests, %d served, %d lost", rep.Result, took.Round(time.Millisecond), kills.sidecars, kills.agents, requests.sent, requests.served, len(requests.lost))
 	if t.Failed() || testing.Verbose() {
 		t.Log(strings.Join(events, "\n"))
 	}
 	if kills.sidecars == 0 || kills.agents == 0 {
-		t.Error("nothing was killed: the test shows nothing")
+		t.Errorf("%d sidecars and %d agents were killed, want at least one of each", kills.sidecars, kills.agents)
 	}
-	for _, l := range requests.lost {
-		t.Error("lost:", l)
+	for _, lost := range requests.lost {
+		t.Errorf("lost request %s", lost)
 	}
 	if requests.served < requests.sent/2 || requests.served == 0 {
-		t.Errorf("%d of %d requests were served", requests.served, requests.sent)
+		t.Errorf("%d of %d requests were served, want at least half", requests.served, requests.sent)
 	}
-	// The command's own report, and then the one from the agents' stores.
+	// Check the report that the operation returned, and then the one from the agents' stores.
 	w.rowsByInstance(rep, op)
 	if rep, err = w.fleet.Report(context.Background(), op.ID); err != nil {
 		t.Fatal(err)
@@ -69,13 +69,16 @@
 	w.checkUpgradeReport(w.rowsByInstance(rep, op), hash)
 }
 
-// randomKills kills sidecars and agents by a seeded schedule until stop.
+// randomKills kills sidecars and agents by a seeded schedule until stop, which also has to come before
+// the counts are read.
 type randomKills struct {
-	sidecars, agents int
+	sidecars, agents int // numbers of processes killed
 	end              chan struct{}
 	wait             sync.WaitGroup
 }
 
+// startKills begins to kill sidecars and agents at random times. Killed agents are restarted. The
+// clients get to know of each killed sidecar.
 func (w *world) startKills(requests *trafficClients) *randomKills {
 	kills := &randomKills{end: make(chan struct{})}
 	rng := rand.New(rand.NewPCG(5, 1))
@@ -105,13 +108,15 @@
 	return kills
 }
 
+// stop ends the kills and waits until a killed agent has been restarted.
 func (k *randomKills) stop() {
 	close(k.end)
 	k.wait.Wait()
 }
 
-// checkUpgradeReport compares the rows of an upgrade's report with what the agents list: each
-// instance was changed once, and its outcome agrees with the release that it runs.
+// checkUpgradeReport compares the rows of an upgrade's report with the states that the agents list.
+// Each instance has to be changed exactly once, and its outcome has to agree with the release that it
+// runs.
 func (w *world) checkUpgradeReport(rows map[string]client.InstanceResult, hash string) {
 	w.t.Helper()
 	t := w.t
@@ -121,36 +126,36 @@
 		for _, i := range hs.Instances {
 			r := rows[i.Name]
 			if r.State == nil || r.Unknown != "" || r.State.PID != i.PID || r.State.Running != i.Running || r.State.State != i.State {
-				t.Errorf("%s: the report says %+v %s, the agent %+v", i.Name, r.State, r.Unknown, i)
+				t.Errorf("report of %s has state %+v, unknown %q; want the state that the agent lists, %+v", i.Name, r.State, r.Unknown, i)
 			}
 			switch {
 			case r.Outcome == rollout.Changed && i.Running != hash:
-				t.Errorf("%s is reported changed and runs %.12s", i.Name, i.Running)
+				t.Errorf("%s is reported %s but runs release %.12s, want %.12s", i.Name, r.Outcome, i.Running, hash)
 			case r.Outcome == rollout.Failed && r.Reason == "":
-				t.Errorf("%s is reported failed without a reason", i.Name)
+				t.Errorf("%s is reported %s without a reason", i.Name, r.Outcome)
 			case r.Outcome != rollout.Changed && r.Outcome != rollout.Failed:
-				t.Errorf("%s is reported %s at the end", i.Name, r.Outcome)
+				t.Errorf("%s is reported %s after the upgrade, want %s or %s", i.Name, r.Outcome, rollout.Changed, rollout.Failed)
 			}
 			if i.Generation != 2 {
-				t.Errorf("%s is at generation %d: it was changed %d times", i.Name, i.Generation, i.Generation-1)
+				t.Errorf("%s is at generation %d, want 2: it was changed %d times", i.Name, i.Generation, i.Generation-1)
 			}
 		}
 	}
 }
 
-// A release that does not start, never becomes ready, or dies during its soak time stops the
-// rollout at its limit of failures; what was changed is rolled back and reported.
+// A release that does not start, never becomes ready, or ends during its soak time stops the rollout
+// at the maximum number of failures. Changed instances are rolled back and reported as such.
 func TestFailingReleaseIsRolledBack(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 2, 2)
 	w.startAll()
-	first := w.waitReady()[0].Instances[0].Release
-	for name, c := range map[string]struct{ script, why string }{
-		"never ready":   {"#!/bin/sh\nexec sleep 1000\n", "not ready within"},
-		"dies soaked":   {"#!/bin/sh\n" + filepath.Join(w.binaries, "sidecar") + " &\nsleep 1\nkill -9 $!\nwait\nexit 3\n", "ended by itself"},
-		"can't start":   {"no program\n", "exec format error"},
-		"ends at once":  {"#!/bin/sh\nexit 7\n", "exit status 7"},
-		"good and well": {"", ""},
+	current := w.waitReady()[0].Instances[0].Release
+	for name, c := range map[string]struct{ script, wantWhy string }{
+		"never gets ready":  {"#!/bin/sh\nexec sleep 1000\n", "not ready within"},
+		"ends during soak":  {"#!/bin/sh\n" + filepath.Join(w.binaries, "sidecar") + " &\nsleep 1\nkill -9 $!\nwait\nexit 3\n", "ended by itself"},
+		"can't start":       {"no program\n", "exec format error"},
+		"ends at once":      {"#!/bin/sh\nexit 7\n", "exit status 7"},
+		"works as expected": {"", ""}, // the sidecar itself, with another overlay
 	} {
 		path := w.script("bad"+strings.ReplaceAll(name, " ", "-"), c.script)
 		overlay := ""
@@ -167,36 +172,36 @@
 		}
 		rep, err := w.fleet.Start(context.Background(), op, options())
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("release %q: starting the upgrade: %v", name, err)
 		}
 		if c.script == "" {
 			if !rep.OK() {
-				t.Errorf("%s: %s %s", name, rep.Result, rep.Why)
+				t.Errorf("release %q: result %s because %s, want success", name, rep.Result, rep.Why)
 			}
-			first = hash
+			current = hash
 			continue
 		}
 		rows := w.rowsByInstance(rep, op)
-		if rep.Result != rollout.AllRolledBack || !strings.Contains(rep.Why, c.why) || rows["h0-i0"].Outcome != rollout.RolledBack {
-			t.Errorf("%s: %s because %s, %+v", name, rep.Result, rep.Why, rows["h0-i0"].Outcome)
+		if rep.Result != rollout.AllRolledBack || !strings.Contains(rep.Why, c.wantWhy) || rows["h0-i0"].Outcome != rollout.RolledBack {
+			t.Errorf("release %q: result %s because %s, outcome of h0-i0 %s; want %s because of %q, outcome %s", name, rep.Result, rep.Why, rows["h0-i0"].Outcome, rollout.AllRolledBack, c.wantWhy, rollout.RolledBack)
 		}
 		states := w.waitReady()
 		w.checkAgainstProcesses(states)
 		for _, hs := range states {
 			for _, i := range hs.Instances {
-				if i.Running != first {
-					t.Errorf("%s: %s runs %.12s", name, i.Name, i.Running)
+				if i.Running != current {
+					t.Errorf("release %q: %s runs release %.12s, want the earlier %.12s", name, i.Name, i.Running, current)
 				}
 				if i.Name != "h0-i0" && rows[i.Name].Outcome != rollout.Pending {
-					t.Errorf("%s: %s was touched: %s", name, i.Name, rows[i.Name].Outcome)
+					t.Errorf("release %q: outcome of %s is %s, want %s", name, i.Name, rows[i.Name].Outcome, rollout.Pending)
 				}
 			}
 		}
 	}
 }
 
-// An upgrade runs the old and the new process side by side: no connection is refused, and the old
-// process ends only once the new one serves. A release that fails leaves the old process running.
+// During an upgrade the old and the new process run side by side. No connection is refused, and the
+// old process ends only once the new one serves. If the new release fails, the old process remains.
 func TestUpgradeRefusesNoConnection(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 1, 2)
@@ -211,47 +216,48 @@
 		hash := w.release(binary, overlay)
 		rep, err := w.fleet.Start(context.Background(), w.op(api.ActUpgrade, func(o *api.Operation) { o.Release = hash }), options())
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("starting the upgrade: %v", err)
 		}
 		return rep
 	}
 	for n := range 2 {
 		if rep := upgrade(filepath.Join(w.binaries, "sidecar"), fmt.Sprintf(`{"limits":{"memory_mb":%d}}`, 90+n)); !rep.OK() {
-			t.Errorf("%s %s", rep.Result, rep.Why)
+			t.Errorf("upgrade %d: result %s because %s, want success", n, rep.Result, rep.Why)
 		}
 		for _, i := range w.waitReady()[0].Instances {
 			if i.PID == pids[i.Name] {
-				t.Errorf("%s was not replaced", i.Name)
+				t.Errorf("upgrade %d: %s still has pid %d, want a new process", n, i.Name, i.PID)
 			}
 			pids[i.Name] = i.PID
 		}
 		w.checkAgainstProcesses(w.waitReady())
 	}
 	if rep := upgrade(w.script("bad", "#!/bin/sh\nexit 7\n"), ""); rep.OK() || !strings.Contains(rep.Why, "serves on: exit status 7") {
-		t.Errorf("%s %s", rep.Result, rep.Why)
+		t.Errorf("upgrade to a program that exits: result %s because %s, want a failure because of \"serves on: exit status 7\"", rep.Result, rep.Why)
 	}
 	stopHealthCalls()
 	requests.stop()
 	if len(requests.lost) > 0 || requests.served != requests.sent {
-		t.Errorf("%d of %d requests served, lost: %v", requests.served, requests.sent, requests.lost)
+		t.Errorf("%d of %d requests were served, lost %v; want all served and none lost", requests.served, requests.sent, requests.lost)
 	}
 	for _, i := range w.waitReady()[0].Instances {
 		if i.PID != pids[i.Name] || i.State != "ready" {
-			t.Errorf("after a bad release %s is %s, pid %d, was %d", i.Name, i.State, i.PID, pids[i.Name])
+			t.Errorf("%s after the failed upgrade is %s with pid %d, want ready with pid %d", i.Name, i.State, i.PID, pids[i.Name])
 		}
 	}
-	// The process that stayed counts as the desired one: a restarted agent leaves it alone.
+	// The old process counts as the desired one after the failed upgrade, so a restarted agent does
+	// not replace it.
 	w.hosts[0].kill()
 	w.hosts[0].start()
 	for _, i := range w.waitReady()[0].Instances {
 		if i.PID != pids[i.Name] {
-			t.Errorf("the agent's restart replaced %s", i.Name)
+			t.Errorf("%s after its agent's restart has pid %d, want %d", i.Name, i.PID, pids[i.Name])
 		}
 	}
 }
 
-// callHealth makes health calls to each instance of a host, one after the other, each of which
-// must succeed, until the returned function is called.
+// callHealth makes health calls to each instance of a host, one at a time per instance, until the
+// returned function is called. Each call must succeed.
 func (h *host) callHealth() (stop func()) {
 	t, end := h.world.t, make(chan struct{})
 	var calls sync.WaitGroup
@@ -261,13 +267,13 @@
 				select {
 				case <-end:
 					if n == 0 {
-						t.Errorf("%s got no health call", name)
+						t.Errorf("%s got no health call, want at least one", name)
 					}
 					return
 				default:
 				}
 				if _, err := proc.Health(context.Background(), addr, eventuallyTimeout); err != nil {
-					t.Errorf("%s, call %d: %v", name, n, err)
+					t.Errorf("health call %d to %s: %v", n, name, err)
 				}
 			}
 		})
@@ -278,16 +284,16 @@
 	}
 }
 
-// An agent that is killed during a hand-over finds both processes after its restart and completes
-// the replacement.
+// An agent that is killed during a hand-over finds both processes after its restart. It completes the
+// replacement, or keeps the old process if the new one fails.
 func TestAgentKilledDuringHandover(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 1, 1)
 	w.startAll()
 	name := w.hosts[0].instances[0]
 	for n, c := range []struct {
-		script string // what the new process is, before it serves
-		keeps  bool   // the old one is left
+		script   string // program of the new release
+		keepsOld bool   // whether the old process remains
 	}{
 		{"#!/bin/sh\nsleep 1\nexec " + filepath.Join(w.binaries, "sidecar") + "\n", false},
 		{"#!/bin/sh\nsleep 1\nexit 7\n", true},
@@ -299,26 +305,26 @@
 		go func() {
 			rep, err := w.fleet.Start(context.Background(), op, options())
 			if err != nil {
-				t.Error(err)
+				t.Errorf("case %d: starting the upgrade: %v", n, err)
 			}
 			done <- rep
 		}()
-		eventually(t, "two processes", func() bool { return len(proc.Find(w.hosts[0].name+"/"+name+"/")) == 2 })
+		eventually(t, "both processes of "+name+" to run", func() bool { return len(proc.Find(w.hosts[0].name+"/"+name+"/")) == 2 })
 		w.hosts[0].kill()
 		w.hosts[0].start()
 		var rep *client.Report
 		select {
 		case rep = <-done:
 		case <-time.After(2 * eventuallyTimeout):
-			t.Fatal("the upgrade did not end")
+			t.Fatalf("case %d: the upgrade did not end within %v", n, 2*eventuallyTimeout)
 		}
-		if rep == nil || rep.OK() == c.keeps {
-			t.Errorf("case %d: %+v", n, rep)
+		if rep == nil || rep.OK() == c.keepsOld {
+			t.Errorf("case %d: report %+v, want success: %v", n, rep, !c.keepsOld)
 		}
 		states := w.waitReady()
-		if i := states[0].Instances[0]; (i.PID == old) != c.keeps {
-			t.Errorf("case %d: pid %d, was %d", n, i.PID, old)
+		if i := states[0].Instances[0]; (i.PID == old) != c.keepsOld {
+			t.Errorf("case %d: pid %d after the upgrade, %d before it; want the old process kept: %v", n, i.PID, old, c.keepsOld)
 		}
-		eventually(t, "one process", func() bool { return len(proc.Find(w.hosts[0].name+"/"+name+"/")) == 1 })
+		eventually(t, "only one process of "+name+" to run", func() bool { return len(proc.Find(w.hosts[0].name+"/"+name+"/")) == 1 })
 	}
 }
--- a/internal/fleet/e2e/verify_test.go
+++ b/internal/fleet/e2e/verify_test.go
@@ -12,9 +12,9 @@
 	"martendrum/internal/fleet/host/proc"
 )
 
-// checkAgainstProcesses compares what the agents report of each instance with what is seen on
-// sockets and in /proc: one process, alive, of that generation and release,
-// answering where it should.
+// checkAgainstProcesses compares the agents' reports of each instance with /proc and health calls: an
+// instance that should run has exactly one process, of the reported pid, generation and release, which
+// answers health calls if it is reported ready. Another instance has no process.
 func (w *world) checkAgainstProcesses(states []client.HostState) {
 	w.t.Helper()
 	found := proc.Find(w.prefix)
@@ -32,44 +32,44 @@
 				want = 0
 			}
 			if len(launches) != want {
-				w.t.Errorf("%s is wanted %s and has the processes %v", i.Name, i.Desired, launches)
+				w.t.Errorf("%s with desired state %s has the processes %v, want %d", i.Name, i.Desired, launches, want)
 				continue
 			}
 			if want == 0 {
 				if i.PID != 0 || i.State != "stopped" {
-					w.t.Errorf("%s is reported %s, pid %d; it does not run", i.Name, i.State, i.PID)
+					w.t.Errorf("%s without a process is reported %s with pid %d, want stopped with pid 0", i.Name, i.State, i.PID)
 				}
 				continue
 			}
-			// A process that serves on after a failed upgrade counts as of a later
-			// generation than the one that it was launched as.
+			// A process that continues to serve after a failed upgrade is reported at a later
+			// generation than the one in the name of its launch.
 			launched := strings.Contains(launches[0], fmt.Sprintf("/%d/", i.Generation)) || strings.Contains(i.Reason, "serves on")
 			if pid != i.PID || !launched || i.Process != i.Generation {
-				w.t.Errorf("%s is reported as pid %d of generation %d (wanted %d); it is pid %d, %v", i.Name, i.PID, i.Process, i.Generation, pid, launches)
+				w.t.Errorf("%s is reported with pid %d at generation %d, desired generation %d; its process has pid %d and launch %v", i.Name, i.PID, i.Process, i.Generation, pid, launches)
 			}
 			if exe, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", pid)); err != nil || !strings.Contains(exe, "/"+i.Release+"/") || i.Running != i.Release {
-				w.t.Errorf("%s is reported to run %.12s (wanted %.12s) and runs %s, %v", i.Name, i.Running, i.Release, exe, err)
+				w.t.Errorf("%s is reported to run release %.12s, desired release %.12s; its process runs %s, error %v", i.Name, i.Running, i.Release, exe, err)
 			}
 			if _, err := proc.Health(context.Background(), i.Listen, 5*time.Second); (err == nil) != (i.State == "ready") {
-				w.t.Errorf("%s is reported %s; its health call: %v", i.Name, i.State, err)
+				w.t.Errorf("%s is reported %s, but its health call gives error %v; want an error exactly if it is not ready", i.Name, i.State, err)
 			}
 		}
 	}
 }
 
-// rowsByInstance checks that a report has each target exactly once, and returns its rows by
-// instance.
+// rowsByInstance checks that a report contains each target of the operation exactly once, and returns
+// the report's rows by instance.
 func (w *world) rowsByInstance(rep *client.Report, op api.Operation) map[string]client.InstanceResult {
 	w.t.Helper()
 	rows := make(map[string]client.InstanceResult)
 	for _, r := range rep.Rows {
 		if _, twice := rows[r.Instance]; twice {
-			w.t.Errorf("%s is in the report twice", r.Instance)
+			w.t.Errorf("report contains %s twice, want once", r.Instance)
 		}
 		rows[r.Instance] = r
 	}
 	if len(rows) != len(op.Targets) {
-		w.t.Errorf("%d of %d instances are in the report", len(rows), len(op.Targets))
+		w.t.Errorf("report contains %d instances, want %d", len(rows), len(op.Targets))
 	}
 	return rows
 }
