--- a/internal/fleet/e2e/agent_capacity_test.go
+++ b/internal/fleet/e2e/agent_capacity_test.go
@@ -25,9 +25,9 @@
 	sidecars []int
 }
 
-// restingHost starts an agent with real sidecars and the default interval of health calls, and
+// startIdleHost starts an agent with real sidecars and the default interval of health calls, and
 // waits until they are ready.
-func restingHost(b *testing.B, sidecars int) (*world, hostProcesses) {
+func startIdleHost(b *testing.B, sidecars int) (*world, hostProcesses) {
 	b.Helper()
 	w := newWorld(b, 1, sidecars)
 	h := w.hosts[0]
@@ -80,8 +80,8 @@
 	b.ReportMetric(float64(descriptors)/count, name+"-descriptors")
 }
 
-// watch reports the usage of a host's processes while work runs.
-func (p hostProcesses) watch(b *testing.B, work func()) {
+// measureDuring reports the usage of a host's processes while work runs.
+func (p hostProcesses) measureDuring(b *testing.B, work func()) {
 	b.Helper()
 	agentBefore, sidecarsBefore := usages(b, p.agent), usages(b, p.sidecars...)
 	began := time.Now()
@@ -96,11 +96,11 @@
 func BenchmarkAgentCapacity(b *testing.B) {
 	for _, sidecars := range []int{1, 2, 5, 10} {
 		b.Run(fmt.Sprintf("sidecars=%d", sidecars), func(b *testing.B) {
-			w, processes := restingHost(b, sidecars)
+			w, processes := startIdleHost(b, sidecars)
 			w.fleet.Close()
 			for b.Loop() {
 				time.Sleep(*capacitySettled)
-				processes.watch(b, func() { time.Sleep(*capacityWindow) })
+				processes.measureDuring(b, func() { time.Sleep(*capacityWindow) })
 			}
 		})
 	}
@@ -111,10 +111,10 @@
 func BenchmarkSettingsChangeCapacity(b *testing.B) {
 	for _, perMinute := range []int{0, 5, 10, 20} {
 		b.Run(fmt.Sprintf("changes=%d", perMinute), func(b *testing.B) {
-			w, processes := restingHost(b, 1)
+			w, processes := startIdleHost(b, 1)
 			for b.Loop() {
 				time.Sleep(*capacitySettled)
-				processes.watch(b, func() { reloadEvenly(b, w, perMinute) })
+				processes.measureDuring(b, func() { reloadEvenly(b, w, perMinute) })
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 	began := time.Now()
 	for i := range times {
 		time.Sleep(time.Until(began.Add(time.Duration(i) * time.Minute / time.Duration(times))))
-		operation := w.op(api.ActReload, func(o *api.Operation) { o.Soak = 0 })
+		operation := w.newOperation(api.ActReload, func(o *api.Operation) { o.Soak = 0 })
 		report, err := w.fleet.Start(context.Background(), operation, client.Options{LeaseHolder: operation.ID, TTL: 15 * time.Second, GiveUp: eventuallyTimeout})
 		if err != nil || !report.OK() {
 			b.Fatalf("reload %d: report %+v, error %v; want it to succeed", i, report, err)
--- a/internal/fleet/e2e/agent_failure_test.go
+++ b/internal/fleet/e2e/agent_failure_test.go
@@ -122,11 +122,11 @@
 // that began, and its report.
 func (w *world) startUntilAccepted() (api.Operation, *client.Report) {
 	w.t.Helper()
-	op := w.op(api.ActRestart, func(o *api.Operation) { o.Soak = 50 * time.Millisecond })
+	op := w.newOperation(api.ActRestart, func(o *api.Operation) { o.Soak = 50 * time.Millisecond })
 	var rep *client.Report
 	eventually(w.t, "an operation to begin", func() bool {
 		var err error
-		if rep, err = w.fleet.Start(context.Background(), op, options()); err != nil {
+		if rep, err = w.fleet.Start(context.Background(), op, runOptions()); err != nil {
 			// The agent may have opened the operation before it crashed, so the
 			// operation is aborted before a new one begins.
 			w.fleet.Abort(context.Background(), op.ID)
@@ -158,8 +158,8 @@
 			w := newWorld(t, 3, 1)
 			w.startAll()
 			h := w.hosts[1]
-			op := w.op(api.ActRestart, func(o *api.Operation) { o.Policy.MaxFailures = 3; o.Policy.MaxUnavailable = 2 })
-			opt := options()
+			op := w.newOperation(api.ActRestart, func(o *api.Operation) { o.Policy.MaxFailures = 3; o.Policy.MaxUnavailable = 2 })
+			opt := runOptions()
 			opt.GiveUp = 3 * time.Second
 			opt.Progress = w.afterStepBegins(h, op.ID, func() {
 				if how == "hangs" {
@@ -196,7 +196,7 @@
 			}
 			w.waitReady()
 			eventually(t, "a resume to succeed, once the earlier lease has expired", func() bool {
-				_, err := w.fleet.Resume(context.Background(), op.ID, options())
+				_, err := w.fleet.Resume(context.Background(), op.ID, runOptions())
 				return err == nil
 			})
 			w.checkReportAfterReturn(op)
@@ -257,7 +257,7 @@
 	w.startAll()
 	var agentRestart sync.WaitGroup
 	killed := false
-	opt := options()
+	opt := runOptions()
 	opt.Progress = func(e client.Event) {
 		if e.Kind == "begin" && !killed {
 			killed = true
@@ -269,7 +269,7 @@
 			}
 		}
 	}
-	op := w.op(api.ActRestart, nil)
+	op := w.newOperation(api.ActRestart, nil)
 	rep, err := w.fleet.Start(context.Background(), op, opt)
 	agentRestart.Wait()
 	if err != nil || !rep.OK() {
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -39,7 +39,7 @@
 	s := simulate(t, 1, 1, time.Millisecond, time.Millisecond, nil)
 	ctx, a := context.Background(), s.fleet.Agents[0]
 	inst := s.allInstances.Targets[0].Instance
-	op := s.op(api.ActRestart)
+	op := s.newOperation(api.ActRestart)
 	unknownAction := op
 	unknownAction.Action = "explode"
 	noReadyTime := op
--- a/internal/fleet/e2e/chain_capacity_test.go
+++ b/internal/fleet/e2e/chain_capacity_test.go
@@ -143,7 +143,7 @@
 func startSidecar(b *testing.B, name, discovery string) (pid int, listen string) {
 	b.Helper()
 	dir := b.TempDir()
-	path, listen, err := new(shop.Shop).Config(dir, name, int(addresses.Add(1)))
+	path, listen, err := new(shop.Shop).Config(dir, name, int(lastUnique.Add(1)))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/fleet/e2e/command_capacity_test.go
+++ b/internal/fleet/e2e/command_capacity_test.go
@@ -136,9 +136,9 @@
 			}
 			var sent, received int64
 			for _, link := range links {
-				there, back := link.Carried()
-				sent += there
-				received += back
+				toHost, fromHost := link.Carried()
+				sent += toHost
+				received += fromHost
 			}
 			b.ReportMetric(float64(sent)/float64(hosts), "sent-B/host")
 			b.ReportMetric(float64(received)/float64(hosts), "received-B/host")
--- a/internal/fleet/e2e/command_test.go
+++ b/internal/fleet/e2e/command_test.go
@@ -91,8 +91,8 @@
 	w.t.Helper()
 	t := w.t
 	ctx, cancel := context.WithCancel(context.Background())
-	op := w.op(api.ActRestart, nil)
-	opt := options()
+	op := w.newOperation(api.ActRestart, nil)
+	opt := runOptions()
 	opt.TTL = time.Second
 	opt.Progress = func(e client.Event) {
 		if e.Kind == "ok" {
--- a/internal/fleet/e2e/lease_test.go
+++ b/internal/fleet/e2e/lease_test.go
@@ -20,14 +20,14 @@
 	s := simulate(t, 3, 2, 5*time.Millisecond, 5*time.Millisecond, nil)
 	ctx := context.Background()
 	for round := range 10 {
-		ops := []api.Operation{s.op(api.ActRestart), s.op(api.ActRestart)}
+		ops := []api.Operation{s.newOperation(api.ActRestart), s.newOperation(api.ActRestart)}
 		ops[1].Targets = ops[1].Targets[:4]
 		errs := make([]error, 2)
 		reps := make([]*client.Report, 2)
 		var wg sync.WaitGroup
 		for n := range ops {
 			wg.Go(func() {
-				o := options()
+				o := runOptions()
 				o.LeaseHolder = fmt.Sprintf("operator-%d", n)
 				reps[n], errs[n] = s.fleet.Start(ctx, ops[n], o)
 			})
@@ -75,7 +75,7 @@
 	// The lease holder stalls before its first step, after it, after its second one, and before its
 	// operation's end.
 	for stalls := range 4 {
-		op := s.op(api.ActRestart)
+		op := s.newOperation(api.ActRestart)
 		open := func(o api.Operation, who string, ttl time.Duration) (out api.OpenOut) {
 			if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: o, LeaseHolder: who, TTL: ttl}, &out); err != nil {
 				t.Fatalf("opening operation %s: %v", o.ID, err)
@@ -100,7 +100,7 @@
 				t.Fatalf("aborting operation %s: %v", op.ID, err)
 			}
 			wait(op.ID, func(out *api.OpOut) bool { return out.State == api.OpClosed })
-			other := s.op(api.ActDrain)
+			other := s.newOperation(api.ActDrain)
 			current = open(other, "other", time.Minute)
 			op.ID, other.ID = other.ID, op.ID // from here on op.ID is the open operation
 			for _, id := range []string{other.ID, op.ID} {
--- a/internal/fleet/e2e/main_test.go
+++ b/internal/fleet/e2e/main_test.go
@@ -32,8 +32,8 @@
 func TestMain(m *testing.M) {
 	if path := os.Getenv("E2E_AGENT"); path != "" {
 		at, _ := strconv.ParseInt(os.Getenv("E2E_CRASH_AT"), 10, 64)
-		death := crashPoint{write: at, after: os.Getenv("E2E_CRASH_AFTER") != "", change: os.Getenv("E2E_CRASH_AFTER_CHANGE")}
-		if err := crashingAgent(path, death); err != nil {
+		point := crashPoint{write: at, after: os.Getenv("E2E_CRASH_AFTER") != "", change: os.Getenv("E2E_CRASH_AFTER_CHANGE")}
+		if err := crashingAgent(path, point); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -47,8 +47,8 @@
 		return
 	}
 	code := m.Run()
-	if built != "" {
-		os.RemoveAll(built)
+	if buildDir != "" {
+		os.RemoveAll(buildDir)
 	}
 	os.Exit(code)
 }
@@ -69,12 +69,12 @@
 
 // Commit writes a change to the store, and kills the process if the crash point is reached.
 func (s *crashingStore) Commit(ctx context.Context, c *store.Change) error {
-	last := s.writes.Add(1) == s.point.write
-	if last && !s.point.after {
+	atCrash := s.writes.Add(1) == s.point.write
+	if atCrash && !s.point.after {
 		killSelf()
 	}
 	err := s.Store.Commit(ctx, c)
-	if last || err == nil && s.point.change != "" && writesSettings(c, s.point.change) {
+	if atCrash || err == nil && s.point.change != "" && writesSettings(c, s.point.change) {
 		killSelf()
 	}
 	return err
@@ -95,14 +95,14 @@
 }
 
 // crashingAgent runs the agent with the configuration at path until SIGTERM or its crash point.
-func crashingAgent(path string, death crashPoint) error {
+func crashingAgent(path string, point crashPoint) error {
 	cfg, err := agent.LoadConfig(path)
 	if err != nil {
 		return err
 	}
 	a, err := agent.New(cfg, agent.Processes{}, func(p string) (store.Store, error) {
 		s, err := agentstore.Record(cfg)(p)
-		return &crashingStore{Store: s, point: death}, err
+		return &crashingStore{Store: s, point: point}, err
 	})
 	if err != nil {
 		return err
@@ -116,24 +116,25 @@
 var (
 	buildOnce sync.Once
 	buildErr  error
-	built     string
+	buildDir  string
 )
 
-// programs builds the sidecar and martendrum once per test process, and returns their directory.
+// programs returns the directory of the programs sidecar and martendrum. It builds them at its first
+// call in a test process.
 func programs(t testing.TB) string {
 	t.Helper()
 	buildOnce.Do(func() {
-		if built, buildErr = os.MkdirTemp("", "martendrum-e2e-"); buildErr != nil {
+		if buildDir, buildErr = os.MkdirTemp("", "martendrum-e2e-"); buildErr != nil {
 			return
 		}
-		if b, err := exec.Command("go", "build", "-o", built+"/", "martendrum/cmd/sidecar", "martendrum/cmd/martendrum").CombinedOutput(); err != nil {
-			buildErr = fmt.Errorf("%w: %s", err, b)
+		if output, err := exec.Command("go", "build", "-o", buildDir+"/", "martendrum/cmd/sidecar", "martendrum/cmd/martendrum").CombinedOutput(); err != nil {
+			buildErr = fmt.Errorf("%w: %s", err, output)
 		}
 	})
 	if buildErr != nil {
 		t.Fatalf("building the sidecar and martendrum: %v", buildErr)
 	}
-	return built
+	return buildDir
 }
 
 // eventually waits until ok returns true. It ends the test after eventuallyTimeout with a message
--- a/internal/fleet/e2e/powerloss_clients_test.go
+++ b/internal/fleet/e2e/powerloss_clients_test.go
@@ -36,10 +36,9 @@
 
 // requestClasses are the classes of the clients' requests.
 var requestClasses = []struct {
-	name    string
-	share   float64       // fraction of all requests
-	weight  float64       // weight of a request in servedFraction
-	timeout time.Duration // from the first attempt
+	name          string
+	share, weight float64       // fraction of all requests; weight of each request in servedFraction
+	timeout       time.Duration // from the first attempt
 }{{"status-check", 0.5, 1, 3 * time.Second}, {"id-register", 0.3, 3, 2500 * time.Millisecond}, {"activate", 0.2, 10, 2500 * time.Millisecond}}
 
 // startClients starts clients that send requests to each instance, perSecond per second on average,
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -23,12 +23,12 @@
 // All hosts and servers lose power and restart in random order while clients retry their requests.
 // The fleet recovers without losing a request or overloading a server in slow start.
 func TestFleetRecoversFromPowerLoss(t *testing.T) {
-	hosts, each := sizeFromEnv("E2E_HOSTS", 3), sizeFromEnv("E2E_EACH", 4)
+	hosts, perHost := sizeFromEnv("E2E_HOSTS", 3), sizeFromEnv("E2E_EACH", 4)
 	parts, ok := os.LookupEnv("E2E_PARTS")
 	if !ok {
 		parts = "return,peers"
 	}
-	w := newRecoveryWorld(t, hosts, each, parts)
+	w := newRecoveryWorld(t, hosts, perHost, parts)
 	w.startAll()
 	clients := w.startClients(10)
 	eventually(t, "clients to be served", func() bool { return clients.servedFraction(-1, time.Now().Add(-2*time.Second), 2*time.Second) > 0.9 })
@@ -41,7 +41,7 @@
 	ready := time.Since(poweredOn)
 	recovered := w.waitRecovered(clients, poweredOn)
 	t.Logf("%d sidecars on %d hosts, agents' setting fleet=%s: ready after %v, nine tenths of the requests by weight served from %v on; served in the first half of the servers' slow start: status-check %.2f, id-register %.2f, activate %.2f, all %.2f",
-		hosts*each, hosts, parts, ready, recovered, clients.servedFraction(0, poweredOn, w.slowStart.For/2), clients.servedFraction(1, poweredOn, w.slowStart.For/2), clients.servedFraction(2, poweredOn, w.slowStart.For/2), clients.servedFraction(-1, poweredOn, w.slowStart.For/2))
+		hosts*perHost, hosts, parts, ready, recovered, clients.servedFraction(0, poweredOn, w.slowStart.For/2), clients.servedFraction(1, poweredOn, w.slowStart.For/2), clients.servedFraction(2, poweredOn, w.slowStart.For/2), clients.servedFraction(-1, poweredOn, w.slowStart.For/2))
 	w.checkWaves(states)
 	w.checkNoHarm(clients)
 	if !strings.Contains(parts, "peers") {
@@ -187,9 +187,9 @@
 	}
 	w := newRecoveryWorld(t, 2, 3, "return,peers")
 	w.startAll()
-	op := w.op(api.ActRestart, func(o *api.Operation) { o.Soak = 2 * time.Second })
+	op := w.newOperation(api.ActRestart, func(o *api.Operation) { o.Soak = 2 * time.Second })
 	done := make(chan *client.Report, 1)
-	opt := options()
+	opt := runOptions()
 	opt.GiveUp = 8 * time.Second
 	go func() {
 		rep, err := w.fleet.Start(context.Background(), op, opt)
@@ -207,7 +207,7 @@
 	if rep.Result == rollout.Succeeded {
 		t.Errorf("restart during which power was lost: result %s, rows %+v, want it not to succeed", rep.Result, rep.Rows)
 	}
-	resumeOptions := options()
+	resumeOptions := runOptions()
 	rep, err := w.fleet.Resume(context.Background(), op.ID, resumeOptions)
 	if err != nil {
 		t.Fatalf("resuming operation %s: %v", op.ID, err)
@@ -239,14 +239,14 @@
 		h = w.fleet.List(context.Background(), &inventory.Select{})[0]
 		return h.Returning != ""
 	})
-	drain := w.op(api.ActDrain, func(o *api.Operation) {
+	drain := w.newOperation(api.ActDrain, func(o *api.Operation) {
 		o.Targets = []api.Target{{Host: w.hosts[1].name, Instance: w.hosts[1].instances[0]}}
 	})
-	_, err := w.fleet.Start(context.Background(), drain, options())
+	_, err := w.fleet.Start(context.Background(), drain, runOptions())
 	if e, ok := errors.AsType[*api.ReturningError](err); !ok || e.Host != w.hosts[0].name {
 		t.Errorf("drain on another host during the recovery of %s: got error %v, want a ReturningError for it", w.hosts[0].name, err)
 	}
-	own := w.op(api.ActRestart, func(o *api.Operation) {
+	own := w.newOperation(api.ActRestart, func(o *api.Operation) {
 		o.Targets = []api.Target{{Host: w.hosts[0].name, Instance: w.hosts[0].instances[0]}}
 	})
 	if err := w.fleet.Agents[0].Call(context.Background(), api.OpOpen, &api.OpenIn{Operation: own, LeaseHolder: "me", TTL: time.Second}, nil); errorCode(err) != api.LeaseHeld || !strings.Contains(err.Error(), "power loss") {
@@ -258,7 +258,7 @@
 	if states[0].Epoch != 1 || states[1].Epoch != 0 {
 		t.Errorf("epochs of the hosts are %d and %d, want 1 and 0: one power loss on the first", states[0].Epoch, states[1].Epoch)
 	}
-	rep, err := w.fleet.Start(context.Background(), drain, options())
+	rep, err := w.fleet.Start(context.Background(), drain, runOptions())
 	if err != nil || rep.Result != rollout.Succeeded {
 		t.Errorf("drain after the recovery: error %v, report %+v, want success", err, rep)
 	}
@@ -273,8 +273,8 @@
 	w := newRecoveryWorld(t, 1, 3, "return")
 	w.startAll()
 	h := w.hosts[0]
-	op := w.op(api.ActRestart, nil)
-	opt := options()
+	op := w.newOperation(api.ActRestart, nil)
+	opt := runOptions()
 	opt.TTL = time.Minute // longer than the test, so only the power loss ends the lease
 	var token int64
 	for at := 1; at <= 8; at++ {
--- a/internal/fleet/e2e/powerloss_world_test.go
+++ b/internal/fleet/e2e/powerloss_world_test.go
@@ -41,20 +41,20 @@
 // newRecoveryWorld writes the configuration of a recoveryWorld with 100 ms between the waves of
 // restarts. parts is the agents' fleet setting: "return" restarts instances in waves after a power
 // loss, "peers" lets sidecars ask their peers whether they stayed up.
-func newRecoveryWorld(t *testing.T, hosts, each int, parts string) *recoveryWorld {
+func newRecoveryWorld(t *testing.T, hosts, perHost int, parts string) *recoveryWorld {
 	t.Helper()
-	return newRecoveryWorldWithWave(t, hosts, each, parts, 100*time.Millisecond)
+	return newRecoveryWorldWithWave(t, hosts, perHost, parts, 100*time.Millisecond)
 }
 
 // newRecoveryWorldWithWave is newRecoveryWorld with another minimum time between the waves of
 // restarts.
-func newRecoveryWorldWithWave(t *testing.T, hosts, each int, parts string, wave time.Duration) *recoveryWorld {
+func newRecoveryWorldWithWave(t *testing.T, hosts, perHost int, parts string, wave time.Duration) *recoveryWorld {
 	t.Helper()
 	w := &recoveryWorld{rank: make(map[string]int), slowStart: &shop.SlowStart{
 		Workers: 4, Work: 40 * time.Millisecond, Queue: 20, From: 0.14, For: 6 * time.Second, Factor: 4, Window: time.Second,
 	}}
-	servers := max(4, hosts*each/5)
-	w.world = newWorldWithServers(t, hosts, each, fmt.Sprintf("fleet = %q\n[recovery]\nwave_least = %q\n", parts, wave), func() (*shop.Shop, error) {
+	servers := max(4, hosts*perHost/5)
+	w.world = newWorldWithServers(t, hosts, perHost, fmt.Sprintf("fleet = %q\n[recovery]\nwave_least = %q\n", parts, wave), func() (*shop.Shop, error) {
 		return shop.NewWith(servers, w.slowStart.Serve)
 	})
 	var peerAddresses, names []string
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	for n, name := range names {
-		w.edit(name, func(c map[string]any) {
+		w.editConfig(name, func(c map[string]any) {
 			settings := c["settings"].(map[string]any)
 			settings["rank"], settings["replicasOfMe"] = n, len(names)
 			settings["caps"].(map[string]any)["peers"] = true
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// edit changes the configuration file of an instance.
-func (w *recoveryWorld) edit(name string, change func(map[string]any)) {
+// editConfig changes the configuration file of an instance.
+func (w *recoveryWorld) editConfig(name string, change func(map[string]any)) {
 	w.t.Helper()
 	path := filepath.Join(filepath.Dir(w.hostOf(name).config), name+".json")
 	data, err := os.ReadFile(path)
--- a/internal/fleet/e2e/scale_test.go
+++ b/internal/fleet/e2e/scale_test.go
@@ -55,11 +55,11 @@
 	s := simulate(b, 20, 10, simReady, simDrain, nil)
 	gates := time.Duration(200/simBatch) * (simDrain + simReady + simSoak)
 	for b.Loop() {
-		op := s.op(api.ActRestart)
+		op := s.newOperation(api.ActRestart)
 		op.Soak = simSoak
 		op.Policy.Batch, op.Policy.MaxUnavailable = simBatch, simBatch
 		began := time.Now()
-		rep, err := s.fleet.Start(context.Background(), op, options())
+		rep, err := s.fleet.Start(context.Background(), op, runOptions())
 		if err != nil || !rep.OK() {
 			b.Fatalf("restart: report %+v, error %v, want success", rep, err)
 		}
@@ -73,16 +73,16 @@
 // end of the last rollback, and how many instances ran the release.
 func BenchmarkHarmTakenBack60(b *testing.B) {
 	for b.Loop() {
-		w := stagedWorld(b, 6, 10)
-		base := w.running()
+		w := newStagedWorld(b, 6, 10)
+		base := w.runningRelease()
 		requests := w.startLoad()
-		overlay := w.overlay(fmt.Sprintf(`{"discovery": %q}`, servers(b, func(n int64, rw http.ResponseWriter, _ *http.Request) bool {
+		overlay := w.writeOverlay(fmt.Sprintf(`{"discovery": %q}`, startServers(b, func(n int64, rw http.ResponseWriter, _ *http.Request) bool {
 			if n%10 == 0 {
 				http.Error(rw, "no", http.StatusInternalServerError)
 			}
 			return n%10 == 0
 		})))
-		rep := w.change(append([]string{"start", "--stages", "6,50%,100%", "--binary", filepath.Join(w.binaries, "sidecar"), "--overlay", overlay},
+		rep := w.startChange(append([]string{"start", "--stages", "6,50%,100%", "--binary", filepath.Join(w.binaries, "sidecar"), "--overlay", overlay},
 			append(quickChange, "--longest", "80s", "--batch", "6", "--margin", "unserved=0.02:0.08", "--margin", "worth=0.02:0.08", "--margin", "failed=0.02:0.08")...)...).report()
 		w.checkRelease(base)
 		requests.stop()
--- a/internal/fleet/e2e/settings_bench_test.go
+++ b/internal/fleet/e2e/settings_bench_test.go
@@ -10,11 +10,11 @@
 // the metrics of all sidecars show that the new settings are in force.
 func BenchmarkSettingsInForce(b *testing.B) {
 	w := newSettingsWorld(b, 2, 8, 1)
-	names := instances(w.hosts...)
+	names := instanceNames(w.hosts...)
 	sizes := []int{80, 96}
 	limits := make([]float64, len(sizes))
 	for n, megabytes := range sizes {
-		w.inForce(w.publish("limits/all", memoryLimit(megabytes)), len(w.hosts))
+		w.waitInForce(w.publish("limits/all", memoryLimit(megabytes)), len(w.hosts))
 		limits[n] = w.bodyLimit(names[0])
 	}
 	elapsed, changes := time.Duration(0), 0
@@ -22,7 +22,7 @@
 		next := changes % len(sizes)
 		w.publish("limits/all", memoryLimit(sizes[next]))
 		published := time.Now()
-		w.limits(limits[next], names)
+		w.waitBodyLimit(limits[next], names)
 		elapsed += time.Since(published)
 		changes++
 	}
--- a/internal/fleet/e2e/settings_crash_test.go
+++ b/internal/fleet/e2e/settings_crash_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	program := w.script("crashing", fmt.Sprintf("#!/bin/sh\n%s=%q exec %q\n", crashingEnv, filepath.Join(w.binaries, "sidecar"), os.Args[0]))
+	program := w.writeScript("crashing", fmt.Sprintf("#!/bin/sh\n%s=%q exec %q\n", crashingEnv, filepath.Join(w.binaries, "sidecar"), os.Args[0]))
 	changed := strings.Replace(string(text), fmt.Sprintf("binary = %q", filepath.Join(w.binaries, "sidecar")), fmt.Sprintf("binary = %q", program), 1)
 	if changed == string(text) {
 		t.Fatal("the agent's configuration does not contain the path of the sidecar")
@@ -68,13 +68,13 @@
 	}
 	w.startRelays()
 	w.startAll()
-	w.inForce(w.publish("limits/all", memoryLimit(96)), 2)
+	w.waitInForce(w.publish("limits/all", memoryLimit(96)), 2)
 	lastGood := w.bodyLimit(h.instances[0])
 
 	crashing := w.publish("limits/crash", memoryLimit(crashingLimit), "--scope", "host="+h.name)
 	w.waitRejected(crashing, h)
 	w.waitReady()
-	w.limits(lastGood, h.instances)
+	w.waitBodyLimit(lastGood, h.instances)
 	if rejections := w.inspect(h, h.instances[0]).Settings.Rejections; len(rejections) != 1 || !strings.Contains(rejections[0].Reason, "its process ended") {
 		t.Errorf("rejections = %+v, want 1 with a reason that contains \"its process ended\"", rejections)
 	}
@@ -83,7 +83,7 @@
 		t.Errorf("%s was restarted %d times, want %d: once for each try of the crashing settings", h.instances[0], restarts, crashesWanted)
 	}
 
-	w.inForce(w.publish("limits/crash", memoryLimit(80), "--scope", "host="+h.name), 2)
+	w.waitInForce(w.publish("limits/crash", memoryLimit(80), "--scope", "host="+h.name), 2)
 }
 
 // crashesWanted is the number of crashes after which settings are rejected.
--- a/internal/fleet/e2e/settings_observe_test.go
+++ b/internal/fleet/e2e/settings_observe_test.go
@@ -43,9 +43,9 @@
 	return limit
 }
 
-// inForce waits until the writer, whose counts include all hosts, reports a revision in force at
+// waitInForce waits until the writer, whose counts include all hosts, reports a revision in force at
 // exactly the given number of hosts. It returns that report.
-func (w *settingsWorld) inForce(revision distribution.Revision, hosts int) distribution.Status {
+func (w *settingsWorld) waitInForce(revision distribution.Revision, hosts int) distribution.Status {
 	w.t.Helper()
 	var status distribution.Status
 	var statusErr error
@@ -65,8 +65,8 @@
 	return status
 }
 
-// limits waits until all named sidecars have the limit on bodies, in bytes, in force.
-func (w *settingsWorld) limits(want float64, names []string) {
+// waitBodyLimit waits until all named sidecars have the limit on bodies, in bytes, in force.
+func (w *settingsWorld) waitBodyLimit(want float64, names []string) {
 	w.t.Helper()
 	eventually(w.t, fmt.Sprintf("a body limit of %v bytes at %v", want, names), func() bool {
 		for _, name := range names {
@@ -96,8 +96,8 @@
 	return out, err == nil
 }
 
-// copied waits until the relays hold a revision or a later one.
-func (w *settingsWorld) copied(revision distribution.Revision, relays ...*host) {
+// waitCopied waits until the relays hold a revision or a later one.
+func (w *settingsWorld) waitCopied(revision distribution.Revision, relays ...*host) {
 	w.t.Helper()
 	eventually(w.t, fmt.Sprintf("all relays to hold revision %v", revision), func() bool {
 		for _, relay := range relays {
@@ -109,8 +109,8 @@
 	})
 }
 
-// received waits until the agents of the hosts have received a revision or a later one.
-func (w *settingsWorld) received(revision distribution.Revision, hosts ...*host) {
+// waitReceived waits until the agents of the hosts have received a revision or a later one.
+func (w *settingsWorld) waitReceived(revision distribution.Revision, hosts ...*host) {
 	w.t.Helper()
 	for _, h := range hosts {
 		eventually(w.t, fmt.Sprintf("revision %v to arrive at %s", revision, h.name), func() bool {
@@ -119,8 +119,9 @@
 	}
 }
 
-// accepted returns the revisions of the resources that an instance has accepted, by resource name.
-func (w *settingsWorld) accepted(h *host, instance string) map[string]distribution.Revision {
+// acceptedRevisions returns the revisions of the resources that an instance has accepted, by
+// resource name.
+func (w *settingsWorld) acceptedRevisions(h *host, instance string) map[string]distribution.Revision {
 	w.t.Helper()
 	revisions := make(map[string]distribution.Revision)
 	for _, accepted := range w.inspect(h, instance).Settings.Accepted {
--- a/internal/fleet/e2e/settings_operation_test.go
+++ b/internal/fleet/e2e/settings_operation_test.go
@@ -13,7 +13,7 @@
 // token. The lease of one minute outlasts the operation.
 func (w *settingsWorld) openOperation(h *host, action string, soak time.Duration) (api.Operation, int64) {
 	w.t.Helper()
-	operation := w.op(action, func(o *api.Operation) {
+	operation := w.newOperation(action, func(o *api.Operation) {
 		o.Soak = soak
 		o.Targets = nil
 		for _, instance := range h.instances {
@@ -72,12 +72,12 @@
 	w := newSettingsWorld(t, 2, 2, 1)
 	held, free := w.hosts[0], w.hosts[1]
 	instance := held.instances[0]
-	accepted := w.reference(2, "limits/all", 96)[0]
+	accepted := w.publishLimits(2, "limits/all", 96)[0]
 
 	operation, token := w.openOperation(held, api.ActRestart, 500*time.Millisecond)
 	later := w.publish("limits/all", memoryLimit(80))
-	w.inForce(later, 1)
-	w.received(later, held)
+	w.waitInForce(later, 1)
+	w.waitReceived(later, held)
 	w.checkHeldBack(held, instance, accepted, "operation "+operation.ID)
 	if out, _, code := w.command("list", "--settings"); code != 1 || !strings.Contains(out, "operation "+operation.ID) {
 		t.Errorf("martendrum list --settings during the operation: exit code %d, want 1 and the operation's id:\n%s", code, out)
@@ -91,8 +91,8 @@
 	w.checkHeldBack(held, instance, accepted, "operation "+operation.ID)
 
 	w.closeOperation(held, operation, token)
-	w.inForce(later, 2)
-	w.limits(w.bodyLimit(free.instances[0]), []string{instance})
+	w.waitInForce(later, 2)
+	w.waitBodyLimit(w.bodyLimit(free.instances[0]), []string{instance})
 
 	// A reload step finishes before deferred settings are applied, even if the lease expires before
 	// the step ends.
@@ -106,8 +106,8 @@
 		t.Error("the reload applied settings that should wait for the operation's end")
 	}
 	w.closeOperation(held, operation, token)
-	w.inForce(last, 2)
-	w.limits(accepted, instances(held, free))
+	w.waitInForce(last, 2)
+	w.waitBodyLimit(accepted, instanceNames(held, free))
 
 	// Settings that change while an instance is drained are in force after its start.
 	w.drainAndUndrain(held, instance)
@@ -135,7 +135,7 @@
 	w.waitStep(h, operation, instance)
 	w.closeOperation(h, operation, token)
 	last := w.publish("limits/all", memoryLimit(112))
-	w.inForce(last, len(w.hosts))
+	w.waitInForce(last, len(w.hosts))
 	operation, token = w.openOperation(h, api.ActUndrain, 0)
 	w.startStep(h, operation, token, instance)
 	if status := w.waitStep(h, operation, instance); status != api.StepOK {
@@ -148,6 +148,6 @@
 		return ok && out.Status.InForce == len(w.hosts)-1
 	})
 	w.closeOperation(h, operation, token)
-	w.inForce(last, len(w.hosts))
-	w.limits(w.bodyLimit(w.hosts[1].instances[0]), []string{instance})
+	w.waitInForce(last, len(w.hosts))
+	w.waitBodyLimit(w.bodyLimit(w.hosts[1].instances[0]), []string{instance})
 }
--- a/internal/fleet/e2e/settings_rejected_test.go
+++ b/internal/fleet/e2e/settings_rejected_test.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// file returns the configuration file that the agent has written for an instance.
-func (h *host) file(instance string) string {
+// instanceConfig returns the configuration file that the agent has written for an instance.
+func (h *host) instanceConfig(instance string) string {
 	h.world.t.Helper()
 	text, err := os.ReadFile(filepath.Join(filepath.Dir(h.config), "s", "instances", instance+".json"))
 	if err != nil {
@@ -47,19 +47,19 @@
 	t.Parallel()
 	w := newSettingsWorld(t, 2, 2, 2)
 	h := w.hosts[1]
-	all := instances(w.hosts...)
-	limits := w.reference(2, "limits/all", 80, 112, 96)
+	all := instanceNames(w.hosts...)
+	limits := w.publishLimits(2, "limits/all", 80, 112, 96)
 	limit80, limit112, limit96 := limits[0], limits[1], limits[2]
 
 	rejected := w.publish("limits/all", memoryLimit(1), "--scope", "host="+h.name)
 	w.waitRejected(rejected, h)
 	// The resource now has the scope of one host, so at the other host it is removed.
-	w.limits(limit96, h.instances)
+	w.waitBodyLimit(limit96, h.instances)
 	for _, instance := range h.instances {
 		if count, _ := w.metric(instance, "edge_balancer_config_rejected"); count != 1 {
 			t.Errorf("%s rejected %v configurations, want 1", instance, count)
 		}
-		if file := h.file(instance); !strings.Contains(file, `"memory_mb": 96`) {
+		if file := h.instanceConfig(instance); !strings.Contains(file, `"memory_mb": 96`) {
 			t.Errorf("configuration file of %s = %s, want the last accepted settings, with \"memory_mb\": 96", instance, file)
 		}
 		rejections := w.inspect(h, instance).Settings.Rejections
@@ -74,12 +74,12 @@
 
 	// Another resource is still applied.
 	w.publish("limits/other", memoryLimit(80))
-	w.limits(limit80, all)
+	w.waitBodyLimit(limit80, all)
 
 	// A later revision of the rejected resource replaces it.
-	w.inForce(w.publish("limits/all", memoryLimit(112), "--scope", "host="+h.name), 2)
-	w.limits(limit112, h.instances) // the resource with the narrower scope is merged last
-	w.limits(limit80, w.hosts[0].instances)
+	w.waitInForce(w.publish("limits/all", memoryLimit(112), "--scope", "host="+h.name), 2)
+	w.waitBodyLimit(limit112, h.instances) // the resource with the narrower scope is merged last
+	w.waitBodyLimit(limit80, w.hosts[0].instances)
 	if out, errs, code := w.command("list", "--settings"); code != 0 {
 		t.Errorf("martendrum list --settings: exit code %d, want 0\n%s%s", code, out, errs)
 	}
@@ -92,7 +92,7 @@
 	t.Parallel()
 	w := newSettingsWorld(t, 2, 1, 2)
 	h := w.hosts[0]
-	limits := w.reference(1, "limits/all", 80, 96)
+	limits := w.publishLimits(1, "limits/all", 80, 96)
 	limit80 := limits[0]
 
 	// While an operation holds the instances' lease no settings are applied, so both changes are
@@ -100,16 +100,16 @@
 	operation, token := w.openOperation(h, api.ActRestart, 0)
 	invalid := w.publish("limits/bad", memoryLimit(2), "--scope", "service=even")
 	valid := w.publish("limits/all", memoryLimit(80))
-	w.received(valid, h)
+	w.waitReceived(valid, h)
 	w.closeOperation(h, operation, token)
-	w.limits(limit80, h.instances)
+	w.waitBodyLimit(limit80, h.instances)
 	w.waitRejected(invalid, h)
 	w.killSidecar(h, h.instances[0])
-	w.limits(limit80, h.instances)
+	w.waitBodyLimit(limit80, h.instances)
 	w.waitRejected(invalid, h)
 	if _, errs, code := w.command("change", "publish", "limits/bad", "--remove"); code != 0 {
 		t.Fatalf("martendrum change publish limits/bad --remove: exit code %d, want 0\n%s", code, errs)
 	}
-	w.inForce(distribution.Revision{}, 1)
-	w.limits(limit80, h.instances)
+	w.waitInForce(distribution.Revision{}, 1)
+	w.waitBodyLimit(limit80, h.instances)
 }
--- a/internal/fleet/e2e/settings_relays_test.go
+++ b/internal/fleet/e2e/settings_relays_test.go
@@ -9,8 +9,8 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// subscribed waits until each host's agent polls the relay of its own region.
-func (w *settingsWorld) subscribed() {
+// waitSubscribed waits until each host's agent polls the relay of its own region.
+func (w *settingsWorld) waitSubscribed() {
 	w.t.Helper()
 	for n, h := range w.hosts {
 		want := w.relays[n%len(w.relays)].name
@@ -26,22 +26,22 @@
 func TestRelayKilledMidChange(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 3, 6)
-	w.subscribed()
-	before := w.reference(6, "limits/all", 80)[0]
+	w.waitSubscribed()
+	before := w.publishLimits(6, "limits/all", 80)[0]
 
 	// One relay has copied the change, but its answers to hosts are stalled on the links.
 	copiedRelay := w.relays[1]
 	w.setLinks(w.hosts, []*host{copiedRelay}, faultnet.Fault{Stall: faultnet.Back})
 	change := w.publish("limits/all", memoryLimit(96))
-	w.copied(change, w.relays...)
+	w.waitCopied(change, w.relays...)
 	copiedRelay.kill()
 	w.setLinks(w.hosts, []*host{copiedRelay}, faultnet.Fault{})
-	w.inForce(change, 6)
+	w.waitInForce(change, 6)
 	after := w.bodyLimit(w.hosts[0].instances[0])
 	if after == before {
 		t.Fatalf("body limit = %v under both settings, want it to differ", after)
 	}
-	w.limits(after, instances(w.hosts...))
+	w.waitBodyLimit(after, instanceNames(w.hosts...))
 
 	// Another relay is killed before it has copied the next change.
 	laggingRelay := w.relays[2]
@@ -52,12 +52,12 @@
 	}
 	laggingRelay.kill()
 	w.setLinks([]*host{laggingRelay}, w.relays, faultnet.Fault{})
-	w.inForce(change, 6)
-	w.limits(before, instances(w.hosts...))
+	w.waitInForce(change, 6)
+	w.waitBodyLimit(before, instanceNames(w.hosts...))
 
 	copiedRelay.start()
 	laggingRelay.start()
-	w.copied(change, copiedRelay, laggingRelay)
+	w.waitCopied(change, copiedRelay, laggingRelay)
 }
 
 // Half of the relays are killed, so their hosts poll the other relays. Changes reach all hosts, and
@@ -65,31 +65,31 @@
 func TestHalfTheRelaysUnavailable(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 4, 8)
-	w.subscribed()
-	limits := w.reference(8, "limits/all", 80, 96)
+	w.waitSubscribed()
+	limits := w.publishLimits(8, "limits/all", 80, 96)
 	killed := w.relays[2:]
 	for _, relay := range killed {
 		relay.kill()
 	}
 	for n, megabytes := range []int{80, 96, 80} {
 		change := w.publish("limits/all", memoryLimit(megabytes))
-		status := w.inForce(change, 8)
+		status := w.waitInForce(change, 8)
 		if status.Hosts != 8 {
 			t.Errorf("change %d: the writer knows %d hosts, want 8", n, status.Hosts)
 		}
-		w.limits(limits[n%2], instances(w.hosts...))
+		w.waitBodyLimit(limits[n%2], instanceNames(w.hosts...))
 	}
 	for _, relay := range killed {
 		relay.start()
 	}
 	change := w.publish("limits/all", memoryLimit(96))
-	w.copied(change, w.relays...)
-	w.inForce(change, 8)
-	w.limits(limits[1], instances(w.hosts...))
+	w.waitCopied(change, w.relays...)
+	w.waitInForce(change, 8)
+	w.waitBodyLimit(limits[1], instanceNames(w.hosts...))
 }
 
-// between returns the links from each of the agents to each other relay.
-func (w *settingsWorld) between(agents, relays []*host) (links []*faultnet.Link) {
+// linksBetween returns the links from each of the agents to each other relay.
+func (w *settingsWorld) linksBetween(agents, relays []*host) (links []*faultnet.Link) {
 	for _, from := range agents {
 		for _, relay := range relays {
 			if from != relay {
@@ -108,9 +108,9 @@
 	return made
 }
 
-// cutOff stalls the links until heal is called. With reset it also resets all their connections every
-// 5 ms, so that calls fail at once instead of hanging.
-func cutOff(links []*faultnet.Link, reset bool) (heal func()) {
+// partitionLinks stalls the links until heal is called. With reset it also resets all their
+// connections every 5 ms, so that calls fail at once instead of hanging.
+func partitionLinks(links []*faultnet.Link, reset bool) (heal func()) {
 	for _, link := range links {
 		link.Set(faultnet.Fault{Stall: faultnet.Both})
 	}
@@ -147,7 +147,7 @@
 	for name, reset := range map[string]bool{"stalled": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			regionCutOff(t, reset, 6*time.Second)
+			testRegionPartition(t, reset, 6*time.Second)
 		})
 	}
 }
@@ -156,7 +156,7 @@
 func TestRegionCutOffForLong(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
-	regionCutOff(t, true, time.Minute)
+	testRegionPartition(t, true, time.Minute)
 }
 
 // Bounds on the connections that one agent makes while all its calls fail: a number of initial
@@ -168,9 +168,9 @@
 	hostConnectionsPerSecond  = 0.7
 )
 
-// regionCutOff partitions the second of two regions with a relay from the first one, and the hosts
-// of a third region from all relays, for a duration.
-func regionCutOff(t *testing.T, reset bool, duration time.Duration) {
+// testRegionPartition partitions the second of two regions with a relay from the first one, and the
+// hosts of a third region from all relays, for a duration.
+func testRegionPartition(t *testing.T, reset bool, duration time.Duration) {
 	w := configureSettings(t, settingsLayout{relays: 2, hosts: 6, sidecarsPerHost: 1, regions: 3})
 	w.startRelays()
 	w.startAll()
@@ -178,27 +178,27 @@
 	inCutOffRegion := []*host{w.hosts[1], w.hosts[4]}
 	withoutRelay := []*host{w.hosts[2], w.hosts[5]}
 	writer, regionRelay := w.relays[:1], w.relays[1:]
-	before := w.reference(6, "limits/all", 96)[0]
+	before := w.publishLimits(6, "limits/all", 96)[0]
 	for _, h := range inCutOffRegion {
 		eventually(t, h.name+" to poll the relay of its region", func() bool {
 			return w.inspect(h, h.instances[0]).Settings.Relay == regionRelay[0].name
 		})
 	}
 
-	toWriter, toAny := w.between(regionRelay, writer), w.between(withoutRelay, w.relays)
-	across := slices.Concat(w.between(writer, regionRelay), w.between(inCutOffRegion, writer), w.between(inWriterRegion, regionRelay))
-	heal := cutOff(slices.Concat(toWriter, toAny, across), reset)
+	toWriter, toAny := w.linksBetween(regionRelay, writer), w.linksBetween(withoutRelay, w.relays)
+	across := slices.Concat(w.linksBetween(writer, regionRelay), w.linksBetween(inCutOffRegion, writer), w.linksBetween(inWriterRegion, regionRelay))
+	heal := partitionLinks(slices.Concat(toWriter, toAny, across), reset)
 	defer heal()
 	relayBefore, hostsBefore, acrossBefore := connections(toWriter), connections(toAny), connections(across)
 	began := time.Now()
 	change := w.publish("limits/all", memoryLimit(80))
-	w.inForce(change, len(inWriterRegion))
+	w.waitInForce(change, len(inWriterRegion))
 	after := w.bodyLimit(inWriterRegion[0].instances[0])
 	if after == before {
 		t.Fatalf("body limit = %v under both settings, want it to differ", after)
 	}
 	for time.Since(began) < duration {
-		for _, name := range instances(slices.Concat(inCutOffRegion, withoutRelay)...) {
+		for _, name := range instanceNames(slices.Concat(inCutOffRegion, withoutRelay)...) {
 			if limit := w.bodyLimit(name); limit != before {
 				t.Fatalf("body limit of %s during the partition = %v, want %v as before", name, limit, before)
 			}
@@ -216,9 +216,9 @@
 	checkConnections(t, "the agents that can reach the relay of their region", connections(across)-acrossBefore, 0)
 
 	heal()
-	w.inForce(change, 6)
-	w.limits(after, instances(w.hosts...))
-	w.copied(change, w.relays...)
+	w.waitInForce(change, 6)
+	w.waitBodyLimit(after, instanceNames(w.hosts...))
+	w.waitCopied(change, w.relays...)
 }
 
 // checkConnections checks that the number of connections made by agents during a partition is within
--- a/internal/fleet/e2e/settings_tls_test.go
+++ b/internal/fleet/e2e/settings_tls_test.go
@@ -51,8 +51,9 @@
 	return w
 }
 
-// serve runs an agent until the test ends and returns the agent's address. The arguments are parts of
-// its configuration: the [relay] section, "" for a subscriber; the relay's address; and the instances.
+// serve runs an agent until the test ends and returns the agent's address. The arguments are parts
+// of its configuration: the [relay] section, "" for a subscriber; the relay's address; and the
+// instances.
 func (w *tlsWorld) serve(name, relay, address, instance string) string {
 	w.t.Helper()
 	text := fmt.Sprintf(`name = %q
--- a/internal/fleet/e2e/settings_unavailable_test.go
+++ b/internal/fleet/e2e/settings_unavailable_test.go
@@ -8,13 +8,13 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// reference publishes several memory limits in turn, as changes of the resource name to all hosts. It
-// returns the limit on bodies that the sidecars have in force under each, which differ, so that a test
-// can tell later which memory limit is in force.
-func (w *settingsWorld) reference(hosts int, name string, megabytes ...int) (limits []float64) {
+// publishLimits publishes several memory limits in turn, as changes of the resource name to all
+// hosts. It returns the limit on bodies that the sidecars have in force under each, which differ,
+// so that a test can tell later which memory limit is in force.
+func (w *settingsWorld) publishLimits(hosts int, name string, megabytes ...int) (limits []float64) {
 	w.t.Helper()
 	for _, size := range megabytes {
-		w.inForce(w.publish(name, memoryLimit(size)), hosts)
+		w.waitInForce(w.publish(name, memoryLimit(size)), hosts)
 		limits = append(limits, w.bodyLimit(w.hosts[0].instances[0]))
 	}
 	for n := range limits {
@@ -38,18 +38,18 @@
 	for _, h := range w.hosts[:3] {
 		h.start()
 	}
-	w.serving(w.hosts[:3]...)
-	previous := w.reference(3, "limits/all", 112)[0]
+	w.waitServing(w.hosts[:3]...)
+	previous := w.publishLimits(3, "limits/all", 112)[0]
 
 	stopped.signal(syscall.SIGSTOP)
 	killed.kill()
 	w.publish("limits/even", memoryLimit(80), "--scope", "service=even")
 	last := w.publish("limits/all", memoryLimit(96))
-	status := w.inForce(last, 1)
+	status := w.waitInForce(last, 1)
 	if status.Hosts != 3 || status.Behind+status.Unavailable != 2 {
 		t.Errorf("status with two unavailable hosts = %+v, want 3 hosts, of them 2 behind or unavailable", status)
 	}
-	for _, name := range instances(stopped, killed) {
+	for _, name := range instanceNames(stopped, killed) {
 		if limit := w.bodyLimit(name); limit != previous {
 			t.Errorf("body limit of %s while its agent is unavailable = %v, want %v as before", name, limit, previous)
 		}
@@ -58,9 +58,9 @@
 	stopped.signal(syscall.SIGCONT)
 	killed.start()
 	late.start()
-	w.inForce(last, 4)
-	w.limits(w.bodyLimit(available.instances[0]), instances(available, killed))
-	w.limits(w.bodyLimit(stopped.instances[0]), instances(stopped, late))
+	w.waitInForce(last, 4)
+	w.waitBodyLimit(w.bodyLimit(available.instances[0]), instanceNames(available, killed))
+	w.waitBodyLimit(w.bodyLimit(stopped.instances[0]), instanceNames(stopped, late))
 	if even, odd := w.bodyLimit(available.instances[0]), w.bodyLimit(stopped.instances[0]); even == odd || odd == previous {
 		t.Errorf("body limits = %v of service even and %v of service odd, want them to differ, and the latter to differ from the previous %v", even, odd, previous)
 	}
@@ -72,14 +72,14 @@
 	t.Parallel()
 	w := newSettingsWorld(t, 2, 1, 2)
 	h := w.hosts[0]
-	limit96 := w.reference(1, "limits/all", 80, 96)[1]
+	limit96 := w.publishLimits(1, "limits/all", 80, 96)[1]
 	for _, relay := range w.relays {
 		relay.kill()
 	}
 	h.kill()
 	h.start()
 	w.waitReady()
-	w.limits(limit96, h.instances)
+	w.waitBodyLimit(limit96, h.instances)
 	for _, instance := range h.instances {
 		w.killSidecar(h, instance)
 		w.startedWith(instance, limit96)
@@ -101,7 +101,7 @@
 
 	// New changes arrive after the relays' restart.
 	w.startRelays()
-	w.inForce(w.publish("limits/all", memoryLimit(80)), 1)
+	w.waitInForce(w.publish("limits/all", memoryLimit(80)), 1)
 	if limit := w.bodyLimit(h.instances[0]); limit == limit96 {
 		t.Errorf("body limit after a new change = %v, want it to differ from the earlier one", limit)
 	}
@@ -110,7 +110,7 @@
 // startedWith checks that a sidecar has a body limit in force since its start, without a reload.
 func (w *settingsWorld) startedWith(instance string, want float64) {
 	w.t.Helper()
-	w.limits(want, []string{instance})
+	w.waitBodyLimit(want, []string{instance})
 	if applied, ok := w.metric(instance, "edge_balancer_config_applied"); !ok || applied != 0 {
 		w.t.Errorf("%s applied %v configurations since its start (metric found: %v), want 0: it should start with the accepted one", instance, applied, ok)
 	}
@@ -123,9 +123,9 @@
 	w := configureSettings(t, settingsLayout{relays: 2, hosts: 2, sidecarsPerHost: 1, relay: "history = 5\n"})
 	w.startRelays()
 	w.startAll()
-	limit80 := w.reference(2, "limits/all", 96, 80)[1]
+	limit80 := w.publishLimits(2, "limits/all", 96, 80)[1]
 	removed := w.publish("limits/removed", memoryLimit(112))
-	w.inForce(removed, 2)
+	w.waitInForce(removed, 2)
 	limit112 := w.bodyLimit(w.hosts[0].instances[0])
 	if limit112 == limit80 {
 		t.Fatalf("body limit = %v with and without limits/removed, want it to differ", limit80)
@@ -141,16 +141,16 @@
 		// The limit alternates between 96 and 80 MB; the last change sets 80 MB.
 		last = w.publish("limits/all", memoryLimit(80+16*((11-n)%2)))
 	}
-	w.inForce(last, 1)
+	w.waitInForce(last, 1)
 	relay.start()
-	w.copied(last, relay)
+	w.waitCopied(last, relay)
 	// The host can reach only the relay that was down, whose copy came from a snapshot and has to be
 	// complete.
 	w.link(unavailable, w.writer()).Set(faultnet.Fault{Drop: true})
 	unavailable.start()
-	w.inForce(last, 2)
-	w.limits(limit80, instances(w.hosts...))
-	if accepted := w.accepted(unavailable, unavailable.instances[0]); len(accepted) != 1 || accepted["limits/all"] != last {
+	w.waitInForce(last, 2)
+	w.waitBodyLimit(limit80, instanceNames(w.hosts...))
+	if accepted := w.acceptedRevisions(unavailable, unavailable.instances[0]); len(accepted) != 1 || accepted["limits/all"] != last {
 		t.Errorf("accepted resources of the host that missed changes = %v, want only limits/all of revision %v", accepted, last)
 	}
 }
--- a/internal/fleet/e2e/settings_world_test.go
+++ b/internal/fleet/e2e/settings_world_test.go
@@ -87,7 +87,7 @@
 		w.configureDistribution(h, n, "")
 	}
 	w.addRelaysToInventory()
-	w.operator = w.open("operator")
+	w.operator = w.newClient("operator")
 	t.Cleanup(w.operator.Close)
 	w.admin = w.adminAddresses()
 	t.Cleanup(func() {
@@ -107,14 +107,14 @@
 	for _, relay := range w.relays {
 		relay.start()
 	}
-	w.copied(distribution.Revision{}, w.relays...)
+	w.waitCopied(distribution.Revision{}, w.relays...)
 }
 
-// serving waits until the sidecars of the hosts answer with their metrics.
-func (w *settingsWorld) serving(hosts ...*host) {
+// waitServing waits until the sidecars of the hosts answer with their metrics.
+func (w *settingsWorld) waitServing(hosts ...*host) {
 	w.t.Helper()
 	eventually(w.t, "the metrics of all sidecars", func() bool {
-		for _, name := range instances(hosts...) {
+		for _, name := range instanceNames(hosts...) {
 			if w.bodyLimit(name) == 0 {
 				return false
 			}
@@ -243,8 +243,8 @@
 // and bodyLimit then returns another value.
 func memoryLimit(megabytes int) string { return fmt.Sprintf(`{"limits":{"memory_mb":%d}}`, megabytes) }
 
-// instances returns the names of all instances of the hosts.
-func instances(hosts ...*host) (names []string) {
+// instanceNames returns the names of all instances of the hosts.
+func instanceNames(hosts ...*host) (names []string) {
 	for _, h := range hosts {
 		names = append(names, h.instances...)
 	}
--- a/internal/fleet/e2e/settings_writer_killed_test.go
+++ b/internal/fleet/e2e/settings_writer_killed_test.go
@@ -67,13 +67,13 @@
 	unanswered := run.killedBeforeAnswer()
 	w.writer().kill()
 	w.writer().start()
-	w.copied(distribution.Revision{}, w.relays...)
+	w.waitCopied(distribution.Revision{}, w.relays...)
 	run.check()
 	run.checkUnanswered(unanswered)
 	last := w.publish("limits/all", memoryLimit(96))
-	w.copied(last, w.relays...)
+	w.waitCopied(last, w.relays...)
 	w.readRelays(run.seen, w.relays)
-	w.inForce(last, 1)
+	w.waitInForce(last, 1)
 	t.Logf("%d changes were published, %d were acknowledged, %d revisions were seen", run.published, run.acknowledged, len(run.seen.hashes))
 }
 
@@ -192,7 +192,7 @@
 // acknowledged, with the revision and the content from the log.
 func (r *writerRun) checkUnanswered(want distribution.Resource) {
 	r.world.t.Helper()
-	r.world.copied(want.Revision, r.world.relays...)
+	r.world.waitCopied(want.Revision, r.world.relays...)
 	for _, relay := range r.world.relays {
 		var out api.SettingsGetOut
 		if err := r.world.operator.Agent(relay.name).Call(context.Background(), api.SettingsGet, &api.SettingsGetIn{Prefix: want.Name}, &out); err != nil {
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -23,8 +23,8 @@
 	return epoch
 }
 
-// knowsWriter waits until the relays report the given writer and its epoch.
-func (w *settingsWorld) knowsWriter(writer *host, epoch int64, relays ...*host) {
+// waitWriterKnown waits until the relays report the given writer and its epoch.
+func (w *settingsWorld) waitWriterKnown(writer *host, epoch int64, relays ...*host) {
 	w.t.Helper()
 	want := api.SettingsWriter{Writer: writer.name, Epoch: epoch}
 	for _, relay := range relays {
@@ -35,8 +35,8 @@
 	}
 }
 
-// holds reports whether a relay holds a resource whose name begins with the given one.
-func (w *settingsWorld) holds(relay *host, name string) bool {
+// holdsResource reports whether a relay holds a resource whose name begins with the given one.
+func (w *settingsWorld) holdsResource(relay *host, name string) bool {
 	w.t.Helper()
 	var out api.SettingsGetOut
 	if err := w.operator.Agent(relay.name).Call(context.Background(), api.SettingsGet, &api.SettingsGetIn{Prefix: name}, &out); err != nil {
@@ -51,11 +51,11 @@
 func TestOldWriterIsFenced(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 3, 3)
-	w.subscribed()
+	w.waitSubscribed()
 	oldWriter, newWriter := w.relays[0], w.relays[1]
-	w.reference(3, "limits/all", 112)
+	w.publishLimits(3, "limits/all", 112)
 	others := w.relays[1:]
-	w.copied(w.publish("limits/before", memoryLimit(112)), others...)
+	w.waitCopied(w.publish("limits/before", memoryLimit(112)), others...)
 
 	drop := faultnet.Fault{Drop: true}
 	w.setLinks(others, []*host{oldWriter}, drop)
@@ -65,17 +65,17 @@
 	if epoch < 2 {
 		t.Errorf("epoch of the promoted writer = %d, want at least 2", epoch)
 	}
-	w.knowsWriter(newWriter, epoch, others...)
+	w.waitWriterKnown(newWriter, epoch, others...)
 	change := w.publish("limits/all", memoryLimit(96))
 	if change.Epoch != epoch {
 		t.Errorf("new writer acknowledged revision %v, want one of epoch %d", change, epoch)
 	}
-	w.inForceBy(newWriter, change, 3)
+	w.waitInForceBy(newWriter, change, 3)
 	limit := w.bodyLimit(w.hosts[0].instances[0])
-	w.limits(limit, instances(w.hosts...))
+	w.waitBodyLimit(limit, instanceNames(w.hosts...))
 
-	// The old writer acknowledges enough changes that the numbers of its revisions exceed those of the
-	// new writer.
+	// The old writer acknowledges enough changes that the numbers of its revisions exceed those of
+	// the new writer.
 	for n := range 4 {
 		fenced := w.publish("limits/void", memoryLimit(64+16*n), "--relay", oldWriter.name)
 		if fenced.Epoch != 1 {
@@ -89,25 +89,25 @@
 	w.setLinks(others, []*host{oldWriter}, faultnet.Fault{})
 	w.setLinks([]*host{oldWriter}, others, faultnet.Fault{})
 	w.setLinks(w.hosts, []*host{oldWriter}, faultnet.Fault{})
-	w.knowsWriter(newWriter, epoch, oldWriter)
-	w.copied(change, oldWriter)
+	w.waitWriterKnown(newWriter, epoch, oldWriter)
+	w.waitCopied(change, oldWriter)
 	if err := w.putAt(oldWriter, "limits/void"); errorCode(err) != api.NotWriter || !strings.Contains(err.Error(), newWriter.name) {
 		t.Errorf("change sent to the old writer: got error %v, want code %s and the name %s of the new writer", err, api.NotWriter, newWriter.name)
 	}
 	w.checkNoFencedChange(w.relays, limit)
 
 	w.restartAll()
-	w.knowsWriter(newWriter, epoch, w.relays...)
+	w.waitWriterKnown(newWriter, epoch, w.relays...)
 	last := w.publish("limits/all", memoryLimit(80))
 	if last.Epoch != epoch || !last.After(change) {
 		t.Errorf("revision after a restart of all agents = %v, want one of epoch %d after %v", last, epoch, change)
 	}
-	w.inForceBy(newWriter, last, 3)
+	w.waitInForceBy(newWriter, last, 3)
 	w.checkNoFencedChange(w.relays, w.bodyLimit(w.hosts[0].instances[0]))
 }
 
-// reachOnly lets a host reach only the old writer until the host has connected to it and no connection
-// is left, and then the other relays again.
+// reachOnly lets a host reach only the old writer until the host has connected to it and no
+// connection is left, and then the other relays again.
 func (w *settingsWorld) reachOnly(h, oldWriter *host, others []*host) {
 	w.t.Helper()
 	w.setLinks([]*host{h}, others, faultnet.Fault{Drop: true})
@@ -137,9 +137,9 @@
 	return w.operator.Agent(relay.name).Call(context.Background(), api.SettingsPut, put, nil)
 }
 
-// inForceBy waits until the given writer reports a revision in force at exactly the given number of
-// hosts.
-func (w *settingsWorld) inForceBy(writer *host, revision distribution.Revision, hosts int) {
+// waitInForceBy waits until the given writer reports a revision in force at exactly the given
+// number of hosts.
+func (w *settingsWorld) waitInForceBy(writer *host, revision distribution.Revision, hosts int) {
 	w.t.Helper()
 	eventually(w.t, fmt.Sprintf("revision %v to be in force at %d hosts", revision, hosts), func() bool {
 		out, ok := w.status(writer, revision)
@@ -152,16 +152,16 @@
 func (w *settingsWorld) checkNoFencedChange(relays []*host, limit float64) {
 	w.t.Helper()
 	for _, relay := range relays {
-		if w.holds(relay, "limits/void") {
+		if w.holdsResource(relay, "limits/void") {
 			w.t.Errorf("relay %s holds limits/void, a change that only the fenced writer acknowledged", relay.name)
 		}
 	}
 	for _, h := range w.hosts {
-		if revision, found := w.accepted(h, h.instances[0])["limits/void"]; found {
+		if revision, found := w.acceptedRevisions(h, h.instances[0])["limits/void"]; found {
 			w.t.Errorf("%s accepted revision %v of limits/void from the fenced writer", h.name, revision)
 		}
 	}
-	w.limits(limit, instances(w.hosts...))
+	w.waitBodyLimit(limit, instanceNames(w.hosts...))
 }
 
 // Two relays are promoted while they are partitioned from each other. Their epochs differ, and so do
@@ -172,9 +172,9 @@
 	w := configureSettings(t, settingsLayout{relays: 3, hosts: 1, sidecarsPerHost: 1})
 	w.startRelays()
 	w.startAll()
-	w.reference(1, "limits/all", 112)
+	w.publishLimits(1, "limits/all", 112)
 	first, second := w.relays[1], w.relays[2]
-	w.copied(w.publish("limits/before", memoryLimit(112)), w.relays...)
+	w.waitCopied(w.publish("limits/before", memoryLimit(112)), w.relays...)
 	drop := faultnet.Fault{Drop: true}
 	for _, relay := range w.relays {
 		w.setLinks([]*host{relay}, w.relays, drop)
@@ -199,8 +199,8 @@
 	if epochs[1] > epoch {
 		prevailing, epoch = second, epochs[1]
 	}
-	w.knowsWriter(prevailing, epoch, w.relays...)
+	w.waitWriterKnown(prevailing, epoch, w.relays...)
 	last := w.publish("limits/all", memoryLimit(80))
-	w.copied(last, w.relays...)
-	w.inForceBy(prevailing, last, 1)
+	w.waitCopied(last, w.relays...)
+	w.waitInForceBy(prevailing, last, 1)
 }
--- a/internal/fleet/e2e/simulated_test.go
+++ b/internal/fleet/e2e/simulated_test.go
@@ -32,10 +32,10 @@
 	allInstances api.Operation // template of an operation on all instances
 }
 
-// simulate starts agents on loopback, with the same number of simulated sidecars each, and waits until
-// the sidecars are ready. A simulated sidecar becomes ready after the time ready and ends after the
-// time drain; edit may change an agent's configuration.
-func simulate(t testing.TB, hosts, each int, ready, drain time.Duration, edit func(*agent.Config)) *simulatedFleet {
+// simulate starts agents on loopback, with the same number of simulated sidecars each, and waits
+// until the sidecars are ready. A simulated sidecar becomes ready after the time ready and ends
+// after the time drain; edit may change an agent's configuration.
+func simulate(t testing.TB, hosts, perHost int, ready, drain time.Duration, edit func(*agent.Config)) *simulatedFleet {
 	t.Helper()
 	s := &simulatedFleet{}
 	dir := t.TempDir()
@@ -45,14 +45,14 @@
 	}
 	inv := &inventory.Inventory{Timeout: quantity.Duration(10 * time.Second)}
 	for h := range hosts {
-		cfg := simulatedConfig(t, dir, binary, h, each)
+		cfg := simulatedConfig(t, dir, binary, h, perHost)
 		if edit != nil {
 			edit(cfg)
 		}
 		address := s.serve(t, cfg, simhost.New(ready, drain))
 		inv.Hosts = append(inv.Hosts, inventory.Host{Name: cfg.Name, Address: "tcp:" + address})
 	}
-	for i := range each {
+	for i := range perHost {
 		for h := range hosts {
 			s.allInstances.Targets = append(s.allInstances.Targets, api.Target{Host: fmt.Sprintf("sim-%d", h), Instance: fmt.Sprintf("sim-%d-i%d", h, i)})
 		}
@@ -80,14 +80,14 @@
 
 // simulatedConfig writes the configuration of the agent of host h, with simulated sidecars, and loads
 // it.
-func simulatedConfig(t testing.TB, dir, binary string, h, each int) *agent.Config {
+func simulatedConfig(t testing.TB, dir, binary string, h, perHost int) *agent.Config {
 	t.Helper()
 	name := fmt.Sprintf("sim-%d", h)
 	var text strings.Builder
 	fmt.Fprintf(&text, "name = %q\nstate_dir = %q\n[listen]\nplain = \"127.0.0.1:0\"\nplain_role = \"operate\"\n[sidecar]\nbinary = %q\n", name, name, binary)
-	for i := range each {
+	for i := range perHost {
 		path := filepath.Join(dir, fmt.Sprintf("%s-%d.json", name, i))
-		if err := os.WriteFile(path, fmt.Appendf(nil, `{"listen":"127.0.0.1:%d"}`, 1+h*each+i), 0o600); err != nil {
+		if err := os.WriteFile(path, fmt.Appendf(nil, `{"listen":"127.0.0.1:%d"}`, 1+h*perHost+i), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&text, "[[instance]]\nname = \"%s-i%d\"\nconfig = %q\n", name, i, path)
@@ -128,8 +128,8 @@
 	return (<-addr).String()
 }
 
-// op returns an operation on all instances, one at a time.
-func (s *simulatedFleet) op(action string) api.Operation {
+// newOperation returns an operation on all instances, one at a time.
+func (s *simulatedFleet) newOperation(action string) api.Operation {
 	o := s.allInstances
 	o.ID, o.Action, o.Created = fmt.Sprintf("op-%08x", rand.Uint32()), action, time.Now().UTC()
 	return o
--- a/internal/fleet/e2e/staged_faults_test.go
+++ b/internal/fleet/e2e/staged_faults_test.go
@@ -19,9 +19,9 @@
 // count as observed.
 func TestStagedChangeResumesAfterCommandKilled(t *testing.T) {
 	t.Parallel()
-	w := stagedWorld(t, 2, 5)
+	w := newStagedWorld(t, 2, 5)
 	requests := w.startLoad()
-	first := w.change(append([]string{"start", "--stages", "3,7,100%", "--binary", filepath.Join(w.binaries, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
+	first := w.startChange(append([]string{"start", "--stages", "3,7,100%", "--binary", filepath.Join(w.binaries, "sidecar"), "--overlay", w.writeOverlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
 	rep := w.waitForReport("all instances of the first stage to be changed", func(r *client.Report) bool {
 		return r.Stages != nil && r.Stages.State.Stage == 1 && countChanged(r) == 3
 	})
@@ -29,7 +29,7 @@
 	<-first.done
 	noteBefore := rep.Stages.Number
 	w.waitForReport("the lease to expire", func(r *client.Report) bool { return r.LeaseHolder == "" })
-	rep = w.change("resume", rep.Operation.ID, "--lease", "3s").report()
+	rep = w.startChange("resume", rep.Operation.ID, "--lease", "3s").report()
 	requests.stop()
 	if rep.Result != rollout.Succeeded || rep.Stages.Number <= noteBefore || !rep.Stages.State.Done {
 		t.Errorf("resumed change: result %s because %s, stages %+v; want result %s, all stages done and a note number above %d", rep.Result, rep.Why, rep.Stages, rollout.Succeeded, noteBefore)
@@ -62,12 +62,12 @@
 func TestPartitionedCommandPausesChange(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
-	w := stagedWorld(t, 2, 5)
+	w := newStagedWorld(t, 2, 5)
 	network := faultnet.New(1)
 	t.Cleanup(network.Close)
-	links := w.links(network)
+	links := w.addLinks(network)
 	requests := w.startLoad()
-	c := w.change(append([]string{"start", "--stages", "4,100%", "--give-up", "60s", "--binary", filepath.Join(w.binaries, "sidecar"), "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
+	c := w.startChange(append([]string{"start", "--stages", "4,100%", "--give-up", "60s", "--binary", filepath.Join(w.binaries, "sidecar"), "--overlay", w.writeOverlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
 	w.waitForReport("all instances of the first stage to be changed", func(r *client.Report) bool {
 		return r.Stages != nil && r.Stages.State.Stage == 1 && countChanged(r) == 4
 	})
@@ -105,11 +105,11 @@
 // roll back the failing instances and report the cause.
 func TestAgentsRollBackWithoutCommand(t *testing.T) {
 	t.Parallel()
-	w := stagedWorld(t, 2, 4)
-	base := w.running()
+	w := newStagedWorld(t, 2, 4)
+	base := w.runningRelease()
 	crashFile := filepath.Join(w.dir, "crash") // the new release crashes once this file exists
-	crashing := w.script("bad", fmt.Sprintf("#!/bin/sh\ntest -e %[2]q && exit 1\n%[1]q &\npid=$!\ntrap 'kill -TERM $pid; wait $pid; exit 0' TERM\nwhile kill -0 $pid; do test -e %[2]q && kill -KILL $pid && exit 1; sleep 0.1; done\n", filepath.Join(w.binaries, "sidecar"), crashFile))
-	c := w.change(append([]string{"start", "--stages", "3,100%", "--alone", "2s", "--binary", crashing}, quickChange...)...)
+	crashing := w.writeScript("bad", fmt.Sprintf("#!/bin/sh\ntest -e %[2]q && exit 1\n%[1]q &\npid=$!\ntrap 'kill -TERM $pid; wait $pid; exit 0' TERM\nwhile kill -0 $pid; do test -e %[2]q && kill -KILL $pid && exit 1; sleep 0.1; done\n", filepath.Join(w.binaries, "sidecar"), crashFile))
+	c := w.startChange(append([]string{"start", "--stages", "3,100%", "--alone", "2s", "--binary", crashing}, quickChange...)...)
 	w.waitForReport("all instances of the first stage to be changed", func(r *client.Report) bool {
 		n := 0
 		for _, row := range r.Rows {
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -26,7 +26,7 @@
 	wantWhy string                    // part of the reason for the rollback
 }{
 	"fails a third of the requests": {wantWhy: "judged worse: ", overlay: func(t *testing.T) string {
-		return servers(t, func(n int64, w http.ResponseWriter, _ *http.Request) bool {
+		return startServers(t, func(n int64, w http.ResponseWriter, _ *http.Request) bool {
 			if n%3 == 0 {
 				http.Error(w, "no", http.StatusInternalServerError)
 			}
@@ -34,7 +34,7 @@
 		})
 	}},
 	"late for activate requests only": {wantWhy: "judged worse: ", overlay: func(t *testing.T) string {
-		return servers(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
+		return startServers(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
 			if r.Header.Get("Req-Kind") == "activate" && n%2 == 0 {
 				time.Sleep(2600 * time.Millisecond)
 			}
@@ -42,8 +42,9 @@
 		})
 	}},
 	"fails in one zone only": {wantWhy: "judged worse: ", overlay: func(t *testing.T) string {
-		return servers(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
-			// Request ids begin with the instance, such as h0-i3; instances with odd numbers are in zone-1.
+		return startServers(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
+			// Request ids begin with the instance, such as h0-i3; instances with odd numbers are in
+			// zone-1.
 			fails := strings.Contains("13579", r.Header.Get("Req-Id")[4:5]) && n%3 != 0
 			if fails {
 				http.Error(w, "no", http.StatusInternalServerError)
@@ -64,16 +65,16 @@
 				skipShort(t)
 			}
 			t.Parallel()
-			w := stagedWorld(t, 2, 5)
-			base := w.running()
+			w := newStagedWorld(t, 2, 5)
+			base := w.runningRelease()
 			args := append([]string{"start", "--stages", "3,100%"}, quickChange...)
 			if c.overlay != nil {
-				args = append(args, "--overlay", w.overlay(fmt.Sprintf(`{"discovery": %q}`, c.overlay(t))), "--binary", filepath.Join(w.binaries, "sidecar"))
+				args = append(args, "--overlay", w.writeOverlay(fmt.Sprintf(`{"discovery": %q}`, c.overlay(t))), "--binary", filepath.Join(w.binaries, "sidecar"))
 			} else {
-				args = append(args, "--binary", w.script("bad", fmt.Sprintf(c.program, filepath.Join(w.binaries, "sidecar"))))
+				args = append(args, "--binary", w.writeScript("bad", fmt.Sprintf(c.program, filepath.Join(w.binaries, "sidecar"))))
 			}
 			requests := w.startLoad()
-			rep := w.change(args...).report()
+			rep := w.startChange(args...).report()
 			w.checkRelease(base)
 			requests.stop()
 			if rep.Result != rollout.AllRolledBack || !strings.Contains(rep.Why, c.wantWhy) {
@@ -98,7 +99,7 @@
 	skipShort(t)
 	t.Parallel()
 	var serversFail atomic.Bool
-	w := stagedWorld(t, 2, 5, servers(t, func(n int64, w http.ResponseWriter, _ *http.Request) bool {
+	w := newStagedWorld(t, 2, 5, startServers(t, func(n int64, w http.ResponseWriter, _ *http.Request) bool {
 		if serversFail.Load() && n%2 == 0 {
 			http.Error(w, "no", http.StatusInternalServerError)
 			return true
@@ -106,7 +107,7 @@
 		return false
 	}))
 	requests := w.startLoad()
-	c := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
+	c := w.startChange(append([]string{"start", "--stages", "3,100%", "--overlay", w.writeOverlay(`{"limits":{"memory_mb":96}}`)}, quickChange...)...)
 	w.waitForReport("the first stage to begin", func(r *client.Report) bool {
 		return r.Result == api.OpOpened && r.Stages != nil && r.Stages.State.Stage == 1
 	})
@@ -158,10 +159,10 @@
 			return true
 		}
 	}
-	w := stagedWorld(t, 2, 4, servers(t, serve(1)))
+	w := newStagedWorld(t, 2, 4, startServers(t, serve(1)))
 	requests := w.startLoad()
 	defer requests.stop()
-	c := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(fmt.Sprintf(`{"discovery": %q}`, servers(t, serve(20))))}, quickChange...)...)
+	c := w.startChange(append([]string{"start", "--stages", "3,100%", "--overlay", w.writeOverlay(fmt.Sprintf(`{"discovery": %q}`, startServers(t, serve(20))))}, quickChange...)...)
 	rep := w.waitForReport("the change to pause", func(r *client.Report) bool {
 		return r.Stages != nil && strings.Contains(r.Stages.State.PauseReason, "the change's doing or a bad day")
 	})
@@ -185,18 +186,18 @@
 // If a sidecar rejects the settings, the change fails with the sidecar's reason and is rolled back.
 func TestStagedSettingsReload(t *testing.T) {
 	t.Parallel()
-	w := stagedWorld(t, 1, 8)
-	base, pids := w.running(), make(map[string]int)
+	w := newStagedWorld(t, 1, 8)
+	base, pids := w.runningRelease(), make(map[string]int)
 	for _, i := range w.waitReady()[0].Instances {
 		pids[i.Name] = i.PID
 	}
 	requests := w.startLoad()
-	rep := w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(`{"settings":{"classes":"none"}}`)}, quickChange...)...).report()
+	rep := w.startChange(append([]string{"start", "--stages", "3,100%", "--overlay", w.writeOverlay(`{"settings":{"classes":"none"}}`)}, quickChange...)...).report()
 	if rep.Result != rollout.AllRolledBack || !strings.Contains(rep.Why, "it kept its earlier configuration: ") {
 		t.Errorf("change to settings that sidecars reject: result %s because %s, want %s because a sidecar kept its earlier configuration", rep.Result, rep.Why, rollout.AllRolledBack)
 	}
 	w.checkRelease(base)
-	rep = w.change(append([]string{"start", "--stages", "3,100%", "--overlay", w.overlay(`{"settings":{"caps":{"attemptsCap":4}}}`)}, quickChange...)...).report()
+	rep = w.startChange(append([]string{"start", "--stages", "3,100%", "--overlay", w.writeOverlay(`{"settings":{"caps":{"attemptsCap":4}}}`)}, quickChange...)...).report()
 	requests.stop()
 	if rep.Result != rollout.Succeeded {
 		t.Errorf("change of settings: result %s because %s, want %s", rep.Result, rep.Why, rollout.Succeeded)
@@ -215,9 +216,9 @@
 // holder, and changes nothing.
 func TestSecondOperatorIsRejected(t *testing.T) {
 	t.Parallel()
-	w := stagedWorld(t, 1, 4)
-	overlay := w.overlay(`{"limits":{"memory_mb":96}}`)
-	c := w.change(append([]string{"start", "--stages", "1,100%", "--overlay", overlay}, quickChange...)...)
+	w := newStagedWorld(t, 1, 4)
+	overlay := w.writeOverlay(`{"limits":{"memory_mb":96}}`)
+	c := w.startChange(append([]string{"start", "--stages", "1,100%", "--overlay", overlay}, quickChange...)...)
 	w.waitForReport("the first change to begin", func(r *client.Report) bool { return r.Result == api.OpOpened })
 	_, errs, code := w.command(append([]string{"change", "start", "--stages", "1,100%", "--overlay", overlay}, quickChange...)...)
 	if code != 1 || !strings.Contains(errs, "nothing was changed") || !strings.Contains(errs, "is held by") {
@@ -230,14 +231,14 @@
 	}
 }
 
-// A program whose version of the hand-over is incompatible with the running one is rejected before any
-// instance is changed. Another build that is compatible passes all stages.
+// A program whose version of the hand-over is incompatible with the running one is rejected before
+// any instance is changed. Another build that is compatible passes all stages.
 func TestIncompatibleVersionsAreRejected(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
-	w := stagedWorld(t, 1, 8)
-	base := w.running()
-	incompatible := w.script("other", fmt.Sprintf("#!/bin/sh\ntest \"$1\" = versions && echo '{\"program\":\"sidecar\",\"hand_over\":99,\"agent\":1}' && exit\nexec %q \"$@\"\n", filepath.Join(w.binaries, "sidecar")))
+	w := newStagedWorld(t, 1, 8)
+	base := w.runningRelease()
+	incompatible := w.writeScript("other", fmt.Sprintf("#!/bin/sh\ntest \"$1\" = versions && echo '{\"program\":\"sidecar\",\"hand_over\":99,\"agent\":1}' && exit\nexec %q \"$@\"\n", filepath.Join(w.binaries, "sidecar")))
 	requests := w.startLoad()
 	_, errs, code := w.command(append([]string{"change", "start", "--stages", "2,100%", "--binary", incompatible}, quickChange...)...)
 	if code != 1 || !strings.Contains(errs, "nothing was changed") || !strings.Contains(errs, "versions 1 and 99 of the hand-over") {
@@ -253,7 +254,7 @@
 	if b, err := exec.Command("go", "build", "-tags", "record", "-o", compatible, "martendrum/cmd/sidecar").CombinedOutput(); err != nil {
 		t.Fatalf("building the sidecar with the tag record: %v: %s", err, b)
 	}
-	rep := w.change(append([]string{"start", "--stages", "3,100%", "--binary", compatible}, quickChange...)...).report()
+	rep := w.startChange(append([]string{"start", "--stages", "3,100%", "--binary", compatible}, quickChange...)...).report()
 	requests.stop()
 	if rep.Result != rollout.Succeeded {
 		t.Errorf("change to a compatible build: result %s because %s, want %s", rep.Result, rep.Why, rollout.Succeeded)
--- a/internal/fleet/e2e/staged_world_test.go
+++ b/internal/fleet/e2e/staged_world_test.go
@@ -21,7 +21,7 @@
 	"martendrum/internal/standin/shop"
 )
 
-// stagedSlot lets only one world of stagedWorld run at a time. Each has clients, and the load of
+// stagedSlot lets only one world of newStagedWorld run at a time. Each has clients, and the load of
 // several would break the time bounds of other tests.
 var stagedSlot = make(chan struct{}, 1)
 
@@ -33,17 +33,17 @@
 	}
 }
 
-// stagedWorld starts a fleet whose agents collect metrics every half second. With the address of a
+// newStagedWorld starts a fleet whose agents collect metrics every half second. With the address of a
 // discovery service, its sidecars use the servers of that service instead of the world's own.
-func stagedWorld(t testing.TB, hosts, each int, discovery ...string) *world {
+func newStagedWorld(t testing.TB, hosts, perHost int, discovery ...string) *world {
 	t.Helper()
 	stagedSlot <- struct{}{}
 	t.Cleanup(func() { <-stagedSlot })
-	w := newWorldWithStore(t, hosts, each, "[figures]\nslot = \"500ms\"\nkeep = \"5m\"\n")
+	w := newWorldWithStore(t, hosts, perHost, "[figures]\nslot = \"500ms\"\nkeep = \"5m\"\n")
 	for _, d := range discovery {
 		files, err := filepath.Glob(filepath.Join(w.dir, "h*", "h*.json"))
-		if err != nil || len(files) != hosts*each {
-			t.Fatalf("found the sidecars' configurations %v, error %v; want %d files", files, err, hosts*each)
+		if err != nil || len(files) != hosts*perHost {
+			t.Fatalf("found the sidecars' configurations %v, error %v; want %d files", files, err, hosts*perHost)
 		}
 		for _, f := range files {
 			text, err := os.ReadFile(f)
@@ -59,10 +59,10 @@
 	return w
 }
 
-// servers starts additional application servers and returns the address of their discovery service,
-// for a release's overlay or for stagedWorld. serve may answer a request, whose number it gets, and
-// return true; otherwise the server answers it as usual.
-func servers(t testing.TB, serve func(n int64, w http.ResponseWriter, r *http.Request) (done bool)) string {
+// startServers starts additional application servers and returns the address of their discovery
+// service, for a release's overlay or for newStagedWorld. serve may answer a request, whose number it
+// gets, and return true; otherwise the server answers it as usual.
+func startServers(t testing.TB, serve func(n int64, w http.ResponseWriter, r *http.Request) (done bool)) string {
 	t.Helper()
 	var n atomic.Int64
 	s, err := shop.NewWith(4, func(s *shop.Shop, name string, w http.ResponseWriter, r *http.Request) {
@@ -97,8 +97,9 @@
 	"--lease", "3s", "--seed", "1", "--max-shop", "", "--margin", "unserved=0.03:0.3", "--margin", "worth=0.03:0.3", "--margin", "failed=0.03:0.3",
 	"--margin", "slow=0.3:0.9", "--margin", "attempts=0.1:0.6", "--margin", "declined=0.1:0.6", "--margin", "crashes=1:12", "--margin", "memory=off", "--margin", "files=off"})
 
-// change starts martendrum change with the arguments. The command is killed at the end of the test.
-func (w *world) change(args ...string) *change {
+// startChange starts martendrum change with the arguments. The command is killed at the end of the
+// test.
+func (w *world) startChange(args ...string) *change {
 	w.t.Helper()
 	c := &change{world: w, done: make(chan struct{})}
 	c.cmd = exec.Command(filepath.Join(w.binaries, "martendrum"), append([]string{"--fleet", w.inventoryPath, "--json", "change"}, args...)...)
@@ -136,8 +137,8 @@
 	return rep
 }
 
-// waitForReport polls the agents until the report of one of their operations fulfils fits, and returns
-// it. what describes that condition.
+// waitForReport polls the agents until the report of one of their operations fulfils fits, and
+// returns it. what describes that condition.
 func (w *world) waitForReport(what string, fits func(*client.Report) bool) *client.Report {
 	w.t.Helper()
 	var rep *client.Report
@@ -188,22 +189,22 @@
 	}
 }
 
-// running returns the release that the first instance of the fleet runs.
-func (w *world) running() string { return w.waitReady()[0].Instances[0].Running }
+// runningRelease returns the release that the first instance of the fleet runs.
+func (w *world) runningRelease() string { return w.waitReady()[0].Instances[0].Running }
 
-// overlay writes an overlay file and returns its path.
-func (w *world) overlay(text string) string {
+// writeOverlay writes an overlay file and returns its path.
+func (w *world) writeOverlay(text string) string {
 	w.t.Helper()
-	path := filepath.Join(w.dir, fmt.Sprintf("overlay-%d.json", addresses.Add(1)))
+	path := filepath.Join(w.dir, fmt.Sprintf("overlay-%d.json", lastUnique.Add(1)))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
 	return path
 }
 
-// links creates a link to each agent, in the order of the hosts, and an inventory with which later
+// addLinks creates a link to each agent, in the order of the hosts, and an inventory with which later
 // commands reach the agents through these links.
-func (w *world) links(network *faultnet.Net) (links []*faultnet.Link) {
+func (w *world) addLinks(network *faultnet.Net) (links []*faultnet.Link) {
 	w.t.Helper()
 	var inv strings.Builder
 	inv.WriteString("timeout = \"1s\"\n")
--- a/internal/fleet/e2e/store_test.go
+++ b/internal/fleet/e2e/store_test.go
@@ -24,7 +24,7 @@
 func TestFullStoreRejectsChange(t *testing.T) {
 	s := simulate(t, 1, 1, time.Millisecond, time.Millisecond, nil)
 	ctx, a := context.Background(), s.fleet.Agents[0]
-	op := s.op(api.ActRestart)
+	op := s.newOperation(api.ActRestart)
 	var open api.OpenOut
 	if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: "me", TTL: time.Minute}, &open); err != nil {
 		t.Fatalf("opening operation %s: %v", op.ID, err)
@@ -67,7 +67,7 @@
 	t.Parallel()
 	w := newWorld(t, 1, 2)
 	w.startAll()
-	if rep, err := w.fleet.Start(context.Background(), w.op(api.ActRestart, nil), options()); err != nil || !rep.OK() {
+	if rep, err := w.fleet.Start(context.Background(), w.newOperation(api.ActRestart, nil), runOptions()); err != nil || !rep.OK() {
 		t.Fatalf("restart: report %+v, error %v, want success", rep, err)
 	}
 	before := w.waitReady()[0].Instances
--- a/internal/fleet/e2e/traffic_test.go
+++ b/internal/fleet/e2e/traffic_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// killed records that an instance is being killed now.
-func (c *trafficClients) killed(name string) {
+// markKilled records that an instance is being killed now.
+func (c *trafficClients) markKilled(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.kills[name] = append(c.kills[name], time.Now())
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -18,22 +18,22 @@
 )
 
 // Fifty sidecars of ten agents are upgraded under load while a seeded schedule kills sidecars and
-// agents. Each instance is in the report once, the report agrees with the processes, and no request is
-// lost that a sidecar accepted which was not killed.
+// agents. Each instance is in the report once, the report agrees with the processes, and no request
+// that a sidecar accepted is lost unless that sidecar was killed.
 func TestUpgradeUnderKillsLosesNothing(t *testing.T) {
 	w := newWorld(t, 10, 5)
 	w.startAll()
-	hash := w.release(filepath.Join(w.binaries, "sidecar"), `{"limits":{"memory_mb":96}}`)
+	hash := w.uploadRelease(filepath.Join(w.binaries, "sidecar"), `{"limits":{"memory_mb":96}}`)
 	requests := w.startTraffic(300 * time.Millisecond)
 
 	kills := w.startKills(requests)
-	op := w.op(api.ActUpgrade, func(o *api.Operation) {
+	op := w.newOperation(api.ActUpgrade, func(o *api.Operation) {
 		o.Release, o.Soak = hash, 500*time.Millisecond
 		o.Policy = api.Policy{Batch: 8, Canaries: 2, MaxUnavailable: 16, MaxFailures: 50, OnFailure: api.OnFailureStop}
 	})
 	began := time.Now()
 	var events []string
-	opt := options()
+	opt := runOptions()
 	opt.Progress = func(e client.Event) {
 		if e.Kind != "begin" {
 			events = append(events, fmt.Sprint(e.Kind, " ", e.Host, " ", e.Instance, " ", e.Text))
@@ -69,8 +69,8 @@
 	w.checkUpgradeReport(w.rowsByInstance(rep, op), hash)
 }
 
-// randomKills kills sidecars and agents by a seeded schedule until stop, which also has to come before
-// the counts are read.
+// randomKills kills sidecars and agents by a seeded schedule until stop, which also has to come
+// before the counts are read.
 type randomKills struct {
 	sidecars, agents int // numbers of processes killed
 	end              chan struct{}
@@ -99,7 +99,7 @@
 			}
 			name := h.instances[rng.IntN(len(h.instances))]
 			for _, f := range proc.Find(h.name + "/" + name + "/") {
-				requests.killed(name)
+				requests.markKilled(name)
 				syscall.Kill(f.PID, syscall.SIGKILL)
 				kills.sidecars++
 			}
@@ -157,20 +157,20 @@
 		"ends at once":      {"#!/bin/sh\nexit 7\n", "exit status 7"},
 		"works as expected": {"", ""}, // the sidecar itself, with another overlay
 	} {
-		path := w.script("bad"+strings.ReplaceAll(name, " ", "-"), c.script)
+		path := w.writeScript("bad"+strings.ReplaceAll(name, " ", "-"), c.script)
 		overlay := ""
 		if c.script == "" {
 			path, overlay = filepath.Join(w.binaries, "sidecar"), `{"limits":{"memory_mb":80}}`
 		}
-		hash := w.release(path, overlay)
-		op := w.op(api.ActUpgrade, func(o *api.Operation) {
+		hash := w.uploadRelease(path, overlay)
+		op := w.newOperation(api.ActUpgrade, func(o *api.Operation) {
 			o.Release, o.Ready, o.Soak = hash, 1500*time.Millisecond, 2500*time.Millisecond
 			o.Policy = api.Policy{Batch: 2, Canaries: 1, MaxUnavailable: 2, MaxFailures: 1, OnFailure: api.OnFailureRollback}
 		})
 		if c.script == "" {
 			op.Ready = 10 * time.Second
 		}
-		rep, err := w.fleet.Start(context.Background(), op, options())
+		rep, err := w.fleet.Start(context.Background(), op, runOptions())
 		if err != nil {
 			t.Fatalf("release %q: starting the upgrade: %v", name, err)
 		}
@@ -213,8 +213,8 @@
 	requests := w.startTraffic(10 * time.Millisecond)
 	stopHealthCalls := w.hosts[0].callHealth()
 	upgrade := func(binary, overlay string) *client.Report {
-		hash := w.release(binary, overlay)
-		rep, err := w.fleet.Start(context.Background(), w.op(api.ActUpgrade, func(o *api.Operation) { o.Release = hash }), options())
+		hash := w.uploadRelease(binary, overlay)
+		rep, err := w.fleet.Start(context.Background(), w.newOperation(api.ActUpgrade, func(o *api.Operation) { o.Release = hash }), runOptions())
 		if err != nil {
 			t.Fatalf("starting the upgrade: %v", err)
 		}
@@ -232,7 +232,7 @@
 		}
 		w.checkAgainstProcesses(w.waitReady())
 	}
-	if rep := upgrade(w.script("bad", "#!/bin/sh\nexit 7\n"), ""); rep.OK() || !strings.Contains(rep.Why, "serves on: exit status 7") {
+	if rep := upgrade(w.writeScript("bad", "#!/bin/sh\nexit 7\n"), ""); rep.OK() || !strings.Contains(rep.Why, "serves on: exit status 7") {
 		t.Errorf("upgrade to a program that exits: result %s because %s, want a failure because of \"serves on: exit status 7\"", rep.Result, rep.Why)
 	}
 	stopHealthCalls()
@@ -299,11 +299,11 @@
 		{"#!/bin/sh\nsleep 1\nexit 7\n", true},
 	} {
 		old := w.waitReady()[0].Instances[0].PID
-		hash := w.release(w.script(fmt.Sprint("slow", n), c.script), "")
+		hash := w.uploadRelease(w.writeScript(fmt.Sprint("slow", n), c.script), "")
 		done := make(chan *client.Report, 1)
-		op := w.op(api.ActUpgrade, func(o *api.Operation) { o.Release = hash })
+		op := w.newOperation(api.ActUpgrade, func(o *api.Operation) { o.Release = hash })
 		go func() {
-			rep, err := w.fleet.Start(context.Background(), op, options())
+			rep, err := w.fleet.Start(context.Background(), op, runOptions())
 			if err != nil {
 				t.Errorf("case %d: starting the upgrade: %v", n, err)
 			}
--- a/internal/fleet/e2e/verify_test.go
+++ b/internal/fleet/e2e/verify_test.go
@@ -12,9 +12,9 @@
 	"martendrum/internal/fleet/host/proc"
 )
 
-// checkAgainstProcesses compares the agents' reports of each instance with /proc and health calls: an
-// instance that should run has exactly one process, of the reported pid, generation and release, which
-// answers health calls if it is reported ready. Another instance has no process.
+// checkAgainstProcesses compares the agents' reports of each instance with /proc and health calls:
+// an instance that should run has exactly one process, of the reported pid, generation and release,
+// which answers health calls if it is reported ready. Another instance has no process.
 func (w *world) checkAgainstProcesses(states []client.HostState) {
 	w.t.Helper()
 	found := proc.Find(w.prefix)
--- a/internal/fleet/e2e/world_test.go
+++ b/internal/fleet/e2e/world_test.go
@@ -47,26 +47,26 @@
 	end chan struct{} // closed when that process has ended
 }
 
-// addresses counts the numbers given out, each for a loopback address or a file name that no other
-// test of this process uses.
-var addresses atomic.Int64
+// lastUnique is the last number given out for a loopback address or a file name that no other test of
+// this process uses.
+var lastUnique atomic.Int64
 
 // newWorld writes the configurations of hosts, with the same number of sidecars on each host. It
 // starts no agent. At the end of the test all agents and sidecars are killed.
-func newWorld(t testing.TB, hosts, each int) *world {
+func newWorld(t testing.TB, hosts, perHost int) *world {
 	t.Helper()
-	return newWorldWithStore(t, hosts, each, "")
+	return newWorldWithStore(t, hosts, perHost, "")
 }
 
 // newWorldWithStore is newWorld with extra lines for the [sidecar] table of the agents'
-// configurations and for tables after it, such as [record].
-func newWorldWithStore(t testing.TB, hosts, each int, record string) *world {
+// configurations and for tables after it, such as [record]: sections.
+func newWorldWithStore(t testing.TB, hosts, perHost int, sections string) *world {
 	t.Helper()
-	return newWorldWithServers(t, hosts, each, record, func() (*shop.Shop, error) { return shop.New(4, 10*time.Millisecond) })
+	return newWorldWithServers(t, hosts, perHost, sections, func() (*shop.Shop, error) { return shop.New(4, 10*time.Millisecond) })
 }
 
 // newWorldWithServers is newWorldWithStore with application servers that open starts.
-func newWorldWithServers(t testing.TB, hosts, each int, record string, open func() (*shop.Shop, error)) *world {
+func newWorldWithServers(t testing.TB, hosts, perHost int, sections string, open func() (*shop.Shop, error)) *world {
 	t.Helper()
 	w := &world{t: t, dir: t.TempDir(), prefix: fmt.Sprintf("e2e%08x", rand.Uint32()), binaries: programs(t)}
 	var err error
@@ -76,36 +76,36 @@
 	var inv strings.Builder
 	inv.WriteString("timeout = \"2s\"\n")
 	for h := range hosts {
-		x := &host{world: w, name: fmt.Sprintf("%s-h%d", w.prefix, h), listenAddresses: make(map[string]string)}
+		newHost := &host{world: w, name: fmt.Sprintf("%s-h%d", w.prefix, h), listenAddresses: make(map[string]string)}
 		dir := filepath.Join(w.dir, fmt.Sprint("h", h))
 		if err := os.Mkdir(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		var c strings.Builder
-		fmt.Fprintf(&c, "name = %q\nstate_dir = \"s\"\n[listen]\nunix = \"a\"\n[sidecar]\nbinary = %q\n", x.name, filepath.Join(w.binaries, "sidecar"))
-		c.WriteString(record)
-		c.WriteString("[limits]\nhealth_each = \"200ms\"\nbackoff_min = \"200ms\"\nbackoff_max = \"1s\"\ncrash_most = 20\n")
-		for i := range each {
+		var config strings.Builder
+		fmt.Fprintf(&config, "name = %q\nstate_dir = \"s\"\n[listen]\nunix = \"a\"\n[sidecar]\nbinary = %q\n", newHost.name, filepath.Join(w.binaries, "sidecar"))
+		config.WriteString(sections)
+		config.WriteString("[limits]\nhealth_each = \"200ms\"\nbackoff_min = \"200ms\"\nbackoff_max = \"1s\"\ncrash_most = 20\n")
+		for i := range perHost {
 			name := fmt.Sprintf("h%d-i%d", h, i)
-			path, listen, err := w.shop.Config(dir, name, int(addresses.Add(1)))
+			path, listen, err := w.shop.Config(dir, name, int(lastUnique.Add(1)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			x.instances, x.listenAddresses[name] = append(x.instances, name), listen
-			fmt.Fprintf(&c, "[[instance]]\nname = %q\nconfig = %q\nlabels = {half = \"%d\", zone = \"zone-%d\", shop = \"shop-%d\"}\n", name, path, i%2, i%2, i/2)
+			newHost.instances, newHost.listenAddresses[name] = append(newHost.instances, name), listen
+			fmt.Fprintf(&config, "[[instance]]\nname = %q\nconfig = %q\nlabels = {half = \"%d\", zone = \"zone-%d\", shop = \"shop-%d\"}\n", name, path, i%2, i%2, i/2)
 		}
-		x.config = filepath.Join(dir, "agent.toml")
-		if err := os.WriteFile(x.config, []byte(c.String()), 0o600); err != nil {
+		newHost.config = filepath.Join(dir, "agent.toml")
+		if err := os.WriteFile(newHost.config, []byte(config.String()), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&inv, "[[host]]\nname = %q\naddress = \"unix:%s\"\n", x.name, filepath.Join(dir, "a"))
-		w.hosts = append(w.hosts, x)
+		fmt.Fprintf(&inv, "[[host]]\nname = %q\naddress = \"unix:%s\"\n", newHost.name, filepath.Join(dir, "a"))
+		w.hosts = append(w.hosts, newHost)
 	}
 	w.inventoryPath = filepath.Join(w.dir, "fleet.toml")
 	if err := os.WriteFile(w.inventoryPath, []byte(inv.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w.fleet = w.open("tester")
+	w.fleet = w.newClient("tester")
 	t.Cleanup(func() {
 		w.fleet.Close()
 		for _, h := range w.hosts {
@@ -120,13 +120,13 @@
 	return w
 }
 
-// open returns a client of all agents of the inventory for the operator named who.
-func (w *world) open(who string) *client.Fleet {
+// newClient returns a client of all agents of the inventory for an operator.
+func (w *world) newClient(operator string) *client.Fleet {
 	inv, err := inventory.Load(w.inventoryPath)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	f, err := client.New(inv, who)
+	f, err := client.New(inv, operator)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -221,9 +221,9 @@
 	w.waitReady()
 }
 
-// op returns an operation on all instances, one at a time, as changed by edit.
-func (w *world) op(action string, edit func(*api.Operation)) api.Operation {
-	o := api.Operation{
+// newOperation returns an operation on all instances, one at a time, as changed by edit.
+func (w *world) newOperation(action string, edit func(*api.Operation)) api.Operation {
+	operation := api.Operation{
 		ID: fmt.Sprintf("op-%08x", rand.Uint32()), Action: action, Ready: 20 * time.Second, Soak: 300 * time.Millisecond,
 		Policy:   api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop},
 		Operator: "tester", Created: time.Now().UTC(),
@@ -231,37 +231,37 @@
 	for i := range 64 {
 		for _, h := range w.hosts {
 			if i < len(h.instances) {
-				o.Targets = append(o.Targets, api.Target{Host: h.name, Instance: h.instances[i]})
+				operation.Targets = append(operation.Targets, api.Target{Host: h.name, Instance: h.instances[i]})
 			}
 		}
 	}
 	if edit != nil {
-		edit(&o)
+		edit(&operation)
 	}
-	return o
+	return operation
 }
 
-// options returns the options of a command's run, with a lease holder of its own.
-func options() client.Options {
+// runOptions returns the options of a command's run, with a lease holder of its own.
+func runOptions() client.Options {
 	return client.Options{LeaseHolder: fmt.Sprintf("run %08x", rand.Uint32()), TTL: 5 * time.Second, GiveUp: 30 * time.Second}
 }
 
 // command runs martendrum and returns its standard output, its standard error and its exit code.
 func (w *world) command(args ...string) (out, errs string, code int) {
 	cmd := exec.Command(filepath.Join(w.binaries, "martendrum"), append([]string{"--fleet", w.inventoryPath}, args...)...)
-	var o, e strings.Builder
-	cmd.Stdout, cmd.Stderr = &o, &e
+	var stdout, stderr strings.Builder
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	err := cmd.Run()
-	if x, ok := err.(*exec.ExitError); ok {
-		code = x.ExitCode()
+	if exit, ok := err.(*exec.ExitError); ok {
+		code = exit.ExitCode()
 	} else if err != nil {
 		w.t.Fatalf("running martendrum: %v", err)
 	}
-	return o.String(), e.String(), code
+	return stdout.String(), stderr.String(), code
 }
 
-// script writes an executable file into the test's folder and returns its path.
-func (w *world) script(name, text string) (path string) {
+// writeScript writes an executable file into the test's folder and returns its path.
+func (w *world) writeScript(name, text string) (path string) {
 	w.t.Helper()
 	path = filepath.Join(w.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o700); err != nil {
@@ -270,9 +270,9 @@
 	return path
 }
 
-// release uploads a release to all agents and returns its hash. The release consists of a program
-// and, unless overlay is "", an overlay of its configuration.
-func (w *world) release(binary, overlay string) string {
+// uploadRelease uploads a release to all agents and returns its hash. The release consists of a
+// program and, unless overlay is "", an overlay of its configuration.
+func (w *world) uploadRelease(binary, overlay string) string {
 	w.t.Helper()
 	path := ""
 	if overlay != "" {
