--- a/internal/fleet/e2e/agent_capacity_test.go
+++ b/internal/fleet/e2e/agent_capacity_test.go
@@ -65,7 +65,7 @@
 
 // reportMeanUsage reports the mean usage of processes as metrics that begin with name. CPU usage is
 // averaged over the time between the two readings, before and after; the rest is as read after it.
-func reportMeanUsage(b *testing.B, name string, before, after []measure.Usage, over time.Duration) {
+func reportMeanUsage(b *testing.B, name string, before, after []measure.Usage, elapsed time.Duration) {
 	b.Helper()
 	var processor time.Duration
 	var resident, descriptors int64
@@ -75,7 +75,7 @@
 		descriptors += after[i].Descriptors
 	}
 	count := float64(len(after))
-	b.ReportMetric(100*processor.Seconds()/over.Seconds()/count, name+"-%core")
+	b.ReportMetric(100*processor.Seconds()/elapsed.Seconds()/count, name+"-%core")
 	b.ReportMetric(float64(resident)/(1<<20)/count, name+"-MiB")
 	b.ReportMetric(float64(descriptors)/count, name+"-descriptors")
 }
@@ -86,9 +86,9 @@
 	agentBefore, sidecarsBefore := usages(b, p.agent), usages(b, p.sidecars...)
 	began := time.Now()
 	work()
-	over := time.Since(began)
-	reportMeanUsage(b, "agent", agentBefore, usages(b, p.agent), over)
-	reportMeanUsage(b, "sidecar", sidecarsBefore, usages(b, p.sidecars...), over)
+	elapsed := time.Since(began)
+	reportMeanUsage(b, "agent", agentBefore, usages(b, p.agent), elapsed)
+	reportMeanUsage(b, "sidecar", sidecarsBefore, usages(b, p.sidecars...), elapsed)
 }
 
 // BenchmarkAgentCapacity measures an idle agent and its idle sidecars, all real processes, for
--- a/internal/fleet/e2e/agent_failure_test.go
+++ b/internal/fleet/e2e/agent_failure_test.go
@@ -33,7 +33,7 @@
 				t.Cleanup(func() { s.Close() })
 				record = fmt.Sprintf("[record]\nstore = \"postgres\"\nurl = %q\n", s.URL())
 			}
-			w := newWorldWithStore(t, 1, 2, record)
+			w := newWorldWithSections(t, 1, 2, record)
 			died := true
 			for at := 1; died; at++ {
 				if at > 60 {
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -195,8 +195,8 @@
 	}
 }
 
-// tlsAgentFiles writes a CA with certificates of an agent and three operators, a foreign CA with one
-// operator, and the configuration of the agent. It returns the path of that configuration.
+// tlsAgentFiles writes a CA with certificates of an agent and three operators, a foreign CA with
+// one operator, and the configuration of the agent. It returns the path of that configuration.
 func tlsAgentFiles(t *testing.T, dir string, now time.Time) (file string) {
 	t.Helper()
 	for _, err := range []error{
--- a/internal/fleet/e2e/chain_capacity_test.go
+++ b/internal/fleet/e2e/chain_capacity_test.go
@@ -320,8 +320,8 @@
 	}
 }
 
-// connectionServers is the length of the server list of BenchmarkCallRateCapacity.
-const connectionServers = 300
+// callRateServers is the length of the server list of BenchmarkCallRateCapacity.
+const callRateServers = 300
 
 // BenchmarkCallRateCapacity sends calls through one sidecar with a list of 300 servers at different
 // rates per second. It measures the sidecar's connections, CPU time and memory. Run it with
@@ -329,7 +329,7 @@
 func BenchmarkCallRateCapacity(b *testing.B) {
 	for _, rate := range []int{15, 31, 62, 124, 248} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
-			measureChain(b, newChain(b, 1, connectionServers), float64(rate))
+			measureChain(b, newChain(b, 1, callRateServers), float64(rate))
 		})
 	}
 }
--- a/internal/fleet/e2e/lease_test.go
+++ b/internal/fleet/e2e/lease_test.go
@@ -33,10 +33,10 @@
 			})
 		}
 		wg.Wait()
-		won := 0
+		succeeded := 0
 		for n := range ops {
 			if errs[n] == nil {
-				won++
+				succeeded++
 				if !reps[n].OK() {
 					t.Fatalf("round %d: operation of operator-%d ended %s because %s, want success", round, n, reps[n].Result, reps[n].Why)
 				}
@@ -47,7 +47,7 @@
 				t.Fatalf("round %d: operator-%d got error %v, want code %s with the other operation's id and its lease holder", round, n, errs[n], api.LeaseHeld)
 			}
 		}
-		if won == 0 {
+		if succeeded == 0 {
 			t.Fatalf("round %d: neither operator got the leases: %v", round, errs)
 		}
 	}
@@ -76,8 +76,8 @@
 	// operation's end.
 	for stalls := range 4 {
 		op := s.newOperation(api.ActRestart)
-		open := func(o api.Operation, who string, ttl time.Duration) (out api.OpenOut) {
-			if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: o, LeaseHolder: who, TTL: ttl}, &out); err != nil {
+		open := func(o api.Operation, holder string, ttl time.Duration) (out api.OpenOut) {
+			if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: o, LeaseHolder: holder, TTL: ttl}, &out); err != nil {
 				t.Fatalf("opening operation %s: %v", o.ID, err)
 			}
 			return out
--- a/internal/fleet/e2e/main_test.go
+++ b/internal/fleet/e2e/main_test.go
@@ -119,8 +119,8 @@
 	buildDir  string
 )
 
-// programs returns the directory of the programs sidecar and martendrum. It builds them at its first
-// call in a test process.
+// programs returns the directory of the programs sidecar and martendrum. It builds them at its
+// first call in a test process.
 func programs(t testing.TB) string {
 	t.Helper()
 	buildOnce.Do(func() {
--- a/internal/fleet/e2e/powerloss_clients_test.go
+++ b/internal/fleet/e2e/powerloss_clients_test.go
@@ -97,7 +97,7 @@
 		if time.Now().Add(after).After(end) {
 			break
 		}
-		time.Sleep(max(after, 50*time.Millisecond)) // a client that could not connect retries at once
+		time.Sleep(max(after, 50*time.Millisecond)) // without a Retry-After, retry after 50 ms
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -197,9 +197,9 @@
 	}
 }
 
-// waitRecovered waits for the first span of two seconds, tried each half second after from, in which
-// nine tenths of the requests, by weight, are served. It returns how long after from that span
-// begins.
+// waitRecovered waits for the first span of two seconds, tried each half second after from, in
+// which nine tenths of the requests, by weight, are served. It returns how long after from that
+// span begins.
 func (w *recoveryWorld) waitRecovered(clients *retryingClients, from time.Time) time.Duration {
 	w.t.Helper()
 	const span = 2 * time.Second
--- a/internal/fleet/e2e/scale_test.go
+++ b/internal/fleet/e2e/scale_test.go
@@ -117,7 +117,7 @@
 
 // agentAtRest measures an idle agent that collects metrics at the interval slot; "0s" means never.
 func agentAtRest(b *testing.B, slot string) {
-	w := newWorldWithStore(b, 1, 10, fmt.Sprintf("[figures]\nslot = %q\nkeep = \"30m\"\n", slot))
+	w := newWorldWithSections(b, 1, 10, fmt.Sprintf("[figures]\nslot = %q\nkeep = \"30m\"\n", slot))
 	h := w.hosts[0]
 	text, err := os.ReadFile(h.config)
 	if err == nil {
--- a/internal/fleet/e2e/settings_bench_test.go
+++ b/internal/fleet/e2e/settings_bench_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// BenchmarkSettingsInForce publishes changes for eight real sidecars on eight hosts with two relays,
-// which coalesce changes for 0.2 s. It reports the time from the acknowledgement of a change until
-// the metrics of all sidecars show that the new settings are in force.
+// BenchmarkSettingsInForce publishes changes for eight real sidecars on eight hosts with two
+// relays, which coalesce changes for 0.2 s. It reports the time from the acknowledgement of a
+// change until the metrics of all sidecars show that the new settings are in force.
 func BenchmarkSettingsInForce(b *testing.B) {
 	w := newSettingsWorld(b, 2, 8, 1)
 	names := instanceNames(w.hosts...)
--- a/internal/fleet/e2e/settings_observe_test.go
+++ b/internal/fleet/e2e/settings_observe_test.go
@@ -14,8 +14,8 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// metric reads one metric from a sidecar's admin endpoint. It returns false if the endpoint does not
-// answer or has no such metric.
+// metric reads one metric from a sidecar's admin endpoint. It returns false if the endpoint does
+// not answer or has no such metric.
 func (w *settingsWorld) metric(instance, name string) (float64, bool) {
 	client := http.Client{Timeout: 2 * time.Second}
 	answer, err := client.Get("http://" + w.admin[instance] + "/api/telemetry")
@@ -43,8 +43,8 @@
 	return limit
 }
 
-// waitInForce waits until the writer, whose counts include all hosts, reports a revision in force at
-// exactly the given number of hosts. It returns that report.
+// waitInForce waits until the writer, whose counts include all hosts, reports a revision in force
+// at exactly the given number of hosts. It returns that report.
 func (w *settingsWorld) waitInForce(revision distribution.Revision, hosts int) distribution.Status {
 	w.t.Helper()
 	var status distribution.Status
--- a/internal/fleet/e2e/settings_operation_test.go
+++ b/internal/fleet/e2e/settings_operation_test.go
@@ -113,8 +113,8 @@
 	w.drainAndUndrain(held, instance)
 }
 
-// checkHeldBack checks that an instance reports what its new settings wait for, and that its earlier
-// body limit is still in force.
+// checkHeldBack checks that an instance reports what its new settings wait for, and that its
+// earlier body limit is still in force.
 func (w *settingsWorld) checkHeldBack(h *host, instance string, limit float64, why string) {
 	w.t.Helper()
 	settings := w.inspect(h, instance).Settings
--- a/internal/fleet/e2e/settings_relays_test.go
+++ b/internal/fleet/e2e/settings_relays_test.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// When a relay is killed after it has copied a change and before its hosts have received the change,
-// they receive it from other relays. A relay that is killed before it has copied a change copies it
-// after its restart.
+// When a relay is killed after it has copied a change and before its hosts have received the
+// change, they receive it from other relays. A relay that is killed before it has copied a change
+// copies it after its restart.
 func TestRelayKilledMidChange(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 3, 6)
@@ -221,8 +221,8 @@
 	w.waitCopied(change, w.relays...)
 }
 
-// checkConnections checks that the number of connections made by agents during a partition is within
-// a bound.
+// checkConnections checks that the number of connections made by agents during a partition is
+// within a bound.
 func checkConnections(t *testing.T, agents string, made int, limit float64) {
 	t.Helper()
 	t.Logf("%s made %d connections during the partition", agents, made)
--- a/internal/fleet/e2e/settings_tls_test.go
+++ b/internal/fleet/e2e/settings_tls_test.go
@@ -114,8 +114,9 @@
 	return fleet.Agents[0]
 }
 
-// Over mutual TLS a host subscribes to a relay with its agent's certificate. No other certificate may
-// act as that host or as a relay, and a viewer can neither publish a change nor promote a relay.
+// Over mutual TLS a host subscribes to a relay with its agent's certificate. No other certificate
+// may act as that host or as a relay, and a viewer can neither publish a change nor promote a
+// relay.
 func TestSettingsOverTLS(t *testing.T) {
 	w := newTLSWorld(t)
 	ctx := context.Background()
--- a/internal/fleet/e2e/settings_unavailable_test.go
+++ b/internal/fleet/e2e/settings_unavailable_test.go
@@ -28,8 +28,8 @@
 }
 
 // Three hosts miss changes: the agent of one is stopped by SIGSTOP, that of another is killed, and
-// that of the third starts only after the changes. All of them converge to the latest settings. Until
-// then the sidecars of the first two keep their previous settings.
+// that of the third starts only after the changes. All of them converge to the latest settings.
+// Until then the sidecars of the first two keep their previous settings.
 func TestUnavailableHostConverges(t *testing.T) {
 	t.Parallel()
 	w := configureSettings(t, settingsLayout{relays: 2, hosts: 4, sidecarsPerHost: 1})
@@ -144,8 +144,8 @@
 	w.waitInForce(last, 1)
 	relay.start()
 	w.waitCopied(last, relay)
-	// The host can reach only the relay that was down, whose copy came from a snapshot and has to be
-	// complete.
+	// The host can reach only the relay that was down, whose copy came from a snapshot and has to
+	// be complete.
 	w.link(unavailable, w.writer()).Set(faultnet.Fault{Drop: true})
 	unavailable.start()
 	w.waitInForce(last, 2)
--- a/internal/fleet/e2e/settings_world_test.go
+++ b/internal/fleet/e2e/settings_world_test.go
@@ -16,8 +16,8 @@
 )
 
 // settingsWorld is a fleet whose hosts receive distributed settings from relays. Each relay is a
-// separate agent without sidecars. Each agent reaches each relay through a link of its own, on which
-// a test can set faults.
+// separate agent without sidecars. Each agent reaches each relay through a link of its own, on
+// which a test can set faults.
 type settingsWorld struct {
 	*world
 	layout settingsLayout
@@ -25,7 +25,8 @@
 	net    *faultnet.Net
 	links  map[string]*faultnet.Link // by linkName
 	admin  map[string]string         // address of each sidecar's admin endpoint, by instance
-	// operator is a client of all agents with the relays; world.fleet has only those with sidecars.
+	// operator is a client of all agents, including the relays; world.fleet has only the agents
+	// with sidecars.
 	operator *client.Fleet
 }
 
@@ -69,9 +70,9 @@
 	return w
 }
 
-// configureSettings writes the configurations of relays and hosts and starts none of them. Instances
-// have the labels that newWorld gives them, and the label service "even" or "odd" by the number of
-// their host.
+// configureSettings writes the configurations of relays and hosts and starts none of them.
+// Instances have the labels that newWorld gives them, and the label service "even" or "odd" by the
+// number of their host.
 func configureSettings(t testing.TB, layout settingsLayout) *settingsWorld {
 	t.Helper()
 	w := &settingsWorld{world: newWorld(t, layout.hosts, layout.sidecarsPerHost), layout: layout, net: faultnet.New(1), links: make(map[string]*faultnet.Link)}
@@ -152,9 +153,9 @@
 // socket returns the address of the agent's Unix socket.
 func (h *host) socket() string { return "unix:" + filepath.Join(filepath.Dir(h.config), "a") }
 
-// configureDistribution appends the [distribution] section to the configuration of the n-th relay or
-// host, with the address of a new link to each relay. relaySection is the [relay] section, "" for a
-// host, which subscribes.
+// configureDistribution appends the [distribution] section to the configuration of the n-th relay
+// or host, with the address of a new link to each relay. relaySection is the [relay] section, ""
+// for a host, which subscribes.
 func (w *settingsWorld) configureDistribution(h *host, n int, relaySection string) {
 	w.t.Helper()
 	var text strings.Builder
@@ -239,8 +240,8 @@
 	return addresses
 }
 
-// memoryLimit returns an overlay that sets a sidecar's memory limit. A sidecar applies it at SIGHUP,
-// and bodyLimit then returns another value.
+// memoryLimit returns an overlay that sets a sidecar's memory limit. A sidecar applies it at
+// SIGHUP, and bodyLimit then returns another value.
 func memoryLimit(megabytes int) string { return fmt.Sprintf(`{"limits":{"memory_mb":%d}}`, megabytes) }
 
 // instanceNames returns the names of all instances of the hosts.
@@ -251,8 +252,8 @@
 	return names
 }
 
-// publish publishes a change of a resource by martendrum change publish, with additional arguments of
-// the command, and returns its revision.
+// publish publishes a change of a resource by martendrum change publish, with additional arguments
+// of the command, and returns its revision.
 func (w *settingsWorld) publish(name, content string, arguments ...string) distribution.Revision {
 	w.t.Helper()
 	file := filepath.Join(w.t.(interface{ TempDir() string }).TempDir(), "overlay.json")
--- a/internal/fleet/e2e/settings_writer_killed_test.go
+++ b/internal/fleet/e2e/settings_writer_killed_test.go
@@ -61,15 +61,15 @@
 	run := &writerRun{world: w, seen: &contents{t: t, hashes: make(map[distribution.Revision]string)}, latest: make(map[string]distribution.Resource)}
 	for at := 1; at <= maxWrite; at++ {
 		for _, after := range []string{"", "yes"} {
-			run.killedAt(at, after)
+			run.crashAtWrite(at, after)
 		}
 	}
-	unanswered := run.killedBeforeAnswer()
+	unacknowledged := run.crashBeforeAcknowledgement()
 	w.writer().kill()
 	w.writer().start()
 	w.waitCopied(distribution.Revision{}, w.relays...)
-	run.check()
-	run.checkUnanswered(unanswered)
+	run.checkAcknowledged()
+	run.checkUnacknowledged(unacknowledged)
 	last := w.publish("limits/all", memoryLimit(96))
 	w.waitCopied(last, w.relays...)
 	w.readRelays(run.seen, w.relays)
@@ -85,10 +85,11 @@
 	published, acknowledged int                              // numbers of changes
 }
 
-// killedAt restarts the writer so that it crashes before the write with number at or, if after isn't
-// "", after that write. It publishes changes until the writer crashes, and records what all relays
-// and the writer's log hold. For a crash before a write, it also restarts the other relay first.
-func (r *writerRun) killedAt(at int, after string) {
+// crashAtWrite restarts the writer so that it crashes before the write with number at or, if after
+// isn't "", after that write. It publishes changes until the writer crashes, and records what all
+// relays and the writer's log hold. For a crash before a write, it also restarts the other relay
+// first.
+func (r *writerRun) crashAtWrite(at int, after string) {
 	r.world.t.Helper()
 	writer, follower := r.world.writer(), r.world.relays[1]
 	writer.kill()
@@ -99,12 +100,12 @@
 	writer.start("E2E_AGENT="+writer.config, fmt.Sprint("E2E_CRASH_AT=", at), "E2E_CRASH_AFTER="+after)
 	r.publishUntilExit(fmt.Sprintf("crash at write %d", at), func() { r.publish(fmt.Sprint("notes/", (r.published+1)%3)) })
 	r.world.readRelays(r.seen, r.world.relays)
-	r.logged()
+	r.readLog()
 }
 
-// killedBeforeAnswer crashes the writer after it has logged a change and before it acknowledges it.
-// It returns the change from the writer's log.
-func (r *writerRun) killedBeforeAnswer() distribution.Resource {
+// crashBeforeAcknowledgement crashes the writer after it has logged a change and before it
+// acknowledges it. It returns the change from the writer's log.
+func (r *writerRun) crashBeforeAcknowledgement() distribution.Resource {
 	r.world.t.Helper()
 	const name = "notes/unanswered"
 	writer := r.world.writer()
@@ -115,7 +116,7 @@
 	if r.acknowledged != acknowledged {
 		r.world.t.Errorf("change of %s was acknowledged; want the writer to crash between the write and the acknowledgement", name)
 	}
-	for _, resource := range r.logged() {
+	for _, resource := range r.readLog() {
 		if resource.Name == name {
 			return resource
 		}
@@ -124,8 +125,8 @@
 	return distribution.Resource{}
 }
 
-// publishUntilExit calls publish repeatedly until the writer's process has ended. crash describes the
-// crash that ends it.
+// publishUntilExit calls publish repeatedly until the writer's process has ended. crash describes
+// the crash that ends it.
 func (r *writerRun) publishUntilExit(crash string, publish func()) {
 	r.world.t.Helper()
 	writer := r.world.writer()
@@ -143,8 +144,8 @@
 	r.world.t.Fatalf("the writer still runs after %v; want a %s", eventuallyTimeout, crash)
 }
 
-// publish publishes one change of a resource with new content and, if it is acknowledged, records it
-// and what both relays hold.
+// publish publishes one change of a resource with new content and, if it is acknowledged, records
+// it and what both relays hold.
 func (r *writerRun) publish(name string) {
 	r.published++
 	put := &distribution.Put{Name: name, Scope: distribution.Scope{Labels: map[string]string{"service": "none"}},
@@ -161,8 +162,8 @@
 	r.world.readRelays(r.seen, r.world.relays)
 }
 
-// logged returns the resources of the log that the crashed writer left on disk, and records them.
-func (r *writerRun) logged() []distribution.Resource {
+// readLog returns the resources of the log that the crashed writer left on disk, and records them.
+func (r *writerRun) readLog() []distribution.Resource {
 	r.world.t.Helper()
 	config, err := agent.LoadConfig(r.world.writer().config)
 	if err != nil {
@@ -188,9 +189,9 @@
 	return resources
 }
 
-// checkUnanswered checks that the writer and each other relay hold a change that was logged but not
-// acknowledged, with the revision and the content from the log.
-func (r *writerRun) checkUnanswered(want distribution.Resource) {
+// checkUnacknowledged checks that the writer and each other relay hold a change that was logged but
+// not acknowledged, with the revision and the content from the log.
+func (r *writerRun) checkUnacknowledged(want distribution.Resource) {
 	r.world.t.Helper()
 	r.world.waitCopied(want.Revision, r.world.relays...)
 	for _, relay := range r.world.relays {
@@ -204,9 +205,9 @@
 	}
 }
 
-// check checks that the writer holds each acknowledged change or a later one of the same resource,
-// and that at least one change was logged without being acknowledged.
-func (r *writerRun) check() {
+// checkAcknowledged checks that the writer holds each acknowledged change or a later one of the
+// same resource, and that at least one change was logged without being acknowledged.
+func (r *writerRun) checkAcknowledged() {
 	r.world.t.Helper()
 	if r.acknowledged == 0 || r.acknowledged >= len(r.seen.hashes) {
 		r.world.t.Errorf("%d changes were acknowledged and %d revisions were seen; want at least 1 acknowledged and more revisions than that, from a crash between the write and the acknowledgement", r.acknowledged, len(r.seen.hashes))
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -46,8 +46,8 @@
 }
 
 // A writer that only an operator can reach continues to acknowledge changes after another relay was
-// promoted. None of these changes reaches a host or another relay, the old writer steps down once the
-// partition heals, and all agents keep the new epoch across a restart.
+// promoted. None of these changes reaches a host or another relay, the old writer steps down once
+// the partition heals, and all agents keep the new epoch across a restart.
 func TestOldWriterIsFenced(t *testing.T) {
 	t.Parallel()
 	w := newRegionalWorld(t, 3, 3)
@@ -147,8 +147,8 @@
 	})
 }
 
-// checkNoFencedChange checks that no change of the fenced writer, all of limits/void, has reached one
-// of the relays or a host, and waits until all sidecars have the given body limit.
+// checkNoFencedChange checks that no change of the fenced writer, all of limits/void, has reached
+// one of the relays or a host, and waits until all sidecars have the given body limit.
 func (w *settingsWorld) checkNoFencedChange(relays []*host, limit float64) {
 	w.t.Helper()
 	for _, relay := range relays {
@@ -164,9 +164,9 @@
 	w.waitBodyLimit(limit, instanceNames(w.hosts...))
 }
 
-// Two relays are promoted while they are partitioned from each other. Their epochs differ, and so do
-// the revisions that they acknowledge, so no revision has two contents. The writer with the later
-// epoch prevails once the partition heals.
+// Two relays are promoted while they are partitioned from each other. Their epochs differ, and so
+// do the revisions that they acknowledge, so no revision has two contents. The writer with the
+// later epoch prevails once the partition heals.
 func TestTwoRelaysPromotedApart(t *testing.T) {
 	t.Parallel()
 	w := configureSettings(t, settingsLayout{relays: 3, hosts: 1, sidecarsPerHost: 1})
--- a/internal/fleet/e2e/simulated_test.go
+++ b/internal/fleet/e2e/simulated_test.go
@@ -78,8 +78,8 @@
 	return s
 }
 
-// simulatedConfig writes the configuration of the agent of host h, with simulated sidecars, and loads
-// it.
+// simulatedConfig writes the configuration of the agent of host h, with simulated sidecars, and
+// loads it.
 func simulatedConfig(t testing.TB, dir, binary string, h, perHost int) *agent.Config {
 	t.Helper()
 	name := fmt.Sprintf("sim-%d", h)
--- a/internal/fleet/e2e/staged_faults_test.go
+++ b/internal/fleet/e2e/staged_faults_test.go
@@ -15,8 +15,8 @@
 )
 
 // The command of a harmless change is killed during the first stage and another command resumes the
-// change. It passes all stages, no instance is changed twice, and the time without a command does not
-// count as observed.
+// change. It passes all stages, no instance is changed twice, and the time without a command does
+// not count as observed.
 func TestStagedChangeResumesAfterCommandKilled(t *testing.T) {
 	t.Parallel()
 	w := newStagedWorld(t, 2, 5)
@@ -101,8 +101,8 @@
 	}
 }
 
-// The command is killed, and after that the new release begins to crash. Without a command the agents
-// roll back the failing instances and report the cause.
+// The command is killed, and after that the new release begins to crash. Without a command the
+// agents roll back the failing instances and report the cause.
 func TestAgentsRollBackWithoutCommand(t *testing.T) {
 	t.Parallel()
 	w := newStagedWorld(t, 2, 4)
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -126,9 +126,9 @@
 	}
 }
 
-// Changed instances overload the servers that they share with the baseline, the unchanged instances,
-// so both fail alike. That can't be distinguished from an outage, so the change pauses, does not
-// continue, and reports why.
+// Changed instances overload the servers that they share with the baseline, the unchanged
+// instances, so both fail alike. That can't be distinguished from an outage, so the change pauses,
+// does not continue, and reports why.
 func TestHarmToBaselinePausesChange(t *testing.T) {
 	skipShort(t)
 	t.Parallel()
--- a/internal/fleet/e2e/staged_world_test.go
+++ b/internal/fleet/e2e/staged_world_test.go
@@ -33,13 +33,13 @@
 	}
 }
 
-// newStagedWorld starts a fleet whose agents collect metrics every half second. With the address of a
-// discovery service, its sidecars use the servers of that service instead of the world's own.
+// newStagedWorld starts a fleet whose agents collect metrics every half second. With the address of
+// a discovery service, its sidecars use the servers of that service instead of the world's own.
 func newStagedWorld(t testing.TB, hosts, perHost int, discovery ...string) *world {
 	t.Helper()
 	stagedSlot <- struct{}{}
 	t.Cleanup(func() { <-stagedSlot })
-	w := newWorldWithStore(t, hosts, perHost, "[figures]\nslot = \"500ms\"\nkeep = \"5m\"\n")
+	w := newWorldWithSections(t, hosts, perHost, "[figures]\nslot = \"500ms\"\nkeep = \"5m\"\n")
 	for _, d := range discovery {
 		files, err := filepath.Glob(filepath.Join(w.dir, "h*", "h*.json"))
 		if err != nil || len(files) != hosts*perHost {
@@ -60,8 +60,8 @@
 }
 
 // startServers starts additional application servers and returns the address of their discovery
-// service, for a release's overlay or for newStagedWorld. serve may answer a request, whose number it
-// gets, and return true; otherwise the server answers it as usual.
+// service, for a release's overlay or for newStagedWorld. serve may answer a request, whose number
+// it gets, and return true; otherwise the server answers it as usual.
 func startServers(t testing.TB, serve func(n int64, w http.ResponseWriter, r *http.Request) (done bool)) string {
 	t.Helper()
 	var n atomic.Int64
@@ -121,7 +121,8 @@
 	return c
 }
 
-// report waits until the command has ended, for 90 s at most, and parses the report that it printed.
+// report waits until the command has ended, for 90 s at most, and parses the report that it
+// printed.
 func (c *change) report() *client.Report {
 	c.world.t.Helper()
 	select {
@@ -137,8 +138,8 @@
 	return rep
 }
 
-// waitForReport polls the agents until the report of one of their operations fulfils fits, and
-// returns it. what describes that condition.
+// waitForReport polls the agents until fits accepts the report of one of their operations, and
+// returns that report. what describes the condition that fits checks.
 func (w *world) waitForReport(what string, fits func(*client.Report) bool) *client.Report {
 	w.t.Helper()
 	var rep *client.Report
@@ -160,12 +161,12 @@
 	return rep
 }
 
-// startLoad starts clients that send each instance a request about every 40 ms. Every second request
-// is an activate.
+// startLoad starts clients that send each instance a request about every 40 ms. Every second
+// request is an activate.
 func (w *world) startLoad() *trafficClients { return w.startTraffic(40 * time.Millisecond) }
 
-// countChanged returns how many instances the operation has begun to change, whether or not they were
-// rolled back later.
+// countChanged returns how many instances the operation has begun to change, whether or not they
+// were rolled back later.
 func countChanged(rep *client.Report) (n int) {
 	for _, r := range rep.Rows {
 		for _, s := range r.Steps {
@@ -202,8 +203,8 @@
 	return path
 }
 
-// addLinks creates a link to each agent, in the order of the hosts, and an inventory with which later
-// commands reach the agents through these links.
+// addLinks creates a link to each agent, in the order of the hosts, and an inventory with which
+// later commands reach the agents through these links.
 func (w *world) addLinks(network *faultnet.Net) (links []*faultnet.Link) {
 	w.t.Helper()
 	var inv strings.Builder
--- a/internal/fleet/e2e/store_test.go
+++ b/internal/fleet/e2e/store_test.go
@@ -93,8 +93,8 @@
 }
 
 // For an instance with an idempotency store, martendrum inspect shows the state of the store, and
-// martendrum list marks the instance while the store is unavailable. The sidecar starts although its
-// database rejects all connections.
+// martendrum list marks the instance while the store is unavailable. The sidecar starts although
+// its database rejects all connections.
 func TestIdempotencyStoreStateIsShown(t *testing.T) {
 	t.Parallel()
 	pg, err := pgserver.Start(pgserver.Config{})
--- a/internal/fleet/e2e/traffic_test.go
+++ b/internal/fleet/e2e/traffic_test.go
@@ -22,13 +22,13 @@
 	lost   []string // ids and faults of lost requests
 }
 
-// shutdownRace is the age up to which a request without a response does not count as lost. A sidecar
-// closes its listener 700 ms after SIGTERM, and a client that connects at that moment is not served.
-// Requests from before SIGTERM are older than this when their connection ends.
+// shutdownRace is the age up to which a request without a response does not count as lost. A
+// sidecar closes its listener 700 ms after SIGTERM, and a client that connects at that moment is
+// not served. Requests from before SIGTERM are older than this when their connection ends.
 const shutdownRace = 400 * time.Millisecond
 
-// startTraffic starts clients that send requests to each instance, one per interval on average. Every
-// second request is an activate, the others are a status-check.
+// startTraffic starts clients that send requests to each instance, one per interval on average.
+// Every second request is an activate, the others are a status-check.
 func (w *world) startTraffic(interval time.Duration) *trafficClients {
 	c := &trafficClients{end: make(chan struct{}), kills: make(map[string][]time.Time)}
 	n := 0
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -69,16 +69,17 @@
 	w.checkUpgradeReport(w.rowsByInstance(rep, op), hash)
 }
 
-// randomKills kills sidecars and agents by a seeded schedule until stop, which also has to come
-// before the counts are read.
+// randomKills kills sidecars and agents by a seeded schedule until stop. The counts may be read
+// only after that.
 type randomKills struct {
 	sidecars, agents int // numbers of processes killed
 	end              chan struct{}
 	wait             sync.WaitGroup
 }
 
-// startKills begins to kill sidecars and agents at random times. Killed agents are restarted. The
-// clients get to know of each killed sidecar.
+// startKills begins to kill sidecars and agents at random times and restarts the killed agents.
+// Each kill of a sidecar is recorded in requests, so that requests to that sidecar do not count as
+// lost.
 func (w *world) startKills(requests *trafficClients) *randomKills {
 	kills := &randomKills{end: make(chan struct{})}
 	rng := rand.New(rand.NewPCG(5, 1))
@@ -115,8 +116,8 @@
 }
 
 // checkUpgradeReport compares the rows of an upgrade's report with the states that the agents list.
-// Each instance has to be changed exactly once, and its outcome has to agree with the release that it
-// runs.
+// Each instance has to be changed exactly once, and its outcome has to agree with the release that
+// it runs.
 func (w *world) checkUpgradeReport(rows map[string]client.InstanceResult, hash string) {
 	w.t.Helper()
 	t := w.t
@@ -143,8 +144,9 @@
 	}
 }
 
-// A release that does not start, never becomes ready, or ends during its soak time stops the rollout
-// at the maximum number of failures. Changed instances are rolled back and reported as such.
+// A release that does not start, never becomes ready, or ends during its soak time stops the
+// rollout at the maximum number of failures. Changed instances are rolled back and reported as
+// such.
 func TestFailingReleaseIsRolledBack(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 2, 2)
@@ -284,8 +286,8 @@
 	}
 }
 
-// An agent that is killed during a hand-over finds both processes after its restart. It completes the
-// replacement, or keeps the old process if the new one fails.
+// An agent that is killed during a hand-over finds both processes after its restart. It completes
+// the replacement, or keeps the old process if the new one fails.
 func TestAgentKilledDuringHandover(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 1, 1)
@@ -319,11 +321,11 @@
 			t.Fatalf("case %d: the upgrade did not end within %v", n, 2*eventuallyTimeout)
 		}
 		if rep == nil || rep.OK() == c.keepsOld {
-			t.Errorf("case %d: report %+v, want success: %v", n, rep, !c.keepsOld)
+			t.Errorf("case %d: report %+v, want OK() = %v", n, rep, !c.keepsOld)
 		}
 		states := w.waitReady()
 		if i := states[0].Instances[0]; (i.PID == old) != c.keepsOld {
-			t.Errorf("case %d: pid %d after the upgrade, %d before it; want the old process kept: %v", n, i.PID, old, c.keepsOld)
+			t.Errorf("case %d: pid %d after the upgrade, %d before it; want the old process to remain: %v", n, i.PID, old, c.keepsOld)
 		}
 		eventually(t, "only one process of "+name+" to run", func() bool { return len(proc.Find(w.hosts[0].name+"/"+name+"/")) == 1 })
 	}
--- a/internal/fleet/e2e/verify_test.go
+++ b/internal/fleet/e2e/verify_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// rowsByInstance checks that a report contains each target of the operation exactly once, and returns
-// the report's rows by instance.
+// rowsByInstance checks that a report contains each target of the operation exactly once, and
+// returns the report's rows by instance.
 func (w *world) rowsByInstance(rep *client.Report, op api.Operation) map[string]client.InstanceResult {
 	w.t.Helper()
 	rows := make(map[string]client.InstanceResult)
--- a/internal/fleet/e2e/world_test.go
+++ b/internal/fleet/e2e/world_test.go
@@ -47,25 +47,25 @@
 	end chan struct{} // closed when that process has ended
 }
 
-// lastUnique is the last number given out for a loopback address or a file name that no other test of
-// this process uses.
+// lastUnique is the last number given out for a loopback address or a file name that no other test
+// of this process uses.
 var lastUnique atomic.Int64
 
 // newWorld writes the configurations of hosts, with the same number of sidecars on each host. It
 // starts no agent. At the end of the test all agents and sidecars are killed.
 func newWorld(t testing.TB, hosts, perHost int) *world {
 	t.Helper()
-	return newWorldWithStore(t, hosts, perHost, "")
+	return newWorldWithSections(t, hosts, perHost, "")
 }
 
-// newWorldWithStore is newWorld with extra lines for the [sidecar] table of the agents'
-// configurations and for tables after it, such as [record]: sections.
-func newWorldWithStore(t testing.TB, hosts, perHost int, sections string) *world {
+// newWorldWithSections is newWorld with additional lines in the agents' configurations. They follow
+// the [sidecar] table, so they may begin with more keys of that table.
+func newWorldWithSections(t testing.TB, hosts, perHost int, sections string) *world {
 	t.Helper()
 	return newWorldWithServers(t, hosts, perHost, sections, func() (*shop.Shop, error) { return shop.New(4, 10*time.Millisecond) })
 }
 
-// newWorldWithServers is newWorldWithStore with application servers that open starts.
+// newWorldWithServers is newWorldWithSections with application servers that open starts.
 func newWorldWithServers(t testing.TB, hosts, perHost int, sections string, open func() (*shop.Shop, error)) *world {
 	t.Helper()
 	w := &world{t: t, dir: t.TempDir(), prefix: fmt.Sprintf("e2e%08x", rand.Uint32()), binaries: programs(t)}
