--- a/internal/hollow/layout.go
+++ b/internal/hollow/layout.go
@@ -7,16 +7,16 @@
 	"sort"
 )
 
-// The fleet that hosts are laid out as.
+// Numbers of regions, zones and services in the fleet that Layout returns.
 const (
 	Regions        = 9
 	ZonesPerRegion = 3
 	Services       = 790
 )
 
-// serviceSkew is the exponent of the sizes of services: that of rank k is in proportion to
-// k to the power of -serviceSkew. At 21,000 hosts the largest service has about 1,400 of
-// them, the median one 12 and the smallest 7.
+// serviceSkew is the exponent of the distribution of service sizes: the number of hosts of the
+// service of rank k, counted from 1, is proportional to k to the power of -serviceSkew. At 21,000
+// hosts the largest service has about 1,400 of them, the median one 12 and the smallest 7.
 const serviceSkew = 0.8
 
 // Host is a host with one instance.
@@ -27,22 +27,22 @@
 	Service string `json:"service"`
 }
 
-// Labels are those by which a scope names the host's instance.
+// Labels returns the labels by which a distribution.Scope selects the host's instance.
 func (h Host) Labels() map[string]string {
 	return map[string]string{"host": h.Name, "instance": h.Name, "region": h.Region, "zone": h.Zone, "service": h.Service}
 }
 
-// RegionName is the name of a region by its number.
+// RegionName returns the name of a region by its number, from 0.
 func RegionName(region int) string { return fmt.Sprintf("region-%d", region) }
 
-// ZoneName is the name of a zone by its number in the fleet.
+// ZoneName returns the name of a zone by its number among all zones of the fleet, from 0.
 func ZoneName(zone int) string { return fmt.Sprintf("zone-%02d", zone) }
 
-// ServiceName is the name of a service by its rank, 0 for the largest.
+// ServiceName returns the name of a service by its rank, 0 for the largest.
 func ServiceName(rank int) string { return fmt.Sprintf("service-%03d", rank) }
 
-// Layout returns so many hosts. Zones have the same number of hosts, give or take one, and
-// each service is spread over all zones. It is the same at each call.
+// Layout returns count hosts, the same at each call. The sizes of zones differ by at most one
+// host, and the hosts of each service are spread evenly over the zones.
 func Layout(count int) []Host {
 	shares := cumulativeShares()
 	hosts := make([]Host, count)
@@ -55,7 +55,8 @@
 	return hosts
 }
 
-// cumulativeShares is the part of all hosts that the services up to each rank have.
+// cumulativeShares returns for each rank the fraction of all hosts that run the services up to and
+// including this rank.
 func cumulativeShares() []float64 {
 	shares := make([]float64, Services)
 	total := 0.0
@@ -69,7 +70,7 @@
 	return shares
 }
 
-// CountService is how many of the hosts run a service.
+// CountService returns how many of the hosts run a service.
 func CountService(hosts []Host, service string) int {
 	count := 0
 	for _, host := range hosts {
@@ -80,8 +81,9 @@
 	return count
 }
 
-// Divide divides the hosts over processes so that no two regions share one, unless there are
-// fewer processes than regions.
+// Divide splits hosts that Layout returned into parts of at most limit hosts, one for each worker
+// process. All hosts of a part are in the same region, so that a test can cut off a region by
+// stopping its processes.
 func Divide(hosts []Host, limit int) [][]Host {
 	byRegion := make([][]Host, Regions)
 	for n, host := range hosts {
@@ -93,10 +95,11 @@
 		if len(region) == 0 {
 			continue
 		}
-		each := (len(region) + partsOf(len(region), limit) - 1) / partsOf(len(region), limit)
-		parts = slices.AppendSeq(parts, slices.Chunk(region, each))
+		partSize := (len(region) + partCount(len(region), limit) - 1) / partCount(len(region), limit)
+		parts = slices.AppendSeq(parts, slices.Chunk(region, partSize))
 	}
 	return parts
 }
 
-func partsOf(count, limit int) int { return (count + limit - 1) / limit }
+// partCount returns how many parts of at most limit hosts are needed for count hosts.
+func partCount(count, limit int) int { return (count + limit - 1) / limit }
--- a/internal/hollow/main_test.go
+++ b/internal/hollow/main_test.go
@@ -18,25 +18,26 @@
 	"martendrum/internal/fleet/host/agentstore"
 )
 
-// Environment of the processes that a test starts of its own binary.
+// Environment variables for the processes that a test starts from its own binary.
 const (
-	workerVariable  = "HOLLOW_WORKER"  // the file of a WorkerConfig
-	agentVariable   = "HOLLOW_AGENT"   // the file of an agent's configuration, for profiles
-	profileVariable = "HOLLOW_PROFILE" // the folder of profiles; "": none
+	workerVariable  = "HOLLOW_WORKER"  // path of a WorkerConfig file
+	agentVariable   = "HOLLOW_AGENT"   // path of an agent's configuration file; for relays with profiles
+	profileVariable = "HOLLOW_PROFILE" // folder for profiles; "": no profiles
 )
 
-// TestMain also runs as a worker's process and, with profiles, as a relay's.
+// TestMain runs the tests or, if the environment says so, the process of a worker or of a relay
+// with profiles.
 func TestMain(m *testing.M) {
-	role := ""
+	path := ""
 	var run func(path string) error
 	switch {
 	case os.Getenv(workerVariable) != "":
-		role, run = os.Getenv(workerVariable), workerProcess
+		path, run = os.Getenv(workerVariable), workerProcess
 	case os.Getenv(agentVariable) != "":
-		role, run = os.Getenv(agentVariable), agentProcess
+		path, run = os.Getenv(agentVariable), agentProcess
 	}
 	if run != nil {
-		if err := profiled(role, run); err != nil {
+		if err := profiled(path, run); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -49,7 +50,8 @@
 	os.Exit(code)
 }
 
-// profiled runs a role, with CPU and heap profiles if profileVariable is set.
+// profiled runs the process of the configuration file at path. If profileVariable is set, it
+// writes a CPU profile of the run, and a heap profile at each SIGUSR1.
 func profiled(path string, run func(path string) error) error {
 	folder := os.Getenv(profileVariable)
 	if folder == "" {
@@ -65,21 +67,22 @@
 		return err
 	}
 	defer pprof.StopCPUProfile()
-	atSignal(syscall.SIGUSR1, func() { writeHeap(name + ".heap") })
+	onSignal(syscall.SIGUSR1, func() { writeHeap(name + ".heap") })
 	return run(path)
 }
 
-// atSignal calls a function at each such signal until the process ends.
-func atSignal(signalled os.Signal, act func()) {
+// onSignal calls a function at each occurrence of a signal until the process ends.
+func onSignal(awaited os.Signal, handler func()) {
 	signals := make(chan os.Signal, 1)
-	signal.Notify(signals, signalled)
+	signal.Notify(signals, awaited)
 	go func() {
 		for range signals {
-			act()
+			handler()
 		}
 	}()
 }
 
+// writeHeap writes a heap profile. It ignores errors: the measurement continues without the profile.
 func writeHeap(path string) {
 	file, err := os.Create(path)
 	if err != nil {
@@ -90,6 +93,7 @@
 	pprof.WriteHeapProfile(file)
 }
 
+// workerProcess runs a worker that reads requests from standard input.
 func workerProcess(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -102,19 +106,20 @@
 	return RunWorker(cfg, os.Stdin, os.Stdout)
 }
 
+// agentProcess runs an agent, as a relay, until SIGTERM.
 func agentProcess(path string) error {
 	cfg, err := agent.LoadConfig(path)
 	if err != nil {
 		return err
 	}
-	served, err := agent.New(cfg, agent.Processes{}, agentstore.Record(cfg))
+	host, err := agent.New(cfg, agent.Processes{}, agentstore.Record(cfg))
 	if err != nil {
 		return err
 	}
-	defer served.Close()
+	defer host.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	return served.Serve(ctx, nil)
+	return host.Serve(ctx, nil)
 }
 
 var (
@@ -123,7 +128,7 @@
 	programsError  error
 )
 
-// program builds martendrum, once, and returns its path.
+// program builds martendrum at the first call, and returns the path of the binary.
 func program(t testing.TB) string {
 	t.Helper()
 	programsOnce.Do(func() {
@@ -136,7 +141,7 @@
 		}
 	})
 	if programsError != nil {
-		t.Fatal(programsError)
+		t.Fatalf("build martendrum: %v", programsError)
 	}
 	return filepath.Join(programsFolder, "martendrum")
 }
--- a/internal/hollow/results_test.go
+++ b/internal/hollow/results_test.go
@@ -13,27 +13,27 @@
 	"time"
 )
 
-// results are lines in the format of Go's benchmarks.
+// results writes result lines in the format of Go's benchmarks.
 type results struct {
 	out         io.Writer
-	subscribers int
+	subscribers int // size of the measured fleet
 }
 
-// value is a measured quantity. A unit has no space.
-type value struct {
+// metric is a measured quantity. Its unit contains no space.
+type metric struct {
 	number float64
 	unit   string
 }
 
-// newResults writes the lines that describe the machine and the time, to the flag's file if it is
-// set.
+// newResults writes the lines that describe the machine, the commit and the date. Results go to
+// standard output and, unless path is empty, are appended to the file at path.
 func newResults(t testing.TB, path string) *results {
 	t.Helper()
 	var out io.Writer = os.Stdout
 	if path != "" {
 		file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("open the results file: %v", err)
 		}
 		t.Cleanup(func() { file.Close() })
 		out = io.MultiWriter(file, os.Stdout)
@@ -44,7 +44,7 @@
 	return &results{out: out}
 }
 
-// load notes the machine's load average.
+// load writes the machine's load average.
 func (r *results) load() {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err == nil {
@@ -52,30 +52,32 @@
 	}
 }
 
-// note writes a configuration line of words.
-func (r *results) note(key, words string) { fmt.Fprintf(r.out, "%s: %s\n", key, words) }
+// note writes a configuration line: a key and a text.
+func (r *results) note(key, text string) { fmt.Fprintf(r.out, "%s: %s\n", key, text) }
 
-// add writes one result line of a case.
-func (r *results) add(name string, values ...value) {
+// add writes the result line of a case.
+func (r *results) add(name string, metrics ...metric) {
 	var line strings.Builder
 	fmt.Fprintf(&line, "BenchmarkDistribution/case=%s/subscribers=%d 1", name, r.subscribers)
-	for _, value := range values {
-		fmt.Fprintf(&line, " %.6g %s", value.number, value.unit)
+	for _, metric := range metrics {
+		fmt.Fprintf(&line, " %.6g %s", metric.number, metric.unit)
 	}
 	fmt.Fprintln(r.out, line.String())
 }
 
-// Part of all subscribers for which the objective is stated, in thousandths.
-const maxOfThousand = 999
+// objectivePerMille is the fraction of all subscribers for which the objective is stated, in
+// thousandths.
+const objectivePerMille = 999
 
-// delays is how long after an event 999 in 1,000 of count and all of them had something in
-// force; times are in order.
-func delays(after time.Time, times []time.Time) (limit, all time.Duration) {
-	index := (len(times)*maxOfThousand + 999) / 1000
-	return times[index-1].Sub(after), times[len(times)-1].Sub(after)
+// delays returns how long after an event 999 in 1,000 subscribers had a change in force, and how
+// long after it all of them had. times, of which there is at least one, are sorted.
+func delays(event time.Time, times []time.Time) (delay999, delayAll time.Duration) {
+	index := (len(times)*objectivePerMille + 999) / 1000
+	return times[index-1].Sub(event), times[len(times)-1].Sub(event)
 }
 
-func middle(durations []time.Duration) time.Duration {
+// median returns the median of at least one duration, the upper one of two.
+func median(durations []time.Duration) time.Duration {
 	sorted := slices.Sorted(slices.Values(durations))
 	return sorted[len(sorted)/2]
 }
--- a/internal/hollow/scale_faults_test.go
+++ b/internal/hollow/scale_faults_test.go
@@ -8,88 +8,91 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// relaysKilled kills two relays, not the writer, while changes are published at ten times the
-// rate.
-func (s *scale) relaysKilled() {
+// relaysKilled kills two relays, neither of them the writer, while changes are published at ten
+// times the ordinary rate or more. It measures how long after the kill the writer counts the last
+// change as in force at all subscribers, and starts the relays again.
+func (s *scaleRun) relaysKilled() {
 	s.t.Helper()
 	lost := s.cluster.relays[1:3]
-	each := min(tenfoldInterval, s.span/10)
-	made := s.changes(each, s.span/6)
+	interval := min(tenfoldInterval, s.span/10)
+	published := s.publishAtRate(interval, s.span/6)
 	s.cluster.stop(syscall.SIGKILL, lost...)
 	killed := time.Now()
-	made = append(made, s.later(each, s.span/3)...)
-	s.addChanges("relays-killed", made)
-	known := s.known(made[len(made)-1].Revision)
-	s.results.add("relays-killed-known", value{seconds(known.Sub(killed)), "s-after-kill"})
+	published = append(published, s.publishAfterKill(interval, s.span/3)...)
+	s.addChanges("relays-killed", published)
+	known := s.awaitKnown(published[len(published)-1].Revision)
+	s.results.add("relays-killed-known", metric{seconds(known.Sub(killed)), "s-after-kill"})
 	s.cluster.startAll()
 }
 
-// relaysSilent stops two relays, not the writer, and publishes a change: their connections stay
-// open and silent, like those of a failed machine.
-func (s *scale) relaysSilent() {
+// relaysSilent stops two relays by SIGSTOP, neither of them the writer, and publishes a change.
+// The connections of the stopped relays stay open without traffic, like those of a failed machine.
+func (s *scaleRun) relaysSilent() {
 	s.t.Helper()
-	silent := s.cluster.relays[3:5] // not those of relaysKilled, whose subscribers are elsewhere yet
+	silent := s.cluster.relays[3:5] // not those of relaysKilled, whose subscribers are still connected to other relays
 	for _, relay := range silent {
 		relay.process.command.Process.Signal(syscall.SIGSTOP)
 	}
 	stopped := time.Now()
-	made := []change{s.publish("silent/all", distribution.Scope{})}
-	times := s.inForce(made)
-	limit, all := delays(made[0].acknowledged, times[0])
-	known := s.known(made[0].Revision)
-	s.results.add("relays-silent", value{seconds(limit), "s-999"}, value{seconds(all), "s-all"}, value{seconds(known.Sub(stopped)), "s-known"})
+	published := []change{s.publish("silent/all", distribution.Scope{})}
+	times := s.awaitAccepted(published)
+	delay999, delayAll := delays(published[0].acknowledged, times[0])
+	known := s.awaitKnown(published[0].Revision)
+	s.results.add("relays-silent", metric{seconds(delay999), "s-999"}, metric{seconds(delayAll), "s-all"}, metric{seconds(known.Sub(stopped)), "s-known"})
 	for _, relay := range silent {
 		relay.process.command.Process.Signal(syscall.SIGCONT)
 	}
 }
 
-// later publishes changes of other names than changes does.
-func (s *scale) later(each, span time.Duration) []change {
+// publishAfterKill publishes changes at an interval for a time span, with names other than those of
+// publishAtRate.
+func (s *scaleRun) publishAfterKill(interval, span time.Duration) []change {
 	s.t.Helper()
-	var made []change
-	for until := time.Now().Add(span); time.Now().Before(until); time.Sleep(each) {
-		made = append(made, s.publish(fmt.Sprintf("later/all-%d", len(made)), distribution.Scope{}))
+	var published []change
+	for until := time.Now().Add(span); time.Now().Before(until); time.Sleep(interval) {
+		published = append(published, s.publish(fmt.Sprintf("later/all-%d", len(published)), distribution.Scope{}))
 	}
-	return made
+	return published
 }
 
-// regionCut stops the processes of one region while a change is published, and measures how long
-// after they continue they have it.
-func (s *scale) regionCut() {
+// regionCut stops the worker processes of one region by SIGSTOP, publishes a change, and measures
+// how long after they continue all subscribers have the change.
+func (s *scaleRun) regionCut() {
 	s.t.Helper()
-	var stopped []*workerHandle
+	var cutOff []*workerHandle
 	for _, handle := range s.workers.handles {
 		if handle.hosts[0].Region == RegionName(0) {
-			stopped = append(stopped, handle)
+			cutOff = append(cutOff, handle)
 			handle.process.command.Process.Signal(syscall.SIGSTOP)
 		}
 	}
 	time.Sleep(s.cut / 2)
-	made := s.publish("cut/all", distribution.Scope{})
+	published := s.publish("cut/all", distribution.Scope{})
 	time.Sleep(s.cut / 2)
 	peak := s.watchDescriptors()
-	for _, handle := range stopped {
+	for _, handle := range cutOff {
 		handle.process.command.Process.Signal(syscall.SIGCONT)
 	}
-	back := time.Now()
-	times := s.inForce([]change{made})[0]
-	_, all := delays(back, times)
-	known := s.known(made.Revision)
-	s.results.add("region-cut", value{seconds(all), "s-all-after-return"}, value{seconds(known.Sub(back)), "s-known-after-return"},
-		value{float64(peak.stop()), "peak-descriptors/relay"})
+	continued := time.Now()
+	times := s.awaitAccepted([]change{published})[0]
+	_, delayAll := delays(continued, times)
+	known := s.awaitKnown(published.Revision)
+	s.results.add("region-cut", metric{seconds(delayAll), "s-all-after-return"}, metric{seconds(known.Sub(continued)), "s-known-after-return"},
+		metric{float64(peak.stop()), "peak-descriptors/relay"})
 }
 
-// powerLoss kills all processes, and starts relays and subscribers at once. The relays have their
-// logs; the subscribers, with copies in memory, have nothing.
-func (s *scale) powerLoss() {
+// powerLoss kills all processes, and starts the relays and subscribers at the same time. The relays
+// read the settings from their logs; the subscribers, whose copies were in memory, start without
+// any settings.
+func (s *scaleRun) powerLoss() {
 	s.t.Helper()
 	s.cluster.disconnect()
 	s.workers.stop(syscall.SIGKILL)
 	s.cluster.stop(syscall.SIGKILL, s.cluster.relays...)
-	s.workers.launch() // certificates are made before the start counts
+	s.workers.startProcesses() // the time to make certificates is not measured
 	s.cluster.startAll()
 	peak := s.watchDescriptors()
-	began := s.workers.begin()
+	began := s.workers.startSubscribers()
 	s.cluster.connect()
-	s.awaitState("power-loss", began, peak)
+	s.awaitInitialSettings("power-loss", began, peak)
 }
--- a/internal/hollow/subscriber.go
+++ b/internal/hollow/subscriber.go
@@ -12,7 +12,7 @@
 	"martendrum/internal/msgpackrpc"
 )
 
-// maxMessage bounds a message of a connection to a relay, as agents bound it.
+// maxMessage bounds the bytes of a message on a connection to a relay, as in an agent.
 const maxMessage = 2 << 20
 
 // SubscriberConfig is the configuration of a Subscriber.
@@ -20,33 +20,34 @@
 	Host     Host
 	Relays   []distribution.Relay
 	TLS      *tls.Config
-	Coalesce time.Duration // how long a change waits for others
-	Accept   time.Duration // that the instance takes to accept settings
-	// Accepted is called for each resource that the instance accepted. It must not call back.
+	Coalesce time.Duration // how long a change waits for further changes, to apply them together
+	Accept   time.Duration // how long the instance takes to accept settings; 0: it accepts at once
+	// Accepted is called for each resource that the instance accepted. The Subscriber's lock is
+	// held: Accepted must not call its methods.
 	Accepted func(resource distribution.Resource, at time.Time)
-	// Settled is called once the copy holds the fleet's state and the instance has accepted it,
-	// the first time only. It must not call back.
+	// Settled is called once, when the copy holds all settings of the fleet for this host and the
+	// instance has accepted them for the first time. It must not call the Subscriber's methods.
 	Settled func(at time.Time)
 }
 
-// Subscriber is one hollow host with one instance. Run is its loop.
+// Subscriber is a hollow host with one instance. It does nothing before Run is called.
 type Subscriber struct {
 	cfg    SubscriberConfig
 	labels map[string]string
 	loop   *node.Subscriber
 
-	mu       sync.Mutex
-	replica  *distribution.Replica
-	applier  *distribution.Applier
-	accepted map[string]distribution.Revision // for which Accepted was called
-	applied  distribution.Revision            // the last at which the instance was settled
-	settled  bool                             // Settled was called
-	trying   bool                             // the instance has settings that it did not accept yet
-	timer    *time.Timer                      // of the next step; nil: none
-	closed   bool
+	mu        sync.Mutex
+	replica   *distribution.Replica
+	applier   *distribution.Applier
+	accepted  map[string]distribution.Revision // revisions for which Accepted was called, by resource
+	applied   distribution.Revision            // the latest revision at which the instance was settled
+	settled   bool                             // cfg.Settled was called
+	accepting bool                             // the instance has got settings that it has not accepted yet
+	timer     *time.Timer                      // for the next call of begin or accept; nil: none is due
+	closed    bool
 }
 
-// NewSubscriber returns a Subscriber that does not run yet.
+// NewSubscriber returns a Subscriber; Run starts it.
 func NewSubscriber(cfg SubscriberConfig) *Subscriber {
 	labels := cfg.Host.Labels()
 	interest := distribution.Interest{Host: cfg.Host.Name, Instances: []map[string]string{labels}}
@@ -60,7 +61,8 @@
 	return s
 }
 
-// Run follows relays until ctx ends. Nothing of the subscriber runs when it returns.
+// Run follows relays until ctx ends. When it returns, all goroutines and timers of the Subscriber
+// have been stopped. It must be called only once.
 func (s *Subscriber) Run(ctx context.Context) {
 	s.loop.Run(ctx)
 	s.mu.Lock()
@@ -71,9 +73,10 @@
 	}
 }
 
-// Connected says whether a relay answers.
+// Connected reports whether the subscriber is connected to a relay.
 func (s *Subscriber) Connected() bool { return s.loop.Relay() != "" }
 
+// dial connects to a relay with mutual TLS.
 func (s *Subscriber) dial(ctx context.Context, relay distribution.Relay) (node.Conn, error) {
 	target := connect.Target{Agent: relay.Name, Address: relay.Address, TLS: s.cfg.TLS}
 	client, err := connect.Dial(ctx, target, "hollow "+s.cfg.Host.Name, msgpackrpc.Limits{Message: maxMessage})
@@ -96,7 +99,7 @@
 		s.applier.Want(now, s.replica.For(s.cfg.Host.Name, s.labels))
 	}
 	s.schedule(now)
-	s.noteSettled(now)
+	s.reportSettled(now)
 	return nil
 }
 
@@ -112,9 +115,10 @@
 	return state
 }
 
-// schedule sets the timer of the next step, if there is one to make; the lock is held.
+// schedule sets the timer for begin if there are settings to apply and no attempt is in progress.
+// The caller holds s.mu.
 func (s *Subscriber) schedule(now time.Time) {
-	if s.closed || s.timer != nil || s.trying {
+	if s.closed || s.timer != nil || s.accepting {
 		return
 	}
 	due, pending := s.applier.Due()
@@ -123,7 +127,7 @@
 	}
 }
 
-// begin gives the instance what is wanted.
+// begin hands the wanted settings to the instance, which accepts them after cfg.Accept.
 func (s *Subscriber) begin() {
 	s.mu.Lock()
 	s.timer = nil
@@ -135,7 +139,7 @@
 		return
 	}
 	s.applier.Begin()
-	s.trying = true
+	s.accepting = true
 	if s.cfg.Accept > 0 {
 		s.timer = time.AfterFunc(s.cfg.Accept, s.accept)
 		s.mu.Unlock()
@@ -145,14 +149,17 @@
 	s.accept()
 }
 
-// accept is the instance's answer.
+// accept carries out the instance's acceptance of the settings that it was given, and has the
+// relay informed of it.
 func (s *Subscriber) accept() {
-	if s.acceptLocked() {
+	if s.finishAccept() {
 		s.loop.Changed()
 	}
 }
 
-func (s *Subscriber) acceptLocked() bool {
+// finishAccept does the part of accept that needs s.mu, which it locks. It returns false if the
+// subscriber was closed.
+func (s *Subscriber) finishAccept() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.timer = nil
@@ -160,7 +167,7 @@
 		return false
 	}
 	now := time.Now()
-	s.trying = false
+	s.accepting = false
 	s.applier.Done(true, "")
 	for _, resource := range s.applier.Accepted() {
 		if s.accepted[resource.Name] != resource.Revision {
@@ -169,13 +176,13 @@
 		}
 	}
 	s.schedule(now)
-	s.noteSettled(now)
+	s.reportSettled(now)
 	return true
 }
 
-// noteSettled calls Settled when the complete state is in force for the first time. The lock
-// is held.
-func (s *Subscriber) noteSettled(now time.Time) {
+// reportSettled calls cfg.Settled when all settings are in force for the first time. The caller
+// holds s.mu.
+func (s *Subscriber) reportSettled(now time.Time) {
 	if s.settled || s.replica.Revision().IsZero() || s.applier.Pending() {
 		return
 	}
--- a/internal/hollow/usage.go
+++ b/internal/hollow/usage.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// Usage is what a process has used, by the kernel's count.
+// Usage is the resources that a process uses, as counted by the kernel.
 type Usage struct {
-	Processor    time.Duration `json:"processor"`
-	Read         int64         `json:"read"`    // bytes by system calls, those of sockets among them
-	Written      int64         `json:"written"` // likewise
-	Resident     int64         `json:"resident"`
-	ResidentPeak int64         `json:"resident_peak"`
-	Descriptors  int           `json:"descriptors"`
+	Processor    time.Duration `json:"processor"`     // user and system time since the start
+	Read         int64         `json:"read"`          // bytes read by system calls since the start, also from sockets
+	Written      int64         `json:"written"`       // bytes written by system calls since the start, also to sockets
+	Resident     int64         `json:"resident"`      // bytes of memory
+	ResidentPeak int64         `json:"resident_peak"` // bytes of memory
+	Descriptors  int           `json:"descriptors"`   // open file descriptors
 }
 
 // clockTick is the unit of processor times in /proc on Linux.
 const clockTick = 10 * time.Millisecond
 
-// ReadUsage reads a process's usage from the kernel.
+// ReadUsage reads the usage of a process from /proc. It returns an error if the process has ended
+// or belongs to another user.
 func ReadUsage(pid int) (Usage, error) {
 	var usage Usage
 	folder := fmt.Sprintf("/proc/%d", pid)
@@ -29,7 +30,7 @@
 	if err != nil {
 		return usage, fmt.Errorf("hollow: usage: %w", err)
 	}
-	// The fields begin behind the name, which may hold anything but ends with the last ")".
+	// The fields follow the program's name, which may contain any character and ends at the last ")".
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
@@ -38,19 +39,19 @@
 	if err != nil {
 		return usage, fmt.Errorf("hollow: usage: %w", err)
 	}
-	usage.Resident = 1024 * number(string(status), "VmRSS:")
-	usage.ResidentPeak = 1024 * number(string(status), "VmHWM:")
+	usage.Resident = 1024 * procNumber(string(status), "VmRSS:")
+	usage.ResidentPeak = 1024 * procNumber(string(status), "VmHWM:")
 	transferred, err := os.ReadFile(folder + "/io")
 	if err != nil {
 		return usage, fmt.Errorf("hollow: usage: %w", err)
 	}
-	usage.Read = number(string(transferred), "rchar:")
-	usage.Written = number(string(transferred), "wchar:")
+	usage.Read = procNumber(string(transferred), "rchar:")
+	usage.Written = procNumber(string(transferred), "wchar:")
 	usage.Descriptors, err = Descriptors(pid)
 	return usage, err
 }
 
-// Descriptors is how many a process has open.
+// Descriptors returns how many file descriptors a process has open.
 func Descriptors(pid int) (int, error) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -59,8 +60,8 @@
 	return len(entries), nil
 }
 
-// number is the one behind a key, 0 if it is not there.
-func number(text, key string) int64 {
+// procNumber returns the number that follows a key in a file of /proc, 0 if the key is missing.
+func procNumber(text, key string) int64 {
 	_, rest, found := strings.Cut(text, key)
 	fields := strings.Fields(rest)
 	if !found || len(fields) == 0 {
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -12,46 +12,48 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// WorkerConfig is the configuration of a process of hollow subscribers.
+// WorkerConfig configures a worker: a process that runs hollow subscribers, one for each host.
 type WorkerConfig struct {
-	Authority string               `json:"authority"` // the folder of the CA
-	Serial    int64                `json:"serial"`    // certificates' serial numbers begin here
+	Authority string               `json:"authority"` // folder of the CA
+	Serial    int64                `json:"serial"`    // serial number of the first host's certificate; those of the others follow
 	Hosts     []Host               `json:"hosts"`
 	Relays    []distribution.Relay `json:"relays"`
-	Coalesce  time.Duration        `json:"coalesce"`
-	Accept    time.Duration        `json:"accept"`
+	Coalesce  time.Duration        `json:"coalesce"` // as in SubscriberConfig
+	Accept    time.Duration        `json:"accept"`   // as in SubscriberConfig
 }
 
 // Command is a request to a worker.
 type Command string
 
-// Commands of a worker. It ends when its standard input does.
+// Commands of a worker. Each is answered by a Reply with Usage and Connected.
 const (
-	Start   Command = "start"   // all subscribers at once
-	Measure Command = "measure" // Reply.Usage and Reply.Connected
-	Collect Command = "collect" // also Reply.Accepted and Reply.Settled
+	Start   Command = "start"   // starts all subscribers at once
+	Measure Command = "measure" // only reads Usage and Connected
+	Collect Command = "collect" // also reads Accepted and Settled
 )
 
-// Request is a line that a worker reads. Each is answered by one Reply.
+// Request is one line of JSON that a worker reads. The worker answers each with one Reply.
 type Request struct {
 	Command Command  `json:"command"`
-	Changes []Change `json:"changes,omitempty"` // of Collect
+	Changes []Change `json:"changes,omitempty"` // for Collect: the changes of Reply.Accepted
 }
 
-// Change is a resource at a revision.
+// Change identifies a published change: a resource and the revision at which it was changed.
 type Change struct {
 	Name     string                `json:"name"`
 	Revision distribution.Revision `json:"revision"`
 }
 
-// Reply is a line that a worker writes.
+// Reply is one line of JSON that a worker writes.
 type Reply struct {
-	Usage     Usage `json:"usage"`
-	Connected int   `json:"connected"`
-	// Accepted holds for each change of the request when instances accepted it, as Unix times
-	// in microseconds.
+	Usage     Usage `json:"usage"`     // of the worker's process
+	Connected int   `json:"connected"` // subscribers with a connection to a relay
+	// Accepted holds for each change of the request the times at which instances accepted it, as
+	// Unix times in microseconds.
 	Accepted [][]int64 `json:"accepted,omitempty"`
-	Settled  []int64   `json:"settled,omitempty"` // when each had the complete state first
+	// Settled holds the times at which subscribers first had all settings in force, as Unix times
+	// in microseconds.
+	Settled []int64 `json:"settled,omitempty"`
 }
 
 // Worker holds the subscribers of one process.
@@ -65,7 +67,9 @@
 	settled  []int64
 }
 
-// RunWorker answers requests until in ends. Nothing of it runs when it returns.
+// RunWorker reads requests from in and writes replies to out until in ends. It returns an error if
+// the CA can't be loaded, a request can't be decoded or a reply can't be written. When it returns,
+// all subscribers have ended.
 func RunWorker(cfg WorkerConfig, in io.Reader, out io.Writer) error {
 	worker, err := newWorker(cfg)
 	if err != nil {
@@ -80,18 +84,19 @@
 		if err := requests.Decode(&request); err == io.EOF {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("hollow: request: %w", err)
+			return fmt.Errorf("hollow: decode request: %w", err)
 		}
 		reply, err := worker.answer(ctx, request)
 		if err != nil {
 			return err
 		}
 		if err := replies.Encode(reply); err != nil {
-			return fmt.Errorf("hollow: reply: %w", err)
+			return fmt.Errorf("hollow: write reply: %w", err)
 		}
 	}
 }
 
+// newWorker returns a Worker with a subscriber for each host; Start starts them.
 func newWorker(cfg WorkerConfig) (*Worker, error) {
 	authority, err := LoadAuthority(cfg.Authority)
 	if err != nil {
@@ -105,25 +110,28 @@
 		}
 		worker.subscribers = append(worker.subscribers, NewSubscriber(SubscriberConfig{
 			Host: host, Relays: cfg.Relays, TLS: config, Coalesce: cfg.Coalesce, Accept: cfg.Accept,
-			Accepted: worker.noteAccepted, Settled: worker.noteSettled,
+			Accepted: worker.recordAccepted, Settled: worker.recordSettled,
 		}))
 	}
 	return worker, nil
 }
 
-func (w *Worker) noteAccepted(resource distribution.Resource, at time.Time) {
+// recordAccepted implements SubscriberConfig.Accepted.
+func (w *Worker) recordAccepted(resource distribution.Resource, at time.Time) {
 	change := Change{Name: resource.Name, Revision: resource.Revision}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.accepted[change] = append(w.accepted[change], at.UnixMicro())
 }
 
-func (w *Worker) noteSettled(at time.Time) {
+// recordSettled implements SubscriberConfig.Settled.
+func (w *Worker) recordSettled(at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.settled = append(w.settled, at.UnixMicro())
 }
 
+// answer carries out a request and returns its reply.
 func (w *Worker) answer(ctx context.Context, request Request) (*Reply, error) {
 	if request.Command == Start && !w.started {
 		w.started = true
@@ -147,6 +155,7 @@
 	return reply, nil
 }
 
+// collect adds the recorded times to a reply.
 func (w *Worker) collect(request Request, reply *Reply) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/hollow/workers_test.go
+++ b/internal/hollow/workers_test.go
@@ -15,29 +15,30 @@
 	"martendrum/internal/fleet/distribution"
 )
 
-// workerSubscribers is the maximum of subscribers in one worker.
+// workerSubscribers is the maximum number of subscribers in one worker process.
 const workerSubscribers = 1200
 
-// workerHandle is a process of hollow subscribers.
+// workerHandle is a worker process with the connection over which the test sends it requests.
 type workerHandle struct {
 	hosts    []Host
-	config   string
-	process  *process
+	config   string   // path of its WorkerConfig
+	process  *process // nil: not running
 	input    io.WriteCloser
 	output   io.Closer
 	requests *json.Encoder
 	replies  *json.Decoder
 }
 
-// workers are all processes of hollow subscribers.
+// workers are the worker processes of one cluster.
 type workers struct {
 	t        testing.TB
 	hosts    []Host
 	handles  []*workerHandle
-	profiles string
+	profiles string // folder for profiles; "": no profiles
 }
 
-// newWorkers configures the workers for a number of subscribers. They don't run yet.
+// newWorkers configures the workers for a number of subscribers; startProcesses starts them. They
+// end with the test.
 func newWorkers(c *cluster, subscribers int, coalesce time.Duration) *workers {
 	c.t.Helper()
 	w := &workers{t: c.t, hosts: Layout(subscribers), profiles: c.profiles}
@@ -55,26 +56,26 @@
 	return w
 }
 
-// launch starts the processes; their subscribers wait for begin.
-func (w *workers) launch() {
+// startProcesses starts the worker processes; startSubscribers starts their subscribers.
+func (w *workers) startProcesses() {
 	w.t.Helper()
 	for _, handle := range w.handles {
 		command := exec.Command(os.Args[0])
-		command.Env = append(os.Environ(), processorsInterval, workerVariable+"="+handle.config, profileVariable+"="+w.profiles)
+		command.Env = append(os.Environ(), processorLimit, workerVariable+"="+handle.config, profileVariable+"="+w.profiles)
 		input, err := command.StdinPipe()
 		if err != nil {
-			w.t.Fatal(err)
+			w.t.Fatalf("create the input of a worker: %v", err)
 		}
-		// A pipe of our own: Wait must not close it while a reply is read.
-		output, outputEnd, err := os.Pipe()
+		// Not StdoutPipe: Wait would close that pipe while a reply is still being read.
+		output, outputWriter, err := os.Pipe()
 		if err != nil {
-			w.t.Fatal(err)
+			w.t.Fatalf("create the output of a worker: %v", err)
 		}
-		command.Stdout = outputEnd
+		command.Stdout = outputWriter
 		handle.process, err = startProcess(command, handle.config+".log")
-		outputEnd.Close()
+		outputWriter.Close()
 		if err != nil {
-			w.t.Fatal(err)
+			w.t.Fatalf("start a worker: %v", err)
 		}
 		handle.input, handle.output = input, output
 		handle.requests, handle.replies = json.NewEncoder(input), json.NewDecoder(output)
@@ -82,35 +83,36 @@
 	w.call(Request{Command: Measure})
 }
 
-// begin starts all subscribers at once.
-func (w *workers) begin() time.Time {
+// startSubscribers starts all subscribers at once, and returns when it began to do so.
+func (w *workers) startSubscribers() time.Time {
 	w.t.Helper()
 	began := time.Now()
 	w.call(Request{Command: Start})
 	return began
 }
 
-// stop ends the processes. With SIGTERM they end on their own, as their input does.
-func (w *workers) stop(how syscall.Signal) {
-	var all sync.WaitGroup
+// stop ends the processes. With SIGKILL it kills them; with any other signal it only closes their
+// input, at which they end on their own, and kills those that still run after stopTimeout.
+func (w *workers) stop(signal syscall.Signal) {
+	var group sync.WaitGroup
 	for _, handle := range w.handles {
 		if handle.process == nil {
 			continue
 		}
-		all.Go(func() {
+		group.Go(func() {
 			handle.input.Close()
-			if how == syscall.SIGKILL {
+			if signal == syscall.SIGKILL {
 				handle.process.stop(syscall.SIGKILL)
 				return
 			}
 			select {
 			case <-handle.process.end:
-			case <-time.After(maxStop):
+			case <-time.After(stopTimeout):
 				handle.process.stop(syscall.SIGKILL)
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 	for _, handle := range w.handles {
 		if handle.process != nil {
 			handle.output.Close()
@@ -119,29 +121,30 @@
 	}
 }
 
-// call sends a request to all workers concurrently, and returns their replies in order.
+// call sends a request to all workers concurrently, and returns their replies in the order of the
+// workers.
 func (w *workers) call(request Request) []Reply {
 	w.t.Helper()
-	replies, failed := make([]Reply, len(w.handles)), make([]error, len(w.handles))
-	var all sync.WaitGroup
+	replies, errs := make([]Reply, len(w.handles)), make([]error, len(w.handles))
+	var group sync.WaitGroup
 	for n, handle := range w.handles {
-		all.Go(func() {
-			if failed[n] = handle.requests.Encode(request); failed[n] == nil {
-				failed[n] = handle.replies.Decode(&replies[n])
+		group.Go(func() {
+			if errs[n] = handle.requests.Encode(request); errs[n] == nil {
+				errs[n] = handle.replies.Decode(&replies[n])
 			}
 		})
 	}
-	all.Wait()
-	for n, err := range failed {
+	group.Wait()
+	for n, err := range errs {
 		if err != nil {
 			log, _ := os.ReadFile(w.handles[n].config + ".log")
-			w.t.Fatalf("worker %d: %v: %s", n, err, log[max(0, len(log)-1000):])
+			w.t.Fatalf("request to worker %d failed: %v; end of its log: %s", n, err, log[max(0, len(log)-1000):])
 		}
 	}
 	return replies
 }
 
-// usage returns the sum over all workers.
+// usage returns the sum of the usages of all workers.
 func (w *workers) usage() Usage {
 	w.t.Helper()
 	var sum Usage
@@ -151,13 +154,14 @@
 	return sum
 }
 
+// plus returns the sum of two usages.
 func (u Usage) plus(other Usage) Usage {
 	return Usage{Processor: u.Processor + other.Processor, Read: u.Read + other.Read, Written: u.Written + other.Written,
 		Resident: u.Resident + other.Resident, ResidentPeak: u.ResidentPeak + other.ResidentPeak, Descriptors: u.Descriptors + other.Descriptors}
 }
 
-// concerned returns how many subscribers are in a scope.
-func (w *workers) concerned(scope distribution.Scope) int {
+// countInScope returns how many subscribers are in a scope.
+func (w *workers) countInScope(scope distribution.Scope) int {
 	count := 0
 	for _, host := range w.hosts {
 		if scope.Matches("", host.Name, host.Labels()) {
@@ -167,13 +171,13 @@
 	return count
 }
 
-// accepted returns when subscribers accepted each change, in order.
+// accepted returns for each change the times at which subscribers accepted it, sorted.
 func (w *workers) accepted(changes ...Change) [][]time.Time {
 	w.t.Helper()
 	times := make([][]time.Time, len(changes))
 	for _, reply := range w.call(Request{Command: Collect, Changes: changes}) {
 		for n, accepted := range reply.Accepted {
-			times[n] = append(times[n], moments(accepted)...)
+			times[n] = append(times[n], microTimes(accepted)...)
 		}
 	}
 	for _, accepted := range times {
@@ -182,18 +186,19 @@
 	return times
 }
 
-// settled returns when subscribers first had the complete state, in order.
+// settled returns the times at which subscribers first had all settings in force, sorted.
 func (w *workers) settled() []time.Time {
 	w.t.Helper()
 	var times []time.Time
 	for _, reply := range w.call(Request{Command: Collect}) {
-		times = append(times, moments(reply.Settled)...)
+		times = append(times, microTimes(reply.Settled)...)
 	}
 	slices.SortFunc(times, time.Time.Compare)
 	return times
 }
 
-func moments(micros []int64) []time.Time {
+// microTimes converts Unix times in microseconds.
+func microTimes(micros []int64) []time.Time {
 	times := make([]time.Time, len(micros))
 	for n, micro := range micros {
 		times[n] = time.UnixMicro(micro)
