--- a/internal/hollow/results_test.go
+++ b/internal/hollow/results_test.go
@@ -16,7 +16,7 @@
 // results writes result lines in the format of Go's benchmarks.
 type results struct {
 	out         io.Writer
-	subscribers int // size of the measured fleet
+	subscribers int // number of subscribers in the measured fleet
 }
 
 // metric is a measured quantity. Its unit contains no space.
@@ -59,8 +59,8 @@
 func (r *results) add(name string, metrics ...metric) {
 	var line strings.Builder
 	fmt.Fprintf(&line, "BenchmarkDistribution/case=%s/subscribers=%d 1", name, r.subscribers)
-	for _, metric := range metrics {
-		fmt.Fprintf(&line, " %.6g %s", metric.number, metric.unit)
+	for _, m := range metrics {
+		fmt.Fprintf(&line, " %.6g %s", m.number, m.unit)
 	}
 	fmt.Fprintln(r.out, line.String())
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// clientPatience is how long beyond a request's time a client stays for its answer: past
-	// what the rules call too late.
-	clientPatience = maxOverdue + 400*time.Millisecond
-	// dialTimeout is how long a client's connection may take.
+	// answerGrace is how long after a request's deadline a client still waits for the answer. It is
+	// longer than maxOverdue, so that the client can record an answer that is too late.
+	answerGrace = maxOverdue + 400*time.Millisecond
+	// dialTimeout bounds how long a client waits for a connection.
 	dialTimeout = time.Second
-	// dialBackoff is the wait between two attempts to connect.
+	// dialBackoff is the pause between two attempts to connect.
 	dialBackoff = 10 * time.Millisecond
-	// slowPieces is in how many pieces a slow client writes a request, pieceDelay how long
-	// it waits between them.
+	// slowPieces is the number of pieces in which a slow client writes a request, pieceDelay the
+	// pause between them.
 	slowPieces = 4
 	pieceDelay = 60 * time.Millisecond
 )
 
-// client sends requests to one sidecar, one at a time, for as long as the day lasts.
+// client sends requests to one sidecar, one at a time, until the end of the run.
 type client struct {
 	*rand.Rand
 	name     string
-	sidecar  int
-	address  string
+	sidecar  int    // number of the sidecar
+	address  string // of the sidecar
 	script   *Script
 	recorder *recorder
-	slow     bool
+	slow     bool // writes each request in pieces
 
-	conn    net.Conn // nil: none is open
-	dialed  time.Duration
+	conn    net.Conn      // nil: no connection is open
+	dialed  time.Duration // when conn was dialed
 	reader  *bufio.Reader
-	used    int // requests on conn
-	request int
+	used    int // number of requests on conn
+	request int // number of requests on all connections
 }
 
 // run sends requests until the context ends.
 func (c *client) run(ctx context.Context) {
-	defer c.hangUp()
+	defer c.closeConn()
 	sleep(ctx, time.Duration(c.script.QuietUntil))
 	for ctx.Err() == nil {
 		if c.conn == nil && !c.dial() {
@@ -61,6 +61,7 @@
 	}
 }
 
+// sleep returns after a duration, or earlier if the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -68,6 +69,7 @@
 	}
 }
 
+// dial opens a connection to the sidecar, and returns false if that fails.
 func (c *client) dial() bool {
 	dialed := c.recorder.now()
 	conn, err := net.DialTimeout("tcp", c.address, dialTimeout)
@@ -78,14 +80,15 @@
 	return true
 }
 
-func (c *client) hangUp() {
+// closeConn closes the connection, if one is open.
+func (c *client) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// send sends one request, waits for its end and records it.
+// send sends one request, waits for its answer and records how it ended.
 func (c *client) send(ctx context.Context) {
 	conn := c.conn
 	class := &c.script.Classes[c.IntN(len(c.script.Classes))]
@@ -103,22 +106,22 @@
 	if c.Float64() < c.script.DisconnectRate {
 		disconnect = time.Duration(c.Float64() * float64(r.Wait) * 0.8)
 	}
-	if !c.write(c.text(&r, class)) {
-		c.hangUp()
-		return // it never was a request
+	if !c.write(c.requestText(&r, class)) {
+		c.closeConn()
+		return // not recorded: the sidecar never got the complete request
 	}
 	r.Sent = c.recorder.now()
-	atEnd := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) })
-	c.await(&r, disconnect)
-	if !atEnd() && (r.End == EndNothing || r.End == EndTruncated) {
-		r.End = EndLeft // the day is over
+	stop := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) })
+	c.awaitAnswer(&r, disconnect)
+	if !stop() && (r.End == EndNothing || r.End == EndTruncated) {
+		r.End = EndLeft // the run has ended
 	}
 	r.Finished = c.recorder.now()
 	c.recorder.do(func(record *Record) { record.Requests = append(record.Requests, r) })
 }
 
-// text is a request as it is written.
-func (c *client) text(r *Request, class *Class) string {
+// requestText returns the text of a request, with a body of random length unless it is a GET.
+func (c *client) requestText(r *Request, class *Class) string {
 	length := 4
 	if c.script.MaxBody > 4 {
 		length += c.IntN(c.script.MaxBody - 4)
@@ -134,7 +137,8 @@
 		method, class.Name, r.ID, class.Name, r.Wait.Milliseconds(), extra)
 }
 
-// write writes a request, a slow client in pieces.
+// write writes a request, in pieces if the client is slow. It returns false if the connection
+// breaks.
 func (c *client) write(text string) bool {
 	if c.slow {
 		piece := len(text)/slowPieces + 1
@@ -150,16 +154,17 @@
 	return err == nil
 }
 
-// await waits for a request's answer; disconnect is after which its client disconnects, 0: it
-// stays.
-func (c *client) await(r *Request, disconnect time.Duration) {
-	patience := r.Wait + clientPatience
+// awaitAnswer waits for the answer to a request and sets the fields of r that describe its end. The
+// client closes the connection if no byte has arrived after disconnect; 0 means that it waits until
+// answerGrace after the deadline.
+func (c *client) awaitAnswer(r *Request, disconnect time.Duration) {
+	timeout := r.Wait + answerGrace
 	if disconnect > 0 {
-		patience = disconnect
+		timeout = disconnect
 	}
-	c.conn.SetReadDeadline(time.Now().Add(patience))
+	c.conn.SetReadDeadline(time.Now().Add(timeout))
 	if _, err := c.reader.Peek(1); err != nil {
-		c.hangUp()
+		c.closeConn()
 		switch {
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			r.End = EndClosed
@@ -170,26 +175,28 @@
 		}
 		return
 	}
-	c.conn.SetReadDeadline(time.Now().Add(r.Wait + clientPatience))
+	c.conn.SetReadDeadline(time.Now().Add(r.Wait + answerGrace))
 	response, err := http.ReadResponse(c.reader, nil)
 	var body []byte
 	if err == nil {
 		r.Status = response.StatusCode
 		body, err = io.ReadAll(response.Body)
 	}
-	if err != nil { // cut short, or begun and never ended
+	if err != nil { // the answer was truncated or did not end in time
 		r.End, r.Status = EndTruncated, 0
-		c.hangUp()
+		c.closeConn()
 		return
 	}
 	r.End, r.Body = EndAnswered, string(body)
 	if response.Close {
-		c.hangUp()
+		c.closeConn()
 	}
 }
 
-// stall is a client that stops in the middle of a request, and stays until it is ended.
-func stall(ctx context.Context, sidecar int, address string, random *rand.Rand, recorder *recorder) {
+// runStallingClient runs a client that sends a part of a request and then waits, without closing
+// its connection, until the sidecar ends it. It repeats this until the context ends, and records
+// each of these connections.
+func runStallingClient(ctx context.Context, sidecar int, address string, random *rand.Rand, recorder *recorder) {
 	const request = "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: half\r\nContent-Length: 4\r\n\r\nca"
 	for ctx.Err() == nil {
 		conn, err := net.DialTimeout("tcp", address, dialTimeout)
@@ -198,7 +205,7 @@
 			continue
 		}
 		_, err = io.WriteString(conn, request[:1+random.IntN(len(request)-1)])
-		s := Stall{Sidecar: sidecar, Stopped: recorder.now()}
+		stalled := Stall{Sidecar: sidecar, Stopped: recorder.now()}
 		if err == nil {
 			stop := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Now()) })
 			_, err = conn.Read(make([]byte, 1))
@@ -206,14 +213,15 @@
 		}
 		conn.Close()
 		if ctx.Err() == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
-			s.Finished = recorder.now()
+			stalled.Finished = recorder.now()
 		}
-		recorder.do(func(record *Record) { record.Stalls = append(record.Stalls, s) })
+		recorder.do(func(record *Record) { record.Stalls = append(record.Stalls, stalled) })
 		sleep(ctx, time.Duration(random.IntN(500))*time.Millisecond)
 	}
 }
 
-// holdIdleConnections keeps idle connections to a sidecar open, and replaces closed ones.
+// holdIdleConnections opens connections to a sidecar without sending anything. Once it holds size
+// connections, it closes the oldest before it opens another.
 func holdIdleConnections(ctx context.Context, address string, size int) {
 	conns := make([]net.Conn, 0, size)
 	defer func() {
@@ -233,7 +241,8 @@
 	}
 }
 
-// panicsIn counts the panics in a log.
+// panicsIn returns the number of panics in a sidecar's log, including those that the sidecar
+// recovered and logged.
 func panicsIn(log string) int {
 	return strings.Count(log, "msg=\"panic ") + strings.Count(log, "\npanic: ") + strings.Count(log, "fatal error: ")
 }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -13,51 +13,53 @@
 )
 
 const (
-	// slowCall is how long a call to a slow discovery takes.
-	slowCall = 800 * time.Millisecond
-	// emptyLineEvery is how often a watch on which nothing changes gets an empty line.
-	emptyLineEvery = 2 * time.Second
+	// slowCallDelay is how late discovery answers a call in DiscoverySlow.
+	slowCallDelay = 800 * time.Millisecond
+	// emptyLineInterval is the time between the empty lines that discovery sends on a watch to keep
+	// it alive.
+	emptyLineInterval = 2 * time.Second
 )
 
-// listed is a server on the list.
-type listed struct {
+// listEntry is a server with its state on discovery's list. Removed servers have an entry, too.
+type listEntry struct {
 	number  int
 	address string
 	state   ListState
-	since   time.Duration
-	version int
+	since   time.Duration // when the server started, for Up; 0: before the run
+	version int           // of the list at the entry's latest change
 }
 
-// discovery is a stand-in for discovery, with an address for each sidecar, by which it
-// records what it sent to whom.
+// discovery is a stand-in for the discovery service. It listens on an address of its own for each
+// sidecar, and records which lists it sent to which sidecar.
 type discovery struct {
 	recorder      *recorder
-	completeLists bool // each change is sent as a complete list
-
-	mu       sync.Mutex
-	entries  []listed
-	version  int
-	mode     string
-	changed  chan struct{} // closed at the next change of the list or the mode
-	outageAt time.Duration
-	servers  []*http.Server
-	wait     sync.WaitGroup
+	completeLists bool // each change is sent as a complete list, not as the changed entries
+
+	mu        sync.Mutex
+	entries   []listEntry
+	version   int            // of the list; each change increments it
+	mode      string         // one of the discovery modes
+	changed   chan struct{}  // closed at the next change of the list or the mode
+	modeSince time.Duration  // when the current mode began
+	servers   []*http.Server // one for each sidecar
+	wait      sync.WaitGroup
 }
 
+// newDiscovery returns a discovery with an empty list, in DiscoveryServes.
 func newDiscovery(script *Script, recorder *recorder) *discovery {
 	return &discovery{recorder: recorder, completeLists: script.CompleteLists, mode: DiscoveryServes, version: 1, changed: make(chan struct{})}
 }
 
-// add puts a server on the list, before the first call.
+// add puts a server on the list. It must be called before listen.
 func (d *discovery) add(s *server) {
-	d.entries = append(d.entries, listed{number: s.number, address: s.address, state: Up, version: d.version})
+	d.entries = append(d.entries, listEntry{number: s.number, address: s.address, state: Up, version: d.version})
 }
 
-// listen opens the address for one sidecar and returns it.
+// listen starts to answer the calls of one sidecar, and returns the address for them.
 func (d *discovery) listen(sidecar int) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("soak: discovery: %w", err)
+		return "", fmt.Errorf("soak: start discovery: %w", err)
 	}
 	httpServer := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(sidecar, w, r) })}
 	d.servers = append(d.servers, httpServer)
@@ -65,6 +67,7 @@
 	return listener.Addr().String(), nil
 }
 
+// close closes all addresses and connections and waits for the goroutines.
 func (d *discovery) close() {
 	for _, s := range d.servers {
 		s.Close()
@@ -72,14 +75,14 @@
 	d.wait.Wait()
 }
 
-// bump wakes all watches; the lock is held.
-func (d *discovery) bump() {
+// notifyWatches wakes all watches. The caller holds d.mu.
+func (d *discovery) notifyWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// change sets a server's state on the list.
-func (d *discovery) change(number int, state ListState, since time.Duration) {
+// setServerState changes a server's state on the list, and records the change.
+func (d *discovery) setServerState(number int, state ListState, since time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
@@ -90,44 +93,47 @@
 	}
 	change := Change{At: d.recorder.now(), Server: number, State: state, Since: since}
 	d.recorder.do(func(record *Record) { record.Changes = append(record.Changes, change) })
-	d.bump()
+	d.notifyWatches()
 }
 
-// set changes the mode, and records outages.
-func (d *discovery) set(mode string) {
+// setMode changes the mode. If the previous mode was another one than DiscoveryServes, it records
+// the time since its beginning as an outage.
+func (d *discovery) setMode(mode string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.recorder.now()
 	if d.mode != DiscoveryServes {
-		outage := Outage{From: d.outageAt, To: now}
+		outage := Outage{From: d.modeSince, To: now}
 		d.recorder.do(func(record *Record) { record.Outages = append(record.Outages, outage) })
 	}
-	d.mode, d.outageAt = mode, now
-	d.bump()
+	d.mode, d.modeSince = mode, now
+	d.notifyWatches()
 }
 
-// look returns the mode, what changed after a version, and a channel that is closed at the
-// next change. The complete list omits removed servers.
-func (d *discovery) look(after int) (mode string, version int, entries []listed, changed <-chan struct{}) {
+// changesAfter returns the mode, the list's version, the entries that changed after the given
+// version, and a channel that is closed at the next change of the list or the mode. For version 0,
+// and for any change if completeLists is set, the entries are the complete list. The complete list
+// omits removed servers and, if completeLists is set, draining ones.
+func (d *discovery) changesAfter(after int) (mode string, version int, entries []listEntry, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.completeLists && after < d.version {
 		after = 0
 	}
 	for _, e := range d.entries {
-		listed := e.version > after
+		included := e.version > after
 		if after == 0 {
-			listed = e.state == Up || e.state == Draining && !d.completeLists
+			included = e.state == Up || e.state == Draining && !d.completeLists
 		}
-		if listed {
+		if included {
 			entries = append(entries, e)
 		}
 	}
 	return d.mode, d.version, entries, d.changed
 }
 
-// line is a list on one line.
-func (d *discovery) line(version int, complete bool, entries []listed) []byte {
+// encodeList returns a list as one line of JSON.
+func (d *discovery) encodeList(version int, complete bool, entries []listEntry) []byte {
 	type entry struct {
 		Name    string    `json:"name"`
 		Address string    `json:"address"`
@@ -149,25 +155,25 @@
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // of this package's own making
+		panic(err) // can't happen: all fields can be encoded
 	}
 	return append(text, '\n')
 }
 
-// serve answers a call of a sidecar.
+// serve answers a call of a sidecar: a poll of the list, or a watch of it.
 func (d *discovery) serve(sidecar int, w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
-	mode, version, entries, changed := d.look(after)
+	mode, version, entries, changed := d.changesAfter(after)
 	switch mode {
 	case DiscoveryUnavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case DiscoverySilent:
-		d.hold(r, changed)
+		d.holdCall(r, changed)
 		panic(http.ErrAbortHandler)
 	case DiscoverySlow:
-		time.Sleep(slowCall)
-		_, version, entries, changed = d.look(after)
+		time.Sleep(slowCallDelay)
+		_, version, entries, changed = d.changesAfter(after)
 	}
 	if !d.write(sidecar, w, version, after == 0 || d.completeLists, entries) || r.URL.Query().Get("watch") != "1" {
 		return
@@ -175,28 +181,29 @@
 	d.watch(sidecar, w, r, version, changed)
 }
 
-// watch sends changes until the watch ends.
+// watch sends the changes after a version until the connection ends. It ends the connection when
+// discovery enters DiscoveryUnavailable.
 func (d *discovery) watch(sidecar int, w http.ResponseWriter, r *http.Request, version int, changed <-chan struct{}) {
-	ticker := time.NewTicker(emptyLineEvery)
+	ticker := time.NewTicker(emptyLineInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-r.Context().Done():
 			return
 		case <-ticker.C:
-			if mode, _, _, _ := d.look(version); mode != DiscoverySilent {
+			if mode, _, _, _ := d.changesAfter(version); mode != DiscoverySilent {
 				io.WriteString(w, "\n")
 				w.(http.Flusher).Flush()
 			}
 			continue
 		case <-changed:
 		}
-		mode, next, entries, again := d.look(version)
-		changed = again
+		mode, next, entries, nextChange := d.changesAfter(version)
+		changed = nextChange
 		switch {
 		case mode == DiscoveryUnavailable:
 			panic(http.ErrAbortHandler)
-		case mode == DiscoverySilent: // and this watch stays so
+		case mode == DiscoverySilent: // this watch gets nothing more, even after the mode has ended
 			<-r.Context().Done()
 			return
 		case next > version && !d.write(sidecar, w, next, d.completeLists, entries):
@@ -206,17 +213,19 @@
 	}
 }
 
-// hold keeps a call until the mode changes or the caller gives up.
-func (d *discovery) hold(r *http.Request, changed <-chan struct{}) {
+// holdCall keeps a call without an answer until the list or the mode changes, or the caller closes
+// its connection.
+func (d *discovery) holdCall(r *http.Request, changed <-chan struct{}) {
 	select {
 	case <-changed:
 	case <-r.Context().Done():
 	}
 }
 
-// write writes a list and records its notifications.
-func (d *discovery) write(sidecar int, w http.ResponseWriter, version int, complete bool, entries []listed) bool {
-	_, err := w.Write(d.line(version, complete, entries))
+// write sends a list to a sidecar, and records for each server on it that the sidecar was notified
+// of its state. It returns false if the connection is broken.
+func (d *discovery) write(sidecar int, w http.ResponseWriter, version int, complete bool, entries []listEntry) bool {
+	_, err := w.Write(d.encodeList(version, complete, entries))
 	w.(http.Flusher).Flush()
 	if err != nil {
 		return false
@@ -224,7 +233,7 @@
 	now := d.recorder.now()
 	d.mu.Lock()
 	notified := entries
-	if complete { // servers that it omits are removed
+	if complete { // the list also notifies of removals, by the servers that it omits
 		notified = slices.Clone(d.entries)
 	}
 	d.mu.Unlock()
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,11 +1,12 @@
-// Package soak runs real sidecars under a seeded script of faults and signals and judges
-// what happened by what clients, servers and discovery recorded, never by the sidecars' own
-// words.
+// Package soak runs real sidecars under a seeded script of faults and signals. It judges the run
+// only by what clients, servers and discovery recorded, never by what the sidecars report
+// themselves.
 //
-// A Script is drawn from a seed, prints as text and can be read again. World plays it: it
-// starts the sidecars' processes, the servers, the discovery and the clients, and sends the
-// signals. Judge, which is pure, takes the Script and the Record and names each broken rule.
+// A Script is generated from a seed; it can be printed as text and parsed again. Run starts the
+// sidecars' processes and stand-ins for the servers, the discovery and the clients, and carries out
+// the script's events. Judge, which has no side effects, compares the Script with the Record of the
+// run and returns each breach of a rule.
 //
-// It promises that the same seed gives the same script. It does not promise the same run:
-// processes are real and the machine schedules them.
+// The same seed gives the same script, but not the same run: the processes are real, and the
+// operating system schedules them.
 package soak
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Rule names what a breach breaks.
+// Rule names a rule. Its text is printed with each breach of it.
 type Rule string
 
-// The rules.
+// The rules. The method of judgement that reports a breach of a rule says what the rule demands.
 const (
 	RuleNoAnswer         Rule = "lost: no answer"
 	RuleOverdue          Rule = "lost: answered too late"
@@ -32,46 +32,49 @@
 	RuleCrash            Rule = "crash"
 )
 
-// Breach is one broken rule.
+// Breach is one breach of a rule.
 type Breach struct {
 	Rule Rule
-	At   time.Duration
-	What string
+	At   time.Duration // since the start of the run
+	What string        // what happened, in words
 }
 
-// String implements fmt.Stringer.
+// String implements fmt.Stringer. It starts with the time in seconds.
 func (b Breach) String() string { return fmt.Sprintf("%8.3f %s: %s", b.At.Seconds(), b.Rule, b.What) }
 
-// Allowances of the rules.
+// Limits and allowances of the rules.
 const (
-	maxOverdue                = 500 * time.Millisecond // an answer that is late by less is not lost
+	maxOverdue                = 500 * time.Millisecond // an answer that is late by less does not count as lost
 	maxAttemptAfterDisconnect = 100 * time.Millisecond // from a client's disconnect to an attempt's first byte
-	deadlineSlack             = 150 * time.Millisecond
-	socketSlack               = 50 * time.Millisecond // added to each time limit of the rules
-	maxNotificationDelay      = 6 * time.Second       // from a change that discovery can send to its notification
-	maxReady                  = 10 * time.Second
-	unsolicitedGrace          = 100 * time.Millisecond // after a server's first duplicate answer
-	maxStall                  = 3 * time.Second        // clients that stall get an error or a close within it
+	deadlineSlack             = 150 * time.Millisecond // by which a forwarded deadline may exceed the client's
+	socketSlack               = 50 * time.Millisecond  // added to the limits of drains, stalls and repeats
+	maxNotificationDelay      = 6 * time.Second        // from a change that discovery can send to its notification
+	maxReady                  = 10 * time.Second       // from a process's start to its readiness
+	unsolicitedGrace          = 100 * time.Millisecond // see isFirstUnsolicited
+	maxStall                  = 3 * time.Second        // within which a stalled client gets an error or its connection is closed
 	// maxCountedDeadline and supervisorGrace: see EarliestKill.
 	maxCountedDeadline = 3 * time.Second
 	supervisorGrace    = 700 * time.Millisecond
 )
 
-// EarliestKill is how long after a signal to end a process may be killed at the earliest.
+// EarliestKill returns how long after the first signal to terminate a supervisor may kill a sidecar
+// at the earliest. longest is the longest deadline of the sidecar's classes; the supervisor counts
+// it as maxCountedDeadline at most, and adds supervisorGrace.
 func EarliestKill(longest time.Duration) time.Duration {
 	return min(longest, maxCountedDeadline) + supervisorGrace
 }
 
-// judgement is the state of one call of Judge.
+// judgement holds the inputs, indexes and result of one call of Judge.
 type judgement struct {
 	script   *Script
 	record   *Record
 	requests map[string]*Request   // by id
-	attempts map[string][]*Attempt // by request
+	attempts map[string][]*Attempt // by id of the request, ordered by First
 	breaches []Breach
 }
 
-// Judge returns each breach of a rule, ordered by time.
+// Judge returns the breaches of the rules in the record of a run of the script, ordered by time. It
+// has no side effects. Time limits are extended by record.Lateness, by which records may be late.
 func Judge(script *Script, record *Record) []Breach {
 	j := &judgement{script: script, record: record, requests: make(map[string]*Request, len(record.Requests)), attempts: make(map[string][]*Attempt)}
 	for n := range record.Requests {
@@ -95,11 +98,12 @@
 	return j.breaches
 }
 
+// breach adds a breach.
 func (j *judgement) breach(rule Rule, at time.Duration, format string, args ...any) {
 	j.breaches = append(j.breaches, Breach{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// processAt returns the process that a sidecar had at a time, nil if it had none.
+// processAt returns the process that a sidecar had at a time, nil if none ran.
 func (j *judgement) processAt(sidecar int, at time.Duration) *Process {
 	for n := range j.record.Processes {
 		process := &j.record.Processes[n]
@@ -110,10 +114,10 @@
 	return nil
 }
 
-// ran says that an attempt may have run.
+// ran reports whether an attempt may have run: its server got all of it and did not reject it.
 func (a *Attempt) ran() bool { return a.Last > 0 && !a.Rejected }
 
-// judgeRequest judges one request with its attempts.
+// judgeRequest judges how a request ended for its client, and its attempts at servers.
 func (j *judgement) judgeRequest(r *Request) {
 	attempts := j.attempts[r.ID]
 	j.judgeEnd(r, attempts)
@@ -128,56 +132,58 @@
 	}
 	switch class := j.script.Class(r.Class); class.Idempotency {
 	case NonIdempotent:
-		j.judgeUnsafe(r, ran)
+		j.judgeNonIdempotent(r, ran)
 	case IdempotencyKeyed:
 		j.judgeKeyed(r, ran, time.Duration(class.DedupWindow))
 	}
 }
 
-// judgeUnsafe judges a request that must not run twice; ran are its attempts that may have
-// run.
-func (j *judgement) judgeUnsafe(r *Request, ran []*Attempt) {
+// judgeNonIdempotent reports a request that must run only once and may have run twice, or that was
+// rejected with status 429 or 503 although it may have run. ran are its attempts that may have run.
+func (j *judgement) judgeNonIdempotent(r *Request, ran []*Attempt) {
 	if len(ran) > 1 {
-		j.breach(RuleDuplicate, ran[1].Last, "request %s (%s) came to %d servers", r.ID, r.Class, len(ran))
+		j.breach(RuleDuplicate, ran[1].Last, "request %s (%s) may have run %d times", r.ID, r.Class, len(ran))
 	}
 	if len(ran) > 0 && (r.Status == 429 || r.Status == 503) {
-		j.breach(RuleRejected, r.Finished, "request %s (%s) was answered %d and had come to server %d", r.ID, r.Class, r.Status, ran[0].Server)
+		j.breach(RuleRejected, r.Finished, "request %s (%s) was rejected with status %d although it may have run on server %d", r.ID, r.Class, r.Status, ran[0].Server)
 	}
 }
 
-// judgeEnd judges how a request ended for its client.
+// judgeEnd reports a request that got no answer, a late one, a truncated one, or one that no server
+// sent for it.
 func (j *judgement) judgeEnd(r *Request, attempts []*Attempt) {
 	switch r.End {
 	case EndAnswered:
 		if over := r.Finished - r.Sent - r.Wait; over > maxOverdue+j.record.Lateness {
-			j.breach(RuleOverdue, r.Finished, "request %s (%s) was answered %v after its time", r.ID, r.Class, over)
+			j.breach(RuleOverdue, r.Finished, "request %s (%s) was answered %v after its deadline", r.ID, r.Class, over)
 		}
-		made := func(a *Attempt) bool { return a.Answer == r.Body }
-		if r.Status == 200 && !slices.ContainsFunc(attempts, made) && !j.isFirstUnsolicited(r) {
-			j.breach(RuleWrong, r.Finished, "request %s (%s) was answered %q, which no server made for it", r.ID, r.Class, r.Body)
+		sent := func(a *Attempt) bool { return a.Answer == r.Body }
+		if r.Status == 200 && !slices.ContainsFunc(attempts, sent) && !j.isFirstUnsolicited(r) {
+			j.breach(RuleWrong, r.Finished, "request %s (%s) got the answer %q, which no server sent for it", r.ID, r.Class, r.Body)
 		}
 	case EndNothing:
-		j.breach(RuleNoAnswer, r.Finished, "request %s (%s) got no answer within its time", r.ID, r.Class)
+		j.breach(RuleNoAnswer, r.Finished, "request %s (%s) got no answer by its deadline", r.ID, r.Class)
 	case EndClosed:
 		j.judgeClosed(r, attempts)
 	case EndTruncated:
 		if !slices.ContainsFunc(attempts, func(a *Attempt) bool { return a.Truncated }) {
-			j.breach(RuleTruncated, r.Finished, "request %s (%s): its answer was cut short, and no server's was", r.ID, r.Class)
+			j.breach(RuleTruncated, r.Finished, "request %s (%s) got a truncated answer, but no server truncated one", r.ID, r.Class)
 		}
 	}
 }
 
-// isFirstUnsolicited reports whether a request was answered with a duplicate of another
-// answer, before this sidecar can have seen that its server sends duplicates. Such an answer
-// can't be distinguished from the request's own; docs/design/acceptance.md names this limit.
-// Any later duplicate is a breach.
+// isFirstUnsolicited reports whether a request got a duplicate of another request's answer before
+// its sidecar can have noticed that the server sends duplicates: at most unsolicitedGrace after the
+// server's first duplicate of an answer to this sidecar. The sidecar can't distinguish such a
+// duplicate from the request's own answer; docs/design/acceptance.md names this limit. Any later
+// duplicate is a breach.
 func (j *judgement) isFirstUnsolicited(r *Request) bool {
-	at := func(a Attempt) bool { return a.Repeated > 0 && a.Answer == r.Body }
-	from := slices.IndexFunc(j.record.Attempts, at)
-	if from < 0 {
+	isDuplicate := func(a Attempt) bool { return a.Repeated > 0 && a.Answer == r.Body }
+	index := slices.IndexFunc(j.record.Attempts, isDuplicate)
+	if index < 0 {
 		return false
 	}
-	duplicate := &j.record.Attempts[from]
+	duplicate := &j.record.Attempts[index]
 	first := duplicate.Repeated
 	for n := range j.record.Attempts {
 		a := &j.record.Attempts[n]
@@ -188,48 +194,51 @@
 	return duplicate.Repeated <= first+unsolicitedGrace+j.record.Lateness
 }
 
-// judgeClosed judges a request whose connection ended without a byte of an answer.
+// judgeClosed reports a request whose connection was closed without a byte of an answer, unless the
+// sidecar may do so. It may if it did not forward the request and the request was not the first on
+// its connection, the process was not ready or was terminating, or the script has idle connections.
 func (j *judgement) judgeClosed(r *Request, attempts []*Attempt) {
-	process := j.processAt(r.Sidecar, r.Dialed) // whose connection it was
+	process := j.processAt(r.Sidecar, r.Dialed) // the process that had accepted the connection
 	if process != nil && process.Killed > 0 && r.Finished >= process.Killed {
 		if len(attempts) > 0 {
-			j.breach(RuleKill, r.Finished, "request %s (%s), sent %v after the signal to end, was open when the kill came", r.ID, r.Class, r.Sent-process.Signalled)
+			j.breach(RuleKill, r.Finished, "request %s (%s), sent %v after the signal to terminate, was still open when the process was killed", r.ID, r.Class, r.Sent-process.Signalled)
 		}
 		return
 	}
 	if len(attempts) > 0 {
-		j.breach(RuleClosed, r.Finished, "request %s (%s) was forwarded and its connection closed without an answer", r.ID, r.Class)
+		j.breach(RuleClosed, r.Finished, "request %s (%s) was forwarded, but its connection was closed without an answer", r.ID, r.Class)
 		return
 	}
-	ending := process == nil || process.Ready == 0 || r.Dialed < process.Ready || process.Signalled > 0 && r.Finished >= process.Signalled
-	if r.FirstOn && !ending && j.script.IdleConnections == 0 {
-		j.breach(RuleClosed, r.Finished, "request %s (%s), the first on its connection, was closed without an answer", r.ID, r.Class)
+	terminating := process == nil || process.Ready == 0 || r.Dialed < process.Ready || process.Signalled > 0 && r.Finished >= process.Signalled
+	if r.FirstOn && !terminating && j.script.IdleConnections == 0 {
+		j.breach(RuleClosed, r.Finished, "request %s (%s), the first on its connection, got no answer before the connection was closed", r.ID, r.Class)
 	}
 }
 
-// judgeAttempt judges one attempt of a request.
+// judgeAttempt reports an attempt that began after the client had disconnected, or whose server got
+// a longer deadline than the client had left.
 func (j *judgement) judgeAttempt(r *Request, a *Attempt) {
 	if r.End == EndLeft && a.First > r.Finished+maxAttemptAfterDisconnect+j.record.Lateness {
-		j.breach(RuleLeft, a.First, "request %s (%s): an attempt began %v after its client had left", r.ID, r.Class, a.First-r.Finished)
+		j.breach(RuleLeft, a.First, "request %s (%s): an attempt began %v after its client had disconnected", r.ID, r.Class, a.First-r.Finished)
 	}
 	left := r.Sent + r.Wait - a.First
 	if a.Deadline > 0 && a.Deadline > max(left, 0)+deadlineSlack+j.record.Lateness {
-		j.breach(RuleDeadline, a.First, "request %s (%s): server %d was given %v, and its client had %v left", r.ID, r.Class, a.Server, a.Deadline, left)
+		j.breach(RuleDeadline, a.First, "request %s (%s): server %d got a deadline of %v when the client had %v left", r.ID, r.Class, a.Server, a.Deadline, left)
 	}
 }
 
-// judgeKeyed judges a keyed request: a repeat comes within the window of the first attempt
-// that may have run.
+// judgeKeyed reports a keyed request that was repeated later than the deduplication window after
+// its first attempt that may have run. ran are its attempts that may have run.
 func (j *judgement) judgeKeyed(r *Request, ran []*Attempt, window time.Duration) {
 	for n := 1; n < len(ran); n++ {
 		if gap := ran[n].Last - ran[0].Last; gap > window+socketSlack+j.record.Lateness {
-			j.breach(RuleDuplicate, ran[n].Last, "request %s (%s) was repeated %v after it may have run, its window is %v", r.ID, r.Class, gap, window)
+			j.breach(RuleDuplicate, ran[n].Last, "request %s (%s) was repeated %v after the first attempt that may have run, but its deduplication window is %v", r.ID, r.Class, gap, window)
 		}
 	}
 }
 
-// stateAt is the last change of a server at a time, nil if there was none.
-func (j *judgement) stateAt(server int, at time.Duration) *Change {
+// latestChange returns the latest change of a server up to a time, nil if there was none.
+func (j *judgement) latestChange(server int, at time.Duration) *Change {
 	var last *Change
 	for n := range j.record.Changes {
 		c := &j.record.Changes[n]
@@ -240,9 +249,10 @@
 	return last
 }
 
-// notifiedAt returns when a change counts as notified to a sidecar, and whether it was
-// written to it.
-func (j *judgement) notifiedAt(sidecar int, c *Change) (at time.Duration, written bool) {
+// notifiedAt returns when a sidecar counts as notified of a change: when discovery sent it the
+// change, and otherwise (sent is false) maxNotificationDelay after the change or after the end of
+// an outage in between.
+func (j *judgement) notifiedAt(sidecar int, c *Change) (at time.Duration, sent bool) {
 	limit := c.At + maxNotificationDelay
 	for _, outage := range j.record.Outages {
 		if outage.From < limit && outage.To > c.At {
@@ -257,37 +267,38 @@
 	return limit, false
 }
 
-// judgeDrains judges attempts at draining and removed servers.
+// judgeDrains reports attempts at draining or removed servers that began later than the drain grace
+// after the sidecar counts as notified.
 func (j *judgement) judgeDrains() {
 	grace := time.Duration(j.script.DrainGrace) + socketSlack + j.record.Lateness
 	for n := range j.record.Attempts {
 		a := &j.record.Attempts[n]
-		r, c := j.requests[a.ID], j.stateAt(a.Server, a.First)
+		r, c := j.requests[a.ID], j.latestChange(a.Server, a.First)
 		if r == nil || c == nil || c.State == Up {
 			continue
 		}
-		notified, written := j.notifiedAt(r.Sidecar, c)
+		notified, sent := j.notifiedAt(r.Sidecar, c)
 		if a.First <= notified+grace {
 			continue
 		}
 		rule := RuleDrain
-		if !written {
+		if !sent {
 			rule = RuleLateNotification
 		}
-		j.breach(rule, a.First, "request %s came to server %d, %s since %v and notified at %v", a.ID, a.Server, c.State, c.At, notified)
+		j.breach(rule, a.First, "request %s was sent to server %d, which had been %s since %v; its sidecar counts as notified at %v", a.ID, a.Server, c.State, c.At, notified)
 	}
 }
 
-// allowed returns how many requests a server in slow start may get within the overload
-// duration, where its capacity allows n.
-func allowed(n float64) float64 {
+// maxRequests returns how many requests a server in slow start may get within the overload duration
+// if its capacity allows n: n and an allowance that grows with its square root.
+func maxRequests(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// judgeSlowStart judges the sum of what all sidecars send to a server that has just started.
+// judgeSlowStart judges each start of a server by the requests that all sidecars together send it.
 func (j *judgement) judgeSlowStart() {
 	for n := range j.record.Changes {
 		c := &j.record.Changes[n]
@@ -297,7 +308,9 @@
 	}
 }
 
-// judgeStart judges one start, at its first fall.
+// judgeStart reports the first time during the slow start of a server at which it gets more requests
+// within the overload duration than its capacity allows. Such a time counts only if more than two
+// thirds of the requests come from sidecars that count as notified of the start.
 func (j *judgement) judgeStart(c *Change) {
 	s := j.script
 	slowStartEnds := c.Since + time.Duration(s.SlowStartDuration)
@@ -310,7 +323,7 @@
 	slices.SortFunc(sends, func(a, b *Attempt) int { return cmp.Compare(a.First, b.First) })
 	capacity := float64(s.Workers) / time.Duration(s.Work).Seconds()
 	for first, a := range sends {
-		capacityLimit := allowed(s.OverloadFactor * capacity * s.capacityFraction(a.First-c.Since) * time.Duration(s.OverloadDuration).Seconds())
+		capacityLimit := maxRequests(s.OverloadFactor * capacity * s.capacityFraction(a.First-c.Since) * time.Duration(s.OverloadDuration).Seconds())
 		count, notified := 0, 0
 		for _, b := range sends[first:] {
 			if b.First >= a.First+time.Duration(s.OverloadDuration) {
@@ -324,13 +337,13 @@
 			}
 		}
 		if float64(count) > capacityLimit && notified*3 > count*2 {
-			j.breach(RuleSlowStart, a.First, "server %d, started at %v, got %d requests within %v, allowed are %.0f", c.Server, c.Since, count, time.Duration(s.OverloadDuration), capacityLimit)
+			j.breach(RuleSlowStart, a.First, "server %d, started at %v, got %d requests within %v, want %.0f at most", c.Server, c.Since, count, time.Duration(s.OverloadDuration), capacityLimit)
 			return
 		}
 	}
 }
 
-// judgeStalls judges clients that stopped in the middle of a request.
+// judgeStalls reports clients that stopped in the middle of a request and were not ended in time.
 func (j *judgement) judgeStalls() {
 	for _, stall := range j.record.Stalls {
 		ended := stall.Finished
@@ -338,27 +351,28 @@
 			ended = j.record.Length
 		}
 		if elapsed := ended - stall.Stopped; elapsed > maxStall+socketSlack+j.record.Lateness {
-			j.breach(RuleStall, ended, "a client of sidecar %d that stopped in the middle of a request was left for %v", stall.Sidecar, elapsed)
+			j.breach(RuleStall, ended, "a client of sidecar %d that stopped in the middle of a request was not ended for %v", stall.Sidecar, elapsed)
 		}
 	}
 }
 
-// judgeProcesses judges readiness and exits of the processes.
+// judgeProcesses reports processes that were not ready in time, exited without a signal or with an
+// error, or logged a panic.
 func (j *judgement) judgeProcesses() {
 	for _, process := range j.record.Processes {
 		until := cmp.Or(process.Signalled, process.Exited, j.record.Length)
 		switch {
 		case process.Ready > 0 && process.Ready-process.Started > maxReady:
-			j.breach(RuleReady, process.Ready, "sidecar %d was ready after %v", process.Sidecar, process.Ready-process.Started)
+			j.breach(RuleReady, process.Ready, "sidecar %d was ready only %v after its start", process.Sidecar, process.Ready-process.Started)
 		case process.Ready == 0 && until-process.Started > maxReady:
 			j.breach(RuleReady, until, "sidecar %d was not ready %v after its start", process.Sidecar, until-process.Started)
 		}
-		bySignal := strings.HasPrefix(process.Exit, "signal: ") // that arrived before the process handled it
+		bySignal := strings.HasPrefix(process.Exit, "signal: ") // no breach: the signal arrived before the process handled signals
 		if process.Exited > 0 && process.Killed == 0 && (process.Signalled == 0 || process.Exit != "" && !bySignal) {
 			j.breach(RuleCrash, process.Exited, "sidecar %d exited: %s", process.Sidecar, cmp.Or(process.Exit, "no signal was sent"))
 		}
 		if process.Panics > 0 {
-			j.breach(RuleCrash, process.Started, "sidecar %d logged %d panics", process.Sidecar, process.Panics)
+			j.breach(RuleCrash, process.Started, "the log of sidecar %d contains %d panics", process.Sidecar, process.Panics)
 		}
 	}
 }
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// sample is a made-up script and a record in which every rule holds.
+// sample returns a made-up script and a record of it that breaks no rule.
 func sample() (*Script, *Record) {
 	script := &Script{
 		Sidecars: 2, Servers: 3, DrainGrace: Span(time.Second),
@@ -29,7 +29,7 @@
 			{ID: "pay1", Class: "pay", Wait: 2 * time.Second, Sent: time.Second, Finished: 1100 * ms, End: EndAnswered, Status: 200, Body: "pay1 by 0"},
 			{ID: "pay2", Class: "pay", Wait: 2 * time.Second, Sent: 2 * time.Second, Finished: 2100 * ms, End: EndAnswered, Status: 503},
 			{ID: "left1", Class: "look", Wait: 2 * time.Second, Sent: 3 * time.Second, Finished: 3200 * ms, End: EndLeft},
-			{ID: "crossed", Class: "look", Wait: 2 * time.Second, Sent: 10010 * ms, Finished: 10020 * ms, End: EndClosed},
+			{ID: "crossed", Class: "look", Wait: 2 * time.Second, Sent: 10010 * ms, Finished: 10020 * ms, End: EndClosed}, // while its process was terminating
 		},
 		Attempts: []Attempt{
 			{ID: "look1", Server: 0, First: 1010 * ms, Last: 1010 * ms, Deadline: 1990 * ms, Answer: "look1 by 0"},
@@ -53,8 +53,9 @@
 	return script, record
 }
 
-// late are requests that the sidecars send to a server in slow start.
-func late(record *Record, sidecar, count int) {
+// addSlowStartRequests adds to a record requests that a sidecar sends to server 1 during its slow
+// start, 1 ms apart.
+func addSlowStartRequests(record *Record, sidecar, count int) {
 	for n := range count {
 		at := 8100*ms + time.Duration(n)*ms
 		id := fmt.Sprint("cold", sidecar, "-", n)
@@ -63,108 +64,112 @@
 	}
 }
 
-// The judge passes a clean record and names each breach of a made-up one.
+// Judge returns no breach of a record without one, and returns each breach that is made up in it.
 func TestJudge(t *testing.T) {
 	script, record := sample()
 	for _, breach := range Judge(script, record) {
-		t.Errorf("a clean record: %v", breach)
+		t.Errorf("Judge() of a record without a breach returned %v", breach)
 	}
 	if served := record.Served(); served != 3 {
-		t.Errorf("%d requests were served of 3", served)
+		t.Errorf("Served() = %d, want 3", served)
 	}
 	for name, test := range map[string]struct {
 		rule   Rule
 		change func(script *Script, record *Record)
 	}{
-		"no answer":              {RuleNoAnswer, func(_ *Script, r *Record) { r.Requests[0].End, r.Requests[0].Status = EndNothing, 0 }},
-		"too late":               {RuleOverdue, func(_ *Script, r *Record) { r.Requests[0].Finished = 3520 * ms }},
-		"another's":              {RuleWrong, func(_ *Script, r *Record) { r.Requests[0].Body = "pay1 by 0" }},
-		"spoilt as whole":        {RuleWrong, func(_ *Script, r *Record) { r.Requests[0].Body = "look1" }},
-		"passed on, then closed": {RuleClosed, func(_ *Script, r *Record) { r.Requests[0].End, r.Requests[0].Status = EndClosed, 0 }},
-		"read on a new connection, then closed": {RuleClosed, func(_ *Script, r *Record) {
+		"request without an answer":                {RuleNoAnswer, func(_ *Script, r *Record) { r.Requests[0].End, r.Requests[0].Status = EndNothing, 0 }},
+		"answer too late":                          {RuleOverdue, func(_ *Script, r *Record) { r.Requests[0].Finished = 3520 * ms }},
+		"answer to another request":                {RuleWrong, func(_ *Script, r *Record) { r.Requests[0].Body = "pay1 by 0" }},
+		"corrupted answer":                         {RuleWrong, func(_ *Script, r *Record) { r.Requests[0].Body = "look1" }},
+		"forwarded, then closed without an answer": {RuleClosed, func(_ *Script, r *Record) { r.Requests[0].End, r.Requests[0].Status = EndClosed, 0 }},
+		"first on its connection, closed without an answer": {RuleClosed, func(_ *Script, r *Record) {
 			r.Requests[0].End, r.Requests[0].Status = EndClosed, 0
 			r.Attempts = r.Attempts[1:]
 		}},
-		"cut short": {RuleTruncated, func(_ *Script, r *Record) { r.Requests[0].End, r.Requests[0].Status = EndTruncated, 0 }},
-		"first attempt after leaving": {RuleLeft, func(_ *Script, r *Record) {
+		"truncated answer": {RuleTruncated, func(_ *Script, r *Record) { r.Requests[0].End, r.Requests[0].Status = EndTruncated, 0 }},
+		"first attempt after the client disconnected": {RuleLeft, func(_ *Script, r *Record) {
 			r.Attempts[6].First, r.Attempts[6].Last, r.Attempts[6].Deadline = 3311*ms, 3311*ms, ms
 		}},
-		"retry after leaving": {RuleLeft, func(_ *Script, r *Record) {
+		"retry after the client disconnected": {RuleLeft, func(_ *Script, r *Record) {
 			r.Attempts = append(r.Attempts, Attempt{ID: "left1", Server: 1, First: 3400 * ms, Last: 3400 * ms})
 		}},
-		"open at the kill": {RuleKill, func(_ *Script, r *Record) {
+		"open at the kill of its process": {RuleKill, func(_ *Script, r *Record) {
 			r.Processes[0].Killed = 10900 * ms
 			r.Requests[5].Finished = 10901 * ms
 			r.Attempts = append(r.Attempts, Attempt{ID: "crossed", Server: 0, First: 10015 * ms, Last: 10015 * ms})
 		}},
-		"crossed and passed on": {RuleClosed, func(_ *Script, r *Record) {
+		"forwarded during the shutdown, then closed without an answer": {RuleClosed, func(_ *Script, r *Record) {
 			r.Attempts = append(r.Attempts, Attempt{ID: "crossed", Server: 0, First: 10015 * ms, Last: 10015 * ms})
 		}},
-		"unsafe twice": {RuleDuplicate, func(_ *Script, r *Record) { r.Attempts[3].Rejected = false }},
-		"keyed outside its window": {RuleDuplicate, func(_ *Script, r *Record) {
+		"non-idempotent request run twice": {RuleDuplicate, func(_ *Script, r *Record) { r.Attempts[3].Rejected = false }},
+		"keyed request repeated after its window": {RuleDuplicate, func(_ *Script, r *Record) {
 			r.Requests[1].Finished = 1700 * ms
 			r.Attempts[2].First, r.Attempts[2].Last, r.Attempts[2].Deadline = 1571*ms, 1571*ms, 1400*ms
 		}},
-		"refused though it ran": {RuleRejected, func(_ *Script, r *Record) { r.Attempts[5].Rejected = false }},
-		"sent to one that drains": {RuleDrain, func(_ *Script, r *Record) {
+		"rejected although it may have run": {RuleRejected, func(_ *Script, r *Record) { r.Attempts[5].Rejected = false }},
+		"sent to a draining server": {RuleDrain, func(_ *Script, r *Record) {
 			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Sent: 6170 * ms, Finished: 6200 * ms, End: EndAnswered, Status: 200, Body: "d"})
 			r.Attempts = append(r.Attempts, Attempt{ID: "d", Server: 2, First: 6171 * ms, Last: 6171 * ms, Answer: "d"})
 		}},
-		"not told in time": {RuleLateNotification, func(_ *Script, r *Record) {
+		"sent to a draining server, never notified": {RuleLateNotification, func(_ *Script, r *Record) {
 			r.Notifications = r.Notifications[1:]
 			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Sent: 12071 * ms, Finished: 12200 * ms, End: EndAnswered, Status: 200, Body: "d"})
 			r.Attempts = append(r.Attempts, Attempt{ID: "d", Server: 2, First: 12071 * ms, Last: 12071 * ms, Answer: "d"})
 		}},
-		"slow start, the sum of two":    {RuleSlowStart, func(_ *Script, r *Record) { late(r, 0, 24); late(r, 1, 24) }},
-		"too long a deadline passed on": {RuleDeadline, func(_ *Script, r *Record) { r.Attempts[0].Deadline = 2151 * ms }},
-		"half a request":                {RuleStall, func(_ *Script, r *Record) { r.Stalls[0].Finished = 5061 * ms }},
-		"half a request, never ended":   {RuleStall, func(_ *Script, r *Record) { r.Stalls[0].Finished = 0 }},
-		"ready late":                    {RuleReady, func(_ *Script, r *Record) { r.Processes[2].Ready = 10001 * ms }},
-		"never ready":                   {RuleReady, func(_ *Script, r *Record) { r.Processes[2].Ready = 0 }},
-		"ended by itself":               {RuleCrash, func(_ *Script, r *Record) { r.Processes[2].Exited = 5 * time.Second }},
-		"ended badly when told to":      {RuleCrash, func(_ *Script, r *Record) { r.Processes[0].Exit = "exit status 2" }},
-		"a panic":                       {RuleCrash, func(_ *Script, r *Record) { r.Processes[2].Panics = 1 }},
+		"overload in slow start by two sidecars together": {RuleSlowStart, func(_ *Script, r *Record) { addSlowStartRequests(r, 0, 24); addSlowStartRequests(r, 1, 24) }},
+		"forwarded deadline too long":                     {RuleDeadline, func(_ *Script, r *Record) { r.Attempts[0].Deadline = 2151 * ms }},
+		"stalled client ended too late":                   {RuleStall, func(_ *Script, r *Record) { r.Stalls[0].Finished = 5061 * ms }},
+		"stalled client never ended":                      {RuleStall, func(_ *Script, r *Record) { r.Stalls[0].Finished = 0 }},
+		"ready too late":                                  {RuleReady, func(_ *Script, r *Record) { r.Processes[2].Ready = 10001 * ms }},
+		"never ready":                                     {RuleReady, func(_ *Script, r *Record) { r.Processes[2].Ready = 0 }},
+		"exit without a signal":                           {RuleCrash, func(_ *Script, r *Record) { r.Processes[2].Exited = 5 * time.Second }},
+		"exit with an error after a signal":               {RuleCrash, func(_ *Script, r *Record) { r.Processes[0].Exit = "exit status 2" }},
+		"panic in the log":                                {RuleCrash, func(_ *Script, r *Record) { r.Processes[2].Panics = 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			script, record := sample()
 			test.change(script, record)
 			breaches := Judge(script, record)
 			if !slices.ContainsFunc(breaches, func(b Breach) bool { return b.Rule == test.rule }) {
-				t.Errorf("the judge does not see %q: %v", test.rule, breaches)
+				t.Errorf("Judge() = %v, want a breach of %q", breaches, test.rule)
 			}
 			for _, breach := range breaches {
 				if breach.Rule != test.rule {
-					t.Errorf("the judge sees more than there is: %v", breach)
+					t.Errorf("Judge() returned %v, want only breaches of %q", breach, test.rule)
 				}
 			}
 		})
 	}
-	within := map[string]func(*Script, *Record){
-		"slow start, one sidecar not told": func(_ *Script, r *Record) { r.Notifications = r.Notifications[:2]; late(r, 0, 24); late(r, 1, 24) },
-		"slow start, as much as it bears":  func(_ *Script, r *Record) { late(r, 0, 20); late(r, 1, 20) },
-		"closed with the process before": func(_ *Script, r *Record) {
+	withoutBreach := map[string]func(*Script, *Record){
+		"overload in slow start, one of two sidecars not notified": func(_ *Script, r *Record) {
+			r.Notifications = r.Notifications[:2]
+			addSlowStartRequests(r, 0, 24)
+			addSlowStartRequests(r, 1, 24)
+		},
+		"slow start within the capacity": func(_ *Script, r *Record) { addSlowStartRequests(r, 0, 20); addSlowStartRequests(r, 1, 20) },
+		"closed with the connections of the previous process": func(_ *Script, r *Record) {
 			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Dialed: 10900 * ms, Sent: 11150 * ms, Finished: 11160 * ms, End: EndClosed, FirstOn: true})
 		},
-		"cut short by the server": func(_ *Script, r *Record) {
+		"answer truncated by the server": func(_ *Script, r *Record) {
 			r.Requests[0].End, r.Requests[0].Status = EndTruncated, 0
 			r.Attempts[0].Truncated = true
 		},
-		"another's, by a server not yet known to answer twice": func(_ *Script, r *Record) {
+		"duplicate answer by a server not yet known to send duplicates": func(_ *Script, r *Record) {
 			r.Requests[0].Body, r.Attempts[4].Repeated, r.Attempts[6].Repeated = "pay1 by 0", 1085*ms, 3100*ms
 		},
-		"late within the rule": func(_ *Script, r *Record) { r.Requests[0].Finished = 3500 * ms },
-		"told after an outage": func(_ *Script, r *Record) {
+		"answer late within the allowance": func(_ *Script, r *Record) { r.Requests[0].Finished = 3500 * ms },
+		"sent to a draining server that could not be notified during an outage": func(_ *Script, r *Record) {
 			r.Notifications, r.Outages = r.Notifications[1:], []Outage{{4 * time.Second, 9 * time.Second}}
 			r.Requests = append(r.Requests, Request{ID: "d", Class: "look", Wait: 2 * time.Second, Sent: 14 * time.Second, Finished: 14200 * ms, End: EndAnswered, Status: 200, Body: "d"})
 			r.Attempts = append(r.Attempts, Attempt{ID: "d", Server: 2, First: 14010 * ms, Last: 14010 * ms, Answer: "d"})
 		},
 	}
-	for name, change := range within {
+	for name, change := range withoutBreach {
 		t.Run(name, func(t *testing.T) {
 			script, record := sample()
 			change(script, record)
 			for _, breach := range Judge(script, record) {
-				t.Error(breach)
+				t.Errorf("Judge() returned %v, want no breach", breach)
 			}
 		})
 	}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// healthInterval is how often a starting process is checked for readiness.
+	// healthInterval is the time between two health checks of a starting process.
 	healthInterval = 5 * time.Millisecond
 	// healthTimeout bounds one health check.
 	healthTimeout = 500 * time.Millisecond
-	// stallRest is how long a process runs at least between two stalls.
-	stallRest = 250 * time.Millisecond
-	// maxLog bounds the bytes that are retained of a sidecar's log.
+	// minPauseGap is how long a process runs at least between two pauses.
+	minPauseGap = 250 * time.Millisecond
+	// maxLog bounds the bytes of a sidecar's log that are retained.
 	maxLog = 8 << 20
 )
 
-// logBuffer holds the log of all processes of a sidecar.
+// logBuffer holds the log of all processes of a sidecar, up to maxLog bytes.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. It discards what exceeds the maximum.
 func (b *logBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,41 +51,44 @@
 	return b.text.String()
 }
 
-// sidecar is one sidecar through all of its processes.
+// sidecar is one sidecar of a run. Its processes succeed each other.
 type sidecar struct {
 	number    int
-	program   string
-	seams     string // for a program that is built to break a rule; empty: none
-	directory string
-	address   string
-	discovery string
+	program   string // path
+	seams     string // makes a program that is built with seams break a rule; empty: none
+	directory string // for its configuration and temporary files
+	address   string // at which it listens
+	discovery string // address of the discovery for this sidecar
 	script    *Script
 	recorder  *recorder
 	log       logBuffer
 
-	mu           sync.Mutex // held over each change of process or configuration
+	mu           sync.Mutex // held while the process or the configuration is changed
 	process      *exec.Cmd
-	processIndex int           // of the process, in the record
-	exited       chan struct{} // closed at the process's end
-	classes      []Class       // with the deadlines of the configuration file
-	stopping     bool
+	processIndex int           // index of the process in the record
+	exited       chan struct{} // closed when the process has exited
+	classes      []Class       // with the deadlines that are in the configuration file
+	stopping     bool          // stopOnce has not yet started the next process
 
-	nextStall time.Time // when it may be stalled again
+	nextPause time.Time // the earliest time of the next pause
 }
 
-// freeAddress returns an address at which nobody listens, on an IP of the caller's own.
+// freeAddress returns a free port of an IP address. No other process may use the IP address, or it
+// could take the port.
 func freeAddress(host string) (string, error) {
 	listener, err := net.Listen("tcp", host+":0")
 	if err != nil {
-		return "", fmt.Errorf("soak: %w", err)
+		return "", fmt.Errorf("soak: find a free port: %w", err)
 	}
 	defer listener.Close()
 	return listener.Addr().String(), nil
 }
 
+// configPath returns the path of the configuration file.
 func (s *sidecar) configPath() string { return filepath.Join(s.directory, "config.json") }
 
-// configure writes the complete configuration file, with deadlines scaled by factor.
+// configure replaces the configuration file by a complete new one, with the script's deadlines
+// multiplied by factor.
 func (s *sidecar) configure(factor float64) error {
 	type class struct {
 		Name           string      `json:"name"`
@@ -121,20 +124,21 @@
 		},
 	})
 	if err != nil {
-		return fmt.Errorf("soak: configuration: %w", err)
+		return fmt.Errorf("soak: encode configuration: %w", err)
 	}
 	next := s.configPath() + ".next"
 	if err := os.WriteFile(next, text, 0o600); err != nil {
-		return fmt.Errorf("soak: configuration: %w", err)
+		return fmt.Errorf("soak: write configuration: %w", err)
 	}
 	return os.Rename(next, s.configPath())
 }
 
-// start starts a process and, in the background, notes when it is ready. The lock is held.
+// start starts a process. In the background, it records when the process is ready and when it
+// exits. The caller holds s.mu.
 func (s *sidecar) start(ctx context.Context) error {
-	temporary, err := os.MkdirTemp(s.directory, "tmp") // empty at each start, as on the platform
+	temporary, err := os.MkdirTemp(s.directory, "tmp") // empty at each start, as in production
 	if err != nil {
-		return fmt.Errorf("soak: %w", err)
+		return fmt.Errorf("soak: create temporary folder: %w", err)
 	}
 	process := exec.Command(s.program)
 	process.Env = append(os.Environ(), "TMPDIR="+temporary, "BALANCER_CONFIG="+s.configPath(), "BALANCER_LISTEN="+s.address,
@@ -143,11 +147,11 @@
 	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := s.recorder.now()
 	if err := process.Start(); err != nil {
-		return fmt.Errorf("soak: sidecar: %w", err)
+		return fmt.Errorf("soak: start sidecar: %w", err)
 	}
 	limit := unix.Rlimit{Cur: uint64(s.script.Sockets), Max: uint64(s.script.Sockets)}
 	if err := unix.Prlimit(process.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
-		return fmt.Errorf("soak: limit of descriptors: %w", err)
+		return fmt.Errorf("soak: set the limit of file descriptors: %w", err)
 	}
 	index, ended := 0, make(chan struct{})
 	s.recorder.do(func(record *Record) {
@@ -157,32 +161,33 @@
 	s.process, s.processIndex, s.exited, s.stopping = process, index, ended, false
 	go func() {
 		err := process.Wait()
-		s.note(index, func(l *Process) {
-			l.Exited = s.recorder.now()
-			if err != nil && l.Killed == 0 {
-				l.Exit = err.Error()
+		s.updateProcess(index, func(p *Process) {
+			p.Exited = s.recorder.now()
+			if err != nil && p.Killed == 0 {
+				p.Exit = err.Error()
 			}
 		})
 		close(ended)
 	}()
-	go s.noteReady(ctx, index, ended)
+	go s.recordReady(ctx, index, ended)
 	return nil
 }
 
-// note changes what is recorded of a process.
-func (s *sidecar) note(index int, change func(*Process)) {
+// updateProcess changes the record of a process.
+func (s *sidecar) updateProcess(index int, change func(*Process)) {
 	s.recorder.do(func(record *Record) { change(&record.Processes[index]) })
 }
 
-// noteReady checks a process until it is ready, and records when.
-func (s *sidecar) noteReady(ctx context.Context, index int, ended <-chan struct{}) {
+// recordReady checks the health of a process until it is ready, and records when that is. It stops
+// when the process or the context ends.
+func (s *sidecar) recordReady(ctx context.Context, index int, ended <-chan struct{}) {
 	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		response, err := client.Get("http://" + s.address + "/_health")
 		if err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				s.note(index, func(l *Process) { l.Ready = s.recorder.now() })
+				s.updateProcess(index, func(p *Process) { p.Ready = s.recorder.now() })
 				return
 			}
 		}
@@ -196,9 +201,10 @@
 	}
 }
 
+// signalsByName are the signals that scripts can name.
 var signalsByName = map[string]syscall.Signal{"TERM": syscall.SIGTERM, "INT": syscall.SIGINT, "HUP": syscall.SIGHUP}
 
-// stop stops the process, and its successor as well if the event says so.
+// stop stops the process of a stop event, and after e.Again, unless it is 0, its successor as well.
 func (s *sidecar) stop(ctx context.Context, e *Event) error {
 	if err := s.stopOnce(ctx, e); err != nil || e.Again == 0 {
 		return err
@@ -207,8 +213,9 @@
 	return s.stopOnce(ctx, e)
 }
 
-// stopOnce sends a series of signals, kills the process at the earliest time allowed unless it
-// has exited, and starts the next one at once.
+// stopOnce sends the process the signals of a stop event and waits until it exits. At the earliest
+// time at which a supervisor may do so, it kills the process. Then it starts the next one at once,
+// unless the context has ended. It does nothing if the process is already being stopped.
 func (s *sidecar) stopOnce(ctx context.Context, e *Event) error {
 	s.mu.Lock()
 	if s.stopping {
@@ -228,7 +235,7 @@
 	for _, name := range e.Signals {
 		if name != "HUP" && signalledAt.IsZero() {
 			signalledAt = time.Now()
-			s.note(index, func(l *Process) { l.Signalled = s.recorder.now() })
+			s.updateProcess(index, func(p *Process) { p.Signalled = s.recorder.now() })
 		}
 		process.Process.Signal(signalsByName[name])
 		time.Sleep(time.Duration(e.Gap))
@@ -236,7 +243,7 @@
 	select {
 	case <-ended:
 	case <-time.After(time.Until(signalledAt.Add(EarliestKill(longest)))):
-		s.note(index, func(l *Process) { l.Killed = s.recorder.now() })
+		s.updateProcess(index, func(p *Process) { p.Killed = s.recorder.now() })
 		process.Process.Kill()
 		<-ended
 	}
@@ -248,7 +255,8 @@
 	return s.start(ctx)
 }
 
-// reload writes deadlines scaled by a factor and has the process read them.
+// reload multiplies the script's deadlines by a factor in the configuration file, and signals the
+// process to read it. It does nothing while the process is being stopped.
 func (s *sidecar) reload(factor float64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -261,24 +269,24 @@
 	return s.process.Process.Signal(syscall.SIGHUP)
 }
 
-// stall stops the process for a time, unless it was stalled a moment ago: two stalls in a row
-// would be one that is longer than the rules allow for.
-func (s *sidecar) stall(limit time.Duration) {
+// pause stops the process by SIGSTOP for a time. It does nothing if the previous pause ended less
+// than minPauseGap ago: two pauses in a row would act as one that is longer than the rules allow.
+func (s *sidecar) pause(limit time.Duration) {
 	s.mu.Lock()
 	process := s.process
 	now := time.Now()
-	if now.Before(s.nextStall) {
+	if now.Before(s.nextPause) {
 		s.mu.Unlock()
 		return
 	}
-	s.nextStall = now.Add(limit + stallRest)
+	s.nextPause = now.Add(limit + minPauseGap)
 	s.mu.Unlock()
 	process.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(limit)
 	process.Process.Signal(syscall.SIGCONT)
 }
 
-// kill ends the process at the end of the day.
+// kill kills the process at the end of the run and waits until it has exited.
 func (s *sidecar) kill() {
 	s.mu.Lock()
 	process, ended := s.process, s.exited
@@ -286,9 +294,9 @@
 	if process == nil {
 		return
 	}
-	s.note(s.processIndex, func(l *Process) {
-		if l.Exited == 0 && l.Killed == 0 {
-			l.Killed = s.recorder.now()
+	s.updateProcess(s.processIndex, func(p *Process) {
+		if p.Exited == 0 && p.Killed == 0 {
+			p.Killed = s.recorder.now()
 		}
 	})
 	process.Process.Kill()
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -5,66 +5,66 @@
 	"time"
 )
 
-// All times of a Record are since its world's start, on a monotonic clock.
+// All times of a Record are durations since the start of the run, on a monotonic clock.
 
-// Ways in which a client's request ended.
+// Ways in which a request can end for its client.
 const (
 	EndAnswered  = "answered"  // a complete answer arrived
-	EndClosed    = "closed"    // the connection ended before the first byte of an answer
-	EndTruncated = "truncated" // the connection ended in the middle of an answer
-	EndNothing   = "nothing"   // the client waited to the end of its patience
-	EndLeft      = "left"      // the client closed its connection
+	EndClosed    = "closed"    // the connection was closed before the first byte of an answer
+	EndTruncated = "truncated" // the connection was closed in the middle of an answer, or the answer did not end in time
+	EndNothing   = "nothing"   // no byte of an answer arrived until answerGrace after the deadline
+	EndLeft      = "left"      // the client closed its connection before an answer, or the run ended
 )
 
 // Request is what a client recorded of a request.
 type Request struct {
 	ID       string
-	Sidecar  int
+	Sidecar  int // number of the sidecar it was sent to
 	Class    string
-	Key      string
-	Wait     time.Duration // how long the client said it would wait
+	Key      string        // idempotency key; empty: none
+	Wait     time.Duration // the deadline that the client stated, from the time of sending
 	Dialed   time.Duration // when its connection was opened
 	Sent     time.Duration // when its last byte had been written
-	Finished time.Duration
-	End      string
-	Status   int
-	Body     string
-	FirstOn  bool // the first request on its connection
+	Finished time.Duration // when the client got its answer or stopped waiting
+	End      string        // one of the End constants
+	Status   int           // of the answer; 0: no complete answer
+	Body     string        // of the answer
+	FirstOn  bool          // the first request on its connection
 }
 
-// Attempt is what a server recorded of a request that came to it.
+// Attempt is what a server recorded of a request that it received: one attempt of a sidecar.
 type Attempt struct {
-	ID        string
+	ID        string // of the Request
 	Server    int
-	Key       string
-	First     time.Duration // its first byte
-	Last      time.Duration // its last byte; 0: it never came
-	Deadline  time.Duration // what it said it would wait
-	Rejected  bool          // rejected, known not to have run
-	Answer    string        // the body that the server meant to send; empty: none
+	Key       string        // idempotency key; empty: none
+	First     time.Duration // when its first byte arrived
+	Last      time.Duration // when its last byte arrived; 0: it never did
+	Deadline  time.Duration // the deadline stated in it; 0: none
+	Rejected  bool          // the server rejected it without running it
+	Answer    string        // the body that the server was to send; empty: none
 	Truncated bool          // the answer was not sent completely
-	Repeated  time.Duration // when the answer was sent a second time; 0: it was not
+	Repeated  time.Duration // when the answer was sent a second time; 0: never
 }
 
-// ListState is the state of a server on the list.
+// ListState is the state of a server on discovery's list.
 type ListState string
 
-// The states of a server on the list.
+// States of a server on discovery's list.
 const (
 	Up       ListState = "up"
 	Draining ListState = "draining"
 	Removed  ListState = "removed"
 )
 
-// Change is a change of the list, as discovery has it.
+// Change is a change of a server's state on discovery's list.
 type Change struct {
 	At     time.Duration
 	Server int
 	State  ListState
-	Since  time.Duration // when the server started, for Up; 0: long ago
+	Since  time.Duration // when the server started, for Up; 0: before the run
 }
 
-// Notification is a server's state as discovery wrote it to a sidecar.
+// Notification is what discovery sent to a sidecar about one server.
 type Notification struct {
 	At      time.Duration
 	Sidecar int
@@ -73,30 +73,30 @@
 	Since   time.Duration
 }
 
-// Process is one process of a sidecar.
+// Process is what was recorded of one process of a sidecar.
 type Process struct {
 	Sidecar   int
 	Started   time.Duration
-	Ready     time.Duration // 0: never
-	Signalled time.Duration // the first signal to terminate; 0: none
-	Exited    time.Duration // 0: it ran to the end of the day
-	Killed    time.Duration // when it was killed; 0: it was not
-	Exit      string        // how it exited, empty: with success
-	Panics    int           // in its log
+	Ready     time.Duration // when its health check first succeeded; 0: never
+	Signalled time.Duration // when the first signal to terminate was sent; 0: none was
+	Exited    time.Duration // 0: it ran until the end of the run
+	Killed    time.Duration // when it was killed; 0: never
+	Exit      string        // the error or signal with which it exited; empty: success, or it was killed
+	Panics    int           // number of panics in the sidecar's log
 }
 
-// Stall is a client that stopped in the middle of a request and stayed.
+// Stall is a client's connection on which it stopped in the middle of a request and then waited.
 type Stall struct {
 	Sidecar  int
 	Stopped  time.Duration
-	Finished time.Duration // when it got its error or close; 0: never
+	Finished time.Duration // when it got an error or was closed; 0: never
 }
 
-// Outage is a time in which discovery sent no changes.
+// Outage is a time in which discovery was in a mode other than DiscoveryServes.
 type Outage struct{ From, To time.Duration }
 
-// Served returns the number of requests that were served. A script may be drawn with which
-// none can be; over many scripts that must be rare.
+// Served returns the number of requests that were answered with status 200. There may be scripts
+// whose faults let no request succeed; among many scripts these must be rare.
 func (r *Record) Served() (served int) {
 	for _, request := range r.Requests {
 		if request.Status == http.StatusOK {
@@ -106,9 +106,9 @@
 	return served
 }
 
-// Record is everything that was recorded in a run.
+// Record is everything that was recorded in a run, for Judge.
 type Record struct {
-	Length        time.Duration
+	Length        time.Duration // of the run
 	Requests      []Request
 	Attempts      []Attempt
 	Changes       []Change
@@ -116,5 +116,5 @@
 	Processes     []Process
 	Stalls        []Stall
 	Outages       []Outage
-	Lateness      time.Duration // how late the recorders' own timers ran at most
+	Lateness      time.Duration // the maximum by which the recorded times may be late
 }
--- a/internal/soak/recorder.go
+++ b/internal/soak/recorder.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// recorder collects a Record. Its methods may be called from any goroutine.
+// recorder collects a Record during a run. Its methods may be called concurrently.
 type recorder struct {
-	start time.Time
+	start time.Time // of the run
 
 	mu     sync.Mutex
 	record Record
 }
 
+// newRecorder returns a recorder for a run that starts now.
 func newRecorder() *recorder { return &recorder{start: time.Now()} }
 
-// now is the time since the start, on the monotonic clock.
+// now returns the time since the start, on the monotonic clock.
 func (r *recorder) now() time.Duration { return time.Since(r.start) }
 
-// do changes the record under the lock.
+// do calls change with the record while the lock is held.
 func (r *recorder) do(change func(*Record)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.record)
 }
 
-// finish returns a copy of what has been recorded.
+// finish returns a copy of the record, with the time until now as its length.
 func (r *recorder) finish() *Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,15 +45,17 @@
 }
 
 const (
-	latenessProbe = 2 * time.Millisecond
-	// latenessFloor is how late the recorders may be without the probe's notice.
+	// latenessInterval is the interval of the timer by which lateness is measured.
+	latenessInterval = 2 * time.Millisecond
+	// latenessFloor is the lateness of recorded times that the timer may fail to show.
 	latenessFloor = 10 * time.Millisecond
 )
 
-// measureLateness records, until the context ends, by how much this process's own timers
-// run late at most: what it records may be late by as much.
+// measureLateness measures, until the context ends, the maximum by which a timer of this process
+// fires late: recorded times may be late by as much. At the end it records that maximum plus
+// latenessFloor.
 func (r *recorder) measureLateness(ctx context.Context) {
-	ticker := time.NewTicker(latenessProbe)
+	ticker := time.NewTicker(latenessInterval)
 	defer ticker.Stop()
 	worst, last := time.Duration(0), time.Now()
 	for {
@@ -63,6 +66,6 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		worst, last = max(worst, now.Sub(last)-latenessProbe), now
+		worst, last = max(worst, now.Sub(last)-latenessInterval), now
 	}
 }
--- a/internal/soak/script.go
+++ b/internal/soak/script.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Span is a time.Duration that prints as text in a script.
+// Span is a time.Duration that is printed as text in a script, such as "1.5s".
 type Span time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -22,125 +22,129 @@
 	return err
 }
 
-// Idempotency is what repeating a request does, as in a sidecar's settings.
+// Idempotency says whether a request may be repeated, with the values of a sidecar's settings.
 type Idempotency string
 
-// The values.
+// Values of Idempotency.
 const (
-	Idempotent       Idempotency = "repeatable"
-	IdempotencyKeyed Idempotency = "by_key"
-	NonIdempotent    Idempotency = "once"
+	Idempotent       Idempotency = "repeatable" // may be repeated at any time
+	IdempotencyKeyed Idempotency = "by_key"     // may be repeated with its key within Class.DedupWindow
+	NonIdempotent    Idempotency = "once"       // must not run twice
 )
 
 // Class is a class of requests.
 type Class struct {
 	Name        string      `json:"Name"`
 	Idempotency Idempotency `json:"Effect"`
-	Deadline    Span        `json:"Deadline"` // how long a client waits at most
+	Deadline    Span        `json:"Deadline"` // how long a client waits for an answer; short-deadline requests have a lower one
 	DedupWindow Span        `json:"Window"`   // within which a keyed request may be repeated
 }
 
-// Server modes. What a server does with its requests while it is in a mode.
+// Server modes: what a server does with its connections and requests while it is in the mode.
 const (
-	ModeAnswer        = "answer"         // the usual one
-	ModeHang          = "hang"           // takes requests and never answers
-	ModeSilent        = "silent"         // reads nothing; resets what is open at the end
-	ModeDown          = "down"           // refuses connections, resets what is open
-	ModeSlow          = "late"           // answers after a delay
-	ModeFail          = "fail"           // 500
-	ModeDecline       = "decline"        // rejects requests
-	ModeResetBefore   = "reset-before"   // resets at a request's first byte
-	ModeResetWithin   = "reset-within"   // resets in the middle of an answer
+	ModeAnswer        = "answer"         // answers each request; the default
+	ModeHang          = "hang"           // reads requests and does not answer; resets their connections at the end of the mode
+	ModeSilent        = "silent"         // reads nothing; resets all open connections at the end of the mode
+	ModeDown          = "down"           // refuses connections, and resets all open ones
+	ModeSlow          = "late"           // answers slowDelay later
+	ModeFail          = "fail"           // answers with status 500
+	ModeDecline       = "decline"        // rejects requests with status 503 and Srv-Declined
+	ModeResetBefore   = "reset-before"   // resets the connection at a request's first byte
+	ModeResetWithin   = "reset-within"   // resets the connection in the middle of an answer
 	ModeResetAfter    = "reset-after"    // answers, then resets the connection
-	ModeNoLength      = "no-length"      // answers without a length
-	ModeDuplicate     = "twice"          // answers twice, the second time after a delay
-	ModeEndless       = "endless"        // begins an answer and never ends it
-	ModeResetRequests = "reset-requests" // reads a complete request, then resets
-	ModeIdleClose     = "idle-close"     // closes a connection a moment after its answer
-	ModeForget        = "forget"         // reads nothing more of a connection after an answer
+	ModeNoLength      = "no-length"      // answers without a length, and closes the connection
+	ModeDuplicate     = "twice"          // answers twice, the second time duplicateDelay later
+	ModeEndless       = "endless"        // begins an answer; resets the connection at the end of the mode
+	ModeResetRequests = "reset-requests" // reads a complete request, then resets the connection
+	ModeIdleClose     = "idle-close"     // closes the connection truncationDelay after an answer
+	ModeForget        = "forget"         // after an answer reads nothing more of the connection; resets it at the end of the mode
 )
 
+// serverModes are the modes that Generate chooses from with equal probability. ModeHang counts three
+// times.
 var serverModes = []string{ModeHang, ModeHang, ModeHang, ModeSilent, ModeDown, ModeSlow, ModeFail, ModeDecline,
 	ModeResetBefore, ModeResetWithin, ModeResetAfter, ModeNoLength, ModeDuplicate, ModeEndless, ModeResetRequests,
 	ModeIdleClose, ModeForget}
 
-// Discovery modes.
+// Discovery modes: what discovery does with the calls of sidecars while it is in the mode.
 const (
-	DiscoveryServes      = "serves"
-	DiscoveryUnavailable = "away"   // rejects calls, watches end
-	DiscoverySilent      = "silent" // sends nothing more, and answers no call
-	DiscoverySlow        = "slow"   // answers calls late
+	DiscoveryServes      = "serves" // answers calls and sends changes; the default
+	DiscoveryUnavailable = "away"   // answers calls with status 503, and ends watches
+	DiscoverySilent      = "silent" // answers no call, and sends nothing more on open watches
+	DiscoverySlow        = "slow"   // answers calls slowCallDelay later
 )
 
+// discoveryModes are the modes that Generate chooses from.
 var discoveryModes = []string{DiscoveryUnavailable, DiscoverySilent, DiscoverySlow}
 
-// Kinds of events.
+// Kinds of events. Each comment first names the fields of Event that the kind uses.
 const (
-	EventServerMode    = "server-mode"    // Targets, Mode, For
-	EventServerDrain   = "server-drain"   // Targets
-	EventServerRemove  = "server-remove"  // Targets: removed from the list, and down
-	EventServerReturn  = "server-return"  // Targets: up again under the same name, in slow start
-	EventServerReset   = "server-reset"   // Targets: resets every open connection
-	EventDiscoveryMode = "discovery-mode" // Mode, For
-	EventStop          = "stop"           // Targets, Signals, Gap: kill at the earliest, restart at once
-	EventReload        = "reload"         // Targets, Factor: the deadlines are scaled by it
-	EventHold          = "hold"           // Targets, For: the process is stalled
+	EventServerMode    = "server-mode"    // Targets, Mode, For: the servers are in a mode for a time
+	EventServerDrain   = "server-drain"   // Targets: the servers are listed as draining
+	EventServerRemove  = "server-remove"  // Targets: the servers are removed from the list, and down
+	EventServerReturn  = "server-return"  // Targets: the servers are listed as up again under their names, in slow start
+	EventServerReset   = "server-reset"   // Targets: the servers reset all open connections
+	EventDiscoveryMode = "discovery-mode" // Mode, For: discovery is in a mode for a time
+	EventStop          = "stop"           // Targets, Signals, Gap, Again, Factor: the sidecars are stopped, killed at the earliest time allowed, and restarted at once
+	EventReload        = "reload"         // Targets, Factor: the sidecars reload deadlines multiplied by the factor
+	EventPause         = "hold"           // Targets, For: the sidecars' processes are stopped by SIGSTOP for a time
 )
 
-// Event is something that happens during a script.
+// Event is a fault or signal during a run.
 type Event struct {
-	At      Span     `json:"At"`
-	Kind    string   `json:"Kind"`
-	Targets []int    `json:",omitempty"` // of sidecars or servers, from 0
-	Mode    string   `json:",omitempty"`
-	For     Span     `json:",omitempty"`
-	Signals []string `json:",omitempty"`
-	Gap     Span     `json:",omitempty"` // between signals
-	Again   Span     `json:",omitempty"` // after the next process has started, it is stopped as well; 0: not
-	Factor  float64  `json:",omitempty"` // of the deadlines, also just before a stop; 0: as they are
+	At      Span     `json:"At"`         // since the clients' start
+	Kind    string   `json:"Kind"`       // one of the Event constants
+	Targets []int    `json:",omitempty"` // numbers of sidecars or servers, from 0
+	Mode    string   `json:",omitempty"` // a server or discovery mode
+	For     Span     `json:",omitempty"` // how long the event lasts
+	Signals []string `json:",omitempty"` // keys of signalsByName, in the order of sending
+	Gap     Span     `json:",omitempty"` // between two signals
+	Again   Span     `json:",omitempty"` // how long after its start the next process is stopped as well; 0: it is not stopped
+	Factor  float64  `json:",omitempty"` // multiplies the deadlines, in a stop just before its signals; 0: they stay as they are
 }
 
-// Script is a deployment and the events of its day.
+// Script describes a deployment, its clients, and the events of a run. Parse reads what String
+// returns.
 type Script struct {
 	Seed     uint64 `json:"Seed"`
 	Length   Span   `json:"Length"`
-	Sidecars int    `json:"Sidecars"`
-	Servers  int    `json:"Servers"`
+	Sidecars int    `json:"Sidecars"` // number of sidecars
+	Servers  int    `json:"Servers"`  // number of servers
 
-	PollsDiscovery bool    `json:"Asked"`      // discovery is polled; else lists are pushed
+	PollsDiscovery bool    `json:"Asked"`      // the sidecars poll discovery; otherwise it pushes lists
 	CompleteLists  bool    `json:"WholeLists"` // each change is sent as a complete list, without draining servers
-	DrainGrace     Span    `json:"DrainGrace"`
+	DrainGrace     Span    `json:"DrainGrace"` // how long after the notification a draining server may get requests
 	Classes        []Class `json:"Classes"`
-	Attempts       int     `json:"Attempts"`
-	Hedging        bool    `json:"Copies"` // hedged requests are allowed
-	Sockets        int     `json:"Sockets"`
-
-	Workers           int     `json:"Workers"` // of a server
-	Work              Span    `json:"Work"`    // of a request at a warm server
-	Queue             int     `json:"Queue"`
-	SlowStartFraction float64 `json:"ColdFrom"` // fraction of its capacity that a server has right after its start
-	SlowStartDuration Span    `json:"ColdFor"`
-	OverloadFactor    float64 `json:"FallsAt"` // multiple of its capacity that overloads a server in slow start
-	OverloadDuration  Span    `json:"FallsOver"`
-
-	Clients           int     `json:"Clients"`   // of each sidecar, that send one request after another
-	ThinkTime         Span    `json:"Pause"`     // mean time between a client's requests
-	DisconnectRate    float64 `json:"Leaving"`   // fraction of requests whose client disconnects early
-	ShortDeadlineRate float64 `json:"Impatient"` // fraction of requests with a short deadline
-	Stalling          int     `json:"Stalling"`  // clients of each sidecar that stop in the middle of a request and stay
-	Slow              int     `json:"Slow"`      // clients of each sidecar that write slowly
-	IdleConnections   int     `json:"Crowd"`     // idle connections to each sidecar
-	ShortDeadline     Span    `json:"ImpatientFor"`
-	QuietUntil        Span    `json:"QuietUntil"` // when the clients begin
-	MaxBody           int     `json:"BodyMost"`   // bytes of a request's body, at most
-	MaxAnswer         int     `json:"AnswerMost"` // bytes added to an answer, at most
-	Events            []Event `json:"Events"`
+	Attempts       int     `json:"Attempts"` // maximum number of attempts of a request
+	Hedging        bool    `json:"Copies"`   // hedged requests are allowed
+	Sockets        int     `json:"Sockets"`  // limit of open file descriptors of a sidecar
+
+	Workers           int     `json:"Workers"`   // requests that a server works on at once
+	Work              Span    `json:"Work"`      // time that a request takes at a server after its slow start
+	Queue             int     `json:"Queue"`     // requests that wait at a server at most
+	SlowStartFraction float64 `json:"ColdFrom"`  // fraction of its capacity that a server has right after its start
+	SlowStartDuration Span    `json:"ColdFor"`   // after which a server has its full capacity
+	OverloadFactor    float64 `json:"FallsAt"`   // multiple of its capacity that overloads a server in slow start
+	OverloadDuration  Span    `json:"FallsOver"` // over which the overload is counted
+
+	Clients           int     `json:"Clients"`      // clients of each sidecar that send one request after another
+	ThinkTime         Span    `json:"Pause"`        // mean time between a client's requests
+	DisconnectRate    float64 `json:"Leaving"`      // fraction of requests whose client disconnects early
+	ShortDeadlineRate float64 `json:"Impatient"`    // fraction of requests with a short deadline
+	Stalling          int     `json:"Stalling"`     // clients of each sidecar that stop in the middle of a request and wait
+	Slow              int     `json:"Slow"`         // clients of each sidecar that write slowly
+	IdleConnections   int     `json:"Crowd"`        // idle connections to each sidecar
+	ShortDeadline     Span    `json:"ImpatientFor"` // the short deadline; a class's own deadline applies if it is shorter
+	QuietUntil        Span    `json:"QuietUntil"`   // how long the clients wait before their first request
+	MaxBody           int     `json:"BodyMost"`     // maximum bytes of a request's body
+	MaxAnswer         int     `json:"AnswerMost"`   // maximum bytes added to an answer
+	Events            []Event `json:"Events"`       // in the order of their runs; Generate orders them by At
 }
 
-// Longest is the longest deadline of any class.
+// Longest returns the longest deadline of all classes.
 func (s *Script) Longest() time.Duration { return longestDeadline(s.Classes) }
 
-// longestDeadline is the longest deadline of any of the classes.
+// longestDeadline returns the longest deadline of the classes, 0 if there are none.
 func longestDeadline(classes []Class) (longest time.Duration) {
 	for _, class := range classes {
 		longest = max(longest, time.Duration(class.Deadline))
@@ -148,7 +152,8 @@
 	return longest
 }
 
-// capacityFraction returns the fraction of its capacity that a server has at an age.
+// capacityFraction returns the fraction of its full capacity that a server has at an age. It grows
+// linearly from SlowStartFraction to 1.
 func (s *Script) capacityFraction(age time.Duration) float64 {
 	if age >= time.Duration(s.SlowStartDuration) {
 		return 1
@@ -166,200 +171,210 @@
 	return nil
 }
 
-// String is the script as text, which Parse reads.
+// String returns the script as JSON, which Parse reads.
 func (s *Script) String() string {
 	text, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
-		return fmt.Sprint("script: ", err)
+		return fmt.Sprint("encode script: ", err)
 	}
 	return string(text)
 }
 
-// Parse reads a script that was printed.
+// Parse reads a script that String returned. It returns an error if the text can't be decoded.
 func Parse(text []byte) (*Script, error) {
 	s := new(Script)
 	if err := json.Unmarshal(text, s); err != nil {
-		return nil, fmt.Errorf("soak: script: %w", err)
+		return nil, fmt.Errorf("soak: decode script: %w", err)
 	}
 	return s, nil
 }
 
-// Size bounds what Draw draws.
+// Size bounds the scripts that Generate returns.
 type Size struct {
-	Sidecars int           // at most
-	Length   time.Duration // at most; at least four fifths of it
+	Sidecars int           // maximum number of sidecars
+	Length   time.Duration // maximum length; the minimum is four fifths of it
 }
 
-// drawing is a script being drawn.
-type drawing struct {
+// generator holds the random source and the script while Generate fills it in.
+type generator struct {
 	*rand.Rand
 	script *Script
 }
 
-// between draws from a range, evenly.
-func (d *drawing) between(low, high time.Duration) Span {
-	return Span(low + time.Duration(d.Float64()*float64(high-low)))
+// uniform returns a random duration from a range, all with the same probability.
+func (g *generator) uniform(low, high time.Duration) Span {
+	return Span(low + time.Duration(g.Float64()*float64(high-low)))
 }
 
-// scaled draws from a range so that each magnitude is as likely.
-func (d *drawing) scaled(low, high time.Duration) Span {
-	return Span(float64(low) * math.Pow(float64(high)/float64(low), d.Float64()))
+// logUniform returns a random duration from a range, whose logarithm is uniformly distributed.
+func (g *generator) logUniform(low, high time.Duration) Span {
+	return Span(float64(low) * math.Pow(float64(high)/float64(low), g.Float64()))
 }
 
-func (d *drawing) chance(share float64) bool { return d.Float64() < share }
+// chance returns true with the given probability.
+func (g *generator) chance(probability float64) bool { return g.Float64() < probability }
 
-// some draws at least one of n, each with a chance.
-func (d *drawing) some(n int, share float64) (targets []int) {
+// subset returns a random subset of the numbers below n. Each number is in it with the given
+// probability; if none is, it holds one random number.
+func (g *generator) subset(n int, probability float64) (targets []int) {
 	for target := range n {
-		if d.chance(share) {
+		if g.chance(probability) {
 			targets = append(targets, target)
 		}
 	}
 	if targets == nil {
-		targets = []int{d.IntN(n)}
+		targets = []int{g.IntN(n)}
 	}
 	return targets
 }
 
-// Draw draws the script of a seed.
-func Draw(seed uint64, size Size) *Script {
-	d := &drawing{Rand: rand.New(rand.NewPCG(seed, 40)), script: &Script{Seed: seed}}
-	d.drawDeployment(size)
-	d.drawClients()
-	d.drawServerEvents()
-	d.drawDiscoveryEvents()
-	d.drawSidecarEvents()
-	slices.SortStableFunc(d.script.Events, func(a, b Event) int { return int(a.At - b.At) })
-	return d.script
+// Generate returns the script of a seed. The same seed and size give the same script.
+func Generate(seed uint64, size Size) *Script {
+	g := &generator{Rand: rand.New(rand.NewPCG(seed, 40)), script: &Script{Seed: seed}}
+	g.chooseDeployment(size)
+	g.chooseClients()
+	g.addServerEvents()
+	g.addDiscoveryEvents()
+	g.addSidecarEvents()
+	slices.SortStableFunc(g.script.Events, func(a, b Event) int { return int(a.At - b.At) })
+	return g.script
 }
 
-func (d *drawing) drawDeployment(size Size) {
-	s := d.script
-	s.Length = d.between(size.Length*4/5, size.Length)
-	s.Sidecars = 1 + d.IntN(size.Sidecars)
-	s.Servers = 2 + d.IntN(6)
-	s.PollsDiscovery, s.CompleteLists = d.chance(0.5), d.chance(0.3)
-	s.DrainGrace = d.between(500*time.Millisecond, 2*time.Second)
-	longest := d.scaled(200*time.Millisecond, 8*time.Second)
-	for n, effect := range []Idempotency{Idempotent, IdempotencyKeyed, NonIdempotent} {
+// chooseDeployment chooses the length, the sidecars and servers and their settings.
+func (g *generator) chooseDeployment(size Size) {
+	s := g.script
+	s.Length = g.uniform(size.Length*4/5, size.Length)
+	s.Sidecars = 1 + g.IntN(size.Sidecars)
+	s.Servers = 2 + g.IntN(6)
+	s.PollsDiscovery, s.CompleteLists = g.chance(0.5), g.chance(0.3)
+	s.DrainGrace = g.uniform(500*time.Millisecond, 2*time.Second)
+	longest := g.logUniform(200*time.Millisecond, 8*time.Second)
+	for n, idempotency := range []Idempotency{Idempotent, IdempotencyKeyed, NonIdempotent} {
 		deadline := longest
-		if d.chance(0.6) {
-			deadline = Span(float64(longest) * (0.25 + 0.75*d.Float64()))
+		if g.chance(0.6) {
+			deadline = Span(float64(longest) * (0.25 + 0.75*g.Float64()))
 		}
 		s.Classes = append(s.Classes, Class{
 			Name:        []string{"look", "book", "pay"}[n],
-			Idempotency: effect,
+			Idempotency: idempotency,
 			Deadline:    max(deadline, Span(150*time.Millisecond)),
-			DedupWindow: Span(float64(deadline) * (0.2 + 0.6*d.Float64())),
+			DedupWindow: Span(float64(deadline) * (0.2 + 0.6*g.Float64())),
 		})
 	}
-	s.Attempts = 1 + d.IntN(5)
-	s.Hedging = d.chance(0.6)
-	s.Sockets = []int{96, 128, 256}[d.IntN(3)]
-	s.Workers, s.Queue = 2+d.IntN(3), 2+d.IntN(5)
-	s.Work = d.between(5*time.Millisecond, 40*time.Millisecond)
-	s.SlowStartFraction, s.OverloadFactor = 0.15+0.3*d.Float64(), 4
-	s.SlowStartDuration, s.OverloadDuration = d.between(3*time.Second, 10*time.Second), Span(2*time.Second)
+	s.Attempts = 1 + g.IntN(5)
+	s.Hedging = g.chance(0.6)
+	s.Sockets = []int{96, 128, 256}[g.IntN(3)]
+	s.Workers, s.Queue = 2+g.IntN(3), 2+g.IntN(5)
+	s.Work = g.uniform(5*time.Millisecond, 40*time.Millisecond)
+	s.SlowStartFraction, s.OverloadFactor = 0.15+0.3*g.Float64(), 4
+	s.SlowStartDuration, s.OverloadDuration = g.uniform(3*time.Second, 10*time.Second), Span(2*time.Second)
 }
 
-func (d *drawing) drawClients() {
-	s := d.script
-	s.Clients = 3 + d.IntN(6)
-	s.ThinkTime = d.between(time.Millisecond, 60*time.Millisecond)
-	s.DisconnectRate, s.ShortDeadlineRate = 0.15*d.Float64(), 0.1*d.Float64()
-	s.ShortDeadline = d.scaled(5*time.Millisecond, 150*time.Millisecond)
-	if d.chance(0.5) {
-		s.Stalling = 1 + d.IntN(3)
+// chooseClients chooses the clients and their behaviour.
+func (g *generator) chooseClients() {
+	s := g.script
+	s.Clients = 3 + g.IntN(6)
+	s.ThinkTime = g.uniform(time.Millisecond, 60*time.Millisecond)
+	s.DisconnectRate, s.ShortDeadlineRate = 0.15*g.Float64(), 0.1*g.Float64()
+	s.ShortDeadline = g.logUniform(5*time.Millisecond, 150*time.Millisecond)
+	if g.chance(0.5) {
+		s.Stalling = 1 + g.IntN(3)
 	}
-	if d.chance(0.4) {
-		s.Slow = 1 + d.IntN(2)
+	if g.chance(0.4) {
+		s.Slow = 1 + g.IntN(2)
 	}
-	if d.chance(0.25) {
+	if g.chance(0.25) {
 		s.IdleConnections = s.Sockets
 	}
-	if d.chance(0.15) {
-		s.QuietUntil = d.moment(0.2, 0.5)
+	if g.chance(0.15) {
+		s.QuietUntil = g.timeWithin(0.2, 0.5)
 	}
-	if d.chance(0.4) {
-		s.MaxBody, s.MaxAnswer = d.IntN(100<<10), d.IntN(100<<10)
+	if g.chance(0.4) {
+		s.MaxBody, s.MaxAnswer = g.IntN(100<<10), g.IntN(100<<10)
 	}
 }
 
-func (d *drawing) add(e Event) { d.script.Events = append(d.script.Events, e) }
+// add adds an event to the script.
+func (g *generator) add(e Event) { g.script.Events = append(g.script.Events, e) }
 
-// moment draws a time within parts of the day.
-func (d *drawing) moment(from, to float64) Span {
-	length := time.Duration(d.script.Length)
-	return d.between(time.Duration(from*float64(length)), time.Duration(to*float64(length)))
+// timeWithin returns a random time between two fractions of the script's length.
+func (g *generator) timeWithin(from, to float64) Span {
+	length := time.Duration(g.script.Length)
+	return g.uniform(time.Duration(from*float64(length)), time.Duration(to*float64(length)))
 }
 
-func (d *drawing) drawServerEvents() {
-	s := d.script
-	for range 1 + d.IntN(4) {
-		d.add(Event{At: d.moment(0.05, 0.8), Kind: EventServerMode, Targets: d.some(s.Servers, 0.3),
-			Mode: serverModes[d.IntN(len(serverModes))], For: d.between(300*time.Millisecond, 4*time.Second)})
+// addServerEvents adds changes of servers' modes, resets and, with three servers or more, the drain, removal and
+// return of one of them.
+func (g *generator) addServerEvents() {
+	s := g.script
+	for range 1 + g.IntN(4) {
+		g.add(Event{At: g.timeWithin(0.05, 0.8), Kind: EventServerMode, Targets: g.subset(s.Servers, 0.3),
+			Mode: serverModes[g.IntN(len(serverModes))], For: g.uniform(300*time.Millisecond, 4*time.Second)})
 	}
-	for range d.IntN(3) {
-		d.add(Event{At: d.moment(0.1, 0.9), Kind: EventServerReset, Targets: d.some(s.Servers, 0.4)})
+	for range g.IntN(3) {
+		g.add(Event{At: g.timeWithin(0.1, 0.9), Kind: EventServerReset, Targets: g.subset(s.Servers, 0.4)})
 	}
 	if s.Servers < 3 {
 		return
 	}
-	leaving := d.IntN(s.Servers)
-	drained := d.moment(0.1, 0.5)
-	d.add(Event{At: drained, Kind: EventServerDrain, Targets: []int{leaving}})
-	if d.chance(0.5) {
-		removed := drained + d.between(time.Second, 3*time.Second)
-		d.add(Event{At: removed, Kind: EventServerRemove, Targets: []int{leaving}})
-		if d.chance(0.7) {
-			d.add(Event{At: removed + d.between(50*time.Millisecond, time.Second), Kind: EventServerReturn, Targets: []int{leaving}})
+	leaving := g.IntN(s.Servers)
+	drained := g.timeWithin(0.1, 0.5)
+	g.add(Event{At: drained, Kind: EventServerDrain, Targets: []int{leaving}})
+	if g.chance(0.5) {
+		removed := drained + g.uniform(time.Second, 3*time.Second)
+		g.add(Event{At: removed, Kind: EventServerRemove, Targets: []int{leaving}})
+		if g.chance(0.7) {
+			g.add(Event{At: removed + g.uniform(50*time.Millisecond, time.Second), Kind: EventServerReturn, Targets: []int{leaving}})
 		}
 	}
 }
 
-func (d *drawing) drawDiscoveryEvents() {
+// addDiscoveryEvents adds changes of discovery's mode.
+func (g *generator) addDiscoveryEvents() {
 	modes := discoveryModes
-	if !d.script.PollsDiscovery { // an agent on the sidecar's own machine answers at once, or not at all
+	if !g.script.PollsDiscovery { // an agent on the sidecar's own machine pushes the lists: it answers at once or not at all
 		modes = slices.DeleteFunc(slices.Clone(modes), func(mode string) bool { return mode == DiscoverySlow })
 	}
-	for range d.IntN(3) {
-		d.add(Event{At: d.moment(0.05, 0.7), Kind: EventDiscoveryMode,
-			Mode: modes[d.IntN(len(modes))], For: d.between(300*time.Millisecond, 4*time.Second)})
+	for range g.IntN(3) {
+		g.add(Event{At: g.timeWithin(0.05, 0.7), Kind: EventDiscoveryMode,
+			Mode: modes[g.IntN(len(modes))], For: g.uniform(300*time.Millisecond, 4*time.Second)})
 	}
 }
 
-// signalSeries are the series of signals by which a process is terminated.
+// signalSeries are the sequences of signals that terminate a process. Generate chooses from them with
+// equal probability.
 var signalSeries = [][]string{{"TERM"}, {"TERM"}, {"TERM", "TERM"}, {"HUP", "TERM"}, {"TERM", "HUP", "TERM"},
 	{"HUP", "HUP", "TERM", "INT"}, {"INT"}, {"INT", "HUP"}}
 
-func (d *drawing) drawSidecarEvents() {
-	s := d.script
-	for range 1 + d.IntN(3) {
-		at := d.moment(0.1, 0.75)
-		stop := Event{At: at, Kind: EventStop, Targets: d.some(s.Sidecars, 0.4),
-			Signals: signalSeries[d.IntN(len(signalSeries))], Gap: d.between(0, 30*time.Millisecond)}
-		if d.chance(0.4) && stop.Signals[0] == "HUP" {
-			stop.Factor = 0.3 + d.Float64()
+// addSidecarEvents adds stops, reloads and pauses of sidecars.
+func (g *generator) addSidecarEvents() {
+	s := g.script
+	for range 1 + g.IntN(3) {
+		at := g.timeWithin(0.1, 0.75)
+		stop := Event{At: at, Kind: EventStop, Targets: g.subset(s.Sidecars, 0.4),
+			Signals: signalSeries[g.IntN(len(signalSeries))], Gap: g.uniform(0, 30*time.Millisecond)}
+		if g.chance(0.4) && stop.Signals[0] == "HUP" {
+			stop.Factor = 0.3 + g.Float64()
 		}
-		if d.chance(0.3) {
-			stop.Again = d.between(time.Millisecond, 300*time.Millisecond)
+		if g.chance(0.3) {
+			stop.Again = g.uniform(time.Millisecond, 300*time.Millisecond)
 		}
-		d.add(stop)
-		if d.chance(0.6) { // servers hang throughout the shutdown
-			d.add(Event{At: max(0, at-d.between(0, 500*time.Millisecond)), Kind: EventServerMode,
-				Targets: d.some(s.Servers, 0.5), Mode: ModeHang, For: Span(5 * time.Second)})
+		g.add(stop)
+		if g.chance(0.6) { // servers hang while the sidecar shuts down
+			g.add(Event{At: max(0, at-g.uniform(0, 500*time.Millisecond)), Kind: EventServerMode,
+				Targets: g.subset(s.Servers, 0.5), Mode: ModeHang, For: Span(5 * time.Second)})
 		}
 	}
-	for range d.IntN(3) {
-		at := d.moment(0.1, 0.9)
-		d.add(Event{At: at, Kind: EventReload, Targets: d.some(s.Sidecars, 0.5), Factor: 0.5 + d.Float64()})
-		if d.chance(0.4) {
-			d.add(Event{At: at + d.between(0, 50*time.Millisecond), Kind: EventReload, Targets: d.some(s.Sidecars, 0.5), Factor: 0.5 + d.Float64()})
+	for range g.IntN(3) {
+		at := g.timeWithin(0.1, 0.9)
+		g.add(Event{At: at, Kind: EventReload, Targets: g.subset(s.Sidecars, 0.5), Factor: 0.5 + g.Float64()})
+		if g.chance(0.4) {
+			g.add(Event{At: at + g.uniform(0, 50*time.Millisecond), Kind: EventReload, Targets: g.subset(s.Sidecars, 0.5), Factor: 0.5 + g.Float64()})
 		}
 	}
-	if d.chance(0.5) {
-		for range 5 + d.IntN(30) {
-			d.add(Event{At: d.moment(0.05, 0.95), Kind: EventHold, Targets: []int{d.IntN(s.Sidecars)}, For: d.between(20*time.Millisecond, 145*time.Millisecond)})
+	if g.chance(0.5) {
+		for range 5 + g.IntN(30) {
+			g.add(Event{At: g.timeWithin(0.05, 0.95), Kind: EventPause, Targets: []int{g.IntN(s.Sidecars)}, For: g.uniform(20*time.Millisecond, 145*time.Millisecond)})
 		}
 	}
 }
--- a/internal/soak/seams_test.go
+++ b/internal/soak/seams_test.go
@@ -6,7 +6,9 @@
 	"time"
 )
 
-// seamScript is a day on which a sidecar has occasion to break the rules of the seams.
+// seamScript returns a script in which a sidecar can break each of the rules that the seams make it
+// break: servers hang, also while the sidecar shuts down, a server drains, and many requests have
+// short deadlines.
 func seamScript() *Script {
 	return &Script{
 		Seed: 7, Length: Span(7 * time.Second), Sidecars: 1, Servers: 3, DrainGrace: Span(300 * time.Millisecond),
@@ -28,25 +30,25 @@
 	}
 }
 
-// A sidecar that breaks a rule is caught by a whole run, and the same day is passed by one
-// that does not.
+// A run finds a sidecar that breaks a rule by a seam, and finds no breach of a sidecar without a
+// seam under the same script.
 func TestSeamsAreCaught(t *testing.T) {
 	build(t)
 	for n, test := range []struct {
 		seams string
-		rule  Rule // empty: none
+		rule  Rule // that must be broken; empty: none
 	}{{"", ""}, {"late-stop", RuleKill}, {"deaf-drain", RuleDrain}, {"no-deadlines", RuleDeadline}} {
 		t.Run("seams "+test.seams, func(t *testing.T) {
 			t.Parallel()
-			breaches, _ := play(t, seamScript(), programs.seamed, test.seams, 100+n)
+			breaches, _ := run(t, seamScript(), programs.withSeams, test.seams, 100+n)
 			if test.rule == "" {
 				for _, breach := range breaches {
-					t.Error(breach)
+					t.Errorf("broken rule without a seam: %v", breach)
 				}
 				return
 			}
 			if !slices.ContainsFunc(breaches, func(b Breach) bool { return b.Rule == test.rule }) {
-				t.Errorf("a sidecar with %s passes: %v", test.seams, breaches)
+				t.Errorf("with the seam %s, the run found no breach of %q but %v", test.seams, test.rule, breaches)
 			}
 		})
 	}
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -14,17 +14,20 @@
 )
 
 const (
-	// slowDelay is how much later than usual a server in ModeSlow answers.
+	// slowDelay is the delay that ModeSlow adds to each answer.
 	slowDelay = 700 * time.Millisecond
-	// duplicateDelay is how long after an answer its repeat comes in ModeDuplicate.
+	// duplicateDelay is the time between an answer and its duplicate in ModeDuplicate.
 	duplicateDelay = 4 * time.Millisecond
-	// truncationDelay is between the parts of an answer that is sent in parts.
+	// truncationDelay is the time between the parts of an answer that is sent in parts, and between
+	// an answer and the end of its connection.
 	truncationDelay = 15 * time.Millisecond
-	// answerStep is how much answers differ in length where they are long.
+	// answerStep is the step by which the length of long answers changes from one to the next, modulo
+	// the script's maximum.
 	answerStep = 7919
 )
 
-// server is a stand-in for an activation server. It records each request that comes.
+// server is a stand-in for an activation server. It records each request that it receives as an
+// Attempt.
 type server struct {
 	number   int
 	script   *Script
@@ -32,23 +35,23 @@
 	address  string
 
 	mu       sync.Mutex
-	listener net.Listener // nil: it is down
-	mode     string
-	changed  chan struct{} // closed at the next change of mode
-	conns    map[net.Conn]bool
-	since    time.Duration // of its start; 0: long ago
-	inFlight int
-	answers  int
+	listener net.Listener      // nil: the server is down
+	mode     string            // one of the server modes
+	changed  chan struct{}     // closed at the next change of mode
+	conns    map[net.Conn]bool // the open ones
+	since    time.Duration     // when it started; 0: before the run
+	inFlight int               // requests in work or in the queue
+	answers  int               // number of answers made so far
 
-	slots chan struct{}
+	slots chan struct{} // one place for each worker
 	wait  sync.WaitGroup
 }
 
-// startServer starts a server at a free port of an address.
+// startServer starts a server on a free port of a host's address, in ModeAnswer.
 func startServer(number int, host string, script *Script, recorder *recorder) (*server, error) {
 	listener, err := net.Listen("tcp", host+":0")
 	if err != nil {
-		return nil, fmt.Errorf("soak: server: %w", err)
+		return nil, fmt.Errorf("soak: start server: %w", err)
 	}
 	s := &server{number: number, script: script, recorder: recorder, address: listener.Addr().String(),
 		listener: listener, mode: ModeAnswer, changed: make(chan struct{}), conns: make(map[net.Conn]bool),
@@ -57,8 +60,9 @@
 	return s, nil
 }
 
-// set changes the mode. Leaving ModeSilent, or going down, resets what is open.
-func (s *server) set(mode string) error {
+// setMode changes the mode. The change to ModeDown and the end of ModeSilent reset all open
+// connections; the end of ModeDown opens the server's port again.
+func (s *server) setMode(mode string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.mode
@@ -77,40 +81,42 @@
 	}
 	listener, err := net.Listen("tcp", s.address)
 	if err != nil {
-		return fmt.Errorf("soak: server %d comes back: %w", s.number, err)
+		return fmt.Errorf("soak: restart server %d: %w", s.number, err)
 	}
 	s.listener = listener
 	s.wait.Go(func() { s.accept(listener) })
 	return nil
 }
 
-// restart makes the server a new process, in slow start.
+// restart has the server answer as a process that has just started, in slow start.
 func (s *server) restart() error {
 	s.mu.Lock()
 	s.since = s.recorder.now()
 	s.mu.Unlock()
-	return s.set(ModeAnswer)
+	return s.setMode(ModeAnswer)
 }
 
-// reset resets every open connection.
+// reset resets all open connections.
 func (s *server) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.resetLocked()
 }
 
+// resetLocked is reset for callers that hold s.mu.
 func (s *server) resetLocked() {
 	for conn := range s.conns {
 		reset(conn)
 	}
 }
 
-// close ends the server and waits for its goroutines.
+// close closes the port and all connections, and waits for the goroutines.
 func (s *server) close() {
-	s.set(ModeDown)
+	s.setMode(ModeDown)
 	s.wait.Wait()
 }
 
+// accept serves the connections of a listener until it is closed.
 func (s *server) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -134,14 +140,14 @@
 	}
 }
 
-// current returns the mode, and a channel that is closed at its change.
-func (s *server) current() (mode string, changed <-chan struct{}) {
+// currentMode returns the mode, and a channel that is closed when the mode changes.
+func (s *server) currentMode() (mode string, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.mode, s.changed
 }
 
-// serve serves a connection until it ends.
+// serve answers the requests of a connection until it ends.
 func (s *server) serve(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -149,10 +155,10 @@
 			return
 		}
 		first := s.recorder.now()
-		mode, changed := s.current()
+		mode, changed := s.currentMode()
 		switch mode {
 		case ModeSilent:
-			<-changed // what has come is never read: the connection is reset
+			<-changed // the request is never read; setMode resets the connection
 			return
 		case ModeResetBefore:
 			reset(conn)
@@ -169,24 +175,25 @@
 		if _, err := io.Copy(io.Discard, request.Body); err == nil {
 			attempt.Last = s.recorder.now()
 		}
-		if !s.answer(conn, mode, changed, &attempt) {
+		if !s.handle(conn, mode, changed, &attempt) {
 			return
 		}
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
 }
 
-// record records an attempt.
-func (s *server) record(attempt *Attempt) {
+// recordAttempt adds an attempt to the record.
+func (s *server) recordAttempt(attempt *Attempt) {
 	s.recorder.do(func(record *Record) { record.Attempts = append(record.Attempts, *attempt) })
 }
 
-// recordAgain records that an answer is sent a second time.
-func (s *server) recordAgain(body string) {
+// recordRepeat records that an answer is sent a second time. Each answer's body is unique.
+func (s *server) recordRepeat(body string) {
 	now := s.recorder.now()
 	s.recorder.do(func(record *Record) {
 		for n := range record.Attempts {
@@ -197,43 +204,45 @@
 	})
 }
 
-// answer carries out a request and answers it; false ends the connection.
-func (s *server) answer(conn net.Conn, mode string, changed <-chan struct{}, attempt *Attempt) bool {
+// handle carries out a request in the way of a mode, records the attempt and sends its answer. It
+// returns false if the connection must end.
+func (s *server) handle(conn net.Conn, mode string, changed <-chan struct{}, attempt *Attempt) bool {
 	if attempt.Last == 0 {
-		s.record(attempt)
+		s.recordAttempt(attempt)
 		return false
 	}
-	if mode == ModeDecline || !s.enter() {
+	if mode == ModeDecline || !s.admit() {
 		attempt.Rejected = true
-		s.record(attempt)
+		s.recordAttempt(attempt)
 		_, err := io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
-	defer s.leave()
+	defer s.release()
 	switch mode {
 	case ModeHang:
-		s.record(attempt)
+		s.recordAttempt(attempt)
 		<-changed
 		reset(conn)
 		return false
 	case ModeResetRequests:
-		s.record(attempt)
+		s.recordAttempt(attempt)
 		reset(conn)
 		return false
 	case ModeFail:
-		s.record(attempt)
+		s.recordAttempt(attempt)
 		_, err := io.WriteString(conn, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
 	attempt.Answer = s.makeAnswer(attempt.ID)
 	attempt.Truncated = mode == ModeResetWithin || mode == ModeEndless
-	s.record(attempt) // before a byte of it can be with the client
+	s.recordAttempt(attempt) // before the client can get any byte of the answer
 	s.work(mode)
 	return s.write(conn, mode, changed, attempt.Answer)
 }
 
-// enter takes a place in the queue; false if it is full.
-func (s *server) enter() bool {
+// admit counts a request as in flight. It returns false if all workers and all places of the queue
+// are taken; in ModeHang it admits every request.
+func (s *server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.mode != ModeHang && s.inFlight >= s.script.Workers+s.script.Queue {
@@ -243,13 +252,14 @@
 	return true
 }
 
-func (s *server) leave() {
+// release ends what admit began.
+func (s *server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
 }
 
-// makeAnswer makes the body of an answer, each time another one.
+// makeAnswer returns the body of an answer, a different one at each call.
 func (s *server) makeAnswer(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -261,29 +271,29 @@
 	return body
 }
 
-// work takes as long as a request does.
+// work waits for a worker and takes the time that a request needs, longer in slow start.
 func (s *server) work(mode string) {
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
 	s.mu.Lock()
-	warmth, since := 1.0, s.since
+	capacity, since := 1.0, s.since
 	s.mu.Unlock()
 	if since > 0 {
-		warmth = s.script.capacityFraction(s.recorder.now() - since)
+		capacity = s.script.capacityFraction(s.recorder.now() - since)
 	}
-	time.Sleep(time.Duration(float64(s.script.Work) / warmth))
+	time.Sleep(time.Duration(float64(s.script.Work) / capacity))
 	if mode == ModeSlow {
 		time.Sleep(slowDelay)
 	}
 }
 
-// write writes an answer in the way of a mode; false ends the connection.
+// write sends an answer in the way of a mode. It returns false if the connection must end.
 func (s *server) write(conn net.Conn, mode string, changed <-chan struct{}, body string) bool {
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	switch mode {
 	case ModeResetWithin:
-		io.WriteString(conn, whole[:len(whole)-len(body)/2])
-		time.Sleep(truncationDelay) // what is written must arrive before the reset
+		io.WriteString(conn, response[:len(response)-len(body)/2])
+		time.Sleep(truncationDelay) // so that the client gets the written part before the reset
 		reset(conn)
 		return false
 	case ModeEndless:
@@ -297,15 +307,15 @@
 		io.WriteString(conn, body)
 		return false
 	case ModeDuplicate:
-		if _, err := io.WriteString(conn, whole); err != nil {
+		if _, err := io.WriteString(conn, response); err != nil {
 			return false
 		}
 		time.Sleep(duplicateDelay)
-		s.recordAgain(body)
-		_, err := io.WriteString(conn, whole)
+		s.recordRepeat(body)
+		_, err := io.WriteString(conn, response)
 		return err == nil
 	}
-	if _, err := io.WriteString(conn, whole); err != nil {
+	if _, err := io.WriteString(conn, response); err != nil {
 		return false
 	}
 	switch mode {
@@ -324,18 +334,19 @@
 	return true
 }
 
-// during puts a server in a mode for a time, unless the context ends before.
-func (s *server) during(ctx context.Context, mode string, limit time.Duration) error {
-	if err := s.set(mode); err != nil {
+// setModeFor sets a mode and, after a time, ModeAnswer again. If the mode is changed in between or
+// the context ends, it returns without a further change.
+func (s *server) setModeFor(ctx context.Context, mode string, limit time.Duration) error {
+	if err := s.setMode(mode); err != nil {
 		return err
 	}
-	_, changed := s.current()
+	_, changed := s.currentMode()
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-changed: // another event has come
+	case <-changed: // by another event
 		return nil
 	case <-time.After(limit):
 	}
-	return s.set(ModeAnswer)
+	return s.setMode(ModeAnswer)
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -11,19 +11,20 @@
 	"time"
 )
 
-// Options say what a World plays with.
+// Options configure a run.
 type Options struct {
-	Program   string // the sidecar's
-	Seams     string // MARTENDRUM_SEAMS of the sidecars, for a program built with them
-	Directory string // for configurations; its owner removes it
-	Host      int    // 1 to 200: a number that worlds playing side by side don't share
+	Program   string // path of the sidecar
+	Seams     string // value of the sidecars' MARTENDRUM_SEAMS, for a program that is built with seams; empty: none
+	Directory string // for the sidecars' files; the caller removes it
+	Host      int    // 1 to 200; sets the IP addresses of the sidecars. Concurrent runs need different ones
 }
 
-// maxStart is how long the first processes may take before the day begins all the same.
-const maxStart = 30 * time.Second
+// startTimeout is how long the run waits for the first processes to be ready. After it, the clients
+// and events begin all the same.
+const startTimeout = 30 * time.Second
 
-// world is a script being played.
-type world struct {
+// testbed holds the processes and stand-ins of one run of a script.
+type testbed struct {
 	script   *Script
 	options  Options
 	recorder *recorder
@@ -32,14 +33,15 @@
 	discovery *discovery
 	sidecars  []*sidecar
 
-	mu     sync.Mutex
-	failed error
+	mu     sync.Mutex // guards failed
+	failed error      // errors of the testbed itself
 }
 
-// Play plays a script and returns what was recorded, and the sidecars' logs. An error says
-// that the world itself failed, and the record is invalid.
-func Play(script *Script, options Options) (record *Record, logs []string, err error) {
-	w := &world{script: script, options: options, recorder: newRecorder()}
+// Run runs a script, which takes about its length, and returns the record of the run and the logs of
+// the sidecars. An error means that the testbed itself failed, not a sidecar; the record is then
+// invalid.
+func Run(script *Script, options Options) (record *Record, logs []string, err error) {
+	w := &testbed{script: script, options: options, recorder: newRecorder()}
 	defer func() {
 		for _, s := range w.sidecars {
 			logs = append(logs, s.log.String())
@@ -49,13 +51,13 @@
 		w.tearDown()
 		return nil, nil, err
 	}
-	end := w.begin()
+	end := w.startSidecars()
 	w.awaitReady()
-	w.playEvents()
+	w.runEvents()
 	end()
 	w.tearDown()
 	record = w.recorder.finish()
-	for n, s := range w.sidecars {
+	for n, s := range w.sidecars { // Processes[n] is the first process of sidecar n
 		if panics := panicsIn(s.log.String()); panics > 0 {
 			record.Processes[n].Panics = panics
 		}
@@ -63,15 +65,15 @@
 	return record, logs, w.failed
 }
 
-// fail records an error of the world itself.
-func (w *world) fail(err error) {
+// fail records an error of the testbed itself.
+func (w *testbed) fail(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failed = errors.Join(w.failed, err)
 }
 
-// build makes servers, discovery and sidecars.
-func (w *world) build() error {
+// build starts the servers and the discovery, and configures the sidecars without starting them.
+func (w *testbed) build() error {
 	w.discovery = newDiscovery(w.script, w.recorder)
 	for n := range w.script.Servers {
 		s, err := startServer(n, "127.0.0.1", w.script, w.recorder)
@@ -86,7 +88,7 @@
 			directory: filepath.Join(w.options.Directory, fmt.Sprint("sidecar", n))}
 		var err error
 		if err = os.MkdirAll(s.directory, 0o700); err != nil {
-			return fmt.Errorf("soak: %w", err)
+			return fmt.Errorf("soak: create the folder of a sidecar: %w", err)
 		}
 		if s.address, err = freeAddress(fmt.Sprintf("127.%d.%d.%d", 20+w.options.Host, 1+os.Getpid()%250, n+1)); err != nil {
 			return err
@@ -102,12 +104,13 @@
 	return nil
 }
 
-// begin starts the processes, and the probe of the recorder's own lateness, which end ends:
-// it returns once the probe has noted what it found.
-func (w *world) begin() (end func()) {
+// startSidecars starts the sidecars and the measurement of the recorder's lateness. The returned
+// function ends the measurement, waits until its result is recorded, and ends the wait for
+// readiness.
+func (w *testbed) startSidecars() (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var probe sync.WaitGroup
-	probe.Go(func() { w.recorder.measureLateness(ctx) })
+	var measurement sync.WaitGroup
+	measurement.Go(func() { w.recorder.measureLateness(ctx) })
 	for _, s := range w.sidecars {
 		s.mu.Lock()
 		if err := s.start(ctx); err != nil {
@@ -117,13 +120,14 @@
 	}
 	return func() {
 		cancel()
-		probe.Wait()
+		measurement.Wait()
 	}
 }
 
-// awaitReady waits until every sidecar is ready, for maxStart at most.
-func (w *world) awaitReady() {
-	for until := time.Now().Add(maxStart); time.Now().Before(until); time.Sleep(healthInterval) {
+// awaitReady waits until the process of every sidecar is ready or has exited, for startTimeout at
+// most.
+func (w *testbed) awaitReady() {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(healthInterval) {
 		ready := 0
 		w.recorder.do(func(record *Record) {
 			for _, process := range record.Processes {
@@ -138,9 +142,9 @@
 	}
 }
 
-// playEvents starts the clients, plays the events at their times, and returns when the day
-// is over and everything that an event began has ended.
-func (w *world) playEvents() {
+// runEvents starts the clients and carries out the events at their times. It returns when the
+// script's length has passed and all clients and events have ended.
+func (w *testbed) runEvents() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var clients, events sync.WaitGroup
@@ -154,7 +158,7 @@
 			break
 		}
 		time.Sleep(time.Until(began.Add(time.Duration(e.At))))
-		events.Go(func() { w.play(ctx, e) })
+		events.Go(func() { w.runEvent(ctx, e) })
 	}
 	time.Sleep(time.Until(began.Add(time.Duration(w.script.Length))))
 	cancel()
@@ -162,8 +166,8 @@
 	events.Wait()
 }
 
-// startClients starts the clients of one sidecar.
-func (w *world) startClients(ctx context.Context, group *sync.WaitGroup, s *sidecar) {
+// startClients starts the clients of one sidecar in a group.
+func (w *testbed) startClients(ctx context.Context, group *sync.WaitGroup, s *sidecar) {
 	script := w.script
 	for n := range script.Clients + script.Slow {
 		c := &client{name: fmt.Sprintf("%d.%d", s.number, n), sidecar: s.number, address: s.address, script: script, recorder: w.recorder,
@@ -172,72 +176,74 @@
 	}
 	for n := range script.Stalling {
 		random := rand.New(rand.NewPCG(script.Seed+1, uint64(s.number)<<16|uint64(n)))
-		group.Go(func() { stall(ctx, s.number, s.address, random, w.recorder) })
+		group.Go(func() { runStallingClient(ctx, s.number, s.address, random, w.recorder) })
 	}
 	if script.IdleConnections > 0 {
 		group.Go(func() { holdIdleConnections(ctx, s.address, script.IdleConnections) })
 	}
 }
 
-// play plays one event.
-func (w *world) play(ctx context.Context, e *Event) {
+// runEvent carries out one event at all of its targets.
+func (w *testbed) runEvent(ctx context.Context, e *Event) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	switch e.Kind {
 	case EventDiscoveryMode:
-		w.discovery.set(e.Mode)
+		w.discovery.setMode(e.Mode)
 		sleep(ctx, time.Duration(e.For))
-		w.discovery.set(DiscoveryServes)
+		w.discovery.setMode(DiscoveryServes)
 		return
-	case EventStop, EventReload, EventHold:
+	case EventStop, EventReload, EventPause:
 		for _, target := range e.Targets {
-			group.Go(func() { w.playSidecar(ctx, e, w.sidecars[target]) })
+			group.Go(func() { w.runSidecarEvent(ctx, e, w.sidecars[target]) })
 		}
 		return
 	}
 	for _, target := range e.Targets {
-		group.Go(func() { w.playServer(ctx, e, w.servers[target]) })
+		group.Go(func() { w.runServerEvent(ctx, e, w.servers[target]) })
 	}
 }
 
-func (w *world) playSidecar(ctx context.Context, e *Event, s *sidecar) {
+// runSidecarEvent carries out an event at one sidecar.
+func (w *testbed) runSidecarEvent(ctx context.Context, e *Event, s *sidecar) {
 	var err error
 	switch e.Kind {
 	case EventStop:
 		err = s.stop(ctx, e)
 	case EventReload:
 		err = s.reload(e.Factor)
-	case EventHold:
-		s.stall(time.Duration(e.For))
+	case EventPause:
+		s.pause(time.Duration(e.For))
 	}
 	if err != nil {
-		w.fail(fmt.Errorf("%s of sidecar %d: %w", e.Kind, s.number, err))
+		w.fail(fmt.Errorf("event %s of sidecar %d: %w", e.Kind, s.number, err))
 	}
 }
 
-func (w *world) playServer(ctx context.Context, e *Event, s *server) {
+// runServerEvent carries out an event at one server.
+func (w *testbed) runServerEvent(ctx context.Context, e *Event, s *server) {
 	var err error
 	switch e.Kind {
 	case EventServerMode:
-		err = s.during(ctx, e.Mode, time.Duration(e.For))
+		err = s.setModeFor(ctx, e.Mode, time.Duration(e.For))
 	case EventServerReset:
 		s.reset()
 	case EventServerDrain:
-		w.discovery.change(s.number, Draining, 0)
+		w.discovery.setServerState(s.number, Draining, 0)
 	case EventServerRemove:
-		w.discovery.change(s.number, Removed, 0)
-		err = s.set(ModeDown)
+		w.discovery.setServerState(s.number, Removed, 0)
+		err = s.setMode(ModeDown)
 	case EventServerReturn:
 		err = s.restart()
-		w.discovery.change(s.number, Up, w.recorder.now())
+		w.discovery.setServerState(s.number, Up, w.recorder.now())
 	}
 	if err != nil {
-		w.fail(fmt.Errorf("%s of server %d: %w", e.Kind, s.number, err))
+		w.fail(fmt.Errorf("event %s of server %d: %w", e.Kind, s.number, err))
 	}
 }
 
-// tearDown ends all that was started.
-func (w *world) tearDown() {
+// tearDown ends all processes and stand-ins that were started.
+func (w *testbed) tearDown() {
 	for _, s := range w.sidecars {
 		s.kill()
 	}
