--- a/bounds.go
+++ b/bounds.go
@@ -28,10 +28,10 @@
 // the assumption is too high; late answers then raise the shed level.
 const fullCapacityHeadroom = 1.5
 
-// Capacity returns two fractions for the working set: its mean slow-start factor, weighted by
+// WorkingSetCapacity returns two fractions for the working set: its mean slow-start factor, weighted by
 // capacity, and the part of its usual load that it can sustain now. Both are 1 if every server
 // has its full capacity or if there is no server.
-func (b *Balancer) Capacity(now time.Duration) (slowStartFactor, sustainableLoad float64) {
+func (b *Balancer) WorkingSetCapacity(now time.Duration) (slowStartFactor, sustainableLoad float64) {
 	set := &b.endpoints
 	set.refresh(now)
 	nominal, present, withHeadroom := 0.0, 0.0, 0.0
--- a/cmd/martendrum/agent.go
+++ b/cmd/martendrum/agent.go
@@ -36,7 +36,7 @@
 		// More frequent collections keep the agent's memory small. They cost little, because few of
 		// its objects are long-lived.
 		debug.SetGCPercent(agentGCPercent)
-		a, err := agent.New(config, agent.Processes{}, agentstore.Record(config))
+		a, err := agent.New(config, agent.LocalMachine{}, agentstore.Opener(config))
 		if err != nil {
 			return &exitError{exitPartial, err}
 		}
--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -92,7 +92,7 @@
 	created := time.Now().UTC().Truncate(time.Millisecond)
 	return api.Operation{
 		ID:     created.Format("20060102-150405-") + randomHex(3),
-		Action: action, Ready: r.ready, Soak: r.soak, Operator: operatorName(), Created: created,
+		Action: action, ReadyTimeout: r.ready, Soak: r.soak, Operator: operatorName(), Created: created,
 	}
 }
 
--- a/cmd/martendrum/dev.go
+++ b/cmd/martendrum/dev.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	a, err := agent.New(config, agent.Processes{}, agentstore.Record(config))
+	a, err := agent.New(config, agent.LocalMachine{}, agentstore.Opener(config))
 	if err != nil {
 		return err
 	}
--- a/cmd/martendrum/judge.go
+++ b/cmd/martendrum/judge.go
@@ -64,7 +64,7 @@
 				return strconv.Itoa(int(seconds)) + " s"
 			}
 			fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%s\t%s\t%s\t%.0f %%\n", r.Instances, r.Harm, r.Method, r.Runs,
-				strings.TrimSuffix(fmt.Sprintf("%.1f", 100*r.StopRate()), ".0")+" %", formatSeconds(r.Median), formatSeconds(r.Slowest), 100*r.Touched)
+				strings.TrimSuffix(fmt.Sprintf("%.1f", 100*r.StopRate()), ".0")+" %", formatSeconds(r.Median), formatSeconds(r.P90), 100*r.ChangedFraction)
 		}
 		return w.Flush()
 	}
--- a/cmd/martendrum/staged_complete.go
+++ b/cmd/martendrum/staged_complete.go
@@ -37,7 +37,7 @@
 		r.seed = seedOf(operation.ID)
 	}
 	r.drawOrder(operation, members)
-	if r.plan.Upto, err = stage.Sizes(r.stages, len(operation.Targets)); err != nil {
+	if r.plan.StageSizes, err = stage.Sizes(r.stages, len(operation.Targets)); err != nil {
 		return fmt.Errorf("--stages: %w", err)
 	}
 	if err := r.parseLimits(len(operation.Targets)); err != nil {
--- a/cmd/martendrum/staged_follow.go
+++ b/cmd/martendrum/staged_follow.go
@@ -172,7 +172,7 @@
 		return "no stage has begun\n"
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "stage %d of %d, %v of evidence in it, as of %s\n", note.State.Stage, len(staged.Plan.Upto), time.Duration(note.State.Slots)*staged.Plan.Slot, note.At.Format(time.RFC3339))
+	fmt.Fprintf(&b, "stage %d of %d, %v of evidence in it, as of %s\n", note.State.Stage, len(staged.Plan.StageSizes), time.Duration(note.State.Slots)*staged.Plan.Slot, note.At.Format(time.RFC3339))
 	for _, condition := range []struct{ name, reason string }{{"holds", note.State.HoldReason}, {"waits", note.State.PauseReason}, {"judged worse", note.State.Worse}} {
 		if condition.reason != "" {
 			fmt.Fprintf(&b, "%s: %s\n", condition.name, condition.reason)
--- a/cmd/martendrum/staged_plan.go
+++ b/cmd/martendrum/staged_plan.go
@@ -63,7 +63,7 @@
 	total := sum(rates)
 	var stages []plannedStage
 	from := 0
-	for n, upto := range operation.Staged.Plan.Upto {
+	for n, upto := range operation.Staged.Plan.StageSizes {
 		planned := plannedStage{Stage: n + 1, Upto: upto, Instances: operation.Targets[from:upto], Rate: sum(rates[:upto])}
 		planned.Notice = detectableHarms(operation.Staged, len(judge.Tests()), planned.Rate, total-planned.Rate)
 		stages = append(stages, planned)
--- a/cmd/martendrum/staged_start.go
+++ b/cmd/martendrum/staged_start.go
@@ -59,8 +59,8 @@
 	f.StringVar(&r.maxShop, "max-shop", "1", "no more than so many of a shop (label shop) at once")
 	f.StringArrayVar(&r.margins, "margin", nil, "MEASURE=TOLERATE:EXCLUDE, as in unserved=0.01:0.05, or MEASURE=off")
 	f.Float64Var(&r.analysis.FalseStops, "false-stops", 0.01, "how often a change that does no harm may be stopped, over all looks and measures")
-	f.DurationVar(&r.analysis.Warm, "warm", 30*time.Second, "a process counts once it is so old")
-	f.DurationVar(&r.analysis.Settle, "settle", 5*time.Minute, "and its memory and descriptors, which grow at first, once it is so old")
+	f.DurationVar(&r.analysis.WarmUp, "warm", 30*time.Second, "a process counts once it is so old")
+	f.DurationVar(&r.analysis.MinGaugeAge, "settle", 5*time.Minute, "and its memory and descriptors, which grow at first, once it is so old")
 	f.Uint64Var(&r.seed, "seed", 0, "of the draw of who is in which stage (0: from the operation's name)")
 	f.DurationVar(&r.unattended, "alone", 2*time.Minute, "once nobody directs it for so long, agents take back what plainly fails; 0s: never")
 	f.DurationVar(&r.ready, "ready", 30*time.Second, "an instance must be ready within it")
@@ -147,7 +147,7 @@
 	if err := r.upload(ctx, fleet, agents, operation.Release); err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "operation %s: %s of %d instances in %d stages\n", operation.ID, operation.Action, len(operation.Targets), len(staged.Plan.Upto))
+	fmt.Fprintf(os.Stderr, "operation %s: %s of %d instances in %d stages\n", operation.ID, operation.Action, len(operation.Targets), len(staged.Plan.StageSizes))
 	report, err := fleet.Start(ctx, operation, r.run.options(g))
 	if err != nil {
 		if _, ok := errors.AsType[*api.Error](err); ok {
@@ -178,10 +178,10 @@
 func (r *stagedFlags) staged(release string) *api.Staged {
 	r.analysis.Change = release
 	r.plan.Slot = r.analysis.Slot
-	staged := &api.Staged{Plan: r.plan, Judge: r.analysis, Seed: r.seed, Alone: r.unattended}
+	staged := &api.Staged{Plan: r.plan, Judge: r.analysis, Seed: r.seed, UnattendedRollbackDelay: r.unattended}
 	history := int64(max(minHistorySlots, 2*r.plan.HistorySlots))
 	staged.First = time.Now().UnixNano()/int64(staged.Judge.Slot) - history
-	staged.Judge.MaxSlots = int(history) + len(staged.Plan.Upto)*int(2*staged.Plan.MaxDuration/staged.Judge.Slot+10)
+	staged.Judge.MaxSlots = int(history) + len(staged.Plan.StageSizes)*int(2*staged.Plan.MaxDuration/staged.Judge.Slot+10)
 	return staged
 }
 
--- a/cmd/sidecar/coordinator.go
+++ b/cmd/sidecar/coordinator.go
@@ -27,9 +27,9 @@
 	started time.Time
 	machine *recovery.Machine // nil: gradual return is off; only run uses it until close
 
-	mu     sync.Mutex      // guards link and orders
-	link   *link.Link      // nil: off, or the predecessor still owns its address
-	orders recovery.Orders // the last ones of machine
+	mu     sync.Mutex        // guards link and orders
+	link   *link.Link        // nil: off, or the predecessor still owns its address
+	orders recovery.Decision // the last ones of machine
 
 	checkpoint checkpointFile
 }
@@ -133,7 +133,7 @@
 }
 
 // lastOrders returns the last orders of the recovery machine, the zero value before its first step.
-func (c *coordinator) lastOrders() recovery.Orders {
+func (c *coordinator) lastOrders() recovery.Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.orders
@@ -165,10 +165,10 @@
 	if previous.Phase != recovery.Serving {
 		c.receivePeerPhases()
 	}
-	var orders recovery.Orders
+	var orders recovery.Decision
 	c.host.WithBalancer(func(now time.Duration, arrivals uint64, b *martendrum.Balancer) {
 		c.machine.SetArrivals(arrivals)
-		c.machine.SetCapacity(b.Capacity(now))
+		c.machine.SetCapacity(b.WorkingSetCapacity(now))
 		orders = c.machine.Tick(time.Since(c.started))
 		b.SetBounds(orders.Bounds)
 	})
@@ -190,7 +190,7 @@
 
 // logChange logs a change of the phase, or else of whether requests are shed, from the previous
 // orders to the new ones.
-func (c *coordinator) logChange(previous, orders recovery.Orders) {
+func (c *coordinator) logChange(previous, orders recovery.Decision) {
 	if orders.Phase != previous.Phase {
 		slog.Info("phase "+orders.Phase.String(), "verdict", orders.Verdict, "after", time.Since(c.started).Round(time.Millisecond), "shed", orders.Bounds.MinShedFraction)
 		return
--- a/cmd/sidecar/gauges.go
+++ b/cmd/sidecar/gauges.go
@@ -52,7 +52,7 @@
 	addCount("peer_bytes", `way="in"`, func(s peers.Stats) uint64 { return s.ReceivedBytes })
 	addCount("peer_dropped", `why="damaged"`, func(s peers.Stats) uint64 { return s.Damaged })
 	addCount("peer_dropped", `why="refused"`, func(s peers.Stats) uint64 { return s.Rejected })
-	addCount("peer_dropped", `why="ceiling"`, func(s peers.Stats) uint64 { return s.Withheld })
+	addCount("peer_dropped", `why="ceiling"`, func(s peers.Stats) uint64 { return s.RateLimited })
 	metricSet.Gauge("peer_dropped", `why="stranger"`, func() float64 {
 		if l := c.currentLink(); l != nil {
 			return float64(l.Counts().UnknownSenders)
--- a/internal/capacity/measure/measure.go
+++ b/internal/capacity/measure/measure.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// Sizes parses a comma-separated list of sizes, the value of a benchmark's flag. It returns an
+// ParseSizes parses a comma-separated list of sizes, the value of a benchmark's flag. It returns an
 // error if an element is not an integer above 0.
-func Sizes(list string) ([]int, error) {
+func ParseSizes(list string) ([]int, error) {
 	var sizes []int
 	for field := range strings.SplitSeq(list, ",") {
 		size, err := strconv.Atoi(strings.TrimSpace(field))
@@ -47,9 +47,9 @@
 	Descriptors  int64         // open file descriptors
 }
 
-// Process returns the resource usage of a running process. It returns an error if the process has
+// ProcessUsage returns the resource usage of a running process. It returns an error if the process has
 // ended.
-func Process(pid int) (Usage, error) {
+func ProcessUsage(pid int) (Usage, error) {
 	directory := fmt.Sprintf("/proc/%d", pid)
 	var usage Usage
 	var err error
@@ -129,11 +129,11 @@
 	Descriptors  int64 // largest number of file descriptors that were open at once
 }
 
-// Command runs a command, waits for its end and returns what its process used. The peaks are
-// sampled, so that Command can miss short ones. It replaces the command's Stdout and Stderr, kills
+// RunCommand runs a command, waits for its end and returns what its process used. The peaks are
+// sampled, so that RunCommand can miss short ones. It replaces the command's Stdout and Stderr, kills
 // the process after limit, and returns an error with the end of the output if the process is killed
 // or fails.
-func Command(command *exec.Cmd, limit time.Duration) (Cost, error) {
+func RunCommand(command *exec.Cmd, limit time.Duration) (Cost, error) {
 	var output strings.Builder
 	command.Stdout, command.Stderr = &output, &output
 	start := time.Now()
@@ -175,7 +175,7 @@
 			return peak
 		case <-ticker.C:
 		}
-		usage, err := Process(pid)
+		usage, err := ProcessUsage(pid)
 		if err != nil {
 			continue // the process has just ended
 		}
--- a/internal/capacity/measure/measure_test.go
+++ b/internal/capacity/measure/measure_test.go
@@ -9,12 +9,12 @@
 )
 
 func TestSizes(t *testing.T) {
-	sizes, err := Sizes("30, 300,3000")
+	sizes, err := ParseSizes("30, 300,3000")
 	if err != nil || !slices.Equal(sizes, []int{30, 300, 3000}) {
 		t.Errorf("Sizes(\"30, 300,3000\") = %v, %v, want [30 300 3000]", sizes, err)
 	}
 	for _, bad := range []string{"", "1,", "x", "0", "-3"} {
-		if _, err := Sizes(bad); err == nil {
+		if _, err := ParseSizes(bad); err == nil {
 			t.Errorf("Sizes(%q) succeeded, want an error", bad)
 		}
 	}
@@ -23,7 +23,7 @@
 // Process reports the processor time, the memory and the descriptor that this process uses between
 // two calls.
 func TestProcess(t *testing.T) {
-	before, err := Process(os.Getpid())
+	before, err := ProcessUsage(os.Getpid())
 	if err != nil {
 		t.Fatalf("Process before the use: %v", err)
 	}
@@ -34,7 +34,7 @@
 	defer file.Close()
 	for start := time.Now(); time.Since(start) < 50*time.Millisecond; {
 	}
-	after, err := Process(os.Getpid())
+	after, err := ProcessUsage(os.Getpid())
 	if err != nil {
 		t.Fatalf("Process after the use: %v", err)
 	}
@@ -48,14 +48,14 @@
 
 // Command reports the cost of a command that succeeds, and an error for one that it kills.
 func TestCommand(t *testing.T) {
-	cost, err := Command(exec.Command("sleep", "0.1"), time.Minute)
+	cost, err := RunCommand(exec.Command("sleep", "0.1"), time.Minute)
 	if err != nil {
 		t.Fatalf("Command with sleep 0.1: %v", err)
 	}
 	if cost.Elapsed < 100*time.Millisecond || cost.PeakResident == 0 || cost.Descriptors == 0 {
 		t.Errorf("Command with sleep 0.1 = %+v, want at least 100ms elapsed, and memory and descriptors above 0", cost)
 	}
-	if _, err := Command(exec.Command("sleep", "60"), time.Millisecond); err == nil {
+	if _, err := RunCommand(exec.Command("sleep", "60"), time.Millisecond); err == nil {
 		t.Error("Command with a killed process succeeded, want an error")
 	}
 }
--- a/internal/fleet/api/distribution.go
+++ b/internal/fleet/api/distribution.go
@@ -9,15 +9,15 @@
 // Methods for the distribution of settings, served by agents that are relays. Each comment names the type
 // of the parameter and that of the result, and which agents serve or call the method if not all do.
 const (
-	SettingsPut     = "settings.put"     // distribution.Put, SettingsPutOut; served by the writer
-	SettingsGet     = "settings.get"     // SettingsGetIn, SettingsGetOut
-	SettingsStatus  = "settings.status"  // SettingsStatusIn, SettingsStatusOut
-	SettingsPromote = "settings.promote" // Empty, SettingsWriter
-	SettingsWatch   = "settings.watch"   // SettingsWatchIn, SettingsWatchOut; called by subscribers
-	SettingsAck     = "settings.ack"     // SettingsAckIn, Empty; called by subscribers
-	SettingsFollow  = "settings.follow"  // SettingsFollowIn, SettingsWatchOut; called by relays
-	SettingsReport  = "settings.report"  // SettingsReportIn, SettingsReportOut; called by relays
-	SettingsWriting = "settings.writer"  // SettingsWriter, SettingsWriter; called by relays
+	SettingsPut            = "settings.put"     // distribution.Put, SettingsPutOut; served by the writer
+	SettingsGet            = "settings.get"     // SettingsGetIn, SettingsGetOut
+	SettingsStatus         = "settings.status"  // SettingsStatusIn, SettingsStatusOut
+	SettingsPromote        = "settings.promote" // Empty, SettingsWriter
+	SettingsWatch          = "settings.watch"   // SettingsWatchIn, SettingsWatchOut; called by subscribers
+	SettingsAck            = "settings.ack"     // SettingsAckIn, Empty; called by subscribers
+	SettingsFollow         = "settings.follow"  // SettingsFollowIn, SettingsWatchOut; called by relays
+	SettingsReport         = "settings.report"  // SettingsReportIn, SettingsReportOut; called by relays
+	SettingsExchangeWriter = "settings.writer"  // SettingsWriter, SettingsWriter; called by relays
 )
 
 // Error codes of the distribution of settings.
@@ -80,11 +80,11 @@
 	Host    string `msgpack:"host"`
 	Session int64  `msgpack:"session"`
 	// Interest restricts the updates. It is set in the first call of a connection.
-	Interest *distribution.Interest  `msgpack:"interest,omitempty"`
-	State    *distribution.HostState `msgpack:"state,omitempty"` // set together with Interest
-	After    distribution.Revision   `msgpack:"after"`           // revision that the subscriber has
-	Began    distribution.Revision   `msgpack:"began"`           // of the snapshot whose next page is requested; zero if none
-	Wait     time.Duration           `msgpack:"wait"`
+	Interest         *distribution.Interest  `msgpack:"interest,omitempty"`
+	State            *distribution.HostState `msgpack:"state,omitempty"` // set together with Interest
+	After            distribution.Revision   `msgpack:"after"`           // revision that the subscriber has
+	SnapshotRevision distribution.Revision   `msgpack:"began"`           // of the snapshot whose next page is requested; zero if none
+	Wait             time.Duration           `msgpack:"wait"`
 }
 
 // SettingsWatchOut is one page of updates, and the current writer.
@@ -102,12 +102,12 @@
 
 // SettingsFollowIn requests the updates after a revision for another relay.
 type SettingsFollowIn struct {
-	Relay  string                `msgpack:"relay"`
-	Epoch  int64                 `msgpack:"epoch"`  // the highest epoch that the caller knows
-	Writer string                `msgpack:"writer"` // the writer of that epoch
-	After  distribution.Revision `msgpack:"after"`  // revision that the caller has
-	Began  distribution.Revision `msgpack:"began"`  // of the snapshot whose next page is requested; zero if none
-	Wait   time.Duration         `msgpack:"wait"`
+	Relay            string                `msgpack:"relay"`
+	Epoch            int64                 `msgpack:"epoch"`  // the highest epoch that the caller knows
+	Writer           string                `msgpack:"writer"` // the writer of that epoch
+	After            distribution.Revision `msgpack:"after"`  // revision that the caller has
+	SnapshotRevision distribution.Revision `msgpack:"began"`  // of the snapshot whose next page is requested; zero if none
+	Wait             time.Duration         `msgpack:"wait"`
 }
 
 // SettingsReportIn reports the state of a relay's subscribers to the writer.
--- a/internal/fleet/api/errors.go
+++ b/internal/fleet/api/errors.go
@@ -19,7 +19,7 @@
 	Closed             = "closed"     // the operation is closed or aborting
 	Unwritable         = "unwritable" // the agent's record can't be written; nothing was changed
 	Internal           = "internal"
-	NotWelcomed        = "hello_first" // a method was called before Hello
+	HelloRequired      = "hello_first" // a method was called before Hello
 )
 
 // Error is the error of a call as it is sent to the caller. Message is meant for people.
--- a/internal/fleet/api/metrics.go
+++ b/internal/fleet/api/metrics.go
@@ -22,7 +22,7 @@
 }
 
 // Sample contains the metrics of an instance at a slot boundary. canary.Sample and canary.Window describe
-// the fields; Timed is Window.Sampled.
+// the fields; Sampled is Window.Sampled.
 type Sample struct {
 	Instance string                   `msgpack:"i"`
 	Boundary int64                    `msgpack:"b"`
@@ -34,7 +34,7 @@
 	Attempts uint32                   `msgpack:"n"`
 	Finished uint32                   `msgpack:"e"`
 	Rejected uint32                   `msgpack:"d"`
-	Timed    uint32                   `msgpack:"o"`
+	Sampled  uint32                   `msgpack:"o"`
 	Slow     uint32                   `msgpack:"w"`
 	Crashes  uint32                   `msgpack:"x"`
 	Memory   uint64                   `msgpack:"m"`
@@ -45,7 +45,7 @@
 // instance there, and classes names the classes in the order of canary.Config.Classes.
 func (s *Sample) CanarySample(instance int, classes []string) canary.Sample {
 	window := canary.Window{Instance: instance, Release: s.Release, Attempts: s.Attempts, Finished: s.Finished, Rejected: s.Rejected,
-		Sampled: s.Timed, Slow: s.Slow, Crashes: s.Crashes, Memory: s.Memory, Files: s.Files, Classes: make([]canary.Counts, len(classes))}
+		Sampled: s.Sampled, Slow: s.Slow, Crashes: s.Crashes, Memory: s.Memory, Files: s.Files, Classes: make([]canary.Counts, len(classes))}
 	for n, name := range classes {
 		window.Classes[n] = s.Classes[name]
 	}
--- a/internal/fleet/api/operations.go
+++ b/internal/fleet/api/operations.go
@@ -52,15 +52,15 @@
 // Operation is a change to a set of instances. Each agent that has one of these instances stores the
 // complete operation, so that any operator can resume it from any of the agents.
 type Operation struct {
-	ID       string        `msgpack:"id" json:"id"`
-	Action   string        `msgpack:"action" json:"action"`
-	Release  string        `msgpack:"release" json:"release,omitempty"` // hash of the release that an upgrade installs
-	Targets  []Target      `msgpack:"targets" json:"targets"`           // in the order in which they are changed
-	Policy   Policy        `msgpack:"policy" json:"policy"`
-	Ready    time.Duration `msgpack:"ready" json:"ready"` // time within which a changed instance must become ready
-	Soak     time.Duration `msgpack:"soak" json:"soak"`   // time for which it must then stay ready
-	Operator string        `msgpack:"operator" json:"operator"`
-	Created  time.Time     `msgpack:"created" json:"created"`
+	ID           string        `msgpack:"id" json:"id"`
+	Action       string        `msgpack:"action" json:"action"`
+	Release      string        `msgpack:"release" json:"release,omitempty"` // hash of the release that an upgrade installs
+	Targets      []Target      `msgpack:"targets" json:"targets"`           // in the order in which they are changed
+	Policy       Policy        `msgpack:"policy" json:"policy"`
+	ReadyTimeout time.Duration `msgpack:"ready" json:"ready"` // time within which a changed instance must become ready
+	Soak         time.Duration `msgpack:"soak" json:"soak"`   // time for which it must then stay ready
+	Operator     string        `msgpack:"operator" json:"operator"`
+	Created      time.Time     `msgpack:"created" json:"created"`
 
 	Staged *Staged `msgpack:"staged,omitempty" json:"staged,omitempty"` // nil for a rolling change in batches
 	Places []Place `msgpack:"places,omitempty" json:"places,omitempty"` // of Targets, in the same order; empty if unknown
@@ -91,22 +91,22 @@
 
 // Step is what an agent does, or has done, to one instance for one operation.
 type Step struct {
-	Op         string        `msgpack:"op" json:"op"`
-	Instance   string        `msgpack:"instance" json:"instance"`
-	Kind       string        `msgpack:"kind" json:"kind"`
-	Action     string        `msgpack:"action" json:"action"`
-	Status     string        `msgpack:"status" json:"status"`
-	Reason     string        `msgpack:"reason" json:"reason,omitempty"`
-	Cause      string        `msgpack:"cause,omitempty" json:"cause,omitempty"` // why the agent started the step without a command; "" if a command did
-	Generation int64         `msgpack:"generation" json:"generation"`
-	From       string        `msgpack:"from" json:"from,omitempty"`     // release of the instance before the step
-	To         string        `msgpack:"to" json:"to,omitempty"`         // release of the instance after the step
-	Before     string        `msgpack:"before" json:"before,omitempty"` // the instance's previous release (Instance.Previous) before the step
-	Ready      time.Duration `msgpack:"ready" json:"ready"`
-	Soak       time.Duration `msgpack:"soak" json:"soak"`
-	Started    time.Time     `msgpack:"started" json:"started"`
-	Finished   time.Time     `msgpack:"ended" json:"ended,omitzero"`
-	Token      int64         `msgpack:"token" json:"token"`
+	Op              string        `msgpack:"op" json:"op"`
+	Instance        string        `msgpack:"instance" json:"instance"`
+	Kind            string        `msgpack:"kind" json:"kind"`
+	Action          string        `msgpack:"action" json:"action"`
+	Status          string        `msgpack:"status" json:"status"`
+	Reason          string        `msgpack:"reason" json:"reason,omitempty"`
+	Cause           string        `msgpack:"cause,omitempty" json:"cause,omitempty"` // why the agent started the step without a command; "" if a command did
+	Generation      int64         `msgpack:"generation" json:"generation"`
+	From            string        `msgpack:"from" json:"from,omitempty"`     // release of the instance before the step
+	To              string        `msgpack:"to" json:"to,omitempty"`         // release of the instance after the step
+	PreviousRelease string        `msgpack:"before" json:"before,omitempty"` // the instance's previous release (Instance.Previous) before the step
+	ReadyTimeout    time.Duration `msgpack:"ready" json:"ready"`
+	Soak            time.Duration `msgpack:"soak" json:"soak"`
+	Started         time.Time     `msgpack:"started" json:"started"`
+	Finished        time.Time     `msgpack:"ended" json:"ended,omitzero"`
+	Token           int64         `msgpack:"token" json:"token"`
 }
 
 // CloseIn closes an operation with a result, which ends its leases at this agent.
--- a/internal/fleet/api/releases.go
+++ b/internal/fleet/api/releases.go
@@ -29,7 +29,7 @@
 // ReleaseOut reports whether an agent has a complete release and, if it has not, how much of the release
 // it has received so far.
 type ReleaseOut struct {
-	Have    bool  `msgpack:"have"`
-	Sidecar int64 `msgpack:"sidecar"` // bytes received of the program
-	Overlay int64 `msgpack:"overlay"` // bytes received of the overlay
+	Complete bool  `msgpack:"have"`
+	Sidecar  int64 `msgpack:"sidecar"` // bytes received of the program
+	Overlay  int64 `msgpack:"overlay"` // bytes received of the overlay
 }
--- a/internal/fleet/api/staged.go
+++ b/internal/fleet/api/staged.go
@@ -14,9 +14,9 @@
 	Seed  uint64        `msgpack:"seed" json:"seed"`   // of the order of the targets; see stage.Draw
 	// First is the boundary (Unix time over slot length) at which slot 0 begins.
 	First int64 `msgpack:"first" json:"first"`
-	// Alone is how long an agent waits after the last lease of the operation has expired before it rolls
-	// back those of its instances that canary.Coarse finds harmed. 0: it never does.
-	Alone time.Duration `msgpack:"alone" json:"alone"`
+	// UnattendedRollbackDelay is how long an agent waits after the last lease of the operation has expired before it rolls
+	// back those of its instances that canary.CheckLocalHealth finds harmed. 0: it never does.
+	UnattendedRollbackDelay time.Duration `msgpack:"alone" json:"alone"`
 }
 
 // Note is the progress of a staged change, as the holder of its leases last recorded it. If agents have
--- a/internal/fleet/canary/aggregate.go
+++ b/internal/fleet/canary/aggregate.go
@@ -131,7 +131,7 @@
 }
 
 // addGauges adds the gauges of a window. The gauges of an unchanged instance count in the
-// present phase only; the gauges of a process younger than Config.Settle do not count.
+// present phase only; the gauges of a process younger than Config.MinGaugeAge do not count.
 func (j *Judge) addGauges(i int, stored *storedWindow, phase int) {
 	w := &stored.window
 	side := unchangedSide
@@ -139,7 +139,7 @@
 		side = changedSide
 	}
 	for g, value := range [...]float64{float64(w.Memory) / bytesPerMiB, float64(w.Files)} {
-		if value > 0 && (stored.isChange || phase == present) && w.Age >= j.cfg.Settle {
+		if value > 0 && (stored.isChange || phase == present) && w.Age >= j.cfg.MinGaugeAge {
 			j.gaugeLines[g][side][i].add(w.Age.Minutes(), value)
 		}
 	}
--- a/internal/fleet/canary/coarse.go
+++ b/internal/fleet/canary/coarse.go
@@ -10,18 +10,18 @@
 	Limit   uint64 // memory limit in bytes; 0: none
 }
 
-// The limits that Coarse applies.
+// The limits that CheckLocalHealth applies.
 const (
 	coarseSlots          = 3    // number of latest windows that are examined; with fewer, only Crashing and Unready count
 	minCoarseRequests    = 5    // with fewer requests, serving none of them is no proof of harm
 	coarseMemoryFraction = 0.95 // fraction of the memory limit above which memory counts as used up
 )
 
-// Coarse judges a changed instance from its local health alone. An agent uses it while no
-// command holds the lease of the operation. Coarse returns "" if the change may stay, and
+// CheckLocalHealth judges a changed instance from its local health alone. An agent uses it while no
+// command holds the lease of the operation. CheckLocalHealth returns "" if the change may stay, and
 // otherwise the reason for rolling it back. It finds only harm that needs no comparison: a
 // crash loop, a failing health call, no request served, or nearly no memory left.
-func Coarse(health LocalHealth) string {
+func CheckLocalHealth(health LocalHealth) string {
 	switch {
 	case health.Crashing:
 		return "it crashes"
--- a/internal/fleet/canary/config.go
+++ b/internal/fleet/canary/config.go
@@ -59,12 +59,12 @@
 	Start int `msgpack:"Start" json:"Start"`
 	// Slot is the length of a slot.
 	Slot time.Duration `msgpack:"Slot" json:"Slot"`
-	// Warm is the warm-up time: a window that begins when its process is younger is excluded,
+	// WarmUp is the warm-up time: a window that begins when its process is younger is excluded,
 	// unless it reports a crash.
-	Warm time.Duration `msgpack:"Warm" json:"Warm"`
-	// Settle is the minimum age of a process whose memory and descriptors are compared, since
+	WarmUp time.Duration `msgpack:"Warm" json:"Warm"`
+	// MinGaugeAge is the minimum age of a process whose memory and descriptors are compared, since
 	// both grow in every new process.
-	Settle time.Duration `msgpack:"Settle" json:"Settle"`
+	MinGaugeAge time.Duration `msgpack:"Settle" json:"Settle"`
 	// FalseStops is the highest acceptable probability that a harmless change is ever judged
 	// worse, over all measures, classes, zones and evaluations together.
 	FalseStops float64 `msgpack:"FalseStops" json:"FalseStops"`
@@ -82,8 +82,8 @@
 		return fmt.Errorf("canary analysis: %d classes and %d weights; want at least one class, and one weight for each", len(c.Classes), len(c.Weights))
 	case c.Base == c.Change:
 		return fmt.Errorf("canary analysis: base and change are both release %.12s; want two different releases", c.Base)
-	case c.Slot <= 0 || c.Warm < 0 || c.Settle < 0 || c.MaxSlots < 1 || c.Start < 0:
-		return fmt.Errorf("canary analysis: slot length %v, warm-up %v, settling time %v, at most %d slots, start at slot %d; want a slot length above 0, at least 1 slot, and nothing negative", c.Slot, c.Warm, c.Settle, c.MaxSlots, c.Start)
+	case c.Slot <= 0 || c.WarmUp < 0 || c.MinGaugeAge < 0 || c.MaxSlots < 1 || c.Start < 0:
+		return fmt.Errorf("canary analysis: slot length %v, warm-up %v, settling time %v, at most %d slots, start at slot %d; want a slot length above 0, at least 1 slot, and nothing negative", c.Slot, c.WarmUp, c.MinGaugeAge, c.MaxSlots, c.Start)
 	case !(c.FalseStops > 0 && c.FalseStops < 0.5):
 		return fmt.Errorf("canary analysis: rate of false stops is %v; want above 0 and below 0.5", c.FalseStops)
 	}
--- a/internal/fleet/canary/differ.go
+++ b/internal/fleet/canary/differ.go
@@ -13,10 +13,10 @@
 	Window
 }
 
-// Differ computes windows from the differences between successive samples of one instance.
+// WindowBuilder computes windows from the differences between successive samples of one instance.
 // It counts the slots for which it cannot compute a window. It is not safe for concurrent
 // use.
-type Differ struct {
+type WindowBuilder struct {
 	Slot time.Duration // length of a slot; slot boundaries are the multiples of it since the Unix epoch
 	// MaxOffset is the longest time between a sample and the nearest slot boundary.
 	MaxOffset time.Duration
@@ -34,7 +34,7 @@
 	return n, (time.Duration(t%int64(slot)) - slot/2).Abs()
 }
 
-func (d *Differ) exclude(r Reason, slots int) {
+func (d *WindowBuilder) exclude(r Reason, slots int) {
 	if d.Excluded == nil {
 		d.Excluded = make(map[Reason]int)
 	}
@@ -44,7 +44,7 @@
 // Next takes the next sample, in the order of time, and returns the window between the sample
 // before and this one. ok is false if there is no such window. first is the number of the
 // boundary at which slot 0 begins.
-func (d *Differ) Next(s Sample, first int64) (w Window, ok bool) {
+func (d *WindowBuilder) Next(s Sample, first int64) (w Window, ok bool) {
 	n, off := Boundary(s.At, d.Slot)
 	if off > d.MaxOffset {
 		d.exclude(OffBoundary, 1)
--- a/internal/fleet/canary/judge.go
+++ b/internal/fleet/canary/judge.go
@@ -105,7 +105,7 @@
 	case w.Release != j.cfg.Base && w.Release != j.cfg.Change:
 		j.excluded[OtherRelease]++
 		return
-	case w.Age-j.cfg.Slot < j.cfg.Warm && w.Crashes == 0:
+	case w.Age-j.cfg.Slot < j.cfg.WarmUp && w.Crashes == 0:
 		j.excluded[WarmingUp]++
 		return
 	}
@@ -115,9 +115,9 @@
 	}
 }
 
-// Begin sets Config.Start, the first slot in which any instance is changed. Windows that were
+// SetStart sets Config.Start, the first slot in which any instance is changed. Windows that were
 // added before are kept.
-func (j *Judge) Begin(slot int) {
+func (j *Judge) SetStart(slot int) {
 	j.cfg.Start = slot
 	j.reset()
 }
--- a/internal/fleet/canary/judge_test.go
+++ b/internal/fleet/canary/judge_test.go
@@ -200,7 +200,7 @@
 // of slots from MaxSlots on are excluded and counted.
 func TestExcluded(t *testing.T) {
 	cfg, windows := fleet(10, 2, 25, 4, nil)
-	cfg.Warm = 20 * time.Second
+	cfg.WarmUp = 20 * time.Second
 	otherRelease, beyondMax, unknownInstance := windows[0], windows[1], windows[2]
 	otherRelease.Release, otherRelease.Slot, beyondMax.Slot, unknownInstance.Instance = "third", 30, 999, 77
 	got := evaluate(t, cfg, append(windows, otherRelease, beyondMax, unknownInstance))
@@ -249,7 +249,7 @@
 	}
 }
 
-// A Differ returns the window between two samples of successive boundaries, and counts the
+// A WindowBuilder returns the window between two samples of successive boundaries, and counts the
 // slots that have none.
 func TestDiffer(t *testing.T) {
 	const slot = 10 * time.Second
@@ -277,7 +277,7 @@
 		"samples before slot 0":     {[]sample{{98, 0, "a", 5, 0, -1, 0}, {99, 0, "a", 6, 0, -1, 0}, {100, 0, "a", 9, 0, -1, 0}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := canary.Differ{Slot: slot, MaxOffset: 2 * time.Second}
+			d := canary.WindowBuilder{Slot: slot, MaxOffset: 2 * time.Second}
 			for _, x := range c.samples {
 				w, ok := d.Next(canary.Sample{At: at(x.boundary, x.off), Process: x.process, Window: canary.Window{Crashes: x.crashes, Classes: []canary.Counts{{Served: x.served}}}}, 100)
 				if ok != (x.wantSlot >= 0) || ok && (w.Slot != x.wantSlot || w.Classes[0].Served != x.wantServed) {
@@ -291,7 +291,7 @@
 	}
 }
 
-// Coarse returns the reason for rolling an instance back, and none with fewer than three windows.
+// CheckLocalHealth returns the reason for rolling an instance back, and none with fewer than three windows.
 func TestCoarse(t *testing.T) {
 	threeWindows := func(served, failed uint32, memory uint64) (out []canary.Window) {
 		for range 3 {
@@ -306,11 +306,11 @@
 		"it serves no request":               {Windows: threeWindows(0, 3, 0)},
 		"its memory limit is nearly used up": {Windows: threeWindows(1, 0, 99), Limit: 100},
 	} {
-		if got := canary.Coarse(health); got != want {
+		if got := canary.CheckLocalHealth(health); got != want {
 			t.Errorf("Coarse(%+v) = %q, want %q", health, got, want)
 		}
 	}
-	if got := canary.Coarse(canary.LocalHealth{Windows: threeWindows(0, 3, 0)[:2]}); got != "" {
+	if got := canary.CheckLocalHealth(canary.LocalHealth{Windows: threeWindows(0, 3, 0)[:2]}); got != "" {
 		t.Errorf("Coarse() with two windows = %q, want \"\"", got)
 	}
 }
--- a/internal/fleet/canary/simulation/simulation.go
+++ b/internal/fleet/canary/simulation/simulation.go
@@ -63,14 +63,14 @@
 
 // Result summarizes all runs with one fleet size and one harm, as judged by one method.
 type Result struct {
-	Instances int     `json:"instances"`
-	Harm      string  `json:"harm"`
-	Method    Method  `json:"method"`
-	Runs      int     `json:"runs"`
-	Stopped   int     `json:"stopped"`
-	Median    float64 `json:"median_seconds,omitempty"` // of Times
-	Slowest   float64 `json:"p90_seconds,omitempty"`    // 90th percentile of Times
-	Touched   float64 `json:"touched"`                  // mean fraction of the fleet that ran the change when it was stopped or the run ended
+	Instances       int     `json:"instances"`
+	Harm            string  `json:"harm"`
+	Method          Method  `json:"method"`
+	Runs            int     `json:"runs"`
+	Stopped         int     `json:"stopped"`
+	Median          float64 `json:"median_seconds,omitempty"` // of Times
+	P90             float64 `json:"p90_seconds,omitempty"`    // 90th percentile of Times
+	ChangedFraction float64 `json:"touched"`                  // mean fraction of the fleet that ran the change when it was stopped or the run ended
 	// Times are the times in seconds from the start of the change to the stop, in ascending
 	// order, of the runs that were stopped.
 	Times []float64 `json:"-"`
@@ -162,14 +162,14 @@
 			r.Stopped++
 			r.Times = append(r.Times, (time.Duration(at) * slotLength).Seconds())
 		}
-		r.Touched += changedFraction(at)
+		r.ChangedFraction += changedFraction(at)
 	}
 	if r.Runs > 0 {
-		r.Touched /= float64(r.Runs)
+		r.ChangedFraction /= float64(r.Runs)
 	}
 	if sort.Float64s(r.Times); len(r.Times) > 0 {
 		r.Median = stat.Quantile(0.5, stat.Empirical, r.Times, nil)
-		r.Slowest = stat.Quantile(0.9, stat.Empirical, r.Times, nil)
+		r.P90 = stat.Quantile(0.9, stat.Empirical, r.Times, nil)
 	}
 }
 
--- a/internal/fleet/canary/simulation/world.go
+++ b/internal/fleet/canary/simulation/world.go
@@ -223,7 +223,7 @@
 // config returns the configuration of the canary analysis for a fleet of the given size.
 func config(size int) canary.Config {
 	c := canary.Config{Classes: classes, Weights: classWeights, Base: baseRelease, Change: changeRelease, Start: historySlots, Slot: slotLength,
-		Warm: slotLength, Settle: 4 * time.Minute, FalseStops: 0.01, MaxSlots: slotsPerRun, Zones: make([]string, size)}
+		WarmUp: slotLength, MinGaugeAge: 4 * time.Minute, FalseStops: 0.01, MaxSlots: slotsPerRun, Zones: make([]string, size)}
 	for i := range c.Zones {
 		c.Zones[i] = "zone-" + string(rune('a'+i%zoneCount))
 	}
--- a/internal/fleet/canary/window.go
+++ b/internal/fleet/canary/window.go
@@ -20,7 +20,7 @@
 	// Slot is the number of the slot. A slot begins at the same time on all hosts.
 	Slot int
 	// Release is the hash of the program and the configuration that the process ran. No
-	// window spans a change of Release (see Differ).
+	// window spans a change of Release (see WindowBuilder).
 	Release string
 	Age     time.Duration // of the process, at the end of the window
 	Classes []Counts      // by class, in the order of Config.Classes
@@ -46,8 +46,8 @@
 // Reason is why a window was excluded, or why there is none for a slot.
 type Reason string
 
-// The reasons. The first four are set by a Differ and ClockSkew by its caller; the others are
-// set by a Judge. A Differ also sets Unrecognized. The texts are keys of the JSON output.
+// The reasons. The first four are set by a WindowBuilder and ClockSkew by its caller; the others are
+// set by a Judge. A WindowBuilder also sets Unrecognized. The texts are keys of the JSON output.
 const (
 	Restarted        Reason = "process started anew"
 	MissingSample    Reason = "no figures at a boundary"
--- a/internal/fleet/control/client/staged.go
+++ b/internal/fleet/control/client/staged.go
@@ -90,7 +90,7 @@
 	state := s.machine.State()
 	if before.Stage == 0 && state.Stage > 0 {
 		s.note.Start = slot + 1
-		s.judge.Begin(s.note.Start)
+		s.judge.SetStart(s.note.Start)
 	}
 	s.notify(slot, before, state)
 	s.note.State = state
--- a/internal/fleet/control/client/staged_evidence.go
+++ b/internal/fleet/control/client/staged_evidence.go
@@ -22,7 +22,7 @@
 	spec        *api.Staged
 	judge       *canary.Judge
 	targetIndex map[api.Target]int
-	differs     []canary.Differ // by target index
+	differs     []canary.WindowBuilder // by target index
 }
 
 // newEvidence returns empty evidence for an operation whose first stage started at slot start.
@@ -33,9 +33,9 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &evidence{spec: op.Staged, judge: j, targetIndex: make(map[api.Target]int), differs: make([]canary.Differ, len(op.Targets))}
+	e := &evidence{spec: op.Staged, judge: j, targetIndex: make(map[api.Target]int), differs: make([]canary.WindowBuilder, len(op.Targets))}
 	for i, t := range op.Targets {
-		e.targetIndex[t], e.differs[i] = i, canary.Differ{Slot: cfg.Slot, MaxOffset: cfg.Slot / 4}
+		e.targetIndex[t], e.differs[i] = i, canary.WindowBuilder{Slot: cfg.Slot, MaxOffset: cfg.Slot / 4}
 	}
 	return e, nil
 }
--- a/internal/fleet/control/client/staged_notes.go
+++ b/internal/fleet/control/client/staged_notes.go
@@ -44,7 +44,7 @@
 	case now.Worse != before.Worse:
 		kind, text = EventWorse, now.Worse
 	case now.Stage != before.Stage:
-		kind, text = EventStage, fmt.Sprintf("stage %d of %d begins: %d of %d instances", now.Stage, len(s.spec.Plan.Upto), s.machine.Open(), len(s.runner.operation.Targets))
+		kind, text = EventStage, fmt.Sprintf("stage %d of %d begins: %d of %d instances", now.Stage, len(s.spec.Plan.StageSizes), s.machine.Open(), len(s.runner.operation.Targets))
 	case now.Done && !before.Done:
 		kind, text = EventStage, "the last stage has passed"
 	case now.HoldReason != before.HoldReason && now.HoldReason != "":
--- a/internal/fleet/control/client/upload.go
+++ b/internal/fleet/control/client/upload.go
@@ -36,7 +36,7 @@
 	if err := a.Call(ctx, api.ReleaseStat, &api.ReleaseIn{Release: hash}, &have); err != nil {
 		return err
 	}
-	if have.Have {
+	if have.Complete {
 		return a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, &have) // verifies it
 	}
 	for _, file := range []struct {
--- a/internal/fleet/distribution/applier.go
+++ b/internal/fleet/distribution/applier.go
@@ -43,8 +43,8 @@
 		accepted: make(map[string]Resource), rejected: make(map[string]Rejection)}
 }
 
-// Want sets the resources that apply to the instance now.
-func (a *Applier) Want(now time.Time, resources []Resource) {
+// SetWanted sets the resources that apply to the instance now.
+func (a *Applier) SetWanted(now time.Time, resources []Resource) {
 	a.wanted = make(map[string]Resource, len(resources))
 	for _, r := range resources {
 		a.wanted[r.Name] = r
@@ -102,9 +102,9 @@
 	return a.pendingSince.Add(a.coalesce), true
 }
 
-// Begin starts an attempt and returns the settings to give to the instance, in merge order. The
-// caller must end the attempt with Done or Abandon before the next call.
-func (a *Applier) Begin() []Resource {
+// BeginAttempt starts an attempt and returns the settings to give to the instance, in merge order. The
+// caller must end the attempt with EndAttempt or AbandonAttempt before the next call.
+func (a *Applier) BeginAttempt() []Resource {
 	pending := a.pending()
 	if a.oneByOne && len(pending) > 1 {
 		pending = pending[:1]
@@ -122,13 +122,13 @@
 	return mergeOrdered(next)
 }
 
-// Abandon ends an attempt without the instance's answer, because the instance exited or another
+// AbandonAttempt ends an attempt without the instance's answer, because the instance exited or another
 // operation took it over. The attempt's changes are retried later.
-func (a *Applier) Abandon() { a.attempt = nil }
+func (a *Applier) AbandonAttempt() { a.attempt = nil }
 
-// Done ends an attempt with the instance's answer. reason is why the instance rejected the settings.
+// EndAttempt ends an attempt with the instance's answer. reason is why the instance rejected the settings.
 // The caller must then write what Accepted returns to the instance's settings file.
-func (a *Applier) Done(accepted bool, reason string) {
+func (a *Applier) EndAttempt(accepted bool, reason string) {
 	attempt := a.attempt
 	a.attempt = nil
 	switch {
@@ -161,9 +161,9 @@
 	}
 }
 
-// Forgive discards the rejections so that their revisions are retried, for example because the
+// RetryRejected discards the rejections so that their revisions are retried, for example because the
 // instance now runs another version of its program.
-func (a *Applier) Forgive(now time.Time) {
+func (a *Applier) RetryRejected(now time.Time) {
 	clear(a.rejected)
 	if len(a.pending()) > 0 && a.pendingSince.IsZero() {
 		a.pendingSince = now
@@ -201,7 +201,7 @@
 }
 
 // Restore loads the instance's accepted settings and rejections from the stored entries. Until the
-// first call of Want the accepted settings are also the wanted ones, so that a restart removes no
+// first call of SetWanted the accepted settings are also the wanted ones, so that a restart removes no
 // settings from the instance.
 func (a *Applier) Restore(entries []Entry) error {
 	for _, entry := range entries {
--- a/internal/fleet/distribution/applier_test.go
+++ b/internal/fleet/distribution/applier_test.go
@@ -37,9 +37,9 @@
 		if _, due := applier.Due(); !due {
 			return attempts
 		}
-		offered := versions(applier.Begin())
+		offered := versions(applier.BeginAttempt())
 		rejected := slices.ContainsFunc(offered, func(version string) bool { return slices.Contains(rejects, version) })
-		applier.Done(!rejected, "no such limit")
+		applier.EndAttempt(!rejected, "no such limit")
 	}
 	t.Fatal("an attempt is still due after 1000 attempts")
 	return attempts
@@ -65,24 +65,24 @@
 	if _, due := applier.Due(); due || applier.Pending() {
 		t.Error("new applier has a pending change or an attempt that is due, want neither")
 	}
-	applier.Want(testTime, []Resource{version("a", 1)})
-	applier.Want(testTime.Add(time.Second), []Resource{version("a", 2), version("b", 3)})
+	applier.SetWanted(testTime, []Resource{version("a", 1)})
+	applier.SetWanted(testTime.Add(time.Second), []Resource{version("a", 2), version("b", 3)})
 	at, due := applier.Due()
 	if !due || at != testTime.Add(testCoalesce) {
 		t.Fatalf("Due() = %v, %v; want the end of the coalescing delay after the first change", at, due)
 	}
-	if offered := versions(applier.Begin()); !slices.Equal(offered, []string{"a@2", "b@3"}) {
+	if offered := versions(applier.BeginAttempt()); !slices.Equal(offered, []string{"a@2", "b@3"}) {
 		t.Errorf("Begin returned %v, want a@2 and b@3", offered)
 	}
 	if _, due := applier.Due(); due || !applier.Pending() {
 		t.Error("during an attempt another one is due, or its changes are not pending")
 	}
-	applier.Done(true, "")
+	applier.EndAttempt(true, "")
 	requireApplied(t, applier, []string{"a@2", "b@3"}, nil)
 	if applier.Pending() {
 		t.Error("a change is pending after all were accepted")
 	}
-	applier.Want(testTime.Add(time.Hour), []Resource{version("a", 4), version("b", 3)})
+	applier.SetWanted(testTime.Add(time.Hour), []Resource{version("a", 4), version("b", 3)})
 	if at, due := applier.Due(); !due || at != testTime.Add(time.Hour+testCoalesce) {
 		t.Errorf("Due() after a later change = %v, %v; want the end of its coalescing delay", at, due)
 	}
@@ -90,9 +90,9 @@
 
 func TestApplierRejectsOneAmongSeveral(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
-	applier.Want(testTime, []Resource{version("b", 1)})
+	applier.SetWanted(testTime, []Resource{version("b", 1)})
 	settle(t, applier)
-	applier.Want(testTime, []Resource{version("a", 2), version("b", 3), version("c", 4)})
+	applier.SetWanted(testTime, []Resource{version("a", 2), version("b", 3), version("c", 4)})
 	if attempts := settle(t, applier, "b@3"); attempts != 4 {
 		t.Errorf("made %d attempts, want 4: the batch and each of its three changes", attempts)
 	}
@@ -101,7 +101,7 @@
 		t.Errorf("rejection is %+v, want instance i and the reason of the instance", rejection)
 	}
 
-	applier.Want(testTime, []Resource{version("a", 2), version("b", 5), version("c", 4)})
+	applier.SetWanted(testTime, []Resource{version("a", 2), version("b", 5), version("c", 4)})
 	settle(t, applier)
 	requireApplied(t, applier, []string{"a@2", "b@5", "c@4"}, nil)
 }
@@ -110,20 +110,20 @@
 // instance rejects or accepts the earlier one.
 func TestApplierAttemptsRevisionThatArrivedDuringAttempt(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
-	applier.Want(testTime, []Resource{version("a", 1)})
-	applier.Begin()
-	applier.Want(testTime, []Resource{version("a", 2)})
-	applier.Done(false, "no")
+	applier.SetWanted(testTime, []Resource{version("a", 1)})
+	applier.BeginAttempt()
+	applier.SetWanted(testTime, []Resource{version("a", 2)})
+	applier.EndAttempt(false, "no")
 	if !applier.Pending() {
 		t.Fatal("later revision that arrived during the attempt is not pending")
 	}
 	settle(t, applier)
 	requireApplied(t, applier, []string{"a@2"}, nil)
 
-	applier.Want(testTime, []Resource{version("a", 3)})
-	applier.Begin()
-	applier.Want(testTime, []Resource{version("a", 4)})
-	applier.Done(true, "")
+	applier.SetWanted(testTime, []Resource{version("a", 3)})
+	applier.BeginAttempt()
+	applier.SetWanted(testTime, []Resource{version("a", 4)})
+	applier.EndAttempt(true, "")
 	requireApplied(t, applier, []string{"a@3"}, nil)
 	settle(t, applier)
 	requireApplied(t, applier, []string{"a@4"}, nil)
@@ -132,10 +132,10 @@
 // No rejection is recorded for a revision that is no longer wanted when the instance rejects it.
 func TestApplierForgetsRejectionOfUnwanted(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
-	applier.Want(testTime, []Resource{version("a", 1)})
-	applier.Begin()
-	applier.Want(testTime, nil)
-	applier.Done(false, "no")
+	applier.SetWanted(testTime, []Resource{version("a", 1)})
+	applier.BeginAttempt()
+	applier.SetWanted(testTime, nil)
+	applier.EndAttempt(false, "no")
 	requireApplied(t, applier, nil, nil)
 	if applier.Pending() {
 		t.Error("a revision that is no longer wanted is pending")
@@ -144,28 +144,28 @@
 
 func TestApplierRemoves(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
-	applier.Want(testTime, []Resource{version("a", 1), version("b", 2)})
+	applier.SetWanted(testTime, []Resource{version("a", 1), version("b", 2)})
 	settle(t, applier)
-	applier.Want(testTime, []Resource{version("b", 2)})
-	if offered := versions(applier.Begin()); !slices.Equal(offered, []string{"b@2"}) {
+	applier.SetWanted(testTime, []Resource{version("b", 2)})
+	if offered := versions(applier.BeginAttempt()); !slices.Equal(offered, []string{"b@2"}) {
 		t.Errorf("Begin after the removal of a returned %v, want b@2", offered)
 	}
-	applier.Done(false, "needs a")
+	applier.EndAttempt(false, "needs a")
 	requireApplied(t, applier, []string{"a@1", "b@2"}, []string{"a@0"})
-	applier.Want(testTime, []Resource{version("b", 2)})
+	applier.SetWanted(testTime, []Resource{version("b", 2)})
 	if applier.Pending() {
 		t.Error("rejected removal is pending again")
 	}
-	applier.Forgive(testTime)
+	applier.RetryRejected(testTime)
 	settle(t, applier)
 	requireApplied(t, applier, []string{"b@2"}, nil)
 }
 
 func TestApplierAbandons(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
-	applier.Want(testTime, []Resource{version("a", 1)})
-	applier.Begin()
-	applier.Abandon()
+	applier.SetWanted(testTime, []Resource{version("a", 1)})
+	applier.BeginAttempt()
+	applier.AbandonAttempt()
 	requireApplied(t, applier, nil, nil)
 	if _, due := applier.Due(); !due {
 		t.Error("no attempt is due after an abandoned one")
@@ -176,11 +176,11 @@
 
 func TestApplierRetriesAfterForgive(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
-	applier.Want(testTime, []Resource{version("a", 1)})
+	applier.SetWanted(testTime, []Resource{version("a", 1)})
 	settle(t, applier, "a@1")
 	requireApplied(t, applier, nil, []string{"a@1"})
 	later := testTime.Add(time.Hour)
-	applier.Forgive(later)
+	applier.RetryRejected(later)
 	if at, due := applier.Due(); !due || at != later.Add(testCoalesce) {
 		t.Errorf("Due() after Forgive = %v, %v; want the end of the coalescing delay", at, due)
 	}
@@ -190,9 +190,9 @@
 
 func TestApplierBoundsReason(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
-	applier.Want(testTime, []Resource{version("a", 1)})
-	applier.Begin()
-	applier.Done(false, "x"+strings.Repeat("ä", maxReasonBytes))
+	applier.SetWanted(testTime, []Resource{version("a", 1)})
+	applier.BeginAttempt()
+	applier.EndAttempt(false, "x"+strings.Repeat("ä", maxReasonBytes))
 	if reason := applier.Rejections()[0].Reason; len(reason) > maxReasonBytes || strings.ToValidUTF8(reason, "") != reason {
 		t.Errorf("reason of the rejection has %d bytes, want valid UTF-8 of at most %d bytes: %q", len(reason), maxReasonBytes, reason)
 	}
@@ -216,20 +216,20 @@
 	applier := NewApplier("i", testCoalesce)
 	first := []Resource{version("a", 1), version("b", 2)}
 	second := []Resource{version("a", 3), version("b", 2)}
-	applier.Want(testTime, first)
+	applier.SetWanted(testTime, first)
 	settle(t, applier)
-	applier.Want(testTime, second)
+	applier.SetWanted(testTime, second)
 	settle(t, applier, "a@3")
 	restored := restoreApplier(t, applier)
 	requireApplied(t, restored, []string{"a@1", "b@2"}, []string{"a@3"})
 	if _, due := restored.Due(); due || restored.Pending() {
 		t.Error("restored applier has a pending change or an attempt that is due before Want was called")
 	}
-	restored.Want(testTime, second)
+	restored.SetWanted(testTime, second)
 	if restored.Pending() {
 		t.Error("revision that was rejected before the restart is pending again")
 	}
-	restored.Want(testTime, []Resource{version("a", 4)})
+	restored.SetWanted(testTime, []Resource{version("a", 4)})
 	settle(t, restored)
 	requireApplied(t, restored, []string{"a@4"}, nil)
 
@@ -249,7 +249,7 @@
 	for n := int64(1); n <= 60; n++ {
 		name := string(rune('a' + n%4))
 		wanted[name] = version(name, n)
-		applier.Want(testTime.Add(time.Duration(n)*time.Second), slices.Collect(maps.Values(wanted)))
+		applier.SetWanted(testTime.Add(time.Duration(n)*time.Second), slices.Collect(maps.Values(wanted)))
 		if n%5 == 0 {
 			settle(t, applier, fmt.Sprintf("%s@%d", name, n))
 		}
--- a/internal/fleet/distribution/compat_test.go
+++ b/internal/fleet/distribution/compat_test.go
@@ -90,9 +90,9 @@
 	applier := NewApplier("n1", 0)
 	attempt := func(accepted bool, reason string) {
 		t.Helper()
-		applier.Want(testTime, source.Resources())
-		applier.Begin()
-		applier.Done(accepted, reason)
+		applier.SetWanted(testTime, source.Resources())
+		applier.BeginAttempt()
+		applier.EndAttempt(accepted, reason)
 	}
 	attempt(true, "")
 	publish(t, source, put("limits/more", "sim", content(2)))
--- a/internal/fleet/distribution/errors.go
+++ b/internal/fleet/distribution/errors.go
@@ -93,11 +93,11 @@
 
 // AheadError reports that a reader holds a later revision than its relay: the relay has not caught
 // up, or the log was restored to an earlier state.
-type AheadError struct{ Have, Requested Revision }
+type AheadError struct{ Current, Requested Revision }
 
 // Error implements error.
 func (e *AheadError) Error() string {
-	return fmt.Sprintf("settings: requested the changes after %v; this relay holds none after %v", e.Requested, e.Have)
+	return fmt.Sprintf("settings: requested the changes after %v; this relay holds none after %v", e.Requested, e.Current)
 }
 
 // Advice returns the operator's next step.
--- a/internal/fleet/distribution/fuzz_test.go
+++ b/internal/fleet/distribution/fuzz_test.go
@@ -66,7 +66,7 @@
 // one does not take it back, is stored and restored, and leaves no removed resource.
 func checkTake(t *testing.T, replica *Replica, update Update) {
 	before := replica.Clone()
-	_, err := replica.Take(update)
+	_, err := replica.Apply(update)
 	if err != nil {
 		if before.revision != replica.revision || !maps.EqualFunc(before.resources, replica.resources, sameRevision) {
 			t.Fatalf("replica has changed although Take returned the error %v", err)
@@ -85,7 +85,7 @@
 	if restored.revision != replica.revision || !maps.EqualFunc(restored.resources, replica.resources, sameRevision) {
 		t.Fatal("restored replica differs from the stored one")
 	}
-	for _, r := range replica.For("h", map[string]string{"service": "x"}) {
+	for _, r := range replica.ResourcesFor("h", map[string]string{"service": "x"}) {
 		if r.Removed {
 			t.Fatalf("For returned the removed resource %s", r.Name)
 		}
--- a/internal/fleet/distribution/helpers_test.go
+++ b/internal/fleet/distribution/helpers_test.go
@@ -134,7 +134,7 @@
 func subscribe(t testing.TB, source *State, replica *Replica, interest Interest, bytes int) {
 	t.Helper()
 	update := readComplete(t, source, NewReader(testLimits()), replica.Revision(), &interest, bytes, nil)
-	if _, err := replica.Take(update); err != nil {
+	if _, err := replica.Apply(update); err != nil {
 		t.Fatalf("Replica.Take: %v", err)
 	}
 }
--- a/internal/fleet/distribution/log_test.go
+++ b/internal/fleet/distribution/log_test.go
@@ -198,7 +198,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := replica.Take(late); !isFenced(err) {
+	if _, err := replica.Apply(late); !isFenced(err) {
 		t.Errorf("subscriber takes an update of the earlier epoch: got error %v, want a FencedError", err)
 	}
 	if _, err := relay.PrepareUpdate(late); !isFenced(err) {
--- a/internal/fleet/distribution/model_check_test.go
+++ b/internal/fleet/distribution/model_check_test.go
@@ -100,7 +100,7 @@
 		anyRejected := false
 		for _, instance := range s.instances {
 			wanted := matching(state, s.interest.Host, instance.labels)
-			if have := s.replica.For(s.interest.Host, instance.labels); !slices.EqualFunc(have, wanted, sameResource) {
+			if have := s.replica.ResourcesFor(s.interest.Host, instance.labels); !slices.EqualFunc(have, wanted, sameResource) {
 				m.t.Fatalf("replica of subscriber %s has the resources %v for an instance, want %v", s.interest.Host, versions(have), versions(wanted))
 			}
 			anyRejected = m.checkSettled(instance, wanted) || anyRejected
--- a/internal/fleet/distribution/model_subscriber_test.go
+++ b/internal/fleet/distribution/model_subscriber_test.go
@@ -103,7 +103,7 @@
 	if complete == nil {
 		return
 	}
-	changed, err := s.replica.Take(*complete)
+	changed, err := s.replica.Apply(*complete)
 	switch {
 	case isFenced(err) || isInvalid(err):
 		return
@@ -120,7 +120,7 @@
 // want sets the wanted settings of all instances to those of the replica.
 func (s *modelSubscriber) want(now time.Time) {
 	for _, instance := range s.instances {
-		instance.applier.Want(now, s.replica.For(s.interest.Host, instance.labels))
+		instance.applier.SetWanted(now, s.replica.ResourcesFor(s.interest.Host, instance.labels))
 	}
 }
 
@@ -168,7 +168,7 @@
 
 // retryRejected discards the rejections of a subscriber's first instance, so that they are retried.
 func (m *model) retryRejected(s *modelSubscriber) {
-	s.instances[0].applier.Forgive(m.now)
+	s.instances[0].applier.RetryRejected(m.now)
 	s.applied = Revision{}
 	if s.server != nil {
 		s.server.registry.Acknowledge(s.interest.Host, s.session, s.status())
@@ -181,18 +181,18 @@
 	if _, due := instance.applier.Due(); !due {
 		return
 	}
-	offered := instance.applier.Begin()
+	offered := instance.applier.BeginAttempt()
 	if faults && m.oneIn(5, "abandon") {
-		instance.applier.Abandon()
+		instance.applier.AbandonAttempt()
 		return
 	}
 	if faults && m.flip("update during the attempt") {
 		m.subscribe(s, true)
 	}
 	if slices.ContainsFunc(offered, instance.rejects) {
-		instance.applier.Done(false, "rejected")
+		instance.applier.EndAttempt(false, "rejected")
 		return
 	}
-	instance.applier.Done(true, "")
+	instance.applier.EndAttempt(true, "")
 	instance.inForce = offered
 }
--- a/internal/fleet/distribution/node/node.go
+++ b/internal/fleet/distribution/node/node.go
@@ -91,9 +91,9 @@
 	return ""
 }
 
-// RejectionReason converts an error of package distribution to its form on the wire, an *api.Error
+// WireError converts an error of package distribution to its form on the wire, an *api.Error
 // with the advice in its message. It returns other errors unchanged.
-func RejectionReason(err error) error {
+func WireError(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/fleet/distribution/node/relay.go
+++ b/internal/fleet/distribution/node/relay.go
@@ -114,10 +114,10 @@
 	r.changed = make(chan struct{})
 }
 
-// Learn receives the writer and epoch that another relay knows. If the epoch is higher than this
+// LearnWriter receives the writer and epoch that another relay knows. If the epoch is higher than this
 // relay's it is stored and adopted; the error is a *distribution.InvalidError if the writer is not a
-// configured relay. Learn returns the writer and epoch that this relay then knows.
-func (r *Relay) Learn(received api.SettingsWriter) (*api.SettingsWriter, error) {
+// configured relay. LearnWriter returns the writer and epoch that this relay then knows.
+func (r *Relay) LearnWriter(received api.SettingsWriter) (*api.SettingsWriter, error) {
 	if received.Epoch <= r.Writer().Epoch {
 		known := r.Writer()
 		return &known, nil
--- a/internal/fleet/distribution/node/relay_loops.go
+++ b/internal/fleet/distribution/node/relay_loops.go
@@ -70,10 +70,10 @@
 // relay knows.
 func (r *Relay) exchangeWriter(conn Conn) error {
 	var received api.SettingsWriter
-	if err := call(r.ctx, conn, callTimeout, api.SettingsWriting, r.Writer(), &received); err != nil {
+	if err := call(r.ctx, conn, callTimeout, api.SettingsExchangeWriter, r.Writer(), &received); err != nil {
 		return err
 	}
-	_, err := r.Learn(received)
+	_, err := r.LearnWriter(received)
 	return err
 }
 
@@ -123,7 +123,7 @@
 	r.mu.Lock()
 	query := reader.Query(r.state.Revision(), nil)
 	r.mu.Unlock()
-	in := &api.SettingsFollowIn{Relay: r.config.Name, Epoch: writer.Epoch, Writer: writer.Writer, After: query.After, Began: query.Began, Wait: watchWait}
+	in := &api.SettingsFollowIn{Relay: r.config.Name, Epoch: writer.Epoch, Writer: writer.Writer, After: query.After, SnapshotRevision: query.Began, Wait: watchWait}
 	var out api.SettingsWatchOut
 	if err := call(r.ctx, conn, watchWait+watchSlack, api.SettingsFollow, in, &out); err != nil {
 		return err
--- a/internal/fleet/distribution/node/relay_serve.go
+++ b/internal/fleet/distribution/node/relay_serve.go
@@ -61,7 +61,7 @@
 	if !ok || !r.registry.RecordPoll(now, in.Host, in.Session) {
 		return nil, &distribution.InvalidError{What: "session", Name: in.Host, Reason: "it is not open at this relay; reconnect"}
 	}
-	query := distribution.Query{After: in.After, Began: in.Began, Bytes: pageBytes, Interest: &interest}
+	query := distribution.Query{After: in.After, Began: in.SnapshotRevision, Bytes: pageBytes, Interest: &interest}
 	if update, err := r.state.Read(query); err == nil {
 		r.registry.RecordRead(in.Host, in.Session, &update) // before the wait, also for an empty update
 	}
@@ -121,7 +121,7 @@
 // Follow responds to the poll of another relay that copies the log. Relays other than the writer
 // return a *distribution.NotWriterError.
 func (r *Relay) Follow(ctx context.Context, in *api.SettingsFollowIn) (*api.SettingsWatchOut, error) {
-	if _, err := r.Learn(api.SettingsWriter{Writer: in.Writer, Epoch: in.Epoch}); err != nil {
+	if _, err := r.LearnWriter(api.SettingsWriter{Writer: in.Writer, Epoch: in.Epoch}); err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
@@ -129,7 +129,7 @@
 	if r.writer.Writer != r.config.Name {
 		return nil, &distribution.NotWriterError{Here: r.config.Name, Writer: r.writer.Writer, Epoch: r.writer.Epoch}
 	}
-	update, err := r.waitForUpdate(ctx, in.Wait, distribution.Query{After: in.After, Began: in.Began, Bytes: pageBytes})
+	update, err := r.waitForUpdate(ctx, in.Wait, distribution.Query{After: in.After, Began: in.SnapshotRevision, Bytes: pageBytes})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/distribution/node/subscriber.go
+++ b/internal/fleet/distribution/node/subscriber.go
@@ -14,7 +14,7 @@
 // Replica is a subscriber's copy of the settings, together with the code that applies its changes to
 // the host's instances. Its methods must be safe for concurrent use.
 type Replica interface {
-	// Take applies and stores a complete update. On an error the copy is unchanged.
+	// Apply applies and stores a complete update. On an error the copy is unchanged.
 	Take(update distribution.Update) error
 	// State returns the host's report on its progress.
 	State() distribution.HostState
@@ -171,7 +171,7 @@
 // poll makes one poll and applies the update once it is complete.
 func (s *Subscriber) poll(ctx context.Context, conn Conn, reader *distribution.Reader, in *api.SettingsWatchIn) error {
 	query := reader.Query(s.config.Replica.State().Received, nil)
-	in.After, in.Began = query.After, query.Began
+	in.After, in.SnapshotRevision = query.After, query.Began
 	var out api.SettingsWatchOut
 	if err := call(ctx, conn, watchWait+watchSlack, api.SettingsWatch, in, &out); err != nil {
 		return err
@@ -187,13 +187,13 @@
 	if empty {
 		return nil // an empty update needs no acknowledgement
 	}
-	s.Changed()
+	s.StateChanged()
 	return nil
 }
 
-// Changed schedules an acknowledgement, because the state of the Replica has changed. Without a
-// connection the acknowledgement is sent on the next one. Changed does not block.
-func (s *Subscriber) Changed() {
+// StateChanged schedules an acknowledgement, because the state of the Replica has changed. Without a
+// connection the acknowledgement is sent on the next one. StateChanged does not block.
+func (s *Subscriber) StateChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stale = true
--- a/internal/fleet/distribution/node/subscriber_test.go
+++ b/internal/fleet/distribution/node/subscriber_test.go
@@ -138,7 +138,7 @@
 		t.Errorf("first poll has a wait of %v, want 0", first.Wait)
 	}
 	replica.settle()
-	s.Changed()
+	s.StateChanged()
 	conn.answers <- nil
 	if acked := receive(t, "the acknowledgement", conn.acks); !acked.State.Settled {
 		t.Errorf("acknowledged state is %+v, want a settled one", acked.State)
@@ -157,12 +157,12 @@
 	receive(t, "the first poll", first.polls)
 	first.answers <- nil
 	receive(t, "the second poll", first.polls)
-	s.Changed()
+	s.StateChanged()
 	receive(t, "the first acknowledgement", first.acks)
 	first.answers <- context.DeadlineExceeded
 	receive(t, "the first poll of the next connection", second.polls)
 	replica.settle()
-	s.Changed()
+	s.StateChanged()
 	second.answers <- nil
 	first.ackErr <- context.DeadlineExceeded
 	if acked := receive(t, "the acknowledgement", second.acks); !acked.State.Settled {
--- a/internal/fleet/distribution/reader_test.go
+++ b/internal/fleet/distribution/reader_test.go
@@ -53,7 +53,7 @@
 	}
 	replica := NewReplica(interest)
 	complete := readComplete(t, log, reader, replica.Revision(), &interest, 1, nil)
-	if _, err := replica.Take(complete); err != nil {
+	if _, err := replica.Apply(complete); err != nil {
 		t.Fatal(err)
 	}
 	requireReplica(t, log, replica, interest)
@@ -90,7 +90,7 @@
 	if complete == nil {
 		t.Fatal("update is not complete after all pages")
 	}
-	if _, err := replica.Take(*complete); err != nil {
+	if _, err := replica.Apply(*complete); err != nil {
 		t.Fatal(err)
 	}
 	requireReplica(t, log, replica, interest)
@@ -136,7 +136,7 @@
 			publish(t, log, put("r0", "x", content(10+pages)))
 		}
 	})
-	if _, err := replica.Take(complete); err != nil {
+	if _, err := replica.Apply(complete); err != nil {
 		t.Fatal(err)
 	}
 	requireReplica(t, log, replica, interest)
--- a/internal/fleet/distribution/replica.go
+++ b/internal/fleet/distribution/replica.go
@@ -25,9 +25,9 @@
 // Revision returns the revision that the copy holds.
 func (r *Replica) Revision() Revision { return r.revision }
 
-// Take applies a complete update and reports whether it changed any resource. Errors are
+// Apply applies a complete update and reports whether it changed any resource. Errors are
 // *InvalidError and *FencedError; the copy is then unchanged.
-func (r *Replica) Take(update Update) (changed bool, err error) {
+func (r *Replica) Apply(update Update) (changed bool, err error) {
 	if update.Revision.Epoch < r.epoch {
 		return false, &FencedError{Epoch: update.Revision.Epoch, Known: r.epoch}
 	}
@@ -58,8 +58,8 @@
 
 func sameRevision(x, y Resource) bool { return x.Revision == y.Revision && x.Hash == y.Hash }
 
-// For returns the resources that apply to an instance of the host, in merge order.
-func (r *Replica) For(host string, labels map[string]string) []Resource {
+// ResourcesFor returns the resources that apply to an instance of the host, in merge order.
+func (r *Replica) ResourcesFor(host string, labels map[string]string) []Resource {
 	var matching []Resource
 	for _, resource := range r.resources {
 		if resource.Scope.Matches(resource.Name, host, labels) {
--- a/internal/fleet/distribution/replica_test.go
+++ b/internal/fleet/distribution/replica_test.go
@@ -11,21 +11,21 @@
 	replica := NewReplica(interest)
 	publish(t, log, put("a", "x", content(1)))
 	snapshot, _ := log.Read(Query{Interest: &interest})
-	if changed, err := replica.Take(snapshot); !changed || err != nil {
+	if changed, err := replica.Apply(snapshot); !changed || err != nil {
 		t.Fatalf("Take of a first snapshot = %v, %v; want a change", changed, err)
 	}
-	if changed, err := replica.Take(snapshot); changed || err != nil {
+	if changed, err := replica.Apply(snapshot); changed || err != nil {
 		t.Errorf("Take of the same snapshot again = %v, %v; want no change", changed, err)
 	}
 	publish(t, log, put("b", "y", content(1)))
 	delta, _ := log.Read(Query{After: replica.Revision(), Interest: &interest})
-	if changed, err := replica.Take(delta); changed || err != nil || replica.Revision() != log.Revision() {
+	if changed, err := replica.Apply(delta); changed || err != nil || replica.Revision() != log.Revision() {
 		t.Errorf("Take of a delta without resources in the interest = %v, %v, now at %v; want no change, at %v", changed, err, replica.Revision(), log.Revision())
 	}
-	if _, err := replica.Take(delta); !isInvalid(err) {
+	if _, err := replica.Apply(delta); !isInvalid(err) {
 		t.Errorf("Take of a repeated delta: got error %v, want an InvalidError", err)
 	}
-	if _, err := replica.Take(snapshot); !isInvalid(err) {
+	if _, err := replica.Apply(snapshot); !isInvalid(err) {
 		t.Errorf("Take of an earlier snapshot: got error %v, want an InvalidError", err)
 	}
 	requireReplica(t, log, replica, interest)
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 		update.Resources[len(update.Resources)-1].Content = []byte("{}")
-		if changed, err := replica.Take(update); changed || !isInvalid(err) {
+		if changed, err := replica.Apply(update); changed || !isInvalid(err) {
 			t.Errorf("Take of an update with a wrong hash = %v, %v; want an InvalidError", changed, err)
 		}
 		if replica.Revision() != before.Revision() || !slices.Equal(replica.Names(), before.Names()) {
@@ -67,7 +67,7 @@
 	replica := NewReplica(interest)
 	subscribe(t, log, replica, interest, 0)
 	var names []string
-	for _, r := range replica.For("h", labels) {
+	for _, r := range replica.ResourcesFor("h", labels) {
 		names = append(names, r.Name)
 	}
 	if !slices.Equal(names, []string{"d", "b", "c", "a"}) {
@@ -171,7 +171,7 @@
 		t.Fatal(err)
 	}
 	for _, r := range []*Replica{restored, again} {
-		if _, err := r.Take(late); !isFenced(err) {
+		if _, err := r.Apply(late); !isFenced(err) {
 			t.Errorf("Take of an update of the earlier epoch: got error %v, want a FencedError", err)
 		}
 		subscribe(t, promoted, r, interestXY, 0)
--- a/internal/fleet/distribution/state.go
+++ b/internal/fleet/distribution/state.go
@@ -104,7 +104,7 @@
 func (s *State) Read(query Query) (Update, error) {
 	for _, requested := range []Revision{query.After, query.Began} {
 		if requested.After(s.revision) {
-			return Update{}, &AheadError{Have: s.revision, Requested: requested}
+			return Update{}, &AheadError{Current: s.revision, Requested: requested}
 		}
 	}
 	if !query.Began.IsZero() && s.historyCovers(query.Began) {
--- a/internal/fleet/distribution/state_test.go
+++ b/internal/fleet/distribution/state_test.go
@@ -162,7 +162,7 @@
 					}
 				}
 				update := readComplete(t, log, NewReader(testLimits()), replica.Revision(), &interest, bytes, between)
-				if _, err := replica.Take(update); err != nil {
+				if _, err := replica.Apply(update); err != nil {
 					t.Fatal(err)
 				}
 				requireReplica(t, log, replica, interest)
--- a/internal/fleet/e2e/agent_capacity_test.go
+++ b/internal/fleet/e2e/agent_capacity_test.go
@@ -54,7 +54,7 @@
 	b.Helper()
 	all := make([]measure.Usage, len(pids))
 	for i, pid := range pids {
-		usage, err := measure.Process(pid)
+		usage, err := measure.ProcessUsage(pid)
 		if err != nil {
 			b.Fatalf("reading the usage of process %d: %v", pid, err)
 		}
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -43,7 +43,7 @@
 	unknownAction := op
 	unknownAction.Action = "explode"
 	noReadyTime := op
-	noReadyTime.Ready = 0
+	noReadyTime.ReadyTimeout = 0
 	otherHost := op
 	otherHost.Targets = []api.Target{{Host: "sim-9", Instance: "x"}}
 	unknownTarget := op
@@ -114,8 +114,8 @@
 		return e
 	}
 	c := dial()
-	if e := remoteError(c.Call(ctx, api.List, []any{api.Empty{}}, nil)); e.Code != api.NotWelcomed {
-		t.Errorf("list before hello: got error %+v, want code %s", e, api.NotWelcomed)
+	if e := remoteError(c.Call(ctx, api.List, []any{api.Empty{}}, nil)); e.Code != api.HelloRequired {
+		t.Errorf("list before hello: got error %+v, want code %s", e, api.HelloRequired)
 	}
 	for _, v := range []api.HelloIn{{Oldest: api.Version + 1, Version: api.Version + 3}, {Oldest: 0, Version: api.Oldest - 1}} {
 		if e := remoteError(c.Call(ctx, api.Hello, []any{v}, nil)); e.Code != api.UnsupportedVersion || !strings.Contains(e.Message, "versions") {
--- a/internal/fleet/e2e/command_capacity_test.go
+++ b/internal/fleet/e2e/command_capacity_test.go
@@ -47,7 +47,7 @@
 // descriptors.
 func measureCommand(b *testing.B, arguments ...string) {
 	b.Helper()
-	cost, err := measure.Command(exec.Command(filepath.Join(programs(b), "martendrum"), arguments...), commandTimeout)
+	cost, err := measure.RunCommand(exec.Command(filepath.Join(programs(b), "martendrum"), arguments...), commandTimeout)
 	if err != nil {
 		b.Fatalf("running martendrum %v: %v", arguments, err)
 	}
@@ -60,7 +60,7 @@
 // capacitySizes parses the value of a flag that holds a list of sizes.
 func capacitySizes(b *testing.B, list string) []int {
 	b.Helper()
-	sizes, err := measure.Sizes(list)
+	sizes, err := measure.ParseSizes(list)
 	if err != nil {
 		b.Fatalf("parsing the sizes %q: %v", list, err)
 	}
@@ -70,7 +70,7 @@
 // descriptorsInUse returns the number of open file descriptors of this process.
 func descriptorsInUse(b *testing.B) int64 {
 	b.Helper()
-	usage, err := measure.Process(os.Getpid())
+	usage, err := measure.ProcessUsage(os.Getpid())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 			}
 			var sent, received int64
 			for _, link := range links {
-				toHost, fromHost := link.Carried()
+				toHost, fromHost := link.RelayedBytes()
 				sent += toHost
 				received += fromHost
 			}
--- a/internal/fleet/e2e/main_test.go
+++ b/internal/fleet/e2e/main_test.go
@@ -100,8 +100,8 @@
 	if err != nil {
 		return err
 	}
-	a, err := agent.New(cfg, agent.Processes{}, func(p string) (store.Store, error) {
-		s, err := agentstore.Record(cfg)(p)
+	a, err := agent.New(cfg, agent.LocalMachine{}, func(p string) (store.Store, error) {
+		s, err := agentstore.Opener(cfg)(p)
 		return &crashingStore{Store: s, point: point}, err
 	})
 	if err != nil {
--- a/internal/fleet/e2e/powerloss_clients_test.go
+++ b/internal/fleet/e2e/powerloss_clients_test.go
@@ -192,7 +192,7 @@
 			w.t.Errorf("request %s, which is not idempotent, ran %d times, want at most 1", id, n)
 		}
 	}
-	if n := w.slowStart.Fallen(); n > 0 {
+	if n := w.slowStart.FailedServers(); n > 0 {
 		w.t.Errorf("%d servers in slow start were overloaded, want 0", n)
 	}
 }
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -35,7 +35,7 @@
 	w.powerOff(clients, w.hosts...)
 	poweredOn := time.Now()
 	w.slowStart.Restart(poweredOn)
-	w.shop.Started(poweredOn)
+	w.shop.SetStartTime(poweredOn)
 	w.powerOn(rand.New(rand.NewPCG(1, 1)), w.hosts...)
 	states := w.waitReady()
 	ready := time.Since(poweredOn)
@@ -116,7 +116,7 @@
 	w.powerOff(clients, restarted...)
 	poweredOn := time.Now()
 	w.slowStart.Restart(poweredOn)
-	w.shop.Started(poweredOn)
+	w.shop.SetStartTime(poweredOn)
 	w.powerOn(rng, restarted...)
 	w.hosts = restarted // the third host never restarts
 	var states []client.HostState
--- a/internal/fleet/e2e/settings_relays_test.go
+++ b/internal/fleet/e2e/settings_relays_test.go
@@ -103,7 +103,7 @@
 // connections returns how many connections have been made over the links.
 func connections(links []*faultnet.Link) (made int) {
 	for _, link := range links {
-		made += link.Made()
+		made += link.AcceptedConns()
 	}
 	return made
 }
--- a/internal/fleet/e2e/settings_tls_test.go
+++ b/internal/fleet/e2e/settings_tls_test.go
@@ -154,8 +154,8 @@
 		{"a host that acts as a relay", other, api.SettingsFollow, &api.SettingsFollowIn{Relay: "relay", Writer: "relay", Epoch: 1}},
 		{"a host that acts as a relay", other, api.SettingsReport, &api.SettingsReportIn{Relay: "relay", Epoch: 1}},
 		{"a host that is no relay", other, api.SettingsFollow, &api.SettingsFollowIn{Relay: "other", Writer: "relay", Epoch: 1}},
-		{"a host that is no relay", other, api.SettingsWriting, writer},
-		{"an operator", operator, api.SettingsWriting, writer},
+		{"a host that is no relay", other, api.SettingsExchangeWriter, writer},
+		{"an operator", operator, api.SettingsExchangeWriter, writer},
 	} {
 		if err := attempt.client.Call(ctx, attempt.method, attempt.in, nil); errorCode(err) != api.Forbidden {
 			t.Errorf("call by %s of %s: got error %v, want code %s", attempt.caller, attempt.method, err, api.Forbidden)
--- a/internal/fleet/e2e/settings_writer_killed_test.go
+++ b/internal/fleet/e2e/settings_writer_killed_test.go
@@ -169,7 +169,7 @@
 	if err != nil {
 		r.world.t.Fatalf("loading the writer's configuration: %v", err)
 	}
-	record, err := agentstore.Record(config)(filepath.Join(config.StateDir, "record.db"))
+	record, err := agentstore.Opener(config)(filepath.Join(config.StateDir, "record.db"))
 	if err != nil {
 		r.world.t.Fatalf("opening the writer's store: %v", err)
 	}
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -112,9 +112,9 @@
 	w.t.Helper()
 	w.setLinks([]*host{h}, others, faultnet.Fault{Drop: true})
 	link := w.link(h, oldWriter)
-	made := link.Made()
+	made := link.AcceptedConns()
 	link.Set(faultnet.Fault{})
-	eventually(w.t, "the connection of "+h.name+" to the old writer to be closed", func() bool { return link.Made() > made && link.Open() == 0 })
+	eventually(w.t, "the connection of "+h.name+" to the old writer to be closed", func() bool { return link.AcceptedConns() > made && link.Open() == 0 })
 	w.setLinks([]*host{h}, others, faultnet.Fault{})
 }
 
--- a/internal/fleet/e2e/simulated_test.go
+++ b/internal/fleet/e2e/simulated_test.go
@@ -57,7 +57,7 @@
 			s.allInstances.Targets = append(s.allInstances.Targets, api.Target{Host: fmt.Sprintf("sim-%d", h), Instance: fmt.Sprintf("sim-%d-i%d", h, i)})
 		}
 	}
-	s.allInstances.Ready, s.allInstances.Soak, s.allInstances.Operator = 10*time.Second, 0, "tester"
+	s.allInstances.ReadyTimeout, s.allInstances.Soak, s.allInstances.Operator = 10*time.Second, 0, "tester"
 	s.allInstances.Policy = api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop}
 	f, err := client.New(inv, "tester")
 	if err != nil {
--- a/internal/fleet/e2e/staged_faults_test.go
+++ b/internal/fleet/e2e/staged_faults_test.go
@@ -71,7 +71,7 @@
 	w.waitForReport("all instances of the first stage to be changed", func(r *client.Report) bool {
 		return r.Stages != nil && r.Stages.State.Stage == 1 && countChanged(r) == 4
 	})
-	stall := func(ways faultnet.Way) func(bool) {
+	stall := func(ways faultnet.Direction) func(bool) {
 		return func(bad bool) { links[1].Set(map[bool]faultnet.Fault{true: {Stall: ways}}[bad]) }
 	}
 	for fault, set := range []func(bad bool){stall(faultnet.Both), stall(faultnet.Back), func(bad bool) {
--- a/internal/fleet/e2e/staged_world_test.go
+++ b/internal/fleet/e2e/staged_world_test.go
@@ -70,7 +70,7 @@
 		if serve(n.Add(1), w, r) {
 			return
 		}
-		s.Ran(r.Header.Get("Req-Id"))
+		s.CountRun(r.Header.Get("Req-Id"))
 		time.Sleep(10 * time.Millisecond)
 		fmt.Fprintf(w, "%s by %s", r.Header.Get("Req-Id"), name)
 	})
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -166,11 +166,11 @@
 		}
 		hash := w.uploadRelease(path, overlay)
 		op := w.newOperation(api.ActUpgrade, func(o *api.Operation) {
-			o.Release, o.Ready, o.Soak = hash, 1500*time.Millisecond, 2500*time.Millisecond
+			o.Release, o.ReadyTimeout, o.Soak = hash, 1500*time.Millisecond, 2500*time.Millisecond
 			o.Policy = api.Policy{Batch: 2, Canaries: 1, MaxUnavailable: 2, MaxFailures: 1, OnFailure: api.OnFailureRollback}
 		})
 		if c.script == "" {
-			op.Ready = 10 * time.Second
+			op.ReadyTimeout = 10 * time.Second
 		}
 		rep, err := w.fleet.Start(context.Background(), op, runOptions())
 		if err != nil {
--- a/internal/fleet/e2e/world_test.go
+++ b/internal/fleet/e2e/world_test.go
@@ -224,7 +224,7 @@
 // newOperation returns an operation on all instances, one at a time, as changed by edit.
 func (w *world) newOperation(action string, edit func(*api.Operation)) api.Operation {
 	operation := api.Operation{
-		ID: fmt.Sprintf("op-%08x", rand.Uint32()), Action: action, Ready: 20 * time.Second, Soak: 300 * time.Millisecond,
+		ID: fmt.Sprintf("op-%08x", rand.Uint32()), Action: action, ReadyTimeout: 20 * time.Second, Soak: 300 * time.Millisecond,
 		Policy:   api.Policy{Batch: 1, MaxUnavailable: 1, OnFailure: api.OnFailureStop},
 		Operator: "tester", Created: time.Now().UTC(),
 	}
--- a/internal/fleet/host/agent/connections.go
+++ b/internal/fleet/host/agent/connections.go
@@ -43,7 +43,7 @@
 	if a.config.Relay != nil {
 		limit += a.config.Relay.Subscribers + len(a.config.Distribution.Relays)
 	}
-	server := &msgpackrpc.Server{Handler: a.handle, Limits: connectionLimits, Conns: limit, Welcome: a.welcome}
+	server := &msgpackrpc.Server{Handler: a.handle, Limits: connectionLimits, MaxConns: limit, OnConnect: a.welcome}
 	listeners, err := a.openListeners()
 	if err != nil {
 		return err
--- a/internal/fleet/host/agent/machine.go
+++ b/internal/fleet/host/agent/machine.go
@@ -10,7 +10,7 @@
 	"martendrum/internal/fleet/host/scrape"
 )
 
-// Machine starts and observes the processes of instances. Processes implements it for this
+// Machine starts and observes the processes of instances. LocalMachine implements it for this
 // machine; tests have other implementations. Its methods may be called concurrently.
 type Machine interface {
 	// Start starts a process and returns without waiting until it is ready.
@@ -21,7 +21,7 @@
 	// Find returns the running processes whose launch ID begins with prefix, by launch ID.
 	Find(prefix string) map[string]proc.Found
 	// Health makes a health check at a sidecar's address, within limit.
-	Health(ctx context.Context, addr string, limit time.Duration) (proc.Healthy, error)
+	Health(ctx context.Context, addr string, limit time.Duration) (proc.HealthReport, error)
 	// Metrics scrapes a process's admin endpoint, within limit, and reads the process's memory use
 	// and number of open files. The sample's fields for the instance and the time are not set.
 	Metrics(ctx context.Context, adminAddress string, pid int, limit time.Duration) (*api.Sample, error)
@@ -47,30 +47,30 @@
 	return p.Done
 }
 
-// Processes implements Machine with the processes of this machine.
-type Processes struct{}
+// LocalMachine implements Machine with the processes of this machine.
+type LocalMachine struct{}
 
 // Start implements Machine.
-func (Processes) Start(s proc.Spec) (*Process, error) { return newProcess(proc.Start(s)) }
+func (LocalMachine) Start(s proc.Spec) (*Process, error) { return newProcess(proc.Start(s)) }
 
 // Adopt implements Machine.
-func (Processes) Adopt(ctx context.Context, pid int, ticks uint64) (*Process, error) {
+func (LocalMachine) Adopt(ctx context.Context, pid int, ticks uint64) (*Process, error) {
 	return newProcess(proc.Adopt(ctx, pid, ticks))
 }
 
 // Find implements Machine.
-func (Processes) Find(prefix string) map[string]proc.Found { return proc.Find(prefix) }
+func (LocalMachine) Find(prefix string) map[string]proc.Found { return proc.Find(prefix) }
 
 // Boot implements Machine.
-func (Processes) Boot() string { return proc.Boot() }
+func (LocalMachine) Boot() string { return proc.Boot() }
 
 // Health implements Machine.
-func (Processes) Health(ctx context.Context, addr string, limit time.Duration) (proc.Healthy, error) {
+func (LocalMachine) Health(ctx context.Context, addr string, limit time.Duration) (proc.HealthReport, error) {
 	return proc.Health(ctx, addr, limit)
 }
 
 // Metrics implements Machine.
-func (Processes) Metrics(ctx context.Context, adminAddress string, pid int, limit time.Duration) (*api.Sample, error) {
+func (LocalMachine) Metrics(ctx context.Context, adminAddress string, pid int, limit time.Duration) (*api.Sample, error) {
 	s, err := scrape.Metrics(ctx, adminAddress, limit)
 	if err != nil {
 		return nil, err
--- a/internal/fleet/host/agent/power_loss.go
+++ b/internal/fleet/host/agent/power_loss.go
@@ -45,8 +45,8 @@
 // powerReturn is the return of a host after a power loss, in which its instances start in waves.
 // The agent's mu guards it.
 type powerReturn struct {
-	pace  *recovery.Pace // nil: all waves have started
-	epoch int64          // number of the loss, counted over the host's life
+	pace  *recovery.StartPacer // nil: all waves have started
+	epoch int64                // number of the loss, counted over the host's life
 }
 
 // powerLossMessage is logged once for each power loss. Operators and process tests look for this
@@ -95,14 +95,14 @@
 
 // startWaves begins the return: it assigns the instances that should run to waves.
 func (a *Agent) startWaves(losses lossCounter) {
-	var places []recovery.Place
+	var places []recovery.Placement
 	for _, name := range a.instanceNames {
 		if inst := a.instances[name]; inst.stored.Desired == api.Running {
-			places = append(places, recovery.Place{Name: name, Shop: inst.config.Labels[a.config.Recovery.Shop], Zone: inst.config.Labels[a.config.Recovery.Zone]})
+			places = append(places, recovery.Placement{Name: name, Shop: inst.config.Labels[a.config.Recovery.Shop], Zone: inst.config.Labels[a.config.Recovery.Zone]})
 		}
 	}
 	waves := recovery.Waves(places, a.config.Recovery.MaxWaveSize)
-	a.powerReturn = &powerReturn{epoch: losses.Epoch, pace: recovery.NewPace(recovery.PaceConfig{
+	a.powerReturn = &powerReturn{epoch: losses.Epoch, pace: recovery.NewStartPacer(recovery.StartPacerConfig{
 		MinInterval: time.Duration(a.config.Recovery.MinWaveInterval), MaxInterval: time.Duration(a.config.Recovery.MaxWaveInterval), ConsecutiveLosses: losses.Recent,
 	}, waves, 0)}
 }
--- a/internal/fleet/host/agent/serve.go
+++ b/internal/fleet/host/agent/serve.go
@@ -64,11 +64,11 @@
 		api.SettingsGet:     typed(api.View, (*Agent).settingsGet),
 		api.SettingsStatus:  typed(api.View, (*Agent).settingsStatus),
 		// Called by hosts and relays, which have no role: each method checks its caller.
-		api.SettingsWatch:   typed("", (*Agent).settingsWatch),
-		api.SettingsAck:     typed("", (*Agent).settingsAck),
-		api.SettingsFollow:  typed("", (*Agent).settingsFollow),
-		api.SettingsReport:  typed("", (*Agent).settingsReport),
-		api.SettingsWriting: typed("", (*Agent).settingsWriting),
+		api.SettingsWatch:          typed("", (*Agent).settingsWatch),
+		api.SettingsAck:            typed("", (*Agent).settingsAck),
+		api.SettingsFollow:         typed("", (*Agent).settingsFollow),
+		api.SettingsReport:         typed("", (*Agent).settingsReport),
+		api.SettingsExchangeWriter: typed("", (*Agent).settingsWriting),
 	}
 }
 
@@ -80,12 +80,12 @@
 	who := c.who
 	a.mu.Unlock()
 	switch {
-	case r.Notify:
+	case r.IsNotification:
 		return nil, nil // the API has no notifications
 	case !ok:
 		return nil, api.Errorf(api.NoMethod, "agent %s has no method %q; it supports version %d of the API", a.config.Name, r.Method, api.Version)
 	case who == "" && r.Method != api.Hello:
-		return nil, api.Errorf(api.NotWelcomed, "%s was called before %s, which must be the first call of a connection", r.Method, api.Hello)
+		return nil, api.Errorf(api.HelloRequired, "%s was called before %s, which must be the first call of a connection", r.Method, api.Hello)
 	case m.role == api.Operate && c.role != api.Operate, m.role == api.View && c.role == "":
 		return nil, api.Errorf(api.Forbidden, "%s needs the role %q; %s has the role %q at agent %s", r.Method, m.role, c.id, c.role, a.config.Name)
 	}
--- a/internal/fleet/host/agent/serve_operations.go
+++ b/internal/fleet/host/agent/serve_operations.go
@@ -88,8 +88,8 @@
 		return api.Errorf(api.InvalidParams, "unknown action %q", operation.Action)
 	case len(operation.Targets) > maxTargets:
 		return api.Errorf(api.InvalidParams, "%d targets; want %d at most", len(operation.Targets), maxTargets)
-	case operation.Ready <= 0 || operation.Soak < 0 || operation.Ready > maxStepWait || operation.Soak > maxStepWait:
-		return api.Errorf(api.InvalidParams, "ready %v, soak %v; want ready above 0, soak 0 or more, and both an hour at most", operation.Ready, operation.Soak)
+	case operation.ReadyTimeout <= 0 || operation.Soak < 0 || operation.ReadyTimeout > maxStepWait || operation.Soak > maxStepWait:
+		return api.Errorf(api.InvalidParams, "ready %v, soak %v; want ready above 0, soak 0 or more, and both an hour at most", operation.ReadyTimeout, operation.Soak)
 	}
 	if err := operation.Policy.Check(len(operation.Targets)); err != nil {
 		return api.Errorf(api.InvalidParams, "%v", err)
--- a/internal/fleet/host/agent/serve_releases.go
+++ b/internal/fleet/host/agent/serve_releases.go
@@ -15,7 +15,7 @@
 		return nil, api.Errorf(api.InvalidParams, "%q is not the hash of a release", in.Release)
 	}
 	status := a.releases.Status(in.Release)
-	return &api.ReleaseOut{Have: status.Complete, Sidecar: status.Sidecar, Overlay: status.Overlay}, nil
+	return &api.ReleaseOut{Complete: status.Complete, Sidecar: status.Sidecar, Overlay: status.Overlay}, nil
 }
 
 // releaseWrite writes a chunk of a release's file at an offset, and returns the release's status.
--- a/internal/fleet/host/agent/serve_settings.go
+++ b/internal/fleet/host/agent/serve_settings.go
@@ -48,7 +48,7 @@
 	in.Author = fmt.Sprintf("%.200s", c.who)
 	out, err := relay.Put(*in)
 	if err != nil {
-		return nil, node.RejectionReason(err)
+		return nil, node.WireError(err)
 	}
 	if out.Changed {
 		a.auditSettings(c, "settings.put", in.Name, out.Resource.Revision.String())
@@ -64,7 +64,7 @@
 	}
 	out, err := relay.Promote()
 	if err != nil {
-		return nil, node.RejectionReason(err)
+		return nil, node.WireError(err)
 	}
 	a.auditSettings(c, "settings.promote", a.config.Name, fmt.Sprint("epoch ", out.Epoch))
 	return out, nil
@@ -110,11 +110,11 @@
 			return nil, api.Errorf(api.InvalidParams, "the interest is that of host %q; want host %q", in.Interest.Host, in.Host)
 		}
 		if err := in.Interest.Check(); err != nil {
-			return nil, node.RejectionReason(err)
+			return nil, node.WireError(err)
 		}
 	}
 	out, err := relay.Watch(ctx, in)
-	return out, node.RejectionReason(err)
+	return out, node.WireError(err)
 }
 
 // settingsAck stores the state that a host reports.
@@ -141,7 +141,7 @@
 		return nil, err
 	}
 	out, err := relay.Follow(ctx, in)
-	return out, node.RejectionReason(err)
+	return out, node.WireError(err)
 }
 
 // settingsReport stores the state of another relay's hosts, which that relay reports.
@@ -154,7 +154,7 @@
 		return nil, err
 	}
 	out, err := relay.Report(in)
-	return out, node.RejectionReason(err)
+	return out, node.WireError(err)
 }
 
 // settingsWriting stores which relay is the writer, as another relay reports it.
@@ -168,6 +168,6 @@
 			return nil, err
 		}
 	}
-	out, err := relay.Learn(*in)
-	return out, node.RejectionReason(err)
+	out, err := relay.LearnWriter(*in)
+	return out, node.WireError(err)
 }
--- a/internal/fleet/host/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -126,14 +126,14 @@
 // hostReplica implements node.Replica for the agent's subscriber.
 type hostReplica struct{ agent *Agent }
 
-// Take implements node.Replica. The update is written to the record before any instance gets it.
+// Apply implements node.Replica. The update is written to the record before any instance gets it.
 func (r hostReplica) Take(update distribution.Update) error {
 	a := r.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.settings
 	before := s.replica.Clone()
-	changed, err := s.replica.Take(update)
+	changed, err := s.replica.Apply(update)
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 		return // no update has arrived yet: the accepted settings stay in force
 	}
 	for _, inst := range a.instances {
-		inst.settings.applier.Want(now, a.settings.replica.For(a.config.Name, a.settingsLabels(inst)))
+		inst.settings.applier.SetWanted(now, a.settings.replica.ResourcesFor(a.config.Name, a.settingsLabels(inst)))
 		inst.wakeUp()
 	}
 }
--- a/internal/fleet/host/agent/settings_apply.go
+++ b/internal/fleet/host/agent/settings_apply.go
@@ -95,7 +95,7 @@
 		a.mu.Unlock()
 		return now.Add(activeInterval)
 	}
-	settings, process, releaseHash := inst.settings.applier.Begin(), inst.process, inst.stored.Running
+	settings, process, releaseHash := inst.settings.applier.BeginAttempt(), inst.process, inst.stored.Running
 	a.mu.Unlock()
 	configHash, err := a.configureWith(inst, releaseHash, settings, randomID())
 	if err == nil {
@@ -104,7 +104,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
-		inst.settings.applier.Abandon()
+		inst.settings.applier.AbandonAttempt()
 	} else {
 		inst.settings.attempt = &settingsAttempt{process: process, configHash: configHash, sent: now}
 	}
@@ -120,7 +120,7 @@
 		return
 	}
 	inst.settings.pendingReported = pending
-	a.settings.subscriber.Changed()
+	a.settings.subscriber.StateChanged()
 }
 
 // settleAttempt ends the attempt if it has an outcome. It reports whether the settings were
@@ -130,7 +130,7 @@
 	switch {
 	case inst.step != nil:
 		inst.settings.attempt = nil
-		inst.settings.applier.Abandon()
+		inst.settings.applier.AbandonAttempt()
 	case inst.process != inst.settings.attempt.process:
 		a.endCrashedAttempt(inst)
 	case inst.reported.configHash == inst.settings.attempt.configHash, inst.reported.configHash == "" && waited > unconfirmedDelay:
@@ -149,7 +149,7 @@
 	inst.settings.attemptCrashes++
 	if inst.settings.attemptCrashes < maxAttemptCrashes {
 		inst.settings.attempt = nil
-		inst.settings.applier.Abandon()
+		inst.settings.applier.AbandonAttempt()
 		return
 	}
 	a.endAttempt(inst, false, "its process ended while it applied them: "+inst.stored.LastExit)
@@ -159,11 +159,11 @@
 // holds a.mu.
 func (a *Agent) endAttempt(inst *instance, accepted bool, reason string) {
 	inst.settings.attempt, inst.settings.attemptCrashes = nil, 0
-	inst.settings.applier.Done(accepted, reason)
+	inst.settings.applier.EndAttempt(accepted, reason)
 	if a.commit(&store.Change{Settings: []distribution.Entry{inst.settings.applier.Entry()}}) != nil {
 		inst.dirty = true // written again with the instance
 	}
-	a.settings.subscriber.Changed()
+	a.settings.subscriber.StateChanged()
 }
 
 // restoreSettings writes a configuration with the last accepted settings for an instance that has
@@ -188,6 +188,6 @@
 	if inst.settings.applier == nil || before == "" || before == release || len(inst.settings.applier.Rejections()) == 0 {
 		return
 	}
-	inst.settings.applier.Forgive(now)
+	inst.settings.applier.RetryRejected(now)
 	inst.settings.settledAt = distribution.Revision{}
 }
--- a/internal/fleet/host/agent/settings_subscriber_test.go
+++ b/internal/fleet/host/agent/settings_subscriber_test.go
@@ -145,7 +145,7 @@
 		t.Fatalf("first call of the connection has the state %+v, want one that is not settled", state)
 	}
 	replica.settle()
-	subscriber.Changed()
+	subscriber.StateChanged()
 	first.answer <- nil
 	waitForSettledAck(t, conn)
 }
@@ -156,12 +156,12 @@
 	replica, lost, next := &fakeReplica{}, newRelayConn(), newRelayConn()
 	subscriber := startSubscriber(t, replica, lost, next)
 	lost.nextCall(t, api.SettingsWatch).answer <- nil
-	subscriber.Changed()
+	subscriber.StateChanged()
 	ack := lost.nextCall(t, api.SettingsAck)
 	lost.Close() // ends the call; the subscriber dials again
 	first := next.nextCall(t, api.SettingsWatch)
 	replica.settle()
-	subscriber.Changed()
+	subscriber.StateChanged()
 	ack.answer <- nil
 	first.answer <- nil
 	waitForSettledAck(t, next)
--- a/internal/fleet/host/agent/step.go
+++ b/internal/fleet/host/agent/step.go
@@ -50,7 +50,7 @@
 		return nil, api.Errorf(api.LeaseHeld, "a step of operation %s is still running on %s", inst.step.Op, name)
 	}
 	step := &api.Step{Op: operation.ID, Instance: name, Kind: kind, Action: operation.Action, Status: api.StepRunning, Cause: cause,
-		From: inst.stored.Release, To: inst.stored.Release, Before: inst.stored.Previous, Ready: operation.Ready, Soak: operation.Soak, Started: now, Token: token}
+		From: inst.stored.Release, To: inst.stored.Release, PreviousRelease: inst.stored.Previous, ReadyTimeout: operation.ReadyTimeout, Soak: operation.Soak, Started: now, Token: token}
 	plan := a.planStep(inst, operation, step)
 	step.Generation = plan.stored.Generation
 	if plan.status != api.StepRunning {
--- a/internal/fleet/host/agent/step_plan.go
+++ b/internal/fleet/host/agent/step_plan.go
@@ -101,7 +101,7 @@
 	case change == nil:
 		return planDone(stored, "the instance was not changed")
 	}
-	stored.Release, stored.Previous, step.To = change.From, change.Before, change.From
+	stored.Release, stored.Previous, step.To = change.From, change.PreviousRelease, change.From
 	switch {
 	case stored.Release == inst.stored.Release:
 		return planDone(stored, "the instance was not changed")
--- a/internal/fleet/host/agent/step_progress.go
+++ b/internal/fleet/host/agent/step_progress.go
@@ -47,16 +47,16 @@
 	failed, how := supervised.Failed()
 	switch {
 	case supervised.Previous() != 0 && supervised.Phase() == supervisor.Ready: // the previous process is still draining
-	case supervised.Previous() != 0 && supervised.Phase() == supervisor.Starting && now.Sub(launched) > step.Ready:
+	case supervised.Previous() != 0 && supervised.Phase() == supervisor.Starting && now.Sub(launched) > step.ReadyTimeout:
 		if inst.abandonReason == "" {
-			inst.abandonReason = fmt.Sprintf("not ready within %v: %s", step.Ready, supervised.Reason())
+			inst.abandonReason = fmt.Sprintf("not ready within %v: %s", step.ReadyTimeout, supervised.Reason())
 			inst.wakeUp()
 		}
 	case supervised.Process() != 0 && supervised.Previous() == 0 && failed == step.Generation && failed != supervised.Process():
 		// The previous process gets the desired generation, so that an agent that restarts does not
 		// launch the failed one again.
 		supervised.AcceptServing()
-		inst.stored.Process, inst.stored.Release, inst.stored.Previous = inst.stored.Generation, step.From, step.Before
+		inst.stored.Process, inst.stored.Release, inst.stored.Previous = inst.stored.Generation, step.From, step.PreviousRelease
 		a.endStep(inst, step, false, "the new process failed and the one before it serves on: "+how)
 	case supervised.Process() == step.Generation && supervised.Phase() == supervisor.Ready:
 		if now.Sub(supervised.Since()) >= step.Soak {
@@ -66,9 +66,9 @@
 		a.endStep(inst, step, false, "the process ended by itself: "+inst.stored.LastExit)
 	case supervised.Process() == step.Generation && supervised.Phase() == supervisor.Unready:
 		a.endStep(inst, step, false, "the instance became unready during its soak time: "+supervised.Reason())
-	case supervised.Process() == step.Generation && now.Sub(launched) > step.Ready:
-		a.endStep(inst, step, false, fmt.Sprintf("not ready within %v: %s", step.Ready, supervised.Reason()))
-	case now.Sub(begun) > time.Duration(a.config.Limits.KillAfter)+step.Ready+step.Soak+startMargin:
+	case supervised.Process() == step.Generation && now.Sub(launched) > step.ReadyTimeout:
+		a.endStep(inst, step, false, fmt.Sprintf("not ready within %v: %s", step.ReadyTimeout, supervised.Reason()))
+	case now.Sub(begun) > time.Duration(a.config.Limits.KillAfter)+step.ReadyTimeout+step.Soak+startMargin:
 		a.endStep(inst, step, false, "the process could not be started in time: "+supervised.Reason()+a.unwritable)
 	}
 }
@@ -106,7 +106,7 @@
 		}
 		return
 	}
-	inst.stored.Release, inst.stored.Previous = step.From, step.Before
+	inst.stored.Release, inst.stored.Previous = step.From, step.PreviousRelease
 	a.wg.Go(func() { // configure locks a.mu
 		if err := a.configure(inst, step.From, randomID()); err != nil {
 			slog.Error("configuration file contains rejected settings", "instance", inst.config.Name, "err", err)
@@ -121,7 +121,7 @@
 	a.mu.Lock()
 	now := time.Now()
 	process, sentAt := inst.process, inst.reloadSentAt
-	tooEarly := inst.supervisor.Phase() == supervisor.Starting && now.Sub(later(inst.stored.Launched, a.started)) < step.Ready ||
+	tooEarly := inst.supervisor.Phase() == supervisor.Starting && now.Sub(later(inst.stored.Launched, a.started)) < step.ReadyTimeout ||
 		process != nil && now.Sub(inst.stored.Launched) < minReloadAge
 	switch {
 	case tooEarly && sentAt.IsZero():
--- a/internal/fleet/host/agent/unattended_rollback.go
+++ b/internal/fleet/host/agent/unattended_rollback.go
@@ -23,14 +23,14 @@
 		}
 	}
 	for _, operation := range a.operations {
-		if operation.State != api.OpOpened || operation.Staged == nil || operation.Staged.Alone <= 0 {
+		if operation.State != api.OpOpened || operation.Staged == nil || operation.Staged.UnattendedRollbackDelay <= 0 {
 			continue
 		}
 		if a.lastLeased[operation.ID].IsZero() || a.isLeased(operation.ID, now) {
 			a.lastLeased[operation.ID] = now
 			continue
 		}
-		if unattended := now.Sub(a.lastLeased[operation.ID]); unattended > operation.Staged.Alone {
+		if unattended := now.Sub(a.lastLeased[operation.ID]); unattended > operation.Staged.UnattendedRollbackDelay {
 			for _, name := range a.instanceNames {
 				a.rollBackIfFailing(operation, a.instances[name], unattended, now)
 			}
@@ -38,7 +38,7 @@
 	}
 }
 
-// rollBackIfFailing rolls an instance back if the operation changed it and it fails canary.Coarse,
+// rollBackIfFailing rolls an instance back if the operation changed it and it fails canary.CheckLocalHealth,
 // a check that needs no other instances to compare with. The caller holds a.mu.
 func (a *Agent) rollBackIfFailing(operation *store.Operation, inst *instance, unattended time.Duration, now time.Time) {
 	name := inst.config.Name
@@ -55,7 +55,7 @@
 	if inst.stored.Running == change.To {
 		health.Windows = inst.history.windows(time.Duration(a.config.Metrics.Slot))
 	}
-	harm := canary.Coarse(health)
+	harm := canary.CheckLocalHealth(health)
 	if harm == "" {
 		return
 	}
--- a/internal/fleet/host/agentstore/open.go
+++ b/internal/fleet/host/agentstore/open.go
@@ -17,9 +17,9 @@
 // its audit log meanwhile.
 const maxConnections = 2
 
-// Record returns a function, for agent.New, that opens the store of the configured agent's record.
+// Opener returns a function, for agent.New, that opens the store of the configured agent's record.
 // SQLite uses the file at path; PostgreSQL ignores path.
-func Record(config *agent.Config) func(path string) (store.Store, error) {
+func Opener(config *agent.Config) func(path string) (store.Store, error) {
 	return func(path string) (store.Store, error) {
 		record := &config.Record
 		if record.Store != agent.Postgres {
--- a/internal/fleet/host/proc/proc.go
+++ b/internal/fleet/host/proc/proc.go
@@ -201,9 +201,9 @@
 	return out
 }
 
-// Healthy is what a sidecar reports in its response to a health check. Each field is "" if the
+// HealthReport is what a sidecar reports in its response to a health check. Each field is "" if the
 // sidecar does not report it.
-type Healthy struct {
+type HealthReport struct {
 	ConfigHash string // SHA-256 in hex of the configuration that it runs
 	Record     string // state of its idempotency store
 	Launch     string // launch ID of the process that answered, if it supports the hand-over
@@ -211,7 +211,7 @@
 
 // Health makes a health check at a sidecar's address, within limit. The error is nil only if the
 // sidecar answers with status 200.
-func Health(ctx context.Context, addr string, limit time.Duration) (health Healthy, err error) {
+func Health(ctx context.Context, addr string, limit time.Duration) (health HealthReport, err error) {
 	dialer := net.Dialer{Timeout: limit, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -229,7 +229,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return health, fmt.Errorf("health: answered %s", resp.Status)
 	}
-	return Healthy{resp.Header.Get("Config-Sum"), resp.Header.Get("Record"), resp.Header.Get("Hands-Over")}, nil
+	return HealthReport{resp.Header.Get("Config-Sum"), resp.Header.Get("Record"), resp.Header.Get("Hands-Over")}, nil
 }
 
 // Rotate keeps a log, with its rotated part, within limit bytes. If the log is larger than half
--- a/internal/fleet/host/scrape/scrape.go
+++ b/internal/fleet/host/scrape/scrape.go
@@ -92,14 +92,14 @@
 			sample.Rejected = v
 		}
 	})
-	each("own_seconds_count", func(_ labels, v uint32) { sample.Timed = v })
+	each("own_seconds_count", func(_ labels, v uint32) { sample.Sampled = v })
 	withinThreshold := uint32(0)
 	each("own_seconds_bucket", func(l labels, v uint32) {
 		if le := l.get("le"); le == slowThreshold || le == slowThresholdScientific {
 			withinThreshold = v
 		}
 	})
-	sample.Slow = sample.Timed - min(withinThreshold, sample.Timed)
+	sample.Slow = sample.Sampled - min(withinThreshold, sample.Sampled)
 	return sample, nil
 }
 
--- a/internal/fleet/stage/stage.go
+++ b/internal/fleet/stage/stage.go
@@ -18,7 +18,7 @@
 // Plan is the stages of a change. Its durations count time with evidence only: slots that
 // were not observed, and slots during a pause, do not count.
 type Plan struct {
-	Upto           []int         `msgpack:"Upto" json:"Upto"`             // how many targets, in order, run the change by the end of each stage
+	StageSizes     []int         `msgpack:"Upto" json:"Upto"`             // how many targets, in order, run the change by the end of each stage
 	MinDuration    time.Duration `msgpack:"Least" json:"Least"`           // each stage lasts at least this long
 	MaxDuration    time.Duration `msgpack:"Longest" json:"Longest"`       // after this time without a conclusive verdict, OnInconclusive decides
 	Slot           time.Duration `msgpack:"Slot" json:"Slot"`             // length of a slot
@@ -29,8 +29,8 @@
 // Check returns an error that names the first invalid values of a plan for n targets.
 func (p *Plan) Check(n int) error {
 	switch {
-	case len(p.Upto) == 0 || p.Upto[len(p.Upto)-1] != n || p.Upto[0] < 1 || !slices.IsSorted(p.Upto):
-		return fmt.Errorf("stages %v of %d instances; want ascending sizes, the last of which includes all instances", p.Upto, n)
+	case len(p.StageSizes) == 0 || p.StageSizes[len(p.StageSizes)-1] != n || p.StageSizes[0] < 1 || !slices.IsSorted(p.StageSizes):
+		return fmt.Errorf("stages %v of %d instances; want ascending sizes, the last of which includes all instances", p.StageSizes, n)
 	case p.Slot <= 0 || p.MinDuration < 0 || p.MaxDuration < p.MinDuration || p.HistorySlots < 1:
 		return fmt.Errorf("slot %v, least %v, longest %v, past %d; want slot above 0, 0 <= least <= longest, past at least 1", p.Slot, p.MinDuration, p.MaxDuration, p.HistorySlots)
 	case p.OnInconclusive != Hold && p.OnInconclusive != GoOn:
@@ -74,8 +74,8 @@
 	if err := p.Check(n); err != nil {
 		return nil, fmt.Errorf("stages: %w", err)
 	}
-	if s.Stage < 0 || s.Stage > len(p.Upto) || s.Slots < 0 {
-		return nil, fmt.Errorf("stages: invalid stored state: stage %d of %d", s.Stage, len(p.Upto))
+	if s.Stage < 0 || s.Stage > len(p.StageSizes) || s.Slots < 0 {
+		return nil, fmt.Errorf("stages: invalid stored state: stage %d of %d", s.Stage, len(p.StageSizes))
 	}
 	return &Machine{plan: p, state: s}, nil
 }
@@ -88,7 +88,7 @@
 	if m.state.Stage == 0 {
 		return 0
 	}
-	return m.plan.Upto[m.state.Stage-1]
+	return m.plan.StageSizes[m.state.Stage-1]
 }
 
 // Release is an operator's order to move a held change to its next stage although the
@@ -109,7 +109,7 @@
 func (m *Machine) next() {
 	m.state.From = m.Open()
 	m.state.Slots, m.state.HoldReason, m.state.PauseReason = 0, "", ""
-	if m.state.Stage == len(m.plan.Upto) {
+	if m.state.Stage == len(m.plan.StageSizes) {
 		m.state.Done = true
 		return
 	}
--- a/internal/fleet/stage/stage_test.go
+++ b/internal/fleet/stage/stage_test.go
@@ -115,7 +115,7 @@
 		"blind":   {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}, EvidenceGap: "no evidence of h1"},
 		"bad day": {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse, Degradations: []canary.Degradation{{Measure: canary.Rejections}}}},
 	}
-	plan := Plan{Upto: []int{1, 5, 10}, MinDuration: 2 * time.Second, MaxDuration: 4 * time.Second, Slot: time.Second, HistorySlots: 3, OnInconclusive: Hold}
+	plan := Plan{StageSizes: []int{1, 5, 10}, MinDuration: 2 * time.Second, MaxDuration: 4 * time.Second, Slot: time.Second, HistorySlots: 3, OnInconclusive: Hold}
 	for name, test := range map[string]struct{ script, want string }{
 		"passes":                              {"young good good good good good good good", "0:0 1:1 1:1 2:5 2:5 3:10 3:10 done"},
 		"worse stops":                         {"good good worse good", "1:1 1:1 worse worse"},
--- a/internal/fleet/store/postgres/postgres.go
+++ b/internal/fleet/store/postgres/postgres.go
@@ -15,7 +15,7 @@
 	"martendrum/internal/pg"
 )
 
-var schema = pg.Schema{Name: "martendrum_fleet_schema", Lock: 0x6d6172746f, Migrations: [][]string{
+var schema = pg.Schema{VersionTable: "martendrum_fleet_schema", AdvisoryLockKey: 0x6d6172746f, Migrations: [][]string{
 	{`CREATE TABLE martendrum_agents (agent TEXT PRIMARY KEY, epoch BIGINT NOT NULL, last TEXT NOT NULL)`,
 		`CREATE TABLE martendrum_instances (agent TEXT NOT NULL, name TEXT NOT NULL, desired TEXT NOT NULL, generation BIGINT NOT NULL,
 		release TEXT NOT NULL, previous TEXT NOT NULL, launch TEXT NOT NULL, process BIGINT NOT NULL, running TEXT NOT NULL, pid BIGINT NOT NULL,
@@ -77,7 +77,7 @@
 		return nil, fmt.Errorf("record: %w", err)
 	}
 	s := &Store{db: db, agent: agent}
-	if err = db.Ready(ctx); err == nil {
+	if err = db.EnsureSchema(ctx); err == nil {
 		err = db.Explain(db.Pool.QueryRow(ctx, `INSERT INTO martendrum_agents (agent, epoch, last) VALUES ($1::text, 1, '')
 			ON CONFLICT (agent) DO UPDATE SET epoch = martendrum_agents.epoch + 1 RETURNING epoch`, agent).Scan(&s.epoch))
 	}
--- a/internal/fleetsim/gossip_test.go
+++ b/internal/fleetsim/gossip_test.go
@@ -16,7 +16,7 @@
 	settleTime = 60 * time.Second
 )
 
-var kinds = []peers.Kind{{ID: hotKind, TTL: time.Minute, Weight: 2, Hot: true}, {ID: normalKind, TTL: time.Minute, Weight: 1}}
+var kinds = []peers.EntryKind{{ID: hotKind, TTL: time.Minute, Weight: 2, Hot: true}, {ID: normalKind, TTL: time.Minute, Weight: 1}}
 
 // platformNetwork has the one-way delays of the platform that the fleet runs on, and no loss.
 var platformNetwork = Network{MinDelay: 1400 * time.Microsecond, MaxDelay: 34 * time.Millisecond}
--- a/internal/fleetsim/guide.go
+++ b/internal/fleetsim/guide.go
@@ -19,8 +19,8 @@
 // while the sidecar restarts.
 type Recovery struct {
 	*recovery.Machine
-	peer *peers.Node     // gossip node of the sidecar; nil: no reports of other sidecars are known
-	Last recovery.Orders // result of the last Tick
+	peer *peers.Node       // gossip node of the sidecar; nil: no reports of other sidecars are known
+	Last recovery.Decision // result of the last Tick
 }
 
 // NewRecovery returns the Recovery of a sidecar that starts at now, in a fleet of size sidecars.
@@ -37,7 +37,7 @@
 		}
 	}
 	r.SetArrivals(s.Arrivals())
-	r.SetCapacity(s.balancer.Capacity(Epoch + now))
+	r.SetCapacity(s.balancer.WorkingSetCapacity(Epoch + now))
 	r.Last = r.Machine.Tick(now)
 	if r.peer != nil {
 		r.peer.SetPhase(now, uint8(r.Last.Phase))
--- a/internal/fleetsim/membership_capacity_test.go
+++ b/internal/fleetsim/membership_capacity_test.go
@@ -28,7 +28,7 @@
 // fleetSizes returns the sizes in the flag -capacity-sizes.
 func fleetSizes(b *testing.B) []int {
 	b.Helper()
-	sizes, err := measure.Sizes(*capacitySizes)
+	sizes, err := measure.ParseSizes(*capacitySizes)
 	if err != nil {
 		b.Fatalf("flag -capacity-sizes: %v", err)
 	}
@@ -38,7 +38,7 @@
 // processorTime returns the processor time that this process has used so far.
 func processorTime(b *testing.B) time.Duration {
 	b.Helper()
-	usage, err := measure.Process(os.Getpid())
+	usage, err := measure.ProcessUsage(os.Getpid())
 	if err != nil {
 		b.Fatalf("read the resource usage of this process: %v", err)
 	}
--- a/internal/fleetsim/powerloss_test.go
+++ b/internal/fleetsim/powerloss_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// BenchmarkSixty simulates the power loss that TestPowerLossWholeFleet of internal/fleet/e2e runs
+// BenchmarkSixty simulates the power loss that TestFleetRecoversFromPowerLoss of internal/fleet/e2e runs
 // with 60 real sidecars, so that the two can be compared.
 func BenchmarkSixty(b *testing.B) {
 	for _, useRecovery := range []bool{false, true} {
--- a/internal/hollow/main_test.go
+++ b/internal/hollow/main_test.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	host, err := agent.New(cfg, agent.Processes{}, agentstore.Record(cfg))
+	host, err := agent.New(cfg, agent.LocalMachine{}, agentstore.Opener(cfg))
 	if err != nil {
 		return err
 	}
--- a/internal/hollow/subscriber.go
+++ b/internal/hollow/subscriber.go
@@ -86,17 +86,17 @@
 	return connect.Caller{Client: client}, nil
 }
 
-// Take implements node.Copy.
+// Apply implements node.Replica.
 func (s *Subscriber) Take(update distribution.Update) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	changed, err := s.replica.Take(update)
+	changed, err := s.replica.Apply(update)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
 	if changed {
-		s.applier.Want(now, s.replica.For(s.cfg.Host.Name, s.labels))
+		s.applier.SetWanted(now, s.replica.ResourcesFor(s.cfg.Host.Name, s.labels))
 	}
 	s.schedule(now)
 	s.reportSettled(now)
@@ -138,7 +138,7 @@
 		s.mu.Unlock()
 		return
 	}
-	s.applier.Begin()
+	s.applier.BeginAttempt()
 	s.accepting = true
 	if s.cfg.Accept > 0 {
 		s.timer = time.AfterFunc(s.cfg.Accept, s.accept)
@@ -153,7 +153,7 @@
 // relay informed of it.
 func (s *Subscriber) accept() {
 	if s.finishAccept() {
-		s.loop.Changed()
+		s.loop.StateChanged()
 	}
 }
 
@@ -168,7 +168,7 @@
 	}
 	now := time.Now()
 	s.accepting = false
-	s.applier.Done(true, "")
+	s.applier.EndAttempt(true, "")
 	for _, resource := range s.applier.Accepted() {
 		if s.accepted[resource.Name] != resource.Revision {
 			s.accepted[resource.Name] = resource.Revision
--- a/internal/idempotency/e2e/main_test.go
+++ b/internal/idempotency/e2e/main_test.go
@@ -111,7 +111,7 @@
 	for i, address := range config.Servers {
 		list.Entries = append(list.Entries, discovery.Entry{Endpoint: martendrum.Endpoint{Name: fmt.Sprint("s", i), CapacityHint: 1}, Address: address})
 	}
-	s.host.Listed(list)
+	s.host.ApplyServers(list)
 	if config.SQLite != "" || config.Postgres != "" {
 		if err := s.openRecorder(config, onPoint); err != nil {
 			return nil, err
@@ -153,7 +153,7 @@
 	maxWait := orDefault(config.MaxWait, 10*time.Second)
 	s.recorder = recorder.New(recorder.Config{
 		StoreName:        "e2e",
-		Writers:          writers,
+		MaxTransactions:  writers,
 		MaxBatch:         64,
 		MaxQueuedOps:     1000,
 		MaxQueuedBytes:   4 << 20,
--- a/internal/idempotency/e2e/program_test.go
+++ b/internal/idempotency/e2e/program_test.go
@@ -45,7 +45,7 @@
 
 // awaitHealthy waits until the health check of the sidecar at an address succeeds, and returns its
 // result.
-func awaitHealthy(t *testing.T, listen string) proc.Healthy {
+func awaitHealthy(t *testing.T, listen string) proc.HealthReport {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		health, err := proc.Health(t.Context(), listen, time.Second)
--- a/internal/idempotency/postgres/postgres.go
+++ b/internal/idempotency/postgres/postgres.go
@@ -17,7 +17,7 @@
 )
 
 // schema has the tables of the store, see idempotency.Columns for the columns of an entry.
-var schema = pg.Schema{Name: "martendrum_schema", Lock: 0x6d6172746e, Migrations: [][]string{
+var schema = pg.Schema{VersionTable: "martendrum_schema", AdvisoryLockKey: 0x6d6172746e, Migrations: [][]string{
 	{`CREATE TABLE martendrum_record (
 		class TEXT NOT NULL, key TEXT NOT NULL, state TEXT NOT NULL, body BYTEA NOT NULL, owner TEXT NOT NULL, token TEXT NOT NULL,
 		request TEXT NOT NULL, attempts BIGINT NOT NULL, servers TEXT NOT NULL, began BIGINT NOT NULL, changed BIGINT NOT NULL,
@@ -121,5 +121,5 @@
 
 // ensureSchema connects to the database and migrates its schema, unless an earlier call has.
 func (s *Store) ensureSchema(ctx context.Context) error {
-	return asStoreError(s.db.Ready(ctx))
+	return asStoreError(s.db.EnsureSchema(ctx))
 }
--- a/internal/idempotency/postgres/postgres_test.go
+++ b/internal/idempotency/postgres/postgres_test.go
@@ -256,7 +256,7 @@
 		if err := <-results; err != nil {
 			t.Errorf("concurrent claim: %v", err)
 		}
-		if open := server.Conns(); open > 2 {
+		if open := server.OpenSessions(); open > 2 {
 			t.Errorf("the store has %d open connections, want at most 2", open)
 		}
 	}
--- a/internal/idempotency/recorder/committer.go
+++ b/internal/idempotency/recorder/committer.go
@@ -70,7 +70,7 @@
 		breaker: idempotency.NewBreaker(config.BreakerThreshold, config.MinBackoff, config.MaxBackoff),
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	for range max(1, config.Writers) {
+	for range max(1, config.MaxTransactions) {
 		s := &shard{committer: c, wake: make(chan struct{}, 1)}
 		c.shards = append(c.shards, s)
 		c.workers.Go(s.run)
--- a/internal/idempotency/recorder/recorder.go
+++ b/internal/idempotency/recorder/recorder.go
@@ -39,7 +39,7 @@
 type Config struct {
 	StoreName        string // shown to operators
 	Classes          []Class
-	Writers          int           // maximum number of concurrent transactions
+	MaxTransactions  int           // maximum number of concurrent transactions
 	MaxBatch         int           // maximum number of ops in one transaction
 	MaxQueuedOps     int           // maximum number of ops that wait to be written
 	MaxQueuedBytes   int           // maximum size of the answers in these ops
--- a/internal/idempotency/storeconfig/open.go
+++ b/internal/idempotency/storeconfig/open.go
@@ -30,7 +30,7 @@
 func (c *Config) RecorderConfig(set *settings.Settings, maxSockets int) (recorder.Config, error) {
 	config := recorder.Config{
 		StoreName:        c.Store,
-		Writers:          1,
+		MaxTransactions:  1,
 		MaxBatch:         c.Queue.MaxBatch,
 		MaxQueuedOps:     c.Queue.MaxOps,
 		MaxQueuedBytes:   int(c.Queue.MaxBytes),
@@ -45,8 +45,8 @@
 		MaxBackoff:       time.Duration(c.Breaker.MaxBackoff),
 	}
 	if c.Store == storePostgres {
-		if config.Writers = c.Postgres.Connections; config.Writers > maxSockets {
-			return config, fmt.Errorf("%s: postgres.connections: %d; the sidecar's limits.sockets leaves only %d", c.path, config.Writers, maxSockets)
+		if config.MaxTransactions = c.Postgres.Connections; config.MaxTransactions > maxSockets {
+			return config, fmt.Errorf("%s: postgres.connections: %d; the sidecar's limits.sockets leaves only %d", c.path, config.MaxTransactions, maxSockets)
 		}
 	}
 	for n := range c.Classes {
--- a/internal/msgpackrpc/bench_test.go
+++ b/internal/msgpackrpc/bench_test.go
@@ -16,7 +16,7 @@
 	const connections = 1000
 	for b.Loop() {
 		before := memoryInUse()
-		server := &Server{Conns: connections, Handler: func(context.Context, *Request) (any, error) {
+		server := &Server{MaxConns: connections, Handler: func(context.Context, *Request) (any, error) {
 			return make([]byte, 2000), nil
 		}}
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/msgpackrpc/rpc_test.go
+++ b/internal/msgpackrpc/rpc_test.go
@@ -172,11 +172,11 @@
 	}
 }
 
-// A connection over Server.Conns is not served. A notification reaches the handler.
+// A connection over Server.MaxConns is not served. A notification reaches the handler.
 func TestConnLimitAndNotify(t *testing.T) {
 	notified := make(chan string, 1)
-	s := &Server{Conns: 1, Handler: func(_ context.Context, r *Request) (any, error) {
-		if r.Notify {
+	s := &Server{MaxConns: 1, Handler: func(_ context.Context, r *Request) (any, error) {
+		if r.IsNotification {
 			notified <- r.Method
 		}
 		return nil, nil
--- a/internal/msgpackrpc/server.go
+++ b/internal/msgpackrpc/server.go
@@ -14,16 +14,16 @@
 
 // Request is a received request or notification.
 type Request struct {
-	Method string
-	Params msgpack.RawMessage // MessagePack array
-	Notify bool               // whether it is a notification, which has no response
-	Peer   *Peer
+	Method         string
+	Params         msgpack.RawMessage // MessagePack array
+	IsNotification bool               // whether it is a notification, which has no response
+	Peer           *Peer
 }
 
 // Peer is the connection that a request was received on.
 type Peer struct {
 	Conn net.Conn
-	// State is for the use of the handler; this package does not access it. Server.Welcome may
+	// State is for the use of the handler; this package does not access it. Server.OnConnect may
 	// set it.
 	State any
 }
@@ -39,12 +39,12 @@
 
 // Server is the responding side of connections. Close ends it.
 type Server struct {
-	Handler Handler
-	Limits  Limits
-	Conns   int // maximum number of connections over all listeners; 0: 256
-	// Welcome, if not nil, is called once for each connection before its first message is
+	Handler  Handler
+	Limits   Limits
+	MaxConns int // maximum number of connections over all listeners; 0: 256
+	// OnConnect, if not nil, is called once for each connection before its first message is
 	// read. An error closes the connection. It must return within Limits.Receive.
-	Welcome func(p *Peer) error
+	OnConnect func(p *Peer) error
 
 	mu         sync.Mutex
 	conns      map[net.Conn]struct{}
@@ -88,7 +88,7 @@
 // startConn serves a connection in a new goroutine. It returns false if the server is closed or at its
 // maximum of connections.
 func (s *Server) startConn(conn net.Conn) bool {
-	limit := s.Conns
+	limit := s.MaxConns
 	if limit <= 0 {
 		limit = 256
 	}
--- a/internal/msgpackrpc/server_conn.go
+++ b/internal/msgpackrpc/server_conn.go
@@ -47,13 +47,13 @@
 	return c.run()
 }
 
-// welcome calls Server.Welcome, if set, with a deadline of Limits.Receive on the connection.
+// welcome calls Server.OnConnect, if set, with a deadline of Limits.Receive on the connection.
 func (s *Server) welcome(peer *Peer, limits Limits) error {
-	if s.Welcome == nil {
+	if s.OnConnect == nil {
 		return nil
 	}
 	peer.Conn.SetDeadline(time.Now().Add(limits.Receive))
-	if err := s.Welcome(peer); err != nil {
+	if err := s.OnConnect(peer); err != nil {
 		return err
 	}
 	peer.Conn.SetDeadline(time.Time{})
@@ -99,8 +99,8 @@
 			return fmt.Errorf("%w: server received a response", ErrFormat)
 		}
 		id := message.id
-		request := &Request{Method: message.method, Params: message.paramsOrError, Notify: message.kind == kindNotify, Peer: c.peer}
-		if !request.Notify && !c.begin(id) {
+		request := &Request{Method: message.method, Params: message.paramsOrError, IsNotification: message.kind == kindNotify, Peer: c.peer}
+		if !request.IsNotification && !c.begin(id) {
 			// The peer could confuse two responses with one id, so neither is sent.
 			return fmt.Errorf("%w: msgid %d of an open request was used again", ErrFormat, id)
 		}
@@ -124,7 +124,7 @@
 // respond runs the handler and, unless the request is a notification, queues its response.
 func (c *serverConn) respond(ctx context.Context, request *Request, id uint32) {
 	result, err := c.server.callHandler(ctx, request)
-	if request.Notify {
+	if request.IsNotification {
 		return
 	}
 	data := encodeResponse(request.Method, id, result, err, c.limits)
--- a/internal/peers/entry.go
+++ b/internal/peers/entry.go
@@ -51,7 +51,7 @@
 // storedEntry is an entry with its kind.
 type storedEntry struct {
 	Entry
-	kind *Kind
+	kind *EntryKind
 }
 
 // entryTable stores at most maxEntries entries, and at most maxEntriesPerOwner of each owner.
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -90,7 +90,7 @@
 	n.tokens = min(n.config.Burst, n.tokens+n.config.Rate*(now-n.tokensUpdated).Seconds())
 	n.tokensUpdated = now
 	if n.tokens < MaxDatagram && !(must && n.tokens > -n.config.Burst) {
-		n.stats.Withheld++
+		n.stats.RateLimited++
 		return false
 	}
 	m.self = n.self
--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -48,7 +48,7 @@
 	t.Helper()
 	l, err := Open(Config{Listen: listen, Peers: peerAddrs, Seed: uint64(self), Node: peers.Config{
 		Cluster: "test", Self: peers.Rank(self), Period: 100 * time.Millisecond,
-		Kinds: []peers.Kind{{ID: hot, TTL: time.Minute, Hot: true}},
+		Kinds: []peers.EntryKind{{ID: hot, TTL: time.Minute, Hot: true}},
 	}})
 	if err != nil {
 		t.Fatalf("Open: %v", err)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -40,9 +40,9 @@
 type Config struct {
 	Cluster     string // name of the fleet; datagrams of another one are dropped
 	Self        Rank
-	Size        int    // number of sidecars in the fleet, including this one
-	Incarnation uint64 // of this process; a later process has a higher one, see Node.Incarnation
-	Kinds       []Kind // accepted kinds of entries; others are dropped
+	Size        int         // number of sidecars in the fleet, including this one
+	Incarnation uint64      // of this process; a later process has a higher one, see Node.Incarnation
+	Kinds       []EntryKind // accepted kinds of entries; others are dropped
 
 	Period  time.Duration // interval between probes
 	Timeout time.Duration // of a direct probe, before indirect ones are requested
@@ -51,8 +51,8 @@
 	Fanout  int           // number of members to which a new hot entry is forwarded
 }
 
-// Kind configures a kind of entry.
-type Kind struct {
+// EntryKind configures a kind of entry.
+type EntryKind struct {
 	ID     uint8
 	TTL    time.Duration // an older entry is dropped
 	Weight int           // entries of higher weight are sent first if not all fit
@@ -100,7 +100,7 @@
 type Node struct {
 	config  Config
 	rng     *rand.Rand
-	kinds   map[uint8]*Kind
+	kinds   map[uint8]*EntryKind
 	logSize float64
 
 	self         Record
@@ -144,7 +144,7 @@
 	Received, ReceivedBytes uint64
 	Damaged                 uint64 // datagrams that are not decodable, or of another fleet
 	Rejected                uint64 // invalid or implausible records and entries
-	Withheld                uint64 // datagrams not sent because of the rate limit
+	RateLimited             uint64 // datagrams not sent because of the rate limit
 	Refuted                 uint64 // suspicions of this member that it refuted
 	Suspected               uint64 // suspicions raised by this member
 	Evicted                 uint64 // entries evicted or dropped because of a bound
@@ -167,7 +167,7 @@
 	n := &Node{
 		config:          config,
 		rng:             rng,
-		kinds:           make(map[uint8]*Kind),
+		kinds:           make(map[uint8]*EntryKind),
 		logSize:         math.Log2(float64(config.Size) + 1),
 		self:            Record{Rank: config.Self, Incarnation: config.Incarnation, StartedAt: now},
 		members:         make([]member, config.Size),
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -18,7 +18,7 @@
 func testConfig(self Rank, size int) Config {
 	return Config{
 		Cluster: "test", Self: self, Size: size, Incarnation: 1000,
-		Kinds: []Kind{{ID: hot, TTL: time.Minute, Weight: 2, Hot: true}, {ID: plain, TTL: time.Minute, Weight: 1}},
+		Kinds: []EntryKind{{ID: hot, TTL: time.Minute, Weight: 2, Hot: true}, {ID: plain, TTL: time.Minute, Weight: 1}},
 	}
 }
 
--- a/internal/pg/pg.go
+++ b/internal/pg/pg.go
@@ -134,7 +134,7 @@
 // CheckWritable migrates the schema as Ready does, and returns an error that wraps
 // ErrReadOnly if the server does not accept writes.
 func (db *DB) CheckWritable(ctx context.Context) error {
-	if err := db.Ready(ctx); err != nil {
+	if err := db.EnsureSchema(ctx); err != nil {
 		return err
 	}
 	var readOnly string
--- a/internal/pg/schema.go
+++ b/internal/pg/schema.go
@@ -13,16 +13,16 @@
 
 // Schema is a set of tables with a version. The version of an empty database is 0.
 type Schema struct {
-	Name string // name of the table that contains the version
-	Lock int64  // key of the advisory lock that a migration holds
+	VersionTable    string // name of the table that contains the version
+	AdvisoryLockKey int64  // key of the advisory lock that a migration holds
 	// Migrations[n] are the statements that bring the tables from version n to n+1. They are
 	// not changed once they are released.
 	Migrations [][]string
 }
 
-// Ready connects to the database and migrates its schema to the latest version, unless an
+// EnsureSchema connects to the database and migrates its schema to the latest version, unless an
 // earlier call has. It returns an error if the database can't be reached or used.
-func (db *DB) Ready(ctx context.Context) error {
+func (db *DB) EnsureSchema(ctx context.Context) error {
 	db.mu.Lock()
 	defer db.mu.Unlock()
 	if db.migrated {
@@ -50,14 +50,14 @@
 		_, err := tx.Exec(ctx, statement, args...)
 		return err
 	}
-	if err := execute("SELECT pg_advisory_xact_lock($1::bigint)", db.schema.Lock); err != nil {
+	if err := execute("SELECT pg_advisory_xact_lock($1::bigint)", db.schema.AdvisoryLockKey); err != nil {
 		return err
 	}
-	if err := execute("CREATE TABLE IF NOT EXISTS " + db.schema.Name + " (version BIGINT NOT NULL)"); err != nil {
+	if err := execute("CREATE TABLE IF NOT EXISTS " + db.schema.VersionTable + " (version BIGINT NOT NULL)"); err != nil {
 		return err
 	}
 	var version int
-	if err := tx.QueryRow(ctx, "SELECT CAST(coalesce(max(version), 0) AS bigint) FROM "+db.schema.Name).Scan(&version); err != nil {
+	if err := tx.QueryRow(ctx, "SELECT CAST(coalesce(max(version), 0) AS bigint) FROM "+db.schema.VersionTable).Scan(&version); err != nil {
 		return err
 	}
 	if version > len(db.schema.Migrations) {
@@ -69,7 +69,7 @@
 				return fmt.Errorf("migrate to schema version %d: %w", n+1, err)
 			}
 		}
-		if err := execute("INSERT INTO "+db.schema.Name+" (version) VALUES ($1::bigint)", int64(n+1)); err != nil {
+		if err := execute("INSERT INTO "+db.schema.VersionTable+" (version) VALUES ($1::bigint)", int64(n+1)); err != nil {
 			return err
 		}
 	}
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -13,7 +13,7 @@
 //   - No decision depends on another sidecar's clock or, in a fleet of more than two, on the report
 //     of a single other sidecar.
 //
-// The package does not know how servers warm up (Balancer.Capacity does), who the other sidecars are
+// The package does not know how servers warm up (Balancer.WorkingSetCapacity does), who the other sidecars are
 // (package peers does), or what is stored on disk (package checkpoint does).
 package recovery
 
@@ -116,9 +116,9 @@
 // stayedUp reports whether the sidecar was up before this one's restart.
 func (r Report) stayedUp() bool { return r.Phase >= Serving && r.Age >= minUptime }
 
-// Orders are the results of a Tick: the phase of the restart, the verdict, and the bounds for the
+// Decision are the results of a Tick: the phase of the restart, the verdict, and the bounds for the
 // Balancer.
-type Orders struct {
+type Decision struct {
 	Phase   Phase
 	Verdict Verdict
 	Bounds  martendrum.Bounds
@@ -204,14 +204,14 @@
 func (m *Machine) UsualDemand() float64 { return m.usualDemand }
 
 // SetCapacity sets the servers' mean slow-start factor and the fraction of the usual load that they
-// can serve, as Balancer.Capacity returns them.
+// can serve, as Balancer.WorkingSetCapacity returns them.
 func (m *Machine) SetCapacity(slowStartFactor, capacityFraction float64) {
 	m.slowStartFactor = max(0, min(slowStartFactor, 1))
 	m.capacityFraction = max(0, min(capacityFraction, 1))
 }
 
 // Tick updates the verdict, the phase and the bounds. It must be called when Due has come.
-func (m *Machine) Tick(now time.Duration) Orders {
+func (m *Machine) Tick(now time.Duration) Decision {
 	m.decideVerdict(now)
 	m.recordArrivals(now)
 	m.learnUsualDemand(now)
@@ -247,8 +247,8 @@
 }
 
 // orders returns the current phase, verdict and bounds.
-func (m *Machine) orders() Orders {
-	orders := Orders{Phase: m.phase, Verdict: m.verdict}
+func (m *Machine) orders() Decision {
+	orders := Decision{Phase: m.phase, Verdict: m.verdict}
 	if m.constrained {
 		orders.Bounds.MinShedFraction = m.shedFraction()
 		orders.Bounds.NominalRate = m.estimateDemand()
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -18,7 +18,7 @@
 
 // runMachine calls Tick of a Machine every 100 ms until the end, and returns the orders of each call.
 // beforeTick is called before each Tick and sets the Machine's inputs.
-func runMachine(size int, end time.Duration, beforeTick func(now time.Duration, m *Machine)) (all []Orders) {
+func runMachine(size int, end time.Duration, beforeTick func(now time.Duration, m *Machine)) (all []Decision) {
 	m := New(Config{Size: size}, 0)
 	for now := time.Duration(0); now <= end; now += 100 * ms {
 		beforeTick(now, m)
@@ -103,7 +103,7 @@
 func TestReturningClientsAreNotDemand(t *testing.T) {
 	for _, retrying := range []float64{0, 0.5, 0.9} {
 		total, retries := 0.0, make([]float64, 1000)
-		var last Orders
+		var last Decision
 		m := New(Config{Size: 1}, 0)
 		for i := range 300 {
 			arrived := 2 + retries[i] // 20 per second, and the retries
--- a/internal/recovery/waves.go
+++ b/internal/recovery/waves.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Place is an instance's name, shop and zone. An instance without a shop counts as a shop of its own.
-type Place struct{ Name, Shop, Zone string }
+// Placement is an instance's name, shop and zone. An instance without a shop counts as a shop of its own.
+type Placement struct{ Name, Shop, Zone string }
 
 // startOrder is an instance with the numbers that determine the order of starts.
 type startOrder struct {
-	Place
+	Placement
 	wave   int // number of instances of its shop before it
 	inZone int // number of instances of its zone and wave before it
 }
@@ -19,7 +19,7 @@
 // Waves groups a host's instances into waves for their restart, and returns the names in each wave.
 // Every shop starts one instance before any shop starts two, and within a wave the zones take turns.
 // No wave has more than limit instances; a limit below 1 means no bound.
-func Waves(places []Place, limit int) [][]string {
+func Waves(places []Placement, limit int) [][]string {
 	var waves [][]string
 	currentWave := -1
 	for _, instance := range inStartOrder(places) {
@@ -33,7 +33,7 @@
 }
 
 // inStartOrder returns the instances in the order of their starts.
-func inStartOrder(places []Place) []startOrder {
+func inStartOrder(places []Placement) []startOrder {
 	type zoneWave struct {
 		zone string
 		wave int
@@ -49,7 +49,7 @@
 		wave := countByShop[shop]
 		countByShop[shop]++
 		key := zoneWave{place.Zone, wave}
-		ordered[i] = startOrder{Place: place, wave: wave, inZone: countByZoneWave[key]}
+		ordered[i] = startOrder{Placement: place, wave: wave, inZone: countByZoneWave[key]}
 		countByZoneWave[key]++
 	}
 	slices.SortStableFunc(ordered, func(a, b startOrder) int {
@@ -58,8 +58,8 @@
 	return ordered
 }
 
-// PaceConfig configures the intervals between the waves of a host.
-type PaceConfig struct {
+// StartPacerConfig configures the intervals between the waves of a host.
+type StartPacerConfig struct {
 	MinInterval time.Duration // minimum time from one wave to the next
 	MaxInterval time.Duration // maximum time from one wave to the next, even if instances of the wave are not done; at least the lengthened MinInterval
 	// ConsecutiveLosses is the number of power losses in a row, including this one. Each one
@@ -73,11 +73,11 @@
 	maxDoublings      = 10 // prevents an overflow of the shift
 )
 
-// Pace lets the instances of a host start in waves. A wave begins when all instances of the previous
+// StartPacer lets the instances of a host start in waves. A wave begins when all instances of the previous
 // wave are done, at the earliest MinInterval and at the latest MaxInterval after that wave began. It
 // is not safe for concurrent use.
-type Pace struct {
-	config  PaceConfig
+type StartPacer struct {
+	config  StartPacerConfig
 	waveOf  map[string]int // by instance name
 	pending []int          // number of instances that are not done, by wave
 	done    map[string]bool
@@ -85,12 +85,12 @@
 	began   time.Duration // when it began
 }
 
-// NewPace returns the Pace of waves, of which the first begins at now.
-func NewPace(cfg PaceConfig, waves [][]string, now time.Duration) *Pace {
+// NewStartPacer returns the StartPacer of waves, of which the first begins at now.
+func NewStartPacer(cfg StartPacerConfig, waves [][]string, now time.Duration) *StartPacer {
 	doublings := min(max(0, cfg.ConsecutiveLosses-1), maxDoublings)
 	cfg.MinInterval *= time.Duration(min(1<<doublings, maxIntervalFactor))
 	cfg.MaxInterval = max(cfg.MaxInterval, cfg.MinInterval)
-	p := &Pace{config: cfg, waveOf: make(map[string]int), done: make(map[string]bool), began: now}
+	p := &StartPacer{config: cfg, waveOf: make(map[string]int), done: make(map[string]bool), began: now}
 	for n, wave := range waves {
 		p.pending = append(p.pending, len(wave))
 		for _, name := range wave {
@@ -101,7 +101,7 @@
 }
 
 // Done marks an instance as done: it is up, or is known not to come up for now.
-func (p *Pace) Done(name string) {
+func (p *StartPacer) Done(name string) {
 	wave, ok := p.waveOf[name]
 	if !ok || p.done[name] {
 		return
@@ -112,7 +112,7 @@
 
 // MayStart reports whether an instance may start now. An instance that is in no wave may always
 // start.
-func (p *Pace) MayStart(now time.Duration, name string) bool {
+func (p *StartPacer) MayStart(now time.Duration, name string) bool {
 	p.advance(now)
 	wave, ok := p.waveOf[name]
 	return !ok || wave <= p.current
@@ -120,13 +120,13 @@
 
 // Finished reports whether every wave has begun, and the instances of the last one are done or its
 // MaxInterval is over.
-func (p *Pace) Finished(now time.Duration) bool {
+func (p *StartPacer) Finished(now time.Duration) bool {
 	p.advance(now)
 	return p.current >= len(p.pending)
 }
 
 // advance begins the waves that are due.
-func (p *Pace) advance(now time.Duration) {
+func (p *StartPacer) advance(now time.Duration) {
 	for p.current < len(p.pending) {
 		age := now - p.began
 		if age < p.config.MinInterval || p.pending[p.current] > 0 && age < p.config.MaxInterval {
--- a/internal/recovery/waves_test.go
+++ b/internal/recovery/waves_test.go
@@ -12,7 +12,7 @@
 // TestWaves checks that every shop starts one instance before any starts two, that zones take turns, and
 // that no wave exceeds the limit.
 func TestWaves(t *testing.T) {
-	places := []Place{
+	places := []Placement{
 		{"a1", "a", "x"}, {"a2", "a", "x"}, {"a3", "a", "y"}, {"b1", "b", "x"}, {"c1", "c", "y"}, {"c2", "c", "y"}, {"d", "", "z"}, {"e", "", "x"},
 	}
 	for limit, want := range map[int][][]string{
@@ -30,16 +30,16 @@
 // an instance that may start may do so from then on.
 func TestPace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var places []Place
+		var places []Placement
 		const step, never = 100 * ms, time.Hour
 		readyAfter := make(map[string]time.Duration) // from its start until it is ready
 		for i := range rapid.IntRange(1, 12).Draw(t, "instances") {
-			places = append(places, Place{fmt.Sprint(i), fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "shop")), ""})
+			places = append(places, Placement{fmt.Sprint(i), fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "shop")), ""})
 			readyAfter[fmt.Sprint(i)] = rapid.SampledFrom([]time.Duration{0, step, time.Second, 3 * time.Second, never}).Draw(t, "takes")
 		}
 		waves := Waves(places, rapid.IntRange(0, 4).Draw(t, "limit"))
-		config := PaceConfig{MinInterval: 200 * ms, MaxInterval: 2 * time.Second, ConsecutiveLosses: rapid.IntRange(0, 40).Draw(t, "losses")}
-		pace := NewPace(config, waves, 0)
+		config := StartPacerConfig{MinInterval: 200 * ms, MaxInterval: 2 * time.Second, ConsecutiveLosses: rapid.IntRange(0, 40).Draw(t, "losses")}
+		pace := NewStartPacer(config, waves, 0)
 		bound := time.Duration(len(waves)) * max(config.MaxInterval, config.MinInterval*maxIntervalFactor)
 		started := make(map[string]time.Duration)
 		for now := time.Duration(0); now <= bound+step; now += step {
@@ -65,7 +65,7 @@
 			}
 		}
 	})
-	if !NewPace(PaceConfig{}, nil, 0).MayStart(0, "unknown") {
+	if !NewStartPacer(StartPacerConfig{}, nil, 0).MayStart(0, "unknown") {
 		t.Error("MayStart() = false for an instance in no wave, want true")
 	}
 }
--- a/internal/sidecar/clock_test.go
+++ b/internal/sidecar/clock_test.go
@@ -39,7 +39,7 @@
 				t.Errorf("a request with a deadline of 400 ms was answered after %v, want 300 ms to 2 s", took)
 			}
 			unixNow := time.Duration(time.Now().UnixNano())
-			h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{
+			h.ApplyServers(&discovery.List{Index: 2, Entries: []discovery.Entry{{
 				Endpoint: martendrum.Endpoint{Name: "fresh", CapacityHint: 1, Started: unixNow - 500*time.Millisecond}, Address: "127.0.0.1:1",
 			}}})
 			listed, _ := h.Servers()
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -66,7 +66,7 @@
 			shared: cmp.Or(initial.MaxInFlight, math.MaxInt),
 		},
 	}
-	watcher.OnList, watcher.OnFailure = h.Listed, h.DiscoveryFailed
+	watcher.OnList, watcher.OnFailure = h.ApplyServers, h.DiscoveryFailed
 	h.onWritten = h.meter.AttemptWritten
 	h.publishClasses()
 	h.timers.runtime = time.AfterFunc(time.Hour, h.fireTimers)
@@ -144,7 +144,7 @@
 	h.classes.Store(&classes)
 }
 
-// LearnedState returns the state that the Balancer has learned, for Learn of another process.
+// LearnedState returns the state that the Balancer has learned, for RestoreLearnedState of another process.
 func (h *Host) LearnedState() martendrum.LearnedState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -53,7 +53,7 @@
 	for n, addr := range addrs {
 		list.Entries = append(list.Entries, discovery.Entry{Endpoint: martendrum.Endpoint{Name: fmt.Sprint(n), CapacityHint: 1}, Address: addr})
 	}
-	h.Listed(list)
+	h.ApplyServers(list)
 	srv := downstream.New(downstream.Config{MaxConns: 100, MaxBody: 1 << 20}, h)
 	metricSet := metrics.New()
 	metricSet.SetClasses(set.ClassNames())
--- a/internal/sidecar/leave_test.go
+++ b/internal/sidecar/leave_test.go
@@ -76,7 +76,7 @@
 	c := dialSidecar(t, at)
 	io.WriteString(c, "POST /book HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
 	<-firstReceived
-	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "late", CapacityHint: 1}, Address: lateAddr}}})
+	h.ApplyServers(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "late", CapacityHint: 1}, Address: lateAddr}}})
 	close(breakConn)
 	var sendBefore time.Time
 	eventually(t, "the retry", func() bool {
@@ -141,7 +141,7 @@
 	c := dialSidecar(t, ln.Addr().String())
 	io.WriteString(c, "GET /look HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n")
 	<-firstReceived
-	h.Listed(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "other", CapacityHint: 1}, Address: otherAddr}}})
+	h.ApplyServers(&discovery.List{Index: 2, Entries: []discovery.Entry{{Endpoint: martendrum.Endpoint{Name: "other", CapacityHint: 1}, Address: otherAddr}}})
 	c.Close()
 	close(breakConn)
 	eventually(t, "the end of the request", func() bool { return h.InFlight() == 0 })
--- a/internal/sidecar/list_capacity_test.go
+++ b/internal/sidecar/list_capacity_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		b.Fatalf("parsing the list: %v", err)
 	}
-	host.Listed(list)
+	host.ApplyServers(list)
 }
 
 // BenchmarkWholeListCapacity applies a complete list to a new Host without connections, that is to its
--- a/internal/sidecar/servers.go
+++ b/internal/sidecar/servers.go
@@ -16,8 +16,8 @@
 	return h.balancer.ServerCounts(h.now())
 }
 
-// Listed applies a server list from discovery, which is complete or holds only changed entries.
-func (h *Host) Listed(list *discovery.List) { h.applyList(list, false) }
+// ApplyServers applies a server list from discovery, which is complete or holds only changed entries.
+func (h *Host) ApplyServers(list *discovery.List) { h.applyList(list, false) }
 
 // ApplyConfiguredServers applies the server list of the configuration file, for use until discovery sends one.
 func (h *Host) ApplyConfiguredServers(list *discovery.List) { h.applyList(list, true) }
--- a/internal/standin/faultnet/faultnet.go
+++ b/internal/standin/faultnet/faultnet.go
@@ -5,7 +5,7 @@
 //
 // A Net owns its listeners and connections and closes them all in Close. A test sets faults
 // directly (Link.Set) or by a script. A script's steps are triggered by events that the test reports
-// (Net.Mark) or by the number of connections made over a link, never by a clock. All random
+// (Net.ReportEvent) or by the number of connections made over a link, never by a clock. All random
 // decisions (such as which datagram is lost and how long a delay is) are drawn from one seed. The
 // relay does not interpret the data that it relays.
 package faultnet
@@ -18,13 +18,13 @@
 	"time"
 )
 
-// Way is a direction of a link, or both directions.
-type Way uint8
+// Direction is a direction of a link, or both directions.
+type Direction uint8
 
 // Directions of a link.
 const (
-	There Way = 1 << iota // from the process that connects to the one that listens
-	Back                  // from the process that listens to the one that connects
+	There Direction = 1 << iota // from the process that connects to the one that listens
+	Back                        // from the process that listens to the one that connects
 	Both  = There | Back
 )
 
@@ -35,7 +35,7 @@
 	Drop bool
 	// Stall keeps connections open and relays nothing in these directions. Data that is sent
 	// during the stall arrives after its end; datagrams are lost. In a Mesh any direction stalls.
-	Stall Way
+	Stall Direction
 	// Delay delays each piece of data that is read from a connection, and each datagram, by this
 	// time plus a random time of up to Jitter. The order is preserved within a connection;
 	// datagrams may overtake each other.
@@ -48,7 +48,7 @@
 // Step is one step of a script. Each step is performed once, when its trigger occurs: it sets Fault
 // or, with Cut, calls Link.Cut; after that, with Reset, it calls Link.Reset.
 type Step struct {
-	On    string // the event that triggers the step, see Net.Mark
+	On    string // the event that triggers the step, see Net.ReportEvent
 	Times int    // how many times the event must have been reported; 0: once
 	// Conns triggers the step, in place of On, once this many connections were made over the link
 	// or, if Link is empty, over any one link.
@@ -156,9 +156,9 @@
 	n.wg.Wait()
 }
 
-// Mark reports an event to the script. It performs the steps that the event triggers before it
+// ReportEvent reports an event to the script. It performs the steps that the event triggers before it
 // returns.
-func (n *Net) Mark(event string) {
+func (n *Net) ReportEvent(event string) {
 	n.mu.Lock()
 	n.marks[event]++
 	n.mu.Unlock()
--- a/internal/standin/faultnet/faultnet_test.go
+++ b/internal/standin/faultnet/faultnet_test.go
@@ -101,27 +101,27 @@
 			t.Fatalf("without a fault: got %q, %v; want %q", got, err, "hello")
 		}
 		// The second report of the event stalls the link: the connection stays open, and no data is lost.
-		n.Mark("stage")
+		n.ReportEvent("stage")
 		if got, _ := exchange(t, c, "once", longTimeout); got != "once" {
 			t.Error("the link is stalled after the first of two reports of the event")
 		}
-		n.Mark("stage")
+		n.ReportEvent("stage")
 		if got, err := exchange(t, c, "twice", shortTimeout); got != "" || !isTimeout(err) {
 			t.Errorf("stalled link: got %q, %v; want no data and a timeout", got, err)
 		}
-		n.Mark("healed")
+		n.ReportEvent("healed")
 		c.SetReadDeadline(time.Now().Add(longTimeout))
 		buf := make([]byte, 5)
 		if _, err := io.ReadFull(c, buf); string(buf) != "twice" {
 			t.Errorf("after the stall: got %q, %v; want %q", buf, err, "twice")
 		}
 		// A stall of the direction Back only: the data arrives at the target, and no answer arrives.
-		there, back := l.Carried()
+		there, back := l.RelayedBytes()
 		l.Set(Fault{Stall: Back})
 		if _, err := exchange(t, c, "way", shortTimeout); !isTimeout(err) {
 			t.Errorf("link stalled in the direction Back: got error %v, want a timeout", err)
 		}
-		if newThere, newBack := l.Carried(); newThere != there+3 || newBack != back {
+		if newThere, newBack := l.RelayedBytes(); newThere != there+3 || newBack != back {
 			t.Errorf("link stalled in the direction Back: relayed %d bytes There and %d Back, want 3 and 0", newThere-there, newBack-back)
 		}
 		l.Set(Fault{})
@@ -197,7 +197,7 @@
 				buf := make([]byte, 16)
 				if _, err := c.Read(buf); err == nil {
 					out += "."
-				} else if there, _ := l.Carried(); there > before[0] {
+				} else if there, _ := l.RelayedBytes(); there > before[0] {
 					out += "<"
 				} else {
 					out += ">"
--- a/internal/standin/faultnet/link.go
+++ b/internal/standin/faultnet/link.go
@@ -74,8 +74,8 @@
 	l.cut = true
 }
 
-// Made returns the number of connections made so far.
-func (l *Link) Made() int {
+// AcceptedConns returns the number of connections made so far.
+func (l *Link) AcceptedConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.made
@@ -88,9 +88,9 @@
 	return len(l.conns)
 }
 
-// Carried returns the number of bytes relayed so far in each direction. A datagram that is duplicated
+// RelayedBytes returns the number of bytes relayed so far in each direction. A datagram that is duplicated
 // counts once.
-func (l *Link) Carried() (there, back int64) {
+func (l *Link) RelayedBytes() (there, back int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.carried[0], l.carried[1]
@@ -163,7 +163,7 @@
 
 // waitToRelay waits until a piece of data may be relayed in a direction. It returns false if the
 // connection was closed before.
-func (l *Link) waitToRelay(direction Way, done <-chan struct{}) bool {
+func (l *Link) waitToRelay(direction Direction, done <-chan struct{}) bool {
 	for {
 		l.mu.Lock()
 		f, faultChanged := l.fault, l.faultChanged
@@ -190,7 +190,7 @@
 }
 
 // copyData relays data in one direction of a connection until that direction has ended.
-func (l *Link) copyData(p *connPair, direction Way) {
+func (l *Link) copyData(p *connPair, direction Direction) {
 	from, to, carriedIndex := p.from, p.to, 0
 	if direction == Back {
 		from, to, carriedIndex = p.to, p.from, 1
--- a/internal/standin/faultnet/udp.go
+++ b/internal/standin/faultnet/udp.go
@@ -34,7 +34,7 @@
 
 // drawDelivery draws how many copies of a datagram are delivered, 0 if it is lost, and after which delay.
 // Jitter may change the order of datagrams, as on a real network.
-func (n *Net) drawDelivery(f Fault, direction Way) (copies int, delay time.Duration) {
+func (n *Net) drawDelivery(f Fault, direction Direction) (copies int, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if f.Drop || f.Stall&direction != 0 || f.Loss > 0 && n.rng.Float64() < f.Loss {
@@ -65,7 +65,7 @@
 
 // relayDatagram sends a datagram as the link's fault determines, and counts its bytes unless it is
 // lost.
-func (l *Link) relayDatagram(direction Way, b []byte, send func([]byte)) {
+func (l *Link) relayDatagram(direction Direction, b []byte, send func([]byte)) {
 	l.mu.Lock()
 	f := l.fault
 	l.mu.Unlock()
--- a/internal/standin/pgserver/server.go
+++ b/internal/standin/pgserver/server.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// Conns returns the number of sessions that are open, including those that are authenticating.
-func (s *Server) Conns() int {
+// OpenSessions returns the number of sessions that are open, including those that are authenticating.
+func (s *Server) OpenSessions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
--- a/internal/standin/shop/shop.go
+++ b/internal/standin/shop/shop.go
@@ -39,7 +39,7 @@
 	return NewWith(n, func(s *Shop, name string, w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Req-Id")
 		io.Copy(io.Discard, r.Body)
-		s.Ran(id)
+		s.CountRun(id)
 		time.Sleep(work)
 		fmt.Fprintf(w, "%s by %s", id, name)
 	})
@@ -67,9 +67,9 @@
 	return append(line, '\n'), s.listChanged
 }
 
-// Started sets the time at which all servers were started, and sends the changed list to the watchers.
+// SetStartTime sets the time at which all servers were started, and sends the changed list to the watchers.
 // It does not restart the servers.
-func (s *Shop) Started(at time.Time) {
+func (s *Shop) SetStartTime(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.list {
@@ -80,8 +80,8 @@
 	s.listChanged = make(chan struct{})
 }
 
-// Ran counts an execution of the request with an ID.
-func (s *Shop) Ran(id string) {
+// CountRun counts an execution of the request with an ID.
+func (s *Shop) CountRun(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[id]++
@@ -91,7 +91,7 @@
 func (s *Shop) Addrs() []string { return s.addrs }
 
 // NewWith starts n servers that handle each request by calling serve with the server's name, and a
-// discovery. serve calls Ran for each request that it executes. Requests without a Req-Id
+// discovery. serve calls CountRun for each request that it executes. Requests without a Req-Id
 // header are answered with status 404 and not passed to serve.
 func NewWith(n int, serve func(s *Shop, name string, w http.ResponseWriter, r *http.Request)) (*Shop, error) {
 	s := &Shop{runs: make(map[string]int), end: make(chan struct{}), index: 1, listChanged: make(chan struct{})}
--- a/internal/standin/shop/slowstart.go
+++ b/internal/standin/shop/slowstart.go
@@ -43,8 +43,8 @@
 	r.started, r.servers = at, nil
 }
 
-// Fallen returns the number of servers that have failed since the last Restart.
-func (r *SlowStart) Fallen() (n int) {
+// FailedServers returns the number of servers that have failed since the last Restart.
+func (r *SlowStart) FailedServers() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
@@ -95,7 +95,7 @@
 		return
 	}
 	server.slots <- struct{}{}
-	s.Ran(id)
+	s.CountRun(id)
 	time.Sleep(work)
 	<-server.slots
 	r.mu.Lock()
--- a/internal/standin/simhost/simhost.go
+++ b/internal/standin/simhost/simhost.go
@@ -131,18 +131,18 @@
 }
 
 // Health implements agent.Machine.
-func (h *Host) Health(_ context.Context, address string, _ time.Duration) (proc.Healthy, error) {
+func (h *Host) Health(_ context.Context, address string, _ time.Duration) (proc.HealthReport, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.processes {
 		if p.address == address && !hasExited(p) {
 			if time.Now().Before(p.ready) {
-				return proc.Healthy{}, errors.New("health: answered 503")
+				return proc.HealthReport{}, errors.New("health: answered 503")
 			}
-			return proc.Healthy{}, nil
+			return proc.HealthReport{}, nil
 		}
 	}
-	return proc.Healthy{}, fmt.Errorf("health: dial %s: connection refused", address)
+	return proc.HealthReport{}, fmt.Errorf("health: dial %s: connection refused", address)
 }
 
 // Metrics implements agent.Machine. A simulated sidecar has no metrics.
