--- a/internal/fleet/distribution/node/subscriber.go
+++ b/internal/fleet/distribution/node/subscriber.go
@@ -15,7 +15,7 @@
 // the host's instances. Its methods must be safe for concurrent use.
 type Replica interface {
 	// Apply applies and stores a complete update. On an error the copy is unchanged.
-	Take(update distribution.Update) error
+	Apply(update distribution.Update) error
 	// State returns the host's report on its progress.
 	State() distribution.HostState
 }
@@ -181,7 +181,7 @@
 		return err
 	}
 	empty := complete.Empty()
-	if err := s.config.Replica.Take(*complete); err != nil {
+	if err := s.config.Replica.Apply(*complete); err != nil {
 		return err
 	}
 	if empty {
--- a/internal/fleet/distribution/node/subscriber_test.go
+++ b/internal/fleet/distribution/node/subscriber_test.go
@@ -66,7 +66,7 @@
 	state distribution.HostState
 }
 
-func (r *settlingReplica) Take(distribution.Update) error { return nil }
+func (r *settlingReplica) Apply(distribution.Update) error { return nil }
 
 func (r *settlingReplica) State() distribution.HostState {
 	r.mu.Lock()
--- a/internal/fleet/host/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -127,7 +127,7 @@
 type hostReplica struct{ agent *Agent }
 
 // Apply implements node.Replica. The update is written to the record before any instance gets it.
-func (r hostReplica) Take(update distribution.Update) error {
+func (r hostReplica) Apply(update distribution.Update) error {
 	a := r.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/host/agent/settings_subscriber_test.go
+++ b/internal/fleet/host/agent/settings_subscriber_test.go
@@ -18,7 +18,7 @@
 	state distribution.HostState
 }
 
-func (c *fakeReplica) Take(distribution.Update) error { return nil }
+func (c *fakeReplica) Apply(distribution.Update) error { return nil }
 
 func (c *fakeReplica) State() distribution.HostState {
 	c.mu.Lock()
--- a/internal/hollow/subscriber.go
+++ b/internal/hollow/subscriber.go
@@ -87,7 +87,7 @@
 }
 
 // Apply implements node.Replica.
-func (s *Subscriber) Take(update distribution.Update) error {
+func (s *Subscriber) Apply(update distribution.Update) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed, err := s.replica.Apply(update)
