--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -82,7 +82,7 @@
 func (r *rollingFlags) selectInstances(args []string) error {
 	r.selection.Instances = append(r.selection.Instances, args...)
 	if r.selection.Empty() == !r.all {
-		return fmt.Errorf("say which instances: by name, --host, --label, --release or --state, or with only --all for every instance")
+		return fmt.Errorf("no instances are selected: give names, --host, --label, --release or --state, or only --all for every instance")
 	}
 	return r.selection.Check()
 }
@@ -112,7 +112,7 @@
 			return err
 		}
 	} else if r.policy.OnFailure == api.OnFailureRollback {
-		return fmt.Errorf("--on-failure rollback goes with upgrade only: a %s can't be rolled back", action)
+		return fmt.Errorf("--on-failure rollback is valid for upgrade only: a %s can't be rolled back", action)
 	}
 	hosts, agents, err := r.targets(ctx, fleet, &operation)
 	if err != nil {
@@ -190,7 +190,7 @@
 		}
 	}
 	if len(operation.Targets) == 0 {
-		return nil, nil, &exitError{exitPartial, errors.New("nothing was changed: no instance fits the selection")}
+		return nil, nil, &exitError{exitPartial, errors.New("nothing was changed: no instance matches the selection")}
 	}
 	return hosts, agents, nil
 }
@@ -209,7 +209,7 @@
 	}
 	info, err := os.Stat(r.binary)
 	if err == nil && (!info.Mode().IsRegular() || info.Mode()&0o111 == 0) {
-		err = fmt.Errorf("%s is no program: want an executable regular file", r.binary)
+		err = fmt.Errorf("%s is not a program: want an executable regular file", r.binary)
 	}
 	if err != nil {
 		return "", fmt.Errorf("--binary: %w", err)
--- a/cmd/martendrum/list.go
+++ b/cmd/martendrum/list.go
@@ -94,7 +94,7 @@
 		note = "operation " + i.Operation + " " + note
 	}
 	if strings.Contains(i.Record, "; breaker=") && !strings.Contains(i.Record, "; breaker=closed") {
-		note += " its store of record is away"
+		note += " its idempotency store is unavailable"
 	}
 	return note
 }
--- a/cmd/martendrum/record_settle.go
+++ b/cmd/martendrum/record_settle.go
@@ -66,7 +66,7 @@
 		if state == "" {
 			state = "unknown"
 		}
-		return nil, &exitError{exitPartial, fmt.Errorf("%s %s is %s: only what may have run can be settled", class, key, state)}
+		return nil, &exitError{exitPartial, fmt.Errorf("%s %s is %s: only a key whose request may have run can be settled", class, key, state)}
 	}
 	return &op.Entry, nil
 }
--- a/cmd/sidecar/upgrade_failures_test.go
+++ b/cmd/sidecar/upgrade_failures_test.go
@@ -134,5 +134,5 @@
 	}
 	next := f.startReadyProcess()
 	f.checkServed(t)
-	next.awaitLog(t, "on its own")
+	next.awaitLog(t, "no hand-over is possible")
 }
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -284,7 +284,7 @@
 		{`n2.json`, `n3.json`, "n3.json"},
 		{`n2.json`, `n1.json`, "both listen"},
 		{`name = "n2"`, `name = "a/b"`, "letters"},
-		{`unix = `, `#`, "nobody could ask"},
+		{`unix = `, `#`, "no program could reach the agent"},
 		{`unix = `, "plain = \"10.0.0.1:1\"\nunix = ", "loopback"},
 		{`unix = `, "tls = \"10.0.0.1:1\"\nunix = ", "martendrum ca"},
 		{`unix = `, "plain_role = \"root\"\nunix = ", "plain_role"},
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -300,8 +300,8 @@
 			if err := agent.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: token, Instance: h.instances[0], Kind: api.Change}, nil); errorCode(err) != api.Fenced {
 				t.Errorf("step with a token from before the power loss: got error %v, want code %s", err, api.Fenced)
 			}
-			if err := agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: opt.LeaseHolder, TTL: time.Minute}, nil); errorCode(err) != api.LeaseHeld || !strings.Contains(err.Error(), "lost its power") {
-				t.Errorf("opening the operation again for the lease holder from before the power loss: got error %v, want code %s and \"lost its power\"", err, api.LeaseHeld)
+			if err := agent.Call(ctx, api.OpOpen, &api.OpenIn{Operation: op, LeaseHolder: opt.LeaseHolder, TTL: time.Minute}, nil); errorCode(err) != api.LeaseHeld || !strings.Contains(err.Error(), "lost power") {
+				t.Errorf("opening the operation again for the lease holder from before the power loss: got error %v, want code %s and \"lost power\"", err, api.LeaseHeld)
 			}
 			if !died {
 				return // the agent makes fewer writes than that: all of them were tried
--- a/internal/fleet/e2e/staged_faults_test.go
+++ b/internal/fleet/e2e/staged_faults_test.go
@@ -136,8 +136,8 @@
 	w.checkRelease(base)
 	for _, row := range rep.Rows {
 		for _, s := range row.Steps {
-			if s.Kind == api.Rollback && !strings.Contains(s.Cause, "alone") {
-				t.Errorf("cause of the rollback of %s = %q, want a text that contains \"alone\"", row.Instance, s.Cause)
+			if s.Kind == api.Rollback && !strings.Contains(s.Cause, "without a command") {
+				t.Errorf("cause of the rollback of %s = %q, want a text that contains \"without a command\"", row.Instance, s.Cause)
 			}
 		}
 	}
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -113,7 +113,7 @@
 	})
 	serversFail.Store(true)
 	rep := w.waitForReport("the change to pause", func(r *client.Report) bool {
-		return r.Result == api.OpOpened && r.Stages != nil && strings.Contains(r.Stages.State.PauseReason, "a bad day")
+		return r.Result == api.OpOpened && r.Stages != nil && strings.Contains(r.Stages.State.PauseReason, "the cause may be the change or something else")
 	})
 	if n := countChanged(rep); n != 3 {
 		t.Errorf("%d instances were changed before the pause, want 3, the size of the stage", n)
@@ -164,7 +164,7 @@
 	defer requests.stop()
 	c := w.startChange(append([]string{"start", "--stages", "3,100%", "--overlay", w.writeOverlay(fmt.Sprintf(`{"discovery": %q}`, startServers(t, serve(20))))}, quickChange...)...)
 	rep := w.waitForReport("the change to pause", func(r *client.Report) bool {
-		return r.Stages != nil && strings.Contains(r.Stages.State.PauseReason, "the change's doing or a bad day")
+		return r.Stages != nil && strings.Contains(r.Stages.State.PauseReason, "the cause may be the change or something else")
 	})
 	time.Sleep(3 * time.Second) // longer than the minimum duration of a stage
 	rep, err := w.fleet.Report(context.Background(), rep.Operation.ID)
--- a/internal/fleet/e2e/store_test.go
+++ b/internal/fleet/e2e/store_test.go
@@ -141,7 +141,7 @@
 			t.Fatalf("request while the idempotency store is unavailable: got status %s, Retry-After %q, want 503 with Retry-After", resp.Status, resp.Header.Get("Retry-After"))
 		}
 		out, _, _ := w.command("list")
-		return strings.Contains(out, "its store of record is away")
+		return strings.Contains(out, "its idempotency store is unavailable")
 	})
 	pg.SetRejecting(false)
 	waitOutput("inspect h0-i0", "postgres; breaker=closed")
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -234,8 +234,8 @@
 		}
 		w.checkAgainstProcesses(w.waitReady())
 	}
-	if rep := upgrade(w.writeScript("bad", "#!/bin/sh\nexit 7\n"), ""); rep.OK() || !strings.Contains(rep.Why, "serves on: exit status 7") {
-		t.Errorf("upgrade to a program that exits: result %s because %s, want a failure because of \"serves on: exit status 7\"", rep.Result, rep.Why)
+	if rep := upgrade(w.writeScript("bad", "#!/bin/sh\nexit 7\n"), ""); rep.OK() || !strings.Contains(rep.Why, "continues to serve: exit status 7") {
+		t.Errorf("upgrade to a program that exits: result %s because %s, want a failure because of \"continues to serve: exit status 7\"", rep.Result, rep.Why)
 	}
 	stopHealthCalls()
 	requests.stop()
--- a/internal/fleet/e2e/verify_test.go
+++ b/internal/fleet/e2e/verify_test.go
@@ -43,7 +43,7 @@
 			}
 			// A process that continues to serve after a failed upgrade is reported at a later
 			// generation than the one in the name of its launch.
-			launched := strings.Contains(launches[0], fmt.Sprintf("/%d/", i.Generation)) || strings.Contains(i.Reason, "serves on")
+			launched := strings.Contains(launches[0], fmt.Sprintf("/%d/", i.Generation)) || strings.Contains(i.Reason, "continues to serve")
 			if pid != i.PID || !launched || i.Process != i.Generation {
 				w.t.Errorf("%s is reported with pid %d at generation %d, desired generation %d; its process has pid %d and launch %v", i.Name, i.PID, i.Process, i.Generation, pid, launches)
 			}
--- a/internal/fleet/host/agent/config_check.go
+++ b/internal/fleet/host/agent/config_check.go
@@ -70,7 +70,7 @@
 func (c *Config) checkListen() error {
 	switch {
 	case c.Listen.Unix == "" && c.Listen.TLS == "" && c.Listen.Plain == "":
-		return fmt.Errorf("listen: none of unix, tls and plain is set, so nobody could ask")
+		return fmt.Errorf("listen: none of unix, tls and plain is set, so no program could reach the agent")
 	case c.Listen.TLS != "" && (c.TLS.CA == "" || c.TLS.Cert == "" || c.TLS.Key == ""):
 		return fmt.Errorf("tls: ca, cert and key are needed for listen.tls; `martendrum ca` makes them")
 	case c.Listen.PlainRole != api.View && c.Listen.PlainRole != api.Operate:
--- a/internal/fleet/host/agent/step_progress.go
+++ b/internal/fleet/host/agent/step_progress.go
@@ -57,7 +57,7 @@
 		// launch the failed one again.
 		supervised.AcceptServing()
 		inst.stored.Process, inst.stored.Release, inst.stored.Previous = inst.stored.Generation, step.From, step.PreviousRelease
-		a.endStep(inst, step, false, "the new process failed and the one before it serves on: "+how)
+		a.endStep(inst, step, false, "the new process failed and the previous one continues to serve: "+how)
 	case supervised.Process() == step.Generation && supervised.Phase() == supervisor.Ready:
 		if now.Sub(supervised.Since()) >= step.Soak {
 			a.endStep(inst, step, true, "")
--- a/internal/fleet/host/agent/unattended_rollback.go
+++ b/internal/fleet/host/agent/unattended_rollback.go
@@ -63,7 +63,7 @@
 		a.endStep(inst, inst.step, false, harm)
 	}
 	reason := fmt.Sprintf("rolled back by agent %s alone: the operation had no live lease for %v, and %s", a.config.Name, unattended.Round(time.Second), harm)
-	if _, err := a.beginStep(operation, inst, api.Rollback, 0, "agent "+a.config.Name+" alone", reason); err != nil {
+	if _, err := a.beginStep(operation, inst, api.Rollback, 0, "agent "+a.config.Name+" without a command", reason); err != nil {
 		slog.Warn("instance not rolled back", "instance", name, "why", harm, "err", err)
 		return
 	}
--- a/internal/fleet/host/supervisor/replacement.go
+++ b/internal/fleet/host/supervisor/replacement.go
@@ -112,5 +112,5 @@
 	if s.failed != s.generation || s.failed == 0 {
 		return ""
 	}
-	return fmt.Sprintf("generation %d serves on: the new process failed: %s", s.process, s.failure)
+	return fmt.Sprintf("generation %d continues to serve: the new process failed: %s", s.process, s.failure)
 }
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -45,7 +45,7 @@
 
 // Error implements error.
 func (e *LostError) Error() string {
-	return fmt.Sprintf("%s: the host lost its power during operation %s, which is on hold", e.Instance, e.Op)
+	return fmt.Sprintf("%s: the host lost power during operation %s, which is on hold", e.Instance, e.Op)
 }
 
 // Advice says what an operator can do.
--- a/internal/fleet/stage/stage.go
+++ b/internal/fleet/stage/stage.go
@@ -162,7 +162,7 @@
 		return
 	case len(o.Judgement.Degradations) > 0:
 		x := o.Judgement.Degradations[0]
-		s.PauseReason = fmt.Sprintf("the unchanged instances do worse than before (%s %.4g, was %.4g): the change's doing or a bad day, which can't be told apart", x.Measure, x.Now, x.Usual)
+		s.PauseReason = fmt.Sprintf("the unchanged instances do worse than before (%s %.4g, was %.4g): the cause may be the change or something else; the evidence does not show which", x.Measure, x.Now, x.Usual)
 		return
 	}
 	s.Slots++
--- a/internal/handover/link/successor.go
+++ b/internal/handover/link/successor.go
@@ -81,7 +81,7 @@
 			slog.Warn("no hand-over: this process opens a socket of its own at the predecessor's address", "err", err)
 			return s.startDespiteSilent()
 		case errors.Is(err, ErrForeign):
-			slog.Warn("no hand-over: this process is on its own", "err", err)
+			slog.Warn("no hand-over is possible with this process", "err", err)
 			return s.startIsolated()
 		default:
 			s.Close()
--- a/internal/idempotency/e2e/program_test.go
+++ b/internal/idempotency/e2e/program_test.go
@@ -254,7 +254,7 @@
 	}()
 	f.servers.awaitRun(t, request)
 	f.expectRecord(t, 0, "in-flight", "look", "activate", "896210")
-	f.expectRecord(t, 1, "only what may have run", "settle", "activate", "896210", "--ran")
+	f.expectRecord(t, 1, "only a key whose request may have run", "settle", "activate", "896210", "--ran")
 	f.expectRecord(t, 3, fmt.Sprint("locked by process ", first.Process.Pid), "compact")
 	first.Process.Kill()
 	first.Wait()
