--- a/cmd/sidecar/config.go
+++ b/cmd/sidecar/config.go
@@ -17,9 +17,9 @@
 // Environment variables of the configuration.
 const (
 	envConfig     = "BALANCER_CONFIG"       // path of the configuration file
-	envListen     = "BALANCER_LISTEN"       // overrides the address listen of the file
-	envDiscovery  = "BALANCER_DISCOVERY"    // overrides the address discovery of the file
-	envMgmt       = "BALANCER_MGMT"         // overrides the address mgmt of the file
+	envListen     = "BALANCER_LISTEN"       // overrides the field listen of the file
+	envDiscovery  = "BALANCER_DISCOVERY"    // overrides the field discovery of the file
+	envMgmt       = "BALANCER_MGMT"         // overrides the field mgmt of the file
 	envRecord     = "MARTENDRUM_RECORD"     // path of the idempotency store's configuration file; unset: no store
 	envFeatures   = "MARTENDRUM_FLEET"      // list of features, see loadCoordination; unset: none
 	envCheckpoint = "MARTENDRUM_CHECKPOINT" // path of the checkpoint file; unset: no checkpoint is written
@@ -220,8 +220,8 @@
 		return
 	}
 	c.pace = discovery.PolledPace()
-	// The Balancer makes its first call within four fifths of MaxListAge, so that this limit has it
-	// call within InitialDelay.
+	// The Balancer makes its first call within four fifths of MaxListAge. This limit on MaxListAge
+	// therefore keeps the first call within InitialDelay.
 	s.Config.MaxListAge = min(s.Config.MaxListAge, c.pace.InitialDelay*5/4)
 	s.Config.PollRetryWithin = c.pace.MaxBackoff
 }
@@ -240,13 +240,13 @@
 	}
 	c.coordination.checkpointPath = getenv(envCheckpoint)
 	if c.coordination.checkpointPath != "" && !c.coordination.gradualReturn {
-		return &CoordinationError{"MARTENDRUM_CHECKPOINT is set, but only the feature return uses a checkpoint", "add " + featureReturn + " to MARTENDRUM_FLEET, or unset MARTENDRUM_CHECKPOINT"}
+		return &CoordinationError{"MARTENDRUM_CHECKPOINT is set, but only the feature \"return\" uses a checkpoint", "add " + featureReturn + " to MARTENDRUM_FLEET, or unset MARTENDRUM_CHECKPOINT"}
 	}
 	return nil
 }
 
-// logSettings logs the settings that decide how long requests may take under the message event, so
-// that the log of an incident shows which of them were in force.
+// logSettings logs the settings that decide how long requests may take, so that the log of an incident
+// shows which of them were in force. event is the log message.
 func (c *config) logSettings(event string) {
 	attributes := []any{"config", c.fileHash[:8], "discovery", c.discoveryAddr, "longest_deadline", c.longestDeadline(), "drain_grace", c.settings.DrainGrace}
 	for _, name := range c.settings.ClassNames() {
--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -16,8 +16,9 @@
 )
 
 const (
-	// listTimeout is the longest wait of a new process for discovery's list of servers before it
-	// accepts clients. It waits at all because the list in its configuration may be outdated.
+	// listTimeout is the longest wait of a new process for the list that discovery pushes, before it
+	// reports itself as ready and, beside a predecessor, accepts clients. It waits because the list
+	// in its configuration may be outdated.
 	listTimeout = 250 * time.Millisecond
 	// sweepInterval is how often the process closes connections to servers that have been idle
 	// for too long.
@@ -52,7 +53,7 @@
 	idsExpired   <-chan time.Time  // fires when inheritedIDs are not needed any more; nil until the predecessor has exited
 
 	listed     chan struct{} // signals that discovery has sent a list
-	listTimer  *time.Timer   // fires at listTimeout
+	listTimer  *time.Timer   // fires after listTimeout
 	acceptOnce sync.Once     // used by accept
 }
 
@@ -264,7 +265,7 @@
 	next.logSettings("configuration applied")
 }
 
-// retryUntil calls try at each retryInterval until it returns true or stop is closed. Its callers
+// retryUntil calls try every retryInterval until it returns true or stop is closed. Its callers
 // wait for an address that the predecessor has to release first.
 func retryUntil(stop <-chan struct{}, try func() bool) {
 	retry := time.NewTicker(retryInterval)
--- a/cmd/simulator/instance.go
+++ b/cmd/simulator/instance.go
@@ -32,7 +32,7 @@
 		case wire.ChangeFailed:
 			i.balancer.DiscoveryFailed(now)
 		default:
-			return fmt.Errorf("unknown kind of list %q", change)
+			return fmt.Errorf("unknown kind of server-list change %q", change)
 		}
 	case wire.RequestArrived:
 		i.balancer.Arrive(now, martendrum.Request{
@@ -46,7 +46,7 @@
 	case wire.AttemptFinished:
 		outcome, ok := outcomes[e.OutcomeCode]
 		if !ok {
-			return fmt.Errorf("unknown ending %d", e.OutcomeCode)
+			return fmt.Errorf("unknown outcome code %d", e.OutcomeCode)
 		}
 		i.balancer.AttemptFinished(now, id, e.Attempt, outcome, e.Finished, loadReport(e.Report))
 	case wire.ProbeAnswered:
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -8,7 +8,7 @@
 )
 
 // localPreference is the factor by which a server of the balancer's own zone is more likely to be
-// in the working set than one of another zone, where requests to other zones have a cost.
+// in the working set than one of another zone. It is used if Config.CrossZoneCost is above 0.
 const localPreference = 3.0
 
 // server is a server on the server list, with this balancer's observations of it.
@@ -19,7 +19,7 @@
 	weightCorrection float64       // observed capacity divided by capacityHint
 	started          time.Duration // time of its last start, by the server's clock
 	slowStartBegan   time.Duration // time of its last start, by the balancer's clock
-	slowStartEnds    time.Duration // when it has reached its full capacity, 0 if it did long ago
+	slowStartEnds    time.Duration // when slow start ends; 0 if the server started long ago
 	serving          bool          // in state Serving on the list
 	inWorkingSet     bool
 	inFlight         int // this balancer's attempts in flight
@@ -32,7 +32,7 @@
 	load                      float64 // requests in flight at the server, by its last load report
 	latencyAt, loadAt         time.Duration
 	answeredAt                time.Duration       // time of the last answer without an error, or of the last rejection
-	errorRates                map[int]tokenBucket // by class: the decaying fraction of errors, in tokens
+	errorRates                map[int]tokenBucket // by class: the decaying fraction of errors, stored as a number of tokens
 	weightCorrectedAt         time.Duration
 	priority                  float64     // place in the order of members, lowest first
 	slowStartTokens           tokenBucket // sends that it may get from this balancer during slow start
@@ -48,7 +48,7 @@
 	workingSet       []*server     // the servers that requests are sampled from
 	weights          []float64     // running sum of the sampling weights in workingSet
 	weightsAt        time.Duration // when weights were computed
-	dirty            bool          // members or ejections have changed since then
+	dirty            bool          // members or ejections have changed since weightsAt
 	ejected          []*server
 	listReceived     bool    // discovery has sent a list; see ServersPreloaded
 	sendCount        float64 // decaying count of sends
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -58,8 +58,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// GET requests for the two paths get their status and body. Other paths and methods, and a head that is too
-// long, are rejected.
+// GET requests for /api/ready and /api/telemetry get the status and body of the path. Other paths and
+// methods, and a head that is too long, are rejected.
 func TestResponses(t *testing.T) {
 	var ready atomic.Bool
 	addr := start(t, &ready)
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -135,7 +135,7 @@
 		return nil, 0, &NotTrustedError{path, Damaged, err}
 	}
 	if checkpoint.Name != name {
-		return nil, 0, &NotTrustedError{path, OtherSidecar, fmt.Errorf("it is named %q", checkpoint.Name)}
+		return nil, 0, &NotTrustedError{path, OtherSidecar, fmt.Errorf("the file contains the name %q, want %q", checkpoint.Name, name)}
 	}
 	// The file outlives a boot of the machine, so its age is by the wall clock. After a step of
 	// the clock, a file that appears too old or from the future is rejected. One that appears
@@ -175,7 +175,7 @@
 	case err != nil:
 		return nil, &NotTrustedError{Reason: Damaged, cause: err}
 	case decoded.Version != Version:
-		return nil, &NotTrustedError{Reason: OtherVersion, cause: fmt.Errorf("it has version %d, this sidecar reads version %d", decoded.Version, Version)}
+		return nil, &NotTrustedError{Reason: OtherVersion, cause: fmt.Errorf("the file has version %d, this sidecar reads version %d", decoded.Version, Version)}
 	case crc32.Checksum(decoded.Body, castagnoli) != decoded.Sum:
 		return nil, &NotTrustedError{Reason: Damaged, cause: errors.New("the checksum is wrong")}
 	}
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bounds of a lingering close. To close a connection with unread input resets it, and the reset may
+// Bounds of a lingering close. Closing a connection with unread input resets it, and the reset may
 // discard the response before the client has read it. The sidecar therefore reads and discards what
 // the client still sends, for at most lingerTimeout and at most lingerBytes.
 const (
@@ -16,7 +16,7 @@
 	x := &Exchange{conn: c}
 	c.write(x.appendResponse(nil, status, "", nil, nil))
 	c.server.mu.Lock()
-	evicted := c.state == stateClosed // its slot may already belong to another connection
+	evicted := c.state == stateClosed // another connection may already have taken its place
 	if !evicted {
 		c.setState(stateClosed)
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// resetOnClose makes the next close of the connection a reset. With a normal close, the client could
-// take a truncated response whose end is the end of the connection for a complete one.
+// resetOnClose makes the next close of the connection a reset. A response without a length ends where the
+// connection is closed normally, so the client could take a truncated one for a complete one.
 func (c *conn) resetOnClose() {
 	if tcp, ok := c.netConn.(interface{ SetLinger(int) error }); ok {
 		tcp.SetLinger(0)
--- a/internal/handover/link/link.go
+++ b/internal/handover/link/link.go
@@ -2,7 +2,7 @@
 // a sidecar share. It delivers messages and events to the state machines of package handover and
 // carries out the actions that they return; it takes no decisions itself.
 //
-// A file in the directory is locked as long as any process serves at the address. The
+// A file in the directory is locked as long as any process serves at the sidecar's address. The
 // predecessor passes the lock to the successor together with the listening socket, so the lock
 // is free only when both processes have ended, however they ended. A free lock therefore shows
 // that a socket file was left by a killed process.
--- a/internal/handover/link/sharedtable.go
+++ b/internal/handover/link/sharedtable.go
@@ -12,8 +12,8 @@
 	"martendrum/internal/handover/idtable"
 )
 
-// SharedTable is memory that both processes map: a table of request ids and, if both support it,
-// the number of requests that each process has in flight.
+// SharedTable is memory that the predecessor and the successor both map: a table of request ids and,
+// if both support it, the number of requests that each process has in flight.
 type SharedTable struct {
 	*idtable.Table
 	memory   []byte
@@ -21,7 +21,7 @@
 	side     side
 }
 
-// side identifies one of the two processes.
+// side identifies one of the two processes of a hand-over.
 type side int
 
 const (
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -98,7 +98,7 @@
 	s.set.NewGauge(prefix+name, read)
 }
 
-// SetClasses adds counters for the named classes, for at most maxClasses classes in all. SetClasses that were
+// SetClasses adds counters for the named classes, for at most maxClasses classes in all. Classes that were
 // named before keep their counters, because requests of a removed class may still be open and a counter
 // must not decrease.
 func (s *Set) SetClasses(names []string) {
@@ -124,7 +124,7 @@
 const maxClasses = 256
 
 // Answered counts a request's final response by the request's class and the response's status. It ignores
-// classes that Classes has not added.
+// classes that SetClasses has not added.
 func (s *Set) Answered(name string, status int) {
 	c := (*s.classes.Load())[name]
 	switch {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -87,8 +87,8 @@
 	}))
 }
 
-// state returns the records of the other members and the entries that a node stores, without whether
-// they are direct.
+// state returns the records of the other members and the entries that a node stores, with Entry.Direct
+// cleared.
 func state(n *Node, now time.Duration) (records []Record, entries []Entry) {
 	for r := range n.members {
 		if Rank(r) != n.config.Self {
@@ -140,10 +140,10 @@
 		records, entries := state(receive(order), now)
 		otherRecords, otherEntries := state(receive(otherOrder), now)
 		if !slices.Equal(records, otherRecords) {
-			t.Errorf("records differ after another order of datagrams:\n%+v\n%+v", records, otherRecords)
+			t.Errorf("records depend on the order of datagrams:\n%+v in the first order,\n%+v in another one, with repetitions; want them equal", records, otherRecords)
 		}
 		if !slices.Equal(entries, otherEntries) {
-			t.Errorf("entries differ after another order of datagrams:\n%+v\n%+v", entries, otherEntries)
+			t.Errorf("entries depend on the order of datagrams:\n%+v in the first order,\n%+v in another one, with repetitions; want them equal", entries, otherEntries)
 		}
 		for _, entry := range entries {
 			if entry.Incarnation < records[entry.Owner-1].Incarnation {
@@ -154,8 +154,8 @@
 }
 
 // TestLiarCannotSpeakForOthers checks that a lying member can't raise the incarnations or heartbeats of
-// others beyond what they can exceed, can't send in another's name, and that entries that it forwards are
-// not direct.
+// others so far that the others can't rise above them, can't send in another's name, and that entries that
+// it forwards are not direct.
 func TestLiarCannotSpeakForOthers(t *testing.T) {
 	const size, liar, victim, now = 5, 4, 2, 20 * time.Second
 	n := newNode(t, testConfig(0, size))
@@ -217,7 +217,7 @@
 
 // TestIncarnationRisesAboveEarlierOne checks a member that restarts with a lower incarnation than before,
 // because its clock went back by years: its incarnation rises above the earlier one once two members have
-// reported that.
+// reported the earlier one.
 func TestIncarnationRisesAboveEarlierOne(t *testing.T) {
 	const size, far = 4, 50 * 365 * 24 * 3600_000
 	config := testConfig(1, size)
@@ -233,12 +233,12 @@
 	}
 	n.Receive(time.Second, 2, datagramFrom(2, size, 5, time.Second, []Record{{Rank: 1, Incarnation: far + 10}}, nil))
 	if n.Incarnation() != far+11 {
-		t.Errorf("after a report of an incarnation that is only 9 higher: Incarnation() = %d, want %d", n.Incarnation(), uint64(far+11))
+		t.Errorf("after a report of an incarnation that is 9 above its own: Incarnation() = %d, want %d", n.Incarnation(), uint64(far+11))
 	}
 }
 
-// TestPhasesNeverDecrease checks that within an incarnation another member never sees a phase decrease,
-// whatever is set and received.
+// TestPhasesNeverDecrease checks that within an incarnation another member never sees a phase decrease
+// unless the heartbeat rises, whatever phases are set and whatever records are received.
 func TestPhasesNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size = 3
@@ -305,9 +305,10 @@
 	}
 	switch {
 	case len(n.entries.byKey) > maxEntries, n.entries.byOwner[1] > maxEntriesPerOwner, n.entries.byOwner[0] > maxEntriesPerOwner:
-		t.Errorf("too many entries: %d stored, %d of member 1, %d of this member", len(n.entries.byKey), n.entries.byOwner[1], n.entries.byOwner[0])
+		t.Errorf("too many entries: %d stored, want at most %d; %d of member 1 and %d of this member, want at most %d of each", len(n.entries.byKey), maxEntries, n.entries.byOwner[1], n.entries.byOwner[0], maxEntriesPerOwner)
 	case len(n.entries.order) != len(n.entries.byKey), len(n.localEntries) > maxEntriesPerOwner, len(n.updates) > maxUpdates, len(n.priorityProbes) > maxPriorityProbes:
-		t.Errorf("%d entries in the order of arrival for %d stored, %d local entries, %d updates, %d priority probes; want equal numbers of entries, and the others within their bounds", len(n.entries.order), len(n.entries.byKey), len(n.localEntries), len(n.updates), len(n.priorityProbes))
+		t.Errorf("%d entries in the order of arrival, want %d as stored; %d local entries, want at most %d; %d updates, want at most %d; %d priority probes, want at most %d",
+			len(n.entries.order), len(n.entries.byKey), len(n.localEntries), maxEntriesPerOwner, len(n.updates), maxUpdates, len(n.priorityProbes), maxPriorityProbes)
 	}
 }
 
@@ -349,7 +350,7 @@
 	for i, err := range errs {
 		var withAdvice advised
 		if !errors.As(err, &withAdvice) || withAdvice.Advice() == "" || withAdvice.Error() == "" {
-			t.Errorf("error %d has no text or no advice: %v", i, err)
+			t.Errorf("error %d: got %v, want an error with a text and advice", i, err)
 		}
 	}
 	if n.Stats().Damaged != 4 {
@@ -379,7 +380,7 @@
 				t.Fatalf("datagram has %d bytes, want at most %d", len(d.Data), MaxDatagram)
 			}
 			if _, err := n.decode(time.Second, d.Data); err != nil {
-				t.Fatalf("decode of a datagram that the node sent: %v", err)
+				t.Fatalf("decode of a datagram that the node sent: got error %v, want none", err)
 			}
 		}
 	})
--- a/internal/recovery/waves.go
+++ b/internal/recovery/waves.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Placement is an instance's name, shop and zone. An instance without a shop counts as a shop of its own.
+// Placement is an instance's name, shop and zone. Shop and zone are values of labels of the instance; the
+// agent's configuration names the labels. An instance without a shop counts as a shop of its own.
 type Placement struct{ Name, Shop, Zone string }
 
 // startOrder is an instance with the numbers that determine the order of starts.
@@ -118,8 +119,8 @@
 	return !ok || wave <= p.current
 }
 
-// Finished reports whether every wave has begun, and the instances of the last one are done or its
-// MaxInterval is over.
+// Finished reports whether every wave has begun, MinInterval has passed since the last one began, and the
+// instances of the last one are done or its MaxInterval has passed.
 func (p *StartPacer) Finished(now time.Duration) bool {
 	p.advance(now)
 	return p.current >= len(p.pending)
--- a/internal/sidecar/list_capacity_test.go
+++ b/internal/sidecar/list_capacity_test.go
@@ -76,8 +76,8 @@
 	host.ApplyServers(list)
 }
 
-// BenchmarkWholeListCapacity applies a complete list to a new Host without connections, that is to its
-// Balancer and its connection pool.
+// BenchmarkWholeListCapacity applies a complete list to a new Host, which passes it to its Balancer and its
+// connection pool. The pool has no connections.
 func BenchmarkWholeListCapacity(b *testing.B) {
 	for _, size := range capacityListSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -167,8 +167,8 @@
 }
 
 // markAnswered marks a request whose final response is determined or not needed any more, and withdraws
-// the attempts of which no byte has been sent, whether or not the Balancer cancels them. It is called
-// for every request.
+// the attempts of which no byte has been sent, whether or not the Balancer cancels them. Each
+// request is marked once, however it ends.
 func (h *Host) markAnswered(request *clientRequest) {
 	request.answered = true
 	for _, a := range request.attempts {
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -67,7 +67,7 @@
 		case resp.StatusCode != http.StatusOK:
 			t.Errorf("got status %d, want 200", resp.StatusCode)
 		case answer.Rest == nil && answer.Length != int64(len(got)):
-			t.Errorf("answer.Length = %d, want %d as the length of its body", answer.Length, len(got))
+			t.Errorf("answer.Length = %d, want %d, the length of the body that was read", answer.Length, len(got))
 		case c.input.Buffered() > len(lenient.Rest):
 			t.Errorf("%d bytes are buffered after the answer, want at most %d", c.input.Buffered(), len(lenient.Rest))
 		}
--- a/rules_test.go
+++ b/rules_test.go
@@ -26,7 +26,7 @@
 	violations []string      // violations of the rules, each with its time
 }
 
-// listedServer is the last entry for a server that the Balancer has received.
+// listedServer is the checker's record of a server, with the entry that the Balancer received last.
 type listedServer struct {
 	Endpoint
 	notServingSince time.Duration // when it was last listed as not serving
@@ -50,7 +50,7 @@
 	cancelled   bool
 }
 
-// scriptEvent is an action that the checker takes at a time.
+// scriptEvent is an action and the time at which the checker runs it.
 type scriptEvent struct {
 	at     time.Duration
 	order  int // order among events with the same time
@@ -66,7 +66,7 @@
 	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// enqueue schedules an action at the time.
+// enqueue schedules an action at time t.
 func (c *checker) enqueue(t time.Duration, action func(b *Balancer)) {
 	c.lastOrder++
 	c.queue = append(c.queue, scriptEvent{t, c.lastOrder, action})
@@ -82,7 +82,7 @@
 		c.reportViolation("send for finished request %d", id)
 	}
 	if len(request.attempts) >= c.config.MaxAttempts {
-		c.reportViolation("attempt number %d (from 0) of request %d, above MaxAttempts", len(request.attempts), id)
+		c.reportViolation("request %d got attempt %d, want at most %d attempts", id, len(request.attempts)+1, c.config.MaxAttempts)
 	}
 	if listed.State != Serving && c.now > listed.notServingSince {
 		c.reportViolation("send to %s, which is not serving", name)
--- a/slowstart.go
+++ b/slowstart.go
@@ -76,8 +76,8 @@
 	share := 1 / float64(len(set.workingSet)) // fraction of this balancer's sends that a server gets
 	acceptedRate := max(set.acceptedFraction*set.rate(now), set.nominalRate)
 	rate := acceptedRate * share * slowStartSafetyFactor * set.config.OverloadFactor * set.slowStartFactor(s, now)
-	// Before any send the recent rate is 0. The least rate is one send in overloadDuration
-	// from all balancers together.
+	// Before any send the recent rate is 0. The minimum rate is one send to the
+	// server in overloadDuration from all balancers together.
 	idleRate := min(1, float64(len(set.members))*share/float64(set.config.Instances)) / overloadDuration.Seconds()
 	rate = max(rate, idleRate)
 	burst := rate * overloadDuration.Seconds()
