--- a/internal/fleet/api/metrics.go
+++ b/internal/fleet/api/metrics.go
@@ -22,7 +22,7 @@
 }
 
 // Sample contains the metrics of an instance at a slot boundary. canary.Sample and canary.Window describe
-// the fields; Sampled is Window.Sampled.
+// the fields. Sampled is a number of requests, not a time; see Window.Sampled.
 type Sample struct {
 	Instance string                   `msgpack:"i"`
 	Boundary int64                    `msgpack:"b"`
@@ -41,8 +41,8 @@
 	Files    uint32                   `msgpack:"f"`
 }
 
-// CanarySample returns the sample in the form of the canary analysis. instance is the index of the
-// instance there, and classes names the classes in the order of canary.Config.Classes.
+// CanarySample converts the sample for the canary analysis. instance is the index of the instance in
+// canary.Config.Zones, and classes names the classes in the order of canary.Config.Classes.
 func (s *Sample) CanarySample(instance int, classes []string) canary.Sample {
 	window := canary.Window{Instance: instance, Release: s.Release, Attempts: s.Attempts, Finished: s.Finished, Rejected: s.Rejected,
 		Sampled: s.Sampled, Slow: s.Slow, Crashes: s.Crashes, Memory: s.Memory, Files: s.Files, Classes: make([]canary.Counts, len(classes))}
--- a/internal/fleet/control/client/client.go
+++ b/internal/fleet/control/client/client.go
@@ -59,9 +59,9 @@
 	return a.seen
 }
 
-// Call calls a method of the agent with the timeout of the fleet. An error is an *api.Error, which
-// the agent returned, or an *UnreachableError. If an existing connection turns out to be dead, Call
-// repeats the call once on a new connection.
+// Call calls a method of the agent with the timeout of the fleet. An error is an *api.Error if
+// the agent answered with an error, otherwise an *UnreachableError. If an existing connection turns
+// out to be dead, Call repeats the call once on a new connection.
 func (a *Agent) Call(ctx context.Context, method string, in, out any) error {
 	return a.CallFor(ctx, a.fleet.Timeout, method, in, out)
 }
--- a/internal/fleet/control/client/fleet.go
+++ b/internal/fleet/control/client/fleet.go
@@ -21,7 +21,8 @@
 }
 
 // New returns a fleet without connecting to it. who is the operator's name for the agents' audit
-// logs. An error means that the TLS files can't be loaded. The caller must call Close in the end.
+// logs. An error means that the TLS files can't be loaded. The caller must call Close when it
+// no longer needs the fleet.
 func New(hosts *inventory.Inventory, who string) (*Fleet, error) {
 	f := &Fleet{Timeout: time.Duration(hosts.Timeout), Who: who}
 	if hosts.TLS.Cert != "" {
--- a/internal/fleet/control/client/start.go
+++ b/internal/fleet/control/client/start.go
@@ -25,8 +25,8 @@
 	if err := f.checkNoneReturning(ctx); err != nil {
 		return nil, fmt.Errorf("nothing was changed: %w", err)
 	}
-	// Every run acquires leases in the same order of hosts, so that one of two competing runs gets the
-	// first host that both need.
+	// Every run acquires leases in the same order of hosts, so that two competing runs do not both fail:
+	// one of them gets the first host that both need, and the other stops there.
 	for n, host := range r.hostNames {
 		if err := r.open(ctx, r.hostRuns[host]); err != nil {
 			r.releaseLeases(ctx, r.hostNames[:n])
--- a/internal/fleet/control/client/upload.go
+++ b/internal/fleet/control/client/upload.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	if have.Complete {
-		return a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, &have) // verifies it
+		return a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, &have) // the agent verifies it again
 	}
 	for _, file := range []struct {
 		name, path string
@@ -53,7 +53,8 @@
 	return a.Call(ctx, api.ReleaseDone, &api.ReleaseIn{Release: hash}, &have)
 }
 
-// uploadFile sends the file at path, from an offset to its end, as the release's file of that name.
+// uploadFile sends the file at path, from an offset to its end, as the file of the release that is
+// called name.
 func (a *Agent) uploadFile(ctx context.Context, hash, name, path string, offset int64) error {
 	in, err := os.Open(path)
 	if err != nil {
--- a/internal/fleet/distribution/log_test.go
+++ b/internal/fleet/distribution/log_test.go
@@ -19,7 +19,7 @@
 		_, next, err := log.Propose(testTime, 1, change)
 		conflict, ok := errors.AsType[*ConflictError](err)
 		if !ok || next != nil || conflict.Current != first.Revision || conflict.Want != *condition {
-			t.Errorf("Propose with the condition that the %s: got a step: %v, error %v; want a ConflictError", name, next != nil, err)
+			t.Errorf("Propose with the condition that the %s: got a step: %v, error %v; want a ConflictError with current revision %v and wanted revision %v", name, next != nil, err, first.Revision, *condition)
 		}
 	}
 	change := put("a", "x", content(2))
@@ -31,7 +31,7 @@
 	change = put("b", "x", content(2))
 	change.If = &other
 	if _, _, err := log.Propose(testTime, 1, change); err == nil {
-		t.Error("Propose for a missing resource with the condition of a revision succeeded, want an error")
+		t.Errorf("Propose with the condition that a missing resource is at revision %v: got no error, want one", other)
 	}
 	change.If = &zero
 	publish(t, log, change)
@@ -59,7 +59,7 @@
 		t.Fatalf("repeated removal: got %+v, a step: %v, error %v; want the tombstone of revision %v without a step", again, next != nil, err, first.Revision)
 	}
 	if err := again.Check(); err != nil {
-		t.Errorf("Check of the tombstone: %v", err)
+		t.Errorf("Check of the tombstone: got error %v, want none", err)
 	}
 }
 
@@ -86,7 +86,7 @@
 	log.Apply(log.Promote(3))
 	_, next, err := log.Propose(testTime, 2, put("a", "x", content(1)))
 	if fenced, ok := errors.AsType[*FencedError](err); !ok || next != nil || fenced.Known != 3 {
-		t.Fatalf("Propose in epoch 2 of a log in epoch 3: got a step: %v, error %v; want a FencedError", next != nil, err)
+		t.Fatalf("Propose in epoch 2 of a log in epoch 3: got a step: %v, error %v; want a FencedError with known epoch 3", next != nil, err)
 	}
 }
 
@@ -144,7 +144,7 @@
 	change.Content[0], change.Scope.Labels["service"] = 'x', "y"
 	resource, _ := log.Resource("a")
 	if err := resource.Check(); err != nil {
-		t.Fatalf("Check after the caller changed its input: %v", err)
+		t.Fatalf("Check after the caller changed its input: got error %v, want none", err)
 	}
 }
 
@@ -156,7 +156,7 @@
 	}{&InvalidError{}, &ConflictError{}, &ConflictError{Want: Revision{1, 2}, Current: Revision{1, 3}}, &LimitError{},
 		&FencedError{}, &NotWriterError{}, &AheadError{}, &UnreachableError{Last: cause}, &FullError{}} {
 		if err.Error() == "" || err.Advice() == "" {
-			t.Errorf("%T: Error() = %q, Advice() = %q, want two texts", err, err.Error(), err.Advice())
+			t.Errorf("%T: Error() = %q, Advice() = %q, want neither to be empty", err, err.Error(), err.Advice())
 		}
 	}
 	if !errors.Is(&UnreachableError{Last: cause}, cause) {
@@ -199,7 +199,7 @@
 		t.Fatal(err)
 	}
 	if _, err := replica.Apply(late); !isFenced(err) {
-		t.Errorf("subscriber takes an update of the earlier epoch: got error %v, want a FencedError", err)
+		t.Errorf("subscriber applies an update of the earlier epoch: got error %v, want a FencedError", err)
 	}
 	if _, err := relay.PrepareUpdate(late); !isFenced(err) {
 		t.Errorf("relay prepares an update of the earlier epoch: got error %v, want a FencedError", err)
@@ -281,6 +281,6 @@
 	relay.Apply(next)
 	requireSameState(t, log, relay)
 	if next, err := relay.PrepareUpdate(Update{After: relay.Revision(), Revision: relay.Revision()}); next != nil || err != nil {
-		t.Errorf("PrepareUpdate of an empty update = %v, %v; want no step", next, err)
+		t.Errorf("PrepareUpdate of an empty update = %v, %v; want no step and no error", next, err)
 	}
 }
--- a/internal/fleet/distribution/replica.go
+++ b/internal/fleet/distribution/replica.go
@@ -70,7 +70,7 @@
 	return matching
 }
 
-// key returns a text that is equal for equal interests only.
+// key returns a text that is the same for two interests only if they are equal.
 func (i Interest) key() string {
 	text, err := json.Marshal(i)
 	if err != nil {
--- a/internal/fleet/distribution/revision_test.go
+++ b/internal/fleet/distribution/revision_test.go
@@ -7,14 +7,15 @@
 
 func TestRevisionsAreOrderedByEpochFirst(t *testing.T) {
 	want := []Revision{{}, {0, 7}, {1, 0}, {1, 9}, {2, 3}}
-	have := slices.Clone(want)
-	slices.Reverse(have)
-	slices.SortFunc(have, Revision.Compare)
-	if !slices.Equal(have, want) {
-		t.Errorf("revisions sorted by Compare: %v, want %v", have, want)
+	got := slices.Clone(want)
+	slices.Reverse(got)
+	slices.SortFunc(got, Revision.Compare)
+	if !slices.Equal(got, want) {
+		t.Errorf("revisions sorted by Compare: got %v, want %v", got, want)
 	}
 	if !want[4].After(want[3]) || want[3].After(want[3]) || !want[0].IsZero() || want[1].IsZero() {
-		t.Error("After or IsZero is wrong for one of the revisions 2.3, 1.9, 0.7 and 0.0")
+		t.Errorf("2.3 after 1.9, 1.9 after 1.9, 0.0 is zero, 0.7 is zero: got %v, %v, %v, %v; want true, false, true, false",
+			want[4].After(want[3]), want[3].After(want[3]), want[0].IsZero(), want[1].IsZero())
 	}
 }
 
--- a/internal/fleet/host/agent/files.go
+++ b/internal/fleet/host/agent/files.go
@@ -101,7 +101,7 @@
 const searchedLogBytes = 16 << 10
 
 // lastLogProblem returns the last line in the tail of a log that is a warning or an error, or a
-// hint to the log if there is none.
+// text that refers to the log if there is none. The line is cut to 300 characters.
 func lastLogProblem(path string) string {
 	b, _, err := readTail(path, -searchedLogBytes, searchedLogBytes)
 	if err == nil {
--- a/internal/fleet/host/agent/instance_process.go
+++ b/internal/fleet/host/agent/instance_process.go
@@ -50,8 +50,8 @@
 
 // sideBySide reports whether a new generation may start while the current process still serves.
 // The current process must support the hand-over. For an upgrade that is enough: whether the new
-// release supports it too is known only after its start. For a rollback, the release must also be
-// known to support it. The caller holds a.mu.
+// release supports it too is known only after its start. For a rollback, which may be a step of an
+// upgrade, the release must also be known to support it. The caller holds a.mu.
 func (a *Agent) sideBySide(inst *instance) bool {
 	step := inst.step
 	if !a.config.Sidecar.HandOver || !inst.reported.canHandover || step == nil {
@@ -97,13 +97,13 @@
 
 // recordLaunch writes a launch to the record before the process is started. The launch ID, which
 // the process has in its environment, identifies the process if its PID can't be written
-// afterwards. If ok is false, no process must be started now.
+// afterwards. If ok is false, the caller must not start a process now.
 func (a *Agent) recordLaunch(inst *instance) (stored store.Instance, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	stored = inst.stored
 	if stored.Generation != inst.supervisor.Generation() || stored.Desired != api.Running {
-		inst.wakeUp() // the desired state has changed since: the next round will handle it
+		inst.wakeUp() // the desired state has changed: the next round will handle it
 		return stored, false
 	}
 	stored.Launch = fmt.Sprintf("%s/%s/%d/%s.%s", a.config.Name, stored.Name, stored.Generation, a.stateID, randomID())
@@ -225,7 +225,7 @@
 	return withoutLaunch(actions)
 }
 
-// withoutLaunch removes launches from actions.
+// withoutLaunch returns the actions other than launches. It reuses the slice.
 func withoutLaunch(actions []supervisor.Action) []supervisor.Action {
 	return slices.DeleteFunc(actions, func(action supervisor.Action) bool { return action == supervisor.Launch })
 }
--- a/internal/fleet/host/agent/settings_apply.go
+++ b/internal/fleet/host/agent/settings_apply.go
@@ -34,8 +34,8 @@
 	pendingReported bool
 }
 
-// maxAttemptCrashes is how many times the process must exit during an attempt until the settings
-// count as rejected. The first exit may have had another cause.
+// maxAttemptCrashes is the number of attempts during which the process exits until the settings count
+// as rejected. The first exit may have had another cause.
 const maxAttemptCrashes = 2
 
 // unconfirmedDelay is the time from SIGHUP until a configuration counts as accepted by a program
@@ -123,8 +123,9 @@
 	a.settings.subscriber.StateChanged()
 }
 
-// settleAttempt ends the attempt if it has an outcome. It reports whether the settings were
-// rejected by a process that still runs. The caller holds a.mu.
+// settleAttempt ends the attempt if it has an outcome, or abandons it if a step of an operation has
+// begun. It reports whether the settings were rejected by a process that still runs. The caller holds
+// a.mu.
 func (a *Agent) settleAttempt(inst *instance, now time.Time) (rejected bool) {
 	waited := now.Sub(inst.settings.attempt.sent)
 	switch {
--- a/internal/fleet/host/supervisor/supervisor.go
+++ b/internal/fleet/host/supervisor/supervisor.go
@@ -1,6 +1,6 @@
 // Package supervisor decides when the process of one sidecar is launched, terminated or
-// killed, when it is relaunched after a crash, and when relaunches end. It is a state
-// machine without side effects: the caller reports events with their time, and each
+// killed, when it is relaunched after a crash, and when it is no longer relaunched. It is a
+// state machine without side effects: the caller reports events with their time, and each
 // method returns the actions that the caller must carry out, in their order. The package
 // starts no process and sends no signal.
 //
@@ -226,8 +226,8 @@
 }
 
 // LaunchFailed reports that a process of the desired generation could not be started, and why. If
-// another process serves, that process continues and the generation has failed; otherwise it counts
-// as a crash.
+// another process serves, that process continues and the generation has failed; otherwise the
+// failed launch counts as a crash.
 func (s *Supervisor) LaunchFailed(now time.Time, reason string) []Action {
 	if s.process != 0 {
 		s.failed, s.failure = s.generation, "can't be started: "+reason
--- a/internal/fleet/store/postgres/commit.go
+++ b/internal/fleet/store/postgres/commit.go
@@ -100,7 +100,7 @@
 type changeBatch struct {
 	agent string
 	batch *pgx.Batch
-	err   error // the first error in the values of a row
+	err   error // the first error of encoding a row's values
 }
 
 // newBatch returns the statements of a change, the last of which stores the change's ID.
@@ -150,8 +150,8 @@
 	}
 }
 
-// dropAll adds the statements for the rows that a change deletes, including audit entries over
-// its limit.
+// dropAll adds the statements for the rows that a change deletes, including the audit
+// entries beyond change.AuditLimit.
 func (b *changeBatch) dropAll(change *store.Change) {
 	for _, key := range change.DropSettings {
 		b.queue("DELETE FROM martendrum_settings WHERE agent = $1::text AND key = $2::text", key)
--- a/internal/fleetsim/gossip_test.go
+++ b/internal/fleetsim/gossip_test.go
@@ -136,7 +136,7 @@
 	for i := range stopped {
 		g.Stop(i)
 	}
-	knowsDead := func(p Peer) bool {
+	knowsStopped := func(p Peer) bool {
 		for i := range stopped {
 			if s := p.Member(peers.Rank(i), g.Now).State; s != peers.Dead && s != peers.Silent {
 				return false
@@ -144,11 +144,11 @@
 		}
 		return true
 	}
-	g.Run(g.Now+90*time.Second, func() bool { return g.InformedFraction(knowsDead) >= 0.9 })
+	g.Run(g.Now+90*time.Second, func() bool { return g.InformedFraction(knowsStopped) >= 0.9 })
 	t.Logf("nine in ten sidecars knew of the %d stopped ones after %v", stopped, g.Now-10*time.Second)
-	g.Run(g.Now+90*time.Second, func() bool { return g.InformedFraction(knowsDead) == 1 })
+	g.Run(g.Now+90*time.Second, func() bool { return g.InformedFraction(knowsStopped) == 1 })
 	t.Logf("all sidecars knew of them after %v", g.Now-10*time.Second)
-	if informed := g.InformedFraction(knowsDead); informed < 1 {
+	if informed := g.InformedFraction(knowsStopped); informed < 1 {
 		t.Errorf("a fraction of %.2f of the sidecars knows which ones have stopped, want 1", informed)
 	}
 	declaresRunningDead := func(p Peer) bool {
--- a/internal/fleetsim/membership_capacity_test.go
+++ b/internal/fleetsim/membership_capacity_test.go
@@ -65,7 +65,7 @@
 
 // BenchmarkMembershipCapacity starts all sidecars of a simulated fleet at once, each with
 // the default budget of 600 bytes a second, and measures the simulated time until nine in
-// ten know 99 in 100 of the others. Run it with -benchtime=1x.
+// ten know 99 in 100 members of the fleet as alive. Run it with -benchtime=1x.
 func BenchmarkMembershipCapacity(b *testing.B) {
 	for _, size := range fleetSizes(b) {
 		for seed := 1; seed <= *capacitySeeds; seed++ {
@@ -85,7 +85,7 @@
 	began := fleet.Now
 	for fleet.InformedFraction(condition) < 0.9 {
 		if fleet.Now-began > *capacityLimit {
-			b.Fatalf("the condition holds for fewer than nine in ten sidecars after %v of simulated time", fleet.Now-began)
+			b.Fatalf("the awaited condition holds for a fraction of %.2f of the sidecars after %v of simulated time, want at least 0.9", fleet.InformedFraction(condition), fleet.Now-began)
 		}
 		fleet.Run(fleet.Now+step, nil)
 	}
@@ -108,17 +108,17 @@
 }
 
 // BenchmarkMemberCapacity measures the heap of one membership node that knows no other member
-// yet, by the size of its fleet.
+// yet, by the size of its fleet, and the heap that the simulator itself uses for each sidecar.
 func BenchmarkMemberCapacity(b *testing.B) {
 	for _, size := range []int{300, 1000, 3000, 10000, 21000} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
 			for b.Loop() {
 				before := measure.HeapInUse()
 				fleet := NewGossip(size, 1, platformNetwork, 1, peers.Config{Cluster: "test", Kinds: kinds})
-				places := measure.HeapInUse()
+				beforeStart := measure.HeapInUse()
 				fleet.StartSidecar(0)
-				b.ReportMetric(float64(measure.HeapInUse()-places), "heap-B/node")
-				b.ReportMetric(float64(places-before)/float64(size), "model-B/place")
+				b.ReportMetric(float64(measure.HeapInUse()-beforeStart), "heap-B/node")
+				b.ReportMetric(float64(beforeStart-before)/float64(size), "model-B/place")
 				runtime.KeepAlive(fleet)
 			}
 		})
--- a/internal/fleetsim/return_capacity_test.go
+++ b/internal/fleetsim/return_capacity_test.go
@@ -10,8 +10,8 @@
 
 // BenchmarkReturnCapacity simulates a power loss at several fleet sizes: all sidecars start within
 // two seconds while all servers are in slow start. It measures the simulated time until nine
-// tenths of the offered weight are served again, without and with gossip between sidecars. Run it
-// with -benchtime=1x.
+// tenths of the offered requests, weighted by their class, are served again, without and with gossip
+// between sidecars. Run it with -benchtime=1x.
 func BenchmarkReturnCapacity(b *testing.B) {
 	for _, size := range fleetSizes(b) {
 		for _, enableGossip := range []bool{false, true} {
@@ -23,7 +23,7 @@
 						returned := loss.Run()
 						seconds := returned.RecoveredAt(-1, 0.9)
 						if seconds < 0 {
-							b.Fatalf("nine tenths of the offered weight are not served within %v", loss.Until)
+							b.Fatalf("got no time within %v at which nine tenths of the offered requests, weighted by class, are served; want one", loss.Until)
 						}
 						b.ReportMetric(float64(seconds), "s-to-nine-tenths")
 						b.ReportMetric(returned.BytesPerSecond, "sent-B/s")
--- a/internal/idempotency/backend.go
+++ b/internal/idempotency/backend.go
@@ -50,8 +50,9 @@
 }
 
 // Gap is a period in which requests of a class were forwarded without being recorded, as
-// the store was unavailable. From and Until, the times of the first and the last of these
-// requests, are Unix times in microseconds by the sidecar's clock.
+// the store was unavailable. Owner is the ID of the sidecar process. From and Until, the
+// times of the first and the last of these requests, are Unix times in microseconds by the
+// sidecar's clock.
 type Gap struct {
 	Owner    string `json:"Owner"`
 	Class    string `json:"Class"`
@@ -68,7 +69,7 @@
 	MaxBytes int64           // 0: the store does not limit its size
 }
 
-// Errors of a store that replied to the call.
+// Errors of a store that could be reached and did not carry out the call.
 var (
 	ErrFull     = errors.New("the store is full")
 	ErrReadOnly = errors.New("the store is read-only")
--- a/internal/idempotency/sqlite/sqlite_test.go
+++ b/internal/idempotency/sqlite/sqlite_test.go
@@ -165,7 +165,7 @@
 }
 
 // TestUnusableFile checks that Open of a file that can't be used returns an error with the
-// path and the operator's next step, and does not change the file.
+// path and the operator's next step, and that a file that is no database stays unchanged.
 func TestUnusableFile(t *testing.T) {
 	directory := t.TempDir()
 	path := func(name string) string { return filepath.Join(directory, name) }
@@ -185,7 +185,7 @@
 		}
 	}
 	if got, _ := os.ReadFile(path("noise")); string(got) != string(noise) {
-		t.Error("Open changed the content of the file that is no database")
+		t.Errorf("content of the file that is no database after Open: got %d bytes that differ, want the unchanged %d bytes", len(got), len(noise))
 	}
 	bt.Expect(t, held, bt.Claim("k", "a", time.Hour), idempotency.Granted)
 }
@@ -267,8 +267,8 @@
 	}
 }
 
-// TestDamagedPages damages each page of a file after the first and checks that Open or Check
-// finds damage for at least one of them.
+// TestDamagedPages damages each page of a file but the first, one at a time, and checks that
+// Open or Check finds the damage of at least one of them.
 func TestDamagedPages(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "intact")
 	store := mustOpen(t, testConfig(path))
@@ -301,14 +301,14 @@
 }
 
 // TestReaderBesideOwner checks that a process that does not own the file can settle a key
-// while the owner runs, and that it does not create a file.
+// while the owner runs, and that its Open does not create a missing file.
 func TestReaderBesideOwner(t *testing.T) {
 	config := testConfig(filepath.Join(t.TempDir(), "r.db"))
 	owner := mustOpen(t, config)
 	bt.Apply(t, owner, bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0), bt.End("k", "a", idempotency.MayHaveRun))
 	config.Owner = false
-	reader := mustOpen(t, config)
-	bt.Expect(t, reader, &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: "k", Outcome: idempotency.NeverRan, SettledBy: "sari"}, idempotency.Granted)
+	nonOwner := mustOpen(t, config)
+	bt.Expect(t, nonOwner, &idempotency.Op{Kind: idempotency.Settle, Class: "activate", Key: "k", Outcome: idempotency.NeverRan, SettledBy: "sari"}, idempotency.Granted)
 	bt.Expect(t, owner, bt.Claim("k", "b", time.Hour), idempotency.Granted)
 	config.Path += "x"
 	if _, err := Open(ctx, config); err == nil || !strings.Contains(err.Error(), "no such file") {
--- a/internal/idempotency/storeconfig/config.go
+++ b/internal/idempotency/storeconfig/config.go
@@ -39,7 +39,7 @@
 		ConnectTimeout quantity.Duration `toml:"connect"`
 	} `toml:"postgres"`
 	Wait struct {
-		Fraction         float64           `toml:"share"` // of a class's latency objective
+		Fraction         float64           `toml:"share"` // longest wait for the store, as a fraction of a class's latency objective
 		StatementTimeout quantity.Duration `toml:"statement"`
 		EndRetryDuration quantity.Duration `toml:"end_for"`
 		LeaseMargin      quantity.Duration `toml:"lease"`
