--- a/internal/capacity/measure/measure.go
+++ b/internal/capacity/measure/measure.go
@@ -118,7 +118,7 @@
 	return bytes << 10, nil
 }
 
-// samplingInterval is the time between two samples of the process that Command runs.
+// samplingInterval is the time between two samples of the process that RunCommand runs.
 const samplingInterval = 2 * time.Millisecond
 
 // Cost is the resource usage of one run of a command.
--- a/internal/capacity/results.go
+++ b/internal/capacity/results.go
@@ -15,8 +15,8 @@
 //go:embed results/*.txt
 var resultFiles embed.FS
 
-// Results are the raw results of all measurements, by the names of the measurements: the names of
-// their files without .txt.
+// Results are the raw results of all measurements. The keys are the names of the measurements, which
+// are the names of their files without .txt.
 type Results map[string]*ResultFile
 
 // ResultFile is the content of one result file: the raw results of one measurement.
--- a/internal/capacity/tables_raw.go
+++ b/internal/capacity/tables_raw.go
@@ -16,8 +16,8 @@
 	return text + "\n\n"
 }
 
-// resultFile returns the results of a measurement. If there are none, it returns a *TableError that
-// names the table, which is the kind followed by the name.
+// resultFile returns the results of a measurement. If there are none, it returns a *TableError whose
+// table is the kind followed by the name.
 func (t *Tables) resultFile(kind, name string) (*ResultFile, error) {
 	if resultFile := t.results[name]; resultFile != nil {
 		return resultFile, nil
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -84,7 +84,7 @@
 	if n := w.powerLosses(w.hosts[0]); n > 0 {
 		t.Errorf("agent logged %d power losses after the crash of one sidecar, want 0", n)
 	}
-	// All instances of one host, as a zone, lose power.
+	// All instances of one host lose power together, as if it were a zone of its own.
 	h := w.hosts[1]
 	w.powerOff(nil, h)
 	w.powerOn(rand.New(rand.NewPCG(1, 1)), h)
@@ -159,8 +159,8 @@
 	w.checkNoHarm(clients)
 }
 
-// Peers that do not answer delay nothing: a sidecar becomes ready and serves as usual. Its verdict
-// is "unsure", so it remains cautious, in its returning phase.
+// Peers that do not answer don't delay a sidecar's start: it becomes ready and serves as usual. Its
+// verdict is "unsure", so its returning phase, in which it is cautious, does not end at once.
 func TestPeersSilentAtStart(t *testing.T) {
 	w := newRecoveryWorld(t, 1, 3, "return,peers")
 	w.mesh.Set(faultnet.Fault{Drop: true}, func(int, int) bool { return true })
--- a/internal/fleet/e2e/settings_operation_test.go
+++ b/internal/fleet/e2e/settings_operation_test.go
@@ -103,7 +103,7 @@
 		t.Errorf("reload step: status %s, want %s", status, api.StepOK)
 	}
 	if limit := w.bodyLimit(instance); limit == accepted {
-		t.Error("the reload applied settings that should wait for the operation's end")
+		t.Errorf("body limit after the reload = %v, that of the deferred settings; want the earlier limit until the operation ends", limit)
 	}
 	w.closeOperation(held, operation, token)
 	w.waitInForce(last, 2)
@@ -141,8 +141,8 @@
 	if status := w.waitStep(h, operation, instance); status != api.StepOK {
 		w.t.Errorf("undrain step: status %s, want %s", status, api.StepOK)
 	}
-	// The new process starts with the settings accepted before, so the status must not count its
-	// host.
+	// The new process starts with the settings accepted before the drain, so the status must no longer
+	// count its host as one where the revision is in force.
 	eventually(w.t, "a status that does not count "+h.name+" as up to date", func() bool {
 		out, ok := w.status(w.writer(), last)
 		return ok && out.Status.InForce == len(w.hosts)-1
--- a/internal/fleet/e2e/staged_faults_test.go
+++ b/internal/fleet/e2e/staged_faults_test.go
@@ -71,8 +71,8 @@
 	w.waitForReport("all instances of the first stage to be changed", func(r *client.Report) bool {
 		return r.Stages != nil && r.Stages.State.Stage == 1 && countChanged(r) == 4
 	})
-	stall := func(ways faultnet.Direction) func(bool) {
-		return func(bad bool) { links[1].Set(map[bool]faultnet.Fault{true: {Stall: ways}}[bad]) }
+	stall := func(direction faultnet.Direction) func(bool) {
+		return func(bad bool) { links[1].Set(map[bool]faultnet.Fault{true: {Stall: direction}}[bad]) }
 	}
 	for fault, set := range []func(bad bool){stall(faultnet.Both), stall(faultnet.Back), func(bad bool) {
 		w.hosts[1].signal(map[bool]syscall.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[bad])
--- a/internal/hollow/cluster_test.go
+++ b/internal/hollow/cluster_test.go
@@ -95,8 +95,8 @@
 	writer    connect.Caller
 }
 
-// newCluster writes the configurations of so many relays, starts them and connects to the writer.
-// Each relay accepts at most the given number of subscribers. The relays end with the test.
+// newCluster writes the configurations of the given number of relays, starts them and connects to
+// the writer. Each relay accepts at most maxSubscribers subscribers. The relays end with the test.
 func newCluster(t testing.TB, relays, maxSubscribers int, profiles string) *cluster {
 	t.Helper()
 	c := &cluster{t: t, folder: t.TempDir(), program: program(t), profiles: profiles}
@@ -213,7 +213,7 @@
 	c.disconnect()
 	first := c.relays[0]
 	target := connect.Target{Agent: first.Name, Address: first.Address, TLS: c.operator}
-	eventually(c.t, startTimeout, "connection to the writer", func() bool {
+	eventually(c.t, startTimeout, "a connection to the writer", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		client, err := connect.Dial(ctx, target, "scale test", msgpackrpc.Limits{Message: maxMessage})
@@ -276,7 +276,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("timed out after %v: %s", limit, what)
+			t.Fatalf("timed out after %v waiting for %s", limit, what)
 		}
 	}
 }
--- a/internal/idempotency/e2e/repeated_keys_test.go
+++ b/internal/idempotency/e2e/repeated_keys_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// testReusedKey checks that a key that comes with another body than the first request's is rejected,
-// and so is a body without a key.
+// testReusedKey checks that a request is rejected if its key was used with a different body before, if
+// its body has no key, or if its body isn't JSON.
 func (f *fixture) testReusedKey(t *testing.T) {
 	f.servers.setBehavior(nil)
 	request := clientRequest{class: "activate", key: "k"}
@@ -76,8 +76,8 @@
 	}
 }
 
-// testRepeatAfterDeadline checks that a request may have run if its deadline passed while a server
-// handled it.
+// testRepeatAfterDeadline checks that a request is recorded as may-have-run if its deadline passes while
+// a server handles it, and that a repeat does not run it again.
 func (f *fixture) testRepeatAfterDeadline(t *testing.T) {
 	hold := make(chan struct{})
 	f.servers.setBehavior(always(behavior{hold: hold}))
--- a/internal/msgpackrpc/bench_test.go
+++ b/internal/msgpackrpc/bench_test.go
@@ -55,7 +55,7 @@
 	return int64(stats.HeapInuse + stats.StackInuse)
 }
 
-// BenchmarkCall measures calls on one connection, with several numbers of calls at the same time.
+// BenchmarkCall measures calls on one connection, for different numbers of concurrent calls.
 func BenchmarkCall(b *testing.B) {
 	for _, outstanding := range []int{1, 64, 256} {
 		b.Run(fmt.Sprintf("outstanding=%d", outstanding), func(b *testing.B) {
--- a/internal/msgpackrpc/writer.go
+++ b/internal/msgpackrpc/writer.go
@@ -50,9 +50,9 @@
 	return w
 }
 
-// add queues a message. It blocks while the queue is full, until the peer reads or, after
-// Limits.Send, the connection ends. It returns an error if the message was not queued because the
-// writer has ended.
+// add queues a message. It blocks while the queue is full, until the peer reads or the connection
+// ends, at the latest when a write exceeds Limits.Send. It returns an error if the message was not
+// queued because the writer has ended or is stopping.
 func (w *writer) add(it *item) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// Judge returns no breach of a record without one, and returns each breach that is made up in it.
+// Judge returns no breach for a record that breaks no rule. For a record that is changed to break one
+// rule, it returns only breaches of that rule, and at least one.
 func TestJudge(t *testing.T) {
 	script, record := sample()
 	for _, breach := range Judge(script, record) {
@@ -93,7 +94,7 @@
 		"retry after the client disconnected": {RuleLeft, func(_ *Script, r *Record) {
 			r.Attempts = append(r.Attempts, Attempt{ID: "left1", Server: 1, First: 3400 * ms, Last: 3400 * ms})
 		}},
-		"open at the kill of its process": {RuleKill, func(_ *Script, r *Record) {
+		"still open when its process is killed": {RuleKill, func(_ *Script, r *Record) {
 			r.Processes[0].Killed = 10900 * ms
 			r.Requests[5].Finished = 10901 * ms
 			r.Attempts = append(r.Attempts, Attempt{ID: "crossed", Server: 0, First: 10015 * ms, Last: 10015 * ms})
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -21,8 +21,8 @@
 	// truncationDelay is the time between the parts of an answer that is sent in parts, and between
 	// an answer and the end of its connection.
 	truncationDelay = 15 * time.Millisecond
-	// answerStep is the step by which the length of long answers changes from one to the next, modulo
-	// the script's maximum.
+	// answerStep is the number of bytes by which the padding of an answer is longer than that of the
+	// answer before it, modulo the script's MaxAnswer.
 	answerStep = 7919
 )
 
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// restart has the server answer as a process that has just started, in slow start.
+// restart makes the server answer like a process that has just started, in slow start.
 func (s *server) restart() error {
 	s.mu.Lock()
 	s.since = s.recorder.now()
@@ -204,8 +204,8 @@
 	})
 }
 
-// handle carries out a request in the way of a mode, records the attempt and sends its answer. It
-// returns false if the connection must end.
+// handle handles a request as a mode requires, records the attempt and sends its answer. It returns
+// false if the connection must end.
 func (s *server) handle(conn net.Conn, mode string, changed <-chan struct{}, attempt *Attempt) bool {
 	if attempt.Last == 0 {
 		s.recordAttempt(attempt)
@@ -252,7 +252,7 @@
 	return true
 }
 
-// release ends what admit began.
+// release ends the counting of an admitted request as in flight.
 func (s *server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -271,7 +271,8 @@
 	return body
 }
 
-// work waits for a worker and takes the time that a request needs, longer in slow start.
+// work waits for a free worker and occupies it for the time that a request takes, which is longer in
+// slow start and in ModeSlow.
 func (s *server) work(mode string) {
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
@@ -287,7 +288,7 @@
 	}
 }
 
-// write sends an answer in the way of a mode. It returns false if the connection must end.
+// write sends an answer as a mode requires. It returns false if the connection must end.
 func (s *server) write(conn net.Conn, mode string, changed <-chan struct{}, body string) bool {
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	switch mode {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -14,7 +14,7 @@
 // Options configure a run.
 type Options struct {
 	Program   string // path of the sidecar
-	Seams     string // value of the sidecars' MARTENDRUM_SEAMS, for a program that is built with seams; empty: none
+	Seams     string // value of the sidecars' MARTENDRUM_SEAMS, for a program built with the build tag seams; empty: none
 	Directory string // for the sidecars' files; the caller removes it
 	Host      int    // 1 to 200; sets the IP addresses of the sidecars. Concurrent runs need different ones
 }
@@ -105,8 +105,8 @@
 }
 
 // startSidecars starts the sidecars and the measurement of the recorder's lateness. The returned
-// function ends the measurement, waits until its result is recorded, and ends the wait for
-// readiness.
+// function ends the measurement, waits until its result is recorded, and ends the readiness checks
+// of those sidecars that are not ready yet.
 func (w *testbed) startSidecars() (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var measurement sync.WaitGroup
--- a/internal/standin/faultnet/faultnet_test.go
+++ b/internal/standin/faultnet/faultnet_test.go
@@ -71,7 +71,8 @@
 	shortTimeout = 150 * time.Millisecond
 )
 
-// TestFaultnet checks each fault of a TCP link in turn on one link, with a script.
+// TestFaultnet checks each fault of a TCP link in turn on one link. A script sets and removes
+// the first stall, and resets all connections once; the test injects the other faults directly.
 func TestFaultnet(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("all", func(t *testing.T) {
@@ -103,7 +104,7 @@
 		// The second report of the event stalls the link: the connection stays open, and no data is lost.
 		n.ReportEvent("stage")
 		if got, _ := exchange(t, c, "once", longTimeout); got != "once" {
-			t.Error("the link is stalled after the first of two reports of the event")
+			t.Errorf("after the first of two reports of the event: got %q, want %q", got, "once")
 		}
 		n.ReportEvent("stage")
 		if got, err := exchange(t, c, "twice", shortTimeout); got != "" || !isTimeout(err) {
--- a/internal/standin/pgserver/server.go
+++ b/internal/standin/pgserver/server.go
@@ -54,7 +54,7 @@
 // Fault is what the server does with a statement at a stage. The zero Fault has no effect. If several
 // fields are set, Delay comes first, and then the first of the others.
 type Fault struct {
-	Delay time.Duration // the stage takes this time longer
+	Delay time.Duration // added to the duration of the stage
 	Stall bool          // nothing more is sent until the statement is canceled or times out, or the server resets the connection
 	Reset bool          // the connection is reset
 	Code  string        // SQLSTATE of the error that the statement returns; class 57P also ends the connection
@@ -128,7 +128,8 @@
 	return s, nil
 }
 
-// newSCRAMServer returns a server for SCRAM-SHA-256 (RFC 7677) that accepts a password from any user.
+// newSCRAMServer returns a server for SCRAM-SHA-256 (RFC 7677) that accepts the given password from
+// every user.
 func newSCRAMServer(password string) (*scram.Server, error) {
 	// PostgreSQL uses the user name of the start-up message and ignores the one in SCRAM, which
 	// may be empty; see the manual, "SASL Authentication".
--- a/internal/standin/shop/shop.go
+++ b/internal/standin/shop/shop.go
@@ -1,6 +1,6 @@
-// Package shop provides stand-ins for the servers and the discovery that a sidecar uses, on
+// Package shop provides stand-ins for the servers and the discovery service that a sidecar uses, on
 // loopback, for tests and `martendrum dev`. The activation servers count the requests that they
-// run; the discovery lists the servers and supports watches. The package injects no faults.
+// run; the discovery service lists the servers and supports watches. The package injects no faults.
 package shop
 
 import (
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// Shop is a group of servers and the discovery that lists them. Its methods may be called from several
-// goroutines, except for Close, which may be called once.
+// Shop is a group of servers and the discovery service that lists them. Its methods may be called from
+// several goroutines, except for Close, which may be called once.
 type Shop struct {
 	Discovery string // the discovery's address, host:port
 
@@ -180,8 +180,9 @@
 }
 
 // FreeAddr returns a loopback address, host:port, at which a sidecar can listen. The port is free now.
-// The IP address is derived from n and the process ID, so that it is used only by the caller with
-// this n, and no connection of others takes the port before the sidecar listens. n is 0 to 65,000.
+// The IP address is derived from n and the process ID, so that within a process it is used only by the
+// callers with this n, and no connection of others takes the port before the sidecar listens. n is 0 to
+// 65,000; n and n+32,000 give the same IP address.
 func FreeAddr(n int) (string, error) {
 	pid := os.Getpid()
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+n/250%128, 1+pid%250, 1+n%250))
