--- a/internal/standin/shop/shop.go
+++ b/internal/standin/shop/shop.go
@@ -20,7 +20,7 @@
 // Shop is a group of servers and the discovery service that lists them. Its methods may be called from
 // several goroutines, except for Close, which may be called once.
 type Shop struct {
-	Discovery string // the discovery's address, host:port
+	Discovery string // the discovery service's address, host:port
 
 	mu          sync.Mutex
 	runs        map[string]int // executions by Req-Id
@@ -33,7 +33,7 @@
 	wg          sync.WaitGroup
 }
 
-// New starts n servers and a discovery. The servers handle each request for the duration work and
+// New starts n servers and a discovery service. The servers handle each request for the duration work and
 // answer with its Req-Id and their name.
 func New(n int, work time.Duration) (*Shop, error) {
 	return NewWith(n, func(s *Shop, name string, w http.ResponseWriter, r *http.Request) {
@@ -91,7 +91,7 @@
 func (s *Shop) Addrs() []string { return s.addrs }
 
 // NewWith starts n servers that handle each request by calling serve with the server's name, and a
-// discovery. serve calls CountRun for each request that it executes. Requests without a Req-Id
+// discovery service. serve calls CountRun for each request that it executes. Requests without a Req-Id
 // header are answered with status 404 and not passed to serve.
 func NewWith(n int, serve func(s *Shop, name string, w http.ResponseWriter, r *http.Request)) (*Shop, error) {
 	s := &Shop{runs: make(map[string]int), end: make(chan struct{}), index: 1, listChanged: make(chan struct{})}
@@ -165,7 +165,7 @@
 	return out
 }
 
-// Close stops the servers and the discovery. It waits up to a second for each of them to complete its
+// Close stops the servers and the discovery service. It waits up to a second for each of them to complete its
 // requests, and then closes its connections.
 func (s *Shop) Close() {
 	close(s.end)
