--- a/admission_test.go
+++ b/admission_test.go
@@ -11,7 +11,7 @@
 	cfg := testConfig()
 	a := admissionController{config: &cfg}
 	a.configure()
-	for i := range 200 { // half are late, twice a second
+	for i := range 200 { // two outcomes a second, every other one late
 		a.updateShedLevel(false, i%2 == 0, 2, time.Duration(i)*500*ms)
 	}
 	if a.shedLevel < 0.9 {
@@ -82,6 +82,6 @@
 	a.shedLevel, a.shedLevelAt = 0.5, 10*time.Second
 	withinQuotaRank := a.recordArrival(0, 1, 10*time.Second)
 	if aboveQuota, withinQuota := a.shedProbability(5, a.shedLevelAt), a.shedProbability(withinQuotaRank, a.shedLevelAt); withinQuotaRank != 0 || aboveQuota < 0.4 || withinQuota != 0 {
-		t.Errorf("shed probabilities = %v above the quota and %v within it, want at least 0.4 and 0", aboveQuota, withinQuota)
+		t.Errorf("shed probabilities = %v above the quota and %v within it, rank within it = %d; want at least 0.4, 0 and rank 0", aboveQuota, withinQuota, withinQuotaRank)
 	}
 }
--- a/attempt.go
+++ b/attempt.go
@@ -20,7 +20,7 @@
 	notExecuted bool // the outcome proves that the server did not execute it
 	isHedge     bool
 	censored    bool    // it had no answer, so latency is only a lower bound
-	queueDepth  float64 // of the server by its load report when sent, this attempt included
+	queueDepth  float64 // the server's queue depth when sent, by its last load report, this attempt included
 	latency     float64 // as a fraction of the latency objective, 0 if not recorded
 }
 
@@ -38,10 +38,10 @@
 	return nil
 }
 
-// mayAttempt reports whether the request may have one more attempt. firstExecuted is the
-// result of firstPossiblyExecuted. If it is not nil, only idempotent requests may be sent again,
-// and keyed ones within their deduplication window.
-func (b *Balancer) mayAttempt(request *openRequest, firstExecuted *attempt, now time.Duration) bool {
+// mayAttempt reports whether the request may have one more attempt. possiblyExecuted is the
+// result of firstPossiblyExecuted. If it is not nil, the request must be idempotent, or keyed and
+// within its deduplication window.
+func (b *Balancer) mayAttempt(request *openRequest, possiblyExecuted *attempt, now time.Duration) bool {
 	switch {
 	case request.finished,
 		request.streamed,
@@ -49,21 +49,21 @@
 		now >= request.Deadline,
 		request.pending > 0 && !b.config.AllowHedging:
 		return false
-	case request.class.Idempotency == Idempotent, firstExecuted == nil:
+	case request.class.Idempotency == Idempotent, possiblyExecuted == nil:
 		return true
 	}
-	return request.class.Idempotency == IdempotencyKeyed && now-firstExecuted.sent < request.class.DedupWindow
+	return request.class.Idempotency == IdempotencyKeyed && now-possiblyExecuted.sent < request.class.DedupWindow
 }
 
 // startAttempt sends the request's next attempt. It returns false, and sends nothing, if the
 // request may have no more attempts, if no server is eligible, or if the answer is expected to
 // be too late.
 func (b *Balancer) startAttempt(request *openRequest, now time.Duration, isHedge bool) bool {
-	firstExecuted := request.firstPossiblyExecuted()
-	if !b.mayAttempt(request, firstExecuted, now) {
+	possiblyExecuted := request.firstPossiblyExecuted()
+	if !b.mayAttempt(request, possiblyExecuted, now) {
 		return false
 	}
-	s := b.pickServer(request, firstExecuted, now)
+	s := b.pickServer(request, possiblyExecuted, now)
 	if s == nil {
 		return false
 	}
@@ -76,8 +76,8 @@
 	request.pending++
 	timeout := request.Deadline - now
 	sendWithin := timeout
-	if firstExecuted != nil && request.class.Idempotency == IdempotencyKeyed {
-		sendWithin = min(sendWithin, firstExecuted.sent+request.class.DedupWindow-now)
+	if possiblyExecuted != nil && request.class.Idempotency == IdempotencyKeyed {
+		sendWithin = min(sendWithin, possiblyExecuted.sent+request.class.DedupWindow-now)
 	}
 	b.host.Send(request.ID, s.name, timeout, sendWithin)
 	return true
@@ -86,35 +86,35 @@
 // pickServer picks a server for the request's next attempt, nil if there is none. A server whose
 // error rate for the request's class is above maxErrorRate is picked only if no other server is
 // eligible.
-func (b *Balancer) pickServer(request *openRequest, firstExecuted *attempt, now time.Duration) *server {
+func (b *Balancer) pickServer(request *openRequest, possiblyExecuted *attempt, now time.Duration) *server {
 	s := b.endpoints.pick(now, func(s *server) bool {
-		return s.errorRate(request.Class, now) <= maxErrorRate && request.mayGoTo(s, firstExecuted)
+		return s.errorRate(request.Class, now) <= maxErrorRate && request.mayGoTo(s, possiblyExecuted)
 	})
 	if s != nil {
 		return s
 	}
-	return b.endpoints.pick(now, func(s *server) bool { return request.mayGoTo(s, firstExecuted) })
+	return b.endpoints.pick(now, func(s *server) bool { return request.mayGoTo(s, possiblyExecuted) })
 }
 
 // mayGoTo reports whether the next attempt may go to s. The server must have had no attempt of
 // the request. If a keyed request may have been executed, s must also deduplicate together with
-// the server of firstExecuted.
-func (r *openRequest) mayGoTo(s *server, firstExecuted *attempt) bool {
+// the server of possiblyExecuted.
+func (r *openRequest) mayGoTo(s *server, possiblyExecuted *attempt) bool {
 	for i := range r.attempts {
 		if r.attempts[i].server == s {
 			return false
 		}
 	}
-	if firstExecuted == nil || r.class.Idempotency != IdempotencyKeyed {
+	if possiblyExecuted == nil || r.class.Idempotency != IdempotencyKeyed {
 		return true
 	}
 	switch r.class.DedupScope {
 	case DedupScopeAll:
 		return true
 	case DedupScopeZone:
-		return firstExecuted.server.zone == s.zone
+		return possiblyExecuted.server.zone == s.zone
 	}
-	return firstExecuted.server.zone == s.zone && firstExecuted.server.group == s.group
+	return possiblyExecuted.server.zone == s.zone && possiblyExecuted.server.group == s.group
 }
 
 // isExpectedTooLate reports whether an answer from a server with the queue depth is expected after
--- a/balancer.go
+++ b/balancer.go
@@ -3,8 +3,9 @@
 //
 // A Balancer owns the state that these decisions depend on: the server list, its
 // working set, each server's load and latency, the shed level, the hedging policy
-// and the open requests. It picks the better of two randomly chosen servers, first
-// by its own requests in flight, and hedges by the SingleR policy (see hedge.go).
+// and the open requests. It picks the better of two randomly chosen servers, which it
+// compares first by the number of its own requests in flight at each, and hedges by
+// the SingleR policy (see hedge.go).
 //
 // A Balancer guarantees one final answer for each request that arrives, at most
 // Config.MaxAttempts attempts for it, and no retry or hedge that could execute a
@@ -111,9 +112,10 @@
 // Reconfigure applies a new configuration to requests that arrive from now on. Open requests keep
 // their class, and a higher MaxAttempts does not apply to them; a lower one does. Classes and
 // tenants keep their indexes: a new one is appended or takes the index of one that is no longer
-// used. Reconfigure returns an error, and changes nothing, if Instances or MaxAttempts is below 1, if
-// there are no classes, or if there are fewer classes or tenants than before. It checks only these
-// conditions.
+// used. Only New reads WastedWorkCost and schedules the first poll of discovery, so a new
+// WastedWorkCost has no effect, and a new MaxListAge starts no polls. Reconfigure returns an error, and changes nothing, if Instances or MaxAttempts is
+// below 1, if there are no classes, or if there are fewer classes or tenants than before. It checks
+// only these conditions.
 func (b *Balancer) Reconfigure(cfg Config) error {
 	switch {
 	case cfg.Instances < 1 || len(cfg.Classes) == 0 || cfg.MaxAttempts < 1:
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -73,7 +73,7 @@
 	b.TimerFired(100*ms, host.timers[0])
 	level := b.admission.shedLevel
 	if level <= 0 {
-		t.Error("the shed level did not rise for a request unanswered at its latency objective")
+		t.Errorf("shed level = %v after a request was unanswered at its latency objective, want above 0", level)
 	}
 	b.AttemptFinished(150*ms, 1, 0, OK, true, LoadReport{})
 	if b.admission.shedLevel != level {
--- a/config.go
+++ b/config.go
@@ -62,13 +62,13 @@
 	MaxRetryAfter     time.Duration // upper bound of the delay that a rejection suggests to the client
 	CrossZoneCost     float64       // of requests to other zones; only whether it is above 0 matters
 	ConnectionCost    float64       // of 100 open connections per server
-	WastedWorkCost    float64       // of as much wasted work as was requested
+	WastedWorkCost    float64       // of wasted work that amounts to as much as all requested work
 	Probes            bool          // servers report their load only when probed
 	ProbeCost         float64       // of one probe per request
 
 	// MaxListAge above 0 means that discovery sends the server list only to subscribers, and that
-	// it treats a balancer that has not polled for MaxListAge as if it knew the list. The first
-	// poll is sent within that time. 0 means that the balancer never polls.
+	// after MaxListAge without a poll it assumes all the same that a balancer has the list. The
+	// first poll is sent within that time. 0 means that the balancer never polls.
 	MaxListAge time.Duration
 	// PollRetryWithin is the longest delay before a failed poll of discovery is repeated. 0 means that
 	// the delay is bounded by MaxListAge instead: its mean is at most twice MaxListAge.
--- a/endpoint_set_test.go
+++ b/endpoint_set_test.go
@@ -29,7 +29,7 @@
 		}
 		for i, s := range set.members {
 			if !s.serving || set.byName[s.name] != s || i > 0 && set.members[i-1].priority > s.priority {
-				t.Fatalf("step %d: member %d is not serving, not the listed server or not sorted by priority", step, i)
+				t.Fatalf("step %d: member %d is %s, serving = %v, on the list = %v, priority %v after %v; want a serving server on the list, sorted by priority", step, i, s.name, s.serving, set.byName[s.name] == s, s.priority, set.members[max(i-1, 0)].priority)
 			}
 		}
 	}
--- a/hedge.go
+++ b/hedge.go
@@ -12,8 +12,8 @@
 	// maxHedgeBudget is the upper bound of B, the number of hedges per first attempt. It is well
 	// below the spare capacity of the servers.
 	maxHedgeBudget = 0.10
-	// B is at most hedgeCostFactor divided by Config.WastedWorkCost, which counts as at least
-	// minWastedWorkCost.
+	// While no attempts are lost, B is at most hedgeCostFactor divided by Config.WastedWorkCost,
+	// which counts as at least minWastedWorkCost. Lost attempts raise B; see recordLoss.
 	hedgeCostFactor   = 0.002
 	minWastedWorkCost = 1e-9
 	tailPercentile    = 0.95 // k, the percentile of latencies to minimize
@@ -100,10 +100,10 @@
 	h.newSamples++
 }
 
-// recordLoss counts an attempt that is not a hedge and updates B. The attempt was lost, which
-// means that it timed out, or overtaken by its hedge, or neither. B rises when servers stop
-// answering, because the hedge of a lost attempt wastes no work. It also rises when attempts time
-// out because servers lack capacity, but then the shed level suspends hedges.
+// recordLoss counts an attempt that is not a hedge and updates B. lost means that the attempt timed
+// out, overtaken that its hedge was answered first; at most one of them is true. B rises when
+// servers stop answering, because the hedge of a lost attempt wastes no work. It also rises when
+// attempts time out because servers lack capacity, but then the shed level suspends hedges.
 func (h *hedger) recordLoss(lost, overtaken bool) {
 	h.lostFraction *= 1 - lostFractionStep
 	if lost {
--- a/hedge_delay.go
+++ b/hedge_delay.go
@@ -57,8 +57,8 @@
 	return s.tail[above-1]
 }
 
-// hedgeProbability returns q, the probability of a hedge after the delay with which the hedges use
-// up the budget.
+// hedgeProbability returns q, the probability with which a request that is unanswered after the
+// delay is hedged. It is chosen so that the hedges just use up the budget.
 func (s *survival) hedgeProbability(delay, budget float64) float64 {
 	return min(1, budget/max(s.tailProbability(delay), minTailProbability))
 }
--- a/hedge_test.go
+++ b/hedge_test.go
@@ -11,7 +11,7 @@
 func TestHedgerRecompute(t *testing.T) {
 	h := newHedger(0)
 	if h.delay != 0 || h.probability != maxHedgeBudget {
-		t.Fatalf("a new hedger has d = %v and q = %v, want d = 0 and q = B", h.delay, h.probability)
+		t.Fatalf("a new hedger has d = %v and q = %v, want d = 0 and q = maxHedgeBudget = %v", h.delay, h.probability, maxHedgeBudget)
 	}
 	for range recomputeSamples - 3 {
 		h.addPrimary(sample{latency: 1})
@@ -20,7 +20,7 @@
 	h.addPrimary(sample{latency: 60})
 	h.recompute(time.Second, 0)
 	if h.delay != 0 {
-		t.Error("the delay was recomputed with fewer than recomputeSamples new samples")
+		t.Errorf("d = %v with fewer than recomputeSamples new samples, want 0", h.delay)
 	}
 	h.addPrimary(sample{latency: 70})
 	h.recompute(time.Second, 0)
--- a/load.go
+++ b/load.go
@@ -31,7 +31,8 @@
 	utilizationLimit = 1.01
 )
 
-// decay returns the weight of a sample of the given age, which falls by a factor of e in each memory.
+// decay returns the weight of a sample of the given age. memory is the time constant: in that time the
+// weight falls by a factor of e.
 func decay(age, memory time.Duration) float64 { return math.Exp(-float64(age) / float64(memory)) }
 
 // rate returns this balancer's recent rate of sends, in sends a second.
@@ -72,7 +73,7 @@
 // recordLatency records the latency of an attempt, as a fraction of the latency objective, and the
 // load report that came with the answer. It also corrects the server's sampling weight, because
 // capacity hints may be missing or wrong, and with equal weights the queue of a slow server fills
-// first. queueDepth is the one of the attempt.
+// first. queueDepth is attempt.queueDepth.
 func (set *endpointSet) recordLatency(s *server, outcome Outcome, report LoadReport, latency, queueDepth float64, now time.Duration) {
 	latency = max(latency, minLatency)
 	set.meanLatency = cmp.Or(set.meanLatency, latency) // the first latency is the initial mean
@@ -85,7 +86,7 @@
 	s.latencySum = s.latencySum*weight + latency/set.meanLatency
 	s.latencyWeight = s.latencyWeight*weight + 1
 	s.latencyAt = now
-	// The correction is proportional to the time since the last one, because a balancer with
+	// The exponent is proportional to the time since the last one, because a balancer with
 	// many requests gets many answers before a correction takes effect.
 	exponent := weightCorrectionRate * min(1, float64(now-s.weightCorrectedAt)/float64(weightCorrectionInterval))
 	s.weightCorrectedAt = now
--- a/outlier.go
+++ b/outlier.go
@@ -42,7 +42,8 @@
 }
 
 // errorRate returns a server's decaying fraction of errors in a class. A server that fails only one
-// class and answers the others is never ejected; it is avoided for the failing class instead.
+// class is usually not ejected, because each answer to another class resets its failures; it is
+// avoided for the failing class instead.
 func (s *server) errorRate(class int, now time.Duration) float64 {
 	return s.errorRates[class].tokens * decay(now-s.errorRates[class].at, errorRateMemory)
 }
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -116,6 +116,6 @@
 	sends := len(host.servers)
 	b.Arrive(3*time.Second, Request{ID: 2000, Class: 2, Deadline: 4 * time.Second})
 	if len(host.servers) != sends+1 {
-		t.Error("a request was not sent when all servers failed its class")
+		t.Errorf("%d sends of a request whose class all servers fail, want 1", len(host.servers)-sends)
 	}
 }
--- a/pick.go
+++ b/pick.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// pick compares the costs of this many (choices) eligible servers, which it finds in at most
-	// maxDraws random draws.
+	// choices is the number of eligible servers whose costs pick compares. It looks for them in
+	// at most maxDraws random draws.
 	choices  = 2
 	maxDraws = 8
 	// inFlightCost is the cost of one request in flight. It is larger than all other terms of
--- a/pick_capacity_test.go
+++ b/pick_capacity_test.go
@@ -12,8 +12,8 @@
 // capacityListSizes are the lengths of the server list in the capacity benchmarks.
 var capacityListSizes = []int{30, 300, 1000, 3000, 10000, 21000}
 
-// callInterval is the time between two requests of a sidecar that gets 62 requests a second.
-const callInterval = time.Second / 62
+// requestInterval is the time between two requests of a sidecar that gets 62 requests a second.
+const requestInterval = time.Second / 62
 
 // discardHost is a Host that carries out no action and keeps only the cookie of the last timer.
 type discardHost struct{ timer uint64 }
@@ -63,7 +63,7 @@
 			balancer.ServersListed(0, capacityList(size))
 			now, id := time.Duration(0), RequestID(0)
 			for b.Loop() {
-				now += callInterval
+				now += requestInterval
 				id++
 				serveRequest(balancer, host, now, id)
 			}
@@ -101,7 +101,7 @@
 			balancer.ServersListed(0, list)
 			now, id := time.Duration(0), RequestID(0)
 			for b.Loop() {
-				now += callInterval
+				now += requestInterval
 				id++
 				changed := list[int(id/2)%size]
 				if id%2 == 1 {
--- a/pick_test.go
+++ b/pick_test.go
@@ -65,6 +65,6 @@
 	busy.inFlight = 1
 	slow.load, slow.latencySum, slow.latencyWeight = overloadedLoad, 40, 10
 	if b.endpoints.cost(busy, 0) <= b.endpoints.cost(slow, 0) {
-		t.Error("a server with a request in flight does not cost more than a slow one without")
+		t.Errorf("cost = %v of a server with a request in flight and %v of a slow one without, want the first to be higher", b.endpoints.cost(busy, 0), b.endpoints.cost(slow, 0))
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -236,7 +236,8 @@
 	b.ServersChanged(c.now, []Endpoint{s.Endpoint})
 }
 
-// scriptParameters are the parameters of one random script.
+// scriptParameters are the parameters of one random script, which is a sequence of requests and of
+// changes of servers.
 type scriptParameters struct {
 	servers     int
 	meanGap     time.Duration // mean time between two requests
--- a/server_list.go
+++ b/server_list.go
@@ -45,7 +45,7 @@
 // ServersPreloaded applies a complete server list that does not come from discovery, such as one of
 // the configuration or of an earlier process. Call it before discovery has sent a list. The list may
 // be old, so the next list from discovery still counts as the first one: the start times on both
-// lists may be of long ago and are not treated as new starts.
+// lists may be long past and are not treated as new starts.
 func (b *Balancer) ServersPreloaded(now time.Duration, list []Endpoint) {
 	b.endpoints.replaceAll(list, now)
 }
--- a/slowstart.go
+++ b/slowstart.go
@@ -16,8 +16,8 @@
 //     depend on this balancer's clock, and the time from its start to now by that clock.
 
 const (
-	// slowStartSafetyFactor is the fraction of a server's overload limit that balancers use
-	// at most during slow start; the rest is left for random bursts.
+	// slowStartSafetyFactor is the largest fraction of a server's overload limit that all
+	// balancers together use during its slow start; the rest is left for random bursts.
 	slowStartSafetyFactor = 0.5
 	minOverloadDuration   = time.Millisecond // lower bound of Config.OverloadDuration
 )
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -10,8 +10,8 @@
 var clockSkews = []time.Duration{0, 3 * time.Second, -3 * time.Second, time.Hour, -time.Hour}
 
 // A new start time on the list begins slow start, which ends after SlowStartDuration, whatever the
-// difference of the clocks. Earlier a balancer whose clock was an hour ahead skipped the slow start of a
-// new server, and one whose clock was an hour behind extended it by an hour.
+// difference of the clocks. By the clocks alone, a balancer whose clock is an hour ahead would skip the
+// slow start of a new server, and one whose clock is an hour behind would extend it by an hour.
 func TestNewStartIsInSlowStartWhateverTheClock(t *testing.T) {
 	for _, skew := range clockSkews {
 		t.Run(fmt.Sprint("clock off by ", skew), func(t *testing.T) {
@@ -76,7 +76,7 @@
 				}
 			}
 			if s := b.endpoints.byName[list[3].Name]; b.endpoints.slowStartFactor(s, balancerTime) < 1 {
-				t.Error("a server that started long ago is in slow start, want the slow-start factor 1")
+				t.Errorf("slow-start factor of a server that started long ago = %.2f, want 1", b.endpoints.slowStartFactor(s, balancerTime))
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 	b.ServersListed(time.Hour+cfg.SlowStartDuration/2, list)
 	b.ServersChanged(time.Hour+cfg.SlowStartDuration/2, list)
 	if s := b.endpoints.byName[list[0].Name]; b.endpoints.slowStartFactor(s, time.Hour+cfg.SlowStartDuration) < 1 {
-		t.Error("a server that was listed again with the same start time is still in slow start after SlowStartDuration")
+		t.Errorf("slow-start factor of a server that was listed again with the same start time = %.2f after SlowStartDuration, want 1", b.endpoints.slowStartFactor(s, time.Hour+cfg.SlowStartDuration))
 	}
 }
 
--- a/slowstart_tier_test.go
+++ b/slowstart_tier_test.go
@@ -139,8 +139,8 @@
 	return cfg
 }
 
-// runTier simulates balancers with the configuration and tierServers servers, of which restarting ones
-// restart at restartAt. It returns the simulation at tierEnd.
+// runTier simulates balancers with the configuration and tierServers servers, and returns the simulation
+// at tierEnd. restarting is the number of servers that restart at restartAt.
 func runTier(t *testing.T, cfg Config, restarting int, seed uint64) *tierSimulation {
 	t.Helper()
 	sim := &tierSimulation{
@@ -193,8 +193,8 @@
 }
 
 // worstWindow returns the highest number of sends to a restarted server within OverloadDuration, as a
-// multiple of the bound, which is the overload limit with a margin for random variation. count is the number of all sends to
-// restarted servers since restartAt.
+// multiple of the bound, which is the overload limit with a margin for random variation. count is the
+// number of all sends to restarted servers since restartAt.
 func (sim *tierSimulation) worstWindow(cfg Config) (worst float64, count int) {
 	for _, sends := range sim.sends {
 		for first, from := range sends {
@@ -216,7 +216,7 @@
 // The sends of all balancers together to a server in slow start stay under its overload limit, however
 // many balancers there are and however many servers start at the same time. Traffic is uneven and has a
 // burst, there are retries and hedges, and some balancers learn of the start late. The server still gets
-// an eighth of the requests that it can serve.
+// at least an eighth of the requests that it can serve.
 func TestSlowStartSumOverBalancers(t *testing.T) {
 	for _, count := range []int{1, 5, 30, 300} {
 		for _, restarting := range []int{1, 6, 12} {
--- a/timer.go
+++ b/timer.go
@@ -44,8 +44,8 @@
 // recordOverdue counts a request that is unanswered at its latency objective as late. Unless this
 // balancer sheds load, it also counts each attempt in flight as a failure of its server, if the
 // server has answered nothing since the attempt was sent. A timeout would detect an overloaded, hung
-// or unreachable server much later. A slow server that gets less than one request in each latency
-// objective may be counted wrongly.
+// or unreachable server much later. A slow server that gets less than one request per latency
+// objective may be counted as failing although it answers.
 func (b *Balancer) recordOverdue(request *openRequest, now time.Duration) {
 	request.overdue = true
 	belowTolerance := b.admission.decayedShedLevel(now) < shedTolerance
--- a/working_set.go
+++ b/working_set.go
@@ -31,8 +31,8 @@
 	if !set.dirty && now-set.weightsAt < maxWeightsAge {
 		return
 	}
-	// The set shrinks only if it would lose more than a third of its servers, so that it
-	// changes seldom.
+	// Unless members or ejections have changed, the set shrinks only if it would lose more than
+	// a third of its servers, so that it changes seldom.
 	size := set.workingSetSize(now)
 	if set.dirty || size > len(set.workingSet) || size < len(set.workingSet)*2/3 {
 		set.chooseWorkingSet(size, now)
