--- a/balancer.go
+++ b/balancer.go
@@ -113,9 +113,9 @@
 // their class, and a higher MaxAttempts does not apply to them; a lower one does. Classes and
 // tenants keep their indexes: a new one is appended or takes the index of one that is no longer
 // used. Only New reads WastedWorkCost and schedules the first poll of discovery, so a new
-// WastedWorkCost has no effect, and a new MaxListAge starts no polls. Reconfigure returns an error, and changes nothing, if Instances or MaxAttempts is
-// below 1, if there are no classes, or if there are fewer classes or tenants than before. It checks
-// only these conditions.
+// WastedWorkCost has no effect, and a new MaxListAge starts no polls. Reconfigure returns an error,
+// and changes nothing, if Instances or MaxAttempts is below 1, if there are no classes, or if there
+// are fewer classes or tenants than before. It checks only these conditions.
 func (b *Balancer) Reconfigure(cfg Config) error {
 	switch {
 	case cfg.Instances < 1 || len(cfg.Classes) == 0 || cfg.MaxAttempts < 1:
