--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -76,7 +76,7 @@
 				}
 			}
 			if s := b.endpoints.byName[list[3].Name]; b.endpoints.slowStartFactor(s, balancerTime) < 1 {
-				t.Errorf("slow-start factor of a server that started long ago = %.2f, want 1", b.endpoints.slowStartFactor(s, balancerTime))
+				t.Errorf("slow-start factor of a server that started long ago = %v, want 1", b.endpoints.slowStartFactor(s, balancerTime))
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 	b.ServersListed(time.Hour+cfg.SlowStartDuration/2, list)
 	b.ServersChanged(time.Hour+cfg.SlowStartDuration/2, list)
 	if s := b.endpoints.byName[list[0].Name]; b.endpoints.slowStartFactor(s, time.Hour+cfg.SlowStartDuration) < 1 {
-		t.Errorf("slow-start factor of a server that was listed again with the same start time = %.2f after SlowStartDuration, want 1", b.endpoints.slowStartFactor(s, time.Hour+cfg.SlowStartDuration))
+		t.Errorf("slow-start factor of a server that was listed again with the same start time = %v after SlowStartDuration, want 1", b.endpoints.slowStartFactor(s, time.Hour+cfg.SlowStartDuration))
 	}
 }
 
