--- a/internal/sidecar/clock_test.go
+++ b/internal/sidecar/clock_test.go
@@ -30,7 +30,7 @@
 			undoStep := clock.Step(-2 * by) // then it is wrong in the other direction
 			defer undoStep()
 			if moved, passed := h.now()-before, time.Since(began); moved > passed+time.Second || moved < 0 {
-				t.Errorf("the Balancer's time advanced by %v while %v passed on the monotonic clock", moved, passed)
+				t.Errorf("the Balancer's time advanced by %v while %v passed on the monotonic clock, want at least 0 and at most 1 s more", moved, passed)
 			}
 			if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 				t.Errorf("reading the response: %v", err)
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -50,7 +50,7 @@
 }
 
 // New returns a Host with a new Balancer. It sets the watcher's callbacks, so that the watcher reports
-// servers to the Host. The error is the Balancer's, for settings that it does not accept.
+// servers to the Host. If the Balancer does not accept the settings, New returns the Balancer's error.
 func New(initial *settings.Settings, seed uint64, pool *upstream.Pool, watcher *discovery.Watcher) (*Host, error) {
 	started := time.Now()
 	h := &Host{
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -41,7 +41,7 @@
 // Each metric agrees with the counts of the servers and clients, for requests that are served, rejected by
 // a server and retried, answered with an error, reset, rejected at a limit, or abandoned by their client
 // and cancelled.
-func TestMetricsAgreeWithCounted(t *testing.T) {
+func TestMetricsAgreeWithCounts(t *testing.T) {
 	server := &countingServer{release: make(chan struct{})}
 	h, srv, addr := start(t, startServer(t, server.act), startServer(t, server.act), startServer(t, server.act))
 	clients := &countingClients{t: t, addr: addr, responses: make(map[string]int)}
--- a/internal/sidecar/recorder.go
+++ b/internal/sidecar/recorder.go
@@ -11,8 +11,8 @@
 // Recorder stores the results of requests durably and recognizes a repeated request by its idempotency
 // key. A Host without a Recorder stores no results.
 type Recorder interface {
-	// Begin looks up a request that has arrived; left is the time until its deadline. It calls
-	// then exactly once, from any goroutine and well before left has passed.
+	// Begin looks up a request that has arrived; left is the time until its deadline. It calls the
+	// function then exactly once, from any goroutine and well before left has passed.
 	Begin(exchange *downstream.Exchange, left time.Duration, then func(Verdict))
 }
 
@@ -24,15 +24,15 @@
 	Entry  Entry // the entry of a request to be admitted; nil: the request is not recorded
 }
 
-// Entry is a recorded request. Both methods call then exactly once, from any goroutine, within the
-// longest time that a client of the request's class waits.
+// Entry is a recorded request. Both methods call the function then exactly once, from any goroutine,
+// within the longest time that a client of the request's class waits.
 type Entry interface {
 	// Sending records that the attempt of the given index is about to be sent to server. The
 	// attempt may be sent only if ok is true.
 	Sending(index int, server string, then func(ok bool))
 	// End records how the request ended; answer is set only for Served. It may be called again when
-	// more is known. It calls then when the client may be answered, before left has passed, which
-	// is the time until the request's deadline.
+	// more is known. left is the time until the request's deadline. End calls the function then as
+	// soon as the client may be answered, and before left has passed.
 	End(end End, answer *upstream.Answer, left time.Duration, then func())
 }
 
@@ -97,8 +97,8 @@
 	return NeverRan
 }
 
-// recordEnd records how a request ended and then calls then, if not nil. It records nothing if the
-// request has no entry, or if Served or the same end has been recorded already.
+// recordEnd records how a request ended, and calls the function then, if not nil, afterwards. It records
+// nothing if the request has no entry, or if Served or the same end has been recorded already.
 func (h *Host) recordEnd(request *clientRequest, end End, answer *upstream.Answer, then func()) {
 	entry := request.entry
 	if entry == nil || request.recordedEnd == Served || request.recordedEnd == end {
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -210,6 +210,7 @@
 	refusing := closed.Addr().String()
 	closed.Close()
 	_, _, at := start(t, refusing, good)
+	// send returns the status of the response, 0 if there is none.
 	send := func(at, id string, size int) int {
 		body := bytes.Repeat([]byte("x"), size)
 		c := dialSidecar(t, at)
@@ -241,7 +242,7 @@
 	executed.Store(0)
 	_, _, at = start(t, resetting)
 	if got := send(at, "b", 28<<20); got != http.StatusServiceUnavailable && got != 0 {
-		t.Errorf("request whose connection broke while its body was streamed: got status %d, want 503 or no response", got)
+		t.Errorf("request whose connection broke while its body was streamed: got status %d, want 503 or 0 (no response)", got)
 	}
 	// If a client disconnects during its upload, the Host keeps no state and the request is not executed.
 	h, srv, at := start(t, good)
@@ -264,7 +265,7 @@
 		return true
 	}))
 	slow, stalled := dialSidecar(t, at), dialSidecar(t, at)
-	const size = 230 << 10 // takes 3.6 s at 64 kB a second, longer than the initial grace
+	const size = 230 << 10 // takes 3.6 s at 64 kB a second, longer than bodyGrace of package downstream
 	for n, c := range []net.Conn{slow, stalled} {
 		fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: s%d\r\nContent-Length: %d\r\n\r\n", n, size)
 	}
