--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -82,7 +82,7 @@
 	closed      bool // the attempt is abandoned or withdrawn, or must not be sent any more
 	sendStarted bool // the first byte may have been written
 	written     bool // the last byte has been written
-	readFailed  bool // the connection broke before the request was written
+	readFailed  bool // the connection broke before any byte of an answer arrived
 }
 
 // Start starts an attempt, on an idle connection or a new one. It does not wait for the server. The
@@ -199,7 +199,7 @@
 // attempt must not be sent any more. It checks whether the client has disconnected, because after a
 // stall of the process it may run before the goroutine that reads from the client's connection.
 func (a *Attempt) begin(c *conn) bool {
-	pastGrace := a.pool.isDrainGraceOver(a.server) // while the connection was dialled
+	pastGrace := a.pool.isDrainGraceOver(a.server) // it may have ended while the connection was dialled
 	clientLeft := a.ClientDisconnected != nil && a.ClientDisconnected()
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -111,7 +111,7 @@
 	return len(p.servers[name].idle)
 }
 
-// currentBrokenFraction returns the running mean of reused connections that broke.
+// currentBrokenFraction returns the running mean of the fraction of reused connections that broke.
 func (p *Pool) currentBrokenFraction() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -32,7 +32,7 @@
 	conns               int                // number of connections, open or being dialled
 	minIdleTime         time.Duration      // how long a connection stays idle before its next request
 	unsolicitedIdleTime time.Duration      // minIdleTime after the server has sent unsolicited bytes
-	brokenFraction      float64            // running mean of reused connections that broke at their next request
+	brokenFraction      float64            // running mean of the fraction of reused connections that broke at their next request
 }
 
 // server is a listed server with the idle connections to it, oldest first.
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -72,7 +72,7 @@
 			t.Fatalf("non-repeatable request: got outcome %v, want %v", got.outcome, martendrum.OK)
 		}
 		if got := <-conns; got > last != breaks {
-			t.Errorf("reused connections break: %v: the request was sent on connection %d, while the last one before it was %d", breaks, got, last)
+			t.Errorf("reused connections break: %v: the request was sent on connection %d, the newest before it was %d; want a newer one if and only if they break", breaks, got, last)
 		}
 	}
 }
@@ -137,10 +137,10 @@
 			t.Fatalf("%d idle connections: the attempt reported no outcome within %v", idle, patience)
 		}
 		if len(executed) > 0 {
-			t.Errorf("%d idle connections: the server got the overdue attempt", idle)
+			t.Errorf("%d idle connections: the server got the overdue attempt, want it not sent", idle)
 		}
-		if sendOne(t, p).outcome != martendrum.OK {
-			t.Errorf("%d idle connections: a request that was not overdue failed", idle)
+		if got := sendOne(t, p); got.outcome != martendrum.OK {
+			t.Errorf("%d idle connections: request that is not overdue: got outcome %v, want %v", idle, got.outcome, martendrum.OK)
 		}
 		<-executed
 		eventually(t, "the connection to be idle or closed", func() bool { return p.idleConns("s") == p.Conns() })
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -21,7 +21,7 @@
 	maxBufferTime   = 100 * time.Millisecond
 	// readSize is the size of the reads of a body that is streamed or of unknown length.
 	readSize = 4 << 10
-	// maxAnswer is the longest body that is forwarded. It also ends answers that never end.
+	// maxAnswer is the longest body that is forwarded. It also bounds an answer without an end.
 	maxAnswer = 48 << 20
 	// stallTimeout is how long an answer may pause while it is buffered, headTimeout the time
 	// from the first byte of its head to the last. They fail the attempt of a stalled answer
@@ -67,7 +67,7 @@
 	a.readFailed = true
 	a.mu.Unlock()
 	a.pool.recordReuse(a, true)
-	if written { // otherwise endWrite reports the outcome, by how much was written
+	if written { // otherwise endWrite reports the outcome, which depends on how much was written
 		a.done(martendrum.Reset)
 	}
 }
