--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -3,8 +3,8 @@
 //
 // It owns its connections, of which at most MaxConns are open at once, each for a bounded time. When one
 // more arrives, the oldest connection is closed, so that callers that connect without sending a request
-// can't block others. The package itself takes no lock that client requests need, but the functions that
-// are passed to New may. It does not affect client requests.
+// can't block others. The package does not affect client requests: it takes no lock that they need, although
+// the functions that are passed to New may.
 //
 // Requests are read with package framing and the parser of net/http, as in package downstream, and not with
 // the server of net/http, which alone used 1.2 MB of memory in an idle sidecar.
@@ -65,8 +65,8 @@
 	return &Server{ready: ready, writeMetrics: writeMetrics, acceptedAt: make(map[net.Conn]time.Time)}
 }
 
-// Serve answers requests on listener until Close is called. It closes the listener if Close was called
-// before.
+// Serve answers requests on listener until Close is called. If Close was called earlier, it closes
+// the listener and returns.
 func (s *Server) Serve(listener net.Listener) {
 	s.mu.Lock()
 	s.listener = listener
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -2,7 +2,7 @@
 // read.
 //
 // Durations within a process are differences of time.Now. Durations that two processes of a machine share are
-// differences of Boot. Wall is for times that must stay valid after a reboot or come from another machine. Code
+// differences of SinceBoot. Wall is for times that must stay valid after a reboot or come from another machine. Code
 // that uses Wall must document the effect of a step of the wall clock and why it is safe.
 package clock
 
--- a/internal/framing/framingtest/dechunk.go
+++ b/internal/framing/framingtest/dechunk.go
@@ -134,9 +134,10 @@
 }
 
 // Check compares the result of the parser under test with both readings of text. accepted says whether that
-// parser accepted text, got is then the body that it read, and mustAccept says that it had to accept text.
-// Check returns an error if a text that must be accepted was rejected, or if a text was accepted that the
-// lenient reading rejects or reads differently.
+// parser accepted text; got is the body that it read if so. mustAccept says that it had to accept text.
+// Check returns an error if a text that must be accepted was rejected, if a text was accepted that the
+// lenient reading rejects or reads differently, or if the readings of an accepted text that must be accepted
+// differ.
 func Check(text []byte, strict, lenient Reading, mustAccept, accepted bool, got []byte) error {
 	switch {
 	case !accepted && mustAccept:
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -148,7 +148,7 @@
 // AttemptWritten counts an attempt that was written completely to a server.
 func (s *Set) AttemptWritten() { s.attemptsWritten.Inc() }
 
-// AttemptStarted counts the start of an attempt. Only hedged attempts have a metric.
+// AttemptStarted counts the start of an attempt if it is hedged. The starts of other attempts have no metric.
 func (s *Set) AttemptStarted(hedged bool) {
 	if hedged {
 		s.hedges.Inc()
--- a/internal/netconn/lazy.go
+++ b/internal/netconn/lazy.go
@@ -20,14 +20,14 @@
 // being read, so that idle connections need no buffer.
 //
 // Only one goroutine at a time, the reader, may call its methods, except Quiet, IfQuiet, MarkHandled, WriteNow
-// and Left, which any goroutine may call. One lock puts Quiet, IfQuiet and MarkHandled in order with the
+// and PeerClosed, which any goroutine may call. One lock puts Quiet, IfQuiet and MarkHandled in order with the
 // reads of Wait.
 type LazyReader struct {
 	conn net.Conn
 	raw  syscall.RawConn // nil: conn is not a socket and is read directly
 	held *buffer         // nil: no buffer is held
 
-	mu    sync.Mutex // held while Wait reads from the socket, and to prevent that
+	mu    sync.Mutex // held while Wait reads from the socket, and by others to keep Wait from reading
 	found bool       // Wait has found bytes or an error that the reader may not have handled yet
 }
 
@@ -224,7 +224,7 @@
 
 // PeerClosed reports whether the peer has closed its side of the connection or reset it, even if bytes that arrived
 // before are still unread. It does not block, and may be called from any goroutine. It returns false if the
-// connection is not a socket.
+// connection is not a socket, and true if this side has closed it.
 func (l *LazyReader) PeerClosed() bool {
 	if l.raw == nil {
 		return false
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -16,7 +16,8 @@
 	// MaxStall is the longest stall of the process that the plan allows for. The last step is at
 	// least that much earlier than the kill.
 	MaxStall = 150 * time.Millisecond
-	// MaxAcceptPeriod is how long after the signal clients may still connect.
+	// MaxAcceptPeriod is the time after the signal in which clients may still connect. The plan
+	// accepts connections for at least that long.
 	MaxAcceptPeriod = 400 * time.Millisecond
 	// MaxIdleConnection is how long an accepted connection stays open without a byte from its
 	// client.
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -106,7 +106,7 @@
 	ListNumber     int    // ServerList, ServersChanged
 	Entries        []ListEntry
 	Change         []byte // ServersChanged: ChangePartial, ChangeComplete, ...
-	ID             uint64 // the request's ID, of all kinds about a request
+	ID             uint64 // all kinds about a request: the request's ID
 	Class          []byte
 	Key            []byte
 	Tenant         []byte
