--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -5,16 +5,16 @@
 // that have arrived, and the capacity of the servers. It returns the phase that this sidecar is in
 // and the bounds that its Balancer must keep to. It guarantees:
 //
-//   - No request is delayed, and none is shed while the servers have their full capacity. While they
-//     have not, the load that exceeds their capacity is shed, lowest weight first.
-//   - Whether the other sidecars stayed up is decided within MaxQueryTime. If that is unsure, the
-//     sidecar restarts as after a power loss.
+//   - No request is delayed, and none is shed while the servers have their full capacity. While their
+//     capacity is reduced, the load that exceeds it is shed, lowest weight first.
+//   - Whether the other sidecars stayed up is decided within MaxQueryTime. If too few of them report
+//     by then, the sidecar restarts as after a power loss.
 //   - Each phase has a maximum duration, and phases only advance within an incarnation.
 //   - No decision depends on another sidecar's clock or, in a fleet of more than two, on the report
 //     of a single other sidecar.
 //
-// The package does not know how servers warm up (Balancer.WorkingSetCapacity does), who the other sidecars are
-// (package peers does), or what is stored on disk (package checkpoint does).
+// The package does not know how servers warm up (Balancer.WorkingSetCapacity does), who the other
+// sidecars are (package peers does), or what is stored on disk (package checkpoint does).
 package recovery
 
 import (
@@ -49,7 +49,7 @@
 type Verdict uint8
 
 const (
-	// Undecided means that too few reports have arrived so far.
+	// Undecided means that too few reports have arrived so far, or that they disagree.
 	Undecided Verdict = iota
 	// OthersStayedUp means that only this sidecar restarted.
 	OthersStayedUp
@@ -88,11 +88,11 @@
 	// minUptime is the age from which a serving sidecar can't have restarted in the same power
 	// loss.
 	minUptime = 5 * time.Second
-	// demandWindow is the time over which arrivals are averaged. The arrivals after the start
-	// are averaged over the whole window too, because clients that waited arrive at once.
+	// demandWindow is the time over which arrivals are averaged. Shortly after the start too,
+	// they are divided by the whole window, because clients that waited arrive at once.
 	demandWindow = 3 * time.Second
-	// maxDemandFactor times the prior demand is the maximum of the estimate, as far as the prior
-	// demand has weight.
+	// maxDemandFactor times the prior demand is the maximum of the part of the estimate that has
+	// the weight of the prior demand, see estimateDemand.
 	maxDemandFactor = 1.5
 	// usualDemandMemory is the time constant of the average of the usual demand.
 	usualDemandMemory = time.Minute
@@ -116,7 +116,7 @@
 // stayedUp reports whether the sidecar was up before this one's restart.
 func (r Report) stayedUp() bool { return r.Phase >= Serving && r.Age >= minUptime }
 
-// Decision are the results of a Tick: the phase of the restart, the verdict, and the bounds for the
+// Decision is the result of a Tick: the phase of the restart, the verdict, and the bounds for the
 // Balancer.
 type Decision struct {
 	Phase   Phase
@@ -181,8 +181,8 @@
 // Due returns the time at which Tick is to be called next.
 func (m *Machine) Due() time.Duration { return m.due }
 
-// ReceiveReport handles the report of the sidecar with the given rank on itself. The caller must not
-// pass reports on one sidecar that come from another one.
+// ReceiveReport handles the report of the sidecar with the given rank on itself. The caller must
+// pass only reports that it received from that sidecar, not forwarded ones.
 func (m *Machine) ReceiveReport(rank int, report Report) {
 	if m.phase == Serving || len(m.reports) >= maxReports && m.reports[rank].Phase == 0 {
 		return
@@ -233,7 +233,7 @@
 		interval = m.config.IdleInterval
 	}
 	m.due = now + interval
-	return m.orders()
+	return m.currentDecision()
 }
 
 // mayServe reports whether Returning may end.
@@ -246,15 +246,15 @@
 	return m.verdict != Undecided && !m.constrained && age >= minReturnTime
 }
 
-// orders returns the current phase, verdict and bounds.
-func (m *Machine) orders() Decision {
-	orders := Decision{Phase: m.phase, Verdict: m.verdict}
+// currentDecision returns the current phase, verdict and bounds.
+func (m *Machine) currentDecision() Decision {
+	decision := Decision{Phase: m.phase, Verdict: m.verdict}
 	if m.constrained {
-		orders.Bounds.MinShedFraction = m.shedFraction()
-		orders.Bounds.NominalRate = m.estimateDemand()
+		decision.Bounds.MinShedFraction = m.shedFraction()
+		decision.Bounds.NominalRate = m.estimateDemand()
 	}
-	orders.Bounds.SuspendOptionalWork = m.constrained || m.phase == Returning
-	return orders
+	decision.Bounds.SuspendOptionalWork = m.constrained || m.phase == Returning
+	return decision
 }
 
 // decideVerdict decides the verdict as soon as sufficient reports agree, or when MaxQueryTime is
@@ -303,8 +303,9 @@
 	return 1 - m.capacityFraction
 }
 
-// estimateDemand estimates the requests per second, not counting retries. As far as the prior demand
-// has weight, it bounds the estimate.
+// estimateDemand estimates the requests per second, not counting retries. If the prior demand is
+// known, the result is the weighted mean of two estimates: the measured one limited by the prior
+// demand, with the weight priorWeight, and the measured one.
 func (m *Machine) estimateDemand() float64 {
 	sum := 0.0
 	for _, sample := range m.samples {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -16,7 +16,7 @@
 	youngReport = Report{Returning, 200 * ms}
 )
 
-// runMachine calls Tick of a Machine every 100 ms until the end, and returns the orders of each call.
+// runMachine calls Tick of a Machine every 100 ms until the end, and returns the decision of each call.
 // beforeTick is called before each Tick and sets the Machine's inputs.
 func runMachine(size int, end time.Duration, beforeTick func(now time.Duration, m *Machine)) (all []Decision) {
 	m := New(Config{Size: size}, 0)
@@ -28,7 +28,7 @@
 }
 
 // TestVerdicts checks that the reports of other sidecars decide the verdict in time, and that no single
-// report does in a fleet of more than two.
+// report decides it in a fleet of more than two.
 func TestVerdicts(t *testing.T) {
 	for name, test := range map[string]struct {
 		size       int
@@ -57,11 +57,11 @@
 					}
 				}
 			})
-			if orders := all[test.decidedBy/(100*ms)]; orders.Verdict != test.verdict {
-				t.Errorf("verdict after %v = %v, want %v", test.decidedBy, orders.Verdict, test.verdict)
+			if decision := all[test.decidedBy/(100*ms)]; decision.Verdict != test.verdict {
+				t.Errorf("verdict after %v = %v, want %v", test.decidedBy, decision.Verdict, test.verdict)
 			}
-			if orders := all[3]; orders.Verdict == Undecided || orders.Phase == Querying {
-				t.Errorf("orders after 300 ms = %+v, want a verdict and a later phase than Querying", orders)
+			if decision := all[3]; decision.Verdict == Undecided || decision.Phase == Querying {
+				t.Errorf("decision after 300 ms = %+v, want a verdict and a later phase than Querying", decision)
 			}
 		})
 	}
@@ -71,9 +71,9 @@
 // that otherwise the fraction of the load that exceeds their capacity is shed.
 func TestBoundsFollowCapacity(t *testing.T) {
 	warm := runMachine(60, 5*time.Second, func(now time.Duration, m *Machine) { m.SetArrivals(uint64(now / (200 * ms))) })
-	for i, orders := range warm {
-		if orders.Bounds.MinShedFraction != 0 || orders.Bounds.NominalRate != 0 {
-			t.Fatalf("tick %d with servers at full capacity: orders = %+v, want no shedding", i, orders)
+	for i, decision := range warm {
+		if decision.Bounds.MinShedFraction != 0 || decision.Bounds.NominalRate != 0 {
+			t.Fatalf("tick %d with servers at full capacity: decision = %+v, want no shedding", i, decision)
 		}
 	}
 	// capacityAt is the fraction of the load that the servers can serve: a slow start of 23 s.
@@ -82,18 +82,18 @@
 		m.SetArrivals(10 + uint64(now/(200*ms))) // five per second, and ten that waited before the start
 		m.SetCapacity(capacityAt(now), capacityAt(now))
 	})
-	for i, orders := range cold {
+	for i, decision := range cold {
 		now := time.Duration(i) * 100 * ms
 		capacity := capacityAt(now)
 		switch {
-		case capacity < reducedCapacityFactor && orders.Bounds.MinShedFraction != 1-capacity:
-			t.Fatalf("at %v with capacity for %.2f of the load: MinShedFraction = %.2f, want the rest", now, capacity, orders.Bounds.MinShedFraction)
-		case capacity >= fullCapacityFactor && (orders.Bounds != martendrum.Bounds{} || orders.Phase != Serving):
-			t.Fatalf("at %v with full capacity: orders = %+v, want no bounds and phase serving", now, orders)
-		case capacity < reducedCapacityFactor && now > 4*time.Second && (orders.Bounds.NominalRate < 1.5 || orders.Bounds.NominalRate > 7):
-			t.Fatalf("at %v with 5 requests per second: NominalRate = %.1f, want 1.5 to 7", now, orders.Bounds.NominalRate)
-		case capacity < reducedCapacityFactor && orders.Bounds.NominalRate > 9:
-			t.Fatalf("at %v with 5 requests per second and 10 that waited: NominalRate = %.1f, want at most 9", now, orders.Bounds.NominalRate)
+		case capacity < reducedCapacityFactor && decision.Bounds.MinShedFraction != 1-capacity:
+			t.Fatalf("at %v with capacity for %.2f of the load: MinShedFraction = %v, want %v", now, capacity, decision.Bounds.MinShedFraction, 1-capacity)
+		case capacity >= fullCapacityFactor && (decision.Bounds != martendrum.Bounds{} || decision.Phase != Serving):
+			t.Fatalf("at %v with full capacity: decision = %+v, want no bounds and phase serving", now, decision)
+		case capacity < reducedCapacityFactor && now > 4*time.Second && (decision.Bounds.NominalRate < 1.5 || decision.Bounds.NominalRate > 7):
+			t.Fatalf("at %v with 5 requests per second: NominalRate = %.1f, want 1.5 to 7", now, decision.Bounds.NominalRate)
+		case capacity < reducedCapacityFactor && decision.Bounds.NominalRate > 9:
+			t.Fatalf("at %v with 5 requests per second and 10 that waited: NominalRate = %.1f, want at most 9", now, decision.Bounds.NominalRate)
 		}
 	}
 }
@@ -133,18 +133,18 @@
 			total += rapid.Uint64Range(0, 50).Draw(t, "arrivals")
 			m.SetArrivals(total)
 			m.SetCapacity(rapid.Float64Range(-1, 2).Draw(t, "slow start factor"), rapid.Float64Range(-1, 2).Draw(t, "capacity"))
-			orders := m.Tick(now)
+			decision := m.Tick(now)
 			switch {
-			case orders.Phase < phase:
-				t.Fatalf("the phase went back from %v to %v", phase, orders.Phase)
-			case orders.Phase == Querying && now >= defaultQueryTime, orders.Phase < Serving && now >= defaultReturnTime:
-				t.Fatalf("phase %v has not ended at %v", orders.Phase, now)
-			case orders.Bounds.MinShedFraction < 0 || orders.Bounds.MinShedFraction > 1 || orders.Bounds.NominalRate < 0:
-				t.Fatalf("bounds out of range: %+v", orders.Bounds)
+			case decision.Phase < phase:
+				t.Fatalf("phase changed from %v to %v, want phases to advance only", phase, decision.Phase)
+			case decision.Phase == Querying && now >= defaultQueryTime, decision.Phase < Serving && now >= defaultReturnTime:
+				t.Fatalf("phase %v at %v; want Querying to end by %v and Returning by %v", decision.Phase, now, defaultQueryTime, defaultReturnTime)
+			case decision.Bounds.MinShedFraction < 0 || decision.Bounds.MinShedFraction > 1 || decision.Bounds.NominalRate < 0:
+				t.Fatalf("Bounds = %+v, want MinShedFraction from 0 to 1 and NominalRate of at least 0", decision.Bounds)
 			case m.Due() <= now:
 				t.Fatalf("Due() = %v, want a time after %v", m.Due(), now)
 			}
-			phase = orders.Phase
+			phase = decision.Phase
 		}
 		if len(m.reports) > maxReports {
 			t.Fatalf("%d reports in memory, want at most %d", len(m.reports), maxReports)
--- a/internal/recovery/waves.go
+++ b/internal/recovery/waves.go
@@ -10,8 +10,8 @@
 // agent's configuration names the labels. An instance without a shop counts as a shop of its own.
 type Placement struct{ Name, Shop, Zone string }
 
-// startOrder is an instance with the numbers that determine the order of starts.
-type startOrder struct {
+// orderedInstance is an instance with the numbers that determine its place in the order of starts.
+type orderedInstance struct {
 	Placement
 	wave   int // number of instances of its shop before it
 	inZone int // number of instances of its zone and wave before it
@@ -34,14 +34,14 @@
 }
 
 // inStartOrder returns the instances in the order of their starts.
-func inStartOrder(places []Placement) []startOrder {
+func inStartOrder(places []Placement) []orderedInstance {
 	type zoneWave struct {
 		zone string
 		wave int
 	}
 	countByShop := make(map[string]int)
 	countByZoneWave := make(map[zoneWave]int)
-	ordered := make([]startOrder, len(places))
+	ordered := make([]orderedInstance, len(places))
 	for i, place := range places {
 		shop := place.Shop
 		if shop == "" {
@@ -50,10 +50,10 @@
 		wave := countByShop[shop]
 		countByShop[shop]++
 		key := zoneWave{place.Zone, wave}
-		ordered[i] = startOrder{Placement: place, wave: wave, inZone: countByZoneWave[key]}
+		ordered[i] = orderedInstance{Placement: place, wave: wave, inZone: countByZoneWave[key]}
 		countByZoneWave[key]++
 	}
-	slices.SortStableFunc(ordered, func(a, b startOrder) int {
+	slices.SortStableFunc(ordered, func(a, b orderedInstance) int {
 		return cmp.Or(cmp.Compare(a.wave, b.wave), cmp.Compare(a.inZone, b.inZone), cmp.Compare(a.Zone, b.Zone))
 	})
 	return ordered
@@ -62,7 +62,7 @@
 // StartPacerConfig configures the intervals between the waves of a host.
 type StartPacerConfig struct {
 	MinInterval time.Duration // minimum time from one wave to the next
-	MaxInterval time.Duration // maximum time from one wave to the next, even if instances of the wave are not done; at least the lengthened MinInterval
+	MaxInterval time.Duration // maximum time from one wave to the next, even if instances of the wave are not done; raised to the lengthened MinInterval if that is longer, see ConsecutiveLosses
 	// ConsecutiveLosses is the number of power losses in a row, including this one. Each one
 	// after the first doubles MinInterval, up to a factor of 16 (maxIntervalFactor): repeated
 	// power losses must not cause repeated bursts of starts.
--- a/internal/recovery/waves_test.go
+++ b/internal/recovery/waves_test.go
@@ -48,7 +48,7 @@
 				startedAt, hasStarted := started[place.Name]
 				switch {
 				case hasStarted && !may:
-					t.Fatalf("MayStart(%s) = true at %v, but false at %v", place.Name, startedAt, now)
+					t.Fatalf("MayStart(%s) = true at %v and false at %v, want true from then on", place.Name, startedAt, now)
 				case may && !hasStarted:
 					started[place.Name] = now
 				case hasStarted && now-startedAt >= readyAfter[place.Name]:
@@ -57,7 +57,7 @@
 			}
 		}
 		if len(started) != len(places) || !pace.Finished(bound+config.MaxInterval) {
-			t.Fatalf("%d of %d instances may start by %v, want all, and Finished later", len(started), len(places), bound)
+			t.Fatalf("%d instances may start by %v, Finished(%v) = %v; want %d, true", len(started), bound, bound+config.MaxInterval, pace.Finished(bound+config.MaxInterval), len(places))
 		}
 		for n := 1; n < len(waves); n++ {
 			if previous, next := started[waves[n-1][0]], started[waves[n][0]]; next-previous < config.MinInterval-step { // the end of the previous wave is noticed up to one step late
