--- a/internal/checkpoint/compat_test.go
+++ b/internal/checkpoint/compat_test.go
@@ -10,7 +10,7 @@
 	"martendrum/internal/goldentest"
 )
 
-// filled returns a checkpoint with a value in every field that Load accepts.
+// filled returns a checkpoint in which every field has a value, one that Load accepts.
 func filled() Checkpoint {
 	var checkpoint Checkpoint
 	goldentest.Fill(&checkpoint)
--- a/internal/handover/compat_test.go
+++ b/internal/handover/compat_test.go
@@ -11,7 +11,7 @@
 	"martendrum/internal/goldentest"
 )
 
-// filled returns a learned state with a value in every field that CheckLearned accepts.
+// filled returns a learned state in which every field has a value, one that CheckLearned accepts.
 func filled() martendrum.LearnedState {
 	var state martendrum.LearnedState
 	goldentest.Fill(&state)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -4,10 +4,11 @@
 // I/O: package link delivers messages and events to the state machines of this package and
 // carries out the actions that they return.
 //
-// It guarantees, whichever process dies or hangs at any step:
-//   - Both processes together never use more than one sidecar may. The predecessor owns the
-//     limits and grants a quota of them to the successor. The predecessor gets a quota back
-//     only when the successor has ended.
+// It guarantees the following, whichever process dies or hangs, and at whichever step:
+//   - Both processes together never use more than the limits of one sidecar. The predecessor
+//     owns the limits and grants a quota of them to the successor. The predecessor takes the
+//     quota back when the successor has ended, or when it rejects the successor or loses the
+//     connection to it; a successor that is rejected after its offer must end.
 //   - At least one process accepts from the listening socket as long as one of the two lives:
 //     the predecessor stops accepting only when the successor is serving and still connected.
 //   - There is at most one successor at a time. The predecessor rejects any other one.
@@ -16,7 +17,7 @@
 //     own.
 //
 // Where both processes support it, they count their requests in flight in a shared table.
-// A quota of fixed size would be too small for one of them: a client whose connection the
+// If each had a fixed quota of them, one would be too small: a client whose connection the
 // predecessor closes reconnects to the successor at once. Quota.InFlight is for a process
 // that does not support the table.
 package handover
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 )
 
+// fullQuota holds the limits of one sidecar.
 var fullQuota = Quota{Sockets: 200, MemoryMB: 64, InFlight: 101}
 
 // hello returns a hello without any of the optional features.
@@ -20,7 +21,7 @@
 // trace formats actions in one line: the type of each, with the receiver, the kind of message and
 // the sockets of the quota where it has them.
 func trace(actions []Action) (s string) {
-	names := [...]string{"send", "shareTable", "sendListener", "drop", "limit", "unpublish", "publish", "stopAccepting", "takeListener", "ownListener"}
+	names := [...]string{"send", "sendIDTable", "sendListener", "drop", "limit", "unpublish", "publish", "stopAccepting", "takeListener", "openListener"}
 	for _, action := range actions {
 		s += names[action.Type]
 		switch action.Type {
@@ -55,11 +56,11 @@
 		{func() []Action { return predecessor.ReleaseUnused(Quota{Sockets: 10}) }, ""}, // not terminating
 		{func() []Action { return predecessor.Terminate() }, ""},                       // the successor does not serve yet
 		{func() []Action { return predecessor.Receive(4, Message{Kind: Serving, Version: Version}) }, "unpublish stopAccepting "},
-		{func() []Action { return predecessor.ReleaseUnused(Quota{Sockets: 120, MemoryMB: 60}) }, "limit(100) send(4 grant 100) "}, // the quota of memory stays, that of requests in flight grows
+		{func() []Action { return predecessor.ReleaseUnused(Quota{Sockets: 120, MemoryMB: 60}) }, "limit(100) send(4 grant 100) "}, // the quotas of sockets and memory stay, that of requests in flight grows
 		{func() []Action { return predecessor.ReleaseUnused(Quota{Sockets: 30, MemoryMB: 60}) }, "limit(30) send(4 grant 170) "},
 		{func() []Action { return predecessor.ReleaseUnused(Quota{Sockets: 50, MemoryMB: 60}) }, ""}, // a grant is never reduced
 		{func() []Action { return predecessor.PeerLost(4) }, "limit(200) "},
-		{func() []Action { return predecessor.Receive(5, NewSuccessor(fullQuota).Hello("a:1")[0].Message) }, "shareTable limit(100) sendListener(5 offer 100) "}, // the table is shared before the limit shrinks
+		{func() []Action { return predecessor.Receive(5, NewSuccessor(fullQuota).Hello("a:1")[0].Message) }, "sendIDTable limit(100) sendListener(5 offer 100) "}, // the table is shared before the limit shrinks
 	} {
 		if got := trace(step.do()); got != step.want {
 			t.Fatalf("step %d: actions = %q, want %q", n, got, step.want)
@@ -72,8 +73,8 @@
 func TestSuccessorScript(t *testing.T) {
 	offer := Message{Kind: Offer, Version: Version, Listen: "a:1", Quota: fullQuota.half()}
 	successor := NewSuccessor(fullQuota)
-	if got := trace(successor.NoPredecessor()); got != "limit(200) ownListener publish " || !successor.WithoutPredecessor() {
-		t.Errorf("NoPredecessor() = %q, WithoutPredecessor() = %v; want limit(200) ownListener publish, true", got, successor.WithoutPredecessor())
+	if got := trace(successor.NoPredecessor()); got != "limit(200) openListener publish " || !successor.WithoutPredecessor() {
+		t.Errorf("NoPredecessor() = %q, WithoutPredecessor() = %v; want limit(200) openListener publish, true", got, successor.WithoutPredecessor())
 	}
 	successor = NewSuccessor(fullQuota)
 	successor.Hello("a:1")
@@ -82,7 +83,7 @@
 		t.Errorf("Receive(offer) = %q, %v; want limit(100) takeListener", got, err)
 	}
 	if got := trace(successor.Ready()) + trace(successor.Ready()); got != "send(0 serving 0) " {
-		t.Errorf("two calls of Ready() = %q, want one message serving", got)
+		t.Errorf("two calls of Ready() = %q, want send(0 serving 0) once", got)
 	}
 	actions, _ = successor.Receive(Message{Kind: Grant, Version: Version, Quota: Quota{150, 40, 60}})
 	afterLess, _ := successor.Receive(Message{Kind: Grant, Version: Version, Quota: Quota{20, 4, 6}})
@@ -93,14 +94,14 @@
 		t.Errorf("PredecessorLost() = %q, WithoutPredecessor() = %v; want limit(200) publish, true", got, successor.WithoutPredecessor())
 	}
 	successor = NewSuccessor(fullQuota)
-	if got := trace(successor.PredecessorSilent()) + trace(successor.Ready()) + trace(successor.PredecessorLost()); got != "limit(100) ownListener limit(200) publish " {
-		t.Errorf("a silent predecessor that ends: actions = %q, want limits of 100 and then 200 sockets on an own listener", got)
+	if got := trace(successor.PredecessorSilent()) + trace(successor.Ready()) + trace(successor.PredecessorLost()); got != "limit(100) openListener limit(200) publish " {
+		t.Errorf("a silent predecessor that ends: actions = %q, want limit(100) openListener limit(200) publish", got)
 	}
 	successor = NewSuccessor(fullQuota) // the predecessor resumes
 	got := trace(successor.PredecessorSilent()) + trace(successor.Ready())
 	actions, err = successor.Receive(offer)
-	if got += trace(actions) + trace(successor.Ready()) + trace(successor.PredecessorLost()); got != "limit(100) ownListener limit(100) takeListener send(0 serving 0) limit(200) publish " || err != nil {
-		t.Errorf("a silent predecessor that resumes: actions = %q, err = %v; want the hand-over to take place", got, err)
+	if got += trace(actions) + trace(successor.Ready()) + trace(successor.PredecessorLost()); got != "limit(100) openListener limit(100) takeListener send(0 serving 0) limit(200) publish " || err != nil {
+		t.Errorf("a silent predecessor that resumes: actions = %q, err = %v; want limit(100) openListener limit(100) takeListener send(0 serving 0) limit(200) publish, nil", got, err)
 	}
 	tooManyListeners := offer
 	tooManyListeners.ListenerCount = MaxListeners + 1
@@ -121,8 +122,8 @@
 	last        int // number of the latest successor
 }
 
-// TestLimitsAreNeverExceeded checks, for random sequences of events, that both processes together
-// may never use more than one process alone, and that one of them accepts: the predecessor stops
+// TestLimitsAreNeverExceeded checks, for random sequences of events, that the quotas of both processes
+// together never exceed the limits of one sidecar, and that one of them accepts: the predecessor stops
 // accepting only while a successor is serving.
 func TestLimitsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/handover/idtable/idtable_test.go
+++ b/internal/handover/idtable/idtable_test.go
@@ -34,7 +34,7 @@
 			overflowed := table.Overflowed()
 			switch ok := table.Open(id, now); {
 			case ok && opened && age <= EntryTTL-tick && table.Overflowed() == overflowed:
-				t.Fatalf("an id opened %v ago is not known", age)
+				t.Fatalf("Open() = true for an id that was opened %v ago, want false", age)
 			case !ok && (!opened || age >= EntryTTL+tick):
 				t.Fatalf("Open() = false, want true: opened before = %v, age = %v", opened, age)
 			case ok && table.Overflowed() == overflowed:
--- a/internal/handover/link/connection.go
+++ b/internal/handover/link/connection.go
@@ -70,7 +70,7 @@
 	}
 	files = passedFiles(control[:controlBytes])
 	if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
-		err = errors.New("link: message too long")
+		err = errors.New("link: message too long or with too many descriptors")
 	} else {
 		err = json.Unmarshal(buffer[:n], &message)
 	}
--- a/internal/handover/link/link.go
+++ b/internal/handover/link/link.go
@@ -1,6 +1,6 @@
 // Package link carries out a hand-over over a Unix socket in a directory that both processes of
 // a sidecar share. It delivers messages and events to the state machines of package handover and
-// carries out the actions that they return; it takes no decisions itself.
+// carries out the actions that they return; it makes no decisions itself.
 //
 // A file in the directory is locked as long as any process serves at the sidecar's address. The
 // predecessor passes the lock to the successor together with the listening socket, so the lock
--- a/internal/handover/link/predecessor.go
+++ b/internal/handover/link/predecessor.go
@@ -30,7 +30,7 @@
 	// StopAccepting closes this process's listening sockets.
 	StopAccepting()
 	// ShareTable makes the request ids of each process known to the other one through table,
-	// and so the numbers of requests in flight if the table has counts. When it returns, a
+	// and also the numbers of requests in flight if the table has counts. When it returns, a
 	// table that was shared before is no longer in use.
 	ShareTable(table *SharedTable)
 	// UnshareTable ends the use of a shared table. When it returns, the table is no longer in
@@ -62,7 +62,7 @@
 // peer is a connected process, which may become the successor.
 type peer struct {
 	connection
-	timer *time.Timer // fires at servingTimeout, unless the peer serves before
+	timer *time.Timer // fires after servingTimeout, unless the peer serves before
 }
 
 // NewPredecessorEnd returns the end of a process that serves on listeners and has the lock of the
@@ -72,8 +72,8 @@
 }
 
 // PassStoreLock lets a successor share the ownership of this process's idempotency store, which
-// is a lock on a file. It must be called before Publish. The caller closes the file, and not
-// before it has called Close.
+// belongs to the processes that have the locked file open. It must be called before Publish. The
+// caller closes the file after it has called Close.
 func (p *PredecessorEnd) PassStoreLock(lock *os.File) {
 	p.storeLock = lock
 	p.machine.SetOwnsStore()
--- a/internal/handover/link/sharedtable.go
+++ b/internal/handover/link/sharedtable.go
@@ -27,7 +27,7 @@
 const (
 	predecessorSide side = iota
 	successorSide
-	sides
+	sides // the number of sides
 )
 
 // wordBytes is the size of a word of the table.
--- a/internal/handover/link/sharedtable_test.go
+++ b/internal/handover/link/sharedtable_test.go
@@ -50,18 +50,18 @@
 		}
 		wait.Wait()
 		if exceeded.Load() > 0 || test.predecessorMax+test.successorMax <= test.limit && rejected.Load() > 0 {
-			t.Errorf("%+v: limit exceeded %d times, %d requests rejected", test, exceeded.Load(), rejected.Load())
+			t.Errorf("%+v: limit exceeded %d times, want 0; %d requests rejected, want 0 if both maxima together are within the limit", test, exceeded.Load(), rejected.Load())
 		}
 		predecessor.Close()
 		successor.Close()
 	}
 	withoutCounts, file, err := newSharedTable(false)
 	if err != nil || withoutCounts.CountsInFlight() {
-		t.Fatalf("newSharedTable(false): error = %v, or the table has counts", err)
+		t.Fatalf("newSharedTable(false): error = %v, want a table without counts and no error", err)
 	}
 	defer withoutCounts.Close()
 	defer file.Close()
 	if _, err := mapSharedTable(file, true, successorSide); err == nil {
-		t.Error("mapSharedTable accepted a table without counts as one with counts")
+		t.Error("mapSharedTable accepted a table without counts as one with counts, want an error")
 	}
 }
--- a/internal/handover/link/successor.go
+++ b/internal/handover/link/successor.go
@@ -15,7 +15,7 @@
 
 // Timeouts of Start. Their sum stays well below the 6 s within which a new process must serve.
 const (
-	offerTimeout  = 1200 * time.Millisecond // a predecessor that does not answer in time hangs
+	offerTimeout  = 1200 * time.Millisecond // a predecessor that does not answer within this time counts as hung
 	absentTimeout = 600 * time.Millisecond  // how long Start retries if the lock has an owner that can't be reached
 	busyTimeout   = 3 * time.Second         // how long Start retries if another successor is taking over
 	retryInterval = 20 * time.Millisecond
@@ -45,7 +45,7 @@
 	table           *SharedTable       // from the predecessor; nil: none
 	storeLock       *os.File           // of the idempotency store, from the predecessor; nil: none
 	lateListeners   chan []*net.TCPListener
-	predecessorGone chan struct{}
+	predecessorGone chan struct{} // closed when there is no predecessor, see NoPredecessor
 	failed          chan error
 	closed          bool
 	goroutines      sync.WaitGroup
@@ -262,7 +262,7 @@
 func (s *SuccessorEnd) handleLater(message handover.Message, files []*os.File) bool {
 	err := s.handle(message, files)
 	if err != nil && !s.closed {
-		slog.Error("hand-over", "err", err)
+		slog.Error("handling a message from the predecessor failed", "err", err)
 	}
 	rejected, locked := errors.Is(err, handover.ErrRejected), s.rendezvous.Locked()
 	if rejected && locked {
@@ -338,7 +338,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.perform(s.machine.Ready()); err != nil {
-		slog.Warn("hand-over", "err", err)
+		slog.Warn("notifying the predecessor that this process accepts clients failed", "err", err)
 	}
 }
 
@@ -350,8 +350,9 @@
 	return len(s.passedListeners) > 0 || !s.machine.WithoutPredecessor()
 }
 
-// NoPredecessor returns a channel that is closed when there is no predecessor any more, or there never was
-// one, and this process owns all limits.
+// NoPredecessor returns a channel that is closed when this process owns all limits, because its
+// predecessor has ended or it never had one. The channel stays open after a start where no hand-over
+// was possible.
 func (s *SuccessorEnd) NoPredecessor() <-chan struct{} { return s.predecessorGone }
 
 // Failed delivers an error after which this process must end: a predecessor that is alive has
--- a/internal/handover/snapshot.go
+++ b/internal/handover/snapshot.go
@@ -85,7 +85,7 @@
 		return learned, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if snapshot.Listen != listen {
-		return learned, 0, fmt.Errorf("%w: it is of the sidecar at %q", ErrForeign, snapshot.Listen)
+		return learned, 0, fmt.Errorf("%w: it belongs to the sidecar at %q", ErrForeign, snapshot.Listen)
 	}
 	// A step of the wall clock makes the age wrong. A snapshot that then appears too old or
 	// from the future is rejected, and its hints are lost. One that appears too young is
--- a/internal/handover/snapshot_test.go
+++ b/internal/handover/snapshot_test.go
@@ -47,7 +47,7 @@
 		corrupt := append([]byte(nil), data...)
 		corrupt[n] ^= 0x10
 		if _, _, err := DecodeSnapshot(corrupt, "a:1", saved); err == nil {
-			t.Errorf("a snapshot with byte %d corrupted was accepted", n)
+			t.Errorf("a snapshot with byte %d corrupted was accepted, want an error", n)
 		}
 		if _, _, err := DecodeSnapshot(data[:n], "a:1", saved); !errors.Is(err, ErrDamaged) {
 			t.Errorf("a snapshot truncated to %d bytes: error = %v, want ErrDamaged", n, err)
@@ -96,7 +96,7 @@
 		}
 		again, _, err := DecodeSnapshot(encoded(t, state), "a:1", saved)
 		if err != nil || !reflect.DeepEqual(state, again) {
-			t.Errorf("%+v was encoded and decoded to %+v, %v", state, again, err)
+			t.Errorf("%+v was encoded and decoded to %+v, %v; want the same state, nil", state, again, err)
 		}
 	})
 }
