--- a/internal/peers/link/link_test.go
+++ b/internal/peers/link/link_test.go
@@ -43,7 +43,7 @@
 }
 
 // open opens the Link of the sidecar with rank self, which receives datagrams at listen and sends to the
-// addresses of peers.
+// addresses peerAddrs.
 func open(t *testing.T, self int, listen string, peerAddrs []string) *Link {
 	t.Helper()
 	l, err := Open(Config{Listen: listen, Peers: peerAddrs, Seed: uint64(self), Node: peers.Config{
@@ -72,10 +72,10 @@
 func TestSidecarsOnSockets(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const size = 5
-	net := faultnet.New(7)
-	defer net.Close()
+	network := faultnet.New(7)
+	defer network.Close()
 	addrs := unusedAddresses(t, size)
-	mesh, err := net.Mesh(addrs)
+	mesh, err := network.Mesh(addrs)
 	if err != nil {
 		t.Fatalf("Mesh: %v", err)
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -84,13 +84,13 @@
 	maxEntriesPerOwner = 64 // bounds the memory that one owner can claim
 	maxUpdates         = 512
 	startFanout        = 8 // members pinged in each round at the start
-	startRounds        = 3 // rounds, until half of startFanout members have answered
+	startRounds        = 3 // maximum number of rounds; the rounds end once startFanout/2 members have sent a datagram
 	startInterval      = 90 * time.Millisecond
 	hotDelay           = 20 * time.Millisecond // maximum delay, during which hot entries are collected into one datagram
 	indirectProbes     = 3
-	suspicionFactor    = 4  // periods before a suspect counts as dead, times log10 of the fleet's size
-	maxHealth          = 8  // Lifeguard: probe intervals are multiplied by Health plus 1, so by 9 at most
-	transmitFactor     = 3  // transmissions of an update, times log2 of the fleet's size
+	suspicionFactor    = 4  // a suspect counts as dead after this number of periods times log10 of the fleet's size, or times 1 in a fleet below 10
+	maxHealth          = 8  // probe intervals are multiplied by Health plus 1, so by 9 at most, as in Lifeguard (Dadgar et al. 2018)
+	transmitFactor     = 3  // an update is sent this number times log2 of the fleet's size
 	maxFillers         = 3  // known records and entries added to a datagram with free space
 	maxPriorityProbes  = 64 // members queued to be probed out of turn
 	trafficInterval    = 30 * time.Second
@@ -218,7 +218,7 @@
 // Tick performs the actions that are due.
 func (n *Node) Tick(now time.Duration) {
 	if now-n.expectedTick > n.config.Period/2 && n.probe != nil {
-		// This process was suspended: missing acknowledgements say nothing about others (Lifeguard).
+		// This process was suspended: missing acknowledgements say nothing about others (as in Lifeguard).
 		n.probe = nil
 		n.adjustHealth(1)
 	}
@@ -281,8 +281,9 @@
 	return true
 }
 
-// SetTraffic publishes this member's rate of requests. Changes of less than a half, and changes
-// soon after another, are not published, because every member forwards each of them.
+// SetTraffic publishes this member's rate of requests. A change of at most one step of
+// encodeTraffic, or within trafficInterval of the latest one, is not published, because every member
+// forwards each of them.
 func (n *Node) SetTraffic(now time.Duration, perSecond float64) {
 	t := int(encodeTraffic(perSecond))
 	if off := t - int(n.self.Traffic); off >= -1 && off <= 1 || n.trafficPublished > 0 && now-n.trafficPublished < trafficInterval {
@@ -301,15 +302,16 @@
 	}
 }
 
-// advance queues an update of this member's own record.
+// advance increases the heartbeat of this member's own record and queues an update of it.
 func (n *Node) advance(now time.Duration) {
 	n.self.Heartbeat++
 	n.members[n.config.Self].record = n.self
 	n.queueUpdate(now, update{rank: n.config.Self, hot: true})
 }
 
-// Incarnation returns this member's incarnation. It may rise: a member that learns of an earlier
-// incarnation with a higher number, caused by a clock that went back, rises above it.
+// Incarnation returns this member's incarnation. It may increase: if the clock went back before this
+// start, an earlier incarnation has a higher number. A member that learns of it takes a number above
+// that one.
 func (n *Node) Incarnation() uint64 { return n.self.Incarnation }
 
 // Stats returns the counts so far.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -71,9 +71,9 @@
 	case join(a, b) != join(b, a):
 		t.Errorf("join is not commutative: join(a, b) = %+v, join(b, a) = %+v", join(a, b), join(b, a))
 	case join(join(a, b), c) != join(a, join(b, c)):
-		t.Errorf("join is not associative: %+v, %+v", join(join(a, b), c), join(a, join(b, c)))
+		t.Errorf("join is not associative: join(join(a, b), c) = %+v, join(a, join(b, c)) = %+v", join(join(a, b), c), join(a, join(b, c)))
 	case join(a, a) != a || join(join(a, b), b) != join(a, b):
-		t.Errorf("join is not idempotent: join(a, b) = %+v", join(a, b))
+		t.Errorf("join is not idempotent: join(a, a) = %+v, want %+v; join(join(a, b), b) = %+v, want %+v", join(a, a), a, join(join(a, b), b), join(a, b))
 	}
 }
 
--- a/internal/peers/probe.go
+++ b/internal/peers/probe.go
@@ -69,7 +69,7 @@
 }
 
 // continueProbe requests indirect probes after the direct one has timed out, and ends the probe
-// after these have.
+// after the indirect ones have timed out too.
 func (n *Node) continueProbe(now time.Duration, p *probe) {
 	if !p.indirect {
 		p.indirect, p.next = true, p.until
--- a/internal/peers/record.go
+++ b/internal/peers/record.go
@@ -259,7 +259,7 @@
 		m.record = Record{Rank: r.Rank} // known only from others, and too high for the sender to rise above
 	}
 	if r.Incarnation < m.record.Incarnation {
-		return // the sender is sent the higher incarnation, and rises above it
+		return // this member sends it the higher incarnation, and the sender then takes one above that
 	}
 	if m.directIncarnation != r.Incarnation {
 		m.directIncarnation, m.directStartedAt = r.Incarnation, r.StartedAt
@@ -274,8 +274,8 @@
 	from        Rank
 }
 
-// refute responds to another member's record of this one: it refutes a suspicion, and rises above
-// an earlier incarnation whose number is not lower. An incarnation that is far ahead must be
+// refute responds to another member's record of this one: it refutes a suspicion, and takes
+// an incarnation above an earlier one with a higher number. An incarnation that is far ahead must be
 // reported by two members, unless the fleet has only two, so that a single lying member can't
 // exhaust the numbers.
 func (n *Node) refute(now time.Duration, from Rank, r Record) {
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -27,7 +27,7 @@
 	kindAck                            // acknowledges kindPing
 	kindPingRequest                    // requests a ping of target on the sender's behalf
 	kindIndirectAck                    // target has acknowledged; with the sequence number of kindPingRequest
-	kindPull                           // requests the receiver's entry pulled
+	kindPull                           // requests the receiver's own entry that the field pulled identifies
 	kindUpdate                         // carries items only
 	kindCount
 )
@@ -49,7 +49,8 @@
 	maxAgeUnits = 1 << 31 // in ageUnit: seven years
 )
 
-// DecodeError reports why a datagram was dropped. What completes the sentence "datagram dropped: ...".
+// DecodeError reports why a datagram was dropped. Its field What completes the sentence "datagram
+// dropped: ...".
 type DecodeError struct {
 	What string
 	err  error
