--- a/cmd/sidecar/checkpoint.go
+++ b/cmd/sidecar/checkpoint.go
@@ -15,7 +15,7 @@
 // left in it.
 type checkpointFile struct {
 	path     string                 // empty: no checkpoint is read or written
-	name     string                 // name of the sidecar, which only its own file has
+	name     string                 // name of the sidecar; a file with another name is another sidecar's
 	previous *checkpoint.Checkpoint // checkpoint of the previous process; nil: none
 	age      time.Duration          // age of previous when it was loaded
 	savedAt  time.Time              // time of the last save, or of the start
--- a/cmd/sidecar/checkpoint_test.go
+++ b/cmd/sidecar/checkpoint_test.go
@@ -10,9 +10,9 @@
 )
 
 // TestCheckpointsNotTrusted checks that a sidecar logs why it ignores a checkpoint that is empty,
-// torn or written by another sidecar, and serves without it. It replaces such a file by its own
-// checkpoint, but not one of another sidecar. The learned state in a checkpoint is only a hint, so a
-// sidecar can start without it.
+// torn or written by another sidecar, and serves without it. It replaces an empty or torn file by its
+// own checkpoint, but leaves the file of another sidecar unchanged. The learned state in a checkpoint
+// is only a hint, so a sidecar can start without it.
 func TestCheckpointsNotTrusted(t *testing.T) {
 	f := newFixture(t, 256)
 	path := filepath.Join(t.TempDir(), "checkpoint")
@@ -23,7 +23,7 @@
 		f.dir = t.TempDir() // so that only the checkpoint is left of the previous process
 		p := f.startReadyProcess()
 		if wantLog != "" {
-			eventually(t, wantLog, func() bool { return strings.Contains(p.log.String(), wantLog) })
+			eventually(t, "a log message that contains "+wantLog, func() bool { return strings.Contains(p.log.String(), wantLog) })
 		}
 		for range 5 {
 			if err := sendAlternating(http.DefaultClient, f.listen); err != nil {
@@ -56,6 +56,6 @@
 	before, _ := os.ReadFile(path)
 	runOnce("of another sidecar")
 	if now, _ := os.ReadFile(path); string(now) != string(before) {
-		t.Error("the checkpoint of another sidecar was overwritten")
+		t.Error("the checkpoint of another sidecar was overwritten, want it unchanged")
 	}
 }
--- a/cmd/sidecar/clients_test.go
+++ b/cmd/sidecar/clients_test.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// startClients starts the given number of clients. The first of them, as many as persistent says, use
-// persistent connections. All stop when the test ends.
+// startClients starts a clientGroup of the given number of clients; persistent is how many of them
+// use a persistent connection. All stop when the test ends.
 func startClients(t *testing.T, addr string, clients, persistent int) *clientGroup {
 	t.Helper()
 	c := &clientGroup{stop: make(chan struct{})}
--- a/cmd/sidecar/config.go
+++ b/cmd/sidecar/config.go
@@ -220,8 +220,8 @@
 		return
 	}
 	c.pace = discovery.PolledPace()
-	// The Balancer makes its first call within four fifths of MaxListAge. This limit on MaxListAge
-	// therefore keeps the first call within InitialDelay.
+	// The Balancer polls discovery for the first time within four fifths of MaxListAge. This limit on
+	// MaxListAge therefore keeps the first poll within InitialDelay.
 	s.Config.MaxListAge = min(s.Config.MaxListAge, c.pace.InitialDelay*5/4)
 	s.Config.PollRetryWithin = c.pace.MaxBackoff
 }
--- a/cmd/sidecar/coordinator.go
+++ b/cmd/sidecar/coordinator.go
@@ -19,7 +19,7 @@
 
 // coordinator is the part of a sidecar that cooperates with other sidecars and returns gradually to
 // service after a start. It passes the state of the peers and of the host to the recovery machine,
-// applies the orders that the machine returns, and owns the checkpoint.
+// applies the decisions that the machine returns, and owns the checkpoint.
 type coordinator struct {
 	host    *sidecar.Host
 	stop    chan struct{} // closed by close
@@ -27,9 +27,9 @@
 	started time.Time
 	machine *recovery.Machine // nil: gradual return is off; only run uses it until close
 
-	mu     sync.Mutex        // guards link and orders
-	link   *link.Link        // nil: off, or the predecessor still owns its address
-	orders recovery.Decision // the last ones of machine
+	mu       sync.Mutex        // guards link and decision
+	link     *link.Link        // nil: off, failed, or not opened yet because the predecessor still owns its address
+	decision recovery.Decision // the last one of machine
 
 	checkpoint checkpointFile
 }
@@ -45,7 +45,7 @@
 	if peersConfig := c.coordination.peers; peersConfig != nil {
 		tierSize = len(peersConfig.Peers)
 		peersConfig.Seed = c.seed
-		if previous := created.checkpoint.previous; previous != nil { // must exceed the previous incarnation even if the clock was set back
+		if previous := created.checkpoint.previous; previous != nil { // the incarnation must exceed the previous one even if the clock was set back
 			peersConfig.Node.Incarnation = max(previous.Incarnation+1, uint64(max(1, created.started.UnixMilli())))
 		}
 		if err := created.openLink(*peersConfig, hasPredecessor); err != nil {
@@ -100,19 +100,20 @@
 		_, weight := recovery.Retained(previous.Learned, c.checkpoint.age, recovery.Undecided)
 		c.machine.SetUsualDemand(previous.Demand, weight)
 	}
-	metricSet.Gauge("phase", "", func() float64 { return float64(c.lastOrders().Phase) })
-	metricSet.Gauge("bound_shed", "", func() float64 { return c.lastOrders().Bounds.MinShedFraction })
+	metricSet.Gauge("phase", "", func() float64 { return float64(c.lastDecision().Phase) })
+	metricSet.Gauge("bound_shed", "", func() float64 { return c.lastDecision().Bounds.MinShedFraction })
 	c.running.Go(c.run)
 }
 
 // restoreCheckpoint restores the part of the checkpoint's learned state that is still valid at its
-// age. It is called after the list of servers has arrived and before the first request.
+// age. It is called at most once, when the process becomes ready: where discovery pushes its lists,
+// after the first list or after listTimeout.
 func (c *coordinator) restoreCheckpoint() {
 	previous, age := c.checkpoint.previous, c.checkpoint.age
 	if previous == nil {
 		return
 	}
-	learned, weight := recovery.Retained(previous.Learned, age, c.lastOrders().Verdict)
+	learned, weight := recovery.Retained(previous.Learned, age, c.lastDecision().Verdict)
 	c.host.RestoreLearnedState(learned, age)
 	slog.Info("checkpoint restored as a hint", "age", age, "times", len(learned.Primary), "servers", len(learned.Servers), "demand", previous.Demand, "weight", weight)
 }
@@ -132,11 +133,11 @@
 	}
 }
 
-// lastOrders returns the last orders of the recovery machine, the zero value before its first step.
-func (c *coordinator) lastOrders() recovery.Decision {
+// lastDecision returns the last decision of the recovery machine, the zero value before its first step.
+func (c *coordinator) lastDecision() recovery.Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.orders
+	return c.decision
 }
 
 // run steps the recovery machine whenever it is due, and saves the checkpoint at its interval, until
@@ -158,25 +159,25 @@
 	}
 }
 
-// stepRecovery passes the current state to the recovery machine and applies the orders that it
+// stepRecovery passes the current state to the recovery machine and applies the decision that it
 // returns.
 func (c *coordinator) stepRecovery() {
-	previous := c.lastOrders()
+	previous := c.lastDecision()
 	if previous.Phase != recovery.Serving {
 		c.receivePeerPhases()
 	}
-	var orders recovery.Decision
+	var decision recovery.Decision
 	c.host.WithBalancer(func(now time.Duration, arrivals uint64, b *martendrum.Balancer) {
 		c.machine.SetArrivals(arrivals)
 		c.machine.SetCapacity(b.WorkingSetCapacity(now))
-		orders = c.machine.Tick(time.Since(c.started))
-		b.SetBounds(orders.Bounds)
+		decision = c.machine.Tick(time.Since(c.started))
+		b.SetBounds(decision.Bounds)
 	})
 	c.mu.Lock()
-	c.orders = orders
+	c.decision = decision
 	c.mu.Unlock()
-	c.withNode(func(now time.Duration, node *peers.Node) { node.SetPhase(now, uint8(orders.Phase)) })
-	c.logChange(previous, orders)
+	c.withNode(func(now time.Duration, node *peers.Node) { node.SetPhase(now, uint8(decision.Phase)) })
+	c.logChange(previous, decision)
 }
 
 // receivePeerPhases passes the phases that peers publish to the recovery machine.
@@ -189,20 +190,20 @@
 }
 
 // logChange logs a change of the phase, or else of whether requests are shed, from the previous
-// orders to the new ones.
-func (c *coordinator) logChange(previous, orders recovery.Decision) {
-	if orders.Phase != previous.Phase {
-		slog.Info("phase "+orders.Phase.String(), "verdict", orders.Verdict, "after", time.Since(c.started).Round(time.Millisecond), "shed", orders.Bounds.MinShedFraction)
+// decision to the new one.
+func (c *coordinator) logChange(previous, decision recovery.Decision) {
+	if decision.Phase != previous.Phase {
+		slog.Info("phase "+decision.Phase.String(), "verdict", decision.Verdict, "after", time.Since(c.started).Round(time.Millisecond), "shed", decision.Bounds.MinShedFraction)
 		return
 	}
-	if sheds := orders.Bounds.MinShedFraction > 0; sheds != (previous.Bounds.MinShedFraction > 0) {
-		slog.Info("servers warming up", "bounded", sheds, "shed", orders.Bounds.MinShedFraction, "demand", orders.Bounds.NominalRate)
+	if sheds := decision.Bounds.MinShedFraction > 0; sheds != (previous.Bounds.MinShedFraction > 0) {
+		slog.Info("servers warming up", "bounded", sheds, "shed", decision.Bounds.MinShedFraction, "demand", decision.Bounds.NominalRate)
 	}
 }
 
 // saveCheckpoint writes the checkpoint if one is configured and the recovery phase is Serving.
 func (c *coordinator) saveCheckpoint(now time.Time) {
-	if c.checkpoint.path == "" || c.machine == nil || c.lastOrders().Phase != recovery.Serving {
+	if c.checkpoint.path == "" || c.machine == nil || c.lastDecision().Phase != recovery.Serving {
 		return
 	}
 	saved := checkpoint.Checkpoint{SavedAt: clock.Wall().UnixMilli(), Demand: c.machine.UsualDemand(), Learned: c.host.LearnedState()}
--- a/cmd/sidecar/discovery_test.go
+++ b/cmd/sidecar/discovery_test.go
@@ -44,9 +44,9 @@
 }
 
 // TestEndpointChangeIsFollowedWithoutWatch checks that, where discovery is polled, a new
-// configuration that changes the address of discovery is followed well within 4 s, after which the
-// sidecar counts as notified of the new list. At the change no watch is open, because the old
-// discovery rejects all calls.
+// configuration that changes the address of discovery is followed within 4 s, well before the
+// platform assumes that the sidecar knows the new list. At the change no watch is open, because the
+// old discovery rejects all calls.
 func TestEndpointChangeIsFollowedWithoutWatch(t *testing.T) {
 	f := newFixture(t, 256)
 	called := make(chan struct{}, 100)
@@ -60,21 +60,22 @@
 	f.writeConfig(t, text)
 	p := f.startReadyProcess()
 	select {
-	case <-called: // the call is rejected, and the next one is seconds away
+	case <-called: // the call is rejected, so that no watch is open
 	case <-time.After(eventTimeout):
 		t.Fatal("discovery was never called")
 	}
 	p.reloadConfig(t, f, good)
 	reloaded := time.Now()
-	eventually(t, "the list of the new discovery", func() bool { return p.metric(t, "pool_size") == 1 })
+	eventually(t, "the list of the new discovery to be applied", func() bool { return p.metric(t, "pool_size") == 1 })
 	if took := time.Since(reloaded); took > 4*time.Second {
 		t.Errorf("the list of the new discovery was applied %v after the reload, want at most 4s", took)
 	}
 }
 
-// TestFailedCallIsRetriedInTime checks that, where discovery is polled, a call that it rejects,
-// resets or leaves unanswered is followed by the next call well before the sidecar counts as
-// notified of discovery's changes, however often calls fail.
+// TestFailedCallIsRetriedInTime checks that, where discovery is polled, a call that discovery rejects,
+// resets or leaves unanswered is followed by the next call well before the sidecar counts as notified
+// of discovery's changes, that is, before the platform assumes that it knows them, however often
+// calls fail.
 func TestFailedCallIsRetriedInTime(t *testing.T) {
 	for failure, fail := range map[string]func(w http.ResponseWriter, r *http.Request){
 		"rejected": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
--- a/cmd/sidecar/errors_test.go
+++ b/cmd/sidecar/errors_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	for name, e := range map[string]interface{ Advice() string }{
-		"FleetError":      &CoordinationError{Remedy: "x"},
+		"FleetError":      &CoordinationError{Remedy: "x"}, // the page calls it FleetError
 		"ConfigError":     &peers.ConfigError{Field: "x"},
 		"AddrError":       &link.AddrError{Field: "x"},
 		"DecodeError":     &peers.DecodeError{},
--- a/cmd/sidecar/eviction_test.go
+++ b/cmd/sidecar/eviction_test.go
@@ -41,7 +41,7 @@
 	if err := unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil); err != nil {
 		t.Fatalf("limiting the descriptors of the process: %v", err)
 	}
-	eventually(t, "the first list", func() bool { return p.metric(t, "pool_size") == 1 })
+	eventually(t, "the first list of discovery to be applied", func() bool { return p.metric(t, "pool_size") == 1 })
 	discovery.set("")
 	for n := range 200 {
 		c, err := net.Dial("tcp", f.listen)
@@ -64,7 +64,7 @@
 	}
 	discovery.set(list(2, "s1", "s2"))
 	available := time.Now()
-	eventually(t, "the second list", func() bool { return p.metric(t, "pool_size") == 2 })
+	eventually(t, "the second list of discovery to be applied", func() bool { return p.metric(t, "pool_size") == 2 })
 	if took := time.Since(available); took > 2*time.Second {
 		t.Errorf("the list was applied %v after discovery was available again, want at most 2s", took)
 	}
--- a/cmd/sidecar/fixture_test.go
+++ b/cmd/sidecar/fixture_test.go
@@ -13,8 +13,8 @@
 )
 
 // writeTestConfig writes the configuration file of a sidecar that listens on a free address, and
-// starts a discovery that lists one server. sockets is the limit of descriptors. changes are pairs
-// of a text in testConfigFormat and its replacement. The results are the path of the file and the
+// starts a discovery service that lists one server. sockets is the limit of descriptors. changes are
+// pairs of a text in testConfigFormat and its replacement. The results are the path of the file and the
 // addresses of the sidecar and of discovery.
 func writeTestConfig(t testing.TB, server string, sockets int, changes ...string) (path, listen, discovery string) {
 	t.Helper()
--- a/cmd/sidecar/generated_test.go
+++ b/cmd/sidecar/generated_test.go
@@ -16,9 +16,9 @@
 // generatedClass is a class of generated settings, with what a client needs to send its requests.
 type generatedClass struct{ name, idempotency string }
 
-// generateSettings returns random valid settings, as any customer may have them, and their classes:
-// with classes of any idempotency, tenants, zones, limits and costs. Optional keys may be absent
-// unless complete is true.
+// generateSettings returns random valid settings, such as any customer may configure, and a list of
+// their classes. The settings have classes of every kind of idempotency, tenants, zones, limits and
+// costs. Optional keys may be absent unless complete is true.
 func generateSettings(rng *rand.Rand, complete bool) (settings map[string]any, generated []generatedClass) {
 	word := func() string {
 		b := make([]byte, 3+rng.IntN(12))
@@ -102,8 +102,8 @@
 }
 
 // TestGeneratedSettings checks that the sidecar serves every class of random settings. After a
-// reload with other settings, requests that were open are answered by the old settings, and new
-// requests by the new ones.
+// reload with other settings, requests that were open are answered under the old settings, and new
+// requests under the new ones.
 func TestGeneratedSettings(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -128,7 +128,7 @@
 	oldSettings, oldClasses := generateSettings(rng, false)
 	f.writeConfig(t, withSettings(t, f, oldSettings))
 	p := f.startReadyProcess()
-	eventually(t, "the list", func() bool { return p.metric(t, "pool_size") == 1 })
+	eventually(t, "the list of discovery to be applied", func() bool { return p.metric(t, "pool_size") == 1 })
 	client := &classClient{t: t, addr: f.listen, client: &http.Client{Timeout: eventTimeout}}
 	defer client.client.CloseIdleConnections()
 	for _, class := range oldClasses {
--- a/cmd/sidecar/kill_test.go
+++ b/cmd/sidecar/kill_test.go
@@ -111,12 +111,12 @@
 	case <-p.exited:
 		p.exited <- nil
 	case <-time.After(time.Until(terminated.Add(soak.EarliestKill(longest)))):
-		t.Errorf("the process still runs %v after SIGTERM, when it may be killed", time.Since(terminated))
+		t.Errorf("the process still runs %v after SIGTERM, want it to exit within %v, before it may be killed", time.Since(terminated), soak.EarliestKill(longest))
 		p.Process.Kill()
 	}
 	clients.Wait()
 	if !strings.Contains(p.log.String(), "stopping") {
-		t.Error("log has no message stopping: the test did not cover a graceful shutdown")
+		t.Error("the log has no message \"stopping\", want one: the test did not cover a graceful shutdown")
 	}
 }
 
--- a/cmd/sidecar/process.go
+++ b/cmd/sidecar/process.go
@@ -20,8 +20,8 @@
 	// reports itself as ready and, beside a predecessor, accepts clients. It waits because the list
 	// in its configuration may be outdated.
 	listTimeout = 250 * time.Millisecond
-	// sweepInterval is how often the process closes connections to servers that have been idle
-	// for too long.
+	// sweepInterval is how often the process closes those connections to servers that have been
+	// unused for too long.
 	sweepInterval = 2 * time.Second
 	// retryInterval is how often a process checks whether its predecessor has released an
 	// address.
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -33,13 +33,13 @@
 		t.Errorf("request open at the reload: got status %d after %d attempts, want 502 after 1", got, received.Load())
 	}
 	if got := sendRequest(t, f.listen, http.MethodPost, "/pay"); got != http.StatusMethodNotAllowed {
-		t.Errorf("POST to the class that now wants GET: got status %d, want 405", got)
+		t.Errorf("POST to the class that now accepts only GET: got status %d, want 405", got)
 	}
 	if got := sendRequest(t, f.listen, http.MethodGet, "/look"); got != http.StatusNotFound {
 		t.Errorf("request of a dropped class: got status %d, want 404", got)
 	}
 	if sendRequest(t, f.listen, http.MethodGet, "/seen"); received.Load() < 2 {
-		t.Error("request of an added class did not reach the server")
+		t.Errorf("request of an added class: got %d requests at the server so far, want at least 2", received.Load())
 	}
 	p.reloadConfig(t, f, text)
 	if got := sendRequest(t, f.listen, http.MethodGet, "/seen"); got != http.StatusNotFound {
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -189,7 +189,8 @@
 		// A request on a client's connection needs a second connection, to a server.
 		Sockets:  r.config.reservedDescriptors() + 2*max(r.server.Conns(), r.pool.Conns()),
 		MemoryMB: residentMB(),
-		// Each client connection may still send a request, which only a shared tally would count.
+		// Each client connection may still send a request, which the successor doesn't count unless
+		// both processes share a Tally.
 		InFlight: max(r.host.InFlight(), r.server.Conns()),
 	}
 }
--- a/cmd/sidecar/snapshot.go
+++ b/cmd/sidecar/snapshot.go
@@ -27,8 +27,8 @@
 }
 
 // restoreSnapshot restores the learned state of the previous process, from its hand-over or else
-// from the stored file if this process holds the lock, and reports whether it restored any. An
-// unusable snapshot is logged and ignored.
+// from the stored file if this process holds the lock of the rendezvous, and reports whether it
+// restored any. An unusable snapshot is logged and ignored.
 func (p *sidecarProcess) restoreSnapshot() bool {
 	data, from := p.predecessor.Snapshot(), "the running predecessor"
 	if len(data) == 0 && p.rendezvous.Locked() {
--- a/cmd/sidecar/standins_test.go
+++ b/cmd/sidecar/standins_test.go
@@ -28,8 +28,8 @@
 	return s.Listener.Addr().String()
 }
 
-// oneServerDiscovery starts a discovery that lists one server and keeps its watches open. index is
-// the index of the list. The function returns the address of discovery.
+// oneServerDiscovery starts a discovery service that lists one server and keeps its watches open.
+// index is the index of the list. The function returns the address of the service.
 func oneServerDiscovery(t testing.TB, index int, name, addr string) string {
 	end := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -67,8 +67,8 @@
 	}), received
 }
 
-// staticDiscovery starts a discovery that writes one list to each watch and keeps the watch open
-// without writing again. It returns the address of discovery.
+// staticDiscovery starts a discovery service that writes one list to each watch and keeps the watch
+// open without writing again. It returns the address of the service.
 func staticDiscovery(t *testing.T, list string) string {
 	t.Helper()
 	end := make(chan struct{})
@@ -87,8 +87,8 @@
 	return s.Listener.Addr().String()
 }
 
-// changingDiscovery is a discovery whose list can change and that can be unavailable. Each call of
-// set ends its open watches.
+// changingDiscovery is a discovery service whose list can change and that can be unavailable. Each
+// call of set ends its open watches.
 type changingDiscovery struct {
 	mu      sync.Mutex    // guards the fields below
 	list    string        // empty: unavailable
--- a/cmd/sidecar/stop.go
+++ b/cmd/sidecar/stop.go
@@ -9,22 +9,25 @@
 )
 
 const (
-	// stopPollInterval is how often a stopping process checks what is still open.
+	// stopPollInterval is how often a stopping process checks what is still open. Each check is a
+	// round of gracefulShutdown.run.
 	stopPollInterval = 10 * time.Millisecond
-	// roundsPerSuccessorQuery is the number of polls from one query of the successor to the next.
+	// roundsPerSuccessorQuery is the number of rounds between two calls that release unused quota to
+	// the successor and ask whether it serves.
 	roundsPerSuccessorQuery = 10
 	// idleBeforeClose is how long a client connection must have been idle before it is closed while
 	// a successor serves or may come, so that its client is unlikely to be sending a request on it.
 	idleBeforeClose = 300 * time.Millisecond
 	// A process that resumes after SIGSTOP may receive SIGTERM and the connection of a successor at
-	// the same time. It waits for a successor for minSuccessorRounds polls before it closes all idle
-	// connections, and for maxSuccessorRounds polls if a successor has connected.
+	// the same time. It waits for a successor for minSuccessorRounds before it closes all idle
+	// connections, and for maxSuccessorRounds if a successor has connected.
 	minSuccessorRounds = 2
 	maxSuccessorRounds = 30
 )
 
 // stop serves until every request is answered or the time for it is up; SIGTERM arrived at
-// signalledAt. Unless a successor serves, it then stores the learned state of this process.
+// signalledAt. Unless a successor serves, it then stores the learned state of this process, if the
+// process holds the lock of the rendezvous.
 func (p *sidecarProcess) stop(signalledAt time.Time) {
 	replaced := newShutdown(signalledAt, p.config, p.resources, p.successor).run()
 	if p.rendezvous != nil && p.rendezvous.Locked() && !replaced {
--- a/cmd/sidecar/stop_test.go
+++ b/cmd/sidecar/stop_test.go
@@ -16,7 +16,8 @@
 
 // TestStopOnIdleConnections checks that a stopping sidecar either answers a request or closes the
 // connection before any part of the request was forwarded. After SIGTERM, clients continue to send
-// on every open connection, and on new ones for longer than the platform's clients do.
+// on every open connection, and on new ones until no process accepts them, which is longer than
+// the clients in production do.
 func TestStopOnIdleConnections(t *testing.T) {
 	var executed sync.Map // ids of the requests that reached the server
 	f := newFixtureWithServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -103,7 +104,7 @@
 		t.Errorf("exit after SIGTERM: got %v, want status 0", err)
 	}
 	if sawClose.Load() != clients {
-		t.Errorf("%d of %d clients saw their connection close, want all", sawClose.Load(), clients)
+		t.Errorf("got %d clients that saw their connection close, want all %d", sawClose.Load(), clients)
 	}
 }
 
