--- a/cmd/sidecar/record.go
+++ b/cmd/sidecar/record.go
@@ -75,6 +75,6 @@
 	return recorder.New(c.record.recorder, store), nil
 }
 
-// recordVersion is the schema version of the idempotency store that this build reads and
-// writes, the same for both databases.
+// recordVersion is the schema version of the idempotency store that this build reads and writes: the
+// higher one, if those of the two databases differ.
 func recordVersion() int { return max(sqlite.Version, postgres.Version) }
--- a/cmd/sidecar/resources.go
+++ b/cmd/sidecar/resources.go
@@ -112,7 +112,7 @@
 		r.server.SetLimits(downstreamConfig)
 		r.host.SetInFlightLimits(quota.InFlight, r.config.fullQuota().InFlight)
 	}
-	if fewerSockets && r.pool != nil && !r.stopping { // a terminating process doesn't close connections to meet its quota
+	if fewerSockets && r.pool != nil && !r.stopping {
 		r.server.Trim()
 		r.pool.Trim()
 		debug.FreeOSMemory()
