--- a/internal/idempotency/backend.go
+++ b/internal/idempotency/backend.go
@@ -65,7 +65,7 @@
 // Stats describes the content of a store.
 type Stats struct {
 	Rows     map[State]int64 // the number of entries in each state
-	Bytes    int64           // SQLite: the used pages of the file; PostgreSQL: the stored answers
+	Bytes    int64           // SQLite: the used pages of the file; PostgreSQL: the stored answers and their header fields
 	MaxBytes int64           // 0: the store does not limit its size
 }
 
--- a/internal/idempotency/breaker.go
+++ b/internal/idempotency/breaker.go
@@ -42,7 +42,7 @@
 	b.failures, b.open, b.probing, b.backoff = 0, false, false, 0
 }
 
-// Failed records a failed call; cause is what Open returns. jitter, between 0 and 1,
+// Failed records a failed call and its cause, which Open returns. jitter, between 0 and 1,
 // lengthens the next backoff by up to half.
 func (b *Breaker) Failed(now time.Duration, cause string, jitter float64) {
 	b.failures++
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -16,7 +16,7 @@
 // settle keys correctly, and a clock that jumps. A key's request must not run twice, and
 // the entry of a key whose request ran must not have the state NeverRan.
 func TestNoKeyRunsTwice(t *testing.T) {
-	for range 20 { // a violation needs several steps in one order, and one rapid.Check does few runs
+	for range 20 { // a violation needs several steps in a certain order, and one rapid.Check does few runs
 		rapid.Check(t, noKeyRunsTwice)
 	}
 }
@@ -26,7 +26,7 @@
 	token   string
 	key     int
 	granted int  // attempts that the store allowed to be sent
-	unsent  int  // those of the granted attempts of which no byte was sent yet
+	unsent  int  // granted attempts of which no byte was sent yet
 	ran     bool // one of the attempts ran
 	ended   bool // the claim's owner sends no further attempt
 }
@@ -283,7 +283,7 @@
 	saved := wall.UnixMicro()
 	for name, c := range map[string]struct {
 		saved int64         // 0: no clock was stored
-		at    time.Duration // the wall clock's time of the reading, after wall
+		at    time.Duration // when the clock is read, as an offset from wall
 		want  int64         // microseconds after saved, or after wall where saved is 0
 	}{
 		"a new store":                {0, time.Minute, micros(time.Minute)},
@@ -319,7 +319,7 @@
 	probeAt, backoff := ms(102), 100
 	for _, want := range []int{200, 400, 400} {
 		if b.Allow(probeAt - 1) {
-			t.Errorf("Allow(%v) = true before the backoff is over", probeAt-1)
+			t.Errorf("Allow(%v) = true before the backoff is over, want false", probeAt-1)
 		}
 		if !b.Allow(probeAt) || b.Allow(probeAt) || b.State() != "half-open" {
 			t.Errorf("at %v: want one allowed probe and the state \"half-open\"; the state is %q", probeAt, b.State())
--- a/internal/idempotency/key.go
+++ b/internal/idempotency/key.go
@@ -76,7 +76,7 @@
 	return key, nil
 }
 
-// HeaderField returns the value of the field with a name, which is not case-sensitive, or
+// HeaderField returns the value of the header field called name, in upper or lower case, or
 // "" if there is none. head is a request line and header. A field that occurs twice is an
 // error.
 func HeaderField(head []byte, name string) (value string, err error) {
--- a/internal/idempotency/op.go
+++ b/internal/idempotency/op.go
@@ -18,16 +18,16 @@
 )
 
 // Op is one event that changes the entry of one key. The store sets Result and Entry, the
-// caller sets the other fields. An op may be applied again without a further effect, so
-// that a caller repeats a transaction if it does not know whether it was committed.
+// caller sets the other fields. An op that is applied again has no further effect, so a
+// caller may repeat a transaction if it does not know whether it was committed.
 type Op struct {
 	Kind            OpKind
 	Class, Key      string
 	Token           string
 	Owner           string        // for Claim, and for End of a request that was sent without a claim
-	Fingerprint     []byte        // as Owner
-	RequestID       string        // as Owner
-	Lease           time.Duration // for Claim and Send: how long the owner counts as alive from now on; for End as Owner
+	Fingerprint     []byte        // for the same ops as Owner
+	RequestID       string        // for the same ops as Owner
+	Lease           time.Duration // for Claim and Send: how long the owner counts as alive from now on; for End of a request that was sent without a claim
 	Attempt         int           // for Send: counts from 0
 	Server          string        // for Send
 	Outcome         State         // for End: Answered, NeverRan or MayHaveRun; for Settle: Answered or NeverRan
@@ -137,9 +137,10 @@
 	return Granted
 }
 
-// mayReplace reports whether the owner of a claim may replace the state from with the
-// outcome to, which must be based on later knowledge. An owner reports NeverRan once all
-// attempts have ended, so that it replaces MayHaveRun. Answered is final.
+// mayReplace reports whether the outcome to, which the owner of a claim reports, may replace
+// the state from. The report must be based on later knowledge than the state. An owner
+// reports NeverRan once all attempts have ended, so NeverRan may replace MayHaveRun. Answered
+// is final.
 func mayReplace(from, to State) bool {
 	switch from {
 	case InFlight:
--- a/internal/idempotency/retention.go
+++ b/internal/idempotency/retention.go
@@ -28,8 +28,8 @@
 // of those that may have run.
 func (r Retention) MinExecutedPeriod() time.Duration { return min(r.Answered, r.Unsettled) }
 
-// clockGainDivisor divides MinExecutedPeriod into the longest time by which a Clock advances
-// over a restart.
+// clockGainDivisor limits how far a Clock advances over a restart, to MinExecutedPeriod
+// divided by it.
 const clockGainDivisor = 4
 
 // Clock is the clock of a store that has no clock but that of the local machine, which an
