--- a/internal/idempotency/recorder/maintenance.go
+++ b/internal/idempotency/recorder/maintenance.go
@@ -76,7 +76,7 @@
 }
 
 // WriteGaps writes the gaps since the last call to the store. A gap that can't be written
-// is kept for the next call. It may be called concurrently.
+// is kept for the next call. WriteGaps may be called concurrently.
 func (r *Recorder) WriteGaps(parent context.Context) {
 	r.mu.Lock()
 	gaps := r.unwrittenGaps
--- a/internal/idempotency/recorder/recorder.go
+++ b/internal/idempotency/recorder/recorder.go
@@ -77,7 +77,7 @@
 
 var _ sidecar.Recorder = (*Recorder)(nil)
 
-// New returns a Recorder that stores entries in backend. Close closes the backend.
+// New returns a Recorder that stores entries in backend. Recorder.Close closes backend.
 func New(config Config, backend idempotency.Backend) *Recorder {
 	var id [ownerIDBytes]byte
 	rand.Read(id[:])
--- a/internal/idempotency/recorder/request.go
+++ b/internal/idempotency/recorder/request.go
@@ -22,8 +22,8 @@
 	// busyRetry is the Retry-After of a request while another request with its key is in
 	// flight.
 	busyRetry = 500 * time.Millisecond
-	// claimWaitDivisor divides the time until a request's deadline into the longest time that
-	// the request waits for its claim.
+	// claimWaitDivisor limits how long a request waits for its claim, to the time until its
+	// deadline divided by it.
 	claimWaitDivisor = 4
 )
 
--- a/internal/idempotency/recorder/shard.go
+++ b/internal/idempotency/recorder/shard.go
@@ -40,8 +40,8 @@
 
 // run is the worker: it writes the queued jobs until the committer is closed.
 func (s *shard) run() {
-	// The worker waits for an open breaker even if it has nothing to write: while the breaker
-	// is open, jobs without retryOnError are not queued, so that only a probe can close it.
+	// The worker waits for an open breaker to close even if it has nothing to write: while the
+	// breaker is open, jobs without retryOnError are not queued, so only a probe can close it.
 	for s.awaitStore() {
 		batch, expired, wait := s.nextBatch()
 		for _, j := range expired {
@@ -82,7 +82,7 @@
 
 // nextBatch removes the next batch and the jobs whose deadline is over from the queue. A
 // batch may have several ops of one key, which are applied in order. wait, if it is not 0,
-// is the time until the backoff of an isolated job ends.
+// is the time after which an isolated job that is still queued may be written.
 func (s *shard) nextBatch() (batch, expired []*job, wait time.Duration) {
 	c := s.committer
 	c.mu.Lock()
