--- a/internal/idempotency/sqlite/schema.go
+++ b/internal/idempotency/sqlite/schema.go
@@ -29,14 +29,14 @@
 // Version is the schema version that this build reads and writes.
 var Version = len(migrations)
 
-// migrate checks the file and, if this process is its only owner, brings its schema to the
-// version to.
-func (s *Store) migrate(ctx context.Context, to int) error {
+// migrate checks the file and, if this process is its only owner, brings its schema to
+// version target.
+func (s *Store) migrate(ctx context.Context, target int) error {
 	if s.config.Owner && s.config.Lock == nil {
 		if err := sqlitefile.CheckIntegrity(ctx, s.db); err != nil {
 			return firstReadError(err)
 		}
-		return withAdvice(sqlitefile.Migrate(ctx, s.db, migrations, to))
+		return withAdvice(sqlitefile.Migrate(ctx, s.db, migrations, target))
 	}
 	// The integrity is not checked, as an operator may open a damaged file to export what can
 	// be read.
@@ -44,7 +44,7 @@
 	if err := s.db.QueryRowContext(ctx, "PRAGMA user_version").Scan(&current); err != nil {
 		return firstReadError(err)
 	}
-	if current < to {
+	if current < target {
 		return &FileError{
 			Problem: fmt.Errorf("the file has schema version %d, and this build needs version %d", current, Version),
 			Next:    "start the sidecar first, which migrates the file",
@@ -55,7 +55,7 @@
 
 // prepare sets the clock and the prepared statements. If this process is the file's only
 // owner, it also ends the claims that the previous owner left in flight, as Entry.Lapse
-// does for one.
+// does for a single entry.
 func (s *Store) prepare(ctx context.Context) error {
 	var saved int64
 	if err := s.db.QueryRowContext(ctx, "SELECT value FROM meta WHERE name = 'clock'").Scan(&saved); err != nil && !errors.Is(err, sql.ErrNoRows) {
--- a/internal/idempotency/sqlite/sqlite_test.go
+++ b/internal/idempotency/sqlite/sqlite_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestBackend runs the tests of all backends. The file's name has characters that are
-// special in a URL, as the driver is given one.
+// special in a URL, as the driver receives the path in a URL.
 func TestBackend(t *testing.T) {
 	bt.Run(t, func(t *testing.T) idempotency.Backend {
 		return mustOpen(t, testConfig(filepath.Join(t.TempDir(), "a b?#%.db")))
@@ -259,7 +259,7 @@
 		if entry.State == idempotency.Unknown {
 			missing = true
 		} else if missing {
-			t.Fatalf("log cut at %d: the store has key %d but not an earlier one", cut, n)
+			t.Fatalf("log cut at %d: the store has key %d but not an earlier one, want no key after a missing one", cut, n)
 		}
 		if !flipped && entry.State == idempotency.Unknown && logSizes[n] <= int64(cut) {
 			t.Fatalf("log cut at %d: key %d is missing although its batch ended at %d", cut, n, logSizes[n])
@@ -295,7 +295,7 @@
 		damagedStore.Close()
 	}
 	if found == 0 {
-		t.Error("neither Open nor Check found damage in any file with a damaged page")
+		t.Error("neither Open nor Check found damage in any file with a damaged page, want it found in at least one")
 	}
 	t.Logf("damage was found in %d of %d pages", found, len(intact)/pageSize-1)
 }
--- a/internal/sqlitefile/sqlitefile.go
+++ b/internal/sqlitefile/sqlitefile.go
@@ -21,8 +21,8 @@
 	return sql.Open("sqlite", "file:"+(&url.URL{Path: path}).EscapedPath()+"?"+query.Encode())
 }
 
-// CheckIntegrity returns an error if the file is damaged. It reads the whole file, so that
-// it takes time in proportion to its size.
+// CheckIntegrity returns an error if the file is damaged. It reads the whole file, so its
+// duration is proportional to the file's size.
 func CheckIntegrity(ctx context.Context, db *sql.DB) error {
 	var result string
 	err := db.QueryRowContext(ctx, "PRAGMA quick_check(1)").Scan(&result)
@@ -53,11 +53,11 @@
 	return &NewerSchemaError{Version: version, Known: known}
 }
 
-// Migrate brings a file's schema to the version to in one transaction; migrations[n] are the
-// statements that bring it from version n to n+1. A file that has the version or a later one
-// is not changed. If its version is above len(migrations), the error is a
+// Migrate brings a file's schema to version target in one transaction; migrations[n] are the
+// statements that bring it from version n to n+1. A file that has this version or a later
+// one is not changed. If its version is above len(migrations), the error is a
 // *NewerSchemaError.
-func Migrate(ctx context.Context, db *sql.DB, migrations []string, to int) error {
+func Migrate(ctx context.Context, db *sql.DB, migrations []string, target int) error {
 	tx, err := db.BeginTx(ctx, nil)
 	if err != nil {
 		return fmt.Errorf("the file can't be written: %w", err)
@@ -70,15 +70,15 @@
 	if err := CheckVersion(version, len(migrations)); err != nil {
 		return err
 	}
-	if version >= to {
+	if version >= target {
 		return nil
 	}
-	for n := version; n < to; n++ {
+	for n := version; n < target; n++ {
 		if _, err := tx.ExecContext(ctx, migrations[n]); err != nil {
 			return fmt.Errorf("migrate to schema version %d: %w", n+1, err)
 		}
 	}
-	if _, err := tx.ExecContext(ctx, fmt.Sprintf("PRAGMA user_version = %d", to)); err != nil {
+	if _, err := tx.ExecContext(ctx, fmt.Sprintf("PRAGMA user_version = %d", target)); err != nil {
 		return err
 	}
 	return tx.Commit()
