--- a/internal/idempotency/postgres/postgres.go
+++ b/internal/idempotency/postgres/postgres.go
@@ -54,7 +54,7 @@
 	db      *pg.DB
 	columns []string // idempotency.Columns, split
 	insert  string   // statement that inserts an entry unless its key has a row
-	update  string   // statement that updates an entry that still has a version
+	update  string   // statement that updates an entry if its row still has the version that was read
 }
 
 // Open returns a Store. It checks config but does not connect, so that a sidecar can start
--- a/internal/idempotency/postgres/postgres_test.go
+++ b/internal/idempotency/postgres/postgres_test.go
@@ -163,7 +163,7 @@
 	outages := 0
 	for name, outage := range map[string]struct {
 		begin, end func()
-		want       string // in the error
+		want       string // text in the error
 	}{
 		"slow":              {func() { server.Inject(always(pgserver.Fault{Delay: time.Hour})) }, func() { server.Inject(nil) }, "57014"},
 		"hung":              {func() { server.Inject(always(pgserver.Fault{Stall: true})) }, func() { server.Inject(nil) }, "57014"},
--- a/internal/pg/pg.go
+++ b/internal/pg/pg.go
@@ -41,7 +41,7 @@
 
 // DB is a database with one Schema. Its methods, except Close, may be called concurrently.
 type DB struct {
-	Pool        *pgxpool.Pool // for queries of the store, once Ready has returned nil
+	Pool        *pgxpool.Pool // for queries of the store, once EnsureSchema has returned nil
 	schema      Schema
 	displayName string // name in errors: host, port and database
 
@@ -49,7 +49,8 @@
 	migrated bool       // the database has this build's schema version
 }
 
-// Open checks config and returns a DB. It does not connect: the first call of Ready does.
+// Open checks config and returns a DB. It does not connect: the first call of
+// EnsureSchema does.
 func Open(config Config, schema Schema) (*DB, error) {
 	poolConfig, err := pgxpool.ParseConfig(config.URL)
 	if err != nil {
@@ -131,7 +132,7 @@
 	return committing, err
 }
 
-// CheckWritable migrates the schema as Ready does, and returns an error that wraps
+// CheckWritable migrates the schema as EnsureSchema does, and returns an error that wraps
 // ErrReadOnly if the server does not accept writes.
 func (db *DB) CheckWritable(ctx context.Context) error {
 	if err := db.EnsureSchema(ctx); err != nil {
--- a/internal/pg/schema.go
+++ b/internal/pg/schema.go
@@ -35,17 +35,17 @@
 	return nil
 }
 
-// Migrate brings the schema to the version to in one transaction. If several programs call it
+// Migrate brings the schema to version target in one transaction. If several programs call it
 // at the same time, one migrates and the others wait. It returns an error that wraps
 // ErrUnusable if a newer build has migrated the schema.
-func (db *DB) Migrate(ctx context.Context, to int) error {
+func (db *DB) Migrate(ctx context.Context, target int) error {
 	ctx, cancel := context.WithTimeout(ctx, migrationTimeout)
 	defer cancel()
-	return pgx.BeginFunc(ctx, db.Pool, func(tx pgx.Tx) error { return db.migrate(ctx, tx, to) })
+	return pgx.BeginFunc(ctx, db.Pool, func(tx pgx.Tx) error { return db.migrate(ctx, tx, target) })
 }
 
 // migrate runs the statements of Migrate in a transaction.
-func (db *DB) migrate(ctx context.Context, tx pgx.Tx, to int) error {
+func (db *DB) migrate(ctx context.Context, tx pgx.Tx, target int) error {
 	execute := func(statement string, args ...any) error {
 		_, err := tx.Exec(ctx, statement, args...)
 		return err
@@ -63,7 +63,7 @@
 	if version > len(db.schema.Migrations) {
 		return fmt.Errorf("%w: its schema version is %d, and this build supports versions up to %d: run the newer build that migrated it", ErrUnusable, version, len(db.schema.Migrations))
 	}
-	for n := version; n < to; n++ {
+	for n := version; n < target; n++ {
 		for _, statement := range db.schema.Migrations[n] {
 			if err := execute(statement); err != nil {
 				return fmt.Errorf("migrate to schema version %d: %w", n+1, err)
