--- a/internal/idempotency/storeconfig/check.go
+++ b/internal/idempotency/storeconfig/check.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// checkLimits checks the sections wait, keep, queue and breaker.
+// checkLimits checks the sections wait, keep, queue and breaker, and postgres.connect.
 func (c *Config) checkLimits() error {
 	switch {
 	case !(c.Wait.Fraction > 0 && c.Wait.Fraction <= maxWaitFraction): // written so that it rejects NaN too
@@ -70,7 +70,7 @@
 // checkClasses checks the classes, sets their defaults and parses their key rules.
 func (c *Config) checkClasses() error {
 	if len(c.Classes) == 0 {
-		return fmt.Errorf("class: there is no [[class]] section, so that no request would be recorded")
+		return fmt.Errorf("class: there is no [[class]] section, so no request would be recorded")
 	}
 	seen := make(map[string]bool)
 	for n := range c.Classes {
--- a/internal/idempotency/storeconfig/open.go
+++ b/internal/idempotency/storeconfig/open.go
@@ -19,8 +19,8 @@
 	// write-ahead log, the log's index and the lock, and further ones for the second
 	// connection.
 	sqliteDescriptors = 6
-	// deadlineDivisor divides the deadline of a class into the longest time that a request
-	// may wait for the store.
+	// deadlineDivisor limits how long a request waits for the store, to the deadline of its
+	// class divided by it, but not to less than minWait.
 	deadlineDivisor = 8
 	minWait         = time.Millisecond
 )
@@ -68,7 +68,7 @@
 	}
 	policy := set.Config.Classes[index]
 	if class.OnUnavailable == failOpen && policy.Idempotency == martendrum.NonIdempotent {
-		return recorder.Class{}, fmt.Errorf("%s: class %s: away: its requests must not run twice, so that they can't continue without the store; want %q", c.path, class.Name, rejectRequests)
+		return recorder.Class{}, fmt.Errorf("%s: class %s: away: its requests must not run twice, so they can't continue without the store; want %q", c.path, class.Name, rejectRequests)
 	}
 	wait := min(time.Duration(c.Wait.Fraction*float64(policy.LatencyObjective)), set.Deadlines[index]/deadlineDivisor)
 	return recorder.Class{
@@ -89,9 +89,9 @@
 }
 
 // Open opens the store. owner and lock apply to SQLite only. owner opens the file for a
-// sidecar that owns it; without owner, the file is opened beside its owner. lock, if not
-// nil, is the file's lock that the predecessor passed to this process, so that both own the
-// file. If a PostgreSQL database is unavailable, Open still succeeds.
+// sidecar that owns it; without owner, another process may own the file meanwhile. lock, if
+// not nil, is the file's lock that the predecessor passed to this process, so that both own
+// the file. If a PostgreSQL database is unavailable, Open still succeeds.
 func (c *Config) Open(ctx context.Context, owner bool, lock *os.File) (idempotency.Backend, error) {
 	if c.Store == storeSQLite {
 		return sqlite.Open(ctx, sqlite.Config{
