--- a/internal/idempotency/backendtest/backendtest.go
+++ b/internal/idempotency/backendtest/backendtest.go
@@ -26,14 +26,14 @@
 	return ctx
 }
 
-// Claim returns an op that claims a key of the class "activate". Its owner is "o-" and the
-// token; its fingerprint is the same for all keys.
+// Claim returns an op that claims a key of the class "activate". Its owner is "o-" followed
+// by the token; its fingerprint is the same for all keys.
 func Claim(key, token string, lease time.Duration) *idempotency.Op {
 	return &idempotency.Op{Kind: idempotency.Claim, Class: "activate", Key: key, Token: token, Owner: "o-" + token, Fingerprint: bytes.Repeat([]byte{7}, 32), RequestID: "r1", Lease: lease}
 }
 
-// Send returns an op that records an attempt, which counts from 0, at the server "s" and the
-// attempt's number.
+// Send returns an op that records an attempt, which counts from 0, at the server whose name
+// is "s" followed by the attempt's number.
 func Send(key, token string, attempt int) *idempotency.Op {
 	return &idempotency.Op{Kind: idempotency.Send, Class: "activate", Key: key, Token: token, Attempt: attempt, Server: fmt.Sprint("s", attempt), Lease: time.Hour}
 }
@@ -109,7 +109,7 @@
 	op := Claim("k", "c", time.Hour)
 	Expect(t, backend, op, idempotency.AlreadyAnswered)
 	if string(op.Entry.Answer) != "yes\x00\xff" || string(op.Entry.Header) != "Content-Type: text/plain\r\n" || op.Entry.Status != 200 {
-		t.Errorf("entry of the repeated request = %+v; want the stored status, header and answer", op.Entry)
+		t.Errorf("entry of the repeated request = %+v; want status 200, header %q and answer %q", op.Entry, "Content-Type: text/plain\r\n", "yes\x00\xff")
 	}
 	different := Claim("k", "d", time.Hour)
 	different.Fingerprint = bytes.Repeat([]byte{8}, 32)
@@ -244,7 +244,8 @@
 	}
 }
 
-// testConcurrentClaims checks that one of 24 concurrent claims of a key is granted.
+// testConcurrentClaims checks that exactly one of 24 concurrent claims of a key is granted.
+// Each of them is in one batch with a claim of a key that no other batch claims.
 func testConcurrentClaims(t *testing.T, backend idempotency.Backend) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
