--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -12,9 +12,9 @@
 	// maxBufferedBody is how many bytes of a body are buffered for retries. The rest of a longer
 	// body is streamed.
 	maxBufferedBody = 64 << 10
-	// A body must arrive at an average of minBodyRate bytes a second, plus bodyGrace once. A
-	// client that sends nothing is disconnected after bodyGrace, and one that sends too slowly
-	// as soon as it falls behind, because it would occupy a connection to a server.
+	// The time for a body is its length divided by minBodyRate (in bytes a second), plus
+	// bodyGrace. A client that sends nothing is disconnected after bodyGrace, and one that sends
+	// too slowly as soon as it falls behind, because it would occupy a connection to a server.
 	minBodyRate = 40 << 10
 	bodyGrace   = 2200 * time.Millisecond
 )
@@ -33,7 +33,7 @@
 }
 
 // Read implements io.Reader. After setting the deadline it checks whether the connection has been
-// closed, because setDeadline may have overwritten the past deadline set by stopReading.
+// closed, because setDeadline may have overwritten the deadline in the past that stopReading set.
 func (p *pacedReader) Read(b []byte) (int, error) {
 	p.setDeadline()
 	s := p.conn.server
--- a/internal/downstream/budget.go
+++ b/internal/downstream/budget.go
@@ -19,8 +19,8 @@
 	return true
 }
 
-// release returns n reserved bytes. A change of the limit is a release of the difference, which may
-// be negative.
+// release returns n reserved bytes to the budget. A change of the limit also calls it, with the difference
+// between the new and the old limit, which may be negative.
 func (b *budget) release(n int64) {
 	b.mu.Lock()
 	b.available += n
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// If a request has been read before its idle connection is to be closed, the request is answered. The
+// An idle connection is not closed if its goroutine has just read a request, which is answered. The
 // goroutine that reads and the one that closes need the same lock, so only one of them takes effect.
 func TestRequestReadBeforeTheCloseIsServed(t *testing.T) {
 	for _, how := range []string{"quiet", "evict"} {
@@ -142,13 +142,13 @@
 			receive(t, h.arrived).Reject(0)
 			status(t, br)
 			eventually(t, "the connection to become idle", func() bool { return s.Busy() == 0 })
-			var server *conn
+			var serverConn *conn
 			s.mu.Lock()
-			for server = range s.conns {
+			for serverConn = range s.conns {
 			}
 			io.WriteString(c, look("2"))
 			// The connection's goroutine has read the bytes and waits for the lock.
-			eventually(t, "the request to be read", func() bool { return tcp.Unread(t, server.netConn.(*net.TCPConn)) == 0 })
+			eventually(t, "the request to be read", func() bool { return tcp.Unread(t, serverConn.netConn.(*net.TCPConn)) == 0 })
 			var closed []*conn
 			if how == "quiet" {
 				closed = s.markClosed(stateIdle, 0)
@@ -158,7 +158,7 @@
 				c.closeWrite()
 			}
 			if how == "evict" && s.evict() {
-				t.Error("evict closed a connection with a request")
+				t.Error("evict returned true, want false because a request has been read")
 			}
 			receive(t, h.arrived).Reject(0)
 			if got := status(t, br); got != http.StatusServiceUnavailable {
@@ -226,16 +226,15 @@
 	}
 }
 
-// If a connection is evicted while a request arrives, the request is answered if it has been read
-// completely by then.
+// A request that has been read completely when its connection is evicted is still answered.
 func TestCompleteRequestIsAnsweredWhenReadingStops(t *testing.T) {
 	s, h, addr := start(t, 10)
 	c, br := dial(t, addr, "GET /look HTTP/1.1\r\n")
-	server := stalledConn(t, s)
+	serverConn := stalledConn(t, s)
 	s.mu.Lock()
 	io.WriteString(c, strings.TrimPrefix(look("1"), "GET /look HTTP/1.1\r\n"))
 	// The connection's goroutine has read the rest and waits for the lock to register the request.
-	eventually(t, "the rest to be read", func() bool { return tcp.Unread(t, server.netConn.(*net.TCPConn)) == 0 })
+	eventually(t, "the rest to be read", func() bool { return tcp.Unread(t, serverConn.netConn.(*net.TCPConn)) == 0 })
 	s.mu.Unlock()
 	evicted := s.evict()
 	go func() {
@@ -274,12 +273,12 @@
 func TestAbandonedBodyEnds(t *testing.T) {
 	s, _, addr := start(t, 10)
 	c, _ := dial(t, addr, "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nContent-Length: 60000\r\n\r\n")
-	server := stalledConn(t, s)
+	serverConn := stalledConn(t, s)
 	if !s.evict() {
 		t.Fatal("no connection was evicted")
 	}
 	// Simulates a pacedReader that has overwritten the deadline of the eviction with its own.
-	server.netConn.SetReadDeadline(time.Now().Add(patience))
+	serverConn.netConn.SetReadDeadline(time.Now().Add(patience))
 	// 500 bytes neither complete the body nor take long enough to fall behind minBodyRate. Either would
 	// also end the request.
 	for range 500 {
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -183,6 +183,7 @@
 	for {
 		err := c.input.Wait()
 		c.server.mu.Lock()
+		// If err is not nil, the client has disconnected instead of sending another request.
 		pipelined := c.exchange != nil && !c.exchange.answering
 		if pipelined && c.cancelExchange() {
 			c.server.mu.Unlock()
@@ -205,9 +206,9 @@
 	}
 }
 
-// cancelExchange tells the handler that the client of the open request has disconnected. It returns
-// false if the response is being written. The server's lock is held on entry and on return, but
-// released while the handler is called.
+// cancelExchange makes the handler end the open request, because its client has disconnected or has
+// pipelined a request. It returns false if the response is being written. The server's lock is held on
+// entry and on return, but released while the handler is called.
 func (c *conn) cancelExchange() bool {
 	x := c.exchange
 	c.server.mu.Unlock()
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -10,7 +10,8 @@
 	// which bytes have just arrived.
 	maxEvictionAttempts = 8
 	// A connection is among the first to be evicted if no byte has arrived within silentTimeout
-	// of its accept, or if a request on it is still incomplete after stalledTimeout.
+	// of its accept, if its close takes longer than silentTimeout, or if a request on it is still
+	// incomplete after stalledTimeout.
 	silentTimeout  = 150 * time.Millisecond
 	stalledTimeout = 600 * time.Millisecond
 )
@@ -21,10 +22,10 @@
 
 const (
 	notEvictable     evictionRank = iota
-	rankReading                   // a part of a request has arrived
+	rankReading                   // a request is still incomplete after silentTimeout
 	rankNew                       // no byte has arrived yet, or the connection is being closed
 	rankIdle                      // between a response and the next request
-	rankUnproductive              // silent or stalled for too long
+	rankUnproductive              // silent, stalled or being closed for too long
 )
 
 // evictionRank returns the rank of a connection. Connections on which nothing has ever arrived rank
--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -19,7 +19,7 @@
 	Class    string
 	Rules    *settings.Class // from the settings in force when the request was read
 	Tenant   string
-	Wait     time.Duration // how long after Received the client gives up, as it stated; 0: not stated
+	Wait     time.Duration // the client gives up this long after Received; 0: the request does not say
 	Received time.Time     // when the request was read
 	State    any           // for the handler's use
 
@@ -44,8 +44,8 @@
 	"Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, protocol.RequestDeadline: true,
 }
 
-// singleValued are the header fields that identify a request. A request that repeats one of them
-// is ambiguous and is rejected.
+// singleValued are the header fields that may occur only once in a request. A request that repeats one
+// of them is ambiguous and is rejected.
 var singleValued = []string{protocol.RequestID, protocol.RequestClass, protocol.RequestDeadline, protocol.IdempotencyKey}
 
 // parse parses and checks the head of a request. It returns the status to reject the request with, or
@@ -117,7 +117,7 @@
 	if err != nil {
 		return http.StatusBadRequest
 	}
-	x.Wait = max(time.Duration(ms)*time.Millisecond, 1)
+	x.Wait = max(time.Duration(ms)*time.Millisecond, 1) // 0 would mean that no deadline is stated
 	return statusNone
 }
 
--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// A client that sends a second request before the response to its first gets an error for both.
+// A client that sends a second request before the response to its first gets one error response to both.
 func TestPipelinedRequests(t *testing.T) {
 	_, h, addr := start(t, 10)
 	c, br := dial(t, addr, look("1"))
@@ -180,7 +180,7 @@
 	_, h, addr := start(t, 10)
 	_, first := dial(t, addr, look("1"))
 	x := receive(t, h.arrived)
-	for range 2 {
+	for range 2 { // first while request 1 is open, then after its response
 		_, br := dial(t, addr, look("1"))
 		if got := status(t, br); got != http.StatusConflict {
 			t.Errorf("request with a known id: got status %d, want 409", got)
--- a/internal/downstream/fuzz_test.go
+++ b/internal/downstream/fuzz_test.go
@@ -17,8 +17,8 @@
 )
 
 // FuzzRequestBody sends a body in pieces, chunked or with a stated length, and compares what reaches the
-// handler with RFC 9112. A body that the strict grammar accepts must arrive completely. No body may
-// arrive other than a lenient reader would read it.
+// handler with RFC 9112. A body that the strict grammar accepts must arrive completely. A body that
+// arrives must be the one that a lenient reader reads.
 func FuzzRequestBody(f *testing.F) {
 	for _, seed := range framingtest.Seeds {
 		f.Add([]byte(seed), -1, 1)
@@ -124,9 +124,9 @@
 		got, err := io.ReadAll(resp.Body)
 		switch {
 		case breaks && err == nil && !(knownLength && len(got) == len(body)):
-			t.Errorf("body %q broke off: the client read %q without an error", body, got)
+			t.Errorf("body %q broke off: the client read %q without an error, want an error", body, got)
 		case !breaks && (err != nil || !bytes.Equal(got, body)):
-			t.Errorf("body %q: the client read %q, error %v", body, got, err)
+			t.Errorf("body %q: the client read %q, error %v; want the body and no error", body, got, err)
 		}
 	})
 }
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -16,12 +16,12 @@
 	x := &Exchange{conn: c}
 	c.write(x.appendResponse(nil, status, "", nil, nil))
 	c.server.mu.Lock()
-	evicted := c.state == stateClosed // another connection may already have taken its place
-	if !evicted {
+	alreadyClosed := c.state == stateClosed // if it was evicted, another connection may have taken its place
+	if !alreadyClosed {
 		c.setState(stateClosed)
 	}
 	c.server.mu.Unlock()
-	if !evicted {
+	if !alreadyClosed {
 		c.linger()
 	}
 }
