--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -68,9 +68,9 @@
 }
 
 // openEither makes a call, and a second one in parallel if the first has not been answered after
-// Pace.SecondCallDelay. If the first call has failed by then, the second one starts no earlier.
-// openEither returns the call that is answered first. The other call ends by its own deadline, and its
-// connection is then closed.
+// Pace.SecondCallDelay. If the first call fails earlier, the second one still starts only then.
+// openEither returns the call that is answered first, or an error if both fail. The other call ends by
+// its own deadline, and its connection is then closed.
 func (w *Watcher) openEither(target watchTarget) (*activeCall, error) {
 	results := make(chan callResult, 2)
 	call := func(limit time.Duration) {
@@ -80,16 +80,16 @@
 	go call(target.pace.CallTimeout)
 	timer := time.NewTimer(target.pace.SecondCallDelay)
 	defer timer.Stop()
-	running, second := 1, false
+	running, secondStarted := 1, false
 	for {
 		select {
 		case <-timer.C:
 			go call(target.pace.secondCallTimeout())
-			running, second = running+1, true
+			running, secondStarted = running+1, true
 		case result := <-results:
 			running--
 			closed := errors.Is(result.err, net.ErrClosed) // after SetEndpoint or Close
-			if result.err == nil || closed || second && running == 0 {
+			if result.err == nil || closed || secondStarted && running == 0 {
 				go w.discard(results, running)
 				return result.call, result.err
 			}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -183,7 +183,7 @@
 			backoff = minBackoff // the watch had worked: start over with the shortest backoff
 		}
 		time.Sleep(backoff/2 + rand.N(backoff))
-		backoff = min(2*backoff, w.target().pace.MaxBackoff*2/3)
+		backoff = min(2*backoff, w.target().pace.MaxBackoff*2/3) // the wait is at most 1.5 times backoff
 	}
 }
 
@@ -308,8 +308,8 @@
 	}
 }
 
-// resetIndex makes the next watch request the complete list, unless SetEndpoint was called since the
-// given number of endpoint changes.
+// resetIndex makes the next watch request the complete list, unless SetEndpoint has been called since
+// the watch with the given number of endpoint changes began.
 func (w *Watcher) resetIndex(endpointChanges int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -45,12 +45,12 @@
 	failed chan error
 }
 
-// follow runs a Watcher with a stand-in for discovery, whose n-th connection is handled by each. If
-// polled, the Watcher makes one call of Watch, otherwise of Follow.
-func follow(t *testing.T, polled bool, each func(n int, c net.Conn, r *http.Request)) *testWatcher {
+// follow runs a Watcher with a stand-in for discovery. The stand-in calls handle for its n-th connection,
+// counted from 0. If polled, the Watcher makes one call of Watch, otherwise of Follow.
+func follow(t *testing.T, polled bool, handle func(n int, c net.Conn, r *http.Request)) *testWatcher {
 	t.Helper()
 	addr := tcp.Requests(t, func(conn, _ int, c net.Conn, r *http.Request) bool {
-		each(conn, c, r)
+		handle(conn, c, r)
 		return false
 	})
 	w := &testWatcher{lists: make(chan *List, 100), failed: make(chan error, 100)}
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -12,8 +12,8 @@
 
 // Pace holds the upper bounds of a Watcher's waits.
 type Pace struct {
-	CallTimeout  time.Duration // of connecting and waiting for the response together
-	RetrySpread  time.Duration // longest random delay before a watch is reopened after a timeout
+	CallTimeout  time.Duration // longest time from the dial to the first byte of the response's body
+	RetrySpread  time.Duration // longest random delay before a watch is reopened after a timeout; if below minBackoff, minBackoff applies
 	MaxBackoff   time.Duration // longest wait between a failed call and the next
 	InitialDelay time.Duration // longest time between the start of a process and its first call
 	// SecondCallDelay is how long the first call after a silent watch may stay unanswered until
@@ -23,7 +23,7 @@
 }
 
 // PolledPace returns the Pace for a single discovery service that serves the calls of all sidecars one
-// after another. CallTimeout is the time that the other waits leave, because an abandoned call costs
+// after another. CallTimeout is as long as the other waits permit, because an abandoned call costs
 // discovery as much work as an answered one.
 func PolledPace() Pace {
 	p := Pace{RetrySpread: 400 * time.Millisecond, MaxBackoff: 500 * time.Millisecond}
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -28,7 +28,7 @@
 			t.Errorf("pushed, grace %v: WorstDelay() = %v, want at most %v", grace, delay, maxNotificationDelay-notificationMargin)
 		}
 		if pushed.CallTimeout < minPushedCallTimeout || pushed.MaxBackoff*2/3 < minBackoff {
-			t.Errorf("pushed, grace %v: CallTimeout or MaxBackoff of %+v is too short", grace, pushed)
+			t.Errorf("pushed, grace %v: got %+v, want CallTimeout at least %v and two thirds of MaxBackoff at least %v", grace, pushed, minPushedCallTimeout, minBackoff)
 		}
 		if grace >= 2*minPushedCallTimeout && pushed.CallTimeout+pushed.MaxBackoff > grace*3/4 {
 			t.Errorf("pushed, grace %v: a lost call and the backoff take %v, want at most %v", grace, pushed.CallTimeout+pushed.MaxBackoff, grace*3/4)
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Read implements io.Reader for the decoder. It sets the connection's deadline to maxSilence after the
-// begin of the current list or, between lists, from now.
+// Read implements io.Reader for the decoder. Once something has arrived, it sets the connection's deadline
+// to maxSilence after the start of the current list or, between lists, after now.
 func (s *stream) Read(b []byte) (int, error) {
 	if s.listSize > maxList {
 		return 0, errListTooLong
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// An idle connection is not closed if its goroutine has just read a request, which is answered. The
-// goroutine that reads and the one that closes need the same lock, so only one of them takes effect.
+// An idle connection on which a request has just been read is not closed, and the request is answered.
+// The goroutine that reads and the one that closes need the same lock, so only one of them takes effect.
 func TestRequestReadBeforeTheCloseIsServed(t *testing.T) {
 	for _, how := range []string{"quiet", "evict"} {
 		t.Run(how, func(t *testing.T) {
--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -158,7 +158,8 @@
 	}
 }
 
-// A client that sends a second request before the response to its first gets one error response to both.
+// A client that sends a second request before the response to its first gets a single error response, and
+// the second request is not handled.
 func TestPipelinedRequests(t *testing.T) {
 	_, h, addr := start(t, 10)
 	c, br := dial(t, addr, look("1"))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -50,7 +50,8 @@
 	MaxWait time.Duration // the longest that a client waits
 }
 
-// ExplainJSONError returns an error of encoding/json with the JSON names of the fields in place of Go's.
+// ExplainJSONError rewords an error of encoding/json for the author of the JSON. A syntax error states its
+// offset. A type error names the field by its JSON keys; a Go name gets a lower-case first letter.
 func ExplainJSONError(err error) error {
 	if syntaxErr, ok := errors.AsType[*json.SyntaxError](err); ok {
 		return fmt.Errorf("invalid JSON: %w, at byte %d", err, syntaxErr.Offset)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -29,16 +29,17 @@
 		t.Errorf("Parse = %+v, want the durations and limits of the JSON object, and DialTimeout 100ms (a quarter of the shortest promiseUs)", s)
 	}
 	if s.ClassIndex([]byte("b")) != 1 || s.ClassIndex([]byte("c")) != -1 || s.TenantIndex([]byte("p")) != 0 || s.TenantIndex(nil) != -1 {
-		t.Error("Class and Tenant returned wrong indexes, want 1 for class b, 0 for tenant p and -1 for unknown names")
+		t.Errorf("ClassIndex of b and c = %d and %d, want 1 and -1; TenantIndex of p and no name = %d and %d, want 0 and -1",
+			s.ClassIndex([]byte("b")), s.ClassIndex([]byte("c")), s.TenantIndex([]byte("p")), s.TenantIndex(nil))
 	}
 	if _, err := Parse([]byte(`[]`)); err == nil {
-		t.Error("Parse of a JSON list: got no error")
+		t.Error("Parse of a JSON list: got no error, want one")
 	}
 }
 
 // Classes keep their indexes over a series of reloads, new classes take the indexes of removed ones,
 // and the values at an index are those of the class that has it.
-func TestFollow(t *testing.T) {
+func TestKeepIndexes(t *testing.T) {
 	parseClasses := func(names ...string) *Settings {
 		t.Helper()
 		object := `{"replicasOfMe":1,"caps":{"attemptsCap":1},"classes":[`
@@ -70,7 +71,7 @@
 		for n, name := range step.names {
 			c := next.ClassByName(name)
 			if c == nil || c.Index != step.indexes[n] || c.Rules.LatencyObjective != time.Duration(name[0])*time.Microsecond || c.MaxWait != c.Rules.LatencyObjective {
-				t.Errorf("after a reload to %v: ByName(%q) = %+v, want index %d and its own latency objective and deadline", step.names, name, c, step.indexes[n])
+				t.Errorf("after a reload to %v: ClassByName(%q) = %+v, want index %d and its own latency objective and deadline", step.names, name, c, step.indexes[n])
 			}
 		}
 		if len(next.Config.Classes) < classesBefore || len(next.Config.Classes) != len(next.Deadlines) || next.ClassByName("b") != nil {
