--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -168,8 +168,8 @@
 	return watchTarget{addr: w.Addr, index: w.Index, endpointChanges: w.endpointChanges, pace: w.Pace}
 }
 
-// Follow keeps a watch open until Close. Whenever a watch has ended, Follow calls OnFailure and waits for a
-// random backoff, which grows up to Pace.MaxBackoff and starts over after a watch of more than a second.
+// Follow keeps a watch open until Close. Whenever Watch has returned, Follow calls OnFailure and waits for a
+// random backoff, which grows up to Pace.MaxBackoff and starts over if Watch took more than a second.
 func (w *Watcher) Follow() {
 	backoff := minBackoff
 	for !w.closed() {
@@ -180,7 +180,7 @@
 		}
 		w.OnFailure(err)
 		if time.Since(began) > time.Second {
-			backoff = minBackoff // the watch had worked: start over with the shortest backoff
+			backoff = minBackoff // the watch had probably worked: start over with the shortest backoff
 		}
 		time.Sleep(backoff/2 + rand.N(backoff))
 		backoff = min(2*backoff, w.target().pace.MaxBackoff*2/3) // the wait is at most 1.5 times backoff
