--- a/internal/fleet/host/agent/config.go
+++ b/internal/fleet/host/agent/config.go
@@ -49,7 +49,7 @@
 	// Recovery configures the waves in which instances start after a power loss.
 	Recovery struct {
 		MinWaveInterval quantity.Duration `toml:"wave_least"`   // from one wave to the next
-		MaxWaveInterval quantity.Duration `toml:"wave_longest"` // then the next wave starts even if instances are not ready
+		MaxWaveInterval quantity.Duration `toml:"wave_longest"` // after it, the next wave starts even if instances are not ready
 		MaxWaveSize     int               `toml:"wave_most"`    // instances in a wave; 0: no limit
 		Shop            string            `toml:"shop"`         // the label that names an instance's shop
 		Zone            string            `toml:"zone"`         // the label that names an instance's zone
@@ -71,8 +71,8 @@
 		BackoffMax     quantity.Duration `toml:"backoff_max"` // upper limit of that delay
 		MaxCrashes     int               `toml:"crash_most"`  // this many crashes within CrashWithin end the restarts
 		CrashWithin    quantity.Duration `toml:"crash_within"`
-		Log            quantity.Bytes    `toml:"log"`        // of an instance's log, including the rotated file
-		Record         quantity.Bytes    `toml:"record"`     // of the record, if it is a file
+		Log            quantity.Bytes    `toml:"log"`        // maximum size of an instance's log, including the rotated file
+		Record         quantity.Bytes    `toml:"record"`     // maximum size of the record, if it is a file
 		Operations     int               `toml:"operations"` // closed operations that are retained
 		Audit          int               `toml:"audit"`      // entries of the audit log that are retained
 		Releases       int               `toml:"releases"`   // releases that are retained besides those in use
--- a/internal/fleet/host/agent/config_check.go
+++ b/internal/fleet/host/agent/config_check.go
@@ -35,7 +35,7 @@
 func (c *Config) checkIdentity() error {
 	switch {
 	case !namePattern.MatchString(c.Name):
-		return fmt.Errorf("name: %q; want letters, digits, '.', '_' or '-', 63 at most", c.Name)
+		return fmt.Errorf("name: %q; want 1 to 63 letters, digits, '.', '_' or '-', the first a letter or a digit", c.Name)
 	case c.StateDir == "":
 		return fmt.Errorf("state_dir is missing: want a folder whose files survive restarts of the machine")
 	}
@@ -198,7 +198,7 @@
 		inst := &c.Instances[n]
 		switch {
 		case !namePattern.MatchString(inst.Name):
-			return fmt.Errorf("instance %d: name %q; want letters, digits, '.', '_' or '-', 63 at most", n+1, inst.Name)
+			return fmt.Errorf("instance %d: name %q; want 1 to 63 letters, digits, '.', '_' or '-', the first a letter or a digit", n+1, inst.Name)
 		case seen[inst.Name]:
 			return fmt.Errorf("instance %s is configured twice", inst.Name)
 		}
--- a/internal/fleet/host/agent/connections.go
+++ b/internal/fleet/host/agent/connections.go
@@ -43,7 +43,7 @@
 	if a.config.Relay != nil {
 		limit += a.config.Relay.Subscribers + len(a.config.Distribution.Relays)
 	}
-	server := &msgpackrpc.Server{Handler: a.handle, Limits: connectionLimits, MaxConns: limit, OnConnect: a.welcome}
+	server := &msgpackrpc.Server{Handler: a.handle, Limits: connectionLimits, MaxConns: limit, OnConnect: a.identifyCaller}
 	listeners, err := a.openListeners()
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 	return listeners, nil
 }
 
-// socketMode lets members of the socket's group connect; welcome determines their role.
+// socketMode lets members of the socket's group connect; identifyCaller determines their role.
 const socketMode = 0o660
 
 func (a *Agent) openListener(network, address string) (net.Listener, error) {
@@ -144,9 +144,9 @@
 	return c, nil
 }
 
-// welcome determines the caller of a new connection and its role: from the certificate under TLS,
-// from the user ID on the Unix socket, from the configuration otherwise.
-func (a *Agent) welcome(peer *msgpackrpc.Peer) error {
+// identifyCaller determines the caller of a new connection and its role: from the certificate under
+// TLS, from the user ID on the Unix socket, from the configuration otherwise.
+func (a *Agent) identifyCaller(peer *msgpackrpc.Peer) error {
 	c := &caller{role: a.config.Listen.PlainRole, id: peer.Conn.RemoteAddr().String()}
 	switch conn := peer.Conn.(type) {
 	case *tls.Conn:
--- a/internal/fleet/host/agent/housekeeping.go
+++ b/internal/fleet/host/agent/housekeeping.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// maintainState does the housekeeping that needs a.mu, and returns the releases in use, some of
-// them repeatedly.
+// maintainState does the housekeeping that needs a.mu, and returns the releases in use, possibly
+// with duplicates and "".
 func (a *Agent) maintainState() (used []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/fleet/host/agent/instance.go
+++ b/internal/fleet/host/agent/instance.go
@@ -39,7 +39,8 @@
 	abandonReason string        // why a new process next to the previous one must end; "": it need not
 	launchRetryAt time.Time     // no launch before this time
 	history       sampleHistory
-	// exitedGeneration is the latest generation whose process exited unexpectedly; 0: none.
+	// exitedGeneration is the latest generation whose process exited unexpectedly or could not be
+	// started; 0: none.
 	exitedGeneration int64
 
 	previous       *Process       // the process that is being replaced; nil: none
--- a/internal/fleet/host/agent/load_processes.go
+++ b/internal/fleet/host/agent/load_processes.go
@@ -40,8 +40,8 @@
 	return generation, ok && err == nil && generation >= 1
 }
 
-// setRunning makes a process that was found the instance's process in stored. The folder of the
-// process's program is named after the release.
+// setRunning sets the fields of stored that describe the instance's process to those of a process
+// that was found. The folder of the process's program is named after the release.
 func setRunning(stored *store.Instance, launch string, generation int64, process proc.Found, boot string) {
 	stored.Launch, stored.Process, stored.PID, stored.Ticks, stored.Boot, stored.Running = launch, generation, process.PID, process.Ticks, boot, ""
 	if hash := filepath.Base(filepath.Dir(process.Exe)); release.Valid(hash) {
@@ -81,8 +81,8 @@
 	return false
 }
 
-// findProcess adopts the process that is in the record, or sets inst.stored to having none. It
-// reports whether inst.stored has changed.
+// findProcess adopts the process that is in the record. If that process no longer runs, it clears
+// the process's fields of inst.stored. It reports whether inst.stored has changed.
 func (a *Agent) findProcess(inst *instance, found map[string]proc.Found, boot string, now time.Time) bool {
 	stored := &inst.stored
 	if stored.Launch == "" {
--- a/internal/fleet/host/agent/metrics_history.go
+++ b/internal/fleet/host/agent/metrics_history.go
@@ -50,14 +50,14 @@
 // analysis. Only the differences since the running release started are returned. slot is the
 // interval of the samples.
 func (h *sampleHistory) windows(slot time.Duration) (windows []canary.Window) {
-	differ := canary.WindowBuilder{Slot: slot, MaxOffset: slot / 4}
+	builder := canary.WindowBuilder{Slot: slot, MaxOffset: slot / 4}
 	for _, s := range h.samples[max(0, len(h.samples)-rateSlots-1):] {
 		names := make([]string, 0, len(s.Classes))
 		for name := range s.Classes {
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		if window, ok := differ.Next(s.CanarySample(0, names), 0); ok {
+		if window, ok := builder.Next(s.CanarySample(0, names), 0); ok {
 			windows = append(windows, window)
 		}
 	}
--- a/internal/fleet/host/agent/persist.go
+++ b/internal/fleet/host/agent/persist.go
@@ -79,7 +79,7 @@
 	if len(change.Instances) == 0 && a.unwritable == "" || len(a.instanceNames) == 0 {
 		return
 	}
-	if len(change.Instances) == 0 { // finds out whether the record is writable again
+	if len(change.Instances) == 0 {
 		change.Instances = append(change.Instances, a.instances[a.instanceNames[0]].stored)
 	}
 	if a.commit(change) == nil {
--- a/internal/fleet/host/agent/power_loss.go
+++ b/internal/fleet/host/agent/power_loss.go
@@ -33,7 +33,7 @@
 // powerLost reports whether the host lost power, or lost all its sidecars at once, which has the
 // same effect on the fleet. That is the case if no process is left and the cause can't be the crash
 // of one sidecar: the host was rebooted, several sidecars are lost, or returning is set, which
-// means that a previous agent had not yet started all waves after an earlier loss.
+// means that the waves after an earlier loss had not finished when a previous agent ended.
 func (d *lossDetector) powerLost(returning bool) bool {
 	return d.alive == 0 && (returning || len(d.lost) > 0 && (d.rebooted || len(d.lost) > 1))
 }
@@ -45,7 +45,7 @@
 // powerReturn is the return of a host after a power loss, in which its instances start in waves.
 // The agent's mu guards it.
 type powerReturn struct {
-	pace  *recovery.StartPacer // nil: all waves have started
+	pacer *recovery.StartPacer // nil: the last wave has finished
 	epoch int64                // number of the loss, counted over the host's life
 }
 
@@ -102,37 +102,37 @@
 		}
 	}
 	waves := recovery.Waves(places, a.config.Recovery.MaxWaveSize)
-	a.powerReturn = &powerReturn{epoch: losses.Epoch, pace: recovery.NewStartPacer(recovery.StartPacerConfig{
+	a.powerReturn = &powerReturn{epoch: losses.Epoch, pacer: recovery.NewStartPacer(recovery.StartPacerConfig{
 		MinInterval: time.Duration(a.config.Recovery.MinWaveInterval), MaxInterval: time.Duration(a.config.Recovery.MaxWaveInterval), ConsecutiveLosses: losses.Recent,
 	}, waves, 0)}
 }
 
 // mustWait reports whether an instance has to wait for its wave at now, the time since the agent's
-// start. It also tells the pace if the instance is no longer starting, because the next wave may
-// depend on that. If r is nil, there is no return and no instance waits. The caller holds the
-// agent's mu.
+// start. It also marks the instance as done in r.pacer once the instance is no longer starting,
+// because the next wave may depend on that. If r is nil, there is no return and no instance waits.
+// The caller holds the agent's mu.
 func (r *powerReturn) mustWait(now time.Duration, inst *instance) bool {
-	if r == nil || r.pace == nil {
+	if r == nil || r.pacer == nil {
 		return false
 	}
 	switch inst.supervisor.Phase() {
 	case supervisor.Ready, supervisor.Unready, supervisor.Backoff, supervisor.CrashLoop, supervisor.Draining:
-		r.pace.Done(inst.config.Name)
+		r.pacer.Done(inst.config.Name)
 	case supervisor.Stopped:
 		if inst.stored.Desired != api.Running {
-			r.pace.Done(inst.config.Name)
+			r.pacer.Done(inst.config.Name)
 		}
 	}
-	return !r.pace.MayStart(now, inst.config.Name)
+	return !r.pacer.MayStart(now, inst.config.Name)
 }
 
-// returnProgress describes the progress of the return, "" if none is in progress, and returns the
-// number of the latest recent power loss, 0 for none. The caller holds a.mu.
+// returnProgress returns a description of the progress of the return, "" if none is in progress,
+// and the number of the latest power loss, 0 if that is no longer recent. The caller holds a.mu.
 func (a *Agent) returnProgress() (how string, epoch int64) {
 	if a.powerReturn == nil {
 		return "", 0
 	}
-	if a.powerReturn.pace == nil || a.powerReturn.pace.Finished(time.Since(a.started)) {
+	if a.powerReturn.pacer == nil || a.powerReturn.pacer.Finished(time.Since(a.started)) {
 		return "", a.powerReturn.epoch
 	}
 	ready, desired := 0, 0
@@ -147,14 +147,14 @@
 	return fmt.Sprintf("loss %d: %d of %d instances are ready", a.powerReturn.epoch, ready, desired), a.powerReturn.epoch
 }
 
-// updatePowerReturn ends the return once all waves have started, and resets the count of recent
+// updatePowerReturn ends the return once the last wave has finished, and resets the count of recent
 // losses after stableDelay. up is how long the agent has run. The caller holds a.mu.
 func (a *Agent) updatePowerReturn(up time.Duration) {
 	if a.powerReturn == nil {
 		return
 	}
-	if a.powerReturn.pace != nil && a.powerReturn.pace.Finished(up) {
-		a.powerReturn.pace = nil
+	if a.powerReturn.pacer != nil && a.powerReturn.pacer.Finished(up) {
+		a.powerReturn.pacer = nil
 		losses := a.readLosses()
 		losses.Returning = false
 		a.writeLosses(losses)
--- a/internal/fleet/host/agent/power_loss_count.go
+++ b/internal/fleet/host/agent/power_loss_count.go
@@ -15,12 +15,13 @@
 	Version int   `json:"version"` // of the file's format
 	Epoch   int64 `json:"epoch"`   // all losses of the host
 	Recent  int   `json:"recent"`  // losses since the host was last stable
-	// Returning is set until all waves after the latest loss have started.
+	// Returning is set until the last wave after the latest loss has finished.
 	Returning bool `json:"returning"`
 }
 
-// readLosses reads the counter. If the file can't be read or is invalid, the result is one recent
-// loss, whose only effect is more time between the waves after a later loss.
+// readLosses reads the counter. If there is no file, the counter is zero. If the file can't be read
+// or is invalid, the counter holds one recent loss, which only lengthens the time between the waves
+// after a later loss, and the count of all losses begins again at 0.
 func (a *Agent) readLosses() lossCounter {
 	data, err := os.ReadFile(a.lossesPath())
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/fleet/host/agent/serve.go
+++ b/internal/fleet/host/agent/serve.go
@@ -68,7 +68,7 @@
 		api.SettingsAck:            typed("", (*Agent).settingsAck),
 		api.SettingsFollow:         typed("", (*Agent).settingsFollow),
 		api.SettingsReport:         typed("", (*Agent).settingsReport),
-		api.SettingsExchangeWriter: typed("", (*Agent).settingsWriting),
+		api.SettingsExchangeWriter: typed("", (*Agent).settingsExchangeWriter),
 	}
 }
 
--- a/internal/fleet/host/agent/serve_releases.go
+++ b/internal/fleet/host/agent/serve_releases.go
@@ -8,8 +8,8 @@
 	"martendrum/internal/fleet/release"
 )
 
-// releaseStat returns whether the agent has a release, and how many bytes of its files it has
-// received so far.
+// releaseStat returns whether the agent has the whole release, and how many bytes of each of the
+// release's files the agent has received so far.
 func (a *Agent) releaseStat(_ context.Context, _ *caller, in *api.ReleaseIn) (any, error) {
 	if !release.Valid(in.Release) {
 		return nil, api.Errorf(api.InvalidParams, "%q is not the hash of a release", in.Release)
--- a/internal/fleet/host/agent/serve_settings.go
+++ b/internal/fleet/host/agent/serve_settings.go
@@ -157,8 +157,9 @@
 	return out, node.WireError(err)
 }
 
-// settingsWriting stores which relay is the writer, as another relay reports it.
-func (a *Agent) settingsWriting(_ context.Context, c *caller, in *api.SettingsWriter) (any, error) {
+// settingsExchangeWriter stores which relay is the writer, as another relay reports it, and returns
+// the writer that this relay then knows.
+func (a *Agent) settingsExchangeWriter(_ context.Context, c *caller, in *api.SettingsWriter) (any, error) {
 	relay, err := a.servedRelay()
 	if err != nil {
 		return nil, err
--- a/internal/fleet/host/agent/settings.go
+++ b/internal/fleet/host/agent/settings.go
@@ -23,8 +23,8 @@
 	subscriber *node.Subscriber
 }
 
-// startDistribution starts the relay and the subscriber, those of them that are configured, with
-// the settings entries from the record.
+// startDistribution starts the relay, the subscriber or both, as configured, with the settings
+// entries from the record.
 func (a *Agent) startDistribution(stored []distribution.Entry) error {
 	if a.config.Relay != nil {
 		if err := a.startRelay(stored); err != nil {
@@ -168,8 +168,9 @@
 	}
 }
 
-// hostState returns how far the host has applied the settings that it received. Pending settings
-// of an instance do not count while the instance should not run. The caller holds a.mu.
+// hostState returns how far the host has applied the settings that it received, and updates
+// settledAt of its instances. Pending settings of an instance do not count while the instance should
+// not run. The caller holds a.mu.
 func (a *Agent) hostState() distribution.HostState {
 	received := a.settings.replica.Revision()
 	state := distribution.HostState{Received: received, Applied: received, Settled: true}
--- a/internal/fleet/host/agent/settings_apply.go
+++ b/internal/fleet/host/agent/settings_apply.go
@@ -34,8 +34,8 @@
 	pendingReported bool
 }
 
-// maxAttemptCrashes is the number of attempts during which the process exits until the settings count
-// as rejected. The first exit may have had another cause.
+// maxAttemptCrashes limits the attempts during which the process exits: with the last of them, the
+// settings count as rejected. The first exit may have had another cause.
 const maxAttemptCrashes = 2
 
 // unconfirmedDelay is the time from SIGHUP until a configuration counts as accepted by a program
--- a/internal/fleet/host/agent/settings_subscriber_test.go
+++ b/internal/fleet/host/agent/settings_subscriber_test.go
@@ -150,8 +150,8 @@
 	waitForSettledAck(t, conn)
 }
 
-// If the host's state changes while an acknowledgement is lost with its connection, the new state is
-// acknowledged on the next connection.
+// If a connection is lost with an acknowledgement in flight, and the host's state changes during the
+// first call of the next connection, the new state is acknowledged on the next connection.
 func TestChangeDuringLostAckIsAcknowledged(t *testing.T) {
 	replica, lost, next := &fakeReplica{}, newRelayConn(), newRelayConn()
 	subscriber := startSubscriber(t, replica, lost, next)
