--- a/internal/fleet/host/compatibility/compatibility.go
+++ b/internal/fleet/host/compatibility/compatibility.go
@@ -95,7 +95,7 @@
 // exit.
 const outputTimeout = 100 * time.Millisecond
 
-// maxOutput is the number of bytes of the output that are parsed.
+// maxOutput is the maximum number of bytes of the output that are parsed.
 const maxOutput = 4096
 
 // Query runs the program at path to learn its versions. It returns FirstVersions if the program can't
--- a/internal/fleet/host/proc/proc_test.go
+++ b/internal/fleet/host/proc/proc_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("Exit() = %q, want it to contain \"terminated\"", p.Exit())
 	}
 	if Alive(p.PID, p.Ticks) || len(Find(launch)) > 0 {
-		t.Error("the process is still alive or found after its exit")
+		t.Errorf("after the exit of the process: Alive() = %v, Find() = %v; want false and no process", Alive(p.PID, p.Ticks), Find(launch))
 	}
 }
 
@@ -71,7 +71,7 @@
 // process that succeeds is reported.
 func TestStartFails(t *testing.T) {
 	if _, err := Start(Spec{Path: "/none/such", Dir: "/", Log: filepath.Join(t.TempDir(), "log")}); err == nil {
-		t.Error("Start of a program that does not exist: got no error")
+		t.Error("Start of a program that does not exist: got no error, want one")
 	}
 	if _, err := Start(Spec{Path: "/bin/cat", Dir: "/", Log: "/none/log"}); err == nil || !strings.Contains(err.Error(), "log") {
 		t.Errorf("Start with a log in a folder that does not exist: got error %v, want one that mentions the log", err)
@@ -83,7 +83,7 @@
 	}
 }
 
-// A log that grows and is rotated often stays, with its rotated part, within the limit of 2000 bytes
+// A log that is rotated after each line stays, with its rotated part, within the limit of 2000 bytes
 // plus one line of 100 bytes.
 func TestRotate(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
--- a/internal/fleet/host/scrape/scrape.go
+++ b/internal/fleet/host/scrape/scrape.go
@@ -27,11 +27,12 @@
 // maxResponse is the maximum size of a response in bytes, enough for several hundred classes.
 const maxResponse = 1 << 20
 
-// slowThreshold is the label, in seconds, of the bucket of edge_balancer_own_seconds up to which
-// a request does not count as slow. The metric is the time that a request spends in the sidecar.
+// slowThreshold is the upper bound, in seconds, of a bucket of the histogram
+// edge_balancer_own_seconds, as the label le holds it. The requests in that bucket do not count as
+// slow. The metric is the time that a request spends in the sidecar.
 const slowThreshold = "0.005"
 
-// slowThresholdScientific is another notation of the same label that a sidecar may use.
+// slowThresholdScientific is another notation of the same bound that a sidecar may use.
 const slowThresholdScientific = "5e-03"
 
 // Metrics reads the metrics of the admin endpoint at addr, within timeout. Only the fields of the
--- a/internal/fleet/host/supervisor/supervisor.go
+++ b/internal/fleet/host/supervisor/supervisor.go
@@ -191,7 +191,8 @@
 	return []Action{s.terminate(now)}
 }
 
-// stepStopped is step while no process runs.
+// stepStopped is step while no process runs. A new generation has no crashes yet, so it is launched
+// at once even in the phases CrashLoop and Backoff.
 func (s *Supervisor) stepStopped(now time.Time) []Action {
 	switch {
 	case !s.desired:
--- a/internal/fleet/host/supervisor/supervisor_test.go
+++ b/internal/fleet/host/supervisor/supervisor_test.go
@@ -149,7 +149,7 @@
 			expect(t, s, s.SetDesired(at(2), true, 2), Ready, Launch)
 			fail(s)
 			if generation, how := s.Failed(); generation != 2 || how == "" || s.Process() != 1 || s.Reason() == "" {
-				t.Errorf("Failed() = %d, %q, Process() = %d, Reason() = %q; want generation 2 failed, process 1, and reasons", generation, how, s.Process(), s.Reason())
+				t.Errorf("Failed() = %d, %q, Process() = %d, Reason() = %q; want generation 2 and how it failed, process 1, and a reason", generation, how, s.Process(), s.Reason())
 			}
 			expect(t, s, s.Tick(at(100)), Ready)
 			expect(t, s, s.SetDesired(at(100), true, 2), Ready)
@@ -196,8 +196,8 @@
 //     serves. There is never a third one.
 //   - The previous process is terminated only once the new one was ready or no process should
 //     run.
-//   - SIGKILL is sent once, either no sooner than KillAfter after SIGTERM or to a new process
-//     that never served.
+//   - A process is sent SIGKILL at most once: no sooner than KillAfter after SIGTERM, or at any time
+//     if it is a new process that never served.
 //   - The desired state is reached once no more events happen.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -273,7 +273,7 @@
 func (m *machineModel) launch(t *rapid.T) {
 	t.Helper()
 	if m.previous != nil || m.current != nil && !(m.sideBySide && m.current.ready && m.current.term.IsZero()) {
-		t.Fatal("a process was launched next to one that does not serve or can't hand over, or as a third one")
+		t.Fatalf("a process was launched as a third one (%v), or next to one that does not serve or can't hand over (hand-over supported: %v); want two processes at most, and a second one only while the first serves and can hand over", m.previous != nil, m.sideBySide)
 	}
 	if m.launchesFail && rapid.IntRange(0, 4).Draw(t, "fails") == 0 {
 		m.carryOut(t, m.supervisor.LaunchFailed(m.now, "simulated failure"))
@@ -287,7 +287,7 @@
 func (m *machineModel) terminate(t *rapid.T, p *process) {
 	t.Helper()
 	if p == nil || !p.term.IsZero() {
-		t.Fatal("SIGTERM was sent without a process, or twice")
+		t.Fatalf("SIGTERM was sent without a process (%v) or twice; want it once, to a process", p == nil)
 	}
 	p.term = m.now
 }
@@ -296,7 +296,7 @@
 func (m *machineModel) kill(t *rapid.T, p *process) {
 	t.Helper()
 	if p == nil || p.killed || (p.term.IsZero() || m.now.Sub(p.term) < cfg.KillAfter) && !(p == m.current && m.previous != nil && !p.ready) {
-		t.Fatal("SIGKILL was sent too early, twice or without a process")
+		t.Fatalf("SIGKILL was sent without a process (%v), twice or too early; want it once, %v after SIGTERM or to a new process that never served", p == nil, cfg.KillAfter)
 	}
 	p.killed = true
 }
