--- a/internal/fleet/control/client/client.go
+++ b/internal/fleet/control/client/client.go
@@ -94,8 +94,9 @@
 	}
 }
 
-// callError returns the error for a call that got no answer: the agent's own error if it rejected
-// the hello, and otherwise an *UnreachableError.
+// callError returns the error for a call that could not be sent or got no answer: the agent's own
+// *api.Error if it rejected the call api.Hello of a new connection, and otherwise an
+// *UnreachableError.
 func (a *Agent) callError(err error) error {
 	if e, ok := errors.AsType[*api.Error](err); ok {
 		return e
--- a/internal/fleet/control/client/find.go
+++ b/internal/fleet/control/client/find.go
@@ -55,8 +55,8 @@
 }
 
 // Abort aborts an operation at every host that has it: running steps finish and no new ones start.
-// It returns by host the errors of those that could not abort it, or an error if no host has
-// returned the operation.
+// It returns by host the errors of those that could not abort it, without hosts that are not in the
+// inventory, or an error if no host has returned the operation.
 func (f *Fleet) Abort(ctx context.Context, id string) (map[string]error, error) {
 	operation, statuses, errs := f.find(ctx, id)
 	if len(statuses) == 0 {
--- a/internal/fleet/control/client/fleet.go
+++ b/internal/fleet/control/client/fleet.go
@@ -63,7 +63,7 @@
 type HostState struct {
 	Host       inventory.Host `json:"host"`
 	Error      string         `json:"error,omitempty"`      // why it did not answer; "" if it did
-	Unwritable string         `json:"unwritable,omitempty"` // why its record can't be written; "" if it can
+	Unwritable string         `json:"unwritable,omitempty"` // why its agent's store can't be written; "" if it can
 	Returning  string         `json:"returning,omitempty"`  // progress of its return from a power loss; "" if it is not returning
 	Epoch      int64          `json:"epoch,omitempty"`      // number of its latest power loss while that is recent, otherwise 0
 	Instances  []api.Instance `json:"instances"`
--- a/internal/fleet/control/client/host_run.go
+++ b/internal/fleet/control/client/host_run.go
@@ -63,7 +63,7 @@
 			}
 		}
 		if err == nil {
-			// The number may be lower than before: a restarted agent counts its changes from 0.
+			// The change number may be lower than before: a restarted agent counts its changes from 0.
 			after, delay = status.Change, minRetryDelay
 		} else {
 			after, status = 0, nil
@@ -101,7 +101,7 @@
 }
 
 // acquire opens the operation at a host, which grants the leases of its targets, and stores their
-// token. It may be called by the host's goroutine during the run.
+// token. Unlike open, it may be called during the run, by the host's goroutine.
 func (r *runner) acquire(hr *hostRun) (token int64, err error) {
 	var out api.OpenOut
 	in := &api.OpenIn{Operation: r.operation, LeaseHolder: r.options.LeaseHolder, TTL: r.options.TTL}
@@ -120,8 +120,8 @@
 }
 
 // startStep requests a step at the host of its target and does not wait for the result, which
-// arrives in r.events. A repeated request has no further effect, but at most one call per target is
-// in flight.
+// arrives in r.events. It may be called again for the same step: the agent starts a step only once,
+// and while a call for the target is in flight, startStep makes no other.
 func (r *runner) startStep(a rollout.Action) {
 	t := r.operation.Targets[a.Target]
 	hr := r.hostRuns[t.Host]
--- a/internal/fleet/control/client/report.go
+++ b/internal/fleet/control/client/report.go
@@ -83,7 +83,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			r.notes = append(r.notes, fmt.Sprintf("host %s: the operation could not be closed, or its status not be read: %v", a.Host.Name, err))
+			r.notes = append(r.notes, fmt.Sprintf("host %s: the operation could not be closed, or its status could not be read: %v", a.Host.Name, err))
 			return err
 		}
 		r.applyStatus(hr, out)
--- a/internal/fleet/control/client/run_events.go
+++ b/internal/fleet/control/client/run_events.go
@@ -47,18 +47,18 @@
 }
 
 // handleLeaseLoss aborts the run because it can no longer hold the leases at one host. Steps at that
-// host that have no outcome count as failed. An error because the host's record can't be written is
-// ignored.
+// host that have no outcome count as failed. It ignores an error that only says that the agent can't
+// write its store.
 func (r *runner) handleLeaseLoss(hr *hostRun, e *api.Error) {
 	if e.Code == api.Unwritable {
-		return // the host answers; its steps report that its record can't be written
+		return // the host answers; its steps report that its store can't be written
 	}
 	r.machine.Abort(e.Message)
 	for i, kind := range hr.pendingSteps {
 		delete(hr.pendingSteps, i)
 		r.machine.Done(i, kind, false, e.Message)
 	}
-	// The run no longer follows the host's status, so the host counts as silent.
+	// Without the leases, follow receives no status of the host, so the host counts as silent.
 	if hr.silentSince.IsZero() {
 		hr.silentSince = time.Now()
 		r.machine.Silent(hr.agent.Host.Name, e.Message)
--- a/internal/fleet/control/client/staged.go
+++ b/internal/fleet/control/client/staged.go
@@ -74,8 +74,8 @@
 		return
 	}
 	s.judgement = s.judge.Evaluate(slot + 1)
-	for i := range s.differs {
-		for reason, n := range s.differs[i].Excluded {
+	for i := range s.windowBuilders {
+		for reason, n := range s.windowBuilders[i].Excluded {
 			s.judgement.Excluded[reason] += n
 		}
 	}
--- a/internal/fleet/control/client/staged_evidence.go
+++ b/internal/fleet/control/client/staged_evidence.go
@@ -19,10 +19,10 @@
 // evidence turns the samples of the hosts' agents into windows and passes these to the canary
 // analysis.
 type evidence struct {
-	spec        *api.Staged
-	judge       *canary.Judge
-	targetIndex map[api.Target]int
-	differs     []canary.WindowBuilder // by target index
+	spec           *api.Staged
+	judge          *canary.Judge
+	targetIndex    map[api.Target]int
+	windowBuilders []canary.WindowBuilder // by target index
 }
 
 // newEvidence returns empty evidence for an operation whose first stage started at slot start.
@@ -33,9 +33,9 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &evidence{spec: op.Staged, judge: j, targetIndex: make(map[api.Target]int), differs: make([]canary.WindowBuilder, len(op.Targets))}
+	e := &evidence{spec: op.Staged, judge: j, targetIndex: make(map[api.Target]int), windowBuilders: make([]canary.WindowBuilder, len(op.Targets))}
 	for i, t := range op.Targets {
-		e.targetIndex[t], e.differs[i] = i, canary.WindowBuilder{Slot: cfg.Slot, MaxOffset: cfg.Slot / 4}
+		e.targetIndex[t], e.windowBuilders[i] = i, canary.WindowBuilder{Slot: cfg.Slot, MaxOffset: cfg.Slot / 4}
 	}
 	return e, nil
 }
@@ -49,7 +49,7 @@
 		if !ok {
 			continue
 		}
-		if window, ok := e.differs[i].Next(sample.CanarySample(i, e.spec.Judge.Classes), e.spec.First); ok {
+		if window, ok := e.windowBuilders[i].Next(sample.CanarySample(i, e.spec.Judge.Classes), e.spec.First); ok {
 			e.judge.Add(window)
 		}
 	}
