--- a/internal/fleet/control/rollout/rollout.go
+++ b/internal/fleet/control/rollout/rollout.go
@@ -33,14 +33,15 @@
 	RollbackFailed State = "rollback failed" // the rollback failed
 )
 
-// Results of an operation.
+// Results of an operation. A rollout is stopped if too many targets or a canary failed, if
+// the change was judged worse (Trip), or if no step could begin (Stuck).
 const (
 	Succeeded          = "succeeded"
-	Stopped            = "stopped"                // too many failures, or no step could begin
-	AllRolledBack      = "rolled back"            // too many failures; every changed target was rolled back
+	Stopped            = "stopped"                // stopped; changed targets stay changed
+	AllRolledBack      = "rolled back"            // stopped; every target that the policy rolls back was rolled back
 	RollbackIncomplete = "rollback incomplete"    // a rollback failed, or a target could not be rolled back
-	Paused             = "paused"                 // too many failures; an operator may resume
-	Aborted            = "aborted"                // by an operator
+	Paused             = "paused"                 // stopped; an operator may resume
+	Aborted            = "aborted"                // by an operator, or because the operation or its leases ended at a host
 	Incomplete         = "incomplete"             // some targets have an unknown outcome or were not reached
 	SomeFailed         = "finished with failures" // no more failures than the policy allows
 )
--- a/internal/fleet/control/rollout/rollout_test.go
+++ b/internal/fleet/control/rollout/rollout_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// targets returns the targets of hosts h0, h1, ... with each targets on every host.
-func targets(hosts, each int) (out []api.Target) {
+// targets returns the targets of the given number of hosts, h0, h1, ..., with perHost targets on each.
+func targets(hosts, perHost int) (out []api.Target) {
 	for h := range hosts {
-		for i := range each {
+		for i := range perHost {
 			out = append(out, api.Target{Host: fmt.Sprint("h", h), Instance: fmt.Sprintf("h%d-%d", h, i)})
 		}
 	}
@@ -20,10 +20,11 @@
 }
 
 // play runs a script of events on the machine and returns, line by line, each event and the
-// steps that Next returned after it. An event is a word and mostly an argument, the index
-// of a target or a host: next does nothing; ok and bad end a target's change; backok and
-// backbad end its rollback; down and up report whether it is unavailable; silent, answers
-// and giveup report on a host; abort and stuck call Abort and Stuck.
+// steps that Next returned after it. An event is a word, and for some words an argument:
+// next does nothing before the call of Next; ok and bad end the change of the target with
+// the given index, and backok and backbad its rollback; down and up report whether that
+// target is unavailable; silent, answers and giveup call Silent, Answers and GiveUp for the
+// given host; abort and stuck call Abort and Stuck.
 func play(t *testing.T, m *Machine, script string) string {
 	t.Helper()
 	var out strings.Builder
@@ -126,7 +127,7 @@
 			ok 1:
 			silent h1:
 			giveup h1: end incomplete`},
-		"unavailable instances use up the budget": {func(p *api.Policy) { p.Canaries = 0 }, `
+		"unavailable instances count against MaxUnavailable": {func(p *api.Policy) { p.Canaries = 0 }, `
 			down 2: change 0
 			down 3:
 			ok 0:
