--- a/internal/fleet/stage/draw.go
+++ b/internal/fleet/stage/draw.go
@@ -192,8 +192,9 @@
 }
 
 // Sizes parses stages as operators write them, such as "1,2%,10%,50%,100%", for n
-// members. It returns how many members run the change by the end of each stage. A stage of
-// the same size as the one before is omitted. Sizes returns an error if a stage is smaller
+// members. It returns how many members run the change by the end of each stage. A percentage
+// below 100 leaves out at least one member, unless there is only one. A stage of the same size
+// as the one before is omitted. Sizes returns an error if a stage is smaller
 // than the one before, or if the last one does not include all members.
 func Sizes(text string, n int) ([]int, error) {
 	var out []int
--- a/internal/fleet/stage/stage_test.go
+++ b/internal/fleet/stage/stage_test.go
@@ -107,22 +107,22 @@
 	bad := canary.Judgement{Verdict: canary.Worse, Evidence: []canary.Evidence{{Test: canary.Test{Measure: canary.WeightedLoss}, Verdict: canary.Worse}}}
 	unclear := canary.Judgement{Verdict: canary.Inconclusive, Evidence: []canary.Evidence{{Verdict: canary.Inconclusive, Why: "too little traffic"}}}
 	observations := map[string]Observation{
-		"young":   {HistorySlots: 2, Settled: true},
-		"good":    {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}},
-		"moving":  {HistorySlots: 9, Judgement: canary.Judgement{Verdict: canary.NotWorse}},
-		"unclear": {HistorySlots: 9, Settled: true, Judgement: unclear},
-		"worse":   {HistorySlots: 9, Judgement: bad},
-		"blind":   {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}, EvidenceGap: "no evidence of h1"},
-		"bad day": {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse, Degradations: []canary.Degradation{{Measure: canary.Rejections}}}},
+		"young":     {HistorySlots: 2, Settled: true},
+		"good":      {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}},
+		"unsettled": {HistorySlots: 9, Judgement: canary.Judgement{Verdict: canary.NotWorse}},
+		"unclear":   {HistorySlots: 9, Settled: true, Judgement: unclear},
+		"worse":     {HistorySlots: 9, Judgement: bad},
+		"gap":       {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse}, EvidenceGap: "no evidence of h1"},
+		"degraded":  {HistorySlots: 9, Settled: true, Judgement: canary.Judgement{Verdict: canary.NotWorse, Degradations: []canary.Degradation{{Measure: canary.Rejections}}}},
 	}
 	plan := Plan{StageSizes: []int{1, 5, 10}, MinDuration: 2 * time.Second, MaxDuration: 4 * time.Second, Slot: time.Second, HistorySlots: 3, OnInconclusive: Hold}
 	for name, test := range map[string]struct{ script, want string }{
 		"passes":                              {"young good good good good good good good", "0:0 1:1 1:1 2:5 2:5 3:10 3:10 done"},
 		"worse stops":                         {"good good worse good", "1:1 1:1 worse worse"},
-		"waits until all targets are changed": {"good moving moving good good", "1:1 1:1 1:1 1:1 2:5"},
-		"slots with an evidence gap do not count":      {"good good blind blind good", "1:1 1:1 1:1? 1:1? 2:5"},
-		"degraded unchanged instances pause the stage": {"good good bad.day good", "1:1 1:1 1:1? 2:5"},
-		"does not begin with an evidence gap":          {"blind good", "0:0? 1:1"},
+		"waits until all targets are changed": {"good unsettled unsettled good good", "1:1 1:1 1:1 1:1 2:5"},
+		"slots with an evidence gap do not count":      {"good good gap gap good", "1:1 1:1 1:1? 1:1? 2:5"},
+		"degraded unchanged instances pause the stage": {"good good degraded good", "1:1 1:1 1:1? 2:5"},
+		"does not begin with an evidence gap":          {"gap good", "0:0? 1:1"},
 		"holds, then passes":                           {"good unclear unclear unclear unclear unclear good", "1:1 1:1 1:1 1:1 1:1! 1:1! 2:5"},
 		"an operator releases a hold":                  {"good unclear unclear unclear unclear release unclear", "1:1 1:1 1:1 1:1 1:1! 2:5 2:5"},
 		"a slot observed twice counts once":            {"good good same same good", "1:1 1:1 1:1 1:1 2:5"},
