--- a/internal/fleet/api/distribution.go
+++ b/internal/fleet/api/distribution.go
@@ -78,7 +78,7 @@
 // delayed until there is one, for Wait at most.
 type SettingsWatchIn struct {
 	Host    string `msgpack:"host"`
-	Session int64  `msgpack:"session"`
+	Session int64  `msgpack:"session"` // number of the subscriber's connection; rises with each new one of the host
 	// Interest restricts the updates. It is set in the first call of a connection.
 	Interest         *distribution.Interest  `msgpack:"interest,omitempty"`
 	State            *distribution.HostState `msgpack:"state,omitempty"` // set together with Interest
--- a/internal/fleet/api/errors.go
+++ b/internal/fleet/api/errors.go
@@ -17,7 +17,7 @@
 	LeaseHeld          = "held"       // another run holds the lease, or another operation is open on the instance
 	Fenced             = "fenced"     // the caller's token is not, or no longer, that of the lease
 	Closed             = "closed"     // the operation is closed or aborting
-	Unwritable         = "unwritable" // the agent's record can't be written; nothing was changed
+	Unwritable         = "unwritable" // the agent's store (package store) can't be written; nothing was changed
 	Internal           = "internal"
 	HelloRequired      = "hello_first" // a method was called before Hello
 )
--- a/internal/fleet/api/instances.go
+++ b/internal/fleet/api/instances.go
@@ -42,7 +42,7 @@
 type ListOut struct {
 	Agent      string     `msgpack:"agent"`
 	Now        time.Time  `msgpack:"now"`
-	Unwritable string     `msgpack:"unwritable"` // why the agent's record can't be written; "" if it can
+	Unwritable string     `msgpack:"unwritable"` // why the agent's store can't be written; "" if it can
 	Instances  []Instance `msgpack:"instances"`
 	// Returning is the progress of the host's return from a power loss, "" if it is not returning. Epoch
 	// is the number of the host's latest power loss while that is recent, otherwise 0.
--- a/internal/fleet/api/policy.go
+++ b/internal/fleet/api/policy.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Values of Policy.OnFailure: what happens after more failures than MaxFailures.
+// Values of Policy.OnFailure: what happens after more failures than MaxFailures, after the failure of a
+// canary, or once the change is judged worse.
 const (
 	OnFailureStop          = "stop"           // change no more instances
 	OnFailureRollback      = "rollback"       // change no more instances and roll back every changed one
@@ -15,7 +16,7 @@
 	Batch          int    `msgpack:"batch" json:"batch"`                     // instances in a batch
 	Canaries       int    `msgpack:"canaries" json:"canaries"`               // instances in the first batch; 0: as in the others
 	MaxUnavailable int    `msgpack:"max_unavailable" json:"max_unavailable"` // at a time
-	MaxFailures    int    `msgpack:"max_failures" json:"max_failures"`       // failed instances with which the change still continues
+	MaxFailures    int    `msgpack:"max_failures" json:"max_failures"`       // number of failed instances up to which the change continues
 	OnFailure      string `msgpack:"on_failure" json:"on_failure"`
 	// MaxHost, MaxZone and MaxShop limit the unavailable instances of one host, zone or shop. 0 sets no
 	// limit besides MaxUnavailable.
@@ -40,7 +41,7 @@
 	case p.OnFailure != OnFailureStop && p.OnFailure != OnFailureRollback && p.OnFailure != OnFailureRollbackStage && p.OnFailure != OnFailurePause:
 		return fmt.Errorf("on-failure is %q; it must be %s, %s, %s or %s", p.OnFailure, OnFailureStop, OnFailureRollback, OnFailureRollbackStage, OnFailurePause)
 	case p.MaxHost < 0 || p.MaxZone < 0 || p.MaxShop < 0:
-		return fmt.Errorf("max-host, max-zone and max-shop must be at least 0, which sets no limit")
+		return fmt.Errorf("max-host, max-zone and max-shop must be at least 0; 0 sets no limit")
 	}
 	return nil
 }
--- a/internal/fleet/api/staged.go
+++ b/internal/fleet/api/staged.go
@@ -12,10 +12,11 @@
 	Plan  stage.Plan    `msgpack:"plan" json:"plan"`
 	Judge canary.Config `msgpack:"judge" json:"judge"` // except for Start, which is set when the first stage starts
 	Seed  uint64        `msgpack:"seed" json:"seed"`   // of the order of the targets; see stage.Draw
-	// First is the boundary (Unix time over slot length) at which slot 0 begins.
+	// First is the number of the boundary at which slot 0 begins: its Unix time divided by the length of a
+	// slot.
 	First int64 `msgpack:"first" json:"first"`
 	// UnattendedRollbackDelay is how long an agent waits after the last lease of the operation has expired before it rolls
-	// back those of its instances that canary.CheckLocalHealth finds harmed. 0: it never does.
+	// back those of its instances for which canary.CheckLocalHealth returns a reason. 0: it never does.
 	UnattendedRollbackDelay time.Duration `msgpack:"alone" json:"alone"`
 }
 
