--- a/internal/fleet/release/release.go
+++ b/internal/fleet/release/release.go
@@ -267,12 +267,12 @@
 // importChunkBytes is the number of bytes that importFile reads at once.
 const importChunkBytes = 256 << 10
 
-// Prune removes stored releases. It retains those whose hashes are in used, and of the others
-// the spare most recent ones.
+// Prune removes stored releases. It retains those whose hashes are in used and, of the others,
+// the most recent ones, at most spare of them.
 func (d *Dir) Prune(used []string, spare int) error { return prune(d.path, used, spare) }
 
-// prune removes folders in path that are named by a hash. It retains those in used, and of the
-// others the spare most recent ones.
+// prune removes folders in path that are named by a hash. It retains those in used and, of the
+// others, the most recent ones, at most spare of them.
 func prune(path string, used []string, spare int) error {
 	entries, err := os.ReadDir(path)
 	if err != nil {
--- a/internal/fleet/release/release_test.go
+++ b/internal/fleet/release/release_test.go
@@ -24,9 +24,10 @@
 	return dir, root, path
 }
 
-// TestIncompleteRelease checks that a release that was not received completely can't be
-// started, however much of it was received, and that Open removes it. It also checks that
-// damage to a stored release is found and that Import repairs it.
+// TestIncompleteRelease checks that Verify does not find a release before Commit has stored it,
+// however much of it was received, that Open removes it, and that Commit rejects it if a byte is
+// missing. It also checks that Verify finds damage to a stored release and that Import repairs
+// it.
 func TestIncompleteRelease(t *testing.T) {
 	d, root, path := newDir(t, "0123456789")
 	hash, err := Hash(path, "")
