--- a/internal/fleet/store/rows.go
+++ b/internal/fleet/store/rows.go
@@ -17,8 +17,9 @@
 // The columns of each table, in the order in which the functions below write and read them.
 const (
 	InstanceColumns = "name, desired, generation, release, previous, launch, process, running, pid, ticks, boot, launched, restarts, last_exit"
-	// OperationColumns and StepColumns hold a complete operation or step in body; the other
-	// columns are for people who query the database.
+	// OperationColumns and StepColumns hold a complete api.Operation or api.Step in body. The
+	// state, result and closed columns of an operation are not part of body. The remaining
+	// columns repeat values of body, as keys and for people who query the database.
 	OperationColumns = "id, body, state, result, closed"
 	StepColumns      = "op, instance, kind, status, body"
 	LeaseColumns     = "instance, op, holder, token, granted, expires"
--- a/internal/fleet/store/sqlite/sqlite.go
+++ b/internal/fleet/store/sqlite/sqlite.go
@@ -73,13 +73,14 @@
 }
 
 // Open opens the file, creates it if there is none, and migrates its schema. maxBytes bounds the
-// size of the file, but never to less than 64 pages. Errors name the file and the next step; that
-// of a damaged file is an *UnreadableError.
+// size of the file, but never to less than 64 pages. Errors name the file. Those for a damaged file,
+// an *UnreadableError, and for one with a newer schema also say what an operator can do.
 func Open(path string, maxBytes int64) (*Store, error) {
 	return open(path, maxBytes, Version)
 }
 
-// open is Open with a schema version other than the latest, for tests of the migrations.
+// open does what Open does, but migrates the schema to the given version. Tests of the migrations
+// give older versions than the latest.
 func open(path string, maxBytes int64, version int) (*Store, error) {
 	db, err := sqlitefile.Open(path, "busy_timeout(2000)", "journal_mode(WAL)", "synchronous(FULL)", "foreign_keys(ON)", "cache_size(-256)",
 		"wal_autocheckpoint(256)", "journal_size_limit(1048576)", fmt.Sprintf("max_page_count(%d)", max(maxBytes/pageSize, minPages)))
--- a/internal/fleet/store/sqlite/sqlite_test.go
+++ b/internal/fleet/store/sqlite/sqlite_test.go
@@ -120,7 +120,7 @@
 		err = s.Commit(ctx, &store.Change{Audit: []api.AuditEntry{{Target: long}}})
 	}
 	if err == nil || !strings.Contains(err.Error(), "full") {
-		t.Fatalf("Commit of audit entries failed with %v after %d of them, want an error that says full", err, n)
+		t.Fatalf("Commit of audit entries: got error %v after %d of them, want one that says full", err, n)
 	}
 	if got, err := s.Load(ctx); err != nil || len(got.Instances) != 1 {
 		t.Errorf("Load from the full store = %+v, %v; want 1 instance", got, err)
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,6 +1,7 @@
 // Package store is the interface of an agent's store, which contains what an agent needs to
 // know after it was killed and restarted. The agent keeps all of it in memory, reads the store
-// once at its start, and writes each change to the store before it acts on the change.
+// once at its start, and writes each change to the store before it acts on the change. Error
+// messages and the operators' pages call the store the agent's record.
 //
 // A Store promises that each Change is written atomically, in the order of the calls of
 // Commit, and durably before Commit returns nil. If Commit returns an error, the change may or
--- a/internal/fleet/store/storetest/storetest.go
+++ b/internal/fleet/store/storetest/storetest.go
@@ -33,7 +33,7 @@
 }
 
 // Run checks that what was committed is loaded after a restart, and that what was dropped is
-// deleted. open must open the same, at first empty, store each time.
+// deleted. Each call of open must open the same store, which is empty before the first call.
 func Run(t *testing.T, open func() store.Store) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
