--- a/internal/fleet/distribution/applier_test.go
+++ b/internal/fleet/distribution/applier_test.go
@@ -69,10 +69,10 @@
 	applier.SetWanted(testTime.Add(time.Second), []Resource{version("a", 2), version("b", 3)})
 	at, due := applier.Due()
 	if !due || at != testTime.Add(testCoalesce) {
-		t.Fatalf("Due() = %v, %v; want the end of the coalescing delay after the first change", at, due)
+		t.Fatalf("Due() = %v, %v; want %v, the end of the coalescing delay after the first change", at, due, testTime.Add(testCoalesce))
 	}
 	if offered := versions(applier.BeginAttempt()); !slices.Equal(offered, []string{"a@2", "b@3"}) {
-		t.Errorf("Begin returned %v, want a@2 and b@3", offered)
+		t.Errorf("BeginAttempt returned %v, want a@2 and b@3", offered)
 	}
 	if _, due := applier.Due(); due || !applier.Pending() {
 		t.Error("during an attempt another one is due, or its changes are not pending")
@@ -84,7 +84,7 @@
 	}
 	applier.SetWanted(testTime.Add(time.Hour), []Resource{version("a", 4), version("b", 3)})
 	if at, due := applier.Due(); !due || at != testTime.Add(time.Hour+testCoalesce) {
-		t.Errorf("Due() after a later change = %v, %v; want the end of its coalescing delay", at, due)
+		t.Errorf("Due() after a later change = %v, %v; want %v, the end of its coalescing delay", at, due, testTime.Add(time.Hour+testCoalesce))
 	}
 }
 
@@ -148,7 +148,7 @@
 	settle(t, applier)
 	applier.SetWanted(testTime, []Resource{version("b", 2)})
 	if offered := versions(applier.BeginAttempt()); !slices.Equal(offered, []string{"b@2"}) {
-		t.Errorf("Begin after the removal of a returned %v, want b@2", offered)
+		t.Errorf("BeginAttempt after the removal of the resource a returned %v, want b@2", offered)
 	}
 	applier.EndAttempt(false, "needs a")
 	requireApplied(t, applier, []string{"a@1", "b@2"}, []string{"a@0"})
@@ -174,7 +174,7 @@
 	requireApplied(t, applier, []string{"a@1"}, nil)
 }
 
-func TestApplierRetriesAfterForgive(t *testing.T) {
+func TestApplierRetriesRejected(t *testing.T) {
 	applier := NewApplier("i", testCoalesce)
 	applier.SetWanted(testTime, []Resource{version("a", 1)})
 	settle(t, applier, "a@1")
@@ -182,7 +182,7 @@
 	later := testTime.Add(time.Hour)
 	applier.RetryRejected(later)
 	if at, due := applier.Due(); !due || at != later.Add(testCoalesce) {
-		t.Errorf("Due() after Forgive = %v, %v; want the end of the coalescing delay", at, due)
+		t.Errorf("Due() after RetryRejected = %v, %v; want %v, the end of the coalescing delay", at, due, later.Add(testCoalesce))
 	}
 	settle(t, applier)
 	requireApplied(t, applier, []string{"a@1"}, nil)
@@ -223,7 +223,7 @@
 	restored := restoreApplier(t, applier)
 	requireApplied(t, restored, []string{"a@1", "b@2"}, []string{"a@3"})
 	if _, due := restored.Due(); due || restored.Pending() {
-		t.Error("restored applier has a pending change or an attempt that is due before Want was called")
+		t.Error("restored applier has a pending change or an attempt that is due before SetWanted was called, want neither")
 	}
 	restored.SetWanted(testTime, second)
 	if restored.Pending() {
--- a/internal/fleet/distribution/bench_test.go
+++ b/internal/fleet/distribution/bench_test.go
@@ -15,11 +15,11 @@
 	return state
 }
 
-// serviceName returns the name of the service with a number.
+// serviceName returns the name of the service with the given number.
 func serviceName(n int) string { return fmt.Sprintf("service-%04d", n) }
 
-// benchInterest returns the interest of the host with a number, which has an instance of one of the
-// services with the usual labels.
+// benchInterest returns the interest of the host with the given number. The host has one instance, which
+// belongs to one of the services and has the usual labels.
 func benchInterest(n, services int) Interest {
 	return Interest{Host: hostName(n), Instances: []map[string]string{{"service": serviceName(n % services),
 		"region": hostRegion(n), "zone": hostZone(n), "host": hostName(n)}}}
--- a/internal/fleet/distribution/choose_test.go
+++ b/internal/fleet/distribution/choose_test.go
@@ -17,10 +17,10 @@
 // testRegions is the number of regions; each has three zones.
 const testRegions = 9
 
-// hostRegion returns the region of the host or relay with a number.
+// hostRegion returns the region of the host or relay with the given number.
 func hostRegion(n int) string { return fmt.Sprintf("region-%d", n%testRegions) }
 
-// hostZone returns the zone of the host or relay with a number.
+// hostZone returns the zone of the host or relay with the given number.
 func hostZone(n int) string { return fmt.Sprintf("zone-%d", n%fleetZones) }
 
 // testRelays returns the fleet's relays, spread over regions and zones if withRegions is set.
@@ -117,14 +117,14 @@
 	}
 }
 
-// 16 relays do not divide by 9 regions: seven regions have two relays and two have one, which
-// serves all hosts of its region. Half of the relays can still serve all hosts.
+// 16 relays can't be divided evenly among 9 regions: seven regions have two relays and two have one,
+// which serves all hosts of its region. Half of the relays can still serve all hosts.
 func TestChooserLoadWithRegions(t *testing.T) {
 	t.Parallel()
 	relays := testRelays(true)
 	cases := map[string]struct {
 		live  []int
-		limit float64 // multiple of the mean: by the sizes of the regions, and a tenth more for the random draw
+		limit float64 // multiple of the mean: the ratio that the regions' sizes imply, and a tenth more for the spread of the hash
 	}{
 		"all relays":                         {[]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, 1.78 * 1.1},
 		"one in each of eight regions":       {[]int{0, 1, 2, 3, 4, 5, 6, 7}, 1.1},
--- a/internal/fleet/distribution/fuzz_test.go
+++ b/internal/fleet/distribution/fuzz_test.go
@@ -56,25 +56,26 @@
 			return
 		}
 		_, relay, replica := fuzzReplicas(t)
-		checkTake(t, replica, update)
+		checkReplicaApply(t, replica, update)
 		checkPrepareUpdate(t, relay, update)
 		checkReader(t, update)
 	})
 }
 
-// checkTake requires that an update which the replica rejects leaves it unchanged, and that an accepted
-// one does not take it back, is stored and restored, and leaves no removed resource.
-func checkTake(t *testing.T, replica *Replica, update Update) {
+// checkReplicaApply requires that an update which the replica rejects leaves it unchanged. After an
+// accepted update the replica must not be at an earlier revision, must be the same when stored and
+// restored, and must hold no removed resource.
+func checkReplicaApply(t *testing.T, replica *Replica, update Update) {
 	before := replica.Clone()
 	_, err := replica.Apply(update)
 	if err != nil {
 		if before.revision != replica.revision || !maps.EqualFunc(before.resources, replica.resources, sameRevision) {
-			t.Fatalf("replica has changed although Take returned the error %v", err)
+			t.Fatalf("replica has changed although Apply returned the error %v", err)
 		}
 		return
 	}
 	if before.revision.After(replica.revision) {
-		t.Fatalf("Take moved the replica back from %v to %v", before.revision, replica.revision)
+		t.Fatalf("Apply moved the replica back from %v to %v", before.revision, replica.revision)
 	}
 	store := newDisk()
 	store.write(replica.Batch(nil))
@@ -87,13 +88,14 @@
 	}
 	for _, r := range replica.ResourcesFor("h", map[string]string{"service": "x"}) {
 		if r.Removed {
-			t.Fatalf("For returned the removed resource %s", r.Name)
+			t.Fatalf("ResourcesFor returned the removed resource %s, want none", r.Name)
 		}
 	}
 }
 
-// checkPrepareUpdate requires that an update which the relay's copy rejects leaves it unchanged, and
-// that an accepted one does not take it back, keeps the history within its limit, and can be restored.
+// checkPrepareUpdate requires that an update which the relay's copy rejects leaves it unchanged. After an
+// accepted update the copy must not be at an earlier revision, its history must be within the limit, and
+// a snapshot must be restored from its entries to the same state.
 func checkPrepareUpdate(t *testing.T, relay *State, update Update) {
 	before := relay.Revision()
 	store := newDisk()
--- a/internal/fleet/distribution/helpers_test.go
+++ b/internal/fleet/distribution/helpers_test.go
@@ -91,8 +91,8 @@
 // content returns settings that are different for each number.
 func content(number int) string { return fmt.Sprintf(`{"limits":{"in_flight":%d}}`, number) }
 
-// readComplete reads pages of bytes until the update is complete. It calls between, unless nil, after
-// each page but the last.
+// readComplete reads pages of about the given number of bytes until the update is complete. It calls
+// between, unless nil, after each page but the last.
 func readComplete(t testing.TB, state *State, reader *Reader, held Revision, interest *Interest, bytes int, between func()) Update {
 	t.Helper()
 	for range 10_000 {
@@ -117,7 +117,7 @@
 	return Update{}
 }
 
-// catchUp brings a relay's copy to the state of its source, in pages of bytes.
+// catchUp brings a relay's copy to the state of its source, in pages of about the given number of bytes.
 func catchUp(t testing.TB, source, relay *State, bytes int) {
 	t.Helper()
 	update := readComplete(t, source, NewReader(testLimits()), relay.Revision(), nil, bytes, nil)
@@ -130,12 +130,13 @@
 	}
 }
 
-// subscribe brings a subscriber's copy to the state of its relay, in pages of bytes.
+// subscribe brings a subscriber's copy to the state of its relay, in pages of about the given number of
+// bytes.
 func subscribe(t testing.TB, source *State, replica *Replica, interest Interest, bytes int) {
 	t.Helper()
 	update := readComplete(t, source, NewReader(testLimits()), replica.Revision(), &interest, bytes, nil)
 	if _, err := replica.Apply(update); err != nil {
-		t.Fatalf("Replica.Take: %v", err)
+		t.Fatalf("Replica.Apply: %v", err)
 	}
 }
 
--- a/internal/fleet/distribution/log_test.go
+++ b/internal/fleet/distribution/log_test.go
@@ -249,7 +249,7 @@
 		update  Update
 		corrupt func(*Update)
 	}{
-		"gap before the update":             {delta, func(u *Update) { u.After.Number-- }},
+		"begins before the copy's revision": {delta, func(u *Update) { u.After.Number-- }},
 		"incomplete":                        {delta, func(u *Update) { u.More = true }},
 		"earlier revision":                  {delta, func(u *Update) { u.Revision = Revision{1, 0} }},
 		"epoch without snapshot":            {delta, func(u *Update) { u.Revision.Epoch = 2 }},
--- a/internal/fleet/distribution/model_check_test.go
+++ b/internal/fleet/distribution/model_check_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// check requires what must be true after each step.
+// check requires the invariants that hold after each step.
 func (m *model) check() {
 	for _, s := range m.servers {
 		m.checkRevision(s.name, &s.reached, s.state.Revision())
@@ -38,7 +38,7 @@
 	*reached = now
 }
 
-// checkPublished requires that a log published a resource that is found in a copy.
+// checkPublished requires that a resource found in a copy is one that a log published.
 func (m *model) checkPublished(name string, r Resource) {
 	if published, ok := m.published[r.Revision]; !ok || published.Hash != r.Hash || published.Name != r.Name {
 		m.t.Fatalf("%s has the resource %+v, but the change published as that revision is %+v", name, r, published)
@@ -114,8 +114,9 @@
 	requireCounts(m.t, m.servers[m.writer].registry, Revision{}, want)
 }
 
-// checkSettled requires that an instance has every wanted revision that it accepts, and the last
-// accepted revision of the others. It reports whether the instance rejects any.
+// checkSettled requires that an instance has a rejection of every wanted revision that it rejects, has
+// accepted all other wanted revisions, and has neither for a resource that is not wanted. It reports
+// whether the instance rejects any.
 func (m *model) checkSettled(instance *modelInstance, wanted []Resource) (rejected bool) {
 	rejections := make(map[string]Revision)
 	for _, rejection := range instance.applier.Rejections() {
--- a/internal/fleet/distribution/model_subscriber_test.go
+++ b/internal/fleet/distribution/model_subscriber_test.go
@@ -86,7 +86,7 @@
 }
 
 // subscribe makes a subscriber acknowledge its state, poll its server, and apply the update once it is
-// complete. With faults messages and the write of the replica may be lost.
+// complete. With faults, messages and the write of the replica may be lost.
 func (m *model) subscribe(s *modelSubscriber, faults bool) {
 	if s.server == nil {
 		m.connect(s, m.drawServer())
@@ -108,7 +108,7 @@
 	case isFenced(err) || isInvalid(err):
 		return
 	case err != nil:
-		m.t.Fatalf("Replica.Take at subscriber %s: %v", s.interest.Host, err)
+		m.t.Fatalf("Replica.Apply at subscriber %s: %v", s.interest.Host, err)
 	case changed:
 		s.want(m.now)
 	}
@@ -175,7 +175,7 @@
 	}
 }
 
-// apply makes one attempt at an instance, if one is due. With faults the wanted settings may change
+// apply makes one attempt at an instance, if one is due. With faults, the wanted settings may change
 // during the attempt, or it may end without an answer.
 func (m *model) apply(s *modelSubscriber, instance *modelInstance, faults bool) {
 	if _, due := instance.applier.Due(); !due {
--- a/internal/fleet/distribution/model_test.go
+++ b/internal/fleet/distribution/model_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// modelHistories are the history limits to choose from. The short one causes compaction all the time.
+// modelHistories are the history limits to choose from. With the short one, most changes compact the
+// history.
 var modelHistories = []int{4, 15}
 
 // Sizes of the model.
@@ -166,7 +167,7 @@
 	return decoded
 }
 
-// deliver passes a page to a copy's reader, and returns the update once it is complete. With faults the
+// deliver passes a page to a copy's reader, and returns the update once it is complete. With faults, the
 // page may be lost, or an earlier one delivered instead.
 func (m *model) deliver(l *link, page Update, faults bool) *Update {
 	if faults {
--- a/internal/fleet/distribution/reader.go
+++ b/internal/fleet/distribution/reader.go
@@ -35,8 +35,8 @@
 }
 
 // AddPage adds a page, and returns the update once it is complete. A page of a snapshot that is not
-// the expected one arrived late: it is ignored, and the expected page is requested again. The error
-// is a *LimitError and discards the pages received so far.
+// the expected one arrived late: it is ignored, and the expected page is requested again. If the error
+// is not nil it is a *LimitError, and the pages received so far are discarded.
 func (r *Reader) AddPage(page Update) (complete *Update, err error) {
 	switch {
 	case r.assembly != nil && r.assembly.continuedBy(&page):
--- a/internal/fleet/distribution/reader_test.go
+++ b/internal/fleet/distribution/reader_test.go
@@ -36,8 +36,8 @@
 	return log
 }
 
-// A page that does not follow the previous one is ignored, such as a late page that is received after
-// the reader started again.
+// A page that does not follow the previous one is ignored, such as a late page of an update that the
+// reader has since discarded.
 func TestReaderIgnoresPageAfterGap(t *testing.T) {
 	log := snapshotLog(t)
 	interest := interestIn("h", "x")
--- a/internal/fleet/distribution/registry.go
+++ b/internal/fleet/distribution/registry.go
@@ -192,8 +192,8 @@
 	return state
 }
 
-// Reports removes and returns up to limit changed reports on the relay's own subscribers. all is
-// true if no changed reports are left.
+// Reports returns up to limit changed reports on the relay's own subscribers, which then no longer
+// count as changed. all is true if no changed reports are left.
 func (g *Registry) Reports(limit int) (reports []HostReport, all bool) {
 	for host := range g.dirty {
 		if len(reports) >= limit {
@@ -235,8 +235,8 @@
 
 // MergeReports adds another relay's reports. Of two reports on one host the one with the later
 // session is retained. position is the other relay's position, or zero while more reports follow. A
-// relay that reconnects reports all of its subscribers, and the caller calls RelayLost for it first:
-// after a restart the relay may not know its earlier subscribers.
+// relay that reconnects reports all of its subscribers. If it was restarted in the meantime the caller
+// calls RelayLost first, because the relay may not know its earlier subscribers.
 func (g *Registry) MergeReports(relay string, position Revision, reports []HostReport) {
 	if !position.IsZero() {
 		g.positions[relay] = position
--- a/internal/fleet/distribution/registry_test.go
+++ b/internal/fleet/distribution/registry_test.go
@@ -190,7 +190,7 @@
 	relay.Advance(log)
 	reports, all := relay.Reports(10)
 	if len(reports) != 1 || !all || reports[0].Host != "hx" {
-		t.Errorf("Reports = %v, %v; want the only report on hx, whose interest the change affects", reports, all)
+		t.Errorf("Reports = %v, %v; want only the report on hx, whose interest the change affects", reports, all)
 	}
 	writer.MergeReports("r1", relay.Position(), reports)
 	requireCounts(t, writer, Revision{}, counts{hosts: 2, inForce: 1, behind: 1})
@@ -265,7 +265,7 @@
 	for all := false; !all; {
 		var reports []HostReport
 		if reports, all = registry.Reports(3); len(reports) > 3 {
-			t.Errorf("Reports(3) returned %d reports", len(reports))
+			t.Errorf("Reports(3) returned %d reports, want at most 3", len(reports))
 		}
 		for _, report := range reports {
 			seen = append(seen, report.Host)
@@ -334,7 +334,7 @@
 		// The next poll continues from the empty update, without an acknowledgement.
 		poll(update.Revision)
 		if status := registry.Status(latest, 1); status.InForce != 1 {
-			t.Errorf("status after %d changes of other services is %+v, want the host in force", n+1, status)
+			t.Errorf("status after %d changes of other services is %+v, want the revision in force at the host", n+1, status)
 		}
 	}
 	if latest := publishChange("limits/more", "one"); registry.Status(latest, 1).Behind != 1 {
--- a/internal/fleet/distribution/replica_test.go
+++ b/internal/fleet/distribution/replica_test.go
@@ -12,21 +12,21 @@
 	publish(t, log, put("a", "x", content(1)))
 	snapshot, _ := log.Read(Query{Interest: &interest})
 	if changed, err := replica.Apply(snapshot); !changed || err != nil {
-		t.Fatalf("Take of a first snapshot = %v, %v; want a change", changed, err)
+		t.Fatalf("Apply of a first snapshot = %v, %v; want a change", changed, err)
 	}
 	if changed, err := replica.Apply(snapshot); changed || err != nil {
-		t.Errorf("Take of the same snapshot again = %v, %v; want no change", changed, err)
+		t.Errorf("Apply of the same snapshot again = %v, %v; want no change", changed, err)
 	}
 	publish(t, log, put("b", "y", content(1)))
 	delta, _ := log.Read(Query{After: replica.Revision(), Interest: &interest})
 	if changed, err := replica.Apply(delta); changed || err != nil || replica.Revision() != log.Revision() {
-		t.Errorf("Take of a delta without resources in the interest = %v, %v, now at %v; want no change, at %v", changed, err, replica.Revision(), log.Revision())
+		t.Errorf("Apply of a delta without resources in the interest = %v, %v, now at %v; want no change, at %v", changed, err, replica.Revision(), log.Revision())
 	}
 	if _, err := replica.Apply(delta); !isInvalid(err) {
-		t.Errorf("Take of a repeated delta: got error %v, want an InvalidError", err)
+		t.Errorf("Apply of a repeated delta: got error %v, want an InvalidError", err)
 	}
 	if _, err := replica.Apply(snapshot); !isInvalid(err) {
-		t.Errorf("Take of an earlier snapshot: got error %v, want an InvalidError", err)
+		t.Errorf("Apply of an earlier snapshot: got error %v, want an InvalidError", err)
 	}
 	requireReplica(t, log, replica, interest)
 }
@@ -47,7 +47,7 @@
 		}
 		update.Resources[len(update.Resources)-1].Content = []byte("{}")
 		if changed, err := replica.Apply(update); changed || !isInvalid(err) {
-			t.Errorf("Take of an update with a wrong hash = %v, %v; want an InvalidError", changed, err)
+			t.Errorf("Apply of an update with a wrong hash = %v, %v; want an InvalidError", changed, err)
 		}
 		if replica.Revision() != before.Revision() || !slices.Equal(replica.Names(), before.Names()) {
 			t.Errorf("after a rejected update the replica is at %v with the resources %v, want %v with %v", replica.Revision(), replica.Names(), before.Revision(), before.Names())
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestForGivesMergeOrder(t *testing.T) {
+func TestResourcesForReturnsMergeOrder(t *testing.T) {
 	log := newLog(testLimits())
 	labels := map[string]string{"service": "x", "zone": "z"}
 	interest := Interest{Host: "h", Instances: []map[string]string{labels, {"service": "y"}}}
@@ -71,7 +71,7 @@
 		names = append(names, r.Name)
 	}
 	if !slices.Equal(names, []string{"d", "b", "c", "a"}) {
-		t.Errorf("For returned the resources %v, want d, b, c, a", names)
+		t.Errorf("ResourcesFor returned the resources %v, want d, b, c, a", names)
 	}
 }
 
@@ -172,7 +172,7 @@
 	}
 	for _, r := range []*Replica{restored, again} {
 		if _, err := r.Apply(late); !isFenced(err) {
-			t.Errorf("Take of an update of the earlier epoch: got error %v, want a FencedError", err)
+			t.Errorf("Apply of an update of the earlier epoch: got error %v, want a FencedError", err)
 		}
 		subscribe(t, promoted, r, interestXY, 0)
 		requireReplica(t, promoted, r, interestXY)
--- a/internal/fleet/distribution/state_test.go
+++ b/internal/fleet/distribution/state_test.go
@@ -253,8 +253,8 @@
 	}
 }
 
-// Every state can be restored from its batches, and the loss of the last batch restores the state
-// before its step.
+// Every state can be restored from its batches, and without the batch of the last step the state before
+// that step is restored.
 func TestRestoreAfterEveryBatch(t *testing.T) {
 	limits := Limits{Resources: 10, History: 4}
 	log, store := NewState(limits), newDisk()
@@ -308,7 +308,7 @@
 	}
 	apply(log.PrepareUpdate(delta))
 	if keys := len(store.entries); keys != len(log.resources)+len(log.history)+1 {
-		t.Errorf("store has %d entries for %d resources and %d changes, want one more than both", keys, len(log.resources), len(log.history))
+		t.Errorf("store has %d entries for %d resources and %d changes, want one for each of them and one for the revision", keys, len(log.resources), len(log.history))
 	}
 }
 
