--- a/internal/fleet/distribution/node/relay_log.go
+++ b/internal/fleet/distribution/node/relay_log.go
@@ -108,7 +108,7 @@
 }
 
 // Promote makes this relay the writer, in an epoch above all that it knows. The log continues from
-// the relay's copy; changes that only the earlier writer holds are void. The error is an *api.Error
+// the relay's copy, without the changes that only the earlier writer holds. The error is an *api.Error
 // with the code api.Unwritable if the store fails.
 func (r *Relay) Promote() (*api.SettingsWriter, error) {
 	r.writing.Lock()
--- a/internal/fleet/distribution/node/relay_serve.go
+++ b/internal/fleet/distribution/node/relay_serve.go
@@ -63,7 +63,7 @@
 	}
 	query := distribution.Query{After: in.After, Began: in.SnapshotRevision, Bytes: pageBytes, Interest: &interest}
 	if update, err := r.state.Read(query); err == nil {
-		r.registry.RecordRead(in.Host, in.Session, &update) // before the wait, also for an empty update
+		r.registry.RecordRead(in.Host, in.Session, &update) // also if empty: an empty update is not returned before the wait ends
 	}
 	update, err := r.waitForUpdate(ctx, in.Wait, query)
 	if err != nil {
--- a/internal/fleet/distribution/node/subscriber.go
+++ b/internal/fleet/distribution/node/subscriber.go
@@ -106,8 +106,8 @@
 }
 
 // nextSession returns a session number above all earlier ones of the host, including those of an
-// earlier process unless the clock was set back. The caller reads the state that begins the session
-// after this call, so that no later change of the state is missed.
+// earlier process unless the clock was set back. The caller must read the state for the session's first
+// poll after this call, so that no later change of the state is missed.
 func (s *Subscriber) nextSession(now time.Time) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
