--- a/internal/fleet/canary/cell.go
+++ b/internal/fleet/canary/cell.go
@@ -1,8 +1,8 @@
 package canary
 
 // cell is one measure of one class of requests, or of all classes. For each instance it is
-// counted as events and exposure, such as failed requests and all requests; its rate is events divided by
-// exposure.
+// counted as events and exposure, such as failed requests and all requests; its rate is the
+// events divided by the exposure.
 type cell struct {
 	measure Measure
 	class   int  // allClasses, or an index into Config.Classes
@@ -45,7 +45,7 @@
 	Measure Measure `json:"measure"`
 	Class   string  `json:"class,omitempty"` // "": all
 	Zone    string  `json:"zone,omitempty"`  // "": all
-	cell    int     // index of a cell; len(Judge.cells) plus the index of a gauge for a gauge
+	cell    int     // index into Judge.cells; for a gauge, len(Judge.cells) plus its index in gauges
 	zone    int     // allZones, or an index into Judge.zoneNames
 }
 
--- a/internal/fleet/canary/coarse.go
+++ b/internal/fleet/canary/coarse.go
@@ -12,15 +12,16 @@
 
 // The limits that CheckLocalHealth applies.
 const (
-	coarseSlots          = 3    // number of latest windows that are examined; with fewer, only Crashing and Unready count
-	minCoarseRequests    = 5    // with fewer requests, serving none of them is no proof of harm
-	coarseMemoryFraction = 0.95 // fraction of the memory limit above which memory counts as used up
+	localHealthSlots       = 3    // number of latest windows that are examined; with fewer, only Crashing and Unready count
+	minLocalHealthRequests = 5    // with fewer requests, serving none of them is no proof of harm
+	usedUpMemoryFraction   = 0.95 // fraction of the memory limit above which memory counts as used up
 )
 
-// CheckLocalHealth judges a changed instance from its local health alone. An agent uses it while no
-// command holds the lease of the operation. CheckLocalHealth returns "" if the change may stay, and
-// otherwise the reason for rolling it back. It finds only harm that needs no comparison: a
-// crash loop, a failing health call, no request served, or nearly no memory left.
+// CheckLocalHealth judges a changed instance from its local health alone. An agent uses it
+// while no command holds the lease of the operation. CheckLocalHealth returns "" if the
+// change may stay, and otherwise the reason for rolling it back. It finds only harm that
+// needs no comparison: a crash loop, a failing health call, no request served, or nearly no
+// memory left.
 func CheckLocalHealth(health LocalHealth) string {
 	switch {
 	case health.Crashing:
@@ -28,8 +29,8 @@
 	case health.Unready:
 		return "its health call fails"
 	}
-	windows := health.Windows[max(0, len(health.Windows)-coarseSlots):]
-	if len(windows) < coarseSlots {
+	windows := health.Windows[max(0, len(health.Windows)-localHealthSlots):]
+	if len(windows) < localHealthSlots {
 		return ""
 	}
 	requests, served := 0.0, uint32(0)
@@ -39,10 +40,10 @@
 			served += c.Served
 		}
 	}
-	if requests >= minCoarseRequests && served == 0 {
+	if requests >= minLocalHealthRequests && served == 0 {
 		return "it serves no request"
 	}
-	if m := windows[len(windows)-1].Memory; health.Limit > 0 && float64(m) > coarseMemoryFraction*float64(health.Limit) {
+	if m := windows[len(windows)-1].Memory; health.Limit > 0 && float64(m) > usedUpMemoryFraction*float64(health.Limit) {
 		return "its memory limit is nearly used up"
 	}
 	return ""
--- a/internal/fleet/canary/config.go
+++ b/internal/fleet/canary/config.go
@@ -83,9 +83,9 @@
 	case c.Base == c.Change:
 		return fmt.Errorf("canary analysis: base and change are both release %.12s; want two different releases", c.Base)
 	case c.Slot <= 0 || c.WarmUp < 0 || c.MinGaugeAge < 0 || c.MaxSlots < 1 || c.Start < 0:
-		return fmt.Errorf("canary analysis: slot length %v, warm-up %v, settling time %v, at most %d slots, start at slot %d; want a slot length above 0, at least 1 slot, and nothing negative", c.Slot, c.WarmUp, c.MinGaugeAge, c.MaxSlots, c.Start)
+		return fmt.Errorf("canary analysis: slot length %v, warm-up %v, minimum gauge age %v, at most %d slots, start at slot %d; want a slot length above 0, at least 1 slot, and nothing negative", c.Slot, c.WarmUp, c.MinGaugeAge, c.MaxSlots, c.Start)
 	case !(c.FalseStops > 0 && c.FalseStops < 0.5):
-		return fmt.Errorf("canary analysis: rate of false stops is %v; want above 0 and below 0.5", c.FalseStops)
+		return fmt.Errorf("canary analysis: probability of a false stop is %v; want above 0 and below 0.5", c.FalseStops)
 	}
 	for m, g := range c.Margins {
 		if !(g.Tolerate > 0 && g.Exclude > g.Tolerate) {
--- a/internal/fleet/canary/differ.go
+++ b/internal/fleet/canary/differ.go
@@ -14,20 +14,21 @@
 }
 
 // WindowBuilder computes windows from the differences between successive samples of one instance.
-// It counts the slots for which it cannot compute a window. It is not safe for concurrent
-// use.
+// It counts the slots for which it cannot compute a complete window, including the
+// slot of a crash, whose window holds only the number of crashes. It is not safe for
+// concurrent use.
 type WindowBuilder struct {
 	Slot time.Duration // length of a slot; slot boundaries are the multiples of it since the Unix epoch
 	// MaxOffset is the longest time between a sample and the nearest slot boundary.
 	MaxOffset time.Duration
-	Excluded  map[Reason]int // number of slots without a window, by reason
+	Excluded  map[Reason]int // number of slots without a complete window, by reason
 	last      Sample         // the sample before, if hasLast
 	lastSlot  int64          // number of the boundary nearest to last
 	hasLast   bool
 }
 
-// Boundary returns the number n of the slot boundary that is nearest to at, and the absolute
-// time off between the two. Boundary n is n times slot after the Unix epoch.
+// Boundary returns the number n of the slot boundary that is nearest to at, and the time
+// between the two, which is never negative. Boundary n is n times slot after the Unix epoch.
 func Boundary(at time.Time, slot time.Duration) (n int64, off time.Duration) {
 	t := at.UnixNano() + int64(slot)/2
 	n = t / int64(slot)
--- a/internal/fleet/canary/estimate.go
+++ b/internal/fleet/canary/estimate.go
@@ -13,7 +13,7 @@
 	estimate       float64
 	variance       float64 // of estimate, by chance alone
 	exposure       float64 // in the present phase; for a gauge: the number of its values
-	expectedEvents float64 // in the present phase, if the excess were exactly Margin.Tolerate
+	expectedEvents float64 // in the present phase, if the excess were exactly Margin.Tolerate; for a gauge: minEvents
 	seenEvents     float64 // in the present phase
 }
 
@@ -53,9 +53,9 @@
 // minDriftInstances is the minimum number of unchanged instances for estimating drift.
 const minDriftInstances = 3
 
-// drift is how much instances change relative to their own history by themselves: the
-// variance of their estimates beyond chance. It is known only if there are at least
-// minDriftInstances unchanged instances.
+// drift is how much instances change by themselves, relative to their own history: the
+// variance of the estimates of unchanged instances beyond chance. It is known only if there
+// are at least minDriftInstances of them.
 type drift struct {
 	variance float64
 	known    bool
--- a/internal/fleet/canary/judge.go
+++ b/internal/fleet/canary/judge.go
@@ -5,9 +5,9 @@
 //
 // Time is divided into slots, and a window holds the counts of one instance in one slot. The
 // rate of each instance is compared with the rate of the unchanged instances of its zone in
-// the same slots, after multiplying the latter by a factor: how many times as high the
-// instance's rate was before the change. The excess of the changed instances is then
-// tested against the excess of the unchanged ones. Neither a bad minute at the servers nor an
+// the same slots, after multiplying the latter by the ratio of the two rates before the
+// change. The excess of the changed instances is then tested against the excess of the
+// unchanged ones. Neither a bad minute at the servers nor an
 // instance that was always worse therefore looks like an effect of the change. The bounds
 // hold under repeated evaluation (see bound.go), over all measures together.
 //
@@ -27,9 +27,9 @@
 	zoneOf             []int                      // of each instance, an index into zoneNames
 	slots              [][]*storedWindow          // by slot and instance; nil: no window
 	arms               []arm                      // of each instance
-	excluded           map[Reason]int             // by Add and Exclude
+	excluded           map[Reason]int             // windows excluded by Add and Exclude, by reason
 	unpairedWindows    int                        // windows of changed instances without a window of an unchanged one in the same zone and slot
-	aggregatedSlots    int                        // the fields below, and unpairedWindows, hold the sums of the slots before this one
+	aggregatedSlots    int                        // arms, unpairedWindows and the fields below are computed from the slots before this one
 	totals             [][]totals                 // by cell and instance
 	noise              []noise                    // by cell
 	usualFactor        [][]float64                // by cell and instance: its rate before Start as a multiple of its zone's
--- a/internal/fleet/canary/judge_test.go
+++ b/internal/fleet/canary/judge_test.go
@@ -17,7 +17,7 @@
 
 // fleet returns the configuration and the windows of a small simulated fleet: instances in two
 // zones, of which the first ones run the change from slot 20 on. harm, if not nil, edits each
-// window.
+// window; isNew reports whether the window is of an instance that runs the change.
 func fleet(instances, changed, slots int, seed uint64, harm func(w *canary.Window, zone int, isNew bool, slot int)) (canary.Config, []canary.Window) {
 	c := canary.Config{Classes: []string{"activate", "status"}, Weights: []float64{10, 1}, Base: "old", Change: "new", Start: 20,
 		Slot: 10 * time.Second, FalseStops: 0.01, MaxSlots: 200, Zones: make([]string, instances)}
@@ -191,7 +191,7 @@
 			j.Add(windows[n])
 		}
 		if got := j.Evaluate(len(windows)); !reflect.DeepEqual(got, want) {
-			t.Fatalf("Evaluate() of shuffled windows = %+v\nin order = %+v", got, want)
+			t.Fatalf("Evaluate() of shuffled windows = %+v\nwant the same as in order: %+v", got, want)
 		}
 	})
 }
@@ -241,16 +241,16 @@
 	harms := simulation.Harms()
 	for seed := range uint64(12) {
 		if at := simulation.Run(60, harms[0], seed)[simulation.Sequential]; at >= 0 {
-			t.Errorf("seed %d: a harmless change was stopped after %d slots", seed, at)
+			t.Errorf("seed %d: a harmless change was stopped after %d slots, want it never stopped", seed, at)
 		}
 		if at := simulation.Run(60, harms[3], seed)[simulation.Sequential]; at < 0 {
-			t.Errorf("seed %d: a change with the harm %q was not stopped", seed, harms[3].Name)
+			t.Errorf("seed %d: a change with the harm %q was never stopped, want it stopped", seed, harms[3].Name)
 		}
 	}
 }
 
 // A WindowBuilder returns the window between two samples of successive boundaries, and counts the
-// slots that have none.
+// slots without a complete one.
 func TestDiffer(t *testing.T) {
 	const slot = 10 * time.Second
 	at := func(n int, off time.Duration) time.Time { return time.Unix(int64(10*n), 0).Add(off) }
@@ -291,7 +291,8 @@
 	}
 }
 
-// CheckLocalHealth returns the reason for rolling an instance back, and none with fewer than three windows.
+// CheckLocalHealth returns the reason for rolling an instance back. Fewer than three windows
+// are never such a reason.
 func TestCoarse(t *testing.T) {
 	threeWindows := func(served, failed uint32, memory uint64) (out []canary.Window) {
 		for range 3 {
@@ -307,10 +308,10 @@
 		"its memory limit is nearly used up": {Windows: threeWindows(1, 0, 99), Limit: 100},
 	} {
 		if got := canary.CheckLocalHealth(health); got != want {
-			t.Errorf("Coarse(%+v) = %q, want %q", health, got, want)
+			t.Errorf("CheckLocalHealth(%+v) = %q, want %q", health, got, want)
 		}
 	}
 	if got := canary.CheckLocalHealth(canary.LocalHealth{Windows: threeWindows(0, 3, 0)[:2]}); got != "" {
-		t.Errorf("Coarse() with two windows = %q, want \"\"", got)
+		t.Errorf("CheckLocalHealth() with two windows = %q, want \"\"", got)
 	}
 }
--- a/internal/fleet/canary/verdict.go
+++ b/internal/fleet/canary/verdict.go
@@ -28,7 +28,7 @@
 	// Usual is the rate of the unchanged instances over all slots; 0 for a gauge.
 	Usual     float64 `json:"usual"`
 	Changed   int     `json:"changed"`   // number of changed instances
-	Unchanged int     `json:"unchanged"` // number of unchanged instances, with those that were changed in a later stage
+	Unchanged int     `json:"unchanged"` // number of unchanged instances, including those that were changed in a later stage
 	Exposure  float64 `json:"exposure"`  // of the changed instances: requests, attempts or minutes; values of a gauge
 	// Needs is the factor by which Exposure must grow for an excess of Margin.Exclude to be
 	// ruled out, if the estimate stays the same; 0: more exposure does not help or is not
