--- a/internal/fleet/canary/simulation/harm.go
+++ b/internal/fleet/canary/simulation/harm.go
@@ -3,9 +3,9 @@
 // Harm is what an instance does worse once it is changed.
 type Harm struct {
 	Name string // shown to users, who select a harm by it
-	// Lost is the fraction of the otherwise served requests that is lost, of those of Class
-	// (an index; anyClass: all classes) at the instances in Zone (an index; anyZone: all
-	// zones).
+	// Lost is the fraction of the otherwise served requests that is lost. It applies to the
+	// requests of Class at the instances in Zone; both are indices, or anyClass for all
+	// classes and anyZone for all zones.
 	Lost          float64
 	Class, Zone   int
 	ExtraAttempts float64 // additional attempts per request
--- a/internal/fleet/canary/simulation/plot.go
+++ b/internal/fleet/canary/simulation/plot.go
@@ -12,8 +12,8 @@
 
 // Plot draws the fraction of runs that were stopped, over the time since the change started,
 // for the fleets of one size: for each method a solid line without harm and a dashed line with
-// the named harm. It writes the file path, whose extension selects the format: .svg, .png or
-// .pdf. It returns an error if rows has no result of this size.
+// the named harm. It writes the plot to path, whose extension selects the format: .svg, .png or
+// .pdf. It returns an error if rows has no result to draw.
 func Plot(rows []Result, size int, harm, path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d instances: fraction of changes stopped", size)
--- a/internal/fleet/canary/simulation/simulation.go
+++ b/internal/fleet/canary/simulation/simulation.go
@@ -1,7 +1,7 @@
 // Package simulation runs the canary analysis of package canary on synthetic fleets, and two
 // simpler methods of judging a change for comparison. It reports how often each method stops a
-// harmless change, and how soon it stops a harmful one. It is a tool for checking the analysis
-// and is used by no sidecar, agent or change. The same seed gives the same runs.
+// harmless change, and how soon it stops a harmful one. It is a tool for checking the analysis;
+// no sidecar, agent or actual change uses it. The same seed gives the same runs.
 //
 // The instances of a simulated fleet differ by more than an order of magnitude in traffic, and
 // each has its own usual loss: the fraction of its requests that is rejected or fails. Losses
@@ -92,15 +92,15 @@
 	var results []Result
 	for s, size := range sizes {
 		for h, harm := range harms {
-			var ofRuns []StopSlots
+			var matching []StopSlots // of the runs with this size and harm
 			for n, j := range jobs {
 				if j.size == s && j.harm == h {
-					ofRuns = append(ofRuns, stops[n])
+					matching = append(matching, stops[n])
 				}
 			}
 			for _, method := range Methods {
 				result := Result{Instances: size, Harm: harm.Name, Method: method}
-				result.summarize(ofRuns)
+				result.summarize(matching)
 				results = append(results, result)
 			}
 		}
