--- a/internal/fleetsim/powerloss.go
+++ b/internal/fleetsim/powerloss.go
@@ -14,7 +14,7 @@
 	Zones             int           // number of zones, at most len(zoneNames)
 	Queue             int           // Server.QueueLimit
 	Load              float64       // ratio of the demand to the full capacity of all servers
-	Spread            time.Duration // servers restart within this time, sidecars within the same time after it
+	Spread            time.Duration // servers restart within this time, and sidecars within an equal time after that
 	SlowStart         SlowStart
 	UniformWork       bool    // Server.UniformWork
 	Clients           Clients // clients of each sidecar
@@ -32,9 +32,10 @@
 // zoneNames lists the names of the zones.
 var zoneNames = []string{"a", "b", "c", "d", "e", "f"}
 
-// SiteConfig returns the configuration of the model's Balancers for a fleet of instances
-// sidecars. It has an idempotent, a keyed and a non-idempotent class, in ascending order of
-// weight. limits is how long a client waits, by class, with its retries.
+// SiteConfig returns the configuration of the model's Balancers. instances is the number of
+// sidecars in the fleet. The configuration has an idempotent, a keyed and a non-idempotent
+// class, in ascending order of weight. limits is how long a client waits for an answer, by
+// class, including its retries.
 func SiteConfig(instances int, slowStart SlowStart) (cfg martendrum.Config, limits []time.Duration) {
 	cfg = martendrum.Config{
 		Instances: instances,
@@ -97,8 +98,8 @@
 
 // startServers starts the servers at the places after those of the sidecars.
 func (r *powerLossRun) startServers() {
-	capacityPerRate := r.Load / r.Clients.Rate
-	serviceTime := time.Duration(serverWorkers * float64(time.Second) * capacityPerRate * float64(r.Servers) / float64(r.Sidecars))
+	loadPerRate := r.Load / r.Clients.Rate
+	serviceTime := time.Duration(serverWorkers * float64(time.Second) * loadPerRate * float64(r.Servers) / float64(r.Sidecars))
 	for i := range r.Servers {
 		place := r.Sidecars + i
 		server := &Server{
@@ -221,9 +222,9 @@
 // AllClasses stands for all classes in the methods of PowerLossResult.
 const AllClasses = -1
 
-// ServedFraction returns the fraction, by weight, of requests that were served in time, of those
-// of a class (or AllClasses) that were first sent in the given number of seconds from firstSecond
-// on. It is 0 if there were none.
+// ServedFraction considers the requests of a class (or AllClasses) that were first sent in the
+// given number of seconds from firstSecond on. It returns the fraction of them, by weight, that
+// was served in time, 0 if there were none.
 func (r PowerLossResult) ServedFraction(class, firstSecond, seconds int) float64 {
 	offered, served := 0.0, 0.0
 	for second := firstSecond; second < firstSecond+seconds; second++ {
@@ -244,8 +245,8 @@
 	// recoveryWindow is the number of seconds whose served fraction decides whether a fleet has
 	// recovered.
 	recoveryWindow = 3
-	// secondsBeforeEnd is the number of seconds at the end of a run that are left out, because
-	// their requests may still be open.
+	// secondsBeforeEnd is the number of seconds at the end of a run in which no window begins,
+	// because requests from the last seconds may still be open.
 	secondsBeforeEnd = 5
 )
 
--- a/internal/fleetsim/return_capacity_test.go
+++ b/internal/fleetsim/return_capacity_test.go
@@ -20,14 +20,14 @@
 					for b.Loop() {
 						loss := platformPowerLoss(size, size/sidecarsPerServer, uint64(seed)).withRecovery()
 						loss.EnableGossip, loss.Workers = enableGossip, capacityWorkers
-						returned := loss.Run()
-						seconds := returned.RecoveredAt(-1, 0.9)
+						result := loss.Run()
+						seconds := result.RecoveredAt(-1, 0.9)
 						if seconds < 0 {
 							b.Fatalf("got no time within %v at which nine tenths of the offered requests, weighted by class, are served; want one", loss.Until)
 						}
 						b.ReportMetric(float64(seconds), "s-to-nine-tenths")
-						b.ReportMetric(returned.BytesPerSecond, "sent-B/s")
-						b.ReportMetric(float64(returned.Crashes), "servers-fallen")
+						b.ReportMetric(result.BytesPerSecond, "sent-B/s")
+						b.ReportMetric(float64(result.Crashes), "servers-fallen")
 					}
 				})
 			}
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -16,7 +16,7 @@
 	InitialFraction  float64       // fraction of its capacity that a server has when it starts
 	Duration         time.Duration // time until the server has its full capacity
 	OverloadFactor   float64       // load, as a multiple of the present capacity, that crashes the server
-	OverloadDuration time.Duration // if the server receives that load for this long
+	OverloadDuration time.Duration // how long the server must receive that load to crash
 }
 
 // capacityFraction returns the fraction of its full capacity that a server of the given age has.
@@ -160,7 +160,7 @@
 
 // overloaded records an arrival and reports whether it crashes the server. A server in slow start
 // crashes if more than N + 3 sqrt(N) + 3 attempts arrive within OverloadDuration, where N is the
-// number that it can bear in that time.
+// number of attempts in that time at a load of OverloadFactor.
 func (s *Server) overloaded(now time.Duration) bool {
 	age := now - s.started
 	if age >= s.SlowStart.Duration {
@@ -171,8 +171,8 @@
 	for len(s.recentArrivals) > 0 && now-s.recentArrivals[0] > s.SlowStart.OverloadDuration {
 		s.recentArrivals = s.recentArrivals[1:]
 	}
-	bearable := s.SlowStart.OverloadFactor * s.Capacity() * s.SlowStart.capacityFraction(age) * s.SlowStart.OverloadDuration.Seconds()
-	return float64(len(s.recentArrivals)) > bearable+3*math.Sqrt(bearable)+3
+	tolerated := s.SlowStart.OverloadFactor * s.Capacity() * s.SlowStart.capacityFraction(age) * s.SlowStart.OverloadDuration.Seconds()
+	return float64(len(s.recentArrivals)) > tolerated+3*math.Sqrt(tolerated)+3
 }
 
 // Out implements Node.
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -17,7 +17,7 @@
 	Tally Tally
 
 	config     martendrum.Config
-	limits     []time.Duration // by class: how long a client waits, with its retries
+	limits     []time.Duration // by class: how long a client waits for an answer, including its retries
 	clients    Clients
 	balancer   *martendrum.Balancer
 	peer       *peers.Node      // nil: no gossip
@@ -33,11 +33,12 @@
 	servers  map[string]int // places of servers by name
 }
 
-// burstSpread is the time from a sidecar's start within which the waiting requests arrive.
+// burstSpread is the time from a sidecar's start within which the requests that wait for it
+// arrive (see Clients.Burst).
 const burstSpread = 200 * time.Millisecond
 
-// NewSidecar returns a sidecar that starts at now. limits is how long a client waits, by class,
-// with its retries. peer and controller may be nil.
+// NewSidecar returns a sidecar that starts at now. limits is how long a client waits for an
+// answer, by class, including its retries. peer and controller may be nil.
 func NewSidecar(now time.Duration, cfg martendrum.Config, limits []time.Duration, clients Clients, rng *rand.Rand, peer *peers.Node, controller BoundsController) *Sidecar {
 	s := &Sidecar{
 		config:     cfg,
@@ -169,8 +170,8 @@
 	request.inFlight++
 }
 
-// Cancel implements martendrum.Host. The server still executes the attempt, which is the worse
-// case.
+// Cancel implements martendrum.Host. The server still executes the attempt: the model
+// assumes the worst case.
 func (s *Sidecar) Cancel(id martendrum.RequestID, index int) {
 	if request := s.requests[id]; request != nil && index < len(request.attemptsDone) {
 		s.deferred = append(s.deferred, func() { s.finishAttempt(request, index, martendrum.Cancelled) })
