--- a/internal/fleet/canary/judge.go
+++ b/internal/fleet/canary/judge.go
@@ -7,14 +7,14 @@
 // rate of each instance is compared with the rate of the unchanged instances of its zone in
 // the same slots, after multiplying the latter by the ratio of the two rates before the
 // change. The excess of the changed instances is then tested against the excess of the
-// unchanged ones. Neither a bad minute at the servers nor an
-// instance that was always worse therefore looks like an effect of the change. The bounds
-// hold under repeated evaluation (see bound.go), over all measures together.
+// unchanged ones. Neither a short disturbance at the servers nor an instance that was always
+// worse therefore looks like an effect of the change. The bounds hold under repeated
+// evaluation (see bound.go), over all measures together.
 //
 // Guarantees: the order in which windows are added does not matter; a window that is added
 // twice counts once; windows that cannot be compared are excluded and counted by reason,
 // never estimated. Harm that affects changed and unchanged instances alike is not guaranteed
-// to be found: it is reported as a Degradation, which is a reason to wait.
+// to be found; where it is, it is reported as a Degradation, which is a reason to wait.
 package canary
 
 // Judge holds the windows of one change, at most Config.MaxSlots for each instance, and
