--- a/internal/fleet/canary/judge.go
+++ b/internal/fleet/canary/judge.go
@@ -5,16 +5,16 @@
 //
 // Time is divided into slots, and a window holds the counts of one instance in one slot. The
 // rate of each instance is compared with the rate of the unchanged instances of its zone in
-// the same slots, after multiplying the latter by a factor: how many times as high the
-// instance's rate was before the change. The excess of the changed instances is then
-// tested against the excess of the unchanged ones. Neither a bad minute at the servers nor an
-// instance that was always worse therefore looks like an effect of the change. The bounds
-// hold under repeated evaluation (see bound.go), over all measures together.
+// the same slots, after multiplying the latter by the ratio of the two rates before the
+// change. The excess of the changed instances is then tested against the excess of the
+// unchanged ones. Neither a short disturbance at the servers nor an instance that was always
+// worse therefore looks like an effect of the change. The bounds hold under repeated
+// evaluation (see bound.go), over all measures together.
 //
 // Guarantees: the order in which windows are added does not matter; a window that is added
 // twice counts once; windows that cannot be compared are excluded and counted by reason,
 // never estimated. Harm that affects changed and unchanged instances alike is not guaranteed
-// to be found: it is reported as a Degradation, which is a reason to wait.
+// to be found; where it is, it is reported as a Degradation, which is a reason to wait.
 package canary
 
 // Judge holds the windows of one change, at most Config.MaxSlots for each instance, and
@@ -27,9 +27,9 @@
 	zoneOf             []int                      // of each instance, an index into zoneNames
 	slots              [][]*storedWindow          // by slot and instance; nil: no window
 	arms               []arm                      // of each instance
-	excluded           map[Reason]int             // by Add and Exclude
+	excluded           map[Reason]int             // windows excluded by Add and Exclude, by reason
 	unpairedWindows    int                        // windows of changed instances without a window of an unchanged one in the same zone and slot
-	aggregatedSlots    int                        // the fields below, and unpairedWindows, hold the sums of the slots before this one
+	aggregatedSlots    int                        // arms, unpairedWindows and the fields below are computed from the slots before this one
 	totals             [][]totals                 // by cell and instance
 	noise              []noise                    // by cell
 	usualFactor        [][]float64                // by cell and instance: its rate before Start as a multiple of its zone's
