--- a/internal/msgpackrpc/failure_test.go
+++ b/internal/msgpackrpc/failure_test.go
@@ -129,7 +129,7 @@
 		peer.Close()
 		n := <-received
 		if n != cut {
-			t.Errorf("connection cut after %d bytes: the peer received %d", cut, n)
+			t.Errorf("connection cut after %d bytes: the peer received %d bytes, want %d", cut, n, cut)
 		}
 		complete, part := n/size, min(1, n%size)
 		if calls[SentCompletely] != complete || calls[SentPart] != part || calls[SentNone] != 3-complete-part {
--- a/internal/msgpackrpc/limits.go
+++ b/internal/msgpackrpc/limits.go
@@ -11,7 +11,7 @@
 	Depth       int           // maximum nesting of arrays and maps in one message; default 32
 	Outstanding int           // maximum number of open requests; default 1,024
 	Queued      int           // maximum bytes waiting to be written; default 4 MiB
-	Receive     time.Duration // timeout of receiving a message, from its first byte to its last; default 10 s
+	Receive     time.Duration // timeout for receiving a message, from its first byte to its last; default 10 s
 	Send        time.Duration // timeout of a write, after which the peer counts as hung and the connection ends; default 10 s
 	Idle        time.Duration // timeout between messages while no request is open; 0: none
 }
@@ -40,8 +40,8 @@
 }
 
 // Errors of an invalid message. When one is received, the connection ends, because the position of
-// the next message is unknown or can't be trusted. ErrTooLong is also the error of a message of this
-// side that is over the limit and therefore not sent.
+// the next message is unknown or can't be trusted. ErrTooLong is also returned for an
+// outgoing message over the limit, which is not sent.
 var (
 	ErrTooLong = errors.New("msgpackrpc: message over the limit of bytes")
 	ErrTooDeep = errors.New("msgpackrpc: message nested deeper than the limit")
--- a/internal/msgpackrpc/object.go
+++ b/internal/msgpackrpc/object.go
@@ -91,14 +91,15 @@
 }
 
 // layout describes what follows a type byte. If lengthBytes is not 0, the other fields depend on the
-// length, and layoutOfLength returns them.
+// value of the length field, and layoutOfLength returns them.
 type layout struct {
-	lengthBytes int    // size of the big-endian length of the body or number of elements
+	lengthBytes int    // size of the big-endian field with the length of the body or the number of elements
 	body        uint64 // number of bytes of data
 	children    uint64 // number of nested objects; a map has two for each entry
 }
 
-// layoutOf returns the layout of objects with a type byte.
+// layoutOf returns the layout of objects whose type byte is code. An invalid type byte is an error that
+// wraps ErrFormat.
 func layoutOf(code byte) (layout, error) {
 	switch {
 	case code <= 0x7f, code >= 0xe0: // fixint
@@ -134,7 +135,8 @@
 	}
 }
 
-// layoutOfLength returns what follows a length of n, for a type byte whose layout has length bytes.
+// layoutOfLength returns the layout of what follows the length field of an object, whose type byte is
+// code and whose length field has the value n.
 func layoutOfLength(code byte, n uint64) layout {
 	switch {
 	case code >= 0xde: // map
--- a/internal/msgpackrpc/rpc_test.go
+++ b/internal/msgpackrpc/rpc_test.go
@@ -101,7 +101,7 @@
 		conn := dial(t, addr)
 		io.WriteString(conn, in)
 		if name == "id twice while open" {
-			continue // see TestDuplicateOpenID
+			continue // echo may answer the first request before the second is read; TestDuplicateOpenID checks this case
 		}
 		if b, err := io.ReadAll(conn); len(b) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: got response %q, error %v; want the connection closed without a response", name, b, err)
@@ -168,7 +168,7 @@
 	// A result of another type than the caller expects is an error of that call only.
 	var n int
 	if err := c.Call(testContext(t), "other", nil, &n); err == nil {
-		t.Error("call whose result has another type than expected: got no error")
+		t.Error("call whose result has another type than expected: got no error, want one")
 	}
 }
 
@@ -188,7 +188,7 @@
 	}
 	second := dialClient(t, addr, Limits{})
 	if err := second.Call(testContext(t), "m", nil, nil); err == nil {
-		t.Error("call on a connection over Server.Conns: got no error")
+		t.Error("call on a connection over Server.MaxConns: got no error, want one")
 	}
 	if err := c.Notify("told", nil); err != nil {
 		t.Fatal("Notify:", err)
--- a/internal/msgpackrpc/server_conn.go
+++ b/internal/msgpackrpc/server_conn.go
@@ -32,7 +32,7 @@
 func (s *Server) serve(conn net.Conn) error {
 	limits := s.Limits.withDefaults()
 	peer := &Peer{Conn: conn}
-	if err := s.welcome(peer, limits); err != nil {
+	if err := s.callOnConnect(peer, limits); err != nil {
 		return err
 	}
 	c := &serverConn{
@@ -47,8 +47,8 @@
 	return c.run()
 }
 
-// welcome calls Server.OnConnect, if set, with a deadline of Limits.Receive on the connection.
-func (s *Server) welcome(peer *Peer, limits Limits) error {
+// callOnConnect calls Server.OnConnect, if set, with a deadline of Limits.Receive on the connection.
+func (s *Server) callOnConnect(peer *Peer, limits Limits) error {
 	if s.OnConnect == nil {
 		return nil
 	}
@@ -104,7 +104,7 @@
 			// The peer could confuse two responses with one id, so neither is sent.
 			return fmt.Errorf("%w: msgid %d of an open request was used again", ErrFormat, id)
 		}
-		c.slots <- struct{}{} // released by handlers, which end with ctx
+		c.slots <- struct{}{} // waits for a handler to return if all slots are in use
 		c.handlers.Go(func() {
 			defer func() { <-c.slots }()
 			c.respond(ctx, request, id)
@@ -128,7 +128,8 @@
 		return
 	}
 	data := encodeResponse(request.Method, id, result, err, c.limits)
-	// The peer may use the id again once the response is queued, and not before.
+	// The id is released before the response is queued, because the peer may use it again as soon as it
+	// receives the response.
 	c.mu.Lock()
 	delete(c.open, id)
 	c.mu.Unlock()
@@ -142,7 +143,7 @@
 	if err == nil {
 		var encoded []byte
 		if encoded, err = msgpack.Marshal(result); err == nil && len(encoded)+len(head)+1 > limits.Message {
-			err = fmt.Errorf("%s: an answer of %d bytes: %w", method, len(encoded), ErrTooLong)
+			err = fmt.Errorf("%s: a result of %d bytes: %w", method, len(encoded), ErrTooLong)
 		}
 		if err == nil {
 			return append(append(head, codeNil), encoded...)
--- a/internal/msgpackrpc/writer.go
+++ b/internal/msgpackrpc/writer.go
@@ -154,7 +154,8 @@
 			w.queued -= len(next.data)
 			continue
 		}
-		// From now on all bytes may be sent. After the write, recordSent sets what was sent.
+		// Until the write returns, any number of bytes may have been sent, so all of them are assumed to be.
+		// Then recordSent corrects this to what was sent.
 		next.sent = SentCompletely
 		batch = append(batch, next)
 		bytes += len(next.data)
