--- a/cmd/martendrum/change.go
+++ b/cmd/martendrum/change.go
@@ -78,7 +78,7 @@
 }
 
 // selectInstances adds the instance names in args to the selection. It returns an error if the
-// selection is invalid, and if there is either no selection and no --all, or both.
+// selection is invalid, if there is neither a selection nor --all, or if there are both.
 func (r *rollingFlags) selectInstances(args []string) error {
 	r.selection.Instances = append(r.selection.Instances, args...)
 	if r.selection.Empty() == !r.all {
--- a/cmd/martendrum/list.go
+++ b/cmd/martendrum/list.go
@@ -42,8 +42,8 @@
 }
 
 // printInstances prints the instances of hosts. It returns an error with the exit code
-// exitUnreachable if no host answered, and with exitPartial if some didn't or can't write their
-// record.
+// exitUnreachable if no host answered, and with exitPartial if some hosts didn't answer or the agents
+// of some can't write their records.
 func printInstances(g *globalFlags, hosts []client.HostState) error {
 	if g.json {
 		if err := printJSON(hosts); err != nil {
@@ -87,7 +87,7 @@
 }
 
 // instanceNote returns the note on an instance: the reason for its state, the operation that holds
-// it, and whether its store of record is unavailable.
+// it, and whether its idempotency store is unavailable.
 func instanceNote(i *api.Instance) string {
 	note := i.Reason
 	if i.Operation != "" {
--- a/cmd/martendrum/operations.go
+++ b/cmd/martendrum/operations.go
@@ -18,8 +18,8 @@
 	return []*cobra.Command{operationsCommand(g), reportCommand(g), resumeOperationCommand(g), abortCommand(g)}
 }
 
-// onOperation completes a command whose only argument is the ID of an operation: it opens the fleet
-// and calls do.
+// onOperation completes a command whose only argument is the ID of an operation. The command opens the
+// fleet and calls do.
 func (g *globalFlags) onOperation(c *cobra.Command, do func(c *cobra.Command, fleet *client.Fleet, id string) error) *cobra.Command {
 	c.GroupID, c.Args = "op", cobra.ExactArgs(1)
 	c.RunE = func(c *cobra.Command, args []string) error {
@@ -115,7 +115,8 @@
 }
 
 // mergeOperations merges the operations that each agent of the fleet has returned. An operation that
-// is open at any agent is open. Open operations come first, and within each group the newest.
+// is open at any agent is open. Open operations come before closed ones, and within each group newer
+// ones before older ones.
 func mergeOperations(fleet *client.Fleet, byAgent []api.OpsOut) []*listedOperation {
 	byID := make(map[string]*listedOperation)
 	for n, out := range byAgent {
--- a/cmd/martendrum/plot.go
+++ b/cmd/martendrum/plot.go
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// setRange derives the vertical range from the later half of the estimates: the earliest bounds are
-// so wide that they would hide the rest.
+// setRange derives the vertical range from the margins and the later half of the estimates. The bounds
+// are not used, because the earliest ones are so wide that they would hide the rest.
 func (s *evidenceSeries) setRange(p *plot.Plot) {
 	limit := 3 * s.first.Margin.Exclude
 	for _, estimate := range s.estimates[len(s.estimates)/2:] {
--- a/cmd/martendrum/record.go
+++ b/cmd/martendrum/record.go
@@ -21,14 +21,14 @@
 	timeout    time.Duration // of the whole command
 }
 
-// withStore opens the store, calls do and closes the store, all within the timeout. With exclusive, no
-// other process may have a SQLite file open. An error without an exit code gets exitUnreachable,
+// withStore opens the store, calls do and closes the store, all within the timeout. With exclusive, it
+// opens a SQLite file as the file's owner, which fails while a sidecar owns it. An error without an exit code gets exitUnreachable,
 // unless it is one of the store's configuration.
 func (r *recordFlags) withStore(c *cobra.Command, exclusive bool, do func(ctx context.Context, store idempotency.Backend) error) error {
 	config, err := storeconfig.Load(r.configPath)
 	if err != nil {
 		if errors.Is(err, os.ErrNotExist) {
-			err = fmt.Errorf("%w: name the sidecar's file for its store with --config", err)
+			err = fmt.Errorf("%w: name the store's configuration file with --config", err)
 		}
 		return err
 	}
--- a/cmd/martendrum/staged_follow.go
+++ b/cmd/martendrum/staged_follow.go
@@ -163,7 +163,7 @@
 }
 
 // describeNote returns the progress of a staged change and its latest verdicts as text. note is nil
-// before the first stage, and staged for an operation without stages.
+// before the first stage. staged is nil for an operation without stages.
 func describeNote(note *api.Note, staged *api.Staged) string {
 	if staged == nil {
 		return "not a staged change\n"
--- a/cmd/martendrum/staged_plan.go
+++ b/cmd/martendrum/staged_plan.go
@@ -14,7 +14,7 @@
 // detectableHarm is the smallest harm by one measure that a stage is likely to detect.
 type detectableHarm struct {
 	Measure  canary.Measure `json:"measure"`
-	Smallest float64        `json:"smallest"` // is detected with a probability of one half if the stage lasts its longest; infinite if none is
+	Smallest float64        `json:"smallest"` // detected with a probability of one half by the end of the stage's maximum duration; infinite if no harm is
 }
 
 // plannedStage is a stage as a dry run prints it.
--- a/cmd/martendrum/staged_start.go
+++ b/cmd/martendrum/staged_start.go
@@ -30,7 +30,7 @@
 	analysis                          canary.Config
 	margins                           []string
 	seed                              uint64
-	unattended                        time.Duration // until agents without a command take back a change that plainly fails; 0: never
+	unattended                        time.Duration // how long agents wait without a command before they roll back their harmed instances; 0: they never do
 }
 
 // startCommand returns the command that starts a staged change.
@@ -170,11 +170,11 @@
 	return err
 }
 
-// minHistorySlots is the smallest number of slots before the change whose metrics are used.
+// minHistorySlots is the minimum number of slots before the change that the analysis covers.
 const minHistorySlots = 60
 
 // staged returns the configuration of the stages and of the canary analysis for a change to a release.
-// Its slot 0 is before the change, so that the analysis uses the history of the instances too.
+// Slot 0 of the analysis is before the change, so that it uses the history of the instances too.
 func (r *stagedFlags) staged(release string) *api.Staged {
 	r.analysis.Change = release
 	r.plan.Slot = r.analysis.Slot
