--- a/cmd/martendrum/record.go
+++ b/cmd/martendrum/record.go
@@ -22,8 +22,8 @@
 }
 
 // withStore opens the store, calls do and closes the store, all within the timeout. With exclusive, it
-// opens a SQLite file as the file's owner, which fails while a sidecar owns it. An error without an exit code gets exitUnreachable,
-// unless it is one of the store's configuration.
+// opens a SQLite file as the file's owner, which fails while a sidecar owns it. An error without an
+// exit code gets exitUnreachable, unless it is one of the store's configuration.
 func (r *recordFlags) withStore(c *cobra.Command, exclusive bool, do func(ctx context.Context, store idempotency.Backend) error) error {
 	config, err := storeconfig.Load(r.configPath)
 	if err != nil {
