--- a/internal/standin/faultnet/faultnet.go
+++ b/internal/standin/faultnet/faultnet.go
@@ -1,5 +1,5 @@
 // Package faultnet relays TCP connections and UDP datagrams on loopback and injects network
-// faults, for tests. It needs no privileges. It can refuse and reset connections, stall them in one
+// faults, for tests. It needs no privileges. It can reset connections, new or open, stall them in one
 // or both directions while they stay open, delay data, cut a connection in the middle of a
 // message, lose and duplicate datagrams, and remove the faults again.
 //
@@ -31,10 +31,12 @@
 // Fault is the set of faults of a link, or of one direction between two members of a Mesh. The
 // zero Fault has none.
 type Fault struct {
-	// Drop refuses new connections and resets those that are open; datagrams are lost.
+	// Drop resets new connections right after they are accepted, and those that are open; datagrams
+	// are lost.
 	Drop bool
-	// Stall keeps connections open and relays nothing in these directions. Data that is sent
-	// during the stall arrives after its end; datagrams are lost. In a Mesh any direction stalls.
+	// Stall keeps connections open and relays nothing in the given directions. Data that is sent
+	// during the stall arrives after its end; datagrams are lost. In a Mesh, a Stall of either
+	// direction loses all datagrams from the one member to the other.
 	Stall Direction
 	// Delay delays each piece of data that is read from a connection, and each datagram, by this
 	// time plus a random time of up to Jitter. The order is preserved within a connection;
@@ -67,14 +69,14 @@
 	links  map[string]*Link // by name
 	meshes []*Mesh
 	script []Step         // the steps that have not been performed
-	marks  map[string]int // how many times each event was reported
+	counts map[string]int // how many times each event was reported
 	wg     sync.WaitGroup
 	closed bool
 }
 
 // New returns a Net without links.
 func New(seed uint64, script ...Step) *Net {
-	return &Net{rng: rand.New(rand.NewPCG(seed, 2)), links: make(map[string]*Link), script: script, marks: make(map[string]int)}
+	return &Net{rng: rand.New(rand.NewPCG(seed, 2)), links: make(map[string]*Link), script: script, counts: make(map[string]int)}
 }
 
 // dialTimeout bounds the time to connect to the address that a link relays to.
@@ -114,8 +116,8 @@
 	return l, nil
 }
 
-// add adds a link that relays to an address in a network. It sets no listener; a prefix unix: of the
-// address replaces the network.
+// add adds a link that relays to an address in a network, or to a Unix socket if the address has the
+// prefix unix:. The caller sets the link's listener.
 func (n *Net) add(name, to, network string) (*Link, error) {
 	if len(to) > 5 && to[:5] == "unix:" {
 		network, to = "unix", to[5:]
@@ -160,9 +162,9 @@
 // returns.
 func (n *Net) ReportEvent(event string) {
 	n.mu.Lock()
-	n.marks[event]++
+	n.counts[event]++
 	n.mu.Unlock()
-	n.performDue(func(s *Step) bool { return s.On == event && n.marks[event] >= max(1, s.Times) })
+	n.performDue(func(s *Step) bool { return s.On == event && n.counts[event] >= max(1, s.Times) })
 }
 
 // performDue performs the steps that are due and removes them from the script. due is called with n.mu
--- a/internal/standin/faultnet/link.go
+++ b/internal/standin/faultnet/link.go
@@ -28,7 +28,8 @@
 	order        []string            // the addresses in peers, the oldest first
 }
 
-// connPair is a relayed connection: from the process that connected, and to the one that listens.
+// connPair is a relayed connection: the one that was accepted (from) and the one to the link's target
+// (to).
 type connPair struct {
 	from, to net.Conn
 	once     sync.Once
--- a/internal/standin/faultnet/udp.go
+++ b/internal/standin/faultnet/udp.go
@@ -11,8 +11,8 @@
 // isEOF reports whether err is the regular end of the data.
 func isEOF(err error) bool { return errors.Is(err, io.EOF) }
 
-// maxPeers is the number of senders whose answers a UDP link can relay. A further sender replaces
-// the one that was added first.
+// maxPeers is the number of senders to which a UDP link can relay the target's answers. A further
+// sender replaces the one that was added first.
 const maxPeers = 256
 
 // relayDatagrams relays datagrams from any sender to the link's target until the link is closed. Each
@@ -109,7 +109,7 @@
 		buf := make([]byte, 64<<10)
 		for {
 			n, err := c.Read(buf)
-			if err != nil && !errors.Is(err, syscall.ECONNREFUSED) { // no process listens at the target yet
+			if err != nil && !errors.Is(err, syscall.ECONNREFUSED) { // ECONNREFUSED: no process listens at the target yet
 				return
 			}
 			if err == nil {
--- a/internal/standin/tcp/tcp.go
+++ b/internal/standin/tcp/tcp.go
@@ -29,7 +29,7 @@
 	return ln.Addr().String()
 }
 
-// Requests is Serve for HTTP/1.1. It calls handle for the n-th request of connection conn, both from 0.
+// Requests is Serve for HTTP/1.1. It calls handle for request n of connection conn, both counted from 0.
 // handle writes the response to c, and returns false to close the connection. The request's body is
 // not read ahead.
 func Requests(t testing.TB, handle func(conn, n int, c net.Conn, r *http.Request) bool) (addr string) {
