--- a/internal/standin/pgserver/pgserver_test.go
+++ b/internal/standin/pgserver/pgserver_test.go
@@ -374,8 +374,8 @@
 }
 
 // TestRawBytes checks the order of the server's messages against PostgreSQL's manual, with a client that
-// sends bytes: after an error the server ignores the rest of a pipeline until Sync. It also sends
-// invalid start-up messages and a message of an unknown type.
+// writes the bytes of each message itself: after an error the server ignores the rest of a pipeline
+// until Sync. It also sends invalid start-up messages and a message of an unknown type.
 func TestRawBytes(t *testing.T) {
 	s := startServer(t, Config{})
 	c := startSession(t, s)
@@ -394,7 +394,7 @@
 		{string(message('B', "\x00none\x00\x00\x00\x00\x00\x00\x00")) + execute + sync, "EZ"},
 		{string(message('C', "S\x00")) + bind + sync, "3EZ"},
 		{string(message('Q', "BEGIN\x00")) + string(message('Q', "COMMIT\x00")), "CZ"},
-		{"", "CZ"},
+		{"", "CZ"}, // the reply to COMMIT, the second message of the row above
 		{string(message('Q', "COMMIT\x00")), "NCZ"},
 		{string(message('F', "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00")) + sync, "EZ"},
 		{string(message('X', "")), "."},
@@ -413,13 +413,13 @@
 		io.WriteString(c, startup)
 		c.(*net.TCPConn).CloseWrite()
 		if got := readUntilReady(t, c); strings.Contains(got, "Z") {
-			t.Errorf("invalid start-up message %q was accepted: got messages %s", startup, got)
+			t.Errorf("invalid start-up message %q was accepted: got messages %s, want none of type Z", startup, got)
 		}
 		c.Close()
 	}
 	c = startSession(t, s)
 	io.WriteString(c, "?\x00\x00\x00\x05x")
 	if got := readUntilReady(t, c); strings.Contains(got, "Z") {
-		t.Errorf("message of an unknown type was accepted: got messages %s", got)
+		t.Errorf("message of an unknown type was accepted: got messages %s, want none of type Z", got)
 	}
 }
--- a/internal/standin/pgserver/session.go
+++ b/internal/standin/pgserver/session.go
@@ -21,7 +21,7 @@
 // others.
 type session struct {
 	srv     *Server
-	raw, nc net.Conn // the TCP connection, and the same or the TLS connection over it
+	raw, nc net.Conn // raw is the TCP connection; nc is the TLS connection over it or, without TLS, raw
 	backend *pgproto3.Backend
 	db      *sql.Conn
 	types   *pgtype.Map   // caches encoding plans without a lock, so sessions can't share one
--- a/internal/standin/pgserver/sql.go
+++ b/internal/standin/pgserver/sql.go
@@ -62,7 +62,7 @@
 	space bool // there is white space before the token
 }
 
-// is reports whether the token is a keyword or name, in upper or lower case.
+// is reports whether the token is the given word, in upper or lower case.
 func (t token) is(word string) bool { return strings.EqualFold(t.text, word) }
 
 // tokenize splits SQL into tokens. It returns an error for a quoted text without an end.
@@ -350,7 +350,7 @@
 	return types, nil
 }
 
-// registerFunctions registers, once, the PostgreSQL functions that this repository uses with SQLite. The
+// registerFunctions registers with SQLite, once, the PostgreSQL functions that this repository uses. The
 // first argument of clock_timestamp and current_setting is the server's id, which translate adds.
 var registerFunctions = sync.OnceValue(func() error {
 	serverOf := func(args []driver.Value) (*Server, error) {
