--- a/internal/standin/shop/shop.go
+++ b/internal/standin/shop/shop.go
@@ -25,7 +25,7 @@
 	mu          sync.Mutex
 	runs        map[string]int // executions by Req-Id
 	list        []endpoint
-	index       int           // of the current version of the list
+	index       int           // version of the list, counted from 1
 	listChanged chan struct{} // closed at the next change of the list
 	srvs        []*http.Server
 	addrs       []string
@@ -33,7 +33,7 @@
 	wg          sync.WaitGroup
 }
 
-// New starts n servers and a discovery service. The servers handle each request for the duration work and
+// New starts n servers and a discovery service. The servers take the time work to handle a request, and
 // answer with its Req-Id and their name.
 func New(n int, work time.Duration) (*Shop, error) {
 	return NewWith(n, func(s *Shop, name string, w http.ResponseWriter, r *http.Request) {
@@ -45,7 +45,7 @@
 	})
 }
 
-// endpoint is a server in the discovery's list.
+// endpoint is a server in the discovery service's list.
 type endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -80,7 +80,7 @@
 	s.listChanged = make(chan struct{})
 }
 
-// CountRun counts an execution of the request with an ID.
+// CountRun counts an execution of the request with the given Req-Id.
 func (s *Shop) CountRun(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,7 +181,7 @@
 
 // FreeAddr returns a loopback address, host:port, at which a sidecar can listen. The port is free now.
 // The IP address is derived from n and the process ID, so that within a process it is used only by the
-// callers with this n, and no connection of others takes the port before the sidecar listens. n is 0 to
+// callers with this n, and no other connection takes the port before the sidecar listens. n is 0 to
 // 65,000; n and n+32,000 give the same IP address.
 func FreeAddr(n int) (string, error) {
 	pid := os.Getpid()
@@ -210,7 +210,7 @@
 }
 
 // configTemplate is a sidecar's configuration; the values to fill in are the sidecar's name, its address,
-// the address of its admin endpoint and the discovery's address.
+// the address of its admin endpoint and the discovery service's address.
 const configTemplate = `{
  "name": %q, "listen": %q, "mgmt": %q, "discovery": %q, "seed": "1f",
  "limits": {"cores": 1, "memory_mb": 64, "sockets": 128},
--- a/internal/standin/shop/slowstart.go
+++ b/internal/standin/shop/slowstart.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// SlowStart simulates servers with slow start; its method Serve is an argument of NewWith. Each server
+// SlowStart simulates servers with slow start; its method Serve is passed to NewWith. Each server
 // has a few workers and a short queue, and its capacity grows linearly after a start. A server
 // that receives more than the overload rule allows during slow start fails permanently: it rejects
 // all requests until Restart. The rule: within Window, a server may receive Factor times the
@@ -36,7 +36,8 @@
 	failed   bool
 }
 
-// Restart simulates a restart of all servers at a time: they are in slow start, and none has failed.
+// Restart simulates a restart of all servers at the given time: they are in slow start, and none has
+// failed.
 func (r *SlowStart) Restart(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +85,7 @@
 	return s, time.Duration(float64(r.Work) / capacityShare), true
 }
 
-// Serve handles a request to the server with a name. It is an argument of NewWith.
+// Serve handles a request to the server with the given name. It is passed to NewWith as serve.
 func (r *SlowStart) Serve(s *Shop, name string, w http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("Req-Id")
 	io.Copy(io.Discard, request.Body)
