--- a/internal/fleet/canary/judge_test.go
+++ b/internal/fleet/canary/judge_test.go
@@ -251,7 +251,7 @@
 
 // A WindowBuilder returns the window between two samples of successive boundaries, and counts the
 // slots without a complete one.
-func TestDiffer(t *testing.T) {
+func TestWindowBuilder(t *testing.T) {
 	const slot = 10 * time.Second
 	at := func(n int, off time.Duration) time.Time { return time.Unix(int64(10*n), 0).Add(off) }
 	type sample struct {
@@ -293,7 +293,7 @@
 
 // CheckLocalHealth returns the reason for rolling an instance back. Fewer than three windows
 // are never such a reason.
-func TestCoarse(t *testing.T) {
+func TestCheckLocalHealth(t *testing.T) {
 	threeWindows := func(served, failed uint32, memory uint64) (out []canary.Window) {
 		for range 3 {
 			out = append(out, canary.Window{Classes: []canary.Counts{{Served: served, Failed: failed}}, Memory: memory})
