--- a/internal/fleet/e2e/agent_capacity_test.go
+++ b/internal/fleet/e2e/agent_capacity_test.go
@@ -64,7 +64,8 @@
 }
 
 // reportMeanUsage reports the mean usage of processes as metrics that begin with name. CPU usage is
-// averaged over the time between the two readings, before and after; the rest is as read after it.
+// averaged over the elapsed time between the readings before and after; memory and descriptors are
+// those of the second reading.
 func reportMeanUsage(b *testing.B, name string, before, after []measure.Usage, elapsed time.Duration) {
 	b.Helper()
 	var processor time.Duration
--- a/internal/fleet/e2e/agent_failure_test.go
+++ b/internal/fleet/e2e/agent_failure_test.go
@@ -37,7 +37,7 @@
 			died := true
 			for at := 1; died; at++ {
 				if at > 60 {
-					t.Fatal("the agent still reaches its crash point at write 60; an operation should need at most 20 writes")
+					t.Fatal("the agent still reaches its crash point at write 60, want fewer writes; an operation is expected to need at most 20")
 				}
 				died = w.restartWithCrash(at, c.after)
 				if t.Failed() {
@@ -207,8 +207,9 @@
 	}
 }
 
-// afterStepBegins returns a progress callback that calls act once the operation has begun a step on
-// an instance of the host and the agent has stored it, or after 200 ms.
+// afterStepBegins returns a progress callback. When the operation begins a step on an instance of
+// the host, the callback waits until the agent has stored the step, for 200 ms at most, and then
+// calls act.
 func (w *world) afterStepBegins(h *host, operation string, act func()) func(client.Event) {
 	return func(e client.Event) {
 		if e.Kind != "begin" || e.Host != h.name {
--- a/internal/fleet/e2e/api_test.go
+++ b/internal/fleet/e2e/api_test.go
@@ -128,7 +128,7 @@
 	}
 	// An unknown field of a newer client is ignored.
 	if err := c.Call(ctx, api.List, []any{map[string]any{"later": 1}}, nil); err != nil {
-		t.Errorf("list with an unknown field: %v", err)
+		t.Errorf("list with an unknown field: got error %v, want none", err)
 	}
 	if e := remoteError(c.Call(ctx, api.List, []any{1, 2}, nil)); e.Code != api.InvalidParams {
 		t.Errorf("list with two parameters: got error %+v, want code %s", e, api.InvalidParams)
@@ -172,7 +172,7 @@
 		t.Errorf("abort by a viewer: got error %v, want code %s and the role \"operate\"", err, api.Forbidden)
 	}
 	if err := viewer.Call(ctx, api.List, api.Empty{}, nil); err != nil {
-		t.Errorf("list by a viewer: %v", err)
+		t.Errorf("list by a viewer: got error %v, want none", err)
 	}
 	if err := dial("ca", "nobody", "host").Call(ctx, api.List, api.Empty{}, nil); errorCode(err) != api.Forbidden {
 		t.Errorf("list with a certificate without a role: got error %v, want code %s", err, api.Forbidden)
@@ -189,7 +189,7 @@
 	if nc, err := tls.Dial("tcp", address, &tls.Config{RootCAs: pool}); err == nil {
 		nc.SetDeadline(now.Add(eventuallyTimeout))
 		if _, err := nc.Read(make([]byte, 1)); err == nil {
-			t.Error("the agent answered a client without a certificate")
+			t.Error("the agent answered a client without a certificate, want it to reject the connection")
 		}
 		nc.Close()
 	}
--- a/internal/fleet/e2e/chain_capacity_test.go
+++ b/internal/fleet/e2e/chain_capacity_test.go
@@ -41,15 +41,17 @@
 	direct          = "/status-check/direct"
 )
 
-// discoveryStandIn is a discovery service for tests. It sends a list of servers, then an empty line
-// each second, as the platform's discovery does, and the changes of the list that a test passes.
+// discoveryStandIn is a discovery service for tests. Like the platform's discovery, it sends a list
+// of servers and then an empty line each second. Between those it sends the changes of the list that
+// a test passes to it.
 type discoveryStandIn struct {
 	completeList []byte
 	changes      chan []byte
 	end          chan struct{} // closed to end all watches
 }
 
-// ServeHTTP implements http.Handler. Each change goes to one watch only.
+// ServeHTTP implements http.Handler. A request watches the list until it ends; each change goes to
+// one of the watches only.
 func (d *discoveryStandIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	flusher := w.(http.Flusher)
 	ticker := time.NewTicker(time.Second)
@@ -253,7 +255,7 @@
 	return nil
 }
 
-// latencies holds the results of calls through a chain, all the same way.
+// latencies holds the results of calls through a chain, either all through sidecars or all direct.
 type latencies struct {
 	mu     sync.Mutex
 	took   []time.Duration // latencies of the successful calls
@@ -309,9 +311,9 @@
 	return sidecars, withoutSidecars
 }
 
-// BenchmarkChainCapacity sends calls through a chain of seven applications, once with a sidecar
-// process in front of each and once without, for server lists of different lengths. Run it with
-// -benchtime=1x.
+// BenchmarkChainCapacity sends calls through a chain of seven applications, at the same time through
+// a sidecar process in front of each and directly, for server lists of different lengths. Run it
+// with -benchtime=1x.
 func BenchmarkChainCapacity(b *testing.B) {
 	for _, servers := range capacitySizes(b, *chainServers) {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/internal/fleet/e2e/command_capacity_test.go
+++ b/internal/fleet/e2e/command_capacity_test.go
@@ -79,7 +79,8 @@
 
 // BenchmarkReloadCapacity measures the process of one command that reloads all instances of a fleet
 // at once, with one simulated instance on each host. It also reports the heap and the descriptors
-// that each simulated agent takes. Run it with -benchtime=1x, and with -count for more samples.
+// that each of the agents, which run in this process, takes. Run it with -benchtime=1x, and with
+// -count for more samples.
 func BenchmarkReloadCapacity(b *testing.B) {
 	for _, hosts := range capacitySizes(b, *capacityHosts) {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
@@ -97,8 +98,8 @@
 	}
 }
 
-// BenchmarkListCapacity measures the process of one command that only lists all instances of such a
-// fleet.
+// BenchmarkListCapacity measures the process of one command that only lists all instances of a
+// fleet, with one simulated instance on each host.
 func BenchmarkListCapacity(b *testing.B) {
 	for _, hosts := range capacitySizes(b, *capacityHosts) {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
--- a/internal/fleet/e2e/lease_test.go
+++ b/internal/fleet/e2e/lease_test.go
@@ -13,9 +13,9 @@
 	"martendrum/internal/fleet/control/client"
 )
 
-// Two operators start operations on the same instances at the same time: one gets the lease, the
-// other gets an error that names the lease holder, and each instance is changed by one of them
-// only.
+// Two operators start operations on the same instances at the same time. At least one succeeds. One
+// that gets no lease gets an error that names the other operation and a lease holder. No generation
+// of an instance is launched twice.
 func TestConcurrentOperatorsExcludeEachOther(t *testing.T) {
 	s := simulate(t, 3, 2, 5*time.Millisecond, 5*time.Millisecond, nil)
 	ctx := context.Background()
@@ -74,7 +74,7 @@
 	}
 	// The lease holder stalls before its first step, after it, after its second one, and before its
 	// operation's end.
-	for stalls := range 4 {
+	for stage := range 4 {
 		op := s.newOperation(api.ActRestart)
 		open := func(o api.Operation, holder string, ttl time.Duration) (out api.OpenOut) {
 			if err := a.Call(ctx, api.OpOpen, &api.OpenIn{Operation: o, LeaseHolder: holder, TTL: ttl}, &out); err != nil {
@@ -83,7 +83,7 @@
 			return out
 		}
 		stalled := open(op, "stalled", 300*time.Millisecond)
-		for n := range min(stalls, 2) {
+		for n := range min(stage, 2) {
 			if err := a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: stalled.Token, Instance: op.Targets[n].Instance, Kind: api.Change}, nil); err != nil {
 				t.Fatalf("starting step %d: %v", n, err)
 			}
@@ -93,7 +93,7 @@
 		}
 		wait(op.ID, func(out *api.OpOut) bool { return out.LeaseHolder == "" }) // the lease has expired
 		var current api.OpenOut
-		if stalls%2 == 0 { // another lease holder resumes the operation, or aborts it and opens its own
+		if stage%2 == 0 { // another lease holder resumes the operation, or aborts it and opens its own
 			current = open(op, "other", time.Minute)
 		} else {
 			if err := a.Call(ctx, api.OpAbort, &api.AbortIn{Op: op.ID}, nil); err != nil {
@@ -107,15 +107,15 @@
 				for _, target := range op.Targets {
 					err := a.Call(ctx, api.StepStart, &api.StepIn{Op: id, Token: stalled.Token, Instance: target.Instance, Kind: api.Change}, nil)
 					if e, ok := errors.AsType[*api.Error](err); !ok || e.Code != api.Fenced && e.Code != api.Closed {
-						t.Errorf("stalled at stage %d: step of %s with the expired token: got error %v, want code %s or %s", stalls, id, err, api.Fenced, api.Closed)
+						t.Errorf("stalled at stage %d: step of %s with the expired token: got error %v, want code %s or %s", stage, id, err, api.Fenced, api.Closed)
 					}
 				}
 			}
 		}
 		before := len(s.hosts[0].Launches())
-		checkFenced(t, a, op, stalled.Token, stalls)
+		checkFenced(t, a, op, stalled.Token, stage)
 		if n := len(s.hosts[0].Launches()); n != before {
-			t.Errorf("stalled at stage %d: calls with the expired token caused %d launches, want 0", stalls, n-before)
+			t.Errorf("stalled at stage %d: calls with the expired token caused %d launches, want 0", stage, n-before)
 		}
 		if err := a.Call(ctx, api.OpClose, &api.CloseIn{Op: op.ID, Token: current.Token, Result: "done"}, nil); err != nil {
 			t.Fatalf("closing operation %s: %v", op.ID, err)
@@ -123,16 +123,16 @@
 	}
 }
 
-// checkFenced checks that the agent rejects the steps of an operation, and its other calls, with an
-// expired token.
-func checkFenced(t *testing.T, a *client.Agent, op api.Operation, token int64, stalls int) {
+// checkFenced checks that the agent rejects calls with an expired token: the steps of an operation,
+// its end and the renewal of its lease. stage is the stage at which the lease holder stalled.
+func checkFenced(t *testing.T, a *client.Agent, op api.Operation, token int64, stage int) {
 	t.Helper()
 	ctx := context.Background()
 	for _, target := range op.Targets {
 		for _, kind := range []string{api.Change, api.Rollback} {
 			err := a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: token, Instance: target.Instance, Kind: kind}, nil)
 			if e, ok := errors.AsType[*api.Error](err); !ok || e.Code != api.Fenced {
-				t.Errorf("stalled at stage %d: %s step on %s: got error %v, want code %s", stalls, kind, target.Instance, err, api.Fenced)
+				t.Errorf("stalled at stage %d: %s step on %s: got error %v, want code %s", stage, kind, target.Instance, err, api.Fenced)
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 		api.OpStatus: &api.StatusIn{Op: op.ID, Token: token, TTL: time.Minute},
 	} {
 		if e, ok := errors.AsType[*api.Error](a.Call(ctx, method, in, nil)); !ok || e.Code != api.Fenced {
-			t.Errorf("stalled at stage %d: call of %s: got error %v, want code %s", stalls, method, e, api.Fenced)
+			t.Errorf("stalled at stage %d: call of %s: got error %v, want code %s", stage, method, e, api.Fenced)
 		}
 	}
 }
--- a/internal/fleet/e2e/powerloss_clients_test.go
+++ b/internal/fleet/e2e/powerloss_clients_test.go
@@ -41,8 +41,8 @@
 	timeout       time.Duration // from the first attempt
 }{{"status-check", 0.5, 1, 3 * time.Second}, {"id-register", 0.3, 3, 2500 * time.Millisecond}, {"activate", 0.2, 10, 2500 * time.Millisecond}}
 
-// startClients starts clients that send requests to each instance, perSecond per second on average,
-// until stopAndWait.
+// startClients starts clients that send requests until stopAndWait. Each instance gets perSecond
+// requests per second on average, not counting retries.
 func (w *recoveryWorld) startClients(perSecond float64) *retryingClients {
 	clients := &retryingClients{stop: make(chan struct{}), killed: make(map[string][]time.Time), notIdempotent: make(map[string]bool)}
 	for _, h := range w.hosts {
@@ -81,8 +81,8 @@
 	r.wg.Wait()
 }
 
-// sendUntilServed sends request n to an instance. It retries while no instance accepts the request
-// or the status is 503, until the request's deadline.
+// sendUntilServed sends request n to an instance. It retries while the instance does not accept the
+// request or the status is 503, until the request's deadline.
 func (r *retryingClients) sendUntilServed(name, addr string, n, class int) {
 	began := time.Now()
 	end := began.Add(requestClasses[class].timeout)
--- a/internal/fleet/e2e/powerloss_test.go
+++ b/internal/fleet/e2e/powerloss_test.go
@@ -279,7 +279,7 @@
 	var token int64
 	for at := 1; at <= 8; at++ {
 		for _, after := range []string{"", "1"} {
-			t.Logf("power loss at write %d; after it (else before): %v", at, after != "")
+			t.Logf("power loss at write %d; after the write instead of before it: %v", at, after != "")
 			if token == 0 {
 				token = w.openOperation(op, opt.LeaseHolder)
 			}
@@ -308,5 +308,5 @@
 			}
 		}
 	}
-	t.Error("the recovery makes more than 8 writes; the test covers only the first 8")
+	t.Error("the recovery makes more than 8 writes, want at most 8, which are all that the test covers")
 }
--- a/internal/fleet/e2e/powerloss_world_test.go
+++ b/internal/fleet/e2e/powerloss_world_test.go
@@ -30,12 +30,13 @@
 	rank      map[string]int // by instance: its number among all sidecars, from 0
 }
 
-// sizeFromEnv returns the integer value of an environment variable, or usual if it has none.
-func sizeFromEnv(name string, usual int) int {
+// sizeFromEnv returns the integer value of an environment variable, or defaultSize if the variable
+// holds no integer.
+func sizeFromEnv(name string, defaultSize int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return usual
+	return defaultSize
 }
 
 // newRecoveryWorld writes the configuration of a recoveryWorld with 100 ms between the waves of
@@ -170,7 +171,7 @@
 }
 
 // verdict returns the verdict that a sidecar has logged on whether its peers stayed up, "" while it
-// has none.
+// has none, which the sidecar logs as "open".
 func (w *recoveryWorld) verdict(name string) string {
 	text := strings.ReplaceAll(w.log(name), "verdict=open", "")
 	_, rest, _ := strings.Cut(text, "verdict=")
--- a/internal/fleet/e2e/scale_test.go
+++ b/internal/fleet/e2e/scale_test.go
@@ -26,7 +26,7 @@
 )
 
 // reportMemory reports the memory that this process, which runs all agents and the client, has
-// from the operating system.
+// obtained from the operating system.
 func reportMemory(b *testing.B) {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -53,7 +53,7 @@
 // soak times.
 func BenchmarkRollingRestart200(b *testing.B) {
 	s := simulate(b, 20, 10, simReady, simDrain, nil)
-	gates := time.Duration(200/simBatch) * (simDrain + simReady + simSoak)
+	batchTimes := time.Duration(200/simBatch) * (simDrain + simReady + simSoak)
 	for b.Loop() {
 		op := s.newOperation(api.ActRestart)
 		op.Soak = simSoak
@@ -63,7 +63,7 @@
 		if err != nil || !rep.OK() {
 			b.Fatalf("restart: report %+v, error %v, want success", rep, err)
 		}
-		b.ReportMetric(100*(float64(time.Since(began))/float64(gates)-1), "%-on-top-of-gates")
+		b.ReportMetric(100*(float64(time.Since(began))/float64(batchTimes)-1), "%-on-top-of-gates")
 	}
 	reportMemory(b)
 }
@@ -106,9 +106,9 @@
 	}
 }
 
-// BenchmarkAgentAtRest runs a real agent with ten real sidecars, at its default interval of health
-// calls, for 20 s and reports its resident memory and its CPU usage: with metrics collected every
-// 10 s, the default, every second, and not at all.
+// BenchmarkAgentAtRest runs a real agent with ten real sidecars, at the default interval of health
+// calls, for 20 s and reports the agent's resident memory and CPU usage. The agent collects metrics
+// every 10 s, which is the default, every second, or not at all.
 func BenchmarkAgentAtRest(b *testing.B) {
 	for _, slot := range []string{"10s", "1s", "0s"} {
 		b.Run("figures="+slot, func(b *testing.B) { agentAtRest(b, slot) })
--- a/internal/fleet/e2e/settings_crash_test.go
+++ b/internal/fleet/e2e/settings_crash_test.go
@@ -17,8 +17,8 @@
 const crashingLimit = 77
 
 // crashingEnv is the environment variable that makes this test's program run crashingSidecar, with
-// the path of the sidecar's program. It replaces a shell script, which may miss a signal while it
-// waits.
+// the path of the sidecar's program. A shell script could run the sidecar instead, but may miss a
+// signal while it waits.
 const crashingEnv = "E2E_CRASHING_SIDECAR"
 
 // crashingSidecar runs a sidecar and forwards signals to it. A SIGHUP that would apply a
--- a/internal/fleet/e2e/settings_operation_test.go
+++ b/internal/fleet/e2e/settings_operation_test.go
@@ -94,8 +94,8 @@
 	w.waitInForce(later, 2)
 	w.waitBodyLimit(w.bodyLimit(free.instances[0]), []string{instance})
 
-	// A reload step finishes before deferred settings are applied, even if the lease expires before
-	// the step ends.
+	// A reload step finishes before deferred settings are applied. The agent defers them during the
+	// step even if the lease has expired by then, which is not tried here.
 	operation, token = w.openOperation(held, api.ActReload, 0)
 	w.startStep(held, operation, token, instance)
 	last := w.publish("limits/all", memoryLimit(96))
@@ -141,8 +141,8 @@
 	if status := w.waitStep(h, operation, instance); status != api.StepOK {
 		w.t.Errorf("undrain step: status %s, want %s", status, api.StepOK)
 	}
-	// The new process starts with the settings accepted before the drain, so the status must no longer
-	// count its host as one where the revision is in force.
+	// The new process starts with the settings accepted before the drain, so the status must no
+	// longer count its host as one where the revision is in force.
 	eventually(w.t, "a status that does not count "+h.name+" as up to date", func() bool {
 		out, ok := w.status(w.writer(), last)
 		return ok && out.Status.InForce == len(w.hosts)-1
--- a/internal/fleet/e2e/settings_rejected_test.go
+++ b/internal/fleet/e2e/settings_rejected_test.go
@@ -110,6 +110,6 @@
 	if _, errs, code := w.command("change", "publish", "limits/bad", "--remove"); code != 0 {
 		t.Fatalf("martendrum change publish limits/bad --remove: exit code %d, want 0\n%s", code, errs)
 	}
-	w.waitInForce(distribution.Revision{}, 1)
+	w.waitInForce(distribution.Revision{}, 1) // the zero revision stands for the latest
 	w.waitBodyLimit(limit80, h.instances)
 }
--- a/internal/fleet/e2e/settings_relays_test.go
+++ b/internal/fleet/e2e/settings_relays_test.go
@@ -168,8 +168,9 @@
 	hostConnectionsPerSecond  = 0.7
 )
 
-// testRegionPartition partitions the second of two regions with a relay from the first one, and the
-// hosts of a third region from all relays, for a duration.
+// testRegionPartition starts three regions, of which the first two have a relay each. For the given
+// duration it partitions the second region from the first, and the hosts of the third region from
+// all relays.
 func testRegionPartition(t *testing.T, reset bool, duration time.Duration) {
 	w := configureSettings(t, settingsLayout{relays: 2, hosts: 6, sidecarsPerHost: 1, regions: 3})
 	w.startRelays()
--- a/internal/fleet/e2e/settings_unavailable_test.go
+++ b/internal/fleet/e2e/settings_unavailable_test.go
@@ -8,9 +8,10 @@
 	"martendrum/internal/standin/faultnet"
 )
 
-// publishLimits publishes several memory limits in turn, as changes of the resource name to all
-// hosts. It returns the limit on bodies that the sidecars have in force under each, which differ,
-// so that a test can tell later which memory limit is in force.
+// publishLimits publishes several memory limits in turn, as changes of one resource with all hosts
+// in its scope, and waits until each is in force at the given number of hosts. It returns the limit
+// on bodies that the sidecars have in force under each. These limits differ, so that a test can tell
+// later which memory limit is in force.
 func (w *settingsWorld) publishLimits(hosts int, name string, megabytes ...int) (limits []float64) {
 	w.t.Helper()
 	for _, size := range megabytes {
@@ -112,7 +113,7 @@
 	w.t.Helper()
 	w.waitBodyLimit(want, []string{instance})
 	if applied, ok := w.metric(instance, "edge_balancer_config_applied"); !ok || applied != 0 {
-		w.t.Errorf("%s applied %v configurations since its start (metric found: %v), want 0: it should start with the accepted one", instance, applied, ok)
+		w.t.Errorf("%s applied %v configurations since its start (metric found: %v), want 0: it should start with the accepted settings", instance, applied, ok)
 	}
 }
 
--- a/internal/fleet/e2e/settings_writer_killed_test.go
+++ b/internal/fleet/e2e/settings_writer_killed_test.go
@@ -169,12 +169,12 @@
 	if err != nil {
 		r.world.t.Fatalf("loading the writer's configuration: %v", err)
 	}
-	record, err := agentstore.Opener(config)(filepath.Join(config.StateDir, "record.db"))
+	writerStore, err := agentstore.Opener(config)(filepath.Join(config.StateDir, "record.db"))
 	if err != nil {
 		r.world.t.Fatalf("opening the writer's store: %v", err)
 	}
-	defer record.Close()
-	snapshot, err := record.Load(context.Background())
+	defer writerStore.Close()
+	snapshot, err := writerStore.Load(context.Background())
 	if err != nil {
 		r.world.t.Fatalf("loading the writer's store: %v", err)
 	}
--- a/internal/fleet/e2e/settings_writer_test.go
+++ b/internal/fleet/e2e/settings_writer_test.go
@@ -106,8 +106,8 @@
 	w.checkNoFencedChange(w.relays, w.bodyLimit(w.hosts[0].instances[0]))
 }
 
-// reachOnly lets a host reach only the old writer until the host has connected to it and no
-// connection is left, and then the other relays again.
+// reachOnly lets a host reach only the old writer, waits until the host has connected to it and no
+// connection to it is left, and then lets the host reach the other relays too.
 func (w *settingsWorld) reachOnly(h, oldWriter *host, others []*host) {
 	w.t.Helper()
 	w.setLinks([]*host{h}, others, faultnet.Fault{Drop: true})
@@ -153,12 +153,12 @@
 	w.t.Helper()
 	for _, relay := range relays {
 		if w.holdsResource(relay, "limits/void") {
-			w.t.Errorf("relay %s holds limits/void, a change that only the fenced writer acknowledged", relay.name)
+			w.t.Errorf("relay %s holds limits/void, a change that only the fenced writer acknowledged; want no relay to hold it", relay.name)
 		}
 	}
 	for _, h := range w.hosts {
 		if revision, found := w.acceptedRevisions(h, h.instances[0])["limits/void"]; found {
-			w.t.Errorf("%s accepted revision %v of limits/void from the fenced writer", h.name, revision)
+			w.t.Errorf("%s accepted revision %v of limits/void from the fenced writer, want none", h.name, revision)
 		}
 	}
 	w.waitBodyLimit(limit, instanceNames(w.hosts...))
--- a/internal/fleet/e2e/staged_faults_test.go
+++ b/internal/fleet/e2e/staged_faults_test.go
@@ -32,7 +32,7 @@
 	rep = w.startChange("resume", rep.Operation.ID, "--lease", "3s").report()
 	requests.stop()
 	if rep.Result != rollout.Succeeded || rep.Stages.Number <= noteBefore || !rep.Stages.State.Done {
-		t.Errorf("resumed change: result %s because %s, stages %+v; want result %s, all stages done and a note number above %d", rep.Result, rep.Why, rep.Stages, rollout.Succeeded, noteBefore)
+		t.Errorf("resumed change: result %s because %s, stages %+v; want result %s, all stages done and a stored note with a number above %d", rep.Result, rep.Why, rep.Stages, rollout.Succeeded, noteBefore)
 	}
 	var log []string
 	for _, entry := range rep.Stages.Log {
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, lost := range requests.lost {
-		t.Errorf("lost request %s", lost)
+		t.Errorf("lost request %s, want no request lost", lost)
 	}
 }
 
--- a/internal/fleet/e2e/staged_test.go
+++ b/internal/fleet/e2e/staged_test.go
@@ -21,11 +21,11 @@
 // worseReleases are releases that perform worse than the running one, by their fault. The canary
 // analysis or the count of crashes has to stop their rollout.
 var worseReleases = map[string]struct {
-	overlay func(t *testing.T) string // returns the address of the faulty servers' discovery; nil if the program is faulty
+	servers func(t *testing.T) string // starts the faulty servers and returns the address of their discovery service; nil if the program is faulty
 	program string                    // shell script that runs the sidecar, whose path it takes by %s
 	wantWhy string                    // part of the reason for the rollback
 }{
-	"fails a third of the requests": {wantWhy: "judged worse: ", overlay: func(t *testing.T) string {
+	"fails a third of the requests": {wantWhy: "judged worse: ", servers: func(t *testing.T) string {
 		return startServers(t, func(n int64, w http.ResponseWriter, _ *http.Request) bool {
 			if n%3 == 0 {
 				http.Error(w, "no", http.StatusInternalServerError)
@@ -33,7 +33,7 @@
 			return n%3 == 0
 		})
 	}},
-	"late for activate requests only": {wantWhy: "judged worse: ", overlay: func(t *testing.T) string {
+	"late for activate requests only": {wantWhy: "judged worse: ", servers: func(t *testing.T) string {
 		return startServers(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
 			if r.Header.Get("Req-Kind") == "activate" && n%2 == 0 {
 				time.Sleep(2600 * time.Millisecond)
@@ -41,7 +41,7 @@
 			return false
 		})
 	}},
-	"fails in one zone only": {wantWhy: "judged worse: ", overlay: func(t *testing.T) string {
+	"fails in one zone only": {wantWhy: "judged worse: ", servers: func(t *testing.T) string {
 		return startServers(t, func(n int64, w http.ResponseWriter, r *http.Request) bool {
 			// Request ids begin with the instance, such as h0-i3; instances with odd numbers are in
 			// zone-1.
@@ -68,8 +68,8 @@
 			w := newStagedWorld(t, 2, 5)
 			base := w.runningRelease()
 			args := append([]string{"start", "--stages", "3,100%"}, quickChange...)
-			if c.overlay != nil {
-				args = append(args, "--overlay", w.writeOverlay(fmt.Sprintf(`{"discovery": %q}`, c.overlay(t))), "--binary", filepath.Join(w.binaries, "sidecar"))
+			if c.servers != nil {
+				args = append(args, "--overlay", w.writeOverlay(fmt.Sprintf(`{"discovery": %q}`, c.servers(t))), "--binary", filepath.Join(w.binaries, "sidecar"))
 			} else {
 				args = append(args, "--binary", w.writeScript("bad", fmt.Sprintf(c.program, filepath.Join(w.binaries, "sidecar"))))
 			}
@@ -85,7 +85,7 @@
 			}
 			if c.program == "" {
 				for _, lost := range requests.lost {
-					t.Errorf("lost request %s", lost)
+					t.Errorf("lost request %s, want no request lost", lost)
 				}
 			}
 			t.Logf("rolled back because %s; %d requests, %d served", rep.Why, requests.sent, requests.served)
@@ -149,7 +149,7 @@
 		}
 	})
 	t.Cleanup(func() { close(stop); reset.Wait() })
-	// serve returns a server in which each request counts as cost requests.
+	// serve returns a function for startServers with which each request counts as cost requests.
 	serve := func(cost int64) func(int64, http.ResponseWriter, *http.Request) bool {
 		return func(_ int64, w http.ResponseWriter, _ *http.Request) bool {
 			if load.Add(cost) <= capacity {
@@ -208,7 +208,7 @@
 		}
 	}
 	for _, lost := range requests.lost {
-		t.Errorf("lost request %s", lost)
+		t.Errorf("lost request %s, want no request lost", lost)
 	}
 }
 
@@ -260,6 +260,6 @@
 		t.Errorf("change to a compatible build: result %s because %s, want %s", rep.Result, rep.Why, rollout.Succeeded)
 	}
 	for _, lost := range requests.lost {
-		t.Errorf("lost request %s", lost)
+		t.Errorf("lost request %s, want no request lost", lost)
 	}
 }
--- a/internal/fleet/e2e/store_test.go
+++ b/internal/fleet/e2e/store_test.go
@@ -57,7 +57,7 @@
 	}
 	eventually(t, "the store to be writable again", func() bool { return s.fleet.List(ctx, &inventory.Select{})[0].Unwritable == "" })
 	if err := a.Call(ctx, api.StepStart, &api.StepIn{Op: op.ID, Token: open.Token, Instance: op.Targets[0].Instance, Kind: api.Change}, nil); err != nil {
-		t.Errorf("step once the store has space: %v", err)
+		t.Errorf("step once the store has space: got error %v, want none", err)
 	}
 }
 
--- a/internal/fleet/e2e/traffic_test.go
+++ b/internal/fleet/e2e/traffic_test.go
@@ -24,7 +24,8 @@
 
 // shutdownRace is the age up to which a request without a response does not count as lost. A
 // sidecar closes its listener 700 ms after SIGTERM, and a client that connects at that moment is
-// not served. Requests from before SIGTERM are older than this when their connection ends.
+// not served. A request that was sent before SIGTERM is older than shutdownRace when its connection
+// ends.
 const shutdownRace = 400 * time.Millisecond
 
 // startTraffic starts clients that send requests to each instance, one per interval on average.
--- a/internal/fleet/e2e/upgrade_test.go
+++ b/internal/fleet/e2e/upgrade_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("%d sidecars and %d agents were killed, want at least one of each", kills.sidecars, kills.agents)
 	}
 	for _, lost := range requests.lost {
-		t.Errorf("lost request %s", lost)
+		t.Errorf("lost request %s, want no request lost", lost)
 	}
 	if requests.served < requests.sent/2 || requests.served == 0 {
 		t.Errorf("%d of %d requests were served, want at least half", requests.served, requests.sent)
@@ -133,7 +133,7 @@
 			case r.Outcome == rollout.Changed && i.Running != hash:
 				t.Errorf("%s is reported %s but runs release %.12s, want %.12s", i.Name, r.Outcome, i.Running, hash)
 			case r.Outcome == rollout.Failed && r.Reason == "":
-				t.Errorf("%s is reported %s without a reason", i.Name, r.Outcome)
+				t.Errorf("%s is reported %s without a reason, want one", i.Name, r.Outcome)
 			case r.Outcome != rollout.Changed && r.Outcome != rollout.Failed:
 				t.Errorf("%s is reported %s after the upgrade, want %s or %s", i.Name, r.Outcome, rollout.Changed, rollout.Failed)
 			}
@@ -275,7 +275,7 @@
 				default:
 				}
 				if _, err := proc.Health(context.Background(), addr, eventuallyTimeout); err != nil {
-					t.Errorf("health call %d to %s: %v", n, name, err)
+					t.Errorf("health call %d to %s: got error %v, want none", n, name, err)
 				}
 			}
 		})
--- a/internal/fleet/e2e/verify_test.go
+++ b/internal/fleet/e2e/verify_test.go
@@ -14,7 +14,8 @@
 
 // checkAgainstProcesses compares the agents' reports of each instance with /proc and health calls:
 // an instance that should run has exactly one process, of the reported pid, generation and release,
-// which answers health calls if it is reported ready. Another instance has no process.
+// which answers health calls if it is reported ready. An instance that should not run has no
+// process.
 func (w *world) checkAgainstProcesses(states []client.HostState) {
 	w.t.Helper()
 	found := proc.Find(w.prefix)
@@ -45,10 +46,10 @@
 			// generation than the one in the name of its launch.
 			launched := strings.Contains(launches[0], fmt.Sprintf("/%d/", i.Generation)) || strings.Contains(i.Reason, "continues to serve")
 			if pid != i.PID || !launched || i.Process != i.Generation {
-				w.t.Errorf("%s is reported with pid %d at generation %d, desired generation %d; its process has pid %d and launch %v", i.Name, i.PID, i.Process, i.Generation, pid, launches)
+				w.t.Errorf("%s is reported with pid %d at generation %d, desired generation %d; its process has pid %d and launch %v; want them to agree", i.Name, i.PID, i.Process, i.Generation, pid, launches)
 			}
 			if exe, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", pid)); err != nil || !strings.Contains(exe, "/"+i.Release+"/") || i.Running != i.Release {
-				w.t.Errorf("%s is reported to run release %.12s, desired release %.12s; its process runs %s, error %v", i.Name, i.Running, i.Release, exe, err)
+				w.t.Errorf("%s is reported to run release %.12s, desired release %.12s; its process runs %s, error %v; want them to agree", i.Name, i.Running, i.Release, exe, err)
 			}
 			if _, err := proc.Health(context.Background(), i.Listen, 5*time.Second); (err == nil) != (i.State == "ready") {
 				w.t.Errorf("%s is reported %s, but its health call gives error %v; want an error exactly if it is not ready", i.Name, i.State, err)
--- a/internal/fleet/e2e/world_test.go
+++ b/internal/fleet/e2e/world_test.go
@@ -65,7 +65,8 @@
 	return newWorldWithServers(t, hosts, perHost, sections, func() (*shop.Shop, error) { return shop.New(4, 10*time.Millisecond) })
 }
 
-// newWorldWithServers is newWorldWithSections with application servers that open starts.
+// newWorldWithServers is newWorldWithSections with the application servers that the function open
+// starts and returns.
 func newWorldWithServers(t testing.TB, hosts, perHost int, sections string, open func() (*shop.Shop, error)) *world {
 	t.Helper()
 	w := &world{t: t, dir: t.TempDir(), prefix: fmt.Sprintf("e2e%08x", rand.Uint32()), binaries: programs(t)}
@@ -133,8 +134,8 @@
 	return f
 }
 
-// start starts the host's agent. With env, the agent runs in the test's own program, which can
-// crash at a write to the agent's store (see TestMain).
+// start starts the host's agent. With environment variables in env, the agent runs in the test's
+// own program, which can crash at a write to the agent's store (see TestMain).
 func (h *host) start(env ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -221,7 +222,8 @@
 	w.waitReady()
 }
 
-// newOperation returns an operation on all instances, one at a time, as changed by edit.
+// newOperation returns an operation on all instances, one at a time. edit may alter it; nil alters
+// nothing.
 func (w *world) newOperation(action string, edit func(*api.Operation)) api.Operation {
 	operation := api.Operation{
 		ID: fmt.Sprintf("op-%08x", rand.Uint32()), Action: action, ReadyTimeout: 20 * time.Second, Soak: 300 * time.Millisecond,
@@ -241,7 +243,7 @@
 	return operation
 }
 
-// runOptions returns the options of a command's run, with a lease holder of its own.
+// runOptions returns the options of one run of a command. Each call returns another lease holder.
 func runOptions() client.Options {
 	return client.Options{LeaseHolder: fmt.Sprintf("run %08x", rand.Uint32()), TTL: 5 * time.Second, GiveUp: 30 * time.Second}
 }
