--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -44,8 +44,8 @@
 	return Interval{i.Value * factor, i.Low * factor, i.High * factor}
 }
 
-// plus returns the sum of two intervals. It adds the bounds, which gives an interval that is rather
-// too wide than too narrow.
+// plus returns the sum of two intervals. It adds the bounds, so the result tends to be too wide rather
+// than too narrow.
 func (i Interval) plus(other Interval) Interval {
 	return Interval{i.Value + other.Value, i.Low + other.Low, i.High + other.High}
 }
@@ -75,8 +75,9 @@
 	return fmt.Sprintf("capacity: cannot fit a %v curve: %s", e.Model, e.Reason)
 }
 
-// terms returns the factors of the model's coefficients at a size: one row of the design matrix. For
-// Power they belong to the logarithm of the curve. Sizes below 1 count as 1 in Logarithm and NLogN.
+// terms returns the factors by which the coefficients are multiplied at a size: one row of the design
+// matrix. For Power they are the factors of ln a and b, which give the logarithm of the curve. The
+// logarithm of a size below 1 counts as 0 in Logarithm and NLogN.
 func (m Model) terms(size float64) []float64 {
 	switch m {
 	case Constant:
@@ -142,12 +143,12 @@
 	if err := inverse.Inverse(&product); err != nil {
 		return &FitError{f.Model, "the sizes are too few or too close to determine its coefficients"}
 	}
-	var projected, solution, estimate mat.VecDense
+	var projected, solution, residuals mat.VecDense
 	projected.MulVec(design.T(), target)
 	solution.MulVec(&inverse, &projected)
-	estimate.MulVec(design, &solution)
-	estimate.SubVec(target, &estimate)
-	variance := mat.Dot(&estimate, &estimate) / float64(rows-columns)
+	residuals.MulVec(design, &solution) // the values of the curve, not yet subtracted from the target
+	residuals.SubVec(target, &residuals)
+	variance := mat.Dot(&residuals, &residuals) / float64(rows-columns)
 	f.covariance = mat.NewDense(columns, columns, nil)
 	for i := range columns {
 		f.values = append(f.values, solution.AtVec(i)/scale[i])
@@ -176,8 +177,8 @@
 	return values
 }
 
-// quantile returns the factor from a standard error to half the width of its confidence interval: a
-// quantile of Student's t distribution for the fit's degrees of freedom.
+// quantile returns the factor by which a standard error is multiplied to get half the width of its
+// confidence interval: a quantile of Student's t distribution for the fit's degrees of freedom.
 func (f *Fit) quantile() float64 {
 	degreesOfFreedom := float64(f.Points - len(f.values))
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile(1 - (1-confidence)/2)
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// FitModel fails if the points can't determine the curve.
+// FitModel fails if the points can't determine the curve, and for Power also if a value is 0.
 func TestFitModelRejectsTooFewPoints(t *testing.T) {
 	for name, points := range map[string][]Point{
 		"no points":                nil,
--- a/internal/capacity/mechanisms.go
+++ b/internal/capacity/mechanisms.go
@@ -7,7 +7,7 @@
 )
 
 // Mechanism compares a requirement of the fleet with what the system achieves today. A smaller value
-// is better for all requirements.
+// is better; for a requirement of which the reverse is true, Required and Achieved change places.
 type Mechanism struct {
 	Need      string
 	Required  float64  // the most that the requirement allows, in Unit
@@ -59,8 +59,8 @@
 		mechanism("membership of the largest service's own sidecars", ConvergeSeconds, c.at(Membership, "time to converge", float64(sizes[0])), "s", peers, "16 s is borrowed; by configuration, one fleet name for each service"),
 		mechanism("the loss of a zone is known in a membership of all", ConvergeSeconds, c.at(MembershipChange, "a zone (one in 27) lost", Servers), "s", peers, "16 s is borrowed"),
 		mechanism("bytes of a whole server list at a start, over 16 s", ControlBytesPerSecond, listBytes, "B/s", watch, "5 services"),
-		// More services are better, so the required number stands in the place of the achieved one.
-		// More services are better, so the required number stands in the place of the achieved one.
+		// More services are better, so the two numbers change places: 1 is achieved, and servicesCalled
+		// is required.
 		mechanism("services that one sidecar can call", 1, exact(servicesCalled), "services", "one list of one service for each sidecar", "needed: 5, assumed; there: 1"),
 		mechanism("2 ms added at 7 deep, for 99 in 100", MaxAddedMilliseconds, c.at(Chain, "difference of the 99th percentiles", lengths.typical), "ms", "`internal/downstream`, `internal/upstream`, the root package", "seven together"),
 		mechanism("2 ms added by one sidecar, for 99 in 100", MaxAddedMilliseconds, c.at(CallRate, "difference of the 99th percentiles", callsPerSidecar), "ms", "the same", ""),
--- a/internal/capacity/needs.go
+++ b/internal/capacity/needs.go
@@ -61,7 +61,7 @@
 	idempotencyStoreBytes = 64 << 20
 )
 
-// serversPerZone is the mean number of servers in a zone.
+// serversPerZone is the mean number of servers in a zone, rounded down.
 const serversPerZone = Servers / Zones
 
 // callsPerSidecar is the mean number of calls per second that one sidecar handles.
@@ -69,7 +69,8 @@
 
 // ServiceSizes returns the assumed number of servers of each service, the largest service first. By
 // Zipf's law the k-th largest service has 1/k of the servers of the largest one, rounded. The
-// largest service gets the number of servers with which all sizes add up to Servers.
+// largest service has the greatest size with which all sizes add up to at most Servers, and in
+// addition the servers that are left over.
 func ServiceSizes() []int {
 	low, high := 1, Servers
 	for high-low > 1 { // binary search: the sum grows with the size of the largest service
--- a/internal/capacity/needs_test.go
+++ b/internal/capacity/needs_test.go
@@ -17,7 +17,8 @@
 	}
 }
 
-// The means and sums that follow from the assumed service sizes lie within their natural bounds.
+// The mean size of a called service, the number of callers of the largest service and the length of
+// the longest list lie within the bounds that the assumed service sizes set.
 func TestAssumedShares(t *testing.T) {
 	sizes := ServiceSizes()
 	if called := meanCalledServers(sizes); called < float64(Servers/Services) || called > float64(sizes[0]) {
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -38,7 +38,7 @@
 func Fill(page string, tables *Tables) (string, error) {
 	var out strings.Builder
 	shown := make(map[string]bool)
-	openMarkerLine, lineNumber := 0, 0 // openMarkerLine: the marker whose table is being replaced; 0: none
+	openMarkerLine, lineNumber := 0, 0 // openMarkerLine: the line of the marker whose table is being replaced; 0: none
 	for line := range strings.Lines(page) {
 		lineNumber++
 		name, begins := tableName(line)
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -91,7 +91,8 @@
 	return false
 }
 
-// nextDigit changes the digits 1 to 8, so that it returns another figure of the same length.
+// nextDigit returns the next higher digit for the digits 1 to 8, and any other character unchanged.
+// Applied to each character of a figure, it gives another figure of the same length.
 func nextDigit(digit rune) rune {
 	if digit >= '1' && digit <= '8' {
 		return digit + 1
--- a/internal/capacity/results.go
+++ b/internal/capacity/results.go
@@ -150,7 +150,7 @@
 		points = append(points, Point{size, value * metric.scale()})
 	}
 	if len(points) == 0 {
-		return nil, &ResultError{f.Name, "it has no matching result in " + metric.Unit}
+		return nil, &ResultError{f.Name, "it has no result in " + metric.Unit + " with the parameters and sizes of the metric"}
 	}
 	return points, nil
 }
--- a/internal/capacity/results_test.go
+++ b/internal/capacity/results_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// validResults is a valid result file with three samples of two parameters.
+// validResults is the text of a valid result file. Its three samples have the parameters servers and
+// changing.
 const validResults = `command: go test
 date: 2026-01-02
 cores: 8
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -14,8 +14,8 @@
 // limitRatio returns the value divided by its limit. The limit must be above 0.
 func (e Estimate) limitRatio() float64 { return e.Value.Value / e.Limit }
 
-// exact returns an interval of width 0, for a value that follows from requirements and assumptions
-// alone.
+// exact returns an interval of width 0: for a value that is not measured, such as one that follows from
+// requirements and assumptions, and for one that the page shows without its interval.
 func exact(value float64) Interval { return Interval{value, value, value} }
 
 // Role is a part of the system with the estimates for it. Its name selects the table "role NAME".
@@ -137,12 +137,12 @@
 // maxMembershipBytesPerSecond is the rate limit in the default configuration of internal/peers.
 const maxMembershipBytesPerSecond = 600
 
-// Objectives and assumptions for the distribution of settings. The two limits are stricter than the
-// requirements.
+// Objectives and assumptions for the distribution of settings. The first two are limits that are
+// stricter than the requirements.
 const (
 	nearlyAllHostsSeconds        = 5                               // within which a change takes effect at 999 hosts in 1,000
 	maxRestBytesPerSecond        = 300                             // of a subscriber, sent and received
-	subscribersWithHalfTheRelays = Servers / (ControlMachines / 2) // mean, for each relay that is left
+	subscribersWithHalfTheRelays = Servers / (ControlMachines / 2) // mean number for each relay if half of the relays are lost
 )
 
 // distributionEstimates returns the estimates for the distribution of settings by a writer and
--- a/internal/capacity/tables_raw.go
+++ b/internal/capacity/tables_raw.go
@@ -16,8 +16,8 @@
 	return text + "\n\n"
 }
 
-// resultFile returns the results of a measurement. If there are none, it returns a *TableError whose
-// table is the kind followed by the name.
+// resultFile returns the results of a measurement. If there are none, it returns a *TableError for
+// the table of the given kind, "raw" or "fits".
 func (t *Tables) resultFile(kind, name string) (*ResultFile, error) {
 	if resultFile := t.results[name]; resultFile != nil {
 		return resultFile, nil
@@ -64,7 +64,7 @@
 	if definition := MeasurementByName(f.Name); definition != nil {
 		for _, metric := range definition.Metrics {
 			shown := metric
-			if metric.Factor == 0 {
+			if metric.Factor == 0 { // the values are not converted, so the raw unit is shown
 				shown.PageUnit = ""
 			}
 			add(shown)
@@ -80,7 +80,7 @@
 	return columns
 }
 
-// group is the samples with the same parameters, apart from the seed.
+// group holds the samples that have the same parameters, apart from the seed.
 type group struct {
 	name    string
 	samples []Sample
