--- a/internal/ci/layout/layout_test.go
+++ b/internal/ci/layout/layout_test.go
@@ -34,7 +34,7 @@
 			}
 			for _, match := range matches {
 				if _, err := os.Stat(filepath.Join(root, match[1])); err != nil {
-					t.Errorf("the page names %s: %v", match[1], err)
+					t.Errorf("the page names %s, want a path that exists: %v", match[1], err)
 				}
 			}
 		})
@@ -56,7 +56,7 @@
 				}
 			}
 			if fileCount == 0 {
-				t.Errorf("found no Go files below %s", from)
+				t.Errorf("found no Go files below %s, want at least one", from)
 			}
 		})
 	}
