--- a/internal/capacity/measure/measure_test.go
+++ b/internal/capacity/measure/measure_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestSizes(t *testing.T) {
+func TestParseSizes(t *testing.T) {
 	sizes, err := ParseSizes("30, 300,3000")
 	if err != nil || !slices.Equal(sizes, []int{30, 300, 3000}) {
 		t.Errorf("ParseSizes(\"30, 300,3000\") = %v, %v, want [30 300 3000]", sizes, err)
@@ -22,7 +22,7 @@
 
 // ProcessUsage reports the processor time and the descriptor that this process uses between two calls,
 // and a peak of memory that is not below the resident memory.
-func TestProcess(t *testing.T) {
+func TestProcessUsage(t *testing.T) {
 	before, err := ProcessUsage(os.Getpid())
 	if err != nil {
 		t.Fatalf("ProcessUsage before the use: %v", err)
@@ -47,7 +47,7 @@
 }
 
 // RunCommand returns the cost of a command that succeeds, and an error for one that it kills.
-func TestCommand(t *testing.T) {
+func TestRunCommand(t *testing.T) {
 	cost, err := RunCommand(exec.Command("sleep", "0.1"), time.Minute)
 	if err != nil {
 		t.Fatalf("RunCommand with sleep 0.1: %v", err)
