--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -194,8 +194,8 @@
 }
 
 // runStallingClient runs a client that sends a part of a request and then waits, without closing
-// its connection, until the sidecar ends it. It repeats this until the context ends, and records
-// each of these connections.
+// its connection, until the sidecar answers with an error or closes the connection. It repeats this
+// until the context ends, and records each of these connections.
 func runStallingClient(ctx context.Context, sidecar int, address string, random *rand.Rand, recorder *recorder) {
 	const request = "POST /pay HTTP/1.1\r\nHost: a\r\nReq-Id: half\r\nContent-Length: 4\r\n\r\nca"
 	for ctx.Err() == nil {
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -96,8 +96,8 @@
 	d.notifyWatches()
 }
 
-// setMode changes the mode. If the previous mode was another one than DiscoveryServes, it records
-// the time since its beginning as an outage.
+// setMode changes the mode. If the previous mode was not DiscoveryServes, it records the time that
+// discovery was in that mode as an outage.
 func (d *discovery) setMode(mode string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -12,7 +12,7 @@
 // Rule names a rule. Its text is printed with each breach of it.
 type Rule string
 
-// The rules. The method of judgement that reports a breach of a rule says what the rule demands.
+// The rules. Each is described at the method of judgement that reports its breaches.
 const (
 	RuleNoAnswer         Rule = "lost: no answer"
 	RuleOverdue          Rule = "lost: answered too late"
@@ -48,7 +48,7 @@
 	maxAttemptAfterDisconnect = 100 * time.Millisecond // from a client's disconnect to an attempt's first byte
 	deadlineSlack             = 150 * time.Millisecond // by which a forwarded deadline may exceed the client's
 	socketSlack               = 50 * time.Millisecond  // added to the limits of drains, stalls and repeats
-	maxNotificationDelay      = 6 * time.Second        // from a change that discovery can send to its notification
+	maxNotificationDelay      = 6 * time.Second        // from a change, or the end of an outage after it, to the notification
 	maxReady                  = 10 * time.Second       // from a process's start to its readiness
 	unsolicitedGrace          = 100 * time.Millisecond // see isFirstUnsolicited
 	maxStall                  = 3 * time.Second        // within which a stalled client gets an error or its connection is closed
@@ -195,8 +195,10 @@
 }
 
 // judgeClosed reports a request whose connection was closed without a byte of an answer, unless the
-// sidecar may do so. It may if it did not forward the request and the request was not the first on
-// its connection, the process was not ready or was terminating, or the script has idle connections.
+// sidecar may do so. A request that was forwarded is always reported. Any other is reported if it was
+// the first on its connection, unless no process was ready when the connection was opened, that
+// process had been signalled to terminate or killed when it was closed, or the script has idle
+// connections.
 func (j *judgement) judgeClosed(r *Request, attempts []*Attempt) {
 	process := j.processAt(r.Sidecar, r.Dialed) // the process that had accepted the connection
 	if process != nil && process.Killed > 0 && r.Finished >= process.Killed {
@@ -290,7 +292,7 @@
 }
 
 // maxRequests returns how many requests a server in slow start may get within the overload duration
-// if its capacity allows n: n and an allowance that grows with its square root.
+// if its capacity allows n: n plus an allowance that grows with the square root of n.
 func maxRequests(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -308,9 +310,10 @@
 	}
 }
 
-// judgeStart reports the first time during the slow start of a server at which it gets more requests
-// within the overload duration than its capacity allows. Such a time counts only if more than two
-// thirds of the requests come from sidecars that count as notified of the start.
+// judgeStart reports the first time during the slow start of a server from which on, within the
+// overload duration, it gets more requests than maxRequests allows for OverloadFactor times its
+// capacity. Such a time counts only if more than two thirds of the requests come from sidecars that
+// count as notified of the start.
 func (j *judgement) judgeStart(c *Change) {
 	s := j.script
 	slowStartEnds := c.Since + time.Duration(s.SlowStartDuration)
@@ -343,7 +346,8 @@
 	}
 }
 
-// judgeStalls reports clients that stopped in the middle of a request and were not ended in time.
+// judgeStalls reports clients that stopped in the middle of a request and whose sidecar did not
+// answer with an error or close the connection in time.
 func (j *judgement) judgeStalls() {
 	for _, stall := range j.record.Stalls {
 		ended := stall.Finished
@@ -351,7 +355,7 @@
 			ended = j.record.Length
 		}
 		if elapsed := ended - stall.Stopped; elapsed > maxStall+socketSlack+j.record.Lateness {
-			j.breach(RuleStall, ended, "a client of sidecar %d that stopped in the middle of a request was not ended for %v", stall.Sidecar, elapsed)
+			j.breach(RuleStall, ended, "a client of sidecar %d that stopped in the middle of a request got neither an error nor a closed connection for %v", stall.Sidecar, elapsed)
 		}
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -55,7 +55,7 @@
 type sidecar struct {
 	number    int
 	program   string // path
-	seams     string // makes a program that is built with seams break a rule; empty: none
+	seams     string // see Options.Seams
 	directory string // for its configuration and temporary files
 	address   string // at which it listens
 	discovery string // address of the discovery for this sidecar
@@ -68,7 +68,7 @@
 	processIndex int           // index of the process in the record
 	exited       chan struct{} // closed when the process has exited
 	classes      []Class       // with the deadlines that are in the configuration file
-	stopping     bool          // stopOnce has not yet started the next process
+	stopping     bool          // stopOnce is stopping the process and has not yet started the next one
 
 	nextPause time.Time // the earliest time of the next pause
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -82,14 +82,14 @@
 	Exited    time.Duration // 0: it ran until the end of the run
 	Killed    time.Duration // when it was killed; 0: never
 	Exit      string        // the error or signal with which it exited; empty: success, or it was killed
-	Panics    int           // number of panics in the sidecar's log
+	Panics    int           // number of panics in the log of all processes of the sidecar; only set for the first of them
 }
 
-// Stall is a client's connection on which it stopped in the middle of a request and then waited.
+// Stall is a connection on which the client stopped in the middle of a request and then waited.
 type Stall struct {
 	Sidecar  int
-	Stopped  time.Duration
-	Finished time.Duration // when it got an error or was closed; 0: never
+	Stopped  time.Duration // when the client stopped sending
+	Finished time.Duration // when the client got an answer or the connection was closed; 0: never
 }
 
 // Outage is a time in which discovery was in a mode other than DiscoveryServes.
--- a/internal/soak/recorder.go
+++ b/internal/soak/recorder.go
@@ -47,13 +47,13 @@
 const (
 	// latenessInterval is the interval of the timer by which lateness is measured.
 	latenessInterval = 2 * time.Millisecond
-	// latenessFloor is the lateness of recorded times that the timer may fail to show.
-	latenessFloor = 10 * time.Millisecond
+	// latenessAllowance is added to the measured lateness: recorded times may be later than the timer shows.
+	latenessAllowance = 10 * time.Millisecond
 )
 
 // measureLateness measures, until the context ends, the maximum by which a timer of this process
 // fires late: recorded times may be late by as much. At the end it records that maximum plus
-// latenessFloor.
+// latenessAllowance.
 func (r *recorder) measureLateness(ctx context.Context) {
 	ticker := time.NewTicker(latenessInterval)
 	defer ticker.Stop()
@@ -61,7 +61,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			r.do(func(record *Record) { record.Lateness = worst + latenessFloor })
+			r.do(func(record *Record) { record.Lateness = worst + latenessAllowance })
 			return
 		case <-ticker.C:
 		}
--- a/internal/soak/script.go
+++ b/internal/soak/script.go
@@ -22,7 +22,7 @@
 	return err
 }
 
-// Idempotency says whether a request may be repeated, with the values of a sidecar's settings.
+// Idempotency says whether a request may be repeated. Its values are those of a sidecar's settings.
 type Idempotency string
 
 // Values of Idempotency.
@@ -60,8 +60,8 @@
 	ModeForget        = "forget"         // after an answer reads nothing more of the connection; resets it at the end of the mode
 )
 
-// serverModes are the modes that Generate chooses from with equal probability. ModeHang counts three
-// times.
+// serverModes are the modes that Generate chooses from. Each entry has the same probability, so that
+// ModeHang is three times as probable as any other mode.
 var serverModes = []string{ModeHang, ModeHang, ModeHang, ModeSilent, ModeDown, ModeSlow, ModeFail, ModeDecline,
 	ModeResetBefore, ModeResetWithin, ModeResetAfter, ModeNoLength, ModeDuplicate, ModeEndless, ModeResetRequests,
 	ModeIdleClose, ModeForget}
@@ -85,7 +85,7 @@
 	EventServerReturn  = "server-return"  // Targets: the servers are listed as up again under their names, in slow start
 	EventServerReset   = "server-reset"   // Targets: the servers reset all open connections
 	EventDiscoveryMode = "discovery-mode" // Mode, For: discovery is in a mode for a time
-	EventStop          = "stop"           // Targets, Signals, Gap, Again, Factor: the sidecars are stopped, killed at the earliest time allowed, and restarted at once
+	EventStop          = "stop"           // Targets, Signals, Gap, Again, Factor: the sidecars get the signals, are killed if they still run after EarliestKill, and are restarted at once
 	EventReload        = "reload"         // Targets, Factor: the sidecars reload deadlines multiplied by the factor
 	EventPause         = "hold"           // Targets, For: the sidecars' processes are stopped by SIGSTOP for a time
 )
@@ -138,7 +138,7 @@
 	QuietUntil        Span    `json:"QuietUntil"`   // how long the clients wait before their first request
 	MaxBody           int     `json:"BodyMost"`     // maximum bytes of a request's body
 	MaxAnswer         int     `json:"AnswerMost"`   // maximum bytes added to an answer
-	Events            []Event `json:"Events"`       // in the order of their runs; Generate orders them by At
+	Events            []Event `json:"Events"`       // in the order in which they are carried out; Generate orders them by At
 }
 
 // Longest returns the longest deadline of all classes.
--- a/internal/soak/seams_test.go
+++ b/internal/soak/seams_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// seamScript returns a script in which a sidecar can break each of the rules that the seams make it
-// break: servers hang, also while the sidecar shuts down, a server drains, and many requests have
-// short deadlines.
+// seamScript returns a script in which each seam can make a sidecar break the rule of that seam. A
+// seam is a place where a build with the tag seams can break a rule on purpose. In the script, servers
+// hang, also while the sidecar shuts down, a server drains, and many requests have short deadlines.
 func seamScript() *Script {
 	return &Script{
 		Seed: 7, Length: Span(7 * time.Second), Sidecars: 1, Servers: 3, DrainGrace: Span(300 * time.Millisecond),
@@ -30,8 +30,8 @@
 	}
 }
 
-// A run finds a sidecar that breaks a rule by a seam, and finds no breach of a sidecar without a
-// seam under the same script.
+// If a seam makes the sidecar break a rule, Judge reports a breach of that rule. Under the same
+// script it reports no breach for a sidecar without a seam.
 func TestSeamsAreCaught(t *testing.T) {
 	build(t)
 	for n, test := range []struct {
@@ -43,12 +43,12 @@
 			breaches, _ := run(t, seamScript(), programs.withSeams, test.seams, 100+n)
 			if test.rule == "" {
 				for _, breach := range breaches {
-					t.Errorf("broken rule without a seam: %v", breach)
+					t.Errorf("without a seam, the run found the breach %v, want none", breach)
 				}
 				return
 			}
 			if !slices.ContainsFunc(breaches, func(b Breach) bool { return b.Rule == test.rule }) {
-				t.Errorf("with the seam %s, the run found no breach of %q but %v", test.seams, test.rule, breaches)
+				t.Errorf("with the seam %s, the run found the breaches %v, want one of %q", test.seams, breaches, test.rule)
 			}
 		})
 	}
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -252,7 +252,7 @@
 	return true
 }
 
-// release ends the counting of an admitted request as in flight.
+// release counts an admitted request as no longer in flight.
 func (s *server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -26,7 +26,8 @@
 // ciSeeds is the number of seeds that CI runs.
 const ciSeeds = 12
 
-// programs are the paths of the sidecars under test: as operators build it, and with seams.
+// programs are the paths of the sidecar's two builds under test: as operators build it, and with
+// seams.
 var programs struct {
 	once                sync.Once
 	standard, withSeams string
@@ -155,8 +156,8 @@
 	}
 }
 
-// runsPerUnserved is the number of runs for each of which one, at most, may serve no request because
-// of its faults. The number of such runs is rounded up.
+// runsPerUnserved limits the runs that serve no request because of their faults: at most one in this
+// many may do so, rounded up.
 const runsPerUnserved = 20
 
 // runAndReport runs a script, reports the first breaches as errors, and returns how many requests
@@ -169,7 +170,7 @@
 			t.Errorf("%d more breaches are not shown", len(breaches)-maxShown)
 			break
 		}
-		t.Errorf("broken rule: %v", breach)
+		t.Errorf("the run found the breach %v, want none", breach)
 	}
 	served = record.Served()
 	t.Logf("%d sidecars, longest deadline %v, %d processes: %d requests, %d served, %d attempts; recorded times may be late by %v",
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -14,7 +14,7 @@
 // Options configure a run.
 type Options struct {
 	Program   string // path of the sidecar
-	Seams     string // value of the sidecars' MARTENDRUM_SEAMS, for a program built with the build tag seams; empty: none
+	Seams     string // value of MARTENDRUM_SEAMS: the seams by which a program built with the tag seams breaks rules on purpose; empty: none
 	Directory string // for the sidecars' files; the caller removes it
 	Host      int    // 1 to 200; sets the IP addresses of the sidecars. Concurrent runs need different ones
 }
