--- a/internal/hollow/authority.go
+++ b/internal/hollow/authority.go
@@ -88,7 +88,7 @@
 }
 
 // Client returns the TLS configuration with which the named host connects to relays. serial must
-// be unique among the CA's certificates; now is the time from which the certificate is valid.
+// be unique among the CA's certificates. The certificate is valid from a minute before now.
 func (a *Authority) Client(name string, serial int64, now time.Time) (*tls.Config, error) {
 	certificate, err := a.issue(name, serial, nil, now)
 	if err != nil {
--- a/internal/hollow/layout_test.go
+++ b/internal/hollow/layout_test.go
@@ -15,7 +15,7 @@
 	seen := make(map[string]bool)
 	for _, part := range Divide(hosts, 1200) {
 		if len(part) > 1200 {
-			t.Errorf("Divide(hosts, 1200) returned a part of %d hosts", len(part))
+			t.Errorf("Divide(hosts, 1200) returned a part of %d hosts, want 1200 at most", len(part))
 		}
 		for _, host := range part {
 			if host.Region != part[0].Region || seen[host.Name] {
--- a/internal/hollow/main_test.go
+++ b/internal/hollow/main_test.go
@@ -50,20 +50,20 @@
 	os.Exit(code)
 }
 
-// profiled runs the process of the configuration file at path. If profileVariable is set, it
-// writes a CPU profile of the run, and a heap profile at each SIGUSR1.
+// profiled calls run with the path of a configuration file. If profileVariable is set, it writes a
+// CPU profile of the run, and a heap profile at each SIGUSR1.
 func profiled(path string, run func(path string) error) error {
 	folder := os.Getenv(profileVariable)
 	if folder == "" {
 		return run(path)
 	}
 	name := filepath.Join(folder, fmt.Sprintf("%s-%d", filepath.Base(path), os.Getpid()))
-	processor, err := os.Create(name + ".cpu")
+	cpuProfile, err := os.Create(name + ".cpu")
 	if err != nil {
 		return err
 	}
-	defer processor.Close()
-	if err := pprof.StartCPUProfile(processor); err != nil {
+	defer cpuProfile.Close()
+	if err := pprof.StartCPUProfile(cpuProfile); err != nil {
 		return err
 	}
 	defer pprof.StopCPUProfile()
--- a/internal/hollow/results_test.go
+++ b/internal/hollow/results_test.go
@@ -76,7 +76,8 @@
 	return times[index-1].Sub(event), times[len(times)-1].Sub(event)
 }
 
-// median returns the median of at least one duration, the upper one of two.
+// median returns the median of at least one duration; for an even number of them, the greater of
+// the two in the middle.
 func median(durations []time.Duration) time.Duration {
 	sorted := slices.Sorted(slices.Values(durations))
 	return sorted[len(sorted)/2]
--- a/internal/hollow/scale_test.go
+++ b/internal/hollow/scale_test.go
@@ -133,7 +133,8 @@
 // contentBytes is about the size of one resource's content.
 const contentBytes = 600
 
-// content returns a new overlay that differs from all earlier ones.
+// content returns the content of a resource: an overlay for the configuration of instances. It
+// differs from all earlier ones.
 func (s *scaleRun) content() []byte {
 	s.version++
 	return fmt.Appendf(nil, `{"limits":{"memory_mb":%d},"comment":%q}`, 64+s.version, strings.Repeat("x", contentBytes))
--- a/internal/hollow/subscriber.go
+++ b/internal/hollow/subscriber.go
@@ -40,7 +40,7 @@
 	replica   *distribution.Replica
 	applier   *distribution.Applier
 	accepted  map[string]distribution.Revision // revisions for which Accepted was called, by resource
-	applied   distribution.Revision            // the latest revision at which the instance was settled
+	applied   distribution.Revision            // the latest revision at which State found all settings applied
 	settled   bool                             // cfg.Settled was called
 	accepting bool                             // the instance has got settings that it has not accepted yet
 	timer     *time.Timer                      // for the next call of begin or accept; nil: none is due
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// State implements node.Copy.
+// State implements node.Replica.
 func (s *Subscriber) State() distribution.HostState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// newWorker returns a Worker with a subscriber for each host; Start starts them.
+// newWorker returns a Worker with a subscriber for each host; the command Start starts them.
 func newWorker(cfg WorkerConfig) (*Worker, error) {
 	authority, err := LoadAuthority(cfg.Authority)
 	if err != nil {
--- a/internal/hollow/workers_test.go
+++ b/internal/hollow/workers_test.go
@@ -18,7 +18,8 @@
 // workerSubscribers is the maximum number of subscribers in one worker process.
 const workerSubscribers = 1200
 
-// workerHandle is a worker process with the connection over which the test sends it requests.
+// workerHandle is a worker process with the pipes over which the test sends it requests and reads its
+// replies.
 type workerHandle struct {
 	hosts    []Host
 	config   string   // path of its WorkerConfig
@@ -56,7 +57,8 @@
 	return w
 }
 
-// startProcesses starts the worker processes; startSubscribers starts their subscribers.
+// startProcesses starts the worker processes and waits until all of them answer requests;
+// startSubscribers starts their subscribers.
 func (w *workers) startProcesses() {
 	w.t.Helper()
 	for _, handle := range w.handles {
