--- a/internal/fleet/store/sqlite/compat_test.go
+++ b/internal/fleet/store/sqlite/compat_test.go
@@ -58,7 +58,7 @@
 	} {
 		rows, err := db.Query(query)
 		if err != nil {
-			t.Fatalf("%s: %v", query, err)
+			t.Fatalf("executing %s: %v", query, err)
 		}
 		columns, err := rows.Columns()
 		if err != nil {
--- a/internal/idempotency/sqlite/sqlite_test.go
+++ b/internal/idempotency/sqlite/sqlite_test.go
@@ -300,9 +300,9 @@
 	t.Logf("damage was found in %d of %d pages", found, len(intact)/pageSize-1)
 }
 
-// TestReaderBesideOwner checks that a process that does not own the file can settle a key
+// TestSettleBesideOwner checks that a process that does not own the file can settle a key
 // while the owner runs, and that its Open does not create a missing file.
-func TestReaderBesideOwner(t *testing.T) {
+func TestSettleBesideOwner(t *testing.T) {
 	config := testConfig(filepath.Join(t.TempDir(), "r.db"))
 	owner := mustOpen(t, config)
 	bt.Apply(t, owner, bt.Claim("k", "a", time.Hour), bt.Send("k", "a", 0), bt.End("k", "a", idempotency.MayHaveRun))
--- a/internal/netconn/accept_test.go
+++ b/internal/netconn/accept_test.go
@@ -16,7 +16,7 @@
 }
 
 // Accept retries after every temporary error, and returns an error only when its listener is closed.
-func TestAcceptOutlivesErrors(t *testing.T) {
+func TestAcceptContinuesAfterErrors(t *testing.T) {
 	for _, errno := range acceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			calls, failures := 0, 0
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -7,7 +7,7 @@
 
 // For every deadline, each step of the plan ends before the earliest kill, even if the process stalls for
 // MaxStall during that step.
-func TestPlansAddUp(t *testing.T) {
+func TestStepsEndBeforeKill(t *testing.T) {
 	for longest := 50 * time.Millisecond; longest <= 20*time.Second; longest += 50 * time.Millisecond {
 		plan := NewPlan(longest)
 		earliestKill := min(longest, 3*time.Second) + 700*time.Millisecond
--- a/internal/sidecar/clock_test.go
+++ b/internal/sidecar/clock_test.go
@@ -17,7 +17,7 @@
 
 // A step of the wall clock changes no duration: it affects neither the Balancer's time nor the deadlines
 // of open requests, and a server that is listed afterwards with a recent start is accepted.
-func TestWallClockStepsChangeNoSpan(t *testing.T) {
+func TestWallClockStepsChangeNoDuration(t *testing.T) {
 	for _, by := range []time.Duration{3 * time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		t.Run(fmt.Sprint("step of ", by), func(t *testing.T) {
 			undoStartStep := clock.Step(by) // the clock is wrong when the process starts
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -50,7 +50,7 @@
 
 // An answer with any framing, whether it fits the buffer or is streamed, arrives at the client unchanged,
 // whatever the size of the pieces in which the server sends it.
-func TestPiecesEverywhere(t *testing.T) {
+func TestAnswersInPiecesArriveUnchanged(t *testing.T) {
 	long := numberedText(300 << 10)
 	chunked := func(body []byte, size int) string {
 		var b strings.Builder
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -119,7 +119,7 @@
 // This guards against the following failure: a server answered some requests twice, the second time 4 ms
 // later. Connections stayed idle for 3 ms, so that each duplicate was forwarded as the answer to the next
 // request, although unsolicited bytes had been noticed on idle connections.
-func TestConnectionsRestLongerAfterUnsolicitedAnswer(t *testing.T) {
+func TestConnectionsStayIdleLongerAfterUnsolicitedAnswer(t *testing.T) {
 	for name, whileIdle := range map[string]bool{"right after the answer": false, "on an idle connection": true} {
 		t.Run(name, func(t *testing.T) {
 			accepted := make(chan net.Conn, 2*maxSendsForIdle)
