--- a/internal/fleet/host/agent/unattended_rollback.go
+++ b/internal/fleet/host/agent/unattended_rollback.go
@@ -62,7 +62,7 @@
 	if inst.step != nil { // the step of the change still runs and won't succeed
 		a.endStep(inst, inst.step, false, harm)
 	}
-	reason := fmt.Sprintf("rolled back by agent %s alone: the operation had no live lease for %v, and %s", a.config.Name, unattended.Round(time.Second), harm)
+	reason := fmt.Sprintf("rolled back by agent %s without a command: the operation had no live lease for %v, and %s", a.config.Name, unattended.Round(time.Second), harm)
 	if _, err := a.beginStep(operation, inst, api.Rollback, 0, "agent "+a.config.Name+" without a command", reason); err != nil {
 		slog.Warn("instance not rolled back", "instance", name, "why", harm, "err", err)
 		return
