--- a/internal/soak/seams_test.go
+++ b/internal/soak/seams_test.go
@@ -22,8 +22,8 @@
 		Clients: 16, ThinkTime: Span(5 * time.Millisecond), DisconnectRate: 0.3, ShortDeadlineRate: 0.3, ShortDeadline: Span(200 * time.Millisecond),
 		Events: []Event{
 			{At: Span(500 * time.Millisecond), Kind: EventServerMode, Targets: []int{0, 1, 2}, Mode: ModeHang, For: Span(700 * time.Millisecond)},
-			{At: Span(1500 * time.Millisecond), Kind: EventServerMode, Targets: []int{0, 1, 2}, Mode: ModeHang, For: Span(700 * time.Millisecond)},
 			{At: Span(600 * time.Millisecond), Kind: EventServerDrain, Targets: []int{2}},
+			{At: Span(1500 * time.Millisecond), Kind: EventServerMode, Targets: []int{0, 1, 2}, Mode: ModeHang, For: Span(700 * time.Millisecond)},
 			{At: Span(2400 * time.Millisecond), Kind: EventServerMode, Targets: []int{0, 1, 2}, Mode: ModeHang, For: Span(4200 * time.Millisecond)},
 			{At: Span(2500 * time.Millisecond), Kind: EventStop, Targets: []int{0}, Signals: []string{"TERM"}},
 		},
